--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 # All tests, with the race detector; those of whole fleets, which it does not bear, without.
 test:
 	go test -race -timeout 20m $(TESTFLAGS) ./...
-	go test -timeout 20m $(TESTFLAGS) ./internal/results
+	go test -timeout 20m $(TESTFLAGS) ./internal/batches/results
 
 lint:
 	@test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
@@ -16,13 +16,13 @@
 # Each fuzz target for a fixed number of inputs.
 FUZZ ?= 20000x
 fuzz:
-	go test -run '^$$' -fuzz FuzzCompile -fuzztime $(FUZZ) ./internal/policy
-	go test -run '^$$' -fuzz FuzzParse$$ -fuzztime $(FUZZ) ./internal/settings
-	go test -run '^$$' -fuzz FuzzParseCursor -fuzztime $(FUZZ) ./internal/rollout
-	go test -run '^$$' -fuzz FuzzDecodeStrict -fuzztime $(FUZZ) ./internal/gateway
-	go test -run '^$$' -fuzz FuzzApply -fuzztime $(FUZZ) ./internal/batch
-	go test -run '^$$' -fuzz FuzzParse -fuzztime $(FUZZ) ./internal/explain
-	go test -run '^$$' -fuzz FuzzNext -fuzztime $(FUZZ) ./internal/eventstream
+	go test -run '^$$' -fuzz FuzzCompile -fuzztime $(FUZZ) ./internal/api/policy
+	go test -run '^$$' -fuzz FuzzParse$$ -fuzztime $(FUZZ) ./internal/daemon/settings
+	go test -run '^$$' -fuzz FuzzParseCursor -fuzztime $(FUZZ) ./internal/api/rollout
+	go test -run '^$$' -fuzz FuzzDecodeStrict -fuzztime $(FUZZ) ./internal/api/gateway
+	go test -run '^$$' -fuzz FuzzApply -fuzztime $(FUZZ) ./internal/batches/batch
+	go test -run '^$$' -fuzz FuzzParse -fuzztime $(FUZZ) ./internal/daemon/explain
+	go test -run '^$$' -fuzz FuzzNext -fuzztime $(FUZZ) ./internal/requests/eventstream
 	go test -run '^$$' -fuzz FuzzDecode -fuzztime $(FUZZ) ./platform
 	go test -run '^$$' -fuzz FuzzReplica -fuzztime $(FUZZ) ./platform
 
--- a/cmd/woodworks-lab/main.go
+++ b/cmd/woodworks-lab/main.go
@@ -10,8 +10,8 @@
 
 	"github.com/integrii/flaggy"
 
+	"woodworks/internal/daemon/logging"
 	"woodworks/internal/lab/demo"
-	"woodworks/internal/logging"
 )
 
 // Exit codes.
--- a/cmd/woodworks/main.go
+++ b/cmd/woodworks/main.go
@@ -7,9 +7,9 @@
 import (
 	"os"
 
-	"woodworks/internal/cli"
-	"woodworks/internal/settings"
-	"woodworks/internal/standalone"
+	"woodworks/internal/api/standalone"
+	"woodworks/internal/daemon/cli"
+	"woodworks/internal/daemon/settings"
 	"woodworks/platform"
 )
 
--- a/internal/client/client.go
+++ b/internal/api/client/client.go
@@ -16,8 +16,8 @@
 	"github.com/zeromicro/go-zero/core/breaker"
 	"github.com/zeromicro/go-zero/rest/httpc"
 
-	"woodworks/internal/gateway"
-	"woodworks/internal/rollout"
+	"woodworks/internal/api/gateway"
+	"woodworks/internal/api/rollout"
 )
 
 // serviceName is the name under which httpc knows all our clients.
--- a/internal/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -23,11 +23,11 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/periodic"
-	"woodworks/internal/results"
-	"woodworks/internal/rollout"
-	"woodworks/internal/runner"
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/results"
+	"woodworks/internal/batches/runner"
+	"woodworks/internal/daemon/periodic"
 )
 
 // Errors of this layer.
--- a/internal/delivery/delivery_test.go
+++ b/internal/api/delivery/delivery_test.go
@@ -8,13 +8,13 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/batches/results"
+	"woodworks/internal/batches/runner"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
-	"woodworks/internal/results"
-	"woodworks/internal/rollout"
-	"woodworks/internal/runner"
 )
 
 // endsWith is a runner whose ends fail in a way.
--- a/internal/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -17,14 +17,14 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/identity"
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/batches/results"
+	"woodworks/internal/daemon/testseed"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
-	"woodworks/internal/results"
-	"woodworks/internal/rollout"
-	"woodworks/internal/testseed"
+	"woodworks/internal/membership/identity"
 )
 
 func init() { testseed.Fix() }
--- a/internal/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -16,14 +16,14 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/identity"
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/batches/results"
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
-	"woodworks/internal/periodic"
-	"woodworks/internal/results"
-	"woodworks/internal/rollout"
+	"woodworks/internal/membership/identity"
 )
 
 // The fleet of the test below, as it is after a start of all daemons: that of the test of
--- a/internal/delivery/sight.go
+++ b/internal/api/delivery/sight.go
@@ -6,9 +6,9 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/periodic"
-	"woodworks/internal/results"
-	"woodworks/internal/rollout"
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/batches/results"
+	"woodworks/internal/daemon/periodic"
 )
 
 // sight is a batch as one pull has seen it. Positions of results never change, so that each
--- a/internal/gateway/admission.go
+++ b/internal/api/gateway/admission.go
@@ -13,8 +13,8 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/apikey"
-	"woodworks/internal/policy"
+	"woodworks/internal/api/policy"
+	"woodworks/internal/callers/apikey"
 )
 
 // refuseRetryAfter is told to callers refused by a bound of this daemon.
--- a/internal/gateway/admission_test.go
+++ b/internal/api/gateway/admission_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"woodworks/internal/rollout"
+	"woodworks/internal/api/rollout"
 )
 
 func TestDecodingNamesTheField(t *testing.T) {
--- a/internal/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -17,13 +17,13 @@
 	"github.com/zeromicro/go-zero/rest/router"
 	"go.uber.org/zap"
 
-	"woodworks/internal/delivery"
-	"woodworks/internal/metrics"
-	"woodworks/internal/operator"
-	"woodworks/internal/permit"
-	"woodworks/internal/policy"
-	"woodworks/internal/replica"
-	"woodworks/internal/settings"
+	"woodworks/internal/api/delivery"
+	"woodworks/internal/api/operator"
+	"woodworks/internal/api/permit"
+	"woodworks/internal/api/policy"
+	"woodworks/internal/daemon/metrics"
+	"woodworks/internal/daemon/settings"
+	"woodworks/internal/replicas/replica"
 )
 
 // Limits bounds what the gateway takes in.
--- a/internal/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -8,8 +8,8 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/operator"
-	"woodworks/internal/policy"
+	"woodworks/internal/api/operator"
+	"woodworks/internal/api/policy"
 )
 
 const (
--- a/internal/gateway/pull_test.go
+++ b/internal/api/gateway/pull_test.go
@@ -11,12 +11,12 @@
 	"github.com/matryer/is"
 	"github.com/zeromicro/go-zero/rest/pathvar"
 
-	"woodworks/internal/delivery"
+	"woodworks/internal/api/delivery"
+	"woodworks/internal/api/policy"
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/batches/ledger"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
-	"woodworks/internal/policy"
-	"woodworks/internal/rollout"
 )
 
 // One read of the journal that failed ended a pull with 503, although the pull was to be
--- a/internal/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -9,10 +9,10 @@
 	"github.com/pkg/errors"
 	"github.com/zeromicro/go-zero/rest/pathvar"
 
-	"woodworks/internal/delivery"
-	"woodworks/internal/operator"
-	"woodworks/internal/policy"
-	"woodworks/internal/rollout"
+	"woodworks/internal/api/delivery"
+	"woodworks/internal/api/operator"
+	"woodworks/internal/api/policy"
+	"woodworks/internal/api/rollout"
 )
 
 const (
--- a/internal/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"woodworks/internal/eventstream"
-	"woodworks/internal/policy"
-	"woodworks/internal/rollout"
+	"woodworks/internal/api/policy"
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/requests/eventstream"
 )
 
 const (
--- a/internal/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -11,8 +11,8 @@
 	"github.com/zeromicro/go-zero/rest/pathvar"
 	"go.uber.org/zap"
 
-	"woodworks/internal/permit"
-	"woodworks/internal/policy"
+	"woodworks/internal/api/permit"
+	"woodworks/internal/api/policy"
 )
 
 // KeyHeader carries a caller's key for a non-repeatable request. Its name is
--- a/internal/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -13,16 +13,16 @@
 	"github.com/zeromicro/go-zero/rest/pathvar"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/delivery"
+	"woodworks/internal/api/delivery"
+	"woodworks/internal/api/permit"
+	"woodworks/internal/api/policy"
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/batches/results"
+	"woodworks/internal/daemon/metrics"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
-	"woodworks/internal/metrics"
-	"woodworks/internal/permit"
-	"woodworks/internal/policy"
-	"woodworks/internal/results"
-	"woodworks/internal/rollout"
 )
 
 // idle takes batches in and runs none of them.
--- a/internal/operator/operator.go
+++ b/internal/api/operator/operator.go
@@ -19,8 +19,8 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
+	"woodworks/internal/api/policy"
 	"woodworks/internal/journal"
-	"woodworks/internal/policy"
 )
 
 // Errors of a change.
--- a/internal/operator/operator_test.go
+++ b/internal/api/operator/operator_test.go
@@ -13,8 +13,8 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
+	"woodworks/internal/daemon/testseed"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/testseed"
 )
 
 func init() { testseed.Fix() }
--- a/internal/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -13,8 +13,8 @@
 	"github.com/pkg/errors"
 	"pgregory.net/rapid"
 
+	"woodworks/internal/daemon/testseed"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/testseed"
 )
 
 func init() { testseed.Fix() }
--- a/internal/policy/policy.go
+++ b/internal/api/policy/policy.go
@@ -14,7 +14,7 @@
 
 	"go.starlark.net/starlark"
 
-	"woodworks/internal/apikey"
+	"woodworks/internal/callers/apikey"
 )
 
 // Audience says on which listener a service exists.
--- a/internal/policy/policy_test.go
+++ b/internal/api/policy/policy_test.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 
 	"woodworks/examples"
-	"woodworks/internal/policy"
+	"woodworks/internal/api/policy"
 )
 
 func TestExamplePoliciesCompileAndPassTheirCases(t *testing.T) {
--- a/internal/policy/program.go
+++ b/internal/api/policy/program.go
@@ -11,7 +11,7 @@
 	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 
-	"woodworks/internal/apikey"
+	"woodworks/internal/callers/apikey"
 )
 
 const (
--- a/internal/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/rollout"
-	"woodworks/internal/testseed"
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/daemon/testseed"
 )
 
 func init() { testseed.Fix() }
--- a/internal/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/batches/batch"
 )
 
 // RouteHost is the host of the routes of batch jobs; each trainer has a prefix
--- a/internal/rollout/sample.go
+++ b/internal/api/rollout/sample.go
@@ -6,7 +6,7 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/batches/batch"
 )
 
 // Generate is what an engine is asked for: the body of an item.
--- a/internal/standalone/codec.go
+++ b/internal/api/standalone/codec.go
@@ -5,9 +5,9 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/ingress"
-	"woodworks/internal/results"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/results"
+	"woodworks/internal/requests/ingress"
 )
 
 // errNoBatches is returned for what the gateway never asks of the ingress.
--- a/internal/standalone/connect.go
+++ b/internal/api/standalone/connect.go
@@ -7,17 +7,17 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/delivery"
-	"woodworks/internal/gateway"
-	"woodworks/internal/logservice"
-	"woodworks/internal/node"
-	"woodworks/internal/operator"
-	"woodworks/internal/permit"
-	"woodworks/internal/policy"
-	"woodworks/internal/rollout"
-	"woodworks/internal/route"
-	"woodworks/internal/settings"
-	"woodworks/internal/upstream"
+	"woodworks/internal/api/delivery"
+	"woodworks/internal/api/gateway"
+	"woodworks/internal/api/operator"
+	"woodworks/internal/api/permit"
+	"woodworks/internal/api/policy"
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/daemon/node"
+	"woodworks/internal/daemon/settings"
+	"woodworks/internal/journal/logservice"
+	"woodworks/internal/requests/route"
+	"woodworks/internal/requests/upstream"
 )
 
 // Connect makes the drivers of the product's own services. It is a node.Connect.
--- a/internal/standalone/crash_test.go
+++ b/internal/api/standalone/crash_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"woodworks/internal/gateway"
+	"woodworks/internal/api/gateway"
 )
 
 // A request that ends each back end that runs it comes by other ways on the product's own
--- a/internal/standalone/decoder.go
+++ b/internal/api/standalone/decoder.go
@@ -8,12 +8,12 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/pkg/errors"
 
-	"woodworks/internal/operation"
-	"woodworks/internal/operator"
-	"woodworks/internal/policy"
-	"woodworks/internal/replica"
-	"woodworks/internal/rollout"
-	"woodworks/internal/route"
+	"woodworks/internal/api/operator"
+	"woodworks/internal/api/policy"
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/replicas/operation"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/route"
 )
 
 // setsKept is how many compiled configurations are kept: the one in force, and
--- a/internal/standalone/decoder_test.go
+++ b/internal/api/standalone/decoder_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 
 	"woodworks/examples"
-	"woodworks/internal/operator"
-	"woodworks/internal/route"
+	"woodworks/internal/api/operator"
+	"woodworks/internal/requests/route"
 )
 
 func policies(t *testing.T, version int64) []byte {
--- a/internal/standalone/protocol.go
+++ b/internal/api/standalone/protocol.go
@@ -9,8 +9,8 @@
 package standalone
 
 import (
-	"woodworks/internal/gateway"
-	"woodworks/internal/headers"
+	"woodworks/internal/api/gateway"
+	"woodworks/internal/requests/headers"
 )
 
 // HeaderNames are the product's own names for what a message tells of a request.
--- a/internal/standalone/retries.go
+++ b/internal/api/standalone/retries.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"woodworks/internal/ingress"
-	"woodworks/internal/policy"
-	"woodworks/internal/retrybudget"
-	"woodworks/internal/route"
+	"woodworks/internal/api/policy"
+	"woodworks/internal/requests/ingress"
+	"woodworks/internal/requests/retrybudget"
+	"woodworks/internal/requests/route"
 )
 
 // retries lets the policies in force and the retry budget decide on offers to
--- a/internal/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -16,16 +16,16 @@
 	"go.uber.org/zap"
 
 	"woodworks/examples"
-	"woodworks/internal/client"
-	"woodworks/internal/gateway"
+	"woodworks/internal/api/client"
+	"woodworks/internal/api/gateway"
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/api/standalone"
+	"woodworks/internal/daemon/node"
 	"woodworks/internal/journal/journaltest"
 	"woodworks/internal/lab/loopback"
 	"woodworks/internal/lab/plainstand"
 	"woodworks/internal/lab/truth"
 	"woodworks/internal/lab/world"
-	"woodworks/internal/node"
-	"woodworks/internal/rollout"
-	"woodworks/internal/standalone"
 )
 
 // go-zero's client logs each request.
--- a/internal/ledger/ledger.go
+++ b/internal/batches/ledger/ledger.go
@@ -19,7 +19,7 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/batches/batch"
 	"woodworks/internal/journal"
 )
 
--- a/internal/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -14,10 +14,10 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/daemon/testseed"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/testseed"
 )
 
 func init() { testseed.Fix() }
--- a/internal/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/identity"
+	"woodworks/internal/membership/identity"
 )
 
 // Outcome says what became of a report.
--- a/internal/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/identity"
+	"woodworks/internal/membership/identity"
 )
 
 const (
--- a/internal/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock/clocktest"
+	"woodworks/internal/daemon/bootclock/clocktest"
 )
 
 // fleet are daemons that call each other at once.
--- a/internal/occupancy/rpc_test.go
+++ b/internal/batches/occupancy/rpc_test.go
@@ -9,10 +9,10 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock"
+	"woodworks/internal/daemon/bootclock"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/relay"
+	"woodworks/internal/journal/relay"
 )
 
 // freeAddress is one of the loopback at which nobody listens.
--- a/internal/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock"
+	"woodworks/internal/daemon/bootclock"
 )
 
 const (
--- a/internal/occupancy/tell.go
+++ b/internal/batches/occupancy/tell.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/identity"
+	"woodworks/internal/membership/identity"
 )
 
 // tell sends a report to all that are due, and returns how many bytes that takes. The mutex
--- a/internal/results/beginning.go
+++ b/internal/batches/results/beginning.go
@@ -5,8 +5,8 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/ledger"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
 )
 
 // BeginningQuery asks where a batch begins in its partition.
--- a/internal/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/time/rate"
 
-	"woodworks/internal/ledger"
+	"woodworks/internal/batches/ledger"
 )
 
 const (
--- a/internal/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -17,12 +17,12 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/group"
-	"woodworks/internal/identity"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
+	"woodworks/internal/membership/group"
+	"woodworks/internal/membership/identity"
 )
 
 const (
--- a/internal/results/hedge.go
+++ b/internal/batches/results/hedge.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/ledger"
-	"woodworks/internal/logging"
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/daemon/logging"
 )
 
 // hedgeAfter is how long a question waits for this daemon's own read before the holder is
--- a/internal/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -14,11 +14,11 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/identity"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
+	"woodworks/internal/membership/identity"
 )
 
 // A daemon whose list of peers has not been read yet waited for its budget in a loop without a
--- a/internal/results/inquiry.go
+++ b/internal/batches/results/inquiry.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/ledger"
+	"woodworks/internal/batches/ledger"
 )
 
 // way is how a question was answered, or was last tried to be.
--- a/internal/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -13,11 +13,11 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/identity"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
+	"woodworks/internal/membership/identity"
 )
 
 // The fleet of the test below, as it is after a loss of power of all machines.
--- a/internal/results/results.go
+++ b/internal/batches/results/results.go
@@ -29,12 +29,12 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/identity"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/daemon/logging"
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
-	"woodworks/internal/ledger"
-	"woodworks/internal/logging"
-	"woodworks/internal/periodic"
+	"woodworks/internal/membership/identity"
 )
 
 // ErrBehind: the journal could not be read up to now, so that nothing can be said for
--- a/internal/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -15,12 +15,12 @@
 	"go.uber.org/zap/zaptest/observer"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/identity"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/daemon/testseed"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
-	"woodworks/internal/testseed"
+	"woodworks/internal/membership/identity"
 )
 
 func init() { testseed.Fix() }
--- a/internal/results/samples.go
+++ b/internal/batches/results/samples.go
@@ -5,9 +5,9 @@
 	"context"
 	"time"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/ledger"
-	"woodworks/internal/rollout"
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
 )
 
 const (
--- a/internal/runner/account_test.go
+++ b/internal/batches/runner/account_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/batches/batch"
 )
 
 // The account of a batch is that of the item listed last, and its parts add up.
--- a/internal/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -9,9 +9,9 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
-	"woodworks/internal/periodic"
 )
 
 // RunnersTopic has a partition for each share of the models. The member of the
--- a/internal/runner/checkpoint.go
+++ b/internal/batches/runner/checkpoint.go
@@ -6,7 +6,7 @@
 	"sort"
 	"time"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/batches/batch"
 )
 
 const (
--- a/internal/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
-	"woodworks/internal/scheduling"
+	"woodworks/internal/batches/scheduling"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/route"
 )
 
 // moveInterval is the time between two looks for items that should go on at
--- a/internal/runner/dispatch_test.go
+++ b/internal/batches/runner/dispatch_test.go
@@ -7,11 +7,11 @@
 
 	"github.com/matryer/is"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
-	"woodworks/internal/scheduling"
-	"woodworks/internal/testseed"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/scheduling"
+	"woodworks/internal/daemon/testseed"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/route"
 )
 
 func init() { testseed.Fix() }
--- a/internal/runner/giveup_test.go
+++ b/internal/batches/runner/giveup_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/matryer/is"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/route"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/requests/route"
 )
 
 // configured is an operator that has given one configuration.
--- a/internal/runner/handed_test.go
+++ b/internal/batches/runner/handed_test.go
@@ -10,16 +10,16 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/forward"
-	"woodworks/internal/headers"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
-	"woodworks/internal/upstream"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/headers"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/route"
+	"woodworks/internal/requests/upstream"
 )
 
 // newOwner is a daemon that owns what it accepts, with one replica of the service "s".
--- a/internal/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -3,8 +3,8 @@
 import (
 	"sync"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/scheduling"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/scheduling"
 )
 
 // rememberedBatches is how many batches of a model are remembered: trainers have
--- a/internal/runner/history_test.go
+++ b/internal/batches/runner/history_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/matryer/is"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/batches/batch"
 )
 
 func groupsBatch(id, model string, groups ...string) *batch.Submission {
--- a/internal/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -12,14 +12,14 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/eventstream"
-	"woodworks/internal/forward"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
-	"woodworks/internal/scheduling"
-	"woodworks/internal/upstream"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/scheduling"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/eventstream"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/route"
+	"woodworks/internal/requests/upstream"
 )
 
 const (
--- a/internal/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -10,12 +10,12 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/ledger"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
-	"woodworks/internal/scheduling"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/batches/scheduling"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/route"
 )
 
 const (
--- a/internal/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -11,12 +11,12 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/group"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/batches/results"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
-	"woodworks/internal/results"
+	"woodworks/internal/membership/group"
 )
 
 // lateJournal is a journal that answers each call after a time.
--- a/internal/runner/locate.go
+++ b/internal/batches/runner/locate.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/ledger"
+	"woodworks/internal/batches/ledger"
 )
 
 // locateTimeout bounds the question where a batch begins: a part of standByTime, within which
--- a/internal/runner/locate_test.go
+++ b/internal/batches/runner/locate_test.go
@@ -11,10 +11,10 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
 )
 
 // holds is a daemon that has the fold of all partitions, or a silent one if it is nil.
--- a/internal/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/matryer/is"
 
+	"woodworks/internal/batches/scheduling"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/route"
-	"woodworks/internal/scheduling"
+	"woodworks/internal/requests/route"
 )
 
 // told returns what the scheduler is told of the items of newOwner's batch.
--- a/internal/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -8,9 +8,9 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/forward"
-	"woodworks/internal/periodic"
-	"woodworks/internal/route"
+	"woodworks/internal/daemon/periodic"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/route"
 )
 
 const (
--- a/internal/runner/run.go
+++ b/internal/batches/runner/run.go
@@ -7,9 +7,9 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/forward"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/route"
 )
 
 // handOver lets an item go on at another replica. The run under way is cut only once
--- a/internal/runner/run_test.go
+++ b/internal/batches/runner/run_test.go
@@ -9,11 +9,11 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/eventstream"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
-	"woodworks/internal/scheduling"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/scheduling"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/eventstream"
+	"woodworks/internal/requests/route"
 )
 
 func movedJob(t *testing.T) (*job, *item) {
--- a/internal/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -12,13 +12,13 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/demand"
-	"woodworks/internal/forward"
-	"woodworks/internal/ledger"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
-	"woodworks/internal/scheduling"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/batches/scheduling"
+	"woodworks/internal/replicas/demand"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/route"
 )
 
 // Errors of taking work in.
--- a/internal/runner/sharing.go
+++ b/internal/batches/runner/sharing.go
@@ -7,9 +7,9 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/occupancy"
-	"woodworks/internal/replica"
-	"woodworks/internal/scheduling"
+	"woodworks/internal/batches/occupancy"
+	"woodworks/internal/batches/scheduling"
+	"woodworks/internal/replicas/replica"
 )
 
 // ownPaceHolds is for how long a pace that this daemon measured goes before one that others
--- a/internal/runner/sharing_test.go
+++ b/internal/batches/runner/sharing_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/occupancy"
-	"woodworks/internal/replica"
-	"woodworks/internal/scheduling"
+	"woodworks/internal/batches/occupancy"
+	"woodworks/internal/batches/scheduling"
+	"woodworks/internal/replicas/replica"
 )
 
 // The stand has some engines that run eight texts each and let four more wait; what comes
--- a/internal/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/ledger"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
 )
 
 const (
--- a/internal/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -9,14 +9,14 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/forward"
-	"woodworks/internal/headers"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/route"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/headers"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/route"
 )
 
 // unaware is an operator that has said nothing.
--- a/internal/runner/stop_test.go
+++ b/internal/batches/runner/stop_test.go
@@ -10,11 +10,11 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
-	"woodworks/internal/periodic"
 )
 
 // ownerInJournal reads who owns a batch now.
--- a/internal/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -7,9 +7,9 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
 	"woodworks/internal/journal"
-	"woodworks/internal/ledger"
 )
 
 const (
--- a/internal/runner/watch.go
+++ b/internal/batches/runner/watch.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/identity"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
-	"woodworks/internal/periodic"
+	"woodworks/internal/membership/identity"
 )
 
 const (
--- a/internal/runner/watch_test.go
+++ b/internal/batches/runner/watch_test.go
@@ -10,10 +10,10 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
 )
 
 // dealing is a group whose partitions the test deals.
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/testseed"
+	"woodworks/internal/daemon/testseed"
 )
 
 func init() { testseed.Fix() }
--- a/internal/tenant/tenant.go
+++ b/internal/callers/tenant/tenant.go
@@ -13,7 +13,7 @@
 import (
 	"github.com/pkg/errors"
 
-	"woodworks/internal/apikey"
+	"woodworks/internal/callers/apikey"
 )
 
 // Tenant is one tenant. It is never changed once made.
--- a/internal/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -8,9 +8,9 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/duty"
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
-	"woodworks/internal/periodic"
+	"woodworks/internal/membership/duty"
 )
 
 const (
--- a/internal/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -8,11 +8,11 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/backoff"
-	"woodworks/internal/duty"
+	"woodworks/internal/daemon/backoff"
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
-	"woodworks/internal/lease"
-	"woodworks/internal/periodic"
+	"woodworks/internal/membership/duty"
+	"woodworks/internal/membership/lease"
 )
 
 const (
--- a/internal/usage/telling_test.go
+++ b/internal/callers/usage/telling_test.go
@@ -12,8 +12,8 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
+	"woodworks/internal/daemon/wallclock"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/wallclock"
 )
 
 // Each request that was written is in one line of its window: at the window's end, or at
--- a/internal/usage/usage.go
+++ b/internal/callers/usage/usage.go
@@ -24,8 +24,8 @@
 import (
 	"time"
 
-	"woodworks/internal/duty"
 	"woodworks/internal/journal"
+	"woodworks/internal/membership/duty"
 )
 
 // Partition is where counts and decisions are kept.
--- a/internal/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -16,12 +16,12 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/duty"
+	"woodworks/internal/daemon/testseed"
+	"woodworks/internal/daemon/wallclock"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/lease"
-	"woodworks/internal/testseed"
-	"woodworks/internal/wallclock"
+	"woodworks/internal/membership/duty"
+	"woodworks/internal/membership/lease"
 )
 
 func init() { testseed.Fix() }
--- a/internal/cli/cli.go
+++ b/internal/daemon/cli/cli.go
@@ -10,10 +10,10 @@
 	"github.com/integrii/flaggy"
 	"github.com/pkg/errors"
 
-	"woodworks/internal/client"
-	"woodworks/internal/logging"
-	"woodworks/internal/node"
-	"woodworks/internal/signals"
+	"woodworks/internal/api/client"
+	"woodworks/internal/daemon/logging"
+	"woodworks/internal/daemon/node"
+	"woodworks/internal/daemon/signals"
 )
 
 // Exit codes of every command.
--- a/internal/cli/explain.go
+++ b/internal/daemon/cli/explain.go
@@ -6,7 +6,7 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/explain"
+	"woodworks/internal/daemon/explain"
 )
 
 // addLogFiles takes arguments as log files.
--- a/internal/cli/quarantine.go
+++ b/internal/daemon/cli/quarantine.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"woodworks/internal/quarantine"
+	"woodworks/internal/requests/quarantine"
 )
 
 func runQuarantineList(chosen *options) error {
--- a/internal/cli/reload.go
+++ b/internal/daemon/cli/reload.go
@@ -12,9 +12,9 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/holding"
-	"woodworks/internal/logging"
-	"woodworks/internal/settings"
+	"woodworks/internal/daemon/logging"
+	"woodworks/internal/daemon/settings"
+	"woodworks/internal/requests/holding"
 )
 
 const (
--- a/internal/cli/reload_test.go
+++ b/internal/daemon/cli/reload_test.go
@@ -14,9 +14,9 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/holding"
-	"woodworks/internal/settings"
-	"woodworks/internal/signals"
+	"woodworks/internal/daemon/settings"
+	"woodworks/internal/daemon/signals"
+	"woodworks/internal/requests/holding"
 )
 
 // A reload read the settings in the loop that takes the signals: one that was held up by
--- a/internal/cli/remote.go
+++ b/internal/daemon/cli/remote.go
@@ -17,11 +17,11 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/client"
-	"woodworks/internal/gateway"
-	"woodworks/internal/operator"
-	"woodworks/internal/policy"
-	"woodworks/internal/rollout"
+	"woodworks/internal/api/client"
+	"woodworks/internal/api/gateway"
+	"woodworks/internal/api/operator"
+	"woodworks/internal/api/policy"
+	"woodworks/internal/api/rollout"
 )
 
 const (
--- a/internal/cli/serve.go
+++ b/internal/daemon/cli/serve.go
@@ -9,10 +9,10 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/logging"
-	"woodworks/internal/node"
-	"woodworks/internal/settings"
-	"woodworks/internal/signals"
+	"woodworks/internal/daemon/logging"
+	"woodworks/internal/daemon/node"
+	"woodworks/internal/daemon/settings"
+	"woodworks/internal/daemon/signals"
 )
 
 // loadSettings reads the file over the defaults and the flags over the file.
--- a/internal/node/admission.go
+++ b/internal/daemon/node/admission.go
@@ -1,9 +1,9 @@
 package node
 
 import (
-	"woodworks/internal/admission"
-	"woodworks/internal/bootclock"
-	"woodworks/internal/metrics"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/metrics"
+	"woodworks/internal/requests/admission"
 )
 
 // newAdmission makes the part that decides which plain requests wait while a service is full.
--- a/internal/node/candidate_test.go
+++ b/internal/daemon/node/candidate_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/batches/runner"
 	"woodworks/internal/journal"
-	"woodworks/internal/ledger"
-	"woodworks/internal/runner"
 )
 
 // A holder of the lease that is parted from the journal may be the candidate
--- a/internal/node/clientconn.go
+++ b/internal/daemon/node/clientconn.go
@@ -10,7 +10,7 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/recvbuf"
+	"woodworks/internal/daemon/recvbuf"
 )
 
 // clientConn is a client's connection that can be closed between two requests
--- a/internal/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -1,9 +1,9 @@
 package node
 
 import (
-	"woodworks/internal/metrics"
-	"woodworks/internal/replica"
-	"woodworks/internal/upstream"
+	"woodworks/internal/daemon/metrics"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/upstream"
 )
 
 // maxOpen is how many connections to a replica this daemon may have of those that it takes
--- a/internal/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -16,7 +16,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/route"
+	"woodworks/internal/requests/route"
 )
 
 // testGrace is the grace of the platform in these tests.
--- a/internal/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -4,13 +4,13 @@
 	"context"
 	"time"
 
-	"woodworks/internal/bootclock"
-	"woodworks/internal/duty"
-	"woodworks/internal/fleet"
+	"woodworks/internal/callers/usage"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/periodic"
+	"woodworks/internal/daemon/wallclock"
 	"woodworks/internal/journal"
-	"woodworks/internal/periodic"
-	"woodworks/internal/usage"
-	"woodworks/internal/wallclock"
+	"woodworks/internal/membership/duty"
+	"woodworks/internal/replicas/fleet"
 )
 
 const (
--- a/internal/node/front.go
+++ b/internal/daemon/node/front.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/route"
-	"woodworks/internal/shutdown"
+	"woodworks/internal/daemon/shutdown"
+	"woodworks/internal/requests/route"
 )
 
 const (
--- a/internal/node/front_test.go
+++ b/internal/daemon/node/front_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/route"
+	"woodworks/internal/requests/route"
 )
 
 func startFront(t *testing.T, handler http.Handler) (*frontServer, string) {
--- a/internal/node/frontstop.go
+++ b/internal/daemon/node/frontstop.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/periodic"
+	"woodworks/internal/daemon/periodic"
 )
 
 // closePause is the time between two looks for connections to close.
--- a/internal/node/handoff.go
+++ b/internal/daemon/node/handoff.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"woodworks/internal/bootclock"
-	"woodworks/internal/forward"
-	"woodworks/internal/handoff"
-	"woodworks/internal/route"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/handoff"
+	"woodworks/internal/requests/route"
 )
 
 // buildHandoff has plain requests of seldom asked services sent by one daemon of the zone,
--- a/internal/node/health.go
+++ b/internal/daemon/node/health.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/quarantine"
+	"woodworks/internal/requests/quarantine"
 )
 
 // healthTimeout is how long the head of a request for health or metrics may take.
--- a/internal/node/holding.go
+++ b/internal/daemon/node/holding.go
@@ -1,6 +1,6 @@
 package node
 
-import "woodworks/internal/holding"
+import "woodworks/internal/requests/holding"
 
 // SetHeld changes what the daemon may hold on behalf of clients. It may be called at any
 // time; what is held beyond that stays held.
--- a/internal/node/keepalive_test.go
+++ b/internal/daemon/node/keepalive_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/shutdown"
+	"woodworks/internal/daemon/shutdown"
 )
 
 // Clients are told less than the idle limit and than what a stop can wait for.
--- a/internal/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"woodworks/internal/bootclock"
-	"woodworks/internal/occupancy"
-	"woodworks/internal/replica"
-	"woodworks/internal/runner"
+	"woodworks/internal/batches/occupancy"
+	"woodworks/internal/batches/runner"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/replicas/replica"
 )
 
 // occupancyParts let the owners of batches know of each other's requests. They are nil where
--- a/internal/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 
-	"woodworks/internal/bootclock"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/metrics"
 	"woodworks/internal/journal"
-	"woodworks/internal/metrics"
-	"woodworks/internal/quarantine"
+	"woodworks/internal/requests/quarantine"
 )
 
 // quarantineParts are the parts that keep contents under which replicas end from further ones.
--- a/internal/node/stop.go
+++ b/internal/daemon/node/stop.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/shutdown"
+	"woodworks/internal/daemon/shutdown"
 )
 
 // SetStopGrace sets how long a planned stop may take, for one that has not begun.
--- a/internal/node/stop_test.go
+++ b/internal/daemon/node/stop_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
+	"woodworks/internal/daemon/settings"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/settings"
-	"woodworks/internal/upstream"
+	"woodworks/internal/requests/upstream"
 )
 
 // builtNode is a daemon that is not started, on a journal in memory.
--- a/internal/settings/limits.go
+++ b/internal/daemon/settings/limits.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"woodworks/internal/holding"
+	"woodworks/internal/requests/holding"
 )
 
 // Limits bounds what one daemon holds at a time.
--- a/internal/settings/settings_test.go
+++ b/internal/daemon/settings/settings_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"woodworks/internal/settings"
+	"woodworks/internal/daemon/settings"
 )
 
 const whole = `
--- a/internal/shutdown/shutdown.go
+++ b/internal/daemon/shutdown/shutdown.go
@@ -32,7 +32,7 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/bootclock"
+	"woodworks/internal/daemon/bootclock"
 )
 
 // ErrInterrupted is the cause of a context that the end of a stop has ended.
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/daemon/shutdown/shutdown_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"pgregory.net/rapid"
-	"woodworks/internal/bootclock/clocktest"
+	"woodworks/internal/daemon/bootclock/clocktest"
 )
 
 // Whatever the grace, there is time to take requests, time to finish them and time to
--- a/internal/sourceaddr/sourceaddr_test.go
+++ b/internal/daemon/sourceaddr/sourceaddr_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"woodworks/internal/sourceaddr"
+	"woodworks/internal/daemon/sourceaddr"
 )
 
 // connect opens a connection to a new listener and returns its local port.
--- a/internal/wallclock/wallclock.go
+++ b/internal/daemon/wallclock/wallclock.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"woodworks/internal/bootclock"
+	"woodworks/internal/daemon/bootclock"
 )
 
 const (
--- a/internal/journal/contact.go
+++ b/internal/journal/contact.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"woodworks/internal/bootclock"
+	"woodworks/internal/daemon/bootclock"
 )
 
 // neverHeard is the silence of what has never answered.
--- a/internal/journal/contact_test.go
+++ b/internal/journal/contact_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock"
-	"woodworks/internal/bootclock/clocktest"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/bootclock/clocktest"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
 )
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock"
-	"woodworks/internal/periodic"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/periodic"
 )
 
 const (
--- a/internal/logservice/client.go
+++ b/internal/journal/logservice/client.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 
 	"woodworks/internal/journal"
-	"woodworks/internal/upstream"
+	"woodworks/internal/requests/upstream"
 )
 
 const (
--- a/internal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -12,11 +12,11 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batch"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/ledger"
-	"woodworks/internal/periodic"
 )
 
 // line is one direction of a machine's link: those who send over it have their turn part by part.
--- a/internal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -15,10 +15,10 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
+	"woodworks/internal/daemon/logging"
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
-	"woodworks/internal/logging"
-	"woodworks/internal/periodic"
-	"woodworks/internal/upstream"
+	"woodworks/internal/requests/upstream"
 )
 
 const (
--- a/internal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -24,8 +24,8 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
-	"woodworks/internal/periodic"
 )
 
 const (
--- a/internal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -14,10 +14,10 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
+	"woodworks/internal/daemon/periodic"
+	"woodworks/internal/daemon/testseed"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/periodic"
-	"woodworks/internal/testseed"
 )
 
 func init() { testseed.Fix() }
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/logging"
+	"woodworks/internal/daemon/logging"
 )
 
 const (
--- a/internal/lab/demo/callers.go
+++ b/internal/lab/demo/callers.go
@@ -8,12 +8,12 @@
 	"sync"
 	"time"
 
-	"woodworks/internal/client"
-	"woodworks/internal/gateway"
+	"woodworks/internal/api/client"
+	"woodworks/internal/api/gateway"
+	"woodworks/internal/api/rollout"
 	"woodworks/internal/lab/plainstand"
 	"woodworks/internal/lab/truth"
 	"woodworks/internal/lab/world"
-	"woodworks/internal/rollout"
 )
 
 const (
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -20,7 +20,7 @@
 	"gopkg.in/yaml.v3"
 
 	"woodworks/examples"
-	"woodworks/internal/client"
+	"woodworks/internal/api/client"
 	"woodworks/internal/lab/loopback"
 	"woodworks/internal/lab/process"
 	"woodworks/internal/lab/world"
--- a/internal/lab/enginestand/enginestand.go
+++ b/internal/lab/enginestand/enginestand.go
@@ -21,9 +21,9 @@
 	"sync"
 	"time"
 
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/api/standalone"
 	"woodworks/internal/lab/truth"
-	"woodworks/internal/rollout"
-	"woodworks/internal/standalone"
 )
 
 // Shape holds an engine's constants.
--- a/internal/lab/plainstand/plainstand.go
+++ b/internal/lab/plainstand/plainstand.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"woodworks/internal/standalone"
+	"woodworks/internal/api/standalone"
 )
 
 // Execution is one request that the back end executed.
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -21,13 +21,13 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/apikey"
+	"woodworks/internal/api/operator"
+	"woodworks/internal/callers/apikey"
+	"woodworks/internal/daemon/settings"
 	"woodworks/internal/journal/journaltest"
+	"woodworks/internal/journal/logservice"
 	"woodworks/internal/lab/enginestand"
 	"woodworks/internal/lab/plainstand"
-	"woodworks/internal/logservice"
-	"woodworks/internal/operator"
-	"woodworks/internal/settings"
 )
 
 // Shape says what there is.
--- a/internal/group/group.go
+++ b/internal/membership/group/group.go
@@ -11,11 +11,11 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock"
-	"woodworks/internal/identity"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/logging"
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
-	"woodworks/internal/logging"
-	"woodworks/internal/periodic"
+	"woodworks/internal/membership/identity"
 )
 
 const (
--- a/internal/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock/clocktest"
+	"woodworks/internal/daemon/bootclock/clocktest"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
 )
--- a/internal/group/owners.go
+++ b/internal/membership/group/owners.go
@@ -6,8 +6,8 @@
 
 	"go.uber.org/zap"
 
+	"woodworks/internal/daemon/logging"
 	"woodworks/internal/journal"
-	"woodworks/internal/logging"
 )
 
 const (
--- a/internal/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -18,9 +18,9 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
-	"woodworks/internal/periodic"
 )
 
 const (
--- a/internal/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -12,10 +12,10 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/bootclock/clocktest"
+	"woodworks/internal/daemon/bootclock/clocktest"
+	"woodworks/internal/daemon/testseed"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/testseed"
 )
 
 func init() { testseed.Fix() }
--- a/internal/engine/engine.go
+++ b/internal/replicas/engine/engine.go
@@ -9,7 +9,7 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/replica"
+	"woodworks/internal/replicas/replica"
 )
 
 // Errors of an order.
--- a/internal/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/duty"
+	"woodworks/internal/membership/duty"
 )
 
 // clockErrors are by how much a predecessor's time of day is ahead of this daemon's.
--- a/internal/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -20,14 +20,14 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/backoff"
-	"woodworks/internal/demand"
-	"woodworks/internal/duty"
+	"woodworks/internal/daemon/backoff"
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
-	"woodworks/internal/lease"
-	"woodworks/internal/periodic"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
+	"woodworks/internal/membership/duty"
+	"woodworks/internal/membership/lease"
+	"woodworks/internal/replicas/demand"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/route"
 )
 
 const (
--- a/internal/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -13,12 +13,12 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"woodworks/internal/demand"
-	"woodworks/internal/duty"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
+	"woodworks/internal/membership/duty"
+	"woodworks/internal/replicas/demand"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/route"
 )
 
 // stage is a manager with all that it looks at.
--- a/internal/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"woodworks/internal/route"
+	"woodworks/internal/requests/route"
 )
 
 const (
--- a/internal/fleet/plan_test.go
+++ b/internal/replicas/fleet/plan_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/route"
-	"woodworks/internal/testseed"
+	"woodworks/internal/daemon/testseed"
+	"woodworks/internal/requests/route"
 )
 
 func init() { testseed.Fix() }
--- a/internal/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -11,14 +11,14 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/backoff"
-	"woodworks/internal/bootclock"
-	"woodworks/internal/demand"
-	"woodworks/internal/engine"
-	"woodworks/internal/lease"
-	"woodworks/internal/periodic"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
+	"woodworks/internal/daemon/backoff"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/periodic"
+	"woodworks/internal/membership/lease"
+	"woodworks/internal/replicas/demand"
+	"woodworks/internal/replicas/engine"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/route"
 )
 
 const (
--- a/internal/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -10,12 +10,12 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/demand"
-	"woodworks/internal/engine"
+	"woodworks/internal/daemon/testseed"
 	"woodworks/internal/journal"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
-	"woodworks/internal/testseed"
+	"woodworks/internal/replicas/demand"
+	"woodworks/internal/replicas/engine"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/route"
 )
 
 func init() { testseed.Fix() }
--- a/internal/modelsync/order.go
+++ b/internal/replicas/modelsync/order.go
@@ -3,7 +3,7 @@
 import (
 	"cmp"
 
-	"woodworks/internal/replica"
+	"woodworks/internal/replicas/replica"
 )
 
 // modelNeed is what one model has of its engines, counting those that change,
--- a/internal/modelsync/order_test.go
+++ b/internal/replicas/modelsync/order_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/engine"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
+	"woodworks/internal/replicas/engine"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/route"
 )
 
 // enginesOf are engines that were dealt to a model, at the given versions.
--- a/internal/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -9,9 +9,9 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/demand"
-	"woodworks/internal/engine"
-	"woodworks/internal/replica"
+	"woodworks/internal/replicas/demand"
+	"woodworks/internal/replicas/engine"
+	"woodworks/internal/replicas/replica"
 )
 
 // reporting is an engine that says what it is told to, and fails the test at an order.
--- a/internal/modelsync/shares.go
+++ b/internal/replicas/modelsync/shares.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/route"
 )
 
 // changeFrom is by how many replicas a model's due share must differ from what
--- a/internal/modelsync/speed.go
+++ b/internal/replicas/modelsync/speed.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/route"
 )
 
 const (
--- a/internal/modelsync/speed_test.go
+++ b/internal/replicas/modelsync/speed_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/route"
 )
 
 var fourModels = []route.Model{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
--- a/internal/modelsync/stopwatch.go
+++ b/internal/replicas/modelsync/stopwatch.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"woodworks/internal/bootclock"
-	"woodworks/internal/periodic"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/periodic"
 )
 
 // stallSlack is how much longer than asked for a wait may last in a process that runs:
--- a/internal/modelsync/width_test.go
+++ b/internal/replicas/modelsync/width_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"pgregory.net/rapid"
-	"woodworks/internal/bootclock/clocktest"
+	"woodworks/internal/daemon/bootclock/clocktest"
 )
 
 var testStart = time.Unix(1_800_000_000, 0)
--- a/internal/operation/directory.go
+++ b/internal/replicas/operation/directory.go
@@ -4,7 +4,7 @@
 	"go.uber.org/zap"
 
 	"woodworks/internal/journal"
-	"woodworks/internal/replica"
+	"woodworks/internal/replicas/replica"
 )
 
 // Directory feeds the replicas' entries into a table. An entry that can't be understood
--- a/internal/operation/operation.go
+++ b/internal/replicas/operation/operation.go
@@ -20,8 +20,8 @@
 	"go.uber.org/zap"
 
 	"woodworks/internal/journal"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/route"
 )
 
 // Record is one record of the operator: a configuration, or the version named
--- a/internal/replica/start_test.go
+++ b/internal/replicas/replica/start_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap/zaptest/observer"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/bootclock/clocktest"
+	"woodworks/internal/daemon/bootclock/clocktest"
 )
 
 var firstBorn = time.UnixMilli(1_764_700_000_000)
--- a/internal/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -27,7 +27,7 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock"
+	"woodworks/internal/daemon/bootclock"
 )
 
 // Entry is one replica as the platform lists it.
--- a/internal/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap/zaptest/observer"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/bootclock/clocktest"
-	"woodworks/internal/testseed"
+	"woodworks/internal/daemon/bootclock/clocktest"
+	"woodworks/internal/daemon/testseed"
 )
 
 func init() { testseed.Fix() }
--- a/internal/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -33,8 +33,8 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock"
-	"woodworks/internal/replica"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/replicas/replica"
 )
 
 // Request is what decides on a request's turn.
--- a/internal/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"woodworks/internal/replica"
-	"woodworks/internal/retrybudget"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/retrybudget"
 )
 
 const (
--- a/internal/admission/gate_test.go
+++ b/internal/requests/admission/gate_test.go
@@ -13,8 +13,8 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
-	"woodworks/internal/bootclock/clocktest"
-	"woodworks/internal/replica"
+	"woodworks/internal/daemon/bootclock/clocktest"
+	"woodworks/internal/replicas/replica"
 )
 
 // entered is what became of one request at the gate.
--- a/internal/admission/service_test.go
+++ b/internal/requests/admission/service_test.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/replica"
+	"woodworks/internal/replicas/replica"
 )
 
 // fakeReplica runs as many requests as it has slots, lets some wait and declines the rest.
--- a/internal/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/replica"
+	"woodworks/internal/replicas/replica"
 )
 
 // Outcome is what became of a request that was let to the replicas.
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/requests/eventstream/eventstream_test.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/testseed"
+	"woodworks/internal/daemon/testseed"
 )
 
 func init() { testseed.Fix() }
--- a/internal/forward/admit.go
+++ b/internal/requests/forward/admit.go
@@ -7,8 +7,8 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/quarantine"
-	"woodworks/internal/replica"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/quarantine"
 )
 
 // QuarantinedError says that a request was not sent, as replicas have ended under its
--- a/internal/forward/broken.go
+++ b/internal/requests/forward/broken.go
@@ -7,10 +7,10 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/eventstream"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/replica"
-	"woodworks/internal/upstream"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/eventstream"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/upstream"
 )
 
 // failedOffer is an offer that got no sound answer.
--- a/internal/forward/broken_test.go
+++ b/internal/requests/forward/broken_test.go
@@ -12,9 +12,9 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
-	"woodworks/internal/quarantine"
-	"woodworks/internal/replica"
-	"woodworks/internal/upstream"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/upstream"
 )
 
 // A replica that ends under a request and one that only breaks a connection look the
--- a/internal/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -14,13 +14,13 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock"
-	"woodworks/internal/headers"
-	"woodworks/internal/holding"
-	"woodworks/internal/logging"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/replica"
-	"woodworks/internal/upstream"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/logging"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/headers"
+	"woodworks/internal/requests/holding"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/upstream"
 )
 
 // Certainty says what is known of a request without a passable answer.
--- a/internal/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -18,10 +18,10 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/headers"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/replica"
-	"woodworks/internal/upstream"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/headers"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/upstream"
 )
 
 var names = headers.Names{RequestID: "Id", DeadlineMs: "Deadline", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", Stamp: "Signature"}
--- a/internal/forward/load_test.go
+++ b/internal/requests/forward/load_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/headers"
-	"woodworks/internal/replica"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/headers"
 )
 
 // What an answer tells of its replica's load and of its pace of work is known of that
--- a/internal/forward/offer.go
+++ b/internal/requests/forward/offer.go
@@ -10,10 +10,10 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/holding"
-	"woodworks/internal/logging"
-	"woodworks/internal/replica"
-	"woodworks/internal/upstream"
+	"woodworks/internal/daemon/logging"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/holding"
+	"woodworks/internal/requests/upstream"
 )
 
 // attempt is the outcome of one offer to one replica.
--- a/internal/forward/running.go
+++ b/internal/requests/forward/running.go
@@ -10,8 +10,8 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/quarantine"
-	"woodworks/internal/replica"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/quarantine"
 )
 
 // running is one call under way.
--- a/internal/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -10,10 +10,10 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/eventstream"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/replica"
-	"woodworks/internal/upstream"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/eventstream"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/upstream"
 )
 
 // Errors of opening or reading a stream.
--- a/internal/handoff/decide_test.go
+++ b/internal/requests/handoff/decide_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"woodworks/internal/testseed"
+	"woodworks/internal/daemon/testseed"
 )
 
 func init() { testseed.Fix() }
--- a/internal/handoff/handoff.go
+++ b/internal/requests/handoff/handoff.go
@@ -28,11 +28,11 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock"
-	"woodworks/internal/forward"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/route"
-	"woodworks/internal/upstream"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/route"
+	"woodworks/internal/requests/upstream"
 )
 
 // Sender sends a call to replicas, as a forward.Forwarder does.
--- a/internal/handoff/handoff_test.go
+++ b/internal/requests/handoff/handoff_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 	"github.com/pkg/errors"
 
-	"woodworks/internal/forward"
-	"woodworks/internal/quarantine"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/quarantine"
 )
 
 // The replica sees the caller's request, whichever daemon sends it, and its run is counted
--- a/internal/handoff/part.go
+++ b/internal/requests/handoff/part.go
@@ -6,9 +6,9 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/forward"
-	"woodworks/internal/relay"
-	"woodworks/internal/upstream"
+	"woodworks/internal/journal/relay"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/upstream"
 )
 
 // Names of how requests that were handed on ended, in logs and metrics.
--- a/internal/handoff/race.go
+++ b/internal/requests/handoff/race.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/forward"
+	"woodworks/internal/requests/forward"
 )
 
 var (
--- a/internal/handoff/relay_test.go
+++ b/internal/requests/handoff/relay_test.go
@@ -10,11 +10,11 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/forward"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/relay"
+	"woodworks/internal/journal/relay"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/quarantine"
 )
 
 // freeAddress returns an address of this machine that nobody listens at.
--- a/internal/handoff/service.go
+++ b/internal/requests/handoff/service.go
@@ -10,9 +10,9 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/forward"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/route"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/route"
 )
 
 const (
--- a/internal/handoff/zone_test.go
+++ b/internal/requests/handoff/zone_test.go
@@ -12,10 +12,10 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/forward"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/relay"
-	"woodworks/internal/route"
+	"woodworks/internal/journal/relay"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/route"
 )
 
 // work is how long a request takes at a replica.
--- a/internal/headers/headers.go
+++ b/internal/requests/headers/headers.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"strings"
 
-	"woodworks/internal/apikey"
+	"woodworks/internal/callers/apikey"
 )
 
 // Names are the header names in force.
--- a/internal/holding/holding_test.go
+++ b/internal/requests/holding/holding_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/matryer/is"
 
-	"woodworks/internal/holding"
+	"woodworks/internal/requests/holding"
 )
 
 // Whatever is asked for in whatever order, no bound is passed, and nothing stays counted
--- a/internal/ingress/admit.go
+++ b/internal/requests/ingress/admit.go
@@ -5,9 +5,9 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/admission"
-	"woodworks/internal/forward"
-	"woodworks/internal/route"
+	"woodworks/internal/requests/admission"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/route"
 )
 
 // mostTurns is how often a request is let to the replicas that all decline it. Each time it
--- a/internal/ingress/batches.go
+++ b/internal/requests/ingress/batches.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/results"
-	"woodworks/internal/runner"
+	"woodworks/internal/batches/results"
+	"woodworks/internal/batches/runner"
 )
 
 const (
--- a/internal/ingress/codec.go
+++ b/internal/requests/ingress/codec.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"time"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/results"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/results"
 )
 
 // CallKind says what a call about a batch asks for.
--- a/internal/ingress/hold.go
+++ b/internal/requests/ingress/hold.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/holding"
+	"woodworks/internal/requests/holding"
 )
 
 // errNoRoom: the daemon holds as much for its clients as it may.
--- a/internal/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -17,13 +17,13 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/forward"
-	"woodworks/internal/headers"
-	"woodworks/internal/holding"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
-	"woodworks/internal/upstream"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/headers"
+	"woodworks/internal/requests/holding"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/route"
+	"woodworks/internal/requests/upstream"
 )
 
 // smallBuffers is a listener whose connections hold little in the system's buffers.
--- a/internal/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -14,16 +14,16 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/admission"
-	"woodworks/internal/bootclock"
-	"woodworks/internal/forward"
-	"woodworks/internal/headers"
-	"woodworks/internal/holding"
-	"woodworks/internal/results"
-	"woodworks/internal/route"
-	"woodworks/internal/runner"
-	"woodworks/internal/shutdown"
-	"woodworks/internal/tenant"
+	"woodworks/internal/batches/results"
+	"woodworks/internal/batches/runner"
+	"woodworks/internal/callers/tenant"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/shutdown"
+	"woodworks/internal/requests/admission"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/headers"
+	"woodworks/internal/requests/holding"
+	"woodworks/internal/requests/route"
 )
 
 const (
--- a/internal/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -6,9 +6,9 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/apikey"
-	"woodworks/internal/headers"
-	"woodworks/internal/route"
+	"woodworks/internal/callers/apikey"
+	"woodworks/internal/requests/headers"
+	"woodworks/internal/requests/route"
 )
 
 // KeyPolicy says how far a configuration of some age is trusted about keys. Zero values
--- a/internal/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -10,11 +10,11 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"woodworks/internal/batch"
-	"woodworks/internal/headers"
-	"woodworks/internal/results"
-	"woodworks/internal/route"
-	"woodworks/internal/tenant"
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/results"
+	"woodworks/internal/callers/tenant"
+	"woodworks/internal/requests/headers"
+	"woodworks/internal/requests/route"
 )
 
 // plainCodec knows no calls about batches.
--- a/internal/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -15,9 +15,9 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/forward"
-	"woodworks/internal/route"
-	"woodworks/internal/runner"
+	"woodworks/internal/batches/runner"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/route"
 )
 
 // secondsOf is the Retry-After of an answer.
--- a/internal/ingress/rest.go
+++ b/internal/requests/ingress/rest.go
@@ -5,8 +5,8 @@
 	"io"
 	"sync"
 
-	"woodworks/internal/forward"
-	"woodworks/internal/holding"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/holding"
 )
 
 // chunkBytes is how much of an answer is read ahead at a time. The first chunk is held whether
--- a/internal/ingress/stop.go
+++ b/internal/requests/ingress/stop.go
@@ -5,8 +5,8 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/route"
-	"woodworks/internal/shutdown"
+	"woodworks/internal/daemon/shutdown"
+	"woodworks/internal/requests/route"
 )
 
 // stopRetryAfter is when a client that this daemon turns away as it stops should come
--- a/internal/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -11,9 +11,9 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/forward"
-	"woodworks/internal/route"
-	"woodworks/internal/shutdown"
+	"woodworks/internal/daemon/shutdown"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/route"
 )
 
 // askedOf returns a request for a route of a daemon that may be stopping, with where its
--- a/internal/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -10,12 +10,12 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/forward"
-	"woodworks/internal/headers"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
-	"woodworks/internal/shutdown"
-	"woodworks/internal/upstream"
+	"woodworks/internal/daemon/shutdown"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/headers"
+	"woodworks/internal/requests/route"
+	"woodworks/internal/requests/upstream"
 )
 
 // relay passes the events of one or more replicas on as one answer.
--- a/internal/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -11,13 +11,13 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock/clocktest"
-	"woodworks/internal/forward"
-	"woodworks/internal/headers"
-	"woodworks/internal/quarantine"
-	"woodworks/internal/replica"
-	"woodworks/internal/route"
-	"woodworks/internal/upstream"
+	"woodworks/internal/daemon/bootclock/clocktest"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/headers"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/route"
+	"woodworks/internal/requests/upstream"
 )
 
 // suspending is a body during which the machine is suspended.
--- a/internal/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"woodworks/internal/replica"
+	"woodworks/internal/replicas/replica"
 )
 
 // Entry is what is known of a content under which replicas have ended. Two entries of a
--- a/internal/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/replica"
+	"woodworks/internal/replicas/replica"
 )
 
 // Ended notes that a replica of a service ended while it ran the content.
--- a/internal/quarantine/keep.go
+++ b/internal/requests/quarantine/keep.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"go.uber.org/zap"
 
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
-	"woodworks/internal/periodic"
 )
 
 const (
--- a/internal/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/periodic"
-	"woodworks/internal/relay"
+	"woodworks/internal/daemon/periodic"
+	"woodworks/internal/journal/relay"
 )
 
 // ServiceName is the name under which daemons answer each other about contents, and
--- a/internal/quarantine/start_test.go
+++ b/internal/requests/quarantine/start_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"woodworks/internal/replica"
+	"woodworks/internal/replicas/replica"
 )
 
 // starts names the starts of a replica, in order.
--- a/internal/quarantine/table.go
+++ b/internal/requests/quarantine/table.go
@@ -49,8 +49,8 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/bootclock"
-	"woodworks/internal/replica"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/replicas/replica"
 )
 
 const (
--- a/internal/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"woodworks/internal/testseed"
+	"woodworks/internal/daemon/testseed"
 )
 
 func init() { testseed.Fix() }
--- a/internal/route/route.go
+++ b/internal/requests/route/route.go
@@ -11,7 +11,7 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/tenant"
+	"woodworks/internal/callers/tenant"
 )
 
 // Kind says how the requests of a route may be treated.
--- a/internal/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -14,7 +14,7 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/recvbuf"
+	"woodworks/internal/daemon/recvbuf"
 )
 
 const (
--- a/internal/upstream/suspend_test.go
+++ b/internal/requests/upstream/suspend_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"woodworks/internal/bootclock/clocktest"
+	"woodworks/internal/daemon/bootclock/clocktest"
 )
 
 // A peer goes on counting how long a connection rests while this machine is suspended. The
--- a/internal/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -18,8 +18,8 @@
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/bootclock"
-	"woodworks/internal/sourceaddr"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/sourceaddr"
 )
 
 // Errors of an exchange.
