--- a/internal/api/standalone/decoder.go
+++ b/internal/api/standalone/decoder.go
@@ -11,7 +11,7 @@
 	"woodworks/internal/api/operator"
 	"woodworks/internal/api/policy"
 	"woodworks/internal/api/rollout"
-	"woodworks/internal/replicas/operation"
+	"woodworks/internal/replicas/catalog"
 	"woodworks/internal/replicas/replica"
 	"woodworks/internal/requests/route"
 )
@@ -21,7 +21,7 @@
 const setsKept = 2
 
 // Decoder reads the operators' and the machines' records. It implements
-// operation.Decoder, and keeps the policies that it has compiled.
+// catalog.Decoder, and keeps the policies that it has compiled.
 type Decoder struct {
 	mu   sync.Mutex
 	sets []compiled
@@ -33,7 +33,7 @@
 	set     *policy.Set
 }
 
-var _ operation.Decoder = (*Decoder)(nil)
+var _ catalog.Decoder = (*Decoder)(nil)
 
 // SetOf returns the policies of a configuration.
 func (d *Decoder) SetOf(configuration *route.Configuration) (*policy.Set, bool) {
@@ -50,29 +50,29 @@
 	return nil, false
 }
 
-// Operator implements operation.Decoder.
-func (d *Decoder) Operator(key string, value []byte) (operation.Record, error) {
+// Operator implements catalog.Decoder.
+func (d *Decoder) Operator(key string, value []byte) (catalog.Record, error) {
 	if key != operator.PoliciesKey {
 		var named operator.Version
 		if err := cbor.Unmarshal(value, &named); err != nil {
-			return operation.Record{}, errors.Wrapf(err, "record %q", key)
+			return catalog.Record{}, errors.Wrapf(err, "record %q", key)
 		}
-		return operation.Record{Model: named.Model, ModelVersion: named.Version}, nil
+		return catalog.Record{Model: named.Model, ModelVersion: named.Version}, nil
 	}
 	var policies operator.Policies
 	if err := cbor.Unmarshal(value, &policies); err != nil {
-		return operation.Record{}, errors.Wrap(err, "policies")
+		return catalog.Record{}, errors.Wrap(err, "policies")
 	}
 	set, err := policy.Compile(policies.Sources())
 	if err != nil {
-		return operation.Record{}, errors.Wrapf(err, "policies of version %d", policies.Version)
+		return catalog.Record{}, errors.Wrapf(err, "policies of version %d", policies.Version)
 	}
 	configuration, err := configurationOf(policies.Version, set)
 	if err != nil {
-		return operation.Record{}, err
+		return catalog.Record{}, err
 	}
 	d.keep(compiled{version: policies.Version, set: set})
-	return operation.Record{Configuration: configuration}, nil
+	return catalog.Record{Configuration: configuration}, nil
 }
 
 // keep keeps the newest sets: one that is older than those in force never comes
@@ -87,7 +87,7 @@
 	}
 }
 
-// Replica implements operation.Decoder.
+// Replica implements catalog.Decoder.
 func (d *Decoder) Replica(id string, value []byte) (replica.Entry, error) {
 	var machine operator.Machine
 	if err := cbor.Unmarshal(value, &machine); err != nil {
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -28,11 +28,11 @@
 	"woodworks/internal/membership/group"
 	"woodworks/internal/membership/identity"
 	"woodworks/internal/membership/lease"
+	"woodworks/internal/replicas/catalog"
 	"woodworks/internal/replicas/demand"
 	"woodworks/internal/replicas/engine"
 	"woodworks/internal/replicas/fleet"
 	"woodworks/internal/replicas/modelsync"
-	"woodworks/internal/replicas/operation"
 	"woodworks/internal/replicas/replica"
 	"woodworks/internal/requests/forward"
 	"woodworks/internal/requests/handoff"
@@ -69,7 +69,7 @@
 // Drivers are the platform's side of a daemon.
 type Drivers struct {
 	Journal         journal.Journal
-	Decoder         operation.Decoder
+	Decoder         catalog.Decoder
 	Engines         engine.Driver
 	Codec           ingress.Codec
 	Headers         headers.Names
@@ -87,7 +87,7 @@
 	Settings settings.Settings
 	Identity string
 	Journal  journal.Journal
-	Operator *operation.State
+	Operator *catalog.State
 	Replicas *replica.Table
 	Results  *results.Reader
 	Runner   *runner.Runner
@@ -115,7 +115,7 @@
 	metrics  *metrics.Metrics
 	identity string
 
-	operator         *operation.State
+	operator         *catalog.State
 	operatorFollower *journal.KeyedFollower
 	replicaFollower  *journal.KeyedFollower
 	table            *replica.Table
@@ -194,9 +194,9 @@
 	node.table.OnRestart(node.pool.Drop)
 	node.front = newFrontServer(logger)
 	node.front.planned = node.shutdown
-	node.operator = operation.NewState(drivers.Decoder, node.front.configured, logger)
+	node.operator = catalog.NewState(drivers.Decoder, node.front.configured, logger)
 	node.operatorFollower = journal.NewKeyedFollower(drivers.Journal, drivers.OperatorRecords, node.operator, contact, logger)
-	node.replicaFollower = journal.NewKeyedFollower(drivers.Journal, drivers.ReplicaRecords, operation.NewDirectory(drivers.Decoder, node.table, logger), contact, logger)
+	node.replicaFollower = journal.NewKeyedFollower(drivers.Journal, drivers.ReplicaRecords, catalog.NewDirectory(drivers.Decoder, node.table, logger), contact, logger)
 	node.operatorFollower.SetPace(journal.SharedPace(drivers.Journal, operatorReadShare, node.daemons))
 	node.replicaFollower.SetPace(journal.SharedPace(drivers.Journal, replicaReadShare, node.daemons))
 	node.quarantine = newQuarantine(node, drivers.Journal)
--- a/internal/replicas/operation/operation.go
+++ b/internal/replicas/catalog/catalog.go
@@ -1,4 +1,4 @@
-// Package operation holds what the operator and the replicas have written on
+// Package catalog holds what the operator and the replicas have written on
 // the platform: the configuration in force, the versions named, the replicas.
 //
 // The partitions take records of any writer. One that can't be understood is logged once a
@@ -9,10 +9,10 @@
 // Few records change often (hundreds of replicas that write their entries anew after an
 // outage, configurations in quick succession) and all are read by each daemon:
 //
-//	state := operation.NewState(decoder, installed, logger)
-//	directory := operation.NewDirectory(decoder, table, logger)
+//	state := catalog.NewState(decoder, installed, logger)
+//	directory := catalog.NewDirectory(decoder, table, logger)
 //	go journal.NewKeyedFollower(log, records, state, contactBound, logger).Run(ctx)
-package operation
+package catalog
 
 import (
 	"sync"
--- a/internal/replicas/operation/refusals.go
+++ b/internal/replicas/catalog/refusals.go
@@ -1,4 +1,4 @@
-package operation
+package catalog
 
 import (
 	"hash/maphash"
