--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -145,13 +145,13 @@
 
 // exists asks for a round of a batch, and for none of its samples.
 func (d *Desk) exists(ctx context.Context, trainer, name string, round int) (results.Page, error) {
-	told, err := d.reader.Samples(ctx, results.Query{
+	page, err := d.reader.Samples(ctx, results.Query{
 		BatchID: rollout.JobID(trainer, name, round), After: rollout.MaxSamples, Samples: &results.Samples{Further: round > 0},
 	})
 	if err != nil {
 		return results.Page{}, errors.Wrap(ErrUnavailable, err.Error())
 	}
-	return told, nil
+	return page, nil
 }
 
 // End ends all rounds of a batch: no more samples are made.
@@ -178,13 +178,13 @@
 // count returns how many rounds a batch has.
 func (d *Desk) count(ctx context.Context, trainer, name string) (int, error) {
 	for rounds := 0; ; rounds++ {
-		told, err := d.exists(ctx, trainer, name, rounds)
+		page, err := d.exists(ctx, trainer, name, rounds)
 		switch {
 		case err != nil:
 			return 0, err
-		case !told.Found && rounds == 0:
+		case !page.Found && rounds == 0:
 			return 0, ErrUnknownBatch
-		case !told.Found:
+		case !page.Found:
 			return rounds, nil
 		}
 	}
@@ -281,19 +281,19 @@
 func (d *Desk) requested(ctx context.Context, header rollout.Header, samples []int) (*batch.Submission, error) {
 	first := &batch.Submission{Items: make([]batch.Item, header.Samples)}
 	for len(samples) > 0 {
-		told, err := d.reader.Items(ctx, results.ItemsQuery{BatchID: rollout.JobID(header.Trainer, header.Name, 0), Places: samples})
+		items, err := d.reader.Items(ctx, results.ItemsQuery{BatchID: rollout.JobID(header.Trainer, header.Name, 0), Places: samples})
 		switch {
 		case err != nil:
 			return nil, errors.Wrap(ErrUnavailable, err.Error())
-		case !told.Found || told.Ended:
+		case !items.Found || items.Ended:
 			return nil, errors.Wrap(ErrUnknownBatch, "the batch was ended")
-		case len(told.Items) == 0 || len(told.Items) > len(samples):
+		case len(items.Items) == 0 || len(items.Items) > len(samples):
 			return nil, errors.Wrap(ErrUnavailable, "other items were told than asked for")
 		}
-		for i := range told.Items {
-			first.Items[samples[i]] = told.Items[i]
+		for i := range items.Items {
+			first.Items[samples[i]] = items.Items[i]
 		}
-		samples = samples[len(told.Items):]
+		samples = samples[len(items.Items):]
 	}
 	return first, nil
 }
--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -30,7 +30,7 @@
 func init() { testseed.Fix() }
 
 // peered are desks whose questions go to the one daemon that watches all partitions: what
-// they may read is nothing to speak of. It implements results.Holders, results.Peers and Runner.
+// they may read is nothing to speak of. It implements results.Watchers, results.Peers and Runner.
 type peered struct {
 	log    *journaltest.Journal
 	holder string
@@ -64,8 +64,8 @@
 	return p.asked[results.ServiceName+"."+method]
 }
 
-// OwnerOf implements results.Holders.
-func (p *peered) OwnerOf(context.Context, journal.Partition) (string, bool) { return p.holder, true }
+// WatcherOf implements results.Watchers.
+func (p *peered) WatcherOf(context.Context, journal.Partition) (string, bool) { return p.holder, true }
 
 // Daemons implements results.Peers.
 func (p *peered) Daemons() int { return len(p.desks) + 1 }
--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -49,7 +49,7 @@
 }
 
 // restarted are desks that have just started before a journal of whole batches.
-// It implements results.Holders and results.Peers.
+// It implements results.Watchers and results.Peers.
 type restarted struct {
 	log     *journaltest.Journal
 	desks   []*Desk
@@ -62,10 +62,10 @@
 	dealt map[journal.Partition]string
 }
 
-// OwnerOf implements results.Holders.
-func (r *restarted) OwnerOf(_ context.Context, partition journal.Partition) (string, bool) {
-	run, known := r.dealt[partition]
-	return run, known
+// WatcherOf implements results.Watchers.
+func (r *restarted) WatcherOf(_ context.Context, partition journal.Partition) (string, bool) {
+	run, ok := r.dealt[partition]
+	return run, ok
 }
 
 // Daemons implements results.Peers.
@@ -98,42 +98,42 @@
 }
 
 func newRestarted(ctx context.Context, t *testing.T) *restarted {
-	made := &restarted{log: journaltest.New(), dealt: map[journal.Partition]string{}}
-	made.log.Partitions, made.log.RecordBytes = 16, 256<<10
-	made.log.Granted = journal.Grants{ReadBytesPerSecond: restartJournal}
-	jobs := ledger.New(ctx, made.log, zap.NewNop())
+	r := &restarted{log: journaltest.New(), dealt: map[journal.Partition]string{}}
+	r.log.Partitions, r.log.RecordBytes = 16, 256<<10
+	r.log.Granted = journal.Grants{ReadBytesPerSecond: restartJournal}
+	jobs := ledger.New(ctx, r.log, zap.NewNop())
 	text := frames(restartBytes / restartSamples)
 	for i := range restartBatches {
 		request := rollout.Request{Trainer: "t", Name: fmt.Sprint("n", i), SamplesPerPrompt: restartSamples, MaxTokens: 10, Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}}
 		header := rollout.HeaderOf(request)
-		made.headers = append(made.headers, header)
+		r.headers = append(r.headers, header)
 		job := rollout.First(request, header, 1, rollout.ItemHeaders{})
 		records := [][]byte{batch.Accepted(job, "gone/1")}
 		for item := range restartSamples {
 			records = append(records, batch.Listed(job.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: text, Versions: []int64{1}}}))
 		}
-		if _, err := made.log.Append(ctx, journal.Append{Partition: jobs.Locate(job.ID), Records: records}); err != nil {
+		if _, err := r.log.Append(ctx, journal.Append{Partition: jobs.Locate(job.ID), Records: records}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	made.log.Limit(restartJournal)
+	r.log.Limit(restartJournal)
 	var ledgers []*ledger.Ledger
 	for i := range restartDaemons {
-		started := ledger.New(ctx, made.log.Behind(restartLink), zap.NewNop())
+		started := ledger.New(ctx, r.log.Behind(restartLink), zap.NewNop())
 		run := identity.New(fmt.Sprint("m", i), time.Now())
-		reader := results.NewReader(started, made, made, made.log.Grants(), run, zap.NewNop())
-		ledgers, made.runs = append(ledgers, started), append(made.runs, run)
-		made.services, made.links = append(made.services, reader.Service(ctx)), append(made.links, make(chan struct{}, 1))
-		made.desks = append(made.desks, New(reader, endsWith{started, nil}, rollout.ItemHeaders{}, zap.NewNop()))
+		reader := results.NewReader(started, r, r, r.log.Grants(), run, zap.NewNop())
+		ledgers, r.runs = append(ledgers, started), append(r.runs, run)
+		r.services, r.links = append(r.services, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
+		r.desks = append(r.desks, New(reader, endsWith{started, nil}, rollout.ItemHeaders{}, zap.NewNop()))
 	}
 	for _, topic := range ledger.TopicNames() {
-		for number := range made.log.Partitions {
-			name, holder := journal.Partition{Topic: topic, Number: number}, len(made.dealt)%restartDaemons
-			made.dealt[name] = made.runs[holder]
+		for number := range r.log.Partitions {
+			name, holder := journal.Partition{Topic: topic, Number: number}, len(r.dealt)%restartDaemons
+			r.dealt[name] = r.runs[holder]
 			ledgers[holder].Partition(name).Follow()
 		}
 	}
-	return made
+	return r
 }
 
 // take pulls the samples of a batch, each time at another daemon, and returns how many
--- a/internal/api/delivery/sight.go
+++ b/internal/api/delivery/sight.go
@@ -65,17 +65,17 @@
 // made returns the rounds as they are seen.
 func (s *sight) made() []rollout.Round {
 	made := make([]rollout.Round, len(s.rounds))
-	for i, each := range s.rounds {
-		made[i] = each.made
+	for i, r := range s.rounds {
+		made[i] = r.made
 	}
 	return made
 }
 
 // behind returns a round that more may be seen of, nil for none.
 func (s *sight) behind() *round {
-	for _, each := range s.rounds {
-		if each.more {
-			return each
+	for _, r := range s.rounds {
+		if r.more {
+			return r
 		}
 	}
 	return nil
@@ -84,64 +84,64 @@
 // further looks for the round after those seen.
 func (s *sight) further(ctx context.Context) error {
 	next := &round{number: len(s.rounds), made: rollout.Round{}}
-	told, err := s.ask(ctx, next, 0)
+	page, err := s.ask(ctx, next, 0)
 	header := s.pull.Cursor.Header
 	switch {
 	case err != nil:
 		return err
-	case !told.Found && next.number > 0:
+	case !page.Found && next.number > 0:
 		s.last = true
 		return nil
-	case !told.Found:
+	case !page.Found:
 		return ErrUnknownBatch
 	}
-	if digest, ok := rollout.DigestOf(told.Round.Path); next.number == 0 && (!ok || digest != header.Digest || told.Total != header.Samples) {
+	if digest, ok := rollout.DigestOf(page.Round.Path); next.number == 0 && (!ok || digest != header.Digest || page.Total != header.Samples) {
 		return ErrUnknownBatch
 	}
-	for _, sample := range told.Round.Makes {
+	for _, sample := range page.Round.Makes {
 		next.made[sample] = nil
 	}
 	s.rounds = append(s.rounds, next)
-	s.add(next, told)
+	s.add(next, page)
 	return nil
 }
 
 // readOn asks for what follows of a round, and has the question held for a time.
 func (s *sight) readOn(ctx context.Context, of *round, wait time.Duration) error {
-	told, err := s.ask(ctx, of, wait)
+	page, err := s.ask(ctx, of, wait)
 	if err != nil {
 		return err
 	}
-	if !told.Found {
+	if !page.Found {
 		return errors.Wrap(ErrUnavailable, "a round that was seen is not known")
 	}
-	s.add(of, told)
+	s.add(of, page)
 	return nil
 }
 
 func (s *sight) ask(ctx context.Context, of *round, wait time.Duration) (results.Page, error) {
 	header := s.pull.Cursor.Header
-	told, err := s.desk.reader.Samples(ctx, results.Query{
+	page, err := s.desk.reader.Samples(ctx, results.Query{
 		BatchID: rollout.JobID(header.Trainer, header.Name, of.number), After: of.next, Wait: wait,
 		Samples: &results.Samples{Taken: s.pull.Cursor.Bits(), Limit: s.pull.Limit, Further: of.number > 0},
 	})
 	if err != nil {
 		return results.Page{}, errors.Wrap(ErrUnavailable, err.Error())
 	}
-	return told, nil
+	return page, nil
 }
 
 // add takes a page in.
-func (s *sight) add(to *round, told results.Page) {
-	for i := range told.Results {
-		result := &told.Results[i]
+func (s *sight) add(to *round, page results.Page) {
+	for i := range page.Results {
+		result := &page.Results[i]
 		if sample, ours := rollout.SampleOf(result.ItemID); ours {
 			to.made[sample] = &result.Result
 			s.prompts[sample] = prompt{result.Group, result.Seed}
 		}
 	}
-	to.next, to.total = told.Next, told.Total
-	to.more = len(told.Results) > 0 && told.Next < told.Total
+	to.next, to.total = page.Next, page.Total
+	to.more = len(page.Results) > 0 && page.Next < page.Total
 }
 
 // wait returns when the newest round has changed, after a while, or when a stop begins. The
@@ -156,8 +156,8 @@
 		case <-held.Done():
 		}
 	}()
-	for _, each := range s.rounds {
-		each.more = each.next < each.total
+	for _, r := range s.rounds {
+		r.more = r.next < r.total
 	}
 	newest := s.rounds[len(s.rounds)-1]
 	if newest.next >= newest.total {
--- a/internal/api/permit/permit.go
+++ b/internal/api/permit/permit.go
@@ -226,8 +226,8 @@
 func (part *partition) fold(records [][]byte, before time.Time) {
 	part.mu.Lock()
 	defer part.mu.Unlock()
-	for _, each := range records {
-		part.keys.apply(each)
+	for _, e := range records {
+		part.keys.apply(e)
 		part.next++
 	}
 	part.keys.forget(before, part.kept)
--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -178,8 +178,8 @@
 		is.Equal(decision, Taken{})
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_, known := other.Await(ctx, "k")
-		is.True(!known)
+		_, ok := other.Await(ctx, "k")
+		is.True(!ok)
 	})
 }
 
--- a/internal/batches/ledger/append.go
+++ b/internal/batches/ledger/append.go
@@ -25,23 +25,23 @@
 // A record too long for one append goes in several, one after the other. It
 // counts when its last part is there, so that until this is sent nothing of it
 // is added, whatever became of the parts before.
-func (partition *Partition) Append(ctx context.Context, record []byte) error {
-	appends := partition.splitAppends(record)
+func (p *Partition) Append(ctx context.Context, record []byte) error {
+	appends := p.splitAppends(record)
 	last := len(appends) - 1
 	for _, part := range appends[:last] {
-		if err := partition.appendPart(ctx, part); err != nil {
+		if err := p.appendPart(ctx, part); err != nil {
 			return errors.Wrap(ErrNotDone, err.Error())
 		}
 	}
-	return partition.appendPart(ctx, appends[last])
+	return p.appendPart(ctx, appends[last])
 }
 
 // splitAppends cuts a record into as many appends as the journal makes necessary.
-func (partition *Partition) splitAppends(record []byte) []*pendingAppend {
-	limit := partition.ledger.journal.MaxAppendBytes()
+func (p *Partition) splitAppends(record []byte) []*pendingAppend {
+	limit := p.ledger.journal.MaxAppendBytes()
 	current := &pendingAppend{done: make(chan error, 1)}
 	appends := []*pendingAppend{current}
-	for _, fragment := range fragmentFor(partition.ledger.journal, record) {
+	for _, fragment := range fragmentFor(p.ledger.journal, record) {
 		size := len(fragment) + recordOverhead
 		if current.size > 0 && current.size+size > limit {
 			current = &pendingAppend{done: make(chan error, 1)}
@@ -53,14 +53,14 @@
 	return appends
 }
 
-func (partition *Partition) appendPart(ctx context.Context, waiting *pendingAppend) error {
-	partition.mutex.Lock()
-	partition.pending = append(partition.pending, waiting)
-	if !partition.appending {
-		partition.appending = true
-		go partition.appendPending()
+func (p *Partition) appendPart(ctx context.Context, waiting *pendingAppend) error {
+	p.mu.Lock()
+	p.pending = append(p.pending, waiting)
+	if !p.appending {
+		p.appending = true
+		go p.appendPending()
 	}
-	partition.mutex.Unlock()
+	p.mu.Unlock()
 	select {
 	case err := <-waiting.done:
 		return err
@@ -70,13 +70,13 @@
 }
 
 // appendPending sends what waits, all that fits in one append at a time.
-func (partition *Partition) appendPending() {
+func (p *Partition) appendPending() {
 	for {
-		group := partition.takeGroup()
+		group := p.takeGroup()
 		if len(group) == 0 {
 			return
 		}
-		err := partition.appendGroup(group)
+		err := p.appendGroup(group)
 		for _, waiting := range group {
 			waiting.done <- err
 		}
@@ -84,41 +84,41 @@
 }
 
 // takeGroup takes the records of the next append, or none and ends the sending.
-func (partition *Partition) takeGroup() []*pendingAppend {
-	partition.mutex.Lock()
-	defer partition.mutex.Unlock()
-	limit := partition.ledger.journal.MaxAppendBytes()
+func (p *Partition) takeGroup() []*pendingAppend {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	limit := p.ledger.journal.MaxAppendBytes()
 	size, count := 0, 0
-	for _, waiting := range partition.pending {
+	for _, waiting := range p.pending {
 		if count > 0 && size+waiting.size > limit {
 			break
 		}
 		size += waiting.size
 		count++
 	}
-	group := partition.pending[:count:count]
-	partition.pending = partition.pending[count:]
+	group := p.pending[:count:count]
+	p.pending = p.pending[count:]
 	if count == 0 {
-		partition.appending = false
-		partition.pending = nil
+		p.appending = false
+		p.pending = nil
 	}
 	return group
 }
 
-func (partition *Partition) appendGroup(group []*pendingAppend) error {
+func (p *Partition) appendGroup(group []*pendingAppend) error {
 	var records [][]byte
 	for _, waiting := range group {
 		records = append(records, waiting.records...)
 	}
-	bounded, cancel := context.WithTimeout(partition.ledger.context, appendTimeout)
+	bounded, cancel := context.WithTimeout(p.ledger.ctx, appendTimeout)
 	defer cancel()
-	appended, err := partition.ledger.journal.Append(bounded, journal.Append{Partition: partition.name, Records: records})
+	appended, err := p.ledger.journal.Append(bounded, journal.Append{Partition: p.name, Records: records})
 	if errors.Is(err, journal.ErrNotDone) {
 		return errors.Wrap(ErrNotDone, err.Error())
 	}
 	if err != nil {
 		return errors.Wrap(ErrUnknown, err.Error())
 	}
-	partition.fold(appended.Offset, records)
+	p.fold(appended.Offset, records)
 	return nil
 }
--- a/internal/batches/ledger/ledger.go
+++ b/internal/batches/ledger/ledger.go
@@ -55,72 +55,72 @@
 type Ledger struct {
 	journal journal.Journal
 	logger  *zap.Logger
-	context context.Context
+	ctx     context.Context
 
-	mutex      sync.Mutex
+	mu         sync.Mutex
 	partitions map[journal.Partition]*Partition
 }
 
 // New returns a ledger whose background work ends with the context.
 func New(ctx context.Context, log journal.Journal, logger *zap.Logger) *Ledger {
-	return &Ledger{journal: log, logger: logger, context: ctx, partitions: map[journal.Partition]*Partition{}}
+	return &Ledger{journal: log, logger: logger, ctx: ctx, partitions: map[journal.Partition]*Partition{}}
 }
 
 // Locate returns the partition of a batch.
-func (ledger *Ledger) Locate(batchID string) journal.Partition {
+func (l *Ledger) Locate(batchID string) journal.Partition {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(batchID))
-	perTopic := max(ledger.journal.PartitionsPerTopic(), 1)
+	perTopic := max(l.journal.PartitionsPerTopic(), 1)
 	index := int(hash.Sum32() % uint32(Topics*perTopic))
 	return journal.Partition{Topic: topicPrefix + strconv.Itoa(index/perTopic), Number: index % perTopic}
 }
 
 // PageBytes is how many bytes a read of a partition brings at most.
-func (ledger *Ledger) PageBytes() int {
-	return max(pageBytes, pageRecords*ledger.journal.MaxRecordBytes())
+func (l *Ledger) PageBytes() int {
+	return max(pageBytes, pageRecords*l.journal.MaxRecordBytes())
 }
 
 // Of returns the partition that holds a batch.
-func (ledger *Ledger) Of(batchID string) *Partition { return ledger.Partition(ledger.Locate(batchID)) }
+func (l *Ledger) Of(batchID string) *Partition { return l.Partition(l.Locate(batchID)) }
 
 // Partition returns one partition.
-func (ledger *Ledger) Partition(name journal.Partition) *Partition {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	partition := ledger.partitions[name]
-	if partition == nil {
-		partition = newPartition(ledger, name, 0)
-		ledger.partitions[name] = partition
+func (l *Ledger) Partition(name journal.Partition) *Partition {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	p := l.partitions[name]
+	if p == nil {
+		p = newPartition(l, name, 0)
+		l.partitions[name] = p
 	}
-	partition.usedAt = time.Now()
-	return partition
+	p.usedAt = time.Now()
+	return p
 }
 
 // From returns a fold of its own that begins at an offset of a partition. It knows all of
 // the batches that begin there or later, and nothing of those before, so that it is for who
 // runs one batch, and never for who tells callers what there is.
-func (ledger *Ledger) From(name journal.Partition, offset int64) *Partition {
-	return newPartition(ledger, name, offset)
+func (l *Ledger) From(name journal.Partition, offset int64) *Partition {
+	return newPartition(l, name, offset)
 }
 
 // Known returns the partitions whose folds are held.
-func (ledger *Ledger) Known() []*Partition {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	known := make([]*Partition, 0, len(ledger.partitions))
-	for _, partition := range ledger.partitions {
-		known = append(known, partition)
+func (l *Ledger) Known() []*Partition {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	known := make([]*Partition, 0, len(l.partitions))
+	for _, p := range l.partitions {
+		known = append(known, p)
 	}
 	return known
 }
 
 // Sweep drops the folds that nobody has used for a while.
-func (ledger *Ledger) Sweep(now time.Time) {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	for name, partition := range ledger.partitions {
-		if now.Sub(partition.usedAt) > dropAfter && partition.idle() {
-			delete(ledger.partitions, name)
+func (l *Ledger) Sweep(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for name, p := range l.partitions {
+		if now.Sub(p.usedAt) > dropAfter && p.idle() {
+			delete(l.partitions, name)
 		}
 	}
 }
--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -26,10 +26,10 @@
 	return &batch.Submission{ID: id, Items: []batch.Item{{ID: id + "-0", Body: []byte("b")}}}
 }
 
-func exists(partition *Partition, id string) bool {
-	found := false
-	partition.View(func(state *batch.State) { _, found = state.Get(id) })
-	return found
+func exists(p *Partition, id string) bool {
+	ok := false
+	p.View(func(state *batch.State) { _, ok = state.Get(id) })
+	return ok
 }
 
 // operation is one call of a history: an acceptance, or a question whether a
@@ -136,26 +136,26 @@
 // playClient accepts the batch once if it is the first client, and asks for it.
 func playClient(ctx context.Context, client int, batches *Ledger, pauses []int, seen *recorder) {
 	const id = "batch"
-	partition := batches.Of(id)
+	p := batches.Of(id)
 	for i := client; i < len(pauses); i += 3 {
 		time.Sleep(time.Duration(pauses[i]) * time.Millisecond)
 		began := time.Now()
 		if client == 0 && i%2 == 0 {
-			err := partition.Append(ctx, batch.Accepted(submission(id), fmt.Sprint("owner", client)))
+			err := p.Append(ctx, batch.Accepted(submission(id), fmt.Sprint("owner", client)))
 			if !errors.Is(err, ErrNotDone) {
 				seen.add(client, began, operation{accept: true, known: err == nil}, err != nil)
 			}
 			continue
 		}
-		if exists(partition, id) {
+		if exists(p, id) {
 			seen.add(client, began, operation{found: true}, false)
 			continue
 		}
 		bounded, cancel := context.WithTimeout(ctx, readTimeout)
-		err := partition.CatchUp(bounded)
+		err := p.CatchUp(bounded)
 		cancel()
 		if err == nil {
-			seen.add(client, began, operation{found: exists(partition, id)}, false)
+			seen.add(client, began, operation{found: exists(p, id)}, false)
 		}
 	}
 }
@@ -200,8 +200,8 @@
 	is.True(calls > 6)
 	is.NoErr(reader.Of("long").CatchUp(t.Context()))
 	reader.Of("long").View(func(state *batch.State) {
-		known, found := state.Get("long")
-		is.True(found)
+		known, ok := state.Get("long")
+		is.True(ok)
 		is.Equal(known.Owner, "two")
 		is.Equal(len(known.Items[0].Body), 10_000)
 	})
@@ -212,16 +212,16 @@
 	is := is.New(t)
 	log := journaltest.New()
 	batches := New(t.Context(), log, zap.NewNop())
-	partition := batches.Of("a")
-	is.NoErr(partition.Append(t.Context(), batch.Accepted(submission("a"), "o")))
-	late := New(t.Context(), log, zap.NewNop()).Partition(partition.Name())
-	is.NoErr(partition.Append(t.Context(), batch.Accepted(submission("b"), "o")))
-	log.Trim(partition.Name(), 1)
+	p := batches.Of("a")
+	is.NoErr(p.Append(t.Context(), batch.Accepted(submission("a"), "o")))
+	late := New(t.Context(), log, zap.NewNop()).Partition(p.Name())
+	is.NoErr(p.Append(t.Context(), batch.Accepted(submission("b"), "o")))
+	log.Trim(p.Name(), 1)
 	is.NoErr(late.CatchUp(t.Context()))
 	is.True(!exists(late, "a"))
 	is.True(exists(late, "b"))
-	is.NoErr(partition.CatchUp(t.Context()))
-	is.True(exists(partition, "a"))
+	is.NoErr(p.CatchUp(t.Context()))
+	is.True(exists(p, "a"))
 }
 
 func TestUnusedFoldsAreDropped(t *testing.T) {
@@ -241,15 +241,15 @@
 // once, and those after them are not skipped.
 func TestRecordsAreFoldedOnce(t *testing.T) {
 	is := is.New(t)
-	partition := New(t.Context(), journaltest.New(), zap.NewNop()).Of("a")
+	p := New(t.Context(), journaltest.New(), zap.NewNop()).Of("a")
 	first, second := batch.Accepted(submission("a"), "o"), batch.Accepted(submission("b"), "o")
-	partition.fold(0, [][]byte{first})
-	partition.fold(0, [][]byte{first})
-	partition.fold(5, [][]byte{second})
-	is.True(!exists(partition, "b"))
-	partition.fold(0, [][]byte{first, second})
-	is.True(exists(partition, "b"))
-	is.Equal(partition.next, int64(2))
+	p.fold(0, [][]byte{first})
+	p.fold(0, [][]byte{first})
+	p.fold(5, [][]byte{second})
+	is.True(!exists(p, "b"))
+	p.fold(0, [][]byte{first, second})
+	is.True(exists(p, "b"))
+	is.Equal(p.next, int64(2))
 }
 
 // paged is a journal whose reads bring one record at a time.
--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -42,7 +42,7 @@
 	name   journal.Partition
 	usedAt time.Time // guarded by the ledger's mutex
 
-	mutex sync.Mutex
+	mu    sync.Mutex
 	state *batch.State
 	// next is the offset of the first record that is not folded yet.
 	next    int64
@@ -71,79 +71,79 @@
 }
 
 // Name returns the journal partition.
-func (partition *Partition) Name() journal.Partition { return partition.name }
+func (p *Partition) Name() journal.Partition { return p.name }
 
-func (partition *Partition) idle() bool {
-	partition.mutex.Lock()
-	defer partition.mutex.Unlock()
-	return partition.followers == 0 && len(partition.pending) == 0 && !partition.reading
+func (p *Partition) idle() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.followers == 0 && len(p.pending) == 0 && !p.reading
 }
 
 // View calls look with the fold while it cannot change.
-func (partition *Partition) View(look func(*batch.State)) {
-	partition.mutex.Lock()
-	defer partition.mutex.Unlock()
-	look(partition.state)
+func (p *Partition) View(look func(*batch.State)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	look(p.state)
 }
 
 // Changed returns a channel that is closed when the fold changes.
-func (partition *Partition) Changed() <-chan struct{} {
-	partition.mutex.Lock()
-	defer partition.mutex.Unlock()
-	return partition.changed
+func (p *Partition) Changed() <-chan struct{} {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.changed
 }
 
 // CatchUp returns once the fold holds all that was in the partition when the
 // call came. Calls at the same time share reads.
-func (partition *Partition) CatchUp(ctx context.Context) error {
-	partition.mutex.Lock()
-	wanted := partition.reads + 1
-	for partition.done < wanted {
-		if !partition.reading {
-			partition.startRead()
+func (p *Partition) CatchUp(ctx context.Context) error {
+	p.mu.Lock()
+	wanted := p.reads + 1
+	for p.done < wanted {
+		if !p.reading {
+			p.startRead()
 		}
-		ended := partition.readEnded
-		partition.mutex.Unlock()
+		ended := p.readEnded
+		p.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return errors.Wrap(ErrBehind, ctx.Err().Error())
 		case <-ended:
 		}
-		partition.mutex.Lock()
-		if partition.done < wanted && partition.readErr != nil && partition.reads >= wanted {
-			err := partition.readErr
-			partition.mutex.Unlock()
+		p.mu.Lock()
+		if p.done < wanted && p.readErr != nil && p.reads >= wanted {
+			err := p.readErr
+			p.mu.Unlock()
 			return errors.Wrap(ErrBehind, err.Error())
 		}
 	}
-	partition.mutex.Unlock()
+	p.mu.Unlock()
 	return nil
 }
 
 // startRead begins a catch-up read. The mutex is held.
-func (partition *Partition) startRead() {
-	partition.reads++
-	number := partition.reads
-	partition.reading = true
-	partition.readEnded = make(chan struct{})
+func (p *Partition) startRead() {
+	p.reads++
+	number := p.reads
+	p.reading = true
+	p.readEnded = make(chan struct{})
 	go func() {
-		err := partition.readToEnd()
-		partition.mutex.Lock()
-		defer partition.mutex.Unlock()
-		partition.reading = false
-		partition.readErr = err
+		err := p.readToEnd()
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.reading = false
+		p.readErr = err
 		if err == nil {
-			partition.done = number
+			p.done = number
 		}
-		close(partition.readEnded)
+		close(p.readEnded)
 	}()
 }
 
 // readToEnd reads until the fold has reached the end that the first read told.
-func (partition *Partition) readToEnd() error {
+func (p *Partition) readToEnd() error {
 	target := noEnd
 	for {
-		read, err := partition.readOnce(partition.ledger.context, 0)
+		read, err := p.readOnce(p.ledger.ctx, 0)
 		if err != nil {
 			return err
 		}
@@ -153,9 +153,9 @@
 		if target < 0 {
 			continue
 		}
-		partition.mutex.Lock()
-		reached := partition.next >= target
-		partition.mutex.Unlock()
+		p.mu.Lock()
+		reached := p.next >= target
+		p.mu.Unlock()
 		if reached {
 			return nil
 		}
@@ -164,170 +164,170 @@
 
 // readOnce reads a page from the fold's offset on and folds what comes, also of an answer
 // that broke off.
-func (partition *Partition) readOnce(ctx context.Context, wait time.Duration) (journal.Records, error) {
-	partition.mutex.Lock()
-	from := partition.next
-	partition.mutex.Unlock()
+func (p *Partition) readOnce(ctx context.Context, wait time.Duration) (journal.Records, error) {
+	p.mu.Lock()
+	from := p.next
+	p.mu.Unlock()
 	timeout := readTimeout
 	if wait > 0 {
 		timeout = wait + followSlack
 	}
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	read, err := partition.ledger.journal.Read(bounded, journal.Read{Partition: partition.name, From: from, Wait: wait, MaxBytes: partition.ledger.PageBytes()})
+	read, err := p.ledger.journal.Read(bounded, journal.Read{Partition: p.name, From: from, Wait: wait, MaxBytes: p.ledger.PageBytes()})
 	var trimmed *journal.TrimmedError
 	if errors.As(err, &trimmed) {
-		return partition.skipTrimmed(from, trimmed.First), nil
+		return p.skipTrimmed(from, trimmed.First), nil
 	}
-	partition.fold(from, read.Records)
-	partition.noteRead(read)
+	p.fold(from, read.Records)
+	p.noteRead(read)
 	if err != nil {
 		return journal.Records{}, err
 	}
-	partition.mutex.Lock()
-	if partition.next >= read.End {
-		partition.lastRead = time.Now()
+	p.mu.Lock()
+	if p.next >= read.End {
+		p.lastRead = time.Now()
 	}
-	partition.mutex.Unlock()
+	p.mu.Unlock()
 	return read, nil
 }
 
 // noteRead counts what a read brought.
-func (partition *Partition) noteRead(read journal.Records) {
-	partition.mutex.Lock()
-	defer partition.mutex.Unlock()
+func (p *Partition) noteRead(read journal.Records) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, record := range read.Records {
-		partition.readBytes += int64(len(record))
+		p.readBytes += int64(len(record))
 	}
-	partition.readRecords += int64(len(read.Records))
-	partition.end = max(partition.end, read.End)
+	p.readRecords += int64(len(read.Records))
+	p.end = max(p.end, read.End)
 }
 
 // ReadPage reads the next page of the partition, and returns how many bytes came.
-func (partition *Partition) ReadPage(ctx context.Context) (bytes int, err error) {
-	before := partition.ReadBytes()
-	_, err = partition.readOnce(ctx, 0)
+func (p *Partition) ReadPage(ctx context.Context) (bytes int, err error) {
+	before := p.ReadBytes()
+	_, err = p.readOnce(ctx, 0)
 	if err != nil {
 		err = errors.Wrap(ErrBehind, err.Error())
 	}
-	return int(partition.ReadBytes() - before), err
+	return int(p.ReadBytes() - before), err
 }
 
 // ReadBytes is how many bytes reads have brought of the partition so far.
-func (partition *Partition) ReadBytes() int64 {
-	partition.mutex.Lock()
-	defer partition.mutex.Unlock()
-	return partition.readBytes
+func (p *Partition) ReadBytes() int64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.readBytes
 }
 
 // Missing returns how many bytes the fold lacks, by the mean of the records read so far, and
 // false if nothing has been read yet.
-func (partition *Partition) Missing() (bytes int, known bool) {
-	partition.mutex.Lock()
-	defer partition.mutex.Unlock()
+func (p *Partition) Missing() (bytes int, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	switch {
-	case partition.end == noEnd:
+	case p.end == noEnd:
 		return 0, false
-	case partition.next >= partition.end:
+	case p.next >= p.end:
 		return 0, true
-	case partition.readRecords == 0:
-		return partition.ledger.PageBytes(), true
+	case p.readRecords == 0:
+		return p.ledger.PageBytes(), true
 	default:
-		return int((partition.end - partition.next) * partition.readBytes / partition.readRecords), true
+		return int((p.end - p.next) * p.readBytes / p.readRecords), true
 	}
 }
 
 // behind reports whether the fold is known to lack records, or has not been read at all.
-func (partition *Partition) behind() bool {
-	missing, known := partition.Missing()
-	return missing > 0 || !known
+func (p *Partition) behind() bool {
+	missing, ok := p.Missing()
+	return missing > 0 || !ok
 }
 
 // skipTrimmed moves the fold over records that are gone. The batches already
 // folded stay known; of those only in the trimmed records nothing is known.
-func (partition *Partition) skipTrimmed(from, first int64) journal.Records {
-	partition.mutex.Lock()
-	defer partition.mutex.Unlock()
-	if partition.next == from && first > from {
-		partition.ledger.logger.Info("records trimmed before they were read", zap.String("topic", partition.name.Topic),
-			zap.Int("partition", partition.name.Number), zap.Int64("offset", from), zap.Int64("first", first))
-		partition.next, partition.missed = first, true
-		partition.state.Skip(first)
+func (p *Partition) skipTrimmed(from, first int64) journal.Records {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.next == from && first > from {
+		p.ledger.logger.Info("records trimmed before they were read", zap.String("topic", p.name.Topic),
+			zap.Int("partition", p.name.Number), zap.Int64("offset", from), zap.Int64("first", first))
+		p.next, p.missed = first, true
+		p.state.Skip(first)
 	}
 	return journal.Records{End: noEnd, First: first}
 }
 
 // Missed reports whether records were removed from the journal before they were folded
 // here. Such a fold knows all that it tells, but a batch that it does not know may exist.
-func (partition *Partition) Missed() bool {
-	partition.mutex.Lock()
-	defer partition.mutex.Unlock()
-	return partition.missed
+func (p *Partition) Missed() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.missed
 }
 
 // Fresh reports whether the fold held all of the partition a moment ago.
-func (partition *Partition) Fresh() bool { return time.Since(partition.LastRead()) < freshFor }
+func (p *Partition) Fresh() bool { return time.Since(p.LastRead()) < freshFor }
 
 // LastRead is when the journal last answered a read that brought the fold up to the
 // partition's end. A long partition takes several reads, and what was folded of it
 // before the last of them may be long out of date.
-func (partition *Partition) LastRead() time.Time {
-	partition.mutex.Lock()
-	defer partition.mutex.Unlock()
-	return partition.lastRead
+func (p *Partition) LastRead() time.Time {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.lastRead
 }
 
 // fold applies records that begin at an offset, but for those already folded.
-func (partition *Partition) fold(from int64, records [][]byte) {
-	partition.mutex.Lock()
-	defer partition.mutex.Unlock()
+func (p *Partition) fold(from int64, records [][]byte) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	folded := false
 	for i, record := range records {
-		if from+int64(i) != partition.next {
+		if from+int64(i) != p.next {
 			continue
 		}
-		partition.state.Apply(record)
-		partition.next++
+		p.state.Apply(record)
+		p.next++
 		folded = true
 	}
 	if folded {
-		close(partition.changed)
-		partition.changed = make(chan struct{})
+		close(p.changed)
+		p.changed = make(chan struct{})
 	}
 }
 
 // Follow keeps the fold up to date until the returned function is called.
-func (partition *Partition) Follow() (release func()) {
-	partition.mutex.Lock()
-	defer partition.mutex.Unlock()
-	partition.followers++
-	if partition.followers == 1 {
-		ctx, cancel := context.WithCancel(partition.ledger.context)
-		partition.stopFollow = cancel
-		go partition.follow(ctx)
+func (p *Partition) Follow() (release func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.followers++
+	if p.followers == 1 {
+		ctx, cancel := context.WithCancel(p.ledger.ctx)
+		p.stopFollow = cancel
+		go p.follow(ctx)
 	}
 	var once sync.Once
-	return func() { once.Do(partition.unfollow) }
+	return func() { once.Do(p.unfollow) }
 }
 
-func (partition *Partition) unfollow() {
-	partition.mutex.Lock()
-	defer partition.mutex.Unlock()
-	partition.followers--
-	if partition.followers == 0 {
-		partition.stopFollow()
+func (p *Partition) unfollow() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.followers--
+	if p.followers == 0 {
+		p.stopFollow()
 	}
 }
 
 // follow holds a read at the partition's end. As long as the fold lacks more it shares the
 // reads of those who catch up, so that nothing is read twice.
-func (partition *Partition) follow(ctx context.Context) {
+func (p *Partition) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		var err error
-		if partition.behind() {
-			err = partition.CatchUp(ctx)
+		if p.behind() {
+			err = p.CatchUp(ctx)
 		} else {
-			_, err = partition.readOnce(ctx, followWait)
+			_, err = p.readOnce(ctx, followWait)
 		}
 		if err != nil {
 			periodic.Pause(ctx, followPause)
--- a/internal/batches/results/beginning.go
+++ b/internal/batches/results/beginning.go
@@ -22,43 +22,43 @@
 // the partition or this daemon's own fold knows it. The error wraps ErrBehind, also where
 // nobody knows of the batch.
 func (r *Reader) Beginning(ctx context.Context, batchID string) (int64, error) {
-	partition := r.batches.Of(batchID)
-	if offset, known := beginningOf(partition, batchID); known {
+	partition := r.ledger.Of(batchID)
+	if offset, ok := beginningOf(partition, batchID); ok {
 		return offset, nil
 	}
 	if r.peers == nil {
 		return 0, errors.Wrap(ErrBehind, "there is nobody to ask")
 	}
-	holder, known := r.holders.OwnerOf(ctx, partition.Name())
-	if !known || holder == r.self {
+	watcher, ok := r.watchers.WatcherOf(ctx, partition.Name())
+	if !ok || watcher == r.self {
 		return 0, errors.Wrap(ErrBehind, "nobody else watches the partition")
 	}
-	told, err := askHolder[Beginning](ctx, r, holder, methodBeginning, BeginningQuery{BatchID: batchID}, 0)
-	if err == nil && !told.Found {
+	beginning, err := callWatcher[Beginning](ctx, r, watcher, methodBeginning, BeginningQuery{BatchID: batchID}, 0)
+	if err == nil && !beginning.Found {
 		err = errors.Wrap(ErrBehind, "the holder does not know the batch")
 	}
-	return told.Offset, err
+	return beginning.Offset, err
 }
 
 // beginningHere answers from the fold of this daemon.
 func (r *Reader) beginningHere(ctx context.Context, query BeginningQuery) (Beginning, error) {
-	partition := r.batches.Of(query.BatchID)
-	offset, known := beginningOf(partition, query.BatchID)
-	if known {
+	partition := r.ledger.Of(query.BatchID)
+	offset, ok := beginningOf(partition, query.BatchID)
+	if ok {
 		return Beginning{Found: true, Offset: offset}, nil
 	}
 	if err := catchUp(ctx, partition); err != nil {
 		return Beginning{}, err
 	}
-	offset, known = beginningOf(partition, query.BatchID)
-	return Beginning{Found: known, Offset: offset}, nil
+	offset, ok = beginningOf(partition, query.BatchID)
+	return Beginning{Found: ok, Offset: offset}, nil
 }
 
 // beginningOf returns where a batch begins that the fold knows.
 func beginningOf(partition *ledger.Partition, batchID string) (offset int64, found bool) {
 	partition.View(func(state *batch.State) {
-		if known, ok := state.Get(batchID); ok {
-			offset, found = known.Offset, true
+		if b, ok := state.Get(batchID); ok {
+			offset, found = b.Offset, true
 		}
 	})
 	return offset, found
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -33,21 +33,21 @@
 	bytesPerSecond float64
 	daemons        func() int
 	limiter        *rate.Limiter
-	share          *share
+	share          *bandwidthShare
 
 	mu sync.Mutex
 	// known is how many daemons there were at the last look.
-	known int
+	daemonsSeen int
 }
 
 // newReadBudget returns the budget of one of some daemons before a journal that sends so
 // many bytes a second. Nothing may be read as long as their number is 0.
 func newReadBudget(bytesPerSecond float64, daemons func() int) *readBudget {
 	now := time.Now()
-	made := &readBudget{bytesPerSecond: bytesPerSecond, daemons: daemons, limiter: rate.NewLimiter(0, 1), share: newShare(now)}
-	made.adjust(now)
-	made.empty(now)
-	return made
+	b := &readBudget{bytesPerSecond: bytesPerSecond, daemons: daemons, limiter: rate.NewLimiter(0, 1), share: newBandwidthShare(now)}
+	b.adjust(now)
+	b.empty(now)
+	return b
 }
 
 // adjust brings the budget up to date with the number of daemons and with the share.
@@ -62,11 +62,11 @@
 		b.limiter.SetLimitAt(now, rate.Limit(bytes))
 		b.limiter.SetBurstAt(now, max(int(bytes*ownReadTime.Seconds()), 1))
 	}
-	if daemons > b.known {
+	if daemons > b.daemonsSeen {
 		// What was saved up as one of fewer is not this daemon's.
 		b.empty(now)
 	}
-	b.known = daemons
+	b.daemonsSeen = daemons
 }
 
 // empty takes all that was saved up.
@@ -131,9 +131,9 @@
 	if r.budget == nil {
 		return true
 	}
-	missing, known := partition.Missing()
-	if !known {
-		if !r.budget.takePage(r.batches.PageBytes()) {
+	missing, ok := partition.Missing()
+	if !ok {
+		if !r.budget.takePage(r.ledger.PageBytes()) {
 			return false
 		}
 		if err := r.readPage(ctx, partition); err != nil {
@@ -152,12 +152,12 @@
 // error wraps ErrBehind.
 func (r *Reader) readPaced(ctx context.Context, partition *ledger.Partition, ready func() bool) error {
 	for unpaced := !r.budget.reduced(); ; unpaced = false {
-		missing, known := partition.Missing()
-		if known && missing == 0 || ready() {
+		missing, ok := partition.Missing()
+		if ok && missing == 0 || ready() {
 			return nil
 		}
 		if !unpaced {
-			if err := r.budget.await(ctx, r.nextPage(missing, known)); err != nil {
+			if err := r.budget.await(ctx, r.nextPage(missing, ok)); err != nil {
 				return errors.Wrap(ErrBehind, err.Error())
 			}
 		}
@@ -175,16 +175,16 @@
 	if err == nil {
 		return nil
 	}
-	if time.Since(began) >= answerTimeout {
+	if time.Since(began) >= watcherTimeout {
 		r.budget.late()
 	}
 	return errors.Wrap(ErrBehind, err.Error())
 }
 
 // nextPage is what the next page of a partition brings at most, in bytes.
-func (r *Reader) nextPage(missing int, known bool) int {
-	if !known {
-		return r.batches.PageBytes()
+func (r *Reader) nextPage(missing int, ok bool) int {
+	if !ok {
+		return r.ledger.PageBytes()
 	}
-	return min(missing, r.batches.PageBytes())
+	return min(missing, r.ledger.PageBytes())
 }
--- a/internal/batches/results/hedge.go
+++ b/internal/batches/results/hedge.go
@@ -21,7 +21,7 @@
 )
 
 // attempt is a try to answer that goes on by itself.
-type attempt[T any] struct {
+type future[T any] struct {
 	// done is closed at its end; answer and err are set before.
 	done   chan struct{}
 	answer T
@@ -29,8 +29,8 @@
 }
 
 // begin begins an attempt.
-func begin[T any](try func() (T, error)) *attempt[T] {
-	made := &attempt[T]{done: make(chan struct{})}
+func async[T any](try func() (T, error)) *future[T] {
+	made := &future[T]{done: make(chan struct{})}
 	go func() {
 		defer close(made.done)
 		made.answer, made.err = try()
@@ -40,7 +40,7 @@
 
 // await returns the attempt's outcome, or errLate once the question has waited for the
 // journal for hedgeAfter. A question that is held on purpose waits on.
-func (a *attempt[T]) await(r *Reader, asked *inquiry) (answer T, err error) {
+func (a *future[T]) await(r *Reader, asked *trace) (answer T, err error) {
 	timer := time.NewTimer(hedgeAfter)
 	defer timer.Stop()
 	select {
@@ -58,7 +58,7 @@
 }
 
 // firstOf waits until one of two attempts has succeeded, or both have ended.
-func firstOf[A, B any](own *attempt[A], other *attempt[B]) {
+func firstOf[A, B any](own *future[A], other *future[B]) {
 	select {
 	case <-own.done:
 		if own.err != nil {
@@ -72,7 +72,7 @@
 }
 
 // ended reports whether the attempt has ended.
-func (a *attempt[T]) ended() bool {
+func (a *future[T]) ended() bool {
 	select {
 	case <-a.done:
 		return true
@@ -82,7 +82,7 @@
 }
 
 // succeeded reports whether the attempt has ended with an answer.
-func (a *attempt[T]) succeeded() bool { return a.ended() && a.err == nil }
+func (a *future[T]) succeeded() bool { return a.ended() && a.err == nil }
 
 // readWithinBudget answers from this daemon's fold, after a read of what it lacks if the budget
 // allows that.
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -79,7 +79,7 @@
 	answer func(ctx context.Context, asked, answer any) error
 }
 
-func (a *alone) OwnerOf(ctx context.Context, _ journal.Partition) (string, bool) {
+func (a *alone) WatcherOf(ctx context.Context, _ journal.Partition) (string, bool) {
 	_ = pause(ctx, a.learn)
 	return a.holder, a.holder != ""
 }
@@ -129,7 +129,7 @@
 		reader := NewReader(ledger.New(ctx, tardy{log, takes}, zap.NewNop()), peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
 		time.Sleep(ownReadTime)
 		// The first page tells what there is, and a later question of one text comes upon it.
-		_, err := reader.batches.Of("b").ReadPage(ctx)
+		_, err := reader.ledger.Of("b").ReadPage(ctx)
 		is.NoErr(err)
 		began := time.Now()
 		page, err := reader.Results(ctx, Query{BatchID: "b", After: 5})
@@ -147,13 +147,13 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		log := bulky(ctx, t, 1)
-		holder := NewReader(ledger.New(ctx, log, zap.NewNop()), nil, nil, journal.Grants{}, "h", zap.NewNop()).Service(ctx)
+		watcher := NewReader(ledger.New(ctx, log, zap.NewNop()), nil, nil, journal.Grants{}, "h", zap.NewNop()).Service(ctx)
 		blamed := false
 		peers := &alone{count: 4, learn: 550 * time.Millisecond, holder: identity.New("h", time.Now())}
 		peers.answer = func(ctx context.Context, asked, answer any) error {
 			done := make(chan error, 1)
 			var page Page
-			go func() { done <- holder.Results(asked.(Query), &page) }()
+			go func() { done <- watcher.Results(asked.(Query), &page) }()
 			select {
 			case err := <-done:
 				*answer.(*Page) = page
@@ -208,7 +208,7 @@
 					}
 					after = max(after, page.Next)
 				}
-				t.Logf("told after %v, %d refused, %d bytes read by the daemon", time.Since(began), refused, reader.batches.Of("b").ReadBytes())
+				t.Logf("told after %v, %d refused, %d bytes read by the daemon", time.Since(began), refused, reader.ledger.Of("b").ReadBytes())
 				is.True(time.Since(began) < 15*time.Second)
 			})
 		})
@@ -269,7 +269,7 @@
 		reader := NewReader(ledger.New(ctx, tardy{log, takesAtFirst(takes)}, zap.NewNop()), peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
 		reader.budget.adjust(time.Now())
 		time.Sleep(ownReadTime)
-		_, err := reader.batches.Of("b").ReadPage(ctx)
+		_, err := reader.ledger.Of("b").ReadPage(ctx)
 		is.NoErr(err)
 		began := time.Now()
 		page, err := reader.Results(ctx, Query{BatchID: "b", After: 5})
--- a/internal/batches/results/inquiry.go
+++ b/internal/batches/results/inquiry.go
@@ -18,7 +18,7 @@
 	// wayBudget: by reading what this daemon lacked, within its budget.
 	wayBudget way = "budget"
 	// wayHolder: by the daemon that watches the partition.
-	wayHolder way = "holder"
+	wayWatcher way = "holder"
 	// wayPaced: by reading the partition at the pace of the budget, as its holder did not
 	// answer.
 	wayPaced way = "paced"
@@ -29,8 +29,8 @@
 type Observer func(way string, answered bool, took time.Duration)
 
 // inquiry is what befalls one question, for its line in the log.
-type inquiry struct {
-	reader    *Reader
+type trace struct {
+	r         *Reader
 	batchID   string
 	partition *ledger.Partition
 	began     time.Time
@@ -42,43 +42,43 @@
 	missingKnown bool
 	// asked is what came of asking the holder, the zero value if it was not asked or has not
 	// answered.
-	asked search
+	call watcherCall
 }
 
 // search is what came of asking the holder of a partition.
-type search struct {
+type watcherCall struct {
 	// holder is the run that was asked, "" if it was not known, soughtFor how long it took to
 	// learn of it, and askedFor how long it was waited for.
-	holder              string
+	watcher             string
 	soughtFor, askedFor time.Duration
 	err                 error
 }
 
 // inquire begins the account of a question.
-func (r *Reader) inquire(batchID string, partition *ledger.Partition, wait time.Duration) *inquiry {
-	made := &inquiry{reader: r, batchID: batchID, partition: partition, began: time.Now(), wait: wait, way: wayFold}
-	made.missing, made.missingKnown = partition.Missing()
+func (r *Reader) startTrace(batchID string, partition *ledger.Partition, wait time.Duration) *trace {
+	t := &trace{r: r, batchID: batchID, partition: partition, began: time.Now(), wait: wait, way: wayFold}
+	t.missing, t.missingKnown = partition.Missing()
 	r.open.Add(1)
-	return made
+	return t
 }
 
 // waitLeft is how long the question may still be held on purpose.
-func (i *inquiry) waitLeft() time.Duration { return max(i.wait-time.Since(i.began), 0) }
+func (i *trace) waitLeft() time.Duration { return max(i.wait-time.Since(i.began), 0) }
 
 // end closes the account. A question that was not answered has a line.
-func (i *inquiry) end(err error) {
-	open := i.reader.open.Add(-1)
+func (i *trace) end(err error) {
+	open := i.r.open.Add(-1)
 	took := time.Since(i.began)
-	if i.reader.observe != nil {
-		i.reader.observe(string(i.way), err == nil, max(took-i.wait, 0))
+	if i.r.observe != nil {
+		i.r.observe(string(i.way), err == nil, max(took-i.wait, 0))
 	}
 	if err == nil {
 		return
 	}
 	left, leftKnown := i.partition.Missing()
-	i.reader.logger.Info("question not answered", zap.String("batch", i.batchID), zap.String("topic", i.partition.Name().Topic),
+	i.r.logger.Info("question not answered", zap.String("batch", i.batchID), zap.String("topic", i.partition.Name().Topic),
 		zap.Int("partition", i.partition.Name().Number), zap.String("way", string(i.way)), zap.Duration("hold", i.wait), zap.Duration("took", took),
 		zap.Int("missing", i.missing), zap.Bool("missing_known", i.missingKnown), zap.Int("missing_left", left), zap.Bool("missing_left_known", leftKnown),
-		zap.String("holder", i.asked.holder), zap.Duration("holder_sought", i.asked.soughtFor), zap.Duration("holder_asked", i.asked.askedFor), zap.NamedError("holder_error", i.asked.err),
-		zap.Int64("questions_open", open), zap.Int("budget", i.reader.budgetLeft()), zap.Error(err))
+		zap.String("holder", i.call.watcher), zap.Duration("holder_sought", i.call.soughtFor), zap.Duration("holder_asked", i.call.askedFor), zap.NamedError("holder_error", i.call.err),
+		zap.Int64("questions_open", open), zap.Int("budget", i.r.budgetLeft()), zap.Error(err))
 }
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -132,7 +132,7 @@
 		t.Logf("%d batches told after %v, %d MB read, %d questions whose holder did not answer", restartBatches, took, read>>20, unasked)
 		is.True(took < restartAnswered)
 		// Such a question costs a page at once, as it may have no other answer.
-		own := float64(read - restartBatches*restartBytes - unasked*d.readers[0].batches.PageBytes())
+		own := float64(read - restartBatches*restartBytes - unasked*d.readers[0].ledger.PageBytes())
 		is.True(own < ownReadShare*restartJournal*took.Seconds())
 	})
 }
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -47,9 +47,9 @@
 	catchUpTimeout = questiontime.Read
 	catchUpPause   = questiontime.RetryPause
 	refreshTimeout = questiontime.Refresh
-	holderWait     = questiontime.Search
-	holderPause    = questiontime.SearchPause
-	answerTimeout  = questiontime.Watcher
+	watcherWait    = questiontime.Search
+	watcherPause   = questiontime.SearchPause
+	watcherTimeout = questiontime.Watcher
 	answerWithin   = questiontime.Answer
 	hedgeAfter     = questiontime.OwnRead
 )
@@ -111,8 +111,8 @@
 }
 
 // Holders tells which run of a daemon watches a partition.
-type Holders interface {
-	OwnerOf(ctx context.Context, partition journal.Partition) (run string, known bool)
+type Watchers interface {
+	WatcherOf(ctx context.Context, partition journal.Partition) (run string, ok bool)
 }
 
 // Peers calls other daemons, named by their machines.
@@ -124,9 +124,9 @@
 
 // Reader answers questions about batches. It is safe for concurrent use.
 type Reader struct {
-	batches *ledger.Ledger
-	holders Holders
-	peers   Peers
+	ledger   *ledger.Ledger
+	watchers Watchers
+	peers    Peers
 	// budget is nil where this daemon always reads by itself.
 	budget *readBudget
 	self   string
@@ -143,13 +143,13 @@
 
 // NewReader returns a reader of the batches for the run named self. Without peers, nil,
 // it reads the journal itself, as it does where the journal's grants allow for it.
-func NewReader(batches *ledger.Ledger, holders Holders, peers Peers, grants journal.Grants, self string, logger *zap.Logger) *Reader {
-	made := &Reader{batches: batches, holders: holders, peers: peers, self: self, logger: logger, cold: make(chan struct{}, coldReads),
+func NewReader(batches *ledger.Ledger, watchers Watchers, peers Peers, grants journal.Grants, self string, logger *zap.Logger) *Reader {
+	r := &Reader{ledger: batches, watchers: watchers, peers: peers, self: self, logger: logger, cold: make(chan struct{}, coldReads),
 		lateReads: logging.NewEpisodes(logger, "own read is late, the holder is asked", "", "topics")}
 	if peers != nil && grants.ReadBytesPerSecond > 0 {
-		made.budget = newReadBudget(grants.ReadBytesPerSecond, peers.Daemons)
+		r.budget = newReadBudget(grants.ReadBytesPerSecond, peers.Daemons)
 	}
-	return made
+	return r
 }
 
 // SetObserver sets who is told of each question. It is called before any.
@@ -169,7 +169,7 @@
 			asked.Wait = wait
 			return r.resultsHere(ctx, asked)
 		},
-		ready: func() bool { return len(lookUp(r.batches.Of(query.BatchID), query).Results) > 0 },
+		ready: func() bool { return len(lookUp(r.ledger.Of(query.BatchID), query).Results) > 0 },
 	})
 }
 
@@ -177,22 +177,22 @@
 func (r *Reader) Item(ctx context.Context, query ItemQuery) (Body, error) {
 	return read(ctx, r, query.BatchID, methodItem, query, 0, local[Body]{
 		answer: func(ctx context.Context, _ time.Duration) (Body, error) { return r.itemHere(ctx, query) },
-		ready:  func() bool { return itemBody(r.batches.Of(query.BatchID), query).Found },
+		ready:  func() bool { return itemBody(r.ledger.Of(query.BatchID), query).Found },
 	})
 }
 
 // question is what a holder is asked.
 type question interface {
 	// held returns the question as one that may be held for wait.
-	held(wait time.Duration) any
+	polling(wait time.Duration) any
 }
 
-func (q Query) held(wait time.Duration) any {
+func (q Query) polling(wait time.Duration) any {
 	q.Wait = wait
 	return q
 }
 
-func (q ItemQuery) held(time.Duration) any { return q }
+func (q ItemQuery) polling(time.Duration) any { return q }
 
 // local is how a question is answered from this daemon's fold.
 type local[T any] struct {
@@ -207,26 +207,28 @@
 func read[T any](ctx context.Context, r *Reader, batchID, method string, asked question, wait time.Duration, here local[T]) (answer T, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+answerWithin)
 	defer cancel()
-	partition := r.batches.Of(batchID)
-	inquiry := r.inquire(batchID, partition, wait)
+	partition := r.ledger.Of(batchID)
+	inquiry := r.startTrace(batchID, partition, wait)
 	defer func() { inquiry.end(err) }()
 	if partition.Fresh() || r.budget == nil {
 		return here.answer(ctx, wait)
 	}
 	inquiry.way = wayBudget
-	own := begin(func() (T, error) { return readWithinBudget(ctx, r, partition, wait, here) })
+	own := async(func() (T, error) { return readWithinBudget(ctx, r, partition, wait, here) })
 	answer, err = own.await(r, inquiry)
 	if err == nil || ctx.Err() != nil {
 		return answer, err
 	}
-	inquiry.way = wayHolder
-	held := begin(func() (told[T], error) { return askWatcher[T](ctx, r, partition, method, asked, inquiry.waitLeft) })
+	inquiry.way = wayWatcher
+	held := async(func() (watcherReply[T], error) {
+		return askWatcher[T](ctx, r, partition, method, asked, inquiry.waitLeft)
+	})
 	firstOf(own, held)
 	if own.succeeded() {
 		inquiry.way = wayBudget
 		return own.answer, nil
 	}
-	inquiry.asked = held.answer.search
+	inquiry.call = held.answer.watcherCall
 	switch err = held.err; {
 	case err == nil:
 		if !own.ended() {
@@ -247,7 +249,7 @@
 	defer func() { <-r.cold }()
 	missing, _ := partition.Missing()
 	r.logger.Info("partition read for a question", zap.String("batch", batchID), zap.String("topic", partition.Name().Topic),
-		zap.Int("partition", partition.Name().Number), zap.String("holder", inquiry.asked.holder), zap.Int("missing", missing), zap.String("reason", err.Error()))
+		zap.Int("partition", partition.Name().Number), zap.String("holder", inquiry.call.watcher), zap.Int("missing", missing), zap.String("reason", err.Error()))
 	if err := r.readPaced(ctx, partition, here.ready); err != nil {
 		return answer, err
 	}
@@ -255,39 +257,39 @@
 }
 
 // told is the answer of a partition's holder, with how it came about.
-type told[T any] struct {
+type watcherReply[T any] struct {
 	answer T
-	search
+	watcherCall
 }
 
 // askWatcher looks for the run that watches a partition and has it answer a question. The error
 // is errSelf if that is this daemon.
-func askWatcher[T any](ctx context.Context, r *Reader, partition *ledger.Partition, method string, asked question, waitLeft func() time.Duration) (heard told[T], err error) {
+func askWatcher[T any](ctx context.Context, r *Reader, partition *ledger.Partition, method string, asked question, waitLeft func() time.Duration) (heard watcherReply[T], err error) {
 	began := time.Now()
-	holder, known := r.holder(ctx, partition.Name())
-	heard.holder, heard.soughtFor = holder, time.Since(began)
-	if known && holder == r.self {
+	watcher, ok := r.watcher(ctx, partition.Name())
+	heard.watcher, heard.soughtFor = watcher, time.Since(began)
+	if ok && watcher == r.self {
 		return heard, errSelf
 	}
 	began = time.Now()
 	wait := waitLeft()
-	heard.answer, heard.err = askHolder[T](ctx, r, holder, method, asked.held(wait), wait)
+	heard.answer, heard.err = callWatcher[T](ctx, r, watcher, method, asked.polling(wait), wait)
 	heard.askedFor = time.Since(began)
 	return heard, heard.err
 }
 
 // askHolder has the run that watches a partition answer a question, "" being none that
 // is known.
-func askHolder[T any](ctx context.Context, r *Reader, holder, method string, asked any, wait time.Duration) (answer T, err error) {
+func callWatcher[T any](ctx context.Context, r *Reader, watcher, method string, asked any, wait time.Duration) (answer T, err error) {
 	switch {
 	case ctx.Err() != nil:
 		return answer, errors.Wrap(ErrBehind, ctx.Err().Error())
-	case holder == "":
+	case watcher == "":
 		return answer, errors.Wrap(ErrBehind, "not known who watches the partition")
 	}
-	bounded, cancel := context.WithTimeout(ctx, wait+answerTimeout)
+	bounded, cancel := context.WithTimeout(ctx, wait+watcherTimeout)
 	defer cancel()
-	if err := r.peers.Ask(bounded, identity.Machine(holder), method, asked, &answer); err != nil {
+	if err := r.peers.Ask(bounded, identity.Machine(watcher), method, asked, &answer); err != nil {
 		return answer, errors.Wrap(ErrBehind, err.Error())
 	}
 	return answer, nil
@@ -309,16 +311,16 @@
 
 // holder returns the run that watches a partition. Just after a start it waits a little
 // until that is known.
-func (r *Reader) holder(ctx context.Context, name journal.Partition) (string, bool) {
+func (r *Reader) watcher(ctx context.Context, name journal.Partition) (string, bool) {
 	for began := time.Now(); ; {
-		run, known := r.holders.OwnerOf(ctx, name)
-		if known || time.Since(began) > holderWait {
-			return run, known
+		run, ok := r.watchers.WatcherOf(ctx, name)
+		if ok || time.Since(began) > watcherWait {
+			return run, ok
 		}
 		select {
 		case <-ctx.Done():
 			return "", false
-		case <-time.After(holderPause):
+		case <-time.After(watcherPause):
 		}
 	}
 }
@@ -327,7 +329,7 @@
 // only after a read of the journal that was begun after the question came.
 func (r *Reader) resultsHere(ctx context.Context, query Query) (Page, error) {
 	began := time.Now()
-	partition := r.batches.Of(query.BatchID)
+	partition := r.ledger.Of(query.BatchID)
 	seen := lookUp(partition, query)
 	switch {
 	case len(seen.Results) == 0:
@@ -361,7 +363,7 @@
 
 // itemHere answers from the fold of this daemon.
 func (r *Reader) itemHere(ctx context.Context, query ItemQuery) (Body, error) {
-	partition := r.batches.Of(query.BatchID)
+	partition := r.ledger.Of(query.BatchID)
 	if body := itemBody(partition, query); body.Found {
 		return body, nil
 	}
@@ -377,9 +379,9 @@
 // mayDeny returns an error where the fold does not know a batch although it may exist:
 // its records may have been removed before this daemon read them, while others did.
 func mayDeny(partition *ledger.Partition, batchID string) error {
-	known := false
-	partition.View(func(state *batch.State) { _, known = state.Get(batchID) })
-	if !known && partition.Missed() {
+	ok := false
+	partition.View(func(state *batch.State) { _, ok = state.Get(batchID) })
+	if !ok && partition.Missed() {
 		return errors.Wrap(ErrBehind, "the partition's oldest records are gone")
 	}
 	return nil
@@ -455,17 +457,17 @@
 func lookUp(partition *ledger.Partition, query Query) Page {
 	var seen Page
 	partition.View(func(state *batch.State) {
-		known, found := state.Get(query.BatchID)
-		if !found || !known.BelongsTo(query.Tenant) {
+		b, ok := state.Get(query.BatchID)
+		if !ok || !b.BelongsTo(query.Tenant) {
 			return
 		}
 		seen.Found = true
-		seen.Total = known.Total()
+		seen.Total = b.Total()
 		seen.Next = query.After
-		seen.Round = query.Samples.round(known)
+		seen.Round = query.Samples.round(b)
 		size := 0
-		for position := query.After; position < len(known.Results); position++ {
-			result, item := known.Results[position], &known.Items[known.Results[position].Item]
+		for position := query.After; position < len(b.Results); position++ {
+			result, item := b.Results[position], &b.Items[b.Results[position].Item]
 			if query.Samples.want(item.ID) {
 				size += len(result.Text)
 				if len(seen.Results) > 0 && (size > cmp.Or(query.most, pageBytes) || query.Samples.full(len(seen.Results))) {
@@ -483,11 +485,11 @@
 // itemBody returns the body of an item of an open batch.
 func itemBody(partition *ledger.Partition, query ItemQuery) (body Body) {
 	partition.View(func(state *batch.State) {
-		known, exists := state.Get(query.BatchID)
-		if !exists || !known.BelongsTo(query.Tenant) || known.Ended {
+		b, ok := state.Get(query.BatchID)
+		if !ok || !b.BelongsTo(query.Tenant) || b.Ended {
 			return
 		}
-		for _, each := range known.Items {
+		for _, each := range b.Items {
 			if each.ID == query.ItemID {
 				body = Body{Found: true, Bytes: each.Body}
 				return
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// daemons are some readers over one journal. They implement Holders and Peers.
+// daemons are some readers over one journal. They implement Watchers and Peers.
 type daemons struct {
 	log     *journaltest.Journal
 	runs    []string
@@ -55,15 +55,15 @@
 }
 
 func newDaemons(ctx context.Context, count int) *daemons {
-	made := &daemons{log: journaltest.New(), dark: map[string]bool{}}
+	d := &daemons{log: journaltest.New(), dark: map[string]bool{}}
 	for i := range count {
 		run := identity.New(fmt.Sprintf("m%d", i), time.Now())
-		batches := ledger.New(ctx, made.log, zap.NewNop())
-		made.runs = append(made.runs, run)
-		made.ledgers = append(made.ledgers, batches)
-		made.readers = append(made.readers, NewReader(batches, made, made, scarce, run, zap.NewNop()))
+		batches := ledger.New(ctx, d.log, zap.NewNop())
+		d.runs = append(d.runs, run)
+		d.ledgers = append(d.ledgers, batches)
+		d.readers = append(d.readers, NewReader(batches, d, d, scarce, run, zap.NewNop()))
 	}
-	return made
+	return d
 }
 
 func (d *daemons) hold(daemon int) {
@@ -78,8 +78,8 @@
 // scarce is too little for any number of daemons to read partitions by themselves.
 var scarce = journal.Grants{ReadBytesPerSecond: 1}
 
-// OwnerOf implements Holders.
-func (d *daemons) OwnerOf(_ context.Context, partition journal.Partition) (string, bool) {
+// WatcherOf implements Watchers.
+func (d *daemons) WatcherOf(_ context.Context, partition journal.Partition) (string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.dealt != nil {
@@ -180,7 +180,7 @@
 
 // With the holder dark or not known, a question is answered from the journal.
 func TestQuestionsAreAnsweredWithoutTheHolder(t *testing.T) {
-	for name, holder := range map[string]int{"dark": 1, "not known": -1} {
+	for name, watcher := range map[string]int{"dark": 1, "not known": -1} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -188,13 +188,13 @@
 				defer cancel()
 				d := newDaemons(ctx, 3)
 				d.accept(t, "b", 2)
-				d.hold(holder)
+				d.hold(watcher)
 				d.dark["m1"] = true
 				began := time.Now()
 				page, err := d.readers[2].Results(ctx, Query{BatchID: "b"})
 				is.NoErr(err)
 				is.True(page.Found)
-				is.True(time.Since(began) <= answerTimeout+holderPause)
+				is.True(time.Since(began) <= watcherTimeout+watcherPause)
 				page, err = d.readers[2].Results(ctx, Query{BatchID: "other"})
 				is.NoErr(err)
 				is.True(!page.Found)
@@ -431,7 +431,7 @@
 		is.Equal(told["batch"], "b")
 		is.Equal(told["way"], "paced")
 		is.Equal(told["holder"], d.runs[0])
-		is.Equal(told["holder_asked"], answerTimeout)
+		is.Equal(told["holder_asked"], watcherTimeout)
 		is.Equal(told["missing_known"], false)
 		is.Equal(ways, []string{"pacedfalse"})
 	})
--- a/internal/batches/results/samples.go
+++ b/internal/batches/results/samples.go
@@ -55,25 +55,25 @@
 	if s == nil {
 		return Round{}
 	}
-	told := Round{Path: job.Path}
+	round := Round{Path: job.Path}
 	if !s.Further {
-		return told
+		return round
 	}
 	for i := range job.Items {
 		if sample, ours := rollout.SampleOf(job.Items[i].ID); ours {
-			told.Makes = append(told.Makes, sample)
+			round.Makes = append(round.Makes, sample)
 		}
 	}
-	return told
+	return round
 }
 
 // result returns what is told of a result.
 func (s *Samples) result(item *batch.Item, result batch.Result) Result {
-	told := Result{ItemID: item.ID, Result: result}
+	res := Result{ItemID: item.ID, Result: result}
 	if s != nil {
-		told.Group, told.body = item.Group, item.Body
+		res.Group, res.body = item.Group, item.Body
 	}
-	return told
+	return res
 }
 
 // readSeeds reads the results' seeds off the bodies of their items.
@@ -99,7 +99,7 @@
 	most int
 }
 
-func (q ItemsQuery) held(time.Duration) any { return q }
+func (q ItemsQuery) polling(time.Duration) any { return q }
 
 // Items are the first of the items asked for, at least one of a batch that is open.
 type Items struct {
@@ -120,7 +120,7 @@
 // itemsHere answers from the fold of this daemon, after a read of the journal that is begun
 // after the question came.
 func (r *Reader) itemsHere(ctx context.Context, query ItemsQuery) (Items, error) {
-	partition := r.batches.Of(query.BatchID)
+	partition := r.ledger.Of(query.BatchID)
 	if err := catchUp(ctx, partition); err != nil {
 		return Items{}, err
 	}
@@ -131,26 +131,26 @@
 }
 
 // itemsOf returns the items that the fold holds.
-func itemsOf(partition *ledger.Partition, query ItemsQuery) (told Items) {
+func itemsOf(partition *ledger.Partition, query ItemsQuery) (items Items) {
 	partition.View(func(state *batch.State) {
-		known, found := state.Get(query.BatchID)
-		if !found {
+		b, ok := state.Get(query.BatchID)
+		if !ok {
 			return
 		}
-		told.Found, told.Ended = true, known.Ended
+		items.Found, items.Ended = true, b.Ended
 		size := 0
 		for _, place := range query.Places {
-			if known.Ended || place < 0 || place >= len(known.Items) {
+			if b.Ended || place < 0 || place >= len(b.Items) {
 				return
 			}
-			size += len(known.Items[place].Body)
-			if len(told.Items) > 0 && size > cmp.Or(query.most, pageBytes) {
+			size += len(b.Items[place].Body)
+			if len(items.Items) > 0 && size > cmp.Or(query.most, pageBytes) {
 				return
 			}
-			told.Items = append(told.Items, known.Items[place])
+			items.Items = append(items.Items, b.Items[place])
 		}
 	})
-	return told
+	return items
 }
 
 // Samples answers a query for samples. It is exported for net/rpc.
--- a/internal/batches/results/service.go
+++ b/internal/batches/results/service.go
@@ -51,9 +51,9 @@
 }
 
 // Beginning answers where a batch begins. It is exported for net/rpc.
-func (s *Service) Beginning(query BeginningQuery, told *Beginning) (err error) {
+func (s *Service) Beginning(query BeginningQuery, beginning *Beginning) (err error) {
 	ctx, cancel := context.WithTimeout(s.ctx, catchUpTimeout)
 	defer cancel()
-	*told, err = s.reader.beginningHere(ctx, query)
+	*beginning, err = s.reader.beginningHere(ctx, query)
 	return err
 }
--- a/internal/batches/results/share.go
+++ b/internal/batches/results/share.go
@@ -21,27 +21,27 @@
 // that go by the grant then ask for more than comes, each read is given up before its end, and
 // nobody learns anything however long they ask: with a journal that carries a quarter of its
 // grant, 68 of 72 callers had no answer in 15 s after a start of all, with shares all had (virtual time).
-type share struct {
+type bandwidthShare struct {
 	mu     sync.Mutex
 	part   float64
 	at     time.Time
 	halved time.Time
 }
 
-func newShare(now time.Time) *share { return &share{part: 1, at: now} }
+func newBandwidthShare(now time.Time) *bandwidthShare { return &bandwidthShare{part: 1, at: now} }
 
 // now returns the part, up to 1. What it regains between two halvings keeps it above 0.
-func (s *share) now(now time.Time) float64 {
+func (s *bandwidthShare) now(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rise(now)
+	return s.update(now)
 }
 
 // late halves the part as a read is late.
-func (s *share) late(now time.Time) {
+func (s *bandwidthShare) late(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rise(now)
+	s.update(now)
 	if now.Sub(s.halved) < lateRest {
 		return
 	}
@@ -49,14 +49,14 @@
 }
 
 // wasLate reports whether a read was late a moment ago.
-func (s *share) wasLate(now time.Time) bool {
+func (s *bandwidthShare) wasLate(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.halved.IsZero() && now.Sub(s.halved) < ownReadTime
 }
 
 // rise brings the part up to date. The mutex is held.
-func (s *share) rise(now time.Time) float64 {
+func (s *bandwidthShare) update(now time.Time) float64 {
 	if now.After(s.at) {
 		s.part = min(s.part+now.Sub(s.at).Seconds()/recoverTime.Seconds(), 1)
 		s.at = now
--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -34,7 +34,7 @@
 // Dealt tells who has a partition of the group.
 type Dealt interface {
 	Partitions() map[journal.Partition]bool
-	OwnerOf(ctx context.Context, partition journal.Partition) (string, bool)
+	WatcherOf(ctx context.Context, partition journal.Partition) (string, bool)
 }
 
 // Assigner chooses the owners of new batches and hears of those assigned here.
@@ -62,7 +62,7 @@
 
 // Choose returns the daemon that should own a batch.
 func (assigner *Assigner) Choose(ctx context.Context, submission *batch.Submission) string {
-	owner, known := assigner.dealt.OwnerOf(ctx, assigner.partitionOf(submission))
+	owner, known := assigner.dealt.WatcherOf(ctx, assigner.partitionOf(submission))
 	if !known {
 		return assigner.self
 	}
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -75,7 +75,7 @@
 // knownHolder is a group whose partitions are known to be all one daemon's.
 type knownHolder string
 
-func (k knownHolder) OwnerOf(context.Context, journal.Partition) (string, bool) {
+func (k knownHolder) WatcherOf(context.Context, journal.Partition) (string, bool) {
 	return string(k), true
 }
 
@@ -102,7 +102,7 @@
 	time.Sleep(10 * time.Second)
 	peers := oneHolder{results.NewReader(held, knownHolder(holder), nil, log.Grants(), holder, logger)}
 	locator := func(self string, batches *ledger.Ledger) Locator {
-		var holders results.Holders = knownHolder(holder)
+		var holders results.Watchers = knownHolder(holder)
 		if groupTells {
 			holders = group.New(slow, self, ledger.TopicNames(), logger)
 		}
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -30,7 +30,7 @@
 
 func (dealtTo) Partitions() map[journal.Partition]bool { return nil }
 
-func (d dealtTo) OwnerOf(context.Context, journal.Partition) (string, bool) { return string(d), true }
+func (d dealtTo) WatcherOf(context.Context, journal.Partition) (string, bool) { return string(d), true }
 
 // newAccepter is a daemon "b/1" whose batches the group gives to another one.
 func newAccepter(ctx context.Context, log journal.Journal, owner string) *Runner {
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -33,9 +33,9 @@
 // dealtEngines returns the identities of the daemons that may be given batches, or the lease
 // for orders to engines.
 func (node *Node) dealtEngines(ctx context.Context) []string {
-	dealt := node.member.OwnersOf(ctx, runner.RunnersTopic)
+	dealt := node.member.WatchersOf(ctx, runner.RunnersTopic)
 	for _, partition := range candidacies(node.partitions) {
-		if owner, known := node.member.OwnerOf(ctx, partition); known && !slices.Contains(dealt, owner) {
+		if owner, known := node.member.WatcherOf(ctx, partition); known && !slices.Contains(dealt, owner) {
 			dealt = append(dealt, owner)
 		}
 	}
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -73,36 +73,36 @@
 
 // SetPace sets the least time between two reads; there is none before. It is called
 // before Run.
-func (follower *KeyedFollower) SetPace(pace Pace) { follower.pace = pace }
+func (f *KeyedFollower) SetPace(pace Pace) { f.pace = pace }
 
 // Synced reports whether a full read has ever succeeded.
-func (follower *KeyedFollower) Synced() bool { return follower.synced.Load() }
+func (f *KeyedFollower) Synced() bool { return f.synced.Load() }
 
 // SetClock sets the clock by which Silence goes. It is called before Run.
-func (follower *KeyedFollower) SetClock(now bootclock.Clock) { follower.lastContact = NewContact(now) }
+func (f *KeyedFollower) SetClock(now bootclock.Clock) { f.lastContact = NewContact(now) }
 
 // Silence is how long ago the last read was answered.
-func (follower *KeyedFollower) Silence() time.Duration { return follower.lastContact.Silence() }
+func (f *KeyedFollower) Silence() time.Duration { return f.lastContact.Silence() }
 
 // Run follows the partition until the context ends.
-func (follower *KeyedFollower) Run(ctx context.Context) {
+func (f *KeyedFollower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		next, err := follower.readFully(ctx)
+		next, err := f.readFully(ctx)
 		if err != nil {
-			follower.noteFailure(ctx, began, err)
+			f.noteFailure(ctx, began, err)
 			continue
 		}
-		follower.follow(ctx, next)
+		f.follow(ctx, next)
 	}
 }
 
-func (follower *KeyedFollower) readFully(ctx context.Context) (int64, error) {
+func (f *KeyedFollower) readFully(ctx context.Context) (int64, error) {
 	var records []KeyedRecord
 	var next int64
 	afterKey := ""
 	for first := true; ; first = false {
-		page, err := follower.newestPage(ctx, afterKey)
+		page, err := f.newestPage(ctx, afterKey)
 		if err != nil {
 			return 0, err
 		}
@@ -115,93 +115,93 @@
 		}
 		afterKey = page.Records[len(page.Records)-1].Key
 	}
-	follower.noteContact()
-	follower.handler.Reset(records)
-	follower.synced.Store(true)
-	follower.logger.Info("full read", zap.Int("keys", len(records)), zap.Int64("next", next))
+	f.noteContact()
+	f.handler.Reset(records)
+	f.synced.Store(true)
+	f.logger.Info("full read", zap.Int("keys", len(records)), zap.Int64("next", next))
 	return next, nil
 }
 
-func (follower *KeyedFollower) newestPage(ctx context.Context, afterKey string) (KeyedPage, error) {
-	bounded, cancel := context.WithTimeout(ctx, follower.wait+follower.slack)
+func (f *KeyedFollower) newestPage(ctx context.Context, afterKey string) (KeyedPage, error) {
+	bounded, cancel := context.WithTimeout(ctx, f.wait+f.slack)
 	defer cancel()
-	return follower.journal.Newest(bounded, follower.partition, afterKey)
+	return f.journal.Newest(bounded, f.partition, afterKey)
 }
 
 // follow reads records from an offset on until they are trimmed.
-func (follower *KeyedFollower) follow(ctx context.Context, next int64) {
+func (f *KeyedFollower) follow(ctx context.Context, next int64) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		read, err := follower.readOnce(ctx, next)
+		read, err := f.readOnce(ctx, next)
 		if errors.Is(err, ErrTrimmed) {
-			follower.logger.Warn("records trimmed, reading fully", zap.Int64("offset", next))
+			f.logger.Warn("records trimmed, reading fully", zap.Int64("offset", next))
 			return
 		}
 		if err != nil {
-			follower.noteFailure(ctx, began, err)
+			f.noteFailure(ctx, began, err)
 			continue
 		}
-		follower.noteContact()
+		f.noteContact()
 		if read.End < next {
-			follower.logger.Warn("partition is shorter than was read, reading fully", zap.Int64("offset", next), zap.Int64("end", read.End))
+			f.logger.Warn("partition is shorter than was read, reading fully", zap.Int64("offset", next), zap.Int64("end", read.End))
 			return
 		}
 		for _, record := range read.Records {
-			keyed, err := follower.journal.SplitKeyed(record)
+			keyed, err := f.journal.SplitKeyed(record)
 			if err != nil {
-				follower.logger.Warn("malformed record passed over", zap.Int64("offset", next), zap.Error(err))
+				f.logger.Warn("malformed record passed over", zap.Int64("offset", next), zap.Error(err))
 			} else {
 				keyed.Offset = next
-				follower.handler.Apply(keyed)
+				f.handler.Apply(keyed)
 			}
 			next++
 		}
-		if rest := min(follower.pace(), follower.mostPace) - time.Since(began); rest > 0 {
+		if rest := min(f.pace(), f.mostPace) - time.Since(began); rest > 0 {
 			periodic.Pause(ctx, rest)
 		}
 	}
 }
 
-func (follower *KeyedFollower) readOnce(ctx context.Context, from int64) (Records, error) {
-	bounded, cancel := context.WithTimeout(ctx, follower.wait+follower.slack)
+func (f *KeyedFollower) readOnce(ctx context.Context, from int64) (Records, error) {
+	bounded, cancel := context.WithTimeout(ctx, f.wait+f.slack)
 	defer cancel()
-	return follower.journal.Read(bounded, Read{Partition: follower.partition, From: from, Wait: follower.wait})
+	return f.journal.Read(bounded, Read{Partition: f.partition, From: from, Wait: f.wait})
 }
 
-func (follower *KeyedFollower) noteContact() {
-	follower.lastContact.Note()
-	if follower.outage.told {
-		follower.logger.Info("dependency regained", zap.Duration("after", time.Since(follower.outage.since)), zap.Int("failures", follower.outage.failures))
+func (f *KeyedFollower) noteContact() {
+	f.lastContact.Note()
+	if f.outage.told {
+		f.logger.Info("dependency regained", zap.Duration("after", time.Since(f.outage.since)), zap.Int("failures", f.outage.failures))
 	}
-	follower.outage = outage{}
+	f.outage = outage{}
 }
 
 // noteFailure logs a row of failures once it is long enough, and pauses. Began is when
 // the failed read did.
-func (follower *KeyedFollower) noteFailure(ctx context.Context, began time.Time, err error) {
+func (f *KeyedFollower) noteFailure(ctx context.Context, began time.Time, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	row := &follower.outage
+	row := &f.outage
 	if row.failures == 0 {
 		row.since = began
 	}
 	row.failures++
 	if !row.told && time.Since(row.since) >= lostAfter {
 		row.told = true
-		follower.logger.Warn("dependency lost", zap.Int("failures", row.failures), zap.Duration("for", time.Since(row.since)), zap.Error(err))
+		f.logger.Warn("dependency lost", zap.Int("failures", row.failures), zap.Duration("for", time.Since(row.since)), zap.Error(err))
 	}
-	periodic.Pause(ctx, follower.pauseAfter(err))
+	periodic.Pause(ctx, f.pauseAfter(err))
 }
 
 // pauseAfter returns how long to wait after a failed read.
-func (follower *KeyedFollower) pauseAfter(err error) time.Duration {
+func (f *KeyedFollower) pauseAfter(err error) time.Duration {
 	var throttled *ThrottledError
 	if !errors.As(err, &throttled) {
-		follower.outage.throttled = 0
+		f.outage.throttled = 0
 		return followPause
 	}
-	pause := throttledPause << min(follower.outage.throttled, maxDoublings)
-	follower.outage.throttled++
-	return jittered(min(pause, follower.mostPace))
+	pause := throttledPause << min(f.outage.throttled, maxDoublings)
+	f.outage.throttled++
+	return jittered(min(pause, f.mostPace))
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -33,24 +33,24 @@
 type TrimmedError struct{ First int64 }
 
 // Error implements error.
-func (trimmed *TrimmedError) Error() string {
-	return "journal: offset trimmed, the first kept is " + strconv.FormatInt(trimmed.First, 10)
+func (e *TrimmedError) Error() string {
+	return "journal: offset trimmed, the first kept is " + strconv.FormatInt(e.First, 10)
 }
 
 // Unwrap makes the error an ErrTrimmed.
-func (trimmed *TrimmedError) Unwrap() error { return ErrTrimmed }
+func (e *TrimmedError) Unwrap() error { return ErrTrimmed }
 
 // UnavailableError says that the journal could not be reached, or refused to serve this
 // caller: the call had no effect. It is an ErrNotDone.
 type UnavailableError struct{ Reason string }
 
 // Error implements error.
-func (unavailable *UnavailableError) Error() string {
-	return "journal: unavailable: " + unavailable.Reason
+func (e *UnavailableError) Error() string {
+	return "journal: unavailable: " + e.Reason
 }
 
 // Unwrap makes the error an ErrNotDone.
-func (unavailable *UnavailableError) Unwrap() error { return ErrNotDone }
+func (e *UnavailableError) Unwrap() error { return ErrNotDone }
 
 // ThrottledError says that the journal refused the call as more calls came than it
 // grants: the call had no effect, and the same call made again at once makes it worse.
@@ -58,12 +58,12 @@
 type ThrottledError struct{ Reason string }
 
 // Error implements error.
-func (throttled *ThrottledError) Error() string {
-	return "journal: throttled: " + throttled.Reason
+func (e *ThrottledError) Error() string {
+	return "journal: throttled: " + e.Reason
 }
 
 // Unwrap makes the error an ErrNotDone.
-func (throttled *ThrottledError) Unwrap() error { return ErrNotDone }
+func (e *ThrottledError) Unwrap() error { return ErrNotDone }
 
 // Partition names one partition.
 type Partition struct {
--- a/internal/journal/logservice/handler.go
+++ b/internal/journal/logservice/handler.go
@@ -32,18 +32,18 @@
 	case callRead:
 		answer(w, r, body, j.Read)
 	case callNewest:
-		answer(w, r, body, func(ctx context.Context, asked newestRequest) (journal.KeyedPage, error) {
-			return j.Newest(ctx, asked.Partition, asked.AfterKey)
+		answer(w, r, body, func(ctx context.Context, req newestRequest) (journal.KeyedPage, error) {
+			return j.Newest(ctx, req.Partition, req.AfterKey)
 		})
 	case callJoin:
 		answer(w, r, body, j.Join)
 	case callLeave:
-		answer(w, r, body, func(ctx context.Context, asked memberRequest) (none, error) {
-			return none{}, j.Leave(ctx, asked.Group, asked.Member)
+		answer(w, r, body, func(ctx context.Context, req memberRequest) (none, error) {
+			return none{}, j.Leave(ctx, req.Group, req.Member)
 		})
 	case callOwners:
-		answer(w, r, body, func(ctx context.Context, asked memberRequest) ([]journal.Ownership, error) {
-			return j.Owners(ctx, asked.Group)
+		answer(w, r, body, func(ctx context.Context, req memberRequest) ([]journal.Ownership, error) {
+			return j.Owners(ctx, req.Group)
 		})
 	default:
 		http.NotFound(w, r)
@@ -53,12 +53,12 @@
 // answer decodes a call, does it and writes what came of it. A call whose
 // outcome is unknown gets no answer: the connection is cut.
 func answer[Request, Answer any](w http.ResponseWriter, r *http.Request, body []byte, do func(context.Context, Request) (Answer, error)) {
-	var asked Request
-	if err := cbor.Unmarshal(body, &asked); err != nil {
+	var req Request
+	if err := cbor.Unmarshal(body, &req); err != nil {
 		write(w, http.StatusBadRequest, refusal{Reason: reasonNotDone, Text: "body: " + err.Error()})
 		return
 	}
-	done, err := do(r.Context(), asked)
+	done, err := do(r.Context(), req)
 	if err == nil {
 		write(w, http.StatusOK, done)
 		return
--- a/internal/journal/observe.go
+++ b/internal/journal/observe.go
@@ -22,8 +22,8 @@
 	return &Observed{Journal: log, observe: observe}
 }
 
-func (observed *Observed) done(call string, began time.Time, err error) {
-	observed.observe(call, outcomeOf(err), time.Since(began))
+func (o *Observed) done(call string, began time.Time, err error) {
+	o.observe(call, outcomeOf(err), time.Since(began))
 }
 
 // outcomeOf names what an error says of a call.
@@ -46,38 +46,38 @@
 }
 
 // Append implements Journal.
-func (observed *Observed) Append(ctx context.Context, request Append) (Appended, error) {
+func (o *Observed) Append(ctx context.Context, request Append) (Appended, error) {
 	began := time.Now()
-	appended, err := observed.Journal.Append(ctx, request)
-	observed.done("append", began, err)
+	appended, err := o.Journal.Append(ctx, request)
+	o.done("append", began, err)
 	return appended, err
 }
 
 // Read implements Journal. Held reads are a kind of their own, as their time
 // says nothing of the journal.
-func (observed *Observed) Read(ctx context.Context, request Read) (Records, error) {
+func (o *Observed) Read(ctx context.Context, request Read) (Records, error) {
 	began := time.Now()
-	read, err := observed.Journal.Read(ctx, request)
+	read, err := o.Journal.Read(ctx, request)
 	call := "read"
 	if request.Wait > 0 {
 		call = "held read"
 	}
-	observed.done(call, began, err)
+	o.done(call, began, err)
 	return read, err
 }
 
 // Newest implements Journal.
-func (observed *Observed) Newest(ctx context.Context, partition Partition, afterKey string) (KeyedPage, error) {
+func (o *Observed) Newest(ctx context.Context, partition Partition, afterKey string) (KeyedPage, error) {
 	began := time.Now()
-	page, err := observed.Journal.Newest(ctx, partition, afterKey)
-	observed.done("newest", began, err)
+	page, err := o.Journal.Newest(ctx, partition, afterKey)
+	o.done("newest", began, err)
 	return page, err
 }
 
 // Join implements Journal.
-func (observed *Observed) Join(ctx context.Context, request Join) (Assignment, error) {
+func (o *Observed) Join(ctx context.Context, request Join) (Assignment, error) {
 	began := time.Now()
-	assignment, err := observed.Journal.Join(ctx, request)
-	observed.done("join", began, err)
+	assignment, err := o.Journal.Join(ctx, request)
+	o.done("join", began, err)
 	return assignment, err
 }
--- a/internal/journal/relay/direct.go
+++ b/internal/journal/relay/direct.go
@@ -37,8 +37,8 @@
 	j.peers.mu.Lock()
 	defer j.peers.mu.Unlock()
 	var names []string
-	for name, each := range j.peers.known {
-		if each.Zone == j.options.Zone {
+	for name, other := range j.peers.known {
+		if other.Zone == j.options.Zone {
 			names = append(names, name)
 		}
 	}
@@ -53,12 +53,12 @@
 // for the answer until the context ends. A peer that could not be reached or did not
 // answer is left alone for a while: until then calls to it fail with ErrNotReached at once.
 // After an error the answer must not be read, as a late one may still be written to it.
-func (j *Journal) Ask(ctx context.Context, machine, method string, asked, answer any) error {
-	known := j.peers.available(machine)
-	if known == nil {
+func (j *Journal) Ask(ctx context.Context, machine, method string, args, answer any) error {
+	other := j.peers.available(machine)
+	if other == nil {
 		return errors.Wrapf(ErrNotReached, "%q is not known, or did not answer a moment ago", machine)
 	}
-	err := known.ask(ctx, j.peers.dial, method, asked, answer)
+	err := other.ask(ctx, j.peers.dial, method, args, answer)
 	var refused rpc.ServerError
 	switch {
 	case err == nil:
--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -51,11 +51,11 @@
 
 // begin notes a call that may be held for wait.
 func (p *path) begin(now time.Time, wait time.Duration) *expectation {
-	made := &expectation{by: now.Add(wait)}
+	e := &expectation{by: now.Add(wait)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expected[made] = struct{}{}
-	return made
+	p.expected[e] = struct{}{}
+	return e
 }
 
 // end takes the outcome of a call into account. It returns true if the path is back
@@ -121,8 +121,8 @@
 	if now.Sub(p.answered) <= overdueAfter {
 		return false
 	}
-	for each := range p.expected {
-		if now.Sub(each.by) > overdueAfter {
+	for e := range p.expected {
+		if now.Sub(e.by) > overdueAfter {
 			return true
 		}
 	}
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -133,18 +133,18 @@
 // Apply implements journal.KeyedHandler. A daemon that started anew at the same
 // address keeps its place.
 func (p *peers) Apply(record journal.KeyedRecord) {
-	made := &peer{}
+	other := &peer{}
 	if record.Key == p.options.Name || len(record.Value) == 0 {
 		return
 	}
-	if err := cbor.Unmarshal(record.Value, made); err != nil {
+	if err := cbor.Unmarshal(record.Value, other); err != nil {
 		p.logger.Warn("peer not understood", zap.String("peer", record.Key), zap.Error(err))
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if before := p.known[record.Key]; before == nil || before.Address != made.Address {
-		p.known[record.Key] = made
+	if before := p.known[record.Key]; before == nil || before.Address != other.Address {
+		p.known[record.Key] = other
 	}
 }
 
@@ -174,13 +174,13 @@
 	}
 	var names []string
 	rank := map[string]float64{}
-	for name, each := range p.known {
-		if each.resting(now) {
+	for name, other := range p.known {
+		if other.resting(now) {
 			continue
 		}
 		names = append(names, name)
 		rank[name] = rand.Float64()
-		if each.Zone != p.options.Zone {
+		if other.Zone != p.options.Zone {
 			rank[name]++
 		}
 		if name == p.current {
@@ -193,11 +193,11 @@
 
 // available returns a peer that may be asked now, or nil.
 func (p *peers) available(name string) *peer {
-	known := p.get(name)
-	if known == nil || known.resting(time.Now()) {
+	other := p.get(name)
+	if other == nil || other.resting(time.Now()) {
 		return nil
 	}
-	return known
+	return other
 }
 
 func (p *peers) get(name string) *peer {
@@ -213,14 +213,14 @@
 	if deadline, bounded := ctx.Deadline(); bounded {
 		call.Within = min(call.Within, time.Until(deadline))
 	}
-	asked, err := encode(call)
+	msg, err := encode(call)
 	if err != nil {
 		return reply{}, errors.Wrap(errNoPeer, err.Error())
 	}
 	bounded, cancel := context.WithTimeout(ctx, call.Within)
 	defer cancel()
 	for _, name := range p.candidates(time.Now()) {
-		told, err := p.get(name).relay(bounded, p.dial, asked)
+		answer, err := p.get(name).relay(bounded, p.dial, msg)
 		switch {
 		case errors.Is(err, errNoPeer):
 			p.turnFrom(name, brokenRest, "not reached", err)
@@ -231,27 +231,27 @@
 		case err != nil:
 			p.turnFrom(name, silentRest, "no answer", err)
 			return reply{}, errors.Wrap(journal.ErrUnknown, err.Error())
-		case told.Outcome == outcomeLost:
+		case answer.Outcome == outcomeLost:
 			p.turnFrom(name, lostRest, "has lost the journal as well", nil)
 			continue
 		}
 		p.mu.Lock()
 		p.current = name
 		p.mu.Unlock()
-		return told, told.err()
+		return answer, answer.err()
 	}
 	return reply{}, errors.Wrap(errNoPeer, "none left to ask")
 }
 
 // turnFrom leaves a peer alone for a while.
 func (p *peers) turnFrom(name string, rest time.Duration, reason string, cause error) {
-	each := p.get(name)
-	if each == nil {
+	other := p.get(name)
+	if other == nil {
 		return
 	}
-	each.mu.Lock()
-	each.restUntil = time.Now().Add(rest)
-	each.mu.Unlock()
+	other.mu.Lock()
+	other.restUntil = time.Now().Add(rest)
+	other.mu.Unlock()
 	p.mu.Lock()
 	if p.current == name {
 		p.current = ""
@@ -265,25 +265,25 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, each := range p.known {
-		each.mu.Lock()
-		each.closed = true
-		each.mu.Unlock()
-		each.drop()
+	for _, other := range p.known {
+		other.mu.Lock()
+		other.closed = true
+		other.mu.Unlock()
+		other.drop()
 	}
 }
 
-func (each *peer) resting(now time.Time) bool {
-	each.mu.Lock()
-	defer each.mu.Unlock()
-	return now.Before(each.restUntil)
+func (p *peer) resting(now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return now.Before(p.restUntil)
 }
 
 // relay has a peer make a call to the journal. An error that wraps errNoPeer says that
 // the call was not sent.
-func (each *peer) relay(ctx context.Context, dial dial, asked Message) (reply, error) {
+func (p *peer) relay(ctx context.Context, dial dial, msg Message) (reply, error) {
 	var answer Message
-	if err := each.ask(ctx, dial, methodName, asked, &answer); err != nil {
+	if err := p.ask(ctx, dial, methodName, msg, &answer); err != nil {
 		return reply{}, err
 	}
 	var told reply
@@ -292,12 +292,12 @@
 
 // ask calls a method of the peer and waits for the answer. An error that wraps errNoPeer
 // says that the call was not sent.
-func (each *peer) ask(ctx context.Context, dial dial, method string, asked, answer any) error {
-	err := each.askOnce(ctx, dial, method, asked, answer)
+func (p *peer) ask(ctx context.Context, dial dial, method string, args, answer any) error {
+	err := p.askOnce(ctx, dial, method, args, answer)
 	if errors.Is(err, rpc.ErrShutdown) {
 		// The connection had ended before the call, as at a peer's restart: the peer may
 		// be there all the same.
-		err = each.askOnce(ctx, dial, method, asked, answer)
+		err = p.askOnce(ctx, dial, method, args, answer)
 	}
 	if errors.Is(err, rpc.ErrShutdown) {
 		return errors.Wrap(errNoPeer, err.Error())
@@ -307,12 +307,12 @@
 
 // askOnce calls a method on the connection that there is, or on a new one. ErrShutdown
 // says that the call was not sent.
-func (each *peer) askOnce(ctx context.Context, dial dial, method string, asked, answer any) error {
-	client, err := each.connect(ctx, dial)
+func (p *peer) askOnce(ctx context.Context, dial dial, method string, args, answer any) error {
+	client, err := p.connect(ctx, dial)
 	if err != nil {
 		return errors.Wrap(errNoPeer, err.Error())
 	}
-	call := client.Go(method, asked, answer, make(chan *rpc.Call, 1))
+	call := client.Go(method, args, answer, make(chan *rpc.Call, 1))
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -321,46 +321,46 @@
 	var refused rpc.ServerError
 	if call.Error != nil && !errors.As(call.Error, &refused) {
 		// One that has answered with an error has a sound connection.
-		each.giveUp(client)
+		p.giveUp(client)
 	}
 	return call.Error
 }
 
 // connect returns the connection to the peer, made if there is none.
-func (each *peer) connect(ctx context.Context, dial dial) (*peerClient, error) {
-	each.mu.Lock()
-	defer each.mu.Unlock()
-	if each.closed {
+func (p *peer) connect(ctx context.Context, dial dial) (*peerClient, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
 		return nil, errors.New("relay: the daemon ends")
 	}
-	if each.client != nil {
-		return each.client, nil
+	if p.client != nil {
+		return p.client, nil
 	}
-	conn, err := dial(ctx, each.Address)
+	conn, err := dial(ctx, p.Address)
 	if err != nil {
 		return nil, err
 	}
-	each.client = &peerClient{Client: rpc.NewClient(conn), conn: conn}
-	return each.client, nil
+	p.client = &peerClient{Client: rpc.NewClient(conn), conn: conn}
+	return p.client, nil
 }
 
 // giveUp ends a connection to the peer that is broken. Of the calls that were under way
 // on it the last may come here when there is a new one, with calls on it.
-func (each *peer) giveUp(client *peerClient) {
-	each.mu.Lock()
-	if each.client == client {
-		each.client = nil
+func (p *peer) giveUp(client *peerClient) {
+	p.mu.Lock()
+	if p.client == client {
+		p.client = nil
 	}
-	each.mu.Unlock()
+	p.mu.Unlock()
 	_ = client.conn.Close() // It is broken: there is nobody to tell.
 }
 
 // drop ends the connection to the peer.
-func (each *peer) drop() {
-	each.mu.Lock()
-	client := each.client
-	each.mu.Unlock()
+func (p *peer) drop() {
+	p.mu.Lock()
+	client := p.client
+	p.mu.Unlock()
 	if client != nil {
-		each.giveUp(client)
+		p.giveUp(client)
 	}
 }
--- a/internal/journal/relay/protocol.go
+++ b/internal/journal/relay/protocol.go
@@ -71,42 +71,42 @@
 
 // fail makes the reply to a call that failed.
 func fail(err error) reply {
-	told := reply{Outcome: outcomeUnknown, Reason: err.Error()}
+	answer := reply{Outcome: outcomeUnknown, Reason: err.Error()}
 	var trimmed *journal.TrimmedError
 	var unavailable *journal.UnavailableError
 	var throttled *journal.ThrottledError
 	switch {
 	case errors.As(err, &throttled):
-		told.Outcome = outcomeThrottled
+		answer.Outcome = outcomeThrottled
 	case errors.As(err, &trimmed):
-		told.Outcome, told.First = outcomeTrimmed, trimmed.First
+		answer.Outcome, answer.First = outcomeTrimmed, trimmed.First
 	case errors.Is(err, journal.ErrPosition):
-		told.Outcome = outcomePosition
+		answer.Outcome = outcomePosition
 	case errors.As(err, &unavailable):
-		told.Outcome = outcomeUnavailable
+		answer.Outcome = outcomeUnavailable
 	case errors.Is(err, journal.ErrNotDone):
-		told.Outcome = outcomeNotDone
+		answer.Outcome = outcomeNotDone
 	}
-	return told
+	return answer
 }
 
 // err is the error that a reply stands for, or nil.
-func (told reply) err() error {
-	switch told.Outcome {
+func (r reply) err() error {
+	switch r.Outcome {
 	case outcomeDone:
 		return nil
 	case outcomeTrimmed:
-		return &journal.TrimmedError{First: told.First}
+		return &journal.TrimmedError{First: r.First}
 	case outcomeThrottled:
-		return &journal.ThrottledError{Reason: told.Reason}
+		return &journal.ThrottledError{Reason: r.Reason}
 	case outcomePosition:
-		return errors.Wrap(journal.ErrPosition, told.Reason)
+		return errors.Wrap(journal.ErrPosition, r.Reason)
 	case outcomeUnavailable:
-		return &journal.UnavailableError{Reason: told.Reason}
+		return &journal.UnavailableError{Reason: r.Reason}
 	case outcomeNotDone:
-		return errors.Wrap(journal.ErrNotDone, told.Reason)
+		return errors.Wrap(journal.ErrNotDone, r.Reason)
 	default:
-		return errors.Wrap(journal.ErrUnknown, told.Reason)
+		return errors.Wrap(journal.ErrUnknown, r.Reason)
 	}
 }
 
@@ -115,8 +115,8 @@
 	return Message{Body: encoded}, errors.Wrap(err, "relay: encode")
 }
 
-func (message Message) decode(into any) error {
-	return errors.Wrap(cbor.Unmarshal(message.Body, into), "relay: decode")
+func (m Message) decode(into any) error {
+	return errors.Wrap(cbor.Unmarshal(m.Body, into), "relay: decode")
 }
 
 // counts are of the calls that went through peers.
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -118,7 +118,7 @@
 type call[T any] struct {
 	// operation is the call as a peer gets it, take its answer out of a peer's reply.
 	operation operation
-	take      func(told reply) T
+	take      func(answer reply) T
 	// own makes the call on the own path.
 	own func(ctx context.Context) (T, error)
 	// repeatable calls change nothing, or nothing more when made again.
@@ -157,13 +157,13 @@
 		done <- outcome{answer, err}
 	}()
 	select {
-	case got := <-done:
-		return got.answer, got.err
+	case out := <-done:
+		return out.answer, out.err
 	case <-turned:
 	}
 	if !j.peers.any() {
-		got := <-done
-		return got.answer, got.err
+		out := <-done
+		return out.answer, out.err
 	}
 	cancel()
 	if !c.repeatable {
@@ -180,17 +180,17 @@
 // throughPeer makes the call through a peer. An error that wraps errNoPeer says that no
 // peer has made it.
 func (c call[T]) throughPeer(ctx context.Context, j *Journal) (T, error) {
-	told, err := j.peers.call(ctx, c.operation, c.wait)
+	answer, err := j.peers.call(ctx, c.operation, c.wait)
 	if !errors.Is(err, errNoPeer) {
 		j.counts.note(err)
 	}
-	return c.take(told), err
+	return c.take(answer), err
 }
 
 // Append implements journal.Journal.
 func (j *Journal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
 	return call[journal.Appended]{
-		operation: operation{Append: &request}, take: func(told reply) journal.Appended { return told.Appended },
+		operation: operation{Append: &request}, take: func(answer reply) journal.Appended { return answer.Appended },
 		own: func(ctx context.Context) (journal.Appended, error) { return j.Journal.Append(ctx, request) },
 	}.make(ctx, j)
 }
@@ -198,7 +198,7 @@
 // Read implements journal.Journal.
 func (j *Journal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	return call[journal.Records]{
-		operation: operation{Read: &request}, take: func(told reply) journal.Records { return told.Records },
+		operation: operation{Read: &request}, take: func(answer reply) journal.Records { return answer.Records },
 		own:        func(ctx context.Context) (journal.Records, error) { return j.Journal.Read(ctx, request) },
 		repeatable: true, wait: request.Wait,
 	}.make(ctx, j)
@@ -207,7 +207,7 @@
 // Newest implements journal.Journal.
 func (j *Journal) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
 	return call[journal.KeyedPage]{
-		operation: operation{Newest: &newestCall{Partition: partition, After: afterKey}}, take: func(told reply) journal.KeyedPage { return told.Page },
+		operation: operation{Newest: &newestCall{Partition: partition, After: afterKey}}, take: func(answer reply) journal.KeyedPage { return answer.Page },
 		own: func(ctx context.Context) (journal.KeyedPage, error) {
 			return j.Journal.Newest(ctx, partition, afterKey)
 		},
@@ -218,7 +218,7 @@
 // Join implements journal.Journal. A member that joins twice has joined once.
 func (j *Journal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
 	return call[journal.Assignment]{
-		operation: operation{Join: &request}, take: func(told reply) journal.Assignment { return told.Assignment },
+		operation: operation{Join: &request}, take: func(answer reply) journal.Assignment { return answer.Assignment },
 		own:        func(ctx context.Context) (journal.Assignment, error) { return j.Journal.Join(ctx, request) },
 		repeatable: true,
 	}.make(ctx, j)
@@ -237,7 +237,7 @@
 // Owners implements journal.Journal.
 func (j *Journal) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
 	return call[[]journal.Ownership]{
-		operation: operation{Owners: &ownersCall{Group: group}}, take: func(told reply) []journal.Ownership { return told.Owners },
+		operation: operation{Owners: &ownersCall{Group: group}}, take: func(answer reply) []journal.Ownership { return answer.Owners },
 		own:        func(ctx context.Context) ([]journal.Ownership, error) { return j.Journal.Owners(ctx, group) },
 		repeatable: true,
 	}.make(ctx, j)
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -261,13 +261,13 @@
 	} {
 		message, err := encode(fail(cause))
 		is.NoErr(err)
-		var told reply
-		is.NoErr(message.decode(&told))
+		var answer reply
+		is.NoErr(message.decode(&answer))
 		for _, kind := range []error{journal.ErrTrimmed, journal.ErrPosition, journal.ErrNotDone, journal.ErrUnknown} {
-			is.Equal(errors.Is(told.err(), kind), errors.Is(cause, kind))
+			is.Equal(errors.Is(answer.err(), kind), errors.Is(cause, kind))
 		}
 		var before, after *journal.TrimmedError
-		is.Equal(errors.As(cause, &before), errors.As(told.err(), &after))
+		is.Equal(errors.As(cause, &before), errors.As(answer.err(), &after))
 		is.True(reflect.DeepEqual(before, after))
 	}
 }
--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -71,9 +71,9 @@
 const acceptPause = 20 * time.Millisecond
 
 // Call makes one call to the journal. It is exported for net/rpc.
-func (s *Service) Call(asked Message, told *Message) error {
+func (s *Service) Call(msg Message, told *Message) error {
 	var call operation
-	if err := asked.decode(&call); err != nil {
+	if err := msg.decode(&call); err != nil {
 		return err
 	}
 	encoded, err := encode(s.answer(call))
@@ -96,14 +96,14 @@
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, min(call.Within, longestWithin))
 	defer cancel()
-	told, err := s.perform(ctx, call)
+	answer, err := s.perform(ctx, call)
 	if err != nil {
 		return fail(err)
 	}
-	return told
+	return answer
 }
 
-func (s *Service) perform(ctx context.Context, call operation) (told reply, err error) {
+func (s *Service) perform(ctx context.Context, call operation) (answer reply, err error) {
 	direct := s.own.Journal
 	own := func(wait time.Duration, perform func() error) error {
 		_, err := viaOwn(s.own, wait, func() (struct{}, error) { return struct{}{}, perform() })
@@ -111,22 +111,22 @@
 	}
 	switch {
 	case call.Append != nil:
-		err = own(0, func() (err error) { told.Appended, err = direct.Append(ctx, *call.Append); return err })
+		err = own(0, func() (err error) { answer.Appended, err = direct.Append(ctx, *call.Append); return err })
 	case call.Read != nil:
-		err = own(call.Read.Wait, func() (err error) { told.Records, err = direct.Read(ctx, *call.Read); return err })
+		err = own(call.Read.Wait, func() (err error) { answer.Records, err = direct.Read(ctx, *call.Read); return err })
 	case call.Newest != nil:
 		err = own(0, func() (err error) {
-			told.Page, err = direct.Newest(ctx, call.Newest.Partition, call.Newest.After)
+			answer.Page, err = direct.Newest(ctx, call.Newest.Partition, call.Newest.After)
 			return err
 		})
 	case call.Join != nil:
-		err = own(0, func() (err error) { told.Assignment, err = direct.Join(ctx, *call.Join); return err })
+		err = own(0, func() (err error) { answer.Assignment, err = direct.Join(ctx, *call.Join); return err })
 	case call.Leave != nil:
 		err = own(0, func() error { return direct.Leave(ctx, call.Leave.Group, call.Leave.Member) })
 	case call.Owners != nil:
-		err = own(0, func() (err error) { told.Owners, err = direct.Owners(ctx, call.Owners.Group); return err })
+		err = own(0, func() (err error) { answer.Owners, err = direct.Owners(ctx, call.Owners.Group); return err })
 	default:
 		err = errors.Wrap(journal.ErrNotDone, "relay: an operation of a later version")
 	}
-	return told, err
+	return answer, err
 }
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -103,10 +103,10 @@
 	}
 	r.answeredAt = now
 	givenUp := 0
-	for each := range r.pending {
-		if r.lost(each, call, now) {
-			each.cancel()
-			delete(r.pending, each)
+	for older := range r.pending {
+		if r.lost(older, call, now) {
+			older.cancel()
+			delete(r.pending, older)
 			givenUp++
 		}
 	}
@@ -137,9 +137,9 @@
 
 // lost reports whether a call must be lost when a later one has been answered.
 func (r *Revived) lost(older, answered *pendingCall, now time.Time) bool {
-	patience, told := r.patience(older, answered, now)
+	patience, ok := r.patience(older, answered, now)
 	overdue := now.Sub(older.began) - older.wait
-	return told && older.began.Before(answered.began) && overdue > max(patience, slowness*now.Sub(answered.began))
+	return ok && older.began.Before(answered.began) && overdue > max(patience, slowness*now.Sub(answered.began))
 }
 
 // Append implements Journal.
--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	name = "woodworks"
+	groupName = "woodworks"
 	// lifetime is how long a silent member keeps its partitions.
 	lifetime     = 1500 * time.Millisecond
 	joinInterval = 450 * time.Millisecond
@@ -36,61 +36,61 @@
 // Member is this daemon's membership. It is safe for concurrent use.
 type Member struct {
 	journal journal.Journal
-	member  string
+	self    string
 	topics  []string
 	logger  *zap.Logger
 
 	lastContact *journal.Contact
 	leaving     atomic.Bool
 
-	mutex sync.Mutex
+	mu sync.Mutex
 	// running is Run's context, nil before.
-	running    context.Context
+	runCtx     context.Context
 	generation int64
 	partitions map[journal.Partition]bool
 	lost       bool
-	owners     owners
+	watchers   watcherList
 	// unlearned sums the reads of owners that failed: each question may begin one.
-	unlearned *logging.Episodes
+	failedReads *logging.Episodes
 }
 
 // New returns a membership that asks for a share of the topics' partitions.
 func New(log journal.Journal, member string, topics []string, logger *zap.Logger) *Member {
-	return &Member{journal: log, member: member, topics: topics, logger: logger, lastContact: journal.NewContact(bootclock.Now),
-		unlearned: logging.NewEpisodes(logger, "owners of partitions not learned", "", "")}
+	return &Member{journal: log, self: member, topics: topics, logger: logger, lastContact: journal.NewContact(bootclock.Now),
+		failedReads: logging.NewEpisodes(logger, "owners of partitions not learned", "", "")}
 }
 
 // Partitions returns the partitions dealt to this daemon.
-func (member *Member) Partitions() map[journal.Partition]bool {
-	member.mutex.Lock()
-	defer member.mutex.Unlock()
-	return member.partitions
+func (m *Member) Partitions() map[journal.Partition]bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.partitions
 }
 
 // Generation returns the group's generation as last heard.
-func (member *Member) Generation() int64 {
-	member.mutex.Lock()
-	defer member.mutex.Unlock()
-	return member.generation
+func (m *Member) Generation() int64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.generation
 }
 
 // SetClock sets the clock by which Silence goes. It is called before Run.
-func (member *Member) SetClock(now bootclock.Clock) { member.lastContact = journal.NewContact(now) }
+func (m *Member) SetClock(now bootclock.Clock) { m.lastContact = journal.NewContact(now) }
 
 // Silence is how long ago the journal last answered.
-func (member *Member) Silence() time.Duration { return member.lastContact.Silence() }
+func (m *Member) Silence() time.Duration { return m.lastContact.Silence() }
 
 // Run stays in the group until the context ends or Leave is called. It takes
 // the last run of this machine out of the group first, as that one is over.
-func (member *Member) Run(ctx context.Context) {
+func (m *Member) Run(ctx context.Context) {
 	began := time.Now()
-	member.mutex.Lock()
-	member.running = ctx
-	member.mutex.Unlock()
-	go member.retirePredecessors(ctx)
+	m.mu.Lock()
+	m.runCtx = ctx
+	m.mu.Unlock()
+	go m.retirePredecessors(ctx)
 	periodic.Repeat(ctx, func(ctx context.Context) time.Duration {
-		if !member.leaving.Load() {
-			member.join(ctx)
+		if !m.leaving.Load() {
+			m.join(ctx)
 		}
 		if time.Since(began) < settleTime {
 			return settleInterval
@@ -102,26 +102,26 @@
 // retirePredecessors makes earlier runs of this machine leave, if any still
 // have partitions: these would lie idle for the lifetime. It is repeated until
 // the owners could be read; one that is not found by then had none.
-func (member *Member) retirePredecessors(ctx context.Context) {
+func (m *Member) retirePredecessors(ctx context.Context) {
 	for ctx.Err() == nil {
-		if member.retireOnce(ctx) == nil {
+		if m.retireOnce(ctx) == nil {
 			return
 		}
 		periodic.Pause(ctx, leavePause)
 	}
 }
 
-func (member *Member) retireOnce(ctx context.Context) error {
-	alive, err := member.Alive(ctx)
+func (m *Member) retireOnce(ctx context.Context) error {
+	alive, err := m.Alive(ctx)
 	if err != nil {
 		return err
 	}
 	for _, run := range alive {
-		if run == member.member || identity.Machine(run) != identity.Machine(member.member) {
+		if run == m.self || identity.Machine(run) != identity.Machine(m.self) {
 			continue
 		}
-		err := member.leaveOnce(ctx, run)
-		member.logger.Info("predecessor retired", zap.String("run", run), zap.Error(err))
+		err := m.leaveOnce(ctx, run)
+		m.logger.Info("predecessor retired", zap.String("run", run), zap.Error(err))
 		if err != nil {
 			return err
 		}
@@ -129,46 +129,46 @@
 	return nil
 }
 
-func (member *Member) join(ctx context.Context) {
-	member.mutex.Lock()
-	generation := member.generation
-	member.mutex.Unlock()
+func (m *Member) join(ctx context.Context) {
+	m.mu.Lock()
+	generation := m.generation
+	m.mu.Unlock()
 	bounded, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	assignment, err := member.journal.Join(bounded, journal.Join{Group: name, Member: member.member, Topics: member.topics, Lifetime: lifetime, Generation: generation})
+	assignment, err := m.journal.Join(bounded, journal.Join{Group: groupName, Member: m.self, Topics: m.topics, Lifetime: lifetime, Generation: generation})
 	if err != nil {
-		if !member.lost && ctx.Err() == nil {
-			member.lost = true
-			member.logger.Warn("dependency lost", zap.String("dependency", "group"), zap.Error(err))
+		if !m.lost && ctx.Err() == nil {
+			m.lost = true
+			m.logger.Warn("dependency lost", zap.String("dependency", "group"), zap.Error(err))
 		}
 		return
 	}
-	member.lastContact.Note()
-	if member.lost {
-		member.lost = false
-		member.logger.Info("dependency regained", zap.String("dependency", "group"))
+	m.lastContact.Note()
+	if m.lost {
+		m.lost = false
+		m.logger.Info("dependency regained", zap.String("dependency", "group"))
 	}
 	partitions := make(map[journal.Partition]bool, len(assignment.Partitions))
 	for _, partition := range assignment.Partitions {
 		partitions[partition] = true
 	}
-	member.mutex.Lock()
-	defer member.mutex.Unlock()
-	if member.leaving.Load() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.leaving.Load() {
 		return
 	}
-	if assignment.Generation != member.generation {
-		member.logger.Info("partitions dealt", zap.Int64("generation", assignment.Generation), zap.Int("partitions", len(partitions)))
+	if assignment.Generation != m.generation {
+		m.logger.Info("partitions dealt", zap.Int64("generation", assignment.Generation), zap.Int("partitions", len(partitions)))
 	}
-	member.generation = assignment.Generation
-	member.partitions = partitions
+	m.generation = assignment.Generation
+	m.partitions = partitions
 }
 
 // Alive returns the members that hold partitions now.
-func (member *Member) Alive(ctx context.Context) ([]string, error) {
+func (m *Member) Alive(ctx context.Context) ([]string, error) {
 	bounded, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	owners, err := member.journal.Owners(bounded, name)
+	owners, err := m.journal.Owners(bounded, groupName)
 	if err != nil {
 		return nil, err
 	}
@@ -186,15 +186,15 @@
 // Leave gives this daemon's partitions to others at once. It is repeated until
 // it is done or the context ends: the partitions of a member that did not leave
 // lie idle until its lifetime is over.
-func (member *Member) Leave(ctx context.Context) {
-	member.leaving.Store(true)
-	member.mutex.Lock()
-	member.partitions = nil
-	member.mutex.Unlock()
+func (m *Member) Leave(ctx context.Context) {
+	m.leaving.Store(true)
+	m.mu.Lock()
+	m.partitions = nil
+	m.mu.Unlock()
 	for tries := 1; ; tries++ {
-		err := member.leaveOnce(ctx, member.member)
+		err := m.leaveOnce(ctx, m.self)
 		if err == nil || ctx.Err() != nil {
-			member.logger.Info("group left", zap.Int("tries", tries), zap.Error(err))
+			m.logger.Info("group left", zap.Int("tries", tries), zap.Error(err))
 			return
 		}
 		periodic.Pause(ctx, leavePause)
@@ -202,8 +202,8 @@
 }
 
 // leaveOnce takes a run of this machine out of the group.
-func (member *Member) leaveOnce(ctx context.Context, run string) error {
+func (m *Member) leaveOnce(ctx context.Context, run string) error {
 	bounded, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	return member.journal.Leave(bounded, name, run)
+	return m.journal.Leave(bounded, groupName, run)
 }
--- a/internal/membership/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -71,9 +71,9 @@
 		alive, err := second.Alive(ctx)
 		is.NoErr(err)
 		is.Equal(alive, []string{"b/1"})
-		owner, known := second.OwnerOf(ctx, journal.Partition{Topic: "t"})
-		is.True(known)
-		is.Equal(owner, "b/1")
+		watcher, ok := second.WatcherOf(ctx, journal.Partition{Topic: "t"})
+		is.True(ok)
+		is.Equal(watcher, "b/1")
 	})
 }
 
--- a/internal/membership/group/late_test.go
+++ b/internal/membership/group/late_test.go
@@ -63,14 +63,14 @@
 				start(ctx, log, "a/1")
 				asking := New(log, "b/1", topics, zap.NewNop())
 				time.Sleep(3 * takes)
-				began, tries, known := time.Now(), 0, false
-				for !known && time.Since(began) < asksWithin {
+				began, tries, ok := time.Now(), 0, false
+				for !ok && time.Since(began) < asksWithin {
 					tries++
-					_, known = asking.OwnerOf(ctx, journal.Partition{Topic: "t"})
+					_, ok = asking.WatcherOf(ctx, journal.Partition{Topic: "t"})
 					time.Sleep(time.Millisecond)
 				}
-				t.Logf("known %v after %v, asked for %d times", known, time.Since(began), tries)
-				is.True(known)
+				t.Logf("known %v after %v, asked for %d times", ok, time.Since(began), tries)
+				is.True(ok)
 			})
 		})
 	}
--- a/internal/membership/group/owners.go
+++ b/internal/membership/group/owners.go
@@ -13,18 +13,18 @@
 
 const (
 	// ownersHold is how long the list of owners is believed within a generation.
-	ownersHold = 2 * time.Second
+	listHold = 2 * time.Second
 	// ownersTimeout is how long a caller waits for the list.
-	ownersTimeout = questiontime.List
+	listTimeout = questiontime.List
 	// ownersReadTimeout bounds a read of the list, which goes on for the callers to come.
-	ownersReadTimeout = joinTimeout
+	listReadTimeout = joinTimeout
 	// ownersReadRest is after how long another read is begun beside one that has no answer yet:
 	// one that was lost leaves a question time for the next.
-	ownersReadRest = questiontime.ListRetry
+	listReadRest = questiontime.ListRetry
 )
 
 // owners is who had which partition a moment ago.
-type owners struct {
+type watcherList struct {
 	// rows is never changed once it is here; nil until a read has been answered.
 	rows map[journal.Partition]string
 	// generation is the one in which the read began, at when.
@@ -35,18 +35,18 @@
 	readingAt time.Time
 }
 
-// OwnerOf returns the member that has a partition, as of a moment ago.
-func (member *Member) OwnerOf(ctx context.Context, partition journal.Partition) (string, bool) {
-	owner, known := member.recentOwners(ctx)[partition]
-	return owner, known
+// WatcherOf returns the member that has a partition, as of a moment ago.
+func (m *Member) WatcherOf(ctx context.Context, partition journal.Partition) (string, bool) {
+	watcher, ok := m.recentWatchers(ctx)[partition]
+	return watcher, ok
 }
 
-// OwnersOf returns the members that have partitions of a topic, as of a moment ago. A
+// WatchersOf returns the members that have partitions of a topic, as of a moment ago. A
 // member is listed once for each partition that it has.
-func (member *Member) OwnersOf(ctx context.Context, topic string) (owners []string) {
-	for partition, owner := range member.recentOwners(ctx) {
+func (m *Member) WatchersOf(ctx context.Context, topic string) (owners []string) {
+	for partition, watcher := range m.recentWatchers(ctx) {
 		if partition.Topic == topic {
-			owners = append(owners, owner)
+			owners = append(owners, watcher)
 		}
 	}
 	return owners
@@ -59,79 +59,79 @@
 // A read outlasts the callers who wait for it: given up with each of them, it never ended
 // where the journal takes longer to answer than they wait, and no owner was known to anybody: not
 // in 1.5 s with answers of 0.25 s, now after 0.25 s (virtual time).
-func (member *Member) recentOwners(ctx context.Context) map[journal.Partition]string {
-	known, reading := member.ownersNow(ctx)
+func (m *Member) recentWatchers(ctx context.Context) map[journal.Partition]string {
+	known, reading := m.freshWatchers(ctx)
 	if reading == nil {
 		return known
 	}
-	timer := time.NewTimer(ownersTimeout)
+	timer := time.NewTimer(listTimeout)
 	defer timer.Stop()
 	select {
 	case <-reading:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	inTouch := member.Silence() < lifetime
-	member.mutex.Lock()
-	defer member.mutex.Unlock()
-	if !member.ownersFresh() && !(inTouch && member.owners.generation == member.generation) {
+	inTouch := m.Silence() < lifetime
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.listFresh() && !(inTouch && m.watchers.generation == m.generation) {
 		return nil
 	}
-	return member.owners.rows
+	return m.watchers.rows
 }
 
 // ownersNow returns the list if it is fresh, else what is closed when the read of a newer one
 // ends; it begins that read unless one is under way.
-func (member *Member) ownersNow(ctx context.Context) (known map[journal.Partition]string, reading <-chan struct{}) {
-	member.mutex.Lock()
-	defer member.mutex.Unlock()
-	if member.ownersFresh() {
-		return member.owners.rows, nil
+func (m *Member) freshWatchers(ctx context.Context) (known map[journal.Partition]string, reading <-chan struct{}) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.listFresh() {
+		return m.watchers.rows, nil
 	}
-	if member.owners.reading == nil || time.Since(member.owners.readingAt) >= ownersReadRest {
-		member.owners.reading, member.owners.readingAt = make(chan struct{}), time.Now()
-		go member.readOwners(member.readContext(ctx), member.generation, member.owners.reading)
+	if m.watchers.reading == nil || time.Since(m.watchers.readingAt) >= listReadRest {
+		m.watchers.reading, m.watchers.readingAt = make(chan struct{}), time.Now()
+		go m.readList(m.readContext(ctx), m.generation, m.watchers.reading)
 	}
-	return nil, member.owners.reading
+	return nil, m.watchers.reading
 }
 
 // readContext returns the context of a read that a caller begins: Run's, so that it goes on when
 // the caller has left, and the caller's where Run has not begun or has ended. The mutex is held.
-func (member *Member) readContext(ctx context.Context) context.Context {
-	if member.running == nil || member.running.Err() != nil {
+func (m *Member) readContext(ctx context.Context) context.Context {
+	if m.runCtx == nil || m.runCtx.Err() != nil {
 		return ctx
 	}
-	return member.running
+	return m.runCtx
 }
 
 // ownersFresh reports whether the list is believed. The mutex is held.
-func (member *Member) ownersFresh() bool {
-	return member.owners.rows != nil && member.owners.generation == member.generation && time.Since(member.owners.at) < ownersHold
+func (m *Member) listFresh() bool {
+	return m.watchers.rows != nil && m.watchers.generation == m.generation && time.Since(m.watchers.at) < listHold
 }
 
 // readOwners reads the list in a generation: what was dealt after the read began may not be in it.
 // Ended is closed at the end.
-func (member *Member) readOwners(ctx context.Context, generation int64, ended chan struct{}) {
-	bounded, cancel := context.WithTimeout(ctx, ownersReadTimeout)
+func (m *Member) readList(ctx context.Context, generation int64, ended chan struct{}) {
+	bounded, cancel := context.WithTimeout(ctx, listReadTimeout)
 	defer cancel()
 	began := time.Now()
-	rows, err := member.journal.Owners(bounded, name)
-	member.mutex.Lock()
-	defer member.mutex.Unlock()
+	rows, err := m.journal.Owners(bounded, groupName)
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	close(ended)
-	if member.owners.reading == ended {
-		member.owners.reading = nil
+	if m.watchers.reading == ended {
+		m.watchers.reading = nil
 	}
 	if err != nil {
-		member.unlearned.Note(logging.Occurrence{Took: time.Since(began)}, zap.Error(err))
+		m.failedReads.Note(logging.Occurrence{Took: time.Since(began)}, zap.Error(err))
 		return
 	}
-	if began.Before(member.owners.at) {
+	if began.Before(m.watchers.at) {
 		return // A later read was answered sooner.
 	}
-	member.owners.rows = make(map[journal.Partition]string, len(rows))
+	m.watchers.rows = make(map[journal.Partition]string, len(rows))
 	for _, row := range rows {
-		member.owners.rows[row.Partition] = row.Member
+		m.watchers.rows[row.Partition] = row.Member
 	}
-	member.owners.generation, member.owners.at = generation, began
+	m.watchers.generation, m.watchers.at = generation, began
 }
--- a/internal/membership/group/owners_test.go
+++ b/internal/membership/group/owners_test.go
@@ -41,22 +41,22 @@
 		first := start(ctx, log.Journal, "a/1")
 		asking := start(ctx, log, "b/1")
 		time.Sleep(5 * time.Second)
-		asking.OwnerOf(ctx, journal.Partition{Topic: "t"}) // begins a read
-		first.Leave(ctx)                                   // the partitions are dealt anew
+		asking.WatcherOf(ctx, journal.Partition{Topic: "t"}) // begins a read
+		first.Leave(ctx)                                     // the partitions are dealt anew
 		left := time.Now()
 		time.Sleep(joinInterval + 200*time.Millisecond) // b hears of it
 		is.Equal(len(asking.Partitions()), 2)
-		owner, known := asking.OwnerOf(ctx, journal.Partition{Topic: "t"})
-		t.Logf("%v after all partitions were dealt to b/1, b/1 takes %q for the owner, known %v", time.Since(left), owner, known)
+		watcher, ok := asking.WatcherOf(ctx, journal.Partition{Topic: "t"})
+		t.Logf("%v after all partitions were dealt to b/1, b/1 takes %q for the owner, known %v", time.Since(left), watcher, ok)
 		stale := time.Duration(0)
 		for time.Since(left) < 4*time.Second {
-			if owner, known := asking.OwnerOf(ctx, journal.Partition{Topic: "t"}); known && owner != "b/1" {
+			if watcher, ok := asking.WatcherOf(ctx, journal.Partition{Topic: "t"}); ok && watcher != "b/1" {
 				stale = time.Since(left)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 		t.Logf("last told of the member that had left: %v after it", stale)
-		is.True(!known || owner == "b/1")
+		is.True(!ok || watcher == "b/1")
 	})
 }
 
@@ -87,9 +87,9 @@
 		time.Sleep(5 * time.Second)
 		asking := New(journal.Revive(log, zap.NewNop()), "b/1", topics, zap.NewNop())
 		lose.Store(true)
-		began, known := time.Now(), false
-		for !known && time.Since(began) < 3*time.Second {
-			if _, known = asking.OwnerOf(ctx, journal.Partition{Topic: "t"}); !known {
+		began, ok := time.Now(), false
+		for !ok && time.Since(began) < 3*time.Second {
+			if _, ok = asking.WatcherOf(ctx, journal.Partition{Topic: "t"}); !ok {
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
@@ -108,8 +108,8 @@
 		time.Sleep(time.Second)
 		cancel()
 		time.Sleep(100 * time.Millisecond)
-		_, known := asking.OwnerOf(t.Context(), journal.Partition{Topic: "t"})
-		is.New(t).True(known)
+		_, ok := asking.WatcherOf(t.Context(), journal.Partition{Topic: "t"})
+		is.New(t).True(ok)
 	})
 }
 
@@ -135,21 +135,21 @@
 		time.Sleep(4 * time.Second) // the group is settled
 		partition := journal.Partition{Topic: "t"}
 		began := time.Now()
-		_, known := asking.OwnerOf(ctx, partition)
-		is.True(!known)
-		is.Equal(time.Since(began), ownersTimeout) // though the read takes longer
+		_, ok := asking.WatcherOf(ctx, partition)
+		is.True(!ok)
+		is.Equal(time.Since(began), listTimeout) // though the read takes longer
 		time.Sleep(time.Second)
 		refuse.Store(false)
 		leaving, leave := context.WithTimeout(ctx, 50*time.Millisecond)
 		defer leave()
 		began = time.Now()
-		_, known = asking.OwnerOf(leaving, partition)
-		is.True(!known)
+		_, ok = asking.WatcherOf(leaving, partition)
+		is.True(!ok)
 		is.Equal(time.Since(began), 50*time.Millisecond) // it waits no longer than its caller
 		time.Sleep(210 * time.Millisecond)
-		owner, known := asking.OwnerOf(ctx, partition)
-		is.True(known)
-		is.Equal(owner, "a/1")
+		watcher, ok := asking.WatcherOf(ctx, partition)
+		is.True(ok)
+		is.Equal(watcher, "a/1")
 		is.Equal(time.Since(began), 260*time.Millisecond) // by the read that was begun for the one who left
 	})
 }
@@ -170,8 +170,8 @@
 		go asking.Run(ctx)
 		time.Sleep(4 * time.Second) // the group is settled
 		partition := journal.Partition{Topic: "t"}
-		owner, known := asking.OwnerOf(ctx, partition)
-		is.True(known)
+		watcher, ok := asking.WatcherOf(ctx, partition)
+		is.True(ok)
 		hang := map[journaltest.Call]bool{journaltest.Owners: true}
 		log.SetBefall(func(call journaltest.Call) journaltest.Fault {
 			if hang[call] {
@@ -179,13 +179,13 @@
 			}
 			return journaltest.None
 		})
-		time.Sleep(2 * ownersHold)
-		later, known := asking.OwnerOf(ctx, partition)
-		is.True(known)
-		is.Equal(later, owner)
+		time.Sleep(2 * listHold)
+		later, ok := asking.WatcherOf(ctx, partition)
+		is.True(ok)
+		is.Equal(later, watcher)
 		log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 		time.Sleep(2 * lifetime)
-		_, known = asking.OwnerOf(ctx, partition)
-		is.True(!known)
+		_, ok = asking.WatcherOf(ctx, partition)
+		is.True(!ok)
 	})
 }
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -71,7 +71,7 @@
 	now    bootclock.Clock
 	logger *zap.Logger
 
-	mutex sync.Mutex
+	mu sync.Mutex
 	// next is the offset after the last record read or written.
 	next int64
 	// last is the newest record and when it was read.
@@ -96,182 +96,182 @@
 }
 
 // SetClock sets the clock by which the lease runs out. It is called before Run.
-func (lease *Lease) SetClock(now bootclock.Clock) { lease.now = now }
+func (l *Lease) SetClock(now bootclock.Clock) { l.now = now }
 
 // SetCandidate says whether this daemon should claim the lease when it is free.
-func (lease *Lease) SetCandidate(candidate bool) {
-	lease.mutex.Lock()
-	defer lease.mutex.Unlock()
-	lease.candidate = candidate
+func (l *Lease) SetCandidate(candidate bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.candidate = candidate
 }
 
 // Fence returns the fence under which this daemon may act now, and for how long.
-func (lease *Lease) Fence() (fence int64, left time.Duration, may bool) {
-	lease.mutex.Lock()
-	defer lease.mutex.Unlock()
-	now := lease.now()
-	if !lease.held || now.Before(lease.actFrom) || !now.Before(lease.actUntil) {
+func (l *Lease) Fence() (fence int64, left time.Duration, may bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.now()
+	if !l.held || now.Before(l.actFrom) || !now.Before(l.actUntil) {
 		return 0, 0, false
 	}
-	return lease.fence, lease.actUntil.Sub(now), true
+	return l.fence, l.actUntil.Sub(now), true
 }
 
 // Held reports whether this daemon holds the lease, even if it may not act yet.
-func (lease *Lease) Held() bool {
-	lease.mutex.Lock()
-	defer lease.mutex.Unlock()
-	return lease.held
+func (l *Lease) Held() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.held
 }
 
 // Run takes part until the context ends.
-func (lease *Lease) Run(ctx context.Context) {
+func (l *Lease) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		lease.mutex.Lock()
-		held, candidate, reclaiming := lease.held, lease.candidate && !lease.resigning, lease.reclaiming
-		lease.mutex.Unlock()
+		l.mu.Lock()
+		held, candidate, reclaiming := l.held, l.candidate && !l.resigning, l.reclaiming
+		l.mu.Unlock()
 		switch {
 		case reclaiming:
-			lease.reclaim(ctx)
+			l.reclaim(ctx)
 		case held:
-			lease.renew(ctx)
+			l.renew(ctx)
 			periodic.Pause(ctx, renewEvery)
 		case candidate:
-			lease.watch(ctx)
+			l.watch(ctx)
 		default:
-			lease.forget()
+			l.forget()
 			periodic.Pause(ctx, renewEvery)
 		}
 	}
 }
 
 // reclaim takes the lease back if the machine's last run held it last.
-func (lease *Lease) reclaim(ctx context.Context) {
-	lease.watch(ctx)
-	lease.mutex.Lock()
-	looked := lease.any
-	own := looked && lease.next > 0 && lease.last.Machine == lease.machine
-	lease.reclaiming = !looked
-	lease.mutex.Unlock()
+func (l *Lease) reclaim(ctx context.Context) {
+	l.watch(ctx)
+	l.mu.Lock()
+	looked := l.any
+	own := looked && l.next > 0 && l.last.Machine == l.machine
+	l.reclaiming = !looked
+	l.mu.Unlock()
 	if own {
-		lease.claim(ctx)
+		l.claim(ctx)
 	}
 }
 
 // forget drops what was read, as it is not kept up to date.
-func (lease *Lease) forget() {
-	lease.mutex.Lock()
-	defer lease.mutex.Unlock()
-	lease.any, lease.lastAt = false, time.Time{}
+func (l *Lease) forget() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.any, l.lastAt = false, time.Time{}
 }
 
 // Withdraw says that this daemon is about to end: it claims the lease no more.
 // If it may act it goes on until it resigns, as a successor could not act for
 // the quiet time, and its machine's next run can at once.
-func (lease *Lease) Withdraw(ctx context.Context) {
-	lease.mutex.Lock()
-	lease.resigning, lease.candidate = true, false
-	idle := lease.held && lease.now().Before(lease.actFrom)
-	lease.mutex.Unlock()
+func (l *Lease) Withdraw(ctx context.Context) {
+	l.mu.Lock()
+	l.resigning, l.candidate = true, false
+	idle := l.held && l.now().Before(l.actFrom)
+	l.mu.Unlock()
 	if idle {
-		lease.Resign(ctx)
+		l.Resign(ctx)
 	}
 }
 
 // Resign gives the lease up, if it is held, so that a successor need not wait
 // for its end. This daemon acts no more from the call on.
-func (lease *Lease) Resign(ctx context.Context) {
-	lease.mutex.Lock()
-	held := lease.held
-	lease.held, lease.resigning, lease.candidate = false, true, false
-	lease.mutex.Unlock()
+func (l *Lease) Resign(ctx context.Context) {
+	l.mu.Lock()
+	held := l.held
+	l.held, l.resigning, l.candidate = false, true, false
+	l.mu.Unlock()
 	if !held {
 		return
 	}
-	err := lease.appendResignation(ctx)
-	lease.logger.Info("lease resigned", zap.Int64("fence", lease.fence), zap.Error(err))
+	err := l.appendResignation(ctx)
+	l.logger.Info("lease resigned", zap.Int64("fence", l.fence), zap.Error(err))
 }
 
 // appendResignation appends the resignation, once more if a renewal that was
 // under way came between.
-func (lease *Lease) appendResignation(ctx context.Context) error {
+func (l *Lease) appendResignation(ctx context.Context) error {
 	for again := true; ; again = false {
-		lease.mutex.Lock()
-		end := lease.next
-		lease.mutex.Unlock()
-		_, err := lease.append(ctx, resigned, end)
+		l.mu.Lock()
+		end := l.next
+		l.mu.Unlock()
+		_, err := l.append(ctx, resigned, end)
 		if !again || !errors.Is(err, journal.ErrPosition) {
 			return err
 		}
-		lease.settle(ctx)
+		l.settle(ctx)
 	}
 }
 
-func (lease *Lease) append(ctx context.Context, kind claimKind, end int64) (journal.Appended, error) {
-	lease.mutex.Lock()
-	active := !lease.now().Before(lease.actFrom)
-	lease.mutex.Unlock()
-	encoded, err := cbor.Marshal(entry{Kind: kind, Holder: lease.holder, Machine: lease.machine, Active: active})
+func (l *Lease) append(ctx context.Context, kind claimKind, end int64) (journal.Appended, error) {
+	l.mu.Lock()
+	active := !l.now().Before(l.actFrom)
+	l.mu.Unlock()
+	encoded, err := cbor.Marshal(entry{Kind: kind, Holder: l.holder, Machine: l.machine, Active: active})
 	if err != nil {
 		return journal.Appended{}, errors.Wrap(err, "lease: encode")
 	}
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return lease.journal.Append(bounded, journal.Append{Partition: lease.partition, Records: [][]byte{encoded}, ExpectedEnd: &end})
+	return l.journal.Append(bounded, journal.Append{Partition: l.partition, Records: [][]byte{encoded}, ExpectedEnd: &end})
 }
 
 // renew appends a renewal. Only an acknowledged one moves the end of the lease.
-func (lease *Lease) renew(ctx context.Context) {
-	lease.mutex.Lock()
-	end := lease.next
-	lease.mutex.Unlock()
-	sent := lease.now()
-	appended, err := lease.append(ctx, renewed, end)
+func (l *Lease) renew(ctx context.Context) {
+	l.mu.Lock()
+	end := l.next
+	l.mu.Unlock()
+	sent := l.now()
+	appended, err := l.append(ctx, renewed, end)
 	if err == nil {
-		lease.mutex.Lock()
-		lease.next = appended.End
-		lease.actUntil = sent.Add(Duration)
-		lease.mutex.Unlock()
+		l.mu.Lock()
+		l.next = appended.End
+		l.actUntil = sent.Add(Duration)
+		l.mu.Unlock()
 		return
 	}
 	// A renewal without an answer is sent again on the same condition, so that
 	// one of the two counts; where the condition fails, the journal tells why.
 	if errors.Is(err, journal.ErrPosition) {
-		lease.settle(ctx)
+		l.settle(ctx)
 	}
 }
 
 // settle reads what stands where a renewal should: an earlier one of this
 // holder, or another's claim, by which the lease is lost.
-func (lease *Lease) settle(ctx context.Context) {
-	lease.mutex.Lock()
-	from := lease.next
-	lease.mutex.Unlock()
-	records, err := lease.read(ctx, from, 0)
+func (l *Lease) settle(ctx context.Context) {
+	l.mu.Lock()
+	from := l.next
+	l.mu.Unlock()
+	records, err := l.read(ctx, from, 0)
 	if err != nil {
 		return
 	}
-	lease.mutex.Lock()
-	defer lease.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, record := range records {
-		lease.next++
-		lease.last, lease.lastAt, lease.any = record, lease.now(), true
-		if record.Holder != lease.holder && lease.held {
-			lease.held = false
-			lease.logger.Info("lease lost", zap.Int64("fence", lease.fence), zap.String("to", record.Holder))
+		l.next++
+		l.last, l.lastAt, l.any = record, l.now(), true
+		if record.Holder != l.holder && l.held {
+			l.held = false
+			l.logger.Info("lease lost", zap.Int64("fence", l.fence), zap.String("to", record.Holder))
 		}
 	}
 }
 
 // read returns the records from an offset on.
-func (lease *Lease) read(ctx context.Context, from int64, wait time.Duration) ([]entry, error) {
+func (l *Lease) read(ctx context.Context, from int64, wait time.Duration) ([]entry, error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout+wait)
 	defer cancel()
-	read, err := lease.journal.Read(bounded, journal.Read{Partition: lease.partition, From: from, Wait: wait})
+	read, err := l.journal.Read(bounded, journal.Read{Partition: l.partition, From: from, Wait: wait})
 	var trimmed *journal.TrimmedError
 	if errors.As(err, &trimmed) {
-		lease.mutex.Lock()
-		lease.next = trimmed.First
-		lease.mutex.Unlock()
+		l.mu.Lock()
+		l.next = trimmed.First
+		l.mu.Unlock()
 		return nil, err
 	}
 	if err != nil {
@@ -287,87 +287,87 @@
 
 // watch reads the partition as a candidate and claims the lease once it must
 // be free.
-func (lease *Lease) watch(ctx context.Context) {
-	lease.mutex.Lock()
-	from, seen := lease.next, lease.any
+func (l *Lease) watch(ctx context.Context) {
+	l.mu.Lock()
+	from, seen := l.next, l.any
 	wait := time.Duration(0)
 	if seen {
-		wait = min(max(lease.freeAt().Sub(lease.now()), 0), longestWait)
+		wait = min(max(l.freeAt().Sub(l.now()), 0), longestWait)
 	}
-	lease.mutex.Unlock()
-	asked := lease.now()
-	records, err := lease.read(ctx, from, wait)
+	l.mu.Unlock()
+	began := l.now()
+	records, err := l.read(ctx, from, wait)
 	if err != nil {
-		lease.lostContact()
+		l.lostContact()
 		periodic.Pause(ctx, retryPause)
 		return
 	}
-	lease.mutex.Lock()
-	if len(records) > 0 || !lease.any {
-		lease.next = from + int64(len(records))
+	l.mu.Lock()
+	if len(records) > 0 || !l.any {
+		l.next = from + int64(len(records))
 		if len(records) > 0 {
-			lease.last = records[len(records)-1]
+			l.last = records[len(records)-1]
 		}
-		lease.lastAt, lease.any = lease.now(), true
-		lease.mutex.Unlock()
+		l.lastAt, l.any = l.now(), true
+		l.mu.Unlock()
 		return
 	}
 	// The read was begun after the lease must have been over, or is repeated.
-	free := !asked.Before(lease.freeAt())
-	lease.mutex.Unlock()
+	free := !began.Before(l.freeAt())
+	l.mu.Unlock()
 	if free {
-		lease.claim(ctx)
+		l.claim(ctx)
 	}
 }
 
 // lostContact restarts the wait for the end of another's lease: what was
 // written meanwhile is not known.
-func (lease *Lease) lostContact() {
-	lease.mutex.Lock()
-	defer lease.mutex.Unlock()
-	if lease.any {
-		lease.lastAt = lease.now()
+func (l *Lease) lostContact() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.any {
+		l.lastAt = l.now()
 	}
 }
 
 // freeAt is when the lease should be claimed. The lease of another machine is
 // over for certain well before, but who claims it then could not act yet, and
 // would take it from a holder that is back by then. The mutex is held.
-func (lease *Lease) freeAt() time.Time {
-	waiting := margin + max(lease.quiet-claimLead, 0)
+func (l *Lease) freeAt() time.Time {
+	waiting := margin + max(l.quiet-claimLead, 0)
 	switch {
-	case lease.next == 0 || lease.last.Machine == lease.machine:
-		return lease.lastAt
-	case lease.last.Kind == resigned:
-		return lease.lastAt.Add(waiting)
+	case l.next == 0 || l.last.Machine == l.machine:
+		return l.lastAt
+	case l.last.Kind == resigned:
+		return l.lastAt.Add(waiting)
 	}
-	return lease.lastAt.Add(Duration + waiting)
+	return l.lastAt.Add(Duration + waiting)
 }
 
 // claim appends a claim on condition that nothing was written since.
-func (lease *Lease) claim(ctx context.Context) {
-	lease.mutex.Lock()
-	end := lease.next
-	actFrom := lease.lastAt.Add(Duration + margin + lease.quiet)
+func (l *Lease) claim(ctx context.Context) {
+	l.mu.Lock()
+	end := l.next
+	actFrom := l.lastAt.Add(Duration + margin + l.quiet)
 	switch {
-	case end == 0 || lease.last.Machine == lease.machine && lease.last.Active:
-		actFrom = lease.now()
-	case lease.last.Kind == resigned && lease.last.Machine != lease.machine:
-		actFrom = lease.lastAt.Add(lease.quiet + margin)
+	case end == 0 || l.last.Machine == l.machine && l.last.Active:
+		actFrom = l.now()
+	case l.last.Kind == resigned && l.last.Machine != l.machine:
+		actFrom = l.lastAt.Add(l.quiet + margin)
 	}
-	lease.actFrom = actFrom
-	before := lease.last.Holder
-	lease.mutex.Unlock()
-	sent := lease.now()
-	appended, err := lease.append(ctx, claimed, end)
+	l.actFrom = actFrom
+	before := l.last.Holder
+	l.mu.Unlock()
+	sent := l.now()
+	appended, err := l.append(ctx, claimed, end)
 	if err != nil {
 		periodic.Pause(ctx, retryPause)
 		return
 	}
-	lease.mutex.Lock()
-	defer lease.mutex.Unlock()
-	lease.held, lease.fence, lease.next = true, appended.Offset+1, appended.End
-	lease.last, lease.lastAt = entry{Kind: claimed, Holder: lease.holder, Machine: lease.machine}, lease.now()
-	lease.actUntil = sent.Add(Duration)
-	lease.logger.Info("lease claimed", zap.Int64("fence", lease.fence), zap.String("from", before), zap.Duration("act_in", actFrom.Sub(lease.now())))
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.held, l.fence, l.next = true, appended.Offset+1, appended.End
+	l.last, l.lastAt = entry{Kind: claimed, Holder: l.holder, Machine: l.machine}, l.now()
+	l.actUntil = sent.Add(Duration)
+	l.logger.Info("lease claimed", zap.Int64("fence", l.fence), zap.String("from", before), zap.Duration("act_in", actFrom.Sub(l.now())))
 }
--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -334,9 +334,9 @@
 		other := startAs(ctx, log, "b", 1, acts, true)
 		// Between two renewals, so that the one made here meets none of the holder's.
 		time.Sleep(time.Second + renewEvery/2)
-		first.lease.mutex.Lock()
+		first.lease.mu.Lock()
 		end := first.lease.next
-		first.lease.mutex.Unlock()
+		first.lease.mu.Unlock()
 		_, err := first.lease.append(ctx, renewed, end)
 		is.NoErr(err)
 		first.lease.Resign(ctx)
