--- /dev/null
+++ b/internal/api/policy/golden_test.go
@@ -0,0 +1,11 @@
+package policy
+
+import (
+	"testing"
+
+	"woodworks/internal/daemon/golden"
+)
+
+func TestResultsOfCasesKeepTheirForm(t *testing.T) {
+	golden.JSON[CaseResult](t, "case-result")
+}
--- /dev/null
+++ b/internal/api/rollout/golden_test.go
@@ -0,0 +1,38 @@
+package rollout
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/daemon/golden"
+)
+
+func TestRequestsKeepTheirForm(t *testing.T) {
+	golden.JSON[Request](t, "request")
+	golden.JSON[Generate](t, "generate")
+	golden.JSON[Frame](t, "frame")
+	golden.JSON[Result](t, "result")
+}
+
+func TestCursorsKeepTheirForm(t *testing.T) {
+	is := is.New(t)
+	cursor := NewCursor(Header{Trainer: "trainer", Name: "name", Digest: 1 << 60, Samples: 12}).Take(1, 9)
+	golden.Text(t, "cursor.txt", cursor.String())
+	parsed, err := ParseCursor(cursor.String())
+	is.NoErr(err)
+	is.Equal(parsed, cursor)
+}
+
+// A daemon may make a further round of a batch whose first one another daemon has made.
+func TestRoundsKeepTheirForm(t *testing.T) {
+	request := Request{
+		Trainer: "trainer", Name: "name", SamplesPerPrompt: 2, MaxTokens: 64, Seed: 7,
+		Prompts: []Prompt{{ID: "p1", Text: "one", ExpectedTokens: 20}, {ID: "p2", Text: "two"}},
+	}
+	header := HeaderOf(request)
+	first := First(request, header, 3, ItemHeaders{TokenUsage: "Usage", LengthHint: "Hint"})
+	golden.Text(t, "first.cbor", batch.Accepted(first, "owner"))
+	golden.Text(t, "next.cbor", batch.Accepted(Next(first, header, 2, []int{1, 3}, 4), "owner"))
+}
--- /dev/null
+++ b/internal/batches/batch/golden_test.go
@@ -0,0 +1,31 @@
+package batch
+
+import (
+	"fmt"
+	"testing"
+
+	"woodworks/internal/daemon/golden"
+)
+
+func TestRecordsKeepTheirForm(t *testing.T) {
+	golden.CBOR[record](t, "record")
+	submission := golden.Filled[Submission]()
+	results, progress := golden.Filled[[]Result](), golden.Filled[[]Progress]()
+	records := map[string][]byte{
+		"accepted": Accepted(submission, "owner"),
+		"listed":   Listed("batch", *results),
+		"taken":    TakenOver("batch", "from", "owner"),
+		"released": Released("batch", "from", []int{1, 2}),
+		"returned": Returned("batch", "from", []int{1}),
+		"ended":    Ended("batch", "tenant"),
+		"beat":     Beat("batch", "owner", 3),
+		"advanced": Advanced("batch", "owner", 4, *progress),
+	}
+	for name, encoded := range records {
+		golden.Text(t, name+".cbor", encoded)
+	}
+	for i, part := range Fragment(records["accepted"], fragmentOverhead+100, "key") {
+		golden.Text(t, fmt.Sprintf("fragment%d.cbor", i), part)
+	}
+	golden.Text(t, "outcomes.txt", fmt.Sprint(int(Done), int(Dead)))
+}
--- /dev/null
+++ b/internal/batches/ledger/golden_test.go
@@ -0,0 +1,27 @@
+package ledger
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"testing"
+
+	"go.uber.org/zap"
+
+	"woodworks/internal/daemon/golden"
+	"woodworks/internal/journal/journaltest"
+)
+
+// A batch that was stored is found again.
+func TestBatchesKeepTheirPartitions(t *testing.T) {
+	log := journaltest.New()
+	log.Partitions = 24
+	ledger := New(context.Background(), log, zap.NewNop())
+	var places strings.Builder
+	for i := range 32 {
+		id := fmt.Sprint("trainer/batch-", i)
+		fmt.Fprintln(&places, id, ledger.Locate(id))
+	}
+	golden.Text(t, "partitions.txt", places.String())
+	golden.Text(t, "topics.txt", strings.Join(TopicNames(), "\n"))
+}
--- /dev/null
+++ b/internal/batches/results/golden_test.go
@@ -0,0 +1,21 @@
+package results
+
+import (
+	"fmt"
+	"testing"
+
+	"woodworks/internal/daemon/golden"
+)
+
+func TestMessagesKeepTheirForm(t *testing.T) {
+	golden.Service(t, ServiceName, &Service{})
+	golden.Gob[Query](t, "query")
+	golden.Gob[Page](t, "page")
+	golden.Gob[ItemQuery](t, "item-query")
+	golden.Gob[Body](t, "body")
+	golden.Gob[BeginningQuery](t, "beginning-query")
+	golden.Gob[Beginning](t, "beginning")
+	golden.Gob[ItemsQuery](t, "items-query")
+	golden.Gob[Items](t, "items")
+	golden.Text(t, "names.txt", fmt.Sprintln(methodResults, methodItem, methodBeginning, methodSamples, methodItems))
+}
--- /dev/null
+++ b/internal/callers/usage/golden_test.go
@@ -0,0 +1,13 @@
+package usage
+
+import (
+	"fmt"
+	"testing"
+
+	"woodworks/internal/daemon/golden"
+)
+
+func TestRecordsKeepTheirForm(t *testing.T) {
+	golden.CBOR[record](t, "record")
+	golden.Text(t, "names.txt", fmt.Sprintln(Partition, int(kindCounted), int(kindDecided), int(kindReported)))
+}
--- /dev/null
+++ b/internal/journal/golden_test.go
@@ -0,0 +1,33 @@
+package journal
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	"woodworks/internal/daemon/golden"
+)
+
+// Daemons pass these on to each other, and send them to the product's own log service.
+func TestCallsKeepTheirForm(t *testing.T) {
+	golden.CBOR[Partition](t, "partition")
+	golden.CBOR[Append](t, "append")
+	golden.CBOR[Appended](t, "appended")
+	golden.CBOR[Read](t, "read")
+	golden.CBOR[Records](t, "records")
+	golden.CBOR[KeyedRecord](t, "keyed-record")
+	golden.CBOR[KeyedPage](t, "keyed-page")
+	golden.CBOR[Join](t, "join")
+	golden.CBOR[Assignment](t, "assignment")
+	golden.CBOR[Ownership](t, "ownership")
+}
+
+func TestKeyedRecordsKeepTheirForm(t *testing.T) {
+	is := is.New(t)
+	encoded := EncodeKeyed("key", []byte("value"))
+	golden.Text(t, "keyed.bin", encoded)
+	golden.Text(t, "keyed-topic.txt", KeyedTopicName("topic"))
+	decoded, err := DecodeKeyed(encoded)
+	is.NoErr(err)
+	is.Equal(decoded, KeyedRecord{Key: "key", Value: []byte("value")})
+}
--- /dev/null
+++ b/internal/journal/relay/golden_test.go
@@ -0,0 +1,33 @@
+package relay
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"woodworks/internal/daemon/golden"
+	"woodworks/internal/journal"
+)
+
+func TestMessagesKeepTheirForm(t *testing.T) {
+	golden.Service(t, serviceName, &Service{})
+	golden.Gob[Message](t, "message")
+	golden.CBOR[operation](t, "operation")
+	golden.CBOR[reply](t, "reply")
+	golden.CBOR[peer](t, "peer")
+	golden.Text(t, "names.txt", fmt.Sprintln(methodName, topic))
+}
+
+func TestOutcomesKeepTheirNumbers(t *testing.T) {
+	golden.Text(t, "outcomes.txt", fmt.Sprint(int(outcomeDone), int(outcomeLost), int(outcomeNotDone), int(outcomeUnavailable),
+		int(outcomePosition), int(outcomeTrimmed), int(outcomeUnknown), int(outcomeThrottled)))
+	told := ""
+	for _, err := range []error{
+		&journal.ThrottledError{Reason: "why"}, &journal.TrimmedError{First: 7}, journal.ErrPosition,
+		&journal.UnavailableError{Reason: "why"}, journal.ErrNotDone, journal.ErrUnknown, errors.New("other"),
+	} {
+		message, encodeErr := encode(fail(err))
+		told += fmt.Sprintf("%x %v\n", message.Body, encodeErr)
+	}
+	golden.Text(t, "failures.txt", told)
+}
--- /dev/null
+++ b/internal/membership/lease/golden_test.go
@@ -0,0 +1,13 @@
+package lease
+
+import (
+	"fmt"
+	"testing"
+
+	"woodworks/internal/daemon/golden"
+)
+
+func TestClaimsKeepTheirForm(t *testing.T) {
+	golden.CBOR[entry](t, "claim")
+	golden.Text(t, "kinds.txt", fmt.Sprint(int(claimed), int(renewed), int(resigned)))
+}
--- /dev/null
+++ b/internal/replicas/demand/golden_test.go
@@ -0,0 +1,15 @@
+package demand
+
+import (
+	"fmt"
+	"testing"
+
+	"woodworks/internal/daemon/golden"
+	"woodworks/internal/journal/journaltest"
+)
+
+func TestDemandsKeepTheirForm(t *testing.T) {
+	golden.CBOR[Demand](t, "demand")
+	golden.CBOR[measured](t, "measured")
+	golden.Text(t, "names.txt", fmt.Sprintln(Partition(journaltest.New()), timeKeyPrefix))
+}
--- /dev/null
+++ b/internal/replicas/fleet/golden_test.go
@@ -0,0 +1,14 @@
+package fleet
+
+import (
+	"fmt"
+	"testing"
+
+	"woodworks/internal/daemon/golden"
+	"woodworks/internal/journal/journaltest"
+)
+
+func TestOrdersKeepTheirForm(t *testing.T) {
+	golden.CBOR[ordered](t, "ordered")
+	golden.Text(t, "partition.txt", fmt.Sprint((&Manager{Parts: Parts{Journal: journaltest.New()}}).partition()))
+}
