--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -35,7 +35,7 @@
 	}
 	views := runner.views(now)
 	for service, seen := range views {
-		seen.Settled = !moves
+		seen.NoMoves = !moves
 		for _, decision := range runner.sharing.inTurn(service, &seen.Snapshot, scheduling.Plan(seen.Snapshot), now) {
 			switch decision := decision.(type) {
 			case scheduling.Start:
@@ -64,7 +64,7 @@
 		seen.replicas = runner.table.Replicas(service)
 		for _, each := range seen.replicas {
 			engine := runner.sharing.fill(engineOf(each, now), each, now)
-			engine.Connected = runner.forwarder.Pool.Resting(each.Address)
+			engine.IdleConns = runner.forwarder.Pool.Resting(each.Address)
 			seen.Engines = append(seen.Engines, engine)
 		}
 		seen.nameGroupEngines()
@@ -86,8 +86,8 @@
 
 func engineOf(each replica.Replica, now time.Time) scheduling.Engine {
 	return scheduling.Engine{
-		ID: each.ID, Zone: each.Zone, Slots: each.Slots, InFlight: each.InFlight, Pace: each.Pace,
-		Resting: each.Probing || now.Before(each.AvoidUntil), Declining: each.Declining, Versions: each.Versions,
+		ID: each.ID, Zone: each.Zone, Slots: each.Slots, InFlight: each.InFlight, EventTime: each.Pace,
+		Avoided: each.Probing || now.Before(each.AvoidUntil), Declining: each.Declining, Versions: each.Versions,
 	}
 }
 
@@ -116,7 +116,7 @@
 		}
 		described := job.describe(each, found, priority, now)
 		if runs && !each.answered {
-			described.Silent = max(described.RunFor-job.runner.firsts.Patience(service), 0)
+			described.Overdue = max(described.RunFor-job.runner.firsts.OverdueAfter(service), 0)
 		}
 		seen.Items = append(seen.Items, described)
 		seen.pending = append(seen.pending, pending{job: job, item: each, route: found})
@@ -135,18 +135,18 @@
 	described := scheduling.Item{
 		Priority: priority, BatchSince: job.adoptedAt,
 		Model: job.submission.Model, MinVersion: job.submission.MinVersion,
-		Required: job.required[each.Group], Done: len(each.text), Remaining: job.lengths.Remaining(each.cost, len(each.text)),
+		Required: job.required[each.Group], Events: len(each.text), Remaining: job.lengths.Remaining(each.cost, len(each.text)),
 		GroupEngine: string(job.groups[each.Group]), // the start that read the prompt; nameGroupEngines puts the engine's id
-		Waited:      now.Sub(job.adoptedAt),
+		BatchAge:      now.Sub(job.adoptedAt),
 	}
 	if each.attempts == 0 || each.state == itemRunning {
 		// Without Most an item that failed is not held back.
-		described.Most = job.lengths.Most(each.cost, len(each.text))
+		described.MaxRemaining = job.lengths.MaxRemaining(each.cost, len(each.text))
 	}
 	if each.state == itemRunning {
 		described.Engine, described.RunFor = each.lastReplica, now.Sub(each.startedAt)
 		// A text of one version would begin anew at an engine of another.
-		described.Fixed = each.cut == nil || each.holding || found.SingleVersion && len(each.text) > 0
+		described.Pinned = each.cut == nil || each.holding || found.SingleVersion && len(each.text) > 0
 	}
 	return described
 }
--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -27,7 +27,7 @@
 	itemDeadline = 60 * time.Second
 	// headPatience is how long the first sign of an answer may take, for the
 	// first attempt; it doubles with each further one.
-	headPatience = scheduling.LongestFirstEvent
+	headPatience = scheduling.MaxFirstEvent
 	// gapPatience is the longest pause between events for a sound replica.
 	gapPatience = 1200 * time.Millisecond
 	maxPatience = 10 * time.Second
@@ -267,7 +267,7 @@
 	}
 	each.state = itemScoring
 	each.account.enter(phaseScoring, time.Now())
-	job.lengths.Finished(each.cost, len(each.text))
+	job.lengths.Observe(each.cost, len(each.text))
 	result := batch.Result{Item: each.index, Outcome: batch.Done, Text: bytes.Join(each.text, []byte("\n")), Versions: slices.Clone(each.versions)}
 	job.mutex.Unlock()
 	job.runner.Kick()
--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -29,16 +29,16 @@
 		begun := running(owner, 1)
 		begun.items[0].startedAt = time.Now()
 		for range 100 {
-			owner.firsts.Took("s", 20*time.Millisecond)
+			owner.firsts.Observe("s", 20*time.Millisecond)
 		}
-		usual := owner.firsts.Patience("s")
-		is.True(usual < scheduling.LongestFirstEvent)
+		usual := owner.firsts.OverdueAfter("s")
+		is.True(usual < scheduling.MaxFirstEvent)
 		time.Sleep(usual)
-		is.Equal(told(owner)[0].Silent, time.Duration(0))
+		is.Equal(told(owner)[0].Overdue, time.Duration(0))
 		time.Sleep(time.Second)
-		is.Equal(told(owner)[0].Silent, time.Second)
+		is.Equal(told(owner)[0].Overdue, time.Second)
 		begun.answers(begun.items[0], 1, &route.Route{Shares: []route.Share{{Service: "s", Weight: 1}}})
-		is.Equal(told(owner)[0].Silent, time.Duration(0))
+		is.Equal(told(owner)[0].Overdue, time.Duration(0))
 	})
 }
 
@@ -54,8 +54,8 @@
 		owner.jobList()[0].items[0].attempts = 1
 		time.Sleep(time.Second)
 		items := told(owner)
-		is.Equal(items[0].Most, 0.0)
-		is.True(items[1].Most > items[1].Remaining)
-		is.Equal(items[1].Waited, time.Second)
+		is.Equal(items[0].MaxRemaining, 0.0)
+		is.True(items[1].MaxRemaining > items[1].Remaining)
+		is.Equal(items[1].BatchAge, time.Second)
 	})
 }
--- a/internal/batches/runner/run.go
+++ b/internal/batches/runner/run.go
@@ -26,7 +26,7 @@
 	each.holding = true
 	if !each.answered {
 		// What was waited for in vain counts: where all engines get slow it becomes usual.
-		job.runner.firsts.Took(serviceOf(moved.route, each), time.Since(each.startedAt))
+		job.runner.firsts.Observe(serviceOf(moved.route, each), time.Since(each.startedAt))
 	}
 	run := each.run
 	request := job.streamRequest(each, moved.route)
@@ -92,7 +92,7 @@
 		return
 	}
 	each.answered = true
-	job.runner.firsts.Took(serviceOf(found, each), time.Since(each.startedAt))
+	job.runner.firsts.Observe(serviceOf(found, each), time.Since(each.startedAt))
 }
 
 // notTaken ends an exchange that has not become an item's run.
--- a/internal/batches/runner/run_test.go
+++ b/internal/batches/runner/run_test.go
@@ -99,7 +99,7 @@
 	made, each := movedJob(t)
 	made.lengths, each.holding = scheduling.NewLengths(), false
 	fixed := func(single bool) bool {
-		return made.describe(each, &route.Route{SingleVersion: single}, 0, time.Now()).Fixed
+		return made.describe(each, &route.Route{SingleVersion: single}, 0, time.Now()).Pinned
 	}
 	is.True(!fixed(true))
 	is.NoErr(made.take(each, 1, event(1), 1, &route.Route{SingleVersion: true}))
--- a/internal/batches/runner/sharing.go
+++ b/internal/batches/runner/sharing.go
@@ -46,11 +46,11 @@
 		return engine
 	}
 	key := KeyOf(seen)
-	engine.Others = s.table.Others(key)
+	engine.OthersInFlight = s.table.Others(key)
 	engine.Preference = occupancy.Preference(s.self, seen.ID)
 	if own := now.Sub(seen.PaceAt); seen.Pace == 0 || own > ownPaceHolds {
 		if pace, age := s.table.Pace(key); pace > 0 && (seen.Pace == 0 || age < own) {
-			engine.Pace = pace
+			engine.EventTime = pace
 		}
 	}
 	return engine
@@ -115,7 +115,7 @@
 // placesOf returns how many requests the engines of a snapshot run at a time.
 func placesOf(seen *scheduling.Snapshot) (places int) {
 	for i := range seen.Engines {
-		places += seen.Engines[i].Places()
+		places += seen.Engines[i].Capacity()
 	}
 	return places
 }
--- a/internal/batches/runner/sharing_test.go
+++ b/internal/batches/runner/sharing_test.go
@@ -139,10 +139,10 @@
 
 // dispatch starts texts of an owner as the scheduler decides.
 func (s *stand) dispatch(owner *standOwner) {
-	seen := scheduling.Snapshot{Settled: true}
+	seen := scheduling.Snapshot{NoMoves: true}
 	for i := range standEngines {
 		known := replica.Replica{Entry: replica.Entry{ID: fmt.Sprintf("e%d", i)}}
-		engine := scheduling.Engine{ID: known.ID, Slots: standSlots, InFlight: owner.at(i), Resting: s.tick < owner.resting[i]}
+		engine := scheduling.Engine{ID: known.ID, Slots: standSlots, InFlight: owner.at(i), Avoided: s.tick < owner.resting[i]}
 		seen.Engines = append(seen.Engines, owner.sharing.fill(engine, known, s.now()))
 	}
 	for _, text := range owner.texts {
@@ -273,7 +273,7 @@
 	}
 	pace := func(own, age time.Duration) time.Duration {
 		known.Pace, known.PaceAt = own, now.Add(-age)
-		return s.fill(scheduling.Engine{Pace: own}, known, now).Pace
+		return s.fill(scheduling.Engine{EventTime: own}, known, now).EventTime
 	}
 	is.Equal(pace(0, time.Hour), time.Duration(0))
 	told(5 * time.Second)
@@ -282,7 +282,7 @@
 	is.Equal(pace(40*time.Millisecond, 4*time.Second), 40*time.Millisecond)
 	is.Equal(pace(40*time.Millisecond, 6*time.Second), 20*time.Millisecond)
 	var alone *sharing
-	is.Equal(alone.fill(scheduling.Engine{ID: "e", Pace: 1}, known, now), scheduling.Engine{ID: "e", Pace: 1})
+	is.Equal(alone.fill(scheduling.Engine{ID: "e", EventTime: 1}, known, now), scheduling.Engine{ID: "e", EventTime: 1})
 }
 
 // What is told is what is under way now. A daemon that stops wants nothing more, and one
--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -11,16 +11,16 @@
 	tokensPerEvent = 50
 	// assumedSpread is the standard deviation of the logarithm of a length by its
 	// hint, until it was observed.
-	assumedSpread = 0.5
+	defaultSpread = 0.5
 	// assumedWeight is how many texts the assumptions count as.
-	assumedWeight = 8
+	defaultWeight = 8
 	// rememberedTexts is how many texts the means reach back.
-	rememberedTexts = 1000
+	maxWeight = 1000
 	// telling is from how many texts on the longest of them bounds the forecasts: makers
 	// of texts bound their lengths, and many come to that bound.
-	telling = 100
+	minTextsForLongest = 100
 	// leastSpread keeps a forecast from certainty.
-	leastSpread = 0.05
+	minSpread = 0.05
 )
 
 // Lengths forecasts how long texts get, from their hints and from how texts before
@@ -41,11 +41,11 @@
 // NewLengths returns a forecast before any text.
 func NewLengths() *Lengths {
 	mean := -math.Log(tokensPerEvent)
-	return &Lengths{weight: assumedWeight, mean: mean, square: assumedSpread * assumedSpread}
+	return &Lengths{weight: defaultWeight, mean: mean, square: defaultSpread * defaultSpread}
 }
 
 // Finished notes a whole text: the tokens hinted at and the events that it had.
-func (l *Lengths) Finished(hint int64, events int) {
+func (l *Lengths) Observe(hint int64, events int) {
 	if hint <= 0 || events <= 0 {
 		return
 	}
@@ -56,14 +56,14 @@
 	if l.longest == 0 {
 		l.hint = hinted
 	}
-	l.weight = min(l.weight+1, rememberedTexts)
+	l.weight = min(l.weight+1, maxWeight)
 	off, hintOff := value-l.mean, hinted-l.hint
 	l.mean += off / l.weight
 	l.hint += hintOff / l.weight
 	l.square += (off*(value-l.mean) - l.square) / l.weight
 	l.spread += (hintOff*(hinted-l.hint) - l.spread) / l.weight
 	l.along += (hintOff*(value-l.mean) - l.along) / l.weight
-	l.longest = max(float64(events), l.longest*(1-1/float64(rememberedTexts)))
+	l.longest = max(float64(events), l.longest*(1-1/float64(maxWeight)))
 }
 
 // forecast is the logarithm of a text's length to expect by its hint, with the standard
@@ -72,14 +72,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	hinted := math.Log(float64(max(hint, 1)))
-	slope := l.along / (l.spread + assumedWeight*assumedSpread*assumedSpread/l.weight)
+	slope := l.along / (l.spread + defaultWeight*defaultSpread*defaultSpread/l.weight)
 	median = hinted + l.mean + slope*(hinted-l.hint)
 	square := l.square - 2*slope*l.along + slope*slope*l.spread
 	longest = math.Inf(1)
-	if l.weight >= assumedWeight+telling {
+	if l.weight >= defaultWeight+minTextsForLongest {
 		longest = l.longest
 	}
-	return min(median, math.Log(longest)), max(math.Sqrt(max(square, 0)), leastSpread), longest
+	return min(median, math.Log(longest)), max(math.Sqrt(max(square, 0)), minSpread), longest
 }
 
 // Remaining returns how many events are expected to come of a text with a hint, in
@@ -88,8 +88,8 @@
 
 // Most returns how many events come at most of a text, but for a few in a hundred of the
 // texts that got as far.
-func (l *Lengths) Most(hint int64, events int) float64 {
-	return l.quantile(hint, events, mostExceeded)
+func (l *Lengths) MaxRemaining(hint int64, events int) float64 {
+	return l.quantile(hint, events, exceededPart)
 }
 
 // quantile returns how many more events a part of the texts get that got as far.
@@ -101,19 +101,19 @@
 	so := float64(events)
 	// above is the part of the texts that get longer than this one is.
 	above := upperTail((math.Log(so) - median) / spread)
-	if above < leastAbove || so >= longest {
-		return so * outgrown * math.Log(1/part) / math.Ln2
+	if above < minTail || so >= longest {
+		return so * outgrownPart * math.Log(1/part) / math.Ln2
 	}
 	return max(min(math.Exp(median+spread*upperQuantile(above*part)), longest)-so, 1)
 }
 
 const (
 	// mostExceeded is the part of the texts that outgrow what Most returns.
-	mostExceeded = 0.05
+	exceededPart = 0.05
 	// leastAbove is the smallest part of longer texts that is told from none.
-	leastAbove = 1e-9
+	minTail = 1e-9
 	// outgrown is what is expected of a text far beyond any forecast, by its length.
-	outgrown = 0.1
+	outgrownPart = 0.1
 )
 
 // upperTail is the part of a normal distribution above z.
--- a/internal/batches/scheduling/length_test.go
+++ b/internal/batches/scheduling/length_test.go
@@ -14,10 +14,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		lengths := NewLengths()
 		for range rapid.IntRange(0, 30).Draw(t, "texts") {
-			lengths.Finished(rapid.Int64Range(-1, 1<<40).Draw(t, "hint"), rapid.IntRange(-1, 1<<20).Draw(t, "events"))
+			lengths.Observe(rapid.Int64Range(-1, 1<<40).Draw(t, "hint"), rapid.IntRange(-1, 1<<20).Draw(t, "events"))
 		}
 		hint, soFar := rapid.Int64Range(-1, 1<<40).Draw(t, "hint"), rapid.IntRange(0, 1<<20).Draw(t, "so far")
-		remaining, most := lengths.Remaining(hint, soFar), lengths.Most(hint, soFar)
+		remaining, most := lengths.Remaining(hint, soFar), lengths.MaxRemaining(hint, soFar)
 		if !(remaining > 0) || math.IsInf(remaining, 0) {
 			t.Fatalf("%v events remain", remaining)
 		}
@@ -34,7 +34,7 @@
 	lengths := NewLengths()
 	for range 2000 {
 		hint := int64(500 + source.IntN(20000))
-		lengths.Finished(hint, max(int(float64(hint)/100*math.Exp(0.3*source.NormFloat64())), 1))
+		lengths.Observe(hint, max(int(float64(hint)/100*math.Exp(0.3*source.NormFloat64())), 1))
 	}
 	is.True(math.Abs(lengths.Remaining(10000, 0)-100) < 10)
 	is.True(math.Abs(math.Sqrt(lengths.square)-0.3) < 0.05)
@@ -57,7 +57,7 @@
 	}
 	lengths := NewLengths()
 	for range 2000 {
-		lengths.Finished(draw())
+		lengths.Observe(draw())
 	}
 	is.True(lengths.Remaining(400*75, 0) <= 145)
 	is.True(lengths.Remaining(75, 0) > 1.5)
@@ -65,7 +65,7 @@
 	longer, below := 0, 0
 	for range texts {
 		hint, events := draw()
-		if float64(events) > lengths.Most(hint, 0) {
+		if float64(events) > lengths.MaxRemaining(hint, 0) {
 			longer++
 		}
 		if float64(events) < lengths.Remaining(hint, 0) {
--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -34,7 +34,7 @@
 	made := &load{rests: map[string][]time.Duration{}, lengths: NewLengths()}
 	for i := range 45 {
 		pace := []time.Duration{loadFast, loadSlow, loadSlow, loadSlow}[i%4]
-		made.engines = append(made.engines, Engine{ID: fmt.Sprint("e", i), Slots: 8, Pace: pace, Versions: map[string]int64{"0": 1, "1": 1}})
+		made.engines = append(made.engines, Engine{ID: fmt.Sprint("e", i), Slots: 8, EventTime: pace, Versions: map[string]int64{"0": 1, "1": 1}})
 	}
 	random := rand.New(rand.NewPCG(seed, seed))
 	for i := range loadBatches * loadGroups * 8 {
@@ -64,11 +64,11 @@
 				continue
 			}
 			at := slices.IndexFunc(l.engines, func(engine Engine) bool { return engine.ID == each.Engine })
-			each.made += float64(tick) / (float64(l.engines[at].Pace) * (1 + loads[each.Engine]))
+			each.made += float64(tick) / (float64(l.engines[at].EventTime) * (1 + loads[each.Engine]))
 			if each.made >= each.length {
 				l.rests[each.Model+each.Engine] = append(l.rests[each.Model+each.Engine], now+1100*time.Millisecond)
 				each.done, each.Engine = now+tick, ""
-				l.lengths.Finished(each.hint, int(each.length))
+				l.lengths.Observe(each.hint, int(each.length))
 				open--
 			}
 		}
@@ -77,17 +77,17 @@
 
 // decide lets an owner plan, and does what it says.
 func (l *load) decide(owner string, now time.Duration) {
-	snapshot := Snapshot{Engines: slices.Clone(l.engines), Settled: now%(250*time.Millisecond) != 0}
+	snapshot := Snapshot{Engines: slices.Clone(l.engines), NoMoves: now%(250*time.Millisecond) != 0}
 	var own []*text
 	for _, each := range l.texts {
 		at := slices.IndexFunc(l.engines, func(engine Engine) bool { return engine.ID == each.Engine })
 		switch {
 		case each.done > 0 || each.begins > now:
 		case each.Model != owner && at >= 0:
-			snapshot.Engines[at].Others++
+			snapshot.Engines[at].OthersInFlight++
 		case each.Model == owner:
-			each.Done, each.RunFor, each.Waited = int(each.made), now-each.ready, now-each.begins
-			each.Remaining, each.Most = l.lengths.Remaining(each.hint, each.Done), l.lengths.Most(each.hint, each.Done)
+			each.Events, each.RunFor, each.BatchAge = int(each.made), now-each.ready, now-each.begins
+			each.Remaining, each.MaxRemaining = l.lengths.Remaining(each.hint, each.Events), l.lengths.MaxRemaining(each.hint, each.Events)
 			own, snapshot.Items = append(own, each), append(snapshot.Items, each.Item)
 			if at >= 0 {
 				snapshot.Engines[at].InFlight++
@@ -97,8 +97,8 @@
 	for i := range snapshot.Engines {
 		engine := &snapshot.Engines[i]
 		l.rests[owner+engine.ID] = slices.DeleteFunc(l.rests[owner+engine.ID], func(until time.Duration) bool { return until < now })
-		engine.Connected = len(l.rests[owner+engine.ID])
-		engine.Pace += engine.Pace * time.Duration(7*(engine.InFlight+engine.Others)) / 1000
+		engine.IdleConns = len(l.rests[owner+engine.ID])
+		engine.EventTime += engine.EventTime * time.Duration(7*(engine.InFlight+engine.OthersInFlight)) / 1000
 	}
 	for _, decision := range Plan(snapshot) {
 		start, starts := decision.(Start)
--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -9,22 +9,22 @@
 const (
 	// leastRun is how long an item runs at an engine before it may be moved: its
 	// pace there must have shown.
-	leastRun = 500 * time.Millisecond
+	minRunTime = 500 * time.Millisecond
 	// moveCost is what a move takes: a connection, and the reading of the prompt
 	// and of the text so far at the other engine (10,000 tokens take 30 ms).
 	moveCost = 60 * time.Millisecond
 	// leastGain is by how much sooner an item must end for a move.
-	leastGain = 150 * time.Millisecond
+	minGain = 150 * time.Millisecond
 	// clearlyFaster is how much of the time at its engine an item may take at
 	// another one for a move: paces are known to within a few hundredths.
-	clearlyFaster = 0.92
+	maxMoveRatio = 0.92
 	// silentMoves is how many items leave an engine at a time because their first event is
 	// overdue. There are some looks a second, so that a dark engine is left by all within
 	// the time in which one that changes its weights loses a few.
-	silentMoves = 2
+	maxOverdueMoves = 2
 	// decisive is the part of the time in which its step could end that an item may still
 	// take and stay where it is: forecasts are off by that much, and a move costs a connection.
-	decisive = 0.6
+	decisivePart = 0.6
 )
 
 // candidate is a running item with the engine that it runs at.
@@ -39,7 +39,7 @@
 // so that an item is not moved to and fro. Of the items of which the first event is
 // overdue a few at a time leave an engine, as it may only be changing its weights.
 func (p *planner) moves() []Decision {
-	if p.Settled {
+	if p.NoMoves {
 		return nil
 	}
 	var decisions []Decision
@@ -52,12 +52,12 @@
 		if target < 0 {
 			continue
 		}
-		there := item.Remaining * p.pace(target)
+		there := item.Remaining * p.eventTime(target)
 		gain := rounded(each.time-there) - moveCost
 		switch {
-		case item.Silent > 0:
+		case item.Overdue > 0:
 			// Where it is it may get nothing until it is given up.
-			gain = max(LongestFirstEvent-item.RunFor, leastGain)
+			gain = max(MaxFirstEvent-item.RunFor, minGain)
 		case !worthMoving(each.time, there):
 			continue
 		}
@@ -75,11 +75,11 @@
 	for i := range p.Items {
 		item := &p.Items[i]
 		engine, known := p.byID[item.Engine]
-		if !known || item.Fixed {
+		if !known || item.Pinned {
 			continue
 		}
-		time := item.Remaining * float64(p.Engines[engine].Pace)
-		if item.Silent == 0 && (item.RunFor < leastRun || p.Engines[engine].Pace == 0) {
+		time := item.Remaining * float64(p.Engines[engine].EventTime)
+		if item.Overdue == 0 && (item.RunFor < minRunTime || p.Engines[engine].EventTime == 0) {
 			continue
 		}
 		found = append(found, candidate{item: i, engine: engine, time: time})
@@ -93,24 +93,24 @@
 	})
 	leaving := make([]int, len(p.Engines))
 	return slices.DeleteFunc(found, func(each candidate) bool {
-		if p.Items[each.item].Silent == 0 {
+		if p.Items[each.item].Overdue == 0 {
 			return false
 		}
 		leaving[each.engine]++
-		return leaving[each.engine] > silentMoves
+		return leaving[each.engine] > maxOverdueMoves
 	})
 }
 
 // worthMoving reports whether an item that takes so long at its engine, and there at
 // another, in nanoseconds, should go on there.
 func worthMoving(here, there float64) bool {
-	return rounded(here-there)-moveCost >= leastGain && there <= clearlyFaster*here
+	return rounded(here-there)-moveCost >= minGain && there <= maxMoveRatio*here
 }
 
 // decides reports whether an item that takes some time more at its engine ends after its
 // step could.
 func (p *planner) decides(item *Item, time float64) bool {
-	return item.Silent > 0 || time > decisive*p.step(item).end
+	return item.Overdue > 0 || time > decisivePart*p.step(item).end
 }
 
 // target returns the engine that an item should go on at, or -1.
@@ -119,12 +119,12 @@
 	if top != at {
 		return top
 	}
-	if item.Silent == 0 {
+	if item.Overdue == 0 {
 		return -1
 	}
 	best := -1
 	for i := range p.Engines {
-		if i != at && p.mayRun(i, item) && (best < 0 || p.score(i) < p.score(best)) {
+		if i != at && p.canRun(i, item) && (best < 0 || p.score(i) < p.score(best)) {
 			best = i
 		}
 	}
--- a/internal/batches/scheduling/need.go
+++ b/internal/batches/scheduling/need.go
@@ -8,7 +8,7 @@
 // clearlyFast is how long an engine may take for an event, by those of the slower half
 // of the engines, to be one that long texts need: less than that is what load and
 // noise make of equal engines.
-const clearlyFast = 0.75
+const fastRatio = 0.75
 
 // tiers are the engines that may run the items of one class, by how fast they are.
 type tiers struct {
@@ -18,12 +18,12 @@
 	fastest []int
 	// best is the time between two events at the best engine, ordinary at the others, in
 	// nanoseconds; 0 if too few paces are known.
-	best, ordinary float64
+	bestTime, ordinaryTime float64
 	// least is what a text must have before it at least to need a fast engine: as many
 	// have that much as the fast engines have slots.
-	least float64
+	minRemaining float64
 	// needed is how many texts need a fast engine and are not at one.
-	needed int
+	wanted int
 }
 
 // tier returns the engines of an item's class by how fast they are.
@@ -42,32 +42,32 @@
 }
 
 func (p *planner) newTiers(key class, item *Item) *tiers {
-	made := &tiers{class: key, fast: make([]bool, len(p.Engines))}
+	t := &tiers{class: key, fast: make([]bool, len(p.Engines))}
 	var paces []float64
 	usable := 0
 	for i := range p.Engines {
-		if !p.holds(i, item) || p.Engines[i].Resting {
+		if !p.holds(i, item) || p.Engines[i].Avoided {
 			continue
 		}
 		usable++
-		if p.Engines[i].Pace > 0 {
-			paces = append(paces, p.pace(i))
+		if p.Engines[i].EventTime > 0 {
+			paces = append(paces, p.eventTime(i))
 		}
 	}
 	if len(paces) == 0 || 2*len(paces) < usable {
-		return made
+		return t
 	}
 	slices.Sort(paces)
-	made.best = paces[0]
+	t.bestTime = paces[0]
 	upper := paces[len(paces)*3/4]
 	for i := range p.Engines {
-		made.fast[i] = p.holds(i, item) && p.Engines[i].Pace > 0 && p.pace(i) < clearlyFast*upper
-		if made.fast[i] {
-			made.fastest = append(made.fastest, i)
+		t.fast[i] = p.holds(i, item) && p.Engines[i].EventTime > 0 && p.eventTime(i) < fastRatio*upper
+		if t.fast[i] {
+			t.fastest = append(t.fastest, i)
 		}
 	}
-	made.ordinary = upper
-	return made
+	t.ordinaryTime = upper
+	return t
 }
 
 // kept reports whether the fast engines have room only for texts that need it.
@@ -78,7 +78,7 @@
 			room += slotsOf(&p.Engines[i]) - p.inFlight[i]
 		}
 	}
-	return room <= t.needed
+	return room <= t.wanted
 }
 
 // stepKey names the items of one batch and class.
@@ -95,8 +95,8 @@
 	end float64
 	// running is how many of its short texts are under way, work the time that these and
 	// those that wait take at an ordinary engine, in nanoseconds.
-	running int
-	work    float64
+	shortRunning int
+	shortWork    float64
 }
 
 func (p *planner) step(item *Item) *step {
@@ -120,24 +120,24 @@
 	for i := range p.Items {
 		item := &p.Items[i]
 		step, tier := p.step(item), p.tier(item)
-		step.end = max(step.end, item.Remaining*tier.best)
+		step.end = max(step.end, item.Remaining*tier.bestTime)
 		remaining[tier] = append(remaining[tier], item.Remaining)
 	}
 	for tier, each := range remaining {
-		tier.least = leastOf(each, tier.slots(p))
+		tier.minRemaining = leastOf(each, tier.slots(p))
 	}
 	for i := range p.Items {
 		item := &p.Items[i]
 		step, tier := p.step(item), p.tier(item)
 		engine, runs := p.byID[item.Engine]
 		if p.short(item) {
-			step.work += item.Remaining * tier.ordinary
+			step.shortWork += item.Remaining * tier.ordinaryTime
 			if runs {
-				step.running++
+				step.shortRunning++
 			}
 		}
 		if p.needs(item) && (!runs || !tier.fast[engine]) {
-			tier.needed++
+			tier.wanted++
 		}
 	}
 }
@@ -146,22 +146,22 @@
 // would go to one that has room.
 func (p *planner) needs(item *Item) bool {
 	tier := p.tier(item)
-	if p.short(item) || item.Remaining < tier.least {
+	if p.short(item) || item.Remaining < tier.minRemaining {
 		return false
 	}
 	engine, runs := p.byID[item.Engine]
 	if !runs || tier.fast[engine] {
 		return true
 	}
-	time := item.Remaining * float64(p.Engines[engine].Pace)
-	return !item.Fixed && p.decides(item, time) && worthMoving(time, item.Remaining*tier.best)
+	time := item.Remaining * float64(p.Engines[engine].EventTime)
+	return !item.Pinned && p.decides(item, time) && worthMoving(time, item.Remaining*tier.bestTime)
 }
 
 // slots is how many requests of this owner the fast engines take.
 func (t *tiers) slots(p *planner) int {
 	slots := 0
 	for _, i := range t.fastest {
-		slots += max(slotsOf(&p.Engines[i])-p.Engines[i].Others, 0)
+		slots += max(slotsOf(&p.Engines[i])-p.Engines[i].OthersInFlight, 0)
 	}
 	return slots
 }
@@ -178,21 +178,21 @@
 // short reports whether a text surely ends before its step, at any engine.
 func (p *planner) short(item *Item) bool {
 	tier := p.tier(item)
-	return item.Most > 0 && !item.Required && tier.ordinary > 0 && item.Most*tier.ordinary <= p.step(item).end
+	return item.MaxRemaining > 0 && !item.Required && tier.ordinaryTime > 0 && item.MaxRemaining*tier.ordinaryTime <= p.step(item).end
 }
 
 // begun counts a text that was started, left one that goes on at another engine.
 func (p *planner) begun(item *Item) {
 	if p.short(item) {
-		p.step(item).running++
+		p.step(item).shortRunning++
 	}
 	if p.needs(item) {
-		p.tier(item).needed--
+		p.tier(item).wanted--
 	}
 }
 
 func (p *planner) left(item *Item, from int) {
 	if tier := p.tier(item); !tier.fast[from] && p.needs(item) {
-		tier.needed = max(tier.needed-1, 0)
+		tier.wanted = max(tier.wanted-1, 0)
 	}
 }
--- a/internal/batches/scheduling/pick.go
+++ b/internal/batches/scheduling/pick.go
@@ -15,47 +15,47 @@
 	// reads all that it has so far for each token. Together they are 0.7 % for a text of
 	// 20 events and 1.5 % for one of 100, which is what engines were seen to do. They are
 	// not learned: what one request adds is less than a pace is known to.
-	crowding      = 0.005
-	eventCrowding = 0.0001
+	loadPerRequest = 0.005
+	loadPerEvent   = 0.0001
 	// groupBonus is taken off the score of the engine that read the group's
 	// shared prompt: reading it again takes about as long as a tenth of an event.
-	groupBonus = 0.02
+	sharedPromptBonus = 0.02
 	// otherZone is added for an engine in another zone: bytes between zones cost.
 	// It is as much as a short text under way, as a long one is sooner done where
 	// there is less beside it.
-	otherZone = 0.008
+	otherZonePenalty = 0.008
 	// connecting is added, for texts that can wait, where no connection rests: making one
 	// takes the engine's time, and theirs does not decide.
-	connecting = 0.3
+	noConnPenalty = 0.3
 	// silence is added where a first event is overdue: as much as for an engine that takes
 	// twice as long, so that it gets more only where all the others are no better.
-	silence = 1
+	overduePenalty = 1
 )
 
 // paces are the engines' paces relative to each other.
-type paces struct {
+type eventTimes struct {
 	// usual is the median of the known paces, 0 if none is known.
 	usual time.Duration
 	// ratio is an engine's pace with nothing else under way, by the usual one.
 	ratio []float64
 }
 
-func pacesOf(engines []Engine, loads []float64) paces {
+func eventTimesOf(engines []Engine, loads []float64) eventTimes {
 	var known []time.Duration
 	for _, engine := range engines {
-		if engine.Pace > 0 {
-			known = append(known, engine.Pace)
+		if engine.EventTime > 0 {
+			known = append(known, engine.EventTime)
 		}
 	}
-	made := paces{ratio: make([]float64, len(engines))}
+	made := eventTimes{ratio: make([]float64, len(engines))}
 	if len(known) > 0 {
 		sort.Slice(known, func(i, j int) bool { return known[i] < known[j] })
 		made.usual = known[(len(known)-1)/2]
 	}
 	for i, engine := range engines {
 		made.ratio[i] = 1
-		if engine.Pace > 0 {
-			made.ratio[i] = float64(engine.Pace) / float64(made.usual)
+		if engine.EventTime > 0 {
+			made.ratio[i] = float64(engine.EventTime) / float64(made.usual)
 		}
 		made.ratio[i] /= 1 + loads[i]
 	}
@@ -63,7 +63,7 @@
 }
 
 // loadOf is by how much a request slows the others, with the events of its text.
-func loadOf(events float64) float64 { return crowding + eventCrowding*events }
+func loadOf(events float64) float64 { return loadPerRequest + loadPerEvent*events }
 
 // class is what an engine must fulfil for an item.
 type class struct {
@@ -109,7 +109,7 @@
 	if engine := p.best(item, wanted); engine >= 0 || wanted == anyEngine {
 		return engine
 	}
-	if p.pool(item, anyEngine).top() < 0 || item.Most > 0 && p.tier(item).kept(p) {
+	if p.pool(item, anyEngine).top() < 0 || item.MaxRemaining > 0 && p.tier(item).kept(p) {
 		return -1
 	}
 	return p.best(item, anyEngine)
@@ -139,7 +139,7 @@
 		return best
 	}
 	near, ok := p.byID[item.GroupEngine]
-	if ok && near != best && p.mayRun(near, item) && pool.takes(near) && pool.score(near)-groupBonus < pool.score(best) {
+	if ok && near != best && p.canRun(near, item) && pool.takes(near) && pool.score(near)-sharedPromptBonus < pool.score(best) {
 		return near
 	}
 	return best
@@ -156,7 +156,7 @@
 	}
 	made := &pool{planner: p, poolKey: key, tiers: p.tier(item)}
 	for i := range p.Engines {
-		if p.mayRun(i, item) && made.takes(i) {
+		if p.canRun(i, item) && made.takes(i) {
 			made.engines = append(made.engines, i)
 			made.scores = append(made.scores, made.score(i))
 		}
@@ -168,73 +168,73 @@
 }
 
 // takes reports whether an engine is one of those that the pool is for.
-func (pool *pool) takes(engine int) bool {
-	return pool.choice == anyEngine || !pool.tiers.fast[engine]
+func (pl *pool) takes(engine int) bool {
+	return pl.choice == anyEngine || !pl.tiers.fast[engine]
 }
 
 // score is lower for a better engine.
-func (pool *pool) score(engine int) float64 {
-	score := pool.planner.score(engine)
-	if pool.choice == connected && pool.planner.resting[engine] == 0 {
-		score += connecting
+func (pl *pool) score(engine int) float64 {
+	score := pl.planner.score(engine)
+	if pl.choice == connected && pl.planner.idleConns[engine] == 0 {
+		score += noConnPenalty
 	}
 	return score
 }
 
 // top returns the best engine with room, or -1.
-func (pool *pool) top() int {
-	for len(pool.engines) > 0 {
-		engine := pool.engines[0]
-		if !pool.planner.hasRoom(engine) {
-			heap.Pop(pool)
+func (pl *pool) top() int {
+	for len(pl.engines) > 0 {
+		engine := pl.engines[0]
+		if !pl.planner.hasRoom(engine) {
+			heap.Pop(pl)
 			continue
 		}
-		score := pool.score(engine)
-		if score == pool.scores[0] {
+		score := pl.score(engine)
+		if score == pl.scores[0] {
 			return engine
 		}
-		pool.scores[0] = score
-		heap.Fix(pool, 0)
+		pl.scores[0] = score
+		heap.Fix(pl, 0)
 	}
 	return -1
 }
 
 // Len, Less, Swap, Push and Pop implement heap.Interface.
-func (pool *pool) Len() int { return len(pool.engines) }
+func (pl *pool) Len() int { return len(pl.engines) }
 
-func (pool *pool) Less(i, j int) bool {
-	if pool.scores[i] != pool.scores[j] {
-		return pool.scores[i] < pool.scores[j]
+func (pl *pool) Less(i, j int) bool {
+	if pl.scores[i] != pl.scores[j] {
+		return pl.scores[i] < pl.scores[j]
 	}
-	first, second := &pool.planner.Engines[pool.engines[i]], &pool.planner.Engines[pool.engines[j]]
+	first, second := &pl.planner.Engines[pl.engines[i]], &pl.planner.Engines[pl.engines[j]]
 	if first.Preference != second.Preference {
 		return first.Preference > second.Preference
 	}
 	return first.ID < second.ID
 }
 
-func (pool *pool) Swap(i, j int) {
-	pool.engines[i], pool.engines[j] = pool.engines[j], pool.engines[i]
-	pool.scores[i], pool.scores[j] = pool.scores[j], pool.scores[i]
+func (pl *pool) Swap(i, j int) {
+	pl.engines[i], pl.engines[j] = pl.engines[j], pl.engines[i]
+	pl.scores[i], pl.scores[j] = pl.scores[j], pl.scores[i]
 }
 
-func (pool *pool) Push(any) {}
+func (pl *pool) Push(any) {}
 
-func (pool *pool) Pop() any {
-	last := len(pool.engines) - 1
-	pool.engines, pool.scores = pool.engines[:last], pool.scores[:last]
+func (pl *pool) Pop() any {
+	last := len(pl.engines) - 1
+	pl.engines, pl.scores = pl.engines[:last], pl.scores[:last]
 	return nil
 }
 
 // take counts an item that an engine gets.
 func (p *planner) take(engine int, item *Item) {
 	p.inFlight[engine]++
-	p.resting[engine] = max(p.resting[engine]-1, 0)
+	p.idleConns[engine] = max(p.idleConns[engine]-1, 0)
 	p.loads[engine] += loadOf(item.Length())
 }
 
 // mayRun reports whether an engine may run an item now.
-func (p *planner) mayRun(engine int, item *Item) bool {
+func (p *planner) canRun(engine int, item *Item) bool {
 	return p.hasRoom(engine) && p.holds(engine, item)
 }
 
@@ -246,10 +246,10 @@
 
 func (p *planner) hasRoom(engine int) bool {
 	known := &p.Engines[engine]
-	if known.Resting {
+	if known.Avoided {
 		return false
 	}
-	if known.Declining && p.inFlight[engine] > known.InFlight+known.Others {
+	if known.Declining && p.inFlight[engine] > known.InFlight+known.OthersInFlight {
 		return false
 	}
 	return p.inFlight[engine] < slotsOf(known)
@@ -265,19 +265,19 @@
 // score is lower for a better engine: the pace that one more request would have
 // there, by the usual pace.
 func (p *planner) score(engine int) float64 {
-	score := p.paces.ratio[engine] * (1 + p.loads[engine])
+	score := p.eventTimes.ratio[engine] * (1 + p.loads[engine])
 	if p.Engines[engine].Zone != p.Zone {
-		score += otherZone
+		score += otherZonePenalty
 	}
-	if p.silent[engine] {
-		score += silence
+	if p.overdue[engine] {
+		score += overduePenalty
 	}
 	return score
 }
 
 // pace is the expected time between the events of one more request at an engine.
-func (p *planner) pace(engine int) float64 {
-	return p.paces.ratio[engine] * (1 + p.loads[engine]) * float64(p.paces.usual)
+func (p *planner) eventTime(engine int) float64 {
+	return p.eventTimes.ratio[engine] * (1 + p.loads[engine]) * float64(p.eventTimes.usual)
 }
 
 // rounded turns nanoseconds that need not be whole into a duration.
@@ -286,16 +286,16 @@
 }
 
 // Places is how many requests an engine runs at a time.
-func (engine *Engine) Places() int { return slotsOf(engine) }
+func (e *Engine) Capacity() int { return slotsOf(e) }
 
 // Room reports whether an engine may get another request now, besides some that it is
 // about to get.
-func (engine *Engine) Room(more int) bool {
-	return !engine.Resting && !engine.Declining && engine.InFlight+engine.Others+more < slotsOf(engine)
+func (e *Engine) Room(more int) bool {
+	return !e.Avoided && !e.Declining && e.InFlight+e.OthersInFlight+more < slotsOf(e)
 }
 
 // Holds reports whether an engine's weights are new enough for an item, as far as is known.
-func (engine *Engine) Holds(item *Item) bool {
-	version, known := engine.Versions[item.Model]
+func (e *Engine) Holds(item *Item) bool {
+	version, known := e.Versions[item.Model]
 	return !known || version >= item.MinVersion
 }
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -62,7 +62,7 @@
 	}
 	snapshot.Items = []Item{decisive}
 	for range short {
-		snapshot.Items = append(snapshot.Items, Item{Model: testModel, Remaining: 10, Most: 25})
+		snapshot.Items = append(snapshot.Items, Item{Model: testModel, Remaining: 10, MaxRemaining: 25})
 	}
 	return snapshot
 }
@@ -71,9 +71,9 @@
 // others are full.
 func TestShortTextsLeaveTheFastEnginesFree(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(100, Item{Model: testModel, Remaining: 140, Most: 140})
+	snapshot := uneven(100, Item{Model: testModel, Remaining: 140, MaxRemaining: 140})
 	for i := range snapshot.Items {
-		snapshot.Items[i].Waited = longestHeld
+		snapshot.Items[i].BatchAge = maxDeferral
 	}
 	at := map[string]int{}
 	for _, decision := range Plan(snapshot) {
@@ -90,17 +90,17 @@
 // the long one stayed at its slow engine to its end.
 func TestAPlaceAtAFastEngineIsKeptForATextThatNeedsIt(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(10, Item{Model: testModel, Remaining: 100, Most: 140, Engine: "slow0", RunFor: time.Second})
+	snapshot := uneven(10, Item{Model: testModel, Remaining: 100, MaxRemaining: 140, Engine: "slow0", RunFor: time.Second})
 	for i := range snapshot.Engines {
 		snapshot.Engines[i].InFlight = snapshot.Engines[i].Slots
 	}
 	snapshot.Engines[0].InFlight--
 	for i := range snapshot.Items {
-		snapshot.Items[i].Waited = longestHeld
+		snapshot.Items[i].BatchAge = maxDeferral
 	}
-	snapshot.Settled = true
+	snapshot.NoMoves = true
 	is.Equal(len(Plan(snapshot)), 0)
-	snapshot.Settled = false
+	snapshot.NoMoves = false
 	is.Equal(len(Plan(snapshot)), 1)
 	move, ok := Plan(snapshot)[0].(Move)
 	is.True(ok)
@@ -111,7 +111,7 @@
 // places are neither kept nor those that the longest texts could have.
 func TestOnlyEnginesThatMayRunATextCountAsFastForIt(t *testing.T) {
 	is := is.New(t)
-	item := Item{Model: testModel, MinVersion: 1, Remaining: 140, Most: 140}
+	item := Item{Model: testModel, MinVersion: 1, Remaining: 140, MaxRemaining: 140}
 	snapshot := uneven(0, item)
 	other := paced("other", loadFast)
 	other.Versions = map[string]int64{testModel: 0}
@@ -125,8 +125,8 @@
 // one, and none is held longer than is stated.
 func TestShortTextsWaitWhileTheStepLeavesRoom(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(40, Item{Model: testModel, Remaining: 100, Most: 140, Engine: "fast", RunFor: time.Second})
-	snapshot.Engines[2].Connected = 3
+	snapshot := uneven(40, Item{Model: testModel, Remaining: 100, MaxRemaining: 140, Engine: "fast", RunFor: time.Second})
+	snapshot.Engines[2].IdleConns = 3
 	begun, connected := 0, 0
 	for _, decision := range Plan(snapshot) {
 		begun++
@@ -138,7 +138,7 @@
 	is.True(begun >= 17 && begun <= 19)
 	is.True(connected >= 3)
 	for i := range snapshot.Items {
-		snapshot.Items[i].Waited = longestHeld
+		snapshot.Items[i].BatchAge = maxDeferral
 	}
 	is.Equal(len(Plan(snapshot)), 40)
 }
@@ -150,22 +150,22 @@
 		snapshot := drawSnapshot(t)
 		for i := range snapshot.Items {
 			item := &snapshot.Items[i]
-			item.Most = item.Remaining * rapid.Float64Range(1, 3).Draw(t, "most")
-			item.Waited = time.Duration(rapid.IntRange(0, 3000).Draw(t, "waited")) * time.Millisecond
+			item.MaxRemaining = item.Remaining * rapid.Float64Range(1, 3).Draw(t, "most")
+			item.BatchAge = time.Duration(rapid.IntRange(0, 3000).Draw(t, "waited")) * time.Millisecond
 		}
 		// Moves do not count here: they may take an engine from an item that waits.
-		snapshot.Settled = true
+		snapshot.NoMoves = true
 		planner := newPlanner(snapshot)
-		keeps := func(item *Item) bool { return planner.short(item) && planner.tier(item).needed > 0 }
+		keeps := func(item *Item) bool { return planner.short(item) && planner.tier(item).wanted > 0 }
 		for i, started := range startedOf(snapshot) {
 			item := &snapshot.Items[i]
-			may := !item.Required && item.Waited < longestHeld && item.Most < longestOf(snapshot, item)
+			may := !item.Required && item.BatchAge < maxDeferral && item.MaxRemaining < longestOf(snapshot, item)
 			if started || item.Engine != "" || may || keeps(item) {
 				continue
 			}
 			after := planAfter(snapshot)
 			for e := range snapshot.Engines {
-				if after.mayRun(e, item) {
+				if after.canRun(e, item) {
 					t.Fatalf("item %d waits though %s has room", i, snapshot.Engines[e].ID)
 				}
 			}
@@ -208,7 +208,7 @@
 	snapshot.Items = append(snapshot.Items, Item{Model: testModel, Remaining: 20, Engine: "slow0", RunFor: time.Second})
 	is.Equal(len(Plan(snapshot)), 0)
 	// It would miss the end, its engine having turned slow.
-	snapshot.Engines[1].Pace = 200 * time.Millisecond
+	snapshot.Engines[1].EventTime = 200 * time.Millisecond
 	is.Equal(len(Plan(snapshot)), 1)
 }
 
@@ -218,10 +218,10 @@
 	is := is.New(t)
 	snapshot := uneven(0, Item{Model: testModel, Remaining: 100, Engine: "fast", RunFor: time.Second})
 	for range 5 {
-		snapshot.Items = append(snapshot.Items, Item{Model: testModel, Remaining: 10, Engine: "slow0", RunFor: 600 * time.Millisecond, Silent: 300 * time.Millisecond})
+		snapshot.Items = append(snapshot.Items, Item{Model: testModel, Remaining: 10, Engine: "slow0", RunFor: 600 * time.Millisecond, Overdue: 300 * time.Millisecond})
 	}
 	decisions := Plan(snapshot)
-	is.Equal(len(decisions), silentMoves)
+	is.Equal(len(decisions), maxOverdueMoves)
 	for _, decision := range decisions {
 		is.True(snapshot.Engines[decision.(Move).Engine].ID != "slow0")
 	}
@@ -237,22 +237,22 @@
 func TestThePatienceForFirstEventsIsLearned(t *testing.T) {
 	is := is.New(t)
 	var firsts FirstEvents
-	is.Equal(firsts.Patience("s"), LongestFirstEvent)
+	is.Equal(firsts.OverdueAfter("s"), MaxFirstEvent)
 	for i := range 100 {
 		took := 20 * time.Millisecond
 		if i%20 == 0 {
 			took = 5 * time.Second // a few that never came do not matter
 		}
-		firsts.Took("s", took)
+		firsts.Observe("s", took)
 	}
-	is.Equal(firsts.Patience("s"), shortestFirstEvent)
-	is.Equal(firsts.Patience("another"), LongestFirstEvent)
-	for range rememberedFirsts {
-		firsts.Took("s", 200*time.Millisecond)
+	is.Equal(firsts.OverdueAfter("s"), minFirstEvent)
+	is.Equal(firsts.OverdueAfter("another"), MaxFirstEvent)
+	for range firstEventWindow {
+		firsts.Observe("s", 200*time.Millisecond)
 	}
-	is.Equal(firsts.Patience("s"), 500*time.Millisecond)
-	for range rememberedFirsts {
-		firsts.Took("s", 2*time.Second)
+	is.Equal(firsts.OverdueAfter("s"), 500*time.Millisecond)
+	for range firstEventWindow {
+		firsts.Observe("s", 2*time.Second)
 	}
-	is.Equal(firsts.Patience("s"), LongestFirstEvent)
+	is.Equal(firsts.OverdueAfter("s"), MaxFirstEvent)
 }
--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -31,16 +31,16 @@
 	// under way there.
 	Slots, InFlight int
 	// Others is how many requests of other owners are under way there, as these told.
-	Others int
+	OthersInFlight int
 	// Pace is the mean time between the events of a text, 0 if unknown.
-	Pace time.Duration
+	EventTime time.Duration
 	// Preference ranks it among engines that are as good, from 0 to below 1: higher ones go
 	// first. It should differ between owners that may start at the same instant.
 	Preference float64
 	// Connected is how many connections to it rest here.
-	Connected int
+	IdleConns int
 	// Resting engines get nothing for now: they failed or declined a moment ago.
-	Resting bool
+	Avoided bool
 	// Declining engines declined the last request; one at a time finds out
 	// whether they still do.
 	Declining bool
@@ -60,15 +60,15 @@
 	// Required items are of a group without which the batch's trainer does not go on.
 	Required bool
 	// Done is how many events its text has, Remaining how many are expected to come.
-	Done      int
+	Events    int
 	Remaining float64
 	// Most is how many events come at most, but for a few texts in a hundred; 0 if that
 	// is unknown. It is told of texts only that may be held back.
-	Most float64
+	MaxRemaining float64
 	// Waited is for how long its batch has been here.
-	Waited time.Duration
+	BatchAge time.Duration
 	// Silent is for how long the first event of its run is overdue, 0 if it is not.
-	Silent time.Duration
+	Overdue time.Duration
 	// GroupEngine is the engine that last read the prompt of the item's group, "" if none.
 	GroupEngine string
 	// Engine runs the item; "" while it waits.
@@ -76,11 +76,11 @@
 	// RunFor is for how long it has run there.
 	RunFor time.Duration
 	// Fixed items cannot be moved now.
-	Fixed bool
+	Pinned bool
 }
 
 // Length is how many events the text should have in the end.
-func (item *Item) Length() float64 { return float64(item.Done) + item.Remaining }
+func (it *Item) Length() float64 { return float64(it.Events) + it.Remaining }
 
 // Snapshot is what the decisions rest on: the engines of one service and the
 // items that are for them.
@@ -90,7 +90,7 @@
 	Engines []Engine
 	Items   []Item
 	// Settled says that no item is to be moved in this round.
-	Settled bool
+	NoMoves bool
 }
 
 // Decision is one of Start and Move.
@@ -122,16 +122,16 @@
 	Snapshot
 	inFlight []int
 	// loads are by how much the requests at each engine slow one more.
-	loads []float64
-	byID  map[string]int
-	paces paces
+	loads      []float64
+	byID       map[string]int
+	eventTimes eventTimes
 	// resting is how many connections rest at each engine, silent says where a first
 	// event is overdue.
-	resting []int
-	silent  []bool
-	tiers   map[class]*tiers
-	steps   map[stepKey]*step
-	pools   map[poolKey]*pool
+	idleConns []int
+	overdue   []bool
+	tiers     map[class]*tiers
+	steps     map[stepKey]*step
+	pools     map[poolKey]*pool
 	// last is the pool asked for last, lastTier and lastStep are likewise: items in order
 	// mostly share one.
 	last     *pool
@@ -140,25 +140,25 @@
 }
 
 func newPlanner(snapshot Snapshot) *planner {
-	made := &planner{Snapshot: snapshot, byID: make(map[string]int, len(snapshot.Engines)), pools: map[poolKey]*pool{}, tiers: map[class]*tiers{}, steps: map[stepKey]*step{}}
-	made.inFlight, made.loads = make([]int, len(snapshot.Engines)), make([]float64, len(snapshot.Engines))
-	made.resting, made.silent = make([]int, len(snapshot.Engines)), make([]bool, len(snapshot.Engines))
+	p := &planner{Snapshot: snapshot, byID: make(map[string]int, len(snapshot.Engines)), pools: map[poolKey]*pool{}, tiers: map[class]*tiers{}, steps: map[stepKey]*step{}}
+	p.inFlight, p.loads = make([]int, len(snapshot.Engines)), make([]float64, len(snapshot.Engines))
+	p.idleConns, p.overdue = make([]int, len(snapshot.Engines)), make([]bool, len(snapshot.Engines))
 	for i, engine := range snapshot.Engines {
-		made.inFlight[i] = engine.InFlight + engine.Others
-		made.loads[i] = float64(made.inFlight[i]) * loadOf(0)
-		made.resting[i] = engine.Connected
-		made.byID[engine.ID] = i
+		p.inFlight[i] = engine.InFlight + engine.OthersInFlight
+		p.loads[i] = float64(p.inFlight[i]) * loadOf(0)
+		p.idleConns[i] = engine.IdleConns
+		p.byID[engine.ID] = i
 	}
 	for i := range snapshot.Items {
 		item := &snapshot.Items[i]
-		if engine, ok := made.byID[item.Engine]; ok {
-			made.loads[engine] += loadOf(item.Length()) - loadOf(0)
-			made.silent[engine] = made.silent[engine] || item.Silent > 0
+		if engine, ok := p.byID[item.Engine]; ok {
+			p.loads[engine] += loadOf(item.Length()) - loadOf(0)
+			p.overdue[engine] = p.overdue[engine] || item.Overdue > 0
 		}
 	}
-	made.paces = pacesOf(snapshot.Engines, made.loads)
-	made.foresee()
-	return made
+	p.eventTimes = eventTimesOf(snapshot.Engines, p.loads)
+	p.foresee()
+	return p
 }
 
 // starts sends waiting items, in order, to the engines with room.
@@ -173,7 +173,7 @@
 	var decisions []Decision
 	for _, i := range waiting {
 		item := &p.Items[i]
-		if p.held(item) {
+		if p.deferred(item) {
 			continue
 		}
 		if engine := p.pick(item); engine >= 0 {
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -22,38 +22,38 @@
 	return Engine{
 		ID: id, Zone: rapid.SampledFrom([]string{"z", "y"}).Draw(t, "zone"),
 		Slots: rapid.IntRange(0, 4).Draw(t, "slots"), InFlight: rapid.IntRange(0, 5).Draw(t, "in flight"),
-		Pace:    time.Duration(rapid.IntRange(0, 100).Draw(t, "pace")) * time.Millisecond,
-		Resting: rapid.IntRange(0, 4).Draw(t, "resting") == 0, Declining: rapid.IntRange(0, 4).Draw(t, "declining") == 0,
+		EventTime: time.Duration(rapid.IntRange(0, 100).Draw(t, "pace")) * time.Millisecond,
+		Avoided:   rapid.IntRange(0, 4).Draw(t, "resting") == 0, Declining: rapid.IntRange(0, 4).Draw(t, "declining") == 0,
 		Versions: map[string]int64{testModel: rapid.Int64Range(1, 4).Draw(t, "version")},
 	}
 }
 
 func drawItem(t *rapid.T, engines []Engine) Item {
-	made := Item{
+	it := Item{
 		Priority:   rapid.IntRange(0, 1).Draw(t, "priority"),
 		BatchSince: testStart.Add(time.Duration(rapid.IntRange(0, 2).Draw(t, "since")) * time.Second),
 		Model:      testModel, MinVersion: rapid.Int64Range(1, 4).Draw(t, "least version"),
 		Required: rapid.Bool().Draw(t, "required"), Remaining: float64(rapid.IntRange(1, 200).Draw(t, "remaining")),
 	}
 	if len(engines) > 0 && rapid.Bool().Draw(t, "runs") {
-		made.Engine = rapid.SampledFrom(engines).Draw(t, "engine").ID
-		made.RunFor = time.Duration(rapid.IntRange(0, 3000).Draw(t, "run for")) * time.Millisecond
+		it.Engine = rapid.SampledFrom(engines).Draw(t, "engine").ID
+		it.RunFor = time.Duration(rapid.IntRange(0, 3000).Draw(t, "run for")) * time.Millisecond
 	}
 	if len(engines) > 0 && rapid.Bool().Draw(t, "group has begun") {
-		made.GroupEngine = rapid.SampledFrom(engines).Draw(t, "group's engine").ID
+		it.GroupEngine = rapid.SampledFrom(engines).Draw(t, "group's engine").ID
 	}
-	return made
+	return it
 }
 
 func drawSnapshot(t *rapid.T) Snapshot {
-	made := Snapshot{Zone: "z"}
+	s := Snapshot{Zone: "z"}
 	for i := range rapid.IntRange(0, 6).Draw(t, "engines") {
-		made.Engines = append(made.Engines, drawEngine(t, string(rune('a'+i))))
+		s.Engines = append(s.Engines, drawEngine(t, string(rune('a'+i))))
 	}
 	for range rapid.IntRange(0, 20).Draw(t, "items") {
-		made.Items = append(made.Items, drawItem(t, made.Engines))
+		s.Items = append(s.Items, drawItem(t, s.Engines))
 	}
-	return made
+	return s
 }
 
 // checkPlan checks what holds of every plan: no engine over its slots, none that
@@ -76,7 +76,7 @@
 			if snapshot.Items[item].Engine == "" || snapshot.Items[item].Engine == snapshot.Engines[engine].ID {
 				t.Fatalf("item %d is moved from %q to %q", item, snapshot.Items[item].Engine, snapshot.Engines[engine].ID)
 			}
-			if decision.Gain < leastGain {
+			if decision.Gain < minGain {
 				t.Fatalf("a move gains %v", decision.Gain)
 			}
 		}
@@ -91,7 +91,7 @@
 	}
 	for i, engine := range snapshot.Engines {
 		switch {
-		case taken[i] > 0 && engine.Resting:
+		case taken[i] > 0 && engine.Avoided:
 			t.Fatalf("engine %s rests and gets %d", engine.ID, taken[i])
 		case taken[i] > 1 && engine.Declining:
 			t.Fatalf("engine %s declines and gets %d", engine.ID, taken[i])
@@ -104,7 +104,7 @@
 			continue
 		}
 		for e, engine := range snapshot.Engines {
-			room := engine.InFlight+taken[e] < slotsOf(&snapshot.Engines[e]) && !engine.Resting && !(engine.Declining && taken[e] > 0)
+			room := engine.InFlight+taken[e] < slotsOf(&snapshot.Engines[e]) && !engine.Avoided && !(engine.Declining && taken[e] > 0)
 			if room && engine.Versions[testModel] >= item.MinVersion {
 				t.Fatalf("item %d waits though %s has room", i, engine.ID)
 			}
@@ -165,7 +165,7 @@
 }
 
 func paced(id string, pace time.Duration) Engine {
-	return Engine{ID: id, Zone: "z", Slots: 12, Pace: pace, Versions: map[string]int64{testModel: 1}}
+	return Engine{ID: id, Zone: "z", Slots: 12, EventTime: pace, Versions: map[string]int64{testModel: 1}}
 }
 
 // A text of the greatest length takes 8.6 s at an engine that is 1.3 times slower
@@ -202,7 +202,7 @@
 	is.True(movedFrom(140*time.Millisecond, 10, time.Second))
 	is.True(!movedFrom(43*time.Millisecond, 165, time.Second))
 	is.True(!movedFrom(52*time.Millisecond, 10, time.Second))
-	is.True(!movedFrom(52*time.Millisecond, 80, leastRun/2))
+	is.True(!movedFrom(52*time.Millisecond, 80, minRunTime/2))
 }
 
 func TestAMoveDoesNotComeBack(t *testing.T) {
@@ -219,7 +219,7 @@
 		snapshot.Engines[0].InFlight, snapshot.Engines[1].InFlight = 0, 1
 		snapshot.Items[0].Engine = "b"
 		if len(Plan(snapshot)) != 0 {
-			t.Fatalf("moved to and fro between %v and %v", snapshot.Engines[0].Pace, snapshot.Engines[1].Pace)
+			t.Fatalf("moved to and fro between %v and %v", snapshot.Engines[0].EventTime, snapshot.Engines[1].EventTime)
 		}
 	})
 }
@@ -247,7 +247,7 @@
 func TestRequestsOfOtherOwnersTakeRoom(t *testing.T) {
 	is := is.New(t)
 	engine := func(id string, pace time.Duration, others int) Engine {
-		return Engine{ID: id, Slots: 2, Others: others, Pace: pace, Versions: map[string]int64{testModel: 1}}
+		return Engine{ID: id, Slots: 2, OthersInFlight: others, EventTime: pace, Versions: map[string]int64{testModel: 1}}
 	}
 	item := Item{Model: testModel, Remaining: 100}
 	decisions := Plan(Snapshot{Engines: []Engine{engine("fast", 20*time.Millisecond, 2), engine("slow", 50*time.Millisecond, 1)}, Items: []Item{item, item}})
