--- a/internal/batches/runner/account.go
+++ b/internal/batches/runner/account.go
@@ -17,7 +17,7 @@
 	// phasePrompt: from the start of a run to its first event.
 	phasePrompt
 	// phaseMaking: between the first event of a run and its end.
-	phaseMaking
+	phaseGenerating
 	// phaseScoring: the reward call.
 	phaseScoring
 	// phaseListing: until the result stands in the journal.
@@ -33,14 +33,14 @@
 }
 
 // account is where an item's time went at this owner.
-type account struct {
+type timing struct {
 	phase phase
 	since time.Time
 	spent [phases]time.Duration
 }
 
 // enter ends the phase that an item is in and begins another.
-func (a *account) enter(next phase, now time.Time) {
+func (a *timing) enter(next phase, now time.Time) {
 	a.spent[a.phase] += now.Sub(a.since)
 	a.phase, a.since = next, now
 }
@@ -50,59 +50,59 @@
 
 // SetObserver sets who is told where the time of batches went. It is called before
 // Run.
-func (runner *Runner) SetObserver(observe Observer) { runner.observe = observe }
+func (r *Runner) SetObserver(observe Observer) { r.observe = observe }
 
 // publishItemTime tells how long the batch's items took a slot, in the mean. The mutex is
 // held.
-func (job *job) publishItemTime() {
-	if job.submission.Model == "" {
+func (j *job) publishItemTime() {
+	if j.submission.Model == "" {
 		return
 	}
 	sum, count := time.Duration(0), time.Duration(0)
-	for _, each := range job.items {
-		if each.state == itemListed && each.account.phase == phaseDone {
-			sum += each.account.spent[phasePrompt] + each.account.spent[phaseMaking]
+	for _, it := range j.items {
+		if it.state == itemListed && it.timing.phase == phaseDone {
+			sum += it.timing.spent[phasePrompt] + it.timing.spent[phaseGenerating]
 			count++
 		}
 	}
 	if count > 0 {
-		go job.runner.demands.PublishTime(job.runner.context, job.submission.Model, sum/count)
+		go j.r.demands.PublishTime(j.r.ctx, j.submission.Model, sum/count)
 	}
 }
 
 // giveAccount tells where the time of a batch went: that of the item listed last, as
 // it decided when the batch had all that it came to. The mutex is held.
-func (job *job) giveAccount(reason string, now time.Time) {
+func (j *job) logTimes(reason string, now time.Time) {
 	var last *item
 	listed := 0
-	for _, each := range job.items {
-		if each.state != itemListed || each.account.phase != phaseDone {
+	for _, it := range j.items {
+		if it.state != itemListed || it.timing.phase != phaseDone {
 			continue
 		}
 		listed++
-		if last == nil || each.account.since.After(last.account.since) {
-			last = each
+		if last == nil || it.timing.since.After(last.timing.since) {
+			last = it
 		}
 	}
 	if last == nil {
 		return
 	}
-	spent := last.account.spent
+	spent := last.timing.spent
 	fields := []zap.Field{
-		zap.String("reason", reason), zap.Int("listed", listed), zap.Int("items", len(job.items)),
-		zap.Duration("before", max(job.adoptedAt.Sub(job.submission.AcceptedAt()), 0)), zap.Duration("owned", now.Sub(job.adoptedAt)),
-		zap.String("last_item", last.ID), zap.Bool("required", job.required[last.Group]), zap.Int64("events", last.lastEvent), zap.Int("attempts", last.attempts),
+		zap.String("reason", reason), zap.Int("listed", listed), zap.Int("items", len(j.items)),
+		zap.Duration("before", max(j.adoptedAt.Sub(j.submission.AcceptedAt()), 0)), zap.Duration("owned", now.Sub(j.adoptedAt)),
+		zap.String("last_item", last.ID), zap.Bool("required", j.required[last.Group]), zap.Int64("events", last.lastEvent), zap.Int("attempts", last.attempts),
 		zap.Int64s("versions", last.versions), zap.String("replica", last.lastReplica),
 	}
 	if last.lastEvent > 0 {
-		fields = append(fields, zap.Duration("pace", spent[phaseMaking]/time.Duration(last.lastEvent)))
+		fields = append(fields, zap.Duration("pace", spent[phaseGenerating]/time.Duration(last.lastEvent)))
 	}
 	for part := phaseWaiting; part < phaseDone; part++ {
 		fields = append(fields, zap.Duration(part.String(), spent[part]))
-		job.runner.observe(part.String(), spent[part])
+		j.r.observe(part.String(), spent[part])
 	}
-	job.publishItemTime()
-	afterLast := now.Sub(last.account.since)
-	job.runner.observe("until left", afterLast)
-	job.logger.Info("batch account", append(fields, zap.Duration("until_left", afterLast))...)
+	j.publishItemTime()
+	afterLast := now.Sub(last.timing.since)
+	j.r.observe("until left", afterLast)
+	j.logger.Info("batch account", append(fields, zap.Duration("until_left", afterLast))...)
 }
--- a/internal/batches/runner/account_test.go
+++ b/internal/batches/runner/account_test.go
@@ -19,20 +19,20 @@
 	parts := map[string]time.Duration{}
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	owner := &Runner{observe: func(part string, took time.Duration) { parts[part] = took }}
-	made := &job{runner: owner, submission: &batch.Submission{ID: "b", AcceptedAtMs: start.UnixMilli()}, adoptedAt: start.Add(time.Second), logger: zap.New(core)}
+	j := &job{r: owner, submission: &batch.Submission{ID: "b", AcceptedAtMs: start.UnixMilli()}, adoptedAt: start.Add(time.Second), logger: zap.New(core)}
 	walk := func(id string, steps ...time.Duration) {
-		each := &item{Item: batch.Item{ID: id}, state: itemListed, lastEvent: 10, account: account{since: made.adoptedAt}}
-		now := made.adoptedAt
+		it := &item{Item: batch.Item{ID: id}, state: itemListed, lastEvent: 10, timing: timing{since: j.adoptedAt}}
+		now := j.adoptedAt
 		for i, took := range steps {
 			now = now.Add(took)
-			each.account.enter(phaseWaiting+phase(i)+1, now)
+			it.timing.enter(phaseWaiting+phase(i)+1, now)
 		}
-		made.items = append(made.items, each)
+		j.items = append(j.items, it)
 	}
 	walk("early", 1*time.Second, time.Second, time.Second, time.Second, time.Second)
 	walk("last", 1*time.Second, 2*time.Second, 3*time.Second, 4*time.Second, 5*time.Second)
-	made.items = append(made.items, &item{Item: batch.Item{ID: "open"}, state: itemRunning})
-	made.giveAccount("ended", start.Add(20*time.Second))
+	j.items = append(j.items, &item{Item: batch.Item{ID: "open"}, state: itemRunning})
+	j.logTimes("ended", start.Add(20*time.Second))
 	is.Equal(lines.Len(), 1)
 	told := lines.All()[0].ContextMap()
 	is.Equal(told["last_item"], "last")
@@ -52,11 +52,11 @@
 func TestTimeOfFurtherAttemptsAddsUp(t *testing.T) {
 	is := is.New(t)
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	a := account{since: start}
-	for i, next := range []phase{phasePrompt, phaseWaiting, phasePrompt, phaseMaking, phaseScoring} {
+	a := timing{since: start}
+	for i, next := range []phase{phasePrompt, phaseWaiting, phasePrompt, phaseGenerating, phaseScoring} {
 		a.enter(next, start.Add(time.Duration(i+1)*time.Second))
 	}
 	is.Equal(a.spent[phaseWaiting], 2*time.Second)
 	is.Equal(a.spent[phasePrompt], 2*time.Second)
-	is.Equal(a.spent[phaseMaking], time.Second)
+	is.Equal(a.spent[phaseGenerating], time.Second)
 }
--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -32,7 +32,7 @@
 }
 
 // Dealt tells who has a partition of the group.
-type Dealt interface {
+type Assignments interface {
 	Partitions() map[journal.Partition]bool
 	WatcherOf(ctx context.Context, partition journal.Partition) (string, bool)
 }
@@ -42,56 +42,56 @@
 // over by the watcher of its partition.
 type Assigner struct {
 	journal journal.Journal
-	dealt   Dealt
+	dealt   Assignments
 	self    string
 	logger  *zap.Logger
 }
 
 // NewAssigner returns an assigner.
-func NewAssigner(log journal.Journal, dealt Dealt, self string, logger *zap.Logger) *Assigner {
+func NewAssigner(log journal.Journal, dealt Assignments, self string, logger *zap.Logger) *Assigner {
 	return &Assigner{journal: log, dealt: dealt, self: self, logger: logger}
 }
 
 // partitionOf returns the partition that a batch's model belongs to.
-func (assigner *Assigner) partitionOf(submission *batch.Submission) journal.Partition {
+func (a *Assigner) partitionOf(submission *batch.Submission) journal.Partition {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(submission.Host))
 	_, _ = hash.Write([]byte(submission.Model))
-	return journal.Partition{Topic: RunnersTopic, Number: int(hash.Sum32() % uint32(max(assigner.journal.PartitionsPerTopic(), 1)))}
+	return journal.Partition{Topic: RunnersTopic, Number: int(hash.Sum32() % uint32(max(a.journal.PartitionsPerTopic(), 1)))}
 }
 
 // Choose returns the daemon that should own a batch.
-func (assigner *Assigner) Choose(ctx context.Context, submission *batch.Submission) string {
-	owner, known := assigner.dealt.WatcherOf(ctx, assigner.partitionOf(submission))
+func (a *Assigner) Choose(ctx context.Context, submission *batch.Submission) string {
+	owner, known := a.dealt.WatcherOf(ctx, a.partitionOf(submission))
 	if !known {
-		return assigner.self
+		return a.self
 	}
 	return owner
 }
 
 // Tell lets another daemon know that it owns a batch.
-func (assigner *Assigner) Tell(ctx context.Context, submission *batch.Submission, owner string) {
+func (a *Assigner) Tell(ctx context.Context, submission *batch.Submission, owner string) {
 	encoded, err := cbor.Marshal(assignment{Batch: submission.ID, Owner: owner})
 	if err != nil {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, assignTimeout)
 	defer cancel()
-	_, err = assigner.journal.Append(bounded, journal.Append{Partition: assigner.partitionOf(submission), Records: [][]byte{encoded}})
-	assigner.logger.Info("batch assigned", zap.String("batch", submission.ID), zap.String("to", owner), zap.Error(err))
+	_, err = a.journal.Append(bounded, journal.Append{Partition: a.partitionOf(submission), Records: [][]byte{encoded}})
+	a.logger.Info("batch assigned", zap.String("batch", submission.ID), zap.String("to", owner), zap.Error(err))
 }
 
 // Run calls adopt for each batch that is assigned to this daemon, until the
 // context ends.
-func (assigner *Assigner) Run(ctx context.Context, adopt func(batchID string)) {
+func (a *Assigner) Run(ctx context.Context, adopt func(batchID string)) {
 	following := map[journal.Partition]context.CancelFunc{}
 	periodic.Every(ctx, watchInterval, func(ctx context.Context) {
-		dealt := assigner.dealt.Partitions()
+		dealt := a.dealt.Partitions()
 		for name := range dealt {
 			if name.Topic == RunnersTopic && following[name] == nil {
 				bounded, cancel := context.WithCancel(ctx)
 				following[name] = cancel
-				go assigner.follow(bounded, name, adopt)
+				go a.follow(bounded, name, adopt)
 			}
 		}
 		for name, cancel := range following {
@@ -108,10 +108,10 @@
 
 // follow reads the assignments of one partition. Old ones are read as well: a
 // batch that is over, or is another daemon's, is not adopted.
-func (assigner *Assigner) follow(ctx context.Context, name journal.Partition, adopt func(batchID string)) {
+func (a *Assigner) follow(ctx context.Context, name journal.Partition, adopt func(batchID string)) {
 	next := int64(0)
 	for ctx.Err() == nil {
-		records, err := assigner.read(ctx, name, next)
+		records, err := a.read(ctx, name, next)
 		var trimmed *journal.TrimmedError
 		if errors.As(err, &trimmed) {
 			next = trimmed.First
@@ -123,17 +123,17 @@
 		}
 		for _, record := range records {
 			next++
-			var told assignment
-			if cbor.Unmarshal(record, &told) == nil && told.Owner == assigner.self {
-				go adopt(told.Batch)
+			var msg assignment
+			if cbor.Unmarshal(record, &msg) == nil && msg.Owner == a.self {
+				go adopt(msg.Batch)
 			}
 		}
 	}
 }
 
-func (assigner *Assigner) read(ctx context.Context, name journal.Partition, from int64) ([][]byte, error) {
+func (a *Assigner) read(ctx context.Context, name journal.Partition, from int64) ([][]byte, error) {
 	bounded, cancel := context.WithTimeout(ctx, assignWait+assignTimeout)
 	defer cancel()
-	read, err := assigner.journal.Read(bounded, journal.Read{Partition: name, From: from, Wait: assignWait})
+	read, err := a.journal.Read(bounded, journal.Read{Partition: name, From: from, Wait: assignWait})
 	return read.Records, err
 }
--- a/internal/batches/runner/checkpoint.go
+++ b/internal/batches/runner/checkpoint.go
@@ -12,81 +12,81 @@
 const (
 	// keptAfter is how long an item runs before its progress is worth keeping:
 	// a shorter one is sooner made again.
-	keptAfter = 700 * time.Millisecond
+	checkpointAfter = 700 * time.Millisecond
 	// keptBytes bounds what one record keeps, in bytes.
-	keptBytes = 128 << 10
+	maxCheckpointBytes = 128 << 10
 )
 
 // beat appends a sign of life, with what the items that run for long have so far.
-func (job *job) beat() {
-	job.mutex.Lock()
-	released := job.released
-	progress := job.progress(time.Now())
-	job.mutex.Unlock()
-	number := job.runner.signNumber(time.Now())
+func (j *job) heartbeat() {
+	j.mu.Lock()
+	released := j.released
+	progress := j.progress(time.Now())
+	j.mu.Unlock()
+	number := j.r.heartbeatNumber(time.Now())
 	if released {
 		return
 	}
-	ctx, cancel := context.WithTimeout(job.context, heartbeatInterval)
+	ctx, cancel := context.WithTimeout(j.ctx, heartbeatInterval)
 	defer cancel()
 	if len(progress) == 0 {
-		_ = job.partition.Append(ctx, batch.Beat(job.submission.ID, job.runner.self, number))
+		_ = j.partition.Append(ctx, batch.Beat(j.submission.ID, j.r.self, number))
 		return
 	}
 	// An append whose outcome is not known is repeated with the next one's
 	// events, which the fold takes once.
-	if job.partition.Append(ctx, batch.Advanced(job.submission.ID, job.runner.self, number, progress)) == nil {
-		job.kept(progress)
+	if j.partition.Append(ctx, batch.Advanced(j.submission.ID, j.r.self, number, progress)) == nil {
+		j.markCheckpointed(progress)
 	}
 }
 
 // progress returns what is not kept yet of the items that run for long, those
 // with the most first. The mutex is held. Texts of one version may have to be
 // begun anew, so they are not kept.
-func (job *job) progress(now time.Time) []batch.Progress {
-	if _, found, ok := job.route(); !ok || found.SingleVersion {
+func (j *job) progress(now time.Time) []batch.Progress {
+	if _, rt, ok := j.route(); !ok || rt.SingleVersion {
 		return nil
 	}
 	var advanced []*item
-	for _, each := range job.items {
-		if each.state == itemRunning && len(each.text) > each.kept && now.Sub(each.startedAt) >= keptAfter {
-			advanced = append(advanced, each)
+	for _, it := range j.items {
+		if it.state == itemRunning && len(it.events) > it.checkpointed && now.Sub(it.startedAt) >= checkpointAfter {
+			advanced = append(advanced, it)
 		}
 	}
-	sort.SliceStable(advanced, func(i, j int) bool { return len(advanced[i].text) > len(advanced[j].text) })
+	sort.SliceStable(advanced, func(i, j int) bool { return len(advanced[i].events) > len(advanced[j].events) })
 	var progress []batch.Progress
 	size := 0
-	for _, each := range advanced {
-		events := each.text[each.kept:]
+	for _, it := range advanced {
+		events := it.events[it.checkpointed:]
 		for _, event := range events {
 			size += len(event)
 		}
-		if size > keptBytes && len(progress) > 0 {
+		if size > maxCheckpointBytes && len(progress) > 0 {
 			break
 		}
-		progress = append(progress, batch.Progress{Item: each.index, From: each.kept, Events: slices.Clone(events), LastEvent: each.lastEvent, Versions: slices.Clone(each.versions)})
+		progress = append(progress, batch.Progress{Item: it.index, From: it.checkpointed, Events: slices.Clone(events), LastEvent: it.lastEvent, Versions: slices.Clone(it.versions)})
 	}
 	return progress
 }
 
 // kept notes what the journal has acknowledged.
-func (job *job) kept(progress []batch.Progress) {
-	job.mutex.Lock()
-	defer job.mutex.Unlock()
-	for _, each := range progress {
-		job.items[each.Item].kept = max(job.items[each.Item].kept, each.From+len(each.Events))
+func (j *job) markCheckpointed(progress []batch.Progress) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	for _, p := range progress {
+		j.items[p.Item].checkpointed = max(j.items[p.Item].checkpointed, p.From+len(p.Events))
 	}
 }
 
 // goOnFrom gives an item the beginning that an owner before has kept, if there
 // is one.
-func (each *item) goOnFrom(partial batch.Partial) bool {
+func (it *item) resumeFrom(partial batch.Partial) bool {
 	if len(partial.Events) == 0 {
 		return false
 	}
-	each.text = slices.Clone(partial.Events)
-	each.kept = len(partial.Events)
-	each.lastEvent, each.hasEvent = partial.LastEvent, true
-	each.versions = slices.Clone(partial.Versions)
+	it.events = slices.Clone(partial.Events)
+	it.checkpointed = len(partial.Events)
+	it.lastEvent, it.hasEvent = partial.LastEvent, true
+	it.versions = slices.Clone(partial.Versions)
 	return true
 }
--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -28,156 +28,156 @@
 
 // dispatch carries out what the scheduler decides: it starts waiting items while
 // replicas have room, and now and then cuts items that should go on elsewhere.
-func (runner *Runner) dispatch(now time.Time) {
-	moves := now.Sub(runner.movedAt) >= moveInterval
+func (r *Runner) dispatch(now time.Time) {
+	moves := now.Sub(r.movedAt) >= moveInterval
 	if moves {
-		runner.movedAt = now
+		r.movedAt = now
 	}
-	views := runner.views(now)
-	for service, seen := range views {
-		seen.NoMoves = !moves
-		for _, decision := range runner.sharing.inTurn(service, &seen.Snapshot, scheduling.Plan(seen.Snapshot), now) {
+	views := r.views(now)
+	for service, v := range views {
+		v.NoMoves = !moves
+		for _, decision := range r.shared.inTurn(service, &v.Snapshot, scheduling.Plan(v.Snapshot), now) {
 			switch decision := decision.(type) {
 			case scheduling.Start:
-				runner.start(seen.pending[decision.Item], seen.replicas[decision.Engine])
+				r.start(v.pending[decision.Item], v.replicas[decision.Engine])
 			case scheduling.Move:
-				each := seen.pending[decision.Item]
-				each.job.handOver(each, seen.replicas[decision.Engine], decision.Gain)
+				p := v.pending[decision.Item]
+				p.job.handOver(p, v.replicas[decision.Engine], decision.Gain)
 			}
 		}
 	}
-	runner.sharing.dispatched(views)
+	r.shared.dispatched(views)
 }
 
 // views takes a snapshot of each service that has items to start or to move.
-func (runner *Runner) views(now time.Time) map[string]*view {
+func (r *Runner) views(now time.Time) map[string]*view {
 	views := map[string]*view{}
-	for _, job := range runner.jobList() {
-		_, found, ok := job.route()
+	for _, j := range r.jobList() {
+		_, rt, ok := j.route()
 		if !ok {
 			continue
 		}
-		job.addTo(views, found, now)
+		j.addTo(views, rt, now)
 	}
-	for service, seen := range views {
-		seen.Zone = runner.forwarder.Zone
-		seen.replicas = runner.table.Replicas(service)
-		for _, each := range seen.replicas {
-			engine := runner.sharing.fill(engineOf(each, now), each, now)
-			engine.IdleConns = runner.forwarder.Pool.Resting(each.Address)
-			seen.Engines = append(seen.Engines, engine)
+	for service, v := range views {
+		v.Zone = r.forwarder.Zone
+		v.replicas = r.table.Replicas(service)
+		for _, rep := range v.replicas {
+			engine := r.shared.withReports(engineOf(rep, now), rep, now)
+			engine.IdleConns = r.forwarder.Pool.Resting(rep.Address)
+			v.Engines = append(v.Engines, engine)
 		}
-		seen.nameGroupEngines()
+		v.nameGroupEngines()
 	}
 	return views
 }
 
 // nameGroupEngines turns the starts that last read a group's prompt into the ids of their
 // engines. One that has started again has the prompt no more.
-func (seen *view) nameGroupEngines() {
-	present := make(map[string]string, len(seen.replicas))
-	for _, each := range seen.replicas {
-		present[string(each.Start())] = each.ID
+func (v *view) nameGroupEngines() {
+	present := make(map[string]string, len(v.replicas))
+	for _, rep := range v.replicas {
+		present[string(rep.Start())] = rep.ID
 	}
-	for i := range seen.Items {
-		seen.Items[i].GroupEngine = present[seen.Items[i].GroupEngine]
+	for i := range v.Items {
+		v.Items[i].GroupEngine = present[v.Items[i].GroupEngine]
 	}
 }
 
-func engineOf(each replica.Replica, now time.Time) scheduling.Engine {
+func engineOf(rep replica.Replica, now time.Time) scheduling.Engine {
 	return scheduling.Engine{
-		ID: each.ID, Zone: each.Zone, Slots: each.Slots, InFlight: each.InFlight, EventTime: each.Pace,
-		Avoided: each.Probing || now.Before(each.AvoidUntil), Declining: each.Declining, Versions: each.Versions,
+		ID: rep.ID, Zone: rep.Zone, Slots: rep.Slots, InFlight: rep.InFlight, EventTime: rep.Pace,
+		Avoided: rep.Probing || now.Before(rep.AvoidUntil), Declining: rep.Declining, Versions: rep.Versions,
 	}
 }
 
 // addTo adds the job's items that may start now, and those that run, to the views of
 // their services.
-func (job *job) addTo(views map[string]*view, found *route.Route, now time.Time) {
-	job.mutex.Lock()
-	defer job.mutex.Unlock()
-	if job.released {
+func (j *job) addTo(views map[string]*view, rt *route.Route, now time.Time) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if j.released {
 		return
 	}
-	priority := job.priority(found)
-	for _, each := range job.items {
-		waits := each.state == itemWaiting && !now.Before(each.notBefore)
-		runs := each.state == itemRunning
-		if !waits && !runs || waits && job.blocked(each) {
+	priority := j.priority(rt)
+	for _, it := range j.items {
+		waits := it.state == itemWaiting && !now.Before(it.notBefore)
+		runs := it.state == itemRunning
+		if !waits && !runs || waits && j.blocked(it) {
 			// A refused item waits until it is older than its route lets it grow, or until
 			// its batch ends: only its replicas may say that it failed.
 			continue
 		}
-		service := serviceOf(found, each)
-		seen := views[service]
-		if seen == nil {
-			seen = &view{}
-			views[service] = seen
+		service := serviceOf(rt, it)
+		v := views[service]
+		if v == nil {
+			v = &view{}
+			views[service] = v
 		}
-		described := job.describe(each, found, priority, now)
-		if runs && !each.answered {
-			described.Overdue = max(described.RunFor-job.runner.firsts.OverdueAfter(service), 0)
+		described := j.describe(it, rt, priority, now)
+		if runs && !it.answered {
+			described.Overdue = max(described.RunFor-j.r.firstEvents.OverdueAfter(service), 0)
 		}
-		seen.Items = append(seen.Items, described)
-		seen.pending = append(seen.pending, pending{job: job, item: each, route: found})
+		v.Items = append(v.Items, described)
+		v.pending = append(v.pending, pending{job: j, item: it, route: rt})
 	}
 }
 
 // priority returns the rank of the job's items: that of its tenant goes before that of
 // its route.
-func (job *job) priority(found *route.Route) int {
-	configuration := job.runner.operator.Configuration()
-	return configuration.Tenants.Named(job.submission.Tenant).Rank(found.Priority)
+func (j *job) priority(rt *route.Route) int {
+	configuration := j.r.operator.Configuration()
+	return configuration.Tenants.Named(j.submission.Tenant).Rank(rt.Priority)
 }
 
 // describe tells the scheduler of an item. The mutex is held.
-func (job *job) describe(each *item, found *route.Route, priority int, now time.Time) scheduling.Item {
+func (j *job) describe(it *item, rt *route.Route, priority int, now time.Time) scheduling.Item {
 	described := scheduling.Item{
-		Priority: priority, BatchSince: job.adoptedAt,
-		Model: job.submission.Model, MinVersion: job.submission.MinVersion,
-		Required: job.required[each.Group], Events: len(each.text), Remaining: job.lengths.Remaining(each.cost, len(each.text)),
-		GroupEngine: string(job.groups[each.Group]), // the start that read the prompt; nameGroupEngines puts the engine's id
-		BatchAge:      now.Sub(job.adoptedAt),
+		Priority: priority, BatchSince: j.adoptedAt,
+		Model: j.submission.Model, MinVersion: j.submission.MinVersion,
+		Required: j.required[it.Group], Events: len(it.events), Remaining: j.lengths.Remaining(it.expectedTokens, len(it.events)),
+		GroupEngine: string(j.groups[it.Group]), // the start that read the prompt; nameGroupEngines puts the engine's id
+		BatchAge:    now.Sub(j.adoptedAt),
 	}
-	if each.attempts == 0 || each.state == itemRunning {
+	if it.attempts == 0 || it.state == itemRunning {
 		// Without Most an item that failed is not held back.
-		described.MaxRemaining = job.lengths.MaxRemaining(each.cost, len(each.text))
+		described.MaxRemaining = j.lengths.MaxRemaining(it.expectedTokens, len(it.events))
 	}
-	if each.state == itemRunning {
-		described.Engine, described.RunFor = each.lastReplica, now.Sub(each.startedAt)
+	if it.state == itemRunning {
+		described.Engine, described.RunFor = it.lastReplica, now.Sub(it.startedAt)
 		// A text of one version would begin anew at an engine of another.
-		described.Pinned = each.cut == nil || each.holding || found.SingleVersion && len(each.text) > 0
+		described.Pinned = it.cancel == nil || it.buffering || rt.SingleVersion && len(it.events) > 0
 	}
 	return described
 }
 
 // serviceOf returns the service that runs an item. Each item is drawn by itself:
 // the parts of a split route would otherwise be as uneven as whole batches are.
-func serviceOf(found *route.Route, each *item) string { return found.Order(each.ID)[0] }
+func serviceOf(rt *route.Route, it *item) string { return rt.Order(it.ID)[0] }
 
 // start sends an item to a replica.
-func (runner *Runner) start(each pending, chosen replica.Replica) {
-	job, item := each.job, each.item
-	job.mutex.Lock()
-	defer job.mutex.Unlock()
-	if item.state != itemWaiting || job.released || job.context.Err() != nil {
+func (r *Runner) start(p pending, rep replica.Replica) {
+	j, it := p.job, p.item
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if it.state != itemWaiting || j.released || j.ctx.Err() != nil {
 		return
 	}
-	item.state = itemRunning
-	item.attempts++
-	item.lastReplica = chosen.ID
-	item.startedAt = time.Now()
-	item.account.enter(phasePrompt, item.startedAt)
-	item.release()
-	item.answered = false
-	item.run++
-	run := item.run
-	job.groups[item.Group] = chosen.Start()
-	runner.table.Started(chosen.Start())
-	runner.started.Add(1)
-	runner.running.Add(1)
+	it.state = itemRunning
+	it.attempts++
+	it.lastReplica = rep.ID
+	it.startedAt = time.Now()
+	it.timing.enter(phasePrompt, it.startedAt)
+	it.stopBuffering()
+	it.answered = false
+	it.attempt++
+	attempt := it.attempt
+	j.groups[it.Group] = rep.Start()
+	r.table.Started(rep.Start())
+	r.started.Add(1)
+	r.work.Add(1)
 	go func() {
-		defer runner.running.Done()
-		job.runItem(item, run, chosen, each.route)
+		defer r.work.Done()
+		j.runAttempt(it, attempt, rep, p.route)
 	}()
 }
--- a/internal/batches/runner/dispatch_test.go
+++ b/internal/batches/runner/dispatch_test.go
@@ -40,9 +40,9 @@
 	items := func() []scheduling.Item {
 		return []scheduling.Item{{GroupEngine: string(before.Start())}, {GroupEngine: string(other.Start())}, {}}
 	}
-	engines := func(seen view) (named []string) {
-		seen.nameGroupEngines()
-		for _, each := range seen.Items {
+	engines := func(v view) (named []string) {
+		v.nameGroupEngines()
+		for _, each := range v.Items {
 			named = append(named, each.GroupEngine)
 		}
 		return named
--- a/internal/batches/runner/giveup_test.go
+++ b/internal/batches/runner/giveup_test.go
@@ -28,12 +28,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	made, each := movedJob(t)
-	made.runner.operator = configured{configuration: configuration}
-	made.submission = &batch.Submission{ID: "x", Host: "h", Path: "/p/x", AcceptedAtMs: time.Now().Add(-behind).UnixMilli()}
-	made.adoptedAt, made.newList = time.Now(), make(chan struct{}, 1)
-	each.state, each.holding, each.cut = itemWaiting, false, nil
-	return made
+	j, it := movedJob(t)
+	j.r.operator = configured{configuration: configuration}
+	j.submission = &batch.Submission{ID: "x", Host: "h", Path: "/p/x", AcceptedAtMs: time.Now().Add(-behind).UnixMilli()}
+	j.adoptedAt, j.listWake = time.Now(), make(chan struct{}, 1)
+	it.state, it.buffering, it.cancel = itemWaiting, false, nil
+	return j
 }
 
 // The accepting daemon's time of day stood in the batch's record, and its owner took the
@@ -47,16 +47,16 @@
 		t.Run(behind.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				made := agedJob(t, behind, maxQueue)
-				made.giveUpOld()
-				is.Equal(len(made.results), 0) // nothing is old at the start
+				j := agedJob(t, behind, maxQueue)
+				j.giveUpTooOld()
+				is.Equal(len(j.results), 0) // nothing is old at the start
 				time.Sleep(maxQueue - time.Millisecond)
-				made.giveUpOld()
-				is.Equal(len(made.results), 0)
+				j.giveUpTooOld()
+				is.Equal(len(j.results), 0)
 				time.Sleep(2 * time.Millisecond)
-				made.giveUpOld()
-				is.Equal(len(made.results), 1)
-				is.Equal(made.results[0].Outcome, batch.Dead)
+				j.giveUpTooOld()
+				is.Equal(len(j.results), 1)
+				is.Equal(j.results[0].Outcome, batch.Dead)
 			})
 		})
 	}
--- a/internal/batches/runner/handed_test.go
+++ b/internal/batches/runner/handed_test.go
@@ -42,22 +42,22 @@
 
 // running makes the first items of a batch run, as far as its owner believes.
 func running(owner *Runner, count int) *job {
-	made := owner.jobList()[0]
-	made.mutex.Lock()
-	defer made.mutex.Unlock()
-	for _, each := range made.items[:count] {
-		each.state, each.run, each.lastReplica = itemRunning, 1, "engine"
+	j := owner.jobList()[0]
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	for _, it := range j.items[:count] {
+		it.state, it.attempt, it.lastReplica = itemRunning, 1, "engine"
 	}
-	return made
+	return j
 }
 
 // startable returns how many items a daemon would start if there were room.
 func startable(owner *Runner) int {
-	seen := owner.views(time.Now())["s"]
-	if seen == nil {
+	v := owner.views(time.Now())["s"]
+	if v == nil {
 		return 0
 	}
-	return len(seen.pending)
+	return len(v.pending)
 }
 
 // An owner that stops names the items that it still finishes, and the next owner leaves
@@ -81,14 +81,14 @@
 			}
 			go first.Release(ctx)
 			synctest.Wait()
-			begun.endRun(begun.items[0], 1, replica.Replica{Entry: replica.Entry{ID: "engine"}}, &route.Route{}, errors.New("reset"))
+			begun.endAttempt(begun.items[0], 1, replica.Replica{Entry: replica.Entry{ID: "engine"}}, &route.Route{}, errors.New("reset"))
 			time.Sleep(200 * time.Millisecond)
 			log.SetBefall(nil)
 			time.Sleep(200 * time.Millisecond)
 			is.NoErr(second.TakeOver(ctx, "x", ""))
 			time.Sleep(200 * time.Millisecond)
 			is.Equal(startable(second), 1) // the other one still runs at the first owner
-			time.Sleep(handedPatience)
+			time.Sleep(handOffWait)
 			is.Equal(startable(second), 2)
 		})
 	}
@@ -110,7 +110,7 @@
 		is.NoErr(second.TakeOver(ctx, "x", ""))
 		time.Sleep(time.Second)
 		is.Equal(startable(second), 0)
-		begun.endRun(begun.items[1], 1, replica.Replica{Entry: replica.Entry{ID: "engine"}}, &route.Route{}, errors.New("reset"))
+		begun.endAttempt(begun.items[1], 1, replica.Replica{Entry: replica.Entry{ID: "engine"}}, &route.Route{}, errors.New("reset"))
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(startable(second), 1)
 	})
@@ -131,7 +131,7 @@
 		go first.Release(ctx)
 		synctest.Wait()
 		is.NoErr(third.ledger.Of("x").Append(ctx, batch.TakenOver("x", "", "b/1")))
-		time.Sleep(silenceAllowed)
+		time.Sleep(heartbeatTimeout)
 		is.NoErr(third.TakeOver(ctx, "x", "b/1"))
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(startable(third), 2)
--- a/internal/batches/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -34,12 +34,12 @@
 
 // of returns a model's history. The mutex is held.
 func (h *history) of(model string) *modelHistory {
-	known := h.models[model]
-	if known == nil {
-		known = &modelHistory{lengths: scheduling.NewLengths()}
-		h.models[model] = known
+	m := h.models[model]
+	if m == nil {
+		m = &modelHistory{lengths: scheduling.NewLengths()}
+		h.models[model] = m
 	}
-	return known
+	return m
 }
 
 // begin remembers a batch and returns those of its groups that were in an earlier
@@ -47,13 +47,13 @@
 func (h *history) begin(submission *batch.Submission) (again map[string]bool, lengths *scheduling.Lengths) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	known := h.of(submission.Model)
+	m := h.of(submission.Model)
 	groups := map[string]bool{}
 	again = map[string]bool{}
 	for i := range submission.Items {
 		groups[submission.Items[i].Group] = true
 	}
-	for _, before := range known.batches {
+	for _, before := range m.batches {
 		if before.id == submission.ID {
 			continue
 		}
@@ -63,18 +63,18 @@
 			}
 		}
 	}
-	known.remember(rememberedBatch{id: submission.ID, groups: groups})
-	return again, known.lengths
+	m.remember(rememberedBatch{id: submission.ID, groups: groups})
+	return again, m.lengths
 }
 
-func (known *modelHistory) remember(made rememberedBatch) {
-	for _, before := range known.batches {
+func (m *modelHistory) remember(made rememberedBatch) {
+	for _, before := range m.batches {
 		if before.id == made.id {
 			return
 		}
 	}
-	known.batches = append(known.batches, made)
-	if len(known.batches) > rememberedBatches {
-		known.batches = known.batches[1:]
+	m.batches = append(m.batches, made)
+	if len(m.batches) > rememberedBatches {
+		m.batches = m.batches[1:]
 	}
 }
--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -27,11 +27,11 @@
 	itemDeadline = 60 * time.Second
 	// headPatience is how long the first sign of an answer may take, for the
 	// first attempt; it doubles with each further one.
-	headPatience = scheduling.MaxFirstEvent
+	firstEventTimeout = scheduling.MaxFirstEvent
 	// gapPatience is the longest pause between events for a sound replica.
-	gapPatience = 1200 * time.Millisecond
-	maxPatience = 10 * time.Second
-	failedPause = 20 * time.Millisecond
+	eventTimeout         = 1200 * time.Millisecond
+	maxFirstEventTimeout = 10 * time.Second
+	failurePause         = 20 * time.Millisecond
 )
 
 // errTooOld: the replica's weights are older than the batch allows.
@@ -41,64 +41,64 @@
 var errHandedOver = errors.New("runner: handed over")
 
 // runItem runs one attempt at an item and takes its outcome into account.
-func (job *job) runItem(each *item, run int, chosen replica.Replica, found *route.Route) {
-	ctx, cancel := context.WithCancel(job.context)
+func (j *job) runAttempt(it *item, attempt int, rep replica.Replica, rt *route.Route) {
+	ctx, cancel := context.WithCancel(j.ctx)
 	defer cancel()
-	job.mutex.Lock()
-	each.cut = cancel
-	job.mutex.Unlock()
-	err := job.streamItem(ctx, cancel, each, run, chosen, found)
-	job.endRun(each, run, chosen, found, err)
+	j.mu.Lock()
+	it.cancel = cancel
+	j.mu.Unlock()
+	err := j.stream(ctx, cancel, it, attempt, rep, rt)
+	j.endAttempt(it, attempt, rep, rt, err)
 }
 
 // endRun takes the outcome of an item's run into account.
-func (job *job) endRun(each *item, run int, chosen replica.Replica, found *route.Route, err error) {
-	job.runner.table.Ended(chosen.Start())
-	job.mutex.Lock()
-	current := each.run == run
+func (j *job) endAttempt(it *item, attempt int, rep replica.Replica, rt *route.Route, err error) {
+	j.r.table.Ended(rep.Start())
+	j.mu.Lock()
+	current := it.attempt == attempt
 	if current {
-		each.cut = nil
-		if heldErr := job.thaw(each); err == nil {
+		it.cancel = nil
+		if heldErr := j.flushBuffered(it); err == nil {
 			err = heldErr
 		}
 	}
-	listed := each.state == itemListed
-	job.mutex.Unlock()
-	if !current || listed || job.context.Err() != nil {
+	listed := it.state == itemListed
+	j.mu.Unlock()
+	if !current || listed || j.ctx.Err() != nil {
 		return
 	}
 	if err == nil {
-		job.scoreItem(each)
+		j.scoreItem(it)
 	} else {
-		job.retryItem(each, chosen, found, err)
-		job.giveBack(job.runner.context)
+		j.retryItem(it, rep, rt, err)
+		j.giveBack(j.r.ctx)
 	}
-	job.runner.Kick()
+	j.r.Kick()
 }
 
 // streamItem reads an item's events until the text is whole.
-func (job *job) streamItem(ctx context.Context, cancel context.CancelFunc, each *item, run int, chosen replica.Replica, found *route.Route) error {
-	patience := min(headPatience<<min(each.attempts-1, 3), maxPatience)
+func (j *job) stream(ctx context.Context, cancel context.CancelFunc, it *item, attempt int, rep replica.Replica, rt *route.Route) error {
+	patience := min(firstEventTimeout<<min(it.attempts-1, 3), maxFirstEventTimeout)
 	watchdog := time.AfterFunc(patience, cancel)
 	defer watchdog.Stop()
-	stream, err := job.runner.forwarder.OpenStream(ctx, job.streamRequest(each, found), chosen)
+	stream, err := j.r.forwarder.OpenStream(ctx, j.streamRequest(it, rt), rep)
 	if err != nil {
 		return err
 	}
 	watchdog.Stop()
-	return job.followStream(cancel, each, run, chosen, found, stream)
+	return j.followStream(cancel, it, attempt, rep, rt, stream)
 }
 
 // followStream reads the events of an open stream until the text is whole.
-func (job *job) followStream(cancel context.CancelFunc, each *item, run int, chosen replica.Replica, found *route.Route, stream *forward.Stream) error {
+func (j *job) followStream(cancel context.CancelFunc, it *item, attempt int, rep replica.Replica, rt *route.Route, stream *forward.Stream) error {
 	defer stream.Close()
-	job.runner.table.Accepted(chosen.Start())
-	model := job.submission.Model
+	j.r.table.Accepted(rep.Start())
+	model := j.submission.Model
 	version := stream.Version
 	if version > 0 {
-		job.runner.table.HoldsVersion(chosen.Start(), model, version)
+		j.r.table.HoldsVersion(rep.Start(), model, version)
 	}
-	patience := max(gapPatience, 4*chosen.Pace)
+	patience := max(eventTimeout, 4*rep.Pace)
 	watchdog := time.AfterFunc(patience, cancel)
 	defer watchdog.Stop()
 	var last time.Time
@@ -113,65 +113,65 @@
 		}
 		if event.Version > 0 {
 			version = event.Version
-			job.runner.table.HoldsVersion(chosen.Start(), model, version)
+			j.r.table.HoldsVersion(rep.Start(), model, version)
 		}
-		if err := job.take(each, run, event, version, found); err != nil {
+		if err := j.receive(it, attempt, event, version, rt); err != nil {
 			return err
 		}
 		if last.IsZero() {
-			job.answers(each, run, found)
+			j.noteFirstEvent(it, attempt, rt)
 		}
 		now := time.Now()
 		if !last.IsZero() {
-			job.runner.table.Paced(chosen.Start(), now.Sub(last))
+			j.r.table.Paced(rep.Start(), now.Sub(last))
 		}
 		last = now
 	}
 }
 
-func (job *job) streamRequest(each *item, found *route.Route) *forward.StreamRequest {
-	header := each.header.Clone()
-	names := job.runner.forwarder.Names
-	header[http.CanonicalHeaderKey(names.RequestID)] = []string{each.ID}
-	names.SetTenant(header, job.submission.Tenant)
+func (j *job) streamRequest(it *item, rt *route.Route) *forward.StreamRequest {
+	header := it.header.Clone()
+	names := j.r.forwarder.Names
+	header[http.CanonicalHeaderKey(names.RequestID)] = []string{it.ID}
+	names.SetTenant(header, j.submission.Tenant)
 	return &forward.StreamRequest{
-		RequestID: each.ID, Method: http.MethodPost, Target: each.Path, Host: job.submission.Host,
-		Header: header, Body: each.Body, Caller: job.submission.Tenant, After: each.lastEvent, HasAfter: each.hasEvent, Deadline: itemDeadline, Repeatable: true,
+		RequestID: it.ID, Method: http.MethodPost, Target: it.Path, Host: j.submission.Host,
+		Header: header, Body: it.Body, Caller: j.submission.Tenant, After: it.lastEvent, HasAfter: it.hasEvent, Deadline: itemDeadline, Repeatable: true,
 	}
 }
 
 // blocked reports whether the item must not run now for its content's sake. The mutex is
 // held.
-func (job *job) blocked(each *item) bool {
-	table := job.runner.forwarder.Quarantine
-	return !table.Quiet() && table.Blocked(job.contentOf(each))
+func (j *job) blocked(it *item) bool {
+	table := j.r.forwarder.Quarantine
+	return !table.Quiet() && table.Blocked(j.contentOf(it))
 }
 
 // contentOf is what the item asks a replica for. The mutex is held.
-func (job *job) contentOf(each *item) *quarantine.Content {
-	if each.content == nil {
-		each.content = &quarantine.Content{Caller: job.submission.Tenant, Method: http.MethodPost, Host: job.submission.Host, Target: each.Path, Body: each.Body}
+func (j *job) contentOf(it *item) *quarantine.Content {
+	if it.content == nil {
+		it.content = &quarantine.Content{Caller: j.submission.Tenant, Method: http.MethodPost, Host: j.submission.Host, Target: it.Path, Body: it.Body}
 	}
-	return each.content
+	return it.content
 }
 
 // take adds an event of a run to an item's text, unless another run goes on with it.
-func (job *job) take(each *item, run int, event eventstream.Event, version int64, found *route.Route) error {
-	job.mutex.Lock()
-	defer job.mutex.Unlock()
-	if each.run != run {
+func (j *job) receive(it *item, attempt int, event eventstream.Event, version int64, rt *route.Route) error {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if it.attempt != attempt {
 		return errHandedOver
 	}
-	made := madeEvent{event: event, version: version, single: found.SingleVersion}
-	if each.holding {
-		each.held = append(each.held, made)
+	made := receivedEvent{event: event, version: version, single: rt.SingleVersion}
+	if it.buffering {
+		it.buffered = append(it.buffered, made)
 		return nil
 	}
-	return job.add(each, made)
+	return j.appendEvent(it, made)
 }
 
 // madeEvent is an event with the version of the weights that made it.
-type madeEvent struct {
+type receivedEvent struct {
 	event   eventstream.Event
 	version int64
 	// single says that a text must be of one version.
@@ -180,78 +180,78 @@
 
 // add adds an event to an item's text. Events come in order without gaps, and each
 // was made by a version that the batch allows. The mutex is held.
-func (job *job) add(each *item, made madeEvent) error {
+func (j *job) appendEvent(it *item, made receivedEvent) error {
 	event, version := made.event, made.version
-	if !event.HasID || (each.hasEvent && event.ID != each.lastEvent+1) {
-		return errors.Errorf("event %d after %d", event.ID, each.lastEvent)
+	if !event.HasID || (it.hasEvent && event.ID != it.lastEvent+1) {
+		return errors.Errorf("event %d after %d", event.ID, it.lastEvent)
 	}
-	if version < job.submission.MinVersion {
+	if version < j.submission.MinVersion {
 		return errTooOld
 	}
-	if made.single && len(each.versions) > 0 && each.versions[0] != version {
-		each.startAgain()
+	if made.single && len(it.versions) > 0 && it.versions[0] != version {
+		it.forgetEvents()
 		return errors.New("version changed within a text of one version")
 	}
-	if each.account.phase == phasePrompt {
-		each.account.enter(phaseMaking, time.Now())
+	if it.timing.phase == phasePrompt {
+		it.timing.enter(phaseGenerating, time.Now())
 	}
-	each.text = append(each.text, event.Data)
-	each.lastEvent, each.hasEvent = event.ID, true
-	if version > 0 && !slices.Contains(each.versions, version) {
-		each.versions = append(each.versions, version)
+	it.events = append(it.events, event.Data)
+	it.lastEvent, it.hasEvent = event.ID, true
+	if version > 0 && !slices.Contains(it.versions, version) {
+		it.versions = append(it.versions, version)
 	}
 	return nil
 }
 
 // startAgain forgets an item's text.
-func (each *item) startAgain() {
-	each.text, each.versions, each.lastEvent, each.hasEvent, each.kept = nil, nil, 0, false, 0
+func (it *item) forgetEvents() {
+	it.events, it.versions, it.lastEvent, it.hasEvent, it.checkpointed = nil, nil, 0, false, 0
 }
 
 // retryItem decides what becomes of an item whose attempt failed.
-func (job *job) retryItem(each *item, chosen replica.Replica, found *route.Route, cause error) {
-	table := job.runner.table
+func (j *job) retryItem(it *item, rep replica.Replica, rt *route.Route, cause error) {
+	table := j.r.table
 	var status *forward.StatusError
 	var quarantined *forward.QuarantinedError
-	pause := failedPause
+	pause := failurePause
 	dead := ""
 	switch {
 	case errors.As(cause, &quarantined):
 		pause = quarantined.RetryAfter
 	case errors.Is(cause, forward.ErrDeclined), errors.Is(cause, errTooOld):
-		table.Declined(chosen.Start())
+		table.Declined(rep.Start())
 	case errors.Is(cause, upstream.ErrFull):
-		table.Busy(chosen.Start(), failedPause)
+		table.Busy(rep.Start(), failurePause)
 	case errors.As(cause, &status):
-		dead = job.failureStatus(each, status.Status, found)
+		dead = j.failureStatus(it, status.Status, rt)
 	default:
-		table.Failed(chosen.Start())
+		table.Failed(rep.Start())
 	}
-	job.logger.Info("item attempt failed", zap.String("item", each.ID), zap.String("replica", chosen.ID), zap.Int("attempt", each.attempts),
-		zap.Int64("events", each.lastEvent), zap.Duration("after", time.Since(each.startedAt)), zap.Error(cause))
-	job.mutex.Lock()
-	defer job.mutex.Unlock()
-	if each.state != itemRunning {
+	j.logger.Info("item attempt failed", zap.String("item", it.ID), zap.String("replica", rep.ID), zap.Int("attempt", it.attempts),
+		zap.Int64("events", it.lastEvent), zap.Duration("after", time.Since(it.startedAt)), zap.Error(cause))
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if it.state != itemRunning {
 		return
 	}
 	if dead != "" {
-		job.finish(each, batch.Result{Item: each.index, Outcome: batch.Dead}, dead)
+		j.finish(it, batch.Result{Item: it.index, Outcome: batch.Dead}, dead)
 		return
 	}
-	each.state = itemWaiting
-	each.account.enter(phaseWaiting, time.Now())
-	each.notBefore = time.Now().Add(pause)
+	it.state = itemWaiting
+	it.timing.enter(phaseWaiting, time.Now())
+	it.notBefore = time.Now().Add(pause)
 }
 
 // failureStatus counts a replica's failure and returns why the item is given
 // up, or "".
-func (job *job) failureStatus(each *item, status int, found *route.Route) string {
+func (j *job) failureStatus(it *item, status int, rt *route.Route) string {
 	switch status {
 	case http.StatusUnprocessableEntity:
 		return "cannot be done"
 	case http.StatusInternalServerError:
-		each.failures++
-		if each.failures >= max(found.MaxAttempts, 1) {
+		it.failures++
+		if it.failures >= max(rt.MaxAttempts, 1) {
 			return "failed at every attempt"
 		}
 	}
@@ -259,33 +259,33 @@
 }
 
 // scoreItem has a whole text scored and hands it to be listed.
-func (job *job) scoreItem(each *item) {
-	job.mutex.Lock()
-	if each.state != itemRunning {
-		job.mutex.Unlock()
+func (j *job) scoreItem(it *item) {
+	j.mu.Lock()
+	if it.state != itemRunning {
+		j.mu.Unlock()
 		return
 	}
-	each.state = itemScoring
-	each.account.enter(phaseScoring, time.Now())
-	job.lengths.Observe(each.cost, len(each.text))
-	result := batch.Result{Item: each.index, Outcome: batch.Done, Text: bytes.Join(each.text, []byte("\n")), Versions: slices.Clone(each.versions)}
-	job.mutex.Unlock()
-	job.runner.Kick()
+	it.state = itemScoring
+	it.timing.enter(phaseScoring, time.Now())
+	j.lengths.Observe(it.expectedTokens, len(it.events))
+	result := batch.Result{Item: it.index, Outcome: batch.Done, Text: bytes.Join(it.events, []byte("\n")), Versions: slices.Clone(it.versions)}
+	j.mu.Unlock()
+	j.r.Kick()
 	reason := ""
-	if each.Reward != nil {
-		score, err := job.reward(each)
-		if job.context.Err() != nil {
+	if it.Reward != nil {
+		score, err := j.reward(it)
+		if j.ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			result, reason = batch.Result{Item: each.index, Outcome: batch.Dead}, err.Error()
+			result, reason = batch.Result{Item: it.index, Outcome: batch.Dead}, err.Error()
 		}
 		result.Score = score
 	}
 	slices.Sort(result.Versions)
-	job.mutex.Lock()
-	defer job.mutex.Unlock()
-	if each.state == itemScoring {
-		job.finish(each, result, reason)
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if it.state == itemScoring {
+		j.finish(it, result, reason)
 	}
 }
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -20,9 +20,9 @@
 
 const (
 	// handedPatience is how long an item is left to the owner that released it.
-	handedPatience = 5 * time.Second
+	handOffWait = 5 * time.Second
 	// gatherTime is how long a result waits for others to be listed with.
-	gatherTime = 10 * time.Millisecond
+	listDelay = 10 * time.Millisecond
 	// listTimeout bounds one try to list results.
 	listTimeout = 2 * time.Second
 )
@@ -46,19 +46,19 @@
 	content *quarantine.Content
 	state   itemState
 	// cost is the expected length of the answer, in tokens.
-	cost int64
+	expectedTokens int64
 	// notBefore delays an item, for example after a failure.
 	notBefore time.Time
 	// handed says that the item is left to the owner that released it. At that owner it
 	// says that the record which does so names it.
-	handed bool
+	handedOff bool
 	// text are the data of the events so far; lastEvent is the last one's id.
-	text      [][]byte
+	events    [][]byte
 	lastEvent int64
 	hasEvent  bool
 	versions  []int64
 	// kept is how many of the events are in the journal.
-	kept int
+	checkpointed int
 	// failures counts answers of the replica that say that the item failed.
 	failures       int
 	rewardFailures int
@@ -67,98 +67,98 @@
 	lastReplica string
 	// run numbers the run whose events count. A run that was handed over to another
 	// replica has a lower number.
-	run int
+	attempt int
 	// answered says that the run has brought an event.
 	answered bool
 	// cut, if not nil, ends the run under way.
-	cut func()
+	cancel func()
 	// holding says that events are held back in held, while another replica is asked
 	// to go on after the last one before.
-	holding   bool
-	held      []madeEvent
+	buffering bool
+	buffered  []receivedEvent
 	startedAt time.Time
-	account   account
+	timing    timing
 }
 
 // job is one batch that this daemon runs.
 type job struct {
-	runner        *Runner
+	r             *Runner
 	partition     *ledger.Partition
 	submission    *batch.Submission
 	adoptedAt     time.Time
 	listedAtStart int
 	// begunAtStart is how many items go on after a beginning that was kept.
-	begunAtStart int
-	logger       *zap.Logger
+	resumedAtStart int
+	logger         *zap.Logger
 
-	context context.Context
-	cancel  context.CancelFunc
+	ctx    context.Context
+	cancel context.CancelFunc
 
-	mutex    sync.Mutex
+	mu       sync.Mutex
 	items    []*item
 	released bool
 	// releaseTold says that the record of the release is in the journal.
-	releaseTold bool
+	releaseRecorded bool
 	// groups names the start of the replica that last started an item of a group. Another
 	// start has not read the group's prompt.
 	groups map[string]replica.Start
 	// required are the groups that came again: the trainer waits for them.
 	required map[string]bool
 	// lengths forecasts the lengths of texts of the batch's model.
-	lengths *scheduling.Lengths
-	results []batch.Result
-	newList chan struct{}
+	lengths  *scheduling.Lengths
+	results  []batch.Result
+	listWake chan struct{}
 }
 
 // newJob makes a job of an open batch. It is called within a view of the fold.
-func newJob(runner *Runner, partition *ledger.Partition, known *batch.Batch) *job {
-	submission := known.Submission
-	made := &job{
-		runner: runner, partition: partition, submission: &submission, adoptedAt: time.Now(),
-		logger: runner.logger.With(zap.String("batch", known.ID)), newList: make(chan struct{}, 1),
+func newJob(runner *Runner, partition *ledger.Partition, b *batch.Batch) *job {
+	submission := b.Submission
+	j := &job{
+		r: runner, partition: partition, submission: &submission, adoptedAt: time.Now(),
+		logger: runner.logger.With(zap.String("batch", b.ID)), listWake: make(chan struct{}, 1),
 		groups: map[string]replica.Start{},
 	}
-	made.context, made.cancel = context.WithCancel(runner.context)
-	made.required, made.lengths = runner.history.begin(&submission)
-	made.items = makeItems(&submission, runner)
-	for i, each := range made.items {
-		if known.Listed[i] {
-			each.state = itemListed
-			made.listedAtStart++
+	j.ctx, j.cancel = context.WithCancel(runner.ctx)
+	j.required, j.lengths = runner.history.begin(&submission)
+	j.items = makeItems(&submission, runner)
+	for i, it := range j.items {
+		if b.Listed[i] {
+			it.state = itemListed
+			j.listedAtStart++
 		}
-		if each.goOnFrom(known.Partials[i]) {
-			made.begunAtStart++
+		if it.resumeFrom(b.Partials[i]) {
+			j.resumedAtStart++
 		}
-		each.account.since = made.adoptedAt
-		if known.Handed[i] {
-			each.handed, each.notBefore = true, made.adoptedAt.Add(handedPatience)
+		it.timing.since = j.adoptedAt
+		if b.Handed[i] {
+			it.handedOff, it.notBefore = true, j.adoptedAt.Add(handOffWait)
 		}
 	}
-	return made
+	return j
 }
 
 func makeItems(submission *batch.Submission, runner *Runner) []*item {
 	items := make([]*item, len(submission.Items))
 	for i := range submission.Items {
 		items[i] = &item{index: i, Item: submission.Items[i], header: headerOf(submission.Items[i].Headers)}
-		items[i].cost = runner.expectedLength(items[i].header, items[i].Tokens)
+		items[i].expectedTokens = runner.expectedLength(items[i].header, items[i].Tokens)
 	}
 	return items
 }
 
 func headerOf(list []batch.Header) http.Header {
 	header := make(http.Header, len(list)+4)
-	for _, each := range list {
-		name := http.CanonicalHeaderKey(each.Name)
-		header[name] = append(header[name], each.Value)
+	for _, h := range list {
+		name := http.CanonicalHeaderKey(h.Name)
+		header[name] = append(header[name], h.Value)
 	}
 	return header
 }
 
 // expectedLength is the number of tokens that an item's answer should have, by
 // its headers, or else by its tokens in all.
-func (runner *Runner) expectedLength(header http.Header, tokens int64) int64 {
-	names := runner.forwarder.Names
+func (r *Runner) expectedLength(header http.Header, tokens int64) int64 {
+	names := r.forwarder.Names
 	if hint, err := strconv.ParseInt(header.Get(names.LengthHint), 10, 64); err == nil && hint > 0 {
 		return hint
 	}
@@ -170,144 +170,144 @@
 }
 
 // run keeps the job until its batch has no more to do here.
-func (job *job) run() {
-	defer job.cancel()
-	release := job.partition.Follow()
+func (j *job) run() {
+	defer j.cancel()
+	release := j.partition.Follow()
 	defer release()
-	go job.listResults()
-	go job.beat()
+	go j.listLoop()
+	go j.heartbeat()
 	beat := time.NewTicker(heartbeatInterval)
 	defer beat.Stop()
 	for {
-		changed := job.partition.Changed()
-		if job.over() {
+		changed := j.partition.Changed()
+		if j.finished() {
 			return
 		}
 		select {
-		case <-job.context.Done():
+		case <-j.ctx.Done():
 			return
 		case <-changed:
 		case <-beat.C:
-			job.giveUpOld()
-			go job.beat()
+			j.giveUpTooOld()
+			go j.heartbeat()
 		}
 	}
 }
 
 // over takes the fold into account and reports whether the job is done here.
-func (job *job) over() bool {
-	job.mutex.Lock()
-	defer job.mutex.Unlock()
+func (j *job) finished() bool {
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	over, reason := false, ""
-	job.partition.View(func(state *batch.State) {
-		known, found := state.Get(job.submission.ID)
+	j.partition.View(func(state *batch.State) {
+		b, found := state.Get(j.submission.ID)
 		switch {
 		case !found:
 			over, reason = true, "unknown"
-		case known.Ended:
+		case b.Ended:
 			over, reason = true, "ended"
-		case !known.Open():
+		case !b.Open():
 			over, reason = true, "all listed"
-		case known.Owner != job.runner.self && !job.released:
-			over, reason = true, "owned by "+known.Owner
+		case b.Owner != j.r.self && !j.released:
+			over, reason = true, "owned by "+b.Owner
 		default:
-			job.markListed(known)
-			job.markReturned(known)
+			j.markListed(b)
+			j.markReturned(b)
 		}
 	})
-	if job.released && !over && job.noneUnderWay() {
+	if j.released && !over && j.noneUnderWay() {
 		over, reason = true, "released"
 	}
 	if over {
-		job.giveAccount(reason, time.Now())
-		job.logger.Info("batch left", zap.String("reason", reason), zap.Duration("after", time.Since(job.adoptedAt)))
+		j.logTimes(reason, time.Now())
+		j.logger.Info("batch left", zap.String("reason", reason), zap.Duration("after", time.Since(j.adoptedAt)))
 	}
 	return over
 }
 
-func (job *job) markListed(known *batch.Batch) {
-	for i, listed := range known.Listed {
-		if listed && job.items[i].state != itemListed {
-			job.items[i].state = itemListed
-			job.items[i].text, job.items[i].kept = nil, 0
-			job.items[i].account.enter(phaseDone, time.Now())
-			job.items[i].cutRun()
+func (j *job) markListed(b *batch.Batch) {
+	for i, listed := range b.Listed {
+		if listed && j.items[i].state != itemListed {
+			j.items[i].state = itemListed
+			j.items[i].events, j.items[i].checkpointed = nil, 0
+			j.items[i].timing.enter(phaseDone, time.Now())
+			j.items[i].cancelAttempt()
 		}
 	}
 }
 
 // markReturned lets the items start that the owner before has given back. The mutex is
 // held.
-func (job *job) markReturned(known *batch.Batch) {
-	if job.released {
+func (j *job) markReturned(b *batch.Batch) {
+	if j.released {
 		return
 	}
-	for i, each := range job.items {
-		if each.handed && !known.Handed[i] {
-			each.handed, each.notBefore = false, time.Time{}
-			job.runner.Kick()
+	for i, it := range j.items {
+		if it.handedOff && !b.Handed[i] {
+			it.handedOff, it.notBefore = false, time.Time{}
+			j.r.Kick()
 		}
 	}
 }
 
-func (job *job) noneUnderWay() bool {
-	for _, each := range job.items {
-		if each.state == itemRunning || each.state == itemScoring {
+func (j *job) noneUnderWay() bool {
+	for _, it := range j.items {
+		if it.state == itemRunning || it.state == itemScoring {
 			return false
 		}
 	}
-	return len(job.results) == 0
+	return len(j.results) == 0
 }
 
 // letGo releases the batch: no more items start, those under way go on.
-func (job *job) letGo(ctx context.Context) {
-	job.mutex.Lock()
-	job.released = true
+func (j *job) release(ctx context.Context) {
+	j.mu.Lock()
+	j.released = true
 	var handed []int
-	for _, each := range job.items {
-		each.handed = each.state == itemRunning || each.state == itemScoring
-		if each.handed {
-			handed = append(handed, each.index)
+	for _, it := range j.items {
+		it.handedOff = it.state == itemRunning || it.state == itemScoring
+		if it.handedOff {
+			handed = append(handed, it.index)
 		}
 	}
-	job.mutex.Unlock()
-	job.logger.Info("batch released", zap.Int("under_way", len(handed)))
-	if job.runner.appendUntil(ctx, job.partition, batch.Released(job.submission.ID, job.runner.self, handed)) != nil {
+	j.mu.Unlock()
+	j.logger.Info("batch released", zap.Int("under_way", len(handed)))
+	if j.r.appendUntil(ctx, j.partition, batch.Released(j.submission.ID, j.r.self, handed)) != nil {
 		// The watchers find a batch whose owner has ended without a word.
 		return
 	}
-	job.mutex.Lock()
-	job.releaseTold = true
-	job.mutex.Unlock()
-	job.giveBack(ctx)
+	j.mu.Lock()
+	j.releaseRecorded = true
+	j.mu.Unlock()
+	j.giveBack(ctx)
 }
 
 // giveBack tells the next owner of the items that this one will not finish after all,
 // which would otherwise be at no replica until handedPatience is over. Nothing is given
 // back before the release is told: the fold would not take it.
-func (job *job) giveBack(ctx context.Context) {
-	job.mutex.Lock()
+func (j *job) giveBack(ctx context.Context) {
+	j.mu.Lock()
 	var items []int
-	for _, each := range job.items {
-		if job.releaseTold && each.handed && each.state == itemWaiting {
-			each.handed = false
-			items = append(items, each.index)
+	for _, it := range j.items {
+		if j.releaseRecorded && it.handedOff && it.state == itemWaiting {
+			it.handedOff = false
+			items = append(items, it.index)
 		}
 	}
-	job.mutex.Unlock()
+	j.mu.Unlock()
 	if len(items) == 0 {
 		return
 	}
-	err := job.runner.appendUntil(ctx, job.partition, batch.Returned(job.submission.ID, job.runner.self, items))
-	job.logger.Info("items given back", zap.Ints("items", items), zap.Error(err))
+	err := j.r.appendUntil(ctx, j.partition, batch.Returned(j.submission.ID, j.r.self, items))
+	j.logger.Info("items given back", zap.Ints("items", items), zap.Error(err))
 }
 
-func (job *job) waiting() int {
-	job.mutex.Lock()
-	defer job.mutex.Unlock()
+func (j *job) waiting() int {
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	count := 0
-	for _, each := range job.items {
-		if each.state == itemWaiting {
+	for _, it := range j.items {
+		if it.state == itemWaiting {
 			count++
 		}
 	}
@@ -315,75 +315,75 @@
 }
 
 // route returns the route of the batch by the configuration in force.
-func (job *job) route() (*route.Configuration, *route.Route, bool) {
-	configuration := job.runner.operator.Configuration()
+func (j *job) route() (*route.Configuration, *route.Route, bool) {
+	configuration := j.r.operator.Configuration()
 	if configuration == nil {
 		return nil, nil, false
 	}
-	found, ok := configuration.Find(job.submission.Host, job.submission.Path)
-	return configuration, found, ok
+	rt, ok := configuration.Find(j.submission.Host, j.submission.Path)
+	return configuration, rt, ok
 }
 
 // giveUpOld lists as dead the waiting items that are older than their route
 // lets them grow. A batch's age is counted from when this owner began, by its steady
 // clock: that is never more than the true age, whatever time of day daemons believe.
-func (job *job) giveUpOld() {
-	_, found, ok := job.route()
-	if !ok || found.MaxQueue <= 0 || time.Since(job.adoptedAt) < found.MaxQueue {
+func (j *job) giveUpTooOld() {
+	_, rt, ok := j.route()
+	if !ok || rt.MaxQueue <= 0 || time.Since(j.adoptedAt) < rt.MaxQueue {
 		return
 	}
-	job.mutex.Lock()
-	defer job.mutex.Unlock()
-	for _, each := range job.items {
-		if each.state == itemWaiting {
-			job.finish(each, batch.Result{Item: each.index, Outcome: batch.Dead}, "older than allowed")
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	for _, it := range j.items {
+		if it.state == itemWaiting {
+			j.finish(it, batch.Result{Item: it.index, Outcome: batch.Dead}, "older than allowed")
 		}
 	}
 }
 
 // finish hands a result to be listed. The mutex is held.
-func (job *job) finish(each *item, result batch.Result, reason string) {
-	each.state = itemScoring
-	each.account.enter(phaseListing, time.Now())
-	job.results = append(job.results, result)
+func (j *job) finish(it *item, result batch.Result, reason string) {
+	it.state = itemScoring
+	it.timing.enter(phaseListing, time.Now())
+	j.results = append(j.results, result)
 	outcome := "done"
 	if result.Outcome == batch.Dead {
 		outcome = "dead"
 	}
-	job.logger.Info("item finished", zap.String("item", each.ID), zap.String("outcome", outcome), zap.String("reason", reason),
-		zap.Int("attempts", each.attempts), zap.Int64("expected", each.cost), zap.Int("bytes", len(result.Text)), zap.Duration("took", time.Since(each.startedAt)), zap.Int64("events", each.lastEvent), zap.Int64s("versions", result.Versions),
-		zap.String("replica", each.lastReplica))
+	j.logger.Info("item finished", zap.String("item", it.ID), zap.String("outcome", outcome), zap.String("reason", reason),
+		zap.Int("attempts", it.attempts), zap.Int64("expected", it.expectedTokens), zap.Int("bytes", len(result.Text)), zap.Duration("took", time.Since(it.startedAt)), zap.Int64("events", it.lastEvent), zap.Int64s("versions", result.Versions),
+		zap.String("replica", it.lastReplica))
 	select {
-	case job.newList <- struct{}{}:
+	case j.listWake <- struct{}{}:
 	default:
 	}
 }
 
 // listResults appends results to the ledger as they come, a few together.
-func (job *job) listResults() {
+func (j *job) listLoop() {
 	for {
 		select {
-		case <-job.context.Done():
+		case <-j.ctx.Done():
 			return
-		case <-job.newList:
+		case <-j.listWake:
 		}
-		time.Sleep(gatherTime)
-		job.mutex.Lock()
-		results := job.results
-		job.mutex.Unlock()
+		time.Sleep(listDelay)
+		j.mu.Lock()
+		results := j.results
+		j.mu.Unlock()
 		if len(results) == 0 {
 			continue
 		}
-		if !job.list(results) {
+		if !j.list(results) {
 			return
 		}
-		job.mutex.Lock()
-		job.results = job.results[len(results):]
-		more := len(job.results) > 0
-		job.mutex.Unlock()
+		j.mu.Lock()
+		j.results = j.results[len(results):]
+		more := len(j.results) > 0
+		j.mu.Unlock()
 		if more {
 			select {
-			case job.newList <- struct{}{}:
+			case j.listWake <- struct{}{}:
 			default:
 			}
 		}
@@ -391,26 +391,26 @@
 }
 
 // list appends results until it is certain that they are in the ledger.
-func (job *job) list(results []batch.Result) bool {
-	record := batch.Listed(job.submission.ID, results)
+func (j *job) list(results []batch.Result) bool {
+	record := batch.Listed(j.submission.ID, results)
 	failures := 0
-	for job.context.Err() == nil {
-		ctx, cancel := context.WithTimeout(job.context, listTimeout)
-		err := job.partition.Append(ctx, record)
+	for j.ctx.Err() == nil {
+		ctx, cancel := context.WithTimeout(j.ctx, listTimeout)
+		err := j.partition.Append(ctx, record)
 		cancel()
 		if err == nil {
 			if failures > 0 {
-				job.logger.Info("results listed", zap.Int("results", len(results)), zap.Int("tries", failures+1))
+				j.logger.Info("results listed", zap.Int("results", len(results)), zap.Int("tries", failures+1))
 			}
 			return true
 		}
 		failures++
-		if failures == 1 && job.context.Err() == nil {
-			job.logger.Info("results not listed yet", zap.Int("results", len(results)), zap.Error(err))
+		if failures == 1 && j.ctx.Err() == nil {
+			j.logger.Info("results not listed yet", zap.Int("results", len(results)), zap.Error(err))
 		}
 		select {
-		case <-job.context.Done():
-		case <-time.After(retryPause):
+		case <-j.ctx.Done():
+		case <-time.After(appendPause):
 		}
 	}
 	return false
--- a/internal/batches/runner/locate.go
+++ b/internal/batches/runner/locate.go
@@ -10,7 +10,7 @@
 
 // locateTimeout bounds the question where a batch begins: a part of standByTime, within which
 // the owner must begin also where nobody answers.
-const locateTimeout = standByTime / 2
+const locateTimeout = standByWait / 2
 
 // Locator tells at which offset a batch begins in its partition.
 type Locator interface {
@@ -18,25 +18,25 @@
 }
 
 // SetLocator sets who tells where batches begin. It is called before Run.
-func (runner *Runner) SetLocator(locator Locator) { runner.locator = locator }
+func (r *Runner) SetLocator(locator Locator) { r.locator = locator }
 
 // foldOf returns the fold by which this daemon runs a batch: that of the whole partition if
 // it is fresh here, else one that begins with the batch. Reading megabytes of other batches
 // first, a new owner on a weak link did not begin before the daemon that had accepted the
 // batch took it for gone, and knew none of the engines: with 4 MB of others behind 60 Mbit/s
 // the owner begins after 2 ms, in place of a takeover after 0.56 s (virtual time).
-func (runner *Runner) foldOf(ctx context.Context, batchID string) *ledger.Partition {
-	whole := runner.ledger.Of(batchID)
-	if runner.locator == nil || whole.Fresh() {
+func (r *Runner) foldOf(ctx context.Context, batchID string) *ledger.Partition {
+	whole := r.ledger.Of(batchID)
+	if r.locator == nil || whole.Fresh() {
 		return whole
 	}
 	bounded, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
-	offset, err := runner.locator.Beginning(bounded, batchID)
+	offset, err := r.locator.Beginning(bounded, batchID)
 	if err != nil {
-		runner.logger.Info("partition read from its beginning", zap.String("batch", batchID), zap.String("topic", whole.Name().Topic),
+		r.logger.Info("partition read from its beginning", zap.String("batch", batchID), zap.String("topic", whole.Name().Topic),
 			zap.Int("partition", whole.Name().Number), zap.Error(err))
 		return whole
 	}
-	return runner.ledger.From(whole.Name(), offset)
+	return r.ledger.From(whole.Name(), offset)
 }
--- a/internal/batches/runner/locate_test.go
+++ b/internal/batches/runner/locate_test.go
@@ -30,12 +30,12 @@
 		return 0, err
 	}
 	partition.View(func(state *batch.State) {
-		known, found := state.Get(batchID)
+		b, found := state.Get(batchID)
 		if !found {
 			err = errors.New("not known")
 			return
 		}
-		offset = known.Offset
+		offset = b.Offset
 	})
 	return offset, err
 }
@@ -83,8 +83,8 @@
 			t.Fatal("nobody has begun")
 		}
 		partition.View(func(state *batch.State) {
-			if known, found := state.Get("x"); found {
-				signs, owner = known.Signs, known.Owner
+			if b, found := state.Get("x"); found {
+				signs, owner = b.Signs, b.Owner
 			}
 		})
 	}
--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -29,15 +29,15 @@
 		begun := running(owner, 1)
 		begun.items[0].startedAt = time.Now()
 		for range 100 {
-			owner.firsts.Observe("s", 20*time.Millisecond)
+			owner.firstEvents.Observe("s", 20*time.Millisecond)
 		}
-		usual := owner.firsts.OverdueAfter("s")
+		usual := owner.firstEvents.OverdueAfter("s")
 		is.True(usual < scheduling.MaxFirstEvent)
 		time.Sleep(usual)
 		is.Equal(told(owner)[0].Overdue, time.Duration(0))
 		time.Sleep(time.Second)
 		is.Equal(told(owner)[0].Overdue, time.Second)
-		begun.answers(begun.items[0], 1, &route.Route{Shares: []route.Share{{Service: "s", Weight: 1}}})
+		begun.noteFirstEvent(begun.items[0], 1, &route.Route{Shares: []route.Share{{Service: "s", Weight: 1}}})
 		is.Equal(told(owner)[0].Overdue, time.Duration(0))
 	})
 }
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -29,28 +29,28 @@
 
 // reward sends an item's reward call until it has a signature, or its service
 // has failed as often as its route allows.
-func (job *job) reward(each *item) (string, error) {
+func (j *job) reward(it *item) (string, error) {
 	pause := rewardPause
 	for {
-		if err := job.context.Err(); err != nil {
+		if err := j.ctx.Err(); err != nil {
 			return "", err
 		}
-		configuration := job.runner.operator.Configuration()
-		rewardRoute, ok := configuration.Find(each.Reward.Host, each.Reward.Path)
-		if ok && !job.runner.rewardRoom(rewardRoute) {
-			periodic.Pause(job.context, roomPause)
+		configuration := j.r.operator.Configuration()
+		rewardRoute, ok := configuration.Find(it.Reward.Host, it.Reward.Path)
+		if ok && !j.r.rewardRoom(rewardRoute) {
+			periodic.Pause(j.ctx, roomPause)
 			continue
 		}
 		if ok {
-			score, done, err := job.rewardOnce(each, rewardRoute)
+			score, done, err := j.rewardOnce(it, rewardRoute)
 			if done {
 				return score, err
 			}
 		} else {
-			job.logger.Info("reward call has no route", zap.String("item", each.ID), zap.Int64("configuration", configuration.Version))
+			j.logger.Info("reward call has no route", zap.String("item", it.ID), zap.Int64("configuration", configuration.Version))
 		}
 		select {
-		case <-job.context.Done():
+		case <-j.ctx.Done():
 		case <-time.After(pause):
 		}
 		pause = min(2*pause, longRewardWait)
@@ -58,31 +58,31 @@
 }
 
 // rewardRoom reports whether a reward call may go to a service now.
-func (runner *Runner) rewardRoom(found *route.Route) bool {
+func (r *Runner) rewardRoom(rt *route.Route) bool {
 	slots, inFlight := 0, 0
-	for _, each := range runner.table.Replicas(found.Shares[0].Service) {
-		slots += max(each.Slots, 1)
-		inFlight += each.InFlight
+	for _, rep := range r.table.Replicas(rt.Shares[0].Service) {
+		slots += max(rep.Slots, 1)
+		inFlight += rep.InFlight
 	}
 	return float64(inFlight) < max(rewardShare*float64(slots), 1)
 }
 
 // rewardOnce makes one attempt at the reward call.
-func (job *job) rewardOnce(each *item, found *route.Route) (score string, done bool, err error) {
+func (j *job) rewardOnce(it *item, rt *route.Route) (score string, done bool, err error) {
 	timeout := rewardDeadline
-	if found.Timeout > 0 {
-		timeout = min(timeout, found.Timeout)
+	if rt.Timeout > 0 {
+		timeout = min(timeout, rt.Timeout)
 	}
-	ctx, cancel := context.WithTimeout(job.context, timeout)
+	ctx, cancel := context.WithTimeout(j.ctx, timeout)
 	defer cancel()
-	forwarder := job.runner.forwarder
-	header := http.Header{http.CanonicalHeaderKey(forwarder.Names.RequestID): {each.Reward.ID}}
+	forwarder := j.r.forwarder
+	header := http.Header{http.CanonicalHeaderKey(forwarder.Names.RequestID): {it.Reward.ID}}
 	answer, err := forwarder.Do(ctx, &forward.Call{
-		RequestID: each.Reward.ID, Method: http.MethodPost, Target: each.Reward.Path, Host: each.Reward.Host,
-		Header: header, Body: each.Reward.Body, Services: found.Order(each.Reward.ID), Repeatable: true, MaxAttempts: 1,
+		RequestID: it.Reward.ID, Method: http.MethodPost, Target: it.Reward.Path, Host: it.Reward.Host,
+		Header: header, Body: it.Reward.Body, Services: rt.Order(it.Reward.ID), Repeatable: true, MaxAttempts: 1,
 	})
 	if err != nil {
-		job.logger.Info("reward call failed", zap.String("item", each.ID), zap.String("reward", each.Reward.ID), zap.Error(err))
+		j.logger.Info("reward call failed", zap.String("item", it.ID), zap.String("reward", it.Reward.ID), zap.Error(err))
 		return "", false, nil
 	}
 	defer answer.Close()
@@ -90,8 +90,8 @@
 		return answer.Header.Get(forwarder.Names.Stamp), true, nil
 	}
 	if answer.Status == http.StatusInternalServerError {
-		each.rewardFailures++
-		if each.rewardFailures >= max(found.MaxAttempts, 1) {
+		it.rewardFailures++
+		if it.rewardFailures >= max(rt.MaxAttempts, 1) {
 			return "", true, errRewardFails
 		}
 	}
--- a/internal/batches/runner/run_test.go
+++ b/internal/batches/runner/run_test.go
@@ -20,12 +20,12 @@
 	t.Helper()
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Replace([]replica.Entry{{ID: "from", Service: "s", Slots: 4}, {ID: "to", Service: "s", Slots: 4}})
-	made := &job{runner: &Runner{table: table}, submission: &batch.Submission{}, groups: map[string]replica.Start{}, logger: zap.NewNop()}
-	made.context, made.cancel = context.WithCancel(t.Context())
-	t.Cleanup(made.cancel)
-	each := &item{state: itemRunning, run: 1, lastReplica: "from", cut: func() {}, holding: true}
-	made.items = []*item{each}
-	return made, each
+	j := &job{r: &Runner{table: table}, submission: &batch.Submission{}, groups: map[string]replica.Start{}, logger: zap.NewNop()}
+	j.ctx, j.cancel = context.WithCancel(t.Context())
+	t.Cleanup(j.cancel)
+	it := &item{state: itemRunning, attempt: 1, lastReplica: "from", cancel: func() {}, buffering: true}
+	j.items = []*item{it}
+	return j, it
 }
 
 func event(id int64) eventstream.Event {
@@ -36,31 +36,31 @@
 // goes on after the last event before, and added if it does not.
 func TestEventsAreHeldBackWhileAnotherReplicaIsAsked(t *testing.T) {
 	is := is.New(t)
-	found := &route.Route{}
+	rt := &route.Route{}
 	for _, accepted := range []bool{true, false} {
-		made, each := movedJob(t)
-		each.holding = false
-		is.NoErr(made.take(each, 1, event(1), 1, found))
-		each.holding = true
-		is.NoErr(made.take(each, 1, event(2), 1, found))
-		is.NoErr(made.take(each, 1, event(3), 1, found))
-		is.Equal(each.lastEvent, int64(1))
+		j, it := movedJob(t)
+		it.buffering = false
+		is.NoErr(j.receive(it, 1, event(1), 1, rt))
+		it.buffering = true
+		is.NoErr(j.receive(it, 1, event(2), 1, rt))
+		is.NoErr(j.receive(it, 1, event(3), 1, rt))
+		is.Equal(it.lastEvent, int64(1))
 		cause := errors.New("declined")
 		if accepted {
 			cause = nil
 		}
-		next, taken := made.takeRun(each, 1, replica.Replica{Entry: replica.Entry{ID: "to"}}, func() {}, 0, cause)
+		next, taken := j.switchAttempt(it, 1, replica.Replica{Entry: replica.Entry{ID: "to"}}, func() {}, 0, cause)
 		is.Equal(taken, accepted)
 		if !accepted {
-			is.Equal(each.lastEvent, int64(3))
-			is.NoErr(made.take(each, 1, event(4), 1, found))
+			is.Equal(it.lastEvent, int64(3))
+			is.NoErr(j.receive(it, 1, event(4), 1, rt))
 			continue
 		}
-		is.Equal(each.lastReplica, "to")
-		is.True(errors.Is(made.take(each, 1, event(4), 1, found), errHandedOver))
-		is.NoErr(made.take(each, next, event(2), 2, found))
-		is.Equal(each.lastEvent, int64(2))
-		is.Equal(each.versions, []int64{1, 2})
+		is.Equal(it.lastReplica, "to")
+		is.True(errors.Is(j.receive(it, 1, event(4), 1, rt), errHandedOver))
+		is.NoErr(j.receive(it, next, event(2), 2, rt))
+		is.Equal(it.lastEvent, int64(2))
+		is.Equal(it.versions, []int64{1, 2})
 	}
 }
 
@@ -68,12 +68,12 @@
 // replica's exchange does not become the item's.
 func TestARunThatEndsMeanwhileIsWhole(t *testing.T) {
 	is := is.New(t)
-	made, each := movedJob(t)
-	each.state = itemListed // the outcome of the run is taken into account elsewhere
-	is.NoErr(made.take(each, 1, event(1), 1, &route.Route{}))
-	made.endRun(each, 1, replica.Replica{Entry: replica.Entry{ID: "from"}}, &route.Route{}, nil)
-	is.Equal(each.lastEvent, int64(1))
-	_, taken := made.takeRun(each, 1, replica.Replica{Entry: replica.Entry{ID: "to"}}, func() {}, 0, nil)
+	j, it := movedJob(t)
+	it.state = itemListed // the outcome of the run is taken into account elsewhere
+	is.NoErr(j.receive(it, 1, event(1), 1, &route.Route{}))
+	j.endAttempt(it, 1, replica.Replica{Entry: replica.Entry{ID: "from"}}, &route.Route{}, nil)
+	is.Equal(it.lastEvent, int64(1))
+	_, taken := j.switchAttempt(it, 1, replica.Replica{Entry: replica.Entry{ID: "to"}}, func() {}, 0, nil)
 	is.True(!taken)
 }
 
@@ -82,12 +82,12 @@
 func TestTheEndOfABatchIsNoFailureOfTheReplicaAsked(t *testing.T) {
 	is := is.New(t)
 	for _, ended := range []bool{true, false} {
-		made, _ := movedJob(t)
+		j, _ := movedJob(t)
 		if ended {
-			made.cancel()
+			j.cancel()
 		}
-		made.notTaken(nil, replica.Replica{Entry: replica.Entry{ID: "to"}}, context.Canceled)
-		known, _ := made.runner.table.Get("to")
+		j.handOverFailed(nil, replica.Replica{Entry: replica.Entry{ID: "to"}}, context.Canceled)
+		known, _ := j.r.table.Get("to")
 		is.Equal(known.AvoidUntil.IsZero(), ended)
 	}
 }
@@ -96,13 +96,13 @@
 // may hold other weights, and the text would begin anew.
 func TestATextOfOneVersionStaysWhereItBegan(t *testing.T) {
 	is := is.New(t)
-	made, each := movedJob(t)
-	made.lengths, each.holding = scheduling.NewLengths(), false
+	j, it := movedJob(t)
+	j.lengths, it.buffering = scheduling.NewLengths(), false
 	fixed := func(single bool) bool {
-		return made.describe(each, &route.Route{SingleVersion: single}, 0, time.Now()).Pinned
+		return j.describe(it, &route.Route{SingleVersion: single}, 0, time.Now()).Pinned
 	}
 	is.True(!fixed(true))
-	is.NoErr(made.take(each, 1, event(1), 1, &route.Route{SingleVersion: true}))
+	is.NoErr(j.receive(it, 1, event(1), 1, &route.Route{SingleVersion: true}))
 	is.True(fixed(true))
 	is.True(!fixed(false))
 }
--- a/internal/batches/runner/sharing.go
+++ b/internal/batches/runner/sharing.go
@@ -14,7 +14,7 @@
 
 // ownPaceHolds is for how long a pace that this daemon measured goes before one that others
 // have measured since: texts show one every few hundredths of a second.
-const ownPaceHolds = 3 * time.Second
+const ownEventTimeMaxAge = 3 * time.Second
 
 // sharing is what the dispatcher needs to share engines with other owners. A nil one has
 // none to share with.
@@ -33,22 +33,22 @@
 // ShareEngines lets the runner reckon with what the table holds of other owners. Changed is
 // called whenever the runner's own requests may have changed; it must not block. It is called
 // before Run.
-func (runner *Runner) ShareEngines(table *occupancy.Table, changed func()) {
-	runner.sharing = &sharing{self: runner.self, table: table, changed: changed, logger: runner.logger, demands: map[string]occupancy.Demand{}, turns: map[string]*occupancy.Turn{}}
+func (r *Runner) ShareEngines(table *occupancy.Table, changed func()) {
+	r.shared = &sharing{self: r.self, table: table, changed: changed, logger: r.logger, demands: map[string]occupancy.Demand{}, turns: map[string]*occupancy.Turn{}}
 }
 
 // KeyOf names the start of a replica to other owners.
-func KeyOf(each replica.Replica) occupancy.Key { return occupancy.KeyOf(each.ID, each.Born) }
+func KeyOf(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.Born) }
 
 // fill adds to an engine what other owners told of it.
-func (s *sharing) fill(engine scheduling.Engine, seen replica.Replica, now time.Time) scheduling.Engine {
+func (s *sharing) withReports(engine scheduling.Engine, seen replica.Replica, now time.Time) scheduling.Engine {
 	if s == nil {
 		return engine
 	}
 	key := KeyOf(seen)
 	engine.OthersInFlight = s.table.Others(key)
 	engine.Preference = occupancy.Preference(s.self, seen.ID)
-	if own := now.Sub(seen.PaceAt); seen.Pace == 0 || own > ownPaceHolds {
+	if own := now.Sub(seen.PaceAt); seen.Pace == 0 || own > ownEventTimeMaxAge {
 		if pace, age := s.table.Pace(key); pace > 0 && (seen.Pace == 0 || age < own) {
 			engine.EventTime = pace
 		}
@@ -182,8 +182,8 @@
 
 // HeardOfOthers has the dispatcher look again if items wait for room: others may have told of
 // some. It never blocks.
-func (runner *Runner) HeardOfOthers() {
-	s := runner.sharing
+func (r *Runner) HeardOfOthers() {
+	s := r.shared
 	s.mu.Lock()
 	waits := false
 	for _, each := range s.demands {
@@ -191,31 +191,31 @@
 	}
 	s.mu.Unlock()
 	if waits {
-		runner.Kick()
+		r.Kick()
 	}
 }
 
 // Occupied returns what this daemon has at the engines that it shares with other owners.
-func (runner *Runner) Occupied() (told occupancy.Report) {
-	s := runner.sharing
+func (r *Runner) Occupied() (told occupancy.Report) {
+	s := r.shared
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if runner.quiet() {
+	if r.quiet() {
 		clear(s.demands)
 		clear(s.turns)
 		return told
 	}
 	now := time.Now()
 	for service, demand := range s.demands {
-		if runner.stopping.Load() {
+		if r.stopping.Load() {
 			demand.Waiting = 0
 		}
 		demand.InFlight = 0
-		for _, each := range runner.table.Replicas(service) {
-			demand.InFlight += uint32(max(each.InFlight, 0))
-			told.Counts = append(told.Counts, occupancy.Count{Replica: KeyOf(each), Requests: uint32(max(each.InFlight, 0))})
-			if age := now.Sub(each.PaceAt); each.Pace > 0 && age <= ownPaceHolds {
-				told.Paces = append(told.Paces, occupancy.MakePacing(KeyOf(each), each.Pace, age))
+		for _, rep := range r.table.Replicas(service) {
+			demand.InFlight += uint32(max(rep.InFlight, 0))
+			told.Counts = append(told.Counts, occupancy.Count{Replica: KeyOf(rep), Requests: uint32(max(rep.InFlight, 0))})
+			if age := now.Sub(rep.PaceAt); rep.Pace > 0 && age <= ownEventTimeMaxAge {
+				told.Paces = append(told.Paces, occupancy.MakePacing(KeyOf(rep), rep.Pace, age))
 			}
 		}
 		told.Demands = append(told.Demands, demand)
--- a/internal/batches/runner/sharing_test.go
+++ b/internal/batches/runner/sharing_test.go
@@ -143,7 +143,7 @@
 	for i := range standEngines {
 		known := replica.Replica{Entry: replica.Entry{ID: fmt.Sprintf("e%d", i)}}
 		engine := scheduling.Engine{ID: known.ID, Slots: standSlots, InFlight: owner.at(i), Avoided: s.tick < owner.resting[i]}
-		seen.Engines = append(seen.Engines, owner.sharing.fill(engine, known, s.now()))
+		seen.Engines = append(seen.Engines, owner.sharing.withReports(engine, known, s.now()))
 	}
 	for _, text := range owner.texts {
 		item := scheduling.Item{Remaining: 100}
@@ -273,7 +273,7 @@
 	}
 	pace := func(own, age time.Duration) time.Duration {
 		known.Pace, known.PaceAt = own, now.Add(-age)
-		return s.fill(scheduling.Engine{EventTime: own}, known, now).EventTime
+		return s.withReports(scheduling.Engine{EventTime: own}, known, now).EventTime
 	}
 	is.Equal(pace(0, time.Hour), time.Duration(0))
 	told(5 * time.Second)
@@ -282,19 +282,19 @@
 	is.Equal(pace(40*time.Millisecond, 4*time.Second), 40*time.Millisecond)
 	is.Equal(pace(40*time.Millisecond, 6*time.Second), 20*time.Millisecond)
 	var alone *sharing
-	is.Equal(alone.fill(scheduling.Engine{ID: "e", EventTime: 1}, known, now), scheduling.Engine{ID: "e", EventTime: 1})
+	is.Equal(alone.withReports(scheduling.Engine{ID: "e", EventTime: 1}, known, now), scheduling.Engine{ID: "e", EventTime: 1})
 }
 
 // What is told is what is under way now. A daemon that stops wants nothing more, and one
 // without batches has nothing to tell.
 func TestWhatIsToldOfTheOwnRequests(t *testing.T) {
 	is := is.New(t)
-	made, _ := movedJob(t)
-	runner := made.runner
+	j, _ := movedJob(t)
+	runner := j.r
 	runner.wake = make(chan struct{}, 1)
-	runner.self, runner.jobs = "d0/1", map[string]*job{"b": made}
+	runner.self, runner.jobs = "d0/1", map[string]*job{"b": j}
 	runner.ShareEngines(occupancy.NewTable("d0/1", time.Now, zap.NewNop()), func() {})
-	runner.sharing.demands["s"] = occupancy.Demand{Service: 1, Waiting: 3}
+	runner.shared.demands["s"] = occupancy.Demand{Service: 1, Waiting: 3}
 	runner.table.Started("to")
 	for range 5 {
 		runner.table.Paced("from", 30*time.Millisecond)
--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -12,44 +12,44 @@
 	// standByTime is how long the daemon that accepted a batch waits for the
 	// owner's first sign of life, besides standBySteps times what the acceptance
 	// took: that many calls lie between the two.
-	standByTime  = 300 * time.Millisecond
+	standByWait  = 300 * time.Millisecond
 	standBySteps = 4
 )
 
 // standBy takes a batch over that this daemon has accepted for another one, if
 // that one gives no first sign of life: it may have ended since the group told
 // of it. The watcher of the partition would find out as well, but later.
-func (runner *Runner) standBy(batchID, owner string, accepting time.Duration) {
-	if !runner.begin() {
+func (r *Runner) standBy(batchID, owner string, accepting time.Duration) {
+	if !r.begin() {
 		return
 	}
-	defer runner.running.Done()
-	partition := runner.foldOf(runner.context, batchID)
+	defer r.work.Done()
+	partition := r.foldOf(r.ctx, batchID)
 	release := partition.Follow()
 	defer release()
-	expected := sighting{partition: partition.Name(), batch: batchID, owner: owner, at: time.Now()}
-	patience, cancel := context.WithTimeout(runner.context, standByTime+standBySteps*accepting)
+	expected := observation{partition: partition.Name(), batch: batchID, owner: owner, at: time.Now()}
+	patience, cancel := context.WithTimeout(r.ctx, standByWait+standBySteps*accepting)
 	defer cancel()
-	if hasBegun(patience, partition, expected) || runner.context.Err() != nil {
+	if hasBegun(patience, partition, expected) || r.ctx.Err() != nil {
 		return
 	}
-	bounded, cancel := context.WithTimeout(runner.context, takeOverTimeout)
+	bounded, cancel := context.WithTimeout(r.ctx, takeOverTimeout)
 	defer cancel()
-	if partition.CatchUp(bounded) != nil || !runner.stillSuspect(expected) {
+	if partition.CatchUp(bounded) != nil || !r.stillSuspect(expected) {
 		return
 	}
-	runner.replaceOwner(runner.context, expected, "owner has not begun")
+	r.replaceOwner(r.ctx, expected, "owner has not begun")
 }
 
 // hasBegun waits until the fold shows anything of a batch beyond its acceptance
 // by then, and reports whether it does.
-func hasBegun(ctx context.Context, partition *ledger.Partition, expected sighting) bool {
+func hasBegun(ctx context.Context, partition *ledger.Partition, expected observation) bool {
 	for {
 		changed := partition.Changed()
 		begun := false
 		partition.View(func(state *batch.State) {
-			known, ok := state.Get(expected.batch)
-			begun = ok && !expected.still(known)
+			b, ok := state.Get(expected.batch)
+			begun = ok && !expected.still(b)
 		})
 		if begun {
 			return true
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -52,7 +52,7 @@
 		accepter := newAccepter(ctx, journaltest.New(), "gone/1")
 		is.NoErr(accepter.Accept(ctx, &oneItem))
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "gone/1")
-		time.Sleep(standByTime + 20*time.Millisecond)
+		time.Sleep(standByWait + 20*time.Millisecond)
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "b/1")
 		batches, _ := accepter.Load()
 		is.Equal(batches, 1)
@@ -69,10 +69,10 @@
 		log := journaltest.New()
 		accepter := newAccepter(ctx, log, "a/1")
 		is.NoErr(accepter.Accept(ctx, &oneItem))
-		time.Sleep(standByTime / 2)
+		time.Sleep(standByWait / 2)
 		owner := ledger.New(ctx, log, zap.NewNop())
 		is.NoErr(owner.Of("x").Append(ctx, batch.Beat("x", "a/1", 1)))
-		time.Sleep(10 * standByTime)
+		time.Sleep(10 * standByWait)
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "a/1")
 	})
 }
@@ -93,7 +93,7 @@
 			}
 			return journaltest.None
 		})
-		time.Sleep(10 * standByTime)
+		time.Sleep(10 * standByWait)
 		log.SetBefall(nil)
 		is.NoErr(accepter.ledger.Of("x").CatchUp(ctx))
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "a/1")
--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -20,7 +20,7 @@
 )
 
 // sighting is an owner's count of signs of life, and when it last rose.
-type sighting struct {
+type observation struct {
 	partition journal.Partition
 	batch     string
 	owner     string
@@ -34,11 +34,11 @@
 }
 
 // silent is for how long the owner is known to have given no sign.
-func (s sighting) silent() time.Duration { return s.readAt.Sub(s.at) }
+func (s observation) silent() time.Duration { return s.readAt.Sub(s.at) }
 
 // still reports whether nothing has been heard of the owner since.
-func (s sighting) still(known *batch.Batch) bool {
-	return known.Open() && known.Owner == s.owner && known.Signs == s.signs
+func (s observation) still(b *batch.Batch) bool {
+	return b.Open() && b.Owner == s.owner && b.Signs == s.signs
 }
 
 // confirmations are the reads that show whether suspects still are suspects, one a
@@ -60,8 +60,8 @@
 func (c *confirmations) begin(ctx context.Context, partition *ledger.Partition) *confirmation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if under := c.reads[partition.Name()]; under != nil {
-		return under
+	if read := c.reads[partition.Name()]; read != nil {
+		return read
 	}
 	if c.reads == nil {
 		c.reads = map[journal.Partition]*confirmation{}
@@ -100,11 +100,11 @@
 // It waits for confirmTimeout at most, so that one partition does not hold up the others.
 // A read that takes longer goes on, and counts at a later call: a slow machine would
 // otherwise begin one after the other, and never take a batch over.
-func (runner *Runner) confirm(ctx context.Context, suspects []sighting) []sighting {
+func (r *Runner) confirm(ctx context.Context, suspects []observation) []observation {
 	reads := map[journal.Partition]*confirmation{}
 	for _, suspect := range suspects {
 		if reads[suspect.partition] == nil {
-			reads[suspect.partition] = runner.confirming.begin(ctx, runner.ledger.Partition(suspect.partition))
+			reads[suspect.partition] = r.confirming.begin(ctx, r.ledger.Partition(suspect.partition))
 		}
 	}
 	bounded, cancel := context.WithTimeout(ctx, confirmTimeout)
@@ -115,14 +115,14 @@
 		case <-read.ended:
 		case <-bounded.Done():
 		}
-		if at, ok := runner.confirming.take(name, read); ok {
+		if at, ok := r.confirming.take(name, read); ok {
 			began[name] = at
 		}
 	}
-	var confirmed []sighting
+	var confirmed []observation
 	for _, suspect := range suspects {
 		at, read := began[suspect.partition]
-		if read && runner.stillSuspect(suspect) {
+		if read && r.stillSuspect(suspect) {
 			suspect.readAt = at
 			confirmed = append(confirmed, suspect)
 		}
@@ -131,24 +131,24 @@
 }
 
 // stillSuspect reports whether the fold shows nothing new of a suspect.
-func (runner *Runner) stillSuspect(suspect sighting) (still bool) {
-	runner.ledger.Partition(suspect.partition).View(func(state *batch.State) {
-		known, ok := state.Get(suspect.batch)
-		still = ok && suspect.still(known)
+func (r *Runner) stillSuspect(suspect observation) (still bool) {
+	r.ledger.Partition(suspect.partition).View(func(state *batch.State) {
+		b, ok := state.Get(suspect.batch)
+		still = ok && suspect.still(b)
 	})
 	return still
 }
 
 // replaceOwner takes the batch of a suspect over. The record names the owner it
 // replaces, so that one of several takeovers counts.
-func (runner *Runner) replaceOwner(ctx context.Context, suspect sighting, reason string) {
+func (r *Runner) replaceOwner(ctx context.Context, suspect observation, reason string) {
 	bounded, cancel := context.WithTimeout(ctx, takeOverTimeout)
 	defer cancel()
-	err := runner.TakeOver(bounded, suspect.batch, suspect.owner)
+	err := r.TakeOver(bounded, suspect.batch, suspect.owner)
 	event := "batch taken over"
 	if err != nil {
 		event = "batch not taken over"
 	}
-	runner.logger.Info(event, zap.String("batch", suspect.batch), zap.String("from", suspect.owner),
+	r.logger.Info(event, zap.String("batch", suspect.batch), zap.String("from", suspect.owner),
 		zap.String("reason", reason), zap.Duration("silent", time.Since(suspect.at)), zap.Error(err))
 }
--- a/internal/batches/runner/watch.go
+++ b/internal/batches/runner/watch.go
@@ -14,15 +14,15 @@
 	watchInterval = 200 * time.Millisecond
 	// silenceAllowed is how long an owner may give no sign of life before
 	// another daemon takes its batch over.
-	silenceAllowed = 1500 * time.Millisecond
+	heartbeatTimeout = 1500 * time.Millisecond
 	// firstSign is how long a new owner may take to give its first sign of life.
-	firstSign = 700 * time.Millisecond
+	firstHeartbeatTimeout = 700 * time.Millisecond
 	// silenceSuspect is after how long an owner's machine is looked for among
 	// those alive: a new run there proves that the owner is gone.
-	silenceSuspect = 500 * time.Millisecond
+	suspectAfter = 500 * time.Millisecond
 	// watchOn is how long a partition is watched after it was dealt to another
 	// member, who hears of it only at its second join from then.
-	watchOn = 1500 * time.Millisecond
+	unwatchDelay = 1500 * time.Millisecond
 )
 
 // Group tells which partitions this daemon watches, and who is alive.
@@ -48,7 +48,7 @@
 // watched is one partition with when each owner was last seen alive.
 type watched struct {
 	release func()
-	owners  map[string]sighting
+	owners  map[string]observation
 	// dropped is when it was first seen to be dealt to another member, or zero.
 	dropped time.Time
 }
@@ -59,21 +59,21 @@
 }
 
 // Run watches until the context ends.
-func (watcher *Watcher) Run(ctx context.Context) {
+func (w *Watcher) Run(ctx context.Context) {
 	periodic.Every(ctx, watchInterval, func(ctx context.Context) {
-		watcher.follow(time.Now())
-		generation := watcher.group.Generation()
-		var suspects []sighting
-		for name, each := range watcher.watched {
-			suspects = append(suspects, watcher.inspect(name, each, generation, time.Now())...)
+		w.follow(time.Now())
+		generation := w.group.Generation()
+		var suspects []observation
+		for name, p := range w.watched {
+			suspects = append(suspects, w.inspect(name, p, generation, time.Now())...)
 		}
-		confirmed := watcher.runner.confirm(ctx, suspects)
-		if watcher.judge(ctx, confirmed) {
-			watcher.judged(confirmed, generation)
+		confirmed := w.runner.confirm(ctx, suspects)
+		if w.judge(ctx, confirmed) {
+			w.noteJudged(confirmed, generation)
 		}
 	})
-	for _, each := range watcher.watched {
-		each.release()
+	for _, p := range w.watched {
+		p.release()
 	}
 }
 
@@ -81,109 +81,109 @@
 // the second look of a generation on: while daemons start one after the other all are dealt anew
 // with each, and would be read by everyone in turn. With 84 daemons and 72 MB in the partitions a
 // start of all reads 73 to 81 MB of them, in place of 128 to 396 (virtual time).
-func (watcher *Watcher) follow(now time.Time) {
-	dealt, settled := watcher.group.Partitions(), watcher.settled()
+func (w *Watcher) follow(now time.Time) {
+	dealt, settled := w.group.Partitions(), w.settled()
 	for name := range dealt {
-		switch known := watcher.watched[name]; {
+		switch p := w.watched[name]; {
 		case name.Topic == RunnersTopic:
-		case known == nil && !settled:
-		case known == nil:
-			watcher.watched[name] = &watched{release: watcher.runner.ledger.Partition(name).Follow(), owners: map[string]sighting{}}
+		case p == nil && !settled:
+		case p == nil:
+			w.watched[name] = &watched{release: w.runner.ledger.Partition(name).Follow(), owners: map[string]observation{}}
 		default:
-			known.dropped = time.Time{}
+			p.dropped = time.Time{}
 		}
 	}
-	for name, each := range watcher.watched {
+	for name, p := range w.watched {
 		switch {
 		case dealt[name]:
-		case each.dropped.IsZero() && !watcher.runner.stopping.Load():
-			each.dropped = now
-		case watcher.runner.stopping.Load() || now.Sub(each.dropped) > watchOn:
-			each.release()
-			delete(watcher.watched, name)
+		case p.dropped.IsZero() && !w.runner.stopping.Load():
+			p.dropped = now
+		case w.runner.stopping.Load() || now.Sub(p.dropped) > unwatchDelay:
+			p.release()
+			delete(w.watched, name)
 		}
 	}
 }
 
 // settled reports whether the group's generation is that of the last look.
-func (watcher *Watcher) settled() bool {
-	before := watcher.generation
-	watcher.generation = watcher.group.Generation()
-	return watcher.generation == before
+func (w *Watcher) settled() bool {
+	before := w.generation
+	w.generation = w.group.Generation()
+	return w.generation == before
 }
 
 // inspect returns the batches of one partition whose owner may be gone, and
 // starts those that this daemon owns. An owner is looked for once in each
 // generation, and when it has been silent.
-func (watcher *Watcher) inspect(name journal.Partition, each *watched, generation int64, now time.Time) []sighting {
-	partition := watcher.runner.ledger.Partition(name)
+func (w *Watcher) inspect(name journal.Partition, p *watched, generation int64, now time.Time) []observation {
+	partition := w.runner.ledger.Partition(name)
 	// Silence counts only while the journal can be read: what an owner wrote
 	// during an outage is seen afterwards.
-	if now.Sub(partition.LastRead()) > silenceAllowed {
-		each.owners = map[string]sighting{}
+	if now.Sub(partition.LastRead()) > heartbeatTimeout {
+		p.owners = map[string]observation{}
 		return nil
 	}
-	var suspects []sighting
+	var suspects []observation
 	var own []string
 	partition.View(func(state *batch.State) {
-		state.All(func(known *batch.Batch) {
-			if !known.Open() {
-				delete(each.owners, known.ID)
+		state.All(func(b *batch.Batch) {
+			if !b.Open() {
+				delete(p.owners, b.ID)
 				return
 			}
-			seen := each.sight(name, known, now)
+			seen := p.observe(name, b, now)
 			switch {
-			case known.Owner == watcher.runner.self:
-				own = append(own, known.ID)
-			case known.Owner == "" || seen.judgedIn != generation || now.Sub(seen.at) > silenceSuspect || identity.Machine(known.Owner) == identity.Machine(watcher.runner.self):
+			case b.Owner == w.runner.self:
+				own = append(own, b.ID)
+			case b.Owner == "" || seen.judgedIn != generation || now.Sub(seen.at) > suspectAfter || identity.Machine(b.Owner) == identity.Machine(w.runner.self):
 				suspects = append(suspects, seen)
 			}
 		})
 	})
 	for _, batchID := range own {
-		watcher.runner.adopt(partition, batchID)
+		w.runner.adopt(partition, batchID)
 	}
 	return suspects
 }
 
 // sight returns what was last seen of the owner of an open batch, with the time
 // since when nothing new was.
-func (w *watched) sight(name journal.Partition, known *batch.Batch, now time.Time) sighting {
-	before, ok := w.owners[known.ID]
-	if ok && before.still(known) {
+func (w *watched) observe(name journal.Partition, b *batch.Batch, now time.Time) observation {
+	before, ok := w.owners[b.ID]
+	if ok && before.still(b) {
 		return before
 	}
-	seen := sighting{partition: name, batch: known.ID, owner: known.Owner, signs: known.Signs, at: now}
-	if before.owner == known.Owner {
+	seen := observation{partition: name, batch: b.ID, owner: b.Owner, signs: b.Signs, at: now}
+	if before.owner == b.Owner {
 		seen.judgedIn = before.judgedIn
 	}
-	w.owners[known.ID] = seen
+	w.owners[b.ID] = seen
 	return seen
 }
 
 // judged notes the generation in which owners were looked for.
-func (watcher *Watcher) judged(suspects []sighting, generation int64) {
+func (w *Watcher) noteJudged(suspects []observation, generation int64) {
 	for _, suspect := range suspects {
-		each := watcher.watched[suspect.partition]
-		if seen := each.owners[suspect.batch]; seen.owner == suspect.owner {
+		p := w.watched[suspect.partition]
+		if seen := p.owners[suspect.batch]; seen.owner == suspect.owner {
 			seen.judgedIn = generation
-			each.owners[suspect.batch] = seen
+			p.owners[suspect.batch] = seen
 		}
 	}
 }
 
 // judge takes over the suspects that are gone, and reports whether it could
 // tell which are.
-func (watcher *Watcher) judge(ctx context.Context, suspects []sighting) bool {
+func (w *Watcher) judge(ctx context.Context, suspects []observation) bool {
 	if len(suspects) == 0 {
 		return true
 	}
-	alive, err := watcher.group.Alive(ctx)
+	alive, err := w.group.Alive(ctx)
 	if err != nil {
 		return false
 	}
 	// This run is alive whatever the group says.
-	alive = append(alive, watcher.runner.self)
+	alive = append(alive, w.runner.self)
 	for _, suspect := range suspects {
 		reason := ""
 		switch {
@@ -191,14 +191,14 @@
 			reason = "released"
 		case identity.Replaced(suspect.owner, alive):
 			reason = "owner replaced"
-		case suspect.signs == 0 && suspect.silent() > firstSign:
+		case suspect.signs == 0 && suspect.silent() > firstHeartbeatTimeout:
 			reason = "owner has not begun"
-		case suspect.silent() > silenceAllowed:
+		case suspect.silent() > heartbeatTimeout:
 			reason = "owner silent"
 		default:
 			continue
 		}
-		go watcher.runner.replaceOwner(ctx, suspect, reason)
+		go w.runner.replaceOwner(ctx, suspect, reason)
 	}
 	return true
 }
--- a/internal/batches/runner/watch_test.go
+++ b/internal/batches/runner/watch_test.go
@@ -45,7 +45,7 @@
 		is.Equal(len(watcher.watched), 1)
 		group.partitions = nil
 		watcher.follow(time.Now())
-		time.Sleep(watchOn - time.Millisecond)
+		time.Sleep(unwatchDelay - time.Millisecond)
 		watcher.follow(time.Now())
 		is.Equal(len(watcher.watched), 1)
 		time.Sleep(2 * time.Millisecond)
@@ -58,11 +58,11 @@
 		watcher.follow(time.Now())
 		group.partitions = map[journal.Partition]bool{one: true}
 		watcher.follow(time.Now())
-		time.Sleep(2 * watchOn)
+		time.Sleep(2 * unwatchDelay)
 		watcher.follow(time.Now())
 		is.Equal(len(watcher.watched), 1)
-		for _, each := range watcher.watched {
-			each.release()
+		for _, p := range watcher.watched {
+			p.release()
 		}
 	})
 }
@@ -76,14 +76,14 @@
 	jobs := ledger.New(ctx, log, zap.NewNop())
 	over, cancel := context.WithCancel(ctx)
 	cancel() // nothing that is taken over is run
-	return NewWatcher(&Runner{self: "b/1", ledger: jobs, logger: zap.NewNop(), context: over}, group), jobs.Of("x")
+	return NewWatcher(&Runner{self: "b/1", ledger: jobs, logger: zap.NewNop(), ctx: over}, group), jobs.Of("x")
 }
 
 func ownerOf(partition *ledger.Partition, batchID string) string {
 	owner := ""
 	partition.View(func(state *batch.State) {
-		if known, ok := state.Get(batchID); ok {
-			owner = known.Owner
+		if b, ok := state.Get(batchID); ok {
+			owner = b.Owner
 		}
 	})
 	return owner
@@ -103,7 +103,7 @@
 		go watcher.Run(ctx)
 		time.Sleep(1300 * time.Millisecond)
 		is.NoErr(partition.Append(ctx, batch.Accepted(&batch.Submission{ID: "x", Items: []batch.Item{{ID: "i"}}}, "a/1")))
-		time.Sleep(silenceSuspect + 2*watchInterval + 20*time.Millisecond)
+		time.Sleep(suspectAfter + 2*watchInterval + 20*time.Millisecond)
 		is.Equal(ownerOf(partition, "x"), "b/1")
 	})
 }
@@ -120,9 +120,9 @@
 		watcher, partition := newWatched(ctx, log, group)
 		is.NoErr(partition.Append(ctx, batch.Accepted(&batch.Submission{ID: "x", Items: []batch.Item{{ID: "i"}}}, "a/1")))
 		is.NoErr(partition.CatchUp(ctx))
-		seen := &watched{owners: map[string]sighting{}}
+		seen := &watched{owners: map[string]observation{}}
 		is.Equal(len(watcher.inspect(partition.Name(), seen, 0, time.Now())), 0)
-		time.Sleep(silenceSuspect + time.Millisecond)
+		time.Sleep(suspectAfter + time.Millisecond)
 		suspects := watcher.inspect(partition.Name(), seen, 0, time.Now())
 		is.Equal(len(suspects), 1)
 		is.Equal(len(watcher.runner.confirm(ctx, suspects)), 1)
@@ -163,16 +163,16 @@
 	watcher, partition := newWatched(ctx, journaltest.New(), group)
 	is.NoErr(partition.Append(ctx, batch.Accepted(&batch.Submission{ID: "x", Items: []batch.Item{{ID: "i"}}}, "c/1")))
 	is.NoErr(partition.CatchUp(ctx))
-	each := &watched{owners: map[string]sighting{}}
-	watcher.watched[partition.Name()] = each
-	suspects := watcher.inspect(partition.Name(), each, 7, time.Now())
+	p := &watched{owners: map[string]observation{}}
+	watcher.watched[partition.Name()] = p
+	suspects := watcher.inspect(partition.Name(), p, 7, time.Now())
 	is.Equal(len(suspects), 1)
 	is.True(watcher.judge(ctx, suspects))
-	watcher.judged(suspects, 7)
+	watcher.noteJudged(suspects, 7)
 	is.NoErr(partition.Append(ctx, batch.Beat("x", "c/1", 1)))
 	is.NoErr(partition.CatchUp(ctx))
-	is.Equal(len(watcher.inspect(partition.Name(), each, 7, time.Now())), 0)
-	is.Equal(len(watcher.inspect(partition.Name(), each, 8, time.Now())), 1)
+	is.Equal(len(watcher.inspect(partition.Name(), p, 7, time.Now())), 0)
+	is.Equal(len(watcher.inspect(partition.Name(), p, 8, time.Now())), 1)
 	is.Equal(ownerOf(partition, "x"), "c/1")
 }
 
@@ -197,7 +197,7 @@
 					}
 					log.reads.Store(int64(lag))
 					go NewWatcher(owner, &dealing{partitions: map[journal.Partition]bool{partition.Name(): true}}).Run(ctx)
-					time.Sleep(silenceAllowed + 2*time.Second)
+					time.Sleep(heartbeatTimeout + 2*time.Second)
 					is.Equal(ownerInJournal(ctx, t, log.Journal, "x"), "b/1")
 				})
 			})
