--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -9,18 +9,24 @@
 	// tokensPerEvent is assumed until texts have shown how many tokens an event
 	// carries by their hints.
 	tokensPerEvent = 50
-	// assumedSpread is the standard deviation of the logarithm of a length by its
+	// defaultSpread is the standard deviation of the logarithm of a length by its
 	// hint, until it was observed.
 	defaultSpread = 0.5
-	// assumedWeight is how many texts the assumptions count as.
+	// defaultWeight is how many texts the defaults count as.
 	defaultWeight = 8
-	// rememberedTexts is how many texts the means reach back.
+	// maxWeight is how many texts the means reach back.
 	maxWeight = 1000
-	// telling is from how many texts on the longest of them bounds the forecasts: makers
-	// of texts bound their lengths, and many come to that bound.
+	// minTextsForLongest is from how many texts on the longest of them bounds the
+	// forecasts: engines bound lengths, and many texts come to that bound.
 	minTextsForLongest = 100
-	// leastSpread keeps a forecast from certainty.
+	// minSpread keeps a forecast from certainty.
 	minSpread = 0.05
+	// exceededPart is the part of the texts that outgrow what MaxRemaining returns.
+	exceededPart = 0.05
+	// minTail is the smallest part of longer texts that is told from none.
+	minTail = 1e-9
+	// outgrownPart is what is expected of a text far beyond any forecast, by its length.
+	outgrownPart = 0.1
 )
 
 // Lengths forecasts how long texts get, from their hints and from how texts before
@@ -44,7 +50,7 @@
 	return &Lengths{weight: defaultWeight, mean: mean, square: defaultSpread * defaultSpread}
 }
 
-// Finished notes a whole text: the tokens hinted at and the events that it had.
+// Observe notes a whole text: the tokens hinted at and the events that it had.
 func (l *Lengths) Observe(hint int64, events int) {
 	if hint <= 0 || events <= 0 {
 		return
@@ -86,7 +92,7 @@
 // tokens, and some events already: the median over the texts that got as far.
 func (l *Lengths) Remaining(hint int64, events int) float64 { return l.quantile(hint, events, 0.5) }
 
-// Most returns how many events come at most of a text, but for a few in a hundred of the
+// MaxRemaining returns how many events come at most of a text, but for a few in a hundred of the
 // texts that got as far.
 func (l *Lengths) MaxRemaining(hint int64, events int) float64 {
 	return l.quantile(hint, events, exceededPart)
@@ -107,15 +113,6 @@
 	return max(min(math.Exp(median+spread*upperQuantile(above*part)), longest)-so, 1)
 }
 
-const (
-	// mostExceeded is the part of the texts that outgrow what Most returns.
-	exceededPart = 0.05
-	// leastAbove is the smallest part of longer texts that is told from none.
-	minTail = 1e-9
-	// outgrown is what is expected of a text far beyond any forecast, by its length.
-	outgrownPart = 0.1
-)
-
 // upperTail is the part of a normal distribution above z.
 func upperTail(z float64) float64 { return math.Erfc(z/math.Sqrt2) / 2 }
 
--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -1,132 +1,143 @@
 package scheduling
 
 import (
+	"cmp"
+	"math"
 	"slices"
-	"sort"
 	"time"
 )
 
 const (
-	// leastRun is how long an item runs at an engine before it may be moved: its
-	// pace there must have shown.
+	// minRunTime is how long an item runs at an engine before it may be moved: its event
+	// time there must have shown.
 	minRunTime = 500 * time.Millisecond
-	// moveCost is what a move takes: a connection, and the reading of the prompt
-	// and of the text so far at the other engine (10,000 tokens take 30 ms).
+	// moveCost is what a move takes: a connection, and the reading of the prompt and of the
+	// text so far at the other engine.
 	moveCost = 60 * time.Millisecond
-	// leastGain is by how much sooner an item must end for a move.
+	// minGain is by how much sooner an item must end for a move.
 	minGain = 150 * time.Millisecond
-	// clearlyFaster is how much of the time at its engine an item may take at
-	// another one for a move: paces are known to within a few hundredths.
+	// maxMoveRatio is how much of the time at its engine an item may take at another one
+	// for a move: event times are known to within a few hundredths.
 	maxMoveRatio = 0.92
-	// silentMoves is how many items leave an engine at a time because their first event is
-	// overdue. There are some looks a second, so that a dark engine is left by all within
-	// the time in which one that changes its weights loses a few.
+	// maxOverdueMoves is how many items leave an engine in one round because their first
+	// event is overdue. There are some rounds a second, so that a dark engine is left by all
+	// within the time in which one that changes its weights loses a few.
 	maxOverdueMoves = 2
-	// decisive is the part of the time in which its step could end that an item may still
-	// take and stay where it is: forecasts are off by that much, and a move costs a connection.
+	// decisivePart is the part of the time in which its step could end that an item may
+	// still take and stay where it is: forecasts are off by that much, and a move costs a
+	// connection.
 	decisivePart = 0.6
 )
 
-// candidate is a running item with the engine that it runs at.
+// candidate is a running item that may be moved, with the engine that it runs at.
 type candidate struct {
 	item, engine int
-	// time is how long it should still take there.
-	time float64
+	// here is how long it should still take there, in nanoseconds.
+	here float64
 }
 
 // moves returns the running items whose step ends sooner if they go on at another engine
 // with room: those that would end after its longest text could. The cost counts as lost,
-// so that an item is not moved to and fro. Of the items of which the first event is
-// overdue a few at a time leave an engine, as it may only be changing its weights.
+// so that an item is not moved to and fro.
 func (p *planner) moves() []Decision {
 	if p.NoMoves {
 		return nil
 	}
 	var decisions []Decision
-	for _, each := range p.movable() {
-		item := &p.Items[each.item]
-		if !p.decides(item, each.time) {
+	for _, c := range p.candidates() {
+		it := &p.Items[c.item]
+		if !p.decidesStep(it, c.here) {
 			continue
 		}
-		target := p.target(item, each.engine)
+		target := p.moveTarget(it, c.engine)
 		if target < 0 {
 			continue
 		}
-		there := item.Remaining * p.eventTime(target)
-		gain := rounded(each.time-there) - moveCost
+		there := it.Remaining * p.eventTime(target)
+		gain := rounded(c.here-there) - moveCost
 		switch {
-		case item.Overdue > 0:
+		case it.Overdue > 0:
 			// Where it is it may get nothing until it is given up.
-			gain = max(MaxFirstEvent-item.RunFor, minGain)
-		case !worthMoving(each.time, there):
+			gain = max(MaxFirstEvent-it.RunFor, minGain)
+		case !worthMoving(c.here, there):
 			continue
 		}
-		p.take(target, item)
-		p.left(item, each.engine)
-		decisions = append(decisions, Move{Item: each.item, Engine: target, Gain: gain})
+		p.reserve(target, it)
+		p.left(it, c.engine)
+		decisions = append(decisions, Move{Item: c.item, Engine: target, Gain: gain})
 	}
 	return decisions
 }
 
-// movable returns the items that may be moved, in the order in which they are
-// worth it: those that must be whole, then those that take longest.
-func (p *planner) movable() []candidate {
-	var found []candidate
+// candidates returns the items that may be moved, in the order in which they are worth it:
+// those that are required, then those that take longest. Of those whose first event is
+// overdue a few leave an engine, as it may only be changing its weights.
+func (p *planner) candidates() []candidate {
+	var candidates []candidate
 	for i := range p.Items {
-		item := &p.Items[i]
-		engine, known := p.byID[item.Engine]
-		if !known || item.Pinned {
+		it := &p.Items[i]
+		engine, ok := p.byID[it.Engine]
+		if !ok || it.Pinned {
 			continue
 		}
-		time := item.Remaining * float64(p.Engines[engine].EventTime)
-		if item.Overdue == 0 && (item.RunFor < minRunTime || p.Engines[engine].EventTime == 0) {
+		eventTime := p.Engines[engine].EventTime
+		if it.Overdue == 0 && (it.RunFor < minRunTime || eventTime == 0) {
 			continue
 		}
-		found = append(found, candidate{item: i, engine: engine, time: time})
+		candidates = append(candidates, candidate{item: i, engine: engine, here: it.Remaining * float64(eventTime)})
 	}
-	sort.SliceStable(found, func(a, b int) bool {
-		first, second := &p.Items[found[a].item], &p.Items[found[b].item]
-		if first.Required != second.Required {
-			return first.Required
-		}
-		return found[a].time > found[b].time
-	})
+	slices.SortStableFunc(candidates, p.compareCandidates)
 	leaving := make([]int, len(p.Engines))
-	return slices.DeleteFunc(found, func(each candidate) bool {
-		if p.Items[each.item].Overdue == 0 {
+	return slices.DeleteFunc(candidates, func(c candidate) bool {
+		if p.Items[c.item].Overdue == 0 {
 			return false
 		}
-		leaving[each.engine]++
-		return leaving[each.engine] > maxOverdueMoves
+		leaving[c.engine]++
+		return leaving[c.engine] > maxOverdueMoves
 	})
 }
 
+func (p *planner) compareCandidates(a, b candidate) int {
+	if required := p.Items[a.item].Required; required != p.Items[b.item].Required {
+		if required {
+			return -1
+		}
+		return 1
+	}
+	return cmp.Compare(b.here, a.here)
+}
+
 // worthMoving reports whether an item that takes so long at its engine, and there at
 // another, in nanoseconds, should go on there.
 func worthMoving(here, there float64) bool {
 	return rounded(here-there)-moveCost >= minGain && there <= maxMoveRatio*here
 }
 
-// decides reports whether an item that takes some time more at its engine ends after its
-// step could.
-func (p *planner) decides(item *Item, time float64) bool {
-	return item.Overdue > 0 || time > decisivePart*p.step(item).end
+// decidesStep reports whether an item that takes some time more at its engine, in
+// nanoseconds, ends after its step could.
+func (p *planner) decidesStep(it *Item, here float64) bool {
+	return it.Overdue > 0 || here > decisivePart*p.step(it).end
 }
 
-// target returns the engine that an item should go on at, or -1.
-func (p *planner) target(item *Item, at int) int {
-	top := p.pool(item, anyEngine).top()
-	if top != at {
-		return top
+// moveTarget returns the engine that an item should go on at, or -1.
+func (p *planner) moveTarget(it *Item, from int) int {
+	best := p.pool(it, anyEngine).best()
+	if best != from {
+		return best
 	}
-	if item.Overdue == 0 {
+	if it.Overdue == 0 {
 		return -1
 	}
-	best := -1
-	for i := range p.Engines {
-		if i != at && p.canRun(i, item) && (best < 0 || p.score(i) < p.score(best)) {
+	best = -1
+	for i := range p.engines {
+		if i != from && p.canRun(i, it) && (best < 0 || p.score(i, anyEngine) < p.score(best, anyEngine)) {
 			best = i
 		}
 	}
 	return best
 }
+
+// rounded turns nanoseconds that need not be whole into a duration.
+func rounded(nanoseconds float64) time.Duration {
+	return time.Duration(math.Round(nanoseconds))
+}
--- /dev/null
+++ b/internal/batches/scheduling/place.go
@@ -0,0 +1,129 @@
+package scheduling
+
+import (
+	"cmp"
+	"slices"
+)
+
+// What is added to an engine's score, which is the expected time between events by the
+// usual one: 1 is a usual engine with nothing else to do.
+const (
+	// sharedPromptBonus is taken off for the engine that read the group's shared prompt:
+	// reading it again takes about as long as a part of an event.
+	sharedPromptBonus = 0.02
+	// otherZonePenalty is for an engine in another zone, as bytes between zones cost: as
+	// much as for a short text under way.
+	otherZonePenalty = 0.008
+	// noConnPenalty is for an engine without an idle connection, where a text can wait:
+	// making one takes the engine's time.
+	noConnPenalty = 0.3
+	// overduePenalty is for an engine where a first event is overdue: as if it took twice
+	// as long, so that it gets more only where all the others are no better.
+	overduePenalty = 1
+)
+
+// choice is which engines a text may go to.
+type choice int
+
+const (
+	// anyEngine: all that can run it.
+	anyEngine choice = iota
+	// ordinaryEngine: all but the fast ones.
+	ordinaryEngine
+	// connectedEngine: likewise, and rather one with an idle connection.
+	connectedEngine
+)
+
+// order returns the waiting items in the order in which they are placed.
+func (p *planner) order() []int {
+	var waiting []int
+	for i := range p.Items {
+		if p.Items[i].Engine == "" {
+			waiting = append(waiting, i)
+		}
+	}
+	slices.SortFunc(waiting, func(a, b int) int { return cmp.Or(compare(&p.Items[a], &p.Items[b]), cmp.Compare(a, b)) })
+	return waiting
+}
+
+// compare orders waiting items: by rank, age of the batch, those that are required, and
+// then the longest first, as they decide when the last group is whole.
+func compare(a, b *Item) int {
+	switch {
+	case a.Priority != b.Priority:
+		return cmp.Compare(a.Priority, b.Priority)
+	case !a.BatchSince.Equal(b.BatchSince):
+		return a.BatchSince.Compare(b.BatchSince)
+	case a.Required != b.Required:
+		if a.Required {
+			return -1
+		}
+		return 1
+	default:
+		return cmp.Compare(b.Remaining, a.Remaining)
+	}
+}
+
+// place returns the engine that should run an item, or -1 if it waits for room. Texts that
+// need no fast engine go to one only if no other has room, and short ones only while the
+// fast ones have room besides for the texts that need them.
+func (p *planner) place(it *Item) int {
+	choice := p.choiceOf(it)
+	engine := p.pick(it, choice)
+	if engine >= 0 || choice == anyEngine {
+		return engine
+	}
+	if it.MaxRemaining > 0 && p.tier(it).reserved(p) {
+		return -1
+	}
+	return p.pick(it, anyEngine)
+}
+
+// choiceOf returns to which engines an item should go.
+func (p *planner) choiceOf(it *Item) choice {
+	switch {
+	case p.short(it):
+		return connectedEngine
+	case len(p.tier(it).fastest) == 0 || p.needsFast(it):
+		return anyEngine
+	default:
+		return ordinaryEngine
+	}
+}
+
+// pick returns the best of the engines that pass the filter, or -1: the one with the least
+// score, of equal ones the preferred, but the engine that has the prompt of the item's
+// group unless it is clearly worse.
+func (p *planner) pick(it *Item, choice choice) int {
+	best := p.pool(it, choice).best()
+	if best < 0 || it.GroupEngine == "" || it.GroupEngine == p.Engines[best].ID {
+		return best
+	}
+	near, ok := p.byID[it.GroupEngine]
+	if ok && near != best && p.passes(near, it, choice) && p.score(near, choice)-sharedPromptBonus < p.score(best, choice) {
+		return near
+	}
+	return best
+}
+
+// passes is the filter: it reports whether an engine has room for an item, weights that
+// are new enough, and is one of those chosen for it.
+func (p *planner) passes(engine int, it *Item, choice choice) bool {
+	return p.canRun(engine, it) && (choice == anyEngine || !p.tier(it).fast[engine])
+}
+
+// score is lower for a better engine.
+func (p *planner) score(engine int, choice choice) float64 {
+	e := &p.engines[engine]
+	score := e.relativeTime()
+	if e.Zone != p.Zone {
+		score += otherZonePenalty
+	}
+	if e.overdue {
+		score += overduePenalty
+	}
+	if choice == connectedEngine && e.idleConns == 0 {
+		score += noConnPenalty
+	}
+	return score
+}
--- /dev/null
+++ b/internal/batches/scheduling/planner.go
@@ -0,0 +1,137 @@
+package scheduling
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// loadPerRequest is by how much, as a ratio, a request under way slows the others at an
+	// engine, and loadPerEvent by how much more for each event of its text: for each token
+	// an engine reads all that the text has so far. They are not learned, as one request
+	// changes less than an event time is known to.
+	loadPerRequest = 0.005
+	loadPerEvent   = 0.0001
+)
+
+// loadOf is by how much a request slows the others, with the events of its text.
+func loadOf(events float64) float64 { return loadPerRequest + loadPerEvent*events }
+
+// planner is one round of decisions. It counts the room that they take.
+type planner struct {
+	Snapshot
+	engines []engineState
+	// usual is the median of the known event times, 0 if none is known.
+	usual time.Duration
+	// byID are the indices of engines.
+	byID  map[string]int
+	tiers map[class]*tiers
+	steps map[stepKey]*step
+	pools map[poolKey]*pool
+	// lastPool, lastTier and lastStep are those looked up last: items in order mostly
+	// share them.
+	lastPool *pool
+	lastTier *tiers
+	lastStep *step
+}
+
+// engineState is an engine as it is after the decisions so far.
+type engineState struct {
+	*Engine
+	// inFlight is how many requests are under way there, of all owners; idleConns how many
+	// connections to it are left.
+	inFlight, idleConns int
+	// load is by how much, as a ratio, the requests there slow one more.
+	load float64
+	// unloaded is its event time with nothing else under way, by the usual one.
+	unloaded float64
+	// overdue says that a first event is overdue there.
+	overdue bool
+}
+
+// class is what an engine must fulfil for an item.
+type class struct {
+	model      string
+	minVersion int64
+}
+
+func classOf(it *Item) class { return class{model: it.Model, minVersion: it.MinVersion} }
+
+func newPlanner(snapshot Snapshot) *planner {
+	p := &planner{
+		Snapshot: snapshot, engines: make([]engineState, len(snapshot.Engines)), byID: make(map[string]int, len(snapshot.Engines)),
+		pools: map[poolKey]*pool{}, tiers: map[class]*tiers{}, steps: map[stepKey]*step{},
+	}
+	for i := range snapshot.Engines {
+		e := &snapshot.Engines[i]
+		inFlight := e.InFlight + e.OthersInFlight
+		p.engines[i] = engineState{Engine: e, inFlight: inFlight, idleConns: e.IdleConns, load: float64(inFlight) * loadOf(0)}
+		p.byID[e.ID] = i
+	}
+	for i := range snapshot.Items {
+		it := &snapshot.Items[i]
+		if at, ok := p.byID[it.Engine]; ok {
+			p.engines[at].load += loadOf(it.Length()) - loadOf(0)
+			p.engines[at].overdue = p.engines[at].overdue || it.Overdue > 0
+		}
+	}
+	p.compareEngines()
+	p.foresee()
+	return p
+}
+
+// compareEngines sets the usual event time, and each engine's by it.
+func (p *planner) compareEngines() {
+	var times []time.Duration
+	for i := range p.Engines {
+		if p.Engines[i].EventTime > 0 {
+			times = append(times, p.Engines[i].EventTime)
+		}
+	}
+	if len(times) > 0 {
+		slices.Sort(times)
+		p.usual = times[(len(times)-1)/2]
+	}
+	for i := range p.engines {
+		e := &p.engines[i]
+		e.unloaded = 1
+		if e.EventTime > 0 {
+			e.unloaded = float64(e.EventTime) / float64(p.usual)
+		}
+		e.unloaded /= 1 + e.load
+	}
+}
+
+// relativeTime is the expected time between the events of one more request at an engine, by
+// the usual one.
+func (e *engineState) relativeTime() float64 { return e.unloaded * (1 + e.load) }
+
+// eventTime is the expected time between the events of one more request at an engine, in
+// nanoseconds.
+func (p *planner) eventTime(engine int) float64 {
+	return p.engines[engine].relativeTime() * float64(p.usual)
+}
+
+// hasRoom reports whether an engine may get one more request.
+func (e *engineState) hasRoom() bool {
+	if e.Avoided {
+		return false
+	}
+	if e.Declining && e.inFlight > e.InFlight+e.OthersInFlight {
+		return false
+	}
+	return e.inFlight < e.Capacity()
+}
+
+// canRun reports whether an engine has room for an item, and weights for it.
+func (p *planner) canRun(engine int, it *Item) bool {
+	return p.engines[engine].hasRoom() && p.engines[engine].Holds(it)
+}
+
+// reserve counts an item that an engine gets.
+func (p *planner) reserve(engine int, it *Item) {
+	e := &p.engines[engine]
+	e.inFlight++
+	e.idleConns = max(e.idleConns-1, 0)
+	e.load += loadOf(it.Length())
+}
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -95,7 +95,7 @@
 			t.Fatalf("engine %s rests and gets %d", engine.ID, taken[i])
 		case taken[i] > 1 && engine.Declining:
 			t.Fatalf("engine %s declines and gets %d", engine.ID, taken[i])
-		case taken[i] > 0 && engine.InFlight+taken[i] > slotsOf(&snapshot.Engines[i]):
+		case taken[i] > 0 && engine.InFlight+taken[i] > snapshot.Engines[i].Capacity():
 			t.Fatalf("engine %s gets %d beside %d", engine.ID, taken[i], engine.InFlight)
 		}
 	}
@@ -104,7 +104,7 @@
 			continue
 		}
 		for e, engine := range snapshot.Engines {
-			room := engine.InFlight+taken[e] < slotsOf(&snapshot.Engines[e]) && !engine.Avoided && !(engine.Declining && taken[e] > 0)
+			room := engine.InFlight+taken[e] < snapshot.Engines[e].Capacity() && !engine.Avoided && !(engine.Declining && taken[e] > 0)
 			if room && engine.Versions[testModel] >= item.MinVersion {
 				t.Fatalf("item %d waits though %s has room", i, engine.ID)
 			}
--- /dev/null
+++ b/internal/batches/scheduling/step.go
@@ -0,0 +1,116 @@
+package scheduling
+
+import "time"
+
+const (
+	// maxDeferral is how old a batch may be while a text of it is deferred: what a wrong
+	// forecast of the step's end may cost, in steps that take seconds.
+	maxDeferral = 2 * time.Second
+	// shortItemsPart is the part of the time to a step's end in which its short texts are
+	// to be made: the rest is the margin for texts that outgrow their forecasts.
+	shortItemsPart = 0.5
+	// latestStartPart is the part of the time to a step's end that a text may take at most
+	// for its start to be deferred.
+	latestStartPart = 0.6
+)
+
+// stepKey names the items of one batch and class.
+type stepKey struct {
+	class
+	since time.Time
+}
+
+// step is what the items of one batch come to.
+type step struct {
+	stepKey
+	// end is in how long its longest text could be whole at the best engine, in
+	// nanoseconds.
+	end float64
+	// shortRunning is how many of its short texts are under way, shortWork the time that
+	// these and those that wait take at an ordinary engine, in nanoseconds.
+	shortRunning int
+	shortWork    float64
+}
+
+func (p *planner) step(it *Item) *step {
+	key := stepKey{class: classOf(it), since: it.BatchSince}
+	if p.lastStep != nil && p.lastStep.stepKey == key {
+		return p.lastStep
+	}
+	s := p.steps[key]
+	if s == nil {
+		s = &step{stepKey: key}
+		p.steps[key] = s
+	}
+	p.lastStep = s
+	return s
+}
+
+// foresee works out when each step could end, which of its texts decide that, and what
+// the others come to.
+func (p *planner) foresee() {
+	remaining := map[*tiers][]float64{}
+	for i := range p.Items {
+		it := &p.Items[i]
+		step, tier := p.step(it), p.tier(it)
+		step.end = max(step.end, it.Remaining*tier.bestTime)
+		remaining[tier] = append(remaining[tier], it.Remaining)
+	}
+	for tier, values := range remaining {
+		tier.minRemaining = leastOf(values, tier.slots(p))
+	}
+	for i := range p.Items {
+		p.count(&p.Items[i])
+	}
+}
+
+// count adds an item to what its step and its tier have.
+func (p *planner) count(it *Item) {
+	step, tier := p.step(it), p.tier(it)
+	engine, runs := p.byID[it.Engine]
+	if p.short(it) {
+		step.shortWork += it.Remaining * tier.ordinaryTime
+		if runs {
+			step.shortRunning++
+		}
+	}
+	if p.needsFast(it) && (!runs || !tier.fast[engine]) {
+		tier.wanted++
+	}
+}
+
+// short reports whether a text surely ends before its step, at any engine.
+func (p *planner) short(it *Item) bool {
+	tier := p.tier(it)
+	return it.MaxRemaining > 0 && !it.Required && tier.ordinaryTime > 0 && it.MaxRemaining*tier.ordinaryTime <= p.step(it).end
+}
+
+// deferred reports whether a text need not start yet: so many others of its step are under
+// way that all are whole long before the step can end. Those that wait then take the
+// connections, and the slots, of those that end.
+func (p *planner) deferred(it *Item) bool {
+	if it.BatchAge >= maxDeferral || !p.short(it) {
+		return false
+	}
+	step := p.step(it)
+	if it.MaxRemaining*p.tier(it).ordinaryTime > latestStartPart*step.end {
+		return false
+	}
+	return float64(step.shortRunning)*shortItemsPart*step.end >= step.shortWork
+}
+
+// started counts a text that was started, left one that goes on at another engine.
+func (p *planner) started(it *Item) {
+	if p.short(it) {
+		p.step(it).shortRunning++
+	}
+	if p.needsFast(it) {
+		p.tier(it).wanted--
+	}
+}
+
+func (p *planner) left(it *Item, from int) {
+	if tier := p.tier(it); !tier.fast[from] && p.needsFast(it) {
+		tier.wanted = max(tier.wanted-1, 0)
+	}
+}
--- /dev/null
+++ b/internal/batches/scheduling/tier.go
@@ -0,0 +1,112 @@
+package scheduling
+
+import "slices"
+
+// fastRatio is how long an engine may take for an event, by the upper quartile of the
+// engines, to be one that long texts need: less than that is what load and noise make of
+// equal engines.
+const fastRatio = 0.75
+
+// tiers are the engines that can run the items of one class, by how fast they are.
+type tiers struct {
+	class
+	// fast engines are kept for texts that need them; fastest are their indices.
+	fast    []bool
+	fastest []int
+	// bestTime is the time between two events at the best engine, ordinaryTime at the
+	// others, in nanoseconds; 0 if too few event times are known.
+	bestTime, ordinaryTime float64
+	// minRemaining is what a text must have before it at least to need a fast engine: as
+	// many have that much as the fast engines have slots.
+	minRemaining float64
+	// wanted is how many texts need a fast engine and are not at one.
+	wanted int
+}
+
+// tier returns the engines of an item's class by how fast they are.
+func (p *planner) tier(it *Item) *tiers {
+	key := classOf(it)
+	if p.lastTier != nil && p.lastTier.class == key {
+		return p.lastTier
+	}
+	t := p.tiers[key]
+	if t == nil {
+		t = p.newTiers(key, it)
+		p.tiers[key] = t
+	}
+	p.lastTier = t
+	return t
+}
+
+// newTiers compares the engines of a class. Unless the event times of half of them are
+// known, none counts as fast.
+func (p *planner) newTiers(key class, it *Item) *tiers {
+	t := &tiers{class: key, fast: make([]bool, len(p.Engines))}
+	var times []float64
+	usable := 0
+	for i := range p.Engines {
+		if !p.Engines[i].Holds(it) || p.Engines[i].Avoided {
+			continue
+		}
+		usable++
+		if p.Engines[i].EventTime > 0 {
+			times = append(times, p.eventTime(i))
+		}
+	}
+	if len(times) == 0 || 2*len(times) < usable {
+		return t
+	}
+	slices.Sort(times)
+	t.bestTime, t.ordinaryTime = times[0], times[len(times)*3/4]
+	for i := range p.Engines {
+		t.fast[i] = p.Engines[i].Holds(it) && p.Engines[i].EventTime > 0 && p.eventTime(i) < fastRatio*t.ordinaryTime
+		if t.fast[i] {
+			t.fastest = append(t.fastest, i)
+		}
+	}
+	return t
+}
+
+// reserved reports whether the fast engines have room only for texts that need it.
+func (t *tiers) reserved(p *planner) bool {
+	room := 0
+	for _, i := range t.fastest {
+		if p.engines[i].hasRoom() {
+			room += p.engines[i].Capacity() - p.engines[i].inFlight
+		}
+	}
+	return room <= t.wanted
+}
+
+// slots is how many requests of this owner the fast engines take.
+func (t *tiers) slots(p *planner) int {
+	slots := 0
+	for _, i := range t.fastest {
+		slots += max(p.Engines[i].Capacity()-p.Engines[i].OthersInFlight, 0)
+	}
+	return slots
+}
+
+// needsFast reports whether a text is one of the longest, for which the fast engines are,
+// and would go to one that has room.
+func (p *planner) needsFast(it *Item) bool {
+	tier := p.tier(it)
+	if p.short(it) || it.Remaining < tier.minRemaining {
+		return false
+	}
+	engine, runs := p.byID[it.Engine]
+	if !runs || tier.fast[engine] {
+		return true
+	}
+	here := it.Remaining * float64(p.Engines[engine].EventTime)
+	return !it.Pinned && p.decidesStep(it, here) && worthMoving(here, it.Remaining*tier.bestTime)
+}
+
+// leastOf returns the smallest of the largest values, as many as are named.
+func leastOf(values []float64, count int) float64 {
+	if count >= len(values) {
+		return 0
+	}
+	slices.Sort(values)
+	return values[len(values)-1-max(count-1, 0)]
+}
