--- /dev/null
+++ b/internal/requests/ingress/refusals_test.go
@@ -0,0 +1,187 @@
+package ingress
+
+import (
+	"context"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+	"github.com/pkg/errors"
+	"go.uber.org/zap"
+
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/batches/results"
+	"woodworks/internal/batches/runner"
+	"woodworks/internal/callers/tenant"
+	"woodworks/internal/daemon/shutdown"
+	"woodworks/internal/journal"
+	"woodworks/internal/journal/journaltest"
+	"woodworks/internal/requests/admission"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/headers"
+	"woodworks/internal/requests/holding"
+	"woodworks/internal/requests/route"
+)
+
+// lastOutcome keeps the outcome of the last request.
+type lastOutcome struct{ outcome string }
+
+func (l *lastOutcome) Request(_, _, outcome string, _ time.Duration) { l.outcome = outcome }
+
+// tenanted is a configuration without routes whose tenant has one key.
+func tenanted(t *testing.T) *route.Configuration {
+	t.Helper()
+	directory, err := tenant.NewDirectory([]tenant.Declared{{Name: "a", Keys: []string{"valid-key"}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	configuration, err := route.New(route.Declared{Version: 1, Tenants: directory})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return configuration
+}
+
+// interrupted is a context that the end of a planned stop has ended.
+func interrupted(t *testing.T) context.Context {
+	stop := newStop()
+	ctx, release := stop.Bound(t.Context())
+	t.Cleanup(release)
+	stop.Interrupt()
+	<-ctx.Done()
+	return ctx
+}
+
+// Each reason for which a client gets no whole answer has one status, one time to return
+// and one outcome. The time left is 24 s, so that a third of it bounds none of the fixed times.
+func TestEachRefusalTellsWhatIsCertainAndWhenToReturn(t *testing.T) {
+	const left = 24*time.Second + answerMargin
+	notRun := &forward.Failure{Certainty: forward.NotRun, Reason: "nobody"}
+	mayHaveRun := &forward.Failure{Certainty: forward.MayHaveRun, Reason: "lost"}
+	quarantined := func(err forward.QuarantinedError) *forward.Failure {
+		return &forward.Failure{Certainty: forward.NotRun, Quarantined: &err}
+	}
+	explain := func(err error) func(*request) { return func(r *request) { r.explain(err) } }
+	cases := map[string]struct {
+		answer              func(r *request)
+		interrupted         bool
+		status              int
+		comeBack            string
+		outcome, body       string
+		quarantined, closes bool
+	}{
+		"no configuration": {answer: func(r *request) {
+			r.handler.Configuration = func() *route.Configuration { return nil }
+			r.handler.ServeHTTP(r.writer, r.request)
+		}, status: 503, comeBack: "0.250", outcome: "refused", body: "no configuration is known yet"},
+		"no room to begin": {answer: func(r *request) {
+			r.handler.Holding = holding.New(holding.LimitsOf(1))
+			r.handler.ServeHTTP(r.writer, r.request)
+		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoRoom.Error(), closes: true},
+		"no room for a page": {answer: func(r *request) {
+			r.holder, _ = holding.New(holding.LimitsOf(64 << 10)).Begin(1)
+			r.writePage(make([]byte, 1<<20))
+		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoRoom.Error()},
+		"no room for a body": {answer: func(r *request) {
+			r.handler.Holding = holding.New(holding.LimitsOf(64 << 10))
+			r.request = httptest.NewRequest(http.MethodPost, "/x", strings.NewReader(strings.Repeat("x", 1<<20)))
+			r.readBody(2 << 20)
+		}, status: 503, comeBack: "1.000", outcome: "refused", body: "a body of that length: " + errNoRoom.Error(), closes: true},
+		"body too large": {answer: func(r *request) {
+			r.request = httptest.NewRequest(http.MethodPost, "/x", strings.NewReader("body"))
+			r.readBody(1)
+		}, status: 413, outcome: "too large", body: "the body is longer than the limit"},
+		"no route":  {answer: func(r *request) { r.serve(tenanted(t)) }, status: 404, outcome: "no route", body: "no route has this host and path"},
+		"no tenant": {answer: func(r *request) { r.authenticate(tenanted(t)) }, status: 401, outcome: "no tenant", body: "no tenant has this key"},
+		"a key that may be withdrawn": {answer: func(r *request) {
+			r.request.Header.Set("Authorization", "Bearer valid-key")
+			r.handler.ConfigurationAge = func() time.Duration { return time.Hour }
+			r.authenticate(tenanted(t))
+		}, status: 503, comeBack: "0.400", outcome: "refused", body: "the key may have been withdrawn"},
+		"a key that may be new": {answer: func(r *request) {
+			r.request.Header.Set("Authorization", "Bearer other-key")
+			r.handler.ConfigurationAge = func() time.Duration { return time.Hour }
+			r.authenticate(tenanted(t))
+		}, status: 503, comeBack: "0.400", outcome: "refused", body: "the key may have been added"},
+		"too late in a stop": {answer: func(r *request) {
+			r.handler.Stop = newStop()
+			r.handler.Stop.Begin(8 * time.Second)
+			time.Sleep(4 * time.Second)
+			r.endsInTime()
+		}, status: 503, comeBack: "0.050", outcome: "refused", body: shutdown.ErrInterrupted.Error()},
+		"batch: wrong method":  {answer: func(r *request) { r.request.Method = http.MethodPut; r.serveSubmission(nil) }, status: 405, outcome: "malformed", body: "batches are submitted by POST"},
+		"batch: malformed":     {answer: func(r *request) { r.serveSubmission(nil) }, status: 400, outcome: "malformed", body: http.ErrNotSupported.Error()},
+		"batch: not kept":      {answer: func(r *request) { r.notKept(runner.ErrNotDone) }, status: 503, comeBack: "0.400", outcome: "refused", body: runner.ErrNotDone.Error()},
+		"batch: stopping":      {answer: func(r *request) { r.notKept(runner.ErrStopping) }, status: 503, comeBack: "0.050", outcome: "refused", body: runner.ErrStopping.Error()},
+		"batch: maybe kept":    {answer: func(r *request) { r.notKept(runner.ErrUnknown) }, status: 504, outcome: "unknown", body: runner.ErrUnknown.Error()},
+		"not sent":             {answer: explain(notRun), status: 503, comeBack: "0.250", outcome: "refused", body: "nobody"},
+		"not sent, stopping":   {answer: explain(notRun), interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "nobody"},
+		"maybe run":            {answer: explain(mayHaveRun), status: 502, outcome: "failed", body: "lost"},
+		"maybe run, stopping":  {answer: explain(mayHaveRun), interrupted: true, status: 502, outcome: "interrupted", body: shutdown.ErrInterrupted.Error()},
+		"maybe run, time up":   {answer: func(r *request) { time.Sleep(left); r.explain(mayHaveRun) }, status: 504, outcome: "timed out", body: "lost"},
+		"an error of its own":  {answer: explain(errors.New("odd")), status: 502, outcome: "failed", body: "odd"},
+		"full":                 {answer: explain(&admission.Refused{Reason: admission.NoTime, ComeBack: 3 * time.Second}), status: 503, comeBack: "3.000", outcome: "refused", body: "admission: no turn in time"},
+		"full, beyond a third": {answer: explain(&admission.Refused{Reason: admission.TooMany, ComeBack: 9 * time.Second}), status: 503, comeBack: "8.000", outcome: "refused", body: "admission: too many wait"},
+		"full, stopping":       {answer: explain(&admission.Refused{Reason: admission.Ended, ComeBack: 3 * time.Second}), interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "admission: its wait has ended"},
+		"quarantined": {answer: explain(quarantined(forward.QuarantinedError{Ended: 3, RetryAfter: time.Minute, Final: true})), status: 503, comeBack: "60.000",
+			outcome: "quarantined", body: "forward: 3 replicas ended while they ran this content; it is refused until an operator lifts that", quarantined: true},
+		"quarantined, stopping": {answer: explain(quarantined(forward.QuarantinedError{RetryAfter: 100 * time.Millisecond, Elsewhere: true})), interrupted: true, status: 503,
+			comeBack: "0.100", outcome: "quarantined", body: "forward: another suspect runs at the replica", quarantined: true},
+		"stream: not sent":           {answer: func(r *request) { (&relay{request: r}).giveUp() }, status: 503, comeBack: "0.250", outcome: "refused", body: "no replica"},
+		"stream: not sent, stop":     {answer: func(r *request) { (&relay{request: r}).giveUp() }, interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "no replica"},
+		"stream: maybe run":          {answer: func(r *request) { (&relay{request: r, ran: 1, reasons: errors.New("lost")}).giveUp() }, status: 502, outcome: "failed", body: "lost"},
+		"stream: maybe run, stop":    {answer: func(r *request) { (&relay{request: r, ran: 1}).giveUp() }, interrupted: true, status: 502, outcome: "interrupted", body: shutdown.ErrInterrupted.Error()},
+		"stream: maybe run, no time": {answer: func(r *request) { time.Sleep(left); (&relay{request: r, ran: 1}).giveUp() }, status: 504, outcome: "timed out", body: "no replica"},
+		"stream: quarantined": {answer: func(r *request) {
+			(&relay{request: r, quarantined: &forward.QuarantinedError{RetryAfter: time.Second}}).giveUp()
+		}, status: 503,
+			comeBack: "1.000", outcome: "quarantined", body: "forward: 0 replicas ended while they ran this content; it may run alone later", quarantined: true},
+		"results: no answer": {answer: func(r *request) {
+			r.handler.Results = unread(r.request.Context())
+			r.serveCall(BatchCall{Kind: ReadResults, BatchID: "b"})
+		}, status: 503,
+			comeBack: "0.400", outcome: "refused"},
+		"item: no answer": {answer: func(r *request) {
+			r.handler.Results = unread(r.request.Context())
+			r.serveCall(BatchCall{Kind: ReadItem, BatchID: "b"})
+		}, status: 503,
+			comeBack: "0.400", outcome: "refused"},
+	}
+	for name, one := range cases {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				is := is.New(t)
+				ctx := t.Context()
+				if one.interrupted {
+					ctx = interrupted(t)
+				}
+				r, recorder := askedOf(ctx, newStop(), route.Safe, left)
+				outcome := &lastOutcome{}
+				r.request.Header.Set("Deadline", "24025")
+				r.handler.Names, r.handler.Observer, r.handler.Logger = headers.Names{Quarantined: "Quarantined", DeadlineMs: "Deadline"}, outcome, zap.NewNop()
+				r.handler.ConfigurationAge = func() time.Duration { return 0 }
+				r.handler.Keys = KeyPolicy{TrustKnown: time.Second, TrustUnknown: time.Second}
+				one.answer(r)
+				is.Equal(recorder.Code, one.status)
+				is.Equal(recorder.Header().Get("Retry-After"), one.comeBack)
+				is.Equal(outcome.outcome, one.outcome)
+				is.Equal(recorder.Header().Get("Quarantined") != "", one.quarantined)
+				is.Equal(recorder.Header().Get("Connection") == "close", one.closes)
+				if one.body != "" {
+					is.Equal(recorder.Body.String(), one.body)
+				}
+			})
+		})
+	}
+}
+
+// unread is a reader of batches before a journal that answers nothing.
+func unread(ctx context.Context) *results.Reader {
+	log := journaltest.New()
+	log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
+	return results.NewReader(ledger.New(ctx, log, zap.NewNop()), nil, nil, journal.Grants{}, "self/1", zap.NewNop())
+}
