--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -100,7 +100,7 @@
 
 	// Holder, if not nil, counts what is held of answers. An answer for which it has no
 	// room is passed on as it comes, like a long one.
-	Holder *holding.Holder
+	Account *holding.Account
 
 	content *quarantine.Content
 }
--- a/internal/requests/forward/offer.go
+++ b/internal/requests/forward/offer.go
@@ -184,7 +184,7 @@
 	if call.Method == http.MethodHead {
 		announced = 0 // it tells the length of what does not come
 	}
-	body, whole, err := call.Holder.Read(holding.Answers, response, announced, bufferedBytes, func(n int64) bool { return call.Holder.Take(holding.Answers, n) })
+	body, whole, err := call.Account.Read(holding.Answers, response, announced, bufferedBytes, func(n int64) bool { return call.Account.Take(holding.Answers, n) })
 	if err != nil {
 		response.Close()
 		return nil, err
--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -110,17 +110,17 @@
 
 // Begin returns a holder with a base of fixed cost, and false if there is no room for it.
 // A nil budget bounds nothing.
-func (b *Budget) Begin(base int64) (*Holder, bool) {
-	h := &Holder{budget: b}
-	if b != nil && !h.Take(Connections, base) {
+func (b *Budget) Begin(base int64) (*Account, bool) {
+	a := &Account{budget: b}
+	if b != nil && !a.Take(Connections, base) {
 		return nil, false
 	}
-	return h, true
+	return a, true
 }
 
 // Holder is one on whose behalf bytes are held. It is safe for concurrent use. The zero
 // value, and nil, are of no budget and have no bound.
-type Holder struct {
+type Account struct {
 	budget *Budget
 	// of is what it has, guarded by the budget's mutex.
 	of [shares]int64
@@ -128,17 +128,17 @@
 
 // Take counts n more bytes, and reports whether there was room; without room nothing is
 // counted.
-func (h *Holder) Take(share Share, n int64) bool {
-	if h == nil || h.budget == nil {
+func (a *Account) Take(share Share, n int64) bool {
+	if a == nil || a.budget == nil {
 		return true
 	}
-	b := h.budget
+	b := a.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.limits.All > 0 && (b.all+n > b.limits.All || b.of[share]+n > b.limits.Of[share] || h.sum()+n > b.limits.Each) {
+	if b.limits.All > 0 && (b.all+n > b.limits.All || b.of[share]+n > b.limits.Of[share] || a.sum()+n > b.limits.Each) {
 		return false
 	}
-	b.add(h, share, n)
+	b.add(a, share, n)
 	return true
 }
 
@@ -154,38 +154,38 @@
 }
 
 // Give counts n bytes as held no more.
-func (h *Holder) Give(share Share, n int64) {
-	if h == nil || h.budget == nil {
+func (a *Account) Give(share Share, n int64) {
+	if a == nil || a.budget == nil {
 		return
 	}
-	h.budget.mu.Lock()
-	defer h.budget.mu.Unlock()
-	h.budget.add(h, share, -n)
+	a.budget.mu.Lock()
+	defer a.budget.mu.Unlock()
+	a.budget.add(a, share, -n)
 }
 
 // End counts all that is left as held no more. It may be called again.
-func (h *Holder) End() {
-	if h == nil || h.budget == nil {
+func (a *Account) End() {
+	if a == nil || a.budget == nil {
 		return
 	}
-	h.budget.mu.Lock()
-	defer h.budget.mu.Unlock()
+	a.budget.mu.Lock()
+	defer a.budget.mu.Unlock()
 	for _, share := range All() {
-		h.budget.add(h, share, -h.of[share])
+		a.budget.add(a, share, -a.of[share])
 	}
 }
 
 // sum is what a holder has of all shares. The mutex is held.
-func (h *Holder) sum() (n int64) {
-	for _, of := range h.of {
+func (a *Account) sum() (n int64) {
+	for _, of := range a.of {
 		n += of
 	}
 	return n
 }
 
 // add counts bytes of a holder. The mutex is held.
-func (b *Budget) add(h *Holder, share Share, n int64) {
-	h.of[share] += n
+func (b *Budget) add(a *Account, share Share, n int64) {
+	a.of[share] += n
 	b.of[share] += n
 	b.all += n
 	b.most = max(b.most, b.all)
--- a/internal/requests/holding/holding_test.go
+++ b/internal/requests/holding/holding_test.go
@@ -20,31 +20,31 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	limits := holding.LimitsOf(10_000)
 	budget := holding.New(limits)
-	holders := map[*holding.Holder][4]int64{}
+	holders := map[*holding.Account][4]int64{}
 	for range 20_000 {
-		if h, ok := budget.Begin(random.Int64N(100)); ok && len(holders) < 50 {
-			holders[h] = [4]int64{}
+		if a, ok := budget.Begin(random.Int64N(100)); ok && len(holders) < 50 {
+			holders[a] = [4]int64{}
 		} else {
-			h.End()
+			a.End()
 		}
-		for h, had := range holders {
+		for a, had := range holders {
 			share := holding.Share(random.IntN(4))
 			n := random.Int64N(2000)
 			switch {
 			case random.IntN(3) > 0:
-				if h.Take(share, n) {
+				if a.Take(share, n) {
 					had[share] += n
 				}
 			case had[share] > 0:
-				h.Give(share, had[share])
+				a.Give(share, had[share])
 				had[share] = 0
 			case random.IntN(10) == 0:
-				h.End()
-				h.End()
-				delete(holders, h)
+				a.End()
+				a.End()
+				delete(holders, a)
 				continue
 			}
-			holders[h] = had
+			holders[a] = had
 			break
 		}
 		sum := int64(0)
@@ -56,8 +56,8 @@
 		is.Equal(now, sum)
 		is.True(now <= most && most <= limits.All)
 	}
-	for h := range holders {
-		h.End()
+	for a := range holders {
+		a.End()
 	}
 	now, _ := budget.Sum()
 	is.Equal(now, int64(0))
@@ -94,12 +94,12 @@
 	free.Give(holding.Bodies, 1)
 	free.End()
 	budget := holding.New(holding.Limits{})
-	h, ok := budget.Begin(1000)
+	a, ok := budget.Begin(1000)
 	is.True(ok)
 	budget.SetLimits(holding.LimitsOf(500))
 	_, ok = budget.Begin(1)
 	is.True(!ok)
-	h.End()
+	a.End()
 	_, ok = budget.Begin(1)
 	is.True(ok)
 }
@@ -111,9 +111,9 @@
 		for _, length := range []int{0, 1, 4096, 100_000, 1_000_000} {
 			is := is.New(t)
 			budget := holding.New(holding.LimitsOf(10_000_000))
-			h, _ := budget.Begin(0)
+			a, _ := budget.Begin(0)
 			content := bytes.Repeat([]byte("x"), length)
-			read, whole, err := h.Read(holding.Bodies, iotest.HalfReader(bytes.NewReader(content)), announced, 3_000_000, func(n int64) bool { return h.Take(holding.Bodies, n) })
+			read, whole, err := a.Read(holding.Bodies, iotest.HalfReader(bytes.NewReader(content)), announced, 3_000_000, func(n int64) bool { return a.Take(holding.Bodies, n) })
 			is.NoErr(err)
 			is.True(whole)
 			is.True(bytes.Equal(read, content))
@@ -130,15 +130,15 @@
 func TestAReadStopsWhereThereIsNoRoom(t *testing.T) {
 	is := is.New(t)
 	budget := holding.New(holding.LimitsOf(100_000))
-	h, _ := budget.Begin(0)
+	a, _ := budget.Begin(0)
 	source := strings.NewReader(strings.Repeat("x", 200_000))
-	read, whole, err := h.Read(holding.Answers, source, -1, 1<<30, func(n int64) bool { return h.Take(holding.Answers, n) })
+	read, whole, err := a.Read(holding.Answers, source, -1, 1<<30, func(n int64) bool { return a.Take(holding.Answers, n) })
 	is.NoErr(err)
 	is.True(!whole)
 	is.True(len(read) > 0)
 	is.Equal(len(read)+source.Len(), 200_000)
 	is.Equal(budget.Held(holding.Answers), int64(cap(read)))
-	read, whole, err = h.Read(holding.Answers, source, -1, 1000, func(int64) bool { return true })
+	read, whole, err = a.Read(holding.Answers, source, -1, 1000, func(int64) bool { return true })
 	is.NoErr(err)
 	is.True(!whole)
 	is.Equal(len(read), 1000)
@@ -147,7 +147,7 @@
 // A page of 256 KiB with its length announced, read by Read and by the library.
 func BenchmarkRead(b *testing.B) {
 	page := bytes.Repeat([]byte("x"), 256<<10)
-	var unbounded *holding.Holder
+	var unbounded *holding.Account
 	b.Run("read", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/requests/ingress/admit.go
+++ b/internal/requests/ingress/admit.go
@@ -16,14 +16,14 @@
 
 // doAdmitted sends a call once it has its turn among the requests of its service. Engines
 // have queues of their own, which batches fill by plan.
-func (asked *request) doAdmitted(ctx context.Context, configuration *route.Configuration, call *forward.Call) (*forward.Answer, error) {
-	handler, service := asked.handler, call.Services[0]
-	if handler.Admission == nil || configuration.Services[service].Engine {
+func (r *request) doAdmitted(ctx context.Context, cfg *route.Configuration, call *forward.Call) (*forward.Answer, error) {
+	handler, service := r.handler, call.Services[0]
+	if handler.Admission == nil || cfg.Services[service].Engine {
 		return handler.plain().Do(ctx, call)
 	}
 	mayRetry := call.MayRetry
 	for turn := 1; ; turn++ {
-		ticket, err := handler.Admission.Enter(ctx, asked.admission(service))
+		ticket, err := handler.Admission.Enter(ctx, r.admission(service))
 		if err != nil {
 			return nil, err
 		}
@@ -39,15 +39,15 @@
 			return answer, err
 		}
 		if turn == mostTurns {
-			return nil, handler.Admission.Full(asked.admission(service))
+			return nil, handler.Admission.Full(r.admission(service))
 		}
 	}
 }
 
 // admission is what decides on the request's turn.
-func (asked *request) admission(service string) admission.Request {
-	return admission.Request{ID: asked.id, Service: service, Tenant: asked.tenantName(), Rank: asked.tenant.Rank(asked.route.Priority),
-		Left: asked.timeLeft, Aim: asked.route.TargetLatency, Held: asked.held()}
+func (r *request) admission(service string) admission.Request {
+	return admission.Request{ID: r.id, Service: service, Tenant: r.tenantName(), Rank: r.tenant.Rank(r.route.Priority),
+		Left: r.timeLeft, Aim: r.route.TargetLatency, Held: r.held()}
 }
 
 // becameOf is what a failed call tells of the room at the replicas.
@@ -60,10 +60,10 @@
 }
 
 // refuseAdmission promises that the request has not run, as its service is full.
-func (asked *request) refuseAdmission(refused *admission.Refused) {
+func (r *request) refuseAdmission(refused *admission.Refused) {
 	comeBack := refused.ComeBack
-	if asked.interrupted() {
+	if r.interrupted() {
 		comeBack = stopRetryAfter
 	}
-	asked.refuse(refused.Error(), comeBack)
+	r.refuse(refused.Error(), comeBack)
 }
--- a/internal/requests/ingress/admit_test.go
+++ b/internal/requests/ingress/admit_test.go
@@ -38,13 +38,13 @@
 	table.Set(replica.Entry{ID: "a", Service: "s", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 100})
 	clock := clocktest.New()
 	names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Stamp: "Signature"}
-	configuration, err := route.New(route.Declared{Version: 1, Services: map[string]route.Service{"s": {Name: "s", Engine: engine}},
+	cfg, err := route.New(route.Declared{Version: 1, Services: map[string]route.Service{"s": {Name: "s", Engine: engine}},
 		Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return &Handler{Clock: clock.Now, Names: names, Codec: plainCodec{}, Observer: noObserver{}, Logger: zap.NewNop(),
-		Configuration: func() *route.Configuration { return configuration },
+		Configuration: func() *route.Configuration { return cfg },
 		Admission: admission.New(admission.Options{Replicas: table.Replicas, Daemons: func() int { return 1 }, Clock: clock.Now,
 			Observe: func(string, string, time.Duration) {}, Logger: zap.NewNop()}),
 		Forwarder: &forward.Forwarder{Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names, Clock: clock.Now,
@@ -52,29 +52,29 @@
 }
 
 func askFull(handler *Handler, deadline string) *httptest.ResponseRecorder {
-	asked := httptest.NewRequest(http.MethodPost, "/x", strings.NewReader("body"))
-	asked.Host = "h"
-	asked.Header.Set("Deadline", deadline)
+	r := httptest.NewRequest(http.MethodPost, "/x", strings.NewReader("body"))
+	r.Host = "h"
+	r.Header.Set("Deadline", deadline)
 	recorder := httptest.NewRecorder()
-	handler.ServeHTTP(recorder, asked)
+	handler.ServeHTTP(recorder, r)
 	return recorder
 }
 
 // A request that has certainly not run waits for its turn again, instead of being refused.
 func TestADeclinedRequestHasItsTurnAgain(t *testing.T) {
 	is := is.New(t)
-	handler, asked := fullService(t, 1, false)
+	handler, r := fullService(t, 1, false)
 	is.Equal(askFull(handler, "20000").Code, http.StatusOK)
-	is.Equal(asked.Load(), int32(2))
+	is.Equal(r.Load(), int32(2))
 }
 
 // However long it is declined, it is offered a few times, and refused with when to come back.
 func TestTurnsAreBounded(t *testing.T) {
 	is := is.New(t)
-	handler, asked := fullService(t, 1<<30, false)
+	handler, r := fullService(t, 1<<30, false)
 	recorder := askFull(handler, "20000")
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
-	is.Equal(asked.Load(), int32(mostTurns))
+	is.Equal(r.Load(), int32(mostTurns))
 	is.True(secondsOf(t, recorder.Header()) > 0)
 	is.True(secondsOf(t, recorder.Header()) < 20*time.Second/comeBackPart)
 }
@@ -82,29 +82,29 @@
 // Engines have queues of their own.
 func TestEnginesAreNotAdmittedTo(t *testing.T) {
 	is := is.New(t)
-	handler, asked := fullService(t, 1<<30, true)
+	handler, r := fullService(t, 1<<30, true)
 	is.Equal(askFull(handler, "20000").Code, http.StatusServiceUnavailable)
-	is.Equal(asked.Load(), int32(1))
+	is.Equal(r.Load(), int32(1))
 	is.Equal(handler.Admission.Count().Full, 0)
 }
 
 // A refusal promises that no replica was asked.
 func TestARequestWithoutTimeIsNotSentToAFullService(t *testing.T) {
 	is := is.New(t)
-	handler, asked := fullService(t, 1<<30, false)
+	handler, r := fullService(t, 1<<30, false)
 	_ = askFull(handler, "20000")
-	before := asked.Load()
+	before := r.Load()
 	recorder := askFull(handler, "60") // less than answers take before any is known
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
-	is.Equal(asked.Load(), before)
+	is.Equal(r.Load(), before)
 }
 
 // A client that leaves while its request waits gets no answer, and no replica the request.
 func TestAClientLeavesWhileItsRequestWaits(t *testing.T) {
 	is := is.New(t)
-	handler, asked := fullService(t, 1<<30, false)
+	handler, r := fullService(t, 1<<30, false)
 	_ = askFull(handler, "20000")
-	before := asked.Load()
+	before := r.Load()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	gone := httptest.NewRequest(http.MethodPost, "/x", strings.NewReader("body")).WithContext(ctx)
@@ -113,5 +113,5 @@
 		defer func() { is.Equal(recover(), http.ErrAbortHandler) }()
 		handler.ServeHTTP(httptest.NewRecorder(), gone)
 	}()
-	is.Equal(asked.Load(), before)
+	is.Equal(r.Load(), before)
 }
--- a/internal/requests/ingress/hold.go
+++ b/internal/requests/ingress/hold.go
@@ -35,36 +35,36 @@
 )
 
 // beginHolding counts the request, or turns it away if there is no room.
-func (asked *request) beginHolding() bool {
-	holder, ok := asked.handler.Holding.Begin(baseBytes)
+func (r *request) beginHolding() bool {
+	account, ok := r.handler.Holding.Begin(baseBytes)
 	if !ok {
-		asked.writer.Header().Set("Connection", "close")
-		asked.refuse(errNoRoom.Error(), noRoomRetryAfter)
+		r.w.Header().Set("Connection", "close")
+		r.refuse(errNoRoom.Error(), noRoomRetryAfter)
 		return false
 	}
-	asked.holder = holder
+	r.account = account
 	return true
 }
 
 // endHolding ends the account of the request once its answer is with the client's system.
-func (asked *request) endHolding() {
-	asked.holder.End()
+func (r *request) endHolding() {
+	r.account.End()
 	// What the server still has is written after this, and may be a few KiB.
-	asked.setWriteDeadline(asked.unread())
+	r.setWriteDeadline(r.unread())
 }
 
 // takeBody reads a body of known bounds into memory that is counted as it comes.
-func (asked *request) takeBody(body io.Reader, limit int64) ([]byte, error) {
-	announced := asked.request.ContentLength
+func (r *request) takeBody(body io.Reader, limit int64) ([]byte, error) {
+	announced := r.req.ContentLength
 	if announced > limit {
 		// It is read to the bound, as the client must have sent that to hear of it.
 		_, err := io.Copy(io.Discard, body)
 		return nil, err
 	}
-	if !asked.handler.Holding.MayEver(holding.Bodies, announced) {
+	if !r.handler.Holding.MayEver(holding.Bodies, announced) {
 		return nil, errors.Wrap(errNoRoom, "a body of that length")
 	}
-	read, whole, err := asked.holder.Read(holding.Bodies, body, announced, limit+1, func(n int64) bool { return asked.awaitRoom(holding.Bodies, n) })
+	read, whole, err := r.account.Read(holding.Bodies, body, announced, limit+1, func(n int64) bool { return r.awaitRoom(holding.Bodies, n) })
 	if err == nil && !whole {
 		err = errNoRoom
 	}
@@ -73,9 +73,9 @@
 
 // awaitRoom waits for a short while until there is room for n bytes more; what comes
 // meanwhile stays with its sender.
-func (asked *request) awaitRoom(share holding.Share, n int64) bool {
-	for waited := time.Duration(0); !asked.holder.Take(share, n); waited += roomPause {
-		if waited >= roomWait || asked.request.Context().Err() != nil {
+func (r *request) awaitRoom(share holding.Share, n int64) bool {
+	for waited := time.Duration(0); !r.account.Take(share, n); waited += roomPause {
+		if waited >= roomWait || r.req.Context().Err() != nil {
 			return false
 		}
 		time.Sleep(roomPause)
@@ -84,33 +84,33 @@
 }
 
 // unread is how long what is written may stay unread.
-func (asked *request) unread() time.Duration {
-	if asked.handler.Unread > 0 {
-		return asked.handler.Unread
+func (r *request) unread() time.Duration {
+	if r.handler.Unread > 0 {
+		return r.handler.Unread
 	}
 	return defaultUnread
 }
 
 // answerTime is how long the client of a replica's answer may take to read it: it still
 // waits for that long. No other has that answer.
-func (asked *request) answerTime() time.Duration {
-	return max(asked.deadline()-asked.held(), asked.unread())
+func (r *request) answerTime() time.Duration {
+	return max(r.deadline()-r.held(), r.unread())
 }
 
 // setWriteDeadline bounds writes to the client from now on.
-func (asked *request) setWriteDeadline(within time.Duration) {
-	if err := http.NewResponseController(asked.writer).SetWriteDeadline(time.Now().Add(within)); err != nil {
-		asked.logger.Debug("writes to the client's connection are not bounded", zap.Error(err))
+func (r *request) setWriteDeadline(within time.Duration) {
+	if err := http.NewResponseController(r.w).SetWriteDeadline(time.Now().Add(within)); err != nil {
+		r.logger.Debug("writes to the client's connection are not bounded", zap.Error(err))
 	}
 }
 
 // writeSlowly writes what the client can ask for again. A client that takes nothing of it
 // for some seconds is left.
-func (asked *request) writeSlowly(content []byte) error {
+func (r *request) writeSlowly(content []byte) error {
 	for {
-		asked.setWriteDeadline(asked.unread())
+		r.setWriteDeadline(r.unread())
 		piece := content[:min(len(content), pieceBytes)]
-		if _, err := asked.writer.Write(piece); err != nil {
+		if _, err := r.w.Write(piece); err != nil {
 			return err
 		}
 		if content = content[len(piece):]; len(content) == 0 {
@@ -120,31 +120,31 @@
 }
 
 // writePage answers with a page of results, if there is room for it.
-func (asked *request) writePage(encoded []byte) {
-	if !asked.holder.Take(holding.Pages, int64(len(encoded))) {
-		asked.refuse(errNoRoom.Error(), noRoomRetryAfter)
+func (r *request) writePage(encoded []byte) {
+	if !r.account.Take(holding.Pages, int64(len(encoded))) {
+		r.refuse(errNoRoom.Error(), noRoomRetryAfter)
 		return
 	}
-	asked.writeHead(http.StatusOK, len(encoded))
-	if err := asked.writeSlowly(encoded); err != nil {
-		asked.observe(http.StatusOK, "broken off", err.Error())
+	r.writeHead(http.StatusOK, len(encoded))
+	if err := r.writeSlowly(encoded); err != nil {
+		r.observe(http.StatusOK, "broken off", err.Error())
 		panic(http.ErrAbortHandler)
 	}
-	asked.observe(http.StatusOK, "results", "")
+	r.observe(http.StatusOK, "results", "")
 }
 
 // writeEvent writes an event of a stream. One that is longer than what a request costs is
 // counted, and waits for room.
-func (asked *request) writeEvent(raw []byte) error {
+func (r *request) writeEvent(raw []byte) error {
 	if n := int64(len(raw)); n > baseBytes {
-		if !asked.awaitRoom(holding.Answers, n) {
+		if !r.awaitRoom(holding.Answers, n) {
 			return errNoRoom
 		}
-		defer asked.holder.Give(holding.Answers, n)
+		defer r.account.Give(holding.Answers, n)
 	}
-	asked.setWriteDeadline(asked.unread())
-	if _, err := asked.writer.Write(raw); err != nil {
+	r.setWriteDeadline(r.unread())
+	if _, err := r.w.Write(raw); err != nil {
 		return err
 	}
-	return http.NewResponseController(asked.writer).Flush()
+	return http.NewResponseController(r.w).Flush()
 }
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -74,9 +74,9 @@
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Set(replica.Entry{ID: "a", Service: "s", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 1000})
 	names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Stamp: "Signature"}
-	configuration, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: kind, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
+	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: kind, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	is.New(t).NoErr(err)
-	s.handler = &Handler{Names: names, Codec: plainCodec{}, Observer: s.outcomes, Logger: zap.NewNop(), Configuration: func() *route.Configuration { return configuration },
+	s.handler = &Handler{Names: names, Codec: plainCodec{}, Observer: s.outcomes, Logger: zap.NewNop(), Configuration: func() *route.Configuration { return cfg },
 		Holding: holding.New(holding.LimitsOf(most)),
 		Forwarder: &forward.Forwarder{Pool: upstream.NewPool(upstream.Options{ConnectTimeout: 10 * time.Second}), Table: table, Names: names,
 			Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}}
@@ -215,16 +215,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				asked, recorder := askedOf(t.Context(), nil, route.Unsafe, time.Hour)
-				asked.handler.Holding = holding.New(holding.LimitsOf(100 * kib))
-				other, _ := asked.handler.Holding.Begin(0)
+				r, recorder := askedOf(t.Context(), nil, route.Unsafe, time.Hour)
+				r.handler.Holding = holding.New(holding.LimitsOf(100 * kib))
+				other, _ := r.handler.Holding.Begin(0)
 				is.True(other.Take(holding.Bodies, 60*kib))
 				time.AfterFunc(c.frees, other.End)
-				asked.holder, _ = asked.handler.Holding.Begin(0)
+				r.account, _ = r.handler.Holding.Begin(0)
 				text := content(c.length)
-				asked.request.Body, asked.request.ContentLength = io.NopCloser(bytes.NewReader(text)), int64(len(text))
+				r.req.Body, r.req.ContentLength = io.NopCloser(bytes.NewReader(text)), int64(len(text))
 				began := time.Now()
-				body, ok := asked.readBody(kib * kib)
+				body, ok := r.readBody(kib * kib)
 				is.Equal(time.Since(began), c.took)
 				is.Equal(ok, c.status == 0)
 				is.True(!ok || bytes.Equal(body, text))
@@ -263,8 +263,8 @@
 	s.handler.Unread = 100 * time.Millisecond
 	page := content(2 << 20)
 	s.daemon = serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		holder, _ := s.handler.Holding.Begin(0)
-		asked := &request{handler: s.handler, writer: w, request: r, logger: zap.NewNop(), arrived: time.Now(), holder: holder}
+		account, _ := s.handler.Holding.Begin(0)
+		asked := &request{handler: s.handler, w: w, req: r, logger: zap.NewNop(), arrived: time.Now(), account: account}
 		asked.writePage(page)
 	}))
 	lazy := s.ask("/", "")
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -103,13 +103,13 @@
 }
 
 // InFlight is how many requests are being answered.
-func (handler *Handler) InFlight() int64 { return handler.inFlight.Load() }
+func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
 
 // request is one request of a client on its way.
 type request struct {
 	handler *Handler
-	writer  http.ResponseWriter
-	request *http.Request
+	w       http.ResponseWriter
+	req     *http.Request
 	id      string
 	arrived time.Time
 	route   *route.Route
@@ -119,96 +119,96 @@
 	replica  string
 	attempts int
 	// holder counts what is held for the request.
-	holder *holding.Holder
+	account *holding.Account
 }
 
 // ServeHTTP implements http.Handler.
-func (handler *Handler) ServeHTTP(writer http.ResponseWriter, incoming *http.Request) {
-	handler.inFlight.Add(1)
-	defer handler.inFlight.Add(-1)
-	asked := &request{handler: handler, writer: writer, request: incoming, arrived: handler.now(), id: incoming.Header.Get(handler.Names.RequestID)}
-	asked.logger = handler.Logger.With(zap.String("request", asked.id))
-	if !asked.beginHolding() {
+func (h *Handler) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	h.inFlight.Add(1)
+	defer h.inFlight.Add(-1)
+	r := &request{handler: h, w: w, req: req, arrived: h.now(), id: req.Header.Get(h.Names.RequestID)}
+	r.logger = h.Logger.With(zap.String("request", r.id))
+	if !r.beginHolding() {
 		return
 	}
-	defer asked.endHolding()
-	configuration := handler.Configuration()
-	if configuration == nil {
-		asked.refuse("no configuration is known yet", retryAfter)
+	defer r.endHolding()
+	cfg := h.Configuration()
+	if cfg == nil {
+		r.refuse("no configuration is known yet", retryAfter)
 		return
 	}
-	asked.serve(configuration)
+	r.serve(cfg)
 }
 
-func (asked *request) serve(configuration *route.Configuration) {
-	path, _, _ := strings.Cut(asked.request.RequestURI, "?")
-	found, ok := configuration.Find(asked.request.Host, path)
+func (r *request) serve(cfg *route.Configuration) {
+	path, _, _ := strings.Cut(r.req.RequestURI, "?")
+	found, ok := cfg.Find(r.req.Host, path)
 	if !ok {
-		call, recognised, err := asked.handler.Codec.ParseCall(asked.request)
+		call, recognised, err := r.handler.Codec.ParseCall(r.req)
 		switch {
 		case recognised && err != nil:
-			asked.fail(http.StatusBadRequest, "malformed", err.Error())
-		case recognised && !asked.authenticateCall(configuration):
+			r.fail(http.StatusBadRequest, "malformed", err.Error())
+		case recognised && !r.authenticateCall(cfg):
 		case recognised:
-			asked.serveCall(call)
+			r.serveCall(call)
 		default:
-			asked.logger.Info("no route", zap.String("host", asked.request.Host), zap.String("path", path), zap.Int64("configuration", configuration.Version))
-			asked.fail(http.StatusNotFound, "no route", "no route has this host and path")
+			r.logger.Info("no route", zap.String("host", r.req.Host), zap.String("path", path), zap.Int64("configuration", cfg.Version))
+			r.fail(http.StatusNotFound, "no route", "no route has this host and path")
 		}
 		return
 	}
-	asked.route = found
-	if !found.Anonymous && !asked.authenticate(configuration) {
+	r.route = found
+	if !found.Anonymous && !r.authenticate(cfg) {
 		return
 	}
-	if !asked.endsInTime() {
+	if !r.endsInTime() {
 		return
 	}
-	body, ok := asked.readBody(configuration.Limits.MaxBodyBytes)
+	body, ok := r.readBody(cfg.Limits.MaxBodyBytes)
 	if !ok {
 		return
 	}
 	switch found.Kind {
 	case route.Batch:
-		asked.serveSubmission(body)
+		r.serveSubmission(body)
 	case route.Stream:
-		asked.serveStream(configuration, body)
+		r.serveStream(cfg, body)
 	default:
-		asked.serveForwarded(configuration, body)
+		r.serveForwarded(cfg, body)
 	}
 }
 
 // readBody reads the whole body, or answers why it could not. The body has the time of its
 // request: one that stalls is not held for as long as its client likes.
-func (asked *request) readBody(limit int64) ([]byte, bool) {
+func (r *request) readBody(limit int64) ([]byte, bool) {
 	if limit <= 0 {
 		limit = defaultBody
 	}
-	late := time.AfterFunc(max(asked.timeLeft(), 0)+bodyGrace, func() { asked.setReadDeadline(time.Now()) })
+	late := time.AfterFunc(max(r.timeLeft(), 0)+bodyGrace, func() { r.setReadDeadline(time.Now()) })
 	defer func() {
 		if !late.Stop() {
-			asked.setReadDeadline(time.Time{})
+			r.setReadDeadline(time.Time{})
 		}
 	}()
-	body, err := asked.takeBody(http.MaxBytesReader(asked.writer, asked.request.Body, limit), limit)
+	body, err := r.takeBody(http.MaxBytesReader(r.w, r.req.Body, limit), limit)
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		asked.fail(http.StatusRequestEntityTooLarge, "too large", "the body is longer than the limit")
+		r.fail(http.StatusRequestEntityTooLarge, "too large", "the body is longer than the limit")
 		return nil, false
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		// The rest of the body, if it comes, is no request.
-		asked.writer.Header().Set("Connection", "close")
-		asked.refuse("the body did not come in time", retryAfter)
+		r.w.Header().Set("Connection", "close")
+		r.refuse("the body did not come in time", retryAfter)
 		return nil, false
 	}
 	if errors.Is(err, errNoRoom) {
-		asked.writer.Header().Set("Connection", "close")
-		asked.refuse(err.Error(), noRoomRetryAfter)
+		r.w.Header().Set("Connection", "close")
+		r.refuse(err.Error(), noRoomRetryAfter)
 		return nil, false
 	}
 	if err != nil {
-		asked.fail(http.StatusBadRequest, "cut off", "the body could not be read")
+		r.fail(http.StatusBadRequest, "cut off", "the body could not be read")
 		return nil, false
 	}
 	return body, true
@@ -216,26 +216,26 @@
 
 // setReadDeadline bounds reads of the client's connection, which must be without bound again
 // once the body is read: the server watches it for the client's leaving.
-func (asked *request) setReadDeadline(until time.Time) {
-	if err := http.NewResponseController(asked.writer).SetReadDeadline(until); err != nil {
-		asked.logger.Debug("reads of the client's connection are not bounded", zap.Error(err))
+func (r *request) setReadDeadline(until time.Time) {
+	if err := http.NewResponseController(r.w).SetReadDeadline(until); err != nil {
+		r.logger.Debug("reads of the client's connection are not bounded", zap.Error(err))
 	}
 }
 
 // now reads the clock by which clients wait.
-func (handler *Handler) now() time.Time {
-	if handler.Clock == nil {
+func (h *Handler) now() time.Time {
+	if h.Clock == nil {
 		return bootclock.Now()
 	}
-	return handler.Clock()
+	return h.Clock()
 }
 
 // held is how long ago the request came.
-func (asked *request) held() time.Duration { return asked.handler.now().Sub(asked.arrived) }
+func (r *request) held() time.Duration { return r.handler.now().Sub(r.arrived) }
 
 // deadline is how long the client waits, from its request on.
-func (asked *request) deadline() time.Duration {
-	if text := asked.request.Header.Get(asked.handler.Names.DeadlineMs); text != "" {
+func (r *request) deadline() time.Duration {
+	if text := r.req.Header.Get(r.handler.Names.DeadlineMs); text != "" {
 		if value, err := strconv.ParseFloat(text, 64); err == nil {
 			return time.Duration(value * float64(time.Millisecond))
 		}
@@ -244,93 +244,93 @@
 }
 
 // timeLeft is how long the request may still be held.
-func (asked *request) timeLeft() time.Duration {
-	left := asked.deadline()
-	if asked.route != nil && asked.route.Kind != route.Batch && asked.route.Timeout > 0 {
-		left = min(left, asked.route.Timeout)
+func (r *request) timeLeft() time.Duration {
+	left := r.deadline()
+	if r.route != nil && r.route.Kind != route.Batch && r.route.Timeout > 0 {
+		left = min(left, r.route.Timeout)
 	}
-	return left - asked.held() - answerMargin
+	return left - r.held() - answerMargin
 }
 
-func (asked *request) bounded() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(asked.request.Context(), asked.timeLeft())
+func (r *request) bounded() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(r.req.Context(), r.timeLeft())
 }
 
 // serveForwarded sends a request to a replica and passes the answer on.
-func (asked *request) serveForwarded(configuration *route.Configuration, body []byte) {
-	ctx, cancel := asked.bounded()
+func (r *request) serveForwarded(cfg *route.Configuration, body []byte) {
+	ctx, cancel := r.bounded()
 	defer cancel()
-	repeatable := asked.route.Kind == route.Safe
+	repeatable := r.route.Kind == route.Safe
 	call := &forward.Call{
-		RequestID: asked.id, Method: asked.request.Method, Target: asked.request.RequestURI, Host: asked.request.Host,
-		Header: asked.headerOnward(configuration), Body: body, Caller: asked.tenantName(), Services: asked.route.Order(asked.id),
-		Repeatable: repeatable, MaxAttempts: max(asked.route.MaxAttempts, 1), Hedge: repeatable, HedgeAfter: asked.route.HedgeAfter,
+		RequestID: r.id, Method: r.req.Method, Target: r.req.RequestURI, Host: r.req.Host,
+		Header: r.headerOnward(cfg), Body: body, Caller: r.tenantName(), Services: r.route.Order(r.id),
+		Repeatable: repeatable, MaxAttempts: max(r.route.MaxAttempts, 1), Hedge: repeatable, HedgeAfter: r.route.HedgeAfter,
 	}
-	call.ConnectionUntil = time.Now().Add(asked.route.ConnectionWait())
-	call.Left, call.Ran, call.Holder = asked.timeLeft, asked.ran, asked.holder
-	if retries := asked.handler.Retries; retries != nil {
-		retries.Began(asked.route)
-		call.MayRetry = func(offers int) bool { return retries.May(asked.route, offers) }
+	call.ConnectionUntil = time.Now().Add(r.route.ConnectionWait())
+	call.Left, call.Ran, call.Account = r.timeLeft, r.ran, r.account
+	if retries := r.handler.Retries; retries != nil {
+		retries.Began(r.route)
+		call.MayRetry = func(offers int) bool { return retries.May(r.route, offers) }
 	}
-	answer, err := asked.doAdmitted(ctx, configuration, call)
+	answer, err := r.doAdmitted(ctx, cfg, call)
 	if err != nil {
-		asked.explain(err)
+		r.explain(err)
 		return
 	}
 	defer answer.Close()
-	asked.replica = answer.Replica
-	asked.passOn(answer)
+	r.replica = answer.Replica
+	r.passOn(answer)
 }
 
 // plain returns what gets plain requests answered.
-func (handler *Handler) plain() Sender {
-	if handler.Plain == nil {
-		return handler.Forwarder
+func (h *Handler) plain() Sender {
+	if h.Plain == nil {
+		return h.Forwarder
 	}
-	return handler.Plain
+	return h.Plain
 }
 
 // ran has a run of the request counted for its tenant.
-func (asked *request) ran(sentAt time.Time) {
-	if asked.tenant != nil && asked.handler.Ran != nil {
-		asked.handler.Ran(asked.tenant.Name, sentAt)
+func (r *request) ran(sentAt time.Time) {
+	if r.tenant != nil && r.handler.Ran != nil {
+		r.handler.Ran(r.tenant.Name, sentAt)
 	}
 }
 
 // explain gives the final answer to a request without a replica's answer.
-func (asked *request) explain(err error) {
-	if asked.clientLeft() {
-		asked.observe(0, "client left", err.Error())
+func (r *request) explain(err error) {
+	if r.clientLeft() {
+		r.observe(0, "client left", err.Error())
 		panic(http.ErrAbortHandler)
 	}
 	var refused *admission.Refused
 	if errors.As(err, &refused) {
-		asked.refuseAdmission(refused)
+		r.refuseAdmission(refused)
 		return
 	}
 	var failure *forward.Failure
 	if !errors.As(err, &failure) {
-		asked.fail(http.StatusBadGateway, "failed", err.Error())
+		r.fail(http.StatusBadGateway, "failed", err.Error())
 		return
 	}
-	asked.attempts, asked.replica = failure.Attempts, strings.Join(failure.Tried, ",")
+	r.attempts, r.replica = failure.Attempts, strings.Join(failure.Tried, ",")
 	switch {
 	case failure.Certainty == forward.NotRun && failure.Quarantined != nil:
-		asked.refuseQuarantined(failure.Quarantined)
+		r.refuseQuarantined(failure.Quarantined)
 	case failure.Certainty == forward.NotRun:
-		asked.refuse(failure.Reason, asked.comeBack())
-	case asked.interrupted():
-		asked.fail(http.StatusBadGateway, "interrupted", shutdown.ErrInterrupted.Error())
-	case asked.timeLeft() <= 0:
-		asked.fail(http.StatusGatewayTimeout, "timed out", failure.Reason)
+		r.refuse(failure.Reason, r.comeBack())
+	case r.interrupted():
+		r.fail(http.StatusBadGateway, "interrupted", shutdown.ErrInterrupted.Error())
+	case r.timeLeft() <= 0:
+		r.fail(http.StatusGatewayTimeout, "timed out", failure.Reason)
 	default:
-		asked.fail(http.StatusBadGateway, "failed", failure.Reason)
+		r.fail(http.StatusBadGateway, "failed", failure.Reason)
 	}
 }
 
 // passOn writes a replica's answer to the client.
-func (asked *request) passOn(answer *forward.Answer) {
-	target := asked.writer.Header()
+func (r *request) passOn(answer *forward.Answer) {
+	target := r.w.Header()
 	for name, values := range headers.CopyEndToEnd(answer.Header) {
 		target[name] = values
 	}
@@ -338,72 +338,72 @@
 	if answer.Rest != nil {
 		length = answer.Rest.Length()
 	}
-	if length >= 0 && asked.request.Method != http.MethodHead {
+	if length >= 0 && r.req.Method != http.MethodHead {
 		target.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	asked.setWriteDeadline(asked.answerTime())
-	asked.writer.WriteHeader(answer.Status)
-	err := asked.writeAnswer(answer)
-	if err != nil && asked.request.Method != http.MethodHead {
-		asked.observe(answer.Status, "broken off", err.Error())
+	r.setWriteDeadline(r.answerTime())
+	r.w.WriteHeader(answer.Status)
+	err := r.writeAnswer(answer)
+	if err != nil && r.req.Method != http.MethodHead {
+		r.observe(answer.Status, "broken off", err.Error())
 		panic(http.ErrAbortHandler)
 	}
-	asked.observe(answer.Status, "answered", "")
+	r.observe(answer.Status, "answered", "")
 }
 
 // refuse promises that the request has not run and never will. Nobody is told to wait for
 // longer than a part of the time left: another daemon may serve the request within it.
-func (asked *request) refuse(reason string, comeBack time.Duration) {
-	asked.setRetryAfter(min(comeBack, max(asked.timeLeft()/comeBackPart, 0)))
-	asked.fail(http.StatusServiceUnavailable, "refused", reason)
+func (r *request) refuse(reason string, comeBack time.Duration) {
+	r.setRetryAfter(min(comeBack, max(r.timeLeft()/comeBackPart, 0)))
+	r.fail(http.StatusServiceUnavailable, "refused", reason)
 }
 
 // refuseQuarantined promises that the request has not run, as replicas have ended under
 // its content. The caller hears it at once, with a time to come back that no other daemon
 // would shorten.
-func (asked *request) refuseQuarantined(err *forward.QuarantinedError) {
-	if name := asked.handler.Names.Quarantined; name != "" {
-		asked.writer.Header().Set(name, strconv.Itoa(err.Ended))
+func (r *request) refuseQuarantined(err *forward.QuarantinedError) {
+	if name := r.handler.Names.Quarantined; name != "" {
+		r.w.Header().Set(name, strconv.Itoa(err.Ended))
 	}
-	asked.setRetryAfter(err.RetryAfter)
-	asked.fail(http.StatusServiceUnavailable, "quarantined", err.Error())
+	r.setRetryAfter(err.RetryAfter)
+	r.fail(http.StatusServiceUnavailable, "quarantined", err.Error())
 }
 
-func (asked *request) setRetryAfter(comeBack time.Duration) {
-	asked.writer.Header().Set("Retry-After", strconv.FormatFloat(comeBack.Seconds(), 'f', 3, 64))
+func (r *request) setRetryAfter(comeBack time.Duration) {
+	r.w.Header().Set("Retry-After", strconv.FormatFloat(comeBack.Seconds(), 'f', 3, 64))
 }
 
 // fail gives an answer of our own.
-func (asked *request) fail(status int, outcome, reason string) {
-	asked.write(status, asked.handler.Codec.EncodeError(reason))
-	asked.observe(status, outcome, reason)
+func (r *request) fail(status int, outcome, reason string) {
+	r.write(status, r.handler.Codec.EncodeError(reason))
+	r.observe(status, outcome, reason)
 }
 
-func (asked *request) write(status int, body []byte) {
-	asked.writeHead(status, len(body))
-	if err := asked.writeSlowly(body); err != nil {
-		asked.logger.Debug("answer of our own not taken", zap.Error(err)) // it says nothing that counts for others
+func (r *request) write(status int, body []byte) {
+	r.writeHead(status, len(body))
+	if err := r.writeSlowly(body); err != nil {
+		r.logger.Debug("answer of our own not taken", zap.Error(err)) // it says nothing that counts for others
 	}
 }
 
 // writeHead begins an answer of our own.
-func (asked *request) writeHead(status, length int) {
-	asked.writer.Header().Set("Content-Type", "application/json")
-	asked.writer.Header().Set("Content-Length", strconv.Itoa(length))
-	if asked.id != "" {
-		asked.writer.Header().Set(asked.handler.Names.RequestID, asked.id)
+func (r *request) writeHead(status, length int) {
+	r.w.Header().Set("Content-Type", "application/json")
+	r.w.Header().Set("Content-Length", strconv.Itoa(length))
+	if r.id != "" {
+		r.w.Header().Set(r.handler.Names.RequestID, r.id)
 	}
-	asked.writer.WriteHeader(status)
+	r.w.WriteHeader(status)
 }
 
 // observe counts and logs the end of a request.
-func (asked *request) observe(status int, outcome, reason string) {
+func (r *request) observe(status int, outcome, reason string) {
 	name := "none"
-	if asked.route != nil {
-		name = asked.route.Name
+	if r.route != nil {
+		name = r.route.Name
 	}
-	took := asked.held()
-	asked.handler.Observer.Request(name, strconv.Itoa(status), outcome, took)
-	asked.logger.Info("request", zap.String("route", name), zap.String("tenant", asked.tenantName()), zap.Int("status", status), zap.String("outcome", outcome),
-		zap.String("reason", reason), zap.String("replica", asked.replica), zap.Int("attempts", asked.attempts), zap.Duration("took", took))
+	took := r.held()
+	r.handler.Observer.Request(name, strconv.Itoa(status), outcome, took)
+	r.logger.Info("request", zap.String("route", name), zap.String("tenant", r.tenantName()), zap.Int("status", status), zap.String("outcome", outcome),
+		zap.String("reason", reason), zap.String("replica", r.replica), zap.Int("attempts", r.attempts), zap.Duration("took", took))
 }
--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -28,59 +28,59 @@
 // authenticate finds the tenant of a request by its key, or answers why it has none: 401
 // if the key is certainly not valid, 503 if this daemon has lost contact for too long to
 // know, so that the caller asks another one.
-func (asked *request) authenticate(configuration *route.Configuration) bool {
-	if configuration.Tenants == nil {
+func (r *request) authenticate(cfg *route.Configuration) bool {
+	if cfg.Tenants == nil {
 		return true
 	}
-	key, _ := apikey.FromHeader(asked.request.Header)
-	found, known := configuration.Tenants.Of(key)
-	age := asked.handler.ConfigurationAge()
-	policy := asked.handler.Keys
+	key, _ := apikey.FromHeader(r.req.Header)
+	found, known := cfg.Tenants.Of(key)
+	age := r.handler.ConfigurationAge()
+	policy := r.handler.Keys
 	refused := ""
 	switch {
 	case known && exceeded(age, policy.TrustKnown):
 		refused = "the key may have been withdrawn"
 	case known:
-		asked.tenant = found
+		r.tenant = found
 		return true
 	case key != "" && exceeded(age, policy.TrustUnknown):
 		refused = "the key may have been added"
 	}
-	asked.logger.Info("key refused", zap.String("key_digest", apikey.DigestOf(key).Short()), zap.Bool("sent", key != ""), zap.Bool("known", known),
-		zap.Int64("configuration", configuration.Version), zap.Duration("age", age))
+	r.logger.Info("key refused", zap.String("key_digest", apikey.DigestOf(key).Short()), zap.Bool("sent", key != ""), zap.Bool("known", known),
+		zap.Int64("configuration", cfg.Version), zap.Duration("age", age))
 	if refused != "" {
-		asked.refuse(refused, storeRetryAfter)
+		r.refuse(refused, storeRetryAfter)
 		return false
 	}
-	asked.fail(http.StatusUnauthorized, "no tenant", "no tenant has this key")
+	r.fail(http.StatusUnauthorized, "no tenant", "no tenant has this key")
 	return false
 }
 
 // authenticateCall finds the tenant of a call about a batch. A call needs no key where
 // batches may be submitted without one; a key that is sent counts all the same, as a host
 // may have batches of both kinds.
-func (asked *request) authenticateCall(configuration *route.Configuration) bool {
-	_, sent := apikey.FromHeader(asked.request.Header)
-	if !sent && configuration.AnonymousBatches(asked.request.Host) {
+func (r *request) authenticateCall(cfg *route.Configuration) bool {
+	_, sent := apikey.FromHeader(r.req.Header)
+	if !sent && cfg.AnonymousBatches(r.req.Host) {
 		return true
 	}
-	return asked.authenticate(configuration)
+	return r.authenticate(cfg)
 }
 
 // tenantName returns the name of the request's tenant, "" if it has none.
-func (asked *request) tenantName() string {
-	if asked.tenant == nil {
+func (r *request) tenantName() string {
+	if r.tenant == nil {
 		return ""
 	}
-	return asked.tenant.Name
+	return r.tenant.Name
 }
 
 // headerOnward returns the header with which the request goes to a replica. Where there
 // are tenants, the replica sees the tenant in place of the key.
-func (asked *request) headerOnward(configuration *route.Configuration) http.Header {
-	header := headers.CopyEndToEnd(asked.request.Header)
-	if configuration.Tenants != nil {
-		asked.handler.Names.SetTenant(header, asked.tenantName())
+func (r *request) headerOnward(cfg *route.Configuration) http.Header {
+	header := headers.CopyEndToEnd(r.req.Header)
+	if cfg.Tenants != nil {
+		r.handler.Names.SetTenant(header, r.tenantName())
 	}
 	return header
 }
--- a/internal/requests/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -41,25 +41,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	configuration, err := route.New(route.Declared{Version: 1, Tenants: directory})
+	cfg, err := route.New(route.Declared{Version: 1, Tenants: directory})
 	if err != nil {
 		t.Fatal(err)
 	}
-	incoming := httptest.NewRequest(http.MethodPost, "/x", nil)
-	incoming.Header.Set("Authorization", authorization)
-	incoming.Header.Set("X-Tenant", "forged")
+	req := httptest.NewRequest(http.MethodPost, "/x", nil)
+	req.Header.Set("Authorization", authorization)
+	req.Header.Set("X-Tenant", "forged")
 	recorder := httptest.NewRecorder()
 	handler := &Handler{Names: headers.Names{Tenant: "X-Tenant"}, Codec: plainCodec{}, Observer: noObserver{}, Keys: policy,
 		ConfigurationAge: func() time.Duration { return age }}
-	asked := &request{handler: handler, writer: recorder, request: incoming, arrived: time.Now(), logger: zap.New(core)}
-	if asked.authenticate(configuration) {
-		header := asked.headerOnward(configuration)
-		if header.Get("Authorization") != "" || header.Get("X-Tenant") != asked.tenantName() {
+	r := &request{handler: handler, w: recorder, req: req, arrived: time.Now(), logger: zap.New(core)}
+	if r.authenticate(cfg) {
+		header := r.headerOnward(cfg)
+		if header.Get("Authorization") != "" || header.Get("X-Tenant") != r.tenantName() {
 			t.Fatalf("header onward: %v", header)
 		}
-		return asked, 0, logs
+		return r, 0, logs
 	}
-	return asked, recorder.Code, logs
+	return r, recorder.Code, logs
 }
 
 // What a key is worth follows from what the configuration says of it and from how long
@@ -89,13 +89,13 @@
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			asked, status, logs := ask(t, one.authorization, one.age, one.policy)
+			r, status, logs := ask(t, one.authorization, one.age, one.policy)
 			is.Equal(status, one.status)
 			if status == 0 {
-				is.Equal(asked.tenantName(), "a")
+				is.Equal(r.tenantName(), "a")
 				return
 			}
-			is.Equal(asked.tenantName(), "")
+			is.Equal(r.tenantName(), "")
 			is.Equal(logs.FilterMessage("key refused").Len(), 1)
 			for _, entry := range logs.All() {
 				for _, value := range entry.ContextMap() {
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -39,11 +39,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	configuration, err := route.New(route.Declared{Version: 1, Tenants: directory})
+	cfg, err := route.New(route.Declared{Version: 1, Tenants: directory})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return configuration
+	return cfg
 }
 
 // interrupted is a context that the end of a planned stop has ended.
@@ -76,34 +76,34 @@
 	}{
 		"no configuration": {answer: func(r *request) {
 			r.handler.Configuration = func() *route.Configuration { return nil }
-			r.handler.ServeHTTP(r.writer, r.request)
+			r.handler.ServeHTTP(r.w, r.req)
 		}, status: 503, comeBack: "0.250", outcome: "refused", body: "no configuration is known yet"},
 		"no room to begin": {answer: func(r *request) {
 			r.handler.Holding = holding.New(holding.LimitsOf(1))
-			r.handler.ServeHTTP(r.writer, r.request)
+			r.handler.ServeHTTP(r.w, r.req)
 		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoRoom.Error(), closes: true},
 		"no room for a page": {answer: func(r *request) {
-			r.holder, _ = holding.New(holding.LimitsOf(64 << 10)).Begin(1)
+			r.account, _ = holding.New(holding.LimitsOf(64 << 10)).Begin(1)
 			r.writePage(make([]byte, 1<<20))
 		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoRoom.Error()},
 		"no room for a body": {answer: func(r *request) {
 			r.handler.Holding = holding.New(holding.LimitsOf(64 << 10))
-			r.request = httptest.NewRequest(http.MethodPost, "/x", strings.NewReader(strings.Repeat("x", 1<<20)))
+			r.req = httptest.NewRequest(http.MethodPost, "/x", strings.NewReader(strings.Repeat("x", 1<<20)))
 			r.readBody(2 << 20)
 		}, status: 503, comeBack: "1.000", outcome: "refused", body: "a body of that length: " + errNoRoom.Error(), closes: true},
 		"body too large": {answer: func(r *request) {
-			r.request = httptest.NewRequest(http.MethodPost, "/x", strings.NewReader("body"))
+			r.req = httptest.NewRequest(http.MethodPost, "/x", strings.NewReader("body"))
 			r.readBody(1)
 		}, status: 413, outcome: "too large", body: "the body is longer than the limit"},
 		"no route":  {answer: func(r *request) { r.serve(tenanted(t)) }, status: 404, outcome: "no route", body: "no route has this host and path"},
 		"no tenant": {answer: func(r *request) { r.authenticate(tenanted(t)) }, status: 401, outcome: "no tenant", body: "no tenant has this key"},
 		"a key that may be withdrawn": {answer: func(r *request) {
-			r.request.Header.Set("Authorization", "Bearer valid-key")
+			r.req.Header.Set("Authorization", "Bearer valid-key")
 			r.handler.ConfigurationAge = func() time.Duration { return time.Hour }
 			r.authenticate(tenanted(t))
 		}, status: 503, comeBack: "0.400", outcome: "refused", body: "the key may have been withdrawn"},
 		"a key that may be new": {answer: func(r *request) {
-			r.request.Header.Set("Authorization", "Bearer other-key")
+			r.req.Header.Set("Authorization", "Bearer other-key")
 			r.handler.ConfigurationAge = func() time.Duration { return time.Hour }
 			r.authenticate(tenanted(t))
 		}, status: 503, comeBack: "0.400", outcome: "refused", body: "the key may have been added"},
@@ -113,7 +113,7 @@
 			time.Sleep(4 * time.Second)
 			r.endsInTime()
 		}, status: 503, comeBack: "0.050", outcome: "refused", body: shutdown.ErrInterrupted.Error()},
-		"batch: wrong method":  {answer: func(r *request) { r.request.Method = http.MethodPut; r.serveSubmission(nil) }, status: 405, outcome: "malformed", body: "batches are submitted by POST"},
+		"batch: wrong method":  {answer: func(r *request) { r.req.Method = http.MethodPut; r.serveSubmission(nil) }, status: 405, outcome: "malformed", body: "batches are submitted by POST"},
 		"batch: malformed":     {answer: func(r *request) { r.serveSubmission(nil) }, status: 400, outcome: "malformed", body: http.ErrNotSupported.Error()},
 		"batch: not kept":      {answer: func(r *request) { r.notKept(runner.ErrNotDone) }, status: 503, comeBack: "0.400", outcome: "refused", body: runner.ErrNotDone.Error()},
 		"batch: stopping":      {answer: func(r *request) { r.notKept(runner.ErrStopping) }, status: 503, comeBack: "0.050", outcome: "refused", body: runner.ErrStopping.Error()},
@@ -131,22 +131,22 @@
 			outcome: "quarantined", body: "forward: 3 replicas ended while they ran this content; it is refused until an operator lifts that", quarantined: true},
 		"quarantined, stopping": {answer: explain(quarantined(forward.QuarantinedError{RetryAfter: 100 * time.Millisecond, Elsewhere: true})), interrupted: true, status: 503,
 			comeBack: "0.100", outcome: "quarantined", body: "forward: another suspect runs at the replica", quarantined: true},
-		"stream: not sent":           {answer: func(r *request) { (&relay{request: r}).giveUp() }, status: 503, comeBack: "0.250", outcome: "refused", body: "no replica"},
-		"stream: not sent, stop":     {answer: func(r *request) { (&relay{request: r}).giveUp() }, interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "no replica"},
-		"stream: maybe run":          {answer: func(r *request) { (&relay{request: r, ran: 1, reasons: errors.New("lost")}).giveUp() }, status: 502, outcome: "failed", body: "lost"},
-		"stream: maybe run, stop":    {answer: func(r *request) { (&relay{request: r, ran: 1}).giveUp() }, interrupted: true, status: 502, outcome: "interrupted", body: shutdown.ErrInterrupted.Error()},
-		"stream: maybe run, no time": {answer: func(r *request) { time.Sleep(left); (&relay{request: r, ran: 1}).giveUp() }, status: 504, outcome: "timed out", body: "no replica"},
+		"stream: not sent":           {answer: func(r *request) { (&streamRelay{request: r}).giveUp() }, status: 503, comeBack: "0.250", outcome: "refused", body: "no replica"},
+		"stream: not sent, stop":     {answer: func(r *request) { (&streamRelay{request: r}).giveUp() }, interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "no replica"},
+		"stream: maybe run":          {answer: func(r *request) { (&streamRelay{request: r, mayHaveRun: 1, reasons: errors.New("lost")}).giveUp() }, status: 502, outcome: "failed", body: "lost"},
+		"stream: maybe run, stop":    {answer: func(r *request) { (&streamRelay{request: r, mayHaveRun: 1}).giveUp() }, interrupted: true, status: 502, outcome: "interrupted", body: shutdown.ErrInterrupted.Error()},
+		"stream: maybe run, no time": {answer: func(r *request) { time.Sleep(left); (&streamRelay{request: r, mayHaveRun: 1}).giveUp() }, status: 504, outcome: "timed out", body: "no replica"},
 		"stream: quarantined": {answer: func(r *request) {
-			(&relay{request: r, quarantined: &forward.QuarantinedError{RetryAfter: time.Second}}).giveUp()
+			(&streamRelay{request: r, quarantined: &forward.QuarantinedError{RetryAfter: time.Second}}).giveUp()
 		}, status: 503,
 			comeBack: "1.000", outcome: "quarantined", body: "forward: 0 replicas ended while they ran this content; it may run alone later", quarantined: true},
 		"results: no answer": {answer: func(r *request) {
-			r.handler.Results = unread(r.request.Context())
+			r.handler.Results = unread(r.req.Context())
 			r.serveCall(BatchCall{Kind: ReadResults, BatchID: "b"})
 		}, status: 503,
 			comeBack: "0.400", outcome: "refused"},
 		"item: no answer": {answer: func(r *request) {
-			r.handler.Results = unread(r.request.Context())
+			r.handler.Results = unread(r.req.Context())
 			r.serveCall(BatchCall{Kind: ReadItem, BatchID: "b"})
 		}, status: 503,
 			comeBack: "0.400", outcome: "refused"},
@@ -161,7 +161,7 @@
 				}
 				r, recorder := askedOf(ctx, newStop(), route.Safe, left)
 				outcome := &lastOutcome{}
-				r.request.Header.Set("Deadline", "24025")
+				r.req.Header.Set("Deadline", "24025")
 				r.handler.Names, r.handler.Observer, r.handler.Logger = headers.Names{Quarantined: "Quarantined", DeadlineMs: "Deadline"}, outcome, zap.NewNop()
 				r.handler.ConfigurationAge = func() time.Duration { return 0 }
 				r.handler.Keys = KeyPolicy{TrustKnown: time.Second, TrustUnknown: time.Second}
--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -44,9 +44,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				asked, recorder := askedOf(t.Context(), nil, route.Safe, one.timeout)
+				r, recorder := askedOf(t.Context(), nil, route.Safe, one.timeout)
 				time.Sleep(one.after)
-				asked.explain(&forward.Failure{Certainty: forward.NotRun})
+				r.explain(&forward.Failure{Certainty: forward.NotRun})
 				is.Equal(recorder.Code, http.StatusServiceUnavailable)
 				is.Equal(secondsOf(t, recorder.Header()), one.told)
 			})
@@ -69,8 +69,8 @@
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			asked, recorder := askedOf(t.Context(), newStop(), route.Batch, time.Minute)
-			asked.notKept(one.err)
+			r, recorder := askedOf(t.Context(), newStop(), route.Batch, time.Minute)
+			r.notKept(one.err)
 			is.Equal(recorder.Code, one.status)
 			if one.status == http.StatusServiceUnavailable {
 				is.Equal(secondsOf(t, recorder.Header()), one.told)
@@ -82,10 +82,10 @@
 // A request whose body never came whole was held for as long as its client liked.
 func TestABodyHasTheTimeOfItsRequest(t *testing.T) {
 	is := is.New(t)
-	configuration, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{
+	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{
 		Name: "r", Host: "h", PathPrefix: "/x/", Kind: route.Safe, Timeout: 100 * time.Millisecond, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	is.NoErr(err)
-	server := httptest.NewServer(&Handler{Clock: time.Now, Codec: plainCodec{}, Observer: noObserver{}, Logger: zap.NewNop(), Configuration: func() *route.Configuration { return configuration }})
+	server := httptest.NewServer(&Handler{Clock: time.Now, Codec: plainCodec{}, Observer: noObserver{}, Logger: zap.NewNop(), Configuration: func() *route.Configuration { return cfg }})
 	defer server.Close()
 	conn, err := net.Dial("tcp4", server.Listener.Addr().String())
 	is.NoErr(err)
--- a/internal/requests/ingress/rest.go
+++ b/internal/requests/ingress/rest.go
@@ -22,8 +22,8 @@
 // as there is room, however slowly the client reads.
 //
 // Invariant: there is room for all chunks but the first.
-type ahead struct {
-	holder *holding.Holder
+type readAhead struct {
+	account *holding.Account
 
 	mu     sync.Mutex
 	turned *sync.Cond
@@ -35,14 +35,14 @@
 	err         error
 }
 
-func newAhead(holder *holding.Holder) *ahead {
-	a := &ahead{holder: holder}
+func newReadAhead(account *holding.Account) *readAhead {
+	a := &readAhead{account: account}
 	a.turned = sync.NewCond(&a.mu)
 	return a
 }
 
 // read reads the source to its end, or until no more is wanted.
-func (a *ahead) read(source io.Reader) {
+func (a *readAhead) read(source io.Reader) {
 	for a.room() {
 		chunk := make([]byte, chunkBytes)
 		n, err := source.Read(chunk)
@@ -54,14 +54,14 @@
 }
 
 // room waits until a further chunk may be read, and reports false if none is wanted.
-func (a *ahead) room() bool {
+func (a *readAhead) room() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for !a.left && !a.ended {
 		if len(a.chunks) == 0 {
 			return true
 		}
-		if len(a.chunks) < mostChunks && a.holder.Take(holding.Answers, chunkBytes) {
+		if len(a.chunks) < mostChunks && a.account.Take(holding.Answers, chunkBytes) {
 			a.counted++
 			return true
 		}
@@ -71,7 +71,7 @@
 }
 
 // put adds what was read.
-func (a *ahead) put(chunk []byte, err error) {
+func (a *readAhead) put(chunk []byte, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(chunk) > 0 {
@@ -82,7 +82,7 @@
 }
 
 // next returns the next chunk to write, or why there is none.
-func (a *ahead) next() ([]byte, error) {
+func (a *readAhead) next() ([]byte, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for len(a.chunks) == 0 && !a.ended {
@@ -95,20 +95,20 @@
 }
 
 // taken drops the chunk that next returned.
-func (a *ahead) taken() {
+func (a *readAhead) taken() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.chunks[0] = nil
 	a.chunks = a.chunks[1:]
 	if a.counted > 0 {
 		a.counted--
-		a.holder.Give(holding.Answers, chunkBytes)
+		a.account.Give(holding.Answers, chunkBytes)
 	}
 	a.turned.Broadcast()
 }
 
 // leave says that no further chunk is wanted.
-func (a *ahead) leave() {
+func (a *readAhead) leave() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.left = true
@@ -116,23 +116,23 @@
 }
 
 // writeAnswer writes an answer to the client, and reads ahead what is still to come of it.
-func (asked *request) writeAnswer(answer *forward.Answer) error {
+func (r *request) writeAnswer(answer *forward.Answer) error {
 	if answer.Rest == nil {
-		_, err := asked.writer.Write(answer.Body)
+		_, err := r.w.Write(answer.Body)
 		return err
 	}
-	a := newAhead(asked.holder)
+	a := newReadAhead(r.account)
 	var reading sync.WaitGroup
 	reading.Go(func() { a.read(answer.Rest) })
 	defer reading.Wait()
 	defer a.leave()
-	_, err := asked.writer.Write(answer.Body)
+	_, err := r.w.Write(answer.Body)
 	for err == nil {
 		var chunk []byte
 		if chunk, err = a.next(); err != nil {
 			break
 		}
-		if _, err = asked.writer.Write(chunk); err == nil {
+		if _, err = r.w.Write(chunk); err == nil {
 			a.taken()
 		}
 	}
--- a/internal/requests/ingress/stop.go
+++ b/internal/requests/ingress/stop.go
@@ -15,40 +15,40 @@
 
 // endsInTime reports whether a planned stop leaves the request its time. One that it
 // might interrupt is turned away at once, to a daemon that has the time.
-func (asked *request) endsInTime() bool {
-	if asked.handler.Stop == nil {
+func (r *request) endsInTime() bool {
+	if r.handler.Stop == nil {
 		return true
 	}
-	left, bounded := asked.handler.Stop.Left()
-	needed := asked.timeNeeded()
+	left, bounded := r.handler.Stop.Left()
+	needed := r.timeNeeded()
 	if !bounded || needed <= left {
 		return true
 	}
-	asked.logger.Info("turned away by the stop", zap.Duration("needed", needed), zap.Duration("left", left))
-	asked.refuse(shutdown.ErrInterrupted.Error(), stopRetryAfter)
+	r.logger.Info("turned away by the stop", zap.Duration("needed", needed), zap.Duration("left", left))
+	r.refuse(shutdown.ErrInterrupted.Error(), stopRetryAfter)
 	return false
 }
 
 // timeNeeded is the longest that the request may be held.
-func (asked *request) timeNeeded() time.Duration {
-	if asked.route != nil && asked.route.Kind == route.Batch {
+func (r *request) timeNeeded() time.Duration {
+	if r.route != nil && r.route.Kind == route.Batch {
 		return submitTimeout
 	}
-	return asked.timeLeft()
+	return r.timeLeft()
 }
 
 // interrupted reports whether the end of a planned stop keeps the request from its
 // answer. The client is still there, and is told what is certain.
-func (asked *request) interrupted() bool { return shutdown.Interrupted(asked.request.Context()) }
+func (r *request) interrupted() bool { return shutdown.Interrupted(r.req.Context()) }
 
 // clientLeft reports whether nobody waits for the answer any more.
-func (asked *request) clientLeft() bool {
-	return asked.request.Context().Err() != nil && !asked.interrupted()
+func (r *request) clientLeft() bool {
+	return r.req.Context().Err() != nil && !r.interrupted()
 }
 
 // comeBack is when a client should send a request again that has not run.
-func (asked *request) comeBack() time.Duration {
-	if asked.interrupted() {
+func (r *request) comeBack() time.Duration {
+	if r.interrupted() {
 		return stopRetryAfter
 	}
 	return retryAfter
--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -22,7 +22,7 @@
 	recorder := httptest.NewRecorder()
 	handler := &Handler{Clock: time.Now, Codec: plainCodec{}, Observer: noObserver{}, Stop: stop}
 	return &request{
-		handler: handler, writer: recorder, request: httptest.NewRequest(http.MethodPost, "/x", nil).WithContext(ctx),
+		handler: handler, w: recorder, req: httptest.NewRequest(http.MethodPost, "/x", nil).WithContext(ctx),
 		arrived: time.Now(), logger: zap.NewNop(), route: &route.Route{Kind: kind, Timeout: timeout},
 	}, recorder
 }
@@ -56,8 +56,8 @@
 					stop.Begin(grace)
 					time.Sleep(each.after)
 				}
-				asked, recorder := askedOf(t.Context(), stop, each.kind, each.timeout)
-				is.Equal(asked.endsInTime(), each.served)
+				r, recorder := askedOf(t.Context(), stop, each.kind, each.timeout)
+				is.Equal(r.endsInTime(), each.served)
 				if each.served {
 					return
 				}
@@ -77,8 +77,8 @@
 		defer release()
 		stop.Interrupt()
 		<-ctx.Done()
-		asked, recorder := askedOf(ctx, stop, route.Unsafe, time.Minute)
-		asked.explain(failure)
+		r, recorder := askedOf(ctx, stop, route.Unsafe, time.Minute)
+		r.explain(failure)
 		return recorder.Code
 	}
 	is := is.New(t)
@@ -86,9 +86,9 @@
 	is.Equal(answered(&forward.Failure{Certainty: forward.MayHaveRun}), http.StatusBadGateway)
 	left, leave := context.WithCancel(t.Context())
 	leave()
-	asked, _ := askedOf(left, newStop(), route.Unsafe, time.Minute)
+	r, _ := askedOf(left, newStop(), route.Unsafe, time.Minute)
 	defer func() { is.Equal(recover(), http.ErrAbortHandler) }()
-	asked.explain(&forward.Failure{Certainty: forward.NotRun})
+	r.explain(&forward.Failure{Certainty: forward.NotRun})
 }
 
 // A late request is turned away before its body is read or a replica is asked.
@@ -98,10 +98,10 @@
 		stop := newStop()
 		stop.Begin(8 * time.Second)
 		time.Sleep(4 * time.Second)
-		configuration, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{
+		cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{
 			Name: "r", Host: "example.com", PathPrefix: "/x/", Kind: route.Stream, Timeout: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 		is.NoErr(err)
-		handler := &Handler{Clock: time.Now, Codec: plainCodec{}, Observer: noObserver{}, Logger: zap.NewNop(), Stop: stop, Configuration: func() *route.Configuration { return configuration }}
+		handler := &Handler{Clock: time.Now, Codec: plainCodec{}, Observer: noObserver{}, Logger: zap.NewNop(), Stop: stop, Configuration: func() *route.Configuration { return cfg }}
 		recorder, late := httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/x/1", nil)
 		handler.ServeHTTP(recorder, late)
 		is.Equal(recorder.Code, http.StatusServiceUnavailable)
@@ -117,9 +117,9 @@
 		defer release()
 		stop.Interrupt()
 		<-ctx.Done()
-		asked, recorder := askedOf(ctx, stop, route.Stream, time.Minute)
+		r, recorder := askedOf(ctx, stop, route.Stream, time.Minute)
 		defer func() { status, panicked = recorder.Code, recover() }()
-		(&relay{request: asked, ran: ran, began: began}).giveUp()
+		(&streamRelay{request: r, mayHaveRun: ran, began: began}).giveUp()
 		return 0, nil
 	}
 	is := is.New(t)
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -19,13 +19,13 @@
 )
 
 // relay passes the events of one or more replicas on as one answer.
-type relay struct {
+type streamRelay struct {
 	*request
-	asking *forward.StreamRequest
-	tried  map[string]bool
-	ran    int
-	notRun int
-	began  bool
+	call       *forward.StreamRequest
+	tried      map[string]bool
+	mayHaveRun int
+	notRun     int
+	began      bool
 	// unread says that the client has not taken an event: no other replica changes that.
 	unread  bool
 	reasons error
@@ -38,59 +38,59 @@
 
 // serveStream passes a stream on. Without the right to resume it, it is
 // offered again only as long as it has certainly not run.
-func (asked *request) serveStream(configuration *route.Configuration, body []byte) {
-	ctx, cancel := asked.bounded()
+func (r *request) serveStream(cfg *route.Configuration, body []byte) {
+	ctx, cancel := r.bounded()
 	defer cancel()
-	relaying := &relay{request: asked, tried: map[string]bool{}, asking: &forward.StreamRequest{
-		RequestID: asked.id, Method: asked.request.Method, Target: asked.request.RequestURI, Host: asked.request.Host,
-		Header: asked.headerOnward(configuration), Body: body, Caller: asked.tenantName(),
+	relaying := &streamRelay{request: r, tried: map[string]bool{}, call: &forward.StreamRequest{
+		RequestID: r.id, Method: r.req.Method, Target: r.req.RequestURI, Host: r.req.Host,
+		Header: r.headerOnward(cfg), Body: body, Caller: r.tenantName(),
 	}}
-	if text := asked.request.Header.Get(asked.handler.Names.LastEventID); text != "" {
+	if text := r.req.Header.Get(r.handler.Names.LastEventID); text != "" {
 		if after, err := strconv.ParseInt(text, 10, 64); err == nil {
-			relaying.asking.After, relaying.asking.HasAfter = after, true
+			relaying.call.After, relaying.call.HasAfter = after, true
 		}
 	}
 	relaying.run(ctx)
 }
 
-func (relaying *relay) run(ctx context.Context) {
+func (s *streamRelay) run(ctx context.Context) {
 	for {
-		chosen, found := relaying.choose()
+		chosen, found := s.choose()
 		if !found {
 			break
 		}
-		whole, ran, err := relaying.attempt(ctx, chosen)
+		whole, ran, err := s.attempt(ctx, chosen)
 		if whole {
-			relaying.replica = chosen.ID
-			relaying.observe(http.StatusOK, "answered", "")
+			s.replica = chosen.ID
+			s.observe(http.StatusOK, "answered", "")
 			return
 		}
 		var quarantined *forward.QuarantinedError
 		if errors.As(err, &quarantined) {
-			if !relaying.mayAskAgain(ctx, chosen, quarantined) {
+			if !s.mayAskAgain(ctx, chosen, quarantined) {
 				break
 			}
 			continue
 		}
-		relaying.tried[chosen.ID] = true
-		relaying.replica = chosen.ID
-		relaying.reasons = err
-		relaying.logger.Info("stream attempt failed", zap.String("replica", chosen.ID), zap.Bool("may_have_run", ran), zap.Error(err))
+		s.tried[chosen.ID] = true
+		s.replica = chosen.ID
+		s.reasons = err
+		s.logger.Info("stream attempt failed", zap.String("replica", chosen.ID), zap.Bool("may_have_run", ran), zap.Error(err))
 		if ran {
-			relaying.ran++
+			s.mayHaveRun++
 		} else {
-			relaying.notRun++
+			s.notRun++
 		}
-		if !relaying.mayContinue(ctx) {
+		if !s.mayContinue(ctx) {
 			break
 		}
 	}
-	relaying.giveUp()
+	s.giveUp()
 }
 
-func (relaying *relay) choose() (replica.Replica, bool) {
-	for _, service := range relaying.route.Order(relaying.id) {
-		chosen, found := replica.Pick(relaying.handler.Forwarder.Replicas(service), relaying.tried, time.Now())
+func (s *streamRelay) choose() (replica.Replica, bool) {
+	for _, service := range s.route.Order(s.id) {
+		chosen, found := replica.Pick(s.handler.Forwarder.Replicas(service), s.tried, time.Now())
 		if found {
 			return chosen, true
 		}
@@ -100,42 +100,42 @@
 
 // mayAskAgain reports whether a stream that was not sent for its content's sake may be
 // asked for again now.
-func (relaying *relay) mayAskAgain(ctx context.Context, chosen replica.Replica, err *forward.QuarantinedError) bool {
+func (s *streamRelay) mayAskAgain(ctx context.Context, chosen replica.Replica, err *forward.QuarantinedError) bool {
 	switch {
-	case relaying.ran > 0 && !err.Elsewhere:
+	case s.mayHaveRun > 0 && !err.Elsewhere:
 		// Its own run has ended a replica: the next one is alone, or is none.
 	case err.Elsewhere:
-		relaying.tried[chosen.ID] = true
+		s.tried[chosen.ID] = true
 		return true
 	case err.Await(ctx):
 		return true
 	}
-	relaying.quarantined, relaying.reasons = err, err
+	s.quarantined, s.reasons = err, err
 	return false
 }
 
-func (relaying *relay) mayContinue(ctx context.Context) bool {
-	if ctx.Err() != nil || relaying.unread || relaying.notRun > maxNotRun || relaying.ran >= max(relaying.route.MaxAttempts, 1) {
+func (s *streamRelay) mayContinue(ctx context.Context) bool {
+	if ctx.Err() != nil || s.unread || s.notRun > maxNotRun || s.mayHaveRun >= max(s.route.MaxAttempts, 1) {
 		return false
 	}
-	return relaying.ran == 0 || relaying.route.Resumable
+	return s.mayHaveRun == 0 || s.route.Resumable
 }
 
 // attempt passes on what one replica makes of the stream.
-func (relaying *relay) attempt(ctx context.Context, chosen replica.Replica) (whole, ran bool, err error) {
-	forwarder := relaying.handler.Forwarder
+func (s *streamRelay) attempt(ctx context.Context, chosen replica.Replica) (whole, ran bool, err error) {
+	forwarder := s.handler.Forwarder
 	forwarder.Table.Started(chosen.Start())
 	defer forwarder.Table.Ended(chosen.Start())
-	relaying.asking.Deadline = relaying.timeLeft() + answerMargin
-	sentAt := relaying.handler.now()
-	stream, err := forwarder.OpenStream(ctx, relaying.asking, chosen)
+	s.call.Deadline = s.timeLeft() + answerMargin
+	sentAt := s.handler.now()
+	stream, err := forwarder.OpenStream(ctx, s.call, chosen)
 	var quarantined *forward.QuarantinedError
 	if errors.As(err, &quarantined) {
 		return false, false, err
 	}
 	ran = err == nil || !errors.Is(err, forward.ErrDeclined) && !errors.Is(err, upstream.ErrNotSent)
 	if ran {
-		relaying.request.ran(sentAt)
+		s.request.ran(sentAt)
 	}
 	if err != nil {
 		if ctx.Err() == nil && !errors.Is(err, upstream.ErrFull) {
@@ -147,58 +147,58 @@
 	for {
 		event, err := stream.Next()
 		if err == io.EOF {
-			relaying.begin(stream)
+			s.begin(stream)
 			return true, true, nil
 		}
 		if err != nil {
 			return false, true, err
 		}
-		if event.HasID && relaying.asking.HasAfter && event.ID <= relaying.asking.After {
-			return false, true, errors.Errorf("event %d after %d", event.ID, relaying.asking.After)
+		if event.HasID && s.call.HasAfter && event.ID <= s.call.After {
+			return false, true, errors.Errorf("event %d after %d", event.ID, s.call.After)
 		}
-		relaying.begin(stream)
-		if err := relaying.writeEvent(event.Raw); err != nil {
-			relaying.unread = true
+		s.begin(stream)
+		if err := s.writeEvent(event.Raw); err != nil {
+			s.unread = true
 			return false, true, err
 		}
 		if event.HasID {
-			relaying.asking.After, relaying.asking.HasAfter = event.ID, true
+			s.call.After, s.call.HasAfter = event.ID, true
 		}
 	}
 }
 
 // begin writes the head of the first replica that gave one.
-func (relaying *relay) begin(stream *forward.Stream) {
-	if relaying.began {
+func (s *streamRelay) begin(stream *forward.Stream) {
+	if s.began {
 		return
 	}
-	relaying.began = true
-	target := relaying.writer.Header()
+	s.began = true
+	target := s.w.Header()
 	for name, values := range headers.CopyEndToEnd(stream.Header) {
 		target[name] = values
 	}
-	relaying.writer.WriteHeader(stream.Status)
+	s.w.WriteHeader(stream.Status)
 }
 
 // giveUp ends the answer in a way that cannot be taken for a whole one.
-func (relaying *relay) giveUp() {
+func (s *streamRelay) giveUp() {
 	reason := "no replica"
-	if relaying.reasons != nil {
-		reason = relaying.reasons.Error()
+	if s.reasons != nil {
+		reason = s.reasons.Error()
 	}
 	switch {
-	case relaying.began || relaying.clientLeft():
-		relaying.observe(0, "broken off", reason)
+	case s.began || s.clientLeft():
+		s.observe(0, "broken off", reason)
 		panic(http.ErrAbortHandler)
-	case relaying.ran == 0 && relaying.quarantined != nil:
-		relaying.refuseQuarantined(relaying.quarantined)
-	case relaying.ran == 0:
-		relaying.refuse(reason, relaying.comeBack())
-	case relaying.interrupted():
-		relaying.fail(http.StatusBadGateway, "interrupted", shutdown.ErrInterrupted.Error())
-	case relaying.timeLeft() <= 0:
-		relaying.fail(http.StatusGatewayTimeout, "timed out", reason)
+	case s.mayHaveRun == 0 && s.quarantined != nil:
+		s.refuseQuarantined(s.quarantined)
+	case s.mayHaveRun == 0:
+		s.refuse(reason, s.comeBack())
+	case s.interrupted():
+		s.fail(http.StatusBadGateway, "interrupted", shutdown.ErrInterrupted.Error())
+	case s.timeLeft() <= 0:
+		s.fail(http.StatusGatewayTimeout, "timed out", reason)
 	default:
-		relaying.fail(http.StatusBadGateway, "failed", reason)
+		s.fail(http.StatusBadGateway, "failed", reason)
 	}
 }
--- a/internal/requests/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -59,18 +59,18 @@
 			table.Set(replica.Entry{ID: "a", Service: "s", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 1})
 			clock := clocktest.New()
 			names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Stamp: "Signature"}
-			configuration, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe,
+			cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe,
 				Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 			is.NoErr(err)
 			handler := &Handler{Clock: clock.Now, Names: names, Codec: plainCodec{}, Observer: noObserver{}, Logger: zap.NewNop(),
-				Configuration: func() *route.Configuration { return configuration },
+				Configuration: func() *route.Configuration { return cfg },
 				Forwarder: &forward.Forwarder{Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names, Clock: clock.Now,
 					Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}}
-			asked := httptest.NewRequest(http.MethodPost, "/x", &suspending{strings.NewReader("body"), clock, c.sleep})
-			asked.Host = "h"
-			asked.Header.Set("Deadline", "2000")
+			r := httptest.NewRequest(http.MethodPost, "/x", &suspending{strings.NewReader("body"), clock, c.sleep})
+			r.Host = "h"
+			r.Header.Set("Deadline", "2000")
 			recorder := httptest.NewRecorder()
-			handler.ServeHTTP(recorder, asked)
+			handler.ServeHTTP(recorder, r)
 			is.Equal(recorder.Code, c.status)
 			deadline, _ := time.ParseDuration(told + "ms")
 			is.True(deadline <= c.mostDeadline)
