--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -45,16 +45,8 @@
 const (
 	// bufferedBytes is the longest answer that is held until it is whole.
 	bufferedBytes = 1 << 20
-	// extraTries is how often a request that was certainly not run may be
-	// offered again beyond its attempts.
-	extraTries = 4
 	// declinedPause is how long a replica that declined is passed over.
 	declinedPause = 60 * time.Millisecond
-	// firstHedge and hedgeFactor say when a second replica is asked although
-	// the first has not failed: after the factor times its usual latency.
-	firstHedge  = 200 * time.Millisecond
-	hedgeFactor = 3
-	leastHedge  = 60 * time.Millisecond
 	// lastWord is how long the offers that the end of the context cuts have to say
 	// whether they were sent. They end at once; a third of the time that ingress keeps
 	// back for a final answer leaves the rest of it to the answer.
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -219,7 +219,7 @@
 func TestARetryIsNotBegunForNobody(t *testing.T) {
 	is := is.New(t)
 	ctx, leave := context.WithCancel(t.Context())
-	run := &running{call: &Call{Repeatable: true, MaxAttempts: 3}}
+	run := &running{forwarder: newFloor(t, 0).forwarder, call: &Call{Repeatable: true, MaxAttempts: 3}}
 	is.True(run.mayRetry(ctx))
 	leave()
 	is.True(!run.mayRetry(ctx))
--- /dev/null
+++ b/internal/requests/forward/retry.go
@@ -0,0 +1,72 @@
+package forward
+
+import (
+	"time"
+
+	"woodworks/internal/requests/quarantine"
+)
+
+// The rule by which a plain request or a stream is offered to a further replica. It is, as each
+// offer has failed, or while the first is silent (hedge) if nothing is held against its content:
+//
+//  1. as long as its caller waits and Tries.MayRetry allows it;
+//  2. if then Call.MayRetry does, which may spend from a budget and is asked last: the policies
+//     in force with their retry budget (standalone) and, while the service is full, the
+//     budget of further offers (admission.Ticket.MayOffer).
+//
+// A plain request that every replica declined waits for another turn at its service (ingress).
+// Each replica is offered a request once.
+
+const (
+	// extraTries is how often a request that was certainly not run may be
+	// offered again beyond its attempts.
+	extraTries = 4
+	// firstHedge is when a second replica is asked while the first is silent whose latency is
+	// not known, hedgeFactor after how many times its usual latency else, leastHedge the
+	// least time.
+	firstHedge  = 200 * time.Millisecond
+	hedgeFactor = 3
+	leastHedge  = 60 * time.Millisecond
+)
+
+// Tries is what has become of a request so far.
+type Tries struct {
+	// MayHaveRun counts the attempts that ran or may have, Open those without an outcome yet,
+	// NotRun those that certainly have not run.
+	MayHaveRun, Open, NotRun int
+	// MaxAttempts is how many attempts may run, one at least.
+	MaxAttempts int
+	// Repeatable requests, and streams that can be resumed, may run more than once.
+	Repeatable bool
+	// Suspicion is what is held against the content, Refused that it may not run now.
+	Suspicion quarantine.Suspicion
+	Refused   bool
+}
+
+// MayRetry reports whether a further replica may be asked.
+func (t Tries) MayRetry() bool {
+	started := t.MayHaveRun + t.Open
+	switch {
+	case t.Refused, t.NotRun > extraTries, started >= max(t.MaxAttempts, 1):
+		return false
+	case started == 0:
+		return true
+	default:
+		// A content that has just ended replicas, or of which another daemon has learned so, runs
+		// next alone, if at all.
+		return t.Repeatable && t.Suspicion < quarantine.OnlyAlone
+	}
+}
+
+// hedgeDelay is how long an offer may be silent before another replica is asked, by the
+// route's own time, if it has one, or by the replica's usual latency, 0 if it is not known.
+func hedgeDelay(ofRoute, latency time.Duration) time.Duration {
+	switch {
+	case ofRoute > 0:
+		return ofRoute
+	case latency == 0:
+		return firstHedge
+	default:
+		return max(hedgeFactor*latency, leastHedge)
+	}
+}
--- /dev/null
+++ b/internal/requests/forward/retry_test.go
@@ -0,0 +1,43 @@
+package forward
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"woodworks/internal/requests/quarantine"
+)
+
+// What may have run runs again only if it is repeatable, and what has not only so often.
+func TestWhoMayTryAgain(t *testing.T) {
+	cases := map[string]struct {
+		tries Tries
+		may   bool
+	}{
+		"nothing yet":                      {Tries{}, true},
+		"declined, not repeatable":         {Tries{NotRun: extraTries}, true},
+		"declined too often":               {Tries{NotRun: extraTries + 1, Repeatable: true, MaxAttempts: 9}, false},
+		"may have run, not repeatable":     {Tries{MayHaveRun: 1, MaxAttempts: 3}, false},
+		"under way, not repeatable":        {Tries{Open: 1, MaxAttempts: 3}, false},
+		"may have run":                     {Tries{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true}, true},
+		"attempts used up":                 {Tries{MayHaveRun: 1, Open: 1, MaxAttempts: 2, Repeatable: true}, false},
+		"no attempts named":                {Tries{MayHaveRun: 1, Repeatable: true}, false},
+		"suspected":                        {Tries{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.Suspected}, true},
+		"its end was a second one":         {Tries{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.OnlyAlone}, false},
+		"declined, content may only alone": {Tries{NotRun: 1, MaxAttempts: 2, Suspicion: quarantine.OnlyAlone}, true},
+		"refused":                          {Tries{Refused: true, MaxAttempts: 2, Repeatable: true}, false},
+	}
+	for name, one := range cases {
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(one.tries.MayRetry(), one.may) })
+	}
+}
+
+// A hedge comes by the route's time, or by what the replica usually takes.
+func TestWhenASecondReplicaIsAsked(t *testing.T) {
+	is := is.New(t)
+	is.Equal(hedgeDelay(time.Second, time.Millisecond), time.Second)
+	is.Equal(hedgeDelay(0, 0), firstHedge)
+	is.Equal(hedgeDelay(0, time.Millisecond), leastHedge)
+	is.Equal(hedgeDelay(0, time.Second), hedgeFactor*time.Second)
+}
--- a/internal/requests/forward/running.go
+++ b/internal/requests/forward/running.go
@@ -128,27 +128,17 @@
 		Full: certainty == NotRun && run.declined > 0 && run.declined == run.notRun && run.quarantined == nil}
 }
 
-// mayOffer reports whether another replica may be asked.
-func (run *running) mayOffer() bool {
-	if run.notRun > extraTries || run.quarantined != nil {
-		return false
-	}
-	if run.offered+run.open > 0 && run.suspicion() >= quarantine.OnlyAlone {
-		// It has just ended replicas, or another daemon has learned so: the next run, if
-		// there is one, is alone.
-		return false
-	}
-	if run.offered+run.open >= max(run.call.MaxAttempts, 1) {
-		return false
-	}
-	return run.call.Repeatable || run.offered+run.open == 0
+// tries is what has become of the call so far.
+func (run *running) tries() Tries {
+	return Tries{MayHaveRun: run.offered, Open: run.open, NotRun: run.notRun, MaxAttempts: run.call.MaxAttempts, Repeatable: run.call.Repeatable,
+		Suspicion: run.suspicion(), Refused: run.quarantined != nil}
 }
 
 // mayRetry reports whether another replica is asked now. Nothing is begun for a caller
 // that has left: its end may come together with the outcome or the moment that woke the
 // loop.
 func (run *running) mayRetry(ctx context.Context) bool {
-	return ctx.Err() == nil && run.mayOffer() && (run.call.MayRetry == nil || run.call.MayRetry(run.offered+run.notRun+run.open))
+	return ctx.Err() == nil && run.tries().MayRetry() && (run.call.MayRetry == nil || run.call.MayRetry(run.offered+run.notRun+run.open))
 }
 
 // offer sends the call to the next replica, if there is one, and returns after
@@ -168,13 +158,7 @@
 	go func() {
 		run.outcomes <- run.forwarder.attempt(offerContext, func() { cancel(); release() }, run.call, chosen)
 	}()
-	if run.call.HedgeAfter > 0 {
-		return run.call.HedgeAfter
-	}
-	if chosen.Latency == 0 {
-		return firstHedge
-	}
-	return max(hedgeFactor*chosen.Latency, leastHedge)
+	return hedgeDelay(run.call.HedgeAfter, chosen.Latency)
 }
 
 // suspicion is what is held against the call's content.
@@ -232,7 +216,7 @@
 		return nil
 	}
 	run.offered++
-	if outcome.answer.Status >= http.StatusInternalServerError && run.call.Repeatable && run.mayOffer() {
+	if outcome.answer.Status >= http.StatusInternalServerError && run.call.Repeatable && run.tries().MayRetry() {
 		run.lastReason = "status " + strconv.Itoa(outcome.answer.Status)
 		if run.fallback != nil {
 			run.fallback.Close()
