--- a/internal/api/gateway/admission.go
+++ b/internal/api/gateway/admission.go
@@ -9,17 +9,14 @@
 	"net/http"
 	"strings"
 	"sync"
-	"time"
 
 	"github.com/pkg/errors"
 
 	"woodworks/internal/api/policy"
 	"woodworks/internal/callers/apikey"
+	"woodworks/internal/requests/refusal"
 )
 
-// refuseRetryAfter is told to callers refused by a bound of this daemon.
-const refuseRetryAfter = time.Second
-
 // inFlight counts each caller's requests in this daemon.
 type inFlight struct {
 	mu     sync.Mutex
@@ -56,11 +53,7 @@
 	if g.flights.enter(classCounter(class.Name), class.QueueLimit) {
 		return true
 	}
-	writeProblem(w, http.StatusTooManyRequests, Problem{
-		Code:             "queue_full",
-		Message:          fmt.Sprintf("traffic class %q has %d requests at this daemon, its bound", class.Name, class.QueueLimit),
-		RetryAfterMillis: refuseRetryAfter.Milliseconds(),
-	})
+	refuse(w, refusal.V1QueueFull, fmt.Sprintf("traffic class %q has %d requests at this daemon, its bound", class.Name, class.QueueLimit))
 	return false
 }
 
@@ -72,7 +65,7 @@
 func (g *Gateway) admit(audience policy.Audience, newWork bool, next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if _, there := g.parts.Configuration(); !there && audience == policy.Public {
-			unavailable(w, "no_configuration", "this daemon knows no policies yet", refuseRetryAfter)
+			refuse(w, refusal.V1NoConfiguration, "this daemon knows no policies yet")
 			return
 		}
 		caller, known := g.authenticate(r, audience)
@@ -85,11 +78,7 @@
 			return
 		}
 		if !g.flights.enter(caller.Name, caller.MaxInFlight) {
-			writeProblem(w, http.StatusTooManyRequests, Problem{
-				Code:             "too_many_in_flight",
-				Message:          fmt.Sprintf("caller %q has %d requests in flight, its bound", caller.Name, caller.MaxInFlight),
-				RetryAfterMillis: refuseRetryAfter.Milliseconds(),
-			})
+			refuse(w, refusal.V1TooManyInFlight, fmt.Sprintf("caller %q has %d requests in flight, its bound", caller.Name, caller.MaxInFlight))
 			return
 		}
 		defer g.flights.leave(caller.Name)
@@ -126,12 +115,12 @@
 // its configuration is the newest.
 func (g *Gateway) mayAdmit(w http.ResponseWriter) bool {
 	if g.stopping() {
-		unavailable(w, "stopping", "this daemon is being stopped; use another", refuseRetryAfter)
+		refuse(w, refusal.V1Stopping, "this daemon is being stopped; use another")
 		return false
 	}
 	configuration, there := g.parts.Configuration()
 	if !there || configuration.Age > g.limits.ConfirmBound {
-		unavailable(w, "configuration_not_confirmed", "this daemon cannot confirm that its configuration is the newest", refuseRetryAfter)
+		refuse(w, refusal.V1NotConfirmed, "this daemon cannot confirm that its configuration is the newest")
 		return false
 	}
 	return true
--- a/internal/api/gateway/errors.go
+++ b/internal/api/gateway/errors.go
@@ -5,7 +5,8 @@
 	"math"
 	"net/http"
 	"strconv"
-	"time"
+
+	"woodworks/internal/requests/refusal"
 )
 
 // OutcomeHeader says on every final answer what became of the request.
@@ -86,10 +87,17 @@
 	writeProblem(w, http.StatusBadRequest, Problem{Code: "bad_request", Message: field + ": " + message, Field: field})
 }
 
-func unavailable(w http.ResponseWriter, code, message string, retryAfter time.Duration) {
-	writeProblem(w, http.StatusServiceUnavailable, Problem{Code: code, Message: message, RetryAfterMillis: retryAfter.Milliseconds()})
+// refuse answers with a reason of the list.
+func refuse(w http.ResponseWriter, reason refusal.Reason, message string) {
+	writeProblem(w, reason.Status, problemFor(reason, message))
 }
 
-func unsure(w http.ResponseWriter, code, message string, retryAfter time.Duration) {
-	writeProblem(w, http.StatusServiceUnavailable, Problem{Code: code, Message: message, Outcome: Unknown, RetryAfterMillis: retryAfter.Milliseconds()})
+// problemFor is the problem that tells a reason. Its outcome is left to writeProblem if the
+// request has not run.
+func problemFor(reason refusal.Reason, message string) Problem {
+	problem := Problem{Code: reason.Name, Message: message, RetryAfterMillis: reason.RetryAfter.Milliseconds()}
+	if reason.MayHaveRun {
+		problem.Outcome = Unknown
+	}
+	return problem
 }
--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -10,6 +10,7 @@
 
 	"woodworks/internal/api/operator"
 	"woodworks/internal/api/policy"
+	"woodworks/internal/requests/refusal"
 )
 
 const (
@@ -93,12 +94,12 @@
 func (g *Gateway) policies(w http.ResponseWriter, r *http.Request, _ policy.Caller) {
 	current, err := g.parts.Operator.Current(r.Context())
 	if err != nil {
-		unavailable(w, "log_unavailable", err.Error(), refuseRetryAfter)
+		refuse(w, refusal.V1LogUnavailable, err.Error())
 		return
 	}
 	history, err := g.parts.Operator.History(r.Context())
 	if err != nil {
-		unavailable(w, "log_unavailable", err.Error(), refuseRetryAfter)
+		refuse(w, refusal.V1LogUnavailable, err.Error())
 		return
 	}
 	list := PolicyList{Version: current.Version, Documents: []PolicyDocument{}, History: []PolicyChange{}}
@@ -135,11 +136,11 @@
 	case errors.Is(err, operator.ErrConflict):
 		writeProblem(w, http.StatusConflict, Problem{Code: "policy_conflict", Field: "replaces", Message: err.Error()})
 	case errors.Is(err, operator.ErrNotDone):
-		unavailable(w, "log_unavailable", err.Error(), refuseRetryAfter)
+		refuse(w, refusal.V1LogUnavailable, err.Error())
 	case err != nil:
-		unsure(w, "log_unavailable", err.Error(), refuseRetryAfter)
+		refuse(w, refusal.V1LogUnknown, err.Error())
 	case !g.awaitInForce(ctx, published.Version):
-		unsure(w, "policy_pending", "the policy is in the log but not yet in force at this daemon", refuseRetryAfter)
+		refuse(w, refusal.V1PolicyPending, "the policy is in the log but not yet in force at this daemon")
 	default:
 		writeDone(w, http.StatusOK, published)
 	}
@@ -182,8 +183,8 @@
 	case errors.Is(err, operator.ErrNoMachine):
 		writeProblem(w, http.StatusNotFound, Problem{Code: "unknown_machine", Field: "machine", Message: "machine: " + err.Error()})
 	case errors.Is(err, operator.ErrUnknown):
-		unsure(w, "log_unavailable", err.Error(), refuseRetryAfter)
+		refuse(w, refusal.V1LogUnknown, err.Error())
 	default:
-		unavailable(w, "log_unavailable", err.Error(), refuseRetryAfter)
+		refuse(w, refusal.V1LogUnavailable, err.Error())
 	}
 }
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -13,6 +13,7 @@
 	"woodworks/internal/api/operator"
 	"woodworks/internal/api/policy"
 	"woodworks/internal/api/rollout"
+	"woodworks/internal/requests/refusal"
 )
 
 const (
@@ -57,7 +58,7 @@
 	}
 	configuration, there := g.parts.Configuration()
 	if !there {
-		unavailable(w, "no_configuration", "this daemon knows no policies yet", refuseRetryAfter)
+		refuse(w, refusal.V1NoConfiguration, "this daemon knows no policies yet")
 		return delivery.Trainer{}, false
 	}
 	declared, known := configuration.Policies.Trainers[name]
@@ -93,9 +94,9 @@
 	case errors.Is(err, delivery.ErrConflict):
 		writeProblem(w, http.StatusConflict, Problem{Code: "name_taken", Field: "name", Message: "name: another batch of this trainer has this name and other content"})
 	case errors.Is(err, delivery.ErrUnavailable):
-		unavailable(w, "log_unavailable", err.Error(), refuseRetryAfter)
+		refuse(w, refusal.V1LogUnavailable, err.Error())
 	default:
-		unsure(w, "batch_unsure", err.Error()+"; submit it again under the same name", refuseRetryAfter)
+		refuse(w, refusal.V1BatchUnsure, err.Error()+"; submit it again under the same name")
 	}
 }
 
@@ -139,8 +140,9 @@
 		problem.Code = "samples_unusable"
 		return http.StatusBadGateway, problem
 	default:
-		problem.Code, problem.RetryAfterMillis = "delivery_failed", refuseRetryAfter.Milliseconds()
-		return http.StatusServiceUnavailable, problem
+		problem = problemFor(refusal.V1DeliveryFailed, err.Error())
+		problem.Outcome = NotExecuted
+		return refusal.V1DeliveryFailed.Status, problem
 	}
 }
 
@@ -170,7 +172,7 @@
 	case err == nil:
 		writeDone(w, http.StatusOK, statusWord{Status: "ended"})
 	case errors.Is(err, delivery.ErrUnsure):
-		unsure(w, "end_unsure", err.Error()+"; end it again", refuseRetryAfter)
+		refuse(w, refusal.V1EndUnsure, err.Error()+"; end it again")
 	default:
 		writeDeliveryError(w, err)
 	}
@@ -220,10 +222,7 @@
 	lines := lineWriter{encoder: json.NewEncoder(w), controller: http.NewResponseController(w)}
 	for r.Context().Err() == nil {
 		if g.stopping() {
-			lines.write(problemBody{Error: Problem{
-				Code: "stopping", Outcome: Unknown, RetryAfterMillis: refuseRetryAfter.Milliseconds(),
-				Message: "this daemon is being stopped; follow at another with the last cursor",
-			}})
+			lines.write(problemBody{Error: problemFor(refusal.V1FollowEnded, "this daemon is being stopped; follow at another with the last cursor")})
 			return
 		}
 		pull.Wait = followWait
@@ -320,8 +319,8 @@
 	case err == nil:
 		writeDone(w, http.StatusOK, announceAnswer{Trainer: name, Version: newest})
 	case errors.Is(err, operator.ErrUnknown):
-		unsure(w, "log_unavailable", err.Error(), refuseRetryAfter)
+		refuse(w, refusal.V1LogUnknown, err.Error())
 	default:
-		unavailable(w, "log_unavailable", err.Error(), refuseRetryAfter)
+		refuse(w, refusal.V1LogUnavailable, err.Error())
 	}
 }
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -13,6 +13,7 @@
 
 	"woodworks/internal/api/permit"
 	"woodworks/internal/api/policy"
+	"woodworks/internal/requests/refusal"
 )
 
 // KeyHeader carries a caller's key for a non-repeatable request. Its name is
@@ -202,17 +203,16 @@
 		writeAnswer(w, outcome)
 		return
 	}
-	writeProblem(w, http.StatusConflict, Problem{
-		Code: "earlier_try_lost", Message: "an earlier try with this key may have run, and its outcome is not known",
-		Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: refuseRetryAfter.Milliseconds(),
-	})
+	problem := problemFor(refusal.V1EarlierTryLost, "an earlier try with this key may have run, and its outcome is not known")
+	problem.ThisTry = notSent
+	writeProblem(w, refusal.V1EarlierTryLost.Status, problem)
 }
 
 // refuseClaim answers a try that got no permit. It was not sent.
 func (g *Gateway) refuseClaim(w http.ResponseWriter, err error) {
-	problem := Problem{Code: "log_unavailable", Message: "no permit for the key", RetryAfterMillis: refuseRetryAfter.Milliseconds()}
+	reason := refusal.V1LogUnavailable
 	if errors.Is(err, permit.ErrUnknown) {
-		problem.Code = "permit_unsure"
+		reason = refusal.V1PermitUnsure
 	}
-	writeProblem(w, http.StatusServiceUnavailable, problem)
+	refuse(w, reason, "no permit for the key")
 }
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -8,6 +8,8 @@
 	"net/url"
 	"strconv"
 	"time"
+
+	"woodworks/internal/requests/refusal"
 )
 
 // maxAnswerBytes bounds a back end's answer, in bytes.
@@ -94,34 +96,35 @@
 // problem is what to tell a caller of a reply that is no back end's answer.
 func (p *reply) problem() (int, Problem) {
 	if p.cut {
-		return http.StatusBadGateway, Problem{Code: "answer_cut_off", Message: "the back end's answer did not come whole", Outcome: Unknown}
+		return refusal.V1CutOff.Status, problemFor(refusal.V1CutOff, "the back end's answer did not come whole")
 	}
 	return problemOf(p.status, p.header)
 }
 
-// retryAfterOf is when the ingress told the caller to come back.
-func retryAfterOf(header http.Header) time.Duration {
+// comeBackOf is a refusal of the ingress with the time to return that it told the caller.
+func comeBackOf(reason refusal.Reason, header http.Header) refusal.Reason {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil {
-		return refuseRetryAfter
+		return reason
 	}
-	return time.Duration(seconds * float64(time.Second))
+	return reason.In(time.Duration(seconds * float64(time.Second)))
 }
 
 // problemOf turns a final answer of the ingress into a problem.
 func problemOf(status int, header http.Header) (int, Problem) {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		wait := retryAfterOf(header)
+		problem := problemFor(comeBackOf(refusal.V1NoReplica, header), "no replica of the service took the request")
 		if ended := header.Get(QuarantinedHeader); ended != "" {
-			return status, Problem{Code: "quarantined", Message: ended + " replicas of the service ended while they ran this content", Outcome: NotExecuted, RetryAfterMillis: wait.Milliseconds()}
+			problem = problemFor(comeBackOf(refusal.V1Quarantined, header), ended+" replicas of the service ended while they ran this content")
 		}
-		return status, Problem{Code: "no_replica", Message: "no replica of the service took the request", Outcome: NotExecuted, RetryAfterMillis: wait.Milliseconds()}
+		problem.Outcome = NotExecuted
+		return status, problem
 	case http.StatusNotFound:
 		return status, Problem{Code: "unknown_service", Message: "the configuration in force has no such service", Outcome: NotExecuted}
 	case http.StatusGatewayTimeout:
-		return status, Problem{Code: "timed_out", Message: "no whole answer came in time", Outcome: Unknown}
+		return status, problemFor(refusal.V1TimedOut, "no whole answer came in time")
 	default:
-		return http.StatusBadGateway, Problem{Code: "back_end_failed", Message: "no replica gave a whole answer", Outcome: Unknown}
+		return refusal.V1Failed.Status, problemFor(refusal.V1Failed, "no replica gave a whole answer")
 	}
 }
--- a/internal/daemon/node/handoff.go
+++ b/internal/daemon/node/handoff.go
@@ -20,15 +20,9 @@
 		Name: node.settings.Name, Identity: node.identity, Peers: node.relay, Direct: forwarder,
 		Connected:     func(service string) bool { return connected(forwarder, service) },
 		Configuration: node.operator.Configuration, Quarantine: node.quarantine.table,
-		MayRetry: func(found *route.Route, offers int) bool {
-			return node.handler.Retries == nil || node.handler.Retries.May(found, offers)
-		},
-		Ran: func(tenant string, sentAt time.Time) {
-			if node.handler.Ran != nil {
-				node.handler.Ran(tenant, sentAt)
-			}
-		},
-		Clock: bootclock.Now, Logger: node.logger, Observe: node.metrics.HandedOn,
+		MayRetry: func(rt *route.Route, offers int) bool { return node.handler.Retries.May(rt, offers) },
+		Ran:      func(tenant string, sentAt time.Time) { node.handler.Ran(tenant, sentAt) },
+		Clock:    bootclock.Now, Logger: node.logger, Observe: node.metrics.HandedOn,
 	})
 	node.handler.Plain = handing
 	node.handed = handing.Service(node.context)
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -18,6 +18,7 @@
 	"woodworks/internal/batches/results"
 	"woodworks/internal/batches/runner"
 	"woodworks/internal/callers/usage"
+	"woodworks/internal/daemon/bootclock"
 	"woodworks/internal/daemon/metrics"
 	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/daemon/settings"
@@ -218,7 +219,8 @@
 	node.runner.SetLocator(node.results)
 	node.holding = holding.New(node.settings.Limits.Held())
 	node.handler = &ingress.Handler{
-		Names: drivers.Headers, Codec: drivers.Codec, Configuration: node.operator.Configuration, Forwarder: forwarder,
+		Names: drivers.Headers, Codec: drivers.Codec, Configuration: node.operator.Configuration, Forwarder: forwarder, Plain: forwarder,
+		Clock: bootclock.Now, Retries: ingress.NoRetryPolicy{}, Ran: func(string, time.Time) {},
 		Runner: node.runner, Results: node.results, Observer: node.metrics, Logger: logger,
 		ConfigurationAge: node.configurationAge, Stop: node.shutdown, Admission: newAdmission(node), Holding: node.holding, Unread: node.settings.Timing.Unread.Std(),
 		Keys: ingress.KeyPolicy{TrustKnown: node.settings.Timing.KeyBound.Std(), TrustUnknown: contact},
--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -2,6 +2,8 @@
 
 import (
 	"time"
+
+	"woodworks/internal/requests/refusal"
 )
 
 // oldestEvery is how often, one start in so many, the request goes first that has waited
@@ -123,8 +125,6 @@
 	// leastComeBack is the shortest time that a refused caller is told to wait: a
 	// few requests' time.
 	leastComeBack = 100 * time.Millisecond
-	// comeBackPart is the part of the time left, one in so many, that it is told at most.
-	comeBackPart = 3
 	// lowestRank is from which rank on callers are told the same.
 	lowestRank = 3
 )
@@ -133,7 +133,7 @@
 // half of that time, so that callers refused together do not return together, and sooner the higher
 // its rank. Draw is between 0 and 1.
 func ComeBack(drain, left time.Duration, rank int, draw float64) time.Duration {
-	most := min(max(2*drain, 2*leastComeBack), max(left/comeBackPart, 0))
+	most := refusal.Within(max(2*drain, 2*leastComeBack), left)
 	place := (float64(min(max(rank, 0), lowestRank)) + draw) / (lowestRank + 1)
 	return most/2 + time.Duration(place*float64(most/2))
 }
--- a/internal/requests/forward/admit.go
+++ b/internal/requests/forward/admit.go
@@ -9,6 +9,7 @@
 
 	"woodworks/internal/replicas/replica"
 	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/refusal"
 )
 
 // QuarantinedError says that a request was not sent, as replicas have ended under its
@@ -67,9 +68,9 @@
 	case quarantine.Alone:
 		release = got.End
 	case quarantine.Wait:
-		refused = &QuarantinedError{RetryAfter: suspectPause, over: got.Over}
+		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, over: got.Over}
 	case quarantine.Elsewhere:
-		refused = &QuarantinedError{RetryAfter: suspectPause, Elsewhere: true}
+		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, Elsewhere: true}
 	case quarantine.Refused:
 		refused = &QuarantinedError{Ended: got.Ended, RetryAfter: got.RetryAfter, Final: got.Final}
 	default: // quarantine.Free
@@ -93,10 +94,6 @@
 // at once to come back.
 const decisionWait = 300 * time.Millisecond
 
-// suspectPause is when a content should be asked for again that other runs keep waiting:
-// most requests to plain services are over by then.
-const suspectPause = 100 * time.Millisecond
-
 // others returns the starts of the other replicas of a replica's service.
 func (forwarder *Forwarder) others(chosen replica.Replica) []string {
 	var starts []string
--- a/internal/requests/ingress/batches.go
+++ b/internal/requests/ingress/batches.go
@@ -10,20 +10,17 @@
 
 	"woodworks/internal/batches/results"
 	"woodworks/internal/batches/runner"
+	"woodworks/internal/requests/refusal"
 )
 
-const (
-	// submitTimeout bounds how long a submission is held while the journal
-	// does not answer.
-	submitTimeout = 2500 * time.Millisecond
-	// storeRetryAfter is when to come back after the journal did not answer.
-	storeRetryAfter = 400 * time.Millisecond
-)
+// submitTimeout bounds how long a submission or an end is held while the journal does not
+// answer.
+const submitTimeout = 2500 * time.Millisecond
 
 // serveSubmission keeps a batch. Only an acknowledged record is accepted.
 func (r *request) serveSubmission(body []byte) {
 	if r.req.Method != http.MethodPost {
-		r.fail(http.StatusMethodNotAllowed, "malformed", "batches are submitted by POST")
+		r.refuse(refusal.WrongMethod, "batches are submitted by POST")
 		return
 	}
 	submission, err := r.handler.Codec.DecodeSubmission(body)
@@ -31,7 +28,7 @@
 		err = errors.Errorf("%s: is missing", r.handler.Names.RequestID)
 	}
 	if err != nil {
-		r.fail(http.StatusBadRequest, "malformed", err.Error())
+		r.refuse(refusal.Malformed, err.Error())
 		return
 	}
 	submission.ID, submission.Host, submission.Path = r.id, r.req.Host, r.req.RequestURI
@@ -52,11 +49,11 @@
 func (r *request) notKept(err error) {
 	switch {
 	case errors.Is(err, runner.ErrStopping):
-		r.refuse(err.Error(), stopRetryAfter)
+		r.refuse(refusal.Stopping, err.Error())
 	case errors.Is(err, runner.ErrNotDone):
-		r.refuse(err.Error(), storeRetryAfter)
+		r.refuse(refusal.StoreSilent, err.Error())
 	default:
-		r.fail(http.StatusGatewayTimeout, "unknown", err.Error())
+		r.refuse(refusal.BatchUnknown, err.Error())
 	}
 }
 
@@ -78,16 +75,16 @@
 	wait := max(call.Wait-r.held(), 0)
 	page, err := r.handler.Results.Results(r.req.Context(), results.Query{BatchID: call.BatchID, Tenant: r.tenantName(), After: call.After, Wait: wait})
 	if err != nil {
-		r.refuse(err.Error(), storeRetryAfter)
+		r.refuse(refusal.StoreSilent, err.Error())
 		return
 	}
 	if !page.Found {
-		r.fail(http.StatusNotFound, "unknown batch", "no such batch")
+		r.refuse(refusal.UnknownBatch, "no such batch")
 		return
 	}
 	encoded, err := r.handler.Codec.EncodeResults(page)
 	if err != nil {
-		r.fail(http.StatusInternalServerError, "failed", err.Error())
+		r.refuse(refusal.PageUnreadable, err.Error())
 		return
 	}
 	r.writePage(encoded)
@@ -97,11 +94,11 @@
 func (r *request) serveItem(call BatchCall) {
 	body, err := r.handler.Results.Item(r.req.Context(), results.ItemQuery{BatchID: call.BatchID, Tenant: r.tenantName(), ItemID: call.ItemID})
 	if err != nil {
-		r.refuse(err.Error(), storeRetryAfter)
+		r.refuse(refusal.StoreSilent, err.Error())
 		return
 	}
 	if !body.Found {
-		r.fail(http.StatusNotFound, "unknown item", "no such item")
+		r.refuse(refusal.UnknownItem, "no such item")
 		return
 	}
 	r.w.Header().Set("Content-Type", "application/octet-stream")
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -22,6 +22,7 @@
 	"woodworks/internal/requests/headers"
 	"woodworks/internal/requests/holding"
 	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/refusal"
 	"woodworks/internal/requests/route"
 	"woodworks/internal/requests/upstream"
 )
@@ -76,10 +77,11 @@
 	names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Stamp: "Signature"}
 	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: kind, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	is.New(t).NoErr(err)
-	s.handler = &Handler{Names: names, Codec: plainCodec{}, Observer: s.outcomes, Logger: zap.NewNop(), Configuration: func() *route.Configuration { return cfg },
-		Holding: holding.New(holding.LimitsOf(most)),
-		Forwarder: &forward.Forwarder{Pool: upstream.NewPool(upstream.Options{ConnectTimeout: 10 * time.Second}), Table: table, Names: names,
-			Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}}
+	s.handler = bare(time.Now)
+	s.handler.Names, s.handler.Observer, s.handler.Configuration = names, s.outcomes, func() *route.Configuration { return cfg }
+	s.handler.Holding = holding.New(holding.LimitsOf(most))
+	setForwarder(s.handler, &forward.Forwarder{Pool: upstream.NewPool(upstream.Options{ConnectTimeout: 10 * time.Second}), Table: table, Names: names,
+		Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
 	s.daemon = serve(t, s.handler)
 	return s
 }
@@ -196,7 +198,7 @@
 	status, header, _, err := s.ask("/", "").read()
 	is.NoErr(err)
 	is.Equal(status, http.StatusServiceUnavailable)
-	is.Equal(secondsOf(t, header), noRoomRetryAfter)
+	is.Equal(secondsOf(t, header), refusal.NoMemory.RetryAfter)
 	is.Equal(len(s.ran), 0)
 }
 
--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -8,6 +8,7 @@
 
 	"woodworks/internal/callers/apikey"
 	"woodworks/internal/requests/headers"
+	"woodworks/internal/requests/refusal"
 	"woodworks/internal/requests/route"
 )
 
@@ -33,26 +34,26 @@
 		return true
 	}
 	key, _ := apikey.FromHeader(r.req.Header)
-	found, known := cfg.Tenants.Of(key)
+	t, known := cfg.Tenants.Of(key)
 	age := r.handler.ConfigurationAge()
 	policy := r.handler.Keys
-	refused := ""
+	unconfirmed := ""
 	switch {
 	case known && exceeded(age, policy.TrustKnown):
-		refused = "the key may have been withdrawn"
+		unconfirmed = "the key may have been withdrawn"
 	case known:
-		r.tenant = found
+		r.tenant = t
 		return true
 	case key != "" && exceeded(age, policy.TrustUnknown):
-		refused = "the key may have been added"
+		unconfirmed = "the key may have been added"
 	}
 	r.logger.Info("key refused", zap.String("key_digest", apikey.DigestOf(key).Short()), zap.Bool("sent", key != ""), zap.Bool("known", known),
 		zap.Int64("configuration", cfg.Version), zap.Duration("age", age))
-	if refused != "" {
-		r.refuse(refused, storeRetryAfter)
+	if unconfirmed != "" {
+		r.refuse(refusal.KeyUnconfirmed, unconfirmed)
 		return false
 	}
-	r.fail(http.StatusUnauthorized, "no tenant", "no tenant has this key")
+	r.refuse(refusal.NoTenant, "no tenant has this key")
 	return false
 }
 
--- a/internal/requests/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -49,8 +49,8 @@
 	req.Header.Set("Authorization", authorization)
 	req.Header.Set("X-Tenant", "forged")
 	recorder := httptest.NewRecorder()
-	handler := &Handler{Names: headers.Names{Tenant: "X-Tenant"}, Codec: plainCodec{}, Observer: noObserver{}, Keys: policy,
-		ConfigurationAge: func() time.Duration { return age }}
+	handler := bare(time.Now)
+	handler.Names, handler.Keys, handler.ConfigurationAge = headers.Names{Tenant: "X-Tenant"}, policy, func() time.Duration { return age }
 	r := &request{handler: handler, w: recorder, req: req, arrived: time.Now(), logger: zap.New(core)}
 	if r.authenticate(cfg) {
 		header := r.headerOnward(cfg)
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -133,7 +133,7 @@
 			comeBack: "0.100", outcome: "quarantined", body: "forward: another suspect runs at the replica", quarantined: true},
 		"stream: not sent":           {answer: func(r *request) { (&streamRelay{request: r}).giveUp() }, status: 503, comeBack: "0.250", outcome: "refused", body: "no replica"},
 		"stream: not sent, stop":     {answer: func(r *request) { (&streamRelay{request: r}).giveUp() }, interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "no replica"},
-		"stream: maybe run":          {answer: func(r *request) { (&streamRelay{request: r, mayHaveRun: 1, reasons: errors.New("lost")}).giveUp() }, status: 502, outcome: "failed", body: "lost"},
+		"stream: maybe run":          {answer: func(r *request) { (&streamRelay{request: r, mayHaveRun: 1, lastErr: errors.New("lost")}).giveUp() }, status: 502, outcome: "failed", body: "lost"},
 		"stream: maybe run, stop":    {answer: func(r *request) { (&streamRelay{request: r, mayHaveRun: 1}).giveUp() }, interrupted: true, status: 502, outcome: "interrupted", body: shutdown.ErrInterrupted.Error()},
 		"stream: maybe run, no time": {answer: func(r *request) { time.Sleep(left); (&streamRelay{request: r, mayHaveRun: 1}).giveUp() }, status: 504, outcome: "timed out", body: "no replica"},
 		"stream: quarantined": {answer: func(r *request) {
--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -13,10 +13,10 @@
 
 	"github.com/matryer/is"
 	"github.com/pkg/errors"
-	"go.uber.org/zap"
 
 	"woodworks/internal/batches/runner"
 	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/refusal"
 	"woodworks/internal/requests/route"
 )
 
@@ -35,7 +35,7 @@
 	cases := map[string]struct {
 		timeout, after, told time.Duration
 	}{
-		"much time left":   {10 * time.Second, 0, retryAfter},
+		"much time left":   {10 * time.Second, 0, refusal.NoReplica.RetryAfter},
 		"little time left": {325 * time.Millisecond, 0, 100 * time.Millisecond},
 		"held before":      {time.Second, 675 * time.Millisecond, 100 * time.Millisecond},
 		"no time left":     {time.Second, 2 * time.Second, 0},
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				r, recorder := askedOf(t.Context(), nil, route.Safe, one.timeout)
+				r, recorder := askedOf(t.Context(), newStop(), route.Safe, one.timeout)
 				time.Sleep(one.after)
 				r.explain(&forward.Failure{Certainty: forward.NotRun})
 				is.Equal(recorder.Code, http.StatusServiceUnavailable)
@@ -62,8 +62,8 @@
 		status int
 		told   time.Duration
 	}{
-		"not done": {errors.Wrap(runner.ErrNotDone, "refused"), http.StatusServiceUnavailable, storeRetryAfter},
-		"stopping": {runner.ErrStopping, http.StatusServiceUnavailable, stopRetryAfter},
+		"not done": {errors.Wrap(runner.ErrNotDone, "refused"), http.StatusServiceUnavailable, refusal.StoreSilent.RetryAfter},
+		"stopping": {runner.ErrStopping, http.StatusServiceUnavailable, refusal.Stopping.RetryAfter},
 		"unknown":  {errors.Wrap(runner.ErrUnknown, "silent"), http.StatusGatewayTimeout, 0},
 	}
 	for name, one := range cases {
@@ -85,7 +85,9 @@
 	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{
 		Name: "r", Host: "h", PathPrefix: "/x/", Kind: route.Safe, Timeout: 100 * time.Millisecond, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	is.NoErr(err)
-	server := httptest.NewServer(&Handler{Clock: time.Now, Codec: plainCodec{}, Observer: noObserver{}, Logger: zap.NewNop(), Configuration: func() *route.Configuration { return cfg }})
+	handler := bare(time.Now)
+	handler.Configuration = func() *route.Configuration { return cfg }
+	server := httptest.NewServer(handler)
 	defer server.Close()
 	conn, err := net.Dial("tcp4", server.Listener.Addr().String())
 	is.NoErr(err)
--- a/internal/requests/ingress/stop.go
+++ b/internal/requests/ingress/stop.go
@@ -6,26 +6,20 @@
 	"go.uber.org/zap"
 
 	"woodworks/internal/daemon/shutdown"
+	"woodworks/internal/requests/refusal"
 	"woodworks/internal/requests/route"
 )
 
-// stopRetryAfter is when a client that this daemon turns away as it stops should come
-// back. Other daemons take it at once; a few round trips spread those that come together.
-const stopRetryAfter = 50 * time.Millisecond
-
 // endsInTime reports whether a planned stop leaves the request its time. One that it
 // might interrupt is turned away at once, to a daemon that has the time.
 func (r *request) endsInTime() bool {
-	if r.handler.Stop == nil {
-		return true
-	}
 	left, bounded := r.handler.Stop.Left()
 	needed := r.timeNeeded()
 	if !bounded || needed <= left {
 		return true
 	}
 	r.logger.Info("turned away by the stop", zap.Duration("needed", needed), zap.Duration("left", left))
-	r.refuse(shutdown.ErrInterrupted.Error(), stopRetryAfter)
+	r.refuse(refusal.Stopping, shutdown.ErrInterrupted.Error())
 	return false
 }
 
@@ -42,14 +36,4 @@
 func (r *request) interrupted() bool { return shutdown.Interrupted(r.req.Context()) }
 
 // clientLeft reports whether nobody waits for the answer any more.
-func (r *request) clientLeft() bool {
-	return r.req.Context().Err() != nil && !r.interrupted()
-}
-
-// comeBack is when a client should send a request again that has not run.
-func (r *request) comeBack() time.Duration {
-	if r.interrupted() {
-		return stopRetryAfter
-	}
-	return retryAfter
-}
+func (r *request) clientLeft() bool { return r.req.Context().Err() != nil && !r.interrupted() }
--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -11,16 +11,33 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
+	"woodworks/internal/daemon/bootclock"
 	"woodworks/internal/daemon/shutdown"
+	"woodworks/internal/requests/admission"
 	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/holding"
 	"woodworks/internal/requests/route"
 )
 
+// bare is a handler without replicas and routes, that bounds and counts nothing.
+func bare(clock bootclock.Clock) *Handler {
+	return &Handler{Clock: clock, Codec: plainCodec{}, Observer: noObserver{}, Logger: zap.NewNop(), Stop: newStop(), Holding: holding.New(holding.LimitsOf(0)),
+		Retries: NoRetryPolicy{}, Unread: 5 * time.Second}
+}
+
+// setForwarder gives a handler the replicas of a forwarder.
+func setForwarder(handler *Handler, forwarder *forward.Forwarder) {
+	handler.Forwarder, handler.Plain = forwarder, forwarder
+	handler.Admission = admission.New(admission.Options{Replicas: forwarder.Table.Replicas, Daemons: func() int { return 1 }, Clock: handler.Clock,
+		Observe: func(string, string, time.Duration) {}, Logger: zap.NewNop()})
+}
+
 // askedOf returns a request for a route of a daemon that may be stopping, with where its
 // answer goes.
 func askedOf(ctx context.Context, stop *shutdown.Stop, kind route.Kind, timeout time.Duration) (*request, *httptest.ResponseRecorder) {
 	recorder := httptest.NewRecorder()
-	handler := &Handler{Clock: time.Now, Codec: plainCodec{}, Observer: noObserver{}, Stop: stop}
+	handler := bare(time.Now)
+	handler.Stop = stop
 	return &request{
 		handler: handler, w: recorder, req: httptest.NewRequest(http.MethodPost, "/x", nil).WithContext(ctx),
 		arrived: time.Now(), logger: zap.NewNop(), route: &route.Route{Kind: kind, Timeout: timeout},
@@ -101,7 +118,8 @@
 		cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{
 			Name: "r", Host: "example.com", PathPrefix: "/x/", Kind: route.Stream, Timeout: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 		is.NoErr(err)
-		handler := &Handler{Clock: time.Now, Codec: plainCodec{}, Observer: noObserver{}, Logger: zap.NewNop(), Stop: stop, Configuration: func() *route.Configuration { return cfg }}
+		handler := bare(time.Now)
+		handler.Stop, handler.Configuration = stop, func() *route.Configuration { return cfg }
 		recorder, late := httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/x/1", nil)
 		handler.ServeHTTP(recorder, late)
 		is.Equal(recorder.Code, http.StatusServiceUnavailable)
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -10,7 +10,6 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/daemon/shutdown"
 	"woodworks/internal/replicas/replica"
 	"woodworks/internal/requests/forward"
 	"woodworks/internal/requests/headers"
@@ -18,45 +17,43 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// relay passes the events of one or more replicas on as one answer.
+// streamRelay passes the events of one or more replicas on as one answer.
 type streamRelay struct {
 	*request
-	call       *forward.StreamRequest
-	tried      map[string]bool
-	mayHaveRun int
-	notRun     int
-	began      bool
+	call  *forward.StreamRequest
+	tried map[string]bool
+	// mayHaveRun counts the attempts that ran or may have, notRun those that did not.
+	mayHaveRun, notRun int
+	began              bool
 	// unread says that the client has not taken an event: no other replica changes that.
-	unread  bool
-	reasons error
+	unread bool
+	// lastErr is why the last attempt failed.
+	lastErr error
 	// quarantined, if not nil, is why the stream may not run now.
 	quarantined *forward.QuarantinedError
 }
 
-// maxNotRun is how often a stream that was certainly not run is offered again.
-const maxNotRun = 4
-
 // serveStream passes a stream on. Without the right to resume it, it is
 // offered again only as long as it has certainly not run.
 func (r *request) serveStream(cfg *route.Configuration, body []byte) {
 	ctx, cancel := r.bounded()
 	defer cancel()
-	relaying := &streamRelay{request: r, tried: map[string]bool{}, call: &forward.StreamRequest{
+	s := &streamRelay{request: r, tried: map[string]bool{}, call: &forward.StreamRequest{
 		RequestID: r.id, Method: r.req.Method, Target: r.req.RequestURI, Host: r.req.Host,
 		Header: r.headerOnward(cfg), Body: body, Caller: r.tenantName(),
 	}}
 	if text := r.req.Header.Get(r.handler.Names.LastEventID); text != "" {
 		if after, err := strconv.ParseInt(text, 10, 64); err == nil {
-			relaying.call.After, relaying.call.HasAfter = after, true
+			s.call.After, s.call.HasAfter = after, true
 		}
 	}
-	relaying.run(ctx)
+	s.run(ctx)
 }
 
 func (s *streamRelay) run(ctx context.Context) {
 	for {
-		chosen, found := s.choose()
-		if !found {
+		chosen, ok := s.choose()
+		if !ok {
 			break
 		}
 		whole, ran, err := s.attempt(ctx, chosen)
@@ -72,15 +69,7 @@
 			}
 			continue
 		}
-		s.tried[chosen.ID] = true
-		s.replica = chosen.ID
-		s.reasons = err
-		s.logger.Info("stream attempt failed", zap.String("replica", chosen.ID), zap.Bool("may_have_run", ran), zap.Error(err))
-		if ran {
-			s.mayHaveRun++
-		} else {
-			s.notRun++
-		}
+		s.note(chosen, ran, err)
 		if !s.mayContinue(ctx) {
 			break
 		}
@@ -88,10 +77,22 @@
 	s.giveUp()
 }
 
+// note counts an attempt that failed.
+func (s *streamRelay) note(chosen replica.Replica, ran bool, err error) {
+	s.tried[chosen.ID] = true
+	s.replica, s.lastErr = chosen.ID, err
+	s.logger.Info("stream attempt failed", zap.String("replica", chosen.ID), zap.Bool("may_have_run", ran), zap.Error(err))
+	if ran {
+		s.mayHaveRun++
+	} else {
+		s.notRun++
+	}
+}
+
 func (s *streamRelay) choose() (replica.Replica, bool) {
 	for _, service := range s.route.Order(s.id) {
-		chosen, found := replica.Pick(s.handler.Forwarder.Replicas(service), s.tried, time.Now())
-		if found {
+		chosen, ok := replica.Pick(s.handler.Forwarder.Replicas(service), s.tried, time.Now())
+		if ok {
 			return chosen, true
 		}
 	}
@@ -110,24 +111,24 @@
 	case err.Await(ctx):
 		return true
 	}
-	s.quarantined, s.reasons = err, err
+	s.quarantined, s.lastErr = err, err
 	return false
 }
 
+// mayContinue reports whether another replica may go on with the stream.
 func (s *streamRelay) mayContinue(ctx context.Context) bool {
-	if ctx.Err() != nil || s.unread || s.notRun > maxNotRun || s.mayHaveRun >= max(s.route.MaxAttempts, 1) {
-		return false
-	}
-	return s.mayHaveRun == 0 || s.route.Resumable
+	tries := forward.Tries{MayHaveRun: s.mayHaveRun, NotRun: s.notRun, MaxAttempts: s.route.MaxAttempts, Repeatable: s.route.Resumable}
+	return ctx.Err() == nil && !s.unread && tries.MayRetry()
 }
 
-// attempt passes on what one replica makes of the stream.
+// attempt passes on what one replica makes of the stream. Whole says that it came to its
+// proper end, ran that the replica ran it or may have.
 func (s *streamRelay) attempt(ctx context.Context, chosen replica.Replica) (whole, ran bool, err error) {
 	forwarder := s.handler.Forwarder
 	forwarder.Table.Started(chosen.Start())
 	defer forwarder.Table.Ended(chosen.Start())
 	s.call.Deadline = s.timeLeft() + answerMargin
-	sentAt := s.handler.now()
+	sentAt := s.handler.Clock()
 	stream, err := forwarder.OpenStream(ctx, s.call, chosen)
 	var quarantined *forward.QuarantinedError
 	if errors.As(err, &quarantined) {
@@ -144,22 +145,28 @@
 		return false, ran, err
 	}
 	defer stream.Close()
+	err = s.passEvents(stream)
+	return err == nil, true, err
+}
+
+// passEvents writes the events of a stream to its proper end.
+func (s *streamRelay) passEvents(stream *forward.Stream) error {
 	for {
 		event, err := stream.Next()
 		if err == io.EOF {
 			s.begin(stream)
-			return true, true, nil
+			return nil
 		}
 		if err != nil {
-			return false, true, err
+			return err
 		}
 		if event.HasID && s.call.HasAfter && event.ID <= s.call.After {
-			return false, true, errors.Errorf("event %d after %d", event.ID, s.call.After)
+			return errors.Errorf("event %d after %d", event.ID, s.call.After)
 		}
 		s.begin(stream)
 		if err := s.writeEvent(event.Raw); err != nil {
 			s.unread = true
-			return false, true, err
+			return err
 		}
 		if event.HasID {
 			s.call.After, s.call.HasAfter = event.ID, true
@@ -183,22 +190,12 @@
 // giveUp ends the answer in a way that cannot be taken for a whole one.
 func (s *streamRelay) giveUp() {
 	reason := "no replica"
-	if s.reasons != nil {
-		reason = s.reasons.Error()
+	if s.lastErr != nil {
+		reason = s.lastErr.Error()
 	}
-	switch {
-	case s.began || s.clientLeft():
+	if s.began || s.clientLeft() {
 		s.observe(0, "broken off", reason)
 		panic(http.ErrAbortHandler)
-	case s.mayHaveRun == 0 && s.quarantined != nil:
-		s.refuseQuarantined(s.quarantined)
-	case s.mayHaveRun == 0:
-		s.refuse(reason, s.comeBack())
-	case s.interrupted():
-		s.fail(http.StatusBadGateway, "interrupted", shutdown.ErrInterrupted.Error())
-	case s.timeLeft() <= 0:
-		s.fail(http.StatusGatewayTimeout, "timed out", reason)
-	default:
-		s.fail(http.StatusBadGateway, "failed", reason)
 	}
+	s.unanswered(s.mayHaveRun == 0, s.quarantined, reason)
 }
--- a/internal/requests/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -62,10 +62,10 @@
 			cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe,
 				Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 			is.NoErr(err)
-			handler := &Handler{Clock: clock.Now, Names: names, Codec: plainCodec{}, Observer: noObserver{}, Logger: zap.NewNop(),
-				Configuration: func() *route.Configuration { return cfg },
-				Forwarder: &forward.Forwarder{Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names, Clock: clock.Now,
-					Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}}
+			handler := bare(clock.Now)
+			handler.Names, handler.Configuration = names, func() *route.Configuration { return cfg }
+			setForwarder(handler, &forward.Forwarder{Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names, Clock: clock.Now,
+				Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
 			r := httptest.NewRequest(http.MethodPost, "/x", &suspending{strings.NewReader("body"), clock, c.sleep})
 			r.Host = "h"
 			r.Header.Set("Deadline", "2000")
--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -14,10 +14,10 @@
 
 	"woodworks/internal/daemon/bootclock/clocktest"
 	"woodworks/internal/replicas/replica"
-	"woodworks/internal/requests/admission"
 	"woodworks/internal/requests/forward"
 	"woodworks/internal/requests/headers"
 	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/refusal"
 	"woodworks/internal/requests/route"
 	"woodworks/internal/requests/upstream"
 )
@@ -43,12 +43,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Handler{Clock: clock.Now, Names: names, Codec: plainCodec{}, Observer: noObserver{}, Logger: zap.NewNop(),
-		Configuration: func() *route.Configuration { return cfg },
-		Admission: admission.New(admission.Options{Replicas: table.Replicas, Daemons: func() int { return 1 }, Clock: clock.Now,
-			Observe: func(string, string, time.Duration) {}, Logger: zap.NewNop()}),
-		Forwarder: &forward.Forwarder{Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names, Clock: clock.Now,
-			Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}}, asked
+	handler := bare(clock.Now)
+	handler.Names, handler.Configuration = names, func() *route.Configuration { return cfg }
+	setForwarder(handler, &forward.Forwarder{Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names, Clock: clock.Now,
+		Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
+	return handler, asked
 }
 
 func askFull(handler *Handler, deadline string) *httptest.ResponseRecorder {
@@ -76,7 +75,7 @@
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), int32(mostTurns))
 	is.True(secondsOf(t, recorder.Header()) > 0)
-	is.True(secondsOf(t, recorder.Header()) < 20*time.Second/comeBackPart)
+	is.True(secondsOf(t, recorder.Header()) < refusal.Within(time.Hour, 20*time.Second))
 }
 
 // Engines have queues of their own.
--- a/internal/requests/quarantine/table.go
+++ b/internal/requests/quarantine/table.go
@@ -51,6 +51,7 @@
 
 	"woodworks/internal/daemon/bootclock"
 	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/refusal"
 )
 
 const (
@@ -71,11 +72,6 @@
 	aloneWait = 5 * time.Second
 	// retryAfterEnd is how long after its last end a refused content may run once more.
 	retryAfterEnd = 15 * time.Second
-	// refusedRetryAfter is what a caller is told of a content that is refused for good.
-	// It is no promise to serve it then, but keeps a caller from asking at once.
-	refusedRetryAfter = time.Minute
-	// busyRetryAfter is what a caller is told whose content may soon run alone.
-	busyRetryAfter = time.Second
 )
 
 // Table is what a daemon knows of contents under which replicas have ended. It is safe
@@ -180,11 +176,11 @@
 	refused := Refused{Ended: found.ends()}
 	switch {
 	case found.refused() && (found.Keeper != t.machine || found.Retried):
-		refused.RetryAfter, refused.Final = refusedRetryAfter, true
+		refused.RetryAfter, refused.Final = refusal.Quarantined.RetryAfter, true
 	case found.refused() && since < retryAfterEnd:
 		refused.RetryAfter = retryAfterEnd - since
 	case found.deciding == nil && since < aloneWait && !found.anyUp(others(), now):
-		refused.RetryAfter = min(busyRetryAfter, aloneWait-since)
+		refused.RetryAfter = min(refusal.SuspectAlone.RetryAfter, aloneWait-since)
 	default:
 		return Refused{}, false
 	}
