--- a/internal/batches/results/share.go
+++ b/internal/batches/results/bandwidth.go
@@ -14,13 +14,12 @@
 	recoverTime = 30 * time.Second
 )
 
-// share is the part of what a journal grants that it is seen to send: halved when a read is
+// bandwidthShare is the part of what a journal grants that it is seen to send: halved when a read is
 // late, and rising steadily otherwise. It is safe for concurrent use.
 //
 // A journal may send less than it grants, to some or to all, for seconds or for good. Daemons
 // that go by the grant then ask for more than comes, each read is given up before its end, and
-// nobody learns anything however long they ask: with a journal that carries a quarter of its
-// grant, 68 of 72 callers had no answer in 15 s after a start of all, with shares all had (virtual time).
+// nobody learns anything however long they ask.
 type bandwidthShare struct {
 	mu     sync.Mutex
 	part   float64
@@ -55,7 +54,7 @@
 	return !s.halved.IsZero() && now.Sub(s.halved) < ownReadTime
 }
 
-// rise brings the part up to date. The mutex is held.
+// update brings the part up to date. The mutex is held.
 func (s *bandwidthShare) update(now time.Time) float64 {
 	if now.After(s.at) {
 		s.part = min(s.part+now.Sub(s.at).Seconds()/recoverTime.Seconds(), 1)
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -5,17 +5,13 @@
 	"sync"
 	"time"
 
-	"github.com/pkg/errors"
-	"go.uber.org/zap"
 	"golang.org/x/time/rate"
-
-	"woodworks/internal/batches/ledger"
 )
 
 const (
 	// ownReadShare is the part of the journal's bandwidth that all daemons together use
 	// to read partitions for questions. The other half is left to those who must read: the
-	// holders of partitions, and the followers of configurations and replicas.
+	// watchers of partitions, and the followers of configurations and replicas.
 	ownReadShare = 0.5
 	// ownReadTime is for how long a daemon saves up what it does not read: questions of
 	// one caller about one batch come some seconds apart.
@@ -24,11 +20,7 @@
 
 // readBudget is what this daemon may read for questions: its part of a share of the
 // journal's bandwidth, by what the journal is seen to send. It begins empty, so that after a
-// start of all daemons at once the bandwidth belongs to the holders of partitions.
-//
-// With 91 daemons before a journal of 80 MB a second, 36 batches of 2 MB that are asked for at
-// any of them are all told 1.9 s after a start of all and 125 MB read, in place of none after 8 s
-// and 685 MB (virtual time).
+// start of all daemons at once the bandwidth belongs to the watchers of partitions.
 type readBudget struct {
 	bytesPerSecond float64
 	daemons        func() int
@@ -36,7 +28,7 @@
 	share          *bandwidthShare
 
 	mu sync.Mutex
-	// known is how many daemons there were at the last look.
+	// daemonsSeen is how many daemons there were at the last look.
 	daemonsSeen int
 }
 
@@ -116,75 +108,3 @@
 	}
 	return nil
 }
-
-// budgetLeft is how many bytes this daemon may read for questions now, 0 where it has no budget.
-func (r *Reader) budgetLeft() int {
-	if r.budget == nil {
-		return 0
-	}
-	return r.budget.left()
-}
-
-// affords reports whether this daemon may read what it lacks of a partition. How much that
-// is shows with the first page.
-func (r *Reader) affords(ctx context.Context, partition *ledger.Partition) bool {
-	if r.budget == nil {
-		return true
-	}
-	missing, ok := partition.Missing()
-	if !ok {
-		if !r.budget.takePage(r.ledger.PageBytes()) {
-			return false
-		}
-		if err := r.readPage(ctx, partition); err != nil {
-			r.logger.Info("page not read, the holder is asked", zap.String("topic", partition.Name().Topic),
-				zap.Int("partition", partition.Name().Number), zap.Error(err))
-			return false
-		}
-		missing, _ = partition.Missing()
-	}
-	return missing == 0 || r.budget.take(missing)
-}
-
-// readPaced reads a partition whose holder cannot be asked, at the pace of the budget; the first
-// page at once, unless the journal has been late; and no more once the fold is ready to answer. What
-// was read counts at the next question, also where the context ends before the partition does. The
-// error wraps ErrBehind.
-func (r *Reader) readPaced(ctx context.Context, partition *ledger.Partition, ready func() bool) error {
-	for unpaced := !r.budget.reduced(); ; unpaced = false {
-		missing, ok := partition.Missing()
-		if ok && missing == 0 || ready() {
-			return nil
-		}
-		if !unpaced {
-			if err := r.budget.await(ctx, r.nextPage(missing, ok)); err != nil {
-				return errors.Wrap(ErrBehind, err.Error())
-			}
-		}
-		if err := r.readPage(ctx, partition); err != nil {
-			return err
-		}
-	}
-}
-
-// readPage reads a page, and tells the budget if the journal was late with it: if it did not come
-// in the time that the holder would have had.
-func (r *Reader) readPage(ctx context.Context, partition *ledger.Partition) error {
-	began := time.Now()
-	_, err := partition.ReadPage(ctx)
-	if err == nil {
-		return nil
-	}
-	if time.Since(began) >= watcherTimeout {
-		r.budget.late()
-	}
-	return errors.Wrap(ErrBehind, err.Error())
-}
-
-// nextPage is what the next page of a partition brings at most, in bytes.
-func (r *Reader) nextPage(missing int, ok bool) int {
-	if !ok {
-		return r.ledger.PageBytes()
-	}
-	return min(missing, r.ledger.PageBytes())
-}
--- /dev/null
+++ b/internal/batches/results/fold.go
@@ -0,0 +1,248 @@
+package results
+
+import (
+	"cmp"
+	"context"
+	"time"
+
+	"github.com/pkg/errors"
+	"go.uber.org/zap"
+
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/daemon/periodic"
+)
+
+// resultsHere answers from the fold of this daemon. That there are no results is said
+// only after a read of the journal that was begun after the question came.
+func (r *Reader) resultsHere(ctx context.Context, query Query) (Page, error) {
+	began := time.Now()
+	partition := r.ledger.Of(query.BatchID)
+	seen := lookUp(partition, query)
+	switch {
+	case len(seen.Results) == 0:
+		if seen, err := awaitFold(ctx, partition, query); len(seen.Results) > 0 || err != nil {
+			return seen, err
+		}
+		if err := mayDeny(partition, query.BatchID); err != nil && !query.Samples.further() {
+			return Page{}, err
+		}
+		seen = lookUp(partition, query)
+	case seen.Next < seen.Total && time.Since(partition.LastRead()) > staleAfter:
+		r.refresh(ctx, partition)
+		seen = lookUp(partition, query)
+	}
+	left := query.Wait - time.Since(began)
+	if seen.Found && len(seen.Results) == 0 && left > 0 && query.After < seen.Total {
+		seen = awaitResults(ctx, partition, query, left)
+	}
+	return seen, nil
+}
+
+// refresh reads the journal up to now if it answers soon. There may be more results by
+// now, but those known are true all the same.
+func (r *Reader) refresh(ctx context.Context, partition *ledger.Partition) {
+	bounded, cancel := context.WithTimeout(ctx, refreshTimeout)
+	defer cancel()
+	if err := partition.CatchUp(bounded); err != nil {
+		r.logger.Debug("answered from an older fold", zap.String("topic", partition.Name().Topic), zap.Int("partition", partition.Name().Number), zap.Error(err))
+	}
+}
+
+// itemHere answers from the fold of this daemon.
+func (r *Reader) itemHere(ctx context.Context, query ItemQuery) (Body, error) {
+	partition := r.ledger.Of(query.BatchID)
+	if body := itemBody(partition, query); body.Found {
+		return body, nil
+	}
+	if err := catchUp(ctx, partition); err != nil {
+		return Body{}, err
+	}
+	if err := mayDeny(partition, query.BatchID); err != nil {
+		return Body{}, err
+	}
+	return itemBody(partition, query), nil
+}
+
+// mayDeny returns an error where the fold does not know a batch although it may exist:
+// its records may have been removed before this daemon read them, while others did.
+func mayDeny(partition *ledger.Partition, batchID string) error {
+	ok := false
+	partition.View(func(state *batch.State) { _, ok = state.Get(batchID) })
+	if !ok && partition.Missed() {
+		return errors.Wrap(ErrBehind, "the partition's oldest records are gone")
+	}
+	return nil
+}
+
+// catchUp reads the journal up to now.
+func catchUp(ctx context.Context, partition *ledger.Partition) error {
+	bounded, cancel := context.WithTimeout(ctx, catchUpTimeout)
+	defer cancel()
+	if err := partition.CatchUp(bounded); err != nil {
+		return errors.Wrap(ErrBehind, err.Error())
+	}
+	return nil
+}
+
+// catchUpWithin reads the journal up to now, again and again for as long as the caller
+// waits anyway: one that is sent away in an outage comes back after its end, one that waits
+// has its answer at the end.
+func catchUpWithin(ctx context.Context, partition *ledger.Partition, wait time.Duration) error {
+	until := time.Now().Add(wait)
+	for {
+		err := catchUp(ctx, partition)
+		if err == nil || ctx.Err() != nil || time.Now().Add(catchUpPause).After(until) {
+			return err
+		}
+		periodic.Pause(ctx, catchUpPause)
+	}
+}
+
+// awaitFold reads the journal up to now, or until the fold has results: of a long partition
+// they may be there seconds before its end.
+func awaitFold(ctx context.Context, partition *ledger.Partition, query Query) (seen Page, err error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	read := make(chan error, 1)
+	go func() { read <- catchUpWithin(ctx, partition, query.Wait) }()
+	for {
+		changed := partition.Changed()
+		if seen := lookUp(partition, query); len(seen.Results) > 0 {
+			return seen, nil
+		}
+		select {
+		case <-changed:
+		case err := <-read:
+			return Page{}, err
+		}
+	}
+}
+
+// awaitResults follows the partition until there is a result or the time is up.
+func awaitResults(ctx context.Context, partition *ledger.Partition, query Query, left time.Duration) Page {
+	release := partition.Follow()
+	defer release()
+	timer := time.NewTimer(left)
+	defer timer.Stop()
+	for {
+		changed := partition.Changed()
+		seen := lookUp(partition, query)
+		if len(seen.Results) > 0 {
+			return seen
+		}
+		select {
+		case <-changed:
+		case <-timer.C:
+			return seen
+		case <-ctx.Done():
+			return seen
+		}
+	}
+}
+
+// lookUp returns what the fold says of a batch now.
+func lookUp(partition *ledger.Partition, query Query) Page {
+	var seen Page
+	partition.View(func(state *batch.State) {
+		b, ok := state.Get(query.BatchID)
+		if !ok || !b.BelongsTo(query.Tenant) {
+			return
+		}
+		seen.Found = true
+		seen.Total = b.Total()
+		seen.Next = query.After
+		seen.Round = query.Samples.round(b)
+		size := 0
+		for position := query.After; position < len(b.Results); position++ {
+			result, item := b.Results[position], &b.Items[b.Results[position].Item]
+			if query.Samples.want(item.ID) {
+				size += len(result.Text)
+				if len(seen.Results) > 0 && (size > cmp.Or(query.most, pageBytes) || query.Samples.full(len(seen.Results))) {
+					break
+				}
+				seen.Results = append(seen.Results, query.Samples.result(item, result))
+			}
+			seen.Next = position + 1
+		}
+	})
+	seen.readSeeds()
+	return seen
+}
+
+// itemBody returns the body of an item of an open batch.
+func itemBody(partition *ledger.Partition, query ItemQuery) (body Body) {
+	partition.View(func(state *batch.State) {
+		b, ok := state.Get(query.BatchID)
+		if !ok || !b.BelongsTo(query.Tenant) || b.Ended {
+			return
+		}
+		for _, item := range b.Items {
+			if item.ID == query.ItemID {
+				body = Body{Found: true, Bytes: item.Body}
+				return
+			}
+		}
+	})
+	return body
+}
+
+// itemsHere answers from the fold of this daemon, after a read of the journal that is begun
+// after the question came.
+func (r *Reader) itemsHere(ctx context.Context, query ItemsQuery) (Items, error) {
+	partition := r.ledger.Of(query.BatchID)
+	if err := catchUp(ctx, partition); err != nil {
+		return Items{}, err
+	}
+	if err := mayDeny(partition, query.BatchID); err != nil {
+		return Items{}, err
+	}
+	return itemsOf(partition, query), nil
+}
+
+// itemsOf returns the items that the fold holds.
+func itemsOf(partition *ledger.Partition, query ItemsQuery) (items Items) {
+	partition.View(func(state *batch.State) {
+		b, ok := state.Get(query.BatchID)
+		if !ok {
+			return
+		}
+		items.Found, items.Ended = true, b.Ended
+		size := 0
+		for _, place := range query.Places {
+			if b.Ended || place < 0 || place >= len(b.Items) {
+				return
+			}
+			size += len(b.Items[place].Body)
+			if len(items.Items) > 0 && size > cmp.Or(query.most, pageBytes) {
+				return
+			}
+			items.Items = append(items.Items, b.Items[place])
+		}
+	})
+	return items
+}
+
+// beginningHere answers from the fold of this daemon.
+func (r *Reader) beginningHere(ctx context.Context, query BeginningQuery) (Beginning, error) {
+	partition := r.ledger.Of(query.BatchID)
+	offset, ok := beginningOf(partition, query.BatchID)
+	if ok {
+		return Beginning{Found: true, Offset: offset}, nil
+	}
+	if err := catchUp(ctx, partition); err != nil {
+		return Beginning{}, err
+	}
+	offset, ok = beginningOf(partition, query.BatchID)
+	return Beginning{Found: ok, Offset: offset}, nil
+}
+
+// beginningOf returns where a batch begins that the fold knows.
+func beginningOf(partition *ledger.Partition, batchID string) (offset int64, found bool) {
+	partition.View(func(state *batch.State) {
+		if b, ok := state.Get(batchID); ok {
+			offset, found = b.Offset, true
+		}
+	})
+	return offset, found
+}
--- /dev/null
+++ b/internal/batches/results/future.go
@@ -0,0 +1,46 @@
+package results
+
+// future is an answer on its way.
+type future[T any] struct {
+	// done is closed at its end; answer and err are set before.
+	done   chan struct{}
+	answer T
+	err    error
+}
+
+// async calls get in a goroutine of its own.
+func async[T any](get func() (T, error)) *future[T] {
+	f := &future[T]{done: make(chan struct{})}
+	go func() {
+		defer close(f.done)
+		f.answer, f.err = get()
+	}()
+	return f
+}
+
+// awaitEither waits until one of two futures has succeeded, or both have ended.
+func awaitEither[A, B any](a *future[A], b *future[B]) {
+	select {
+	case <-a.done:
+		if a.err != nil {
+			<-b.done
+		}
+	case <-b.done:
+		if b.err != nil {
+			<-a.done
+		}
+	}
+}
+
+// ended reports whether the future has ended.
+func (f *future[T]) ended() bool {
+	select {
+	case <-f.done:
+		return true
+	default:
+		return false
+	}
+}
+
+// succeeded reports whether the future has ended with an answer.
+func (f *future[T]) succeeded() bool { return f.ended() && f.err == nil }
--- /dev/null
+++ b/internal/batches/results/ownread.go
@@ -0,0 +1,108 @@
+package results
+
+import (
+	"context"
+	"time"
+
+	"github.com/pkg/errors"
+	"go.uber.org/zap"
+
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/daemon/logging"
+)
+
+// enterCold takes a place among the questions that may read a partition from its beginning, which
+// leaveCold gives back. The error wraps ErrBehind.
+func (r *Reader) enterCold(ctx context.Context) error {
+	timer := time.NewTimer(catchUpTimeout)
+	defer timer.Stop()
+	select {
+	case r.cold <- struct{}{}:
+		return nil
+	case <-timer.C:
+		return errors.Wrap(ErrBehind, "other partitions are being read")
+	case <-ctx.Done():
+		return errors.Wrap(ErrBehind, ctx.Err().Error())
+	}
+}
+
+func (r *Reader) leaveCold() { <-r.cold }
+
+// noteLateRead logs that an own read is late; many in a row have one line.
+func (r *Reader) noteLateRead(batchID string, partition *ledger.Partition) {
+	name := partition.Name()
+	r.lateReads.Note(logging.Occurrence{Subject: name.Topic, Took: hedgeAfter}, zap.String("batch", batchID),
+		zap.String("topic", name.Topic), zap.Int("partition", name.Number))
+}
+
+// budgetLeft is how many bytes this daemon may read for questions now, 0 where it has no budget.
+func (r *Reader) budgetLeft() int {
+	if r.budget == nil {
+		return 0
+	}
+	return r.budget.left()
+}
+
+// affords reports whether this daemon may read what it lacks of a partition. How much that
+// is shows with the first page.
+func (r *Reader) affords(ctx context.Context, partition *ledger.Partition) bool {
+	if r.budget == nil {
+		return true
+	}
+	missing, ok := partition.Missing()
+	if !ok {
+		if !r.budget.takePage(r.ledger.PageBytes()) {
+			return false
+		}
+		if err := r.readPage(ctx, partition); err != nil {
+			r.logger.Info("page not read, asking the watcher", zap.String("topic", partition.Name().Topic),
+				zap.Int("partition", partition.Name().Number), zap.Error(err))
+			return false
+		}
+		missing, _ = partition.Missing()
+	}
+	return missing == 0 || r.budget.take(missing)
+}
+
+// readAtRate reads a partition whose watcher cannot be asked, at the rate of the budget; the first
+// page at once, unless the journal has been late; and no more once the fold is ready to answer. What
+// was read counts at the next question, also where the context ends before the partition does. The
+// error wraps ErrBehind.
+func (r *Reader) readAtRate(ctx context.Context, partition *ledger.Partition, ready func() bool) error {
+	for unpaced := !r.budget.reduced(); ; unpaced = false {
+		missing, ok := partition.Missing()
+		if ok && missing == 0 || ready() {
+			return nil
+		}
+		if !unpaced {
+			if err := r.budget.await(ctx, r.nextPage(missing, ok)); err != nil {
+				return errors.Wrap(ErrBehind, err.Error())
+			}
+		}
+		if err := r.readPage(ctx, partition); err != nil {
+			return err
+		}
+	}
+}
+
+// readPage reads a page, and tells the budget if the journal was late with it: if it did not come
+// in the time that the watcher would have had.
+func (r *Reader) readPage(ctx context.Context, partition *ledger.Partition) error {
+	began := time.Now()
+	_, err := partition.ReadPage(ctx)
+	if err == nil {
+		return nil
+	}
+	if time.Since(began) >= watcherTimeout {
+		r.budget.late()
+	}
+	return errors.Wrap(ErrBehind, err.Error())
+}
+
+// nextPage is what the next page of a partition brings at most, in bytes.
+func (r *Reader) nextPage(missing int, ok bool) int {
+	if !ok {
+		return r.ledger.PageBytes()
+	}
+	return min(missing, r.ledger.PageBytes())
+}
--- a/internal/batches/results/service.go
+++ b/internal/batches/results/service.go
@@ -1,29 +1,26 @@
 package results
 
-import (
-	"context"
-)
+import "context"
 
 // ServiceName is the name under which peers call the service of a reader.
 const ServiceName = "Results"
 
+// The methods of the service.
 const (
-	methodResults = ServiceName + ".Results"
-	methodItem    = ServiceName + ".Item"
-
+	methodResults   = ServiceName + ".Results"
+	methodSamples   = ServiceName + ".Samples"
+	methodItem      = ServiceName + ".Item"
+	methodItems     = ServiceName + ".Items"
 	methodBeginning = ServiceName + ".Beginning"
 )
 
-// ItemQuery asks for the body of an item. Tenant is whose caller asks.
-type ItemQuery struct{ BatchID, Tenant, ItemID string }
-
 // peerPageBytes bounds the texts of one page for a peer, in bytes. It shares this daemon's link with
-// all that peers ask for meanwhile: over 60 Mbit/s a page of 900 KiB beside eight others takes
-// 1.1 s, longer than it is waited for, and a quarter of that 0.3 s.
+// all that peers ask for meanwhile,
+// and a page must arrive beside some others within the time that a peer waits for it.
 const peerPageBytes = pageBytes / 4
 
 // Service answers the questions of peers from the folds held here. Its exported methods
-// are those of net/rpc. It never asks another daemon, so that a question is passed on
+// are those of net/rpc: their names, and those of the fields that they take, stay. It never asks another daemon, so that a question is passed on
 // once at most.
 type Service struct {
 	ctx    context.Context
@@ -57,3 +54,15 @@
 	*beginning, err = s.reader.beginningHere(ctx, query)
 	return err
 }
+
+// Samples answers a query for samples. It is exported for net/rpc.
+func (s *Service) Samples(query Query, page *Page) error { return s.Results(query, page) }
+
+// Items answers with items. It is exported for net/rpc.
+func (s *Service) Items(query ItemsQuery, items *Items) (err error) {
+	ctx, cancel := context.WithTimeout(s.ctx, catchUpTimeout)
+	defer cancel()
+	query.most = peerPageBytes
+	*items, err = s.reader.itemsHere(ctx, query)
+	return err
+}
--- /dev/null
+++ b/internal/batches/results/trace.go
@@ -0,0 +1,75 @@
+package results
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"woodworks/internal/batches/ledger"
+)
+
+// way is how a question was answered, or was last tried to be. Its values are label values of a metric.
+type way string
+
+// Ways of a question.
+const (
+	// wayFold: by the fold held here, after a read of what is new at most.
+	wayFold way = "fold"
+	// wayBudget: by reading what this daemon lacked, within its budget.
+	wayBudget way = "budget"
+	// wayWatcher: by the daemon that watches the partition.
+	wayWatcher way = "holder"
+	// wayPaced: by reading the partition at the rate of the budget, as its watcher did not
+	// answer.
+	wayPaced way = "paced"
+)
+
+// Observer is told of each question: how it was answered, whether it was, and how long that
+// took beyond the time for which it was kept open.
+type Observer func(way string, answered bool, took time.Duration)
+
+// trace is what befalls one question, for its line in the log.
+type trace struct {
+	r         *Reader
+	batchID   string
+	partition *ledger.Partition
+	began     time.Time
+	wait      time.Duration
+	way       way
+	// missing is what the fold lacked as the question came, in bytes; missingKnown is false
+	// where nothing of the partition had been read.
+	missing      int
+	missingKnown bool
+	// call is what came of asking the watcher, the zero value if it was not asked or has not
+	// answered.
+	call watcherCall
+}
+
+// startTrace begins the trace of a question.
+func (r *Reader) startTrace(batchID string, partition *ledger.Partition, wait time.Duration) *trace {
+	t := &trace{r: r, batchID: batchID, partition: partition, began: time.Now(), wait: wait, way: wayFold}
+	t.missing, t.missingKnown = partition.Missing()
+	r.open.Add(1)
+	return t
+}
+
+// waitLeft is how long the question may still be kept open.
+func (t *trace) waitLeft() time.Duration { return max(t.wait-time.Since(t.began), 0) }
+
+// end closes the trace. A question that was not answered has a line.
+func (t *trace) end(err error) {
+	open := t.r.open.Add(-1)
+	took := time.Since(t.began)
+	if t.r.observe != nil {
+		t.r.observe(string(t.way), err == nil, max(took-t.wait, 0))
+	}
+	if err == nil {
+		return
+	}
+	left, leftKnown := t.partition.Missing()
+	t.r.logger.Info("question not answered", zap.String("batch", t.batchID), zap.String("topic", t.partition.Name().Topic),
+		zap.Int("partition", t.partition.Name().Number), zap.String("way", string(t.way)), zap.Duration("hold", t.wait), zap.Duration("took", took),
+		zap.Int("missing", t.missing), zap.Bool("missing_known", t.missingKnown), zap.Int("missing_left", left), zap.Bool("missing_left_known", leftKnown),
+		zap.String("watcher", t.call.watcher), zap.Duration("watcher_sought", t.call.soughtFor), zap.Duration("watcher_asked", t.call.askedFor), zap.NamedError("watcher_error", t.call.err),
+		zap.Int64("questions_open", open), zap.Int("budget", t.r.budgetLeft()), zap.Error(err))
+}
--- /dev/null
+++ b/internal/batches/results/watcher.go
@@ -0,0 +1,75 @@
+package results
+
+import (
+	"context"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"woodworks/internal/journal"
+	"woodworks/internal/membership/identity"
+)
+
+// watcherReply is the answer of a partition's watcher, with how it came about.
+type watcherReply[T any] struct {
+	answer T
+	watcherCall
+}
+
+// watcherCall is what came of asking the watcher of a partition.
+type watcherCall struct {
+	// watcher is the incarnation that was asked, "" if it was not known, soughtFor how long it
+	// took to learn of it, and askedFor how long it was waited for.
+	watcher             string
+	soughtFor, askedFor time.Duration
+	err                 error
+}
+
+// askWatcher looks for the partition's watcher and has it answer the question. The error is errSelf
+// if that is this daemon.
+func (q *question[T]) askWatcher(ctx context.Context) (reply watcherReply[T], err error) {
+	began := time.Now()
+	watcher, ok := q.r.awaitWatcher(ctx, q.partition.Name())
+	reply.watcher, reply.soughtFor = watcher, time.Since(began)
+	if ok && watcher == q.r.self {
+		return reply, errSelf
+	}
+	began = time.Now()
+	wait := q.trace.waitLeft()
+	reply.answer, reply.err = callWatcher[T](ctx, q.r, watcher, q.method, q.args.polling(wait), wait)
+	reply.askedFor = time.Since(began)
+	return reply, reply.err
+}
+
+// awaitWatcher returns the incarnation that watches a partition. Just after a start it waits a
+// little until that is known.
+func (r *Reader) awaitWatcher(ctx context.Context, name journal.Partition) (string, bool) {
+	for began := time.Now(); ; {
+		watcher, ok := r.watchers.WatcherOf(ctx, name)
+		if ok || time.Since(began) > watcherWait {
+			return watcher, ok
+		}
+		select {
+		case <-ctx.Done():
+			return "", false
+		case <-time.After(watcherPause):
+		}
+	}
+}
+
+// callWatcher calls a method of a partition's watcher, "" being none that is known. The call may
+// be kept open for wait.
+func callWatcher[T any](ctx context.Context, r *Reader, watcher, method string, args any, wait time.Duration) (answer T, err error) {
+	switch {
+	case ctx.Err() != nil:
+		return answer, errors.Wrap(ErrBehind, ctx.Err().Error())
+	case watcher == "":
+		return answer, errors.Wrap(ErrBehind, "not known who watches the partition")
+	}
+	bounded, cancel := context.WithTimeout(ctx, wait+watcherTimeout)
+	defer cancel()
+	if err := r.peers.Ask(bounded, identity.Machine(watcher), method, args, &answer); err != nil {
+		return answer, errors.Wrap(ErrBehind, err.Error())
+	}
+	return answer, nil
+}
