--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -67,79 +67,81 @@
 
 // Partition names one partition.
 type Partition struct {
-	Topic  string
-	Number int
+	Topic  string `cbor:"Topic"`
+	Number int    `cbor:"Number"`
 }
 
 // Append asks for records to be added to one partition, all or none.
 type Append struct {
-	Partition Partition
-	Records   [][]byte
+	Partition Partition `cbor:"Partition"`
+	Records   [][]byte  `cbor:"Records"`
 	// ExpectedEnd, if not nil, is where the partition must end for the append
 	// to happen.
-	ExpectedEnd *int64
+	ExpectedEnd *int64 `cbor:"ExpectedEnd"`
 }
 
 // Appended tells where records were put.
 type Appended struct {
 	// Offset is that of the first record, End the offset after the last.
-	Offset, End int64
+	Offset int64 `cbor:"Offset"`
+	End    int64 `cbor:"End"`
 }
 
 // Read asks for the records of a partition from an offset on.
 type Read struct {
-	Partition Partition
-	From      int64
+	Partition Partition `cbor:"Partition"`
+	From      int64     `cbor:"From"`
 	// Wait is how long the call may be held while there is no record.
-	Wait time.Duration
+	Wait time.Duration `cbor:"Wait"`
 	// MaxBytes, if not 0, bounds the records of the answer; there is at least one.
-	MaxBytes int
+	MaxBytes int `cbor:"MaxBytes"`
 }
 
 // Records is a run of records, the first of them at the offset asked for.
 type Records struct {
-	Records [][]byte
+	Records [][]byte `cbor:"Records"`
 	// End is the offset after the partition's last record, First the oldest kept.
-	End, First int64
+	End   int64 `cbor:"End"`
+	First int64 `cbor:"First"`
 }
 
 // KeyedRecord is the newest record of a key. An empty value means that the key
 // was dropped.
 type KeyedRecord struct {
-	Key    string
-	Value  []byte
-	Offset int64
+	Key    string `cbor:"Key"`
+	Value  []byte `cbor:"Value"`
+	Offset int64  `cbor:"Offset"`
 	// Unreadable says that there is a value and that it can't be read; Value is empty.
-	Unreadable bool
+	Unreadable bool `cbor:"Unreadable"`
 }
 
 // KeyedPage is a part of a keyed partition's newest records.
 type KeyedPage struct {
-	Records []KeyedRecord
+	Records []KeyedRecord `cbor:"Records"`
 	// More says that keys after the last one of this page remain.
-	More bool
-	End  int64
+	More bool  `cbor:"More"`
+	End  int64 `cbor:"End"`
 }
 
 // Join enters a group, or stays in it.
 type Join struct {
-	Group      string
-	Member     string
-	Topics     []string
-	Lifetime   time.Duration
-	Generation int64
+	Group      string        `cbor:"Group"`
+	Member     string        `cbor:"Member"`
+	Topics     []string      `cbor:"Topics"`
+	Lifetime   time.Duration `cbor:"Lifetime"`
+	Generation int64         `cbor:"Generation"`
 }
 
 // Assignment is what a member of a group was given.
 type Assignment struct {
-	Generation int64
-	Partitions []Partition
+	Generation int64       `cbor:"Generation"`
+	Partitions []Partition `cbor:"Partitions"`
 }
 
 // Ownership is one row of who was given what.
 type Ownership struct {
-	Partition Partition
-	Member    string
+	Partition Partition `cbor:"Partition"`
+	Member    string    `cbor:"Member"`
 }
 
 // Journal is the platform's log. Implementations translate and do no more:
--- a/internal/journal/logservice/logservice.go
+++ b/internal/journal/logservice/logservice.go
@@ -40,14 +40,14 @@
 
 // newestRequest asks for the newest records of a keyed partition.
 type newestRequest struct {
-	Partition journal.Partition
-	AfterKey  string
+	Partition journal.Partition `cbor:"Partition"`
+	AfterKey  string            `cbor:"AfterKey"`
 }
 
 // memberRequest names a member of a group, or only the group.
 type memberRequest struct {
-	Group  string
-	Member string
+	Group  string `cbor:"Group"`
+	Member string `cbor:"Member"`
 }
 
 // reason says why a call was refused.
@@ -61,10 +61,10 @@
 
 // refusal is the body of every answer that is not a success.
 type refusal struct {
-	Reason reason
+	Reason reason `cbor:"Reason"`
 	// First is the oldest offset kept, for reasonTrimmed.
-	First int64
-	Text  string
+	First int64  `cbor:"First"`
+	Text  string `cbor:"Text"`
 }
 
 // refusalOf turns an error of a journal into a refusal. It reports false for an
--- a/internal/journal/relay/protocol.go
+++ b/internal/journal/relay/protocol.go
@@ -33,13 +33,18 @@
 }
 
 type newestCall struct {
-	Partition journal.Partition
-	After     string
+	Partition journal.Partition `cbor:"Partition"`
+	After     string            `cbor:"After"`
 }
 
-type leaveCall struct{ Group, Member string }
+type leaveCall struct {
+	Group  string `cbor:"Group"`
+	Member string `cbor:"Member"`
+}
 
-type ownersCall struct{ Group string }
+type ownersCall struct {
+	Group string `cbor:"Group"`
+}
 
 // outcome says how a relayed call ended.
 type outcome int
