--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -20,9 +20,12 @@
 const RunnersTopic = "woodworks.runners"
 
 const (
+	// assignTimeout bounds a call that writes or reads assignments, besides assignWait, for
+	// which a read waits for news.
 	assignTimeout = time.Second
 	assignWait    = time.Second
-	assignPause   = 200 * time.Millisecond
+	// assignPause is the time before a read that failed is made again.
+	assignPause = 200 * time.Millisecond
 )
 
 // assignment tells a daemon that it owns a batch.
@@ -31,7 +34,7 @@
 	Owner string `cbor:"2,keyasint"`
 }
 
-// Dealt tells who has a partition of the group.
+// Assignments tells who has a partition of the group.
 type Assignments interface {
 	Partitions() map[journal.Partition]bool
 	WatcherOf(ctx context.Context, partition journal.Partition) (string, bool)
@@ -62,8 +65,8 @@
 
 // Choose returns the daemon that should own a batch.
 func (a *Assigner) Choose(ctx context.Context, submission *batch.Submission) string {
-	owner, known := a.dealt.WatcherOf(ctx, a.partitionOf(submission))
-	if !known {
+	owner, ok := a.dealt.WatcherOf(ctx, a.partitionOf(submission))
+	if !ok {
 		return a.self
 	}
 	return owner
@@ -73,6 +76,7 @@
 func (a *Assigner) Tell(ctx context.Context, submission *batch.Submission, owner string) {
 	encoded, err := cbor.Marshal(assignment{Batch: submission.ID, Owner: owner})
 	if err != nil {
+		a.logger.Error("assignment not encoded", zap.String("batch", submission.ID), zap.Error(err))
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, assignTimeout)
@@ -123,14 +127,27 @@
 		}
 		for _, record := range records {
 			next++
-			var msg assignment
-			if cbor.Unmarshal(record, &msg) == nil && msg.Owner == a.self {
-				go adopt(msg.Batch)
+			if batchID := a.assignedHere(record); batchID != "" {
+				go adopt(batchID)
 			}
 		}
 	}
 }
 
+// assignedHere returns the batch of an assignment to this daemon, else "".
+func (a *Assigner) assignedHere(record []byte) string {
+	var msg assignment
+	if err := cbor.Unmarshal(record, &msg); err != nil {
+		// The watcher of the batch's partition takes it over.
+		a.logger.Warn("assignment not decoded", zap.Error(err))
+		return ""
+	}
+	if msg.Owner != a.self {
+		return ""
+	}
+	return msg.Batch
+}
+
 func (a *Assigner) read(ctx context.Context, name journal.Partition, from int64) ([][]byte, error) {
 	bounded, cancel := context.WithTimeout(ctx, assignWait+assignTimeout)
 	defer cancel()
--- a/internal/batches/runner/sharing.go
+++ b/internal/batches/runner/engineshare.go
@@ -12,8 +12,8 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// ownPaceHolds is for how long a pace that this daemon measured goes before one that others
-// have measured since: texts show one every few hundredths of a second.
+// ownEventTimeMaxAge is for how long an event time that this daemon measured goes before one
+// that others have measured since: texts show one every few hundredths of a second.
 const ownEventTimeMaxAge = 3 * time.Second
 
 // sharing is what the dispatcher needs to share engines with other owners. A nil one has
@@ -40,7 +40,7 @@
 // KeyOf names the start of a replica to other owners.
 func KeyOf(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.Born) }
 
-// fill adds to an engine what other owners told of it.
+// withReports adds to an engine what other owners report of it.
 func (s *sharing) withReports(engine scheduling.Engine, seen replica.Replica, now time.Time) scheduling.Engine {
 	if s == nil {
 		return engine
@@ -74,7 +74,7 @@
 	}
 	turn, others := s.turnOf(service), s.table.Demands(key)
 	left := turn.Leaves()
-	allowed := turn.Allow(now, occupancy.Allowance(placesOf(seen), own, others), due)
+	allowed := turn.Allow(now, occupancy.Allowance(capacityOf(seen), own, others), due)
 	if turn.Leaves() && !left {
 		s.logger.Info("room left to other owners", zap.String("service", service), zap.Int("starts", due), zap.Int("allowed", allowed),
 			zap.Uint32("in_flight", own.InFlight), zap.Uint32("waiting", own.Waiting), zap.Int("owners", len(others)))
@@ -112,8 +112,8 @@
 	return kept
 }
 
-// placesOf returns how many requests the engines of a snapshot run at a time.
-func placesOf(seen *scheduling.Snapshot) (places int) {
+// capacityOf returns how many requests the engines of a snapshot run at a time.
+func capacityOf(seen *scheduling.Snapshot) (places int) {
 	for i := range seen.Engines {
 		places += seen.Engines[i].Capacity()
 	}
@@ -186,8 +186,8 @@
 	s := r.shared
 	s.mu.Lock()
 	waits := false
-	for _, each := range s.demands {
-		waits = waits || each.Waiting > 0
+	for _, d := range s.demands {
+		waits = waits || d.Waiting > 0
 	}
 	s.mu.Unlock()
 	if waits {
@@ -196,14 +196,14 @@
 }
 
 // Occupied returns what this daemon has at the engines that it shares with other owners.
-func (r *Runner) Occupied() (told occupancy.Report) {
+func (r *Runner) Occupied() (report occupancy.Report) {
 	s := r.shared
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.quiet() {
 		clear(s.demands)
 		clear(s.turns)
-		return told
+		return report
 	}
 	now := time.Now()
 	for service, demand := range s.demands {
@@ -213,12 +213,12 @@
 		demand.InFlight = 0
 		for _, rep := range r.table.Replicas(service) {
 			demand.InFlight += uint32(max(rep.InFlight, 0))
-			told.Counts = append(told.Counts, occupancy.Count{Replica: KeyOf(rep), Requests: uint32(max(rep.InFlight, 0))})
+			report.Counts = append(report.Counts, occupancy.Count{Replica: KeyOf(rep), Requests: uint32(max(rep.InFlight, 0))})
 			if age := now.Sub(rep.PaceAt); rep.Pace > 0 && age <= ownEventTimeMaxAge {
-				told.Paces = append(told.Paces, occupancy.MakePacing(KeyOf(rep), rep.Pace, age))
+				report.Paces = append(report.Paces, occupancy.MakePacing(KeyOf(rep), rep.Pace, age))
 			}
 		}
-		told.Demands = append(told.Demands, demand)
+		report.Demands = append(report.Demands, demand)
 	}
-	return told
+	return report
 }
--- a/internal/batches/runner/locate.go
+++ b/internal/batches/runner/fold.go
@@ -8,7 +8,7 @@
 	"woodworks/internal/batches/ledger"
 )
 
-// locateTimeout bounds the question where a batch begins: a part of standByTime, within which
+// locateTimeout bounds the question where a batch begins: a part of standByWait, within which
 // the owner must begin also where nobody answers.
 const locateTimeout = standByWait / 2
 
@@ -21,10 +21,9 @@
 func (r *Runner) SetLocator(locator Locator) { r.locator = locator }
 
 // foldOf returns the fold by which this daemon runs a batch: that of the whole partition if
-// it is fresh here, else one that begins with the batch. Reading megabytes of other batches
-// first, a new owner on a weak link did not begin before the daemon that had accepted the
-// batch took it for gone, and knew none of the engines: with 4 MB of others behind 60 Mbit/s
-// the owner begins after 2 ms, in place of a takeover after 0.56 s (virtual time).
+// it is fresh here, else one that begins with the batch: a new owner on a weak link that reads
+// megabytes of other batches first does not begin before the daemon that accepted the batch
+// takes it for gone.
 func (r *Runner) foldOf(ctx context.Context, batchID string) *ledger.Partition {
 	whole := r.ledger.Of(batchID)
 	if r.locator == nil || whole.Fresh() {
--- a/internal/batches/runner/run_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Replace([]replica.Entry{{ID: "from", Service: "s", Slots: 4}, {ID: "to", Service: "s", Slots: 4}})
-	j := &job{r: &Runner{table: table}, submission: &batch.Submission{}, groups: map[string]replica.Start{}, logger: zap.NewNop()}
+	j := &job{r: &Runner{table: table}, submission: &batch.Submission{}, placement: placement{groups: map[string]replica.Start{}}, logger: zap.NewNop()}
 	j.ctx, j.cancel = context.WithCancel(t.Context())
 	t.Cleanup(j.cancel)
 	it := &item{state: itemRunning, attempt: 1, lastReplica: "from", cancel: func() {}, buffering: true}
@@ -32,6 +32,16 @@
 	return eventstream.Event{ID: id, HasID: true, Data: []byte{byte('a' + id)}}
 }
 
+// tryOf is an attempt at the replica that an item is at.
+func tryOf(j *job, it *item, number int, rt *route.Route) *attempt {
+	return &attempt{pending: pending{job: j, item: it, route: rt}, number: number, replica: replica.Replica{Entry: replica.Entry{ID: "from"}}}
+}
+
+// nextTryOf is an attempt at another replica, which was asked to go on.
+func nextTryOf(j *job, it *item) *attempt {
+	return &attempt{pending: pending{job: j, item: it, route: &route.Route{}}, replica: replica.Replica{Entry: replica.Entry{ID: "to"}}}
+}
+
 // Events that come while another replica is asked are held back: dropped if that one
 // goes on after the last event before, and added if it does not.
 func TestEventsAreHeldBackWhileAnotherReplicaIsAsked(t *testing.T) {
@@ -40,25 +50,26 @@
 	for _, accepted := range []bool{true, false} {
 		j, it := movedJob(t)
 		it.buffering = false
-		is.NoErr(j.receive(it, 1, event(1), 1, rt))
+		is.NoErr(tryOf(j, it, 1, rt).receive(event(1), 1))
 		it.buffering = true
-		is.NoErr(j.receive(it, 1, event(2), 1, rt))
-		is.NoErr(j.receive(it, 1, event(3), 1, rt))
+		is.NoErr(tryOf(j, it, 1, rt).receive(event(2), 1))
+		is.NoErr(tryOf(j, it, 1, rt).receive(event(3), 1))
 		is.Equal(it.lastEvent, int64(1))
 		cause := errors.New("declined")
 		if accepted {
 			cause = nil
 		}
-		next, taken := j.switchAttempt(it, 1, replica.Replica{Entry: replica.Entry{ID: "to"}}, func() {}, 0, cause)
+		next := nextTryOf(j, it)
+		taken := next.replace(1, func() {}, 0, cause)
 		is.Equal(taken, accepted)
 		if !accepted {
 			is.Equal(it.lastEvent, int64(3))
-			is.NoErr(j.receive(it, 1, event(4), 1, rt))
+			is.NoErr(tryOf(j, it, 1, rt).receive(event(4), 1))
 			continue
 		}
 		is.Equal(it.lastReplica, "to")
-		is.True(errors.Is(j.receive(it, 1, event(4), 1, rt), errHandedOver))
-		is.NoErr(j.receive(it, next, event(2), 2, rt))
+		is.True(errors.Is(tryOf(j, it, 1, rt).receive(event(4), 1), errHandedOver))
+		is.NoErr(next.receive(event(2), 2))
 		is.Equal(it.lastEvent, int64(2))
 		is.Equal(it.versions, []int64{1, 2})
 	}
@@ -70,11 +81,10 @@
 	is := is.New(t)
 	j, it := movedJob(t)
 	it.state = itemListed // the outcome of the run is taken into account elsewhere
-	is.NoErr(j.receive(it, 1, event(1), 1, &route.Route{}))
-	j.endAttempt(it, 1, replica.Replica{Entry: replica.Entry{ID: "from"}}, &route.Route{}, nil)
+	is.NoErr(tryOf(j, it, 1, &route.Route{}).receive(event(1), 1))
+	tryOf(j, it, 1, &route.Route{}).end(nil)
 	is.Equal(it.lastEvent, int64(1))
-	_, taken := j.switchAttempt(it, 1, replica.Replica{Entry: replica.Entry{ID: "to"}}, func() {}, 0, nil)
-	is.True(!taken)
+	is.True(!nextTryOf(j, it).replace(1, func() {}, 0, nil))
 }
 
 // An exchange that is cut as the batch ends says nothing of its replica, which would
@@ -82,11 +92,11 @@
 func TestTheEndOfABatchIsNoFailureOfTheReplicaAsked(t *testing.T) {
 	is := is.New(t)
 	for _, ended := range []bool{true, false} {
-		j, _ := movedJob(t)
+		j, it := movedJob(t)
 		if ended {
 			j.cancel()
 		}
-		j.handOverFailed(nil, replica.Replica{Entry: replica.Entry{ID: "to"}}, context.Canceled)
+		nextTryOf(j, it).abandon(nil, context.Canceled)
 		known, _ := j.r.table.Get("to")
 		is.Equal(known.AvoidUntil.IsZero(), ended)
 	}
@@ -97,12 +107,12 @@
 func TestATextOfOneVersionStaysWhereItBegan(t *testing.T) {
 	is := is.New(t)
 	j, it := movedJob(t)
-	j.lengths, it.buffering = scheduling.NewLengths(), false
+	j.placement.lengths, it.buffering = scheduling.NewLengths(), false
 	fixed := func(single bool) bool {
 		return j.describe(it, &route.Route{SingleVersion: single}, 0, time.Now()).Pinned
 	}
 	is.True(!fixed(true))
-	is.NoErr(j.receive(it, 1, event(1), 1, &route.Route{SingleVersion: true}))
+	is.NoErr(tryOf(j, it, 1, &route.Route{SingleVersion: true}).receive(event(1), 1))
 	is.True(fixed(true))
 	is.True(!fixed(false))
 }
--- /dev/null
+++ b/internal/batches/runner/heartbeat.go
@@ -0,0 +1,101 @@
+package runner
+
+import (
+	"context"
+	"slices"
+	"sort"
+	"time"
+
+	"go.uber.org/zap"
+
+	"woodworks/internal/batches/batch"
+)
+
+const (
+	// heartbeatInterval is the time between an owner's heartbeats in a batch's partition.
+	heartbeatInterval = 350 * time.Millisecond
+	// checkpointAfter is how long an item runs before its progress is worth keeping: a
+	// shorter one is sooner made again.
+	checkpointAfter = 700 * time.Millisecond
+	// maxCheckpointBytes bounds what one record keeps.
+	maxCheckpointBytes = 128 << 10
+)
+
+// heartbeat appends a sign of life, with what the items that run for long have so far.
+func (j *job) heartbeat() {
+	j.mu.Lock()
+	released := j.release.begun
+	progress := j.progress(time.Now())
+	j.mu.Unlock()
+	number := j.r.heartbeatNumber(time.Now())
+	if released {
+		return
+	}
+	record := batch.Beat(j.submission.ID, j.r.self, number)
+	if len(progress) > 0 {
+		record = batch.Advanced(j.submission.ID, j.r.self, number, progress)
+	}
+	ctx, cancel := context.WithTimeout(j.ctx, heartbeatInterval)
+	defer cancel()
+	err := j.partition.Append(ctx, record)
+	j.heartbeatDone(progress, err)
+}
+
+// heartbeatDone notes what the journal has acknowledged. A heartbeat that was not, or whose
+// outcome is not known, is not repeated: the next one carries its progress too, which the
+// fold takes once.
+func (j *job) heartbeatDone(progress []batch.Progress, err error) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if err != nil {
+		j.missedHeartbeats++
+		if j.missedHeartbeats == 1 && j.ctx.Err() == nil {
+			j.logger.Info("heartbeat not recorded", zap.Error(err))
+		}
+		return
+	}
+	if j.missedHeartbeats > 0 {
+		j.logger.Info("heartbeats recorded again", zap.Int("missed", j.missedHeartbeats))
+		j.missedHeartbeats = 0
+	}
+	for _, p := range progress {
+		j.items[p.Item].checkpointed = max(j.items[p.Item].checkpointed, p.From+len(p.Events))
+	}
+}
+
+// progress returns what is not kept yet of the items that run for long, those with the most
+// first. The mutex is held. Texts of one version may have to be begun anew, so they are not
+// kept.
+func (j *job) progress(now time.Time) []batch.Progress {
+	if rt, ok := j.route(); !ok || rt.SingleVersion {
+		return nil
+	}
+	var advanced []*item
+	for _, it := range j.items {
+		if it.state == itemRunning && len(it.events) > it.checkpointed && now.Sub(it.startedAt) >= checkpointAfter {
+			advanced = append(advanced, it)
+		}
+	}
+	sort.SliceStable(advanced, func(a, b int) bool { return len(advanced[a].events) > len(advanced[b].events) })
+	var progress []batch.Progress
+	size := 0
+	for _, it := range advanced {
+		events := it.events[it.checkpointed:]
+		for _, event := range events {
+			size += len(event)
+		}
+		if size > maxCheckpointBytes && len(progress) > 0 {
+			break
+		}
+		progress = append(progress, batch.Progress{
+			Item: it.index, From: it.checkpointed, Events: slices.Clone(events), LastEvent: it.lastEvent, Versions: slices.Clone(it.versions),
+		})
+	}
+	return progress
+}
+
+// heartbeatNumber numbers a heartbeat. It rises over all batches of this incarnation, so
+// that a batch that comes back here is not taken for silent.
+func (r *Runner) heartbeatNumber(now time.Time) int64 {
+	return now.Sub(r.startedAt).Milliseconds() + 1
+}
--- a/internal/batches/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -67,13 +67,13 @@
 	return again, m.lengths
 }
 
-func (m *modelHistory) remember(made rememberedBatch) {
+func (m *modelHistory) remember(b rememberedBatch) {
 	for _, before := range m.batches {
-		if before.id == made.id {
+		if before.id == b.id {
 			return
 		}
 	}
-	m.batches = append(m.batches, made)
+	m.batches = append(m.batches, b)
 	if len(m.batches) > rememberedBatches {
 		m.batches = m.batches[1:]
 	}
--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -1,194 +1,154 @@
 package runner
 
 import (
-	"bytes"
-	"context"
-	"io"
 	"net/http"
 	"slices"
-
+	"strconv"
+	"strings"
 	"time"
 
 	"github.com/pkg/errors"
-	"go.uber.org/zap"
 
 	"woodworks/internal/batches/batch"
-	"woodworks/internal/batches/scheduling"
-	"woodworks/internal/replicas/replica"
 	"woodworks/internal/requests/eventstream"
-	"woodworks/internal/requests/forward"
 	"woodworks/internal/requests/quarantine"
-	"woodworks/internal/requests/route"
-	"woodworks/internal/requests/upstream"
 )
 
+// itemState is where an item stands in this job.
+type itemState int
+
 const (
-	// itemDeadline is how long a replica may work on an item in one go.
-	itemDeadline = 60 * time.Second
-	// headPatience is how long the first sign of an answer may take, for the
-	// first attempt; it doubles with each further one.
-	firstEventTimeout = scheduling.MaxFirstEvent
-	// gapPatience is the longest pause between events for a sound replica.
-	eventTimeout         = 1200 * time.Millisecond
-	maxFirstEventTimeout = 10 * time.Second
-	failurePause         = 20 * time.Millisecond
+	itemWaiting itemState = iota
+	itemRunning
+	// itemScoring: the text is whole or given up, and the result is not listed yet.
+	itemScoring
+	itemListed
 )
 
-// errTooOld: the replica's weights are older than the batch allows.
-var errTooOld = errors.New("runner: weights too old")
-
-// errHandedOver: another replica goes on with the item.
-var errHandedOver = errors.New("runner: handed over")
+// item is one item with its progress at this owner. The job's mutex guards it.
+type item struct {
+	batch.Item
+	index  int
+	header http.Header
+	// content names what the item asks for, nil until it is needed.
+	content *quarantine.Content
+	// expectedTokens is the expected length of the answer.
+	expectedTokens int64
+
+	state itemState
+	// notBefore delays the next attempt.
+	notBefore time.Time
+	// handedOff says that the item is left to the owner that released it. At that owner it
+	// says that the record which does so names it.
+	handedOff bool
+
+	// events are the data of the events so far; lastEvent is the last one's id.
+	events    [][]byte
+	lastEvent int64
+	hasEvent  bool
+	versions  []int64
+	// checkpointed is how many of the events are in the journal.
+	checkpointed int
+
+	// attempt numbers the attempt whose events count, from 1. One that was handed over to
+	// another replica has a lower number.
+	attempt int
+	// failures counts answers of replicas that say that the item failed; rewardFailures
+	// likewise of its reward call.
+	failures       int
+	rewardFailures int
+	// lastReplica ran the item last.
+	lastReplica string
+	startedAt   time.Time
+	// answered says that the attempt has brought an event.
+	answered bool
+	// cancel, if not nil, ends the attempt under way.
+	cancel func()
+	// buffering says that events are kept in buffered, while another replica is asked to go
+	// on after the last one before.
+	buffering bool
+	buffered  []receivedEvent
+
+	timing timing
+}
 
-// runItem runs one attempt at an item and takes its outcome into account.
-func (j *job) runAttempt(it *item, attempt int, rep replica.Replica, rt *route.Route) {
-	ctx, cancel := context.WithCancel(j.ctx)
-	defer cancel()
-	j.mu.Lock()
-	it.cancel = cancel
-	j.mu.Unlock()
-	err := j.stream(ctx, cancel, it, attempt, rep, rt)
-	j.endAttempt(it, attempt, rep, rt, err)
+// receivedEvent is an event with the version of the weights that made it.
+type receivedEvent struct {
+	event   eventstream.Event
+	version int64
+	// single says that a text must be of one version.
+	single bool
 }
 
-// endRun takes the outcome of an item's run into account.
-func (j *job) endAttempt(it *item, attempt int, rep replica.Replica, rt *route.Route, err error) {
-	j.r.table.Ended(rep.Start())
-	j.mu.Lock()
-	current := it.attempt == attempt
-	if current {
-		it.cancel = nil
-		if heldErr := j.flushBuffered(it); err == nil {
-			err = heldErr
-		}
-	}
-	listed := it.state == itemListed
-	j.mu.Unlock()
-	if !current || listed || j.ctx.Err() != nil {
-		return
+// newItems makes the items of a batch, before any progress.
+func newItems(submission *batch.Submission, r *Runner) []*item {
+	items := make([]*item, len(submission.Items))
+	for i := range submission.Items {
+		items[i] = &item{index: i, Item: submission.Items[i], header: headerOf(submission.Items[i].Headers)}
+		items[i].expectedTokens = r.expectedLength(items[i].header, items[i].Tokens)
 	}
-	if err == nil {
-		j.scoreItem(it)
-	} else {
-		j.retryItem(it, rep, rt, err)
-		j.giveBack(j.r.ctx)
-	}
-	j.r.Kick()
+	return items
 }
 
-// streamItem reads an item's events until the text is whole.
-func (j *job) stream(ctx context.Context, cancel context.CancelFunc, it *item, attempt int, rep replica.Replica, rt *route.Route) error {
-	patience := min(firstEventTimeout<<min(it.attempts-1, 3), maxFirstEventTimeout)
-	watchdog := time.AfterFunc(patience, cancel)
-	defer watchdog.Stop()
-	stream, err := j.r.forwarder.OpenStream(ctx, j.streamRequest(it, rt), rep)
-	if err != nil {
-		return err
+func headerOf(list []batch.Header) http.Header {
+	header := make(http.Header, len(list)+4)
+	for _, h := range list {
+		name := http.CanonicalHeaderKey(h.Name)
+		header[name] = append(header[name], h.Value)
 	}
-	watchdog.Stop()
-	return j.followStream(cancel, it, attempt, rep, rt, stream)
+	return header
 }
 
-// followStream reads the events of an open stream until the text is whole.
-func (j *job) followStream(cancel context.CancelFunc, it *item, attempt int, rep replica.Replica, rt *route.Route, stream *forward.Stream) error {
-	defer stream.Close()
-	j.r.table.Accepted(rep.Start())
-	model := j.submission.Model
-	version := stream.Version
-	if version > 0 {
-		j.r.table.HoldsVersion(rep.Start(), model, version)
+// expectedLength is the number of tokens that an item's answer should have, by its headers,
+// or else by its tokens in all.
+func (r *Runner) expectedLength(header http.Header, tokens int64) int64 {
+	names := r.forwarder.Names
+	if hint, err := strconv.ParseInt(header.Get(names.LengthHint), 10, 64); err == nil && hint > 0 {
+		return hint
 	}
-	patience := max(eventTimeout, 4*rep.Pace)
-	watchdog := time.AfterFunc(patience, cancel)
-	defer watchdog.Stop()
-	var last time.Time
-	for {
-		watchdog.Reset(patience)
-		event, err := stream.Next()
-		if err == io.EOF {
-			return nil
-		}
-		if err != nil {
-			return err
-		}
-		if event.Version > 0 {
-			version = event.Version
-			j.r.table.HoldsVersion(rep.Start(), model, version)
-		}
-		if err := j.receive(it, attempt, event, version, rt); err != nil {
-			return err
-		}
-		if last.IsZero() {
-			j.noteFirstEvent(it, attempt, rt)
-		}
-		now := time.Now()
-		if !last.IsZero() {
-			j.r.table.Paced(rep.Start(), now.Sub(last))
-		}
-		last = now
+	_, most, ok := strings.Cut(header.Get(names.TokenUsage), ",")
+	if longest, err := strconv.ParseInt(strings.TrimSpace(most), 10, 64); ok && err == nil {
+		return longest
 	}
+	return tokens
 }
 
-func (j *job) streamRequest(it *item, rt *route.Route) *forward.StreamRequest {
-	header := it.header.Clone()
-	names := j.r.forwarder.Names
-	header[http.CanonicalHeaderKey(names.RequestID)] = []string{it.ID}
-	names.SetTenant(header, j.submission.Tenant)
-	return &forward.StreamRequest{
-		RequestID: it.ID, Method: http.MethodPost, Target: it.Path, Host: j.submission.Host,
-		Header: header, Body: it.Body, Caller: j.submission.Tenant, After: it.lastEvent, HasAfter: it.hasEvent, Deadline: itemDeadline, Repeatable: true,
+// expectedWork is how many tokens a batch should make.
+func (r *Runner) expectedWork(submission *batch.Submission) int64 {
+	work := int64(0)
+	for i := range submission.Items {
+		work += r.expectedLength(headerOf(submission.Items[i].Headers), submission.Items[i].Tokens)
 	}
+	return work
 }
 
-// blocked reports whether the item must not run now for its content's sake. The mutex is
-// held.
-func (j *job) blocked(it *item) bool {
-	table := j.r.forwarder.Quarantine
-	return !table.Quiet() && table.Blocked(j.contentOf(it))
+// beginAttempt makes an attempt at a replica the one that counts, and returns its number.
+func (it *item) beginAttempt(replicaID string, now time.Time) int {
+	it.attempt++
+	it.lastReplica, it.startedAt = replicaID, now
+	it.answered = false
+	it.stopBuffering()
+	return it.attempt
 }
 
-// contentOf is what the item asks a replica for. The mutex is held.
-func (j *job) contentOf(it *item) *quarantine.Content {
-	if it.content == nil {
-		it.content = &quarantine.Content{Caller: j.submission.Tenant, Method: http.MethodPost, Host: j.submission.Host, Target: it.Path, Body: it.Body}
+// cancelAttempt ends the attempt under way.
+func (it *item) cancelAttempt() {
+	if it.cancel != nil {
+		it.cancel()
 	}
-	return it.content
 }
 
-// take adds an event of a run to an item's text, unless another run goes on with it.
-func (j *job) receive(it *item, attempt int, event eventstream.Event, version int64, rt *route.Route) error {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if it.attempt != attempt {
-		return errHandedOver
-	}
-	made := receivedEvent{event: event, version: version, single: rt.SingleVersion}
-	if it.buffering {
-		it.buffered = append(it.buffered, made)
-		return nil
-	}
-	return j.appendEvent(it, made)
-}
-
-// madeEvent is an event with the version of the weights that made it.
-type receivedEvent struct {
-	event   eventstream.Event
-	version int64
-	// single says that a text must be of one version.
-	single bool
-}
-
-// add adds an event to an item's text. Events come in order without gaps, and each
-// was made by a version that the batch allows. The mutex is held.
-func (j *job) appendEvent(it *item, made receivedEvent) error {
-	event, version := made.event, made.version
+// appendEvent adds an event to the text. Events come in order without gaps, and each was
+// made by a version that the batch allows.
+func (it *item) appendEvent(e receivedEvent, minVersion int64) error {
+	event, version := e.event, e.version
 	if !event.HasID || (it.hasEvent && event.ID != it.lastEvent+1) {
 		return errors.Errorf("event %d after %d", event.ID, it.lastEvent)
 	}
-	if version < j.submission.MinVersion {
+	if version < minVersion {
 		return errTooOld
 	}
-	if made.single && len(it.versions) > 0 && it.versions[0] != version {
+	if e.single && len(it.versions) > 0 && it.versions[0] != version {
 		it.forgetEvents()
 		return errors.New("version changed within a text of one version")
 	}
@@ -203,89 +163,38 @@
 	return nil
 }
 
-// startAgain forgets an item's text.
+// forgetEvents has the text begin anew.
 func (it *item) forgetEvents() {
 	it.events, it.versions, it.lastEvent, it.hasEvent, it.checkpointed = nil, nil, 0, false, 0
 }
 
-// retryItem decides what becomes of an item whose attempt failed.
-func (j *job) retryItem(it *item, rep replica.Replica, rt *route.Route, cause error) {
-	table := j.r.table
-	var status *forward.StatusError
-	var quarantined *forward.QuarantinedError
-	pause := failurePause
-	dead := ""
-	switch {
-	case errors.As(cause, &quarantined):
-		pause = quarantined.RetryAfter
-	case errors.Is(cause, forward.ErrDeclined), errors.Is(cause, errTooOld):
-		table.Declined(rep.Start())
-	case errors.Is(cause, upstream.ErrFull):
-		table.Busy(rep.Start(), failurePause)
-	case errors.As(cause, &status):
-		dead = j.failureStatus(it, status.Status, rt)
-	default:
-		table.Failed(rep.Start())
-	}
-	j.logger.Info("item attempt failed", zap.String("item", it.ID), zap.String("replica", rep.ID), zap.Int("attempt", it.attempts),
-		zap.Int64("events", it.lastEvent), zap.Duration("after", time.Since(it.startedAt)), zap.Error(cause))
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if it.state != itemRunning {
-		return
-	}
-	if dead != "" {
-		j.finish(it, batch.Result{Item: it.index, Outcome: batch.Dead}, dead)
-		return
-	}
-	it.state = itemWaiting
-	it.timing.enter(phaseWaiting, time.Now())
-	it.notBefore = time.Now().Add(pause)
-}
-
-// failureStatus counts a replica's failure and returns why the item is given
-// up, or "".
-func (j *job) failureStatus(it *item, status int, rt *route.Route) string {
-	switch status {
-	case http.StatusUnprocessableEntity:
-		return "cannot be done"
-	case http.StatusInternalServerError:
-		it.failures++
-		if it.failures >= max(rt.MaxAttempts, 1) {
-			return "failed at every attempt"
+// flushBuffered adds the buffered events. An error says that the attempt under way cannot
+// go on.
+func (it *item) flushBuffered(minVersion int64) error {
+	buffered := it.buffered
+	it.stopBuffering()
+	for _, e := range buffered {
+		if err := it.appendEvent(e, minVersion); err != nil {
+			return err
 		}
 	}
-	return ""
+	return nil
 }
 
-// scoreItem has a whole text scored and hands it to be listed.
-func (j *job) scoreItem(it *item) {
-	j.mu.Lock()
-	if it.state != itemRunning {
-		j.mu.Unlock()
+// stopBuffering drops the buffered events.
+func (it *item) stopBuffering() { it.buffering, it.buffered = false, nil }
+
+// resumeFrom gives an item the beginning that an owner before has checkpointed, if there is
+// one.
+func (it *item) resumeFrom(partial batch.Partial) {
+	if len(partial.Events) == 0 {
 		return
 	}
-	it.state = itemScoring
-	it.timing.enter(phaseScoring, time.Now())
-	j.lengths.Observe(it.expectedTokens, len(it.events))
-	result := batch.Result{Item: it.index, Outcome: batch.Done, Text: bytes.Join(it.events, []byte("\n")), Versions: slices.Clone(it.versions)}
-	j.mu.Unlock()
-	j.r.Kick()
-	reason := ""
-	if it.Reward != nil {
-		score, err := j.reward(it)
-		if j.ctx.Err() != nil {
-			return
-		}
-		if err != nil {
-			result, reason = batch.Result{Item: it.index, Outcome: batch.Dead}, err.Error()
-		}
-		result.Score = score
-	}
-	slices.Sort(result.Versions)
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if it.state == itemScoring {
-		j.finish(it, result, reason)
-	}
+	it.events = slices.Clone(partial.Events)
+	it.checkpointed = len(partial.Events)
+	it.lastEvent, it.hasEvent = partial.LastEvent, true
+	it.versions = slices.Clone(partial.Versions)
 }
+
+// underWay reports whether the item is at a replica, or its result is not listed yet.
+func (it *item) underWay() bool { return it.state == itemRunning || it.state == itemScoring }
--- /dev/null
+++ b/internal/batches/runner/listing.go
@@ -0,0 +1,106 @@
+package runner
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"woodworks/internal/batches/batch"
+)
+
+const (
+	// listDelay is how long a result waits for others to be listed with.
+	listDelay = 10 * time.Millisecond
+	// listTimeout bounds one try to list results.
+	listTimeout = 2 * time.Second
+)
+
+// resultQueue holds the results that are not in the ledger yet.
+type resultQueue struct {
+	pending []batch.Result
+	// wake gets a value when there are some.
+	wake chan struct{}
+}
+
+func newResultQueue() resultQueue { return resultQueue{wake: make(chan struct{}, 1)} }
+
+// notify has the results listed. It never blocks.
+func (q *resultQueue) notify() {
+	select {
+	case q.wake <- struct{}{}:
+	default:
+	}
+}
+
+// finish hands a result to be listed. The mutex is held.
+func (j *job) finish(it *item, result batch.Result, reason string) {
+	it.state = itemScoring
+	it.timing.enter(phaseListing, time.Now())
+	j.results.pending = append(j.results.pending, result)
+	outcome := "done"
+	if result.Outcome == batch.Dead {
+		outcome = "dead"
+	}
+	j.logger.Info("item finished", zap.String("item", it.ID), zap.String("outcome", outcome), zap.String("reason", reason),
+		zap.Int("attempts", it.attempt), zap.Int64("expected", it.expectedTokens), zap.Int("bytes", len(result.Text)),
+		zap.Duration("took", time.Since(it.startedAt)), zap.Int64("events", it.lastEvent), zap.Int64s("versions", result.Versions),
+		zap.String("replica", it.lastReplica))
+	j.results.notify()
+}
+
+// listResults appends results to the ledger as they come, a few together, until the job
+// ends.
+func (j *job) listResults() {
+	for {
+		select {
+		case <-j.ctx.Done():
+			return
+		case <-j.results.wake:
+		}
+		time.Sleep(listDelay)
+		j.mu.Lock()
+		results := j.results.pending
+		j.mu.Unlock()
+		if len(results) == 0 {
+			continue
+		}
+		if !j.list(results) {
+			return
+		}
+		j.mu.Lock()
+		j.results.pending = j.results.pending[len(results):]
+		more := len(j.results.pending) > 0
+		j.mu.Unlock()
+		if more {
+			j.results.notify()
+		}
+	}
+}
+
+// list appends results until it is certain that they are in the ledger, and reports whether
+// they are.
+func (j *job) list(results []batch.Result) bool {
+	record := batch.Listed(j.submission.ID, results)
+	failures := 0
+	for j.ctx.Err() == nil {
+		ctx, cancel := context.WithTimeout(j.ctx, listTimeout)
+		err := j.partition.Append(ctx, record)
+		cancel()
+		if err == nil {
+			if failures > 0 {
+				j.logger.Info("results listed", zap.Int("results", len(results)), zap.Int("tries", failures+1))
+			}
+			return true
+		}
+		failures++
+		if failures == 1 && j.ctx.Err() == nil {
+			j.logger.Info("results not listed yet", zap.Int("results", len(results)), zap.Error(err))
+		}
+		select {
+		case <-j.ctx.Done():
+		case <-time.After(appendPause):
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/batches/runner/owner.go
@@ -0,0 +1,81 @@
+package runner
+
+import (
+	"time"
+
+	"woodworks/internal/batches/batch"
+	"woodworks/internal/journal"
+	"woodworks/internal/membership/identity"
+)
+
+// The rules by which the owner of a batch is replaced.
+
+const (
+	// heartbeatTimeout is how long an owner may give no sign of life before another daemon
+	// takes its batch over.
+	heartbeatTimeout = 1500 * time.Millisecond
+	// firstHeartbeatTimeout is how long a new owner may take to give its first sign of life.
+	firstHeartbeatTimeout = 700 * time.Millisecond
+	// suspectAfter is after how long an owner's machine is looked for among those alive: a
+	// new incarnation there proves that the owner is gone.
+	suspectAfter = 500 * time.Millisecond
+	// standByWait is how long the daemon that accepted a batch waits for the owner's first
+	// sign of life, besides standBySteps times what the acceptance took: that many calls lie
+	// between the two.
+	standByWait  = 300 * time.Millisecond
+	standBySteps = 4
+)
+
+// observation is what a daemon saw of a batch's owner, and since when nothing new.
+type observation struct {
+	partition journal.Partition
+	batch     string
+	owner     string
+	// signs is the owner's count of signs of life.
+	signs int64
+	at    time.Time
+	// judgedIn is the generation of the group in which the owner was last looked for among
+	// those alive.
+	judgedIn int64
+	// readAt is when the read began that confirmed the silence, or zero.
+	readAt time.Time
+}
+
+// still reports whether nothing has been heard of the owner since.
+func (o observation) still(b *batch.Batch) bool {
+	return b.Open() && b.Owner == o.owner && b.Signs == o.signs
+}
+
+// silent is for how long the owner is known to have given no sign.
+func (o observation) silent() time.Duration { return o.readAt.Sub(o.at) }
+
+// suspect reports whether the owner is to be looked for: once in each generation of the
+// group, when it has been silent, and always if the batch has none or it is an incarnation
+// of the own machine.
+func (o observation) suspect(self string, generation int64, now time.Time) bool {
+	return o.owner == "" || o.judgedIn != generation || now.Sub(o.at) > suspectAfter ||
+		identity.Machine(o.owner) == identity.Machine(self)
+}
+
+// reasonToReplace returns why the owner of a batch whose silence is confirmed is to be
+// replaced, or "" if it is not. Alive are the daemons of the group.
+func (o observation) reasonToReplace(alive []string) string {
+	switch {
+	case o.owner == "":
+		return "released"
+	case identity.Replaced(o.owner, alive):
+		return "owner replaced"
+	case o.signs == 0 && o.silent() > firstHeartbeatTimeout:
+		return "owner has not begun"
+	case o.silent() > heartbeatTimeout:
+		return "owner silent"
+	default:
+		return ""
+	}
+}
+
+// standByTime is how long the daemon that accepted a batch for another one waits before it
+// takes the batch over, by how long the acceptance took.
+func standByTime(accepting time.Duration) time.Duration {
+	return standByWait + standBySteps*accepting
+}
--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -37,7 +37,9 @@
 		is.Equal(told(owner)[0].Overdue, time.Duration(0))
 		time.Sleep(time.Second)
 		is.Equal(told(owner)[0].Overdue, time.Second)
-		begun.noteFirstEvent(begun.items[0], 1, &route.Route{Shares: []route.Share{{Service: "s", Weight: 1}}})
+		first := attemptOf(begun, 0)
+		first.route = &route.Route{Shares: []route.Share{{Service: "s", Weight: 1}}}
+		first.noteFirstEvent()
 		is.Equal(told(owner)[0].Overdue, time.Duration(0))
 	})
 }
@@ -51,7 +53,7 @@
 		owner := newOwner(ctx, t, journaltest.New(), "a/1")
 		is.NoErr(owner.Accept(ctx, &twoItems))
 		synctest.Wait()
-		owner.jobList()[0].items[0].attempts = 1
+		owner.jobList()[0].items[0].attempt = 1
 		time.Sleep(time.Second)
 		items := told(owner)
 		is.Equal(items[0].MaxRemaining, 0.0)
--- a/internal/batches/runner/handed_test.go
+++ b/internal/batches/runner/release_test.go
@@ -51,6 +51,11 @@
 	return j
 }
 
+// attemptOf is the attempt that an item of running is at.
+func attemptOf(j *job, i int) *attempt {
+	return &attempt{pending: pending{job: j, item: j.items[i], route: &route.Route{}}, number: 1, replica: replica.Replica{Entry: replica.Entry{ID: "engine"}}}
+}
+
 // startable returns how many items a daemon would start if there were room.
 func startable(owner *Runner) int {
 	v := owner.views(time.Now())["s"]
@@ -81,7 +86,7 @@
 			}
 			go first.Release(ctx)
 			synctest.Wait()
-			begun.endAttempt(begun.items[0], 1, replica.Replica{Entry: replica.Entry{ID: "engine"}}, &route.Route{}, errors.New("reset"))
+			attemptOf(begun, 0).end(errors.New("reset"))
 			time.Sleep(200 * time.Millisecond)
 			log.SetBefall(nil)
 			time.Sleep(200 * time.Millisecond)
@@ -110,7 +115,7 @@
 		is.NoErr(second.TakeOver(ctx, "x", ""))
 		time.Sleep(time.Second)
 		is.Equal(startable(second), 0)
-		begun.endAttempt(begun.items[1], 1, replica.Replica{Entry: replica.Entry{ID: "engine"}}, &route.Route{}, errors.New("reset"))
+		attemptOf(begun, 1).end(errors.New("reset"))
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(startable(second), 1)
 	})
--- a/internal/batches/runner/giveup_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -1,6 +1,7 @@
 package runner
 
 import (
+	"context"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -8,7 +9,9 @@
 	"github.com/matryer/is"
 
 	"woodworks/internal/batches/batch"
+	"woodworks/internal/requests/forward"
 	"woodworks/internal/requests/route"
+	"woodworks/internal/requests/upstream"
 )
 
 // configured is an operator that has given one configuration.
@@ -31,7 +34,7 @@
 	j, it := movedJob(t)
 	j.r.operator = configured{configuration: configuration}
 	j.submission = &batch.Submission{ID: "x", Host: "h", Path: "/p/x", AcceptedAtMs: time.Now().Add(-behind).UnixMilli()}
-	j.adoptedAt, j.listWake = time.Now(), make(chan struct{}, 1)
+	j.adoptedAt, j.results = time.Now(), newResultQueue()
 	it.state, it.buffering, it.cancel = itemWaiting, false, nil
 	return j
 }
@@ -49,15 +52,39 @@
 				is := is.New(t)
 				j := agedJob(t, behind, maxQueue)
 				j.giveUpTooOld()
-				is.Equal(len(j.results), 0) // nothing is old at the start
+				is.Equal(len(j.results.pending), 0) // nothing is old at the start
 				time.Sleep(maxQueue - time.Millisecond)
 				j.giveUpTooOld()
-				is.Equal(len(j.results), 0)
+				is.Equal(len(j.results.pending), 0)
 				time.Sleep(2 * time.Millisecond)
 				j.giveUpTooOld()
-				is.Equal(len(j.results), 1)
-				is.Equal(j.results[0].Outcome, batch.Dead)
+				is.Equal(len(j.results.pending), 1)
+				is.Equal(j.results.pending[0].Outcome, batch.Dead)
 			})
 		})
 	}
 }
+
+// Only a replica's own answer counts against an item, and what an attempt says of its
+// replica decides who gets the next one.
+func TestWhatFollowsAFailedAttempt(t *testing.T) {
+	is := is.New(t)
+	again := func(f fault) retry { return retry{fault: f, pause: failurePause} }
+	is.Equal(retryAfter(&forward.QuarantinedError{RetryAfter: time.Minute}, 9, 3), retry{pause: time.Minute})
+	is.Equal(retryAfter(forward.ErrDeclined, 9, 3), again(faultDeclined))
+	is.Equal(retryAfter(errTooOld, 9, 3), again(faultDeclined))
+	is.Equal(retryAfter(upstream.ErrFull, 9, 3), again(faultFull))
+	is.Equal(retryAfter(context.Canceled, 9, 3), again(faultFailed))
+	is.Equal(retryAfter(&forward.StatusError{Status: 503}, 9, 3), again(noFault))
+	is.Equal(retryAfter(&forward.StatusError{Status: 422}, 0, 3), retry{dead: "cannot be done"})
+	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 1, 3), retry{counts: true, pause: failurePause})
+	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 2, 3), retry{counts: true, dead: "failed at every attempt"})
+	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 0, 0), retry{counts: true, dead: "failed at every attempt"})
+}
+
+func TestTheTimeForAFirstEventDoubles(t *testing.T) {
+	is := is.New(t)
+	for attempt, timeout := range []time.Duration{1500 * time.Millisecond, 3 * time.Second, 6 * time.Second, 10 * time.Second, 10 * time.Second} {
+		is.Equal(firstEventTimeoutOf(attempt+1), timeout)
+	}
+}
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -1,32 +1,70 @@
 package runner
 
 import (
+	"bytes"
 	"context"
 	"net/http"
+	"slices"
 	"time"
 
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
+	"woodworks/internal/batches/batch"
 	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/requests/forward"
 	"woodworks/internal/requests/route"
 )
 
 const (
-	// rewardDeadline bounds one try of a reward call.
-	rewardDeadline = 2 * time.Second
+	// rewardTimeout bounds one try of a reward call, where its route allows no less.
+	rewardTimeout = 2 * time.Second
+	// rewardPause is the time before the second try of a reward call; it doubles with each
+	// further one, up to maxRewardPause.
 	rewardPause    = 50 * time.Millisecond
-	longRewardWait = time.Second
-	// rewardShare is the part of a service's slots that reward calls may fill:
-	// they come in bursts, and clients' requests must find room beside them.
-	rewardShare = 0.6
-	roomPause   = 8 * time.Millisecond
+	maxRewardPause = time.Second
+	// rewardSlots is the part of a service's slots that reward calls may fill: they come in
+	// bursts, and clients' requests must find room beside them. rewardRoomPause is the time
+	// between two looks for room.
+	rewardSlots     = 0.6
+	rewardRoomPause = 8 * time.Millisecond
 )
 
 // errRewardFails: the reward call's replica said at every attempt that it failed.
 var errRewardFails = errors.New("runner: reward call fails at every attempt")
 
+// score has a whole text scored and hands it to be listed.
+func (j *job) score(it *item) {
+	j.mu.Lock()
+	if it.state != itemRunning {
+		j.mu.Unlock()
+		return
+	}
+	it.state = itemScoring
+	it.timing.enter(phaseScoring, time.Now())
+	j.placement.lengths.Observe(it.expectedTokens, len(it.events))
+	result := batch.Result{Item: it.index, Outcome: batch.Done, Text: bytes.Join(it.events, []byte("\n")), Versions: slices.Clone(it.versions)}
+	j.mu.Unlock()
+	j.r.Kick()
+	reason := ""
+	if it.Reward != nil {
+		score, err := j.reward(it)
+		if j.ctx.Err() != nil {
+			return
+		}
+		if err != nil {
+			result, reason = batch.Result{Item: it.index, Outcome: batch.Dead}, err.Error()
+		}
+		result.Score = score
+	}
+	slices.Sort(result.Versions)
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if it.state == itemScoring {
+		j.finish(it, result, reason)
+	}
+}
+
 // reward sends an item's reward call until it has a signature, or its service
 // has failed as often as its route allows.
 func (j *job) reward(it *item) (string, error) {
@@ -38,7 +76,7 @@
 		configuration := j.r.operator.Configuration()
 		rewardRoute, ok := configuration.Find(it.Reward.Host, it.Reward.Path)
 		if ok && !j.r.rewardRoom(rewardRoute) {
-			periodic.Pause(j.ctx, roomPause)
+			periodic.Pause(j.ctx, rewardRoomPause)
 			continue
 		}
 		if ok {
@@ -53,7 +91,7 @@
 		case <-j.ctx.Done():
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, longRewardWait)
+		pause = min(2*pause, maxRewardPause)
 	}
 }
 
@@ -64,12 +102,12 @@
 		slots += max(rep.Slots, 1)
 		inFlight += rep.InFlight
 	}
-	return float64(inFlight) < max(rewardShare*float64(slots), 1)
+	return float64(inFlight) < max(rewardSlots*float64(slots), 1)
 }
 
 // rewardOnce makes one attempt at the reward call.
 func (j *job) rewardOnce(it *item, rt *route.Route) (score string, done bool, err error) {
-	timeout := rewardDeadline
+	timeout := rewardTimeout
 	if rt.Timeout > 0 {
 		timeout = min(timeout, rt.Timeout)
 	}
@@ -91,7 +129,7 @@
 	}
 	if answer.Status == http.StatusInternalServerError {
 		it.rewardFailures++
-		if it.rewardFailures >= max(rt.MaxAttempts, 1) {
+		if exhausted(it.rewardFailures, rt.MaxAttempts) {
 			return "", true, errRewardFails
 		}
 	}
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -1,6 +1,28 @@
-// Package runner runs the items of the batches that this daemon owns: it picks
-// replicas, follows the answers event by event, resumes what broke, has texts
-// scored and lists results in the ledger.
+// Package runner runs the items of the batches that this daemon owns, and takes over those
+// whose owner is gone. It picks replicas, follows the answers event by event, resumes what
+// broke, has texts scored and lists results in the ledger.
+//
+// It owns the jobs (one a batch that runs here, with its items) in memory only: what must
+// last is in the batch's partition of the ledger, from which the next owner goes on. It
+// relies on the ledger's folds, which say who owns a batch; on the replica table for what is
+// known of replicas; on the forwarder to reach them; and on the group for who is alive and
+// which partitions this daemon watches.
+//
+// The files that hold state are runner.go, job.go, item.go, history.go and assign.go. Those
+// that decide are pure: retry.go (which attempt follows, when an item is given up), owner.go
+// (when an owner is replaced), and package scheduling (what starts where). The others carry
+// out: dispatch.go and attempt.go, handover.go, reward.go, listing.go, heartbeat.go on the
+// way of an item; adopt.go, fold.go, standby.go, takeover.go, watcher.go, release.go on the
+// way of a batch from owner to owner; engineshare.go among owners; timing.go for the logs.
+//
+// # Usage
+//
+//	r := runner.New(ctx, self, batches, forwarder, operator, demands, assigner, logger)
+//	go r.Run(ctx)                             // starts items as replicas have room
+//	go assigner.Run(ctx, r.AdoptWhenSeen)     // batches accepted elsewhere
+//	go runner.NewWatcher(r, group).Run(ctx)   // batches whose owner is gone
+//	err := r.Accept(ctx, submission)          // a new batch
+//	r.Release(ctx)                            // at a planned stop
 package runner
 
 import (
@@ -32,15 +54,13 @@
 )
 
 const (
-	// heartbeatInterval is the time between an owner's signs of life in a
-	// batch's partition.
-	heartbeatInterval = 350 * time.Millisecond
 	// wakeInterval bounds how long the dispatcher waits for a change.
 	wakeInterval = 100 * time.Millisecond
-	appendPause  = 100 * time.Millisecond
+	// appendPause is the time between two tries to append a record.
+	appendPause = 100 * time.Millisecond
 )
 
-// Operator tells the operator's newest word.
+// Operator tells what the operator has set.
 type Operator interface {
 	// Configuration returns the configuration in force, or nil.
 	Configuration() *route.Configuration
@@ -52,6 +72,9 @@
 type Runner struct {
 	self      string
 	startedAt time.Time
+	ctx       context.Context
+	logger    *zap.Logger
+
 	ledger    *ledger.Ledger
 	table     *replica.Table
 	forwarder *forward.Forwarder
@@ -60,32 +83,36 @@
 	assigner  *Assigner
 	// locator is nil where nobody tells where batches begin.
 	locator Locator
-	history *history
-	// firsts are how long first events take.
-	firstEvents scheduling.FirstEvents
-	observe     Observer
-	// sharing is nil where other owners are not heard.
+	observe Observer
+	// shared is nil where the settings name no address for peers: other owners are not
+	// heard.
 	shared *sharing
-	logger *zap.Logger
-	ctx    context.Context
 
-	mu   sync.Mutex
-	jobs map[string]*job
+	history     *history
+	firstEvents scheduling.FirstEvents
+	confirming  confirmations
+	// movedAt is when items were last moved. Only the dispatcher uses it.
+	movedAt time.Time
+	// wake has the dispatcher look again.
 	wake chan struct{}
-	// movedAt is when items were last moved off slow replicas.
-	movedAt    time.Time
-	confirming confirmations
-	stopping   atomic.Bool
-	started    atomic.Uint64
-	work       sync.WaitGroup
+	// started counts the items sent to a replica.
+	started atomic.Uint64
+	// work is what a stop waits for.
+	work sync.WaitGroup
+
+	// mu guards jobs, and that no work begins after stopping is set.
+	mu       sync.Mutex
+	jobs     map[string]*job
+	stopping atomic.Bool
 }
 
 // New returns a runner whose owner name is self. All its work ends with the
 // context.
 func New(ctx context.Context, self string, batches *ledger.Ledger, forwarder *forward.Forwarder, operator Operator, demands *demand.Publisher, assigner *Assigner, logger *zap.Logger) *Runner {
 	return &Runner{
-		self: self, startedAt: time.Now(), ledger: batches, table: forwarder.Table, forwarder: forwarder, operator: operator, demands: demands, assigner: assigner,
-		history: newHistory(), observe: func(string, time.Duration) {}, logger: logger, ctx: ctx, jobs: map[string]*job{}, wake: make(chan struct{}, 1),
+		self: self, startedAt: time.Now(), ctx: ctx, logger: logger,
+		ledger: batches, table: forwarder.Table, forwarder: forwarder, operator: operator, demands: demands, assigner: assigner,
+		observe: func(string, time.Duration) {}, history: newHistory(), jobs: map[string]*job{}, wake: make(chan struct{}, 1),
 	}
 }
 
@@ -111,8 +138,10 @@
 		go r.standBy(submission.ID, owner, time.Since(began))
 	}
 	if submission.Model != "" {
-		known := demand.Demand{MinVersion: submission.MinVersion, Named: r.operator.Named()[submission.Model], Work: r.expectedWork(submission), Items: len(submission.Items)}
-		go r.demands.Publish(r.ctx, submission.Model, known)
+		go r.demands.Publish(r.ctx, submission.Model, demand.Demand{
+			MinVersion: submission.MinVersion, Named: r.operator.Named()[submission.Model],
+			Work: r.expectedWork(submission), Items: len(submission.Items),
+		})
 	}
 	if owner == r.self {
 		go r.AdoptWhenSeen(submission.ID)
@@ -120,15 +149,6 @@
 	return nil
 }
 
-// expectedWork is how many tokens a batch should make.
-func (r *Runner) expectedWork(submission *batch.Submission) int64 {
-	work := int64(0)
-	for i := range submission.Items {
-		work += r.expectedLength(headerOf(submission.Items[i].Headers), submission.Items[i].Tokens)
-	}
-	return work
-}
-
 // appendUntil appends a record again until the outcome is certain or the
 // context ends. Doubles of all our records are harmless in the fold.
 func (r *Runner) appendUntil(ctx context.Context, partition *ledger.Partition, record []byte) error {
@@ -152,43 +172,6 @@
 	}
 }
 
-// AdoptWhenSeen starts a batch once the fold shows that this daemon owns it.
-func (r *Runner) AdoptWhenSeen(batchID string) {
-	if !r.begin() {
-		// The one who named this daemon did not know that it stops.
-		r.releaseUnstarted(r.ledger.Of(batchID), batchID)
-		return
-	}
-	defer r.work.Done()
-	defer r.releaseUnstarted(r.ledger.Of(batchID), batchID)
-	partition := r.foldOf(r.ctx, batchID)
-	release := partition.Follow()
-	defer release()
-	for r.ctx.Err() == nil {
-		if err := partition.CatchUp(r.ctx); err != nil {
-			time.Sleep(appendPause)
-			continue
-		}
-		r.adopt(partition, batchID)
-		return
-	}
-}
-
-// letGoUnbegun releases a batch that came to this daemon while its stop began, and that
-// it therefore does not run: the stop itself lets go what is run. The record changes
-// nothing where the batch is not this daemon's.
-func (r *Runner) releaseUnstarted(partition *ledger.Partition, batchID string) {
-	r.mu.Lock()
-	_, run := r.jobs[batchID]
-	unbegun := r.stopping.Load() && !run
-	r.mu.Unlock()
-	if !unbegun {
-		return
-	}
-	err := r.appendUntil(r.ctx, partition, batch.Released(batchID, r.self, nil))
-	r.logger.Info("batch let go unbegun", zap.String("batch", batchID), zap.Error(err))
-}
-
 // begin counts work that a stop must wait for, or refuses it if the stop has
 // begun.
 func (r *Runner) begin() bool {
@@ -201,60 +184,6 @@
 	return true
 }
 
-// adopt starts a batch if a fold of its partition says that this daemon owns it and it is
-// open. The batch goes by that fold from then on.
-func (r *Runner) adopt(partition *ledger.Partition, batchID string) {
-	var adopted *job
-	r.mu.Lock()
-	_, under := r.jobs[batchID]
-	if !under && r.ctx.Err() == nil && !r.stopping.Load() {
-		partition.View(func(state *batch.State) {
-			b, found := state.Get(batchID)
-			if found && b.Open() && b.Owner == r.self {
-				adopted = newJob(r, partition, b)
-				r.jobs[batchID] = adopted
-				r.work.Add(1)
-			}
-		})
-	}
-	r.mu.Unlock()
-	if adopted == nil {
-		return
-	}
-	r.logger.Info("batch owned", zap.String("batch", batchID), zap.Int("items", len(adopted.items)),
-		zap.Int("listed", adopted.listedAtStart), zap.Int("begun", adopted.resumedAtStart), zap.Int64("step", adopted.submission.Step), zap.String("model", adopted.submission.Model),
-		zap.Int64("min_version", adopted.submission.MinVersion), zap.Int("desired", adopted.submission.Desired),
-		zap.String("topic", partition.Name().Topic), zap.Int("partition", partition.Name().Number))
-	go func() {
-		defer r.work.Done()
-		adopted.run()
-		r.mu.Lock()
-		delete(r.jobs, batchID)
-		r.mu.Unlock()
-	}()
-	r.Kick()
-}
-
-// TakeOver makes this daemon the owner in place of another and starts the
-// batch.
-func (r *Runner) TakeOver(ctx context.Context, batchID, from string) error {
-	if !r.begin() {
-		return ErrStopping
-	}
-	defer r.work.Done()
-	whole := r.ledger.Of(batchID)
-	defer r.releaseUnstarted(whole, batchID)
-	if err := whole.Append(ctx, batch.TakenOver(batchID, from, r.self)); err != nil {
-		return errors.Wrap(ErrUnknown, err.Error())
-	}
-	partition := r.foldOf(ctx, batchID)
-	if err := partition.CatchUp(ctx); err != nil {
-		return errors.Wrap(ErrUnknown, err.Error())
-	}
-	r.adopt(partition, batchID)
-	return nil
-}
-
 // End ends a batch: after nil no more of it is run than is under way. An
 // unknown batch is ended as well, as its acceptance may still be on its way. A batch of
 // another tenant stays as it is, and the caller does not learn of it.
@@ -262,12 +191,6 @@
 	return r.appendUntil(ctx, r.ledger.Of(batchID), batch.Ended(batchID, tenant))
 }
 
-// signNumber numbers a sign of life. It rises over all batches of this run, so that
-// one that comes back here is not taken for silent.
-func (r *Runner) heartbeatNumber(now time.Time) int64 {
-	return now.Sub(r.startedAt).Milliseconds() + 1
-}
-
 // jobList returns the batches that are run here.
 func (r *Runner) jobList() []*job {
 	r.mu.Lock()
@@ -300,33 +223,6 @@
 	}
 }
 
-// Release lets all batches go: no more items are started, each batch gets a
-// record that says so, and the items under way are finished. It returns when
-// they are, or when the context ends.
-func (r *Runner) Release(ctx context.Context) {
-	r.mu.Lock()
-	r.stopping.Store(true)
-	r.mu.Unlock()
-	for _, j := range r.jobList() {
-		// Counted: a batch with nothing under way is left at once, and its record must
-		// be in the journal all the same before the daemon ends.
-		r.work.Add(1)
-		go func() {
-			defer r.work.Done()
-			j.release(ctx)
-		}()
-	}
-	done := make(chan struct{})
-	go func() {
-		r.work.Wait()
-		close(done)
-	}()
-	select {
-	case <-done:
-	case <-ctx.Done():
-	}
-}
-
 // Run starts items as replicas have room, until the context ends.
 func (r *Runner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -4,21 +4,15 @@
 	"context"
 	"time"
 
+	"go.uber.org/zap"
+
 	"woodworks/internal/batches/batch"
 	"woodworks/internal/batches/ledger"
 )
 
-const (
-	// standByTime is how long the daemon that accepted a batch waits for the
-	// owner's first sign of life, besides standBySteps times what the acceptance
-	// took: that many calls lie between the two.
-	standByWait  = 300 * time.Millisecond
-	standBySteps = 4
-)
-
 // standBy takes a batch over that this daemon has accepted for another one, if
-// that one gives no first sign of life: it may have ended since the group told
-// of it. The watcher of the partition would find out as well, but later.
+// that one gives no first sign of life: it may have ended since the group named
+// it. The watcher of the partition would find out as well, but later.
 func (r *Runner) standBy(batchID, owner string, accepting time.Duration) {
 	if !r.begin() {
 		return
@@ -28,14 +22,19 @@
 	release := partition.Follow()
 	defer release()
 	expected := observation{partition: partition.Name(), batch: batchID, owner: owner, at: time.Now()}
-	patience, cancel := context.WithTimeout(r.ctx, standByWait+standBySteps*accepting)
+	patience, cancel := context.WithTimeout(r.ctx, standByTime(accepting))
 	defer cancel()
 	if hasBegun(patience, partition, expected) || r.ctx.Err() != nil {
 		return
 	}
 	bounded, cancel := context.WithTimeout(r.ctx, takeOverTimeout)
 	defer cancel()
-	if partition.CatchUp(bounded) != nil || !r.stillSuspect(expected) {
+	if err := partition.CatchUp(bounded); err != nil {
+		// The partition's watcher finds out later.
+		r.logger.Info("silence of the owner not confirmed", zap.String("batch", batchID), zap.String("owner", owner), zap.Error(err))
+		return
+	}
+	if !r.stillSuspect(expected) {
 		return
 	}
 	r.replaceOwner(r.ctx, expected, "owner has not begun")
--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -13,34 +13,13 @@
 )
 
 const (
+	// takeOverTimeout bounds the taking over of a batch, and a read that confirms silence.
 	takeOverTimeout = 1500 * time.Millisecond
 	// confirmTimeout is how long a watcher waits at a time for the reads that show that
 	// suspects still are suspects.
 	confirmTimeout = 300 * time.Millisecond
 )
 
-// sighting is an owner's count of signs of life, and when it last rose.
-type observation struct {
-	partition journal.Partition
-	batch     string
-	owner     string
-	signs     int64
-	at        time.Time
-	// judgedIn is the generation of the group in which the owner was last
-	// looked for among those alive.
-	judgedIn int64
-	// readAt is when the read began that confirmed the silence, or zero.
-	readAt time.Time
-}
-
-// silent is for how long the owner is known to have given no sign.
-func (s observation) silent() time.Duration { return s.readAt.Sub(s.at) }
-
-// still reports whether nothing has been heard of the owner since.
-func (s observation) still(b *batch.Batch) bool {
-	return b.Open() && b.Owner == s.owner && b.Signs == s.signs
-}
-
 // confirmations are the reads that show whether suspects still are suspects, one a
 // partition. The zero value is ready for use.
 type confirmations struct {
@@ -66,15 +45,15 @@
 	if c.reads == nil {
 		c.reads = map[journal.Partition]*confirmation{}
 	}
-	made := &confirmation{began: time.Now(), ended: make(chan struct{})}
-	c.reads[partition.Name()] = made
+	read := &confirmation{began: time.Now(), ended: make(chan struct{})}
+	c.reads[partition.Name()] = read
 	go func() {
 		bounded, cancel := context.WithTimeout(ctx, takeOverTimeout)
 		defer cancel()
-		made.err = partition.CatchUp(bounded)
-		close(made.ended)
+		read.err = partition.CatchUp(bounded)
+		close(read.ended)
 	}()
-	return made
+	return read
 }
 
 // take returns when the read of a partition began, if it has ended well. A read that has
--- a/internal/batches/runner/account.go
+++ b/internal/batches/runner/timing.go
@@ -9,14 +9,14 @@
 // phase is what an item's time is spent on.
 type phase int
 
-// Phases of an item, in the order in which it goes through them; an item whose run
-// failed waits again.
+// Phases of an item, in the order in which it goes through them; an item whose
+// attempt failed waits again.
 const (
 	// phaseWaiting: for a slot at a replica.
 	phaseWaiting phase = iota
-	// phasePrompt: from the start of a run to its first event.
+	// phasePrompt: from the start of an attempt to its first event.
 	phasePrompt
-	// phaseMaking: between the first event of a run and its end.
+	// phaseGenerating: between the first event of an attempt and its end.
 	phaseGenerating
 	// phaseScoring: the reward call.
 	phaseScoring
@@ -32,7 +32,7 @@
 	return [...]string{"waiting", "prompt", "making", "scoring", "listing", "done"}[p]
 }
 
-// account is where an item's time went at this owner.
+// timing is where an item's time went at this owner.
 type timing struct {
 	phase phase
 	since time.Time
@@ -70,7 +70,7 @@
 	}
 }
 
-// giveAccount tells where the time of a batch went: that of the item listed last, as
+// logTimes tells where the time of a batch went: that of the item listed last, as
 // it decided when the batch had all that it came to. The mutex is held.
 func (j *job) logTimes(reason string, now time.Time) {
 	var last *item
@@ -91,11 +91,11 @@
 	fields := []zap.Field{
 		zap.String("reason", reason), zap.Int("listed", listed), zap.Int("items", len(j.items)),
 		zap.Duration("before", max(j.adoptedAt.Sub(j.submission.AcceptedAt()), 0)), zap.Duration("owned", now.Sub(j.adoptedAt)),
-		zap.String("last_item", last.ID), zap.Bool("required", j.required[last.Group]), zap.Int64("events", last.lastEvent), zap.Int("attempts", last.attempts),
+		zap.String("last_item", last.ID), zap.Bool("required", j.placement.required[last.Group]), zap.Int64("events", last.lastEvent), zap.Int("attempts", last.attempt),
 		zap.Int64s("versions", last.versions), zap.String("replica", last.lastReplica),
 	}
 	if last.lastEvent > 0 {
-		fields = append(fields, zap.Duration("pace", spent[phaseGenerating]/time.Duration(last.lastEvent)))
+		fields = append(fields, zap.Duration("event_time", spent[phaseGenerating]/time.Duration(last.lastEvent)))
 	}
 	for part := phaseWaiting; part < phaseDone; part++ {
 		fields = append(fields, zap.Duration(part.String(), spent[part]))
--- a/internal/batches/runner/account_test.go
+++ b/internal/batches/runner/timing_test.go
@@ -37,7 +37,7 @@
 	told := lines.All()[0].ContextMap()
 	is.Equal(told["last_item"], "last")
 	is.Equal(told["listed"], int64(2))
-	is.Equal(told["pace"], 300*time.Millisecond)
+	is.Equal(told["event_time"], 300*time.Millisecond)
 	is.Equal(parts, map[string]time.Duration{
 		"waiting": time.Second, "prompt": 2 * time.Second, "making": 3 * time.Second, "scoring": 4 * time.Second, "listing": 5 * time.Second, "until left": 4 * time.Second,
 	})
--- a/internal/batches/runner/watch.go
+++ b/internal/batches/runner/watcher.go
@@ -7,21 +7,13 @@
 	"woodworks/internal/batches/batch"
 	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
-	"woodworks/internal/membership/identity"
 )
 
 const (
+	// watchInterval is the time between two looks at the owners, and at what is dealt.
 	watchInterval = 200 * time.Millisecond
-	// silenceAllowed is how long an owner may give no sign of life before
-	// another daemon takes its batch over.
-	heartbeatTimeout = 1500 * time.Millisecond
-	// firstSign is how long a new owner may take to give its first sign of life.
-	firstHeartbeatTimeout = 700 * time.Millisecond
-	// silenceSuspect is after how long an owner's machine is looked for among
-	// those alive: a new run there proves that the owner is gone.
-	suspectAfter = 500 * time.Millisecond
-	// watchOn is how long a partition is watched after it was dealt to another
-	// member, who hears of it only at its second join from then.
+	// unwatchDelay is how long a partition is watched after it was dealt to another member,
+	// who hears of it only at its second join from then.
 	unwatchDelay = 1500 * time.Millisecond
 )
 
@@ -34,8 +26,8 @@
 }
 
 // Watcher looks after the batches in the partitions dealt to this daemon: it
-// takes over those whose owner has let them go, has been replaced by another
-// run of its machine, or gives no sign of life. Two watchers of one partition
+// takes over those whose owner has released them, has been replaced by another
+// incarnation on its machine, or gives no sign of life. Two watchers of one partition
 // do no harm, as one takeover counts.
 type Watcher struct {
 	runner  *Runner
@@ -79,8 +71,7 @@
 
 // follow starts and stops following as partitions come and go. A partition is followed from
 // the second look of a generation on: while daemons start one after the other all are dealt anew
-// with each, and would be read by everyone in turn. With 84 daemons and 72 MB in the partitions a
-// start of all reads 73 to 81 MB of them, in place of 128 to 396 (virtual time).
+// with each, and would be read by everyone in turn.
 func (w *Watcher) follow(now time.Time) {
 	dealt, settled := w.group.Partitions(), w.settled()
 	for name := range dealt {
@@ -113,8 +104,7 @@
 }
 
 // inspect returns the batches of one partition whose owner may be gone, and
-// starts those that this daemon owns. An owner is looked for once in each
-// generation, and when it has been silent.
+// starts those that this daemon owns.
 func (w *Watcher) inspect(name journal.Partition, p *watched, generation int64, now time.Time) []observation {
 	partition := w.runner.ledger.Partition(name)
 	// Silence counts only while the journal can be read: what an owner wrote
@@ -135,7 +125,7 @@
 			switch {
 			case b.Owner == w.runner.self:
 				own = append(own, b.ID)
-			case b.Owner == "" || seen.judgedIn != generation || now.Sub(seen.at) > suspectAfter || identity.Machine(b.Owner) == identity.Machine(w.runner.self):
+			case seen.suspect(w.runner.self, generation, now):
 				suspects = append(suspects, seen)
 			}
 		})
@@ -146,10 +136,10 @@
 	return suspects
 }
 
-// sight returns what was last seen of the owner of an open batch, with the time
+// observe returns what was last seen of the owner of an open batch, with the time
 // since when nothing new was.
-func (w *watched) observe(name journal.Partition, b *batch.Batch, now time.Time) observation {
-	before, ok := w.owners[b.ID]
+func (p *watched) observe(name journal.Partition, b *batch.Batch, now time.Time) observation {
+	before, ok := p.owners[b.ID]
 	if ok && before.still(b) {
 		return before
 	}
@@ -157,11 +147,11 @@
 	if before.owner == b.Owner {
 		seen.judgedIn = before.judgedIn
 	}
-	w.owners[b.ID] = seen
+	p.owners[b.ID] = seen
 	return seen
 }
 
-// judged notes the generation in which owners were looked for.
+// noteJudged notes the generation in which owners were looked for.
 func (w *Watcher) noteJudged(suspects []observation, generation int64) {
 	for _, suspect := range suspects {
 		p := w.watched[suspect.partition]
@@ -182,23 +172,12 @@
 	if err != nil {
 		return false
 	}
-	// This run is alive whatever the group says.
+	// This daemon is alive whatever the group says.
 	alive = append(alive, w.runner.self)
 	for _, suspect := range suspects {
-		reason := ""
-		switch {
-		case suspect.owner == "":
-			reason = "released"
-		case identity.Replaced(suspect.owner, alive):
-			reason = "owner replaced"
-		case suspect.signs == 0 && suspect.silent() > firstHeartbeatTimeout:
-			reason = "owner has not begun"
-		case suspect.silent() > heartbeatTimeout:
-			reason = "owner silent"
-		default:
-			continue
+		if reason := suspect.reasonToReplace(alive); reason != "" {
+			go w.runner.replaceOwner(ctx, suspect, reason)
 		}
-		go w.runner.replaceOwner(ctx, suspect, reason)
 	}
 	return true
 }
--- a/internal/daemon/explain/explain.go
+++ b/internal/daemon/explain/explain.go
@@ -39,7 +39,8 @@
 // request although they do not name it.
 var (
 	batchEvents = map[string]bool{"batch owned": true, "batch left": true, "batch account": true, "batch released": true, "batch taken over": true, "batch not taken over": true, "results not listed yet": true, "results listed": true,
-		"items given back": true, "batch let go unbegun": true}
+		"items given back": true, "batch released unstarted": true, oldReleasedUnstarted: true, "release not recorded": true,
+		"heartbeat not recorded": true, "heartbeats recorded again": true, "silence of the owner not confirmed": true}
 	replicaEvents = map[string]bool{"replica listed": true, "replica state changed": true, "replica started again": true, "replica's entry refused": true, "replica gone from the list": true, "replica failed": true, "order": true, "weights": true}
 	contentEvents = map[string]bool{"replica ended under a content": true, "content learned of": true, "content cleared": true, "suspect runs alone": true}
 	// contextEvents are told of each node that a line of the story comes from.
--- a/internal/daemon/explain/stop.go
+++ b/internal/daemon/explain/stop.go
@@ -14,6 +14,8 @@
 	eventStopped    = "stopped"
 	eventStarted    = "started"
 	eventTurnedAway = "turned away by the stop"
+	// oldReleasedUnstarted is what older daemons call "batch released unstarted".
+	oldReleasedUnstarted = "batch let go unbegun"
 	// stopBegins is what a signal that begins a planned stop has done.
 	stopBegins = "a planned stop begins"
 	// stopReason is the reason of a request that a planned stop ended.
@@ -25,7 +27,7 @@
 var (
 	stopSteps = map[string]bool{eventSignal: true, eventStopping: true, "group left": true, "listener closed": true, "requests interrupted by the stop": true,
 		"lease resigned": true, eventStopped: true}
-	stopWork = map[string]bool{eventTurnedAway: true, "batch released": true, "batch let go unbegun": true, "items given back": true}
+	stopWork = map[string]bool{eventTurnedAway: true, "batch released": true, "batch released unstarted": true, oldReleasedUnstarted: true, "items given back": true}
 	// stopCuts are the outcomes of requests that were under way at the interruption.
 	stopCuts = map[string]bool{"refused": true, "broken off": true, "interrupted": true}
 )
@@ -126,7 +128,7 @@
 		}
 	}
 	text := fmt.Sprintf("planned stop at %s: requests turned away %d, batches released %d, let go unbegun %d, items given back %d times, requests interrupted %d",
-		s.lines[0].time, counts[eventTurnedAway], counts["batch released"], counts["batch let go unbegun"], counts["items given back"], cuts)
+		s.lines[0].time, counts[eventTurnedAway], counts["batch released"], counts["batch released unstarted"]+counts[oldReleasedUnstarted], counts["items given back"], cuts)
 	if !s.ended {
 		return text + "; its end is not in these logs"
 	}
