--- a/internal/daemon/node/candidate_test.go
+++ b/internal/daemon/node/candidate_test.go
@@ -35,8 +35,8 @@
 				dealt[to][partition] = true
 			}
 			candidates := 0
-			for _, each := range dealt {
-				if isCandidate(each, partitions) {
+			for _, e := range dealt {
+				if isCandidate(e, partitions) {
 					candidates++
 				}
 			}
--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -10,14 +10,14 @@
 // from all, 0 without bound. Where daemons don't know each other nothing is shared. Engines
 // run as many requests at once as they have slots, whoever sends them, and owners of batches
 // are few: an owner may use as many connections, which others leave idle.
-func (node *Node) maxOpen(chosen replica.Replica) int {
-	configuration := node.operator.Configuration()
-	if node.relay == nil || configuration == nil {
+func (n *Node) maxOpen(chosen replica.Replica) int {
+	configuration := n.operator.Configuration()
+	if n.relay == nil || configuration == nil {
 		return 0
 	}
 	service := configuration.Services[chosen.Service]
-	daemons := node.daemons()
-	if !node.peerFollower.Synced() {
+	daemons := n.daemons()
+	if !n.peerFollower.Synced() {
 		// Any number of others may be there.
 		daemons = max(service.MaxConnections, 1)
 	}
@@ -25,22 +25,22 @@
 }
 
 // registerConnectionMetrics tells of connections to replicas.
-func (node *Node) registerConnectionMetrics(registry *metrics.Metrics) {
-	registry.Counter("replica_connections_total", "Connections made to replicas.", func() float64 { return float64(node.pool.Dials()) })
-	registry.Counter("replica_connections_lacking_total", "Requests that found as many connections to a replica in use as this daemon may have, and none free in time.", func() float64 { return float64(node.pool.Full()) })
-	registry.Gauge("replica_connections_used_ratio", "Connections to a replica against this daemon's part of what it takes, at the replica where that is highest.", node.connectionsUsed)
+func (n *Node) registerConnectionMetrics(registry *metrics.Metrics) {
+	registry.Counter("replica_connections_total", "Connections made to replicas.", func() float64 { return float64(n.pool.Dials()) })
+	registry.Counter("replica_connections_lacking_total", "Requests that found as many connections to a replica in use as this daemon may have, and none free in time.", func() float64 { return float64(n.pool.Full()) })
+	registry.Gauge("replica_connections_used_ratio", "Connections to a replica against this daemon's part of what it takes, at the replica where that is highest.", n.connectionsUsed)
 }
 
 // connectionsUsed is the highest part of the connections allowed to one replica that there is.
-func (node *Node) connectionsUsed() float64 {
-	configuration, most := node.operator.Configuration(), 0.0
+func (n *Node) connectionsUsed() float64 {
+	configuration, most := n.operator.Configuration(), 0.0
 	if configuration == nil {
 		return 0
 	}
 	for service := range configuration.Services {
-		for _, each := range node.table.Replicas(service) {
-			if part := node.maxOpen(each); part > 0 {
-				most = max(most, float64(node.pool.Open(each.Address))/float64(part))
+		for _, e := range n.table.Replicas(service) {
+			if part := n.maxOpen(e); part > 0 {
+				most = max(most, float64(n.pool.Open(e.Address))/float64(part))
 			}
 		}
 	}
--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -24,16 +24,16 @@
 
 // dialled is a front server on connections in memory, under virtual time.
 type dialled struct {
-	*frontServer
-	listener *handOver
+	*clientListener
+	listener *connQueue
 }
 
 func newDialled(handler http.Handler) *dialled {
-	front := newFrontServer(zap.NewNop())
-	front.handler = handler
-	listener := &handOver{connections: make(chan net.Conn), closed: make(chan struct{})}
-	front.serve(listener)
-	return &dialled{front, listener}
+	l := newClientListener(zap.NewNop())
+	l.handler = handler
+	listener := &connQueue{connections: make(chan net.Conn), closed: make(chan struct{})}
+	l.serve(listener)
+	return &dialled{l, listener}
 }
 
 // dial returns a connection of a caller, or nil if the listener takes none.
--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -22,54 +22,54 @@
 )
 
 // buildDuties makes what the platform expects of one daemon at a time.
-func (node *Node) buildDuties(drivers Drivers) {
+func (n *Node) buildDuties(drivers Drivers) {
 	if drivers.Duties == nil {
 		return
 	}
 	if drivers.Duties.Duties().Fleet {
-		node.fleet = fleet.NewManager(fleet.Parts{
-			Journal: drivers.Journal, Lease: node.lease, Driver: drivers.Duties, Holder: node.settings.Name, Table: node.table, List: node.replicaFollower,
-			Configuration: node.operator.Configuration, Demands: node.demands,
-		}, node.logger)
+		n.fleet = fleet.NewManager(fleet.Parts{
+			Journal: drivers.Journal, Lease: n.lease, Driver: drivers.Duties, Holder: n.settings.Name, Table: n.table, List: n.replicaFollower,
+			Configuration: n.operator.Configuration, Demands: n.demands,
+		}, n.logger)
 	}
-	windows := duty.Windows{Length: node.settings.Timing.UsageWindow.Std(), Due: node.settings.Timing.UsageDue.Std()}
+	windows := duty.Windows{Length: n.settings.Timing.UsageWindow.Std(), Due: n.settings.Timing.UsageDue.Std()}
 	if !drivers.Duties.Duties().Usage || windows.Length <= 0 {
 		return
 	}
 	clock := wallclock.New(bootclock.Now)
-	pace := journal.SharedWritePace(drivers.Journal, usageWriteShare, node.daemons)
-	node.usage = usage.NewRecorder(drivers.Journal, node.identity, windows, pace, clock, node.logger)
-	node.handler.Ran = node.usage.Ran
-	node.reporter = usage.NewReporter(drivers.Journal, node.lease, drivers.Duties, node.settings.Name, windows, clock, node.logger)
+	pace := journal.SharedWritePace(drivers.Journal, usageWriteShare, n.daemons)
+	n.usage = usage.NewRecorder(drivers.Journal, n.identity, windows, pace, clock, n.logger)
+	n.handler.Ran = n.usage.Ran
+	n.reporter = usage.NewReporter(drivers.Journal, n.lease, drivers.Duties, n.settings.Name, windows, clock, n.logger)
 }
 
 // startDuties runs what the platform expects of one daemon at a time.
-func (node *Node) startDuties() {
-	if node.usage != nil {
-		go node.usage.Run(node.context)
-		go node.reporter.Run(node.context)
+func (n *Node) startDuties() {
+	if n.usage != nil {
+		go n.usage.Run(n.context)
+		go n.reporter.Run(n.context)
 	}
-	if node.fleet != nil {
-		go node.fleet.Run(node.context)
+	if n.fleet != nil {
+		go n.fleet.Run(n.context)
 	}
 }
 
 // registerDutyMetrics tells what this daemon did while it held the lease for duties.
-func (node *Node) registerDutyMetrics() {
-	if node.reporter != nil {
-		node.metrics.Counter("usage_reports_total", "Reports of usage that the platform took from this daemon.", func() float64 { return float64(node.reporter.Reported()) })
-		node.metrics.Counter("usage_reports_failed_total", "Calls to report usage that failed.", func() float64 { return float64(node.reporter.Failed()) })
+func (n *Node) registerDutyMetrics() {
+	if n.reporter != nil {
+		n.metrics.Counter("usage_reports_total", "Reports of usage that the platform took from this daemon.", func() float64 { return float64(n.reporter.Reported()) })
+		n.metrics.Counter("usage_reports_failed_total", "Calls to report usage that failed.", func() float64 { return float64(n.reporter.Failed()) })
 	}
-	if node.fleet != nil {
-		node.metrics.Counter("fleet_orders_total", "Orders for replicas that the platform took from this daemon.", func() float64 { return float64(node.fleet.Orders()) })
-		node.metrics.Counter("fleet_orders_failed_total", "Orders for replicas that failed.", func() float64 { return float64(node.fleet.Failed()) })
+	if n.fleet != nil {
+		n.metrics.Counter("fleet_orders_total", "Orders for replicas that the platform took from this daemon.", func() float64 { return float64(n.fleet.Orders()) })
+		n.metrics.Counter("fleet_orders_failed_total", "Orders for replicas that failed.", func() float64 { return float64(n.fleet.Failed()) })
 	}
 }
 
 // flushUsage writes what was counted of tenants' requests, again until it is done or the
 // context ends: with this daemon it would be lost.
-func (node *Node) flushUsage(ctx context.Context) {
-	for node.usage != nil && ctx.Err() == nil && node.usage.Flush(ctx) != nil {
+func (n *Node) flushUsage(ctx context.Context) {
+	for n.usage != nil && ctx.Err() == nil && n.usage.Flush(ctx) != nil {
 		periodic.Pause(ctx, flushPause)
 	}
 }
--- a/internal/daemon/node/health.go
+++ b/internal/daemon/node/health.go
@@ -23,9 +23,9 @@
 	logger     *zap.Logger
 }
 
-func (health *healthServer) listen(readyAddress, metricsAddress string) error {
+func (h *healthServer) listen(readyAddress, metricsAddress string) error {
 	readiness := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-		ready, reason := health.ready()
+		ready, reason := h.ready()
 		if !ready {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -40,18 +40,18 @@
 		return nil
 	}
 	// Without metrics a daemon still serves.
-	if err := serveHealth(metricsAddress, health.operators()); err != nil {
-		health.logger.Error("metrics not served", zap.String("address", metricsAddress), zap.Error(err))
+	if err := serveHealth(metricsAddress, h.operators()); err != nil {
+		h.logger.Error("metrics not served", zap.String("address", metricsAddress), zap.Error(err))
 	}
 	return nil
 }
 
 // operators returns the handler of the address that only operators reach.
-func (health *healthServer) operators() http.Handler {
+func (h *healthServer) operators() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(quarantine.Path, health.quarantine)
-	mux.Handle(quarantine.Path+"/", health.quarantine)
-	mux.Handle("/", health.metrics)
+	mux.Handle(quarantine.Path, h.quarantine)
+	mux.Handle(quarantine.Path+"/", h.quarantine)
+	mux.Handle("/", h.metrics)
 	return mux
 }
 
--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -38,8 +38,8 @@
 // which would otherwise rest and have to be closed under its client.
 type answer struct {
 	http.ResponseWriter
-	front *frontServer
-	begun bool
+	listener *clientListener
+	begun    bool
 }
 
 // begin completes the head if it is not written yet.
@@ -48,7 +48,7 @@
 		return
 	}
 	a.begun = true
-	a.front.tellConnection(a.Header())
+	a.listener.tellConnection(a.Header())
 }
 
 // WriteHeader implements http.ResponseWriter.
@@ -75,26 +75,26 @@
 func (a *answer) Unwrap() http.ResponseWriter { return a.ResponseWriter }
 
 // setKeep sets the longest that answers tell clients to keep their connections.
-func (front *frontServer) setKeep(keep time.Duration) {
-	front.mutex.Lock()
-	defer front.mutex.Unlock()
-	front.keep = keep
+func (l *clientListener) setKeep(keep time.Duration) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.keep = keep
 }
 
-func (front *frontServer) longestKept() time.Duration {
-	front.mutex.Lock()
-	defer front.mutex.Unlock()
-	return front.keep
+func (l *clientListener) longestKept() time.Duration {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.keep
 }
 
 // tellConnection says in an answer's head what becomes of its connection.
-func (front *frontServer) tellConnection(header http.Header) {
-	keep := front.longestKept()
-	if front.draining.Load() || keep == 0 {
+func (l *clientListener) tellConnection(header http.Header) {
+	keep := l.longestKept()
+	if l.draining.Load() || keep == 0 {
 		header.Set("Connection", "close")
 		return
 	}
-	kept := min(keep, time.Duration(keepShare*float64(front.conns.limits.Load().idle)))
+	kept := min(keep, time.Duration(keepShare*float64(l.conns.limits.Load().idle)))
 	if seconds := int(kept / time.Second); seconds > 0 {
 		header.Set("Keep-Alive", "timeout="+strconv.Itoa(seconds))
 	}
--- a/internal/daemon/node/keepalive_test.go
+++ b/internal/daemon/node/keepalive_test.go
@@ -16,7 +16,7 @@
 
 // Clients are told less than the idle limit and than what a stop can wait for.
 func TestAnswersTellHowLongTheirConnectionIsKept(t *testing.T) {
-	for idle, told := range map[time.Duration]string{
+	for idle, a := range map[time.Duration]string{
 		0: "timeout=5", time.Minute: "timeout=5", 4 * time.Second: "timeout=3", 1500 * time.Millisecond: "timeout=1", time.Second: "",
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -26,7 +26,7 @@
 			d.configured(idleLimit(1, idle))
 			answer, err := d.dial().ask("/")
 			is.NoErr(err)
-			is.Equal(answer.Header.Get("Keep-Alive"), told)
+			is.Equal(answer.Header.Get("Keep-Alive"), a)
 		})
 	}
 	is := is.New(t)
@@ -77,17 +77,17 @@
 	is := is.New(t)
 	bound, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
-	front := newFrontServer(zap.NewNop())
-	front.handler = http.HandlerFunc(answerWhole)
-	front.mutex.Lock()
-	front.bound = bound
-	front.startServer()
-	front.mutex.Unlock()
+	l := newClientListener(zap.NewNop())
+	l.handler = http.HandlerFunc(answerWhole)
+	l.mutex.Lock()
+	l.listener = bound
+	l.startServer()
+	l.mutex.Unlock()
 	client := keepOne(t, bound.Addr().String())
 	_, err = io.WriteString(client, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	is.NoErr(err)
-	front.drain()
-	front.closeListener()
+	l.drain()
+	l.closeListener()
 	answer, err := http.ReadResponse(client.r, nil)
 	is.NoErr(err)
 	is.Equal(answer.StatusCode, http.StatusOK)
--- a/internal/daemon/node/front.go
+++ b/internal/daemon/node/listener.go
@@ -29,7 +29,7 @@
 // The limits of a request's head are those in force when its connection was accepted: a
 // change of them makes a new http.Server, and the old one keeps its connections. How long
 // a connection may be idle is up to clientConns, for all connections alike.
-type frontServer struct {
+type clientListener struct {
 	handler http.Handler
 	logger  *zap.Logger
 	conns   *clientConns
@@ -43,54 +43,54 @@
 	keep     time.Duration
 	limits   route.Limits
 	current  *http.Server
-	bound    net.Listener
-	listener *handOver
+	listener net.Listener
+	queue    *connQueue
 	servers  []*http.Server
 	// accepting ends with the loop that takes connections.
 	accepting sync.WaitGroup
 }
 
-func newFrontServer(logger *zap.Logger) *frontServer {
-	return &frontServer{logger: logger, conns: newClientConns(), planned: shutdown.New(), keep: longestKeep}
+func newClientListener(logger *zap.Logger) *clientListener {
+	return &clientListener{logger: logger, conns: newClientConns(), planned: shutdown.New(), keep: longestKeep}
 }
 
 // ServeHTTP implements http.Handler.
-func (front *frontServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *clientListener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok {
 		c.handled()
 	}
 	// What bounded the writes of the request before does not bound those of this one.
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Time{}); err != nil {
-		front.logger.Debug("writes to the client's connection keep their bound", zap.Error(err))
+		l.logger.Debug("writes to the client's connection keep their bound", zap.Error(err))
 	}
-	ctx, release := front.planned.Bound(r.Context())
+	ctx, release := l.planned.Bound(r.Context())
 	defer release()
-	told := &answer{ResponseWriter: w, front: front}
-	front.handler.ServeHTTP(told, r.WithContext(ctx))
-	told.begin()
+	a := &answer{ResponseWriter: w, listener: l}
+	l.handler.ServeHTTP(a, r.WithContext(ctx))
+	a.begin()
 }
 
 // listen binds the address and serves it.
-func (front *frontServer) listen(address string) error {
+func (l *clientListener) listen(address string) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return errors.Wrap(err, "front")
 	}
-	front.serve(listener)
+	l.serve(listener)
 	return nil
 }
 
 // serve takes the connections of a listener over.
-func (front *frontServer) serve(listener net.Listener) {
-	front.mutex.Lock()
-	front.bound = listener
-	front.startServer()
-	front.mutex.Unlock()
-	front.accepting.Go(func() { front.accept(listener) })
+func (l *clientListener) serve(listener net.Listener) {
+	l.mutex.Lock()
+	l.listener = listener
+	l.startServer()
+	l.mutex.Unlock()
+	l.accepting.Go(func() { l.accept(listener) })
 }
 
 // accept gives each new connection to the server in force.
-func (front *frontServer) accept(listener net.Listener) {
+func (l *clientListener) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -100,58 +100,58 @@
 			time.Sleep(acceptPause)
 			continue
 		}
-		front.take(conn)
+		l.take(conn)
 	}
 }
 
 // take gives a connection to the server in force.
-func (front *frontServer) take(conn net.Conn) {
-	front.mutex.Lock()
-	target := front.listener
-	front.mutex.Unlock()
-	target.give(front.conns.add(conn, time.Now()))
+func (l *clientListener) take(conn net.Conn) {
+	l.mutex.Lock()
+	target := l.queue
+	l.mutex.Unlock()
+	target.give(l.conns.add(conn, time.Now()))
 }
 
 // configured takes the limits of a new configuration over.
-func (front *frontServer) configured(configuration *route.Configuration) {
-	front.mutex.Lock()
-	defer front.mutex.Unlock()
-	if front.limits == configuration.Limits {
+func (l *clientListener) configured(configuration *route.Configuration) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.limits == configuration.Limits {
 		return
 	}
-	front.limits = configuration.Limits
-	front.conns.setLimits(connLimits{
-		idle: orDefault(front.limits.IdleTimeout, defaultIdleTimeout),
-		head: orDefault(front.limits.HeaderTimeout, defaultHeaderTimeout),
+	l.limits = configuration.Limits
+	l.conns.setLimits(connLimits{
+		idle: orDefault(l.limits.IdleTimeout, defaultIdleTimeout),
+		head: orDefault(l.limits.HeaderTimeout, defaultHeaderTimeout),
 	})
-	front.logger.Info("limits in force", zap.Int("header_bytes", front.limits.MaxHeaderBytes), zap.Int64("body_bytes", front.limits.MaxBodyBytes),
-		zap.Duration("header_timeout", front.limits.HeaderTimeout), zap.Duration("idle_timeout", front.limits.IdleTimeout))
-	if front.current != nil {
-		front.startServer()
+	l.logger.Info("limits in force", zap.Int("header_bytes", l.limits.MaxHeaderBytes), zap.Int64("body_bytes", l.limits.MaxBodyBytes),
+		zap.Duration("header_timeout", l.limits.HeaderTimeout), zap.Duration("idle_timeout", l.limits.IdleTimeout))
+	if l.current != nil {
+		l.startServer()
 	}
 }
 
 // startServer makes a server with the limits in force. It closes no idle connections:
 // its limit would be that of the time when a connection became idle, while the client
 // goes by the one in force. The mutex is held.
-func (front *frontServer) startServer() {
+func (l *clientListener) startServer() {
 	server := &http.Server{
-		Handler:   front,
-		ConnState: front.conns.stateChanged,
+		Handler:   l,
+		ConnState: l.conns.stateChanged,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
 		},
-		ReadHeaderTimeout: orDefault(front.limits.HeaderTimeout, defaultHeaderTimeout),
+		ReadHeaderTimeout: orDefault(l.limits.HeaderTimeout, defaultHeaderTimeout),
 		MaxHeaderBytes:    defaultHeaderBytes,
-		ErrorLog:          zap.NewStdLog(front.logger.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
+		ErrorLog:          zap.NewStdLog(l.logger.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
 	}
-	if front.limits.MaxHeaderBytes > 0 {
-		server.MaxHeaderBytes = front.limits.MaxHeaderBytes
+	if l.limits.MaxHeaderBytes > 0 {
+		server.MaxHeaderBytes = l.limits.MaxHeaderBytes
 	}
-	front.current = server
-	front.servers = append(front.servers, server)
-	front.listener = &handOver{connections: make(chan net.Conn), closed: make(chan struct{})}
-	go func(listener *handOver) { _ = server.Serve(listener) }(front.listener)
+	l.current = server
+	l.servers = append(l.servers, server)
+	l.queue = &connQueue{connections: make(chan net.Conn), closed: make(chan struct{})}
+	go func(listener *connQueue) { _ = server.Serve(listener) }(l.queue)
 }
 
 func orDefault(value, otherwise time.Duration) time.Duration {
@@ -165,36 +165,36 @@
 type connKey struct{}
 
 // handOver is a listener whose connections come from another one.
-type handOver struct {
+type connQueue struct {
 	connections chan net.Conn
 	closed      chan struct{}
 	once        sync.Once
 }
 
 // give hands a connection to the server, or closes it if the server has stopped.
-func (listener *handOver) give(conn net.Conn) {
+func (q *connQueue) give(conn net.Conn) {
 	select {
-	case listener.connections <- conn:
-	case <-listener.closed:
+	case q.connections <- conn:
+	case <-q.closed:
 		_ = conn.Close()
 	}
 }
 
 // Accept implements net.Listener.
-func (listener *handOver) Accept() (net.Conn, error) {
+func (q *connQueue) Accept() (net.Conn, error) {
 	select {
-	case conn := <-listener.connections:
+	case conn := <-q.connections:
 		return conn, nil
-	case <-listener.closed:
+	case <-q.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (listener *handOver) Close() error {
-	listener.once.Do(func() { close(listener.closed) })
+func (q *connQueue) Close() error {
+	q.once.Do(func() { close(q.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (listener *handOver) Addr() net.Addr { return &net.TCPAddr{} }
+func (q *connQueue) Addr() net.Addr { return &net.TCPAddr{} }
--- a/internal/daemon/node/front_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -15,29 +15,29 @@
 	"woodworks/internal/requests/route"
 )
 
-func startFront(t *testing.T, handler http.Handler) (*frontServer, string) {
+func startFront(t *testing.T, handler http.Handler) (*clientListener, string) {
 	t.Helper()
 	is := is.New(t)
-	front := newFrontServer(zap.NewNop())
-	front.handler = handler
-	is.NoErr(front.listen("127.0.0.1:0"))
+	l := newClientListener(zap.NewNop())
+	l.handler = handler
+	is.NoErr(l.listen("127.0.0.1:0"))
 	t.Cleanup(func() {
 		ended, cancel := context.WithCancel(context.Background())
 		cancel()
-		front.shutdown(ended)
+		l.shutdown(ended)
 	})
-	return front, front.bound.Addr().String()
+	return l, l.listener.Addr().String()
 }
 
 // A stop must end although a connection could still come: it once waited for
 // the accepting loop, which never ended, until the process was killed with a
 // request under way (bench: hunt-f73b-7, LOST).
 func TestShutdownEndsWithoutRequests(t *testing.T) {
-	front, _ := startFront(t, http.NotFoundHandler())
-	front.configured(&route.Configuration{Declared: route.Declared{Limits: route.Limits{MaxHeaderBytes: 8192}}})
+	l, _ := startFront(t, http.NotFoundHandler())
+	l.configured(&route.Configuration{Declared: route.Declared{Limits: route.Limits{MaxHeaderBytes: 8192}}})
 	done := make(chan struct{})
 	go func() {
-		front.shutdown(context.Background())
+		l.shutdown(context.Background())
 		close(done)
 	}()
 	<-done
@@ -48,7 +48,7 @@
 func TestShutdownFinishesRequestUnderWay(t *testing.T) {
 	is := is.New(t)
 	entered, leave := make(chan struct{}), make(chan struct{})
-	front, address := startFront(t, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+	l, address := startFront(t, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		close(entered)
 		<-leave
 		_, _ = writer.Write([]byte("whole"))
@@ -64,10 +64,10 @@
 		answer <- string(body)
 	}()
 	<-entered
-	front.drain()
+	l.drain()
 	done := make(chan struct{})
 	go func() {
-		front.shutdown(context.Background())
+		l.shutdown(context.Background())
 		close(done)
 	}()
 	for {
@@ -127,12 +127,12 @@
 // the last one.
 func TestAKeptConnectionIsAnsweredOnceMoreAfterAStopBegan(t *testing.T) {
 	is := is.New(t)
-	front, address := startFront(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
+	l, address := startFront(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
 	client := keepOne(t, address)
 	first, err := client.ask("/first")
 	is.NoErr(err)
 	is.True(!first.Close)
-	front.drain()
+	l.drain()
 	second, err := client.ask("/second")
 	is.NoErr(err)
 	is.True(second.Close)
@@ -141,12 +141,12 @@
 // A connection at rest ends with the stop, so that the stop ends.
 func TestShutdownClosesConnectionsAtRest(t *testing.T) {
 	is := is.New(t)
-	front, address := startFront(t, http.NotFoundHandler())
+	l, address := startFront(t, http.NotFoundHandler())
 	client := keepOne(t, address)
 	_, err := client.ask("/")
 	is.NoErr(err)
-	front.drain()
-	front.shutdown(context.Background())
+	l.drain()
+	l.shutdown(context.Background())
 	_, err = client.r.ReadByte()
 	is.Equal(err, io.EOF)
 }
--- a/internal/daemon/node/frontstop.go
+++ b/internal/daemon/node/listenerstop.go
@@ -25,27 +25,27 @@
 // way, and only if its client takes the connection up later than it was told to, or if the
 // end of the grace comes before: an answer whose head was written before the stop and whose
 // body ended late in it.
-func (front *frontServer) stop(ctx context.Context) {
-	front.drain()
-	periodic.Pause(ctx, front.planned.Plan().Drain)
-	front.closeUnused(ctx)
-	front.shutdown(ctx)
+func (l *clientListener) stop(ctx context.Context) {
+	l.drain()
+	periodic.Pause(ctx, l.planned.Plan().Drain)
+	l.closeUnused(ctx)
+	l.shutdown(ctx)
 }
 
 // drain makes each further answer the last one of its connection. Idle connections stay
 // open: clients may still take them up.
-func (front *frontServer) drain() { front.draining.Store(true) }
+func (l *clientListener) drain() { l.draining.Store(true) }
 
 // shutdown takes no more connections and waits until none is open or the context ends.
-func (front *frontServer) shutdown(ctx context.Context) {
-	front.closeListener()
-	front.closeUnused(ctx)
+func (l *clientListener) shutdown(ctx context.Context) {
+	l.closeListener()
+	l.closeUnused(ctx)
 	if ctx.Err() != nil {
-		front.interrupt()
+		l.interrupt()
 	}
-	front.mutex.Lock()
-	servers := front.servers
-	front.mutex.Unlock()
+	l.mutex.Lock()
+	servers := l.servers
+	l.mutex.Unlock()
 	for _, server := range servers {
 		_ = server.Close()
 	}
@@ -53,45 +53,45 @@
 
 // closeUnused closes connections once their clients can't have kept them, until none is
 // open or the context ends.
-func (front *frontServer) closeUnused(ctx context.Context) {
-	unused := front.longestKept() + lateTime
-	for front.conns.closeQuiet(time.Now().Add(-unused)) > 0 && ctx.Err() == nil {
-		front.conns.closeStalled(time.Now())
+func (l *clientListener) closeUnused(ctx context.Context) {
+	unused := l.longestKept() + lateTime
+	for l.conns.closeQuiet(time.Now().Add(-unused)) > 0 && ctx.Err() == nil {
+		l.conns.closeStalled(time.Now())
 		periodic.Pause(ctx, closePause)
 	}
 }
 
 // closeListener serves the connections that wait to be accepted and takes no more.
-func (front *frontServer) closeListener() {
-	front.mutex.Lock()
-	bound := front.bound
-	front.mutex.Unlock()
+func (l *clientListener) closeListener() {
+	l.mutex.Lock()
+	bound := l.listener
+	l.mutex.Unlock()
 	if bound == nil {
 		return
 	}
 	waiting, err := stopListening(bound)
 	for _, conn := range waiting {
-		front.take(conn)
+		l.take(conn)
 	}
 	_ = bound.Close()
-	front.accepting.Wait()
-	front.logger.Info("listener closed", zap.Int("waiting", len(waiting)), zap.Error(err))
+	l.accepting.Wait()
+	l.logger.Info("listener closed", zap.Int("waiting", len(waiting)), zap.Error(err))
 }
 
 // interrupt has all requests under way answered as they stand, and closes the
 // connections without one. A connection that has only just come is left the half of the
 // time: its client is sending a request, which is turned away.
-func (front *frontServer) interrupt() {
-	under := len(front.conns.all())
-	front.planned.Interrupt()
-	within := front.planned.Plan().Answer
+func (l *clientListener) interrupt() {
+	under := len(l.conns.all())
+	l.planned.Interrupt()
+	within := l.planned.Plan().Answer
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	for front.conns.closeQuiet(time.Now().Add(-within/2)) > 0 && ctx.Err() == nil {
+	for l.conns.closeQuiet(time.Now().Add(-within/2)) > 0 && ctx.Err() == nil {
 		periodic.Pause(ctx, closePause)
 	}
-	left := len(front.conns.all())
-	front.logger.Info("requests interrupted by the stop", zap.Int("connections", under), zap.Int("cut_off", left))
+	left := len(l.conns.all())
+	l.logger.Info("requests interrupted by the stop", zap.Int("connections", under), zap.Int("cut_off", left))
 }
 
 // stopListening ends a listener and returns the connections that the kernel has accepted
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -142,12 +142,12 @@
 	usage    *usage.Recorder
 	reporter *usage.Reporter
 	// fleet is nil where the platform starts no replicas on order.
-	fleet    *fleet.Manager
-	handler  *ingress.Handler
-	holding  *holding.Budget
-	front    *frontServer
-	internal *frontServer
-	health   *healthServer
+	fleet   *fleet.Manager
+	handler *ingress.Handler
+	holding *holding.Budget
+	public  *clientListener
+	private *clientListener
+	health  *healthServer
 
 	context context.Context
 	cancel  context.CancelFunc
@@ -178,65 +178,65 @@
 }
 
 // build makes the parts; each depends only on those made before it.
-func (node *Node) build(drivers Drivers) {
-	logger := node.logger
-	revived := journal.Revive(journal.Observe(drivers.Journal, node.metrics.JournalCall), logger)
+func (n *Node) build(drivers Drivers) {
+	logger := n.logger
+	revived := journal.Revive(journal.Observe(drivers.Journal, n.metrics.JournalCall), logger)
 	drivers.Journal = revived
-	if address := node.settings.Listen.Peer; address != "" {
-		node.relay = relay.New(revived, relay.Options{Name: node.settings.Name, Zone: node.settings.Zone, Address: address}, logger)
-		node.peerFollower = journal.NewKeyedFollower(node.relay, relay.Partition(revived), node.relay.Peers(), peerContact, logger)
-		drivers.Journal = node.relay
-		node.peerFollower.SetPace(journal.SharedPace(revived, peerReadShare, node.daemons))
+	if address := n.settings.Listen.Peer; address != "" {
+		n.relay = relay.New(revived, relay.Options{Name: n.settings.Name, Zone: n.settings.Zone, Address: address}, logger)
+		n.peerFollower = journal.NewKeyedFollower(n.relay, relay.Partition(revived), n.relay.Peers(), peerContact, logger)
+		drivers.Journal = n.relay
+		n.peerFollower.SetPace(journal.SharedPace(revived, peerReadShare, n.daemons))
 	}
-	node.metrics.Counter("journal_calls_given_up_total", "Calls to the journal given up as later ones were answered.", func() float64 { return float64(revived.GivenUp()) })
-	node.partitions = drivers.Journal.PartitionsPerTopic()
-	contact := node.settings.Timing.ContactBound.Std()
-	node.table = replica.NewTable(node.settings.Timing.DrainBound.Std(), logger)
-	node.table.OnRestart(node.pool.Drop)
-	node.front = newFrontServer(logger)
-	node.front.planned = node.shutdown
-	node.operator = catalog.NewState(drivers.Decoder, node.front.configured, logger)
-	node.operatorFollower = journal.NewKeyedFollower(drivers.Journal, drivers.OperatorRecords, node.operator, contact, logger)
-	node.replicaFollower = journal.NewKeyedFollower(drivers.Journal, drivers.ReplicaRecords, catalog.NewDirectory(drivers.Decoder, node.table, logger), contact, logger)
-	node.operatorFollower.SetPace(journal.SharedPace(drivers.Journal, operatorReadShare, node.daemons))
-	node.replicaFollower.SetPace(journal.SharedPace(drivers.Journal, replicaReadShare, node.daemons))
-	node.quarantine = newQuarantine(node, drivers.Journal)
-	forwarder := &forward.Forwarder{Pool: node.pool, Table: node.table, Names: drivers.Headers, Zone: node.settings.Zone, Quarantine: node.quarantine.table, Logger: logger, Observe: node.metrics.Attempt, MaxOpen: node.maxOpen}
-	node.ledger = ledger.New(node.context, drivers.Journal, logger)
-	node.member = group.New(drivers.Journal, node.identity, append(ledger.TopicNames(), runner.RunnersTopic), logger)
-	node.assigner = runner.NewAssigner(drivers.Journal, node.member, node.identity, logger)
-	node.runner = runner.New(node.context, node.identity, node.ledger, forwarder, node.operator, demand.NewPublisher(drivers.Journal, logger), node.assigner, logger)
-	node.runner.SetObserver(node.metrics.BatchPart)
-	node.occupancy = newOccupancy(node)
-	node.watcher = runner.NewWatcher(node.runner, node.member)
-	node.demands = demand.NewState()
-	node.lease = lease.New(drivers.Journal, journal.Partition{Topic: dutyTopic}, node.identity, node.settings.Name, node.settings.Timing.LeaseQuiet.Std(), logger)
-	node.syncer = modelsync.New(node.settings.Name, node.lease, drivers.Engines, node.table, node.operator.Configuration, node.operator.Named, node.demands, logger)
-	node.syncer.SetPace(node.occupancy.paceOf)
-	node.demandFollower = journal.NewKeyedFollower(drivers.Journal, demand.Partition(drivers.Journal), node.demands, contact, logger)
-	node.results = node.newReader(drivers.Journal.Grants())
-	node.results.SetObserver(node.metrics.Question)
-	node.runner.SetLocator(node.results)
-	node.holding = holding.New(node.settings.Limits.Held())
-	node.handler = &ingress.Handler{
-		Names: drivers.Headers, Codec: drivers.Codec, Configuration: node.operator.Configuration, Forwarder: forwarder, Plain: forwarder,
+	n.metrics.Counter("journal_calls_given_up_total", "Calls to the journal given up as later ones were answered.", func() float64 { return float64(revived.GivenUp()) })
+	n.partitions = drivers.Journal.PartitionsPerTopic()
+	contact := n.settings.Timing.ContactBound.Std()
+	n.table = replica.NewTable(n.settings.Timing.DrainBound.Std(), logger)
+	n.table.OnRestart(n.pool.Drop)
+	n.public = newClientListener(logger)
+	n.public.planned = n.shutdown
+	n.operator = catalog.NewState(drivers.Decoder, n.public.configured, logger)
+	n.operatorFollower = journal.NewKeyedFollower(drivers.Journal, drivers.OperatorRecords, n.operator, contact, logger)
+	n.replicaFollower = journal.NewKeyedFollower(drivers.Journal, drivers.ReplicaRecords, catalog.NewDirectory(drivers.Decoder, n.table, logger), contact, logger)
+	n.operatorFollower.SetPace(journal.SharedPace(drivers.Journal, operatorReadShare, n.daemons))
+	n.replicaFollower.SetPace(journal.SharedPace(drivers.Journal, replicaReadShare, n.daemons))
+	n.quarantine = newQuarantine(n, drivers.Journal)
+	forwarder := &forward.Forwarder{Pool: n.pool, Table: n.table, Names: drivers.Headers, Zone: n.settings.Zone, Quarantine: n.quarantine.table, Logger: logger, Observe: n.metrics.Attempt, MaxOpen: n.maxOpen}
+	n.ledger = ledger.New(n.context, drivers.Journal, logger)
+	n.member = group.New(drivers.Journal, n.identity, append(ledger.TopicNames(), runner.RunnersTopic), logger)
+	n.assigner = runner.NewAssigner(drivers.Journal, n.member, n.identity, logger)
+	n.runner = runner.New(n.context, n.identity, n.ledger, forwarder, n.operator, demand.NewPublisher(drivers.Journal, logger), n.assigner, logger)
+	n.runner.SetObserver(n.metrics.BatchPart)
+	n.occupancy = newOccupancy(n)
+	n.watcher = runner.NewWatcher(n.runner, n.member)
+	n.demands = demand.NewState()
+	n.lease = lease.New(drivers.Journal, journal.Partition{Topic: dutyTopic}, n.identity, n.settings.Name, n.settings.Timing.LeaseQuiet.Std(), logger)
+	n.syncer = modelsync.New(n.settings.Name, n.lease, drivers.Engines, n.table, n.operator.Configuration, n.operator.Named, n.demands, logger)
+	n.syncer.SetPace(n.occupancy.paceOf)
+	n.demandFollower = journal.NewKeyedFollower(drivers.Journal, demand.Partition(drivers.Journal), n.demands, contact, logger)
+	n.results = n.newReader(drivers.Journal.Grants())
+	n.results.SetObserver(n.metrics.Question)
+	n.runner.SetLocator(n.results)
+	n.holding = holding.New(n.settings.Limits.Held())
+	n.handler = &ingress.Handler{
+		Names: drivers.Headers, Codec: drivers.Codec, Configuration: n.operator.Configuration, Forwarder: forwarder, Plain: forwarder,
 		Clock: bootclock.Now, Retries: ingress.NoRetryPolicy{}, Ran: func(string, time.Time) {},
-		Runner: node.runner, Results: node.results, Observer: node.metrics, Logger: logger,
-		ConfigurationAge: node.configurationAge, Stop: node.shutdown, Admission: newAdmission(node), Holding: node.holding, Unread: node.settings.Timing.Unread.Std(),
-		Keys: ingress.KeyPolicy{TrustKnown: node.settings.Timing.KeyBound.Std(), TrustUnknown: contact},
+		Runner: n.runner, Results: n.results, Observer: n.metrics, Logger: logger,
+		ConfigurationAge: n.configurationAge, Stop: n.shutdown, Admission: newAdmission(n), Holding: n.holding, Unread: n.settings.Timing.Unread.Std(),
+		Keys: ingress.KeyPolicy{TrustKnown: n.settings.Timing.KeyBound.Std(), TrustUnknown: contact},
 	}
-	node.buildHandoff(forwarder)
-	node.front.handler = node.handler
-	node.internal = newFrontServer(logger)
-	node.internal.planned = node.shutdown
-	node.SetStopGrace(node.settings.Timing.StopGrace.Std())
-	node.buildDuties(drivers)
+	n.buildHandoff(forwarder)
+	n.public.handler = n.handler
+	n.private = newClientListener(logger)
+	n.private.planned = n.shutdown
+	n.SetStopGrace(n.settings.Timing.StopGrace.Std())
+	n.buildDuties(drivers)
 	if drivers.Interface != nil {
-		made := drivers.Interface(node.parts(drivers))
-		node.front.handler, node.internal.handler = made.Public, made.Internal
+		b := drivers.Interface(n.parts(drivers))
+		n.public.handler, n.private.handler = b.Public, b.Internal
 	}
-	node.health = &healthServer{ready: node.ready, metrics: node.metrics.Handler(), quarantine: quarantine.Handler(node.quarantine.table, logger), logger: logger}
-	node.registerMetrics()
+	n.health = &healthServer{ready: n.ready, metrics: n.metrics.Handler(), quarantine: quarantine.Handler(n.quarantine.table, logger), logger: logger}
+	n.registerMetrics()
 }
 
 // knownPeers are the peers, whose number is told as 0 until their list has been read: a daemon
@@ -256,127 +256,127 @@
 }
 
 // newReader returns the reader of batches, which answers peers as well.
-func (node *Node) newReader(grants journal.Grants) *results.Reader {
-	if node.relay == nil {
-		return results.NewReader(node.ledger, node.member, nil, grants, node.identity, node.logger)
+func (n *Node) newReader(grants journal.Grants) *results.Reader {
+	if n.relay == nil {
+		return results.NewReader(n.ledger, n.member, nil, grants, n.identity, n.logger)
 	}
-	made := results.NewReader(node.ledger, node.member, knownPeers{node.relay, node.peerFollower}, grants, node.identity, node.logger)
-	node.relay.Register(results.ServiceName, made.Service(node.context))
-	return made
+	b := results.NewReader(n.ledger, n.member, knownPeers{n.relay, n.peerFollower}, grants, n.identity, n.logger)
+	n.relay.Register(results.ServiceName, b.Service(n.context))
+	return b
 }
 
-func (node *Node) parts(drivers Drivers) Parts {
+func (n *Node) parts(drivers Drivers) Parts {
 	return Parts{
-		Settings: node.settings, Identity: node.identity, Journal: drivers.Journal, Operator: node.operator, Replicas: node.table,
-		Results: node.results, Runner: node.runner, Ingress: node.handler, Metrics: node.metrics, Logger: node.logger, Ready: node.ready,
-		ConfigurationAge: node.configurationAge,
-		Stopping:         node.shutdown.Begun(),
+		Settings: n.settings, Identity: n.identity, Journal: drivers.Journal, Operator: n.operator, Replicas: n.table,
+		Results: n.results, Runner: n.runner, Ingress: n.handler, Metrics: n.metrics, Logger: n.logger, Ready: n.ready,
+		ConfigurationAge: n.configurationAge,
+		Stopping:         n.shutdown.Begun(),
 	}
 }
 
 // configurationAge is how long ago it was last confirmed that the configuration is the
 // newest.
-func (node *Node) configurationAge() time.Duration {
-	return node.operatorFollower.Silence()
+func (n *Node) configurationAge() time.Duration {
+	return n.operatorFollower.Silence()
 }
 
-func (node *Node) registerMetrics() {
-	node.metrics.Gauge("requests_in_flight", "Requests of clients being answered.", func() float64 { return float64(node.handler.InFlight()) })
-	node.metrics.Gauge("batches_owned", "Batches that this daemon runs.", func() float64 { batches, _ := node.runner.Load(); return float64(batches) })
-	node.metrics.Gauge("items_waiting", "Items that wait for a replica.", func() float64 { _, waiting := node.runner.Load(); return float64(waiting) })
-	node.metrics.Gauge("lease_held", "1 while this daemon holds the lease for orders to engines.", func() float64 {
-		if node.lease.Held() {
+func (n *Node) registerMetrics() {
+	n.metrics.Gauge("requests_in_flight", "Requests of clients being answered.", func() float64 { return float64(n.handler.InFlight()) })
+	n.metrics.Gauge("batches_owned", "Batches that this daemon runs.", func() float64 { batches, _ := n.runner.Load(); return float64(batches) })
+	n.metrics.Gauge("items_waiting", "Items that wait for a replica.", func() float64 { _, waiting := n.runner.Load(); return float64(waiting) })
+	n.metrics.Gauge("lease_held", "1 while this daemon holds the lease for orders to engines.", func() float64 {
+		if n.lease.Held() {
 			return 1
 		}
 		return 0
 	})
-	node.metrics.Gauge("journal_silence_seconds", "Time since the journal last answered.", func() float64 { return node.silence().Seconds() })
-	node.metrics.Counter("items_started_total", "Attempts at items sent to replicas.", func() float64 { return float64(node.runner.Started()) })
-	node.metrics.Counter("engine_orders_total", "Orders given to engines.", func() float64 { return float64(node.syncer.Orders()) })
-	if node.relay != nil {
-		node.metrics.Gauge("journal_path_lost", "1 while this daemon's own path to the journal is lost.", func() float64 {
-			if node.relay.Lost() {
+	n.metrics.Gauge("journal_silence_seconds", "Time since the journal last answered.", func() float64 { return n.silence().Seconds() })
+	n.metrics.Counter("items_started_total", "Attempts at items sent to replicas.", func() float64 { return float64(n.runner.Started()) })
+	n.metrics.Counter("engine_orders_total", "Orders given to engines.", func() float64 { return float64(n.syncer.Orders()) })
+	if n.relay != nil {
+		n.metrics.Gauge("journal_path_lost", "1 while this daemon's own path to the journal is lost.", func() float64 {
+			if n.relay.Lost() {
 				return 1
 			}
 			return 0
 		})
-		node.metrics.Counter("journal_calls_relayed_total", "Calls to the journal answered through a peer.", func() float64 { done, _ := node.relay.Relayed(); return float64(done) })
+		n.metrics.Counter("journal_calls_relayed_total", "Calls to the journal answered through a peer.", func() float64 { done, _ := n.relay.Relayed(); return float64(done) })
 	}
-	node.registerDutyMetrics()
-	node.registerHolding()
-	node.quarantine.registerMetrics(node.metrics)
-	node.registerOccupancyMetrics()
-	node.registerConnectionMetrics(node.metrics)
-	registerAdmissionMetrics(node.metrics, node.handler.Admission)
+	n.registerDutyMetrics()
+	n.registerHolding()
+	n.quarantine.registerMetrics(n.metrics)
+	n.registerOccupancyMetrics()
+	n.registerConnectionMetrics(n.metrics)
+	registerAdmissionMetrics(n.metrics, n.handler.Admission)
 }
 
 // Start opens the listeners and runs the parts.
-func (node *Node) Start() error {
-	if err := node.health.listen(node.settings.Listen.Health, node.settings.Listen.Metrics); err != nil {
+func (n *Node) Start() error {
+	if err := n.health.listen(n.settings.Listen.Health, n.settings.Listen.Metrics); err != nil {
 		return errors.Wrap(err, "node")
 	}
-	if err := node.front.listen(node.settings.Listen.Public); err != nil {
+	if err := n.public.listen(n.settings.Listen.Public); err != nil {
 		return errors.Wrap(err, "node")
 	}
-	if node.internal.handler != nil {
-		if err := node.internal.listen(node.settings.Listen.Internal); err != nil {
+	if n.private.handler != nil {
+		if err := n.private.listen(n.settings.Listen.Internal); err != nil {
 			return errors.Wrap(err, "node")
 		}
 	}
-	if err := node.startRelay(); err != nil {
+	if err := n.startRelay(); err != nil {
 		return errors.Wrap(err, "node")
 	}
 	for _, run := range []func(context.Context){
-		node.operatorFollower.Run, node.replicaFollower.Run, node.member.Run, node.watcher.Run,
-		node.runner.Run, node.lease.Run, node.sweep, node.quarantine.run, node.occupancy.run,
-		func(ctx context.Context) { node.assigner.Run(ctx, node.runner.AdoptWhenSeen) },
-		func(ctx context.Context) { node.syncer.Run(ctx, node.demandFollower.Run) },
+		n.operatorFollower.Run, n.replicaFollower.Run, n.member.Run, n.watcher.Run,
+		n.runner.Run, n.lease.Run, n.sweep, n.quarantine.run, n.occupancy.run,
+		func(ctx context.Context) { n.assigner.Run(ctx, n.runner.AdoptWhenSeen) },
+		func(ctx context.Context) { n.syncer.Run(ctx, n.demandFollower.Run) },
 	} {
-		go run(node.context)
+		go run(n.context)
 	}
-	node.startDuties()
-	node.logger.Info("started", zap.String("id", node.identity), zap.String("zone", node.settings.Zone), zap.String("public", node.settings.Listen.Public))
+	n.startDuties()
+	n.logger.Info("started", zap.String("id", n.identity), zap.String("zone", n.settings.Zone), zap.String("public", n.settings.Listen.Public))
 	return nil
 }
 
 // startRelay lets peers reach the journal through this daemon, and it through them.
-func (node *Node) startRelay() error {
-	if node.relay == nil {
+func (n *Node) startRelay() error {
+	if n.relay == nil {
 		return nil
 	}
-	if err := node.relay.Serve(node.context); err != nil {
+	if err := n.relay.Serve(n.context); err != nil {
 		return err
 	}
-	go node.relay.Run(node.context)
-	go node.peerFollower.Run(node.context)
+	go n.relay.Run(n.context)
+	go n.peerFollower.Run(n.context)
 	return nil
 }
 
 // sweep drops what is not used and keeps the candidacy for the lease up to date.
-func (node *Node) sweep(ctx context.Context) {
+func (n *Node) sweep(ctx context.Context) {
 	periodic.Every(ctx, sweepInterval, func(context.Context) {
 		now := time.Now()
-		node.closeExpired(now)
-		node.pool.Sweep()
-		node.ledger.Sweep(now)
-		node.table.Sweep()
-		node.occupancy.sweep()
-		node.quarantine.table.Sweep(node.listed())
-		node.lease.SetCandidate(isCandidate(node.member.Partitions(), node.partitions))
+		n.closeExpired(now)
+		n.pool.Sweep()
+		n.ledger.Sweep(now)
+		n.table.Sweep()
+		n.occupancy.sweep()
+		n.quarantine.table.Sweep(n.listed())
+		n.lease.SetCandidate(isCandidate(n.member.Partitions(), n.partitions))
 	})
 }
 
 // listed returns what reports whether a start of a replica is the one in the platform's
 // list. The list is read when it is first asked for.
-func (node *Node) listed() func(start string) bool {
-	present := sync.OnceValue(node.table.Present)
+func (n *Node) listed() func(start string) bool {
+	present := sync.OnceValue(n.table.Present)
 	return func(start string) bool { return present()[replica.Start(start)] }
 }
 
 // closeExpired closes clients' connections that have rested for longer than they may.
-func (node *Node) closeExpired(now time.Time) {
-	node.front.conns.closeExpired(now)
-	node.internal.conns.closeExpired(now)
+func (n *Node) closeExpired(now time.Time) {
+	n.public.conns.closeExpired(now)
+	n.private.conns.closeExpired(now)
 }
 
 // isCandidate reports whether the partitions dealt to a daemon make it one that
@@ -396,31 +396,31 @@
 }
 
 // daemons returns how many daemons share the journal, as far as is known.
-func (node *Node) daemons() int {
-	if node.relay == nil {
+func (n *Node) daemons() int {
+	if n.relay == nil {
 		return 1
 	}
-	return node.relay.Daemons()
+	return n.relay.Daemons()
 }
 
 // silence is how long ago the journal last answered.
-func (node *Node) silence() time.Duration {
-	return min(node.member.Silence(), node.operatorFollower.Silence(), node.replicaFollower.Silence())
+func (n *Node) silence() time.Duration {
+	return min(n.member.Silence(), n.operatorFollower.Silence(), n.replicaFollower.Silence())
 }
 
 // ready reports whether clients should come here, and why not.
-func (node *Node) ready() (bool, string) {
+func (n *Node) ready() (bool, string) {
 	select {
-	case <-node.shutdown.Begun():
+	case <-n.shutdown.Begun():
 		return false, "stopping"
 	default:
 	}
 	switch {
-	case node.operator.Configuration() == nil:
+	case n.operator.Configuration() == nil:
 		return false, "no configuration is known"
-	case !node.replicaFollower.Synced():
+	case !n.replicaFollower.Synced():
 		return false, "the list of replicas has not been read"
-	case node.silence() > contactLimit:
+	case n.silence() > contactLimit:
 		return false, "the journal is silent"
 	}
 	return true, ""
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -32,10 +32,10 @@
 
 // dealtEngines returns the identities of the daemons that may be given batches, or the lease
 // for orders to engines.
-func (node *Node) dealtEngines(ctx context.Context) []string {
-	dealt := node.member.WatchersOf(ctx, runner.RunnersTopic)
-	for _, partition := range candidacies(node.partitions) {
-		if owner, known := node.member.WatcherOf(ctx, partition); known && !slices.Contains(dealt, owner) {
+func (n *Node) dealtEngines(ctx context.Context) []string {
+	dealt := n.member.WatchersOf(ctx, runner.RunnersTopic)
+	for _, partition := range candidacies(n.partitions) {
+		if owner, known := n.member.WatcherOf(ctx, partition); known && !slices.Contains(dealt, owner) {
 			dealt = append(dealt, owner)
 		}
 	}
@@ -44,16 +44,16 @@
 
 // paceOf returns the pace of an engine as this daemon has measured it or heard of it last. It
 // is a modelsync.Pace.
-func (o *occupancyParts) paceOf(each replica.Replica) (pace, age time.Duration) {
-	own := time.Since(each.PaceAt)
+func (o *occupancyParts) paceOf(e replica.Replica) (pace, age time.Duration) {
+	own := time.Since(e.PaceAt)
 	if o == nil {
-		return each.Pace, own
+		return e.Pace, own
 	}
-	heard, heardAge := o.table.Pace(runner.KeyOf(each))
-	if heard > 0 && (each.Pace == 0 || heardAge < own) {
+	heard, heardAge := o.table.Pace(runner.KeyOf(e))
+	if heard > 0 && (e.Pace == 0 || heardAge < own) {
 		return heard, heardAge
 	}
-	return each.Pace, own
+	return e.Pace, own
 }
 
 func (o *occupancyParts) run(ctx context.Context) {
@@ -68,16 +68,16 @@
 	}
 }
 
-func (node *Node) registerOccupancyMetrics() {
-	o := node.occupancy
+func (n *Node) registerOccupancyMetrics() {
+	o := n.occupancy
 	if o == nil {
 		return
 	}
-	node.metrics.Gauge("requests_elsewhere", "Requests of other owners believed to be under way at replicas.", func() float64 { return float64(o.table.Counts().Elsewhere) })
-	node.metrics.Counter("occupancy_reports_received_total", "Reports of other owners' requests taken in.", func() float64 { return float64(o.table.Counts().Received) })
-	node.metrics.Counter("occupancy_reports_refused_total", "Reports of other owners' requests that were late, old or too many.", func() float64 { return float64(o.table.Counts().Refused) })
-	node.metrics.Counter("occupancy_reports_expired_total", "Reports of other owners' requests that were not followed by another in time.", func() float64 { return float64(o.table.Counts().Expired) })
-	node.metrics.Counter("occupancy_reports_sent_total", "Reports of own requests sent to other daemons.", func() float64 { return float64(o.publisher.Totals().Sent) })
-	node.metrics.Counter("occupancy_reports_failed_total", "Reports of own requests that were not answered.", func() float64 { return float64(o.publisher.Totals().Failed) })
-	node.metrics.Counter("occupancy_bytes_sent_total", "Bytes of reports of own requests, with their headers.", func() float64 { return float64(o.publisher.Totals().Bytes) })
+	n.metrics.Gauge("requests_elsewhere", "Requests of other owners believed to be under way at replicas.", func() float64 { return float64(o.table.Counts().Elsewhere) })
+	n.metrics.Counter("occupancy_reports_received_total", "Reports of other owners' requests taken in.", func() float64 { return float64(o.table.Counts().Received) })
+	n.metrics.Counter("occupancy_reports_refused_total", "Reports of other owners' requests that were late, old or too many.", func() float64 { return float64(o.table.Counts().Refused) })
+	n.metrics.Counter("occupancy_reports_expired_total", "Reports of other owners' requests that were not followed by another in time.", func() float64 { return float64(o.table.Counts().Expired) })
+	n.metrics.Counter("occupancy_reports_sent_total", "Reports of own requests sent to other daemons.", func() float64 { return float64(o.publisher.Totals().Sent) })
+	n.metrics.Counter("occupancy_reports_failed_total", "Reports of own requests that were not answered.", func() float64 { return float64(o.publisher.Totals().Failed) })
+	n.metrics.Counter("occupancy_bytes_sent_total", "Bytes of reports of own requests, with their headers.", func() float64 { return float64(o.publisher.Totals().Bytes) })
 }
--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -21,17 +21,17 @@
 // newQuarantine makes the parts. The relay is there already, if there is one.
 func newQuarantine(node *Node, log journal.Journal) *quarantineParts {
 	table := quarantine.New(node.settings.Name, bootclock.Now, node.logger)
-	made := &quarantineParts{table: table, keeper: quarantine.NewKeeper(table, log, node.relay != nil, node.logger)}
+	b := &quarantineParts{table: table, keeper: quarantine.NewKeeper(table, log, node.relay != nil, node.logger)}
 	contact := node.settings.Timing.ContactBound.Std()
 	if node.relay != nil {
 		// Peers tell what is new; the journal is for what this daemon has missed.
 		contact = peerContact
-		made.spreader = quarantine.NewSpreader(table, node.relay, node.logger)
+		b.spreader = quarantine.NewSpreader(table, node.relay, node.logger)
 		node.relay.Register(quarantine.ServiceName, quarantine.NewService(table))
 	}
-	made.follower = journal.NewKeyedFollower(log, quarantine.Partition(log), made.keeper, contact, node.logger)
-	made.follower.SetPace(journal.SharedPace(log, peerReadShare, node.daemons))
-	return made
+	b.follower = journal.NewKeyedFollower(log, quarantine.Partition(log), b.keeper, contact, node.logger)
+	b.follower.SetPace(journal.SharedPace(log, peerReadShare, node.daemons))
+	return b
 }
 
 // run keeps the table up to date until the context ends.
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -288,25 +288,25 @@
 
 func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *started {
 	logger := zap.NewNop()
-	made := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
+	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
 	var own journal.Journal = reached{all.log, given.takes, all.out, &wire{ctx: ctx, bytesPerSecond: startLink, turn: given.turn}, &all.read}
-	made.revived = journal.Revive(own, logger)
+	b.revived = journal.Revive(own, logger)
 	if given.revive {
-		own = made.revived
+		own = b.revived
 	}
-	made.batches = ledger.New(ctx, own, logger)
-	made.member = group.New(own, made.run, append(ledger.TopicNames(), runner.RunnersTopic), logger)
-	made.reader = results.NewReader(made.batches, made.member, all, own.Grants(), made.run, logger)
-	follower := journal.NewKeyedFollower(own, startTopic, made.applied, settings.Defaults().Timing.ContactBound.Std(), logger)
+	b.batches = ledger.New(ctx, own, logger)
+	b.member = group.New(own, b.run, append(ledger.TopicNames(), runner.RunnersTopic), logger)
+	b.reader = results.NewReader(b.batches, b.member, all, own.Grants(), b.run, logger)
+	follower := journal.NewKeyedFollower(own, startTopic, b.applied, settings.Defaults().Timing.ContactBound.Std(), logger)
 	follower.SetPace(journal.SharedPace(own, operatorReadShare, all.Daemons))
-	forwarder := &forward.Forwarder{Names: headers.Names{}, Quarantine: quarantine.New(made.run, time.Now, logger), Table: replica.NewTable(time.Second, logger), Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
-	jobs := runner.New(ctx, made.run, made.batches, forwarder, nil, nil, runner.NewAssigner(own, made.member, made.run, logger), logger)
+	forwarder := &forward.Forwarder{Names: headers.Names{}, Quarantine: quarantine.New(b.run, time.Now, logger), Table: replica.NewTable(time.Second, logger), Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
+	jobs := runner.New(ctx, b.run, b.batches, forwarder, nil, nil, runner.NewAssigner(own, b.member, b.run, logger), logger)
 	time.AfterFunc(after, func() {
-		for _, run := range []func(context.Context){follower.Run, made.member.Run, runner.NewWatcher(jobs, made.member).Run} {
+		for _, run := range []func(context.Context){follower.Run, b.member.Run, runner.NewWatcher(jobs, b.member).Run} {
 			go run(ctx)
 		}
 	})
-	return made
+	return b
 }
 
 // Daemons implements results.Peers.
@@ -314,9 +314,9 @@
 
 // Ask implements results.Peers.
 func (all *allStarted) Ask(ctx context.Context, machine, _ string, asked, answer any) error {
-	for _, each := range all.daemons {
-		if identity.Machine(each.run) == machine {
-			return each.reader.Service(ctx).Results(asked.(results.Query), answer.(*results.Page))
+	for _, e := range all.daemons {
+		if identity.Machine(e.run) == machine {
+			return e.reader.Service(ctx).Results(asked.(results.Query), answer.(*results.Page))
 		}
 	}
 	return errors.New("no such daemon")
@@ -325,9 +325,9 @@
 // learned reports whether each partition has been read by the member that it is dealt to.
 func (all *allStarted) learned() bool {
 	read := 0
-	for _, each := range all.daemons {
-		for name := range each.member.Partitions() {
-			if name.Topic != runner.RunnersTopic && each.batches.Partition(name).Fresh() {
+	for _, e := range all.daemons {
+		for name := range e.member.Partitions() {
+			if name.Topic != runner.RunnersTopic && e.batches.Partition(name).Fresh() {
 				read++
 			}
 		}
@@ -348,7 +348,7 @@
 
 // ask asks for a batch page by page, each time at another daemon, until all its results have
 // been told, and returns how often it was refused.
-func (all *allStarted) ask(ctx context.Context, id string, random *rand.Rand) (refused int, told bool) {
+func (all *allStarted) ask(ctx context.Context, id string, random *rand.Rand) (refused int, a bool) {
 	const comeBack = 400 * time.Millisecond // as callers are told by the ingress
 	for after, total := 0, 1; after < total; {
 		if ctx.Err() != nil {
@@ -372,11 +372,11 @@
 	var mu sync.Mutex
 	for i := range 2 * startBatches {
 		callers.Go(func() {
-			times, told := all.ask(ctx, fmt.Sprint("b", i%startBatches), rand.New(rand.NewPCG(7, uint64(i))))
+			times, a := all.ask(ctx, fmt.Sprint("b", i%startBatches), rand.New(rand.NewPCG(7, uint64(i))))
 			mu.Lock()
 			defer mu.Unlock()
 			refused += times
-			if told {
+			if a {
 				last = max(last, time.Since(all.began))
 			} else {
 				untold++
@@ -399,9 +399,9 @@
 		all.configure(ctx, t, key)
 	}
 	time.Sleep(time.Until(all.began.Add(servesAgain)))
-	for _, each := range all.daemons {
+	for _, e := range all.daemons {
 		for key, at := range written {
-			took := each.applied.after(key, at)
+			took := e.applied.after(key, at)
 			of++
 			slowest = max(slowest, took)
 			if took > inForce {
@@ -414,8 +414,8 @@
 
 // givenUp is how many calls were given up on the word of others.
 func (all *allStarted) givenUp() (calls uint64) {
-	for _, each := range all.daemons {
-		calls += each.revived.GivenUp()
+	for _, e := range all.daemons {
+		calls += e.revived.GivenUp()
 	}
 	return calls
 }
--- a/internal/daemon/node/stop_test.go
+++ b/internal/daemon/node/stop_test.go
@@ -18,31 +18,31 @@
 	t.Helper()
 	loaded := settings.Defaults()
 	loaded.Name, loaded.Timing.StopGrace = "d", settings.Duration(grace)
-	made, err := New(loaded, func(settings.Settings, *upstream.Pool) (Drivers, error) {
+	b, err := New(loaded, func(settings.Settings, *upstream.Pool) (Drivers, error) {
 		return Drivers{Journal: journaltest.New()}, nil
 	}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(made.cancel)
-	return made
+	t.Cleanup(b.cancel)
+	return b
 }
 
 // All parts of a daemon go by one stop: where one did not, its requests were cut at the
 // end of the grace, or taken without the time that they need.
 func TestAllPartsGoByOneStop(t *testing.T) {
 	is := is.New(t)
-	made := builtNode(t, 8*time.Second)
-	is.True(made.handler.Stop == made.shutdown)
-	is.True(made.front.planned == made.shutdown)
-	is.True(made.internal.planned == made.shutdown)
-	is.Equal(made.front.longestKept(), longestKeep)
-	made.SetStopGrace(4 * time.Second)
-	is.Equal(made.front.longestKept(), 2*time.Second)
-	is.Equal(made.internal.longestKept(), 2*time.Second)
-	made.shutdown.Begin(time.Duration(made.grace.Load()))
-	is.Equal(made.front.planned.Plan().Drain, 1500*time.Millisecond)
-	ready, reason := made.ready()
+	b := builtNode(t, 8*time.Second)
+	is.True(b.handler.Stop == b.shutdown)
+	is.True(b.public.planned == b.shutdown)
+	is.True(b.private.planned == b.shutdown)
+	is.Equal(b.public.longestKept(), longestKeep)
+	b.SetStopGrace(4 * time.Second)
+	is.Equal(b.public.longestKept(), 2*time.Second)
+	is.Equal(b.private.longestKept(), 2*time.Second)
+	b.shutdown.Begin(time.Duration(b.grace.Load()))
+	is.Equal(b.public.planned.Plan().Drain, 1500*time.Millisecond)
+	ready, reason := b.ready()
 	is.True(!ready)
 	is.Equal(reason, "stopping")
 }
@@ -50,14 +50,14 @@
 // A daemon closes connections that rest for too long, on both listeners.
 func TestADaemonClosesExpiredConnections(t *testing.T) {
 	is := is.New(t)
-	made := builtNode(t, 8*time.Second)
-	for _, front := range []*frontServer{made.front, made.internal} {
+	b := builtNode(t, 8*time.Second)
+	for _, l := range []*clientListener{b.public, b.private} {
 		near, far := net.Pipe()
 		defer func() { _ = near.Close() }()
-		front.conns.add(far, time.Now())
+		l.conns.add(far, time.Now())
 	}
-	made.closeExpired(time.Now().Add(defaultIdleTimeout - time.Second))
-	is.Equal(len(made.front.conns.all())+len(made.internal.conns.all()), 2)
-	made.closeExpired(time.Now().Add(defaultIdleTimeout + time.Second))
-	is.Equal(len(made.front.conns.all())+len(made.internal.conns.all()), 0)
+	b.closeExpired(time.Now().Add(defaultIdleTimeout - time.Second))
+	is.Equal(len(b.public.conns.all())+len(b.private.conns.all()), 2)
+	b.closeExpired(time.Now().Add(defaultIdleTimeout + time.Second))
+	is.Equal(len(b.public.conns.all())+len(b.private.conns.all()), 0)
 }
