--- /dev/null
+++ b/internal/daemon/node/build.go
@@ -0,0 +1,177 @@
+package node
+
+import (
+	"time"
+
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/batches/results"
+	"woodworks/internal/batches/runner"
+	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/journal"
+	"woodworks/internal/journal/relay"
+	"woodworks/internal/membership/group"
+	"woodworks/internal/membership/lease"
+	"woodworks/internal/replicas/catalog"
+	"woodworks/internal/replicas/demand"
+	"woodworks/internal/replicas/modelsync"
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/forward"
+	"woodworks/internal/requests/headers"
+	"woodworks/internal/requests/holding"
+	"woodworks/internal/requests/ingress"
+	"woodworks/internal/requests/quarantine"
+)
+
+// build makes the parts of the daemon; each depends only on those made before it.
+func (n *Node) build(drivers Drivers) {
+	drivers.Journal = n.buildJournal(drivers.Journal)
+	n.buildListeners()
+	n.buildCatalog(drivers)
+	n.quarantine = newQuarantine(n, drivers.Journal)
+	forwarder := n.newForwarder(drivers.Headers)
+	n.buildBatches(drivers.Journal, forwarder)
+	n.occupancy = newOccupancy(n)
+	n.buildWeights(drivers)
+	n.buildResults(drivers.Journal.Grants())
+	n.buildHandler(drivers, forwarder)
+	n.buildHandoff(forwarder)
+	n.buildDuties(drivers)
+	n.buildInterface(drivers)
+	n.buildHealth()
+	n.registerMetrics()
+}
+
+// buildJournal returns the journal as the other parts use it: calls are counted, given up when
+// later ones are answered, and go through a peer while the daemon's own way is lost.
+func (n *Node) buildJournal(direct journal.Journal) journal.Journal {
+	n.journal = journal.Revive(journal.Observe(direct, n.metrics.JournalCall), n.logger)
+	n.partitions = n.journal.PartitionsPerTopic()
+	address := n.settings.Listen.Peer
+	if address == "" {
+		return n.journal
+	}
+	n.relay = relay.New(n.journal, relay.Options{Name: n.settings.Name, Zone: n.settings.Zone, Address: address}, n.logger)
+	n.peerFollower = journal.NewKeyedFollower(n.relay, relay.Partition(n.journal), n.relay.Peers(), peerContact, n.logger)
+	n.peerFollower.SetPace(journal.SharedPace(n.journal, peerReadShare, n.daemons))
+	return n.relay
+}
+
+// buildListeners makes the listeners for clients; who answers them is known later.
+func (n *Node) buildListeners() {
+	n.public = newClientListener(n.shutdown, n.logger)
+	n.private = newClientListener(n.shutdown, n.logger)
+	n.SetStopGrace(n.settings.Timing.StopGrace.Std())
+}
+
+// buildCatalog makes what follows the records of the operator and of the replicas.
+func (n *Node) buildCatalog(drivers Drivers) {
+	log, contact := drivers.Journal, n.settings.Timing.ContactBound.Std()
+	n.table = replica.NewTable(n.settings.Timing.DrainBound.Std(), n.logger)
+	n.table.OnRestart(n.pool.Drop)
+	n.operator = catalog.NewState(drivers.Decoder, n.public.configured, n.logger)
+	n.operatorFollower = journal.NewKeyedFollower(log, drivers.OperatorRecords, n.operator, contact, n.logger)
+	n.operatorFollower.SetPace(journal.SharedPace(log, operatorReadShare, n.daemons))
+	directory := catalog.NewDirectory(drivers.Decoder, n.table, n.logger)
+	n.replicaFollower = journal.NewKeyedFollower(log, drivers.ReplicaRecords, directory, contact, n.logger)
+	n.replicaFollower.SetPace(journal.SharedPace(log, replicaReadShare, n.daemons))
+}
+
+// newForwarder returns what sends requests to replicas.
+func (n *Node) newForwarder(names headers.Names) *forward.Forwarder {
+	return &forward.Forwarder{
+		Pool: n.pool, Table: n.table, Names: names, Zone: n.settings.Zone, Quarantine: n.quarantine.table,
+		Logger: n.logger, Observe: n.metrics.Attempt, MaxOpen: n.maxOpen,
+	}
+}
+
+// buildBatches makes what keeps, watches and runs batches.
+func (n *Node) buildBatches(log journal.Journal, forwarder *forward.Forwarder) {
+	n.ledger = ledger.New(n.context, log, n.logger)
+	n.member = group.New(log, n.identity, append(ledger.TopicNames(), runner.RunnersTopic), n.logger)
+	n.assigner = runner.NewAssigner(log, n.member, n.identity, n.logger)
+	n.runner = runner.New(n.context, n.identity, n.ledger, forwarder, n.operator, demand.NewPublisher(log, n.logger), n.assigner, n.logger)
+	n.runner.SetObserver(n.metrics.BatchPart)
+	n.watcher = runner.NewWatcher(n.runner, n.member)
+}
+
+// buildWeights makes what brings the engines to the versions that batches allow, on the
+// daemon that holds the lease.
+func (n *Node) buildWeights(drivers Drivers) {
+	log := drivers.Journal
+	n.demands = demand.NewState()
+	n.demandFollower = journal.NewKeyedFollower(log, demand.Partition(log), n.demands, n.settings.Timing.ContactBound.Std(), n.logger)
+	n.lease = lease.New(log, journal.Partition{Topic: dutyTopic}, n.identity, n.settings.Name, n.settings.Timing.LeaseQuiet.Std(), n.logger)
+	n.syncer = modelsync.New(n.settings.Name, n.lease, drivers.Engines, n.table, n.operator.Configuration, n.operator.Named, n.demands, n.logger)
+	n.syncer.SetPace(n.occupancy.paceOf)
+}
+
+// buildResults makes the reader of batches, which answers peers as well.
+func (n *Node) buildResults(grants journal.Grants) {
+	var peers results.Peers
+	if n.relay != nil {
+		peers = knownPeers{n.relay, n.peerFollower}
+	}
+	n.results = results.NewReader(n.ledger, n.member, peers, grants, n.identity, n.logger)
+	n.results.SetObserver(n.metrics.Question)
+	n.runner.SetLocator(n.results)
+	if n.relay != nil {
+		n.relay.Register(results.ServiceName, n.results.Service(n.context))
+	}
+}
+
+// buildHandler makes what answers clients.
+func (n *Node) buildHandler(drivers Drivers, forwarder *forward.Forwarder) {
+	timing := n.settings.Timing
+	n.holding = holding.New(n.settings.Limits.Held())
+	n.handler = &ingress.Handler{
+		Names: drivers.Headers, Codec: drivers.Codec, Configuration: n.operator.Configuration, Forwarder: forwarder, Plain: forwarder,
+		Clock: bootclock.Now, Retries: ingress.NoRetryPolicy{}, Ran: func(string, time.Time) {},
+		Runner: n.runner, Results: n.results, Observer: n.metrics, Logger: n.logger,
+		ConfigurationAge: n.configurationAge, Stop: n.shutdown, Admission: newAdmission(n), Holding: n.holding, Unread: timing.Unread.Std(),
+		Keys: ingress.KeyPolicy{TrustKnown: timing.KeyBound.Std(), TrustUnknown: timing.ContactBound.Std()},
+	}
+	n.public.handler = n.handler
+}
+
+// buildInterface puts a platform's own interface for callers before the handler.
+func (n *Node) buildInterface(drivers Drivers) {
+	if drivers.Interface == nil {
+		return
+	}
+	handlers := drivers.Interface(n.parts(drivers))
+	n.public.handler, n.private.handler = handlers.Public, handlers.Internal
+}
+
+// buildHealth makes the handlers for health, metrics and operators.
+func (n *Node) buildHealth() {
+	n.health = &healthServer{
+		ready: n.ready, metrics: n.metrics.Handler(),
+		quarantine: quarantine.Handler(n.quarantine.table, n.logger), logger: n.logger,
+	}
+}
+
+// parts are what an interface for callers is made of.
+func (n *Node) parts(drivers Drivers) Parts {
+	return Parts{
+		Settings: n.settings, Identity: n.identity, Journal: drivers.Journal, Operator: n.operator, Replicas: n.table,
+		Results: n.results, Runner: n.runner, Ingress: n.handler, Metrics: n.metrics, Logger: n.logger, Ready: n.ready,
+		ConfigurationAge: n.configurationAge,
+		Stopping:         n.shutdown.Begun(),
+	}
+}
+
+// knownPeers are the peers, whose number is told as 0 until their list has been read: a daemon
+// that has just started would take itself for the only one, and all that the journal sends for its
+// own.
+type knownPeers struct {
+	*relay.Journal
+	list *journal.KeyedFollower
+}
+
+// Daemons implements results.Peers.
+func (k knownPeers) Daemons() int {
+	if !k.list.Synced() {
+		return 0
+	}
+	return k.Journal.Daemons()
+}
--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -16,6 +16,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
+	"woodworks/internal/daemon/shutdown"
 	"woodworks/internal/requests/route"
 )
 
@@ -29,7 +30,7 @@
 }
 
 func newDialled(handler http.Handler) *dialled {
-	l := newClientListener(zap.NewNop())
+	l := newClientListener(shutdown.New(), zap.NewNop())
 	l.handler = handler
 	listener := &connQueue{connections: make(chan net.Conn), closed: make(chan struct{})}
 	l.serve(listener)
--- a/internal/daemon/node/health.go
+++ b/internal/daemon/node/health.go
@@ -24,15 +24,17 @@
 }
 
 func (h *healthServer) listen(readyAddress, metricsAddress string) error {
-	readiness := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+	readiness := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		ready, reason := h.ready()
 		if !ready {
-			writer.WriteHeader(http.StatusServiceUnavailable)
+			w.WriteHeader(http.StatusServiceUnavailable)
+		}
+		if _, err := w.Write([]byte(reason)); err != nil {
+			h.logger.Debug("answer about readiness not taken", zap.Error(err)) // whoever asked has left
 		}
-		_, _ = writer.Write([]byte(reason))
 	})
 	if readyAddress != "" {
-		if err := serveHealth(readyAddress, readiness); err != nil {
+		if err := serveHealth(readyAddress, readiness, h.logger); err != nil {
 			return err
 		}
 	}
@@ -40,7 +42,7 @@
 		return nil
 	}
 	// Without metrics a daemon still serves.
-	if err := serveHealth(metricsAddress, h.operators()); err != nil {
+	if err := serveHealth(metricsAddress, h.operators(), h.logger); err != nil {
 		h.logger.Error("metrics not served", zap.String("address", metricsAddress), zap.Error(err))
 	}
 	return nil
@@ -55,12 +57,14 @@
 	return mux
 }
 
-func serveHealth(address string, handler http.Handler) error {
+func serveHealth(address string, handler http.Handler, logger *zap.Logger) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return errors.Wrap(err, "health")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: healthTimeout}
-	go func() { _ = server.Serve(listener) }()
+	go func() {
+		logger.Error("listener for health ended", zap.String("address", address), zap.Error(server.Serve(listener)))
+	}()
 	return nil
 }
--- a/internal/daemon/node/keepalive_test.go
+++ b/internal/daemon/node/keepalive_test.go
@@ -77,7 +77,7 @@
 	is := is.New(t)
 	bound, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
-	l := newClientListener(zap.NewNop())
+	l := newClientListener(shutdown.New(), zap.NewNop())
 	l.handler = http.HandlerFunc(answerWhole)
 	l.mutex.Lock()
 	l.listener = bound
--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -16,13 +16,17 @@
 )
 
 const (
+	// defaultHeaderTimeout, defaultIdleTimeout and defaultHeaderBytes hold until a
+	// configuration sets limits of its own.
 	defaultHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout   = 30 * time.Second
 	defaultHeaderBytes   = 32 << 10
-	acceptPause          = 20 * time.Millisecond
+	// acceptPause is the time between two tries to accept where the first has failed, as
+	// for lack of descriptors.
+	acceptPause = 20 * time.Millisecond
 )
 
-// frontServer is the listener for clients. It stands on net/http's server and
+// clientListener is the listener for clients. It stands on net/http's server and
 // not on go-zero's rest, whose router cleans paths and answers odd ones itself:
 // requests must reach replicas unaltered.
 //
@@ -50,8 +54,8 @@
 	accepting sync.WaitGroup
 }
 
-func newClientListener(logger *zap.Logger) *clientListener {
-	return &clientListener{logger: logger, conns: newClientConns(), planned: shutdown.New(), keep: longestKeep}
+func newClientListener(planned *shutdown.Stop, logger *zap.Logger) *clientListener {
+	return &clientListener{logger: logger, conns: newClientConns(), planned: planned, keep: longestKeep}
 }
 
 // ServeHTTP implements http.Handler.
@@ -74,7 +78,7 @@
 func (l *clientListener) listen(address string) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
-		return errors.Wrap(err, "front")
+		return errors.Wrap(err, "listener")
 	}
 	l.serve(listener)
 	return nil
@@ -97,6 +101,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
+			l.logger.Warn("connection of a client not accepted", zap.Error(err))
 			time.Sleep(acceptPause)
 			continue
 		}
@@ -151,7 +156,15 @@
 	l.current = server
 	l.servers = append(l.servers, server)
 	l.queue = &connQueue{connections: make(chan net.Conn), closed: make(chan struct{})}
-	go func(listener *connQueue) { _ = server.Serve(listener) }(l.queue)
+	go l.run(server, l.queue)
+}
+
+// run serves the connections of a queue until the server is closed.
+func (l *clientListener) run(server *http.Server, queue *connQueue) {
+	err := server.Serve(queue)
+	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+		l.logger.Error("listener for clients ended", zap.Error(err))
+	}
 }
 
 func orDefault(value, otherwise time.Duration) time.Duration {
@@ -167,8 +180,9 @@
 // handOver is a listener whose connections come from another one.
 type connQueue struct {
 	connections chan net.Conn
-	closed      chan struct{}
-	once        sync.Once
+	// closed is closed, once, when no more connections are taken.
+	closed chan struct{}
+	once   sync.Once
 }
 
 // give hands a connection to the server, or closes it if the server has stopped.
--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -12,13 +12,14 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
+	"woodworks/internal/daemon/shutdown"
 	"woodworks/internal/requests/route"
 )
 
 func startFront(t *testing.T, handler http.Handler) (*clientListener, string) {
 	t.Helper()
 	is := is.New(t)
-	l := newClientListener(zap.NewNop())
+	l := newClientListener(shutdown.New(), zap.NewNop())
 	l.handler = handler
 	is.NoErr(l.listen("127.0.0.1:0"))
 	t.Cleanup(func() {
--- a/internal/daemon/node/listenerstop.go
+++ b/internal/daemon/node/listenerstop.go
@@ -99,9 +99,8 @@
 // their clients have sent. A process with a fraction of a core finds them there for a tenth
 // of a second.
 //
-// The socket is shut down in the moment in which none waits. To close it takes longer, as
-// another goroutine stands in Accept: before 20 callers that always dial, 18 to 25 of 100
-// closes cut a request, and 1 with the shutdown.
+// The socket is shut down in the moment in which none waits: to close it takes longer, as
+// another goroutine stands in Accept, and connections that come meanwhile would be cut.
 func stopListening(listener net.Listener) (waiting []net.Conn, err error) {
 	withDescriptor, ok := listener.(syscall.Conn)
 	if !ok {
@@ -109,7 +108,7 @@
 	}
 	raw, err := withDescriptor.SyscallConn()
 	if err != nil {
-		return nil, errors.Wrap(err, "front")
+		return nil, errors.Wrap(err, "listener")
 	}
 	var failed error
 	err = raw.Control(func(fd uintptr) {
@@ -119,17 +118,17 @@
 			case errors.Is(err, syscall.ECONNABORTED):
 				// Its client has gone; others may wait behind it.
 			case errors.Is(err, syscall.EAGAIN):
-				failed = errors.Wrap(syscall.Shutdown(int(fd), syscall.SHUT_RDWR), "front")
+				failed = errors.Wrap(syscall.Shutdown(int(fd), syscall.SHUT_RDWR), "listener")
 				return
 			case err != nil:
-				failed = errors.Wrap(err, "front")
+				failed = errors.Wrap(err, "listener")
 			default:
 				waiting = append(waiting, conn)
 			}
 		}
 	})
 	if err != nil {
-		return waiting, errors.Wrap(err, "front")
+		return waiting, errors.Wrap(err, "listener")
 	}
 	return waiting, failed
 }
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -1,12 +1,23 @@
-// Package node is a woodworks daemon on a platform whose log keeps all that
-// must last: it builds the parts from the settings, runs them, and stops
-// without cutting off a request.
+// Package node is one woodworks daemon: it builds the parts from the settings, runs them, and
+// stops without cutting off a request.
+//
+// It owns the listeners (clients, health and metrics), the order in which parts are made,
+// started and stopped, and whether the daemon calls itself ready. It decides nothing about
+// requests or batches, and keeps nothing: what must last is in the journal that the platform's
+// drivers bring.
+//
+// Start reading at build, which is the list of the parts; Start runs them, Stop ends them.
+//
+// # Usage
+//
+//	daemon, err := node.New(loaded, platform.Connect, logger)
+//	err = daemon.Start()
+//	defer daemon.Stop()
 package node
 
 import (
 	"context"
 	"net/http"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -18,7 +29,6 @@
 	"woodworks/internal/batches/results"
 	"woodworks/internal/batches/runner"
 	"woodworks/internal/callers/usage"
-	"woodworks/internal/daemon/bootclock"
 	"woodworks/internal/daemon/metrics"
 	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/daemon/settings"
@@ -35,17 +45,17 @@
 	"woodworks/internal/replicas/fleet"
 	"woodworks/internal/replicas/modelsync"
 	"woodworks/internal/replicas/replica"
-	"woodworks/internal/requests/forward"
 	"woodworks/internal/requests/handoff"
 	"woodworks/internal/requests/headers"
 	"woodworks/internal/requests/holding"
 	"woodworks/internal/requests/ingress"
-	"woodworks/internal/requests/quarantine"
 	"woodworks/internal/requests/upstream"
 )
 
+// dutyTopic holds the claims of the lease. Its name is stored.
+const dutyTopic = "woodworks.duty"
+
 const (
-	dutyTopic = "woodworks.duty"
 	// sweepInterval is the time between two clean-ups of what is not used.
 	sweepInterval = time.Second
 	// contactLimit is how long the journal may be silent before this daemon
@@ -64,6 +74,8 @@
 	peerReadShare     = 0.02
 	// connectTimeout bounds the making of a connection to a replica.
 	connectTimeout = 400 * time.Millisecond
+	// unackedTimeout is how long sent bytes may lack an acknowledgement before a connection
+	// to a replica is given up.
 	unackedTimeout = 1200 * time.Millisecond
 )
 
@@ -115,25 +127,44 @@
 	logger   *zap.Logger
 	metrics  *metrics.Metrics
 	identity string
+	// context ends when the daemon has stopped.
+	context context.Context
+	cancel  context.CancelFunc
+
+	// The ways to the journal. Relay and peerFollower are nil where the settings name no
+	// address for peers; so are the parts below that speak to peers.
+	journal      *journal.Revived
+	relay        *relay.Journal
+	peerFollower *journal.KeyedFollower
+	// partitions is how many the journal has of each topic.
+	partitions int
 
+	// What the operator and the replicas have written.
 	operator         *catalog.State
 	operatorFollower *journal.KeyedFollower
-	replicaFollower  *journal.KeyedFollower
 	table            *replica.Table
-	pool             *upstream.Pool
-	ledger           *ledger.Ledger
-	results          *results.Reader
-	runner           *runner.Runner
-	watcher          *runner.Watcher
-	member           *group.Member
-	// relay and peerFollower are nil where the settings name no address for peers.
-	relay        *relay.Journal
-	peerFollower *journal.KeyedFollower
-	occupancy    *occupancyParts
-	quarantine   *quarantineParts
-	// handed runs plain requests of peers, nil where the settings name no address for them.
-	handed         *handoff.Service
-	assigner       *runner.Assigner
+	replicaFollower  *journal.KeyedFollower
+
+	// Requests of clients.
+	public     *clientListener
+	private    *clientListener
+	handler    *ingress.Handler
+	holding    *holding.Budget
+	pool       *upstream.Pool
+	quarantine *quarantineParts
+	// handed runs plain requests of peers, nil unless the settings ask for it.
+	handed *handoff.Service
+
+	// Batches.
+	ledger    *ledger.Ledger
+	results   *results.Reader
+	member    *group.Member
+	assigner  *runner.Assigner
+	runner    *runner.Runner
+	watcher   *runner.Watcher
+	occupancy *occupancyParts
+
+	// Duties of one daemon: the holder of the lease.
 	lease          *lease.Lease
 	syncer         *modelsync.Syncer
 	demands        *demand.State
@@ -142,27 +173,22 @@
 	usage    *usage.Recorder
 	reporter *usage.Reporter
 	// fleet is nil where the platform starts no replicas on order.
-	fleet   *fleet.Manager
-	handler *ingress.Handler
-	holding *holding.Budget
-	public  *clientListener
-	private *clientListener
-	health  *healthServer
+	fleet *fleet.Manager
 
-	context context.Context
-	cancel  context.CancelFunc
-	// partitions is how many the journal has of each topic.
-	partitions int
-	shutdown   *shutdown.Stop
-	// grace is how long a planned stop may take, a time.Duration.
+	health *healthServer
+
+	// The planned stop. Grace is how long it may take, a time.Duration.
+	shutdown *shutdown.Stop
 	grace    atomic.Int64
 	stopOnce sync.Once
 }
 
-// New builds a daemon. Its identity is its name with the time of this start,
-// so that no two runs share one.
+// New builds a daemon. Its identity is its name with the time of this start, so that no two
+// incarnations share one. The error is that of connecting to the platform.
 func New(loaded settings.Settings, connect Connect, logger *zap.Logger) (*Node, error) {
-	pool := upstream.NewPool(upstream.Options{LocalAddress: loaded.Listen.Public, ConnectTimeout: connectTimeout, UnackedTimeout: unackedTimeout})
+	pool := upstream.NewPool(upstream.Options{
+		LocalAddress: loaded.Listen.Public, ConnectTimeout: connectTimeout, UnackedTimeout: unackedTimeout,
+	})
 	drivers, err := connect(loaded, pool)
 	if err != nil {
 		return nil, errors.Wrap(err, "node")
@@ -177,139 +203,6 @@
 	return node, nil
 }
 
-// build makes the parts; each depends only on those made before it.
-func (n *Node) build(drivers Drivers) {
-	logger := n.logger
-	revived := journal.Revive(journal.Observe(drivers.Journal, n.metrics.JournalCall), logger)
-	drivers.Journal = revived
-	if address := n.settings.Listen.Peer; address != "" {
-		n.relay = relay.New(revived, relay.Options{Name: n.settings.Name, Zone: n.settings.Zone, Address: address}, logger)
-		n.peerFollower = journal.NewKeyedFollower(n.relay, relay.Partition(revived), n.relay.Peers(), peerContact, logger)
-		drivers.Journal = n.relay
-		n.peerFollower.SetPace(journal.SharedPace(revived, peerReadShare, n.daemons))
-	}
-	n.metrics.Counter("journal_calls_given_up_total", "Calls to the journal given up as later ones were answered.", func() float64 { return float64(revived.GivenUp()) })
-	n.partitions = drivers.Journal.PartitionsPerTopic()
-	contact := n.settings.Timing.ContactBound.Std()
-	n.table = replica.NewTable(n.settings.Timing.DrainBound.Std(), logger)
-	n.table.OnRestart(n.pool.Drop)
-	n.public = newClientListener(logger)
-	n.public.planned = n.shutdown
-	n.operator = catalog.NewState(drivers.Decoder, n.public.configured, logger)
-	n.operatorFollower = journal.NewKeyedFollower(drivers.Journal, drivers.OperatorRecords, n.operator, contact, logger)
-	n.replicaFollower = journal.NewKeyedFollower(drivers.Journal, drivers.ReplicaRecords, catalog.NewDirectory(drivers.Decoder, n.table, logger), contact, logger)
-	n.operatorFollower.SetPace(journal.SharedPace(drivers.Journal, operatorReadShare, n.daemons))
-	n.replicaFollower.SetPace(journal.SharedPace(drivers.Journal, replicaReadShare, n.daemons))
-	n.quarantine = newQuarantine(n, drivers.Journal)
-	forwarder := &forward.Forwarder{Pool: n.pool, Table: n.table, Names: drivers.Headers, Zone: n.settings.Zone, Quarantine: n.quarantine.table, Logger: logger, Observe: n.metrics.Attempt, MaxOpen: n.maxOpen}
-	n.ledger = ledger.New(n.context, drivers.Journal, logger)
-	n.member = group.New(drivers.Journal, n.identity, append(ledger.TopicNames(), runner.RunnersTopic), logger)
-	n.assigner = runner.NewAssigner(drivers.Journal, n.member, n.identity, logger)
-	n.runner = runner.New(n.context, n.identity, n.ledger, forwarder, n.operator, demand.NewPublisher(drivers.Journal, logger), n.assigner, logger)
-	n.runner.SetObserver(n.metrics.BatchPart)
-	n.occupancy = newOccupancy(n)
-	n.watcher = runner.NewWatcher(n.runner, n.member)
-	n.demands = demand.NewState()
-	n.lease = lease.New(drivers.Journal, journal.Partition{Topic: dutyTopic}, n.identity, n.settings.Name, n.settings.Timing.LeaseQuiet.Std(), logger)
-	n.syncer = modelsync.New(n.settings.Name, n.lease, drivers.Engines, n.table, n.operator.Configuration, n.operator.Named, n.demands, logger)
-	n.syncer.SetPace(n.occupancy.paceOf)
-	n.demandFollower = journal.NewKeyedFollower(drivers.Journal, demand.Partition(drivers.Journal), n.demands, contact, logger)
-	n.results = n.newReader(drivers.Journal.Grants())
-	n.results.SetObserver(n.metrics.Question)
-	n.runner.SetLocator(n.results)
-	n.holding = holding.New(n.settings.Limits.Held())
-	n.handler = &ingress.Handler{
-		Names: drivers.Headers, Codec: drivers.Codec, Configuration: n.operator.Configuration, Forwarder: forwarder, Plain: forwarder,
-		Clock: bootclock.Now, Retries: ingress.NoRetryPolicy{}, Ran: func(string, time.Time) {},
-		Runner: n.runner, Results: n.results, Observer: n.metrics, Logger: logger,
-		ConfigurationAge: n.configurationAge, Stop: n.shutdown, Admission: newAdmission(n), Holding: n.holding, Unread: n.settings.Timing.Unread.Std(),
-		Keys: ingress.KeyPolicy{TrustKnown: n.settings.Timing.KeyBound.Std(), TrustUnknown: contact},
-	}
-	n.buildHandoff(forwarder)
-	n.public.handler = n.handler
-	n.private = newClientListener(logger)
-	n.private.planned = n.shutdown
-	n.SetStopGrace(n.settings.Timing.StopGrace.Std())
-	n.buildDuties(drivers)
-	if drivers.Interface != nil {
-		b := drivers.Interface(n.parts(drivers))
-		n.public.handler, n.private.handler = b.Public, b.Internal
-	}
-	n.health = &healthServer{ready: n.ready, metrics: n.metrics.Handler(), quarantine: quarantine.Handler(n.quarantine.table, logger), logger: logger}
-	n.registerMetrics()
-}
-
-// knownPeers are the peers, whose number is told as 0 until their list has been read: a daemon
-// that has just started would take itself for the only one, and all that the journal sends for its
-// own.
-type knownPeers struct {
-	*relay.Journal
-	list *journal.KeyedFollower
-}
-
-// Daemons implements results.Peers.
-func (k knownPeers) Daemons() int {
-	if !k.list.Synced() {
-		return 0
-	}
-	return k.Journal.Daemons()
-}
-
-// newReader returns the reader of batches, which answers peers as well.
-func (n *Node) newReader(grants journal.Grants) *results.Reader {
-	if n.relay == nil {
-		return results.NewReader(n.ledger, n.member, nil, grants, n.identity, n.logger)
-	}
-	b := results.NewReader(n.ledger, n.member, knownPeers{n.relay, n.peerFollower}, grants, n.identity, n.logger)
-	n.relay.Register(results.ServiceName, b.Service(n.context))
-	return b
-}
-
-func (n *Node) parts(drivers Drivers) Parts {
-	return Parts{
-		Settings: n.settings, Identity: n.identity, Journal: drivers.Journal, Operator: n.operator, Replicas: n.table,
-		Results: n.results, Runner: n.runner, Ingress: n.handler, Metrics: n.metrics, Logger: n.logger, Ready: n.ready,
-		ConfigurationAge: n.configurationAge,
-		Stopping:         n.shutdown.Begun(),
-	}
-}
-
-// configurationAge is how long ago it was last confirmed that the configuration is the
-// newest.
-func (n *Node) configurationAge() time.Duration {
-	return n.operatorFollower.Silence()
-}
-
-func (n *Node) registerMetrics() {
-	n.metrics.Gauge("requests_in_flight", "Requests of clients being answered.", func() float64 { return float64(n.handler.InFlight()) })
-	n.metrics.Gauge("batches_owned", "Batches that this daemon runs.", func() float64 { batches, _ := n.runner.Load(); return float64(batches) })
-	n.metrics.Gauge("items_waiting", "Items that wait for a replica.", func() float64 { _, waiting := n.runner.Load(); return float64(waiting) })
-	n.metrics.Gauge("lease_held", "1 while this daemon holds the lease for orders to engines.", func() float64 {
-		if n.lease.Held() {
-			return 1
-		}
-		return 0
-	})
-	n.metrics.Gauge("journal_silence_seconds", "Time since the journal last answered.", func() float64 { return n.silence().Seconds() })
-	n.metrics.Counter("items_started_total", "Attempts at items sent to replicas.", func() float64 { return float64(n.runner.Started()) })
-	n.metrics.Counter("engine_orders_total", "Orders given to engines.", func() float64 { return float64(n.syncer.Orders()) })
-	if n.relay != nil {
-		n.metrics.Gauge("journal_path_lost", "1 while this daemon's own path to the journal is lost.", func() float64 {
-			if n.relay.Lost() {
-				return 1
-			}
-			return 0
-		})
-		n.metrics.Counter("journal_calls_relayed_total", "Calls to the journal answered through a peer.", func() float64 { done, _ := n.relay.Relayed(); return float64(done) })
-	}
-	n.registerDutyMetrics()
-	n.registerHolding()
-	n.quarantine.registerMetrics(n.metrics)
-	n.registerOccupancyMetrics()
-	n.registerConnectionMetrics(n.metrics)
-	registerAdmissionMetrics(n.metrics, n.handler.Admission)
-}
-
 // Start opens the listeners and runs the parts.
 func (n *Node) Start() error {
 	if err := n.health.listen(n.settings.Listen.Health, n.settings.Listen.Metrics); err != nil {
@@ -378,50 +271,3 @@
 	n.public.conns.closeExpired(now)
 	n.private.conns.closeExpired(now)
 }
-
-// isCandidate reports whether the partitions dealt to a daemon make it one that
-// claims the lease for orders when it is free: the first two partitions of the
-// first topic of batches and the last of the last. Whether partitions are dealt
-// in turn or in runs, these are two or three daemons; one alone might be the
-// holder that has been lost.
-func isCandidate(dealt map[journal.Partition]bool, partitionsPerTopic int) bool {
-	return slices.ContainsFunc(candidacies(partitionsPerTopic), func(partition journal.Partition) bool { return dealt[partition] })
-}
-
-// candidacies are the partitions whose members claim the lease.
-func candidacies(partitionsPerTopic int) []journal.Partition {
-	topics := ledger.TopicNames()
-	first, last := topics[0], topics[len(topics)-1]
-	return []journal.Partition{{Topic: first}, {Topic: first, Number: 1}, {Topic: last, Number: partitionsPerTopic - 1}}
-}
-
-// daemons returns how many daemons share the journal, as far as is known.
-func (n *Node) daemons() int {
-	if n.relay == nil {
-		return 1
-	}
-	return n.relay.Daemons()
-}
-
-// silence is how long ago the journal last answered.
-func (n *Node) silence() time.Duration {
-	return min(n.member.Silence(), n.operatorFollower.Silence(), n.replicaFollower.Silence())
-}
-
-// ready reports whether clients should come here, and why not.
-func (n *Node) ready() (bool, string) {
-	select {
-	case <-n.shutdown.Begun():
-		return false, "stopping"
-	default:
-	}
-	switch {
-	case n.operator.Configuration() == nil:
-		return false, "no configuration is known"
-	case !n.replicaFollower.Synced():
-		return false, "the list of replicas has not been read"
-	case n.silence() > contactLimit:
-		return false, "the journal is silent"
-	}
-	return true, ""
-}
--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -21,17 +21,17 @@
 // newQuarantine makes the parts. The relay is there already, if there is one.
 func newQuarantine(node *Node, log journal.Journal) *quarantineParts {
 	table := quarantine.New(node.settings.Name, bootclock.Now, node.logger)
-	b := &quarantineParts{table: table, keeper: quarantine.NewKeeper(table, log, node.relay != nil, node.logger)}
+	parts := &quarantineParts{table: table, keeper: quarantine.NewKeeper(table, log, node.relay != nil, node.logger)}
 	contact := node.settings.Timing.ContactBound.Std()
 	if node.relay != nil {
 		// Peers tell what is new; the journal is for what this daemon has missed.
 		contact = peerContact
-		b.spreader = quarantine.NewSpreader(table, node.relay, node.logger)
+		parts.spreader = quarantine.NewSpreader(table, node.relay, node.logger)
 		node.relay.Register(quarantine.ServiceName, quarantine.NewService(table))
 	}
-	b.follower = journal.NewKeyedFollower(log, quarantine.Partition(log), b.keeper, contact, node.logger)
-	b.follower.SetPace(journal.SharedPace(log, peerReadShare, node.daemons))
-	return b
+	parts.follower = journal.NewKeyedFollower(log, quarantine.Partition(log), parts.keeper, contact, node.logger)
+	parts.follower.SetPace(journal.SharedPace(log, peerReadShare, node.daemons))
+	return parts
 }
 
 // run keeps the table up to date until the context ends.
