--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -68,8 +68,10 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, wait+watcherTimeout)
 	defer cancel()
-	if err := r.peers.Ask(bounded, identity.Machine(watcher), method, args, &answer); err != nil {
+	// A late reply may still be written after an error, and is not read then.
+	var reply T
+	if err := r.peers.Ask(bounded, identity.Machine(watcher), method, args, &reply); err != nil {
 		return answer, errors.Wrap(ErrBehind, err.Error())
 	}
-	return answer, nil
+	return reply, nil
 }
--- /dev/null
+++ b/internal/batches/results/watcher_test.go
@@ -0,0 +1,36 @@
+package results
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"testing/synctest"
+
+	"github.com/matryer/is"
+	"github.com/pkg/errors"
+	"go.uber.org/zap"
+
+	"woodworks/internal/batches/ledger"
+	"woodworks/internal/journal/journaltest"
+)
+
+// A watcher's reply that comes after its time is still written by net/rpc: reading it then was a
+// data race, which -race shows.
+func TestALateReplyIsNotRead(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		log := journaltest.New()
+		var late sync.WaitGroup
+		peers := &alone{count: 2, holder: "h/1"}
+		peers.answer = func(ctx context.Context, _, answer any) error {
+			<-ctx.Done()
+			late.Go(func() { *answer.(*Beginning) = Beginning{Found: true, Offset: 7} })
+			return ctx.Err()
+		}
+		reader := NewReader(ledger.New(t.Context(), log, zap.NewNop()), peers, peers, scarce, "m0/1", zap.NewNop())
+		offset, err := reader.Beginning(t.Context(), "b")
+		is.True(errors.Is(err, ErrBehind))
+		is.Equal(offset, int64(0))
+		late.Wait()
+	})
+}
