--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -1,32 +1,45 @@
-// Package group keeps this daemon in the platform's consumer group, which
-// deals the partitions of the ledger out: each is watched by one daemon. The
-// group decides only who does work; no promise rests on it.
+// Package group keeps this daemon in the platform's consumer group, which deals partitions out:
+// the member that has a partition is its watcher. The group decides only who does work; no
+// promise rests on it.
+//
+// The package owns this daemon's membership, and a list of who watches what that is seconds old
+// at most. It relies on the journal for the group itself.
+//
+// # Usage
+//
+//	member := group.New(log, identity.New(machine, time.Now()), topics, logger)
+//	go member.Run(ctx)
+//	watcher, ok := member.WatcherOf(ctx, partition)
+//	member.Leave(ctx)
 package group
 
 import (
 	"context"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
 	"woodworks/internal/daemon/bootclock"
 	"woodworks/internal/daemon/logging"
 	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
-	"woodworks/internal/membership/identity"
 )
 
+// ErrUnavailable: the journal did not tell what was asked of the group.
+var ErrUnavailable = errors.New("group: the journal did not answer")
+
 const (
+	// groupName is the group's on the platform.
 	groupName = "woodworks"
-	// lifetime is how long a silent member keeps its partitions.
+	// lifetime is how long a silent member keeps its partitions; joinInterval is the time
+	// between two calls by which a member stays, joinTimeout bounds each.
 	lifetime     = 1500 * time.Millisecond
 	joinInterval = 450 * time.Millisecond
 	joinTimeout  = time.Second
-	// leaveTimeout bounds one try to leave.
-	leaveTimeout = 500 * time.Millisecond
-	leavePause   = 100 * time.Millisecond
 	// settleTime is how long after its start a member joins at settleInterval:
 	// when many start at once, partitions are dealt again with each of them.
 	settleTime     = 2 * time.Second
@@ -36,28 +49,30 @@
 // Member is this daemon's membership. It is safe for concurrent use.
 type Member struct {
 	journal journal.Journal
-	self    string
-	topics  []string
-	logger  *zap.Logger
+	// self is this daemon's incarnation.
+	self   string
+	topics []string
+	logger *zap.Logger
+	// failedReads sums the reads of the list that failed: each question may begin one.
+	failedReads *logging.Episodes
 
 	lastContact *journal.Contact
 	leaving     atomic.Bool
+	// lost says that the last call to stay in the group failed. Only Run uses it.
+	lost bool
 
 	mu sync.Mutex
-	// running is Run's context, nil before.
+	// runCtx is Run's context, nil before.
 	runCtx     context.Context
 	generation int64
 	partitions map[journal.Partition]bool
-	lost       bool
 	watchers   watcherList
-	// unlearned sums the reads of owners that failed: each question may begin one.
-	failedReads *logging.Episodes
 }
 
-// New returns a membership that asks for a share of the topics' partitions.
-func New(log journal.Journal, member string, topics []string, logger *zap.Logger) *Member {
-	return &Member{journal: log, self: member, topics: topics, logger: logger, lastContact: journal.NewContact(bootclock.Now),
-		failedReads: logging.NewEpisodes(logger, "owners of partitions not learned", "", "")}
+// New returns the membership of the incarnation named self, which asks for a part of the topics' partitions.
+func New(log journal.Journal, self string, topics []string, logger *zap.Logger) *Member {
+	return &Member{journal: log, self: self, topics: topics, logger: logger, lastContact: journal.NewContact(bootclock.Now),
+		failedReads: logging.NewEpisodes(logger, "watchers of partitions not learned", "", "")}
 }
 
 // Partitions returns the partitions dealt to this daemon.
@@ -81,7 +96,7 @@
 func (m *Member) Silence() time.Duration { return m.lastContact.Silence() }
 
 // Run stays in the group until the context ends or Leave is called. It takes
-// the last run of this machine out of the group first, as that one is over.
+// the last incarnation of this machine out of the group first, as that one is over.
 func (m *Member) Run(ctx context.Context) {
 	began := time.Now()
 	m.mu.Lock()
@@ -99,55 +114,40 @@
 	})
 }
 
-// retirePredecessors makes earlier runs of this machine leave, if any still
-// have partitions: these would lie idle for the lifetime. It is repeated until
-// the owners could be read; one that is not found by then had none.
-func (m *Member) retirePredecessors(ctx context.Context) {
-	for ctx.Err() == nil {
-		if m.retireOnce(ctx) == nil {
-			return
-		}
-		periodic.Pause(ctx, leavePause)
-	}
-}
-
-func (m *Member) retireOnce(ctx context.Context) error {
-	alive, err := m.Alive(ctx)
-	if err != nil {
-		return err
-	}
-	for _, run := range alive {
-		if run == m.self || identity.Machine(run) != identity.Machine(m.self) {
-			continue
-		}
-		err := m.leaveOnce(ctx, run)
-		m.logger.Info("predecessor retired", zap.String("run", run), zap.Error(err))
-		if err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
+// join calls the group once to enter it or to stay in it.
 func (m *Member) join(ctx context.Context) {
-	m.mu.Lock()
-	generation := m.generation
-	m.mu.Unlock()
 	bounded, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	assignment, err := m.journal.Join(bounded, journal.Join{Group: groupName, Member: m.self, Topics: m.topics, Lifetime: lifetime, Generation: generation})
+	request := journal.Join{Group: groupName, Member: m.self, Topics: m.topics, Lifetime: lifetime, Generation: m.Generation()}
+	assignment, err := m.journal.Join(bounded, request)
 	if err != nil {
-		if !m.lost && ctx.Err() == nil {
-			m.lost = true
-			m.logger.Warn("dependency lost", zap.String("dependency", "group"), zap.Error(err))
-		}
+		m.noteLost(ctx, err)
 		return
 	}
+	m.noteContact()
+	m.take(assignment)
+}
+
+// noteLost logs the first failure in a row, unless the context has ended.
+func (m *Member) noteLost(ctx context.Context, err error) {
+	if m.lost || ctx.Err() != nil {
+		return
+	}
+	m.lost = true
+	m.logger.Warn("dependency lost", zap.String("dependency", "group"), zap.Error(err))
+}
+
+// noteContact notes that the group has answered.
+func (m *Member) noteContact() {
 	m.lastContact.Note()
 	if m.lost {
 		m.lost = false
 		m.logger.Info("dependency regained", zap.String("dependency", "group"))
 	}
+}
+
+// take takes what the group has dealt to this daemon, unless it is leaving.
+func (m *Member) take(assignment journal.Assignment) {
 	partitions := make(map[journal.Partition]bool, len(assignment.Partitions))
 	for _, partition := range assignment.Partitions {
 		partitions[partition] = true
@@ -164,46 +164,19 @@
 	m.partitions = partitions
 }
 
-// Alive returns the members that hold partitions now.
+// Alive returns the members that have partitions now. The error wraps ErrUnavailable.
 func (m *Member) Alive(ctx context.Context) ([]string, error) {
 	bounded, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	owners, err := m.journal.Owners(bounded, groupName)
+	rows, err := m.journal.Owners(bounded, groupName)
 	if err != nil {
-		return nil, err
+		return nil, errors.Wrap(ErrUnavailable, err.Error())
 	}
-	seen := map[string]bool{}
 	var alive []string
-	for _, owner := range owners {
-		if !seen[owner.Member] {
-			seen[owner.Member] = true
-			alive = append(alive, owner.Member)
+	for _, row := range rows {
+		if !slices.Contains(alive, row.Member) {
+			alive = append(alive, row.Member)
 		}
 	}
 	return alive, nil
 }
-
-// Leave gives this daemon's partitions to others at once. It is repeated until
-// it is done or the context ends: the partitions of a member that did not leave
-// lie idle until its lifetime is over.
-func (m *Member) Leave(ctx context.Context) {
-	m.leaving.Store(true)
-	m.mu.Lock()
-	m.partitions = nil
-	m.mu.Unlock()
-	for tries := 1; ; tries++ {
-		err := m.leaveOnce(ctx, m.self)
-		if err == nil || ctx.Err() != nil {
-			m.logger.Info("group left", zap.Int("tries", tries), zap.Error(err))
-			return
-		}
-		periodic.Pause(ctx, leavePause)
-	}
-}
-
-// leaveOnce takes a run of this machine out of the group.
-func (m *Member) leaveOnce(ctx context.Context, run string) error {
-	bounded, cancel := context.WithTimeout(ctx, leaveTimeout)
-	defer cancel()
-	return m.journal.Leave(bounded, groupName, run)
-}
--- a/internal/membership/group/owners.go
+++ b/internal/membership/group/watchers.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// ownersHold is how long the list of owners is believed within a generation.
+	// listHold is how long the list of watchers is believed within a generation.
 	listHold = 2 * time.Second
-	// ownersTimeout is how long a caller waits for the list.
+	// listTimeout is how long a caller waits for the list.
 	listTimeout = questiontime.List
-	// ownersReadTimeout bounds a read of the list, which goes on for the callers to come.
+	// listReadTimeout bounds a read of the list, which goes on for the callers to come.
 	listReadTimeout = joinTimeout
-	// ownersReadRest is after how long another read is begun beside one that has no answer yet:
+	// listReadRest is after how long another read is begun beside one that has no answer yet:
 	// one that was lost leaves a question time for the next.
 	listReadRest = questiontime.ListRetry
 )
 
-// owners is who had which partition a moment ago.
+// watcherList is who had which partition a moment ago.
 type watcherList struct {
 	// rows is never changed once it is here; nil until a read has been answered.
 	rows map[journal.Partition]string
@@ -43,26 +43,26 @@
 
 // WatchersOf returns the members that have partitions of a topic, as of a moment ago. A
 // member is listed once for each partition that it has.
-func (m *Member) WatchersOf(ctx context.Context, topic string) (owners []string) {
+func (m *Member) WatchersOf(ctx context.Context, topic string) (watchers []string) {
 	for partition, watcher := range m.recentWatchers(ctx) {
 		if partition.Topic == topic {
-			owners = append(owners, watcher)
+			watchers = append(watchers, watcher)
 		}
 	}
-	return owners
+	return watchers
 }
 
-// recentOwners returns who had which partition a moment ago, nil if that can't be learned
-// within ownersTimeout. The map is never changed. Owners change with the generation only, so that
+// recentWatchers returns who had which partition a moment ago, nil if that can't be learned
+// within listTimeout. The map is never changed. Watchers change with the generation only, so that
 // a list of this one counts on while a newer read is late, as long as the group is heard of.
 //
 // A read outlasts the callers who wait for it: given up with each of them, it never ended
-// where the journal takes longer to answer than they wait, and no owner was known to anybody: not
-// in 1.5 s with answers of 0.25 s, now after 0.25 s (virtual time).
+// where the journal takes longer to answer than they wait, and no watcher was known to
+// anybody.
 func (m *Member) recentWatchers(ctx context.Context) map[journal.Partition]string {
-	known, reading := m.freshWatchers(ctx)
+	fresh, reading := m.freshWatchers(ctx)
 	if reading == nil {
-		return known
+		return fresh
 	}
 	timer := time.NewTimer(listTimeout)
 	defer timer.Stop()
@@ -80,9 +80,9 @@
 	return m.watchers.rows
 }
 
-// ownersNow returns the list if it is fresh, else what is closed when the read of a newer one
+// freshWatchers returns the list if it is fresh, else what is closed when the read of a newer one
 // ends; it begins that read unless one is under way.
-func (m *Member) freshWatchers(ctx context.Context) (known map[journal.Partition]string, reading <-chan struct{}) {
+func (m *Member) freshWatchers(ctx context.Context) (fresh map[journal.Partition]string, reading <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.listFresh() {
@@ -104,12 +104,12 @@
 	return m.runCtx
 }
 
-// ownersFresh reports whether the list is believed. The mutex is held.
+// listFresh reports whether the list is believed. The mutex is held.
 func (m *Member) listFresh() bool {
 	return m.watchers.rows != nil && m.watchers.generation == m.generation && time.Since(m.watchers.at) < listHold
 }
 
-// readOwners reads the list in a generation: what was dealt after the read began may not be in it.
+// readList reads the list in a generation: what was dealt after the read began may not be in it.
 // Ended is closed at the end.
 func (m *Member) readList(ctx context.Context, generation int64, ended chan struct{}) {
 	bounded, cancel := context.WithTimeout(ctx, listReadTimeout)
