--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -60,7 +60,7 @@
 type Parts struct {
 	// Configuration returns what is in force, or false before the first.
 	Configuration func() (Configuration, bool)
-	Desk          *delivery.Desk
+	Delivery      *delivery.Desk
 	Permits       *permit.Permits
 	Operator      *operator.Operator
 	Replicas      *replica.Table
@@ -111,19 +111,19 @@
 	}
 	add(http.MethodGet, "/healthz", g.health)
 	add(http.MethodGet, "/readyz", g.ready)
-	add(http.MethodPost, "/v1/rollouts", g.admit(audience, true, g.submitRollout))
-	add(http.MethodGet, "/v1/rollouts/:trainer/:name", g.admit(audience, false, g.rolloutStatus))
-	add(http.MethodDelete, "/v1/rollouts/:trainer/:name", g.admit(audience, false, g.endRollout))
-	add(http.MethodGet, "/v1/rollouts/:trainer/:name/samples", g.admit(audience, false, g.pullSamples))
-	add(http.MethodPost, "/v1/samples", g.admit(audience, true, g.streamSample))
-	add(http.MethodPost, "/v1/trainers/:trainer/versions", g.admit(audience, false, g.announceVersion))
-	add(http.MethodPost, "/v1/services/:service/:operation", g.admit(audience, true, g.callService(audience)))
+	add(http.MethodPost, "/v1/rollouts", g.checked(audience, true, g.submitRollout))
+	add(http.MethodGet, "/v1/rollouts/:trainer/:name", g.checked(audience, false, g.rolloutStatus))
+	add(http.MethodDelete, "/v1/rollouts/:trainer/:name", g.checked(audience, false, g.endRollout))
+	add(http.MethodGet, "/v1/rollouts/:trainer/:name/samples", g.checked(audience, false, g.pullSamples))
+	add(http.MethodPost, "/v1/samples", g.checked(audience, true, g.streamSample))
+	add(http.MethodPost, "/v1/trainers/:trainer/versions", g.checked(audience, false, g.announceVersion))
+	add(http.MethodPost, "/v1/services/:service/:operation", g.checked(audience, true, g.callService(audience)))
 	if audience == policy.Internal {
 		add(http.MethodGet, "/metrics", g.parts.Metrics.Handler().ServeHTTP)
-		add(http.MethodGet, "/v1/status", g.admit(audience, false, g.operatorOnly(g.status)))
-		add(http.MethodGet, "/v1/policies", g.admit(audience, false, g.operatorOnly(g.policies)))
-		add(http.MethodPost, "/v1/policies", g.admit(audience, false, g.operatorOnly(g.publishPolicy)))
-		add(http.MethodPost, "/v1/drains", g.admit(audience, true, g.operatorOnly(g.drain)))
+		add(http.MethodGet, "/v1/status", g.checked(audience, false, g.operatorOnly(g.status)))
+		add(http.MethodGet, "/v1/policies", g.checked(audience, false, g.operatorOnly(g.policies)))
+		add(http.MethodPost, "/v1/policies", g.checked(audience, false, g.operatorOnly(g.publishPolicy)))
+		add(http.MethodPost, "/v1/drains", g.checked(audience, true, g.operatorOnly(g.drain)))
 	}
 	return r
 }
--- a/internal/api/gateway/admission.go
+++ b/internal/api/gateway/limits.go
@@ -60,21 +60,21 @@
 // handler is a request handler that knows its caller.
 type handler func(w http.ResponseWriter, r *http.Request, caller policy.Caller)
 
-// admit wraps a handler with what every request passes: the key, the caller's
+// checked wraps a handler with what every request passes: the key, the caller's
 // audience and bound, and, for new work, a confirmed configuration.
-func (g *Gateway) admit(audience policy.Audience, newWork bool, next handler) http.HandlerFunc {
+func (g *Gateway) checked(audience policy.Audience, newWork bool, next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if _, there := g.parts.Configuration(); !there && audience == policy.Public {
+		if _, ok := g.parts.Configuration(); !ok && audience == policy.Public {
 			refuse(w, refusal.V1NoConfiguration, "this daemon knows no policies yet")
 			return
 		}
-		caller, known := g.authenticate(r, audience)
-		if !known || (caller.Audience == policy.Internal && audience == policy.Public) {
+		caller, ok := g.authenticate(r, audience)
+		if !ok || (caller.Audience == policy.Internal && audience == policy.Public) {
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			writeProblem(w, http.StatusUnauthorized, Problem{Code: "unauthorized", Message: "a valid bearer key is required"})
 			return
 		}
-		if newWork && !g.mayAdmit(w) {
+		if newWork && !g.mayTakeWork(w) {
 			return
 		}
 		if !g.flights.enter(caller.Name, caller.MaxInFlight) {
@@ -94,8 +94,8 @@
 	if !sent {
 		return policy.Caller{}, false
 	}
-	if configuration, there := g.parts.Configuration(); there {
-		if caller, known := configuration.Policies.CallerOf(key); known {
+	if configuration, ok := g.parts.Configuration(); ok {
+		if caller, ok := configuration.Policies.CallerOf(key); ok {
 			return caller, true
 		}
 	}
@@ -111,15 +111,15 @@
 	return policy.Caller{}, false
 }
 
-// mayAdmit refuses new work while this daemon stops, or cannot confirm that
+// mayTakeWork refuses new work while this daemon stops, or cannot confirm that
 // its configuration is the newest.
-func (g *Gateway) mayAdmit(w http.ResponseWriter) bool {
+func (g *Gateway) mayTakeWork(w http.ResponseWriter) bool {
 	if g.stopping() {
 		refuse(w, refusal.V1Stopping, "this daemon is being stopped; use another")
 		return false
 	}
-	configuration, there := g.parts.Configuration()
-	if !there || configuration.Age > g.limits.ConfirmBound {
+	configuration, ok := g.parts.Configuration()
+	if !ok || configuration.Age > g.limits.ConfirmBound {
 		refuse(w, refusal.V1NotConfirmed, "this daemon cannot confirm that its configuration is the newest")
 		return false
 	}
--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -123,13 +123,13 @@
 
 // publishPolicy answers once the change is in force at this daemon.
 func (g *Gateway) publishPolicy(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
-	var wanted publishRequest
-	if !decodeJSON(w, r, &wanted) {
+	var req publishRequest
+	if !decodeJSON(w, r, &req) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), publishTimeout)
 	defer cancel()
-	published, err := g.parts.Operator.Publish(ctx, operator.Change{Name: wanted.Name, Author: caller.Name, Source: wanted.Source, Replaces: wanted.Replaces})
+	published, err := g.parts.Operator.Publish(ctx, operator.Change{Name: req.Name, Author: caller.Name, Source: req.Source, Replaces: req.Replaces})
 	switch {
 	case errors.Is(err, operator.ErrInvalid):
 		writeProblem(w, http.StatusUnprocessableEntity, Problem{Code: "policy_invalid", Field: "source", Message: err.Error()})
@@ -149,7 +149,7 @@
 // awaitInForce waits until a configuration, or a newer one, is in force here.
 func (g *Gateway) awaitInForce(ctx context.Context, version int64) bool {
 	for {
-		if configuration, there := g.parts.Configuration(); there && configuration.Version >= version {
+		if configuration, ok := g.parts.Configuration(); ok && configuration.Version >= version {
 			return true
 		}
 		select {
@@ -172,14 +172,14 @@
 }
 
 func (g *Gateway) drain(w http.ResponseWriter, r *http.Request, _ policy.Caller) {
-	var wanted drainRequest
-	if !decodeJSON(w, r, &wanted) {
+	var req drainRequest
+	if !decodeJSON(w, r, &req) {
 		return
 	}
-	err := g.parts.Operator.Drain(r.Context(), wanted.Machine, !wanted.Undo)
+	err := g.parts.Operator.Drain(r.Context(), req.Machine, !req.Undo)
 	switch {
 	case err == nil:
-		writeDone(w, http.StatusOK, drainAnswer{Machine: wanted.Machine, Draining: !wanted.Undo})
+		writeDone(w, http.StatusOK, drainAnswer{Machine: req.Machine, Draining: !req.Undo})
 	case errors.Is(err, operator.ErrNoMachine):
 		writeProblem(w, http.StatusNotFound, Problem{Code: "unknown_machine", Field: "machine", Message: "machine: " + err.Error()})
 	case errors.Is(err, operator.ErrUnknown):
--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -37,7 +37,7 @@
 	}{
 		"no configuration": {answer: func(g *Gateway, w http.ResponseWriter) {
 			g.parts.Configuration = func() (Configuration, bool) { return Configuration{}, false }
-			g.admit(policy.Public, false, nil)(w, httptest.NewRequest(http.MethodGet, "/v1/", nil))
+			g.checked(policy.Public, false, nil)(w, httptest.NewRequest(http.MethodGet, "/v1/", nil))
 		}, status: 503, problem: Problem{Code: "no_configuration", Message: "this daemon knows no policies yet", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"no configuration for a trainer": {answer: func(g *Gateway, w http.ResponseWriter) {
 			g.parts.Configuration = func() (Configuration, bool) { return Configuration{}, false }
@@ -47,15 +47,15 @@
 			stopping := make(chan struct{})
 			close(stopping)
 			g.parts.Stopping = stopping
-			g.mayAdmit(w)
+			g.mayTakeWork(w)
 		}, status: 503, problem: Problem{Code: "stopping", Message: "this daemon is being stopped; use another", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"not confirmed": {answer: func(g *Gateway, w http.ResponseWriter) {
 			g.parts.Configuration = func() (Configuration, bool) { return Configuration{Age: time.Hour}, true }
-			g.mayAdmit(w)
+			g.mayTakeWork(w)
 		}, status: 503, problem: Problem{Code: "configuration_not_confirmed", Message: "this daemon cannot confirm that its configuration is the newest", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"not confirmed, with a key": {answer: func(g *Gateway, w http.ResponseWriter) {
 			g.parts.Configuration = func() (Configuration, bool) { return Configuration{Age: time.Hour}, true }
-			g.mayAdmit(w)
+			g.mayTakeWork(w)
 		}, keyed: true, status: 503, problem: Problem{Code: "configuration_not_confirmed", Message: "this daemon cannot confirm that its configuration is the newest",
 			Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
 		"class full": {answer: func(g *Gateway, w http.ResponseWriter) {
@@ -75,7 +75,7 @@
 		"timed out":  {answer: fromIngress(504, nil), status: 504, problem: Problem{Code: "timed_out", Message: "no whole answer came in time", Outcome: Unknown}},
 		"failed":     {answer: fromIngress(502, nil), status: 502, problem: Problem{Code: "back_end_failed", Message: "no replica gave a whole answer", Outcome: Unknown}},
 		"cut": {answer: func(_ *Gateway, w http.ResponseWriter) {
-			status, problem := (&reply{cut: true}).problem()
+			status, problem := (&ingressReply{cut: true}).problem()
 			writeProblem(w, status, problem)
 		}, status: 502, problem: Problem{Code: "answer_cut_off", Message: "the back end's answer did not come whole", Outcome: Unknown}},
 		"a bad field":   {answer: func(_ *Gateway, w http.ResponseWriter) { badField(w, "f", "is odd") }, status: 400, problem: Problem{Code: "bad_request", Field: "f", Message: "f: is odd", Outcome: NotExecuted}},
@@ -89,9 +89,9 @@
 			one.answer(g, &recorder{ResponseWriter: recorded, keyed: one.keyed})
 			is.Equal(recorded.Code, one.status)
 			is.Equal(recorded.Header().Get(OutcomeHeader), string(one.problem.Outcome))
-			var got problemBody
-			is.NoErr(json.Unmarshal(recorded.Body.Bytes(), &got))
-			is.Equal(got.Error, one.problem)
+			var reply problemBody
+			is.NoErr(json.Unmarshal(recorded.Body.Bytes(), &reply))
+			is.Equal(reply.Error, one.problem)
 			inHeader := one.inHeader
 			if inHeader == "" && one.problem.RetryAfterMillis > 0 {
 				inHeader = "1"
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -56,13 +56,13 @@
 		})
 		return delivery.Trainer{}, false
 	}
-	configuration, there := g.parts.Configuration()
-	if !there {
+	configuration, ok := g.parts.Configuration()
+	if !ok {
 		refuse(w, refusal.V1NoConfiguration, "this daemon knows no policies yet")
 		return delivery.Trainer{}, false
 	}
-	declared, known := configuration.Policies.Trainers[name]
-	if !known {
+	declared, ok := configuration.Policies.Trainers[name]
+	if !ok {
 		writeProblem(w, http.StatusNotFound, Problem{Code: "unknown_trainer", Field: field, Message: field + ": no policy declares trainer " + strconv.Quote(name)})
 		return delivery.Trainer{}, false
 	}
@@ -72,22 +72,22 @@
 }
 
 func (g *Gateway) submitRollout(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
-	var wanted rollout.Request
-	if !decodeJSON(w, r, &wanted) {
+	var req rollout.Request
+	if !decodeJSON(w, r, &req) {
 		return
 	}
-	if err := wanted.Check(); err != nil {
+	if err := req.Check(); err != nil {
 		var fault *rollout.FieldError
 		if errors.As(err, &fault) {
 			badField(w, fault.Field, fault.Reason)
 		}
 		return
 	}
-	trainer, known := g.trainerOf(w, caller, wanted.Trainer, "trainer")
-	if !known {
+	trainer, ok := g.trainerOf(w, caller, req.Trainer, "trainer")
+	if !ok {
 		return
 	}
-	header, err := g.parts.Desk.Submit(r.Context(), trainer, wanted)
+	header, err := g.parts.Delivery.Submit(r.Context(), trainer, req)
 	switch {
 	case err == nil:
 		writeDone(w, http.StatusAccepted, submitted(rollout.NewCursor(header)))
@@ -109,7 +109,7 @@
 func (g *Gateway) cursorOf(w http.ResponseWriter, r *http.Request, trainer, name string) (rollout.Cursor, bool) {
 	text := r.URL.Query().Get("cursor")
 	if text == "" {
-		header, err := g.parts.Desk.Find(r.Context(), trainer, name)
+		header, err := g.parts.Delivery.Find(r.Context(), trainer, name)
 		if err != nil {
 			writeDeliveryError(w, err)
 			return rollout.Cursor{}, false
@@ -153,7 +153,7 @@
 
 func (g *Gateway) rolloutStatus(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
 	variables := pathvar.Vars(r)
-	if _, known := g.trainerOf(w, caller, variables["trainer"], "trainer"); !known {
+	if _, ok := g.trainerOf(w, caller, variables["trainer"], "trainer"); !ok {
 		return
 	}
 	if cursor, ok := g.cursorOf(w, r, variables["trainer"], variables["name"]); ok {
@@ -164,10 +164,10 @@
 // endRollout gives a batch up: no more of its samples are made.
 func (g *Gateway) endRollout(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
 	variables := pathvar.Vars(r)
-	if _, known := g.trainerOf(w, caller, variables["trainer"], "trainer"); !known {
+	if _, ok := g.trainerOf(w, caller, variables["trainer"], "trainer"); !ok {
 		return
 	}
-	err := g.parts.Desk.End(r.Context(), variables["trainer"], variables["name"])
+	err := g.parts.Delivery.End(r.Context(), variables["trainer"], variables["name"])
 	switch {
 	case err == nil:
 		writeDone(w, http.StatusOK, statusWord{Status: "ended"})
@@ -180,8 +180,8 @@
 
 func (g *Gateway) pullSamples(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
 	variables := pathvar.Vars(r)
-	trainer, known := g.trainerOf(w, caller, variables["trainer"], "trainer")
-	if !known {
+	trainer, ok := g.trainerOf(w, caller, variables["trainer"], "trainer")
+	if !ok {
 		return
 	}
 	pull, ok := parsePull(w, r)
@@ -197,7 +197,7 @@
 		g.followSamples(w, r, trainer, pull)
 		return
 	}
-	delivered, err := g.parts.Desk.Deliver(r.Context(), trainer, pull)
+	delivered, err := g.parts.Delivery.Deliver(r.Context(), trainer, pull)
 	if err != nil {
 		writeDeliveryError(w, err)
 		return
@@ -226,7 +226,7 @@
 			return
 		}
 		pull.Wait = followWait
-		delivered, err := g.parts.Desk.Deliver(r.Context(), trainer, pull)
+		delivered, err := g.parts.Delivery.Deliver(r.Context(), trainer, pull)
 		if err != nil {
 			_, problem := deliveryProblem(err)
 			lines.write(problemBody{Error: problem})
@@ -251,8 +251,8 @@
 	controller *http.ResponseController
 }
 
-func (lines lineWriter) write(value any) bool {
-	return lines.encoder.Encode(value) == nil && lines.controller.Flush() == nil
+func (l lineWriter) write(value any) bool {
+	return l.encoder.Encode(value) == nil && l.controller.Flush() == nil
 }
 
 func parsePull(w http.ResponseWriter, r *http.Request) (delivery.Pull, bool) {
@@ -299,22 +299,22 @@
 // rise: an older one is answered with the newest known.
 func (g *Gateway) announceVersion(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
 	name := pathvar.Vars(r)["trainer"]
-	if _, known := g.trainerOf(w, caller, name, "trainer"); !known {
+	if _, ok := g.trainerOf(w, caller, name, "trainer"); !ok {
 		return
 	}
-	var wanted announceRequest
-	if !decodeJSON(w, r, &wanted) {
+	var req announceRequest
+	if !decodeJSON(w, r, &req) {
 		return
 	}
-	if wanted.Version < 1 {
+	if req.Version < 1 {
 		badField(w, "version", "must be at least 1")
 		return
 	}
-	if wanted.Artifact == "" {
+	if req.Artifact == "" {
 		badField(w, "artifact", "is required")
 		return
 	}
-	newest, err := g.parts.Operator.Announce(r.Context(), operator.Version{Model: name, Version: wanted.Version, Artifact: wanted.Artifact})
+	newest, err := g.parts.Operator.Announce(r.Context(), operator.Version{Model: name, Version: req.Version, Artifact: req.Artifact})
 	switch {
 	case err == nil:
 		writeDone(w, http.StatusOK, announceAnswer{Trainer: name, Version: newest})
--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -53,35 +53,35 @@
 
 // streamSample passes one sample on as it grows.
 func (g *Gateway) streamSample(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
-	var wanted sampleRequest
-	if !decodeJSON(w, r, &wanted) {
+	var req sampleRequest
+	if !decodeJSON(w, r, &req) {
 		return
 	}
-	if field, reason := wanted.check(); field != "" {
+	if field, reason := req.check(); field != "" {
 		badField(w, field, reason)
 		return
 	}
-	if _, known := g.trainerOf(w, caller, wanted.Trainer, "trainer"); !known {
+	if _, ok := g.trainerOf(w, caller, req.Trainer, "trainer"); !ok {
 		return
 	}
 	configuration, _ := g.parts.Configuration()
-	class := configuration.Policies.Classes[configuration.Policies.Trainers[wanted.Trainer].Class]
+	class := configuration.Policies.Classes[configuration.Policies.Trainers[req.Trainer].Class]
 	if !g.enterClass(w, class) {
 		return
 	}
 	defer g.flights.leave(classCounter(class.Name))
-	body, err := json.Marshal(rollout.Generate{Model: wanted.Trainer, Prompt: wanted.Prompt, Seed: wanted.Seed, MaxTokens: wanted.MaxTokens})
+	body, err := json.Marshal(rollout.Generate{Model: req.Trainer, Prompt: req.Prompt, Seed: req.Seed, MaxTokens: req.MaxTokens})
 	if err != nil {
 		badField(w, "prompt", err.Error())
 		return
 	}
 	timeout := defaultSampleTimeout
-	if wanted.TimeoutMillis > 0 {
-		timeout = time.Duration(wanted.TimeoutMillis) * time.Millisecond
+	if req.TimeoutMillis > 0 {
+		timeout = time.Duration(req.TimeoutMillis) * time.Millisecond
 	}
 	lines := &sampleWriter{w: w, header: http.Header{}, names: g.parts.Names}
-	g.parts.Ingress.ServeHTTP(lines, g.request(r.Context(), asked{
-		host: g.parts.Names.SamplesHost(wanted.Trainer), path: rollout.GeneratePath, kind: "application/json", body: body, timeout: timeout,
+	g.parts.Ingress.ServeHTTP(lines, g.request(r.Context(), ingressCall{
+		host: g.parts.Names.SamplesHost(req.Trainer), path: rollout.GeneratePath, kind: "application/json", body: body, timeout: timeout,
 	}))
 	lines.finish()
 }
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -36,14 +36,14 @@
 	return func(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
 		variables := pathvar.Vars(r)
 		configuration, _ := g.parts.Configuration()
-		service, known := configuration.Policies.Services[variables["service"]]
-		hidden := known && audience == policy.Public && service.Audience == policy.Internal
-		if !known || hidden || service.Kind != policy.PlainService {
+		service, ok := configuration.Policies.Services[variables["service"]]
+		hidden := ok && audience == policy.Public && service.Audience == policy.Internal
+		if !ok || hidden || service.Kind != policy.PlainService {
 			writeProblem(w, http.StatusNotFound, Problem{Code: "unknown_service", Field: "service", Message: "service: no such service"})
 			return
 		}
-		operation, known := service.Operations[variables["operation"]]
-		if !known {
+		operation, ok := service.Operations[variables["operation"]]
+		if !ok {
 			writeProblem(w, http.StatusNotFound, Problem{Code: "unknown_operation", Field: "operation", Message: "operation: the service has no such operation"})
 			return
 		}
@@ -56,7 +56,7 @@
 			return
 		}
 		defer g.flights.leave(classCounter(class.Name))
-		call := asked{
+		call := ingressCall{
 			host: g.parts.Names.ServiceHost(service.Name), path: g.parts.Names.OperationPath(operation.Name),
 			kind: r.Header.Get("Content-Type"), body: body, timeout: timeoutOf(operation),
 		}
@@ -77,13 +77,13 @@
 }
 
 // answerCall gives a caller the reply of the ingress.
-func (g *Gateway) answerCall(w http.ResponseWriter, got *reply) {
-	if !got.whole(g.parts.Names.Stamp) {
-		status, problem := got.problem()
+func (g *Gateway) answerCall(w http.ResponseWriter, reply *ingressReply) {
+	if !reply.whole(g.parts.Names.Stamp) {
+		status, problem := reply.problem()
 		writeProblem(w, status, problem)
 		return
 	}
-	writeAnswer(w, permit.Outcome{Status: got.status, ContentType: got.header.Get("Content-Type"), Body: got.body.Bytes()})
+	writeAnswer(w, permit.Outcome{Status: reply.status, ContentType: reply.header.Get("Content-Type"), Body: reply.body.Bytes()})
 }
 
 func writeAnswer(w http.ResponseWriter, outcome permit.Outcome) {
@@ -98,7 +98,7 @@
 }
 
 // callOnce runs a request with a key at most once over all its tries.
-func (g *Gateway) callOnce(w http.ResponseWriter, r *http.Request, caller policy.Caller, text string, call asked) {
+func (g *Gateway) callOnce(w http.ResponseWriter, r *http.Request, caller policy.Caller, text string, call ingressCall) {
 	key, err := permit.ParseKey(text)
 	if err == nil {
 		err = g.parts.Permits.Check(key, time.Now())
@@ -138,7 +138,7 @@
 	}
 }
 
-func digestOf(call asked) uint64 {
+func digestOf(call ingressCall) uint64 {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(call.host + "\x00" + call.path + "\x00" + call.kind + "\x00")
 	_, _ = hash.Write(call.body)
@@ -148,17 +148,17 @@
 // runOnce runs a request under its permit and records what it came to. A try
 // that has certainly not run gives the permit back before it is answered so: the
 // caller comes back with the same key.
-func (g *Gateway) runOnce(w http.ResponseWriter, ctx context.Context, granted permit.Granted, call asked) {
-	got := g.ask(ctx, call)
-	if !got.whole(g.parts.Names.Stamp) {
-		status, problem := got.problem()
+func (g *Gateway) runOnce(w http.ResponseWriter, ctx context.Context, granted permit.Granted, call ingressCall) {
+	reply := g.ask(ctx, call)
+	if !reply.whole(g.parts.Names.Stamp) {
+		status, problem := reply.problem()
 		if problem.Outcome == NotExecuted {
 			g.giveBack(ctx, granted)
 		}
 		writeProblem(w, status, problem)
 		return
 	}
-	outcome := permit.Outcome{Status: got.status, ContentType: got.header.Get("Content-Type"), Body: got.body.Bytes()}
+	outcome := permit.Outcome{Status: reply.status, ContentType: reply.header.Get("Content-Type"), Body: reply.body.Bytes()}
 	if len(outcome.Body) <= maxOutcomeBytes {
 		settling, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 		defer cancel()
@@ -199,7 +199,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	if outcome, known := g.parts.Permits.Await(ctx, name); known {
+	if outcome, ok := g.parts.Permits.Await(ctx, name); ok {
 		writeAnswer(w, outcome)
 		return
 	}
--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -46,7 +46,7 @@
 	set := &policy.Set{Trainers: map[string]policy.Trainer{"t": {Name: "t"}}}
 	return New(Parts{
 		Configuration: func() (Configuration, bool) { return Configuration{Policies: set}, true },
-		Desk:          delivery.New(results.NewReader(batches, nil, nil, journal.Grants{}, "self/1", zap.NewNop()), idle{batches}, rollout.ItemHeaders{}, zap.NewNop()),
+		Delivery:      delivery.New(results.NewReader(batches, nil, nil, journal.Grants{}, "self/1", zap.NewNop()), idle{batches}, rollout.ItemHeaders{}, zap.NewNop()),
 		Permits:       permit.New(log, 10*time.Minute, func() string { return "claimant" }),
 		Metrics:       metrics.New(), Logger: zap.NewNop(), Stopping: stopping,
 	}, Limits{}), stopping
@@ -62,7 +62,7 @@
 		defer cancel()
 		g, stopping := stoppable(ctx)
 		caller := policy.Caller{Name: "c", Trainer: "t"}
-		header, err := g.parts.Desk.Submit(ctx, delivery.Trainer{Name: "t", Accepts: func(oldest, trained int64) bool { return oldest >= trained }},
+		header, err := g.parts.Delivery.Submit(ctx, delivery.Trainer{Name: "t", Accepts: func(oldest, trained int64) bool { return oldest >= trained }},
 			rollout.Request{Trainer: "t", Name: "n", Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}, SamplesPerPrompt: 1, MaxTokens: 5})
 		is.NoErr(err)
 		began := time.Now()
@@ -72,10 +72,10 @@
 			answer := httptest.NewRecorder()
 			g.pullSamples(answer, pathvar.WithVars(asked, map[string]string{"trainer": "t", "name": "n"}), caller)
 			is.Equal(answer.Code, http.StatusOK)
-			var got Pulled
-			is.NoErr(json.Unmarshal(answer.Body.Bytes(), &got))
-			is.Equal(got.Open, 1)
-			is.Equal(got.Cursor, rollout.NewCursor(header).String())
+			var reply Pulled
+			is.NoErr(json.Unmarshal(answer.Body.Bytes(), &reply))
+			is.Equal(reply.Open, 1)
+			is.Equal(reply.Cursor, rollout.NewCursor(header).String())
 			is.Equal(time.Since(began), 1300*time.Millisecond)
 		}
 	})
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -19,8 +19,8 @@
 // sake, and how many replicas have ended under it.
 const QuarantinedHeader = "Woodworks-Quarantined"
 
-// asked is a request to the ingress.
-type asked struct {
+// ingressCall is a request to the ingress.
+type ingressCall struct {
 	host    string
 	path    string
 	kind    string
@@ -30,7 +30,7 @@
 
 // request makes the ingress' request. It carries nothing of the caller's
 // headers but the content type.
-func (g *Gateway) request(ctx context.Context, a asked) *http.Request {
+func (g *Gateway) request(ctx context.Context, a ingressCall) *http.Request {
 	header := http.Header{}
 	header.Set(g.parts.Names.RequestID, g.parts.NewID())
 	if a.kind != "" {
@@ -46,9 +46,9 @@
 	return r.WithContext(ctx)
 }
 
-// reply is what the ingress answered: a back end's whole answer, or its own
+// ingressReply is what the ingress answered: a back end's whole answer, or its own
 // word on why there is none.
-type reply struct {
+type ingressReply struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
@@ -57,48 +57,48 @@
 }
 
 // Header implements http.ResponseWriter.
-func (p *reply) Header() http.Header { return p.header }
+func (r *ingressReply) Header() http.Header { return r.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (p *reply) WriteHeader(status int) { p.status = status }
+func (r *ingressReply) WriteHeader(status int) { r.status = status }
 
 // Write implements http.ResponseWriter.
-func (p *reply) Write(content []byte) (int, error) {
-	if p.status == 0 {
-		p.status = http.StatusOK
+func (r *ingressReply) Write(content []byte) (int, error) {
+	if r.status == 0 {
+		r.status = http.StatusOK
 	}
-	if p.body.Len()+len(content) > maxAnswerBytes {
-		p.cut = true
+	if r.body.Len()+len(content) > maxAnswerBytes {
+		r.cut = true
 		return 0, io.ErrShortWrite
 	}
-	return p.body.Write(content)
+	return r.body.Write(content)
 }
 
 // ask sends a request to the ingress and takes the whole answer.
-func (g *Gateway) ask(ctx context.Context, a asked) (got *reply) {
-	got = &reply{header: http.Header{}}
+func (g *Gateway) ask(ctx context.Context, a ingressCall) (reply *ingressReply) {
+	reply = &ingressReply{header: http.Header{}}
 	defer func() {
 		switch aborted := recover(); aborted {
 		case nil:
 		case http.ErrAbortHandler:
-			got.cut = true
+			reply.cut = true
 		default:
 			panic(aborted)
 		}
 	}()
-	g.parts.Ingress.ServeHTTP(got, g.request(ctx, a))
-	return got
+	g.parts.Ingress.ServeHTTP(reply, g.request(ctx, a))
+	return reply
 }
 
 // whole reports whether the reply is a back end's whole answer.
-func (p *reply) whole(stamp string) bool { return !p.cut && p.header.Get(stamp) != "" }
+func (r *ingressReply) whole(stamp string) bool { return !r.cut && r.header.Get(stamp) != "" }
 
 // problem is what to tell a caller of a reply that is no back end's answer.
-func (p *reply) problem() (int, Problem) {
-	if p.cut {
+func (r *ingressReply) problem() (int, Problem) {
+	if r.cut {
 		return refusal.V1CutOff.Status, problemFor(refusal.V1CutOff, "the back end's answer did not come whole")
 	}
-	return problemOf(p.status, p.header)
+	return problemOf(r.status, r.header)
 }
 
 // comeBackOf is a refusal of the ingress with the time to return that it told the caller.
--- a/internal/api/standalone/connect.go
+++ b/internal/api/standalone/connect.go
@@ -49,13 +49,13 @@
 	gw := gateway.New(gateway.Parts{
 		Configuration: func() (gateway.Configuration, bool) {
 			inForce := parts.Operator.Configuration()
-			set, there := decoder.SetOf(inForce)
-			if !there {
+			set, ok := decoder.SetOf(inForce)
+			if !ok {
 				return gateway.Configuration{}, false
 			}
 			return gateway.Configuration{Version: inForce.Version, Policies: set, Named: parts.Operator.Named(), Age: parts.ConfigurationAge()}, true
 		},
-		Desk:     delivery.New(parts.Results, parts.Runner, rollout.ItemHeaders{TokenUsage: names.TokenUsage, LengthHint: names.LengthHint}, parts.Logger),
+		Delivery: delivery.New(parts.Results, parts.Runner, rollout.ItemHeaders{TokenUsage: names.TokenUsage, LengthHint: names.LengthHint}, parts.Logger),
 		Permits:  permit.New(parts.Journal, parts.Settings.Timing.RecordRetention.Std(), newID),
 		Operator: operator.New(parts.Journal, parts.Logger),
 		Replicas: parts.Replicas,
@@ -73,8 +73,8 @@
 
 // hookFaults counts the faults of the hooks of a configuration's policies.
 func hookFaults(decoder *Decoder, configuration *route.Configuration) float64 {
-	set, there := decoder.SetOf(configuration)
-	if !there {
+	set, ok := decoder.SetOf(configuration)
+	if !ok {
 		return 0
 	}
 	faults := uint64(0)
--- a/internal/api/standalone/decoder.go
+++ b/internal/api/standalone/decoder.go
@@ -123,12 +123,12 @@
 	var routes []route.Route
 	services := map[string]route.Service{}
 	for name, service := range set.Services {
-		made := route.Service{Name: name, Engine: service.Kind == policy.EngineService}
+		m := route.Service{Name: name, Engine: service.Kind == policy.EngineService}
 		for _, trainer := range set.TrainersOf(name) {
-			made.Models = append(made.Models, route.Model{Name: trainer.Name})
+			m.Models = append(m.Models, route.Model{Name: trainer.Name})
 			routes = append(routes, trainerRoutes(set, trainer)...)
 		}
-		services[name] = made
+		services[name] = m
 		for _, operation := range service.Operations {
 			routes = append(routes, operationRoute(set, service, operation))
 		}
@@ -149,15 +149,15 @@
 }
 
 func operationRoute(set *policy.Set, service policy.Service, operation policy.Operation) route.Route {
-	made := route.Route{
+	m := route.Route{
 		Name: service.Name + "." + operation.Name, Host: ServiceHost(service.Name), PathPrefix: OperationPath(operation.Name),
 		Kind: route.Unsafe, Shares: []route.Share{{Service: service.Name, Weight: 1}}, Timeout: operation.Timeout,
 		MaxAttempts: 1, Priority: rankOf(set, set.Classes[operation.Class].Weight), HedgeAfter: operation.Hedge,
 	}
 	if operation.Repeatable {
-		made.Kind, made.MaxAttempts = route.Safe, maxAttempts
+		m.Kind, m.MaxAttempts = route.Safe, maxAttempts
 	}
-	return made
+	return m
 }
 
 // rankOf turns a weight into a rank: 0 for the highest weight of any class.
--- a/internal/api/standalone/decoder_test.go
+++ b/internal/api/standalone/decoder_test.go
@@ -33,8 +33,8 @@
 			newest = record.Configuration
 		}
 	}
-	set, there := decoder.SetOf(newest)
-	is.True(there)
+	set, ok := decoder.SetOf(newest)
+	is.True(ok)
 	_, known := set.Trainers["bots"]
 	is.True(known)
 }
@@ -44,16 +44,16 @@
 	decoder := &Decoder{}
 	record, err := decoder.Operator(operator.PoliciesKey, policies(t, 1))
 	is.NoErr(err)
-	board, found := record.Configuration.Find(ServiceHost("game-front"), OperationPath("board"))
-	is.True(found)
+	board, rt := record.Configuration.Find(ServiceHost("game-front"), OperationPath("board"))
+	is.True(rt)
 	is.Equal(board.Kind, route.Safe)
-	move, found := record.Configuration.Find(ServiceHost("game-front"), OperationPath("move"))
-	is.True(found)
+	move, rt := record.Configuration.Find(ServiceHost("game-front"), OperationPath("move"))
+	is.True(rt)
 	is.Equal(move.Kind, route.Unsafe)
 	is.Equal(move.MaxAttempts, 1)
 	is.True(move.Priority <= board.Priority)
-	_, found = record.Configuration.Find(ServiceHost("nobody"), OperationPath("move"))
-	is.True(!found)
+	_, rt = record.Configuration.Find(ServiceHost("nobody"), OperationPath("move"))
+	is.True(!rt)
 	_, err = decoder.Operator(operator.PoliciesKey, []byte("no cbor"))
 	is.True(err != nil)
 }
--- a/internal/api/standalone/retries.go
+++ b/internal/api/standalone/retries.go
@@ -21,18 +21,18 @@
 
 // Began implements ingress.Retries.
 func (r *retries) Began(*route.Route) {
-	if set, there := r.decoder.SetOf(r.configuration()); there {
+	if set, ok := r.decoder.SetOf(r.configuration()); ok {
 		r.budget.FirstTry(set.Retry.Percent)
 	}
 }
 
 // May implements ingress.Retries.
-func (r *retries) May(found *route.Route, offers int) bool {
-	set, there := r.decoder.SetOf(r.configuration())
-	if !there {
+func (r *retries) May(rt *route.Route, offers int) bool {
+	set, ok := r.decoder.SetOf(r.configuration())
+	if !ok {
 		return false
 	}
-	service, operation := operationOf(found)
+	service, operation := operationOf(rt)
 	if set.OnFailure(service, operation, offers) != policy.ActionRetry {
 		return false
 	}
@@ -40,7 +40,7 @@
 }
 
 // operationOf returns the service and the operation of a route.
-func operationOf(found *route.Route) (service, operation string) {
-	service = found.Shares[0].Service
-	return service, found.Name[min(len(service)+1, len(found.Name)):]
+func operationOf(rt *route.Route) (service, operation string) {
+	service = rt.Shares[0].Service
+	return service, rt.Name[min(len(service)+1, len(rt.Name)):]
 }
--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -12,7 +12,7 @@
 // quarantineParts are the parts that keep contents under which replicas end from further ones.
 type quarantineParts struct {
 	table    *quarantine.Table
-	keeper   *quarantine.Keeper
+	keeper   *quarantine.Recorder
 	follower *journal.KeyedFollower
 	// spreader is nil where the settings name no address for peers.
 	spreader *quarantine.Spreader
@@ -21,7 +21,7 @@
 // newQuarantine makes the parts. The relay is there already, if there is one.
 func newQuarantine(node *Node, log journal.Journal) *quarantineParts {
 	table := quarantine.New(node.settings.Name, bootclock.Now, node.logger)
-	parts := &quarantineParts{table: table, keeper: quarantine.NewKeeper(table, log, node.relay != nil, node.logger)}
+	parts := &quarantineParts{table: table, keeper: quarantine.NewRecorder(table, log, node.relay != nil, node.logger)}
 	contact := node.settings.Timing.ContactBound.Std()
 	if node.relay != nil {
 		// Peers tell what is new; the journal is for what this daemon has missed.
--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -22,7 +22,7 @@
 //	answer, err := send()
 //	ticket.Done(admission.Answered{Took: took})
 //
-// Plan and Pace decide; they read no clock, and hold neither locks nor goroutines.
+// Plan and StartRate decide; they read no clock, and hold neither locks nor goroutines.
 package admission
 
 import (
@@ -109,13 +109,13 @@
 }
 
 // Enter returns once the request may be sent. The error is a *Refused.
-func (c *Controller) Enter(ctx context.Context, asked Request) (*Ticket, error) {
-	return c.gate(asked.Service).enter(ctx, asked)
+func (c *Controller) Enter(ctx context.Context, req Request) (*Ticket, error) {
+	return c.gate(req.Service).enter(ctx, req)
 }
 
 // Full refuses a request that each replica has declined in each of its turns.
-func (c *Controller) Full(asked Request) *Refused {
-	return c.gate(asked.Service).noPlace(asked)
+func (c *Controller) Full(req Request) *Refused {
+	return c.gate(req.Service).noPlace(req)
 }
 
 // gate returns that of a service.
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// mostWaiting is how many requests of a service wait at one daemon at most: more
+	// maxWaiting is how many requests of a service wait at one daemon at most: more
 	// than a daemon's part of the places ends within the time of a plain request, and
 	// few enough to be put in order at each arrival.
-	mostWaiting = 64
+	maxWaiting = 64
 	// lookAgain is after which time those that wait are looked at again if nothing has
 	// woken them: replicas come and go, and times run out.
 	lookAgain = 50 * time.Millisecond
@@ -22,9 +22,9 @@
 	// take longest are no reason to refuse others.
 	needPart = 0.9
 	// offersPercent is how many further offers each hundred first ones of a full service
-	// earn, leastOffers how many a second there are at least.
+	// earn, minOffers how many a second there are at least.
 	offersPercent = 100
-	leastOffers   = 2
+	minOffers     = 2
 	// patiencePart is the part of its aim, one in so many, that a request waits at most while
 	// the aim can be reached: a caller that is refused within it has the rest of the time for another
 	// try.
@@ -41,13 +41,13 @@
 	draw func() float64
 
 	mu      sync.Mutex
-	pace    Pace
+	rate    StartRate
 	times   times
 	offers  retrybudget.Budget
 	waiting []*waiter
-	// served has the work that tenants have had while the pace bound.
+	// served has the work that tenants have had while the start rate bound.
 	served accounts
-	// starts counts while the pace binds.
+	// starts counts while the start rate binds.
 	starts int
 	demand demand
 	timer  *time.Timer
@@ -68,14 +68,14 @@
 }
 
 // enter returns once a request may be sent.
-func (g *gate) enter(ctx context.Context, asked Request) (*Ticket, error) {
-	waiting, ticket := g.arrive(asked)
+func (g *gate) enter(ctx context.Context, req Request) (*Ticket, error) {
+	waiting, ticket := g.arrive(req)
 	if ticket != nil {
 		return ticket, nil
 	}
 	select {
-	case got := <-waiting.turn:
-		return got.result()
+	case d := <-waiting.decided:
+		return d.result()
 	case <-ctx.Done():
 	}
 	return g.leave(ctx, waiting)
@@ -83,17 +83,17 @@
 
 // arrive lets a request start if its service is not seen to be full, or has it take its place
 // among those that wait, where it may start or be refused at once.
-func (g *gate) arrive(asked Request) (*waiter, *Ticket) {
+func (g *gate) arrive(req Request) (*waiter, *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.options.Clock()
 	g.demand.note(now, 1)
 	replicas := g.options.Replicas(g.service)
 	g.look(now, replicas)
-	if len(replicas) == 0 || !g.pace.binds {
-		return nil, g.start(asked)
+	if len(replicas) == 0 || !g.rate.binds {
+		return nil, g.start(req)
 	}
-	added := &waiter{Request: asked, since: now, turn: make(chan word, 1)}
+	added := &waiter{Request: req, since: now, decided: make(chan decision, 1)}
 	g.waiting = append(g.waiting, added)
 	g.decide(now, replicas)
 	return added, nil
@@ -102,11 +102,11 @@
 // look takes what is believed of the replicas into account. The lock is held.
 func (g *gate) look(now time.Time, replicas []replica.Replica) {
 	if allFull(replicas) {
-		g.full(now, SignTold, g.share(replicas))
+		g.full(now, SignTold, g.capacity(replicas))
 	} else if len(g.waiting) == 0 {
-		g.pace.Rest(now)
+		g.rate.Rest(now)
 	}
-	if !g.pace.binds {
+	if !g.rate.binds {
 		clear(g.served)
 		g.starts = 0
 	}
@@ -122,33 +122,33 @@
 	return len(replicas) > 0
 }
 
-func (g *gate) share(replicas []replica.Replica) Share {
+func (g *gate) capacity(replicas []replica.Replica) Capacity {
 	slots := 0
 	for _, each := range replicas {
 		slots += max(each.Slots, 1)
 	}
-	return Share{Slots: slots, Daemons: g.options.Daemons(), Demand: g.demand.note(g.options.Clock(), 0), Usual: max(g.times.quantile(0.5), time.Millisecond)}
+	return Capacity{Slots: slots, Daemons: g.options.Daemons(), Demand: g.demand.note(g.options.Clock(), 0), Usual: max(g.times.quantile(0.5), time.Millisecond)}
 }
 
 // start gives a request its turn. The lock is held.
-func (g *gate) start(asked Request) *Ticket {
-	ticket := &Ticket{gate: g, tenant: asked.Tenant, aim: asked.Aim, since: g.options.Clock()}
-	if !g.pace.binds {
+func (g *gate) start(req Request) *Ticket {
+	ticket := &Ticket{gate: g, tenant: req.Tenant, aim: req.Aim, since: g.options.Clock()}
+	if !g.rate.binds {
 		return ticket
 	}
 	g.starts++
 	g.offers.FirstTry(offersPercent)
 	ticket.charged = g.times.quantile(0.5)
-	g.served.charge(asked.Tenant, ticket.charged, ticket.since)
+	g.served.charge(req.Tenant, ticket.charged, ticket.since)
 	return ticket
 }
 
 // snapshot is what decides on the order of those that wait. The lock is held.
 func (g *gate) snapshot(now time.Time) Snapshot {
-	rate := g.pace.rate
+	rate := g.rate.perSecond
 	s := Snapshot{
 		Waiting: make([]Waiting, len(g.waiting)), Rate: rate, LateRate: max(rate-g.demand.note(now, 0), rate/oldestEvery),
-		First: g.pace.Next(now), Need: g.times.quantile(needPart), Usual: g.times.quantile(0.5), Served: make(map[string]time.Duration), Starts: g.starts,
+		First: g.rate.Next(now), Need: g.times.quantile(needPart), Usual: g.times.quantile(0.5), Served: make(map[string]time.Duration), Starts: g.starts,
 	}
 	for i, each := range g.waiting {
 		held, aim := each.Held+now.Sub(each.since), time.Duration(math.MaxInt64)
@@ -168,7 +168,7 @@
 func (g *gate) decide(now time.Time, replicas []replica.Replica) {
 	g.look(now, replicas)
 	for len(g.waiting) > 0 {
-		if len(replicas) == 0 || !g.pace.binds {
+		if len(replicas) == 0 || !g.rate.binds {
 			// Nothing is known to be full: what is sent says what is certain.
 			g.release(g.waiting[0], nil)
 			continue
@@ -178,7 +178,7 @@
 		}
 	}
 	if len(g.waiting) > 0 {
-		g.wakeAfter(max(min(g.pace.Next(now), lookAgain), time.Millisecond))
+		g.wakeAfter(max(min(g.rate.Next(now), lookAgain), time.Millisecond))
 	}
 }
 
@@ -195,30 +195,30 @@
 		switch {
 		case turn.Refused:
 			g.refuse(each, NoTime, drain)
-		case i >= mostWaiting:
+		case i >= maxWaiting:
 			g.refuse(each, TooMany, drain)
 		case first == nil:
 			first = each
 		}
 	}
-	if first == nil || !g.pace.Take(now) {
+	if first == nil || !g.rate.Take(now) {
 		return false
 	}
 	g.release(first, nil)
 	return true
 }
 
-// places is this daemon's part of the places, while the pace binds. The lock is held.
-func (g *gate) places() float64 { return g.pace.rate * g.times.quantile(0.5).Seconds() }
+// places is this daemon's part of the places, while the start rate binds. The lock is held.
+func (g *gate) places() float64 { return g.rate.perSecond * g.times.quantile(0.5).Seconds() }
 
 func (g *gate) count(counts *Counts) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	counts.Waiting += len(g.waiting)
 	if len(g.waiting) == 0 {
-		g.pace.Rest(g.options.Clock())
+		g.rate.Rest(g.options.Clock())
 	}
-	if g.pace.binds {
+	if g.rate.binds {
 		counts.Full++
 		counts.Places += g.places()
 	}
--- a/internal/requests/admission/gate_test.go
+++ b/internal/requests/admission/gate_test.go
@@ -88,10 +88,10 @@
 		d.fill(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		var told []<-chan entered
-		for range mostWaiting + 3 {
+		for range maxWaiting + 3 {
 			told = append(told, d.enter(ctx, clock.Now, "a", far))
 		}
-		is.Equal(d.controller.Count().Waiting, mostWaiting)
+		is.Equal(d.controller.Count().Waiting, maxWaiting)
 		refused := 0
 		cancel()
 		for _, each := range told {
@@ -157,13 +157,13 @@
 func TestTheSlotsChange(t *testing.T) {
 	inBubble(t, func(t *testing.T, is *is.I, d *daemon, clock *clocktest.Clock) {
 		d.fill(t)
-		before := d.controller.gate("s").pace.rate
+		before := d.controller.gate("s").rate.perSecond
 		for i := range 30 {
 			d.table.Set(replica.Entry{ID: fmt.Sprint("more", i), Service: "s", Slots: 60})
 		}
 		ticket := (<-d.enter(t.Context(), clock.Now, "a", far)).ticket
 		ticket.Done(Answered{Took: 20 * time.Millisecond})
-		is.True(d.controller.gate("s").pace.rate > 2*before)
+		is.True(d.controller.gate("s").rate.perSecond > 2*before)
 	})
 }
 
@@ -183,7 +183,7 @@
 			got.ticket.Done(Declined{})
 		}
 		is.True(starts > 2)
-		is.True(offers <= starts+3*leastOffers+2) // and so many a second
+		is.True(offers <= starts+3*minOffers+2) // and so many a second
 	})
 }
 
--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -122,9 +122,9 @@
 }
 
 const (
-	// leastComeBack is the shortest time that a refused caller is told to wait: a
+	// minComeBack is the shortest time that a refused caller is told to wait: a
 	// few requests' time.
-	leastComeBack = 100 * time.Millisecond
+	minComeBack = 100 * time.Millisecond
 	// lowestRank is from which rank on callers are told the same.
 	lowestRank = 3
 )
@@ -133,7 +133,7 @@
 // half of that time, so that callers refused together do not return together, and sooner the higher
 // its rank. Draw is between 0 and 1.
 func ComeBack(drain, left time.Duration, rank int, draw float64) time.Duration {
-	most := refusal.Within(max(2*drain, 2*leastComeBack), left)
+	most := refusal.Within(max(2*drain, 2*minComeBack), left)
 	place := (float64(min(max(rank, 0), lowestRank)) + draw) / (lowestRank + 1)
 	return most/2 + time.Duration(place*float64(most/2))
 }
--- a/internal/requests/admission/plan_test.go
+++ b/internal/requests/admission/plan_test.go
@@ -117,7 +117,7 @@
 
 func BenchmarkPlan(b *testing.B) {
 	s := snapshotOf()
-	for i := range mostWaiting {
+	for i := range maxWaiting {
 		s.Waiting = append(s.Waiting, Waiting{Rank: i % 3, Tenant: fmt.Sprint(i % 8), Left: far, AimLeft: time.Duration(i) * 10 * time.Millisecond, Patience: far})
 	}
 	for b.Loop() {
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -18,12 +18,12 @@
 type waiter struct {
 	Request
 	since time.Time
-	// turn has room for the one word that ends its wait.
-	turn chan word
+	// decided has room for the one decision that ends its wait.
+	decided chan decision
 }
 
-// word ends the wait of a request: one of the two is not nil.
-type word struct {
+// decision ends the wait of a request: one of the two is not nil.
+type decision struct {
 	ticket  *Ticket
 	refused *Refused
 }
@@ -34,13 +34,13 @@
 }
 
 // noPlace refuses a request that does not wait.
-func (g *gate) noPlace(asked Request) *Refused {
+func (g *gate) noPlace(req Request) *Refused {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	each := &waiter{Request: asked, since: g.options.Clock().Add(-asked.Held)}
-	drain := inSeconds(float64(len(g.waiting)+1) / max(g.pace.rate, leastRate))
-	refused := &Refused{Reason: NoPlace, ComeBack: ComeBack(drain, asked.Left(), asked.Rank, g.draw()), drain: drain}
-	g.tell(each, outcomeRefused, refused)
+	each := &waiter{Request: req, since: g.options.Clock().Add(-req.Held)}
+	drain := inSeconds(float64(len(g.waiting)+1) / max(g.rate.perSecond, minRate))
+	refused := &Refused{Reason: NoPlace, ComeBack: ComeBack(drain, req.Left(), req.Rank, g.draw()), drain: drain}
+	g.log(each, outcomeRefused, refused)
 	return refused
 }
 
@@ -48,14 +48,14 @@
 func (g *gate) release(each *waiter, refused *Refused) {
 	g.drop(each)
 	if refused != nil {
-		g.tell(each, outcomeRefused, refused)
-		each.turn <- word{refused: refused}
+		g.log(each, outcomeRefused, refused)
+		each.decided <- decision{refused: refused}
 		return
 	}
 	if g.options.Clock().After(each.since) {
-		g.tell(each, outcomeStarted, &Refused{})
+		g.log(each, outcomeStarted, &Refused{})
 	}
-	each.turn <- word{ticket: g.start(each.Request)}
+	each.decided <- decision{ticket: g.start(each.Request)}
 }
 
 // drop takes a request off those that wait, and reports whether it was among them. The lock is held.
@@ -70,12 +70,12 @@
 	return false
 }
 
-// result is the word as a caller gets it.
-func (w word) result() (*Ticket, error) {
-	if w.refused != nil {
-		return nil, w.refused
+// result is the decision as a caller gets it.
+func (d decision) result() (*Ticket, error) {
+	if d.refused != nil {
+		return nil, d.refused
 	}
-	return w.ticket, nil
+	return d.ticket, nil
 }
 
 // leave ends the wait of a request whose context has ended.
@@ -83,20 +83,20 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.drop(each) {
-		g.giveBack(<-each.turn)
+		g.giveBack(<-each.decided)
 	} else {
-		g.tell(each, outcomeLeft, &Refused{Reason: Reason(context.Cause(ctx).Error())})
+		g.log(each, outcomeLeft, &Refused{Reason: Reason(context.Cause(ctx).Error())})
 	}
 	g.decide(g.options.Clock(), g.options.Replicas(g.service))
-	return nil, &Refused{Reason: Ended, ComeBack: leastComeBack}
+	return nil, &Refused{Reason: Ended, ComeBack: minComeBack}
 }
 
 // giveBack takes a turn back that came together with the end of its request: it is not sent,
 // and its part goes to the next one. The lock is held.
-func (g *gate) giveBack(got word) {
-	if got.ticket != nil {
-		g.pace.Room(g.options.Clock())
-		g.charge(got.ticket, -got.ticket.charged)
+func (g *gate) giveBack(d decision) {
+	if d.ticket != nil {
+		g.rate.Room(g.options.Clock())
+		g.charge(d.ticket, -d.ticket.charged)
 	}
 }
 
@@ -113,13 +113,13 @@
 	})
 }
 
-// tell writes the line about a request that waited or was refused. The lock is held.
-func (g *gate) tell(each *waiter, outcome string, why *Refused) {
+// log writes the line about a request that waited or was refused. The lock is held.
+func (g *gate) log(each *waiter, outcome string, why *Refused) {
 	now := g.options.Clock()
 	waited := now.Sub(each.since)
 	g.options.Observe(g.service, outcome, waited)
 	g.options.Logger.Info("admission", zap.String("request", each.ID), zap.String("service", g.service), zap.String("tenant", each.Tenant), zap.Int("rank", each.Rank),
-		zap.String("outcome", outcome), zap.String("reason", string(why.Reason)), zap.Int("queue", len(g.waiting)), zap.Float64("rate", g.pace.rate), zap.Float64("places", g.places()),
+		zap.String("outcome", outcome), zap.String("reason", string(why.Reason)), zap.Int("queue", len(g.waiting)), zap.Float64("rate", g.rate.perSecond), zap.Float64("places", g.places()),
 		zap.Duration("usual", g.times.quantile(0.5)), zap.Duration("need", g.times.quantile(needPart)), zap.Duration("waited", waited), zap.Duration("left", each.Left()),
-		zap.Duration("full_age", now.Sub(g.pace.fullAt)), zap.Duration("drain", why.drain), zap.Duration("come_back", why.ComeBack))
+		zap.Duration("full_age", now.Sub(g.rate.fullAt)), zap.Duration("drain", why.drain), zap.Duration("come_back", why.ComeBack))
 }
--- a/internal/requests/admission/replay_test.go
+++ b/internal/requests/admission/replay_test.go
@@ -126,12 +126,12 @@
 		return d.send(ctx, work, func() bool { return true }), 250 * time.Millisecond
 	}
 	tried := time.Now()
-	asked := func() Request {
+	req := func() Request {
 		return Request{ID: "q", Service: "s", Tenant: fmt.Sprint(tenant), Aim: replayAim, Held: time.Since(tried),
 			Left: func() time.Duration { return replayDeadline - time.Since(began) - 25*time.Millisecond }}
 	}
 	for range 3 {
-		ticket, err := d.controller.Enter(ctx, asked())
+		ticket, err := d.controller.Enter(ctx, req())
 		var refused *Refused
 		if errors.As(err, &refused) {
 			return Declined{}, refused.ComeBack
@@ -142,7 +142,7 @@
 			return outcome, 0
 		}
 	}
-	return Declined{}, d.controller.Full(asked()).ComeBack
+	return Declined{}, d.controller.Full(req()).ComeBack
 }
 
 // replay has many callers ask some times as much as the replicas can serve.
@@ -171,11 +171,11 @@
 
 // offers are how often the replicas were asked.
 func (s *service) offers() float64 {
-	asked := 0
+	req := 0
 	for _, each := range s.replicas {
-		asked += each.asked
+		req += each.asked
 	}
-	return float64(asked)
+	return float64(req)
 }
 
 // inTime is the part that was answered within its aim, at the first or the second try.
--- a/internal/requests/admission/pace.go
+++ b/internal/requests/admission/startrate.go
@@ -33,14 +33,14 @@
 	// firstPart of a daemon's demand is where it begins if that is more than an equal share:
 	// where all clients come to few daemons, these have most of the places.
 	firstPart = 0.5
-	// leastPart of an equal share is always used, or the room that others leave would
-	// never be found; leastRate does the same for a daemon among very many, in starts a
+	// minPart of an equal share is always used, or the room that others leave would
+	// never be found; minRate does the same for a daemon among very many, in starts a
 	// second.
-	leastPart = 1.0 / 8
-	leastRate = 1.0
-	// mostCredit is how many starts may be saved up: a daemon that sees a request now and
+	minPart = 1.0 / 8
+	minRate = 1.0
+	// maxCredit is how many starts may be saved up: a daemon that sees a request now and
 	// then sends it at once.
-	mostCredit = 1.0
+	maxCredit = 1.0
 )
 
 // Sign is why a service is taken to be full.
@@ -57,8 +57,8 @@
 	SignSlow Sign = "slow answers"
 )
 
-// Share is what the replicas of a service bear together, and among how many daemons.
-type Share struct {
+// Capacity is what the replicas of a service bear together, and among how many daemons.
+type Capacity struct {
 	Slots, Daemons int
 	// Demand is how many requests a second this daemon has got lately.
 	Demand float64
@@ -67,17 +67,17 @@
 }
 
 // whole is the rate at which all places are in use, in starts a second.
-func (s Share) whole() float64 { return float64(max(s.Slots, 1)) / s.Usual.Seconds() }
+func (c Capacity) whole() float64 { return float64(max(c.Slots, 1)) / c.Usual.Seconds() }
 
 // equal is an equal part of it.
-func (s Share) equal() float64 { return s.whole() / float64(max(s.Daemons, 1)) }
+func (c Capacity) equal() float64 { return c.whole() / float64(max(c.Daemons, 1)) }
 
-// Pace is the rate of starts of a daemon at one service. It binds from the first sign that
-// the service is full until none has come for a while and nothing waits. The zero Pace
+// StartRate is the rate of starts of a daemon at one service. It binds from the first sign that
+// the service is full until none has come for a while and nothing waits. The zero StartRate
 // does not bind.
-type Pace struct {
-	binds bool
-	rate  float64
+type StartRate struct {
+	binds     bool
+	perSecond float64
 	// credit is how many requests may start now, as of at.
 	credit float64
 	at     time.Time
@@ -88,88 +88,88 @@
 }
 
 // Full notes a sign that the service is full.
-func (p *Pace) Full(now time.Time, share Share, sign Sign) {
-	if !p.binds {
-		*p = Pace{binds: true, rate: max(share.equal(), firstPart*share.Demand), credit: mostCredit, at: now, cutAt: now}
+func (r *StartRate) Full(now time.Time, c Capacity, sign Sign) {
+	if !r.binds {
+		*r = StartRate{binds: true, perSecond: max(c.equal(), firstPart*c.Demand), credit: maxCredit, at: now, cutAt: now}
 	}
-	p.fill(now)
-	p.fullAt, p.calm = now, 0
-	if now.Sub(p.cutAt) >= lowerEvery {
-		p.rate, p.cutAt = p.lowered(share, sign), now
+	r.fill(now)
+	r.fullAt, r.calm = now, 0
+	if now.Sub(r.cutAt) >= lowerEvery {
+		r.perSecond, r.cutAt = r.lowered(c, sign), now
 	}
-	p.bound(share)
+	r.bound(c)
 }
 
-func (p *Pace) lowered(share Share, sign Sign) float64 {
+func (r *StartRate) lowered(c Capacity, sign Sign) float64 {
 	if sign == SignDeclined {
-		return p.rate * declinedCut
+		return r.perSecond * declinedCut
 	}
-	return min(p.rate, max(p.rate*queuedCut, share.equal()))
+	return min(r.perSecond, max(r.perSecond*queuedCut, c.equal()))
 }
 
 // Answered notes an answer without such a sign.
-func (p *Pace) Answered(now time.Time, share Share) {
-	if !p.binds {
+func (r *StartRate) Answered(now time.Time, c Capacity) {
+	if !r.binds {
 		return
 	}
-	p.fill(now)
-	p.calm++
+	r.fill(now)
+	r.calm++
 	step := raiseBy
-	if !p.full(now) {
+	if !r.full(now) {
 		step = regainBy
 	}
-	p.rate += step * math.Sqrt(share.equal()*p.rate)
-	p.bound(share)
+	r.perSecond += step * math.Sqrt(c.equal()*r.perSecond)
+	r.bound(c)
 }
 
 // Room notes that a place is free: a request may start now.
-func (p *Pace) Room(now time.Time) {
-	p.fill(now)
-	p.credit = mostCredit
+func (r *StartRate) Room(now time.Time) {
+	r.fill(now)
+	r.credit = maxCredit
 }
 
 // Rest ends the binding once the service is not seen to be full any more. Nothing may wait.
-func (p *Pace) Rest(now time.Time) {
-	if p.binds && !p.full(now) {
-		*p = Pace{}
+func (r *StartRate) Rest(now time.Time) {
+	if r.binds && !r.full(now) {
+		*r = StartRate{}
 	}
 }
 
 // full reports whether the last sign of fullness still counts.
-func (p *Pace) full(now time.Time) bool {
-	return p.calm < calmAnswers && now.Sub(p.fullAt) <= fullHolds
+func (r *StartRate) full(now time.Time) bool {
+	return r.calm < calmAnswers && now.Sub(r.fullAt) <= fullHolds
 }
 
 // Take spends the credit for a start, if there is one.
-func (p *Pace) Take(now time.Time) bool {
-	if !p.binds {
+func (r *StartRate) Take(now time.Time) bool {
+	if !r.binds {
 		return true
 	}
-	p.fill(now)
-	if p.credit < 1 {
+	r.fill(now)
+	if r.credit < 1 {
 		return false
 	}
-	p.credit--
+	r.credit--
 	return true
 }
 
 // Next is after which time a request may start, 0 for now.
-func (p *Pace) Next(now time.Time) time.Duration {
-	if !p.binds {
+func (r *StartRate) Next(now time.Time) time.Duration {
+	if !r.binds {
 		return 0
 	}
-	p.fill(now)
-	return max(0, inSeconds((1-p.credit)/p.rate))
+	r.fill(now)
+	return max(0, inSeconds((1-r.credit)/r.perSecond))
 }
 
-func (p *Pace) fill(now time.Time) {
-	p.credit = min(p.credit+p.rate*max(now.Sub(p.at), 0).Seconds(), mostCredit)
-	p.at = now
+func (r *StartRate) fill(now time.Time) {
+	r.credit = min(r.credit+r.perSecond*max(now.Sub(r.at), 0).Seconds(), maxCredit)
+	r.at = now
 }
 
-func (p *Pace) bound(share Share) {
-	least := max(share.equal()*leastPart, leastRate)
-	p.rate = max(least, min(p.rate, share.whole()))
+func (r *StartRate) bound(c Capacity) {
+	least := max(c.equal()*minPart, minRate)
+	r.perSecond = max(least, min(r.perSecond, c.whole()))
 }
 
 // creditSlack keeps a timer that rounds down from being set again for nothing.
--- a/internal/requests/admission/pace_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -10,11 +10,11 @@
 var paceStart = time.Unix(1000, 0)
 
 // tenth is a service of 20 slots, at 100 ms a request, that ten daemons share: 20 starts a second each.
-var tenth = Share{Slots: 20, Daemons: 10, Usual: 100 * time.Millisecond}
+var tenth = Capacity{Slots: 20, Daemons: 10, Usual: 100 * time.Millisecond}
 
 func TestNothingWaitsBeforeASign(t *testing.T) {
 	is := is.New(t)
-	var p Pace
+	var p StartRate
 	for range 1000 {
 		is.True(p.Take(paceStart))
 		p.Answered(paceStart, tenth)
@@ -24,9 +24,9 @@
 
 func TestASignBindsToAnEqualShareAndCalmEndsIt(t *testing.T) {
 	is := is.New(t)
-	var p Pace
+	var p StartRate
 	p.Full(paceStart, tenth, SignDeclined)
-	is.Equal(p.rate, 20.0)
+	is.Equal(p.perSecond, 20.0)
 	is.True(p.Take(paceStart))
 	is.True(!p.Take(paceStart))
 	is.Equal(p.Next(paceStart).Round(time.Millisecond), 50*time.Millisecond)
@@ -42,7 +42,7 @@
 // A daemon that asks seldom sees no run of answers: the sign lapses.
 func TestASignLapses(t *testing.T) {
 	is := is.New(t)
-	var p Pace
+	var p StartRate
 	p.Full(paceStart, tenth, SignDeclined)
 	p.Rest(paceStart.Add(fullHolds))
 	is.True(p.binds)
@@ -53,64 +53,64 @@
 // Requests that were sent before a cut say nothing of the rate after it.
 func TestSignsOfOneMomentCountOnce(t *testing.T) {
 	is := is.New(t)
-	var p Pace
+	var p StartRate
 	p.Full(paceStart, tenth, SignDeclined)
 	for range 10 {
 		p.Full(paceStart.Add(lowerEvery), tenth, SignDeclined)
 	}
-	is.Equal(p.rate, 20*declinedCut)
+	is.Equal(p.perSecond, 20*declinedCut)
 }
 
 // A service that has become slow is used to as many requests as it has slots, not less and
 // less.
 func TestSlowAnswersLeaveAnEqualShare(t *testing.T) {
 	is := is.New(t)
-	var p Pace
+	var p StartRate
 	for i := range 100 {
 		p.Full(paceStart.Add(time.Duration(i)*lowerEvery), tenth, SignSlow)
 	}
-	is.Equal(p.rate, 20.0)
+	is.Equal(p.perSecond, 20.0)
 }
 
 // However many declines come, a daemon finds out now and then.
 func TestTheRateHasAFloor(t *testing.T) {
 	is := is.New(t)
-	var p Pace
+	var p StartRate
 	for i := range 1000 {
 		p.Full(paceStart.Add(time.Duration(i)*lowerEvery), tenth, SignDeclined)
 	}
-	is.Equal(p.rate, 20*leastPart)
+	is.Equal(p.perSecond, 20*minPart)
 }
 
 // Two daemons of which one has most of the places come to like parts, as each meets declines
 // by its rate.
 func TestPartsEvenOut(t *testing.T) {
 	is := is.New(t)
-	share := Share{Slots: 8, Daemons: 2, Usual: 100 * time.Millisecond}
-	paces := [2]Pace{{binds: true, rate: 70, at: paceStart}, {binds: true, rate: 10, at: paceStart}}
+	c := Capacity{Slots: 8, Daemons: 2, Usual: 100 * time.Millisecond}
+	paces := [2]StartRate{{binds: true, perSecond: 70, at: paceStart}, {binds: true, perSecond: 10, at: paceStart}}
 	var starts, declines [2]float64
 	const step = 10 * time.Millisecond
 	for now := paceStart; now.Sub(paceStart) < time.Minute; now = now.Add(step) {
-		total := paces[0].rate + paces[1].rate
+		total := paces[0].perSecond + paces[1].perSecond
 		for i := range paces {
-			for starts[i] += paces[i].rate * step.Seconds(); starts[i] >= 1; starts[i]-- {
-				if declines[i] += max(0, 1-share.whole()/total); declines[i] < 1 {
-					paces[i].Answered(now, share)
+			for starts[i] += paces[i].perSecond * step.Seconds(); starts[i] >= 1; starts[i]-- {
+				if declines[i] += max(0, 1-c.whole()/total); declines[i] < 1 {
+					paces[i].Answered(now, c)
 					continue
 				}
 				declines[i]--
-				paces[i].Full(now, share, SignDeclined)
+				paces[i].Full(now, c, SignDeclined)
 			}
 		}
 	}
-	is.True(paces[0].rate < 1.3*paces[1].rate && paces[1].rate < 1.3*paces[0].rate)
-	is.True(paces[0].rate+paces[1].rate > 0.8*share.whole()) // and the places are in use
+	is.True(paces[0].perSecond < 1.3*paces[1].perSecond && paces[1].perSecond < 1.3*paces[0].perSecond)
+	is.True(paces[0].perSecond+paces[1].perSecond > 0.8*c.whole()) // and the places are in use
 }
 
 // A suspended daemon has saved up no more than any other.
 func TestASuspensionSavesNothingUp(t *testing.T) {
 	is := is.New(t)
-	var p Pace
+	var p StartRate
 	p.Full(paceStart, tenth, SignDeclined)
 	is.True(p.Take(paceStart))
 	after := paceStart.Add(time.Hour)
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -40,7 +40,7 @@
 	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.pace.binds || g.offers.TryRetry(g.options.Clock(), leastOffers)
+	return !g.rate.binds || g.offers.TryRetry(g.options.Clock(), minOffers)
 }
 
 // Done tells what became of the request.
@@ -55,7 +55,7 @@
 		g.answered(now, became.Took, t.aim, replicas)
 		g.charge(t, became.Took-t.charged)
 	case Declined:
-		g.full(now, SignDeclined, g.share(replicas))
+		g.full(now, SignDeclined, g.capacity(replicas))
 		g.charge(t, -t.charged)
 	case Lost:
 	}
@@ -72,31 +72,31 @@
 }
 
 // full notes a sign that the service is full. The lock is held.
-func (g *gate) full(now time.Time, sign Sign, share Share) {
-	before := g.pace.binds
-	g.pace.Full(now, share, sign)
+func (g *gate) full(now time.Time, sign Sign, c Capacity) {
+	before := g.rate.binds
+	g.rate.Full(now, c, sign)
 	if !before {
-		g.options.Logger.Info("service full", zap.String("service", g.service), zap.String("sign", string(sign)), zap.Int("slots", share.Slots),
-			zap.Int("daemons", share.Daemons), zap.Duration("usual", share.Usual), zap.Float64("rate", g.pace.rate))
+		g.options.Logger.Info("service full", zap.String("service", g.service), zap.String("sign", string(sign)), zap.Int("slots", c.Slots),
+			zap.Int("daemons", c.Daemons), zap.Duration("usual", c.Usual), zap.Float64("rate", g.rate.perSecond))
 	}
 }
 
 // answered learns from the time of an answer. The lock is held.
 func (g *gate) answered(now time.Time, took, aim time.Duration, replicas []replica.Replica) {
-	share := g.share(replicas)
-	lingers := g.times.slow(took, aim, g.pace.binds)
-	if lately, slow := g.times.note(now, took, lingers, g.pace.binds); slow {
-		share.Usual = lately
-		g.full(now, SignSlow, share)
+	c := g.capacity(replicas)
+	lingers := g.times.slow(took, aim, g.rate.binds)
+	if lately, slow := g.times.note(now, took, lingers, g.rate.binds); slow {
+		c.Usual = lately
+		g.full(now, SignSlow, c)
 		return
 	}
-	if lingers && g.pace.binds {
+	if lingers && g.rate.binds {
 		// It may have waited at the replica: it shows no room, and is no sign by itself.
 		return
 	}
-	g.pace.Answered(now, share)
+	g.rate.Answered(now, c)
 	if hasRoom(replicas) {
-		g.pace.Room(now)
+		g.rate.Room(now)
 	}
 }
 
--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -9,10 +9,10 @@
 	// timesKept is over how many answers the times of a service are taken: enough to
 	// tell needPart, few enough that a slower replica shows within seconds.
 	timesKept = 32
-	// knownFrom is from how many answers on times are believed.
-	knownFrom = 4
-	// unknownTime is reckoned with before that: most plain requests take less.
-	unknownTime = 50 * time.Millisecond
+	// minAnswers is from how many answers on times are believed.
+	minAnswers = 4
+	// assumedTime is reckoned with before that: most plain requests take less.
+	assumedTime = 50 * time.Millisecond
 	// slowAnswers is how many answers in a row must be slow, within slowSpan, for a service to be
 	// taken to be full: with room, one of so many is as fast as most, however much
 	// requests differ.
@@ -43,8 +43,8 @@
 // quantile returns the time within which a part of the answers came. One answer that took
 // for ever does not move it.
 func (s *samples) quantile(part float64) time.Duration {
-	if s.count < knownFrom {
-		return unknownTime
+	if s.count < minAnswers {
+		return assumedTime
 	}
 	sorted := s.kept
 	known := sorted[:min(s.count, timesKept)]
--- /dev/null
+++ b/internal/requests/forward/attempts.go
@@ -0,0 +1,228 @@
+package forward
+
+import (
+	"context"
+	"maps"
+	"net/http"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/quarantine"
+)
+
+// attempts is one call under way.
+type attempts struct {
+	forwarder *Forwarder
+	call      *Call
+	tried     map[string]bool
+	// cancels cut the offer to a replica. They name the replicas that had one.
+	cancels  map[string]context.CancelFunc
+	outcomes chan result
+	// mayHaveRun counts offers that may have run, notRun those that did not,
+	// open those without an outcome yet.
+	mayHaveRun, notRun, open int
+	// declined counts those of notRun that their replica turned away.
+	declined   int
+	lastReason string
+	// quarantined, if not nil, is why the content may not run now.
+	quarantined *QuarantinedError
+	// fallback is a replica's own failure, passed on if nothing better comes.
+	fallback *Answer
+}
+
+func (a *attempts) loop(ctx context.Context) (*Answer, error) {
+	if ctx.Err() != nil {
+		return nil, a.failure(errTimeUp.Error())
+	}
+	hedge := time.NewTimer(a.offer(ctx))
+	defer hedge.Stop()
+	for a.open > 0 {
+		select {
+		case res := <-a.outcomes:
+			a.open--
+			if answer := a.judge(res); answer != nil {
+				a.drain(answer.Replica)
+				return answer, nil
+			}
+			if a.open == 0 && a.mayRetry(ctx) {
+				hedge.Reset(a.offer(ctx))
+			}
+		case <-hedge.C:
+			if a.call.Hedge && a.suspicion() == quarantine.Unsuspected && a.mayRetry(ctx) {
+				hedge.Reset(a.offer(ctx))
+			}
+		case <-ctx.Done():
+			return a.timeUp()
+		}
+	}
+	if a.fallback != nil {
+		return a.fallback, nil
+	}
+	return nil, a.failure(a.lastReason)
+}
+
+// timeUp ends a call whose context has ended, which has cut its open offers. Each of them
+// says whether it was sent: one whose connection was never made has not run, and an
+// answer that came whole with the end is still the answer.
+func (a *attempts) timeUp() (*Answer, error) {
+	late := time.NewTimer(lastWord)
+	defer late.Stop()
+	for a.open > 0 {
+		select {
+		case res := <-a.outcomes:
+			a.open--
+			answer := a.judge(res)
+			if answer != nil && answer.Rest == nil {
+				a.drain(answer.Replica)
+				return answer, nil
+			}
+			if answer != nil {
+				answer.Close()
+			}
+		case <-late.C:
+			a.mayHaveRun += a.open
+			a.drain("")
+			return nil, a.failure(errTimeUp.Error())
+		}
+	}
+	return nil, a.failure(errTimeUp.Error())
+}
+
+// drain cuts the offers that are open, but for that to the kept replica, and
+// gives their connections back.
+func (a *attempts) drain(kept string) {
+	for id, cancel := range a.cancels {
+		if id != kept {
+			cancel()
+		}
+	}
+	open, outcomes := a.open, a.outcomes
+	if open == 0 {
+		return
+	}
+	go func() {
+		for i := 0; i < open; i++ {
+			if res := <-outcomes; res.answer != nil {
+				res.answer.Close()
+			}
+		}
+	}()
+}
+
+func (a *attempts) failure(reason string) *Failure {
+	if a.fallback != nil {
+		a.fallback.Close()
+	}
+	certainty := NotRun
+	if a.mayHaveRun > 0 {
+		certainty = MayHaveRun
+	}
+	if reason == "" {
+		reason = errNoReplica.Error()
+	}
+	return &Failure{Certainty: certainty, Reason: reason, Quarantined: a.quarantined, Attempts: a.mayHaveRun, Tried: slices.Sorted(maps.Keys(a.cancels)),
+		Full: certainty == NotRun && a.declined > 0 && a.declined == a.notRun && a.quarantined == nil}
+}
+
+// tries is what has become of the call so far.
+func (a *attempts) tries() Tries {
+	return Tries{MayHaveRun: a.mayHaveRun, Open: a.open, NotRun: a.notRun, MaxAttempts: a.call.MaxAttempts, Repeatable: a.call.Repeatable,
+		Suspicion: a.suspicion(), Refused: a.quarantined != nil}
+}
+
+// mayRetry reports whether another replica is asked now. Nothing is begun for a caller
+// that has left: its end may come together with the outcome or the moment that woke the
+// loop.
+func (a *attempts) mayRetry(ctx context.Context) bool {
+	return ctx.Err() == nil && a.tries().MayRetry() && (a.call.MayRetry == nil || a.call.MayRetry(a.mayHaveRun+a.notRun+a.open))
+}
+
+// offer sends the call to the next replica, if there is one, and returns after
+// which time another should be asked as well.
+func (a *attempts) offer(ctx context.Context) time.Duration {
+	chosen, release, ok := a.pick(ctx)
+	if !ok {
+		return time.Hour
+	}
+	a.tried[chosen.ID] = true
+	a.open++
+	if a.call.Offered != nil {
+		a.call.Offered(chosen.ID)
+	}
+	offerContext, cancel := context.WithCancel(ctx)
+	a.cancels[chosen.ID] = cancel
+	go func() {
+		a.outcomes <- a.forwarder.attempt(offerContext, func() { cancel(); release() }, a.call, chosen)
+	}()
+	return hedgeDelay(a.call.HedgeAfter, chosen.Latency)
+}
+
+// suspicion is what is held against the call's content.
+func (a *attempts) suspicion() quarantine.Suspicion {
+	return a.forwarder.Quarantine.Suspicion(contentOf(a.call))
+}
+
+// pick picks a replica at which the call's content may run now. It waits while
+// another run of the content finds out whether it ends its replica.
+func (a *attempts) pick(ctx context.Context) (chosen replica.Replica, release func(), ok bool) {
+	for ctx.Err() == nil {
+		if chosen, ok = a.choose(); !ok {
+			return replica.Replica{}, nil, false
+		}
+		release, err := a.forwarder.mayRun(a.call.RequestID, contentOf(a.call), chosen)
+		switch {
+		case err == nil:
+			return chosen, release, true
+		case err.Await(ctx):
+		case err.Elsewhere:
+			a.tried[chosen.ID] = true
+		default:
+			a.quarantined, a.lastReason = err, err.Error()
+			return replica.Replica{}, nil, false
+		}
+	}
+	a.lastReason = errTimeUp.Error()
+	return replica.Replica{}, nil, false
+}
+
+// choose picks a replica of the first service that has one.
+func (a *attempts) choose() (replica.Replica, bool) {
+	now := time.Now()
+	for _, service := range a.call.Services {
+		if chosen, ok := replica.Pick(a.forwarder.Replicas(service), a.tried, now); ok {
+			return chosen, true
+		}
+	}
+	return replica.Replica{}, false
+}
+
+// judge takes an outcome into account and returns the answer to pass on, if
+// this is it.
+func (a *attempts) judge(res result) *Answer {
+	if res.err != nil {
+		a.lastReason = res.err.Error()
+		if res.ran {
+			a.mayHaveRun++
+		} else {
+			a.notRun++
+		}
+		if errors.Is(res.err, errDeclined) {
+			a.declined++
+		}
+		return nil
+	}
+	a.mayHaveRun++
+	if res.answer.Status >= http.StatusInternalServerError && a.call.Repeatable && a.tries().MayRetry() {
+		a.lastReason = "status " + strconv.Itoa(res.answer.Status)
+		if a.fallback != nil {
+			a.fallback.Close()
+		}
+		a.fallback = res.answer
+		return nil
+	}
+	return res.answer
+}
--- a/internal/requests/forward/broken.go
+++ b/internal/requests/forward/failed.go
@@ -13,8 +13,8 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// failedOffer is an offer that got no sound answer.
-type failedOffer struct {
+// failedAttempt is an offer that got no sound answer.
+type failedAttempt struct {
 	requestID string
 	content   *quarantine.Content
 	chosen    replica.Replica
@@ -25,9 +25,9 @@
 	err     error
 }
 
-// explain tells how an offer failed and what became of its replica, in one line. The
+// logFailure tells how an offer failed and what became of its replica, in one line. The
 // content's digest joins the tries of one content at all daemons.
-func (forwarder *Forwarder) explain(ctx context.Context, failed failedOffer) {
+func (f *Forwarder) logFailure(ctx context.Context, failed failedAttempt) {
 	switch failed.outcome {
 	case outcomeDeclined, outcomeCut:
 		// Neither says anything of the replica's soundness, and both are frequent.
@@ -35,10 +35,10 @@
 	}
 	liveness := upstream.LivenessUnknown
 	if connectionEnded(failed.err) {
-		liveness = forwarder.Pool.Probe(ctx, failed.chosen.Address)
-		forwarder.suspect(failed, liveness)
+		liveness = f.Pool.Probe(ctx, failed.chosen.Address)
+		f.suspect(failed, liveness)
 	}
-	forwarder.Logger.Info("offer failed", zap.String("request", failed.requestID), zap.String("outcome", failed.outcome),
+	f.Logger.Info("offer failed", zap.String("request", failed.requestID), zap.String("outcome", failed.outcome),
 		zap.String("content", failed.content.Digest().Short()), zap.String("replica", failed.chosen.ID), zap.String("service", failed.chosen.Service),
 		zap.String("address", failed.chosen.Address), zap.Stringer("process", liveness), zap.Bool("may_have_run", failed.ran),
 		zap.Duration("after", failed.after), zap.Error(failed.err))
@@ -46,15 +46,15 @@
 
 // suspect holds the end of a replica, or what may be one, against the content that it
 // ran. The end of a replica that was leaving was planned.
-func (forwarder *Forwarder) suspect(failed failedOffer, liveness upstream.Liveness) {
+func (f *Forwarder) suspect(failed failedAttempt, liveness upstream.Liveness) {
 	chosen := failed.chosen
-	if now, listed := forwarder.Table.Get(chosen.ID); listed && now.Draining && now.Start() == chosen.Start() {
+	if now, listed := f.Table.Get(chosen.ID); listed && now.Draining && now.Start() == chosen.Start() {
 		return
 	}
 	if liveness == upstream.Gone {
-		forwarder.Quarantine.Ended(failed.content, string(chosen.Start()), chosen.Service)
+		f.Quarantine.Ended(failed.content, string(chosen.Start()), chosen.Service)
 	} else {
-		forwarder.Quarantine.Broke(failed.content, string(chosen.Start()), chosen.Service)
+		f.Quarantine.Broke(failed.content, string(chosen.Start()), chosen.Service)
 	}
 }
 
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -108,7 +108,7 @@
 
 // Content returns what the call asks for, for the quarantine. It must not be called while
 // offers of the call run.
-func (call *Call) Content() *quarantine.Content { return contentOf(call) }
+func (c *Call) Content() *quarantine.Content { return contentOf(c) }
 
 // Answer is a replica's whole answer, or its beginning with the rest to come.
 type Answer struct {
@@ -134,30 +134,30 @@
 
 // GiveUp ends a Read under way, and all later ones, with an error. It may be called at any
 // time; Close must follow once no Read is under way.
-func (rest *Rest) GiveUp() {
-	rest.given.Store(true)
-	rest.Answer.Cut()
+func (r *Rest) GiveUp() {
+	r.given.Store(true)
+	r.Answer.Cut()
 }
 
 // Read implements io.Reader.
-func (rest *Rest) Read(buffer []byte) (int, error) {
-	count, err := rest.Answer.Read(buffer)
+func (r *Rest) Read(p []byte) (int, error) {
+	n, err := r.Answer.Read(p)
 	switch {
 	case err == io.EOF:
-		rest.ended(nil)
-	case err != nil && !rest.given.Load():
-		rest.ended(err)
+		r.ended(nil)
+	case err != nil && !r.given.Load():
+		r.ended(err)
 	}
-	return count, err
+	return n, err
 }
 
 // Close gives the connection of a rest back.
-func (answer *Answer) Close() {
-	if answer.Rest != nil {
-		answer.Rest.Close()
+func (a *Answer) Close() {
+	if a.Rest != nil {
+		a.Rest.Close()
 	}
-	if answer.end != nil {
-		answer.end()
+	if a.end != nil {
+		a.end()
 	}
 }
 
@@ -178,7 +178,7 @@
 }
 
 // Error implements error.
-func (failure *Failure) Error() string { return failure.Reason }
+func (f *Failure) Error() string { return f.Reason }
 
 // Forwarder sends requests to replicas. It is safe for concurrent use.
 type Forwarder struct {
@@ -203,42 +203,42 @@
 }
 
 // now reads the clock by which callers wait.
-func (forwarder *Forwarder) now() time.Time {
-	if forwarder.Clock == nil {
+func (f *Forwarder) now() time.Time {
+	if f.Clock == nil {
 		return bootclock.Now()
 	}
-	return forwarder.Clock()
+	return f.Clock()
 }
 
-func (forwarder *Forwarder) maxOpen(chosen replica.Replica) int {
-	if forwarder.MaxOpen == nil {
+func (f *Forwarder) maxOpen(chosen replica.Replica) int {
+	if f.MaxOpen == nil {
 		return 0
 	}
-	return forwarder.MaxOpen(chosen)
+	return f.MaxOpen(chosen)
 }
 
 // Do sends the call until a replica has answered, the attempts are used up or
 // the context has ended.
-func (forwarder *Forwarder) Do(ctx context.Context, call *Call) (*Answer, error) {
+func (f *Forwarder) Do(ctx context.Context, call *Call) (*Answer, error) {
 	contentOf(call)
-	run := &running{forwarder: forwarder, call: call, tried: map[string]bool{}, cancels: map[string]context.CancelFunc{},
-		outcomes: make(chan attempt, call.MaxAttempts+extraTries+1)}
+	a := &attempts{forwarder: f, call: call, tried: map[string]bool{}, cancels: map[string]context.CancelFunc{},
+		outcomes: make(chan result, call.MaxAttempts+extraTries+1)}
 	for _, id := range call.Avoid {
-		run.tried[id] = true
+		a.tried[id] = true
 	}
-	answer, err := run.loop(ctx)
+	answer, err := a.loop(ctx)
 	if err == nil {
-		answer.Attempts = run.offered + run.open
+		answer.Attempts = a.mayHaveRun + a.open
 	}
 	return answer, err
 }
 
 // Replicas returns the replicas of a service that may get new work, with whether a
 // connection to each rests here.
-func (forwarder *Forwarder) Replicas(service string) []replica.Replica {
-	replicas := forwarder.Table.Replicas(service)
+func (f *Forwarder) Replicas(service string) []replica.Replica {
+	replicas := f.Table.Replicas(service)
 	for i := range replicas {
-		replicas[i].Connected = forwarder.Pool.Rests(replicas[i].Address)
+		replicas[i].Connected = f.Pool.Rests(replicas[i].Address)
 	}
 	return replicas
 }
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -219,10 +219,10 @@
 func TestARetryIsNotBegunForNobody(t *testing.T) {
 	is := is.New(t)
 	ctx, leave := context.WithCancel(t.Context())
-	run := &running{forwarder: newFloor(t, 0).forwarder, call: &Call{Repeatable: true, MaxAttempts: 3}}
-	is.True(run.mayRetry(ctx))
+	a := &attempts{forwarder: newFloor(t, 0).forwarder, call: &Call{Repeatable: true, MaxAttempts: 3}}
+	is.True(a.mayRetry(ctx))
 	leave()
-	is.True(!run.mayRetry(ctx))
+	is.True(!a.mayRetry(ctx))
 }
 
 // A request whose time ends while the connection to its replica is still being made was
@@ -234,43 +234,43 @@
 	chosen := replica.Replica{Entry: replica.Entry{ID: "a", Service: "s", Address: silentAddress(t), Slots: 4}}
 	for range 20 {
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Millisecond)
-		outcome := f.forwarder.attempt(ctx, cancel, &Call{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}}, chosen)
-		is.True(errors.Is(outcome.err, upstream.ErrNotSent))
-		is.True(!outcome.ran)
+		res := f.forwarder.attempt(ctx, cancel, &Call{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}}, chosen)
+		is.True(errors.Is(res.err, upstream.ErrNotSent))
+		is.True(!res.ran)
 	}
 }
 
 // What is told at the end of a call's time follows from what its cut offers say in time. The
 // clock is virtual: how soon they say it is up to the machine.
 func TestTheEndOfACallsTime(t *testing.T) {
-	notSent := attempt{err: errors.Wrap(upstream.ErrNotSent, "cut"), replica: "a"}
-	broken := attempt{err: errors.New("cut"), ran: true, replica: "b"}
-	whole := attempt{answer: &Answer{Status: http.StatusOK, Replica: "c", end: func() {}}, ran: true, replica: "c"}
+	notSent := result{err: errors.Wrap(upstream.ErrNotSent, "cut"), replica: "a"}
+	broken := result{err: errors.New("cut"), ran: true, replica: "b"}
+	whole := result{answer: &Answer{Status: http.StatusOK, Replica: "c", end: func() {}}, ran: true, replica: "c"}
 	cases := map[string]struct {
 		open      int
-		said      []attempt
+		said      []result
 		after     time.Duration
 		certainty Certainty // 0 where an answer is passed on
 	}{
-		"not sent":                     {1, []attempt{notSent}, 0, NotRun},
-		"not sent, said in time":       {1, []attempt{notSent}, lastWord / 2, NotRun},
-		"not sent, said late":          {1, []attempt{notSent}, 2 * lastWord, MayHaveRun},
-		"sent":                         {1, []attempt{broken}, 0, MayHaveRun},
-		"one of two sent":              {2, []attempt{notSent, broken}, 0, MayHaveRun},
-		"one of two says nothing":      {2, []attempt{notSent}, 0, MayHaveRun},
-		"a whole answer with the end":  {1, []attempt{whole}, 0, 0},
-		"a whole answer beside a hang": {2, []attempt{whole}, lastWord / 2, 0},
-		"a whole answer, but late":     {1, []attempt{whole}, 2 * lastWord, MayHaveRun},
+		"not sent":                     {1, []result{notSent}, 0, NotRun},
+		"not sent, said in time":       {1, []result{notSent}, lastWord / 2, NotRun},
+		"not sent, said late":          {1, []result{notSent}, 2 * lastWord, MayHaveRun},
+		"sent":                         {1, []result{broken}, 0, MayHaveRun},
+		"one of two sent":              {2, []result{notSent, broken}, 0, MayHaveRun},
+		"one of two says nothing":      {2, []result{notSent}, 0, MayHaveRun},
+		"a whole answer with the end":  {1, []result{whole}, 0, 0},
+		"a whole answer beside a hang": {2, []result{whole}, lastWord / 2, 0},
+		"a whole answer, but late":     {1, []result{whole}, 2 * lastWord, MayHaveRun},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				run := &running{call: &Call{Repeatable: true, MaxAttempts: 3}, cancels: map[string]context.CancelFunc{}, outcomes: make(chan attempt, 4), open: one.open}
+				a := &attempts{call: &Call{Repeatable: true, MaxAttempts: 3}, cancels: map[string]context.CancelFunc{}, outcomes: make(chan result, 4), open: one.open}
 				silent := one.open - len(one.said)
 				say := func() {
 					for _, each := range one.said {
-						run.outcomes <- each
+						a.outcomes <- each
 					}
 				}
 				if one.after == 0 {
@@ -280,12 +280,12 @@
 				}
 				time.AfterFunc(4*lastWord, func() { // those that say nothing end some time
 					for range silent {
-						run.outcomes <- broken
+						a.outcomes <- broken
 					}
 				})
 				defer time.Sleep(8 * lastWord)
 				began := time.Now()
-				answer, err := run.timeUp()
+				answer, err := a.timeUp()
 				is.True(time.Since(began) <= lastWord)
 				if one.certainty == 0 {
 					is.NoErr(err)
--- a/internal/requests/forward/load_test.go
+++ b/internal/requests/forward/load_test.go
@@ -23,11 +23,11 @@
 		table := replica.NewTable(time.Second, zap.NewNop())
 		table.Replace([]replica.Entry{{ID: "a", Service: "s", Born: time.UnixMilli(1)}, {ID: "b", Service: "s"}})
 		loads := []headers.Load{{Running: 2, Waiting: 1, WorkPace: 2}, {Running: 4}}
-		forwarder := &Forwarder{Table: table}
+		f := &Forwarder{Table: table}
 		for _, load := range loads {
-			forwarder.Names.Load = func(http.Header) (headers.Load, bool) { return load, true }
+			f.Names.Load = func(http.Header) (headers.Load, bool) { return load, true }
 			chosen, _ := table.Get("a")
-			forwarder.noteLoad(chosen, nil)
+			f.noteLoad(chosen, nil)
 			known, _ := table.Get("a")
 			is.Equal(known.Reported, load.Running+load.Waiting)
 			is.Equal(known.WorkPace, 2.0) // one that tells no pace takes none back
--- a/internal/requests/forward/offer.go
+++ b/internal/requests/forward/offer.go
@@ -16,8 +16,8 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// attempt is the outcome of one offer to one replica.
-type attempt struct {
+// result is the outcome of one offer to one replica.
+type result struct {
 	answer  *Answer
 	err     error
 	ran     bool
@@ -25,38 +25,38 @@
 }
 
 // attempt offers the call to one replica. Over is called once the exchange is.
-func (forwarder *Forwarder) attempt(ctx context.Context, over func(), call *Call, chosen replica.Replica) attempt {
-	forwarder.Table.Started(chosen.Start())
+func (f *Forwarder) attempt(ctx context.Context, over func(), call *Call, chosen replica.Replica) result {
+	f.Table.Started(chosen.Start())
 	end := func() {
 		over()
-		forwarder.Table.Ended(chosen.Start())
+		f.Table.Ended(chosen.Start())
 	}
 	started := time.Now()
-	answer, sentAt, ran, err := forwarder.exchange(ctx, call, chosen)
+	answer, sentAt, ran, err := f.exchange(ctx, call, chosen)
 	if ran && call.Ran != nil {
 		call.Ran(sentAt)
 	}
 	outcome := offerOutcome(ctx, err)
-	forwarder.Observe(chosen.Service, outcome, time.Since(started))
+	f.Observe(chosen.Service, outcome, time.Since(started))
 	if err != nil {
 		// The end below cancels the offer's context, which then says nothing of the caller.
 		cut := ctx.Err() != nil
-		forwarder.explain(ctx, failedOffer{requestID: call.RequestID, content: contentOf(call), chosen: chosen, outcome: outcome, ran: ran, after: time.Since(started), err: err})
+		f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: contentOf(call), chosen: chosen, outcome: outcome, ran: ran, after: time.Since(started), err: err})
 		end()
 		if !cut {
-			forwarder.learn(chosen, err)
+			f.learn(chosen, err)
 		}
-		return attempt{err: err, ran: ran, replica: chosen.ID}
+		return result{err: err, ran: ran, replica: chosen.ID}
 	}
-	forwarder.Table.Succeeded(chosen.Start(), time.Since(started))
+	f.Table.Succeeded(chosen.Start(), time.Since(started))
 	answer.Replica = chosen.ID
 	answer.end = end
 	if answer.Rest == nil {
-		forwarder.Quarantine.Answered(contentOf(call))
+		f.Quarantine.Answered(contentOf(call))
 		end()
 		answer.end = func() {}
 	}
-	return attempt{answer: answer, ran: true, replica: chosen.ID}
+	return result{answer: answer, ran: true, replica: chosen.ID}
 }
 
 // Names of how offers end, in logs and metrics.
@@ -90,53 +90,53 @@
 	}
 }
 
-func (forwarder *Forwarder) learn(chosen replica.Replica, err error) {
+func (f *Forwarder) learn(chosen replica.Replica, err error) {
 	if errors.Is(err, errDeclined) || errors.Is(err, upstream.ErrFull) {
-		forwarder.Table.Busy(chosen.Start(), declinedPause)
+		f.Table.Busy(chosen.Start(), declinedPause)
 		return
 	}
-	forwarder.Table.Failed(chosen.Start())
-	forwarder.failures().Note(logging.Occurrence{Key: chosen.ID}, zap.String("service", chosen.Service), zap.Error(err))
+	f.Table.Failed(chosen.Start())
+	f.failures().Note(logging.Occurrence{Key: chosen.ID}, zap.String("service", chosen.Service), zap.Error(err))
 }
 
 // failures sums the failures of each replica; what they did to a request is in its
 // "offer failed".
-func (forwarder *Forwarder) failures() *logging.Episodes {
-	forwarder.failedOnce.Do(func() { forwarder.failed = logging.NewEpisodes(forwarder.Logger, "replica failed", "replica", "") })
-	return forwarder.failed
+func (f *Forwarder) failures() *logging.Episodes {
+	f.failedOnce.Do(func() { f.failed = logging.NewEpisodes(f.Logger, "replica failed", "replica", "") })
+	return f.failed
 }
 
 // exchange sends the call and reads the answer, whole if it is short.
-func (forwarder *Forwarder) exchange(ctx context.Context, call *Call, chosen replica.Replica) (answer *Answer, sentAt time.Time, ran bool, err error) {
+func (f *Forwarder) exchange(ctx context.Context, call *Call, chosen replica.Replica) (answer *Answer, sentAt time.Time, ran bool, err error) {
 	header := call.Header.Clone()
-	header[http.CanonicalHeaderKey(forwarder.Names.ExpectReplica)] = []string{chosen.ID}
+	header[http.CanonicalHeaderKey(f.Names.ExpectReplica)] = []string{chosen.ID}
 	if left, bounded := leftOf(ctx, call); bounded {
 		if left <= 0 {
 			return nil, sentAt, false, errors.Wrap(upstream.ErrNotSent, errTimeUp.Error())
 		}
-		header[http.CanonicalHeaderKey(forwarder.Names.DeadlineMs)] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
+		header[http.CanonicalHeaderKey(f.Names.DeadlineMs)] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
 	}
-	response, err := forwarder.Pool.Exchange(ctx, chosen.Address, &upstream.Request{
+	response, err := f.Pool.Exchange(ctx, chosen.Address, &upstream.Request{
 		Method: call.Method, Target: call.Target, Host: call.Host, Header: header, Body: call.Body,
-		EchoName: forwarder.Names.RequestID, EchoValue: call.RequestID,
-		Repeatable: call.Repeatable, MaxOpen: forwarder.maxOpen(chosen), WaitUntil: call.ConnectionUntil, Sending: func() { sentAt = forwarder.now() },
+		EchoName: f.Names.RequestID, EchoValue: call.RequestID,
+		Repeatable: call.Repeatable, MaxOpen: f.maxOpen(chosen), WaitUntil: call.ConnectionUntil, Sending: func() { sentAt = f.now() },
 	})
 	if err != nil {
 		return nil, sentAt, !errors.Is(err, upstream.ErrNotSent), err
 	}
-	forwarder.noteLoad(chosen, response.Header)
-	if response.Header.Get(forwarder.Names.NotExecuted) != "" || response.Status == http.StatusMisdirectedRequest {
+	f.noteLoad(chosen, response.Header)
+	if response.Header.Get(f.Names.NotExecuted) != "" || response.Status == http.StatusMisdirectedRequest {
 		_, _ = io.Copy(io.Discard, io.LimitReader(response, bufferedBytes))
 		response.Close()
 		return nil, sentAt, false, errors.Wrapf(errDeclined, "status %d", response.Status)
 	}
-	if response.Header.Get(forwarder.Names.Stamp) == "" {
+	if response.Header.Get(f.Names.Stamp) == "" {
 		response.Close()
 		return nil, sentAt, true, errors.Wrapf(errUnsound, "status %d without a signature", response.Status)
 	}
-	answer, err = forwarder.readAnswer(call, response)
+	answer, err = f.readAnswer(call, response)
 	if err == nil && answer.Rest != nil {
-		answer.Rest.ended = func(err error) { forwarder.restEnded(ctx, call, chosen, err) }
+		answer.Rest.ended = func(err error) { f.restEnded(ctx, call, chosen, err) }
 	}
 	return answer, sentAt, true, err
 }
@@ -152,33 +152,33 @@
 }
 
 // restEnded notes how the rest of a long answer ended, nil being its proper end.
-func (forwarder *Forwarder) restEnded(ctx context.Context, call *Call, chosen replica.Replica, err error) {
+func (f *Forwarder) restEnded(ctx context.Context, call *Call, chosen replica.Replica, err error) {
 	if err == nil {
-		forwarder.Quarantine.Answered(contentOf(call))
+		f.Quarantine.Answered(contentOf(call))
 		return
 	}
-	forwarder.explain(ctx, failedOffer{requestID: call.RequestID, content: contentOf(call), chosen: chosen, outcome: offerOutcome(ctx, err), ran: true, err: err})
+	f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: contentOf(call), chosen: chosen, outcome: offerOutcome(ctx, err), ran: true, err: err})
 }
 
 // noteLoad notes what an answer tells of its replica's load.
-func (forwarder *Forwarder) noteLoad(chosen replica.Replica, header http.Header) {
-	if forwarder.Names.Load == nil {
+func (f *Forwarder) noteLoad(chosen replica.Replica, header http.Header) {
+	if f.Names.Load == nil {
 		return
 	}
-	load, told := forwarder.Names.Load(header)
-	if !told {
+	load, ok := f.Names.Load(header)
+	if !ok {
 		return
 	}
-	forwarder.Table.Reported(chosen.Start(), load.Running+load.Waiting)
+	f.Table.Reported(chosen.Start(), load.Running+load.Waiting)
 	if load.WorkPace > 0 {
-		forwarder.Table.ReportedWorkPace(chosen.Start(), load.WorkPace)
+		f.Table.ReportedWorkPace(chosen.Start(), load.WorkPace)
 	}
 }
 
 // readAnswer reads an answer whole if it is short and there is room for it, else its
 // beginning. One that announces its length is read into one buffer of that size: growing
 // one costs twice the length.
-func (forwarder *Forwarder) readAnswer(call *Call, response *upstream.Answer) (*Answer, error) {
+func (f *Forwarder) readAnswer(call *Call, response *upstream.Answer) (*Answer, error) {
 	answer := &Answer{Status: response.Status, Header: response.Header}
 	announced := response.Length()
 	if call.Method == http.MethodHead {
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -28,12 +28,12 @@
 type StatusError struct{ Status int }
 
 // Error implements error.
-func (failure *StatusError) Error() string {
-	return "forward: replica answered with status " + strconv.Itoa(failure.Status)
+func (e *StatusError) Error() string {
+	return "forward: replica answered with status " + strconv.Itoa(e.Status)
 }
 
 // Unwrap makes the error an ErrStatus.
-func (failure *StatusError) Unwrap() error { return ErrStatus }
+func (e *StatusError) Unwrap() error { return ErrStatus }
 
 // Stream is an answer of events from one replica.
 type Stream struct {
@@ -50,21 +50,21 @@
 }
 
 // Next returns the next whole event, or io.EOF at the stream's proper end.
-func (stream *Stream) Next() (eventstream.Event, error) {
-	event, err := stream.reader.Next()
+func (s *Stream) Next() (eventstream.Event, error) {
+	event, err := s.reader.Next()
 	switch {
 	case err == io.EOF:
-		stream.ended(nil)
+		s.ended(nil)
 	case err != nil:
-		stream.ended(err)
+		s.ended(err)
 	}
 	return event, err
 }
 
 // Close ends the exchange.
-func (stream *Stream) Close() {
-	stream.answer.Close()
-	stream.release()
+func (s *Stream) Close() {
+	s.answer.Close()
+	s.release()
 }
 
 // StreamRequest is a request for events, maybe from the middle on.
@@ -86,50 +86,50 @@
 	Deadline time.Duration
 }
 
-func (request *StreamRequest) content() *quarantine.Content {
-	return &quarantine.Content{Caller: request.Caller, Method: request.Method, Host: request.Host, Target: request.Target, Body: request.Body}
+func (req *StreamRequest) content() *quarantine.Content {
+	return &quarantine.Content{Caller: req.Caller, Method: req.Method, Host: req.Host, Target: req.Target, Body: req.Body}
 }
 
 // OpenStream sends a request for events to one replica. It returns when the
 // head of the answer has come. A declined request gives ErrDeclined, a failure
 // of the replica a *StatusError, a content that may not run now a *QuarantinedError, and
 // anything else may have run unless it wraps upstream.ErrNotSent.
-func (forwarder *Forwarder) OpenStream(ctx context.Context, request *StreamRequest, chosen replica.Replica) (*Stream, error) {
-	names := forwarder.Names
-	header := request.Header.Clone()
+func (f *Forwarder) OpenStream(ctx context.Context, req *StreamRequest, chosen replica.Replica) (*Stream, error) {
+	names := f.Names
+	header := req.Header.Clone()
 	header[http.CanonicalHeaderKey(names.ExpectReplica)] = []string{chosen.ID}
-	if request.HasAfter {
-		header[http.CanonicalHeaderKey(names.LastEventID)] = []string{strconv.FormatInt(request.After, 10)}
+	if req.HasAfter {
+		header[http.CanonicalHeaderKey(names.LastEventID)] = []string{strconv.FormatInt(req.After, 10)}
 	}
-	if request.Deadline > 0 {
-		header[http.CanonicalHeaderKey(names.DeadlineMs)] = []string{strconv.FormatInt(request.Deadline.Milliseconds(), 10)}
+	if req.Deadline > 0 {
+		header[http.CanonicalHeaderKey(names.DeadlineMs)] = []string{strconv.FormatInt(req.Deadline.Milliseconds(), 10)}
 	}
-	content := request.content()
-	release, refused := forwarder.admit(request.RequestID, content, chosen)
+	content := req.content()
+	release, refused := f.mayRun(req.RequestID, content, chosen)
 	if refused != nil {
 		return nil, refused
 	}
 	began := time.Now()
 	ended := func(err error) {
 		if err == nil {
-			forwarder.Quarantine.Answered(content)
+			f.Quarantine.Answered(content)
 			return
 		}
-		forwarder.explain(ctx, failedOffer{requestID: request.RequestID, content: content, chosen: chosen, outcome: offerOutcome(ctx, err),
+		f.logFailure(ctx, failedAttempt{requestID: req.RequestID, content: content, chosen: chosen, outcome: offerOutcome(ctx, err),
 			ran: !errors.Is(err, upstream.ErrNotSent), after: time.Since(began), err: err})
 	}
-	answer, err := forwarder.Pool.Exchange(ctx, chosen.Address, &upstream.Request{
-		Method: request.Method, Target: request.Target, Host: request.Host, Header: header, Body: request.Body,
-		EchoName: names.RequestID, EchoValue: request.RequestID,
-		Repeatable: request.Repeatable, MaxOpen: forwarder.maxOpen(chosen),
+	answer, err := f.Pool.Exchange(ctx, chosen.Address, &upstream.Request{
+		Method: req.Method, Target: req.Target, Host: req.Host, Header: header, Body: req.Body,
+		EchoName: names.RequestID, EchoValue: req.RequestID,
+		Repeatable: req.Repeatable, MaxOpen: f.maxOpen(chosen),
 	})
 	if err == nil {
-		forwarder.noteLoad(chosen, answer.Header)
-		err = forwarder.checkStreamHead(answer)
+		f.noteLoad(chosen, answer.Header)
+		err = f.checkStreamHead(answer)
 	}
-	forwarder.Observe(chosen.Service, offerOutcome(ctx, err), time.Since(began))
+	f.Observe(chosen.Service, offerOutcome(ctx, err), time.Since(began))
 	if err != nil {
-		forwarder.headFailed(answer, err, ended)
+		f.headFailed(answer, err, ended)
 		release()
 		return nil, err
 	}
@@ -139,11 +139,11 @@
 }
 
 // headFailed ends an exchange whose answer, if there is one, has no events.
-func (forwarder *Forwarder) headFailed(answer *upstream.Answer, err error, ended func(err error)) {
+func (f *Forwarder) headFailed(answer *upstream.Answer, err error, ended func(err error)) {
 	switch {
 	case !errors.Is(err, ErrStatus):
 		ended(err)
-	case answer.Header.Get(forwarder.Names.Stamp) != "":
+	case answer.Header.Get(f.Names.Stamp) != "":
 		// The replica itself says that the request failed, and lives on.
 		ended(nil)
 	}
@@ -153,8 +153,8 @@
 	}
 }
 
-func (forwarder *Forwarder) checkStreamHead(answer *upstream.Answer) error {
-	names := forwarder.Names
+func (f *Forwarder) checkStreamHead(answer *upstream.Answer) error {
+	names := f.Names
 	if answer.Header.Get(names.NotExecuted) != "" || answer.Status == http.StatusMisdirectedRequest {
 		return errors.Wrapf(ErrDeclined, "status %d", answer.Status)
 	}
--- a/internal/requests/forward/admit.go
+++ b/internal/requests/forward/suspect.go
@@ -28,29 +28,29 @@
 }
 
 // Error implements error.
-func (err *QuarantinedError) Error() string {
+func (e *QuarantinedError) Error() string {
 	switch {
-	case err.Elsewhere:
+	case e.Elsewhere:
 		return "forward: another suspect runs at the replica"
-	case err.over != nil:
+	case e.over != nil:
 		return "forward: a run of the content finds out whether it ends its replica"
-	case err.Final:
-		return "forward: " + strconv.Itoa(err.Ended) + " replicas ended while they ran this content; it is refused until an operator lifts that"
+	case e.Final:
+		return "forward: " + strconv.Itoa(e.Ended) + " replicas ended while they ran this content; it is refused until an operator lifts that"
 	default:
-		return "forward: " + strconv.Itoa(err.Ended) + " replicas ended while they ran this content; it may run alone later"
+		return "forward: " + strconv.Itoa(e.Ended) + " replicas ended while they ran this content; it may run alone later"
 	}
 }
 
 // Await waits a little for the run that decides on the content, if there is one, and
 // reports whether the content may be asked for again.
-func (err *QuarantinedError) Await(ctx context.Context) bool {
-	if err.over == nil {
+func (e *QuarantinedError) Await(ctx context.Context) bool {
+	if e.over == nil {
 		return false
 	}
 	late := time.NewTimer(decisionWait)
 	defer late.Stop()
 	select {
-	case <-err.over:
+	case <-e.over:
 		return true
 	case <-late.C:
 	case <-ctx.Done():
@@ -58,25 +58,25 @@
 	return false
 }
 
-// admit asks whether a request may be sent to a replica now, for its content's sake. If
+// mayRun asks whether a request may be sent to a replica now, for its content's sake. If
 // so, release must be called when the run is over and what it showed is noted.
-func (forwarder *Forwarder) admit(requestID string, content *quarantine.Content, chosen replica.Replica) (release func(), refused *QuarantinedError) {
-	if forwarder.Quarantine.Quiet() {
+func (f *Forwarder) mayRun(requestID string, content *quarantine.Content, chosen replica.Replica) (release func(), refused *QuarantinedError) {
+	if f.Quarantine.Quiet() {
 		return func() {}, nil
 	}
-	switch got := forwarder.Quarantine.Admit(content, string(chosen.Start()), func() []string { return forwarder.others(chosen) }).(type) {
+	switch verdict := f.Quarantine.Judge(content, string(chosen.Start()), func() []string { return f.others(chosen) }).(type) {
 	case quarantine.Alone:
-		release = got.End
+		release = verdict.End
 	case quarantine.Wait:
-		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, over: got.Over}
+		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, over: verdict.Over}
 	case quarantine.Elsewhere:
 		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, Elsewhere: true}
 	case quarantine.Refused:
-		refused = &QuarantinedError{Ended: got.Ended, RetryAfter: got.RetryAfter, Final: got.Final}
+		refused = &QuarantinedError{Ended: verdict.Ended, RetryAfter: verdict.RetryAfter, Final: verdict.Final}
 	default: // quarantine.Free
 		return func() {}, nil
 	}
-	forwarder.Logger.Info("suspect asked to run", zap.String("request", requestID), zap.String("content", content.Digest().Short()),
+	f.Logger.Info("suspect asked to run", zap.String("request", requestID), zap.String("content", content.Digest().Short()),
 		zap.String("replica", chosen.ID), zap.String("service", chosen.Service), zap.Bool("alone", refused == nil), zap.NamedError("refused", errorOf(refused)))
 	return release, refused
 }
@@ -95,9 +95,9 @@
 const decisionWait = 300 * time.Millisecond
 
 // others returns the starts of the other replicas of a replica's service.
-func (forwarder *Forwarder) others(chosen replica.Replica) []string {
+func (f *Forwarder) others(chosen replica.Replica) []string {
 	var starts []string
-	for _, each := range forwarder.Table.Replicas(chosen.Service) {
+	for _, each := range f.Table.Replicas(chosen.Service) {
 		if each.ID != chosen.ID {
 			starts = append(starts, string(each.Start()))
 		}
--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -64,8 +64,8 @@
 // refused reports whether the content must not run any more.
 func (e *Entry) refused() bool { return e.ends() >= endedLimit }
 
-// known is an entry with what concerns only this daemon.
-type known struct {
+// suspect is an entry with what concerns only this daemon.
+type suspect struct {
 	Entry
 	// broke are replicas on which a connection ended under the content while it is not
 	// known yet whether the process did, with when that was.
@@ -79,84 +79,84 @@
 	// deciding is not nil while a run alone is under way from here; it is closed with it.
 	deciding chan struct{}
 	// journaled is the entry as the journal has it, nil if it has none. A difference that
-	// comes from here (ownChange) is written at once, any other only after keepAfter, in
+	// comes from here (ownChange) is written at once, any other only after recordAfter, in
 	// case the daemon that made it has gone.
-	journaled *Entry
-	ownChange bool
-	keepAfter time.Time
+	journaled   *Entry
+	ownChange   bool
+	recordAfter time.Time
 }
 
 // active reports whether requests must be looked up for the entry's sake.
-func (k *known) active() bool { return len(k.Ended) > 0 || len(k.broke) > 0 }
+func (s *suspect) active() bool { return len(s.Ended) > 0 || len(s.broke) > 0 }
 
 // label names the content to operators, if that was not done.
-func (k *known) label(content *Content, service string) {
-	if k.Label == (Label{}) {
-		k.Label = labelOf(content, service)
+func (s *suspect) label(content *Content, service string) {
+	if s.Label == (Label{}) {
+		s.Label = labelOf(content, service)
 	}
 }
 
 // merge takes in what another daemon knows. It reports whether that changed the entry.
-func (k *known) merge(other Entry, now time.Time) bool {
-	if other.Epoch < k.Epoch {
+func (s *suspect) merge(other Entry, now time.Time) bool {
+	if other.Epoch < s.Epoch {
 		return false
 	}
-	changed := other.Epoch > k.Epoch
+	changed := other.Epoch > s.Epoch
 	if changed {
-		k.Entry = Entry{Digest: k.Digest, Epoch: other.Epoch, Label: k.Label}
-		k.broke, k.seenAt = nil, nil
+		s.Entry = Entry{Digest: s.Digest, Epoch: other.Epoch, Label: s.Label}
+		s.broke, s.seenAt = nil, nil
 	}
 	for replica, times := range other.Ended {
-		changed = k.raise(replica, times, now) || changed
+		changed = s.raise(replica, times, now) || changed
 	}
-	if other.Keeper != "" && (k.Keeper == "" || other.Keeper < k.Keeper) {
-		k.Keeper, changed = other.Keeper, true
+	if other.Keeper != "" && (s.Keeper == "" || other.Keeper < s.Keeper) {
+		s.Keeper, changed = other.Keeper, true
 	}
-	if other.Retried && !k.Retried {
-		k.Retried, changed = true, true
+	if other.Retried && !s.Retried {
+		s.Retried, changed = true, true
 	}
-	if k.Label == (Label{}) {
-		k.Label = other.Label
+	if s.Label == (Label{}) {
+		s.Label = other.Label
 	}
 	return changed
 }
 
 // addEnd notes an end of a replica. It reports whether it is a new one, and not that
 // which another run of the content, here or at another daemon, has shown.
-func (k *known) addEnd(name string, now time.Time) bool {
-	seen, before := k.seenAt[name]
+func (s *suspect) addEnd(name string, now time.Time) bool {
+	seen, before := s.seenAt[name]
 	if before && (replica.Start(name).EndsOnce() || now.Sub(seen) < sameEnd) {
 		return false
 	}
-	return k.raise(name, k.Ended[name]+1, now)
+	return s.raise(name, s.Ended[name]+1, now)
 }
 
 // raise sets how often a replica ended, if that is more than is known. Replicas beyond
 // endedKept count no more.
-func (k *known) raise(replica string, times int, now time.Time) bool {
-	before, named := k.Ended[replica]
-	if times <= before || !named && len(k.Ended) >= endedKept {
+func (s *suspect) raise(replica string, times int, now time.Time) bool {
+	before, named := s.Ended[replica]
+	if times <= before || !named && len(s.Ended) >= endedKept {
 		return false
 	}
-	if k.Ended == nil {
-		k.Ended = map[string]int{}
+	if s.Ended == nil {
+		s.Ended = map[string]int{}
 	}
-	if k.seenAt == nil {
-		k.seenAt = map[string]time.Time{}
+	if s.seenAt == nil {
+		s.seenAt = map[string]time.Time{}
 	}
-	k.Ended[replica], k.seenAt[replica], k.endedAt = times, now, now
+	s.Ended[replica], s.seenAt[replica], s.endedAt = times, now, now
 	return true
 }
 
 // endedLately reports whether a replica ended under the content so short a time ago that
 // it is hardly back.
-func (k *known) endedLately(replica string, now time.Time) bool {
-	seen, ended := k.seenAt[replica]
+func (s *suspect) endedLately(replica string, now time.Time) bool {
+	seen, ended := s.seenAt[replica]
 	return ended && now.Sub(seen) < aloneWait
 }
 
-func (k *known) copied() Entry {
-	copied := k.Entry
-	copied.Ended = maps.Clone(k.Ended)
+func (s *suspect) copied() Entry {
+	copied := s.Entry
+	copied.Ended = maps.Clone(s.Ended)
 	return copied
 }
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -13,9 +13,9 @@
 	digest := content.Digest()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found := t.entry(digest)
-	found.label(content, service)
-	t.ended(found, replica)
+	s := t.entry(digest)
+	s.label(content, service)
+	t.ended(s, replica)
 }
 
 // Broke notes that the connection to a replica ended while it ran the content, and that
@@ -24,36 +24,36 @@
 	digest := content.Digest()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found := t.entry(digest)
-	found.label(content, service)
-	t.change(found, func() {
-		if found.broke == nil {
-			found.broke = map[string]time.Time{}
+	s := t.entry(digest)
+	s.label(content, service)
+	t.change(s, func() {
+		if s.broke == nil {
+			s.broke = map[string]time.Time{}
 		}
-		if len(found.broke) < endedKept {
-			found.broke[replica] = t.now()
+		if len(s.broke) < endedKept {
+			s.broke[replica] = t.now()
 		}
 	})
 }
 
 // ended adds a replica to those that ended under a content. The mutex is held.
-func (t *Table) ended(found *known, name string) {
+func (t *Table) ended(s *suspect, name string) {
 	added := false
-	t.change(found, func() {
-		delete(found.broke, name)
-		added = found.addEnd(name, t.now())
-		if added && found.refused() && found.Keeper == "" {
-			found.Keeper = t.machine
+	t.change(s, func() {
+		delete(s.broke, name)
+		added = s.addEnd(name, t.now())
+		if added && s.refused() && s.Keeper == "" {
+			s.Keeper = t.machine
 		}
 	})
 	if !added {
 		return
 	}
-	found.ownChange = true
-	t.logger.Warn("replica ended under a content", zap.String("content", found.Digest.Short()), zap.String("replica", replica.Start(name).ID()), zap.String("start", name),
-		zap.String("service", found.Label.Service), zap.Strings("ended", found.replicas()), zap.Int("ends", found.ends()), zap.Int64("epoch", found.Epoch), zap.Bool("refused", found.refused()),
-		zap.String("host", found.Label.Host), zap.String("target", found.Label.Target), zap.String("caller", found.Label.Caller))
-	t.tell(found)
+	s.ownChange = true
+	t.logger.Warn("replica ended under a content", zap.String("content", s.Digest.Short()), zap.String("replica", replica.Start(name).ID()), zap.String("start", name),
+		zap.String("service", s.Label.Service), zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()), zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()),
+		zap.String("host", s.Label.Host), zap.String("target", s.Label.Target), zap.String("caller", s.Label.Caller))
+	t.announce(s)
 }
 
 // Answered notes that a replica gave the content a whole answer: it does not end what
@@ -65,13 +65,13 @@
 	digest := content.Digest()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found := t.entries[digest]
+	s := t.entries[digest]
 	switch {
-	case found == nil:
-	case len(found.Ended) > 0:
-		t.clear(found, "answered")
-	case len(found.broke) > 0:
-		t.change(found, func() { found.broke = nil })
+	case s == nil:
+	case len(s.Ended) > 0:
+		t.clear(s, "answered")
+	case len(s.broke) > 0:
+		t.change(s, func() { s.broke = nil })
 	}
 }
 
@@ -79,46 +79,46 @@
 func (t *Table) Lift(digest Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found := t.entries[digest]
-	if found == nil || len(found.Ended) == 0 {
+	s := t.entries[digest]
+	if s == nil || len(s.Ended) == 0 {
 		return false
 	}
-	t.clear(found, "lifted by an operator")
+	t.clear(s, "lifted by an operator")
 	return true
 }
 
 // clear begins a new epoch of a content. The mutex is held.
-func (t *Table) clear(found *known, reason string) {
-	t.logger.Info("content cleared", zap.String("content", found.Digest.Short()), zap.String("reason", reason), zap.Strings("ended", found.replicas()), zap.Int("ends", found.ends()),
-		zap.Int64("epoch", found.Epoch), zap.Bool("refused", found.refused()), zap.Uint64("turned_away", found.turnedAway))
-	t.change(found, func() {
-		found.Entry = Entry{Digest: found.Digest, Epoch: found.Epoch + 1, Label: found.Label}
-		found.broke, found.seenAt, found.turnedAway = nil, nil, 0
+func (t *Table) clear(s *suspect, reason string) {
+	t.logger.Info("content cleared", zap.String("content", s.Digest.Short()), zap.String("reason", reason), zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
+		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()), zap.Uint64("turned_away", s.turnedAway))
+	t.change(s, func() {
+		s.Entry = Entry{Digest: s.Digest, Epoch: s.Epoch + 1, Label: s.Label}
+		s.broke, s.seenAt, s.turnedAway = nil, nil, 0
 	})
-	found.ownChange = true
-	t.tell(found)
+	s.ownChange = true
+	t.announce(s)
 }
 
 // Merge takes in what another daemon knows of contents. What is news is told on.
 func (t *Table) Merge(entries []Entry, from string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, told := range entries {
-		if found := t.entry(told.Digest); t.merge(found, told, from) {
-			t.tell(found)
+	for _, other := range entries {
+		if s := t.entry(other.Digest); t.merge(s, other, from) {
+			t.announce(s)
 		}
 	}
 }
 
 // merge takes in what is known elsewhere of one content, and reports whether it was news.
 // The mutex is held.
-func (t *Table) merge(found *known, told Entry, from string) bool {
+func (t *Table) merge(s *suspect, other Entry, from string) bool {
 	news := false
-	t.change(found, func() { news = found.merge(told, t.now()) })
+	t.change(s, func() { news = s.merge(other, t.now()) })
 	if !news {
 		return false
 	}
-	t.logger.Info("content learned of", zap.String("content", found.Digest.Short()), zap.String("from", from), zap.Strings("ended", found.replicas()), zap.Int("ends", found.ends()),
-		zap.Int64("epoch", found.Epoch), zap.Bool("refused", found.refused()), zap.String("keeper", found.Keeper))
+	t.logger.Info("content learned of", zap.String("content", s.Digest.Short()), zap.String("from", from), zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
+		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()), zap.String("keeper", s.Keeper))
 	return true
 }
--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -23,20 +23,20 @@
 )
 
 // forget drops an entry. The mutex is held.
-func (t *Table) forget(found *known, reason string) {
-	if found.active() {
+func (t *Table) forget(s *suspect, reason string) {
+	if s.active() {
 		t.active.Add(-1)
-		t.logger.Info("content forgotten", zap.String("content", found.Digest.Short()), zap.String("reason", reason), zap.Strings("ended", found.replicas()), zap.Int("ends", found.ends()),
-			zap.Bool("refused", found.refused()), zap.Uint64("turned_away", found.turnedAway))
+		t.logger.Info("content forgotten", zap.String("content", s.Digest.Short()), zap.String("reason", reason), zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
+			zap.Bool("refused", s.refused()), zap.Uint64("turned_away", s.turnedAway))
 	}
-	delete(t.entries, found.Digest)
-	delete(t.changed, found.Digest)
+	delete(t.entries, s.Digest)
+	delete(t.changed, s.Digest)
 }
 
 // forgetOne makes room: of the contents with the fewest ends the one that was not used
 // for longest goes. The mutex is held.
 func (t *Table) forgetOne() {
-	var least *known
+	var least *suspect
 	for _, each := range t.entries {
 		if each.deciding == nil && (least == nil || each.lessThan(least)) {
 			least = each
@@ -48,11 +48,11 @@
 }
 
 // lessThan orders entries by how little is lost with them.
-func (k *known) lessThan(other *known) bool {
-	if k.ends() != other.ends() {
-		return k.ends() < other.ends()
+func (s *suspect) lessThan(other *suspect) bool {
+	if s.ends() != other.ends() {
+		return s.ends() < other.ends()
 	}
-	return k.usedAt.Before(other.usedAt)
+	return s.usedAt.Before(other.usedAt)
 }
 
 // Sweep decides on broken connections by which replicas are still listed, and forgets
@@ -61,26 +61,26 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	for _, found := range t.entries {
-		t.settle(found, now, listed)
+	for _, s := range t.entries {
+		t.settle(s, now, listed)
 		switch {
-		case found.deciding != nil:
-		case len(found.Ended) > 0 && now.Sub(found.endedAt) > forgetAfter:
-			t.clear(found, "long ago")
-		case !found.active() && found.journaled == nil && now.Sub(found.usedAt) > clearedKept:
-			t.forget(found, "cleared")
+		case s.deciding != nil:
+		case len(s.Ended) > 0 && now.Sub(s.endedAt) > forgetAfter:
+			t.clear(s, "long ago")
+		case !s.active() && s.journaled == nil && now.Sub(s.usedAt) > clearedKept:
+			t.forget(s, "cleared")
 		}
 	}
 }
 
 // settle decides on the broken connections of an entry. The mutex is held.
-func (t *Table) settle(found *known, now time.Time, listed func(replica string) bool) {
-	for replica, at := range found.broke {
+func (t *Table) settle(s *suspect, now time.Time, listed func(replica string) bool) {
+	for replica, at := range s.broke {
 		switch {
 		case !listed(replica):
-			t.ended(found, replica)
+			t.ended(s, replica)
 		case now.Sub(at) > settleWithin:
-			t.change(found, func() { delete(found.broke, replica) })
+			t.change(s, func() { delete(s.broke, replica) })
 		}
 	}
 }
--- a/internal/requests/quarantine/listing.go
+++ b/internal/requests/quarantine/listing.go
@@ -21,10 +21,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	list := []Listing{}
-	for _, found := range t.entries {
-		if len(found.Ended) > 0 {
-			list = append(list, Listing{Digest: found.Digest.String(), Entry: found.copied(), Refused: found.refused(),
-				TurnedAway: found.turnedAway, SinceEndMs: t.now().Sub(found.endedAt).Milliseconds()})
+	for _, s := range t.entries {
+		if len(s.Ended) > 0 {
+			list = append(list, Listing{Digest: s.Digest.String(), Entry: s.copied(), Refused: s.refused(),
+				TurnedAway: s.turnedAway, SinceEndMs: t.now().Sub(s.endedAt).Milliseconds()})
 		}
 	}
 	slices.SortFunc(list, func(a, b Listing) int {
@@ -38,11 +38,11 @@
 func (t *Table) Count() (suspected, refused int, turnedAway uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, found := range t.entries {
-		if len(found.Ended) > 0 {
+	for _, s := range t.entries {
+		if len(s.Ended) > 0 {
 			suspected++
 		}
-		if found.refused() {
+		if s.refused() {
 			refused++
 		}
 	}
--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -23,14 +23,14 @@
 	// gatherTime is how long a change waits for others to be told with: the ends that one
 	// crash leaves at a daemon come within milliseconds.
 	gatherTime = 5 * time.Millisecond
-	// tellTimeout bounds one call to a neighbour, tellPause is the time between two tries.
-	tellTimeout = 700 * time.Millisecond
-	tellPause   = 300 * time.Millisecond
-	// tellFor is how long a neighbour that does not answer is tried. One that is away for
+	// tellTimeout bounds one call to a neighbour, retryInterval is the time between two tries.
+	tellTimeout   = 700 * time.Millisecond
+	retryInterval = 300 * time.Millisecond
+	// giveUpAfter is how long a neighbour that does not answer is tried. One that is away for
 	// longer learns from the journal what is refused.
-	tellFor = time.Minute
-	// toldAtOnce bounds the entries of one call, of 3 KiB each at most.
-	toldAtOnce = 128
+	giveUpAfter = time.Minute
+	// entriesAtOnce bounds the entries of one call, of 3 KiB each at most.
+	entriesAtOnce = 128
 )
 
 // Neighbours are the daemons that this one tells.
@@ -53,9 +53,9 @@
 func NewService(table *Table) *Service { return &Service{table: table} }
 
 // Tell takes entries in. It is exported for net/rpc.
-func (s *Service) Tell(told Told, known *int) error {
-	s.table.Merge(told.Entries, told.From)
-	*known = len(told.Entries)
+func (s *Service) Tell(other Told, taken *int) error {
+	s.table.Merge(other.Entries, other.From)
+	*taken = len(other.Entries)
 	return nil
 }
 
@@ -116,7 +116,7 @@
 func (s *Spreader) tell(ctx context.Context, machine string) {
 	var silent time.Duration
 	for {
-		batch, over := s.take(machine, ctx.Err() != nil || silent >= tellFor)
+		batch, over := s.take(machine, ctx.Err() != nil || silent >= giveUpAfter)
 		if over {
 			return
 		}
@@ -129,8 +129,8 @@
 			s.logger.Info("neighbour not told of contents", zap.String("machine", machine), zap.Int("contents", len(batch)), zap.Error(err))
 		}
 		s.putBack(machine, batch)
-		silent += tellPause
-		periodic.Pause(ctx, tellPause)
+		silent += retryInterval
+		periodic.Pause(ctx, retryInterval)
 	}
 }
 
@@ -139,8 +139,8 @@
 func (s *Spreader) tellOnce(ctx context.Context, machine string, batch []Digest) error {
 	bounded, cancel := context.WithTimeout(ctx, tellTimeout)
 	defer cancel()
-	known := 0
-	err := s.neighbours.Ask(bounded, machine, tellMethod, Told{From: s.table.machine, Entries: s.table.entriesOf(batch)}, &known)
+	taken := 0
+	err := s.neighbours.Ask(bounded, machine, tellMethod, Told{From: s.table.machine, Entries: s.table.entriesOf(batch)}, &taken)
 	if errors.Is(err, relay.ErrRefused) {
 		s.logger.Info("neighbour does not take contents", zap.String("machine", machine), zap.Error(err))
 		return nil
@@ -161,7 +161,7 @@
 	for digest := range due {
 		batch = append(batch, digest)
 		delete(due, digest)
-		if len(batch) == toldAtOnce {
+		if len(batch) == entriesAtOnce {
 			break
 		}
 	}
--- a/internal/requests/quarantine/spread_test.go
+++ b/internal/requests/quarantine/spread_test.go
@@ -56,7 +56,7 @@
 	f.mu.Lock()
 	f.daemons[name] = d
 	f.mu.Unlock()
-	keeper := NewKeeper(d.table, f.log, peers, zap.NewNop())
+	keeper := NewRecorder(d.table, f.log, peers, zap.NewNop())
 	go keeper.Run(ctx)
 	go journal.NewKeyedFollower(f.log, Partition(f.log), keeper, contactBound, zap.NewNop()).Run(ctx)
 	if peers {
--- a/internal/requests/quarantine/table.go
+++ b/internal/requests/quarantine/table.go
@@ -28,7 +28,7 @@
 //
 // # Usage
 //
-//	switch got := table.Admit(content, replica, others).(type) {
+//	switch got := table.Judge(content, replica, others).(type) {
 //	case quarantine.Free:
 //		// run it, then:
 //		table.Answered(content) // or table.Ended(content, replica, service)
@@ -86,19 +86,19 @@
 	turnedAway atomic.Uint64
 
 	mu      sync.Mutex
-	entries map[Digest]*known
+	entries map[Digest]*suspect
 	// alone counts the runs alone from here at each replica.
 	alone map[string]int
 	// changed are the contents to tell other daemons of; wake says that there are some.
-	// unkept says that the journal may lack something.
-	changed      map[Digest]bool
-	wake, unkept chan struct{}
+	// unrecorded says that the journal may lack something.
+	changed          map[Digest]bool
+	wake, unrecorded chan struct{}
 }
 
 // New returns an empty table of a machine.
 func New(machine string, now bootclock.Clock, logger *zap.Logger) *Table {
-	return &Table{machine: machine, now: now, logger: logger, entries: map[Digest]*known{}, alone: map[string]int{},
-		changed: map[Digest]bool{}, wake: make(chan struct{}, 1), unkept: make(chan struct{}, 1)}
+	return &Table{machine: machine, now: now, logger: logger, entries: map[Digest]*suspect{}, alone: map[string]int{},
+		changed: map[Digest]bool{}, wake: make(chan struct{}, 1), unrecorded: make(chan struct{}, 1)}
 }
 
 // Quiet reports whether no content is suspected.
@@ -112,13 +112,13 @@
 	digest := content.Digest()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found := t.entries[digest]
+	s := t.entries[digest]
 	switch {
-	case found == nil || len(found.Ended) == 0:
+	case s == nil || len(s.Ended) == 0:
 		return Unsuspected
-	case found.ends() < aloneFrom:
+	case s.ends() < aloneFrom:
 		return Suspected
-	case !found.refused():
+	case !s.refused():
 		return OnlyAlone
 	default:
 		return Quarantined
@@ -133,53 +133,53 @@
 	digest := content.Digest()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found := t.entries[digest]
-	return found != nil && found.refused() && !t.mayRetry(found, t.now())
+	s := t.entries[digest]
+	return s != nil && s.refused() && !t.mayRetry(s, t.now())
 }
 
-// Admit says whether the content may run at a replica now. Others returns the ids of the
+// Judge says whether the content may run at a replica now. Others returns the ids of the
 // other replicas of its service that are listed; it is asked of suspects only, with the
 // table locked.
-func (t *Table) Admit(content *Content, replica string, others func() []string) Admission {
+func (t *Table) Judge(content *Content, replica string, others func() []string) Verdict {
 	if t.Quiet() {
 		return Free{}
 	}
 	digest := content.Digest()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found := t.entries[digest]
-	if found == nil || len(found.Ended) == 0 {
+	s := t.entries[digest]
+	if s == nil || len(s.Ended) == 0 {
 		return Free{}
 	}
 	now := t.now()
-	found.usedAt = now
-	if found.ends() < aloneFrom {
+	s.usedAt = now
+	if s.ends() < aloneFrom {
 		return Free{}
 	}
-	if refused, is := t.refuse(found, now, others); is {
-		found.turnedAway++
+	if refused, is := t.refuse(s, now, others); is {
+		s.turnedAway++
 		t.turnedAway.Add(1)
 		return refused
 	}
 	switch {
-	case found.deciding != nil:
-		return Wait{Over: found.deciding}
-	case t.alone[replica] > 0, found.endedLately(replica, now):
+	case s.deciding != nil:
+		return Wait{Over: s.deciding}
+	case t.alone[replica] > 0, s.endedLately(replica, now):
 		return Elsewhere{}
 	}
-	return t.runAlone(found, replica)
+	return t.runAlone(s, replica)
 }
 
 // refuse reports whether the content must not run now. The mutex is held.
-func (t *Table) refuse(found *known, now time.Time, others func() []string) (Refused, bool) {
-	since := now.Sub(found.endedAt)
-	refused := Refused{Ended: found.ends()}
+func (t *Table) refuse(s *suspect, now time.Time, others func() []string) (Refused, bool) {
+	since := now.Sub(s.endedAt)
+	refused := Refused{Ended: s.ends()}
 	switch {
-	case found.refused() && (found.Keeper != t.machine || found.Retried):
+	case s.refused() && (s.Keeper != t.machine || s.Retried):
 		refused.RetryAfter, refused.Final = refusal.Quarantined.RetryAfter, true
-	case found.refused() && since < retryAfterEnd:
+	case s.refused() && since < retryAfterEnd:
 		refused.RetryAfter = retryAfterEnd - since
-	case found.deciding == nil && since < aloneWait && !found.anyUp(others(), now):
+	case s.deciding == nil && since < aloneWait && !s.anyUp(others(), now):
 		refused.RetryAfter = min(refusal.SuspectAlone.RetryAfter, aloneWait-since)
 	default:
 		return Refused{}, false
@@ -189,34 +189,34 @@
 
 // mayRetry reports whether a refused content may run once more from here. The mutex is
 // held.
-func (t *Table) mayRetry(found *known, now time.Time) bool {
-	return found.Keeper == t.machine && !found.Retried && now.Sub(found.endedAt) >= retryAfterEnd
+func (t *Table) mayRetry(s *suspect, now time.Time) bool {
+	return s.Keeper == t.machine && !s.Retried && now.Sub(s.endedAt) >= retryAfterEnd
 }
 
 // anyUp reports whether one of the replicas did not end under the content lately.
-func (k *known) anyUp(replicas []string, now time.Time) bool {
-	return slices.ContainsFunc(replicas, func(id string) bool { return !k.endedLately(id, now) })
+func (s *suspect) anyUp(replicas []string, now time.Time) bool {
+	return slices.ContainsFunc(replicas, func(id string) bool { return !s.endedLately(id, now) })
 }
 
 // runAlone begins the one run that the content may have now. The mutex is held.
-func (t *Table) runAlone(found *known, name string) Alone {
+func (t *Table) runAlone(s *suspect, name string) Alone {
 	over := make(chan struct{})
-	found.deciding = over
+	s.deciding = over
 	t.alone[name]++
-	if found.refused() {
-		t.change(found, func() { found.Retried, found.ownChange = true, true })
-		t.tell(found)
+	if s.refused() {
+		t.change(s, func() { s.Retried, s.ownChange = true, true })
+		t.announce(s)
 	}
-	t.logger.Info("suspect runs alone", zap.String("content", found.Digest.Short()), zap.String("replica", replica.Start(name).ID()), zap.String("start", name),
-		zap.Strings("ended", found.replicas()), zap.Int("ends", found.ends()), zap.Bool("refused", found.refused()), zap.Duration("since_end", t.now().Sub(found.endedAt)))
+	t.logger.Info("suspect runs alone", zap.String("content", s.Digest.Short()), zap.String("replica", replica.Start(name).ID()), zap.String("start", name),
+		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()), zap.Bool("refused", s.refused()), zap.Duration("since_end", t.now().Sub(s.endedAt)))
 	var once sync.Once
-	return Alone{End: func() { once.Do(func() { t.endAlone(found, name, over) }) }}
+	return Alone{End: func() { once.Do(func() { t.endAlone(s, name, over) }) }}
 }
 
-func (t *Table) endAlone(found *known, replica string, over chan struct{}) {
+func (t *Table) endAlone(s *suspect, replica string, over chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found.deciding = nil
+	s.deciding = nil
 	close(over)
 	t.alone[replica]--
 	if t.alone[replica] <= 0 {
@@ -225,38 +225,38 @@
 }
 
 // entry returns the entry of a content, made if there is none. The mutex is held.
-func (t *Table) entry(digest Digest) *known {
-	found := t.entries[digest]
-	if found == nil {
+func (t *Table) entry(digest Digest) *suspect {
+	s := t.entries[digest]
+	if s == nil {
 		if len(t.entries) >= capacity {
 			t.forgetOne()
 		}
-		found = &known{Entry: Entry{Digest: digest}, usedAt: t.now()}
-		t.entries[digest] = found
+		s = &suspect{Entry: Entry{Digest: digest}, usedAt: t.now()}
+		t.entries[digest] = s
 	}
-	return found
+	return s
 }
 
 // change makes a change of an entry and brings what hangs on it up to date. The mutex is
 // held.
-func (t *Table) change(found *known, apply func()) {
-	was := found.active()
+func (t *Table) change(s *suspect, apply func()) {
+	was := s.active()
 	apply()
-	is := found.active()
+	is := s.active()
 	switch {
 	case is && !was:
 		t.active.Add(1)
 	case was && !is:
 		t.active.Add(-1)
 	}
-	found.usedAt = t.now()
-	found.keepAfter = found.usedAt.Add(keepInstead)
-	t.wakeKeeper()
+	s.usedAt = t.now()
+	s.recordAfter = s.usedAt.Add(leaveToOther)
+	t.wakeRecorder()
 }
 
-// tell has the other daemons told of an entry. The mutex is held.
-func (t *Table) tell(found *known) {
-	t.changed[found.Digest] = true
+// announce has the other daemons told of an entry. The mutex is held.
+func (t *Table) announce(s *suspect) {
+	t.changed[s.Digest] = true
 	select {
 	case t.wake <- struct{}{}:
 	default:
@@ -278,8 +278,8 @@
 	defer t.mu.Unlock()
 	var entries []Entry
 	for _, digest := range digests {
-		if found := t.entries[digest]; found != nil {
-			entries = append(entries, found.copied())
+		if s := t.entries[digest]; s != nil {
+			entries = append(entries, s.copied())
 		}
 	}
 	return entries
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -30,7 +30,7 @@
 
 // admission names what a content may do, without beginning it.
 func admission(t *Table, content *Content, replica string, others ...string) string {
-	switch got := t.Admit(content, replica, func() []string { return others }).(type) {
+	switch got := t.Judge(content, replica, func() []string { return others }).(type) {
 	case Free:
 		if t.Suspicion(content) == Suspected {
 			return "suspected"
@@ -102,11 +102,11 @@
 		table.Ended(content, "a", "s")
 		table.Ended(content, "b", "s")
 	}
-	run, granted := table.Admit(one, "x", listed).(Alone)
+	run, granted := table.Judge(one, "x", listed).(Alone)
 	is.True(granted)
 	is.Equal(admission(table, two, "x", others...), "elsewhere")
 	is.Equal(admission(table, two, "y", others...), "alone")
-	waiting, waits := table.Admit(one, "y", listed).(Wait)
+	waiting, waits := table.Judge(one, "y", listed).(Wait)
 	is.True(waits)
 	table.Answered(one)
 	run.End()
@@ -280,7 +280,7 @@
 	}
 	body := make([]byte, 8<<10)
 	for b.Loop() {
-		if _, free := table.Admit(&Content{Method: "POST", Target: "/path/of/a/request", Body: body}, "x", listed).(Free); !free {
+		if _, free := table.Judge(&Content{Method: "POST", Target: "/path/of/a/request", Body: body}, "x", listed).(Free); !free {
 			b.Fatal("an innocent content is not free")
 		}
 	}
--- a/internal/requests/quarantine/admission.go
+++ b/internal/requests/quarantine/verdict.go
@@ -17,8 +17,8 @@
 	Quarantined
 )
 
-// Admission is what a content may do now: Free, Alone, Wait, Elsewhere or Refused.
-type Admission interface{ admission() }
+// Verdict is what a content may do now: Free, Alone, Wait, Elsewhere or Refused.
+type Verdict interface{ admission() }
 
 // Free lets the content run as any other.
 type Free struct{}
--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -131,38 +131,38 @@
 
 // New checks a configuration and makes it ready for look-ups.
 func New(declared Declared) (*Configuration, error) {
-	configuration := &Configuration{Declared: declared, byHost: map[string][]*Route{}}
+	c := &Configuration{Declared: declared, byHost: map[string][]*Route{}}
 	for i := range declared.Routes {
 		if err := checkRoute(&declared.Routes[i]); err != nil {
 			return nil, err
 		}
 		host := strings.ToLower(declared.Routes[i].Host)
-		configuration.byHost[host] = append(configuration.byHost[host], &declared.Routes[i])
+		c.byHost[host] = append(c.byHost[host], &declared.Routes[i])
 	}
-	for _, ofHost := range configuration.byHost {
+	for _, ofHost := range c.byHost {
 		sort.SliceStable(ofHost, func(i, j int) bool { return len(ofHost[i].PathPrefix) > len(ofHost[j].PathPrefix) })
 	}
-	return configuration, nil
+	return c, nil
 }
 
-func checkRoute(route *Route) error {
-	if route.Host == "" {
-		return errors.Errorf("route %q: host is empty", route.Name)
+func checkRoute(r *Route) error {
+	if r.Host == "" {
+		return errors.Errorf("route %q: host is empty", r.Name)
 	}
-	if !strings.HasPrefix(route.PathPrefix, "/") || !strings.HasSuffix(route.PathPrefix, "/") {
-		return errors.Errorf("route %q: path prefix %q must begin and end with a slash", route.Name, route.PathPrefix)
+	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
+		return errors.Errorf("route %q: path prefix %q must begin and end with a slash", r.Name, r.PathPrefix)
 	}
-	if len(route.Shares) == 0 {
-		return errors.Errorf("route %q: names no service", route.Name)
+	if len(r.Shares) == 0 {
+		return errors.Errorf("route %q: names no service", r.Name)
 	}
 	return nil
 }
 
 // Find returns the route of a host and path: the one with the longest prefix.
-func (configuration *Configuration) Find(host, path string) (*Route, bool) {
-	for _, route := range configuration.byHost[hostName(host)] {
-		if strings.HasPrefix(path, route.PathPrefix) {
-			return route, true
+func (c *Configuration) Find(host, path string) (*Route, bool) {
+	for _, r := range c.byHost[hostName(host)] {
+		if strings.HasPrefix(path, r.PathPrefix) {
+			return r, true
 		}
 	}
 	return nil, false
@@ -170,9 +170,9 @@
 
 // AnonymousBatches reports whether batches may be submitted to a host without a key, so
 // that calls about them need none either.
-func (configuration *Configuration) AnonymousBatches(host string) bool {
-	for _, route := range configuration.byHost[hostName(host)] {
-		if route.Kind == Batch && route.Anonymous {
+func (c *Configuration) AnonymousBatches(host string) bool {
+	for _, r := range c.byHost[hostName(host)] {
+		if r.Kind == Batch && r.Anonymous {
 			return true
 		}
 	}
@@ -188,8 +188,8 @@
 }
 
 // Uses reports whether requests of the route may go to a service.
-func (route *Route) Uses(service string) bool {
-	return slices.ContainsFunc(route.Shares, func(share Share) bool { return share.Service == service })
+func (r *Route) Uses(service string) bool {
+	return slices.ContainsFunc(r.Shares, func(share Share) bool { return share.Service == service })
 }
 
 // connectionWaitPart is the part of the target latency, one in so many, that a request waits
@@ -199,30 +199,30 @@
 
 // ConnectionWait is how long a request of the route waits for a connection to a replica to
 // which this daemon has as many as it may.
-func (route *Route) ConnectionWait() time.Duration { return route.TargetLatency / connectionWaitPart }
+func (r *Route) ConnectionWait() time.Duration { return r.TargetLatency / connectionWaitPart }
 
 // Order returns the route's services in the order in which a request should
 // try them: the first is drawn by weight from the request's id, so that each
 // part gets its share without any state.
-func (route *Route) Order(requestID string) []string {
-	if len(route.Shares) == 1 {
-		return []string{route.Shares[0].Service}
+func (r *Route) Order(requestID string) []string {
+	if len(r.Shares) == 1 {
+		return []string{r.Shares[0].Service}
 	}
 	total := 0.0
-	for _, share := range route.Shares {
+	for _, share := range r.Shares {
 		total += share.Weight
 	}
 	drawn := uniform(requestID) * total
-	first := len(route.Shares) - 1
-	for i, share := range route.Shares {
+	first := len(r.Shares) - 1
+	for i, share := range r.Shares {
 		if drawn < share.Weight {
 			first = i
 			break
 		}
 		drawn -= share.Weight
 	}
-	order := []string{route.Shares[first].Service}
-	for i, share := range route.Shares {
+	order := []string{r.Shares[first].Service}
+	for i, share := range r.Shares {
 		if i != first && share.Weight > 0 {
 			order = append(order, share.Service)
 		}
--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -43,50 +43,50 @@
 	tainted  bool
 }
 
-func newConnection(pool *Pool, address string, raw net.Conn) *connection {
-	return &connection{pool: pool, address: address, raw: raw, reader: bufio.NewReaderSize(raw, readBufferBytes)}
+func newConnection(p *Pool, address string, raw net.Conn) *connection {
+	return &connection{pool: p, address: address, raw: raw, reader: bufio.NewReaderSize(raw, readBufferBytes)}
 }
 
-func (conn *connection) close() {
-	conn.closeOnce.Do(func() {
-		_ = conn.raw.Close()
-		conn.pool.closed(conn.address)
+func (c *connection) close() {
+	c.closeOnce.Do(func() {
+		_ = c.raw.Close()
+		c.pool.closed(c.address)
 	})
 }
 
 // usable reports whether a resting connection has not rested too long for a request.
-func (conn *connection) usable(now time.Time, repeatable bool) bool {
+func (c *connection) usable(now time.Time, repeatable bool) bool {
 	if repeatable {
-		return now.Before(conn.restUntil)
+		return now.Before(c.restUntil)
 	}
-	return now.Before(conn.sureUntil)
+	return now.Before(c.sureUntil)
 }
 
 // quiet reports whether a resting connection is open and has no bytes to read:
 // bytes there belong to no request of ours.
-func (conn *connection) quiet() bool {
-	if conn.reader.Buffered() > 0 {
+func (c *connection) quiet() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
-	if _, ok := conn.raw.(syscall.Conn); !ok {
+	if _, ok := c.raw.(syscall.Conn); !ok {
 		return true
 	}
-	return recvbuf.Look(conn.raw) == recvbuf.Empty
+	return recvbuf.Look(c.raw) == recvbuf.Empty
 }
 
-func (conn *connection) exchange(ctx context.Context, request *Request) (*Answer, error) {
-	stop := context.AfterFunc(ctx, conn.close)
+func (c *connection) exchange(ctx context.Context, req *Request) (*Answer, error) {
+	stop := context.AfterFunc(ctx, c.close)
 	fail := func(err error) (*Answer, error) {
 		stop()
-		conn.close()
+		c.close()
 		return nil, err
 	}
-	head := appendHead(nil, request)
-	if request.Sending != nil {
-		request.Sending()
+	head := appendHead(nil, req)
+	if req.Sending != nil {
+		req.Sending()
 	}
-	if len(request.Body) <= inlineBodyBytes {
-		written, err := conn.raw.Write(append(head, request.Body...))
+	if len(req.Body) <= inlineBodyBytes {
+		written, err := c.raw.Write(append(head, req.Body...))
 		if err != nil && written == 0 {
 			return fail(errors.Wrap(ErrNotSent, err.Error()))
 		}
@@ -94,39 +94,39 @@
 			return fail(errors.Wrap(ErrNoAnswer, err.Error()))
 		}
 	} else {
-		written, err := conn.raw.Write(head)
+		written, err := c.raw.Write(head)
 		if err != nil && written == 0 {
 			return fail(errors.Wrap(ErrNotSent, err.Error()))
 		}
-		conn.writeBody(request.Body)
+		c.writeBody(req.Body)
 	}
-	response, err := conn.readHead(request)
+	response, err := c.readHead(req)
 	if err != nil {
 		return fail(err)
 	}
-	return &Answer{Status: response.StatusCode, Header: response.Header, response: response, conn: conn, stop: stop}, nil
+	return &Answer{Status: response.StatusCode, Header: response.Header, response: response, conn: c, stop: stop}, nil
 }
 
 // writeBody writes a long body while the answer is awaited, as a peer may
 // answer before it has read all.
-func (conn *connection) writeBody(body []byte) {
+func (c *connection) writeBody(body []byte) {
 	done := make(chan struct{})
-	conn.writing = done
+	c.writing = done
 	go func() {
 		defer close(done)
-		if _, err := conn.raw.Write(body); err != nil {
-			conn.writeErr.Store(true)
+		if _, err := c.raw.Write(body); err != nil {
+			c.writeErr.Store(true)
 		}
 	}()
 }
 
 // readHead reads the head of the answer, passing over answers that are late
 // and belong to earlier requests.
-func (conn *connection) readHead(request *Request) (*http.Response, error) {
-	asked := &http.Request{Method: request.Method}
+func (c *connection) readHead(req *Request) (*http.Response, error) {
+	sent := &http.Request{Method: req.Method}
 	informational := 0
 	for foreign := 0; ; {
-		response, err := http.ReadResponse(conn.reader, asked)
+		response, err := http.ReadResponse(c.reader, sent)
 		if err != nil {
 			return nil, errors.Wrap(ErrNoAnswer, err.Error())
 		}
@@ -137,12 +137,12 @@
 			}
 			continue
 		}
-		echoed := response.Header.Get(request.EchoName)
-		if request.EchoName == "" || echoed == "" || echoed == request.EchoValue {
+		echoed := response.Header.Get(req.EchoName)
+		if req.EchoName == "" || echoed == "" || echoed == req.EchoValue {
 			return response, nil
 		}
 		foreign++
-		conn.tainted = true
+		c.tainted = true
 		if foreign > maxForeignAnswers {
 			return nil, ErrForeignAnswer
 		}
@@ -152,27 +152,27 @@
 	}
 }
 
-func appendHead(buffer []byte, request *Request) []byte {
-	buffer = append(buffer, request.Method...)
-	buffer = append(buffer, ' ')
-	buffer = append(buffer, request.Target...)
-	buffer = append(buffer, " HTTP/1.1\r\nHost: "...)
-	buffer = append(buffer, request.Host...)
-	buffer = append(buffer, "\r\n"...)
-	for name, values := range request.Header {
+func appendHead(buf []byte, req *Request) []byte {
+	buf = append(buf, req.Method...)
+	buf = append(buf, ' ')
+	buf = append(buf, req.Target...)
+	buf = append(buf, " HTTP/1.1\r\nHost: "...)
+	buf = append(buf, req.Host...)
+	buf = append(buf, "\r\n"...)
+	for name, values := range req.Header {
 		for _, value := range values {
-			buffer = append(buffer, name...)
-			buffer = append(buffer, ": "...)
-			buffer = append(buffer, value...)
-			buffer = append(buffer, "\r\n"...)
+			buf = append(buf, name...)
+			buf = append(buf, ": "...)
+			buf = append(buf, value...)
+			buf = append(buf, "\r\n"...)
 		}
 	}
-	if len(request.Body) > 0 || request.Method == http.MethodPost || request.Method == http.MethodPut {
-		buffer = append(buffer, "Content-Length: "...)
-		buffer = strconv.AppendInt(buffer, int64(len(request.Body)), 10)
-		buffer = append(buffer, "\r\n"...)
+	if len(req.Body) > 0 || req.Method == http.MethodPost || req.Method == http.MethodPut {
+		buf = append(buf, "Content-Length: "...)
+		buf = strconv.AppendInt(buf, int64(len(req.Body)), 10)
+		buf = append(buf, "\r\n"...)
 	}
-	return append(buffer, "\r\n"...)
+	return append(buf, "\r\n"...)
 }
 
 // Answer is the answer to a request, its body still to be read.
@@ -188,46 +188,46 @@
 }
 
 // Read reads the body. Any error but io.EOF means that the body is not whole.
-func (answer *Answer) Read(buffer []byte) (int, error) {
-	count, err := answer.response.Body.Read(buffer)
+func (a *Answer) Read(buf []byte) (int, error) {
+	count, err := a.response.Body.Read(buf)
 	switch {
 	case err == io.EOF:
-		if answer.wholeAt.IsZero() {
-			answer.wholeAt = answer.conn.pool.now()
+		if a.wholeAt.IsZero() {
+			a.wholeAt = a.conn.pool.now()
 		}
 	case err != nil:
-		answer.failed = true
+		a.failed = true
 		err = errors.Wrap(ErrNoAnswer, err.Error())
 	}
 	return count, err
 }
 
 // Length is the body's length in bytes, or -1 if it is not known beforehand.
-func (answer *Answer) Length() int64 { return answer.response.ContentLength }
+func (a *Answer) Length() int64 { return a.response.ContentLength }
 
 // Cut ends the exchange's connection, so that a Read under way fails. Unlike all else it
 // may be called at any time; Close must follow.
-func (answer *Answer) Cut() { answer.conn.close() }
+func (a *Answer) Cut() { a.conn.close() }
 
 // Close ends the exchange. The connection is kept if the body was read to its
 // end and nothing speaks against another request on it. It rests from that end on, as
 // for the peer, however late Close comes.
-func (answer *Answer) Close() {
-	live := answer.stop()
-	if !live || answer.wholeAt.IsZero() || !answer.reusable() {
-		answer.conn.close()
+func (a *Answer) Close() {
+	live := a.stop()
+	if !live || a.wholeAt.IsZero() || !a.reusable() {
+		a.conn.close()
 		return
 	}
-	sure, rest := restOf(answer.Header)
+	sure, rest := restOf(a.Header)
 	if rest <= 0 {
-		answer.conn.close()
+		a.conn.close()
 		return
 	}
-	answer.conn.pool.put(answer.conn, answer.wholeAt.Add(sure), answer.wholeAt.Add(rest))
+	a.conn.pool.put(a.conn, a.wholeAt.Add(sure), a.wholeAt.Add(rest))
 }
 
-func (answer *Answer) reusable() bool {
-	conn := answer.conn
+func (a *Answer) reusable() bool {
+	conn := a.conn
 	if conn.writing != nil {
 		select {
 		case <-conn.writing:
@@ -236,5 +236,5 @@
 			return false
 		}
 	}
-	return !answer.failed && !answer.response.Close && !conn.tainted && !conn.writeErr.Load() && conn.reader.Buffered() == 0
+	return !a.failed && !a.response.Close && !conn.tainted && !conn.writeErr.Load() && conn.reader.Buffered() == 0
 }
--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -34,50 +34,50 @@
 // claim returns a connection that rests, which may have rested too long, or a channel that
 // is closed when one may have become free. Without either there is a place for a new
 // connection, which is counted already.
-func (pool *Pool) claim(address string, request *Request) (conn *connection, freed <-chan struct{}) {
-	now := pool.now()
-	pool.mutex.Lock()
-	defer pool.mutex.Unlock()
-	full := request.MaxOpen > 0 && pool.open[address] >= request.MaxOpen
-	if resting := pool.idle[address]; len(resting) > 0 {
+func (p *Pool) claim(address string, req *Request) (conn *connection, freed <-chan struct{}) {
+	now := p.now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	full := req.MaxOpen > 0 && p.open[address] >= req.MaxOpen
+	if resting := p.idle[address]; len(resting) > 0 {
 		last := resting[len(resting)-1]
 		// One that is not sure enough for this request rests on for others, unless its place
 		// is needed.
-		if full || last.usable(now, request.Repeatable) || !last.usable(now, true) {
-			pool.idle[address] = resting[:len(resting)-1]
+		if full || last.usable(now, req.Repeatable) || !last.usable(now, true) {
+			p.idle[address] = resting[:len(resting)-1]
 			return last, nil
 		}
 	}
 	if !full {
-		pool.open[address]++
+		p.open[address]++
 		return nil, nil
 	}
-	if pool.freed[address] == nil {
-		pool.freed[address] = make(chan struct{})
+	if p.freed[address] == nil {
+		p.freed[address] = make(chan struct{})
 	}
-	return nil, pool.freed[address]
+	return nil, p.freed[address]
 }
 
 // take returns a resting connection that is still sound, or a new one. At the limit it waits
 // for one until the request's WaitUntil.
-func (pool *Pool) take(ctx context.Context, address string, request *Request) (*connection, error) {
-	late := time.NewTimer(time.Until(request.WaitUntil))
+func (p *Pool) take(ctx context.Context, address string, req *Request) (*connection, error) {
+	late := time.NewTimer(time.Until(req.WaitUntil))
 	defer late.Stop()
 	for {
-		conn, freed := pool.claim(address, request)
+		conn, freed := p.claim(address, req)
 		switch {
-		case conn != nil && conn.usable(pool.now(), request.Repeatable) && conn.quiet():
+		case conn != nil && conn.usable(p.now(), req.Repeatable) && conn.quiet():
 			return conn, nil
 		case conn != nil:
 			conn.close()
 			continue
 		case freed == nil:
-			return pool.dial(ctx, address)
+			return p.dial(ctx, address)
 		}
 		select {
 		case <-freed:
 		case <-late.C:
-			pool.full.Add(1)
+			p.full.Add(1)
 			return nil, ErrFull
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -86,12 +86,12 @@
 }
 
 // Full returns how many requests found no connection free in time.
-func (pool *Pool) Full() uint64 { return pool.full.Load() }
+func (p *Pool) Full() uint64 { return p.full.Load() }
 
 // signal wakes those that wait for a connection to a peer. The mutex is held.
-func (pool *Pool) signal(address string) {
-	if freed := pool.freed[address]; freed != nil {
+func (p *Pool) signal(address string) {
+	if freed := p.freed[address]; freed != nil {
 		close(freed)
-		delete(pool.freed, address)
+		delete(p.freed, address)
 	}
 }
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -36,11 +36,11 @@
 func answersWhenTold(t *testing.T, tell <-chan struct{}) string {
 	return peer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		for {
-			asked, err := http.ReadRequest(reader)
+			req, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
-			_, _ = io.Copy(io.Discard, asked.Body) // it is short
+			_, _ = io.Copy(io.Discard, req.Body) // it is short
 			<-tell
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=10\r\nContent-Length: 2\r\n\r\nok")
 		}
@@ -48,10 +48,10 @@
 }
 
 // bounded sends a request that waits for a connection.
-func bounded(t *testing.T, pool *Pool, address string, most int, wait time.Duration) error {
-	asked := request("r")
-	asked.MaxOpen, asked.WaitUntil = most, time.Now().Add(wait)
-	answer, err := pool.Exchange(t.Context(), address, asked)
+func bounded(t *testing.T, p *Pool, address string, most int, wait time.Duration) error {
+	req := request("r")
+	req.MaxOpen, req.WaitUntil = most, time.Now().Add(wait)
+	answer, err := p.Exchange(t.Context(), address, req)
 	if err != nil {
 		return err
 	}
@@ -65,23 +65,23 @@
 func TestARequestWaitsForAConnectionAtTheLimit(t *testing.T) {
 	is := is.New(t)
 	tell := make(chan struct{})
-	address, pool := answersWhenTold(t, tell), newTestPool()
+	address, p := answersWhenTold(t, tell), newTestPool()
 	first, second := make(chan error, 1), make(chan error, 1)
-	go func() { first <- bounded(t, pool, address, 1, 0) }()
-	for pool.Open(address) == 0 {
+	go func() { first <- bounded(t, p, address, 1, 0) }()
+	for p.Open(address) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	err := bounded(t, pool, address, 1, 0)
+	err := bounded(t, p, address, 1, 0)
 	is.True(errors.Is(err, ErrFull))
 	is.True(errors.Is(err, ErrNotSent))
-	is.Equal(pool.Full(), uint64(1))
-	go func() { second <- bounded(t, pool, address, 1, time.Hour) }()
+	is.Equal(p.Full(), uint64(1))
+	go func() { second <- bounded(t, p, address, 1, time.Hour) }()
 	tell <- struct{}{}
 	is.NoErr(<-first)
 	tell <- struct{}{}
 	is.NoErr(<-second)
-	is.Equal(pool.Dials(), uint64(1))
-	is.Equal(pool.Open(address), 1)
+	is.Equal(p.Dials(), uint64(1))
+	is.Equal(p.Open(address), 1)
 }
 
 // Requests that come together make no more connections than allowed, those that fail to be
@@ -89,11 +89,11 @@
 func TestConnectionsMadeTogetherKeepToTheLimit(t *testing.T) {
 	is := is.New(t)
 	tell := make(chan struct{})
-	address, pool := answersWhenTold(t, tell), newTestPool()
+	address, p := answersWhenTold(t, tell), newTestPool()
 	var all sync.WaitGroup
 	for range 40 {
 		all.Go(func() {
-			if err := bounded(t, pool, address, 3, time.Hour); err != nil {
+			if err := bounded(t, p, address, 3, time.Hour); err != nil {
 				t.Error(err)
 			}
 		})
@@ -102,13 +102,13 @@
 		tell <- struct{}{}
 	}
 	all.Wait()
-	is.True(pool.Dials() <= 3)
+	is.True(p.Dials() <= 3)
 
 	left, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := pool.take(left, "127.0.0.1:1", &Request{MaxOpen: 1})
+	_, err := p.take(left, "127.0.0.1:1", &Request{MaxOpen: 1})
 	is.True(err != nil)
-	is.Equal(pool.Open("127.0.0.1:1"), 0)
+	is.Equal(p.Open("127.0.0.1:1"), 0)
 }
 
 // Of the rest that a peer grants, a request that can't be repeated keeps well away from the
@@ -122,21 +122,21 @@
 		is.Equal([2]time.Duration{sure, rest}, want)
 	}
 	now := time.Now()
-	pool := NewPool(Options{Clock: func() time.Time { return now }})
+	p := NewPool(Options{Clock: func() time.Time { return now }})
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = far.Close() }) // it is not read any more
-	pool.open["peer"]++
-	pool.put(newConnection(pool, "peer", near), now.Add(600*time.Millisecond), now.Add(900*time.Millisecond))
+	p.open["peer"]++
+	p.put(newConnection(p, "peer", near), now.Add(600*time.Millisecond), now.Add(900*time.Millisecond))
 	now = now.Add(700 * time.Millisecond)
-	conn, _ := pool.claim("peer", &Request{})
+	conn, _ := p.claim("peer", &Request{})
 	is.True(conn == nil) // a new one is made
-	is.True(pool.Rests("peer"))
-	conn, _ = pool.claim("peer", &Request{Repeatable: true})
+	is.True(p.Rests("peer"))
+	conn, _ = p.claim("peer", &Request{Repeatable: true})
 	is.True(conn != nil)
-	pool.put(conn, now, now.Add(200*time.Millisecond))
+	p.put(conn, now, now.Add(200*time.Millisecond))
 	// Where its place is needed it is closed for the request that can't be repeated.
-	conn, _ = pool.claim("peer", &Request{MaxOpen: 2})
+	conn, _ = p.claim("peer", &Request{MaxOpen: 2})
 	is.True(conn != nil && !conn.usable(now, false))
 	conn.close()
-	is.Equal(pool.Open("peer"), 1) // the place that was counted for the new one
+	is.Equal(p.Open("peer"), 1) // the place that was counted for the new one
 }
--- a/internal/requests/upstream/probe.go
+++ b/internal/requests/upstream/probe.go
@@ -42,17 +42,17 @@
 // Probe finds out whether a process listens at an address, as after a connection to it
 // broke: one connection may break by itself, a process that has ended refuses all. A
 // connection that is taken rests in the pool for the next request.
-func (pool *Pool) Probe(ctx context.Context, address string) Liveness {
+func (p *Pool) Probe(ctx context.Context, address string) Liveness {
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	pool.mutex.Lock()
-	pool.open[address]++
-	pool.mutex.Unlock()
-	conn, err := pool.dial(bounded, address)
+	p.mu.Lock()
+	p.open[address]++
+	p.mu.Unlock()
+	conn, err := p.dial(bounded, address)
 	switch {
 	case err == nil:
 		sure, rest := restOf(http.Header{})
-		pool.put(conn, pool.now().Add(sure), pool.now().Add(rest))
+		p.put(conn, p.now().Add(sure), p.now().Add(rest))
 		return Alive
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return Gone
--- a/internal/requests/upstream/rest_test.go
+++ b/internal/requests/upstream/rest_test.go
@@ -28,8 +28,8 @@
 					_, _ = io.WriteString(far, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=2\r\nContent-Length: 2\r\n\r\nok")
 				}
 			}()
-			pool := NewPool(Options{Clock: time.Now})
-			conn := newConnection(pool, "peer", near)
+			p := NewPool(Options{Clock: time.Now})
+			conn := newConnection(p, "peer", near)
 			answer, err := conn.exchange(t.Context(), &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}})
 			is.NoErr(err)
 			_, err = io.ReadAll(answer)
@@ -39,7 +39,7 @@
 			time.Sleep(2*time.Second - idleMargin - time.Second - time.Millisecond)
 			none, cancel := context.WithCancel(t.Context())
 			cancel() // a connection that is not there is not made
-			_, err = pool.take(none, "peer", &Request{})
+			_, err = p.take(none, "peer", &Request{})
 			is.Equal(err == nil, held <= time.Second)
 			conn.close()
 			_ = far.Close() // it is not read any more
@@ -53,13 +53,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		near, far := net.Pipe()
-		pool := NewPool(Options{Clock: time.Now})
-		conn := newConnection(pool, "peer", near)
-		is.Equal(pool.Resting("peer"), 0)
-		pool.put(conn, time.Now().Add(time.Second), time.Now().Add(time.Second))
-		is.Equal(pool.Resting("peer"), 1)
+		p := NewPool(Options{Clock: time.Now})
+		conn := newConnection(p, "peer", near)
+		is.Equal(p.Resting("peer"), 0)
+		p.put(conn, time.Now().Add(time.Second), time.Now().Add(time.Second))
+		is.Equal(p.Resting("peer"), 1)
 		time.Sleep(time.Second)
-		is.Equal(pool.Resting("peer"), 0)
+		is.Equal(p.Resting("peer"), 0)
 		conn.close()
 		_ = far.Close() // it is not read any more
 	})
--- a/internal/requests/upstream/suspend_test.go
+++ b/internal/requests/upstream/suspend_test.go
@@ -18,18 +18,18 @@
 func TestAConnectionRestsWhileTheMachineIsSuspended(t *testing.T) {
 	is := is.New(t)
 	clock := clocktest.New()
-	pool := NewPool(Options{Clock: clock.Now})
+	p := NewPool(Options{Clock: clock.Now})
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = far.Close() }) // it is not read any more
 	none, cancel := context.WithCancel(t.Context())
 	cancel() // a connection that is not there is not made
 	sure, rest := restOf(http.Header{"Keep-Alive": {"timeout=2"}})
-	pool.put(newConnection(pool, "peer", near), clock.Now().Add(sure), clock.Now().Add(rest))
+	p.put(newConnection(p, "peer", near), clock.Now().Add(sure), clock.Now().Add(rest))
 	clock.Suspend(time.Second)
-	kept, err := pool.take(none, "peer", &Request{})
+	kept, err := p.take(none, "peer", &Request{})
 	is.NoErr(err)
-	pool.put(kept, clock.Now().Add(time.Second), clock.Now().Add(time.Second))
+	p.put(kept, clock.Now().Add(time.Second), clock.Now().Add(time.Second))
 	clock.Suspend(time.Second)
-	_, err = pool.take(none, "peer", &Request{})
+	_, err = p.take(none, "peer", &Request{})
 	is.True(err != nil)
 }
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -89,8 +89,8 @@
 	dialer  *net.Dialer
 	now     bootclock.Clock
 
-	mutex sync.Mutex
-	idle  map[string][]*connection
+	mu   sync.Mutex
+	idle map[string][]*connection
 	// open counts the connections to each peer, those that are being made included.
 	open map[string]int
 	// freed, where somebody waits, is closed when a connection rests or has ended.
@@ -127,25 +127,25 @@
 }
 
 // Open returns how many connections to a peer are open.
-func (pool *Pool) Open(address string) int {
-	pool.mutex.Lock()
-	defer pool.mutex.Unlock()
-	return pool.open[address]
+func (p *Pool) Open(address string) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.open[address]
 }
 
 // Rests reports whether a connection to a peer rests that may be used. It may turn out to
 // be closed.
-func (pool *Pool) Rests(address string) bool {
-	return pool.Resting(address) > 0
+func (p *Pool) Rests(address string) bool {
+	return p.Resting(address) > 0
 }
 
 // Resting returns how many connections to a peer rest and may be used still.
-func (pool *Pool) Resting(address string) int {
-	now := pool.now()
-	pool.mutex.Lock()
-	defer pool.mutex.Unlock()
+func (p *Pool) Resting(address string) int {
+	now := p.now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	count := 0
-	for _, conn := range pool.idle[address] {
+	for _, conn := range p.idle[address] {
 		if conn.usable(now, true) {
 			count++
 		}
@@ -154,18 +154,18 @@
 }
 
 // Dials returns how many connections were made.
-func (pool *Pool) Dials() uint64 {
-	pool.mutex.Lock()
-	defer pool.mutex.Unlock()
-	return pool.dials
+func (p *Pool) Dials() uint64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.dials
 }
 
 // Sweep closes connections that have rested as long as they may.
-func (pool *Pool) Sweep() {
-	now := pool.now()
+func (p *Pool) Sweep() {
+	now := p.now()
 	var expired []*connection
-	pool.mutex.Lock()
-	for address, resting := range pool.idle {
+	p.mu.Lock()
+	for address, resting := range p.idle {
 		kept := resting[:0]
 		for _, conn := range resting {
 			if now.After(conn.restUntil) {
@@ -175,12 +175,12 @@
 			}
 		}
 		if len(kept) == 0 {
-			delete(pool.idle, address)
+			delete(p.idle, address)
 		} else {
-			pool.idle[address] = kept
+			p.idle[address] = kept
 		}
 	}
-	pool.mutex.Unlock()
+	p.mu.Unlock()
 	for _, conn := range expired {
 		conn.close()
 	}
@@ -188,11 +188,11 @@
 
 // Drop closes the connections to a peer that rest, as its process is known to have ended.
 // Exchanges under way go on.
-func (pool *Pool) Drop(address string) {
-	pool.mutex.Lock()
-	resting := pool.idle[address]
-	delete(pool.idle, address)
-	pool.mutex.Unlock()
+func (p *Pool) Drop(address string) {
+	p.mu.Lock()
+	resting := p.idle[address]
+	delete(p.idle, address)
+	p.mu.Unlock()
 	for _, conn := range resting {
 		conn.close()
 	}
@@ -200,51 +200,51 @@
 
 // Exchange sends a request and returns its answer once the head is there. The
 // caller must Close the answer. When the context ends, the connection is cut.
-func (pool *Pool) Exchange(ctx context.Context, address string, request *Request) (*Answer, error) {
+func (p *Pool) Exchange(ctx context.Context, address string, req *Request) (*Answer, error) {
 	if ctx.Err() != nil {
 		// A resting connection would take the request before the end closes it.
 		return nil, errors.Wrap(ErrNotSent, ctx.Err().Error())
 	}
-	conn, err := pool.take(ctx, address, request)
+	conn, err := p.take(ctx, address, req)
 	if errors.Is(err, ErrFull) {
 		return nil, err
 	}
 	if err != nil {
 		return nil, errors.Wrap(ErrNotSent, err.Error())
 	}
-	return conn.exchange(ctx, request)
+	return conn.exchange(ctx, req)
 }
 
 // dial makes a connection, whose place is counted already.
-func (pool *Pool) dial(ctx context.Context, address string) (*connection, error) {
-	raw, err := pool.dialer.DialContext(ctx, "tcp4", address)
+func (p *Pool) dial(ctx context.Context, address string) (*connection, error) {
+	raw, err := p.dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
-		pool.closed(address)
+		p.closed(address)
 		return nil, err
 	}
-	pool.mutex.Lock()
-	pool.dials++
-	pool.mutex.Unlock()
-	return newConnection(pool, address, raw), nil
+	p.mu.Lock()
+	p.dials++
+	p.mu.Unlock()
+	return newConnection(p, address, raw), nil
 }
 
 // put lets a connection rest until a moment, for requests that may be repeated until a later
 // one.
-func (pool *Pool) put(conn *connection, sureUntil, restUntil time.Time) {
+func (p *Pool) put(conn *connection, sureUntil, restUntil time.Time) {
 	conn.sureUntil, conn.restUntil = sureUntil, restUntil
-	pool.mutex.Lock()
-	defer pool.mutex.Unlock()
-	pool.idle[conn.address] = append(pool.idle[conn.address], conn)
-	pool.signal(conn.address)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.idle[conn.address] = append(p.idle[conn.address], conn)
+	p.signal(conn.address)
 }
 
-func (pool *Pool) closed(address string) {
-	pool.mutex.Lock()
-	defer pool.mutex.Unlock()
-	pool.open[address]--
-	pool.signal(address)
-	if pool.open[address] <= 0 {
-		delete(pool.open, address)
+func (p *Pool) closed(address string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.open[address]--
+	p.signal(address)
+	if p.open[address] <= 0 {
+		delete(p.open, address)
 	}
 }
 
--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -49,8 +49,8 @@
 }
 
 // ask sends a request and returns the whole body.
-func ask(pool *Pool, address, id string) (string, error) {
-	answer, err := pool.Exchange(context.Background(), address, request(id))
+func ask(p *Pool, address, id string) (string, error) {
+	answer, err := p.Exchange(context.Background(), address, request(id))
 	if err != nil {
 		return "", err
 	}
@@ -60,12 +60,12 @@
 }
 
 func readRequest(reader *bufio.Reader) (string, bool) {
-	asked, err := http.ReadRequest(reader)
+	req, err := http.ReadRequest(reader)
 	if err != nil {
 		return "", false
 	}
-	_, _ = io.Copy(io.Discard, asked.Body)
-	return asked.Header.Get("X-Id"), true
+	_, _ = io.Copy(io.Discard, req.Body)
+	return req.Header.Get("X-Id"), true
 }
 
 func answerText(id, body string) string {
@@ -83,13 +83,13 @@
 			_, _ = io.WriteString(conn, answerText(id, fmt.Sprint(number)))
 		}
 	})
-	pool := newTestPool()
+	p := newTestPool()
 	for i := 0; i < 5; i++ {
-		body, err := ask(pool, address, fmt.Sprint(i))
+		body, err := ask(p, address, fmt.Sprint(i))
 		is.NoErr(err)
 		is.Equal(body, "0")
 	}
-	is.Equal(pool.Dials(), uint64(1))
+	is.Equal(p.Dials(), uint64(1))
 }
 
 // An answer that comes late, where the next one is due, is passed over; the
@@ -104,13 +104,13 @@
 		_, _ = io.WriteString(conn, answerText(id, "right"))
 		_, _ = readRequest(reader)
 	})
-	pool := newTestPool()
-	body, err := ask(pool, address, "a")
+	p := newTestPool()
+	body, err := ask(p, address, "a")
 	is.NoErr(err)
 	is.Equal(body, "right")
-	_, err = ask(pool, address, "b")
+	_, err = ask(p, address, "b")
 	is.NoErr(err)
-	is.Equal(pool.Dials(), uint64(2))
+	is.Equal(p.Dials(), uint64(2))
 }
 
 // Bytes after a whole answer end the connection's use.
@@ -127,13 +127,13 @@
 		}
 		_, _ = readRequest(reader)
 	})
-	pool := newTestPool()
-	_, err := ask(pool, address, "a")
+	p := newTestPool()
+	_, err := ask(p, address, "a")
 	is.NoErr(err)
 	close(answered)
 	<-sent
 	// Loopback hands the bytes over before the peer's write returns.
-	body, err := ask(pool, address, "b")
+	body, err := ask(p, address, "b")
 	is.NoErr(err)
 	is.Equal(body, "first")
 }
@@ -169,11 +169,11 @@
 			_ = conn.(*net.TCPConn).SetLinger(0)
 		}
 	})
-	pool := newTestPool()
-	body, err := ask(pool, address, "a")
+	p := newTestPool()
+	body, err := ask(p, address, "a")
 	is.NoErr(err)
 	is.Equal(body, "all of it")
-	_, err = ask(pool, address, "b")
+	_, err = ask(p, address, "b")
 	is.True(errors.Is(err, ErrNoAnswer))
 }
 
@@ -183,19 +183,19 @@
 	is := is.New(t)
 	got := make(chan string, 4)
 	address := peer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
-		asked, err := http.ReadRequest(reader)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, answerText(asked.Header.Get("X-Id"), "early"))
-		body, _ := io.ReadAll(asked.Body)
+		_, _ = io.WriteString(conn, answerText(req.Header.Get("X-Id"), "early"))
+		body, _ := io.ReadAll(req.Body)
 		got <- strings.Trim(string(body), "y")
 	})
-	pool := newTestPool()
+	p := newTestPool()
 	for i := 0; i < 2; i++ {
 		long := request(fmt.Sprint(i))
 		long.Body = []byte(strings.Repeat("y", 8<<20))
-		answer, err := pool.Exchange(context.Background(), address, long)
+		answer, err := p.Exchange(context.Background(), address, long)
 		is.NoErr(err)
 		body, err := io.ReadAll(answer)
 		is.NoErr(err)
@@ -253,15 +253,15 @@
 			_, _ = io.WriteString(conn, answerText(id, "whole"))
 		}
 	})
-	pool := newTestPool()
-	_, err := ask(pool, address, "a")
+	p := newTestPool()
+	_, err := ask(p, address, "a")
 	is.NoErr(err)
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
-	_, err = pool.Exchange(ctx, address, request("b"))
+	_, err = p.Exchange(ctx, address, request("b"))
 	is.True(errors.Is(err, ErrNotSent))
-	is.True(pool.Rests(address)) // the connection is not spent on it
-	_, err = ask(pool, address, "c")
+	is.True(p.Rests(address)) // the connection is not spent on it
+	_, err = ask(p, address, "c")
 	is.NoErr(err)
 	is.Equal(seen.Load(), int64(2))
 }
@@ -273,9 +273,9 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
-	pool := NewPool(Options{ConnectTimeout: time.Second, UnackedTimeout: time.Second})
+	p := NewPool(Options{ConnectTimeout: time.Second, UnackedTimeout: time.Second})
 	exchange := func() *Answer {
-		answer, err := pool.Exchange(t.Context(), address, &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}})
+		answer, err := p.Exchange(t.Context(), address, &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}})
 		is.NoErr(err)
 		_, err = io.ReadAll(answer)
 		is.NoErr(err)
@@ -283,14 +283,14 @@
 	}
 	exchange().Close()
 	underWay := exchange()
-	is.Equal(pool.Dials(), uint64(1))
-	pool.Drop(address)
-	pool.Drop("another")
+	is.Equal(p.Dials(), uint64(1))
+	p.Drop(address)
+	p.Drop("another")
 	underWay.Close()
-	is.True(pool.Rests(address)) // its peer answered
-	pool.Drop(address)
-	is.True(!pool.Rests(address))
-	is.Equal(pool.Open(address), 0)
+	is.True(p.Rests(address)) // its peer answered
+	p.Drop(address)
+	is.True(!p.Rests(address))
+	is.Equal(p.Open(address), 0)
 	exchange().Close()
-	is.Equal(pool.Dials(), uint64(2))
+	is.Equal(p.Dials(), uint64(2))
 }
