--- /dev/null
+++ b/internal/membership/lease/candidate.go
@@ -0,0 +1,134 @@
+package lease
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"woodworks/internal/daemon/periodic"
+)
+
+const (
+	// margin is added to each wait for another's lease to be over.
+	margin = 300 * time.Millisecond
+	// claimLead is how long before it may act a successor claims the lease.
+	claimLead = 300 * time.Millisecond
+	// longestWait bounds the wait of a read for a record: one that was lost in an outage is
+	// given up soon.
+	longestWait = time.Second
+)
+
+// reclaim takes the lease back if the machine's last incarnation held it last.
+func (l *Lease) reclaim(ctx context.Context) {
+	l.watch(ctx)
+	l.mu.Lock()
+	looked := l.looked
+	own := looked && l.next > 0 && l.newest.Machine == l.machine
+	l.reclaiming = !looked
+	l.mu.Unlock()
+	if own {
+		l.claim(ctx)
+	}
+}
+
+// forget drops what was read, as it is not kept up to date.
+func (l *Lease) forget() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.looked, l.newestAt = false, time.Time{}
+}
+
+// watch reads the partition as a candidate and claims the lease once it must
+// be free.
+func (l *Lease) watch(ctx context.Context) {
+	l.mu.Lock()
+	from, seen := l.next, l.looked
+	wait := time.Duration(0)
+	if seen {
+		wait = min(max(l.freeAt().Sub(l.now()), 0), longestWait)
+	}
+	l.mu.Unlock()
+	began := l.now()
+	records, err := l.read(ctx, from, wait)
+	if err != nil {
+		l.logger.Debug("lease not read", zap.Error(err))
+		l.lostContact()
+		periodic.Pause(ctx, retryPause)
+		return
+	}
+	l.mu.Lock()
+	if len(records) > 0 || !l.looked {
+		l.next = from + int64(len(records))
+		if len(records) > 0 {
+			l.newest = records[len(records)-1]
+		}
+		l.newestAt, l.looked = l.now(), true
+		l.mu.Unlock()
+		return
+	}
+	// The read was begun after the lease must have been over, or is repeated.
+	free := !began.Before(l.freeAt())
+	l.mu.Unlock()
+	if free {
+		l.claim(ctx)
+	}
+}
+
+// lostContact restarts the wait for the end of another's lease: what was
+// written meanwhile is not known.
+func (l *Lease) lostContact() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.looked {
+		l.newestAt = l.now()
+	}
+}
+
+// freeAt is when the lease should be claimed. The lease of another machine is
+// over for certain well before, but who claims it then could not act yet, and
+// would take it from a holder that is back by then. The mutex is held.
+func (l *Lease) freeAt() time.Time {
+	waiting := margin + max(l.quiet-claimLead, 0)
+	switch {
+	case l.next == 0 || l.newest.Machine == l.machine:
+		return l.newestAt
+	case l.newest.Kind == resigned:
+		return l.newestAt.Add(waiting)
+	}
+	return l.newestAt.Add(Duration + waiting)
+}
+
+// claimActsFrom is when a claim made now lets this daemon act: once all acts of the holder
+// before it must be over. The mutex is held.
+func (l *Lease) claimActsFrom() time.Time {
+	switch {
+	case l.next == 0 || l.newest.Machine == l.machine && l.newest.Active:
+		return l.now()
+	case l.newest.Kind == resigned && l.newest.Machine != l.machine:
+		return l.newestAt.Add(l.quiet + margin)
+	}
+	return l.newestAt.Add(Duration + margin + l.quiet)
+}
+
+// claim appends a claim on condition that nothing was written since.
+func (l *Lease) claim(ctx context.Context) {
+	l.mu.Lock()
+	end, before := l.next, l.newest.Holder
+	actFrom := l.claimActsFrom()
+	l.actFrom = actFrom
+	l.mu.Unlock()
+	sent := l.now()
+	appended, err := l.append(ctx, claimed, end)
+	if err != nil {
+		l.logger.Info("lease not claimed", zap.String("from", before), zap.Error(err))
+		periodic.Pause(ctx, retryPause)
+		return
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.held, l.fence, l.next = true, appended.Offset+1, appended.End
+	l.newest, l.newestAt = record{Kind: claimed, Holder: l.self, Machine: l.machine}, l.now()
+	l.actUntil = sent.Add(Duration)
+	l.logger.Info("lease claimed", zap.Int64("fence", l.fence), zap.String("from", before), zap.Duration("act_in", actFrom.Sub(l.now())))
+}
--- a/internal/membership/lease/golden_test.go
+++ b/internal/membership/lease/golden_test.go
@@ -8,6 +8,6 @@
 )
 
 func TestClaimsKeepTheirForm(t *testing.T) {
-	golden.CBOR[entry](t, "claim")
+	golden.CBOR[record](t, "claim")
 	golden.Text(t, "kinds.txt", fmt.Sprint(int(claimed), int(renewed), int(resigned)))
 }
--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -83,7 +83,7 @@
 }
 
 // startAs starts a run that is a candidate from its beginning, or is not. One that
-// becomes a candidate while it runs begins to watch up to renewEvery later.
+// becomes a candidate while it runs begins to watch up to renewInterval later.
 func startAs(ctx context.Context, log journal.Journal, machine string, number int, acts *history, candidate bool) *run {
 	bounded, cancel := context.WithCancel(ctx)
 	started := &run{lease: New(log, duty, fmt.Sprintf("%s/%d", machine, number), machine, quiet, zap.NewNop()), stop: cancel, clock: clocktest.New()}
@@ -333,7 +333,7 @@
 		time.Sleep(time.Second)
 		other := startAs(ctx, log, "b", 1, acts, true)
 		// Between two renewals, so that the one made here meets none of the holder's.
-		time.Sleep(time.Second + renewEvery/2)
+		time.Sleep(time.Second + renewInterval/2)
 		first.lease.mu.Lock()
 		end := first.lease.next
 		first.lease.mu.Unlock()
@@ -388,7 +388,7 @@
 			time.Sleep(outage)
 			is.True(!mayAct(holder))
 			log.SetBefall(nil)
-			time.Sleep(callTimeout + renewEvery + 10*time.Millisecond)
+			time.Sleep(callTimeout + renewInterval + 10*time.Millisecond)
 			is.True(mayAct(holder))
 		}
 		holder.kill()
--- a/internal/membership/lease/suspend_test.go
+++ b/internal/membership/lease/suspend_test.go
@@ -15,9 +15,9 @@
 )
 
 // write appends a record of another machine.
-func write(t *testing.T, log journal.Journal, kind claimKind) {
+func write(t *testing.T, log journal.Journal, kind recordKind) {
 	t.Helper()
-	encoded, err := cbor.Marshal(entry{Kind: kind, Holder: "other/1", Machine: "other", Active: true})
+	encoded, err := cbor.Marshal(record{Kind: kind, Holder: "other/1", Machine: "other", Active: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 		write(t, log, claimed)
 		candidate := startAs(ctx, log, "a", 1, acts, true)
 		for range 20 {
-			time.Sleep(renewEvery)
+			time.Sleep(renewInterval)
 			write(t, log, renewed)
 			candidate.clock.Suspend(Duration + margin + quiet)
 		}
