--- /dev/null
+++ b/internal/api/gateway/golden_test.go
@@ -0,0 +1,51 @@
+package gateway
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"woodworks/internal/daemon/golden"
+)
+
+func TestBodiesKeepTheirForm(t *testing.T) {
+	golden.JSON[problemBody](t, "problem")
+	golden.JSON[statusWord](t, "status-word")
+	golden.JSON[Status](t, "status")
+	golden.JSON[PolicyList](t, "policies")
+	golden.JSON[publishRequest](t, "publish")
+	golden.JSON[drainRequest](t, "drain")
+	golden.JSON[drainAnswer](t, "drained")
+	golden.JSON[Submitted](t, "submitted")
+	golden.JSON[Pulled](t, "pulled")
+	golden.JSON[announceRequest](t, "announce")
+	golden.JSON[announceAnswer](t, "announced")
+	golden.JSON[sampleRequest](t, "sample-request")
+	golden.JSON[SampleLine](t, "sample-line")
+	golden.Literals(t, "texts.literals")
+	golden.Text(t, "names.txt", fmt.Sprintln(OutcomeHeader, KeyHeader, QuarantinedHeader, Completed, NotExecuted, Unknown, notSent))
+}
+
+func TestProblemsKeepTheirForm(t *testing.T) {
+	answers := strings.Builder{}
+	tell := func(keyed bool, write func(rec *recorder)) {
+		answer := httptest.NewRecorder()
+		write(&recorder{ResponseWriter: answer, keyed: keyed})
+		header, _ := json.Marshal(answer.Header())
+		fmt.Fprintln(&answers, answer.Code, string(header))
+		fmt.Fprint(&answers, answer.Body)
+	}
+	for _, keyed := range []bool{false, true} {
+		tell(keyed, func(rec *recorder) { badField(rec, "field", "is wrong") })
+		tell(keyed, func(rec *recorder) {
+			writeProblem(rec, 503, Problem{Code: "code", Message: "message", RetryAfterMillis: 1500})
+		})
+		tell(keyed, func(rec *recorder) {
+			writeProblem(rec, 503, Problem{Code: "code", Message: "message", Outcome: Unknown, RetryAfterMillis: 20})
+		})
+		tell(keyed, func(rec *recorder) { writeDone(rec, 201, statusWord{Status: "ok"}) })
+	}
+	golden.Text(t, "problems.txt", answers.String())
+}
--- a/internal/daemon/golden/fill.go
+++ b/internal/daemon/golden/fill.go
@@ -76,3 +76,14 @@
 		f.fill(v.Index(1))
 	}
 }
+
+// Strings returns the texts among the fields of a struct, a line each, in their order.
+func Strings(of any) string {
+	lines := ""
+	for v, i := reflect.ValueOf(of), 0; i < v.NumField(); i++ {
+		if v.Field(i).Kind() == reflect.String {
+			lines += v.Field(i).String() + "\n"
+		}
+	}
+	return lines
+}
--- a/internal/daemon/golden/golden.go
+++ b/internal/daemon/golden/golden.go
@@ -25,7 +25,6 @@
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
-	"github.com/pkg/errors"
 )
 
 var update = flag.Bool("update", false, "make the test data anew instead of checking against it")
@@ -95,13 +94,17 @@
 // kept returns the content of a file of the test data, after an update what is given.
 func kept(t *testing.T, name string, now []byte) []byte {
 	t.Helper()
-	path := filepath.Join(folder, name)
 	if *update {
-		if err := errors.WithStack(write(path, now)); err != nil {
+		if err := write(filepath.Join(folder, name), now); err != nil {
 			t.Fatal(err)
 		}
 	}
-	content, err := os.ReadFile(path)
+	return read(t, name)
+}
+
+func read(t *testing.T, name string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join(folder, name))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/golden/literals.go
+++ b/internal/daemon/golden/literals.go
@@ -13,6 +13,7 @@
 
 // Literals checks that each line of a file of the test data still is a string literal of the
 // program: texts that leave the process, such as codes of problems and reasons of refusals.
+// The file is written by hand.
 func Literals(t *testing.T, name string) {
 	t.Helper()
 	found := map[string]bool{}
@@ -28,7 +29,7 @@
 			t.Fatal(err)
 		}
 	}
-	for _, line := range strings.Split(strings.TrimSpace(string(kept(t, name, nil))), "\n") {
+	for _, line := range strings.Split(strings.TrimSpace(string(read(t, name))), "\n") {
 		text, err := strconv.Unquote(line)
 		if err != nil {
 			t.Fatal(line, err)
