--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -18,7 +18,7 @@
 	// Refused: it is late, older than one before, or one too many.
 	Refused
 	// Unfounded: the report that it is based on is not here.
-	Unfounded
+	BaseMissing
 )
 
 // Merge takes in a report that its sender has just sent.
@@ -27,24 +27,24 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	t.lapse(now)
-	known := t.daemonOf(&report, now)
-	if known == nil {
+	d := t.daemonOf(&report, now)
+	if d == nil {
 		t.counts.Refused++
 		return Refused
 	}
 	if report.Base > 0 {
-		if known.report.Number != report.Base {
+		if d.report.Number != report.Base {
 			t.counts.Refused++
-			return Unfounded
+			return BaseMissing
 		}
-		report.Counts, report.Base = changed(known.report.Counts, report.Counts), 0
+		report.Counts, report.Base = apply(d.report.Counts, report.Counts), 0
 	}
-	late := known.lateness(&report, now)
+	late := d.lateness(&report, now)
 	if report.Introduces {
-		t.introduce(known, &report, now.Add(-late))
+		t.introduce(d, &report, now.Add(-late))
 		return Taken
 	}
-	if !t.take(known, report, now.Add(-late), now) {
+	if !t.take(d, report, now.Add(-late), now) {
 		return Refused
 	}
 	return Taken
@@ -52,48 +52,48 @@
 
 // Adopt takes in what another daemon believes, where it is newer than what is believed here.
 // It returns how many reports were.
-func (t *Table) Adopt(beliefs Beliefs) (reports int) {
+func (t *Table) Adopt(beliefs Occupancy) (reports int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	t.lapse(now)
-	for _, relayed := range beliefs.Reports[:min(len(beliefs.Reports), mostDaemons)] {
-		known := t.daemonOf(&relayed.Report, now)
-		if known != nil && relayed.Report.Base == 0 && t.take(known, relayed.Report, now.Add(-time.Duration(relayed.Age)*ageUnit), now) {
+	for _, relayed := range beliefs.Reports[:min(len(beliefs.Reports), maxDaemons)] {
+		d := t.daemonOf(&relayed.Report, now)
+		if d != nil && relayed.Report.Base == 0 && t.take(d, relayed.Report, now.Add(-time.Duration(relayed.Age)*ageUnit), now) {
 			reports++
 		}
 	}
-	t.addPaces(beliefs.Paces, now)
+	t.addMeasured(beliefs.Measured, now)
 	return reports
 }
 
 // daemonOf returns the daemon that a report may be taken into, or nil if the report is to be
 // refused. The mutex is held.
 func (t *Table) daemonOf(report *Report, now time.Time) *daemon {
-	machine := identity.Machine(report.Run)
-	if machine == "" || machine == identity.Machine(t.run) {
+	machine := identity.Machine(report.Sender)
+	if machine == "" || machine == identity.Machine(t.self) {
 		return nil
 	}
-	known := t.daemons[machine]
+	d := t.daemons[machine]
 	switch {
-	case known == nil && len(t.daemons) >= mostDaemons && !t.forgetOne():
+	case d == nil && len(t.daemons) >= maxDaemons && !t.forgetOne():
 		return nil
-	case known == nil:
-	case known.report.Run != report.Run:
+	case d == nil:
+	case d.report.Sender != report.Sender:
 		// The order of two runs is told by the machine's own time of day, which may have been
 		// put back: it decides only as long as the later run is known to be alive.
-		if known.holds && identity.Started(report.Run) < identity.Started(known.report.Run) {
+		if d.current && identity.Started(report.Sender) < identity.Started(d.report.Sender) {
 			return nil
 		}
-		t.drop(known)
-	case !report.Introduces && report.Number <= known.report.Number:
+		t.drop(d)
+	case !report.Introduces && report.Number <= d.report.Number:
 		return nil
 	default:
-		return known
+		return d
 	}
-	known = &daemon{report: Report{Run: report.Run}}
-	t.daemons[machine] = known
-	return known
+	d = &daemon{report: Report{Sender: report.Sender}}
+	t.daemons[machine] = d
+	return d
 }
 
 // lateness is for how much longer than usual a report was on its way.
@@ -111,71 +111,71 @@
 
 // introduce notes that a daemon is an owner, and the paces that it told. The report that is
 // believed of it stays. The mutex is held.
-func (t *Table) introduce(known *daemon, report *Report, at time.Time) {
+func (t *Table) introduce(d *daemon, report *Report, at time.Time) {
 	t.counts.Received++
-	known.ownerAt = at
-	t.addPaces(report.Paces[:min(len(report.Paces), longestReport)], at)
+	d.ownerAt = at
+	t.addMeasured(report.Measured[:min(len(report.Measured), maxEntries)], at)
 }
 
 // take makes a report the one that is believed of its daemon. The mutex is held.
-func (t *Table) take(known *daemon, report Report, at, now time.Time) bool {
-	report.bounded()
-	if now.Sub(at) > reportHolds {
+func (t *Table) take(d *daemon, report Report, at, now time.Time) bool {
+	report.bound()
+	if now.Sub(at) > reportLifetime {
 		// Its counts are over, yet those before it even more so.
-		t.drop(known)
-		known.report, known.at = report, at
+		t.drop(d)
+		d.report, d.at = report, at
 		t.counts.Refused++
 		return false
 	}
-	if !known.holds && !report.over() {
-		t.logger.Info("owner's requests heard of", zap.String("owner", report.Run), zap.Uint64("report", report.Number),
+	if !d.current && !report.empty() {
+		t.logger.Info("owner's requests heard of", zap.String("owner", report.Sender), zap.Uint64("report", report.Number),
 			zap.Int("replicas", len(report.Counts)), zap.Duration("age", now.Sub(at)))
 	}
-	t.drop(known)
+	t.drop(d)
 	t.counts.Received++
-	known.report, known.at, known.holds = report, at, !report.over()
-	known.ownerAt = time.Time{}
-	if known.holds {
-		known.ownerAt = at
+	d.report, d.at, d.current = report, at, !report.empty()
+	d.ownerAt = time.Time{}
+	if d.current {
+		d.ownerAt = at
 	}
-	t.addPaces(report.Paces, at)
-	if !known.holds {
+	t.addMeasured(report.Measured, at)
+	if !d.current {
 		return true
 	}
-	for _, each := range report.Counts {
-		t.elsewhere[each.Replica] += int(each.Requests)
-		t.counts.Elsewhere += int(each.Requests)
+	for _, c := range report.Counts {
+		t.inFlight[c.Replica] += int(c.Requests)
+		t.counts.Elsewhere += int(c.Requests)
 	}
-	if lapses := at.Add(reportHolds); t.nextLapse.IsZero() || lapses.Before(t.nextLapse) {
+	if lapses := at.Add(reportLifetime); t.nextLapse.IsZero() || lapses.Before(t.nextLapse) {
 		t.nextLapse = lapses
 	}
 	return true
 }
 
 // drop counts a daemon's report no more. The mutex is held.
-func (t *Table) drop(known *daemon) {
-	if !known.holds {
+func (t *Table) drop(d *daemon) {
+	if !d.current {
 		return
 	}
-	known.holds = false
-	for _, each := range known.report.Counts {
-		t.counts.Elsewhere -= int(each.Requests)
-		if t.elsewhere[each.Replica] -= int(each.Requests); t.elsewhere[each.Replica] <= 0 {
-			delete(t.elsewhere, each.Replica)
+	d.current = false
+	for _, c := range d.report.Counts {
+		t.counts.Elsewhere -= int(c.Requests)
+		if t.inFlight[c.Replica] -= int(c.Requests); t.inFlight[c.Replica] <= 0 {
+			delete(t.inFlight, c.Replica)
 		}
 	}
 }
 
 // addPaces takes paces in that were told at a time, where they are newer than those known.
 // The mutex is held.
-func (t *Table) addPaces(told []Pacing, at time.Time) {
-	for _, each := range told {
-		measured := at.Add(-time.Duration(each.Age) * ageUnit)
-		before, known := t.paces[each.Replica]
-		if each.Pace == 0 || known && !measured.After(before.at) || !known && len(t.paces) >= mostPaces {
+func (t *Table) addMeasured(told []Measurement, at time.Time) {
+	for _, m := range told {
+		measured := at.Add(-time.Duration(m.Age) * ageUnit)
+		before, known := t.eventTimes[m.Replica]
+		if m.EventTime == 0 || known && !measured.After(before.at) || !known && len(t.eventTimes) >= maxEventTimes {
 			continue
 		}
-		t.paces[each.Replica] = pacing{pace: time.Duration(each.Pace) * PaceUnit, at: measured}
+		t.eventTimes[m.Replica] = measuredTime{eventTime: time.Duration(m.EventTime) * EventTimeUnit, at: measured}
 	}
 }
 
@@ -185,14 +185,14 @@
 		return
 	}
 	t.nextLapse = time.Time{}
-	for _, known := range t.daemons {
-		lapses := known.at.Add(reportHolds)
+	for _, d := range t.daemons {
+		lapses := d.at.Add(reportLifetime)
 		switch {
-		case !known.holds:
+		case !d.current:
 		case !now.Before(lapses):
-			t.drop(known)
+			t.drop(d)
 			t.counts.Expired++
-			t.logger.Info("owner's requests no longer known", zap.String("owner", known.report.Run), zap.Uint64("report", known.report.Number), zap.Duration("age", now.Sub(known.at)))
+			t.logger.Info("owner's requests no longer known", zap.String("owner", d.report.Sender), zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.at)))
 		case t.nextLapse.IsZero() || lapses.Before(t.nextLapse):
 			t.nextLapse = lapses
 		}
@@ -203,8 +203,8 @@
 // don't hold. The mutex is held.
 func (t *Table) forgetOne() bool {
 	oldest := ""
-	for machine, known := range t.daemons {
-		if !known.holds && (oldest == "" || known.at.Before(t.daemons[oldest].at)) {
+	for machine, d := range t.daemons {
+		if !d.current && (oldest == "" || d.at.Before(t.daemons[oldest].at)) {
 			oldest = machine
 		}
 	}
@@ -218,14 +218,14 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	t.lapse(now)
-	for machine, known := range t.daemons {
-		if !known.holds && now.Sub(known.at) > remembered && now.Sub(known.ownerAt) > remembered {
+	for machine, d := range t.daemons {
+		if !d.current && now.Sub(d.at) > rememberFor && now.Sub(d.ownerAt) > rememberFor {
 			delete(t.daemons, machine)
 		}
 	}
-	for replica, known := range t.paces {
-		if now.Sub(known.at) > paceHolds {
-			delete(t.paces, replica)
+	for replica, known := range t.eventTimes {
+		if now.Sub(known.at) > eventTimeLifetime {
+			delete(t.eventTimes, replica)
 		}
 	}
 }
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -33,12 +33,12 @@
 
 const (
 	// PaceUnit is the unit of paces on the wire: a hundredth of a usual pace and less.
-	PaceUnit = 100 * time.Microsecond
+	EventTimeUnit = 100 * time.Microsecond
 	// ageUnit is the unit of ages on the wire.
 	ageUnit = time.Millisecond
 	// longestReport bounds the entries of each list in a report. Requests at replicas beyond
 	// it go untold, as they all would without a report.
-	longestReport = 1024
+	maxEntries = 1024
 )
 
 // Key stands for one start of a replica, or for a service, where its name would be most of
@@ -65,12 +65,12 @@
 }
 
 // Pacing is a pace that was measured at a replica.
-type Pacing struct {
+type Measurement struct {
 	_       struct{} `cbor:",toarray"`
 	Replica Key
 	// Pace is the time between two events of a text in units of PaceUnit, Age how long ago
 	// the last of these was, in milliseconds.
-	Pace, Age uint32
+	EventTime, Age uint32
 }
 
 // Demand is what a daemon has and would have of a service's engines.
@@ -88,30 +88,30 @@
 // only its paces add to what was told before.
 type Report struct {
 	// Run is the daemon's identity, Number the report's place among those of the run.
-	Run    string `cbor:"1,keyasint"`
+	Sender string `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
 	// Sent is when it was sent by the sender's own clock, in milliseconds. Only the
 	// differences between reports of one run mean anything.
 	Sent int64 `cbor:"3,keyasint"`
 	// Counts are in the order of their keys. With a Base they are only those that differ
 	// from the report of that number, 0 for what is no longer there.
-	Counts  []Count  `cbor:"4,keyasint,omitempty"`
-	Paces   []Pacing `cbor:"5,keyasint,omitempty"`
-	Demands []Demand `cbor:"6,keyasint,omitempty"`
-	Base    uint64   `cbor:"7,keyasint,omitempty"`
+	Counts   []Count       `cbor:"4,keyasint,omitempty"`
+	Measured []Measurement `cbor:"5,keyasint,omitempty"`
+	Demands  []Demand      `cbor:"6,keyasint,omitempty"`
+	Base     uint64        `cbor:"7,keyasint,omitempty"`
 	// Introduces says that the sender has batches, but tells one that has none only so and
 	// the paces that it knows.
 	Introduces bool `cbor:"8,keyasint,omitempty"`
 }
 
 // over reports whether it tells of nothing under way and nothing that waits.
-func (r *Report) over() bool { return len(r.Counts) == 0 && len(r.Demands) == 0 }
+func (r *Report) empty() bool { return len(r.Counts) == 0 && len(r.Demands) == 0 }
 
 // bounded drops the entries beyond what a table takes in.
-func (r *Report) bounded() {
-	r.Counts = r.Counts[:min(len(r.Counts), longestReport)]
-	r.Paces = r.Paces[:min(len(r.Paces), longestReport)]
-	r.Demands = r.Demands[:min(len(r.Demands), longestReport)]
+func (r *Report) bound() {
+	r.Counts = r.Counts[:min(len(r.Counts), maxEntries)]
+	r.Measured = r.Measured[:min(len(r.Measured), maxEntries)]
+	r.Demands = r.Demands[:min(len(r.Demands), maxEntries)]
 }
 
 // changes returns the counts that differ between two reports, both in order.
@@ -135,7 +135,7 @@
 }
 
 // changed returns counts with changes, both in order.
-func changed(before, changes []Count) (made []Count) {
+func apply(before, changes []Count) (made []Count) {
 	for len(before)+len(changes) > 0 {
 		if len(changes) == 0 || len(before) > 0 && before[0].Replica < changes[0].Replica {
 			made = append(made, before[0])
@@ -160,12 +160,12 @@
 }
 
 // Beliefs are all that a daemon believes, its own state included.
-type Beliefs struct {
-	Reports []Relayed `cbor:"1,keyasint,omitempty"`
-	Paces   []Pacing  `cbor:"2,keyasint,omitempty"`
+type Occupancy struct {
+	Reports  []Relayed     `cbor:"1,keyasint,omitempty"`
+	Measured []Measurement `cbor:"2,keyasint,omitempty"`
 }
 
 // MakePacing returns a pace with its age as it is told.
-func MakePacing(replica Key, pace, age time.Duration) Pacing {
-	return Pacing{Replica: replica, Pace: uint32(pace / PaceUnit), Age: uint32(min(age, paceHolds) / ageUnit)}
+func NewMeasurement(replica Key, pace, age time.Duration) Measurement {
+	return Measurement{Replica: replica, EventTime: uint32(pace / EventTimeUnit), Age: uint32(min(age, eventTimeLifetime) / ageUnit)}
 }
--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -15,9 +15,9 @@
 const (
 	// tellInterval is the least time between two reports: a part of a dispatcher's wait for
 	// a change, and less than what the shortest text takes.
-	tellInterval = 100 * time.Millisecond
+	reportInterval = 100 * time.Millisecond
 	// repeatInterval is after how long a report is told again though nothing has changed.
-	repeatInterval = reportHolds / 3
+	repeatInterval = reportLifetime / 3
 	// bytesPerSecond bounds what a daemon sends, two thirds of the 18 KB that one may need
 	// for all that is no work, and with callBytes its calls to 40 a second. Where requests at
 	// some of 45 engines change all the time, a report takes 340 bytes with its headers, and a
@@ -37,14 +37,14 @@
 	lingerTime = 10 * time.Second
 	// tellTimeout bounds one call, of either kind: as long as other calls between daemons
 	// may take, as a peer that needs longer is left alone for all of them.
-	tellTimeout = 700 * time.Millisecond
+	callTimeout = 700 * time.Millisecond
 	// askedAtMost is how many peers are asked for what they believe until one believes
 	// anything.
-	askedAtMost = 3
+	maxAsked = 3
 	// paceRepeat is after how long a pace is told again, paceChange by which part it must
 	// differ to be told before: paces are known to within a few hundredths.
-	paceRepeat = 2 * time.Second
-	paceChange = 0.08
+	eventTimeRepeat = 2 * time.Second
+	eventTimeChange = 0.08
 )
 
 // Peers are the other daemons.
@@ -60,34 +60,34 @@
 
 // Dealt returns the identities of the daemons that may be given batches. It may take as long
 // as a call to the journal.
-type Dealt func(ctx context.Context) []string
+type Candidates func(ctx context.Context) []string
 
 // told is a pace as it was told last.
-type told struct {
-	pace uint32
-	at   time.Time
+type sentTime struct {
+	eventTime uint32
+	at        time.Time
 }
 
 // recipient is a machine that is told.
 type recipient struct {
 	// telling says that a call is under way.
-	telling bool
+	sending bool
 	// owner says that it has batches itself, as it answered last.
 	owner  bool
-	toldAt time.Time
+	sentAt time.Time
 	// heard is the report that it has taken in last, Number 0 if none is known to be.
-	heard Report
+	acknowledged Report
 }
 
 // Publisher tells the other owners of this daemon's requests while it has any. It is safe
 // for concurrent use.
 type Publisher struct {
-	table  *Table
-	peers  Peers
-	source Source
-	dealt  Dealt
-	logger *zap.Logger
-	wake   chan struct{}
+	table      *Table
+	peers      Peers
+	source     Source
+	candidates Candidates
+	logger     *zap.Logger
+	wake       chan struct{}
 
 	mu         sync.Mutex
 	number     uint64
@@ -95,15 +95,15 @@
 	machines   []string
 	// machinesAt is when the machines were asked for last, asking that they are being.
 	machinesAt time.Time
-	asking     bool
+	refreshing bool
 	active     bool
 	// endedAt is when this daemon had something to tell last, zero if it never had.
-	endedAt time.Time
-	paces   map[Key]told
-	last    Report
-	lastAt  time.Time
+	endedAt   time.Time
+	sentTimes map[Key]sentTime
+	last      Report
+	lastAt    time.Time
 	// rest is how long after lastAt the next report may go.
-	rest   time.Duration
+	pause  time.Duration
 	totals Totals
 }
 
@@ -111,10 +111,10 @@
 type Totals struct{ Sent, Failed, Bytes uint64 }
 
 // NewPublisher returns a publisher; Run starts it.
-func NewPublisher(table *Table, peers Peers, source Source, dealt Dealt, logger *zap.Logger) *Publisher {
+func NewPublisher(table *Table, peers Peers, source Source, dealt Candidates, logger *zap.Logger) *Publisher {
 	return &Publisher{
-		table: table, peers: peers, source: source, dealt: dealt, logger: logger, wake: make(chan struct{}, 1),
-		recipients: map[string]*recipient{}, paces: map[Key]told{},
+		table: table, peers: peers, source: source, candidates: dealt, logger: logger, wake: make(chan struct{}, 1),
+		recipients: map[string]*recipient{}, sentTimes: map[Key]sentTime{},
 	}
 }
 
@@ -129,7 +129,7 @@
 // Run tells the others until the context ends. It waits for none of them.
 func (p *Publisher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		timer := time.NewTimer(p.step(ctx, time.Now()))
+		timer := time.NewTimer(p.publish(ctx, time.Now()))
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -143,7 +143,7 @@
 func (p *Publisher) wakeUnlessResting() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.active && time.Since(p.lastAt) < p.rest {
+	if p.active && time.Since(p.lastAt) < p.pause {
 		return nil
 	}
 	return p.wake
@@ -151,41 +151,41 @@
 
 // step tells the others if there is something to tell, and returns when to look again at
 // the latest.
-func (p *Publisher) step(ctx context.Context, now time.Time) time.Duration {
+func (p *Publisher) publish(ctx context.Context, now time.Time) time.Duration {
 	own := p.source()
 	own.Counts = ordered(own.Counts)
 	slices.SortFunc(own.Demands, func(a, b Demand) int { return cmp.Compare(a.Service, b.Service) })
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if own.over() && !p.active {
+	if own.empty() && !p.active {
 		return repeatInterval
 	}
-	if rest := p.lastAt.Add(p.rest).Sub(now); p.active && rest > 0 {
+	if rest := p.lastAt.Add(p.pause).Sub(now); p.active && rest > 0 {
 		return rest
 	}
 	if !p.active {
 		p.begin(ctx)
 	}
 	p.refresh(ctx, now)
-	changed := !same(&own, &p.last)
+	changed := !sameBut(&own, &p.last)
 	if !changed && now.Sub(p.lastAt) < repeatInterval {
-		return tellInterval
+		return reportInterval
 	}
-	sent := p.tell(ctx, own, now)
+	sent := p.send(ctx, own, now)
 	p.last, p.lastAt = own, now
-	p.rest = max(tellInterval, time.Duration(float64(sent)/bytesPerSecond*float64(time.Second)))
-	if own.over() {
+	p.pause = max(reportInterval, time.Duration(float64(sent)/bytesPerSecond*float64(time.Second)))
+	if own.empty() {
 		p.end()
 		return repeatInterval
 	}
-	return max(p.rest, tellInterval)
+	return max(p.pause, reportInterval)
 }
 
 // begin starts to tell. What the others believe is asked for meanwhile. The mutex is held.
 func (p *Publisher) begin(ctx context.Context) {
 	p.active = true
 	p.logger.Info("begins to tell of its requests", zap.Uint64("report", p.number+1), zap.Int("owners_known", len(p.table.Owners())))
-	go p.adopt(ctx)
+	go p.askOwners(ctx)
 }
 
 // end ceases to tell. The mutex is held.
@@ -193,41 +193,41 @@
 	p.active, p.endedAt = false, time.Now()
 	p.logger.Info("has told that it has no requests", zap.Uint64("report", p.number), zap.Uint64("calls", p.totals.Sent),
 		zap.Uint64("failed", p.totals.Failed), zap.Uint64("bytes", p.totals.Bytes))
-	p.recipients, p.paces = map[string]*recipient{}, map[Key]told{}
+	p.recipients, p.sentTimes = map[string]*recipient{}, map[Key]sentTime{}
 }
 
 // ordered brings counts in order, those of one key as one.
 func ordered(counts []Count) (made []Count) {
 	slices.SortFunc(counts, func(a, b Count) int { return cmp.Compare(a.Replica, b.Replica) })
-	for _, each := range counts {
+	for _, c := range counts {
 		switch last := len(made) - 1; {
-		case each.Requests == 0:
-		case last >= 0 && made[last].Replica == each.Replica:
-			made[last].Requests += each.Requests
+		case c.Requests == 0:
+		case last >= 0 && made[last].Replica == c.Replica:
+			made[last].Requests += c.Requests
 		default:
-			made = append(made, each)
+			made = append(made, c)
 		}
 	}
 	return made
 }
 
 // same reports whether two states say the same but for paces.
-func same(a, b *Report) bool {
+func sameBut(a, b *Report) bool {
 	return slices.Equal(a.Counts, b.Counts) && slices.Equal(a.Demands, b.Demands)
 }
 
 // refresh learns anew which machines may be given batches, without waiting for it. The mutex
 // is held.
 func (p *Publisher) refresh(ctx context.Context, now time.Time) {
-	if p.asking || !p.machinesAt.IsZero() && now.Sub(p.machinesAt) < introduceInterval {
+	if p.refreshing || !p.machinesAt.IsZero() && now.Sub(p.machinesAt) < introduceInterval {
 		return
 	}
-	p.asking, p.machinesAt = true, now
+	p.refreshing, p.machinesAt = true, now
 	go func() {
-		machines := p.dealtMachines(ctx)
+		machines := p.candidateMachines(ctx)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.asking = false
+		p.refreshing = false
 		if len(machines) == 0 || slices.Equal(p.machines, machines) {
 			return // where it can't be learned, those of before may still be right
 		}
@@ -236,8 +236,8 @@
 	}()
 }
 
-func (p *Publisher) dealtMachines(ctx context.Context) (machines []string) {
-	for _, run := range p.dealt(ctx) {
+func (p *Publisher) candidateMachines(ctx context.Context) (machines []string) {
+	for _, run := range p.candidates(ctx) {
 		machines = append(machines, identity.Machine(run))
 	}
 	slices.Sort(machines)
@@ -250,7 +250,7 @@
 	own.Counts = ordered(own.Counts)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	own.Run, own.Number, own.Sent = p.table.run, p.number, p.table.now().UnixMilli()
+	own.Sender, own.Number, own.Sent = p.table.self, p.number, p.table.now().UnixMilli()
 	return own
 }
 
--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -108,27 +108,27 @@
 		is.Equal(a.publisher.Totals().Sent+b.publisher.Totals().Sent, uint64(0))
 		a.set(Count{Replica: engine, Requests: 3})
 		b.set(Count{Replica: engine, Requests: 2}, Count{Replica: engine + 1, Requests: 1})
-		time.Sleep(2 * tellInterval)
+		time.Sleep(2 * reportInterval)
 		// One that has nothing only knows whom to ask.
-		is.Equal(c.table.Others(engine), 0)
+		is.Equal(c.table.InFlight(engine), 0)
 		is.Equal(c.table.Counts().Expired, uint64(0))
 		is.Equal(len(c.table.Owners()), 2)
-		is.Equal(a.table.Others(engine+1), 1)
+		is.Equal(a.table.InFlight(engine+1), 1)
 		c.set(Count{Replica: engine, Requests: 4})
-		time.Sleep(2 * tellInterval)
-		is.Equal(c.table.Others(engine), 5)
-		is.Equal(b.table.Others(engine), 7)
+		time.Sleep(2 * reportInterval)
+		is.Equal(c.table.InFlight(engine), 5)
+		is.Equal(b.table.InFlight(engine), 7)
 		c.set()
 		a.set(Count{Replica: engine, Requests: 1})
-		time.Sleep(2 * tellInterval)
-		is.Equal(b.table.Others(engine), 1)
+		time.Sleep(2 * reportInterval)
+		is.Equal(b.table.InFlight(engine), 1)
 		// Nothing changes, and what was told holds all the same.
-		time.Sleep(10 * reportHolds)
-		is.Equal(b.table.Others(engine), 1)
+		time.Sleep(10 * reportLifetime)
+		is.Equal(b.table.InFlight(engine), 1)
 		is.Equal(b.table.Counts().Expired, uint64(0))
 		a.set()
-		time.Sleep(2 * tellInterval)
-		is.Equal(b.table.Others(engine), 0)
+		time.Sleep(2 * reportInterval)
+		is.Equal(b.table.InFlight(engine), 0)
 		told := a.publisher.Totals().Sent
 		time.Sleep(10 * time.Second)
 		is.Equal(a.publisher.Totals().Sent, told)
@@ -146,10 +146,10 @@
 		b.set()
 		for range 4 {
 			time.Sleep(lingerTime / 5)
-			is.Equal(b.table.Others(engine), 3)
+			is.Equal(b.table.InFlight(engine), 3)
 		}
 		time.Sleep(lingerTime)
-		is.Equal(b.table.Others(engine), 0)
+		is.Equal(b.table.InFlight(engine), 0)
 		is.Equal(b.table.Owners(), []string{"d0"})
 	})
 }
@@ -164,16 +164,16 @@
 		daemons.setSilent("d1", true)
 		for number := range uint32(40) {
 			a.set(Count{Replica: engine, Requests: number + 1})
-			time.Sleep(tellInterval)
-			is.True(c.table.Others(engine) >= int(number)) // one interval behind at most, c's count left out
+			time.Sleep(reportInterval)
+			is.True(c.table.InFlight(engine) >= int(number)) // one interval behind at most, c's count left out
 		}
-		time.Sleep(tellInterval)
+		time.Sleep(reportInterval)
 		totals := a.publisher.Totals()
 		is.True(totals.Failed >= 2)
-		is.True(totals.Failed <= uint64(40*tellInterval/tellTimeout)+1)
+		is.True(totals.Failed <= uint64(40*reportInterval/callTimeout)+1)
 		daemons.setSilent("d1", false)
 		time.Sleep(3 * time.Second)
-		is.Equal(b.table.Others(engine), 41)
+		is.Equal(b.table.InFlight(engine), 41)
 	})
 }
 
@@ -187,8 +187,8 @@
 		again := daemons.start(ctx, "d1/2", "d1")
 		again.set(Count{Replica: engine, Requests: 1})
 		time.Sleep(2 * repeatInterval)
-		is.Equal(again.table.Others(engine), 3)
-		is.Equal(again.table.Others(engine+1), 1)
+		is.Equal(again.table.InFlight(engine), 3)
+		is.Equal(again.table.InFlight(engine+1), 1)
 	})
 }
 
@@ -197,17 +197,17 @@
 func TestANewOwnerAdoptsBeliefs(t *testing.T) {
 	withFleet(t, 4, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b, c := daemons.daemons["d0"], daemons.daemons["d1"], daemons.daemons["d2"]
-		a.table.Adopt(Beliefs{Paces: []Pacing{MakePacing(engine+9, 20*time.Millisecond, 0)}})
+		a.table.Adopt(Occupancy{Measured: []Measurement{NewMeasurement(engine+9, 20*time.Millisecond, 0)}})
 		a.set(Count{Replica: engine, Requests: 3})
 		b.set(Count{Replica: engine, Requests: 2})
 		time.Sleep(2 * time.Second)
 		daemons.setSilent("d3", true)
-		pace, _ := c.table.Pace(engine + 9)
+		pace, _ := c.table.EventTime(engine + 9)
 		is.Equal(pace, time.Duration(0)) // hearsay is not told unasked
 		c.set(Count{Replica: engine, Requests: 1})
 		time.Sleep(time.Millisecond)
-		is.Equal(c.table.Others(engine), 5)
-		pace, _ = c.table.Pace(engine + 9)
+		is.Equal(c.table.InFlight(engine), 5)
+		pace, _ = c.table.EventTime(engine + 9)
 		is.Equal(pace, 20*time.Millisecond)
 	})
 }
@@ -239,7 +239,7 @@
 			totals := daemons.daemons["d0"].publisher.Totals()
 			is.True(float64(totals.Bytes) <= 1.2*bytesPerSecond*over.Seconds()) // a first round is whole
 			perPeer := float64(totals.Sent) / over.Seconds() / float64(owners-1)
-			is.True(perPeer <= 1.1/tellInterval.Seconds())
+			is.True(perPeer <= 1.1/reportInterval.Seconds())
 			t.Logf("%d owners: %.0f bytes a second, %.2f reports a second to each other one, %.0f bytes each", owners,
 				float64(totals.Bytes)/over.Seconds(), perPeer, float64(totals.Bytes)/float64(totals.Sent))
 		})
--- a/internal/batches/occupancy/rpc_test.go
+++ b/internal/batches/occupancy/rpc_test.go
@@ -51,19 +51,19 @@
 	has := func(requests uint32) Source {
 		return func() Report {
 			return Report{
-				Counts:  []Count{{Replica: engine, Requests: requests}},
-				Paces:   []Pacing{MakePacing(engine+Key(requests), time.Duration(requests)*10*time.Millisecond, 0)},
-				Demands: []Demand{{Service: 1, Rank: 2, InFlight: requests, Waiting: 4}},
+				Counts:   []Count{{Replica: engine, Requests: requests}},
+				Measured: []Measurement{NewMeasurement(engine+Key(requests), time.Duration(requests)*10*time.Millisecond, 0)},
+				Demands:  []Demand{{Service: 1, Rank: 2, InFlight: requests, Waiting: 4}},
 			}
 		}
 	}
 	a, b := related(ctx, t, "a", store, has(3)), related(ctx, t, "b", store, has(5))
-	for ctx.Err() == nil && (a.Others(engine) != 5 || b.Others(engine) != 3 || len(a.Demands(1)) == 0) {
+	for ctx.Err() == nil && (a.InFlight(engine) != 5 || b.InFlight(engine) != 3 || len(a.Demands(1)) == 0) {
 		time.Sleep(5 * time.Millisecond)
 	}
-	is.Equal(a.Others(engine), 5)
-	is.Equal(b.Others(engine), 3)
+	is.Equal(a.InFlight(engine), 5)
+	is.Equal(b.InFlight(engine), 3)
 	is.Equal(a.Demands(1), []Demand{{Service: 1, Rank: 2, InFlight: 5, Waiting: 4}})
-	pace, _ := b.Pace(engine + 3)
+	pace, _ := b.EventTime(engine + 3)
 	is.Equal(pace, 30*time.Millisecond)
 }
--- a/internal/batches/occupancy/service.go
+++ b/internal/batches/occupancy/service.go
@@ -41,28 +41,28 @@
 }
 
 // Tell takes a report in. It is exported for net/rpc.
-func (s *Service) Tell(told Message, heard *Heard) error {
+func (s *Service) Tell(msg Message, reply *Heard) error {
 	var report Report
-	if err := decode(told, &report); err != nil {
+	if err := decode(msg, &report); err != nil {
 		return err
 	}
-	heard.Whole = s.table.Merge(report) != Taken
-	heard.Owner = s.publisher.listens()
+	reply.Whole = s.table.Merge(report) != Taken
+	reply.Owner = s.publisher.listens()
 	s.heard()
 	return nil
 }
 
 // Ask answers a daemon that becomes an owner with all that is believed here. It is exported
 // for net/rpc.
-func (s *Service) Ask(_ struct{}, told *Message) error {
-	beliefs := s.table.Beliefs()
-	if own := s.publisher.own(); !own.over() {
-		beliefs.Paces = append(beliefs.Paces, own.Paces...)
-		own.Paces = nil
+func (s *Service) Ask(_ struct{}, msg *Message) error {
+	beliefs := s.table.Occupancy()
+	if own := s.publisher.own(); !own.empty() {
+		beliefs.Measured = append(beliefs.Measured, own.Measured...)
+		own.Measured = nil
 		beliefs.Reports = append(beliefs.Reports, Relayed{Report: own})
 	}
 	encoded, err := encode(beliefs)
-	*told = encoded
+	*msg = encoded
 	return err
 }
 
@@ -71,6 +71,6 @@
 	return Message{Body: encoded}, errors.Wrap(err, "occupancy: encode")
 }
 
-func decode(message Message, into any) error {
-	return errors.Wrap(cbor.Unmarshal(message.Body, into), "occupancy: decode")
+func decode(msg Message, into any) error {
+	return errors.Wrap(cbor.Unmarshal(msg.Body, into), "occupancy: decode")
 }
--- a/internal/batches/occupancy/share.go
+++ b/internal/batches/occupancy/share.go
@@ -25,12 +25,12 @@
 func Allowance(slots int, own Demand, others []Demand) int {
 	var equal []int
 	waits := false
-	for _, each := range others {
-		has, wants := int(each.InFlight), int(each.InFlight+each.Waiting)
+	for _, dm := range others {
+		has, wants := int(dm.InFlight), int(dm.InFlight+dm.Waiting)
 		switch {
-		case each.Waiting == 0 || each.Rank > own.Rank:
+		case dm.Waiting == 0 || dm.Rank > own.Rank:
 			slots -= has
-		case each.Rank < own.Rank:
+		case dm.Rank < own.Rank:
 			waits = true
 			slots -= wants
 		default:
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -15,21 +15,21 @@
 	// reportHolds is how long a report is believed: three times as long as a daemon lets pass
 	// between two of them, so that one that is lost or late changes nothing. It is also the
 	// longest for which an item waits for room that nobody uses; texts take seconds.
-	reportHolds = 1200 * time.Millisecond
+	reportLifetime = 1200 * time.Millisecond
 	// paceHolds is how long a pace is believed that others told: an engine's speed is that of
 	// its machine and changes with trouble only, and a first text there shows what it is now.
-	paceHolds = 30 * time.Second
+	eventTimeLifetime = 30 * time.Second
 	// remembered is how long a daemon that tells no more is remembered, so that an old report
 	// of its which comes late is known for that.
-	remembered = 30 * time.Second
+	rememberFor = 30 * time.Second
 	// mostDaemons bounds the daemons whose reports are held. More than so many owners at a time
 	// would have one or two requests each at an engine.
-	mostDaemons = 256
+	maxDaemons = 256
 	// mostPaces bounds the replicas whose paces are held.
-	mostPaces = 16384
+	maxEventTimes = 16384
 	// ownerHolds is how long a daemon is taken for an owner that can be asked: it introduces
 	// itself to each that may become one more often.
-	ownerHolds = 2 * introduceInterval
+	ownerLifetime = 2 * introduceInterval
 	// clockDrift is by how much two machines' clocks may differ in pace, far above what
 	// quartz does.
 	clockDrift = 0.001
@@ -41,7 +41,7 @@
 	// at is when the report was sent, by the clock here.
 	at time.Time
 	// holds says that the report counts.
-	holds bool
+	current bool
 	// ownerAt is when it was an owner last, as it told.
 	ownerAt time.Time
 	// offset is the least difference seen between the clock here and the sender's as a
@@ -52,9 +52,9 @@
 }
 
 // pacing is a pace that others told, with when it was measured.
-type pacing struct {
-	pace time.Duration
-	at   time.Time
+type measuredTime struct {
+	eventTime time.Duration
+	at        time.Time
 }
 
 // Table holds what other daemons told of their requests, each for a time. It is safe for
@@ -63,14 +63,14 @@
 // Invariants: elsewhere is the sum of the counts of all reports that hold; a machine has one
 // report at most.
 type Table struct {
-	run    string
+	self   string
 	now    bootclock.Clock
 	logger *zap.Logger
 
-	mu        sync.Mutex
-	daemons   map[string]*daemon
-	elsewhere map[Key]int
-	paces     map[Key]pacing
+	mu         sync.Mutex
+	daemons    map[string]*daemon
+	inFlight   map[Key]int
+	eventTimes map[Key]measuredTime
 	// nextLapse is when the next report ceases to hold at the earliest.
 	nextLapse time.Time
 	counts    Counts
@@ -87,37 +87,37 @@
 
 // NewTable returns an empty table of the daemon with the given identity.
 func NewTable(run string, now bootclock.Clock, logger *zap.Logger) *Table {
-	return &Table{run: run, now: now, logger: logger, daemons: map[string]*daemon{}, elsewhere: map[Key]int{}, paces: map[Key]pacing{}}
+	return &Table{self: run, now: now, logger: logger, daemons: map[string]*daemon{}, inFlight: map[Key]int{}, eventTimes: map[Key]measuredTime{}}
 }
 
 // Others returns how many requests of other daemons are under way at a replica, as these told.
-func (t *Table) Others(replica Key) int {
+func (t *Table) InFlight(replica Key) int {
 	if t == nil {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.elsewhere) == 0 {
+	if len(t.inFlight) == 0 {
 		return 0
 	}
 	t.lapse(t.now())
-	return t.elsewhere[replica]
+	return t.inFlight[replica]
 }
 
 // Pace returns the pace of a replica that others measured last, and how long ago; 0 if none
 // is believed.
-func (t *Table) Pace(replica Key) (pace, age time.Duration) {
+func (t *Table) EventTime(replica Key) (pace, age time.Duration) {
 	if t == nil {
 		return 0, 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.paces[replica]
+	known, ok := t.eventTimes[replica]
 	age = t.now().Sub(known.at)
-	if !ok || age > paceHolds {
+	if !ok || age > eventTimeLifetime {
 		return 0, 0
 	}
-	return known.pace, max(age, 0)
+	return known.eventTime, max(age, 0)
 }
 
 // Demands returns what other daemons have and want of a service's engines.
@@ -129,10 +129,10 @@
 	defer t.mu.Unlock()
 	t.lapse(t.now())
 	var found []Demand
-	for _, known := range t.daemons {
-		for _, each := range known.report.Demands {
-			if known.holds && each.Service == service {
-				found = append(found, each)
+	for _, d := range t.daemons {
+		for _, dm := range d.report.Demands {
+			if d.current && dm.Service == service {
+				found = append(found, dm)
 			}
 		}
 	}
@@ -145,8 +145,8 @@
 	defer t.mu.Unlock()
 	t.lapse(t.now())
 	var machines []string
-	for machine, known := range t.daemons {
-		if known.holds {
+	for machine, d := range t.daemons {
+		if d.current {
 			machines = append(machines, machine)
 		}
 	}
@@ -159,8 +159,8 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	var machines []string
-	for machine, known := range t.daemons {
-		if !known.ownerAt.IsZero() && now.Sub(known.ownerAt) <= ownerHolds {
+	for machine, d := range t.daemons {
+		if !d.ownerAt.IsZero() && now.Sub(d.ownerAt) <= ownerLifetime {
 			machines = append(machines, machine)
 		}
 	}
@@ -171,22 +171,22 @@
 }
 
 // Beliefs returns all that is believed.
-func (t *Table) Beliefs() Beliefs {
+func (t *Table) Occupancy() Occupancy {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	t.lapse(now)
-	var told Beliefs
-	for _, known := range t.daemons {
-		if known.holds {
-			report := known.report
-			report.Paces = nil
-			told.Reports = append(told.Reports, Relayed{Report: report, Age: uint32(now.Sub(known.at) / ageUnit)})
+	var told Occupancy
+	for _, d := range t.daemons {
+		if d.current {
+			report := d.report
+			report.Measured = nil
+			told.Reports = append(told.Reports, Relayed{Report: report, Age: uint32(now.Sub(d.at) / ageUnit)})
 		}
 	}
-	for replica, known := range t.paces {
-		if age := now.Sub(known.at); age <= paceHolds && len(told.Paces) < longestReport {
-			told.Paces = append(told.Paces, MakePacing(replica, known.pace, age))
+	for replica, known := range t.eventTimes {
+		if age := now.Sub(known.at); age <= eventTimeLifetime && len(told.Measured) < maxEntries {
+			told.Measured = append(told.Measured, NewMeasurement(replica, known.eventTime, age))
 		}
 	}
 	return told
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -20,7 +20,7 @@
 
 // reported is a report with some requests at one engine, sent at a time of the sender's clock.
 func reported(run string, number uint64, sent time.Time, requests uint32) Report {
-	return Report{Run: run, Number: number, Sent: sent.UnixMilli(), Counts: []Count{{Replica: engine, Requests: requests}}}
+	return Report{Sender: run, Number: number, Sent: sent.UnixMilli(), Counts: []Count{{Replica: engine, Requests: requests}}}
 }
 
 // heard runs a test of a table in virtual time, with the clock of its machine.
@@ -36,12 +36,12 @@
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		is.Equal(table.Merge(reported("a/1", 1, clock.Now(), 3)), Taken)
 		is.Equal(table.Merge(reported("b/1", 1, clock.Now(), 2)), Taken)
-		is.Equal(table.Others(engine), 5)
-		time.Sleep(reportHolds - time.Millisecond)
+		is.Equal(table.InFlight(engine), 5)
+		time.Sleep(reportLifetime - time.Millisecond)
 		is.Equal(table.Merge(reported("b/1", 2, clock.Now(), 4)), Taken)
-		is.Equal(table.Others(engine), 7)
+		is.Equal(table.InFlight(engine), 7)
 		time.Sleep(time.Millisecond)
-		is.Equal(table.Others(engine), 4)
+		is.Equal(table.InFlight(engine), 4)
 		is.Equal(table.Reporters(), []string{"b"})
 		is.Equal(table.Counts(), Counts{Received: 3, Expired: 1, Elsewhere: 4})
 	})
@@ -51,8 +51,8 @@
 func TestBeliefsLapseWhileTheMachineIsSuspended(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		table.Merge(reported("a/1", 1, clock.Now(), 3))
-		clock.Suspend(reportHolds)
-		is.Equal(table.Others(engine), 0)
+		clock.Suspend(reportLifetime)
+		is.Equal(table.InFlight(engine), 0)
 	})
 }
 
@@ -63,16 +63,16 @@
 		ahead := 40 * time.Minute // the sender's clock
 		table.Merge(reported("a/1", 1, clock.Now().Add(ahead), 3))
 		late := reported("a/1", 2, clock.Now().Add(ahead), 4)
-		clock.Suspend(reportHolds / 2)
+		clock.Suspend(reportLifetime / 2)
 		is.Equal(table.Merge(late), Taken)
-		time.Sleep(reportHolds/2 + 2*time.Millisecond)
-		is.Equal(table.Others(engine), 0)
+		time.Sleep(reportLifetime/2 + 2*time.Millisecond)
+		is.Equal(table.InFlight(engine), 0)
 		late = reported("a/1", 3, clock.Now().Add(ahead), 5)
-		clock.Suspend(2 * reportHolds)
+		clock.Suspend(2 * reportLifetime)
 		is.Equal(table.Merge(late), Refused)
-		is.Equal(table.Others(engine), 0)
+		is.Equal(table.InFlight(engine), 0)
 		is.Equal(table.Merge(reported("a/1", 4, clock.Now().Add(ahead), 6)), Taken)
-		is.Equal(table.Others(engine), 6)
+		is.Equal(table.InFlight(engine), 6)
 	})
 }
 
@@ -83,11 +83,11 @@
 		is.Equal(table.Merge(second), Taken)
 		is.Equal(table.Merge(first), Refused)
 		is.Equal(table.Merge(second), Refused)
-		is.Equal(table.Others(engine), 1)
+		is.Equal(table.InFlight(engine), 1)
 		// An empty one ends the belief, and what it has overtaken doesn't bring it back.
-		is.Equal(table.Merge(Report{Run: "a/1", Number: 4, Sent: clock.Now().UnixMilli()}), Taken)
+		is.Equal(table.Merge(Report{Sender: "a/1", Number: 4, Sent: clock.Now().UnixMilli()}), Taken)
 		is.Equal(table.Merge(reported("a/1", 3, clock.Now(), 9)), Refused)
-		is.Equal(table.Others(engine), 0)
+		is.Equal(table.InFlight(engine), 0)
 	})
 }
 
@@ -98,12 +98,12 @@
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		table.Merge(reported("a/1", 9, clock.Now(), 3))
 		is.Equal(table.Merge(reported("a/2", 1, clock.Now(), 1)), Taken)
-		is.Equal(table.Others(engine), 1)
+		is.Equal(table.InFlight(engine), 1)
 		is.Equal(table.Merge(reported("a/1", 10, clock.Now(), 3)), Refused)
-		is.Equal(table.Others(engine), 1)
-		time.Sleep(reportHolds)
+		is.Equal(table.InFlight(engine), 1)
+		time.Sleep(reportLifetime)
 		is.Equal(table.Merge(reported("a/0", 1, clock.Now(), 2)), Taken)
-		is.Equal(table.Others(engine), 2)
+		is.Equal(table.InFlight(engine), 2)
 		// What this machine's earlier run told is not another's.
 		is.Equal(table.Merge(reported("self/0", 1, clock.Now(), 2)), Refused)
 	})
@@ -114,16 +114,16 @@
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		change := reported("a/1", 2, clock.Now(), 5)
 		change.Base = 1
-		is.Equal(table.Merge(change), Unfounded)
+		is.Equal(table.Merge(change), BaseMissing)
 		table.Merge(reported("a/1", 1, clock.Now(), 3))
 		is.Equal(table.Merge(change), Taken)
-		is.Equal(table.Others(engine), 5)
+		is.Equal(table.InFlight(engine), 5)
 		// After a time without reports the base is still known.
-		time.Sleep(2 * reportHolds)
-		more := Report{Run: "a/1", Number: 3, Base: 2, Sent: clock.Now().UnixMilli(), Counts: []Count{{Replica: engine + 1, Requests: 1}}}
+		time.Sleep(2 * reportLifetime)
+		more := Report{Sender: "a/1", Number: 3, Base: 2, Sent: clock.Now().UnixMilli(), Counts: []Count{{Replica: engine + 1, Requests: 1}}}
 		is.Equal(table.Merge(more), Taken)
-		is.Equal(table.Others(engine), 5)
-		is.Equal(table.Others(engine+1), 1)
+		is.Equal(table.InFlight(engine), 5)
+		is.Equal(table.InFlight(engine+1), 1)
 	})
 }
 
@@ -138,7 +138,7 @@
 			return ordered(counts)
 		}
 		before, now := draw("before"), draw("now")
-		made := changed(before, changes(before, now))
+		made := apply(before, changes(before, now))
 		if fmt.Sprint(made) != fmt.Sprint(now) {
 			t.Fatalf("%v with changes is %v, not %v", before, made, now)
 		}
@@ -156,13 +156,13 @@
 			told := reported(run, uint64(rapid.IntRange(0, number).Draw(t, "number")), now, uint32(rapid.IntRange(0, 8).Draw(t, "requests")))
 			table.Merge(told)
 			sum := 0
-			for _, known := range table.daemons {
-				if known.holds && now.Sub(known.at) < reportHolds {
-					sum += int(known.report.Counts[0].Requests)
+			for _, d := range table.daemons {
+				if d.current && now.Sub(d.at) < reportLifetime {
+					sum += int(d.report.Counts[0].Requests)
 				}
 			}
-			if table.Others(engine) != sum || table.Counts().Elsewhere != sum {
-				t.Fatalf("%d at the engine, %d in all, reports say %d", table.Others(engine), table.Counts().Elsewhere, sum)
+			if table.InFlight(engine) != sum || table.Counts().Elsewhere != sum {
+				t.Fatalf("%d at the engine, %d in all, reports say %d", table.InFlight(engine), table.Counts().Elsewhere, sum)
 			}
 		}
 	})
@@ -171,26 +171,26 @@
 // A table is bounded in daemons, entries of a report and paces; what holds is not pushed out.
 func TestATableIsBounded(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
-		long := Report{Run: "long/1", Number: 1, Sent: clock.Now().UnixMilli()}
-		for i := range 2 * longestReport {
+		long := Report{Sender: "long/1", Number: 1, Sent: clock.Now().UnixMilli()}
+		for i := range 2 * maxEntries {
 			long.Counts = append(long.Counts, Count{Replica: Key(i), Requests: 1})
 		}
 		table.Merge(long)
-		is.Equal(table.Counts().Elsewhere, longestReport)
-		for i := range 2 * mostDaemons {
+		is.Equal(table.Counts().Elsewhere, maxEntries)
+		for i := range 2 * maxDaemons {
 			outcome := table.Merge(reported(fmt.Sprintf("d%d/1", i), 1, clock.Now(), 1))
-			is.Equal(outcome == Taken, i < mostDaemons-1)
+			is.Equal(outcome == Taken, i < maxDaemons-1)
 		}
-		time.Sleep(reportHolds)
+		time.Sleep(reportLifetime)
 		is.Equal(table.Merge(reported("late/1", 1, clock.Now(), 1)), Taken)
-		is.Equal(len(table.daemons), mostDaemons)
-		for i := range mostPaces {
-			table.Adopt(Beliefs{Paces: []Pacing{{Replica: Key(i), Pace: 1}, {Replica: Key(mostPaces + i), Pace: 1}}})
+		is.Equal(len(table.daemons), maxDaemons)
+		for i := range maxEventTimes {
+			table.Adopt(Occupancy{Measured: []Measurement{{Replica: Key(i), EventTime: 1}, {Replica: Key(maxEventTimes + i), EventTime: 1}}})
 		}
-		is.Equal(len(table.paces), mostPaces)
-		time.Sleep(max(remembered, paceHolds) + time.Second)
+		is.Equal(len(table.eventTimes), maxEventTimes)
+		time.Sleep(max(rememberFor, eventTimeLifetime) + time.Second)
 		table.Sweep()
-		is.Equal(len(table.daemons)+len(table.paces)+len(table.elsewhere), 0)
+		is.Equal(len(table.daemons)+len(table.eventTimes)+len(table.inFlight), 0)
 	})
 }
 
@@ -198,19 +198,19 @@
 func TestThePaceMeasuredLastCounts(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		tell := func(run string, pace, age time.Duration) {
-			told := Report{Run: run, Number: 1, Sent: clock.Now().UnixMilli(), Paces: []Pacing{MakePacing(engine, pace, age)}}
+			told := Report{Sender: run, Number: 1, Sent: clock.Now().UnixMilli(), Measured: []Measurement{NewMeasurement(engine, pace, age)}}
 			is.Equal(table.Merge(told), Taken)
 		}
 		tell("a/1", 30*time.Millisecond, 2*time.Second)
 		tell("b/1", 40*time.Millisecond, 5*time.Second)
-		pace, age := table.Pace(engine)
+		pace, age := table.EventTime(engine)
 		is.Equal(pace, 30*time.Millisecond)
 		is.Equal(age, 2*time.Second)
 		tell("c/1", 50*time.Millisecond, time.Second)
-		pace, _ = table.Pace(engine)
+		pace, _ = table.EventTime(engine)
 		is.Equal(pace, 50*time.Millisecond)
-		time.Sleep(paceHolds)
-		pace, _ = table.Pace(engine)
+		time.Sleep(eventTimeLifetime)
+		pace, _ = table.EventTime(engine)
 		is.Equal(pace, time.Duration(0))
 	})
 }
@@ -222,16 +222,16 @@
 		table.Merge(reported("a/1", 1, clock.Now(), 3))
 		table.Merge(reported("b/1", 5, clock.Now(), 2))
 		table.Merge(reported("new/1", 1, clock.Now(), 8))
-		table.Adopt(Beliefs{Paces: []Pacing{MakePacing(engine, 20*time.Millisecond, time.Second)}})
-		time.Sleep(reportHolds / 2)
+		table.Adopt(Occupancy{Measured: []Measurement{NewMeasurement(engine, 20*time.Millisecond, time.Second)}})
+		time.Sleep(reportLifetime / 2)
 		newcomer := NewTable("new/2", clock.Now, zap.NewNop())
 		newcomer.Merge(reported("b/1", 6, clock.Now(), 1))
-		is.Equal(newcomer.Adopt(table.Beliefs()), 1)
-		is.Equal(newcomer.Others(engine), 4)
-		pace, _ := newcomer.Pace(engine)
+		is.Equal(newcomer.Adopt(table.Occupancy()), 1)
+		is.Equal(newcomer.InFlight(engine), 4)
+		pace, _ := newcomer.EventTime(engine)
 		is.Equal(pace, 20*time.Millisecond)
-		time.Sleep(reportHolds / 2)
-		is.Equal(newcomer.Others(engine), 1)
+		time.Sleep(reportLifetime / 2)
+		is.Equal(newcomer.InFlight(engine), 1)
 	})
 }
 
@@ -248,6 +248,6 @@
 func TestANilTableBelievesNothing(t *testing.T) {
 	is := is.New(t)
 	var table *Table
-	pace, _ := table.Pace(engine)
-	is.Equal(table.Others(engine)+len(table.Demands(engine))+int(pace), 0)
+	pace, _ := table.EventTime(engine)
+	is.Equal(table.InFlight(engine)+len(table.Demands(engine))+int(pace), 0)
 }
--- a/internal/batches/occupancy/tell.go
+++ b/internal/batches/occupancy/tell.go
@@ -12,31 +12,31 @@
 
 // tell sends a report to all that are due, and returns how many bytes that takes. The mutex
 // is held.
-func (p *Publisher) tell(ctx context.Context, own Report, now time.Time) (bytes int) {
-	due := p.due(now, own.over())
+func (p *Publisher) send(ctx context.Context, own Report, now time.Time) (bytes int) {
+	due := p.due(now, own.empty())
 	if len(due) == 0 {
 		return 0
 	}
 	p.number++
-	own.Run, own.Number, own.Sent = p.table.run, p.number, p.table.now().UnixMilli()
-	introduction := Report{Run: own.Run, Number: own.Number, Sent: own.Sent, Paces: own.Paces, Introduces: true}
-	introduction.bounded()
-	own.Paces = p.pacesDue(own.Paces, now)
-	own.bounded()
+	own.Sender, own.Number, own.Sent = p.table.self, p.number, p.table.now().UnixMilli()
+	introduction := Report{Sender: own.Sender, Number: own.Number, Sent: own.Sent, Measured: own.Measured, Introduces: true}
+	introduction.bound()
+	own.Measured = p.measuredDue(own.Measured, now)
+	own.bound()
 	for machine, owner := range due {
 		to := p.recipients[machine]
-		report, heard := basedOn(to.heard, own), own
+		report, heard := basedOn(to.acknowledged, own), own
 		if !owner {
 			report, heard = introduction, Report{}
 		}
-		message, err := encode(report)
+		msg, err := encode(report)
 		if err != nil {
 			p.logger.Error("requests not told", zap.Error(err))
 			return bytes
 		}
-		to.telling, to.toldAt = true, now
-		bytes += len(message.Body) + callBytes
-		go p.tellOne(ctx, machine, to, heard, message)
+		to.sending, to.sentAt = true, now
+		bytes += len(msg.Body) + callBytes
+		go p.sendTo(ctx, machine, to, heard, msg)
 	}
 	p.totals.Sent += uint64(len(due))
 	p.totals.Bytes += uint64(bytes)
@@ -57,7 +57,7 @@
 // due returns the machines to tell now, and whether they are owners: these always, others that
 // may become ones now and then. One that has not answered yet is passed over. The mutex is held.
 func (p *Publisher) due(now time.Time, last bool) map[string]bool {
-	own := identity.Machine(p.table.run)
+	own := identity.Machine(p.table.self)
 	owners := map[string]bool{}
 	for _, machine := range p.machines {
 		owners[machine] = false
@@ -80,8 +80,8 @@
 			to = &recipient{}
 			p.recipients[machine] = to
 		}
-		introduce := !last && now.Sub(to.toldAt) >= introduceInterval
-		if !to.telling && (owner || introduce) {
+		introduce := !last && now.Sub(to.sentAt) >= introduceInterval
+		if !to.sending && (owner || introduce) {
 			due[machine] = owner
 		}
 	}
@@ -89,61 +89,61 @@
 }
 
 // pacesDue returns the paces that have changed or were not told for a while. The mutex is held.
-func (p *Publisher) pacesDue(measured []Pacing, now time.Time) (due []Pacing) {
-	for _, each := range measured {
-		before, known := p.paces[each.Replica]
-		difference := max(each.Pace, before.pace) - min(each.Pace, before.pace)
-		if known && now.Sub(before.at) < paceRepeat && float64(difference) < paceChange*float64(before.pace) {
+func (p *Publisher) measuredDue(measured []Measurement, now time.Time) (due []Measurement) {
+	for _, m := range measured {
+		before, known := p.sentTimes[m.Replica]
+		difference := max(m.EventTime, before.eventTime) - min(m.EventTime, before.eventTime)
+		if known && now.Sub(before.at) < eventTimeRepeat && float64(difference) < eventTimeChange*float64(before.eventTime) {
 			continue
 		}
-		p.paces[each.Replica] = told{pace: each.Pace, at: now}
-		due = append(due, each)
+		p.sentTimes[m.Replica] = sentTime{eventTime: m.EventTime, at: now}
+		due = append(due, m)
 	}
 	return due
 }
 
-func (p *Publisher) tellOne(ctx context.Context, machine string, to *recipient, told Report, message Message) {
-	bounded, cancel := context.WithTimeout(ctx, tellTimeout)
+func (p *Publisher) sendTo(ctx context.Context, machine string, to *recipient, told Report, msg Message) {
+	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var heard Heard
-	err := p.peers.Ask(bounded, machine, tellMethod, message, &heard)
+	var reply Heard
+	err := p.peers.Ask(bounded, machine, tellMethod, msg, &reply)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to.telling, to.owner, to.heard = false, false, Report{}
+	to.sending, to.owner, to.acknowledged = false, false, Report{}
 	if err != nil {
 		// An answer may still be written to heard.
 		p.totals.Failed++
 		p.logger.Debug("report not told", zap.String("to", machine), zap.Error(err)) // up to 40 calls a second
 		return
 	}
-	to.owner = heard.Owner
-	if !heard.Whole {
-		to.heard = told
+	to.owner = reply.Owner
+	if !reply.Whole {
+		to.acknowledged = told
 	}
 }
 
 // adopt asks an owner for all that it believes: those heard of, or else any that may be one.
-func (p *Publisher) adopt(ctx context.Context) {
-	asked := map[string]bool{identity.Machine(p.table.run): true}
-	for _, machine := range append(p.table.Owners(), p.dealtMachines(ctx)...) {
+func (p *Publisher) askOwners(ctx context.Context) {
+	asked := map[string]bool{identity.Machine(p.table.self): true}
+	for _, machine := range append(p.table.Owners(), p.candidateMachines(ctx)...) {
 		if asked[machine] {
 			continue
 		}
-		if len(asked) > askedAtMost {
+		if len(asked) > maxAsked {
 			return
 		}
 		asked[machine] = true
 		beliefs, err := p.ask(ctx, machine)
 		reports := p.table.Adopt(beliefs)
-		p.logger.Info("beliefs asked for", zap.String("from", machine), zap.Int("reports", len(beliefs.Reports)), zap.Int("adopted", reports), zap.Int("paces", len(beliefs.Paces)), zap.Error(err))
+		p.logger.Info("beliefs asked for", zap.String("from", machine), zap.Int("reports", len(beliefs.Reports)), zap.Int("adopted", reports), zap.Int("paces", len(beliefs.Measured)), zap.Error(err))
 		if len(beliefs.Reports) > 0 {
 			return
 		}
 	}
 }
 
-func (p *Publisher) ask(ctx context.Context, machine string) (beliefs Beliefs, err error) {
-	bounded, cancel := context.WithTimeout(ctx, tellTimeout)
+func (p *Publisher) ask(ctx context.Context, machine string) (beliefs Occupancy, err error) {
+	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var answer Message
 	if err := p.peers.Ask(bounded, machine, askMethod, struct{}{}, &answer); err != nil {
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -46,10 +46,10 @@
 		return engine
 	}
 	key := KeyOf(seen)
-	engine.OthersInFlight = s.table.Others(key)
+	engine.OthersInFlight = s.table.InFlight(key)
 	engine.Preference = occupancy.Preference(s.self, seen.ID)
 	if own := now.Sub(seen.PaceAt); seen.Pace == 0 || own > ownEventTimeMaxAge {
-		if pace, age := s.table.Pace(key); pace > 0 && (seen.Pace == 0 || age < own) {
+		if pace, age := s.table.EventTime(key); pace > 0 && (seen.Pace == 0 || age < own) {
 			engine.EventTime = pace
 		}
 	}
@@ -215,7 +215,7 @@
 			demand.InFlight += uint32(max(rep.InFlight, 0))
 			report.Counts = append(report.Counts, occupancy.Count{Replica: KeyOf(rep), Requests: uint32(max(rep.InFlight, 0))})
 			if age := now.Sub(rep.PaceAt); rep.Pace > 0 && age <= ownEventTimeMaxAge {
-				report.Paces = append(report.Paces, occupancy.MakePacing(KeyOf(rep), rep.Pace, age))
+				report.Measured = append(report.Measured, occupancy.NewMeasurement(KeyOf(rep), rep.Pace, age))
 			}
 		}
 		report.Demands = append(report.Demands, demand)
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -169,7 +169,7 @@
 		return
 	}
 	owner.number++
-	report := occupancy.Report{Run: owner.sharing.self, Number: owner.number, Sent: s.now().UnixMilli()}
+	report := occupancy.Report{Sender: owner.sharing.self, Number: owner.number, Sent: s.now().UnixMilli()}
 	for i := range standEngines {
 		report.Counts = append(report.Counts, occupancy.Count{Replica: occupancy.KeyOf(fmt.Sprintf("e%d", i), time.Time{}), Requests: uint32(owner.at(i))})
 	}
@@ -269,7 +269,7 @@
 	now := time.Now()
 	known := replica.Replica{Entry: replica.Entry{ID: "e"}}
 	told := func(age time.Duration) {
-		s.table.Adopt(occupancy.Beliefs{Paces: []occupancy.Pacing{occupancy.MakePacing(KeyOf(known), 20*time.Millisecond, age)}})
+		s.table.Adopt(occupancy.Occupancy{Measured: []occupancy.Measurement{occupancy.NewMeasurement(KeyOf(known), 20*time.Millisecond, age)}})
 	}
 	pace := func(own, age time.Duration) time.Duration {
 		known.Pace, known.PaceAt = own, now.Add(-age)
@@ -306,8 +306,8 @@
 		requests += each.Requests
 	}
 	is.Equal(requests, uint32(1))
-	is.Equal(len(told.Paces), 1)
-	is.Equal(told.Paces[0].Pace, uint32(300))
+	is.Equal(len(told.Measured), 1)
+	is.Equal(told.Measured[0].EventTime, uint32(300))
 	runner.HeardOfOthers()
 	is.Equal(len(runner.wake), 1) // items wait, and there may be room
 	runner.stopping.Store(true)
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -49,7 +49,7 @@
 	if o == nil {
 		return e.Pace, own
 	}
-	heard, heardAge := o.table.Pace(runner.KeyOf(e))
+	heard, heardAge := o.table.EventTime(runner.KeyOf(e))
 	if heard > 0 && (e.Pace == 0 || heardAge < own) {
 		return heard, heardAge
 	}
