--- a/internal/batches/occupancy/share.go
+++ b/internal/batches/occupancy/allowance.go
@@ -49,12 +49,12 @@
 // which is added what others leave of theirs.
 func evenShare(places, wanted int, others []int) int {
 	slices.Sort(others)
-	for i, each := range others {
+	for i, other := range others {
 		part := places / (len(others) - i + 1)
-		if wanted <= part || each > part {
+		if wanted <= part || other > part {
 			return max(min(wanted, part), 0)
 		}
-		places -= each
+		places -= other
 	}
 	return max(min(wanted, places), 0)
 }
--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -13,11 +13,11 @@
 
 // The outcomes of Merge.
 const (
-	// Taken: the report is the one that is believed of its daemon.
+	// Taken: the report is the one that counts for its daemon.
 	Taken Outcome = iota
 	// Refused: it is late, older than one before, or one too many.
 	Refused
-	// Unfounded: the report that it is based on is not here.
+	// BaseMissing: the report that it is based on is not here.
 	BaseMissing
 )
 
@@ -50,20 +50,20 @@
 	return Taken
 }
 
-// Adopt takes in what another daemon believes, where it is newer than what is believed here.
+// Adopt takes in what another daemon knows, where it is newer than what is known here.
 // It returns how many reports were.
-func (t *Table) Adopt(beliefs Occupancy) (reports int) {
+func (t *Table) Adopt(o Occupancy) (reports int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	t.lapse(now)
-	for _, relayed := range beliefs.Reports[:min(len(beliefs.Reports), maxDaemons)] {
+	for _, relayed := range o.Reports[:min(len(o.Reports), maxDaemons)] {
 		d := t.daemonOf(&relayed.Report, now)
 		if d != nil && relayed.Report.Base == 0 && t.take(d, relayed.Report, now.Add(-time.Duration(relayed.Age)*ageUnit), now) {
 			reports++
 		}
 	}
-	t.addMeasured(beliefs.Measured, now)
+	t.addMeasured(o.Measured, now)
 	return reports
 }
 
@@ -80,8 +80,8 @@
 		return nil
 	case d == nil:
 	case d.report.Sender != report.Sender:
-		// The order of two runs is told by the machine's own time of day, which may have been
-		// put back: it decides only as long as the later run is known to be alive.
+		// The order of two incarnations is told by the machine's own time of day, which may have been
+		// put back: it decides only as long as the later one is known to be alive.
 		if d.current && identity.Started(report.Sender) < identity.Started(d.report.Sender) {
 			return nil
 		}
@@ -109,15 +109,15 @@
 	return offset - d.offset
 }
 
-// introduce notes that a daemon is an owner, and the paces that it told. The report that is
-// believed of it stays. The mutex is held.
+// introduce notes that a daemon is an owner, and the event times that it reported. Its
+// report before stays. The mutex is held.
 func (t *Table) introduce(d *daemon, report *Report, at time.Time) {
 	t.counts.Received++
 	d.ownerAt = at
 	t.addMeasured(report.Measured[:min(len(report.Measured), maxEntries)], at)
 }
 
-// take makes a report the one that is believed of its daemon. The mutex is held.
+// take makes a report the one that counts for its daemon. The mutex is held.
 func (t *Table) take(d *daemon, report Report, at, now time.Time) bool {
 	report.bound()
 	if now.Sub(at) > reportLifetime {
@@ -128,7 +128,7 @@
 		return false
 	}
 	if !d.current && !report.empty() {
-		t.logger.Info("owner's requests heard of", zap.String("owner", report.Sender), zap.Uint64("report", report.Number),
+		t.logger.Info("report of another owner begins", zap.String("owner", report.Sender), zap.Uint64("report", report.Number),
 			zap.Int("replicas", len(report.Counts)), zap.Duration("age", now.Sub(at)))
 	}
 	t.drop(d)
@@ -166,20 +166,21 @@
 	}
 }
 
-// addPaces takes paces in that were told at a time, where they are newer than those known.
+// addMeasured takes event times in that were reported at a time, where they are newer than
+// those known.
 // The mutex is held.
-func (t *Table) addMeasured(told []Measurement, at time.Time) {
-	for _, m := range told {
+func (t *Table) addMeasured(measurements []Measurement, at time.Time) {
+	for _, m := range measurements {
 		measured := at.Add(-time.Duration(m.Age) * ageUnit)
-		before, known := t.eventTimes[m.Replica]
-		if m.EventTime == 0 || known && !measured.After(before.at) || !known && len(t.eventTimes) >= maxEventTimes {
+		before, ok := t.eventTimes[m.Replica]
+		if m.EventTime == 0 || ok && !measured.After(before.at) || !ok && len(t.eventTimes) >= maxEventTimes {
 			continue
 		}
 		t.eventTimes[m.Replica] = measuredTime{eventTime: time.Duration(m.EventTime) * EventTimeUnit, at: measured}
 	}
 }
 
-// lapse ends the belief in reports that are too old. The mutex is held.
+// lapse ends reports that are too old. The mutex is held.
 func (t *Table) lapse(now time.Time) {
 	if t.nextLapse.IsZero() || now.Before(t.nextLapse) {
 		return
@@ -192,15 +193,15 @@
 		case !now.Before(lapses):
 			t.drop(d)
 			t.counts.Expired++
-			t.logger.Info("owner's requests no longer known", zap.String("owner", d.report.Sender), zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.at)))
+			t.logger.Info("report of another owner lapsed", zap.String("owner", d.report.Sender), zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.at)))
 		case t.nextLapse.IsZero() || lapses.Before(t.nextLapse):
 			t.nextLapse = lapses
 		}
 	}
 }
 
-// forgetOne forgets the daemon that has told nothing for longest, of those whose reports
-// don't hold. The mutex is held.
+// forgetOne forgets the daemon that has reported nothing for longest, of those whose reports
+// don't count. The mutex is held.
 func (t *Table) forgetOne() bool {
 	oldest := ""
 	for machine, d := range t.daemons {
@@ -212,7 +213,7 @@
 	return oldest != ""
 }
 
-// Sweep forgets daemons and paces of long ago.
+// Sweep forgets daemons and event times of long ago.
 func (t *Table) Sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -223,8 +224,8 @@
 			delete(t.daemons, machine)
 		}
 	}
-	for replica, known := range t.eventTimes {
-		if now.Sub(known.at) > eventTimeLifetime {
+	for replica, m := range t.eventTimes {
+		if now.Sub(m.at) > eventTimeLifetime {
 			delete(t.eventTimes, replica)
 		}
 	}
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -4,25 +4,27 @@
 // An owner counts the requests that it has under way at an engine; those of other owners
 // it can't see. Owners that start bursts on the same engines would fill some of them twice
 // over, so that texts wait in an engine's queue or are declined, beside engines that have
-// room. Each owner therefore tells the others how many requests it has where, how many
-// items it would start if there were room, and which paces it has measured.
+// room. Each owner therefore reports to the others how many requests it has where, how many
+// items it would start if there were room, and which event times it has measured.
 //
-// All that is heard is a belief: it is held for a stated time and counts as none after
-// that, so that an owner that is cut off, paused or gone leaves the others with what they
-// know by themselves. Nothing here is waited for, and no promise rests on it.
+// A report counts for a stated time and as none after that, so that an owner that is cut
+// off, paused or gone leaves the others with what they know by themselves. Nothing here is
+// waited for, and no promise rests on it: all of it may be lost.
 //
-// # Usage
+// The package owns a Table of what others reported and a Publisher that sends this daemon's
+// reports; a Service takes reports in. It relies on the relay for calls to other daemons and
+// on the group for who may become an owner. Allowance and Turn are the rules by which owners
+// leave each other room; they are pure. The load answered: some owners, each with bursts of
+// some hundred texts of seconds to a minute, on the same tens to thousands of engines.
 //
-// A Table holds what was heard, a Publisher tells what this daemon has, a Service takes in
-// what others tell. The load answered: some owners, each with bursts of some hundred texts
-// of seconds to a minute, on the same tens to thousands of engines.
+// # Usage
 //
-//	table := occupancy.NewTable(run, bootclock.Now, logger)
-//	publisher := occupancy.NewPublisher(table, peers, source, dealt, logger)
+//	table := occupancy.NewTable(self, bootclock.Now, logger)
+//	publisher := occupancy.NewPublisher(table, peers, source, candidates, logger)
 //	peers.Register(occupancy.ServiceName, occupancy.NewService(table, publisher, dispatcher.Kick))
 //	go publisher.Run(ctx)
 //	publisher.Wake() // whenever the daemon's own requests have changed
-//	engine.Others = table.Others(occupancy.KeyOf(id, born))
+//	engine.OthersInFlight = table.InFlight(occupancy.KeyOf(id, born))
 package occupancy
 
 import (
@@ -32,12 +34,12 @@
 )
 
 const (
-	// PaceUnit is the unit of paces on the wire: a hundredth of a usual pace and less.
+	// EventTimeUnit is the unit of event times on the wire: a hundredth of a usual one and less.
 	EventTimeUnit = 100 * time.Microsecond
 	// ageUnit is the unit of ages on the wire.
 	ageUnit = time.Millisecond
-	// longestReport bounds the entries of each list in a report. Requests at replicas beyond
-	// it go untold, as they all would without a report.
+	// maxEntries bounds the entries of each list in a report. Requests at replicas beyond it
+	// are not reported.
 	maxEntries = 1024
 )
 
@@ -47,7 +49,7 @@
 type Key uint32
 
 // KeyOf returns the key of the start of a replica at a time, or of a replica whose start is
-// not known where born is zero. What was told of an earlier start has another key.
+// not known where born is zero. What was reported of an earlier start has another key.
 func KeyOf(id string, born time.Time) Key {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id)) // it never fails
@@ -64,11 +66,11 @@
 	Requests uint32
 }
 
-// Pacing is a pace that was measured at a replica.
+// Measurement is an event time that was measured at a replica.
 type Measurement struct {
 	_       struct{} `cbor:",toarray"`
 	Replica Key
-	// Pace is the time between two events of a text in units of PaceUnit, Age how long ago
+	// EventTime is the time between two events of a text in units of EventTimeUnit, Age how long ago
 	// the last of these was, in milliseconds.
 	EventTime, Age uint32
 }
@@ -84,14 +86,16 @@
 	InFlight, Waiting uint32
 }
 
-// Report is what a daemon tells of itself. It replaces the reports before of the same run;
-// only its paces add to what was told before.
+// Report is what a daemon reports of itself. It replaces the reports before of the same
+// incarnation; only its event times add to what was reported before. On the wire its fields
+// go by their keys.
 type Report struct {
-	// Run is the daemon's identity, Number the report's place among those of the run.
+	// Sender is the daemon's identity, Number the report's place among those of this
+	// incarnation.
 	Sender string `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
 	// Sent is when it was sent by the sender's own clock, in milliseconds. Only the
-	// differences between reports of one run mean anything.
+	// differences between reports of one incarnation mean anything.
 	Sent int64 `cbor:"3,keyasint"`
 	// Counts are in the order of their keys. With a Base they are only those that differ
 	// from the report of that number, 0 for what is no longer there.
@@ -99,15 +103,15 @@
 	Measured []Measurement `cbor:"5,keyasint,omitempty"`
 	Demands  []Demand      `cbor:"6,keyasint,omitempty"`
 	Base     uint64        `cbor:"7,keyasint,omitempty"`
-	// Introduces says that the sender has batches, but tells one that has none only so and
-	// the paces that it knows.
+	// Introduces says that the sender has batches, and reports to one that has none only so
+	// and the event times that it knows.
 	Introduces bool `cbor:"8,keyasint,omitempty"`
 }
 
-// over reports whether it tells of nothing under way and nothing that waits.
+// empty reports whether nothing is under way and nothing waits.
 func (r *Report) empty() bool { return len(r.Counts) == 0 && len(r.Demands) == 0 }
 
-// bounded drops the entries beyond what a table takes in.
+// bound drops the entries beyond what a table takes in.
 func (r *Report) bound() {
 	r.Counts = r.Counts[:min(len(r.Counts), maxEntries)]
 	r.Measured = r.Measured[:min(len(r.Measured), maxEntries)]
@@ -115,30 +119,30 @@
 }
 
 // changes returns the counts that differ between two reports, both in order.
-func changes(before, now []Count) (found []Count) {
+func changes(before, now []Count) (diff []Count) {
 	for len(before)+len(now) > 0 {
 		switch {
 		case len(now) == 0 || len(before) > 0 && before[0].Replica < now[0].Replica:
-			found = append(found, Count{Replica: before[0].Replica})
+			diff = append(diff, Count{Replica: before[0].Replica})
 			before = before[1:]
 		case len(before) == 0 || now[0].Replica < before[0].Replica:
-			found = append(found, now[0])
+			diff = append(diff, now[0])
 			now = now[1:]
 		default:
 			if now[0].Requests != before[0].Requests {
-				found = append(found, now[0])
+				diff = append(diff, now[0])
 			}
 			before, now = before[1:], now[1:]
 		}
 	}
-	return found
+	return diff
 }
 
-// changed returns counts with changes, both in order.
-func apply(before, changes []Count) (made []Count) {
+// apply returns counts with changes, both in order.
+func apply(before, changes []Count) (counts []Count) {
 	for len(before)+len(changes) > 0 {
 		if len(changes) == 0 || len(before) > 0 && before[0].Replica < changes[0].Replica {
-			made = append(made, before[0])
+			counts = append(counts, before[0])
 			before = before[1:]
 			continue
 		}
@@ -146,26 +150,26 @@
 			before = before[1:]
 		}
 		if changes[0].Requests > 0 {
-			made = append(made, changes[0])
+			counts = append(counts, changes[0])
 		}
 		changes = changes[1:]
 	}
-	return made
+	return counts
 }
 
-// Relayed is a report that another daemon has heard, Age milliseconds ago.
+// Relayed is a report that another daemon has got, Age milliseconds ago.
 type Relayed struct {
 	Report Report `cbor:"1,keyasint"`
 	Age    uint32 `cbor:"2,keyasint"`
 }
 
-// Beliefs are all that a daemon believes, its own state included.
+// Occupancy is all that a daemon knows, its own state included.
 type Occupancy struct {
 	Reports  []Relayed     `cbor:"1,keyasint,omitempty"`
 	Measured []Measurement `cbor:"2,keyasint,omitempty"`
 }
 
-// MakePacing returns a pace with its age as it is told.
-func NewMeasurement(replica Key, pace, age time.Duration) Measurement {
-	return Measurement{Replica: replica, EventTime: uint32(pace / EventTimeUnit), Age: uint32(min(age, eventTimeLifetime) / ageUnit)}
+// NewMeasurement returns an event time with its age as it is sent.
+func NewMeasurement(replica Key, eventTime, age time.Duration) Measurement {
+	return Measurement{Replica: replica, EventTime: uint32(eventTime / EventTimeUnit), Age: uint32(min(age, eventTimeLifetime) / ageUnit)}
 }
--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -13,18 +13,15 @@
 )
 
 const (
-	// tellInterval is the least time between two reports: a part of a dispatcher's wait for
+	// reportInterval is the least time between two reports: a part of a dispatcher's wait for
 	// a change, and less than what the shortest text takes.
 	reportInterval = 100 * time.Millisecond
-	// repeatInterval is after how long a report is told again though nothing has changed.
+	// repeatInterval is after how long a report is sent again though nothing has changed.
 	repeatInterval = reportLifetime / 3
 	// bytesPerSecond bounds what a daemon sends, two thirds of the 18 KB that one may need
-	// for all that is no work, and with callBytes its calls to 40 a second. Where requests at
-	// some of 45 engines change all the time, a report takes 340 bytes with its headers, and a
-	// daemon sends 10.2 KB a second among 4 owners, so that each hears of it 10 times a second;
-	// 12 KB among 18, twice a second each; and 12 KB among 100, 0.3 times (virtual time). From
-	// some 40 owners on reports lapse before the next comes, and an owner knows a part of the
-	// others' requests at a time.
+	// for all that is no work, and with callBytes its calls to 40 a second. From some 40 owners on
+	// reports lapse before the next comes, and an owner knows a part of the others' requests
+	// at a time.
 	bytesPerSecond = 12000
 	// callBytes is what a call takes besides the report: the headers of net/rpc both ways
 	// and of four segments.
@@ -35,14 +32,13 @@
 	// lingerTime is for how long a daemon hears of the others' requests on after it has none
 	// itself: the next step of a trainer mostly comes within seconds, and begins with a burst.
 	lingerTime = 10 * time.Second
-	// tellTimeout bounds one call, of either kind: as long as other calls between daemons
+	// callTimeout bounds one call, of either kind: as long as other calls between daemons
 	// may take, as a peer that needs longer is left alone for all of them.
 	callTimeout = 700 * time.Millisecond
-	// askedAtMost is how many peers are asked for what they believe until one believes
-	// anything.
+	// maxAsked is how many peers are asked for what they know until one knows anything.
 	maxAsked = 3
-	// paceRepeat is after how long a pace is told again, paceChange by which part it must
-	// differ to be told before: paces are known to within a few hundredths.
+	// eventTimeRepeat is after how long an event time is sent again, eventTimeChange by which
+	// part it must differ to be sent before: they are known to within a few hundredths.
 	eventTimeRepeat = 2 * time.Second
 	eventTimeChange = 0.08
 )
@@ -54,32 +50,32 @@
 	Ask(ctx context.Context, machine, method string, asked, answer any) error
 }
 
-// Source returns what this daemon has now: the counts, the paces that it has measured
-// lately, and the demands. Run, Number and Sent are left empty.
+// Source returns what this daemon has now: the counts, the event times that it has measured
+// lately, and the demands. Sender, Number and Sent are left empty.
 type Source func() Report
 
-// Dealt returns the identities of the daemons that may be given batches. It may take as long
+// Candidates returns the identities of the daemons that may be given batches. It may take as long
 // as a call to the journal.
 type Candidates func(ctx context.Context) []string
 
-// told is a pace as it was told last.
+// sentTime is an event time as it was sent last.
 type sentTime struct {
 	eventTime uint32
 	at        time.Time
 }
 
-// recipient is a machine that is told.
+// recipient is a machine that is sent reports.
 type recipient struct {
-	// telling says that a call is under way.
+	// sending says that a call is under way.
 	sending bool
 	// owner says that it has batches itself, as it answered last.
 	owner  bool
 	sentAt time.Time
-	// heard is the report that it has taken in last, Number 0 if none is known to be.
+	// acknowledged is the report that it has taken in last, Number 0 if none is known to be.
 	acknowledged Report
 }
 
-// Publisher tells the other owners of this daemon's requests while it has any. It is safe
+// Publisher reports this daemon's requests to the other owners while it has any. It is safe
 // for concurrent use.
 type Publisher struct {
 	table      *Table
@@ -93,16 +89,16 @@
 	number     uint64
 	recipients map[string]*recipient
 	machines   []string
-	// machinesAt is when the machines were asked for last, asking that they are being.
+	// machinesAt is when the machines were learned last, refreshing that they are being.
 	machinesAt time.Time
 	refreshing bool
 	active     bool
-	// endedAt is when this daemon had something to tell last, zero if it never had.
+	// endedAt is when this daemon had something to report last, zero if it never had.
 	endedAt   time.Time
 	sentTimes map[Key]sentTime
 	last      Report
 	lastAt    time.Time
-	// rest is how long after lastAt the next report may go.
+	// pause is how long after lastAt the next report may go.
 	pause  time.Duration
 	totals Totals
 }
@@ -126,7 +122,7 @@
 	}
 }
 
-// Run tells the others until the context ends. It waits for none of them.
+// Run sends reports until the context ends. It waits for none of them.
 func (p *Publisher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(p.publish(ctx, time.Now()))
@@ -149,8 +145,8 @@
 	return p.wake
 }
 
-// step tells the others if there is something to tell, and returns when to look again at
-// the latest.
+// publish sends a report if there is something new, and returns when to look again at the
+// latest.
 func (p *Publisher) publish(ctx context.Context, now time.Time) time.Duration {
 	own := p.source()
 	own.Counts = ordered(own.Counts)
@@ -167,7 +163,7 @@
 		p.begin(ctx)
 	}
 	p.refresh(ctx, now)
-	changed := !sameBut(&own, &p.last)
+	changed := !sameState(&own, &p.last)
 	if !changed && now.Sub(p.lastAt) < repeatInterval {
 		return reportInterval
 	}
@@ -181,38 +177,38 @@
 	return max(p.pause, reportInterval)
 }
 
-// begin starts to tell. What the others believe is asked for meanwhile. The mutex is held.
+// begin starts to report. What the others know is asked for meanwhile. The mutex is held.
 func (p *Publisher) begin(ctx context.Context) {
 	p.active = true
-	p.logger.Info("begins to tell of its requests", zap.Uint64("report", p.number+1), zap.Int("owners_known", len(p.table.Owners())))
+	p.logger.Info("reports to other owners begin", zap.Uint64("report", p.number+1), zap.Int("owners_known", len(p.table.Owners())))
 	go p.askOwners(ctx)
 }
 
-// end ceases to tell. The mutex is held.
+// end ceases to report. The mutex is held.
 func (p *Publisher) end() {
 	p.active, p.endedAt = false, time.Now()
-	p.logger.Info("has told that it has no requests", zap.Uint64("report", p.number), zap.Uint64("calls", p.totals.Sent),
+	p.logger.Info("reports to other owners end", zap.Uint64("report", p.number), zap.Uint64("calls", p.totals.Sent),
 		zap.Uint64("failed", p.totals.Failed), zap.Uint64("bytes", p.totals.Bytes))
 	p.recipients, p.sentTimes = map[string]*recipient{}, map[Key]sentTime{}
 }
 
 // ordered brings counts in order, those of one key as one.
-func ordered(counts []Count) (made []Count) {
+func ordered(counts []Count) (sums []Count) {
 	slices.SortFunc(counts, func(a, b Count) int { return cmp.Compare(a.Replica, b.Replica) })
 	for _, c := range counts {
-		switch last := len(made) - 1; {
+		switch last := len(sums) - 1; {
 		case c.Requests == 0:
-		case last >= 0 && made[last].Replica == c.Replica:
-			made[last].Requests += c.Requests
+		case last >= 0 && sums[last].Replica == c.Replica:
+			sums[last].Requests += c.Requests
 		default:
-			made = append(made, c)
+			sums = append(sums, c)
 		}
 	}
-	return made
+	return sums
 }
 
-// same reports whether two states say the same but for paces.
-func sameBut(a, b *Report) bool {
+// sameState reports whether two reports say the same but for event times.
+func sameState(a, b *Report) bool {
 	return slices.Equal(a.Counts, b.Counts) && slices.Equal(a.Demands, b.Demands)
 }
 
@@ -231,20 +227,20 @@
 		if len(machines) == 0 || slices.Equal(p.machines, machines) {
 			return // where it can't be learned, those of before may still be right
 		}
-		// Some are to be told though nothing else has changed.
+		// Some are to get a report though nothing else has changed.
 		p.machines, p.last = machines, Report{}
 	}()
 }
 
 func (p *Publisher) candidateMachines(ctx context.Context) (machines []string) {
-	for _, run := range p.candidates(ctx) {
-		machines = append(machines, identity.Machine(run))
+	for _, daemon := range p.candidates(ctx) {
+		machines = append(machines, identity.Machine(daemon))
 	}
 	slices.Sort(machines)
 	return slices.Compact(machines)
 }
 
-// own returns what this daemon has, as it would be told now.
+// own returns the report that this daemon would send now.
 func (p *Publisher) own() Report {
 	own := p.source()
 	own.Counts = ordered(own.Counts)
@@ -254,7 +250,7 @@
 	return own
 }
 
-// listens reports whether others should tell this daemon of their requests: it has some
+// listens reports whether others should send this daemon their reports: it has requests
 // itself, or had a moment ago.
 func (p *Publisher) listens() bool {
 	p.mu.Lock()
--- a/internal/batches/occupancy/tell.go
+++ b/internal/batches/occupancy/send.go
@@ -10,7 +10,7 @@
 	"woodworks/internal/membership/identity"
 )
 
-// tell sends a report to all that are due, and returns how many bytes that takes. The mutex
+// send sends a report to all that are due, and returns how many bytes that takes. The mutex
 // is held.
 func (p *Publisher) send(ctx context.Context, own Report, now time.Time) (bytes int) {
 	due := p.due(now, own.empty())
@@ -25,36 +25,36 @@
 	own.bound()
 	for machine, owner := range due {
 		to := p.recipients[machine]
-		report, heard := basedOn(to.acknowledged, own), own
+		report, state := basedOn(to.acknowledged, own), own
 		if !owner {
-			report, heard = introduction, Report{}
+			report, state = introduction, Report{}
 		}
 		msg, err := encode(report)
 		if err != nil {
-			p.logger.Error("requests not told", zap.Error(err))
+			p.logger.Error("report not encoded", zap.Error(err))
 			return bytes
 		}
 		to.sending, to.sentAt = true, now
 		bytes += len(msg.Body) + callBytes
-		go p.sendTo(ctx, machine, to, heard, msg)
+		go p.sendTo(ctx, machine, to, state, msg)
 	}
 	p.totals.Sent += uint64(len(due))
 	p.totals.Bytes += uint64(bytes)
 	return bytes
 }
 
-// basedOn returns a report as it is told to one who has an earlier one.
-func basedOn(heard, own Report) Report {
-	if heard.Number == 0 {
+// basedOn returns a report as it is sent to one who has an earlier one.
+func basedOn(before, own Report) Report {
+	if before.Number == 0 {
 		return own
 	}
-	if differing := changes(heard.Counts, own.Counts); len(differing) < len(own.Counts) || len(own.Counts) == 0 {
-		own.Counts, own.Base = differing, heard.Number
+	if diff := changes(before.Counts, own.Counts); len(diff) < len(own.Counts) || len(own.Counts) == 0 {
+		own.Counts, own.Base = diff, before.Number
 	}
 	return own
 }
 
-// due returns the machines to tell now, and whether they are owners: these always, others that
+// due returns the machines to send to now, and whether they are owners: these always, others that
 // may become ones now and then. One that has not answered yet is passed over. The mutex is held.
 func (p *Publisher) due(now time.Time, last bool) map[string]bool {
 	own := identity.Machine(p.table.self)
@@ -88,12 +88,12 @@
 	return due
 }
 
-// pacesDue returns the paces that have changed or were not told for a while. The mutex is held.
+// measuredDue returns the event times that have changed or were not sent for a while. The mutex is held.
 func (p *Publisher) measuredDue(measured []Measurement, now time.Time) (due []Measurement) {
 	for _, m := range measured {
-		before, known := p.sentTimes[m.Replica]
+		before, ok := p.sentTimes[m.Replica]
 		difference := max(m.EventTime, before.eventTime) - min(m.EventTime, before.eventTime)
-		if known && now.Sub(before.at) < eventTimeRepeat && float64(difference) < eventTimeChange*float64(before.eventTime) {
+		if ok && now.Sub(before.at) < eventTimeRepeat && float64(difference) < eventTimeChange*float64(before.eventTime) {
 			continue
 		}
 		p.sentTimes[m.Replica] = sentTime{eventTime: m.EventTime, at: now}
@@ -102,7 +102,8 @@
 	return due
 }
 
-func (p *Publisher) sendTo(ctx context.Context, machine string, to *recipient, told Report, msg Message) {
+// sendTo makes one call. State is what the machine knows after it.
+func (p *Publisher) sendTo(ctx context.Context, machine string, to *recipient, state Report, msg Message) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply Heard
@@ -111,18 +112,19 @@
 	defer p.mu.Unlock()
 	to.sending, to.owner, to.acknowledged = false, false, Report{}
 	if err != nil {
-		// An answer may still be written to heard.
+		// An answer may still be written to reply.
 		p.totals.Failed++
-		p.logger.Debug("report not told", zap.String("to", machine), zap.Error(err)) // up to 40 calls a second
+		p.logger.Debug("report not sent", zap.String("to", machine), zap.Error(err)) // up to 40 calls a second
 		return
 	}
 	to.owner = reply.Owner
 	if !reply.Whole {
-		to.acknowledged = told
+		to.acknowledged = state
 	}
 }
 
-// adopt asks an owner for all that it believes: those heard of, or else any that may be one.
+// askOwners asks an owner for all that it knows: one that reported, or else any that may be
+// one.
 func (p *Publisher) askOwners(ctx context.Context) {
 	asked := map[string]bool{identity.Machine(p.table.self): true}
 	for _, machine := range append(p.table.Owners(), p.candidateMachines(ctx)...) {
@@ -133,21 +135,21 @@
 			return
 		}
 		asked[machine] = true
-		beliefs, err := p.ask(ctx, machine)
-		reports := p.table.Adopt(beliefs)
-		p.logger.Info("beliefs asked for", zap.String("from", machine), zap.Int("reports", len(beliefs.Reports)), zap.Int("adopted", reports), zap.Int("paces", len(beliefs.Measured)), zap.Error(err))
-		if len(beliefs.Reports) > 0 {
+		o, err := p.ask(ctx, machine)
+		reports := p.table.Adopt(o)
+		p.logger.Info("occupancy asked for", zap.String("from", machine), zap.Int("reports", len(o.Reports)), zap.Int("adopted", reports), zap.Int("event_times", len(o.Measured)), zap.Error(err))
+		if len(o.Reports) > 0 {
 			return
 		}
 	}
 }
 
-func (p *Publisher) ask(ctx context.Context, machine string) (beliefs Occupancy, err error) {
+func (p *Publisher) ask(ctx context.Context, machine string) (o Occupancy, err error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var answer Message
 	if err := p.peers.Ask(bounded, machine, askMethod, struct{}{}, &answer); err != nil {
-		return beliefs, errors.Wrap(err, "occupancy: ask")
+		return o, errors.Wrap(err, "occupancy: ask")
 	}
-	return beliefs, decode(answer, &beliefs)
+	return o, decode(answer, &o)
 }
--- a/internal/batches/occupancy/service.go
+++ b/internal/batches/occupancy/service.go
@@ -5,8 +5,8 @@
 	"github.com/pkg/errors"
 )
 
-// ServiceName is the name under which daemons tell each other of their requests, and
-// tellMethod and askMethod what they call there.
+// ServiceName is the name under which daemons report to each other, and tellMethod and
+// askMethod what they call there.
 const (
 	ServiceName = "Occupancy"
 	tellMethod  = ServiceName + ".Tell"
@@ -17,27 +17,27 @@
 // codec.
 type Message struct{ Body []byte }
 
-// Heard is the answer to a report.
+// Heard is the answer to a report. net/rpc encodes it by the names of its fields.
 type Heard struct {
-	// Owner says that the daemon told has batches itself, or had some a moment ago.
+	// Owner says that the daemon that answers has batches itself, or had some a moment ago.
 	Owner bool
 	// Whole says that it has not taken the report, as one that lacks what it is based on
 	// can't: the next one is to be whole.
 	Whole bool
 }
 
-// Service takes in what other daemons tell, and tells what is believed here. Its exported
-// methods are those of net/rpc.
+// Service takes reports in, and answers with all that is known here. Its exported methods
+// are those of net/rpc: their names are on the wire.
 type Service struct {
 	table     *Table
 	publisher *Publisher
-	heard     func()
+	onReport  func()
 }
 
-// NewService returns the service of a table, and of the publisher that tells of this daemon's
-// own requests. Heard is called after each report and must not block.
-func NewService(table *Table, publisher *Publisher, heard func()) *Service {
-	return &Service{table: table, publisher: publisher, heard: heard}
+// NewService returns the service of a table, and of the publisher of this daemon's own
+// requests. OnReport is called after each report and must not block.
+func NewService(table *Table, publisher *Publisher, onReport func()) *Service {
+	return &Service{table: table, publisher: publisher, onReport: onReport}
 }
 
 // Tell takes a report in. It is exported for net/rpc.
@@ -48,20 +48,20 @@
 	}
 	reply.Whole = s.table.Merge(report) != Taken
 	reply.Owner = s.publisher.listens()
-	s.heard()
+	s.onReport()
 	return nil
 }
 
-// Ask answers a daemon that becomes an owner with all that is believed here. It is exported
+// Ask answers a daemon that becomes an owner with all that is known here. It is exported
 // for net/rpc.
 func (s *Service) Ask(_ struct{}, msg *Message) error {
-	beliefs := s.table.Occupancy()
+	o := s.table.Occupancy()
 	if own := s.publisher.own(); !own.empty() {
-		beliefs.Measured = append(beliefs.Measured, own.Measured...)
+		o.Measured = append(o.Measured, own.Measured...)
 		own.Measured = nil
-		beliefs.Reports = append(beliefs.Reports, Relayed{Report: own})
+		o.Reports = append(o.Reports, Relayed{Report: own})
 	}
-	encoded, err := encode(beliefs)
+	encoded, err := encode(o)
 	*msg = encoded
 	return err
 }
