--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -89,7 +89,7 @@
 	if version > 0 {
 		table.HoldsVersion(start, model, version)
 	}
-	timeout := eventTimeoutOf(a.replica.Pace)
+	timeout := eventTimeoutOf(a.replica.EventTime)
 	watchdog := time.AfterFunc(timeout, cancel)
 	defer watchdog.Stop()
 	var last time.Time
@@ -114,7 +114,7 @@
 		}
 		now := time.Now()
 		if !last.IsZero() {
-			table.Paced(start, now.Sub(last))
+			table.ObserveEvent(start, now.Sub(last))
 		}
 		last = now
 	}
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -48,8 +48,8 @@
 	key := KeyOf(seen)
 	engine.OthersInFlight = s.table.InFlight(key)
 	engine.Preference = occupancy.Preference(s.self, seen.ID)
-	if own := now.Sub(seen.PaceAt); seen.Pace == 0 || own > ownEventTimeMaxAge {
-		if pace, age := s.table.EventTime(key); pace > 0 && (seen.Pace == 0 || age < own) {
+	if own := now.Sub(seen.EventAt); seen.EventTime == 0 || own > ownEventTimeMaxAge {
+		if pace, age := s.table.EventTime(key); pace > 0 && (seen.EventTime == 0 || age < own) {
 			engine.EventTime = pace
 		}
 	}
@@ -214,8 +214,8 @@
 		for _, rep := range r.table.Replicas(service) {
 			demand.InFlight += uint32(max(rep.InFlight, 0))
 			report.Counts = append(report.Counts, occupancy.Count{Replica: KeyOf(rep), Requests: uint32(max(rep.InFlight, 0))})
-			if age := now.Sub(rep.PaceAt); rep.Pace > 0 && age <= ownEventTimeMaxAge {
-				report.Measured = append(report.Measured, occupancy.NewMeasurement(KeyOf(rep), rep.Pace, age))
+			if age := now.Sub(rep.EventAt); rep.EventTime > 0 && age <= ownEventTimeMaxAge {
+				report.Measured = append(report.Measured, occupancy.NewMeasurement(KeyOf(rep), rep.EventTime, age))
 			}
 		}
 		report.Demands = append(report.Demands, demand)
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -272,7 +272,7 @@
 		s.table.Adopt(occupancy.Occupancy{Measured: []occupancy.Measurement{occupancy.NewMeasurement(KeyOf(known), 20*time.Millisecond, age)}})
 	}
 	pace := func(own, age time.Duration) time.Duration {
-		known.Pace, known.PaceAt = own, now.Add(-age)
+		known.EventTime, known.EventAt = own, now.Add(-age)
 		return s.withReports(scheduling.Engine{EventTime: own}, known, now).EventTime
 	}
 	is.Equal(pace(0, time.Hour), time.Duration(0))
@@ -297,7 +297,7 @@
 	runner.shared.demands["s"] = occupancy.Demand{Service: 1, Waiting: 3}
 	runner.table.Started("to")
 	for range 5 {
-		runner.table.Paced("from", 30*time.Millisecond)
+		runner.table.ObserveEvent("from", 30*time.Millisecond)
 	}
 	told := runner.Occupied()
 	is.Equal(told.Demands, []occupancy.Demand{{Service: 1, InFlight: 1, Waiting: 3}})
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -61,7 +61,7 @@
 
 func engineOf(rep replica.Replica, now time.Time) scheduling.Engine {
 	return scheduling.Engine{
-		ID: rep.ID, Zone: rep.Zone, Slots: rep.Slots, InFlight: rep.InFlight, EventTime: rep.Pace,
+		ID: rep.ID, Zone: rep.Zone, Slots: rep.Slots, InFlight: rep.InFlight, EventTime: rep.EventTime,
 		Avoided: rep.Probing || now.Before(rep.AvoidUntil), Declining: rep.Declining, Versions: rep.Versions,
 	}
 }
--- a/internal/callers/tenant/tenant.go
+++ b/internal/callers/tenant/tenant.go
@@ -48,13 +48,13 @@
 
 // NewDirectory checks the declared tenants. The error names the wrong field, never a key.
 func NewDirectory(declared []Declared) (*Directory, error) {
-	made := &Directory{byKey: apikey.Ring[*Tenant]{}, byName: make(map[string]*Tenant, len(declared))}
-	for i, each := range declared {
-		if err := made.add(each); err != nil {
+	d := &Directory{byKey: apikey.Ring[*Tenant]{}, byName: make(map[string]*Tenant, len(declared))}
+	for i, decl := range declared {
+		if err := d.add(decl); err != nil {
 			return nil, errors.Wrapf(err, "tenants[%d]", i)
 		}
 	}
-	return made, nil
+	return d, nil
 }
 
 func (d *Directory) add(declared Declared) error {
@@ -64,14 +64,14 @@
 	if d.byName[declared.Name] != nil {
 		return errors.Errorf("name: %q stands twice", declared.Name)
 	}
-	added := &Tenant{Name: declared.Name, Priority: declared.Priority}
-	d.byName[declared.Name] = added
+	t := &Tenant{Name: declared.Name, Priority: declared.Priority}
+	d.byName[declared.Name] = t
 	for i, key := range declared.Keys {
 		if key == "" {
 			return errors.Errorf("keys[%d]: is empty", i)
 		}
 		digest := apikey.DigestOf(key)
-		if !d.byKey.Add(digest, added) {
+		if !d.byKey.Add(digest, t) {
 			return errors.Errorf("keys[%d]: the key with digest %s is held by %q already", i, digest.Short(), d.byKey[digest].Name)
 		}
 	}
--- a/internal/callers/usage/record.go
+++ b/internal/callers/usage/record.go
@@ -21,7 +21,7 @@
 	Kind recordKind `cbor:"1,keyasint"`
 	// Run is the run of a daemon that counted; Number rises by one with each of its
 	// records.
-	Run    string `cbor:"2,keyasint,omitempty"`
+	Sender string `cbor:"2,keyasint,omitempty"`
 	Number int64  `cbor:"3,keyasint,omitempty"`
 	// Counts are by window and tenant.
 	Counts map[int64]map[string]int64 `cbor:"4,keyasint,omitempty"`
@@ -30,8 +30,8 @@
 	Requests map[string]int64 `cbor:"6,keyasint,omitempty"`
 }
 
-func encode(entry record) []byte {
-	encoded, err := cbor.Marshal(entry)
+func encode(rec record) []byte {
+	encoded, err := cbor.Marshal(rec)
 	if err != nil {
 		// All fields are plain values, which always encode.
 		panic(errors.Wrap(err, "usage: encode"))
@@ -42,7 +42,7 @@
 // keptWindows is how many decided windows the fold remembers, and for how many it
 // remembers a run: far longer than a record may be under way. A late record of an older
 // one changes nothing, as the windows below the first remembered count as decided.
-const keptWindows = 64
+const rememberedWindows = 64
 
 // state is the fold of the partition. The same records in the same order give the same
 // state to every reader.
@@ -53,52 +53,52 @@
 	counts map[int64]map[string]int64
 	// runs are the runs of daemons that have counted, so that a record of theirs that is
 	// there twice counts once.
-	runs map[string]counted
+	senders map[string]senderState
 	// decided are the figures of decided windows, reported those taken by the platform.
 	decided  map[int64]map[string]int64
 	reported map[int64]bool
 	// last is the newest decided window; any says that there is one.
-	last int64
-	any  bool
+	last       int64
+	anyDecided bool
 	// late counts requests whose record came after their window was decided.
 	late int64
 }
 
 // counted is what is remembered of a run: the number of its last record, and the newest
 // window that it counted in.
-type counted struct{ number, window int64 }
+type senderState struct{ number, window int64 }
 
 func newState() *state {
-	return &state{counts: map[int64]map[string]int64{}, runs: map[string]counted{}, decided: map[int64]map[string]int64{}, reported: map[int64]bool{}}
+	return &state{counts: map[int64]map[string]int64{}, senders: map[string]senderState{}, decided: map[int64]map[string]int64{}, reported: map[int64]bool{}}
 }
 
 // apply folds the next record. One that cannot be read or contradicts an earlier one
 // changes nothing.
 func (s *state) apply(encoded []byte) {
-	var entry record
-	if err := cbor.Unmarshal(encoded, &entry); err != nil {
+	var rec record
+	if err := cbor.Unmarshal(encoded, &rec); err != nil {
 		return
 	}
-	switch entry.Kind {
+	switch rec.Kind {
 	case kindCounted:
-		s.count(entry)
+		s.count(rec)
 	case kindDecided:
-		s.decide(entry)
+		s.decide(rec)
 	case kindReported:
-		s.reported[entry.Window] = true
+		s.reported[rec.Window] = true
 	}
 }
 
-func (s *state) count(entry record) {
-	if entry.Number <= s.runs[entry.Run].number {
+func (s *state) count(rec record) {
+	if rec.Number <= s.senders[rec.Sender].number {
 		return
 	}
-	seen := counted{number: entry.Number}
-	for window := range entry.Counts {
+	seen := senderState{number: rec.Number}
+	for window := range rec.Counts {
 		seen.window = max(seen.window, window)
 	}
-	s.runs[entry.Run] = seen
-	for window, requests := range entry.Counts {
+	s.senders[rec.Sender] = seen
+	for window, requests := range rec.Counts {
 		if s.isDecided(window) {
 			s.late += total(requests)
 			continue
@@ -109,28 +109,28 @@
 
 // isDecided reports whether a window's figures are settled. Windows are decided in
 // ascending order.
-func (s *state) isDecided(window int64) bool { return s.any && window <= s.last }
+func (s *state) isDecided(window int64) bool { return s.anyDecided && window <= s.last }
 
-func (s *state) decide(entry record) {
-	if s.isDecided(entry.Window) {
+func (s *state) decide(rec record) {
+	if s.isDecided(rec.Window) {
 		return
 	}
-	s.decided[entry.Window] = entry.Requests
-	s.last, s.any = entry.Window, true
+	s.decided[rec.Window] = rec.Requests
+	s.last, s.anyDecided = rec.Window, true
 	for window := range s.counts {
 		if window <= s.last {
 			delete(s.counts, window)
 		}
 	}
 	for window := range s.decided {
-		if window <= s.last-keptWindows {
+		if window <= s.last-rememberedWindows {
 			delete(s.decided, window)
 			delete(s.reported, window)
 		}
 	}
-	for run, seen := range s.runs {
-		if seen.window <= s.last-keptWindows {
-			delete(s.runs, run)
+	for run, seen := range s.senders {
+		if seen.window <= s.last-rememberedWindows {
+			delete(s.senders, run)
 		}
 	}
 }
@@ -139,7 +139,7 @@
 // known, in ascending order.
 func (s *state) unreported() []int64 {
 	var windows []int64
-	for window := s.last - keptWindows + 1; window <= s.last; window++ {
+	for window := s.last - rememberedWindows + 1; window <= s.last; window++ {
 		if _, decided := s.decided[window]; decided && !s.reported[window] {
 			windows = append(windows, window)
 		}
--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -17,10 +17,10 @@
 	// leastFlush is the least time between two appends of a daemon's counts: what a
 	// killed daemon loses, against the journal's writes (two hundredths more calls with 71
 	// daemons and 50 requests a second).
-	leastFlush = 200 * time.Millisecond
+	minFlushInterval = 200 * time.Millisecond
 	// mostFlush bounds the time between two appends that fail, which doubles with each
 	// one in a row: the journal that comes back gets the counts within it.
-	mostFlush = time.Second
+	maxFlushInterval = time.Second
 	// appendTimeout bounds one append.
 	appendTimeout = 1200 * time.Millisecond
 )
@@ -28,12 +28,12 @@
 // Recorder counts the requests that one daemon sends to replicas. It is safe for
 // concurrent use.
 type Recorder struct {
-	journal journal.Journal
-	run     string
-	windows duty.Windows
-	pace    journal.Pace
-	clock   Clock
-	logger  *zap.Logger
+	journal     journal.Journal
+	self        string
+	windows     duty.Windows
+	minInterval journal.Pace
+	clock       Clock
+	logger      *zap.Logger
 
 	mu     sync.Mutex
 	counts map[int64]map[string]int64
@@ -43,7 +43,7 @@
 	number  int64
 	sending []byte
 	// inSending are the counts of sending, untold those that were written and not logged.
-	inSending, untold map[int64]map[string]int64
+	inSending, unlogged map[int64]map[string]int64
 	// flushing is held by the one who sends.
 	flushing sync.Mutex
 }
@@ -51,7 +51,7 @@
 // NewRecorder returns a recorder for a run of a daemon. Pace is the least time between
 // two appends that the journal's grants allow.
 func NewRecorder(log journal.Journal, run string, windows duty.Windows, pace journal.Pace, clock Clock, logger *zap.Logger) *Recorder {
-	return &Recorder{journal: log, run: run, windows: windows, pace: pace, clock: clock, logger: logger, counts: map[int64]map[string]int64{}, untold: map[int64]map[string]int64{}}
+	return &Recorder{journal: log, self: run, windows: windows, minInterval: pace, clock: clock, logger: logger, counts: map[int64]map[string]int64{}, unlogged: map[int64]map[string]int64{}}
 }
 
 // Ran counts a request of a tenant that was sent to a replica at a moment of the
@@ -68,16 +68,16 @@
 
 // Run appends what was counted until the context ends.
 func (r *Recorder) Run(ctx context.Context) {
-	pause := leastFlush
+	pause := minFlushInterval
 	periodic.Repeat(ctx, func(ctx context.Context) time.Duration {
 		err := r.flush(ctx)
-		r.tell(r.clock.Now())
+		r.logWritten(r.clock.Now())
 		if err == nil {
-			pause = leastFlush
+			pause = minFlushInterval
 		} else {
-			pause = min(2*pause, mostFlush)
+			pause = min(2*pause, maxFlushInterval)
 		}
-		return max(r.pace(), pause)
+		return max(r.minInterval(), pause)
 	})
 }
 
@@ -86,7 +86,7 @@
 func (r *Recorder) Flush(ctx context.Context) error {
 	err := r.flush(ctx)
 	if err == nil {
-		r.tell(r.clock.Now().Add(r.windows.Length))
+		r.logWritten(r.clock.Now().Add(r.windows.Length))
 	}
 	return err
 }
@@ -107,7 +107,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.written(r.inSending)
+	r.noteWritten(r.inSending)
 	r.sending, r.inSending = nil, nil
 	return nil
 }
@@ -123,7 +123,7 @@
 		return nil
 	}
 	r.number++
-	r.sending = encode(record{Kind: kindCounted, Run: r.run, Number: r.number, Counts: r.counts})
+	r.sending = encode(record{Kind: kindCounted, Sender: r.self, Number: r.number, Counts: r.counts})
 	r.inSending, r.counts = r.counts, map[int64]map[string]int64{}
 	return r.sending
 }
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -20,13 +20,13 @@
 	// settleShare is the part of the time until a report is due after which a window is
 	// decided: counts of requests that took long, or of daemons that had lost the
 	// journal, come by then, and a successor can still act in time.
-	settleShare = 0.4
+	settlePart = 0.4
 	// steadyFor is how long the journal must have answered for a window to be decided:
 	// just after an outage the daemons have still to write their counts.
-	steadyFor = 1500 * time.Millisecond
+	steadyAfter = 1500 * time.Millisecond
 	// forcedShare is the part of the time until a report is due after which a window is
 	// decided in any case.
-	forcedShare = 0.85
+	forcedPart = 0.85
 	// readTimeout bounds one read of the partition, readBytes its answer.
 	readTimeout = 1200 * time.Millisecond
 	readBytes   = 256 << 10
@@ -35,12 +35,12 @@
 	// firstPause is the pause after a call that failed, a look's interval. It doubles with
 	// each one in a row, up to longestPause, which leaves some tries between a decision
 	// and when the report is due (6 s where that is 10 s after the window).
-	firstPause   = 200 * time.Millisecond
-	longestPause = 2 * time.Second
+	minFailurePause = 200 * time.Millisecond
+	maxFailurePause = 2 * time.Second
 )
 
 // callPauses bound the pauses between calls that fail.
-var callPauses = backoff.Bounds{First: firstPause, Longest: longestPause}
+var callPauses = backoff.Bounds{First: minFailurePause, Longest: maxFailurePause}
 
 // Reporter settles and reports the usage of windows while it may act.
 type Reporter struct {
@@ -93,7 +93,7 @@
 // nextWindow returns the window to decide next. Before any was decided it is the oldest
 // that something was counted in, or the present one.
 func (r *Reporter) nextWindow() int64 {
-	if r.state.any {
+	if r.state.anyDecided {
 		return r.state.last + 1
 	}
 	first := windowOf(r.clock.Now(), r.windows)
@@ -108,22 +108,22 @@
 	return r.clock.Now().Sub(endOf(r.nextWindow(), r.windows))
 }
 
-func (r *Reporter) share(part float64) time.Duration {
+func (r *Reporter) partOfDue(part float64) time.Duration {
 	return time.Duration(part * float64(r.windows.Due))
 }
 
 // mayDecide reports whether it is worth to look at the counts: nothing was read yet, or
 // a window has ended long enough ago.
 func (r *Reporter) mayDecide() bool {
-	return r.next == 0 || r.sinceEnd() >= r.share(settleShare)
+	return r.next == 0 || r.sinceEnd() >= r.partOfDue(settlePart)
 }
 
 // decide settles the next window if it is time. It does one at a time, so that reports
 // are not held up by many.
 func (r *Reporter) decide(ctx context.Context, now time.Time) {
 	since := r.sinceEnd()
-	steady := now.Sub(r.failedAt) >= steadyFor
-	if since < r.share(settleShare) || !steady && since < r.share(forcedShare) {
+	steady := now.Sub(r.failedAt) >= steadyAfter
+	if since < r.partOfDue(settlePart) || !steady && since < r.partOfDue(forcedPart) {
 		return
 	}
 	window := r.nextWindow()
@@ -133,17 +133,17 @@
 	}
 	err := r.append(ctx, record{Kind: kindDecided, Window: window, Requests: requests})
 	r.logger.Info("usage decided", zap.Int64("window", window), zap.Int64("requests", total(requests)), zap.Int("tenants", len(requests)), zap.Stringer("counts", byTenant(requests)),
-		zap.Int("runs", len(r.state.runs)), zap.Int64("counted_late", r.state.late), zap.Duration("after", since), zap.Bool("steady", steady), zap.Error(err))
+		zap.Int("runs", len(r.state.senders)), zap.Int64("counted_late", r.state.late), zap.Duration("after", since), zap.Bool("steady", steady), zap.Error(err))
 	if err == nil {
 		// What the journal holds decides: another daemon may have been first.
 		r.catchUp(ctx)
 	}
 }
 
-func (r *Reporter) append(ctx context.Context, entry record) error {
+func (r *Reporter) append(ctx context.Context, rec record) error {
 	bounded, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	_, err := r.journal.Append(bounded, journal.Append{Partition: Partition, Records: [][]byte{encode(entry)}})
+	_, err := r.journal.Append(bounded, journal.Append{Partition: Partition, Records: [][]byte{encode(rec)}})
 	if err != nil {
 		r.failedAt = time.Now()
 	}
--- a/internal/callers/usage/telling.go
+++ b/internal/callers/usage/telling.go
@@ -13,7 +13,7 @@
 
 // maxToldTenants bounds the tenants that one log line names, those with the most requests:
 // a line stays below a kilobyte or two whatever the number of tenants.
-const maxToldTenants = 40
+const maxLoggedTenants = 40
 
 // byTenant is the counts of tenants as logs tell them.
 type byTenant map[string]int64
@@ -26,7 +26,7 @@
 	var parts []string
 	rest := int64(0)
 	for i, tenant := range tenants {
-		if i < maxToldTenants {
+		if i < maxLoggedTenants {
 			parts = append(parts, tenant+":"+strconv.FormatInt(counts[tenant], 10))
 		} else {
 			rest += counts[tenant]
@@ -39,24 +39,24 @@
 }
 
 // written notes the counts of a record that the journal has. The mutex is held.
-func (r *Recorder) written(counts map[int64]map[string]int64) {
+func (r *Recorder) noteWritten(counts map[int64]map[string]int64) {
 	for window, requests := range counts {
-		addTo(r.untold, window, requests)
+		addTo(r.unlogged, window, requests)
 	}
 }
 
 // tell logs what this run has counted in the windows that had ended at a time of day: a
 // line a window, and another one for what was written of it later.
-func (r *Recorder) tell(at time.Time) {
+func (r *Recorder) logWritten(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, window := range slices.Sorted(maps.Keys(r.untold)) {
+	for _, window := range slices.Sorted(maps.Keys(r.unlogged)) {
 		if endOf(window, r.windows).After(at) {
 			continue
 		}
-		requests := r.untold[window]
-		delete(r.untold, window)
-		r.logger.Info("usage counted", zap.Int64("window", window), zap.String("run", r.run), zap.Int64("requests", total(requests)),
+		requests := r.unlogged[window]
+		delete(r.unlogged, window)
+		r.logger.Info("usage counted", zap.Int64("window", window), zap.String("run", r.self), zap.Int64("requests", total(requests)),
 			zap.Int("tenants", len(requests)), zap.Stringer("counts", byTenant(requests)), zap.Int64("number", r.number))
 	}
 }
--- a/internal/callers/usage/telling_test.go
+++ b/internal/callers/usage/telling_test.go
@@ -54,11 +54,11 @@
 	is := is.New(t)
 	is.Equal(byTenant{"b": 2, "a": 2, "c": 7}.String(), "c:7,a:2,b:2")
 	many := byTenant{}
-	for i := range 3 * maxToldTenants {
+	for i := range 3 * maxLoggedTenants {
 		many[fmt.Sprintf("t%03d", i)] = 1
 	}
 	many["most"] = 9
 	text := many.String()
 	is.True(strings.HasPrefix(text, "most:9,t000:1,"))
-	is.True(strings.HasSuffix(text, fmt.Sprintf(",others:%d", 2*maxToldTenants+1)))
+	is.True(strings.HasSuffix(text, fmt.Sprintf(",others:%d", 2*maxLoggedTenants+1)))
 }
--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -30,7 +30,7 @@
 
 // countedRecord has one request of a tenant in a window.
 func countedRecord(run string, number, window int64, tenant string) []byte {
-	return encode(record{Kind: kindCounted, Run: run, Number: number, Counts: map[int64]map[string]int64{window: {tenant: 1}}})
+	return encode(record{Kind: kindCounted, Sender: run, Number: number, Counts: map[int64]map[string]int64{window: {tenant: 1}}})
 }
 
 // In whatever order counts and decisions come, doubled or late: a window is decided once
@@ -82,13 +82,13 @@
 func TestTheFoldForgetsWhatIsLongPast(t *testing.T) {
 	is := is.New(t)
 	s := newState()
-	for window := int64(1000); window < 1000+3*keptWindows; window++ {
+	for window := int64(1000); window < 1000+3*rememberedWindows; window++ {
 		s.apply(countedRecord(fmt.Sprint("run/", window), 1, window, "x"))
 		s.apply(encode(record{Kind: kindDecided, Window: window, Requests: s.counts[window]}))
 		s.apply(encode(record{Kind: kindReported, Window: window}))
-		is.True(len(s.runs) <= keptWindows)
-		is.True(len(s.decided) <= keptWindows)
-		is.True(len(s.reported) <= keptWindows)
+		is.True(len(s.senders) <= rememberedWindows)
+		is.True(len(s.decided) <= rememberedWindows)
+		is.True(len(s.reported) <= rememberedWindows)
 		is.Equal(len(s.counts), 0)
 	}
 }
@@ -327,8 +327,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, each := range read.Records {
-		var entry record
-		if cbor.Unmarshal(each, &entry) == nil && entry.Kind != kindCounted && !f.own[string(each)] {
+		var rec record
+		if cbor.Unmarshal(each, &rec) == nil && rec.Kind != kindCounted && !f.own[string(each)] {
 			each = encode(record{})
 		}
 		kept.Records = append(kept.Records, each)
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -102,7 +102,7 @@
 	n.demandFollower = journal.NewKeyedFollower(log, demand.Partition(log), n.demands, n.settings.Timing.ContactBound.Std(), n.logger)
 	n.lease = lease.New(log, journal.Partition{Topic: dutyTopic}, n.identity, n.settings.Name, n.settings.Timing.LeaseQuiet.Std(), n.logger)
 	n.syncer = modelsync.New(n.settings.Name, n.lease, drivers.Engines, n.table, n.operator.Configuration, n.operator.Named, n.demands, n.logger)
-	n.syncer.SetPace(n.occupancy.paceOf)
+	n.syncer.SetEventTime(n.occupancy.eventTimeOf)
 }
 
 // buildResults makes the reader of batches, which answers peers as well.
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -42,18 +42,18 @@
 	return dealt
 }
 
-// paceOf returns the pace of an engine as this daemon has measured it or heard of it last. It
-// is a modelsync.Pace.
-func (o *occupancyParts) paceOf(e replica.Replica) (pace, age time.Duration) {
-	own := time.Since(e.PaceAt)
+// eventTimeOf returns the event time of an engine as this daemon has measured it, or as others
+// have since. It is a modelsync.EventTime.
+func (o *occupancyParts) eventTimeOf(e replica.Replica) (eventTime, age time.Duration) {
+	own := time.Since(e.EventAt)
 	if o == nil {
-		return e.Pace, own
+		return e.EventTime, own
 	}
-	heard, heardAge := o.table.EventTime(runner.KeyOf(e))
-	if heard > 0 && (e.Pace == 0 || heardAge < own) {
-		return heard, heardAge
+	others, othersAge := o.table.EventTime(runner.KeyOf(e))
+	if others > 0 && (e.EventTime == 0 || othersAge < own) {
+		return others, othersAge
 	}
-	return e.Pace, own
+	return e.EventTime, own
 }
 
 func (o *occupancyParts) run(ctx context.Context) {
--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -47,7 +47,7 @@
 	// refused is for the handler's methods only.
 	refused refusals
 
-	mutex         sync.RWMutex
+	mu            sync.RWMutex
 	configuration *route.Configuration
 	named         map[string]int64
 	onChange      func(*route.Configuration)
@@ -60,84 +60,84 @@
 }
 
 // Configuration returns the configuration in force, or nil before the first.
-func (state *State) Configuration() *route.Configuration {
-	state.mutex.RLock()
-	defer state.mutex.RUnlock()
-	return state.configuration
+func (s *State) Configuration() *route.Configuration {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	return s.configuration
 }
 
 // Named returns the newest version named of each model.
-func (state *State) Named() map[string]int64 {
-	state.mutex.RLock()
-	defer state.mutex.RUnlock()
-	named := make(map[string]int64, len(state.named))
-	for model, version := range state.named {
+func (s *State) Named() map[string]int64 {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	named := make(map[string]int64, len(s.named))
+	for model, version := range s.named {
 		named[model] = version
 	}
 	return named
 }
 
 // Reset implements journal.KeyedHandler. A missing key takes nothing back.
-func (state *State) Reset(records []journal.KeyedRecord) {
+func (s *State) Reset(records []journal.KeyedRecord) {
 	for _, record := range records {
-		state.Apply(record)
+		s.Apply(record)
 	}
 }
 
 // Apply implements journal.KeyedHandler.
-func (state *State) Apply(record journal.KeyedRecord) {
+func (s *State) Apply(record journal.KeyedRecord) {
 	if len(record.Value) == 0 && !record.Unreadable {
 		return
 	}
-	decoded, err := state.decode(record)
+	decoded, err := s.decode(record)
 	if err != nil {
-		if state.refused.isNew(record) {
-			state.logger.Error("operator's record refused", zap.String("key", record.Key), zap.Int64("offset", record.Offset), zap.Error(err))
+		if s.refused.isNew(record) {
+			s.logger.Error("operator's record refused", zap.String("key", record.Key), zap.Int64("offset", record.Offset), zap.Error(err))
 		}
 		return
 	}
-	state.refused.forget(record.Key)
+	s.refused.forget(record.Key)
 	switch {
 	case decoded.Configuration != nil:
-		state.install(decoded.Configuration, record.Offset)
+		s.install(decoded.Configuration, record.Offset)
 	case decoded.Model != "":
-		state.name(decoded.Model, decoded.ModelVersion, record.Offset)
+		s.name(decoded.Model, decoded.ModelVersion, record.Offset)
 	}
 }
 
-func (state *State) decode(record journal.KeyedRecord) (Record, error) {
+func (s *State) decode(record journal.KeyedRecord) (Record, error) {
 	if record.Unreadable {
 		return Record{}, ErrUnreadable
 	}
-	return state.decoder.Operator(record.Key, record.Value)
+	return s.decoder.Operator(record.Key, record.Value)
 }
 
-func (state *State) install(configuration *route.Configuration, offset int64) {
-	state.mutex.Lock()
-	inForce := state.configuration
+func (s *State) install(configuration *route.Configuration, offset int64) {
+	s.mu.Lock()
+	inForce := s.configuration
 	newer := inForce == nil || configuration.Version > inForce.Version
 	if newer {
-		state.configuration = configuration
+		s.configuration = configuration
 	}
-	state.mutex.Unlock()
+	s.mu.Unlock()
 	if !newer {
 		return
 	}
-	state.logger.Info("configuration in force", zap.Int64("version", configuration.Version), zap.Int64("offset", offset),
+	s.logger.Info("configuration in force", zap.Int64("version", configuration.Version), zap.Int64("offset", offset),
 		zap.Int("routes", len(configuration.Routes)), zap.Int("services", len(configuration.Services)))
-	if state.onChange != nil {
-		state.onChange(configuration)
+	if s.onChange != nil {
+		s.onChange(configuration)
 	}
 }
 
-func (state *State) name(model string, version, offset int64) {
-	state.mutex.Lock()
-	newer := version > state.named[model]
+func (s *State) name(model string, version, offset int64) {
+	s.mu.Lock()
+	newer := version > s.named[model]
 	if newer {
-		state.named[model] = version
+		s.named[model] = version
 	}
-	state.mutex.Unlock()
+	s.mu.Unlock()
 	if newer {
-		state.logger.Info("version named", zap.String("model", model), zap.Int64("version", version), zap.Int64("offset", offset))
+		s.logger.Info("version named", zap.String("model", model), zap.Int64("version", version), zap.Int64("offset", offset))
 	}
 }
--- a/internal/replicas/catalog/directory.go
+++ b/internal/replicas/catalog/directory.go
@@ -22,7 +22,7 @@
 }
 
 // Reset implements journal.KeyedHandler.
-func (directory *Directory) Reset(records []journal.KeyedRecord) {
+func (d *Directory) Reset(records []journal.KeyedRecord) {
 	entries := make([]replica.Entry, 0, len(records))
 	listed := make(map[string]bool, len(records))
 	for _, record := range records {
@@ -30,38 +30,38 @@
 			continue
 		}
 		listed[record.Key] = true
-		entries = append(entries, directory.decode(record))
+		entries = append(entries, d.decode(record))
 	}
-	directory.refused.keep(listed)
-	directory.table.Replace(entries)
+	d.refused.keep(listed)
+	d.table.Replace(entries)
 }
 
 // Apply implements journal.KeyedHandler.
-func (directory *Directory) Apply(record journal.KeyedRecord) {
+func (d *Directory) Apply(record journal.KeyedRecord) {
 	if removes(record) {
-		directory.refused.forget(record.Key)
-		directory.table.Remove(record.Key)
+		d.refused.forget(record.Key)
+		d.table.Remove(record.Key)
 		return
 	}
-	directory.table.Set(directory.decode(record))
+	d.table.Set(d.decode(record))
 }
 
 // removes reports whether a record takes an entry off the list.
 func removes(record journal.KeyedRecord) bool { return len(record.Value) == 0 && !record.Unreadable }
 
 // decode returns the entry of a record, an unusable one if it can't be understood.
-func (directory *Directory) decode(record journal.KeyedRecord) replica.Entry {
+func (d *Directory) decode(record journal.KeyedRecord) replica.Entry {
 	err := ErrUnreadable
 	entry := replica.Entry{}
 	if !record.Unreadable {
-		entry, err = directory.decoder.Replica(record.Key, record.Value)
+		entry, err = d.decoder.Replica(record.Key, record.Value)
 	}
 	if err == nil {
-		directory.refused.forget(record.Key)
+		d.refused.forget(record.Key)
 		return entry
 	}
-	if directory.refused.isNew(record) {
-		directory.logger.Error("replica's entry refused", zap.String("replica", record.Key), zap.Int64("offset", record.Offset),
+	if d.refused.isNew(record) {
+		d.logger.Error("replica's entry refused", zap.String("replica", record.Key), zap.Int64("offset", record.Offset),
 			zap.Int("bytes", len(record.Value)), zap.Error(err))
 	}
 	return replica.Entry{ID: record.Key, Unusable: true}
--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -22,7 +22,7 @@
 	timeKeyPrefix = "time/"
 	// firstItemTime is how long an item is expected to take a slot before one was
 	// measured: a text of twenty events, 40 ms each, and its prompt.
-	firstItemTime = time.Second
+	initialItemTime = time.Second
 )
 
 // Demand is what the newest batch of a model allowed.
@@ -43,7 +43,7 @@
 }
 
 // Lag is how many versions behind the newest the batch allowed.
-func (demand Demand) Lag() int64 { return max(demand.Named-demand.MinVersion, 0) }
+func (d Demand) Lag() int64 { return max(d.Named-d.MinVersion, 0) }
 
 // Partition is where demands are kept.
 func Partition(log journal.Journal) journal.Partition {
@@ -62,26 +62,26 @@
 }
 
 // Publish writes a demand once. One that is lost is made good by the next.
-func (publisher *Publisher) Publish(ctx context.Context, model string, demand Demand) {
-	publisher.write(ctx, model, demand)
+func (p *Publisher) Publish(ctx context.Context, model string, demand Demand) {
+	p.write(ctx, model, demand)
 }
 
 // PublishTime writes how long an item of a model took a slot, in the mean of a batch.
-func (publisher *Publisher) PublishTime(ctx context.Context, model string, itemTime time.Duration) {
-	publisher.write(ctx, timeKeyPrefix+model, measured{ItemTimeMs: itemTime.Milliseconds()})
+func (p *Publisher) PublishTime(ctx context.Context, model string, itemTime time.Duration) {
+	p.write(ctx, timeKeyPrefix+model, measured{ItemTimeMs: itemTime.Milliseconds()})
 }
 
-func (publisher *Publisher) write(ctx context.Context, key string, value any) {
+func (p *Publisher) write(ctx context.Context, key string, value any) {
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
-		publisher.logger.Error("demand not encoded", zap.String("key", key), zap.Error(err))
+		p.logger.Error("demand not encoded", zap.String("key", key), zap.Error(err))
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	record := publisher.journal.JoinKeyed(journal.KeyedRecord{Key: key, Value: encoded})
-	if _, err := publisher.journal.Append(bounded, journal.Append{Partition: Partition(publisher.journal), Records: [][]byte{record}}); err != nil {
-		publisher.logger.Info("demand not written", zap.String("key", key), zap.Error(err))
+	record := p.journal.JoinKeyed(journal.KeyedRecord{Key: key, Value: encoded})
+	if _, err := p.journal.Append(bounded, journal.Append{Partition: Partition(p.journal), Records: [][]byte{record}}); err != nil {
+		p.logger.Info("demand not written", zap.String("key", key), zap.Error(err))
 	}
 }
 
@@ -95,7 +95,7 @@
 
 // State is the newest demand of each model, its work a running mean. It implements journal.KeyedHandler.
 type State struct {
-	mutex     sync.Mutex
+	mu        sync.Mutex
 	demands   map[string]Demand
 	itemTimes map[string]time.Duration
 }
@@ -106,59 +106,59 @@
 }
 
 // Reset implements journal.KeyedHandler.
-func (state *State) Reset(records []journal.KeyedRecord) {
+func (s *State) Reset(records []journal.KeyedRecord) {
 	for _, record := range records {
-		state.Apply(record)
+		s.Apply(record)
 	}
 }
 
 // Apply implements journal.KeyedHandler.
-func (state *State) Apply(record journal.KeyedRecord) {
+func (s *State) Apply(record journal.KeyedRecord) {
 	if model, isTime := strings.CutPrefix(record.Key, timeKeyPrefix); isTime {
-		state.applyTime(model, record.Value)
+		s.applyTime(model, record.Value)
 		return
 	}
 	var demand Demand
 	if len(record.Value) == 0 || cbor.Unmarshal(record.Value, &demand) != nil {
 		return
 	}
-	state.mutex.Lock()
-	defer state.mutex.Unlock()
-	if before, known := state.demands[record.Key]; known && before.Work > 0 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if before, known := s.demands[record.Key]; known && before.Work > 0 {
 		demand.Work = before.Work + (demand.Work-before.Work)/workSmoothing
 	}
-	state.demands[record.Key] = demand
+	s.demands[record.Key] = demand
 }
 
 // applyTime takes what an owner has measured of a model.
-func (state *State) applyTime(model string, value []byte) {
-	var told measured
-	if len(value) == 0 || cbor.Unmarshal(value, &told) != nil || told.ItemTimeMs <= 0 {
+func (s *State) applyTime(model string, value []byte) {
+	var m measured
+	if len(value) == 0 || cbor.Unmarshal(value, &m) != nil || m.ItemTimeMs <= 0 {
 		return
 	}
-	state.mutex.Lock()
-	defer state.mutex.Unlock()
-	itemTime := time.Duration(told.ItemTimeMs) * time.Millisecond
-	if before, known := state.itemTimes[model]; known {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	itemTime := time.Duration(m.ItemTimeMs) * time.Millisecond
+	if before, known := s.itemTimes[model]; known {
 		itemTime = before + (itemTime-before)/timeSmoothing
 	}
-	state.itemTimes[model] = itemTime
+	s.itemTimes[model] = itemTime
 }
 
 // ItemTime is how long an item of a model takes a slot, a running mean over batches.
-func (state *State) ItemTime(model string) time.Duration {
-	state.mutex.Lock()
-	defer state.mutex.Unlock()
-	if itemTime, known := state.itemTimes[model]; known {
+func (s *State) ItemTime(model string) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if itemTime, known := s.itemTimes[model]; known {
 		return itemTime
 	}
-	return firstItemTime
+	return initialItemTime
 }
 
 // Of returns the newest demand of a model.
-func (state *State) Of(model string) (Demand, bool) {
-	state.mutex.Lock()
-	defer state.mutex.Unlock()
-	demand, known := state.demands[model]
+func (s *State) Of(model string) (Demand, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	demand, known := s.demands[model]
 	return demand, known
 }
--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -20,7 +20,7 @@
 	is.Helper()
 	m := NewManager(Parts{Journal: s.log, Lease: s, Driver: s}, zap.NewNop())
 	for _, zone := range []string{"a", "b", "c"} {
-		is.NoErr(m.note(ctx, ordered{Service: "s", Zone: zone, Desired: 6, AtMs: time.Now().Add(clockError).UnixMilli()}))
+		is.NoErr(m.record(ctx, orderRecord{Service: "s", Zone: zone, Desired: 6, AtMs: time.Now().Add(clockError).UnixMilli()}))
 	}
 }
 
@@ -34,7 +34,7 @@
 				is.Equal(Need(Input{Slots: 6, Loads: loadsOf(240)}), 18) // six in each zone
 				s.leaveOrders(ctx, is, clockError)
 				s.start(ctx, zap.NewNop())
-				time.Sleep(s.boot() + bootSlack - lookInterval)
+				time.Sleep(s.boot() + bootMargin - lookInterval)
 				is.Equal(s.taken(), []duty.Fleet(nil))
 			})
 		})
@@ -50,7 +50,7 @@
 				s := newStage(240)
 				s.leaveOrders(ctx, is, clockError)
 				s.start(ctx, zap.NewNop())
-				time.Sleep(s.boot() + bootSlack + renewEvery + lookInterval)
+				time.Sleep(s.boot() + bootMargin + renewInterval + lookInterval)
 				is.True(len(s.taken()) > 0)
 			})
 		})
@@ -66,7 +66,7 @@
 				s := newStage(240)
 				s.leaveOrders(ctx, is, clockError)
 				s.start(ctx, zap.NewNop())
-				end := time.Now().Add(s.boot() + bootSlack + renewEvery + lookInterval)
+				end := time.Now().Add(s.boot() + bootMargin + renewInterval + lookInterval)
 				for time.Now().Before(end) {
 					s.set(func() { s.held = true })
 					time.Sleep(4 * lookInterval)
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -39,21 +39,21 @@
 	// firstPause is the pause after an order that failed, a little more than a look's
 	// interval. It doubles with each one in a row, up to longestPause, which is what a
 	// platform that takes orders again may wait for the next one.
-	firstPause   = 300 * time.Millisecond
-	longestPause = 5 * time.Second
+	minFailurePause = 300 * time.Millisecond
+	maxFailurePause = 5 * time.Second
 	// freshList is how old the list of replicas may be for an order: an outage of the
 	// journal lets entries lapse although their replicas live.
-	freshList = 1500 * time.Millisecond
+	maxListAge = 1500 * time.Millisecond
 	// settledList is how long the list must have been followed without a gap: entries
 	// that lapsed in an outage are back within two seconds of its end.
-	settledList = 3 * time.Second
+	settledAfter = 3 * time.Second
 	// seenFor is how long a larger number of replicas is remembered: those that are
 	// missing from the list for less may live.
-	seenFor = 15 * time.Second
+	seenSpan = 15 * time.Second
 )
 
 // orderPauses bound the pauses between orders that fail.
-var orderPauses = backoff.Bounds{First: firstPause, Longest: longestPause}
+var orderPauses = backoff.Bounds{First: minFailurePause, Longest: maxFailurePause}
 
 // List tells how far the list of replicas can be relied upon.
 type List interface{ Silence() time.Duration }
@@ -72,10 +72,10 @@
 }
 
 // subject is a service in a zone.
-type subject struct{ service, zone string }
+type serviceZone struct{ service, zone string }
 
 // ordered is what was ordered last for a subject. It is a record of the journal.
-type ordered struct {
+type orderRecord struct {
 	Service string `cbor:"1,keyasint"`
 	Zone    string `cbor:"2,keyasint"`
 	Desired int    `cbor:"3,keyasint"`
@@ -86,8 +86,8 @@
 
 // sighted is an order with when this daemon first saw it, by its own steady clock: the
 // order is at least that old.
-type sighted struct {
-	ordered
+type observedOrder struct {
+	orderRecord
 	at time.Time
 }
 
@@ -97,16 +97,16 @@
 	logger *zap.Logger
 
 	// known is what was ordered; it is read when this daemon begins to act.
-	known map[subject]sighted
+	ordered map[serviceZone]observedOrder
 	// newest are the newest orders that were ever seen. They outlive the lease, so that an
 	// order does not become new by being read again.
-	newest map[subject]sighted
+	newest map[serviceZone]observedOrder
 	// lowSince is since when each service has needed fewer replicas.
 	lowSince map[string]time.Time
 	// unsettledAt is when the list was last seen to be old.
 	unsettledAt time.Time
 	// seen are the replicas listed of late, by subject.
-	seen map[subject]sighting
+	seen map[serviceZone]seenCount
 	// rest is the pause after orders that failed.
 	rest backoff.Rest
 
@@ -114,14 +114,14 @@
 }
 
 // sighting is the largest number of replicas that was listed within seenFor.
-type sighting struct {
+type seenCount struct {
 	count int
 	at    time.Time
 }
 
 // NewManager returns a manager.
 func NewManager(parts Parts, logger *zap.Logger) *Manager {
-	return &Manager{Parts: parts, logger: logger, newest: map[subject]sighted{}, lowSince: map[string]time.Time{}, seen: map[subject]sighting{}}
+	return &Manager{Parts: parts, logger: logger, newest: map[serviceZone]observedOrder{}, lowSince: map[string]time.Time{}, seen: map[serviceZone]seenCount{}}
 }
 
 // Orders returns how many orders the platform took from this daemon.
@@ -131,10 +131,10 @@
 func (m *Manager) Failed() uint64 { return m.failed.Load() }
 
 // Run orders replicas until the context ends.
-func (m *Manager) Run(ctx context.Context) { periodic.Every(ctx, lookInterval, m.look) }
+func (m *Manager) Run(ctx context.Context) { periodic.Every(ctx, lookInterval, m.step) }
 
 // look makes the orders that are due, if the lease lets this daemon act.
-func (m *Manager) look(ctx context.Context) {
+func (m *Manager) step(ctx context.Context) {
 	configuration := m.Configuration()
 	if configuration == nil {
 		return
@@ -144,7 +144,7 @@
 	settled := m.settled(now)
 	present := m.presentOf(configuration, now)
 	if _, _, may := m.Lease.Fence(); !may {
-		m.known = nil
+		m.ordered = nil
 		return
 	}
 	if !settled || !m.rest.Over(now) || !m.read(ctx) {
@@ -165,45 +165,45 @@
 
 // settled reports whether the list of replicas has been followed for a while.
 func (m *Manager) settled(now time.Time) bool {
-	if m.List.Silence() > freshList {
+	if m.List.Silence() > maxListAge {
 		m.unsettledAt = now
 	}
-	return now.Sub(m.unsettledAt) >= settledList
+	return now.Sub(m.unsettledAt) >= settledAfter
 }
 
 // presentOf counts the replicas listed of the services whose replicas may be ordered, and
 // notes the largest numbers of late.
-func (m *Manager) presentOf(configuration *route.Configuration, now time.Time) map[subject]int {
-	present := map[subject]int{}
+func (m *Manager) presentOf(configuration *route.Configuration, now time.Time) map[serviceZone]int {
+	present := map[serviceZone]int{}
 	for _, service := range configuration.Services {
 		if service.Scaling == nil {
 			continue
 		}
 		for zone := range service.Scaling.ZonePrices {
-			present[subject{service.Name, zone}] = 0
+			present[serviceZone{service.Name, zone}] = 0
 		}
-		for _, each := range m.Table.Replicas(service.Name) {
-			if !each.Spot {
-				present[subject{service.Name, each.Zone}]++
+		for _, rep := range m.Table.Replicas(service.Name) {
+			if !rep.Spot {
+				present[serviceZone{service.Name, rep.Zone}]++
 			}
 		}
 	}
 	for key, count := range present {
-		if last := m.seen[key]; count >= last.count || now.Sub(last.at) > seenFor {
-			m.seen[key] = sighting{count, now}
+		if last := m.seen[key]; count >= last.count || now.Sub(last.at) > seenSpan {
+			m.seen[key] = seenCount{count, now}
 		}
 	}
 	return present
 }
 
 // input gathers what a plan for a service depends on.
-func (m *Manager) input(configuration *route.Configuration, service route.Service, present map[subject]int, now time.Time) Input {
+func (m *Manager) input(configuration *route.Configuration, service route.Service, present map[serviceZone]int, now time.Time) Input {
 	in := Input{Scaling: *service.Scaling, Slots: service.Slots, Now: now, Loads: m.loads(configuration, service)}
 	for key, count := range present {
 		if key.service != service.Name {
 			continue
 		}
-		last := m.known[key]
+		last := m.ordered[key]
 		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, Seen: m.seen[key].count, Ordered: last.Desired, OrderedAt: last.at})
 	}
 	sortZones(in.Zones)
@@ -222,9 +222,9 @@
 	deadline := batchDeadline(configuration, service.Name)
 	var loads []Load
 	for _, model := range service.Models {
-		known, found := m.Demands.Of(model.Name)
-		if found && known.Items > 0 {
-			loads = append(loads, Load{Items: known.Items, ItemTime: m.Demands.ItemTime(model.Name), Deadline: deadline})
+		d, found := m.Demands.Of(model.Name)
+		if found && d.Items > 0 {
+			loads = append(loads, Load{Items: d.Items, ItemTime: m.Demands.ItemTime(model.Name), Deadline: deadline})
 		}
 	}
 	return loads
@@ -235,12 +235,12 @@
 func batchDeadline(configuration *route.Configuration, service string) time.Duration {
 	shortest := time.Duration(0)
 	for i := range configuration.Routes {
-		each := &configuration.Routes[i]
-		if each.Kind != route.Batch || each.BatchDeadline <= 0 || !each.Uses(service) {
+		rt := &configuration.Routes[i]
+		if rt.Kind != route.Batch || rt.BatchDeadline <= 0 || !rt.Uses(service) {
 			continue
 		}
-		if shortest == 0 || each.BatchDeadline < shortest {
-			shortest = each.BatchDeadline
+		if shortest == 0 || rt.BatchDeadline < shortest {
+			shortest = rt.BatchDeadline
 		}
 	}
 	return shortest
@@ -249,12 +249,12 @@
 // order asks the platform for replicas. What is asked for is noted first, so that a
 // successor takes what may have been ordered for ordered.
 func (m *Manager) order(ctx context.Context, service string, order Order, in Input) bool {
-	key := subject{service, order.Zone}
-	noted := ordered{Service: service, Zone: order.Zone, Desired: order.Desired, AtMs: in.Now.UnixMilli()}
-	err := m.note(ctx, noted)
+	key := serviceZone{service, order.Zone}
+	rec := orderRecord{Service: service, Zone: order.Zone, Desired: order.Desired, AtMs: in.Now.UnixMilli()}
+	err := m.record(ctx, rec)
 	fence := int64(0)
 	if err == nil {
-		m.known[key] = m.sight(key, noted, in.Now)
+		m.ordered[key] = m.observe(key, rec, in.Now)
 		err = lease.Act(ctx, m.Lease, callTimeout, func(ctx context.Context, held int64) error {
 			fence = held
 			return m.Driver.OrderFleet(ctx, duty.Authority{Holder: m.Holder, Fence: held}, duty.Fleet{Service: service, Zone: order.Zone, Desired: order.Desired})
@@ -266,7 +266,7 @@
 		m.failed.Add(1)
 		m.rest.Failed(orderPauses, time.Now())
 		// It has to be ordered again.
-		delete(m.known, key)
+		delete(m.ordered, key)
 		return false
 	}
 	m.orders.Add(1)
@@ -279,32 +279,32 @@
 }
 
 // note keeps an order in the journal.
-func (m *Manager) note(ctx context.Context, noted ordered) error {
-	encoded, err := cbor.Marshal(noted)
+func (m *Manager) record(ctx context.Context, rec orderRecord) error {
+	encoded, err := cbor.Marshal(rec)
 	if err != nil {
 		return errors.Wrap(err, "fleet: encode")
 	}
 	bounded, cancel := context.WithTimeout(ctx, journalTimeout)
 	defer cancel()
-	record := m.Journal.JoinKeyed(journal.KeyedRecord{Key: noted.Service + "/" + noted.Zone, Value: encoded})
+	record := m.Journal.JoinKeyed(journal.KeyedRecord{Key: rec.Service + "/" + rec.Zone, Value: encoded})
 	_, err = m.Journal.Append(bounded, journal.Append{Partition: m.partition(), Records: [][]byte{record}})
 	return errors.Wrap(err, "fleet: order not noted")
 }
 
 // sight returns an order with when it was first seen.
-func (m *Manager) sight(key subject, noted ordered, now time.Time) sighted {
-	if m.newest[key].ordered != noted {
-		m.newest[key] = sighted{noted, now}
+func (m *Manager) observe(key serviceZone, rec orderRecord, now time.Time) observedOrder {
+	if m.newest[key].orderRecord != rec {
+		m.newest[key] = observedOrder{rec, now}
 	}
 	return m.newest[key]
 }
 
 // read learns what was ordered, when this daemon begins to act.
 func (m *Manager) read(ctx context.Context) bool {
-	if m.known != nil {
+	if m.ordered != nil {
 		return true
 	}
-	known := map[subject]sighted{}
+	known := map[serviceZone]observedOrder{}
 	for afterKey, more := "", true; more; {
 		bounded, cancel := context.WithTimeout(ctx, journalTimeout)
 		page, err := m.Journal.Newest(bounded, m.partition(), afterKey)
@@ -314,17 +314,17 @@
 			return false
 		}
 		for _, each := range page.Records {
-			var noted ordered
-			if err := cbor.Unmarshal(each.Value, &noted); err != nil {
+			var rec orderRecord
+			if err := cbor.Unmarshal(each.Value, &rec); err != nil {
 				m.logger.Error("order for replicas refused", zap.String("key", each.Key), zap.Error(err))
 				continue
 			}
-			key := subject{noted.Service, noted.Zone}
-			known[key] = m.sight(key, noted, time.Now())
+			key := serviceZone{rec.Service, rec.Zone}
+			known[key] = m.observe(key, rec, time.Now())
 			afterKey = each.Key
 		}
 		more = page.More && len(page.Records) > 0
 	}
-	m.known = known
+	m.ordered = known
 	return true
 }
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -157,7 +157,7 @@
 		before := len(s.taken())
 		is.True(before > 0)
 		s.start(ctx, zap.NewNop())
-		time.Sleep(settledList)
+		time.Sleep(settledAfter)
 		is.Equal(len(s.taken()), before)
 	})
 }
@@ -178,7 +178,7 @@
 			}
 		}
 		s.set(func() { s.contact, s.held = time.Time{}, true })
-		time.Sleep(settledList - 2*lookInterval)
+		time.Sleep(settledAfter - 2*lookInterval)
 		is.Equal(len(s.taken()), 0)
 		time.Sleep(time.Second)
 		for _, each := range s.taken() {
@@ -200,7 +200,7 @@
 		s.set(func() { s.answer = nil })
 		// Shorter than a replica may take to start: none does here, and other zones would
 		// make up for it.
-		time.Sleep(longestPause + 2*lookInterval)
+		time.Sleep(maxFailurePause + 2*lookInterval)
 		is.Equal(sum(s.taken()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
 	})
 }
--- a/internal/replicas/fleet/golden_test.go
+++ b/internal/replicas/fleet/golden_test.go
@@ -9,6 +9,6 @@
 )
 
 func TestOrdersKeepTheirForm(t *testing.T) {
-	golden.CBOR[ordered](t, "ordered")
+	golden.CBOR[orderRecord](t, "ordered")
 	golden.Text(t, "partition.txt", fmt.Sprint((&Manager{Parts: Parts{Journal: journaltest.New()}}).partition()))
 }
--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -17,15 +17,15 @@
 	// for missing, steps came 5.9 +- 0.6 s later (5 paired plays); 0.4 gains nothing over
 	// a fleet that is nearly large enough, 0.22 has more engines than can be kept at the
 	// newest weights.
-	targetShare = 0.3
+	targetPart = 0.3
 	// zoneShare bounds the part of the replicas that may be in one zone, as far as the
 	// others can take more: the loss of a zone must leave about a half.
-	zoneShare = 0.5
+	maxZonePart = 0.5
 	// bootSlack is added to the time that a replica takes to start before one that was
 	// ordered counts as missing.
-	bootSlack = 2 * time.Second
+	bootMargin = 2 * time.Second
 	// renewEvery is the time between two orders for replicas that are missing.
-	renewEvery = 10 * time.Second
+	renewInterval = 10 * time.Second
 	// shrinkBelow is the part of the replicas that the need must stay below for
 	// shrinkAfter before replicas are given back, one a zone at a time: a replica that is
 	// missed costs late batches, one too many only its price.
@@ -52,7 +52,7 @@
 
 // booting reports whether replicas that were ordered may still come up.
 func (z Zone) booting(boot time.Duration, now time.Time) bool {
-	return now.Sub(z.OrderedAt) < boot+bootSlack
+	return now.Sub(z.OrderedAt) < boot+bootMargin
 }
 
 // expected is how many replicas there are or will be soon.
@@ -65,7 +65,7 @@
 
 // most is how many replicas the zone can be relied on for: one that has not brought up
 // what was ordered is left as it is.
-func (z Zone) most(in Input) int {
+func (z Zone) capacity(in Input) int {
 	if z.Ordered > z.Present && !z.booting(in.Scaling.Boot, in.Now) {
 		return z.Present
 	}
@@ -109,7 +109,7 @@
 	slots := 0.0
 	for _, load := range in.Loads {
 		if load.Deadline > 0 {
-			slots += float64(load.Items) * load.ItemTime.Seconds() / (targetShare * load.Deadline.Seconds())
+			slots += float64(load.Items) * load.ItemTime.Seconds() / (targetPart * load.Deadline.Seconds())
 		}
 	}
 	return int(math.Ceil(slots / float64(max(in.Slots, 1))))
@@ -118,8 +118,8 @@
 // Low reports whether the need is so low that replicas could be given back.
 func Low(in Input) bool {
 	total := 0
-	for _, each := range in.Zones {
-		total += each.Present
+	for _, z := range in.Zones {
+		total += z.Present
 	}
 	return float64(Need(in)) < shrinkBelow*float64(total)
 }
@@ -132,8 +132,8 @@
 // there or ordered is not ordered again.
 func Plan(in Input) []Order {
 	counts := make([]int, len(in.Zones))
-	for i, each := range in.Zones {
-		counts[i] = each.expected(in.Scaling.Boot, in.Now)
+	for i, z := range in.Zones {
+		counts[i] = z.expected(in.Scaling.Boot, in.Now)
 	}
 	need := Need(in)
 	switch {
@@ -144,15 +144,15 @@
 		shrink(in, counts, need)
 	}
 	var orders []Order
-	for i, each := range in.Zones {
-		expected := each.expected(in.Scaling.Boot, in.Now)
+	for i, z := range in.Zones {
+		expected := z.expected(in.Scaling.Boot, in.Now)
 		switch {
 		case counts[i] > expected:
-			orders = append(orders, Order{each.Name, max(counts[i], min(each.Seen, in.Scaling.Max))})
+			orders = append(orders, Order{z.Name, max(counts[i], min(z.Seen, in.Scaling.Max))})
 		case counts[i] < expected:
-			orders = append(orders, Order{each.Name, counts[i]})
-		case need > total(counts) && each.Ordered > counts[i] && in.Now.Sub(each.OrderedAt) >= renewEvery:
-			orders = append(orders, Order{each.Name, max(each.Ordered, min(each.Seen, in.Scaling.Max))})
+			orders = append(orders, Order{z.Name, counts[i]})
+		case need > total(counts) && z.Ordered > counts[i] && in.Now.Sub(z.OrderedAt) >= renewInterval:
+			orders = append(orders, Order{z.Name, max(z.Ordered, min(z.Seen, in.Scaling.Max))})
 		}
 	}
 	return orders
@@ -161,7 +161,7 @@
 // grow adds replicas until there are as many as needed: to the cheapest zone that has not
 // more than its part, or, where all have, to the one with the fewest.
 func grow(in Input, counts []int, need int) {
-	most := int(math.Ceil(zoneShare * float64(need)))
+	most := int(math.Ceil(maxZonePart * float64(need)))
 	for total(counts) < need {
 		best := -1
 		better := func(i, j int) bool {
@@ -172,7 +172,7 @@
 			) > 0
 		}
 		for i := range counts {
-			if counts[i] < in.Zones[i].most(in) && (best < 0 || better(i, best)) {
+			if counts[i] < in.Zones[i].capacity(in) && (best < 0 || better(i, best)) {
 				best = i
 			}
 		}
--- a/internal/replicas/fleet/plan_test.go
+++ b/internal/replicas/fleet/plan_test.go
@@ -48,8 +48,8 @@
 		seen := map[string]bool{}
 		mayShrink := !in.LowSince.IsZero() && in.Now.Sub(in.LowSince) >= shrinkAfter
 		zones := map[string]Zone{}
-		for _, each := range in.Zones {
-			zones[each.Name] = each
+		for _, z := range in.Zones {
+			zones[z.Name] = z
 		}
 		for _, order := range Plan(in) {
 			zone := zones[order.Zone]
@@ -144,8 +144,8 @@
 
 func (p *platform) present() int {
 	sum := 0
-	for _, each := range p.zones {
-		sum += each.Present
+	for _, z := range p.zones {
+		sum += z.Present
 	}
 	return sum
 }
@@ -167,8 +167,8 @@
 	is.True(p.run(loadsOf(480), now, 30*time.Second) <= p.scaling.Boot+2*lookInterval)
 	is.Equal(p.present(), need(480))
 	is.True(p.orders <= 6)
-	for _, each := range p.zones {
-		is.True(each.Present <= (need(480)+1)/2) // no zone has more than a half
+	for _, z := range p.zones {
+		is.True(z.Present <= (need(480)+1)/2) // no zone has more than a half
 	}
 	now = now.Add(30 * time.Second)
 	p.run(loadsOf(60), now, shrinkAfter-time.Second)
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -26,7 +26,7 @@
 	callTimeout  = 400 * time.Millisecond
 	// firstLoadGuess is how long a change of weights is expected to take
 	// before one was measured.
-	firstLoadGuess = 800 * time.Millisecond
+	initialLoadTime = 800 * time.Millisecond
 	// pollPause is the time between two looks at an engine that loads.
 	pollPause = 200 * time.Millisecond
 	// loadTimeout is how long a change may take before it is ordered again.
@@ -34,8 +34,8 @@
 	// failedPause is how long an engine is left alone after a change that failed, a look's
 	// interval. It doubles with each one in a row, as engines that cannot be reached take
 	// the place of others, up to longestPause.
-	failedPause  = 100 * time.Millisecond
-	longestPause = 2 * time.Second
+	minFailurePause = 100 * time.Millisecond
+	maxFailurePause = 2 * time.Second
 )
 
 // errStartedAgain: the engine is not the start of it that was to change. Its orders, counts
@@ -43,7 +43,7 @@
 var errStartedAgain = errors.New("modelsync: engine has started again")
 
 // changePauses bound the pauses between changes that fail.
-var changePauses = backoff.Bounds{First: failedPause, Longest: longestPause}
+var changePauses = backoff.Bounds{First: minFailurePause, Longest: maxFailurePause}
 
 // Named gives the newest version that was named of each model.
 type Named func() map[string]int64
@@ -59,7 +59,7 @@
 	demands       *demand.State
 	logger        *zap.Logger
 
-	mutex sync.Mutex
+	mu sync.Mutex
 	// notes are what is remembered of each engine, by its id.
 	notes map[string]*note
 	// loading counts the engines with a change under way.
@@ -67,10 +67,10 @@
 	loadTime time.Duration
 	orders   uint64
 	// shares is how many replicas of a service are for each of its models.
-	shares map[string][]int
-	width  width
+	allotments map[string][]int
+	width      width
 	// pace is nil where no paces are known.
-	pace Pace
+	eventTime EventTime
 }
 
 // note is what is remembered of one engine, or of one start of it: a change and its rest
@@ -84,7 +84,7 @@
 	rest     backoff.Rest
 	listedAt time.Time
 	// best is the best pace of late.
-	best best
+	best bestTime
 }
 
 // forgetAfter is how long a note outlives its engine's place in the list, from
@@ -94,23 +94,23 @@
 // New returns a syncer that acts in the name of holder.
 func New(holder string, held *lease.Lease, driver engine.Driver, table *replica.Table, configuration func() *route.Configuration, named Named, demands *demand.State, logger *zap.Logger) *Syncer {
 	return &Syncer{holder: holder, lease: held, driver: driver, table: table, configuration: configuration, named: named, demands: demands, logger: logger,
-		notes: map[string]*note{}, shares: map[string][]int{}, loadTime: firstLoadGuess}
+		notes: map[string]*note{}, allotments: map[string][]int{}, loadTime: initialLoadTime}
 }
 
 // Orders returns how many orders were given.
-func (syncer *Syncer) Orders() uint64 {
-	syncer.mutex.Lock()
-	defer syncer.mutex.Unlock()
-	return syncer.orders
+func (s *Syncer) Orders() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.orders
 }
 
 // Run looks for engines to change while the lease is held, until the context
 // ends. Demands are followed only meanwhile.
-func (syncer *Syncer) Run(ctx context.Context, follow func(context.Context)) {
+func (s *Syncer) Run(ctx context.Context, follow func(context.Context)) {
 	stop := func() {}
 	following := false
 	periodic.Every(ctx, lookInterval, func(ctx context.Context) {
-		held := syncer.lease.Held()
+		held := s.lease.Held()
 		switch {
 		case held && !following:
 			var followContext context.Context
@@ -120,20 +120,20 @@
 			stop()
 		}
 		following = held
-		if _, _, may := syncer.lease.Fence(); may {
-			syncer.look(ctx, time.Now())
+		if _, _, may := s.lease.Fence(); may {
+			s.step(ctx, time.Now())
 		}
 	})
 	stop()
 }
 
 // lagOf is how many versions behind the newest the batches of a model allow.
-func (syncer *Syncer) lagOf(model string) int64 {
-	known, found := syncer.demands.Of(model)
+func (s *Syncer) lagOf(model string) int64 {
+	d, found := s.demands.Of(model)
 	if !found {
 		return 0
 	}
-	return known.Lag()
+	return d.Lag()
 }
 
 // change is one engine's step to another version.
@@ -145,74 +145,74 @@
 }
 
 // look starts the changes that are due and for which there is room.
-func (syncer *Syncer) look(ctx context.Context, now time.Time) {
-	configuration := syncer.configuration()
+func (s *Syncer) step(ctx context.Context, now time.Time) {
+	configuration := s.configuration()
 	if configuration == nil {
 		return
 	}
-	named := syncer.named()
+	named := s.named()
 	for name, service := range configuration.Services {
 		if !service.Engine || len(service.Models) == 0 {
 			continue
 		}
-		replicas := syncer.table.Replicas(name)
-		syncer.noteListed(replicas, now)
-		due := changesDue(syncer.dealsOf(name, service.Models, replicas), service.Models, named, syncer.lagOf, mannerFor(configuration, name), syncer.isLoading)
-		syncer.startDue(ctx, due, now)
+		replicas := s.table.Replicas(name)
+		s.noteListed(replicas, now)
+		due := changesDue(s.dealsOf(name, service.Models, replicas), service.Models, named, s.lagOf, mannerFor(configuration, name), s.isLoading)
+		s.startDue(ctx, due, now)
 	}
-	syncer.forget(now)
+	s.forget(now)
 }
 
 // isLoading reports whether a change of an engine is under way.
-func (syncer *Syncer) isLoading(replicaID string) bool {
-	syncer.mutex.Lock()
-	defer syncer.mutex.Unlock()
-	known := syncer.notes[replicaID]
-	return known != nil && known.loading
+func (s *Syncer) isLoading(replicaID string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n := s.notes[replicaID]
+	return n != nil && n.loading
 }
 
 // noteListed keeps the notes of the engines that are listed.
-func (syncer *Syncer) noteListed(replicas []replica.Replica, now time.Time) {
-	syncer.mutex.Lock()
-	defer syncer.mutex.Unlock()
-	for _, each := range replicas {
-		known := syncer.noteOf(each.ID)
-		if known.start != each.Start() {
+func (s *Syncer) noteListed(replicas []replica.Replica, now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, rep := range replicas {
+		n := s.noteOf(rep.ID)
+		if n.start != rep.Start() {
 			// The engine keeps the model that it was dealt to, and nothing else.
-			known = &note{start: each.Start(), model: known.model}
-			syncer.notes[each.ID] = known
+			n = &note{start: rep.Start(), model: n.model}
+			s.notes[rep.ID] = n
 		}
-		known.listedAt = now
+		n.listedAt = now
 	}
-	syncer.notePaces(replicas, now)
+	s.noteEventTimes(replicas, now)
 }
 
 // forget drops the notes of engines that are long gone.
-func (syncer *Syncer) forget(now time.Time) {
-	syncer.mutex.Lock()
-	defer syncer.mutex.Unlock()
-	for id, each := range syncer.notes {
-		if !each.loading && now.Sub(each.listedAt) > forgetAfter {
-			delete(syncer.notes, id)
+func (s *Syncer) forget(now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for id, n := range s.notes {
+		if !n.loading && now.Sub(n.listedAt) > forgetAfter {
+			delete(s.notes, id)
 		}
 	}
 }
 
 // noteOf returns the note of an engine. The mutex is held.
-func (syncer *Syncer) noteOf(id string) *note {
-	found := syncer.notes[id]
-	if found == nil {
-		found = &note{}
-		syncer.notes[id] = found
+func (s *Syncer) noteOf(id string) *note {
+	n := s.notes[id]
+	if n == nil {
+		n = &note{}
+		s.notes[id] = n
 	}
-	return found
+	return n
 }
 
 // mannerFor lets running texts go on under new weights unless a route of the
 // service wants texts of one version.
 func mannerFor(configuration *route.Configuration, service string) engine.Manner {
 	for i := range configuration.Routes {
-		if each := &configuration.Routes[i]; each.SingleVersion && each.Uses(service) {
+		if rt := &configuration.Routes[i]; rt.SingleVersion && rt.Uses(service) {
 			return engine.Finish
 		}
 	}
@@ -232,7 +232,7 @@
 	return inTurn(needs, lagOf)
 }
 
-func (each change) behind() int64 { return each.version - each.replica.Versions[each.model] }
+func (c change) behind() int64 { return c.version - c.replica.Versions[c.model] }
 
 // changesOfModel returns which of a model's replicas to bring to the newest
 // version now. A replica may wait as long as its version is still allowed for
@@ -241,12 +241,12 @@
 func changesOfModel(replicas []replica.Replica, model string, version, lag int64, manner engine.Manner) []change {
 	var behind []change
 	newest := 0
-	for _, each := range replicas {
-		if each.Versions[model] >= version {
+	for _, rep := range replicas {
+		if rep.Versions[model] >= version {
 			newest++
 			continue
 		}
-		behind = append(behind, change{replica: each, model: model, version: version, manner: manner})
+		behind = append(behind, change{replica: rep, model: model, version: version, manner: manner})
 	}
 	sort.SliceStable(behind, func(i, j int) bool {
 		if behind[i].behind() != behind[j].behind() {
@@ -257,81 +257,81 @@
 	parts := max(int(lag), 1)
 	wanted := (len(replicas)+parts-1)/parts - newest
 	due := behind[:0]
-	for i, each := range behind {
-		if each.behind() >= lag || i < wanted {
-			due = append(due, each)
+	for i, c := range behind {
+		if c.behind() >= lag || i < wanted {
+			due = append(due, c)
 		}
 	}
 	return due
 }
 
-func (syncer *Syncer) startDue(ctx context.Context, due []change, now time.Time) {
-	syncer.mutex.Lock()
-	defer syncer.mutex.Unlock()
-	syncer.width.waiting = len(due)
-	for _, each := range due {
-		if syncer.loading >= syncer.width.places() {
+func (s *Syncer) startDue(ctx context.Context, due []change, now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.width.waiting = len(due)
+	for _, c := range due {
+		if s.loading >= s.width.places() {
 			return
 		}
-		known := syncer.noteOf(each.replica.ID)
-		if known.loading || !known.rest.Over(now) {
+		n := s.noteOf(c.replica.ID)
+		if n.loading || !n.rest.Over(now) {
 			continue
 		}
-		known.loading = true
-		syncer.loading++
-		go syncer.carryOut(ctx, each, known)
+		n.loading = true
+		s.loading++
+		go s.carryOut(ctx, c, n)
 	}
 }
 
 // carryOut brings one engine to a version and waits until it is there. Known is the note of
 // the engine's start, which another start may have replaced meanwhile.
-func (syncer *Syncer) carryOut(ctx context.Context, each change, known *note) {
+func (s *Syncer) carryOut(ctx context.Context, c change, n *note) {
 	began := time.Now()
-	err := syncer.bring(ctx, each)
-	syncer.mutex.Lock()
-	defer syncer.mutex.Unlock()
-	syncer.loading--
-	known.loading = false
+	err := s.changeWeights(ctx, c)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.loading--
+	n.loading = false
 	if err == nil {
-		known.rest.Succeeded()
+		n.rest.Succeeded()
 	} else {
-		known.rest.Failed(changePauses, time.Now())
+		n.rest.Failed(changePauses, time.Now())
 	}
-	syncer.logger.Info("weights", zap.String("replica", each.replica.ID), zap.String("model", each.model), zap.Int64("version", each.version),
+	s.logger.Info("weights", zap.String("replica", c.replica.ID), zap.String("model", c.model), zap.Int64("version", c.version),
 		zap.Duration("took", time.Since(began)), zap.Error(err))
 }
 
-func (syncer *Syncer) bring(ctx context.Context, each change) error {
+func (s *Syncer) changeWeights(ctx context.Context, c change) error {
 	bounded, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	report, err := syncer.report(bounded, each)
+	report, err := s.report(bounded, c)
 	if err != nil {
 		return err
 	}
-	if report.Versions[each.model] >= each.version {
+	if report.Versions[c.model] >= c.version {
 		return nil
 	}
 	if report.Busy {
 		return errors.Wrap(engine.ErrConflict, "busy")
 	}
-	if err := syncer.give(bounded, each, report); err != nil {
+	if err := s.order(bounded, c, report); err != nil {
 		return err
 	}
 	ordered := time.Now()
 	waits := stopwatch{now: bootclock.Now}
-	waits.pause(bounded, syncer.expectedTime())
+	waits.pause(bounded, s.expectedTime())
 	for bounded.Err() == nil {
-		report, err = syncer.report(bounded, each)
-		if err == nil && report.Versions[each.model] >= each.version {
+		report, err = s.report(bounded, c)
+		if err == nil && report.Versions[c.model] >= c.version {
 			if !waits.stalled {
-				syncer.learn(ordered, time.Now())
+				s.noteLoadTime(ordered, time.Now())
 			}
 			return nil
 		}
 		if errors.Is(err, errStartedAgain) {
 			return err
 		}
-		if err == nil && !report.Busy && time.Since(ordered) > 2*syncer.expectedTime() {
+		if err == nil && !report.Busy && time.Since(ordered) > 2*s.expectedTime() {
 			return errors.New("modelsync: engine is idle without the version")
 		}
 		waits.pause(bounded, pollPause)
@@ -342,52 +342,52 @@
 // expectedTime is how long a change is left alone before the first look at it. It is no
 // longer than a change that is not slowed may take: what a change took is only known by
 // looking, so that a guess that is far too long would never be found wrong.
-func (syncer *Syncer) expectedTime() time.Duration {
-	syncer.mutex.Lock()
-	defer syncer.mutex.Unlock()
-	if most := syncer.width.unslowed(); most > 0 {
-		return min(syncer.loadTime, most)
+func (s *Syncer) expectedTime() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if most := s.width.unslowed(); most > 0 {
+		return min(s.loadTime, most)
 	}
-	return syncer.loadTime
+	return s.loadTime
 }
 
 // learn notes how long a change took. The guess stays a bit below, as looking
 // late costs time and looking early costs a call.
-func (syncer *Syncer) learn(ordered, now time.Time) {
-	syncer.mutex.Lock()
-	defer syncer.mutex.Unlock()
+func (s *Syncer) noteLoadTime(ordered, now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	took := now.Sub(ordered)
-	syncer.width.done(ordered, now)
-	syncer.loadTime += (took - syncer.loadTime) / 4
-	syncer.loadTime -= pollPause / 8
+	s.width.done(ordered, now)
+	s.loadTime += (took - s.loadTime) / 4
+	s.loadTime -= pollPause / 8
 }
 
-func (syncer *Syncer) report(ctx context.Context, each change) (engine.Report, error) {
+func (s *Syncer) report(ctx context.Context, c change) (engine.Report, error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	report, err := syncer.driver.Report(bounded, each.replica)
+	report, err := s.driver.Report(bounded, c.replica)
 	if err != nil {
 		return engine.Report{}, err
 	}
-	if !syncer.table.Seen(each.replica, report.Born) {
+	if !s.table.Seen(c.replica, report.Born) {
 		return engine.Report{}, errStartedAgain
 	}
 	for model, version := range report.Versions {
-		syncer.table.HoldsVersion(each.replica.Start(), model, version)
+		s.table.HoldsVersion(c.replica.Start(), model, version)
 	}
 	return report, nil
 }
 
 // give sends the order if the lease lets this daemon act until it has arrived.
-func (syncer *Syncer) give(ctx context.Context, each change, report engine.Report) error {
-	return lease.Act(ctx, syncer.lease, callTimeout, func(ctx context.Context, fence int64) error {
-		syncer.mutex.Lock()
-		syncer.orders++
-		syncer.mutex.Unlock()
-		syncer.logger.Info("order", zap.String("replica", each.replica.ID), zap.String("model", each.model), zap.Int64("version", each.version),
-			zap.Int64("from", report.Versions[each.model]), zap.Int64("fence", fence), zap.Int64("after_orders", report.Orders))
-		return syncer.driver.Give(ctx, each.replica, engine.Order{
-			Model: each.model, Version: each.version, Manner: each.manner, Holder: syncer.holder, Fence: fence, AfterOrders: report.Orders,
+func (s *Syncer) order(ctx context.Context, c change, report engine.Report) error {
+	return lease.Act(ctx, s.lease, callTimeout, func(ctx context.Context, fence int64) error {
+		s.mu.Lock()
+		s.orders++
+		s.mu.Unlock()
+		s.logger.Info("order", zap.String("replica", c.replica.ID), zap.String("model", c.model), zap.Int64("version", c.version),
+			zap.Int64("from", report.Versions[c.model]), zap.Int64("fence", fence), zap.Int64("after_orders", report.Orders))
+		return s.driver.Give(ctx, c.replica, engine.Order{
+			Model: c.model, Version: c.version, Manner: c.manner, Holder: s.holder, Fence: fence, AfterOrders: report.Orders,
 		})
 	})
 }
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -44,13 +44,13 @@
 		changes := 0
 		const versions = 24
 		for version := int64(2); version <= versions; version++ {
-			for _, each := range replicas {
-				if behind := version - each.Versions["m"]; behind > max(lag, 1) {
-					t.Fatalf("version %d when %d is named, lag %d", each.Versions["m"], version, lag)
+			for _, rep := range replicas {
+				if behind := version - rep.Versions["m"]; behind > max(lag, 1) {
+					t.Fatalf("version %d when %d is named, lag %d", rep.Versions["m"], version, lag)
 				}
 			}
-			for _, each := range changesOfModel(replicas, "m", version, lag, engine.Continue) {
-				each.replica.Versions["m"] = version
+			for _, c := range changesOfModel(replicas, "m", version, lag, engine.Continue) {
+				c.replica.Versions["m"] = version
 				changes++
 			}
 		}
@@ -75,13 +75,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		work := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 6).Draw(t, "work")
 		replicas := rapid.IntRange(0, 40).Draw(t, "replicas")
-		shares := allot(work, replicas)
-		if total(shares) != replicas {
-			t.Fatalf("%v of %d replicas", shares, replicas)
+		allotment := allot(work, replicas)
+		if total(allotment) != replicas {
+			t.Fatalf("%v of %d replicas", allotment, replicas)
 		}
-		for _, share := range shares {
+		for _, share := range allotment {
 			if share == 0 && replicas >= len(work) {
-				t.Fatalf("a model without a replica: %v", shares)
+				t.Fatalf("a model without a replica: %v", allotment)
 			}
 		}
 	})
@@ -93,8 +93,8 @@
 	named := map[string]int64{"a": 2, "b": 2, "c": 2}
 	due := changesDue(deal(replicasAt(1, 1), models, allot(make([]float64, 3), 2), nil), models, named, func(string) int64 { return 0 }, engine.Continue, idle)
 	changed := map[string]bool{}
-	for _, each := range due {
-		changed[each.model] = true
+	for _, c := range due {
+		changed[c.model] = true
 	}
 	is.Equal(len(changed), 3)
 }
@@ -120,8 +120,8 @@
 		record := func(deals [][]replica.Replica) int {
 			count := 0
 			for i, model := range models {
-				for _, each := range deals[i] {
-					before[each.ID] = model.Name
+				for _, rep := range deals[i] {
+					before[rep.ID] = model.Name
 					count++
 				}
 			}
@@ -132,16 +132,16 @@
 		}
 		gone := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
 		rest := append(append([]replica.Replica{}, all[:gone]...), all[gone+1:]...)
-		shares := allot(work, len(rest))
+		allotment := allot(work, len(rest))
 		old := map[string]string{}
 		for id, model := range before {
 			old[id] = model
 		}
-		deals := deal(rest, models, shares, before)
+		deals := deal(rest, models, allotment, before)
 		record(deals)
 		moved := 0
-		for _, each := range rest {
-			if before[each.ID] != old[each.ID] {
+		for _, rep := range rest {
+			if before[rep.ID] != old[rep.ID] {
 				moved++
 			}
 		}
@@ -171,7 +171,7 @@
 func TestOnlyAsManyEnginesAreKeptAsBatchesNeed(t *testing.T) {
 	is := is.New(t)
 	is.Equal(enough(48, 8), 24)
-	is.Equal(enough(1, 8), leastEngines)
+	is.Equal(enough(1, 8), minEngines)
 	is.Equal(enough(100, 0), 50)
 	models := []route.Model{{Name: "m"}}
 	demands := demand.NewState()
@@ -187,9 +187,9 @@
 
 func TestPausesGrowWithFailures(t *testing.T) {
 	is := is.New(t)
-	is.Equal(changePauses.After(1), failedPause)
-	is.Equal(changePauses.After(3), 4*failedPause)
-	is.Equal(changePauses.After(99), longestPause)
+	is.Equal(changePauses.After(1), minFailurePause)
+	is.Equal(changePauses.After(3), 4*minFailurePause)
+	is.Equal(changePauses.After(99), maxFailurePause)
 }
 
 // What is remembered of engines goes with them, as most ids never come again, but
--- a/internal/replicas/modelsync/order.go
+++ b/internal/replicas/modelsync/order.go
@@ -19,20 +19,20 @@
 // needOf returns a model's need.
 func needOf(replicas []replica.Replica, model string, version, lag int64, due []change, loading func(replicaID string) bool) modelNeed {
 	need := modelNeed{engines: len(replicas)}
-	for _, each := range replicas {
-		coming := loading(each.ID)
-		if coming || each.Versions[model] >= version-lag {
+	for _, rep := range replicas {
+		coming := loading(rep.ID)
+		if coming || rep.Versions[model] >= version-lag {
 			need.usable++
 		}
-		if coming || each.Versions[model] >= version {
+		if coming || rep.Versions[model] >= version {
 			need.newest++
 		}
 	}
-	for _, each := range due {
-		if loading(each.replica.ID) {
-			need.underWay = append(need.underWay, each)
+	for _, c := range due {
+		if loading(c.replica.ID) {
+			need.underWay = append(need.underWay, c)
 		} else {
-			need.due = append(need.due, each)
+			need.due = append(need.due, c)
 		}
 	}
 	return need
--- a/internal/replicas/modelsync/order_test.go
+++ b/internal/replicas/modelsync/order_test.go
@@ -33,8 +33,8 @@
 	deals := [][]replica.Replica{enginesOf("a", 3, 3, 2), enginesOf("b", 3, 2, 2), enginesOf("c", 1, 1, 1)}
 	due := changesDue(deals, models, named, lagOfOne, engine.Continue, idle)
 	var order []string
-	for _, each := range due[:3] {
-		order = append(order, each.model)
+	for _, c := range due[:3] {
+		order = append(order, c.model)
 	}
 	is.Equal(order, []string{"c", "b", "c"})
 }
@@ -63,20 +63,20 @@
 			named[model.Name] = rapid.Int64Range(1, 6).Draw(t, "named")
 			versions := rapid.SliceOfN(rapid.Int64Range(1, named[model.Name]), 1, 4).Draw(t, "versions")
 			deals[i] = enginesOf(model.Name, versions...)
-			for _, each := range deals[i] {
-				loading[each.ID] = each.Versions[model.Name] < named[model.Name] && rapid.IntRange(0, 3).Draw(t, "loading") == 0
+			for _, rep := range deals[i] {
+				loading[rep.ID] = rep.Versions[model.Name] < named[model.Name] && rapid.IntRange(0, 3).Draw(t, "loading") == 0
 			}
 		}
 		due := changesDue(deals, models, named, lagOfOne, engine.Continue, func(id string) bool { return loading[id] })
 		usable := func(model string) float64 {
 			all, ready := 0, 0
 			for i := range models {
-				for _, each := range deals[i] {
+				for _, rep := range deals[i] {
 					if models[i].Name != model {
 						continue
 					}
 					all++
-					if loading[each.ID] || each.Versions[model] >= named[model]-1 {
+					if loading[rep.ID] || rep.Versions[model] >= named[model]-1 {
 						ready++
 					}
 				}
@@ -85,22 +85,22 @@
 		}
 		seen := map[string]bool{}
 		started, first := false, ""
-		for _, each := range due {
-			if seen[each.replica.ID] {
-				t.Fatalf("%s twice", each.replica.ID)
+		for _, c := range due {
+			if seen[c.replica.ID] {
+				t.Fatalf("%s twice", c.replica.ID)
 			}
-			seen[each.replica.ID] = true
-			if loading[each.replica.ID] {
+			seen[c.replica.ID] = true
+			if loading[c.replica.ID] {
 				if started {
-					t.Fatalf("%s is under way and stands behind one that is not", each.replica.ID)
+					t.Fatalf("%s is under way and stands behind one that is not", c.replica.ID)
 				}
 				continue
 			}
 			if !started {
-				started, first = true, each.model
+				started, first = true, c.model
 			}
-			if usable(first) > usable(each.model)+1e-9 {
-				t.Fatalf("%s comes first with %.2f usable, %s has %.2f", first, usable(first), each.model, usable(each.model))
+			if usable(first) > usable(c.model)+1e-9 {
+				t.Fatalf("%s comes first with %.2f usable, %s has %.2f", first, usable(first), c.model, usable(c.model))
 			}
 		}
 	})
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -44,13 +44,13 @@
 	driver := &reporting{t: t, report: engine.Report{Born: startOf(1, 0).Born, Versions: map[string]int64{"m": 1}}}
 	syncer := New("d", nil, driver, table, nil, nil, demand.NewState(), zap.NewNop())
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
-	is.True(errors.Is(syncer.bring(t.Context(), due), errStartedAgain))
+	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errStartedAgain))
 	now := table.Replicas("s")[0]
 	is.Equal(now.Start(), startOf(1, 0).Start())
 	is.Equal(now.Versions["m"], int64(0)) // to be changed, as nothing is known of it
 	driver.report = engine.Report{Born: startOf(0, 4).Born, Versions: map[string]int64{"m": 9}}
 	due.replica = now
-	is.True(errors.Is(syncer.bring(t.Context(), due), errStartedAgain)) // a late answer of before
+	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errStartedAgain)) // a late answer of before
 	is.Equal(table.Replicas("s")[0].Versions["m"], int64(0))
 }
 
@@ -70,14 +70,14 @@
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
 	table.Set(startOf(1, 1))
 	syncer.noteListed(table.Replicas("s"), now)
-	known := syncer.notes["e"]
-	is.True(!known.loading)
-	is.True(known.rest.Over(now))
-	is.Equal(known.model, "m")
-	known.loading = true
+	n := syncer.notes["e"]
+	is.True(!n.loading)
+	is.True(n.rest.Over(now))
+	is.Equal(n.model, "m")
+	n.loading = true
 	syncer.loading = 2
 	syncer.carryOut(t.Context(), due, before)
-	is.True(known.loading)
+	is.True(n.loading)
 	is.True(!before.loading)
 	is.Equal(syncer.loading, 1)
 }
--- a/internal/replicas/modelsync/shares.go
+++ b/internal/replicas/modelsync/shares.go
@@ -13,14 +13,14 @@
 // changeFrom is by how many replicas a model's due share must differ from what
 // it has for the shares to change: a replica that changes its model loads
 // weights and loses what it has kept.
-const changeFrom = 0.75
+const reallotThreshold = 0.75
 
 const (
 	// headroom is how many times the engines that run a whole batch at once are
 	// kept at a model's versions: each costs orders and loads at every other one.
 	headroom = 4
 	// leastEngines are kept for a model in any case, as some may fail.
-	leastEngines = 3
+	minEngines   = 3
 	defaultSlots = 8
 )
 
@@ -29,16 +29,16 @@
 	if slots <= 0 {
 		slots = defaultSlots
 	}
-	return max((headroom*items+slots-1)/slots, leastEngines)
+	return max((headroom*items+slots-1)/slots, minEngines)
 }
 
 // capped limits each model's share to what its batches need.
-func (syncer *Syncer) capped(shares []int, models []route.Model, slots int) []int {
-	limited := make([]int, len(shares))
+func (s *Syncer) capped(allotment []int, models []route.Model, slots int) []int {
+	limited := make([]int, len(allotment))
 	for i, model := range models {
-		limited[i] = shares[i]
-		if known, found := syncer.demands.Of(model.Name); found && known.Items > 0 {
-			limited[i] = min(shares[i], enough(known.Items, slots))
+		limited[i] = allotment[i]
+		if d, found := s.demands.Of(model.Name); found && d.Items > 0 {
+			limited[i] = min(allotment[i], enough(d.Items, slots))
 		}
 	}
 	return limited
@@ -46,35 +46,35 @@
 
 // sharesOf returns how many replicas of a service are for each of its models:
 // parts by the work of their batches, kept while they are about right.
-func (syncer *Syncer) sharesOf(service string, models []route.Model, replicas int) []int {
+func (s *Syncer) allotmentOf(service string, models []route.Model, replicas int) []int {
 	work := make([]float64, len(models))
 	for i, model := range models {
-		if known, found := syncer.demands.Of(model.Name); found {
-			work[i] = float64(known.Work)
+		if d, found := s.demands.Of(model.Name); found {
+			work[i] = float64(d.Work)
 		}
 	}
-	syncer.mutex.Lock()
-	defer syncer.mutex.Unlock()
-	kept := syncer.shares[service]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	kept := s.allotments[service]
 	if len(kept) == len(models) && total(kept) == replicas && near(kept, work) {
 		return kept
 	}
-	syncer.shares[service] = allot(work, replicas)
-	return syncer.shares[service]
+	s.allotments[service] = allot(work, replicas)
+	return s.allotments[service]
 }
 
-func total(shares []int) int {
+func total(allotment []int) int {
 	sum := 0
-	for _, share := range shares {
+	for _, share := range allotment {
 		sum += share
 	}
 	return sum
 }
 
 // near reports whether each share is within changeFrom of what work asks for.
-func near(shares []int, work []float64) bool {
-	for i, ideal := range ideals(work, total(shares)) {
-		if math.Abs(ideal-float64(shares[i])) > changeFrom && (shares[i] > 1 || ideal > 1) {
+func near(allotment []int, work []float64) bool {
+	for i, ideal := range ideals(work, total(allotment)) {
+		if math.Abs(ideal-float64(allotment[i])) > reallotThreshold && (allotment[i] > 1 || ideal > 1) {
 			return false
 		}
 	}
@@ -113,42 +113,42 @@
 // allot deals whole replicas out: one to each model where there are enough, the
 // rest one by one to the model that has the least for its work.
 func allot(work []float64, replicas int) []int {
-	shares := make([]int, len(work))
+	allotment := make([]int, len(work))
 	wanted := ideals(work, replicas)
 	left := replicas
-	for i := range shares {
+	for i := range allotment {
 		if left > 0 {
-			shares[i] = 1
+			allotment[i] = 1
 			left--
 		}
 	}
 	for ; left > 0; left-- {
 		neediest := 0
-		for i := range shares {
-			if wanted[i]/float64(shares[i]) > wanted[neediest]/float64(shares[neediest]) {
+		for i := range allotment {
+			if wanted[i]/float64(allotment[i]) > wanted[neediest]/float64(allotment[neediest]) {
 				neediest = i
 			}
 		}
-		shares[neediest]++
+		allotment[neediest]++
 	}
-	return shares
+	return allotment
 }
 
 // dealsOf returns the replicas of a service that are for each of its models. A
 // replica keeps its model while the shares allow it, also when others come and
 // go: a change of model costs a load and what it has kept.
-func (syncer *Syncer) dealsOf(service string, models []route.Model, replicas []replica.Replica) [][]replica.Replica {
-	shares := syncer.sharesOf(service, models, len(replicas))
+func (s *Syncer) dealsOf(service string, models []route.Model, replicas []replica.Replica) [][]replica.Replica {
+	allotment := s.allotmentOf(service, models, len(replicas))
 	if len(replicas) > 0 {
-		shares = syncer.capped(shares, models, replicas[0].Slots)
+		allotment = s.capped(allotment, models, replicas[0].Slots)
 	}
-	syncer.mutex.Lock()
-	defer syncer.mutex.Unlock()
-	deals := dealEvenly(replicas, models, shares, syncer.modelsDealt(replicas), func(id string) time.Duration { return syncer.noteOf(id).best.value() })
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	deals := dealEvenly(replicas, models, allotment, s.modelsDealt(replicas), func(id string) time.Duration { return s.noteOf(id).best.value() })
 	for i, model := range models {
-		for _, each := range deals[i] {
+		for _, rep := range deals[i] {
 			if len(replicas) >= len(models) {
-				syncer.noteOf(each.ID).model = model.Name
+				s.noteOf(rep.ID).model = model.Name
 			}
 		}
 	}
@@ -156,11 +156,11 @@
 }
 
 // modelsDealt returns the models that replicas were dealt to. The mutex is held.
-func (syncer *Syncer) modelsDealt(replicas []replica.Replica) map[string]string {
+func (s *Syncer) modelsDealt(replicas []replica.Replica) map[string]string {
 	models := make(map[string]string, len(replicas))
-	for _, each := range replicas {
-		if known := syncer.notes[each.ID]; known != nil && known.model != "" {
-			models[each.ID] = known.model
+	for _, rep := range replicas {
+		if n := s.notes[rep.ID]; n != nil && n.model != "" {
+			models[rep.ID] = n.model
 		}
 	}
 	return models
@@ -170,11 +170,11 @@
 // whose newest version it holds, as a holder of the lease before may have dealt
 // it so. Replicas beyond the shares are for none. Where there are fewer replicas than models,
 // a replica is there for several.
-func deal(replicas []replica.Replica, models []route.Model, shares []int, before map[string]string) [][]replica.Replica {
+func deal(replicas []replica.Replica, models []route.Model, allotment []int, before map[string]string) [][]replica.Replica {
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b replica.Replica) int { return strings.Compare(a.ID, b.ID) })
 	if len(sorted) >= len(models) {
-		return dealShares(sorted, models, shares, before)
+		return dealAllotment(sorted, models, allotment, before)
 	}
 	deals := make([][]replica.Replica, len(models))
 	for i := range models {
@@ -186,26 +186,26 @@
 }
 
 // dealShares gives each replica to one model at most, in the order in which they come.
-func dealShares(sorted []replica.Replica, models []route.Model, shares []int, before map[string]string) [][]replica.Replica {
+func dealAllotment(sorted []replica.Replica, models []route.Model, allotment []int, before map[string]string) [][]replica.Replica {
 	deals := make([][]replica.Replica, len(models))
 	var left []replica.Replica
-	for _, each := range sorted {
-		kept := slices.IndexFunc(models, func(model route.Model) bool { return model.Name == before[each.ID] })
-		if kept >= 0 && len(deals[kept]) < shares[kept] {
-			deals[kept] = append(deals[kept], each)
+	for _, rep := range sorted {
+		kept := slices.IndexFunc(models, func(model route.Model) bool { return model.Name == before[rep.ID] })
+		if kept >= 0 && len(deals[kept]) < allotment[kept] {
+			deals[kept] = append(deals[kept], rep)
 		} else {
-			left = append(left, each)
+			left = append(left, rep)
 		}
 	}
-	for _, each := range left {
+	for _, rep := range left {
 		chosen := -1
 		for i, model := range models {
-			if len(deals[i]) < shares[i] && (chosen < 0 || each.Versions[model.Name] > each.Versions[models[chosen].Name]) {
+			if len(deals[i]) < allotment[i] && (chosen < 0 || rep.Versions[model.Name] > rep.Versions[models[chosen].Name]) {
 				chosen = i
 			}
 		}
 		if chosen >= 0 {
-			deals[chosen] = append(deals[chosen], each)
+			deals[chosen] = append(deals[chosen], rep)
 		}
 	}
 	return deals
--- a/internal/replicas/modelsync/speed.go
+++ b/internal/replicas/modelsync/speed.go
@@ -13,37 +13,37 @@
 const (
 	// paceSpan is over how long at least the best pace of an engine counts: an engine that is
 	// slow for some seconds is not worth the loads of dealing it anew.
-	paceSpan = 30 * time.Second
+	bestSpan = 30 * time.Second
 	// speedGap is by which factor the paces of two engines must differ to be of two kinds:
 	// paces of engines of one kind were seen to differ by up to a tenth.
-	speedGap = 1.15
+	kindGap = 1.15
 	// mostPaceAge is how old a pace may be that others have measured.
-	mostPaceAge = 5 * time.Second
+	maxEventTimeAge = 5 * time.Second
 )
 
 // Pace returns the time between two events of a text at an engine, and how long ago it was
 // measured, or 0 if it is not known.
-type Pace func(each replica.Replica) (pace, age time.Duration)
+type EventTime func(rep replica.Replica) (pace, age time.Duration)
 
 // SetPace sets who tells the paces of engines. It is called before Run; without it engines
 // count as equally fast.
-func (syncer *Syncer) SetPace(pace Pace) { syncer.pace = pace }
+func (s *Syncer) SetEventTime(pace EventTime) { s.eventTime = pace }
 
 // best is the best pace of the present span and of the one before, 0 if none is known.
-type best struct {
+type bestTime struct {
 	spans [2]time.Duration
 	since time.Time
 }
 
 // note takes a pace into account.
-func (b *best) note(pace time.Duration, now time.Time) {
-	if b.spans[0] == 0 || now.Sub(b.since) > paceSpan {
+func (b *bestTime) note(pace time.Duration, now time.Time) {
+	if b.spans[0] == 0 || now.Sub(b.since) > bestSpan {
 		b.spans, b.since = [2]time.Duration{pace, b.spans[0]}, now
 	}
 	b.spans[0] = min(b.spans[0], pace)
 }
 
-func (b *best) value() time.Duration {
+func (b *bestTime) value() time.Duration {
 	if b.spans[1] > 0 {
 		return min(b.spans[0], b.spans[1])
 	}
@@ -51,13 +51,13 @@
 }
 
 // notePaces keeps the best paces of the engines that are listed. The mutex is held.
-func (syncer *Syncer) notePaces(replicas []replica.Replica, now time.Time) {
-	if syncer.pace == nil {
+func (s *Syncer) noteEventTimes(replicas []replica.Replica, now time.Time) {
+	if s.eventTime == nil {
 		return
 	}
-	for _, each := range replicas {
-		if pace, age := syncer.pace(each); pace > 0 && age <= mostPaceAge {
-			syncer.noteOf(each.ID).best.note(pace, now)
+	for _, rep := range replicas {
+		if pace, age := s.eventTime(rep); pace > 0 && age <= maxEventTimeAge {
+			s.noteOf(rep.ID).best.note(pace, now)
 		}
 	}
 }
@@ -65,23 +65,23 @@
 // kindsOf parts engines by their speeds, the fastest first: where two paces next to each
 // other differ by speedGap a kind ends. Engines of which no pace is known count among the
 // kind of most. Each kind is in the order of ids.
-func kindsOf(replicas []replica.Replica, paceOf func(id string) time.Duration) [][]replica.Replica {
+func kindsOf(replicas []replica.Replica, eventTimeOf func(id string) time.Duration) [][]replica.Replica {
 	sorted := slices.Clone(replicas)
-	slices.SortFunc(sorted, func(a, b replica.Replica) int { return cmp.Compare(paceOf(a.ID), paceOf(b.ID)) })
+	slices.SortFunc(sorted, func(a, b replica.Replica) int { return cmp.Compare(eventTimeOf(a.ID), eventTimeOf(b.ID)) })
 	var kinds [][]replica.Replica
 	var unknown []replica.Replica
 	last := time.Duration(0)
-	for _, each := range sorted {
-		pace := paceOf(each.ID)
+	for _, rep := range sorted {
+		pace := eventTimeOf(rep.ID)
 		switch {
 		case pace == 0:
-			unknown = append(unknown, each)
+			unknown = append(unknown, rep)
 			continue
-		case last == 0 || float64(pace) > speedGap*float64(last):
+		case last == 0 || float64(pace) > kindGap*float64(last):
 			kinds = append(kinds, nil)
 		}
 		last = pace
-		kinds[len(kinds)-1] = append(kinds[len(kinds)-1], each)
+		kinds[len(kinds)-1] = append(kinds[len(kinds)-1], rep)
 	}
 	if len(kinds) == 0 {
 		kinds = append(kinds, nil)
@@ -104,18 +104,18 @@
 // where its model holds no fast engine. With twelve fast engines of 45 dealt by chance, a
 // model had one of them and steps of 8.1 to 9.3 s, the others had three to six and steps of
 // 3.5 to 6.7 s (one day of four models, simulated).
-func dealEvenly(replicas []replica.Replica, models []route.Model, shares []int, before map[string]string, paceOf func(id string) time.Duration) [][]replica.Replica {
-	kinds := kindsOf(replicas, paceOf)
+func dealEvenly(replicas []replica.Replica, models []route.Model, allotment []int, before map[string]string, eventTimeOf func(id string) time.Duration) [][]replica.Replica {
+	kinds := kindsOf(replicas, eventTimeOf)
 	if len(kinds) == 1 || len(replicas) < len(models) {
-		return deal(replicas, models, shares, before)
+		return deal(replicas, models, allotment, before)
 	}
 	deals := make([][]replica.Replica, len(models))
 	given := make([]int, len(models))
 	reached := 0
 	for _, kind := range kinds {
 		reached += len(kind)
-		parts := partsOf(kind, models, shares, given, before, reached)
-		for i, dealt := range dealShares(kind, models, parts, before) {
+		parts := partsOf(kind, models, allotment, given, before, reached)
+		for i, dealt := range dealAllotment(kind, models, parts, before) {
 			deals[i] = append(deals[i], dealt...)
 			given[i] += len(dealt)
 		}
@@ -126,15 +126,15 @@
 // partsOf returns how many engines of a kind each model gets, given what it has of the
 // faster ones, reached being how many engines there are up to this kind. What a model has
 // already of the kind it keeps within the rounding.
-func partsOf(kind []replica.Replica, models []route.Model, shares, given []int, before map[string]string, reached int) []int {
-	part := min(float64(reached)/float64(max(total(shares), 1)), 1)
+func partsOf(kind []replica.Replica, models []route.Model, allotment, given []int, before map[string]string, reached int) []int {
+	part := min(float64(reached)/float64(max(total(allotment), 1)), 1)
 	held := heldOf(kind, models, before)
 	parts, left := make([]int, len(models)), len(kind)
 	lacks := make([]float64, len(models))
 	for i := range models {
-		due := max(part*float64(shares[i])-float64(given[i]), 0)
+		due := max(part*float64(allotment[i])-float64(given[i]), 0)
 		least := int(math.Floor(due))
-		parts[i] = min(max(held[i], least), int(math.Ceil(due)), shares[i]-given[i])
+		parts[i] = min(max(held[i], least), int(math.Ceil(due)), allotment[i]-given[i])
 		lacks[i] = due - float64(parts[i])
 		left -= parts[i]
 	}
@@ -144,7 +144,7 @@
 		lacks[i]++
 	}
 	for ; left > 0; left-- {
-		i := extreme(lacks, func(i int) bool { return parts[i] < shares[i]-given[i] }, 1)
+		i := extreme(lacks, func(i int) bool { return parts[i] < allotment[i]-given[i] }, 1)
 		if i < 0 {
 			break
 		}
@@ -158,8 +158,8 @@
 func heldOf(kind []replica.Replica, models []route.Model, before map[string]string) []int {
 	held := make([]int, len(models))
 	for i, model := range models {
-		for _, each := range kind {
-			if before[each.ID] == model.Name {
+		for _, rep := range kind {
+			if before[rep.ID] == model.Name {
 				held[i]++
 			}
 		}
--- a/internal/replicas/modelsync/speed_test.go
+++ b/internal/replicas/modelsync/speed_test.go
@@ -15,7 +15,7 @@
 var fourModels = []route.Model{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
 
 // unevenEngines are 45 engines of which each fourth is twice as fast as the others.
-func unevenEngines() (replicas []replica.Replica, paceOf func(id string) time.Duration) {
+func unevenEngines() (replicas []replica.Replica, eventTimeOf func(id string) time.Duration) {
 	paces := map[string]time.Duration{}
 	for i := range 45 {
 		id := fmt.Sprintf("r%02d", i)
@@ -32,16 +32,16 @@
 func recordDeals(models []route.Model, deals [][]replica.Replica) map[string]string {
 	dealt := map[string]string{}
 	for i, ofModel := range deals {
-		for _, each := range ofModel {
-			dealt[each.ID] = models[i].Name
+		for _, rep := range ofModel {
+			dealt[rep.ID] = models[i].Name
 		}
 	}
 	return dealt
 }
 
-func fastOf(dealt []replica.Replica, paceOf func(id string) time.Duration) (fast int) {
-	for _, each := range dealt {
-		if paceOf(each.ID) < 40*time.Millisecond {
+func fastOf(dealt []replica.Replica, eventTimeOf func(id string) time.Duration) (fast int) {
+	for _, rep := range dealt {
+		if eventTimeOf(rep.ID) < 40*time.Millisecond {
 			fast++
 		}
 	}
@@ -53,29 +53,29 @@
 // moves, and the next deal is the same.
 func TestEachModelHasItsPartOfTheFastEngines(t *testing.T) {
 	is := is.New(t)
-	replicas, paceOf := unevenEngines()
-	shares := []int{11, 6, 14, 14}
-	unaware := deal(replicas, fourModels, shares, nil)
-	is.Equal(fastOf(unaware[3], paceOf), 0) // the last model has none
+	replicas, eventTimeOf := unevenEngines()
+	allotment := []int{11, 6, 14, 14}
+	unaware := deal(replicas, fourModels, allotment, nil)
+	is.Equal(fastOf(unaware[3], eventTimeOf), 0) // the last model has none
 	before := recordDeals(fourModels, unaware)
-	deals := dealEvenly(replicas, fourModels, shares, before, paceOf)
+	deals := dealEvenly(replicas, fourModels, allotment, before, eventTimeOf)
 	for i, least := range []int{2, 1, 3, 3} {
-		is.Equal(len(deals[i]), shares[i])
-		is.True(fastOf(deals[i], paceOf) >= least)
-		is.True(fastOf(deals[i], paceOf) <= least+1)
+		is.Equal(len(deals[i]), allotment[i])
+		is.True(fastOf(deals[i], eventTimeOf) >= least)
+		is.True(fastOf(deals[i], eventTimeOf) <= least+1)
 	}
 	after := recordDeals(fourModels, deals)
-	is.Equal(recordDeals(fourModels, dealEvenly(replicas, fourModels, shares, after, paceOf)), after)
+	is.Equal(recordDeals(fourModels, dealEvenly(replicas, fourModels, allotment, after, eventTimeOf)), after)
 }
 
 // Where fewer engines are kept than there are, those are the fast ones.
 func TestTheSlowestEnginesAreForNone(t *testing.T) {
 	is := is.New(t)
-	replicas, paceOf := unevenEngines()
-	deals := dealEvenly(replicas, fourModels, []int{4, 4, 4, 4}, nil, paceOf)
+	replicas, eventTimeOf := unevenEngines()
+	deals := dealEvenly(replicas, fourModels, []int{4, 4, 4, 4}, nil, eventTimeOf)
 	for i := range deals {
 		is.Equal(len(deals[i]), 4)
-		is.Equal(fastOf(deals[i], paceOf), 3)
+		is.Equal(fastOf(deals[i], eventTimeOf), 3)
 	}
 }
 
@@ -83,19 +83,19 @@
 func TestEnginesOfOneSpeedAreDealtAsBefore(t *testing.T) {
 	is := is.New(t)
 	replicas, _ := unevenEngines()
-	shares := []int{11, 6, 14, 14}
-	want := deal(replicas, fourModels, shares, nil)
-	is.Equal(dealEvenly(replicas, fourModels, shares, nil, func(string) time.Duration { return 0 }), want)
+	allotment := []int{11, 6, 14, 14}
+	want := deal(replicas, fourModels, allotment, nil)
+	is.Equal(dealEvenly(replicas, fourModels, allotment, nil, func(string) time.Duration { return 0 }), want)
 	wide := func(id string) time.Duration {
 		return 50*time.Millisecond + time.Duration(id[2]-'0')*500*time.Microsecond
 	}
-	is.Equal(dealEvenly(replicas, fourModels, shares, nil, wide), want)
+	is.Equal(dealEvenly(replicas, fourModels, allotment, nil, wide), want)
 }
 
 // An engine that is slow for some seconds keeps its kind.
 func TestASlowSpellIsNoSpeed(t *testing.T) {
 	is := is.New(t)
-	var b best
+	var b bestTime
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for at := time.Duration(0); at < 50*time.Second; at += time.Second {
 		pace := 50 * time.Millisecond
@@ -128,18 +128,18 @@
 		for i := range work {
 			work[i] = float64(rapid.IntRange(0, 9).Draw(t, "work"))
 		}
-		shares := allot(work, rapid.IntRange(len(fourModels), len(replicas)).Draw(t, "kept"))
-		deals := dealEvenly(replicas, fourModels, shares, before, func(id string) time.Duration { return paces[id] })
+		allotment := allot(work, rapid.IntRange(len(fourModels), len(replicas)).Draw(t, "kept"))
+		deals := dealEvenly(replicas, fourModels, allotment, before, func(id string) time.Duration { return paces[id] })
 		dealt := map[string]bool{}
 		for i, ofModel := range deals {
-			if len(ofModel) != shares[i] {
-				t.Fatalf("model %d has %d engines, its share is %d", i, len(ofModel), shares[i])
+			if len(ofModel) != allotment[i] {
+				t.Fatalf("model %d has %d engines, its share is %d", i, len(ofModel), allotment[i])
 			}
-			for _, each := range ofModel {
-				if dealt[each.ID] {
-					t.Fatalf("%s is dealt twice", each.ID)
+			for _, rep := range ofModel {
+				if dealt[rep.ID] {
+					t.Fatalf("%s is dealt twice", rep.ID)
 				}
-				dealt[each.ID] = true
+				dealt[rep.ID] = true
 			}
 		}
 	})
--- a/internal/replicas/modelsync/width.go
+++ b/internal/replicas/modelsync/width.go
@@ -4,15 +4,15 @@
 
 const (
 	// leastWidth is how many engines change at a time where few wait.
-	leastWidth = 2
+	minWidth = 2
 	// longBacklog is how many engines must wait for each place for the width to
 	// grow: where few wait, a wider load gains nothing.
-	longBacklog = 4
+	growBacklog = 4
 	// slowedBy is how much longer than the shortest a change must take to count
 	// as slowed by the others.
-	slowedBy = 1.5
+	slowedFactor = 1.5
 	// narrowing is the factor by which the width shrinks when changes are slowed.
-	narrowing = 0.7
+	narrowFactor = 0.7
 )
 
 // width is how many engines change their weights at a time. What the weights
@@ -30,11 +30,11 @@
 // unslowed is the longest that a change may take without counting as slowed, 0 before one
 // was measured.
 func (w *width) unslowed() time.Duration {
-	return time.Duration(slowedBy * float64(w.shortest))
+	return time.Duration(slowedFactor * float64(w.shortest))
 }
 
 // places returns the width in whole engines.
-func (w *width) places() int { return max(int(w.current), leastWidth) }
+func (w *width) places() int { return max(int(w.current), minWidth) }
 
 // done takes a finished change into account. Changes that are slowed at the same time are
 // one sign: the width shrinks once for those that were under way when it did. With a tenth
@@ -45,13 +45,13 @@
 	if w.shortest == 0 || took < w.shortest {
 		w.shortest = took
 	}
-	w.current = max(w.current, leastWidth)
+	w.current = max(w.current, minWidth)
 	switch {
 	case took > w.unslowed():
 		if !began.Before(w.narrowedAt) {
-			w.current, w.narrowedAt = max(narrowing*w.current, leastWidth), now
+			w.current, w.narrowedAt = max(narrowFactor*w.current, minWidth), now
 		}
-	case float64(w.waiting) > longBacklog*w.current:
+	case float64(w.waiting) > growBacklog*w.current:
 		w.current++
 	}
 }
--- a/internal/replicas/modelsync/width_test.go
+++ b/internal/replicas/modelsync/width_test.go
@@ -37,7 +37,7 @@
 
 func TestFewWaitingStayNarrow(t *testing.T) {
 	is := is.New(t)
-	is.Equal(rounds(&width{}, 20, 8, 100), leastWidth)
+	is.Equal(rounds(&width{}, 20, 8, 100), minWidth)
 }
 
 // Hundreds of engines are brought along within some rounds (sweep of
@@ -65,16 +65,16 @@
 // A guess that is far too long is not followed: only looks can find it wrong.
 func TestAChangeIsLookedAtAsSoonAsItMayBeDone(t *testing.T) {
 	is := is.New(t)
-	syncer := &Syncer{loadTime: firstLoadGuess}
-	is.Equal(syncer.expectedTime(), firstLoadGuess)
+	syncer := &Syncer{loadTime: initialLoadTime}
+	is.Equal(syncer.expectedTime(), initialLoadTime)
 	for range 4 {
-		syncer.learn(testStart, testStart.Add(time.Second))
+		syncer.noteLoadTime(testStart, testStart.Add(time.Second))
 	}
 	for range 8 {
-		syncer.learn(testStart, testStart.Add(5*time.Second))
+		syncer.noteLoadTime(testStart, testStart.Add(5*time.Second))
 	}
 	is.True(syncer.loadTime > 3*time.Second)
-	is.Equal(syncer.expectedTime(), time.Duration(slowedBy*float64(time.Second)))
+	is.Equal(syncer.expectedTime(), time.Duration(slowedFactor*float64(time.Second)))
 }
 
 // Changes that are found slow together are one sign.
@@ -92,10 +92,10 @@
 	for range before {
 		w.done(now, now.Add(5*time.Second))
 	}
-	is.Equal(w.places(), int(narrowing*float64(before)))
+	is.Equal(w.places(), int(narrowFactor*float64(before)))
 	now = now.Add(5 * time.Second)
 	w.done(now, now.Add(5*time.Second)) // the next one is another
-	is.Equal(w.places(), int(narrowing*narrowing*float64(before)))
+	is.Equal(w.places(), int(narrowFactor*narrowFactor*float64(before)))
 }
 
 // A wait that lasted far longer than it should says that the process stood still.
--- a/internal/replicas/replica/pace.go
+++ b/internal/replicas/replica/pace.go
@@ -10,58 +10,58 @@
 	// between two differ by a fifth, so that their median is known to within a few
 	// hundredths, and an engine with some texts that turns slow shows within half a
 	// second.
-	paceEvents = 32
+	eventWindow = 32
 	// knownEvents is from how many events on a pace is known.
-	knownEvents = 3
+	minEvents = 3
 	// paceHolds is how long a pace is believed without new events: a replica
 	// that was slow gets work again and shows how it is now.
-	paceHolds = 3 * time.Second
+	eventTimeLifetime = 3 * time.Second
 	// soundSpan is over how long at least the best pace is remembered.
-	soundSpan = 15 * time.Second
+	bestSpan = 15 * time.Second
 )
 
 // pace is the time between two events of the texts that a replica makes: the median
 // of the last ones. A mean would not do: an engine that changes its weights holds all
 // its texts up once, for many times as long, and is as fast as before right after.
-type pace struct {
-	gaps   [paceEvents]time.Duration
+type eventTimes struct {
+	gaps   [eventWindow]time.Duration
 	events int
 	at     time.Time
 	median time.Duration
 	// sound is the best median of the present span and of the one before, which
 	// tells replicas apart that get nothing to do for a while.
-	sound [2]time.Duration
+	best  [2]time.Duration
 	since time.Time
 }
 
 // note takes the time between two events into account.
-func (p *pace) note(gap time.Duration, now time.Time) {
-	if now.Sub(p.at) > paceHolds {
+func (p *eventTimes) note(gap time.Duration, now time.Time) {
+	if now.Sub(p.at) > eventTimeLifetime {
 		p.events = 0
 	}
-	p.gaps[p.events%paceEvents] = gap
+	p.gaps[p.events%eventWindow] = gap
 	p.events++
 	p.at = now
-	known := min(p.events, paceEvents)
+	known := min(p.events, eventWindow)
 	sorted := p.gaps
 	slices.Sort(sorted[:known])
 	p.median = sorted[known/2]
-	if known < paceEvents {
+	if known < eventWindow {
 		return
 	}
-	if p.sound[0] == 0 || now.Sub(p.since) > soundSpan {
-		p.sound, p.since = [2]time.Duration{p.median, p.sound[0]}, now
+	if p.best[0] == 0 || now.Sub(p.since) > bestSpan {
+		p.best, p.since = [2]time.Duration{p.median, p.best[0]}, now
 	}
-	p.sound[0] = min(p.sound[0], p.median)
+	p.best[0] = min(p.best[0], p.median)
 }
 
 // value returns the pace to reckon with, 0 if it is unknown.
-func (p *pace) value(now time.Time) time.Duration {
-	if p.events >= knownEvents && now.Sub(p.at) <= paceHolds {
+func (p *eventTimes) value(now time.Time) time.Duration {
+	if p.events >= minEvents && now.Sub(p.at) <= eventTimeLifetime {
 		return p.median
 	}
-	if p.sound[1] > 0 {
-		return min(p.sound[0], p.sound[1])
+	if p.best[1] > 0 {
+		return min(p.best[0], p.best[1])
 	}
-	return p.sound[0]
+	return p.best[0]
 }
--- a/internal/replicas/replica/pace_test.go
+++ b/internal/replicas/replica/pace_test.go
@@ -9,7 +9,7 @@
 
 func TestPace(t *testing.T) {
 	is := is.New(t)
-	var p pace
+	var p eventTimes
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	run := func(events int, gap time.Duration) {
 		for range events {
@@ -20,27 +20,27 @@
 	is.Equal(p.value(now), time.Duration(0))
 	run(1, 40*time.Millisecond)
 	is.Equal(p.value(now), time.Duration(0))
-	run(knownEvents, 40*time.Millisecond)
+	run(minEvents, 40*time.Millisecond)
 	is.Equal(p.value(now), 40*time.Millisecond)
-	run(2*paceEvents, 40*time.Millisecond)
+	run(2*eventWindow, 40*time.Millisecond)
 	is.Equal(p.value(now), 40*time.Millisecond)
 	// A pause of all its texts, as while weights are changed, says nothing of it.
 	run(12, 400*time.Millisecond)
 	is.Equal(p.value(now), 40*time.Millisecond)
-	run(paceEvents, 40*time.Millisecond)
+	run(eventWindow, 40*time.Millisecond)
 	// A replica that turns slow shows within a few events.
-	run(paceEvents, 140*time.Millisecond)
+	run(eventWindow, 140*time.Millisecond)
 	is.True(p.value(now) > 90*time.Millisecond)
 	// Left alone, it is taken to be as good as it was: it gets work again.
-	now = now.Add(paceHolds + time.Millisecond)
+	now = now.Add(eventTimeLifetime + time.Millisecond)
 	is.Equal(p.value(now), 40*time.Millisecond)
 	// After that its pace is measured anew.
-	run(knownEvents, 60*time.Millisecond)
+	run(minEvents, 60*time.Millisecond)
 	is.Equal(p.value(now), 60*time.Millisecond)
 	// One that is always slower stays told apart while it has nothing to do.
 	for range 3 {
-		run(paceEvents, 60*time.Millisecond)
-		now = now.Add(soundSpan + time.Second)
+		run(eventWindow, 60*time.Millisecond)
+		now = now.Add(bestSpan + time.Second)
 	}
 	is.Equal(p.value(now), 60*time.Millisecond)
 }
--- a/internal/replicas/replica/pick.go
+++ b/internal/replicas/replica/pick.go
@@ -15,17 +15,17 @@
 	best := -1
 	bestScore := 0.0
 	fastest := fastestOf(candidates)
-	exploring := rand.Float64() < exploreShare
+	exploring := rand.Float64() < explorePart
 	for i := range candidates {
-		candidate := &candidates[i]
-		if tried[candidate.ID] {
+		r := &candidates[i]
+		if tried[r.ID] {
 			continue
 		}
-		latency := candidate.Latency
+		latency := r.Latency
 		if latency == 0 {
 			latency = fastest
 		}
-		score := loadScore(candidate, latency, candidate.Connected || exploring, now)
+		score := loadScore(r, latency, r.Connected || exploring, now)
 		if best < 0 || score < bestScore {
 			best, bestScore = i, score
 		}
@@ -33,26 +33,26 @@
 	if best < 0 {
 		return Replica{}, false
 	}
-	chosen := candidates[best]
-	if chosen.Latency == 0 {
-		chosen.Latency = fastest
+	r := candidates[best]
+	if r.Latency == 0 {
+		r.Latency = fastest
 	}
-	return chosen, true
+	return r, true
 }
 
 const (
 	avoidPenalty = 1000.0
 	// latencyPerUnit is by how much longer a replica's answers must take for it
 	// to count like one whose slots are all in use.
-	latencyPerUnit = 200 * time.Millisecond
-	jitter         = 0.05
+	latencyUnit = 200 * time.Millisecond
+	jitter      = 0.05
 	// connectPenalty is added where a connection must be made: a little more than one
 	// request under way at a replica of six slots. Making one takes the replica's time,
 	// and with hundreds of daemons that each ask seldom, every request would make one.
-	connectPenalty = 0.2
+	noConnPenalty = 0.2
 	// exploreShare is the part of the picks for which connections do not count, so that a
 	// replica that is new or has recovered gets work from a daemon that asks seldom.
-	exploreShare = 0.05
+	explorePart = 0.05
 )
 
 // fastestOf returns the lowest latency known, or 0.
@@ -68,18 +68,18 @@
 
 // loadScore is lower for a better choice. Latency is what the candidate's is taken to be,
 // connected whether it counts as such.
-func loadScore(candidate *Replica, latency time.Duration, connected bool, now time.Time) float64 {
-	score := float64(max(candidate.InFlight, candidate.Reported)) / float64(max(candidate.Slots, 1))
-	score += float64(latency) / float64(latencyPerUnit)
-	if candidate.WorkPace > 0 {
+func loadScore(r *Replica, latency time.Duration, connected bool, now time.Time) float64 {
+	score := float64(max(r.InFlight, r.ReportedLoad)) / float64(max(r.Slots, 1))
+	score += float64(latency) / float64(latencyUnit)
+	if r.Slowdown > 0 {
 		// What runs there and what is sent take longer or shorter by the same.
-		score *= candidate.WorkPace
+		score *= r.Slowdown
 	}
 	if !connected {
-		score += connectPenalty
+		score += noConnPenalty
 	}
-	if now.Before(candidate.AvoidUntil) {
-		score += avoidPenalty + candidate.AvoidUntil.Sub(now).Seconds()
+	if now.Before(r.AvoidUntil) {
+		score += avoidPenalty + r.AvoidUntil.Sub(now).Seconds()
 	}
 	return score + rand.Float64()*jitter
 }
--- a/internal/replicas/replica/start_test.go
+++ b/internal/replicas/replica/start_test.go
@@ -38,21 +38,21 @@
 		}
 		table.Succeeded(before.Start(), time.Second)
 		table.Failed(before.Start())
-		table.Reported(before.Start(), 7)
-		table.ReportedWorkPace(before.Start(), 3)
-		for range paceEvents {
-			table.Paced(before.Start(), 50*time.Millisecond)
+		table.ReportLoad(before.Start(), 7)
+		table.ReportSlowdown(before.Start(), 3)
+		for range eventWindow {
+			table.ObserveEvent(before.Start(), 50*time.Millisecond)
 		}
-		time.Sleep(firstAvoid)
+		time.Sleep(minAvoid)
 		table.Declined(before.Start())
 		table.Set(started("a", 1, 2))
 		now := seen()
 		is.True(now.Start() != before.Start())
 		is.Equal(now.Versions, map[string]int64{"m": 2})
-		is.Equal([]time.Duration{now.Latency, now.Pace}, []time.Duration{0, 0})
+		is.Equal([]time.Duration{now.Latency, now.EventTime}, []time.Duration{0, 0})
 		is.True(!now.Declining && !now.Probing && now.AvoidUntil.IsZero())
-		is.Equal([]int{now.InFlight, now.Reported}, []int{0, 0})
-		is.Equal(now.WorkPace, 1.0)
+		is.Equal([]int{now.InFlight, now.ReportedLoad}, []int{0, 0})
+		is.Equal(now.Slowdown, 1.0)
 		// What the earlier start's requests still tell is of no concern to the next one.
 		table.Started(now.Start())
 		for range 3 {
@@ -211,34 +211,34 @@
 		}
 		paceOf := func() float64 {
 			known, _ := table.Get("a")
-			return known.WorkPace
+			return known.Slowdown
 		}
 		shareOf := func() float64 {
 			const picks = 400
 			toA := 0
 			for range picks {
-				chosen, _ := Pick(table.Replicas("s"), nil, time.Now())
-				if chosen.ID == "a" {
+				r, _ := Pick(table.Replicas("s"), nil, time.Now())
+				if r.ID == "a" {
 					toA++
 				}
 			}
 			return float64(toA) / picks
 		}
 		is.Equal(paceOf(), 1.0)
-		table.ReportedWorkPace("a", 3)
+		table.ReportSlowdown("a", 3)
 		is.Equal(paceOf(), 3.0)
 		is.Equal(shareOf(), 0.0)
-		time.Sleep(workPaceHalfLife)
+		time.Sleep(slowdownHalfLife)
 		is.Equal(paceOf(), 2.0)
 		known, _ := table.Get("a")
-		is.Equal(known.WorkPaceAge, workPaceHalfLife)
-		time.Sleep(workPaceHolds)
+		is.Equal(known.SlowdownAge, slowdownHalfLife)
+		time.Sleep(slowdownLifetime)
 		is.Equal(paceOf(), 1.0)
 		is.True(shareOf() > 0.3)
-		table.ReportedWorkPace("a", 1e6)
-		is.Equal(paceOf(), mostWorkPace)
-		table.ReportedWorkPace("a", 0.001)
-		is.Equal(paceOf(), leastWorkPace)
+		table.ReportSlowdown("a", 1e6)
+		is.Equal(paceOf(), maxSlowdown)
+		table.ReportSlowdown("a", 0.001)
+		is.Equal(paceOf(), minSlowdown)
 		is.Equal(shareOf(), 1.0)
 	})
 }
@@ -246,10 +246,10 @@
 // A replica that works slowly now is still taken before one that has much to do.
 func TestAWorkPaceAloneKeepsNoRequestAway(t *testing.T) {
 	is := is.New(t)
-	slow, busy := Replica{Entry: entry("slow"), WorkPace: mostWorkPace, Latency: 20 * time.Millisecond}, Replica{Entry: entry("busy"), WorkPace: 1, InFlight: 4, Latency: 20 * time.Millisecond}
+	slow, busy := Replica{Entry: entry("slow"), Slowdown: maxSlowdown, Latency: 20 * time.Millisecond}, Replica{Entry: entry("busy"), Slowdown: 1, InFlight: 4, Latency: 20 * time.Millisecond}
 	for range 100 {
-		chosen, _ := Pick([]Replica{slow, busy}, nil, time.Now())
-		is.Equal(chosen.ID, "slow")
+		r, _ := Pick([]Replica{slow, busy}, nil, time.Now())
+		is.Equal(r.ID, "slow")
 	}
 }
 
@@ -257,9 +257,9 @@
 func BenchmarkPaced(b *testing.B) {
 	table := NewTable(drainBound, zap.NewNop())
 	table.Set(started("a", 0, 1))
-	chosen, _ := table.Get("a")
+	r, _ := table.Get("a")
 	for b.Loop() {
-		table.Paced(chosen.Start(), time.Millisecond)
+		table.ObserveEvent(r.Start(), time.Millisecond)
 	}
 }
 
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -58,7 +58,7 @@
 	InFlight int
 	// Reported is how many requests of all callers it had, running or waiting, by an
 	// answer of a moment ago; 0 if there was none.
-	Reported int
+	ReportedLoad int
 	// AvoidUntil is until when other replicas are to be preferred.
 	AvoidUntil time.Time
 	// Declining says that the replica declined the last request, Probing that one
@@ -69,14 +69,14 @@
 	// Latency is the mean time of recent answers, 0 if there were none.
 	Latency time.Duration
 	// Pace is the mean time between the events of recent streams, 0 if unknown.
-	Pace time.Duration
+	EventTime time.Duration
 	// PaceAt is when the last of these events came, zero if there were none.
-	PaceAt time.Time
+	EventAt time.Time
 	// WorkPace is how long work takes there at present, 1 being as usual, as the replica told
 	// WorkPaceAge ago. The older that is, the nearer it is to 1; it is 1 if nothing is
 	// believed.
-	WorkPace    float64
-	WorkPaceAge time.Duration
+	Slowdown    float64
+	SlowdownAge time.Duration
 }
 
 // listed is an entry with what was learned of its replica.
@@ -94,7 +94,7 @@
 	// now is the clock by which that grace ends.
 	now bootclock.Clock
 
-	mutex   sync.Mutex
+	mu      sync.Mutex
 	entries map[string]*listed
 	// services has the entries of each service, by id.
 	services map[string]map[string]*listed
@@ -115,69 +115,69 @@
 
 // SetClock sets the clock by which replicas count as just removed. It is called before
 // any other method.
-func (table *Table) SetClock(now bootclock.Clock) { table.now = now }
+func (t *Table) SetClock(now bootclock.Clock) { t.now = now }
 
 // Replace sets the whole list.
-func (table *Table) Replace(entries []Entry) {
-	table.mutex.Lock()
-	defer table.mutex.Unlock()
+func (t *Table) Replace(entries []Entry) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	kept := make(map[string]bool, len(entries))
 	var changes []change
 	for _, entry := range entries {
 		kept[entry.ID] = true
-		changes = table.set(entry, changes)
+		changes = t.set(entry, changes)
 	}
-	for id := range table.entries {
+	for id := range t.entries {
 		if !kept[id] {
-			changes = table.remove(id, changes)
+			changes = t.remove(id, changes)
 		}
 	}
-	table.tell(changes)
-	table.notify()
+	t.logChanges(changes)
+	t.notify()
 }
 
 // Set changes or adds one entry.
-func (table *Table) Set(entry Entry) {
-	table.mutex.Lock()
-	defer table.mutex.Unlock()
-	table.tell(table.set(entry, nil))
-	table.notify()
+func (t *Table) Set(entry Entry) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.logChanges(t.set(entry, nil))
+	t.notify()
 }
 
 // Remove drops one entry.
-func (table *Table) Remove(id string) {
-	table.mutex.Lock()
-	defer table.mutex.Unlock()
-	table.tell(table.remove(id, nil))
-	table.notify()
+func (t *Table) Remove(id string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.logChanges(t.remove(id, nil))
+	t.notify()
 }
 
 // set changes or adds an entry. It returns the changes with this one, if it is one to
 // be told. The mutex is held.
-func (table *Table) set(entry Entry, changes []change) []change {
-	before := table.entries[entry.ID]
+func (t *Table) set(entry Entry, changes []change) []change {
+	before := t.entries[entry.ID]
 	switch {
 	case entry.Unusable && before == nil:
 		return changes
 	case entry.Unusable:
 		entry = before.Entry
 		entry.Unusable = true
-	case !table.succeeds(&entry):
+	case !t.isNewest(&entry):
 		return changes
 	}
 	if before != nil && before.Service != entry.Service {
-		delete(table.services[before.Service], entry.ID)
+		delete(t.services[before.Service], entry.ID)
 	}
-	learned := table.experience(entry.Start())
-	now := &listed{Entry: entry, learned: learned}
-	table.entries[entry.ID] = now
-	if table.services[entry.Service] == nil {
-		table.services[entry.Service] = map[string]*listed{}
+	e := t.experience(entry.Start())
+	now := &listed{Entry: entry, learned: e}
+	t.entries[entry.ID] = now
+	if t.services[entry.Service] == nil {
+		t.services[entry.Service] = map[string]*listed{}
 	}
-	table.services[entry.Service][entry.ID] = now
-	learned.goneAt = time.Time{}
+	t.services[entry.Service][entry.ID] = now
+	e.goneAt = time.Time{}
 	for model, version := range entry.Versions {
-		learned.raise(model, version)
+		e.raise(model, version)
 	}
 	switch {
 	case before == nil:
@@ -190,44 +190,44 @@
 }
 
 // remove drops an entry. It returns the changes with this one. The mutex is held.
-func (table *Table) remove(id string, changes []change) []change {
-	before := table.entries[id]
+func (t *Table) remove(id string, changes []change) []change {
+	before := t.entries[id]
 	if before == nil {
 		return changes
 	}
-	delete(table.entries, id)
-	delete(table.services[before.Service], id)
-	before.learned.goneAt, before.learned.last = table.now(), before.Entry
+	delete(t.entries, id)
+	delete(t.services[before.Service], id)
+	before.learned.goneAt, before.learned.last = t.now(), before.Entry
 	return append(changes, change{before: &before.Entry})
 }
 
 // notify wakes those who wait for a change. The mutex is held.
-func (table *Table) notify() {
-	close(table.changed)
-	table.changed = make(chan struct{})
+func (t *Table) notify() {
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
 // Changed returns a channel that is closed at the next change of the list, of
 // a version, or of the room at a replica.
-func (table *Table) Changed() <-chan struct{} {
-	table.mutex.Lock()
-	defer table.mutex.Unlock()
-	return table.changed
+func (t *Table) Changed() <-chan struct{} {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.changed
 }
 
 // Replicas returns the replicas of a service that may get new work.
-func (table *Table) Replicas(service string) []Replica {
-	table.mutex.Lock()
-	defer table.mutex.Unlock()
+func (t *Table) Replicas(service string) []Replica {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	now := time.Now()
-	found := make([]Replica, 0, len(table.services[service]))
-	for _, each := range table.services[service] {
-		if !each.Draining && !each.Unusable {
-			found = append(found, each.view(now))
+	found := make([]Replica, 0, len(t.services[service]))
+	for _, l := range t.services[service] {
+		if !l.Draining && !l.Unusable {
+			found = append(found, l.view(now))
 		}
 	}
 	if len(found) == 0 {
-		return table.justRemoved(service)
+		return t.justRemoved(service)
 	}
 	return found
 }
@@ -236,51 +236,51 @@
 // ago without having said that they leave. After an outage of the platform all
 // entries may be missing until the replicas have written them again. The mutex
 // is held.
-func (table *Table) justRemoved(service string) []Replica {
+func (t *Table) justRemoved(service string) []Replica {
 	var found []Replica
-	now, awake := table.now(), time.Now()
-	for _, learned := range table.learned {
-		if learned.goneAt.IsZero() || now.Sub(learned.goneAt) > table.removedGrace {
+	now, awake := t.now(), time.Now()
+	for _, e := range t.learned {
+		if e.goneAt.IsZero() || now.Sub(e.goneAt) > t.removedGrace {
 			continue
 		}
-		if learned.last.Service == service && !learned.last.Draining && !learned.last.Unusable {
-			found = append(found, (&listed{Entry: learned.last, learned: learned}).view(awake))
+		if e.last.Service == service && !e.last.Draining && !e.last.Unusable {
+			found = append(found, (&listed{Entry: e.last, learned: e}).view(awake))
 		}
 	}
 	return found
 }
 
 // All returns all replicas listed, also those that drain.
-func (table *Table) All() []Replica {
-	table.mutex.Lock()
-	defer table.mutex.Unlock()
-	found := make([]Replica, 0, len(table.entries))
+func (t *Table) All() []Replica {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	found := make([]Replica, 0, len(t.entries))
 	now := time.Now()
-	for _, each := range table.entries {
-		found = append(found, each.view(now))
+	for _, l := range t.entries {
+		found = append(found, l.view(now))
 	}
 	return found
 }
 
 // Get returns one replica if it is listed.
-func (table *Table) Get(id string) (Replica, bool) {
-	table.mutex.Lock()
-	defer table.mutex.Unlock()
-	each := table.entries[id]
-	if each == nil {
+func (t *Table) Get(id string) (Replica, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	l := t.entries[id]
+	if l == nil {
 		return Replica{}, false
 	}
-	return each.view(time.Now()), true
+	return l.view(time.Now()), true
 }
 
 // view is a replica as it is now.
-func (each *listed) view(now time.Time) Replica {
-	learned := each.learned
-	viewed := Replica{Entry: each.Entry, InFlight: learned.inFlight, AvoidUntil: learned.avoidUntil, Declining: learned.declines > 0, Probing: learned.probing, Latency: learned.latency, Pace: learned.pace.value(now), PaceAt: learned.pace.at}
-	if now.Sub(learned.reportedAt) <= loadHolds {
-		viewed.Reported = learned.reported
+func (l *listed) view(now time.Time) Replica {
+	e := l.learned
+	viewed := Replica{Entry: l.Entry, InFlight: e.inFlight, AvoidUntil: e.avoidUntil, Declining: e.declines > 0, Probing: e.probing, Latency: e.latency, EventTime: e.eventTimes.value(now), EventAt: e.eventTimes.at}
+	if now.Sub(e.reportedAt) <= loadLifetime {
+		viewed.ReportedLoad = e.reported
 	}
-	viewed.WorkPace, viewed.WorkPaceAge = learned.work.value(now)
-	viewed.Versions = learned.versions
+	viewed.Slowdown, viewed.SlowdownAge = e.slowdown.value(now)
+	viewed.Versions = e.versions
 	return viewed
 }
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -109,13 +109,13 @@
 			}
 			candidates = append(candidates, made)
 		}
-		chosen, found := Pick(candidates, tried, now)
+		r, found := Pick(candidates, tried, now)
 		switch {
 		case found != (len(candidates) > len(tried)):
 			t.Fatal("found none though some are left, or one though none is")
-		case found && tried[chosen.ID]:
+		case found && tried[r.ID]:
 			t.Fatal("took a replica that was tried")
-		case found && sound > 0 && now.Before(chosen.AvoidUntil):
+		case found && sound > 0 && now.Before(r.AvoidUntil):
 			t.Fatal("took a replica to be avoided though others are there")
 		}
 	})
@@ -157,7 +157,7 @@
 		for range 6 {
 			decline()
 		}
-		for _, pause := range []time.Duration{firstDecline, 2 * firstDecline, longestDecline, longestDecline} {
+		for _, pause := range []time.Duration{minDeclinePause, 2 * minDeclinePause, maxDeclinePause, maxDeclinePause} {
 			is.Equal(time.Until(seen().AvoidUntil), pause)
 			time.Sleep(pause)
 			is.True(seen().Declining)
@@ -167,7 +167,7 @@
 			decline()
 			is.True(!seen().Probing)
 		}
-		time.Sleep(longestDecline)
+		time.Sleep(maxDeclinePause)
 		attempt()
 		table.Accepted("e")
 		is.True(!seen().Probing)
@@ -185,15 +185,15 @@
 		table := NewTable(drainBound, zap.NewNop())
 		table.Replace([]Entry{entry("a"), entry("b")})
 		picked := func() string {
-			chosen, found := Pick(table.Replicas("s"), nil, time.Now())
+			r, found := Pick(table.Replicas("s"), nil, time.Now())
 			is.True(found)
-			return chosen.ID
+			return r.ID
 		}
-		table.Reported("a", 3)
+		table.ReportLoad("a", 3)
 		for range 20 {
 			is.Equal(picked(), "b")
 		}
-		time.Sleep(loadHolds + time.Millisecond)
+		time.Sleep(loadLifetime + time.Millisecond)
 		seen := map[string]bool{}
 		for range 200 {
 			seen[picked()] = true
@@ -211,15 +211,15 @@
 	connected.Latency = 30 * time.Millisecond
 	count := map[string]int{}
 	for range picks {
-		chosen, found := Pick([]Replica{connected, added}, nil, time.Now())
+		r, found := Pick([]Replica{connected, added}, nil, time.Now())
 		is.True(found)
-		count[chosen.ID]++
+		count[r.ID]++
 	}
 	is.True(count["b"] > 0)
-	is.True(float64(count["b"]) < picks*exploreShare)
+	is.True(float64(count["b"]) < picks*explorePart)
 	connected.InFlight = 2
-	chosen, _ := Pick([]Replica{connected, added}, nil, time.Now())
-	is.Equal(chosen.ID, "b")
+	r, _ := Pick([]Replica{connected, added}, nil, time.Now())
+	is.Equal(r.ID, "b")
 }
 
 // A list of hundreds that is read anew leaves one line, which names all that changed;
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -115,7 +115,7 @@
 // allFull reports whether each replica is known to have as many requests as slots.
 func allFull(replicas []replica.Replica) bool {
 	for _, each := range replicas {
-		if each.Slots <= 0 || max(each.InFlight, each.Reported) < each.Slots {
+		if each.Slots <= 0 || max(each.InFlight, each.ReportedLoad) < each.Slots {
 			return false
 		}
 	}
--- a/internal/requests/admission/service_test.go
+++ b/internal/requests/admission/service_test.go
@@ -111,7 +111,7 @@
 		}
 		if ran {
 			if d.service.tells {
-				d.table.Reported(chosen.Start(), load)
+				d.table.ReportLoad(chosen.Start(), load)
 			}
 			return Answered{Took: time.Since(began)}
 		}
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -105,7 +105,7 @@
 // one request of this daemon start, and no more than end.
 func hasRoom(replicas []replica.Replica) bool {
 	for _, each := range replicas {
-		if each.Reported > 0 && max(each.Reported, each.InFlight) < each.Slots {
+		if each.ReportedLoad > 0 && max(each.ReportedLoad, each.InFlight) < each.Slots {
 			return true
 		}
 	}
--- a/internal/requests/forward/load_test.go
+++ b/internal/requests/forward/load_test.go
@@ -29,11 +29,11 @@
 			chosen, _ := table.Get("a")
 			f.noteLoad(chosen, nil)
 			known, _ := table.Get("a")
-			is.Equal(known.Reported, load.Running+load.Waiting)
-			is.Equal(known.WorkPace, 2.0) // one that tells no pace takes none back
+			is.Equal(known.ReportedLoad, load.Running+load.Waiting)
+			is.Equal(known.Slowdown, 2.0) // one that tells no pace takes none back
 			other, _ := table.Get("b")
-			is.Equal(other.Reported, 0)
-			is.Equal(other.WorkPace, 1.0)
+			is.Equal(other.ReportedLoad, 0)
+			is.Equal(other.Slowdown, 1.0)
 		}
 	})
 }
--- a/internal/requests/forward/offer.go
+++ b/internal/requests/forward/offer.go
@@ -169,9 +169,9 @@
 	if !ok {
 		return
 	}
-	f.Table.Reported(chosen.Start(), load.Running+load.Waiting)
+	f.Table.ReportLoad(chosen.Start(), load.Running+load.Waiting)
 	if load.WorkPace > 0 {
-		f.Table.ReportedWorkPace(chosen.Start(), load.WorkPace)
+		f.Table.ReportSlowdown(chosen.Start(), load.WorkPace)
 	}
 }
 
