--- a/internal/callers/usage/telling.go
+++ b/internal/callers/usage/logging.go
@@ -11,25 +11,25 @@
 	"go.uber.org/zap"
 )
 
-// maxToldTenants bounds the tenants that one log line names, those with the most requests:
+// maxLoggedTenants bounds the tenants that one log line names, those with the most requests:
 // a line stays below a kilobyte or two whatever the number of tenants.
 const maxLoggedTenants = 40
 
-// byTenant is the counts of tenants as logs tell them.
+// byTenant is the counts of tenants as logs show them.
 type byTenant map[string]int64
 
 // String names the tenants with the most requests, and counts the others' requests.
-func (counts byTenant) String() string {
-	tenants := slices.SortedFunc(maps.Keys(counts), func(a, b string) int {
-		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a, b))
+func (b byTenant) String() string {
+	tenants := slices.SortedFunc(maps.Keys(b), func(x, y string) int {
+		return cmp.Or(cmp.Compare(b[y], b[x]), cmp.Compare(x, y))
 	})
 	var parts []string
 	rest := int64(0)
 	for i, tenant := range tenants {
 		if i < maxLoggedTenants {
-			parts = append(parts, tenant+":"+strconv.FormatInt(counts[tenant], 10))
+			parts = append(parts, tenant+":"+strconv.FormatInt(b[tenant], 10))
 		} else {
-			rest += counts[tenant]
+			rest += b[tenant]
 		}
 	}
 	if rest > 0 {
@@ -38,14 +38,14 @@
 	return strings.Join(parts, ",")
 }
 
-// written notes the counts of a record that the journal has. The mutex is held.
+// noteWritten notes the counts of a record that the journal has. The mutex is held.
 func (r *Recorder) noteWritten(counts map[int64]map[string]int64) {
 	for window, requests := range counts {
 		addTo(r.unlogged, window, requests)
 	}
 }
 
-// tell logs what this run has counted in the windows that had ended at a time of day: a
+// logWritten logs what this incarnation has counted in the windows that had ended at a time of day: a
 // line a window, and another one for what was written of it later.
 func (r *Recorder) logWritten(at time.Time) {
 	r.mu.Lock()
--- a/internal/callers/usage/record.go
+++ b/internal/callers/usage/record.go
@@ -19,7 +19,7 @@
 // record is one entry of the partition.
 type record struct {
 	Kind recordKind `cbor:"1,keyasint"`
-	// Run is the run of a daemon that counted; Number rises by one with each of its
+	// Sender is the incarnation of a daemon that counted; Number rises by one with each of its
 	// records.
 	Sender string `cbor:"2,keyasint,omitempty"`
 	Number int64  `cbor:"3,keyasint,omitempty"`
@@ -39,8 +39,8 @@
 	return encoded
 }
 
-// keptWindows is how many decided windows the fold remembers, and for how many it
-// remembers a run: far longer than a record may be under way. A late record of an older
+// rememberedWindows is how many decided windows the fold remembers, and for how many it
+// remembers a sender: far longer than a record may be under way. A late record of an older
 // one changes nothing, as the windows below the first remembered count as decided.
 const rememberedWindows = 64
 
@@ -51,20 +51,20 @@
 type state struct {
 	// counts are by window and tenant, of windows that are not decided.
 	counts map[int64]map[string]int64
-	// runs are the runs of daemons that have counted, so that a record of theirs that is
+	// senders are the daemons' incarnations that have counted, so that a record of theirs that is
 	// there twice counts once.
 	senders map[string]senderState
 	// decided are the figures of decided windows, reported those taken by the platform.
 	decided  map[int64]map[string]int64
 	reported map[int64]bool
-	// last is the newest decided window; any says that there is one.
+	// last is the newest decided window; anyDecided says that there is one.
 	last       int64
 	anyDecided bool
 	// late counts requests whose record came after their window was decided.
 	late int64
 }
 
-// counted is what is remembered of a run: the number of its last record, and the newest
+// senderState is what is remembered of a sender: the number of its last record, and the newest
 // window that it counted in.
 type senderState struct{ number, window int64 }
 
@@ -72,12 +72,12 @@
 	return &state{counts: map[int64]map[string]int64{}, senders: map[string]senderState{}, decided: map[int64]map[string]int64{}, reported: map[int64]bool{}}
 }
 
-// apply folds the next record. One that cannot be read or contradicts an earlier one
+// apply folds the next record. One that cannot be decoded or contradicts an earlier one
 // changes nothing.
-func (s *state) apply(encoded []byte) {
+func (s *state) apply(encoded []byte) error {
 	var rec record
 	if err := cbor.Unmarshal(encoded, &rec); err != nil {
-		return
+		return errors.Wrap(err, "usage: decode")
 	}
 	switch rec.Kind {
 	case kindCounted:
@@ -87,6 +87,7 @@
 	case kindReported:
 		s.reported[rec.Window] = true
 	}
+	return nil
 }
 
 func (s *state) count(rec record) {
@@ -128,9 +129,9 @@
 			delete(s.reported, window)
 		}
 	}
-	for run, seen := range s.senders {
+	for sender, seen := range s.senders {
 		if seen.window <= s.last-rememberedWindows {
-			delete(s.senders, run)
+			delete(s.senders, sender)
 		}
 	}
 }
--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -14,17 +14,19 @@
 )
 
 const (
-	// leastFlush is the least time between two appends of a daemon's counts: what a
-	// killed daemon loses, against the journal's writes (two hundredths more calls with 71
-	// daemons and 50 requests a second).
+	// minFlushInterval is the least time between two appends of a daemon's counts: what a
+	// killed daemon loses, against the journal's writes.
 	minFlushInterval = 200 * time.Millisecond
-	// mostFlush bounds the time between two appends that fail, which doubles with each
+	// maxFlushInterval bounds the time between two appends that fail, which doubles with each
 	// one in a row: the journal that comes back gets the counts within it.
 	maxFlushInterval = time.Second
 	// appendTimeout bounds one append.
 	appendTimeout = 1200 * time.Millisecond
 )
 
+// ErrNotWritten: the counts may not be in the journal. They are sent again by the next call.
+var ErrNotWritten = errors.New("usage: counts not written")
+
 // Recorder counts the requests that one daemon sends to replicas. It is safe for
 // concurrent use.
 type Recorder struct {
@@ -42,16 +44,19 @@
 	// counts once.
 	number  int64
 	sending []byte
-	// inSending are the counts of sending, untold those that were written and not logged.
+	// inSending are the counts of sending, unlogged those that were written and not logged.
 	inSending, unlogged map[int64]map[string]int64
 	// flushing is held by the one who sends.
 	flushing sync.Mutex
 }
 
-// NewRecorder returns a recorder for a run of a daemon. Pace is the least time between
-// two appends that the journal's grants allow.
-func NewRecorder(log journal.Journal, run string, windows duty.Windows, pace journal.Pace, clock Clock, logger *zap.Logger) *Recorder {
-	return &Recorder{journal: log, self: run, windows: windows, minInterval: pace, clock: clock, logger: logger, counts: map[int64]map[string]int64{}, unlogged: map[int64]map[string]int64{}}
+// NewRecorder returns a recorder for an incarnation of a daemon. MinInterval is the least
+// time between two appends that the journal's grants allow.
+func NewRecorder(log journal.Journal, self string, windows duty.Windows, minInterval journal.Pace, clock Clock, logger *zap.Logger) *Recorder {
+	return &Recorder{
+		journal: log, self: self, windows: windows, minInterval: minInterval, clock: clock, logger: logger,
+		counts: map[int64]map[string]int64{}, unlogged: map[int64]map[string]int64{},
+	}
 }
 
 // Ran counts a request of a tenant that was sent to a replica at a moment of the
@@ -103,7 +108,7 @@
 	_, err := r.journal.Append(bounded, journal.Append{Partition: Partition, Records: [][]byte{encoded}})
 	if err != nil {
 		r.logger.Info("usage not written", zap.Int64("number", r.number), zap.Bool("certain", errors.Is(err, journal.ErrNotDone)), zap.Error(err))
-		return err
+		return errors.Wrap(ErrNotWritten, err.Error())
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,7 +117,7 @@
 	return nil
 }
 
-// take returns the record to send, nil if there is nothing to tell.
+// take returns the record to send, nil if nothing was counted.
 func (r *Recorder) take() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -16,15 +16,16 @@
 )
 
 const (
+	// lookInterval is the time between two looks for windows that are due.
 	lookInterval = 200 * time.Millisecond
-	// settleShare is the part of the time until a report is due after which a window is
+	// settlePart is the part of the time until a report is due after which a window is
 	// decided: counts of requests that took long, or of daemons that had lost the
 	// journal, come by then, and a successor can still act in time.
 	settlePart = 0.4
-	// steadyFor is how long the journal must have answered for a window to be decided:
+	// steadyAfter is how long the journal must have answered for a window to be decided:
 	// just after an outage the daemons have still to write their counts.
 	steadyAfter = 1500 * time.Millisecond
-	// forcedShare is the part of the time until a report is due after which a window is
+	// forcedPart is the part of the time until a report is due after which a window is
 	// decided in any case.
 	forcedPart = 0.85
 	// readTimeout bounds one read of the partition, readBytes its answer.
@@ -32,8 +33,8 @@
 	readBytes   = 256 << 10
 	// callTimeout bounds one call to the platform.
 	callTimeout = 800 * time.Millisecond
-	// firstPause is the pause after a call that failed, a look's interval. It doubles with
-	// each one in a row, up to longestPause, which leaves some tries between a decision
+	// minFailurePause is the pause after a call that failed, a look's interval. It doubles with
+	// each one in a row, up to maxFailurePause, which leaves some tries between a decision
 	// and when the report is due (6 s where that is 10 s after the window).
 	minFailurePause = 200 * time.Millisecond
 	maxFailurePause = 2 * time.Second
@@ -178,7 +179,9 @@
 		return 0, err
 	}
 	for _, encoded := range read.Records {
-		r.state.apply(encoded)
+		if err := r.state.apply(encoded); err != nil {
+			r.logger.Warn("usage record passed over", zap.Int64("offset", r.next), zap.Error(err))
+		}
 		r.next++
 	}
 	return read.End, nil
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -98,7 +98,7 @@
 // daemon that holds the lease.
 func (n *Node) buildWeights(drivers Drivers) {
 	log := drivers.Journal
-	n.demands = demand.NewState()
+	n.demands = demand.NewState(n.logger)
 	n.demandFollower = journal.NewKeyedFollower(log, demand.Partition(log), n.demands, n.settings.Timing.ContactBound.Std(), n.logger)
 	n.lease = lease.New(log, journal.Partition{Topic: dutyTopic}, n.identity, n.settings.Name, n.settings.Timing.LeaseQuiet.Std(), n.logger)
 	n.syncer = modelsync.New(n.settings.Name, n.lease, drivers.Engines, n.table, n.operator.Configuration, n.operator.Named, n.demands, n.logger)
--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -1,8 +1,12 @@
 // Package catalog holds what the operator and the replicas have written on
 // the platform: the configuration in force, the versions named, the replicas.
 //
-// The partitions take records of any writer. One that can't be understood is logged once a
-// change, and changes nothing but what is believed of its own key.
+// The partitions take records of any writer. One that can't be decoded is logged once a
+// change, and changes nothing but what is known of its own key.
+//
+// The package owns the State (configuration in force, newest versions named) in memory only;
+// a Directory feeds the replica table. It relies on followers of the journal for the records,
+// and on a platform's Decoder for their form.
 //
 // # Usage
 //
@@ -38,7 +42,7 @@
 	Replica(id string, value []byte) (replica.Entry, error)
 }
 
-// State is the operator's newest word. Versions only rise while the process
+// State is what the operator has set last. Versions only rise while the process
 // lives: a record older than the one in force changes nothing.
 type State struct {
 	decoder Decoder
--- a/internal/replicas/catalog/refusals.go
+++ b/internal/replicas/catalog/refusals.go
@@ -9,7 +9,7 @@
 )
 
 // ErrUnreadable: the bytes of a record are not those of a value.
-var ErrUnreadable = errors.New("operation: record can't be read")
+var ErrUnreadable = errors.New("catalog: record can't be read")
 
 // refusals are the records that could not be understood, by key and by a hash of their
 // bytes: each is logged once, however often the partition is read. It is used by one
--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -1,6 +1,18 @@
-// Package demand tells the daemon that changes weights which versions the
-// trainers' batches still allow. Daemons that accept a batch write it to a keyed
+// Package demand tells the daemon that changes weights which versions the trainers' batches
+// still allow, and how much work they bring. Daemons that accept a batch write it to a keyed
 // partition; only the daemon that needs it reads it.
+//
+// The package owns the records of that partition. It relies on nothing else: a record that is
+// lost is made good by the next batch.
+//
+// # Usage
+//
+//	publisher := demand.NewPublisher(log, logger)
+//	publisher.Publish(ctx, "model", demand.Demand{MinVersion: 3, Named: 5, Work: 80_000, Items: 512})
+//
+//	state := demand.NewState(logger)
+//	go journal.NewKeyedFollower(log, demand.Partition(log), state, contactBound, logger).Run(ctx)
+//	d, ok := state.Of("model")
 package demand
 
 import (
@@ -16,11 +28,12 @@
 )
 
 const (
-	topic        = "woodworks.demand"
+	topic = "woodworks.demand"
+	// writeTimeout bounds one append.
 	writeTimeout = time.Second
 	// timeKeyPrefix starts the keys of what owners have measured of a model.
 	timeKeyPrefix = "time/"
-	// firstItemTime is how long an item is expected to take a slot before one was
+	// initialItemTime is how long an item is expected to take a slot before one was
 	// measured: a text of twenty events, 40 ms each, and its prompt.
 	initialItemTime = time.Second
 )
@@ -85,24 +98,27 @@
 	}
 }
 
-// workSmoothing is the part of a new batch's difference in work that counts at
-// once: batches of a model differ, its share of the engines should not.
-const workSmoothing = 4
-
-// timeSmoothing is the part of a new batch's difference in the time of its items that
-// counts at once.
-const timeSmoothing = 2
+const (
+	// workSmoothing divides a new batch's difference in work: batches of a model differ, its
+	// part of the engines should not.
+	workSmoothing = 4
+	// timeSmoothing divides a new batch's difference in the time of its items.
+	timeSmoothing = 2
+)
 
-// State is the newest demand of each model, its work a running mean. It implements journal.KeyedHandler.
+// State is the newest demand of each model, its work a running mean. It implements
+// journal.KeyedHandler.
 type State struct {
+	logger *zap.Logger
+
 	mu        sync.Mutex
 	demands   map[string]Demand
 	itemTimes map[string]time.Duration
 }
 
 // NewState returns the state before any record.
-func NewState() *State {
-	return &State{demands: map[string]Demand{}, itemTimes: map[string]time.Duration{}}
+func NewState(logger *zap.Logger) *State {
+	return &State{logger: logger, demands: map[string]Demand{}, itemTimes: map[string]time.Duration{}}
 }
 
 // Reset implements journal.KeyedHandler.
@@ -119,27 +135,40 @@
 		return
 	}
 	var demand Demand
-	if len(record.Value) == 0 || cbor.Unmarshal(record.Value, &demand) != nil {
+	if !s.decode(record.Key, record.Value, &demand) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if before, known := s.demands[record.Key]; known && before.Work > 0 {
+	if before, ok := s.demands[record.Key]; ok && before.Work > 0 {
 		demand.Work = before.Work + (demand.Work-before.Work)/workSmoothing
 	}
 	s.demands[record.Key] = demand
 }
 
+// decode reports whether a record has a value that can be decoded. What it would have said
+// stays as it was.
+func (s *State) decode(key string, value []byte, into any) bool {
+	if len(value) == 0 {
+		return false
+	}
+	if err := cbor.Unmarshal(value, into); err != nil {
+		s.logger.Warn("demand not decoded", zap.String("key", key), zap.Error(err))
+		return false
+	}
+	return true
+}
+
 // applyTime takes what an owner has measured of a model.
 func (s *State) applyTime(model string, value []byte) {
 	var m measured
-	if len(value) == 0 || cbor.Unmarshal(value, &m) != nil || m.ItemTimeMs <= 0 {
+	if !s.decode(timeKeyPrefix+model, value, &m) || m.ItemTimeMs <= 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	itemTime := time.Duration(m.ItemTimeMs) * time.Millisecond
-	if before, known := s.itemTimes[model]; known {
+	if before, ok := s.itemTimes[model]; ok {
 		itemTime = before + (itemTime-before)/timeSmoothing
 	}
 	s.itemTimes[model] = itemTime
@@ -149,7 +178,7 @@
 func (s *State) ItemTime(model string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if itemTime, known := s.itemTimes[model]; known {
+	if itemTime, ok := s.itemTimes[model]; ok {
 		return itemTime
 	}
 	return initialItemTime
@@ -159,6 +188,6 @@
 func (s *State) Of(model string) (Demand, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	demand, known := s.demands[model]
-	return demand, known
+	d, ok := s.demands[model]
+	return d, ok
 }
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -1,9 +1,11 @@
 // Package fleet orders as many model replicas as the trainers' batches need, where the
 // platform starts and ends them on order.
 //
-// Plan is the pure decision; Manager carries it out on the daemon that holds the lease
-// for duties. What was ordered stands in a keyed partition of the journal, so that a
-// successor goes on from there and does not take replicas for surplus.
+// Plan is the rule, and pure; Manager carries it out on the daemon that holds the lease for
+// duties. The package owns the records of what was ordered, in a keyed partition of the
+// journal, so that a successor goes on from there and does not take replicas for surplus. It
+// relies on the list of replicas, on the demands of the trainers' batches, and on the
+// platform to refuse orders of a lower fence.
 //
 // # Usage
 //
@@ -31,23 +33,24 @@
 )
 
 const (
-	topic        = "woodworks.fleet"
+	topic = "woodworks.fleet"
+	// lookInterval is the time between two looks for orders that are due.
 	lookInterval = 250 * time.Millisecond
 	// callTimeout bounds one call to the platform, journalTimeout one to the journal.
 	callTimeout    = 800 * time.Millisecond
 	journalTimeout = 1200 * time.Millisecond
-	// firstPause is the pause after an order that failed, a little more than a look's
-	// interval. It doubles with each one in a row, up to longestPause, which is what a
+	// minFailurePause is the pause after an order that failed, a little more than a look's
+	// interval. It doubles with each one in a row, up to maxFailurePause, which is what a
 	// platform that takes orders again may wait for the next one.
 	minFailurePause = 300 * time.Millisecond
 	maxFailurePause = 5 * time.Second
-	// freshList is how old the list of replicas may be for an order: an outage of the
+	// maxListAge is how old the list of replicas may be for an order: an outage of the
 	// journal lets entries lapse although their replicas live.
 	maxListAge = 1500 * time.Millisecond
-	// settledList is how long the list must have been followed without a gap: entries
+	// settledAfter is how long the list must have been followed without a gap: entries
 	// that lapsed in an outage are back within two seconds of its end.
 	settledAfter = 3 * time.Second
-	// seenFor is how long a larger number of replicas is remembered: those that are
+	// seenSpan is how long a larger number of replicas is remembered: those that are
 	// missing from the list for less may live.
 	seenSpan = 15 * time.Second
 )
@@ -71,20 +74,21 @@
 	Demands       *demand.State
 }
 
-// subject is a service in a zone.
+// serviceZone is a service in a zone.
 type serviceZone struct{ service, zone string }
 
-// ordered is what was ordered last for a subject. It is a record of the journal.
+// orderRecord is what was ordered last for a service in a zone. It is a record of the
+// journal.
 type orderRecord struct {
 	Service string `cbor:"1,keyasint"`
 	Zone    string `cbor:"2,keyasint"`
 	Desired int    `cbor:"3,keyasint"`
-	// AtMs is the ordering daemon's time of day, in milliseconds. It tells one order from
-	// another and no more: that clock may be off by any amount.
+	// AtMs is the ordering daemon's time of day, in milliseconds. It sets one order apart
+	// from another and no more: that clock may be off by any amount.
 	AtMs int64 `cbor:"4,keyasint"`
 }
 
-// sighted is an order with when this daemon first saw it, by its own steady clock: the
+// observedOrder is an order with when this daemon first saw it, by its own steady clock: the
 // order is at least that old.
 type observedOrder struct {
 	orderRecord
@@ -96,7 +100,7 @@
 	Parts
 	logger *zap.Logger
 
-	// known is what was ordered; it is read when this daemon begins to act.
+	// ordered is what was ordered; it is read when this daemon begins to act.
 	ordered map[serviceZone]observedOrder
 	// newest are the newest orders that were ever seen. They outlive the lease, so that an
 	// order does not become new by being read again.
@@ -105,7 +109,7 @@
 	lowSince map[string]time.Time
 	// unsettledAt is when the list was last seen to be old.
 	unsettledAt time.Time
-	// seen are the replicas listed of late, by subject.
+	// seen are the replicas listed of late.
 	seen map[serviceZone]seenCount
 	// rest is the pause after orders that failed.
 	rest backoff.Rest
@@ -113,7 +117,7 @@
 	orders, failed atomic.Uint64
 }
 
-// sighting is the largest number of replicas that was listed within seenFor.
+// seenCount is the largest number of replicas that was listed within seenSpan.
 type seenCount struct {
 	count int
 	at    time.Time
@@ -133,13 +137,13 @@
 // Run orders replicas until the context ends.
 func (m *Manager) Run(ctx context.Context) { periodic.Every(ctx, lookInterval, m.step) }
 
-// look makes the orders that are due, if the lease lets this daemon act.
+// step makes the orders that are due, if the lease lets this daemon act.
 func (m *Manager) step(ctx context.Context) {
 	configuration := m.Configuration()
 	if configuration == nil {
 		return
 	}
-	// The list is watched without the lease too, as it tells little of the past.
+	// The list is watched without the lease too, as it says little of the past.
 	now := time.Now()
 	settled := m.settled(now)
 	present := m.presentOf(configuration, now)
@@ -222,8 +226,8 @@
 	deadline := batchDeadline(configuration, service.Name)
 	var loads []Load
 	for _, model := range service.Models {
-		d, found := m.Demands.Of(model.Name)
-		if found && d.Items > 0 {
+		d, ok := m.Demands.Of(model.Name)
+		if ok && d.Items > 0 {
 			loads = append(loads, Load{Items: d.Items, ItemTime: m.Demands.ItemTime(model.Name), Deadline: deadline})
 		}
 	}
@@ -246,7 +250,7 @@
 	return shortest
 }
 
-// order asks the platform for replicas. What is asked for is noted first, so that a
+// order asks the platform for replicas. What is asked for is recorded first, so that a
 // successor takes what may have been ordered for ordered.
 func (m *Manager) order(ctx context.Context, service string, order Order, in Input) bool {
 	key := serviceZone{service, order.Zone}
@@ -278,7 +282,7 @@
 	return journal.Partition{Topic: m.Journal.KeyedTopic(topic)}
 }
 
-// note keeps an order in the journal.
+// record keeps an order in the journal.
 func (m *Manager) record(ctx context.Context, rec orderRecord) error {
 	encoded, err := cbor.Marshal(rec)
 	if err != nil {
@@ -291,7 +295,7 @@
 	return errors.Wrap(err, "fleet: order not noted")
 }
 
-// sight returns an order with when it was first seen.
+// observe returns an order with when it was first seen.
 func (m *Manager) observe(key serviceZone, rec orderRecord, now time.Time) observedOrder {
 	if m.newest[key].orderRecord != rec {
 		m.newest[key] = observedOrder{rec, now}
@@ -304,7 +308,7 @@
 	if m.ordered != nil {
 		return true
 	}
-	known := map[serviceZone]observedOrder{}
+	ordered := map[serviceZone]observedOrder{}
 	for afterKey, more := "", true; more; {
 		bounded, cancel := context.WithTimeout(ctx, journalTimeout)
 		page, err := m.Journal.Newest(bounded, m.partition(), afterKey)
@@ -313,18 +317,18 @@
 			m.logger.Info("orders for replicas not read", zap.Error(err))
 			return false
 		}
-		for _, each := range page.Records {
+		for _, r := range page.Records {
 			var rec orderRecord
-			if err := cbor.Unmarshal(each.Value, &rec); err != nil {
-				m.logger.Error("order for replicas refused", zap.String("key", each.Key), zap.Error(err))
+			if err := cbor.Unmarshal(r.Value, &rec); err != nil {
+				m.logger.Error("order for replicas refused", zap.String("key", r.Key), zap.Error(err))
 				continue
 			}
 			key := serviceZone{rec.Service, rec.Zone}
-			known[key] = m.observe(key, rec, time.Now())
-			afterKey = each.Key
+			ordered[key] = m.observe(key, rec, time.Now())
+			afterKey = r.Key
 		}
 		more = page.More && len(page.Records) > 0
 	}
-	m.ordered = known
+	m.ordered = ordered
 	return true
 }
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -75,7 +75,7 @@
 
 // newStage has nine replicas in three zones, and batches that need more.
 func newStage(items int) *stage {
-	s := &stage{log: journaltest.New(), table: replica.NewTable(time.Second, zap.NewNop()), demands: demand.NewState(), held: true, fence: 1}
+	s := &stage{log: journaltest.New(), table: replica.NewTable(time.Second, zap.NewNop()), demands: demand.NewState(zap.NewNop()), held: true, fence: 1}
 	for i := range 9 {
 		s.list(i)
 	}
--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -11,20 +11,18 @@
 )
 
 const (
-	// targetShare is the part of a batch's deadline in which its items should have run
+	// targetPart is the part of a batch's deadline in which its items should have run
 	// if all were there at once: the rest is left for the longest texts, for changes of
-	// weights and for replicas that falter. With a third of the engines that this asks
-	// for missing, steps came 5.9 +- 0.6 s later (5 paired plays); 0.4 gains nothing over
-	// a fleet that is nearly large enough, 0.22 has more engines than can be kept at the
-	// newest weights.
+	// weights and for replicas that falter. A smaller part asks for more engines than can
+	// be kept at the newest weights.
 	targetPart = 0.3
-	// zoneShare bounds the part of the replicas that may be in one zone, as far as the
+	// maxZonePart bounds the part of the replicas that may be in one zone, as far as the
 	// others can take more: the loss of a zone must leave about a half.
 	maxZonePart = 0.5
-	// bootSlack is added to the time that a replica takes to start before one that was
+	// bootMargin is added to the time that a replica takes to start before one that was
 	// ordered counts as missing.
 	bootMargin = 2 * time.Second
-	// renewEvery is the time between two orders for replicas that are missing.
+	// renewInterval is the time between two orders for replicas that are missing.
 	renewInterval = 10 * time.Second
 	// shrinkBelow is the part of the replicas that the need must stay below for
 	// shrinkAfter before replicas are given back, one a zone at a time: a replica that is
@@ -47,7 +45,7 @@
 	OrderedAt time.Time
 }
 
-// String tells the zone in logs: present and ordered replicas.
+// String is the zone in logs: present and ordered replicas.
 func (z Zone) String() string { return fmt.Sprintf("%s:%d/%d", z.Name, z.Present, z.Ordered) }
 
 // booting reports whether replicas that were ordered may still come up.
@@ -63,7 +61,7 @@
 	return z.Present
 }
 
-// most is how many replicas the zone can be relied on for: one that has not brought up
+// capacity is how many replicas the zone can be relied on for: one that has not brought up
 // what was ordered is left as it is.
 func (z Zone) capacity(in Input) int {
 	if z.Ordered > z.Present && !z.booting(in.Scaling.Boot, in.Now) {
@@ -81,7 +79,7 @@
 	Deadline time.Duration
 }
 
-// String tells the load in logs.
+// String is the load in logs.
 func (l Load) String() string { return fmt.Sprintf("%dx%v/%v", l.Items, l.ItemTime, l.Deadline) }
 
 // Input is all that a plan depends on.
--- a/internal/replicas/modelsync/shares.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -10,8 +10,8 @@
 	"woodworks/internal/requests/route"
 )
 
-// changeFrom is by how many replicas a model's due share must differ from what
-// it has for the shares to change: a replica that changes its model loads
+// reallotThreshold is by how many replicas what a model is due must differ from what it has
+// for the allotment to change: a replica that changes its model loads
 // weights and loses what it has kept.
 const reallotThreshold = 0.75
 
@@ -19,8 +19,9 @@
 	// headroom is how many times the engines that run a whole batch at once are
 	// kept at a model's versions: each costs orders and loads at every other one.
 	headroom = 4
-	// leastEngines are kept for a model in any case, as some may fail.
-	minEngines   = 3
+	// minEngines are kept for a model in any case, as some may fail.
+	minEngines = 3
+	// defaultSlots is assumed where an engine names no slots.
 	defaultSlots = 8
 )
 
@@ -32,24 +33,24 @@
 	return max((headroom*items+slots-1)/slots, minEngines)
 }
 
-// capped limits each model's share to what its batches need.
+// capped limits each model's allotment to what its batches need.
 func (s *Syncer) capped(allotment []int, models []route.Model, slots int) []int {
 	limited := make([]int, len(allotment))
 	for i, model := range models {
 		limited[i] = allotment[i]
-		if d, found := s.demands.Of(model.Name); found && d.Items > 0 {
+		if d, ok := s.demands.Of(model.Name); ok && d.Items > 0 {
 			limited[i] = min(allotment[i], enough(d.Items, slots))
 		}
 	}
 	return limited
 }
 
-// sharesOf returns how many replicas of a service are for each of its models:
+// allotmentOf returns how many replicas of a service are for each of its models:
 // parts by the work of their batches, kept while they are about right.
 func (s *Syncer) allotmentOf(service string, models []route.Model, replicas int) []int {
 	work := make([]float64, len(models))
 	for i, model := range models {
-		if d, found := s.demands.Of(model.Name); found {
+		if d, ok := s.demands.Of(model.Name); ok {
 			work[i] = float64(d.Work)
 		}
 	}
@@ -71,7 +72,7 @@
 	return sum
 }
 
-// near reports whether each share is within changeFrom of what work asks for.
+// near reports whether each model's part is within reallotThreshold of what work asks for.
 func near(allotment []int, work []float64) bool {
 	for i, ideal := range ideals(work, total(allotment)) {
 		if math.Abs(ideal-float64(allotment[i])) > reallotThreshold && (allotment[i] > 1 || ideal > 1) {
@@ -85,9 +86,9 @@
 // whole. Work that is not known counts as the mean of that which is.
 func ideals(work []float64, replicas int) []float64 {
 	sum, known := 0.0, 0
-	for _, each := range work {
-		if each > 0 {
-			sum += each
+	for _, w := range work {
+		if w > 0 {
+			sum += w
 			known++
 		}
 	}
@@ -97,9 +98,9 @@
 	}
 	parts := make([]float64, len(work))
 	all := 0.0
-	for i, each := range work {
-		parts[i] = each
-		if each <= 0 {
+	for i, w := range work {
+		parts[i] = w
+		if w <= 0 {
 			parts[i] = mean
 		}
 		all += parts[i]
@@ -135,7 +136,7 @@
 }
 
 // dealsOf returns the replicas of a service that are for each of its models. A
-// replica keeps its model while the shares allow it, also when others come and
+// replica keeps its model while the allotment leaves room, also when others come and
 // go: a change of model costs a load and what it has kept.
 func (s *Syncer) dealsOf(service string, models []route.Model, replicas []replica.Replica) [][]replica.Replica {
 	allotment := s.allotmentOf(service, models, len(replicas))
@@ -168,7 +169,7 @@
 
 // deal gives each replica to a model: first to the one it had, then to the one
 // whose newest version it holds, as a holder of the lease before may have dealt
-// it so. Replicas beyond the shares are for none. Where there are fewer replicas than models,
+// it so. Replicas beyond the allotment are for none. Where there are fewer replicas than models,
 // a replica is there for several.
 func deal(replicas []replica.Replica, models []route.Model, allotment []int, before map[string]string) [][]replica.Replica {
 	sorted := slices.Clone(replicas)
@@ -185,7 +186,7 @@
 	return deals
 }
 
-// dealShares gives each replica to one model at most, in the order in which they come.
+// dealAllotment gives each replica to one model at most, in the order in which they come.
 func dealAllotment(sorted []replica.Replica, models []route.Model, allotment []int, before map[string]string) [][]replica.Replica {
 	deals := make([][]replica.Replica, len(models))
 	var left []replica.Replica
--- a/internal/replicas/modelsync/speed.go
+++ b/internal/replicas/modelsync/kinds.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// paceSpan is over how long at least the best pace of an engine counts: an engine that is
+	// bestSpan is over how long at least the best event time of an engine counts: an engine that is
 	// slow for some seconds is not worth the loads of dealing it anew.
 	bestSpan = 30 * time.Second
-	// speedGap is by which factor the paces of two engines must differ to be of two kinds:
-	// paces of engines of one kind were seen to differ by up to a tenth.
+	// kindGap is by which factor the event times of two engines must differ to be of two
+	// kinds: more than noise makes of engines of one kind.
 	kindGap = 1.15
-	// mostPaceAge is how old a pace may be that others have measured.
+	// maxEventTimeAge is how old an event time may be that others have measured.
 	maxEventTimeAge = 5 * time.Second
 )
 
-// Pace returns the time between two events of a text at an engine, and how long ago it was
+// EventTime returns the time between two events of a text at an engine, and how long ago it was
 // measured, or 0 if it is not known.
-type EventTime func(rep replica.Replica) (pace, age time.Duration)
+type EventTime func(rep replica.Replica) (eventTime, age time.Duration)
 
-// SetPace sets who tells the paces of engines. It is called before Run; without it engines
-// count as equally fast.
-func (s *Syncer) SetEventTime(pace EventTime) { s.eventTime = pace }
+// SetEventTime sets where the event times of engines come from. It is called before Run;
+// without it engines count as equally fast.
+func (s *Syncer) SetEventTime(eventTime EventTime) { s.eventTime = eventTime }
 
-// best is the best pace of the present span and of the one before, 0 if none is known.
+// bestTime is the best event time of the present span and of the one before, 0 if none is known.
 type bestTime struct {
 	spans [2]time.Duration
 	since time.Time
 }
 
-// note takes a pace into account.
-func (b *bestTime) note(pace time.Duration, now time.Time) {
+// note takes an event time into account.
+func (b *bestTime) note(eventTime time.Duration, now time.Time) {
 	if b.spans[0] == 0 || now.Sub(b.since) > bestSpan {
-		b.spans, b.since = [2]time.Duration{pace, b.spans[0]}, now
+		b.spans, b.since = [2]time.Duration{eventTime, b.spans[0]}, now
 	}
-	b.spans[0] = min(b.spans[0], pace)
+	b.spans[0] = min(b.spans[0], eventTime)
 }
 
 func (b *bestTime) value() time.Duration {
@@ -50,20 +50,17 @@
 	return b.spans[0]
 }
 
-// notePaces keeps the best paces of the engines that are listed. The mutex is held.
+// noteEventTimes keeps the best event times of the engines that are listed. The mutex is held.
 func (s *Syncer) noteEventTimes(replicas []replica.Replica, now time.Time) {
-	if s.eventTime == nil {
-		return
-	}
 	for _, rep := range replicas {
-		if pace, age := s.eventTime(rep); pace > 0 && age <= maxEventTimeAge {
-			s.noteOf(rep.ID).best.note(pace, now)
+		if eventTime, age := s.eventTime(rep); eventTime > 0 && age <= maxEventTimeAge {
+			s.noteOf(rep.ID).best.note(eventTime, now)
 		}
 	}
 }
 
-// kindsOf parts engines by their speeds, the fastest first: where two paces next to each
-// other differ by speedGap a kind ends. Engines of which no pace is known count among the
+// kindsOf parts engines by their speeds, the fastest first: where two event times next to
+// each other differ by kindGap a kind ends. Engines of which none is known count among the
 // kind of most. Each kind is in the order of ids.
 func kindsOf(replicas []replica.Replica, eventTimeOf func(id string) time.Duration) [][]replica.Replica {
 	sorted := slices.Clone(replicas)
@@ -72,15 +69,15 @@
 	var unknown []replica.Replica
 	last := time.Duration(0)
 	for _, rep := range sorted {
-		pace := eventTimeOf(rep.ID)
+		eventTime := eventTimeOf(rep.ID)
 		switch {
-		case pace == 0:
+		case eventTime == 0:
 			unknown = append(unknown, rep)
 			continue
-		case last == 0 || float64(pace) > kindGap*float64(last):
+		case last == 0 || float64(eventTime) > kindGap*float64(last):
 			kinds = append(kinds, nil)
 		}
-		last = pace
+		last = eventTime
 		kinds[len(kinds)-1] = append(kinds[len(kinds)-1], rep)
 	}
 	if len(kinds) == 0 {
@@ -100,10 +97,8 @@
 }
 
 // dealEvenly deals replicas to models so that each model has its part of every kind of
-// engine, the fast ones first: a step ends with its longest text, which takes twice as long
-// where its model holds no fast engine. With twelve fast engines of 45 dealt by chance, a
-// model had one of them and steps of 8.1 to 9.3 s, the others had three to six and steps of
-// 3.5 to 6.7 s (one day of four models, simulated).
+// engine, the fast ones first: a step ends with its longest text, which takes much longer
+// where its model holds no fast engine.
 func dealEvenly(replicas []replica.Replica, models []route.Model, allotment []int, before map[string]string, eventTimeOf func(id string) time.Duration) [][]replica.Replica {
 	kinds := kindsOf(replicas, eventTimeOf)
 	if len(kinds) == 1 || len(replicas) < len(models) {
@@ -170,11 +165,11 @@
 // extreme returns the index of the largest of some values, or of the smallest where sign is
 // -1, among those that may be chosen; -1 if there is none.
 func extreme(values []float64, may func(i int) bool, sign float64) int {
-	found := -1
+	best := -1
 	for i, value := range values {
-		if may(i) && (found < 0 || sign*value > sign*values[found]) {
-			found = i
+		if may(i) && (best < 0 || sign*value > sign*values[best]) {
+			best = i
 		}
 	}
-	return found
+	return best
 }
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -1,5 +1,20 @@
-// Package modelsync brings the engines to the versions of the weights that
-// trainers name. One daemon does it at a time: the holder of the lease.
+// Package modelsync brings the engines to the versions of the weights that trainers name.
+// One daemon does it at a time: the holder of the lease.
+//
+// Each step asks which engines are for which model (allotment.go, kinds.go), which of a
+// model's engines are due for the newest version (changesOfModel), in which order they come
+// (order.go), and how many may change at a time (width.go): these are the rules, all but pure.
+// modelsync.go carries the changes out.
+//
+// The package owns what it remembers of the engines, in memory only: a successor finds out
+// from the engines themselves. It relies on the lease and its fence, on the demands of the
+// trainers' batches, and on the engines to refuse orders of a lower fence.
+//
+// # Usage
+//
+//	syncer := modelsync.New(holder, held, driver, table, configuration, named, demands, logger)
+//	syncer.SetEventTime(eventTimeOf)
+//	go syncer.Run(ctx, demandFollower.Run) // acts only while the lease is held
 package modelsync
 
 import (
@@ -22,18 +37,20 @@
 )
 
 const (
+	// lookInterval is the time between two looks for changes that are due.
 	lookInterval = 100 * time.Millisecond
-	callTimeout  = 400 * time.Millisecond
-	// firstLoadGuess is how long a change of weights is expected to take
+	// callTimeout bounds one call to an engine.
+	callTimeout = 400 * time.Millisecond
+	// initialLoadTime is how long a change of weights is expected to take
 	// before one was measured.
 	initialLoadTime = 800 * time.Millisecond
 	// pollPause is the time between two looks at an engine that loads.
 	pollPause = 200 * time.Millisecond
 	// loadTimeout is how long a change may take before it is ordered again.
 	loadTimeout = 8 * time.Second
-	// failedPause is how long an engine is left alone after a change that failed, a look's
+	// minFailurePause is how long an engine is left alone after a change that failed, a look's
 	// interval. It doubles with each one in a row, as engines that cannot be reached take
-	// the place of others, up to longestPause.
+	// the place of others, up to maxFailurePause.
 	minFailurePause = 100 * time.Millisecond
 	maxFailurePause = 2 * time.Second
 )
@@ -66,10 +83,10 @@
 	loading  int
 	loadTime time.Duration
 	orders   uint64
-	// shares is how many replicas of a service are for each of its models.
+	// allotments is how many replicas of a service are for each of its models.
 	allotments map[string][]int
 	width      width
-	// pace is nil where no paces are known.
+	// eventTime returns the event times of engines.
 	eventTime EventTime
 }
 
@@ -83,7 +100,7 @@
 	// rest is the pause after changes that failed.
 	rest     backoff.Rest
 	listedAt time.Time
-	// best is the best pace of late.
+	// best is the best event time of late.
 	best bestTime
 }
 
@@ -94,7 +111,8 @@
 // New returns a syncer that acts in the name of holder.
 func New(holder string, held *lease.Lease, driver engine.Driver, table *replica.Table, configuration func() *route.Configuration, named Named, demands *demand.State, logger *zap.Logger) *Syncer {
 	return &Syncer{holder: holder, lease: held, driver: driver, table: table, configuration: configuration, named: named, demands: demands, logger: logger,
-		notes: map[string]*note{}, allotments: map[string][]int{}, loadTime: initialLoadTime}
+		notes: map[string]*note{}, allotments: map[string][]int{}, loadTime: initialLoadTime,
+		eventTime: func(replica.Replica) (time.Duration, time.Duration) { return 0, 0 }}
 }
 
 // Orders returns how many orders were given.
@@ -129,8 +147,8 @@
 
 // lagOf is how many versions behind the newest the batches of a model allow.
 func (s *Syncer) lagOf(model string) int64 {
-	d, found := s.demands.Of(model)
-	if !found {
+	d, ok := s.demands.Of(model)
+	if !ok {
 		return 0
 	}
 	return d.Lag()
@@ -144,7 +162,7 @@
 	manner  engine.Manner
 }
 
-// look starts the changes that are due and for which there is room.
+// step starts the changes that are due and for which there is room.
 func (s *Syncer) step(ctx context.Context, now time.Time) {
 	configuration := s.configuration()
 	if configuration == nil {
@@ -232,6 +250,7 @@
 	return inTurn(needs, lagOf)
 }
 
+// behind is how many versions the engine is behind.
 func (c change) behind() int64 { return c.version - c.replica.Versions[c.model] }
 
 // changesOfModel returns which of a model's replicas to bring to the newest
@@ -265,6 +284,7 @@
 	return due
 }
 
+// startDue starts the changes for which there is room.
 func (s *Syncer) startDue(ctx context.Context, due []change, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -283,7 +303,7 @@
 	}
 }
 
-// carryOut brings one engine to a version and waits until it is there. Known is the note of
+// carryOut brings one engine to a version and waits until it is there. N is the note of
 // the engine's start, which another start may have replaced meanwhile.
 func (s *Syncer) carryOut(ctx context.Context, c change, n *note) {
 	began := time.Now()
@@ -301,6 +321,7 @@
 		zap.Duration("took", time.Since(began)), zap.Error(err))
 }
 
+// changeWeights orders the change unless it has happened, and waits for it.
 func (s *Syncer) changeWeights(ctx context.Context, c change) error {
 	bounded, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -351,7 +372,7 @@
 	return s.loadTime
 }
 
-// learn notes how long a change took. The guess stays a bit below, as looking
+// noteLoadTime notes how long a change took. The guess stays a bit below, as looking
 // late costs time and looking early costs a call.
 func (s *Syncer) noteLoadTime(ordered, now time.Time) {
 	s.mu.Lock()
@@ -378,7 +399,7 @@
 	return report, nil
 }
 
-// give sends the order if the lease lets this daemon act until it has arrived.
+// order sends the order if the lease lets this daemon act until it has arrived.
 func (s *Syncer) order(ctx context.Context, c change, report engine.Report) error {
 	return lease.Act(ctx, s.lease, callTimeout, func(ctx context.Context, fence int64) error {
 		s.mu.Lock()
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -174,7 +174,7 @@
 	is.Equal(enough(1, 8), minEngines)
 	is.Equal(enough(100, 0), 50)
 	models := []route.Model{{Name: "m"}}
-	demands := demand.NewState()
+	demands := demand.NewState(zap.NewNop())
 	encoded, err := cbor.Marshal(demand.Demand{MinVersion: 1, Named: 3, Work: 100, Items: 16})
 	is.NoErr(err)
 	demands.Apply(journal.KeyedRecord{Key: "m", Value: encoded})
@@ -196,7 +196,7 @@
 // outlives a short absence: an outage of the journal may empty the list.
 func TestEnginesThatAreLongGoneAreForgotten(t *testing.T) {
 	is := is.New(t)
-	syncer := New("d", nil, nil, replica.NewTable(time.Second, zap.NewNop()), nil, nil, demand.NewState(), zap.NewNop())
+	syncer := New("d", nil, nil, replica.NewTable(time.Second, zap.NewNop()), nil, nil, demand.NewState(zap.NewNop()), zap.NewNop())
 	start := time.Now()
 	syncer.noteListed(replicasAt(1, 1, 1), start)
 	syncer.notes["r00"].model, syncer.notes["r01"].loading = "m", true
--- a/internal/replicas/modelsync/stopwatch.go
+++ b/internal/replicas/modelsync/stopwatch.go
@@ -13,8 +13,8 @@
 const stallSlack = 400 * time.Millisecond
 
 // stopwatch notes whether the process stood still in one of its waits. What was timed
-// meanwhile says nothing of others: a holder that was frozen for four seconds under seven
-// changes took all of them for slowed, and changed weights two at a time from then on.
+// meanwhile says nothing of the engines: a holder that was frozen under some changes would
+// take all of them for slowed, and narrow the width.
 type stopwatch struct {
 	// now also counts the time in which the machine is suspended.
 	now     bootclock.Clock
--- a/internal/replicas/modelsync/width.go
+++ b/internal/replicas/modelsync/width.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// leastWidth is how many engines change at a time where few wait.
+	// minWidth is how many engines change at a time where few wait.
 	minWidth = 2
-	// longBacklog is how many engines must wait for each place for the width to
+	// growBacklog is how many engines must wait for each place for the width to
 	// grow: where few wait, a wider load gains nothing.
 	growBacklog = 4
-	// slowedBy is how much longer than the shortest a change must take to count
+	// slowedFactor is how much longer than the shortest a change must take to count
 	// as slowed by the others.
 	slowedFactor = 1.5
-	// narrowing is the factor by which the width shrinks when changes are slowed.
+	// narrowFactor is the factor by which the width shrinks when changes are slowed.
 	narrowFactor = 0.7
 )
 
 // width is how many engines change their weights at a time. What the weights
-// come from bears a number that nobody tells: the width grows by one with each
+// come from bears a number that nobody states: the width grows by one with each
 // change that was not slowed, and shrinks by a part with each that was.
 type width struct {
 	current  float64
@@ -37,9 +37,8 @@
 func (w *width) places() int { return max(int(w.current), minWidth) }
 
 // done takes a finished change into account. Changes that are slowed at the same time are
-// one sign: the width shrinks once for those that were under way when it did. With a tenth
-// to a quarter of the engines crashing, 0.92 to 0.97 of the work's worth is earned in place
-// of 0.84 (two plays of one day, one before).
+// one sign: the width shrinks once for those that were under way when it did. Otherwise
+// one cause, such as engines that crash, would narrow it many times over.
 func (w *width) done(began, now time.Time) {
 	took := now.Sub(began)
 	if w.shortest == 0 || took < w.shortest {
--- a/internal/replicas/replica/changes.go
+++ b/internal/replicas/replica/changes.go
@@ -2,7 +2,7 @@
 
 import "go.uber.org/zap"
 
-// toldSingly is how many changes of one full list are logged a line each; more are
+// maxLoggedSingly is how many changes of one full list are logged a line each; more are
 // summed in one, as each of hundreds of daemons reads hundreds of replicas anew
 // after an outage.
 const maxLoggedSingly = 20
@@ -11,7 +11,7 @@
 // one that is gone.
 type change struct{ before, now *Entry }
 
-// tell logs changes of the list, one by one or in one line.
+// logChanges logs changes of the list, one by one or in one line.
 func (t *Table) logChanges(changes []change) {
 	if len(changes) <= maxLoggedSingly {
 		for _, c := range changes {
--- a/internal/replicas/replica/pace.go
+++ b/internal/replicas/replica/eventtime.go
@@ -6,21 +6,20 @@
 )
 
 const (
-	// paceEvents is over how many events the pace of an engine is taken. The times
-	// between two differ by a fifth, so that their median is known to within a few
-	// hundredths, and an engine with some texts that turns slow shows within half a
-	// second.
+	// eventWindow is over how many events the event time of an engine is taken: so many
+	// that the median is known to within a few hundredths, so few that an engine with some
+	// texts that turns slow shows within half a second.
 	eventWindow = 32
-	// knownEvents is from how many events on a pace is known.
+	// minEvents is from how many events on the event time is known.
 	minEvents = 3
-	// paceHolds is how long a pace is believed without new events: a replica
+	// eventTimeLifetime is how long an event time counts without new events: a replica
 	// that was slow gets work again and shows how it is now.
 	eventTimeLifetime = 3 * time.Second
-	// soundSpan is over how long at least the best pace is remembered.
+	// bestSpan is over how long at least the best median is remembered.
 	bestSpan = 15 * time.Second
 )
 
-// pace is the time between two events of the texts that a replica makes: the median
+// eventTimes is the time between two events of the texts that a replica makes: the median
 // of the last ones. A mean would not do: an engine that changes its weights holds all
 // its texts up once, for many times as long, and is as fast as before right after.
 type eventTimes struct {
@@ -28,7 +27,7 @@
 	events int
 	at     time.Time
 	median time.Duration
-	// sound is the best median of the present span and of the one before, which
+	// best is the best median of the present span and of the one before, which
 	// tells replicas apart that get nothing to do for a while.
 	best  [2]time.Duration
 	since time.Time
@@ -42,11 +41,11 @@
 	p.gaps[p.events%eventWindow] = gap
 	p.events++
 	p.at = now
-	known := min(p.events, eventWindow)
+	n := min(p.events, eventWindow)
 	sorted := p.gaps
-	slices.Sort(sorted[:known])
-	p.median = sorted[known/2]
-	if known < eventWindow {
+	slices.Sort(sorted[:n])
+	p.median = sorted[n/2]
+	if n < eventWindow {
 		return
 	}
 	if p.best[0] == 0 || now.Sub(p.since) > bestSpan {
@@ -55,7 +54,7 @@
 	p.best[0] = min(p.best[0], p.median)
 }
 
-// value returns the pace to reckon with, 0 if it is unknown.
+// value returns the event time to reckon with, 0 if it is unknown.
 func (p *eventTimes) value(now time.Time) time.Duration {
 	if p.events >= minEvents && now.Sub(p.at) <= eventTimeLifetime {
 		return p.median
--- a/internal/replicas/replica/learned.go
+++ b/internal/replicas/replica/experience.go
@@ -8,15 +8,17 @@
 const (
 	// averageWeight is the weight of a new value in a running average.
 	averageWeight = 0.25
-	// firstDecline is how long a replica that declined a request is left alone; the
-	// time doubles with each decline in a row, up to longestDecline. An engine
+	// minDeclinePause is how long a replica that declined a request is left alone; the
+	// time doubles with each decline in a row, up to maxDeclinePause. An engine
 	// declines for as long as it changes its weights.
 	minDeclinePause = 120 * time.Millisecond
 	maxDeclinePause = 300 * time.Millisecond
-	minAvoid        = 200 * time.Millisecond
-	maxAvoid        = 3 * time.Second
-	// loadHolds is how long a load is believed that an answer told: requests to
-	// plain replicas take some tens of milliseconds.
+	// minAvoid is how long others are preferred after a failure; it doubles with each one in
+	// a row, up to maxAvoid.
+	minAvoid = 200 * time.Millisecond
+	maxAvoid = 3 * time.Second
+	// loadLifetime is how long a load counts that an answer reported: requests to plain
+	// replicas take some tens of milliseconds.
 	loadLifetime = 100 * time.Millisecond
 	// forgetAfter is how long what was learned of a replica outlives its entry.
 	forgetAfter = 30 * time.Second
@@ -33,7 +35,7 @@
 	probing    bool
 	latency    time.Duration
 	eventTimes eventTimes
-	// reported is the load that an answer told at reportedAt.
+	// reported is the load that an answer reported at reportedAt.
 	reported   int
 	reportedAt time.Time
 	slowdown   slowdown
@@ -94,7 +96,7 @@
 	e.latency = average(e.latency, took)
 }
 
-// Reported notes how many requests of all callers a replica has, as its answer tells.
+// ReportLoad notes how many requests of all callers a replica has, as its answer reports.
 func (t *Table) ReportLoad(start Start, requests int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,7 +104,7 @@
 	e.reported, e.reportedAt = requests, time.Now()
 }
 
-// Paced notes the time between two events of a stream.
+// ObserveEvent notes the time between two events of a stream.
 func (t *Table) ObserveEvent(start Start, gap time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/replicas/replica/pick.go
+++ b/internal/replicas/replica/pick.go
@@ -5,9 +5,29 @@
 	"time"
 )
 
+// What makes up a score, which is 1 for a replica whose slots are all in use.
+const (
+	// avoidPenalty is added for a replica to be avoided: it is picked only if there is no
+	// other.
+	avoidPenalty = 1000.0
+	// latencyUnit is by how much longer a replica's answers must take for it to count like
+	// one whose slots are all in use.
+	latencyUnit = 200 * time.Millisecond
+	// jitter bounds what chance adds, so that daemons do not all pick the same.
+	jitter = 0.05
+	// noConnPenalty is added where a connection must be made: a little more than one request
+	// under way at a replica of six slots. Making one takes the replica's time, and with
+	// hundreds of daemons that each ask seldom, every request would make one.
+	noConnPenalty = 0.2
+	// explorePart is the part of the picks for which connections do not count, so that a
+	// replica that is new or has recovered gets work from a daemon that asks seldom.
+	explorePart = 0.05
+)
+
 // Pick chooses the replica for a plain request: not yet tried, rather not one
-// to be avoided, the least loaded for its slots (by our own requests there, or by what
-// it told of all, both as fast as it works at present), rather one to which a connection rests, and by chance among equals.
+// to be avoided, the least loaded for its slots (by our own requests there, or by what it
+// reported of all, both by its slowdown), rather one with an idle connection, and by chance
+// among equals.
 // The way to another zone counts as far as answers from there take longer; a replica
 // that was never asked counts as fast as the fastest. It returns false if every
 // candidate was tried.
@@ -40,21 +60,6 @@
 	return r, true
 }
 
-const (
-	avoidPenalty = 1000.0
-	// latencyPerUnit is by how much longer a replica's answers must take for it
-	// to count like one whose slots are all in use.
-	latencyUnit = 200 * time.Millisecond
-	jitter      = 0.05
-	// connectPenalty is added where a connection must be made: a little more than one
-	// request under way at a replica of six slots. Making one takes the replica's time,
-	// and with hundreds of daemons that each ask seldom, every request would make one.
-	noConnPenalty = 0.2
-	// exploreShare is the part of the picks for which connections do not count, so that a
-	// replica that is new or has recovered gets work from a daemon that asks seldom.
-	explorePart = 0.05
-)
-
 // fastestOf returns the lowest latency known, or 0.
 func fastestOf(candidates []Replica) time.Duration {
 	fastest := time.Duration(0)
--- a/internal/replicas/replica/start.go
+++ b/internal/replicas/replica/start.go
@@ -8,14 +8,14 @@
 	"go.uber.org/zap"
 )
 
-// Start names one start of a replica's process: its id, with when it started if it tells
-// that. A replica that starts again under its id holds and knows nothing of before.
+// Start names one start of a replica's process: its id, with when it started if it says
+// so. A replica that starts again under its id holds and knows nothing of before.
 type Start string
 
 // bornSeparator stands between an id and the time of a start, in milliseconds.
 const bornSeparator = "@"
 
-// Start names the start that the entry tells of.
+// Start names the start that the entry is of.
 func (e Entry) Start() Start {
 	if e.Born.IsZero() {
 		return Start(e.ID)
@@ -26,8 +26,8 @@
 // EndsOnce reports whether the name tells two starts of a replica apart, so that its
 // process can end only once.
 func (s Start) EndsOnce() bool {
-	_, told := s.split()
-	return told
+	_, ok := s.split()
+	return ok
 }
 
 // ID returns the id of the replica.
@@ -36,8 +36,8 @@
 	return id
 }
 
-// split returns the id of a name, and whether the name tells when the process started.
-func (s Start) split() (id string, told bool) {
+// split returns the id of a name, and whether the name says when the process started.
+func (s Start) split() (id string, ok bool) {
 	at := strings.LastIndex(string(s), bornSeparator)
 	if at < 0 {
 		return string(s), false
@@ -48,7 +48,7 @@
 	return string(s[:at]), true
 }
 
-// OnRestart sets what is told of the address at which a replica was listed when it is
+// OnRestart sets what is called with the address at which a replica was listed when it is
 // known to have started again, or under which it is listed since: connections that rest
 // there lead to a process that has ended. It is called with the table locked, and must not
 // call the table. It is set before any other method is called.
@@ -83,13 +83,13 @@
 	return present
 }
 
-// succeeds makes an entry tell of the newest start that is known, and reports whether it
-// does. An entry of an earlier one was written late, or is left of a compaction. The mutex
+// isNewest makes an entry one of the newest start that is known, and reports whether it
+// is. An entry of an earlier one was written late, or is left of a compaction. The mutex
 // is held.
 func (t *Table) isNewest(entry *Entry) bool {
-	newest, known := t.newest[entry.ID]
+	newest, ok := t.newest[entry.ID]
 	switch {
-	case !known:
+	case !ok:
 	case entry.Born.IsZero():
 		entry.Born = newest.Born
 	case entry.Born.Before(newest.Born):
@@ -103,7 +103,7 @@
 	return true
 }
 
-// startAgain forgets a start that another one of the same id follows. What is under way
+// restart forgets a start that another one of the same id follows. What is under way
 // there is still counted, for that start. The mutex is held.
 func (t *Table) restart(before, now Entry) {
 	inFlight := 0
@@ -113,9 +113,6 @@
 	}
 	t.logger.Info("replica started again", zap.String("replica", now.ID), zap.String("service", now.Service), zap.String("address", now.Address),
 		zap.Time("born", now.Born), zap.Time("before", before.Born), zap.Int("in_flight_before", inFlight))
-	if t.restarted == nil {
-		return
-	}
 	t.restarted(before.Address)
 	if now.Address != before.Address {
 		t.restarted(now.Address)
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -1,24 +1,28 @@
-// Package replica holds what a daemon believes of the replicas: the platform's
-// list of them, and what this daemon's own exchanges with each have shown.
+// Package replica holds what a daemon knows of the replicas: the platform's list of them,
+// and what this daemon's own exchanges with each have shown.
 //
 // Replicas end and start again under their ids, hundreds at a time where their service is
 // replaced, and their entries may be written late. What was learned belongs to one start
-// (Start): whoever has picked a replica tells the table of it by the start that was picked,
+// (Start): whoever has picked a replica reports to the table by the start that was picked,
 // which changes nothing once another one has followed.
 //
+// The package owns the Table, in memory only; the list in it is fed by package catalog. Pick
+// is the rule for plain requests; items of batches are placed by package scheduling over the
+// same table.
+//
 // Invariants: the newest birth of an id counts; a start's versions only rise; no count of
 // requests under way is below zero or has another start's requests.
 //
 // # Usage
 //
 // Many requests from many daemons share replicas of uneven load and speed: each daemon knows
-// its own requests, and for a moment what answers tell of all.
+// its own requests, and for a moment what answers report of all.
 //
-//	chosen, found := replica.Pick(table.Replicas(service), tried, now)
-//	table.Started(chosen.Start())
-//	defer table.Ended(chosen.Start())
+//	rep, ok := replica.Pick(table.Replicas(service), tried, now)
+//	table.Started(rep.Start())
+//	defer table.Ended(rep.Start())
 //	// after a sound answer:
-//	table.Succeeded(chosen.Start(), took)
+//	table.Succeeded(rep.Start(), took)
 package replica
 
 import (
@@ -43,7 +47,7 @@
 	// nothing of their process. Only ID counts of such an entry.
 	Unusable bool
 	// Born is when the process started, by its own clock in milliseconds; zero if it does
-	// not tell.
+	// not say.
 	Born time.Time
 	// Spot replicas may be taken away at any moment.
 	Spot bool
@@ -56,7 +60,7 @@
 	Entry
 	// InFlight is how many of this daemon's requests are under way there.
 	InFlight int
-	// Reported is how many requests of all callers it had, running or waiting, by an
+	// ReportedLoad is how many requests of all callers it had, running or waiting, by an
 	// answer of a moment ago; 0 if there was none.
 	ReportedLoad int
 	// AvoidUntil is until when other replicas are to be preferred.
@@ -64,17 +68,17 @@
 	// Declining says that the replica declined the last request, Probing that one
 	// is finding out whether it still does.
 	Declining, Probing bool
-	// Connected says that a connection to it rests here, as its user has found out.
+	// Connected says that an idle connection to it is open here. Its user sets it.
 	Connected bool
 	// Latency is the mean time of recent answers, 0 if there were none.
 	Latency time.Duration
-	// Pace is the mean time between the events of recent streams, 0 if unknown.
+	// EventTime is the median time between the events of recent streams, 0 if unknown.
 	EventTime time.Duration
-	// PaceAt is when the last of these events came, zero if there were none.
+	// EventAt is when the last of these events came, zero if there were none.
 	EventAt time.Time
-	// WorkPace is how long work takes there at present, 1 being as usual, as the replica told
-	// WorkPaceAge ago. The older that is, the nearer it is to 1; it is 1 if nothing is
-	// believed.
+	// Slowdown is how much longer than usual work takes there at present, as a ratio, as the
+	// replica reported SlowdownAge ago. The older that is, the nearer it is to 1; it is 1 if
+	// nothing is known.
 	Slowdown    float64
 	SlowdownAge time.Duration
 }
@@ -102,7 +106,7 @@
 	learned map[Start]*experience
 	// newest has the newest start of each id that was listed of late.
 	newest map[string]Entry
-	// restarted is told of addresses of replicas that have started again; it may be nil.
+	// restarted is called with addresses of replicas that have started again.
 	restarted func(address string)
 	changed   chan struct{}
 }
@@ -110,7 +114,11 @@
 // NewTable returns an empty table. DrainBound is how long after a replica has
 // left the list new work may still reach it.
 func NewTable(drainBound time.Duration, logger *zap.Logger) *Table {
-	return &Table{logger: logger, removedGrace: drainBound / 2, now: bootclock.Now, entries: map[string]*listed{}, services: map[string]map[string]*listed{}, learned: map[Start]*experience{}, newest: map[string]Entry{}, changed: make(chan struct{})}
+	return &Table{
+		logger: logger, removedGrace: drainBound / 2, now: bootclock.Now,
+		entries: map[string]*listed{}, services: map[string]map[string]*listed{}, learned: map[Start]*experience{}, newest: map[string]Entry{},
+		restarted: func(string) {}, changed: make(chan struct{}),
+	}
 }
 
 // SetClock sets the clock by which replicas count as just removed. It is called before
@@ -153,7 +161,7 @@
 }
 
 // set changes or adds an entry. It returns the changes with this one, if it is one to
-// be told. The mutex is held.
+// be logged. The mutex is held.
 func (t *Table) set(entry Entry, changes []change) []change {
 	before := t.entries[entry.ID]
 	switch {
