--- a/internal/batches/batch/batch.go
+++ b/internal/batches/batch/batch.go
@@ -6,11 +6,18 @@
 // one counts; the others change nothing. A daemon that is late, paused or
 // mistaken about its role can therefore waste work, but cannot lose, double or
 // reorder a result.
+//
+// The package owns the form of the records (record.go) and the rules of the fold (fold.go);
+// it is pure. Package ledger reads and writes the partitions.
+//
+// # Usage
+//
+//	state := batch.NewStateAt(0)
+//	state.Apply(batch.Accepted(&submission, owner)) // each record of the partition, in order
+//	b, ok := state.Get(submission.ID)
 package batch
 
-import (
-	"time"
-)
+import "time"
 
 // Header is one header of an item's request.
 type Header struct {
@@ -48,8 +55,8 @@
 	// AcceptedAtMs is the accepting daemon's time of day, in milliseconds. It is for logs:
 	// clocks of daemons may differ by any amount, and nothing is decided by it.
 	AcceptedAtMs int64 `cbor:"4,keyasint"`
-	// Trainer's part: the step, the model, the oldest version that may make a
-	// token, and how many whole groups the trainer waits for.
+	// Step and Model are the trainer's, MinVersion is the oldest version that may make a
+	// token, Desired how many whole groups the trainer waits for.
 	Step       int64  `cbor:"5,keyasint"`
 	Model      string `cbor:"6,keyasint"`
 	MinVersion int64  `cbor:"7,keyasint"`
@@ -61,8 +68,8 @@
 }
 
 // AcceptedAt is the accepting daemon's time of day at the acceptance.
-func (submission *Submission) AcceptedAt() time.Time {
-	return time.UnixMilli(submission.AcceptedAtMs)
+func (s *Submission) AcceptedAt() time.Time {
+	return time.UnixMilli(s.AcceptedAtMs)
 }
 
 // Outcome says how an item ended.
@@ -113,12 +120,12 @@
 	Offset int64
 	// Owner is the daemon that runs the batch, "" after a release.
 	Owner string
-	// Handed are the items that the owner before said it would still finish when it
+	// HandedOff are the items that the owner before said it would still finish when it
 	// released the batch, less those that it has given back since. It is replaced, never
 	// changed.
-	Handed map[int]bool
-	// handedBy is the owner that released the batch last, while Handed counts.
-	handedBy string
+	HandedOff map[int]bool
+	// handedOffBy is the owner that released the batch last, while HandedOff counts.
+	handedOffBy string
 	// Results in the order of their positions.
 	Results []Result
 	// Listed says of each item whether it has a position.
--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -18,9 +18,6 @@
 	bytes  []byte
 }
 
-// NewState returns the state before the first record.
-func NewState() *State { return NewStateAt(0) }
-
 // NewStateAt returns a state that knows nothing of the records before an offset. Of a batch
 // it knows all if it begins no later than the batch does, see Batch.Offset.
 func NewStateAt(offset int64) *State {
@@ -28,104 +25,105 @@
 }
 
 // Skip passes over the records before an offset, which are gone.
-func (state *State) Skip(offset int64) { state.next = offset }
+func (s *State) Skip(offset int64) { s.next = offset }
 
 // Get returns a batch.
-func (state *State) Get(id string) (*Batch, bool) {
-	found, ok := state.batches[id]
-	return found, ok
+func (s *State) Get(id string) (*Batch, bool) {
+	b, ok := s.batches[id]
+	return b, ok
 }
 
 // All calls visit for each batch.
-func (state *State) All(visit func(*Batch)) {
-	for _, each := range state.batches {
-		visit(each)
+func (s *State) All(visit func(*Batch)) {
+	for _, b := range s.batches {
+		visit(b)
 	}
 }
 
 // Size returns how many batches are known.
-func (state *State) Size() int { return len(state.batches) }
+func (s *State) Size() int { return len(s.batches) }
 
 // Apply folds the next record. A record that is malformed or not valid in this
 // state changes nothing: the same holds for every reader.
-func (state *State) Apply(encoded []byte) {
-	offset := state.next
-	state.next++
-	state.apply(encoded, offset)
+func (s *State) Apply(encoded []byte) {
+	offset := s.next
+	s.next++
+	s.apply(encoded, offset)
 }
 
 // apply folds a record that begins at an offset.
-func (state *State) apply(encoded []byte, offset int64) {
-	entry, err := decode(encoded)
+func (s *State) apply(encoded []byte, offset int64) {
+	rec, err := decode(encoded)
 	if err != nil {
 		return
 	}
-	if entry.Kind == kindFragment {
-		if whole, begins := state.join(entry, offset); whole != nil {
-			state.apply(whole, begins)
+	if rec.Kind == kindFragment {
+		if whole, begins := s.join(rec, offset); whole != nil {
+			s.apply(whole, begins)
 		}
 		return
 	}
-	if entry.Kind == kindAccepted {
-		state.accept(entry, offset)
+	if rec.Kind == kindAccepted {
+		s.accept(rec, offset)
 		return
 	}
-	if known := state.batches[entry.BatchID]; known != nil {
-		known.apply(entry)
+	if b := s.batches[rec.BatchID]; b != nil {
+		b.apply(rec)
 	}
 }
 
 // join adds a fragment and returns the whole record once it has all parts, with the offset
 // of the first one. Parts come in order, as one append is all or nothing and in one piece.
-func (state *State) join(entry record, offset int64) (whole []byte, begins int64) {
-	parts := state.fragments[entry.Key]
+func (s *State) join(rec record, offset int64) (whole []byte, begins int64) {
+	parts := s.fragments[rec.Key]
 	if parts == nil {
 		parts = &fragments{offset: offset}
-		state.fragments[entry.Key] = parts
+		s.fragments[rec.Key] = parts
 	}
-	if entry.Index != parts.next {
+	if rec.Index != parts.next {
 		return nil, 0
 	}
-	parts.bytes = append(parts.bytes, entry.Part...)
+	parts.bytes = append(parts.bytes, rec.Part...)
 	parts.next++
-	if parts.next < entry.Count {
+	if parts.next < rec.Count {
 		return nil, 0
 	}
-	delete(state.fragments, entry.Key)
+	delete(s.fragments, rec.Key)
 	return parts.bytes, parts.offset
 }
 
 // accept makes a batch exist. A second acceptance of the same id is a repeat
 // of the first one and changes nothing.
-func (state *State) accept(entry record, offset int64) {
-	if entry.Submission == nil || entry.Submission.ID != entry.BatchID {
+func (s *State) accept(rec record, offset int64) {
+	if rec.Submission == nil || rec.Submission.ID != rec.BatchID {
 		return
 	}
-	if _, known := state.batches[entry.BatchID]; known {
+	if _, known := s.batches[rec.BatchID]; known {
 		return
 	}
-	state.batches[entry.BatchID] = &Batch{
-		Submission: *entry.Submission,
+	s.batches[rec.BatchID] = &Batch{
+		Submission: *rec.Submission,
 		Offset:     offset,
-		Owner:      entry.Owner,
-		Listed:     make([]bool, len(entry.Submission.Items)),
+		Owner:      rec.Owner,
+		Listed:     make([]bool, len(rec.Submission.Items)),
 	}
 }
 
-func (b *Batch) apply(entry record) {
-	switch entry.Kind {
-	case kindBeat:
-		b.sign(entry)
+// apply folds a record about the batch.
+func (b *Batch) apply(rec record) {
+	switch rec.Kind {
+	case kindHeartbeat:
+		b.countSign(rec)
 	case kindProgress:
-		if entry.Owner == b.Owner {
-			b.sign(entry)
-			for _, progress := range entry.Progress {
-				b.advance(progress)
+		if rec.Owner == b.Owner {
+			b.countSign(rec)
+			for _, p := range rec.Progress {
+				b.keepProgress(p)
 			}
 		}
 	case kindResults:
 		before := len(b.Results)
-		for _, result := range entry.Results {
+		for _, result := range rec.Results {
 			b.list(result)
 		}
 		if len(b.Results) > before {
@@ -134,63 +132,68 @@
 	case kindTakenOver:
 		// A takeover counts only against the owner it names, so that of two
 		// at the same time one wins for every reader.
-		if entry.From == b.Owner && !b.Ended {
-			b.takeOver(entry)
+		if rec.From == b.Owner && !b.Ended {
+			b.takeOver(rec)
 		}
 	case kindReleased:
-		if entry.From == b.Owner && !b.Ended {
-			b.Owner, b.lastSign, b.handedBy = "", 0, entry.From
-			b.Handed = make(map[int]bool, len(entry.Handed))
-			for _, item := range entry.Handed {
-				b.Handed[item] = true
-			}
+		if rec.From == b.Owner && !b.Ended {
+			b.release(rec)
 		}
 	case kindReturned:
-		if entry.From == b.handedBy {
-			b.takeBack(entry.Handed)
+		if rec.From == b.handedOffBy {
+			b.returnItems(rec.HandedOff)
 		}
 	case kindEnded:
-		if b.BelongsTo(entry.Tenant) {
+		if b.BelongsTo(rec.Tenant) {
 			b.end()
 		}
 	}
 }
 
-// takeOver replaces the owner. What an owner before had handed over was left to it once:
+// takeOver replaces the owner. What an owner before had handed off was left to it once:
 // one that replaces an owner that did not release the batch does not wait again.
-func (b *Batch) takeOver(entry record) {
+func (b *Batch) takeOver(rec record) {
 	if b.Owner != "" {
-		b.Handed, b.handedBy = nil, ""
+		b.HandedOff, b.handedOffBy = nil, ""
 	}
-	b.Owner, b.lastSign = entry.Owner, 0
+	b.Owner, b.lastSign = rec.Owner, 0
 	b.Signs++
 }
 
-// takeBack takes items off those that the owner before still finishes.
-func (b *Batch) takeBack(items []int) {
-	left := maps.Clone(b.Handed)
+// release leaves the batch without an owner. Its owner still finishes what it names.
+func (b *Batch) release(rec record) {
+	b.Owner, b.lastSign, b.handedOffBy = "", 0, rec.From
+	b.HandedOff = make(map[int]bool, len(rec.HandedOff))
+	for _, item := range rec.HandedOff {
+		b.HandedOff[item] = true
+	}
+}
+
+// returnItems takes items off those that the owner before still finishes.
+func (b *Batch) returnItems(items []int) {
+	left := maps.Clone(b.HandedOff)
 	for _, item := range items {
 		delete(left, item)
 	}
-	b.Handed = left
+	b.HandedOff = left
 }
 
-// sign counts a sign of life of the owner. One that reached the journal late, after
+// countSign counts a sign of life of the owner. One that reached the journal late, after
 // a newer one, says nothing: its owner may have ended since. Records without a
 // number are those of earlier versions of this program.
-func (b *Batch) sign(entry record) {
-	if entry.Owner != b.Owner || entry.Number != 0 && entry.Number <= b.lastSign {
+func (b *Batch) countSign(rec record) {
+	if rec.Owner != b.Owner || rec.Number != 0 && rec.Number <= b.lastSign {
 		return
 	}
-	b.lastSign = entry.Number
+	b.lastSign = rec.Number
 	b.Signs++
 }
 
-// advance keeps a further part of an item's text. It counts only if it joins
+// keepProgress keeps a further part of an item's text. It counts only if it joins
 // what is kept: an owner's records may be doubled or late, but what they say of
 // one event is the same each time.
-func (b *Batch) advance(progress Progress) {
-	if b.Ended || progress.Item < 0 || progress.Item >= len(b.Listed) || b.Listed[progress.Item] || !b.versionsFit(progress.Versions) {
+func (b *Batch) keepProgress(progress Progress) {
+	if b.Ended || progress.Item < 0 || progress.Item >= len(b.Listed) || b.Listed[progress.Item] || !b.versionsAllowed(progress.Versions) {
 		return
 	}
 	kept := b.Partials[progress.Item]
@@ -216,7 +219,7 @@
 	if result.Outcome != Done && result.Outcome != Dead {
 		return
 	}
-	if result.Outcome == Done && !b.versionsFit(result.Versions) {
+	if result.Outcome == Done && !b.versionsAllowed(result.Versions) {
 		return
 	}
 	b.Listed[result.Item] = true
@@ -224,7 +227,8 @@
 	b.Results = append(b.Results, result)
 }
 
-func (b *Batch) versionsFit(versions []int64) bool {
+// versionsAllowed reports whether all versions are new enough for the batch.
+func (b *Batch) versionsAllowed(versions []int64) bool {
 	for _, version := range versions {
 		if version < b.MinVersion {
 			return false
--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -56,7 +56,7 @@
 	case 3:
 		return Released(id, owner.Draw(t, "from"), []int{1, 2})
 	case 4:
-		return Beat(id, owner.Draw(t, "owner"), rapid.Int64Range(0, 9).Draw(t, "number"))
+		return Heartbeat(id, owner.Draw(t, "owner"), rapid.Int64Range(0, 9).Draw(t, "number"))
 	case 5:
 		return Advanced(id, owner.Draw(t, "owner"), rapid.Int64Range(0, 9).Draw(t, "number"), []Progress{drawProgress(t)})
 	case 6:
@@ -71,10 +71,10 @@
 // released the batch.
 func TestItemsHandedOverAreGivenBack(t *testing.T) {
 	is := is.New(t)
-	state := NewState()
+	state := NewStateAt(0)
 	handed := func() map[int]bool {
-		known, _ := state.Get("a")
-		return known.Handed
+		b, _ := state.Get("a")
+		return b.HandedOff
 	}
 	state.Apply(Accepted(submission("a", 5, 0), "one"))
 	state.Apply(Released("a", "one", []int{0, 1, 2}))
@@ -98,51 +98,51 @@
 // nothing is listed after the end, and the items keep their bodies until then.
 func TestFoldKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		state := NewState()
+		state := NewStateAt(0)
 		listed := map[string][]Result{}
 		ended := map[string]bool{}
 		for _, encoded := range rapid.SliceOfN(rapid.Custom(drawRecord), 1, 40).Draw(t, "records") {
 			state.Apply(encoded)
 			for _, id := range []string{"a", "b"} {
-				known, found := state.Get(id)
+				b, found := state.Get(id)
 				if !found {
 					if _, before := listed[id]; before {
 						t.Fatalf("batch %s is gone", id)
 					}
 					continue
 				}
-				checkBatch(t, known, listed[id], ended[id])
-				listed[id] = append([]Result(nil), known.Results...)
-				ended[id] = known.Ended
+				checkBatch(t, b, listed[id], ended[id])
+				listed[id] = append([]Result(nil), b.Results...)
+				ended[id] = b.Ended
 			}
 		}
 	})
 }
 
-func checkBatch(t *rapid.T, known *Batch, before []Result, ended bool) {
-	if len(known.Results) < len(before) || !reflect.DeepEqual(known.Results[:len(before)], append([]Result(nil), before...)) && len(before) > 0 {
-		t.Fatalf("positions changed: %v, then %v", before, known.Results)
+func checkBatch(t *rapid.T, b *Batch, before []Result, ended bool) {
+	if len(b.Results) < len(before) || !reflect.DeepEqual(b.Results[:len(before)], append([]Result(nil), before...)) && len(before) > 0 {
+		t.Fatalf("positions changed: %v, then %v", before, b.Results)
 	}
-	if ended && (len(known.Results) != len(before) || !known.Ended) {
+	if ended && (len(b.Results) != len(before) || !b.Ended) {
 		t.Fatal("a batch went on after its end")
 	}
 	seen := map[int]bool{}
-	for _, result := range known.Results {
+	for _, result := range b.Results {
 		if seen[result.Item] {
 			t.Fatalf("item %d has two positions", result.Item)
 		}
 		seen[result.Item] = true
-		if result.Item < 0 || result.Item >= known.Total() {
+		if result.Item < 0 || result.Item >= b.Total() {
 			t.Fatalf("item %d is not of this batch", result.Item)
 		}
 		for _, version := range result.Versions {
-			if result.Outcome == Done && version < known.MinVersion {
+			if result.Outcome == Done && version < b.MinVersion {
 				t.Fatalf("version %d is too old", version)
 			}
 		}
 	}
-	for i, partial := range known.Partials {
-		if known.Ended || known.Listed[i] {
+	for i, partial := range b.Partials {
+		if b.Ended || b.Listed[i] {
 			t.Fatal("a beginning is kept of an item that has ended")
 		}
 		for n, event := range partial.Events {
@@ -154,13 +154,13 @@
 			t.Fatalf("item %d: last event %d of %d", i, partial.LastEvent, len(partial.Events))
 		}
 		for _, version := range partial.Versions {
-			if version < known.MinVersion {
+			if version < b.MinVersion {
 				t.Fatalf("a beginning of version %d is kept", version)
 			}
 		}
 	}
-	for i, each := range known.Items {
-		if !known.Ended && (len(each.Body) != 1 || each.Body[0] != byte(i)) {
+	for i, each := range b.Items {
+		if !b.Ended && (len(each.Body) != 1 || each.Body[0] != byte(i)) {
 			t.Fatal("a body is gone before the end")
 		}
 	}
@@ -170,7 +170,7 @@
 // read some in a row and the other one by one, and long records in fragments.
 func TestReadersAgreeAndFragmentsChangeNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole, cut := NewState(), NewState()
+		whole, cut := NewStateAt(0), NewStateAt(0)
 		for i, encoded := range rapid.SliceOfN(rapid.Custom(drawRecord), 1, 30).Draw(t, "records") {
 			whole.Apply(encoded)
 			for _, part := range Fragment(encoded, fragmentOverhead+40, fmt.Sprint(i)) {
@@ -188,20 +188,20 @@
 
 func TestOfTwoTakeoversOneCounts(t *testing.T) {
 	is := is.New(t)
-	state := NewState()
+	state := NewStateAt(0)
 	state.Apply(Accepted(submission("a", 2, 0), "one"))
 	state.Apply(TakenOver("a", "one", "two"))
 	state.Apply(TakenOver("a", "one", "three"))
-	known, _ := state.Get("a")
-	is.Equal(known.Owner, "two")
+	b, _ := state.Get("a")
+	is.Equal(b.Owner, "two")
 }
 
 func TestMalformedRecordsChangeNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		state := NewState()
+		state := NewStateAt(0)
 		state.Apply(Accepted(submission("a", 2, 0), "one"))
 		state.Apply(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"))
-		if known, found := state.Get("a"); !found || known.Owner != "one" || len(known.Results) != 0 {
+		if b, found := state.Get("a"); !found || b.Owner != "one" || len(b.Results) != 0 {
 			t.Fatal("a malformed record changed the state")
 		}
 	})
@@ -211,7 +211,7 @@
 	f.Add(Accepted(submission("a", 2, 0), "one"))
 	f.Add(Listed("a", []Result{{Item: 1, Outcome: Done, Text: []byte("x"), Versions: []int64{2}}}))
 	f.Fuzz(func(t *testing.T, encoded []byte) {
-		state := NewState()
+		state := NewStateAt(0)
 		state.Apply(Accepted(submission("a", 2, 0), "one"))
 		state.Apply(encoded)
 		if _, found := state.Get("a"); !found {
@@ -228,7 +228,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		state := NewState()
+		state := NewStateAt(0)
 		for _, each := range records {
 			state.Apply(each)
 		}
@@ -237,13 +237,13 @@
 
 // signsAfter counts the signs of life that records add to a batch of owner a.
 func signsAfter(records ...[]byte) int64 {
-	state := NewState()
+	state := NewStateAt(0)
 	state.Apply(Accepted(&Submission{ID: "x", Items: []Item{{ID: "i"}, {ID: "j"}}}, "a"))
 	for _, each := range records {
 		state.Apply(each)
 	}
-	known, _ := state.Get("x")
-	return known.Signs
+	b, _ := state.Get("x")
+	return b.Signs
 }
 
 // Signs that reach the journal late, and doubles, do not show the owner alive: the
@@ -251,14 +251,14 @@
 // owners that were gone stayed with them for seconds).
 func TestLateSignsDoNotShowTheOwnerAlive(t *testing.T) {
 	is := is.New(t)
-	is.Equal(signsAfter(Beat("x", "a", 1), Beat("x", "a", 5)), int64(2))
-	is.Equal(signsAfter(Beat("x", "a", 5), Beat("x", "a", 1), Beat("x", "a", 5), Advanced("x", "a", 3, nil)), int64(1))
-	is.Equal(signsAfter(Beat("x", "b", 9), Beat("x", "a", 1)), int64(1))
+	is.Equal(signsAfter(Heartbeat("x", "a", 1), Heartbeat("x", "a", 5)), int64(2))
+	is.Equal(signsAfter(Heartbeat("x", "a", 5), Heartbeat("x", "a", 1), Heartbeat("x", "a", 5), Advanced("x", "a", 3, nil)), int64(1))
+	is.Equal(signsAfter(Heartbeat("x", "b", 9), Heartbeat("x", "a", 1)), int64(1))
 	listed := Listed("x", []Result{{Item: 0, Outcome: Done}})
 	is.Equal(signsAfter(listed, listed, listed), int64(1))
 	// Another owner counts from anew, and so does one that has the batch again.
-	is.Equal(signsAfter(Beat("x", "a", 7), TakenOver("x", "a", "b"), Beat("x", "b", 2), Beat("x", "a", 9)), int64(3))
-	is.Equal(signsAfter(Beat("x", "a", 7), TakenOver("x", "a", "b"), TakenOver("x", "b", "a"), Beat("x", "a", 8)), int64(4))
+	is.Equal(signsAfter(Heartbeat("x", "a", 7), TakenOver("x", "a", "b"), Heartbeat("x", "b", 2), Heartbeat("x", "a", 9)), int64(3))
+	is.Equal(signsAfter(Heartbeat("x", "a", 7), TakenOver("x", "a", "b"), TakenOver("x", "b", "a"), Heartbeat("x", "a", 8)), int64(4))
 	// Records of programs that did not number their signs count all.
-	is.Equal(signsAfter(Beat("x", "a", 0), Beat("x", "a", 0)), int64(2))
+	is.Equal(signsAfter(Heartbeat("x", "a", 0), Heartbeat("x", "a", 0)), int64(2))
 }
--- a/internal/batches/batch/golden_test.go
+++ b/internal/batches/batch/golden_test.go
@@ -18,7 +18,7 @@
 		"released": Released("batch", "from", []int{1, 2}),
 		"returned": Returned("batch", "from", []int{1}),
 		"ended":    Ended("batch", "tenant"),
-		"beat":     Beat("batch", "owner", 3),
+		"beat":     Heartbeat("batch", "owner", 3),
 		"advanced": Advanced("batch", "owner", 4, *progress),
 	}
 	for name, encoded := range records {
--- a/internal/batches/batch/record.go
+++ b/internal/batches/batch/record.go
@@ -5,7 +5,7 @@
 	"github.com/pkg/errors"
 )
 
-// recordKind says what a record tells.
+// recordKind says what a record is.
 type recordKind int
 
 const (
@@ -15,7 +15,7 @@
 	kindReleased
 	kindEnded
 	kindFragment
-	kindBeat
+	kindHeartbeat
 	kindProgress
 	kindReturned
 )
@@ -30,9 +30,9 @@
 	Results    []Result    `cbor:"5,keyasint,omitempty"`
 	// From is the owner that a takeover or a release believes to replace.
 	From string `cbor:"6,keyasint,omitempty"`
-	// Handed are the items that the releasing owner still finishes, or those of them
+	// HandedOff are the items that the releasing owner still finishes, or those of them
 	// that it gives back.
-	Handed []int `cbor:"7,keyasint,omitempty"`
+	HandedOff []int `cbor:"7,keyasint,omitempty"`
 	// A fragment is a part of a record too long for the journal. Key is drawn
 	// anew for each append, so that parts of two appends are never joined.
 	Key   string `cbor:"8,keyasint,omitempty"`
@@ -50,8 +50,8 @@
 // fragmentOverhead is room for the fields around a fragment's bytes.
 const fragmentOverhead = 256
 
-func encode(entry record) []byte {
-	encoded, err := cbor.Marshal(entry)
+func encode(rec record) []byte {
+	encoded, err := cbor.Marshal(rec)
 	if err != nil {
 		// All fields are plain values, which always encode.
 		panic(errors.Wrap(err, "batch: encode"))
@@ -60,9 +60,9 @@
 }
 
 func decode(encoded []byte) (record, error) {
-	var entry record
-	err := cbor.Unmarshal(encoded, &entry)
-	return entry, errors.Wrap(err, "batch: record")
+	var rec record
+	err := cbor.Unmarshal(encoded, &rec)
+	return rec, errors.Wrap(err, "batch: record")
 }
 
 // Accepted is the record that makes a batch exist, owned by a daemon.
@@ -80,16 +80,16 @@
 	return encode(record{Kind: kindTakenOver, BatchID: batchID, From: from, Owner: owner})
 }
 
-// Released is the record by which an owner lets a batch go; the items in
-// handed it still finishes.
-func Released(batchID, from string, handed []int) []byte {
-	return encode(record{Kind: kindReleased, BatchID: batchID, From: from, Handed: handed})
+// Released is the record by which an owner releases a batch; the items in
+// handedOff it still finishes.
+func Released(batchID, from string, handedOff []int) []byte {
+	return encode(record{Kind: kindReleased, BatchID: batchID, From: from, HandedOff: handedOff})
 }
 
 // Returned is the record by which an owner that has released a batch gives back items
 // that it said it would still finish.
 func Returned(batchID, from string, items []int) []byte {
-	return encode(record{Kind: kindReturned, BatchID: batchID, From: from, Handed: items})
+	return encode(record{Kind: kindReturned, BatchID: batchID, From: from, HandedOff: items})
 }
 
 // Ended is the record after which nothing of the batch is run, if it belongs to the
@@ -98,10 +98,10 @@
 	return encode(record{Kind: kindEnded, BatchID: batchID, Tenant: tenant})
 }
 
-// Beat is an owner's sign of life, the number-th of this owner. It changes nothing
+// Heartbeat is an owner's sign of life, the number-th of this owner. It changes nothing
 // else in the fold.
-func Beat(batchID, owner string, number int64) []byte {
-	return encode(record{Kind: kindBeat, BatchID: batchID, Owner: owner, Number: number})
+func Heartbeat(batchID, owner string, number int64) []byte {
+	return encode(record{Kind: kindHeartbeat, BatchID: batchID, Owner: owner, Number: number})
 }
 
 // Advanced is an owner's sign of life that keeps what it has of running items,
--- a/internal/batches/batch/tenant_test.go
+++ b/internal/batches/batch/tenant_test.go
@@ -14,28 +14,28 @@
 		owner, caller string
 		ended         bool
 	}{{"a", "a", true}, {"a", "b", false}, {"a", "", false}, {"", "b", true}, {"", "", true}} {
-		state := NewState()
+		state := NewStateAt(0)
 		made := submission("x", 1, 1)
 		made.Tenant = one.owner
 		state.Apply(Accepted(made, "owner"))
 		state.Apply(Ended("x", one.caller))
-		known, _ := state.Get("x")
-		is.Equal(known.Ended, one.ended)
-		is.Equal(known.Tenant, one.owner)
+		b, _ := state.Get("x")
+		is.Equal(b.Ended, one.ended)
+		is.Equal(b.Tenant, one.owner)
 	}
 }
 
 // The first acceptance decides whose a batch is.
 func TestABatchKeepsItsTenant(t *testing.T) {
 	is := is.New(t)
-	state := NewState()
+	state := NewStateAt(0)
 	for _, tenant := range []string{"a", "b"} {
 		made := submission("x", 1, 1)
 		made.Tenant = tenant
 		state.Apply(Accepted(made, "owner"))
 	}
-	known, _ := state.Get("x")
-	is.Equal(known.Tenant, "a")
-	is.True(known.BelongsTo("a"))
-	is.True(!known.BelongsTo("b"))
+	b, _ := state.Get("x")
+	is.Equal(b.Tenant, "a")
+	is.True(b.BelongsTo("a"))
+	is.True(!b.BelongsTo("b"))
 }
--- a/internal/batches/runner/heartbeat.go
+++ b/internal/batches/runner/heartbeat.go
@@ -31,7 +31,7 @@
 	if released {
 		return
 	}
-	record := batch.Beat(j.submission.ID, j.r.self, number)
+	record := batch.Heartbeat(j.submission.ID, j.r.self, number)
 	if len(progress) > 0 {
 		record = batch.Advanced(j.submission.ID, j.r.self, number, progress)
 	}
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -63,7 +63,7 @@
 		}
 		it.resumeFrom(b.Partials[i])
 		it.timing.since = j.adoptedAt
-		if b.Handed[i] {
+		if b.HandedOff[i] {
 			it.handedOff, it.notBefore = true, j.adoptedAt.Add(handOffWait)
 		}
 	}
--- a/internal/batches/runner/release.go
+++ b/internal/batches/runner/release.go
@@ -67,7 +67,7 @@
 		return
 	}
 	for i, it := range j.items {
-		if it.handedOff && !b.Handed[i] {
+		if it.handedOff && !b.HandedOff[i] {
 			it.handedOff, it.notBefore = false, time.Time{}
 			j.r.Kick()
 		}
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -71,7 +71,7 @@
 		is.NoErr(accepter.Accept(ctx, &oneItem))
 		time.Sleep(standByWait / 2)
 		owner := ledger.New(ctx, log, zap.NewNop())
-		is.NoErr(owner.Of("x").Append(ctx, batch.Beat("x", "a/1", 1)))
+		is.NoErr(owner.Of("x").Append(ctx, batch.Heartbeat("x", "a/1", 1)))
 		time.Sleep(10 * standByWait)
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "a/1")
 	})
