--- /dev/null
+++ b/internal/journal/relay/announce.go
@@ -0,0 +1,49 @@
+package relay
+
+import (
+	"context"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"go.uber.org/zap"
+
+	"woodworks/internal/daemon/periodic"
+	"woodworks/internal/journal"
+)
+
+const (
+	// topic is where daemons announce themselves.
+	topic = "woodworks.peers"
+	// announceTimeout bounds one try to tell the others of this daemon.
+	announceTimeout = time.Second
+	announcePause   = 200 * time.Millisecond
+)
+
+// Partition is where daemons announce themselves.
+func Partition(log journal.Journal) journal.Partition {
+	return journal.Partition{Topic: log.KeyedTopic(topic)}
+}
+
+// Peers returns the handler of the partition where daemons announce themselves.
+func (j *Journal) Peers() journal.KeyedHandler { return j.peers }
+
+// announce tells the others where this daemon's relay is, until that is certain.
+func (j *Journal) announce(ctx context.Context) {
+	encoded, err := cbor.Marshal(&peer{Address: j.options.Address, Zone: j.options.Zone})
+	if err != nil {
+		j.logger.Error("relay not announced", zap.Error(err))
+		return
+	}
+	record := j.JoinKeyed(journal.KeyedRecord{Key: j.options.Name, Value: encoded})
+	for ctx.Err() == nil {
+		bounded, cancel := context.WithTimeout(ctx, announceTimeout)
+		_, err := j.Append(bounded, journal.Append{Partition: Partition(j.Journal), Records: [][]byte{record}})
+		cancel()
+		if err == nil {
+			return
+		}
+		// It is tried again at once; that the journal does not answer is logged by Run.
+		j.logger.Debug("relay not announced yet", zap.Error(err))
+		periodic.Pause(ctx, announcePause)
+	}
+}
--- a/internal/journal/relay/direct.go
+++ b/internal/journal/relay/direct.go
@@ -69,10 +69,10 @@
 		// The caller has lost interest, which says nothing of the peer.
 		return ctx.Err()
 	case errors.Is(err, errNoPeer):
-		j.peers.turnFrom(machine, brokenRest, "not reached", err)
+		j.peers.rest(machine, brokenRest, "not reached", err)
 		return errors.Wrap(ErrNotReached, err.Error())
 	default:
-		j.peers.turnFrom(machine, silentRest, "no answer", err)
+		j.peers.rest(machine, silentRest, "no answer", err)
 		return err
 	}
 }
--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -31,36 +31,36 @@
 	mu sync.Mutex
 	// expected has the calls without an answer, with the time by which each should
 	// have had one.
-	expected map[*expectation]struct{}
+	expected map[*pending]struct{}
 	answered time.Time
 	// refusals counts the refusals since the last answer, the first at refusedAt;
 	// throttles are those of them for the rate.
 	refusals, throttles int
 	refusedAt           time.Time
 	lost                bool
-	// turned is closed when the path is lost, and made anew when it is back.
-	turned chan struct{}
+	// lostCh is closed when the path is lost, and made anew when it is back.
+	lostCh chan struct{}
 }
 
-// expectation is a call that should have an answer by a time.
-type expectation struct{ by time.Time }
+// pending is a call that should have an answer by a time.
+type pending struct{ by time.Time }
 
 func newPath(now time.Time) *path {
-	return &path{expected: map[*expectation]struct{}{}, answered: now, turned: make(chan struct{})}
+	return &path{expected: map[*pending]struct{}{}, answered: now, lostCh: make(chan struct{})}
 }
 
 // begin notes a call that may be held for wait.
-func (p *path) begin(now time.Time, wait time.Duration) *expectation {
-	e := &expectation{by: now.Add(wait)}
+func (p *path) begin(now time.Time, wait time.Duration) *pending {
+	e := &pending{by: now.Add(wait)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expected[e] = struct{}{}
 	return e
 }
 
-// end takes the outcome of a call into account. It returns true if the path is back
+// finish takes the outcome of a call into account. It returns true if the path is back
 // with it.
-func (p *path) end(call *expectation, err error, now time.Time) (back bool) {
+func (p *path) finish(call *pending, err error, now time.Time) (back bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var unavailable *journal.UnavailableError
@@ -76,7 +76,7 @@
 		// one say nothing any more.
 		back, p.lost = p.lost, false
 		if back {
-			p.turned = make(chan struct{})
+			p.lostCh = make(chan struct{})
 		}
 		p.answered, p.refusals, p.throttles = now, 0, 0
 		clear(p.expected)
@@ -85,7 +85,7 @@
 }
 
 // refuse notes a refused call. The mutex is held.
-func (p *path) refuse(call *expectation, now time.Time) {
+func (p *path) refuse(call *pending, now time.Time) {
 	delete(p.expected, call)
 	if p.refusals == 0 {
 		p.refusedAt = now
@@ -94,7 +94,7 @@
 }
 
 // look judges the path. It returns true, with the reason, if it is lost from now on.
-func (p *path) look(now time.Time) (turned bool, reason string) {
+func (p *path) look(now time.Time) (lost bool, reason string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.lost {
@@ -111,7 +111,7 @@
 		return false, ""
 	}
 	p.lost = true
-	close(p.turned)
+	close(p.lostCh)
 	return true, reason
 }
 
@@ -130,10 +130,10 @@
 }
 
 // state returns whether the path is lost, and a channel that is closed when it is.
-func (p *path) state() (lost bool, turned <-chan struct{}) {
+func (p *path) state() (lost bool, lostCh <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lost, p.turned
+	return p.lost, p.lostCh
 }
 
 // silence is for how long there was no answer.
--- a/internal/journal/relay/path_test.go
+++ b/internal/journal/relay/path_test.go
@@ -21,15 +21,15 @@
 		if i%5 == 4 {
 			err = nil
 		}
-		p.end(p.begin(now, 0), err, now)
-		turned, _ := p.look(now)
-		is.True(!turned)
+		p.finish(p.begin(now, 0), err, now)
+		lost, _ := p.look(now)
+		is.True(!lost)
 	}
 	for range throttlesAllowed {
 		now = now.Add(throttledAfter / throttlesAllowed)
-		p.end(p.begin(now, 0), &journal.ThrottledError{Reason: "this machine"}, now)
+		p.finish(p.begin(now, 0), &journal.ThrottledError{Reason: "this machine"}, now)
 	}
-	turned, reason := p.look(now.Add(throttledAfter))
-	is.True(turned)
+	lost, reason := p.look(now.Add(throttledAfter))
+	is.True(lost)
 	is.Equal(reason, "throttled")
 }
--- /dev/null
+++ b/internal/journal/relay/peer.go
@@ -0,0 +1,153 @@
+package relay
+
+import (
+	"context"
+	"net"
+	"net/rpc"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+)
+
+const (
+	// dialTimeout bounds the making of a connection to a peer.
+	dialTimeout = 250 * time.Millisecond
+	// unackedTimeout is how long sent bytes may stay unacknowledged by a peer.
+	unackedTimeout = 600 * time.Millisecond
+)
+
+// dial makes a connection to a peer.
+type dial func(ctx context.Context, address string) (net.Conn, error)
+
+// errNoPeer: no peer could make the call, and none has.
+var errNoPeer = errors.New("relay: no peer reaches the journal")
+
+// peer is another daemon.
+type peer struct {
+	Address string `cbor:"1,keyasint"`
+	Zone    string `cbor:"2,keyasint"`
+
+	mu     sync.Mutex
+	client *peerClient
+	// closed peers are connected to no more: the daemon ends.
+	closed bool
+	// restUntil is the time before which others are asked.
+	restUntil time.Time
+}
+
+// peerClient is a connection to a peer. It is ended by closing conn, never by the
+// client's Close: after that net/rpc may end calls under way with ErrShutdown, which here
+// says that a call was not sent.
+type peerClient struct {
+	*rpc.Client
+	conn net.Conn
+}
+
+// resting reports whether the peer is left alone.
+func (p *peer) resting(now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return now.Before(p.restUntil)
+}
+
+// rest leaves the peer alone until a time.
+func (p *peer) rest(until time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.restUntil = until
+}
+
+// relay has a peer make a call to the journal. An error that wraps errNoPeer says that
+// the call was not sent.
+func (p *peer) relay(ctx context.Context, dial dial, msg Message) (reply, error) {
+	var message Message
+	if err := p.ask(ctx, dial, methodName, msg, &message); err != nil {
+		return reply{}, err
+	}
+	var answer reply
+	return answer, message.decode(&answer)
+}
+
+// ask calls a method of the peer and waits for the answer. An error that wraps errNoPeer
+// says that the call was not sent.
+func (p *peer) ask(ctx context.Context, dial dial, method string, args, answer any) error {
+	err := p.askOnce(ctx, dial, method, args, answer)
+	if errors.Is(err, rpc.ErrShutdown) {
+		// The connection had ended before the call, as at a peer's restart: the peer may
+		// be there all the same.
+		err = p.askOnce(ctx, dial, method, args, answer)
+	}
+	if errors.Is(err, rpc.ErrShutdown) {
+		return errors.Wrap(errNoPeer, err.Error())
+	}
+	return err
+}
+
+// askOnce calls a method on the connection that there is, or on a new one. ErrShutdown
+// says that the call was not sent.
+func (p *peer) askOnce(ctx context.Context, dial dial, method string, args, answer any) error {
+	client, err := p.connect(ctx, dial)
+	if err != nil {
+		return errors.Wrap(errNoPeer, err.Error())
+	}
+	call := client.Go(method, args, answer, make(chan *rpc.Call, 1))
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-call.Done:
+	}
+	var refused rpc.ServerError
+	if call.Error != nil && !errors.As(call.Error, &refused) {
+		// One that has answered with an error has a sound connection.
+		p.giveUp(client)
+	}
+	return call.Error
+}
+
+// connect returns the connection to the peer, made if there is none.
+func (p *peer) connect(ctx context.Context, dial dial) (*peerClient, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return nil, errors.New("relay: the daemon ends")
+	}
+	if p.client != nil {
+		return p.client, nil
+	}
+	conn, err := dial(ctx, p.Address)
+	if err != nil {
+		return nil, err
+	}
+	p.client = &peerClient{Client: rpc.NewClient(conn), conn: conn}
+	return p.client, nil
+}
+
+// giveUp ends a connection to the peer that is broken. Of the calls that were under way
+// on it the last may come here when there is a new one, with calls on it.
+func (p *peer) giveUp(client *peerClient) {
+	p.mu.Lock()
+	if p.client == client {
+		p.client = nil
+	}
+	p.mu.Unlock()
+	_ = client.conn.Close() // It is broken: there is nobody to tell.
+}
+
+// drop ends the connection to the peer.
+func (p *peer) drop() {
+	p.mu.Lock()
+	client := p.client
+	p.mu.Unlock()
+	if client != nil {
+		p.giveUp(client)
+	}
+}
+
+// close ends the connection to the peer, which gets no other.
+func (p *peer) close() {
+	p.mu.Lock()
+	p.closed = true
+	p.mu.Unlock()
+	p.drop()
+}
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -278,7 +278,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		p := newPath(now)
-		var open []*expectation
+		var open []*pending
 		answered, refusals := now, 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
@@ -286,20 +286,20 @@
 			case kind == 0 || len(open) == 0:
 				open = append(open, p.begin(now, time.Duration(rapid.IntRange(0, 1000).Draw(t, "wait"))*time.Millisecond))
 			case kind == 1:
-				p.end(open[0], nil, now)
+				p.finish(open[0], nil, now)
 				open, answered, refusals = open[1:], now, 0
 			case kind == 2:
-				p.end(open[0], &journal.UnavailableError{}, now)
+				p.finish(open[0], &journal.UnavailableError{}, now)
 				open = open[1:]
 				refusals++
 			default:
-				p.end(open[0], journal.ErrUnknown, now)
+				p.finish(open[0], journal.ErrUnknown, now)
 				open = open[1:]
 			}
 			p.look(now)
-			lost, turned := p.state()
+			lost, lostCh := p.state()
 			select {
-			case <-turned:
+			case <-lostCh:
 				if !lost {
 					t.Fatal("callers are told of a loss that is over")
 				}
--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -71,7 +71,7 @@
 const acceptPause = 20 * time.Millisecond
 
 // Call makes one call to the journal. It is exported for net/rpc.
-func (s *Service) Call(msg Message, told *Message) error {
+func (s *Service) Call(msg Message, answer *Message) error {
 	var call operation
 	if err := msg.decode(&call); err != nil {
 		return err
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	*told = encoded
+	*answer = encoded
 	return nil
 }
 
