--- a/internal/daemon/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -23,7 +23,6 @@
 	journal  *prometheus.HistogramVec
 	attempts *prometheus.HistogramVec
 	batches  *prometheus.HistogramVec
-	handed   *prometheus.HistogramVec
 	waits    *prometheus.HistogramVec
 	asked    *prometheus.HistogramVec
 }
@@ -52,10 +51,6 @@
 			Namespace: namespace, Name: "attempt_seconds",
 			Help: "Time of offers of requests and items to replicas by service and outcome.", Buckets: latencyBuckets,
 		}, []string{"service", "outcome"}),
-		handed: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: namespace, Name: "handed_on_seconds",
-			Help: "Time of requests that were handed to another daemon, by outcome.", Buckets: latencyBuckets,
-		}, []string{"outcome"}),
 		batches: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "batch_part_seconds",
 			Help: "Where the time of the item went that each batch listed last, by part.", Buckets: latencyBuckets,
@@ -69,7 +64,7 @@
 			Help: "Time of questions about batches beyond the time that they were held on purpose, by the way of the answer and by outcome.", Buckets: latencyBuckets,
 		}, []string{"way", "outcome"}),
 	}
-	metrics.registry.MustRegister(metrics.requests, metrics.latency, metrics.samples, metrics.journal, metrics.attempts, metrics.batches, metrics.handed, metrics.waits, metrics.asked)
+	metrics.registry.MustRegister(metrics.requests, metrics.latency, metrics.samples, metrics.journal, metrics.attempts, metrics.batches, metrics.waits, metrics.asked)
 	return metrics
 }
 
@@ -89,11 +84,6 @@
 	metrics.attempts.WithLabelValues(service, outcome).Observe(took.Seconds())
 }
 
-// HandedOn counts a request that was handed to another daemon.
-func (metrics *Metrics) HandedOn(outcome string, took time.Duration) {
-	metrics.handed.WithLabelValues(outcome).Observe(took.Seconds())
-}
-
 // Admission counts how the wait of a request for a place at a service ended.
 func (metrics *Metrics) Admission(service, outcome string, waited time.Duration) {
 	metrics.waits.WithLabelValues(service, outcome).Observe(waited.Seconds())
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"go.uber.org/zap"
+
 	"woodworks/internal/batches/ledger"
 	"woodworks/internal/batches/results"
 	"woodworks/internal/batches/runner"
@@ -24,6 +26,9 @@
 
 // build makes the parts of the daemon; each depends only on those made before it.
 func (n *Node) build(drivers Drivers) {
+	if n.settings.Handoff.Enabled {
+		n.logger.Warn("setting has no effect", zap.String("setting", "handoff.enabled"))
+	}
 	drivers.Journal = n.buildJournal(drivers.Journal)
 	n.buildListeners()
 	n.buildCatalog(drivers)
@@ -34,7 +39,6 @@
 	n.buildWeights(drivers)
 	n.buildResults(drivers.Journal.Grants())
 	n.buildHandler(drivers, forwarder)
-	n.buildHandoff(forwarder)
 	n.buildDuties(drivers)
 	n.buildInterface(drivers)
 	n.buildHealth()
@@ -80,7 +84,7 @@
 func (n *Node) newForwarder(names headers.Names) *forward.Forwarder {
 	return &forward.Forwarder{
 		Pool: n.pool, Table: n.table, Names: names, Zone: n.settings.Zone, Quarantine: n.quarantine.table,
-		Logger: n.logger, Observe: n.metrics.Attempt, MaxOpen: n.maxOpen,
+		Logger: n.logger, Observe: n.metrics.Attempt, MaxOpen: n.maxOpen, Clock: bootclock.Now,
 	}
 }
 
@@ -124,7 +128,7 @@
 	timing := n.settings.Timing
 	n.holding = holding.New(n.settings.Limits.Held())
 	n.handler = &ingress.Handler{
-		Names: drivers.Headers, Codec: drivers.Codec, Configuration: n.operator.Configuration, Forwarder: forwarder, Plain: forwarder,
+		Names: drivers.Headers, Codec: drivers.Codec, Configuration: n.operator.Configuration, Forwarder: forwarder,
 		Clock: bootclock.Now, Retries: ingress.NoRetryPolicy{}, Ran: func(string, time.Time) {},
 		Runner: n.runner, Results: n.results, Observer: n.metrics, Logger: n.logger,
 		ConfigurationAge: n.configurationAge, Stop: n.shutdown, Admission: newAdmission(n), Holding: n.holding, Unread: timing.Unread.Std(),
--- a/internal/daemon/node/golden_test.go
+++ b/internal/daemon/node/golden_test.go
@@ -41,7 +41,6 @@
 	node.metrics.Request("route", "status", "outcome", time.Second)
 	node.metrics.JournalCall("call", "outcome", time.Second)
 	node.metrics.Attempt("service", "outcome", time.Second)
-	node.metrics.HandedOn("outcome", time.Second)
 	node.metrics.Admission("service", "outcome", time.Second)
 	node.metrics.Question("way", true, time.Second)
 	node.metrics.Question("way", false, time.Second)
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -45,7 +45,6 @@
 	"woodworks/internal/replicas/fleet"
 	"woodworks/internal/replicas/modelsync"
 	"woodworks/internal/replicas/replica"
-	"woodworks/internal/requests/handoff"
 	"woodworks/internal/requests/headers"
 	"woodworks/internal/requests/holding"
 	"woodworks/internal/requests/ingress"
@@ -152,8 +151,6 @@
 	holding    *holding.Budget
 	pool       *upstream.Pool
 	quarantine *quarantineParts
-	// handed runs plain requests of peers, nil unless the settings ask for it.
-	handed *handoff.Service
 
 	// Batches.
 	ledger    *ledger.Ledger
--- a/internal/daemon/node/stop.go
+++ b/internal/daemon/node/stop.go
@@ -42,7 +42,6 @@
 	var draining sync.WaitGroup
 	if n.relay != nil {
 		draining.Go(func() { n.relay.Drain(ctx) })
-		draining.Go(func() { n.drainHandoff(ctx) })
 	}
 	for _, e := range []*clientListener{n.public, n.private} {
 		draining.Go(func() { e.stop(ctx) })
--- a/internal/daemon/settings/settings.go
+++ b/internal/daemon/settings/settings.go
@@ -37,14 +37,14 @@
 	Operators []OperatorKey `yaml:"operators"`
 
 	Limits Limits `yaml:"limits"`
-	// Handoff says whether plain requests are handed on inside a zone.
+	// Handoff is without effect.
 	Handoff Handoff `yaml:"handoff"`
 	Timing  Timing  `yaml:"timing"`
 	Log     Log     `yaml:"log"`
 }
 
-// Handoff says whether plain requests of services that this daemon asks seldom, and whose
-// connections rest shortly, are sent by one daemon of the zone.
+// Handoff was once a way to pass plain requests on inside a zone. It is accepted, as settings
+// files in use have it, and does nothing.
 type Handoff struct {
 	Enabled bool `yaml:"enabled"`
 }
--- a/internal/journal/relay/direct.go
+++ b/internal/journal/relay/direct.go
@@ -31,20 +31,6 @@
 	return chosen
 }
 
-// ZonePeers returns the machines of the other daemons of the own zone, in no order. Those
-// that are gone for good are among them.
-func (j *Journal) ZonePeers() []string {
-	j.peers.mu.Lock()
-	defer j.peers.mu.Unlock()
-	var names []string
-	for name, other := range j.peers.known {
-		if other.Zone == j.options.Zone {
-			names = append(names, name)
-		}
-	}
-	return names
-}
-
 // Register lets peers call the methods of a receiver, which are those of net/rpc, under
 // a name. It is called before Serve.
 func (j *Journal) Register(name string, receiver any) { j.receivers[name] = receiver }
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -150,9 +150,6 @@
 	}
 	a.tried[chosen.ID] = true
 	a.open++
-	if a.call.Offered != nil {
-		a.call.Offered(chosen.ID)
-	}
 	offerContext, cancel := context.WithCancel(ctx)
 	a.cancels[chosen.ID] = cancel
 	go func() {
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -82,10 +82,6 @@
 	// ConnectionUntil is until when a connection is waited for at a replica to which this
 	// daemon has as many as it may.
 	ConnectionUntil time.Time
-	// Offered, if not nil, is told of each replica that the call is offered to.
-	Offered func(replica string)
-	// Avoid are replicas that it is not offered to: another daemon has done so.
-	Avoid []string
 	// Ran, if not nil, is told of each replica that ran the call or may have run it,
 	// with when the call was sent there, by the forwarder's clock.
 	Ran func(sentAt time.Time)
@@ -106,10 +102,6 @@
 	return call.content
 }
 
-// Content returns what the call asks for, for the quarantine. It must not be called while
-// offers of the call run.
-func (c *Call) Content() *quarantine.Content { return contentOf(c) }
-
 // Answer is a replica's whole answer, or its beginning with the rest to come.
 type Answer struct {
 	Status  int
@@ -223,9 +215,6 @@
 	contentOf(call)
 	a := &attempts{forwarder: f, call: call, tried: map[string]bool{}, cancels: map[string]context.CancelFunc{},
 		outcomes: make(chan result, call.MaxAttempts+extraTries+1)}
-	for _, id := range call.Avoid {
-		a.tried[id] = true
-	}
 	answer, err := a.loop(ctx)
 	if err == nil {
 		answer.Attempts = a.mayHaveRun + a.open
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -13,7 +13,6 @@
 package ingress
 
 import (
-	"context"
 	"net/http"
 	"strings"
 	"sync/atomic"
@@ -38,11 +37,6 @@
 	Request(route, status, outcome string, took time.Duration)
 }
 
-// Sender gets plain requests answered, as a forward.Forwarder does.
-type Sender interface {
-	Do(ctx context.Context, call *forward.Call) (*forward.Answer, error)
-}
-
 // Retries decides on offers to further replicas, beyond what forward.Tries allows.
 type Retries interface {
 	// Began is told of each request.
@@ -71,12 +65,10 @@
 	ConfigurationAge func() time.Duration
 	// Keys says how long keys are trusted without news of the configuration.
 	Keys KeyPolicy
-	// Forwarder opens streams.
+	// Forwarder sends plain requests and streams to replicas.
 	Forwarder *forward.Forwarder
-	// Plain gets plain requests answered.
-	Plain   Sender
-	Runner  *runner.Runner
-	Results *results.Reader
+	Runner    *runner.Runner
+	Results   *results.Reader
 	// Ran is told of each request of a tenant that a replica ran or may have run, with when
 	// it was sent there.
 	Ran      func(tenant string, sentAt time.Time)
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -50,7 +50,7 @@
 func (r *request) sendInTurn(ctx context.Context, cfg *route.Configuration, call *forward.Call) (*forward.Answer, error) {
 	h, service := r.handler, call.Services[0]
 	if cfg.Services[service].Engine {
-		return h.Plain.Do(ctx, call)
+		return h.Forwarder.Do(ctx, call)
 	}
 	for turn := 1; ; turn++ {
 		ticket, err := h.Admission.Enter(ctx, r.admission(service))
@@ -59,7 +59,7 @@
 		}
 		call.MayRetry = func(offers int) bool { return r.policyMayRetry(offers) && ticket.MayOffer() }
 		sentAt := h.Clock()
-		answer, err := h.Plain.Do(ctx, call)
+		answer, err := h.Forwarder.Do(ctx, call)
 		outcome := admissionOutcome(err, h.Clock().Sub(sentAt))
 		ticket.Done(outcome)
 		if _, full := outcome.(admission.Declined); !full || ctx.Err() != nil {
--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -27,7 +27,7 @@
 
 // setForwarder gives a handler the replicas of a forwarder.
 func setForwarder(handler *Handler, forwarder *forward.Forwarder) {
-	handler.Forwarder, handler.Plain = forwarder, forwarder
+	handler.Forwarder = forwarder
 	handler.Admission = admission.New(admission.Options{Replicas: forwarder.Table.Replicas, Daemons: func() int { return 1 }, Clock: handler.Clock,
 		Observe: func(string, string, time.Duration) {}, Logger: zap.NewNop()})
 }
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -248,13 +248,6 @@
 	}
 }
 
-// RestOf returns how long a connection may rest here after an answer with a header, for
-// requests that may be repeated.
-func RestOf(header http.Header) time.Duration {
-	_, rest := restOf(header)
-	return rest
-}
-
 // restOf returns how long a connection may rest after an answer: for any request, and for
 // one that may be repeated. A peer counts from when it has sent the answer, and closes when
 // the time that it granted is over: a request that meets the end is lost. One that may be
