--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -193,7 +193,8 @@
 		case !now.Before(lapses):
 			t.drop(d)
 			t.counts.Expired++
-			t.logger.Info("report of another owner lapsed", zap.String("owner", d.report.Sender), zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.at)))
+			t.logger.Info("report of another owner lapsed", zap.String("owner", d.report.Sender),
+				zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.at)))
 		case t.nextLapse.IsZero() || lapses.Before(t.nextLapse):
 			t.nextLapse = lapses
 		}
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -34,23 +34,26 @@
 // called whenever the runner's own requests may have changed; it must not block. It is called
 // before Run.
 func (r *Runner) ShareEngines(table *occupancy.Table, changed func()) {
-	r.shared = &sharing{self: r.self, table: table, changed: changed, logger: r.logger, demands: map[string]occupancy.Demand{}, turns: map[string]*occupancy.Turn{}}
+	r.shared = &sharing{
+		self: r.self, table: table, changed: changed, logger: r.logger,
+		demands: map[string]occupancy.Demand{}, turns: map[string]*occupancy.Turn{},
+	}
 }
 
 // KeyOf names the start of a replica to other owners.
 func KeyOf(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.Born) }
 
 // withReports adds to an engine what other owners report of it.
-func (s *sharing) withReports(engine scheduling.Engine, seen replica.Replica, now time.Time) scheduling.Engine {
+func (s *sharing) withReports(engine scheduling.Engine, rep replica.Replica, now time.Time) scheduling.Engine {
 	if s == nil {
 		return engine
 	}
-	key := KeyOf(seen)
+	key := KeyOf(rep)
 	engine.OthersInFlight = s.table.InFlight(key)
-	engine.Preference = occupancy.Preference(s.self, seen.ID)
-	if own := now.Sub(seen.EventAt); seen.EventTime == 0 || own > ownEventTimeMaxAge {
-		if pace, age := s.table.EventTime(key); pace > 0 && (seen.EventTime == 0 || age < own) {
-			engine.EventTime = pace
+	engine.Preference = occupancy.Preference(s.self, rep.ID)
+	if own := now.Sub(rep.EventAt); rep.EventTime == 0 || own > ownEventTimeMaxAge {
+		if eventTime, age := s.table.EventTime(key); eventTime > 0 && (rep.EventTime == 0 || age < own) {
+			engine.EventTime = eventTime
 		}
 	}
 	return engine
@@ -58,14 +61,14 @@
 
 // inTurn returns the decisions of a service that may be carried out now, as other owners wait
 // for room as well, and notes what is left waiting.
-func (s *sharing) inTurn(service string, seen *scheduling.Snapshot, decisions []scheduling.Decision, now time.Time) []scheduling.Decision {
+func (s *sharing) inTurn(service string, snap *scheduling.Snapshot, decisions []scheduling.Decision, now time.Time) []scheduling.Decision {
 	if s == nil {
 		return decisions
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := occupancy.KeyOf(service, time.Time{})
-	own, _ := demandOf(key, seen, nil)
+	own, _ := demandOf(key, snap, nil)
 	due := 0
 	for _, decision := range decisions {
 		if _, start := decision.(scheduling.Start); start {
@@ -74,14 +77,14 @@
 	}
 	turn, others := s.turnOf(service), s.table.Demands(key)
 	left := turn.Leaves()
-	allowed := turn.Allow(now, occupancy.Allowance(capacityOf(seen), own, others), due)
+	allowed := turn.Allow(now, occupancy.Allowance(capacityOf(snap), own, others), due)
 	if turn.Leaves() && !left {
 		s.logger.Info("room left to other owners", zap.String("service", service), zap.Int("starts", due), zap.Int("allowed", allowed),
 			zap.Uint32("in_flight", own.InFlight), zap.Uint32("waiting", own.Waiting), zap.Int("owners", len(others)))
 	}
 	kept := firstStarts(decisions, allowed)
-	demand, first := demandOf(key, seen, kept)
-	if allowed == due && hasRoomFor(first, seen, kept) {
+	demand, first := demandOf(key, snap, kept)
+	if allowed == due && hasRoomFor(first, snap, kept) {
 		// What waits beside room waits for something else, as for weights.
 		demand.Waiting = 0
 	}
@@ -113,23 +116,23 @@
 }
 
 // capacityOf returns how many requests the engines of a snapshot run at a time.
-func capacityOf(seen *scheduling.Snapshot) (places int) {
-	for i := range seen.Engines {
-		places += seen.Engines[i].Capacity()
+func capacityOf(snap *scheduling.Snapshot) (places int) {
+	for i := range snap.Engines {
+		places += snap.Engines[i].Capacity()
 	}
 	return places
 }
 
 // demandOf returns what an owner has and still wants after some decisions, with the most
 // urgent item that waits, or nil.
-func demandOf(service occupancy.Key, seen *scheduling.Snapshot, decisions []scheduling.Decision) (demand occupancy.Demand, first *scheduling.Item) {
+func demandOf(service occupancy.Key, snap *scheduling.Snapshot, decisions []scheduling.Decision) (demand occupancy.Demand, first *scheduling.Item) {
 	started, taken := startsOf(decisions)
 	demand.Service = service
-	for i := range seen.Engines {
-		demand.InFlight += uint32(max(seen.Engines[i].InFlight+taken[i], 0))
+	for i := range snap.Engines {
+		demand.InFlight += uint32(max(snap.Engines[i].InFlight+taken[i], 0))
 	}
-	for i := range seen.Items {
-		item := &seen.Items[i]
+	for i := range snap.Items {
+		item := &snap.Items[i]
 		if item.Engine != "" || started[i] {
 			continue
 		}
@@ -155,13 +158,13 @@
 }
 
 // hasRoomFor reports whether an engine could run an item after some decisions.
-func hasRoomFor(item *scheduling.Item, seen *scheduling.Snapshot, decisions []scheduling.Decision) bool {
+func hasRoomFor(item *scheduling.Item, snap *scheduling.Snapshot, decisions []scheduling.Decision) bool {
 	if item == nil {
 		return false
 	}
 	_, taken := startsOf(decisions)
-	for i := range seen.Engines {
-		if engine := &seen.Engines[i]; engine.Room(taken[i]) && engine.Holds(item) {
+	for i := range snap.Engines {
+		if engine := &snap.Engines[i]; engine.Room(taken[i]) && engine.Holds(item) {
 			return true
 		}
 	}
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -139,20 +139,20 @@
 
 // dispatch starts texts of an owner as the scheduler decides.
 func (s *stand) dispatch(owner *standOwner) {
-	seen := scheduling.Snapshot{NoMoves: true}
+	snap := scheduling.Snapshot{NoMoves: true}
 	for i := range standEngines {
 		known := replica.Replica{Entry: replica.Entry{ID: fmt.Sprintf("e%d", i)}}
 		engine := scheduling.Engine{ID: known.ID, Slots: standSlots, InFlight: owner.at(i), Avoided: s.tick < owner.resting[i]}
-		seen.Engines = append(seen.Engines, owner.sharing.withReports(engine, known, s.now()))
+		snap.Engines = append(snap.Engines, owner.sharing.withReports(engine, known, s.now()))
 	}
 	for _, text := range owner.texts {
 		item := scheduling.Item{Remaining: 100}
 		if text.engine >= 0 {
 			item.Engine = fmt.Sprintf("e%d", text.engine)
 		}
-		seen.Items = append(seen.Items, item)
+		snap.Items = append(snap.Items, item)
 	}
-	for _, decision := range owner.sharing.inTurn("s", &seen, scheduling.Plan(seen), s.now()) {
+	for _, decision := range owner.sharing.inTurn("s", &snap, scheduling.Plan(snap), s.now()) {
 		start := decision.(scheduling.Start)
 		if s.at(start.Engine) >= standSlots+standQueue {
 			s.declines++
@@ -250,14 +250,14 @@
 func TestItemsThatWaitForWeightsClaimNoPlaces(t *testing.T) {
 	is := is.New(t)
 	s := newStand(true, 1, [2]int{0, 1}).owners[0].sharing
-	seen := scheduling.Snapshot{
+	snap := scheduling.Snapshot{
 		Engines: []scheduling.Engine{{ID: "old", Slots: 2, Versions: map[string]int64{"m": 1}}, {ID: "new", Slots: 2, InFlight: 2, Versions: map[string]int64{"m": 2}}},
 		Items:   []scheduling.Item{{Model: "m", MinVersion: 2}, {Model: "m", MinVersion: 2}},
 	}
-	s.inTurn("s", &seen, nil, time.Unix(0, 0))
+	s.inTurn("s", &snap, nil, time.Unix(0, 0))
 	is.Equal(s.demands["s"].Waiting, uint32(2)) // the engine that may run them is full
-	seen.Engines[1].InFlight = 1
-	s.inTurn("s", &seen, nil, time.Unix(0, 0))
+	snap.Engines[1].InFlight = 1
+	s.inTurn("s", &snap, nil, time.Unix(0, 0))
 	is.Equal(s.demands["s"].Waiting, uint32(0))
 	is.Equal(s.demands["s"].InFlight, uint32(1))
 }
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -108,7 +108,8 @@
 
 // New returns a runner whose owner name is self. All its work ends with the
 // context.
-func New(ctx context.Context, self string, batches *ledger.Ledger, forwarder *forward.Forwarder, operator Operator, demands *demand.Publisher, assigner *Assigner, logger *zap.Logger) *Runner {
+func New(ctx context.Context, self string, batches *ledger.Ledger, forwarder *forward.Forwarder, operator Operator,
+	demands *demand.Publisher, assigner *Assigner, logger *zap.Logger) *Runner {
 	return &Runner{
 		self: self, startedAt: time.Now(), ctx: ctx, logger: logger,
 		ledger: batches, table: forwarder.Table, forwarder: forwarder, operator: operator, demands: demands, assigner: assigner,
--- a/internal/batches/runner/timing.go
+++ b/internal/batches/runner/timing.go
@@ -40,9 +40,9 @@
 }
 
 // enter ends the phase that an item is in and begins another.
-func (a *timing) enter(next phase, now time.Time) {
-	a.spent[a.phase] += now.Sub(a.since)
-	a.phase, a.since = next, now
+func (t *timing) enter(next phase, now time.Time) {
+	t.spent[t.phase] += now.Sub(t.since)
+	t.phase, t.since = next, now
 }
 
 // Observer is told how long an item spent on something.
@@ -91,7 +91,8 @@
 	fields := []zap.Field{
 		zap.String("reason", reason), zap.Int("listed", listed), zap.Int("items", len(j.items)),
 		zap.Duration("before", max(j.adoptedAt.Sub(j.submission.AcceptedAt()), 0)), zap.Duration("owned", now.Sub(j.adoptedAt)),
-		zap.String("last_item", last.ID), zap.Bool("required", j.placement.required[last.Group]), zap.Int64("events", last.lastEvent), zap.Int("attempts", last.attempt),
+		zap.String("last_item", last.ID), zap.Bool("required", j.placement.required[last.Group]),
+		zap.Int64("events", last.lastEvent), zap.Int("attempts", last.attempt),
 		zap.Int64s("versions", last.versions), zap.String("replica", last.lastReplica),
 	}
 	if last.lastEvent > 0 {
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -121,12 +121,12 @@
 				delete(p.owners, b.ID)
 				return
 			}
-			seen := p.observe(name, b, now)
+			o := p.observe(name, b, now)
 			switch {
 			case b.Owner == w.runner.self:
 				own = append(own, b.ID)
-			case seen.suspect(w.runner.self, generation, now):
-				suspects = append(suspects, seen)
+			case o.suspect(w.runner.self, generation, now):
+				suspects = append(suspects, o)
 			}
 		})
 	})
@@ -143,21 +143,21 @@
 	if ok && before.still(b) {
 		return before
 	}
-	seen := observation{partition: name, batch: b.ID, owner: b.Owner, signs: b.Signs, at: now}
+	o := observation{partition: name, batch: b.ID, owner: b.Owner, signs: b.Signs, at: now}
 	if before.owner == b.Owner {
-		seen.judgedIn = before.judgedIn
+		o.judgedIn = before.judgedIn
 	}
-	p.owners[b.ID] = seen
-	return seen
+	p.owners[b.ID] = o
+	return o
 }
 
 // noteJudged notes the generation in which owners were looked for.
 func (w *Watcher) noteJudged(suspects []observation, generation int64) {
 	for _, suspect := range suspects {
 		p := w.watched[suspect.partition]
-		if seen := p.owners[suspect.batch]; seen.owner == suspect.owner {
-			seen.judgedIn = generation
-			p.owners[suspect.batch] = seen
+		if o := p.owners[suspect.batch]; o.owner == suspect.owner {
+			o.judgedIn = generation
+			p.owners[suspect.batch] = o
 		}
 	}
 }
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -25,14 +25,33 @@
 	usual time.Duration
 	// byID are the indices of engines.
 	byID  map[string]int
-	tiers map[class]*tiers
-	steps map[stepKey]*step
-	pools map[poolKey]*pool
-	// lastPool, lastTier and lastStep are those looked up last: items in order mostly
-	// share them.
-	lastPool *pool
-	lastTier *tiers
-	lastStep *step
+	tiers cache[class, tiers]
+	steps cache[stepKey, step]
+	pools cache[poolKey, pool]
+}
+
+// cache holds values by key. Items in order mostly share the one that was asked for last.
+type cache[K comparable, V any] struct {
+	values  map[K]*V
+	lastKey K
+	last    *V
+}
+
+// get returns the value of a key, made by newValue if there is none.
+func (c *cache[K, V]) get(key K, newValue func() *V) *V {
+	if c.last != nil && c.lastKey == key {
+		return c.last
+	}
+	v := c.values[key]
+	if v == nil {
+		if c.values == nil {
+			c.values = map[K]*V{}
+		}
+		v = newValue()
+		c.values[key] = v
+	}
+	c.lastKey, c.last = key, v
+	return v
 }
 
 // engineState is an engine as it is after the decisions so far.
@@ -58,10 +77,7 @@
 func classOf(it *Item) class { return class{model: it.Model, minVersion: it.MinVersion} }
 
 func newPlanner(snapshot Snapshot) *planner {
-	p := &planner{
-		Snapshot: snapshot, engines: make([]engineState, len(snapshot.Engines)), byID: make(map[string]int, len(snapshot.Engines)),
-		pools: map[poolKey]*pool{}, tiers: map[class]*tiers{}, steps: map[stepKey]*step{},
-	}
+	p := &planner{Snapshot: snapshot, engines: make([]engineState, len(snapshot.Engines)), byID: make(map[string]int, len(snapshot.Engines))}
 	for i := range snapshot.Engines {
 		e := &snapshot.Engines[i]
 		inFlight := e.InFlight + e.OthersInFlight
--- a/internal/batches/scheduling/pool.go
+++ b/internal/batches/scheduling/pool.go
@@ -11,33 +11,23 @@
 // pool has the engines that passed the filter for the items of one class, the best on top.
 // Its order may be out of date as room is taken: best puts it right.
 type pool struct {
-	poolKey
 	planner *planner
+	choice  choice
 	engines []int
 	scores  []float64
 }
 
 // pool returns the engines for an item.
 func (p *planner) pool(it *Item, choice choice) *pool {
-	key := poolKey{class: classOf(it), choice: choice}
-	if p.lastPool != nil && p.lastPool.poolKey == key {
-		return p.lastPool
-	}
-	pl := p.pools[key]
-	if pl == nil {
-		pl = p.newPool(key, it)
-		p.pools[key] = pl
-	}
-	p.lastPool = pl
-	return pl
+	return p.pools.get(poolKey{class: classOf(it), choice: choice}, func() *pool { return p.newPool(it, choice) })
 }
 
-func (p *planner) newPool(key poolKey, it *Item) *pool {
-	pl := &pool{planner: p, poolKey: key}
+func (p *planner) newPool(it *Item, choice choice) *pool {
+	pl := &pool{planner: p, choice: choice}
 	for i := range p.engines {
-		if p.passes(i, it, key.choice) {
+		if p.passes(i, it, choice) {
 			pl.engines = append(pl.engines, i)
-			pl.scores = append(pl.scores, p.score(i, key.choice))
+			pl.scores = append(pl.scores, p.score(i, choice))
 		}
 	}
 	heap.Init(pl)
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -22,7 +22,6 @@
 
 // step is what the items of one batch come to.
 type step struct {
-	stepKey
 	// end is in how long its longest text could be whole at the best engine, in
 	// nanoseconds.
 	end float64
@@ -32,18 +31,9 @@
 	shortWork    float64
 }
 
+// step returns what an item's batch comes to.
 func (p *planner) step(it *Item) *step {
-	key := stepKey{class: classOf(it), since: it.BatchSince}
-	if p.lastStep != nil && p.lastStep.stepKey == key {
-		return p.lastStep
-	}
-	s := p.steps[key]
-	if s == nil {
-		s = &step{stepKey: key}
-		p.steps[key] = s
-	}
-	p.lastStep = s
-	return s
+	return p.steps.get(stepKey{class: classOf(it), since: it.BatchSince}, func() *step { return &step{} })
 }
 
 // foresee works out when each step could end, which of its texts decide that, and what
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -9,7 +9,6 @@
 
 // tiers are the engines that can run the items of one class, by how fast they are.
 type tiers struct {
-	class
 	// fast engines are kept for texts that need them; fastest are their indices.
 	fast    []bool
 	fastest []int
@@ -25,23 +24,13 @@
 
 // tier returns the engines of an item's class by how fast they are.
 func (p *planner) tier(it *Item) *tiers {
-	key := classOf(it)
-	if p.lastTier != nil && p.lastTier.class == key {
-		return p.lastTier
-	}
-	t := p.tiers[key]
-	if t == nil {
-		t = p.newTiers(key, it)
-		p.tiers[key] = t
-	}
-	p.lastTier = t
-	return t
+	return p.tiers.get(classOf(it), func() *tiers { return p.newTiers(it) })
 }
 
 // newTiers compares the engines of a class. Unless the event times of half of them are
 // known, none counts as fast.
-func (p *planner) newTiers(key class, it *Item) *tiers {
-	t := &tiers{class: key, fast: make([]bool, len(p.Engines))}
+func (p *planner) newTiers(it *Item) *tiers {
+	t := &tiers{fast: make([]bool, len(p.Engines))}
 	var times []float64
 	usable := 0
 	for i := range p.Engines {
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -109,7 +109,8 @@
 const forgetAfter = 30 * time.Second
 
 // New returns a syncer that acts in the name of holder.
-func New(holder string, held *lease.Lease, driver engine.Driver, table *replica.Table, configuration func() *route.Configuration, named Named, demands *demand.State, logger *zap.Logger) *Syncer {
+func New(holder string, held *lease.Lease, driver engine.Driver, table *replica.Table, configuration func() *route.Configuration,
+	named Named, demands *demand.State, logger *zap.Logger) *Syncer {
 	return &Syncer{holder: holder, lease: held, driver: driver, table: table, configuration: configuration, named: named, demands: demands, logger: logger,
 		notes: map[string]*note{}, allotments: map[string][]int{}, loadTime: initialLoadTime,
 		eventTime: func(replica.Replica) (time.Duration, time.Duration) { return 0, 0 }}
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -284,11 +284,14 @@
 // view is a replica as it is now.
 func (l *listed) view(now time.Time) Replica {
 	e := l.learned
-	viewed := Replica{Entry: l.Entry, InFlight: e.inFlight, AvoidUntil: e.avoidUntil, Declining: e.declines > 0, Probing: e.probing, Latency: e.latency, EventTime: e.eventTimes.value(now), EventAt: e.eventTimes.at}
+	r := Replica{
+		Entry: l.Entry, InFlight: e.inFlight, AvoidUntil: e.avoidUntil, Declining: e.declines > 0, Probing: e.probing,
+		Latency: e.latency, EventTime: e.eventTimes.value(now), EventAt: e.eventTimes.at,
+	}
 	if now.Sub(e.reportedAt) <= loadLifetime {
-		viewed.ReportedLoad = e.reported
+		r.ReportedLoad = e.reported
 	}
-	viewed.Slowdown, viewed.SlowdownAge = e.slowdown.value(now)
-	viewed.Versions = e.versions
-	return viewed
+	r.Slowdown, r.SlowdownAge = e.slowdown.value(now)
+	r.Versions = e.versions
+	return r
 }
