--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -45,7 +45,7 @@
 // end takes the attempt's outcome into account.
 func (a *attempt) end(err error) {
 	j, it := a.job, a.item
-	j.r.table.Ended(a.replica.Start())
+	j.r.table.Ended(a.replica.Incarnation())
 	j.mu.Lock()
 	current := it.attempt == a.number
 	if current {
@@ -83,7 +83,7 @@
 // follow reads the events of an open stream until the text is whole.
 func (a *attempt) follow(cancel context.CancelFunc, stream *forward.Stream) error {
 	defer stream.Close()
-	table, start, model := a.job.r.table, a.replica.Start(), a.job.submission.Model
+	table, start, model := a.job.r.table, a.replica.Incarnation(), a.job.submission.Model
 	table.Accepted(start)
 	version := stream.Version
 	if version > 0 {
@@ -153,7 +153,7 @@
 	if next.counts {
 		it.failures++
 	}
-	j.r.report(a.replica.Start(), next.fault)
+	j.r.report(a.replica.Incarnation(), next.fault)
 	j.logger.Info("item attempt failed", zap.String("item", it.ID), zap.String("replica", a.replica.ID), zap.Int("attempt", it.attempt),
 		zap.Int64("events", it.lastEvent), zap.Duration("after", time.Since(it.startedAt)), zap.Error(cause))
 	j.mu.Lock()
--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -44,8 +44,8 @@
 	a := &attempt{pending: p, replica: rep, number: it.beginAttempt(rep.ID, time.Now())}
 	it.state = itemRunning
 	it.timing.enter(phasePrompt, it.startedAt)
-	j.placement.groups[it.Group] = rep.Start()
-	r.table.Started(rep.Start())
+	j.placement.groups[it.Group] = rep.Incarnation()
+	r.table.Started(rep.Incarnation())
 	r.started.Add(1)
 	r.work.Add(1)
 	go func() {
--- a/internal/batches/runner/dispatch_test.go
+++ b/internal/batches/runner/dispatch_test.go
@@ -38,7 +38,7 @@
 	now := replica.Replica{Entry: replica.Entry{ID: "a", Born: time.UnixMilli(2)}}
 	other := replica.Replica{Entry: replica.Entry{ID: "b"}}
 	items := func() []scheduling.Item {
-		return []scheduling.Item{{GroupEngine: string(before.Start())}, {GroupEngine: string(other.Start())}, {}}
+		return []scheduling.Item{{GroupEngine: string(before.Incarnation())}, {GroupEngine: string(other.Incarnation())}, {}}
 	}
 	engines := func(v view) (named []string) {
 		v.nameGroupEngines()
--- a/internal/batches/runner/handover.go
+++ b/internal/batches/runner/handover.go
@@ -29,7 +29,7 @@
 	from := it.attempt
 	req := j.streamRequest(it)
 	j.mu.Unlock()
-	j.r.table.Started(to.Start())
+	j.r.table.Started(to.Incarnation())
 	j.r.started.Add(1)
 	j.r.work.Add(1)
 	go func() {
@@ -75,7 +75,7 @@
 	cancelBefore := it.cancel
 	a.number = it.beginAttempt(a.replica.ID, time.Now())
 	it.cancel = cancel
-	j.placement.groups[it.Group] = a.replica.Start()
+	j.placement.groups[it.Group] = a.replica.Incarnation()
 	if cancelBefore != nil {
 		cancelBefore()
 	}
@@ -87,10 +87,10 @@
 	if err == nil {
 		stream.Close()
 	}
-	a.job.r.table.Ended(a.replica.Start())
+	a.job.r.table.Ended(a.replica.Incarnation())
 	if a.job.ctx.Err() != nil {
 		// The batch ended meanwhile, which says nothing of the replica.
 		return
 	}
-	a.job.r.report(a.replica.Start(), handOverFault(err))
+	a.job.r.report(a.replica.Incarnation(), handOverFault(err))
 }
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -39,7 +39,7 @@
 type placement struct {
 	// groups names the start of the replica that last started an item of a group. Another
 	// start has not read the group's prompt.
-	groups map[string]replica.Start
+	groups map[string]replica.Incarnation
 	// required are the groups that came again: the trainer waits for them.
 	required map[string]bool
 	// lengths forecasts the lengths of texts of the batch's model.
@@ -52,7 +52,7 @@
 	j := &job{
 		r: r, partition: partition, submission: &submission, adoptedAt: time.Now(),
 		logger: r.logger.With(zap.String("batch", b.ID)), results: newResultQueue(),
-		placement: placement{groups: map[string]replica.Start{}},
+		placement: placement{groups: map[string]replica.Incarnation{}},
 	}
 	j.ctx, j.cancel = context.WithCancel(r.ctx)
 	j.placement.required, j.placement.lengths = r.history.begin(&submission)
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -116,7 +116,7 @@
 }
 
 // report tells the table of a replica's fault.
-func (r *Runner) report(start replica.Start, f fault) {
+func (r *Runner) report(start replica.Incarnation, f fault) {
 	switch f {
 	case noFault:
 	case faultDeclined:
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -52,7 +52,7 @@
 func (v *view) nameGroupEngines() {
 	present := make(map[string]string, len(v.replicas))
 	for _, rep := range v.replicas {
-		present[string(rep.Start())] = rep.ID
+		present[string(rep.Incarnation())] = rep.ID
 	}
 	for i := range v.Items {
 		v.Items[i].GroupEngine = present[v.Items[i].GroupEngine]
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -260,7 +260,7 @@
 // list. The list is read when it is first asked for.
 func (n *Node) listed() func(start string) bool {
 	present := sync.OnceValue(n.table.Present)
-	return func(start string) bool { return present()[replica.Start(start)] }
+	return func(start string) bool { return present()[replica.Incarnation(start)] }
 }
 
 // closeExpired closes clients' connections that have rested for longer than they may.
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -93,7 +93,7 @@
 // note is what is remembered of one engine, or of one start of it: a change and its rest
 // belong to the start that they were ordered of.
 type note struct {
-	start replica.Start
+	start replica.Incarnation
 	// model is the one that the engine was dealt to, "" for none.
 	model   string
 	loading bool
@@ -196,9 +196,9 @@
 	defer s.mu.Unlock()
 	for _, rep := range replicas {
 		n := s.noteOf(rep.ID)
-		if n.start != rep.Start() {
+		if n.start != rep.Incarnation() {
 			// The engine keeps the model that it was dealt to, and nothing else.
-			n = &note{start: rep.Start(), model: n.model}
+			n = &note{start: rep.Incarnation(), model: n.model}
 			s.notes[rep.ID] = n
 		}
 		n.listedAt = now
@@ -395,7 +395,7 @@
 		return engine.Report{}, errStartedAgain
 	}
 	for model, version := range report.Versions {
-		s.table.HoldsVersion(c.replica.Start(), model, version)
+		s.table.HoldsVersion(c.replica.Incarnation(), model, version)
 	}
 	return report, nil
 }
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -46,7 +46,7 @@
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
 	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errStartedAgain))
 	now := table.Replicas("s")[0]
-	is.Equal(now.Start(), startOf(1, 0).Start())
+	is.Equal(now.Incarnation(), startOf(1, 0).Incarnation())
 	is.Equal(now.Versions["m"], int64(0)) // to be changed, as nothing is known of it
 	driver.report = engine.Report{Born: startOf(0, 4).Born, Versions: map[string]int64{"m": 9}}
 	due.replica = now
--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -24,7 +24,7 @@
 	forgetAfter = 30 * time.Second
 )
 
-// experience is what this daemon has learned of one start of a replica by itself.
+// experience is what this daemon has learned of one incarnation of a replica by itself.
 type experience struct {
 	inFlight   int
 	failures   int
@@ -46,13 +46,13 @@
 	last Entry
 }
 
-// experience returns what was learned of a start. One that is not listed is forgotten like
+// experience returns what was learned of an incarnation. One that is not listed is forgotten like
 // one that is gone. The mutex is held.
-func (t *Table) experience(start Start) *experience {
-	e := t.learned[start]
+func (t *Table) experience(i Incarnation) *experience {
+	e := t.learned[i]
 	if e == nil {
 		e = &experience{versions: map[string]int64{}, goneAt: t.now()}
-		t.learned[start] = e
+		t.learned[i] = e
 	}
 	return e
 }
@@ -68,47 +68,47 @@
 }
 
 // Started counts a request on its way to a replica.
-func (t *Table) Started(start Start) {
+func (t *Table) Started(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(start)
+	e := t.experience(i)
 	e.inFlight++
 	e.probing = e.declines > 0
 }
 
 // Ended takes a request off the count.
-func (t *Table) Ended(start Start) {
+func (t *Table) Ended(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(start)
+	e := t.experience(i)
 	e.inFlight--
 	e.probing = false
 	t.notify()
 }
 
 // Succeeded notes an answer and how long it took.
-func (t *Table) Succeeded(start Start, took time.Duration) {
+func (t *Table) Succeeded(i Incarnation, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(start)
+	e := t.experience(i)
 	e.failures = 0
 	e.avoidUntil = time.Time{}
 	e.latency = average(e.latency, took)
 }
 
 // ReportLoad notes how many requests of all callers a replica has, as its answer reports.
-func (t *Table) ReportLoad(start Start, requests int) {
+func (t *Table) ReportLoad(i Incarnation, requests int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(start)
+	e := t.experience(i)
 	e.reported, e.reportedAt = requests, time.Now()
 }
 
 // ObserveEvent notes the time between two events of a stream.
-func (t *Table) ObserveEvent(start Start, gap time.Duration) {
+func (t *Table) ObserveEvent(i Incarnation, gap time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.experience(start).eventTimes.note(gap, time.Now())
+	t.experience(i).eventTimes.note(gap, time.Now())
 }
 
 func average(mean, value time.Duration) time.Duration {
@@ -120,10 +120,10 @@
 
 // Failed notes an exchange that got no sound answer: others are preferred for
 // a while that grows with each failure in a row.
-func (t *Table) Failed(start Start) {
+func (t *Table) Failed(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(start)
+	e := t.experience(i)
 	e.failures++
 	avoid := minAvoid << min(e.failures-1, 6)
 	e.avoidUntil = time.Now().Add(min(avoid, maxAvoid))
@@ -131,10 +131,10 @@
 
 // Busy notes that a replica declined a short request: others are preferred for
 // the given time.
-func (t *Table) Busy(start Start, pause time.Duration) {
+func (t *Table) Busy(i Incarnation, pause time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(start)
+	e := t.experience(i)
 	if until := time.Now().Add(pause); until.After(e.avoidUntil) {
 		e.avoidUntil = until
 	}
@@ -142,10 +142,10 @@
 
 // Declined notes that a replica declined a request: others are preferred for a
 // while that grows with each further one.
-func (t *Table) Declined(start Start) {
+func (t *Table) Declined(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(start)
+	e := t.experience(i)
 	now := time.Now()
 	if now.Before(e.avoidUntil) {
 		return
@@ -155,19 +155,19 @@
 }
 
 // Accepted notes that a replica has begun to answer a request.
-func (t *Table) Accepted(start Start) {
+func (t *Table) Accepted(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(start)
+	e := t.experience(i)
 	e.declines, e.probing = 0, false
 }
 
 // HoldsVersion notes a version of a model that a replica was seen to hold.
 // Versions only rise.
-func (t *Table) HoldsVersion(start Start, model string, version int64) {
+func (t *Table) HoldsVersion(i Incarnation, model string, version int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.experience(start).raise(model, version) {
+	if t.experience(i).raise(model, version) {
 		t.notify()
 	}
 }
@@ -177,13 +177,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	for start, e := range t.learned {
+	for i, e := range t.learned {
 		if !e.goneAt.IsZero() && e.inFlight == 0 && now.Sub(e.goneAt) > forgetAfter {
-			delete(t.learned, start)
+			delete(t.learned, i)
 		}
 	}
 	for id, newest := range t.newest {
-		if t.learned[newest.Start()] == nil {
+		if t.learned[newest.Incarnation()] == nil {
 			delete(t.newest, id)
 		}
 	}
--- a/internal/replicas/replica/start.go
+++ b/internal/replicas/replica/incarnation.go
@@ -8,44 +8,44 @@
 	"go.uber.org/zap"
 )
 
-// Start names one start of a replica's process: its id, with when it started if it says
+// Incarnation names one life of a replica's process: its id, with when it started if it says
 // so. A replica that starts again under its id holds and knows nothing of before.
-type Start string
+type Incarnation string
 
-// bornSeparator stands between an id and the time of a start, in milliseconds.
+// bornSeparator stands between an id and the time of its start, in milliseconds.
 const bornSeparator = "@"
 
-// Start names the start that the entry is of.
-func (e Entry) Start() Start {
+// Incarnation names the life of the process that the entry is of.
+func (e Entry) Incarnation() Incarnation {
 	if e.Born.IsZero() {
-		return Start(e.ID)
+		return Incarnation(e.ID)
 	}
-	return Start(e.ID + bornSeparator + strconv.FormatInt(e.Born.UnixMilli(), 10))
+	return Incarnation(e.ID + bornSeparator + strconv.FormatInt(e.Born.UnixMilli(), 10))
 }
 
-// EndsOnce reports whether the name tells two starts of a replica apart, so that its
+// EndsOnce reports whether the name tells two incarnations of a replica apart, so that its
 // process can end only once.
-func (s Start) EndsOnce() bool {
-	_, ok := s.split()
+func (i Incarnation) EndsOnce() bool {
+	_, ok := i.split()
 	return ok
 }
 
 // ID returns the id of the replica.
-func (s Start) ID() string {
-	id, _ := s.split()
+func (i Incarnation) ID() string {
+	id, _ := i.split()
 	return id
 }
 
 // split returns the id of a name, and whether the name says when the process started.
-func (s Start) split() (id string, ok bool) {
-	at := strings.LastIndex(string(s), bornSeparator)
+func (i Incarnation) split() (id string, ok bool) {
+	at := strings.LastIndex(string(i), bornSeparator)
 	if at < 0 {
-		return string(s), false
+		return string(i), false
 	}
-	if _, err := strconv.ParseInt(string(s[at+1:]), 10, 64); err != nil {
-		return string(s), false
+	if _, err := strconv.ParseInt(string(i[at+1:]), 10, 64); err != nil {
+		return string(i), false
 	}
-	return string(s[:at]), true
+	return string(i[:at]), true
 }
 
 // OnRestart sets what is called with the address at which a replica was listed when it is
@@ -55,7 +55,7 @@
 func (t *Table) OnRestart(restarted func(address string)) { t.restarted = restarted }
 
 // Seen notes what a replica itself says of when it started. It reports whether that is
-// the start that is meant. After a later one, what was known of the replica is forgotten.
+// the incarnation that is meant. After a later one, what was known of the replica is forgotten.
 func (t *Table) Seen(meant Replica, born time.Time) bool {
 	if born.IsZero() || meant.Born.IsZero() || born.Equal(meant.Born) {
 		return true
@@ -71,19 +71,19 @@
 	return false
 }
 
-// Present returns the starts that are listed, also of replicas that drain or can't be
+// Present returns the incarnations that are listed, also of replicas that drain or can't be
 // used.
-func (t *Table) Present() map[Start]bool {
+func (t *Table) Present() map[Incarnation]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	present := make(map[Start]bool, len(t.entries))
+	present := make(map[Incarnation]bool, len(t.entries))
 	for _, l := range t.entries {
-		present[l.Start()] = true
+		present[l.Incarnation()] = true
 	}
 	return present
 }
 
-// isNewest makes an entry one of the newest start that is known, and reports whether it
+// isNewest makes an entry one of the newest incarnation that is known, and reports whether it
 // is. An entry of an earlier one was written late, or is left of a compaction. The mutex
 // is held.
 func (t *Table) isNewest(entry *Entry) bool {
@@ -103,11 +103,11 @@
 	return true
 }
 
-// restart forgets a start that another one of the same id follows. What is under way
-// there is still counted, for that start. The mutex is held.
+// restart forgets an incarnation that another one of the same id follows. What is under way
+// there is still counted, for that one. The mutex is held.
 func (t *Table) restart(before, now Entry) {
 	inFlight := 0
-	if e := t.learned[before.Start()]; e != nil {
+	if e := t.learned[before.Incarnation()]; e != nil {
 		inFlight = e.inFlight
 		e.goneAt, e.last = t.now(), Entry{}
 	}
--- a/internal/replicas/replica/start_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -34,36 +34,36 @@
 		seen := func() Replica { return table.Replicas("s")[0] }
 		before := seen()
 		for range 3 {
-			table.Started(before.Start())
+			table.Started(before.Incarnation())
 		}
-		table.Succeeded(before.Start(), time.Second)
-		table.Failed(before.Start())
-		table.ReportLoad(before.Start(), 7)
-		table.ReportSlowdown(before.Start(), 3)
+		table.Succeeded(before.Incarnation(), time.Second)
+		table.Failed(before.Incarnation())
+		table.ReportLoad(before.Incarnation(), 7)
+		table.ReportSlowdown(before.Incarnation(), 3)
 		for range eventWindow {
-			table.ObserveEvent(before.Start(), 50*time.Millisecond)
+			table.ObserveEvent(before.Incarnation(), 50*time.Millisecond)
 		}
 		time.Sleep(minAvoid)
-		table.Declined(before.Start())
+		table.Declined(before.Incarnation())
 		table.Set(started("a", 1, 2))
 		now := seen()
-		is.True(now.Start() != before.Start())
+		is.True(now.Incarnation() != before.Incarnation())
 		is.Equal(now.Versions, map[string]int64{"m": 2})
 		is.Equal([]time.Duration{now.Latency, now.EventTime}, []time.Duration{0, 0})
 		is.True(!now.Declining && !now.Probing && now.AvoidUntil.IsZero())
 		is.Equal([]int{now.InFlight, now.ReportedLoad}, []int{0, 0})
 		is.Equal(now.Slowdown, 1.0)
 		// What the earlier start's requests still tell is of no concern to the next one.
-		table.Started(now.Start())
+		table.Started(now.Incarnation())
 		for range 3 {
-			table.HoldsVersion(before.Start(), "m", 9)
-			table.Failed(before.Start())
-			table.Ended(before.Start())
+			table.HoldsVersion(before.Incarnation(), "m", 9)
+			table.Failed(before.Incarnation())
+			table.Ended(before.Incarnation())
 		}
 		is.Equal(seen().InFlight, 1)
 		is.Equal(seen().Versions, map[string]int64{"m": 2})
 		is.True(seen().AvoidUntil.IsZero())
-		table.Ended(now.Start())
+		table.Ended(now.Incarnation())
 		is.Equal(seen().InFlight, 0)
 		time.Sleep(forgetAfter + time.Second)
 		table.Sweep()
@@ -97,9 +97,9 @@
 	is := is.New(t)
 	table := NewTable(drainBound, zap.NewNop())
 	table.Set(started("a", 1, 2))
-	start := table.Replicas("s")[0].Start()
+	i := table.Replicas("s")[0].Incarnation()
 	table.Set(entry("a"))
-	is.Equal(table.Replicas("s")[0].Start(), start)
+	is.Equal(table.Replicas("s")[0].Incarnation(), i)
 	is.Equal(table.Replicas("s")[0].Versions, map[string]int64{"m": 2})
 }
 
@@ -132,26 +132,26 @@
 	is.True(table.Seen(meant, time.Time{}))
 	is.True(table.Seen(meant, meant.Born))
 	is.True(!table.Seen(meant, started("a", 0, 9).Born)) // its answer is late
-	is.Equal(table.Replicas("s")[0].Start(), meant.Start())
+	is.Equal(table.Replicas("s")[0].Incarnation(), meant.Incarnation())
 	later := started("a", 2, 1)
 	is.True(!table.Seen(meant, later.Born))
 	now := table.Replicas("s")[0]
-	is.Equal(now.Start(), later.Start())
+	is.Equal(now.Incarnation(), later.Incarnation())
 	is.Equal(len(now.Versions), 0)
 	table.Set(started("a", 1, 9)) // the entry of before
-	is.Equal(table.Replicas("s")[0].Start(), later.Start())
+	is.Equal(table.Replicas("s")[0].Incarnation(), later.Incarnation())
 	table.Set(later)
 	is.Equal(table.Replicas("s")[0].Versions, map[string]int64{"m": 1})
 }
 
 func TestNamesOfStarts(t *testing.T) {
 	is := is.New(t)
-	for name, id := range map[Start]string{"a": "a", "a@5": "a", "a@b@5": "a@b", "a@b": "a@b", "a@": "a@"} {
+	for name, id := range map[Incarnation]string{"a": "a", "a@5": "a", "a@b@5": "a@b", "a@b": "a@b", "a@": "a@"} {
 		is.Equal(name.ID(), id)
 		is.Equal(name.EndsOnce(), string(name) != id)
 	}
-	is.Equal(started("a", 0, 1).Start(), Start("a@1764700000000"))
-	is.Equal(entry("a").Start(), Start("a"))
+	is.Equal(started("a", 0, 1).Incarnation(), Incarnation("a@1764700000000"))
+	is.Equal(entry("a").Incarnation(), Incarnation("a"))
 }
 
 // Whatever happens in whatever order, no count is below zero or counts another start's
@@ -160,8 +160,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable(drainBound, zap.NewNop())
 		newest, listed := -1, false
-		underWay := map[Start]int{}
-		held := map[Start]int64{}
+		underWay := map[Incarnation]int{}
+		held := map[Incarnation]int64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
@@ -170,21 +170,21 @@
 				table.Set(of)
 				if number >= newest {
 					newest, listed = number, true
-					held[of.Start()] = max(held[of.Start()], of.Versions["m"])
+					held[of.Incarnation()] = max(held[of.Incarnation()], of.Versions["m"])
 				}
 			case 2:
 				table.Remove("a")
 				listed = false
 			case 3:
 				if now, found := table.Get("a"); found {
-					table.Started(now.Start())
-					underWay[now.Start()]++
+					table.Started(now.Incarnation())
+					underWay[now.Incarnation()]++
 				}
 			case 4:
-				for start, count := range underWay {
+				for i, count := range underWay {
 					if count > 0 {
-						table.Ended(start)
-						underWay[start]--
+						table.Ended(i)
+						underWay[i]--
 						break
 					}
 				}
@@ -193,8 +193,8 @@
 			if found != listed {
 				t.Fatalf("listed %v, should be %v", found, listed)
 			}
-			if found && (now.Start() != started("a", newest, 0).Start() || now.InFlight != underWay[now.Start()] || now.Versions["m"] != held[now.Start()]) {
-				t.Fatalf("%s: %d under way, holds %d; should be %d, %d", now.Start(), now.InFlight, now.Versions["m"], underWay[now.Start()], held[now.Start()])
+			if found && (now.Incarnation() != started("a", newest, 0).Incarnation() || now.InFlight != underWay[now.Incarnation()] || now.Versions["m"] != held[now.Incarnation()]) {
+				t.Fatalf("%s: %d under way, holds %d; should be %d, %d", now.Incarnation(), now.InFlight, now.Versions["m"], underWay[now.Incarnation()], held[now.Incarnation()])
 			}
 		}
 	})
@@ -206,8 +206,8 @@
 		is := is.New(t)
 		table := NewTable(drainBound, zap.NewNop())
 		table.Replace([]Entry{entry("a"), entry("b")})
-		for _, start := range []Start{"a", "b"} {
-			table.Succeeded(start, 30*time.Millisecond)
+		for _, i := range []Incarnation{"a", "b"} {
+			table.Succeeded(i, 30*time.Millisecond)
 		}
 		paceOf := func() float64 {
 			known, _ := table.Get("a")
@@ -259,13 +259,13 @@
 	table.Set(started("a", 0, 1))
 	r, _ := table.Get("a")
 	for b.Loop() {
-		table.ObserveEvent(r.Start(), time.Millisecond)
+		table.ObserveEvent(r.Incarnation(), time.Millisecond)
 	}
 }
 
 func BenchmarkStart(b *testing.B) {
 	chosen := started("engine-0123456789", 0, 1)
 	for b.Loop() {
-		_ = chosen.Start()
+		_ = chosen.Incarnation()
 	}
 }
--- a/internal/replicas/replica/slowdown.go
+++ b/internal/replicas/replica/slowdown.go
@@ -37,8 +37,8 @@
 
 // ReportSlowdown notes how long work takes at a replica at present, as its answer reports:
 // 1 is as usual there, 2 twice as long.
-func (t *Table) ReportSlowdown(start Start, ratio float64) {
+func (t *Table) ReportSlowdown(i Incarnation, ratio float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.experience(start).slowdown = slowdown{reported: min(max(ratio, minSlowdown), maxSlowdown), at: time.Now()}
+	t.experience(i).slowdown = slowdown{reported: min(max(ratio, minSlowdown), maxSlowdown), at: time.Now()}
 }
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -2,16 +2,16 @@
 // and what this daemon's own exchanges with each have shown.
 //
 // Replicas end and start again under their ids, hundreds at a time where their service is
-// replaced, and their entries may be written late. What was learned belongs to one start
-// (Start): whoever has picked a replica reports to the table by the start that was picked,
+// replaced, and their entries may be written late. What was learned belongs to one
+// Incarnation: whoever has picked a replica reports to the table by the one that was picked,
 // which changes nothing once another one has followed.
 //
 // The package owns the Table, in memory only; the list in it is fed by package catalog. Pick
 // is the rule for plain requests; items of batches are placed by package scheduling over the
 // same table.
 //
-// Invariants: the newest birth of an id counts; a start's versions only rise; no count of
-// requests under way is below zero or has another start's requests.
+// Invariants: the newest birth of an id counts; an incarnation's versions only rise; no
+// count of requests under way is below zero or has another incarnation's requests.
 //
 // # Usage
 //
@@ -102,9 +102,9 @@
 	entries map[string]*listed
 	// services has the entries of each service, by id.
 	services map[string]map[string]*listed
-	// learned is by start. That of an earlier start stays while requests are under way there.
-	learned map[Start]*experience
-	// newest has the newest start of each id that was listed of late.
+	// learned is by incarnation. That of an earlier one stays while requests are under way there.
+	learned map[Incarnation]*experience
+	// newest has the newest incarnation of each id that was listed of late.
 	newest map[string]Entry
 	// restarted is called with addresses of replicas that have started again.
 	restarted func(address string)
@@ -116,7 +116,7 @@
 func NewTable(drainBound time.Duration, logger *zap.Logger) *Table {
 	return &Table{
 		logger: logger, removedGrace: drainBound / 2, now: bootclock.Now,
-		entries: map[string]*listed{}, services: map[string]map[string]*listed{}, learned: map[Start]*experience{}, newest: map[string]Entry{},
+		entries: map[string]*listed{}, services: map[string]map[string]*listed{}, learned: map[Incarnation]*experience{}, newest: map[string]Entry{},
 		restarted: func(string) {}, changed: make(chan struct{}),
 	}
 }
@@ -176,7 +176,7 @@
 	if before != nil && before.Service != entry.Service {
 		delete(t.services[before.Service], entry.ID)
 	}
-	e := t.experience(entry.Start())
+	e := t.experience(entry.Incarnation())
 	now := &listed{Entry: entry, learned: e}
 	t.entries[entry.ID] = now
 	if t.services[entry.Service] == nil {
--- a/internal/requests/admission/service_test.go
+++ b/internal/requests/admission/service_test.go
@@ -102,20 +102,20 @@
 			break
 		}
 		tried[chosen.ID] = true
-		d.table.Started(chosen.Start())
+		d.table.Started(chosen.Incarnation())
 		wait(ctx, time.Millisecond)
 		load, ran := d.service.replicas[chosen.ID].run(ctx, work)
-		d.table.Ended(chosen.Start())
+		d.table.Ended(chosen.Incarnation())
 		if ctx.Err() != nil {
 			return Lost{}
 		}
 		if ran {
 			if d.service.tells {
-				d.table.ReportLoad(chosen.Start(), load)
+				d.table.ReportLoad(chosen.Incarnation(), load)
 			}
 			return Answered{Took: time.Since(began)}
 		}
-		d.table.Busy(chosen.Start(), 60*time.Millisecond)
+		d.table.Busy(chosen.Incarnation(), 60*time.Millisecond)
 	}
 	return Declined{}
 }
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -48,13 +48,13 @@
 // ran. The end of a replica that was leaving was planned.
 func (f *Forwarder) suspect(failed failedAttempt, liveness upstream.Liveness) {
 	chosen := failed.chosen
-	if now, listed := f.Table.Get(chosen.ID); listed && now.Draining && now.Start() == chosen.Start() {
+	if now, listed := f.Table.Get(chosen.ID); listed && now.Draining && now.Incarnation() == chosen.Incarnation() {
 		return
 	}
 	if liveness == upstream.Gone {
-		f.Quarantine.Ended(failed.content, string(chosen.Start()), chosen.Service)
+		f.Quarantine.Ended(failed.content, string(chosen.Incarnation()), chosen.Service)
 	} else {
-		f.Quarantine.Broke(failed.content, string(chosen.Start()), chosen.Service)
+		f.Quarantine.Broke(failed.content, string(chosen.Incarnation()), chosen.Service)
 	}
 }
 
--- a/internal/requests/forward/offer.go
+++ b/internal/requests/forward/offer.go
@@ -26,10 +26,10 @@
 
 // attempt offers the call to one replica. Over is called once the exchange is.
 func (f *Forwarder) attempt(ctx context.Context, over func(), call *Call, chosen replica.Replica) result {
-	f.Table.Started(chosen.Start())
+	f.Table.Started(chosen.Incarnation())
 	end := func() {
 		over()
-		f.Table.Ended(chosen.Start())
+		f.Table.Ended(chosen.Incarnation())
 	}
 	started := time.Now()
 	answer, sentAt, ran, err := f.exchange(ctx, call, chosen)
@@ -48,7 +48,7 @@
 		}
 		return result{err: err, ran: ran, replica: chosen.ID}
 	}
-	f.Table.Succeeded(chosen.Start(), time.Since(started))
+	f.Table.Succeeded(chosen.Incarnation(), time.Since(started))
 	answer.Replica = chosen.ID
 	answer.end = end
 	if answer.Rest == nil {
@@ -92,10 +92,10 @@
 
 func (f *Forwarder) learn(chosen replica.Replica, err error) {
 	if errors.Is(err, errDeclined) || errors.Is(err, upstream.ErrFull) {
-		f.Table.Busy(chosen.Start(), declinedPause)
+		f.Table.Busy(chosen.Incarnation(), declinedPause)
 		return
 	}
-	f.Table.Failed(chosen.Start())
+	f.Table.Failed(chosen.Incarnation())
 	f.failures().Note(logging.Occurrence{Key: chosen.ID}, zap.String("service", chosen.Service), zap.Error(err))
 }
 
@@ -169,9 +169,9 @@
 	if !ok {
 		return
 	}
-	f.Table.ReportLoad(chosen.Start(), load.Running+load.Waiting)
+	f.Table.ReportLoad(chosen.Incarnation(), load.Running+load.Waiting)
 	if load.WorkPace > 0 {
-		f.Table.ReportSlowdown(chosen.Start(), load.WorkPace)
+		f.Table.ReportSlowdown(chosen.Incarnation(), load.WorkPace)
 	}
 }
 
--- a/internal/requests/forward/suspect.go
+++ b/internal/requests/forward/suspect.go
@@ -64,7 +64,7 @@
 	if f.Quarantine.Quiet() {
 		return func() {}, nil
 	}
-	switch verdict := f.Quarantine.Judge(content, string(chosen.Start()), func() []string { return f.others(chosen) }).(type) {
+	switch verdict := f.Quarantine.Judge(content, string(chosen.Incarnation()), func() []string { return f.others(chosen) }).(type) {
 	case quarantine.Alone:
 		release = verdict.End
 	case quarantine.Wait:
@@ -99,7 +99,7 @@
 	var starts []string
 	for _, each := range f.Table.Replicas(chosen.Service) {
 		if each.ID != chosen.ID {
-			starts = append(starts, string(each.Start()))
+			starts = append(starts, string(each.Incarnation()))
 		}
 	}
 	return starts
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -125,8 +125,8 @@
 // proper end, ran that the replica ran it or may have.
 func (s *streamRelay) attempt(ctx context.Context, chosen replica.Replica) (whole, ran bool, err error) {
 	forwarder := s.handler.Forwarder
-	forwarder.Table.Started(chosen.Start())
-	defer forwarder.Table.Ended(chosen.Start())
+	forwarder.Table.Started(chosen.Incarnation())
+	defer forwarder.Table.Ended(chosen.Incarnation())
 	s.call.Deadline = s.timeLeft() + answerMargin
 	sentAt := s.handler.Clock()
 	stream, err := forwarder.OpenStream(ctx, s.call, chosen)
@@ -140,7 +140,7 @@
 	}
 	if err != nil {
 		if ctx.Err() == nil && !errors.Is(err, upstream.ErrFull) {
-			forwarder.Table.Failed(chosen.Start())
+			forwarder.Table.Failed(chosen.Incarnation())
 		}
 		return false, ran, err
 	}
--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -16,7 +16,7 @@
 	// lifts its refusal. What is known of an earlier epoch counts no more.
 	Epoch int64 `cbor:"2,keyasint" json:"epoch"`
 	// Ended counts, by replica, how often each ended under the content in this epoch. A
-	// replica is named by its start (replica.Start), so that one that starts again under
+	// replica is named by its incarnation (replica.Incarnation), so that one that starts again under
 	// its id can be told from the one that ended; where it doesn't tell when it started,
 	// that is its id, and each end that is sameEnd after the last counts.
 	Ended map[string]int `cbor:"3,keyasint" json:"replicas_ended"`
@@ -125,7 +125,7 @@
 // which another run of the content, here or at another daemon, has shown.
 func (s *suspect) addEnd(name string, now time.Time) bool {
 	seen, before := s.seenAt[name]
-	if before && (replica.Start(name).EndsOnce() || now.Sub(seen) < sameEnd) {
+	if before && (replica.Incarnation(name).EndsOnce() || now.Sub(seen) < sameEnd) {
 		return false
 	}
 	return s.raise(name, s.Ended[name]+1, now)
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -50,7 +50,7 @@
 		return
 	}
 	s.ownChange = true
-	t.logger.Warn("replica ended under a content", zap.String("content", s.Digest.Short()), zap.String("replica", replica.Start(name).ID()), zap.String("start", name),
+	t.logger.Warn("replica ended under a content", zap.String("content", s.Digest.Short()), zap.String("replica", replica.Incarnation(name).ID()), zap.String("start", name),
 		zap.String("service", s.Label.Service), zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()), zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()),
 		zap.String("host", s.Label.Host), zap.String("target", s.Label.Target), zap.String("caller", s.Label.Caller))
 	t.announce(s)
--- a/internal/requests/quarantine/start_test.go
+++ b/internal/requests/quarantine/start_test.go
@@ -14,7 +14,7 @@
 	var names []string
 	for i := range count {
 		entry := replica.Entry{ID: "a", Born: time.UnixMilli(1_764_700_000_000 + int64(i)*1000)}
-		names = append(names, string(entry.Start()))
+		names = append(names, string(entry.Incarnation()))
 	}
 	return names
 }
