--- a/internal/batches/ledger/append.go
+++ b/internal/batches/ledger/append.go
@@ -2,22 +2,30 @@
 
 import (
 	"context"
+	"crypto/rand"
+	"encoding/hex"
+	"time"
 
 	"github.com/pkg/errors"
 
+	"woodworks/internal/batches/batch"
 	"woodworks/internal/journal"
 )
 
-// pendingAppend is a record on its way, with those that wait for its fate.
-type pendingAppend struct {
+const (
+	// appendTimeout bounds one append.
+	appendTimeout = 1500 * time.Millisecond
+	// recordOverhead is what the journal adds to a record in an append, in bytes.
+	recordOverhead = 4
+)
+
+// appendCall is a record, or a part of one, that waits for its append.
+type appendCall struct {
 	records [][]byte
 	size    int
 	done    chan error
 }
 
-// recordOverhead is what the journal adds to a record in an append, in bytes.
-const recordOverhead = 4
-
 // Append adds a record once. It returns nil when the journal has acknowledged
 // it, ErrNotDone if it is certain that it was not and will not be added, or
 // ErrUnknown. Records of calls at the same time go out in one append.
@@ -37,14 +45,14 @@
 }
 
 // splitAppends cuts a record into as many appends as the journal makes necessary.
-func (p *Partition) splitAppends(record []byte) []*pendingAppend {
+func (p *Partition) splitAppends(record []byte) []*appendCall {
 	limit := p.ledger.journal.MaxAppendBytes()
-	current := &pendingAppend{done: make(chan error, 1)}
-	appends := []*pendingAppend{current}
-	for _, fragment := range fragmentFor(p.ledger.journal, record) {
+	current := &appendCall{done: make(chan error, 1)}
+	appends := []*appendCall{current}
+	for _, fragment := range batch.Fragment(record, p.ledger.journal.MaxRecordBytes(), newKey()) {
 		size := len(fragment) + recordOverhead
 		if current.size > 0 && current.size+size > limit {
-			current = &pendingAppend{done: make(chan error, 1)}
+			current = &appendCall{done: make(chan error, 1)}
 			appends = append(appends, current)
 		}
 		current.records = append(current.records, fragment)
@@ -53,16 +61,17 @@
 	return appends
 }
 
-func (p *Partition) appendPart(ctx context.Context, waiting *pendingAppend) error {
+// appendPart hands a call to the appends of the partition and waits for its outcome.
+func (p *Partition) appendPart(ctx context.Context, call *appendCall) error {
 	p.mu.Lock()
-	p.pending = append(p.pending, waiting)
+	p.pending = append(p.pending, call)
 	if !p.appending {
 		p.appending = true
 		go p.appendPending()
 	}
 	p.mu.Unlock()
 	select {
-	case err := <-waiting.done:
+	case err := <-call.done:
 		return err
 	case <-ctx.Done():
 		return errors.Wrap(ErrUnknown, ctx.Err().Error())
@@ -72,43 +81,44 @@
 // appendPending sends what waits, all that fits in one append at a time.
 func (p *Partition) appendPending() {
 	for {
-		group := p.takeGroup()
-		if len(group) == 0 {
+		calls := p.takePending()
+		if len(calls) == 0 {
 			return
 		}
-		err := p.appendGroup(group)
-		for _, waiting := range group {
-			waiting.done <- err
+		err := p.appendTogether(calls)
+		for _, call := range calls {
+			call.done <- err
 		}
 	}
 }
 
-// takeGroup takes the records of the next append, or none and ends the sending.
-func (p *Partition) takeGroup() []*pendingAppend {
+// takePending takes the calls of the next append, or none and ends the sending.
+func (p *Partition) takePending() []*appendCall {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	limit := p.ledger.journal.MaxAppendBytes()
 	size, count := 0, 0
-	for _, waiting := range p.pending {
-		if count > 0 && size+waiting.size > limit {
+	for _, call := range p.pending {
+		if count > 0 && size+call.size > limit {
 			break
 		}
-		size += waiting.size
+		size += call.size
 		count++
 	}
-	group := p.pending[:count:count]
+	calls := p.pending[:count:count]
 	p.pending = p.pending[count:]
 	if count == 0 {
 		p.appending = false
 		p.pending = nil
 	}
-	return group
+	return calls
 }
 
-func (p *Partition) appendGroup(group []*pendingAppend) error {
+// appendTogether makes one append for several calls, and folds its records.
+func (p *Partition) appendTogether(calls []*appendCall) error {
 	var records [][]byte
-	for _, waiting := range group {
-		records = append(records, waiting.records...)
+	for _, call := range calls {
+		records = append(records, call.records...)
 	}
 	bounded, cancel := context.WithTimeout(p.ledger.ctx, appendTimeout)
 	defer cancel()
@@ -122,3 +132,10 @@
 	p.fold(appended.Offset, records)
 	return nil
 }
+
+// newKey returns a name for the fragments of one record that no other has.
+func newKey() string {
+	var random [9]byte
+	_, _ = rand.Read(random[:]) // It never fails.
+	return hex.EncodeToString(random[:])
+}
--- a/internal/batches/ledger/ledger.go
+++ b/internal/batches/ledger/ledger.go
@@ -5,12 +5,20 @@
 // is read again from the journal when somebody asks. What a reader is told is
 // never older than what any daemon told before the question came: an answer
 // that denies something follows a read that was begun after the question.
+//
+// The package owns the folds and the appends on their way. It relies on batch for what a record
+// means and how a long one is cut, and on the journal for all that lasts.
+//
+// # Usage
+//
+//	partition := ledger.New(ctx, log, logger).Of(batchID)
+//	err := partition.Append(ctx, record)
+//	err = partition.CatchUp(ctx)
+//	partition.View(func(state *batch.State) { ... })
 package ledger
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/hex"
 	"hash/fnv"
 	"strconv"
 	"sync"
@@ -19,11 +27,10 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batches/batch"
 	"woodworks/internal/journal"
 )
 
-// Errors of the ledger.
+// Errors of the ledger. Callers read their texts, in the body of a refusal.
 var (
 	// ErrNotDone: the record was not added and will not be.
 	ErrNotDone = errors.New("ledger: not done")
@@ -69,7 +76,7 @@
 // Locate returns the partition of a batch.
 func (l *Ledger) Locate(batchID string) journal.Partition {
 	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(batchID))
+	_, _ = hash.Write([]byte(batchID)) // It never fails.
 	perTopic := max(l.journal.PartitionsPerTopic(), 1)
 	index := int(hash.Sum32() % uint32(Topics*perTopic))
 	return journal.Partition{Topic: topicPrefix + strconv.Itoa(index/perTopic), Number: index % perTopic}
@@ -107,11 +114,11 @@
 func (l *Ledger) Known() []*Partition {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := make([]*Partition, 0, len(l.partitions))
+	partitions := make([]*Partition, 0, len(l.partitions))
 	for _, p := range l.partitions {
-		known = append(known, p)
+		partitions = append(partitions, p)
 	}
-	return known
+	return partitions
 }
 
 // Sweep drops the folds that nobody has used for a while.
@@ -124,13 +131,3 @@
 		}
 	}
 }
-
-func newKey() string {
-	var random [9]byte
-	_, _ = rand.Read(random[:])
-	return hex.EncodeToString(random[:])
-}
-
-func fragmentFor(log journal.Journal, record []byte) [][]byte {
-	return batch.Fragment(record, log.MaxRecordBytes(), newKey())
-}
--- /dev/null
+++ b/internal/batches/ledger/read.go
@@ -0,0 +1,150 @@
+package ledger
+
+import (
+	"context"
+	"time"
+
+	"github.com/pkg/errors"
+	"go.uber.org/zap"
+
+	"woodworks/internal/journal"
+	"woodworks/internal/journal/questiontime"
+)
+
+const (
+	// readTimeout bounds a read beyond the time that it waits for records.
+	readTimeout = questiontime.Read
+	// pageBytes bounds the answer to a read: a link of 60 Mbit/s takes 35 ms for it. Each
+	// answer is folded, so that a read that fails costs no more than this.
+	pageBytes = 256 << 10
+	// pageRecords is how many of the longest records an answer has room for at least.
+	pageRecords = 2
+)
+
+// CatchUp returns once the fold holds all that was in the partition when the
+// call came. Calls at the same time share reads. The error wraps ErrBehind.
+func (p *Partition) CatchUp(ctx context.Context) error {
+	p.mu.Lock()
+	wanted := p.reads + 1
+	for p.done < wanted {
+		if !p.reading {
+			p.startRead()
+		}
+		ended := p.readEnded
+		p.mu.Unlock()
+		select {
+		case <-ctx.Done():
+			return errors.Wrap(ErrBehind, ctx.Err().Error())
+		case <-ended:
+		}
+		p.mu.Lock()
+		if p.done < wanted && p.readErr != nil && p.reads >= wanted {
+			err := p.readErr
+			p.mu.Unlock()
+			return errors.Wrap(ErrBehind, err.Error())
+		}
+	}
+	p.mu.Unlock()
+	return nil
+}
+
+// startRead begins a catch-up read. The mutex is held.
+func (p *Partition) startRead() {
+	p.reads++
+	number := p.reads
+	p.reading = true
+	p.readEnded = make(chan struct{})
+	go func() {
+		err := p.readToEnd()
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.reading = false
+		p.readErr = err
+		if err == nil {
+			p.done = number
+		}
+		close(p.readEnded)
+	}()
+}
+
+// readToEnd reads until the fold has reached the end that the first read told.
+func (p *Partition) readToEnd() error {
+	target := noEnd
+	for {
+		read, err := p.readOnce(p.ledger.ctx, 0)
+		if err != nil {
+			return err
+		}
+		if target < 0 {
+			target = read.End
+		}
+		if target < 0 {
+			continue
+		}
+		p.mu.Lock()
+		reached := p.next >= target
+		p.mu.Unlock()
+		if reached {
+			return nil
+		}
+	}
+}
+
+// readOnce reads a page from the fold's offset on and folds what comes, also of an answer
+// that broke off. At the partition's end the read waits for records.
+func (p *Partition) readOnce(ctx context.Context, wait time.Duration) (journal.Records, error) {
+	p.mu.Lock()
+	from := p.next
+	p.mu.Unlock()
+	bounded, cancel := context.WithTimeout(ctx, wait+readTimeout)
+	defer cancel()
+	read, err := p.ledger.journal.Read(bounded, journal.Read{Partition: p.name, From: from, Wait: wait, MaxBytes: p.ledger.PageBytes()})
+	var trimmed *journal.TrimmedError
+	if errors.As(err, &trimmed) {
+		return p.skipTrimmed(from, trimmed.First), nil
+	}
+	p.fold(from, read.Records)
+	p.noteRead(read)
+	if err != nil {
+		return journal.Records{}, err
+	}
+	p.mu.Lock()
+	if p.next >= read.End {
+		p.lastRead = time.Now()
+	}
+	p.mu.Unlock()
+	return read, nil
+}
+
+// noteRead counts what a read brought.
+func (p *Partition) noteRead(read journal.Records) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, record := range read.Records {
+		p.readBytes += int64(len(record))
+	}
+	p.readRecords += int64(len(read.Records))
+	p.end = max(p.end, read.End)
+}
+
+// ReadPage reads the next page of the partition. The error wraps ErrBehind.
+func (p *Partition) ReadPage(ctx context.Context) error {
+	if _, err := p.readOnce(ctx, 0); err != nil {
+		return errors.Wrap(ErrBehind, err.Error())
+	}
+	return nil
+}
+
+// skipTrimmed moves the fold over records that are gone. The batches already
+// folded stay known; of those only in the trimmed records nothing is known.
+func (p *Partition) skipTrimmed(from, first int64) journal.Records {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.next == from && first > from {
+		p.ledger.logger.Info("records trimmed before they were read", zap.String("topic", p.name.Topic),
+			zap.Int("partition", p.name.Number), zap.Int64("offset", from), zap.Int64("first", first))
+		p.next, p.missed = first, true
+		p.state.Skip(first)
+	}
+	return journal.Records{End: noEnd, First: first}
+}
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -129,7 +129,7 @@
 		reader := NewReader(ledger.New(ctx, tardy{log, takes}, zap.NewNop()), peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
 		time.Sleep(ownReadTime)
 		// The first page tells what there is, and a later question of one text comes upon it.
-		_, err := reader.ledger.Of("b").ReadPage(ctx)
+		err := reader.ledger.Of("b").ReadPage(ctx)
 		is.NoErr(err)
 		began := time.Now()
 		page, err := reader.Results(ctx, Query{BatchID: "b", After: 5})
@@ -269,7 +269,7 @@
 		reader := NewReader(ledger.New(ctx, tardy{log, takesAtFirst(takes)}, zap.NewNop()), peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
 		reader.budget.adjust(time.Now())
 		time.Sleep(ownReadTime)
-		_, err := reader.ledger.Of("b").ReadPage(ctx)
+		err := reader.ledger.Of("b").ReadPage(ctx)
 		is.NoErr(err)
 		began := time.Now()
 		page, err := reader.Results(ctx, Query{BatchID: "b", After: 5})
--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -89,7 +89,7 @@
 // in the time that the watcher would have had.
 func (r *Reader) readPage(ctx context.Context, partition *ledger.Partition) error {
 	began := time.Now()
-	_, err := partition.ReadPage(ctx)
+	err := partition.ReadPage(ctx)
 	if err == nil {
 		return nil
 	}
