--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -14,11 +14,11 @@
 func init() { testseed.Fix() }
 
 func submission(id string, items int, minVersion int64) *Submission {
-	made := &Submission{ID: id, Host: "host", Path: "/path/", MinVersion: minVersion, Desired: 1}
+	sub := &Submission{ID: id, Host: "host", Path: "/path/", MinVersion: minVersion, Desired: 1}
 	for i := 0; i < items; i++ {
-		made.Items = append(made.Items, Item{ID: fmt.Sprintf("%s-%d", id, i), Path: "/path/x", Body: []byte{byte(i)}, Group: fmt.Sprint(i / 2)})
+		sub.Items = append(sub.Items, Item{ID: fmt.Sprintf("%s-%d", id, i), Path: "/path/x", Body: []byte{byte(i)}, Group: fmt.Sprint(i / 2)})
 	}
-	return made
+	return sub
 }
 
 func drawResult(t *rapid.T) Result {
@@ -33,12 +33,12 @@
 // drawProgress draws a part of the text that each item has: event n is byte n.
 func drawProgress(t *rapid.T) Progress {
 	from := rapid.IntRange(-1, 6).Draw(t, "from")
-	made := Progress{Item: rapid.IntRange(-1, 6).Draw(t, "item"), From: from, Versions: rapid.SliceOfN(rapid.Int64Range(1, 4), 0, 2).Draw(t, "versions")}
+	p := Progress{Item: rapid.IntRange(-1, 6).Draw(t, "item"), From: from, Versions: rapid.SliceOfN(rapid.Int64Range(1, 4), 0, 2).Draw(t, "versions")}
 	for range rapid.IntRange(0, 4).Draw(t, "events") {
-		made.LastEvent = int64(from + len(made.Events))
-		made.Events = append(made.Events, []byte{byte(made.LastEvent)})
+		p.LastEvent = int64(from + len(p.Events))
+		p.Events = append(p.Events, []byte{byte(p.LastEvent)})
 	}
-	return made
+	return p
 }
 
 // drawRecord draws any record that a daemon, also a stale or paused one, could
@@ -104,8 +104,8 @@
 		for _, encoded := range rapid.SliceOfN(rapid.Custom(drawRecord), 1, 40).Draw(t, "records") {
 			state.Apply(encoded)
 			for _, id := range []string{"a", "b"} {
-				b, found := state.Get(id)
-				if !found {
+				b, ok := state.Get(id)
+				if !ok {
 					if _, before := listed[id]; before {
 						t.Fatalf("batch %s is gone", id)
 					}
@@ -159,8 +159,8 @@
 			}
 		}
 	}
-	for i, each := range b.Items {
-		if !b.Ended && (len(each.Body) != 1 || each.Body[0] != byte(i)) {
+	for i, it := range b.Items {
+		if !b.Ended && (len(it.Body) != 1 || it.Body[0] != byte(i)) {
 			t.Fatal("a body is gone before the end")
 		}
 	}
@@ -201,7 +201,7 @@
 		state := NewStateAt(0)
 		state.Apply(Accepted(submission("a", 2, 0), "one"))
 		state.Apply(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"))
-		if b, found := state.Get("a"); !found || b.Owner != "one" || len(b.Results) != 0 {
+		if b, ok := state.Get("a"); !ok || b.Owner != "one" || len(b.Results) != 0 {
 			t.Fatal("a malformed record changed the state")
 		}
 	})
@@ -214,7 +214,7 @@
 		state := NewStateAt(0)
 		state.Apply(Accepted(submission("a", 2, 0), "one"))
 		state.Apply(encoded)
-		if _, found := state.Get("a"); !found {
+		if _, ok := state.Get("a"); !ok {
 			t.Fatal("an accepted batch is gone")
 		}
 	})
--- a/internal/batches/batch/tenant_test.go
+++ b/internal/batches/batch/tenant_test.go
@@ -15,9 +15,9 @@
 		ended         bool
 	}{{"a", "a", true}, {"a", "b", false}, {"a", "", false}, {"", "b", true}, {"", "", true}} {
 		state := NewStateAt(0)
-		made := submission("x", 1, 1)
-		made.Tenant = one.owner
-		state.Apply(Accepted(made, "owner"))
+		sub := submission("x", 1, 1)
+		sub.Tenant = one.owner
+		state.Apply(Accepted(sub, "owner"))
 		state.Apply(Ended("x", one.caller))
 		b, _ := state.Get("x")
 		is.Equal(b.Ended, one.ended)
@@ -30,9 +30,9 @@
 	is := is.New(t)
 	state := NewStateAt(0)
 	for _, tenant := range []string{"a", "b"} {
-		made := submission("x", 1, 1)
-		made.Tenant = tenant
-		state.Apply(Accepted(made, "owner"))
+		sub := submission("x", 1, 1)
+		sub.Tenant = tenant
+		state.Apply(Accepted(sub, "owner"))
 	}
 	b, _ := state.Get("x")
 	is.Equal(b.Tenant, "a")
--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -63,32 +63,32 @@
 
 func (f *fleet) start(ctx context.Context, run, machine string) *owner {
 	clock := clocktest.New()
-	made := &owner{table: NewTable(run, clock.Now, zap.NewNop())}
+	o := &owner{table: NewTable(run, clock.Now, zap.NewNop())}
 	source := func() Report {
-		made.mu.Lock()
-		defer made.mu.Unlock()
-		told := made.state
-		told.Counts = append([]Count(nil), told.Counts...)
-		return told
+		o.mu.Lock()
+		defer o.mu.Unlock()
+		report := o.state
+		report.Counts = append([]Count(nil), report.Counts...)
+		return report
 	}
-	made.publisher = NewPublisher(made.table, f, source, func(context.Context) []string { return f.dealt }, zap.NewNop())
+	o.publisher = NewPublisher(o.table, f, source, func(context.Context) []string { return f.dealt }, zap.NewNop())
 	f.mu.Lock()
-	f.services[machine], f.daemons[machine] = NewService(made.table, made.publisher, func() {}), made
+	f.services[machine], f.daemons[machine] = NewService(o.table, o.publisher, func() {}), o
 	f.mu.Unlock()
-	go made.publisher.Run(ctx)
-	return made
+	go o.publisher.Run(ctx)
+	return o
 }
 
 // newFleet starts daemons d0, d1 and so on, to all of which batches may be dealt.
 func newFleet(ctx context.Context, count int) *fleet {
-	made := &fleet{silent: map[string]bool{}, services: map[string]*Service{}, daemons: map[string]*owner{}}
+	f := &fleet{silent: map[string]bool{}, services: map[string]*Service{}, daemons: map[string]*owner{}}
 	for i := range count {
-		made.dealt = append(made.dealt, fmt.Sprintf("d%d/1", i))
+		f.dealt = append(f.dealt, fmt.Sprintf("d%d/1", i))
 	}
-	for i, run := range made.dealt {
-		made.start(ctx, run, fmt.Sprintf("d%d", i))
+	for i, run := range f.dealt {
+		f.start(ctx, run, fmt.Sprintf("d%d", i))
 	}
-	return made
+	return f
 }
 
 func withFleet(t *testing.T, count int, test func(is *is.I, ctx context.Context, daemons *fleet)) {
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -153,8 +153,8 @@
 		for number := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			run := fmt.Sprintf("%c/%d", 'a'+rapid.IntRange(0, 4).Draw(t, "machine"), rapid.IntRange(1, 2).Draw(t, "run"))
-			told := reported(run, uint64(rapid.IntRange(0, number).Draw(t, "number")), now, uint32(rapid.IntRange(0, 8).Draw(t, "requests")))
-			table.Merge(told)
+			report := reported(run, uint64(rapid.IntRange(0, number).Draw(t, "number")), now, uint32(rapid.IntRange(0, 8).Draw(t, "requests")))
+			table.Merge(report)
 			sum := 0
 			for _, d := range table.daemons {
 				if d.current && now.Sub(d.at) < reportLifetime {
@@ -198,8 +198,8 @@
 func TestThePaceMeasuredLastCounts(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		tell := func(run string, pace, age time.Duration) {
-			told := Report{Sender: run, Number: 1, Sent: clock.Now().UnixMilli(), Measured: []Measurement{NewMeasurement(engine, pace, age)}}
-			is.Equal(table.Merge(told), Taken)
+			report := Report{Sender: run, Number: 1, Sent: clock.Now().UnixMilli(), Measured: []Measurement{NewMeasurement(engine, pace, age)}}
+			is.Equal(table.Merge(report), Taken)
 		}
 		tell("a/1", 30*time.Millisecond, 2*time.Second)
 		tell("b/1", 40*time.Millisecond, 5*time.Second)
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -50,20 +50,20 @@
 }
 
 func newStand(hear bool, seed uint64, bursts ...[2]int) *stand {
-	made := &stand{}
+	s := &stand{}
 	random := rand.New(rand.NewPCG(seed, 1))
 	for i, burst := range bursts {
 		owner := &standOwner{from: burst[0]}
 		if hear {
 			run := fmt.Sprintf("d%d/1", i)
-			owner.sharing = &sharing{self: run, table: occupancy.NewTable(run, made.now, zap.NewNop()), changed: func() {}, logger: zap.NewNop(), demands: map[string]occupancy.Demand{}, turns: map[string]*occupancy.Turn{}}
+			owner.sharing = &sharing{self: run, table: occupancy.NewTable(run, s.now, zap.NewNop()), changed: func() {}, logger: zap.NewNop(), demands: map[string]occupancy.Demand{}, turns: map[string]*occupancy.Turn{}}
 		}
 		for range burst[1] {
 			owner.texts = append(owner.texts, &standText{engine: -1, left: 50 + random.IntN(400)})
 		}
-		made.owners = append(made.owners, owner)
+		s.owners = append(s.owners, owner)
 	}
-	return made
+	return s
 }
 
 func (s *stand) now() time.Time { return time.Unix(1000, 0).Add(time.Duration(s.tick) * tick) }
@@ -141,9 +141,9 @@
 func (s *stand) dispatch(owner *standOwner) {
 	snap := scheduling.Snapshot{NoMoves: true}
 	for i := range standEngines {
-		known := replica.Replica{Entry: replica.Entry{ID: fmt.Sprintf("e%d", i)}}
-		engine := scheduling.Engine{ID: known.ID, Slots: standSlots, InFlight: owner.at(i), Avoided: s.tick < owner.resting[i]}
-		snap.Engines = append(snap.Engines, owner.sharing.withReports(engine, known, s.now()))
+		rep := replica.Replica{Entry: replica.Entry{ID: fmt.Sprintf("e%d", i)}}
+		engine := scheduling.Engine{ID: rep.ID, Slots: standSlots, InFlight: owner.at(i), Avoided: s.tick < owner.resting[i]}
+		snap.Engines = append(snap.Engines, owner.sharing.withReports(engine, rep, s.now()))
 	}
 	for _, text := range owner.texts {
 		item := scheduling.Item{Remaining: 100}
@@ -189,10 +189,10 @@
 func TestOwnersThatHearOfEachOtherDontOverfillEngines(t *testing.T) {
 	is := is.New(t)
 	play := func(hear bool) *stand {
-		made := newStand(hear, 5, [2]int{0, 130}, [2]int{30, 130})
-		made.run(t)
-		t.Logf("hear %v: %d ticks of waiting in queues, %d declines, bursts over at ticks %d and %d", hear, made.queued, made.declines, made.owners[0].ended, made.owners[1].ended)
-		return made
+		s := newStand(hear, 5, [2]int{0, 130}, [2]int{30, 130})
+		s.run(t)
+		t.Logf("hear %v: %d ticks of waiting in queues, %d declines, bursts over at ticks %d and %d", hear, s.queued, s.declines, s.owners[0].ended, s.owners[1].ended)
+		return s
 	}
 	before, after := play(false), play(true)
 	is.True(before.queued > 5000)
@@ -208,12 +208,12 @@
 func TestOwnersThatStartAtOnceChooseOtherEngines(t *testing.T) {
 	is := is.New(t)
 	overfilled := func(hear bool) (requests int) {
-		made := newStand(hear, 5, [2]int{0, 50}, [2]int{0, 50}, [2]int{0, 50})
-		for _, owner := range made.owners {
-			made.dispatch(owner)
+		s := newStand(hear, 5, [2]int{0, 50}, [2]int{0, 50}, [2]int{0, 50})
+		for _, owner := range s.owners {
+			s.dispatch(owner)
 		}
 		for engine := range standEngines {
-			requests += max(made.at(engine)-standSlots, 0)
+			requests += max(s.at(engine)-standSlots, 0)
 		}
 		return requests
 	}
@@ -227,11 +227,11 @@
 // burst is over well before, and long before it would be if it waited for the first to end.
 func TestAnOwnerThatComesLaterGetsItsShare(t *testing.T) {
 	is := is.New(t)
-	made := newStand(true, 5, [2]int{0, 800}, [2]int{200, 100})
-	made.run(t)
-	t.Logf("bursts over at ticks %d and %d, %d ticks of waiting in queues, %d declines", made.owners[0].ended, made.owners[1].ended, made.queued, made.declines)
-	is.True(made.owners[1].ended < made.owners[0].ended*2/3)
-	is.Equal(made.declines, 0)
+	s := newStand(true, 5, [2]int{0, 800}, [2]int{200, 100})
+	s.run(t)
+	t.Logf("bursts over at ticks %d and %d, %d ticks of waiting in queues, %d declines", s.owners[0].ended, s.owners[1].ended, s.queued, s.declines)
+	is.True(s.owners[1].ended < s.owners[0].ended*2/3)
+	is.Equal(s.declines, 0)
 	// The engines lose little by what is left free: the work alone takes that many ticks.
 	work := newStand(true, 5, [2]int{0, 800}, [2]int{200, 100}).owners
 	sum := 0
@@ -242,7 +242,7 @@
 	}
 	least := sum / (standEngines * standSlots)
 	t.Logf("the work alone takes %d ticks", least)
-	is.True(made.owners[0].ended <= least*130/100)
+	is.True(s.owners[0].ended <= least*130/100)
 }
 
 // Items that wait beside room wait for something else, as for newer weights: others need not
@@ -267,13 +267,13 @@
 	is := is.New(t)
 	s := newStand(true, 1, [2]int{0, 1}).owners[0].sharing
 	now := time.Now()
-	known := replica.Replica{Entry: replica.Entry{ID: "e"}}
+	rep := replica.Replica{Entry: replica.Entry{ID: "e"}}
 	told := func(age time.Duration) {
-		s.table.Adopt(occupancy.Occupancy{Measured: []occupancy.Measurement{occupancy.NewMeasurement(KeyOf(known), 20*time.Millisecond, age)}})
+		s.table.Adopt(occupancy.Occupancy{Measured: []occupancy.Measurement{occupancy.NewMeasurement(KeyOf(rep), 20*time.Millisecond, age)}})
 	}
 	pace := func(own, age time.Duration) time.Duration {
-		known.EventTime, known.EventAt = own, now.Add(-age)
-		return s.withReports(scheduling.Engine{EventTime: own}, known, now).EventTime
+		rep.EventTime, rep.EventAt = own, now.Add(-age)
+		return s.withReports(scheduling.Engine{EventTime: own}, rep, now).EventTime
 	}
 	is.Equal(pace(0, time.Hour), time.Duration(0))
 	told(5 * time.Second)
@@ -282,7 +282,7 @@
 	is.Equal(pace(40*time.Millisecond, 4*time.Second), 40*time.Millisecond)
 	is.Equal(pace(40*time.Millisecond, 6*time.Second), 20*time.Millisecond)
 	var alone *sharing
-	is.Equal(alone.withReports(scheduling.Engine{ID: "e", EventTime: 1}, known, now), scheduling.Engine{ID: "e", EventTime: 1})
+	is.Equal(alone.withReports(scheduling.Engine{ID: "e", EventTime: 1}, rep, now), scheduling.Engine{ID: "e", EventTime: 1})
 }
 
 // What is told is what is under way now. A daemon that stops wants nothing more, and one
@@ -299,15 +299,15 @@
 	for range 5 {
 		runner.table.ObserveEvent("from", 30*time.Millisecond)
 	}
-	told := runner.Occupied()
-	is.Equal(told.Demands, []occupancy.Demand{{Service: 1, InFlight: 1, Waiting: 3}})
+	report := runner.Occupied()
+	is.Equal(report.Demands, []occupancy.Demand{{Service: 1, InFlight: 1, Waiting: 3}})
 	requests := uint32(0)
-	for _, each := range told.Counts {
-		requests += each.Requests
+	for _, c := range report.Counts {
+		requests += c.Requests
 	}
 	is.Equal(requests, uint32(1))
-	is.Equal(len(told.Measured), 1)
-	is.Equal(told.Measured[0].EventTime, uint32(300))
+	is.Equal(len(report.Measured), 1)
+	is.Equal(report.Measured[0].EventTime, uint32(300))
 	runner.HeardOfOthers()
 	is.Equal(len(runner.wake), 1) // items wait, and there may be room
 	runner.stopping.Store(true)
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -30,8 +30,8 @@
 		return 0, err
 	}
 	partition.View(func(state *batch.State) {
-		b, found := state.Get(batchID)
-		if !found {
+		b, ok := state.Get(batchID)
+		if !ok {
 			err = errors.New("not known")
 			return
 		}
@@ -83,7 +83,7 @@
 			t.Fatal("nobody has begun")
 		}
 		partition.View(func(state *batch.State) {
-			if b, found := state.Get("x"); found {
+			if b, ok := state.Get("x"); ok {
 				signs, owner = b.Signs, b.Owner
 			}
 		})
--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -97,8 +97,8 @@
 			j.cancel()
 		}
 		nextTryOf(j, it).abandon(nil, context.Canceled)
-		known, _ := j.r.table.Get("to")
-		is.Equal(known.AvoidUntil.IsZero(), ended)
+		rep, _ := j.r.table.Get("to")
+		is.Equal(rep.AvoidUntil.IsZero(), ended)
 	}
 }
 
--- a/internal/batches/runner/history_test.go
+++ b/internal/batches/runner/history_test.go
@@ -9,11 +9,11 @@
 )
 
 func groupsBatch(id, model string, groups ...string) *batch.Submission {
-	made := &batch.Submission{ID: id, Model: model}
+	sub := &batch.Submission{ID: id, Model: model}
 	for _, group := range groups {
-		made.Items = append(made.Items, batch.Item{ID: id + group, Group: group})
+		sub.Items = append(sub.Items, batch.Item{ID: id + group, Group: group})
 	}
-	return made
+	return sub
 }
 
 func TestGroupsThatComeAgainAreKnown(t *testing.T) {
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -120,7 +120,7 @@
 	go chosen.AdoptWhenSeen("x")
 	for signs := int64(0); signs == 0 && time.Since(began) < 20*time.Second; time.Sleep(time.Millisecond) {
 		partition.View(func(state *batch.State) {
-			if b, found := state.Get("x"); found {
+			if b, ok := state.Get("x"); ok {
 				signs, owner = b.Signs, b.Owner
 			}
 		})
--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -14,7 +14,7 @@
 )
 
 // told returns what the scheduler is told of the items of newOwner's batch.
-func told(owner *Runner) []scheduling.Item { return owner.views(time.Now())["s"].Items }
+func scheduledItems(owner *Runner) []scheduling.Item { return owner.views(time.Now())["s"].Items }
 
 // An item whose first event takes longer than is usual is told to be silent, until its
 // run brings one.
@@ -34,13 +34,13 @@
 		usual := owner.firstEvents.OverdueAfter("s")
 		is.True(usual < scheduling.MaxFirstEvent)
 		time.Sleep(usual)
-		is.Equal(told(owner)[0].Overdue, time.Duration(0))
+		is.Equal(scheduledItems(owner)[0].Overdue, time.Duration(0))
 		time.Sleep(time.Second)
-		is.Equal(told(owner)[0].Overdue, time.Second)
+		is.Equal(scheduledItems(owner)[0].Overdue, time.Second)
 		first := attemptOf(begun, 0)
 		first.route = &route.Route{Shares: []route.Share{{Service: "s", Weight: 1}}}
 		first.noteFirstEvent()
-		is.Equal(told(owner)[0].Overdue, time.Duration(0))
+		is.Equal(scheduledItems(owner)[0].Overdue, time.Duration(0))
 	})
 }
 
@@ -55,7 +55,7 @@
 		synctest.Wait()
 		owner.jobList()[0].items[0].attempt = 1
 		time.Sleep(time.Second)
-		items := told(owner)
+		items := scheduledItems(owner)
 		is.Equal(items[0].MaxRemaining, 0.0)
 		is.True(items[1].MaxRemaining > items[1].Remaining)
 		is.Equal(items[1].BatchAge, time.Second)
--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -31,21 +31,21 @@
 // newLoad makes 45 engines, a quarter of them fast, and bursts of 18 groups of 8 texts,
 // one for each owner every 4 s. Hints are off by a factor of e^0.5 (standard deviation).
 func newLoad(seed uint64) *load {
-	made := &load{rests: map[string][]time.Duration{}, lengths: NewLengths()}
+	l := &load{rests: map[string][]time.Duration{}, lengths: NewLengths()}
 	for i := range 45 {
 		pace := []time.Duration{loadFast, loadSlow, loadSlow, loadSlow}[i%4]
-		made.engines = append(made.engines, Engine{ID: fmt.Sprint("e", i), Slots: 8, EventTime: pace, Versions: map[string]int64{"0": 1, "1": 1}})
+		l.engines = append(l.engines, Engine{ID: fmt.Sprint("e", i), Slots: 8, EventTime: pace, Versions: map[string]int64{"0": 1, "1": 1}})
 	}
 	random := rand.New(rand.NewPCG(seed, seed))
 	for i := range loadBatches * loadGroups * 8 {
 		batch := i / (loadGroups * 8)
-		each := &text{group: i / 8, begins: time.Duration(batch/2) * 4 * time.Second}
-		each.length = max(min(math.Round(14*math.Exp(0.9*random.NormFloat64())), 145), 1)
-		each.hint = int64(max(each.length*tokensPerEvent*math.Exp(0.5*random.NormFloat64()), 1))
-		each.Item = Item{Model: fmt.Sprint(batch % 2), BatchSince: testStart.Add(each.begins)}
-		made.texts = append(made.texts, each)
+		t := &text{group: i / 8, begins: time.Duration(batch/2) * 4 * time.Second}
+		t.length = max(min(math.Round(14*math.Exp(0.9*random.NormFloat64())), 145), 1)
+		t.hint = int64(max(t.length*tokensPerEvent*math.Exp(0.5*random.NormFloat64()), 1))
+		t.Item = Item{Model: fmt.Sprint(batch % 2), BatchSince: testStart.Add(t.begins)}
+		l.texts = append(l.texts, t)
 	}
-	return made
+	return l
 }
 
 // play goes on in steps until all texts are whole.
@@ -56,19 +56,19 @@
 			l.decide(owner, now)
 		}
 		loads := map[string]float64{}
-		for _, each := range l.texts {
-			loads[each.Engine] += loadOf(each.made)
+		for _, t := range l.texts {
+			loads[t.Engine] += loadOf(t.made)
 		}
-		for _, each := range l.texts {
-			if each.Engine == "" || now < each.ready {
+		for _, t := range l.texts {
+			if t.Engine == "" || now < t.ready {
 				continue
 			}
-			at := slices.IndexFunc(l.engines, func(engine Engine) bool { return engine.ID == each.Engine })
-			each.made += float64(tick) / (float64(l.engines[at].EventTime) * (1 + loads[each.Engine]))
-			if each.made >= each.length {
-				l.rests[each.Model+each.Engine] = append(l.rests[each.Model+each.Engine], now+1100*time.Millisecond)
-				each.done, each.Engine = now+tick, ""
-				l.lengths.Observe(each.hint, int(each.length))
+			at := slices.IndexFunc(l.engines, func(engine Engine) bool { return engine.ID == t.Engine })
+			t.made += float64(tick) / (float64(l.engines[at].EventTime) * (1 + loads[t.Engine]))
+			if t.made >= t.length {
+				l.rests[t.Model+t.Engine] = append(l.rests[t.Model+t.Engine], now+1100*time.Millisecond)
+				t.done, t.Engine = now+tick, ""
+				l.lengths.Observe(t.hint, int(t.length))
 				open--
 			}
 		}
@@ -79,16 +79,16 @@
 func (l *load) decide(owner string, now time.Duration) {
 	snapshot := Snapshot{Engines: slices.Clone(l.engines), NoMoves: now%(250*time.Millisecond) != 0}
 	var own []*text
-	for _, each := range l.texts {
-		at := slices.IndexFunc(l.engines, func(engine Engine) bool { return engine.ID == each.Engine })
+	for _, t := range l.texts {
+		at := slices.IndexFunc(l.engines, func(engine Engine) bool { return engine.ID == t.Engine })
 		switch {
-		case each.done > 0 || each.begins > now:
-		case each.Model != owner && at >= 0:
+		case t.done > 0 || t.begins > now:
+		case t.Model != owner && at >= 0:
 			snapshot.Engines[at].OthersInFlight++
-		case each.Model == owner:
-			each.Events, each.RunFor, each.BatchAge = int(each.made), now-each.ready, now-each.begins
-			each.Remaining, each.MaxRemaining = l.lengths.Remaining(each.hint, each.Events), l.lengths.MaxRemaining(each.hint, each.Events)
-			own, snapshot.Items = append(own, each), append(snapshot.Items, each.Item)
+		case t.Model == owner:
+			t.Events, t.RunFor, t.BatchAge = int(t.made), now-t.ready, now-t.begins
+			t.Remaining, t.MaxRemaining = l.lengths.Remaining(t.hint, t.Events), l.lengths.MaxRemaining(t.hint, t.Events)
+			own, snapshot.Items = append(own, t), append(snapshot.Items, t.Item)
 			if at >= 0 {
 				snapshot.Engines[at].InFlight++
 			}
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -21,9 +21,9 @@
 // needed returns when as many groups as needed have all that each of their texts comes to.
 func (l *load) needed(batch int, of func(*text) time.Duration) time.Duration {
 	groups := make([]time.Duration, loadGroups)
-	for _, each := range l.texts {
-		if each.group/loadGroups == batch {
-			groups[each.group%loadGroups] = max(groups[each.group%loadGroups], of(each))
+	for _, t := range l.texts {
+		if t.group/loadGroups == batch {
+			groups[t.group%loadGroups] = max(groups[t.group%loadGroups], of(t))
 		}
 	}
 	slices.Sort(groups)
--- a/internal/callers/apikey/apikey.go
+++ b/internal/callers/apikey/apikey.go
@@ -83,6 +83,6 @@
 
 // HolderOf returns who holds a key.
 func (r Ring[T]) HolderOf(key string) (T, bool) {
-	holder, known := r[DigestOf(key)]
-	return holder, known
+	holder, ok := r[DigestOf(key)]
+	return holder, ok
 }
--- a/internal/callers/apikey/apikey_test.go
+++ b/internal/callers/apikey/apikey_test.go
@@ -13,13 +13,13 @@
 	is.True(ring.Add(DigestOf("one"), "a"))
 	is.True(ring.Add(DigestOf("two"), "a"))
 	is.True(!ring.Add(DigestOf("one"), "b")) // the first holder keeps it
-	holder, known := ring.HolderOf("one")
-	is.True(known)
+	holder, ok := ring.HolderOf("one")
+	is.True(ok)
 	is.Equal(holder, "a")
-	_, known = ring.HolderOf("three")
-	is.True(!known)
-	_, known = ring.HolderOf("")
-	is.True(!known)
+	_, ok = ring.HolderOf("three")
+	is.True(!ok)
+	_, ok = ring.HolderOf("")
+	is.True(!ok)
 }
 
 func TestTheKeyOfARequest(t *testing.T) {
--- a/internal/callers/tenant/tenant_test.go
+++ b/internal/callers/tenant/tenant_test.go
@@ -14,14 +14,14 @@
 	d, err := NewDirectory([]Declared{{Name: "a", Keys: []string{"k1", "k2"}, Priority: rank(0)}, {Name: "b", Keys: []string{"k3"}}, {Name: "c"}})
 	is.NoErr(err)
 	for key, want := range map[string]string{"k1": "a", "k2": "a", "k3": "b"} {
-		found, known := d.Of(key)
-		is.True(known)
+		found, ok := d.Of(key)
+		is.True(ok)
 		is.Equal(found.Name, want)
 	}
-	_, known := d.Of("k4")
-	is.True(!known)
-	_, known = d.Of("")
-	is.True(!known)
+	_, ok := d.Of("k4")
+	is.True(!ok)
+	_, ok = d.Of("")
+	is.True(!ok)
 	is.Equal(d.Named("a").Rank(2), 0) // its own goes first
 	is.Equal(d.Named("b").Rank(2), 2)
 	is.Equal(d.Named("nobody").Rank(2), 2)
@@ -57,8 +57,8 @@
 	is := is.New(t)
 	d, err := NewDirectory(nil)
 	is.NoErr(err)
-	_, known := d.Of("k")
-	is.True(!known)
+	_, ok := d.Of("k")
+	is.True(!ok)
 	var none *Directory
 	is.True(none.Named("a") == nil)
 }
--- a/internal/callers/usage/logging_test.go
+++ b/internal/callers/usage/logging_test.go
@@ -34,18 +34,18 @@
 		is.NoErr(recorder.Flush(ctx)) // nothing is told twice
 		cancel()
 		synctest.Wait()
-		told := int64(0)
+		logged := int64(0)
 		windowsTold := map[int64]bool{}
 		for _, entry := range logs.FilterMessage("usage counted").All() {
 			fields := entry.ContextMap()
 			window := fields["window"].(int64)
 			is.True(!windowsTold[window])
 			windowsTold[window] = true
-			told += fields["requests"].(int64)
+			logged += fields["requests"].(int64)
 			is.Equal(fields["run"], "a/1")
 			is.True(strings.Contains(fields["counts"].(string), "x:"))
 		}
-		is.Equal(told, int64(requests))
+		is.Equal(logged, int64(requests))
 		is.True(len(windowsTold) >= 3) // 12 s of windows of five
 	})
 }
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -103,9 +103,9 @@
 }
 
 func (s *stage) start(ctx context.Context, logger *zap.Logger) *Manager {
-	made := NewManager(Parts{Journal: s.log, Lease: s, Driver: s, Holder: "d", Table: s.table, List: s, Configuration: s.configuration, Demands: s.demands}, logger)
-	go made.Run(ctx)
-	return made
+	m := NewManager(Parts{Journal: s.log, Lease: s, Driver: s, Holder: "d", Table: s.table, List: s, Configuration: s.configuration, Demands: s.demands}, logger)
+	go m.Run(ctx)
+	return m
 }
 
 // on plays a stage until the test is over.
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -17,10 +17,10 @@
 
 // started is an entry of the given start, which holds a version.
 func started(id string, start int, version int64) Entry {
-	made := entry(id)
-	made.Born = firstBorn.Add(time.Duration(start) * time.Second)
-	made.Versions = map[string]int64{"m": version}
-	return made
+	e := entry(id)
+	e.Born = firstBorn.Add(time.Duration(start) * time.Second)
+	e.Versions = map[string]int64{"m": version}
+	return e
 }
 
 // What was learned of one start went on counting for the next under the same id: a replica
@@ -81,10 +81,10 @@
 	old.Draining = true
 	table.Set(old)
 	table.Replace([]Entry{old, entry("b")})
-	known, listed := table.Get("a")
+	r, listed := table.Get("a")
 	is.True(listed)
-	is.True(!known.Draining)
-	is.Equal(known.Versions, map[string]int64{"m": 2})
+	is.True(!r.Draining)
+	is.Equal(r.Versions, map[string]int64{"m": 2})
 	is.Equal(logs.FilterMessage("entry of an earlier start passed over").Len(), 2)
 	table.Remove("a")
 	table.Set(old)
@@ -176,7 +176,7 @@
 				table.Remove("a")
 				listed = false
 			case 3:
-				if now, found := table.Get("a"); found {
+				if now, ok := table.Get("a"); ok {
 					table.Started(now.Incarnation())
 					underWay[now.Incarnation()]++
 				}
@@ -189,11 +189,11 @@
 					}
 				}
 			}
-			now, found := table.Get("a")
-			if found != listed {
-				t.Fatalf("listed %v, should be %v", found, listed)
+			now, ok := table.Get("a")
+			if ok != listed {
+				t.Fatalf("listed %v, should be %v", ok, listed)
 			}
-			if found && (now.Incarnation() != started("a", newest, 0).Incarnation() || now.InFlight != underWay[now.Incarnation()] || now.Versions["m"] != held[now.Incarnation()]) {
+			if ok && (now.Incarnation() != started("a", newest, 0).Incarnation() || now.InFlight != underWay[now.Incarnation()] || now.Versions["m"] != held[now.Incarnation()]) {
 				t.Fatalf("%s: %d under way, holds %d; should be %d, %d", now.Incarnation(), now.InFlight, now.Versions["m"], underWay[now.Incarnation()], held[now.Incarnation()])
 			}
 		}
@@ -210,8 +210,8 @@
 			table.Succeeded(i, 30*time.Millisecond)
 		}
 		paceOf := func() float64 {
-			known, _ := table.Get("a")
-			return known.Slowdown
+			r, _ := table.Get("a")
+			return r.Slowdown
 		}
 		shareOf := func() float64 {
 			const picks = 400
@@ -230,8 +230,8 @@
 		is.Equal(shareOf(), 0.0)
 		time.Sleep(slowdownHalfLife)
 		is.Equal(paceOf(), 2.0)
-		known, _ := table.Get("a")
-		is.Equal(known.SlowdownAge, slowdownHalfLife)
+		r, _ := table.Get("a")
+		is.Equal(r.SlowdownAge, slowdownHalfLife)
 		time.Sleep(slowdownLifetime)
 		is.Equal(paceOf(), 1.0)
 		is.True(shareOf() > 0.3)
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -19,10 +19,10 @@
 // its own requests, and for a moment what answers report of all.
 //
 //	rep, ok := replica.Pick(table.Replicas(service), tried, now)
-//	table.Started(rep.Start())
-//	defer table.Ended(rep.Start())
+//	table.Started(rep.Incarnation())
+//	defer table.Ended(rep.Incarnation())
 //	// after a sound answer:
-//	table.Succeeded(rep.Start(), took)
+//	table.Succeeded(rep.Incarnation(), took)
 package replica
 
 import (
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -62,8 +62,8 @@
 	leaving.Draining = true
 	table.Set(leaving)
 	table.Remove("b")
-	for _, each := range table.Replicas("s") {
-		is.True(each.ID != "b")
+	for _, r := range table.Replicas("s") {
+		is.True(r.ID != "b")
 	}
 }
 
@@ -82,9 +82,9 @@
 			highest = max(highest, version)
 		}
 		table.Set(entry("a"))
-		known, _ := table.Get("a")
-		if known.Versions["m"] != highest {
-			t.Fatalf("version %d, highest seen %d", known.Versions["m"], highest)
+		r, _ := table.Get("a")
+		if r.Versions["m"] != highest {
+			t.Fatalf("version %d, highest seen %d", r.Versions["m"], highest)
 		}
 	})
 }
@@ -98,24 +98,24 @@
 		var candidates []Replica
 		sound := 0
 		for i, state := range rapid.SliceOfN(rapid.IntRange(0, 3), 0, 6).Draw(t, "states") {
-			made := Replica{Entry: entry(string(rune('a' + i))), InFlight: rapid.IntRange(0, 9).Draw(t, "in flight")}
+			r := Replica{Entry: entry(string(rune('a' + i))), InFlight: rapid.IntRange(0, 9).Draw(t, "in flight")}
 			switch state {
 			case 0:
-				tried[made.ID] = true
+				tried[r.ID] = true
 			case 1:
-				made.AvoidUntil = now.Add(time.Second)
+				r.AvoidUntil = now.Add(time.Second)
 			default:
 				sound++
 			}
-			candidates = append(candidates, made)
+			candidates = append(candidates, r)
 		}
-		r, found := Pick(candidates, tried, now)
+		r, ok := Pick(candidates, tried, now)
 		switch {
-		case found != (len(candidates) > len(tried)):
+		case ok != (len(candidates) > len(tried)):
 			t.Fatal("found none though some are left, or one though none is")
-		case found && tried[r.ID]:
+		case ok && tried[r.ID]:
 			t.Fatal("took a replica that was tried")
-		case found && sound > 0 && now.Before(r.AvoidUntil):
+		case ok && sound > 0 && now.Before(r.AvoidUntil):
 			t.Fatal("took a replica to be avoided though others are there")
 		}
 	})
@@ -185,8 +185,8 @@
 		table := NewTable(drainBound, zap.NewNop())
 		table.Replace([]Entry{entry("a"), entry("b")})
 		picked := func() string {
-			r, found := Pick(table.Replicas("s"), nil, time.Now())
-			is.True(found)
+			r, ok := Pick(table.Replicas("s"), nil, time.Now())
+			is.True(ok)
 			return r.ID
 		}
 		table.ReportLoad("a", 3)
@@ -211,8 +211,8 @@
 	connected.Latency = 30 * time.Millisecond
 	count := map[string]int{}
 	for range picks {
-		r, found := Pick([]Replica{connected, added}, nil, time.Now())
-		is.True(found)
+		r, ok := Pick([]Replica{connected, added}, nil, time.Now())
+		is.True(ok)
 		count[r.ID]++
 	}
 	is.True(count["b"] > 0)
