--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -56,24 +56,24 @@
 	return read
 }
 
-// take returns when the read of a partition began, if it has ended well. A read that has
-// ended is taken off: the next look begins another one.
-func (c *confirmations) take(name journal.Partition, read *confirmation) (began time.Time, ok bool) {
+// take reports whether the read of a partition has ended. One that has is taken off: the
+// next look begins another one.
+func (c *confirmations) take(name journal.Partition, read *confirmation) bool {
 	select {
 	case <-read.ended:
 	default:
-		return time.Time{}, false
+		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.reads[name] == read {
 		delete(c.reads, name)
 	}
-	return read.began, read.err == nil
+	return true
 }
 
 // confirm returns the suspects of which a read of their partition brings nothing either.
-// The reads of followers are held while there is nothing to tell, so that they alone show
+// The reads of followers are long polls, so that they alone show
 // silence up to a second late, or not at all.
 //
 // It waits for confirmTimeout at most, so that one partition does not hold up the others.
@@ -94,8 +94,12 @@
 		case <-read.ended:
 		case <-bounded.Done():
 		}
-		if at, ok := r.confirming.take(name, read); ok {
-			began[name] = at
+		switch {
+		case !r.confirming.take(name, read):
+		case read.err != nil:
+			r.logger.Info("silence of owners not confirmed", zap.String("topic", name.Topic), zap.Int("partition", name.Number), zap.Error(read.err))
+		default:
+			began[name] = read.began
 		}
 	}
 	var confirmed []observation
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -4,6 +4,8 @@
 	"context"
 	"time"
 
+	"go.uber.org/zap"
+
 	"woodworks/internal/batches/batch"
 	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
@@ -35,6 +37,8 @@
 	watched map[journal.Partition]*watched
 	// generation is that of the group at the last look.
 	generation int64
+	// aliveUnknown says that the last look could not learn who is alive.
+	aliveUnknown bool
 }
 
 // watched is one partition with when each owner was last seen alive.
@@ -169,7 +173,11 @@
 		return true
 	}
 	alive, err := w.group.Alive(ctx)
-	if err != nil {
+	if err != nil && !w.aliveUnknown {
+		w.runner.logger.Info("owners not judged", zap.Int("suspects", len(suspects)), zap.Error(err))
+	}
+	w.aliveUnknown = err != nil
+	if w.aliveUnknown {
 		return false
 	}
 	// This daemon is alive whatever the group says.
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -55,9 +55,16 @@
 	maxFailurePause = 2 * time.Second
 )
 
-// errStartedAgain: the engine is not the start of it that was to change. Its orders, counts
-// and versions are others.
-var errStartedAgain = errors.New("modelsync: engine has started again")
+// Errors of a change.
+var (
+	// errStartedAgain: the engine is not the incarnation that was to change. Its orders,
+	// counts and versions are others.
+	errStartedAgain = errors.New("modelsync: engine has started again")
+	// errIdle: the engine neither has the version nor loads it.
+	errIdle = errors.New("modelsync: engine is idle without the version")
+	// errTooLong: the engine may still be loading it.
+	errTooLong = errors.New("modelsync: change took too long")
+)
 
 // changePauses bound the pauses between changes that fail.
 var changePauses = backoff.Bounds{First: minFailurePause, Longest: maxFailurePause}
@@ -90,8 +97,8 @@
 	eventTime EventTime
 }
 
-// note is what is remembered of one engine, or of one start of it: a change and its rest
-// belong to the start that they were ordered of.
+// note is what is remembered of one engine, or of one incarnation of it: a change and its
+// rest belong to the incarnation that they were ordered of.
 type note struct {
 	start replica.Incarnation
 	// model is the one that the engine was dealt to, "" for none.
@@ -339,11 +346,16 @@
 	if err := s.order(bounded, c, report); err != nil {
 		return err
 	}
+	return s.awaitChange(bounded, c)
+}
+
+// awaitChange waits until an engine that has just taken an order has the version.
+func (s *Syncer) awaitChange(ctx context.Context, c change) error {
 	ordered := time.Now()
 	waits := stopwatch{now: bootclock.Now}
-	waits.pause(bounded, s.expectedTime())
-	for bounded.Err() == nil {
-		report, err = s.report(bounded, c)
+	waits.pause(ctx, s.expectedTime())
+	for ctx.Err() == nil {
+		report, err := s.report(ctx, c)
 		if err == nil && report.Versions[c.model] >= c.version {
 			if !waits.stalled {
 				s.noteLoadTime(ordered, time.Now())
@@ -354,11 +366,11 @@
 			return err
 		}
 		if err == nil && !report.Busy && time.Since(ordered) > 2*s.expectedTime() {
-			return errors.New("modelsync: engine is idle without the version")
+			return errIdle
 		}
-		waits.pause(bounded, pollPause)
+		waits.pause(ctx, pollPause)
 	}
-	return errors.New("modelsync: change took too long")
+	return errTooLong
 }
 
 // expectedTime is how long a change is left alone before the first look at it. It is no
