--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -6,8 +6,8 @@
 // is too old when it is asked for is made again by a further job, a round; of
 // two daemons that ask for the same round the first counts.
 //
-// A desk holds no fold of the ledger. It asks a reader, which knows when to read a partition
-// and when to ask the daemon that watches it.
+// A desk owns nothing that lasts and holds no fold. It relies on a reader of results, which knows
+// when to read a partition and when to ask its watcher, and on the runner for new batch jobs.
 //
 // # Usage
 //
@@ -27,11 +27,9 @@
 	"woodworks/internal/batches/batch"
 	"woodworks/internal/batches/results"
 	"woodworks/internal/batches/runner"
-	"woodworks/internal/daemon/periodic"
-	"woodworks/internal/journal/questiontime"
 )
 
-// Errors of this layer.
+// Errors of this layer. Callers read their texts, in the body of a refusal.
 var (
 	// ErrConflict: the name is that of a batch of other content.
 	ErrConflict = errors.New("delivery: another batch has this name")
@@ -45,19 +43,8 @@
 	ErrTooManyRounds = errors.New("delivery: samples were not usable in any round")
 )
 
-const (
-	// maxRounds bounds how often samples of a batch are made again.
-	maxRounds = 64
-	// catchUpTimeout bounds one try to have samples made again.
-	catchUpTimeout = questiontime.Read
-	// submitTimeout bounds how long a batch is held while the journal does not
-	// answer.
-	submitTimeout = 2500 * time.Millisecond
-	// lookInterval bounds the time between two looks for results.
-	lookInterval = 500 * time.Millisecond
-	// lookPause is the time between two looks where the journal could not be read.
-	lookPause = 100 * time.Millisecond
-)
+// submitTimeout bounds how long a batch is kept waiting while the journal does not answer.
+const submitTimeout = 2500 * time.Millisecond
 
 // Trainer is what the policy in force says of one trainer.
 type Trainer struct {
@@ -89,7 +76,7 @@
 	Items(ctx context.Context, query results.ItemsQuery) (results.Items, error)
 }
 
-// Desk is safe for concurrent use.
+// Desk is where trainers submit batches and pull samples. It is safe for concurrent use.
 type Desk struct {
 	reader Reader
 	runner Runner
@@ -117,13 +104,13 @@
 	case err != nil:
 		return header, errors.Wrap(ErrUnsure, err.Error())
 	}
-	known, err := d.Find(ctx, header.Trainer, header.Name)
+	stored, err := d.Find(ctx, header.Trainer, header.Name)
 	switch {
 	case errors.Is(err, ErrUnavailable):
 		return header, errors.Wrap(ErrUnsure, err.Error())
 	case err != nil:
 		return header, err
-	case known.Digest != header.Digest:
+	case stored.Digest != header.Digest:
 		return header, ErrConflict
 	}
 	d.logger.Info("batch taken in", zap.String("batch", job.ID), zap.Int("samples", header.Samples), zap.Int64("min_version", minVersion))
@@ -189,111 +176,3 @@
 		}
 	}
 }
-
-// Pull asks for samples after a cursor.
-type Pull struct {
-	Cursor rollout.Cursor
-	// Version is the version that the trainer now trains, 0 for the newest named.
-	Version int64
-	Limit   int
-	Wait    time.Duration
-	// Stopping, if not nil, is closed when a planned stop begins: a pull is not held then.
-	Stopping <-chan struct{}
-}
-
-// held reports whether the pull may be held on until a time.
-func (p Pull) held(end time.Time) bool {
-	select {
-	case <-p.Stopping:
-		return false
-	default:
-		return time.Now().Before(end)
-	}
-}
-
-// Delivery is what a pull got. The samples and the cursor belong together.
-type Delivery struct {
-	Samples []rollout.Result
-	Cursor  rollout.Cursor
-	// Open counts the samples that are still to come.
-	Open int
-}
-
-// Deliver hands over samples, and waits for the first as long as the pull says.
-// Samples that became too old are made again.
-func (d *Desk) Deliver(ctx context.Context, t Trainer, pull Pull) (Delivery, error) {
-	end := time.Now().Add(pull.Wait)
-	trained := max(pull.Version, t.Newest, 1)
-	seen := sight{desk: d, pull: pull, accepts: func(oldest int64) bool { return t.Accepts(oldest, trained) }, prompts: map[int]prompt{}}
-	for {
-		err := seen.look(ctx)
-		if errors.Is(err, ErrUnavailable) && ctx.Err() == nil && pull.held(end) {
-			// Who is held anyway need not be sent away for a read that failed.
-			periodic.Pause(ctx, lookPause)
-			continue
-		}
-		if err != nil {
-			return Delivery{}, err
-		}
-		if err := d.makeAgain(ctx, t, &seen, trained); err != nil {
-			return Delivery{}, err
-		}
-		if len(seen.plan.Ready) > 0 || seen.plan.Open == 0 || !pull.held(end) {
-			return seen.deliver(), nil
-		}
-		seen.wait(ctx, min(time.Until(end), lookInterval))
-		if ctx.Err() != nil {
-			return Delivery{}, errors.Wrap(ErrUnavailable, ctx.Err().Error())
-		}
-	}
-}
-
-// makeAgain asks for a further round. That another daemon asked first, or that
-// the journal did not answer, is seen at the next look.
-func (d *Desk) makeAgain(ctx context.Context, t Trainer, seen *sight, trained int64) error {
-	samples := seen.plan.Again
-	if len(samples) == 0 {
-		return nil
-	}
-	round, header := len(seen.rounds), seen.pull.Cursor.Header
-	if round > maxRounds {
-		return ErrTooManyRounds
-	}
-	first, err := d.requested(ctx, header, samples)
-	if errors.Is(err, ErrUnavailable) {
-		d.logger.Info("samples not made again", zap.String("batch", rollout.JobID(header.Trainer, header.Name, round)), zap.Error(err))
-		return nil
-	}
-	if err != nil {
-		return err
-	}
-	job := rollout.Next(first, header, round, samples, t.lowest(trained))
-	job.AcceptedAtMs = time.Now().UnixMilli()
-	bounded, cancel := context.WithTimeout(ctx, catchUpTimeout)
-	defer cancel()
-	err = d.runner.Accept(bounded, job)
-	d.logger.Info("samples made again", zap.String("batch", job.ID), zap.Int("samples", len(samples)), zap.Int64("trained", trained),
-		zap.Int64("min_version", job.MinVersion), zap.Error(err))
-	return nil
-}
-
-// requested returns the job of a batch's first round with the items of some samples.
-func (d *Desk) requested(ctx context.Context, header rollout.Header, samples []int) (*batch.Submission, error) {
-	first := &batch.Submission{Items: make([]batch.Item, header.Samples)}
-	for len(samples) > 0 {
-		items, err := d.reader.Items(ctx, results.ItemsQuery{BatchID: rollout.JobID(header.Trainer, header.Name, 0), Places: samples})
-		switch {
-		case err != nil:
-			return nil, errors.Wrap(ErrUnavailable, err.Error())
-		case !items.Found || items.Ended:
-			return nil, errors.Wrap(ErrUnknownBatch, "the batch was ended")
-		case len(items.Items) == 0 || len(items.Items) > len(samples):
-			return nil, errors.Wrap(ErrUnavailable, "other items were told than asked for")
-		}
-		for i := range items.Items {
-			first.Items[samples[i]] = items.Items[i]
-		}
-		samples = samples[len(items.Items):]
-	}
-	return first, nil
-}
--- /dev/null
+++ b/internal/api/delivery/observation.go
@@ -0,0 +1,184 @@
+package delivery
+
+import (
+	"context"
+	"time"
+
+	"github.com/pkg/errors"
+	"go.uber.org/zap"
+
+	"woodworks/internal/api/rollout"
+	"woodworks/internal/batches/results"
+	"woodworks/internal/daemon/periodic"
+)
+
+// observation is a batch as one pull has seen it. Positions of results never change, so that each
+// look goes on where the one before ended.
+type observation struct {
+	desk    *Desk
+	pull    Pull
+	accepts func(oldest int64) bool
+	rounds  []*round
+	// last says that no round follows those seen, as of this look.
+	last    bool
+	prompts map[int]prompt
+	plan    rollout.Planned
+}
+
+// prompt is what a sample repeats of its request.
+type prompt struct {
+	id   string
+	seed uint64
+}
+
+// round is what was seen of one round.
+type round struct {
+	number  int
+	samples rollout.Round
+	// next is the first position that is not seen, total how many there will be.
+	next, total int
+	// more says that results may be listed that are not seen, as of this look.
+	more bool
+}
+
+// look brings the observation up to date until samples are ready, or all that is listed is seen. A
+// further round is asked for only if samples of those before must be made again.
+func (o *observation) look(ctx context.Context) error {
+	o.last = false
+	for {
+		o.plan = rollout.Plan(o.pull.Cursor, o.samples(), o.accepts, o.pull.Limit)
+		unread := o.unread()
+		var err error
+		switch {
+		case len(o.rounds) == 0 || len(o.plan.Again) > 0 && !o.last:
+			err = o.nextRound(ctx)
+		case len(o.plan.Ready) == 0 && unread != nil:
+			err = o.readRound(ctx, unread, 0)
+		default:
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
+
+// samples returns the samples of the rounds seen.
+func (o *observation) samples() []rollout.Round {
+	samples := make([]rollout.Round, len(o.rounds))
+	for i, r := range o.rounds {
+		samples[i] = r.samples
+	}
+	return samples
+}
+
+// unread returns a round that has results which are not seen, nil for none.
+func (o *observation) unread() *round {
+	for _, r := range o.rounds {
+		if r.more {
+			return r
+		}
+	}
+	return nil
+}
+
+// nextRound looks for the round after those seen.
+func (o *observation) nextRound(ctx context.Context) error {
+	next := &round{number: len(o.rounds), samples: rollout.Round{}}
+	page, err := o.ask(ctx, next, 0)
+	header := o.pull.Cursor.Header
+	switch {
+	case err != nil:
+		return err
+	case !page.Found && next.number > 0:
+		o.last = true
+		return nil
+	case !page.Found:
+		return ErrUnknownBatch
+	}
+	if digest, ok := rollout.DigestOf(page.Round.Path); next.number == 0 && (!ok || digest != header.Digest || page.Total != header.Samples) {
+		return ErrUnknownBatch
+	}
+	for _, sample := range page.Round.Makes {
+		next.samples[sample] = nil
+	}
+	o.rounds = append(o.rounds, next)
+	o.add(next, page)
+	return nil
+}
+
+// readRound asks for what follows of a round. The question may be kept open for wait.
+func (o *observation) readRound(ctx context.Context, of *round, wait time.Duration) error {
+	page, err := o.ask(ctx, of, wait)
+	if err != nil {
+		return err
+	}
+	if !page.Found {
+		return errors.Wrap(ErrUnavailable, "a round that was seen is not known")
+	}
+	o.add(of, page)
+	return nil
+}
+
+// ask asks for the samples of a round from the first position on that is not seen.
+func (o *observation) ask(ctx context.Context, of *round, wait time.Duration) (results.Page, error) {
+	header := o.pull.Cursor.Header
+	page, err := o.desk.reader.Samples(ctx, results.Query{
+		BatchID: rollout.JobID(header.Trainer, header.Name, of.number), After: of.next, Wait: wait,
+		Samples: &results.Samples{Taken: o.pull.Cursor.Bits(), Limit: o.pull.Limit, Further: of.number > 0},
+	})
+	if err != nil {
+		return results.Page{}, errors.Wrap(ErrUnavailable, err.Error())
+	}
+	return page, nil
+}
+
+// add takes a page in.
+func (o *observation) add(to *round, page results.Page) {
+	for i := range page.Results {
+		result := &page.Results[i]
+		if sample, ours := rollout.SampleOf(result.ItemID); ours {
+			to.samples[sample] = &result.Result
+			o.prompts[sample] = prompt{result.Group, result.Seed}
+		}
+	}
+	to.next, to.total = page.Next, page.Total
+	to.more = len(page.Results) > 0 && page.Next < page.Total
+}
+
+// wait returns when the newest round has changed, after a while, or when a stop begins. The
+// next look finds out what could not be read.
+func (o *observation) wait(ctx context.Context, length time.Duration) {
+	polling, cancel := context.WithCancel(ctx)
+	defer cancel()
+	go func() {
+		select {
+		case <-o.pull.Stopping:
+			cancel()
+		case <-polling.Done():
+		}
+	}()
+	for _, r := range o.rounds {
+		r.more = r.next < r.total
+	}
+	newest := o.rounds[len(o.rounds)-1]
+	if newest.next >= newest.total {
+		periodic.Pause(polling, min(length, lookPause))
+		return
+	}
+	if err := o.readRound(polling, newest, length); err != nil && polling.Err() == nil {
+		header := o.pull.Cursor.Header
+		o.desk.logger.Debug("samples not awaited", zap.String("batch", rollout.JobID(header.Trainer, header.Name, newest.number)), zap.Error(err))
+	}
+}
+
+// deliver returns the samples that are ready.
+func (o *observation) deliver() Delivery {
+	indices := make([]int, len(o.plan.Ready))
+	for i := range o.plan.Ready {
+		ready := &o.plan.Ready[i]
+		ready.PromptID, ready.Seed = o.prompts[ready.Index].id, o.prompts[ready.Index].seed
+		indices[i] = ready.Index
+	}
+	return Delivery{Samples: o.plan.Ready, Cursor: o.pull.Cursor.Take(indices...), Open: o.plan.Open}
+}
--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -309,8 +309,8 @@
 		is.Equal(len(p.jobs), 2)
 		is.Equal(len(p.jobs[1].Items), 3)
 		for i, sample := range []int{0, 2, 5} {
-			made, ours := rollout.SampleOf(p.jobs[1].Items[i].ID)
-			is.True(ours && made == sample)
+			samples, ours := rollout.SampleOf(p.jobs[1].Items[i].ID)
+			is.True(ours && samples == sample)
 			is.Equal(string(p.jobs[1].Items[i].Body), string(first.Items[sample].Body))
 		}
 
