--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -87,7 +87,10 @@
 
 // NewTable returns an empty table of the daemon with the given identity.
 func NewTable(self string, now bootclock.Clock, logger *zap.Logger) *Table {
-	return &Table{self: self, now: now, logger: logger, daemons: map[string]*daemon{}, inFlight: map[Key]int{}, eventTimes: map[Key]measuredTime{}}
+	return &Table{
+		self: self, now: now, logger: logger,
+		daemons: map[string]*daemon{}, inFlight: map[Key]int{}, eventTimes: map[Key]measuredTime{},
+	}
 }
 
 // InFlight returns how many requests of other daemons are under way at a replica, as these
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -125,7 +125,9 @@
 
 // demandOf returns what an owner has and still wants after some decisions, with the most
 // urgent item that waits, or nil.
-func demandOf(service occupancy.Key, snap *scheduling.Snapshot, decisions []scheduling.Decision) (demand occupancy.Demand, first *scheduling.Item) {
+func demandOf(service occupancy.Key, snap *scheduling.Snapshot, decisions []scheduling.Decision) (
+	demand occupancy.Demand, first *scheduling.Item,
+) {
 	started, taken := startsOf(decisions)
 	demand.Service = service
 	for i := range snap.Engines {
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -47,7 +47,7 @@
 	return views
 }
 
-// nameGroupEngines turns the starts that last read a group's prompt into the ids of their
+// nameGroupEngines turns the incarnations that last read a group's prompt into the ids of their
 // engines. One that has started again has the prompt no more.
 func (v *view) nameGroupEngines() {
 	present := make(map[string]string, len(v.replicas))
@@ -107,16 +107,16 @@
 
 // describe tells the scheduler of an item. The mutex is held.
 func (j *job) describe(it *item, rt *route.Route, priority int, now time.Time) scheduling.Item {
+	events, lengths := len(it.events), j.placement.lengths
 	described := scheduling.Item{
-		Priority: priority, BatchSince: j.adoptedAt,
-		Model: j.submission.Model, MinVersion: j.submission.MinVersion,
-		Required: j.placement.required[it.Group], Events: len(it.events), Remaining: j.placement.lengths.Remaining(it.expectedTokens, len(it.events)),
-		GroupEngine: string(j.placement.groups[it.Group]), // the start that read the prompt; nameGroupEngines puts the engine's id
-		BatchAge:    now.Sub(j.adoptedAt),
+		Priority: priority, BatchSince: j.adoptedAt, BatchAge: now.Sub(j.adoptedAt),
+		Model: j.submission.Model, MinVersion: j.submission.MinVersion, Required: j.placement.required[it.Group],
+		Events: events, Remaining: lengths.Remaining(it.expectedTokens, events),
+		GroupEngine: string(j.placement.groups[it.Group]), // the incarnation; nameGroupEngines puts the engine's id
 	}
 	if it.attempt == 0 || it.state == itemRunning {
 		// Without it an item that failed is not deferred.
-		described.MaxRemaining = j.placement.lengths.MaxRemaining(it.expectedTokens, len(it.events))
+		described.MaxRemaining = lengths.MaxRemaining(it.expectedTokens, events)
 	}
 	if it.state == itemRunning {
 		described.Engine, described.RunFor = it.lastReplica, now.Sub(it.startedAt)
@@ -140,7 +140,9 @@
 // contentOf is what the item asks a replica for. The mutex is held.
 func (j *job) contentOf(it *item) *quarantine.Content {
 	if it.content == nil {
-		it.content = &quarantine.Content{Caller: j.submission.Tenant, Method: http.MethodPost, Host: j.submission.Host, Target: it.Path, Body: it.Body}
+		it.content = &quarantine.Content{
+			Caller: j.submission.Tenant, Method: http.MethodPost, Host: j.submission.Host, Target: it.Path, Body: it.Body,
+		}
 	}
 	return it.content
 }
--- a/internal/callers/usage/record.go
+++ b/internal/callers/usage/record.go
@@ -69,7 +69,10 @@
 type senderState struct{ number, window int64 }
 
 func newState() *state {
-	return &state{counts: map[int64]map[string]int64{}, senders: map[string]senderState{}, decided: map[int64]map[string]int64{}, reported: map[int64]bool{}}
+	return &state{
+		counts: map[int64]map[string]int64{}, senders: map[string]senderState{},
+		decided: map[int64]map[string]int64{}, reported: map[int64]bool{},
+	}
 }
 
 // apply folds the next record. One that cannot be decoded or contradicts an earlier one
--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -52,7 +52,8 @@
 
 // NewRecorder returns a recorder for an incarnation of a daemon. MinInterval is the least
 // time between two appends that the journal's grants allow.
-func NewRecorder(log journal.Journal, self string, windows duty.Windows, minInterval journal.Pace, clock Clock, logger *zap.Logger) *Recorder {
+func NewRecorder(log journal.Journal, self string, windows duty.Windows, minInterval journal.Pace, clock Clock,
+	logger *zap.Logger) *Recorder {
 	return &Recorder{
 		journal: log, self: self, windows: windows, minInterval: minInterval, clock: clock, logger: logger,
 		counts: map[int64]map[string]int64{}, unlogged: map[int64]map[string]int64{},
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -64,8 +64,12 @@
 }
 
 // NewReporter returns a reporter that acts in the name of holder.
-func NewReporter(log journal.Journal, held lease.Held, driver duty.Driver, holder string, windows duty.Windows, clock Clock, logger *zap.Logger) *Reporter {
-	return &Reporter{journal: log, lease: held, driver: driver, holder: holder, windows: windows, clock: clock, logger: logger, state: newState()}
+func NewReporter(log journal.Journal, held lease.Held, driver duty.Driver, holder string, windows duty.Windows, clock Clock,
+	logger *zap.Logger) *Reporter {
+	return &Reporter{
+		journal: log, lease: held, driver: driver, holder: holder, windows: windows, clock: clock, logger: logger,
+		state: newState(),
+	}
 }
 
 // Reported returns how many reports the platform took from this daemon.
@@ -133,8 +137,9 @@
 		requests = map[string]int64{}
 	}
 	err := r.append(ctx, record{Kind: kindDecided, Window: window, Requests: requests})
-	r.logger.Info("usage decided", zap.Int64("window", window), zap.Int64("requests", total(requests)), zap.Int("tenants", len(requests)), zap.Stringer("counts", byTenant(requests)),
-		zap.Int("runs", len(r.state.senders)), zap.Int64("counted_late", r.state.late), zap.Duration("after", since), zap.Bool("steady", steady), zap.Error(err))
+	r.logger.Info("usage decided", zap.Int64("window", window), zap.Int64("requests", total(requests)),
+		zap.Int("tenants", len(requests)), zap.Stringer("counts", byTenant(requests)), zap.Int("runs", len(r.state.senders)),
+		zap.Int64("counted_late", r.state.late), zap.Duration("after", since), zap.Bool("steady", steady), zap.Error(err))
 	if err == nil {
 		// What the journal holds decides: another daemon may have been first.
 		r.catchUp(ctx)
--- a/internal/callers/usage/usage.go
+++ b/internal/callers/usage/usage.go
@@ -8,12 +8,16 @@
 // settled figures and can report nothing else: of several decisions the first in the
 // journal counts for all.
 //
+// The package owns the records of that partition, and in memory what a daemon has counted and
+// not written yet. It relies on the lease and its fence, and on the time of day being about
+// right: it decides in which window a request counts.
+//
 // A request counts in the window in which it was sent to a replica, by the sender's
 // clock, once for each replica that ran it or may have run it.
 //
 // # Usage
 //
-//	recorder := usage.NewRecorder(log, self, windows, pace, clock, logger)
+//	recorder := usage.NewRecorder(log, self, windows, minInterval, clock, logger)
 //	go recorder.Run(ctx)
 //	recorder.Ran(tenant, sentAt)
 //
--- a/internal/replicas/engine/engine.go
+++ b/internal/replicas/engine/engine.go
@@ -1,5 +1,14 @@
 // Package engine names what woodworks asks of a model engine besides running
 // requests: its state, and orders to change the weights it serves.
+//
+// It owns no state. A platform implements Driver; package modelsync calls it in the name of
+// the lease, whose fence the engines check.
+//
+// # Usage
+//
+//	report, err := driver.Report(ctx, rep)
+//	err = driver.Give(ctx, rep, engine.Order{Model: "m", Version: 7, Manner: engine.Continue,
+//		Holder: name, Fence: fence, AfterOrders: report.Orders})
 package engine
 
 import (
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -125,7 +125,10 @@
 
 // NewManager returns a manager.
 func NewManager(parts Parts, logger *zap.Logger) *Manager {
-	return &Manager{Parts: parts, logger: logger, newest: map[serviceZone]observedOrder{}, lowSince: map[string]time.Time{}, seen: map[serviceZone]seenCount{}}
+	return &Manager{
+		Parts: parts, logger: logger, newest: map[serviceZone]observedOrder{},
+		lowSince: map[string]time.Time{}, seen: map[serviceZone]seenCount{},
+	}
 }
 
 // Orders returns how many orders the platform took from this daemon.
@@ -261,7 +264,8 @@
 		m.ordered[key] = m.observe(key, rec, in.Now)
 		err = lease.Act(ctx, m.Lease, callTimeout, func(ctx context.Context, held int64) error {
 			fence = held
-			return m.Driver.OrderFleet(ctx, duty.Authority{Holder: m.Holder, Fence: held}, duty.Fleet{Service: service, Zone: order.Zone, Desired: order.Desired})
+			return m.Driver.OrderFleet(ctx, duty.Authority{Holder: m.Holder, Fence: held},
+				duty.Fleet{Service: service, Zone: order.Zone, Desired: order.Desired})
 		})
 	}
 	m.logger.Info("replicas ordered", zap.String("service", service), zap.String("zone", order.Zone), zap.Int("desired", order.Desired),
--- a/internal/replicas/modelsync/kinds.go
+++ b/internal/replicas/modelsync/kinds.go
@@ -99,7 +99,8 @@
 // dealEvenly deals replicas to models so that each model has its part of every kind of
 // engine, the fast ones first: a step ends with its longest text, which takes much longer
 // where its model holds no fast engine.
-func dealEvenly(replicas []replica.Replica, models []route.Model, allotment []int, before map[string]string, eventTimeOf func(id string) time.Duration) [][]replica.Replica {
+func dealEvenly(replicas []replica.Replica, models []route.Model, allotment []int, before map[string]string,
+	eventTimeOf func(id string) time.Duration) [][]replica.Replica {
 	kinds := kindsOf(replicas, eventTimeOf)
 	if len(kinds) == 1 || len(replicas) < len(models) {
 		return deal(replicas, models, allotment, before)
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -118,9 +118,11 @@
 // New returns a syncer that acts in the name of holder.
 func New(holder string, held *lease.Lease, driver engine.Driver, table *replica.Table, configuration func() *route.Configuration,
 	named Named, demands *demand.State, logger *zap.Logger) *Syncer {
-	return &Syncer{holder: holder, lease: held, driver: driver, table: table, configuration: configuration, named: named, demands: demands, logger: logger,
+	return &Syncer{
+		holder: holder, lease: held, driver: driver, table: table, configuration: configuration, named: named, demands: demands, logger: logger,
 		notes: map[string]*note{}, allotments: map[string][]int{}, loadTime: initialLoadTime,
-		eventTime: func(replica.Replica) (time.Duration, time.Duration) { return 0, 0 }}
+		eventTime: func(replica.Replica) (time.Duration, time.Duration) { return 0, 0 },
+	}
 }
 
 // Orders returns how many orders were given.
@@ -248,7 +250,8 @@
 // changesDue returns the changes that are due for the replicas of a service,
 // those under way among them, in the order in which they should start. Deals
 // says which replicas are for which model.
-func changesDue(deals [][]replica.Replica, models []route.Model, named map[string]int64, lagOf func(model string) int64, manner engine.Manner, loading func(replicaID string) bool) []change {
+func changesDue(deals [][]replica.Replica, models []route.Model, named map[string]int64,
+	lagOf func(model string) int64, manner engine.Manner, loading func(replicaID string) bool) []change {
 	needs := make([]modelNeed, len(models))
 	for i, model := range models {
 		version, lag := named[model.Name], lagOf(model.Name)
@@ -312,7 +315,7 @@
 }
 
 // carryOut brings one engine to a version and waits until it is there. N is the note of
-// the engine's start, which another start may have replaced meanwhile.
+// the engine's incarnation, which another one may have replaced meanwhile.
 func (s *Syncer) carryOut(ctx context.Context, c change, n *note) {
 	began := time.Now()
 	err := s.changeWeights(ctx, c)
