--- a/internal/requests/forward/offer.go
+++ b/internal/requests/forward/attempt.go
@@ -16,6 +16,20 @@
 	"woodworks/internal/requests/upstream"
 )
 
+// Errors of an attempt; each says why no answer could be passed on.
+var (
+	errUnsound  = errors.New("forward: unsound answer")
+	errDeclined = errors.New("forward: declined")
+	errTimeUp   = errors.New("time is up")
+)
+
+const (
+	// bufferedBytes is the longest answer that is held until it is whole.
+	bufferedBytes = 1 << 20
+	// declinedPause is how long a replica that declined is passed over.
+	declinedPause = 60 * time.Millisecond
+)
+
 // result is the outcome of one offer to one replica.
 type result struct {
 	answer  *Answer
@@ -33,7 +47,7 @@
 	}
 	started := time.Now()
 	answer, sentAt, ran, err := f.exchange(ctx, call, chosen)
-	if ran && call.Ran != nil {
+	if ran {
 		call.Ran(sentAt)
 	}
 	outcome := offerOutcome(ctx, err)
@@ -41,7 +55,7 @@
 	if err != nil {
 		// The end below cancels the offer's context, which then says nothing of the caller.
 		cut := ctx.Err() != nil
-		f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: contentOf(call), chosen: chosen, outcome: outcome, ran: ran, after: time.Since(started), err: err})
+		f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: chosen, outcome: outcome, ran: ran, after: time.Since(started), err: err})
 		end()
 		if !cut {
 			f.learn(chosen, err)
@@ -52,7 +66,7 @@
 	answer.Replica = chosen.ID
 	answer.end = end
 	if answer.Rest == nil {
-		f.Quarantine.Answered(contentOf(call))
+		f.Quarantine.Answered(call.content)
 		end()
 		answer.end = func() {}
 	}
@@ -119,13 +133,14 @@
 	response, err := f.Pool.Exchange(ctx, chosen.Address, &upstream.Request{
 		Method: call.Method, Target: call.Target, Host: call.Host, Header: header, Body: call.Body,
 		EchoName: f.Names.RequestID, EchoValue: call.RequestID,
-		Repeatable: call.Repeatable, MaxOpen: f.maxOpen(chosen), WaitUntil: call.ConnectionUntil, Sending: func() { sentAt = f.now() },
+		Repeatable: call.Repeatable, MaxOpen: f.MaxOpen(chosen), WaitUntil: call.ConnectionUntil, Sending: func() { sentAt = f.Clock() },
 	})
 	if err != nil {
 		return nil, sentAt, !errors.Is(err, upstream.ErrNotSent), err
 	}
 	f.noteLoad(chosen, response.Header)
 	if response.Header.Get(f.Names.NotExecuted) != "" || response.Status == http.StatusMisdirectedRequest {
+		// An error shows as the connection is given back.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response, bufferedBytes))
 		response.Close()
 		return nil, sentAt, false, errors.Wrapf(errDeclined, "status %d", response.Status)
@@ -145,19 +160,16 @@
 func leftOf(ctx context.Context, call *Call) (time.Duration, bool) {
 	deadline, bounded := ctx.Deadline()
 	left := time.Until(deadline)
-	if call.Left != nil {
-		return min(left, call.Left()), bounded
-	}
-	return left, bounded
+	return min(left, call.Left()), bounded
 }
 
 // restEnded notes how the rest of a long answer ended, nil being its proper end.
 func (f *Forwarder) restEnded(ctx context.Context, call *Call, chosen replica.Replica, err error) {
 	if err == nil {
-		f.Quarantine.Answered(contentOf(call))
+		f.Quarantine.Answered(call.content)
 		return
 	}
-	f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: contentOf(call), chosen: chosen, outcome: offerOutcome(ctx, err), ran: true, err: err})
+	f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: chosen, outcome: offerOutcome(ctx, err), ran: true, err: err})
 }
 
 // noteLoad notes what an answer tells of its replica's load.
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -14,7 +14,15 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// attempts is one call under way.
+// errNoReplica: no replica of the call's services is listed, or each was tried.
+var errNoReplica = errors.New("forward: no replica")
+
+// lastWord is how long the attempts that the end of the context cuts have to say whether they
+// were sent. They end at once; a third of the time that ingress keeps back for a final answer
+// leaves the rest of it to the answer.
+const lastWord = 8 * time.Millisecond
+
+// attempts are those at one call. All but outcomes belongs to the goroutine of loop.
 type attempts struct {
 	forwarder *Forwarder
 	call      *Call
@@ -34,6 +42,13 @@
 	fallback *Answer
 }
 
+func newAttempts(f *Forwarder, call *Call) *attempts {
+	call.complete()
+	return &attempts{forwarder: f, call: call, tried: map[string]bool{}, cancels: map[string]context.CancelFunc{},
+		outcomes: make(chan result, call.MaxAttempts+extraTries+1)}
+}
+
+// loop makes attempts until one has an answer to pass on, or none may be made any more.
 func (a *attempts) loop(ctx context.Context) (*Answer, error) {
 	if ctx.Err() != nil {
 		return nil, a.failure(errTimeUp.Error())
@@ -138,7 +153,7 @@
 // that has left: its end may come together with the outcome or the moment that woke the
 // loop.
 func (a *attempts) mayRetry(ctx context.Context) bool {
-	return ctx.Err() == nil && a.tries().MayRetry() && (a.call.MayRetry == nil || a.call.MayRetry(a.mayHaveRun+a.notRun+a.open))
+	return ctx.Err() == nil && a.tries().MayRetry() && a.call.MayRetry(a.mayHaveRun+a.notRun+a.open)
 }
 
 // offer sends the call to the next replica, if there is one, and returns after
@@ -150,17 +165,17 @@
 	}
 	a.tried[chosen.ID] = true
 	a.open++
-	offerContext, cancel := context.WithCancel(ctx)
+	attemptCtx, cancel := context.WithCancel(ctx)
 	a.cancels[chosen.ID] = cancel
 	go func() {
-		a.outcomes <- a.forwarder.attempt(offerContext, func() { cancel(); release() }, a.call, chosen)
+		a.outcomes <- a.forwarder.attempt(attemptCtx, func() { cancel(); release() }, a.call, chosen)
 	}()
 	return hedgeDelay(a.call.HedgeAfter, chosen.Latency)
 }
 
 // suspicion is what is held against the call's content.
 func (a *attempts) suspicion() quarantine.Suspicion {
-	return a.forwarder.Quarantine.Suspicion(contentOf(a.call))
+	return a.forwarder.Quarantine.Suspicion(a.call.content)
 }
 
 // pick picks a replica at which the call's content may run now. It waits while
@@ -170,7 +185,7 @@
 		if chosen, ok = a.choose(); !ok {
 			return replica.Replica{}, nil, false
 		}
-		release, err := a.forwarder.mayRun(a.call.RequestID, contentOf(a.call), chosen)
+		release, err := a.forwarder.mayRun(a.call.RequestID, a.call.content, chosen)
 		switch {
 		case err == nil:
 			return chosen, release, true
--- /dev/null
+++ b/internal/requests/forward/call.go
@@ -0,0 +1,151 @@
+package forward
+
+import (
+	"io"
+	"math"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"woodworks/internal/requests/holding"
+	"woodworks/internal/requests/quarantine"
+	"woodworks/internal/requests/upstream"
+)
+
+// Certainty says what is known of a request without a passable answer.
+type Certainty int
+
+// What is known of a request.
+const (
+	// NotRun: no replica has run the request and none will.
+	NotRun Certainty = iota + 1
+	// MayHaveRun: a replica got the request and its answer was lost or unsound.
+	MayHaveRun
+)
+
+// Call is one request to a service.
+type Call struct {
+	RequestID string
+	Method    string
+	Target    string
+	Host      string
+	Header    http.Header
+	Body      []byte
+	// Caller is the tenant that sent the call, "" where there are none.
+	Caller string
+	// Services are tried in this order; the later ones only where no replica
+	// of the earlier ones is there.
+	Services []string
+	// Repeatable requests may run more than once.
+	Repeatable  bool
+	MaxAttempts int
+	// Hedge allows a second replica to be asked while the first is silent.
+	Hedge bool
+	// HedgeAfter is when to do so, 0 for what its usual latency suggests.
+	HedgeAfter time.Duration
+	// MayRetry is asked before a further replica is offered the call, with the number of
+	// offers so far. Nil adds no bound to that of Tries.
+	MayRetry func(offers int) bool
+	// Left is how long the caller still waits. It counts the time in which this machine
+	// was suspended, which the end of a context does not. Nil adds no bound to the
+	// context's.
+	Left func() time.Duration
+	// ConnectionUntil is until when a connection is waited for at a replica to which this
+	// daemon has as many as it may.
+	ConnectionUntil time.Time
+	// Ran is told of each replica that ran the call or may have run it, with when the call
+	// was sent there, by the forwarder's clock. Nil if nobody counts runs.
+	Ran func(sentAt time.Time)
+	// Account counts what is held of answers; nil has no bound. An answer for which it has
+	// no room is passed on as it comes, like a long one.
+	Account *holding.Account
+
+	content *quarantine.Content
+}
+
+// complete gives what the caller left out its value without effect, and the call its content.
+// A call may be done again while attempts of its first time still end.
+func (c *Call) complete() {
+	if c.MayRetry == nil {
+		c.MayRetry = func(int) bool { return true }
+	}
+	if c.Left == nil {
+		c.Left = func() time.Duration { return math.MaxInt64 }
+	}
+	if c.Ran == nil {
+		c.Ran = func(time.Time) {}
+	}
+	if c.content == nil {
+		c.content = &quarantine.Content{Caller: c.Caller, Method: c.Method, Host: c.Host, Target: c.Target, Body: c.Body}
+	}
+}
+
+// Answer is a replica's whole answer, or its beginning with the rest to come.
+type Answer struct {
+	Status  int
+	Header  http.Header
+	Replica string
+	// Attempts is how many replicas have run the request, or may have.
+	Attempts int
+	// Body is the answer's body if Rest is nil, else its beginning.
+	Body []byte
+	Rest *Rest
+	end  func()
+}
+
+// Rest is what is still to come of a long answer.
+type Rest struct {
+	*upstream.Answer
+	// ended is told how the reading ended, nil being the answer's proper end.
+	ended func(err error)
+	// given says that nobody wants the rest, so that its end says nothing of the replica.
+	given atomic.Bool
+}
+
+// GiveUp ends a Read under way, and all later ones, with an error. It may be called at any
+// time; Close must follow once no Read is under way.
+func (r *Rest) GiveUp() {
+	r.given.Store(true)
+	r.Answer.Cut()
+}
+
+// Read implements io.Reader.
+func (r *Rest) Read(p []byte) (int, error) {
+	n, err := r.Answer.Read(p)
+	switch {
+	case err == io.EOF:
+		r.ended(nil)
+	case err != nil && !r.given.Load():
+		r.ended(err)
+	}
+	return n, err
+}
+
+// Close gives the connection of a rest back.
+func (a *Answer) Close() {
+	if a.Rest != nil {
+		a.Rest.Close()
+	}
+	if a.end != nil {
+		a.end()
+	}
+}
+
+// Failure says why there is no answer to pass on.
+type Failure struct {
+	Certainty Certainty
+	Reason    string
+	// Quarantined, if not nil, says that the request was not sent as replicas have ended
+	// under its content.
+	Quarantined *QuarantinedError
+	// Attempts is how many replicas may have run the request.
+	Attempts int
+	// Tried are the replicas that the request was offered to.
+	Tried []string
+	// Full says that each of them declined it: it has not run, and there is no other sign
+	// that something is wrong.
+	Full bool
+}
+
+// Error implements error.
+func (f *Failure) Error() string { return f.Reason }
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -72,7 +72,7 @@
 		table.Set(replica.Entry{ID: string(rune('a' + i)), Service: "s", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 4})
 	}
 	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, UnackedTimeout: time.Second})
-	f.forwarder = &Forwarder{Pool: pool, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}
+	f.forwarder = &Forwarder{Clock: time.Now, MaxOpen: Unbounded, Pool: pool, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}
 	return f
 }
 
@@ -219,7 +219,7 @@
 func TestARetryIsNotBegunForNobody(t *testing.T) {
 	is := is.New(t)
 	ctx, leave := context.WithCancel(t.Context())
-	a := &attempts{forwarder: newFloor(t, 0).forwarder, call: &Call{Repeatable: true, MaxAttempts: 3}}
+	a := newAttempts(newFloor(t, 0).forwarder, &Call{Repeatable: true, MaxAttempts: 3})
 	is.True(a.mayRetry(ctx))
 	leave()
 	is.True(!a.mayRetry(ctx))
@@ -234,7 +234,9 @@
 	chosen := replica.Replica{Entry: replica.Entry{ID: "a", Service: "s", Address: silentAddress(t), Slots: 4}}
 	for range 20 {
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Millisecond)
-		res := f.forwarder.attempt(ctx, cancel, &Call{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}}, chosen)
+		call := &Call{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}}
+		call.complete()
+		res := f.forwarder.attempt(ctx, cancel, call, chosen)
 		is.True(errors.Is(res.err, upstream.ErrNotSent))
 		is.True(!res.ran)
 	}
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -121,7 +121,7 @@
 	answer, err := f.Pool.Exchange(ctx, chosen.Address, &upstream.Request{
 		Method: req.Method, Target: req.Target, Host: req.Host, Header: header, Body: req.Body,
 		EchoName: names.RequestID, EchoValue: req.RequestID,
-		Repeatable: req.Repeatable, MaxOpen: f.maxOpen(chosen),
+		Repeatable: req.Repeatable, MaxOpen: f.MaxOpen(chosen),
 	})
 	if err == nil {
 		f.noteLoad(chosen, answer.Header)
@@ -133,6 +133,7 @@
 		release()
 		return nil, err
 	}
+	// A service without weights names no version: 0.
 	version, _ := strconv.ParseInt(strings.TrimSpace(answer.Header.Get(names.Versions)), 10, 64)
 	return &Stream{Status: answer.Status, Header: answer.Header, Version: version,
 		reader: eventstream.NewReader(answer, names.Versions), answer: answer, ended: ended, release: release}, nil
