--- a/internal/daemon/cli/arguments_test.go
+++ b/internal/daemon/cli/arguments_test.go
@@ -34,9 +34,9 @@
 
 func TestSurplusArgumentsAreNamed(t *testing.T) {
 	is := is.New(t)
-	for _, arguments := range [][]string{{"serve", "surplus"}, {"policy", "check", "a.star", "surplus"}, {"status", "surplus"}} {
+	for _, args := range [][]string{{"serve", "surplus"}, {"policy", "check", "a.star", "surplus"}, {"status", "surplus"}} {
 		var stdout, stderr bytes.Buffer
-		is.Equal(Main(arguments, nil, &stdout, &stderr), ExitUsage)
+		is.Equal(Main(args, nil, &stdout, &stderr), ExitUsage)
 		is.True(strings.Contains(stderr.String(), `"surplus"`))
 	}
 }
--- a/internal/daemon/cli/explain.go
+++ b/internal/daemon/cli/explain.go
@@ -10,18 +10,18 @@
 )
 
 // addLogFiles takes arguments as log files.
-func addLogFiles(chosen *options, arguments []string) {
-	chosen.logFiles = append(chosen.logFiles, arguments...)
+func addLogFiles(o *options, args []string) {
+	o.logFiles = append(o.logFiles, args...)
 }
 
 // runExplain tells the story of an id from log files, or from standard input
 // if none is named.
-func runExplain(chosen *options) error {
-	if chosen.logFiles == nil {
-		return withCode(ExitFailed, explain.Explain(chosen.stdout, chosen.explainID, os.Stdin))
+func runExplain(o *options) error {
+	if o.logFiles == nil {
+		return withCode(ExitFailed, explain.Explain(o.stdout, o.explainID, os.Stdin))
 	}
 	var sources []io.Reader
-	for _, name := range chosen.logFiles {
+	for _, name := range o.logFiles {
 		file, err := os.Open(name)
 		if err != nil {
 			return withCode(ExitUsage, errors.Wrap(err, "explain"))
@@ -29,5 +29,5 @@
 		defer func() { _ = file.Close() }()
 		sources = append(sources, file)
 	}
-	return withCode(ExitFailed, explain.Explain(chosen.stdout, chosen.explainID, sources...))
+	return withCode(ExitFailed, explain.Explain(o.stdout, o.explainID, sources...))
 }
--- a/internal/daemon/cli/remote.go
+++ b/internal/daemon/cli/remote.go
@@ -32,39 +32,39 @@
 	followRetries = 30
 )
 
-func (chosen *options) nameOfDocument() string {
-	if chosen.documentName != "" {
-		return chosen.documentName
+func (o *options) nameOfDocument() string {
+	if o.documentName != "" {
+		return o.documentName
 	}
-	return strings.TrimSuffix(filepath.Base(chosen.file), ".star")
+	return strings.TrimSuffix(filepath.Base(o.file), ".star")
 }
 
-func (chosen *options) readFile() (string, error) {
-	content, err := os.ReadFile(chosen.file)
+func (o *options) readFile() (string, error) {
+	content, err := os.ReadFile(o.file)
 	if err != nil {
 		return "", withCode(ExitUsage, errors.Wrap(err, "cannot read file"))
 	}
 	return string(content), nil
 }
 
-func runPolicyCheck(chosen *options) error {
-	source, err := chosen.readFile()
+func runPolicyCheck(o *options) error {
+	source, err := o.readFile()
 	if err != nil {
 		return err
 	}
-	if err := policy.Validate(map[string]string{chosen.nameOfDocument(): source}); err != nil {
+	if err := policy.Validate(map[string]string{o.nameOfDocument(): source}); err != nil {
 		return withCode(ExitUsage, err)
 	}
-	_, err = fmt.Fprintln(chosen.stdout, "policy is valid")
+	_, err = fmt.Fprintln(o.stdout, "policy is valid")
 	return err
 }
 
-func runPolicyTest(chosen *options) error {
-	source, err := chosen.readFile()
+func runPolicyTest(o *options) error {
+	source, err := o.readFile()
 	if err != nil {
 		return err
 	}
-	results, err := policy.RunCases(chosen.nameOfDocument(), source)
+	results, err := policy.RunCases(o.nameOfDocument(), source)
 	if err != nil {
 		return withCode(ExitUsage, err)
 	}
@@ -74,15 +74,15 @@
 			failed++
 		}
 	}
-	if err := chosen.print(results, func(writer io.Writer) {
+	if err := o.print(results, func(w io.Writer) {
 		for _, result := range results {
 			if result.Fault == "" {
-				_, _ = fmt.Fprintf(writer, "ok   %s\n", result.Name)
+				fmt.Fprintf(w, "ok   %s\n", result.Name)
 			} else {
-				_, _ = fmt.Fprintf(writer, "FAIL %s: %s\n", result.Name, result.Fault)
+				fmt.Fprintf(w, "FAIL %s: %s\n", result.Name, result.Fault)
 			}
 		}
-		_, _ = fmt.Fprintf(writer, "%d passed, %d failed\n", len(results)-failed, failed)
+		fmt.Fprintf(w, "%d passed, %d failed\n", len(results)-failed, failed)
 	}); err != nil {
 		return err
 	}
@@ -92,8 +92,8 @@
 	return nil
 }
 
-func runPolicyPublish(chosen *options) error {
-	source, err := chosen.readFile()
+func runPolicyPublish(o *options) error {
+	source, err := o.readFile()
 	if err != nil {
 		return err
 	}
@@ -101,144 +101,144 @@
 		Name     string `json:"name"`
 		Source   string `json:"source"`
 		Replaces *int64 `json:"replaces,omitempty"`
-	}{Name: chosen.nameOfDocument(), Source: source}
-	if chosen.replaces != "" {
-		version, err := strconv.ParseInt(chosen.replaces, 10, 64)
+	}{Name: o.nameOfDocument(), Source: source}
+	if o.replaces != "" {
+		version, err := strconv.ParseInt(o.replaces, 10, 64)
 		if err != nil {
-			return usagef("--replaces: %q is not a version", chosen.replaces)
+			return usagef("--replaces: %q is not a version", o.replaces)
 		}
 		body.Replaces = &version
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
 	defer cancel()
 	var publication operator.Publication
-	if err := chosen.client().JSON(ctx, http.MethodPost, "/v1/policies", body, &publication); err != nil {
+	if err := o.client().JSON(ctx, http.MethodPost, "/v1/policies", body, &publication); err != nil {
 		return err
 	}
-	return chosen.print(publication, func(writer io.Writer) {
-		_, _ = fmt.Fprintf(writer, "policy %s is in force as version %d\n", body.Name, publication.Version)
+	return o.print(publication, func(w io.Writer) {
+		fmt.Fprintf(w, "policy %s is in force as version %d\n", body.Name, publication.Version)
 	})
 }
 
-func (chosen *options) fetchPolicies() (gateway.PolicyList, error) {
+func (o *options) fetchPolicies() (gateway.PolicyList, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
 	defer cancel()
 	var fetched gateway.PolicyList
-	err := chosen.client().JSON(ctx, http.MethodGet, "/v1/policies", nil, &fetched)
+	err := o.client().JSON(ctx, http.MethodGet, "/v1/policies", nil, &fetched)
 	return fetched, err
 }
 
-func runPolicyHistory(chosen *options) error {
-	fetched, err := chosen.fetchPolicies()
+func runPolicyHistory(o *options) error {
+	fetched, err := o.fetchPolicies()
 	if err != nil {
 		return err
 	}
-	return chosen.print(fetched.History, func(writer io.Writer) {
-		table := tabwriter.NewWriter(writer, 0, 4, 2, ' ', 0)
-		_, _ = fmt.Fprintln(table, "VERSION\tDOCUMENT\tAUTHOR")
+	return o.print(fetched.History, func(w io.Writer) {
+		table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+		fmt.Fprintln(table, "VERSION\tDOCUMENT\tAUTHOR")
 		for _, change := range fetched.History {
-			_, _ = fmt.Fprintf(table, "%d\t%s\t%s\n", change.Version, change.Changed, change.Author)
+			fmt.Fprintf(table, "%d\t%s\t%s\n", change.Version, change.Changed, change.Author)
 		}
-		_ = table.Flush()
+		table.Flush()
 	})
 }
 
-func runPolicyDiff(chosen *options) error {
-	source, err := chosen.readFile()
+func runPolicyDiff(o *options) error {
+	source, err := o.readFile()
 	if err != nil {
 		return err
 	}
-	fetched, err := chosen.fetchPolicies()
+	fetched, err := o.fetchPolicies()
 	if err != nil {
 		return err
 	}
 	inForce := ""
 	for _, document := range fetched.Documents {
-		if document.Name == chosen.nameOfDocument() {
+		if document.Name == o.nameOfDocument() {
 			inForce = document.Source
 		}
 	}
 	lines := diffLines(inForce, source)
 	for _, line := range lines {
-		_, _ = fmt.Fprintln(chosen.stdout, line)
+		fmt.Fprintln(o.stdout, line)
 	}
 	if len(lines) > 0 {
-		return &exitError{code: ExitFailed, cause: errors.Errorf("%s differs from the policy in force", chosen.file)}
+		return &exitError{code: ExitFailed, cause: errors.Errorf("%s differs from the policy in force", o.file)}
 	}
 	return nil
 }
 
-func runStatus(chosen *options) error {
+func runStatus(o *options) error {
 	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
 	defer cancel()
 	var status gateway.Status
-	if err := chosen.client().JSON(ctx, http.MethodGet, "/v1/status", nil, &status); err != nil {
+	if err := o.client().JSON(ctx, http.MethodGet, "/v1/status", nil, &status); err != nil {
 		return err
 	}
-	return chosen.print(status, func(writer io.Writer) { printStatus(writer, status) })
+	return o.print(status, func(w io.Writer) { printStatus(w, status) })
 }
 
-func printStatus(writer io.Writer, status gateway.Status) {
-	table := tabwriter.NewWriter(writer, 0, 4, 2, ' ', 0)
-	_, _ = fmt.Fprintf(table, "daemon\t%s\tready=%t\t%s\n", status.Daemon, status.Ready, status.Reason)
+func printStatus(w io.Writer, status gateway.Status) {
+	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	fmt.Fprintf(table, "daemon\t%s\tready=%t\t%s\n", status.Daemon, status.Ready, status.Reason)
 	age := time.Duration(status.ConfigurationAgeMs) * time.Millisecond
-	_, _ = fmt.Fprintf(table, "configuration\tversion %d\tconfirmed %s ago\t\n", status.ConfigurationVersion, age)
+	fmt.Fprintf(table, "configuration\tversion %d\tconfirmed %s ago\t\n", status.ConfigurationVersion, age)
 	for _, model := range slices.Sorted(maps.Keys(status.Named)) {
-		_, _ = fmt.Fprintf(table, "weights\t%s\tversion %d\t\n", model, status.Named[model])
+		fmt.Fprintf(table, "weights\t%s\tversion %d\t\n", model, status.Named[model])
 	}
-	for _, each := range status.Replicas {
-		_, _ = fmt.Fprintf(table, "replica\t%s\t%s\tdraining=%t in_flight=%d versions=%v\n", each.ID, each.Service, each.Draining, each.InFlight, each.Versions)
+	for _, entry := range status.Replicas {
+		fmt.Fprintf(table, "replica\t%s\t%s\tdraining=%t in_flight=%d versions=%v\n", entry.ID, entry.Service, entry.Draining, entry.InFlight, entry.Versions)
 	}
-	_ = table.Flush()
+	table.Flush()
 }
 
-func runDrain(chosen *options) error {
+func runDrain(o *options) error {
 	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
 	defer cancel()
 	body := struct {
 		Machine string `json:"machine"`
 		Undo    bool   `json:"undo,omitempty"`
-	}{chosen.machine, chosen.undo}
-	if err := chosen.client().JSON(ctx, http.MethodPost, "/v1/drains", body, nil); err != nil {
+	}{o.machine, o.undo}
+	if err := o.client().JSON(ctx, http.MethodPost, "/v1/drains", body, nil); err != nil {
 		return err
 	}
-	return chosen.print(body, func(writer io.Writer) {
+	return o.print(body, func(w io.Writer) {
 		word := "gets no new work"
-		if chosen.undo {
+		if o.undo {
 			word = "is back in service"
 		}
-		_, _ = fmt.Fprintf(writer, "%s %s\n", chosen.machine, word)
+		fmt.Fprintf(w, "%s %s\n", o.machine, word)
 	})
 }
 
-func runRolloutSubmit(chosen *options) error {
-	source, err := chosen.readFile()
+func runRolloutSubmit(o *options) error {
+	source, err := o.readFile()
 	if err != nil {
 		return err
 	}
 	var request rollout.Request
 	if err := json.Unmarshal([]byte(source), &request); err != nil {
-		return withCode(ExitUsage, errors.Wrap(err, chosen.file))
+		return withCode(ExitUsage, errors.Wrap(err, o.file))
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
 	defer cancel()
-	submitted, err := chosen.client().Submit(ctx, request)
+	submitted, err := o.client().Submit(ctx, request)
 	if err != nil {
 		return err
 	}
-	return chosen.print(submitted, func(writer io.Writer) {
-		_, _ = fmt.Fprintf(writer, "batch %s of %s has %d samples\n", submitted.Name, submitted.Trainer, submitted.Samples)
+	return o.print(submitted, func(w io.Writer) {
+		fmt.Fprintf(w, "batch %s of %s has %d samples\n", submitted.Name, submitted.Trainer, submitted.Samples)
 	})
 }
 
 // runRolloutFollow prints one sample a line as JSON until the batch is done.
-func runRolloutFollow(chosen *options) error {
-	encoder := json.NewEncoder(chosen.stdout)
+func runRolloutFollow(o *options) error {
+	encoder := json.NewEncoder(o.stdout)
 	cursor := ""
 	failures := 0
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), followWait+remoteTimeout)
-		pulled, err := chosen.client().Pull(ctx, chosen.trainer, chosen.batch, cursor, chosen.version, followLimit, followWait)
+		pulled, err := o.client().Pull(ctx, o.trainer, o.batch, cursor, o.version, followLimit, followWait)
 		cancel()
 		problem, answered := client.AsProblem(err)
 		switch {
--- a/internal/daemon/cli/serve.go
+++ b/internal/daemon/cli/serve.go
@@ -16,11 +16,11 @@
 )
 
 // loadSettings reads the file over the defaults and the flags over the file.
-func loadSettings(chosen *options) (settings.Settings, error) {
+func loadSettings(o *options) (settings.Settings, error) {
 	loaded := settings.Defaults()
 	var fileFaults error
-	if chosen.config != "" {
-		loaded, fileFaults = settings.Load(chosen.config)
+	if o.config != "" {
+		loaded, fileFaults = settings.Load(o.config)
 		if errors.Is(fileFaults, settings.ErrUnreadable) {
 			return loaded, withCode(ExitUsage, fileFaults)
 		}
@@ -30,12 +30,12 @@
 			*target = value
 		}
 	}
-	override(chosen.name, &loaded.Name)
-	override(chosen.zone, &loaded.Zone)
-	override(chosen.region, &loaded.Region)
-	override(chosen.listenPublic, &loaded.Listen.Public)
-	override(chosen.listenIntern, &loaded.Listen.Internal)
-	override(chosen.logLevel, &loaded.Log.Level)
+	override(o.name, &loaded.Name)
+	override(o.zone, &loaded.Zone)
+	override(o.region, &loaded.Region)
+	override(o.listenPublic, &loaded.Listen.Public)
+	override(o.listenIntern, &loaded.Listen.Internal)
+	override(o.logLevel, &loaded.Log.Level)
 	return loaded, withCode(ExitUsage, together(fileFaults, loaded.Check()))
 }
 
@@ -52,12 +52,12 @@
 	}
 }
 
-func runServe(chosen *options) error {
-	if chosen.checkOnly {
-		return checkSettings(chosen)
+func runServe(o *options) error {
+	if o.checkOnly {
+		return checkSettings(o)
 	}
-	chosen.signals.Daemon()
-	loaded, stopped, err := firstSettings(chosen)
+	o.signals.Daemon()
+	loaded, stopped, err := firstSettings(o)
 	if err != nil {
 		return err
 	}
@@ -70,34 +70,34 @@
 		logSignal(logger, stopped, notStarted)
 		return nil
 	}
-	return serveDaemon(chosen, loaded, logger)
+	return serveDaemon(o, loaded, logger)
 }
 
-func checkSettings(chosen *options) error {
-	chosen.signals.EndProcess()
-	if _, err := loadSettings(chosen); err != nil {
+func checkSettings(o *options) error {
+	o.signals.EndProcess()
+	if _, err := loadSettings(o); err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintln(chosen.stdout, "settings are valid")
+	fmt.Fprintln(o.stdout, "settings are valid")
 	return nil
 }
 
 // firstSettings reads the settings. A signal that stops the daemon meanwhile is returned
 // with the defaults, as the file may never be read.
-func firstSettings(chosen *options) (settings.Settings, os.Signal, error) {
+func firstSettings(o *options) (settings.Settings, os.Signal, error) {
 	type outcome struct {
 		loaded settings.Settings
 		err    error
 	}
 	read := make(chan outcome, 1)
 	go func() {
-		loaded, err := loadSettings(chosen)
+		loaded, err := loadSettings(o)
 		read <- outcome{loaded, err}
 	}()
 	select {
 	case got := <-read:
 		return got.loaded, nil, got.err
-	case s := <-chosen.signals.Stops:
+	case s := <-o.signals.Stops:
 		return settings.Defaults(), s, nil
 	}
 }
@@ -116,8 +116,8 @@
 }
 
 // serveDaemon runs a daemon until it is told to stop.
-func serveDaemon(chosen *options, loaded settings.Settings, logger *zap.Logger) error {
-	connect := chosen.drivers[loaded.Platform.Driver]
+func serveDaemon(o *options, loaded settings.Settings, logger *zap.Logger) error {
+	connect := o.drivers[loaded.Platform.Driver]
 	if connect == nil {
 		return usagef("platform.driver: this build has no driver %q", loaded.Platform.Driver)
 	}
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	taken := chosen.signals
+	taken := o.signals
 	select {
 	case s := <-taken.Stops:
 		logSignal(logger, s, notStarted)
@@ -138,7 +138,7 @@
 	}
 	taken.TakeUser()
 	l := &live{inForce: loaded, setStopGrace: running.SetStopGrace, setHeld: running.SetHeld, logger: logger}
-	return untilStopped(running, taken, newReloader(func() (settings.Settings, error) { return loadSettings(chosen) }), l)
+	return untilStopped(running, taken, newReloader(func() (settings.Settings, error) { return loadSettings(o) }), l)
 }
 
 // untilStopped serves the signals of a running daemon until one has stopped it.
@@ -189,7 +189,7 @@
 	}
 }
 
-func runVersion(chosen *options) error {
-	_, err := fmt.Fprintln(chosen.stdout, "woodworks "+Version)
+func runVersion(o *options) error {
+	_, err := fmt.Fprintln(o.stdout, "woodworks "+Version)
 	return err
 }
--- a/internal/daemon/explain/explain.go
+++ b/internal/daemon/explain/explain.go
@@ -137,7 +137,7 @@
 		if own[each] {
 			mark = "*"
 		}
-		_, _ = fmt.Fprintf(output, "%s %s %s: %s%s\n", mark, each.time, each.node, each.event, fieldsText(each))
+		fmt.Fprintf(output, "%s %s %s: %s%s\n", mark, each.time, each.node, each.event, fieldsText(each))
 	}
 	_, err := fmt.Fprintln(output)
 	for _, each := range conclusions(id, story, own, stops) {
