--- a/internal/daemon/cli/remote.go
+++ b/internal/daemon/cli/policy.go
@@ -2,34 +2,20 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
-	"maps"
 	"net/http"
 	"os"
 	"path/filepath"
-	"slices"
 	"strconv"
 	"strings"
 	"text/tabwriter"
-	"time"
 
 	"github.com/pkg/errors"
 
-	"woodworks/internal/api/client"
 	"woodworks/internal/api/gateway"
 	"woodworks/internal/api/operator"
 	"woodworks/internal/api/policy"
-	"woodworks/internal/api/rollout"
-)
-
-const (
-	remoteTimeout = 20 * time.Second
-	followWait    = 10 * time.Second
-	followLimit   = 256
-	// followRetries bounds the tries in a row that get no answer.
-	followRetries = 30
 )
 
 func (o *options) nameOfDocument() string {
@@ -167,101 +153,3 @@
 	}
 	return nil
 }
-
-func runStatus(o *options) error {
-	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
-	defer cancel()
-	var status gateway.Status
-	if err := o.client().JSON(ctx, http.MethodGet, "/v1/status", nil, &status); err != nil {
-		return err
-	}
-	return o.print(status, func(w io.Writer) { printStatus(w, status) })
-}
-
-func printStatus(w io.Writer, status gateway.Status) {
-	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(table, "daemon\t%s\tready=%t\t%s\n", status.Daemon, status.Ready, status.Reason)
-	age := time.Duration(status.ConfigurationAgeMs) * time.Millisecond
-	fmt.Fprintf(table, "configuration\tversion %d\tconfirmed %s ago\t\n", status.ConfigurationVersion, age)
-	for _, model := range slices.Sorted(maps.Keys(status.Named)) {
-		fmt.Fprintf(table, "weights\t%s\tversion %d\t\n", model, status.Named[model])
-	}
-	for _, entry := range status.Replicas {
-		fmt.Fprintf(table, "replica\t%s\t%s\tdraining=%t in_flight=%d versions=%v\n", entry.ID, entry.Service, entry.Draining, entry.InFlight, entry.Versions)
-	}
-	table.Flush()
-}
-
-func runDrain(o *options) error {
-	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
-	defer cancel()
-	body := struct {
-		Machine string `json:"machine"`
-		Undo    bool   `json:"undo,omitempty"`
-	}{o.machine, o.undo}
-	if err := o.client().JSON(ctx, http.MethodPost, "/v1/drains", body, nil); err != nil {
-		return err
-	}
-	return o.print(body, func(w io.Writer) {
-		word := "gets no new work"
-		if o.undo {
-			word = "is back in service"
-		}
-		fmt.Fprintf(w, "%s %s\n", o.machine, word)
-	})
-}
-
-func runRolloutSubmit(o *options) error {
-	source, err := o.readFile()
-	if err != nil {
-		return err
-	}
-	var request rollout.Request
-	if err := json.Unmarshal([]byte(source), &request); err != nil {
-		return withCode(ExitUsage, errors.Wrap(err, o.file))
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
-	defer cancel()
-	submitted, err := o.client().Submit(ctx, request)
-	if err != nil {
-		return err
-	}
-	return o.print(submitted, func(w io.Writer) {
-		fmt.Fprintf(w, "batch %s of %s has %d samples\n", submitted.Name, submitted.Trainer, submitted.Samples)
-	})
-}
-
-// runRolloutFollow prints one sample a line as JSON until the batch is done.
-func runRolloutFollow(o *options) error {
-	encoder := json.NewEncoder(o.stdout)
-	cursor := ""
-	failures := 0
-	for {
-		ctx, cancel := context.WithTimeout(context.Background(), followWait+remoteTimeout)
-		pulled, err := o.client().Pull(ctx, o.trainer, o.batch, cursor, o.version, followLimit, followWait)
-		cancel()
-		problem, answered := client.AsProblem(err)
-		switch {
-		case err == nil:
-			failures = 0
-		case answered && problem.Problem.RetryAfterMillis == 0:
-			return err
-		default:
-			failures++
-			if failures > followRetries {
-				return err
-			}
-			time.Sleep(time.Second)
-			continue
-		}
-		for _, sample := range pulled.Samples {
-			if err := encoder.Encode(sample); err != nil {
-				return err
-			}
-		}
-		cursor = pulled.Cursor
-		if pulled.Done {
-			return nil
-		}
-	}
-}
--- /dev/null
+++ b/internal/daemon/cli/status.go
@@ -0,0 +1,60 @@
+package cli
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"maps"
+	"net/http"
+	"slices"
+	"text/tabwriter"
+	"time"
+
+	"woodworks/internal/api/gateway"
+)
+
+// remoteTimeout bounds a call to a daemon.
+const remoteTimeout = 20 * time.Second
+
+func runStatus(o *options) error {
+	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
+	defer cancel()
+	var status gateway.Status
+	if err := o.client().JSON(ctx, http.MethodGet, "/v1/status", nil, &status); err != nil {
+		return err
+	}
+	return o.print(status, func(w io.Writer) { printStatus(w, status) })
+}
+
+func printStatus(w io.Writer, status gateway.Status) {
+	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	fmt.Fprintf(table, "daemon\t%s\tready=%t\t%s\n", status.Daemon, status.Ready, status.Reason)
+	age := time.Duration(status.ConfigurationAgeMs) * time.Millisecond
+	fmt.Fprintf(table, "configuration\tversion %d\tconfirmed %s ago\t\n", status.ConfigurationVersion, age)
+	for _, model := range slices.Sorted(maps.Keys(status.Named)) {
+		fmt.Fprintf(table, "weights\t%s\tversion %d\t\n", model, status.Named[model])
+	}
+	for _, entry := range status.Replicas {
+		fmt.Fprintf(table, "replica\t%s\t%s\tdraining=%t in_flight=%d versions=%v\n", entry.ID, entry.Service, entry.Draining, entry.InFlight, entry.Versions)
+	}
+	table.Flush()
+}
+
+func runDrain(o *options) error {
+	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
+	defer cancel()
+	body := struct {
+		Machine string `json:"machine"`
+		Undo    bool   `json:"undo,omitempty"`
+	}{o.machine, o.undo}
+	if err := o.client().JSON(ctx, http.MethodPost, "/v1/drains", body, nil); err != nil {
+		return err
+	}
+	return o.print(body, func(w io.Writer) {
+		word := "gets no new work"
+		if o.undo {
+			word = "is back in service"
+		}
+		fmt.Fprintf(w, "%s %s\n", o.machine, word)
+	})
+}
