--- a/internal/daemon/explain/conclusion.go
+++ b/internal/daemon/explain/conclusion.go
@@ -10,44 +10,44 @@
 // conclusions say what decided the story of an id, a sentence each.
 func conclusions(id string, story []*line, own map[*line]bool, stops []*stop) []string {
 	ofDaemon, ofRequest := stopped(stops, id)
-	var told []string
-	for _, each := range ofDaemon {
-		told = append(told, each.summary())
+	var sentences []string
+	for _, l := range ofDaemon {
+		sentences = append(sentences, l.summary())
 	}
 	if outcome := outcomeOf(story, own); outcome != "" {
-		told = append(told, outcome)
+		sentences = append(sentences, outcome)
 	}
-	for _, each := range ofRequest {
-		told = append(told, each.befell(id))
+	for _, l := range ofRequest {
+		sentences = append(sentences, l.befell(id))
 	}
 	if turn := admissionOf(story, own, id); turn != "" {
-		told = append(told, turn)
+		sentences = append(sentences, turn)
 	}
 	if window := windowOf(story, own, id); window != nil {
-		told = append(told, window...)
+		sentences = append(sentences, window...)
 	}
 	if order := orderOf(story, own, id); order != "" {
-		told = append(told, order)
+		sentences = append(sentences, order)
 	}
-	if len(told) == 0 {
-		told = append(told, "no outcome is in these logs")
+	if len(sentences) == 0 {
+		sentences = append(sentences, "no outcome is in these logs")
 	}
 	if tenant := tenantOf(story); tenant != "" && hasTenant(own, id) {
-		told = append(told, "tenant "+tenant)
+		sentences = append(sentences, "tenant "+tenant)
 	}
-	return told
+	return sentences
 }
 
 // outcomeOf is the last decision that ended the id's way, "" if none is there.
 func outcomeOf(story []*line, own map[*line]bool) string {
 	for i := len(story) - 1; i >= 0; i-- {
-		each := story[i]
-		outcome := each.get("outcome")
-		if !own[each] || outcome == "" {
+		l := story[i]
+		outcome := l.get("outcome")
+		if !own[l] || outcome == "" {
 			continue
 		}
-		text := fmt.Sprintf("%s on %s: %s", each.event, each.node, outcome)
-		if reason := each.get("reason"); reason != "" {
+		text := fmt.Sprintf("%s on %s: %s", l.event, l.node, outcome)
+		if reason := l.get("reason"); reason != "" {
 			text += ", because: " + reason
 		}
 		return text
@@ -59,9 +59,9 @@
 // more than one.
 func tenantOf(story []*line) string {
 	tenant := ""
-	for _, each := range story {
-		found := each.get("tenant")
-		if each.event != eventRequest || found == "" {
+	for _, l := range story {
+		found := l.get("tenant")
+		if l.event != eventRequest || found == "" {
 			continue
 		}
 		if tenant != "" && found != tenant {
@@ -74,9 +74,9 @@
 
 // hasTenant reports whether an id is one that belongs to a tenant.
 func hasTenant(own map[*line]bool, id string) bool {
-	for each := range own {
+	for l := range own {
 		for _, key := range []string{"request", "item", "reward", "batch"} {
-			if each.get(key) == id {
+			if l.get(key) == id {
 				return true
 			}
 		}
@@ -88,16 +88,16 @@
 // did neither.
 func admissionOf(story []*line, own map[*line]bool, request string) string {
 	for i := len(story) - 1; i >= 0; i-- {
-		each := story[i]
-		if !own[each] || each.event != "admission" || each.get("request") != request {
+		l := story[i]
+		if !own[l] || l.event != "admission" || l.get("request") != request {
 			continue
 		}
-		text := fmt.Sprintf("service %s was full for %s: %s after %s s of waiting", each.get("service"), each.node, each.get("outcome"), each.get("waited"))
-		if reason := each.get("reason"); reason != "" {
+		text := fmt.Sprintf("service %s was full for %s: %s after %s s of waiting", l.get("service"), l.node, l.get("outcome"), l.get("waited"))
+		if reason := l.get("reason"); reason != "" {
 			text += ", because: " + reason
 		}
 		return text + fmt.Sprintf(" (%s others waited, %s places were this daemon's part, the queue would have drained in %s s, an answer needed %s s of the %s s left; last seen to be full %s s before)",
-			each.get("queue"), each.get("places"), each.get("drain"), each.get("need"), each.get("left"), each.get("full_age"))
+			l.get("queue"), l.get("places"), l.get("drain"), l.get("need"), l.get("left"), l.get("full_age"))
 	}
 	return ""
 }
@@ -105,13 +105,13 @@
 // orderOf is the last order for replicas of a service with its reason, "" if there is none.
 func orderOf(story []*line, own map[*line]bool, service string) string {
 	for i := len(story) - 1; i >= 0; i-- {
-		each := story[i]
-		if !own[each] || each.event != "replicas ordered" || each.get("service") != service {
+		l := story[i]
+		if !own[l] || l.event != "replicas ordered" || l.get("service") != service {
 			continue
 		}
 		text := fmt.Sprintf("ordered %s in zone %s by %s, because: need=%s, zones (listed/ordered before)=%s, loads (items x time a slot/deadline)=%s",
-			each.get("desired"), each.get("zone"), each.node, each.get("need"), each.get("zones"), each.get("loads"))
-		if failed := each.get("error"); failed != "" {
+			l.get("desired"), l.get("zone"), l.node, l.get("need"), l.get("zones"), l.get("loads"))
+		if failed := l.get("error"); failed != "" {
 			text += "; the order failed: " + failed
 		}
 		return text
@@ -126,19 +126,19 @@
 	counted := map[string]int64{}
 	requests := int64(0)
 	daemons := map[string]bool{}
-	for _, each := range story {
-		if !own[each] || each.get("window") != window {
+	for _, l := range story {
+		if !own[l] || l.get("window") != window {
 			continue
 		}
 		switch {
-		case each.event == "usage decided" && each.get("error") == "" && decided == nil:
-			decided = each
-		case each.event == "usage reported" && each.get("error") == "":
-			reported = each
-		case each.event == "usage counted":
-			daemons[each.node] = true
-			requests += number(each.get("requests"))
-			addCounts(counted, each.get("counts"), 1)
+		case l.event == "usage decided" && l.get("error") == "" && decided == nil:
+			decided = l
+		case l.event == "usage reported" && l.get("error") == "":
+			reported = l
+		case l.event == "usage counted":
+			daemons[l.node] = true
+			requests += number(l.get("requests"))
+			addCounts(counted, l.get("counts"), 1)
 		}
 	}
 	if decided == nil {
@@ -150,24 +150,24 @@
 	} else {
 		text += ", reported by " + reported.node
 	}
-	told := []string{text, fmt.Sprintf("%d requests were counted by %d daemons in these logs", requests, len(daemons))}
+	sentences := []string{text, fmt.Sprintf("%d requests were counted by %d daemons in these logs", requests, len(daemons))}
 	addCounts(counted, decided.get("counts"), -1)
-	return append(told, differences(counted)...)
+	return append(sentences, differences(counted)...)
 }
 
 // differences says for which tenants the counts in the logs are not the figures.
 func differences(byTenant map[string]int64) []string {
-	var told []string
+	var sentences []string
 	for tenant, difference := range byTenant {
 		switch {
 		case difference > 0:
-			told = append(told, fmt.Sprintf("%d requests of %s were counted and are not in the figures: they came after the decision", difference, tenant))
+			sentences = append(sentences, fmt.Sprintf("%d requests of %s were counted and are not in the figures: they came after the decision", difference, tenant))
 		case difference < 0:
-			told = append(told, fmt.Sprintf("%d requests of %s are in the figures and not counted in these logs: a daemon's log is missing, or it was killed before it told", -difference, tenant))
+			sentences = append(sentences, fmt.Sprintf("%d requests of %s are in the figures and not counted in these logs: a daemon's log is missing, or it was killed before it told", -difference, tenant))
 		}
 	}
-	sort.Strings(told)
-	return told
+	sort.Strings(sentences)
+	return sentences
 }
 
 // addCounts adds the counts of a line, as tenant:requests with commas between.
--- a/internal/daemon/explain/explain.go
+++ b/internal/daemon/explain/explain.go
@@ -39,7 +39,7 @@
 // request although they do not name it.
 var (
 	batchEvents = map[string]bool{"batch owned": true, "batch left": true, "batch account": true, "batch released": true, "batch taken over": true, "batch not taken over": true, "results not listed yet": true, "results listed": true,
-		"items given back": true, "batch released unstarted": true, oldReleasedUnstarted: true, "release not recorded": true,
+		"items given back": true, "batch released unstarted": true, "release not recorded": true,
 		"heartbeat not recorded": true, "heartbeats recorded again": true, "silence of the owner not confirmed": true}
 	replicaEvents = map[string]bool{"replica listed": true, "replica state changed": true, "replica started again": true, "replica's entry refused": true, "replica gone from the list": true, "replica failed": true, "order": true, "weights": true}
 	contentEvents = map[string]bool{"replica ended under a content": true, "content learned of": true, "content cleared": true, "suspect runs alone": true}
@@ -97,7 +97,7 @@
 			case "node":
 				parsed.node = value
 			case "event":
-				parsed.event = value
+				parsed.event = eventName(value)
 			case "level":
 			default:
 				parsed.fields = append(parsed.fields, [2]string{key, value})
@@ -132,16 +132,16 @@
 		return errors.Wrap(ErrNotFound, id)
 	}
 	inOrder(story)
-	for _, each := range story {
+	for _, l := range story {
 		mark := " "
-		if own[each] {
+		if own[l] {
 			mark = "*"
 		}
-		fmt.Fprintf(output, "%s %s %s: %s%s\n", mark, each.time, each.node, each.event, fieldsText(each))
+		fmt.Fprintf(output, "%s %s %s: %s%s\n", mark, l.time, l.node, l.event, fieldsText(l))
 	}
 	_, err := fmt.Fprintln(output)
-	for _, each := range conclusions(id, story, own, stops) {
-		_, err = fmt.Fprintf(output, "%s: %s\n", id, each)
+	for _, l := range conclusions(id, story, own, stops) {
+		_, err = fmt.Fprintf(output, "%s: %s\n", id, l)
 	}
 	return err
 }
@@ -158,33 +158,33 @@
 
 // isNode reports whether a daemon of that name wrote any of the lines.
 func isNode(lines []*line, name string) bool {
-	return slices.ContainsFunc(lines, func(each *line) bool { return each.node == name })
+	return slices.ContainsFunc(lines, func(l *line) bool { return l.node == name })
 }
 
 // linesOfStops are the lines of the stops of a daemon, or the steps of those that befell
 // a request, as far as the story does not have them.
 func linesOfStops(stops []*stop, id string, story []*line) []*line {
 	there := map[*line]bool{}
-	for _, each := range story {
-		there[each] = true
+	for _, l := range story {
+		there[l] = true
 	}
 	var added []*line
-	add := func(each *line) {
-		if !there[each] {
-			there[each] = true
-			added = append(added, each)
+	add := func(l *line) {
+		if !there[l] {
+			there[l] = true
+			added = append(added, l)
 		}
 	}
 	ofDaemon, ofRequest := stopped(stops, id)
 	for _, stop := range ofDaemon {
-		for _, each := range stop.story() {
-			add(each)
+		for _, l := range stop.story() {
+			add(l)
 		}
 	}
 	for _, stop := range ofRequest {
-		for _, each := range stop.lines {
-			if stopSteps[each.event] {
-				add(each)
+		for _, l := range stop.lines {
+			if stopSteps[l.event] {
+				add(l)
 			}
 		}
 	}
@@ -195,22 +195,22 @@
 // that they name.
 func directLines(lines []*line, id string) (own map[*line]bool, batches, replicas map[string]bool) {
 	own, batches, replicas = map[*line]bool{}, map[string]bool{}, map[string]bool{}
-	for _, each := range lines {
+	for _, l := range lines {
 		for _, key := range linkKeys {
-			if each.get(key) == id {
-				own[each] = true
+			if l.get(key) == id {
+				own[l] = true
 			}
 		}
-		if own[each] && each.get("outcome") == routineOutcome {
+		if own[l] && l.get("outcome") == routineOutcome {
 			// Readers come again and again; their answers say nothing new.
-			delete(own, each)
+			delete(own, l)
 		}
-		if own[each] {
-			batches[each.get("batch")] = true
+		if own[l] {
+			batches[l.get("batch")] = true
 			// A batch uses all replicas; only what names one request or item
 			// depends on the state of single ones.
-			if each.get("batch") != id {
-				replicas[each.get("replica")] = true
+			if l.get("batch") != id {
+				replicas[l.get("replica")] = true
 			}
 		}
 	}
@@ -222,8 +222,8 @@
 // contentsOf are the contents that lines name.
 func contentsOf(lines map[*line]bool) map[string]bool {
 	contents := map[string]bool{}
-	for each := range lines {
-		contents[each.get("content")] = true
+	for l := range lines {
+		contents[l.get("content")] = true
 	}
 	delete(contents, "")
 	return contents
@@ -234,36 +234,36 @@
 func related(lines []*line, own map[*line]bool, batches, replicas, contents map[string]bool) []*line {
 	first, last := "", ""
 	nodes := map[string]bool{}
-	for each := range own {
-		nodes[each.node] = true
-		if first == "" || each.time < first {
-			first = each.time
+	for l := range own {
+		nodes[l.node] = true
+		if first == "" || l.time < first {
+			first = l.time
 		}
-		if each.time > last {
-			last = each.time
+		if l.time > last {
+			last = l.time
 		}
 	}
 	var story []*line
-	for _, each := range lines {
-		within := each.time >= first && each.time <= last
+	for _, l := range lines {
+		within := l.time >= first && l.time <= last
 		switch {
-		case own[each]:
-		case batchEvents[each.event] && batches[each.get("batch")]:
-		case each.event == eventRequest && each.get("outcome") == "accepted" && (batches[each.get("request")] || batches[each.get("batch")]):
-		case within && replicaEvents[each.event] && replicas[each.get("replica")] && nodes[each.node]:
-		case contentEvents[each.event] && contents[each.get("content")]:
-		case within && contextEvents[each.event] && nodes[each.node]:
+		case own[l]:
+		case batchEvents[l.event] && batches[l.get("batch")]:
+		case l.event == eventRequest && l.get("outcome") == "accepted" && (batches[l.get("request")] || batches[l.get("batch")]):
+		case within && replicaEvents[l.event] && replicas[l.get("replica")] && nodes[l.node]:
+		case contentEvents[l.event] && contents[l.get("content")]:
+		case within && contextEvents[l.event] && nodes[l.node]:
 		default:
 			continue
 		}
-		story = append(story, each)
+		story = append(story, l)
 	}
 	return story
 }
 
-func fieldsText(each *line) string {
+func fieldsText(l *line) string {
 	text := ""
-	for _, field := range each.fields {
+	for _, field := range l.fields {
 		if field[1] != "" {
 			text += " " + field[0] + "=" + field[1]
 		}
--- a/internal/daemon/explain/explain_test.go
+++ b/internal/daemon/explain/explain_test.go
@@ -20,9 +20,9 @@
 
 func TestAnItemsStoryIsInOrderOverMachines(t *testing.T) {
 	is := is.New(t)
-	var told strings.Builder
-	is.NoErr(Explain(&told, "i1", strings.NewReader(logs)))
-	text := told.String()
+	var sentences strings.Builder
+	is.NoErr(Explain(&sentences, "i1", strings.NewReader(logs)))
+	text := sentences.String()
 	order := []string{"batch owned", "item attempt failed", "batch taken over", "item finished"}
 	at := -1
 	for _, event := range order {
@@ -42,9 +42,9 @@
 		"time=2026-01-01T00:00:02.000Z level=info event=\"usage reported\" node=edge-1 window=7 fence=3\n" +
 		"time=2026-01-01T00:00:03.000Z level=info event=\"replicas ordered\" node=edge-1 service=s desired=4\n"
 	for id, want := range map[string]string{"7": "usage reported window=7 fence=3", "s": "replicas ordered service=s desired=4"} {
-		var told strings.Builder
-		is.NoErr(Explain(&told, id, strings.NewReader(logs)))
-		is.True(strings.Contains(told.String(), want))
+		var sentences strings.Builder
+		is.NoErr(Explain(&sentences, id, strings.NewReader(logs)))
+		is.True(strings.Contains(sentences.String(), want))
 	}
 }
 
@@ -58,15 +58,15 @@
 		"time=2026-01-01T00:00:02.001Z level=warn event=\"replica ended under a content\" node=edge-2 content=other replica=b ends=1\n" +
 		"time=2026-01-01T00:00:05.000Z level=info event=\"suspect asked to run\" node=edge-3 request=r9 content=c0 replica=d refused=\"3 replicas ended\"\n" +
 		"time=2026-01-01T00:00:05.001Z level=info event=request node=edge-3 request=r9 status=503 outcome=quarantined reason=\"3 replicas ended\"\n"
-	var told strings.Builder
-	is.NoErr(Explain(&told, "r9", strings.NewReader(logs)))
-	is.True(strings.Contains(told.String(), "content=c0 replica=a ends=1"))
-	is.True(strings.Contains(told.String(), "content=c0 replica=b ends=3"))
-	is.True(!strings.Contains(told.String(), "other"))
-	is.True(strings.Contains(told.String(), "r9: request on edge-3: quarantined, because: 3 replicas ended"))
-	told.Reset()
-	is.NoErr(Explain(&told, "c0", strings.NewReader(logs)))
-	is.True(strings.Contains(told.String(), "request=r1"))
+	var sentences strings.Builder
+	is.NoErr(Explain(&sentences, "r9", strings.NewReader(logs)))
+	is.True(strings.Contains(sentences.String(), "content=c0 replica=a ends=1"))
+	is.True(strings.Contains(sentences.String(), "content=c0 replica=b ends=3"))
+	is.True(!strings.Contains(sentences.String(), "other"))
+	is.True(strings.Contains(sentences.String(), "r9: request on edge-3: quarantined, because: 3 replicas ended"))
+	sentences.Reset()
+	is.NoErr(Explain(&sentences, "c0", strings.NewReader(logs)))
+	is.True(strings.Contains(sentences.String(), "request=r1"))
 }
 
 // A caller that was refused as its service was full learns by what figures.
@@ -75,11 +75,11 @@
 	const logs = "time=2026-01-01T00:00:01.000Z level=info event=admission node=edge-1 request=r1 service=s tenant=a rank=0 outcome=refused reason=\"no turn in time\" queue=5 rate=10 places=0.27 usual=0.02 need=0.1 waited=0 left=0.4 full_age=0.02 drain=0.5 come_back=0.13\n" +
 		"time=2026-01-01T00:00:01.001Z level=info event=request node=edge-1 request=r1 tenant=a status=503 outcome=refused reason=\"admission: no turn in time\"\n" +
 		"time=2026-01-01T00:00:01.002Z level=info event=admission node=edge-1 request=r2 service=s outcome=started reason=\n"
-	var told strings.Builder
-	is.NoErr(Explain(&told, "r1", strings.NewReader(logs)))
-	is.True(strings.Contains(told.String(), "r1: request on edge-1: refused, because: admission: no turn in time"))
-	is.True(strings.Contains(told.String(), "r1: service s was full for edge-1: refused after 0 s of waiting, because: no turn in time (5 others waited, 0.27 places were this daemon's part, the queue would have drained in 0.5 s, an answer needed 0.1 s of the 0.4 s left; last seen to be full 0.02 s before)"))
-	is.True(!strings.Contains(told.String(), "request=r2"))
+	var sentences strings.Builder
+	is.NoErr(Explain(&sentences, "r1", strings.NewReader(logs)))
+	is.True(strings.Contains(sentences.String(), "r1: request on edge-1: refused, because: admission: no turn in time"))
+	is.True(strings.Contains(sentences.String(), "r1: service s was full for edge-1: refused after 0 s of waiting, because: no turn in time (5 others waited, 0.27 places were this daemon's part, the queue would have drained in 0.5 s, an answer needed 0.1 s of the 0.4 s left; last seen to be full 0.02 s before)"))
+	is.True(!strings.Contains(sentences.String(), "request=r2"))
 }
 
 func TestAnUnknownIDIsAnError(t *testing.T) {
--- a/internal/daemon/explain/real_test.go
+++ b/internal/daemon/explain/real_test.go
@@ -26,13 +26,13 @@
 		t.Fatal(err)
 	}
 	var kept strings.Builder
-	for each := range strings.Lines(string(content)) {
+	for l := range strings.Lines(string(content)) {
 		left := true
 		for _, text := range without {
-			left = left && !strings.Contains(each, text)
+			left = left && !strings.Contains(l, text)
 		}
 		if left {
-			kept.WriteString(each)
+			kept.WriteString(l)
 		}
 	}
 	return kept.String()
--- /dev/null
+++ b/internal/daemon/explain/renamed.go
@@ -0,0 +1,25 @@
+package explain
+
+// renamedEvents are the names that older daemons give to events, with those of today. Lines
+// are read under the newer name, so that a story may be told by daemons of both.
+var renamedEvents = map[string]string{
+	"batch let go unbegun":                  "batch released unstarted",
+	"begins to tell of its requests":        "reports to other owners begin",
+	"has told that it has no requests":      "reports to other owners end",
+	"beliefs asked for":                     "occupancy asked for",
+	"owner's requests heard of":             "report of another owner begins",
+	"owner's requests no longer known":      "report of another owner lapsed",
+	"requests not told":                     "report not encoded",
+	"run cut":                               "attempt cancelled",
+	"told from an older fold":               "answered from an older fold",
+	"page not read, the holder is asked":    "page not read, asking the watcher",
+	"own read is late, the holder is asked": "own read is late, asking the watcher",
+}
+
+// eventName returns the name that an event has today.
+func eventName(written string) string {
+	if name, ok := renamedEvents[written]; ok {
+		return name
+	}
+	return written
+}
--- a/internal/daemon/explain/stop.go
+++ b/internal/daemon/explain/stop.go
@@ -14,8 +14,6 @@
 	eventStopped    = "stopped"
 	eventStarted    = "started"
 	eventTurnedAway = "turned away by the stop"
-	// oldReleasedUnstarted is what older daemons call "batch released unstarted".
-	oldReleasedUnstarted = "batch let go unbegun"
 	// stopBegins is what a signal that begins a planned stop has done.
 	stopBegins = "a planned stop begins"
 	// stopReason is the reason of a request that a planned stop ended.
@@ -27,7 +25,7 @@
 var (
 	stopSteps = map[string]bool{eventSignal: true, eventStopping: true, "group left": true, "listener closed": true, "requests interrupted by the stop": true,
 		"lease resigned": true, eventStopped: true}
-	stopWork = map[string]bool{eventTurnedAway: true, "batch released": true, "batch released unstarted": true, oldReleasedUnstarted: true, "items given back": true}
+	stopWork = map[string]bool{eventTurnedAway: true, "batch released": true, "batch released unstarted": true, "items given back": true}
 	// stopCuts are the outcomes of requests that were under way at the interruption.
 	stopCuts = map[string]bool{"refused": true, "broken off": true, "interrupted": true}
 )
@@ -44,25 +42,25 @@
 func stopsOf(lines []*line) []*stop {
 	var stops []*stop
 	underWay := map[string]*stop{}
-	for _, each := range lines {
-		current := underWay[each.node]
-		begins := each.event == eventSignal && each.get("done") == stopBegins || each.event == eventStopping
+	for _, l := range lines {
+		current := underWay[l.node]
+		begins := l.event == eventSignal && l.get("done") == stopBegins || l.event == eventStopping
 		switch {
-		case each.event == eventStarted:
+		case l.event == eventStarted:
 			// A run whose stop has no end was killed.
-			delete(underWay, each.node)
+			delete(underWay, l.node)
 			continue
 		case begins && current == nil:
-			current = &stop{node: each.node}
+			current = &stop{node: l.node}
 			stops = append(stops, current)
-			underWay[each.node] = current
+			underWay[l.node] = current
 		case current == nil:
 			continue
 		}
-		current.lines = append(current.lines, each)
-		if each.event == eventStopped {
+		current.lines = append(current.lines, l)
+		if l.event == eventStopped {
 			current.ended = true
-			delete(underWay, each.node)
+			delete(underWay, l.node)
 		}
 	}
 	return stops
@@ -71,12 +69,12 @@
 // interruptedAt is when the stop was to interrupt what was still under way, "" if that is
 // not in the logs.
 func (s *stop) interruptedAt() string {
-	for _, each := range s.lines {
-		if each.event != eventStopping {
+	for _, l := range s.lines {
+		if l.event != eventStopping {
 			continue
 		}
-		at, err := time.Parse(time.RFC3339, each.time)
-		after, badAfter := strconv.ParseFloat(each.get("interrupt"), 64)
+		at, err := time.Parse(time.RFC3339, l.time)
+		after, badAfter := strconv.ParseFloat(l.get("interrupt"), 64)
 		if err == nil && badAfter == nil {
 			return at.Add(time.Duration(after * float64(time.Second))).Format(timeFormat)
 		}
@@ -88,18 +86,18 @@
 const timeFormat = "2006-01-02T15:04:05.000Z"
 
 // cut reports whether the stop ended a request that had begun before its interruption.
-func (s *stop) cut(each *line) bool {
-	if each.event != eventRequest || !stopCuts[each.get("outcome")] || s.turnedAway(each.get("request")) {
+func (s *stop) cut(l *line) bool {
+	if l.event != eventRequest || !stopCuts[l.get("outcome")] || s.turnedAway(l.get("request")) {
 		return false
 	}
 	at := s.interruptedAt()
-	return strings.Contains(each.get("reason"), stopReason) || at != "" && each.time >= at
+	return strings.Contains(l.get("reason"), stopReason) || at != "" && l.time >= at
 }
 
 // turnedAway reports whether the stop turned a request away.
 func (s *stop) turnedAway(request string) bool {
-	for _, each := range s.lines {
-		if each.event == eventTurnedAway && each.get("request") == request {
+	for _, l := range s.lines {
+		if l.event == eventTurnedAway && l.get("request") == request {
 			return true
 		}
 	}
@@ -109,9 +107,9 @@
 // story are the lines that tell the stop.
 func (s *stop) story() []*line {
 	var story []*line
-	for _, each := range s.lines {
-		if stopSteps[each.event] || stopWork[each.event] || s.cut(each) {
-			story = append(story, each)
+	for _, l := range s.lines {
+		if stopSteps[l.event] || stopWork[l.event] || s.cut(l) {
+			story = append(story, l)
 		}
 	}
 	return story
@@ -121,14 +119,14 @@
 func (s *stop) summary() string {
 	counts := map[string]int{}
 	cuts := 0
-	for _, each := range s.lines {
-		counts[each.event]++
-		if s.cut(each) {
+	for _, l := range s.lines {
+		counts[l.event]++
+		if s.cut(l) {
 			cuts++
 		}
 	}
 	text := fmt.Sprintf("planned stop at %s: requests turned away %d, batches released %d, let go unbegun %d, items given back %d times, requests interrupted %d",
-		s.lines[0].time, counts[eventTurnedAway], counts["batch released"], counts["batch released unstarted"]+counts[oldReleasedUnstarted], counts["items given back"], cuts)
+		s.lines[0].time, counts[eventTurnedAway], counts["batch released"], counts["batch released unstarted"], counts["items given back"], cuts)
 	if !s.ended {
 		return text + "; its end is not in these logs"
 	}
@@ -137,13 +135,13 @@
 
 // befell says what the stop did to a request, "" if nothing.
 func (s *stop) befell(request string) string {
-	for _, each := range s.lines {
+	for _, l := range s.lines {
 		switch {
-		case each.get("request") != request:
-		case each.event == eventTurnedAway:
-			return fmt.Sprintf("turned away by the planned stop of %s, as it might have needed %s s and %s s were left", s.node, each.get("needed"), each.get("left"))
-		case s.cut(each):
-			return fmt.Sprintf("interrupted by the planned stop of %s: %s", s.node, each.get("outcome"))
+		case l.get("request") != request:
+		case l.event == eventTurnedAway:
+			return fmt.Sprintf("turned away by the planned stop of %s, as it might have needed %s s and %s s were left", s.node, l.get("needed"), l.get("left"))
+		case s.cut(l):
+			return fmt.Sprintf("interrupted by the planned stop of %s: %s", s.node, l.get("outcome"))
 		}
 	}
 	return ""
@@ -151,12 +149,12 @@
 
 // stopped returns the stops of a daemon, or those that befell a request.
 func stopped(stops []*stop, id string) (ofDaemon, ofRequest []*stop) {
-	for _, each := range stops {
-		if each.node == id {
-			ofDaemon = append(ofDaemon, each)
+	for _, l := range stops {
+		if l.node == id {
+			ofDaemon = append(ofDaemon, l)
 		}
-		if each.befell(id) != "" {
-			ofRequest = append(ofRequest, each)
+		if l.befell(id) != "" {
+			ofRequest = append(ofRequest, l)
 		}
 	}
 	return ofDaemon, ofRequest
