--- a/cmd/woodworks-soak/main.go
+++ b/cmd/woodworks-soak/main.go
@@ -27,7 +27,7 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	program, folder := "target/woodworks", "out/soak"
+	program, other, folder := "target/woodworks", "", "out/soak"
 	seed := uint64(time.Now().UnixNano() % 1_000_000)
 	duration := time.Minute
 	schedule, reader, crashing := soak.ScheduleMixed, "", ""
@@ -40,6 +40,7 @@
 	flaggy.SetName("woodworks-soak")
 	flaggy.SetDescription("real daemons as separate processes under faults from outside")
 	flaggy.String(&program, "p", "program", "path of the woodworks program")
+	flaggy.String(&other, "", "other-program", "path of a second woodworks program: every other daemon starts with it, and a restart may swap the two")
 	flaggy.String(&folder, "f", "folder", "where settings and logs go")
 	flaggy.UInt64(&seed, "s", "seed", "seed of the schedule")
 	flaggy.Duration(&duration, "d", "duration", "how long faults are injected")
@@ -72,7 +73,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	fmt.Printf("soak: seed %d, %v of faults\n", seed, duration)
-	outcome, err := soak.Run(ctx, soak.Options{Program: program, Folder: filepath.Join(folder, fmt.Sprint(seed)), Seed: seed, Duration: duration,
+	outcome, err := soak.Run(ctx, soak.Options{Program: program, OtherProgram: other, Folder: filepath.Join(folder, fmt.Sprint(seed)), Seed: seed, Duration: duration,
 		Schedule: schedule, Daemons: daemons, Callers: callers, Crashing: crashing, Reader: reader,
 		Store: shape, TextBytes: textBytes, MemoryMB: memory, Restarts: restarts, Output: os.Stdout})
 	switch {
