--- a/Makefile
+++ b/Makefile
@@ -8,10 +8,16 @@
 	go test -race -timeout 20m $(TESTFLAGS) ./...
 	go test -timeout 20m $(TESTFLAGS) ./internal/batches/results
 
+# Packages that only tests import: programs reach nothing of them.
+TEST_PACKAGES = internal/daemon/(golden|testseed|bootclock/clocktest)/
+
 lint:
 	@test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
 	go vet ./...
 	go tool staticcheck ./...
+	@echo go tool deadcode ./...
+	@! go tool deadcode ./... | grep -vE '^$(TEST_PACKAGES)'
+	@! go tool deadcode -test ./... | grep .
 
 # Each fuzz target for a fixed number of inputs.
 FUZZ ?= 20000x
--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -130,60 +130,6 @@
 	return problem, found
 }
 
-// Sample is one streamed sample that came whole.
-type Sample struct {
-	Tokens   []uint32
-	Segments []rollout.Segment
-}
-
-// SampleRequest asks for one sample.
-type SampleRequest struct {
-	Trainer   string `json:"trainer"`
-	Prompt    string `json:"prompt"`
-	Seed      uint64 `json:"seed"`
-	MaxTokens int    `json:"max_tokens"`
-}
-
-// Stream asks for one sample and reads it whole. A stream without its last
-// line is ErrNoAnswer; a final answer that is not a success is a *ProblemError.
-func (client *Client) Stream(ctx context.Context, wanted SampleRequest) (Sample, error) {
-	body, err := json.Marshal(wanted)
-	if err != nil {
-		return Sample{}, errors.Wrap(err, "client: encode")
-	}
-	answer, err := client.Do(ctx, http.MethodPost, "/v1/samples", http.Header{"Content-Type": {"application/json"}}, body)
-	if err != nil {
-		return Sample{}, err
-	}
-	if answer.Status != http.StatusOK {
-		return Sample{}, problemOf(answer)
-	}
-	return sampleOf(answer.Body)
-}
-
-func sampleOf(body []byte) (Sample, error) {
-	var sample Sample
-	decoder := json.NewDecoder(bytes.NewReader(body))
-	for {
-		var line gateway.SampleLine
-		if err := decoder.Decode(&line); err != nil {
-			return Sample{}, errors.Wrap(ErrNoAnswer, "stream without its last line")
-		}
-		if line.Error != nil {
-			return Sample{}, &ProblemError{Status: http.StatusOK, Problem: *line.Error}
-		}
-		sample.Tokens = append(sample.Tokens, line.Tokens...)
-		if line.End == "" {
-			continue
-		}
-		if line.Total != len(sample.Tokens) {
-			return Sample{}, errors.Wrapf(ErrNoAnswer, "stream has %d of %d tokens", len(sample.Tokens), line.Total)
-		}
-		sample.Segments = line.Segments
-		return sample, nil
-	}
-}
-
 // Submit submits a batch.
 func (client *Client) Submit(ctx context.Context, request rollout.Request) (gateway.Submitted, error) {
 	var answer gateway.Submitted
--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -5,6 +5,7 @@
 	"cmp"
 	"context"
 	"fmt"
+	"math/bits"
 	"math/rand/v2"
 	"slices"
 	"sync"
@@ -141,7 +142,7 @@
 func (r *restarted) take(ctx context.Context, header rollout.Header, random *rand.Rand) (refused int) {
 	trainer := Trainer{Name: "t", Newest: 1, Accepts: func(int64, int64) bool { return true }}
 	cursor := rollout.NewCursor(header)
-	for cursor.Count() < header.Samples && ctx.Err() == nil {
+	for countOf(cursor) < header.Samples && ctx.Err() == nil {
 		delivered, err := r.desks[random.IntN(len(r.desks))].Deliver(ctx, trainer, Pull{Cursor: cursor, Limit: restartPull})
 		if errors.Is(err, ErrUnavailable) {
 			refused++
@@ -153,6 +154,14 @@
 	return refused
 }
 
+// countOf returns how many samples are taken.
+func countOf(cursor rollout.Cursor) (count int) {
+	for _, byte := range cursor.Bits() {
+		count += bits.OnesCount8(byte)
+	}
+	return count
+}
+
 // After a start of all daemons each pull made the daemon that it came to read its batch's
 // partition from the beginning, and the one that a further round would be in, however many
 // daemons did so already: the sum of these reads grows as pulls times bytes, until every daemon
--- a/internal/api/rollout/cursor.go
+++ b/internal/api/rollout/cursor.go
@@ -43,17 +43,6 @@
 	return next
 }
 
-// Count returns how many samples are taken.
-func (cursor Cursor) Count() int {
-	count := 0
-	for index := range cursor.Header.Samples {
-		if cursor.Taken(index) {
-			count++
-		}
-	}
-	return count
-}
-
 // String encodes the cursor as URL-safe text.
 func (cursor Cursor) String() string {
 	data := []byte{cursorFormat}
--- a/internal/api/standalone/crash_test.go
+++ b/internal/api/standalone/crash_test.go
@@ -2,16 +2,67 @@
 
 import (
 	"fmt"
+	"net"
 	"net/http"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
 
 	"woodworks/internal/api/gateway"
+	"woodworks/internal/lab/plainstand"
+	"woodworks/internal/lab/world"
 )
 
+// ends counts the ends of plain back ends.
+type ends struct {
+	mu    sync.Mutex
+	count int
+}
+
+// Count returns how many there were.
+func (e *ends) Count() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.count
+}
+
+// crashOn has requests of a body end the plain back end that runs them. It stays listed,
+// and is back at its address after a while.
+func (f *floor) crashOn(body string, back time.Duration) *ends {
+	crashes := &ends{}
+	for _, plain := range f.world.Plains {
+		plain.EndOn(func(one plainstand.Execution) bool {
+			if one.Body != body {
+				return false
+			}
+			crashes.mu.Lock()
+			crashes.count++
+			_ = plain.Server.Close() // It dies: there is nobody to tell.
+			crashes.mu.Unlock()
+			time.AfterFunc(back, func() { crashes.restart(f.t, plain) })
+			return true
+		})
+	}
+	return crashes
+}
+
+// restart serves a plain back end at its address again, unless that is taken.
+func (e *ends) restart(t *testing.T, plain *world.Plain) {
+	listener, err := net.Listen("tcp", plain.Address.String())
+	if err != nil {
+		return
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	server := &http.Server{Handler: plain.Backend, ReadHeaderTimeout: 5 * time.Second}
+	plain.Server = server
+	go func() { _ = server.Serve(listener) }()
+	t.Cleanup(func() { _ = server.Close() })
+}
+
 // A request that ends each back end that runs it comes by other ways on the product's own
 // services: each try has another key, back ends keep their ids over their starts, and
 // daemons reach each other only through the log.
@@ -27,7 +78,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFloor(t, 2)
-			crashes := f.world.CrashOn(body, 300*time.Millisecond)
+			crashes := f.crashOn(body, 300*time.Millisecond)
 			refused := 0
 			for try := range tries {
 				operation, key := "board", ""
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -1,7 +1,9 @@
 package standalone_test
 
 import (
+	"bytes"
 	"context"
+	"encoding/json"
 	"fmt"
 	"net/http"
 	"os"
@@ -349,11 +351,37 @@
 	is.Equal(answer.Status, http.StatusUnauthorized) // an internal caller on the public listener
 }
 
+// stream asks for one sample and reads it whole: its last line ends it and counts its tokens.
+func (f *floor) stream(daemon int, key, request string) (sample rollout.Result) {
+	f.t.Helper()
+	answer, err := f.client(daemon, key).Do(f.ctx(), http.MethodPost, "/v1/samples", http.Header{"Content-Type": {"application/json"}}, []byte(request))
+	if err != nil || answer.Status != http.StatusOK {
+		f.t.Fatal(answer.Status, err)
+	}
+	for decoder := json.NewDecoder(bytes.NewReader(answer.Body)); ; {
+		var line gateway.SampleLine
+		if err := decoder.Decode(&line); err != nil {
+			f.t.Fatal("stream without its last line", err)
+		}
+		if line.Error != nil {
+			f.t.Fatal(line.Error)
+		}
+		sample.Tokens = append(sample.Tokens, line.Tokens...)
+		if line.End == "" {
+			continue
+		}
+		if line.Total != len(sample.Tokens) {
+			f.t.Fatalf("stream has %d of %d tokens", len(sample.Tokens), line.Total)
+		}
+		sample.Segments = line.Segments
+		return sample
+	}
+}
+
 func TestASampleIsStreamedWhole(t *testing.T) {
 	f := newFloor(t, 1)
 	is := is.New(t)
-	sample, err := f.client(0, "bots").Stream(f.ctx(), client.SampleRequest{Trainer: "bots", Prompt: "board", Seed: 3, MaxTokens: 50})
-	is.NoErr(err)
+	sample := f.stream(0, "bots", `{"trainer": "bots", "prompt": "board", "seed": 3, "max_tokens": 50}`)
 	is.Equal(len(sample.Tokens), min(truth.Length("board", 3, world.DefaultEngine().MedianTokens), 50))
 	for position, token := range sample.Tokens {
 		is.Equal(token, truth.Token("bots", "board", 3, sample.Segments[0].Version, position))
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -68,8 +68,8 @@
 type Plain struct {
 	*plainstand.Backend
 	ID      string
-	address netip.AddrPort
-	server  *http.Server
+	Address netip.AddrPort
+	Server  *http.Server
 }
 
 // World is all of them.
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	plain.server, plain.address = server, addr
+	plain.Server, plain.Address = server, addr
 	w.Plains = append(w.Plains, plain)
 	entry := operator.Machine{Service: w.shape.PlainService, Address: addr.String(), Zone: w.zone(i), Slots: 8}
 	return w.Operator.List(context.Background(), plain.ID, &entry)
@@ -176,52 +176,6 @@
 // Kill closes an engine's listener and all its connections. It stays listed.
 func (e *Engine) Kill() { _ = e.server.Close() }
 
-// Crashes counts the ends of plain back ends.
-type Crashes struct {
-	mu    sync.Mutex
-	count int
-}
-
-// Count returns how many there were.
-func (c *Crashes) Count() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.count
-}
-
-// CrashOn has requests of a body end the plain back end that runs them. It stays listed,
-// and is back at its address after a while.
-func (w *World) CrashOn(body string, back time.Duration) *Crashes {
-	crashes := &Crashes{}
-	for _, plain := range w.Plains {
-		plain.EndOn(func(one plainstand.Execution) bool {
-			if one.Body != body {
-				return false
-			}
-			crashes.mu.Lock()
-			crashes.count++
-			crashes.mu.Unlock()
-			_ = plain.server.Close() // It dies: there is nobody to tell.
-			time.AfterFunc(back, func() { w.restart(plain) })
-			return true
-		})
-	}
-	return crashes
-}
-
-// restart serves a plain back end at its address again, unless that is taken.
-func (w *World) restart(plain *Plain) {
-	listener, err := net.Listen("tcp", plain.address.String())
-	if err != nil {
-		return
-	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	plain.server = &http.Server{Handler: plain.Backend, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = plain.server.Serve(listener) }()
-	w.servers = append(w.servers, plain.server)
-}
-
 // Settings returns the settings of a daemon. Its addresses are the caller's to set.
 func (w *World) Settings(name, zone string) settings.Settings {
 	loaded := settings.Defaults()
