--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -33,7 +33,7 @@
 	journal     journal.Journal
 	self        string
 	windows     duty.Windows
-	minInterval journal.Pace
+	minInterval journal.Interval
 	clock       Clock
 	logger      *zap.Logger
 
@@ -52,7 +52,7 @@
 
 // NewRecorder returns a recorder for an incarnation of a daemon. MinInterval is the least
 // time between two appends that the journal's grants allow.
-func NewRecorder(log journal.Journal, self string, windows duty.Windows, minInterval journal.Pace, clock Clock,
+func NewRecorder(log journal.Journal, self string, windows duty.Windows, minInterval journal.Interval, clock Clock,
 	logger *zap.Logger) *Recorder {
 	return &Recorder{
 		journal: log, self: self, windows: windows, minInterval: minInterval, clock: clock, logger: logger,
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -56,7 +56,7 @@
 	}
 	n.relay = relay.New(n.journal, relay.Options{Name: n.settings.Name, Zone: n.settings.Zone, Address: address}, n.logger)
 	n.peerFollower = journal.NewKeyedFollower(n.relay, relay.Partition(n.journal), n.relay.Peers(), peerContact, n.logger)
-	n.peerFollower.SetPace(journal.SharedPace(n.journal, peerReadShare, n.daemons))
+	n.peerFollower.SetInterval(journal.SharedReadInterval(n.journal, peerReadShare, n.daemons))
 	return n.relay
 }
 
@@ -74,10 +74,10 @@
 	n.table.OnRestart(n.pool.Drop)
 	n.operator = catalog.NewState(drivers.Decoder, n.public.configured, n.logger)
 	n.operatorFollower = journal.NewKeyedFollower(log, drivers.OperatorRecords, n.operator, contact, n.logger)
-	n.operatorFollower.SetPace(journal.SharedPace(log, operatorReadShare, n.daemons))
+	n.operatorFollower.SetInterval(journal.SharedReadInterval(log, operatorReadShare, n.daemons))
 	directory := catalog.NewDirectory(drivers.Decoder, n.table, n.logger)
 	n.replicaFollower = journal.NewKeyedFollower(log, drivers.ReplicaRecords, directory, contact, n.logger)
-	n.replicaFollower.SetPace(journal.SharedPace(log, replicaReadShare, n.daemons))
+	n.replicaFollower.SetInterval(journal.SharedReadInterval(log, replicaReadShare, n.daemons))
 }
 
 // newForwarder returns what sends requests to replicas.
--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -37,8 +37,8 @@
 		return
 	}
 	clock := wallclock.New(bootclock.Now)
-	pace := journal.SharedWritePace(drivers.Journal, usageWriteShare, n.daemons)
-	n.usage = usage.NewRecorder(drivers.Journal, n.identity, windows, pace, clock, n.logger)
+	interval := journal.SharedWriteInterval(drivers.Journal, usageWriteShare, n.daemons)
+	n.usage = usage.NewRecorder(drivers.Journal, n.identity, windows, interval, clock, n.logger)
 	n.handler.Ran = n.usage.Ran
 	n.reporter = usage.NewReporter(drivers.Journal, n.lease, drivers.Duties, n.settings.Name, windows, clock, n.logger)
 }
--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -30,7 +30,7 @@
 		node.relay.Register(quarantine.ServiceName, quarantine.NewService(table))
 	}
 	parts.follower = journal.NewKeyedFollower(log, quarantine.Partition(log), parts.keeper, contact, node.logger)
-	parts.follower.SetPace(journal.SharedPace(log, peerReadShare, node.daemons))
+	parts.follower.SetInterval(journal.SharedReadInterval(log, peerReadShare, node.daemons))
 	return parts
 }
 
--- /dev/null
+++ b/internal/journal/failures.go
@@ -0,0 +1,80 @@
+package journal
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/pkg/errors"
+	"go.uber.org/zap"
+
+	"woodworks/internal/daemon/periodic"
+)
+
+const (
+	// followPause is the pause after a failed read.
+	followPause = 150 * time.Millisecond
+	// lostAfter is for how long reads must fail until a partition counts as
+	// disconnected: a single refusal says nothing of it.
+	lostAfter = 500 * time.Millisecond
+	// throttledPause is the first pause after a read that was throttled. It doubles
+	// with each one in a row, up to maxIntervalShare of the contact bound.
+	throttledPause = 100 * time.Millisecond
+	// maxDoublings bounds the doublings of a pause.
+	maxDoublings = 6
+)
+
+// failureRow is a row of failed reads.
+type failureRow struct {
+	since time.Time
+	count int
+	// throttled counts those at the end of the row that were refused for their rate.
+	throttled int
+	// logged says that the row has a line in the log.
+	logged bool
+}
+
+// noteContact ends a row of failures, if there is one.
+func (f *KeyedFollower) noteContact() {
+	f.lastContact.Note()
+	if f.failures.logged {
+		f.logger.Info("dependency regained", zap.Duration("after", time.Since(f.failures.since)), zap.Int("failures", f.failures.count))
+	}
+	f.failures = failureRow{}
+}
+
+// noteFailure logs a row of failures once it is long enough, and pauses. Began is when
+// the failed read did.
+func (f *KeyedFollower) noteFailure(ctx context.Context, began time.Time, err error) {
+	if ctx.Err() != nil {
+		return
+	}
+	row := &f.failures
+	if row.count == 0 {
+		row.since = began
+	}
+	row.count++
+	if !row.logged && time.Since(row.since) >= lostAfter {
+		row.logged = true
+		f.logger.Warn("dependency lost", zap.Int("failures", row.count), zap.Duration("for", time.Since(row.since)), zap.Error(err))
+	}
+	periodic.Pause(ctx, f.pauseAfter(err))
+}
+
+// pauseAfter returns how long to wait after a failed read.
+func (f *KeyedFollower) pauseAfter(err error) time.Duration {
+	var throttled *ThrottledError
+	if !errors.As(err, &throttled) {
+		f.failures.throttled = 0
+		return followPause
+	}
+	pause := throttledPause << min(f.failures.throttled, maxDoublings)
+	f.failures.throttled++
+	return jittered(min(pause, f.maxInterval))
+}
+
+// jittered returns a time between a half and one and a half of the given one, so that
+// daemons that were refused at the same moment do not come back together.
+func jittered(pause time.Duration) time.Duration {
+	return pause/2 + rand.N(pause+1)
+}
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -19,11 +19,6 @@
 	// outage's end.
 	waitShare  = 0.30
 	slackShare = 0.30
-	// followPause is the pause after a failed read.
-	followPause = 150 * time.Millisecond
-	// lostAfter is for how long reads must fail until a partition counts as
-	// disconnected: a single refusal says nothing of it.
-	lostAfter = 500 * time.Millisecond
 )
 
 // KeyedHandler takes the records of a keyed partition. Its methods are called
@@ -41,39 +36,29 @@
 	journal   Journal
 	partition Partition
 	handler   KeyedHandler
-	wait      time.Duration
-	slack     time.Duration
-	logger    *zap.Logger
-	// pace is the least time between two reads; no more than mostPace is kept to.
-	pace     Pace
-	mostPace time.Duration
+	// wait is how long a read waits for records, slack how long it may take beyond that.
+	wait, slack time.Duration
+	logger      *zap.Logger
+	// interval is the least time between two reads; no more than maxInterval is kept to.
+	interval    Interval
+	maxInterval time.Duration
 
 	synced      atomic.Bool
 	lastContact *Contact
-	outage      outage
-}
-
-// outage is a row of failed reads.
-type outage struct {
-	since    time.Time
-	failures int
-	// throttled counts those at the end of the row that were refused for their rate.
-	throttled int
-	// told says that the outage was logged.
-	told bool
+	failures    failureRow
 }
 
 // NewKeyedFollower returns a follower; Run starts it. ContactBound is the time
 // within which the handler must be up to date after an outage.
 func NewKeyedFollower(log Journal, partition Partition, handler KeyedHandler, contactBound time.Duration, logger *zap.Logger) *KeyedFollower {
-	return &KeyedFollower{journal: log, partition: partition, handler: handler, pace: unpaced, lastContact: NewContact(bootclock.Now),
-		mostPace: time.Duration(mostPaceShare * float64(contactBound)),
-		wait:     time.Duration(waitShare * float64(contactBound)), slack: time.Duration(slackShare * float64(contactBound)), logger: logger.With(zap.String("topic", partition.Topic))}
+	return &KeyedFollower{journal: log, partition: partition, handler: handler, interval: noInterval, lastContact: NewContact(bootclock.Now),
+		maxInterval: time.Duration(maxIntervalShare * float64(contactBound)),
+		wait:        time.Duration(waitShare * float64(contactBound)), slack: time.Duration(slackShare * float64(contactBound)), logger: logger.With(zap.String("topic", partition.Topic))}
 }
 
-// SetPace sets the least time between two reads; there is none before. It is called
+// SetInterval sets the least time between two reads; there is none before. It is called
 // before Run.
-func (f *KeyedFollower) SetPace(pace Pace) { f.pace = pace }
+func (f *KeyedFollower) SetInterval(interval Interval) { f.interval = interval }
 
 // Synced reports whether a full read has ever succeeded.
 func (f *KeyedFollower) Synced() bool { return f.synced.Load() }
@@ -97,6 +82,7 @@
 	}
 }
 
+// readFully gives the handler the newest record of each key, and returns the offset after them.
 func (f *KeyedFollower) readFully(ctx context.Context) (int64, error) {
 	var records []KeyedRecord
 	var next int64
@@ -146,62 +132,29 @@
 			f.logger.Warn("partition is shorter than was read, reading fully", zap.Int64("offset", next), zap.Int64("end", read.End))
 			return
 		}
-		for _, record := range read.Records {
-			keyed, err := f.journal.SplitKeyed(record)
-			if err != nil {
-				f.logger.Warn("malformed record passed over", zap.Int64("offset", next), zap.Error(err))
-			} else {
-				keyed.Offset = next
-				f.handler.Apply(keyed)
-			}
-			next++
-		}
-		if rest := min(f.pace(), f.mostPace) - time.Since(began); rest > 0 {
+		f.apply(next, read.Records)
+		next += int64(len(read.Records))
+		if rest := min(f.interval(), f.maxInterval) - time.Since(began); rest > 0 {
 			periodic.Pause(ctx, rest)
 		}
 	}
 }
 
+// apply gives the handler records that begin at an offset.
+func (f *KeyedFollower) apply(offset int64, records [][]byte) {
+	for i, record := range records {
+		keyed, err := f.journal.SplitKeyed(record)
+		if err != nil {
+			f.logger.Warn("malformed record passed over", zap.Int64("offset", offset+int64(i)), zap.Error(err))
+			continue
+		}
+		keyed.Offset = offset + int64(i)
+		f.handler.Apply(keyed)
+	}
+}
+
 func (f *KeyedFollower) readOnce(ctx context.Context, from int64) (Records, error) {
 	bounded, cancel := context.WithTimeout(ctx, f.wait+f.slack)
 	defer cancel()
 	return f.journal.Read(bounded, Read{Partition: f.partition, From: from, Wait: f.wait})
 }
-
-func (f *KeyedFollower) noteContact() {
-	f.lastContact.Note()
-	if f.outage.told {
-		f.logger.Info("dependency regained", zap.Duration("after", time.Since(f.outage.since)), zap.Int("failures", f.outage.failures))
-	}
-	f.outage = outage{}
-}
-
-// noteFailure logs a row of failures once it is long enough, and pauses. Began is when
-// the failed read did.
-func (f *KeyedFollower) noteFailure(ctx context.Context, began time.Time, err error) {
-	if ctx.Err() != nil {
-		return
-	}
-	row := &f.outage
-	if row.failures == 0 {
-		row.since = began
-	}
-	row.failures++
-	if !row.told && time.Since(row.since) >= lostAfter {
-		row.told = true
-		f.logger.Warn("dependency lost", zap.Int("failures", row.failures), zap.Duration("for", time.Since(row.since)), zap.Error(err))
-	}
-	periodic.Pause(ctx, f.pauseAfter(err))
-}
-
-// pauseAfter returns how long to wait after a failed read.
-func (f *KeyedFollower) pauseAfter(err error) time.Duration {
-	var throttled *ThrottledError
-	if !errors.As(err, &throttled) {
-		f.outage.throttled = 0
-		return followPause
-	}
-	pause := throttledPause << min(f.outage.throttled, maxDoublings)
-	f.outage.throttled++
-	return jittered(min(pause, f.mostPace))
-}
--- a/internal/journal/pace_test.go
+++ b/internal/journal/interval_test.go
@@ -15,7 +15,7 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// fleet is a number of daemons that follow one partition at a pace.
+// fleet is a number of daemons that follow one partition at an interval.
 type fleet struct {
 	log  *journaltest.Journal
 	seen []*values
@@ -35,7 +35,7 @@
 	for range daemons {
 		seen := &values{values: map[string]string{}}
 		follower := journal.NewKeyedFollower(made.log, followed, seen, fleetBound, zap.NewNop())
-		follower.SetPace(journal.SharedPace(made.log, fleetShare, func() int { return daemons }))
+		follower.SetInterval(journal.SharedReadInterval(made.log, fleetShare, func() int { return daemons }))
 		go follower.Run(ctx)
 		made.seen = append(made.seen, seen)
 	}
@@ -55,7 +55,7 @@
 
 // The reads of a fleet of followers stay within their share of what the journal
 // grants, however often the partition changes, and all see a change well within the
-// contact bound. Without a pace 300 followers make 23,100 reads a second here.
+// contact bound. Without an interval 300 followers make 23,100 reads a second here.
 func TestFollowersOfAFleetKeepToTheirShareOfReads(t *testing.T) {
 	for _, daemons := range []int{12, 60, 300} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -59,16 +59,22 @@
 	// partition is the one called, or zero for calls of a group.
 	partition Partition
 	began     time.Time
-	// read says that it changes nothing, bulk that its answer may be long, full that it is a
-	// full read, whose answer may be long or empty, wait how long it may be held on purpose.
-	read, bulk, full bool
-	wait             time.Duration
-	cancel           context.CancelFunc
+	// read says that the call changes nothing, bulk that its answer may be long, newest that it
+	// reads the newest records of all keys, which may be many or none.
+	read, bulk, newest bool
+	// wait is how long a read waits for records.
+	wait   time.Duration
+	cancel context.CancelFunc
 }
 
 // Revive wraps a journal.
 func Revive(log Journal, logger *zap.Logger) *Revived {
-	return &Revived{Journal: log, answers: logging.NewEpisodes(logger, "journal answers again", "", "topics"), pending: map[*pendingCall]struct{}{}, answeredAt: time.Now()}
+	return &Revived{
+		Journal:    log,
+		answers:    logging.NewEpisodes(logger, "journal answers again", "", "topics"),
+		pending:    map[*pendingCall]struct{}{},
+		answeredAt: time.Now(),
+	}
 }
 
 // GivenUp returns how many calls were given up.
@@ -104,7 +110,7 @@
 	r.answeredAt = now
 	givenUp := 0
 	for older := range r.pending {
-		if r.lost(older, call, now) {
+		if r.isLost(older, call, now) {
 			older.cancel()
 			delete(r.pending, older)
 			givenUp++
@@ -126,7 +132,7 @@
 	switch {
 	case outageEnded, older.partition == answered.partition:
 		return overduePatience, true
-	case (older.bulk || older.full) && !answered.bulk:
+	case (older.bulk || older.newest) && !answered.bulk:
 		// A short answer overtakes a long one on a link or in a journal that is busy.
 		return 0, false
 	case older.read:
@@ -136,7 +142,7 @@
 }
 
 // lost reports whether a call must be lost when a later one has been answered.
-func (r *Revived) lost(older, answered *pendingCall, now time.Time) bool {
+func (r *Revived) isLost(older, answered *pendingCall, now time.Time) bool {
 	patience, ok := r.patience(older, answered, now)
 	overdue := now.Sub(older.began) - older.wait
 	return ok && older.began.Before(answered.began) && overdue > max(patience, slowness*now.Sub(answered.began))
@@ -158,7 +164,7 @@
 
 // Newest implements Journal.
 func (r *Revived) Newest(ctx context.Context, partition Partition, afterKey string) (page KeyedPage, err error) {
-	bounded, call := r.begin(ctx, pendingCall{partition: partition, read: true, full: true})
+	bounded, call := r.begin(ctx, pendingCall{partition: partition, read: true, newest: true})
 	defer func() { r.end(call, err) }()
 	return r.Journal.Newest(bounded, partition, afterKey)
 }
--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -16,7 +16,7 @@
 )
 
 // outage is a journal whose calls hang while it is silent.
-func outage() (*journaltest.Journal, *atomic.Bool) {
+func failureRow() (*journaltest.Journal, *atomic.Bool) {
 	log := journaltest.New()
 	silent := &atomic.Bool{}
 	log.Befall = func(journaltest.Call) journaltest.Fault {
@@ -48,7 +48,7 @@
 func TestSwallowedCallsEndWhenTheJournalAnswersAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		log, silent := outage()
+		log, silent := failureRow()
 		revived := journal.Revive(log, zap.NewNop())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
@@ -81,7 +81,7 @@
 func TestCallsThatMayBeAnsweredYetAreLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		log, silent := outage()
+		log, silent := failureRow()
 		revived := journal.Revive(log, zap.NewNop())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
@@ -162,7 +162,7 @@
 func TestALostReadIsToldByOtherPartitions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		log, silent := outage()
+		log, silent := failureRow()
 		revived := journal.Revive(log, zap.NewNop())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
