--- a/internal/daemon/logging/bounded.go
+++ b/internal/daemon/logging/bounded.go
@@ -37,44 +37,44 @@
 // NewAsyncWriter returns a writer and starts its background work, which lasts
 // as long as the process.
 func NewAsyncWriter(target io.Writer) *AsyncWriter {
-	writer := &AsyncWriter{target: target, wake: make(chan struct{}, 1)}
-	go writer.run()
-	return writer
+	w := &AsyncWriter{target: target, wake: make(chan struct{}, 1)}
+	go w.run()
+	return w
 }
 
 // Write implements io.Writer.
-func (writer *AsyncWriter) Write(line []byte) (int, error) {
-	writer.mutex.Lock()
-	defer writer.mutex.Unlock()
-	if writer.waiting.Len()+len(line) > queuedBytes {
-		writer.dropped++
+func (w *AsyncWriter) Write(line []byte) (int, error) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if w.waiting.Len()+len(line) > queuedBytes {
+		w.dropped++
 		return len(line), nil
 	}
-	if writer.torn {
-		writer.torn = false
-		writer.waiting.WriteByte('\n')
+	if w.torn {
+		w.torn = false
+		w.waiting.WriteByte('\n')
 	}
-	if writer.dropped > 0 {
-		writer.waiting.WriteString(droppedPrefix + strconv.Itoa(writer.dropped) + "\n")
-		writer.dropped = 0
+	if w.dropped > 0 {
+		w.waiting.WriteString(droppedPrefix + strconv.Itoa(w.dropped) + "\n")
+		w.dropped = 0
 	}
-	writer.waiting.Write(line)
+	w.waiting.Write(line)
 	select {
-	case writer.wake <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 	return len(line), nil
 }
 
-func (writer *AsyncWriter) run() {
-	for range writer.wake {
+func (w *AsyncWriter) run() {
+	for range w.wake {
 		for {
-			batch := writer.take()
+			batch := w.take()
 			if len(batch) == 0 {
 				break
 			}
-			if n, err := writer.target.Write(batch); err != nil {
-				writer.refused(batch, n)
+			if n, err := w.target.Write(batch); err != nil {
+				w.refused(batch, n)
 			}
 		}
 	}
@@ -82,17 +82,17 @@
 
 // refused counts the lines of a batch that the target did not take whole, and those
 // that the batch told of as dropped.
-func (writer *AsyncWriter) refused(batch []byte, written int) {
-	writer.mutex.Lock()
-	defer writer.mutex.Unlock()
+func (w *AsyncWriter) refused(batch []byte, written int) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	if written > 0 {
-		writer.torn = batch[written-1] != '\n'
+		w.torn = batch[written-1] != '\n'
 	} else {
-		writer.torn = writer.torn || batch[0] == '\n'
+		w.torn = w.torn || batch[0] == '\n'
 	}
 	begin := bytes.LastIndexByte(batch[:written], '\n') + 1
 	for line := range bytes.Lines(batch[begin:]) {
-		writer.dropped += linesOf(line)
+		w.dropped += linesOf(line)
 	}
 }
 
@@ -109,22 +109,22 @@
 	return 1
 }
 
-func (writer *AsyncWriter) take() []byte {
-	writer.mutex.Lock()
-	defer writer.mutex.Unlock()
-	batch := bytes.Clone(writer.waiting.Bytes())
-	writer.waiting.Reset()
-	writer.busy = len(batch) > 0
+func (w *AsyncWriter) take() []byte {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	batch := bytes.Clone(w.waiting.Bytes())
+	w.waiting.Reset()
+	w.busy = len(batch) > 0
 	return batch
 }
 
 // Sync implements zapcore.WriteSyncer. It waits a short while for what is
 // queued.
-func (writer *AsyncWriter) Sync() error {
+func (w *AsyncWriter) Sync() error {
 	for end := time.Now().Add(flushTime); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		writer.mutex.Lock()
-		done := writer.waiting.Len() == 0 && !writer.busy
-		writer.mutex.Unlock()
+		w.mutex.Lock()
+		done := w.waiting.Len() == 0 && !w.busy
+		w.mutex.Unlock()
 		if done {
 			break
 		}
--- a/internal/daemon/logging/logging.go
+++ b/internal/daemon/logging/logging.go
@@ -62,7 +62,7 @@
 // frameworkWriter turns go-zero's log calls into zap events.
 type frameworkWriter struct{ logger *zap.Logger }
 
-func (writer frameworkWriter) fields(fields []logx.LogField) []zap.Field {
+func (w frameworkWriter) fields(fields []logx.LogField) []zap.Field {
 	converted := make([]zap.Field, 0, len(fields))
 	for _, field := range fields {
 		converted = append(converted, zap.String(field.Key, fmt.Sprint(field.Value)))
@@ -71,14 +71,14 @@
 }
 
 // Alert implements logx.Writer.
-func (writer frameworkWriter) Alert(value any) { writer.logger.Error(fmt.Sprint(value)) }
+func (w frameworkWriter) Alert(value any) { w.logger.Error(fmt.Sprint(value)) }
 
 // Close implements logx.Writer.
-func (writer frameworkWriter) Close() error { return nil }
+func (w frameworkWriter) Close() error { return nil }
 
 // Debug implements logx.Writer.
-func (writer frameworkWriter) Debug(value any, fields ...logx.LogField) {
-	writer.logger.Debug(fmt.Sprint(value), writer.fields(fields)...)
+func (w frameworkWriter) Debug(value any, fields ...logx.LogField) {
+	w.logger.Debug(fmt.Sprint(value), w.fields(fields)...)
 }
 
 // requestPrefix starts httpc's line on each outbound request.
@@ -86,33 +86,33 @@
 
 // Error implements logx.Writer. Lines on single outbound requests go out at
 // debug level: the layers above log what a failure means.
-func (writer frameworkWriter) Error(value any, fields ...logx.LogField) {
+func (w frameworkWriter) Error(value any, fields ...logx.LogField) {
 	text := fmt.Sprint(value)
 	if strings.HasPrefix(text, requestPrefix) {
-		writer.logger.Debug(text, writer.fields(fields)...)
+		w.logger.Debug(text, w.fields(fields)...)
 		return
 	}
-	writer.logger.Error(text, writer.fields(fields)...)
+	w.logger.Error(text, w.fields(fields)...)
 }
 
 // Info implements logx.Writer. What go-zero says at this level is detail here.
-func (writer frameworkWriter) Info(value any, fields ...logx.LogField) {
-	writer.logger.Debug(fmt.Sprint(value), writer.fields(fields)...)
+func (w frameworkWriter) Info(value any, fields ...logx.LogField) {
+	w.logger.Debug(fmt.Sprint(value), w.fields(fields)...)
 }
 
 // Severe implements logx.Writer.
-func (writer frameworkWriter) Severe(value any) { writer.logger.Error(fmt.Sprint(value)) }
+func (w frameworkWriter) Severe(value any) { w.logger.Error(fmt.Sprint(value)) }
 
 // Slow implements logx.Writer.
-func (writer frameworkWriter) Slow(value any, fields ...logx.LogField) {
-	writer.logger.Warn(fmt.Sprint(value), writer.fields(fields)...)
+func (w frameworkWriter) Slow(value any, fields ...logx.LogField) {
+	w.logger.Warn(fmt.Sprint(value), w.fields(fields)...)
 }
 
 // Stack implements logx.Writer.
-func (writer frameworkWriter) Stack(value any) { writer.logger.Error(fmt.Sprint(value)) }
+func (w frameworkWriter) Stack(value any) { w.logger.Error(fmt.Sprint(value)) }
 
 // Stat implements logx.Writer. go-zero's periodic statistics repeat what
 // /metrics says, so they go out at debug level.
-func (writer frameworkWriter) Stat(value any, fields ...logx.LogField) {
-	writer.logger.Debug(fmt.Sprint(value), writer.fields(fields)...)
+func (w frameworkWriter) Stat(value any, fields ...logx.LogField) {
+	w.logger.Debug(fmt.Sprint(value), w.fields(fields)...)
 }
--- a/internal/daemon/logging/logging_test.go
+++ b/internal/daemon/logging/logging_test.go
@@ -72,18 +72,18 @@
 func TestAStuckReaderBlocksNobody(t *testing.T) {
 	is := is.New(t)
 	reader, stuck := io.Pipe()
-	writer := NewAsyncWriter(stuck)
+	w := NewAsyncWriter(stuck)
 	line := []byte(strings.Repeat("x", 1000) + "\n")
 	total := 3 * queuedBytes / len(line)
 	for range total {
-		count, err := writer.Write(line)
+		count, err := w.Write(line)
 		is.NoErr(err)
 		is.Equal(count, len(line))
 	}
 	read := &lines{}
 	go func() { _, _ = io.Copy(read, reader) }()
 	for !strings.Contains(read.String(), "log lines dropped") {
-		_, _ = writer.Write([]byte("after\n"))
+		_, _ = w.Write([]byte("after\n"))
 		total++
 		time.Sleep(time.Millisecond)
 	}
@@ -145,11 +145,11 @@
 func TestLinesThatTheOutputRefusedAreTold(t *testing.T) {
 	is := is.New(t)
 	target := &failing{failures: 1}
-	writer := NewAsyncWriter(target)
-	_, _ = writer.Write([]byte("one\ntwo\n"))
-	is.NoErr(writer.Sync())
+	w := NewAsyncWriter(target)
+	_, _ = w.Write([]byte("one\ntwo\n"))
+	is.NoErr(w.Sync())
 	for !strings.Contains(target.String(), "three") {
-		_, _ = writer.Write([]byte("three\n"))
+		_, _ = w.Write([]byte("three\n"))
 		time.Sleep(time.Millisecond)
 	}
 	is.True(strings.HasPrefix(target.String(), `level=warn event="log lines dropped" lines=`))
@@ -181,18 +181,18 @@
 func TestATornLineIsEndedAndCountedOnce(t *testing.T) {
 	is := is.New(t)
 	target := &tearing{}
-	writer := NewAsyncWriter(target)
+	w := NewAsyncWriter(target)
 	for _, line := range []string{"one\n", "two\n", "three\n"} {
-		_, _ = writer.Write([]byte(line))
-		for writer.waitsOrWrites() {
+		_, _ = w.Write([]byte(line))
+		for w.waitsOrWrites() {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	is.Equal(target.String(), "on\n"+droppedPrefix+"2\nthree\n")
 }
 
-func (writer *AsyncWriter) waitsOrWrites() bool {
-	writer.mutex.Lock()
-	defer writer.mutex.Unlock()
-	return writer.waiting.Len() > 0 || writer.busy
+func (w *AsyncWriter) waitsOrWrites() bool {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.waiting.Len() > 0 || w.busy
 }
--- a/internal/daemon/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -29,7 +29,7 @@
 
 // New returns a registry with the counters that the gateway feeds.
 func New() *Metrics {
-	metrics := &Metrics{
+	m := &Metrics{
 		registry: prometheus.NewRegistry(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "requests_total",
@@ -64,61 +64,61 @@
 			Help: "Time of questions about batches beyond the time that they were held on purpose, by the way of the answer and by outcome.", Buckets: latencyBuckets,
 		}, []string{"way", "outcome"}),
 	}
-	metrics.registry.MustRegister(metrics.requests, metrics.latency, metrics.samples, metrics.journal, metrics.attempts, metrics.batches, metrics.waits, metrics.asked)
-	return metrics
+	m.registry.MustRegister(m.requests, m.latency, m.samples, m.journal, m.attempts, m.batches, m.waits, m.asked)
+	return m
 }
 
 // Request counts a final answer.
-func (metrics *Metrics) Request(route, status, outcome string, took time.Duration) {
-	metrics.requests.WithLabelValues(route, status, outcome).Inc()
-	metrics.latency.WithLabelValues(route).Observe(took.Seconds())
+func (m *Metrics) Request(route, status, outcome string, took time.Duration) {
+	m.requests.WithLabelValues(route, status, outcome).Inc()
+	m.latency.WithLabelValues(route).Observe(took.Seconds())
 }
 
 // JournalCall counts a call to the journal.
-func (metrics *Metrics) JournalCall(call, outcome string, took time.Duration) {
-	metrics.journal.WithLabelValues(call, outcome).Observe(took.Seconds())
+func (m *Metrics) JournalCall(call, outcome string, took time.Duration) {
+	m.journal.WithLabelValues(call, outcome).Observe(took.Seconds())
 }
 
 // Attempt counts an offer of a request or an item to a replica.
-func (metrics *Metrics) Attempt(service, outcome string, took time.Duration) {
-	metrics.attempts.WithLabelValues(service, outcome).Observe(took.Seconds())
+func (m *Metrics) Attempt(service, outcome string, took time.Duration) {
+	m.attempts.WithLabelValues(service, outcome).Observe(took.Seconds())
 }
 
 // Admission counts how the wait of a request for a place at a service ended.
-func (metrics *Metrics) Admission(service, outcome string, waited time.Duration) {
-	metrics.waits.WithLabelValues(service, outcome).Observe(waited.Seconds())
+func (m *Metrics) Admission(service, outcome string, waited time.Duration) {
+	m.waits.WithLabelValues(service, outcome).Observe(waited.Seconds())
 }
 
 // Question counts how a question about a batch was answered.
-func (metrics *Metrics) Question(way string, answered bool, took time.Duration) {
+func (m *Metrics) Question(way string, answered bool, took time.Duration) {
 	outcome := "answered"
 	if !answered {
 		outcome = "refused"
 	}
-	metrics.asked.WithLabelValues(way, outcome).Observe(took.Seconds())
+	m.asked.WithLabelValues(way, outcome).Observe(took.Seconds())
 }
 
 // BatchPart counts a part of the time of the item that a batch listed last.
-func (metrics *Metrics) BatchPart(part string, took time.Duration) {
-	metrics.batches.WithLabelValues(part).Observe(took.Seconds())
+func (m *Metrics) BatchPart(part string, took time.Duration) {
+	m.batches.WithLabelValues(part).Observe(took.Seconds())
 }
 
 // Delivered counts samples handed to a trainer.
-func (metrics *Metrics) Delivered(trainer string, samples int) {
-	metrics.samples.WithLabelValues(trainer).Add(float64(samples))
+func (m *Metrics) Delivered(trainer string, samples int) {
+	m.samples.WithLabelValues(trainer).Add(float64(samples))
 }
 
 // Gauge registers a value that is read when the metrics are.
-func (metrics *Metrics) Gauge(name, help string, read func() float64) {
-	metrics.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
+func (m *Metrics) Gauge(name, help string, read func() float64) {
+	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
 // Counter registers a total that is read when the metrics are.
-func (metrics *Metrics) Counter(name, help string, read func() float64) {
-	metrics.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, read))
+func (m *Metrics) Counter(name, help string, read func() float64) {
+	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
 // Handler answers with all metrics.
-func (metrics *Metrics) Handler() http.Handler {
-	return promhttp.HandlerFor(metrics.registry, promhttp.HandlerOpts{})
+func (m *Metrics) Handler() http.Handler {
+	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
--- a/internal/daemon/settings/limits.go
+++ b/internal/daemon/settings/limits.go
@@ -32,14 +32,14 @@
 
 // Held returns the bounds on what is held on behalf of clients, none where the memory has
 // none.
-func (limits Limits) Held() holding.Limits {
-	all := int64(limits.HeldMB) * mebibyte
+func (l Limits) Held() holding.Limits {
+	all := int64(l.HeldMB) * mebibyte
 	if all == 0 {
-		all = int64(limits.MemoryMB) * mebibyte * heldPart / 100
+		all = int64(l.MemoryMB) * mebibyte * heldPart / 100
 	}
 	held := holding.LimitsOf(all)
-	if limits.HeldPerClientMB > 0 {
-		held.Each = int64(limits.HeldPerClientMB) * mebibyte
+	if l.HeldPerClientMB > 0 {
+		held.Each = int64(l.HeldPerClientMB) * mebibyte
 	}
 	return held
 }
@@ -53,11 +53,11 @@
 )
 
 // check tells of each wrong bound.
-func (limits Limits) check(require func(holds bool, key, reason string)) {
-	require(limits.MemoryMB >= 0, "limits.memory_mb", "must not be below 0")
-	require(limits.MemoryHeadroom >= minHeadroom, "limits.memory_headroom", fmt.Sprintf("must be at least %d", minHeadroom))
-	require(limits.HeldMB >= 0, "limits.held_mb", "must not be below 0")
-	require(limits.MemoryMB == 0 || limits.HeldMB < limits.MemoryMB, "limits.held_mb", "must be below memory_mb")
-	require(limits.HeldPerClientMB >= 0, "limits.held_per_client_mb", "must not be below 0")
-	require(limits.MaxBodyBytes > 0, "limits.max_body_bytes", "must be above 0")
+func (l Limits) check(require func(holds bool, key, reason string)) {
+	require(l.MemoryMB >= 0, "limits.memory_mb", "must not be below 0")
+	require(l.MemoryHeadroom >= minHeadroom, "limits.memory_headroom", fmt.Sprintf("must be at least %d", minHeadroom))
+	require(l.HeldMB >= 0, "limits.held_mb", "must not be below 0")
+	require(l.MemoryMB == 0 || l.HeldMB < l.MemoryMB, "limits.held_mb", "must be below memory_mb")
+	require(l.HeldPerClientMB >= 0, "limits.held_per_client_mb", "must not be below 0")
+	require(l.MaxBodyBytes > 0, "limits.max_body_bytes", "must be above 0")
 }
--- a/internal/daemon/settings/settings.go
+++ b/internal/daemon/settings/settings.go
@@ -118,8 +118,8 @@
 const megabyte = 1e6
 
 // Grants is what the store grants all daemons together.
-func (store Store) Grants() journal.Grants {
-	return journal.Grants{ReadsPerSecond: store.ReadsPerSecond, WritesPerSecond: store.WritesPerSecond, ReadBytesPerSecond: store.ReadMBPerSecond * megabyte}
+func (s Store) Grants() journal.Grants {
+	return journal.Grants{ReadsPerSecond: s.ReadsPerSecond, WritesPerSecond: s.WritesPerSecond, ReadBytesPerSecond: s.ReadMBPerSecond * megabyte}
 }
 
 // Timing holds the daemon's bounds in time.
@@ -163,22 +163,22 @@
 type Duration time.Duration
 
 // UnmarshalYAML implements yaml.Unmarshaler.
-func (duration *Duration) UnmarshalYAML(node *yaml.Node) error {
+func (d *Duration) UnmarshalYAML(node *yaml.Node) error {
 	parsed, err := time.ParseDuration(node.Value)
 	if err != nil {
 		return &yaml.TypeError{Errors: []string{fmt.Sprintf("line %d: %q is not a duration such as 5s", node.Line, node.Value)}}
 	}
-	*duration = Duration(parsed)
+	*d = Duration(parsed)
 	return nil
 }
 
 // MarshalYAML implements yaml.Marshaler.
-func (duration Duration) MarshalYAML() (any, error) {
-	return time.Duration(duration).String(), nil
+func (d Duration) MarshalYAML() (any, error) {
+	return time.Duration(d).String(), nil
 }
 
 // Std returns the value as a time.Duration.
-func (duration Duration) Std() time.Duration { return time.Duration(duration) }
+func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // Defaults returns the settings used where the file and the flags say nothing.
 func Defaults() Settings {
@@ -210,16 +210,16 @@
 }
 
 // Error implements error.
-func (fault Fault) Error() string { return fmt.Sprintf("%s: %s", fault.Key, fault.Reason) }
+func (f Fault) Error() string { return fmt.Sprintf("%s: %s", f.Key, f.Reason) }
 
 // Faults is every fault found in one settings file. It is the error that Load
 // and Check return when a value is wrong.
 type Faults []Fault
 
 // Error implements error with all faults on one line.
-func (faults Faults) Error() string {
-	texts := make([]string, len(faults))
-	for i, fault := range faults {
+func (f Faults) Error() string {
+	texts := make([]string, len(f))
+	for i, fault := range f {
 		texts[i] = fault.Error()
 	}
 	return "settings: " + strings.Join(texts, "; ")
@@ -260,40 +260,40 @@
 var digestPattern = regexp.MustCompile("^[0-9a-f]{64}$")
 
 // Check returns nil or a Faults value with every wrong setting.
-func (loaded Settings) Check() error {
+func (s Settings) Check() error {
 	var faults Faults
 	require := func(holds bool, key, reason string) {
 		if !holds {
 			faults = append(faults, Fault{Key: key, Reason: reason})
 		}
 	}
-	require(loaded.Name != "", "name", "is required")
-	require(!strings.ContainsAny(loaded.Name, " /#"), "name", "must not contain a space, / or #")
-	require(loaded.Zone != "", "zone", "is required")
-	require(loaded.Region != "", "region", "is required")
+	require(s.Name != "", "name", "is required")
+	require(!strings.ContainsAny(s.Name, " /#"), "name", "must not contain a space, / or #")
+	require(s.Zone != "", "zone", "is required")
+	require(s.Region != "", "region", "is required")
 	checkAddress := func(address, key string) {
 		parsed, err := netip.ParseAddrPort(address)
 		require(err == nil, key, fmt.Sprintf("%q is not an IP address with a port", address))
 		require(err != nil || parsed.Port() != 0, key, "port must not be 0")
 	}
-	checkAddress(loaded.Listen.Public, "listen.public")
-	store := loaded.Platform.Store
-	switch loaded.Platform.Driver {
+	checkAddress(s.Listen.Public, "listen.public")
+	store := s.Platform.Store
+	switch s.Platform.Driver {
 	case DriverStore:
-		checkAddress(loaded.Listen.Health, "listen.health")
+		checkAddress(s.Listen.Health, "listen.health")
 	case DriverLog:
-		checkAddress(loaded.Listen.Internal, "listen.internal")
-		if loaded.Listen.Health != "" {
-			checkAddress(loaded.Listen.Health, "listen.health")
+		checkAddress(s.Listen.Internal, "listen.internal")
+		if s.Listen.Health != "" {
+			checkAddress(s.Listen.Health, "listen.health")
 		}
 	default:
-		require(false, "platform.driver", fmt.Sprintf("%q is not %s or %s", loaded.Platform.Driver, DriverStore, DriverLog))
+		require(false, "platform.driver", fmt.Sprintf("%q is not %s or %s", s.Platform.Driver, DriverStore, DriverLog))
 	}
-	if loaded.Listen.Metrics != "" {
-		checkAddress(loaded.Listen.Metrics, "listen.metrics")
+	if s.Listen.Metrics != "" {
+		checkAddress(s.Listen.Metrics, "listen.metrics")
 	}
-	if loaded.Listen.Peer != "" {
-		checkAddress(loaded.Listen.Peer, "listen.peer")
+	if s.Listen.Peer != "" {
+		checkAddress(s.Listen.Peer, "listen.peer")
 	}
 	checkAddress(store.Address, "platform.store.address")
 	require(store.Partitions > 0, "platform.store.partitions", "must be above 0")
@@ -301,32 +301,32 @@
 	require(store.AppendBytes >= store.RecordBytes, "platform.store.append_bytes", "must not be less than record_bytes")
 	require(store.ReadsPerSecond >= 0, "platform.store.reads_per_second", "must not be below 0")
 	require(store.WritesPerSecond >= 0, "platform.store.writes_per_second", "must not be below 0")
-	if loaded.Platform.Duties.Address != "" {
-		checkAddress(loaded.Platform.Duties.Address, "platform.duties.address")
+	if s.Platform.Duties.Address != "" {
+		checkAddress(s.Platform.Duties.Address, "platform.duties.address")
 	}
 	require(store.ReadMBPerSecond >= 0, "platform.store.read_mb_per_second", "must not be below 0")
-	for i, operator := range loaded.Operators {
+	for i, operator := range s.Operators {
 		require(operator.Name != "", fmt.Sprintf("operators[%d].name", i), "is required")
 		require(digestPattern.MatchString(operator.KeySHA256), fmt.Sprintf("operators[%d].key_sha256", i), "must be 64 lower-case hexadecimal digits")
 	}
-	loaded.Limits.check(require)
+	s.Limits.check(require)
 	checkPositive := func(duration Duration, key string) {
 		require(duration > 0, key, "must be above 0s")
 	}
-	checkPositive(loaded.Timing.ConfirmBound, "timing.confirm_bound")
-	checkPositive(loaded.Timing.StopGrace, "timing.stop_grace")
-	checkPositive(loaded.Timing.RecordRetention, "timing.record_retention")
-	checkPositive(loaded.Timing.LeaseQuiet, "timing.lease_quiet")
-	checkPositive(loaded.Timing.ContactBound, "timing.contact_bound")
-	checkPositive(loaded.Timing.DrainBound, "timing.drain_bound")
-	checkPositive(loaded.Timing.Unread, "timing.unread")
-	require(loaded.Timing.UsageWindow >= 0, "timing.usage_window", "must not be below 0s")
-	require(loaded.Timing.UsageWindow == 0 || loaded.Timing.UsageDue > 0, "timing.usage_due", "must be above 0s where usage_window is")
-	require(loaded.Timing.KeyBound >= 0, "timing.key_bound", "must not be below 0s")
-	switch loaded.Log.Level {
+	checkPositive(s.Timing.ConfirmBound, "timing.confirm_bound")
+	checkPositive(s.Timing.StopGrace, "timing.stop_grace")
+	checkPositive(s.Timing.RecordRetention, "timing.record_retention")
+	checkPositive(s.Timing.LeaseQuiet, "timing.lease_quiet")
+	checkPositive(s.Timing.ContactBound, "timing.contact_bound")
+	checkPositive(s.Timing.DrainBound, "timing.drain_bound")
+	checkPositive(s.Timing.Unread, "timing.unread")
+	require(s.Timing.UsageWindow >= 0, "timing.usage_window", "must not be below 0s")
+	require(s.Timing.UsageWindow == 0 || s.Timing.UsageDue > 0, "timing.usage_due", "must be above 0s where usage_window is")
+	require(s.Timing.KeyBound >= 0, "timing.key_bound", "must not be below 0s")
+	switch s.Log.Level {
 	case "debug", "info", "warn", "error":
 	default:
-		require(false, "log.level", fmt.Sprintf("%q is not debug, info, warn or error", loaded.Log.Level))
+		require(false, "log.level", fmt.Sprintf("%q is not debug, info, warn or error", s.Log.Level))
 	}
 	if len(faults) > 0 {
 		return faults
