--- a/internal/daemon/logging/logging.go
+++ b/internal/daemon/logging/logging.go
@@ -1,5 +1,15 @@
-// Package logging writes one line of key=value pairs an event through zap and
-// sends go-zero's own log lines the same way.
+// Package logging writes one line of key=value pairs an event through zap, and sends go-zero's own
+// log lines the same way.
+//
+// A line never blocks who writes it: lines wait in a bounded queue, lines of one event, reason
+// and route are bounded a second, and so are all lines together. What is left out is counted in a
+// line of its own. Conditions that are found again and again are summed by Episodes.
+//
+// # Usage
+//
+//	logger, err := logging.New("info", "edge-1")
+//	defer logger.Sync()
+//	logger.Info("batch owned", zap.String("batch", id))
 package logging
 
 import (
--- a/internal/daemon/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -1,4 +1,14 @@
 // Package metrics holds the daemon's metrics in the Prometheus format.
+//
+// Names, labels and the values of labels are what dashboards and alerts go by: they stay as
+// they are. Times are in seconds.
+//
+// # Usage
+//
+//	registry := metrics.New()
+//	registry.Request("lookups", "200", "answered", 12*time.Millisecond)
+//	registry.Gauge("batches_owned", "Batches that this daemon runs.", read)
+//	http.Handle("/metrics", registry.Handler())
 package metrics
 
 import (
@@ -16,15 +26,15 @@
 
 // Metrics is one daemon's registry. It is safe for concurrent use.
 type Metrics struct {
-	registry *prometheus.Registry
-	requests *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	samples  *prometheus.CounterVec
-	journal  *prometheus.HistogramVec
-	attempts *prometheus.HistogramVec
-	batches  *prometheus.HistogramVec
-	waits    *prometheus.HistogramVec
-	asked    *prometheus.HistogramVec
+	registry  *prometheus.Registry
+	requests  *prometheus.CounterVec
+	latency   *prometheus.HistogramVec
+	samples   *prometheus.CounterVec
+	journal   *prometheus.HistogramVec
+	attempts  *prometheus.HistogramVec
+	batches   *prometheus.HistogramVec
+	waits     *prometheus.HistogramVec
+	questions *prometheus.HistogramVec
 }
 
 // New returns a registry with the counters that the gateway feeds.
@@ -59,12 +69,12 @@
 			Namespace: namespace, Name: "admission_wait_seconds",
 			Help: "Time that plain requests waited for a place at a full service, by service and how they went on.", Buckets: latencyBuckets,
 		}, []string{"service", "outcome"}),
-		asked: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		questions: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "question_seconds",
 			Help: "Time of questions about batches beyond the time that they were held on purpose, by the way of the answer and by outcome.", Buckets: latencyBuckets,
 		}, []string{"way", "outcome"}),
 	}
-	m.registry.MustRegister(m.requests, m.latency, m.samples, m.journal, m.attempts, m.batches, m.waits, m.asked)
+	m.registry.MustRegister(m.requests, m.latency, m.samples, m.journal, m.attempts, m.batches, m.waits, m.questions)
 	return m
 }
 
@@ -95,7 +105,7 @@
 	if !answered {
 		outcome = "refused"
 	}
-	m.asked.WithLabelValues(way, outcome).Observe(took.Seconds())
+	m.questions.WithLabelValues(way, outcome).Observe(took.Seconds())
 }
 
 // BatchPart counts a part of the time of the item that a batch listed last.
--- a/internal/daemon/settings/limits.go
+++ b/internal/daemon/settings/limits.go
@@ -52,12 +52,12 @@
 	minHeadroom = 10
 )
 
-// check tells of each wrong bound.
-func (l Limits) check(require func(holds bool, key, reason string)) {
-	require(l.MemoryMB >= 0, "limits.memory_mb", "must not be below 0")
-	require(l.MemoryHeadroom >= minHeadroom, "limits.memory_headroom", fmt.Sprintf("must be at least %d", minHeadroom))
-	require(l.HeldMB >= 0, "limits.held_mb", "must not be below 0")
-	require(l.MemoryMB == 0 || l.HeldMB < l.MemoryMB, "limits.held_mb", "must be below memory_mb")
-	require(l.HeldPerClientMB >= 0, "limits.held_per_client_mb", "must not be below 0")
-	require(l.MaxBodyBytes > 0, "limits.max_body_bytes", "must be above 0")
+// check adds a fault for each wrong bound.
+func (l Limits) check(f *Faults) {
+	f.require(l.MemoryMB >= 0, "limits.memory_mb", "must not be below 0")
+	f.require(l.MemoryHeadroom >= minHeadroom, "limits.memory_headroom", fmt.Sprintf("must be at least %d", minHeadroom))
+	f.require(l.HeldMB >= 0, "limits.held_mb", "must not be below 0")
+	f.require(l.MemoryMB == 0 || l.HeldMB < l.MemoryMB, "limits.held_mb", "must be below memory_mb")
+	f.require(l.HeldPerClientMB >= 0, "limits.held_per_client_mb", "must not be below 0")
+	f.require(l.MaxBodyBytes > 0, "limits.max_body_bytes", "must be above 0")
 }
--- a/internal/daemon/settings/settings.go
+++ b/internal/daemon/settings/settings.go
@@ -3,15 +3,18 @@
 // Precedence is flags over file over defaults. A file is checked as a whole
 // before anything starts: Load returns every fault it finds, each naming its
 // key, and refuses keys it does not know.
+//
+// # Usage
+//
+//	loaded, err := settings.Load("/etc/woodworks/local.yaml")
+//	err = loaded.Check() // a Faults value
 package settings
 
 import (
 	"bytes"
 	"fmt"
 	"io"
-	"net/netip"
 	"os"
-	"regexp"
 	"strings"
 	"time"
 
@@ -203,28 +206,6 @@
 // ErrUnreadable: the file cannot be read at all.
 var ErrUnreadable = errors.New("settings: cannot read file")
 
-// Fault is one wrong setting.
-type Fault struct {
-	Key    string
-	Reason string
-}
-
-// Error implements error.
-func (f Fault) Error() string { return fmt.Sprintf("%s: %s", f.Key, f.Reason) }
-
-// Faults is every fault found in one settings file. It is the error that Load
-// and Check return when a value is wrong.
-type Faults []Fault
-
-// Error implements error with all faults on one line.
-func (f Faults) Error() string {
-	texts := make([]string, len(f))
-	for i, fault := range f {
-		texts[i] = fault.Error()
-	}
-	return "settings: " + strings.Join(texts, "; ")
-}
-
 // Load reads the file at path over the defaults. It does not check values, so
 // that flags can still replace them; call Check afterwards. With an error on
 // single keys it returns what else the file says, so that all faults can be
@@ -253,83 +234,3 @@
 	}
 	return Settings{}, errors.Errorf("settings: %s", strings.ReplaceAll(err.Error(), "\n", " "))
 }
-
-// minRecordBytes is the smallest record size that the daemon can work with.
-const minRecordBytes = 4096
-
-var digestPattern = regexp.MustCompile("^[0-9a-f]{64}$")
-
-// Check returns nil or a Faults value with every wrong setting.
-func (s Settings) Check() error {
-	var faults Faults
-	require := func(holds bool, key, reason string) {
-		if !holds {
-			faults = append(faults, Fault{Key: key, Reason: reason})
-		}
-	}
-	require(s.Name != "", "name", "is required")
-	require(!strings.ContainsAny(s.Name, " /#"), "name", "must not contain a space, / or #")
-	require(s.Zone != "", "zone", "is required")
-	require(s.Region != "", "region", "is required")
-	checkAddress := func(address, key string) {
-		parsed, err := netip.ParseAddrPort(address)
-		require(err == nil, key, fmt.Sprintf("%q is not an IP address with a port", address))
-		require(err != nil || parsed.Port() != 0, key, "port must not be 0")
-	}
-	checkAddress(s.Listen.Public, "listen.public")
-	store := s.Platform.Store
-	switch s.Platform.Driver {
-	case DriverStore:
-		checkAddress(s.Listen.Health, "listen.health")
-	case DriverLog:
-		checkAddress(s.Listen.Internal, "listen.internal")
-		if s.Listen.Health != "" {
-			checkAddress(s.Listen.Health, "listen.health")
-		}
-	default:
-		require(false, "platform.driver", fmt.Sprintf("%q is not %s or %s", s.Platform.Driver, DriverStore, DriverLog))
-	}
-	if s.Listen.Metrics != "" {
-		checkAddress(s.Listen.Metrics, "listen.metrics")
-	}
-	if s.Listen.Peer != "" {
-		checkAddress(s.Listen.Peer, "listen.peer")
-	}
-	checkAddress(store.Address, "platform.store.address")
-	require(store.Partitions > 0, "platform.store.partitions", "must be above 0")
-	require(store.RecordBytes >= minRecordBytes, "platform.store.record_bytes", fmt.Sprintf("must be at least %d", minRecordBytes))
-	require(store.AppendBytes >= store.RecordBytes, "platform.store.append_bytes", "must not be less than record_bytes")
-	require(store.ReadsPerSecond >= 0, "platform.store.reads_per_second", "must not be below 0")
-	require(store.WritesPerSecond >= 0, "platform.store.writes_per_second", "must not be below 0")
-	if s.Platform.Duties.Address != "" {
-		checkAddress(s.Platform.Duties.Address, "platform.duties.address")
-	}
-	require(store.ReadMBPerSecond >= 0, "platform.store.read_mb_per_second", "must not be below 0")
-	for i, operator := range s.Operators {
-		require(operator.Name != "", fmt.Sprintf("operators[%d].name", i), "is required")
-		require(digestPattern.MatchString(operator.KeySHA256), fmt.Sprintf("operators[%d].key_sha256", i), "must be 64 lower-case hexadecimal digits")
-	}
-	s.Limits.check(require)
-	checkPositive := func(duration Duration, key string) {
-		require(duration > 0, key, "must be above 0s")
-	}
-	checkPositive(s.Timing.ConfirmBound, "timing.confirm_bound")
-	checkPositive(s.Timing.StopGrace, "timing.stop_grace")
-	checkPositive(s.Timing.RecordRetention, "timing.record_retention")
-	checkPositive(s.Timing.LeaseQuiet, "timing.lease_quiet")
-	checkPositive(s.Timing.ContactBound, "timing.contact_bound")
-	checkPositive(s.Timing.DrainBound, "timing.drain_bound")
-	checkPositive(s.Timing.Unread, "timing.unread")
-	require(s.Timing.UsageWindow >= 0, "timing.usage_window", "must not be below 0s")
-	require(s.Timing.UsageWindow == 0 || s.Timing.UsageDue > 0, "timing.usage_due", "must be above 0s where usage_window is")
-	require(s.Timing.KeyBound >= 0, "timing.key_bound", "must not be below 0s")
-	switch s.Log.Level {
-	case "debug", "info", "warn", "error":
-	default:
-		require(false, "log.level", fmt.Sprintf("%q is not debug, info, warn or error", s.Log.Level))
-	}
-	if len(faults) > 0 {
-		return faults
-	}
-	return nil
-}
