--- a/internal/api/permit/fold.go
+++ b/internal/api/permit/fold.go
@@ -44,8 +44,8 @@
 	Replica string `cbor:"4,keyasint"`
 }
 
-// holding is what is known of one key.
-type holding struct {
+// claim is the claim of a key that counts, with what came of it.
+type claim struct {
 	claimant string
 	digest   uint64
 	// at is the claimant's time of day at the claim, foldedAt when the claim was read
@@ -57,7 +57,7 @@
 // state is the fold of one partition: of the claims of a key the first counts,
 // of the outcomes the first that its claimant gave. After the claimant has given
 // the key back, the next claim counts.
-type state map[string]*holding
+type state map[string]*claim
 
 // apply folds the next record. One that is malformed or comes too late changes
 // nothing, for every reader alike.
@@ -66,19 +66,19 @@
 	if cbor.Unmarshal(encoded, &r) != nil || r.Key == "" || r.Claimant == "" {
 		return
 	}
-	held := s[r.Key]
+	c := s[r.Key]
 	switch r.Kind {
 	case kindClaim:
-		if held == nil {
-			s[r.Key] = &holding{claimant: r.Claimant, digest: r.Digest, at: time.UnixMilli(r.AtMs), foldedAt: time.Now()}
+		if c == nil {
+			s[r.Key] = &claim{claimant: r.Claimant, digest: r.Digest, at: time.UnixMilli(r.AtMs), foldedAt: time.Now()}
 		}
 	case kindOutcome:
-		if held != nil && held.claimant == r.Claimant && held.outcome == nil {
+		if c != nil && c.claimant == r.Claimant && c.outcome == nil {
 			outcome := r.Outcome
-			held.outcome = &outcome
+			c.outcome = &outcome
 		}
 	case kindRelease:
-		if held != nil && held.claimant == r.Claimant && held.outcome == nil {
+		if c != nil && c.claimant == r.Claimant && c.outcome == nil {
 			delete(s, r.Key)
 		}
 	}
@@ -89,8 +89,8 @@
 // forgotten is not read again. The time of day alone does for daemons whose clocks differ
 // for good, as the use of keys is bounded by the same clock.
 func (s state) forget(before time.Time, kept time.Duration) {
-	for key, held := range s {
-		if held.at.Before(before) && time.Since(held.foldedAt) > kept {
+	for key, c := range s {
+		if c.at.Before(before) && time.Since(c.foldedAt) > kept {
 			delete(s, key)
 		}
 	}
--- /dev/null
+++ b/internal/api/permit/partition.go
@@ -0,0 +1,103 @@
+package permit
+
+import (
+	"context"
+	"hash/fnv"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"woodworks/internal/journal"
+)
+
+// partition is one partition as far as it has been read.
+type partition struct {
+	name journal.Partition
+	// reading has room for the one who reads; next is that one's.
+	reading chan struct{}
+	next    int64
+	// kept is how long a key is remembered at least after its claim was read.
+	kept time.Duration
+
+	mu   sync.Mutex
+	keys state
+}
+
+// of returns the partition of a key.
+func (p *Permits) of(key string) *partition {
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(key)) // It never fails.
+	n := int(hash.Sum32() % uint32(max(p.journal.PartitionsPerTopic(), 1)))
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	part := p.parts[n]
+	if part == nil {
+		part = &partition{
+			name:    journal.Partition{Topic: Topic, Number: n},
+			reading: make(chan struct{}, 1),
+			kept:    p.retention + clockMargin,
+			keys:    state{},
+		}
+		p.parts[n] = part
+	}
+	return part
+}
+
+// append adds a record with one call.
+func (p *Permits) append(ctx context.Context, part *partition, r record) error {
+	bounded, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	_, err := p.journal.Append(bounded, journal.Append{Partition: part.name, Records: [][]byte{r.encode()}})
+	return err
+}
+
+// catchUp reads a partition up to where it ended when the read began.
+func (p *Permits) catchUp(ctx context.Context, part *partition) error {
+	select {
+	case part.reading <- struct{}{}:
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	defer func() { <-part.reading }()
+	for {
+		bounded, cancel := context.WithTimeout(ctx, callTimeout)
+		read, err := p.journal.Read(bounded, journal.Read{Partition: part.name, From: part.next})
+		cancel()
+		var trimmed *journal.TrimmedError
+		if errors.As(err, &trimmed) {
+			part.next = trimmed.First
+			continue
+		}
+		if err != nil {
+			return err
+		}
+		part.fold(read.Records, time.Now().Add(-p.retention-clockMargin))
+		if part.next >= read.End || len(read.Records) == 0 {
+			return nil
+		}
+	}
+}
+
+// fold takes records in, and drops the keys that were claimed before a time.
+func (p *partition) fold(records [][]byte, before time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, e := range records {
+		p.keys.apply(e)
+		p.next++
+	}
+	p.keys.forget(before, p.kept)
+}
+
+// lookUp returns a copy of what is known of a key, or nil.
+func (p *partition) lookUp(key string) *claim {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	c := p.keys[key]
+	if c == nil {
+		return nil
+	}
+	copied := *c
+	return &copied
+}
--- a/internal/api/permit/permit.go
+++ b/internal/api/permit/permit.go
@@ -22,11 +22,13 @@
 //	case permit.OtherContent:
 //		// the key names another request
 //	}
+//
+// The package owns the fold of the claims that this daemon has read, and relies on the journal
+// for their order.
 package permit
 
 import (
 	"context"
-	"hash/fnv"
 	"sync"
 	"time"
 
@@ -47,6 +49,7 @@
 )
 
 const (
+	// callTimeout bounds one call to the journal.
 	callTimeout = 1500 * time.Millisecond
 	// awaitPause is the time between two looks for an outcome.
 	awaitPause = 100 * time.Millisecond
@@ -83,19 +86,6 @@
 	parts map[int]*partition
 }
 
-// partition is one partition as far as it has been read.
-type partition struct {
-	name journal.Partition
-	// reading has room for the one who reads; next is that one's.
-	reading chan struct{}
-	next    int64
-	// kept is how long a key is remembered at least after its claim was read.
-	kept time.Duration
-
-	mu   sync.Mutex
-	keys state
-}
-
 // New returns permits whose keys are remembered for retention, which must not
 // be longer than the journal keeps records. Each call of newID must return
 // another text, on all daemons together.
@@ -103,32 +93,18 @@
 	return &Permits{journal: log, retention: retention, newID: newID, parts: map[int]*partition{}}
 }
 
-func (p *Permits) of(key string) *partition {
-	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(key))
-	n := int(hash.Sum32() % uint32(max(p.journal.PartitionsPerTopic(), 1)))
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	found := p.parts[n]
-	if found == nil {
-		found = &partition{name: journal.Partition{Topic: Topic, Number: n}, reading: make(chan struct{}, 1), kept: p.retention + clockMargin, keys: state{}}
-		p.parts[n] = found
-	}
-	return found
-}
-
-// Claim asks for the permit of a key.
+// Claim asks for the permit of a key. The error wraps ErrNotClaimed or ErrUnknown.
 func (p *Permits) Claim(ctx context.Context, key string, digest uint64) (Decision, error) {
 	part := p.of(key)
 	if err := p.catchUp(ctx, part); err != nil {
 		return nil, errors.Wrap(ErrNotClaimed, err.Error())
 	}
-	if held := part.lookUp(key); held != nil {
-		return judge(held, key, "", digest), nil
+	if c := part.lookUp(key); c != nil {
+		return judge(c, key, "", digest), nil
 	}
 	claimant := p.newID()
-	claim := record{Kind: kindClaim, Key: key, Claimant: claimant, Digest: digest, AtMs: time.Now().UnixMilli()}
-	if err := p.append(ctx, part, claim); err != nil {
+	rec := record{Kind: kindClaim, Key: key, Claimant: claimant, Digest: digest, AtMs: time.Now().UnixMilli()}
+	if err := p.append(ctx, part, rec); err != nil {
 		if errors.Is(err, journal.ErrNotDone) {
 			return nil, errors.Wrap(ErrNotClaimed, err.Error())
 		}
@@ -137,18 +113,19 @@
 	if err := p.catchUp(ctx, part); err != nil {
 		return nil, errors.Wrap(ErrUnknown, err.Error())
 	}
-	held := part.lookUp(key)
-	if held == nil {
+	c := part.lookUp(key)
+	if c == nil {
 		return nil, errors.Wrap(ErrUnknown, "the claim is not in the journal any more")
 	}
-	return judge(held, key, claimant, digest), nil
+	return judge(c, key, claimant, digest), nil
 }
 
-func judge(held *holding, key, claimant string, digest uint64) Decision {
+// judge decides on a try of a claimant, "" for one that has made no claim, by the claim that counts.
+func judge(c *claim, key, claimant string, digest uint64) Decision {
 	switch {
-	case held.claimant == claimant:
+	case c.claimant == claimant:
 		return Granted{key: key, claimant: claimant}
-	case held.digest != digest:
+	case c.digest != digest:
 		return OtherContent{}
 	default:
 		return Taken{}
@@ -158,25 +135,25 @@
 // Settle records what the granted run came to. Without it later tries hear that
 // the request may have run, which is true as well.
 func (p *Permits) Settle(ctx context.Context, granted Granted, outcome Outcome) error {
-	settled := record{Kind: kindOutcome, Key: granted.key, Claimant: granted.claimant, AtMs: time.Now().UnixMilli(), Outcome: outcome}
-	return p.append(ctx, p.of(granted.key), settled)
+	rec := record{Kind: kindOutcome, Key: granted.key, Claimant: granted.claimant, AtMs: time.Now().UnixMilli(), Outcome: outcome}
+	return p.append(ctx, p.of(granted.key), rec)
 }
 
 // Release gives the permit back: the granted request has certainly not run and
 // will not, so that a later try may. Without it the key stays spent.
 func (p *Permits) Release(ctx context.Context, granted Granted) error {
-	released := record{Kind: kindRelease, Key: granted.key, Claimant: granted.claimant, AtMs: time.Now().UnixMilli()}
-	return p.append(ctx, p.of(granted.key), released)
+	rec := record{Kind: kindRelease, Key: granted.key, Claimant: granted.claimant, AtMs: time.Now().UnixMilli()}
+	return p.append(ctx, p.of(granted.key), rec)
 }
 
 // Await returns the outcome of a key's run, once it is recorded. It reports
-// false if the context ends before.
+// false if the context ends before; a read of the journal that fails is repeated until then.
 func (p *Permits) Await(ctx context.Context, key string) (Outcome, bool) {
 	part := p.of(key)
 	for {
 		if p.catchUp(ctx, part) == nil {
-			if held := part.lookUp(key); held != nil && held.outcome != nil {
-				return *held.outcome, true
+			if c := part.lookUp(key); c != nil && c.outcome != nil {
+				return *c.outcome, true
 			}
 		}
 		select {
@@ -186,61 +163,3 @@
 		}
 	}
 }
-
-// append adds a record. Only a call that certainly did nothing is repeated.
-func (p *Permits) append(ctx context.Context, part *partition, r record) error {
-	bounded, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	_, err := p.journal.Append(bounded, journal.Append{Partition: part.name, Records: [][]byte{r.encode()}})
-	return err
-}
-
-// catchUp reads a partition up to where it ended when the read began.
-func (p *Permits) catchUp(ctx context.Context, part *partition) error {
-	select {
-	case part.reading <- struct{}{}:
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-	defer func() { <-part.reading }()
-	for {
-		bounded, cancel := context.WithTimeout(ctx, callTimeout)
-		read, err := p.journal.Read(bounded, journal.Read{Partition: part.name, From: part.next})
-		cancel()
-		var trimmed *journal.TrimmedError
-		if errors.As(err, &trimmed) {
-			part.next = trimmed.First
-			continue
-		}
-		if err != nil {
-			return err
-		}
-		part.fold(read.Records, time.Now().Add(-p.retention-clockMargin))
-		if part.next >= read.End || len(read.Records) == 0 {
-			return nil
-		}
-	}
-}
-
-// fold takes records in, and drops the keys that were claimed before a time.
-func (part *partition) fold(records [][]byte, before time.Time) {
-	part.mu.Lock()
-	defer part.mu.Unlock()
-	for _, e := range records {
-		part.keys.apply(e)
-		part.next++
-	}
-	part.keys.forget(before, part.kept)
-}
-
-// lookUp returns a copy of what is known of a key, or nil.
-func (part *partition) lookUp(key string) *holding {
-	part.mu.Lock()
-	defer part.mu.Unlock()
-	held := part.keys[key]
-	if held == nil {
-		return nil
-	}
-	copied := *held
-	return &copied
-}
--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -226,8 +226,8 @@
 		permits := New(journaltest.New(), retention, func() string { return "second" })
 		part := permits.of("k")
 		dropsBefore := func(clock time.Time) time.Time { return clock.Add(-retention - clockMargin) }
-		claim := record{Kind: kindClaim, Key: "k", Claimant: "first", Digest: 1, AtMs: time.Now().UnixMilli()}
-		part.fold([][]byte{claim.encode()}, dropsBefore(time.Now()))
+		rec := record{Kind: kindClaim, Key: "k", Claimant: "first", Digest: 1, AtMs: time.Now().UnixMilli()}
+		part.fold([][]byte{rec.encode()}, dropsBefore(time.Now()))
 		part.fold(nil, dropsBefore(time.Now().Add(time.Hour)))
 		is.True(part.lookUp("k") != nil)
 		time.Sleep(retention + clockMargin + time.Millisecond)
--- a/internal/api/rollout/cursor.go
+++ b/internal/api/rollout/cursor.go
@@ -28,15 +28,15 @@
 }
 
 // Taken reports whether the trainer has a sample.
-func (cursor Cursor) Taken(index int) bool { return cursor.taken[index/8]&(1<<(index%8)) != 0 }
+func (c Cursor) Taken(index int) bool { return c.taken[index/8]&(1<<(index%8)) != 0 }
 
 // Bits are the samples that the trainer has, a bit each, the lowest of the first byte first.
 // They must not be changed.
-func (cursor Cursor) Bits() []byte { return cursor.taken }
+func (c Cursor) Bits() []byte { return c.taken }
 
 // Take returns a cursor in which the samples are taken too.
-func (cursor Cursor) Take(indices ...int) Cursor {
-	next := Cursor{Header: cursor.Header, taken: append([]byte{}, cursor.taken...)}
+func (c Cursor) Take(indices ...int) Cursor {
+	next := Cursor{Header: c.Header, taken: append([]byte{}, c.taken...)}
 	for _, index := range indices {
 		next.taken[index/8] |= 1 << (index % 8)
 	}
@@ -44,13 +44,13 @@
 }
 
 // String encodes the cursor as URL-safe text.
-func (cursor Cursor) String() string {
+func (c Cursor) String() string {
 	data := []byte{cursorFormat}
-	data = appendText(data, cursor.Header.Trainer)
-	data = appendText(data, cursor.Header.Name)
-	data = binary.BigEndian.AppendUint64(data, cursor.Header.Digest)
-	data = binary.AppendUvarint(data, uint64(cursor.Header.Samples))
-	data = append(data, cursor.taken...)
+	data = appendText(data, c.Header.Trainer)
+	data = appendText(data, c.Header.Name)
+	data = binary.BigEndian.AppendUint64(data, c.Header.Digest)
+	data = binary.AppendUvarint(data, uint64(c.Header.Samples))
+	data = append(data, c.taken...)
 	data = binary.BigEndian.AppendUint64(data, xxhash.Sum64(data))
 	return base64.RawURLEncoding.EncodeToString(data)
 }
@@ -70,14 +70,14 @@
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(sum) || body[0] != cursorFormat {
 		return Cursor{}, ErrCursor
 	}
-	reader := &cursorReader{data: body[1:]}
+	r := &cursorReader{data: body[1:]}
 	cursor := Cursor{}
-	cursor.Header.Trainer = reader.text()
-	cursor.Header.Name = reader.text()
-	cursor.Header.Digest = reader.fixed64()
-	cursor.Header.Samples = reader.count(MaxSamples)
-	cursor.taken = append([]byte{}, reader.data...)
-	if reader.failed || len(cursor.taken) != (cursor.Header.Samples+7)/8 {
+	cursor.Header.Trainer = r.text()
+	cursor.Header.Name = r.text()
+	cursor.Header.Digest = r.fixed64()
+	cursor.Header.Samples = r.count(MaxSamples)
+	cursor.taken = append([]byte{}, r.data...)
+	if r.failed || len(cursor.taken) != (cursor.Header.Samples+7)/8 {
 		return Cursor{}, ErrCursor
 	}
 	return cursor, nil
@@ -89,39 +89,39 @@
 	failed bool
 }
 
-func (reader *cursorReader) number() uint64 {
-	value, size := binary.Uvarint(reader.data)
+func (r *cursorReader) number() uint64 {
+	value, size := binary.Uvarint(r.data)
 	if size <= 0 {
-		reader.failed = true
+		r.failed = true
 		return 0
 	}
-	reader.data = reader.data[size:]
+	r.data = r.data[size:]
 	return value
 }
 
-func (reader *cursorReader) count(limit uint64) int {
-	value := reader.number()
+func (r *cursorReader) count(limit uint64) int {
+	value := r.number()
 	if value < 1 || value > limit {
-		reader.failed = true
+		r.failed = true
 		return 1
 	}
 	return int(value)
 }
 
-func (reader *cursorReader) take(size uint64) []byte {
-	if size > uint64(len(reader.data)) {
-		reader.failed = true
+func (r *cursorReader) take(size uint64) []byte {
+	if size > uint64(len(r.data)) {
+		r.failed = true
 		return nil
 	}
-	part := reader.data[:size]
-	reader.data = reader.data[size:]
+	part := r.data[:size]
+	r.data = r.data[size:]
 	return part
 }
 
-func (reader *cursorReader) text() string { return string(reader.take(reader.number())) }
+func (r *cursorReader) text() string { return string(r.take(r.number())) }
 
-func (reader *cursorReader) fixed64() uint64 {
-	part := reader.take(8)
+func (r *cursorReader) fixed64() uint64 {
+	part := r.take(8)
 	if len(part) < 8 {
 		return 0
 	}
--- a/internal/api/rollout/batch.go
+++ b/internal/api/rollout/request.go
@@ -37,7 +37,7 @@
 }
 
 // Error implements error.
-func (fault *FieldError) Error() string { return fault.Field + ": " + fault.Reason }
+func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
 func fieldError(field, format string, arguments ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, arguments...)}
@@ -65,29 +65,29 @@
 }
 
 // Check returns a *FieldError for the first fault.
-func (request Request) Check() error {
+func (r Request) Check() error {
 	switch {
-	case request.Trainer == "":
+	case r.Trainer == "":
 		return fieldError("trainer", "is required")
-	case request.Name == "":
+	case r.Name == "":
 		return fieldError("name", "is required")
-	case len(request.Name) > maxNameBytes:
-		return fieldError("name", "has %d bytes, over the limit of %d", len(request.Name), maxNameBytes)
-	case len(request.Prompts) == 0:
+	case len(r.Name) > maxNameBytes:
+		return fieldError("name", "has %d bytes, over the limit of %d", len(r.Name), maxNameBytes)
+	case len(r.Prompts) == 0:
 		return fieldError("prompts", "at least one is required")
-	case request.SamplesPerPrompt < 1:
-		return fieldError("samples_per_prompt", "%d is below 1", request.SamplesPerPrompt)
-	case request.SamplesPerPrompt > MaxSamples || len(request.Prompts) > MaxSamples/request.SamplesPerPrompt:
+	case r.SamplesPerPrompt < 1:
+		return fieldError("samples_per_prompt", "%d is below 1", r.SamplesPerPrompt)
+	case r.SamplesPerPrompt > MaxSamples || len(r.Prompts) > MaxSamples/r.SamplesPerPrompt:
 		return fieldError("samples_per_prompt", "the batch has more than %d samples", MaxSamples)
-	case request.MaxTokens < 1 || request.MaxTokens > MaxTokensLimit:
-		return fieldError("max_tokens", "%d is not between 1 and %d", request.MaxTokens, MaxTokensLimit)
+	case r.MaxTokens < 1 || r.MaxTokens > MaxTokensLimit:
+		return fieldError("max_tokens", "%d is not between 1 and %d", r.MaxTokens, MaxTokensLimit)
 	}
-	for _, character := range request.Name {
+	for _, character := range r.Name {
 		if character < '!' || character > '~' || character == '/' {
 			return fieldError("name", "must be printable ASCII without spaces and /")
 		}
 	}
-	return checkPrompts(request.Prompts)
+	return checkPrompts(r.Prompts)
 }
 
 func checkPrompts(prompts []Prompt) error {
--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -119,18 +119,18 @@
 		if cursor.Taken(sample) {
 			continue
 		}
-		made := newestOf(rounds, sample)
+		res := newestOf(rounds, sample)
 		switch {
-		case made == nil:
+		case res == nil:
 			plan.Open++
-		case made.Outcome != batch.Done || !accepts(oldest(made)):
+		case res.Outcome != batch.Done || !accepts(oldest(res)):
 			plan.Open++
 			plan.Again = append(plan.Again, sample)
 		case len(plan.Ready) >= limit:
 			plan.Open++
 		default:
 			ready := Result{Index: sample}
-			if ready.readText(made) != nil {
+			if ready.readText(res) != nil {
 				plan.Open++
 				plan.Again = append(plan.Again, sample)
 				continue
@@ -145,8 +145,8 @@
 // it has none yet.
 func newestOf(rounds []Round, sample int) *batch.Result {
 	for i := len(rounds) - 1; i >= 0; i-- {
-		if made, makes := rounds[i][sample]; makes {
-			return made
+		if res, ok := rounds[i][sample]; ok {
+			return res
 		}
 	}
 	return nil
@@ -154,9 +154,9 @@
 
 // SeedOf returns the seed that the body of an item asks for, 0 where it names none.
 func SeedOf(body []byte) uint64 {
-	var asked Generate
-	if json.Unmarshal(body, &asked) != nil {
+	var g Generate
+	if json.Unmarshal(body, &g) != nil {
 		return 0
 	}
-	return asked.Seed
+	return g.Seed
 }
--- a/internal/api/rollout/sample.go
+++ b/internal/api/rollout/sample.go
@@ -46,43 +46,43 @@
 var ErrText = errors.New("rollout: the text is not made of frames")
 
 // Add takes a frame in.
-func (result *Result) Add(frame Frame) {
-	result.Tokens = append(result.Tokens, frame.Tokens...)
+func (r *Result) Add(frame Frame) {
+	r.Tokens = append(r.Tokens, frame.Tokens...)
 	if frame.End != "" {
-		result.End = frame.End
+		r.End = frame.End
 	}
 	if len(frame.Tokens) == 0 {
 		return
 	}
-	last := len(result.Segments) - 1
-	if last >= 0 && result.Segments[last].Version == uint64(frame.Version) {
-		result.Segments[last].Tokens += len(frame.Tokens)
+	last := len(r.Segments) - 1
+	if last >= 0 && r.Segments[last].Version == uint64(frame.Version) {
+		r.Segments[last].Tokens += len(frame.Tokens)
 		return
 	}
-	result.Segments = append(result.Segments, Segment{Version: uint64(frame.Version), Tokens: len(frame.Tokens)})
+	r.Segments = append(r.Segments, Segment{Version: uint64(frame.Version), Tokens: len(frame.Tokens)})
 }
 
 // readText fills a result from the text of an item. Each version that a frame
 // names must be among those that the item was made by.
-func (result *Result) readText(made *batch.Result) error {
-	for _, line := range bytes.Split(made.Text, []byte("\n")) {
+func (r *Result) readText(res *batch.Result) error {
+	for _, line := range bytes.Split(res.Text, []byte("\n")) {
 		var frame Frame
 		if err := json.Unmarshal(line, &frame); err != nil {
 			return errors.Wrap(ErrText, err.Error())
 		}
-		result.Add(frame)
+		r.Add(frame)
 	}
-	for _, segment := range result.Segments {
-		if !madeBy(made, int64(segment.Version)) {
+	for _, segment := range r.Segments {
+		if !madeBy(res, int64(segment.Version)) {
 			return errors.Wrapf(ErrText, "version %d is not one that made it", segment.Version)
 		}
 	}
 	return nil
 }
 
-func madeBy(made *batch.Result, version int64) bool {
-	for _, each := range made.Versions {
-		if each == version {
+func madeBy(res *batch.Result, version int64) bool {
+	for _, v := range res.Versions {
+		if v == version {
 			return true
 		}
 	}
@@ -90,9 +90,9 @@
 }
 
 // oldest returns the lowest version that made a part of an item.
-func oldest(made *batch.Result) int64 {
+func oldest(res *batch.Result) int64 {
 	lowest := int64(0)
-	for _, version := range made.Versions {
+	for _, version := range res.Versions {
 		if lowest == 0 || version < lowest {
 			lowest = version
 		}
--- a/internal/journal/logservice/handler.go
+++ b/internal/journal/logservice/handler.go
@@ -70,6 +70,7 @@
 	write(w, http.StatusConflict, refused)
 }
 
+// write sends an answer.
 func write(w http.ResponseWriter, status int, value any) {
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
@@ -77,5 +78,5 @@
 	}
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
-	_, _ = w.Write(encoded)
+	_, _ = w.Write(encoded) // The caller is gone: there is nobody to tell.
 }
--- a/internal/journal/logservice/logservice.go
+++ b/internal/journal/logservice/logservice.go
@@ -5,6 +5,9 @@
 // journal under the same protocol, so that the stand-in of the service is a
 // journal in memory behind a listener.
 //
+// Its errors are those of package journal, which a journal promises: what a refusal says was
+// certainly not done, and the outcome of a call without an answer is unknown.
+//
 // # Usage
 //
 //	log := logservice.New(address, localAddress, logservice.Shape{Partitions: 8})
@@ -14,8 +17,7 @@
 //
 // Each call is a POST of one CBOR value to /v1/log/NAME, where NAME is append,
 // read, newest, join, leave or owners. The answer is 200 with a CBOR value. Any
-// other status carries a [refusal]: what it says was certainly not done. A call
-// without an answer may have been done, or may be done later.
+// other status carries a [refusal].
 package logservice
 
 import (
--- a/internal/membership/identity/identity.go
+++ b/internal/membership/identity/identity.go
@@ -1,5 +1,10 @@
-// Package identity names the runs of daemons: a machine's name with the start
-// of the run, so that no two runs share a name.
+// Package identity names the incarnations of daemons: a machine's name with the start of the
+// process, so that no two incarnations share a name.
+//
+// # Usage
+//
+//	self := identity.New(machine, time.Now())
+//	machine := identity.Machine(self)
 package identity
 
 import (
@@ -10,37 +15,37 @@
 
 const separator = "/"
 
-// New returns the name of a run that starts now on a machine.
+// New returns the name of the incarnation that starts at a time on a machine.
 func New(machine string, start time.Time) string {
 	return machine + separator + strconv.FormatInt(start.UnixNano(), 36)
 }
 
-// Machine returns the machine of a run.
-func Machine(run string) string {
-	machine, _, _ := strings.Cut(run, separator)
+// Machine returns the machine of an incarnation.
+func Machine(incarnation string) string {
+	machine, _, _ := strings.Cut(incarnation, separator)
 	return machine
 }
 
-// Replaced reports whether a run is over for certain: another run of its
-// machine is among those alive, and it is not. A machine has one run at a time.
-func Replaced(run string, alive []string) bool {
+// Replaced reports whether an incarnation is over for certain: another one of its machine is
+// among those alive, and it is not. A machine has one at a time.
+func Replaced(incarnation string, alive []string) bool {
 	replaced := false
 	for _, other := range alive {
-		if other == run {
+		if other == incarnation {
 			return false
 		}
-		if Machine(other) == Machine(run) {
+		if Machine(other) == Machine(incarnation) {
 			replaced = true
 		}
 	}
 	return replaced
 }
 
-// Started returns when a run began by its machine's time of day, in nanoseconds since 1970,
-// or 0 if its name doesn't say. It orders the runs of one machine unless that time was put
+// Started returns when an incarnation began by its machine's time of day, in nanoseconds since 1970,
+// or 0 if its name doesn't say. It orders the incarnations of one machine unless that time was put
 // back between them.
-func Started(run string) int64 {
-	_, start, _ := strings.Cut(run, separator)
+func Started(incarnation string) int64 {
+	_, start, _ := strings.Cut(incarnation, separator)
 	parsed, err := strconv.ParseInt(start, 36, 64)
 	if err != nil {
 		return 0
