--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -57,19 +57,19 @@
 
 // Reset implements journal.KeyedHandler.
 func (r *Recorder) Reset(records []journal.KeyedRecord) {
-	there := map[string]bool{}
+	listed := map[string]bool{}
 	for _, record := range records {
-		there[record.Key] = true
+		listed[record.Key] = true
 		r.Apply(record)
 	}
-	r.table.dropMissing(there)
+	r.table.dropMissing(listed)
 }
 
 // Apply implements journal.KeyedHandler.
 func (r *Recorder) Apply(record journal.KeyedRecord) {
 	digest, err := ParseDigest(record.Key)
 	if err != nil {
-		r.logger.Warn("kept content not understood", zap.String("key", record.Key), zap.Error(err))
+		r.logger.Warn("journal record of a suspected content not decoded", zap.String("key", record.Key), zap.Error(err))
 		return
 	}
 	if len(record.Value) == 0 {
@@ -78,7 +78,7 @@
 	}
 	entry := Entry{}
 	if err := cbor.Unmarshal(record.Value, &entry); err != nil || entry.Digest != digest {
-		r.logger.Warn("kept content not understood", zap.String("key", record.Key), zap.Error(err))
+		r.logger.Warn("journal record of a suspected content not decoded", zap.String("key", record.Key), zap.Error(err))
 		return
 	}
 	r.table.journaled(entry)
@@ -122,7 +122,7 @@
 		return
 	}
 	r.failing = err != nil
-	r.logger.Info("suspected contents kept", zap.Bool("failing", r.failing), zap.Int("contents", contents), zap.Error(err))
+	r.logger.Info("journal writes of suspected contents", zap.Bool("failing", r.failing), zap.Int("contents", contents), zap.Error(err))
 }
 
 // write appends the entries, or drops those that have no ended replicas any more. What
@@ -231,11 +231,11 @@
 }
 
 // dropMissing takes in that the journal has entries only under the keys given.
-func (t *Table) dropMissing(there map[string]bool) {
+func (t *Table) dropMissing(listed map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.entries {
-		if !there[s.Digest.String()] {
+		if !listed[s.Digest.String()] {
 			t.drop(s)
 		}
 	}
--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -37,10 +37,11 @@
 type Neighbours interface {
 	// Neighbours returns the machines to tell: if each daemon tells its own, all learn.
 	Neighbours() []string
-	Ask(ctx context.Context, machine, method string, asked, answer any) error
+	Ask(ctx context.Context, machine, method string, req, answer any) error
 }
 
-// Told is what one daemon tells another.
+// Told is what one daemon tells another. net/rpc encodes it by the names of its fields, which
+// stay, as those of Entry and Label.
 type Told struct {
 	From    string
 	Entries []Entry
@@ -52,10 +53,10 @@
 // NewService returns the service of a table.
 func NewService(table *Table) *Service { return &Service{table: table} }
 
-// Tell takes entries in. It is exported for net/rpc.
-func (s *Service) Tell(other Told, taken *int) error {
-	s.table.Merge(other.Entries, other.From)
-	*taken = len(other.Entries)
+// Tell takes entries in. It is exported for net/rpc, whose callers know it by its name.
+func (s *Service) Tell(msg Told, taken *int) error {
+	s.table.Merge(msg.Entries, msg.From)
+	*taken = len(msg.Entries)
 	return nil
 }
 
@@ -126,7 +127,7 @@
 			continue
 		}
 		if silent == 0 {
-			s.logger.Info("neighbour not told of contents", zap.String("machine", machine), zap.Int("contents", len(batch)), zap.Error(err))
+			s.logger.Info("sending suspected contents to a peer failed", zap.String("machine", machine), zap.Int("contents", len(batch)), zap.Error(err))
 		}
 		s.putBack(machine, batch)
 		silent += retryInterval
@@ -142,7 +143,7 @@
 	taken := 0
 	err := s.neighbours.Ask(bounded, machine, tellMethod, Told{From: s.table.machine, Entries: s.table.entriesOf(batch)}, &taken)
 	if errors.Is(err, relay.ErrRefused) {
-		s.logger.Info("neighbour does not take contents", zap.String("machine", machine), zap.Error(err))
+		s.logger.Info("peer does not take suspected contents", zap.String("machine", machine), zap.Error(err))
 		return nil
 	}
 	return err
