--- /dev/null
+++ b/internal/api/gateway/decode.go
@@ -0,0 +1,77 @@
+package gateway
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+
+	"github.com/pkg/errors"
+)
+
+// decodeJSON reads a JSON body into target. It refuses unknown fields, wrong
+// types, trailing data and oversize bodies, with an answer that names the
+// field, and reports false then.
+func decodeJSON(w http.ResponseWriter, r *http.Request, target any) bool {
+	body, ok := readBody(w, r)
+	if !ok {
+		return false
+	}
+	field, err := decodeStrict(body, target)
+	if err != nil {
+		badField(w, field, err.Error())
+		return false
+	}
+	return true
+}
+
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
+	body, err := io.ReadAll(r.Body)
+	if err == nil {
+		return body, true
+	}
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		writeProblem(w, http.StatusRequestEntityTooLarge, Problem{
+			Code:    "body_too_large",
+			Field:   "body",
+			Message: fmt.Sprintf("body: over the limit of %d bytes", tooLarge.Limit),
+		})
+		return nil, false
+	}
+	badField(w, "body", "could not be read whole: "+err.Error())
+	return nil, false
+}
+
+// decodeStrict decodes JSON and names the field at fault.
+func decodeStrict(body []byte, target any) (field string, err error) {
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
+	err = decoder.Decode(target)
+	if err != nil {
+		return fieldOf(err)
+	}
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return "body", errors.New("holds more than one JSON value")
+	}
+	return "", nil
+}
+
+// fieldOf finds the field in a decoding error.
+func fieldOf(err error) (string, error) {
+	var wrongType *json.UnmarshalTypeError
+	if errors.As(err, &wrongType) && wrongType.Field != "" {
+		return wrongType.Field, errors.Errorf("is a JSON %s, want %s", wrongType.Value, wrongType.Type)
+	}
+	const unknownPrefix = `json: unknown field "`
+	if name, found := strings.CutPrefix(err.Error(), unknownPrefix); found {
+		name = strings.TrimSuffix(name, `"`)
+		if name == "" {
+			return "body", errors.New("has a field without a name")
+		}
+		return name, errors.New("is not a known field")
+	}
+	return "body", errors.Errorf("is not valid JSON: %s", strings.TrimPrefix(err.Error(), "json: "))
+}
--- a/internal/api/gateway/errors.go
+++ b/internal/api/gateway/errors.go
@@ -75,6 +75,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)+1))
 	w.WriteHeader(status)
+	// A caller that has gone gets nothing, and there is nobody else to tell.
 	_, _ = w.Write(append(encoded, '\n'))
 }
 
--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -2,6 +2,11 @@
 // /v1/. It finds the caller of a key, checks what it may do, and turns its
 // requests into batch jobs and into requests of the ingress.
 //
+// The package owns the requests in flight of each caller and traffic class at this daemon. It
+// relies on policy for callers and their rights, on delivery for batches, on permit for keys of
+// requests, on operator for changes, on the ingress for all that goes to a replica, and on
+// refusal for what a refused caller is told.
+//
 // # Usage
 //
 //	gw := gateway.New(gateway.Parts{...})
@@ -56,7 +61,7 @@
 	OperationPath                          func(operation string) string
 }
 
-// Parts are the components that the gateway fronts.
+// Parts are what the gateway relies on. All are required.
 type Parts struct {
 	// Configuration returns what is in force, or false before the first.
 	Configuration func() (Configuration, bool)
--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -59,10 +59,10 @@
 		Daemon: g.parts.Identity, Ready: ready, Reason: reason, Named: configuration.Named,
 		ConfigurationVersion: configuration.Version, ConfigurationAgeMs: configuration.Age.Milliseconds(), Replicas: []replicaStatus{},
 	}
-	for _, each := range g.parts.Replicas.All() {
+	for _, v := range g.parts.Replicas.All() {
 		status.Replicas = append(status.Replicas, replicaStatus{
-			ID: each.ID, Service: each.Service, Address: each.Address, Zone: each.Zone,
-			Draining: each.Draining, InFlight: each.InFlight, Versions: each.Versions,
+			ID: v.ID, Service: v.Service, Address: v.Address, Zone: v.Zone,
+			Draining: v.Draining, InFlight: v.InFlight, Versions: v.Versions,
 		})
 	}
 	sort.Slice(status.Replicas, func(i, j int) bool { return status.Replicas[i].ID < status.Replicas[j].ID })
@@ -107,8 +107,8 @@
 		list.Documents = append(list.Documents, PolicyDocument{Name: name, Version: document.Version, Author: document.Author, Source: document.Source})
 	}
 	sort.Slice(list.Documents, func(i, j int) bool { return list.Documents[i].Name < list.Documents[j].Name })
-	for _, each := range history {
-		list.History = append(list.History, PolicyChange{Version: each.Version, Changed: each.Changed, Author: each.Documents[each.Changed].Author})
+	for _, v := range history {
+		list.History = append(list.History, PolicyChange{Version: v.Version, Changed: v.Changed, Author: v.Documents[v.Changed].Author})
 	}
 	writeJSON(w, http.StatusOK, list)
 }
--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -151,5 +151,6 @@
 	if s.broken || s.sample.End == "" {
 		panic(http.ErrAbortHandler)
 	}
+	// Without this line the caller knows the sample to be incomplete.
 	_ = json.NewEncoder(s.w).Encode(SampleLine{End: s.sample.End, Total: len(s.sample.Tokens), Segments: s.sample.Segments})
 }
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -94,6 +94,7 @@
 	}
 	header.Set("Content-Length", strconv.Itoa(len(outcome.Body)))
 	w.WriteHeader(outcome.Status)
+	// A caller that has gone gets nothing; with its key it asks for the outcome again.
 	_, _ = w.Write(outcome.Body)
 }
 
--- a/internal/api/standalone/decoder.go
+++ b/internal/api/standalone/decoder.go
@@ -42,9 +42,9 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, each := range d.sets {
-		if each.version == configuration.Version {
-			return each.set, true
+	for _, c := range d.sets {
+		if c.version == configuration.Version {
+			return c.set, true
 		}
 	}
 	return nil, false
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -106,8 +106,8 @@
 
 func (f *floor) stopAll() {
 	var stopping sync.WaitGroup
-	for _, each := range f.nodes {
-		stopping.Go(each.Stop)
+	for _, c := range f.nodes {
+		stopping.Go(c.Stop)
 	}
 	stopping.Wait()
 	f.nodes = nil
@@ -422,8 +422,8 @@
 			if f.operator(i).JSON(f.ctx(), http.MethodGet, "/v1/status", nil, &status) != nil {
 				return false
 			}
-			for _, each := range status.Replicas {
-				if each.ID == "plain-0" && !each.Draining {
+			for _, c := range status.Replicas {
+				if c.ID == "plain-0" && !c.Draining {
 					return false
 				}
 			}
--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -22,7 +22,10 @@
 //	answer, err := send()
 //	ticket.Done(admission.Answered{Took: took})
 //
-// Plan and StartRate decide; they read no clock, and hold neither locks nor goroutines.
+// Plan and StartRate decide; they read no clock, and hold neither locks nor goroutines. A gate
+// for each service owns the state: the requests that wait, the start rate, the times of answers
+// and the work that tenants have had. It relies on replica for what is believed of the
+// replicas, and on ingress to tell by Ticket.Done what became of each request.
 package admission
 
 import (
@@ -122,12 +125,12 @@
 func (c *Controller) gate(service string) *gate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	found := c.gates[service]
-	if found == nil {
-		found = &gate{options: &c.Options, service: service, served: accounts{}, draw: rand.Float64}
-		c.gates[service] = found
+	g := c.gates[service]
+	if g == nil {
+		g = &gate{options: &c.Options, service: service, served: accounts{}, draw: rand.Float64}
+		c.gates[service] = g
 	}
-	return found
+	return g
 }
 
 // Counts are figures of all services together.
@@ -145,8 +148,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var counts Counts
-	for _, each := range c.gates {
-		each.count(&counts)
+	for _, g := range c.gates {
+		g.count(&counts)
 	}
 	return counts
 }
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -114,8 +114,8 @@
 
 // allFull reports whether each replica is known to have as many requests as slots.
 func allFull(replicas []replica.Replica) bool {
-	for _, each := range replicas {
-		if each.Slots <= 0 || max(each.InFlight, each.ReportedLoad) < each.Slots {
+	for _, rep := range replicas {
+		if rep.Slots <= 0 || max(rep.InFlight, rep.ReportedLoad) < rep.Slots {
 			return false
 		}
 	}
@@ -124,8 +124,8 @@
 
 func (g *gate) capacity(replicas []replica.Replica) Capacity {
 	slots := 0
-	for _, each := range replicas {
-		slots += max(each.Slots, 1)
+	for _, rep := range replicas {
+		slots += max(rep.Slots, 1)
 	}
 	return Capacity{Slots: slots, Daemons: g.options.Daemons(), Demand: g.demand.note(g.options.Clock(), 0), Usual: max(g.times.quantile(0.5), time.Millisecond)}
 }
@@ -150,15 +150,15 @@
 		Waiting: make([]Waiting, len(g.waiting)), Rate: rate, LateRate: max(rate-g.demand.note(now, 0), rate/oldestEvery),
 		First: g.rate.Next(now), Need: g.times.quantile(needPart), Usual: g.times.quantile(0.5), Served: make(map[string]time.Duration), Starts: g.starts,
 	}
-	for i, each := range g.waiting {
-		held, aim := each.Held+now.Sub(each.since), time.Duration(math.MaxInt64)
+	for i, w := range g.waiting {
+		held, aim := w.Held+now.Sub(w.since), time.Duration(math.MaxInt64)
 		patience := aim
-		if each.Aim > 0 {
-			aim = each.Aim - held
-			patience = max(each.Aim/patiencePart-held, 0)
+		if w.Aim > 0 {
+			aim = w.Aim - held
+			patience = max(w.Aim/patiencePart-held, 0)
 		}
-		s.Served[each.Tenant] = g.served.of(each.Tenant, now)
-		s.Waiting[i] = Waiting{Held: held, Tenant: each.Tenant, Rank: each.Rank, Left: each.Left(), AimLeft: aim, Patience: patience}
+		s.Served[w.Tenant] = g.served.of(w.Tenant, now)
+		s.Waiting[i] = Waiting{Held: held, Tenant: w.Tenant, Rank: w.Rank, Left: w.Left(), AimLeft: aim, Patience: patience}
 	}
 	return s
 }
@@ -191,14 +191,14 @@
 	all := g.waiting
 	drain := inSeconds(float64(len(turns)) / s.LateRate)
 	for i, turn := range turns {
-		each := all[turn.Index]
+		w := all[turn.Index]
 		switch {
 		case turn.Refused:
-			g.refuse(each, NoTime, drain)
+			g.refuse(w, NoTime, drain)
 		case i >= maxWaiting:
-			g.refuse(each, TooMany, drain)
+			g.refuse(w, TooMany, drain)
 		case first == nil:
-			first = each
+			first = w
 		}
 	}
 	if first == nil || !g.rate.Take(now) {
--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -90,11 +90,11 @@
 // pick returns which request goes next. One at least is not done.
 func (s Snapshot) pick(done []bool, had map[string]time.Duration, after time.Duration, longest bool) int {
 	best := -1
-	for i, each := range s.Waiting {
-		if done[i] || longest && after+s.Need > each.Left {
+	for i, w := range s.Waiting {
+		if done[i] || longest && after+s.Need > w.Left {
 			continue
 		}
-		if best < 0 || longest && each.Held > s.Waiting[best].Held || !longest && s.before(each, s.Waiting[best], had, after) {
+		if best < 0 || longest && w.Held > s.Waiting[best].Held || !longest && s.before(w, s.Waiting[best], had, after) {
 			best = i
 		}
 	}
--- a/internal/requests/admission/plan_test.go
+++ b/internal/requests/admission/plan_test.go
@@ -97,8 +97,8 @@
 		first := Plan(s)[0]
 		s.Waiting = append(append([]Waiting{}, s.Waiting[:first.Index]...), s.Waiting[first.Index+1:]...)
 	}
-	for _, each := range s.Waiting {
-		is.True(each.Tenant != "flood")
+	for _, w := range s.Waiting {
+		is.True(w.Tenant != "flood")
 	}
 }
 
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -29,39 +29,39 @@
 }
 
 // refuse ends the wait of a request that has not run. The lock is held.
-func (g *gate) refuse(each *waiter, reason Reason, drain time.Duration) {
-	g.release(each, &Refused{Reason: reason, ComeBack: ComeBack(drain, each.Left(), each.Rank, g.draw()), drain: drain})
+func (g *gate) refuse(w *waiter, reason Reason, drain time.Duration) {
+	g.release(w, &Refused{Reason: reason, ComeBack: ComeBack(drain, w.Left(), w.Rank, g.draw()), drain: drain})
 }
 
 // noPlace refuses a request that does not wait.
 func (g *gate) noPlace(req Request) *Refused {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	each := &waiter{Request: req, since: g.options.Clock().Add(-req.Held)}
+	w := &waiter{Request: req, since: g.options.Clock().Add(-req.Held)}
 	drain := inSeconds(float64(len(g.waiting)+1) / max(g.rate.perSecond, minRate))
 	refused := &Refused{Reason: NoPlace, ComeBack: ComeBack(drain, req.Left(), req.Rank, g.draw()), drain: drain}
-	g.log(each, outcomeRefused, refused)
+	g.log(w, outcomeRefused, refused)
 	return refused
 }
 
 // release ends the wait of a request, by its start if it is not refused. The lock is held.
-func (g *gate) release(each *waiter, refused *Refused) {
-	g.drop(each)
+func (g *gate) release(w *waiter, refused *Refused) {
+	g.drop(w)
 	if refused != nil {
-		g.log(each, outcomeRefused, refused)
-		each.decided <- decision{refused: refused}
+		g.log(w, outcomeRefused, refused)
+		w.decided <- decision{refused: refused}
 		return
 	}
-	if g.options.Clock().After(each.since) {
-		g.log(each, outcomeStarted, &Refused{})
+	if g.options.Clock().After(w.since) {
+		g.log(w, outcomeStarted, &Refused{})
 	}
-	each.decided <- decision{ticket: g.start(each.Request)}
+	w.decided <- decision{ticket: g.start(w.Request)}
 }
 
 // drop takes a request off those that wait, and reports whether it was among them. The lock is held.
-func (g *gate) drop(each *waiter) bool {
+func (g *gate) drop(w *waiter) bool {
 	for i, other := range g.waiting {
-		if other == each {
+		if other == w {
 			// A plan under way holds the former slice.
 			g.waiting = append(append(make([]*waiter, 0, len(g.waiting)), g.waiting[:i]...), g.waiting[i+1:]...)
 			return true
@@ -79,13 +79,13 @@
 }
 
 // leave ends the wait of a request whose context has ended.
-func (g *gate) leave(ctx context.Context, each *waiter) (*Ticket, error) {
+func (g *gate) leave(ctx context.Context, w *waiter) (*Ticket, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.drop(each) {
-		g.giveBack(<-each.decided)
+	if !g.drop(w) {
+		g.giveBack(<-w.decided)
 	} else {
-		g.log(each, outcomeLeft, &Refused{Reason: Reason(context.Cause(ctx).Error())})
+		g.log(w, outcomeLeft, &Refused{Reason: Reason(context.Cause(ctx).Error())})
 	}
 	g.decide(g.options.Clock(), g.options.Replicas(g.service))
 	return nil, &Refused{Reason: Ended, ComeBack: minComeBack}
@@ -114,12 +114,12 @@
 }
 
 // log writes the line about a request that waited or was refused. The lock is held.
-func (g *gate) log(each *waiter, outcome string, why *Refused) {
+func (g *gate) log(w *waiter, outcome string, why *Refused) {
 	now := g.options.Clock()
-	waited := now.Sub(each.since)
+	waited := now.Sub(w.since)
 	g.options.Observe(g.service, outcome, waited)
-	g.options.Logger.Info("admission", zap.String("request", each.ID), zap.String("service", g.service), zap.String("tenant", each.Tenant), zap.Int("rank", each.Rank),
+	g.options.Logger.Info("admission", zap.String("request", w.ID), zap.String("service", g.service), zap.String("tenant", w.Tenant), zap.Int("rank", w.Rank),
 		zap.String("outcome", outcome), zap.String("reason", string(why.Reason)), zap.Int("queue", len(g.waiting)), zap.Float64("rate", g.rate.perSecond), zap.Float64("places", g.places()),
-		zap.Duration("usual", g.times.quantile(0.5)), zap.Duration("need", g.times.quantile(needPart)), zap.Duration("waited", waited), zap.Duration("left", each.Left()),
+		zap.Duration("usual", g.times.quantile(0.5)), zap.Duration("need", g.times.quantile(needPart)), zap.Duration("waited", waited), zap.Duration("left", w.Left()),
 		zap.Duration("full_age", now.Sub(g.rate.fullAt)), zap.Duration("drain", why.drain), zap.Duration("come_back", why.ComeBack))
 }
--- a/internal/requests/admission/service_test.go
+++ b/internal/requests/admission/service_test.go
@@ -97,8 +97,8 @@
 	tried := map[string]bool{}
 	began := time.Now()
 	for offers := 0; offers == 0 || mayOffer(); offers++ {
-		chosen, found := replica.Pick(d.table.Replicas("s"), tried, time.Now())
-		if !found {
+		chosen, ok := replica.Pick(d.table.Replicas("s"), tried, time.Now())
+		if !ok {
 			break
 		}
 		tried[chosen.ID] = true
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -84,13 +84,13 @@
 // answered learns from the time of an answer. The lock is held.
 func (g *gate) answered(now time.Time, took, aim time.Duration, replicas []replica.Replica) {
 	c := g.capacity(replicas)
-	lingers := g.times.slow(took, aim, g.rate.binds)
-	if lately, slow := g.times.note(now, took, lingers, g.rate.binds); slow {
+	slowAnswer := g.times.slow(took, aim, g.rate.binds)
+	if lately, slow := g.times.note(now, took, slowAnswer, g.rate.binds); slow {
 		c.Usual = lately
 		g.full(now, SignSlow, c)
 		return
 	}
-	if lingers && g.rate.binds {
+	if slowAnswer && g.rate.binds {
 		// It may have waited at the replica: it shows no room, and is no sign by itself.
 		return
 	}
@@ -104,8 +104,8 @@
 // slots. One that has just answered has room for another, so that each answer lets
 // one request of this daemon start, and no more than end.
 func hasRoom(replicas []replica.Replica) bool {
-	for _, each := range replicas {
-		if each.ReportedLoad > 0 && max(each.ReportedLoad, each.InFlight) < each.Slots {
+	for _, rep := range replicas {
+		if rep.ReportedLoad > 0 && max(rep.ReportedLoad, rep.InFlight) < rep.Slots {
 			return true
 		}
 	}
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -39,38 +39,38 @@
 }
 
 // attempt offers the call to one replica. Over is called once the exchange is.
-func (f *Forwarder) attempt(ctx context.Context, over func(), call *Call, chosen replica.Replica) result {
-	f.Table.Started(chosen.Incarnation())
+func (f *Forwarder) attempt(ctx context.Context, over func(), call *Call, rep replica.Replica) result {
+	f.Table.Started(rep.Incarnation())
 	end := func() {
 		over()
-		f.Table.Ended(chosen.Incarnation())
+		f.Table.Ended(rep.Incarnation())
 	}
 	started := time.Now()
-	answer, sentAt, ran, err := f.exchange(ctx, call, chosen)
+	answer, sentAt, ran, err := f.exchange(ctx, call, rep)
 	if ran {
 		call.Ran(sentAt)
 	}
 	outcome := offerOutcome(ctx, err)
-	f.Observe(chosen.Service, outcome, time.Since(started))
+	f.Observe(rep.Service, outcome, time.Since(started))
 	if err != nil {
 		// The end below cancels the offer's context, which then says nothing of the caller.
 		cut := ctx.Err() != nil
-		f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: chosen, outcome: outcome, ran: ran, after: time.Since(started), err: err})
+		f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, outcome: outcome, ran: ran, after: time.Since(started), err: err})
 		end()
 		if !cut {
-			f.learn(chosen, err)
+			f.learn(rep, err)
 		}
-		return result{err: err, ran: ran, replica: chosen.ID}
+		return result{err: err, ran: ran, replica: rep.ID}
 	}
-	f.Table.Succeeded(chosen.Incarnation(), time.Since(started))
-	answer.Replica = chosen.ID
+	f.Table.Succeeded(rep.Incarnation(), time.Since(started))
+	answer.Replica = rep.ID
 	answer.end = end
 	if answer.Rest == nil {
 		f.Quarantine.Answered(call.content)
 		end()
 		answer.end = func() {}
 	}
-	return result{answer: answer, ran: true, replica: chosen.ID}
+	return result{answer: answer, ran: true, replica: rep.ID}
 }
 
 // Names of how offers end, in logs and metrics.
@@ -104,13 +104,13 @@
 	}
 }
 
-func (f *Forwarder) learn(chosen replica.Replica, err error) {
+func (f *Forwarder) learn(rep replica.Replica, err error) {
 	if errors.Is(err, errDeclined) || errors.Is(err, upstream.ErrFull) {
-		f.Table.Busy(chosen.Incarnation(), declinedPause)
+		f.Table.Busy(rep.Incarnation(), declinedPause)
 		return
 	}
-	f.Table.Failed(chosen.Incarnation())
-	f.failures().Note(logging.Occurrence{Key: chosen.ID}, zap.String("service", chosen.Service), zap.Error(err))
+	f.Table.Failed(rep.Incarnation())
+	f.failures().Note(logging.Occurrence{Key: rep.ID}, zap.String("service", rep.Service), zap.Error(err))
 }
 
 // failures sums the failures of each replica; what they did to a request is in its
@@ -121,24 +121,24 @@
 }
 
 // exchange sends the call and reads the answer, whole if it is short.
-func (f *Forwarder) exchange(ctx context.Context, call *Call, chosen replica.Replica) (answer *Answer, sentAt time.Time, ran bool, err error) {
+func (f *Forwarder) exchange(ctx context.Context, call *Call, rep replica.Replica) (answer *Answer, sentAt time.Time, ran bool, err error) {
 	header := call.Header.Clone()
-	header[http.CanonicalHeaderKey(f.Names.ExpectReplica)] = []string{chosen.ID}
+	header[http.CanonicalHeaderKey(f.Names.ExpectReplica)] = []string{rep.ID}
 	if left, bounded := leftOf(ctx, call); bounded {
 		if left <= 0 {
 			return nil, sentAt, false, errors.Wrap(upstream.ErrNotSent, errTimeUp.Error())
 		}
 		header[http.CanonicalHeaderKey(f.Names.DeadlineMs)] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
 	}
-	response, err := f.Pool.Exchange(ctx, chosen.Address, &upstream.Request{
+	response, err := f.Pool.Exchange(ctx, rep.Address, &upstream.Request{
 		Method: call.Method, Target: call.Target, Host: call.Host, Header: header, Body: call.Body,
 		EchoName: f.Names.RequestID, EchoValue: call.RequestID,
-		Repeatable: call.Repeatable, MaxOpen: f.MaxOpen(chosen), WaitUntil: call.ConnectionUntil, Sending: func() { sentAt = f.Clock() },
+		Repeatable: call.Repeatable, MaxOpen: f.MaxOpen(rep), WaitUntil: call.ConnectionUntil, Sending: func() { sentAt = f.Clock() },
 	})
 	if err != nil {
 		return nil, sentAt, !errors.Is(err, upstream.ErrNotSent), err
 	}
-	f.noteLoad(chosen, response.Header)
+	f.noteLoad(rep, response.Header)
 	if response.Header.Get(f.Names.NotExecuted) != "" || response.Status == http.StatusMisdirectedRequest {
 		// An error shows as the connection is given back.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response, bufferedBytes))
@@ -151,7 +151,7 @@
 	}
 	answer, err = f.readAnswer(call, response)
 	if err == nil && answer.Rest != nil {
-		answer.Rest.ended = func(err error) { f.restEnded(ctx, call, chosen, err) }
+		answer.Rest.ended = func(err error) { f.restEnded(ctx, call, rep, err) }
 	}
 	return answer, sentAt, true, err
 }
@@ -164,16 +164,16 @@
 }
 
 // restEnded notes how the rest of a long answer ended, nil being its proper end.
-func (f *Forwarder) restEnded(ctx context.Context, call *Call, chosen replica.Replica, err error) {
+func (f *Forwarder) restEnded(ctx context.Context, call *Call, rep replica.Replica, err error) {
 	if err == nil {
 		f.Quarantine.Answered(call.content)
 		return
 	}
-	f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: chosen, outcome: offerOutcome(ctx, err), ran: true, err: err})
+	f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, outcome: offerOutcome(ctx, err), ran: true, err: err})
 }
 
 // noteLoad notes what an answer tells of its replica's load.
-func (f *Forwarder) noteLoad(chosen replica.Replica, header http.Header) {
+func (f *Forwarder) noteLoad(rep replica.Replica, header http.Header) {
 	if f.Names.Load == nil {
 		return
 	}
@@ -181,9 +181,9 @@
 	if !ok {
 		return
 	}
-	f.Table.ReportLoad(chosen.Incarnation(), load.Running+load.Waiting)
+	f.Table.ReportLoad(rep.Incarnation(), load.Running+load.Waiting)
 	if load.WorkPace > 0 {
-		f.Table.ReportSlowdown(chosen.Incarnation(), load.WorkPace)
+		f.Table.ReportSlowdown(rep.Incarnation(), load.WorkPace)
 	}
 }
 
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -159,18 +159,18 @@
 // offer sends the call to the next replica, if there is one, and returns after
 // which time another should be asked as well.
 func (a *attempts) offer(ctx context.Context) time.Duration {
-	chosen, release, ok := a.pick(ctx)
+	rep, release, ok := a.pick(ctx)
 	if !ok {
 		return time.Hour
 	}
-	a.tried[chosen.ID] = true
+	a.tried[rep.ID] = true
 	a.open++
 	attemptCtx, cancel := context.WithCancel(ctx)
-	a.cancels[chosen.ID] = cancel
+	a.cancels[rep.ID] = cancel
 	go func() {
-		a.outcomes <- a.forwarder.attempt(attemptCtx, func() { cancel(); release() }, a.call, chosen)
+		a.outcomes <- a.forwarder.attempt(attemptCtx, func() { cancel(); release() }, a.call, rep)
 	}()
-	return hedgeDelay(a.call.HedgeAfter, chosen.Latency)
+	return hedgeDelay(a.call.HedgeAfter, rep.Latency)
 }
 
 // suspicion is what is held against the call's content.
@@ -180,18 +180,18 @@
 
 // pick picks a replica at which the call's content may run now. It waits while
 // another run of the content finds out whether it ends its replica.
-func (a *attempts) pick(ctx context.Context) (chosen replica.Replica, release func(), ok bool) {
+func (a *attempts) pick(ctx context.Context) (rep replica.Replica, release func(), ok bool) {
 	for ctx.Err() == nil {
-		if chosen, ok = a.choose(); !ok {
+		if rep, ok = a.choose(); !ok {
 			return replica.Replica{}, nil, false
 		}
-		release, err := a.forwarder.mayRun(a.call.RequestID, a.call.content, chosen)
+		release, err := a.forwarder.mayRun(a.call.RequestID, a.call.content, rep)
 		switch {
 		case err == nil:
-			return chosen, release, true
+			return rep, release, true
 		case err.Await(ctx):
 		case err.Elsewhere:
-			a.tried[chosen.ID] = true
+			a.tried[rep.ID] = true
 		default:
 			a.quarantined, a.lastReason = err, err.Error()
 			return replica.Replica{}, nil, false
@@ -205,8 +205,8 @@
 func (a *attempts) choose() (replica.Replica, bool) {
 	now := time.Now()
 	for _, service := range a.call.Services {
-		if chosen, ok := replica.Pick(a.forwarder.Replicas(service), a.tried, now); ok {
-			return chosen, true
+		if rep, ok := replica.Pick(a.forwarder.Replicas(service), a.tried, now); ok {
+			return rep, true
 		}
 	}
 	return replica.Replica{}, false
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -47,14 +47,14 @@
 // suspect holds the end of a replica, or what may be one, against the content that it
 // ran. The end of a replica that was leaving was planned.
 func (f *Forwarder) suspect(failed failedAttempt, liveness upstream.Liveness) {
-	chosen := failed.chosen
-	if now, listed := f.Table.Get(chosen.ID); listed && now.Draining && now.Incarnation() == chosen.Incarnation() {
+	rep := failed.chosen
+	if now, listed := f.Table.Get(rep.ID); listed && now.Draining && now.Incarnation() == rep.Incarnation() {
 		return
 	}
 	if liveness == upstream.Gone {
-		f.Quarantine.Ended(failed.content, string(chosen.Incarnation()), chosen.Service)
+		f.Quarantine.Ended(failed.content, string(rep.Incarnation()), rep.Service)
 	} else {
-		f.Quarantine.Broke(failed.content, string(chosen.Incarnation()), chosen.Service)
+		f.Quarantine.Broke(failed.content, string(rep.Incarnation()), rep.Service)
 	}
 }
 
--- a/internal/requests/forward/failed_test.go
+++ b/internal/requests/forward/failed_test.go
@@ -54,3 +54,12 @@
 		})
 	}
 }
+
+// A suspect may run alone only while other replicas serve the rest: its own is none of them.
+func TestAReplicaIsNotAmongTheOthers(t *testing.T) {
+	is := is.New(t)
+	f := newFloor(t, 2)
+	rep, ok := f.forwarder.Table.Get("a")
+	is.True(ok)
+	is.Equal(f.forwarder.others(rep), []string{"b"})
+}
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -44,7 +44,7 @@
 	Quarantine *quarantine.Table
 	Logger     *zap.Logger
 	// MaxOpen is how many connections to a replica this daemon may have, 0 without bound.
-	MaxOpen func(chosen replica.Replica) int
+	MaxOpen func(rep replica.Replica) int
 	// Observe is told of each offer to a replica: the service, how it ended and
 	// how long it took.
 	Observe func(service, outcome string, took time.Duration)
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -231,12 +231,12 @@
 	is := is.New(t)
 	f := newFloor(t, 0, answers)
 	f.forwarder.Pool = upstream.NewPool(upstream.Options{ConnectTimeout: time.Minute, UnackedTimeout: time.Second})
-	chosen := replica.Replica{Entry: replica.Entry{ID: "a", Service: "s", Address: silentAddress(t), Slots: 4}}
+	rep := replica.Replica{Entry: replica.Entry{ID: "a", Service: "s", Address: silentAddress(t), Slots: 4}}
 	for range 20 {
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Millisecond)
 		call := &Call{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}}
 		call.complete()
-		res := f.forwarder.attempt(ctx, cancel, call, chosen)
+		res := f.forwarder.attempt(ctx, cancel, call, rep)
 		is.True(errors.Is(res.err, upstream.ErrNotSent))
 		is.True(!res.ran)
 	}
@@ -271,8 +271,8 @@
 				a := &attempts{call: &Call{Repeatable: true, MaxAttempts: 3}, cancels: map[string]context.CancelFunc{}, outcomes: make(chan result, 4), open: one.open}
 				silent := one.open - len(one.said)
 				say := func() {
-					for _, each := range one.said {
-						a.outcomes <- each
+					for _, rep := range one.said {
+						a.outcomes <- rep
 					}
 				}
 				if one.after == 0 {
--- a/internal/requests/forward/load_test.go
+++ b/internal/requests/forward/load_test.go
@@ -26,8 +26,8 @@
 		f := &Forwarder{Clock: time.Now, MaxOpen: Unbounded, Table: table}
 		for _, load := range loads {
 			f.Names.Load = func(http.Header) (headers.Load, bool) { return load, true }
-			chosen, _ := table.Get("a")
-			f.noteLoad(chosen, nil)
+			rep, _ := table.Get("a")
+			f.noteLoad(rep, nil)
 			known, _ := table.Get("a")
 			is.Equal(known.ReportedLoad, load.Running+load.Waiting)
 			is.Equal(known.Slowdown, 2.0) // one that tells no pace takes none back
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -94,10 +94,10 @@
 // head of the answer has come. A declined request gives ErrDeclined, a failure
 // of the replica a *StatusError, a content that may not run now a *QuarantinedError, and
 // anything else may have run unless it wraps upstream.ErrNotSent.
-func (f *Forwarder) OpenStream(ctx context.Context, req *StreamRequest, chosen replica.Replica) (*Stream, error) {
+func (f *Forwarder) OpenStream(ctx context.Context, req *StreamRequest, rep replica.Replica) (*Stream, error) {
 	names := f.Names
 	header := req.Header.Clone()
-	header[http.CanonicalHeaderKey(names.ExpectReplica)] = []string{chosen.ID}
+	header[http.CanonicalHeaderKey(names.ExpectReplica)] = []string{rep.ID}
 	if req.HasAfter {
 		header[http.CanonicalHeaderKey(names.LastEventID)] = []string{strconv.FormatInt(req.After, 10)}
 	}
@@ -105,7 +105,7 @@
 		header[http.CanonicalHeaderKey(names.DeadlineMs)] = []string{strconv.FormatInt(req.Deadline.Milliseconds(), 10)}
 	}
 	content := req.content()
-	release, refused := f.mayRun(req.RequestID, content, chosen)
+	release, refused := f.mayRun(req.RequestID, content, rep)
 	if refused != nil {
 		return nil, refused
 	}
@@ -115,19 +115,19 @@
 			f.Quarantine.Answered(content)
 			return
 		}
-		f.logFailure(ctx, failedAttempt{requestID: req.RequestID, content: content, chosen: chosen, outcome: offerOutcome(ctx, err),
+		f.logFailure(ctx, failedAttempt{requestID: req.RequestID, content: content, chosen: rep, outcome: offerOutcome(ctx, err),
 			ran: !errors.Is(err, upstream.ErrNotSent), after: time.Since(began), err: err})
 	}
-	answer, err := f.Pool.Exchange(ctx, chosen.Address, &upstream.Request{
+	answer, err := f.Pool.Exchange(ctx, rep.Address, &upstream.Request{
 		Method: req.Method, Target: req.Target, Host: req.Host, Header: header, Body: req.Body,
 		EchoName: names.RequestID, EchoValue: req.RequestID,
-		Repeatable: req.Repeatable, MaxOpen: f.MaxOpen(chosen),
+		Repeatable: req.Repeatable, MaxOpen: f.MaxOpen(rep),
 	})
 	if err == nil {
-		f.noteLoad(chosen, answer.Header)
+		f.noteLoad(rep, answer.Header)
 		err = f.checkStreamHead(answer)
 	}
-	f.Observe(chosen.Service, offerOutcome(ctx, err), time.Since(began))
+	f.Observe(rep.Service, offerOutcome(ctx, err), time.Since(began))
 	if err != nil {
 		f.headFailed(answer, err, ended)
 		release()
--- a/internal/requests/forward/suspect.go
+++ b/internal/requests/forward/suspect.go
@@ -60,11 +60,11 @@
 
 // mayRun asks whether a request may be sent to a replica now, for its content's sake. If
 // so, release must be called when the run is over and what it showed is noted.
-func (f *Forwarder) mayRun(requestID string, content *quarantine.Content, chosen replica.Replica) (release func(), refused *QuarantinedError) {
+func (f *Forwarder) mayRun(requestID string, content *quarantine.Content, rep replica.Replica) (release func(), refused *QuarantinedError) {
 	if f.Quarantine.Quiet() {
 		return func() {}, nil
 	}
-	switch verdict := f.Quarantine.Judge(content, string(chosen.Incarnation()), func() []string { return f.others(chosen) }).(type) {
+	switch verdict := f.Quarantine.Judge(content, string(rep.Incarnation()), func() []string { return f.others(rep) }).(type) {
 	case quarantine.Alone:
 		release = verdict.End
 	case quarantine.Wait:
@@ -77,7 +77,7 @@
 		return func() {}, nil
 	}
 	f.Logger.Info("suspect asked to run", zap.String("request", requestID), zap.String("content", content.Digest().Short()),
-		zap.String("replica", chosen.ID), zap.String("service", chosen.Service), zap.Bool("alone", refused == nil), zap.NamedError("refused", errorOf(refused)))
+		zap.String("replica", rep.ID), zap.String("service", rep.Service), zap.Bool("alone", refused == nil), zap.NamedError("refused", errorOf(refused)))
 	return release, refused
 }
 
@@ -95,11 +95,11 @@
 const decisionWait = 300 * time.Millisecond
 
 // others returns the starts of the other replicas of a replica's service.
-func (f *Forwarder) others(chosen replica.Replica) []string {
+func (f *Forwarder) others(rep replica.Replica) []string {
 	var starts []string
-	for _, each := range f.Table.Replicas(chosen.Service) {
-		if each.ID != chosen.ID {
-			starts = append(starts, string(each.Incarnation()))
+	for _, other := range f.Table.Replicas(rep.Service) {
+		if other.ID != rep.ID {
+			starts = append(starts, string(other.Incarnation()))
 		}
 	}
 	return starts
--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -4,24 +4,23 @@
 // take a body; what they have not taken stays in the daemon's memory. One of them may hold
 // so much at most, all of one kind so much, and all together so much. Whoever holds bytes
 // asks before it takes more, and waits, reads no further or gives up when there is no room:
-// the budget itself decides nothing and never blocks.
+// the budget itself decides nothing and never blocks. Hundreds of clients that read a byte a
+// second fill the share of answers, and what is left stays for the small accounts of prompt ones.
 //
-// # Usage
+// The package owns the counts; it relies on those who hold bytes to say so.
 //
-// For clients by the hundred that read a byte a second while others are prompt: the slow
-// ones fill the share of answers, and what is left stays for the small holdings of the
-// prompt.
+// # Usage
 //
 //	budget := holding.New(holding.LimitsOf(bytes))
-//	held, ok := budget.Begin(base)   // false: the request is turned away
-//	defer held.End()
-//	if !held.Take(holding.Answers, n) { ... read no further ... }
-//	held.Give(holding.Answers, n)
+//	account, ok := budget.Begin(base) // false: the request is turned away
+//	defer account.End()
+//	if !account.Take(holding.Answers, n) { ... read no further ... }
+//	account.Give(holding.Answers, n)
 package holding
 
 import "sync"
 
-// Share names what bytes are held for.
+// Share is a part of the memory, named by what bytes are held for.
 type Share int
 
 // Shares.
@@ -49,15 +48,15 @@
 type Limits struct {
 	// All bounds what is held in all, 0 being no bound of any kind.
 	All int64
-	// Each bounds what one holder has.
+	// Each bounds one account.
 	Each int64
 	// Of bounds each share.
 	Of [shares]int64
 }
 
 const (
-	// eachPart and sharePart are the parts of the whole, in percent, that one holder may
-	// have, and all holders of one kind. One body of the largest size must fit beside the
+	// eachPart and sharePart are the parts of the whole, in percent, that one account may
+	// have, and all accounts of one share. One body of the largest size must fit beside the
 	// answers of others; a quarter is always left for what is not in the fullest share.
 	eachPart  = 70
 	sharePart = 75
@@ -75,7 +74,7 @@
 
 // Budget is the account of a daemon. It is safe for concurrent use.
 //
-// Invariant: all is the sum of of, which are the sums of what the holders have.
+// Invariant: all is the sum of of, which are the sums of what the accounts have.
 type Budget struct {
 	mu     sync.Mutex
 	limits Limits
@@ -108,7 +107,7 @@
 	return b.all, b.most
 }
 
-// Begin returns a holder with a base of fixed cost, and false if there is no room for it.
+// Begin returns an account with a base of fixed cost, and false if there is no room for it.
 // A nil budget bounds nothing.
 func (b *Budget) Begin(base int64) (*Account, bool) {
 	a := &Account{budget: b}
@@ -118,7 +117,7 @@
 	return a, true
 }
 
-// Holder is one on whose behalf bytes are held. It is safe for concurrent use. The zero
+// Account counts what is held on behalf of one. It is safe for concurrent use. The zero
 // value, and nil, are of no budget and have no bound.
 type Account struct {
 	budget *Budget
@@ -142,7 +141,7 @@
 	return true
 }
 
-// MayEver reports whether a holder that had nothing else could have n bytes, however
+// MayEver reports whether an account that had nothing else could have n bytes, however
 // little others hold.
 func (b *Budget) MayEver(share Share, n int64) bool {
 	if b == nil {
@@ -175,7 +174,7 @@
 	}
 }
 
-// sum is what a holder has of all shares. The mutex is held.
+// sum is what an account has of all shares. The mutex is held.
 func (a *Account) sum() (n int64) {
 	for _, of := range a.of {
 		n += of
@@ -183,7 +182,7 @@
 	return n
 }
 
-// add counts bytes of a holder. The mutex is held.
+// add counts bytes of an account. The mutex is held.
 func (b *Budget) add(a *Account, share Share, n int64) {
 	a.of[share] += n
 	b.of[share] += n
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -52,24 +52,24 @@
 
 func (s *streamRelay) run(ctx context.Context) {
 	for {
-		chosen, ok := s.choose()
+		rep, ok := s.choose()
 		if !ok {
 			break
 		}
-		whole, ran, err := s.attempt(ctx, chosen)
+		whole, ran, err := s.attempt(ctx, rep)
 		if whole {
-			s.replica = chosen.ID
+			s.replica = rep.ID
 			s.observe(http.StatusOK, "answered", "")
 			return
 		}
 		var quarantined *forward.QuarantinedError
 		if errors.As(err, &quarantined) {
-			if !s.mayAskAgain(ctx, chosen, quarantined) {
+			if !s.mayAskAgain(ctx, rep, quarantined) {
 				break
 			}
 			continue
 		}
-		s.note(chosen, ran, err)
+		s.note(rep, ran, err)
 		if !s.mayContinue(ctx) {
 			break
 		}
@@ -78,10 +78,10 @@
 }
 
 // note counts an attempt that failed.
-func (s *streamRelay) note(chosen replica.Replica, ran bool, err error) {
-	s.tried[chosen.ID] = true
-	s.replica, s.lastErr = chosen.ID, err
-	s.logger.Info("stream attempt failed", zap.String("replica", chosen.ID), zap.Bool("may_have_run", ran), zap.Error(err))
+func (s *streamRelay) note(rep replica.Replica, ran bool, err error) {
+	s.tried[rep.ID] = true
+	s.replica, s.lastErr = rep.ID, err
+	s.logger.Info("stream attempt failed", zap.String("replica", rep.ID), zap.Bool("may_have_run", ran), zap.Error(err))
 	if ran {
 		s.mayHaveRun++
 	} else {
@@ -91,9 +91,9 @@
 
 func (s *streamRelay) choose() (replica.Replica, bool) {
 	for _, service := range s.route.Order(s.id) {
-		chosen, ok := replica.Pick(s.handler.Forwarder.Replicas(service), s.tried, time.Now())
+		rep, ok := replica.Pick(s.handler.Forwarder.Replicas(service), s.tried, time.Now())
 		if ok {
-			return chosen, true
+			return rep, true
 		}
 	}
 	return replica.Replica{}, false
@@ -101,12 +101,12 @@
 
 // mayAskAgain reports whether a stream that was not sent for its content's sake may be
 // asked for again now.
-func (s *streamRelay) mayAskAgain(ctx context.Context, chosen replica.Replica, err *forward.QuarantinedError) bool {
+func (s *streamRelay) mayAskAgain(ctx context.Context, rep replica.Replica, err *forward.QuarantinedError) bool {
 	switch {
 	case s.mayHaveRun > 0 && !err.Elsewhere:
 		// Its own run has ended a replica: the next one is alone, or is none.
 	case err.Elsewhere:
-		s.tried[chosen.ID] = true
+		s.tried[rep.ID] = true
 		return true
 	case err.Await(ctx):
 		return true
@@ -123,13 +123,13 @@
 
 // attempt passes on what one replica makes of the stream. Whole says that it came to its
 // proper end, ran that the replica ran it or may have.
-func (s *streamRelay) attempt(ctx context.Context, chosen replica.Replica) (whole, ran bool, err error) {
+func (s *streamRelay) attempt(ctx context.Context, rep replica.Replica) (whole, ran bool, err error) {
 	forwarder := s.handler.Forwarder
-	forwarder.Table.Started(chosen.Incarnation())
-	defer forwarder.Table.Ended(chosen.Incarnation())
+	forwarder.Table.Started(rep.Incarnation())
+	defer forwarder.Table.Ended(rep.Incarnation())
 	s.call.Deadline = s.timeLeft() + answerMargin
 	sentAt := s.handler.Clock()
-	stream, err := forwarder.OpenStream(ctx, s.call, chosen)
+	stream, err := forwarder.OpenStream(ctx, s.call, rep)
 	var quarantined *forward.QuarantinedError
 	if errors.As(err, &quarantined) {
 		return false, false, err
@@ -140,7 +140,7 @@
 	}
 	if err != nil {
 		if ctx.Err() == nil && !errors.Is(err, upstream.ErrFull) {
-			forwarder.Table.Failed(chosen.Incarnation())
+			forwarder.Table.Failed(rep.Incarnation())
 		}
 		return false, ran, err
 	}
--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -37,9 +37,9 @@
 // for longest goes. The mutex is held.
 func (t *Table) forgetOne() {
 	var least *suspect
-	for _, each := range t.entries {
-		if each.deciding == nil && (least == nil || each.lessThan(least)) {
-			least = each
+	for _, s := range t.entries {
+		if s.deciding == nil && (least == nil || s.lessThan(least)) {
+			least = s
 		}
 	}
 	if least != nil {
--- a/internal/requests/quarantine/spread_test.go
+++ b/internal/requests/quarantine/spread_test.go
@@ -132,16 +132,16 @@
 
 // end has three daemons see a replica end under the content, one each.
 func end(daemons ...*daemon) {
-	for i, each := range daemons {
-		each.table.Ended(poison, fmt.Sprint("replica-", i), "s")
+	for i, s := range daemons {
+		s.table.Ended(poison, fmt.Sprint("replica-", i), "s")
 	}
 }
 
 // knowing returns how many of the daemons refuse the content.
 func knowing(daemons []*daemon) int {
 	count := 0
-	for _, each := range daemons {
-		if each.table.Suspicion(poison) == Quarantined {
+	for _, s := range daemons {
+		if s.table.Suspicion(poison) == Quarantined {
 			count++
 		}
 	}
@@ -207,8 +207,8 @@
 		is.Equal(knowing(daemons), len(daemons))
 		f.log.SetBefall(nil)
 		time.Sleep(contactBound)
-		for _, each := range daemons {
-			each.stop()
+		for _, s := range daemons {
+			s.stop()
 		}
 		synctest.Wait()
 		f.forget()
@@ -241,8 +241,8 @@
 		daemons[2].table.Answered(poison)
 		time.Sleep(contactBound)
 		is.Equal(len(f.log.Records(Partition(f.log))), 0)
-		for _, each := range daemons {
-			is.True(each.table.Quiet())
+		for _, s := range daemons {
+			is.True(s.table.Quiet())
 		}
 		cancel()
 		synctest.Wait()
@@ -260,14 +260,14 @@
 		daemons := f.startAll(3, true)
 		end(daemons[0], daemons[1])
 		time.Sleep(2 * suspectedFor)
-		for _, each := range daemons {
-			each.stop()
+		for _, s := range daemons {
+			s.stop()
 		}
 		synctest.Wait()
 		f.forget()
 		again := f.startAll(3, true)
-		for _, each := range again {
-			is.Equal(each.table.Suspicion(poison), OnlyAlone)
+		for _, s := range again {
+			is.Equal(s.table.Suspicion(poison), OnlyAlone)
 		}
 		again[2].table.Ended(poison, "one-more", "s")
 		time.Sleep(contactBound)
--- a/internal/requests/quarantine/start_test.go
+++ b/internal/requests/quarantine/start_test.go
@@ -71,9 +71,9 @@
 
 // ends is how many ends are held against a content.
 func ends(table *Table, content *Content) int {
-	for _, each := range table.List() {
-		if each.Digest == content.Digest().String() {
-			return each.ends()
+	for _, s := range table.List() {
+		if s.Digest == content.Digest().String() {
+			return s.ends()
 		}
 	}
 	return 0
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -134,9 +134,9 @@
 	is.Equal(admission(keeper, content, "x", others...), "refused for good") // once only
 	keeper.Answered(content)
 	other.Merge(keeper.entriesOf([]Digest{content.Digest()}), "keeper")
-	for _, each := range []*Table{keeper, other} {
-		is.Equal(admission(each, content, "x", others...), "free")
-		is.True(each.Quiet())
+	for _, s := range []*Table{keeper, other} {
+		is.Equal(admission(s, content, "x", others...), "free")
+		is.True(s.Quiet())
 	}
 }
 
@@ -256,16 +256,16 @@
 				}
 			}
 		}
-		for _, each := range tables[1:] {
-			one, two := tables[0].entries[content.Digest()], each.entries[content.Digest()]
+		for _, s := range tables[1:] {
+			one, two := tables[0].entries[content.Digest()], s.entries[content.Digest()]
 			if (one == nil) != (two == nil) {
 				t.Fatalf("%v is known at one daemon only", content.Target)
 			}
 			if one != nil && (one.Epoch != two.Epoch || !maps.Equal(one.Ended, two.Ended) || one.Keeper != two.Keeper || one.Retried != two.Retried) {
 				t.Fatalf("%+v and %+v", one.Entry, two.Entry)
 			}
-			if (one != nil && one.active()) == each.Quiet() {
-				t.Fatalf("active is %d for %+v", each.active.Load(), two)
+			if (one != nil && one.active()) == s.Quiet() {
+				t.Fatalf("active is %d for %+v", s.active.Load(), two)
 			}
 		}
 	})
