--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -13,9 +13,6 @@
 
 func init() { testseed.Fix() }
 
-// NewState returns the state before the first record.
-func NewState() *State { return NewStateAt(0) }
-
 func submission(id string, items int, minVersion int64) *Submission {
 	sub := &Submission{ID: id, Host: "host", Path: "/path/", MinVersion: minVersion, Desired: 1}
 	for i := 0; i < items; i++ {
