--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 .PHONY: soak soak-restart soak-smoke build test lint fuzz smoke demo bench
 
 build:
-	go build -o bin/ ./cmd/woodworks ./cmd/woodworks-lab
+	go build -o bin/ ./cmd/woodworks ./cmd/woodworks-demo
 
 # All tests, with the race detector; those of whole fleets, which it does not bear, without.
 test:
@@ -34,11 +34,11 @@
 
 # A short run of real processes that asserts safety only.
 smoke: build
-	./bin/woodworks-lab demo --safety-only
+	./bin/woodworks-demo --safety-only
 
 # Daemons as separate processes on loopback, once through their paces.
 demo: build
-	./bin/woodworks-lab demo
+	./bin/woodworks-demo
 
 SEED ?= 1
 DURATION ?= 60s
--- a/internal/api/standalone/crash_test.go
+++ b/internal/api/standalone/crash_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 
 	"woodworks/internal/api/gateway"
-	"woodworks/internal/lab/plainstand"
-	"woodworks/internal/lab/world"
+	"woodworks/internal/demo/fakebackend"
+	"woodworks/internal/demo/services"
 )
 
 // ends counts the ends of plain back ends.
@@ -33,8 +33,8 @@
 // and is back at its address after a while.
 func (f *floor) crashOn(body string, back time.Duration) *ends {
 	crashes := &ends{}
-	for _, plain := range f.world.Plains {
-		plain.EndOn(func(one plainstand.Execution) bool {
+	for _, plain := range f.services.Plains {
+		plain.EndOn(func(one fakebackend.Execution) bool {
 			if one.Body != body {
 				return false
 			}
@@ -50,7 +50,7 @@
 }
 
 // restart serves a plain back end at its address again, unless that is taken.
-func (e *ends) restart(t *testing.T, plain *world.Plain) {
+func (e *ends) restart(t *testing.T, plain *services.Plain) {
 	listener, err := net.Listen("tcp", plain.Address.String())
 	if err != nil {
 		return
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -23,11 +23,11 @@
 	"woodworks/internal/api/rollout"
 	"woodworks/internal/api/standalone"
 	"woodworks/internal/daemon/node"
+	"woodworks/internal/demo/fakebackend"
+	"woodworks/internal/demo/fakeengine"
+	"woodworks/internal/demo/process"
+	"woodworks/internal/demo/services"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/lab/loopback"
-	"woodworks/internal/lab/plainstand"
-	"woodworks/internal/lab/truth"
-	"woodworks/internal/lab/world"
 )
 
 // go-zero's client logs each request.
@@ -36,10 +36,10 @@
 // patience bounds the waits of these tests; it is no measure of speed.
 const patience = 30 * time.Second
 
-// floor is a world with daemons, all in this process over loopback.
+// floor is services with daemons, all in this process over loopback.
 type floor struct {
 	t        *testing.T
-	world    *world.World
+	services *services.Services
 	nodes    []*node.Node
 	public   []string
 	internal []string
@@ -50,17 +50,17 @@
 func newFloor(t *testing.T, daemons int) *floor {
 	t.Helper()
 	t.Parallel()
-	around, err := world.Start(world.Shape{
+	started, err := services.Start(services.Shape{
 		EngineService: "oracle-pool", Engines: 3, PlainService: "game-front", Plains: 2, Zones: []string{"z"},
-		Policies: map[string]string{"qarmoud": examples.QarmoudPolicy}, Engine: world.DefaultEngine(),
+		Policies: map[string]string{"qarmoud": examples.QarmoudPolicy}, Engine: services.DefaultEngine(),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &floor{t: t, world: around}
+	f := &floor{t: t, services: started}
 	t.Cleanup(func() {
 		f.stopAll()
-		around.Stop()
+		started.Stop()
 	})
 	for i := range daemons {
 		f.daemon(fmt.Sprint("daemon-", i))
@@ -75,7 +75,7 @@
 }
 
 func (f *floor) address() string {
-	address, err := loopback.FreeAddress()
+	address, err := process.FreeAddress()
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 }
 
 func (f *floor) daemon(name string) {
-	loaded := f.world.Settings(name, "z")
+	loaded := f.services.Settings(name, "z")
 	loaded.Listen.Public, loaded.Listen.Internal = f.address(), f.address()
 	if err := loaded.Check(); err != nil {
 		f.t.Fatal(err)
@@ -130,7 +130,7 @@
 
 // operator speaks to a daemon's internal listener as an operator.
 func (f *floor) operator(daemon int) *client.Client {
-	return client.New("http://"+f.internal[daemon], world.OperatorKey)
+	return client.New("http://"+f.internal[daemon], services.OperatorKey)
 }
 
 func (f *floor) ctx() context.Context {
@@ -177,14 +177,14 @@
 	if sample.PromptID != prompt.ID || sample.Seed != rollout.SampleSeed(wanted.Seed, sample.Index) {
 		f.t.Fatalf("sample %d names prompt %q and seed %d", sample.Index, sample.PromptID, sample.Seed)
 	}
-	want := min(truth.Length(prompt.Text, sample.Seed, world.DefaultEngine().MedianTokens), wanted.MaxTokens)
+	want := min(fakeengine.Length(prompt.Text, sample.Seed, services.DefaultEngine().MedianTokens), wanted.MaxTokens)
 	if len(sample.Tokens) != want {
 		f.t.Fatalf("sample %d has %d tokens of %d", sample.Index, len(sample.Tokens), want)
 	}
 	position := 0
 	for _, segment := range sample.Segments {
 		for range segment.Tokens {
-			if sample.Tokens[position] != truth.Token(wanted.Trainer, prompt.Text, sample.Seed, segment.Version, position) {
+			if sample.Tokens[position] != fakeengine.Token(wanted.Trainer, prompt.Text, sample.Seed, segment.Version, position) {
 				f.t.Fatalf("sample %d, token %d: not made by version %d", sample.Index, position, segment.Version)
 			}
 			position++
@@ -216,7 +216,7 @@
 func TestBrokenStreamsAreGoneOnWith(t *testing.T) {
 	f := newFloor(t, 1)
 	is := is.New(t)
-	for _, engine := range f.world.Engines {
+	for _, engine := range f.services.Engines {
 		engine.Break(4)
 	}
 	wanted := batchOf("broken", 4, 4)
@@ -224,7 +224,7 @@
 	is.NoErr(err)
 	is.Equal(len(f.collect(wanted, submitted.Cursor, 0, 0)), 16)
 	resumed := 0
-	for _, engine := range f.world.Engines {
+	for _, engine := range f.services.Engines {
 		for _, start := range engine.Starts() {
 			if start.After >= 0 {
 				resumed++
@@ -262,7 +262,7 @@
 	is := is.New(t)
 	is.NoErr(f.client(1, "bots").Announce(f.ctx(), "bots", 2, "artifact"))
 	f.until("an engine was ordered to version 2", func() bool {
-		for _, engine := range f.world.Engines {
+		for _, engine := range f.services.Engines {
 			for _, order := range engine.Orders() {
 				if order.Version == 2 {
 					return true
@@ -301,7 +301,7 @@
 
 func (f *floor) executions(body string) int {
 	count := 0
-	for _, plain := range f.world.Plains {
+	for _, plain := range f.services.Plains {
 		for _, one := range plain.Executed() {
 			if one.Body == body {
 				count++
@@ -314,9 +314,9 @@
 // A move whose answer is lost may have run, and is not sent again.
 func TestALostAnswerIsUnknown(t *testing.T) {
 	f := newFloor(t, 1)
-	for _, fault := range []plainstand.Fault{plainstand.Cut, plainstand.Truncate} {
+	for _, fault := range []fakebackend.Fault{fakebackend.Cut, fakebackend.Truncate} {
 		is := is.New(t)
-		for _, plain := range f.world.Plains {
+		for _, plain := range f.services.Plains {
 			plain.Befall(fault)
 		}
 		body := fmt.Sprint("move ", fault)
@@ -331,7 +331,7 @@
 func TestARepeatableCallIsTriedElsewhere(t *testing.T) {
 	f := newFloor(t, 1)
 	is := is.New(t)
-	f.world.Plains[0].Befall(plainstand.Cut, plainstand.Cut)
+	f.services.Plains[0].Befall(fakebackend.Cut, fakebackend.Cut)
 	for range 4 {
 		answer, outcome, err := f.client(0, "players").Call(f.ctx(), "game-front", "board", "", []byte("show"))
 		is.NoErr(err)
@@ -382,9 +382,9 @@
 	f := newFloor(t, 1)
 	is := is.New(t)
 	sample := f.stream(0, "bots", `{"trainer": "bots", "prompt": "board", "seed": 3, "max_tokens": 50}`)
-	is.Equal(len(sample.Tokens), min(truth.Length("board", 3, world.DefaultEngine().MedianTokens), 50))
+	is.Equal(len(sample.Tokens), min(fakeengine.Length("board", 3, services.DefaultEngine().MedianTokens), 50))
 	for position, token := range sample.Tokens {
-		is.Equal(token, truth.Token("bots", "board", 3, sample.Segments[0].Version, position))
+		is.Equal(token, fakeengine.Token("bots", "board", 3, sample.Segments[0].Version, position))
 	}
 }
 
@@ -430,13 +430,13 @@
 		}
 		return true
 	})
-	before := len(f.world.Plains[0].Executed())
+	before := len(f.services.Plains[0].Executed())
 	for i := range 20 {
 		_, outcome, err := f.client(i%2, "players").Call(f.ctx(), "game-front", "move", "", []byte("after"))
 		is.NoErr(err)
 		is.Equal(outcome, gateway.Completed)
 	}
-	is.Equal(len(f.world.Plains[0].Executed()), before)
+	is.Equal(len(f.services.Plains[0].Executed()), before)
 	problem, ok := client.AsProblem(f.operator(0).JSON(f.ctx(), http.MethodPost, "/v1/drains", map[string]any{"machine": "nobody"}, nil))
 	is.True(ok)
 	is.Equal(problem.Status, http.StatusNotFound)
@@ -450,7 +450,7 @@
 	submitted, err := f.client(0, "bots").Submit(f.ctx(), wanted)
 	is.NoErr(err)
 	f.until("samples are being made", func() bool {
-		for _, engine := range f.world.Engines {
+		for _, engine := range f.services.Engines {
 			if len(engine.Starts()) > 0 {
 				return true
 			}
@@ -473,7 +473,7 @@
 	wanted := batchOf("kill", 8, 4)
 	submitted, err := f.client(0, "bots").Submit(f.ctx(), wanted)
 	is.NoErr(err)
-	f.world.Engines[1].Kill()
+	f.services.Engines[1].Kill()
 	is.Equal(len(f.collect(wanted, submitted.Cursor, 0, 0)), 32)
 }
 
@@ -481,7 +481,7 @@
 func TestWithoutTheLogNothingIsTakenIn(t *testing.T) {
 	f := newFloor(t, 1)
 	is := is.New(t)
-	f.world.Log.SetBefall(func(call journaltest.Call) journaltest.Fault {
+	f.services.Log.SetBefall(func(call journaltest.Call) journaltest.Fault {
 		if call == journaltest.Append {
 			return journaltest.Refuse
 		}
@@ -501,7 +501,7 @@
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusServiceUnavailable)
 	is.Equal(f.executions("away"), 0)
-	f.world.Log.SetBefall(nil)
+	f.services.Log.SetBefall(nil)
 	_, err = f.client(0, "bots").Submit(ctx, wanted)
 	is.NoErr(err)
 }
@@ -554,7 +554,7 @@
 	is.NoErr(f.client(0, "bots").JSON(f.ctx(), http.MethodDelete, "/v1/rollouts/bots/ended", nil, nil))
 	starts := func() int {
 		count := 0
-		for _, engine := range f.world.Engines {
+		for _, engine := range f.services.Engines {
 			count += len(engine.Starts())
 		}
 		return count
@@ -575,8 +575,8 @@
 	f := newFloor(t, 2)
 	is := is.New(t)
 	key := fmt.Sprintf("%d-abcdefgh", time.Now().UnixMilli())
-	declines := slices.Repeat([]plainstand.Fault{plainstand.Decline}, 500)
-	for _, plain := range f.world.Plains {
+	declines := slices.Repeat([]fakebackend.Fault{fakebackend.Decline}, 500)
+	for _, plain := range f.services.Plains {
 		plain.Befall(declines...)
 	}
 	answer, outcome, err := f.client(0, "players").Call(f.ctx(), "game-front", "move", key, []byte("e4"))
@@ -584,7 +584,7 @@
 	is.Equal(answer.Status, http.StatusServiceUnavailable)
 	is.Equal(outcome, gateway.NotExecuted)
 	is.Equal(f.executions("e4"), 0)
-	for _, plain := range f.world.Plains {
+	for _, plain := range f.services.Plains {
 		plain.Befall()
 	}
 	f.until("the move runs", func() bool {
--- a/internal/lab/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
 // Package demo runs daemons as separate processes on the product's own
 // services, with a trainer, players, kills and a planned stop, and checks what
-// callers were told against what the stand-ins did.
+// callers were told against what the services did.
 //
 // # Usage
 //
@@ -21,9 +21,8 @@
 
 	"woodworks/examples"
 	"woodworks/internal/api/client"
-	"woodworks/internal/lab/loopback"
-	"woodworks/internal/lab/process"
-	"woodworks/internal/lab/world"
+	"woodworks/internal/demo/process"
+	"woodworks/internal/demo/services"
 )
 
 // Options holds what a run may set.
@@ -65,12 +64,12 @@
 
 // run is one run.
 type run struct {
-	options Options
-	world   *world.World
-	daemons []*daemon
-	checks  *checks
-	trainer *trainerLoop
-	players *playerLoop
+	options  Options
+	services *services.Services
+	daemons  []*daemon
+	checks   *checks
+	trainer  *trainerLoop
+	players  *playerLoop
 }
 
 // Run runs the demo. It returns ErrBroken if a promise did not hold.
@@ -86,15 +85,15 @@
 	if err := os.MkdirAll(options.Folder, 0o755); err != nil {
 		return errors.Wrap(err, "demo: folder")
 	}
-	around, err := world.Start(world.Shape{
+	started, err := services.Start(services.Shape{
 		EngineService: "oracle-pool", Engines: engines, PlainService: "game-front", Plains: plains, Zones: zones,
-		Policies: map[string]string{"qarmoud": examples.QarmoudPolicy}, Engine: world.DefaultEngine(),
+		Policies: map[string]string{"qarmoud": examples.QarmoudPolicy}, Engine: services.DefaultEngine(),
 	})
 	if err != nil {
 		return err
 	}
-	defer around.Stop()
-	r := &run{options: options, world: around, checks: newChecks()}
+	defer started.Stop()
+	r := &run{options: options, services: started, checks: newChecks()}
 	defer r.stop()
 	if err := r.start(ctx); err != nil {
 		return err
@@ -134,9 +133,9 @@
 }
 
 func (r *run) startDaemon(zone string) error {
-	loaded := r.world.Settings(zone+"-1", zone)
+	loaded := r.services.Settings(zone+"-1", zone)
 	for _, address := range []*string{&loaded.Listen.Public, &loaded.Listen.Internal} {
-		free, err := loopback.FreeAddress()
+		free, err := process.FreeAddress()
 		if err != nil {
 			return err
 		}
@@ -183,8 +182,8 @@
 	working.Go(func() { r.trainer.run(ctx) })
 	working.Go(func() { r.players.run(ctx) })
 	time.Sleep(phase)
-	r.say("killing engine %s", r.world.Engines[0].ID)
-	r.world.Engines[0].Kill()
+	r.say("killing engine %s", r.services.Engines[0].ID)
+	r.services.Engines[0].Kill()
 	time.Sleep(phase)
 	r.say("stopping daemon %s by plan", r.daemons[1].Name)
 	r.checks.that(plannedStop, r.daemons[1].Terminate(stopTimeout), "daemon %s did not stop cleanly", r.daemons[1].Name)
@@ -201,7 +200,7 @@
 	checkDrained()
 	cancel()
 	working.Wait()
-	r.players.settle(r.world.Plains)
+	r.players.settle(r.services.Plains)
 }
 
 const (
@@ -213,9 +212,9 @@
 // drainEngine orders that an engine gets no new work, and returns the check that
 // it got none once the grace was over.
 func (r *run) drainEngine(ctx context.Context, number int) func() {
-	engine := r.world.Engines[number]
+	engine := r.services.Engines[number]
 	r.say("draining engine %s", engine.ID)
-	if err := r.world.Operator.Drain(ctx, engine.ID, true); err != nil {
+	if err := r.services.Operator.Drain(ctx, engine.ID, true); err != nil {
 		r.say("drain: %v", err)
 		return func() {}
 	}
--- a/internal/lab/plainstand/plainstand.go
+++ b/internal/demo/fakebackend/fakebackend.go
@@ -1,11 +1,11 @@
-// Package plainstand is the stand-in for a plain back end. It remembers what it
-// truly executed, for checkers to compare with what callers were told.
+// Package fakebackend is a replica of a plain service. It remembers what it executed,
+// for checkers to compare with what callers were told.
 //
 // # Usage
 //
-//	backend := plainstand.New("game-1", 2*time.Millisecond)
+//	backend := fakebackend.New("game-1", 2*time.Millisecond)
 //	http.Serve(listener, backend)
-package plainstand
+package fakebackend
 
 import (
 	"encoding/json"
--- a/internal/lab/enginestand/enginestand.go
+++ b/internal/demo/fakeengine/fakeengine.go
@@ -1,15 +1,16 @@
-// Package enginestand is the stand-in for a model engine that speaks the
-// product's engine protocol: slots, a pace per token, streams that resume after
-// an event, fenced orders, changes of weights under running streams, and faults.
+// Package fakeengine is a model engine that speaks the product's engine protocol:
+// slots, a time per token, streams that resume after an event, fenced orders, changes
+// of weights under running streams, and faults.
 //
-// What it generates is fixed by package truth, so that a checker can tell which
-// version truly produced each token.
+// What it generates is a function of everything that may determine it, Token and
+// Length, so that a checker can tell from the tokens alone which version of the
+// weights produced them.
 //
 // # Usage
 //
-//	engine := enginestand.New(enginestand.Shape{ID: "e1", Slots: 8, Pace: time.Millisecond})
+//	engine := fakeengine.New(fakeengine.Shape{ID: "e1", Slots: 8, Pace: time.Millisecond})
 //	http.Serve(listener, engine)
-package enginestand
+package fakeengine
 
 import (
 	"encoding/json"
@@ -23,15 +24,14 @@
 
 	"woodworks/internal/api/rollout"
 	"woodworks/internal/api/standalone"
-	"woodworks/internal/lab/truth"
 )
 
 // Shape holds an engine's constants.
 type Shape struct {
 	ID    string
 	Slots int
-	// Pace is the time between two tokens of a stream.
-	Pace time.Duration
+	// TokenTime is the time between two tokens of a stream.
+	TokenTime time.Duration
 	// MedianTokens is the median length of samples.
 	MedianTokens int
 	// LoadTime is how long a change of weights takes.
@@ -221,7 +221,7 @@
 }
 
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, wanted rollout.Generate, after int64, breaks bool) {
-	total := min(truth.Length(wanted.Prompt, wanted.Seed, e.shape.MedianTokens), wanted.MaxTokens)
+	total := min(Length(wanted.Prompt, wanted.Seed, e.shape.MedianTokens), wanted.MaxTokens)
 	flusher := http.NewResponseController(w)
 	events := int64((total + e.shape.TokensPerEvent - 1) / e.shape.TokensPerEvent)
 	for number := after + 1; number < events; number++ {
@@ -230,7 +230,7 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(time.Duration(count) * e.shape.Pace):
+		case <-time.After(time.Duration(count) * e.shape.TokenTime):
 		}
 		e.writeEvent(w, wanted, number, first, count, number == events-1)
 		_ = flusher.Flush()
@@ -243,7 +243,7 @@
 func (e *Engine) writeEvent(w io.Writer, wanted rollout.Generate, number int64, first, count int, last bool) {
 	frame := rollout.Frame{Version: e.versionOf(wanted.Model)}
 	for position := first; position < first+count; position++ {
-		frame.Tokens = append(frame.Tokens, truth.Token(wanted.Model, wanted.Prompt, wanted.Seed, uint64(frame.Version), position))
+		frame.Tokens = append(frame.Tokens, Token(wanted.Model, wanted.Prompt, wanted.Seed, uint64(frame.Version), position))
 	}
 	if last {
 		frame.End = "stop"
--- a/internal/lab/truth/truth.go
+++ b/internal/demo/fakeengine/tokens.go
@@ -1,7 +1,4 @@
-// Package truth says what an engine stand-in generates, as a function of
-// everything that may determine it, so that a checker can tell from the tokens
-// alone which weight version produced them.
-package truth
+package fakeengine
 
 import (
 	"encoding/binary"
--- a/internal/lab/loopback/loopback.go
+++ b/internal/demo/process/address.go
@@ -1,5 +1,4 @@
-// Package loopback finds addresses for processes and tests on one machine.
-package loopback
+package process
 
 import (
 	"net"
@@ -20,7 +19,7 @@
 )
 
 // ErrNoAddress: no free port was found.
-var ErrNoAddress = errors.New("loopback: no free port")
+var ErrNoAddress = errors.New("process: no free port")
 
 // given counts the ports looked at. Programs that run at the same time begin at
 // ports of their own, so that two of them do not choose the same.
@@ -40,7 +39,7 @@
 			continue
 		}
 		if err := listener.Close(); err != nil {
-			return "", errors.Wrap(err, "loopback: address")
+			return "", errors.Wrap(err, "process: address")
 		}
 		return address, nil
 	}
--- a/internal/lab/process/process.go
+++ b/internal/demo/process/process.go
@@ -1,5 +1,5 @@
-// Package process starts programs for runs on one machine. It ends only
-// processes that it started, by their process id.
+// Package process starts programs for runs on one machine, and finds addresses for
+// them. It ends only processes that it started, by their process id.
 package process
 
 import (
