--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -20,6 +20,7 @@
 	"woodworks/internal/api/rollout"
 	"woodworks/internal/batches/batch"
 	"woodworks/internal/batches/ledger"
+	"woodworks/internal/batches/ledger/ledgertest"
 	"woodworks/internal/batches/results"
 	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
@@ -52,29 +53,18 @@
 // restarted are desks that have just started before a journal of whole batches.
 // It implements results.Watchers and results.Peers.
 type restarted struct {
+	*ledgertest.Fleet
 	log     *journaltest.Journal
 	desks   []*Desk
 	headers []rollout.Header
-	runs    []string
 	// services answer peers, each over a link that carries one answer at a time.
 	services []*results.Service
 	links    []chan struct{}
-	// dealt names who watches each partition.
-	dealt map[journal.Partition]string
 }
 
-// WatcherOf implements results.Watchers.
-func (r *restarted) WatcherOf(_ context.Context, partition journal.Partition) (string, bool) {
-	run, ok := r.dealt[partition]
-	return run, ok
-}
-
-// Daemons implements results.Peers.
-func (r *restarted) Daemons() int { return len(r.runs) }
-
 // Ask implements results.Peers.
 func (r *restarted) Ask(ctx context.Context, machine, method string, asked, answer any) error {
-	at := slices.IndexFunc(r.runs, func(run string) bool { return identity.Machine(run) == machine })
+	at := slices.IndexFunc(r.Runs, func(run string) bool { return identity.Machine(run) == machine })
 	if page, ok := answer.(*results.Page); ok && method == "Results.Samples" {
 		err := r.services[at].Samples(asked.(results.Query), page)
 		return cmp.Or(err, r.send(ctx, at, page))
@@ -99,7 +89,7 @@
 }
 
 func newRestarted(ctx context.Context, t *testing.T) *restarted {
-	r := &restarted{log: journaltest.New(), dealt: map[journal.Partition]string{}}
+	r := &restarted{log: journaltest.New()}
 	r.log.Partitions, r.log.RecordBytes = 16, 256<<10
 	r.log.Granted = journal.Grants{ReadBytesPerSecond: restartJournal}
 	jobs := ledger.New(ctx, r.log, zap.NewNop())
@@ -118,22 +108,13 @@
 		}
 	}
 	r.log.Limit(restartJournal)
-	var ledgers []*ledger.Ledger
-	for i := range restartDaemons {
-		started := ledger.New(ctx, r.log.Behind(restartLink), zap.NewNop())
-		run := identity.New(fmt.Sprint("m", i), time.Now())
-		reader := results.NewReader(started, r, r, r.log.Grants(), run, zap.NewNop())
-		ledgers, r.runs = append(ledgers, started), append(r.runs, run)
+	r.Fleet = ledgertest.Start(ctx, r.log, restartDaemons, restartLink)
+	for i, run := range r.Runs {
+		reader := results.NewReader(r.Ledgers[i], r, r, r.log.Grants(), run, zap.NewNop())
 		r.services, r.links = append(r.services, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
-		r.desks = append(r.desks, New(reader, endsWith{started, nil}, rollout.ItemHeaders{}, zap.NewNop()))
-	}
-	for _, topic := range ledger.TopicNames() {
-		for number := range r.log.Partitions {
-			name, holder := journal.Partition{Topic: topic, Number: number}, len(r.dealt)%restartDaemons
-			r.dealt[name] = r.runs[holder]
-			ledgers[holder].Partition(name).Follow()
-		}
+		r.desks = append(r.desks, New(reader, endsWith{r.Ledgers[i], nil}, rollout.ItemHeaders{}, zap.NewNop()))
 	}
+	r.Deal()
 	return r
 }
 
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -15,9 +15,9 @@
 
 	"woodworks/internal/batches/batch"
 	"woodworks/internal/batches/ledger"
+	"woodworks/internal/batches/ledger/ledgertest"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/membership/identity"
 )
 
 // The fleet of the test below, as it is after a loss of power of all machines.
@@ -42,7 +42,7 @@
 // newRestarted returns daemons that have just started before a journal that holds
 // batches of long texts, each of them behind a weak link.
 func newRestarted(ctx context.Context, t *testing.T, logger *zap.Logger) *daemons {
-	d := &daemons{log: journaltest.New(), dark: map[string]bool{}, dealt: map[journal.Partition]int{}}
+	d := &daemons{log: journaltest.New(), dark: map[string]bool{}}
 	d.log.Partitions = 16
 	d.log.Granted = journal.Grants{ReadBytesPerSecond: restartJournal}
 	d.log.RecordBytes = 256 << 10
@@ -57,20 +57,12 @@
 		}
 	}
 	d.log.Limit(restartJournal)
-	d.ledgers = nil
-	for i := range restartDaemons {
-		run := identity.New(fmt.Sprintf("m%d", i), time.Now())
-		batches := ledger.New(ctx, d.log.Behind(restartLink), zap.NewNop())
-		d.runs, d.ledgers = append(d.runs, run), append(d.ledgers, batches)
-		d.readers = append(d.readers, NewReader(batches, d, d, d.log.Grants(), run, logger))
-	}
-	for _, topic := range ledger.TopicNames() {
-		for number := range d.log.Partitions {
-			name := journal.Partition{Topic: topic, Number: number}
-			d.dealt[name] = len(d.dealt) % restartDaemons
-			d.ledgers[d.dealt[name]].Partition(name).Follow()
-		}
+	fleet := ledgertest.Start(ctx, d.log, restartDaemons, restartLink)
+	d.runs, d.ledgers, d.dealt = fleet.Runs, fleet.Ledgers, fleet.Dealt
+	for i, run := range d.runs {
+		d.readers = append(d.readers, NewReader(d.ledgers[i], d, d, d.log.Grants(), run, logger))
 	}
+	fleet.Deal()
 	return d
 }
 
--- a/internal/journal/relay/direct_test.go
+++ b/internal/journal/relay/direct_test.go
@@ -26,6 +26,25 @@
 	return nil
 }
 
+// newEcho returns two daemons, and a server of the second that has Echo.
+func newEcho(ctx context.Context, t *testing.T) (*daemons, *rpc.Server) {
+	t.Helper()
+	d := newDaemons(ctx, t, 2)
+	d.relays[1].Register("Echo", Echo{})
+	server, err := d.relays[1].server(ctx)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return d, server
+}
+
+// pipeTo returns a connection to a server.
+func pipeTo(server *rpc.Server) net.Conn {
+	near, far := net.Pipe()
+	go server.ServeConn(far)
+	return near
+}
+
 // One daemon is asked by name; one that can't be reached is left alone for a while, one
 // that refuses is not.
 func TestAPeerIsAskedByName(t *testing.T) {
@@ -33,19 +52,14 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		made := newDaemons(ctx, t, 2)
-		made.relays[1].Register("Echo", Echo{})
-		server, err := made.relays[1].server(ctx)
-		is.NoErr(err)
+		made, server := newEcho(ctx, t)
 		dials, reachable := 0, true
 		made.relays[0].peers.dial = func(context.Context, string) (net.Conn, error) {
 			dials++
 			if !reachable {
 				return nil, errors.New("unreachable")
 			}
-			near, far := net.Pipe()
-			go server.ServeConn(far)
-			return near, nil
+			return pipeTo(server), nil
 		}
 		answer := ""
 		is.NoErr(made.relays[0].Ask(ctx, "b", "Echo.Say", "hello", &answer))
@@ -102,10 +116,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		made := newDaemons(ctx, t, 2)
-		made.relays[1].Register("Echo", Echo{})
-		server, err := made.relays[1].server(ctx)
-		is.NoErr(err)
+		made, server := newEcho(ctx, t)
 		peer := &restartable{server: server}
 		made.relays[0].peers.dial = peer.dial
 		answer := ""
--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -105,29 +105,19 @@
 // newLined returns daemons of two zones behind links, of which the first in the first zone
 // have lost their own way.
 func newLined(ctx context.Context, t *testing.T, store *journaltest.Journal, zone, refusedOf int, bytesPerSecond float64) *daemons {
-	made := &daemons{store: store}
-	servers := map[string]func(net.Conn){}
+	d, reached := &daemons{store: store}, pipes{}
 	for i := range 2 * zone {
 		name := fmt.Sprintf("%c%02d", 'a'+i/zone, i%zone)
-		way := &cut{Journal: made.store}
+		way := &cut{Journal: d.store}
 		if i < refusedOf {
 			way.fault.Store(refused)
 		}
 		in, out := &line{bytesPerSecond: bytesPerSecond}, &line{bytesPerSecond: bytesPerSecond}
 		relayed := New(journal.Revive(far{way, ctx, in}, zap.NewNop()), Options{Name: name, Zone: name[:1], Address: name}, zap.NewNop())
-		server, err := relayed.server(ctx)
-		if err != nil {
-			t.Fatal(err)
-		}
-		servers[name] = func(conn net.Conn) { go server.ServeConn(newLinedConn(ctx, conn, out)) }
-		relayed.peers.dial = func(_ context.Context, address string) (net.Conn, error) {
-			near, far := net.Pipe()
-			servers[address](far)
-			return near, nil
-		}
-		made.ways, made.relays = append(made.ways, way), append(made.relays, relayed)
+		reached.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return newLinedConn(ctx, conn, out) })
+		d.ways, d.relays = append(d.ways, way), append(d.relays, relayed)
 	}
-	return made
+	return d
 }
 
 // fill puts batches of others into partitions, so many bytes each.
--- a/internal/journal/relay/lostpeer_test.go
+++ b/internal/journal/relay/lostpeer_test.go
@@ -17,15 +17,8 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		daemons := newDaemons(ctx, t, 2)
-		daemons.relays[1].Register("Echo", Echo{})
-		server, err := daemons.relays[1].server(ctx)
-		is.NoErr(err)
-		daemons.relays[0].peers.dial = func(context.Context, string) (net.Conn, error) {
-			near, far := net.Pipe()
-			go server.ServeConn(far)
-			return near, nil
-		}
+		daemons, server := newEcho(ctx, t)
+		daemons.relays[0].peers.dial = func(context.Context, string) (net.Conn, error) { return pipeTo(server), nil }
 		daemons.relays[0].peers.rest("b", lostRest, "has lost the journal as well", nil)
 		answer := ""
 		is.NoErr(daemons.relays[0].Ask(ctx, "b", "Echo.Say", "hello", &answer))
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -97,31 +97,39 @@
 	relays []*Journal
 }
 
+// pipes are the servers of daemons that reach each other over pipes, by name.
+type pipes map[string]func(net.Conn)
+
+// add has a daemon reach the others, and they it; wrap gives its own end of a connection to it.
+func (p pipes) add(ctx context.Context, t *testing.T, relayed *Journal, wrap func(net.Conn) net.Conn) {
+	t.Helper()
+	server, err := relayed.server(ctx)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p[relayed.options.Name] = func(conn net.Conn) { go server.ServeConn(wrap(conn)) }
+	relayed.peers.dial = func(_ context.Context, address string) (net.Conn, error) {
+		near, far := net.Pipe()
+		p[address](far)
+		return near, nil
+	}
+}
+
 func newDaemons(ctx context.Context, t *testing.T, count int) *daemons {
-	made := &daemons{store: journaltest.New()}
-	servers := map[string]func(net.Conn){}
+	d, reached := &daemons{store: journaltest.New()}, pipes{}
 	for i := range count {
 		name := string(rune('a' + i))
-		way := &cut{Journal: made.store}
+		way := &cut{Journal: d.store}
 		relayed := New(way, Options{Name: name, Zone: "z", Address: name}, zap.NewNop())
-		server, err := relayed.server(ctx)
-		if err != nil {
-			t.Fatal(err)
-		}
-		servers[name] = func(conn net.Conn) { go server.ServeConn(conn) }
-		relayed.peers.dial = func(_ context.Context, address string) (net.Conn, error) {
-			near, far := net.Pipe()
-			servers[address](far)
-			return near, nil
-		}
-		made.ways, made.relays = append(made.ways, way), append(made.relays, relayed)
+		reached.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return conn })
+		d.ways, d.relays = append(d.ways, way), append(d.relays, relayed)
 	}
-	for _, relayed := range made.relays {
+	for _, relayed := range d.relays {
 		go relayed.Run(ctx)
 		go journal.NewKeyedFollower(relayed, Partition(relayed), relayed.Peers(), 3*time.Second, zap.NewNop()).Run(ctx)
 	}
 	time.Sleep(2 * time.Second)
-	return made
+	return d
 }
 
 func appendOne(ctx context.Context, log journal.Journal, text string, within time.Duration) error {
