--- a/internal/requests/eventstream/eventstream_test.go
+++ b/internal/requests/eventstream/eventstream_test.go
@@ -85,3 +85,19 @@
 	f.Add([]byte("id: 1\ndata: a\n\n"))
 	f.Fuzz(func(_ *testing.T, text []byte) { _, _ = all(bytes.NewReader(text)) })
 }
+
+// A line that fills the reader's buffer twice came out with its beginning twice.
+func TestALongLineIsPassedOnAsItCame(t *testing.T) {
+	for _, length := range []int{100, 5 << 10, 9 << 10, 40 << 10, 1 << 20} {
+		t.Run(fmt.Sprint(length), func(t *testing.T) {
+			is := is.New(t)
+			text := "id: 1\ndata: " + strings.Repeat("x", length) + "\n\n"
+			events, err := all(strings.NewReader(text))
+			is.Equal(err, io.EOF)
+			is.Equal(len(events), 1)
+			is.Equal(len(events[0].Data), length)
+			is.Equal(len(events[0].Raw), len(text))
+			is.True(string(events[0].Raw) == text)
+		})
+	}
+}
