--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -32,10 +32,10 @@
 // peered are desks whose questions go to the one daemon that watches all partitions: what
 // they may read is nothing to speak of. It implements results.Watchers, results.Peers and Runner.
 type peered struct {
-	log    *journaltest.Journal
-	holder string
-	folds  *ledger.Ledger
-	// wire leads to the holder.
+	log     *journaltest.Journal
+	watcher string
+	folds   *ledger.Ledger
+	// wire leads to the watcher.
 	wire  *rpc.Client
 	desks []*Desk
 	// jobs were accepted, in order.
@@ -46,10 +46,10 @@
 }
 
 func newPeered(ctx context.Context, count int) *peered {
-	p := &peered{log: journaltest.New(), holder: identity.New("holder", time.Now()), asked: map[string]int{}}
+	p := &peered{log: journaltest.New(), watcher: identity.New("holder", time.Now()), asked: map[string]int{}}
 	scarce := journal.Grants{ReadBytesPerSecond: 1}
 	p.folds = ledger.New(ctx, p.log, zap.NewNop())
-	p.wire = serve(ctx, results.NewReader(p.folds, p, nil, scarce, p.holder, zap.NewNop()).Service(ctx))
+	p.wire = serve(ctx, results.NewReader(p.folds, p, nil, scarce, p.watcher, zap.NewNop()).Service(ctx))
 	for i := range count {
 		reader := results.NewReader(ledger.New(ctx, p.log, zap.NewNop()), p, p, scarce, identity.New(fmt.Sprint("m", i), time.Now()), zap.NewNop())
 		p.desks = append(p.desks, New(reader, p, rollout.ItemHeaders{TokenUsage: "usage"}, zap.NewNop()))
@@ -65,31 +65,31 @@
 }
 
 // WatcherOf implements results.Watchers.
-func (p *peered) WatcherOf(context.Context, journal.Partition) (string, bool) { return p.holder, true }
+func (p *peered) WatcherOf(context.Context, journal.Partition) (string, bool) { return p.watcher, true }
 
 // Daemons implements results.Peers.
 func (p *peered) Daemons() int { return len(p.desks) + 1 }
 
 // Ask implements results.Peers, by a call as daemons make it.
-func (p *peered) Ask(ctx context.Context, _, method string, asked, answer any) error {
+func (p *peered) Ask(ctx context.Context, _, method string, args, answer any) error {
 	p.mu.Lock()
 	p.asked[method]++
 	p.mu.Unlock()
-	told := reflect.New(reflect.TypeOf(answer).Elem())
-	call := p.wire.Go(method, asked, told.Interface(), make(chan *rpc.Call, 1))
+	reply := reflect.New(reflect.TypeOf(answer).Elem())
+	call := p.wire.Go(method, args, reply.Interface(), make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		reflect.ValueOf(answer).Elem().Set(told.Elem())
+		reflect.ValueOf(answer).Elem().Set(reply.Elem())
 		return call.Error
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// serve has the holder answer over a connection, and returns the other end of it.
-func serve(ctx context.Context, holder *results.Service) *rpc.Client {
+// serve has the watcher answer over a connection, and returns the other end of it.
+func serve(ctx context.Context, watcher *results.Service) *rpc.Client {
 	server := rpc.NewServer()
-	if err := server.RegisterName(results.ServiceName, holder); err != nil {
+	if err := server.RegisterName(results.ServiceName, watcher); err != nil {
 		panic(err)
 	}
 	near, far := net.Pipe()
@@ -210,7 +210,7 @@
 // A pull is held at the daemon that watches the partition, and has the sample as it comes; a
 // batch that does not exist, was ended, or is of another content is not known, wherever that is
 // asked.
-func TestAHeldPullIsAnsweredThroughTheHolder(t *testing.T) {
+func TestAHeldPullIsAnsweredThroughTheWatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -63,10 +63,10 @@
 }
 
 // Ask implements results.Peers.
-func (r *restarted) Ask(ctx context.Context, machine, method string, asked, answer any) error {
+func (r *restarted) Ask(ctx context.Context, machine, method string, args, answer any) error {
 	at := slices.IndexFunc(r.Runs, func(run string) bool { return identity.Machine(run) == machine })
 	if page, ok := answer.(*results.Page); ok && method == "Results.Samples" {
-		err := r.services[at].Samples(asked.(results.Query), page)
+		err := r.services[at].Samples(args.(results.Query), page)
 		return cmp.Or(err, r.send(ctx, at, page))
 	}
 	return errors.Errorf("no method %s", method)
@@ -146,7 +146,7 @@
 // After a start of all daemons each pull made the daemon that it came to read its batch's
 // partition from the beginning, and the one that a further round would be in, however many
 // daemons did so already: the sum of these reads grows as pulls times bytes, until every daemon
-// has read everything. A desk asks a reader, which has a budget of reads and asks the holder of
+// has read everything. A desk asks a reader, which has a budget of reads and asks the watcher of
 // the fold.
 func TestSamplesAreDeliveredSoonAfterAllDaemonsStarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -306,7 +306,7 @@
 var errResting = errors.New("did not answer a moment ago")
 
 // Ask implements Peers.
-func (n *neighbours) Ask(ctx context.Context, machine, method string, asked, answer any) error {
+func (n *neighbours) Ask(ctx context.Context, machine, method string, args, reply any) error {
 	n.from.mu.Lock()
 	resting := time.Now().Before(n.from.rests[machine])
 	n.from.mu.Unlock()
@@ -314,7 +314,7 @@
 		return errResting
 	}
 	n.fleet.asked.Add(1)
-	err := n.await(ctx, machine, asked.(Query), answer.(*Page))
+	err := n.await(ctx, machine, args.(Query), reply.(*Page))
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		n.from.mu.Lock()
 		n.from.rests[machine] = time.Now().Add(silentRest)
--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -45,7 +45,8 @@
 	bounded, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	if err := partition.CatchUp(bounded); err != nil {
-		r.logger.Debug("answered from an older fold", zap.String("topic", partition.Name().Topic), zap.Int("partition", partition.Name().Number), zap.Error(err))
+		name := partition.Name()
+		r.logger.Debug("answered from an older fold", zap.String("topic", name.Topic), zap.Int("partition", name.Number), zap.Error(err))
 	}
 }
 
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -71,27 +71,27 @@
 	return j.Journal.Read(ctx, request)
 }
 
-// alone are the holders and peers of one daemon: the holder is told after a time, and does what the test says.
+// alone are the watchers and peers of one daemon: the watcher is told after a time, and does what the test says.
 type alone struct {
-	holder string
-	learn  time.Duration
-	count  int
-	answer func(ctx context.Context, asked, answer any) error
+	watcher string
+	learn   time.Duration
+	daemons int
+	answer  func(ctx context.Context, args, reply any) error
 }
 
 func (a *alone) WatcherOf(ctx context.Context, _ journal.Partition) (string, bool) {
 	_ = pause(ctx, a.learn)
-	return a.holder, a.holder != ""
+	return a.watcher, a.watcher != ""
 }
 
-func (a *alone) Daemons() int { return a.count }
+func (a *alone) Daemons() int { return a.daemons }
 
-func (a *alone) Ask(ctx context.Context, _, _ string, asked, answer any) error {
+func (a *alone) Ask(ctx context.Context, _, _ string, args, reply any) error {
 	if a.answer == nil {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	return a.answer(ctx, asked, answer)
+	return a.answer(ctx, args, reply)
 }
 
 // bulky is a journal with a batch of so many megabytes, in records of 100 KiB.
@@ -118,14 +118,14 @@
 
 // A question whose own read has an answer after 0.5 s is answered then, also where nobody can say
 // who holds the partition.
-func TestAnOwnAnswerDoesNotWaitForTheSearchOfTheHolder(t *testing.T) {
+func TestAnOwnAnswerDoesNotWaitForTheSearchOfTheWatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		takes := takesAtFirst(500 * time.Millisecond)
 		log := bulky(ctx, t, 1)
-		peers := &alone{count: 4, learn: 150 * time.Millisecond}
+		peers := &alone{daemons: 4, learn: 150 * time.Millisecond}
 		reader := NewReader(ledger.New(ctx, tardy{log, takes}, zap.NewNop()), peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
 		time.Sleep(ownReadTime)
 		// The first page tells what there is, and a later question of one text comes upon it.
@@ -140,8 +140,8 @@
 }
 
 // A question that is held, with nothing to tell, ends with an empty page at the end of its hold
-// where the holder was learned of after 0.55 s.
-func TestAHeldQuestionEndsInTimeWhereTheHolderIsLearnedLate(t *testing.T) {
+// where the watcher was learned of after 0.55 s.
+func TestAHeldQuestionEndsInTimeWhereTheWatcherIsLearnedLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -149,14 +149,14 @@
 		log := bulky(ctx, t, 1)
 		watcher := NewReader(ledger.New(ctx, log, zap.NewNop()), nil, nil, journal.Grants{}, "h", zap.NewNop()).Service(ctx)
 		blamed := false
-		peers := &alone{count: 4, learn: 550 * time.Millisecond, holder: identity.New("h", time.Now())}
-		peers.answer = func(ctx context.Context, asked, answer any) error {
+		peers := &alone{daemons: 4, learn: 550 * time.Millisecond, watcher: identity.New("h", time.Now())}
+		peers.answer = func(ctx context.Context, args, reply any) error {
 			done := make(chan error, 1)
 			var page Page
-			go func() { done <- watcher.Results(asked.(Query), &page) }()
+			go func() { done <- watcher.Results(args.(Query), &page) }()
 			select {
 			case err := <-done:
-				*answer.(*Page) = page
+				*reply.(*Page) = page
 				return err
 			case <-ctx.Done():
 				blamed = errors.Is(ctx.Err(), context.DeadlineExceeded)
@@ -173,7 +173,7 @@
 		submission := &batch.Submission{ID: "c", Items: []batch.Item{{ID: "i"}}}
 		is.NoErr(ledger.New(ctx, log, zap.NewNop()).Of("c").Append(ctx, batch.Accepted(submission, "owner")))
 		page, err = reader.Results(ctx, Query{BatchID: "c", Wait: wait})
-		t.Logf("after %v: found %v, %v; holder blamed: %v", time.Since(began), page.Found, err, blamed)
+		t.Logf("after %v: found %v, %v; watcher blamed: %v", time.Since(began), page.Found, err, blamed)
 		is.NoErr(err)
 		is.True(page.Found)
 		is.True(!blamed)
@@ -181,9 +181,9 @@
 	})
 }
 
-// Where the holder cannot be asked, a daemon makes its way through the partition from question to
-// question, also if each read takes a little longer than a question waits before it asks the holder.
-func TestADaemonComesForwardWhereReadsAreLateAndTheHolderIsDark(t *testing.T) {
+// Where the watcher cannot be asked, a daemon makes its way through the partition from question to
+// question, also if each read takes a little longer than a question waits before it asks the watcher.
+func TestADaemonComesForwardWhereReadsAreLateAndTheWatcherIsDark(t *testing.T) {
 	for name, once := range map[string]bool{"always late": false, "late once": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -192,7 +192,7 @@
 				defer cancel()
 				takes := takesAtFirst(450 * time.Millisecond)
 				log := bulky(ctx, t, 3)
-				peers := &alone{count: 84, holder: identity.New("h", time.Now())}
+				peers := &alone{daemons: 84, watcher: identity.New("h", time.Now())}
 				peers.answer = func(context.Context, any, any) error { return errDark }
 				reader := NewReader(ledger.New(ctx, tardy{log, takes}, zap.NewNop()), peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
 				time.Sleep(ownReadTime)
@@ -223,7 +223,7 @@
 		takes := takesAtFirst(time.Hour)
 		log := bulky(ctx, t, 1)
 		core, lines := observer.New(zap.InfoLevel)
-		peers := &alone{count: 84, holder: ""}
+		peers := &alone{daemons: 84, watcher: ""}
 		reader := NewReader(ledger.New(ctx, tardy{log, takes}, zap.NewNop()), peers, peers, log.Granted, "m0", zap.New(core))
 		time.Sleep(ownReadTime)
 		for range 20 {
@@ -256,15 +256,15 @@
 	})
 }
 
-// Where the holder fails at once, the own read that is late goes on, and its answer counts.
-func TestAnOwnAnswerCountsWhereTheHolderFails(t *testing.T) {
+// Where the watcher fails at once, the own read that is late goes on, and its answer counts.
+func TestAnOwnAnswerCountsWhereTheWatcherFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		const takes = 800 * time.Millisecond
 		log := bulky(ctx, t, 1)
-		peers := &alone{count: 4, holder: identity.New("h", time.Now())}
+		peers := &alone{daemons: 4, watcher: identity.New("h", time.Now())}
 		peers.answer = func(context.Context, any, any) error { return errDark }
 		reader := NewReader(ledger.New(ctx, tardy{log, takesAtFirst(takes)}, zap.NewNop()), peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
 		reader.budget.adjust(time.Now())
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -55,12 +55,15 @@
 }
 
 // read answers a question that may be kept open for wait.
-func read[T any](ctx context.Context, r *Reader, batchID, method string, args request, wait time.Duration, here local[T]) (answer T, err error) {
+func read[T any](
+	ctx context.Context, r *Reader, batchID, method string, args request, wait time.Duration, here local[T],
+) (answer T, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+answerWithin)
 	defer cancel()
 	partition := r.ledger.Of(batchID)
-	q := question[T]{r: r, batchID: batchID, partition: partition, method: method, args: args, here: here, trace: r.startTrace(batchID, partition, wait)}
-	defer func() { q.trace.end(err) }()
+	trace := r.startTrace(batchID, partition, wait)
+	q := question[T]{r: r, batchID: batchID, partition: partition, method: method, args: args, here: here, trace: trace}
+	defer func() { trace.end(err) }()
 	return q.answer(ctx)
 }
 
@@ -144,9 +147,11 @@
 		return answer, err
 	}
 	defer q.r.leaveCold()
+	name := q.partition.Name()
 	missing, _ := q.partition.Missing()
-	q.r.logger.Info("partition read for a question", zap.String("batch", q.batchID), zap.String("topic", q.partition.Name().Topic),
-		zap.Int("partition", q.partition.Name().Number), zap.String("watcher", q.trace.call.watcher), zap.Int("missing", missing), zap.String("reason", cause.Error()))
+	q.r.logger.Info("partition read for a question", zap.String("batch", q.batchID), zap.String("topic", name.Topic),
+		zap.Int("partition", name.Number), zap.String("watcher", q.trace.call.watcher), zap.Int("missing", missing),
+		zap.String("reason", cause.Error()))
 	if err := q.r.readAtRate(ctx, q.partition, q.here.ready); err != nil {
 		return answer, err
 	}
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -84,7 +84,7 @@
 // second: no read came to an end before it was given up, and nobody learned anything for
 // as long as clients asked. What daemons read for questions stays within half of what the
 // journal sends, whatever there is to read, and the rest is left to those who hold a
-// partition for all; a question whose holder does not answer costs a page beyond that.
+// partition for all; a question whose watcher does not answer costs a page beyond that.
 func TestAllBatchesAreToldSoonAfterAllDaemonsStarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -121,7 +121,7 @@
 		stop()
 		prompt.Wait()
 		unasked := logs.FilterMessage("partition read for a question").Len()
-		t.Logf("%d batches told after %v, %d MB read, %d questions whose holder did not answer", restartBatches, took, read>>20, unasked)
+		t.Logf("%d batches told after %v, %d MB read, %d questions whose watcher did not answer", restartBatches, took, read>>20, unasked)
 		is.True(took < restartAnswered)
 		// Such a question costs a page at once, as it may have no other answer.
 		own := float64(read - restartBatches*restartBytes - unasked*d.readers[0].ledger.PageBytes())
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -94,7 +94,7 @@
 	cold chan struct{}
 	// open counts the questions of this daemon's callers that are being answered.
 	open atomic.Int64
-	// observe is told of each of them, nil for nobody.
+	// observe is told of each of them.
 	observe Observer
 	// lateReads sums the own reads that were late: in an outage each question has one.
 	lateReads *logging.Episodes
@@ -103,15 +103,23 @@
 // NewReader returns a reader of the batches for the incarnation named self. Without peers, nil,
 // it reads the journal itself, as it does where the journal's grants do not bound reads.
 func NewReader(batches *ledger.Ledger, watchers Watchers, peers Peers, grants journal.Grants, self string, logger *zap.Logger) *Reader {
-	r := &Reader{ledger: batches, watchers: watchers, peers: peers, self: self, logger: logger, cold: make(chan struct{}, coldReads),
-		lateReads: logging.NewEpisodes(logger, "own read is late, asking the watcher", "", "topics")}
+	r := &Reader{
+		ledger:    batches,
+		watchers:  watchers,
+		peers:     peers,
+		self:      self,
+		logger:    logger,
+		cold:      make(chan struct{}, coldReads),
+		observe:   func(string, bool, time.Duration) {},
+		lateReads: logging.NewEpisodes(logger, "own read is late, asking the watcher", "", "topics"),
+	}
 	if peers != nil && grants.ReadBytesPerSecond > 0 {
 		r.budget = newReadBudget(grants.ReadBytesPerSecond, peers.Daemons)
 	}
 	return r
 }
 
-// SetObserver sets who is told of each question. It is called before any.
+// SetObserver sets who is told of each question, nobody before. It is called before any.
 func (r *Reader) SetObserver(observe Observer) { r.observe = observe }
 
 // Results returns a page of results: at least one if there is one at the position, or
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -46,9 +46,9 @@
 	ledgers []*ledger.Ledger
 	readers []*Reader
 
-	mu     sync.Mutex
-	holder int
-	// dealt, if not nil, names the holder of each partition in place of holder.
+	mu      sync.Mutex
+	watcher int
+	// dealt, if not nil, names the watcher of each partition in place of watcher.
 	dealt map[journal.Partition]int
 	dark  map[string]bool
 	asked int
@@ -66,10 +66,10 @@
 	return d
 }
 
-func (d *daemons) hold(daemon int) {
+func (d *daemons) watch(daemon int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.holder = daemon
+	d.watcher = daemon
 }
 
 // Daemons implements Peers.
@@ -85,14 +85,14 @@
 	if d.dealt != nil {
 		return d.runs[d.dealt[partition]], true
 	}
-	if d.holder < 0 {
+	if d.watcher < 0 {
 		return "", false
 	}
-	return d.runs[d.holder], true
+	return d.runs[d.watcher], true
 }
 
 // Ask implements Peers.
-func (d *daemons) Ask(ctx context.Context, machine, method string, asked, answer any) error {
+func (d *daemons) Ask(ctx context.Context, machine, method string, args, reply any) error {
 	d.mu.Lock()
 	d.asked++
 	dark := d.dark[machine]
@@ -107,9 +107,9 @@
 		}
 		service := d.readers[i].Service(ctx)
 		if method == methodItem {
-			return service.Item(asked.(ItemQuery), answer.(*Body))
+			return service.Item(args.(ItemQuery), reply.(*Body))
 		}
-		return service.Results(asked.(Query), answer.(*Page))
+		return service.Results(args.(Query), reply.(*Page))
 	}
 	return errDark
 }
@@ -178,8 +178,8 @@
 	})
 }
 
-// With the holder dark or not known, a question is answered from the journal.
-func TestQuestionsAreAnsweredWithoutTheHolder(t *testing.T) {
+// With the watcher dark or not known, a question is answered from the journal.
+func TestQuestionsAreAnsweredWithoutTheWatcher(t *testing.T) {
 	for name, watcher := range map[string]int{"dark": 1, "not known": -1} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -188,7 +188,7 @@
 				defer cancel()
 				d := newDaemons(ctx, 3)
 				d.accept(t, "b", 2)
-				d.hold(watcher)
+				d.watch(watcher)
 				d.dark["m1"] = true
 				began := time.Now()
 				page, err := d.readers[2].Results(ctx, Query{BatchID: "b"})
@@ -203,7 +203,7 @@
 	}
 }
 
-// A question that is held is answered when a result comes, through the holder too.
+// A question that is held is answered when a result comes, through the watcher too.
 func TestAHeldQuestionEndsWithTheResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -269,7 +269,7 @@
 	}
 }
 
-// Whoever is asked, while the partition changes hands and holders go dark: what one
+// Whoever is asked, while the partition changes hands and watchers go dark: what one
 // daemon has told, none denies.
 func TestAllDaemonsTellOneHistory(t *testing.T) {
 	asked := 0
@@ -307,7 +307,7 @@
 		began := time.Now()
 		switch each.kind {
 		case 0:
-			d.hold(each.daemon)
+			d.watch(each.daemon)
 		case 1:
 			d.mu.Lock()
 			machine := identity.Machine(d.runs[each.daemon])
@@ -339,7 +339,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		d := newDaemons(ctx, 2)
-		d.hold(1)
+		d.watch(1)
 		d.accept(t, "b", 1)
 		partition := d.ledgers[0].Of("b").Name()
 		d.log.Trim(partition, 1)
@@ -367,7 +367,7 @@
 	})
 }
 
-// A question whose holder said nothing waited for that one (0.9 s), then for a place among
+// A question whose watcher said nothing waited for that one (0.9 s), then for a place among
 // those that read the journal themselves or for the journal (1.5 s each): a question that
 // was not to be held was answered after 2.4 s. Callers leave 1.5 s beyond the time that
 // they allow, and have no answer then. They hear in time that nothing can be said yet.
@@ -413,9 +413,9 @@
 		d := newDaemons(ctx, 2)
 		d.accept(t, "b", 1)
 		core, logs := observer.New(zap.InfoLevel)
-		asked := NewReader(ledger.New(ctx, d.log, zap.NewNop()), d, d, scarce, d.runs[1], zap.New(core))
+		reader := NewReader(ledger.New(ctx, d.log, zap.NewNop()), d, d, scarce, d.runs[1], zap.New(core))
 		var ways []string
-		asked.SetObserver(func(way string, answered bool, _ time.Duration) { ways = append(ways, fmt.Sprint(way, answered)) })
+		reader.SetObserver(func(way string, answered bool, _ time.Duration) { ways = append(ways, fmt.Sprint(way, answered)) })
 		d.dark[identity.Machine(d.runs[0])] = true
 		d.log.SetBefall(func(call journaltest.Call) journaltest.Fault {
 			if call == journaltest.Read {
@@ -423,7 +423,7 @@
 			}
 			return journaltest.None
 		})
-		_, err := asked.Results(ctx, Query{BatchID: "b"})
+		_, err := reader.Results(ctx, Query{BatchID: "b"})
 		is.True(errors.Is(err, ErrBehind))
 		lines := logs.FilterMessage("question not answered").All()
 		is.Equal(len(lines), 1)
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -23,7 +23,7 @@
 
 // After a start of all, a question was refused at a daemon that read the partition by
 // itself, as it had saved up for that, and was not through after 1.3 s: with what others left
-// of the journal's bandwidth, or as each page waited for the one before. The holder, which
+// of the journal's bandwidth, or as each page waited for the one before. The watcher, which
 // had the answer in memory all the while, was not asked. With the journal at half of what it
 // grants, 84 daemons refused 125 of 333 questions, 22 s after their start.
 func TestAQuestionIsAnsweredByTheHolderWhereTheOwnReadTakesLong(t *testing.T) {
@@ -79,7 +79,7 @@
 
 // Asked for all batches 0.1 s after their start, 84 daemons refused 82 of 290 questions and told
 // the last batch after 4.3 s, as the daemons' budgets of reads were full (see below) and what
-// they read for questions kept the holders from reading their partitions.
+// they read for questions kept the watchers from reading their partitions.
 func TestAFleetTellsAllSoonAfterItsStart(t *testing.T) {
 	tellAllSoon(t, 1)
 }
@@ -113,7 +113,7 @@
 		asking, stop := context.WithTimeout(ctx, giveUp)
 		defer stop()
 		told = f.ask(asking, 7, 3)
-		t.Logf("%d questions, %d refused, %d left, at most %d tries, told after %v, %d MB read, %d MB from holders",
+		t.Logf("%d questions, %d refused, %d left, at most %d tries, told after %v, %d MB read, %d MB from watchers",
 			told.questions, told.refused, told.left, told.most, told.took, (f.store.carried.Load()-before)>>20, f.told.Load()>>20)
 	})
 	return told
--- a/internal/batches/results/trace.go
+++ b/internal/batches/results/trace.go
@@ -60,16 +60,17 @@
 func (t *trace) end(err error) {
 	open := t.r.open.Add(-1)
 	took := time.Since(t.began)
-	if t.r.observe != nil {
-		t.r.observe(string(t.way), err == nil, max(took-t.wait, 0))
-	}
+	t.r.observe(string(t.way), err == nil, max(took-t.wait, 0))
 	if err == nil {
 		return
 	}
+	name := t.partition.Name()
 	left, leftKnown := t.partition.Missing()
-	t.r.logger.Info("question not answered", zap.String("batch", t.batchID), zap.String("topic", t.partition.Name().Topic),
-		zap.Int("partition", t.partition.Name().Number), zap.String("way", string(t.way)), zap.Duration("hold", t.wait), zap.Duration("took", took),
-		zap.Int("missing", t.missing), zap.Bool("missing_known", t.missingKnown), zap.Int("missing_left", left), zap.Bool("missing_left_known", leftKnown),
-		zap.String("watcher", t.call.watcher), zap.Duration("watcher_sought", t.call.soughtFor), zap.Duration("watcher_asked", t.call.askedFor), zap.NamedError("watcher_error", t.call.err),
+	t.r.logger.Info("question not answered", zap.String("batch", t.batchID), zap.String("topic", name.Topic),
+		zap.Int("partition", name.Number), zap.String("way", string(t.way)), zap.Duration("hold", t.wait), zap.Duration("took", took),
+		zap.Int("missing", t.missing), zap.Bool("missing_known", t.missingKnown),
+		zap.Int("missing_left", left), zap.Bool("missing_left_known", leftKnown),
+		zap.String("watcher", t.call.watcher), zap.Duration("watcher_sought", t.call.soughtFor),
+		zap.Duration("watcher_asked", t.call.askedFor), zap.NamedError("watcher_error", t.call.err),
 		zap.Int64("questions_open", open), zap.Int("budget", t.r.budgetLeft()), zap.Error(err))
 }
--- a/internal/batches/results/watcher_test.go
+++ b/internal/batches/results/watcher_test.go
@@ -21,10 +21,10 @@
 		is := is.New(t)
 		log := journaltest.New()
 		var late sync.WaitGroup
-		peers := &alone{count: 2, holder: "h/1"}
-		peers.answer = func(ctx context.Context, _, answer any) error {
+		peers := &alone{daemons: 2, watcher: "h/1"}
+		peers.answer = func(ctx context.Context, _, reply any) error {
 			<-ctx.Done()
-			late.Go(func() { *answer.(*Beginning) = Beginning{Found: true, Offset: 7} })
+			late.Go(func() { *reply.(*Beginning) = Beginning{Found: true, Offset: 7} })
 			return ctx.Err()
 		}
 		reader := NewReader(ledger.New(t.Context(), log, zap.NewNop()), peers, peers, scarce, "m0/1", zap.NewNop())
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -63,19 +63,19 @@
 	return l.Journal.Owners(ctx, name)
 }
 
-// oneHolder is the daemon that watches all partitions. It implements results.Peers.
-type oneHolder struct{ reader *results.Reader }
+// oneWatcher is the daemon that watches all partitions. It implements results.Peers.
+type oneWatcher struct{ reader *results.Reader }
 
-func (oneHolder) Daemons() int { return 3 }
+func (oneWatcher) Daemons() int { return 3 }
 
-func (h oneHolder) Ask(ctx context.Context, _, _ string, asked, answer any) error {
+func (h oneWatcher) Ask(ctx context.Context, _, _ string, asked, answer any) error {
 	return h.reader.Service(ctx).Beginning(asked.(results.BeginningQuery), answer.(*results.Beginning))
 }
 
-// knownHolder is a group whose partitions are known to be all one daemon's.
-type knownHolder string
+// knownWatcher is a group whose partitions are known to be all one daemon's.
+type knownWatcher string
 
-func (k knownHolder) WatcherOf(context.Context, journal.Partition) (string, bool) {
+func (k knownWatcher) WatcherOf(context.Context, journal.Partition) (string, bool) {
 	return string(k), true
 }
 
@@ -100,13 +100,13 @@
 	go member.Run(ctx)
 	defer partition.Follow()()
 	time.Sleep(10 * time.Second)
-	peers := oneHolder{results.NewReader(held, knownHolder(holder), nil, log.Grants(), holder, logger)}
+	peers := oneWatcher{results.NewReader(held, knownWatcher(holder), nil, log.Grants(), holder, logger)}
 	locator := func(self string, batches *ledger.Ledger) Locator {
-		var holders results.Watchers = knownHolder(holder)
+		var watchers results.Watchers = knownWatcher(holder)
 		if groupTells {
-			holders = group.New(slow, self, ledger.TopicNames(), logger)
+			watchers = group.New(slow, self, ledger.TopicNames(), logger)
 		}
-		return results.NewReader(batches, holders, peers, journal.Grants{ReadBytesPerSecond: 1}, self, logger)
+		return results.NewReader(batches, watchers, peers, journal.Grants{ReadBytesPerSecond: 1}, self, logger)
 	}
 	chosen := newOwner(ctx, t, slow, "a/1")
 	chosen.SetLocator(locator("a/1", chosen.ledger))
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -14,7 +14,7 @@
 
 const (
 	// waitShare and slackShare are the parts of the contact bound that a read
-	// may be held, and may take beyond that. A read that was lost in an outage
+	// may wait for records, and may take beyond that. A read that was lost in an outage
 	// is thus given up and repeated well before the bound has passed since the
 	// outage's end.
 	waitShare  = 0.30
@@ -50,10 +50,21 @@
 
 // NewKeyedFollower returns a follower; Run starts it. ContactBound is the time
 // within which the handler must be up to date after an outage.
-func NewKeyedFollower(log Journal, partition Partition, handler KeyedHandler, contactBound time.Duration, logger *zap.Logger) *KeyedFollower {
-	return &KeyedFollower{journal: log, partition: partition, handler: handler, interval: noInterval, lastContact: NewContact(bootclock.Now),
-		maxInterval: time.Duration(maxIntervalShare * float64(contactBound)),
-		wait:        time.Duration(waitShare * float64(contactBound)), slack: time.Duration(slackShare * float64(contactBound)), logger: logger.With(zap.String("topic", partition.Topic))}
+func NewKeyedFollower(
+	log Journal, partition Partition, handler KeyedHandler, contactBound time.Duration, logger *zap.Logger,
+) *KeyedFollower {
+	part := func(share float64) time.Duration { return time.Duration(share * float64(contactBound)) }
+	return &KeyedFollower{
+		journal:     log,
+		partition:   partition,
+		handler:     handler,
+		wait:        part(waitShare),
+		slack:       part(slackShare),
+		logger:      logger.With(zap.String("topic", partition.Topic)),
+		interval:    noInterval,
+		maxInterval: part(maxIntervalShare),
+		lastContact: NewContact(bootclock.Now),
+	}
 }
 
 // SetInterval sets the least time between two reads; there is none before. It is called
--- a/internal/journal/interval_test.go
+++ b/internal/journal/interval_test.go
@@ -30,16 +30,16 @@
 )
 
 func startFleet(ctx context.Context, daemons int, granted float64) *fleet {
-	made := &fleet{log: journaltest.New()}
-	made.log.Granted.ReadsPerSecond = granted
+	f := &fleet{log: journaltest.New()}
+	f.log.Granted.ReadsPerSecond = granted
 	for range daemons {
 		seen := &values{values: map[string]string{}}
-		follower := journal.NewKeyedFollower(made.log, followed, seen, fleetBound, zap.NewNop())
-		follower.SetInterval(journal.SharedReadInterval(made.log, fleetShare, func() int { return daemons }))
+		follower := journal.NewKeyedFollower(f.log, followed, seen, fleetBound, zap.NewNop())
+		follower.SetInterval(journal.SharedReadInterval(f.log, fleetShare, func() int { return daemons }))
 		go follower.Run(ctx)
-		made.seen = append(made.seen, seen)
+		f.seen = append(f.seen, seen)
 	}
-	return made
+	return f
 }
 
 // change writes for a while at changesPerSecond, and returns the last value.
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -91,7 +91,7 @@
 type Read struct {
 	Partition Partition `cbor:"Partition"`
 	From      int64     `cbor:"From"`
-	// Wait is how long the call may be held while there is no record.
+	// Wait is how long the call may wait while there is no record.
 	Wait time.Duration `cbor:"Wait"`
 	// MaxBytes, if not 0, bounds the records of the answer; there is at least one.
 	MaxBytes int `cbor:"MaxBytes"`
--- a/internal/journal/observe.go
+++ b/internal/journal/observe.go
@@ -53,8 +53,8 @@
 	return appended, err
 }
 
-// Read implements Journal. Held reads are a kind of their own, as their time
-// says nothing of the journal.
+// Read implements Journal. Reads that wait for records, "held" as a label of metrics, are a kind of
+// their own, as their time says nothing of the journal.
 func (o *Observed) Read(ctx context.Context, request Read) (Records, error) {
 	began := time.Now()
 	read, err := o.Journal.Read(ctx, request)
--- a/internal/journal/relay/call.go
+++ b/internal/journal/relay/call.go
@@ -18,7 +18,7 @@
 	own func(ctx context.Context) (T, error)
 	// repeatable calls change nothing, or nothing more when made again.
 	repeatable bool
-	// wait is how long the call may be held on purpose.
+	// wait is how long a read waits for records.
 	wait time.Duration
 }
 
@@ -102,7 +102,8 @@
 // Newest implements journal.Journal.
 func (j *Journal) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
 	return call[journal.KeyedPage]{
-		operation: operation{Newest: &newestCall{Partition: partition, After: afterKey}}, take: func(answer reply) journal.KeyedPage { return answer.Page },
+		operation: operation{Newest: &newestCall{Partition: partition, After: afterKey}},
+		take:      func(answer reply) journal.KeyedPage { return answer.Page },
 		own: func(ctx context.Context) (journal.KeyedPage, error) {
 			return j.Journal.Newest(ctx, partition, afterKey)
 		},
--- a/internal/journal/relay/direct_test.go
+++ b/internal/journal/relay/direct_test.go
@@ -52,9 +52,9 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		made, server := newEcho(ctx, t)
+		d, server := newEcho(ctx, t)
 		dials, reachable := 0, true
-		made.relays[0].peers.dial = func(context.Context, string) (net.Conn, error) {
+		d.relays[0].peers.dial = func(context.Context, string) (net.Conn, error) {
 			dials++
 			if !reachable {
 				return nil, errors.New("unreachable")
@@ -62,20 +62,20 @@
 			return pipeTo(server), nil
 		}
 		answer := ""
-		is.NoErr(made.relays[0].Ask(ctx, "b", "Echo.Say", "hello", &answer))
+		is.NoErr(d.relays[0].Ask(ctx, "b", "Echo.Say", "hello", &answer))
 		is.Equal(answer, "hello")
-		is.True(errors.Is(made.relays[0].Ask(ctx, "b", "Echo.Say", "", &answer), ErrRefused))
-		is.NoErr(made.relays[0].Ask(ctx, "b", "Echo.Say", "again", &answer))
+		is.True(errors.Is(d.relays[0].Ask(ctx, "b", "Echo.Say", "", &answer), ErrRefused))
+		is.NoErr(d.relays[0].Ask(ctx, "b", "Echo.Say", "again", &answer))
 		is.Equal(dials, 1)
-		is.True(errors.Is(made.relays[0].Ask(ctx, "nobody", "Echo.Say", "x", &answer), ErrNotReached))
+		is.True(errors.Is(d.relays[0].Ask(ctx, "nobody", "Echo.Say", "x", &answer), ErrNotReached))
 		reachable = false
-		made.relays[0].peers.get("b").drop()
-		is.True(errors.Is(made.relays[0].Ask(ctx, "b", "Echo.Say", "x", &answer), ErrNotReached))
+		d.relays[0].peers.get("b").drop()
+		is.True(errors.Is(d.relays[0].Ask(ctx, "b", "Echo.Say", "x", &answer), ErrNotReached))
 		reachable = true
-		is.True(errors.Is(made.relays[0].Ask(ctx, "b", "Echo.Say", "x", &answer), ErrNotReached))
+		is.True(errors.Is(d.relays[0].Ask(ctx, "b", "Echo.Say", "x", &answer), ErrNotReached))
 		is.Equal(dials, 2)
 		time.Sleep(brokenRest)
-		is.NoErr(made.relays[0].Ask(ctx, "b", "Echo.Say", "back", &answer))
+		is.NoErr(d.relays[0].Ask(ctx, "b", "Echo.Say", "back", &answer))
 	})
 }
 
@@ -116,14 +116,14 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		made, server := newEcho(ctx, t)
+		d, server := newEcho(ctx, t)
 		peer := &restartable{server: server}
-		made.relays[0].peers.dial = peer.dial
+		d.relays[0].peers.dial = peer.dial
 		answer := ""
-		is.NoErr(made.relays[0].Ask(ctx, "b", "Echo.Say", "hello", &answer))
+		is.NoErr(d.relays[0].Ask(ctx, "b", "Echo.Say", "hello", &answer))
 		peer.restart()
 		synctest.Wait()
-		is.NoErr(made.relays[0].Ask(ctx, "b", "Echo.Say", "again", &answer))
+		is.NoErr(d.relays[0].Ask(ctx, "b", "Echo.Say", "again", &answer))
 		is.Equal(answer, "again")
 		is.Equal(peer.dials, 2)
 	})
--- a/internal/journal/relay/drain_test.go
+++ b/internal/journal/relay/drain_test.go
@@ -17,11 +17,11 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		made := newDaemons(ctx, t, 3)
-		asker, stopping := made.relays[0], made.relays[1]
-		made.ways[0].fault.Store(silent)
+		d := newDaemons(ctx, t, 3)
+		asker, stopping := d.relays[0], d.relays[1]
+		d.ways[0].fault.Store(silent)
 		untilLost(ctx, asker)
-		made.ways[1].lag.Store(int64(300 * time.Millisecond))
+		d.ways[1].lag.Store(int64(300 * time.Millisecond))
 		asker.peers.mu.Lock()
 		asker.peers.current = "b"
 		asker.peers.mu.Unlock()
@@ -41,9 +41,9 @@
 		took := (<-drained).Sub(began)
 		is.True(took >= 200*time.Millisecond) // the append's rest
 		is.True(took <= time.Second)          // that of a read which is held for the peer
-		found, err := texts(ctx, made.relays[2])
+		stored, err := texts(ctx, d.relays[2])
 		is.NoErr(err)
-		is.Equal(found, []string{"meanwhile", "under way"})
+		is.Equal(stored, []string{"meanwhile", "under way"})
 	})
 }
 
@@ -53,16 +53,16 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		made := newDaemons(ctx, t, 2)
-		made.ways[0].fault.Store(silent)
-		untilLost(ctx, made.relays[0])
-		made.ways[1].lag.Store(int64(time.Minute))
-		go func() { _ = appendOne(ctx, made.relays[0], "never", time.Second) }() // it is given up
+		d := newDaemons(ctx, t, 2)
+		d.ways[0].fault.Store(silent)
+		untilLost(ctx, d.relays[0])
+		d.ways[1].lag.Store(int64(time.Minute))
+		go func() { _ = appendOne(ctx, d.relays[0], "never", time.Second) }() // it is given up
 		time.Sleep(100 * time.Millisecond)
 		bounded, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		made.relays[1].Drain(bounded)
+		d.relays[1].Drain(bounded)
 		is.Equal(time.Since(began), 200*time.Millisecond)
 	})
 }
--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -55,11 +55,11 @@
 }
 
 func newLinedConn(ctx context.Context, conn net.Conn, out *line) lined {
-	made := lined{conn, make(chan []byte, 1<<16)}
+	l := lined{conn, make(chan []byte, 1<<16)}
 	go func() {
 		for {
 			select {
-			case content := <-made.writes:
+			case content := <-l.writes:
 				out.carry(ctx, len(content))
 				_, _ = conn.Write(content) // Who reads sees that the connection has ended.
 			case <-ctx.Done():
@@ -67,7 +67,7 @@
 			}
 		}
 	}()
-	return made
+	return l
 }
 
 func (l lined) Write(content []byte) (int, error) {
@@ -192,8 +192,8 @@
 				store := journaltest.New()
 				store.RecordBytes = 256 << 10
 				fill(ctx, t, store, zone, each)
-				made := newLined(ctx, t, store, zone, zone-left, bytesPerSecond)
-				folds := made.follow(ctx, zone)
+				d := newLined(ctx, t, store, zone, zone-left, bytesPerSecond)
+				folds := d.follow(ctx, zone)
 				go configure(ctx, store)
 				began, learned := time.Now(), 0
 				for learned < zone && time.Since(began) < servesAgain {
@@ -207,7 +207,7 @@
 				}
 				took := time.Since(began)
 				done, failed := uint64(0), uint64(0)
-				for _, relayed := range made.relays {
+				for _, relayed := range d.relays {
 					relayedDone, relayedFailed := relayed.Relayed()
 					done, failed = done+relayedDone, failed+relayedFailed
 				}
--- a/internal/journal/relay/lostpeer_test.go
+++ b/internal/journal/relay/lostpeer_test.go
@@ -17,10 +17,10 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		daemons, server := newEcho(ctx, t)
-		daemons.relays[0].peers.dial = func(context.Context, string) (net.Conn, error) { return pipeTo(server), nil }
-		daemons.relays[0].peers.rest("b", lostRest, "has lost the journal as well", nil)
+		d, server := newEcho(ctx, t)
+		d.relays[0].peers.dial = func(context.Context, string) (net.Conn, error) { return pipeTo(server), nil }
+		d.relays[0].peers.rest("b", lostRest, "has lost the journal as well", nil)
 		answer := ""
-		is.NoErr(daemons.relays[0].Ask(ctx, "b", "Echo.Say", "hello", &answer))
+		is.NoErr(d.relays[0].Ask(ctx, "b", "Echo.Say", "hello", &answer))
 	})
 }
--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -49,7 +49,7 @@
 	return &path{expected: map[*pending]struct{}{}, answered: now, lostCh: make(chan struct{})}
 }
 
-// begin notes a call that may be held for wait.
+// begin notes a call that waits for records so long.
 func (p *path) begin(now time.Time, wait time.Duration) *pending {
 	e := &pending{by: now.Add(wait)}
 	p.mu.Lock()
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -196,7 +196,8 @@
 		p.current = ""
 	}
 	p.mu.Unlock()
-	p.leftAlone.Note(logging.Occurrence{Key: reason, Subject: name, Took: length}, zap.String("peer", name), zap.Duration("rest", length), zap.Error(cause))
+	p.leftAlone.Note(logging.Occurrence{Key: reason, Subject: name, Took: length},
+		zap.String("peer", name), zap.Duration("rest", length), zap.Error(cause))
 }
 
 // close ends the connections to peers.
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -66,7 +66,14 @@
 
 // New wraps a journal. Without Run, all calls go straight to it.
 func New(direct journal.Journal, options Options, logger *zap.Logger) *Journal {
-	return &Journal{Journal: direct, options: options, logger: logger, path: newPath(time.Now()), peers: newPeers(options, logger), receivers: map[string]any{}}
+	return &Journal{
+		Journal:   direct,
+		options:   options,
+		logger:    logger,
+		path:      newPath(time.Now()),
+		peers:     newPeers(options, logger),
+		receivers: map[string]any{},
+	}
 }
 
 // Run keeps the beliefs about the path up to date until the context ends.
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -146,13 +146,13 @@
 // texts returns the records, but for those appended until a loss had shown.
 func texts(ctx context.Context, log journal.Journal) ([]string, error) {
 	read, err := log.Read(ctx, journal.Read{Partition: records})
-	var found []string
+	var stored []string
 	for _, record := range read.Records {
 		if text := string(record); text != beforeLoss {
-			found = append(found, text)
+			stored = append(stored, text)
 		}
 	}
-	return found, err
+	return stored, err
 }
 
 // untilLost appends until a daemon's own way counts as lost.
@@ -175,27 +175,27 @@
 			is := is.New(t)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			made := newDaemons(ctx, t, 3)
-			is.NoErr(appendOne(ctx, made.relays[0], "before", time.Second))
-			made.ways[0].fault.Store(fault)
+			d := newDaemons(ctx, t, 3)
+			is.NoErr(appendOne(ctx, d.relays[0], "before", time.Second))
+			d.ways[0].fault.Store(fault)
 			// The loss shows within a second, whatever the daemon does meanwhile.
-			untilLost(ctx, made.relays[0])
-			is.NoErr(appendOne(ctx, made.relays[0], "through another", 200*time.Millisecond))
-			found, err := texts(ctx, made.relays[0])
+			untilLost(ctx, d.relays[0])
+			is.NoErr(appendOne(ctx, d.relays[0], "through another", 200*time.Millisecond))
+			stored, err := texts(ctx, d.relays[0])
 			is.NoErr(err)
-			is.Equal(found, []string{"before", "through another"})
+			is.Equal(stored, []string{"before", "through another"})
 			// Two that are cut off tell each other so, and both go through the third.
-			made.ways[1].fault.Store(fault)
-			untilLost(ctx, made.relays[1])
-			is.NoErr(appendOne(ctx, made.relays[0], "a", 200*time.Millisecond))
-			is.NoErr(appendOne(ctx, made.relays[1], "b", 200*time.Millisecond))
-			made.ways[0].fault.Store(open)
+			d.ways[1].fault.Store(fault)
+			untilLost(ctx, d.relays[1])
+			is.NoErr(appendOne(ctx, d.relays[0], "a", 200*time.Millisecond))
+			is.NoErr(appendOne(ctx, d.relays[1], "b", 200*time.Millisecond))
+			d.ways[0].fault.Store(open)
 			time.Sleep(2 * probeInterval)
-			is.True(!made.relays[0].Lost())
-			is.True(made.relays[1].Lost())
-			done, _ := made.relays[0].Relayed()
-			is.NoErr(appendOne(ctx, made.relays[0], "own way", 200*time.Millisecond))
-			after, _ := made.relays[0].Relayed()
+			is.True(!d.relays[0].Lost())
+			is.True(d.relays[1].Lost())
+			done, _ := d.relays[0].Relayed()
+			is.NoErr(appendOne(ctx, d.relays[0], "own way", 200*time.Millisecond))
+			after, _ := d.relays[0].Relayed()
 			is.Equal(after, done)
 		})
 	}
@@ -208,24 +208,24 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		made := newDaemons(ctx, t, 3)
-		for _, way := range made.ways {
+		d := newDaemons(ctx, t, 3)
+		for _, way := range d.ways {
 			way.fault.Store(refused)
 		}
 		for range 20 {
-			for _, relayed := range made.relays {
+			for _, relayed := range d.relays {
 				err := appendOne(ctx, relayed, beforeLoss, 300*time.Millisecond)
 				is.True(errors.Is(err, journal.ErrNotDone) || errors.Is(err, journal.ErrUnknown))
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		for _, way := range made.ways {
+		for _, way := range d.ways {
 			way.fault.Store(open)
 		}
-		is.NoErr(appendOne(ctx, made.relays[0], "back", 50*time.Millisecond))
-		found, err := texts(ctx, made.relays[1])
+		is.NoErr(appendOne(ctx, d.relays[0], "back", 50*time.Millisecond))
+		stored, err := texts(ctx, d.relays[1])
 		is.NoErr(err)
-		is.Equal(found, []string{"back"})
+		is.Equal(stored, []string{"back"})
 	})
 }
 
@@ -236,25 +236,25 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		made := newDaemons(ctx, t, 2)
-		made.ways[0].fault.Store(refused)
-		untilLost(ctx, made.relays[0])
+		d := newDaemons(ctx, t, 2)
+		d.ways[0].fault.Store(refused)
+		untilLost(ctx, d.relays[0])
 		start := int64(0)
 		empty := journal.Partition{Topic: "empty"}
 		conditional := journal.Append{Partition: empty, Records: [][]byte{[]byte("x")}, ExpectedEnd: &start}
-		appended, err := made.relays[0].Append(ctx, conditional)
+		appended, err := d.relays[0].Append(ctx, conditional)
 		is.NoErr(err)
 		is.Equal(appended, journal.Appended{Offset: 0, End: 1})
-		_, err = made.relays[0].Append(ctx, conditional)
+		_, err = d.relays[0].Append(ctx, conditional)
 		is.True(errors.Is(err, journal.ErrPosition))
-		assignment, err := made.relays[0].Join(ctx, journal.Join{Group: "g", Member: "m", Topics: []string{"t"}, Lifetime: time.Second})
+		assignment, err := d.relays[0].Join(ctx, journal.Join{Group: "g", Member: "m", Topics: []string{"t"}, Lifetime: time.Second})
 		is.NoErr(err)
-		is.Equal(len(assignment.Partitions), made.store.PartitionsPerTopic())
-		rows, err := made.relays[0].Owners(ctx, "g")
+		is.Equal(len(assignment.Partitions), d.store.PartitionsPerTopic())
+		rows, err := d.relays[0].Owners(ctx, "g")
 		is.NoErr(err)
-		is.Equal(len(rows), made.store.PartitionsPerTopic())
-		is.NoErr(made.relays[0].Leave(ctx, "g", "m"))
-		page, err := made.relays[0].Newest(ctx, Partition(made.store), "")
+		is.Equal(len(rows), d.store.PartitionsPerTopic())
+		is.NoErr(d.relays[0].Leave(ctx, "g", "m"))
+		page, err := d.relays[0].Newest(ctx, Partition(d.store), "")
 		is.NoErr(err)
 		is.Equal(len(page.Records), 2)
 	})
--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -68,9 +68,9 @@
 		_, err := revived.Owners(ctx, "g")
 		is.NoErr(err)
 		for _, each := range []chan ended{appended, held} {
-			got := <-each
-			is.True(errors.Is(got.err, journal.ErrUnknown))
-			is.Equal(got.at, back)
+			outcome := <-each
+			is.True(errors.Is(outcome.err, journal.ErrUnknown))
+			is.Equal(outcome.at, back)
 		}
 		is.Equal(revived.GivenUp(), uint64(2))
 	})
@@ -95,8 +95,8 @@
 		is.NoErr(err)
 		_, err = revived.Append(ctx, journal.Append{Partition: part, Records: [][]byte{{1}}})
 		is.NoErr(err)
-		got := <-held
-		is.NoErr(got.err)
+		outcome := <-held
+		is.NoErr(outcome.err)
 		// One partition alone may be silent: answers of others say nothing of it.
 		silent.Store(true)
 		young := background(func() error {
@@ -181,10 +181,10 @@
 			is.NoErr(err)
 			synctest.Wait()
 		}
-		got := <-lost
-		is.True(errors.Is(got.err, journal.ErrUnknown))
-		is.True(got.at.Sub(began) > wait+500*time.Millisecond)
-		is.True(got.at.Sub(began) <= wait+600*time.Millisecond+step)
+		outcome := <-lost
+		is.True(errors.Is(outcome.err, journal.ErrUnknown))
+		is.True(outcome.at.Sub(began) > wait+500*time.Millisecond)
+		is.True(outcome.at.Sub(began) <= wait+600*time.Millisecond+step)
 	})
 }
 
@@ -232,8 +232,8 @@
 					_, err = revived.Newest(t.Context(), other, "")
 					is.NoErr(err)
 				}
-				got := <-read
-				is.Equal(errors.Is(got.err, journal.ErrUnknown), bulk)
+				outcome := <-read
+				is.Equal(errors.Is(outcome.err, journal.ErrUnknown), bulk)
 			})
 		})
 	}
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -75,7 +75,16 @@
 
 // New returns a lease on the partition for the incarnation of a daemon named self on a machine.
 func New(log journal.Journal, partition journal.Partition, self, machine string, quiet time.Duration, logger *zap.Logger) *Lease {
-	return &Lease{journal: log, partition: partition, self: self, machine: machine, quiet: quiet, now: bootclock.Now, logger: logger, reclaiming: true}
+	return &Lease{
+		journal:    log,
+		partition:  partition,
+		self:       self,
+		machine:    machine,
+		quiet:      quiet,
+		now:        bootclock.Now,
+		logger:     logger,
+		reclaiming: true,
+	}
 }
 
 // SetClock sets the clock by which the lease runs out. It is called before Run.
--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -41,30 +41,30 @@
 	acts  []act
 }
 
-func (h *history) add(made act) {
+func (h *history) add(r act) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.acts = append(h.acts, made)
+	h.acts = append(h.acts, r)
 }
 
 // check holds an act against all before it: fences never fall, belong to one
 // machine each, and another machine has been quiet.
 func (h *history) check() error {
 	holders := map[int64]string{}
-	for i, made := range h.acts {
-		if holder, used := holders[made.fence]; used && holder != made.machine {
-			return fmt.Errorf("fence %d was used by %s and %s", made.fence, holder, made.machine)
+	for i, r := range h.acts {
+		if holder, used := holders[r.fence]; used && holder != r.machine {
+			return fmt.Errorf("fence %d was used by %s and %s", r.fence, holder, r.machine)
 		}
-		holders[made.fence] = made.machine
+		holders[r.fence] = r.machine
 		if i == 0 {
 			continue
 		}
 		before := h.acts[i-1]
-		if made.fence < before.fence {
-			return fmt.Errorf("fence %d of %s after %d of %s", made.fence, made.machine, before.fence, before.machine)
+		if r.fence < before.fence {
+			return fmt.Errorf("fence %d of %s after %d of %s", r.fence, r.machine, before.fence, before.machine)
 		}
-		if before.machine != made.machine && made.at.Sub(before.at) < quiet {
-			return fmt.Errorf("%s acted %v after %s", made.machine, made.at.Sub(before.at), before.machine)
+		if before.machine != r.machine && r.at.Sub(before.at) < quiet {
+			return fmt.Errorf("%s acted %v after %s", r.machine, r.at.Sub(before.at), before.machine)
 		}
 	}
 	return nil
