--- a/internal/api/standalone/retries.go
+++ b/internal/api/standalone/retries.go
@@ -10,7 +10,7 @@
 )
 
 // retries lets the policies in force and the retry budget decide on offers to
-// further replicas. It implements ingress.Retries.
+// further replicas, beyond forward.Tries. It implements ingress.Retries.
 type retries struct {
 	decoder       *Decoder
 	configuration func() *route.Configuration
--- a/internal/requests/eventstream/eventstream.go
+++ b/internal/requests/eventstream/eventstream.go
@@ -1,4 +1,10 @@
-// Package eventstream reads a text/event-stream one whole event at a time.
+// Package eventstream reads a text/event-stream one whole event at a time. It keeps the raw
+// bytes, so that an event can be passed on as it came, and tells the stream's proper end from a
+// cut.
+//
+// # Usage
+//
+//	event, err := reader.Next() // io.EOF at the proper end
 package eventstream
 
 import (
--- a/internal/requests/headers/headers.go
+++ b/internal/requests/headers/headers.go
@@ -1,6 +1,7 @@
 // Package headers holds the names of the HTTP headers in which woodworks,
 // its callers and its replicas tell each other about a request. The names
-// differ between platforms; what each header means does not.
+// differ between platforms; what each header means does not. The package owns no state; an
+// empty name stands for a header that a platform does not have.
 package headers
 
 import (
--- a/internal/requests/retrybudget/retrybudget.go
+++ b/internal/requests/retrybudget/retrybudget.go
@@ -1,5 +1,11 @@
-// Package retrybudget bounds retries to a share of first tries, so that
-// retries cannot multiply an overload.
+// Package retrybudget bounds retries to a part of first tries, so that
+// retries cannot multiply an overload. A Budget owns what is saved up, and relies on its
+// user to note each first try; the user has the rates.
+//
+// # Usage
+//
+//	budget.FirstTry(20)                            // each hundred first tries earn 20 retries
+//	if budget.TryRetry(now, 5) { ... try again ... } // 5 a second in any case
 package retrybudget
 
 import (
--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -1,5 +1,11 @@
 // Package route holds the operator's configuration as one immutable value and
-// finds the route of a request.
+// finds the route of a request. Decoders of the platforms make configurations (New); catalog owns
+// the one in force.
+//
+// # Usage
+//
+//	rt, ok := configuration.Find(host, path)
+//	services := rt.Order(requestID) // in which order to try them
 package route
 
 import (
--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -49,7 +49,7 @@
 
 func (c *connection) close() {
 	c.closeOnce.Do(func() {
-		_ = c.raw.Close()
+		_ = c.raw.Close() // all that was promised of it stands in the answer
 		c.pool.closed(c.address)
 	})
 }
@@ -74,37 +74,45 @@
 	return recvbuf.Look(c.raw) == recvbuf.Empty
 }
 
+// exchange sends a request and returns its answer once the head is there.
 func (c *connection) exchange(ctx context.Context, req *Request) (*Answer, error) {
 	stop := context.AfterFunc(ctx, c.close)
-	fail := func(err error) (*Answer, error) {
+	response, err := c.roundTrip(req)
+	if err != nil {
 		stop()
 		c.close()
 		return nil, err
 	}
-	head := appendHead(nil, req)
+	return &Answer{Status: response.StatusCode, Header: response.Header, response: response, conn: c, stop: stop}, nil
+}
+
+func (c *connection) roundTrip(req *Request) (*http.Response, error) {
+	if err := c.send(req); err != nil {
+		return nil, err
+	}
+	return c.readHead(req)
+}
+
+// send writes the request; a long body goes on being written while the answer is awaited.
+func (c *connection) send(req *Request) error {
+	text := appendHead(nil, req)
+	long := len(req.Body) > inlineBodyBytes
+	if !long {
+		text = append(text, req.Body...)
+	}
 	if req.Sending != nil {
 		req.Sending()
 	}
-	if len(req.Body) <= inlineBodyBytes {
-		written, err := c.raw.Write(append(head, req.Body...))
-		if err != nil && written == 0 {
-			return fail(errors.Wrap(ErrNotSent, err.Error()))
-		}
-		if err != nil {
-			return fail(errors.Wrap(ErrNoAnswer, err.Error()))
-		}
-	} else {
-		written, err := c.raw.Write(head)
-		if err != nil && written == 0 {
-			return fail(errors.Wrap(ErrNotSent, err.Error()))
-		}
+	written, err := c.raw.Write(text)
+	switch {
+	case err != nil && written == 0:
+		return errors.Wrap(ErrNotSent, err.Error())
+	case err != nil && !long:
+		return errors.Wrap(ErrNoAnswer, err.Error())
+	case long:
 		c.writeBody(req.Body)
 	}
-	response, err := c.readHead(req)
-	if err != nil {
-		return fail(err)
-	}
-	return &Answer{Status: response.StatusCode, Header: response.Header, response: response, conn: c, stop: stop}, nil
+	return nil
 }
 
 // writeBody writes a long body while the answer is awaited, as a peer may
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -4,6 +4,16 @@
 // It stands where net/http's Transport would: that one sends some requests
 // again by itself and unpacks bodies, and a caller that must count attempts
 // can allow neither.
+//
+// The package owns the connections to peers: how many there are, which rest and until when. It
+// relies on peers to say how long a connection may rest (Keep-Alive) and to repeat the id of
+// a request in its answer.
+//
+// # Usage
+//
+//	answer, err := pool.Exchange(ctx, address, &upstream.Request{...})
+//	if errors.Is(err, upstream.ErrNotSent) { ... it has not run ... }
+//	defer answer.Close() // the connection rests if the answer was read to its end
 package upstream
 
 import (
@@ -111,6 +121,7 @@
 			}
 		}
 		return raw.Control(func(descriptor uintptr) {
+			// Where it is not known, a broken connection shows by keep-alive, later.
 			_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(options.UnackedTimeout.Milliseconds()))
 		})
 	}
