--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -93,8 +93,7 @@
 
 func withFleet(t *testing.T, count int, test func(is *is.I, ctx context.Context, daemons *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		test(is.New(t), ctx, newFleet(ctx, count))
 	})
 }
--- a/internal/batches/runner/accept_test.go
+++ b/internal/batches/runner/accept_test.go
@@ -17,8 +17,7 @@
 func TestABatchOfNobodyIsNotKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		log := journaltest.New()
 		owner := newOwner(ctx, t, log, "a/1")
 		left, leave := context.WithCancel(ctx)
@@ -33,8 +32,7 @@
 func TestAStoppingOwnerTakesNoBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		owner := newOwner(ctx, t, journaltest.New(), "a/1")
 		owner.Release(ctx)
 		err := owner.Accept(ctx, &twoItems)
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -108,8 +108,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				ctx, cancel := context.WithCancel(t.Context())
-				defer cancel()
+				ctx := t.Context()
 				took, owner := begunAfter(ctx, t, others, link, each.locator)
 				t.Logf("begun after %v by %s", took, owner)
 				is.True(each.owner == "" || owner == each.owner)
@@ -124,8 +123,7 @@
 func TestABatchReadAloneIsTheFirstOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		log := journaltest.New()
 		whole := ledger.New(ctx, log, zap.NewNop())
 		partition := whole.Of("x")
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -140,8 +140,7 @@
 			t.Run(fmt.Sprint(name, ", ", takes), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
-					ctx, cancel := context.WithCancel(t.Context())
-					defer cancel()
+					ctx := t.Context()
 					alone, _ := beginsLate(ctx, t, 0, takes, groupTells)
 					among, owner := beginsLate(ctx, t, others, takes, groupTells)
 					t.Logf("begun after %v alone, after %v among %d MB of others, by %s", alone, among, others>>20, owner)
--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -1,7 +1,6 @@
 package runner
 
 import (
-	"context"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -21,8 +20,7 @@
 func TestTheSchedulerHearsOfOverdueFirstEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		owner := newOwner(ctx, t, journaltest.New(), "a/1")
 		is.NoErr(owner.Accept(ctx, &twoItems))
 		synctest.Wait()
@@ -48,8 +46,7 @@
 func TestItemsThatFailedAreNotHeldBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		owner := newOwner(ctx, t, journaltest.New(), "a/1")
 		is.NoErr(owner.Accept(ctx, &twoItems))
 		synctest.Wait()
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -73,8 +73,7 @@
 	for _, early := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			ctx, cancel := context.WithCancel(t.Context())
-			defer cancel()
+			ctx := t.Context()
 			log := journaltest.New()
 			first, second := newOwner(ctx, t, log, "a/1"), newOwner(ctx, t, log, "b/1")
 			is.NoErr(first.Accept(ctx, &twoItems))
@@ -103,8 +102,7 @@
 func TestAnItemThatBreaksAfterTheHandingOverIsStartedByTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		log := journaltest.New()
 		first, second := newOwner(ctx, t, log, "a/1"), newOwner(ctx, t, log, "b/1")
 		is.NoErr(first.Accept(ctx, &twoItems))
@@ -126,8 +124,7 @@
 func TestItemsAreLeftToTheOwnerBeforeOnlyOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		log := journaltest.New()
 		first, third := newOwner(ctx, t, log, "a/1"), newOwner(ctx, t, log, "c/1")
 		is.NoErr(first.Accept(ctx, &twoItems))
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -47,8 +47,7 @@
 func TestABatchGivenToAnOwnerThatHasEndedIsTakenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		accepter := newAccepter(ctx, journaltest.New(), "gone/1")
 		is.NoErr(accepter.Accept(ctx, &oneItem))
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "gone/1")
@@ -64,8 +63,7 @@
 func TestABatchStaysWithAnOwnerThatHasBegun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		log := journaltest.New()
 		accepter := newAccepter(ctx, log, "a/1")
 		is.NoErr(accepter.Accept(ctx, &oneItem))
@@ -82,8 +80,7 @@
 func TestNothingIsTakenBackWhileTheJournalIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		log := journaltest.New()
 		accepter := newAccepter(ctx, log, "a/1")
 		is.NoErr(accepter.Accept(ctx, &oneItem))
--- a/internal/batches/runner/stop_test.go
+++ b/internal/batches/runner/stop_test.go
@@ -43,8 +43,7 @@
 func TestAReleaseEndsWithItsRecordsInTheJournal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		log := journaltest.New()
 		owner := newOwner(ctx, t, log, "a/1")
 		is.NoErr(owner.Accept(ctx, &twoItems))
@@ -115,8 +114,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				ctx, cancel := context.WithCancel(t.Context())
-				defer cancel()
+				ctx := t.Context()
 				log := &slow{Journal: journaltest.New()}
 				stopping := newOwner(ctx, t, log, "b/1")
 				is.NoErr(get(ctx, log, stopping))
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -35,8 +35,7 @@
 func TestPartitionsAreWatchedOnUntilAnotherWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		jobs := ledger.New(ctx, journaltest.New(), zap.NewNop())
 		one := journal.Partition{Topic: ledger.TopicNames()[0]}
 		group := &dealing{partitions: map[journal.Partition]bool{one: true}}
@@ -95,8 +94,7 @@
 func TestSilenceIsSeenBetweenHeldReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		group := &replaced{}
 		watcher, partition := newWatched(ctx, journaltest.New(), group)
 		group.partitions = map[journal.Partition]bool{partition.Name(): true}
@@ -113,8 +111,7 @@
 func TestASignInTheJournalKeepsTheOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		group := &replaced{}
 		log := journaltest.New()
 		watcher, partition := newWatched(ctx, log, group)
@@ -140,8 +137,7 @@
 func TestAReplacedOwnerIsFoundWhenTheGroupChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		group := &replaced{}
 		log := journaltest.New()
 		watcher, partition := newWatched(ctx, log, group)
@@ -157,8 +153,7 @@
 // Each owner is looked for once in a generation, not at each of its signs.
 func TestALivingOwnerIsLookedForOnceInAGeneration(t *testing.T) {
 	is := is.New(t)
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
+	ctx := t.Context()
 	group := &replaced{}
 	watcher, partition := newWatched(ctx, journaltest.New(), group)
 	is.NoErr(partition.Append(ctx, batch.Accepted(&batch.Submission{ID: "x", Items: []batch.Item{{ID: "i"}}}, "c/1")))
@@ -186,8 +181,7 @@
 			t.Run(fmt.Sprintf("%v released=%v", lag, released), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
-					ctx, cancel := context.WithCancel(t.Context())
-					defer cancel()
+					ctx := t.Context()
 					log := &slow{Journal: journaltest.New()}
 					owner := newOwner(ctx, t, log, "b/1")
 					partition := owner.ledger.Of("x")
