--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -109,11 +109,10 @@
 		if err := a.receive(event, version); err != nil {
 			return err
 		}
+		now := time.Now()
 		if last.IsZero() {
 			a.noteFirstEvent()
-		}
-		now := time.Now()
-		if !last.IsZero() {
+		} else {
 			table.ObserveEvent(start, now.Sub(last))
 		}
 		last = now
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"slices"
 	"sync"
 	"time"
 
@@ -69,12 +70,8 @@
 	defer s.mu.Unlock()
 	key := occupancy.KeyOf(service, time.Time{})
 	own, _ := demandOf(key, snap, nil)
-	due := 0
-	for _, decision := range decisions {
-		if _, start := decision.(scheduling.Start); start {
-			due++
-		}
-	}
+	started, _ := startsOf(decisions)
+	due := len(started)
 	turn, others := s.turnOf(service), s.table.Demands(key)
 	left := turn.Leaves()
 	allowed := turn.Allow(now, occupancy.Allowance(capacityOf(snap), own, others), due)
@@ -103,16 +100,14 @@
 }
 
 // firstStarts returns the decisions without the starts after so many.
-func firstStarts(decisions []scheduling.Decision, starts int) (kept []scheduling.Decision) {
-	for _, decision := range decisions {
-		if _, start := decision.(scheduling.Start); start {
-			if starts--; starts < 0 {
-				continue
-			}
+func firstStarts(decisions []scheduling.Decision, starts int) []scheduling.Decision {
+	return slices.DeleteFunc(slices.Clone(decisions), func(decision scheduling.Decision) bool {
+		_, start := decision.(scheduling.Start)
+		if start {
+			starts--
 		}
-		kept = append(kept, decision)
-	}
-	return kept
+		return start && starts < 0
+	})
 }
 
 // capacityOf returns how many requests the engines of a snapshot run at a time.
--- a/internal/batches/runner/handover.go
+++ b/internal/batches/runner/handover.go
@@ -34,8 +34,7 @@
 	j.r.work.Add(1)
 	go func() {
 		defer j.r.work.Done()
-		next := &attempt{pending: p, replica: to}
-		next.continueFrom(from, req, gain)
+		(&attempt{pending: p, replica: to}).continueFrom(from, req, gain)
 	}()
 }
 
--- a/internal/batches/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -1,6 +1,7 @@
 package runner
 
 import (
+	"slices"
 	"sync"
 
 	"woodworks/internal/batches/batch"
@@ -68,10 +69,8 @@
 }
 
 func (m *modelHistory) remember(b rememberedBatch) {
-	for _, before := range m.batches {
-		if before.id == b.id {
-			return
-		}
+	if slices.ContainsFunc(m.batches, func(before rememberedBatch) bool { return before.id == b.id }) {
+		return
 	}
 	m.batches = append(m.batches, b)
 	if len(m.batches) > rememberedBatches {
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"sync"
 	"time"
 
@@ -160,12 +161,7 @@
 
 // noneUnderWay reports whether nothing is left to finish here. The mutex is held.
 func (j *job) noneUnderWay() bool {
-	for _, it := range j.items {
-		if it.underWay() {
-			return false
-		}
-	}
-	return len(j.results.pending) == 0
+	return len(j.results.pending) == 0 && !slices.ContainsFunc(j.items, (*item).underWay)
 }
 
 // waiting returns how many items wait.
--- a/internal/batches/runner/listing.go
+++ b/internal/batches/runner/listing.go
@@ -7,6 +7,7 @@
 	"go.uber.org/zap"
 
 	"woodworks/internal/batches/batch"
+	"woodworks/internal/daemon/periodic"
 )
 
 const (
@@ -97,10 +98,7 @@
 		if failures == 1 && j.ctx.Err() == nil {
 			j.logger.Info("results not listed yet", zap.Int("results", len(results)), zap.Error(err))
 		}
-		select {
-		case <-j.ctx.Done():
-		case <-time.After(appendPause):
-		}
+		periodic.Pause(j.ctx, appendPause)
 	}
 	return false
 }
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -87,10 +87,7 @@
 		} else {
 			j.logger.Info("reward call has no route", zap.String("item", it.ID), zap.Int64("configuration", configuration.Version))
 		}
-		select {
-		case <-j.ctx.Done():
-		case <-time.After(pause):
-		}
+		periodic.Pause(j.ctx, pause)
 		pause = min(2*pause, maxRewardPause)
 	}
 }
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -27,6 +27,8 @@
 
 import (
 	"context"
+	"maps"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -196,11 +198,7 @@
 func (r *Runner) jobList() []*job {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	jobs := make([]*job, 0, len(r.jobs))
-	for _, j := range r.jobs {
-		jobs = append(jobs, j)
-	}
-	return jobs
+	return slices.Collect(maps.Values(r.jobs))
 }
 
 // Load returns how many batches are run here and how many items wait.
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -28,11 +28,9 @@
 func (r *Runner) views(now time.Time) map[string]*view {
 	views := map[string]*view{}
 	for _, j := range r.jobList() {
-		rt, ok := j.route()
-		if !ok {
-			continue
+		if rt, ok := j.route(); ok {
+			j.addTo(views, rt, now)
 		}
-		j.addTo(views, rt, now)
 	}
 	for service, v := range views {
 		v.Zone = r.forwarder.Zone
--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -34,10 +34,9 @@
 		r.logger.Info("silence of the owner not confirmed", zap.String("batch", batchID), zap.String("owner", owner), zap.Error(err))
 		return
 	}
-	if !r.stillSuspect(expected) {
-		return
+	if r.stillSuspect(expected) {
+		r.replaceOwner(r.ctx, expected, "owner has not begun")
 	}
-	r.replaceOwner(r.ctx, expected, "owner has not begun")
 }
 
 // hasBegun waits until the fold shows anything of a batch beyond its acceptance
