--- a/internal/batches/batch/batch.go
+++ b/internal/batches/batch/batch.go
@@ -68,9 +68,7 @@
 }
 
 // AcceptedAt is the accepting daemon's time of day at the acceptance.
-func (s *Submission) AcceptedAt() time.Time {
-	return time.UnixMilli(s.AcceptedAtMs)
-}
+func (s *Submission) AcceptedAt() time.Time { return time.UnixMilli(s.AcceptedAtMs) }
 
 // Outcome says how an item ended.
 type Outcome int
--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -1,6 +1,9 @@
 package batch
 
-import "maps"
+import (
+	"maps"
+	"slices"
+)
 
 // State is the fold of one partition up to an offset.
 type State struct {
@@ -229,12 +232,7 @@
 
 // versionsAllowed reports whether all versions are new enough for the batch.
 func (b *Batch) versionsAllowed(versions []int64) bool {
-	for _, version := range versions {
-		if version < b.MinVersion {
-			return false
-		}
-	}
-	return true
+	return !slices.ContainsFunc(versions, func(version int64) bool { return version < b.MinVersion })
 }
 
 // end closes the batch. Bodies are not asked for any more and are dropped; the
--- a/internal/batches/batch/record.go
+++ b/internal/batches/batch/record.go
@@ -1,6 +1,8 @@
 package batch
 
 import (
+	"slices"
+
 	"github.com/fxamacker/cbor/v2"
 	"github.com/pkg/errors"
 )
@@ -117,12 +119,9 @@
 	if len(encoded) <= limit {
 		return [][]byte{encoded}
 	}
-	size := limit - fragmentOverhead
-	count := (len(encoded) + size - 1) / size
-	parts := make([][]byte, 0, count)
-	for i := 0; i < count; i++ {
-		end := min((i+1)*size, len(encoded))
-		parts = append(parts, encode(record{Kind: kindFragment, Key: key, Index: i, Count: count, Part: encoded[i*size : end]}))
+	parts := slices.Collect(slices.Chunk(encoded, limit-fragmentOverhead))
+	for i, part := range parts {
+		parts[i] = encode(record{Kind: kindFragment, Key: key, Index: i, Count: len(parts), Part: part})
 	}
 	return parts
 }
--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -98,13 +98,7 @@
 }
 
 func (p *planner) compareCandidates(a, b candidate) int {
-	if required := p.Items[a.item].Required; required != p.Items[b.item].Required {
-		if required {
-			return -1
-		}
-		return 1
-	}
-	return cmp.Compare(b.here, a.here)
+	return cmp.Or(compareRequired(&p.Items[a.item], &p.Items[b.item]), cmp.Compare(b.here, a.here))
 }
 
 // worthMoving reports whether an item that takes so long at its engine, and there at
--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -49,18 +49,23 @@
 // compare orders waiting items: by rank, age of the batch, those that are required, and
 // then the longest first, as they decide when the last group is whole.
 func compare(a, b *Item) int {
+	return cmp.Or(
+		cmp.Compare(a.Priority, b.Priority),
+		a.BatchSince.Compare(b.BatchSince),
+		compareRequired(a, b),
+		cmp.Compare(b.Remaining, a.Remaining),
+	)
+}
+
+// compareRequired puts an item that is required before one that is not.
+func compareRequired(a, b *Item) int {
 	switch {
-	case a.Priority != b.Priority:
-		return cmp.Compare(a.Priority, b.Priority)
-	case !a.BatchSince.Equal(b.BatchSince):
-		return a.BatchSince.Compare(b.BatchSince)
-	case a.Required != b.Required:
-		if a.Required {
-			return -1
-		}
-		return 1
+	case a.Required == b.Required:
+		return 0
+	case a.Required:
+		return -1
 	default:
-		return cmp.Compare(b.Remaining, a.Remaining)
+		return 1
 	}
 }
 
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -130,13 +130,8 @@
 
 // hasRoom reports whether an engine may get one more request.
 func (e *engineState) hasRoom() bool {
-	if e.Avoided {
-		return false
-	}
-	if e.Declining && e.inFlight > e.InFlight+e.OthersInFlight {
-		return false
-	}
-	return e.inFlight < e.Capacity()
+	probed := e.Declining && e.inFlight > e.InFlight+e.OthersInFlight
+	return !e.Avoided && !probed && e.inFlight < e.Capacity()
 }
 
 // canRun reports whether an engine has room for an item, and weights for it.
