--- a/internal/callers/usage/logging.go
+++ b/internal/callers/usage/logging.go
@@ -38,13 +38,6 @@
 	return strings.Join(parts, ",")
 }
 
-// noteWritten notes the counts of a record that the journal has. The mutex is held.
-func (r *Recorder) noteWritten(counts map[int64]map[string]int64) {
-	for window, requests := range counts {
-		addTo(r.unlogged, window, requests)
-	}
-}
-
 // logWritten logs what this incarnation has counted in the windows that had ended at a time of day: a
 // line a window, and another one for what was written of it later.
 func (r *Recorder) logWritten(at time.Time) {
--- a/internal/callers/usage/record.go
+++ b/internal/callers/usage/record.go
@@ -1,6 +1,8 @@
 package usage
 
 import (
+	"maps"
+
 	"github.com/fxamacker/cbor/v2"
 	"github.com/pkg/errors"
 )
@@ -121,22 +123,14 @@
 	}
 	s.decided[rec.Window] = rec.Requests
 	s.last, s.anyDecided = rec.Window, true
-	for window := range s.counts {
-		if window <= s.last {
-			delete(s.counts, window)
-		}
-	}
+	maps.DeleteFunc(s.counts, func(window int64, _ map[string]int64) bool { return s.isDecided(window) })
 	for window := range s.decided {
 		if window <= s.last-rememberedWindows {
 			delete(s.decided, window)
 			delete(s.reported, window)
 		}
 	}
-	for sender, seen := range s.senders {
-		if seen.window <= s.last-rememberedWindows {
-			delete(s.senders, sender)
-		}
-	}
+	maps.DeleteFunc(s.senders, func(_ string, seen senderState) bool { return seen.window <= s.last-rememberedWindows })
 }
 
 // unreported returns the decided windows that the platform has not taken, as far as is
--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -24,9 +24,6 @@
 	appendTimeout = 1200 * time.Millisecond
 )
 
-// ErrNotWritten: the counts may not be in the journal. They are sent again by the next call.
-var ErrNotWritten = errors.New("usage: counts not written")
-
 // Recorder counts the requests that one daemon sends to replicas. It is safe for
 // concurrent use.
 type Recorder struct {
@@ -88,7 +85,8 @@
 }
 
 // Flush appends what was counted so far and logs all that was written: it is for the end
-// of a daemon.
+// of a daemon. After an error the counts may not be in the journal; the next call sends them
+// again.
 func (r *Recorder) Flush(ctx context.Context) error {
 	err := r.flush(ctx)
 	if err == nil {
@@ -109,11 +107,13 @@
 	_, err := r.journal.Append(bounded, journal.Append{Partition: Partition, Records: [][]byte{encoded}})
 	if err != nil {
 		r.logger.Info("usage not written", zap.Int64("number", r.number), zap.Bool("certain", errors.Is(err, journal.ErrNotDone)), zap.Error(err))
-		return errors.Wrap(ErrNotWritten, err.Error())
+		return errors.Wrap(err, "usage: counts not written")
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.noteWritten(r.inSending)
+	for window, requests := range r.inSending {
+		addTo(r.unlogged, window, requests)
+	}
 	r.sending, r.inSending = nil, nil
 	return nil
 }
--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -19,6 +19,7 @@
 package catalog
 
 import (
+	"maps"
 	"sync"
 
 	"go.uber.org/zap"
@@ -74,11 +75,7 @@
 func (s *State) Named() map[string]int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	named := make(map[string]int64, len(s.named))
-	for model, version := range s.named {
-		named[model] = version
-	}
-	return named
+	return maps.Clone(s.named)
 }
 
 // Reset implements journal.KeyedHandler. A missing key takes nothing back.
@@ -90,7 +87,7 @@
 
 // Apply implements journal.KeyedHandler.
 func (s *State) Apply(record journal.KeyedRecord) {
-	if len(record.Value) == 0 && !record.Unreadable {
+	if removes(record) {
 		return
 	}
 	decoded, err := s.decode(record)
--- a/internal/replicas/catalog/refusals.go
+++ b/internal/replicas/catalog/refusals.go
@@ -2,6 +2,7 @@
 
 import (
 	"hash/maphash"
+	"maps"
 
 	"github.com/pkg/errors"
 
@@ -38,9 +39,5 @@
 
 // keep forgets all keys but those that are listed.
 func (r *refusals) keep(listed map[string]bool) {
-	for key := range r.hashes {
-		if !listed[key] {
-			delete(r.hashes, key)
-		}
-	}
+	maps.DeleteFunc(r.hashes, func(key string, _ uint64) bool { return !listed[key] })
 }
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -14,7 +14,9 @@
 package fleet
 
 import (
+	"cmp"
 	"context"
+	"slices"
 	"sync/atomic"
 	"time"
 
@@ -213,7 +215,8 @@
 		last := m.ordered[key]
 		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, Seen: m.seen[key].count, Ordered: last.Desired, OrderedAt: last.at})
 	}
-	sortZones(in.Zones)
+	// By name, so that plans do not depend on chance.
+	slices.SortFunc(in.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
 	switch {
 	case !Low(in):
 		delete(m.lowSince, service.Name)
@@ -229,8 +232,7 @@
 	deadline := batchDeadline(configuration, service.Name)
 	var loads []Load
 	for _, model := range service.Models {
-		d, ok := m.Demands.Of(model.Name)
-		if ok && d.Items > 0 {
+		if d, _ := m.Demands.Of(model.Name); d.Items > 0 {
 			loads = append(loads, Load{Items: d.Items, ItemTime: m.Demands.ItemTime(model.Name), Deadline: deadline})
 		}
 	}
--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -115,11 +115,11 @@
 
 // Low reports whether the need is so low that replicas could be given back.
 func Low(in Input) bool {
-	total := 0
+	present := 0
 	for _, z := range in.Zones {
-		total += z.Present
+		present += z.Present
 	}
-	return float64(Need(in)) < shrinkBelow*float64(total)
+	return float64(Need(in)) < shrinkBelow*float64(present)
 }
 
 // Plan returns the orders to make now. Without loads, which may only mean that nothing is
@@ -210,11 +210,6 @@
 	}
 }
 
-// sortZones orders zones by name, so that plans do not depend on chance.
-func sortZones(zones []Zone) {
-	slices.SortFunc(zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
-}
-
 func total(counts []int) int {
 	sum := 0
 	for _, count := range counts {
--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -38,7 +38,7 @@
 	limited := make([]int, len(allotment))
 	for i, model := range models {
 		limited[i] = allotment[i]
-		if d, ok := s.demands.Of(model.Name); ok && d.Items > 0 {
+		if d, _ := s.demands.Of(model.Name); d.Items > 0 {
 			limited[i] = min(allotment[i], enough(d.Items, slots))
 		}
 	}
@@ -50,9 +50,8 @@
 func (s *Syncer) allotmentOf(service string, models []route.Model, replicas int) []int {
 	work := make([]float64, len(models))
 	for i, model := range models {
-		if d, ok := s.demands.Of(model.Name); ok {
-			work[i] = float64(d.Work)
-		}
+		d, _ := s.demands.Of(model.Name)
+		work[i] = float64(d.Work)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -18,8 +18,10 @@
 package modelsync
 
 import (
+	"cmp"
 	"context"
-	"sort"
+	"maps"
+	"slices"
 	"sync"
 	"time"
 
@@ -157,10 +159,7 @@
 
 // lagOf is how many versions behind the newest the batches of a model allow.
 func (s *Syncer) lagOf(model string) int64 {
-	d, ok := s.demands.Of(model)
-	if !ok {
-		return 0
-	}
+	d, _ := s.demands.Of(model)
 	return d.Lag()
 }
 
@@ -219,11 +218,7 @@
 func (s *Syncer) forget(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, n := range s.notes {
-		if !n.loading && now.Sub(n.listedAt) > forgetAfter {
-			delete(s.notes, id)
-		}
-	}
+	maps.DeleteFunc(s.notes, func(_ string, n *note) bool { return !n.loading && now.Sub(n.listedAt) > forgetAfter })
 }
 
 // noteOf returns the note of an engine. The mutex is held.
@@ -278,11 +273,8 @@
 		}
 		behind = append(behind, change{replica: rep, model: model, version: version, manner: manner})
 	}
-	sort.SliceStable(behind, func(i, j int) bool {
-		if behind[i].behind() != behind[j].behind() {
-			return behind[i].behind() > behind[j].behind()
-		}
-		return behind[i].replica.InFlight < behind[j].replica.InFlight
+	slices.SortStableFunc(behind, func(a, b change) int {
+		return cmp.Or(cmp.Compare(b.behind(), a.behind()), cmp.Compare(a.replica.InFlight, b.replica.InFlight))
 	})
 	parts := max(int(lag), 1)
 	wanted := (len(replicas)+parts-1)/parts - newest
--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -177,14 +177,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	for i, e := range t.learned {
-		if !e.goneAt.IsZero() && e.inFlight == 0 && now.Sub(e.goneAt) > forgetAfter {
-			delete(t.learned, i)
-		}
-	}
-	for id, newest := range t.newest {
-		if t.learned[newest.Incarnation()] == nil {
-			delete(t.newest, id)
-		}
-	}
+	maps.DeleteFunc(t.learned, func(_ Incarnation, e *experience) bool {
+		return !e.goneAt.IsZero() && e.inFlight == 0 && now.Sub(e.goneAt) > forgetAfter
+	})
+	maps.DeleteFunc(t.newest, func(_ string, newest Entry) bool { return t.learned[newest.Incarnation()] == nil })
 }
