--- a/Makefile
+++ b/Makefile
@@ -9,7 +9,7 @@
 	go test -timeout 20m $(TESTFLAGS) ./internal/batches/results
 
 # Packages that only tests import: programs reach nothing of them.
-TEST_PACKAGES = internal/daemon/(golden|testseed|bootclock/clocktest)/
+TEST_PACKAGES = internal/(daemon/(golden|testseed|bootclock/clocktest)|batches/ledger/ledgertest)/
 
 lint:
 	@test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
--- a/internal/batches/ledger/ledger.go
+++ b/internal/batches/ledger/ledger.go
@@ -110,17 +110,6 @@
 	return newPartition(l, name, offset)
 }
 
-// Known returns the partitions whose folds are held.
-func (l *Ledger) Known() []*Partition {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	partitions := make([]*Partition, 0, len(l.partitions))
-	for _, p := range l.partitions {
-		partitions = append(partitions, p)
-	}
-	return partitions
-}
-
 // Sweep drops the folds that nobody has used for a while.
 func (l *Ledger) Sweep(now time.Time) {
 	l.mu.Lock()
--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -224,6 +224,17 @@
 	is.True(exists(p, "a"))
 }
 
+// Known returns the partitions whose folds are held.
+func (l *Ledger) Known() []*Partition {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	partitions := make([]*Partition, 0, len(l.partitions))
+	for _, p := range l.partitions {
+		partitions = append(partitions, p)
+	}
+	return partitions
+}
+
 func TestUnusedFoldsAreDropped(t *testing.T) {
 	is := is.New(t)
 	batches := New(t.Context(), journaltest.New(), zap.NewNop())
--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -80,13 +80,6 @@
 	return p.changed
 }
 
-// ReadBytes is how many bytes reads have brought of the partition so far.
-func (p *Partition) ReadBytes() int64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.readBytes
-}
-
 // Missing returns how many bytes the fold lacks, by the mean of the records read so far, and
 // false if nothing has been read yet.
 func (p *Partition) Missing() (bytes int, ok bool) {
--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -56,10 +56,7 @@
 	if body := itemBody(partition, query); body.Found {
 		return body, nil
 	}
-	if err := catchUp(ctx, partition); err != nil {
-		return Body{}, err
-	}
-	if err := mayDeny(partition, query.BatchID); err != nil {
+	if err := readToDeny(ctx, partition, query.BatchID); err != nil {
 		return Body{}, err
 	}
 	return itemBody(partition, query), nil
@@ -76,6 +73,14 @@
 	return nil
 }
 
+// readToDeny reads the journal up to now, after which the fold may deny what it lacks of a batch.
+func readToDeny(ctx context.Context, partition *ledger.Partition, batchID string) error {
+	if err := catchUp(ctx, partition); err != nil {
+		return err
+	}
+	return mayDeny(partition, batchID)
+}
+
 // catchUp reads the journal up to now.
 func catchUp(ctx context.Context, partition *ledger.Partition) error {
 	bounded, cancel := context.WithTimeout(ctx, catchUpTimeout)
@@ -192,10 +197,7 @@
 // after the question came.
 func (r *Reader) itemsHere(ctx context.Context, query ItemsQuery) (Items, error) {
 	partition := r.ledger.Of(query.BatchID)
-	if err := catchUp(ctx, partition); err != nil {
-		return Items{}, err
-	}
-	if err := mayDeny(partition, query.BatchID); err != nil {
+	if err := readToDeny(ctx, partition, query.BatchID); err != nil {
 		return Items{}, err
 	}
 	return itemsOf(partition, query), nil
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -208,7 +208,7 @@
 					}
 					after = max(after, page.Next)
 				}
-				t.Logf("told after %v, %d refused, %d bytes read by the daemon", time.Since(began), refused, reader.ledger.Of("b").ReadBytes())
+				t.Logf("told after %v, %d refused, %d bytes read by the daemon", time.Since(began), refused, log.Usage().ReadBytes)
 				is.True(time.Since(began) < 15*time.Second)
 			})
 		})
--- a/internal/batches/results/service.go
+++ b/internal/batches/results/service.go
@@ -1,6 +1,9 @@
 package results
 
-import "context"
+import (
+	"context"
+	"time"
+)
 
 // ServiceName is the name under which peers call the service of a reader.
 const ServiceName = "Results"
@@ -32,26 +35,20 @@
 
 // Results answers a query. It is exported for net/rpc.
 func (s *Service) Results(query Query, page *Page) (err error) {
-	ctx, cancel := context.WithTimeout(s.ctx, query.Wait+catchUpTimeout)
-	defer cancel()
 	query.most = peerPageBytes
-	*page, err = s.reader.resultsHere(ctx, query)
+	*page, err = answer(s, query.Wait, query, s.reader.resultsHere)
 	return err
 }
 
 // Item answers with the body of an item. It is exported for net/rpc.
 func (s *Service) Item(query ItemQuery, body *Body) (err error) {
-	ctx, cancel := context.WithTimeout(s.ctx, catchUpTimeout)
-	defer cancel()
-	*body, err = s.reader.itemHere(ctx, query)
+	*body, err = answer(s, 0, query, s.reader.itemHere)
 	return err
 }
 
 // Beginning answers where a batch begins. It is exported for net/rpc.
 func (s *Service) Beginning(query BeginningQuery, beginning *Beginning) (err error) {
-	ctx, cancel := context.WithTimeout(s.ctx, catchUpTimeout)
-	defer cancel()
-	*beginning, err = s.reader.beginningHere(ctx, query)
+	*beginning, err = answer(s, 0, query, s.reader.beginningHere)
 	return err
 }
 
@@ -60,9 +57,14 @@
 
 // Items answers with items. It is exported for net/rpc.
 func (s *Service) Items(query ItemsQuery, items *Items) (err error) {
-	ctx, cancel := context.WithTimeout(s.ctx, catchUpTimeout)
-	defer cancel()
 	query.most = peerPageBytes
-	*items, err = s.reader.itemsHere(ctx, query)
+	*items, err = answer(s, 0, query, s.reader.itemsHere)
 	return err
 }
+
+// answer answers a question that may be kept open for wait within its time.
+func answer[Q, A any](s *Service, wait time.Duration, query Q, here func(ctx context.Context, query Q) (A, error)) (A, error) {
+	ctx, cancel := context.WithTimeout(s.ctx, wait+catchUpTimeout)
+	defer cancel()
+	return here(ctx, query)
+}
