--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -104,7 +104,8 @@
 	}
 	list := PolicyList{Version: current.Version, Documents: []PolicyDocument{}, History: []PolicyChange{}}
 	for name, document := range current.Documents {
-		list.Documents = append(list.Documents, PolicyDocument{Name: name, Version: document.Version, Author: document.Author, Source: document.Source})
+		list.Documents = append(list.Documents, PolicyDocument{Name: name, Version: document.Version, Author: document.Author,
+			Source: document.Source})
 	}
 	sort.Slice(list.Documents, func(i, j int) bool { return list.Documents[i].Name < list.Documents[j].Name })
 	for _, v := range history {
@@ -129,7 +130,8 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), publishTimeout)
 	defer cancel()
-	published, err := g.parts.Operator.Publish(ctx, operator.Change{Name: req.Name, Author: caller.Name, Source: req.Source, Replaces: req.Replaces})
+	published, err := g.parts.Operator.Publish(ctx, operator.Change{Name: req.Name, Author: caller.Name, Source: req.Source,
+		Replaces: req.Replaces})
 	switch {
 	case errors.Is(err, operator.ErrInvalid):
 		writeProblem(w, http.StatusUnprocessableEntity, Problem{Code: "policy_invalid", Field: "source", Message: err.Error()})
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -63,7 +63,8 @@
 	}
 	declared, ok := configuration.Policies.Trainers[name]
 	if !ok {
-		writeProblem(w, http.StatusNotFound, Problem{Code: "unknown_trainer", Field: field, Message: field + ": no policy declares trainer " + strconv.Quote(name)})
+		writeProblem(w, http.StatusNotFound, Problem{Code: "unknown_trainer", Field: field,
+			Message: field + ": no policy declares trainer " + strconv.Quote(name)})
 		return delivery.Trainer{}, false
 	}
 	return delivery.Trainer{Name: name, Newest: configuration.Named[name], Accepts: func(oldest, trained int64) bool {
@@ -92,7 +93,8 @@
 	case err == nil:
 		writeDone(w, http.StatusAccepted, submitted(rollout.NewCursor(header)))
 	case errors.Is(err, delivery.ErrConflict):
-		writeProblem(w, http.StatusConflict, Problem{Code: "name_taken", Field: "name", Message: "name: another batch of this trainer has this name and other content"})
+		writeProblem(w, http.StatusConflict, Problem{Code: "name_taken", Field: "name",
+			Message: "name: another batch of this trainer has this name and other content"})
 	case errors.Is(err, delivery.ErrUnavailable):
 		refuse(w, refusal.V1LogUnavailable, err.Error())
 	default:
@@ -222,7 +224,8 @@
 	lines := lineWriter{encoder: json.NewEncoder(w), controller: http.NewResponseController(w)}
 	for r.Context().Err() == nil {
 		if g.stopping() {
-			lines.write(problemBody{Error: problemFor(refusal.V1FollowEnded, "this daemon is being stopped; follow at another with the last cursor")})
+			lines.write(problemBody{Error: problemFor(refusal.V1FollowEnded,
+				"this daemon is being stopped; follow at another with the last cursor")})
 			return
 		}
 		pull.Wait = followWait
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -44,7 +44,8 @@
 		}
 		operation, ok := service.Operations[variables["operation"]]
 		if !ok {
-			writeProblem(w, http.StatusNotFound, Problem{Code: "unknown_operation", Field: "operation", Message: "operation: the service has no such operation"})
+			writeProblem(w, http.StatusNotFound, Problem{Code: "unknown_operation", Field: "operation",
+				Message: "operation: the service has no such operation"})
 			return
 		}
 		body, ok := readBody(w, r)
@@ -120,7 +121,8 @@
 	case permit.Taken:
 		g.answerTaken(ctx, w, name)
 	case permit.OtherContent:
-		writeProblem(w, http.StatusConflict, Problem{Code: "key_reused_with_other_content", Field: KeyHeader, Message: KeyHeader + ": names a request of other content"})
+		writeProblem(w, http.StatusConflict, Problem{Code: "key_reused_with_other_content", Field: KeyHeader,
+			Message: KeyHeader + ": names a request of other content"})
 	default:
 		g.refuseClaim(w, err)
 	}
--- a/internal/api/standalone/connect.go
+++ b/internal/api/standalone/connect.go
@@ -55,7 +55,8 @@
 			}
 			return gateway.Configuration{Version: inForce.Version, Policies: set, Named: parts.Operator.Named(), Age: parts.ConfigurationAge()}, true
 		},
-		Delivery: delivery.New(parts.Results, parts.Runner, rollout.ItemHeaders{TokenUsage: names.TokenUsage, LengthHint: names.LengthHint}, parts.Logger),
+		Delivery: delivery.New(parts.Results, parts.Runner,
+			rollout.ItemHeaders{TokenUsage: names.TokenUsage, LengthHint: names.LengthHint}, parts.Logger),
 		Permits:  permit.New(parts.Journal, parts.Settings.Timing.RecordRetention.Std(), newID),
 		Operator: operator.New(parts.Journal, parts.Logger),
 		Replicas: parts.Replicas,
@@ -66,7 +67,8 @@
 		},
 		Metrics: parts.Metrics, Logger: parts.Logger, NewID: newID, Identity: parts.Identity, Ready: parts.Ready, Stopping: parts.Stopping,
 	}, gateway.Limits{
-		MaxBodyBytes: parts.Settings.Limits.MaxBodyBytes, ConfirmBound: parts.Settings.Timing.ConfirmBound.Std(), Operators: parts.Settings.Operators,
+		MaxBodyBytes: parts.Settings.Limits.MaxBodyBytes, ConfirmBound: parts.Settings.Timing.ConfirmBound.Std(),
+		Operators: parts.Settings.Operators,
 	})
 	return node.Interface{Public: gw.Handler(policy.Public), Internal: gw.Handler(policy.Internal)}
 }
--- a/internal/api/standalone/engines.go
+++ b/internal/api/standalone/engines.go
@@ -57,7 +57,8 @@
 	if body != nil {
 		header.Set("Content-Type", "application/json")
 	}
-	answer, err := e.pool.Exchange(ctx, target.Address, &upstream.Request{Method: method, Target: path, Host: target.Address, Header: header, Body: body})
+	answer, err := e.pool.Exchange(ctx, target.Address,
+		&upstream.Request{Method: method, Target: path, Host: target.Address, Header: header, Body: body})
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/requests/admission/accounts.go
+++ b/internal/requests/admission/accounts.go
@@ -20,8 +20,8 @@
 
 // of is the work of a tenant as of now.
 func (a accounts) of(tenant string, now time.Time) time.Duration {
-	held, known := a[tenant]
-	if !known {
+	held, ok := a[tenant]
+	if !ok {
 		return 0
 	}
 	return time.Duration(float64(held.work) * math.Exp(-max(now.Sub(held.at), 0).Seconds()/fairSpan.Seconds()))
--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -14,12 +14,12 @@
 //
 // # Usage
 //
-//	controller := admission.New(admission.Options{Replicas: table.Replicas, Daemons: daemons, Clock: bootclock.Now, Observe: observe, Logger: logger})
+//	controller := admission.New(admission.Options{...})
 //	ticket, err := controller.Enter(ctx, admission.Request{ID: id, Service: service, Tenant: tenant, Rank: rank, Left: left})
 //	if err != nil {
 //		return err // a *Refused: the request has not run
 //	}
-//	answer, err := send()
+//	answer, err := send() // further offers as long as ticket.MayOffer
 //	ticket.Done(admission.Answered{Took: took})
 //
 // Plan and StartRate decide; they read no clock, and hold neither locks nor goroutines. A gate
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -127,7 +127,8 @@
 	for _, rep := range replicas {
 		slots += max(rep.Slots, 1)
 	}
-	return Capacity{Slots: slots, Daemons: g.options.Daemons(), Demand: g.demand.note(g.options.Clock(), 0), Usual: max(g.times.quantile(0.5), time.Millisecond)}
+	return Capacity{Slots: slots, Daemons: g.options.Daemons(), Demand: g.demand.note(g.options.Clock(), 0),
+		Usual: max(g.times.quantile(0.5), time.Millisecond)}
 }
 
 // start gives a request its turn. The lock is held.
@@ -148,7 +149,8 @@
 	rate := g.rate.perSecond
 	s := Snapshot{
 		Waiting: make([]Waiting, len(g.waiting)), Rate: rate, LateRate: max(rate-g.demand.note(now, 0), rate/oldestEvery),
-		First: g.rate.Next(now), Need: g.times.quantile(needPart), Usual: g.times.quantile(0.5), Served: make(map[string]time.Duration), Starts: g.starts,
+		First: g.rate.Next(now), Need: g.times.quantile(needPart), Usual: g.times.quantile(0.5),
+		Served: make(map[string]time.Duration), Starts: g.starts,
 	}
 	for i, w := range g.waiting {
 		held, aim := w.Held+now.Sub(w.since), time.Duration(math.MaxInt64)
--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -47,9 +47,9 @@
 		return assumedTime
 	}
 	sorted := s.kept
-	known := sorted[:min(s.count, timesKept)]
-	slices.Sort(known)
-	return known[int(part*float64(len(known)-1))]
+	taken := sorted[:min(s.count, timesKept)]
+	slices.Sort(taken)
+	return taken[int(part*float64(len(taken)-1))]
 }
 
 // times are those that the answers of a service took.
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -55,7 +55,8 @@
 	if err != nil {
 		// The end below cancels the offer's context, which then says nothing of the caller.
 		cut := ctx.Err() != nil
-		f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, outcome: outcome, ran: ran, after: time.Since(started), err: err})
+		f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, outcome: outcome, ran: ran,
+			after: time.Since(started), err: err})
 		end()
 		if !cut {
 			f.learn(rep, err)
@@ -169,7 +170,8 @@
 		f.Quarantine.Answered(call.content)
 		return
 	}
-	f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, outcome: offerOutcome(ctx, err), ran: true, err: err})
+	f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep,
+		outcome: offerOutcome(ctx, err), ran: true, err: err})
 }
 
 // noteLoad notes what an answer tells of its replica's load.
@@ -196,7 +198,8 @@
 	if call.Method == http.MethodHead {
 		announced = 0 // it tells the length of what does not come
 	}
-	body, whole, err := call.Account.Read(holding.Answers, response, announced, bufferedBytes, func(n int64) bool { return call.Account.Take(holding.Answers, n) })
+	body, whole, err := call.Account.Read(holding.Answers, response, announced, bufferedBytes,
+		func(n int64) bool { return call.Account.Take(holding.Answers, n) })
 	if err != nil {
 		response.Close()
 		return nil, err
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -139,8 +139,9 @@
 	if reason == "" {
 		reason = errNoReplica.Error()
 	}
-	return &Failure{Certainty: certainty, Reason: reason, Quarantined: a.quarantined, Attempts: a.mayHaveRun, Tried: slices.Sorted(maps.Keys(a.cancels)),
-		Full: certainty == NotRun && a.declined > 0 && a.declined == a.notRun && a.quarantined == nil}
+	return &Failure{Certainty: certainty, Reason: reason, Quarantined: a.quarantined, Attempts: a.mayHaveRun,
+		Tried: slices.Sorted(maps.Keys(a.cancels)),
+		Full:  certainty == NotRun && a.declined > 0 && a.declined == a.notRun && a.quarantined == nil}
 }
 
 // tries is what has become of the call so far.
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -39,7 +39,8 @@
 		f.suspect(failed, liveness)
 	}
 	f.Logger.Info("offer failed", zap.String("request", failed.requestID), zap.String("outcome", failed.outcome),
-		zap.String("content", failed.content.Digest().Short()), zap.String("replica", failed.chosen.ID), zap.String("service", failed.chosen.Service),
+		zap.String("content", failed.content.Digest().Short()), zap.String("replica", failed.chosen.ID),
+		zap.String("service", failed.chosen.Service),
 		zap.String("address", failed.chosen.Address), zap.Stringer("process", liveness), zap.Bool("may_have_run", failed.ran),
 		zap.Duration("after", failed.after), zap.Error(failed.err))
 }
--- a/internal/requests/forward/suspect.go
+++ b/internal/requests/forward/suspect.go
@@ -77,7 +77,8 @@
 		return func() {}, nil
 	}
 	f.Logger.Info("suspect asked to run", zap.String("request", requestID), zap.String("content", content.Digest().Short()),
-		zap.String("replica", rep.ID), zap.String("service", rep.Service), zap.Bool("alone", refused == nil), zap.NamedError("refused", errorOf(refused)))
+		zap.String("replica", rep.ID), zap.String("service", rep.Service),
+		zap.Bool("alone", refused == nil), zap.NamedError("refused", errorOf(refused)))
 	return release, refused
 }
 
--- a/internal/requests/ingress/batches.go
+++ b/internal/requests/ingress/batches.go
@@ -73,7 +73,8 @@
 // serveResults answers with results from a position on.
 func (r *request) serveResults(call BatchCall) {
 	wait := max(call.Wait-r.held(), 0)
-	page, err := r.handler.Results.Results(r.req.Context(), results.Query{BatchID: call.BatchID, Tenant: r.tenantName(), After: call.After, Wait: wait})
+	page, err := r.handler.Results.Results(r.req.Context(),
+		results.Query{BatchID: call.BatchID, Tenant: r.tenantName(), After: call.After, Wait: wait})
 	if err != nil {
 		r.refuse(refusal.StoreSilent, err.Error())
 		return
--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -17,7 +17,7 @@
 // bound.
 const mostChunks = 512
 
-// ahead is what has been read of an answer and not been written. A replica gives up an
+// readAhead is what has been read of an answer and not been written. A replica gives up an
 // answer that is not read for some seconds, so that it is read as fast as it comes as long
 // as there is room, however slowly the client reads.
 //
--- a/internal/requests/ingress/request.go
+++ b/internal/requests/ingress/request.go
@@ -87,6 +87,7 @@
 	}
 	took := r.held()
 	r.handler.Observer.Request(name, strconv.Itoa(status), outcome, took)
-	r.logger.Info("request", zap.String("route", name), zap.String("tenant", r.tenantName()), zap.Int("status", status), zap.String("outcome", outcome),
+	r.logger.Info("request", zap.String("route", name), zap.String("tenant", r.tenantName()), zap.Int("status", status),
+		zap.String("outcome", outcome),
 		zap.String("reason", reason), zap.String("replica", r.replica), zap.Int("attempts", r.attempts), zap.Duration("took", took))
 }
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -50,8 +50,10 @@
 		return
 	}
 	s.ownChange = true
-	t.logger.Warn("replica ended under a content", zap.String("content", s.Digest.Short()), zap.String("replica", replica.Incarnation(name).ID()), zap.String("start", name),
-		zap.String("service", s.Label.Service), zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()), zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()),
+	t.logger.Warn("replica ended under a content", zap.String("content", s.Digest.Short()),
+		zap.String("replica", replica.Incarnation(name).ID()), zap.String("start", name),
+		zap.String("service", s.Label.Service), zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
+		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()),
 		zap.String("host", s.Label.Host), zap.String("target", s.Label.Target), zap.String("caller", s.Label.Caller))
 	t.announce(s)
 }
@@ -89,7 +91,8 @@
 
 // clear begins a new epoch of a content. The mutex is held.
 func (t *Table) clear(s *suspect, reason string) {
-	t.logger.Info("content cleared", zap.String("content", s.Digest.Short()), zap.String("reason", reason), zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
+	t.logger.Info("content cleared", zap.String("content", s.Digest.Short()), zap.String("reason", reason),
+		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
 		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()), zap.Uint64("turned_away", s.turnedAway))
 	t.change(s, func() {
 		s.Entry = Entry{Digest: s.Digest, Epoch: s.Epoch + 1, Label: s.Label}
@@ -118,7 +121,8 @@
 	if !news {
 		return false
 	}
-	t.logger.Info("content learned of", zap.String("content", s.Digest.Short()), zap.String("from", from), zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
+	t.logger.Info("content learned of", zap.String("content", s.Digest.Short()), zap.String("from", from),
+		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
 		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()), zap.String("keeper", s.Keeper))
 	return true
 }
--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -26,7 +26,8 @@
 func (t *Table) forget(s *suspect, reason string) {
 	if s.active() {
 		t.active.Add(-1)
-		t.logger.Info("content forgotten", zap.String("content", s.Digest.Short()), zap.String("reason", reason), zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
+		t.logger.Info("content forgotten", zap.String("content", s.Digest.Short()), zap.String("reason", reason),
+			zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
 			zap.Bool("refused", s.refused()), zap.Uint64("turned_away", s.turnedAway))
 	}
 	delete(t.entries, s.Digest)
--- a/internal/requests/quarantine/http.go
+++ b/internal/requests/quarantine/http.go
@@ -37,7 +37,8 @@
 		case text == "" && r.Method == http.MethodGet:
 			answer(w, http.StatusOK, table.List(), logger)
 		case r.Method != http.MethodDelete || text == "":
-			answer(w, http.StatusMethodNotAllowed, problemOf("wrong_method", "list with GET "+Path+", lift with DELETE "+Path+"/DIGEST", "method"), logger)
+			answer(w, http.StatusMethodNotAllowed, problemOf("wrong_method",
+				"list with GET "+Path+", lift with DELETE "+Path+"/DIGEST", "method"), logger)
 		default:
 			lift(w, table, text, logger)
 		}
--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -127,7 +127,8 @@
 			continue
 		}
 		if silent == 0 {
-			s.logger.Info("sending suspected contents to a peer failed", zap.String("machine", machine), zap.Int("contents", len(batch)), zap.Error(err))
+			s.logger.Info("sending suspected contents to a peer failed", zap.String("machine", machine),
+				zap.Int("contents", len(batch)), zap.Error(err))
 		}
 		s.putBack(machine, batch)
 		silent += retryInterval
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -185,8 +185,10 @@
 		t.change(s, func() { s.Retried, s.ownChange = true, true })
 		t.announce(s)
 	}
-	t.logger.Info("suspect runs alone", zap.String("content", s.Digest.Short()), zap.String("replica", replica.Incarnation(name).ID()), zap.String("start", name),
-		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()), zap.Bool("refused", s.refused()), zap.Duration("since_end", t.now().Sub(s.endedAt)))
+	t.logger.Info("suspect runs alone", zap.String("content", s.Digest.Short()),
+		zap.String("replica", replica.Incarnation(name).ID()), zap.String("start", name),
+		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()), zap.Bool("refused", s.refused()),
+		zap.Duration("since_end", t.now().Sub(s.endedAt)))
 	var once sync.Once
 	return Alone{End: func() { once.Do(func() { t.endAlone(s, name, over) }) }}
 }
--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -104,7 +104,7 @@
 // Price is what a second of a replica costs in a zone; 1 where the configuration names
 // no price.
 func (s Scaling) Price(zone string) float64 {
-	if price, known := s.ZonePrices[zone]; known {
+	if price, ok := s.ZonePrices[zone]; ok {
 		return price
 	}
 	return 1
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -134,7 +134,8 @@
 	if now == nil {
 		now = bootclock.Now
 	}
-	return &Pool{options: options, dialer: NewDialer(options), now: now, idle: map[string][]*connection{}, open: map[string]int{}, freed: map[string]chan struct{}{}}
+	return &Pool{options: options, dialer: NewDialer(options), now: now, idle: map[string][]*connection{},
+		open: map[string]int{}, freed: map[string]chan struct{}{}}
 }
 
 // Open returns how many connections to a peer are open.
@@ -266,8 +267,8 @@
 // and back takes little.
 func restOf(header http.Header) (sure, rest time.Duration) {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
-		value, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
-		if !found {
+		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
+		if !ok {
 			continue
 		}
 		granted, err := time.ParseDuration(value + "s")
