--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -126,6 +126,7 @@
 	if !first.Found {
 		return rollout.Header{}, ErrUnknownBatch
 	}
+	// A job that is no round of a batch has no digest, which is another than any caller's.
 	digest, _ := rollout.DigestOf(first.Round.Path)
 	return rollout.Header{Trainer: trainer, Name: name, Digest: digest, Samples: first.Total}, nil
 }
