--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -30,7 +30,7 @@
 	declinedPause = 60 * time.Millisecond
 )
 
-// result is the outcome of one offer to one replica.
+// result is the outcome of one attempt at one replica.
 type result struct {
 	answer  *Answer
 	err     error
@@ -38,7 +38,7 @@
 	replica string
 }
 
-// attempt offers the call to one replica. Over is called once the exchange is.
+// attempt sends the call to one replica. Over is called once the exchange is.
 func (f *Forwarder) attempt(ctx context.Context, over func(), call *Call, rep replica.Replica) result {
 	f.Table.Started(rep.Incarnation())
 	end := func() {
@@ -50,10 +50,10 @@
 	if ran {
 		call.Ran(sentAt)
 	}
-	outcome := offerOutcome(ctx, err)
+	outcome := outcomeOf(ctx, err)
 	f.Observe(rep.Service, outcome, time.Since(started))
 	if err != nil {
-		// The end below cancels the offer's context, which then says nothing of the caller.
+		// The end below cancels the attempt's context, which then says nothing of the caller.
 		cut := ctx.Err() != nil
 		f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, outcome: outcome, ran: ran,
 			after: time.Since(started), err: err})
@@ -74,7 +74,7 @@
 	return result{answer: answer, ran: true, replica: rep.ID}
 }
 
-// Names of how offers end, in logs and metrics.
+// Names of how attempts end, in logs and metrics.
 const (
 	outcomeAnswered = "answered"
 	outcomeDeclined = "declined"
@@ -85,8 +85,8 @@
 	outcomeBroken   = "broken"
 )
 
-// offerOutcome names how an offer ended.
-func offerOutcome(ctx context.Context, err error) string {
+// outcomeOf names how an attempt ended.
+func outcomeOf(ctx context.Context, err error) string {
 	switch {
 	case err == nil:
 		return outcomeAnswered
@@ -171,7 +171,7 @@
 		return
 	}
 	f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep,
-		outcome: offerOutcome(ctx, err), ran: true, err: err})
+		outcome: outcomeOf(ctx, err), ran: true, err: err})
 }
 
 // noteLoad notes what an answer tells of its replica's load.
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -27,10 +27,10 @@
 	forwarder *Forwarder
 	call      *Call
 	tried     map[string]bool
-	// cancels cut the offer to a replica. They name the replicas that had one.
+	// cancels cut the attempt at a replica. They name the replicas that had one.
 	cancels  map[string]context.CancelFunc
 	outcomes chan result
-	// mayHaveRun counts offers that may have run, notRun those that did not,
+	// mayHaveRun counts attempts that may have run, notRun those that did not,
 	// open those without an outcome yet.
 	mayHaveRun, notRun, open int
 	// declined counts those of notRun that their replica turned away.
@@ -53,7 +53,7 @@
 	if ctx.Err() != nil {
 		return nil, a.failure(errTimeUp.Error())
 	}
-	hedge := time.NewTimer(a.offer(ctx))
+	hedge := time.NewTimer(a.start(ctx))
 	defer hedge.Stop()
 	for a.open > 0 {
 		select {
@@ -64,11 +64,11 @@
 				return answer, nil
 			}
 			if a.open == 0 && a.mayRetry(ctx) {
-				hedge.Reset(a.offer(ctx))
+				hedge.Reset(a.start(ctx))
 			}
 		case <-hedge.C:
 			if a.call.Hedge && a.suspicion() == quarantine.Unsuspected && a.mayRetry(ctx) {
-				hedge.Reset(a.offer(ctx))
+				hedge.Reset(a.start(ctx))
 			}
 		case <-ctx.Done():
 			return a.timeUp()
@@ -80,7 +80,7 @@
 	return nil, a.failure(a.lastReason)
 }
 
-// timeUp ends a call whose context has ended, which has cut its open offers. Each of them
+// timeUp ends a call whose context has ended, which has cut its open attempts. Each of them
 // says whether it was sent: one whose connection was never made has not run, and an
 // answer that came whole with the end is still the answer.
 func (a *attempts) timeUp() (*Answer, error) {
@@ -107,7 +107,7 @@
 	return nil, a.failure(errTimeUp.Error())
 }
 
-// drain cuts the offers that are open, but for that to the kept replica, and
+// drain cuts the attempts that are open, but for that to the kept replica, and
 // gives their connections back.
 func (a *attempts) drain(kept string) {
 	for id, cancel := range a.cancels {
@@ -157,9 +157,9 @@
 	return ctx.Err() == nil && a.tries().MayRetry() && a.call.MayRetry(a.mayHaveRun+a.notRun+a.open)
 }
 
-// offer sends the call to the next replica, if there is one, and returns after
+// start sends the call to the next replica, if there is one, and returns after
 // which time another should be asked as well.
-func (a *attempts) offer(ctx context.Context) time.Duration {
+func (a *attempts) start(ctx context.Context) time.Duration {
 	rep, release, ok := a.pick(ctx)
 	if !ok {
 		return time.Hour
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -13,7 +13,7 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// failedAttempt is an offer that got no sound answer.
+// failedAttempt is an attempt that got no sound answer.
 type failedAttempt struct {
 	requestID string
 	content   *quarantine.Content
@@ -25,7 +25,7 @@
 	err     error
 }
 
-// logFailure tells how an offer failed and what became of its replica, in one line. The
+// logFailure tells how an attempt failed and what became of its replica, in one line. The
 // content's digest joins the tries of one content at all daemons.
 func (f *Forwarder) logFailure(ctx context.Context, failed failedAttempt) {
 	switch failed.outcome {
@@ -59,7 +59,7 @@
 	}
 }
 
-// connectionEnded reports whether an offer failed as its connection did, once the request
+// connectionEnded reports whether an attempt failed as its connection did, once the request
 // had been sent.
 func connectionEnded(err error) bool {
 	return errors.Is(err, upstream.ErrNoAnswer) || errors.Is(err, eventstream.ErrCut)
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -45,7 +45,7 @@
 	Logger     *zap.Logger
 	// MaxOpen is how many connections to a replica this daemon may have, 0 without bound.
 	MaxOpen func(rep replica.Replica) int
-	// Observe is told of each offer to a replica: the service, how it ended and
+	// Observe is told of each attempt at a replica: the service, how it ended and
 	// how long it took.
 	Observe func(service, outcome string, took time.Duration)
 
--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -6,16 +6,17 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// The rule by which a plain request or a stream is offered to a further replica. It is, as each
-// offer has failed, or while the first is silent (hedge) if nothing is held against its content:
+// The rule by which a further replica is asked. A plain request is sent to one after each
+// attempt that failed and, if nothing is held against its content, while its attempts are silent
+// (hedge); a stream after each attempt that failed. That is so
 //
-//  1. as long as its caller waits and Tries.MayRetry allows it;
-//  2. if then Call.MayRetry does, which may spend from a budget and is asked last: the policies
-//     in force with their retry budget (standalone) and, while the service is full, the
-//     budget of further offers (admission.Ticket.MayOffer).
+//  1. as long as the caller waits and Tries.MayRetry allows it;
+//  2. for plain requests, if then Call.MayRetry does, which may spend from a budget and is asked
+//     last: the policies in force with their retry budget (standalone) and, while the service
+//     is full, the budget of further attempts (admission.Ticket.MayOffer).
 //
-// A plain request that every replica declined waits for another turn at its service (ingress).
-// Each replica is offered a request once.
+// No replica is sent a request twice. A plain request that every replica declined waits for
+// another turn at its service (ingress, mostTurns).
 
 const (
 	// extraTries is how often a request that was certainly not run may be
@@ -58,7 +59,7 @@
 	}
 }
 
-// hedgeDelay is how long an offer may be silent before another replica is asked, by the
+// hedgeDelay is how long an attempt may be silent before another replica is asked, by the
 // route's own time, if it has one, or by the replica's usual latency, 0 if it is not known.
 func hedgeDelay(ofRoute, latency time.Duration) time.Duration {
 	switch {
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -115,7 +115,7 @@
 			f.Quarantine.Answered(content)
 			return
 		}
-		f.logFailure(ctx, failedAttempt{requestID: req.RequestID, content: content, chosen: rep, outcome: offerOutcome(ctx, err),
+		f.logFailure(ctx, failedAttempt{requestID: req.RequestID, content: content, chosen: rep, outcome: outcomeOf(ctx, err),
 			ran: !errors.Is(err, upstream.ErrNotSent), after: time.Since(began), err: err})
 	}
 	answer, err := f.Pool.Exchange(ctx, rep.Address, &upstream.Request{
@@ -127,7 +127,7 @@
 		f.noteLoad(rep, answer.Header)
 		err = f.checkStreamHead(answer)
 	}
-	f.Observe(rep.Service, offerOutcome(ctx, err), time.Since(began))
+	f.Observe(rep.Service, outcomeOf(ctx, err), time.Since(began))
 	if err != nil {
 		f.headFailed(answer, err, ended)
 		release()
--- a/internal/requests/forward/suspect.go
+++ b/internal/requests/forward/suspect.go
@@ -95,13 +95,13 @@
 // at once to come back.
 const decisionWait = 300 * time.Millisecond
 
-// others returns the starts of the other replicas of a replica's service.
+// others returns the incarnations of the other replicas of a replica's service.
 func (f *Forwarder) others(rep replica.Replica) []string {
-	var starts []string
+	var others []string
 	for _, other := range f.Table.Replicas(rep.Service) {
 		if other.ID != rep.ID {
-			starts = append(starts, string(other.Incarnation()))
+			others = append(others, string(other.Incarnation()))
 		}
 	}
-	return starts
+	return others
 }
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -37,7 +37,7 @@
 	Request(route, status, outcome string, took time.Duration)
 }
 
-// Retries decides on offers to further replicas, beyond what forward.Tries allows.
+// Retries decides on attempts at further replicas, beyond what forward.Tries allows.
 type Retries interface {
 	// Began is told of each request.
 	Began(rt *route.Route)
@@ -76,7 +76,7 @@
 	Logger   *zap.Logger
 	// Clock is the clock by which clients wait.
 	Clock bootclock.Clock
-	// Retries bounds offers to further replicas.
+	// Retries bounds attempts at further replicas.
 	Retries Retries
 	// Admission decides which plain requests wait or are refused while a service is full.
 	Admission *admission.Controller
