--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -3,6 +3,7 @@
 import (
 	"woodworks/internal/daemon/metrics"
 	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/forward"
 	"woodworks/internal/requests/upstream"
 )
 
@@ -13,7 +14,7 @@
 func (n *Node) maxOpen(chosen replica.Replica) int {
 	configuration := n.operator.Configuration()
 	if n.relay == nil || configuration == nil {
-		return 0
+		return forward.Unbounded(chosen)
 	}
 	service := configuration.Services[chosen.Service]
 	daemons := n.daemons()
