--- /dev/null
+++ b/internal/journal/journaltest/group.go
@@ -0,0 +1,92 @@
+package journaltest
+
+import (
+	"context"
+	"sort"
+	"time"
+
+	"woodworks/internal/journal"
+)
+
+// Join implements journal.Journal. Partitions are dealt evenly, in order.
+func (j *Journal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
+	if _, err := j.fault(ctx, Join); err != nil {
+		return journal.Assignment{}, err
+	}
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.expire()
+	if _, ok := j.members[request.Member]; !ok {
+		j.generation++
+	}
+	j.members[request.Member] = time.Now().Add(request.Lifetime)
+	j.topics = request.Topics
+	assignment := journal.Assignment{Generation: j.generation}
+	for _, row := range j.deal() {
+		if row.Member == request.Member {
+			assignment.Partitions = append(assignment.Partitions, row.Partition)
+		}
+	}
+	return assignment, nil
+}
+
+// expire drops the members that have been silent. The mutex is held.
+func (j *Journal) expire() {
+	for member, until := range j.members {
+		if time.Now().After(until) {
+			delete(j.members, member)
+			j.generation++
+		}
+	}
+}
+
+// deal gives each partition to a member. The mutex is held.
+func (j *Journal) deal() []journal.Ownership {
+	members := make([]string, 0, len(j.members))
+	for member := range j.members {
+		members = append(members, member)
+	}
+	if len(members) == 0 {
+		return nil
+	}
+	sort.Strings(members)
+	var rows []journal.Ownership
+	for _, topic := range j.topics {
+		for number := 0; number < j.Partitions; number++ {
+			partition := journal.Partition{Topic: topic, Number: number}
+			rows = append(rows, journal.Ownership{Partition: partition, Member: members[(len(rows)+j.turn)%len(members)]})
+		}
+	}
+	return rows
+}
+
+// DealAnew gives all partitions to other members at once.
+func (j *Journal) DealAnew() {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.turn++
+	j.generation++
+}
+
+// Leave implements journal.Journal.
+func (j *Journal) Leave(ctx context.Context, _, member string) error {
+	if _, err := j.fault(ctx, Leave); err != nil {
+		return err
+	}
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	delete(j.members, member)
+	j.generation++
+	return nil
+}
+
+// Owners implements journal.Journal.
+func (j *Journal) Owners(ctx context.Context, _ string) ([]journal.Ownership, error) {
+	if _, err := j.fault(ctx, Owners); err != nil {
+		return nil, err
+	}
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.expire()
+	return j.deal(), nil
+}
--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -14,37 +14,6 @@
 	"woodworks/internal/journal"
 )
 
-// Fault is what befalls one call.
-type Fault int
-
-// Faults of a call.
-const (
-	// None lets the call through.
-	None Fault = iota
-	// Refuse answers that nothing was done.
-	Refuse
-	// Hang never answers; nothing is done.
-	Hang
-	// LoseAnswer does what was asked and never answers.
-	LoseAnswer
-	// Late never answers, and does what was asked when Settle is called, if
-	// its condition still holds then.
-	Late
-)
-
-// Call names a kind of call.
-type Call string
-
-// Calls that faults may befall.
-const (
-	Append Call = "append"
-	Read   Call = "read"
-	Newest Call = "newest"
-	Join   Call = "join"
-	Leave  Call = "leave"
-	Owners Call = "owners"
-)
-
 // Journal is a journal in memory. It is safe for concurrent use.
 type Journal struct {
 	// Befall, if not nil, decides the fault of each call.
@@ -57,7 +26,7 @@
 	// throttled.
 	Granted journal.Grants
 
-	mutex      sync.Mutex
+	mu         sync.Mutex
 	logs       map[journal.Partition]*log
 	changed    chan struct{}
 	late       []journal.Append
@@ -72,16 +41,7 @@
 	outlet   outlet
 }
 
-// Usage is what a journal's callers used of it.
-type Usage struct {
-	// Reads counts the reads of all kinds, Throttled those of them that were refused.
-	Reads, Throttled int
-	// ReadBytes counts the bytes of the records read.
-	ReadBytes int
-	// MostInSecond is the largest number of reads in one second.
-	MostInSecond int
-}
-
+// log is the records kept of a partition.
 type log struct {
 	first   int64
 	records [][]byte
@@ -109,75 +69,14 @@
 // Grants implements journal.Journal.
 func (j *Journal) Grants() journal.Grants { return j.Granted }
 
-// SetBefall sets Befall while calls may be under way.
-func (j *Journal) SetBefall(befall func(call Call) Fault) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.Befall = befall
-}
-
-// Usage returns what was used since the journal was made or ResetUsage was called.
-func (j *Journal) Usage() Usage {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	return j.usage
-}
-
-// ResetUsage begins to count anew.
-func (j *Journal) ResetUsage() {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.usage = Usage{}
-}
-
-// countRead counts a read, and refuses it if more come in a second than are granted.
-func (j *Journal) countRead() error {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	if second := time.Now().Unix(); second != j.second {
-		j.second, j.inSecond = second, 0
-	}
-	j.inSecond++
-	j.usage.Reads++
-	j.usage.MostInSecond = max(j.usage.MostInSecond, j.inSecond)
-	if granted := j.Granted.ReadsPerSecond; granted > 0 && float64(j.inSecond) > granted {
-		j.usage.Throttled++
-		return &journal.ThrottledError{Reason: "too many reads"}
-	}
-	return nil
-}
-
-// countBytes counts the bytes of records read. The mutex is held.
-func (j *Journal) countBytes(records [][]byte) {
-	j.usage.ReadBytes += sizeOf(records)
-}
-
-// fault returns what befalls a call; hanging calls have already hung.
-func (j *Journal) fault(ctx context.Context, call Call) (Fault, error) {
-	fault := None
-	j.mutex.Lock()
-	befall := j.Befall
-	j.mutex.Unlock()
-	if befall != nil {
-		fault = befall(call)
-	}
-	switch fault {
-	case Refuse:
-		return fault, errors.Wrap(journal.ErrNotDone, "refused")
-	case Hang:
-		<-ctx.Done()
-		return fault, errors.Wrap(journal.ErrUnknown, "hung")
-	}
-	return fault, nil
-}
-
+// log returns a partition's records. The mutex is held.
 func (j *Journal) log(partition journal.Partition) *log {
-	found := j.logs[partition]
-	if found == nil {
-		found = &log{}
-		j.logs[partition] = found
+	l := j.logs[partition]
+	if l == nil {
+		l = &log{}
+		j.logs[partition] = l
 	}
-	return found
+	return l
 }
 
 // Append implements journal.Journal.
@@ -187,9 +86,9 @@
 		return journal.Appended{}, err
 	}
 	if fault == Late {
-		j.mutex.Lock()
+		j.mu.Lock()
 		j.late = append(j.late, request)
-		j.mutex.Unlock()
+		j.mu.Unlock()
 		<-ctx.Done()
 		return journal.Appended{}, errors.Wrap(journal.ErrUnknown, "late")
 	}
@@ -201,9 +100,10 @@
 	return appended, err
 }
 
+// put does what an append asks for.
 func (j *Journal) put(request journal.Append) (journal.Appended, error) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	target := j.log(request.Partition)
 	if request.ExpectedEnd != nil && *request.ExpectedEnd != target.end() {
 		return journal.Appended{}, errors.Wrap(journal.ErrPosition, "another end")
@@ -217,19 +117,19 @@
 
 // Settle lets the late appends take effect now.
 func (j *Journal) Settle() {
-	j.mutex.Lock()
+	j.mu.Lock()
 	late := j.late
 	j.late = nil
-	j.mutex.Unlock()
+	j.mu.Unlock()
 	for _, request := range late {
-		_, _ = j.put(request)
+		_, _ = j.put(request) // One whose condition fails has no effect, as it should.
 	}
 }
 
 // Trim removes the records before an offset.
 func (j *Journal) Trim(partition journal.Partition, before int64) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	target := j.log(partition)
 	if before > target.first {
 		target.records = target.records[min(before, target.end())-target.first:]
@@ -239,8 +139,8 @@
 
 // Records returns all records kept of a partition.
 func (j *Journal) Records(partition journal.Partition) [][]byte {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	return append([][]byte(nil), j.log(partition).records...)
 }
 
@@ -255,19 +155,19 @@
 	timer := time.NewTimer(request.Wait)
 	defer timer.Stop()
 	for {
-		j.mutex.Lock()
+		j.mu.Lock()
 		target := j.log(request.Partition)
 		read := journal.Records{End: target.end(), First: target.first}
 		changed := j.changed
 		if request.From < target.first {
-			j.mutex.Unlock()
+			j.mu.Unlock()
 			return journal.Records{}, &journal.TrimmedError{First: target.first}
 		}
 		if request.From < target.end() {
 			read.Records = append(read.Records, cut(target.records[request.From-target.first:], request.MaxBytes)...)
 			j.countBytes(read.Records)
 		}
-		j.mutex.Unlock()
+		j.mu.Unlock()
 		if len(read.Records) > 0 || request.Wait == 0 {
 			if err := j.outlet.send(ctx, sizeOf(read.Records)); err != nil {
 				return journal.Records{}, err
@@ -307,8 +207,8 @@
 	if _, err := j.fault(ctx, Newest); err != nil {
 		return journal.KeyedPage{}, err
 	}
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	target := j.log(partition)
 	newest := map[string]journal.KeyedRecord{}
 	for i, record := range target.records {
@@ -341,85 +241,3 @@
 
 // KeyedTopic implements journal.Journal.
 func (j *Journal) KeyedTopic(name string) string { return journal.KeyedTopicName(name) }
-
-// Join implements journal.Journal. Partitions are dealt evenly, in order.
-func (j *Journal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
-	if _, err := j.fault(ctx, Join); err != nil {
-		return journal.Assignment{}, err
-	}
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.expire()
-	if _, known := j.members[request.Member]; !known {
-		j.generation++
-	}
-	j.members[request.Member] = time.Now().Add(request.Lifetime)
-	j.topics = request.Topics
-	assignment := journal.Assignment{Generation: j.generation}
-	for _, row := range j.deal() {
-		if row.Member == request.Member {
-			assignment.Partitions = append(assignment.Partitions, row.Partition)
-		}
-	}
-	return assignment, nil
-}
-
-// expire drops the members that have been silent. The mutex is held.
-func (j *Journal) expire() {
-	for member, until := range j.members {
-		if time.Now().After(until) {
-			delete(j.members, member)
-			j.generation++
-		}
-	}
-}
-
-// deal gives each partition to a member. The mutex is held.
-func (j *Journal) deal() []journal.Ownership {
-	members := make([]string, 0, len(j.members))
-	for member := range j.members {
-		members = append(members, member)
-	}
-	if len(members) == 0 {
-		return nil
-	}
-	sort.Strings(members)
-	var rows []journal.Ownership
-	for _, topic := range j.topics {
-		for number := 0; number < j.Partitions; number++ {
-			rows = append(rows, journal.Ownership{Partition: journal.Partition{Topic: topic, Number: number}, Member: members[(len(rows)+j.turn)%len(members)]})
-		}
-	}
-	return rows
-}
-
-// DealAnew gives all partitions to other members at once.
-func (j *Journal) DealAnew() {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.turn++
-	j.generation++
-}
-
-// Leave implements journal.Journal.
-func (j *Journal) Leave(ctx context.Context, _, member string) error {
-	if _, err := j.fault(ctx, Leave); err != nil {
-		return err
-	}
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	delete(j.members, member)
-	j.generation++
-	return nil
-}
-
-// Owners implements journal.Journal.
-func (j *Journal) Owners(ctx context.Context, _ string) ([]journal.Ownership, error) {
-	if _, err := j.fault(ctx, Owners); err != nil {
-		return nil, err
-	}
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.expire()
-	return j.deal(), nil
-}
