--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -48,23 +48,39 @@
 	return 0, ctx.Err()
 }
 
+// routedItem is a batch of one item for the route of newOwner.
+var routedItem = batch.Submission{ID: "x", Host: "h", Path: "/p/x", Items: []batch.Item{{ID: "i"}}}
+
+// putOthers fills a partition with some bytes of other batches.
+func putOthers(ctx context.Context, t *testing.T, log journal.Journal, partition journal.Partition, bytes int) {
+	t.Helper()
+	const part = 64 << 10
+	for i := range bytes / part {
+		record := batch.Accepted(&batch.Submission{ID: fmt.Sprintf("other-%d", i), Items: []batch.Item{{ID: "o", Body: make([]byte, part)}}}, "gone/1")
+		if _, err := log.Append(ctx, journal.Append{Partition: partition, Records: [][]byte{record}}); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// firstSign reports whether the owner of routedItem has given a sign, and names it.
+func firstSign(partition *ledger.Partition) (given bool, owner string) {
+	partition.View(func(state *batch.State) {
+		if b, ok := state.Get("x"); ok {
+			given, owner = b.Signs > 0, b.Owner
+		}
+	})
+	return given, owner
+}
+
 // begunAfter is how long after the acceptance of oneItem its owner gives its first sign,
 // with some bytes of other batches in the partition, at an owner behind a link.
 func begunAfter(ctx context.Context, t *testing.T, others int, bytesPerSecond float64, locator Locator) (took time.Duration, owner string) {
 	log := journaltest.New()
 	seen := ledger.New(ctx, log, zap.NewNop())
 	partition := seen.Of("x")
-	release := partition.Follow()
-	defer release()
-	const part = 64 << 10
-	put := func(record []byte) {
-		if _, err := log.Append(ctx, journal.Append{Partition: partition.Name(), Records: [][]byte{record}}); err != nil {
-			t.Fatal(err)
-		}
-	}
-	for i := range others / part {
-		put(batch.Accepted(&batch.Submission{ID: fmt.Sprintf("other-%d", i), Items: []batch.Item{{ID: "o", Body: make([]byte, part)}}}, "gone/1"))
-	}
+	defer partition.Follow()()
+	putOthers(ctx, t, log, partition.Name(), others)
 	if locator == nil {
 		locator = holds{seen}
 	}
@@ -73,20 +89,15 @@
 	accepter := newAccepter(ctx, log.Behind(bytesPerSecond), "a/1")
 	accepter.SetLocator(locator)
 	began := time.Now()
-	submission := batch.Submission{ID: "x", Host: "h", Path: "/p/x", Items: []batch.Item{{ID: "i"}}}
-	if err := accepter.Accept(ctx, &submission); err != nil {
+	if err := accepter.Accept(ctx, &routedItem); err != nil {
 		t.Fatal(err)
 	}
 	chosen.AdoptWhenSeen("x")
-	for signs := int64(0); signs == 0; time.Sleep(time.Millisecond) {
+	for begun := false; !begun; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 5*time.Second {
 			t.Fatal("nobody has begun")
 		}
-		partition.View(func(state *batch.State) {
-			if b, ok := state.Get("x"); ok {
-				signs, owner = b.Signs, b.Owner
-			}
-		})
+		begun, owner = firstSign(partition)
 	}
 	return time.Since(began), owner
 }
--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -22,7 +22,6 @@
 	table.Replace([]replica.Entry{{ID: "from", Service: "s", Slots: 4}, {ID: "to", Service: "s", Slots: 4}})
 	j := &job{r: &Runner{table: table}, submission: &batch.Submission{}, placement: placement{groups: map[string]replica.Incarnation{}}, logger: zap.NewNop()}
 	j.ctx, j.cancel = context.WithCancel(t.Context())
-	t.Cleanup(j.cancel)
 	it := &item{state: itemRunning, attempt: 1, lastReplica: "from", cancel: func() {}, buffering: true}
 	j.items = []*item{it}
 	return j, it
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -11,7 +11,6 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"woodworks/internal/batches/batch"
 	"woodworks/internal/batches/ledger"
 	"woodworks/internal/batches/results"
 	"woodworks/internal/journal"
@@ -89,13 +88,7 @@
 	slow := lateJournal{Journal: log, takes: takes}
 	held := ledger.New(ctx, slow, logger)
 	partition := held.Of("x")
-	const part = 64 << 10
-	for i := range others / part {
-		record := batch.Accepted(&batch.Submission{ID: fmt.Sprintf("other-%d", i), Items: []batch.Item{{ID: "o", Body: make([]byte, part)}}}, "gone/1")
-		if _, err := log.Append(ctx, journal.Append{Partition: partition.Name(), Records: [][]byte{record}}); err != nil {
-			t.Fatal(err)
-		}
-	}
+	putOthers(ctx, t, log, partition.Name(), others)
 	member := group.New(slow, holder, ledger.TopicNames(), logger)
 	go member.Run(ctx)
 	defer partition.Follow()()
@@ -113,17 +106,12 @@
 	accepter := newAccepter(ctx, slow, "a/1")
 	accepter.SetLocator(locator("b/1", accepter.ledger))
 	began := time.Now()
-	submission := batch.Submission{ID: "x", Host: "h", Path: "/p/x", Items: []batch.Item{{ID: "i"}}}
-	if err := accepter.Accept(ctx, &submission); err != nil {
+	if err := accepter.Accept(ctx, &routedItem); err != nil {
 		t.Fatal(err)
 	}
 	go chosen.AdoptWhenSeen("x")
-	for signs := int64(0); signs == 0 && time.Since(began) < 20*time.Second; time.Sleep(time.Millisecond) {
-		partition.View(func(state *batch.State) {
-			if b, ok := state.Get("x"); ok {
-				signs, owner = b.Signs, b.Owner
-			}
-		})
+	for begun := false; !begun && time.Since(began) < 20*time.Second; time.Sleep(time.Millisecond) {
+		begun, owner = firstSign(partition)
 	}
 	return time.Since(began), owner
 }
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -25,16 +25,11 @@
 // newOwner is a daemon that owns what it accepts, with one replica of the service "s".
 func newOwner(ctx context.Context, t *testing.T, log journal.Journal, self string) *Runner {
 	t.Helper()
-	configuration, err := route.New(route.Declared{Routes: []route.Route{{
-		Name: "r", Host: "h", PathPrefix: "/p/", Kind: route.Batch, MaxQueue: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
-	if err != nil {
-		t.Fatal(err)
-	}
 	logger := zap.NewNop()
 	table := replica.NewTable(time.Second, logger)
 	table.Replace([]replica.Entry{{ID: "engine", Service: "s", Slots: 4}})
 	forwarder := &forward.Forwarder{MaxOpen: forward.Unbounded, Clock: time.Now, Names: headers.Names{}, Quarantine: quarantine.New("m", time.Now, logger), Table: table, Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
-	return New(ctx, self, ledger.New(ctx, log, logger), forwarder, configured{configuration: configuration}, nil, NewAssigner(log, dealtTo(self), self, logger), logger)
+	return New(ctx, self, ledger.New(ctx, log, logger), forwarder, batchesFor(t, time.Minute), nil, NewAssigner(log, dealtTo(self), self, logger), logger)
 }
 
 // twoItems is a batch for the route of newOwner.
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -22,17 +22,23 @@
 
 func (c configured) Configuration() *route.Configuration { return c.configuration }
 
-// agedJob is a batch with one waiting item, accepted by a daemon whose clock shows
-// another time of day than the owner's.
-func agedJob(t *testing.T, behind, maxQueue time.Duration) *job {
+// batchesFor is an operator whose one route lets batches wait for a time.
+func batchesFor(t *testing.T, maxQueue time.Duration) configured {
 	t.Helper()
 	configuration, err := route.New(route.Declared{Routes: []route.Route{{
 		Name: "r", Host: "h", PathPrefix: "/p/", Kind: route.Batch, MaxQueue: maxQueue, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
+	return configured{configuration: configuration}
+}
+
+// agedJob is a batch with one waiting item, accepted by a daemon whose clock shows
+// another time of day than the owner's.
+func agedJob(t *testing.T, behind, maxQueue time.Duration) *job {
+	t.Helper()
 	j, it := movedJob(t)
-	j.r.operator = configured{configuration: configuration}
+	j.r.operator = batchesFor(t, maxQueue)
 	j.submission = &batch.Submission{ID: "x", Host: "h", Path: "/p/x", AcceptedAtMs: time.Now().Add(-behind).UnixMilli()}
 	j.adoptedAt, j.results = time.Now(), newResultQueue()
 	it.state, it.buffering, it.cancel = itemWaiting, false, nil
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -84,12 +84,7 @@
 		log := journaltest.New()
 		accepter := newAccepter(ctx, log, "a/1")
 		is.NoErr(accepter.Accept(ctx, &oneItem))
-		log.SetBefall(func(call journaltest.Call) journaltest.Fault {
-			if call == journaltest.Read {
-				return journaltest.Refuse
-			}
-			return journaltest.None
-		})
+		refuse(log, journaltest.Read)
 		time.Sleep(10 * standByWait)
 		log.SetBefall(nil)
 		is.NoErr(accepter.ledger.Of("x").CatchUp(ctx))
--- a/internal/batches/runner/stop_test.go
+++ b/internal/batches/runner/stop_test.go
@@ -25,15 +25,14 @@
 	return ownerOf(partition, batchID)
 }
 
-// refuseAppends makes the journal refuse appends for a while.
-func refuseAppends(log *journaltest.Journal, span time.Duration) {
+// refuse makes the journal refuse calls of one kind.
+func refuse(log *journaltest.Journal, refused journaltest.Call) {
 	log.SetBefall(func(call journaltest.Call) journaltest.Fault {
-		if call == journaltest.Append {
+		if call == refused {
 			return journaltest.Refuse
 		}
 		return journaltest.None
 	})
-	time.AfterFunc(span, func() { log.SetBefall(nil) })
 }
 
 // A batch with nothing under way is left as soon as the stop begins, while its record of
@@ -48,7 +47,8 @@
 		owner := newOwner(ctx, t, log, "a/1")
 		is.NoErr(owner.Accept(ctx, &twoItems))
 		synctest.Wait()
-		refuseAppends(log, 4*time.Second)
+		refuse(log, journaltest.Append)
+		time.AfterFunc(4*time.Second, func() { log.SetBefall(nil) })
 		bounded, cancel := context.WithTimeout(ctx, 8*time.Second)
 		defer cancel()
 		owner.Release(bounded)
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -100,7 +100,7 @@
 		group.partitions = map[journal.Partition]bool{partition.Name(): true}
 		go watcher.Run(ctx)
 		time.Sleep(1300 * time.Millisecond)
-		is.NoErr(partition.Append(ctx, batch.Accepted(&batch.Submission{ID: "x", Items: []batch.Item{{ID: "i"}}}, "a/1")))
+		is.NoErr(partition.Append(ctx, batch.Accepted(&oneItem, "a/1")))
 		time.Sleep(suspectAfter + 2*watchInterval + 20*time.Millisecond)
 		is.Equal(ownerOf(partition, "x"), "b/1")
 	})
@@ -115,7 +115,7 @@
 		group := &replaced{}
 		log := journaltest.New()
 		watcher, partition := newWatched(ctx, log, group)
-		is.NoErr(partition.Append(ctx, batch.Accepted(&batch.Submission{ID: "x", Items: []batch.Item{{ID: "i"}}}, "a/1")))
+		is.NoErr(partition.Append(ctx, batch.Accepted(&oneItem, "a/1")))
 		is.NoErr(partition.CatchUp(ctx))
 		seen := &watched{owners: map[string]observation{}}
 		is.Equal(len(watcher.inspect(partition.Name(), seen, 0, time.Now())), 0)
@@ -142,7 +142,7 @@
 		log := journaltest.New()
 		watcher, partition := newWatched(ctx, log, group)
 		accepter := ledger.New(ctx, log, zap.NewNop())
-		is.NoErr(accepter.Of("x").Append(ctx, batch.Accepted(&batch.Submission{ID: "x", Items: []batch.Item{{ID: "i"}}}, "a/1")))
+		is.NoErr(accepter.Of("x").Append(ctx, batch.Accepted(&oneItem, "a/1")))
 		group.partitions, group.generation = map[journal.Partition]bool{partition.Name(): true}, 2
 		go watcher.Run(ctx)
 		time.Sleep(2*watchInterval + 20*time.Millisecond)
@@ -156,7 +156,7 @@
 	ctx := t.Context()
 	group := &replaced{}
 	watcher, partition := newWatched(ctx, journaltest.New(), group)
-	is.NoErr(partition.Append(ctx, batch.Accepted(&batch.Submission{ID: "x", Items: []batch.Item{{ID: "i"}}}, "c/1")))
+	is.NoErr(partition.Append(ctx, batch.Accepted(&oneItem, "c/1")))
 	is.NoErr(partition.CatchUp(ctx))
 	p := &watched{owners: map[string]observation{}}
 	watcher.watched[partition.Name()] = p
