--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -144,7 +144,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	deals := dealEvenly(replicas, models, allotment, s.modelsDealt(replicas), func(id string) time.Duration { return s.noteOf(id).best.value() })
+	deals := dealEvenly(replicas, models, allotment, s.modelsDealt(replicas), func(id string) time.Duration { return s.noteOf(id).best.Value() })
 	for i, model := range models {
 		for _, rep := range deals[i] {
 			if len(replicas) >= len(models) {
--- a/internal/replicas/modelsync/kinds.go
+++ b/internal/replicas/modelsync/kinds.go
@@ -29,32 +29,11 @@
 // without it engines count as equally fast.
 func (s *Syncer) SetEventTime(eventTime EventTime) { s.eventTime = eventTime }
 
-// bestTime is the best event time of the present span and of the one before, 0 if none is known.
-type bestTime struct {
-	spans [2]time.Duration
-	since time.Time
-}
-
-// note takes an event time into account.
-func (b *bestTime) note(eventTime time.Duration, now time.Time) {
-	if b.spans[0] == 0 || now.Sub(b.since) > bestSpan {
-		b.spans, b.since = [2]time.Duration{eventTime, b.spans[0]}, now
-	}
-	b.spans[0] = min(b.spans[0], eventTime)
-}
-
-func (b *bestTime) value() time.Duration {
-	if b.spans[1] > 0 {
-		return min(b.spans[0], b.spans[1])
-	}
-	return b.spans[0]
-}
-
 // noteEventTimes keeps the best event times of the engines that are listed. The mutex is held.
 func (s *Syncer) noteEventTimes(replicas []replica.Replica, now time.Time) {
 	for _, rep := range replicas {
 		if eventTime, age := s.eventTime(rep); eventTime > 0 && age <= maxEventTimeAge {
-			s.noteOf(rep.ID).best.note(eventTime, now)
+			s.noteOf(rep.ID).best.Note(eventTime, bestSpan, now)
 		}
 	}
 }
--- a/internal/replicas/modelsync/kinds_test.go
+++ b/internal/replicas/modelsync/kinds_test.go
@@ -95,20 +95,20 @@
 // An engine that is slow for some seconds keeps its kind.
 func TestASlowSpellIsNoSpeed(t *testing.T) {
 	is := is.New(t)
-	var b bestTime
+	var b replica.BestTime
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for at := time.Duration(0); at < 50*time.Second; at += time.Second {
 		pace := 50 * time.Millisecond
 		if at > 25*time.Second && at < 40*time.Second {
 			pace *= 3
 		}
-		b.note(pace, start.Add(at))
-		is.Equal(b.value(), 50*time.Millisecond)
+		b.Note(pace, bestSpan, start.Add(at))
+		is.Equal(b.Value(), 50*time.Millisecond)
 	}
 	for at := 50 * time.Second; at < 115*time.Second; at += time.Second {
-		b.note(100*time.Millisecond, start.Add(at))
+		b.Note(100*time.Millisecond, bestSpan, start.Add(at))
 	}
-	is.Equal(b.value(), 100*time.Millisecond) // that is how it is now
+	is.Equal(b.Value(), 100*time.Millisecond) // that is how it is now
 }
 
 // Whatever the speeds and the deals before: no engine is dealt twice, no model gets more than
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -110,7 +110,7 @@
 	rest     backoff.Rest
 	listedAt time.Time
 	// best is the best event time of late.
-	best bestTime
+	best replica.BestTime
 }
 
 // forgetAfter is how long a note outlives its engine's place in the list, from
--- a/internal/replicas/replica/eventtime.go
+++ b/internal/replicas/replica/eventtime.go
@@ -27,10 +27,8 @@
 	events int
 	at     time.Time
 	median time.Duration
-	// best is the best median of the present span and of the one before, which
-	// tells replicas apart that get nothing to do for a while.
-	best  [2]time.Duration
-	since time.Time
+	// best tells replicas apart that get nothing to do for a while.
+	best BestTime
 }
 
 // note takes the time between two events into account.
@@ -45,13 +43,9 @@
 	sorted := p.gaps
 	slices.Sort(sorted[:n])
 	p.median = sorted[n/2]
-	if n < eventWindow {
-		return
-	}
-	if p.best[0] == 0 || now.Sub(p.since) > bestSpan {
-		p.best, p.since = [2]time.Duration{p.median, p.best[0]}, now
+	if n == eventWindow {
+		p.best.Note(p.median, bestSpan, now)
 	}
-	p.best[0] = min(p.best[0], p.median)
 }
 
 // value returns the event time to reckon with, 0 if it is unknown.
@@ -59,8 +53,28 @@
 	if p.events >= minEvents && now.Sub(p.at) <= eventTimeLifetime {
 		return p.median
 	}
-	if p.best[1] > 0 {
-		return min(p.best[0], p.best[1])
+	return p.best.Value()
+}
+
+// BestTime is the best event time of the present span and of the one before. The zero value
+// knows none.
+type BestTime struct {
+	spans [2]time.Duration
+	since time.Time
+}
+
+// Note takes an event time into account. Span is over how long at least the best one counts.
+func (b *BestTime) Note(eventTime, span time.Duration, now time.Time) {
+	if b.spans[0] == 0 || now.Sub(b.since) > span {
+		b.spans, b.since = [2]time.Duration{eventTime, b.spans[0]}, now
+	}
+	b.spans[0] = min(b.spans[0], eventTime)
+}
+
+// Value returns the best event time, 0 if none is known.
+func (b *BestTime) Value() time.Duration {
+	if b.spans[1] > 0 {
+		return min(b.spans[0], b.spans[1])
 	}
-	return p.best[0]
+	return b.spans[0]
 }
