--- a/internal/batches/batch/record.go
+++ b/internal/batches/batch/record.go
@@ -114,7 +114,7 @@
 
 // Fragment cuts a record that is longer than limit into records that are not.
 // The fold takes the parts together as the record itself, at the offset of the
-// last part. Key must be unique to this append.
+// first part. Key must be unique to this append.
 func Fragment(encoded []byte, limit int, key string) [][]byte {
 	if len(encoded) <= limit {
 		return [][]byte{encoded}
--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -14,7 +14,8 @@
 	// heartbeatTimeout is how long an owner may give no sign of life before another daemon
 	// takes its batch over.
 	heartbeatTimeout = 1500 * time.Millisecond
-	// firstHeartbeatTimeout is how long a new owner may take to give its first sign of life.
+	// firstHeartbeatTimeout is how long the first owner of a batch may take to give its first
+	// sign of life. One that took a batch over has heartbeatTimeout from the start.
 	firstHeartbeatTimeout = 700 * time.Millisecond
 	// suspectAfter is after how long an owner's machine is looked for among those alive: a
 	// new incarnation there proves that the owner is gone.
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -8,12 +8,12 @@
 // known of replicas; on the forwarder to reach them; and on the group for who is alive and
 // which partitions this daemon watches.
 //
-// The files that hold state are runner.go, job.go, item.go, history.go and assign.go. Those
-// that decide are pure: retry.go (which attempt follows, when an item is given up), owner.go
-// (when an owner is replaced), and package scheduling (what starts where). The others carry
-// out: dispatch.go and attempt.go, handover.go, reward.go, listing.go, heartbeat.go on the
-// way of an item; adopt.go, fold.go, standby.go, takeover.go, watcher.go, release.go on the
-// way of a batch from owner to owner; engineshare.go among owners; timing.go for the logs.
+// Decisions stand in retry.go (which attempt follows, when an item is given up), owner.go
+// (when an owner is replaced) and package scheduling (what starts where). State is in
+// runner.go, job.go, item.go, history.go and assign.go, and in watcher.go and takeover.go for
+// the batches of others. The way of an item: dispatch.go, attempt.go, handover.go, reward.go,
+// listing.go, heartbeat.go. The way of a batch from owner to owner: adopt.go, fold.go,
+// standby.go, takeover.go, watcher.go, release.go.
 //
 // # Usage
 //
--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -73,8 +73,7 @@
 }
 
 // confirm returns the suspects of which a read of their partition brings nothing either.
-// The reads of followers are long polls, so that they alone show
-// silence up to a second late, or not at all.
+// The reads of followers are long polls: they alone would show silence late or not at all.
 //
 // It waits for confirmTimeout at most, so that one partition does not hold up the others.
 // A read that takes longer goes on, and counts at a later call: a slow machine would
