--- a/internal/requests/eventstream/eventstream.go
+++ b/internal/requests/eventstream/eventstream.go
@@ -26,6 +26,7 @@
 	ErrMalformed = errors.New("event stream: malformed event")
 )
 
+// maxEventBytes bounds an event, in bytes, where one of its lines fills the buffer.
 const maxEventBytes = 4 << 20
 
 // Event is one whole event.
@@ -54,32 +55,18 @@
 }
 
 // Next returns the next event, io.EOF at the stream's proper end, or an error.
-func (reader *Reader) Next() (Event, error) {
+func (r *Reader) Next() (Event, error) {
 	var event Event
 	dataSeen := false
 	for {
-		line, err := reader.source.ReadSlice('\n')
-		for errors.Is(err, bufio.ErrBufferFull) {
-			event.Raw = append(event.Raw, line...)
-			if len(event.Raw) > maxEventBytes {
-				return Event{}, ErrMalformed
-			}
-			var rest []byte
-			prefix := bytes.Clone(line)
-			rest, err = reader.source.ReadSlice('\n')
-			event.Raw = append(event.Raw, rest...)
-			line = append(prefix, rest...)
-			if err == nil {
-				event.Raw = event.Raw[:len(event.Raw)-len(line)]
-			}
+		line, err := r.readLine(maxEventBytes - len(event.Raw))
+		if err == io.EOF && len(line) == 0 && len(event.Raw) == 0 {
+			return Event{}, io.EOF
+		}
+		if err == io.EOF {
+			return Event{}, ErrCut
 		}
 		if err != nil {
-			if err == io.EOF && len(line) == 0 && len(event.Raw) == 0 {
-				return Event{}, io.EOF
-			}
-			if err == io.EOF {
-				return Event{}, ErrCut
-			}
 			return Event{}, err
 		}
 		event.Raw = append(event.Raw, line...)
@@ -91,13 +78,31 @@
 			}
 			return event, nil
 		}
-		if err := reader.field(&event, text, &dataSeen); err != nil {
+		if err := r.field(&event, text, &dataSeen); err != nil {
 			return Event{}, err
 		}
 	}
 }
 
-func (reader *Reader) field(event *Event, text []byte, dataSeen *bool) error {
+// readLine returns the next line with its end, valid until the next read. A line that fills
+// the buffer must have no more than room bytes. With io.EOF comes what there is of a line.
+func (r *Reader) readLine(room int) ([]byte, error) {
+	line, err := r.source.ReadSlice('\n')
+	if !errors.Is(err, bufio.ErrBufferFull) {
+		return line, err
+	}
+	long := bytes.Clone(line)
+	for errors.Is(err, bufio.ErrBufferFull) {
+		if len(long) > room {
+			return nil, ErrMalformed
+		}
+		line, err = r.source.ReadSlice('\n')
+		long = append(long, line...)
+	}
+	return long, err
+}
+
+func (r *Reader) field(event *Event, text []byte, dataSeen *bool) error {
 	line := string(text)
 	switch {
 	case strings.HasPrefix(line, "data:"):
@@ -112,8 +117,8 @@
 			return errors.Wrap(ErrMalformed, line)
 		}
 		event.ID, event.HasID = number, true
-	case strings.HasPrefix(line, reader.versionPrefix):
-		number, err := strconv.ParseInt(strings.TrimSpace(line[len(reader.versionPrefix):]), 10, 64)
+	case strings.HasPrefix(line, r.versionPrefix):
+		number, err := strconv.ParseInt(strings.TrimSpace(line[len(r.versionPrefix):]), 10, 64)
 		if err != nil {
 			return errors.Wrap(ErrMalformed, line)
 		}
