--- a/Makefile
+++ b/Makefile
@@ -18,6 +18,7 @@
 	@echo go tool deadcode ./...
 	@! go tool deadcode ./... | grep -vE '^$(TEST_PACKAGES)'
 	@! go tool deadcode -test ./... | grep .
+	@for patch in bench/ablation/*.patch; do git apply --check $$patch || exit 1; done
 
 # Each fuzz target for a fixed number of inputs.
 FUZZ ?= 20000x
