--- a/internal/requests/ingress/refuse.go
+++ b/internal/requests/ingress/refuse.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"github.com/pkg/errors"
+	"go.uber.org/zap"
 
 	"woodworks/internal/daemon/shutdown"
 	"woodworks/internal/requests/admission"
@@ -16,8 +17,9 @@
 // refuse gives an answer of our own that is not a success.
 func (r *request) refuse(reason refusal.Reason, text string) {
 	if reason.MayReturn() {
-		seconds := reason.ComeBack(r.timeLeft()).Seconds()
-		r.w.Header().Set("Retry-After", strconv.FormatFloat(seconds, 'f', 3, 64))
+		comeBack := reason.ComeBack(r.timeLeft())
+		r.w.Header().Set("Retry-After", strconv.FormatFloat(comeBack.Seconds(), 'f', 3, 64))
+		r.logger = r.logger.With(zap.Duration("come_back", comeBack))
 	}
 	r.write(reason.Status, r.handler.Codec.EncodeError(text))
 	r.observe(reason.Status, reason.Name, text)
