--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -24,61 +24,55 @@
 	}
 }
 
-// Replicas that a predecessor has just ordered are on their way, whatever its time of day:
-// no zone is asked for more, and none is taken for one that brings up nothing.
-func TestASuccessorWaitsForWhatWasOrderedWhateverTheClock(t *testing.T) {
+// succeed plays what follows as a daemon succeeds such a predecessor, for each error of its clock.
+func succeed(t *testing.T, play func(is *is.I, s *stage)) {
+	t.Helper()
 	for name, clockError := range clockErrors {
 		t.Run(name, func(t *testing.T) {
 			on(t, func(is *is.I, ctx context.Context) {
 				s := newStage(240)
-				is.Equal(Need(Input{Slots: 6, Loads: loadsOf(240)}), 18) // six in each zone
 				s.leaveOrders(ctx, is, clockError)
 				s.start(ctx, zap.NewNop())
-				time.Sleep(s.boot() + bootMargin - lookInterval)
-				is.Equal(s.taken(), []duty.Fleet(nil))
+				play(is, s)
 			})
 		})
 	}
 }
 
+// Replicas that a predecessor has just ordered are on their way, whatever its time of day:
+// no zone is asked for more, and none is taken for one that brings up nothing.
+func TestASuccessorWaitsForWhatWasOrderedWhateverTheClock(t *testing.T) {
+	succeed(t, func(is *is.I, s *stage) {
+		is.Equal(Need(Input{Slots: 6, Loads: loadsOf(240)}), 18) // six in each zone
+		time.Sleep(s.boot() + bootMargin - lookInterval)
+		is.Equal(s.taken(), []duty.Fleet(nil))
+	})
+}
+
 // Replicas that never come are missed after the time that they take to start, whatever
 // the time of day of the daemon that ordered them.
 func TestASuccessorMissesWhatNeverComesWhateverTheClock(t *testing.T) {
-	for name, clockError := range clockErrors {
-		t.Run(name, func(t *testing.T) {
-			on(t, func(is *is.I, ctx context.Context) {
-				s := newStage(240)
-				s.leaveOrders(ctx, is, clockError)
-				s.start(ctx, zap.NewNop())
-				time.Sleep(s.boot() + bootMargin + renewInterval + lookInterval)
-				is.True(len(s.taken()) > 0)
-			})
-		})
-	}
+	succeed(t, func(is *is.I, s *stage) {
+		time.Sleep(s.boot() + bootMargin + renewInterval + lookInterval)
+		is.True(len(s.taken()) > 0)
+	})
 }
 
 // A holder whose lease lapses again and again reads the same orders each time; they
 // do not become new by that.
 func TestOrdersDoNotBecomeNewWithEachReading(t *testing.T) {
-	for name, clockError := range clockErrors {
-		t.Run(name, func(t *testing.T) {
-			on(t, func(is *is.I, ctx context.Context) {
-				s := newStage(240)
-				s.leaveOrders(ctx, is, clockError)
-				s.start(ctx, zap.NewNop())
-				end := time.Now().Add(s.boot() + bootMargin + renewInterval + lookInterval)
-				for time.Now().Before(end) {
-					s.set(func() { s.held = true })
-					time.Sleep(4 * lookInterval)
-					s.set(func() { s.held = false })
-					time.Sleep(2 * lookInterval)
-				}
-				s.set(func() { s.held = true })
-				time.Sleep(2 * lookInterval)
-				is.True(len(s.taken()) > 0)
-			})
-		})
-	}
+	succeed(t, func(is *is.I, s *stage) {
+		end := time.Now().Add(s.boot() + bootMargin + renewInterval + lookInterval)
+		for time.Now().Before(end) {
+			s.set(func() { s.held = true })
+			time.Sleep(4 * lookInterval)
+			s.set(func() { s.held = false })
+			time.Sleep(2 * lookInterval)
+		}
+		s.set(func() { s.held = true })
+		time.Sleep(2 * lookInterval)
+		is.True(len(s.taken()) > 0)
+	})
 }
 
 func (s *stage) boot() time.Duration { return s.configuration().Services["s"].Scaling.Boot }
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -112,10 +112,7 @@
 func on(t *testing.T, play func(is *is.I, ctx context.Context)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		play(is.New(t), ctx)
-		cancel()
-		synctest.Wait()
+		play(is.New(t), t.Context())
 	})
 }
 
