--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -69,27 +69,24 @@
 // has failed as often as its route allows.
 func (j *job) reward(it *item) (string, error) {
 	pause := rewardPause
-	for {
-		if err := j.ctx.Err(); err != nil {
-			return "", err
-		}
+	for j.ctx.Err() == nil {
 		configuration := j.r.operator.Configuration()
 		rewardRoute, ok := configuration.Find(it.Reward.Host, it.Reward.Path)
-		if ok && !j.r.rewardRoom(rewardRoute) {
+		switch {
+		case !ok:
+			j.logger.Info("reward call has no route", zap.String("item", it.ID), zap.Int64("configuration", configuration.Version))
+		case !j.r.rewardRoom(rewardRoute):
 			periodic.Pause(j.ctx, rewardRoomPause)
 			continue
-		}
-		if ok {
-			score, done, err := j.rewardOnce(it, rewardRoute)
-			if done {
+		default:
+			if score, done, err := j.rewardOnce(it, rewardRoute); done {
 				return score, err
 			}
-		} else {
-			j.logger.Info("reward call has no route", zap.String("item", it.ID), zap.Int64("configuration", configuration.Version))
 		}
 		periodic.Pause(j.ctx, pause)
 		pause = min(2*pause, maxRewardPause)
 	}
+	return "", j.ctx.Err()
 }
 
 // rewardRoom reports whether a reward call may go to a service now.
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -155,21 +155,18 @@
 // appendUntil appends a record again until the outcome is certain or the
 // context ends. Doubles of all our records are harmless in the fold.
 func (r *Runner) appendUntil(ctx context.Context, partition *ledger.Partition, record []byte) error {
-	unsettled := false
+	outcome := ErrNotDone
 	for {
 		err := partition.Append(ctx, record)
-		switch {
-		case err == nil:
+		if err == nil {
 			return nil
-		case !errors.Is(err, ledger.ErrNotDone):
-			unsettled = true
+		}
+		if !errors.Is(err, ledger.ErrNotDone) {
+			outcome = ErrUnknown
 		}
 		select {
 		case <-ctx.Done():
-			if unsettled {
-				return errors.Wrap(ErrUnknown, err.Error())
-			}
-			return errors.Wrap(ErrNotDone, err.Error())
+			return errors.Wrap(outcome, err.Error())
 		case <-time.After(appendPause):
 		}
 	}
@@ -229,11 +226,11 @@
 		if !r.stopping.Load() {
 			r.dispatch(time.Now())
 		}
-		timer := time.NewTimer(wakeInterval)
+		wait := wakeInterval
 		if r.quiet() {
-			timer.Reset(time.Hour)
-			changed = nil
+			wait, changed = time.Hour, nil
 		}
+		timer := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
 		case <-changed:
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -214,17 +214,16 @@
 	}
 	r.logger.Info("usage reported", zap.Int64("window", window), zap.Int64("fence", fence), zap.Int64("requests", total(requests)),
 		zap.Duration("after", r.clock.Now().Sub(endOf(window, r.windows))), zap.Int("failures_before", r.rest.Failures()), zap.Error(err))
-	if err != nil && !errors.Is(err, duty.ErrRefused) {
+	if err == nil {
+		r.reported.Add(1)
+	} else {
 		r.failed.Add(1)
+	}
+	// A call that was refused would be refused again: its window is done with.
+	if err != nil && !errors.Is(err, duty.ErrRefused) {
 		r.rest.Failed(callPauses, time.Now())
 		return false
 	}
-	if err != nil {
-		// The same call again would be refused again.
-		r.failed.Add(1)
-	} else {
-		r.reported.Add(1)
-	}
 	r.rest.Succeeded()
 	r.state.reported[window] = true
 	if err := r.append(ctx, record{Kind: kindReported, Window: window}); err != nil {
