--- a/internal/demo/services/services.go
+++ b/internal/demo/services/services.go
@@ -1,5 +1,5 @@
-// Package world is what stands around daemons that run on the product's own
-// services: the log service, engines and plain back ends behind listeners on
+// Package services is what stands around daemons that run on the product's own
+// services, for the demo and for tests: the log service, engines and plain back ends behind listeners on
 // loopback, and operators who write into the log.
 //
 // # Usage
