--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -31,7 +31,7 @@
 // noteLateRead logs that an own read is late; many in a row have one line.
 func (r *Reader) noteLateRead(batchID string, partition *ledger.Partition) {
 	name := partition.Name()
-	r.lateReads.Note(logging.Occurrence{Subject: name.Topic, Took: hedgeAfter}, zap.String("batch", batchID),
+	r.lateReads.Note(logging.Occurrence{Subject: name.Topic, Took: askWatcherAfter}, zap.String("batch", batchID),
 		zap.String("topic", name.Topic), zap.Int("partition", name.Number))
 }
 
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -102,9 +102,9 @@
 }
 
 // await returns the outcome of the own read, or errLate once the question has waited for the
-// journal for hedgeAfter. A long poll waits on.
+// journal for askWatcherAfter. A long poll waits on.
 func (q *question[T]) await(own *future[T]) (answer T, err error) {
-	timer := time.NewTimer(hedgeAfter)
+	timer := time.NewTimer(askWatcherAfter)
 	defer timer.Stop()
 	select {
 	case <-own.done:
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -1,14 +1,11 @@
 // Package results reads batches for callers, at any daemon.
 //
-// A batch's state is the fold of its partition of the journal. The daemon that watches
-// the partition holds the fold; any other would have to read the partition from its
-// beginning to answer a single question. With hundreds of daemons nearly every question
-// comes to one without the fold, so that such reads would be most of what the journal
-// serves, and after a restart of all daemons more than it can. A reader therefore reads by
-// itself only what its share of the journal's bandwidth allows, by what the partition is
-// seen to hold, and else asks the partition's watcher; that one is asked as well
-// where the own read is late, which makes the share smaller for a while. If it cannot be asked,
-// the reader reads the journal at the rate of its share.
+// A batch's state is the fold of its partition of the journal, which the partition's watcher
+// holds. A reader answers from its own fold if that is fresh; else it reads what it lacks within
+// its share of the journal's bandwidth; else it asks the watcher, as well where the own read is
+// late; and if that one can't be asked, it reads the journal at the rate of its share. The share
+// keeps such reads, of which each may be of a whole partition, from filling the journal's
+// bandwidth where hundreds of daemons are asked.
 //
 // What a caller is told is never older than what any daemon told before: whoever
 // answers that there is nothing has begun a read of the journal after the question.
@@ -44,14 +41,14 @@
 
 // The parts of a question's time that are spent here.
 const (
-	catchUpTimeout = questiontime.Read
-	catchUpPause   = questiontime.RetryPause
-	refreshTimeout = questiontime.Refresh
-	watcherWait    = questiontime.Search
-	watcherPause   = questiontime.SearchPause
-	watcherTimeout = questiontime.Watcher
-	answerWithin   = questiontime.Answer
-	hedgeAfter     = questiontime.OwnRead
+	catchUpTimeout  = questiontime.Read
+	catchUpPause    = questiontime.RetryPause
+	refreshTimeout  = questiontime.Refresh
+	watcherWait     = questiontime.Search
+	watcherPause    = questiontime.SearchPause
+	watcherTimeout  = questiontime.Watcher
+	answerWithin    = questiontime.Answer
+	askWatcherAfter = questiontime.OwnRead
 )
 
 const (
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -1,6 +1,6 @@
 // Package lease elects one holder for a duty by claims in a journal partition.
 //
-// A claim's offset is its fence: it is unique and only rises. A holder acts
+// A claim's fence is one more than its offset: it is unique and only rises. A holder acts
 // only until its lease is over by its own clock, counted from when it sent its
 // last acknowledged renewal. A successor acts only once that time and
 // the quiet time must be over, counted from when it read the last record. It
--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -9,8 +9,7 @@
 // oldestEvery is how often, one start in so many, the request goes first that has waited
 // longest. It is the bound on starvation: a request that keeps its time and has k requests
 // before it by arrival starts with one of the next oldestEvery*(k+1) starts, whatever comes
-// meanwhile of higher ranks and other tenants. It costs the others one in
-// thirty-two of the places.
+// meanwhile of higher ranks and other tenants. It costs the others that part of the places.
 const oldestEvery = 32
 
 // Waiting is a request that waits.
@@ -122,8 +121,8 @@
 }
 
 const (
-	// minComeBack is the shortest time that a refused caller is told to wait: a
-	// few requests' time.
+	// minComeBack is the shortest time that a refused caller is told to wait, a few requests'
+	// time, where its own time allows it.
 	minComeBack = 100 * time.Millisecond
 	// lowestRank is from which rank on callers are told the same.
 	lowestRank = 3
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -67,6 +67,7 @@
 				hedge.Reset(a.start(ctx))
 			}
 		case <-hedge.C:
+			// A hedge that may not be sent now is not sent later either.
 			if a.call.Hedge && a.suspicion() == quarantine.Unsuspected && a.mayRetry(ctx) {
 				hedge.Reset(a.start(ctx))
 			}
--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -18,8 +18,8 @@
 	// TrustKnown is how long after the configuration was last confirmed a key that it
 	// has is still taken. Beyond it the key may have been withdrawn.
 	TrustKnown time.Duration
-	// TrustUnknown is how long after that a key that it does not have is refused for
-	// good. Beyond it the key may have been added.
+	// TrustUnknown is how long after the configuration was last confirmed a key that it does
+	// not have is refused for good. Beyond it the key may have been added.
 	TrustUnknown time.Duration
 }
 
--- a/internal/requests/ingress/request.go
+++ b/internal/requests/ingress/request.go
@@ -17,8 +17,8 @@
 	// answerMargin is how long before a request's last moment it gets its
 	// final answer.
 	answerMargin = 25 * time.Millisecond
-	// defaultTimeout holds for requests that name no deadline on routes that
-	// name no timeout.
+	// defaultTimeout holds for requests that name no deadline, also where their route's
+	// timeout is longer.
 	defaultTimeout = 30 * time.Second
 )
 
