--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -12,8 +12,9 @@
 // has lost the path as well says so, so that calls are passed on once at most.
 //
 // The package owns what is believed of the own path (path.go), the connections to other daemons
-// (peer.go) and the service that answers them, which other packages register with. It relies on
-// the journal for the list of daemons.
+// (peer.go) and the service that answers them. All that daemons say to each other goes over these
+// connections: calls to the journal, and what results, occupancy and quarantine register. It
+// relies on the journal for the list of daemons.
 //
 // # Usage
 //
--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -85,9 +85,8 @@
 	}
 }
 
-// freeAt is when the lease should be claimed. The lease of another machine is
-// over for certain well before, but who claims it then could not act yet, and
-// would take it from a holder that is back by then. The mutex is held.
+// freeAt is when the lease should be claimed: just before the new holder may act. An
+// earlier claim would only take it from a holder that comes back. The mutex is held.
 func (l *Lease) freeAt() time.Time {
 	waiting := margin + max(l.quiet-claimLead, 0)
 	switch {
