--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -16,7 +16,7 @@
 	// NoMemory: this daemon holds as much for clients as it may. Clients that read at all have
 	// read much within the time to return.
 	NoMemory = Reason{Name: refused, Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
-	// StoreSilent: the journal, or the peer that holds the batch, did not answer.
+	// StoreSilent: neither the journal nor the watcher of the batch's partition answered in time.
 	StoreSilent = Reason{Name: refused, Status: http.StatusServiceUnavailable, RetryAfter: 400 * time.Millisecond}
 	// KeyUnconfirmed: the configuration is too old to tell whether the key is valid.
 	KeyUnconfirmed = Reason{Name: refused, Status: http.StatusServiceUnavailable, RetryAfter: 400 * time.Millisecond}
