--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -235,17 +235,30 @@
 	return partitions
 }
 
+// A fold is dropped once nobody follows it and no read of it is under way any more. The
+// time is virtual: the read that following began is under way until it is answered.
 func TestUnusedFoldsAreDropped(t *testing.T) {
-	is := is.New(t)
-	batches := New(t.Context(), journaltest.New(), zap.NewNop())
-	used := batches.Of("a")
-	release := used.Follow()
-	batches.Of("b")
-	batches.Sweep(time.Now().Add(2 * dropAfter))
-	is.Equal(len(batches.Known()), 1)
-	release()
-	batches.Sweep(time.Now().Add(2 * dropAfter))
-	is.Equal(len(batches.Known()), 0)
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		log := journaltest.New()
+		log.SetBefall(func(journaltest.Call) journaltest.Fault {
+			time.Sleep(time.Second)
+			return journaltest.None
+		})
+		batches := New(t.Context(), log, zap.NewNop())
+		release := batches.Of("a").Follow()
+		batches.Of("b")
+		synctest.Wait()
+		batches.Sweep(time.Now().Add(2 * dropAfter))
+		is.Equal(len(batches.Known()), 1)
+		release()
+		batches.Sweep(time.Now().Add(2 * dropAfter))
+		is.Equal(len(batches.Known()), 1) // It is being read.
+		time.Sleep(time.Second)
+		synctest.Wait()
+		batches.Sweep(time.Now().Add(2 * dropAfter))
+		is.Equal(len(batches.Known()), 0)
+	})
 }
 
 // Records that come twice, by a read and by the answer to an append, are folded
