--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -184,10 +184,15 @@
 	case s.journaled == nil:
 		return true
 	default:
-		return s.journaled.Epoch != s.Epoch || s.journaled.Retried != s.Retried || s.journaled.ends() != s.ends()
+		return !s.recordedBy(s.journaled)
 	}
 }
 
+// recordedBy reports whether the journal lacks nothing of the content if it has the entry.
+func (s *suspect) recordedBy(e *Entry) bool {
+	return e.Epoch == s.Epoch && e.Retried == s.Retried && e.ends() == s.ends()
+}
+
 // recordDue reports whether this daemon should write the entry now.
 func (s *suspect) recordDue(now time.Time, atOnce bool) bool {
 	switch {
@@ -200,12 +205,13 @@
 	}
 }
 
-// written has the entries that were just written left alone until they are read back.
+// written has the entries that were just written left alone until they are read back, but
+// for what has changed since.
 func (t *Table) written(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, entry := range entries {
-		if s := t.entries[entry.Digest]; s != nil {
+		if s := t.entries[entry.Digest]; s != nil && s.recordedBy(&entry) {
 			s.ownChange, s.recordAfter = false, t.now().Add(leaveToOther)
 		}
 	}
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -179,6 +179,26 @@
 	is.Equal(table.Suspicion(bad), Suspected)
 }
 
+// An end that came while the one before it was being written was taken for written as well:
+// daemons that reach each other only through the journal learned of it four seconds late.
+func TestAnEndThatComesDuringAWriteIsWrittenNext(t *testing.T) {
+	is := is.New(t)
+	clock := newTestClock()
+	table, bad := clock.table("m"), contentNamed("bad")
+	table.Ended(bad, "a", "s")
+	first, _ := table.toRecord(true)
+	is.Equal(len(first), 1)
+	table.Ended(bad, "b", "s")
+	table.written(first)
+	second, _ := table.toRecord(true)
+	is.Equal(len(second), 1)
+	is.Equal(second[0].ends(), 2)
+	table.written(second)
+	third, lacking := table.toRecord(true)
+	is.Equal(len(third), 0) // It is left alone until it is read back.
+	is.True(lacking)
+}
+
 // A flood of contents that each end replicas takes bounded memory, and those that are
 // refused outlast those that are merely suspected.
 func TestMemoryIsBounded(t *testing.T) {
