--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -32,10 +32,9 @@
 
 // result is the outcome of one attempt at one replica.
 type result struct {
-	answer  *Answer
-	err     error
-	ran     bool
-	replica string
+	answer *Answer
+	err    error
+	ran    bool
 }
 
 // attempt sends the call to one replica. Over is called once the exchange is.
@@ -55,23 +54,21 @@
 	if err != nil {
 		// The end below cancels the attempt's context, which then says nothing of the caller.
 		cut := ctx.Err() != nil
-		f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, outcome: outcome, ran: ran,
+		f.noteFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, outcome: outcome, ran: ran,
 			after: time.Since(started), err: err})
 		end()
 		if !cut {
 			f.learn(rep, err)
 		}
-		return result{err: err, ran: ran, replica: rep.ID}
+		return result{err: err, ran: ran}
 	}
 	f.Table.Succeeded(rep.Incarnation(), time.Since(started))
-	answer.Replica = rep.ID
-	answer.end = end
+	answer.Replica, answer.end = rep.ID, end
 	if answer.Rest == nil {
 		f.Quarantine.Answered(call.content)
 		end()
-		answer.end = func() {}
 	}
-	return result{answer: answer, ran: true, replica: rep.ID}
+	return result{answer: answer, ran: true}
 }
 
 // Names of how attempts end, in logs and metrics.
@@ -152,7 +149,9 @@
 	}
 	answer, err = f.readAnswer(call, response)
 	if err == nil && answer.Rest != nil {
-		answer.Rest.ended = func(err error) { f.restEnded(ctx, call, rep, err) }
+		answer.Rest.ended = func(err error) {
+			f.noteEnd(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, ran: true, err: err})
+		}
 	}
 	return answer, sentAt, true, err
 }
@@ -164,15 +163,7 @@
 	return min(left, call.Left()), bounded
 }
 
-// restEnded notes how the rest of a long answer ended, nil being its proper end.
-func (f *Forwarder) restEnded(ctx context.Context, call *Call, rep replica.Replica, err error) {
-	if err == nil {
-		f.Quarantine.Answered(call.content)
-		return
-	}
-	f.logFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep,
-		outcome: outcomeOf(ctx, err), ran: true, err: err})
-}
+
 
 // noteLoad notes what an answer tells of its replica's load.
 func (f *Forwarder) noteLoad(rep replica.Replica, header http.Header) {
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -85,12 +85,11 @@
 	Status  int
 	Header  http.Header
 	Replica string
-	// Attempts is how many replicas have run the request, or may have.
-	Attempts int
 	// Body is the answer's body if Rest is nil, else its beginning.
 	Body []byte
 	Rest *Rest
-	end  func()
+	// end, not nil where there is a rest, ends the attempt.
+	end func()
 }
 
 // Rest is what is still to come of a long answer.
@@ -125,8 +124,6 @@
 func (a *Answer) Close() {
 	if a.Rest != nil {
 		a.Rest.Close()
-	}
-	if a.end != nil {
 		a.end()
 	}
 }
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -25,14 +25,24 @@
 	err     error
 }
 
-// logFailure tells how an attempt failed and what became of its replica, in one line. The
-// content's digest joins the tries of one content at all daemons.
-func (f *Forwarder) logFailure(ctx context.Context, failed failedAttempt) {
-	switch failed.outcome {
-	case outcomeDeclined, outcomeCut:
-		// Neither says anything of the replica's soundness, and both are frequent.
+// noteEnd notes how an answer that had begun ended: properly, which clears its content, or by
+// an error.
+func (f *Forwarder) noteEnd(ctx context.Context, ended failedAttempt) {
+	if ended.err == nil {
+		f.Quarantine.Answered(ended.content)
 		return
 	}
+	ended.outcome = outcomeOf(ctx, ended.err)
+	f.noteFailure(ctx, ended)
+}
+
+// noteFailure finds out what became of the replica of an attempt that failed, holds its end
+// against the content, and tells both in one line. The content's digest joins the attempts at
+// one content at all daemons.
+func (f *Forwarder) noteFailure(ctx context.Context, failed failedAttempt) {
+	if failed.outcome == outcomeDeclined || failed.outcome == outcomeCut {
+		return // neither says anything of the replica's soundness, and both are frequent
+	}
 	liveness := upstream.LivenessUnknown
 	if connectionEnded(failed.err) {
 		liveness = f.Pool.Probe(ctx, failed.chosen.Address)
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -59,12 +59,7 @@
 // Do sends the call until a replica has answered, the attempts are used up or
 // the context has ended.
 func (f *Forwarder) Do(ctx context.Context, call *Call) (*Answer, error) {
-	a := newAttempts(f, call)
-	answer, err := a.loop(ctx)
-	if err == nil {
-		answer.Attempts = a.mayHaveRun + a.open
-	}
-	return answer, err
+	return newAttempts(f, call).loop(ctx)
 }
 
 // Replicas returns the replicas of a service that may get new work, with whether a
@@ -72,7 +67,7 @@
 func (f *Forwarder) Replicas(service string) []replica.Replica {
 	replicas := f.Table.Replicas(service)
 	for i := range replicas {
-		replicas[i].Connected = f.Pool.Rests(replicas[i].Address)
+		replicas[i].Connected = f.Pool.Resting(replicas[i].Address) > 0
 	}
 	return replicas
 }
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -245,9 +245,9 @@
 // What is told at the end of a call's time follows from what its cut offers say in time. The
 // clock is virtual: how soon they say it is up to the machine.
 func TestTheEndOfACallsTime(t *testing.T) {
-	notSent := result{err: errors.Wrap(upstream.ErrNotSent, "cut"), replica: "a"}
-	broken := result{err: errors.New("cut"), ran: true, replica: "b"}
-	whole := result{answer: &Answer{Status: http.StatusOK, Replica: "c", end: func() {}}, ran: true, replica: "c"}
+	notSent := result{err: errors.Wrap(upstream.ErrNotSent, "cut")}
+	broken := result{err: errors.New("cut"), ran: true}
+	whole := result{answer: &Answer{Status: http.StatusOK, Replica: "c", end: func() {}}, ran: true}
 	cases := map[string]struct {
 		open      int
 		said      []result
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -52,10 +52,11 @@
 // Next returns the next whole event, or io.EOF at the stream's proper end.
 func (s *Stream) Next() (eventstream.Event, error) {
 	event, err := s.reader.Next()
-	switch {
-	case err == io.EOF:
+	switch err {
+	case nil:
+	case io.EOF:
 		s.ended(nil)
-	case err != nil:
+	default:
 		s.ended(err)
 	}
 	return event, err
@@ -111,11 +112,7 @@
 	}
 	began := time.Now()
 	ended := func(err error) {
-		if err == nil {
-			f.Quarantine.Answered(content)
-			return
-		}
-		f.logFailure(ctx, failedAttempt{requestID: req.RequestID, content: content, chosen: rep, outcome: outcomeOf(ctx, err),
+		f.noteEnd(ctx, failedAttempt{requestID: req.RequestID, content: content, chosen: rep,
 			ran: !errors.Is(err, upstream.ErrNotSent), after: time.Since(began), err: err})
 	}
 	answer, err := f.Pool.Exchange(ctx, rep.Address, &upstream.Request{
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -130,7 +130,7 @@
 	now = now.Add(700 * time.Millisecond)
 	conn, _ := p.claim("peer", &Request{})
 	is.True(conn == nil) // a new one is made
-	is.True(p.Rests("peer"))
+	is.True(p.Resting("peer") > 0)
 	conn, _ = p.claim("peer", &Request{Repeatable: true})
 	is.True(conn != nil)
 	p.put(conn, now, now.Add(200*time.Millisecond))
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -95,9 +95,8 @@
 
 // Pool holds idle connections to any number of peers.
 type Pool struct {
-	options Options
-	dialer  *net.Dialer
-	now     bootclock.Clock
+	dialer *net.Dialer
+	now    bootclock.Clock
 
 	mu   sync.Mutex
 	idle map[string][]*connection
@@ -105,8 +104,8 @@
 	open map[string]int
 	// freed, where somebody waits, is closed when a connection rests or has ended.
 	freed map[string]chan struct{}
-	dials uint64
-	full  atomic.Uint64
+
+	dials, full atomic.Uint64
 }
 
 // NewDialer returns a dialer whose connections keep to the options.
@@ -134,8 +133,8 @@
 	if now == nil {
 		now = bootclock.Now
 	}
-	return &Pool{options: options, dialer: NewDialer(options), now: now, idle: map[string][]*connection{},
-		open: map[string]int{}, freed: map[string]chan struct{}{}}
+	return &Pool{dialer: NewDialer(options), now: now, idle: map[string][]*connection{}, open: map[string]int{},
+		freed: map[string]chan struct{}{}}
 }
 
 // Open returns how many connections to a peer are open.
@@ -145,13 +144,8 @@
 	return p.open[address]
 }
 
-// Rests reports whether a connection to a peer rests that may be used. It may turn out to
-// be closed.
-func (p *Pool) Rests(address string) bool {
-	return p.Resting(address) > 0
-}
-
-// Resting returns how many connections to a peer rest and may be used still.
+// Resting returns how many connections to a peer rest and may be used still. Each may turn
+// out to be closed.
 func (p *Pool) Resting(address string) int {
 	now := p.now()
 	p.mu.Lock()
@@ -166,11 +160,7 @@
 }
 
 // Dials returns how many connections were made.
-func (p *Pool) Dials() uint64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.dials
-}
+func (p *Pool) Dials() uint64 { return p.dials.Load() }
 
 // Sweep closes connections that have rested as long as they may.
 func (p *Pool) Sweep() {
@@ -186,10 +176,9 @@
 				kept = append(kept, conn)
 			}
 		}
+		p.idle[address] = kept
 		if len(kept) == 0 {
 			delete(p.idle, address)
-		} else {
-			p.idle[address] = kept
 		}
 	}
 	p.mu.Unlock()
@@ -234,9 +223,7 @@
 		p.closed(address)
 		return nil, err
 	}
-	p.mu.Lock()
-	p.dials++
-	p.mu.Unlock()
+	p.dials.Add(1)
 	return newConnection(p, address, raw), nil
 }
 
--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -260,7 +260,7 @@
 	leave()
 	_, err = p.Exchange(ctx, address, request("b"))
 	is.True(errors.Is(err, ErrNotSent))
-	is.True(p.Rests(address)) // the connection is not spent on it
+	is.True(p.Resting(address) > 0) // the connection is not spent on it
 	_, err = ask(p, address, "c")
 	is.NoErr(err)
 	is.Equal(seen.Load(), int64(2))
@@ -287,9 +287,9 @@
 	p.Drop(address)
 	p.Drop("another")
 	underWay.Close()
-	is.True(p.Rests(address)) // its peer answered
+	is.True(p.Resting(address) > 0) // its peer answered
 	p.Drop(address)
-	is.True(!p.Rests(address))
+	is.True(p.Resting(address) == 0)
 	is.Equal(p.Open(address), 0)
 	exchange().Close()
 	is.Equal(p.Dials(), uint64(2))
