--- a/internal/requests/eventstream/eventstream.go
+++ b/internal/requests/eventstream/eventstream.go
@@ -102,27 +102,22 @@
 	return long, err
 }
 
-func (r *Reader) field(event *Event, text []byte, dataSeen *bool) error {
+func (r *Reader) field(event *Event, text []byte, dataSeen *bool) (err error) {
 	line := string(text)
-	switch {
-	case strings.HasPrefix(line, "data:"):
+	if data, ok := strings.CutPrefix(line, "data:"); ok {
 		if *dataSeen {
 			event.Data = append(event.Data, '\n')
 		}
-		event.Data = append(event.Data, strings.TrimPrefix(line[len("data:"):], " ")...)
+		event.Data = append(event.Data, strings.TrimPrefix(data, " ")...)
 		*dataSeen = true
-	case strings.HasPrefix(line, "id:"):
-		number, err := strconv.ParseInt(strings.TrimSpace(line[len("id:"):]), 10, 64)
-		if err != nil {
-			return errors.Wrap(ErrMalformed, line)
-		}
-		event.ID, event.HasID = number, true
-	case strings.HasPrefix(line, r.versionPrefix):
-		number, err := strconv.ParseInt(strings.TrimSpace(line[len(r.versionPrefix):]), 10, 64)
-		if err != nil {
-			return errors.Wrap(ErrMalformed, line)
-		}
-		event.Version = number
+	} else if id, ok := strings.CutPrefix(line, "id:"); ok {
+		event.ID, err = strconv.ParseInt(strings.TrimSpace(id), 10, 64)
+		event.HasID = err == nil
+	} else if version, ok := strings.CutPrefix(line, r.versionPrefix); ok {
+		event.Version, err = strconv.ParseInt(strings.TrimSpace(version), 10, 64)
+	}
+	if err != nil {
+		return errors.Wrap(ErrMalformed, line)
 	}
 	return nil
 }
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -163,8 +163,6 @@
 	return min(left, call.Left()), bounded
 }
 
-
-
 // noteLoad notes what an answer tells of its replica's load.
 func (f *Forwarder) noteLoad(rep replica.Replica, header http.Header) {
 	if f.Names.Load == nil {
--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -108,17 +108,16 @@
 }
 
 // Begin returns an account with a base of fixed cost, and false if there is no room for it.
-// A nil budget bounds nothing.
 func (b *Budget) Begin(base int64) (*Account, bool) {
 	a := &Account{budget: b}
-	if b != nil && !a.Take(Connections, base) {
+	if !a.Take(Connections, base) {
 		return nil, false
 	}
 	return a, true
 }
 
-// Account counts what is held on behalf of one. It is safe for concurrent use. The zero
-// value, and nil, are of no budget and have no bound.
+// Account counts what is held on behalf of one. It is safe for concurrent use. Nil is of no
+// budget and has no bound.
 type Account struct {
 	budget *Budget
 	// of is what it has, guarded by the budget's mutex.
@@ -128,7 +127,7 @@
 // Take counts n more bytes, and reports whether there was room; without room nothing is
 // counted.
 func (a *Account) Take(share Share, n int64) bool {
-	if a == nil || a.budget == nil {
+	if a == nil {
 		return true
 	}
 	b := a.budget
@@ -144,9 +143,6 @@
 // MayEver reports whether an account that had nothing else could have n bytes, however
 // little others hold.
 func (b *Budget) MayEver(share Share, n int64) bool {
-	if b == nil {
-		return true
-	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.limits.All == 0 || n <= min(b.limits.Of[share], b.limits.Each)
@@ -154,7 +150,7 @@
 
 // Give counts n bytes as held no more.
 func (a *Account) Give(share Share, n int64) {
-	if a == nil || a.budget == nil {
+	if a == nil {
 		return
 	}
 	a.budget.mu.Lock()
@@ -164,7 +160,7 @@
 
 // End counts all that is left as held no more. It may be called again.
 func (a *Account) End() {
-	if a == nil || a.budget == nil {
+	if a == nil {
 		return
 	}
 	a.budget.mu.Lock()
