--- a/internal/api/policy/cases.go
+++ b/internal/api/policy/cases.go
@@ -1,9 +1,9 @@
 package policy
 
 import (
-	"sort"
 	"strings"
 
+	"github.com/pkg/errors"
 	"go.starlark.net/starlark"
 )
 
@@ -19,24 +19,36 @@
 
 // RunCases runs every function test_* of one document, in order of name.
 func RunCases(document, source string) ([]CaseResult, error) {
-	loaded, err := loadProgram(document, source)
+	p, err := loadProgram(document, source)
 	if err != nil {
 		return nil, err
 	}
 	var results []CaseResult
-	for _, name := range loaded.globals.Keys() {
+	for _, name := range p.globals.Keys() { // they come in order
 		if !strings.HasPrefix(name, casePrefix) {
 			continue
 		}
 		result := CaseResult{Name: name}
-		if _, _, err := loaded.call(name, starlark.Tuple{}); err != nil {
+		if _, _, err := p.call(name, nil); err != nil {
 			result.Fault = err.Error()
 		}
 		results = append(results, result)
 	}
-	sort.Slice(results, func(i, j int) bool { return results[i].Name < results[j].Name })
 	return results, nil
 }
 
-// CallerOf returns the caller that holds a bearer key.
-func (set *Set) CallerOf(key string) (Caller, bool) { return set.callers.HolderOf(key) }
+// expect is for test functions in a document: expect(got, want).
+func expect(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+	var got, want starlark.Value
+	if err := starlark.UnpackArgs("expect", args, kwargs, "got", &got, "want", &want); err != nil {
+		return nil, err
+	}
+	same, err := starlark.Equal(got, want)
+	if err != nil {
+		return nil, err
+	}
+	if !same {
+		return nil, errors.Errorf("got %s, want %s", got, want)
+	}
+	return starlark.None, nil
+}
--- /dev/null
+++ b/internal/api/policy/declare.go
@@ -0,0 +1,232 @@
+package policy
+
+import (
+	"fmt"
+	"regexp"
+	"time"
+
+	"github.com/pkg/errors"
+	"go.starlark.net/starlark"
+
+	"woodworks/internal/callers/apikey"
+)
+
+// declarations are what a document declares.
+type declarations struct {
+	trainers     []Trainer
+	services     []Service
+	callers      []Caller
+	classes      []Class
+	retryBudgets []RetryBudget
+}
+
+// declare takes in one call of a built-in function by which a document declares something.
+type declare func(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error
+
+// builtins are the functions that a document may call beside those of Starlark.
+func (d *declarations) builtins(document string) starlark.StringDict {
+	dict := starlark.StringDict{
+		"operation": starlark.NewBuiltin("operation", makeOperation),
+		"expect":    starlark.NewBuiltin("expect", expect),
+	}
+	for name, take := range map[string]declare{
+		"trainer": d.trainer, "service": d.service, "caller": d.caller, "traffic_class": d.class, "retry_budget": d.retryBudget,
+	} {
+		dict[name] = starlark.NewBuiltin(name, func(thread *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+			return starlark.None, take(args, kwargs, origin{document: document, line: thread.CallFrame(1).Pos.Line})
+		})
+	}
+	return dict
+}
+
+var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
+
+// CheckName returns an error unless the name is lower-case letters, digits and
+// hyphens, at most 63 of them, and starts with a letter.
+func CheckName(name string) error {
+	if !namePattern.MatchString(name) {
+		return errors.Errorf("name %q must be lower-case letters, digits and hyphens, at most 63, starting with a letter", name)
+	}
+	return nil
+}
+
+func checkAudience(audience Audience) error {
+	if audience != Public && audience != Internal {
+		return errors.Errorf("audience %q is not public or internal", audience)
+	}
+	return nil
+}
+
+func (d *declarations) trainer(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error {
+	t := Trainer{Class: defaultClass, origin: at}
+	staleness, share := int64(-1), int64(1) // share is taken and has no effect
+	err := starlark.UnpackArgs("trainer", args, kwargs,
+		"name", &t.Name, "service", &t.Service, "max_staleness", &staleness, "traffic_class?", &t.Class, "share?", &share)
+	if err != nil {
+		return err
+	}
+	if err := CheckName(t.Name); err != nil {
+		return errors.Wrap(err, "trainer")
+	}
+	if staleness < 0 {
+		return errors.Errorf("trainer %q: max_staleness %d is negative", t.Name, staleness)
+	}
+	if share < 1 {
+		return errors.Errorf("trainer %q: share %d is below 1", t.Name, share)
+	}
+	t.MaxStaleness = uint64(staleness)
+	d.trainers = append(d.trainers, t)
+	return nil
+}
+
+func (d *declarations) service(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error {
+	service := Service{Operations: map[string]Operation{}, origin: at}
+	var operations *starlark.List
+	err := starlark.UnpackArgs("service", args, kwargs, "name", &service.Name, "kind", (*string)(&service.Kind),
+		"audience", (*string)(&service.Audience), "operations?", &operations)
+	if err != nil {
+		return err
+	}
+	if err := CheckName(service.Name); err != nil {
+		return errors.Wrap(err, "service")
+	}
+	if service.Kind != EngineService && service.Kind != PlainService {
+		return errors.Errorf("service %q: kind %q is not engine or plain", service.Name, service.Kind)
+	}
+	if err := checkAudience(service.Audience); err != nil {
+		return errors.Wrapf(err, "service %q", service.Name)
+	}
+	if err := service.addOperations(operations); err != nil {
+		return err
+	}
+	d.services = append(d.services, service)
+	return nil
+}
+
+func (s Service) addOperations(list *starlark.List) error {
+	if list == nil {
+		return nil
+	}
+	for i := range list.Len() {
+		value, ok := list.Index(i).(operationValue)
+		if !ok {
+			return errors.Errorf("service %q: operations[%d] is not an operation(...)", s.Name, i)
+		}
+		if _, ok := s.Operations[value.Name]; ok {
+			return errors.Errorf("service %q: operation %q stands twice", s.Name, value.Name)
+		}
+		s.Operations[value.Name] = value.Operation
+	}
+	return nil
+}
+
+func (d *declarations) caller(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error {
+	c, digest := Caller{origin: at}, ""
+	err := starlark.UnpackArgs("caller", args, kwargs,
+		"name", &c.Name, "key_sha256", &digest, "audience", (*string)(&c.Audience),
+		"trainer?", &c.Trainer, "operator?", &c.Operator, "max_in_flight?", &c.MaxInFlight)
+	if err != nil {
+		return err
+	}
+	if err := CheckName(c.Name); err != nil {
+		return errors.Wrap(err, "caller")
+	}
+	if err := checkAudience(c.Audience); err != nil {
+		return errors.Wrapf(err, "caller %q", c.Name)
+	}
+	c.KeyDigest, err = apikey.ParseDigest(digest)
+	if err != nil {
+		return errors.Wrapf(err, "caller %q: key_sha256", c.Name)
+	}
+	if c.MaxInFlight < 0 {
+		return errors.Errorf("caller %q: max_in_flight %d is negative", c.Name, c.MaxInFlight)
+	}
+	d.callers = append(d.callers, c)
+	return nil
+}
+
+func (d *declarations) class(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error {
+	class := Class{QueueLimit: defaultQueueLimit, origin: at}
+	err := starlark.UnpackArgs("traffic_class", args, kwargs,
+		"name", &class.Name, "weight", &class.Weight, "queue_limit?", &class.QueueLimit)
+	if err != nil {
+		return err
+	}
+	if err := CheckName(class.Name); err != nil {
+		return errors.Wrap(err, "traffic_class")
+	}
+	if class.Weight < 0 {
+		return errors.Errorf("traffic_class %q: weight %d is negative", class.Name, class.Weight)
+	}
+	if class.QueueLimit < 1 {
+		return errors.Errorf("traffic_class %q: queue_limit %d is below 1", class.Name, class.QueueLimit)
+	}
+	d.classes = append(d.classes, class)
+	return nil
+}
+
+func (d *declarations) retryBudget(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error {
+	budget := RetryBudget{origin: at}
+	err := starlark.UnpackArgs("retry_budget", args, kwargs,
+		"percent", &budget.Percent, "minimum_per_second", &budget.Minimum)
+	if err != nil {
+		return err
+	}
+	if budget.Percent < 0 || budget.Percent > 100 {
+		return errors.Errorf("retry_budget: percent %d is not between 0 and 100", budget.Percent)
+	}
+	if budget.Minimum < 0 {
+		return errors.Errorf("retry_budget: minimum_per_second %d is negative", budget.Minimum)
+	}
+	d.retryBudgets = append(d.retryBudgets, budget)
+	return nil
+}
+
+// operationValue carries an Operation through Starlark.
+type operationValue struct{ Operation }
+
+// String implements starlark.Value.
+func (v operationValue) String() string { return fmt.Sprintf("operation(%q)", v.Name) }
+
+// Type implements starlark.Value.
+func (operationValue) Type() string { return "operation" }
+
+// Freeze implements starlark.Value.
+func (operationValue) Freeze() {}
+
+// Truth implements starlark.Value.
+func (operationValue) Truth() starlark.Bool { return true }
+
+// Hash implements starlark.Value.
+func (operationValue) Hash() (uint32, error) { return 0, errors.New("operation is not hashable") }
+
+const (
+	defaultOperationTimeout = 10 * time.Second
+	maxOperationTimeout     = 10 * time.Minute
+)
+
+func makeOperation(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+	operation := Operation{Class: defaultClass}
+	timeout, hedge := defaultOperationTimeout.Milliseconds(), int64(0)
+	err := starlark.UnpackArgs("operation", args, kwargs,
+		"name", &operation.Name, "repeatable", &operation.Repeatable,
+		"traffic_class?", &operation.Class, "timeout_ms?", &timeout, "hedge_ms?", &hedge)
+	if err != nil {
+		return nil, err
+	}
+	if err := CheckName(operation.Name); err != nil {
+		return nil, errors.Wrap(err, "operation")
+	}
+	if timeout < 1 || timeout > maxOperationTimeout.Milliseconds() {
+		return nil, errors.Errorf("operation %q: timeout_ms %d is not between 1 and %d", operation.Name, timeout, maxOperationTimeout.Milliseconds())
+	}
+	if hedge < 0 {
+		return nil, errors.Errorf("operation %q: hedge_ms %d is negative", operation.Name, hedge)
+	}
+	if hedge > 0 && !operation.Repeatable {
+		return nil, errors.Errorf("operation %q: hedge_ms needs repeatable = True", operation.Name)
+	}
+	operation.Timeout = time.Duration(timeout) * time.Millisecond
+	operation.Hedge = time.Duration(hedge) * time.Millisecond
+	return operationValue{operation}, nil
+}
--- /dev/null
+++ b/internal/api/policy/set.go
@@ -0,0 +1,145 @@
+package policy
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"woodworks/internal/callers/apikey"
+)
+
+// Set is every document compiled and merged. It is immutable, but for the count of faults,
+// and safe for concurrent use.
+type Set struct {
+	Trainers map[string]Trainer
+	Services map[string]Service
+	Classes  map[string]Class
+	Retry    RetryBudget
+	callers  apikey.Ring[Caller]
+	programs map[string]*program
+	faults   faultCounter
+}
+
+const (
+	// defaultClass is used where an operation or trainer names none.
+	defaultClass = "default"
+	// defaultQueueLimit bounds a class's queue where the policy says nothing.
+	defaultQueueLimit = 1024
+)
+
+// defaultRetryBudget is used where no document declares one.
+var defaultRetryBudget = RetryBudget{Percent: 20, Minimum: 10}
+
+// Compile loads every document and merges them. The error of a faulty document
+// is a *Fault with document, line and reason.
+func Compile(sources map[string]string) (*Set, error) {
+	s := &Set{
+		Trainers: map[string]Trainer{},
+		Services: map[string]Service{},
+		Classes:  map[string]Class{},
+		callers:  apikey.Ring[Caller]{},
+		programs: map[string]*program{},
+	}
+	for _, name := range slices.Sorted(maps.Keys(sources)) {
+		p, err := loadProgram(name, sources[name])
+		if err != nil {
+			return nil, err
+		}
+		s.programs[name] = p
+		if err := s.merge(p.declared); err != nil {
+			return nil, err
+		}
+	}
+	if s.Retry == (RetryBudget{}) {
+		s.Retry = defaultRetryBudget
+	}
+	if _, ok := s.Classes[defaultClass]; !ok {
+		s.Classes[defaultClass] = Class{Name: defaultClass, Weight: 1, QueueLimit: defaultQueueLimit}
+	}
+	return s, s.checkReferences()
+}
+
+// Validate is Compile for callers that need only the verdict.
+func Validate(sources map[string]string) error {
+	_, err := Compile(sources)
+	return err
+}
+
+// merge adds one document's declarations and refuses names that stand twice.
+func (s *Set) merge(d declarations) error {
+	for _, t := range d.trainers {
+		if held, ok := s.Trainers[t.Name]; ok {
+			return t.twice("trainer", t.Name, held.origin)
+		}
+		s.Trainers[t.Name] = t
+	}
+	for _, service := range d.services {
+		if held, ok := s.Services[service.Name]; ok {
+			return service.twice("service", service.Name, held.origin)
+		}
+		s.Services[service.Name] = service
+	}
+	for _, class := range d.classes {
+		if held, ok := s.Classes[class.Name]; ok {
+			return class.twice("traffic_class", class.Name, held.origin)
+		}
+		s.Classes[class.Name] = class
+	}
+	for _, c := range d.callers {
+		if !s.callers.Add(c.KeyDigest, c) {
+			return c.twice("caller key", c.Name, s.callers[c.KeyDigest].origin)
+		}
+	}
+	for _, budget := range d.retryBudgets {
+		if s.Retry != (RetryBudget{}) {
+			return budget.twice("retry_budget", "", s.Retry.origin)
+		}
+		s.Retry = budget
+	}
+	return nil
+}
+
+// twice is the fault of a name that was declared before.
+func (o origin) twice(kind, name string, before origin) error {
+	return faultf(o.document, o.line, "%s %q is already declared in document %q", kind, name, before.document)
+}
+
+// checkReferences refuses names that no document declares.
+func (s *Set) checkReferences() error {
+	for _, t := range s.Trainers {
+		if s.Services[t.Service].Kind != EngineService {
+			return faultf(t.document, 0, "trainer %q: service %q is not a declared engine service", t.Name, t.Service)
+		}
+		if _, ok := s.Classes[t.Class]; !ok {
+			return faultf(t.document, 0, "trainer %q: traffic_class %q is not declared", t.Name, t.Class)
+		}
+	}
+	for _, service := range s.Services {
+		for _, operation := range service.Operations {
+			if _, ok := s.Classes[operation.Class]; !ok {
+				return faultf(service.document, 0, "service %q operation %q: traffic_class %q is not declared", service.Name, operation.Name, operation.Class)
+			}
+		}
+	}
+	for _, c := range s.callers {
+		if _, ok := s.Trainers[c.Trainer]; c.Trainer != "" && !ok {
+			return faultf(c.document, 0, "caller %q: trainer %q is not declared", c.Name, c.Trainer)
+		}
+	}
+	return nil
+}
+
+// TrainersOf returns the trainers that use an engine service, sorted by name.
+func (s *Set) TrainersOf(service string) []Trainer {
+	var trainers []Trainer
+	for _, t := range s.Trainers {
+		if t.Service == service {
+			trainers = append(trainers, t)
+		}
+	}
+	slices.SortFunc(trainers, func(a, b Trainer) int { return cmp.Compare(a.Name, b.Name) })
+	return trainers
+}
+
+// CallerOf returns the caller that holds a bearer key.
+func (s *Set) CallerOf(key string) (Caller, bool) { return s.callers.HolderOf(key) }
