--- a/internal/journal/relay/direct.go
+++ b/internal/journal/relay/ask.go
@@ -12,6 +12,8 @@
 var (
 	// ErrNotReached: the call was not sent.
 	ErrNotReached = errors.New("relay: peer not reached")
+	// ErrNoAnswer: the call got no answer in time, or its connection broke; it may have run.
+	ErrNoAnswer = errors.New("relay: no answer from the peer")
 	// ErrRefused: the peer answered with an error of its own.
 	ErrRefused = errors.New("relay: refused by the peer")
 )
@@ -53,12 +55,12 @@
 		return errors.Wrap(ErrRefused, err.Error())
 	case errors.Is(ctx.Err(), context.Canceled):
 		// The caller has lost interest, which says nothing of the peer.
-		return ctx.Err()
+		return errors.Wrap(ErrNoAnswer, ctx.Err().Error())
 	case errors.Is(err, errNoPeer):
 		j.peers.rest(machine, brokenRest, "not reached", err)
 		return errors.Wrap(ErrNotReached, err.Error())
 	default:
 		j.peers.rest(machine, silentRest, "no answer", err)
-		return err
+		return errors.Wrap(ErrNoAnswer, err.Error())
 	}
 }
--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -25,7 +25,7 @@
 	throttledAfter   = 500 * time.Millisecond
 )
 
-// path is what is believed of this daemon's own way to the journal. It is safe for
+// path is what is believed of this daemon's own path to the journal. It is safe for
 // concurrent use.
 type path struct {
 	mu sync.Mutex
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -147,18 +147,18 @@
 	return p.known[name]
 }
 
-// call offers a call to one peer after the other until one has made it. An error that
+// relay offers a call to one peer after the other until one has made it. An error that
 // wraps errNoPeer says that none has; after any other the call may have been made.
-func (p *peers) call(ctx context.Context, call operation, wait time.Duration) (reply, error) {
-	call.Within = wait + peerTimeout
+func (p *peers) relay(ctx context.Context, op operation) (reply, error) {
+	op.Within = op.wait() + peerTimeout
 	if deadline, bounded := ctx.Deadline(); bounded {
-		call.Within = min(call.Within, time.Until(deadline))
+		op.Within = min(op.Within, time.Until(deadline))
 	}
-	msg, err := encode(call)
+	msg, err := encode(op)
 	if err != nil {
 		return reply{}, errors.Wrap(errNoPeer, err.Error())
 	}
-	bounded, cancel := context.WithTimeout(ctx, call.Within)
+	bounded, cancel := context.WithTimeout(ctx, op.Within)
 	defer cancel()
 	for _, name := range p.candidates(time.Now()) {
 		answer, err := p.get(name).relay(bounded, p.dial, msg)
--- a/internal/journal/relay/protocol.go
+++ b/internal/journal/relay/protocol.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"context"
 	"sync/atomic"
 	"time"
 
@@ -46,6 +47,42 @@
 	Group string `cbor:"Group"`
 }
 
+// known reports whether the operation is one of this version.
+func (o operation) known() bool {
+	return o != operation{Within: o.Within}
+}
+
+// wait is how long the journal may hold the answer back for records to come.
+func (o operation) wait() time.Duration {
+	if o.Read == nil {
+		return 0
+	}
+	return o.Read.Wait
+}
+
+// repeatable operations change nothing, or nothing more when made again: a member that
+// joins or leaves twice has done so once.
+func (o operation) repeatable() bool { return o.Append == nil }
+
+// call makes the call to a journal. The operation must be known.
+func (o operation) call(ctx context.Context, log journal.Journal) (answer reply, err error) {
+	switch {
+	case o.Append != nil:
+		answer.Appended, err = log.Append(ctx, *o.Append)
+	case o.Read != nil:
+		answer.Records, err = log.Read(ctx, *o.Read)
+	case o.Newest != nil:
+		answer.Page, err = log.Newest(ctx, o.Newest.Partition, o.Newest.After)
+	case o.Join != nil:
+		answer.Assignment, err = log.Join(ctx, *o.Join)
+	case o.Leave != nil:
+		err = log.Leave(ctx, o.Leave.Group, o.Leave.Member)
+	case o.Owners != nil:
+		answer.Owners, err = log.Owners(ctx, o.Owners.Group)
+	}
+	return answer, err
+}
+
 // outcome says how a relayed call ended.
 type outcome int
 
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -1,18 +1,18 @@
-// Package relay lets a daemon that has lost its own way to the journal go on through
-// another daemon.
+// Package relay lets a daemon that has lost its own path to the journal go on through
+// another daemon, and carries all calls between daemons.
 //
 // A machine may be cut off from the platform's store, or be refused by it, while the
 // store serves all others. Callers still reach that machine: its batches could not
 // be accepted, its results not be listed. Its calls therefore go to a peer that
 // reaches the store, until its own path is back.
 //
-// Nothing rests on which way a call takes: the journal's answers are what they are,
-// and a call whose answer is lost on either way has an unknown outcome. Only reads are
-// repeated here; an append that may have happened is reported as unknown. A peer that
-// has lost the path as well says so, so that calls are passed on once at most.
+// Nothing rests on which path a call takes: the journal's answers are what they are,
+// and a call whose answer is lost on either path has an unknown outcome. Calls that change
+// nothing when made again are repeated here; an append that may have happened is reported as
+// unknown. A peer that has lost the path as well says so, so that calls are passed on once at most.
 //
 // The package owns what is believed of the own path (path.go), the connections to other daemons
-// (peer.go) and the service that answers them. All that daemons say to each other goes over these
+// (peer.go) and the service that answers them (service.go). All that daemons say to each other goes over these
 // connections: calls to the journal, and what results, occupancy and quarantine register. It
 // relies on the journal for the list of daemons.
 //
@@ -51,8 +51,8 @@
 	Address string
 }
 
-// Journal is a journal with two ways to it. It implements journal.Journal and is safe
-// for concurrent use.
+// Journal is a journal with two paths to it, the own one and one through a peer. It
+// implements journal.Journal and is safe for concurrent use.
 type Journal struct {
 	journal.Journal
 	options Options
@@ -98,23 +98,11 @@
 		}
 		bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
-		// What it tells is what viaOwn learns from its outcome.
-		_, _ = viaOwn(j, 0, func() (journal.KeyedPage, error) {
-			return j.Journal.Newest(bounded, Partition(j.Journal), lastKey)
-		})
+		// What it tells is what onOwnPath learns from its outcome.
+		_, _ = j.onOwnPath(bounded, operation{Newest: &newestCall{Partition: Partition(j.Journal), After: lastKey}})
 	})
 }
 
-// viaOwn makes a call on the own path and learns from its outcome.
-func viaOwn[T any](j *Journal, wait time.Duration, call func() (T, error)) (T, error) {
-	expected := j.path.begin(time.Now(), wait)
-	answer, err := call()
-	if j.path.finish(expected, err, time.Now()) {
-		j.logger.Info("own path to the journal is back")
-	}
-	return answer, err
-}
-
 // Lost reports whether the own path is lost.
 func (j *Journal) Lost() bool {
 	lost, _ := j.path.state()
--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -72,11 +72,11 @@
 
 // Call makes one call to the journal. It is exported for net/rpc.
 func (s *Service) Call(msg Message, answer *Message) error {
-	var call operation
-	if err := msg.decode(&call); err != nil {
+	var op operation
+	if err := msg.decode(&op); err != nil {
 		return err
 	}
-	encoded, err := encode(s.answer(call))
+	encoded, err := encode(s.answer(op))
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 
 // answer makes the call on the own path, or says that this is lost, as it soon is for a
 // daemon that stops.
-func (s *Service) answer(call operation) reply {
+func (s *Service) answer(op operation) reply {
 	if !s.own.gate.enter() {
 		return reply{Outcome: outcomeLost, Reason: "the peer stops"}
 	}
@@ -94,39 +94,14 @@
 	if s.own.Lost() {
 		return reply{Outcome: outcomeLost, Reason: "the peer has lost its own path"}
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, min(call.Within, longestWithin))
+	if !op.known() {
+		return fail(errors.Wrap(journal.ErrNotDone, "relay: an operation of a later version"))
+	}
+	ctx, cancel := context.WithTimeout(s.ctx, min(op.Within, longestWithin))
 	defer cancel()
-	answer, err := s.perform(ctx, call)
+	answer, err := s.own.onOwnPath(ctx, op)
 	if err != nil {
 		return fail(err)
 	}
 	return answer
 }
-
-func (s *Service) perform(ctx context.Context, call operation) (answer reply, err error) {
-	direct := s.own.Journal
-	own := func(wait time.Duration, perform func() error) error {
-		_, err := viaOwn(s.own, wait, func() (struct{}, error) { return struct{}{}, perform() })
-		return err
-	}
-	switch {
-	case call.Append != nil:
-		err = own(0, func() (err error) { answer.Appended, err = direct.Append(ctx, *call.Append); return err })
-	case call.Read != nil:
-		err = own(call.Read.Wait, func() (err error) { answer.Records, err = direct.Read(ctx, *call.Read); return err })
-	case call.Newest != nil:
-		err = own(0, func() (err error) {
-			answer.Page, err = direct.Newest(ctx, call.Newest.Partition, call.Newest.After)
-			return err
-		})
-	case call.Join != nil:
-		err = own(0, func() (err error) { answer.Assignment, err = direct.Join(ctx, *call.Join); return err })
-	case call.Leave != nil:
-		err = own(0, func() error { return direct.Leave(ctx, call.Leave.Group, call.Leave.Member) })
-	case call.Owners != nil:
-		err = own(0, func() (err error) { answer.Owners, err = direct.Owners(ctx, call.Owners.Group); return err })
-	default:
-		err = errors.Wrap(journal.ErrNotDone, "relay: an operation of a later version")
-	}
-	return answer, err
-}
