--- a/internal/api/operator/golden_test.go
+++ b/internal/api/operator/golden_test.go
@@ -5,7 +5,6 @@
 	"testing"
 
 	"woodworks/internal/daemon/golden"
-	"woodworks/internal/journal/journaltest"
 )
 
 func TestRecordsKeepTheirForm(t *testing.T) {
@@ -13,6 +12,5 @@
 	golden.CBOR[Version](t, "version")
 	golden.CBOR[Machine](t, "machine")
 	golden.JSON[Publication](t, "publication")
-	log := journaltest.New()
-	golden.Text(t, "names.txt", fmt.Sprintln(RecordsPartition(log), MachinesPartition(log), PoliciesKey, versionKeyPrefix))
+	golden.Text(t, "names.txt", fmt.Sprintln(RecordsPartition, MachinesPartition, PoliciesKey, versionKeyPrefix))
 }
--- a/internal/api/operator/operator.go
+++ b/internal/api/operator/operator.go
@@ -105,15 +105,11 @@
 	return &Operator{journal: log, logger: logger}
 }
 
-// RecordsPartition holds the operators' records.
-func RecordsPartition(log journal.Journal) journal.Partition {
-	return journal.Partition{Topic: log.KeyedTopic("operator")}
-}
-
-// MachinesPartition holds the list of back ends.
-func MachinesPartition(log journal.Journal) journal.Partition {
-	return journal.Partition{Topic: log.KeyedTopic("machines")}
-}
+// RecordsPartition holds the operators' records, MachinesPartition the list of back ends.
+var (
+	RecordsPartition  = journal.Partition{Topic: journal.KeyedTopic("operator")}
+	MachinesPartition = journal.Partition{Topic: journal.KeyedTopic("machines")}
+)
 
 // Change is a policy document to publish.
 type Change struct {
@@ -137,7 +133,7 @@
 		return Publication{}, errors.Wrap(ErrInvalid, err.Error())
 	}
 	var published Publication
-	err := o.update(ctx, RecordsPartition(o.journal), PoliciesKey, func(value []byte) ([]byte, error) {
+	err := o.update(ctx, RecordsPartition, PoliciesKey, func(value []byte) ([]byte, error) {
 		next, err := changed(value, change)
 		if err != nil {
 			return nil, err
@@ -177,7 +173,7 @@
 // returned, which may be a newer one.
 func (o *Operator) Announce(ctx context.Context, named Version) (int64, error) {
 	newest := named.Version
-	err := o.update(ctx, RecordsPartition(o.journal), versionKeyPrefix+named.Model, func(value []byte) ([]byte, error) {
+	err := o.update(ctx, RecordsPartition, versionKeyPrefix+named.Model, func(value []byte) ([]byte, error) {
 		var known Version
 		if len(value) > 0 && cbor.Unmarshal(value, &known) == nil && known.Version >= named.Version {
 			newest = known.Version
@@ -190,7 +186,7 @@
 
 // Drain orders that a back end gets no new work, or takes the order back.
 func (o *Operator) Drain(ctx context.Context, machine string, leaving bool) error {
-	return o.update(ctx, MachinesPartition(o.journal), machine, func(value []byte) ([]byte, error) {
+	return o.update(ctx, MachinesPartition, machine, func(value []byte) ([]byte, error) {
 		var entry Machine
 		if len(value) == 0 || cbor.Unmarshal(value, &entry) != nil {
 			return nil, ErrNoMachine
@@ -204,7 +200,7 @@
 // or an agent beside it does so: daemons learn from the list which engines may
 // run a batch. An order to drain that was given meanwhile stays.
 func (o *Operator) Hold(ctx context.Context, machine, model string, version int64) error {
-	return o.update(ctx, MachinesPartition(o.journal), machine, func(value []byte) ([]byte, error) {
+	return o.update(ctx, MachinesPartition, machine, func(value []byte) ([]byte, error) {
 		var entry Machine
 		if len(value) == 0 || cbor.Unmarshal(value, &entry) != nil {
 			return nil, ErrNoMachine
@@ -222,7 +218,7 @@
 
 // List puts a back end into the list, or takes it out if entry is nil.
 func (o *Operator) List(ctx context.Context, machine string, entry *Machine) error {
-	return o.update(ctx, MachinesPartition(o.journal), machine, func([]byte) ([]byte, error) {
+	return o.update(ctx, MachinesPartition, machine, func([]byte) ([]byte, error) {
 		if entry == nil {
 			return []byte{}, nil
 		}
@@ -270,7 +266,7 @@
 	if err != nil || len(read.Records) == 0 {
 		return errors.Wrap(ErrUnknown, cause.Error())
 	}
-	ours := o.journal.JoinKeyed(journal.KeyedRecord{Key: key, Value: wanted})
+	ours := journal.EncodeKeyed(key, wanted)
 	if !bytes.Equal(read.Records[0], ours) {
 		return ErrConflict
 	}
@@ -283,7 +279,7 @@
 func (o *Operator) append(ctx context.Context, p journal.Partition, key string, value []byte, end int64) (int64, error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	record := o.journal.JoinKeyed(journal.KeyedRecord{Key: key, Value: value})
+	record := journal.EncodeKeyed(key, value)
 	appended, err := o.journal.Append(bounded, journal.Append{Partition: p, Records: [][]byte{record}, ExpectedEnd: &end})
 	return appended.Offset, err
 }
@@ -318,7 +314,7 @@
 // Current returns the configuration that the log holds now.
 func (o *Operator) Current(ctx context.Context) (Policies, error) {
 	var current Policies
-	value, _, err := o.read(ctx, RecordsPartition(o.journal), PoliciesKey)
+	value, _, err := o.read(ctx, RecordsPartition, PoliciesKey)
 	if err != nil {
 		return current, errors.Wrap(ErrNotDone, err.Error())
 	}
@@ -331,7 +327,7 @@
 // History returns the configurations that the log still has, the oldest first.
 func (o *Operator) History(ctx context.Context) ([]Policies, error) {
 	var history []Policies
-	p := RecordsPartition(o.journal)
+	p := RecordsPartition
 	for next := int64(0); ; {
 		bounded, cancel := context.WithTimeout(ctx, callTimeout)
 		read, err := o.journal.Read(bounded, journal.Read{Partition: p, From: next})
@@ -358,7 +354,7 @@
 
 func (o *Operator) policiesIn(record []byte) (Policies, bool) {
 	var policies Policies
-	keyed, err := o.journal.SplitKeyed(record)
+	keyed, err := journal.DecodeKeyed(record)
 	ours := err == nil && keyed.Key == PoliciesKey && cbor.Unmarshal(keyed.Value, &policies) == nil
 	return policies, ours
 }
--- a/internal/api/operator/operator_test.go
+++ b/internal/api/operator/operator_test.go
@@ -47,7 +47,7 @@
 	is.True(errors.Is(err, ErrInvalid))
 	_, err = one.Publish(context.Background(), Change{Name: "a b", Source: fmt.Sprintf(valid, "x")})
 	is.True(errors.Is(err, ErrInvalid))
-	is.Equal(len(log.Records(RecordsPartition(log))), 0)
+	is.Equal(len(log.Records(RecordsPartition)), 0)
 }
 
 func TestVersionsOnlyRise(t *testing.T) {
--- a/internal/api/standalone/connect.go
+++ b/internal/api/standalone/connect.go
@@ -22,18 +22,16 @@
 
 // Connect makes the drivers of the product's own services. It is a node.Connect.
 func Connect(loaded settings.Settings, replicas *upstream.Pool) (node.Drivers, error) {
-	shape := loaded.Platform.Store
-	addr, err := netip.ParseAddrPort(shape.Address)
+	store := loaded.Platform.Store
+	addr, err := netip.ParseAddrPort(store.Address)
 	if err != nil {
 		return node.Drivers{}, errors.Wrap(err, "platform.store.address")
 	}
-	log := logservice.New(addr, loaded.Listen.Public, logservice.Shape{
-		Partitions: shape.Partitions, RecordBytes: shape.RecordBytes, AppendBytes: shape.AppendBytes, Grants: shape.Grants(),
-	})
+	log := logservice.New(addr, loaded.Listen.Public, store.Shape())
 	decoder := &Decoder{}
 	return node.Drivers{
 		Journal: log, Decoder: decoder, Engines: NewEngines(replicas), Codec: codec{}, Headers: HeaderNames(),
-		OperatorRecords: operator.RecordsPartition(log), ReplicaRecords: operator.MachinesPartition(log),
+		OperatorRecords: operator.RecordsPartition, ReplicaRecords: operator.MachinesPartition,
 		Interface: func(parts node.Parts) node.Interface { return interfaceOf(parts, decoder) },
 	}, nil
 }
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -55,7 +55,7 @@
 		return n.journal
 	}
 	n.relay = relay.New(n.journal, relay.Options{Name: n.settings.Name, Zone: n.settings.Zone, Address: address}, n.logger)
-	n.peerFollower = journal.NewKeyedFollower(n.relay, relay.Partition(n.journal), n.relay.Peers(), peerContact, n.logger)
+	n.peerFollower = journal.NewKeyedFollower(n.relay, relay.Partition, n.relay.Peers(), peerContact, n.logger)
 	n.peerFollower.SetInterval(journal.SharedReadInterval(n.journal, peerReadShare, n.daemons))
 	return n.relay
 }
@@ -103,7 +103,7 @@
 func (n *Node) buildWeights(drivers Drivers) {
 	log := drivers.Journal
 	n.demands = demand.NewState(n.logger)
-	n.demandFollower = journal.NewKeyedFollower(log, demand.Partition(log), n.demands, n.settings.Timing.ContactBound.Std(), n.logger)
+	n.demandFollower = journal.NewKeyedFollower(log, demand.Partition, n.demands, n.settings.Timing.ContactBound.Std(), n.logger)
 	n.lease = lease.New(log, journal.Partition{Topic: dutyTopic}, n.identity, n.settings.Name, n.settings.Timing.LeaseQuiet.Std(), n.logger)
 	n.syncer = modelsync.New(n.settings.Name, n.lease, drivers.Engines, n.table, n.operator.Configuration, n.operator.Named, n.demands, n.logger)
 	n.syncer.SetEventTime(n.occupancy.eventTimeOf)
--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -29,7 +29,7 @@
 		parts.spreader = quarantine.NewSpreader(table, node.relay, node.logger)
 		node.relay.Register(quarantine.ServiceName, quarantine.NewService(table))
 	}
-	parts.follower = journal.NewKeyedFollower(log, quarantine.Partition(log), parts.keeper, contact, node.logger)
+	parts.follower = journal.NewKeyedFollower(log, quarantine.Partition, parts.keeper, contact, node.logger)
 	parts.follower.SetInterval(journal.SharedReadInterval(log, peerReadShare, node.daemons))
 	return parts
 }
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -245,7 +245,7 @@
 	began   time.Time
 }
 
-var startTopic = journal.Partition{Topic: journal.KeyedTopicName("configuration")}
+var startTopic = journal.Partition{Topic: journal.KeyedTopic("configuration")}
 
 func startAll(ctx context.Context, t *testing.T, given conditions) *allStarted {
 	all := &allStarted{log: journaltest.New(), out: &wire{ctx: ctx, bytesPerSecond: given.carries, turn: given.turn}, began: time.Now()}
--- a/internal/daemon/settings/settings.go
+++ b/internal/daemon/settings/settings.go
@@ -120,9 +120,11 @@
 // megabyte is the unit of ReadMBPerSecond, in bytes.
 const megabyte = 1e6
 
-// Grants is what the store grants all daemons together.
-func (s Store) Grants() journal.Grants {
-	return journal.Grants{ReadsPerSecond: s.ReadsPerSecond, WritesPerSecond: s.WritesPerSecond, ReadBytesPerSecond: s.ReadMBPerSecond * megabyte}
+// Shape is what the log takes, and grants all daemons together.
+func (s Store) Shape() journal.Shape {
+	return journal.Shape{Partitions: s.Partitions, RecordBytes: s.RecordBytes, AppendBytes: s.AppendBytes, Granted: journal.Grants{
+		ReadsPerSecond: s.ReadsPerSecond, WritesPerSecond: s.WritesPerSecond, ReadBytesPerSecond: s.ReadMBPerSecond * megabyte,
+	}}
 }
 
 // Timing holds the daemon's bounds in time.
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -154,7 +154,7 @@
 // apply gives the handler records that begin at an offset.
 func (f *KeyedFollower) apply(offset int64, records [][]byte) {
 	for i, record := range records {
-		keyed, err := f.journal.SplitKeyed(record)
+		keyed, err := DecodeKeyed(record)
 		if err != nil {
 			f.logger.Warn("malformed record passed over", zap.Int64("offset", offset+int64(i)), zap.Error(err))
 			continue
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -26,7 +26,7 @@
 	is := is.New(t)
 	encoded := EncodeKeyed("key", []byte("value"))
 	golden.Text(t, "keyed.bin", encoded)
-	golden.Text(t, "keyed-topic.txt", KeyedTopicName("topic"))
+	golden.Text(t, "keyed-topic.txt", KeyedTopic("topic"))
 	decoded, err := DecodeKeyed(encoded)
 	is.NoErr(err)
 	is.Equal(decoded, KeyedRecord{Key: "key", Value: []byte("value")})
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -154,12 +154,6 @@
 	// Newest reads the newest record of each key of a keyed partition, from
 	// the key after afterKey on.
 	Newest(ctx context.Context, partition Partition, afterKey string) (KeyedPage, error)
-	// SplitKeyed takes a record of a keyed partition apart.
-	SplitKeyed(record []byte) (KeyedRecord, error)
-	// JoinKeyed makes a record of a keyed partition.
-	JoinKeyed(record KeyedRecord) []byte
-	// KeyedTopic returns the full name of a topic whose records have keys.
-	KeyedTopic(name string) string
 	Join(ctx context.Context, request Join) (Assignment, error)
 	Leave(ctx context.Context, group, member string) error
 	Owners(ctx context.Context, group string) ([]Ownership, error)
@@ -172,6 +166,27 @@
 	Grants() Grants
 }
 
+// Shape is what a journal takes and grants. It has the methods of a Journal that tell so.
+type Shape struct {
+	// Partitions is how many partitions each topic has.
+	Partitions int
+	// RecordBytes and AppendBytes are the largest record and append.
+	RecordBytes, AppendBytes int
+	Granted                  Grants
+}
+
+// PartitionsPerTopic implements Journal.
+func (s Shape) PartitionsPerTopic() int { return s.Partitions }
+
+// MaxRecordBytes implements Journal.
+func (s Shape) MaxRecordBytes() int { return s.RecordBytes }
+
+// MaxAppendBytes implements Journal.
+func (s Shape) MaxAppendBytes() int { return s.AppendBytes }
+
+// Grants implements Journal.
+func (s Shape) Grants() Grants { return s.Granted }
+
 // Grants is what a journal grants all daemons together; 0 where that is not known.
 type Grants struct {
 	// ReadsPerSecond is how many reads they may make in a second.
--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -18,13 +18,9 @@
 type Journal struct {
 	// Befall, if not nil, decides the fault of each call.
 	Befall func(call Call) Fault
-	// Partitions is PartitionsPerTopic.
-	Partitions int
-	// RecordBytes and AppendBytes are MaxRecordBytes and MaxAppendBytes.
-	RecordBytes, AppendBytes int
-	// Granted is Grants. Where it has ReadsPerSecond, further reads within a second are
-	// throttled.
-	Granted journal.Grants
+	// Shape may be changed before the first call. Where it grants ReadsPerSecond, further reads
+	// within a second are throttled.
+	journal.Shape
 
 	mu         sync.Mutex
 	logs       map[journal.Partition]*log
@@ -53,22 +49,10 @@
 
 // New returns an empty journal.
 func New() *Journal {
-	return &Journal{Partitions: 2, RecordBytes: 1 << 16, AppendBytes: 1 << 20, logs: map[journal.Partition]*log{},
-		changed: make(chan struct{}), members: map[string]time.Time{}}
+	return &Journal{Shape: journal.Shape{Partitions: 2, RecordBytes: 1 << 16, AppendBytes: 1 << 20},
+		logs: map[journal.Partition]*log{}, changed: make(chan struct{}), members: map[string]time.Time{}}
 }
 
-// PartitionsPerTopic implements journal.Journal.
-func (j *Journal) PartitionsPerTopic() int { return j.Partitions }
-
-// MaxRecordBytes implements journal.Journal.
-func (j *Journal) MaxRecordBytes() int { return j.RecordBytes }
-
-// MaxAppendBytes implements journal.Journal.
-func (j *Journal) MaxAppendBytes() int { return j.AppendBytes }
-
-// Grants implements journal.Journal.
-func (j *Journal) Grants() journal.Grants { return j.Granted }
-
 // log returns a partition's records. The mutex is held.
 func (j *Journal) log(partition journal.Partition) *log {
 	l := j.logs[partition]
@@ -212,7 +196,7 @@
 	target := j.log(partition)
 	newest := map[string]journal.KeyedRecord{}
 	for i, record := range target.records {
-		keyed, err := j.SplitKeyed(record)
+		keyed, err := journal.DecodeKeyed(record)
 		if err != nil {
 			continue // A record without a key is the newest of none.
 		}
@@ -228,16 +212,3 @@
 	sort.Slice(page.Records, func(a, b int) bool { return page.Records[a].Key < page.Records[b].Key })
 	return page, nil
 }
-
-// SplitKeyed implements journal.Journal.
-func (j *Journal) SplitKeyed(record []byte) (journal.KeyedRecord, error) {
-	return journal.DecodeKeyed(record)
-}
-
-// JoinKeyed implements journal.Journal.
-func (j *Journal) JoinKeyed(record journal.KeyedRecord) []byte {
-	return journal.EncodeKeyed(record.Key, record.Value)
-}
-
-// KeyedTopic implements journal.Journal.
-func (j *Journal) KeyedTopic(name string) string { return journal.KeyedTopicName(name) }
--- a/internal/journal/logservice/client.go
+++ b/internal/journal/logservice/client.go
@@ -19,29 +19,20 @@
 	unackedTimeout = 1500 * time.Millisecond
 )
 
-// Shape is what the settings tell of the service.
-type Shape struct {
-	Partitions  int
-	RecordBytes int
-	AppendBytes int
-	// Grants is what all daemons together may use.
-	Grants journal.Grants
-}
-
 // Client is the service's client. It is safe for concurrent use.
 type Client struct {
-	pool  *upstream.Pool
-	addr  string
-	shape Shape
+	journal.Shape
+	pool *upstream.Pool
+	addr string
 }
 
 var _ journal.Journal = (*Client)(nil)
 
 // New returns a client of the service at addr. Its connections come from the IP
 // of local (IP:port), "" for any.
-func New(addr netip.AddrPort, local string, shape Shape) *Client {
+func New(addr netip.AddrPort, local string, shape journal.Shape) *Client {
 	options := upstream.Options{LocalAddress: local, ConnectTimeout: connectTimeout, UnackedTimeout: unackedTimeout}
-	return &Client{pool: upstream.NewPool(options), addr: addr.String(), shape: shape}
+	return &Client{Shape: shape, pool: upstream.NewPool(options), addr: addr.String()}
 }
 
 // call sends one call and decodes its answer.
@@ -111,28 +102,3 @@
 func (c *Client) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
 	return call[[]journal.Ownership](ctx, c, callOwners, memberRequest{Group: group})
 }
-
-// SplitKeyed implements journal.Journal.
-func (c *Client) SplitKeyed(record []byte) (journal.KeyedRecord, error) {
-	return journal.DecodeKeyed(record)
-}
-
-// JoinKeyed implements journal.Journal.
-func (c *Client) JoinKeyed(record journal.KeyedRecord) []byte {
-	return journal.EncodeKeyed(record.Key, record.Value)
-}
-
-// KeyedTopic implements journal.Journal.
-func (c *Client) KeyedTopic(name string) string { return journal.KeyedTopicName(name) }
-
-// PartitionsPerTopic implements journal.Journal.
-func (c *Client) PartitionsPerTopic() int { return c.shape.Partitions }
-
-// MaxRecordBytes implements journal.Journal.
-func (c *Client) MaxRecordBytes() int { return c.shape.RecordBytes }
-
-// MaxAppendBytes implements journal.Journal.
-func (c *Client) MaxAppendBytes() int { return c.shape.AppendBytes }
-
-// Grants implements journal.Journal.
-func (c *Client) Grants() journal.Grants { return c.shape.Grants }
--- a/internal/journal/logservice/logservice.go
+++ b/internal/journal/logservice/logservice.go
@@ -10,7 +10,7 @@
 //
 // # Usage
 //
-//	log := logservice.New(address, localAddress, logservice.Shape{Partitions: 8})
+//	log := logservice.New(address, localAddress, journal.Shape{Partitions: 8})
 //	appended, err := log.Append(ctx, journal.Append{Partition: p, Records: records})
 //
 // # Protocol
--- a/internal/journal/relay/announce.go
+++ b/internal/journal/relay/announce.go
@@ -20,9 +20,7 @@
 )
 
 // Partition is where daemons announce themselves.
-func Partition(log journal.Journal) journal.Partition {
-	return journal.Partition{Topic: log.KeyedTopic(topic)}
-}
+var Partition = journal.Partition{Topic: journal.KeyedTopic(topic)}
 
 // Peers returns the handler of the partition where daemons announce themselves.
 func (j *Journal) Peers() journal.KeyedHandler { return j.peers }
@@ -34,10 +32,10 @@
 		j.logger.Error("relay not announced", zap.Error(err))
 		return
 	}
-	record := j.JoinKeyed(journal.KeyedRecord{Key: j.options.Name, Value: encoded})
+	record := journal.EncodeKeyed(j.options.Name, encoded)
 	for ctx.Err() == nil {
 		bounded, cancel := context.WithTimeout(ctx, announceTimeout)
-		_, err := j.Append(bounded, journal.Append{Partition: Partition(j.Journal), Records: [][]byte{record}})
+		_, err := j.Append(bounded, journal.Append{Partition: Partition, Records: [][]byte{record}})
 		cancel()
 		if err == nil {
 			return
--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -135,7 +135,7 @@
 }
 
 // configurations is where one is written each second.
-var configurations = journal.Partition{Topic: journal.KeyedTopicName("configurations")}
+var configurations = journal.Partition{Topic: journal.KeyedTopic("configurations")}
 
 // unheeded takes records and does nothing with them.
 type unheeded struct{}
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -99,7 +99,7 @@
 		bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
 		// What it tells is what onOwnPath learns from its outcome.
-		_, _ = j.onOwnPath(bounded, operation{Newest: &newestCall{Partition: Partition(j.Journal), After: lastKey}})
+		_, _ = j.onOwnPath(bounded, operation{Newest: &newestCall{Partition: Partition, After: lastKey}})
 	})
 }
 
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -126,7 +126,7 @@
 	}
 	for _, relayed := range d.relays {
 		go relayed.Run(ctx)
-		go journal.NewKeyedFollower(relayed, Partition(relayed), relayed.Peers(), 3*time.Second, zap.NewNop()).Run(ctx)
+		go journal.NewKeyedFollower(relayed, Partition, relayed.Peers(), 3*time.Second, zap.NewNop()).Run(ctx)
 	}
 	time.Sleep(2 * time.Second)
 	return d
@@ -254,7 +254,7 @@
 		is.NoErr(err)
 		is.Equal(len(rows), d.store.PartitionsPerTopic())
 		is.NoErr(d.relays[0].Leave(ctx, "g", "m"))
-		page, err := d.relays[0].Newest(ctx, Partition(d.store), "")
+		page, err := d.relays[0].Newest(ctx, Partition, "")
 		is.NoErr(err)
 		is.Equal(len(page.Records), 2)
 	})
--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -11,7 +11,7 @@
 //	publisher.Publish(ctx, "model", demand.Demand{MinVersion: 3, Named: 5, Work: 80_000, Items: 512})
 //
 //	state := demand.NewState(logger)
-//	go journal.NewKeyedFollower(log, demand.Partition(log), state, contactBound, logger).Run(ctx)
+//	go journal.NewKeyedFollower(log, demand.Partition, state, contactBound, logger).Run(ctx)
 //	d, ok := state.Of("model")
 package demand
 
@@ -59,9 +59,7 @@
 func (d Demand) Lag() int64 { return max(d.Named-d.MinVersion, 0) }
 
 // Partition is where demands are kept.
-func Partition(log journal.Journal) journal.Partition {
-	return journal.Partition{Topic: log.KeyedTopic(topic)}
-}
+var Partition = journal.Partition{Topic: journal.KeyedTopic(topic)}
 
 // Publisher writes demands. It is safe for concurrent use.
 type Publisher struct {
@@ -92,8 +90,8 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	record := p.journal.JoinKeyed(journal.KeyedRecord{Key: key, Value: encoded})
-	if _, err := p.journal.Append(bounded, journal.Append{Partition: Partition(p.journal), Records: [][]byte{record}}); err != nil {
+	record := journal.EncodeKeyed(key, encoded)
+	if _, err := p.journal.Append(bounded, journal.Append{Partition: Partition, Records: [][]byte{record}}); err != nil {
 		p.logger.Info("demand not written", zap.String("key", key), zap.Error(err))
 	}
 }
--- a/internal/replicas/demand/golden_test.go
+++ b/internal/replicas/demand/golden_test.go
@@ -5,11 +5,10 @@
 	"testing"
 
 	"woodworks/internal/daemon/golden"
-	"woodworks/internal/journal/journaltest"
 )
 
 func TestDemandsKeepTheirForm(t *testing.T) {
 	golden.CBOR[Demand](t, "demand")
 	golden.CBOR[measured](t, "measured")
-	golden.Text(t, "names.txt", fmt.Sprintln(Partition(journaltest.New()), timeKeyPrefix))
+	golden.Text(t, "names.txt", fmt.Sprintln(Partition, timeKeyPrefix))
 }
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -284,9 +284,8 @@
 	return true
 }
 
-func (m *Manager) partition() journal.Partition {
-	return journal.Partition{Topic: m.Journal.KeyedTopic(topic)}
-}
+// partition is where orders are kept.
+var partition = journal.Partition{Topic: journal.KeyedTopic(topic)}
 
 // record keeps an order in the journal.
 func (m *Manager) record(ctx context.Context, rec orderRecord) error {
@@ -296,8 +295,8 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, journalTimeout)
 	defer cancel()
-	record := m.Journal.JoinKeyed(journal.KeyedRecord{Key: rec.Service + "/" + rec.Zone, Value: encoded})
-	_, err = m.Journal.Append(bounded, journal.Append{Partition: m.partition(), Records: [][]byte{record}})
+	record := journal.EncodeKeyed(rec.Service+"/"+rec.Zone, encoded)
+	_, err = m.Journal.Append(bounded, journal.Append{Partition: partition, Records: [][]byte{record}})
 	return errors.Wrap(err, "fleet: order not noted")
 }
 
@@ -317,7 +316,7 @@
 	ordered := map[serviceZone]observedOrder{}
 	for afterKey, more := "", true; more; {
 		bounded, cancel := context.WithTimeout(ctx, journalTimeout)
-		page, err := m.Journal.Newest(bounded, m.partition(), afterKey)
+		page, err := m.Journal.Newest(bounded, partition, afterKey)
 		cancel()
 		if err != nil {
 			m.logger.Info("orders for replicas not read", zap.Error(err))
--- a/internal/requests/quarantine/golden_test.go
+++ b/internal/requests/quarantine/golden_test.go
@@ -11,7 +11,6 @@
 	"go.uber.org/zap"
 
 	"woodworks/internal/daemon/golden"
-	"woodworks/internal/journal/journaltest"
 )
 
 func TestEntriesKeepTheirForm(t *testing.T) {
@@ -22,7 +21,7 @@
 	golden.JSON[problem](t, "problem")
 	golden.JSON[Lifted](t, "lifted")
 	content := &Content{Caller: "caller", Method: "POST", Host: "host", Target: "/target?query", Body: []byte("body")}
-	golden.Text(t, "names.txt", fmt.Sprintln(tellMethod, Path, Partition(journaltest.New()), content.Digest()))
+	golden.Text(t, "names.txt", fmt.Sprintln(tellMethod, Path, Partition, content.Digest()))
 }
 
 func TestOperatorsAnswersKeepTheirForm(t *testing.T) {
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -31,9 +31,7 @@
 )
 
 // Partition is where suspected contents are kept.
-func Partition(log journal.Journal) journal.Partition {
-	return journal.Partition{Topic: log.KeyedTopic(topic)}
-}
+var Partition = journal.Partition{Topic: journal.KeyedTopic(topic)}
 
 // Recorder keeps suspected contents in the journal, so that what is held against them
 // outlasts every process, and learns from it what was before this one started. It
@@ -130,19 +128,19 @@
 func (r *Recorder) write(ctx context.Context, entries []Entry) error {
 	var records [][]byte
 	for _, entry := range entries {
-		record := journal.KeyedRecord{Key: entry.Digest.String()}
+		var value []byte
 		if len(entry.Ended) > 0 {
 			encoded, err := cbor.Marshal(entry)
 			if err != nil {
 				return err
 			}
-			record.Value = encoded
+			value = encoded
 		}
-		records = append(records, r.journal.JoinKeyed(record))
+		records = append(records, journal.EncodeKeyed(entry.Digest.String(), value))
 	}
 	bounded, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	if _, err := r.journal.Append(bounded, journal.Append{Partition: Partition(r.journal), Records: records}); err != nil {
+	if _, err := r.journal.Append(bounded, journal.Append{Partition: Partition, Records: records}); err != nil {
 		return err
 	}
 	r.table.written(entries)
--- a/internal/requests/quarantine/spread_test.go
+++ b/internal/requests/quarantine/spread_test.go
@@ -58,7 +58,7 @@
 	f.mu.Unlock()
 	keeper := NewRecorder(d.table, f.log, peers, zap.NewNop())
 	go keeper.Run(ctx)
-	go journal.NewKeyedFollower(f.log, Partition(f.log), keeper, contactBound, zap.NewNop()).Run(ctx)
+	go journal.NewKeyedFollower(f.log, Partition, keeper, contactBound, zap.NewNop()).Run(ctx)
 	if peers {
 		go NewSpreader(d.table, d, zap.NewNop()).Run(ctx)
 	}
@@ -240,7 +240,7 @@
 		time.Sleep(suspectedFor / 2)
 		daemons[2].table.Answered(poison)
 		time.Sleep(contactBound)
-		is.Equal(len(f.log.Records(Partition(f.log))), 0)
+		is.Equal(len(f.log.Records(Partition)), 0)
 		for _, s := range daemons {
 			is.True(s.table.Quiet())
 		}
@@ -307,7 +307,7 @@
 		is.True(appends.Load() <= 3*11)
 		f.log.SetBefall(nil)
 		time.Sleep(2 * failedPause)
-		is.True(len(f.log.Records(Partition(f.log))) > 0)
+		is.True(len(f.log.Records(Partition)) > 0)
 		cancel()
 		synctest.Wait()
 	})
