--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -56,10 +56,12 @@
 
 var zones = []string{"hall-a", "hall-b", "hall-c"}
 
-// daemon is one daemon process with its addresses.
+// daemon is one daemon with the newest of its processes.
 type daemon struct {
 	*process.Process
-	public string
+	name string
+	// address is where clients come.
+	address string
 }
 
 // run is one run.
@@ -95,7 +97,7 @@
 	defer started.Stop()
 	r := &run{options: options, services: started, checks: newChecks()}
 	defer r.stop()
-	if err := r.start(ctx); err != nil {
+	if err := r.start(); err != nil {
 		return err
 	}
 	r.drive(ctx)
@@ -107,69 +109,67 @@
 }
 
 // start starts the daemons and waits until they are ready.
-func (r *run) start(ctx context.Context) error {
+func (r *run) start() error {
 	r.say("starting %d daemons, %d engines, %d plain back ends and a log service", len(zones), engines, plains)
 	for _, zone := range zones {
 		if err := r.startDaemon(zone); err != nil {
 			return err
 		}
 	}
-	bounded, cancel := context.WithTimeout(ctx, startTimeout)
-	defer cancel()
-	for _, each := range r.daemons {
-		for !ready(bounded, each) {
-			if bounded.Err() != nil {
-				return errors.Errorf("demo: daemon %s did not become ready", each.Name)
-			}
-			time.Sleep(20 * time.Millisecond)
-		}
+	var urls []string
+	for _, d := range r.daemons {
+		urls = append(urls, "http://"+d.address+"/readyz")
 	}
-	return nil
-}
-
-func ready(ctx context.Context, each *daemon) bool {
-	answer, err := client.New("http://"+each.public, "").Do(ctx, "GET", "/readyz", nil, nil)
-	return err == nil && answer.Status == 200
+	return process.AwaitReady(startTimeout, urls...)
 }
 
 func (r *run) startDaemon(zone string) error {
 	loaded := r.services.Settings(zone+"-1", zone)
-	for _, address := range []*string{&loaded.Listen.Public, &loaded.Listen.Internal} {
-		free, err := process.FreeAddress()
-		if err != nil {
-			return err
-		}
-		*address = free
+	if err := process.FreeAddresses(&loaded.Listen.Public, &loaded.Listen.Internal); err != nil {
+		return err
 	}
 	encoded, err := yaml.Marshal(loaded)
 	if err != nil {
 		return errors.Wrap(err, "demo: settings")
 	}
-	file := filepath.Join(r.options.Folder, loaded.Name+".yaml")
-	if err := os.WriteFile(file, encoded, 0o600); err != nil {
+	d := &daemon{name: loaded.Name, address: loaded.Listen.Public}
+	if err := os.WriteFile(r.file(d, ".yaml"), encoded, 0o600); err != nil {
 		return errors.Wrap(err, "demo: settings")
 	}
-	started, err := process.Launch(loaded.Name, r.options.Program, filepath.Join(r.options.Folder, loaded.Name+".log"), "serve", "-c", file)
+	if err := r.launch(d); err != nil {
+		return err
+	}
+	r.daemons = append(r.daemons, d)
+	return nil
+}
+
+// launch starts a process of a daemon.
+func (r *run) launch(d *daemon) error {
+	p, err := process.Launch(d.name, r.options.Program, r.file(d, ".log"), "serve", "-c", r.file(d, ".yaml"))
 	if err != nil {
 		return err
 	}
-	r.daemons = append(r.daemons, &daemon{Process: started, public: loaded.Listen.Public})
+	d.Process = p
 	return nil
 }
 
+func (r *run) file(d *daemon, suffix string) string {
+	return filepath.Join(r.options.Folder, d.name+suffix)
+}
+
 func (r *run) stop() {
-	for _, each := range r.daemons {
-		each.Kill()
+	for _, d := range r.daemons {
+		d.Kill()
 	}
 }
 
 // clients speak to each daemon with a caller's key.
 func (r *run) clients(key string) []*client.Client {
-	var made []*client.Client
-	for _, each := range r.daemons {
-		made = append(made, client.New("http://"+each.public, key))
+	var clients []*client.Client
+	for _, d := range r.daemons {
+		clients = append(clients, client.New("http://"+d.address, key))
 	}
-	return made
+	return clients
 }
 
 // drive runs the callers, and the events in their midst.
@@ -185,12 +185,12 @@
 	r.say("killing engine %s", r.services.Engines[0].ID)
 	r.services.Engines[0].Kill()
 	time.Sleep(phase)
-	r.say("stopping daemon %s by plan", r.daemons[1].Name)
-	r.checks.that(plannedStop, r.daemons[1].Terminate(stopTimeout), "daemon %s did not stop cleanly", r.daemons[1].Name)
-	r.say("killing daemon %s", r.daemons[2].Name)
+	r.say("stopping daemon %s by plan", r.daemons[1].name)
+	r.checks.that(plannedStop, r.daemons[1].Terminate(stopTimeout), "daemon %s did not stop cleanly", r.daemons[1].name)
+	r.say("killing daemon %s", r.daemons[2].name)
 	r.daemons[2].Kill()
-	for _, each := range r.daemons[1:] {
-		if err := each.Restart(); err != nil {
+	for _, d := range r.daemons[1:] {
+		if err := r.launch(d); err != nil {
 			r.say("restart: %v", err)
 		}
 	}
--- a/internal/demo/process/address.go
+++ b/internal/demo/process/address.go
@@ -21,9 +21,9 @@
 // ErrNoAddress: no free port was found.
 var ErrNoAddress = errors.New("process: no free port")
 
-// given counts the ports looked at. Programs that run at the same time begin at
+// portsTried counts the ports looked at. Programs that run at the same time begin at
 // ports of their own, so that two of them do not choose the same.
-var given atomic.Int64
+var portsTried atomic.Int64
 
 // portsPerProgram is how far apart two programs begin.
 const portsPerProgram = 128
@@ -31,8 +31,8 @@
 // FreeAddress returns a loopback address on which nobody listens, another one at
 // each call.
 func FreeAddress() (string, error) {
-	for try := 0; try < portTries; try++ {
-		next := int64(os.Getpid())*portsPerProgram + given.Add(1)
+	for range portTries {
+		next := int64(os.Getpid())*portsPerProgram + portsTried.Add(1)
 		address := "127.0.0.1:" + strconv.FormatInt(firstPort+next%(lastPort-firstPort), 10)
 		listener, err := net.Listen("tcp4", address)
 		if err != nil {
@@ -45,3 +45,13 @@
 	}
 	return "", ErrNoAddress
 }
+
+// FreeAddresses sets each of the variables to a FreeAddress.
+func FreeAddresses(addresses ...*string) (err error) {
+	for _, address := range addresses {
+		if *address, err = FreeAddress(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/demo/process/process.go
+++ b/internal/demo/process/process.go
@@ -1,85 +1,121 @@
-// Package process starts programs for runs on one machine, and finds addresses for
-// them. It ends only processes that it started, by their process id.
+// Package process starts programs for runs on one machine, finds addresses for them and
+// waits until they are ready. It owns the processes that it started and ends only these,
+// by their process id; a run that dies takes its processes along.
+//
+// # Usage
+//
+//	p, err := process.Launch("daemon-1", "bin/woodworks", "daemon-1.log", "serve", "-c", "daemon-1.yaml")
+//	err = process.AwaitReady(20*time.Second, "http://127.0.0.1:7180/readyz")
+//	stopped := p.Terminate(15 * time.Second)
 package process
 
 import (
+	"net/http"
 	"os"
 	"os/exec"
-	"sync"
 	"syscall"
 	"time"
 
 	"github.com/pkg/errors"
 )
 
-// Process is one started program.
+// Process is one incarnation of a program.
 type Process struct {
-	Name string
-
-	path    string
-	args    []string
-	logPath string
-
-	mu      sync.Mutex
-	command *exec.Cmd
-	done    chan struct{}
+	cmd  *exec.Cmd
+	done chan struct{}
 }
 
-// Launch starts a program whose output goes to a file.
+// Launch starts a program whose output goes to the end of a file.
 func Launch(name, path, logPath string, args ...string) (*Process, error) {
-	p := &Process{Name: name, path: path, args: args, logPath: logPath}
-	return p, p.Restart()
-}
-
-// Restart starts an ended program again with the same arguments.
-func (p *Process) Restart() error {
-	output, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	output, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return errors.Wrap(err, "process: log file")
+		return nil, errors.Wrap(err, "process: log file")
 	}
 	defer func() { _ = output.Close() }()
-	command := exec.Command(p.path, p.args...)
-	command.Stdout, command.Stderr = output, output
-	// A run that dies takes its processes along.
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := command.Start(); err != nil {
-		return errors.Wrapf(err, "process: start %s", p.Name)
+	cmd := exec.Command(path, args...)
+	cmd.Stdout, cmd.Stderr = output, output
+	return Start(name, cmd)
+}
+
+// Start starts a command.
+func Start(name string, cmd *exec.Cmd) (*Process, error) {
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := cmd.Start(); err != nil {
+		return nil, errors.Wrapf(err, "process: start %s", name)
 	}
-	done := make(chan struct{})
-	p.mu.Lock()
-	p.command, p.done = command, done
-	p.mu.Unlock()
+	p := &Process{cmd: cmd, done: make(chan struct{})}
 	go func() {
-		_ = command.Wait()
-		close(done)
+		_ = cmd.Wait() // The state says how it ended.
+		close(p.done)
 	}()
-	return nil
+	return p, nil
 }
 
-// signal sends a signal if the program still runs, and returns a channel that
-// is closed when it has ended.
-func (p *Process) signal(signal syscall.Signal) <-chan struct{} {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// PID returns the process id.
+func (p *Process) PID() int { return p.cmd.Process.Pid }
+
+// Signal sends a signal if the process still runs.
+func (p *Process) Signal(signal syscall.Signal) { _ = p.cmd.Process.Signal(signal) }
+
+// Wait waits for the end and returns how the process ended.
+func (p *Process) Wait() *os.ProcessState {
+	<-p.done
+	return p.cmd.ProcessState
+}
+
+// EndsWithin waits for the end, for no longer than a time, and reports whether it came.
+func (p *Process) EndsWithin(timeout time.Duration) bool {
 	select {
 	case <-p.done:
-	default:
-		_ = p.command.Process.Signal(signal)
+		return true
+	case <-time.After(timeout):
+		return false
 	}
-	return p.done
 }
 
-// Kill ends the program at once and waits for that.
-func (p *Process) Kill() { <-p.signal(syscall.SIGKILL) }
+// Kill ends the process at once and waits for that.
+func (p *Process) Kill() {
+	p.Signal(syscall.SIGKILL)
+	<-p.done
+}
 
-// Terminate asks the program to stop by plan and waits; it reports whether it
+// Terminate asks the process to stop by plan and waits; it reports whether it
 // ended in time with exit code 0.
 func (p *Process) Terminate(timeout time.Duration) bool {
-	done := p.signal(syscall.SIGTERM)
-	select {
-	case <-done:
-		return p.command.ProcessState.ExitCode() == 0
-	case <-time.After(timeout):
+	p.Signal(syscall.SIGTERM)
+	return p.EndsWithin(timeout) && p.Wait().ExitCode() == 0
+}
+
+const (
+	// answerTimeout bounds one question whether a process is ready, readyPause is the time
+	// between two.
+	answerTimeout = 500 * time.Millisecond
+	readyPause    = 50 * time.Millisecond
+)
+
+// ErrNotReady: a process did not become ready in time.
+var ErrNotReady = errors.New("process: not ready")
+
+// AwaitReady waits until each URL has answered 200.
+func AwaitReady(timeout time.Duration, urls ...string) error {
+	end := time.Now().Add(timeout)
+	for _, url := range urls {
+		for !isReady(url) {
+			if time.Now().After(end) {
+				return errors.Wrap(ErrNotReady, url)
+			}
+			time.Sleep(readyPause)
+		}
+	}
+	return nil
+}
+
+func isReady(url string) bool {
+	client := http.Client{Timeout: answerTimeout}
+	resp, err := client.Get(url)
+	if err != nil {
 		return false
 	}
+	_ = resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
 }
