--- a/internal/batches/ledger/follow.go
+++ b/internal/batches/ledger/follow.go
@@ -52,7 +52,7 @@
 		}
 		if err != nil {
 			// It is tried again; that the journal does not answer is logged by those who call it.
-			p.ledger.logger.Debug("partition not followed", zap.String("topic", p.name.Topic), zap.Int("partition", p.name.Number), zap.Error(err))
+			p.ledger.logger.Debug("partition not followed", zap.Inline(p), zap.Error(err))
 			periodic.Pause(ctx, followPause)
 		}
 	}
--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -5,6 +5,8 @@
 	"sync"
 	"time"
 
+	"go.uber.org/zap/zapcore"
+
 	"woodworks/internal/batches/batch"
 	"woodworks/internal/journal"
 )
@@ -56,6 +58,13 @@
 	return &Partition{ledger: ledger, name: name, state: batch.NewStateAt(from), next: from, changed: make(chan struct{}), end: noEnd}
 }
 
+// MarshalLogObject implements zapcore.ObjectMarshaler, for zap.Inline.
+func (p *Partition) MarshalLogObject(enc zapcore.ObjectEncoder) error {
+	enc.AddString("topic", p.name.Topic)
+	enc.AddInt("partition", p.name.Number)
+	return nil
+}
+
 // Name returns the journal partition.
 func (p *Partition) Name() journal.Partition { return p.name }
 
@@ -73,6 +82,17 @@
 	look(p.state)
 }
 
+// ViewBatch calls look with a batch while it cannot change, and reports whether the fold knows it.
+func (p *Partition) ViewBatch(batchID string, look func(*batch.Batch)) (ok bool) {
+	p.View(func(state *batch.State) {
+		var b *batch.Batch
+		if b, ok = state.Get(batchID); ok {
+			look(b)
+		}
+	})
+	return ok
+}
+
 // Changed returns a channel that is closed when the fold changes.
 func (p *Partition) Changed() <-chan struct{} {
 	p.mu.Lock()
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -141,8 +141,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.next == from && first > from {
-		p.ledger.logger.Info("records trimmed before they were read", zap.String("topic", p.name.Topic),
-			zap.Int("partition", p.name.Number), zap.Int64("offset", from), zap.Int64("first", first))
+		p.ledger.logger.Info("records trimmed before they were read", zap.Inline(p),
+			zap.Int64("offset", from), zap.Int64("first", first))
 		p.next, p.missed = first, true
 		p.state.Skip(first)
 	}
--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -45,8 +45,7 @@
 	bounded, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	if err := partition.CatchUp(bounded); err != nil {
-		name := partition.Name()
-		r.logger.Debug("answered from an older fold", zap.String("topic", name.Topic), zap.Int("partition", name.Number), zap.Error(err))
+		r.logger.Debug("answered from an older fold", zap.Inline(partition), zap.Error(err))
 	}
 }
 
@@ -65,9 +64,7 @@
 // mayDeny returns an error where the fold does not know a batch although it may exist:
 // its records may have been removed before this daemon read them, while others did.
 func mayDeny(partition *ledger.Partition, batchID string) error {
-	ok := false
-	partition.View(func(state *batch.State) { _, ok = state.Get(batchID) })
-	if !ok && partition.Missed() {
+	if _, ok := beginningOf(partition, batchID); !ok && partition.Missed() {
 		return errors.Wrap(ErrBehind, "the partition's oldest records are gone")
 	}
 	return nil
@@ -150,9 +147,8 @@
 // lookUp returns what the fold says of a batch now.
 func lookUp(partition *ledger.Partition, query Query) Page {
 	var seen Page
-	partition.View(func(state *batch.State) {
-		b, ok := state.Get(query.BatchID)
-		if !ok || !b.BelongsTo(query.Tenant) {
+	partition.ViewBatch(query.BatchID, func(b *batch.Batch) {
+		if !b.BelongsTo(query.Tenant) {
 			return
 		}
 		seen.Found = true
@@ -178,9 +174,8 @@
 
 // itemBody returns the body of an item of an open batch.
 func itemBody(partition *ledger.Partition, query ItemQuery) (body Body) {
-	partition.View(func(state *batch.State) {
-		b, ok := state.Get(query.BatchID)
-		if !ok || !b.BelongsTo(query.Tenant) || b.Ended {
+	partition.ViewBatch(query.BatchID, func(b *batch.Batch) {
+		if !b.BelongsTo(query.Tenant) || b.Ended {
 			return
 		}
 		for _, item := range b.Items {
@@ -205,12 +200,8 @@
 
 // itemsOf returns the items that the fold holds.
 func itemsOf(partition *ledger.Partition, query ItemsQuery) (items Items) {
-	partition.View(func(state *batch.State) {
-		b, ok := state.Get(query.BatchID)
-		if !ok {
-			return
-		}
-		items.Found, items.Ended = true, b.Ended
+	items.Found = partition.ViewBatch(query.BatchID, func(b *batch.Batch) {
+		items.Ended = b.Ended
 		size := 0
 		for _, place := range query.Places {
 			if b.Ended || place < 0 || place >= len(b.Items) {
@@ -242,10 +233,6 @@
 
 // beginningOf returns where a batch begins that the fold knows.
 func beginningOf(partition *ledger.Partition, batchID string) (offset int64, found bool) {
-	partition.View(func(state *batch.State) {
-		if b, ok := state.Get(batchID); ok {
-			offset, found = b.Offset, true
-		}
-	})
+	found = partition.ViewBatch(batchID, func(b *batch.Batch) { offset = b.Offset })
 	return offset, found
 }
--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -30,9 +30,8 @@
 
 // noteLateRead logs that an own read is late; many in a row have one line.
 func (r *Reader) noteLateRead(batchID string, partition *ledger.Partition) {
-	name := partition.Name()
-	r.lateReads.Note(logging.Occurrence{Subject: name.Topic, Took: askWatcherAfter}, zap.String("batch", batchID),
-		zap.String("topic", name.Topic), zap.Int("partition", name.Number))
+	late := logging.Occurrence{Subject: partition.Name().Topic, Took: askWatcherAfter}
+	r.lateReads.Note(late, zap.String("batch", batchID), zap.Inline(partition))
 }
 
 // budgetLeft is how many bytes this daemon may read for questions now, 0 where it has no budget.
@@ -55,8 +54,7 @@
 			return false
 		}
 		if err := r.readPage(ctx, partition); err != nil {
-			r.logger.Info("page not read, asking the watcher", zap.String("topic", partition.Name().Topic),
-				zap.Int("partition", partition.Name().Number), zap.Error(err))
+			r.logger.Info("page not read, asking the watcher", zap.Inline(partition), zap.Error(err))
 			return false
 		}
 		missing, _ = partition.Missing()
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -147,11 +147,9 @@
 		return answer, err
 	}
 	defer q.r.leaveCold()
-	name := q.partition.Name()
 	missing, _ := q.partition.Missing()
-	q.r.logger.Info("partition read for a question", zap.String("batch", q.batchID), zap.String("topic", name.Topic),
-		zap.Int("partition", name.Number), zap.String("watcher", q.trace.call.watcher), zap.Int("missing", missing),
-		zap.String("reason", cause.Error()))
+	q.r.logger.Info("partition read for a question", zap.String("batch", q.batchID), zap.Inline(q.partition),
+		zap.String("watcher", q.trace.call.watcher), zap.Int("missing", missing), zap.String("reason", cause.Error()))
 	if err := q.r.readAtRate(ctx, q.partition, q.here.ready); err != nil {
 		return answer, err
 	}
--- a/internal/batches/results/trace.go
+++ b/internal/batches/results/trace.go
@@ -64,10 +64,9 @@
 	if err == nil {
 		return
 	}
-	name := t.partition.Name()
 	left, leftKnown := t.partition.Missing()
-	t.r.logger.Info("question not answered", zap.String("batch", t.batchID), zap.String("topic", name.Topic),
-		zap.Int("partition", name.Number), zap.String("way", string(t.way)), zap.Duration("hold", t.wait), zap.Duration("took", took),
+	t.r.logger.Info("question not answered", zap.String("batch", t.batchID), zap.Inline(t.partition),
+		zap.String("way", string(t.way)), zap.Duration("hold", t.wait), zap.Duration("took", took),
 		zap.Int("missing", t.missing), zap.Bool("missing_known", t.missingKnown),
 		zap.Int("missing_left", left), zap.Bool("missing_left_known", leftKnown),
 		zap.String("watcher", t.call.watcher), zap.Duration("watcher_sought", t.call.soughtFor),
--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -76,8 +76,8 @@
 	if r.jobs[batchID] != nil || r.ctx.Err() != nil || r.stopping.Load() {
 		return nil
 	}
-	partition.View(func(state *batch.State) {
-		if b, ok := state.Get(batchID); ok && b.Open() && b.Owner == r.self {
+	partition.ViewBatch(batchID, func(b *batch.Batch) {
+		if b.Open() && b.Owner == r.self {
 			j = newJob(r, partition, b)
 		}
 	})
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -82,10 +82,10 @@
 			begun++
 		}
 	}
-	s, name := j.submission, j.partition.Name()
+	s := j.submission
 	j.logger.Info("batch owned", zap.Int("items", len(j.items)), zap.Int("listed", listed), zap.Int("begun", begun),
-		zap.Int64("step", s.Step), zap.String("model", s.Model), zap.Int64("min_version", s.MinVersion), zap.Int("desired", s.Desired),
-		zap.String("topic", name.Topic), zap.Int("partition", name.Number))
+		zap.Int64("step", s.Step), zap.String("model", s.Model), zap.Int64("min_version", s.MinVersion),
+		zap.Int("desired", s.Desired), zap.Inline(j.partition))
 }
 
 // run keeps the job until its batch has no more to do here.
@@ -118,11 +118,8 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	reason := ""
-	j.partition.View(func(state *batch.State) {
-		b, ok := state.Get(j.submission.ID)
+	ok := j.partition.ViewBatch(j.submission.ID, func(b *batch.Batch) {
 		switch {
-		case !ok:
-			reason = "unknown"
 		case b.Ended:
 			reason = "ended"
 		case !b.Open():
@@ -134,10 +131,13 @@
 			j.markReturned(b)
 		}
 	})
-	if reason == "" && j.release.begun && j.noneUnderWay() {
+	switch {
+	case !ok:
+		reason = "unknown"
+	case reason != "":
+	case j.release.begun && j.noneUnderWay():
 		reason = "released"
-	}
-	if reason == "" {
+	default:
 		return false
 	}
 	j.logTimes(reason, time.Now())
--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -45,10 +45,7 @@
 	for {
 		changed := partition.Changed()
 		begun := false
-		partition.View(func(state *batch.State) {
-			b, ok := state.Get(expected.batch)
-			begun = ok && !expected.still(b)
-		})
+		partition.ViewBatch(expected.batch, func(b *batch.Batch) { begun = !expected.still(b) })
 		if begun {
 			return true
 		}
--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -96,7 +96,7 @@
 		switch {
 		case !r.confirming.take(name, read):
 		case read.err != nil:
-			r.logger.Info("silence of owners not confirmed", zap.String("topic", name.Topic), zap.Int("partition", name.Number), zap.Error(read.err))
+			r.logger.Info("silence of owners not confirmed", zap.Inline(r.ledger.Partition(name)), zap.Error(read.err))
 		default:
 			began[name] = read.began
 		}
@@ -114,10 +114,7 @@
 
 // stillSuspect reports whether the fold shows nothing new of a suspect.
 func (r *Runner) stillSuspect(suspect observation) (still bool) {
-	r.ledger.Partition(suspect.partition).View(func(state *batch.State) {
-		b, ok := state.Get(suspect.batch)
-		still = ok && suspect.still(b)
-	})
+	r.ledger.Partition(suspect.partition).ViewBatch(suspect.batch, func(b *batch.Batch) { still = suspect.still(b) })
 	return still
 }
 
