--- a/internal/batches/runner/fold.go
+++ b/internal/batches/runner/fold.go
@@ -17,16 +17,13 @@
 	Beginning(ctx context.Context, batchID string) (int64, error)
 }
 
-// SetLocator sets who tells where batches begin. It is called before Run.
-func (r *Runner) SetLocator(locator Locator) { r.locator = locator }
-
 // foldOf returns the fold by which this daemon runs a batch: that of the whole partition if
 // it is fresh here, else one that begins with the batch: a new owner on a weak link that reads
 // megabytes of other batches first does not begin before the daemon that accepted the batch
 // takes it for gone.
 func (r *Runner) foldOf(ctx context.Context, batchID string) *ledger.Partition {
 	whole := r.ledger.Of(batchID)
-	if r.locator == nil || whole.Fresh() {
+	if whole.Fresh() {
 		return whole
 	}
 	bounded, cancel := context.WithTimeout(ctx, locateTimeout)
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -85,9 +85,9 @@
 		locator = holds{seen}
 	}
 	chosen := newOwner(ctx, t, log.Behind(bytesPerSecond), "a/1")
-	chosen.SetLocator(locator)
+	chosen.locator = locator
 	accepter := newAccepter(ctx, log.Behind(bytesPerSecond), "a/1")
-	accepter.SetLocator(locator)
+	accepter.locator = locator
 	began := time.Now()
 	if err := accepter.Accept(ctx, &routedItem); err != nil {
 		t.Fatal(err)
@@ -143,7 +143,7 @@
 		is.NoErr(partition.Append(ctx, batch.Ended("x", "")))
 		is.NoErr(partition.Append(ctx, batch.Accepted(&twoItems, "a/1")))
 		owner := newOwner(ctx, t, log, "a/1")
-		owner.SetLocator(holds{whole})
+		owner.locator = holds{whole}
 		owner.AdoptWhenSeen("x")
 		batches, _ := owner.Load()
 		is.Equal(batches, 0)
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -102,9 +102,9 @@
 		return results.NewReader(batches, watchers, peers, journal.Grants{ReadBytesPerSecond: 1}, self, logger)
 	}
 	chosen := newOwner(ctx, t, slow, "a/1")
-	chosen.SetLocator(locator("a/1", chosen.ledger))
+	chosen.locator = locator("a/1", chosen.ledger)
 	accepter := newAccepter(ctx, slow, "a/1")
-	accepter.SetLocator(locator("b/1", accepter.ledger))
+	accepter.locator = locator("b/1", accepter.ledger)
 	began := time.Now()
 	if err := accepter.Accept(ctx, &routedItem); err != nil {
 		t.Fatal(err)
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -17,7 +17,7 @@
 //
 // # Usage
 //
-//	r := runner.New(ctx, self, batches, forwarder, operator, demands, assigner, logger)
+//	r := runner.New(ctx, self, batches, forwarder, operator, demands, assigner, locator, logger)
 //	go r.Run(ctx)                             // starts items as replicas have room
 //	go assigner.Run(ctx, r.AdoptWhenSeen)     // batches accepted elsewhere
 //	go runner.NewWatcher(r, group).Run(ctx)   // batches whose owner is gone
@@ -83,9 +83,8 @@
 	operator  Operator
 	demands   *demand.Publisher
 	assigner  *Assigner
-	// locator is nil where nobody tells where batches begin.
-	locator Locator
-	observe Observer
+	locator   Locator
+	observe   Observer
 	// shared is nil where the settings name no address for peers: other owners are not
 	// heard.
 	shared *sharing
@@ -111,11 +110,12 @@
 // New returns a runner whose owner name is self. All its work ends with the
 // context.
 func New(ctx context.Context, self string, batches *ledger.Ledger, forwarder *forward.Forwarder, operator Operator,
-	demands *demand.Publisher, assigner *Assigner, logger *zap.Logger) *Runner {
+	demands *demand.Publisher, assigner *Assigner, locator Locator, logger *zap.Logger) *Runner {
 	return &Runner{
 		self: self, startedAt: time.Now(), ctx: ctx, logger: logger,
-		ledger: batches, table: forwarder.Table, forwarder: forwarder, operator: operator, demands: demands, assigner: assigner,
-		observe: func(string, time.Duration) {}, history: newHistory(), jobs: map[string]*job{}, wake: make(chan struct{}, 1),
+		ledger: batches, table: forwarder.Table, forwarder: forwarder, operator: operator, demands: demands,
+		assigner: assigner, locator: locator, observe: func(string, time.Duration) {},
+		history: newHistory(), jobs: map[string]*job{}, wake: make(chan struct{}, 1),
 	}
 }
 
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -75,7 +75,7 @@
 	jobs := ledger.New(ctx, log, zap.NewNop())
 	over, cancel := context.WithCancel(ctx)
 	cancel() // nothing that is taken over is run
-	return NewWatcher(&Runner{self: "b/1", ledger: jobs, logger: zap.NewNop(), ctx: over}, group), jobs.Of("x")
+	return NewWatcher(&Runner{self: "b/1", ledger: jobs, locator: holds{}, logger: zap.NewNop(), ctx: over}, group), jobs.Of("x")
 }
 
 func ownerOf(partition *ledger.Partition, batchID string) string {
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -37,7 +37,6 @@
 	n.buildBatches(drivers.Journal, forwarder)
 	n.occupancy = newOccupancy(n)
 	n.buildWeights(drivers)
-	n.buildResults(drivers.Journal.Grants())
 	n.buildHandler(drivers, forwarder)
 	n.buildDuties(drivers)
 	n.buildInterface(drivers)
@@ -88,12 +87,14 @@
 	}
 }
 
-// buildBatches makes what keeps, watches and runs batches.
+// buildBatches makes what keeps, reads, watches and runs batches.
 func (n *Node) buildBatches(log journal.Journal, forwarder *forward.Forwarder) {
 	n.ledger = ledger.New(n.context, log, n.logger)
 	n.member = group.New(log, n.identity, append(ledger.TopicNames(), runner.RunnersTopic), n.logger)
+	n.buildResults(log.Grants())
 	n.assigner = runner.NewAssigner(log, n.member, n.identity, n.logger)
-	n.runner = runner.New(n.context, n.identity, n.ledger, forwarder, n.operator, demand.NewPublisher(log, n.logger), n.assigner, n.logger)
+	n.runner = runner.New(n.context, n.identity, n.ledger, forwarder, n.operator, demand.NewPublisher(log, n.logger),
+		n.assigner, n.results, n.logger)
 	n.runner.SetObserver(n.metrics.BatchPart)
 	n.watcher = runner.NewWatcher(n.runner, n.member)
 }
@@ -117,7 +118,6 @@
 	}
 	n.results = results.NewReader(n.ledger, n.member, peers, grants, n.identity, n.logger)
 	n.results.SetObserver(n.metrics.Question)
-	n.runner.SetLocator(n.results)
 	if n.relay != nil {
 		n.relay.Register(results.ServiceName, n.results.Service(n.context))
 	}
