--- a/internal/callers/tenant/tenant.go
+++ b/internal/callers/tenant/tenant.go
@@ -88,11 +88,3 @@
 	}
 	return d.byName[name]
 }
-
-// Len returns the numbers of tenants and of their keys.
-func (d *Directory) Len() (tenants, keys int) {
-	if d == nil {
-		return 0, 0
-	}
-	return len(d.byName), len(d.byKey)
-}
--- a/internal/callers/tenant/tenant_test.go
+++ b/internal/callers/tenant/tenant_test.go
@@ -25,9 +25,8 @@
 	is.Equal(d.Named("a").Rank(2), 0) // its own goes first
 	is.Equal(d.Named("b").Rank(2), 2)
 	is.Equal(d.Named("nobody").Rank(2), 2)
-	tenants, keys := d.Len()
-	is.Equal(tenants, 3)
-	is.Equal(keys, 3)
+	is.Equal(len(d.byName), 3)
+	is.Equal(len(d.byKey), 3)
 }
 
 // A wrong declaration is refused with the field's name, and no error shows a key.
--- a/internal/daemon/cli/cli.go
+++ b/internal/daemon/cli/cli.go
@@ -51,7 +51,6 @@
 	explainID    string
 	logFiles     []string
 	stdout       io.Writer
-	stderr       io.Writer
 }
 
 // command is one leaf of the command tree.
@@ -77,7 +76,7 @@
 func Main(args []string, drivers Drivers, stdout, stderr io.Writer) int {
 	taken := signals.Take()
 	defer taken.Release()
-	o := &options{signals: taken, drivers: drivers, server: defaultServer, output: "text", key: os.Getenv(keyVariable), stdout: stdout, stderr: stderr}
+	o := &options{signals: taken, drivers: drivers, server: defaultServer, output: "text", key: os.Getenv(keyVariable), stdout: stdout}
 	parser := flaggy.NewParser("woodworks")
 	parser.Description = "a rollout service for reinforcement learning"
 	parser.Version = Version
--- a/internal/daemon/wallclock/wallclock.go
+++ b/internal/daemon/wallclock/wallclock.go
@@ -46,9 +46,11 @@
 // too, and what it gained meanwhile is no jump.
 func New(steady bootclock.Clock) *Clock {
 	began := steady()
-	return newClock(func() (time.Duration, time.Time) {
+	c := newClock(func() (time.Duration, time.Time) {
 		return steady().Sub(began), time.Now().Round(0)
-	}).on(steady)
+	})
+	c.steady = steady
+	return c
 }
 
 func newClock(read func() (time.Duration, time.Time)) *Clock {
@@ -56,12 +58,6 @@
 	return &Clock{read: read, offset: wall.Add(-steady), jumpedAt: -1}
 }
 
-// on sets the clock that never jumps.
-func (c *Clock) on(steady bootclock.Clock) *Clock {
-	c.steady = steady
-	return c
-}
-
 // Since returns how long ago a moment of the clock that never jumps was.
 func (c *Clock) Since(moment time.Time) time.Duration { return c.steady().Sub(moment) }
 
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -230,8 +230,6 @@
 		is.Equal(shareOf(), 0.0)
 		time.Sleep(slowdownHalfLife)
 		is.Equal(paceOf(), 2.0)
-		r, _ := table.Get("a")
-		is.Equal(r.SlowdownAge, slowdownHalfLife)
 		time.Sleep(slowdownLifetime)
 		is.Equal(paceOf(), 1.0)
 		is.True(shareOf() > 0.3)
--- a/internal/replicas/replica/slowdown.go
+++ b/internal/replicas/replica/slowdown.go
@@ -24,15 +24,15 @@
 	at       time.Time
 }
 
-// value returns the slowdown to reckon with, between what was reported and 1, and the age
-// of the report; 1 and 0 if there is none that counts.
-func (w slowdown) value(now time.Time) (ratio float64, age time.Duration) {
-	age = now.Sub(w.at)
+// value returns the slowdown to reckon with, between what was reported and 1; 1 if there is
+// none that counts.
+func (w slowdown) value(now time.Time) float64 {
+	age := now.Sub(w.at)
 	if w.reported <= 0 || age > slowdownLifetime {
-		return 1, 0
+		return 1
 	}
 	weight := math.Exp2(-float64(age) / float64(slowdownHalfLife))
-	return 1 + (w.reported-1)*weight, age
+	return 1 + (w.reported-1)*weight
 }
 
 // ReportSlowdown notes how long work takes at a replica at present, as its answer reports:
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -77,10 +77,8 @@
 	// EventAt is when the last of these events came, zero if there were none.
 	EventAt time.Time
 	// Slowdown is how much longer than usual work takes there at present, as a ratio, as the
-	// replica reported SlowdownAge ago. The older that is, the nearer it is to 1; it is 1 if
-	// nothing is known.
-	Slowdown    float64
-	SlowdownAge time.Duration
+	// replica reported. The older that is, the nearer it is to 1; it is 1 if nothing is known.
+	Slowdown float64
 }
 
 // listed is an entry with what was learned of its replica.
@@ -291,7 +289,7 @@
 	if now.Sub(e.reportedAt) <= loadLifetime {
 		r.ReportedLoad = e.reported
 	}
-	r.Slowdown, r.SlowdownAge = e.slowdown.value(now)
+	r.Slowdown = e.slowdown.value(now)
 	r.Versions = e.versions
 	return r
 }
