--- a/internal/daemon/golden/literals.go
+++ b/internal/daemon/golden/literals.go
@@ -1,11 +1,12 @@
 package golden
 
 import (
-	"go/scanner"
+	"go/ast"
+	"go/parser"
 	"go/token"
 	"io/fs"
-	"os"
 	"path/filepath"
+	"runtime"
 	"strconv"
 	"strings"
 	"testing"
@@ -40,40 +41,29 @@
 	}
 }
 
+// moduleRoot is three folders above this file's.
 func moduleRoot(t *testing.T) string {
 	t.Helper()
-	root, err := os.Getwd()
-	if err != nil {
-		t.Fatal(err)
-	}
-	for {
-		if _, err := os.Stat(filepath.Join(root, "go.mod")); err == nil {
-			return root
-		}
-		if root == filepath.Dir(root) {
-			t.Fatal("no module around the test")
-		}
-		root = filepath.Dir(root)
+	_, file, _, ok := runtime.Caller(0)
+	if !ok {
+		t.Fatal("where this file is can't be told")
 	}
+	return filepath.Join(filepath.Dir(file), "..", "..", "..")
 }
 
+// literalsOf adds the string literals of a file.
 func literalsOf(path string, found map[string]bool) error {
-	content, err := os.ReadFile(path)
+	parsed, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return err
 	}
-	var s scanner.Scanner
-	files := token.NewFileSet()
-	s.Init(files.AddFile(path, files.Base(), len(content)), content, nil, 0)
-	for {
-		_, kind, literal := s.Scan()
-		if kind == token.EOF {
-			return nil
-		}
-		if kind == token.STRING {
-			if text, err := strconv.Unquote(literal); err == nil {
+	ast.Inspect(parsed, func(n ast.Node) bool {
+		if literal, ok := n.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+			if text, err := strconv.Unquote(literal.Value); err == nil {
 				found[text] = true
 			}
 		}
-	}
+		return true
+	})
+	return nil
 }
--- a/internal/daemon/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -39,45 +39,38 @@
 
 // New returns a registry with the counters that the gateway feeds.
 func New() *Metrics {
-	m := &Metrics{
-		registry: prometheus.NewRegistry(),
-		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Namespace: namespace, Name: "requests_total",
-			Help: "Final answers by route, HTTP status and outcome.",
-		}, []string{"route", "status", "outcome"}),
-		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: namespace, Name: "request_seconds",
-			Help: "Time from a request's arrival to the end of its answer.", Buckets: latencyBuckets,
-		}, []string{"route"}),
-		samples: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Namespace: namespace, Name: "samples_delivered_total",
-			Help: "Samples handed to trainers, a repeated pull counted again.",
-		}, []string{"trainer"}),
-		journal: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: namespace, Name: "journal_call_seconds",
-			Help: "Time of calls to the journal by kind and outcome.", Buckets: latencyBuckets,
-		}, []string{"call", "outcome"}),
-		attempts: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: namespace, Name: "attempt_seconds",
-			Help: "Time of offers of requests and items to replicas by service and outcome.", Buckets: latencyBuckets,
-		}, []string{"service", "outcome"}),
-		batches: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: namespace, Name: "batch_part_seconds",
-			Help: "Where the time of the item went that each batch listed last, by part.", Buckets: latencyBuckets,
-		}, []string{"part"}),
-		waits: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: namespace, Name: "admission_wait_seconds",
-			Help: "Time that plain requests waited for a place at a full service, by service and how they went on.", Buckets: latencyBuckets,
-		}, []string{"service", "outcome"}),
-		questions: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: namespace, Name: "question_seconds",
-			Help: "Time of questions about batches beyond the time that they were held on purpose, by the way of the answer and by outcome.", Buckets: latencyBuckets,
-		}, []string{"way", "outcome"}),
-	}
-	m.registry.MustRegister(m.requests, m.latency, m.samples, m.journal, m.attempts, m.batches, m.waits, m.questions)
+	m := &Metrics{registry: prometheus.NewRegistry()}
+	m.requests = m.counts("requests_total", "Final answers by route, HTTP status and outcome.", "route", "status", "outcome")
+	m.latency = m.times("request_seconds", "Time from a request's arrival to the end of its answer.", "route")
+	m.samples = m.counts("samples_delivered_total", "Samples handed to trainers, a repeated pull counted again.", "trainer")
+	m.journal = m.times("journal_call_seconds", "Time of calls to the journal by kind and outcome.", "call", "outcome")
+	m.attempts = m.times("attempt_seconds",
+		"Time of offers of requests and items to replicas by service and outcome.", "service", "outcome")
+	m.batches = m.times("batch_part_seconds",
+		"Where the time of the item went that each batch listed last, by part.", "part")
+	m.waits = m.times("admission_wait_seconds",
+		"Time that plain requests waited for a place at a full service, by service and how they went on.", "service", "outcome")
+	m.questions = m.times("question_seconds",
+		"Time of questions about batches beyond the time that they were held on purpose, by the way of the answer and by outcome.",
+		"way", "outcome")
 	return m
 }
 
+// counts registers totals by labels.
+func (m *Metrics) counts(name, help string, labels ...string) *prometheus.CounterVec {
+	counter := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
+	m.registry.MustRegister(counter)
+	return counter
+}
+
+// times registers times in seconds by labels.
+func (m *Metrics) times(name, help string, labels ...string) *prometheus.HistogramVec {
+	opts := prometheus.HistogramOpts{Namespace: namespace, Name: name, Help: help, Buckets: latencyBuckets}
+	histogram := prometheus.NewHistogramVec(opts, labels)
+	m.registry.MustRegister(histogram)
+	return histogram
+}
+
 // Request counts a final answer.
 func (m *Metrics) Request(route, status, outcome string, took time.Duration) {
 	m.requests.WithLabelValues(route, status, outcome).Inc()
