--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -46,7 +46,7 @@
 // Reporter settles and reports the usage of windows while it may act.
 type Reporter struct {
 	journal journal.Journal
-	lease   lease.Held
+	lease   lease.Fencer
 	driver  duty.Driver
 	holder  string
 	windows duty.Windows
@@ -64,10 +64,10 @@
 }
 
 // NewReporter returns a reporter that acts in the name of holder.
-func NewReporter(log journal.Journal, held lease.Held, driver duty.Driver, holder string, windows duty.Windows, clock Clock,
+func NewReporter(log journal.Journal, l lease.Fencer, driver duty.Driver, holder string, windows duty.Windows, clock Clock,
 	logger *zap.Logger) *Reporter {
 	return &Reporter{
-		journal: log, lease: held, driver: driver, holder: holder, windows: windows, clock: clock, logger: logger,
+		journal: log, lease: l, driver: driver, holder: holder, windows: windows, clock: clock, logger: logger,
 		state: newState(),
 	}
 }
@@ -204,10 +204,9 @@
 // reportOne makes one call and reports whether the platform took it.
 func (r *Reporter) reportOne(ctx context.Context, window int64) bool {
 	requests := r.state.decided[window]
-	fence := int64(0)
-	err := lease.Act(ctx, r.lease, callTimeout, func(ctx context.Context, held int64) error {
-		fence = held
-		return r.driver.ReportUsage(ctx, duty.Authority{Holder: r.holder, Fence: held}, duty.Usage{Window: window, Requests: requests})
+	fence, err := lease.Act(ctx, r.lease, callTimeout, func(ctx context.Context, fence int64) error {
+		authority := duty.Authority{Holder: r.holder, Fence: fence}
+		return r.driver.ReportUsage(ctx, authority, duty.Usage{Window: window, Requests: requests})
 	})
 	if errors.Is(err, lease.ErrNotHeld) {
 		return false
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -95,22 +95,9 @@
 
 // readFully gives the handler the newest record of each key, and returns the offset after them.
 func (f *KeyedFollower) readFully(ctx context.Context) (int64, error) {
-	var records []KeyedRecord
-	var next int64
-	afterKey := ""
-	for first := true; ; first = false {
-		page, err := f.newestPage(ctx, afterKey)
-		if err != nil {
-			return 0, err
-		}
-		if first {
-			next = page.End
-		}
-		records = append(records, page.Records...)
-		if !page.More || len(page.Records) == 0 {
-			break
-		}
-		afterKey = page.Records[len(page.Records)-1].Key
+	records, next, err := ReadNewest(ctx, f.journal, f.partition, f.wait+f.slack)
+	if err != nil {
+		return 0, err
 	}
 	f.noteContact()
 	f.handler.Reset(records)
@@ -119,12 +106,6 @@
 	return next, nil
 }
 
-func (f *KeyedFollower) newestPage(ctx context.Context, afterKey string) (KeyedPage, error) {
-	bounded, cancel := context.WithTimeout(ctx, f.wait+f.slack)
-	defer cancel()
-	return f.journal.Newest(bounded, f.partition, afterKey)
-}
-
 // follow reads records from an offset on until they are trimmed.
 func (f *KeyedFollower) follow(ctx context.Context, next int64) {
 	for ctx.Err() == nil {
--- a/internal/journal/keyed.go
+++ b/internal/journal/keyed.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"context"
+	"time"
 
 	"github.com/pkg/errors"
 )
@@ -29,5 +31,28 @@
 	return KeyedRecord{Key: string(record[1:end]), Value: bytes.Clone(record[end:])}, nil
 }
 
+// ReadNewest returns the newest record of each key of a keyed partition, and the offset after the
+// records of its first page. Each page is waited for until the timeout.
+func ReadNewest(
+	ctx context.Context, log Journal, partition Partition, timeout time.Duration,
+) (records []KeyedRecord, next int64, err error) {
+	for afterKey, first := "", true; ; first = false {
+		bounded, cancel := context.WithTimeout(ctx, timeout)
+		page, err := log.Newest(bounded, partition, afterKey)
+		cancel()
+		if err != nil {
+			return nil, 0, err
+		}
+		if first {
+			next = page.End
+		}
+		records = append(records, page.Records...)
+		if !page.More || len(page.Records) == 0 {
+			return records, next, nil
+		}
+		afterKey = page.Records[len(page.Records)-1].Key
+	}
+}
+
 // KeyedTopic returns the full name of a topic whose records have keys.
 func KeyedTopic(name string) string { return keyedPrefix + name }
--- a/internal/membership/lease/act.go
+++ b/internal/membership/lease/act.go
@@ -14,20 +14,23 @@
 // half of it before the lease does, as it must have arrived by then.
 const actMargin = 250 * time.Millisecond
 
-// Held lets its holder act.
-type Held interface {
+// Fencer tells under which fence its daemon may act. A Lease is one.
+type Fencer interface {
 	// Fence returns the fence under which this daemon may act now, and for how long.
 	Fence() (fence int64, left time.Duration, may bool)
 }
 
 // Act makes one call in the name of a lease: it ends within the timeout, and well before
-// the lease does. It returns ErrNotHeld without a call if the lease does not allow one.
-func Act(ctx context.Context, held Held, timeout time.Duration, call func(ctx context.Context, fence int64) error) error {
-	fence, left, may := held.Fence()
+// the lease does. It returns the fence of the call, or ErrNotHeld without a call if the lease
+// does not allow one.
+func Act(
+	ctx context.Context, l Fencer, timeout time.Duration, call func(ctx context.Context, fence int64) error,
+) (fence int64, err error) {
+	fence, left, may := l.Fence()
 	if !may || left < actMargin {
-		return ErrNotHeld
+		return 0, ErrNotHeld
 	}
 	bounded, cancel := context.WithTimeout(ctx, min(timeout, left-actMargin/2))
 	defer cancel()
-	return call(bounded, fence)
+	return fence, call(bounded, fence)
 }
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -16,7 +16,7 @@
 //	l := lease.New(log, partition, identity.New(machine, time.Now()), machine, quiet, logger)
 //	go l.Run(ctx)
 //	l.SetCandidate(true)
-//	err := lease.Act(ctx, l, timeout, func(ctx context.Context, fence int64) error { ... })
+//	fence, err := lease.Act(ctx, l, timeout, func(ctx context.Context, fence int64) error { ... })
 package lease
 
 import (
--- /dev/null
+++ b/internal/replicas/fleet/listed.go
@@ -0,0 +1,61 @@
+package fleet
+
+import (
+	"time"
+
+	"woodworks/internal/requests/route"
+)
+
+const (
+	// maxListAge is how old the list of replicas may be for an order: an outage of the
+	// journal lets entries lapse although their replicas live.
+	maxListAge = 1500 * time.Millisecond
+	// settledAfter is how long the list must have been followed without a gap: entries
+	// that lapsed in an outage are back within two seconds of its end.
+	settledAfter = 3 * time.Second
+	// seenSpan is how long a larger number of replicas is remembered: those that are
+	// missing from the list for less may live.
+	seenSpan = 15 * time.Second
+)
+
+// List tells how far the list of replicas can be relied upon.
+type List interface{ Silence() time.Duration }
+
+// seenCount is the largest number of replicas that was listed within seenSpan.
+type seenCount struct {
+	count int
+	at    time.Time
+}
+
+// settled reports whether the list of replicas has been followed for a while.
+func (m *Manager) settled(now time.Time) bool {
+	if m.List.Silence() > maxListAge {
+		m.unsettledAt = now
+	}
+	return now.Sub(m.unsettledAt) >= settledAfter
+}
+
+// presentOf counts the replicas listed of the services whose replicas may be ordered, and
+// notes the largest numbers of late.
+func (m *Manager) presentOf(configuration *route.Configuration, now time.Time) map[serviceZone]int {
+	present := map[serviceZone]int{}
+	for _, service := range configuration.Services {
+		if service.Scaling == nil {
+			continue
+		}
+		for zone := range service.Scaling.ZonePrices {
+			present[serviceZone{service.Name, zone}] = 0
+		}
+		for _, rep := range m.Table.Replicas(service.Name) {
+			if !rep.Spot {
+				present[serviceZone{service.Name, rep.Zone}]++
+			}
+		}
+	}
+	for key, count := range present {
+		if last := m.seen[key]; count >= last.count || now.Sub(last.at) > seenSpan {
+			m.seen[key] = seenCount{count, now}
+		}
+	}
+	return present
+}
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -409,7 +409,7 @@
 
 // order sends the order if the lease lets this daemon act until it has arrived.
 func (s *Syncer) order(ctx context.Context, c change, report engine.Report) error {
-	return lease.Act(ctx, s.lease, callTimeout, func(ctx context.Context, fence int64) error {
+	_, err := lease.Act(ctx, s.lease, callTimeout, func(ctx context.Context, fence int64) error {
 		s.mu.Lock()
 		s.orders++
 		s.mu.Unlock()
@@ -419,4 +419,5 @@
 			Model: c.model, Version: c.version, Manner: c.manner, Holder: s.holder, Fence: fence, AfterOrders: report.Orders,
 		})
 	})
+	return err
 }
