--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -32,10 +32,11 @@
 //	}
 package scheduling
 
-import "time"
+import (
+	"time"
 
-// defaultSlots is assumed where an engine names no slots.
-const defaultSlots = 8
+	"woodworks/internal/replicas/replica"
+)
 
 // Engine is one replica that runs items, as it is believed to be.
 type Engine struct {
@@ -64,7 +65,7 @@
 // Capacity is how many requests the engine runs at a time.
 func (e *Engine) Capacity() int {
 	if e.Slots <= 0 {
-		return defaultSlots
+		return replica.DefaultSlots
 	}
 	return e.Slots
 }
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -106,8 +106,10 @@
 	n.demands = demand.NewState(n.logger)
 	n.demandFollower = journal.NewKeyedFollower(log, demand.Partition, n.demands, n.settings.Timing.ContactBound.Std(), n.logger)
 	n.lease = lease.New(log, journal.Partition{Topic: dutyTopic}, n.identity, n.settings.Name, n.settings.Timing.LeaseQuiet.Std(), n.logger)
-	n.syncer = modelsync.New(n.settings.Name, n.lease, drivers.Engines, n.table, n.operator.Configuration, n.operator.Named, n.demands, n.logger)
-	n.syncer.SetEventTime(n.occupancy.eventTimeOf)
+	n.syncer = modelsync.New(modelsync.Parts{
+		Holder: n.settings.Name, Lease: n.lease, Driver: drivers.Engines, Table: n.table, Configuration: n.operator.Configuration,
+		Named: n.operator.Named, Demands: n.demands, EventTime: n.occupancy.eventTimeOf,
+	}, n.logger)
 }
 
 // buildResults makes the reader of batches, which answers peers as well.
--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -163,8 +163,10 @@
 	for total(counts) < need {
 		best := -1
 		better := func(i, j int) bool {
+			if (counts[i] < most) != (counts[j] < most) {
+				return counts[i] < most
+			}
 			return cmp.Or(
-				compareBool(counts[i] < most, counts[j] < most),
 				cmp.Compare(in.Scaling.Price(in.Zones[j].Name), in.Scaling.Price(in.Zones[i].Name)),
 				cmp.Compare(counts[j], counts[i]),
 			) > 0
@@ -199,17 +201,6 @@
 	}
 }
 
-func compareBool(a, b bool) int {
-	switch {
-	case a == b:
-		return 0
-	case a:
-		return 1
-	default:
-		return -1
-	}
-}
-
 func total(counts []int) int {
 	sum := 0
 	for _, count := range counts {
--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -21,14 +21,12 @@
 	headroom = 4
 	// minEngines are kept for a model in any case, as some may fail.
 	minEngines = 3
-	// defaultSlots is assumed where an engine names no slots.
-	defaultSlots = 8
 )
 
 // enough returns how many engines a model needs for batches of so many items.
 func enough(items, slots int) int {
 	if slots <= 0 {
-		slots = defaultSlots
+		slots = replica.DefaultSlots
 	}
 	return max((headroom*items+slots-1)/slots, minEngines)
 }
@@ -38,7 +36,7 @@
 	limited := make([]int, len(allotment))
 	for i, model := range models {
 		limited[i] = allotment[i]
-		if d, _ := s.demands.Of(model.Name); d.Items > 0 {
+		if d, _ := s.Demands.Of(model.Name); d.Items > 0 {
 			limited[i] = min(allotment[i], enough(d.Items, slots))
 		}
 	}
@@ -50,7 +48,7 @@
 func (s *Syncer) allotmentOf(service string, models []route.Model, replicas int) []int {
 	work := make([]float64, len(models))
 	for i, model := range models {
-		d, _ := s.demands.Of(model.Name)
+		d, _ := s.Demands.Of(model.Name)
 		work[i] = float64(d.Work)
 	}
 	s.mu.Lock()
--- a/internal/replicas/modelsync/kinds.go
+++ b/internal/replicas/modelsync/kinds.go
@@ -25,14 +25,10 @@
 // measured, or 0 if it is not known.
 type EventTime func(rep replica.Replica) (eventTime, age time.Duration)
 
-// SetEventTime sets where the event times of engines come from. It is called before Run;
-// without it engines count as equally fast.
-func (s *Syncer) SetEventTime(eventTime EventTime) { s.eventTime = eventTime }
-
 // noteEventTimes keeps the best event times of the engines that are listed. The mutex is held.
 func (s *Syncer) noteEventTimes(replicas []replica.Replica, now time.Time) {
 	for _, rep := range replicas {
-		if eventTime, age := s.eventTime(rep); eventTime > 0 && age <= maxEventTimeAge {
+		if eventTime, age := s.EventTime(rep); eventTime > 0 && age <= maxEventTimeAge {
 			s.noteOf(rep.ID).best.Note(eventTime, bestSpan, now)
 		}
 	}
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -34,6 +34,9 @@
 	"woodworks/internal/daemon/bootclock"
 )
 
+// DefaultSlots is assumed where an engine names no slots.
+const DefaultSlots = 8
+
 // Entry is one replica as the platform lists it.
 type Entry struct {
 	ID      string
