--- a/internal/api/standalone/connect.go
+++ b/internal/api/standalone/connect.go
@@ -13,6 +13,7 @@
 	"woodworks/internal/api/permit"
 	"woodworks/internal/api/policy"
 	"woodworks/internal/api/rollout"
+	"woodworks/internal/daemon/metrics"
 	"woodworks/internal/daemon/node"
 	"woodworks/internal/daemon/settings"
 	"woodworks/internal/journal/logservice"
@@ -41,7 +42,7 @@
 	names := HeaderNames()
 	parts.Ingress.Retries = &retries{decoder: decoder, configuration: parts.Operator.Configuration}
 	newID := idsOf(parts.Identity)
-	parts.Metrics.Counter("policy_hook_faults_total", "Hooks of the policies in force that failed and fell back.", func() float64 {
+	metrics.Counter(parts.Metrics, "policy_hook_faults_total", "Hooks of the policies in force that failed and fell back.", func() float64 {
 		return hookFaults(decoder, parts.Operator.Configuration())
 	})
 	gw := gateway.New(gateway.Parts{
--- a/internal/daemon/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -7,7 +7,7 @@
 //
 //	registry := metrics.New()
 //	registry.Request("lookups", "200", "answered", 12*time.Millisecond)
-//	registry.Gauge("batches_owned", "Batches that this daemon runs.", read)
+//	metrics.Gauge(registry, "batches_owned", "Batches that this daemon runs.", read)
 //	http.Handle("/metrics", registry.Handler())
 package metrics
 
@@ -111,14 +111,19 @@
 	m.samples.WithLabelValues(trainer).Add(float64(samples))
 }
 
+// Number is what a metric may be read as.
+type Number interface{ int | int64 | uint64 | float64 }
+
 // Gauge registers a value that is read when the metrics are.
-func (m *Metrics) Gauge(name, help string, read func() float64) {
-	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
+func Gauge[N Number](m *Metrics, name, help string, read func() N) {
+	opts := prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}
+	m.registry.MustRegister(prometheus.NewGaugeFunc(opts, func() float64 { return float64(read()) }))
 }
 
 // Counter registers a total that is read when the metrics are.
-func (m *Metrics) Counter(name, help string, read func() float64) {
-	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, read))
+func Counter[N Number](m *Metrics, name, help string, read func() N) {
+	opts := prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}
+	m.registry.MustRegister(prometheus.NewCounterFunc(opts, func() float64 { return float64(read()) }))
 }
 
 // Handler answers with all metrics.
--- a/internal/daemon/node/admission.go
+++ b/internal/daemon/node/admission.go
@@ -14,8 +14,11 @@
 	})
 }
 
-func registerAdmissionMetrics(registry *metrics.Metrics, controller *admission.Controller) {
-	registry.Gauge("admission_waiting", "Plain requests that wait for a place at a full service.", func() float64 { return float64(controller.Count().Waiting) })
-	registry.Gauge("admission_full_services", "Services that this daemon has seen to be full.", func() float64 { return float64(controller.Count().Full) })
-	registry.Gauge("admission_places", "This daemon's part of the places of the services that are full.", func() float64 { return controller.Count().Places })
+func registerAdmissionMetrics(m *metrics.Metrics, controller *admission.Controller) {
+	metrics.Gauge(m, "admission_waiting", "Plain requests that wait for a place at a full service.",
+		func() int { return controller.Count().Waiting })
+	metrics.Gauge(m, "admission_full_services", "Services that this daemon has seen to be full.",
+		func() int { return controller.Count().Full })
+	metrics.Gauge(m, "admission_places", "This daemon's part of the places of the services that are full.",
+		func() float64 { return controller.Count().Places })
 }
--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -26,10 +26,13 @@
 }
 
 // registerConnectionMetrics tells of connections to replicas.
-func (n *Node) registerConnectionMetrics(registry *metrics.Metrics) {
-	registry.Counter("replica_connections_total", "Connections made to replicas.", func() float64 { return float64(n.pool.Dials()) })
-	registry.Counter("replica_connections_lacking_total", "Requests that found as many connections to a replica in use as this daemon may have, and none free in time.", func() float64 { return float64(n.pool.Full()) })
-	registry.Gauge("replica_connections_used_ratio", "Connections to a replica against this daemon's part of what it takes, at the replica where that is highest.", n.connectionsUsed)
+func (n *Node) registerConnectionMetrics() {
+	metrics.Counter(n.metrics, "replica_connections_total", "Connections made to replicas.", n.pool.Dials)
+	metrics.Counter(n.metrics, "replica_connections_lacking_total",
+		"Requests that found as many connections to a replica in use as this daemon may have, and none free in time.", n.pool.Full)
+	metrics.Gauge(n.metrics, "replica_connections_used_ratio",
+		"Connections to a replica against this daemon's part of what it takes, at the replica where that is highest.",
+		n.connectionsUsed)
 }
 
 // connectionsUsed is the highest part of the connections allowed to one replica that there is.
--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -6,6 +6,7 @@
 
 	"woodworks/internal/callers/usage"
 	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/metrics"
 	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/daemon/wallclock"
 	"woodworks/internal/journal"
@@ -57,12 +58,14 @@
 // registerDutyMetrics tells what this daemon did while it held the lease for duties.
 func (n *Node) registerDutyMetrics() {
 	if n.reporter != nil {
-		n.metrics.Counter("usage_reports_total", "Reports of usage that the platform took from this daemon.", func() float64 { return float64(n.reporter.Reported()) })
-		n.metrics.Counter("usage_reports_failed_total", "Calls to report usage that failed.", func() float64 { return float64(n.reporter.Failed()) })
+		metrics.Counter(n.metrics, "usage_reports_total",
+			"Reports of usage that the platform took from this daemon.", n.reporter.Reported)
+		metrics.Counter(n.metrics, "usage_reports_failed_total", "Calls to report usage that failed.", n.reporter.Failed)
 	}
 	if n.fleet != nil {
-		n.metrics.Counter("fleet_orders_total", "Orders for replicas that the platform took from this daemon.", func() float64 { return float64(n.fleet.Orders()) })
-		n.metrics.Counter("fleet_orders_failed_total", "Orders for replicas that failed.", func() float64 { return float64(n.fleet.Failed()) })
+		metrics.Counter(n.metrics, "fleet_orders_total",
+			"Orders for replicas that the platform took from this daemon.", n.fleet.Orders)
+		metrics.Counter(n.metrics, "fleet_orders_failed_total", "Orders for replicas that failed.", n.fleet.Failed)
 	}
 }
 
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -8,6 +8,7 @@
 	"woodworks/internal/batches/occupancy"
 	"woodworks/internal/batches/runner"
 	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/daemon/metrics"
 	"woodworks/internal/replicas/replica"
 )
 
@@ -73,11 +74,20 @@
 	if o == nil {
 		return
 	}
-	n.metrics.Gauge("requests_elsewhere", "Requests of other owners believed to be under way at replicas.", func() float64 { return float64(o.table.Counts().Elsewhere) })
-	n.metrics.Counter("occupancy_reports_received_total", "Reports of other owners' requests taken in.", func() float64 { return float64(o.table.Counts().Received) })
-	n.metrics.Counter("occupancy_reports_refused_total", "Reports of other owners' requests that were late, old or too many.", func() float64 { return float64(o.table.Counts().Refused) })
-	n.metrics.Counter("occupancy_reports_expired_total", "Reports of other owners' requests that were not followed by another in time.", func() float64 { return float64(o.table.Counts().Expired) })
-	n.metrics.Counter("occupancy_reports_sent_total", "Reports of own requests sent to other daemons.", func() float64 { return float64(o.publisher.Totals().Sent) })
-	n.metrics.Counter("occupancy_reports_failed_total", "Reports of own requests that were not answered.", func() float64 { return float64(o.publisher.Totals().Failed) })
-	n.metrics.Counter("occupancy_bytes_sent_total", "Bytes of reports of own requests, with their headers.", func() float64 { return float64(o.publisher.Totals().Bytes) })
+	metrics.Gauge(n.metrics, "requests_elsewhere", "Requests of other owners believed to be under way at replicas.",
+		func() int { return o.table.Counts().Elsewhere })
+	metrics.Counter(n.metrics, "occupancy_reports_received_total", "Reports of other owners' requests taken in.",
+		func() uint64 { return o.table.Counts().Received })
+	metrics.Counter(n.metrics, "occupancy_reports_refused_total",
+		"Reports of other owners' requests that were late, old or too many.",
+		func() uint64 { return o.table.Counts().Refused })
+	metrics.Counter(n.metrics, "occupancy_reports_expired_total",
+		"Reports of other owners' requests that were not followed by another in time.",
+		func() uint64 { return o.table.Counts().Expired })
+	metrics.Counter(n.metrics, "occupancy_reports_sent_total", "Reports of own requests sent to other daemons.",
+		func() uint64 { return o.publisher.Totals().Sent })
+	metrics.Counter(n.metrics, "occupancy_reports_failed_total", "Reports of own requests that were not answered.",
+		func() uint64 { return o.publisher.Totals().Failed })
+	metrics.Counter(n.metrics, "occupancy_bytes_sent_total", "Bytes of reports of own requests, with their headers.",
+		func() uint64 { return o.publisher.Totals().Bytes })
 }
--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -43,17 +43,12 @@
 	q.follower.Run(ctx)
 }
 
-func (q *quarantineParts) registerMetrics(registry *metrics.Metrics) {
-	registry.Gauge("contents_suspected", "Contents of requests under which replicas have ended without an answer since.", func() float64 {
-		suspected, _, _ := q.table.Count()
-		return float64(suspected)
-	})
-	registry.Gauge("contents_refused", "Contents of requests that are refused as replicas ended under them.", func() float64 {
-		_, refused, _ := q.table.Count()
-		return float64(refused)
-	})
-	registry.Counter("requests_quarantined_total", "Tries that were refused for their content's sake.", func() float64 {
-		_, _, turnedAway := q.table.Count()
-		return float64(turnedAway)
-	})
+func (q *quarantineParts) registerMetrics(m *metrics.Metrics) {
+	metrics.Gauge(m, "contents_suspected",
+		"Contents of requests under which replicas have ended without an answer since.",
+		func() int { suspected, _, _ := q.table.Count(); return suspected })
+	metrics.Gauge(m, "contents_refused", "Contents of requests that are refused as replicas ended under them.",
+		func() int { _, refused, _ := q.table.Count(); return refused })
+	metrics.Counter(m, "requests_quarantined_total", "Tries that were refused for their content's sake.",
+		func() uint64 { _, _, turnedAway := q.table.Count(); return turnedAway })
 }
