--- a/internal/journal/journaltest/usage.go
+++ b/internal/journal/journaltest/usage.go
@@ -12,8 +12,6 @@
 	Reads, Throttled int
 	// ReadBytes counts the bytes of the records read.
 	ReadBytes int
-	// MostInSecond is the largest number of reads in one second.
-	MostInSecond int
 }
 
 // Usage returns what was used since the journal was made or ResetUsage was called.
@@ -39,7 +37,6 @@
 	}
 	j.inSecond++
 	j.usage.Reads++
-	j.usage.MostInSecond = max(j.usage.MostInSecond, j.inSecond)
 	if granted := j.Granted.ReadsPerSecond; granted > 0 && float64(j.inSecond) > granted {
 		j.usage.Throttled++
 		return &journal.ThrottledError{Reason: "too many reads"}
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -26,7 +26,8 @@
 	backTime = time.Second
 )
 
-// Revived is a journal that gives up calls which an outage has swallowed.
+// Revived is a journal that gives up calls which an outage has swallowed, and tells an observer of
+// all calls.
 //
 // A call whose answer is lost tells nothing until its timeout, and timeouts must
 // be long enough for a slow journal. But when a call that began later has been
@@ -45,6 +46,7 @@
 	// answers sums the answers after which calls were given up: in an outage that takes
 	// part of all calls each of them is one.
 	answers *logging.Episodes
+	observe Observer
 
 	mu      sync.Mutex
 	pending map[*pendingCall]struct{}
@@ -56,6 +58,8 @@
 
 // pendingCall is a call that has no answer yet.
 type pendingCall struct {
+	// kind is told to the observer; calls without one are not told.
+	kind string
 	// partition is the one called, or zero for calls of a group.
 	partition Partition
 	began     time.Time
@@ -72,11 +76,15 @@
 	return &Revived{
 		Journal:    log,
 		answers:    logging.NewEpisodes(logger, "journal answers again", "", "topics"),
+		observe:    func(string, string, time.Duration) {},
 		pending:    map[*pendingCall]struct{}{},
 		answeredAt: time.Now(),
 	}
 }
 
+// SetObserver sets who is told of calls. It is called before any call.
+func (r *Revived) SetObserver(observe Observer) { r.observe = observe }
+
 // GivenUp returns how many calls were given up.
 func (r *Revived) GivenUp() uint64 {
 	r.mu.Lock()
@@ -97,6 +105,9 @@
 // now are given up.
 func (r *Revived) end(call *pendingCall, err error) {
 	defer call.cancel()
+	if call.kind != "" {
+		r.observe(call.kind, outcomeOf(err), time.Since(call.began))
+	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.pending, call)
@@ -141,7 +152,7 @@
 	return 0, false
 }
 
-// lost reports whether a call must be lost when a later one has been answered.
+// isLost reports whether a call must be lost when a later one has been answered.
 func (r *Revived) isLost(older, answered *pendingCall, now time.Time) bool {
 	patience, ok := r.patience(older, answered, now)
 	overdue := now.Sub(older.began) - older.wait
@@ -150,28 +161,32 @@
 
 // Append implements Journal.
 func (r *Revived) Append(ctx context.Context, request Append) (appended Appended, err error) {
-	bounded, call := r.begin(ctx, pendingCall{partition: request.Partition})
+	bounded, call := r.begin(ctx, pendingCall{kind: "append", partition: request.Partition})
 	defer func() { r.end(call, err) }()
 	return r.Journal.Append(bounded, request)
 }
 
 // Read implements Journal.
 func (r *Revived) Read(ctx context.Context, request Read) (read Records, err error) {
-	bounded, call := r.begin(ctx, pendingCall{partition: request.Partition, read: true, bulk: request.Wait == 0, wait: request.Wait})
+	pending := pendingCall{kind: "read", partition: request.Partition, read: true, bulk: request.Wait == 0, wait: request.Wait}
+	if request.Wait > 0 {
+		pending.kind = "held read" // a kind of its own, as its time says nothing of the journal
+	}
+	bounded, call := r.begin(ctx, pending)
 	defer func() { r.end(call, err) }()
 	return r.Journal.Read(bounded, request)
 }
 
 // Newest implements Journal.
 func (r *Revived) Newest(ctx context.Context, partition Partition, afterKey string) (page KeyedPage, err error) {
-	bounded, call := r.begin(ctx, pendingCall{partition: partition, read: true, newest: true})
+	bounded, call := r.begin(ctx, pendingCall{kind: "newest", partition: partition, read: true, newest: true})
 	defer func() { r.end(call, err) }()
 	return r.Journal.Newest(bounded, partition, afterKey)
 }
 
 // Join implements Journal.
 func (r *Revived) Join(ctx context.Context, request Join) (assignment Assignment, err error) {
-	bounded, call := r.begin(ctx, pendingCall{})
+	bounded, call := r.begin(ctx, pendingCall{kind: "join"})
 	defer func() { r.end(call, err) }()
 	return r.Journal.Join(bounded, request)
 }
