--- a/internal/daemon/explain/conclusion.go
+++ b/internal/daemon/explain/conclusion.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"sort"
 	"strconv"
 	"strings"
@@ -14,21 +15,14 @@
 	for _, l := range ofDaemon {
 		sentences = append(sentences, l.summary())
 	}
-	if outcome := outcomeOf(story, own); outcome != "" {
-		sentences = append(sentences, outcome)
-	}
+	sentences = append(sentences, outcomeOf(story, own))
 	for _, l := range ofRequest {
 		sentences = append(sentences, l.befell(id))
 	}
-	if turn := admissionOf(story, own, id); turn != "" {
-		sentences = append(sentences, turn)
-	}
-	if window := windowOf(story, own, id); window != nil {
-		sentences = append(sentences, window...)
-	}
-	if order := orderOf(story, own, id); order != "" {
-		sentences = append(sentences, order)
-	}
+	sentences = append(sentences, admissionOf(story, own, id))
+	sentences = append(sentences, windowOf(story, own, id)...)
+	sentences = append(sentences, orderOf(story, own, id))
+	sentences = slices.DeleteFunc(sentences, func(sentence string) bool { return sentence == "" })
 	if len(sentences) == 0 {
 		sentences = append(sentences, "no outcome is in these logs")
 	}
@@ -38,19 +32,29 @@
 	return sentences
 }
 
+// lastOf is the last line of a story that names its id and that is of a kind, nil if none is.
+func lastOf(story []*line, own map[*line]bool, is func(l *line) bool) *line {
+	for _, l := range slices.Backward(story) {
+		if own[l] && is(l) {
+			return l
+		}
+	}
+	return nil
+}
+
 // outcomeOf is the last decision that ended the id's way, "" if none is there.
 func outcomeOf(story []*line, own map[*line]bool) string {
-	for i := len(story) - 1; i >= 0; i-- {
-		l := story[i]
-		outcome := l.get("outcome")
-		if !own[l] || outcome == "" {
-			continue
-		}
-		text := fmt.Sprintf("%s on %s: %s", l.event, l.node, outcome)
-		if reason := l.get("reason"); reason != "" {
-			text += ", because: " + reason
-		}
-		return text
+	l := lastOf(story, own, func(l *line) bool { return l.get("outcome") != "" })
+	if l == nil {
+		return ""
+	}
+	return fmt.Sprintf("%s on %s: %s%s", l.event, l.node, l.get("outcome"), because(l))
+}
+
+// because is the reason that a line gives, "" if it gives none.
+func because(l *line) string {
+	if reason := l.get("reason"); reason != "" {
+		return ", because: " + reason
 	}
 	return ""
 }
@@ -87,36 +91,29 @@
 // admissionOf is why a request waited for its turn at a full service, or got none, "" if it
 // did neither.
 func admissionOf(story []*line, own map[*line]bool, request string) string {
-	for i := len(story) - 1; i >= 0; i-- {
-		l := story[i]
-		if !own[l] || l.event != "admission" || l.get("request") != request {
-			continue
-		}
-		text := fmt.Sprintf("service %s was full for %s: %s after %s s of waiting", l.get("service"), l.node, l.get("outcome"), l.get("waited"))
-		if reason := l.get("reason"); reason != "" {
-			text += ", because: " + reason
-		}
-		return text + fmt.Sprintf(" (%s others waited, %s places were this daemon's part, the queue would have drained in %s s, an answer needed %s s of the %s s left; last seen to be full %s s before)",
-			l.get("queue"), l.get("places"), l.get("drain"), l.get("need"), l.get("left"), l.get("full_age"))
-	}
-	return ""
+	l := lastOf(story, own, func(l *line) bool { return l.event == "admission" && l.get("request") == request })
+	if l == nil {
+		return ""
+	}
+	return fmt.Sprintf("service %s was full for %s: %s after %s s of waiting%s (%s others waited, "+
+		"%s places were this daemon's part, the queue would have drained in %s s, an answer needed %s s of the %s s left; "+
+		"last seen to be full %s s before)", l.get("service"), l.node, l.get("outcome"), l.get("waited"), because(l),
+		l.get("queue"), l.get("places"), l.get("drain"), l.get("need"), l.get("left"), l.get("full_age"))
 }
 
 // orderOf is the last order for replicas of a service with its reason, "" if there is none.
 func orderOf(story []*line, own map[*line]bool, service string) string {
-	for i := len(story) - 1; i >= 0; i-- {
-		l := story[i]
-		if !own[l] || l.event != "replicas ordered" || l.get("service") != service {
-			continue
-		}
-		text := fmt.Sprintf("ordered %s in zone %s by %s, because: need=%s, zones (listed/ordered before)=%s, loads (items x time a slot/deadline)=%s",
-			l.get("desired"), l.get("zone"), l.node, l.get("need"), l.get("zones"), l.get("loads"))
-		if failed := l.get("error"); failed != "" {
-			text += "; the order failed: " + failed
-		}
-		return text
+	l := lastOf(story, own, func(l *line) bool { return l.event == "replicas ordered" && l.get("service") == service })
+	if l == nil {
+		return ""
 	}
-	return ""
+	text := fmt.Sprintf("ordered %s in zone %s by %s, because: need=%s, zones (listed/ordered before)=%s, "+
+		"loads (items x time a slot/deadline)=%s",
+		l.get("desired"), l.get("zone"), l.node, l.get("need"), l.get("zones"), l.get("loads"))
+	if failed := l.get("error"); failed != "" {
+		text += "; the order failed: " + failed
+	}
+	return text
 }
 
 // windowOf compares a window's figures with the counts in the logs, nil if the window was
@@ -161,9 +158,11 @@
 	for tenant, difference := range byTenant {
 		switch {
 		case difference > 0:
-			sentences = append(sentences, fmt.Sprintf("%d requests of %s were counted and are not in the figures: they came after the decision", difference, tenant))
+			sentences = append(sentences, fmt.Sprintf(
+				"%d requests of %s were counted and are not in the figures: they came after the decision", difference, tenant))
 		case difference < 0:
-			sentences = append(sentences, fmt.Sprintf("%d requests of %s are in the figures and not counted in these logs: a daemon's log is missing, or it was killed before it told", -difference, tenant))
+			sentences = append(sentences, fmt.Sprintf("%d requests of %s are in the figures and not counted in these logs: "+
+				"a daemon's log is missing, or it was killed before it told", -difference, tenant))
 		}
 	}
 	sort.Strings(sentences)
--- a/internal/daemon/explain/explain.go
+++ b/internal/daemon/explain/explain.go
@@ -38,11 +38,14 @@
 // batchEvents, replicaEvents and contentEvents are the lines that explain an item or a
 // request although they do not name it.
 var (
-	batchEvents = map[string]bool{"batch owned": true, "batch left": true, "batch account": true, "batch released": true, "batch taken over": true, "batch not taken over": true, "results not listed yet": true, "results listed": true,
+	batchEvents = map[string]bool{"batch owned": true, "batch left": true, "batch account": true, "batch released": true,
+		"batch taken over": true, "batch not taken over": true, "results not listed yet": true, "results listed": true,
 		"items given back": true, "batch released unstarted": true, "release not recorded": true,
 		"heartbeat not recorded": true, "heartbeats recorded again": true, "silence of the owner not confirmed": true}
-	replicaEvents = map[string]bool{"replica listed": true, "replica state changed": true, "replica started again": true, "replica's entry refused": true, "replica gone from the list": true, "replica failed": true, "order": true, "weights": true}
-	contentEvents = map[string]bool{"replica ended under a content": true, "content learned of": true, "content cleared": true, "suspect runs alone": true}
+	replicaEvents = map[string]bool{"replica listed": true, "replica state changed": true, "replica started again": true,
+		"replica's entry refused": true, "replica gone from the list": true, "replica failed": true, "order": true, "weights": true}
+	contentEvents = map[string]bool{"replica ended under a content": true, "content learned of": true,
+		"content cleared": true, "suspect runs alone": true}
 	// contextEvents are told of each node that a line of the story comes from.
 	contextEvents = map[string]bool{"started": true, "stopping": true, "stopped": true, "dependency lost": true, "dependency regained": true,
 		"configuration in force": true, "lease claimed": true, "lease lost": true, "log lines dropped": true, "log lines left out": true}
--- a/internal/daemon/explain/stop.go
+++ b/internal/daemon/explain/stop.go
@@ -23,8 +23,8 @@
 // stopSteps are the lines of a planned stop as a whole, stopWork those of what it left to
 // others or cut off.
 var (
-	stopSteps = map[string]bool{eventSignal: true, eventStopping: true, "group left": true, "listener closed": true, "requests interrupted by the stop": true,
-		"lease resigned": true, eventStopped: true}
+	stopSteps = map[string]bool{eventSignal: true, eventStopping: true, "group left": true, "listener closed": true,
+		"requests interrupted by the stop": true, "lease resigned": true, eventStopped: true}
 	stopWork = map[string]bool{eventTurnedAway: true, "batch released": true, "batch released unstarted": true, "items given back": true}
 	// stopCuts are the outcomes of requests that were under way at the interruption.
 	stopCuts = map[string]bool{"refused": true, "broken off": true, "interrupted": true}
@@ -125,8 +125,9 @@
 			cuts++
 		}
 	}
-	text := fmt.Sprintf("planned stop at %s: requests turned away %d, batches released %d, let go unbegun %d, items given back %d times, requests interrupted %d",
-		s.lines[0].time, counts[eventTurnedAway], counts["batch released"], counts["batch released unstarted"], counts["items given back"], cuts)
+	text := fmt.Sprintf("planned stop at %s: requests turned away %d, batches released %d, let go unbegun %d, "+
+		"items given back %d times, requests interrupted %d", s.lines[0].time, counts[eventTurnedAway],
+		counts["batch released"], counts["batch released unstarted"], counts["items given back"], cuts)
 	if !s.ended {
 		return text + "; its end is not in these logs"
 	}
@@ -139,7 +140,8 @@
 		switch {
 		case l.get("request") != request:
 		case l.event == eventTurnedAway:
-			return fmt.Sprintf("turned away by the planned stop of %s, as it might have needed %s s and %s s were left", s.node, l.get("needed"), l.get("left"))
+			return fmt.Sprintf("turned away by the planned stop of %s, as it might have needed %s s and %s s were left",
+				s.node, l.get("needed"), l.get("left"))
 		case s.cut(l):
 			return fmt.Sprintf("interrupted by the planned stop of %s: %s", s.node, l.get("outcome"))
 		}
