--- a/internal/daemon/cli/cli.go
+++ b/internal/daemon/cli/cli.go
@@ -10,9 +10,11 @@
 package cli
 
 import (
+	"context"
 	"encoding/json"
 	"io"
 	"os"
+	"time"
 
 	"github.com/integrii/flaggy"
 
@@ -121,6 +123,16 @@
 
 func (o *options) client() *client.Client { return client.New(o.server, o.key) }
 
+// remoteTimeout bounds a call to a daemon.
+const remoteTimeout = 20 * time.Second
+
+// call makes one call to a daemon, with a body unless that is nil.
+func (o *options) call(method, path string, body, answer any) error {
+	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
+	defer cancel()
+	return o.client().JSON(ctx, method, path, body, answer)
+}
+
 // print writes a value as JSON, or as text by the given function.
 func (o *options) print(value any, text func(io.Writer)) error {
 	if o.output == "json" {
--- a/internal/daemon/cli/policy.go
+++ b/internal/daemon/cli/policy.go
@@ -1,7 +1,6 @@
 package cli
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"net/http"
@@ -95,10 +94,8 @@
 		}
 		body.Replaces = &version
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
-	defer cancel()
 	var publication operator.Publication
-	if err := o.client().JSON(ctx, http.MethodPost, "/v1/policies", body, &publication); err != nil {
+	if err := o.call(http.MethodPost, "/v1/policies", body, &publication); err != nil {
 		return err
 	}
 	return o.print(publication, func(w io.Writer) {
@@ -107,10 +104,8 @@
 }
 
 func (o *options) fetchPolicies() (gateway.PolicyList, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
-	defer cancel()
 	var fetched gateway.PolicyList
-	err := o.client().JSON(ctx, http.MethodGet, "/v1/policies", nil, &fetched)
+	err := o.call(http.MethodGet, "/v1/policies", nil, &fetched)
 	return fetched, err
 }
 
--- a/internal/daemon/cli/quarantine.go
+++ b/internal/daemon/cli/quarantine.go
@@ -1,7 +1,6 @@
 package cli
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"net/http"
@@ -14,10 +13,8 @@
 )
 
 func runQuarantineList(o *options) error {
-	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
-	defer cancel()
 	var list []quarantine.Listing
-	if err := o.client().JSON(ctx, http.MethodGet, quarantine.Path, nil, &list); err != nil {
+	if err := o.call(http.MethodGet, quarantine.Path, nil, &list); err != nil {
 		return err
 	}
 	return o.print(list, func(w io.Writer) { printQuarantine(w, list) })
@@ -39,10 +36,8 @@
 }
 
 func runQuarantineLift(o *options) error {
-	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
-	defer cancel()
 	var lifted quarantine.Lifted
-	if err := o.client().JSON(ctx, http.MethodDelete, quarantine.Path+"/"+url.PathEscape(o.digest), nil, &lifted); err != nil {
+	if err := o.call(http.MethodDelete, quarantine.Path+"/"+url.PathEscape(o.digest), nil, &lifted); err != nil {
 		return err
 	}
 	return o.print(lifted, func(w io.Writer) { fmt.Fprintf(w, "%s may run again\n", lifted.Digest) })
--- a/internal/daemon/cli/status.go
+++ b/internal/daemon/cli/status.go
@@ -1,7 +1,6 @@
 package cli
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"maps"
@@ -13,14 +12,9 @@
 	"woodworks/internal/api/gateway"
 )
 
-// remoteTimeout bounds a call to a daemon.
-const remoteTimeout = 20 * time.Second
-
 func runStatus(o *options) error {
-	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
-	defer cancel()
 	var status gateway.Status
-	if err := o.client().JSON(ctx, http.MethodGet, "/v1/status", nil, &status); err != nil {
+	if err := o.call(http.MethodGet, "/v1/status", nil, &status); err != nil {
 		return err
 	}
 	return o.print(status, func(w io.Writer) { printStatus(w, status) })
@@ -35,19 +29,18 @@
 		fmt.Fprintf(table, "weights\t%s\tversion %d\t\n", model, status.Named[model])
 	}
 	for _, entry := range status.Replicas {
-		fmt.Fprintf(table, "replica\t%s\t%s\tdraining=%t in_flight=%d versions=%v\n", entry.ID, entry.Service, entry.Draining, entry.InFlight, entry.Versions)
+		fmt.Fprintf(table, "replica\t%s\t%s\tdraining=%t in_flight=%d versions=%v\n",
+			entry.ID, entry.Service, entry.Draining, entry.InFlight, entry.Versions)
 	}
 	table.Flush()
 }
 
 func runDrain(o *options) error {
-	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
-	defer cancel()
 	body := struct {
 		Machine string `json:"machine"`
 		Undo    bool   `json:"undo,omitempty"`
 	}{o.machine, o.undo}
-	if err := o.client().JSON(ctx, http.MethodPost, "/v1/drains", body, nil); err != nil {
+	if err := o.call(http.MethodPost, "/v1/drains", body, nil); err != nil {
 		return err
 	}
 	return o.print(body, func(w io.Writer) {
