--- a/internal/daemon/node/admission.go
+++ b/internal/daemon/node/admission.go
@@ -7,14 +7,15 @@
 )
 
 // newAdmission makes the part that decides which plain requests wait while a service is full.
-func newAdmission(node *Node) *admission.Controller {
+func (n *Node) newAdmission() *admission.Controller {
 	return admission.New(admission.Options{
-		Replicas: node.table.Replicas, Daemons: node.daemons, Clock: bootclock.Now,
-		Observe: node.metrics.Admission, Logger: node.logger,
+		Replicas: n.table.Replicas, Daemons: n.daemons, Clock: bootclock.Now,
+		Observe: n.metrics.Admission, Logger: n.logger,
 	})
 }
 
-func registerAdmissionMetrics(m *metrics.Metrics, controller *admission.Controller) {
+func (n *Node) registerAdmissionMetrics() {
+	m, controller := n.metrics, n.handler.Admission
 	metrics.Gauge(m, "admission_waiting", "Plain requests that wait for a place at a full service.",
 		func() int { return controller.Count().Waiting })
 	metrics.Gauge(m, "admission_full_services", "Services that this daemon has seen to be full.",
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -32,10 +32,10 @@
 	drivers.Journal = n.buildJournal(drivers.Journal)
 	n.buildListeners()
 	n.buildCatalog(drivers)
-	n.quarantine = newQuarantine(n, drivers.Journal)
+	n.quarantine = n.newQuarantine(drivers.Journal)
 	forwarder := n.newForwarder(drivers.Headers)
 	n.buildBatches(drivers.Journal, forwarder)
-	n.occupancy = newOccupancy(n)
+	n.occupancy = n.newOccupancy()
 	n.buildWeights(drivers)
 	n.buildHandler(drivers, forwarder)
 	n.buildDuties(drivers)
@@ -134,7 +134,7 @@
 		Names: drivers.Headers, Codec: drivers.Codec, Configuration: n.operator.Configuration, Forwarder: forwarder,
 		Clock: bootclock.Now, Retries: ingress.NoRetryPolicy{}, Ran: func(string, time.Time) {},
 		Runner: n.runner, Results: n.results, Observer: n.metrics, Logger: n.logger,
-		ConfigurationAge: n.configurationAge, Stop: n.shutdown, Admission: newAdmission(n), Holding: n.holding, Unread: timing.Unread.Std(),
+		ConfigurationAge: n.configurationAge, Stop: n.shutdown, Admission: n.newAdmission(), Holding: n.holding, Unread: timing.Unread.Std(),
 		Keys: ingress.KeyPolicy{TrustKnown: timing.KeyBound.Std(), TrustUnknown: timing.ContactBound.Std()},
 	}
 	n.public.handler = n.handler
--- a/internal/daemon/node/clientconn.go
+++ b/internal/daemon/node/clientconn.go
@@ -1,9 +1,11 @@
 package node
 
 import (
+	"maps"
 	"net"
 	"net/http"
 	"os"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -95,24 +97,26 @@
 // request lies in its buffer: on a busy machine one may lie there for a while before it
 // is read.
 func (c *clientConn) closeIfQuiet(since time.Time) {
-	c.mu.Lock()
-	quiet := !c.handling && c.begunAt.IsZero() && !c.quietSince.After(since) && recvbuf.Look(c.Conn) != recvbuf.Waiting
-	c.closed = c.closed || quiet
-	c.mu.Unlock()
-	if quiet {
-		_ = c.Close()
-	}
+	c.closeIf(func() bool {
+		return !c.handling && c.begunAt.IsZero() && !c.quietSince.After(since) && recvbuf.Look(c.Conn) != recvbuf.Waiting
+	})
 }
 
 // closeIfStalled closes the connection if a request has begun on it and its head has not
 // come for longer than the limit: net/http bounds that only from the fourth byte on.
 func (c *clientConn) closeIfStalled(now time.Time, limit time.Duration) {
+	c.closeIf(func() bool { return !c.handling && !c.begunAt.IsZero() && now.Sub(c.begunAt) > limit })
+}
+
+// closeIf closes the connection if a condition holds, which is asked with the mutex held: nothing is
+// read from then on.
+func (c *clientConn) closeIf(holds func() bool) {
 	c.mu.Lock()
-	stalled := !c.handling && !c.begunAt.IsZero() && now.Sub(c.begunAt) > limit
-	c.closed = c.closed || stalled
+	closing := holds()
+	c.closed = c.closed || closing
 	c.mu.Unlock()
-	if stalled {
-		_ = c.Close()
+	if closing {
+		_ = c.Close() // its client has nothing under way on it
 	}
 }
 
@@ -202,9 +206,5 @@
 func (s *clientConns) all() []*clientConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := make([]*clientConn, 0, len(s.open))
-	for c := range s.open {
-		all = append(all, c)
-	}
-	return all
+	return slices.Collect(maps.Keys(s.open))
 }
--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -42,9 +42,9 @@
 		return 0
 	}
 	for service := range configuration.Services {
-		for _, e := range n.table.Replicas(service) {
-			if part := n.maxOpen(e); part > 0 {
-				most = max(most, float64(n.pool.Open(e.Address))/float64(part))
+		for _, rep := range n.table.Replicas(service) {
+			if part := n.maxOpen(rep); part > 0 {
+				most = max(most, float64(n.pool.Open(rep.Address))/float64(part))
 			}
 		}
 	}
--- a/internal/daemon/node/holding.go
+++ b/internal/daemon/node/holding.go
@@ -9,7 +9,7 @@
 // time; what is held beyond that stays held.
 func (n *Node) SetHeld(limits holding.Limits) { n.holding.SetLimits(limits) }
 
-func (n *Node) registerHolding() {
+func (n *Node) registerHoldingMetrics() {
 	for _, share := range holding.All() {
 		metrics.Gauge(n.metrics, "held_"+share.String()+"_bytes", "Bytes held on behalf of clients: "+share.String()+".",
 			func() int64 { return n.holding.Held(share) })
--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -177,7 +177,7 @@
 // connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// handOver is a listener whose connections come from another one.
+// connQueue is a listener whose connections come from another one.
 type connQueue struct {
 	connections chan net.Conn
 	// closed is closed, once, when no more connections are taken.
@@ -190,7 +190,7 @@
 	select {
 	case q.connections <- conn:
 	case <-q.closed:
-		_ = conn.Close()
+		_ = conn.Close() // nothing has been read from it
 	}
 }
 
--- a/internal/daemon/node/metrics.go
+++ b/internal/daemon/node/metrics.go
@@ -7,11 +7,11 @@
 	n.registerBatchMetrics()
 	n.registerJournalMetrics()
 	n.registerDutyMetrics()
-	n.registerHolding()
-	n.quarantine.registerMetrics(n.metrics)
+	n.registerHoldingMetrics()
+	n.registerQuarantineMetrics()
 	n.registerOccupancyMetrics()
 	n.registerConnectionMetrics()
-	registerAdmissionMetrics(n.metrics, n.handler.Admission)
+	n.registerAdmissionMetrics()
 }
 
 // registerBatchMetrics tells of requests, batches and the engines that run them.
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -20,14 +20,14 @@
 }
 
 // newOccupancy makes the parts and has the runner use them.
-func newOccupancy(node *Node) *occupancyParts {
-	if node.relay == nil {
+func (n *Node) newOccupancy() *occupancyParts {
+	if n.relay == nil {
 		return nil
 	}
-	table := occupancy.NewTable(node.identity, bootclock.Now, node.logger)
-	publisher := occupancy.NewPublisher(table, node.relay, node.runner.Occupied, node.dealtEngines, node.logger)
-	node.runner.ShareEngines(table, publisher.Wake)
-	node.relay.Register(occupancy.ServiceName, occupancy.NewService(table, publisher, node.runner.HeardOfOthers))
+	table := occupancy.NewTable(n.identity, bootclock.Now, n.logger)
+	publisher := occupancy.NewPublisher(table, n.relay, n.runner.Occupied, n.dealtEngines, n.logger)
+	n.runner.ShareEngines(table, publisher.Wake)
+	n.relay.Register(occupancy.ServiceName, occupancy.NewService(table, publisher, n.runner.HeardOfOthers))
 	return &occupancyParts{table: table, publisher: publisher}
 }
 
--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -12,25 +12,25 @@
 // quarantineParts are the parts that keep contents under which replicas end from further ones.
 type quarantineParts struct {
 	table    *quarantine.Table
-	keeper   *quarantine.Recorder
+	recorder *quarantine.Recorder
 	follower *journal.KeyedFollower
 	// spreader is nil where the settings name no address for peers.
 	spreader *quarantine.Spreader
 }
 
 // newQuarantine makes the parts. The relay is there already, if there is one.
-func newQuarantine(node *Node, log journal.Journal) *quarantineParts {
-	table := quarantine.New(node.settings.Name, bootclock.Now, node.logger)
-	parts := &quarantineParts{table: table, keeper: quarantine.NewRecorder(table, log, node.relay != nil, node.logger)}
-	contact := node.settings.Timing.ContactBound.Std()
-	if node.relay != nil {
+func (n *Node) newQuarantine(log journal.Journal) *quarantineParts {
+	table := quarantine.New(n.settings.Name, bootclock.Now, n.logger)
+	parts := &quarantineParts{table: table, recorder: quarantine.NewRecorder(table, log, n.relay != nil, n.logger)}
+	contact := n.settings.Timing.ContactBound.Std()
+	if n.relay != nil {
 		// Peers tell what is new; the journal is for what this daemon has missed.
 		contact = peerContact
-		parts.spreader = quarantine.NewSpreader(table, node.relay, node.logger)
-		node.relay.Register(quarantine.ServiceName, quarantine.NewService(table))
+		parts.spreader = quarantine.NewSpreader(table, n.relay, n.logger)
+		n.relay.Register(quarantine.ServiceName, quarantine.NewService(table))
 	}
-	parts.follower = journal.NewKeyedFollower(log, quarantine.Partition, parts.keeper, contact, node.logger)
-	parts.follower.SetInterval(journal.SharedReadInterval(log, peerReadShare, node.daemons))
+	parts.follower = journal.NewKeyedFollower(log, quarantine.Partition, parts.recorder, contact, n.logger)
+	parts.follower.SetInterval(journal.SharedReadInterval(log, peerReadShare, n.daemons))
 	return parts
 }
 
@@ -39,16 +39,17 @@
 	if q.spreader != nil {
 		go q.spreader.Run(ctx)
 	}
-	go q.keeper.Run(ctx)
+	go q.recorder.Run(ctx)
 	q.follower.Run(ctx)
 }
 
-func (q *quarantineParts) registerMetrics(m *metrics.Metrics) {
+func (n *Node) registerQuarantineMetrics() {
+	m, table := n.metrics, n.quarantine.table
 	metrics.Gauge(m, "contents_suspected",
 		"Contents of requests under which replicas have ended without an answer since.",
-		func() int { suspected, _, _ := q.table.Count(); return suspected })
+		func() int { suspected, _, _ := table.Count(); return suspected })
 	metrics.Gauge(m, "contents_refused", "Contents of requests that are refused as replicas ended under them.",
-		func() int { _, refused, _ := q.table.Count(); return refused })
+		func() int { _, refused, _ := table.Count(); return refused })
 	metrics.Counter(m, "requests_quarantined_total", "Tries that were refused for their content's sake.",
-		func() uint64 { _, _, turnedAway := q.table.Count(); return turnedAway })
+		func() uint64 { _, _, turnedAway := table.Count(); return turnedAway })
 }
--- a/internal/daemon/node/stop.go
+++ b/internal/daemon/node/stop.go
@@ -43,8 +43,8 @@
 	if n.relay != nil {
 		draining.Go(func() { n.relay.Drain(ctx) })
 	}
-	for _, e := range []*clientListener{n.public, n.private} {
-		draining.Go(func() { e.stop(ctx) })
+	for _, l := range []*clientListener{n.public, n.private} {
+		draining.Go(func() { l.stop(ctx) })
 	}
 	draining.Wait()
 	select {
--- a/internal/daemon/settings/settings.go
+++ b/internal/daemon/settings/settings.go
@@ -68,7 +68,7 @@
 	// as the internal listener has them too.
 	Health  string `yaml:"health"`
 	Metrics string `yaml:"metrics"`
-	// Peer is where other daemons come that have lost their own way to the
+	// Peer is where other daemons come that have lost their own path to the
 	// platform's store. Without it this daemon neither helps nor is helped.
 	Peer string `yaml:"peer"`
 }
