--- a/cmd/woodworks-demo/main.go
+++ b/cmd/woodworks-demo/main.go
@@ -43,9 +43,14 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	if err := demo.Run(ctx, options); err != nil {
+	outcome, err := demo.Run(ctx, options)
+	if err != nil {
 		fmt.Fprintln(os.Stderr, "woodworks-demo:", err)
 		return exitBroken
 	}
+	fmt.Println("demo:", outcome)
+	if !outcome.Held() {
+		return exitBroken
+	}
 	return exitHeld
 }
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -181,17 +181,8 @@
 	if len(sample.Tokens) != want {
 		f.t.Fatalf("sample %d has %d tokens of %d", sample.Index, len(sample.Tokens), want)
 	}
-	position := 0
-	for _, segment := range sample.Segments {
-		for range segment.Tokens {
-			if sample.Tokens[position] != fakeengine.Token(wanted.Trainer, prompt.Text, sample.Seed, segment.Version, position) {
-				f.t.Fatalf("sample %d, token %d: not made by version %d", sample.Index, position, segment.Version)
-			}
-			position++
-		}
-	}
-	if position != len(sample.Tokens) {
-		f.t.Fatalf("sample %d: segments cover %d of %d tokens", sample.Index, position, len(sample.Tokens))
+	if wrong := fakeengine.FirstWrong(wanted.Trainer, prompt.Text, sample); wrong >= 0 {
+		f.t.Fatalf("sample %d, token %d: not made by the version that %v name", sample.Index, wrong, sample.Segments)
 	}
 }
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -2,14 +2,16 @@
 // services, with a trainer, players, kills and a planned stop, and checks what
 // callers were told against what the services did.
 //
+// It owns the daemons' processes and the callers; services has what stands around the
+// daemons, process starts them, checks counts.
+//
 // # Usage
 //
-//	err := demo.Run(ctx, demo.Options{Program: "bin/woodworks", Output: os.Stdout})
+//	outcome, err := demo.Run(ctx, demo.Options{Program: "bin/woodworks", Output: os.Stdout})
 package demo
 
 import (
 	"context"
-	"fmt"
 	"io"
 	"os"
 	"path/filepath"
@@ -21,6 +23,7 @@
 
 	"woodworks/examples"
 	"woodworks/internal/api/client"
+	"woodworks/internal/demo/checks"
 	"woodworks/internal/demo/process"
 	"woodworks/internal/demo/services"
 )
@@ -38,12 +41,9 @@
 	SafetyOnly bool
 }
 
-// ErrBroken means that a promise did not hold, or was never put to the test.
-var ErrBroken = errors.New("demo: a promise did not hold")
-
 const (
-	trainer      = "bots"
-	player       = "players"
+	trainerKey   = "bots"
+	playerKey    = "players"
 	engines      = 4
 	plains       = 3
 	startTimeout = 20 * time.Second
@@ -52,6 +52,9 @@
 	phase = 2 * time.Second
 	// staleness is the trainer's bound in the example policy, in versions.
 	staleness = 3
+	// leavingGrace is how long after the order a leaving back end may still be
+	// given work.
+	leavingGrace = 3 * time.Second
 )
 
 var zones = []string{"hall-a", "hall-b", "hall-c"}
@@ -66,81 +69,71 @@
 
 // run is one run.
 type run struct {
+	*checks.Checks
 	options  Options
 	services *services.Services
 	daemons  []*daemon
-	checks   *checks
-	trainer  *trainerLoop
-	players  *playerLoop
 }
 
-// Run runs the demo. It returns ErrBroken if a promise did not hold.
-func Run(ctx context.Context, options Options) error {
+// Run runs the demo and returns what it found.
+func Run(ctx context.Context, options Options) (checks.Outcome, error) {
 	if options.Folder == "" {
 		folder, err := os.MkdirTemp("", "woodworks-demo-")
 		if err != nil {
-			return errors.Wrap(err, "demo: folder")
+			return checks.Outcome{}, errors.Wrap(err, "demo: folder")
 		}
 		defer func() { _ = os.RemoveAll(folder) }()
 		options.Folder = folder
 	}
 	if err := os.MkdirAll(options.Folder, 0o755); err != nil {
-		return errors.Wrap(err, "demo: folder")
+		return checks.Outcome{}, errors.Wrap(err, "demo: folder")
 	}
-	started, err := services.Start(services.Shape{
+	around, err := services.Start(services.Shape{
 		EngineService: "oracle-pool", Engines: engines, PlainService: "game-front", Plains: plains, Zones: zones,
 		Policies: map[string]string{"qarmoud": examples.QarmoudPolicy}, Engine: services.DefaultEngine(),
 	})
 	if err != nil {
-		return err
+		return checks.Outcome{}, err
 	}
-	defer started.Stop()
-	r := &run{options: options, services: started, checks: newChecks()}
+	defer around.Stop()
+	r := &run{Checks: checks.New(options.Output), options: options, services: around}
 	defer r.stop()
 	if err := r.start(); err != nil {
-		return err
+		return checks.Outcome{}, err
 	}
 	r.drive(ctx)
-	return r.report()
-}
-
-func (r *run) say(format string, args ...any) {
-	_, _ = fmt.Fprintf(r.options.Output, format+"\n", args...)
+	return r.Outcome(rules, options.SafetyOnly), nil
 }
 
 // start starts the daemons and waits until they are ready.
 func (r *run) start() error {
-	r.say("starting %d daemons, %d engines, %d plain back ends and a log service", len(zones), engines, plains)
+	r.Note("starting %d daemons, %d engines, %d plain back ends and a log service", len(zones), engines, plains)
+	var urls []string
 	for _, zone := range zones {
-		if err := r.startDaemon(zone); err != nil {
+		d, err := r.newDaemon(zone)
+		if err != nil {
 			return err
 		}
-	}
-	var urls []string
-	for _, d := range r.daemons {
+		r.daemons = append(r.daemons, d)
 		urls = append(urls, "http://"+d.address+"/readyz")
 	}
 	return process.AwaitReady(startTimeout, urls...)
 }
 
-func (r *run) startDaemon(zone string) error {
-	loaded := r.services.Settings(zone+"-1", zone)
-	if err := process.FreeAddresses(&loaded.Listen.Public, &loaded.Listen.Internal); err != nil {
-		return err
+func (r *run) newDaemon(zone string) (*daemon, error) {
+	cfg := r.services.Settings(zone+"-1", zone)
+	if err := process.FreeAddresses(&cfg.Listen.Public, &cfg.Listen.Internal); err != nil {
+		return nil, err
 	}
-	encoded, err := yaml.Marshal(loaded)
+	encoded, err := yaml.Marshal(cfg)
 	if err != nil {
-		return errors.Wrap(err, "demo: settings")
+		return nil, errors.Wrap(err, "demo: settings")
 	}
-	d := &daemon{name: loaded.Name, address: loaded.Listen.Public}
+	d := &daemon{name: cfg.Name, address: cfg.Listen.Public}
 	if err := os.WriteFile(r.file(d, ".yaml"), encoded, 0o600); err != nil {
-		return errors.Wrap(err, "demo: settings")
-	}
-	if err := r.launch(d); err != nil {
-		return err
+		return nil, errors.Wrap(err, "demo: settings")
 	}
-	r.daemons = append(r.daemons, d)
-	return nil
+	return d, r.launch(d)
 }
 
 // launch starts a process of a daemon.
@@ -176,62 +169,47 @@
 func (r *run) drive(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r.trainer = &trainerLoop{clients: r.clients(trainer), checks: r.checks, seed: r.options.Seed}
-	r.players = &playerLoop{clients: r.clients(player), checks: r.checks, told: map[string]telling{}}
-	var working sync.WaitGroup
-	working.Go(func() { r.trainer.run(ctx) })
-	working.Go(func() { r.players.run(ctx) })
+	t := &trainer{Checks: r.Checks, clients: r.clients(trainerKey), seed: r.options.Seed}
+	p := &players{Checks: r.Checks, clients: r.clients(playerKey), replies: map[string]reply{}}
+	var callers sync.WaitGroup
+	callers.Go(func() { t.run(ctx) })
+	callers.Go(func() { p.run(ctx) })
 	time.Sleep(phase)
-	r.say("killing engine %s", r.services.Engines[0].ID)
+	r.Note("killing engine %s", r.services.Engines[0].ID)
 	r.services.Engines[0].Kill()
 	time.Sleep(phase)
-	r.say("stopping daemon %s by plan", r.daemons[1].name)
-	r.checks.that(plannedStop, r.daemons[1].Terminate(stopTimeout), "daemon %s did not stop cleanly", r.daemons[1].name)
-	r.say("killing daemon %s", r.daemons[2].name)
-	r.daemons[2].Kill()
-	for _, d := range r.daemons[1:] {
+	stopped, killed := r.daemons[1], r.daemons[2]
+	r.Note("stopping daemon %s by plan", stopped.name)
+	r.Check(plannedStop, stopped.Terminate(stopTimeout), "daemon %s did not stop cleanly", stopped.name)
+	r.Note("killing daemon %s", killed.name)
+	killed.Kill()
+	for _, d := range []*daemon{stopped, killed} {
 		if err := r.launch(d); err != nil {
-			r.say("restart: %v", err)
+			r.Note("restart: %v", err)
 		}
 	}
 	time.Sleep(phase)
-	checkDrained := r.drainEngine(ctx, 1)
+	checkDrained := r.drainEngine(ctx, r.services.Engines[1])
 	time.Sleep(leavingGrace + phase)
 	checkDrained()
 	cancel()
-	working.Wait()
-	r.players.settle(r.services.Plains)
+	callers.Wait()
+	p.settle(r.services.Plains)
+	r.Note("%d batches with %d samples, versions %v; %d moves", t.batches, t.samples, t.versions, len(p.replies))
 }
 
-const (
-	// leavingGrace is how long after the order a leaving back end may still be
-	// given work.
-	leavingGrace = 3 * time.Second
-)
-
 // drainEngine orders that an engine gets no new work, and returns the check that
 // it got none once the grace was over.
-func (r *run) drainEngine(ctx context.Context, number int) func() {
-	engine := r.services.Engines[number]
-	r.say("draining engine %s", engine.ID)
+func (r *run) drainEngine(ctx context.Context, engine *services.Engine) (check func()) {
+	r.Note("draining engine %s", engine.ID)
 	if err := r.services.Operator.Drain(ctx, engine.ID, true); err != nil {
-		r.say("drain: %v", err)
+		r.Note("drain: %v", err)
 		return func() {}
 	}
 	over := time.Now().Add(leavingGrace)
 	return func() {
 		for _, start := range engine.Starts() {
-			r.checks.that(leavingIdle, start.At.Before(over), "%s was given %s after the order", engine.ID, start.ID)
+			r.Check(leavingIdle, start.At.Before(over), "%s was given %s after the order", engine.ID, start.ID)
 		}
 	}
 }
-
-// report prints what was checked.
-func (r *run) report() error {
-	r.say("%d batches with %d samples, versions %v; %d moves told of", r.trainer.batches, r.trainer.samples, r.trainer.seen(), r.players.count())
-	broken := r.checks.print(r.options.Output, r.options.SafetyOnly)
-	if broken {
-		return ErrBroken
-	}
-	return nil
-}
--- a/internal/demo/fakeengine/tokens.go
+++ b/internal/demo/fakeengine/tokens.go
@@ -5,6 +5,8 @@
 	"math"
 
 	"github.com/cespare/xxhash/v2"
+
+	"woodworks/internal/api/rollout"
 )
 
 // Token returns the token at a position (from 0) of a sample.
@@ -19,6 +21,25 @@
 	return uint32(hasher.Sum64())
 }
 
+// FirstWrong returns the first position of a sample whose token is not the one of the
+// version that its segments name for it, -1 if there is none.
+func FirstWrong(model, prompt string, sample rollout.Result) int {
+	position := 0
+	for _, segment := range sample.Segments {
+		for range segment.Tokens {
+			if position == len(sample.Tokens) ||
+				sample.Tokens[position] != Token(model, prompt, sample.Seed, segment.Version, position) {
+				return position
+			}
+			position++
+		}
+	}
+	if position < len(sample.Tokens) {
+		return position
+	}
+	return -1
+}
+
 const (
 	// lengthSigma is the spread of the log of the length: a few samples are
 	// far longer than the rest.
--- a/internal/demo/players.go
+++ b/internal/demo/players.go
@@ -9,102 +9,106 @@
 
 	"woodworks/internal/api/client"
 	"woodworks/internal/api/gateway"
+	"woodworks/internal/demo/checks"
 	"woodworks/internal/demo/fakebackend"
 	"woodworks/internal/demo/services"
 )
 
-const playerWorkers = 4
+const (
+	playerCount = 4
+	// keyedTries is how many daemons a move with a key is tried at.
+	keyedTries = 3
+)
 
-// telling is what a player was told of a move.
-type telling struct {
+// reply is what a player was told of a move.
+type reply struct {
 	outcome gateway.Outcome
 	echo    string
 }
 
-// playerLoop makes moves, each under a body of its own, and comes back with the
-// same key after a failure.
-type playerLoop struct {
+// players make moves, each under a body of its own, and come back with the same key after
+// a failure.
+type players struct {
+	*checks.Checks
 	clients []*client.Client
-	checks  *checks
-
-	mu   sync.Mutex
-	told map[string]telling
-}
 
-func (p *playerLoop) count() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.told)
+	mu sync.Mutex
+	// replies are the last ones, by body.
+	replies map[string]reply
 }
 
-func (p *playerLoop) run(ctx context.Context) {
-	var working sync.WaitGroup
-	for worker := range playerWorkers {
-		working.Go(func() {
-			for move := 0; ctx.Err() == nil; move++ {
-				p.move(ctx, worker, move)
+func (p *players) run(ctx context.Context) {
+	var playing sync.WaitGroup
+	for player := range playerCount {
+		playing.Go(func() {
+			for number := 0; ctx.Err() == nil; number++ {
+				p.move(ctx, player, number)
 				time.Sleep(callerPause)
 			}
 		})
 	}
-	working.Wait()
+	playing.Wait()
 }
 
 // move makes one move. Every second one has a key, and is tried at up to three
 // daemons; every fourth goes to two of them at the same time.
-func (p *playerLoop) move(ctx context.Context, worker, number int) {
-	body := fmt.Sprintf("move %d of player %d", number, worker)
+func (p *players) move(ctx context.Context, player, number int) {
+	body := fmt.Sprintf("move %d of player %d", number, player)
 	key, tries := "", 1
 	if number%2 == 0 {
-		key, tries = fmt.Sprintf("%013d-player.%04d.%06d", time.Now().UnixMilli(), worker, number), 3
+		key, tries = fmt.Sprintf("%013d-player.%04d.%06d", time.Now().UnixMilli(), player, number), keyedTries
 	}
+	first := player + number
 	if number%4 == 0 {
-		var doubled sync.WaitGroup
-		defer doubled.Wait()
-		doubled.Go(func() {
-			bounded, cancel := context.WithTimeout(ctx, callTimeout)
-			defer cancel()
-			_, _, _ = p.clients[(worker+number+1)%len(p.clients)].Call(bounded, "game-front", "move", key, []byte(body))
-		})
+		var second sync.WaitGroup
+		defer second.Wait()
+		second.Go(func() { p.call(ctx, first+1, key, body) })
 	}
 	for try := range tries {
-		bounded, cancel := context.WithTimeout(ctx, callTimeout)
-		answer, outcome, err := p.clients[(worker+number+try)%len(p.clients)].Call(bounded, "game-front", "move", key, []byte(body))
-		cancel()
-		told := telling{outcome: gateway.Unknown}
-		if err == nil {
-			told.outcome = outcome
-			var reply fakebackend.Reply
-			if outcome == gateway.Completed && json.Unmarshal(answer.Body, &reply) == nil {
-				told.echo = reply.Echo
-			}
-		}
+		r := p.call(ctx, first+try, key, body)
 		p.mu.Lock()
-		p.told[body] = told
+		p.replies[body] = r
 		p.mu.Unlock()
-		if told.outcome == gateway.Completed {
+		if r.outcome == gateway.Completed {
 			return
 		}
 	}
 }
 
+// call asks a daemon for a move.
+func (p *players) call(ctx context.Context, daemon int, key, body string) reply {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	c := p.clients[daemon%len(p.clients)]
+	answer, outcome, err := c.Call(ctx, "game-front", "move", key, []byte(body))
+	if err != nil {
+		return reply{outcome: gateway.Unknown}
+	}
+	r := reply{outcome: outcome}
+	var content fakebackend.Reply
+	if outcome == gateway.Completed && json.Unmarshal(answer.Body, &content) == nil {
+		r.echo = content.Echo
+	}
+	return r
+}
+
 // settle compares what players were told with what was executed.
-func (p *playerLoop) settle(plains []*services.Plain) {
+func (p *players) settle(plains []*services.Plain) {
 	executed := map[string]int{}
 	for _, plain := range plains {
-		for _, one := range plain.Executed() {
-			executed[one.Body]++
+		for _, e := range plain.Executed() {
+			executed[e.Body]++
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for body, told := range p.told {
-		p.checks.that(atMostOnce, executed[body] <= 1, "%s ran %d times", body, executed[body])
-		switch told.outcome {
+	for body, r := range p.replies {
+		p.Check(atMostOnce, executed[body] <= 1, "%s ran %d times", body, executed[body])
+		switch r.outcome {
 		case gateway.Completed:
-			p.checks.that(ownAnswer, executed[body] == 1 && told.echo == body, "%s was answered with %q", body, told.echo)
+			p.Check(ownAnswer, executed[body] == 1 && r.echo == body, "%s was answered with %q", body, r.echo)
 		case gateway.NotExecuted:
-			p.checks.that(notExecuted, executed[body] == 0, "%s was refused and ran", body)
+			p.Check(notExecuted, executed[body] == 0, "%s was refused and ran", body)
 		}
 	}
 }
--- a/internal/demo/trainer.go
+++ b/internal/demo/trainer.go
@@ -9,10 +9,12 @@
 	"woodworks/internal/api/client"
 	"woodworks/internal/api/gateway"
 	"woodworks/internal/api/rollout"
+	"woodworks/internal/demo/checks"
 	"woodworks/internal/demo/fakeengine"
 	"woodworks/internal/demo/services"
 )
 
+// What a trainer asks for in a step.
 const (
 	prompts          = 6
 	samplesPerPrompt = 6
@@ -20,17 +22,22 @@
 	trainTime        = 150 * time.Millisecond
 )
 
+// How a trainer pulls samples.
+const (
+	mostPulled = 16
+	pullWait   = time.Second
+)
+
 // Bounds of all callers.
 const (
 	callerPause = 50 * time.Millisecond
 	callTimeout = 8 * time.Second
 )
 
-// trainerLoop asks for a batch a step, takes its samples and names the next
-// version.
-type trainerLoop struct {
+// trainer asks for a batch a step, takes its samples and names the next version.
+type trainer struct {
+	*checks.Checks
 	clients []*client.Client
-	checks  *checks
 	seed    uint64
 
 	version  uint64
@@ -39,29 +46,34 @@
 	versions []uint64
 }
 
-func (t *trainerLoop) seen() []uint64 { return t.versions }
-
-func (t *trainerLoop) run(ctx context.Context) {
+func (t *trainer) run(ctx context.Context) {
 	t.version = 1
-	for step := 1; ctx.Err() == nil; step++ {
-		wanted := rollout.Request{Trainer: trainer, Name: fmt.Sprint("step-", step), SamplesPerPrompt: samplesPerPrompt, MaxTokens: maxTokens, Seed: t.seed + uint64(step)}
-		for i := range prompts {
-			wanted.Prompts = append(wanted.Prompts, rollout.Prompt{ID: fmt.Sprint("p", i), Text: fmt.Sprintf("board %d of step %d", i, step)})
-		}
-		if !t.batch(ctx, wanted) {
-			return
-		}
+	for step := 1; t.batch(ctx, t.request(step)); step++ {
 		t.batches++
 		time.Sleep(trainTime)
 		t.version++
 		t.until(ctx, func(ctx context.Context, c *client.Client) error {
-			return c.Announce(ctx, trainer, t.version, fmt.Sprint("weights-", t.version))
+			return c.Announce(ctx, trainerKey, t.version, fmt.Sprint("weights-", t.version))
 		})
 	}
 }
 
-// until calls daemons in turn until one gives an answer that is no failure.
-func (t *trainerLoop) until(ctx context.Context, call func(context.Context, *client.Client) error) bool {
+// request is that of a step's batch.
+func (t *trainer) request(step int) rollout.Request {
+	req := rollout.Request{
+		Trainer: trainerKey, Name: fmt.Sprint("step-", step), Seed: t.seed + uint64(step),
+		SamplesPerPrompt: samplesPerPrompt, MaxTokens: maxTokens,
+	}
+	for i := range prompts {
+		text := fmt.Sprintf("board %d of step %d", i, step)
+		req.Prompts = append(req.Prompts, rollout.Prompt{ID: fmt.Sprint("p", i), Text: text})
+	}
+	return req
+}
+
+// until calls daemons in turn until one gives an answer that is no failure. It reports
+// false if the run is over before.
+func (t *trainer) until(ctx context.Context, call func(context.Context, *client.Client) error) bool {
 	for turn := 0; ctx.Err() == nil; turn++ {
 		bounded, cancel := context.WithTimeout(ctx, callTimeout)
 		err := call(bounded, t.clients[turn%len(t.clients)])
@@ -74,10 +86,12 @@
 	return false
 }
 
-func (t *trainerLoop) batch(ctx context.Context, wanted rollout.Request) bool {
+// batch hands a batch in and takes all its samples. It reports false if the run is over
+// before.
+func (t *trainer) batch(ctx context.Context, req rollout.Request) bool {
 	cursor := ""
 	if !t.until(ctx, func(ctx context.Context, c *client.Client) error {
-		submitted, err := c.Submit(ctx, wanted)
+		submitted, err := c.Submit(ctx, req)
 		cursor = submitted.Cursor
 		return err
 	}) {
@@ -86,41 +100,39 @@
 	taken := map[int]bool{}
 	for {
 		var pulled gateway.Pulled
-		if !t.until(ctx, func(ctx context.Context, c *client.Client) error {
-			var err error
-			pulled, err = c.Pull(ctx, trainer, wanted.Name, cursor, t.version, 16, time.Second)
+		if !t.until(ctx, func(ctx context.Context, c *client.Client) (err error) {
+			pulled, err = c.Pull(ctx, trainerKey, req.Name, cursor, t.version, mostPulled, pullWait)
 			return err
 		}) {
 			return false
 		}
 		for _, sample := range pulled.Samples {
-			t.check(wanted, sample, taken)
+			t.Check(exactlyOnce, !taken[sample.Index], "batch %s: sample %d came again", req.Name, sample.Index)
+			taken[sample.Index] = true
+			t.checkSample(req, sample)
 		}
 		cursor = pulled.Cursor
 		if pulled.Done {
-			t.checks.that(exactlyOnce, len(taken) == prompts*samplesPerPrompt, "batch %s: %d samples", wanted.Name, len(taken))
+			t.Check(exactlyOnce, len(taken) == prompts*samplesPerPrompt, "batch %s: %d samples", req.Name, len(taken))
 			return true
 		}
 	}
 }
 
-func (t *trainerLoop) check(wanted rollout.Request, sample rollout.Result, taken map[int]bool) {
+func (t *trainer) checkSample(req rollout.Request, sample rollout.Result) {
 	t.samples++
-	t.checks.that(exactlyOnce, !taken[sample.Index], "batch %s: sample %d came again", wanted.Name, sample.Index)
-	taken[sample.Index] = true
-	prompt := wanted.Prompts[sample.Index/samplesPerPrompt].Text
+	prompt := req.Prompts[sample.Index/samplesPerPrompt].Text
 	length := min(fakeengine.Length(prompt, sample.Seed, services.DefaultEngine().MedianTokens), maxTokens)
-	t.checks.that(ownAnswer, len(sample.Tokens) == length, "batch %s: sample %d has %d tokens of %d", wanted.Name, sample.Index, len(sample.Tokens), length)
-	position := 0
+	t.Check(ownAnswer, len(sample.Tokens) == length, "batch %s: sample %d has %d tokens of %d",
+		req.Name, sample.Index, len(sample.Tokens), length)
+	wrong := fakeengine.FirstWrong(trainerKey, prompt, sample)
+	t.Check(namesVersions, wrong < 0, "batch %s: sample %d, token %d is not of the version that it names",
+		req.Name, sample.Index, wrong)
 	for _, segment := range sample.Segments {
-		t.checks.that(withinBound, segment.Version+staleness >= t.version, "batch %s: sample %d of version %d while %d is trained", wanted.Name, sample.Index, segment.Version, t.version)
+		t.Check(withinBound, segment.Version+staleness >= t.version,
+			"batch %s: sample %d of version %d while %d is trained", req.Name, sample.Index, segment.Version, t.version)
 		if !slices.Contains(t.versions, segment.Version) {
 			t.versions = append(t.versions, segment.Version)
 		}
-		for range segment.Tokens {
-			token := fakeengine.Token(trainer, prompt, sample.Seed, segment.Version, position)
-			t.checks.that(namesVersions, sample.Tokens[position] == token, "batch %s: sample %d, token %d is not of version %d", wanted.Name, sample.Index, position, segment.Version)
-			position++
-		}
 	}
 }
