--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -192,12 +192,21 @@
 	return may
 }
 
-func TestFirstHolderActsAtOnceAndItsMachineTakesTheLeaseBack(t *testing.T) {
+// elect runs a test of daemons over one journal, and checks their acts.
+func elect(t *testing.T, test func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		log, acts := journaltest.New(), &history{}
+		test(ctx, is, log, acts)
+		is.NoErr(acts.check())
+	})
+}
+
+func TestFirstHolderActsAtOnceAndItsMachineTakesTheLeaseBack(t *testing.T) {
+	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		is.True(mayAct(first))
@@ -211,7 +220,6 @@
 		time.Sleep(Duration + margin + quiet + time.Second)
 		is.True(mayAct(other))
 		other.kill()
-		is.NoErr(acts.check())
 	})
 }
 
@@ -219,11 +227,7 @@
 // time of a successor goes on at once: nobody has taken its lease, as nobody
 // could have acted on it yet.
 func TestAHolderThatIsBackSoonKeepsTheLease(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
-		log, acts := journaltest.New(), &history{}
+	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		is.True(mayAct(first))
@@ -237,18 +241,13 @@
 		is.True(!other.lease.Held())
 		again.kill()
 		other.kill()
-		is.NoErr(acts.check())
 	})
 }
 
 // A candidate that has watched acts as soon as it may after the last renewal:
 // that it claims late costs nothing.
 func TestAStandbyActsAsSoonAsItMay(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
-		log, acts := journaltest.New(), &history{}
+	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		other := startAs(ctx, log, "b", 1, acts, true)
 		time.Sleep(2 * time.Second)
@@ -261,7 +260,6 @@
 		time.Sleep(Duration + margin + quiet + 50*time.Millisecond)
 		is.True(mayAct(standby))
 		standby.kill()
-		is.NoErr(acts.check())
 	})
 }
 
@@ -269,11 +267,7 @@
 // after another holder must wait for the rest of it, although the last record
 // is its own.
 func TestReclaimWithinTheQuietTimeWaits(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
-		log, acts := journaltest.New(), &history{}
+	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		first.kill()
@@ -288,7 +282,6 @@
 		time.Sleep(Duration + margin + quiet)
 		is.True(mayAct(third))
 		third.kill()
-		is.NoErr(acts.check())
 	})
 }
 
@@ -296,11 +289,7 @@
 // successor could not have acted before, and orders would have been missing for
 // the quiet time (qarmoud-arena trouble-2, seed 10: none from 17.8 to 22.3 s).
 func TestAMachineTakesBackTheLeaseThatItResigned(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
-		log, acts := journaltest.New(), &history{}
+	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		other := startAs(ctx, log, "b", 1, acts, true)
@@ -317,18 +306,13 @@
 		is.True(!other.lease.Held())
 		again.kill()
 		other.kill()
-		is.NoErr(acts.check())
 	})
 }
 
 // A successor acts as soon as the quiet time after a resignation is over, also
 // where a renewal crossed the resignation.
 func TestASuccessorActsAfterAResignation(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
-		log, acts := journaltest.New(), &history{}
+	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		other := startAs(ctx, log, "b", 1, acts, true)
@@ -346,17 +330,12 @@
 		time.Sleep(2 * actEvery)
 		is.True(mayAct(other))
 		other.kill()
-		is.NoErr(acts.check())
 	})
 }
 
 // A holder that cannot act before it ends gives the lease up at once.
 func TestAHolderThatMayNotActYetResignsAsItWithdraws(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
-		log, acts := journaltest.New(), &history{}
+	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		first.kill()
@@ -366,7 +345,6 @@
 		second.lease.Withdraw(ctx)
 		is.True(!second.lease.Held())
 		second.kill()
-		is.NoErr(acts.check())
 	})
 }
 
@@ -375,11 +353,7 @@
 // swallowed (qarmoud-arena-grown scale-1: the store was back at 12.3 s, the first
 // order came at 14.5 s).
 func TestAHolderActsSoonAfterASilentOutage(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
-		log, acts := journaltest.New(), &history{}
+	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		holder := startAs(ctx, log, "a", 1, acts, true)
 		for outage := 3 * time.Second; outage < 8*time.Second; outage += 170 * time.Millisecond {
 			time.Sleep(2 * time.Second)
@@ -392,6 +366,5 @@
 			is.True(mayAct(holder))
 		}
 		holder.kill()
-		is.NoErr(acts.check())
 	})
 }
