--- a/internal/daemon/cli/stop_test.go
+++ b/internal/daemon/cli/stop_test.go
@@ -14,9 +14,8 @@
 
 func (w waiting) Stop() { <-w.release }
 
-// A supervisor that repeats SIGTERM does not cut off what is in flight
-// (affittocerto-nord trouble-2, seed 1: a second SIGTERM after 5.5 s of a grace of 8 s
-// cut off items that their successor had left to the daemon).
+// A supervisor that repeats SIGTERM does not cut off what is in flight: a second one after
+// 5.5 s of a grace of 8 s cut off items that their successor had left to the daemon.
 func TestARepeatedSIGTERMDoesNotHastenAStop(t *testing.T) {
 	is := is.New(t)
 	signals := make(chan os.Signal)
--- a/internal/daemon/node/candidate_test.go
+++ b/internal/daemon/node/candidate_test.go
@@ -10,7 +10,7 @@
 
 // A holder of the lease that is parted from the journal may be the candidate
 // itself: a second one must have watched the lease all along, or its wait begins
-// only when partitions are dealt anew (incident 004, 2.7 s later than needed).
+// only when partitions are dealt anew (once 2.7 s later than needed).
 // The platform does not say how it deals: in turn or in runs.
 func TestSomeDaemonsStandByForTheLease(t *testing.T) {
 	const partitions = 8
--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -32,7 +32,7 @@
 
 // A stop must end although a connection could still come: it once waited for
 // the accepting loop, which never ended, until the process was killed with a
-// request under way (bench: hunt-f73b-7, LOST).
+// request under way.
 func TestShutdownEndsWithoutRequests(t *testing.T) {
 	l, _ := startFront(t, http.NotFoundHandler())
 	l.configured(&route.Configuration{Declared: route.Declared{Limits: route.Limits{MaxHeaderBytes: 8192}}})
--- a/internal/journal/follow_test.go
+++ b/internal/journal/follow_test.go
@@ -84,8 +84,8 @@
 }
 
 // A read that was lost in a silent outage is given up and repeated within the
-// contact bound counted from the outage's end (bench: aarewald-plan trouble-2,
-// CONFIG: the read was waited for 3.5 s).
+// contact bound counted from the outage's end: one was
+// once waited for 3.5 s, and a configuration came into force too late.
 func TestFollowerIsUpToDateWithinTheContactBoundAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -75,7 +75,7 @@
 	return len(content), nil
 }
 
-// far is a daemon's own way to the journal, over the line that comes in.
+// far is a daemon's own path to the journal, over the line that comes in.
 type far struct {
 	*cut
 	// ctx ends with the test.
@@ -103,7 +103,7 @@
 }
 
 // newLined returns daemons of two zones behind links, of which the first in the first zone
-// have lost their own way.
+// have lost their own path.
 func newLined(ctx context.Context, t *testing.T, store *journaltest.Journal, zone, refusedOf int, bytesPerSecond float64) *daemons {
 	d, reached := &daemons{store: store}, pipes{}
 	for i := range 2 * zone {
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -24,7 +24,7 @@
 
 var records = journal.Partition{Topic: "records"}
 
-// cut is one daemon's own way to a journal, which may be cut while it stands for others.
+// cut is one daemon's own path to a journal, which may be cut while it stands for others.
 type cut struct {
 	journal.Journal
 	fault atomic.Int32
@@ -155,7 +155,7 @@
 	return stored, err
 }
 
-// untilLost appends until a daemon's own way counts as lost.
+// untilLost appends until a daemon's own path counts as lost.
 func untilLost(ctx context.Context, relayed *Journal) {
 	for !relayed.Lost() {
 		_ = appendOne(ctx, relayed, beforeLoss, 300*time.Millisecond) // its outcome is not the point
@@ -164,11 +164,10 @@
 }
 
 // A daemon that is cut off from the store, silently or by refusals, goes on through
-// another one, and on its own way again once that is back (affittocerto-nord scale-2
-// and trouble-1: submissions at such daemons were answered 504 after 1.57 s, each of
-// the trainer's tries, and batches that they owned stood still). A store may throttle a
-// single machine for seconds as well (qarmoud-arena-large trouble-1: results of a batch not
-// listed from 18.5 s on); one whose rate is exceeded serves most calls.
+// another one, and on its own path again once that is back. Submissions at such
+// daemons were once answered 504 after 1.57 s, each of the trainer's tries, and batches that
+// they owned stood still. A store may throttle a single machine for seconds as well, so that
+// results of a batch were not listed; one whose rate is exceeded serves most calls.
 func TestADaemonThatIsCutOffGoesOnThroughAnother(t *testing.T) {
 	for _, fault := range []int32{silent, refused, throttled} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -207,8 +207,8 @@
 }
 
 // A long answer that is on its way is not lost because short ones overtake it: begun
-// anew it would only come later (bench: aarewald-plan-large trouble-1, LOST, 9,000 reads
-// given up after a start of all daemons). Answers to reads of records do tell of it.
+// anew it would only come later (9,000 reads were once given up after a start
+// of all daemons). Answers to reads of records do tell of it.
 func TestALongReadIsNotGivenUpForShortCalls(t *testing.T) {
 	for name, bulk := range map[string]bool{"short calls": false, "reads of records": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/membership/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -25,8 +25,7 @@
 }
 
 // A member that leaves drops its partitions at once and repeats its leaving
-// until it is done: they once lay idle for its whole lifetime after one refusal
-// (bench: qarmoud-arena trouble-2, seed 3).
+// until it is done: they once lay idle for its whole lifetime after one refusal.
 func TestLeavingIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -79,7 +78,7 @@
 
 // A machine that comes back takes its last run out of the group: the partitions
 // of that run once lay idle until its lifetime was over, and new batches were
-// given to it (aarewald-plan trouble-1, seed 12076229936: 1.5 s of a step's 7.5).
+// given to it (1.5 s of a step's 7.5).
 func TestANewRunTakesItsPredecessorOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -287,7 +287,7 @@
 
 // A daemon that is stopped and started again has its lease back at once: its
 // successor could not have acted before, and orders would have been missing for
-// the quiet time (qarmoud-arena trouble-2, seed 10: none from 17.8 to 22.3 s).
+// the quiet time (none came for 4.5 s).
 func TestAMachineTakesBackTheLeaseThatItResigned(t *testing.T) {
 	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
@@ -350,8 +350,7 @@
 
 // After an outage in which calls got no answer, the holder acts again once its
 // next renewal is through: it once spent up to 3.6 s on calls that the outage had
-// swallowed (qarmoud-arena-grown scale-1: the store was back at 12.3 s, the first
-// order came at 14.5 s).
+// swallowed, and gave its first order 2.2 s after the store was back.
 func TestAHolderActsSoonAfterASilentOutage(t *testing.T) {
 	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		holder := startAs(ctx, log, "a", 1, acts, true)
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -112,8 +112,8 @@
 }
 
 // Replicas that come and go leave the others' models as they are, as far as the
-// shares allow (bench: qarmoud-arena mix, seed 1017346763850: after a crash, two
-// replicas changed their model twice within three seconds).
+// shares allow: after a crash, two replicas once changed their model twice within three
+// seconds.
 func TestReplicasKeepTheirModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := []route.Model{{Name: "a"}, {Name: "b"}, {Name: "c"}}
@@ -169,8 +169,8 @@
 }
 
 // A deployment with far more engines than its batches fill keeps only some of
-// them at the newest versions (sweep of qarmoud-arena at 300 machines: orders
-// cost half of the day's worth).
+// them at the newest versions: at 300 machines orders once
+// cost half of what the day was worth.
 func TestOnlyAsManyEnginesAreKeptAsBatchesNeed(t *testing.T) {
 	is := is.New(t)
 	is.Equal(enough(48, 8), 24)
--- a/internal/replicas/modelsync/order_test.go
+++ b/internal/replicas/modelsync/order_test.go
@@ -24,8 +24,8 @@
 func lagOfOne(string) int64 { return 1 }
 
 // A model none of whose engines may run its batches comes before others that
-// have some, whatever its place in the list (qarmoud-arena trouble-2, seed 10: two
-// models got all changes from 6.9 to 19 s, the third one's steps stood still).
+// have some, whatever its place in the list: two models once got all changes
+// for 12 s, and the third one's steps stood still.
 func TestAModelWithoutUsableEnginesComesFirst(t *testing.T) {
 	is := is.New(t)
 	models := []route.Model{{Name: "a"}, {Name: "b"}, {Name: "c"}}
--- a/internal/replicas/modelsync/width_test.go
+++ b/internal/replicas/modelsync/width_test.go
@@ -40,8 +40,8 @@
 	is.Equal(rounds(&width{}, 20, 8, 100), minWidth)
 }
 
-// Hundreds of engines are brought along within some rounds (sweep of
-// qarmoud-arena: 46 changes in all at 300 engines, two at a time).
+// Hundreds of engines are brought along within some rounds: two at a time
+// there were once 46 changes in all at 300 engines.
 func TestManyWaitingWiden(t *testing.T) {
 	is := is.New(t)
 	is.True(rounds(&width{}, 5, 300, 1000) >= 32)
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -22,8 +22,8 @@
 func entry(id string) Entry { return Entry{ID: id, Service: "s", Address: "a", Zone: "z", Slots: 4} }
 
 // After an outage of the platform the list may be empty until the replicas have
-// written their entries again: they go on getting work for half the drain bound
-// (bench: qarmoud-arena trouble-2, "no replica" after the store was back).
+// written their entries again: they go on getting work for half the drain
+// bound. Without that, requests found no replica after the store was back.
 func TestReplicasThatVanishTogetherGetWorkForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -137,7 +137,7 @@
 
 // An engine that changes its weights declines for a second: it is asked by one
 // request at a time, less and less often, and by as many as it takes once it has
-// accepted one (qarmoud-arena-grown scale-1: 1,090 of 5,534 requests declined).
+// accepted one (1,090 of 5,534 requests were once declined).
 func TestADecliningReplicaIsProbedByOneRequestAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
