--- a/internal/callers/usage/logging.go
+++ b/internal/callers/usage/logging.go
@@ -49,7 +49,8 @@
 		}
 		requests := r.unlogged[window]
 		delete(r.unlogged, window)
-		r.logger.Info("usage counted", zap.Int64("window", window), zap.String("run", r.self), zap.Int64("requests", total(requests)),
+		r.logger.Info("usage counted", zap.Int64("window", window), zap.String("run", r.self),
+			zap.Int64("requests", total(requests)),
 			zap.Int("tenants", len(requests)), zap.Stringer("counts", byTenant(requests)), zap.Int64("number", r.number))
 	}
 }
--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -106,7 +106,8 @@
 	defer cancel()
 	_, err := r.journal.Append(bounded, journal.Append{Partition: Partition, Records: [][]byte{encoded}})
 	if err != nil {
-		r.logger.Info("usage not written", zap.Int64("number", r.number), zap.Bool("certain", errors.Is(err, journal.ErrNotDone)), zap.Error(err))
+		r.logger.Info("usage not written", zap.Int64("number", r.number),
+			zap.Bool("certain", errors.Is(err, journal.ErrNotDone)), zap.Error(err))
 		return errors.Wrap(err, "usage: counts not written")
 	}
 	r.mu.Lock()
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -179,7 +179,8 @@
 func (r *Reporter) readOnce(ctx context.Context) (end int64, err error) {
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	read, err := r.journal.Read(bounded, journal.Read{Partition: Partition, From: r.next, MaxBytes: max(readBytes, r.journal.MaxRecordBytes())})
+	read, err := r.journal.Read(bounded, journal.Read{Partition: Partition, From: r.next,
+		MaxBytes: max(readBytes, r.journal.MaxRecordBytes())})
 	if err != nil {
 		return 0, err
 	}
@@ -211,8 +212,9 @@
 	if errors.Is(err, lease.ErrNotHeld) {
 		return false
 	}
-	r.logger.Info("usage reported", zap.Int64("window", window), zap.Int64("fence", fence), zap.Int64("requests", total(requests)),
-		zap.Duration("after", r.clock.Now().Sub(endOf(window, r.windows))), zap.Int("failures_before", r.rest.Failures()), zap.Error(err))
+	r.logger.Info("usage reported", zap.Int64("window", window), zap.Int64("fence", fence),
+		zap.Int64("requests", total(requests)), zap.Duration("after", r.clock.Now().Sub(endOf(window, r.windows))),
+		zap.Int("failures_before", r.rest.Failures()), zap.Error(err))
 	if err == nil {
 		r.reported.Add(1)
 	} else {
--- a/internal/daemon/cli/cli.go
+++ b/internal/daemon/cli/cli.go
@@ -78,7 +78,8 @@
 func Main(args []string, drivers Drivers, stdout, stderr io.Writer) int {
 	taken := signals.Take()
 	defer taken.Release()
-	o := &options{signals: taken, drivers: drivers, server: defaultServer, output: "text", key: os.Getenv(keyVariable), stdout: stdout}
+	o := &options{signals: taken, drivers: drivers, server: defaultServer, output: "text",
+		key: os.Getenv(keyVariable), stdout: stdout}
 	parser := flaggy.NewParser("woodworks")
 	parser.Description = "a rollout service for reinforcement learning"
 	parser.Version = Version
--- a/internal/daemon/cli/commands.go
+++ b/internal/daemon/cli/commands.go
@@ -39,7 +39,8 @@
 	remoteFlags(drain, o)
 	parser.AttachSubcommand(drain, 1)
 
-	why := leaf("explain", "tell from logs what befell a request, item, batch, replica, service or window of usage, or how a daemon was stopped", "woodworks explain 9c41d07be2a35f68 edge-1.log edge-2.log")
+	why := leaf("explain", "tell from logs what befell a request, item, batch, replica, service or window of usage, "+
+		"or how a daemon was stopped", "woodworks explain 9c41d07be2a35f68 edge-1.log edge-2.log")
 	why.AddPositionalValue(&o.explainID, "id", 1, true, "id as it stands in the logs")
 	why.StringSlice(&o.logFiles, "l", "log", "log file, as is each further argument; without one, standard input is read")
 	parser.AttachSubcommand(why, 1)
@@ -54,7 +55,8 @@
 	group := leaf("policy", "check, test and publish policies", "woodworks policy publish assessor.star --name assessor")
 	check := leaf("check", "compile a policy and say what is wrong", "woodworks policy check assessor.star")
 	test := leaf("test", "run a policy's test_* functions offline", "woodworks policy test assessor.star")
-	publish := leaf("publish", "publish a policy on the log", "woodworks policy publish assessor.star --name assessor --replaces 12")
+	publish := leaf("publish", "publish a policy on the log",
+		"woodworks policy publish assessor.star --name assessor --replaces 12")
 	history := leaf("history", "show the changes that the log still has", "woodworks policy history")
 	diff := leaf("diff", "compare a file with the policy in force", "woodworks policy diff assessor.star --name assessor")
 	for _, sub := range []*flaggy.Subcommand{check, test, publish, diff} {
@@ -71,7 +73,8 @@
 		group.AttachSubcommand(sub, 1)
 	}
 	parser.AttachSubcommand(group, 1)
-	return []command{{node: check, run: runPolicyCheck}, {node: test, run: runPolicyTest}, {node: publish, run: runPolicyPublish},
+	return []command{{node: check, run: runPolicyCheck}, {node: test, run: runPolicyTest},
+		{node: publish, run: runPolicyPublish},
 		{node: history, run: runPolicyHistory}, {node: diff, run: runPolicyDiff}}
 }
 
@@ -80,7 +83,8 @@
 	submit := leaf("submit", "submit a batch from a JSON file", "woodworks rollout submit batch.json")
 	submit.AddPositionalValue(&o.file, "file", 1, true, "request (JSON)")
 	remoteFlags(submit, o)
-	follow := leaf("follow", "print samples as they complete", "woodworks rollout follow assessor step-12 --training-version 7")
+	follow := leaf("follow", "print samples as they complete",
+		"woodworks rollout follow assessor step-12 --training-version 7")
 	follow.AddPositionalValue(&o.trainer, "trainer", 1, true, "trainer")
 	follow.AddPositionalValue(&o.batch, "name", 2, true, "batch")
 	follow.UInt64(&o.version, "", "training-version", "weight version that the trainer now trains")
@@ -92,9 +96,12 @@
 }
 
 func attachQuarantine(parser *flaggy.Parser, o *options) []command {
-	group := leaf("quarantine", "see and lift what is held against requests that end their replicas", "woodworks quarantine list --server http://127.0.0.1:7183")
-	list := leaf("list", "show the contents that are suspected or refused", "woodworks quarantine list --server http://127.0.0.1:7183")
-	lift := leaf("lift", "let a content run again, at all daemons", "woodworks quarantine lift DIGEST --server http://127.0.0.1:7183")
+	group := leaf("quarantine", "see and lift what is held against requests that end their replicas",
+		"woodworks quarantine list --server http://127.0.0.1:7183")
+	list := leaf("list", "show the contents that are suspected or refused",
+		"woodworks quarantine list --server http://127.0.0.1:7183")
+	lift := leaf("lift", "let a content run again, at all daemons",
+		"woodworks quarantine lift DIGEST --server http://127.0.0.1:7183")
 	lift.AddPositionalValue(&o.digest, "digest", 1, true, "digest as list shows it")
 	for _, sub := range []*flaggy.Subcommand{list, lift} {
 		sub.String(&o.server, "s", "server", "a daemon's address for metrics")
--- a/internal/daemon/cli/quarantine.go
+++ b/internal/daemon/cli/quarantine.go
@@ -29,7 +29,8 @@
 			ended = append(ended, fmt.Sprintf("%s x%d", replica, times))
 		}
 		since := time.Duration(entry.SinceEndMs) * time.Millisecond
-		fmt.Fprintf(table, "%t\t%s\t%s ago\t%d\t%s\t%s %s%s\t%s\n", entry.Refused, strings.Join(ended, ", "), since, entry.TurnedAway,
+		fmt.Fprintf(table, "%t\t%s\t%s ago\t%d\t%s\t%s %s%s\t%s\n", entry.Refused, strings.Join(ended, ", "),
+			since, entry.TurnedAway,
 			entry.Label.Service, entry.Label.Method, entry.Label.Host, entry.Label.Target, entry.Digest)
 	}
 	table.Flush()
--- a/internal/daemon/cli/reload.go
+++ b/internal/daemon/cli/reload.go
@@ -111,7 +111,8 @@
 			kept = append(kept, key)
 		}
 	}
-	l.logger.Info("reload", zap.String("in_force", strings.Join(taken, " ")), zap.String("needs_restart", strings.Join(kept, " ")))
+	l.logger.Info("reload", zap.String("in_force", strings.Join(taken, " ")),
+		zap.String("needs_restart", strings.Join(kept, " ")))
 }
 
 // change brings one setting into force and reports whether it could. A file that is just
--- a/internal/daemon/explain/stop.go
+++ b/internal/daemon/explain/stop.go
@@ -25,7 +25,8 @@
 var (
 	stopSteps = map[string]bool{eventSignal: true, eventStopping: true, "group left": true, "listener closed": true,
 		"requests interrupted by the stop": true, "lease resigned": true, eventStopped: true}
-	stopWork = map[string]bool{eventTurnedAway: true, "batch released": true, "batch released unstarted": true, "items given back": true}
+	stopWork = map[string]bool{eventTurnedAway: true, "batch released": true, "batch released unstarted": true,
+		"items given back": true}
 	// stopCuts are the outcomes of requests that were under way at the interruption.
 	stopCuts = map[string]bool{"refused": true, "broken off": true, "interrupted": true}
 )
--- a/internal/daemon/logging/limit.go
+++ b/internal/daemon/logging/limit.go
@@ -93,7 +93,8 @@
 	for _, each := range leftOut {
 		told := entry
 		told.Message = "log lines left out"
-		if err := core.Core.Write(told, []zapcore.Field{zap.String("of", each.event), zap.String("reason", each.reason), zap.Int("lines", each.lines)}); err != nil {
+		of := []zapcore.Field{zap.String("of", each.event), zap.String("reason", each.reason), zap.Int("lines", each.lines)}
+		if err := core.Core.Write(told, of); err != nil {
 			return err
 		}
 	}
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -105,8 +105,10 @@
 func (n *Node) buildWeights(drivers Drivers) {
 	log := drivers.Journal
 	n.demands = demand.NewState(n.logger)
-	n.demandFollower = journal.NewKeyedFollower(log, demand.Partition, n.demands, n.settings.Timing.ContactBound.Std(), n.logger)
-	n.lease = lease.New(log, journal.Partition{Topic: dutyTopic}, n.identity, n.settings.Name, n.settings.Timing.LeaseQuiet.Std(), n.logger)
+	n.demandFollower = journal.NewKeyedFollower(log, demand.Partition, n.demands,
+		n.settings.Timing.ContactBound.Std(), n.logger)
+	n.lease = lease.New(log, journal.Partition{Topic: dutyTopic}, n.identity, n.settings.Name,
+		n.settings.Timing.LeaseQuiet.Std(), n.logger)
 	n.syncer = modelsync.New(modelsync.Parts{
 		Holder: n.settings.Name, Lease: n.lease, Driver: drivers.Engines, Table: n.table, Configuration: n.operator.Configuration,
 		Named: n.operator.Named, Demands: n.demands, EventTime: n.occupancy.eventTimeOf,
@@ -134,7 +136,8 @@
 		Names: drivers.Headers, Codec: drivers.Codec, Configuration: n.operator.Configuration, Forwarder: forwarder,
 		Clock: bootclock.Now, Retries: ingress.NoRetryPolicy{}, Ran: func(string, time.Time) {},
 		Runner: n.runner, Results: n.results, Observer: n.metrics, Logger: n.logger,
-		ConfigurationAge: n.configurationAge, Stop: n.shutdown, Admission: n.newAdmission(), Holding: n.holding, Unread: timing.Unread.Std(),
+		ConfigurationAge: n.configurationAge, Stop: n.shutdown, Admission: n.newAdmission(),
+		Holding: n.holding, Unread: timing.Unread.Std(),
 		Keys: ingress.KeyPolicy{TrustKnown: timing.KeyBound.Std(), TrustUnknown: timing.ContactBound.Std()},
 	}
 	n.public.handler = n.handler
--- a/internal/daemon/node/candidate.go
+++ b/internal/daemon/node/candidate.go
@@ -13,7 +13,8 @@
 // in turn or in runs, these are two or three daemons; one alone might be the
 // holder that has been lost.
 func isCandidate(dealt map[journal.Partition]bool, partitionsPerTopic int) bool {
-	return slices.ContainsFunc(candidacies(partitionsPerTopic), func(partition journal.Partition) bool { return dealt[partition] })
+	return slices.ContainsFunc(candidacies(partitionsPerTopic),
+		func(partition journal.Partition) bool { return dealt[partition] })
 }
 
 // candidacies are the partitions whose members claim the lease.
--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -29,8 +29,8 @@
 	}
 	if drivers.Duties.Duties().Fleet {
 		n.fleet = fleet.NewManager(fleet.Parts{
-			Journal: drivers.Journal, Lease: n.lease, Driver: drivers.Duties, Holder: n.settings.Name, Table: n.table, List: n.replicaFollower,
-			Configuration: n.operator.Configuration, Demands: n.demands,
+			Journal: drivers.Journal, Lease: n.lease, Driver: drivers.Duties, Holder: n.settings.Name,
+			Table: n.table, List: n.replicaFollower, Configuration: n.operator.Configuration, Demands: n.demands,
 		}, n.logger)
 	}
 	windows := duty.Windows{Length: n.settings.Timing.UsageWindow.Std(), Due: n.settings.Timing.UsageDue.Std()}
--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -129,7 +129,8 @@
 		idle: orDefault(l.limits.IdleTimeout, defaultIdleTimeout),
 		head: orDefault(l.limits.HeaderTimeout, defaultHeaderTimeout),
 	})
-	l.logger.Info("limits in force", zap.Int("header_bytes", l.limits.MaxHeaderBytes), zap.Int64("body_bytes", l.limits.MaxBodyBytes),
+	l.logger.Info("limits in force", zap.Int("header_bytes", l.limits.MaxHeaderBytes),
+		zap.Int64("body_bytes", l.limits.MaxBodyBytes),
 		zap.Duration("header_timeout", l.limits.HeaderTimeout), zap.Duration("idle_timeout", l.limits.IdleTimeout))
 	if l.current != nil {
 		l.startServer()
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -225,7 +225,8 @@
 		go run(n.context)
 	}
 	n.startDuties()
-	n.logger.Info("started", zap.String("id", n.identity), zap.String("zone", n.settings.Zone), zap.String("public", n.settings.Listen.Public))
+	n.logger.Info("started", zap.String("id", n.identity), zap.String("zone", n.settings.Zone),
+		zap.String("public", n.settings.Listen.Public))
 	return nil
 }
 
--- a/internal/daemon/node/stop.go
+++ b/internal/daemon/node/stop.go
@@ -29,7 +29,8 @@
 	grace := time.Duration(n.grace.Load())
 	plan := n.shutdown.Begin(grace)
 	n.logger.Info("stopping", zap.Int64("in_flight", n.handler.InFlight()), zap.Duration("grace", grace),
-		zap.Duration("drain", plan.Drain), zap.Duration("interrupt", plan.Interrupt), zap.Int("connections", len(n.public.conns.all())))
+		zap.Duration("drain", plan.Drain), zap.Duration("interrupt", plan.Interrupt),
+		zap.Int("connections", len(n.public.conns.all())))
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(plan.Interrupt))
 	defer cancel()
 	released := make(chan struct{})
--- a/internal/daemon/settings/check.go
+++ b/internal/daemon/settings/check.go
@@ -99,7 +99,8 @@
 	store := p.Store
 	f.address(store.Address, "platform.store.address")
 	f.require(store.Partitions > 0, "platform.store.partitions", "must be above 0")
-	f.require(store.RecordBytes >= minRecordBytes, "platform.store.record_bytes", fmt.Sprintf("must be at least %d", minRecordBytes))
+	f.require(store.RecordBytes >= minRecordBytes, "platform.store.record_bytes",
+		fmt.Sprintf("must be at least %d", minRecordBytes))
 	f.require(store.AppendBytes >= store.RecordBytes, "platform.store.append_bytes", "must not be less than record_bytes")
 	f.require(store.ReadsPerSecond >= 0, "platform.store.reads_per_second", "must not be below 0")
 	f.require(store.WritesPerSecond >= 0, "platform.store.writes_per_second", "must not be below 0")
--- a/internal/daemon/settings/settings.go
+++ b/internal/daemon/settings/settings.go
@@ -122,9 +122,10 @@
 
 // Shape is what the log takes, and grants all daemons together.
 func (s Store) Shape() journal.Shape {
-	return journal.Shape{Partitions: s.Partitions, RecordBytes: s.RecordBytes, AppendBytes: s.AppendBytes, Granted: journal.Grants{
+	granted := journal.Grants{
 		ReadsPerSecond: s.ReadsPerSecond, WritesPerSecond: s.WritesPerSecond, ReadBytesPerSecond: s.ReadMBPerSecond * megabyte,
-	}}
+	}
+	return journal.Shape{Partitions: s.Partitions, RecordBytes: s.RecordBytes, AppendBytes: s.AppendBytes, Granted: granted}
 }
 
 // Timing holds the daemon's bounds in time.
--- a/internal/journal/failures.go
+++ b/internal/journal/failures.go
@@ -38,7 +38,8 @@
 func (f *KeyedFollower) noteContact() {
 	f.lastContact.Note()
 	if f.failures.logged {
-		f.logger.Info("dependency regained", zap.Duration("after", time.Since(f.failures.since)), zap.Int("failures", f.failures.count))
+		f.logger.Info("dependency regained", zap.Duration("after", time.Since(f.failures.since)),
+			zap.Int("failures", f.failures.count))
 	}
 	f.failures = failureRow{}
 }
@@ -56,7 +57,8 @@
 	row.count++
 	if !row.logged && time.Since(row.since) >= lostAfter {
 		row.logged = true
-		f.logger.Warn("dependency lost", zap.Int("failures", row.count), zap.Duration("for", time.Since(row.since)), zap.Error(err))
+		f.logger.Warn("dependency lost", zap.Int("failures", row.count),
+			zap.Duration("for", time.Since(row.since)), zap.Error(err))
 	}
 	periodic.Pause(ctx, f.pauseAfter(err))
 }
--- a/internal/journal/logservice/client.go
+++ b/internal/journal/logservice/client.go
@@ -43,7 +43,8 @@
 		return answer, errors.Wrap(journal.ErrNotDone, err.Error())
 	}
 	resp, err := c.pool.Exchange(ctx, c.addr, &upstream.Request{
-		Method: http.MethodPost, Target: pathPrefix + name, Host: c.addr, Header: http.Header{"Content-Type": {contentType}}, Body: body,
+		Method: http.MethodPost, Target: pathPrefix + name, Host: c.addr,
+		Header: http.Header{"Content-Type": {contentType}}, Body: body,
 	})
 	if errors.Is(err, upstream.ErrNotSent) {
 		return answer, errors.Wrap(journal.ErrNotDone, err.Error())
--- a/internal/journal/logservice/handler.go
+++ b/internal/journal/logservice/handler.go
@@ -52,7 +52,8 @@
 
 // answer decodes a call, does it and writes what came of it. A call whose
 // outcome is unknown gets no answer: the connection is cut.
-func answer[Request, Answer any](w http.ResponseWriter, r *http.Request, body []byte, do func(context.Context, Request) (Answer, error)) {
+func answer[Request, Answer any](w http.ResponseWriter, r *http.Request, body []byte,
+	do func(context.Context, Request) (Answer, error)) {
 	var req Request
 	if err := cbor.Unmarshal(body, &req); err != nil {
 		write(w, http.StatusBadRequest, refusal{Reason: reasonNotDone, Text: "body: " + err.Error()})
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -52,7 +52,8 @@
 }
 
 func newPeers(options Options, logger *zap.Logger) *peers {
-	dialer := upstream.NewDialer(upstream.Options{LocalAddress: options.Address, ConnectTimeout: dialTimeout, UnackedTimeout: unackedTimeout})
+	dialer := upstream.NewDialer(upstream.Options{LocalAddress: options.Address, ConnectTimeout: dialTimeout,
+		UnackedTimeout: unackedTimeout})
 	return &peers{
 		options: options,
 		dial: func(ctx context.Context, address string) (net.Conn, error) {
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -132,7 +132,8 @@
 	}
 	r.givenUp += uint64(givenUp)
 	took := now.Sub(call.began)
-	r.answers.Note(logging.Occurrence{Subject: call.partition.Topic, Took: took, Times: givenUp}, zap.Int("calls_given_up", givenUp),
+	r.answers.Note(logging.Occurrence{Subject: call.partition.Topic, Took: took, Times: givenUp},
+		zap.Int("calls_given_up", givenUp),
 		zap.String("topic", call.partition.Topic), zap.Int("partition", call.partition.Number), zap.Duration("took", took))
 }
 
--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -129,5 +129,6 @@
 	l.held, l.fence, l.next = true, appended.Offset+1, appended.End
 	l.newest, l.newestAt = record{Kind: claimed, Holder: l.self, Machine: l.machine}, l.now()
 	l.actUntil = sent.Add(Duration)
-	l.logger.Info("lease claimed", zap.Int64("fence", l.fence), zap.String("from", before), zap.Duration("act_in", actFrom.Sub(l.now())))
+	l.logger.Info("lease claimed", zap.Int64("fence", l.fence), zap.String("from", before),
+		zap.Duration("act_in", actFrom.Sub(l.now())))
 }
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -74,7 +74,8 @@
 }
 
 // New returns a lease on the partition for the incarnation of a daemon named self on a machine.
-func New(log journal.Journal, partition journal.Partition, self, machine string, quiet time.Duration, logger *zap.Logger) *Lease {
+func New(log journal.Journal, partition journal.Partition, self, machine string, quiet time.Duration,
+	logger *zap.Logger) *Lease {
 	return &Lease{
 		journal:    log,
 		partition:  partition,
--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -93,7 +93,8 @@
 	decoded, err := s.decode(record)
 	if err != nil {
 		if s.refused.isNew(record) {
-			s.logger.Error("operator's record refused", zap.String("key", record.Key), zap.Int64("offset", record.Offset), zap.Error(err))
+			s.logger.Error("operator's record refused", zap.String("key", record.Key),
+				zap.Int64("offset", record.Offset), zap.Error(err))
 		}
 		return
 	}
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -2,10 +2,11 @@
 // platform starts and ends them on order.
 //
 // Plan is the rule, and pure (plan.go); Manager carries it out on the daemon that holds the lease
-// for duties. listed.go tells which replicas there are, orders.go keeps what was ordered. The package owns the records of what was ordered, in a keyed partition of the
-// journal, so that a successor goes on from there and does not take replicas for surplus. It
-// relies on the list of replicas, on the demands of the trainers' batches, and on the
-// platform to refuse orders of a lower fence.
+// for duties. listed.go tells which replicas there are, orders.go keeps what was ordered. The
+// package owns the records of what was ordered, in a keyed partition of the journal, so that a
+// successor goes on from there and does not take replicas for surplus. It relies on the list of
+// replicas, on the demands of the trainers' batches, and on the platform to refuse orders of a
+// lower fence.
 //
 // # Usage
 //
@@ -133,14 +134,16 @@
 }
 
 // input gathers what a plan for a service depends on.
-func (m *Manager) input(configuration *route.Configuration, service route.Service, present map[serviceZone]int, now time.Time) Input {
+func (m *Manager) input(configuration *route.Configuration, service route.Service,
+	present map[serviceZone]int, now time.Time) Input {
 	in := Input{Scaling: *service.Scaling, Slots: service.Slots, Now: now, Loads: m.loads(configuration, service)}
 	for key, count := range present {
 		if key.service != service.Name {
 			continue
 		}
 		last := m.ordered[key]
-		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, Seen: m.seen[key].count, Ordered: last.Desired, OrderedAt: last.at})
+		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, Seen: m.seen[key].count,
+			Ordered: last.Desired, OrderedAt: last.at})
 	}
 	// By name, so that plans do not depend on chance.
 	slices.SortFunc(in.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -142,7 +142,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	deals := dealEvenly(replicas, models, allotment, s.modelsDealt(replicas), func(id string) time.Duration { return s.noteOf(id).best.Value() })
+	deals := dealEvenly(replicas, models, allotment, s.modelsDealt(replicas),
+		func(id string) time.Duration { return s.noteOf(id).best.Value() })
 	for i, model := range models {
 		for _, rep := range deals[i] {
 			if len(replicas) >= len(models) {
@@ -184,7 +185,8 @@
 }
 
 // dealAllotment gives each replica to one model at most, in the order in which they come.
-func dealAllotment(sorted []replica.Replica, models []route.Model, allotment []int, before map[string]string) [][]replica.Replica {
+func dealAllotment(sorted []replica.Replica, models []route.Model, allotment []int,
+	before map[string]string) [][]replica.Replica {
 	deals := make([][]replica.Replica, len(models))
 	var left []replica.Replica
 	for _, rep := range sorted {
--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -62,8 +62,8 @@
 	} else {
 		n.rest.Failed(changePauses, time.Now())
 	}
-	s.logger.Info("weights", zap.String("replica", c.replica.ID), zap.String("model", c.model), zap.Int64("version", c.version),
-		zap.Duration("took", time.Since(began)), zap.Error(err))
+	s.logger.Info("weights", zap.String("replica", c.replica.ID), zap.String("model", c.model),
+		zap.Int64("version", c.version), zap.Duration("took", time.Since(began)), zap.Error(err))
 }
 
 // changeWeights orders the change unless it has happened, and waits for it.
--- a/internal/replicas/modelsync/kinds.go
+++ b/internal/replicas/modelsync/kinds.go
@@ -97,7 +97,8 @@
 // partsOf returns how many engines of a kind each model gets, given what it has of the
 // faster ones, reached being how many engines there are up to this kind. What a model has
 // already of the kind it keeps within the rounding.
-func partsOf(kind []replica.Replica, models []route.Model, allotment, given []int, before map[string]string, reached int) []int {
+func partsOf(kind []replica.Replica, models []route.Model, allotment, given []int, before map[string]string,
+	reached int) []int {
 	part := min(float64(reached)/float64(max(total(allotment), 1)), 1)
 	held := heldOf(kind, models, before)
 	parts, left := make([]int, len(models)), len(kind)
--- a/internal/replicas/modelsync/order.go
+++ b/internal/replicas/modelsync/order.go
@@ -17,7 +17,8 @@
 }
 
 // needOf returns a model's need.
-func needOf(replicas []replica.Replica, model string, version, lag int64, due []change, loading func(replicaID string) bool) modelNeed {
+func needOf(replicas []replica.Replica, model string, version, lag int64, due []change,
+	loading func(replicaID string) bool) modelNeed {
 	need := modelNeed{engines: len(replicas)}
 	for _, rep := range replicas {
 		coming := loading(rep.ID)
--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -111,7 +111,8 @@
 		inFlight = e.inFlight
 		e.goneAt, e.last = t.now(), Entry{}
 	}
-	t.logger.Info("replica started again", zap.String("replica", now.ID), zap.String("service", now.Service), zap.String("address", now.Address),
+	t.logger.Info("replica started again", zap.String("replica", now.ID), zap.String("service", now.Service),
+		zap.String("address", now.Address),
 		zap.Time("born", now.Born), zap.Time("before", before.Born), zap.Int("in_flight_before", inFlight))
 	t.restarted(before.Address)
 	if now.Address != before.Address {
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -117,7 +117,8 @@
 func NewTable(drainBound time.Duration, logger *zap.Logger) *Table {
 	return &Table{
 		logger: logger, removedGrace: drainBound / 2, now: bootclock.Now,
-		entries: map[string]*listed{}, services: map[string]map[string]*listed{}, learned: map[Incarnation]*experience{}, newest: map[string]Entry{},
+		entries: map[string]*listed{}, services: map[string]map[string]*listed{},
+		learned: map[Incarnation]*experience{}, newest: map[string]Entry{},
 		restarted: func(string) {}, changed: make(chan struct{}),
 	}
 }
