--- a/internal/daemon/cli/cli.go
+++ b/internal/daemon/cli/cli.go
@@ -62,8 +62,8 @@
 	// isDaemon is true for a command that takes the signals itself, and whose end waits
 	// for no reader.
 	isDaemon bool
-	// surplus takes further arguments; nil where there must be none.
-	surplus func(options *options, args []string)
+	// takesFiles says that further arguments are log files; other commands take none.
+	takesFiles bool
 }
 
 const (
@@ -95,33 +95,24 @@
 		return report(stderr, usagef("--output: %q is not text or json", o.output))
 	}
 	for _, candidate := range commands {
-		if candidate.node.Used {
-			if err := takeSurplus(o, candidate, parser.TrailingArguments); err != nil {
-				return report(stderr, err)
-			}
-			if candidate.isDaemon {
-				return reportBounded(stderr, candidate.run(o))
-			}
-			taken.EndProcess()
-			return report(stderr, candidate.run(o))
+		if !candidate.node.Used {
+			continue
 		}
+		surplus := parser.TrailingArguments
+		if len(surplus) > 0 && !candidate.takesFiles {
+			return report(stderr, usagef("%s: argument %q is not expected", candidate.node.Name, surplus[0]))
+		}
+		o.logFiles = append(o.logFiles, surplus...)
+		if candidate.isDaemon {
+			return reportBounded(stderr, candidate.run(o))
+		}
+		taken.EndProcess()
+		return report(stderr, candidate.run(o))
 	}
 	parser.ShowHelp()
 	return ExitUsage
 }
 
-// takeSurplus gives a command the arguments beyond those that it names, or says which
-// one it does not take.
-func takeSurplus(o *options, used command, surplus []string) error {
-	if used.surplus == nil && len(surplus) > 0 {
-		return usagef("%s: argument %q is not expected", used.node.Name, surplus[0])
-	}
-	if used.surplus != nil {
-		used.surplus(o, surplus)
-	}
-	return nil
-}
-
 func (o *options) client() *client.Client { return client.New(o.server, o.key) }
 
 // remoteTimeout bounds a call to a daemon.
--- a/internal/daemon/cli/commands.go
+++ b/internal/daemon/cli/commands.go
@@ -48,7 +48,7 @@
 	version := leaf("version", "print the release", "")
 	parser.AttachSubcommand(version, 1)
 	return append(commands, command{node: status, run: runStatus}, command{node: drain, run: runDrain},
-		command{node: why, run: runExplain, surplus: addLogFiles}, command{node: version, run: runVersion})
+		command{node: why, run: runExplain, takesFiles: true}, command{node: version, run: runVersion})
 }
 
 func attachPolicy(parser *flaggy.Parser, o *options) []command {
--- a/internal/daemon/cli/explain.go
+++ b/internal/daemon/cli/explain.go
@@ -9,11 +9,6 @@
 	"woodworks/internal/daemon/explain"
 )
 
-// addLogFiles takes arguments as log files.
-func addLogFiles(o *options, args []string) {
-	o.logFiles = append(o.logFiles, args...)
-}
-
 // runExplain tells the story of an id from log files, or from standard input
 // if none is named.
 func runExplain(o *options) error {
--- a/internal/daemon/logging/logging.go
+++ b/internal/daemon/logging/logging.go
@@ -55,14 +55,13 @@
 	output := NewAsyncWriter(os.Stdout)
 	core := newBoundedCore(zaplogfmt.NewEncoder(encoding), output, level)
 	logger := zap.New(core, zap.ErrorOutput(output)).With(zap.String("node", node))
-	TakeOver(logger)
+	takeOver(logger)
 	return logger, nil
 }
 
-// TakeOver sends go-zero's logs to the logger, and those of the standard library, which
-// would write to standard error and wait for its reader. go-zero installs a writer of
-// its own whenever a server is made, so this is called again after that.
-func TakeOver(logger *zap.Logger) {
+// takeOver sends go-zero's logs to the logger, and those of the standard library, which
+// would write to standard error and wait for its reader.
+func takeOver(logger *zap.Logger) {
 	if _, err := zap.RedirectStdLogAt(logger, zap.WarnLevel); err != nil {
 		logger.Warn("standard log not taken over", zap.Error(err))
 	}
--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -127,9 +127,7 @@
 	}
 	s.logger.Info("configuration in force", zap.Int64("version", configuration.Version), zap.Int64("offset", offset),
 		zap.Int("routes", len(configuration.Routes)), zap.Int("services", len(configuration.Services)))
-	if s.onChange != nil {
-		s.onChange(configuration)
-	}
+	s.onChange(configuration)
 }
 
 func (s *State) name(model string, version, offset int64) {
