--- a/internal/journal/relay/ask.go
+++ b/internal/journal/relay/ask.go
@@ -40,7 +40,8 @@
 // Ask calls a method that another daemon has registered, named by its machine, and waits
 // for the answer until the context ends. A peer that could not be reached or did not
 // answer is left alone for a while: until then calls to it fail with ErrNotReached at once.
-// After an error the answer must not be read, as a late one may still be written to it.
+// The error wraps ErrNotReached, ErrNoAnswer or ErrRefused. After one the answer must not be read,
+// as a late one may still be written to it.
 func (j *Journal) Ask(ctx context.Context, machine, method string, args, answer any) error {
 	other := j.peers.available(machine)
 	if other == nil {
--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -11,12 +11,13 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
 )
 
-// outage is a journal whose calls hang while it is silent.
-func failureRow() (*journaltest.Journal, *atomic.Bool) {
+// newSilenceable returns a journal whose calls hang while it is silent.
+func newSilenceable() (*journaltest.Journal, *atomic.Bool) {
 	log := journaltest.New()
 	silent := &atomic.Bool{}
 	log.Befall = func(journaltest.Call) journaltest.Fault {
@@ -28,12 +29,13 @@
 	return log, silent
 }
 
-// ended runs a call in the background and tells how it ended, and when.
+// ended is how a call ended, and when.
 type ended struct {
 	err error
 	at  time.Time
 }
 
+// background runs a call and tells how it ended.
 func background(call func() error) chan ended {
 	done := make(chan ended, 1)
 	go func() {
@@ -48,7 +50,7 @@
 func TestSwallowedCallsEndWhenTheJournalAnswersAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		log, silent := failureRow()
+		log, silent := newSilenceable()
 		revived := journal.Revive(log, zap.NewNop())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
@@ -81,7 +83,7 @@
 func TestCallsThatMayBeAnsweredYetAreLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		log, silent := failureRow()
+		log, silent := newSilenceable()
 		revived := journal.Revive(log, zap.NewNop())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
@@ -119,6 +121,14 @@
 	})
 }
 
+// after waits for a while, or gives a call up of which the outcome is unknown.
+func after(ctx context.Context, wait time.Duration) error {
+	if periodic.Pause(ctx, wait); ctx.Err() != nil {
+		return errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
+	}
+	return nil
+}
+
 // slowly is a journal whose appends and reads take a time.
 type slowly struct {
 	*journaltest.Journal
@@ -126,10 +136,8 @@
 }
 
 func (s slowly) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
-	select {
-	case <-time.After(s.appendTime):
-	case <-ctx.Done():
-		return journal.Appended{}, errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
+	if err := after(ctx, s.appendTime); err != nil {
+		return journal.Appended{}, err
 	}
 	return s.Journal.Append(ctx, request)
 }
@@ -162,7 +170,7 @@
 func TestALostReadIsToldByOtherPartitions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		log, silent := failureRow()
+		log, silent := newSilenceable()
 		revived := journal.Revive(log, zap.NewNop())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
@@ -197,10 +205,8 @@
 
 func (s slowRecords) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	if request.Partition == s.partition {
-		select {
-		case <-time.After(s.takes):
-		case <-ctx.Done():
-			return journal.Records{}, errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
+		if err := after(ctx, s.takes); err != nil {
+			return journal.Records{}, err
 		}
 	}
 	return s.Journal.Read(ctx, request)
@@ -246,10 +252,8 @@
 }
 
 func (s slowNewest) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
-	select {
-	case <-time.After(s.takes):
-	case <-ctx.Done():
-		return journal.KeyedPage{}, errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
+	if err := after(ctx, s.takes); err != nil {
+		return journal.KeyedPage{}, err
 	}
 	return s.Journal.Newest(ctx, partition, afterKey)
 }
