--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -12,6 +12,9 @@
 
 	"github.com/matryer/is"
 	"github.com/pkg/errors"
+	"go.uber.org/zap"
+
+	"woodworks/internal/journal"
 )
 
 // Echo is a service of a peer.
@@ -192,3 +195,23 @@
 		is.Equal(dials, 1) // and it is not sent again
 	})
 }
+
+// A caller gave a call up while a connection to a peer was being made. Each peer that was due then
+// counted as not reached and was left alone for 3 s, although nothing was known against it.
+func TestACancelledCallLeavesItsPeersInUse(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		p := newPeers(Options{Name: "a"}, zap.NewNop())
+		p.known["b"], p.known["c"] = &peer{Address: "b"}, &peer{Address: "c"}
+		p.dial = func(ctx context.Context, _ string) (net.Conn, error) {
+			<-ctx.Done()
+			return nil, ctx.Err()
+		}
+		ctx, cancel := context.WithCancel(t.Context())
+		time.AfterFunc(50*time.Millisecond, cancel)
+		_, err := p.relay(ctx, operation{Owners: &ownersCall{Group: "g"}})
+		is.True(p.available("b") != nil)
+		is.True(p.available("c") != nil)
+		is.True(errors.Is(err, journal.ErrUnknown))
+	})
+}
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -164,12 +164,12 @@
 	for _, name := range p.candidates(time.Now()) {
 		answer, err := p.get(name).relay(bounded, p.dial, msg)
 		switch {
-		case errors.Is(err, errNoPeer):
-			p.rest(name, brokenRest, "not reached", err)
-			continue
 		case errors.Is(ctx.Err(), context.Canceled):
 			// The caller has lost interest, which says nothing of the peer.
 			return reply{}, errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
+		case errors.Is(err, errNoPeer):
+			p.rest(name, brokenRest, "not reached", err)
+			continue
 		case err != nil:
 			p.rest(name, silentRest, "no answer", err)
 			return reply{}, errors.Wrap(journal.ErrUnknown, err.Error())
