--- a/internal/journal/relay/ask.go
+++ b/internal/journal/relay/ask.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/rpc"
 	"slices"
 
 	"github.com/pkg/errors"
@@ -43,25 +42,8 @@
 // The error wraps ErrNotReached, ErrNoAnswer or ErrRefused. After one the answer must not be read,
 // as a late one may still be written to it.
 func (j *Journal) Ask(ctx context.Context, machine, method string, args, answer any) error {
-	other := j.peers.available(machine)
-	if other == nil {
+	if j.peers.available(machine) == nil {
 		return errors.Wrapf(ErrNotReached, "%q is not known, or did not answer a moment ago", machine)
 	}
-	err := other.ask(ctx, j.peers.dial, method, args, answer)
-	var refused rpc.ServerError
-	switch {
-	case err == nil:
-		return nil
-	case errors.As(err, &refused):
-		return errors.Wrap(ErrRefused, err.Error())
-	case errors.Is(ctx.Err(), context.Canceled):
-		// The caller has lost interest, which says nothing of the peer.
-		return errors.Wrap(ErrNoAnswer, ctx.Err().Error())
-	case errors.Is(err, errNoPeer):
-		j.peers.rest(machine, brokenRest, "not reached", err)
-		return errors.Wrap(ErrNotReached, err.Error())
-	default:
-		j.peers.rest(machine, silentRest, "no answer", err)
-		return errors.Wrap(ErrNoAnswer, err.Error())
-	}
+	return j.peers.ask(ctx, machine, method, args, answer)
 }
--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -191,7 +191,7 @@
 		asked.drop()
 		err := <-failed
 		is.True(err != nil)
-		is.True(!errors.Is(err, errNoPeer))
+		is.True(!errors.Is(err, ErrNotReached))
 		is.Equal(dials, 1) // and it is not sent again
 	})
 }
--- a/internal/journal/relay/peer.go
+++ b/internal/journal/relay/peer.go
@@ -20,9 +20,6 @@
 // dial makes a connection to a peer.
 type dial func(ctx context.Context, address string) (net.Conn, error)
 
-// errNoPeer: no peer could make the call, and none has.
-var errNoPeer = errors.New("relay: no peer reaches the journal")
-
 // peer is another daemon.
 type peer struct {
 	Address string `cbor:"1,keyasint"`
@@ -58,19 +55,8 @@
 	p.restUntil = until
 }
 
-// relay has a peer make a call to the journal. An error that wraps errNoPeer says that
-// the call was not sent.
-func (p *peer) relay(ctx context.Context, dial dial, msg Message) (reply, error) {
-	var message Message
-	if err := p.ask(ctx, dial, methodName, msg, &message); err != nil {
-		return reply{}, err
-	}
-	var answer reply
-	return answer, message.decode(&answer)
-}
-
-// ask calls a method of the peer and waits for the answer. An error that wraps errNoPeer
-// says that the call was not sent.
+// ask calls a method of the peer and waits for the answer. An error that wraps
+// ErrNotReached says that the call was not sent.
 func (p *peer) ask(ctx context.Context, dial dial, method string, args, answer any) error {
 	err := p.askOnce(ctx, dial, method, args, answer)
 	if errors.Is(err, rpc.ErrShutdown) {
@@ -79,7 +65,7 @@
 		err = p.askOnce(ctx, dial, method, args, answer)
 	}
 	if errors.Is(err, rpc.ErrShutdown) {
-		return errors.Wrap(errNoPeer, err.Error())
+		return errors.Wrap(ErrNotReached, err.Error())
 	}
 	return err
 }
@@ -89,7 +75,7 @@
 func (p *peer) askOnce(ctx context.Context, dial dial, method string, args, answer any) error {
 	client, err := p.connect(ctx, dial)
 	if err != nil {
-		return errors.Wrap(errNoPeer, err.Error())
+		return errors.Wrap(ErrNotReached, err.Error())
 	}
 	call := client.Go(method, args, answer, make(chan *rpc.Call, 1))
 	select {
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -5,6 +5,7 @@
 	"maps"
 	"math/rand/v2"
 	"net"
+	"net/rpc"
 	"slices"
 	"sort"
 	"sync"
@@ -33,6 +34,9 @@
 	lostRest   = 500 * time.Millisecond
 )
 
+// errNoPeer: no peer could make the call, and none has.
+var errNoPeer = errors.New("relay: no peer reaches the journal")
+
 // peers are the other daemons, as they announced themselves. It implements
 // journal.KeyedHandler and is safe for concurrent use.
 type peers struct {
@@ -148,6 +152,28 @@
 	return p.known[name]
 }
 
+// ask calls a method of a peer and waits for the answer until the context ends. A peer that could
+// not be reached or did not answer is left alone for a while.
+func (p *peers) ask(ctx context.Context, name, method string, args, answer any) error {
+	err := p.get(name).ask(ctx, p.dial, method, args, answer)
+	var refused rpc.ServerError
+	switch {
+	case err == nil:
+		return nil
+	case errors.As(err, &refused):
+		return errors.Wrap(ErrRefused, err.Error())
+	case errors.Is(ctx.Err(), context.Canceled):
+		// The caller has lost interest, which says nothing of the peer.
+		return errors.Wrap(ErrNoAnswer, ctx.Err().Error())
+	case errors.Is(err, ErrNotReached):
+		p.rest(name, brokenRest, "not reached", err)
+		return err
+	default:
+		p.rest(name, silentRest, "no answer", err)
+		return errors.Wrap(ErrNoAnswer, err.Error())
+	}
+}
+
 // relay offers a call to one peer after the other until one has made it. An error that
 // wraps errNoPeer says that none has; after any other the call may have been made.
 func (p *peers) relay(ctx context.Context, op operation) (reply, error) {
@@ -162,18 +188,19 @@
 	bounded, cancel := context.WithTimeout(ctx, op.Within)
 	defer cancel()
 	for _, name := range p.candidates(time.Now()) {
-		answer, err := p.get(name).relay(bounded, p.dial, msg)
-		switch {
-		case errors.Is(ctx.Err(), context.Canceled):
-			// The caller has lost interest, which says nothing of the peer.
-			return reply{}, errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
-		case errors.Is(err, errNoPeer):
-			p.rest(name, brokenRest, "not reached", err)
+		var encoded Message
+		var answer reply
+		err := p.ask(bounded, name, methodName, msg, &encoded)
+		if errors.Is(err, ErrNotReached) {
 			continue
-		case err != nil:
-			p.rest(name, silentRest, "no answer", err)
+		}
+		if err == nil {
+			err = encoded.decode(&answer)
+		}
+		if err != nil {
 			return reply{}, errors.Wrap(journal.ErrUnknown, err.Error())
-		case answer.Outcome == outcomeLost:
+		}
+		if answer.Outcome == outcomeLost {
 			p.rest(name, lostRest, "has lost the journal as well", nil)
 			continue
 		}
