--- a/internal/daemon/logging/bounded.go
+++ b/internal/daemon/logging/bounded.go
@@ -25,7 +25,7 @@
 type AsyncWriter struct {
 	target io.Writer
 
-	mutex   sync.Mutex
+	mu      sync.Mutex
 	waiting bytes.Buffer
 	dropped int
 	wake    chan struct{}
@@ -44,8 +44,8 @@
 
 // Write implements io.Writer.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	if w.waiting.Len()+len(line) > queuedBytes {
 		w.dropped++
 		return len(line), nil
@@ -83,8 +83,8 @@
 // refused counts the lines of a batch that the target did not take whole, and those
 // that the batch told of as dropped.
 func (w *AsyncWriter) refused(batch []byte, written int) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	if written > 0 {
 		w.torn = batch[written-1] != '\n'
 	} else {
@@ -110,8 +110,8 @@
 }
 
 func (w *AsyncWriter) take() []byte {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	batch := bytes.Clone(w.waiting.Bytes())
 	w.waiting.Reset()
 	w.busy = len(batch) > 0
@@ -122,9 +122,9 @@
 // queued.
 func (w *AsyncWriter) Sync() error {
 	for end := time.Now().Add(flushTime); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		w.mutex.Lock()
+		w.mu.Lock()
 		done := w.waiting.Len() == 0 && !w.busy
-		w.mutex.Unlock()
+		w.mu.Unlock()
 		if done {
 			break
 		}
--- a/internal/daemon/logging/limit.go
+++ b/internal/daemon/logging/limit.go
@@ -39,7 +39,7 @@
 // limiter bounds the lines of each kind, and of all. What was left out is told once the
 // second is over.
 type limiter struct {
-	mutex  sync.Mutex
+	mu     sync.Mutex
 	second int64
 	counts map[kind]*count
 	// lines and bytes are what was written in the second of all kinds.
@@ -54,9 +54,9 @@
 
 // Write implements zapcore.WriteSyncer.
 func (m meter) Write(line []byte) (int, error) {
-	m.limits.mutex.Lock()
+	m.limits.mu.Lock()
 	m.limits.bytes += len(line)
-	m.limits.mutex.Unlock()
+	m.limits.mu.Unlock()
 	return m.WriteSyncer.Write(line)
 }
 
@@ -113,8 +113,8 @@
 // admit reports whether a line may be written, and what was left out in a
 // second that is over.
 func (limits *limiter) admit(of kind, level zapcore.Level, now time.Time) (bool, []omission) {
-	limits.mutex.Lock()
-	defer limits.mutex.Unlock()
+	limits.mu.Lock()
+	defer limits.mu.Unlock()
 	var leftOut []omission
 	if second := now.Unix(); second != limits.second {
 		for each, counted := range limits.counts {
--- a/internal/daemon/logging/logging_test.go
+++ b/internal/daemon/logging/logging_test.go
@@ -17,19 +17,19 @@
 
 // lines collects what is written.
 type lines struct {
-	mutex sync.Mutex
-	text  strings.Builder
+	mu   sync.Mutex
+	text strings.Builder
 }
 
 func (l *lines) Write(content []byte) (int, error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	return l.text.Write(content)
 }
 
 func (l *lines) String() string {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	return l.text.String()
 }
 
@@ -192,7 +192,7 @@
 }
 
 func (w *AsyncWriter) waitsOrWrites() bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	return w.waiting.Len() > 0 || w.busy
 }
--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -76,14 +76,14 @@
 
 // setKeep sets the longest that answers tell clients to keep their connections.
 func (l *clientListener) setKeep(keep time.Duration) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.keep = keep
 }
 
 func (l *clientListener) longestKept() time.Duration {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	return l.keep
 }
 
--- a/internal/daemon/node/keepalive_test.go
+++ b/internal/daemon/node/keepalive_test.go
@@ -79,10 +79,10 @@
 	is.NoErr(err)
 	l := newClientListener(shutdown.New(), zap.NewNop())
 	l.handler = http.HandlerFunc(answerWhole)
-	l.mutex.Lock()
+	l.mu.Lock()
 	l.listener = bound
 	l.startServer()
-	l.mutex.Unlock()
+	l.mu.Unlock()
 	client := keepOne(t, bound.Addr().String())
 	_, err = io.WriteString(client, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	is.NoErr(err)
--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -42,7 +42,7 @@
 	// draining makes each answer the last one of its connection.
 	draining atomic.Bool
 
-	mutex sync.Mutex
+	mu sync.Mutex
 	// keep is the longest that an answer tells a client to keep its connection.
 	keep     time.Duration
 	limits   route.Limits
@@ -86,10 +86,10 @@
 
 // serve takes the connections of a listener over.
 func (l *clientListener) serve(listener net.Listener) {
-	l.mutex.Lock()
+	l.mu.Lock()
 	l.listener = listener
 	l.startServer()
-	l.mutex.Unlock()
+	l.mu.Unlock()
 	l.accepting.Go(func() { l.accept(listener) })
 }
 
@@ -111,16 +111,16 @@
 
 // take gives a connection to the server in force.
 func (l *clientListener) take(conn net.Conn) {
-	l.mutex.Lock()
+	l.mu.Lock()
 	target := l.queue
-	l.mutex.Unlock()
+	l.mu.Unlock()
 	target.give(l.conns.add(conn, time.Now()))
 }
 
 // configured takes the limits of a new configuration over.
 func (l *clientListener) configured(configuration *route.Configuration) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if l.limits == configuration.Limits {
 		return
 	}
--- a/internal/daemon/node/listenerstop.go
+++ b/internal/daemon/node/listenerstop.go
@@ -43,9 +43,9 @@
 	if ctx.Err() != nil {
 		l.interrupt()
 	}
-	l.mutex.Lock()
+	l.mu.Lock()
 	servers := l.servers
-	l.mutex.Unlock()
+	l.mu.Unlock()
 	for _, server := range servers {
 		_ = server.Close()
 	}
@@ -63,9 +63,9 @@
 
 // closeListener serves the connections that wait to be accepted and takes no more.
 func (l *clientListener) closeListener() {
-	l.mutex.Lock()
+	l.mu.Lock()
 	bound := l.listener
-	l.mutex.Unlock()
+	l.mu.Unlock()
 	if bound == nil {
 		return
 	}
--- a/internal/journal/follow_test.go
+++ b/internal/journal/follow_test.go
@@ -19,24 +19,24 @@
 
 // values keeps what a follower was told.
 type values struct {
-	mutex  sync.Mutex
+	mu     sync.Mutex
 	values map[string]string
 	resets int
 }
 
 func (v *values) Reset(records []journal.KeyedRecord) {
-	v.mutex.Lock()
+	v.mu.Lock()
 	v.values = map[string]string{}
 	v.resets++
-	v.mutex.Unlock()
+	v.mu.Unlock()
 	for _, record := range records {
 		v.Apply(record)
 	}
 }
 
 func (v *values) Apply(record journal.KeyedRecord) {
-	v.mutex.Lock()
-	defer v.mutex.Unlock()
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	if len(record.Value) == 0 {
 		delete(v.values, record.Key)
 		return
@@ -45,8 +45,8 @@
 }
 
 func (v *values) get(key string) string {
-	v.mutex.Lock()
-	defer v.mutex.Unlock()
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	return v.values[key]
 }
 
--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -37,13 +37,13 @@
 
 // history collects the acts of all runs.
 type history struct {
-	mutex sync.Mutex
-	acts  []act
+	mu   sync.Mutex
+	acts []act
 }
 
 func (h *history) add(r act) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	h.acts = append(h.acts, r)
 }
 
@@ -124,11 +124,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			acts := &history{}
 			log := journaltest.New()
-			var mutex sync.Mutex
+			var mu sync.Mutex
 			calls := 0
 			log.Befall = func(journaltest.Call) journaltest.Fault {
-				mutex.Lock()
-				defer mutex.Unlock()
+				mu.Lock()
+				defer mu.Unlock()
 				calls++
 				return faultOf(faults[calls%len(faults)])
 			}
--- a/internal/membership/lease/suspend_test.go
+++ b/internal/membership/lease/suspend_test.go
@@ -28,8 +28,8 @@
 
 // count is how many acts there were.
 func (h *history) count() int {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	return len(h.acts)
 }
 
