--- a/internal/daemon/logging/limit.go
+++ b/internal/daemon/logging/limit.go
@@ -67,41 +67,41 @@
 	now     func() time.Time
 }
 
-// newBoundedCore returns a core that writes to the target within the limits.
+// newBoundedCore returns a core that writes to the target within the l.
 func newBoundedCore(encoder zapcore.Encoder, target zapcore.WriteSyncer, enabled zapcore.LevelEnabler) *boundedCore {
 	limits := &limiter{counts: map[kind]*count{}}
 	return &boundedCore{Core: zapcore.NewCore(encoder, meter{target, limits}, enabled), limiter: limits, now: time.Now}
 }
 
 // With implements zapcore.Core.
-func (core *boundedCore) With(fields []zapcore.Field) zapcore.Core {
-	return &boundedCore{Core: core.Core.With(plainFields(fields)), limiter: core.limiter, now: core.now}
+func (c *boundedCore) With(fields []zapcore.Field) zapcore.Core {
+	return &boundedCore{Core: c.Core.With(plainFields(fields)), limiter: c.limiter, now: c.now}
 }
 
 // Check implements zapcore.Core.
-func (core *boundedCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if core.Enabled(entry.Level) {
-		return checked.AddCore(entry, core)
+func (c *boundedCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+	if c.Enabled(entry.Level) {
+		return checked.AddCore(entry, c)
 	}
 	return checked
 }
 
 // Write implements zapcore.Core.
-func (core *boundedCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
+func (c *boundedCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
 	fields = plainFields(fields)
-	write, leftOut := core.limiter.admit(kindOf(entry.Message, fields), entry.Level, core.now())
+	write, leftOut := c.limiter.admit(kindOf(entry.Message, fields), entry.Level, c.now())
 	for _, each := range leftOut {
 		told := entry
 		told.Message = "log lines left out"
 		of := []zapcore.Field{zap.String("of", each.event), zap.String("reason", each.reason), zap.Int("lines", each.lines)}
-		if err := core.Core.Write(told, of); err != nil {
+		if err := c.Core.Write(told, of); err != nil {
 			return err
 		}
 	}
 	if !write {
 		return nil
 	}
-	return core.Core.Write(entry, fields)
+	return c.Core.Write(entry, fields)
 }
 
 // omission is how many lines of a kind were left out in a second.
@@ -112,46 +112,46 @@
 
 // admit reports whether a line may be written, and what was left out in a
 // second that is over.
-func (limits *limiter) admit(of kind, level zapcore.Level, now time.Time) (bool, []omission) {
-	limits.mu.Lock()
-	defer limits.mu.Unlock()
+func (l *limiter) admit(of kind, level zapcore.Level, now time.Time) (bool, []omission) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var leftOut []omission
-	if second := now.Unix(); second != limits.second {
-		for each, counted := range limits.counts {
+	if second := now.Unix(); second != l.second {
+		for each, counted := range l.counts {
 			if counted.leftOut > 0 {
 				leftOut = append(leftOut, omission{each, counted.leftOut})
 			}
 		}
-		limits.second, limits.bytes = second, 0
-		limits.lines = len(leftOut)
-		clear(limits.counts)
+		l.second, l.bytes = second, 0
+		l.lines = len(leftOut)
+		clear(l.counts)
 	}
-	counted := limits.counts[of]
+	counted := l.counts[of]
 	if counted == nil {
-		if len(limits.counts) >= maxKinds {
+		if len(l.counts) >= maxKinds {
 			of = kind{event: of.event}
 		}
-		if counted = limits.counts[of]; counted == nil {
+		if counted = l.counts[of]; counted == nil {
 			counted = &count{}
-			limits.counts[of] = counted
+			l.counts[of] = counted
 		}
 	}
-	if counted.written >= linesPerSecond || !limits.room(level) {
+	if counted.written >= linesPerSecond || !l.room(level) {
 		counted.leftOut++
 		return false, leftOut
 	}
 	counted.written++
-	limits.lines++
+	l.lines++
 	return true, leftOut
 }
 
 // room reports whether the second has room for a line of a level. The mutex is held.
-func (limits *limiter) room(level zapcore.Level) bool {
+func (l *limiter) room(level zapcore.Level) bool {
 	lines, bytes := linesInAll, bytesInAll
 	if level < zapcore.WarnLevel {
 		lines, bytes = lines-lines/warningShare, bytes-bytes/warningShare
 	}
-	return limits.lines < lines && limits.bytes < bytes
+	return l.lines < lines && l.bytes < bytes
 }
 
 func kindOf(event string, fields []zapcore.Field) kind {
