--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -162,7 +162,7 @@
 	run := fmt.Sprintf("%s/%d", machine, start)
 	started := &daemon{stop: cancel}
 	clock := wallclock.New(time.Now)
-	started.lease = lease.New(log, journal.Partition{Topic: "duty"}, run, machine, 3*time.Second, zap.NewNop())
+	started.lease = lease.New(log, journal.Partition{Topic: "duty"}, run, 3*time.Second, zap.NewNop())
 	started.lease.SetClock(time.Now)
 	started.lease.SetCandidate(true)
 	started.recorder = NewRecorder(log, run, windows, func() time.Duration { return 0 }, clock, zap.NewNop())
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -107,7 +107,7 @@
 	n.demands = demand.NewState(n.logger)
 	n.demandFollower = journal.NewKeyedFollower(log, demand.Partition, n.demands,
 		n.settings.Timing.ContactBound.Std(), n.logger)
-	n.lease = lease.New(log, journal.Partition{Topic: dutyTopic}, n.identity, n.settings.Name,
+	n.lease = lease.New(log, journal.Partition{Topic: dutyTopic}, n.identity,
 		n.settings.Timing.LeaseQuiet.Std(), n.logger)
 	n.syncer = modelsync.New(modelsync.Parts{
 		Holder: n.settings.Name, Lease: n.lease, Driver: drivers.Engines, Table: n.table, Configuration: n.operator.Configuration,
--- a/internal/daemon/settings/settings.go
+++ b/internal/daemon/settings/settings.go
@@ -46,8 +46,8 @@
 	Log     Log     `yaml:"log"`
 }
 
-// Handoff was once a way to pass plain requests on inside a zone. It is accepted, as settings
-// files in use have it, and does nothing.
+// Handoff is without effect. It is accepted, as settings
+// files in use have it.
 type Handoff struct {
 	Enabled bool `yaml:"enabled"`
 }
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -13,7 +13,7 @@
 //
 // # Usage
 //
-//	l := lease.New(log, partition, identity.New(machine, time.Now()), machine, quiet, logger)
+//	l := lease.New(log, partition, identity.New(machine, time.Now()), quiet, logger)
 //	go l.Run(ctx)
 //	l.SetCandidate(true)
 //	fence, err := lease.Act(ctx, l, timeout, func(ctx context.Context, fence int64) error { ... })
@@ -29,6 +29,7 @@
 	"woodworks/internal/daemon/bootclock"
 	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
+	"woodworks/internal/membership/identity"
 )
 
 const (
@@ -44,9 +45,8 @@
 type Lease struct {
 	journal   journal.Journal
 	partition journal.Partition
-	// self is this daemon's incarnation.
-	self    string
-	machine string
+	// self is this daemon's incarnation on the machine.
+	self, machine string
 	// quiet is how long after another holder's last possible act this daemon
 	// must wait before its first.
 	quiet  time.Duration
@@ -73,14 +73,13 @@
 	reclaiming bool
 }
 
-// New returns a lease on the partition for the incarnation of a daemon named self on a machine.
-func New(log journal.Journal, partition journal.Partition, self, machine string, quiet time.Duration,
-	logger *zap.Logger) *Lease {
+// New returns a lease on the partition for the incarnation of a daemon named self.
+func New(log journal.Journal, partition journal.Partition, self string, quiet time.Duration, logger *zap.Logger) *Lease {
 	return &Lease{
 		journal:    log,
 		partition:  partition,
 		self:       self,
-		machine:    machine,
+		machine:    identity.Machine(self),
 		quiet:      quiet,
 		now:        bootclock.Now,
 		logger:     logger,
