--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -33,15 +33,12 @@
 	readBytes   = 256 << 10
 	// callTimeout bounds one call to the platform.
 	callTimeout = 800 * time.Millisecond
-	// minFailurePause is the pause after a call that failed, a look's interval. It doubles with
-	// each one in a row, up to maxFailurePause, which leaves some tries between a decision
-	// and when the report is due (6 s where that is 10 s after the window).
-	minFailurePause = 200 * time.Millisecond
-	maxFailurePause = 2 * time.Second
 )
 
-// callPauses bound the pauses between calls that fail.
-var callPauses = backoff.Bounds{First: minFailurePause, Longest: maxFailurePause}
+// callPauses are the pauses after calls that failed: at first a look's interval, at last so long that
+// some tries are left between a decision and when the report is due (6 s where that is 10 s after
+// the window).
+var callPauses = backoff.Bounds{First: 200 * time.Millisecond, Longest: 2 * time.Second}
 
 // Reporter settles and reports the usage of windows while it may act.
 type Reporter struct {
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -38,15 +38,11 @@
 	lookInterval = 250 * time.Millisecond
 	// callTimeout bounds one call to the platform.
 	callTimeout = 800 * time.Millisecond
-	// minFailurePause is the pause after an order that failed, a little more than a look's
-	// interval. It doubles with each one in a row, up to maxFailurePause, which is what a
-	// platform that takes orders again may wait for the next one.
-	minFailurePause = 300 * time.Millisecond
-	maxFailurePause = 5 * time.Second
 )
 
-// orderPauses bound the pauses between orders that fail.
-var orderPauses = backoff.Bounds{First: minFailurePause, Longest: maxFailurePause}
+// orderPauses are the pauses after orders that failed: at first a little more than a look's
+// interval, at last what a platform that takes orders again may wait for the next one.
+var orderPauses = backoff.Bounds{First: 300 * time.Millisecond, Longest: 5 * time.Second}
 
 // Parts are what a manager works with.
 type Parts struct {
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -197,7 +197,7 @@
 		s.set(func() { s.answer = nil })
 		// Shorter than a replica may take to start: none does here, and other zones would
 		// make up for it.
-		time.Sleep(maxFailurePause + 2*lookInterval)
+		time.Sleep(orderPauses.Longest + 2*lookInterval)
 		is.Equal(sum(s.taken()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
 	})
 }
--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -24,11 +24,6 @@
 	pollPause = 200 * time.Millisecond
 	// loadTimeout is how long a change may take before it is ordered again.
 	loadTimeout = 8 * time.Second
-	// minFailurePause is how long an engine is left alone after a change that failed, a look's
-	// interval. It doubles with each one in a row, as engines that cannot be reached take
-	// the place of others, up to maxFailurePause.
-	minFailurePause = 100 * time.Millisecond
-	maxFailurePause = 2 * time.Second
 	// stallSlack is how much longer than asked for a wait may last in a process that runs:
 	// timers of machines that are slowed five times are late by less.
 	stallSlack = 400 * time.Millisecond
@@ -45,8 +40,9 @@
 	errTooLong = errors.New("modelsync: change took too long")
 )
 
-// changePauses bound the pauses between changes that fail.
-var changePauses = backoff.Bounds{First: minFailurePause, Longest: maxFailurePause}
+// changePauses are how long an engine is left alone after changes that failed: at first a look's
+// interval, longer with each one in a row, as engines that cannot be reached take the place of others.
+var changePauses = backoff.Bounds{First: 100 * time.Millisecond, Longest: 2 * time.Second}
 
 // carryOut brings one engine to a version and waits until it is there. N is the note of
 // the engine's incarnation, which another one may have replaced meanwhile.
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -190,9 +190,9 @@
 
 func TestPausesGrowWithFailures(t *testing.T) {
 	is := is.New(t)
-	is.Equal(changePauses.After(1), minFailurePause)
-	is.Equal(changePauses.After(3), 4*minFailurePause)
-	is.Equal(changePauses.After(99), maxFailurePause)
+	is.Equal(changePauses.After(1), changePauses.First)
+	is.Equal(changePauses.After(3), 4*changePauses.First)
+	is.Equal(changePauses.After(99), changePauses.Longest)
 }
 
 // What is remembered of engines goes with them, as most ids never come again, but
