--- a/internal/daemon/cli/exit.go
+++ b/internal/daemon/cli/exit.go
@@ -48,7 +48,7 @@
 func reportBounded(stderr io.Writer, err error) int {
 	w := logging.NewAsyncWriter(stderr)
 	code := report(w, err)
-	_ = w.Sync()
+	_ = w.Sync() // it returns no error
 	return code
 }
 
--- a/internal/daemon/cli/explain.go
+++ b/internal/daemon/cli/explain.go
@@ -21,7 +21,7 @@
 		if err != nil {
 			return withCode(ExitUsage, errors.Wrap(err, "explain"))
 		}
-		defer func() { _ = file.Close() }()
+		defer func() { _ = file.Close() }() // it was only read
 		sources = append(sources, file)
 	}
 	return withCode(ExitFailed, explain.Explain(o.stdout, o.explainID, sources...))
--- a/internal/daemon/cli/serve.go
+++ b/internal/daemon/cli/serve.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = logger.Sync() }()
+	defer func() { _ = logger.Sync() }() // there is nowhere left to tell of a failure
 	if stopped != nil {
 		logSignal(logger, stopped, notStarted)
 		return nil
--- a/internal/daemon/node/listenerstop.go
+++ b/internal/daemon/node/listenerstop.go
@@ -47,7 +47,7 @@
 	servers := l.servers
 	l.mu.Unlock()
 	for _, server := range servers {
-		_ = server.Close()
+		_ = server.Close() // its listener is a queue, whose close never fails
 	}
 }
 
@@ -73,7 +73,7 @@
 	for _, conn := range waiting {
 		l.take(conn)
 	}
-	_ = bound.Close()
+	_ = bound.Close() // it takes no more connections, whatever this says
 	l.accepting.Wait()
 	l.logger.Info("listener closed", zap.Int("waiting", len(waiting)), zap.Error(err))
 }
--- a/internal/daemon/sourceaddr/sourceaddr.go
+++ b/internal/daemon/sourceaddr/sourceaddr.go
@@ -19,7 +19,7 @@
 	dialer := &net.Dialer{Timeout: timeout}
 	parsed, err := netip.ParseAddrPort(local)
 	if err != nil {
-		return dialer
+		return dialer // "", as settings refuse what is no address
 	}
 	dialer.LocalAddr = &net.TCPAddr{IP: parsed.Addr().AsSlice()}
 	dialer.Control = func(_, _ string, raw syscall.RawConn) error {
--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -12,7 +12,7 @@
 //
 //	state := demand.NewState(logger)
 //	go journal.NewKeyedFollower(log, demand.Partition, state, contactBound, logger).Run(ctx)
-//	d, ok := state.Of("model")
+//	d := state.Of("model")
 package demand
 
 import (
@@ -182,10 +182,9 @@
 	return initialItemTime
 }
 
-// Of returns the newest demand of a model.
-func (s *State) Of(model string) (Demand, bool) {
+// Of returns the newest demand of a model, the zero value if there is none.
+func (s *State) Of(model string) Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d, ok := s.demands[model]
-	return d, ok
+	return s.demands[model]
 }
--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -36,7 +36,7 @@
 	limited := make([]int, len(allotment))
 	for i, model := range models {
 		limited[i] = allotment[i]
-		if d, _ := s.Demands.Of(model.Name); d.Items > 0 {
+		if d := s.Demands.Of(model.Name); d.Items > 0 {
 			limited[i] = min(allotment[i], enough(d.Items, slots))
 		}
 	}
@@ -48,8 +48,7 @@
 func (s *Syncer) allotmentOf(service string, models []route.Model, replicas int) []int {
 	work := make([]float64, len(models))
 	for i, model := range models {
-		d, _ := s.Demands.Of(model.Name)
-		work[i] = float64(d.Work)
+		work[i] = float64(s.Demands.Of(model.Name).Work)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -144,6 +144,5 @@
 
 // lagOf is how many versions behind the newest the batches of a model allow.
 func (s *Syncer) lagOf(model string) int64 {
-	d, _ := s.Demands.Of(model)
-	return d.Lag()
+	return s.Demands.Of(model).Lag()
 }
