--- a/internal/demo/fakebackend/fakebackend.go
+++ b/internal/demo/fakebackend/fakebackend.go
@@ -11,7 +11,6 @@
 	"encoding/json"
 	"io"
 	"net/http"
-	"strings"
 	"sync"
 	"time"
 
@@ -20,16 +19,12 @@
 
 // Execution is one request that the back end executed.
 type Execution struct {
-	Operation string
-	RequestID string
-	Body      string
-	At        time.Time
+	Body string
 }
 
 // Reply is the body of an answer.
 type Reply struct {
-	Instance string `json:"instance"`
-	Echo     string `json:"echo"`
+	Echo string `json:"echo"`
 }
 
 // Fault is what befalls a request after it was executed.
@@ -57,12 +52,12 @@
 	faults   []Fault
 	// ends, if not nil, is told of each execution and reports whether that has ended the
 	// process.
-	ends func(one Execution) bool
+	ends func(e Execution) bool
 }
 
 // EndOn sets what is told of each execution and reports whether that has ended the
 // process, so that there is no answer.
-func (b *Backend) EndOn(ends func(one Execution) bool) {
+func (b *Backend) EndOn(ends func(e Execution) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ends = ends
@@ -88,7 +83,7 @@
 // ServeHTTP implements http.Handler.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	names := standalone.HeaderNames()
-	if wanted := r.Header.Get(names.ExpectReplica); wanted != "" && wanted != b.id {
+	if expected := r.Header.Get(names.ExpectReplica); expected != "" && expected != b.id {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -97,8 +92,8 @@
 		panic(http.ErrAbortHandler)
 	}
 	id := r.Header.Get(names.RequestID)
-	one := Execution{Operation: strings.Trim(r.URL.Path, "/"), RequestID: id, Body: string(body), At: time.Now()}
-	fault := b.execute(one)
+	e := Execution{Body: string(body)}
+	fault := b.execute(e)
 	if fault == Decline {
 		w.Header().Set(names.NotExecuted, "busy")
 		w.Header().Set(names.RequestID, id)
@@ -109,13 +104,10 @@
 	b.mu.Lock()
 	ends := b.ends
 	b.mu.Unlock()
-	if ends != nil && ends(one) {
+	if fault == Cut || ends != nil && ends(e) {
 		panic(http.ErrAbortHandler)
 	}
-	if fault == Cut {
-		panic(http.ErrAbortHandler)
-	}
-	encoded, err := json.Marshal(Reply{Instance: b.id, Echo: string(body)})
+	encoded, err := json.Marshal(Reply{Echo: string(body)})
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -132,7 +124,7 @@
 }
 
 // execute enters a request, from where on it has run, unless it is declined.
-func (b *Backend) execute(one Execution) Fault {
+func (b *Backend) execute(e Execution) Fault {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	fault := None
@@ -140,7 +132,7 @@
 		fault, b.faults = b.faults[0], b.faults[1:]
 	}
 	if fault != Decline {
-		b.executed = append(b.executed, one)
+		b.executed = append(b.executed, e)
 	}
 	return fault
 }
--- a/internal/demo/fakeengine/fakeengine.go
+++ b/internal/demo/fakeengine/fakeengine.go
@@ -8,7 +8,7 @@
 //
 // # Usage
 //
-//	engine := fakeengine.New(fakeengine.Shape{ID: "e1", Slots: 8, Pace: time.Millisecond})
+//	engine := fakeengine.New(fakeengine.Shape{ID: "e1", Slots: 8, TokenTime: time.Millisecond})
 //	http.Serve(listener, engine)
 package fakeengine
 
@@ -103,7 +103,7 @@
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	names := standalone.HeaderNames()
-	if wanted := r.Header.Get(names.ExpectReplica); wanted != "" && wanted != e.shape.ID {
+	if expected := r.Header.Get(names.ExpectReplica); expected != "" && expected != e.shape.ID {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -122,34 +122,31 @@
 func (e *Engine) state(w http.ResponseWriter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	versions := map[string]int64{}
-	for model, version := range e.versions {
-		versions[model] = version
-	}
-	_ = json.NewEncoder(w).Encode(standalone.EngineState{Busy: e.busy, Orders: e.taken, Versions: versions, Running: e.running})
+	state := standalone.EngineState{Busy: e.busy, Orders: e.taken, Versions: e.versions, Running: e.running}
+	_ = json.NewEncoder(w).Encode(state) // The daemon asks again.
 }
 
 // order takes a change of weights, which is done after the load time.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
-	var wanted standalone.EngineOrder
-	if err := json.NewDecoder(r.Body).Decode(&wanted); err != nil || wanted.Model == "" || wanted.Holder == "" {
+	var order standalone.EngineOrder
+	if err := json.NewDecoder(r.Body).Decode(&order); err != nil || order.Model == "" || order.Holder == "" {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case e.busy || wanted.AfterOrders != e.taken:
+	case e.busy || order.AfterOrders != e.taken:
 		w.WriteHeader(http.StatusConflict)
 		return
-	case e.fenced(wanted.Fence):
+	case e.fenced(order.Fence):
 		w.WriteHeader(http.StatusPreconditionFailed)
 		return
 	}
 	e.taken++
 	e.busy = true
-	e.orders = append(e.orders, Order{EngineOrder: wanted, At: time.Now()})
-	time.AfterFunc(e.shape.LoadTime, func() { e.loaded(wanted) })
+	e.orders = append(e.orders, Order{EngineOrder: order, At: time.Now()})
+	time.AfterFunc(e.shape.LoadTime, func() { e.loaded(order) })
 	w.WriteHeader(http.StatusAccepted)
 }
 
@@ -194,8 +191,8 @@
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
 	names := standalone.HeaderNames()
 	body, err := io.ReadAll(r.Body)
-	var wanted rollout.Generate
-	if err != nil || json.Unmarshal(body, &wanted) != nil || wanted.MaxTokens < 1 {
+	var req rollout.Generate
+	if err != nil || json.Unmarshal(body, &req) != nil || req.MaxTokens < 1 {
 		w.WriteHeader(http.StatusUnprocessableEntity)
 		return
 	}
@@ -215,13 +212,13 @@
 	header.Set("Content-Type", "text/event-stream")
 	header.Set(names.RequestID, id)
 	header.Set(names.Stamp, e.shape.ID)
-	header.Set(names.Versions, strconv.FormatInt(e.versionOf(wanted.Model), 10))
+	header.Set(names.Versions, strconv.FormatInt(e.versionOf(req.Model), 10))
 	w.WriteHeader(http.StatusOK)
-	e.stream(w, r, wanted, after, breaks)
+	e.stream(w, r, req, after, breaks)
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, wanted rollout.Generate, after int64, breaks bool) {
-	total := min(Length(wanted.Prompt, wanted.Seed, e.shape.MedianTokens), wanted.MaxTokens)
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, req rollout.Generate, after int64, breaks bool) {
+	total := min(Length(req.Prompt, req.Seed, e.shape.MedianTokens), req.MaxTokens)
 	flusher := http.NewResponseController(w)
 	events := int64((total + e.shape.TokensPerEvent - 1) / e.shape.TokensPerEvent)
 	for number := after + 1; number < events; number++ {
@@ -232,7 +229,7 @@
 			return
 		case <-time.After(time.Duration(count) * e.shape.TokenTime):
 		}
-		e.writeEvent(w, wanted, number, first, count, number == events-1)
+		e.writeEvent(w, req, number, first, count, number == events-1)
 		_ = flusher.Flush()
 		if breaks {
 			panic(http.ErrAbortHandler)
@@ -240,10 +237,10 @@
 	}
 }
 
-func (e *Engine) writeEvent(w io.Writer, wanted rollout.Generate, number int64, first, count int, last bool) {
-	frame := rollout.Frame{Version: e.versionOf(wanted.Model)}
+func (e *Engine) writeEvent(w io.Writer, req rollout.Generate, number int64, first, count int, last bool) {
+	frame := rollout.Frame{Version: e.versionOf(req.Model)}
 	for position := first; position < first+count; position++ {
-		frame.Tokens = append(frame.Tokens, Token(wanted.Model, wanted.Prompt, wanted.Seed, uint64(frame.Version), position))
+		frame.Tokens = append(frame.Tokens, Token(req.Model, req.Prompt, req.Seed, uint64(frame.Version), position))
 	}
 	if last {
 		frame.End = "stop"
--- a/internal/demo/services/services.go
+++ b/internal/demo/services/services.go
@@ -1,12 +1,15 @@
 // Package services is what stands around daemons that run on the product's own
-// services, for the demo and for tests: the log service, engines and plain back ends behind listeners on
-// loopback, and operators who write into the log.
+// services, for the demo and for tests: the log service, engines and plain back ends
+// behind listeners on loopback, and operators who write into the log.
+//
+// It owns the listeners and the records; fakeengine and fakebackend answer behind the
+// listeners, journaltest holds the records.
 //
 // # Usage
 //
 //	around, err := services.Start(services.Shape{Engines: 3, EngineService: "assessor-lm"})
 //	defer around.Stop()
-//	loaded := around.Settings("daemon-1", "zone-a")
+//	cfg := around.Settings("daemon-1", "zone-a")
 package services
 
 import (
@@ -15,7 +18,6 @@
 	"net"
 	"net/http"
 	"net/netip"
-	"sync"
 	"time"
 
 	"github.com/pkg/errors"
@@ -52,24 +54,36 @@
 const (
 	holdTimeout = 10 * time.Second
 	holdPause   = 50 * time.Millisecond
+	headTimeout = 5 * time.Second
+	stopGrace   = 8 * time.Second
+	// A plain back end takes plainTime for a request, and plainSlots of them at once.
+	plainTime  = 2 * time.Millisecond
+	plainSlots = 8
 )
 
 // OperatorKey is the key of the operator of the settings.
 const OperatorKey = "operator"
 
-// Engine is a fake with its listener.
+// Machine is a back end with its listener.
+type Machine struct {
+	ID      string
+	Address netip.AddrPort
+	Server  *http.Server
+}
+
+// Kill closes the listener and all its connections. The machine stays listed.
+func (m *Machine) Kill() { _ = m.Server.Close() }
+
+// Engine is a fake engine with its listener.
 type Engine struct {
 	*fakeengine.Engine
-	ID     string
-	server *http.Server
+	Machine
 }
 
-// Plain is a fake with its listener.
+// Plain is a fake back end of a plain service with its listener.
 type Plain struct {
 	*fakebackend.Backend
-	ID      string
-	Address netip.AddrPort
-	Server  *http.Server
+	Machine
 }
 
 // Services are all of them.
@@ -82,14 +96,15 @@
 
 	shape   Shape
 	logAddr netip.AddrPort
-
-	mu      sync.Mutex
 	servers []*http.Server
 }
 
 // DefaultEngine is an engine for short runs.
 func DefaultEngine() fakeengine.Shape {
-	return fakeengine.Shape{Slots: 8, TokenTime: 500 * time.Microsecond, MedianTokens: 60, LoadTime: 150 * time.Millisecond, TokensPerEvent: 8}
+	return fakeengine.Shape{
+		Slots: 8, TokenTime: 500 * time.Microsecond, MedianTokens: 60,
+		LoadTime: 150 * time.Millisecond, TokensPerEvent: 8,
+	}
 }
 
 // Start starts the services and publishes its policies.
@@ -97,45 +112,44 @@
 	log := journaltest.New()
 	log.Partitions, log.RecordBytes, log.AppendBytes = partitions, recordBytes, appendBytes
 	s := &Services{Log: log, Operator: operator.New(log, zap.NewNop()), shape: shape}
-	addr, _, err := s.serve(logservice.Handler{Journal: log})
-	if err != nil {
+	if err := s.start(); err != nil {
+		s.Stop()
 		return nil, err
 	}
-	s.logAddr = addr
-	for name, source := range shape.Policies {
-		if _, err := s.Operator.Publish(context.Background(), operator.Change{Name: name, Author: "operator", Source: source}); err != nil {
-			s.Stop()
-			return nil, errors.Wrapf(err, "policy %s", name)
+	return s, nil
+}
+
+func (s *Services) start() (err error) {
+	if s.logAddr, _, err = s.serve(logservice.Handler{Journal: s.Log}); err != nil {
+		return err
+	}
+	for name, source := range s.shape.Policies {
+		change := operator.Change{Name: name, Author: "operator", Source: source}
+		if _, err := s.Operator.Publish(context.Background(), change); err != nil {
+			return errors.Wrapf(err, "policy %s", name)
 		}
 	}
-	for i := range shape.Engines {
+	for i := range s.shape.Engines {
 		if err := s.startEngine(i); err != nil {
-			s.Stop()
-			return nil, err
+			return err
 		}
 	}
-	for i := range shape.Plains {
+	for i := range s.shape.Plains {
 		if err := s.startPlain(i); err != nil {
-			s.Stop()
-			return nil, err
+			return err
 		}
 	}
-	return s, nil
+	return nil
 }
 
-func (s *Services) startEngine(i int) error {
+func (s *Services) startEngine(i int) (err error) {
 	shape := s.shape.Engine
 	shape.ID = fmt.Sprint("engine-", i)
-	engine := &Engine{Engine: fakeengine.New(shape), ID: shape.ID}
-	engine.Loaded = func(model string, version int64) { s.hold(engine.ID, model, version) }
-	addr, server, err := s.serve(engine.Engine)
-	if err != nil {
-		return err
-	}
-	engine.server = server
+	engine := &Engine{Engine: fakeengine.New(shape)}
+	engine.Loaded = func(model string, version int64) { s.hold(shape.ID, model, version) }
 	s.Engines = append(s.Engines, engine)
-	entry := operator.Machine{Service: s.shape.EngineService, Address: addr.String(), Zone: s.zone(i), Slots: shape.Slots}
-	return s.Operator.List(context.Background(), engine.ID, &entry)
+	engine.Machine, err = s.machine(shape.ID, s.shape.EngineService, i, shape.Slots, engine.Engine)
+	return err
 }
 
 // hold notes a version in an engine's entry, again until the log has taken it.
@@ -147,16 +161,22 @@
 	}
 }
 
-func (s *Services) startPlain(i int) error {
-	plain := &Plain{Backend: fakebackend.New(fmt.Sprint("plain-", i), 2*time.Millisecond), ID: fmt.Sprint("plain-", i)}
-	addr, server, err := s.serve(plain.Backend)
+func (s *Services) startPlain(i int) (err error) {
+	id := fmt.Sprint("plain-", i)
+	plain := &Plain{Backend: fakebackend.New(id, plainTime)}
+	s.Plains = append(s.Plains, plain)
+	plain.Machine, err = s.machine(id, s.shape.PlainService, i, plainSlots, plain.Backend)
+	return err
+}
+
+// machine serves a back end on a free address and lists it.
+func (s *Services) machine(id, service string, i, slots int, handler http.Handler) (Machine, error) {
+	addr, server, err := s.serve(handler)
 	if err != nil {
-		return err
+		return Machine{}, err
 	}
-	plain.Server, plain.Address = server, addr
-	s.Plains = append(s.Plains, plain)
-	entry := operator.Machine{Service: s.shape.PlainService, Address: addr.String(), Zone: s.zone(i), Slots: 8}
-	return s.Operator.List(context.Background(), plain.ID, &entry)
+	entry := operator.Machine{Service: service, Address: addr.String(), Zone: s.zone(i), Slots: slots}
+	return Machine{id, addr, server}, s.Operator.List(context.Background(), id, &entry)
 }
 
 func (s *Services) zone(i int) string { return s.shape.Zones[i%len(s.shape.Zones)] }
@@ -167,30 +187,28 @@
 	if err != nil {
 		return netip.AddrPort{}, nil, errors.Wrap(err, "services")
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headTimeout}
 	go func() { _ = server.Serve(listener) }()
 	s.servers = append(s.servers, server)
 	return listener.Addr().(*net.TCPAddr).AddrPort(), server, nil
 }
 
-// Kill closes an engine's listener and all its connections. It stays listed.
-func (e *Engine) Kill() { _ = e.server.Close() }
-
 // Settings returns the settings of a daemon. Its addresses are the caller's to set.
 func (s *Services) Settings(name, zone string) settings.Settings {
-	loaded := settings.Defaults()
-	loaded.Name, loaded.Zone, loaded.Region = name, zone, "region"
-	loaded.Platform.Driver = settings.DriverLog
-	loaded.Platform.Store = settings.Store{Address: s.logAddr.String(), Partitions: partitions, RecordBytes: recordBytes, AppendBytes: appendBytes}
-	loaded.Operators = []settings.OperatorKey{{Name: "operator", KeySHA256: apikey.DigestOf(OperatorKey).String()}}
-	loaded.Timing.StopGrace = settings.Duration(8 * time.Second)
-	return loaded
+	cfg := settings.Defaults()
+	cfg.Name, cfg.Zone, cfg.Region = name, zone, "region"
+	cfg.Platform.Driver = settings.DriverLog
+	cfg.Platform.Store = settings.Store{
+		Address: s.logAddr.String(), Partitions: partitions, RecordBytes: recordBytes, AppendBytes: appendBytes,
+	}
+	digest := apikey.DigestOf(OperatorKey).String()
+	cfg.Operators = []settings.OperatorKey{{Name: "operator", KeySHA256: digest}}
+	cfg.Timing.StopGrace = settings.Duration(stopGrace)
+	return cfg
 }
 
 // Stop ends everything.
 func (s *Services) Stop() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
 	for _, server := range s.servers {
 		_ = server.Close()
 	}
