--- a/cmd/woodworks-soak/main.go
+++ b/cmd/woodworks-soak/main.go
@@ -71,7 +71,6 @@
 		"how the first daemon's output is read: slow, or closes; empty takes a file")
 	parseStore(&o.Store)
 	flaggy.Int(&o.TextBytes, "", "text-bytes", "about how long the text of a result is; 0 for short ones")
-	flaggy.Int(&o.MemoryMB, "", "memory-mb", "memory_mb of the daemons' settings")
 	flaggy.StringSlice(&o.Restarts.Starts, "", "start", "restart: kinds of starts in order: "+
 		"at-once, spread, twice, part, slow, silent, amid, calm; none for each once")
 	flaggy.Int(&o.Restarts.Batches, "", "batches", "restart: batches before the first start; 0 takes the default")
@@ -93,10 +92,7 @@
 		"what the store grants all reads in MB a second; 0 names no bound")
 	flaggy.Float64(&shape.CarriedMB, "", "carried-mb",
 		"what the store carries of all reads in MB a second; 0 for any")
-	flaggy.Bool(&shape.InTurn, "", "in-turn", "answers share that rate in turn; "+
-		"else one is sent after the other, also those that nobody awaits any more")
 	flaggy.Duration(&shape.AnswerTime, "", "answer-time", "how long the store takes for an answer")
-	flaggy.Duration(&shape.AnswerSpread, "", "answer-spread", "up to how much longer at random")
 	flaggy.Float64Slice(&shape.LinkMbits, "", "link-mbit",
 		"rate of a daemon's link to the store in Mbit/s, dealt out in turn; none for any")
 }
