--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -32,9 +32,9 @@
 	turn       int
 	usage      Usage
 	// second is the one in which reads were counted last, inSecond how many.
-	second   int64
-	inSecond int
-	outlet   outlet
+	second    int64
+	inSecond  int
+	bandwidth Bandwidth
 }
 
 // log is the records kept of a partition.
@@ -153,7 +153,7 @@
 		}
 		j.mu.Unlock()
 		if len(read.Records) > 0 || request.Wait == 0 {
-			if err := j.outlet.send(ctx, sizeOf(read.Records)); err != nil {
+			if err := j.bandwidth.Send(ctx, sizeOf(read.Records)); err != nil {
 				return journal.Records{}, err
 			}
 			return read, nil
--- a/internal/journal/journaltest/link.go
+++ b/internal/journal/journaltest/link.go
@@ -10,27 +10,28 @@
 	"woodworks/internal/journal"
 )
 
-// outlet sends one answer after the other at a rate.
-type outlet struct {
-	mu sync.Mutex
-	// bytesPerSecond is the rate, 0 for any.
-	bytesPerSecond float64
-	busyUntil      time.Time
+// Bandwidth sends one answer after the other at a rate. The zero value sends at any rate.
+type Bandwidth struct {
+	// BytesPerSecond is the rate, 0 for any. It is set before the first answer.
+	BytesPerSecond float64
+
+	mu        sync.Mutex
+	busyUntil time.Time
 }
 
-// send returns when that many bytes have been sent, or with an error when the context
+// Send returns when that many bytes have been sent, or with an error when the context
 // ends. Bytes that nobody awaits any more are sent all the same.
-func (o *outlet) send(ctx context.Context, bytes int) error {
-	if o.bytesPerSecond <= 0 || bytes == 0 {
+func (b *Bandwidth) Send(ctx context.Context, bytes int) error {
+	if b.BytesPerSecond <= 0 || bytes == 0 {
 		return nil
 	}
-	o.mu.Lock()
-	if now := time.Now(); o.busyUntil.Before(now) {
-		o.busyUntil = now
+	b.mu.Lock()
+	if now := time.Now(); b.busyUntil.Before(now) {
+		b.busyUntil = now
 	}
-	o.busyUntil = o.busyUntil.Add(time.Duration(float64(bytes) / o.bytesPerSecond * float64(time.Second)))
-	sent := time.NewTimer(time.Until(o.busyUntil))
-	o.mu.Unlock()
+	b.busyUntil = b.busyUntil.Add(time.Duration(float64(bytes) / b.BytesPerSecond * float64(time.Second)))
+	sent := time.NewTimer(time.Until(b.busyUntil))
+	b.mu.Unlock()
 	defer sent.Stop()
 	select {
 	case <-sent.C:
@@ -42,18 +43,18 @@
 
 // Limit bounds what the journal sends to all its readers together, in bytes a second. It
 // is called before any read.
-func (j *Journal) Limit(bytesPerSecond float64) { j.outlet.bytesPerSecond = bytesPerSecond }
+func (j *Journal) Limit(bytesPerSecond float64) { j.bandwidth.BytesPerSecond = bytesPerSecond }
 
 // Link is a journal as one machine reaches it: answers to reads come over a link of its
 // own.
 type Link struct {
 	*Journal
-	outlet
+	bandwidth Bandwidth
 }
 
 // Behind returns the journal behind a link that carries some bytes a second.
 func (j *Journal) Behind(bytesPerSecond float64) *Link {
-	return &Link{Journal: j, outlet: outlet{bytesPerSecond: bytesPerSecond}}
+	return &Link{Journal: j, bandwidth: Bandwidth{BytesPerSecond: bytesPerSecond}}
 }
 
 // Read implements journal.Journal.
@@ -62,7 +63,7 @@
 	if err != nil {
 		return read, err
 	}
-	if err := l.send(ctx, sizeOf(read.Records)); err != nil {
+	if err := l.bandwidth.Send(ctx, sizeOf(read.Records)); err != nil {
 		return journal.Records{}, err
 	}
 	return read, nil
