--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -50,10 +50,7 @@
 func newFloor(t *testing.T, daemons int) *floor {
 	t.Helper()
 	t.Parallel()
-	started, err := services.Start(services.Shape{
-		EngineService: "oracle-pool", Engines: 3, PlainService: "game-front", Plains: 2, Zones: []string{"z"},
-		Policies: map[string]string{"qarmoud": examples.QarmoudPolicy}, Engine: services.DefaultEngine(),
-	})
+	started, err := services.Start(3, 2, []string{"z"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -21,7 +21,6 @@
 	"github.com/pkg/errors"
 	"gopkg.in/yaml.v3"
 
-	"woodworks/examples"
 	"woodworks/internal/api/client"
 	"woodworks/internal/demo/checks"
 	"woodworks/internal/demo/process"
@@ -88,10 +87,7 @@
 	if err := os.MkdirAll(options.Folder, 0o755); err != nil {
 		return checks.Outcome{}, errors.Wrap(err, "demo: folder")
 	}
-	around, err := services.Start(services.Shape{
-		EngineService: "oracle-pool", Engines: engines, PlainService: "game-front", Plains: plains, Zones: zones,
-		Policies: map[string]string{"qarmoud": examples.QarmoudPolicy}, Engine: services.DefaultEngine(),
-	})
+	around, err := services.Start(engines, plains, zones)
 	if err != nil {
 		return checks.Outcome{}, err
 	}
--- a/internal/demo/process/process.go
+++ b/internal/demo/process/process.go
@@ -51,9 +51,6 @@
 	return p, nil
 }
 
-// PID returns the process id.
-func (p *Process) PID() int { return p.cmd.Process.Pid }
-
 // Signal sends a signal if the process still runs.
 func (p *Process) Signal(signal syscall.Signal) { _ = p.cmd.Process.Signal(signal) }
 
--- a/internal/demo/services/services.go
+++ b/internal/demo/services/services.go
@@ -7,7 +7,7 @@
 //
 // # Usage
 //
-//	around, err := services.Start(services.Shape{Engines: 3, EngineService: "assessor-lm"})
+//	around, err := services.Start(3, 2, []string{"zone-a"})
 //	defer around.Stop()
 //	cfg := around.Settings("daemon-1", "zone-a")
 package services
@@ -23,6 +23,7 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
+	"woodworks/examples"
 	"woodworks/internal/api/operator"
 	"woodworks/internal/callers/apikey"
 	"woodworks/internal/daemon/settings"
@@ -32,17 +33,11 @@
 	"woodworks/internal/journal/logservice"
 )
 
-// Shape says what there is.
-type Shape struct {
-	EngineService string
-	Engines       int
-	PlainService  string
-	Plains        int
-	Zones         []string
-	// Policies are the documents that operators publish first.
-	Policies map[string]string
-	Engine   fakeengine.Shape
-}
+// The services of Qarmoud's example policy.
+const (
+	engineService = "oracle-pool"
+	plainService  = "game-front"
+)
 
 // Limits of the log service.
 const (
@@ -94,7 +89,7 @@
 	Engines  []*Engine
 	Plains   []*Plain
 
-	shape   Shape
+	zones   []string
 	logAddr netip.AddrPort
 	servers []*http.Server
 }
@@ -107,34 +102,33 @@
 	}
 }
 
-// Start starts the services and publishes its policies.
-func Start(shape Shape) (*Services, error) {
+// Start starts the log service with Qarmoud's example policy, and so many engines and plain
+// back ends for it, dealt out over the zones.
+func Start(engines, plains int, zones []string) (*Services, error) {
 	log := journaltest.New()
 	log.Partitions, log.RecordBytes, log.AppendBytes = partitions, recordBytes, appendBytes
-	s := &Services{Log: log, Operator: operator.New(log, zap.NewNop()), shape: shape}
-	if err := s.start(); err != nil {
+	s := &Services{Log: log, Operator: operator.New(log, zap.NewNop()), zones: zones}
+	if err := s.start(engines, plains); err != nil {
 		s.Stop()
 		return nil, err
 	}
 	return s, nil
 }
 
-func (s *Services) start() (err error) {
+func (s *Services) start(engines, plains int) (err error) {
 	if s.logAddr, _, err = s.serve(logservice.Handler{Journal: s.Log}); err != nil {
 		return err
 	}
-	for name, source := range s.shape.Policies {
-		change := operator.Change{Name: name, Author: "operator", Source: source}
-		if _, err := s.Operator.Publish(context.Background(), change); err != nil {
-			return errors.Wrapf(err, "policy %s", name)
-		}
+	change := operator.Change{Name: "qarmoud", Author: "operator", Source: examples.QarmoudPolicy}
+	if _, err := s.Operator.Publish(context.Background(), change); err != nil {
+		return errors.Wrap(err, "services: policy")
 	}
-	for i := range s.shape.Engines {
+	for i := range engines {
 		if err := s.startEngine(i); err != nil {
 			return err
 		}
 	}
-	for i := range s.shape.Plains {
+	for i := range plains {
 		if err := s.startPlain(i); err != nil {
 			return err
 		}
@@ -143,12 +137,12 @@
 }
 
 func (s *Services) startEngine(i int) (err error) {
-	shape := s.shape.Engine
+	shape := DefaultEngine()
 	shape.ID = fmt.Sprint("engine-", i)
 	engine := &Engine{Engine: fakeengine.New(shape)}
 	engine.Loaded = func(model string, version int64) { s.hold(shape.ID, model, version) }
 	s.Engines = append(s.Engines, engine)
-	engine.Machine, err = s.machine(shape.ID, s.shape.EngineService, i, shape.Slots, engine.Engine)
+	engine.Machine, err = s.machine(shape.ID, engineService, i, shape.Slots, engine.Engine)
 	return err
 }
 
@@ -165,7 +159,7 @@
 	id := fmt.Sprint("plain-", i)
 	plain := &Plain{Backend: fakebackend.New(id, plainTime)}
 	s.Plains = append(s.Plains, plain)
-	plain.Machine, err = s.machine(id, s.shape.PlainService, i, plainSlots, plain.Backend)
+	plain.Machine, err = s.machine(id, plainService, i, plainSlots, plain.Backend)
 	return err
 }
 
@@ -175,12 +169,10 @@
 	if err != nil {
 		return Machine{}, err
 	}
-	entry := operator.Machine{Service: service, Address: addr.String(), Zone: s.zone(i), Slots: slots}
+	entry := operator.Machine{Service: service, Address: addr.String(), Zone: s.zones[i%len(s.zones)], Slots: slots}
 	return Machine{id, addr, server}, s.Operator.List(context.Background(), id, &entry)
 }
 
-func (s *Services) zone(i int) string { return s.shape.Zones[i%len(s.shape.Zones)] }
-
 // serve serves a handler on a free address.
 func (s *Services) serve(handler http.Handler) (netip.AddrPort, *http.Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
