--- a/internal/daemon/logging/logging.go
+++ b/internal/daemon/logging/logging.go
@@ -98,16 +98,14 @@
 func (w frameworkWriter) Error(value any, fields ...logx.LogField) {
 	text := fmt.Sprint(value)
 	if strings.HasPrefix(text, requestPrefix) {
-		w.logger.Debug(text, w.fields(fields)...)
+		w.Debug(text, fields...)
 		return
 	}
 	w.logger.Error(text, w.fields(fields)...)
 }
 
 // Info implements logx.Writer. What go-zero says at this level is detail here.
-func (w frameworkWriter) Info(value any, fields ...logx.LogField) {
-	w.logger.Debug(fmt.Sprint(value), w.fields(fields)...)
-}
+func (w frameworkWriter) Info(value any, fields ...logx.LogField) { w.Debug(value, fields...) }
 
 // Severe implements logx.Writer.
 func (w frameworkWriter) Severe(value any) { w.logger.Error(fmt.Sprint(value)) }
@@ -122,6 +120,4 @@
 
 // Stat implements logx.Writer. go-zero's periodic statistics repeat what
 // /metrics says, so they go out at debug level.
-func (w frameworkWriter) Stat(value any, fields ...logx.LogField) {
-	w.logger.Debug(fmt.Sprint(value), w.fields(fields)...)
-}
+func (w frameworkWriter) Stat(value any, fields ...logx.LogField) { w.Debug(value, fields...) }
