--- a/cmd/woodworks/main.go
+++ b/cmd/woodworks/main.go
@@ -2,7 +2,7 @@
 // line of its callers and operators.
 package main
 
-import "C"
+import "C" // built with cgo only, by which package signals ignores SIGHUP from the first moment
 
 import (
 	"os"
