--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -9,6 +9,7 @@
 	"go.uber.org/zap"
 
 	"woodworks/internal/daemon/periodic"
+	"woodworks/internal/daemon/wallclock"
 	"woodworks/internal/journal"
 	"woodworks/internal/membership/duty"
 )
@@ -31,7 +32,7 @@
 	self        string
 	windows     duty.Windows
 	minInterval journal.Interval
-	clock       Clock
+	clock       *wallclock.Clock
 	logger      *zap.Logger
 
 	mu     sync.Mutex
@@ -49,8 +50,8 @@
 
 // NewRecorder returns a recorder for an incarnation of a daemon. MinInterval is the least
 // time between two appends that the journal's grants allow.
-func NewRecorder(log journal.Journal, self string, windows duty.Windows, minInterval journal.Interval, clock Clock,
-	logger *zap.Logger) *Recorder {
+func NewRecorder(log journal.Journal, self string, windows duty.Windows, minInterval journal.Interval,
+	clock *wallclock.Clock, logger *zap.Logger) *Recorder {
 	return &Recorder{
 		journal: log, self: self, windows: windows, minInterval: minInterval, clock: clock, logger: logger,
 		counts: map[int64]map[string]int64{}, unlogged: map[int64]map[string]int64{},
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -10,6 +10,7 @@
 
 	"woodworks/internal/daemon/backoff"
 	"woodworks/internal/daemon/periodic"
+	"woodworks/internal/daemon/wallclock"
 	"woodworks/internal/journal"
 	"woodworks/internal/membership/duty"
 	"woodworks/internal/membership/lease"
@@ -47,7 +48,7 @@
 	driver  duty.Driver
 	holder  string
 	windows duty.Windows
-	clock   Clock
+	clock   *wallclock.Clock
 	logger  *zap.Logger
 
 	state *state
@@ -61,8 +62,8 @@
 }
 
 // NewReporter returns a reporter that acts in the name of holder.
-func NewReporter(log journal.Journal, l lease.Fencer, driver duty.Driver, holder string, windows duty.Windows, clock Clock,
-	logger *zap.Logger) *Reporter {
+func NewReporter(log journal.Journal, l lease.Fencer, driver duty.Driver, holder string,
+	windows duty.Windows, clock *wallclock.Clock, logger *zap.Logger) *Reporter {
 	return &Reporter{
 		journal: log, lease: l, driver: driver, holder: holder, windows: windows, clock: clock, logger: logger,
 		state: newState(),
--- a/internal/callers/usage/usage.go
+++ b/internal/callers/usage/usage.go
@@ -35,13 +35,6 @@
 // Partition is where counts and decisions are kept.
 var Partition = journal.Partition{Topic: "woodworks.usage"}
 
-// Clock tells the time of day.
-type Clock interface {
-	Now() time.Time
-	// Since returns how long ago a moment of the clock was that never jumps.
-	Since(moment time.Time) time.Duration
-}
-
 // windowOf returns the number of the window that a time of day lies in.
 func windowOf(at time.Time, windows duty.Windows) int64 {
 	return at.UnixMilli() / windows.Length.Milliseconds()
