--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -29,6 +29,7 @@
 	"woodworks/internal/daemon/metrics"
 	"woodworks/internal/daemon/settings"
 	"woodworks/internal/replicas/replica"
+	"woodworks/internal/requests/headers"
 )
 
 // Limits bounds what the gateway takes in.
@@ -51,16 +52,6 @@
 	Age time.Duration
 }
 
-// Names are what requests to the ingress are told by.
-type Names struct {
-	// RequestID, DeadlineMs, Stamp and Versions are headers; the last is a line
-	// of events as well.
-	RequestID, DeadlineMs, Stamp, Versions string
-	SamplesHost                            func(trainer string) string
-	ServiceHost                            func(service string) string
-	OperationPath                          func(operation string) string
-}
-
 // Parts are what the gateway relies on. All are required.
 type Parts struct {
 	// Configuration returns what is in force, or false before the first.
@@ -69,11 +60,14 @@
 	Permits       *permit.Permits
 	Operator      *operator.Operator
 	Replicas      *replica.Table
-	// Ingress takes the requests that go to one replica.
-	Ingress http.Handler
-	Names   Names
-	Metrics *metrics.Metrics
-	Logger  *zap.Logger
+	// Ingress takes the requests that go to one replica, under these headers, hosts and paths.
+	Ingress       http.Handler
+	Headers       headers.Names
+	SamplesHost   func(trainer string) string
+	ServiceHost   func(service string) string
+	OperationPath func(operation string) string
+	Metrics       *metrics.Metrics
+	Logger        *zap.Logger
 	// NewID returns another text at each call, on all daemons together.
 	NewID    func() string
 	Identity string
@@ -86,12 +80,12 @@
 type Gateway struct {
 	parts   Parts
 	limits  Limits
-	flights *inFlight
+	flights inFlight
 }
 
 // New returns a gateway.
 func New(parts Parts, limits Limits) *Gateway {
-	return &Gateway{parts: parts, limits: limits, flights: newInFlight()}
+	return &Gateway{parts: parts, limits: limits, flights: inFlight{counts: map[string]int64{}}}
 }
 
 func (g *Gateway) stopping() bool {
@@ -117,11 +111,11 @@
 	add(http.MethodGet, "/healthz", g.health)
 	add(http.MethodGet, "/readyz", g.ready)
 	add(http.MethodPost, "/v1/rollouts", g.checked(audience, true, g.submitRollout))
-	add(http.MethodGet, "/v1/rollouts/:trainer/:name", g.checked(audience, false, g.rolloutStatus))
-	add(http.MethodDelete, "/v1/rollouts/:trainer/:name", g.checked(audience, false, g.endRollout))
-	add(http.MethodGet, "/v1/rollouts/:trainer/:name/samples", g.checked(audience, false, g.pullSamples))
+	add(http.MethodGet, "/v1/rollouts/:trainer/:name", g.checked(audience, false, g.ofTrainer(g.rolloutStatus)))
+	add(http.MethodDelete, "/v1/rollouts/:trainer/:name", g.checked(audience, false, g.ofTrainer(g.endRollout)))
+	add(http.MethodGet, "/v1/rollouts/:trainer/:name/samples", g.checked(audience, false, g.ofTrainer(g.pullSamples)))
 	add(http.MethodPost, "/v1/samples", g.checked(audience, true, g.streamSample))
-	add(http.MethodPost, "/v1/trainers/:trainer/versions", g.checked(audience, false, g.announceVersion))
+	add(http.MethodPost, "/v1/trainers/:trainer/versions", g.checked(audience, false, g.ofTrainer(g.announceVersion)))
 	add(http.MethodPost, "/v1/services/:service/:operation", g.checked(audience, true, g.callService(audience)))
 	if audience == policy.Internal {
 		add(http.MethodGet, "/metrics", g.parts.Metrics.Handler().ServeHTTP)
@@ -141,15 +135,14 @@
 	writeProblem(w, http.StatusMethodNotAllowed, Problem{Code: "method_not_allowed", Message: "the path does not take this method"})
 }
 
-// recorder remembers the status for the metrics, and whether the request
-// carries a key, which a refusal must take into account.
+// recorder is an http.ResponseWriter that remembers the status for the metrics, and whether
+// the request carries a key, which a refusal must take into account.
 type recorder struct {
 	http.ResponseWriter
 	status int
 	keyed  bool
 }
 
-// WriteHeader implements http.ResponseWriter.
 func (rec *recorder) WriteHeader(status int) {
 	rec.status = status
 	rec.ResponseWriter.WriteHeader(status)
--- a/internal/api/gateway/limits.go
+++ b/internal/api/gateway/limits.go
@@ -17,8 +17,6 @@
 	counts map[string]int64
 }
 
-func newInFlight() *inFlight { return &inFlight{counts: map[string]int64{}} }
-
 // enter counts a request in, unless the bound is reached; a bound of 0 is none.
 func (f *inFlight) enter(name string, bound int64) bool {
 	f.mu.Lock()
--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -41,7 +41,7 @@
 		}, status: 503, problem: Problem{Code: "no_configuration", Message: "this daemon knows no policies yet", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"no configuration for a trainer": {answer: func(g *Gateway, w http.ResponseWriter) {
 			g.parts.Configuration = func() (Configuration, bool) { return Configuration{}, false }
-			g.trainerOf(w, policy.Caller{Trainer: "t"}, "t", "trainer")
+			g.trainerOf(w, policy.Caller{Trainer: "t"}, "t")
 		}, status: 503, problem: Problem{Code: "no_configuration", Message: "this daemon knows no policies yet", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"stopping": {answer: func(g *Gateway, w http.ResponseWriter) {
 			stopping := make(chan struct{})
--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -10,6 +10,7 @@
 	"woodworks/internal/api/policy"
 	"woodworks/internal/api/rollout"
 	"woodworks/internal/requests/eventstream"
+	"woodworks/internal/requests/headers"
 )
 
 const (
@@ -61,7 +62,7 @@
 		badField(w, field, reason)
 		return
 	}
-	if _, ok := g.trainerOf(w, caller, req.Trainer, "trainer"); !ok {
+	if _, ok := g.trainerOf(w, caller, req.Trainer); !ok {
 		return
 	}
 	configuration, _ := g.parts.Configuration()
@@ -79,31 +80,29 @@
 	if req.TimeoutMillis > 0 {
 		timeout = time.Duration(req.TimeoutMillis) * time.Millisecond
 	}
-	lines := &sampleWriter{w: w, header: http.Header{}, names: g.parts.Names}
+	lines := &sampleWriter{w: w, header: http.Header{}, names: g.parts.Headers}
 	g.parts.Ingress.ServeHTTP(lines, g.request(r.Context(), ingressCall{
-		host: g.parts.Names.SamplesHost(req.Trainer), path: rollout.GeneratePath, kind: "application/json", body: body, timeout: timeout,
+		host: g.parts.SamplesHost(req.Trainer), path: rollout.GeneratePath, kind: "application/json", body: body, timeout: timeout,
 	}))
 	lines.finish()
 }
 
-// sampleWriter turns the events of the ingress into lines. If the ingress ends
-// with a panic the answer stays without its last line.
+// sampleWriter is an http.ResponseWriter that turns the events of the ingress into lines. If
+// the ingress ends with a panic the answer stays without its last line.
 type sampleWriter struct {
 	w      http.ResponseWriter
 	header http.Header
-	names  Names
+	names  headers.Names
 	status int
 	sample rollout.Result
 	broken bool
 }
 
-// Header implements http.ResponseWriter.
 func (s *sampleWriter) Header() http.Header { return s.header }
 
 // Unwrap lets http.ResponseController reach the real writer.
 func (s *sampleWriter) Unwrap() http.ResponseWriter { return s.w }
 
-// WriteHeader implements http.ResponseWriter.
 func (s *sampleWriter) WriteHeader(status int) {
 	s.status = status
 	if !s.fromEngine() {
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -21,7 +21,6 @@
 const KeyHeader = "Woodworks-Request-Key"
 
 const (
-	defaultCallTimeout = 30 * time.Second
 	// settleTimeout bounds the recording of an outcome after the answer came.
 	settleTimeout = 2 * time.Second
 	// giveBackWait is how long an answer waits for a key to be given back.
@@ -58,8 +57,8 @@
 		}
 		defer g.flights.leave(classCounter(class.Name))
 		call := ingressCall{
-			host: g.parts.Names.ServiceHost(service.Name), path: g.parts.Names.OperationPath(operation.Name),
-			kind: r.Header.Get("Content-Type"), body: body, timeout: timeoutOf(operation),
+			host: g.parts.ServiceHost(service.Name), path: g.parts.OperationPath(operation.Name),
+			kind: r.Header.Get("Content-Type"), body: body, timeout: operation.Timeout,
 		}
 		key := r.Header.Get(KeyHeader)
 		if key == "" || operation.Repeatable {
@@ -70,16 +69,9 @@
 	}
 }
 
-func timeoutOf(operation policy.Operation) time.Duration {
-	if operation.Timeout > 0 {
-		return operation.Timeout
-	}
-	return defaultCallTimeout
-}
-
 // answerCall gives a caller the reply of the ingress.
 func (g *Gateway) answerCall(w http.ResponseWriter, reply *ingressReply) {
-	if !reply.whole(g.parts.Names.Stamp) {
+	if !reply.whole(g.parts.Headers.Stamp) {
 		status, problem := reply.problem()
 		writeProblem(w, status, problem)
 		return
@@ -153,7 +145,7 @@
 // caller comes back with the same key.
 func (g *Gateway) runOnce(w http.ResponseWriter, ctx context.Context, granted permit.Granted, call ingressCall) {
 	reply := g.ask(ctx, call)
-	if !reply.whole(g.parts.Names.Stamp) {
+	if !reply.whole(g.parts.Headers.Stamp) {
 		status, problem := reply.problem()
 		if problem.Outcome == NotExecuted {
 			g.giveBack(ctx, granted)
--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -70,7 +70,7 @@
 		for range 2 { // also one that comes after the stop has begun
 			asked := httptest.NewRequestWithContext(ctx, http.MethodGet, "/v1/rollouts/t/n/samples?wait_ms=60000", nil)
 			answer := httptest.NewRecorder()
-			g.pullSamples(answer, pathvar.WithVars(asked, map[string]string{"trainer": "t", "name": "n"}), caller)
+			g.ofTrainer(g.pullSamples)(answer, pathvar.WithVars(asked, map[string]string{"trainer": "t", "name": "n"}), caller)
 			is.Equal(answer.Code, http.StatusOK)
 			var reply Pulled
 			is.NoErr(json.Unmarshal(answer.Body.Bytes(), &reply))
@@ -94,7 +94,7 @@
 		is.NoErr(err)
 		began := time.Now()
 		time.AfterFunc(1300*time.Millisecond, func() { close(stopping) })
-		bounded, cancel := context.WithTimeout(ctx, defaultCallTimeout)
+		bounded, cancel := context.WithTimeout(ctx, 30*time.Second)
 		defer cancel()
 		answer := httptest.NewRecorder()
 		g.answerTaken(bounded, answer, "c/k")
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -32,13 +32,11 @@
 // headers but the content type.
 func (g *Gateway) request(ctx context.Context, a ingressCall) *http.Request {
 	header := http.Header{}
-	header.Set(g.parts.Names.RequestID, g.parts.NewID())
+	header.Set(g.parts.Headers.RequestID, g.parts.NewID())
 	if a.kind != "" {
 		header.Set("Content-Type", a.kind)
 	}
-	if a.timeout > 0 {
-		header.Set(g.parts.Names.DeadlineMs, strconv.FormatInt(a.timeout.Milliseconds(), 10))
-	}
+	header.Set(g.parts.Headers.DeadlineMs, strconv.FormatInt(a.timeout.Milliseconds(), 10))
 	r := &http.Request{
 		Method: http.MethodPost, Host: a.host, RequestURI: a.path, URL: &url.URL{Path: a.path}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Header: header, Body: io.NopCloser(bytes.NewReader(a.body)), ContentLength: int64(len(a.body)),
@@ -46,8 +44,8 @@
 	return r.WithContext(ctx)
 }
 
-// ingressReply is what the ingress answered: a back end's whole answer, or its own
-// word on why there is none.
+// ingressReply is an http.ResponseWriter that takes what the ingress answers: a back end's
+// whole answer, or its own word on why there is none.
 type ingressReply struct {
 	header http.Header
 	status int
@@ -56,13 +54,9 @@
 	cut bool
 }
 
-// Header implements http.ResponseWriter.
-func (r *ingressReply) Header() http.Header { return r.header }
-
-// WriteHeader implements http.ResponseWriter.
+func (r *ingressReply) Header() http.Header    { return r.header }
 func (r *ingressReply) WriteHeader(status int) { r.status = status }
 
-// Write implements http.ResponseWriter.
 func (r *ingressReply) Write(content []byte) (int, error) {
 	if r.status == 0 {
 		r.status = http.StatusOK
--- a/internal/api/policy/declare.go
+++ b/internal/api/policy/declare.go
@@ -182,22 +182,13 @@
 	return nil
 }
 
-// operationValue carries an Operation through Starlark.
+// operationValue carries an Operation through Starlark, as a starlark.Value.
 type operationValue struct{ Operation }
 
-// String implements starlark.Value.
-func (v operationValue) String() string { return fmt.Sprintf("operation(%q)", v.Name) }
-
-// Type implements starlark.Value.
-func (operationValue) Type() string { return "operation" }
-
-// Freeze implements starlark.Value.
-func (operationValue) Freeze() {}
-
-// Truth implements starlark.Value.
-func (operationValue) Truth() starlark.Bool { return true }
-
-// Hash implements starlark.Value.
+func (v operationValue) String() string      { return fmt.Sprintf("operation(%q)", v.Name) }
+func (operationValue) Type() string          { return "operation" }
+func (operationValue) Freeze()               {}
+func (operationValue) Truth() starlark.Bool  { return true }
 func (operationValue) Hash() (uint32, error) { return 0, errors.New("operation is not hashable") }
 
 const (
--- a/internal/api/standalone/codec.go
+++ b/internal/api/standalone/codec.go
@@ -18,16 +18,7 @@
 
 var _ ingress.Codec = codec{}
 
-// ParseCall implements ingress.Codec.
-func (codec) ParseCall(*http.Request) (ingress.BatchCall, bool, error) {
-	return ingress.BatchCall{}, false, nil
-}
-
-// DecodeSubmission implements ingress.Codec.
-func (codec) DecodeSubmission([]byte) (*batch.Submission, error) { return nil, errNoBatches }
-
-// EncodeResults implements ingress.Codec.
-func (codec) EncodeResults(results.Page) ([]byte, error) { return nil, errNoBatches }
-
-// EncodeError implements ingress.Codec.
-func (codec) EncodeError(text string) []byte { return []byte(text) }
+func (codec) ParseCall(*http.Request) (call ingress.BatchCall, recognised bool, err error) { return }
+func (codec) DecodeSubmission([]byte) (*batch.Submission, error)                           { return nil, errNoBatches }
+func (codec) EncodeResults(results.Page) ([]byte, error)                                   { return nil, errNoBatches }
+func (codec) EncodeError(text string) []byte                                               { return []byte(text) }
--- a/internal/api/standalone/connect.go
+++ b/internal/api/standalone/connect.go
@@ -60,10 +60,7 @@
 		Operator: operator.New(parts.Journal, parts.Logger),
 		Replicas: parts.Replicas,
 		Ingress:  parts.Ingress,
-		Names: gateway.Names{
-			RequestID: names.RequestID, DeadlineMs: names.DeadlineMs, Stamp: names.Stamp, Versions: names.Versions,
-			SamplesHost: SamplesHost, ServiceHost: ServiceHost, OperationPath: OperationPath,
-		},
+		Headers:  names, SamplesHost: SamplesHost, ServiceHost: ServiceHost, OperationPath: OperationPath,
 		Metrics: parts.Metrics, Logger: parts.Logger, NewID: newID, Identity: parts.Identity, Ready: parts.Ready, Stopping: parts.Stopping,
 	}, gateway.Limits{
 		MaxBodyBytes: parts.Settings.Limits.MaxBodyBytes, ConfirmBound: parts.Settings.Timing.ConfirmBound.Std(),
--- a/internal/api/standalone/retries.go
+++ b/internal/api/standalone/retries.go
@@ -19,14 +19,12 @@
 
 var _ ingress.Retries = (*retries)(nil)
 
-// Began implements ingress.Retries.
 func (r *retries) Began(*route.Route) {
 	if set, ok := r.decoder.SetOf(r.configuration()); ok {
 		r.budget.FirstTry(set.Retry.Percent)
 	}
 }
 
-// May implements ingress.Retries.
 func (r *retries) May(rt *route.Route, offers int) bool {
 	set, ok := r.decoder.SetOf(r.configuration())
 	if !ok {
