--- a/internal/api/rollout/cursor.go
+++ b/internal/api/rollout/cursor.go
@@ -1,8 +1,11 @@
 package rollout
 
 import (
+	"bytes"
+	"cmp"
 	"encoding/base64"
 	"encoding/binary"
+	"io"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/pkg/errors"
@@ -70,60 +73,25 @@
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(sum) || body[0] != cursorFormat {
 		return Cursor{}, ErrCursor
 	}
-	r := &cursorReader{data: body[1:]}
-	cursor := Cursor{}
-	cursor.Header.Trainer = r.text()
-	cursor.Header.Name = r.text()
-	cursor.Header.Digest = r.fixed64()
-	cursor.Header.Samples = r.count(MaxSamples)
-	cursor.taken = append([]byte{}, r.data...)
-	if r.failed || len(cursor.taken) != (cursor.Header.Samples+7)/8 {
+	r := bytes.NewReader(body[1:])
+	var digest uint64
+	trainer, errTrainer := readText(r)
+	name, errName := readText(r)
+	errDigest := binary.Read(r, binary.BigEndian, &digest)
+	samples, errSamples := binary.ReadUvarint(r)
+	taken := body[len(body)-r.Len():]
+	if cmp.Or(errTrainer, errName, errDigest, errSamples) != nil || samples < 1 || samples > MaxSamples || len(taken) != int(samples+7)/8 {
 		return Cursor{}, ErrCursor
 	}
-	return cursor, nil
+	return Cursor{Header: Header{Trainer: trainer, Name: name, Digest: digest, Samples: int(samples)}, taken: taken}, nil
 }
 
-// cursorReader reads fields one after another and remembers a failure.
-type cursorReader struct {
-	data   []byte
-	failed bool
-}
-
-func (r *cursorReader) number() uint64 {
-	value, size := binary.Uvarint(r.data)
-	if size <= 0 {
-		r.failed = true
-		return 0
-	}
-	r.data = r.data[size:]
-	return value
-}
-
-func (r *cursorReader) count(limit uint64) int {
-	value := r.number()
-	if value < 1 || value > limit {
-		r.failed = true
-		return 1
-	}
-	return int(value)
-}
-
-func (r *cursorReader) take(size uint64) []byte {
-	if size > uint64(len(r.data)) {
-		r.failed = true
-		return nil
-	}
-	part := r.data[:size]
-	r.data = r.data[size:]
-	return part
-}
-
-func (r *cursorReader) text() string { return string(r.take(r.number())) }
-
-func (r *cursorReader) fixed64() uint64 {
-	part := r.take(8)
-	if len(part) < 8 {
-		return 0
+func readText(r *bytes.Reader) (string, error) {
+	n, err := binary.ReadUvarint(r)
+	if err != nil || n > uint64(r.Len()) {
+		return "", ErrCursor
 	}
-	return binary.BigEndian.Uint64(part)
+	text := make([]byte, n)
+	_, err = io.ReadFull(r, text)
+	return string(text), err
 }
--- a/internal/api/rollout/sample.go
+++ b/internal/api/rollout/sample.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"slices"
 
 	"github.com/pkg/errors"
 
@@ -73,22 +74,13 @@
 		r.Add(frame)
 	}
 	for _, segment := range r.Segments {
-		if !madeBy(res, int64(segment.Version)) {
+		if !slices.Contains(res.Versions, int64(segment.Version)) {
 			return errors.Wrapf(ErrText, "version %d is not one that made it", segment.Version)
 		}
 	}
 	return nil
 }
 
-func madeBy(res *batch.Result, version int64) bool {
-	for _, v := range res.Versions {
-		if v == version {
-			return true
-		}
-	}
-	return false
-}
-
 // oldest returns the lowest version that made a part of an item.
 func oldest(res *batch.Result) int64 {
 	lowest := int64(0)
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -75,7 +75,7 @@
 	}
 	select {
 	case d := <-waiting.decided:
-		return d.result()
+		return d.ticket, d.err
 	case <-ctx.Done():
 	}
 	return g.leave(ctx, waiting)
@@ -133,14 +133,14 @@
 
 // start gives a request its turn. The lock is held.
 func (g *gate) start(req Request) *Ticket {
-	ticket := &Ticket{gate: g, tenant: req.Tenant, aim: req.Aim, since: g.options.Clock()}
+	ticket := &Ticket{gate: g, tenant: req.Tenant, aim: req.Aim}
 	if !g.rate.binds {
 		return ticket
 	}
 	g.starts++
 	g.offers.FirstTry(offersPercent)
 	ticket.charged = g.times.quantile(0.5)
-	g.served.charge(req.Tenant, ticket.charged, ticket.since)
+	g.served.charge(req.Tenant, ticket.charged, g.options.Clock())
 	return ticket
 }
 
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 
 	"go.uber.org/zap"
@@ -22,10 +23,10 @@
 	decided chan decision
 }
 
-// decision ends the wait of a request: one of the two is not nil.
+// decision ends the wait of a request: its turn, or a *Refused.
 type decision struct {
-	ticket  *Ticket
-	refused *Refused
+	ticket *Ticket
+	err    error
 }
 
 // refuse ends the wait of a request that has not run. The lock is held.
@@ -49,7 +50,7 @@
 	g.drop(w)
 	if refused != nil {
 		g.log(w, outcomeRefused, refused)
-		w.decided <- decision{refused: refused}
+		w.decided <- decision{err: refused}
 		return
 	}
 	if g.options.Clock().After(w.since) {
@@ -62,22 +63,13 @@
 func (g *gate) drop(w *waiter) bool {
 	for i, other := range g.waiting {
 		if other == w {
-			// A plan under way holds the former slice.
-			g.waiting = append(append(make([]*waiter, 0, len(g.waiting)), g.waiting[:i]...), g.waiting[i+1:]...)
+			g.waiting = slices.Delete(slices.Clone(g.waiting), i, i+1) // a plan under way holds the former slice
 			return true
 		}
 	}
 	return false
 }
 
-// result is the decision as a caller gets it.
-func (d decision) result() (*Ticket, error) {
-	if d.refused != nil {
-		return nil, d.refused
-	}
-	return d.ticket, nil
-}
-
 // leave ends the wait of a request whose context has ended.
 func (g *gate) leave(ctx context.Context, w *waiter) (*Ticket, error) {
 	g.mu.Lock()
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -29,7 +29,6 @@
 	gate   *gate
 	tenant string
 	aim    time.Duration
-	since  time.Time
 	// charged is the work that was reckoned for it.
 	charged time.Duration
 }
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -122,7 +122,8 @@
 func (f *Forwarder) exchange(ctx context.Context, call *Call, rep replica.Replica) (answer *Answer, sentAt time.Time, ran bool, err error) {
 	header := call.Header.Clone()
 	header[http.CanonicalHeaderKey(f.Names.ExpectReplica)] = []string{rep.ID}
-	if left, bounded := leftOf(ctx, call); bounded {
+	if deadline, bounded := ctx.Deadline(); bounded {
+		left := min(time.Until(deadline), call.Left())
 		if left <= 0 {
 			return nil, sentAt, false, errors.Wrap(upstream.ErrNotSent, errTimeUp.Error())
 		}
@@ -156,12 +157,7 @@
 	return answer, sentAt, true, err
 }
 
-// leftOf is how long a replica may work on a call, and false if nothing bounds that.
-func leftOf(ctx context.Context, call *Call) (time.Duration, bool) {
-	deadline, bounded := ctx.Deadline()
-	left := time.Until(deadline)
-	return min(left, call.Left()), bounded
-}
+
 
 // noteLoad notes what an answer tells of its replica's load.
 func (f *Forwarder) noteLoad(rep replica.Replica, header http.Header) {
--- a/internal/requests/forward/suspect.go
+++ b/internal/requests/forward/suspect.go
@@ -76,20 +76,15 @@
 	default: // quarantine.Free
 		return func() {}, nil
 	}
+	why := zap.Skip()
+	if refused != nil {
+		why = zap.NamedError("refused", refused)
+	}
 	f.Logger.Info("suspect asked to run", zap.String("request", requestID), zap.String("content", content.Digest().Short()),
-		zap.String("replica", rep.ID), zap.String("service", rep.Service),
-		zap.Bool("alone", refused == nil), zap.NamedError("refused", errorOf(refused)))
+		zap.String("replica", rep.ID), zap.String("service", rep.Service), zap.Bool("alone", refused == nil), why)
 	return release, refused
 }
 
-// errorOf keeps a nil *QuarantinedError a nil error.
-func errorOf(err *QuarantinedError) error {
-	if err == nil {
-		return nil
-	}
-	return err
-}
-
 // decisionWait is how long a request waits for another run of its content to decide. Most
 // plain requests take a tenth of it; a text may take seconds, and who waits for one is told
 // at once to come back.
--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -26,7 +26,7 @@
 	account *holding.Account
 
 	mu     sync.Mutex
-	turned *sync.Cond
+	turned sync.Cond
 	chunks [][]byte
 	// counted is for how many chunks room was taken.
 	counted int
@@ -35,11 +35,7 @@
 	err         error
 }
 
-func newReadAhead(account *holding.Account) *readAhead {
-	a := &readAhead{account: account}
-	a.turned = sync.NewCond(&a.mu)
-	return a
-}
+
 
 // read reads the source to its end, or until no more is wanted.
 func (a *readAhead) read(source io.Reader) {
@@ -121,7 +117,8 @@
 		_, err := r.w.Write(answer.Body)
 		return err
 	}
-	a := newReadAhead(r.account)
+	a := &readAhead{account: r.account}
+	a.turned.L = &a.mu
 	var reading sync.WaitGroup
 	reading.Go(func() { a.read(answer.Rest) })
 	defer reading.Wait()
