--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -6,14 +6,14 @@
 // is too old when it is asked for is made again by a further job, a round; of
 // two daemons that ask for the same round the first counts.
 //
-// A desk owns nothing that lasts and holds no fold. It relies on a reader of results, which knows
+// A service owns nothing that lasts and holds no fold. It relies on a reader of results, which knows
 // when to read a partition and when to ask its watcher, and on the runner for new batch jobs.
 //
 // # Usage
 //
-//	desk := delivery.New(reader, runner, names, logger)
-//	header, err := desk.Submit(ctx, trainer, request)
-//	delivered, err := desk.Deliver(ctx, trainer, delivery.Pull{Cursor: rollout.NewCursor(header), Version: 7})
+//	service := delivery.New(reader, runner, names, logger)
+//	header, err := service.Submit(ctx, trainer, request)
+//	delivered, err := service.Deliver(ctx, trainer, delivery.Pull{Cursor: rollout.NewCursor(header), Version: 7})
 package delivery
 
 import (
@@ -76,35 +76,35 @@
 	Items(ctx context.Context, query results.ItemsQuery) (results.Items, error)
 }
 
-// Desk is where trainers submit batches and pull samples. It is safe for concurrent use.
-type Desk struct {
+// Service is where trainers submit batches and pull samples. It is safe for concurrent use.
+type Service struct {
 	reader Reader
 	runner Runner
 	names  rollout.ItemHeaders
 	logger *zap.Logger
 }
 
-// New returns a desk.
-func New(reader Reader, run Runner, names rollout.ItemHeaders, logger *zap.Logger) *Desk {
-	return &Desk{reader: reader, runner: run, names: names, logger: logger}
+// New returns a service.
+func New(reader Reader, run Runner, names rollout.ItemHeaders, logger *zap.Logger) *Service {
+	return &Service{reader: reader, runner: run, names: names, logger: logger}
 }
 
 // Submit takes a checked batch in. The same batch may be submitted again.
-func (d *Desk) Submit(ctx context.Context, t Trainer, request rollout.Request) (rollout.Header, error) {
+func (s *Service) Submit(ctx context.Context, t Trainer, request rollout.Request) (rollout.Header, error) {
 	header := rollout.HeaderOf(request)
 	minVersion := max(t.lowest(t.Newest), int64(request.MinVersion))
-	job := rollout.First(request, header, minVersion, d.names)
+	job := rollout.First(request, header, minVersion, s.names)
 	job.AcceptedAtMs = time.Now().UnixMilli()
 	bounded, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	err := d.runner.Accept(bounded, job)
+	err := s.runner.Accept(bounded, job)
 	switch {
 	case errors.Is(err, runner.ErrNotDone):
 		return header, errors.Wrap(ErrUnavailable, err.Error())
 	case err != nil:
 		return header, errors.Wrap(ErrUnsure, err.Error())
 	}
-	stored, err := d.Find(ctx, header.Trainer, header.Name)
+	stored, err := s.Find(ctx, header.Trainer, header.Name)
 	switch {
 	case errors.Is(err, ErrUnavailable):
 		return header, errors.Wrap(ErrUnsure, err.Error())
@@ -113,13 +113,13 @@
 	case stored.Digest != header.Digest:
 		return header, ErrConflict
 	}
-	d.logger.Info("batch taken in", zap.String("batch", job.ID), zap.Int("samples", header.Samples), zap.Int64("min_version", minVersion))
+	s.logger.Info("batch taken in", zap.String("batch", job.ID), zap.Int("samples", header.Samples), zap.Int64("min_version", minVersion))
 	return header, nil
 }
 
 // Find returns the header of a batch.
-func (d *Desk) Find(ctx context.Context, trainer, name string) (rollout.Header, error) {
-	first, err := d.exists(ctx, trainer, name, 0)
+func (s *Service) Find(ctx context.Context, trainer, name string) (rollout.Header, error) {
+	first, err := s.exists(ctx, trainer, name, 0)
 	if err != nil {
 		return rollout.Header{}, err
 	}
@@ -132,8 +132,8 @@
 }
 
 // exists asks for a round of a batch, and for none of its samples.
-func (d *Desk) exists(ctx context.Context, trainer, name string, round int) (results.Page, error) {
-	page, err := d.reader.Samples(ctx, results.Query{
+func (s *Service) exists(ctx context.Context, trainer, name string, round int) (results.Page, error) {
+	page, err := s.reader.Samples(ctx, results.Query{
 		BatchID: rollout.JobID(trainer, name, round), After: rollout.MaxSamples, Samples: &results.Samples{Further: round > 0},
 	})
 	if err != nil {
@@ -143,14 +143,14 @@
 }
 
 // End ends all rounds of a batch: no more samples are made.
-func (d *Desk) End(ctx context.Context, trainer, name string) error {
-	rounds, err := d.count(ctx, trainer, name)
+func (s *Service) End(ctx context.Context, trainer, name string) error {
+	rounds, err := s.count(ctx, trainer, name)
 	if err != nil {
 		return err
 	}
 	for round := range rounds {
 		bounded, cancel := context.WithTimeout(ctx, submitTimeout)
-		err := d.runner.End(bounded, rollout.JobID(trainer, name, round), "")
+		err := s.runner.End(bounded, rollout.JobID(trainer, name, round), "")
 		cancel()
 		switch {
 		case err == nil:
@@ -164,9 +164,9 @@
 }
 
 // count returns how many rounds a batch has.
-func (d *Desk) count(ctx context.Context, trainer, name string) (int, error) {
+func (s *Service) count(ctx context.Context, trainer, name string) (int, error) {
 	for rounds := 0; ; rounds++ {
-		page, err := d.exists(ctx, trainer, name, rounds)
+		page, err := s.exists(ctx, trainer, name, rounds)
 		switch {
 		case err != nil:
 			return 0, err
--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -15,7 +15,7 @@
 // observation is a batch as one pull has seen it. Positions of results never change, so that each
 // look goes on where the one before ended.
 type observation struct {
-	desk    *Desk
+	service *Service
 	pull    Pull
 	accepts func(oldest int64) bool
 	rounds  []*round
@@ -123,7 +123,7 @@
 // ask asks for the samples of a round from the first position on that is not seen.
 func (o *observation) ask(ctx context.Context, of *round, wait time.Duration) (results.Page, error) {
 	header := o.pull.Cursor.Header
-	page, err := o.desk.reader.Samples(ctx, results.Query{
+	page, err := o.service.reader.Samples(ctx, results.Query{
 		BatchID: rollout.JobID(header.Trainer, header.Name, of.number), After: of.next, Wait: wait,
 		Samples: &results.Samples{Taken: o.pull.Cursor.Bits(), Limit: o.pull.Limit, Further: of.number > 0},
 	})
@@ -168,7 +168,7 @@
 	}
 	if err := o.readRound(polling, newest, length); err != nil && polling.Err() == nil {
 		header := o.pull.Cursor.Header
-		o.desk.logger.Debug("samples not awaited", zap.String("batch", rollout.JobID(header.Trainer, header.Name, newest.number)), zap.Error(err))
+		o.service.logger.Debug("samples not awaited", zap.String("batch", rollout.JobID(header.Trainer, header.Name, newest.number)), zap.Error(err))
 	}
 }
 
--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -37,7 +37,7 @@
 	folds   *ledger.Ledger
 	// wire leads to the watcher.
 	wire  *rpc.Client
-	desks []*Desk
+	desks []*Service
 	// jobs were accepted, in order.
 	jobs []*batch.Submission
 
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -59,10 +59,10 @@
 // Deliver hands over samples, and waits for the first as long as the pull says.
 // Samples that became too old are made again. The error wraps ErrUnavailable, ErrUnknownBatch or
 // ErrTooManyRounds.
-func (d *Desk) Deliver(ctx context.Context, t Trainer, pull Pull) (Delivery, error) {
+func (s *Service) Deliver(ctx context.Context, t Trainer, pull Pull) (Delivery, error) {
 	end := time.Now().Add(pull.Wait)
 	trained := max(pull.Version, t.Newest, 1)
-	seen := observation{desk: d, pull: pull, accepts: func(oldest int64) bool { return t.Accepts(oldest, trained) }, prompts: map[int]prompt{}}
+	seen := observation{service: s, pull: pull, accepts: func(oldest int64) bool { return t.Accepts(oldest, trained) }, prompts: map[int]prompt{}}
 	for {
 		err := seen.look(ctx)
 		if errors.Is(err, ErrUnavailable) && ctx.Err() == nil && pull.mayWait(end) {
@@ -73,7 +73,7 @@
 		if err != nil {
 			return Delivery{}, err
 		}
-		if err := d.makeAgain(ctx, t, &seen, trained); err != nil {
+		if err := s.makeAgain(ctx, t, &seen, trained); err != nil {
 			return Delivery{}, err
 		}
 		if len(seen.plan.Ready) > 0 || seen.plan.Open == 0 || !pull.mayWait(end) {
@@ -88,7 +88,7 @@
 
 // makeAgain asks for a further round. That another daemon asked first, or that
 // the journal did not answer, is seen at the next look.
-func (d *Desk) makeAgain(ctx context.Context, t Trainer, seen *observation, trained int64) error {
+func (s *Service) makeAgain(ctx context.Context, t Trainer, seen *observation, trained int64) error {
 	samples := seen.plan.Again
 	if len(samples) == 0 {
 		return nil
@@ -97,9 +97,9 @@
 	if round > maxRounds {
 		return ErrTooManyRounds
 	}
-	first, err := d.itemsOf(ctx, header, samples)
+	first, err := s.itemsOf(ctx, header, samples)
 	if errors.Is(err, ErrUnavailable) {
-		d.logger.Info("samples not made again", zap.String("batch", rollout.JobID(header.Trainer, header.Name, round)), zap.Error(err))
+		s.logger.Info("samples not made again", zap.String("batch", rollout.JobID(header.Trainer, header.Name, round)), zap.Error(err))
 		return nil
 	}
 	if err != nil {
@@ -109,17 +109,17 @@
 	job.AcceptedAtMs = time.Now().UnixMilli()
 	bounded, cancel := context.WithTimeout(ctx, againTimeout)
 	defer cancel()
-	err = d.runner.Accept(bounded, job)
-	d.logger.Info("samples made again", zap.String("batch", job.ID), zap.Int("samples", len(samples)), zap.Int64("trained", trained),
+	err = s.runner.Accept(bounded, job)
+	s.logger.Info("samples made again", zap.String("batch", job.ID), zap.Int("samples", len(samples)), zap.Int64("trained", trained),
 		zap.Int64("min_version", job.MinVersion), zap.Error(err))
 	return nil
 }
 
 // itemsOf returns the job of a batch's first round with the items of some samples.
-func (d *Desk) itemsOf(ctx context.Context, header rollout.Header, samples []int) (*batch.Submission, error) {
+func (s *Service) itemsOf(ctx context.Context, header rollout.Header, samples []int) (*batch.Submission, error) {
 	first := &batch.Submission{Items: make([]batch.Item, header.Samples)}
 	for len(samples) > 0 {
-		items, err := d.reader.Items(ctx, results.ItemsQuery{BatchID: rollout.JobID(header.Trainer, header.Name, 0), Places: samples})
+		items, err := s.reader.Items(ctx, results.ItemsQuery{BatchID: rollout.JobID(header.Trainer, header.Name, 0), Places: samples})
 		switch {
 		case err != nil:
 			return nil, errors.Wrap(ErrUnavailable, err.Error())
--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -55,7 +55,7 @@
 type restarted struct {
 	*ledgertest.Fleet
 	log     *journaltest.Journal
-	desks   []*Desk
+	desks   []*Service
 	headers []rollout.Header
 	// services answer peers, each over a link that carries one answer at a time.
 	services []*results.Service
--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -56,7 +56,7 @@
 type Parts struct {
 	// Configuration returns what is in force, or false before the first.
 	Configuration func() (Configuration, bool)
-	Delivery      *delivery.Desk
+	Delivery      *delivery.Service
 	Permits       *permit.Permits
 	Operator      *operator.Operator
 	Replicas      *replica.Table
--- a/internal/api/standalone/retries.go
+++ b/internal/api/standalone/retries.go
@@ -9,8 +9,8 @@
 	"woodworks/internal/requests/route"
 )
 
-// retries lets the policies in force and the retry budget decide on offers to
-// further replicas, beyond forward.Tries. It implements ingress.Retries.
+// retries lets the policies in force and the retry budget decide on attempts at
+// further replicas, beyond forward.AttemptState. It implements ingress.Retries.
 type retries struct {
 	decoder       *Decoder
 	configuration func() *route.Configuration
@@ -25,13 +25,13 @@
 	}
 }
 
-func (r *retries) May(rt *route.Route, offers int) bool {
+func (r *retries) May(rt *route.Route, attempts int) bool {
 	set, ok := r.decoder.SetOf(r.configuration())
 	if !ok {
 		return false
 	}
 	service, operation := operationOf(rt)
-	if set.OnFailure(service, operation, offers) != policy.ActionRetry {
+	if set.OnFailure(service, operation, attempts) != policy.ActionRetry {
 		return false
 	}
 	return r.budget.TryRetry(time.Now(), set.Retry.Minimum)
--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -19,7 +19,7 @@
 //	if err != nil {
 //		return err // a *Refused: the request has not run
 //	}
-//	answer, err := send() // further offers as long as ticket.MayOffer
+//	answer, err := send() // further attempts as long as ticket.MayRetry
 //	ticket.Done(admission.Answered{Took: took})
 //
 // Plan and StartRate decide; they read no clock, and hold neither locks nor goroutines. A gate
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -21,10 +21,10 @@
 	// needPart is the part of the answers whose time a request must have left: the few that
 	// take longest are no reason to refuse others.
 	needPart = 0.9
-	// offersPercent is how many further offers each hundred first ones of a full service
-	// earn, minOffers how many a second there are at least.
-	offersPercent = 100
-	minOffers     = 2
+	// retriesPercent is how many further attempts each hundred first ones of a full service
+	// earn, minRetries how many a second there are at least.
+	retriesPercent = 100
+	minRetries     = 2
 	// patiencePart is the part of its aim, one in so many, that a request waits at most while
 	// the aim can be reached: a caller that is refused within it has the rest of the time for another
 	// try.
@@ -43,7 +43,7 @@
 	mu      sync.Mutex
 	rate    StartRate
 	times   times
-	offers  retrybudget.Budget
+	retries retrybudget.Budget
 	waiting []*waiter
 	// served has the work that tenants have had while the start rate bound.
 	served accounts
@@ -138,7 +138,7 @@
 		return ticket
 	}
 	g.starts++
-	g.offers.FirstTry(offersPercent)
+	g.retries.FirstTry(retriesPercent)
 	ticket.charged = g.times.quantile(0.5)
 	g.served.charge(req.Tenant, ticket.charged, g.options.Clock())
 	return ticket
--- a/internal/requests/admission/gate_test.go
+++ b/internal/requests/admission/gate_test.go
@@ -176,14 +176,14 @@
 			got := <-d.enter(t.Context(), clock.Now, "a", far)
 			is.NoErr(got.err)
 			for range 4 {
-				if got.ticket.MayOffer() {
+				if got.ticket.MayRetry() {
 					offers++
 				}
 			}
 			got.ticket.Done(Declined{})
 		}
 		is.True(starts > 2)
-		is.True(offers <= starts+3*minOffers+2) // and so many a second
+		is.True(offers <= starts+3*minRetries+2) // and so many a second
 	})
 }
 
--- a/internal/requests/admission/replay_test.go
+++ b/internal/requests/admission/replay_test.go
@@ -136,7 +136,7 @@
 		if errors.As(err, &refused) {
 			return Declined{}, refused.ComeBack
 		}
-		outcome := d.send(ctx, work, ticket.MayOffer)
+		outcome := d.send(ctx, work, ticket.MayRetry)
 		ticket.Done(outcome)
 		if _, declined := outcome.(Declined); !declined {
 			return outcome, 0
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -33,13 +33,13 @@
 	charged time.Duration
 }
 
-// MayOffer reports whether the request may be offered to a further replica. While the
-// service is full, further offers are bounded by a part of the first ones.
-func (t *Ticket) MayOffer() bool {
+// MayRetry reports whether the request may be offered to a further replica. While the
+// service is full, further attempts are bounded by a part of the first ones.
+func (t *Ticket) MayRetry() bool {
 	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.rate.binds || g.offers.TryRetry(g.options.Clock(), minOffers)
+	return !g.rate.binds || g.retries.TryRetry(g.options.Clock(), minRetries)
 }
 
 // Done tells what became of the request.
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -32,9 +32,9 @@
 
 // result is the outcome of one attempt at one replica.
 type result struct {
-	answer *Answer
-	err    error
-	ran    bool
+	answer     *Answer
+	err        error
+	mayHaveRun bool
 }
 
 // attempt sends the call to one replica. Over is called once the exchange is.
@@ -45,8 +45,8 @@
 		f.Table.Ended(rep.Incarnation())
 	}
 	started := time.Now()
-	answer, sentAt, ran, err := f.exchange(ctx, call, rep)
-	if ran {
+	answer, sentAt, mayHaveRun, err := f.exchange(ctx, call, rep)
+	if mayHaveRun {
 		call.Ran(sentAt)
 	}
 	outcome := outcomeOf(ctx, err)
@@ -54,13 +54,13 @@
 	if err != nil {
 		// The end below cancels the attempt's context, which then says nothing of the caller.
 		cut := ctx.Err() != nil
-		f.noteFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, outcome: outcome, ran: ran,
+		f.noteFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, outcome: outcome, mayHaveRun: mayHaveRun,
 			after: time.Since(started), err: err})
 		end()
 		if !cut {
 			f.learn(rep, err)
 		}
-		return result{err: err, ran: ran}
+		return result{err: err, mayHaveRun: mayHaveRun}
 	}
 	f.Table.Succeeded(rep.Incarnation(), time.Since(started))
 	answer.Replica, answer.end = rep.ID, end
@@ -68,7 +68,7 @@
 		f.Quarantine.Answered(call.content)
 		end()
 	}
-	return result{answer: answer, ran: true}
+	return result{answer: answer, mayHaveRun: true}
 }
 
 // Names of how attempts end, in logs and metrics.
@@ -119,7 +119,7 @@
 }
 
 // exchange sends the call and reads the answer, whole if it is short.
-func (f *Forwarder) exchange(ctx context.Context, call *Call, rep replica.Replica) (answer *Answer, sentAt time.Time, ran bool, err error) {
+func (f *Forwarder) exchange(ctx context.Context, call *Call, rep replica.Replica) (answer *Answer, sentAt time.Time, mayHaveRun bool, err error) {
 	header := call.Header.Clone()
 	header[http.CanonicalHeaderKey(f.Names.ExpectReplica)] = []string{rep.ID}
 	if deadline, bounded := ctx.Deadline(); bounded {
@@ -151,14 +151,12 @@
 	answer, err = f.readAnswer(call, response)
 	if err == nil && answer.Rest != nil {
 		answer.Rest.ended = func(err error) {
-			f.noteEnd(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, ran: true, err: err})
+			f.noteEnd(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, mayHaveRun: true, err: err})
 		}
 	}
 	return answer, sentAt, true, err
 }
 
-
-
 // noteLoad notes what an answer tells of its replica's load.
 func (f *Forwarder) noteLoad(rep replica.Replica, header http.Header) {
 	if f.Names.Load == nil {
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -45,7 +45,7 @@
 func newAttempts(f *Forwarder, call *Call) *attempts {
 	call.complete()
 	return &attempts{forwarder: f, call: call, tried: map[string]bool{}, cancels: map[string]context.CancelFunc{},
-		outcomes: make(chan result, call.MaxAttempts+extraTries+1)}
+		outcomes: make(chan result, call.MaxAttempts+extraAttempts+1)}
 }
 
 // loop makes attempts until one has an answer to pass on, or none may be made any more.
@@ -145,9 +145,9 @@
 		Full:  certainty == NotRun && a.declined > 0 && a.declined == a.notRun && a.quarantined == nil}
 }
 
-// tries is what has become of the call so far.
-func (a *attempts) tries() Tries {
-	return Tries{MayHaveRun: a.mayHaveRun, Open: a.open, NotRun: a.notRun, MaxAttempts: a.call.MaxAttempts, Repeatable: a.call.Repeatable,
+// state is what has become of the call so far.
+func (a *attempts) state() AttemptState {
+	return AttemptState{MayHaveRun: a.mayHaveRun, Open: a.open, NotRun: a.notRun, MaxAttempts: a.call.MaxAttempts, Repeatable: a.call.Repeatable,
 		Suspicion: a.suspicion(), Refused: a.quarantined != nil}
 }
 
@@ -155,7 +155,7 @@
 // that has left: its end may come together with the outcome or the moment that woke the
 // loop.
 func (a *attempts) mayRetry(ctx context.Context) bool {
-	return ctx.Err() == nil && a.tries().MayRetry() && a.call.MayRetry(a.mayHaveRun+a.notRun+a.open)
+	return ctx.Err() == nil && a.state().MayRetry() && a.call.MayRetry(a.mayHaveRun+a.notRun+a.open)
 }
 
 // start sends the call to the next replica, if there is one, and returns after
@@ -219,7 +219,7 @@
 func (a *attempts) judge(res result) *Answer {
 	if res.err != nil {
 		a.lastReason = res.err.Error()
-		if res.ran {
+		if res.mayHaveRun {
 			a.mayHaveRun++
 		} else {
 			a.notRun++
@@ -230,7 +230,7 @@
 		return nil
 	}
 	a.mayHaveRun++
-	if res.answer.Status >= http.StatusInternalServerError && a.call.Repeatable && a.tries().MayRetry() {
+	if res.answer.Status >= http.StatusInternalServerError && a.call.Repeatable && a.state().MayRetry() {
 		a.lastReason = "status " + strconv.Itoa(res.answer.Status)
 		if a.fallback != nil {
 			a.fallback.Close()
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -44,8 +44,8 @@
 	// HedgeAfter is when to do so, 0 for what its usual latency suggests.
 	HedgeAfter time.Duration
 	// MayRetry is asked before a further replica is offered the call, with the number of
-	// attempts so far. Nil adds no bound to that of Tries.
-	MayRetry func(offers int) bool
+	// attempts so far. Nil adds no bound to that of AttemptState.
+	MayRetry func(attempts int) bool
 	// Left is how long the caller still waits. It counts the time in which this machine
 	// was suspended, which the end of a context does not. Nil adds no bound to the
 	// context's.
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -18,11 +18,11 @@
 	requestID string
 	content   *quarantine.Content
 	chosen    replica.Replica
-	// outcome is the name of how it ended, ran says that the replica may have run it.
-	outcome string
-	ran     bool
-	after   time.Duration
-	err     error
+	// outcome is the name of how it ended, mayHaveRun says that the replica may have run it.
+	outcome    string
+	mayHaveRun bool
+	after      time.Duration
+	err        error
 }
 
 // noteEnd notes how an answer that had begun ended: properly, which clears its content, or by
@@ -51,7 +51,7 @@
 	f.Logger.Info("offer failed", zap.String("request", failed.requestID), zap.String("outcome", failed.outcome),
 		zap.String("content", failed.content.Digest().Short()), zap.String("replica", failed.chosen.ID),
 		zap.String("service", failed.chosen.Service),
-		zap.String("address", failed.chosen.Address), zap.Stringer("process", liveness), zap.Bool("may_have_run", failed.ran),
+		zap.String("address", failed.chosen.Address), zap.Stringer("process", liveness), zap.Bool("may_have_run", failed.mayHaveRun),
 		zap.Duration("after", failed.after), zap.Error(failed.err))
 }
 
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -238,7 +238,7 @@
 		call.complete()
 		res := f.forwarder.attempt(ctx, cancel, call, rep)
 		is.True(errors.Is(res.err, upstream.ErrNotSent))
-		is.True(!res.ran)
+		is.True(!res.mayHaveRun)
 	}
 }
 
@@ -246,8 +246,8 @@
 // clock is virtual: how soon they say it is up to the machine.
 func TestTheEndOfACallsTime(t *testing.T) {
 	notSent := result{err: errors.Wrap(upstream.ErrNotSent, "cut")}
-	broken := result{err: errors.New("cut"), ran: true}
-	whole := result{answer: &Answer{Status: http.StatusOK, Replica: "c", end: func() {}}, ran: true}
+	broken := result{err: errors.New("cut"), mayHaveRun: true}
+	whole := result{answer: &Answer{Status: http.StatusOK, Replica: "c", end: func() {}}, mayHaveRun: true}
 	cases := map[string]struct {
 		open      int
 		said      []result
--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -10,18 +10,18 @@
 // attempt that failed and, if nothing is held against its content, while its attempts are silent
 // (hedge); a stream after each attempt that failed. That is so
 //
-//  1. as long as the caller waits and Tries.MayRetry allows it;
+//  1. as long as the caller waits and AttemptState.MayRetry allows it;
 //  2. for plain requests, if then Call.MayRetry does, which may spend from a budget and is asked
 //     last: the policies in force with their retry budget (standalone) and, while the service
-//     is full, the budget of further attempts (admission.Ticket.MayOffer).
+//     is full, the budget of further attempts (admission.Ticket.MayRetry).
 //
 // No replica is sent a request twice. A plain request that every replica declined waits for
 // another turn at its service (ingress, mostTurns).
 
 const (
-	// extraTries is how often a request that was certainly not run may be
-	// offered again beyond its attempts.
-	extraTries = 4
+	// extraAttempts is how often a request that was certainly not run may be
+	// sent to replicas beyond its attempts.
+	extraAttempts = 4
 	// firstHedge is when a second replica is asked while the first is silent whose latency is
 	// not known, hedgeFactor after how many times its usual latency else, leastHedge the
 	// least time.
@@ -30,8 +30,8 @@
 	leastHedge  = 60 * time.Millisecond
 )
 
-// Tries is what has become of a request so far.
-type Tries struct {
+// AttemptState is what has become of a request so far.
+type AttemptState struct {
 	// MayHaveRun counts the attempts that ran or may have, Open those without an outcome yet,
 	// NotRun those that certainly have not run.
 	MayHaveRun, Open, NotRun int
@@ -45,10 +45,10 @@
 }
 
 // MayRetry reports whether a further replica may be asked.
-func (t Tries) MayRetry() bool {
+func (t AttemptState) MayRetry() bool {
 	started := t.MayHaveRun + t.Open
 	switch {
-	case t.Refused, t.NotRun > extraTries, started >= max(t.MaxAttempts, 1):
+	case t.Refused, t.NotRun > extraAttempts, started >= max(t.MaxAttempts, 1):
 		return false
 	case started == 0:
 		return true
--- a/internal/requests/forward/retry_test.go
+++ b/internal/requests/forward/retry_test.go
@@ -12,21 +12,21 @@
 // What may have run runs again only if it is repeatable, and what has not only so often.
 func TestWhoMayTryAgain(t *testing.T) {
 	cases := map[string]struct {
-		tries Tries
+		tries AttemptState
 		may   bool
 	}{
-		"nothing yet":                      {Tries{}, true},
-		"declined, not repeatable":         {Tries{NotRun: extraTries}, true},
-		"declined too often":               {Tries{NotRun: extraTries + 1, Repeatable: true, MaxAttempts: 9}, false},
-		"may have run, not repeatable":     {Tries{MayHaveRun: 1, MaxAttempts: 3}, false},
-		"under way, not repeatable":        {Tries{Open: 1, MaxAttempts: 3}, false},
-		"may have run":                     {Tries{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true}, true},
-		"attempts used up":                 {Tries{MayHaveRun: 1, Open: 1, MaxAttempts: 2, Repeatable: true}, false},
-		"no attempts named":                {Tries{MayHaveRun: 1, Repeatable: true}, false},
-		"suspected":                        {Tries{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.Suspected}, true},
-		"its end was a second one":         {Tries{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.OnlyAlone}, false},
-		"declined, content may only alone": {Tries{NotRun: 1, MaxAttempts: 2, Suspicion: quarantine.OnlyAlone}, true},
-		"refused":                          {Tries{Refused: true, MaxAttempts: 2, Repeatable: true}, false},
+		"nothing yet":                      {AttemptState{}, true},
+		"declined, not repeatable":         {AttemptState{NotRun: extraAttempts}, true},
+		"declined too often":               {AttemptState{NotRun: extraAttempts + 1, Repeatable: true, MaxAttempts: 9}, false},
+		"may have run, not repeatable":     {AttemptState{MayHaveRun: 1, MaxAttempts: 3}, false},
+		"under way, not repeatable":        {AttemptState{Open: 1, MaxAttempts: 3}, false},
+		"may have run":                     {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true}, true},
+		"attempts used up":                 {AttemptState{MayHaveRun: 1, Open: 1, MaxAttempts: 2, Repeatable: true}, false},
+		"no attempts named":                {AttemptState{MayHaveRun: 1, Repeatable: true}, false},
+		"suspected":                        {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.Suspected}, true},
+		"its end was a second one":         {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.OnlyAlone}, false},
+		"declined, content may only alone": {AttemptState{NotRun: 1, MaxAttempts: 2, Suspicion: quarantine.OnlyAlone}, true},
+		"refused":                          {AttemptState{Refused: true, MaxAttempts: 2, Repeatable: true}, false},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(one.tries.MayRetry(), one.may) })
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -113,7 +113,7 @@
 	began := time.Now()
 	ended := func(err error) {
 		f.noteEnd(ctx, failedAttempt{requestID: req.RequestID, content: content, chosen: rep,
-			ran: !errors.Is(err, upstream.ErrNotSent), after: time.Since(began), err: err})
+			mayHaveRun: !errors.Is(err, upstream.ErrNotSent), after: time.Since(began), err: err})
 	}
 	answer, err := f.Pool.Exchange(ctx, rep.Address, &upstream.Request{
 		Method: req.Method, Target: req.Target, Host: req.Host, Header: header, Body: req.Body,
--- a/internal/requests/ingress/batches.go
+++ b/internal/requests/ingress/batches.go
@@ -38,15 +38,15 @@
 	defer cancel()
 	err = r.handler.Runner.Accept(ctx, submission)
 	if err != nil {
-		r.notKept(err)
+		r.refuseUnrecorded(err)
 		return
 	}
 	r.write(http.StatusAccepted, nil)
 	r.observe(http.StatusAccepted, "accepted", "")
 }
 
-// notKept answers a submission or an end whose record is not known to be in the journal.
-func (r *request) notKept(err error) {
+// refuseUnrecorded answers a submission or an end whose record is not known to be in the journal.
+func (r *request) refuseUnrecorded(err error) {
 	switch {
 	case errors.Is(err, runner.ErrStopping):
 		r.refuse(refusal.Stopping, err.Error())
@@ -116,7 +116,7 @@
 	ctx, cancel := context.WithTimeout(r.req.Context(), min(r.timeLeft(), submitTimeout))
 	defer cancel()
 	if err := r.handler.Runner.End(ctx, call.BatchID, r.tenantName()); err != nil {
-		r.notKept(err)
+		r.refuseUnrecorded(err)
 		return
 	}
 	r.write(http.StatusOK, nil)
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -37,12 +37,12 @@
 	Request(route, status, outcome string, took time.Duration)
 }
 
-// Retries decides on attempts at further replicas, beyond what forward.Tries allows.
+// Retries decides on attempts at further replicas, beyond what forward.AttemptState allows.
 type Retries interface {
 	// Began is told of each request.
 	Began(rt *route.Route)
-	// May reports whether a request that was offered some times may be again.
-	May(rt *route.Route, offers int) bool
+	// May reports whether a request may have another attempt after some.
+	May(rt *route.Route, attempts int) bool
 }
 
 // NoRetryPolicy is the Retries of a platform without policies: it adds no bound.
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -22,7 +22,7 @@
 	r.handler.Retries.Began(r.route)
 	answer, err := r.sendInTurn(ctx, cfg, r.call(cfg, body))
 	if err != nil {
-		r.explain(err)
+		r.refusePlain(err)
 		return
 	}
 	defer answer.Close()
@@ -38,12 +38,12 @@
 		Header: r.headerOnward(cfg), Body: body, Caller: r.tenantName(), Services: r.route.Order(r.id),
 		Repeatable: repeatable, MaxAttempts: max(r.route.MaxAttempts, 1), Hedge: repeatable, HedgeAfter: r.route.HedgeAfter,
 		ConnectionUntil: time.Now().Add(r.route.ConnectionWait()),
-		Left:            r.timeLeft, Ran: r.ran, Account: r.account, MayRetry: r.policyMayRetry,
+		Left:            r.timeLeft, Ran: r.countRun, Account: r.account, MayRetry: r.policyMayRetry,
 	}
 }
 
 // policyMayRetry reports whether the policies in force let the request be offered again.
-func (r *request) policyMayRetry(offers int) bool { return r.handler.Retries.May(r.route, offers) }
+func (r *request) policyMayRetry(attempts int) bool { return r.handler.Retries.May(r.route, attempts) }
 
 // sendInTurn sends a call once it has its turn among the requests of its service. Engines
 // have queues of their own, which batches fill by plan.
@@ -57,7 +57,7 @@
 		if err != nil {
 			return nil, err
 		}
-		call.MayRetry = func(offers int) bool { return r.policyMayRetry(offers) && ticket.MayOffer() }
+		call.MayRetry = func(attempts int) bool { return r.policyMayRetry(attempts) && ticket.MayRetry() }
 		sentAt := h.Clock()
 		answer, err := h.Forwarder.Do(ctx, call)
 		outcome := admissionOutcome(err, h.Clock().Sub(sentAt))
--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -35,8 +35,6 @@
 	err         error
 }
 
-
-
 // read reads the source to its end, or until no more is wanted.
 func (a *readAhead) read(source io.Reader) {
 	for a.room() {
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -65,7 +65,7 @@
 	quarantined := func(err forward.QuarantinedError) *forward.Failure {
 		return &forward.Failure{Certainty: forward.NotRun, Quarantined: &err}
 	}
-	explain := func(err error) func(*request) { return func(r *request) { r.explain(err) } }
+	explain := func(err error) func(*request) { return func(r *request) { r.refusePlain(err) } }
 	cases := map[string]struct {
 		answer              func(r *request)
 		interrupted         bool
@@ -115,14 +115,14 @@
 		}, status: 503, comeBack: "0.050", outcome: "refused", body: shutdown.ErrInterrupted.Error()},
 		"batch: wrong method":  {answer: func(r *request) { r.req.Method = http.MethodPut; r.serveSubmission(nil) }, status: 405, outcome: "malformed", body: "batches are submitted by POST"},
 		"batch: malformed":     {answer: func(r *request) { r.serveSubmission(nil) }, status: 400, outcome: "malformed", body: http.ErrNotSupported.Error()},
-		"batch: not kept":      {answer: func(r *request) { r.notKept(runner.ErrNotDone) }, status: 503, comeBack: "0.400", outcome: "refused", body: runner.ErrNotDone.Error()},
-		"batch: stopping":      {answer: func(r *request) { r.notKept(runner.ErrStopping) }, status: 503, comeBack: "0.050", outcome: "refused", body: runner.ErrStopping.Error()},
-		"batch: maybe kept":    {answer: func(r *request) { r.notKept(runner.ErrUnknown) }, status: 504, outcome: "unknown", body: runner.ErrUnknown.Error()},
+		"batch: not kept":      {answer: func(r *request) { r.refuseUnrecorded(runner.ErrNotDone) }, status: 503, comeBack: "0.400", outcome: "refused", body: runner.ErrNotDone.Error()},
+		"batch: stopping":      {answer: func(r *request) { r.refuseUnrecorded(runner.ErrStopping) }, status: 503, comeBack: "0.050", outcome: "refused", body: runner.ErrStopping.Error()},
+		"batch: maybe kept":    {answer: func(r *request) { r.refuseUnrecorded(runner.ErrUnknown) }, status: 504, outcome: "unknown", body: runner.ErrUnknown.Error()},
 		"not sent":             {answer: explain(notRun), status: 503, comeBack: "0.250", outcome: "refused", body: "nobody"},
 		"not sent, stopping":   {answer: explain(notRun), interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "nobody"},
 		"maybe run":            {answer: explain(mayHaveRun), status: 502, outcome: "failed", body: "lost"},
 		"maybe run, stopping":  {answer: explain(mayHaveRun), interrupted: true, status: 502, outcome: "interrupted", body: shutdown.ErrInterrupted.Error()},
-		"maybe run, time up":   {answer: func(r *request) { time.Sleep(left); r.explain(mayHaveRun) }, status: 504, outcome: "timed out", body: "lost"},
+		"maybe run, time up":   {answer: func(r *request) { time.Sleep(left); r.refusePlain(mayHaveRun) }, status: 504, outcome: "timed out", body: "lost"},
 		"an error of its own":  {answer: explain(errors.New("odd")), status: 502, outcome: "failed", body: "odd"},
 		"full":                 {answer: explain(&admission.Refused{Reason: admission.NoTime, ComeBack: 3 * time.Second}), status: 503, comeBack: "3.000", outcome: "refused", body: "admission: no turn in time"},
 		"full, beyond a third": {answer: explain(&admission.Refused{Reason: admission.TooMany, ComeBack: 9 * time.Second}), status: 503, comeBack: "8.000", outcome: "refused", body: "admission: too many wait"},
--- a/internal/requests/ingress/refuse.go
+++ b/internal/requests/ingress/refuse.go
@@ -34,8 +34,8 @@
 	r.refuse(refusal.Quarantined.In(err.RetryAfter), err.Error())
 }
 
-// explain gives the final answer to a plain request without a replica's answer.
-func (r *request) explain(err error) {
+// refusePlain gives the final answer to a plain request without a replica's answer.
+func (r *request) refusePlain(err error) {
 	if r.clientLeft() {
 		r.observe(0, "client left", err.Error())
 		panic(http.ErrAbortHandler)
@@ -51,12 +51,12 @@
 		return
 	}
 	r.attempts, r.replica = failure.Attempts, strings.Join(failure.Tried, ",")
-	r.unanswered(failure.Certainty == forward.NotRun, failure.Quarantined, failure.Reason)
+	r.refuseUnanswered(failure.Certainty == forward.NotRun, failure.Quarantined, failure.Reason)
 }
 
-// unanswered answers a request that replicas were asked for, with what is certain of it.
+// refuseUnanswered answers a request that replicas were asked for, with what is certain of it.
 // Quarantined, if not nil, is why it was not sent.
-func (r *request) unanswered(notRun bool, quarantined *forward.QuarantinedError, reason string) {
+func (r *request) refuseUnanswered(notRun bool, quarantined *forward.QuarantinedError, reason string) {
 	switch {
 	case notRun && quarantined != nil:
 		r.refuseQuarantined(quarantined)
--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -46,7 +46,7 @@
 				is := is.New(t)
 				r, recorder := askedOf(t.Context(), newStop(), route.Safe, one.timeout)
 				time.Sleep(one.after)
-				r.explain(&forward.Failure{Certainty: forward.NotRun})
+				r.refusePlain(&forward.Failure{Certainty: forward.NotRun})
 				is.Equal(recorder.Code, http.StatusServiceUnavailable)
 				is.Equal(secondsOf(t, recorder.Header()), one.told)
 			})
@@ -70,7 +70,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r, recorder := askedOf(t.Context(), newStop(), route.Batch, time.Minute)
-			r.notKept(one.err)
+			r.refuseUnrecorded(one.err)
 			is.Equal(recorder.Code, one.status)
 			if one.status == http.StatusServiceUnavailable {
 				is.Equal(secondsOf(t, recorder.Header()), one.told)
--- a/internal/requests/ingress/request.go
+++ b/internal/requests/ingress/request.go
@@ -72,8 +72,8 @@
 	return context.WithTimeout(r.req.Context(), r.timeLeft())
 }
 
-// ran has a run of the request counted for its tenant.
-func (r *request) ran(sentAt time.Time) {
+// countRun has a run of the request counted for its tenant.
+func (r *request) countRun(sentAt time.Time) {
 	if r.tenant != nil {
 		r.handler.Ran(r.tenant.Name, sentAt)
 	}
--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -95,7 +95,7 @@
 		stop.Interrupt()
 		<-ctx.Done()
 		r, recorder := askedOf(ctx, stop, route.Unsafe, time.Minute)
-		r.explain(failure)
+		r.refusePlain(failure)
 		return recorder.Code
 	}
 	is := is.New(t)
@@ -105,7 +105,7 @@
 	leave()
 	r, _ := askedOf(left, newStop(), route.Unsafe, time.Minute)
 	defer func() { is.Equal(recover(), http.ErrAbortHandler) }()
-	r.explain(&forward.Failure{Certainty: forward.NotRun})
+	r.refusePlain(&forward.Failure{Certainty: forward.NotRun})
 }
 
 // A late request is turned away before its body is read or a replica is asked.
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -56,7 +56,7 @@
 		if !ok {
 			break
 		}
-		whole, ran, err := s.attempt(ctx, rep)
+		whole, mayHaveRun, err := s.attempt(ctx, rep)
 		if whole {
 			s.replica = rep.ID
 			s.observe(http.StatusOK, "answered", "")
@@ -69,7 +69,7 @@
 			}
 			continue
 		}
-		s.note(rep, ran, err)
+		s.note(rep, mayHaveRun, err)
 		if !s.mayContinue(ctx) {
 			break
 		}
@@ -78,11 +78,11 @@
 }
 
 // note counts an attempt that failed.
-func (s *streamRelay) note(rep replica.Replica, ran bool, err error) {
+func (s *streamRelay) note(rep replica.Replica, mayHaveRun bool, err error) {
 	s.tried[rep.ID] = true
 	s.replica, s.lastErr = rep.ID, err
-	s.logger.Info("stream attempt failed", zap.String("replica", rep.ID), zap.Bool("may_have_run", ran), zap.Error(err))
-	if ran {
+	s.logger.Info("stream attempt failed", zap.String("replica", rep.ID), zap.Bool("may_have_run", mayHaveRun), zap.Error(err))
+	if mayHaveRun {
 		s.mayHaveRun++
 	} else {
 		s.notRun++
@@ -117,13 +117,13 @@
 
 // mayContinue reports whether another replica may go on with the stream.
 func (s *streamRelay) mayContinue(ctx context.Context) bool {
-	tries := forward.Tries{MayHaveRun: s.mayHaveRun, NotRun: s.notRun, MaxAttempts: s.route.MaxAttempts, Repeatable: s.route.Resumable}
-	return ctx.Err() == nil && !s.unread && tries.MayRetry()
+	state := forward.AttemptState{MayHaveRun: s.mayHaveRun, NotRun: s.notRun, MaxAttempts: s.route.MaxAttempts, Repeatable: s.route.Resumable}
+	return ctx.Err() == nil && !s.unread && state.MayRetry()
 }
 
 // attempt passes on what one replica makes of the stream. Whole says that it came to its
-// proper end, ran that the replica ran it or may have.
-func (s *streamRelay) attempt(ctx context.Context, rep replica.Replica) (whole, ran bool, err error) {
+// proper end, mayHaveRun that the replica ran it or may have.
+func (s *streamRelay) attempt(ctx context.Context, rep replica.Replica) (whole, mayHaveRun bool, err error) {
 	forwarder := s.handler.Forwarder
 	forwarder.Table.Started(rep.Incarnation())
 	defer forwarder.Table.Ended(rep.Incarnation())
@@ -134,15 +134,15 @@
 	if errors.As(err, &quarantined) {
 		return false, false, err
 	}
-	ran = err == nil || !errors.Is(err, forward.ErrDeclined) && !errors.Is(err, upstream.ErrNotSent)
-	if ran {
-		s.request.ran(sentAt)
+	mayHaveRun = err == nil || !errors.Is(err, forward.ErrDeclined) && !errors.Is(err, upstream.ErrNotSent)
+	if mayHaveRun {
+		s.countRun(sentAt)
 	}
 	if err != nil {
 		if ctx.Err() == nil && !errors.Is(err, upstream.ErrFull) {
 			forwarder.Table.Failed(rep.Incarnation())
 		}
-		return false, ran, err
+		return false, mayHaveRun, err
 	}
 	defer stream.Close()
 	err = s.passEvents(stream)
@@ -197,5 +197,5 @@
 		s.observe(0, "broken off", reason)
 		panic(http.ErrAbortHandler)
 	}
-	s.unanswered(s.mayHaveRun == 0, s.quarantined, reason)
+	s.refuseUnanswered(s.mayHaveRun == 0, s.quarantined, reason)
 }
--- a/internal/requests/upstream/probe.go
+++ b/internal/requests/upstream/probe.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// probeTimeout bounds a probe: a few round trips between regions. An offer that failed
+// probeTimeout bounds a probe: a few round trips between regions. An attempt that failed
 // waits for it before the next one, so that it is short; a process that is gone shows
 // after one round trip.
 const probeTimeout = 150 * time.Millisecond
