--- a/internal/daemon/logging/episodes_test.go
+++ b/internal/daemon/logging/episodes_test.go
@@ -96,7 +96,7 @@
 	event, reason string
 	fields        []zap.Field
 }{
-	{"request", "refused", nil}, {"request", "answered", nil}, {"no route", "", nil}, {"offer failed", "broken", nil}, {"stream attempt failed", "", nil},
+	{"request", "refused", nil}, {"request", "answered", nil}, {"no route", "", nil}, {"attempt failed", "broken", nil}, {"stream attempt failed", "", nil},
 	{"item finished", "done", nil}, {"item finished", "dead", nil}, {"item moved", "", nil}, {"item attempt failed", "", nil},
 	{"content learned of", "", nil}, {"content cleared", "", nil}, {"replica listed", "", nil}, {"replica gone from the list", "", nil}, {"weights", "", nil}, {"order", "", nil},
 	{"version named", "", nil}, {"results not listed yet", "", nil}, {"dependency lost", "", nil}, {"dependency regained", "", nil},
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -112,7 +112,7 @@
 }
 
 // failures sums the failures of each replica; what they did to a request is in its
-// "offer failed".
+// "attempt failed".
 func (f *Forwarder) failures() *logging.Episodes {
 	f.failedOnce.Do(func() { f.failed = logging.NewEpisodes(f.Logger, "replica failed", "replica", "") })
 	return f.failed
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -48,7 +48,7 @@
 		liveness = f.Pool.Probe(ctx, failed.chosen.Address)
 		f.suspect(failed, liveness)
 	}
-	f.Logger.Info("offer failed", zap.String("request", failed.requestID), zap.String("outcome", failed.outcome),
+	f.Logger.Info("attempt failed", zap.String("request", failed.requestID), zap.String("outcome", failed.outcome),
 		zap.String("content", failed.content.Digest().Short()), zap.String("replica", failed.chosen.ID),
 		zap.String("service", failed.chosen.Service),
 		zap.String("address", failed.chosen.Address), zap.Stringer("process", liveness), zap.Bool("may_have_run", failed.mayHaveRun),
--- a/internal/requests/forward/failed_test.go
+++ b/internal/requests/forward/failed_test.go
@@ -44,7 +44,7 @@
 			var asked *Call
 			_, err := f.call(t, func(call *Call) { asked = call })
 			is.True(err != nil)
-			lines := logged.FilterMessage("offer failed").All()
+			lines := logged.FilterMessage("attempt failed").All()
 			is.Equal(len(lines), 1)
 			fields := lines[0].ContextMap()
 			is.Equal(fields["process"], c.process)
