--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -47,7 +47,7 @@
 	return New(Parts{
 		Configuration: func() (Configuration, bool) { return Configuration{Policies: set}, true },
 		Delivery:      delivery.New(results.NewReader(batches, nil, nil, journal.Grants{}, "self/1", zap.NewNop()), idle{batches}, rollout.ItemHeaders{}, zap.NewNop()),
-		Permits:       permit.New(log, 10*time.Minute, func() string { return "claimant" }),
+		Permits:       permit.New(log, 10*time.Minute, func() string { return "claimant" }, zap.NewNop()),
 		Metrics:       metrics.New(), Logger: zap.NewNop(), Stopping: stopping,
 	}, Limits{}), stopping
 }
--- a/internal/api/permit/fold.go
+++ b/internal/api/permit/fold.go
@@ -4,8 +4,12 @@
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
+	"github.com/pkg/errors"
 )
 
+// errNameless: a record names no key or no claimant.
+var errNameless = errors.New("permit: record without a key or a claimant")
+
 // kind says what a record tells.
 type kind int
 
@@ -59,12 +63,15 @@
 // the key back, the next claim counts.
 type state map[string]*claim
 
-// apply folds the next record. One that is malformed or comes too late changes
-// nothing, for every reader alike.
-func (s state) apply(encoded []byte) {
+// apply folds the next record. One that comes too late changes nothing, for every reader
+// alike; nor does one that is malformed, which is an error.
+func (s state) apply(encoded []byte) error {
 	var r record
-	if cbor.Unmarshal(encoded, &r) != nil || r.Key == "" || r.Claimant == "" {
-		return
+	if err := cbor.Unmarshal(encoded, &r); err != nil {
+		return err
+	}
+	if r.Key == "" || r.Claimant == "" {
+		return errNameless
 	}
 	c := s[r.Key]
 	switch r.Kind {
@@ -82,6 +89,7 @@
 			delete(s, r.Key)
 		}
 	}
+	return nil
 }
 
 // forget drops the keys that were claimed before a time of day, and were read here a span
--- a/internal/api/permit/golden_test.go
+++ b/internal/api/permit/golden_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"go.uber.org/zap"
+
 	"woodworks/internal/daemon/golden"
 	"woodworks/internal/journal/journaltest"
 )
@@ -15,7 +17,7 @@
 	golden.Text(t, "kinds.txt", fmt.Sprint(int(kindClaim), int(kindOutcome), int(kindRelease)))
 	log := journaltest.New()
 	log.Partitions = 24
-	permits := New(log, time.Minute, func() string { return "" })
+	permits := New(log, time.Minute, func() string { return "" }, zap.NewNop())
 	var places strings.Builder
 	for i := range 8 {
 		key := fmt.Sprint("1700000000000-key-", i)
--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/pkg/errors"
+	"go.uber.org/zap"
 
 	"woodworks/internal/journal"
 )
@@ -18,7 +19,8 @@
 	reading chan struct{}
 	next    int64
 	// kept is how long a key is remembered at least after its claim was read.
-	kept time.Duration
+	kept   time.Duration
+	logger *zap.Logger
 
 	mu   sync.Mutex
 	keys state
@@ -34,9 +36,10 @@
 	part := p.parts[n]
 	if part == nil {
 		part = &partition{
-			name:    journal.Partition{Topic: Topic, Number: n},
+			name:    journal.Partition{Topic: topic, Number: n},
 			reading: make(chan struct{}, 1),
 			kept:    p.retention + clockMargin,
+			logger:  p.logger,
 			keys:    state{},
 		}
 		p.parts[n] = part
@@ -83,8 +86,10 @@
 func (p *partition) fold(records [][]byte, before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, e := range records {
-		p.keys.apply(e)
+	for _, encoded := range records {
+		if err := p.keys.apply(encoded); err != nil {
+			p.logger.Warn("permit record passed over", zap.Int("partition", p.name.Number), zap.Int64("offset", p.next), zap.Error(err))
+		}
 		p.next++
 	}
 	p.keys.forget(before, p.kept)
--- a/internal/api/permit/permit.go
+++ b/internal/api/permit/permit.go
@@ -33,12 +33,13 @@
 	"time"
 
 	"github.com/pkg/errors"
+	"go.uber.org/zap"
 
 	"woodworks/internal/journal"
 )
 
-// Topic holds the claims and the outcomes.
-const Topic = "woodworks.permits"
+// topic holds the claims and the outcomes.
+const topic = "woodworks.permits"
 
 // Errors of a claim.
 var (
@@ -81,6 +82,7 @@
 	journal   journal.Journal
 	retention time.Duration
 	newID     func() string
+	logger    *zap.Logger
 
 	mu    sync.Mutex
 	parts map[int]*partition
@@ -89,8 +91,8 @@
 // New returns permits whose keys are remembered for retention, which must not
 // be longer than the journal keeps records. Each call of newID must return
 // another text, on all daemons together.
-func New(log journal.Journal, retention time.Duration, newID func() string) *Permits {
-	return &Permits{journal: log, retention: retention, newID: newID, parts: map[int]*partition{}}
+func New(log journal.Journal, retention time.Duration, newID func() string, logger *zap.Logger) *Permits {
+	return &Permits{journal: log, retention: retention, newID: newID, logger: logger, parts: map[int]*partition{}}
 }
 
 // Claim asks for the permit of a key. The error wraps ErrNotClaimed or ErrUnknown.
--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/matryer/is"
 	"github.com/pkg/errors"
+	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
 	"woodworks/internal/daemon/testseed"
@@ -88,7 +89,7 @@
 		return next.fault
 	}
 	ids := counter()
-	daemons := []*Permits{New(log, retention, ids), New(log, retention, ids), New(log, retention, ids)}
+	daemons := []*Permits{New(log, retention, ids, zap.NewNop()), New(log, retention, ids, zap.NewNop()), New(log, retention, ids, zap.NewNop())}
 	var tries sync.WaitGroup
 	for i, start := range starts {
 		tries.Go(func() {
@@ -123,7 +124,7 @@
 	is := is.New(t)
 	log := journaltest.New()
 	ids := counter()
-	first, second := New(log, retention, ids), New(log, retention, ids)
+	first, second := New(log, retention, ids, zap.NewNop()), New(log, retention, ids, zap.NewNop())
 	ctx := context.Background()
 	decision, err := first.Claim(ctx, "k", 1)
 	is.NoErr(err)
@@ -146,7 +147,7 @@
 	is := is.New(t)
 	log := journaltest.New()
 	ids := counter()
-	first, second := New(log, retention, ids), New(log, retention, ids)
+	first, second := New(log, retention, ids, zap.NewNop()), New(log, retention, ids, zap.NewNop())
 	ctx := context.Background()
 	decision, err := first.Claim(ctx, "k", 1)
 	is.NoErr(err)
@@ -170,9 +171,9 @@
 		is := is.New(t)
 		log := journaltest.New()
 		ids := counter()
-		_, err := New(log, retention, ids).Claim(context.Background(), "k", 1)
+		_, err := New(log, retention, ids, zap.NewNop()).Claim(context.Background(), "k", 1)
 		is.NoErr(err)
-		other := New(log, retention, ids)
+		other := New(log, retention, ids, zap.NewNop())
 		decision, err := other.Claim(context.Background(), "k", 1)
 		is.NoErr(err)
 		is.Equal(decision, Taken{})
@@ -186,7 +187,7 @@
 func TestARefusedClaimIsNotInTheJournal(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
-	permits := New(log, retention, counter())
+	permits := New(log, retention, counter(), zap.NewNop())
 	log.Befall = func(call journaltest.Call) journaltest.Fault {
 		if call == journaltest.Append {
 			return journaltest.Refuse
@@ -209,7 +210,7 @@
 	now := time.UnixMilli(1_700_000_000_000)
 	key, err := ParseKey("1700000000000-abcdefgh")
 	is.NoErr(err)
-	permits := New(journaltest.New(), retention, counter())
+	permits := New(journaltest.New(), retention, counter(), zap.NewNop())
 	is.NoErr(permits.Check(key, now))
 	is.True(errors.Is(permits.Check(key, now.Add(retention)), ErrExpired))
 	is.True(errors.Is(permits.Check(key, now.Add(-time.Minute)), ErrEarly))
@@ -223,7 +224,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const retention = 10 * time.Minute
-		permits := New(journaltest.New(), retention, func() string { return "second" })
+		permits := New(journaltest.New(), retention, func() string { return "second" }, zap.NewNop())
 		part := permits.of("k")
 		dropsBefore := func(clock time.Time) time.Time { return clock.Add(-retention - clockMargin) }
 		rec := record{Kind: kindClaim, Key: "k", Claimant: "first", Digest: 1, AtMs: time.Now().UnixMilli()}
--- a/internal/api/standalone/connect.go
+++ b/internal/api/standalone/connect.go
@@ -56,7 +56,7 @@
 		},
 		Delivery: delivery.New(parts.Results, parts.Runner,
 			rollout.ItemHeaders{TokenUsage: names.TokenUsage, LengthHint: names.LengthHint}, parts.Logger),
-		Permits:  permit.New(parts.Journal, parts.Settings.Timing.RecordRetention.Std(), newID),
+		Permits:  permit.New(parts.Journal, parts.Settings.Timing.RecordRetention.Std(), newID, parts.Logger),
 		Operator: operator.New(parts.Journal, parts.Logger),
 		Replicas: parts.Replicas,
 		Ingress:  parts.Ingress,
