--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -59,7 +59,6 @@
 	// Priority is the rank of the route's requests, 0 the highest.
 	Priority  int
 	Resumable bool
-	Sticky    bool
 	// Anonymous requests need no key, and replicas are told no tenant.
 	Anonymous bool
 	// SingleVersion demands that one version makes all of a sample.
@@ -81,7 +80,6 @@
 	Name string
 	// MaxConnections is what one replica accepts from all callers together.
 	MaxConnections int
-	HealthPath     string
 	// Engine says that the replicas are model engines; Models are theirs.
 	Engine bool
 	Models []Model
