--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -7,6 +7,7 @@
 	"context"
 	"encoding/json"
 	"io"
+	"maps"
 	"net/http"
 	"net/url"
 	"strconv"
@@ -71,9 +72,7 @@
 	}
 	// A body that cannot be rewound keeps net/http from replaying a request.
 	request.GetBody = nil
-	for name, values := range header {
-		request.Header[name] = values
-	}
+	maps.Copy(request.Header, header)
 	request.Header.Set("Authorization", "Bearer "+client.key)
 	response, err := client.service.DoRequest(request)
 	if err != nil {
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -63,11 +63,9 @@
 	if !decodeJSON(w, r, &req) {
 		return
 	}
-	if err := req.Check(); err != nil {
-		var fault *rollout.FieldError
-		if errors.As(err, &fault) {
-			badField(w, fault.Field, fault.Reason)
-		}
+	var fault *rollout.FieldError
+	if errors.As(req.Check(), &fault) {
+		badField(w, fault.Field, fault.Reason)
 		return
 	}
 	trainer, ok := g.trainerOf(w, caller, req.Trainer)
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"math"
+	"slices"
 	"sync"
 	"time"
 
@@ -114,12 +115,9 @@
 
 // allFull reports whether each replica is known to have as many requests as slots.
 func allFull(replicas []replica.Replica) bool {
-	for _, rep := range replicas {
-		if rep.Slots <= 0 || max(rep.InFlight, rep.ReportedLoad) < rep.Slots {
-			return false
-		}
-	}
-	return len(replicas) > 0
+	return len(replicas) > 0 && !slices.ContainsFunc(replicas, func(rep replica.Replica) bool {
+		return rep.Slots <= 0 || max(rep.InFlight, rep.ReportedLoad) < rep.Slots
+	})
 }
 
 func (g *gate) capacity(replicas []replica.Replica) Capacity {
--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -1,6 +1,7 @@
 package admission
 
 import (
+	"maps"
 	"time"
 
 	"woodworks/internal/requests/refusal"
@@ -57,10 +58,8 @@
 func Plan(s Snapshot) []Turn {
 	turns := make([]Turn, 0, len(s.Waiting))
 	done := make([]bool, len(s.Waiting))
-	had := make(map[string]time.Duration, len(s.Served))
-	for tenant, work := range s.Served {
-		had[tenant] = work
-	}
+	had := map[string]time.Duration{}
+	maps.Copy(had, s.Served)
 	starts := 0
 	for range s.Waiting {
 		after := s.First + inSeconds(float64(starts)/s.Rate)
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -1,6 +1,7 @@
 package admission
 
 import (
+	"slices"
 	"time"
 
 	"go.uber.org/zap"
@@ -103,10 +104,7 @@
 // slots. One that has just answered has room for another, so that each answer lets
 // one request of this daemon start, and no more than end.
 func hasRoom(replicas []replica.Replica) bool {
-	for _, rep := range replicas {
-		if rep.ReportedLoad > 0 && max(rep.ReportedLoad, rep.InFlight) < rep.Slots {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(replicas, func(rep replica.Replica) bool {
+		return rep.ReportedLoad > 0 && max(rep.ReportedLoad, rep.InFlight) < rep.Slots
+	})
 }
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"io"
+	"maps"
 	"net/http"
 	"strconv"
 	"time"
@@ -180,10 +181,7 @@
 		return
 	}
 	s.began = true
-	target := s.w.Header()
-	for name, values := range headers.CopyEndToEnd(stream.Header) {
-		target[name] = values
-	}
+	maps.Copy(s.w.Header(), headers.CopyEndToEnd(stream.Header))
 	s.w.WriteHeader(stream.Status)
 }
 
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -1,6 +1,7 @@
 package ingress
 
 import (
+	"maps"
 	"net/http"
 	"strconv"
 	"time"
@@ -19,16 +20,13 @@
 
 // passOn writes a replica's answer to the client.
 func (r *request) passOn(answer *forward.Answer) {
-	target := r.w.Header()
-	for name, values := range headers.CopyEndToEnd(answer.Header) {
-		target[name] = values
-	}
+	maps.Copy(r.w.Header(), headers.CopyEndToEnd(answer.Header))
 	length := int64(len(answer.Body))
 	if answer.Rest != nil {
 		length = answer.Rest.Length()
 	}
 	if length >= 0 && r.req.Method != http.MethodHead {
-		target.Set("Content-Length", strconv.FormatInt(length, 10))
+		r.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	r.setWriteDeadline(r.answerTime())
 	r.w.WriteHeader(answer.Status)
