--- a/internal/api/standalone/engines.go
+++ b/internal/api/standalone/engines.go
@@ -13,18 +13,14 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// Engines speaks the product's engine protocol. It implements engine.Driver.
-type Engines struct{ pool *upstream.Pool }
+// engines speaks the product's engine protocol over the pool's connections.
+type engines struct{ pool *upstream.Pool }
 
-var _ engine.Driver = (*Engines)(nil)
-
-// NewEngines returns a driver that uses the pool's connections.
-func NewEngines(pool *upstream.Pool) *Engines { return &Engines{pool: pool} }
+var _ engine.Driver = engines{}
 
 var manners = map[engine.Manner]string{engine.Finish: MannerFinish, engine.Continue: MannerContinue, engine.Reset: MannerReset}
 
-// Report implements engine.Driver.
-func (e *Engines) Report(ctx context.Context, target replica.Replica) (engine.Report, error) {
+func (e engines) Report(ctx context.Context, target replica.Replica) (engine.Report, error) {
 	status, body, err := e.call(ctx, target, http.MethodGet, StatePath, nil)
 	if err != nil || status != http.StatusOK {
 		return engine.Report{}, errors.Wrapf(engine.ErrUnknown, "state: status %d: %v", status, err)
@@ -36,8 +32,7 @@
 	return engine.Report{Busy: state.Busy, Orders: state.Orders, Versions: state.Versions, Waiting: state.Waiting, Running: state.Running}, nil
 }
 
-// Give implements engine.Driver.
-func (e *Engines) Give(ctx context.Context, target replica.Replica, order engine.Order) error {
+func (e engines) Give(ctx context.Context, target replica.Replica, order engine.Order) error {
 	body, err := json.Marshal(EngineOrder{
 		Model: order.Model, Version: order.Version, Manner: manners[order.Manner],
 		Holder: order.Holder, Fence: order.Fence, AfterOrders: order.AfterOrders,
@@ -52,7 +47,7 @@
 	return engine.OutcomeOf(status, text)
 }
 
-func (e *Engines) call(ctx context.Context, target replica.Replica, method, path string, body []byte) (int, []byte, error) {
+func (e engines) call(ctx context.Context, target replica.Replica, method, path string, body []byte) (int, []byte, error) {
 	header := http.Header{HeaderNames().ExpectReplica: {target.ID}}
 	if body != nil {
 		header.Set("Content-Type", "application/json")
--- a/internal/api/standalone/protocol.go
+++ b/internal/api/standalone/protocol.go
@@ -1,13 +1,3 @@
-// Package standalone lets a daemon run on the product's own services: its log
-// service, its engine protocol and plain back ends, with policies as the
-// configuration and the /v1/ interface towards callers. It stands where
-// package platform stands on the users' platform. It owns the policies compiled of the
-// newest configurations (Decoder) and the budget of retries; it relies on gateway for /v1/,
-// on logservice for the journal, and on upstream for calls to engines.
-//
-// # Usage
-//
-//	running, err := node.New(settings, standalone.Connect, logger)
 package standalone
 
 import (
--- a/internal/api/standalone/connect.go
+++ b/internal/api/standalone/standalone.go
@@ -1,3 +1,13 @@
+// Package standalone lets a daemon run on the product's own services: its log
+// service, its engine protocol and plain back ends, with policies as the
+// configuration and the /v1/ interface towards callers. It stands where
+// package platform stands on the users' platform. It owns the policies compiled of the
+// newest configurations (Decoder) and the budget of retries; it relies on gateway for /v1/,
+// on logservice for the journal, and on upstream for calls to engines.
+//
+// # Usage
+//
+//	running, err := node.New(settings, standalone.Connect, logger)
 package standalone
 
 import (
@@ -31,7 +41,7 @@
 	log := logservice.New(addr, loaded.Listen.Public, store.Shape())
 	decoder := &Decoder{}
 	return node.Drivers{
-		Journal: log, Decoder: decoder, Engines: NewEngines(replicas), Codec: codec{}, Headers: HeaderNames(),
+		Journal: log, Decoder: decoder, Engines: engines{replicas}, Codec: codec{}, Headers: HeaderNames(),
 		OperatorRecords: operator.RecordsPartition, ReplicaRecords: operator.MachinesPartition,
 		Interface: func(parts node.Parts) node.Interface { return interfaceOf(parts, decoder) },
 	}, nil
