--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -138,7 +138,7 @@
 		return nil, sentAt, !errors.Is(err, upstream.ErrNotSent), err
 	}
 	f.noteLoad(rep, response.Header)
-	if response.Header.Get(f.Names.NotExecuted) != "" || response.Status == http.StatusMisdirectedRequest {
+	if f.notRun(response) {
 		// An error shows as the connection is given back.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response, bufferedBytes))
 		response.Close()
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -184,7 +184,7 @@
 // another run of the content finds out whether it ends its replica.
 func (a *attempts) pick(ctx context.Context) (rep replica.Replica, release func(), ok bool) {
 	for ctx.Err() == nil {
-		if rep, ok = a.choose(); !ok {
+		if rep, ok = a.forwarder.Pick(a.call.Services, a.tried); !ok {
 			return replica.Replica{}, nil, false
 		}
 		release, err := a.forwarder.mayRun(a.call.RequestID, a.call.content, rep)
@@ -203,17 +203,6 @@
 	return replica.Replica{}, nil, false
 }
 
-// choose picks a replica of the first service that has one.
-func (a *attempts) choose() (replica.Replica, bool) {
-	now := time.Now()
-	for _, service := range a.call.Services {
-		if rep, ok := replica.Pick(a.forwarder.Replicas(service), a.tried, now); ok {
-			return rep, true
-		}
-	}
-	return replica.Replica{}, false
-}
-
 // judge takes an outcome into account and returns the answer to pass on, if
 // this is it.
 func (a *attempts) judge(res result) *Answer {
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -62,6 +62,17 @@
 	return newAttempts(f, call).loop(ctx)
 }
 
+// Pick returns the best replica that was not tried, of the first service that has one.
+func (f *Forwarder) Pick(services []string, tried map[string]bool) (replica.Replica, bool) {
+	now := time.Now()
+	for _, service := range services {
+		if rep, ok := replica.Pick(f.Replicas(service), tried, now); ok {
+			return rep, true
+		}
+	}
+	return replica.Replica{}, false
+}
+
 // Replicas returns the replicas of a service that may get new work, with whether a
 // connection to each rests here.
 func (f *Forwarder) Replicas(service string) []replica.Replica {
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -151,15 +151,20 @@
 	}
 }
 
+// notRun reports whether a replica says that it has not run a request, or that it is not the
+// replica that the request was for.
+func (f *Forwarder) notRun(answer *upstream.Answer) bool {
+	return answer.Header.Get(f.Names.NotExecuted) != "" || answer.Status == http.StatusMisdirectedRequest
+}
+
 func (f *Forwarder) checkStreamHead(answer *upstream.Answer) error {
-	names := f.Names
-	if answer.Header.Get(names.NotExecuted) != "" || answer.Status == http.StatusMisdirectedRequest {
+	if f.notRun(answer) {
 		return errors.Wrapf(ErrDeclined, "status %d", answer.Status)
 	}
 	if answer.Status >= http.StatusBadRequest {
 		return &StatusError{Status: answer.Status}
 	}
-	if answer.Status != http.StatusOK || answer.Header.Get(names.Stamp) == "" {
+	if answer.Status != http.StatusOK || answer.Header.Get(f.Names.Stamp) == "" {
 		return errors.Wrapf(errUnsound, "status %d", answer.Status)
 	}
 	return nil
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -6,7 +6,6 @@
 	"maps"
 	"net/http"
 	"strconv"
-	"time"
 
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
@@ -53,7 +52,7 @@
 
 func (s *streamRelay) run(ctx context.Context) {
 	for {
-		rep, ok := s.choose()
+		rep, ok := s.handler.Forwarder.Pick(s.route.Order(s.id), s.tried)
 		if !ok {
 			break
 		}
@@ -90,16 +89,6 @@
 	}
 }
 
-func (s *streamRelay) choose() (replica.Replica, bool) {
-	for _, service := range s.route.Order(s.id) {
-		rep, ok := replica.Pick(s.handler.Forwarder.Replicas(service), s.tried, time.Now())
-		if ok {
-			return rep, true
-		}
-	}
-	return replica.Replica{}, false
-}
-
 // mayAskAgain reports whether a stream that was not sent for its content's sake may be
 // asked for again now.
 func (s *streamRelay) mayAskAgain(ctx context.Context, rep replica.Replica, err *forward.QuarantinedError) bool {
