--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -1,5 +1,10 @@
-// Package client speaks to a daemon's HTTP interface, for the command line and
-// the lab.
+// Package client speaks to a daemon's HTTP interface, for the command line and the demo. It
+// owns its connections, and relies on gateway for the forms of answers.
+//
+// # Usage
+//
+//	submitted, err := client.New("http://127.0.0.1:7070", key).Submit(ctx, request)
+//	if problem, ok := client.AsProblem(err); ok { ... } // the daemon's own answer
 package client
 
 import (
@@ -137,15 +142,15 @@
 }
 
 // Pull asks for samples after a cursor.
-func (client *Client) Pull(ctx context.Context, trainer, name, cursor string, version uint64, limit int, wait time.Duration) (gateway.Pulled, error) {
-	query := url.Values{}
-	query.Set("cursor", cursor)
-	query.Set("training_version", strconv.FormatUint(version, 10))
-	query.Set("max", strconv.Itoa(limit))
-	query.Set("wait_ms", strconv.FormatInt(wait.Milliseconds(), 10))
-	var answer gateway.Pulled
+func (client *Client) Pull(
+	ctx context.Context, trainer, name, cursor string, version uint64, limit int, wait time.Duration,
+) (answer gateway.Pulled, err error) {
+	query := url.Values{
+		"cursor": {cursor}, "training_version": {strconv.FormatUint(version, 10)},
+		"max": {strconv.Itoa(limit)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
+	}
 	path := "/v1/rollouts/" + url.PathEscape(trainer) + "/" + url.PathEscape(name) + "/samples?" + query.Encode()
-	err := client.JSON(ctx, http.MethodGet, path, nil, &answer)
+	err = client.JSON(ctx, http.MethodGet, path, nil, &answer)
 	return answer, err
 }
 
--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -168,7 +168,8 @@
 	}
 	if err := o.readRound(polling, newest, length); err != nil && polling.Err() == nil {
 		header := o.pull.Cursor.Header
-		o.service.logger.Debug("samples not awaited", zap.String("batch", rollout.JobID(header.Trainer, header.Name, newest.number)), zap.Error(err))
+		o.service.logger.Debug("samples not awaited",
+			zap.String("batch", rollout.JobID(header.Trainer, header.Name, newest.number)), zap.Error(err))
 	}
 }
 
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -62,7 +62,8 @@
 func (s *Service) Deliver(ctx context.Context, t Trainer, pull Pull) (Delivery, error) {
 	end := time.Now().Add(pull.Wait)
 	trained := max(pull.Version, t.Newest, 1)
-	seen := observation{service: s, pull: pull, accepts: func(oldest int64) bool { return t.Accepts(oldest, trained) }, prompts: map[int]prompt{}}
+	accepts := func(oldest int64) bool { return t.Accepts(oldest, trained) }
+	seen := observation{service: s, pull: pull, accepts: accepts, prompts: map[int]prompt{}}
 	for {
 		err := seen.look(ctx)
 		if errors.Is(err, ErrUnavailable) && ctx.Err() == nil && pull.mayWait(end) {
--- a/internal/api/operator/update.go
+++ b/internal/api/operator/update.go
@@ -21,7 +21,9 @@
 // the partition has not changed meanwhile, and returns the record's offset. A nil
 // value changes nothing. An append without an answer is settled by reading what
 // the key holds.
-func (o *Operator) update(ctx context.Context, p journal.Partition, key string, next func(value []byte) ([]byte, error)) (offset int64, err error) {
+func (o *Operator) update(
+	ctx context.Context, p journal.Partition, key string, next func(value []byte) ([]byte, error),
+) (offset int64, err error) {
 	for range tries {
 		value, end, err := o.read(ctx, p, key)
 		if err != nil {
--- a/internal/api/policy/declare.go
+++ b/internal/api/policy/declare.go
@@ -32,7 +32,9 @@
 	for name, take := range map[string]declare{
 		"trainer": d.trainer, "service": d.service, "caller": d.caller, "traffic_class": d.class, "retry_budget": d.retryBudget,
 	} {
-		dict[name] = starlark.NewBuiltin(name, func(thread *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+		dict[name] = starlark.NewBuiltin(name, func(
+			thread *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
+		) (starlark.Value, error) {
 			return starlark.None, take(args, kwargs, origin{document: document, line: thread.CallFrame(1).Pos.Line})
 		})
 	}
@@ -209,7 +211,8 @@
 		return nil, errors.Wrap(err, "operation")
 	}
 	if timeout < 1 || timeout > maxOperationTimeout.Milliseconds() {
-		return nil, errors.Errorf("operation %q: timeout_ms %d is not between 1 and %d", operation.Name, timeout, maxOperationTimeout.Milliseconds())
+		return nil, errors.Errorf("operation %q: timeout_ms %d is not between 1 and %d",
+			operation.Name, timeout, maxOperationTimeout.Milliseconds())
 	}
 	if hedge < 0 {
 		return nil, errors.Errorf("operation %q: hedge_ms %d is negative", operation.Name, hedge)
--- a/internal/api/policy/set.go
+++ b/internal/api/policy/set.go
@@ -117,7 +117,8 @@
 	for _, service := range s.Services {
 		for _, operation := range service.Operations {
 			if _, ok := s.Classes[operation.Class]; !ok {
-				return faultf(service.document, 0, "service %q operation %q: traffic_class %q is not declared", service.Name, operation.Name, operation.Class)
+				return faultf(service.document, 0, "service %q operation %q: traffic_class %q is not declared",
+					service.Name, operation.Name, operation.Class)
 			}
 		}
 	}
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -119,7 +119,9 @@
 }
 
 // exchange sends the call and reads the answer, whole if it is short.
-func (f *Forwarder) exchange(ctx context.Context, call *Call, rep replica.Replica) (answer *Answer, sentAt time.Time, mayHaveRun bool, err error) {
+func (f *Forwarder) exchange(
+	ctx context.Context, call *Call, rep replica.Replica,
+) (answer *Answer, sentAt time.Time, mayHaveRun bool, err error) {
 	header := call.Header.Clone()
 	header[http.CanonicalHeaderKey(f.Names.ExpectReplica)] = []string{rep.ID}
 	if deadline, bounded := ctx.Deadline(); bounded {
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -165,14 +165,6 @@
 	return due, lacking
 }
 
-// wakeRecorder has the journal looked after. The mutex is held.
-func (t *Table) wakeRecorder() {
-	select {
-	case t.unrecorded <- struct{}{}:
-	default:
-	}
-}
-
 // unrecorded reports whether the journal has something else of the content than it
 // should have.
 func (s *suspect) unrecorded() bool {
@@ -222,7 +214,7 @@
 	s := t.entry(entry.Digest)
 	t.merge(s, entry, "journal")
 	s.journaled = &entry
-	t.wakeRecorder()
+	signal(t.unrecorded)
 }
 
 // dropped takes in that the journal has no entry of a content any more: it was cleared.
@@ -250,7 +242,7 @@
 func (t *Table) drop(s *suspect) {
 	before := s.journaled
 	s.journaled = nil
-	t.wakeRecorder()
+	signal(t.unrecorded)
 	if before != nil && before.Epoch == s.Epoch && len(s.Ended) > 0 {
 		t.clear(s, "cleared in the journal")
 	}
--- a/internal/requests/quarantine/table.go
+++ b/internal/requests/quarantine/table.go
@@ -112,14 +112,19 @@
 	}
 	s.usedAt = t.now()
 	s.recordAfter = s.usedAt.Add(leaveToOther)
-	t.wakeRecorder()
+	signal(t.unrecorded)
 }
 
 // announce has the other daemons told of an entry. The mutex is held.
 func (t *Table) announce(s *suspect) {
 	t.changed[s.Digest] = true
+	signal(t.wake)
+}
+
+// signal wakes who waits, or has them look again once they have looked.
+func signal(wake chan<- struct{}) {
 	select {
-	case t.wake <- struct{}{}:
+	case wake <- struct{}{}:
 	default:
 	}
 }
