--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -28,7 +28,7 @@
 	logger := zap.NewNop()
 	table := replica.NewTable(time.Second, logger)
 	table.Replace([]replica.Entry{{ID: "engine", Service: "s", Slots: 4}})
-	forwarder := &forward.Forwarder{MaxOpen: forward.Unbounded, Clock: time.Now, Names: headers.Names{}, Quarantine: quarantine.New("m", time.Now, logger), Table: table, Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
+	forwarder := &forward.Forwarder{MaxOpen: forward.Unbounded, Names: headers.Names{}, Quarantine: quarantine.New("m", time.Now, logger), Table: table, Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
 	return New(ctx, self, ledger.New(ctx, log, logger), forwarder, batchesFor(t, time.Minute), nil, NewAssigner(log, dealtTo(self), self, logger), holds{}, logger)
 }
 
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -35,7 +35,7 @@
 // newAccepter is a daemon "b/1" whose batches the group gives to another one.
 func newAccepter(ctx context.Context, log journal.Journal, owner string) *Runner {
 	logger := zap.NewNop()
-	forwarder := &forward.Forwarder{MaxOpen: forward.Unbounded, Clock: time.Now, Names: headers.Names{}, Quarantine: quarantine.New("m", time.Now, logger), Logger: logger}
+	forwarder := &forward.Forwarder{MaxOpen: forward.Unbounded, Names: headers.Names{}, Quarantine: quarantine.New("m", time.Now, logger), Logger: logger}
 	return New(ctx, "b/1", ledger.New(ctx, log, logger), forwarder, unaware{}, nil, NewAssigner(log, dealtTo(owner), "b/1", logger), holds{}, logger)
 }
 
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -84,7 +84,7 @@
 func (n *Node) newForwarder(names headers.Names) *forward.Forwarder {
 	return &forward.Forwarder{
 		Pool: n.pool, Table: n.table, Names: names, Zone: n.settings.Zone, Quarantine: n.quarantine.table,
-		Logger: n.logger, Observe: n.metrics.Attempt, MaxOpen: n.maxOpen, Clock: bootclock.Now,
+		Logger: n.logger, Observe: n.metrics.Attempt, MaxOpen: n.maxOpen,
 	}
 }
 
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -131,11 +131,13 @@
 		}
 		header[http.CanonicalHeaderKey(f.Names.DeadlineMs)] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
 	}
-	response, err := f.Pool.Exchange(ctx, rep.Address, &upstream.Request{
+	req := &upstream.Request{
 		Method: call.Method, Target: call.Target, Host: call.Host, Header: header, Body: call.Body,
 		EchoName: f.Names.RequestID, EchoValue: call.RequestID,
-		Repeatable: call.Repeatable, MaxOpen: f.MaxOpen(rep), WaitUntil: call.ConnectionUntil, Sending: func() { sentAt = f.Clock() },
-	})
+		Repeatable: call.Repeatable, MaxOpen: f.MaxOpen(rep), WaitUntil: call.ConnectionUntil,
+	}
+	response, err := f.Pool.Exchange(ctx, rep.Address, req)
+	sentAt = req.SentAt
 	if err != nil {
 		return nil, sentAt, !errors.Is(err, upstream.ErrNotSent), err
 	}
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -54,7 +54,7 @@
 	// daemon has as many as it may.
 	ConnectionUntil time.Time
 	// Ran is told of each replica that ran the call or may have run it, with when the call
-	// was sent there, by the forwarder's clock. Nil if nobody counts runs.
+	// was sent there, by bootclock. Nil if nobody counts runs.
 	Ran func(sentAt time.Time)
 	// Account counts what is held of answers; nil has no bound. An answer for which it has
 	// no room is passed on as it comes, like a long one.
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -24,7 +24,6 @@
 
 	"go.uber.org/zap"
 
-	"woodworks/internal/daemon/bootclock"
 	"woodworks/internal/daemon/logging"
 	"woodworks/internal/replicas/replica"
 	"woodworks/internal/requests/headers"
@@ -38,8 +37,7 @@
 	Table *replica.Table
 	Names headers.Names
 	Zone  string
-	// Clock is the clock by which callers wait.
-	Clock bootclock.Clock
+
 	// Quarantine knows the contents under which replicas have ended.
 	Quarantine *quarantine.Table
 	Logger     *zap.Logger
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -72,7 +72,7 @@
 		table.Set(replica.Entry{ID: string(rune('a' + i)), Service: "s", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 4})
 	}
 	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, UnackedTimeout: time.Second})
-	f.forwarder = &Forwarder{Clock: time.Now, MaxOpen: Unbounded, Pool: pool, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}
+	f.forwarder = &Forwarder{MaxOpen: Unbounded, Pool: pool, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}
 	return f
 }
 
--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -100,9 +100,7 @@
 	if !long {
 		text = append(text, req.Body...)
 	}
-	if req.Sending != nil {
-		req.Sending()
-	}
+	req.SentAt = c.pool.now()
 	written, err := c.raw.Write(text)
 	switch {
 	case err != nil && written == 0:
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -122,7 +122,8 @@
 		is.Equal([2]time.Duration{sure, rest}, want)
 	}
 	now := time.Now()
-	p := NewPool(Options{Clock: func() time.Time { return now }})
+	p := NewPool(Options{})
+	p.now = func() time.Time { return now }
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = far.Close() }) // it is not read any more
 	p.open["peer"]++
--- a/internal/requests/upstream/rest_test.go
+++ b/internal/requests/upstream/rest_test.go
@@ -28,7 +28,8 @@
 					_, _ = io.WriteString(far, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=2\r\nContent-Length: 2\r\n\r\nok")
 				}
 			}()
-			p := NewPool(Options{Clock: time.Now})
+			p := NewPool(Options{})
+			p.now = time.Now
 			conn := newConnection(p, "peer", near)
 			answer, err := conn.exchange(t.Context(), &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}})
 			is.NoErr(err)
@@ -53,7 +54,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		near, far := net.Pipe()
-		p := NewPool(Options{Clock: time.Now})
+		p := NewPool(Options{})
+		p.now = time.Now
 		conn := newConnection(p, "peer", near)
 		is.Equal(p.Resting("peer"), 0)
 		p.put(conn, time.Now().Add(time.Second), time.Now().Add(time.Second))
--- a/internal/requests/upstream/suspend_test.go
+++ b/internal/requests/upstream/suspend_test.go
@@ -18,7 +18,8 @@
 func TestAConnectionRestsWhileTheMachineIsSuspended(t *testing.T) {
 	is := is.New(t)
 	clock := clocktest.New()
-	p := NewPool(Options{Clock: clock.Now})
+	p := NewPool(Options{})
+	p.now = clock.Now
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = far.Close() }) // it is not read any more
 	none, cancel := context.WithCancel(t.Context())
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -75,8 +75,8 @@
 	MaxOpen int
 	// WaitUntil is until when one is waited for when there are as many.
 	WaitUntil time.Time
-	// Sending, if not nil, is called just before the first byte is sent.
-	Sending func()
+	// SentAt is set by Exchange: when the first byte was sent, by bootclock, zero if none was.
+	SentAt time.Time
 }
 
 // Options bound a pool's connections.
@@ -88,15 +88,14 @@
 	// UnackedTimeout is how long sent bytes may stay unacknowledged before the
 	// connection counts as broken.
 	UnackedTimeout time.Duration
-	// Clock is the clock by which connections rest, nil for that of the machine. A peer
-	// goes on counting while this machine is suspended.
-	Clock bootclock.Clock
 }
 
 // Pool holds idle connections to any number of peers.
 type Pool struct {
 	dialer *net.Dialer
-	now    bootclock.Clock
+	// now is the clock by which connections rest: a peer goes on counting while this machine
+	// is suspended.
+	now bootclock.Clock
 
 	mu   sync.Mutex
 	idle map[string][]*connection
@@ -129,11 +128,7 @@
 
 // NewPool returns an empty pool.
 func NewPool(options Options) *Pool {
-	now := options.Clock
-	if now == nil {
-		now = bootclock.Now
-	}
-	return &Pool{dialer: NewDialer(options), now: now, idle: map[string][]*connection{}, open: map[string]int{},
+	return &Pool{dialer: NewDialer(options), now: bootclock.Now, idle: map[string][]*connection{}, open: map[string]int{},
 		freed: map[string]chan struct{}{}}
 }
 
