--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -130,8 +130,8 @@
 // AsProblem returns the daemon's problem in an error, if there is one.
 func AsProblem(err error) (*ProblemError, bool) {
 	var problem *ProblemError
-	found := errors.As(err, &problem)
-	return problem, found
+	ok := errors.As(err, &problem)
+	return problem, ok
 }
 
 // Submit submits a batch.
--- a/internal/api/gateway/decode.go
+++ b/internal/api/gateway/decode.go
@@ -66,7 +66,7 @@
 		return wrongType.Field, errors.Errorf("is a JSON %s, want %s", wrongType.Value, wrongType.Type)
 	}
 	const unknownPrefix = `json: unknown field "`
-	if name, found := strings.CutPrefix(err.Error(), unknownPrefix); found {
+	if name, ok := strings.CutPrefix(err.Error(), unknownPrefix); ok {
 		name = strings.TrimSuffix(name, `"`)
 		if name == "" {
 			return "body", errors.New("has a field without a name")
--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -168,19 +168,19 @@
 type statusWord struct {
 	Status string `json:"status"`
 	Reason string `json:"reason,omitempty"`
-	// ConfigurationVersion is the configuration in force when the word was true.
+	// ConfigurationVersion is the configuration in force when that was so.
 	ConfigurationVersion int64 `json:"configuration_version"`
 }
 
 func (g *Gateway) ready(w http.ResponseWriter, _ *http.Request) {
-	// The version is read first: it can only be older than the word.
+	// The version is read first: it can only be older than the status.
 	configuration, _ := g.parts.Configuration()
 	ready, reason := g.parts.Ready()
-	word := statusWord{Status: "ready", Reason: reason, ConfigurationVersion: configuration.Version}
+	status := statusWord{Status: "ready", Reason: reason, ConfigurationVersion: configuration.Version}
 	if !ready {
-		word.Status = "not_ready"
-		writeJSON(w, http.StatusServiceUnavailable, word)
+		status.Status = "not_ready"
+		writeJSON(w, http.StatusServiceUnavailable, status)
 		return
 	}
-	writeJSON(w, http.StatusOK, word)
+	writeJSON(w, http.StatusOK, status)
 }
--- a/internal/api/operator/operator.go
+++ b/internal/api/operator/operator.go
@@ -85,9 +85,9 @@
 	newest := named.Version
 	key := versionKeyPrefix + named.Model
 	_, err := o.update(ctx, RecordsPartition, key, func(value []byte) ([]byte, error) {
-		var known Version
-		if len(value) > 0 && o.decode(key, value, &known) && known.Version >= named.Version {
-			newest = known.Version
+		var last Version
+		if len(value) > 0 && o.decode(key, value, &last) && last.Version >= named.Version {
+			newest = last.Version
 			return nil, nil
 		}
 		return cbor.Marshal(named)
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -171,8 +171,8 @@
 		return
 	}
 	f.Table.ReportLoad(rep.Incarnation(), load.Running+load.Waiting)
-	if load.WorkPace > 0 {
-		f.Table.ReportSlowdown(rep.Incarnation(), load.WorkPace)
+	if load.Slowdown > 0 {
+		f.Table.ReportSlowdown(rep.Incarnation(), load.Slowdown)
 	}
 }
 
--- a/internal/requests/headers/headers.go
+++ b/internal/requests/headers/headers.go
@@ -61,9 +61,9 @@
 // Load is a replica's load, of the requests of all its callers.
 type Load struct {
 	Running, Waiting, Slots int
-	// WorkPace is how long work takes there at present, as the machine is shared with
+	// Slowdown is how long work takes there at present, as the machine is shared with
 	// others: 1 is as usual, 2 twice as long; 0 if that is not told.
-	WorkPace float64
+	Slowdown float64
 }
 
 // connectionHeaders concern one connection and are never passed on.
--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -34,20 +34,20 @@
 		return true
 	}
 	key, _ := apikey.FromHeader(r.req.Header)
-	t, known := cfg.Tenants.Of(key)
+	t, ok := cfg.Tenants.Of(key)
 	age := r.handler.ConfigurationAge()
 	policy := r.handler.Keys
 	unconfirmed := ""
 	switch {
-	case known && exceeded(age, policy.TrustKnown):
+	case ok && exceeded(age, policy.TrustKnown):
 		unconfirmed = "the key may have been withdrawn"
-	case known:
+	case ok:
 		r.tenant = t
 		return true
 	case key != "" && exceeded(age, policy.TrustUnknown):
 		unconfirmed = "the key may have been added"
 	}
-	r.logger.Info("key refused", zap.String("key_digest", apikey.DigestOf(key).Short()), zap.Bool("sent", key != ""), zap.Bool("known", known),
+	r.logger.Info("key refused", zap.String("key_digest", apikey.DigestOf(key).Short()), zap.Bool("sent", key != ""), zap.Bool("known", ok),
 		zap.Int64("configuration", cfg.Version), zap.Duration("age", age))
 	if unconfirmed != "" {
 		r.refuse(refusal.KeyUnconfirmed, unconfirmed)
