--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -43,9 +43,6 @@
 	ErrTooManyRounds = errors.New("delivery: samples were not usable in any round")
 )
 
-// submitTimeout bounds how long a batch is kept waiting while the journal does not answer.
-const submitTimeout = 2500 * time.Millisecond
-
 // Trainer is what the policy in force says of one trainer.
 type Trainer struct {
 	Name string
@@ -95,7 +92,7 @@
 	minVersion := max(t.lowest(t.Newest), int64(request.MinVersion))
 	job := rollout.First(request, header, minVersion, s.names)
 	job.AcceptedAtMs = time.Now().UnixMilli()
-	bounded, cancel := context.WithTimeout(ctx, submitTimeout)
+	bounded, cancel := context.WithTimeout(ctx, runner.SubmitTimeout)
 	defer cancel()
 	err := s.runner.Accept(bounded, job)
 	switch {
@@ -149,7 +146,7 @@
 		return err
 	}
 	for round := range rounds {
-		bounded, cancel := context.WithTimeout(ctx, submitTimeout)
+		bounded, cancel := context.WithTimeout(ctx, runner.SubmitTimeout)
 		err := s.runner.End(bounded, rollout.JobID(trainer, name, round), "")
 		cancel()
 		switch {
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -55,6 +55,10 @@
 	ErrStopping = errors.Wrap(ErrNotDone, "runner: stopping")
 )
 
+// SubmitTimeout bounds how long a caller of Accept or End is kept waiting while the journal does
+// not answer.
+const SubmitTimeout = 2500 * time.Millisecond
+
 const (
 	// wakeInterval bounds how long the dispatcher waits for a change.
 	wakeInterval = 100 * time.Millisecond
--- a/internal/requests/ingress/batches.go
+++ b/internal/requests/ingress/batches.go
@@ -13,10 +13,6 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// submitTimeout bounds how long a submission or an end is held while the journal does not
-// answer.
-const submitTimeout = 2500 * time.Millisecond
-
 // serveSubmission keeps a batch. Only an acknowledged record is accepted.
 func (r *request) serveSubmission(body []byte) {
 	if r.req.Method != http.MethodPost {
@@ -34,7 +30,7 @@
 	submission.ID, submission.Host, submission.Path = r.id, r.req.Host, r.req.RequestURI
 	submission.Tenant = r.tenantName()
 	submission.AcceptedAtMs = time.Now().UnixMilli()
-	ctx, cancel := context.WithTimeout(r.req.Context(), min(r.timeLeft(), submitTimeout))
+	ctx, cancel := context.WithTimeout(r.req.Context(), min(r.timeLeft(), runner.SubmitTimeout))
 	defer cancel()
 	err = r.handler.Runner.Accept(ctx, submission)
 	if err != nil {
@@ -113,7 +109,7 @@
 
 // serveEnd ends a batch; the answer comes once the record is acknowledged.
 func (r *request) serveEnd(call BatchCall) {
-	ctx, cancel := context.WithTimeout(r.req.Context(), min(r.timeLeft(), submitTimeout))
+	ctx, cancel := context.WithTimeout(r.req.Context(), min(r.timeLeft(), runner.SubmitTimeout))
 	defer cancel()
 	if err := r.handler.Runner.End(ctx, call.BatchID, r.tenantName()); err != nil {
 		r.refuseUnrecorded(err)
--- a/internal/requests/ingress/stop.go
+++ b/internal/requests/ingress/stop.go
@@ -5,6 +5,7 @@
 
 	"go.uber.org/zap"
 
+	"woodworks/internal/batches/runner"
 	"woodworks/internal/daemon/shutdown"
 	"woodworks/internal/requests/refusal"
 	"woodworks/internal/requests/route"
@@ -26,7 +27,7 @@
 // timeNeeded is the longest that the request may be held.
 func (r *request) timeNeeded() time.Duration {
 	if r.route != nil && r.route.Kind == route.Batch {
-		return submitTimeout
+		return runner.SubmitTimeout
 	}
 	return r.timeLeft()
 }
