--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -56,8 +56,8 @@
 		if !ok {
 			break
 		}
-		whole, mayHaveRun, err := s.attempt(ctx, rep)
-		if whole {
+		mayHaveRun, err := s.attempt(ctx, rep)
+		if err == nil {
 			s.replica = rep.ID
 			s.observe(http.StatusOK, "answered", "")
 			return
@@ -111,9 +111,8 @@
 	return ctx.Err() == nil && !s.unread && state.MayRetry()
 }
 
-// attempt passes on what one replica makes of the stream. Whole says that it came to its
-// proper end, mayHaveRun that the replica ran it or may have.
-func (s *streamRelay) attempt(ctx context.Context, rep replica.Replica) (whole, mayHaveRun bool, err error) {
+// attempt passes on what one replica makes of the stream, to its proper end or an error.
+func (s *streamRelay) attempt(ctx context.Context, rep replica.Replica) (mayHaveRun bool, err error) {
 	forwarder := s.handler.Forwarder
 	forwarder.Table.Started(rep.Incarnation())
 	defer forwarder.Table.Ended(rep.Incarnation())
@@ -122,7 +121,7 @@
 	stream, err := forwarder.OpenStream(ctx, s.call, rep)
 	var quarantined *forward.QuarantinedError
 	if errors.As(err, &quarantined) {
-		return false, false, err
+		return false, err
 	}
 	mayHaveRun = err == nil || !errors.Is(err, forward.ErrDeclined) && !errors.Is(err, upstream.ErrNotSent)
 	if mayHaveRun {
@@ -132,11 +131,10 @@
 		if ctx.Err() == nil && !errors.Is(err, upstream.ErrFull) {
 			forwarder.Table.Failed(rep.Incarnation())
 		}
-		return false, mayHaveRun, err
+		return mayHaveRun, err
 	}
 	defer stream.Close()
-	err = s.passEvents(stream)
-	return err == nil, true, err
+	return true, s.passEvents(stream)
 }
 
 // passEvents writes the events of a stream to its proper end.
