--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -170,7 +170,7 @@
 	for len(g.waiting) > 0 {
 		if len(replicas) == 0 || !g.rate.binds {
 			// Nothing is known to be full: what is sent says what is certain.
-			g.release(g.waiting[0], nil)
+			g.admit(g.waiting[0])
 			continue
 		}
 		if !g.step(now) {
@@ -204,7 +204,7 @@
 	if first == nil || !g.rate.Take(now) {
 		return false
 	}
-	g.release(first, nil)
+	g.admit(first)
 	return true
 }
 
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -31,7 +31,15 @@
 
 // refuse ends the wait of a request that has not run. The lock is held.
 func (g *gate) refuse(w *waiter, reason Reason, drain time.Duration) {
-	g.release(w, &Refused{Reason: reason, ComeBack: ComeBack(drain, w.Left(), w.Rank, g.draw()), drain: drain})
+	g.drop(w)
+	w.decided <- decision{err: g.refusal(w, reason, drain)}
+}
+
+// refusal is that of a request, which it logs. The lock is held.
+func (g *gate) refusal(w *waiter, reason Reason, drain time.Duration) *Refused {
+	refused := &Refused{Reason: reason, ComeBack: ComeBack(drain, w.Left(), w.Rank, g.draw()), drain: drain}
+	g.log(w, outcomeRefused, refused)
+	return refused
 }
 
 // noPlace refuses a request that does not wait.
@@ -39,20 +47,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	w := &waiter{Request: req, since: g.options.Clock().Add(-req.Held)}
-	drain := inSeconds(float64(len(g.waiting)+1) / max(g.rate.perSecond, minRate))
-	refused := &Refused{Reason: NoPlace, ComeBack: ComeBack(drain, req.Left(), req.Rank, g.draw()), drain: drain}
-	g.log(w, outcomeRefused, refused)
-	return refused
+	return g.refusal(w, NoPlace, inSeconds(float64(len(g.waiting)+1)/max(g.rate.perSecond, minRate)))
 }
 
-// release ends the wait of a request, by its start if it is not refused. The lock is held.
-func (g *gate) release(w *waiter, refused *Refused) {
+// admit ends the wait of a request by its turn. The lock is held.
+func (g *gate) admit(w *waiter) {
 	g.drop(w)
-	if refused != nil {
-		g.log(w, outcomeRefused, refused)
-		w.decided <- decision{err: refused}
-		return
-	}
 	if g.options.Clock().After(w.since) {
 		g.log(w, outcomeStarted, &Refused{})
 	}
@@ -61,35 +61,27 @@
 
 // drop takes a request off those that wait, and reports whether it was among them. The lock is held.
 func (g *gate) drop(w *waiter) bool {
-	for i, other := range g.waiting {
-		if other == w {
-			g.waiting = slices.Delete(slices.Clone(g.waiting), i, i+1) // a plan under way holds the former slice
-			return true
-		}
+	i := slices.Index(g.waiting, w)
+	if i < 0 {
+		return false
 	}
-	return false
+	g.waiting = slices.Delete(slices.Clone(g.waiting), i, i+1) // a plan under way holds the former slice
+	return true
 }
 
 // leave ends the wait of a request whose context has ended.
 func (g *gate) leave(ctx context.Context, w *waiter) (*Ticket, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.drop(w) {
-		g.giveBack(<-w.decided)
-	} else {
+	if g.drop(w) {
 		g.log(w, outcomeLeft, &Refused{Reason: Reason(context.Cause(ctx).Error())})
-	}
-	g.decide(g.options.Clock(), g.options.Replicas(g.service))
-	return nil, &Refused{Reason: Ended, ComeBack: minComeBack}
-}
-
-// giveBack takes a turn back that came together with the end of its request: it is not sent,
-// and its part goes to the next one. The lock is held.
-func (g *gate) giveBack(d decision) {
-	if d.ticket != nil {
+	} else if d := <-w.decided; d.ticket != nil {
+		// Its turn came together with the end: it is not sent, and its part goes to the next one.
 		g.rate.Room(g.options.Clock())
 		g.charge(d.ticket, -d.ticket.charged)
 	}
+	g.decide(g.options.Clock(), g.options.Replicas(g.service))
+	return nil, &Refused{Reason: Ended, ComeBack: minComeBack}
 }
 
 // wakeAfter has those that wait looked at again. The lock is held.
