--- a/internal/daemon/shutdown/shutdown.go
+++ b/internal/daemon/shutdown/shutdown.go
@@ -5,6 +5,9 @@
 // know yet; later ones only if they surely end in time. Whatever is under way at the
 // end is interrupted, so that it is answered as it stands.
 //
+// The package owns when the stop began and how its grace is divided. It relies on a clock that also
+// counts the time in which the machine is suspended.
+//
 // Invariant: a request is interrupted only by the end of a stop, and is told so by the
 // cause of its context. It is never told so because its caller has left.
 //
--- a/internal/daemon/signals/signals.go
+++ b/internal/daemon/signals/signals.go
@@ -4,8 +4,10 @@
 // listens for SIGTERM and SIGINT from its own init and sends them again later; and the
 // command that runs. This package sees to it that none is lost between them.
 //
-// Usage: the command line calls Take first of all, and then Daemon for a daemon or
-// EndProcess for a command that a signal simply ends.
+// # Usage
+//
+// The command line calls Take first of all, and then Daemon for a daemon or EndProcess for a
+// command that a signal simply ends.
 //
 //	taken := signals.Take()
 //	defer taken.Release()
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -4,6 +4,16 @@
 // A log has topics, a topic has partitions, a partition is a list of records
 // with rising offsets that have no gaps. Records once acknowledged are neither
 // lost nor changed until they are trimmed.
+//
+// The package owns no record. It has the followers, which keep a handler up to date with a keyed
+// partition (follow.go), and Revived, which gives up calls that an outage has swallowed. It relies
+// on the log alone, which package platform and package logservice speak to.
+//
+// # Usage
+//
+//	log := journal.Revive(direct, logger)
+//	appended, err := log.Append(ctx, journal.Append{Partition: p, Records: records})
+//	go journal.NewKeyedFollower(log, keyed, handler, contactBound, logger).Run(ctx)
 package journal
 
 import (
--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -1,6 +1,11 @@
 // Package journaltest is a journal in memory for tests. It behaves as the
 // platform's log may at its worst: answers are lost, appends take effect late,
 // calls hang or are refused, partitions are dealt anew and records are trimmed.
+//
+// # Usage
+//
+//	log := journaltest.New()
+//	log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 package journaltest
 
 import (
