--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -110,7 +110,7 @@
 	case stored.Digest != header.Digest:
 		return header, ErrConflict
 	}
-	s.logger.Info("batch taken in", zap.String("batch", job.ID), zap.Int("samples", header.Samples), zap.Int64("min_version", minVersion))
+	s.logger.Info("rollout accepted", zap.String("batch", job.ID), zap.Int("samples", header.Samples), zap.Int64("min_version", minVersion))
 	return header, nil
 }
 
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -100,7 +100,7 @@
 	}
 	first, err := s.itemsOf(ctx, header, samples)
 	if errors.Is(err, ErrUnavailable) {
-		s.logger.Info("samples not made again", zap.String("batch", rollout.JobID(header.Trainer, header.Name, round)), zap.Error(err))
+		s.logger.Info("samples not requested again", zap.String("batch", rollout.JobID(header.Trainer, header.Name, round)), zap.Error(err))
 		return nil
 	}
 	if err != nil {
@@ -111,7 +111,7 @@
 	bounded, cancel := context.WithTimeout(ctx, againTimeout)
 	defer cancel()
 	err = s.runner.Accept(bounded, job)
-	s.logger.Info("samples made again", zap.String("batch", job.ID), zap.Int("samples", len(samples)), zap.Int64("trained", trained),
+	s.logger.Info("samples requested again", zap.String("batch", job.ID), zap.Int("samples", len(samples)), zap.Int64("trained", trained),
 		zap.Int64("min_version", job.MinVersion), zap.Error(err))
 	return nil
 }
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -174,7 +174,7 @@
 		defer cancel()
 		defer close(done)
 		err := g.parts.Permits.Release(releasing, granted)
-		g.parts.Logger.Info("key given back", zap.String("key", granted.Key()), zap.Error(err))
+		g.parts.Logger.Info("key released", zap.String("key", granted.Key()), zap.Error(err))
 	}()
 	select {
 	case <-done:
--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -14,6 +14,11 @@
 	"told from an older fold":               "answered from an older fold",
 	"page not read, the holder is asked":    "page not read, asking the watcher",
 	"own read is late, the holder is asked": "own read is late, asking the watcher",
+	"batch taken in":                        "rollout accepted",
+	"key given back":                        "key released",
+	"operator not answered":                 "answer to operator not written",
+	"samples made again":                    "samples requested again",
+	"samples not made again":                "samples not requested again",
 	"offer failed":                          "attempt failed",
 	"owners of partitions not learned":      "watchers of partitions not learned",
 }
--- a/internal/requests/quarantine/http.go
+++ b/internal/requests/quarantine/http.go
@@ -65,6 +65,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(body); err != nil {
-		logger.Info("operator not answered", zap.Error(err))
+		logger.Info("answer to operator not written", zap.Error(err))
 	}
 }
