--- a/internal/requests/quarantine/start_test.go
+++ b/internal/requests/quarantine/start_test.go
@@ -63,10 +63,10 @@
 	names := starts(3)
 	table.Ended(bad, "b", "s")
 	table.Ended(bad, names[0], "s")
-	is.Equal(admission(table, bad, names[0], "x"), "elsewhere")
-	is.Equal(admission(table, bad, names[1], "x"), "alone")
-	is.Equal(admission(table, bad, "x", names[1]), "alone")
-	is.Equal(admission(table, bad, "x", names[0]), "refused")
+	is.Equal(verdictOn(table, bad, names[0], "x"), "elsewhere")
+	is.Equal(verdictOn(table, bad, names[1], "x"), "alone")
+	is.Equal(verdictOn(table, bad, "x", names[1]), "alone")
+	is.Equal(verdictOn(table, bad, "x", names[0]), "refused")
 }
 
 // ends is how many ends are held against a content.
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -28,8 +28,8 @@
 
 func listed() []string { return others }
 
-// admission names what a content may do, without beginning it.
-func admission(t *Table, content *Content, replica string, others ...string) string {
+// verdictOn names what a content may do, without beginning it.
+func verdictOn(t *Table, content *Content, replica string, others ...string) string {
 	switch got := t.Judge(content, replica, func() []string { return others }).(type) {
 	case Free:
 		if t.Suspicion(content) == Suspected {
@@ -57,22 +57,22 @@
 	clock := newTestClock()
 	table, bad := clock.table("m"), contentNamed("bad")
 	is.True(table.Quiet())
-	is.Equal(admission(table, bad, "a", others...), "free")
+	is.Equal(verdictOn(table, bad, "a", others...), "free")
 	table.Ended(bad, "a", "s")
 	is.True(!table.Quiet())
-	is.Equal(admission(table, bad, "b", others...), "suspected")
+	is.Equal(verdictOn(table, bad, "b", others...), "suspected")
 	table.Ended(bad, "a", "s") // the same end, seen by another request's side
-	is.Equal(admission(table, bad, "b", others...), "suspected")
+	is.Equal(verdictOn(table, bad, "b", others...), "suspected")
 	table.Ended(bad, "b", "s")
-	is.Equal(admission(table, bad, "a", others...), "elsewhere") // it has just ended there
-	is.Equal(admission(table, bad, "x", "a", "b"), "refused")    // no other replica would serve the others
-	is.Equal(admission(table, bad, "x", "y"), "alone")
+	is.Equal(verdictOn(table, bad, "a", others...), "elsewhere") // it has just ended there
+	is.Equal(verdictOn(table, bad, "x", "a", "b"), "refused")    // no other replica would serve the others
+	is.Equal(verdictOn(table, bad, "x", "y"), "alone")
 	clock.pass(aloneWait)
-	is.Equal(admission(table, bad, "x"), "alone") // a service may have one replica only
+	is.Equal(verdictOn(table, bad, "x"), "alone") // a service may have one replica only
 	table.Ended(bad, "x", "s")
-	is.Equal(admission(table, bad, "y", others...), "refused")
+	is.Equal(verdictOn(table, bad, "y", others...), "refused")
 	is.True(table.Blocked(bad))
-	is.Equal(admission(table, contentNamed("good"), "y", others...), "free")
+	is.Equal(verdictOn(table, contentNamed("good"), "y", others...), "free")
 }
 
 // A replica that keeps its id over its starts ends again and again under the content, also
@@ -85,10 +85,10 @@
 		table.Ended(content, "only", "s")
 		table.Ended(content, "only", "s") // another run shows the same end
 		if wanted == "alone" {
-			is.Equal(admission(table, content, "only"), "refused") // it is hardly back
+			is.Equal(verdictOn(table, content, "only"), "refused") // it is hardly back
 			clock.pass(aloneWait)
 		}
-		is.Equal(admission(table, content, "only"), wanted)
+		is.Equal(verdictOn(table, content, "only"), wanted)
 		clock.pass(sameEnd)
 	}
 }
@@ -104,15 +104,15 @@
 	}
 	run, granted := table.Judge(one, "x", listed).(Alone)
 	is.True(granted)
-	is.Equal(admission(table, two, "x", others...), "elsewhere")
-	is.Equal(admission(table, two, "y", others...), "alone")
+	is.Equal(verdictOn(table, two, "x", others...), "elsewhere")
+	is.Equal(verdictOn(table, two, "y", others...), "alone")
 	waiting, waits := table.Judge(one, "y", listed).(Wait)
 	is.True(waits)
 	table.Answered(one)
 	run.End()
 	<-waiting.Over
-	is.Equal(admission(table, one, "y", others...), "free")
-	is.Equal(admission(table, two, "x", others...), "alone")
+	is.Equal(verdictOn(table, one, "y", others...), "free")
+	is.Equal(verdictOn(table, two, "x", others...), "alone")
 }
 
 // What three coincidences have condemned is found innocent by its keeper, and only there.
@@ -124,18 +124,18 @@
 		keeper.Ended(content, replica, "s")
 	}
 	other.Merge(keeper.entriesOf([]Digest{content.Digest()}), "keeper")
-	is.Equal(admission(other, content, "x", others...), "refused for good")
-	is.Equal(admission(keeper, content, "x", others...), "refused")
+	is.Equal(verdictOn(other, content, "x", others...), "refused for good")
+	is.Equal(verdictOn(keeper, content, "x", others...), "refused")
 	clock.pass(retryAfterEnd)
-	is.Equal(admission(other, content, "x", others...), "refused for good")
+	is.Equal(verdictOn(other, content, "x", others...), "refused for good")
 	is.True(other.Blocked(content))
 	is.True(!keeper.Blocked(content))
-	is.Equal(admission(keeper, content, "x", others...), "alone")
-	is.Equal(admission(keeper, content, "x", others...), "refused for good") // once only
+	is.Equal(verdictOn(keeper, content, "x", others...), "alone")
+	is.Equal(verdictOn(keeper, content, "x", others...), "refused for good") // once only
 	keeper.Answered(content)
 	other.Merge(keeper.entriesOf([]Digest{content.Digest()}), "keeper")
 	for _, s := range []*Table{keeper, other} {
-		is.Equal(admission(s, content, "x", others...), "free")
+		is.Equal(verdictOn(s, content, "x", others...), "free")
 		is.True(s.Quiet())
 	}
 }
@@ -149,7 +149,7 @@
 		table.Ended(popular, fmt.Sprint("a", i), "s")
 		table.Ended(popular, fmt.Sprint("b", i), "s")
 		table.Answered(popular)
-		is.Equal(admission(table, popular, "x", others...), "free")
+		is.Equal(verdictOn(table, popular, "x", others...), "free")
 	}
 }
 
@@ -231,7 +231,7 @@
 	for _, replica := range []string{"c", "a", "b"} {
 		table.Ended(content, replica, "s")
 	}
-	is.Equal(admission(table, content, "x", others...), "refused")
+	is.Equal(verdictOn(table, content, "x", others...), "refused")
 	list := table.List()
 	is.Equal(len(list), 1)
 	is.Equal(list[0].Label, Label{Service: "s", Caller: "tenant", Method: "POST", Host: "h", Target: "/t", Bytes: 4})
@@ -243,7 +243,7 @@
 	is.True(table.Lift(digest))
 	is.True(!table.Lift(digest))
 	is.Equal(len(table.List()), 0)
-	is.Equal(admission(table, content, "a", others...), "free")
+	is.Equal(verdictOn(table, content, "a", others...), "free")
 }
 
 // Whatever daemons see and in whatever order they tell each other, all hold the same
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -47,7 +47,7 @@
 )
 
 // Verdict is what a content may do now: Free, Alone, Wait, Elsewhere or Refused.
-type Verdict interface{ admission() }
+type Verdict interface{ verdict() }
 
 // Free lets the content run as any other.
 type Free struct{}
@@ -76,11 +76,11 @@
 	Final bool
 }
 
-func (Free) admission()      {}
-func (Alone) admission()     {}
-func (Wait) admission()      {}
-func (Elsewhere) admission() {}
-func (Refused) admission()   {}
+func (Free) verdict()      {}
+func (Alone) verdict()     {}
+func (Wait) verdict()      {}
+func (Elsewhere) verdict() {}
+func (Refused) verdict()   {}
 
 // Suspicion returns what is held against a content, without asking for it to run.
 func (t *Table) Suspicion(content *Content) Suspicion {
