--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -43,8 +43,8 @@
 }
 
 // Error implements error.
-func (problem *ProblemError) Error() string {
-	return problem.Problem.Code + ": " + problem.Problem.Message
+func (e *ProblemError) Error() string {
+	return e.Problem.Code + ": " + e.Problem.Message
 }
 
 // Client speaks to one listener of one daemon as one caller.
@@ -70,16 +70,16 @@
 
 // Do sends a request and reads the whole answer. It returns ErrNoAnswer if
 // none came, and the answer whatever its status otherwise.
-func (client *Client) Do(ctx context.Context, method, path string, header http.Header, body []byte) (Answer, error) {
-	request, err := http.NewRequestWithContext(ctx, method, client.base+path, bytes.NewReader(body))
+func (c *Client) Do(ctx context.Context, method, path string, header http.Header, body []byte) (Answer, error) {
+	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return Answer{}, errors.Wrap(err, "client")
 	}
 	// A body that cannot be rewound keeps net/http from replaying a request.
 	request.GetBody = nil
 	maps.Copy(request.Header, header)
-	request.Header.Set("Authorization", "Bearer "+client.key)
-	response, err := client.service.DoRequest(request)
+	request.Header.Set("Authorization", "Bearer "+c.key)
+	response, err := c.service.DoRequest(request)
 	if err != nil {
 		return Answer{}, errors.Wrap(ErrNoAnswer, err.Error())
 	}
@@ -93,7 +93,7 @@
 
 // JSON sends a JSON body (nil for none) and decodes a 2xx answer. Any other
 // answer is a *ProblemError.
-func (client *Client) JSON(ctx context.Context, method, path string, body, answer any) error {
+func (c *Client) JSON(ctx context.Context, method, path string, body, answer any) error {
 	var encoded []byte
 	header := http.Header{}
 	if body != nil {
@@ -103,7 +103,7 @@
 		}
 		header.Set("Content-Type", "application/json")
 	}
-	received, err := client.Do(ctx, method, path, header, encoded)
+	received, err := c.Do(ctx, method, path, header, encoded)
 	if err != nil {
 		return err
 	}
@@ -135,14 +135,14 @@
 }
 
 // Submit submits a batch.
-func (client *Client) Submit(ctx context.Context, request rollout.Request) (gateway.Submitted, error) {
+func (c *Client) Submit(ctx context.Context, request rollout.Request) (gateway.Submitted, error) {
 	var answer gateway.Submitted
-	err := client.JSON(ctx, http.MethodPost, "/v1/rollouts", request, &answer)
+	err := c.JSON(ctx, http.MethodPost, "/v1/rollouts", request, &answer)
 	return answer, err
 }
 
 // Pull asks for samples after a cursor.
-func (client *Client) Pull(
+func (c *Client) Pull(
 	ctx context.Context, trainer, name, cursor string, version uint64, limit int, wait time.Duration,
 ) (answer gateway.Pulled, err error) {
 	query := url.Values{
@@ -150,29 +150,29 @@
 		"max": {strconv.Itoa(limit)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
 	path := "/v1/rollouts/" + url.PathEscape(trainer) + "/" + url.PathEscape(name) + "/samples?" + query.Encode()
-	err = client.JSON(ctx, http.MethodGet, path, nil, &answer)
+	err = c.JSON(ctx, http.MethodGet, path, nil, &answer)
 	return answer, err
 }
 
 // Announce tells of a new weight version.
-func (client *Client) Announce(ctx context.Context, trainer string, version uint64, artifact string) error {
+func (c *Client) Announce(ctx context.Context, trainer string, version uint64, artifact string) error {
 	body := struct {
 		Version  uint64 `json:"version"`
 		Artifact string `json:"artifact"`
 	}{version, artifact}
-	return client.JSON(ctx, http.MethodPost, "/v1/trainers/"+url.PathEscape(trainer)+"/versions", body, nil)
+	return c.JSON(ctx, http.MethodPost, "/v1/trainers/"+url.PathEscape(trainer)+"/versions", body, nil)
 }
 
 // Call calls an operation of a plain service. The result says what became of
 // it; with ErrNoAnswer that is not known.
-func (client *Client) Call(ctx context.Context, service, operation, requestKey string, body []byte) (Answer, gateway.Outcome, error) {
+func (c *Client) Call(ctx context.Context, service, operation, requestKey string, body []byte) (Answer, gateway.Outcome, error) {
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
 	if requestKey != "" {
 		header.Set(gateway.KeyHeader, requestKey)
 	}
 	path := "/v1/services/" + url.PathEscape(service) + "/" + url.PathEscape(operation)
-	answer, err := client.Do(ctx, http.MethodPost, path, header, body)
+	answer, err := c.Do(ctx, http.MethodPost, path, header, body)
 	if err != nil {
 		return Answer{}, gateway.Unknown, err
 	}
