--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -34,7 +34,7 @@
 }
 
 // serveStream passes a stream on. Without the right to resume it, it is
-// offered again only as long as it has certainly not run.
+// sent again only as long as it has certainly not run.
 func (r *request) serveStream(cfg *route.Configuration, body []byte) {
 	ctx, cancel := r.bounded()
 	defer cancel()
