--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -110,8 +110,9 @@
 	forwarder := j.r.forwarder
 	header := http.Header{http.CanonicalHeaderKey(forwarder.Names.RequestID): {it.Reward.ID}}
 	answer, err := forwarder.Do(ctx, &forward.Call{
-		RequestID: it.Reward.ID, Method: http.MethodPost, Target: it.Reward.Path, Host: it.Reward.Host,
-		Header: header, Body: it.Reward.Body, Services: rt.Order(it.Reward.ID), Repeatable: true, MaxAttempts: 1,
+		Request: forward.Request{RequestID: it.Reward.ID, Method: http.MethodPost, Target: it.Reward.Path, Host: it.Reward.Host,
+			Header: header, Body: it.Reward.Body},
+		Services: rt.Order(it.Reward.ID), Repeatable: true, MaxAttempts: 1,
 	})
 	if err != nil {
 		j.logger.Info("reward call failed", zap.String("item", it.ID), zap.String("reward", it.Reward.ID), zap.Error(err))
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -123,7 +123,6 @@
 	ctx context.Context, call *Call, rep replica.Replica,
 ) (answer *Answer, sentAt time.Time, mayHaveRun bool, err error) {
 	header := call.Header.Clone()
-	header[http.CanonicalHeaderKey(f.Names.ExpectReplica)] = []string{rep.ID}
 	if deadline, bounded := ctx.Deadline(); bounded {
 		left := min(time.Until(deadline), call.Left())
 		if left <= 0 {
@@ -131,17 +130,12 @@
 		}
 		header[http.CanonicalHeaderKey(f.Names.DeadlineMs)] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
 	}
-	req := &upstream.Request{
-		Method: call.Method, Target: call.Target, Host: call.Host, Header: header, Body: call.Body,
-		EchoName: f.Names.RequestID, EchoValue: call.RequestID,
-		Repeatable: call.Repeatable, MaxOpen: f.MaxOpen(rep), WaitUntil: call.ConnectionUntil,
-	}
-	response, err := f.Pool.Exchange(ctx, rep.Address, req)
-	sentAt = req.SentAt
+	out := &upstream.Request{Header: header, Repeatable: call.Repeatable, WaitUntil: call.ConnectionUntil}
+	response, err := f.ask(ctx, rep, &call.Request, out)
+	sentAt = out.SentAt
 	if err != nil {
 		return nil, sentAt, !errors.Is(err, upstream.ErrNotSent), err
 	}
-	f.noteLoad(rep, response.Header)
 	if f.notRun(response) {
 		// An error shows as the connection is given back.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response, bufferedBytes))
@@ -161,6 +155,19 @@
 	return answer, sentAt, true, err
 }
 
+// ask completes what is sent to a replica for a request, sends it, and returns the answer once
+// its head has come.
+func (f *Forwarder) ask(ctx context.Context, rep replica.Replica, req *Request, out *upstream.Request) (*upstream.Answer, error) {
+	out.Method, out.Target, out.Host, out.Body = req.Method, req.Target, req.Host, req.Body
+	out.Header[http.CanonicalHeaderKey(f.Names.ExpectReplica)] = []string{rep.ID}
+	out.EchoName, out.EchoValue, out.MaxOpen = f.Names.RequestID, req.RequestID, f.MaxOpen(rep)
+	answer, err := f.Pool.Exchange(ctx, rep.Address, out)
+	if err == nil {
+		f.noteLoad(rep, answer.Header)
+	}
+	return answer, err
+}
+
 // noteLoad notes what an answer tells of its replica's load.
 func (f *Forwarder) noteLoad(rep replica.Replica, header http.Header) {
 	if f.Names.Load == nil {
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -23,16 +23,25 @@
 	MayHaveRun
 )
 
-// Call is one request to a service.
-type Call struct {
+// Request is what a replica is asked for.
+type Request struct {
 	RequestID string
 	Method    string
 	Target    string
 	Host      string
 	Header    http.Header
 	Body      []byte
-	// Caller is the tenant that sent the call, "" where there are none.
+	// Caller is the tenant that sent the request, "" where there are none.
 	Caller string
+}
+
+func (r *Request) content() *quarantine.Content {
+	return &quarantine.Content{Caller: r.Caller, Method: r.Method, Host: r.Host, Target: r.Target, Body: r.Body}
+}
+
+// Call is one request to a service.
+type Call struct {
+	Request
 	// Services are tried in this order; the later ones only where no replica
 	// of the earlier ones is there.
 	Services []string
@@ -76,7 +85,7 @@
 		c.Ran = func(time.Time) {}
 	}
 	if c.content == nil {
-		c.content = &quarantine.Content{Caller: c.Caller, Method: c.Method, Host: c.Host, Target: c.Target, Body: c.Body}
+		c.content = c.Request.content()
 	}
 }
 
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -95,7 +95,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
-	call := &Call{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}, Services: []string{"s"}, MaxAttempts: 3}
+	call := &Call{Request: Request{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}}, Services: []string{"s"}, MaxAttempts: 3}
 	change(call)
 	return f.forwarder.Do(ctx, call)
 }
@@ -184,7 +184,7 @@
 	f := newFloor(t, 3, hangs, answers)
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	_, err := f.forwarder.Do(ctx, &Call{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}},
+	_, err := f.forwarder.Do(ctx, &Call{Request: Request{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}},
 		Services: []string{"s"}, MaxAttempts: 3, Hedge: true, HedgeAfter: time.Millisecond})
 	var failure *Failure
 	is.True(errors.As(err, &failure))
@@ -206,7 +206,7 @@
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
 	for range 50 {
-		_, err := f.forwarder.Do(ctx, &Call{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}},
+		_, err := f.forwarder.Do(ctx, &Call{Request: Request{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}},
 			Services: []string{"s"}, Repeatable: true, MaxAttempts: 3})
 		var failure *Failure
 		is.True(errors.As(err, &failure))
@@ -234,7 +234,7 @@
 	rep := replica.Replica{Entry: replica.Entry{ID: "a", Service: "s", Address: silentAddress(t), Slots: 4}}
 	for range 20 {
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Millisecond)
-		call := &Call{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}}
+		call := &Call{Request: Request{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}}}
 		call.complete()
 		res := f.forwarder.attempt(ctx, cancel, call, rep)
 		is.True(errors.Is(res.err, upstream.ErrNotSent))
@@ -350,7 +350,7 @@
 	f := newFloor(t, 1, hangs)
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(50*time.Millisecond, cancel)
-	_, err := f.forwarder.Do(ctx, &Call{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}, Services: []string{"s"}, MaxAttempts: 1})
+	_, err := f.forwarder.Do(ctx, &Call{Request: Request{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}}, Services: []string{"s"}, MaxAttempts: 1})
 	is.True(err != nil)
 	seen, _ := f.forwarder.Table.Get("a")
 	is.True(seen.AvoidUntil.IsZero())
@@ -366,7 +366,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		first := make(chan error, 1)
 		go func() {
-			_, err := f.forwarder.Do(ctx, &Call{RequestID: "r", Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}, Services: []string{"s"}, MaxAttempts: 1})
+			_, err := f.forwarder.Do(ctx, &Call{Request: Request{RequestID: "r", Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}}, Services: []string{"s"}, MaxAttempts: 1})
 			first <- err
 		}()
 		for f.offered() == 0 {
--- a/internal/requests/forward/load_test.go
+++ b/internal/requests/forward/load_test.go
@@ -64,7 +64,7 @@
 				if stream {
 					ctx, cancel := context.WithCancel(t.Context())
 					defer cancel()
-					opened, err := f.forwarder.OpenStream(ctx, &StreamRequest{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}}, f.forwarder.Table.Replicas("s")[0])
+					opened, err := f.forwarder.OpenStream(ctx, &StreamRequest{Request: Request{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}}}, f.forwarder.Table.Replicas("s")[0])
 					if err == nil {
 						opened.Close()
 					}
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -12,7 +12,6 @@
 
 	"woodworks/internal/replicas/replica"
 	"woodworks/internal/requests/eventstream"
-	"woodworks/internal/requests/quarantine"
 	"woodworks/internal/requests/upstream"
 )
 
@@ -70,14 +69,7 @@
 
 // StreamRequest is a request for events, maybe from the middle on.
 type StreamRequest struct {
-	RequestID string
-	Method    string
-	Target    string
-	Host      string
-	Header    http.Header
-	Body      []byte
-	// Caller is the tenant that sent the request, "" where there are none.
-	Caller string
+	Request
 	// Repeatable requests may run more than once.
 	Repeatable bool
 	// After is the last event that is known; HasAfter says that there is one.
@@ -87,18 +79,12 @@
 	Deadline time.Duration
 }
 
-func (req *StreamRequest) content() *quarantine.Content {
-	return &quarantine.Content{Caller: req.Caller, Method: req.Method, Host: req.Host, Target: req.Target, Body: req.Body}
-}
-
 // OpenStream sends a request for events to one replica. It returns when the
 // head of the answer has come. A declined request gives ErrDeclined, a failure
 // of the replica a *StatusError, a content that may not run now a *QuarantinedError, and
 // anything else may have run unless it wraps upstream.ErrNotSent.
 func (f *Forwarder) OpenStream(ctx context.Context, req *StreamRequest, rep replica.Replica) (*Stream, error) {
-	names := f.Names
-	header := req.Header.Clone()
-	header[http.CanonicalHeaderKey(names.ExpectReplica)] = []string{rep.ID}
+	names, header := f.Names, req.Header.Clone()
 	if req.HasAfter {
 		header[http.CanonicalHeaderKey(names.LastEventID)] = []string{strconv.FormatInt(req.After, 10)}
 	}
@@ -115,13 +101,8 @@
 		f.noteEnd(ctx, failedAttempt{requestID: req.RequestID, content: content, chosen: rep,
 			mayHaveRun: !errors.Is(err, upstream.ErrNotSent), after: time.Since(began), err: err})
 	}
-	answer, err := f.Pool.Exchange(ctx, rep.Address, &upstream.Request{
-		Method: req.Method, Target: req.Target, Host: req.Host, Header: header, Body: req.Body,
-		EchoName: names.RequestID, EchoValue: req.RequestID,
-		Repeatable: req.Repeatable, MaxOpen: f.MaxOpen(rep),
-	})
+	answer, err := f.ask(ctx, rep, &req.Request, &upstream.Request{Header: header, Repeatable: req.Repeatable})
 	if err == nil {
-		f.noteLoad(rep, answer.Header)
 		err = f.checkStreamHead(answer)
 	}
 	f.Observe(rep.Service, outcomeOf(ctx, err), time.Since(began))
--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -1,12 +1,12 @@
 package ingress
 
 import (
-	"net/http"
 	"time"
 
 	"go.uber.org/zap"
 
 	"woodworks/internal/callers/apikey"
+	"woodworks/internal/requests/forward"
 	"woodworks/internal/requests/headers"
 	"woodworks/internal/requests/refusal"
 	"woodworks/internal/requests/route"
@@ -76,12 +76,13 @@
 	return r.tenant.Name
 }
 
-// headerOnward returns the header with which the request goes to a replica. Where there
-// are tenants, the replica sees the tenant in place of the key.
-func (r *request) headerOnward(cfg *route.Configuration) http.Header {
+// onward returns the request as it goes to a replica. Where there are tenants, the replica
+// sees the tenant in place of the key.
+func (r *request) onward(cfg *route.Configuration, body []byte) forward.Request {
 	header := headers.CopyEndToEnd(r.req.Header)
 	if cfg.Tenants != nil {
 		r.handler.Names.SetTenant(header, r.tenantName())
 	}
-	return header
+	return forward.Request{RequestID: r.id, Method: r.req.Method, Target: r.req.RequestURI, Host: r.req.Host,
+		Header: header, Body: body, Caller: r.tenantName()}
 }
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -34,8 +34,7 @@
 func (r *request) call(cfg *route.Configuration, body []byte) *forward.Call {
 	repeatable := r.route.Kind == route.Safe
 	return &forward.Call{
-		RequestID: r.id, Method: r.req.Method, Target: r.req.RequestURI, Host: r.req.Host,
-		Header: r.headerOnward(cfg), Body: body, Caller: r.tenantName(), Services: r.route.Order(r.id),
+		Request: r.onward(cfg, body), Services: r.route.Order(r.id),
 		Repeatable: repeatable, MaxAttempts: max(r.route.MaxAttempts, 1), Hedge: repeatable, HedgeAfter: r.route.HedgeAfter,
 		ConnectionUntil: time.Now().Add(r.route.ConnectionWait()),
 		Left:            r.timeLeft, Ran: r.countRun, Account: r.account, MayRetry: r.policyMayRetry,
