--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -124,8 +124,7 @@
 
 // awaitResults follows the partition until there is a result or the time is up.
 func awaitResults(ctx context.Context, partition *ledger.Partition, query Query, left time.Duration) Page {
-	release := partition.Follow()
-	defer release()
+	defer partition.Follow()()
 	timer := time.NewTimer(left)
 	defer timer.Stop()
 	for {
--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -12,23 +12,22 @@
 
 // AdoptWhenSeen starts a batch once the fold shows that this daemon owns it.
 func (r *Runner) AdoptWhenSeen(batchID string) {
+	whole := r.ledger.Of(batchID)
 	if !r.begin() {
 		// The one who named this daemon did not know that it stops.
-		r.releaseUnstarted(r.ledger.Of(batchID), batchID)
+		r.releaseUnstarted(whole, batchID)
 		return
 	}
 	defer r.work.Done()
-	defer r.releaseUnstarted(r.ledger.Of(batchID), batchID)
+	defer r.releaseUnstarted(whole, batchID)
 	partition := r.foldOf(r.ctx, batchID)
-	release := partition.Follow()
-	defer release()
+	defer partition.Follow()()
 	for r.ctx.Err() == nil {
-		if err := partition.CatchUp(r.ctx); err != nil {
-			time.Sleep(appendPause)
-			continue
+		if err := partition.CatchUp(r.ctx); err == nil {
+			r.adopt(partition, batchID)
+			return
 		}
-		r.adopt(partition, batchID)
-		return
+		time.Sleep(appendPause) // the calls to the journal that failed are logged there
 	}
 }
 
@@ -51,41 +50,31 @@
 	return nil
 }
 
-// adopt starts a batch if a fold of its partition says that this daemon owns it and it is
-// open. The batch goes by that fold from then on.
+// adopt starts a batch if a fold of its partition says that this daemon owns it, it is open,
+// and it does not run yet. The batch goes by that fold from then on. Its job is work that a
+// stop waits for.
 func (r *Runner) adopt(partition *ledger.Partition, batchID string) {
-	j := r.newOwnedJob(partition, batchID)
-	if j == nil {
-		return
-	}
-	go func() {
-		defer r.work.Done()
-		j.run()
-		r.mu.Lock()
-		delete(r.jobs, batchID)
-		r.mu.Unlock()
-	}()
-	r.Kick()
-}
-
-// newOwnedJob adds the job of a batch that this daemon owns, which counts as work that a
-// stop waits for. It returns nil if there is nothing to run, or it runs already.
-func (r *Runner) newOwnedJob(partition *ledger.Partition, batchID string) (j *job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.jobs[batchID] != nil || r.ctx.Err() != nil || r.stopping.Load() {
-		return nil
+		return
 	}
+	var j *job
 	partition.ViewBatch(batchID, func(b *batch.Batch) {
 		if b.Open() && b.Owner == r.self {
 			j = newJob(r, partition, b)
 		}
 	})
 	if j == nil {
-		return nil
+		return
 	}
 	j.logOwned()
 	r.jobs[batchID] = j
-	r.work.Add(1)
-	return j
+	r.work.Go(func() {
+		j.run()
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		delete(r.jobs, batchID)
+	})
+	r.Kick()
 }
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -39,7 +39,20 @@
 	a.job.mu.Lock()
 	a.item.cancel = cancel
 	a.job.mu.Unlock()
-	a.end(a.stream(ctx, cancel))
+	stream, err := a.open(ctx, cancel, a.job.streamRequest(a.item), firstEventTimeoutOf(a.number))
+	if err == nil {
+		err = a.follow(cancel, stream)
+	}
+	a.end(err)
+}
+
+// open asks the attempt's replica for the item's events, and cancels that after the timeout.
+func (a *attempt) open(
+	ctx context.Context, cancel context.CancelFunc, req *forward.StreamRequest, timeout time.Duration,
+) (*forward.Stream, error) {
+	watchdog := time.AfterFunc(timeout, cancel)
+	defer watchdog.Stop()
+	return a.job.r.forwarder.OpenStream(ctx, req, a.replica)
 }
 
 // end takes the attempt's outcome into account.
@@ -68,26 +81,14 @@
 	j.r.Kick()
 }
 
-// stream reads the item's events until the text is whole.
-func (a *attempt) stream(ctx context.Context, cancel context.CancelFunc) error {
-	watchdog := time.AfterFunc(firstEventTimeoutOf(a.number), cancel)
-	defer watchdog.Stop()
-	stream, err := a.job.r.forwarder.OpenStream(ctx, a.job.streamRequest(a.item), a.replica)
-	if err != nil {
-		return err
-	}
-	watchdog.Stop()
-	return a.follow(cancel, stream)
-}
-
 // follow reads the events of an open stream until the text is whole.
 func (a *attempt) follow(cancel context.CancelFunc, stream *forward.Stream) error {
 	defer stream.Close()
-	table, start, model := a.job.r.table, a.replica.Incarnation(), a.job.submission.Model
-	table.Accepted(start)
+	table, incarnation, model := a.job.r.table, a.replica.Incarnation(), a.job.submission.Model
+	table.Accepted(incarnation)
 	version := stream.Version
 	if version > 0 {
-		table.HoldsVersion(start, model, version)
+		table.HoldsVersion(incarnation, model, version)
 	}
 	timeout := eventTimeoutOf(a.replica.EventTime)
 	watchdog := time.AfterFunc(timeout, cancel)
@@ -104,7 +105,7 @@
 		}
 		if event.Version > 0 {
 			version = event.Version
-			table.HoldsVersion(start, model, version)
+			table.HoldsVersion(incarnation, model, version)
 		}
 		if err := a.receive(event, version); err != nil {
 			return err
@@ -113,7 +114,7 @@
 		if last.IsZero() {
 			a.noteFirstEvent()
 		} else {
-			table.ObserveEvent(start, now.Sub(last))
+			table.ObserveEvent(incarnation, now.Sub(last))
 		}
 		last = now
 	}
--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -45,11 +45,12 @@
 	it.state = itemRunning
 	it.timing.enter(phasePrompt, it.startedAt)
 	j.placement.groups[it.Group] = rep.Incarnation()
+	r.launch(rep, a.run)
+}
+
+// launch makes an attempt at a replica beside all else, as work that a stop waits for.
+func (r *Runner) launch(rep replica.Replica, attempt func()) {
 	r.table.Started(rep.Incarnation())
 	r.started.Add(1)
-	r.work.Add(1)
-	go func() {
-		defer r.work.Done()
-		a.run()
-	}()
+	r.work.Go(attempt)
 }
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -200,7 +200,7 @@
 	s := r.shared
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.quiet() {
+	if r.idle() {
 		clear(s.demands)
 		clear(s.turns)
 		return report
--- a/internal/batches/runner/handover.go
+++ b/internal/batches/runner/handover.go
@@ -29,22 +29,15 @@
 	from := it.attempt
 	req := j.streamRequest(it)
 	j.mu.Unlock()
-	j.r.table.Started(to.Incarnation())
-	j.r.started.Add(1)
-	j.r.work.Add(1)
-	go func() {
-		defer j.r.work.Done()
-		(&attempt{pending: p, replica: to}).continueFrom(from, req, gain)
-	}()
+	next := &attempt{pending: p, replica: to}
+	j.r.launch(to, func() { next.continueFrom(from, req, gain) })
 }
 
 // continueFrom has the attempt's replica go on with the item after an attempt before.
 func (a *attempt) continueFrom(from int, req *forward.StreamRequest, gain time.Duration) {
 	ctx, cancel := context.WithCancel(a.job.ctx)
 	defer cancel()
-	watchdog := time.AfterFunc(firstEventTimeout, cancel)
-	stream, err := a.job.r.forwarder.OpenStream(ctx, req, a.replica)
-	watchdog.Stop()
+	stream, err := a.open(ctx, cancel, req, firstEventTimeout)
 	if !a.replace(from, cancel, gain, err) {
 		a.abandon(stream, err)
 		return
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -38,8 +38,8 @@
 
 // placement is what a job knows for the scheduler beside its items.
 type placement struct {
-	// groups names the start of the replica that last started an item of a group. Another
-	// start has not read the group's prompt.
+	// groups names the incarnation of the replica that last started an item of a group. A
+	// later one has not read the group's prompt.
 	groups map[string]replica.Incarnation
 	// required are the groups that came again: the trainer waits for them.
 	required map[string]bool
@@ -91,8 +91,7 @@
 // run keeps the job until its batch has no more to do here.
 func (j *job) run() {
 	defer j.cancel()
-	release := j.partition.Follow()
-	defer release()
+	defer j.partition.Follow()()
 	go j.listResults()
 	go j.heartbeat()
 	beat := time.NewTicker(heartbeatInterval)
--- a/internal/batches/runner/release.go
+++ b/internal/batches/runner/release.go
@@ -99,11 +99,7 @@
 	for _, j := range r.jobList() {
 		// Counted: a batch with nothing under way is left at once, and its record must
 		// be in the journal all the same before the daemon ends.
-		r.work.Add(1)
-		go func() {
-			defer r.work.Done()
-			j.startRelease(ctx)
-		}()
+		r.work.Go(func() { j.startRelease(ctx) })
 	}
 	done := make(chan struct{})
 	go func() {
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -116,14 +116,14 @@
 }
 
 // report tells the table of a replica's fault.
-func (r *Runner) report(start replica.Incarnation, f fault) {
+func (r *Runner) report(incarnation replica.Incarnation, f fault) {
 	switch f {
 	case noFault:
 	case faultDeclined:
-		r.table.Declined(start)
+		r.table.Declined(incarnation)
 	case faultFull:
-		r.table.Busy(start, failurePause)
+		r.table.Busy(incarnation, failurePause)
 	case faultFailed:
-		r.table.Failed(start)
+		r.table.Failed(incarnation)
 	}
 }
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -231,7 +231,7 @@
 			r.dispatch(time.Now())
 		}
 		wait := wakeInterval
-		if r.quiet() {
+		if r.idle() {
 			wait, changed = time.Hour, nil
 		}
 		timer := time.NewTimer(wait)
@@ -245,7 +245,8 @@
 	}
 }
 
-func (r *Runner) quiet() bool {
+// idle reports whether no batch is run here.
+func (r *Runner) idle() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.jobs) == 0
--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -19,8 +19,7 @@
 	}
 	defer r.work.Done()
 	partition := r.foldOf(r.ctx, batchID)
-	release := partition.Follow()
-	defer release()
+	defer partition.Follow()()
 	expected := observation{partition: partition.Name(), batch: batchID, owner: owner, at: time.Now()}
 	patience, cancel := context.WithTimeout(r.ctx, standByTime(accepting))
 	defer cancel()
