--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -33,7 +33,7 @@
 		r.logger.Info("silence of the owner not confirmed", zap.String("batch", batchID), zap.String("owner", owner), zap.Error(err))
 		return
 	}
-	if r.stillSuspect(expected) {
+	if r.stillSilent(expected) {
 		r.replaceOwner(r.ctx, expected, "owner has not begun")
 	}
 }
--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
 	"woodworks/internal/batches/batch"
@@ -15,12 +16,12 @@
 const (
 	// takeOverTimeout bounds the taking over of a batch, and a read that confirms silence.
 	takeOverTimeout = 1500 * time.Millisecond
-	// confirmTimeout is how long a watcher waits at a time for the reads that show that
-	// suspects still are suspects.
+	// confirmTimeout is how long a watcher waits at a time for the reads that show whether
+	// suspect owners are still silent.
 	confirmTimeout = 300 * time.Millisecond
 )
 
-// confirmations are the reads that show whether suspects still are suspects, one a
+// confirmations are the reads that show whether suspect owners are still silent, one a
 // partition. The zero value is ready for use.
 type confirmations struct {
 	mu    sync.Mutex
@@ -72,7 +73,7 @@
 	return true
 }
 
-// confirm returns the suspects of which a read of their partition brings nothing either.
+// confirm returns the suspect owners of which a read of their partition brings nothing either.
 // The reads of followers are long polls: they alone would show silence late or not at all.
 //
 // It waits for confirmTimeout at most, so that one partition does not hold up the others.
@@ -104,7 +105,7 @@
 	var confirmed []observation
 	for _, suspect := range suspects {
 		at, read := began[suspect.partition]
-		if read && r.stillSuspect(suspect) {
+		if read && r.stillSilent(suspect) {
 			suspect.readAt = at
 			confirmed = append(confirmed, suspect)
 		}
@@ -112,21 +113,24 @@
 	return confirmed
 }
 
-// stillSuspect reports whether the fold shows nothing new of a suspect.
-func (r *Runner) stillSuspect(suspect observation) (still bool) {
+// stillSilent reports whether the fold shows nothing new of a suspect owner.
+func (r *Runner) stillSilent(suspect observation) (still bool) {
 	r.ledger.Partition(suspect.partition).ViewBatch(suspect.batch, func(b *batch.Batch) { still = suspect.still(b) })
 	return still
 }
 
-// replaceOwner takes the batch of a suspect over. The record names the owner it
+// replaceOwner takes the batch of a suspect owner over. The record names the owner it
 // replaces, so that one of several takeovers counts.
 func (r *Runner) replaceOwner(ctx context.Context, suspect observation, reason string) {
 	bounded, cancel := context.WithTimeout(ctx, takeOverTimeout)
 	defer cancel()
 	err := r.TakeOver(bounded, suspect.batch, suspect.owner)
 	event := "batch taken over"
-	if err != nil {
+	switch {
+	case errors.Is(err, ErrNotDone):
 		event = "batch not taken over"
+	case err != nil:
+		event = "batch perhaps taken over"
 	}
 	r.logger.Info(event, zap.String("batch", suspect.batch), zap.String("from", suspect.owner),
 		zap.String("reason", reason), zap.Duration("silent", time.Since(suspect.at)), zap.Error(err))
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -129,7 +129,7 @@
 			switch {
 			case b.Owner == w.runner.self:
 				own = append(own, b.ID)
-			case o.suspect(w.runner.self, generation, now):
+			case o.suspectsOwner(w.runner.self, generation, now):
 				suspects = append(suspects, o)
 			}
 		})
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -101,7 +101,7 @@
 		go watcher.Run(ctx)
 		time.Sleep(1300 * time.Millisecond)
 		is.NoErr(partition.Append(ctx, batch.Accepted(&oneItem, "a/1")))
-		time.Sleep(suspectAfter + 2*watchInterval + 20*time.Millisecond)
+		time.Sleep(suspectOwnerAfter + 2*watchInterval + 20*time.Millisecond)
 		is.Equal(ownerOf(partition, "x"), "b/1")
 	})
 }
@@ -119,7 +119,7 @@
 		is.NoErr(partition.CatchUp(ctx))
 		seen := &watched{owners: map[string]observation{}}
 		is.Equal(len(watcher.inspect(partition.Name(), seen, 0, time.Now())), 0)
-		time.Sleep(suspectAfter + time.Millisecond)
+		time.Sleep(suspectOwnerAfter + time.Millisecond)
 		suspects := watcher.inspect(partition.Name(), seen, 0, time.Now())
 		is.Equal(len(suspects), 1)
 		is.Equal(len(watcher.runner.confirm(ctx, suspects)), 1)
--- a/internal/daemon/explain/explain.go
+++ b/internal/daemon/explain/explain.go
@@ -39,7 +39,8 @@
 // request although they do not name it.
 var (
 	batchEvents = map[string]bool{"batch owned": true, "batch left": true, "batch account": true, "batch released": true,
-		"batch taken over": true, "batch not taken over": true, "results not listed yet": true, "results listed": true,
+		"batch taken over": true, "batch not taken over": true, "batch perhaps taken over": true,
+		"results not listed yet": true, "results listed": true,
 		"items given back": true, "batch released unstarted": true, "release not recorded": true,
 		"heartbeat not recorded": true, "heartbeats recorded again": true, "silence of the owner not confirmed": true}
 	replicaEvents = map[string]bool{"replica listed": true, "replica state changed": true, "replica started again": true,
