--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -47,32 +47,33 @@
 func (s *State) Size() int { return len(s.batches) }
 
 // Apply folds the next record. A record that is malformed or not valid in this
-// state changes nothing: the same holds for every reader.
-func (s *State) Apply(encoded []byte) {
+// state changes nothing: the same holds for every reader. The error is that of a
+// malformed record.
+func (s *State) Apply(encoded []byte) error {
 	offset := s.next
 	s.next++
-	s.apply(encoded, offset)
+	return s.apply(encoded, offset)
 }
 
 // apply folds a record that begins at an offset.
-func (s *State) apply(encoded []byte, offset int64) {
+func (s *State) apply(encoded []byte, offset int64) error {
 	rec, err := decode(encoded)
 	if err != nil {
-		return
+		return err
 	}
-	if rec.Kind == kindFragment {
+	switch rec.Kind {
+	case kindFragment:
 		if whole, begins := s.join(rec, offset); whole != nil {
-			s.apply(whole, begins)
+			return s.apply(whole, begins)
 		}
-		return
-	}
-	if rec.Kind == kindAccepted {
+	case kindAccepted:
 		s.accept(rec, offset)
-		return
-	}
-	if b := s.batches[rec.BatchID]; b != nil {
-		b.apply(rec)
+	default:
+		if b := s.batches[rec.BatchID]; b != nil {
+			b.apply(rec)
+		}
 	}
+	return nil
 }
 
 // join adds a fragment and returns the whole record once it has all parts, with the offset
@@ -101,7 +102,7 @@
 	if rec.Submission == nil || rec.Submission.ID != rec.BatchID {
 		return
 	}
-	if _, known := s.batches[rec.BatchID]; known {
+	if _, ok := s.batches[rec.BatchID]; ok {
 		return
 	}
 	s.batches[rec.BatchID] = &Batch{
--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -12,6 +12,7 @@
 	"github.com/matryer/is"
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
+	"go.uber.org/zap/zaptest/observer"
 	"pgregory.net/rapid"
 
 	"woodworks/internal/batches/batch"
@@ -307,3 +308,21 @@
 		is.True(!reader.LastRead().IsZero())
 	})
 }
+
+// A record that could not be decoded was passed over without a word. It has a line that says
+// where it is, and what follows it counts.
+func TestAMalformedRecordHasALine(t *testing.T) {
+	is := is.New(t)
+	ctx := t.Context()
+	core, lines := observer.New(zap.WarnLevel)
+	p := New(ctx, journaltest.New(), zap.New(core)).Of("a")
+	is.NoErr(p.Append(ctx, []byte("no record")))
+	is.NoErr(p.Append(ctx, batch.Accepted(submission("a"), "one")))
+	is.True(exists(p, "a"))
+	is.Equal(lines.Len(), 1)
+	line := lines.All()[0]
+	is.Equal(line.Message, "record not decoded")
+	is.Equal(line.ContextMap()["topic"], p.Name().Topic)
+	is.Equal(line.ContextMap()["partition"], int64(p.Name().Number))
+	is.Equal(line.ContextMap()["offset"], int64(0))
+}
--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
 	"woodworks/internal/batches/batch"
@@ -61,7 +62,7 @@
 // MarshalLogObject implements zapcore.ObjectMarshaler, for zap.Inline.
 func (p *Partition) MarshalLogObject(enc zapcore.ObjectEncoder) error {
 	enc.AddString("topic", p.name.Topic)
-	enc.AddInt("partition", p.name.Number)
+	enc.AddInt64("partition", int64(p.name.Number))
 	return nil
 }
 
@@ -152,7 +153,9 @@
 		if from+int64(i) != p.next {
 			continue
 		}
-		p.state.Apply(record)
+		if err := p.state.Apply(record); err != nil {
+			p.ledger.logger.Warn("record not decoded", zap.Inline(p), zap.Int64("offset", p.next), zap.Error(err))
+		}
 		p.next++
 		folded = true
 	}
