--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -43,9 +43,6 @@
 	}
 }
 
-// Size returns how many batches are known.
-func (s *State) Size() int { return len(s.batches) }
-
 // Apply folds the next record. A record that is malformed or not valid in this
 // state changes nothing: the same holds for every reader. The error is that of a
 // malformed record.
--- a/internal/batches/results/future.go
+++ b/internal/batches/results/future.go
@@ -2,10 +2,10 @@
 
 // future is an answer on its way.
 type future[T any] struct {
-	// done is closed at its end; answer and err are set before.
-	done   chan struct{}
-	answer T
-	err    error
+	// done is closed at its end; value and err are set before.
+	done  chan struct{}
+	value T
+	err   error
 }
 
 // async calls get in a goroutine of its own.
@@ -13,7 +13,7 @@
 	f := &future[T]{done: make(chan struct{})}
 	go func() {
 		defer close(f.done)
-		f.answer, f.err = get()
+		f.value, f.err = get()
 	}()
 	return f
 }
--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -8,11 +8,10 @@
 	"go.uber.org/zap"
 
 	"woodworks/internal/batches/ledger"
-	"woodworks/internal/daemon/logging"
 )
 
-// enterCold takes a place among the questions that may read a partition from its beginning, which
-// leaveCold gives back. The error wraps ErrBehind.
+// enterCold takes a place in cold for a question that may read a partition from its beginning.
+// The error wraps ErrBehind.
 func (r *Reader) enterCold(ctx context.Context) error {
 	timer := time.NewTimer(catchUpTimeout)
 	defer timer.Stop()
@@ -26,14 +25,6 @@
 	}
 }
 
-func (r *Reader) leaveCold() { <-r.cold }
-
-// noteLateRead logs that an own read is late; many in a row have one line.
-func (r *Reader) noteLateRead(batchID string, partition *ledger.Partition) {
-	late := logging.Occurrence{Subject: partition.Name().Topic, Took: askWatcherAfter}
-	r.lateReads.Note(late, zap.String("batch", batchID), zap.Inline(partition))
-}
-
 // budgetLeft is how many bytes this daemon may read for questions now, 0 where it has no budget.
 func (r *Reader) budgetLeft() int {
 	if r.budget == nil {
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -127,21 +127,24 @@
 
 // page answers a query here or by a method of the watcher.
 func (r *Reader) page(ctx context.Context, method string, query Query) (Page, error) {
-	return read(ctx, r, query.BatchID, method, query, query.Wait, local[Page]{
-		answer: func(ctx context.Context, wait time.Duration) (Page, error) {
-			polling := query
-			polling.Wait = wait
-			return r.resultsHere(ctx, polling)
-		},
+	polling := func(wait time.Duration) Query {
+		query := query
+		query.Wait = wait
+		return query
+	}
+	return read(ctx, r, query.BatchID, query.Wait, kind[Page]{
+		method: method, args: func(wait time.Duration) any { return polling(wait) },
+		here:  func(ctx context.Context, wait time.Duration) (Page, error) { return r.resultsHere(ctx, polling(wait)) },
 		ready: func() bool { return len(lookUp(r.ledger.Of(query.BatchID), query).Results) > 0 },
 	})
 }
 
 // Item returns the body of an item. The error wraps ErrBehind.
 func (r *Reader) Item(ctx context.Context, query ItemQuery) (Body, error) {
-	return read(ctx, r, query.BatchID, methodItem, query, 0, local[Body]{
-		answer: func(ctx context.Context, _ time.Duration) (Body, error) { return r.itemHere(ctx, query) },
-		ready:  func() bool { return itemBody(r.ledger.Of(query.BatchID), query).Found },
+	return read(ctx, r, query.BatchID, 0, kind[Body]{
+		method: methodItem, args: func(time.Duration) any { return query },
+		here:  func(ctx context.Context, _ time.Duration) (Body, error) { return r.itemHere(ctx, query) },
+		ready: func() bool { return itemBody(r.ledger.Of(query.BatchID), query).Found },
 	})
 }
 
@@ -153,9 +156,10 @@
 
 // Items returns items of a batch as of now. The error wraps ErrBehind.
 func (r *Reader) Items(ctx context.Context, query ItemsQuery) (Items, error) {
-	return read(ctx, r, query.BatchID, methodItems, query, 0, local[Items]{
-		answer: func(ctx context.Context, _ time.Duration) (Items, error) { return r.itemsHere(ctx, query) },
-		ready:  func() bool { return false },
+	return read(ctx, r, query.BatchID, 0, kind[Items]{
+		method: methodItems, args: func(time.Duration) any { return query },
+		here:  func(ctx context.Context, _ time.Duration) (Items, error) { return r.itemsHere(ctx, query) },
+		ready: func() bool { return false },
 	})
 }
 
@@ -176,7 +180,7 @@
 	}
 	beginning, err := callWatcher[Beginning](ctx, r, watcher, methodBeginning, BeginningQuery{BatchID: batchID}, 0)
 	if err == nil && !beginning.Found {
-		err = errors.Wrap(ErrBehind, "the holder does not know the batch")
+		err = errors.Wrap(ErrBehind, "the watcher does not know the batch")
 	}
 	return beginning.Offset, err
 }
--- a/internal/batches/results/trace.go
+++ b/internal/batches/results/trace.go
@@ -28,14 +28,15 @@
 // took beyond the time for which it was kept open.
 type Observer func(way string, answered bool, took time.Duration)
 
-// trace is what befalls one question, for its line in the log.
+// trace is one question with what befalls it, for its line in the log.
 type trace struct {
 	r         *Reader
 	batchID   string
 	partition *ledger.Partition
 	began     time.Time
-	wait      time.Duration
-	way       way
+	// wait is for how long the caller asked that the question be kept open.
+	wait time.Duration
+	way  way
 	// missing is what the fold lacked as the question came, in bytes; missingKnown is false
 	// where nothing of the partition had been read.
 	missing      int
@@ -46,9 +47,9 @@
 }
 
 // startTrace begins the trace of a question.
-func (r *Reader) startTrace(batchID string, partition *ledger.Partition, wait time.Duration) *trace {
-	t := &trace{r: r, batchID: batchID, partition: partition, began: time.Now(), wait: wait, way: wayFold}
-	t.missing, t.missingKnown = partition.Missing()
+func (r *Reader) startTrace(batchID string, wait time.Duration) *trace {
+	t := &trace{r: r, batchID: batchID, partition: r.ledger.Of(batchID), began: time.Now(), wait: wait, way: wayFold}
+	t.missing, t.missingKnown = t.partition.Missing()
 	r.open.Add(1)
 	return t
 }
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -35,8 +35,8 @@
 		return reply, errSelf
 	}
 	began = time.Now()
-	wait := q.trace.waitLeft()
-	reply.answer, reply.err = callWatcher[T](ctx, q.r, watcher, q.method, q.args.polling(wait), wait)
+	wait := q.waitLeft()
+	reply.answer, reply.err = callWatcher[T](ctx, q.r, watcher, q.method, q.args(wait), wait)
 	reply.askedFor = time.Since(began)
 	return reply, reply.err
 }
