--- a/internal/batches/ledger/follow.go
+++ b/internal/batches/ledger/follow.go
@@ -27,8 +27,7 @@
 		p.stopFollow = cancel
 		go p.follow(ctx)
 	}
-	var once sync.Once
-	return func() { once.Do(p.unfollow) }
+	return sync.OnceFunc(p.unfollow)
 }
 
 func (p *Partition) unfollow() {
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -69,55 +69,48 @@
 
 // readToEnd reads until the fold has reached the end that the first read told.
 func (p *Partition) readToEnd() error {
-	target := noEnd
-	for {
-		read, err := p.readOnce(p.ledger.ctx, 0)
+	for target := noEnd; ; {
+		end, err := p.readOnce(p.ledger.ctx, 0)
 		if err != nil {
 			return err
 		}
-		if target < 0 {
-			target = read.End
+		if target == noEnd {
+			target = end
 		}
-		if target < 0 {
-			continue
-		}
-		p.mu.Lock()
-		reached := p.next >= target
-		p.mu.Unlock()
-		if reached {
+		if target != noEnd && p.offset() >= target {
 			return nil
 		}
 	}
 }
 
-// readOnce reads a page from the fold's offset on and folds what comes, also of an answer
-// that broke off. At the partition's end the read waits for records.
-func (p *Partition) readOnce(ctx context.Context, wait time.Duration) (journal.Records, error) {
+// offset returns that of the first record that is not folded yet.
+func (p *Partition) offset() int64 {
 	p.mu.Lock()
-	from := p.next
-	p.mu.Unlock()
+	defer p.mu.Unlock()
+	return p.next
+}
+
+// readOnce reads a page from the fold's offset on and folds what comes, also of an answer
+// that broke off. At the partition's end the read waits for records. It returns the end that
+// was told, noEnd if none was.
+func (p *Partition) readOnce(ctx context.Context, wait time.Duration) (end int64, err error) {
+	from := p.offset()
 	bounded, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
-	read, err := p.ledger.journal.Read(bounded, journal.Read{Partition: p.name, From: from, Wait: wait, MaxBytes: p.ledger.PageBytes()})
+	req := journal.Read{Partition: p.name, From: from, Wait: wait, MaxBytes: p.ledger.PageBytes()}
+	read, err := p.ledger.journal.Read(bounded, req)
 	var trimmed *journal.TrimmedError
 	if errors.As(err, &trimmed) {
-		return p.skipTrimmed(from, trimmed.First), nil
+		p.skipTrimmed(from, trimmed.First)
+		return noEnd, nil
 	}
 	p.fold(from, read.Records)
-	p.noteRead(read)
-	if err != nil {
-		return journal.Records{}, err
-	}
-	p.mu.Lock()
-	if p.next >= read.End {
-		p.lastRead = time.Now()
-	}
-	p.mu.Unlock()
-	return read, nil
+	p.noteRead(read, err == nil)
+	return read.End, err
 }
 
-// noteRead counts what a read brought.
-func (p *Partition) noteRead(read journal.Records) {
+// noteRead counts what a read brought, whole or until it broke off.
+func (p *Partition) noteRead(read journal.Records, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, record := range read.Records {
@@ -125,6 +118,9 @@
 	}
 	p.readRecords += int64(len(read.Records))
 	p.end = max(p.end, read.End)
+	if whole && p.next >= read.End {
+		p.lastRead = time.Now()
+	}
 }
 
 // ReadPage reads the next page of the partition. The error wraps ErrBehind.
@@ -137,7 +133,7 @@
 
 // skipTrimmed moves the fold over records that are gone. The batches already
 // folded stay known; of those only in the trimmed records nothing is known.
-func (p *Partition) skipTrimmed(from, first int64) journal.Records {
+func (p *Partition) skipTrimmed(from, first int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.next == from && first > from {
@@ -146,5 +142,4 @@
 		p.next, p.missed = first, true
 		p.state.Skip(first)
 	}
-	return journal.Records{End: noEnd, First: first}
 }
