--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -194,7 +194,7 @@
 // what is kept: an owner's records may be doubled or late, but what they say of
 // one event is the same each time.
 func (b *Batch) keepProgress(progress Progress) {
-	if b.Ended || progress.Item < 0 || progress.Item >= len(b.Listed) || b.Listed[progress.Item] || !b.versionsAllowed(progress.Versions) {
+	if !b.waitsFor(progress.Item) || !b.versionsAllowed(progress.Versions) {
 		return
 	}
 	kept := b.Partials[progress.Item]
@@ -214,13 +214,8 @@
 // list gives a result the next position if its item has none and the batch is
 // open.
 func (b *Batch) list(result Result) {
-	if b.Ended || result.Item < 0 || result.Item >= len(b.Listed) || b.Listed[result.Item] {
-		return
-	}
-	if result.Outcome != Done && result.Outcome != Dead {
-		return
-	}
-	if result.Outcome == Done && !b.versionsAllowed(result.Versions) {
+	valid := result.Outcome == Dead || result.Outcome == Done && b.versionsAllowed(result.Versions)
+	if !valid || !b.waitsFor(result.Item) {
 		return
 	}
 	b.Listed[result.Item] = true
@@ -228,6 +223,11 @@
 	b.Results = append(b.Results, result)
 }
 
+// waitsFor reports whether the batch is open and an item of it has no position yet.
+func (b *Batch) waitsFor(item int) bool {
+	return !b.Ended && item >= 0 && item < len(b.Listed) && !b.Listed[item]
+}
+
 // versionsAllowed reports whether all versions are new enough for the batch.
 func (b *Batch) versionsAllowed(versions []int64) bool {
 	return !slices.ContainsFunc(versions, func(version int64) bool { return version < b.MinVersion })
--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -56,7 +56,9 @@
 }
 
 func newPartition(ledger *Ledger, name journal.Partition, from int64) *Partition {
-	return &Partition{ledger: ledger, name: name, state: batch.NewStateAt(from), next: from, changed: make(chan struct{}), end: noEnd}
+	return &Partition{
+		ledger: ledger, name: name, state: batch.NewStateAt(from), next: from, changed: make(chan struct{}), end: noEnd,
+	}
 }
 
 // MarshalLogObject implements zapcore.ObjectMarshaler, for zap.Inline.
--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -59,8 +59,8 @@
 	now := t.now()
 	t.lapse(now)
 	for _, relayed := range o.Reports[:min(len(o.Reports), maxDaemons)] {
-		d := t.daemonOf(&relayed.Report, now)
-		if d != nil && relayed.Report.Base == 0 && t.take(d, relayed.Report, now.Add(-time.Duration(relayed.Age)*ageUnit), now) {
+		d, at := t.daemonOf(&relayed.Report, now), now.Add(-time.Duration(relayed.Age)*ageUnit)
+		if d != nil && relayed.Report.Base == 0 && t.take(d, relayed.Report, at, now) {
 			reports++
 		}
 	}
@@ -129,8 +129,8 @@
 		return false
 	}
 	if !d.current && !report.empty() {
-		t.logger.Info("report of another owner begins", zap.String("owner", report.Sender), zap.Uint64("report", report.Number),
-			zap.Int("replicas", len(report.Counts)), zap.Duration("age", now.Sub(at)))
+		t.logger.Info("report of another owner begins", zap.String("owner", report.Sender),
+			zap.Uint64("report", report.Number), zap.Int("replicas", len(report.Counts)), zap.Duration("age", now.Sub(at)))
 	}
 	t.drop(d)
 	t.counts.Received++
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -171,5 +171,6 @@
 
 // NewMeasurement returns an event time with its age as it is sent.
 func NewMeasurement(replica Key, eventTime, age time.Duration) Measurement {
-	return Measurement{Replica: replica, EventTime: uint32(eventTime / EventTimeUnit), Age: uint32(min(age, eventTimeLifetime) / ageUnit)}
+	age = min(age, eventTimeLifetime)
+	return Measurement{Replica: replica, EventTime: uint32(eventTime / EventTimeUnit), Age: uint32(age / ageUnit)}
 }
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -137,8 +137,8 @@
 		asked[machine] = true
 		o, err := p.ask(ctx, machine)
 		reports := p.table.Adopt(o)
-		p.logger.Info("occupancy asked for", zap.String("from", machine),
-			zap.Int("reports", len(o.Reports)), zap.Int("adopted", reports), zap.Int("event_times", len(o.Measured)), zap.Error(err))
+		p.logger.Info("occupancy asked for", zap.String("from", machine), zap.Int("reports", len(o.Reports)),
+			zap.Int("adopted", reports), zap.Int("event_times", len(o.Measured)), zap.Error(err))
 		if len(o.Reports) > 0 {
 			return
 		}
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -36,7 +36,9 @@
 // many bytes a second. Nothing may be read as long as their number is 0.
 func newReadBudget(bytesPerSecond float64, daemons func() int) *readBudget {
 	now := time.Now()
-	b := &readBudget{bytesPerSecond: bytesPerSecond, daemons: daemons, limiter: rate.NewLimiter(0, 1), share: newBandwidthShare(now)}
+	b := &readBudget{
+		bytesPerSecond: bytesPerSecond, daemons: daemons, limiter: rate.NewLimiter(0, 1), share: newBandwidthShare(now),
+	}
 	b.adjust(now)
 	b.empty(now)
 	return b
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -59,7 +59,9 @@
 
 // callWatcher calls a method of a partition's watcher, "" being none that is known. The call may
 // be kept open for wait.
-func callWatcher[T any](ctx context.Context, r *Reader, watcher, method string, args any, wait time.Duration) (answer T, err error) {
+func callWatcher[T any](
+	ctx context.Context, r *Reader, watcher, method string, args any, wait time.Duration,
+) (answer T, err error) {
 	switch {
 	case ctx.Err() != nil:
 		return answer, errors.Wrap(ErrBehind, ctx.Err().Error())
--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -60,7 +60,8 @@
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(submission.Host))
 	_, _ = hash.Write([]byte(submission.Model))
-	return journal.Partition{Topic: RunnersTopic, Number: int(hash.Sum32() % uint32(max(a.journal.PartitionsPerTopic(), 1)))}
+	partitions := max(a.journal.PartitionsPerTopic(), 1)
+	return journal.Partition{Topic: RunnersTopic, Number: int(hash.Sum32() % uint32(partitions))}
 }
 
 // Choose returns the daemon that should own a batch.
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -154,8 +154,9 @@
 		it.failures++
 	}
 	j.r.report(a.replica.Incarnation(), next.fault)
-	j.logger.Info("item attempt failed", zap.String("item", it.ID), zap.String("replica", a.replica.ID), zap.Int("attempt", it.attempt),
-		zap.Int64("events", it.lastEvent), zap.Duration("after", time.Since(it.startedAt)), zap.Error(cause))
+	j.logger.Info("item attempt failed", zap.String("item", it.ID), zap.String("replica", a.replica.ID),
+		zap.Int("attempt", it.attempt), zap.Int64("events", it.lastEvent),
+		zap.Duration("after", time.Since(it.startedAt)), zap.Error(cause))
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if it.state != itemRunning {
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -28,20 +28,24 @@
 	mu sync.Mutex
 	// demands are what the last dispatch left waiting, by service; turns who starts next.
 	demands map[string]occupancy.Demand
-	turns   map[string]*occupancy.Turn
+	turns   map[string]occupancy.Turn
+}
+
+func newSharing(self string, table *occupancy.Table, changed func(), logger *zap.Logger) *sharing {
+	return &sharing{
+		self: self, table: table, changed: changed, logger: logger,
+		demands: map[string]occupancy.Demand{}, turns: map[string]occupancy.Turn{},
+	}
 }
 
 // ShareEngines lets the runner reckon with what the table holds of other owners. Changed is
 // called whenever the runner's own requests may have changed; it must not block. It is called
 // before Run.
 func (r *Runner) ShareEngines(table *occupancy.Table, changed func()) {
-	r.shared = &sharing{
-		self: r.self, table: table, changed: changed, logger: r.logger,
-		demands: map[string]occupancy.Demand{}, turns: map[string]*occupancy.Turn{},
-	}
+	r.shared = newSharing(r.self, table, changed, r.logger)
 }
 
-// KeyOf names the start of a replica to other owners.
+// KeyOf names the incarnation of a replica to other owners.
 func KeyOf(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.Born) }
 
 // withReports adds to an engine what other owners report of it.
@@ -62,7 +66,9 @@
 
 // inTurn returns the decisions of a service that may be carried out now, as other owners wait
 // for room as well, and notes what is left waiting.
-func (s *sharing) inTurn(service string, snap *scheduling.Snapshot, decisions []scheduling.Decision, now time.Time) []scheduling.Decision {
+func (s *sharing) inTurn(
+	service string, snap *scheduling.Snapshot, decisions []scheduling.Decision, now time.Time,
+) []scheduling.Decision {
 	if s == nil {
 		return decisions
 	}
@@ -72,12 +78,14 @@
 	own, _ := demandOf(key, snap, nil)
 	started, _ := startsOf(decisions)
 	due := len(started)
-	turn, others := s.turnOf(service), s.table.Demands(key)
+	turn, others := s.turns[service], s.table.Demands(key)
 	left := turn.Leaves()
 	allowed := turn.Allow(now, occupancy.Allowance(capacityOf(snap), own, others), due)
+	s.turns[service] = turn
 	if turn.Leaves() && !left {
-		s.logger.Info("room left to other owners", zap.String("service", service), zap.Int("starts", due), zap.Int("allowed", allowed),
-			zap.Uint32("in_flight", own.InFlight), zap.Uint32("waiting", own.Waiting), zap.Int("owners", len(others)))
+		s.logger.Info("room left to other owners", zap.String("service", service),
+			zap.Int("starts", due), zap.Int("allowed", allowed), zap.Uint32("in_flight", own.InFlight),
+			zap.Uint32("waiting", own.Waiting), zap.Int("owners", len(others)))
 	}
 	kept := firstStarts(decisions, allowed)
 	demand, first := demandOf(key, snap, kept)
@@ -89,16 +97,6 @@
 	return kept
 }
 
-// turnOf returns the turn of a service. The mutex is held.
-func (s *sharing) turnOf(service string) *occupancy.Turn {
-	turn := s.turns[service]
-	if turn == nil {
-		turn = &occupancy.Turn{}
-		s.turns[service] = turn
-	}
-	return turn
-}
-
 // firstStarts returns the decisions without the starts after so many.
 func firstStarts(decisions []scheduling.Decision, starts int) []scheduling.Decision {
 	return slices.DeleteFunc(slices.Clone(decisions), func(decision scheduling.Decision) bool {
@@ -175,7 +173,7 @@
 	}
 	s.mu.Lock()
 	maps.DeleteFunc(s.demands, func(service string, _ occupancy.Demand) bool { return views[service] == nil })
-	maps.DeleteFunc(s.turns, func(service string, _ *occupancy.Turn) bool { return views[service] == nil })
+	maps.DeleteFunc(s.turns, func(service string, _ occupancy.Turn) bool { return views[service] == nil })
 	s.mu.Unlock()
 	s.changed()
 }
@@ -212,8 +210,9 @@
 		}
 		demand.InFlight = 0
 		for _, rep := range r.table.Replicas(service) {
-			demand.InFlight += uint32(max(rep.InFlight, 0))
-			report.Counts = append(report.Counts, occupancy.Count{Replica: KeyOf(rep), Requests: uint32(max(rep.InFlight, 0))})
+			inFlight := uint32(max(rep.InFlight, 0))
+			demand.InFlight += inFlight
+			report.Counts = append(report.Counts, occupancy.Count{Replica: KeyOf(rep), Requests: inFlight})
 			if age := now.Sub(rep.EventAt); rep.EventTime > 0 && age <= ownEventTimeMaxAge {
 				report.Measured = append(report.Measured, occupancy.NewMeasurement(KeyOf(rep), rep.EventTime, age))
 			}
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -56,7 +56,7 @@
 		owner := &standOwner{from: burst[0]}
 		if hear {
 			run := fmt.Sprintf("d%d/1", i)
-			owner.sharing = &sharing{self: run, table: occupancy.NewTable(run, s.now, zap.NewNop()), changed: func() {}, logger: zap.NewNop(), demands: map[string]occupancy.Demand{}, turns: map[string]*occupancy.Turn{}}
+			owner.sharing = newSharing(run, occupancy.NewTable(run, s.now, zap.NewNop()), func() {}, zap.NewNop())
 		}
 		for range burst[1] {
 			owner.texts = append(owner.texts, &standText{engine: -1, left: 50 + random.IntN(400)})
--- a/internal/batches/runner/handover.go
+++ b/internal/batches/runner/handover.go
@@ -56,14 +56,15 @@
 	}
 	if err != nil || it.state != itemRunning || j.ctx.Err() != nil {
 		if err := it.flushBuffered(j.submission.MinVersion); err != nil {
-			j.logger.Info("attempt cancelled", zap.String("item", it.ID), zap.String("replica", it.lastReplica), zap.Error(err))
+			j.logger.Info("attempt cancelled", zap.String("item", it.ID),
+				zap.String("replica", it.lastReplica), zap.Error(err))
 			it.cancelAttempt()
 		}
 		return false
 	}
-	j.logger.Info("item moved", zap.String("item", it.ID), zap.String("replica", it.lastReplica), zap.String("to", a.replica.ID),
-		zap.Int64("events", it.lastEvent), zap.Int("dropped", len(it.buffered)), zap.Duration("gain", gain),
-		zap.Bool("silent", !it.answered))
+	j.logger.Info("item moved", zap.String("item", it.ID), zap.String("replica", it.lastReplica),
+		zap.String("to", a.replica.ID), zap.Int64("events", it.lastEvent), zap.Int("dropped", len(it.buffered)),
+		zap.Duration("gain", gain), zap.Bool("silent", !it.answered))
 	cancelBefore := it.cancel
 	a.number = it.beginAttempt(a.replica.ID, time.Now())
 	it.cancel = cancel
--- a/internal/batches/runner/heartbeat.go
+++ b/internal/batches/runner/heartbeat.go
@@ -1,9 +1,9 @@
 package runner
 
 import (
+	"cmp"
 	"context"
 	"slices"
-	"sort"
 	"time"
 
 	"go.uber.org/zap"
@@ -76,7 +76,7 @@
 			advanced = append(advanced, it)
 		}
 	}
-	sort.SliceStable(advanced, func(a, b int) bool { return len(advanced[a].events) > len(advanced[b].events) })
+	slices.SortStableFunc(advanced, func(a, b *item) int { return cmp.Compare(len(b.events), len(a.events)) })
 	var progress []batch.Progress
 	size := 0
 	for _, it := range advanced {
@@ -88,7 +88,8 @@
 			break
 		}
 		progress = append(progress, batch.Progress{
-			Item: it.index, From: it.checkpointed, Events: slices.Clone(events), LastEvent: it.lastEvent, Versions: slices.Clone(it.versions),
+			Item: it.index, From: it.checkpointed, Events: slices.Clone(events),
+			LastEvent: it.lastEvent, Versions: slices.Clone(it.versions),
 		})
 	}
 	return progress
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -43,7 +43,8 @@
 	it.state = itemScoring
 	it.timing.enter(phaseScoring, time.Now())
 	j.placement.lengths.Observe(it.expectedTokens, len(it.events))
-	result := batch.Result{Item: it.index, Outcome: batch.Done, Text: bytes.Join(it.events, []byte("\n")), Versions: slices.Clone(it.versions)}
+	text := bytes.Join(it.events, []byte("\n"))
+	result := batch.Result{Item: it.index, Outcome: batch.Done, Text: text, Versions: slices.Clone(it.versions)}
 	j.mu.Unlock()
 	j.r.Kick()
 	reason := ""
--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -30,7 +30,8 @@
 	defer cancel()
 	if err := partition.CatchUp(bounded); err != nil {
 		// The partition's watcher finds out later.
-		r.logger.Info("silence of the owner not confirmed", zap.String("batch", batchID), zap.String("owner", owner), zap.Error(err))
+		r.logger.Info("silence of the owner not confirmed", zap.String("batch", batchID),
+			zap.String("owner", owner), zap.Error(err))
 		return
 	}
 	if r.stillSilent(expected) {
--- a/internal/batches/runner/timing.go
+++ b/internal/batches/runner/timing.go
@@ -90,7 +90,8 @@
 	spent := last.timing.spent
 	fields := []zap.Field{
 		zap.String("reason", reason), zap.Int("listed", listed), zap.Int("items", len(j.items)),
-		zap.Duration("before", max(j.adoptedAt.Sub(j.submission.AcceptedAt()), 0)), zap.Duration("owned", now.Sub(j.adoptedAt)),
+		zap.Duration("before", max(j.adoptedAt.Sub(j.submission.AcceptedAt()), 0)),
+		zap.Duration("owned", now.Sub(j.adoptedAt)),
 		zap.String("last_item", last.ID), zap.Bool("required", j.placement.required[last.Group]),
 		zap.Int64("events", last.lastEvent), zap.Int("attempts", last.attempt),
 		zap.Int64s("versions", last.versions), zap.String("replica", last.lastReplica),
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -83,7 +83,8 @@
 		case name.Topic == RunnersTopic:
 		case p == nil && !settled:
 		case p == nil:
-			w.watched[name] = &watched{release: w.runner.ledger.Partition(name).Follow(), owners: map[string]observation{}}
+			release := w.runner.ledger.Partition(name).Follow()
+			w.watched[name] = &watched{release: release, owners: map[string]observation{}}
 		default:
 			p.dropped = time.Time{}
 		}
--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -42,7 +42,7 @@
 			waiting = append(waiting, i)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b int) int { return cmp.Or(compare(&p.Items[a], &p.Items[b]), cmp.Compare(a, b)) })
+	slices.SortStableFunc(waiting, func(a, b int) int { return compare(&p.Items[a], &p.Items[b]) })
 	return waiting
 }
 
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -8,8 +8,7 @@
 const (
 	// loadPerRequest is by how much, as a ratio, a request under way slows the others at an
 	// engine, and loadPerEvent by how much more for each event of its text: for each token
-	// an engine reads all that the text has so far. They are not learned, as one request
-	// changes less than an event time is known to.
+	// an engine reads all that the text has so far.
 	loadPerRequest = 0.005
 	loadPerEvent   = 0.0001
 )
@@ -77,7 +76,8 @@
 func classOf(it *Item) class { return class{model: it.Model, minVersion: it.MinVersion} }
 
 func newPlanner(snapshot Snapshot) *planner {
-	p := &planner{Snapshot: snapshot, engines: make([]engineState, len(snapshot.Engines)), byID: make(map[string]int, len(snapshot.Engines))}
+	count := len(snapshot.Engines)
+	p := &planner{Snapshot: snapshot, engines: make([]engineState, count), byID: make(map[string]int, count)}
 	for i := range snapshot.Engines {
 		e := &snapshot.Engines[i]
 		inFlight := e.InFlight + e.OthersInFlight
