--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -28,9 +28,7 @@
 }
 
 func exists(p *Partition, id string) bool {
-	ok := false
-	p.View(func(state *batch.State) { _, ok = state.Get(id) })
-	return ok
+	return p.ViewBatch(id, func(*batch.Batch) {})
 }
 
 // operation is one call of a history: an acceptance, or a question whether a
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -116,17 +116,22 @@
 	return log
 }
 
+// tardyReader is a reader before a journal whose reads take a time.
+func tardyReader(ctx context.Context, log *journaltest.Journal, takes *atomic.Int64, peers *alone) *Reader {
+	batches := ledger.New(ctx, tardy{log, takes}, zap.NewNop())
+	return NewReader(batches, peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
+}
+
 // A question whose own read has an answer after 0.5 s is answered then, also where nobody can say
 // who holds the partition.
 func TestAnOwnAnswerDoesNotWaitForTheSearchOfTheWatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		takes := takesAtFirst(500 * time.Millisecond)
 		log := bulky(ctx, t, 1)
 		peers := &alone{daemons: 4, learn: 150 * time.Millisecond}
-		reader := NewReader(ledger.New(ctx, tardy{log, takes}, zap.NewNop()), peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
+		reader := tardyReader(ctx, log, takes, peers)
 		time.Sleep(ownReadTime)
 		// The first page tells what there is, and a later question of one text comes upon it.
 		err := reader.ledger.Of("b").ReadPage(ctx)
@@ -144,8 +149,7 @@
 func TestAHeldQuestionEndsInTimeWhereTheWatcherIsLearnedLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		log := bulky(ctx, t, 1)
 		watcher := NewReader(ledger.New(ctx, log, zap.NewNop()), nil, nil, journal.Grants{}, "h", zap.NewNop()).Service(ctx)
 		blamed := false
@@ -188,13 +192,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				ctx, cancel := context.WithCancel(t.Context())
-				defer cancel()
+				ctx := t.Context()
 				takes := takesAtFirst(450 * time.Millisecond)
 				log := bulky(ctx, t, 3)
 				peers := &alone{daemons: 84, watcher: identity.New("h", time.Now())}
 				peers.answer = func(context.Context, any, any) error { return errDark }
-				reader := NewReader(ledger.New(ctx, tardy{log, takes}, zap.NewNop()), peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
+				reader := tardyReader(ctx, log, takes, peers)
 				time.Sleep(ownReadTime)
 				began, refused := time.Now(), 0
 				for after := 0; after < 30 && time.Since(began) < time.Minute; {
@@ -218,8 +221,7 @@
 // In an outage of the journal a question leaves a few lines at most.
 func TestLinesOfAQuestionInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		takes := takesAtFirst(time.Hour)
 		log := bulky(ctx, t, 1)
 		core, lines := observer.New(zap.InfoLevel)
@@ -243,8 +245,7 @@
 func TestResultsAreToldAsSoonAsTheFoldHasThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		const takes = 300 * time.Millisecond
 		log := bulky(ctx, t, 8)
 		reader := NewReader(ledger.New(ctx, tardy{log, takesAtFirst(takes)}, zap.NewNop()), nil, nil, journal.Grants{}, "h", zap.NewNop())
@@ -260,13 +261,12 @@
 func TestAnOwnAnswerCountsWhereTheWatcherFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		const takes = 800 * time.Millisecond
 		log := bulky(ctx, t, 1)
 		peers := &alone{daemons: 4, watcher: identity.New("h", time.Now())}
 		peers.answer = func(context.Context, any, any) error { return errDark }
-		reader := NewReader(ledger.New(ctx, tardy{log, takesAtFirst(takes)}, zap.NewNop()), peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
+		reader := tardyReader(ctx, log, takesAtFirst(takes), peers)
 		reader.budget.adjust(time.Now())
 		time.Sleep(ownReadTime)
 		err := reader.ledger.Of("b").ReadPage(ctx)
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -88,8 +88,7 @@
 func TestAllBatchesAreToldSoonAfterAllDaemonsStarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		core, logs := observer.New(zap.InfoLevel)
 		d := newRestarted(ctx, t, zap.New(core))
 		d.log.ResetUsage()
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -133,8 +133,7 @@
 func TestQuestionsGoToTheDaemonThatHoldsTheFold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		d := newDaemons(ctx, 40)
 		d.accept(t, "b", 3)
 		text := make([]byte, 100<<10)
@@ -184,8 +183,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				ctx, cancel := context.WithCancel(t.Context())
-				defer cancel()
+				ctx := t.Context()
 				d := newDaemons(ctx, 3)
 				d.accept(t, "b", 2)
 				d.watch(watcher)
@@ -207,8 +205,7 @@
 func TestAHeldQuestionEndsWithTheResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		d := newDaemons(ctx, 2)
 		d.accept(t, "b", 2)
 		time.AfterFunc(400*time.Millisecond, func() {
@@ -230,8 +227,7 @@
 func TestNothingIsDeniedWhileTheJournalIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		d := newDaemons(ctx, 2)
 		d.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 		_, err := d.readers[1].Results(ctx, Query{BatchID: "b"})
@@ -289,8 +285,7 @@
 
 // play carries the steps out and returns the calls made.
 func play(t *testing.T, steps []step) []porcupine.Operation {
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
+	ctx := t.Context()
 	d := newDaemons(ctx, 4)
 	var mu sync.Mutex
 	var history []porcupine.Operation
@@ -336,8 +331,7 @@
 func TestNothingIsDeniedWhoseRecordsAreGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		d := newDaemons(ctx, 2)
 		d.watch(1)
 		d.accept(t, "b", 1)
@@ -376,8 +370,7 @@
 	for _, wait := range []time.Duration{0, time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.NewRelaxed(t) // used by several goroutines
-			ctx, cancel := context.WithCancel(t.Context())
-			defer cancel()
+			ctx := t.Context()
 			d := newDaemons(ctx, 2)
 			d.accept(t, "b", 1)
 			d.dark[identity.Machine(d.runs[0])] = true
@@ -408,8 +401,7 @@
 func TestARefusedQuestionTellsItsWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		d := newDaemons(ctx, 2)
 		d.accept(t, "b", 1)
 		core, logs := observer.New(zap.InfoLevel)
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -34,8 +34,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				ctx, cancel := context.WithCancel(t.Context())
-				defer cancel()
+				ctx := t.Context()
 				options := reported()
 				options.daemons, options.partitions, options.batches = 3, 1, 12
 				// Each daemon may save up what all partitions hold.
@@ -105,8 +104,7 @@
 func tellAll(t *testing.T, options fleetOptions, after time.Duration) (told *wave) {
 	const giveUp = 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
+		ctx := t.Context()
 		f := newFleet(ctx, t, options, zap.NewNop())
 		time.Sleep(after)
 		before := f.store.carried.Load()
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -262,8 +262,8 @@
 	is.Equal(s.demands["s"].InFlight, uint32(1))
 }
 
-// A pace that others measured counts where this daemon has none, or an older one.
-func TestAPaceOfOthersStandsInForTheOwn(t *testing.T) {
+// An event time that others measured counts where this daemon has none, or an older one.
+func TestAnEventTimeOfOthersStandsInForTheOwn(t *testing.T) {
 	is := is.New(t)
 	s := newStand(true, 1, [2]int{0, 1}).owners[0].sharing
 	now := time.Now()
@@ -271,16 +271,16 @@
 	told := func(age time.Duration) {
 		s.table.Adopt(occupancy.Occupancy{Measured: []occupancy.Measurement{occupancy.NewMeasurement(KeyOf(rep), 20*time.Millisecond, age)}})
 	}
-	pace := func(own, age time.Duration) time.Duration {
+	eventTime := func(own, age time.Duration) time.Duration {
 		rep.EventTime, rep.EventAt = own, now.Add(-age)
 		return s.withReports(scheduling.Engine{EventTime: own}, rep, now).EventTime
 	}
-	is.Equal(pace(0, time.Hour), time.Duration(0))
+	is.Equal(eventTime(0, time.Hour), time.Duration(0))
 	told(5 * time.Second)
-	is.Equal(pace(0, time.Hour), 20*time.Millisecond)
-	is.Equal(pace(40*time.Millisecond, time.Second), 40*time.Millisecond)
-	is.Equal(pace(40*time.Millisecond, 4*time.Second), 40*time.Millisecond)
-	is.Equal(pace(40*time.Millisecond, 6*time.Second), 20*time.Millisecond)
+	is.Equal(eventTime(0, time.Hour), 20*time.Millisecond)
+	is.Equal(eventTime(40*time.Millisecond, time.Second), 40*time.Millisecond)
+	is.Equal(eventTime(40*time.Millisecond, 4*time.Second), 40*time.Millisecond)
+	is.Equal(eventTime(40*time.Millisecond, 6*time.Second), 20*time.Millisecond)
 	var alone *sharing
 	is.Equal(alone.withReports(scheduling.Engine{ID: "e", EventTime: 1}, rep, now), scheduling.Engine{ID: "e", EventTime: 1})
 }
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -29,15 +29,10 @@
 	if err := partition.CatchUp(ctx); err != nil {
 		return 0, err
 	}
-	partition.View(func(state *batch.State) {
-		b, ok := state.Get(batchID)
-		if !ok {
-			err = errors.New("not known")
-			return
-		}
-		offset = b.Offset
-	})
-	return offset, err
+	if !partition.ViewBatch(batchID, func(b *batch.Batch) { offset = b.Offset }) {
+		return 0, errors.New("not known")
+	}
+	return offset, nil
 }
 
 // silent is a holder that never answers.
@@ -65,11 +60,7 @@
 
 // firstSign reports whether the owner of routedItem has given a sign, and names it.
 func firstSign(partition *ledger.Partition) (given bool, owner string) {
-	partition.View(func(state *batch.State) {
-		if b, ok := state.Get("x"); ok {
-			given, owner = b.Signs > 0, b.Owner
-		}
-	})
+	partition.ViewBatch("x", func(b *batch.Batch) { given, owner = b.Signs > 0, b.Owner })
 	return given, owner
 }
 
--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -12,7 +12,7 @@
 	"woodworks/internal/requests/route"
 )
 
-// told returns what the scheduler is told of the items of newOwner's batch.
+// scheduledItems are the items of newOwner's batch as the scheduler gets them.
 func scheduledItems(owner *Runner) []scheduling.Item { return owner.views(time.Now())["s"].Items }
 
 // An item whose first event takes longer than is usual is told to be silent, until its
@@ -21,9 +21,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
-		owner := newOwner(ctx, t, journaltest.New(), "a/1")
-		is.NoErr(owner.Accept(ctx, &twoItems))
-		synctest.Wait()
+		owner := newOwnerOfTwo(ctx, t, journaltest.New())
 		begun := running(owner, 1)
 		begun.items[0].startedAt = time.Now()
 		for range 100 {
@@ -47,9 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
-		owner := newOwner(ctx, t, journaltest.New(), "a/1")
-		is.NoErr(owner.Accept(ctx, &twoItems))
-		synctest.Wait()
+		owner := newOwnerOfTwo(ctx, t, journaltest.New())
 		owner.jobList()[0].items[0].attempt = 1
 		time.Sleep(time.Second)
 		items := scheduledItems(owner)
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -35,6 +35,15 @@
 // twoItems is a batch for the route of newOwner.
 var twoItems = batch.Submission{ID: "x", Host: "h", Path: "/p/x", Items: []batch.Item{{ID: "i"}, {ID: "j"}}}
 
+// newOwnerOfTwo is an owner "a/1" of twoItems, in a bubble of synctest.
+func newOwnerOfTwo(ctx context.Context, t *testing.T, log journal.Journal) *Runner {
+	t.Helper()
+	owner := newOwner(ctx, t, log, "a/1")
+	is.New(t).NoErr(owner.Accept(ctx, &twoItems))
+	synctest.Wait()
+	return owner
+}
+
 // running makes the first items of a batch run, as far as its owner believes.
 func running(owner *Runner, count int) *job {
 	j := owner.jobList()[0]
@@ -70,9 +79,7 @@
 			is := is.New(t)
 			ctx := t.Context()
 			log := journaltest.New()
-			first, second := newOwner(ctx, t, log, "a/1"), newOwner(ctx, t, log, "b/1")
-			is.NoErr(first.Accept(ctx, &twoItems))
-			synctest.Wait()
+			first, second := newOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "b/1")
 			begun := running(first, 2)
 			if early {
 				// The run breaks while the record of the release is on its way.
@@ -99,9 +106,7 @@
 		is := is.New(t)
 		ctx := t.Context()
 		log := journaltest.New()
-		first, second := newOwner(ctx, t, log, "a/1"), newOwner(ctx, t, log, "b/1")
-		is.NoErr(first.Accept(ctx, &twoItems))
-		synctest.Wait()
+		first, second := newOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "b/1")
 		begun := running(first, 2)
 		go first.Release(ctx)
 		synctest.Wait()
@@ -121,9 +126,7 @@
 		is := is.New(t)
 		ctx := t.Context()
 		log := journaltest.New()
-		first, third := newOwner(ctx, t, log, "a/1"), newOwner(ctx, t, log, "c/1")
-		is.NoErr(first.Accept(ctx, &twoItems))
-		synctest.Wait()
+		first, third := newOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "c/1")
 		running(first, 2)
 		go first.Release(ctx)
 		synctest.Wait()
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -42,8 +42,7 @@
 var oneItem = batch.Submission{ID: "x", Items: []batch.Item{{ID: "i"}}}
 
 // A batch that was given to a daemon that has ended is taken back by the one
-// that accepted it (qarmoud-arena trouble-2, seed 1066191391835: the watchers
-// needed 0.85 to 1.0 s of a step's 7.5).
+// that accepted it: the watchers needed 0.85 to 1.0 s of a step's 7.5.
 func TestABatchGivenToAnOwnerThatHasEndedIsTakenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -29,9 +29,8 @@
 func (d *dealing) Alive(context.Context) ([]string, error) { return nil, nil }
 
 // A partition that is dealt to another member is watched on for a while: the
-// other hears of it only at its second join from then (scale-1 of aarewald-plan:
-// a batch without an owner from 6.6 to 15.9 s, as its partition had no watcher
-// just before an outage of the store).
+// other hears of it only at its second join from then. A batch had no owner for 9 s,
+// as its partition had no watcher just before an outage of the journal.
 func TestPartitionsAreWatchedOnUntilAnotherWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -66,7 +65,7 @@
 	})
 }
 
-// replaced is a group in which another run of each owner's machine is alive.
+// replaced is a group in which another incarnation of each owner's machine is alive.
 type replaced struct{ dealing }
 
 func (replaced) Alive(context.Context) ([]string, error) { return []string{"a/2"}, nil }
@@ -80,17 +79,12 @@
 
 func ownerOf(partition *ledger.Partition, batchID string) string {
 	owner := ""
-	partition.View(func(state *batch.State) {
-		if b, ok := state.Get(batchID); ok {
-			owner = b.Owner
-		}
-	})
+	partition.ViewBatch(batchID, func(b *batch.Batch) { owner = b.Owner })
 	return owner
 }
 
 // An owner that was replaced is found as soon as it is suspect, also between
-// two answers to the held read (aarewald-plan trouble-1, seed 12076229936: it
-// took half a second longer).
+// two answers to the long poll, for which it waited half a second longer.
 func TestSilenceIsSeenBetweenHeldReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -132,7 +126,7 @@
 }
 
 // A batch whose owner has been replaced changes hands as soon as the group
-// tells of another run: after all daemons are killed at once, each step would
+// tells of another incarnation: after all daemons are killed at once, each step would
 // otherwise wait for half a second of silence.
 func TestAReplacedOwnerIsFoundWhenTheGroupChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
