--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -90,3 +90,22 @@
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "a/1")
 	})
 }
+
+// A daemon that had accepted a batch, and read it alone as it did not hold the whole partition,
+// looked in its fold of the whole partition whether the owner was still silent. That does not
+// know the batch, so that nothing was taken back, however long the owner was gone.
+func TestABatchThatIsReadAloneIsTakenBack(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		ctx := t.Context()
+		log := journaltest.New()
+		watcher := ledger.New(ctx, log, zap.NewNop())
+		defer watcher.Of("x").Follow()()
+		putOthers(ctx, t, log, watcher.Of("x").Name(), 64<<10)
+		accepter := newAccepter(ctx, log, "gone/1")
+		accepter.locator = holds{watcher}
+		is.NoErr(accepter.Accept(ctx, &oneItem))
+		time.Sleep(standByWait + 20*time.Millisecond)
+		is.Equal(ownerInJournal(ctx, t, log, "x"), "b/1")
+	})
+}
