--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -103,6 +103,21 @@
 	return p.changed
 }
 
+// Await waits until ready is true of the fold, and reports whether it was before stop was closed.
+func (p *Partition) Await(stop <-chan struct{}, ready func() bool) bool {
+	for {
+		changed := p.Changed()
+		if ready() {
+			return true
+		}
+		select {
+		case <-changed:
+		case <-stop:
+			return false
+		}
+	}
+}
+
 // Missing returns how many bytes the fold lacks, by the mean of the records read so far, and
 // false if nothing has been read yet.
 func (p *Partition) Missing() (bytes int, ok bool) {
--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -107,40 +107,29 @@
 func awaitFold(ctx context.Context, partition *ledger.Partition, query Query) (seen Page, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	read := make(chan error, 1)
-	go func() { read <- catchUpWithin(ctx, partition, query.Wait) }()
-	for {
-		changed := partition.Changed()
-		if seen := lookUp(partition, query); len(seen.Results) > 0 {
-			return seen, nil
-		}
-		select {
-		case <-changed:
-		case err := <-read:
-			return Page{}, err
-		}
+	read := async(func() (any, error) { return nil, catchUpWithin(ctx, partition, query.Wait) })
+	if seen, ok := awaitLookUp(partition, query, read.done); ok {
+		return seen, nil
 	}
+	return Page{}, read.err
 }
 
 // awaitResults follows the partition until there is a result or the time is up.
 func awaitResults(ctx context.Context, partition *ledger.Partition, query Query, left time.Duration) Page {
 	defer partition.Follow()()
-	timer := time.NewTimer(left)
-	defer timer.Stop()
-	for {
-		changed := partition.Changed()
-		seen := lookUp(partition, query)
-		if len(seen.Results) > 0 {
-			return seen
-		}
-		select {
-		case <-changed:
-		case <-timer.C:
-			return seen
-		case <-ctx.Done():
-			return seen
-		}
-	}
+	bounded, cancel := context.WithTimeout(ctx, left)
+	defer cancel()
+	seen, _ := awaitLookUp(partition, query, bounded.Done())
+	return seen
+}
+
+// awaitLookUp looks until the fold has results, and reports whether it had before stop was closed.
+func awaitLookUp(partition *ledger.Partition, query Query, stop <-chan struct{}) (seen Page, ok bool) {
+	ok = partition.Await(stop, func() bool {
+		seen = lookUp(partition, query)
+		return len(seen.Results) > 0
+	})
+	return seen, ok
 }
 
 // lookUp returns what the fold says of a batch now.
--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -7,7 +7,6 @@
 	"go.uber.org/zap"
 
 	"woodworks/internal/batches/batch"
-	"woodworks/internal/batches/ledger"
 )
 
 // standBy takes a batch over that this daemon has accepted for another one, if
@@ -23,7 +22,11 @@
 	expected := observation{partition: partition.Name(), batch: batchID, owner: owner, at: time.Now()}
 	patience, cancel := context.WithTimeout(r.ctx, standByTime(accepting))
 	defer cancel()
-	if hasBegun(patience, partition, expected) || r.ctx.Err() != nil {
+	begun := partition.Await(patience.Done(), func() (begun bool) {
+		partition.ViewBatch(batchID, func(b *batch.Batch) { begun = !expected.still(b) })
+		return begun
+	})
+	if begun || r.ctx.Err() != nil {
 		return
 	}
 	bounded, cancel := context.WithTimeout(r.ctx, takeOverTimeout)
@@ -38,21 +41,3 @@
 		r.replaceOwner(r.ctx, expected, "owner has not begun")
 	}
 }
-
-// hasBegun waits until the fold shows anything of a batch beyond its acceptance
-// by then, and reports whether it does.
-func hasBegun(ctx context.Context, partition *ledger.Partition, expected observation) bool {
-	for {
-		changed := partition.Changed()
-		begun := false
-		partition.ViewBatch(expected.batch, func(b *batch.Batch) { begun = !expected.still(b) })
-		if begun {
-			return true
-		}
-		select {
-		case <-ctx.Done():
-			return false
-		case <-changed:
-		}
-	}
-}
