--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -183,3 +183,16 @@
 		After: it.lastEvent, HasAfter: it.hasEvent, Deadline: itemDeadline, Repeatable: true,
 	}
 }
+
+// report tells the table of a replica's fault.
+func (r *Runner) report(incarnation replica.Incarnation, f fault) {
+	switch f {
+	case noFault:
+	case faultDeclined:
+		r.table.Declined(incarnation)
+	case faultFull:
+		r.table.Busy(incarnation, failurePause)
+	case faultFailed:
+		r.table.Failed(incarnation)
+	}
+}
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -7,7 +7,6 @@
 	"github.com/pkg/errors"
 
 	"woodworks/internal/batches/scheduling"
-	"woodworks/internal/replicas/replica"
 	"woodworks/internal/requests/forward"
 	"woodworks/internal/requests/upstream"
 )
@@ -114,16 +113,3 @@
 func eventTimeoutOf(eventTime time.Duration) time.Duration {
 	return max(minEventTimeout, eventTimes*eventTime)
 }
-
-// report tells the table of a replica's fault.
-func (r *Runner) report(incarnation replica.Incarnation, f fault) {
-	switch f {
-	case noFault:
-	case faultDeclined:
-		r.table.Declined(incarnation)
-	case faultFull:
-		r.table.Busy(incarnation, failurePause)
-	case faultFailed:
-		r.table.Failed(incarnation)
-	}
-}
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -8,12 +8,19 @@
 // known of replicas; on the forwarder to reach them; and on the group for who is alive and
 // which partitions this daemon watches.
 //
-// Decisions stand in retry.go (which attempt follows, when an item is given up), owner.go
-// (when an owner is replaced) and package scheduling (what starts where). State is in
-// runner.go, job.go, item.go, history.go and assign.go, and in watcher.go and takeover.go for
-// the batches of others. The way of an item: dispatch.go, attempt.go, handover.go, reward.go,
-// listing.go, heartbeat.go. The way of a batch from owner to owner: adopt.go, fold.go,
-// standby.go, takeover.go, watcher.go, release.go.
+// Files that decide: retry.go (which attempt follows, when an item is given up), owner.go
+// (when an owner is replaced), assign.go (who owns a new batch), reward.go (when a reward call
+// may go), and the packages scheduling (what starts and moves where) and occupancy (what is
+// left to other owners).
+//
+// Files that hold state: runner.go (the jobs), job.go (one batch), item.go and timing.go (one
+// item), history.go (a model's batches before), engineshare.go (what waits, for other owners
+// to know), and for the batches of others watcher.go (what was seen of their owners) and
+// takeover.go (the reads that confirm silence).
+//
+// All others carry out: for an item snapshot.go, dispatch.go, attempt.go, handover.go,
+// listing.go, heartbeat.go; for a batch on its way from owner to owner adopt.go, fold.go,
+// standby.go and release.go.
 //
 // # Usage
 //
