--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -79,7 +79,7 @@
 // It waits for confirmTimeout at most, so that one partition does not hold up the others.
 // A read that takes longer goes on, and counts at a later call: a slow machine would
 // otherwise begin one after the other, and never take a batch over.
-func (r *Runner) confirm(ctx context.Context, suspects []observation) []observation {
+func (r *Runner) confirm(ctx context.Context, suspects []observation) (confirmed []observation) {
 	reads := map[journal.Partition]*confirmation{}
 	for _, suspect := range suspects {
 		if reads[suspect.partition] == nil {
@@ -88,25 +88,22 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	began := map[journal.Partition]time.Time{}
 	for name, read := range reads {
 		select {
 		case <-read.ended:
 		case <-bounded.Done():
 		}
-		switch {
-		case !r.confirming.take(name, read):
-		case read.err != nil:
+		ended := r.confirming.take(name, read)
+		if ended && read.err != nil {
 			r.logger.Info("silence of owners not confirmed", zap.Inline(r.ledger.Partition(name)), zap.Error(read.err))
-		default:
-			began[name] = read.began
+		}
+		if !ended || read.err != nil {
+			delete(reads, name)
 		}
 	}
-	var confirmed []observation
 	for _, suspect := range suspects {
-		at, read := began[suspect.partition]
-		if read && r.stillSilent(suspect) {
-			suspect.readAt = at
+		if read := reads[suspect.partition]; read != nil && r.stillSilent(suspect) {
+			suspect.readAt = read.began
 			confirmed = append(confirmed, suspect)
 		}
 	}
