--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -164,7 +164,10 @@
 		for _, each := range []struct {
 			daemons, bytes int
 			want           bool
-		}{{12, 1 << 20, true}, {12, 16 << 20, false}, {84, 1 << 20, true}, {91, 1 << 20, true}, {91, 2 << 20, false}, {295, 1 << 20, false}, {770, 1 << 20, false}, {770, 128 << 10, true}} {
+		}{
+			{12, 1 << 20, true}, {12, 16 << 20, false}, {84, 1 << 20, true}, {91, 1 << 20, true},
+			{91, 2 << 20, false}, {295, 1 << 20, false}, {770, 1 << 20, false}, {770, 128 << 10, true},
+		} {
 			budget := newReadBudget(80e6, func() int { return each.daemons })
 			is.True(!budget.take(each.bytes))
 			time.Sleep(ownReadTime)
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -171,7 +171,8 @@
 	owner.number++
 	report := occupancy.Report{Sender: owner.sharing.self, Number: owner.number, Sent: s.now().UnixMilli()}
 	for i := range standEngines {
-		report.Counts = append(report.Counts, occupancy.Count{Replica: occupancy.KeyOf(fmt.Sprintf("e%d", i), time.Time{}), Requests: uint32(owner.at(i))})
+		key := occupancy.KeyOf(fmt.Sprintf("e%d", i), time.Time{})
+		report.Counts = append(report.Counts, occupancy.Count{Replica: key, Requests: uint32(owner.at(i))})
 	}
 	if demand, some := owner.sharing.demands["s"]; some {
 		report.Demands = []occupancy.Demand{demand}
@@ -191,7 +192,8 @@
 	play := func(hear bool) *stand {
 		s := newStand(hear, 5, [2]int{0, 130}, [2]int{30, 130})
 		s.run(t)
-		t.Logf("hear %v: %d ticks of waiting in queues, %d declines, bursts over at ticks %d and %d", hear, s.queued, s.declines, s.owners[0].ended, s.owners[1].ended)
+		t.Logf("hear %v: %d ticks of waiting in queues, %d declines, bursts over at ticks %d and %d",
+			hear, s.queued, s.declines, s.owners[0].ended, s.owners[1].ended)
 		return s
 	}
 	before, after := play(false), play(true)
@@ -229,7 +231,8 @@
 	is := is.New(t)
 	s := newStand(true, 5, [2]int{0, 800}, [2]int{200, 100})
 	s.run(t)
-	t.Logf("bursts over at ticks %d and %d, %d ticks of waiting in queues, %d declines", s.owners[0].ended, s.owners[1].ended, s.queued, s.declines)
+	t.Logf("bursts over at ticks %d and %d, %d ticks of waiting in queues, %d declines",
+		s.owners[0].ended, s.owners[1].ended, s.queued, s.declines)
 	is.True(s.owners[1].ended < s.owners[0].ended*2/3)
 	is.Equal(s.declines, 0)
 	// The engines lose little by what is left free: the work alone takes that many ticks.
@@ -251,8 +254,11 @@
 	is := is.New(t)
 	s := newStand(true, 1, [2]int{0, 1}).owners[0].sharing
 	snap := scheduling.Snapshot{
-		Engines: []scheduling.Engine{{ID: "old", Slots: 2, Versions: map[string]int64{"m": 1}}, {ID: "new", Slots: 2, InFlight: 2, Versions: map[string]int64{"m": 2}}},
-		Items:   []scheduling.Item{{Model: "m", MinVersion: 2}, {Model: "m", MinVersion: 2}},
+		Engines: []scheduling.Engine{
+			{ID: "old", Slots: 2, Versions: map[string]int64{"m": 1}},
+			{ID: "new", Slots: 2, InFlight: 2, Versions: map[string]int64{"m": 2}},
+		},
+		Items: []scheduling.Item{{Model: "m", MinVersion: 2}, {Model: "m", MinVersion: 2}},
 	}
 	s.inTurn("s", &snap, nil, time.Unix(0, 0))
 	is.Equal(s.demands["s"].Waiting, uint32(2)) // the engine that may run them is full
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -16,7 +16,6 @@
 	"woodworks/internal/journal/journaltest"
 	"woodworks/internal/replicas/replica"
 	"woodworks/internal/requests/forward"
-	"woodworks/internal/requests/headers"
 	"woodworks/internal/requests/quarantine"
 	"woodworks/internal/requests/route"
 	"woodworks/internal/requests/upstream"
@@ -25,11 +24,22 @@
 // newOwner is a daemon that owns what it accepts, with one replica of the service "s".
 func newOwner(ctx context.Context, t *testing.T, log journal.Journal, self string) *Runner {
 	t.Helper()
-	logger := zap.NewNop()
-	table := replica.NewTable(time.Second, logger)
+	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Replace([]replica.Entry{{ID: "engine", Service: "s", Slots: 4}})
-	forwarder := &forward.Forwarder{MaxOpen: forward.Unbounded, Names: headers.Names{}, Quarantine: quarantine.New("m", time.Now, logger), Table: table, Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
-	return New(ctx, self, ledger.New(ctx, log, logger), forwarder, batchesFor(t, time.Minute), nil, NewAssigner(log, dealtTo(self), self, logger), holds{}, logger)
+	return newRunner(ctx, log, self, self, batchesFor(t, time.Minute), table)
+}
+
+// newRunner is a daemon with its replicas; the group gives its batches to owner.
+func newRunner(
+	ctx context.Context, log journal.Journal, self, owner string, operator Operator, table *replica.Table,
+) *Runner {
+	logger := zap.NewNop()
+	forwarder := &forward.Forwarder{
+		MaxOpen: forward.Unbounded, Quarantine: quarantine.New("m", time.Now, logger),
+		Table: table, Pool: upstream.NewPool(upstream.Options{}), Logger: logger,
+	}
+	assigner := NewAssigner(log, dealtTo(owner), self, logger)
+	return New(ctx, self, ledger.New(ctx, log, logger), forwarder, operator, nil, assigner, holds{}, logger)
 }
 
 // twoItems is a batch for the route of newOwner.
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -13,9 +13,6 @@
 	"woodworks/internal/batches/ledger"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
-	"woodworks/internal/requests/forward"
-	"woodworks/internal/requests/headers"
-	"woodworks/internal/requests/quarantine"
 	"woodworks/internal/requests/route"
 )
 
@@ -34,9 +31,7 @@
 
 // newAccepter is a daemon "b/1" whose batches the group gives to another one.
 func newAccepter(ctx context.Context, log journal.Journal, owner string) *Runner {
-	logger := zap.NewNop()
-	forwarder := &forward.Forwarder{MaxOpen: forward.Unbounded, Names: headers.Names{}, Quarantine: quarantine.New("m", time.Now, logger), Logger: logger}
-	return New(ctx, "b/1", ledger.New(ctx, log, logger), forwarder, unaware{}, nil, NewAssigner(log, dealtTo(owner), "b/1", logger), holds{}, logger)
+	return newRunner(ctx, log, "b/1", owner, unaware{}, nil)
 }
 
 var oneItem = batch.Submission{ID: "x", Items: []batch.Item{{ID: "i"}}}
--- a/internal/batches/runner/timing_test.go
+++ b/internal/batches/runner/timing_test.go
@@ -39,7 +39,8 @@
 	is.Equal(told["listed"], int64(2))
 	is.Equal(told["event_time"], 300*time.Millisecond)
 	is.Equal(parts, map[string]time.Duration{
-		"waiting": time.Second, "prompt": 2 * time.Second, "making": 3 * time.Second, "scoring": 4 * time.Second, "listing": 5 * time.Second, "until left": 4 * time.Second,
+		"waiting": time.Second, "prompt": 2 * time.Second, "making": 3 * time.Second, "scoring": 4 * time.Second,
+		"listing": 5 * time.Second, "until left": 4 * time.Second,
 	})
 	sum := told["before"].(time.Duration)
 	for _, took := range parts {
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -174,7 +174,9 @@
 // faster engines while these have room, the short ones that come last elsewhere.
 func TestLongItemsStartAtTheFasterEngines(t *testing.T) {
 	is := is.New(t)
-	snapshot := Snapshot{Zone: "z", Engines: []Engine{paced("slower", 52*time.Millisecond), paced("a", 40*time.Millisecond), paced("b", 39*time.Millisecond)}}
+	snapshot := Snapshot{Zone: "z", Engines: []Engine{
+		paced("slower", 52*time.Millisecond), paced("a", 40*time.Millisecond), paced("b", 39*time.Millisecond),
+	}}
 	for length := range 30 {
 		snapshot.Items = append(snapshot.Items, Item{Model: testModel, Remaining: float64(length)})
 	}
@@ -233,7 +235,10 @@
 				snapshot.Engines = append(snapshot.Engines, paced(fmt.Sprint("e", i), time.Duration(30+i%20)*time.Millisecond))
 			}
 			for i := range items {
-				snapshot.Items = append(snapshot.Items, Item{Model: testModel, Remaining: float64(i * 7919 % 165), Required: i%10 == 0, GroupEngine: fmt.Sprint("e", i/4%len(snapshot.Engines))})
+				snapshot.Items = append(snapshot.Items, Item{
+					Model: testModel, Remaining: float64(i * 7919 % 165), Required: i%10 == 0,
+					GroupEngine: fmt.Sprint("e", i/4%len(snapshot.Engines)),
+				})
 			}
 			for b.Loop() {
 				Plan(snapshot)
