--- a/internal/batches/ledger/follow.go
+++ b/internal/batches/ledger/follow.go
@@ -18,7 +18,7 @@
 )
 
 // Follow keeps the fold up to date until the returned function is called.
-func (p *Partition) Follow() (release func()) {
+func (p *Partition) Follow() (unfollow func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.followers++
--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -64,7 +64,7 @@
 // mayDeny returns an error where the fold does not know a batch although it may exist:
 // its records may have been removed before this daemon read them, while others did.
 func mayDeny(partition *ledger.Partition, batchID string) error {
-	if _, ok := beginningOf(partition, batchID); !ok && partition.Missed() {
+	if !beginningOf(partition, batchID).Found && partition.Missed() {
 		return errors.Wrap(ErrBehind, "the partition's oldest records are gone")
 	}
 	return nil
@@ -208,19 +208,17 @@
 // beginningHere answers from the fold of this daemon.
 func (r *Reader) beginningHere(ctx context.Context, query BeginningQuery) (Beginning, error) {
 	partition := r.ledger.Of(query.BatchID)
-	offset, ok := beginningOf(partition, query.BatchID)
-	if ok {
-		return Beginning{Found: true, Offset: offset}, nil
+	if beginning := beginningOf(partition, query.BatchID); beginning.Found {
+		return beginning, nil
 	}
 	if err := catchUp(ctx, partition); err != nil {
 		return Beginning{}, err
 	}
-	offset, ok = beginningOf(partition, query.BatchID)
-	return Beginning{Found: ok, Offset: offset}, nil
+	return beginningOf(partition, query.BatchID), nil
 }
 
-// beginningOf returns where a batch begins that the fold knows.
-func beginningOf(partition *ledger.Partition, batchID string) (offset int64, found bool) {
-	found = partition.ViewBatch(batchID, func(b *batch.Batch) { offset = b.Offset })
-	return offset, found
+// beginningOf returns where a batch begins, as far as the fold knows.
+func beginningOf(partition *ledger.Partition, batchID string) (beginning Beginning) {
+	beginning.Found = partition.ViewBatch(batchID, func(b *batch.Batch) { beginning.Offset = b.Offset })
+	return beginning
 }
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -170,8 +170,8 @@
 // nobody knows of the batch.
 func (r *Reader) Beginning(ctx context.Context, batchID string) (int64, error) {
 	partition := r.ledger.Of(batchID)
-	if offset, ok := beginningOf(partition, batchID); ok {
-		return offset, nil
+	if beginning := beginningOf(partition, batchID); beginning.Found {
+		return beginning.Offset, nil
 	}
 	if r.peers == nil {
 		return 0, errors.Wrap(ErrBehind, "there is nobody to ask")
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -43,8 +43,8 @@
 
 // watched is one partition with when each owner was last seen alive.
 type watched struct {
-	release func()
-	owners  map[string]observation
+	unfollow func()
+	owners   map[string]observation
 	// dropped is when it was first seen to be dealt to another member, or zero.
 	dropped time.Time
 }
@@ -69,7 +69,7 @@
 		}
 	})
 	for _, p := range w.watched {
-		p.release()
+		p.unfollow()
 	}
 }
 
@@ -83,8 +83,8 @@
 		case name.Topic == RunnersTopic:
 		case p == nil && !settled:
 		case p == nil:
-			release := w.runner.ledger.Partition(name).Follow()
-			w.watched[name] = &watched{release: release, owners: map[string]observation{}}
+			unfollow := w.runner.ledger.Partition(name).Follow()
+			w.watched[name] = &watched{unfollow: unfollow, owners: map[string]observation{}}
 		default:
 			p.dropped = time.Time{}
 		}
@@ -95,7 +95,7 @@
 		case p.dropped.IsZero() && !w.runner.stopping.Load():
 			p.dropped = now
 		case w.runner.stopping.Load() || now.Sub(p.dropped) > unwatchDelay:
-			p.release()
+			p.unfollow()
 			delete(w.watched, name)
 		}
 	}
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -60,7 +60,7 @@
 		watcher.follow(time.Now())
 		is.Equal(len(watcher.watched), 1)
 		for _, p := range watcher.watched {
-			p.release()
+			p.unfollow()
 		}
 	})
 }
