--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -1,9 +1,6 @@
 package results
 
-import (
-	"sync"
-	"time"
-)
+import "time"
 
 const (
 	// lateRest is the least time between two halvings of a share: reads that are late at the
@@ -15,13 +12,12 @@
 )
 
 // bandwidthShare is the part of what a journal grants that it is seen to send: halved when a read is
-// late, and rising steadily otherwise. It is safe for concurrent use.
+// late, and rising steadily otherwise.
 //
 // A journal may send less than it grants, to some or to all, for seconds or for good. Daemons
 // that go by the grant then ask for more than comes, each read is given up before its end, and
 // nobody learns anything however long they ask.
 type bandwidthShare struct {
-	mu     sync.Mutex
 	part   float64
 	at     time.Time
 	halved time.Time
@@ -31,16 +27,16 @@
 
 // now returns the part, up to 1. What it regains between two halvings keeps it above 0.
 func (s *bandwidthShare) now(now time.Time) float64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.update(now)
+	if now.After(s.at) {
+		s.part = min(s.part+now.Sub(s.at).Seconds()/recoverTime.Seconds(), 1)
+		s.at = now
+	}
+	return s.part
 }
 
 // late halves the part as a read is late.
 func (s *bandwidthShare) late(now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.update(now)
+	s.now(now)
 	if now.Sub(s.halved) < lateRest {
 		return
 	}
@@ -49,16 +45,5 @@
 
 // wasLate reports whether a read was late a moment ago.
 func (s *bandwidthShare) wasLate(now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
 	return !s.halved.IsZero() && now.Sub(s.halved) < ownReadTime
 }
-
-// update brings the part up to date. The mutex is held.
-func (s *bandwidthShare) update(now time.Time) float64 {
-	if now.After(s.at) {
-		s.part = min(s.part+now.Sub(s.at).Seconds()/recoverTime.Seconds(), 1)
-		s.at = now
-	}
-	return s.part
-}
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -25,9 +25,9 @@
 	bytesPerSecond float64
 	daemons        func() int
 	limiter        *rate.Limiter
-	share          *bandwidthShare
 
-	mu sync.Mutex
+	mu    sync.Mutex
+	share *bandwidthShare
 	// daemonsSeen is how many daemons there were at the last look.
 	daemonsSeen int
 }
@@ -76,12 +76,18 @@
 // late tells the budget that a read was given up as late: its share is less from now on.
 func (b *readBudget) late() {
 	now := time.Now()
+	b.mu.Lock()
 	b.share.late(now)
+	b.mu.Unlock()
 	b.adjust(now)
 }
 
 // reduced reports whether the journal was late lately, so that less than the whole share is used.
-func (b *readBudget) reduced() bool { return b.share.wasLate(time.Now()) }
+func (b *readBudget) reduced() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.share.wasLate(time.Now())
+}
 
 // left is how many bytes the budget has now.
 func (b *readBudget) left() int {
--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -16,9 +16,9 @@
 	is := is.New(t)
 	budget := newReadBudget(80e6, func() int { return 84 })
 	now := time.Now()
-	budget.share.mu.Lock()
+	budget.mu.Lock()
 	budget.share.part = 0.5
-	budget.share.mu.Unlock()
+	budget.mu.Unlock()
 	budget.adjust(now)
 	budget.adjust(now.Add(4 * time.Second))
 	saved := budget.limiter.TokensAt(now.Add(4 * time.Second))
@@ -32,9 +32,9 @@
 // The same with real questions: many at a time look whether the budget allows their read.
 func TestConcurrentLooksKeepWhatWasSaved(t *testing.T) {
 	budget := newReadBudget(80e6, func() int { return 84 })
-	budget.share.mu.Lock()
+	budget.mu.Lock()
 	budget.share.part = 0.25
-	budget.share.mu.Unlock()
+	budget.mu.Unlock()
 	budget.adjust(time.Now())
 	time.Sleep(time.Second)
 	drained := 0
