--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -53,11 +53,11 @@
 	return missing == 0 || r.budget.take(missing)
 }
 
-// readAtRate reads a partition whose watcher cannot be asked, at the rate of the budget; the first
-// page at once, unless the journal has been late; and no more once the fold is ready to answer. What
-// was read counts at the next question, also where the context ends before the partition does. The
-// error wraps ErrBehind.
-func (r *Reader) readAtRate(ctx context.Context, partition *ledger.Partition, ready func() bool) error {
+// readPages reads a partition whose watcher cannot be asked, page by page at the rate of the budget;
+// the first page at once, unless the journal has been late; and no more once the fold is ready to
+// answer. What was read counts at the next question, also where the context ends before the partition
+// does. The error wraps ErrBehind.
+func (r *Reader) readPages(ctx context.Context, partition *ledger.Partition, ready func() bool) error {
 	for unpaced := !r.budget.reduced(); ; unpaced = false {
 		missing, ok := partition.Missing()
 		if ok && missing == 0 || ready() {
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -129,7 +129,7 @@
 	missing, _ := q.partition.Missing()
 	q.r.logger.Info("partition read for a question", zap.String("batch", q.batchID), zap.Inline(q.partition),
 		zap.String("watcher", q.call.watcher), zap.Int("missing", missing), zap.String("reason", cause.Error()))
-	if err := q.r.readAtRate(ctx, q.partition, q.ready); err != nil {
+	if err := q.r.readPages(ctx, q.partition, q.ready); err != nil {
 		return answer, err
 	}
 	return q.here(ctx, q.waitLeft())
