--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -198,16 +198,14 @@
 		return
 	}
 	kept := b.Partials[progress.Item]
-	known := len(kept.Events) - progress.From
-	if progress.From < 0 || known < 0 || known >= len(progress.Events) {
+	overlap := len(kept.Events) - progress.From
+	if progress.From < 0 || overlap < 0 || overlap >= len(progress.Events) {
 		return
 	}
 	if b.Partials == nil {
 		b.Partials = map[int]Partial{}
 	}
-	// A new slice: readers may hold the one before.
-	events := make([][]byte, 0, len(kept.Events)+len(progress.Events)-known)
-	events = append(append(events, kept.Events...), progress.Events[known:]...)
+	events := slices.Concat(kept.Events, progress.Events[overlap:]) // a new slice: readers may hold the one before
 	b.Partials[progress.Item] = Partial{Events: events, LastEvent: progress.LastEvent, Versions: progress.Versions}
 }
 
--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -47,7 +47,7 @@
 type Peers interface {
 	// Ask calls a method that another daemon has registered. A peer that is silent is left
 	// alone for a while, and calls to it then fail at once.
-	Ask(ctx context.Context, machine, method string, asked, answer any) error
+	Ask(ctx context.Context, machine, method string, args, reply any) error
 }
 
 // Source returns what this daemon has now: the counts, the event times that it has measured
@@ -107,9 +107,9 @@
 type Totals struct{ Sent, Failed, Bytes uint64 }
 
 // NewPublisher returns a publisher; Run starts it.
-func NewPublisher(table *Table, peers Peers, source Source, dealt Candidates, logger *zap.Logger) *Publisher {
+func NewPublisher(table *Table, peers Peers, source Source, candidates Candidates, logger *zap.Logger) *Publisher {
 	return &Publisher{
-		table: table, peers: peers, source: source, candidates: dealt, logger: logger, wake: make(chan struct{}, 1),
+		table: table, peers: peers, source: source, candidates: candidates, logger: logger, wake: make(chan struct{}, 1),
 		recipients: map[string]*recipient{}, sentTimes: map[Key]sentTime{},
 	}
 }
--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -18,25 +18,25 @@
 func (r *Reader) resultsHere(ctx context.Context, query Query) (Page, error) {
 	began := time.Now()
 	partition := r.ledger.Of(query.BatchID)
-	seen := lookUp(partition, query)
+	page := lookUp(partition, query)
 	switch {
-	case len(seen.Results) == 0:
-		if seen, err := awaitFold(ctx, partition, query); len(seen.Results) > 0 || err != nil {
-			return seen, err
+	case len(page.Results) == 0:
+		if page, err := awaitFold(ctx, partition, query); len(page.Results) > 0 || err != nil {
+			return page, err
 		}
 		if err := mayDeny(partition, query.BatchID); err != nil && !query.Samples.further() {
 			return Page{}, err
 		}
-		seen = lookUp(partition, query)
-	case seen.Next < seen.Total && time.Since(partition.LastRead()) > staleAfter:
+		page = lookUp(partition, query)
+	case page.Next < page.Total && time.Since(partition.LastRead()) > staleAfter:
 		r.refresh(ctx, partition)
-		seen = lookUp(partition, query)
+		page = lookUp(partition, query)
 	}
 	left := query.Wait - time.Since(began)
-	if seen.Found && len(seen.Results) == 0 && left > 0 && query.After < seen.Total {
-		seen = awaitResults(ctx, partition, query, left)
+	if page.Found && len(page.Results) == 0 && left > 0 && query.After < page.Total {
+		page = awaitResults(ctx, partition, query, left)
 	}
-	return seen, nil
+	return page, nil
 }
 
 // refresh reads the journal up to now if it answers soon. There may be more results by
@@ -104,12 +104,12 @@
 
 // awaitFold reads the journal up to now, or until the fold has results: of a long partition
 // they may be there seconds before its end.
-func awaitFold(ctx context.Context, partition *ledger.Partition, query Query) (seen Page, err error) {
+func awaitFold(ctx context.Context, partition *ledger.Partition, query Query) (page Page, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	read := async(func() (any, error) { return nil, catchUpWithin(ctx, partition, query.Wait) })
-	if seen, ok := awaitLookUp(partition, query, read.done); ok {
-		return seen, nil
+	if page, ok := awaitLookUp(partition, query, read.done); ok {
+		return page, nil
 	}
 	return Page{}, read.err
 }
@@ -119,45 +119,45 @@
 	defer partition.Follow()()
 	bounded, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	seen, _ := awaitLookUp(partition, query, bounded.Done())
-	return seen
+	page, _ := awaitLookUp(partition, query, bounded.Done())
+	return page
 }
 
 // awaitLookUp looks until the fold has results, and reports whether it had before stop was closed.
-func awaitLookUp(partition *ledger.Partition, query Query, stop <-chan struct{}) (seen Page, ok bool) {
+func awaitLookUp(partition *ledger.Partition, query Query, stop <-chan struct{}) (page Page, ok bool) {
 	ok = partition.Await(stop, func() bool {
-		seen = lookUp(partition, query)
-		return len(seen.Results) > 0
+		page = lookUp(partition, query)
+		return len(page.Results) > 0
 	})
-	return seen, ok
+	return page, ok
 }
 
 // lookUp returns what the fold says of a batch now.
 func lookUp(partition *ledger.Partition, query Query) Page {
-	var seen Page
+	var page Page
 	partition.ViewBatch(query.BatchID, func(b *batch.Batch) {
 		if !b.BelongsTo(query.Tenant) {
 			return
 		}
-		seen.Found = true
-		seen.Total = b.Total()
-		seen.Next = query.After
-		seen.Round = query.Samples.round(b)
+		page.Found = true
+		page.Total = b.Total()
+		page.Next = query.After
+		page.Round = query.Samples.round(b)
 		size := 0
 		for position := query.After; position < len(b.Results); position++ {
 			result, item := b.Results[position], &b.Items[b.Results[position].Item]
 			if query.Samples.want(item.ID) {
 				size += len(result.Text)
-				if len(seen.Results) > 0 && (size > cmp.Or(query.most, pageBytes) || query.Samples.full(len(seen.Results))) {
+				if len(page.Results) > 0 && (size > cmp.Or(query.most, pageBytes) || query.Samples.full(len(page.Results))) {
 					break
 				}
-				seen.Results = append(seen.Results, query.Samples.result(item, result))
+				page.Results = append(page.Results, query.Samples.result(item, result))
 			}
-			seen.Next = position + 1
+			page.Next = position + 1
 		}
 	})
-	seen.readSeeds()
-	return seen
+	page.readSeeds()
+	return page
 }
 
 // itemBody returns the body of an item of an open batch.
