--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -35,7 +35,7 @@
 	return offset, nil
 }
 
-// silent is a holder that never answers.
+// silent is a watcher that never answers.
 type silent struct{}
 
 func (silent) Beginning(ctx context.Context, _ string) (int64, error) {
@@ -103,9 +103,9 @@
 		// owner is who begins, "" being any.
 		owner string
 	}{
-		"the holder tells where": {nil, 50 * time.Millisecond, "a/1"},
-		"nobody tells":           {holds{}, 700 * time.Millisecond, ""},
-		"the holder is silent":   {silent{}, 700*time.Millisecond + locateTimeout, ""},
+		"the watcher tells where": {nil, 50 * time.Millisecond, "a/1"},
+		"nobody tells":            {holds{}, 700 * time.Millisecond, ""},
+		"the watcher is silent":   {silent{}, 700*time.Millisecond + locateTimeout, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -41,7 +41,7 @@
 	return &attempt{pending: pending{job: j, item: it, route: &route.Route{}}, replica: replica.Replica{Entry: replica.Entry{ID: "to"}}}
 }
 
-// Events that come while another replica is asked are held back: dropped if that one
+// Events that come while another replica is asked are buffered: dropped if that one
 // goes on after the last event before, and added if it does not.
 func TestEventsAreHeldBackWhileAnotherReplicaIsAsked(t *testing.T) {
 	is := is.New(t)
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -81,7 +81,7 @@
 // beginsLate is how long after its acceptance the owner of a new batch gives its first sign, and
 // who that is, with some bytes of other batches in the partition.
 func beginsLate(ctx context.Context, t *testing.T, others int, takes time.Duration, groupTells bool) (took time.Duration, owner string) {
-	const holder = "h/1"
+	const watcher = "h/1"
 	logger := zap.NewNop()
 	log := journaltest.New()
 	log.RecordBytes = 256 << 10
@@ -89,13 +89,13 @@
 	held := ledger.New(ctx, slow, logger)
 	partition := held.Of("x")
 	putOthers(ctx, t, log, partition.Name(), others)
-	member := group.New(slow, holder, ledger.TopicNames(), logger)
+	member := group.New(slow, watcher, ledger.TopicNames(), logger)
 	go member.Run(ctx)
 	defer partition.Follow()()
 	time.Sleep(10 * time.Second)
-	peers := oneWatcher{results.NewReader(held, knownWatcher(holder), nil, log.Grants(), holder, logger)}
+	peers := oneWatcher{results.NewReader(held, knownWatcher(watcher), nil, log.Grants(), watcher, logger)}
 	locator := func(self string, batches *ledger.Ledger) Locator {
-		var watchers results.Watchers = knownWatcher(holder)
+		var watchers results.Watchers = knownWatcher(watcher)
 		if groupTells {
 			watchers = group.New(slow, self, ledger.TopicNames(), logger)
 		}
@@ -119,11 +119,11 @@
 // Where the journal took 0.25 s an answer, a new owner began 5.8 s after its batch was accepted
 // in a partition with 8 MB of others, in place of 1.2 s in an empty one: the question where the
 // batch begins was given up after 0.15 s, and the whole partition was read page by page, by the
-// owner and by the accepter each. The holder has to hear of the batch from the same journal, and
+// owner and by the accepter each. The watcher has to hear of the batch from the same journal, and
 // whom to ask is told by it too, so that the bound ran out whenever an answer took longer.
 func TestANewOwnerReadsItsBatchAloneWhereTheJournalIsLate(t *testing.T) {
 	const others = 8 << 20
-	for name, groupTells := range map[string]bool{"the holder is known": false, "the group tells": true} {
+	for name, groupTells := range map[string]bool{"the watcher is known": false, "the group tells": true} {
 		for _, takes := range []time.Duration{4 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond} {
 			t.Run(fmt.Sprint(name, ", ", takes), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// Only items that were never begun may be held back for their step's sake.
+// Only items that were never begun may be deferred for their step's sake.
 func TestItemsThatFailedAreNotHeldBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
