--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -88,8 +88,8 @@
 			zap.Uint32("waiting", own.Waiting), zap.Int("owners", len(others)))
 	}
 	kept := firstStarts(decisions, allowed)
-	demand, first := demandOf(key, snap, kept)
-	if allowed == due && hasRoomFor(first, snap, kept) {
+	demand, room := demandOf(key, snap, kept)
+	if allowed == due && room {
 		// What waits beside room waits for something else, as for weights.
 		demand.Waiting = 0
 	}
@@ -116,11 +116,12 @@
 	return places
 }
 
-// demandOf returns what an owner has and still wants after some decisions, with the most
-// urgent item that waits, or nil.
+// demandOf returns what an owner has and still wants after some decisions, and whether an engine
+// has room for the most urgent item that waits.
 func demandOf(service occupancy.Key, snap *scheduling.Snapshot, decisions []scheduling.Decision) (
-	demand occupancy.Demand, first *scheduling.Item,
+	demand occupancy.Demand, room bool,
 ) {
+	var first *scheduling.Item
 	started, taken := startsOf(decisions)
 	demand.Service = service
 	for i := range snap.Engines {
@@ -137,7 +138,11 @@
 			demand.Rank = int32(item.Priority)
 		}
 	}
-	return demand, first
+	for i := range snap.Engines {
+		engine := &snap.Engines[i]
+		room = room || first != nil && engine.Room(taken[i]) && engine.Holds(first)
+	}
+	return demand, room
 }
 
 // startsOf returns the items that decisions start, and how many at each engine.
@@ -152,20 +157,6 @@
 	return started, taken
 }
 
-// hasRoomFor reports whether an engine could run an item after some decisions.
-func hasRoomFor(item *scheduling.Item, snap *scheduling.Snapshot, decisions []scheduling.Decision) bool {
-	if item == nil {
-		return false
-	}
-	_, taken := startsOf(decisions)
-	for i := range snap.Engines {
-		if engine := &snap.Engines[i]; engine.Room(taken[i]) && engine.Holds(item) {
-			return true
-		}
-	}
-	return false
-}
-
 // dispatched ends a round over the services with items: those of the others are over.
 func (s *sharing) dispatched(views map[string]*view) {
 	if s == nil {
