--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -57,32 +57,28 @@
 // due returns the machines to send to now, and whether they are owners: these always, others that
 // may become ones now and then. One that has not answered yet is passed over. The mutex is held.
 func (p *Publisher) due(now time.Time, last bool) map[string]bool {
-	own := identity.Machine(p.table.self)
-	owners := map[string]bool{}
+	due := map[string]bool{}
 	for _, machine := range p.machines {
-		owners[machine] = false
+		due[machine] = false
 	}
 	for machine, to := range p.recipients {
 		if to.owner {
-			owners[machine] = true
+			due[machine] = true
 		}
 	}
 	for _, machine := range p.table.Reporters() {
-		owners[machine] = true
+		due[machine] = true
 	}
-	due := map[string]bool{}
-	for machine, owner := range owners {
-		if machine == own {
-			continue
-		}
+	delete(due, identity.Machine(p.table.self))
+	for machine, owner := range due {
 		to := p.recipients[machine]
 		if to == nil {
 			to = &recipient{}
 			p.recipients[machine] = to
 		}
 		introduce := !last && now.Sub(to.sentAt) >= introduceInterval
-		if !to.sending && (owner || introduce) {
-			due[machine] = owner
+		if to.sending || !owner && !introduce {
+			delete(due, machine)
 		}
 	}
 	return due
