--- a/internal/batches/runner/accept_test.go
+++ b/internal/batches/runner/accept_test.go
@@ -9,6 +9,7 @@
 	"github.com/matryer/is"
 	"github.com/pkg/errors"
 
+	"woodworks/internal/batches/batch"
 	"woodworks/internal/journal/journaltest"
 )
 
@@ -40,3 +41,39 @@
 		is.True(errors.Is(err, ErrNotDone))
 	})
 }
+
+// Where the pause after a refused append ended with the time for the answer, one more was begun and
+// cut at once, and the answer said that the outcome is unknown.
+func TestNoAppendIsBegunAfterTheTimeIsUp(t *testing.T) {
+	for range 32 {
+		synctest.Test(t, func(t *testing.T) {
+			is := is.New(t)
+			log := journaltest.New()
+			refusals := 0
+			log.SetBefall(func(journaltest.Call) journaltest.Fault {
+				refusals++
+				return journaltest.Refuse
+			})
+			owner := newOwner(t.Context(), t, log, "a/1")
+			bounded, cancel := context.WithTimeout(t.Context(), 3*appendPause)
+			defer cancel()
+			err := owner.appendUntil(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
+			is.True(errors.Is(err, ErrNotDone))
+			is.Equal(refusals, 3)
+		})
+	}
+}
+
+// An append that the time for the answer cuts may still be done.
+func TestAnAppendThatIsCutIsUnknown(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		log := journaltest.New()
+		log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
+		owner := newOwner(t.Context(), t, log, "a/1")
+		bounded, cancel := context.WithTimeout(t.Context(), appendPause)
+		defer cancel()
+		err := owner.appendUntil(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
+		is.True(errors.Is(err, ErrUnknown))
+	})
+}
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -46,6 +46,7 @@
 	"woodworks/internal/batches/batch"
 	"woodworks/internal/batches/ledger"
 	"woodworks/internal/batches/scheduling"
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/replicas/demand"
 	"woodworks/internal/replicas/replica"
 	"woodworks/internal/requests/forward"
@@ -175,10 +176,10 @@
 		if !errors.Is(err, ledger.ErrNotDone) {
 			outcome = ErrUnknown
 		}
-		select {
-		case <-ctx.Done():
+		periodic.Pause(ctx, appendPause)
+		deadline, bounded := ctx.Deadline()
+		if ctx.Err() != nil || bounded && !time.Now().Before(deadline) {
 			return errors.Wrap(outcome, err.Error())
-		case <-time.After(appendPause):
 		}
 	}
 }
