--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -285,8 +285,7 @@
 }
 
 // A partition counts as read only once the fold holds all of it: a watcher that took
-// the first page for the present ran items of a batch 16.6 s after its end
-// (affittocerto-nord scale-2, seed 111).
+// the first page for the present ran items of a batch 16.6 s after its end.
 func TestAPartitionCountsAsReadOnceTheFoldHoldsAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -169,9 +169,9 @@
 }
 
 // A text of the greatest length takes 8.6 s at an engine that is 1.3 times slower
-// than the others, and its batch 7.5 s at most for the trainer to keep its pace
-// (affittocerto-nord, most steps of trouble-1 and scale-1): long items start at the
-// faster engines while these have room, the short ones that come last elsewhere.
+// than the others, and its batch 7.5 s at most for the trainer to keep its pace:
+// long items start at the faster engines while these have room, the short ones that come
+// last elsewhere.
 func TestLongItemsStartAtTheFasterEngines(t *testing.T) {
 	is := is.New(t)
 	snapshot := Snapshot{Zone: "z", Engines: []Engine{
