--- a/internal/batches/occupancy/rpc_test.go
+++ b/internal/batches/occupancy/rpc_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	go relayed.Run(ctx)
-	go journal.NewKeyedFollower(relayed, relay.Partition, relayed.Peers(), 3*time.Second, zap.NewNop()).Run(ctx)
+	go journal.NewKeyedFollower(relayed, relay.PeersPartition, relayed.Peers(), 3*time.Second, zap.NewNop()).Run(ctx)
 	go publisher.Run(ctx)
 	return table
 }
--- a/internal/journal/relay/announce.go
+++ b/internal/journal/relay/announce.go
@@ -19,8 +19,8 @@
 	announcePause   = 200 * time.Millisecond
 )
 
-// Partition is where daemons announce themselves.
-var Partition = journal.Partition{Topic: journal.KeyedTopic(topic)}
+// PeersPartition is where daemons announce themselves.
+var PeersPartition = journal.Partition{Topic: journal.KeyedTopic(topic)}
 
 // Peers returns the handler of the partition where daemons announce themselves.
 func (j *Journal) Peers() journal.KeyedHandler { return j.peers }
@@ -35,7 +35,7 @@
 	record := journal.EncodeKeyed(j.options.Name, encoded)
 	for ctx.Err() == nil {
 		bounded, cancel := context.WithTimeout(ctx, announceTimeout)
-		_, err := j.Append(bounded, journal.Append{Partition: Partition, Records: [][]byte{record}})
+		_, err := j.Append(bounded, journal.Append{Partition: PeersPartition, Records: [][]byte{record}})
 		cancel()
 		if err == nil {
 			return
--- a/internal/journal/relay/golden_test.go
+++ b/internal/journal/relay/golden_test.go
@@ -26,7 +26,7 @@
 		&journal.ThrottledError{Reason: "why"}, &journal.TrimmedError{First: 7}, journal.ErrPosition,
 		&journal.UnavailableError{Reason: "why"}, journal.ErrNotDone, journal.ErrUnknown, errors.New("other"),
 	} {
-		message, encodeErr := encode(fail(err))
+		message, encodeErr := encode(failedReply(err))
 		told += fmt.Sprintf("%x %v\n", message.Body, encodeErr)
 	}
 	golden.Text(t, "failures.txt", told)
--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -14,15 +14,15 @@
 	// for the path to count as lost: twice what a store takes that is sixty times
 	// slower than usual.
 	overdueAfter = 500 * time.Millisecond
-	// refusalsAllowed is how many refusals in a row, over refusedAfter, the path
+	// refusalsToLose is how many refusals in a row, over refusedAfter, the path
 	// stands: a store that is full refuses some calls and answers others.
-	refusalsAllowed = 3
-	refusedAfter    = 250 * time.Millisecond
-	// throttlesAllowed is how many refusals for the rate in a row, over throttledAfter,
+	refusalsToLose = 3
+	refusedAfter   = 250 * time.Millisecond
+	// throttlesToLose is how many refusals for the rate in a row, over throttledAfter,
 	// the path stands. A store whose rate is exceeded serves most calls all the same;
 	// one that throttles a single machine serves none of its calls.
-	throttlesAllowed = 6
-	throttledAfter   = 500 * time.Millisecond
+	throttlesToLose = 6
+	throttledAfter  = 500 * time.Millisecond
 )
 
 // path is what is believed of this daemon's own path to the journal. It is safe for
@@ -93,17 +93,18 @@
 	p.refusals++
 }
 
-// look judges the path. It returns true, with the reason, if it is lost from now on.
-func (p *path) look(now time.Time) (lost bool, reason string) {
+// judge decides whether the path counts as lost. It returns true, with the reason, if it does from
+// now on, and tells who waits on lostCh.
+func (p *path) judge(now time.Time) (lost bool, reason string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.lost {
 		return false, ""
 	}
 	switch {
-	case p.refusals-p.throttles >= refusalsAllowed && now.Sub(p.refusedAt) >= refusedAfter:
+	case p.refusals-p.throttles >= refusalsToLose && now.Sub(p.refusedAt) >= refusedAfter:
 		reason = "refused"
-	case p.refusals >= throttlesAllowed && now.Sub(p.refusedAt) >= throttledAfter:
+	case p.refusals >= throttlesToLose && now.Sub(p.refusedAt) >= throttledAfter:
 		reason = "throttled"
 	case p.overdue(now):
 		reason = "no answer"
--- a/internal/journal/relay/path_test.go
+++ b/internal/journal/relay/path_test.go
@@ -22,14 +22,14 @@
 			err = nil
 		}
 		p.finish(p.begin(now, 0), err, now)
-		lost, _ := p.look(now)
+		lost, _ := p.judge(now)
 		is.True(!lost)
 	}
-	for range throttlesAllowed {
-		now = now.Add(throttledAfter / throttlesAllowed)
+	for range throttlesToLose {
+		now = now.Add(throttledAfter / throttlesToLose)
 		p.finish(p.begin(now, 0), &journal.ThrottledError{Reason: "this machine"}, now)
 	}
-	lost, reason := p.look(now.Add(throttledAfter))
+	lost, reason := p.judge(now.Add(throttledAfter))
 	is.True(lost)
 	is.Equal(reason, "throttled")
 }
--- a/internal/journal/relay/protocol.go
+++ b/internal/journal/relay/protocol.go
@@ -111,8 +111,8 @@
 	Owners     []journal.Ownership `cbor:"8,keyasint,omitempty"`
 }
 
-// fail makes the reply to a call that failed.
-func fail(err error) reply {
+// failedReply makes the reply to a call that failed.
+func failedReply(err error) reply {
 	answer := reply{Outcome: outcomeUnknown, Reason: err.Error()}
 	var trimmed *journal.TrimmedError
 	var unavailable *journal.UnavailableError
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -33,8 +33,8 @@
 )
 
 const (
-	// lookInterval is the time between two judgements of the path.
-	lookInterval = 100 * time.Millisecond
+	// judgeInterval is the time between two judgements of the path.
+	judgeInterval = 100 * time.Millisecond
 	// probeInterval is the time between two tries of a lost path, probeTimeout how
 	// long each may take.
 	probeInterval = 400 * time.Millisecond
@@ -81,8 +81,8 @@
 func (j *Journal) Run(ctx context.Context) {
 	go j.announce(ctx)
 	go j.probe(ctx)
-	periodic.Every(ctx, lookInterval, func(context.Context) {
-		if lost, reason := j.path.look(time.Now()); lost {
+	periodic.Every(ctx, judgeInterval, func(context.Context) {
+		if lost, reason := j.path.judge(time.Now()); lost {
 			j.logger.Warn("own path to the journal lost", zap.String("reason", reason),
 				zap.Duration("silent", j.path.silence(time.Now())), zap.Int("peers", j.peers.count()))
 		}
@@ -99,7 +99,7 @@
 		bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
 		// What it tells is what onOwnPath learns from its outcome.
-		_, _ = j.onOwnPath(bounded, operation{Newest: &newestCall{Partition: Partition, After: lastKey}})
+		_, _ = j.onOwnPath(bounded, operation{Newest: &newestCall{Partition: PeersPartition, After: lastKey}})
 	})
 }
 
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -126,7 +126,7 @@
 	}
 	for _, relayed := range d.relays {
 		go relayed.Run(ctx)
-		go journal.NewKeyedFollower(relayed, Partition, relayed.Peers(), 3*time.Second, zap.NewNop()).Run(ctx)
+		go journal.NewKeyedFollower(relayed, PeersPartition, relayed.Peers(), 3*time.Second, zap.NewNop()).Run(ctx)
 	}
 	time.Sleep(2 * time.Second)
 	return d
@@ -253,7 +253,7 @@
 		is.NoErr(err)
 		is.Equal(len(rows), d.store.PartitionsPerTopic())
 		is.NoErr(d.relays[0].Leave(ctx, "g", "m"))
-		page, err := d.relays[0].Newest(ctx, Partition, "")
+		page, err := d.relays[0].Newest(ctx, PeersPartition, "")
 		is.NoErr(err)
 		is.Equal(len(page.Records), 2)
 	})
@@ -266,7 +266,7 @@
 		&journal.TrimmedError{First: 7}, &journal.UnavailableError{Reason: "x"},
 		errors.Wrap(journal.ErrPosition, "x"), errors.Wrap(journal.ErrNotDone, "x"), errors.Wrap(journal.ErrUnknown, "x"),
 	} {
-		message, err := encode(fail(cause))
+		message, err := encode(failedReply(cause))
 		is.NoErr(err)
 		var answer reply
 		is.NoErr(message.decode(&answer))
@@ -303,7 +303,7 @@
 				p.finish(open[0], journal.ErrUnknown, now)
 				open = open[1:]
 			}
-			p.look(now)
+			p.judge(now)
 			lost, lostCh := p.state()
 			select {
 			case <-lostCh:
@@ -315,7 +315,7 @@
 					t.Fatal("callers are not told of a loss")
 				}
 			}
-			if lost && now.Sub(answered) <= overdueAfter && refusals < refusalsAllowed {
+			if lost && now.Sub(answered) <= overdueAfter && refusals < refusalsToLose {
 				t.Fatalf("lost %v after an answer, with %d refusals", now.Sub(answered), refusals)
 			}
 		}
--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -95,13 +95,13 @@
 		return reply{Outcome: outcomeLost, Reason: "the peer has lost its own path"}
 	}
 	if !op.known() {
-		return fail(errors.Wrap(journal.ErrNotDone, "relay: an operation of a later version"))
+		return failedReply(errors.Wrap(journal.ErrNotDone, "relay: an operation of a later version"))
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, min(op.Within, longestWithin))
 	defer cancel()
 	answer, err := s.own.onOwnPath(ctx, op)
 	if err != nil {
-		return fail(err)
+		return failedReply(err)
 	}
 	return answer
 }
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -18,9 +18,9 @@
 
 // Errors of an attempt; each says why no answer could be passed on.
 var (
-	errUnsound  = errors.New("forward: unsound answer")
-	errDeclined = errors.New("forward: declined")
-	errTimeUp   = errors.New("time is up")
+	errUnsound       = errors.New("forward: unsound answer")
+	errPlainDeclined = errors.New("forward: declined")
+	errTimeUp        = errors.New("time is up")
 )
 
 const (
@@ -87,7 +87,7 @@
 	switch {
 	case err == nil:
 		return outcomeAnswered
-	case errors.Is(err, errDeclined), errors.Is(err, ErrDeclined):
+	case errors.Is(err, errPlainDeclined), errors.Is(err, ErrDeclined):
 		return outcomeDeclined
 	case ctx.Err() != nil:
 		return outcomeCut
@@ -103,7 +103,7 @@
 }
 
 func (f *Forwarder) learn(rep replica.Replica, err error) {
-	if errors.Is(err, errDeclined) || errors.Is(err, upstream.ErrFull) {
+	if errors.Is(err, errPlainDeclined) || errors.Is(err, upstream.ErrFull) {
 		f.Table.Busy(rep.Incarnation(), declinedPause)
 		return
 	}
@@ -140,7 +140,7 @@
 		// An error shows as the connection is given back.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response, bufferedBytes))
 		response.Close()
-		return nil, sentAt, false, errors.Wrapf(errDeclined, "status %d", response.Status)
+		return nil, sentAt, false, errors.Wrapf(errPlainDeclined, "status %d", response.Status)
 	}
 	if response.Header.Get(f.Names.Stamp) == "" {
 		response.Close()
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -24,11 +24,11 @@
 
 // attempts are those at one call. All but outcomes belongs to the goroutine of loop.
 type attempts struct {
-	forwarder *Forwarder
-	call      *Call
-	tried     map[string]bool
+	forwarder  *Forwarder
+	call       *Call
+	passedOver map[string]bool
 	// cancels cut the attempt at a replica. They name the replicas that had one.
-	cancels  map[string]context.CancelFunc
+	asked    map[string]context.CancelFunc
 	outcomes chan result
 	// mayHaveRun counts attempts that may have run, notRun those that did not,
 	// open those without an outcome yet.
@@ -44,7 +44,7 @@
 
 func newAttempts(f *Forwarder, call *Call) *attempts {
 	call.complete()
-	return &attempts{forwarder: f, call: call, tried: map[string]bool{}, cancels: map[string]context.CancelFunc{},
+	return &attempts{forwarder: f, call: call, passedOver: map[string]bool{}, asked: map[string]context.CancelFunc{},
 		outcomes: make(chan result, call.MaxAttempts+extraAttempts+1)}
 }
 
@@ -111,7 +111,7 @@
 // drain cuts the attempts that are open, but for that to the kept replica, and
 // gives their connections back.
 func (a *attempts) drain(kept string) {
-	for id, cancel := range a.cancels {
+	for id, cancel := range a.asked {
 		if id != kept {
 			cancel()
 		}
@@ -141,7 +141,7 @@
 		reason = errNoReplica.Error()
 	}
 	return &Failure{Certainty: certainty, Reason: reason, Quarantined: a.quarantined, Attempts: a.mayHaveRun,
-		Tried: slices.Sorted(maps.Keys(a.cancels)),
+		Asked: slices.Sorted(maps.Keys(a.asked)),
 		Full:  certainty == NotRun && a.declined > 0 && a.declined == a.notRun && a.quarantined == nil}
 }
 
@@ -165,10 +165,10 @@
 	if !ok {
 		return time.Hour
 	}
-	a.tried[rep.ID] = true
+	a.passedOver[rep.ID] = true
 	a.open++
 	attemptCtx, cancel := context.WithCancel(ctx)
-	a.cancels[rep.ID] = cancel
+	a.asked[rep.ID] = cancel
 	go func() {
 		a.outcomes <- a.forwarder.attempt(attemptCtx, func() { cancel(); release() }, a.call, rep)
 	}()
@@ -184,7 +184,7 @@
 // another run of the content finds out whether it ends its replica.
 func (a *attempts) pick(ctx context.Context) (rep replica.Replica, release func(), ok bool) {
 	for ctx.Err() == nil {
-		if rep, ok = a.forwarder.Pick(a.call.Services, a.tried); !ok {
+		if rep, ok = a.forwarder.Pick(a.call.Services, a.passedOver); !ok {
 			return replica.Replica{}, nil, false
 		}
 		release, err := a.forwarder.mayRun(a.call.RequestID, a.call.content, rep)
@@ -193,7 +193,7 @@
 			return rep, release, true
 		case err.Await(ctx):
 		case err.Elsewhere:
-			a.tried[rep.ID] = true
+			a.passedOver[rep.ID] = true
 		default:
 			a.quarantined, a.lastReason = err, err.Error()
 			return replica.Replica{}, nil, false
@@ -213,7 +213,7 @@
 		} else {
 			a.notRun++
 		}
-		if errors.Is(res.err, errDeclined) {
+		if errors.Is(res.err, errPlainDeclined) {
 			a.declined++
 		}
 		return nil
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -106,14 +106,14 @@
 	*upstream.Answer
 	// ended is told how the reading ended, nil being the answer's proper end.
 	ended func(err error)
-	// given says that nobody wants the rest, so that its end says nothing of the replica.
-	given atomic.Bool
+	// abandoned says that nobody wants the rest, so that its end says nothing of the replica.
+	abandoned atomic.Bool
 }
 
 // GiveUp ends a Read under way, and all later ones, with an error. It may be called at any
 // time; Close must follow once no Read is under way.
 func (r *Rest) GiveUp() {
-	r.given.Store(true)
+	r.abandoned.Store(true)
 	r.Answer.Cut()
 }
 
@@ -123,7 +123,7 @@
 	switch {
 	case err == io.EOF:
 		r.ended(nil)
-	case err != nil && !r.given.Load():
+	case err != nil && !r.abandoned.Load():
 		r.ended(err)
 	}
 	return n, err
@@ -146,8 +146,8 @@
 	Quarantined *QuarantinedError
 	// Attempts is how many replicas may have run the request.
 	Attempts int
-	// Tried are the replicas that the request was offered to.
-	Tried []string
+	// Asked are the replicas that the request was offered to.
+	Asked []string
 	// Full says that each of them declined it: it has not run, and there is no other sign
 	// that something is wrong.
 	Full bool
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -46,7 +46,7 @@
 	liveness := upstream.LivenessUnknown
 	if connectionEnded(failed.err) {
 		liveness = f.Pool.Probe(ctx, failed.chosen.Address)
-		f.suspect(failed, liveness)
+		f.noteReplicaEnd(failed, liveness)
 	}
 	f.Logger.Info("attempt failed", zap.String("request", failed.requestID), zap.String("outcome", failed.outcome),
 		zap.String("content", failed.content.Digest().Short()), zap.String("replica", failed.chosen.ID),
@@ -55,9 +55,9 @@
 		zap.Duration("after", failed.after), zap.Error(failed.err))
 }
 
-// suspect holds the end of a replica, or what may be one, against the content that it
+// noteReplicaEnd holds the end of a replica, or what may be one, against the content that it
 // ran. The end of a replica that was leaving was planned.
-func (f *Forwarder) suspect(failed failedAttempt, liveness upstream.Liveness) {
+func (f *Forwarder) noteReplicaEnd(failed failedAttempt, liveness upstream.Liveness) {
 	rep := failed.chosen
 	if now, listed := f.Table.Get(rep.ID); listed && now.Draining && now.Incarnation() == rep.Incarnation() {
 		return
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -60,11 +60,11 @@
 	return newAttempts(f, call).loop(ctx)
 }
 
-// Pick returns the best replica that was not tried, of the first service that has one.
-func (f *Forwarder) Pick(services []string, tried map[string]bool) (replica.Replica, bool) {
+// Pick returns the best replica that is not passed over, of the first service that has one.
+func (f *Forwarder) Pick(services []string, passedOver map[string]bool) (replica.Replica, bool) {
 	now := time.Now()
 	for _, service := range services {
-		if rep, ok := replica.Pick(f.Replicas(service), tried, now); ok {
+		if rep, ok := replica.Pick(f.Replicas(service), passedOver, now); ok {
 			return rep, true
 		}
 	}
--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -45,17 +45,17 @@
 }
 
 // MayRetry reports whether a further replica may be asked.
-func (t AttemptState) MayRetry() bool {
-	started := t.MayHaveRun + t.Open
+func (s AttemptState) MayRetry() bool {
+	started := s.MayHaveRun + s.Open
 	switch {
-	case t.Refused, t.NotRun > extraAttempts, started >= max(t.MaxAttempts, 1):
+	case s.Refused, s.NotRun > extraAttempts, started >= max(s.MaxAttempts, 1):
 		return false
 	case started == 0:
 		return true
 	default:
 		// A content that has just ended replicas, or of which another daemon has learned so, runs
 		// next alone, if at all.
-		return t.Repeatable && t.Suspicion < quarantine.OnlyAlone
+		return s.Repeatable && s.Suspicion < quarantine.OnlyAlone
 	}
 }
 
