--- a/internal/journal/relay/call.go
+++ b/internal/journal/relay/call.go
@@ -108,7 +108,7 @@
 	return err
 }
 
-// Owners implements journal.Journal.
+// Owners implements journal.Journal. The group's rows tell the watchers of partitions.
 func (j *Journal) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
 	answer, err := j.perform(ctx, operation{Owners: &ownersCall{Group: group}})
 	return answer.Owners, err
--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -14,13 +14,13 @@
 	// for the path to count as lost: twice what a store takes that is sixty times
 	// slower than usual.
 	overdueAfter = 500 * time.Millisecond
-	// refusalsToLose is how many refusals in a row, over refusedAfter, the path
-	// stands: a store that is full refuses some calls and answers others.
+	// refusalsToLose: so many refusals in a row, the first refusedAfter ago or more, and the
+	// path counts as lost. A store that is full refuses some calls and answers others.
 	refusalsToLose = 3
 	refusedAfter   = 250 * time.Millisecond
-	// throttlesToLose is how many refusals for the rate in a row, over throttledAfter,
-	// the path stands. A store whose rate is exceeded serves most calls all the same;
-	// one that throttles a single machine serves none of its calls.
+	// throttlesToLose: so many in a row with some for the rate, the first throttledAfter ago
+	// or more, and it does too. A store whose rate is exceeded serves most calls all the
+	// same; one that throttles a single machine serves none of its calls.
 	throttlesToLose = 6
 	throttledAfter  = 500 * time.Millisecond
 )
@@ -51,15 +51,16 @@
 
 // begin notes a call that waits for records so long.
 func (p *path) begin(now time.Time, wait time.Duration) *pending {
-	e := &pending{by: now.Add(wait)}
+	call := &pending{by: now.Add(wait)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expected[e] = struct{}{}
-	return e
+	p.expected[call] = struct{}{}
+	return call
 }
 
 // finish takes the outcome of a call into account. It returns true if the path is back
-// with it.
+// with it. An unknown outcome is no answer: the call stays expected, so that the path can
+// become overdue.
 func (p *path) finish(call *pending, err error, now time.Time) (back bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,8 +123,8 @@
 	if now.Sub(p.answered) <= overdueAfter {
 		return false
 	}
-	for e := range p.expected {
-		if now.Sub(e.by) > overdueAfter {
+	for call := range p.expected {
+		if now.Sub(call.by) > overdueAfter {
 			return true
 		}
 	}
--- a/internal/journal/relay/peer.go
+++ b/internal/journal/relay/peer.go
@@ -109,8 +109,8 @@
 	return p.client, nil
 }
 
-// giveUp ends a connection to the peer that is broken. Of the calls that were under way
-// on it the last may come here when there is a new one, with calls on it.
+// giveUp ends a connection to the peer that is broken. A late caller may give up an old
+// connection when a new one is in use: only the old one is closed.
 func (p *peer) giveUp(client *peerClient) {
 	p.mu.Lock()
 	if p.client == client {
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -25,7 +25,7 @@
 	// peerTimeout is how long a peer may take beyond the time that a read waits
 	// for records.
 	peerTimeout = questiontime.Relayed
-	// peersTried is how many peers one call is offered to at most.
+	// peersTried is how many peers are asked to make one call at most.
 	peersTried = 3
 	// brokenRest, silentRest and lostRest are how long a peer is left alone that could
 	// not be reached, did not answer, or has lost the path itself.
@@ -174,7 +174,7 @@
 	}
 }
 
-// relay offers a call to one peer after the other until one has made it. An error that
+// relay asks one peer after the other to make a call until one has. An error that
 // wraps errNoPeer says that none has; after any other the call may have been made.
 func (p *peers) relay(ctx context.Context, op operation) (reply, error) {
 	op.Within = op.wait() + peerTimeout
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -9,7 +9,7 @@
 // Nothing rests on which path a call takes: the journal's answers are what they are,
 // and a call whose answer is lost on either path has an unknown outcome. Calls that change
 // nothing when made again are repeated here; an append that may have happened is reported as
-// unknown. A peer that has lost the path as well says so, so that calls are passed on once at most.
+// unknown. A peer never passes a call on again: one that has lost the path as well says so.
 //
 // The package owns what is believed of the own path (path.go), the connections to other daemons
 // (peer.go) and the service that answers them (service.go). All that daemons say to each other goes over these
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -16,7 +16,8 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// Errors of an attempt; each says why no answer could be passed on.
+// Errors of an attempt; each says why no answer could be passed on. A stream that was
+// declined has ErrDeclined.
 var (
 	errUnsound       = errors.New("forward: unsound answer")
 	errPlainDeclined = errors.New("forward: declined")
@@ -37,7 +38,7 @@
 	mayHaveRun bool
 }
 
-// attempt sends the call to one replica. Over is called once the exchange is.
+// attempt sends the call to one replica; over is called when the exchange has ended.
 func (f *Forwarder) attempt(ctx context.Context, over func(), call *Call, rep replica.Replica) result {
 	f.Table.Started(rep.Incarnation())
 	end := func() {
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -14,7 +14,7 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// errNoReplica: no replica of the call's services is listed, or each was tried.
+// errNoReplica: no replica of the call's services is listed, or each is passed over.
 var errNoReplica = errors.New("forward: no replica")
 
 // lastWord is how long the attempts that the end of the context cuts have to say whether they
@@ -24,10 +24,12 @@
 
 // attempts are those at one call. All but outcomes belongs to the goroutine of loop.
 type attempts struct {
-	forwarder  *Forwarder
-	call       *Call
+	forwarder *Forwarder
+	call      *Call
+	// passedOver are the replicas that had an attempt, and those that may not run the content
+	// now.
 	passedOver map[string]bool
-	// cancels cut the attempt at a replica. They name the replicas that had one.
+	// asked are the replicas that had an attempt, each with what cuts it.
 	asked    map[string]context.CancelFunc
 	outcomes chan result
 	// mayHaveRun counts attempts that may have run, notRun those that did not,
@@ -129,6 +131,7 @@
 	}()
 }
 
+// failure says why the call has no answer to pass on. It closes the fallback, if there is one.
 func (a *attempts) failure(reason string) *Failure {
 	if a.fallback != nil {
 		a.fallback.Close()
@@ -163,7 +166,7 @@
 func (a *attempts) start(ctx context.Context) time.Duration {
 	rep, release, ok := a.pick(ctx)
 	if !ok {
-		return time.Hour
+		return noHedge
 	}
 	a.passedOver[rep.ID] = true
 	a.open++
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -52,8 +52,8 @@
 	Hedge bool
 	// HedgeAfter is when to do so, 0 for what its usual latency suggests.
 	HedgeAfter time.Duration
-	// MayRetry is asked before a further replica is offered the call, with the number of
-	// attempts so far. Nil adds no bound to that of AttemptState.
+	// MayRetry is asked before an attempt at a further replica, with the number of attempts
+	// so far. Nil adds no bound to that of AttemptState.
 	MayRetry func(attempts int) bool
 	// Left is how long the caller still waits. It counts the time in which this machine
 	// was suspended, which the end of a context does not. Nil adds no bound to the
@@ -106,7 +106,7 @@
 	*upstream.Answer
 	// ended is told how the reading ended, nil being the answer's proper end.
 	ended func(err error)
-	// abandoned says that nobody wants the rest, so that its end says nothing of the replica.
+	// abandoned says that nobody reads the rest any more: its end says nothing of the replica.
 	abandoned atomic.Bool
 }
 
@@ -146,7 +146,7 @@
 	Quarantined *QuarantinedError
 	// Attempts is how many replicas may have run the request.
 	Attempts int
-	// Asked are the replicas that the request was offered to.
+	// Asked are the replicas that had an attempt.
 	Asked []string
 	// Full says that each of them declined it: it has not run, and there is no other sign
 	// that something is wrong.
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -2,7 +2,7 @@
 // where that is allowed, and says what is certain when no replica answered.
 //
 // The package owns a call from its first attempt to its answer or failure: which replicas were
-// tried, what may have run, and the rule by which another one is asked (retry.go). It relies on
+// asked, what may have run, and the rule by which another one is asked (retry.go). It relies on
 // replica for the choice, on upstream for the exchange, and on quarantine for contents that end
 // replicas; what replicas do is told to both.
 //
--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -87,7 +87,7 @@
 
 // decisionWait is how long a request waits for another run of its content to decide. Most
 // plain requests take a tenth of it; a text may take seconds, and who waits for one is told
-// at once to come back.
+// after this to come back.
 const decisionWait = 300 * time.Millisecond
 
 // others returns the incarnations of the other replicas of a replica's service.
--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -15,7 +15,7 @@
 //     last: the policies in force with their retry budget (standalone) and, while the service
 //     is full, the budget of further attempts (admission.Ticket.MayRetry).
 //
-// No replica is sent a request twice. A plain request that every replica declined waits for
+// Within a turn no replica is sent a request twice. A plain request that every replica declined waits for
 // another turn at its service (ingress, mostTurns).
 
 const (
@@ -28,6 +28,8 @@
 	firstHedge  = 200 * time.Millisecond
 	hedgeFactor = 3
 	leastHedge  = 60 * time.Millisecond
+	// noHedge stands for no hedge, where there is no replica to ask.
+	noHedge = time.Hour
 )
 
 // AttemptState is what has become of a request so far.
