--- a/internal/batches/runner/accept_test.go
+++ b/internal/batches/runner/accept_test.go
@@ -55,7 +55,7 @@
 				return journaltest.Refuse
 			})
 			owner := newOwner(t.Context(), t, log, "a/1")
-			bounded, cancel := context.WithTimeout(t.Context(), 3*appendPause)
+			bounded, cancel := context.WithTimeout(t.Context(), 3*journalPause)
 			defer cancel()
 			err := owner.appendUntil(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
 			is.True(errors.Is(err, ErrNotDone))
@@ -71,7 +71,7 @@
 		log := journaltest.New()
 		log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 		owner := newOwner(t.Context(), t, log, "a/1")
-		bounded, cancel := context.WithTimeout(t.Context(), appendPause)
+		bounded, cancel := context.WithTimeout(t.Context(), journalPause)
 		defer cancel()
 		err := owner.appendUntil(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
 		is.True(errors.Is(err, ErrUnknown))
--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -27,7 +27,7 @@
 			r.adopt(partition, batchID)
 			return
 		}
-		time.Sleep(appendPause) // the calls to the journal that failed are logged there
+		time.Sleep(journalPause) // the calls to the journal that failed are logged there
 	}
 }
 
--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -28,14 +28,14 @@
 	assignPause = 200 * time.Millisecond
 )
 
-// assignment tells a daemon that it owns a batch.
+// assignment is the record that tells a daemon that it owns a batch.
 type assignment struct {
 	Batch string `cbor:"1,keyasint"`
 	Owner string `cbor:"2,keyasint"`
 }
 
-// Assignments tells who has a partition of the group.
-type Assignments interface {
+// Dealt tells to whom the partitions of the group are dealt.
+type Dealt interface {
 	Partitions() map[journal.Partition]bool
 	WatcherOf(ctx context.Context, partition journal.Partition) (string, bool)
 }
@@ -45,13 +45,13 @@
 // over by the watcher of its partition.
 type Assigner struct {
 	journal journal.Journal
-	dealt   Assignments
+	dealt   Dealt
 	self    string
 	logger  *zap.Logger
 }
 
 // NewAssigner returns an assigner.
-func NewAssigner(log journal.Journal, dealt Assignments, self string, logger *zap.Logger) *Assigner {
+func NewAssigner(log journal.Journal, dealt Dealt, self string, logger *zap.Logger) *Assigner {
 	return &Assigner{journal: log, dealt: dealt, self: self, logger: logger}
 }
 
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -27,7 +27,7 @@
 
 // attempt is one try of an item at a replica. It counts until the item has a newer one.
 type attempt struct {
-	pending
+	routedItem
 	number  int
 	replica replica.Replica
 }
@@ -153,7 +153,7 @@
 	if next.counts {
 		it.failures++
 	}
-	j.r.report(a.replica.Incarnation(), next.fault)
+	j.r.noteFault(a.replica.Incarnation(), next.fault)
 	j.logger.Info("item attempt failed", zap.String("item", it.ID), zap.String("replica", a.replica.ID),
 		zap.Int("attempt", it.attempt), zap.Int64("events", it.lastEvent),
 		zap.Duration("after", time.Since(it.startedAt)), zap.Error(cause))
@@ -184,8 +184,8 @@
 	}
 }
 
-// report tells the table of a replica's fault.
-func (r *Runner) report(incarnation replica.Incarnation, f fault) {
+// noteFault tells the table of a replica's fault.
+func (r *Runner) noteFault(incarnation replica.Incarnation, f fault) {
 	switch f {
 	case noFault:
 	case faultDeclined:
--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -23,10 +23,10 @@
 		for _, decision := range r.shared.inTurn(service, &v.Snapshot, scheduling.Plan(v.Snapshot), now) {
 			switch decision := decision.(type) {
 			case scheduling.Start:
-				r.start(v.pending[decision.Item], v.replicas[decision.Engine])
+				r.start(v.routed[decision.Item], v.replicas[decision.Engine])
 			case scheduling.Move:
-				p := v.pending[decision.Item]
-				p.job.handOver(p, v.replicas[decision.Engine], decision.Gain)
+				routed := v.routed[decision.Item]
+				routed.job.handOver(routed, v.replicas[decision.Engine], decision.Gain)
 			}
 		}
 	}
@@ -34,14 +34,14 @@
 }
 
 // start sends a waiting item to a replica.
-func (r *Runner) start(p pending, rep replica.Replica) {
-	j, it := p.job, p.item
+func (r *Runner) start(routed routedItem, rep replica.Replica) {
+	j, it := routed.job, routed.item
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if it.state != itemWaiting || j.release.begun || j.ctx.Err() != nil {
 		return
 	}
-	a := &attempt{pending: p, replica: rep, number: it.beginAttempt(rep.ID, time.Now())}
+	a := &attempt{routedItem: routed, replica: rep, number: it.beginAttempt(rep.ID, time.Now())}
 	it.state = itemRunning
 	it.timing.enter(phasePrompt, it.startedAt)
 	j.placement.groups[it.Group] = rep.Incarnation()
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -43,8 +43,8 @@
 	return 0, ctx.Err()
 }
 
-// routedItem is a batch of one item for the route of newOwner.
-var routedItem = batch.Submission{ID: "x", Host: "h", Path: "/p/x", Items: []batch.Item{{ID: "i"}}}
+// oneItemBatch is a batch of one item for the route of newOwner.
+var oneItemBatch = batch.Submission{ID: "x", Host: "h", Path: "/p/x", Items: []batch.Item{{ID: "i"}}}
 
 // putOthers fills a partition with some bytes of other batches.
 func putOthers(ctx context.Context, t *testing.T, log journal.Journal, partition journal.Partition, bytes int) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// firstSign reports whether the owner of routedItem has given a sign, and names it.
+// firstSign reports whether the owner of oneItemBatch has given a sign, and names it.
 func firstSign(partition *ledger.Partition) (given bool, owner string) {
 	partition.ViewBatch("x", func(b *batch.Batch) { given, owner = b.Signs > 0, b.Owner })
 	return given, owner
@@ -80,7 +80,7 @@
 	accepter := newAccepter(ctx, log.Behind(bytesPerSecond), "a/1")
 	accepter.locator = locator
 	began := time.Now()
-	if err := accepter.Accept(ctx, &routedItem); err != nil {
+	if err := accepter.Accept(ctx, &oneItemBatch); err != nil {
 		t.Fatal(err)
 	}
 	chosen.AdoptWhenSeen("x")
--- a/internal/batches/runner/handover.go
+++ b/internal/batches/runner/handover.go
@@ -14,8 +14,8 @@
 // the other replica has accepted the item: one that changes its weights declines, for a
 // second. The events that come meanwhile are buffered, as the other replica makes them too;
 // if it declines, they count.
-func (j *job) handOver(p pending, to replica.Replica, gain time.Duration) {
-	it := p.item
+func (j *job) handOver(routed routedItem, to replica.Replica, gain time.Duration) {
+	it := routed.item
 	j.mu.Lock()
 	if it.state != itemRunning || it.cancel == nil || it.buffering || j.release.begun || j.ctx.Err() != nil {
 		j.mu.Unlock()
@@ -24,12 +24,12 @@
 	it.buffering = true
 	if !it.answered {
 		// What was waited for in vain counts: where all engines get slow it becomes usual.
-		j.r.firstEvents.Observe(serviceOf(p.route, it), time.Since(it.startedAt))
+		j.r.firstEvents.Observe(serviceOf(routed.route, it), time.Since(it.startedAt))
 	}
 	from := it.attempt
 	req := j.streamRequest(it)
 	j.mu.Unlock()
-	next := &attempt{pending: p, replica: to}
+	next := &attempt{routedItem: routed, replica: to}
 	j.r.launch(to, func() { next.continueFrom(from, req, gain) })
 }
 
@@ -85,5 +85,5 @@
 		// The batch ended meanwhile, which says nothing of the replica.
 		return
 	}
-	a.job.r.report(a.replica.Incarnation(), handOverFault(err))
+	a.job.r.noteFault(a.replica.Incarnation(), handOverFault(err))
 }
--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -33,12 +33,12 @@
 
 // tryOf is an attempt at the replica that an item is at.
 func tryOf(j *job, it *item, number int, rt *route.Route) *attempt {
-	return &attempt{pending: pending{job: j, item: it, route: rt}, number: number, replica: replica.Replica{Entry: replica.Entry{ID: "from"}}}
+	return &attempt{routedItem: routedItem{job: j, item: it, route: rt}, number: number, replica: replica.Replica{Entry: replica.Entry{ID: "from"}}}
 }
 
 // nextTryOf is an attempt at another replica, which was asked to go on.
 func nextTryOf(j *job, it *item) *attempt {
-	return &attempt{pending: pending{job: j, item: it, route: &route.Route{}}, replica: replica.Replica{Entry: replica.Entry{ID: "to"}}}
+	return &attempt{routedItem: routedItem{job: j, item: it, route: &route.Route{}}, replica: replica.Replica{Entry: replica.Entry{ID: "to"}}}
 }
 
 // Events that come while another replica is asked are buffered: dropped if that one
--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -20,8 +20,8 @@
 const (
 	itemWaiting itemState = iota
 	itemRunning
-	// itemScoring: the text is whole or given up, and the result is not listed yet.
-	itemScoring
+	// itemEnding: the text is whole or the item given up, and the result is not listed yet.
+	itemEnding
 	itemListed
 )
 
@@ -197,4 +197,4 @@
 }
 
 // underWay reports whether the item is at a replica, or its result is not listed yet.
-func (it *item) underWay() bool { return it.state == itemRunning || it.state == itemScoring }
+func (it *item) underWay() bool { return it.state == itemRunning || it.state == itemEnding }
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -106,7 +106,7 @@
 	accepter := newAccepter(ctx, slow, "a/1")
 	accepter.locator = locator("b/1", accepter.ledger)
 	began := time.Now()
-	if err := accepter.Accept(ctx, &routedItem); err != nil {
+	if err := accepter.Accept(ctx, &oneItemBatch); err != nil {
 		t.Fatal(err)
 	}
 	go chosen.AdoptWhenSeen("x")
--- a/internal/batches/runner/listing.go
+++ b/internal/batches/runner/listing.go
@@ -36,7 +36,7 @@
 
 // finish hands a result to be listed. The mutex is held.
 func (j *job) finish(it *item, result batch.Result, reason string) {
-	it.state = itemScoring
+	it.state = itemEnding
 	it.timing.enter(phaseListing, time.Now())
 	j.results.pending = append(j.results.pending, result)
 	outcome := "done"
@@ -98,7 +98,7 @@
 		if failures == 1 && j.ctx.Err() == nil {
 			j.logger.Info("results not listed yet", zap.Int("results", len(results)), zap.Error(err))
 		}
-		periodic.Pause(j.ctx, appendPause)
+		periodic.Pause(j.ctx, journalPause)
 	}
 	return false
 }
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -67,7 +67,7 @@
 
 // attemptOf is the attempt that an item of running is at.
 func attemptOf(j *job, i int) *attempt {
-	return &attempt{pending: pending{job: j, item: j.items[i], route: &route.Route{}}, number: 1, replica: replica.Replica{Entry: replica.Entry{ID: "engine"}}}
+	return &attempt{routedItem: routedItem{job: j, item: j.items[i], route: &route.Route{}}, number: 1, replica: replica.Replica{Entry: replica.Entry{ID: "engine"}}}
 }
 
 // startable returns how many items a daemon would start if there were room.
@@ -76,7 +76,7 @@
 	if v == nil {
 		return 0
 	}
-	return len(v.pending)
+	return len(v.routed)
 }
 
 // An owner that stops names the items that it still finishes, and the next owner leaves
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -40,7 +40,7 @@
 		j.mu.Unlock()
 		return
 	}
-	it.state = itemScoring
+	it.state = itemEnding
 	it.timing.enter(phaseScoring, time.Now())
 	j.placement.lengths.Observe(it.expectedTokens, len(it.events))
 	text := bytes.Join(it.events, []byte("\n"))
@@ -61,7 +61,7 @@
 	slices.Sort(result.Versions)
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if it.state == itemScoring {
+	if it.state == itemEnding {
 		j.finish(it, result, reason)
 	}
 }
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -70,8 +70,8 @@
 const (
 	// wakeInterval bounds how long the dispatcher waits for a change.
 	wakeInterval = 100 * time.Millisecond
-	// appendPause is the time between two tries to append a record.
-	appendPause = 100 * time.Millisecond
+	// journalPause is the time between two tries at a call to the journal.
+	journalPause = 100 * time.Millisecond
 )
 
 // Operator tells what the operator has set.
@@ -176,7 +176,7 @@
 		if !errors.Is(err, ledger.ErrNotDone) {
 			outcome = ErrUnknown
 		}
-		periodic.Pause(ctx, appendPause)
+		periodic.Pause(ctx, journalPause)
 		deadline, bounded := ctx.Deadline()
 		if ctx.Err() != nil || bounded && !time.Now().Before(deadline) {
 			return errors.Wrap(outcome, err.Error())
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -10,17 +10,18 @@
 	"woodworks/internal/requests/route"
 )
 
-// pending is an item that waits or runs, with its job and its route.
-type pending struct {
+// routedItem is an item of a job with its route when the view was taken.
+type routedItem struct {
 	job   *job
 	item  *item
 	route *route.Route
 }
 
-// view is a snapshot of one service with what its entries stand for.
+// view is a snapshot of one service.
 type view struct {
 	scheduling.Snapshot
-	pending  []pending
+	// routed are what the entries of Items stand for, and replicas those of Engines.
+	routed   []routedItem
 	replicas []replica.Replica
 }
 
@@ -92,7 +93,7 @@
 			described.Overdue = max(described.RunFor-j.r.firstEvents.OverdueAfter(service), 0)
 		}
 		v.Items = append(v.Items, described)
-		v.pending = append(v.pending, pending{job: j, item: it, route: rt})
+		v.routed = append(v.routed, routedItem{job: j, item: it, route: rt})
 	}
 }
 
