--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -2,12 +2,12 @@
 
 import (
 	"context"
-	"time"
 
 	"github.com/pkg/errors"
 
 	"woodworks/internal/batches/batch"
 	"woodworks/internal/batches/ledger"
+	"woodworks/internal/daemon/periodic"
 )
 
 // AdoptWhenSeen starts a batch once the fold shows that this daemon owns it.
@@ -27,7 +27,7 @@
 			r.adopt(partition, batchID)
 			return
 		}
-		time.Sleep(journalPause) // the calls to the journal that failed are logged there
+		periodic.Pause(r.ctx, journalPause) // the calls to the journal that failed are logged there
 	}
 }
 
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -38,8 +38,9 @@
 	defer cancel()
 	a.job.mu.Lock()
 	a.item.cancel = cancel
+	req := a.job.streamRequest(a.item)
 	a.job.mu.Unlock()
-	stream, err := a.open(ctx, cancel, a.job.streamRequest(a.item), firstEventTimeoutOf(a.number))
+	stream, err := a.open(ctx, cancel, req, firstEventTimeoutOf(a.number))
 	if err == nil {
 		err = a.follow(cancel, stream)
 	}
@@ -149,6 +150,8 @@
 // failed lets the item wait for another attempt, or gives it up.
 func (a *attempt) failed(cause error) {
 	j, it := a.job, a.item
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	next := retryAfter(cause, it.failures, a.route.MaxAttempts)
 	if next.counts {
 		it.failures++
@@ -157,8 +160,6 @@
 	j.logger.Info("item attempt failed", zap.String("item", it.ID), zap.String("replica", a.replica.ID),
 		zap.Int("attempt", it.attempt), zap.Int64("events", it.lastEvent),
 		zap.Duration("after", time.Since(it.startedAt)), zap.Error(cause))
-	j.mu.Lock()
-	defer j.mu.Unlock()
 	if it.state != itemRunning {
 		return
 	}
@@ -171,7 +172,7 @@
 	it.notBefore = time.Now().Add(next.pause)
 }
 
-// streamRequest asks a replica for the rest of an item's text.
+// streamRequest asks a replica for the rest of an item's text. The mutex is held.
 func (j *job) streamRequest(it *item) *forward.StreamRequest {
 	header := it.header.Clone()
 	names := j.r.forwarder.Names
--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -25,7 +25,8 @@
 	itemListed
 )
 
-// item is one item with its progress at this owner. The job's mutex guards it.
+// item is one item with its progress at this owner. The job's mutex guards what changes of it,
+// but for rewardFailures, which only its reward call uses.
 type item struct {
 	batch.Item
 	index  int
@@ -53,7 +54,7 @@
 	// attempt numbers the attempt whose events count, from 1. One that was handed over to
 	// another replica has a lower number.
 	attempt int
-	// failures counts answers of replicas that say that the item failed; rewardFailures
+	// failures counts answers of replicas that say that the item failed, rewardFailures
 	// likewise of its reward call.
 	failures       int
 	rewardFailures int
