--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -112,38 +112,45 @@
 	}
 }
 
-// finished takes the fold into account and reports whether the job is done here.
+// finished takes the fold into account and reports whether the job is done here. If so, its
+// account is closed.
 func (j *job) finished() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	reason := ""
-	ok := j.partition.ViewBatch(j.submission.ID, func(b *batch.Batch) {
-		switch {
-		case b.Ended:
-			reason = "ended"
-		case !b.Open():
-			reason = "all listed"
-		case b.Owner != j.r.self && !j.release.begun:
-			reason = "owned by " + b.Owner
-		default:
+	reason := "unknown"
+	j.partition.ViewBatch(j.submission.ID, func(b *batch.Batch) {
+		if reason = j.reasonToLeave(b); reason == "" {
 			j.markListed(b)
 			j.markReturned(b)
 		}
 	})
-	switch {
-	case !ok:
-		reason = "unknown"
-	case reason != "":
-	case j.release.begun && j.noneUnderWay():
+	if reason == "" && j.release.begun && j.noneUnderWay() {
 		reason = "released"
-	default:
+	}
+	if reason == "" {
 		return false
 	}
-	j.logTimes(reason, time.Now())
+	j.closeAccount(reason, time.Now())
+	j.publishItemTime()
 	j.logger.Info("batch left", zap.String("reason", reason), zap.Duration("after", time.Since(j.adoptedAt)))
 	return true
 }
 
+// reasonToLeave returns why a batch has no more to do here by the fold, or "" if it has. The
+// mutex is held.
+func (j *job) reasonToLeave(b *batch.Batch) string {
+	switch {
+	case b.Ended:
+		return "ended"
+	case !b.Open():
+		return "all listed"
+	case b.Owner != j.r.self && !j.release.begun:
+		return "owned by " + b.Owner
+	default:
+		return ""
+	}
+}
+
 // markListed takes the results into account that are in the ledger. The mutex is held.
 func (j *job) markListed(b *batch.Batch) {
 	for i, listed := range b.Listed {
--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -27,14 +27,15 @@
 	standBySteps = 4
 )
 
-// observation is what a daemon saw of a batch's owner, and since when nothing new.
+// observation is what a daemon last saw of a batch's owner.
 type observation struct {
 	partition journal.Partition
 	batch     string
 	owner     string
-	// signs is the owner's count of signs of life.
+	// signs is the batch's count of signs of life, over all its owners.
 	signs int64
-	at    time.Time
+	// at is since when nothing new was seen.
+	at time.Time
 	// judgedIn is the generation of the group in which the owner was last looked for among
 	// those alive.
 	judgedIn int64
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -21,8 +21,8 @@
 	// attempt; it doubles with each further one, up to maxFirstEventTimeout.
 	firstEventTimeout    = scheduling.MaxFirstEvent
 	maxFirstEventTimeout = 10 * time.Second
-	// minEventTimeout is the least that is waited for a further event, and eventTimes what is
-	// waited by the replica's mean time between events.
+	// minEventTimeout is the least that is waited for a further event, and eventTimes how many
+	// times the replica's event time (a median).
 	minEventTimeout = 1200 * time.Millisecond
 	eventTimes      = 4
 )
--- a/internal/batches/runner/timing.go
+++ b/internal/batches/runner/timing.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// logTimes tells where the time of a batch went: that of the item listed last, as
-// it decided when the batch had all that it came to. The mutex is held.
-func (j *job) logTimes(reason string, now time.Time) {
+// closeAccount logs where the time of a batch went, and has it observed: that of the item listed
+// last, as it decided when the batch had all that it came to. The mutex is held.
+func (j *job) closeAccount(reason string, now time.Time) {
 	var last *item
 	listed := 0
 	for _, it := range j.items {
@@ -103,7 +103,6 @@
 		fields = append(fields, zap.Duration(part.String(), spent[part]))
 		j.r.observe(part.String(), spent[part])
 	}
-	j.publishItemTime()
 	afterLast := now.Sub(last.timing.since)
 	j.r.observe("until left", afterLast)
 	j.logger.Info("batch account", append(fields, zap.Duration("until_left", afterLast))...)
