--- a/internal/batches/occupancy/rpc_test.go
+++ b/internal/batches/occupancy/rpc_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net"
 	"testing"
 	"time"
 
@@ -10,19 +9,20 @@
 	"go.uber.org/zap"
 
 	"woodworks/internal/daemon/bootclock"
+	"woodworks/internal/demo/process"
 	"woodworks/internal/journal"
 	"woodworks/internal/journal/journaltest"
 	"woodworks/internal/journal/relay"
 )
 
-// freeAddress is one of the loopback at which nobody listens.
+// freeAddress is one of the loopback that is this test's alone.
 func freeAddress(t *testing.T) string {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	t.Helper()
+	address, err := process.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // it was only to find a port
-	return listener.Addr().String()
+	return address
 }
 
 // related starts a daemon's relay with the parts of this package on it.
--- a/internal/daemon/cli/process_test.go
+++ b/internal/daemon/cli/process_test.go
@@ -6,7 +6,6 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
 	"strings"
 	"sync"
 	"syscall"
@@ -14,6 +13,8 @@
 	"time"
 
 	"github.com/matryer/is"
+
+	"woodworks/internal/demo/process"
 )
 
 // hangTime is when a process that should have ended counts as hanging.
@@ -218,13 +219,17 @@
 	is.NoErr(file.Close())
 }
 
-// freePort returns a port of loopback that nobody has bound.
+// freePort returns a port of loopback that is this test's alone. A port that the system
+// chose was taken by another program's outgoing connection before the daemon listened.
 func freePort(t *testing.T) string {
 	t.Helper()
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	address, err := process.FreeAddress()
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, port, err := net.SplitHostPort(address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }()
-	return strconv.Itoa(listener.Addr().(*net.TCPAddr).Port)
+	return port
 }
--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -15,6 +15,8 @@
 
 	"github.com/matryer/is"
 	"github.com/pkg/errors"
+
+	"woodworks/internal/demo/process"
 )
 
 // peer is a server that answers each connection by a script.
@@ -209,10 +211,8 @@
 
 func TestADeadPortIsNotSent(t *testing.T) {
 	is := is.New(t)
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	address, err := process.FreeAddress()
 	is.NoErr(err)
-	address := listener.Addr().String()
-	_ = listener.Close()
 	_, err = ask(newTestPool(), address, "a")
 	is.True(errors.Is(err, ErrNotSent))
 }
