--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -323,3 +323,37 @@
 	is.Equal(line.ContextMap()["partition"], int64(p.Name().Number))
 	is.Equal(line.ContextMap()["offset"], int64(0))
 }
+
+// Of two callers who came during a read that fails, one began the next read and the other was
+// told the failure of the first, although the read that answers it was under way.
+func TestAFailedReadIsOnlyThatOfWhoCameBeforeIt(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		ctx := t.Context()
+		log := journaltest.New()
+		calls := 0 // the reads come one after the other
+		log.SetBefall(func(journaltest.Call) journaltest.Fault {
+			calls++
+			first := calls == 1
+			time.Sleep(100 * time.Millisecond)
+			if first {
+				return journaltest.Refuse
+			}
+			return journaltest.None
+		})
+		p := New(ctx, log, zap.NewNop()).Of("a")
+		failed := make(chan error, 1)
+		go func() { failed <- p.CatchUp(ctx) }()
+		synctest.Wait()
+		const later = 8
+		outcomes := make(chan error, later)
+		for range later {
+			go func() { outcomes <- p.CatchUp(ctx) }()
+		}
+		is.True(errors.Is(<-failed, ErrBehind))
+		for range later {
+			is.NoErr(<-outcomes)
+		}
+		is.Equal(calls, 2)
+	})
+}
--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -32,13 +32,13 @@
 	// next is the offset of the first record that is not folded yet.
 	next    int64
 	changed chan struct{}
-	// reads counts catch-up reads begun; done is the newest that succeeded.
-	reads, done uint64
-	// reading says that a catch-up read is under way; readEnded is closed at its end, and
-	// readErr is set then.
+	// reads counts catch-up reads begun; done is the newest that succeeded, failed the newest
+	// that did not, with readErr.
+	reads, done, failed uint64
+	readErr             error
+	// reading says that a catch-up read is under way; readEnded is closed at its end.
 	reading   bool
 	readEnded chan struct{}
-	readErr   error
 	// lastRead is when a read was last answered after which the fold held all.
 	lastRead time.Time
 	// followers counts those who have the partition followed.
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -38,7 +38,7 @@
 		case <-ended:
 		}
 		p.mu.Lock()
-		if p.done < wanted && p.readErr != nil && p.reads >= wanted {
+		if p.done < wanted && p.failed >= wanted {
 			err := p.readErr
 			p.mu.Unlock()
 			return errors.Wrap(ErrBehind, err.Error())
@@ -59,9 +59,10 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.reading = false
-		p.readErr = err
 		if err == nil {
 			p.done = number
+		} else {
+			p.failed, p.readErr = number, err
 		}
 		close(p.readEnded)
 	}()
