--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -27,10 +27,8 @@
 	name   journal.Partition
 	usedAt time.Time // guarded by the ledger's mutex
 
-	mu    sync.Mutex
-	state *batch.State
-	// next is the offset of the first record that is not folded yet.
-	next    int64
+	mu      sync.Mutex
+	state   *batch.State
 	changed chan struct{}
 	// reads counts catch-up reads begun; done is the newest that succeeded, failed the newest
 	// that did not, with readErr.
@@ -57,7 +55,11 @@
 
 func newPartition(ledger *Ledger, name journal.Partition, from int64) *Partition {
 	return &Partition{
-		ledger: ledger, name: name, state: batch.NewStateAt(from), next: from, changed: make(chan struct{}), end: noEnd,
+		ledger:  ledger,
+		name:    name,
+		state:   batch.NewStateAt(from),
+		changed: make(chan struct{}),
+		end:     noEnd,
 	}
 }
 
@@ -126,12 +128,12 @@
 	switch {
 	case p.end == noEnd:
 		return 0, false
-	case p.next >= p.end:
+	case p.state.Next() >= p.end:
 		return 0, true
 	case p.readRecords == 0:
 		return p.ledger.PageBytes(), true
 	default:
-		return int((p.end - p.next) * p.readBytes / p.readRecords), true
+		return int((p.end - p.state.Next()) * p.readBytes / p.readRecords), true
 	}
 }
 
@@ -167,13 +169,13 @@
 	defer p.mu.Unlock()
 	folded := false
 	for i, record := range records {
-		if from+int64(i) != p.next {
+		offset := from + int64(i)
+		if offset != p.state.Next() {
 			continue
 		}
 		if err := p.state.Apply(record); err != nil {
-			p.ledger.logger.Warn("record not decoded", zap.Inline(p), zap.Int64("offset", p.next), zap.Error(err))
+			p.ledger.logger.Warn("record not decoded", zap.Inline(p), zap.Int64("offset", offset), zap.Error(err))
 		}
-		p.next++
 		folded = true
 	}
 	if folded {
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -78,24 +78,24 @@
 		if target == noEnd {
 			target = end
 		}
-		if target != noEnd && p.offset() >= target {
+		if target != noEnd && p.next() >= target {
 			return nil
 		}
 	}
 }
 
-// offset returns that of the first record that is not folded yet.
-func (p *Partition) offset() int64 {
+// next returns the offset of the first record that is not folded yet.
+func (p *Partition) next() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.next
+	return p.state.Next()
 }
 
 // readOnce reads a page from the fold's offset on and folds what comes, also of an answer
 // that broke off. At the partition's end the read waits for records. It returns the end that
 // was told, noEnd if none was.
 func (p *Partition) readOnce(ctx context.Context, wait time.Duration) (end int64, err error) {
-	from := p.offset()
+	from := p.next()
 	bounded, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
 	req := journal.Read{Partition: p.name, From: from, Wait: wait, MaxBytes: p.ledger.PageBytes()}
@@ -119,7 +119,7 @@
 	}
 	p.readRecords += int64(len(read.Records))
 	p.end = max(p.end, read.End)
-	if whole && p.next >= read.End {
+	if whole && p.state.Next() >= read.End {
 		p.lastRead = time.Now()
 	}
 }
@@ -137,10 +137,10 @@
 func (p *Partition) skipTrimmed(from, first int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.next == from && first > from {
+	if p.state.Next() == from && first > from {
 		p.ledger.logger.Info("records trimmed before they were read", zap.Inline(p),
 			zap.Int64("offset", from), zap.Int64("first", first))
-		p.next, p.missed = first, true
+		p.missed = true
 		p.state.Skip(first)
 	}
 }
