--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -85,12 +85,9 @@
 // follow reads the events of an open stream until the text is whole.
 func (a *attempt) follow(cancel context.CancelFunc, stream *forward.Stream) error {
 	defer stream.Close()
-	table, incarnation, model := a.job.r.table, a.replica.Incarnation(), a.job.submission.Model
-	table.Accepted(incarnation)
+	a.job.r.table.Accepted(a.replica.Incarnation())
 	version := stream.Version
-	if version > 0 {
-		table.HoldsVersion(incarnation, model, version)
-	}
+	a.noteVersion(version)
 	timeout := eventTimeoutOf(a.replica.EventTime)
 	watchdog := time.AfterFunc(timeout, cancel)
 	defer watchdog.Stop()
@@ -106,19 +103,32 @@
 		}
 		if event.Version > 0 {
 			version = event.Version
-			table.HoldsVersion(incarnation, model, version)
+			a.noteVersion(version)
 		}
 		if err := a.receive(event, version); err != nil {
 			return err
 		}
-		now := time.Now()
-		if last.IsZero() {
-			a.noteFirstEvent()
-		} else {
-			table.ObserveEvent(incarnation, now.Sub(last))
-		}
-		last = now
+		last = a.noteEvent(last)
+	}
+}
+
+// noteVersion tells the table which version of the weights the replica holds, 0 if it did not say.
+func (a *attempt) noteVersion(version int64) {
+	if version > 0 {
+		a.job.r.table.HoldsVersion(a.replica.Incarnation(), a.job.submission.Model, version)
+	}
+}
+
+// noteEvent notes how long an event took after the last one, which was at a time that is zero before
+// the first, and returns its own time.
+func (a *attempt) noteEvent(last time.Time) time.Time {
+	now := time.Now()
+	if last.IsZero() {
+		a.noteFirstEvent()
+	} else {
+		a.job.r.table.ObserveEvent(a.replica.Incarnation(), now.Sub(last))
 	}
+	return now
 }
 
 // receive adds an event to the item's text, unless another attempt goes on with it.
--- a/internal/batches/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -49,23 +49,31 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	m := h.of(submission.Model)
-	groups := map[string]bool{}
-	again = map[string]bool{}
+	b := rememberedBatch{id: submission.ID, groups: map[string]bool{}}
 	for i := range submission.Items {
-		groups[submission.Items[i].Group] = true
+		if group := submission.Items[i].Group; group != "" {
+			b.groups[group] = true
+		}
 	}
+	again = m.repeated(b)
+	m.remember(b)
+	return again, m.lengths
+}
+
+// repeated returns the groups of a batch that others had before.
+func (m *modelHistory) repeated(b rememberedBatch) map[string]bool {
+	repeated := map[string]bool{}
 	for _, before := range m.batches {
-		if before.id == submission.ID {
+		if before.id == b.id {
 			continue
 		}
-		for group := range groups {
-			if group != "" && before.groups[group] {
-				again[group] = true
+		for group := range b.groups {
+			if before.groups[group] {
+				repeated[group] = true
 			}
 		}
 	}
-	m.remember(rememberedBatch{id: submission.ID, groups: groups})
-	return again, m.lengths
+	return repeated
 }
 
 func (m *modelHistory) remember(b rememberedBatch) {
--- a/internal/batches/runner/timing.go
+++ b/internal/batches/runner/timing.go
@@ -1,6 +1,7 @@
 package runner
 
 import (
+	"slices"
 	"time"
 
 	"go.uber.org/zap"
@@ -52,50 +53,52 @@
 // Run.
 func (r *Runner) SetObserver(observe Observer) { r.observe = observe }
 
+// listedHere returns the items that were listed while this owner ran them. The mutex is held.
+func (j *job) listedHere() (listed []*item) {
+	for _, it := range j.items {
+		if it.timing.phase == phaseDone {
+			listed = append(listed, it)
+		}
+	}
+	return listed
+}
+
 // publishItemTime tells how long the batch's items took a slot, in the mean. The mutex is
 // held.
 func (j *job) publishItemTime() {
-	if j.submission.Model == "" {
+	listed := j.listedHere()
+	if j.submission.Model == "" || len(listed) == 0 {
 		return
 	}
-	sum, count := time.Duration(0), time.Duration(0)
-	for _, it := range j.items {
-		if it.state == itemListed && it.timing.phase == phaseDone {
-			sum += it.timing.spent[phasePrompt] + it.timing.spent[phaseGenerating]
-			count++
-		}
-	}
-	if count > 0 {
-		go j.r.demands.PublishTime(j.r.ctx, j.submission.Model, sum/count)
+	sum := time.Duration(0)
+	for _, it := range listed {
+		sum += it.timing.spent[phasePrompt] + it.timing.spent[phaseGenerating]
 	}
+	go j.r.demands.PublishTime(j.r.ctx, j.submission.Model, sum/time.Duration(len(listed)))
 }
 
 // closeAccount logs where the time of a batch went, and has it observed: that of the item listed
-// last, as it decided when the batch had all that it came to. The mutex is held.
+// last, as it decided when the batch had all its results. The mutex is held.
 func (j *job) closeAccount(reason string, now time.Time) {
-	var last *item
-	listed := 0
-	for _, it := range j.items {
-		if it.state != itemListed || it.timing.phase != phaseDone {
-			continue
-		}
-		listed++
-		if last == nil || it.timing.since.After(last.timing.since) {
-			last = it
-		}
-	}
-	if last == nil {
+	listed := j.listedHere()
+	if len(listed) == 0 {
 		return
 	}
-	spent := last.timing.spent
+	last := slices.MaxFunc(listed, func(a, b *item) int { return a.timing.since.Compare(b.timing.since) })
 	fields := []zap.Field{
-		zap.String("reason", reason), zap.Int("listed", listed), zap.Int("items", len(j.items)),
+		zap.String("reason", reason),
+		zap.Int("listed", len(listed)),
+		zap.Int("items", len(j.items)),
 		zap.Duration("before", max(j.adoptedAt.Sub(j.submission.AcceptedAt()), 0)),
 		zap.Duration("owned", now.Sub(j.adoptedAt)),
-		zap.String("last_item", last.ID), zap.Bool("required", j.placement.required[last.Group]),
-		zap.Int64("events", last.lastEvent), zap.Int("attempts", last.attempt),
-		zap.Int64s("versions", last.versions), zap.String("replica", last.lastReplica),
+		zap.String("last_item", last.ID),
+		zap.Bool("required", j.placement.required[last.Group]),
+		zap.Int64("events", last.lastEvent),
+		zap.Int("attempts", last.attempt),
+		zap.Int64s("versions", last.versions),
+		zap.String("replica", last.lastReplica),
 	}
+	spent := last.timing.spent
 	if last.lastEvent > 0 {
 		fields = append(fields, zap.Duration("event_time", spent[phaseGenerating]/time.Duration(last.lastEvent)))
 	}
