--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -52,7 +52,7 @@
 	submission := b.Submission
 	j := &job{
 		r: r, partition: partition, submission: &submission, adoptedAt: time.Now(),
-		logger: r.logger.With(zap.String("batch", b.ID)), results: newResultQueue(),
+		logger: r.logger.With(zap.String("batch", b.ID)), results: resultQueue{wake: make(chan struct{}, 1)},
 		placement: placement{groups: map[string]replica.Incarnation{}},
 	}
 	j.ctx, j.cancel = context.WithCancel(r.ctx)
--- a/internal/batches/runner/listing.go
+++ b/internal/batches/runner/listing.go
@@ -24,16 +24,6 @@
 	wake chan struct{}
 }
 
-func newResultQueue() resultQueue { return resultQueue{wake: make(chan struct{}, 1)} }
-
-// notify has the results listed. It never blocks.
-func (q *resultQueue) notify() {
-	select {
-	case q.wake <- struct{}{}:
-	default:
-	}
-}
-
 // finish hands a result to be listed. The mutex is held.
 func (j *job) finish(it *item, result batch.Result, reason string) {
 	it.state = itemEnding
@@ -47,7 +37,7 @@
 		zap.String("reason", reason), zap.Int("attempts", it.attempt), zap.Int64("expected", it.expectedTokens),
 		zap.Int("bytes", len(result.Text)), zap.Duration("took", time.Since(it.startedAt)),
 		zap.Int64("events", it.lastEvent), zap.Int64s("versions", result.Versions), zap.String("replica", it.lastReplica))
-	j.results.notify()
+	signal(j.results.wake)
 }
 
 // listResults appends results to the ledger as they come, a few together, until the job
@@ -74,7 +64,7 @@
 		more := len(j.results.pending) > 0
 		j.mu.Unlock()
 		if more {
-			j.results.notify()
+			signal(j.results.wake)
 		}
 	}
 }
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -40,7 +40,7 @@
 	j, it := movedJob(t)
 	j.r.operator = batchesFor(t, maxQueue)
 	j.submission = &batch.Submission{ID: "x", Host: "h", Path: "/p/x", AcceptedAtMs: time.Now().Add(-behind).UnixMilli()}
-	j.adoptedAt, j.results = time.Now(), newResultQueue()
+	j.adoptedAt, j.results = time.Now(), resultQueue{wake: make(chan struct{}, 1)}
 	it.state, it.buffering, it.cancel = itemWaiting, false, nil
 	return j
 }
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -212,21 +212,23 @@
 
 // Load returns how many batches are run here and how many items wait.
 func (r *Runner) Load() (batches, waiting int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, j := range r.jobs {
+	jobs := r.jobList()
+	for _, j := range jobs {
 		waiting += j.waiting()
 	}
-	return len(r.jobs), waiting
+	return len(jobs), waiting
 }
 
 // Started returns how many items were sent to a replica.
 func (r *Runner) Started() uint64 { return r.started.Load() }
 
-// Kick makes the dispatcher look again.
-func (r *Runner) Kick() {
+// Kick makes the dispatcher look again. It never blocks.
+func (r *Runner) Kick() { signal(r.wake) }
+
+// signal wakes who receives from a channel with room for one value. It never blocks.
+func signal(wake chan<- struct{}) {
 	select {
-	case r.wake <- struct{}{}:
+	case wake <- struct{}{}:
 	default:
 	}
 }
