--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -2,15 +2,11 @@
 
 import (
 	"net/http"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
 
-	"github.com/pkg/errors"
-
 	"woodworks/internal/batches/batch"
-	"woodworks/internal/requests/eventstream"
 	"woodworks/internal/requests/quarantine"
 )
 
@@ -43,13 +39,7 @@
 	// says that the record which does so names it.
 	handedOff bool
 
-	// events are the data of the events so far; lastEvent is the last one's id.
-	events    [][]byte
-	lastEvent int64
-	hasEvent  bool
-	versions  []int64
-	// checkpointed is how many of the events are in the journal.
-	checkpointed int
+	text
 
 	// attempt numbers the attempt whose events count, from 1. One that was handed over to
 	// another replica has a lower number.
@@ -73,14 +63,6 @@
 	timing timing
 }
 
-// receivedEvent is an event with the version of the weights that made it.
-type receivedEvent struct {
-	event   eventstream.Event
-	version int64
-	// single says that a text must be of one version.
-	single bool
-}
-
 // newItems makes the items of a batch, before any progress.
 func newItems(submission *batch.Submission, r *Runner) []*item {
 	items := make([]*item, len(submission.Items))
@@ -139,63 +121,5 @@
 	}
 }
 
-// appendEvent adds an event to the text. Events come in order without gaps, and each was
-// made by a version that the batch allows.
-func (it *item) appendEvent(e receivedEvent, minVersion int64) error {
-	event, version := e.event, e.version
-	if !event.HasID || (it.hasEvent && event.ID != it.lastEvent+1) {
-		return errors.Errorf("event %d after %d", event.ID, it.lastEvent)
-	}
-	if version < minVersion {
-		return errTooOld
-	}
-	if e.single && len(it.versions) > 0 && it.versions[0] != version {
-		it.forgetEvents()
-		return errors.New("version changed within a text of one version")
-	}
-	if it.timing.phase == phasePrompt {
-		it.timing.enter(phaseGenerating, time.Now())
-	}
-	it.events = append(it.events, event.Data)
-	it.lastEvent, it.hasEvent = event.ID, true
-	if version > 0 && !slices.Contains(it.versions, version) {
-		it.versions = append(it.versions, version)
-	}
-	return nil
-}
-
-// forgetEvents has the text begin anew.
-func (it *item) forgetEvents() {
-	it.events, it.versions, it.lastEvent, it.hasEvent, it.checkpointed = nil, nil, 0, false, 0
-}
-
-// flushBuffered adds the buffered events. An error says that the attempt under way cannot
-// go on.
-func (it *item) flushBuffered(minVersion int64) error {
-	buffered := it.buffered
-	it.stopBuffering()
-	for _, e := range buffered {
-		if err := it.appendEvent(e, minVersion); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// stopBuffering drops the buffered events.
-func (it *item) stopBuffering() { it.buffering, it.buffered = false, nil }
-
-// resumeFrom gives an item the beginning that an owner before has checkpointed, if there is
-// one.
-func (it *item) resumeFrom(partial batch.Partial) {
-	if len(partial.Events) == 0 {
-		return
-	}
-	it.events = slices.Clone(partial.Events)
-	it.checkpointed = len(partial.Events)
-	it.lastEvent, it.hasEvent = partial.LastEvent, true
-	it.versions = slices.Clone(partial.Versions)
-}
-
 // underWay reports whether the item is at a replica, or its result is not listed yet.
 func (it *item) underWay() bool { return it.state == itemRunning || it.state == itemEnding }
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -13,8 +13,8 @@
 // may go), and the packages scheduling (what starts and moves where) and occupancy (what is
 // left to other owners).
 //
-// Files that hold state: runner.go (the jobs), job.go (one batch), item.go and timing.go (one
-// item), history.go (a model's batches before), engineshare.go (what waits, for other owners
+// Files that hold state: runner.go (the jobs), job.go (one batch), item.go, text.go and timing.go
+// (one item), history.go (a model's batches before), engineshare.go (what waits, for other owners
 // to know), and for the batches of others watcher.go (what was seen of their owners) and
 // takeover.go (the reads that confirm silence).
 //
