--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -43,22 +43,23 @@
 	return 0, ctx.Err()
 }
 
-// oneItemBatch is a batch of one item for the route of newOwner.
-var oneItemBatch = batch.Submission{ID: "x", Host: "h", Path: "/p/x", Items: []batch.Item{{ID: "i"}}}
-
 // putOthers fills a partition with some bytes of other batches.
 func putOthers(ctx context.Context, t *testing.T, log journal.Journal, partition journal.Partition, bytes int) {
 	t.Helper()
 	const part = 64 << 10
 	for i := range bytes / part {
-		record := batch.Accepted(&batch.Submission{ID: fmt.Sprintf("other-%d", i), Items: []batch.Item{{ID: "o", Body: make([]byte, part)}}}, "gone/1")
+		other := batch.Submission{
+			ID:    fmt.Sprintf("other-%d", i),
+			Items: []batch.Item{{ID: "o", Body: make([]byte, part)}},
+		}
+		record := batch.Accepted(&other, "gone/1")
 		if _, err := log.Append(ctx, journal.Append{Partition: partition, Records: [][]byte{record}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// firstSign reports whether the owner of oneItemBatch has given a sign, and names it.
+// firstSign reports whether the owner of oneItem has given a sign, and names it.
 func firstSign(partition *ledger.Partition) (given bool, owner string) {
 	partition.ViewBatch("x", func(b *batch.Batch) { given, owner = b.Signs > 0, b.Owner })
 	return given, owner
@@ -66,7 +67,9 @@
 
 // begunAfter is how long after the acceptance of oneItem its owner gives its first sign,
 // with some bytes of other batches in the partition, at an owner behind a link.
-func begunAfter(ctx context.Context, t *testing.T, others int, bytesPerSecond float64, locator Locator) (took time.Duration, owner string) {
+func begunAfter(
+	ctx context.Context, t *testing.T, others int, bytesPerSecond float64, locator Locator,
+) (took time.Duration, owner string) {
 	log := journaltest.New()
 	seen := ledger.New(ctx, log, zap.NewNop())
 	partition := seen.Of("x")
@@ -80,7 +83,7 @@
 	accepter := newAccepter(ctx, log.Behind(bytesPerSecond), "a/1")
 	accepter.locator = locator
 	began := time.Now()
-	if err := accepter.Accept(ctx, &oneItemBatch); err != nil {
+	if err := accepter.Accept(ctx, &oneItem); err != nil {
 		t.Fatal(err)
 	}
 	chosen.AdoptWhenSeen("x")
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -71,16 +71,11 @@
 	return h.reader.Service(ctx).Beginning(asked.(results.BeginningQuery), answer.(*results.Beginning))
 }
 
-// knownWatcher is a group whose partitions are known to be all one daemon's.
-type knownWatcher string
-
-func (k knownWatcher) WatcherOf(context.Context, journal.Partition) (string, bool) {
-	return string(k), true
-}
-
 // beginsLate is how long after its acceptance the owner of a new batch gives its first sign, and
 // who that is, with some bytes of other batches in the partition.
-func beginsLate(ctx context.Context, t *testing.T, others int, takes time.Duration, groupTells bool) (took time.Duration, owner string) {
+func beginsLate(
+	ctx context.Context, t *testing.T, others int, takes time.Duration, groupTells bool,
+) (took time.Duration, owner string) {
 	const watcher = "h/1"
 	logger := zap.NewNop()
 	log := journaltest.New()
@@ -93,9 +88,9 @@
 	go member.Run(ctx)
 	defer partition.Follow()()
 	time.Sleep(10 * time.Second)
-	peers := oneWatcher{results.NewReader(held, knownWatcher(watcher), nil, log.Grants(), watcher, logger)}
+	peers := oneWatcher{results.NewReader(held, dealtTo(watcher), nil, log.Grants(), watcher, logger)}
 	locator := func(self string, batches *ledger.Ledger) Locator {
-		var watchers results.Watchers = knownWatcher(watcher)
+		var watchers results.Watchers = dealtTo(watcher)
 		if groupTells {
 			watchers = group.New(slow, self, ledger.TopicNames(), logger)
 		}
@@ -106,7 +101,7 @@
 	accepter := newAccepter(ctx, slow, "a/1")
 	accepter.locator = locator("b/1", accepter.ledger)
 	began := time.Now()
-	if err := accepter.Accept(ctx, &oneItemBatch); err != nil {
+	if err := accepter.Accept(ctx, &oneItem); err != nil {
 		t.Fatal(err)
 	}
 	go chosen.AdoptWhenSeen("x")
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -65,9 +65,23 @@
 	return j
 }
 
+// stoppingOwnerOfTwo is an owner "a/1" of twoItems that stops while both run.
+func stoppingOwnerOfTwo(ctx context.Context, t *testing.T, log journal.Journal) *job {
+	t.Helper()
+	owner := newOwnerOfTwo(ctx, t, log)
+	begun := running(owner, 2)
+	go owner.Release(ctx)
+	synctest.Wait()
+	return begun
+}
+
 // attemptOf is the attempt that an item of running is at.
 func attemptOf(j *job, i int) *attempt {
-	return &attempt{routedItem: routedItem{job: j, item: j.items[i], route: &route.Route{}}, number: 1, replica: replica.Replica{Entry: replica.Entry{ID: "engine"}}}
+	return &attempt{
+		routedItem: routedItem{job: j, item: j.items[i], route: &route.Route{}},
+		number:     1,
+		replica:    replica.Replica{Entry: replica.Entry{ID: "engine"}},
+	}
 }
 
 // startable returns how many items a daemon would start if there were room.
@@ -116,10 +130,7 @@
 		is := is.New(t)
 		ctx := t.Context()
 		log := journaltest.New()
-		first, second := newOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "b/1")
-		begun := running(first, 2)
-		go first.Release(ctx)
-		synctest.Wait()
+		begun, second := stoppingOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "b/1")
 		is.NoErr(second.TakeOver(ctx, "x", ""))
 		time.Sleep(time.Second)
 		is.Equal(startable(second), 0)
@@ -136,10 +147,8 @@
 		is := is.New(t)
 		ctx := t.Context()
 		log := journaltest.New()
-		first, third := newOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "c/1")
-		running(first, 2)
-		go first.Release(ctx)
-		synctest.Wait()
+		stoppingOwnerOfTwo(ctx, t, log)
+		third := newOwner(ctx, t, log, "c/1")
 		is.NoErr(third.ledger.Of("x").Append(ctx, batch.TakenOver("x", "", "b/1")))
 		time.Sleep(heartbeatTimeout)
 		is.NoErr(third.TakeOver(ctx, "x", "b/1"))
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -34,7 +34,16 @@
 	return newRunner(ctx, log, "b/1", owner, unaware{}, nil)
 }
 
-var oneItem = batch.Submission{ID: "x", Items: []batch.Item{{ID: "i"}}}
+// oneItem is a batch of one item for the route of newOwner.
+var oneItem = batch.Submission{ID: "x", Host: "h", Path: "/p/x", Items: []batch.Item{{ID: "i"}}}
+
+// accepterOfOne is an accepter that has accepted oneItem.
+func accepterOfOne(ctx context.Context, t *testing.T, log journal.Journal, owner string) *Runner {
+	t.Helper()
+	accepter := newAccepter(ctx, log, owner)
+	is.New(t).NoErr(accepter.Accept(ctx, &oneItem))
+	return accepter
+}
 
 // A batch that was given to a daemon that has ended is taken back by the one
 // that accepted it: the watchers needed 0.85 to 1.0 s of a step's 7.5.
@@ -42,8 +51,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
-		accepter := newAccepter(ctx, journaltest.New(), "gone/1")
-		is.NoErr(accepter.Accept(ctx, &oneItem))
+		accepter := accepterOfOne(ctx, t, journaltest.New(), "gone/1")
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "gone/1")
 		time.Sleep(standByWait + 20*time.Millisecond)
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "b/1")
@@ -59,8 +67,7 @@
 		is := is.New(t)
 		ctx := t.Context()
 		log := journaltest.New()
-		accepter := newAccepter(ctx, log, "a/1")
-		is.NoErr(accepter.Accept(ctx, &oneItem))
+		accepter := accepterOfOne(ctx, t, log, "a/1")
 		time.Sleep(standByWait / 2)
 		owner := ledger.New(ctx, log, zap.NewNop())
 		is.NoErr(owner.Of("x").Append(ctx, batch.Heartbeat("x", "a/1", 1)))
@@ -76,8 +83,7 @@
 		is := is.New(t)
 		ctx := t.Context()
 		log := journaltest.New()
-		accepter := newAccepter(ctx, log, "a/1")
-		is.NoErr(accepter.Accept(ctx, &oneItem))
+		accepter := accepterOfOne(ctx, t, log, "a/1")
 		refuse(log, journaltest.Read)
 		time.Sleep(10 * standByWait)
 		log.SetBefall(nil)
