--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -130,7 +130,8 @@
 	}
 	if !d.current && !report.empty() {
 		t.logger.Info("report of another owner begins", zap.String("owner", report.Sender),
-			zap.Uint64("report", report.Number), zap.Int("replicas", len(report.Counts)), zap.Duration("age", now.Sub(at)))
+			zap.Uint64("report", report.Number), zap.Int("replicas", len(report.Counts)),
+			zap.Duration("age", now.Sub(at)))
 	}
 	t.drop(d)
 	t.counts.Received++
@@ -176,7 +177,7 @@
 		if m.EventTime == 0 || ok && !measured.After(before.at) || !ok && len(t.eventTimes) >= maxEventTimes {
 			continue
 		}
-		t.eventTimes[m.Replica] = measuredTime{eventTime: time.Duration(m.EventTime) * EventTimeUnit, at: measured}
+		t.eventTimes[m.Replica] = measuredTime{eventTime: time.Duration(m.EventTime) * eventTimeUnit, at: measured}
 	}
 }
 
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -34,8 +34,8 @@
 )
 
 const (
-	// EventTimeUnit is the unit of event times on the wire: a hundredth of a usual one and less.
-	EventTimeUnit = 100 * time.Microsecond
+	// eventTimeUnit is the unit of event times on the wire: a hundredth of a usual one and less.
+	eventTimeUnit = 100 * time.Microsecond
 	// ageUnit is the unit of ages on the wire.
 	ageUnit = time.Millisecond
 	// maxEntries bounds the entries of each list in a report. Requests at replicas beyond it
@@ -70,8 +70,8 @@
 type Measurement struct {
 	_       struct{} `cbor:",toarray"`
 	Replica Key
-	// EventTime is the time between two events of a text in units of EventTimeUnit, Age how long ago
-	// the last of these was, in milliseconds.
+	// EventTime is the time between two events of a text in units of eventTimeUnit, Age how long
+	// ago the last of these was, in milliseconds.
 	EventTime, Age uint32
 }
 
@@ -172,5 +172,9 @@
 // NewMeasurement returns an event time with its age as it is sent.
 func NewMeasurement(replica Key, eventTime, age time.Duration) Measurement {
 	age = min(age, eventTimeLifetime)
-	return Measurement{Replica: replica, EventTime: uint32(eventTime / EventTimeUnit), Age: uint32(age / ageUnit)}
+	return Measurement{
+		Replica:   replica,
+		EventTime: uint32(eventTime / eventTimeUnit),
+		Age:       uint32(age / ageUnit),
+	}
 }
--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -107,10 +107,18 @@
 type Totals struct{ Sent, Failed, Bytes uint64 }
 
 // NewPublisher returns a publisher; Run starts it.
-func NewPublisher(table *Table, peers Peers, source Source, candidates Candidates, logger *zap.Logger) *Publisher {
+func NewPublisher(
+	table *Table, peers Peers, source Source, candidates Candidates, logger *zap.Logger,
+) *Publisher {
 	return &Publisher{
-		table: table, peers: peers, source: source, candidates: candidates, logger: logger, wake: make(chan struct{}, 1),
-		recipients: map[string]*recipient{}, sentTimes: map[Key]sentTime{},
+		table:      table,
+		peers:      peers,
+		source:     source,
+		candidates: candidates,
+		logger:     logger,
+		wake:       make(chan struct{}, 1),
+		recipients: map[string]*recipient{},
+		sentTimes:  map[Key]sentTime{},
 	}
 }
 
@@ -148,9 +156,7 @@
 // publish sends a report if there is something new, and returns when to look again at the
 // latest.
 func (p *Publisher) publish(ctx context.Context, now time.Time) time.Duration {
-	own := p.source()
-	own.Counts = ordered(own.Counts)
-	slices.SortFunc(own.Demands, func(a, b Demand) int { return cmp.Compare(a.Service, b.Service) })
+	own := p.current()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if own.empty() && !p.active {
@@ -180,15 +186,17 @@
 // begin starts to report. What the others know is asked for meanwhile. The mutex is held.
 func (p *Publisher) begin(ctx context.Context) {
 	p.active = true
-	p.logger.Info("reports to other owners begin", zap.Uint64("report", p.number+1), zap.Int("owners_known", len(p.table.Owners())))
+	p.logger.Info("reports to other owners begin", zap.Uint64("report", p.number+1),
+		zap.Int("owners_known", len(p.table.Owners())))
 	go p.askOwners(ctx)
 }
 
 // end ceases to report. The mutex is held.
 func (p *Publisher) end() {
 	p.active, p.endedAt = false, time.Now()
-	p.logger.Info("reports to other owners end", zap.Uint64("report", p.number), zap.Uint64("calls", p.totals.Sent),
-		zap.Uint64("failed", p.totals.Failed), zap.Uint64("bytes", p.totals.Bytes))
+	p.logger.Info("reports to other owners end", zap.Uint64("report", p.number),
+		zap.Uint64("calls", p.totals.Sent), zap.Uint64("failed", p.totals.Failed),
+		zap.Uint64("bytes", p.totals.Bytes))
 	p.recipients, p.sentTimes = map[string]*recipient{}, map[Key]sentTime{}
 }
 
@@ -242,14 +250,26 @@
 
 // own returns the report that this daemon would send now.
 func (p *Publisher) own() Report {
-	own := p.source()
-	own.Counts = ordered(own.Counts)
+	own := p.current()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	own.Sender, own.Number, own.Sent = p.table.self, p.number, p.table.now().UnixMilli()
+	p.stamp(&own)
 	return own
 }
 
+// current returns what this daemon has now, its counts and demands in order.
+func (p *Publisher) current() Report {
+	own := p.source()
+	own.Counts = ordered(own.Counts)
+	slices.SortFunc(own.Demands, func(a, b Demand) int { return cmp.Compare(a.Service, b.Service) })
+	return own
+}
+
+// stamp says in a report who sends it, when, and its number. The mutex is held.
+func (p *Publisher) stamp(report *Report) {
+	report.Sender, report.Number, report.Sent = p.table.self, p.number, p.table.now().UnixMilli()
+}
+
 // listens reports whether others should send this daemon their reports: it has requests
 // itself, or had a moment ago.
 func (p *Publisher) listens() bool {
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -18,8 +18,9 @@
 		return 0
 	}
 	p.number++
-	own.Sender, own.Number, own.Sent = p.table.self, p.number, p.table.now().UnixMilli()
-	introduction := Report{Sender: own.Sender, Number: own.Number, Sent: own.Sent, Measured: own.Measured, Introduces: true}
+	p.stamp(&own)
+	introduction := own
+	introduction.Counts, introduction.Demands, introduction.Introduces = nil, nil, true
 	introduction.bound()
 	own.Measured = p.measuredDue(own.Measured, now)
 	own.bound()
@@ -89,7 +90,8 @@
 	for _, m := range measured {
 		before, ok := p.sentTimes[m.Replica]
 		difference := max(m.EventTime, before.eventTime) - min(m.EventTime, before.eventTime)
-		if ok && now.Sub(before.at) < eventTimeRepeat && float64(difference) < eventTimeChange*float64(before.eventTime) {
+		small := float64(difference) < eventTimeChange*float64(before.eventTime)
+		if ok && small && now.Sub(before.at) < eventTimeRepeat {
 			continue
 		}
 		p.sentTimes[m.Replica] = sentTime{eventTime: m.EventTime, at: now}
