--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -208,8 +208,11 @@
 	if b.Partials == nil {
 		b.Partials = map[int]Partial{}
 	}
-	events := slices.Concat(kept.Events, progress.Events[overlap:]) // a new slice: readers may hold the one before
-	b.Partials[progress.Item] = Partial{Events: events, LastEvent: progress.LastEvent, Versions: progress.Versions}
+	b.Partials[progress.Item] = Partial{
+		Events:    slices.Concat(kept.Events, progress.Events[overlap:]), // readers may hold the slice before
+		LastEvent: progress.LastEvent,
+		Versions:  progress.Versions,
+	}
 }
 
 // list gives a result the next position if its item has none and the batch is
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -37,7 +37,10 @@
 func newReadBudget(bytesPerSecond float64, daemons func() int) *readBudget {
 	now := time.Now()
 	b := &readBudget{
-		bytesPerSecond: bytesPerSecond, daemons: daemons, limiter: rate.NewLimiter(0, 1), share: newBandwidthShare(now),
+		bytesPerSecond: bytesPerSecond,
+		daemons:        daemons,
+		limiter:        rate.NewLimiter(0, 1),
+		share:          newBandwidthShare(now),
 	}
 	b.adjust(now)
 	b.empty(now)
--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -135,6 +135,7 @@
 // lookUp returns what the fold says of a batch now.
 func lookUp(partition *ledger.Partition, query Query) Page {
 	var page Page
+	most := cmp.Or(query.most, pageBytes)
 	partition.ViewBatch(query.BatchID, func(b *batch.Batch) {
 		if !b.BelongsTo(query.Tenant) {
 			return
@@ -148,7 +149,7 @@
 			result, item := b.Results[position], &b.Items[b.Results[position].Item]
 			if query.Samples.want(item.ID) {
 				size += len(result.Text)
-				if len(page.Results) > 0 && (size > cmp.Or(query.most, pageBytes) || query.Samples.full(len(page.Results))) {
+				if len(page.Results) > 0 && (size > most || query.Samples.full(len(page.Results))) {
 					break
 				}
 				page.Results = append(page.Results, query.Samples.result(item, result))
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -37,7 +37,9 @@
 }
 
 // read answers a question that may be kept open for wait.
-func read[T any](ctx context.Context, r *Reader, batchID string, wait time.Duration, k kind[T]) (answer T, err error) {
+func read[T any](
+	ctx context.Context, r *Reader, batchID string, wait time.Duration, k kind[T],
+) (answer T, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+answerWithin)
 	defer cancel()
 	q := question[T]{trace: r.startTrace(batchID, wait), kind: k}
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -100,7 +100,8 @@
 // NewReader returns a reader of the batches for the incarnation named self. Without peers, nil,
 // it reads the journal itself, as it does where the journal's grants do not bound reads.
 func NewReader(
-	batches *ledger.Ledger, watchers Watchers, peers Peers, grants journal.Grants, self string, logger *zap.Logger,
+	batches *ledger.Ledger, watchers Watchers, peers Peers, grants journal.Grants, self string,
+	logger *zap.Logger,
 ) *Reader {
 	r := &Reader{
 		ledger:    batches,
@@ -135,8 +136,11 @@
 		return query
 	}
 	return read(ctx, r, query.BatchID, query.Wait, kind[Page]{
-		method: method, args: func(wait time.Duration) any { return polling(wait) },
-		here:  func(ctx context.Context, wait time.Duration) (Page, error) { return r.resultsHere(ctx, polling(wait)) },
+		method: method,
+		args:   func(wait time.Duration) any { return polling(wait) },
+		here: func(ctx context.Context, wait time.Duration) (Page, error) {
+			return r.resultsHere(ctx, polling(wait))
+		},
 		ready: func() bool { return len(lookUp(r.ledger.Of(query.BatchID), query).Results) > 0 },
 	})
 }
@@ -144,9 +148,10 @@
 // Item returns the body of an item. The error wraps ErrBehind.
 func (r *Reader) Item(ctx context.Context, query ItemQuery) (Body, error) {
 	return read(ctx, r, query.BatchID, 0, kind[Body]{
-		method: methodItem, args: func(time.Duration) any { return query },
-		here:  func(ctx context.Context, _ time.Duration) (Body, error) { return r.itemHere(ctx, query) },
-		ready: func() bool { return itemBody(r.ledger.Of(query.BatchID), query).Found },
+		method: methodItem,
+		args:   func(time.Duration) any { return query },
+		here:   func(ctx context.Context, _ time.Duration) (Body, error) { return r.itemHere(ctx, query) },
+		ready:  func() bool { return itemBody(r.ledger.Of(query.BatchID), query).Found },
 	})
 }
 
@@ -159,9 +164,10 @@
 // Items returns items of a batch as of now. The error wraps ErrBehind.
 func (r *Reader) Items(ctx context.Context, query ItemsQuery) (Items, error) {
 	return read(ctx, r, query.BatchID, 0, kind[Items]{
-		method: methodItems, args: func(time.Duration) any { return query },
-		here:  func(ctx context.Context, _ time.Duration) (Items, error) { return r.itemsHere(ctx, query) },
-		ready: func() bool { return false },
+		method: methodItems,
+		args:   func(time.Duration) any { return query },
+		here:   func(ctx context.Context, _ time.Duration) (Items, error) { return r.itemsHere(ctx, query) },
+		ready:  func() bool { return false },
 	})
 }
 
@@ -180,7 +186,8 @@
 	if !ok || watcher == r.self {
 		return 0, errors.Wrap(ErrBehind, "nobody else watches the partition")
 	}
-	beginning, err := callWatcher[Beginning](ctx, r, watcher, methodBeginning, BeginningQuery{BatchID: batchID}, 0)
+	query := BeginningQuery{BatchID: batchID}
+	beginning, err := callWatcher[Beginning](ctx, r, watcher, methodBeginning, query, 0)
 	if err == nil && !beginning.Found {
 		err = errors.Wrap(ErrBehind, "the watcher does not know the batch")
 	}
--- a/internal/batches/results/service.go
+++ b/internal/batches/results/service.go
@@ -63,7 +63,9 @@
 }
 
 // answer answers a question that may be kept open for wait within its time.
-func answer[Q, A any](s *Service, wait time.Duration, query Q, here func(context.Context, Q) (A, error)) (A, error) {
+func answer[Q, A any](
+	s *Service, wait time.Duration, query Q, here func(context.Context, Q) (A, error),
+) (A, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, wait+catchUpTimeout)
 	defer cancel()
 	return here(ctx, query)
--- a/internal/batches/results/trace.go
+++ b/internal/batches/results/trace.go
@@ -48,7 +48,14 @@
 
 // startTrace begins the trace of a question.
 func (r *Reader) startTrace(batchID string, wait time.Duration) *trace {
-	t := &trace{r: r, batchID: batchID, partition: r.ledger.Of(batchID), began: time.Now(), wait: wait, way: wayFold}
+	t := &trace{
+		r:         r,
+		batchID:   batchID,
+		partition: r.ledger.Of(batchID),
+		began:     time.Now(),
+		wait:      wait,
+		way:       wayFold,
+	}
 	t.missing, t.missingKnown = t.partition.Missing()
 	r.open.Add(1)
 	return t
--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -82,7 +82,8 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, assignTimeout)
 	defer cancel()
-	_, err = a.journal.Append(bounded, journal.Append{Partition: a.partitionOf(submission), Records: [][]byte{encoded}})
+	record := journal.Append{Partition: a.partitionOf(submission), Records: [][]byte{encoded}}
+	_, err = a.journal.Append(bounded, record)
 	a.logger.Info("batch assigned", zap.String("batch", submission.ID), zap.String("to", owner), zap.Error(err))
 }
 
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -189,9 +189,19 @@
 	header[http.CanonicalHeaderKey(names.RequestID)] = []string{it.ID}
 	names.SetTenant(header, j.submission.Tenant)
 	return &forward.StreamRequest{
-		Request: forward.Request{RequestID: it.ID, Method: http.MethodPost, Target: it.Path, Host: j.submission.Host,
-			Header: header, Body: it.Body, Caller: j.submission.Tenant},
-		After: it.lastEvent, HasAfter: it.hasEvent, Deadline: itemDeadline, Repeatable: true,
+		Request: forward.Request{
+			RequestID: it.ID,
+			Method:    http.MethodPost,
+			Target:    it.Path,
+			Host:      j.submission.Host,
+			Header:    header,
+			Body:      it.Body,
+			Caller:    j.submission.Tenant,
+		},
+		After:      it.lastEvent,
+		HasAfter:   it.hasEvent,
+		Deadline:   itemDeadline,
+		Repeatable: true,
 	}
 }
 
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -49,7 +49,9 @@
 func KeyOf(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.Born) }
 
 // withReports adds to an engine what other owners report of it.
-func (s *sharing) withReports(engine scheduling.Engine, rep replica.Replica, now time.Time) scheduling.Engine {
+func (s *sharing) withReports(
+	engine scheduling.Engine, rep replica.Replica, now time.Time,
+) scheduling.Engine {
 	if s == nil {
 		return engine
 	}
--- a/internal/batches/runner/fold.go
+++ b/internal/batches/runner/fold.go
@@ -30,7 +30,8 @@
 	defer cancel()
 	offset, err := r.locator.Beginning(bounded, batchID)
 	if err != nil {
-		r.logger.Info("partition read from its beginning", zap.String("batch", batchID), zap.Inline(whole), zap.Error(err))
+		r.logger.Info("partition read from its beginning", zap.String("batch", batchID), zap.Inline(whole),
+			zap.Error(err))
 		return whole
 	}
 	return r.ledger.From(whole.Name(), offset)
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -51,9 +51,13 @@
 func newJob(r *Runner, partition *ledger.Partition, b *batch.Batch) *job {
 	submission := b.Submission
 	j := &job{
-		r: r, partition: partition, submission: &submission, adoptedAt: time.Now(),
-		logger: r.logger.With(zap.String("batch", b.ID)), results: resultQueue{wake: make(chan struct{}, 1)},
-		placement: placement{groups: map[string]replica.Incarnation{}},
+		r:          r,
+		submission: &submission,
+		partition:  partition,
+		adoptedAt:  time.Now(),
+		logger:     r.logger.With(zap.String("batch", b.ID)),
+		placement:  placement{groups: map[string]replica.Incarnation{}},
+		results:    resultQueue{wake: make(chan struct{}, 1)},
 	}
 	j.ctx, j.cancel = context.WithCancel(r.ctx)
 	j.placement.required, j.placement.lengths = r.history.begin(&submission)
@@ -83,9 +87,9 @@
 		}
 	}
 	s := j.submission
-	j.logger.Info("batch owned", zap.Int("items", len(j.items)), zap.Int("listed", listed), zap.Int("begun", begun),
-		zap.Int64("step", s.Step), zap.String("model", s.Model), zap.Int64("min_version", s.MinVersion),
-		zap.Int("desired", s.Desired), zap.Inline(j.partition))
+	j.logger.Info("batch owned", zap.Int("items", len(j.items)), zap.Int("listed", listed),
+		zap.Int("begun", begun), zap.Int64("step", s.Step), zap.String("model", s.Model),
+		zap.Int64("min_version", s.MinVersion), zap.Int("desired", s.Desired), zap.Inline(j.partition))
 }
 
 // run keeps the job until its batch has no more to do here.
--- a/internal/batches/runner/listing.go
+++ b/internal/batches/runner/listing.go
@@ -36,7 +36,8 @@
 	j.logger.Info("item finished", zap.String("item", it.ID), zap.String("outcome", outcome),
 		zap.String("reason", reason), zap.Int("attempts", it.attempt), zap.Int64("expected", it.expectedTokens),
 		zap.Int("bytes", len(result.Text)), zap.Duration("took", time.Since(it.startedAt)),
-		zap.Int64("events", it.lastEvent), zap.Int64s("versions", result.Versions), zap.String("replica", it.lastReplica))
+		zap.Int64("events", it.lastEvent), zap.Int64s("versions", result.Versions),
+		zap.String("replica", it.lastReplica))
 	signal(j.results.wake)
 }
 
--- a/internal/batches/runner/release.go
+++ b/internal/batches/runner/release.go
@@ -29,7 +29,8 @@
 	}
 	j.mu.Unlock()
 	j.logger.Info("batch released", zap.Int("under_way", len(handedOff)))
-	if err := j.r.appendUntil(ctx, j.partition, batch.Released(j.submission.ID, j.r.self, handedOff)); err != nil {
+	record := batch.Released(j.submission.ID, j.r.self, handedOff)
+	if err := j.r.appendUntil(ctx, j.partition, record); err != nil {
 		// The watchers take the batch over as its owner is silent.
 		j.logger.Info("release not recorded", zap.Error(err))
 		return
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -75,7 +75,8 @@
 		rewardRoute, ok := configuration.Find(it.Reward.Host, it.Reward.Path)
 		switch {
 		case !ok:
-			j.logger.Info("reward call has no route", zap.String("item", it.ID), zap.Int64("configuration", configuration.Version))
+			j.logger.Info("reward call has no route", zap.String("item", it.ID),
+				zap.Int64("configuration", configuration.Version))
 		case !j.r.rewardRoom(rewardRoute):
 			periodic.Pause(j.ctx, rewardRoomPause)
 			continue
@@ -111,12 +112,21 @@
 	forwarder := j.r.forwarder
 	header := http.Header{http.CanonicalHeaderKey(forwarder.Names.RequestID): {it.Reward.ID}}
 	answer, err := forwarder.Do(ctx, &forward.Call{
-		Request: forward.Request{RequestID: it.Reward.ID, Method: http.MethodPost, Target: it.Reward.Path, Host: it.Reward.Host,
-			Header: header, Body: it.Reward.Body},
-		Services: rt.Order(it.Reward.ID), Repeatable: true, MaxAttempts: 1,
+		Request: forward.Request{
+			RequestID: it.Reward.ID,
+			Method:    http.MethodPost,
+			Target:    it.Reward.Path,
+			Host:      it.Reward.Host,
+			Header:    header,
+			Body:      it.Reward.Body,
+		},
+		Services:    rt.Order(it.Reward.ID),
+		Repeatable:  true,
+		MaxAttempts: 1,
 	})
 	if err != nil {
-		j.logger.Info("reward call failed", zap.String("item", it.ID), zap.String("reward", it.Reward.ID), zap.Error(err))
+		j.logger.Info("reward call failed", zap.String("item", it.ID), zap.String("reward", it.Reward.ID),
+			zap.Error(err))
 		return "", false, nil
 	}
 	defer answer.Close()
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -121,13 +121,26 @@
 
 // New returns a runner whose owner name is self. All its work ends with the
 // context.
-func New(ctx context.Context, self string, batches *ledger.Ledger, forwarder *forward.Forwarder, operator Operator,
-	demands *demand.Publisher, assigner *Assigner, locator Locator, logger *zap.Logger) *Runner {
+func New(
+	ctx context.Context, self string, batches *ledger.Ledger, forwarder *forward.Forwarder, operator Operator,
+	demands *demand.Publisher, assigner *Assigner, locator Locator, logger *zap.Logger,
+) *Runner {
 	return &Runner{
-		self: self, startedAt: time.Now(), ctx: ctx, logger: logger,
-		ledger: batches, table: forwarder.Table, forwarder: forwarder, operator: operator, demands: demands,
-		assigner: assigner, locator: locator, observe: func(string, time.Duration) {},
-		history: newHistory(), jobs: map[string]*job{}, wake: make(chan struct{}, 1),
+		self:      self,
+		startedAt: time.Now(),
+		ctx:       ctx,
+		logger:    logger,
+		ledger:    batches,
+		table:     forwarder.Table,
+		forwarder: forwarder,
+		operator:  operator,
+		demands:   demands,
+		assigner:  assigner,
+		locator:   locator,
+		observe:   func(string, time.Duration) {},
+		history:   newHistory(),
+		jobs:      map[string]*job{},
+		wake:      make(chan struct{}, 1),
 	}
 }
 
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -60,8 +60,14 @@
 
 func engineOf(rep replica.Replica, now time.Time) scheduling.Engine {
 	return scheduling.Engine{
-		ID: rep.ID, Zone: rep.Zone, Slots: rep.Slots, InFlight: rep.InFlight, EventTime: rep.EventTime,
-		Avoided: rep.Probing || now.Before(rep.AvoidUntil), Declining: rep.Declining, Versions: rep.Versions,
+		ID:        rep.ID,
+		Zone:      rep.Zone,
+		Slots:     rep.Slots,
+		InFlight:  rep.InFlight,
+		EventTime: rep.EventTime,
+		Avoided:   rep.Probing || now.Before(rep.AvoidUntil),
+		Declining: rep.Declining,
+		Versions:  rep.Versions,
 	}
 }
 
@@ -140,7 +146,11 @@
 func (j *job) contentOf(it *item) *quarantine.Content {
 	if it.content == nil {
 		it.content = &quarantine.Content{
-			Caller: j.submission.Tenant, Method: http.MethodPost, Host: j.submission.Host, Target: it.Path, Body: it.Body,
+			Caller: j.submission.Tenant,
+			Method: http.MethodPost,
+			Host:   j.submission.Host,
+			Target: it.Path,
+			Body:   it.Body,
 		}
 	}
 	return it.content
--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -105,7 +105,10 @@
 		return best
 	}
 	near, ok := p.byID[it.GroupEngine]
-	if ok && near != best && p.passes(near, it, choice) && p.score(near, choice)-sharedPromptBonus < p.score(best, choice) {
+	if !ok || near == best || !p.passes(near, it, choice) {
+		return best
+	}
+	if p.score(near, choice)-sharedPromptBonus < p.score(best, choice) {
 		return near
 	}
 	return best
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -81,7 +81,12 @@
 	for i := range snapshot.Engines {
 		e := &snapshot.Engines[i]
 		inFlight := e.InFlight + e.OthersInFlight
-		p.engines[i] = engineState{Engine: e, inFlight: inFlight, idleConns: e.IdleConns, load: float64(inFlight) * loadOf(0)}
+		p.engines[i] = engineState{
+			Engine:    e,
+			inFlight:  inFlight,
+			idleConns: e.IdleConns,
+			load:      float64(inFlight) * loadOf(0),
+		}
 		p.byID[e.ID] = i
 	}
 	for i := range snapshot.Items {
--- a/internal/batches/scheduling/pool.go
+++ b/internal/batches/scheduling/pool.go
@@ -19,7 +19,8 @@
 
 // pool returns the engines for an item.
 func (p *planner) pool(it *Item, choice choice) *pool {
-	return p.pools.get(poolKey{class: classOf(it), choice: choice}, func() *pool { return p.newPool(it, choice) })
+	key := poolKey{class: classOf(it), choice: choice}
+	return p.pools.get(key, func() *pool { return p.newPool(it, choice) })
 }
 
 func (p *planner) newPool(it *Item, choice choice) *pool {
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -71,8 +71,8 @@
 
 // short reports whether a text surely ends before its step, at any engine.
 func (p *planner) short(it *Item) bool {
-	tier := p.tier(it)
-	return it.MaxRemaining > 0 && !it.Required && tier.ordinaryTime > 0 && it.MaxRemaining*tier.ordinaryTime <= p.step(it).end
+	ordinary := p.tier(it).ordinaryTime
+	return it.MaxRemaining > 0 && !it.Required && ordinary > 0 && it.MaxRemaining*ordinary <= p.step(it).end
 }
 
 // deferred reports whether a text need not start yet: so many others of its step are under
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -48,8 +48,8 @@
 	slices.Sort(times)
 	t.bestTime, t.ordinaryTime = times[0], times[len(times)*3/4]
 	for i := range p.Engines {
-		t.fast[i] = p.Engines[i].Holds(it) && p.Engines[i].EventTime > 0 && p.eventTime(i) < fastRatio*t.ordinaryTime
-		if t.fast[i] {
+		if p.Engines[i].Holds(it) && p.Engines[i].EventTime > 0 && p.eventTime(i) < fastRatio*t.ordinaryTime {
+			t.fast[i] = true
 			t.fastest = append(t.fastest, i)
 		}
 	}
