--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -16,7 +16,12 @@
 func submission(id string, items int, minVersion int64) *Submission {
 	sub := &Submission{ID: id, Host: "host", Path: "/path/", MinVersion: minVersion, Desired: 1}
 	for i := 0; i < items; i++ {
-		sub.Items = append(sub.Items, Item{ID: fmt.Sprintf("%s-%d", id, i), Path: "/path/x", Body: []byte{byte(i)}, Group: fmt.Sprint(i / 2)})
+		sub.Items = append(sub.Items, Item{
+			ID:    fmt.Sprintf("%s-%d", id, i),
+			Path:  "/path/x",
+			Body:  []byte{byte(i)},
+			Group: fmt.Sprint(i / 2),
+		})
 	}
 	return sub
 }
@@ -33,7 +38,11 @@
 // drawProgress draws a part of the text that each item has: event n is byte n.
 func drawProgress(t *rapid.T) Progress {
 	from := rapid.IntRange(-1, 6).Draw(t, "from")
-	p := Progress{Item: rapid.IntRange(-1, 6).Draw(t, "item"), From: from, Versions: rapid.SliceOfN(rapid.Int64Range(1, 4), 0, 2).Draw(t, "versions")}
+	p := Progress{
+		Item:     rapid.IntRange(-1, 6).Draw(t, "item"),
+		From:     from,
+		Versions: rapid.SliceOfN(rapid.Int64Range(1, 4), 0, 2).Draw(t, "versions"),
+	}
 	for range rapid.IntRange(0, 4).Draw(t, "events") {
 		p.LastEvent = int64(from + len(p.Events))
 		p.Events = append(p.Events, []byte{byte(p.LastEvent)})
@@ -224,7 +233,9 @@
 func BenchmarkApply(b *testing.B) {
 	records := [][]byte{Accepted(submission("a", 1000, 0), "one")}
 	for item := range 1000 {
-		records = append(records, Listed("a", []Result{{Item: item, Outcome: Done, Text: make([]byte, 10<<10), Versions: []int64{1}}}))
+		records = append(records, Listed("a", []Result{
+			{Item: item, Outcome: Done, Text: make([]byte, 10<<10), Versions: []int64{1}},
+		}))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -70,7 +70,13 @@
 		// An outcome that is not known may come about at any later time.
 		end = int64(1) << 62
 	}
-	r.history = append(r.history, porcupine.Operation{ClientId: client, Input: done, Output: done, Call: began.Sub(r.start).Nanoseconds(), Return: end})
+	r.history = append(r.history, porcupine.Operation{
+		ClientId: client,
+		Input:    done,
+		Output:   done,
+		Call:     began.Sub(r.start).Nanoseconds(),
+		Return:   end,
+	})
 }
 
 // Daemons that accept and ask at the same time, while answers are lost, calls
@@ -107,7 +113,12 @@
 			if call == journaltest.Read && drawn > 1 {
 				return journaltest.None
 			}
-			return map[int]journaltest.Fault{0: journaltest.Refuse, 1: journaltest.Hang, 2: journaltest.LoseAnswer, 3: journaltest.Late}[drawn]
+			return map[int]journaltest.Fault{
+				0: journaltest.Refuse,
+				1: journaltest.Hang,
+				2: journaltest.LoseAnswer,
+				3: journaltest.Late,
+			}[drawn]
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		var clients sync.WaitGroup
--- a/internal/batches/occupancy/rpc_test.go
+++ b/internal/batches/occupancy/rpc_test.go
@@ -51,9 +51,11 @@
 	has := func(requests uint32) Source {
 		return func() Report {
 			return Report{
-				Counts:   []Count{{Replica: engine, Requests: requests}},
-				Measured: []Measurement{NewMeasurement(engine+Key(requests), time.Duration(requests)*10*time.Millisecond, 0)},
-				Demands:  []Demand{{Service: 1, Rank: 2, InFlight: requests, Waiting: 4}},
+				Counts: []Count{{Replica: engine, Requests: requests}},
+				Measured: []Measurement{
+					NewMeasurement(engine+Key(requests), time.Duration(requests)*10*time.Millisecond, 0),
+				},
+				Demands: []Demand{{Service: 1, Rank: 2, InFlight: requests, Waiting: 4}},
 			}
 		}
 	}
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -20,7 +20,12 @@
 
 // reported is a report with some requests at one engine, sent at a time of the sender's clock.
 func reported(run string, number uint64, sent time.Time, requests uint32) Report {
-	return Report{Sender: run, Number: number, Sent: sent.UnixMilli(), Counts: []Count{{Replica: engine, Requests: requests}}}
+	return Report{
+		Sender: run,
+		Number: number,
+		Sent:   sent.UnixMilli(),
+		Counts: []Count{{Replica: engine, Requests: requests}},
+	}
 }
 
 // heard runs a test of a table in virtual time, with the clock of its machine.
@@ -120,7 +125,13 @@
 		is.Equal(table.InFlight(engine), 5)
 		// After a time without reports the base is still known.
 		time.Sleep(2 * reportLifetime)
-		more := Report{Sender: "a/1", Number: 3, Base: 2, Sent: clock.Now().UnixMilli(), Counts: []Count{{Replica: engine + 1, Requests: 1}}}
+		more := Report{
+			Sender: "a/1",
+			Number: 3,
+			Base:   2,
+			Sent:   clock.Now().UnixMilli(),
+			Counts: []Count{{Replica: engine + 1, Requests: 1}},
+		}
 		is.Equal(table.Merge(more), Taken)
 		is.Equal(table.InFlight(engine), 5)
 		is.Equal(table.InFlight(engine+1), 1)
@@ -185,7 +196,9 @@
 		is.Equal(table.Merge(reported("late/1", 1, clock.Now(), 1)), Taken)
 		is.Equal(len(table.daemons), maxDaemons)
 		for i := range maxEventTimes {
-			table.Adopt(Occupancy{Measured: []Measurement{{Replica: Key(i), EventTime: 1}, {Replica: Key(maxEventTimes + i), EventTime: 1}}})
+			table.Adopt(Occupancy{
+				Measured: []Measurement{{Replica: Key(i), EventTime: 1}, {Replica: Key(maxEventTimes + i), EventTime: 1}},
+			})
 		}
 		is.Equal(len(table.eventTimes), maxEventTimes)
 		time.Sleep(max(rememberFor, eventTimeLifetime) + time.Second)
@@ -198,7 +211,12 @@
 func TestThePaceMeasuredLastCounts(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		tell := func(run string, pace, age time.Duration) {
-			report := Report{Sender: run, Number: 1, Sent: clock.Now().UnixMilli(), Measured: []Measurement{NewMeasurement(engine, pace, age)}}
+			report := Report{
+				Sender:   run,
+				Number:   1,
+				Sent:     clock.Now().UnixMilli(),
+				Measured: []Measurement{NewMeasurement(engine, pace, age)},
+			}
 			is.Equal(table.Merge(report), Taken)
 		}
 		tell("a/1", 30*time.Millisecond, 2*time.Second)
--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -182,7 +182,12 @@
 }
 
 func newFleet(ctx context.Context, t *testing.T, options fleetOptions, logger *zap.Logger) *fleet {
-	f := &fleet{options: options, log: journaltest.New(), store: &line{bytesPerSecond: options.carries, whole: options.whole}, began: time.Now()}
+	f := &fleet{
+		options: options,
+		log:     journaltest.New(),
+		store:   &line{bytesPerSecond: options.carries, whole: options.whole},
+		began:   time.Now(),
+	}
 	f.readTakes.Store(int64(options.takes))
 	f.log.Partitions = options.partitions
 	f.log.RecordBytes = 256 << 10
@@ -206,13 +211,20 @@
 		id := fmt.Sprintf("b%d", i)
 		submission := &batch.Submission{ID: id}
 		for item := range f.options.texts {
-			submission.Items = append(submission.Items, batch.Item{ID: fmt.Sprintf("%s-%d", id, item), Body: make([]byte, 200)})
+			submission.Items = append(submission.Items, batch.Item{
+				ID:   fmt.Sprintf("%s-%d", id, item),
+				Body: make([]byte, 200),
+			})
 		}
 		put(id, batch.Accepted(submission, "owner"))
 		for first := 0; first < f.options.texts; first += f.options.perRecord {
 			var listed []batch.Result
 			for item := first; item < min(first+f.options.perRecord, f.options.texts); item++ {
-				listed = append(listed, batch.Result{Item: item, Outcome: batch.Done, Text: make([]byte, f.options.textBytes)})
+				listed = append(listed, batch.Result{
+					Item:    item,
+					Outcome: batch.Done,
+					Text:    make([]byte, f.options.textBytes),
+				})
 			}
 			put(id, batch.Listed(id, listed))
 		}
@@ -226,7 +238,8 @@
 		rate = f.options.strong
 	}
 	s := &stop{run: identity.New(fmt.Sprintf("m%d", number), time.Now()), rests: map[string]time.Time{},
-		down: &line{bytesPerSecond: rate, whole: f.options.whole}, up: &line{bytesPerSecond: rate, whole: f.options.whole}}
+		down: &line{bytesPerSecond: rate, whole: f.options.whole},
+		up:   &line{bytesPerSecond: rate, whole: f.options.whole}}
 	var log journal.Journal = distant{Journal: f.log, fleet: f, lines: []*line{f.store, s.down}}
 	if f.options.revive {
 		s.revived = journal.Revive(log, zap.NewNop())
@@ -240,7 +253,9 @@
 	go s.watch(ctx)
 	// Daemons that are asked now and then save up all along.
 	time.AfterFunc(f.options.knowPeers, func() { s.reader.budget.adjust(time.Now()) })
-	for i, held := range []time.Duration{1200 * time.Millisecond, 1200 * time.Millisecond, 9 * time.Second, 9 * time.Second} {
+	for i, held := range []time.Duration{
+		1200 * time.Millisecond, 1200 * time.Millisecond, 9 * time.Second, 9 * time.Second,
+	} {
 		go follow(ctx, log, journal.Partition{Topic: fmt.Sprintf("keyed.%d", i)}, held)
 	}
 	return s
@@ -257,7 +272,8 @@
 	}
 }
 
-// watch follows the partitions dealt to the daemon once the group has settled, and drops folds that nobody uses.
+// watch follows the partitions dealt to the daemon once the group has settled, and drops folds that
+// nobody uses.
 func (s *stop) watch(ctx context.Context) {
 	type followed struct {
 		release func()
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -71,7 +71,8 @@
 	return j.Journal.Read(ctx, request)
 }
 
-// alone are the watchers and peers of one daemon: the watcher is told after a time, and does what the test says.
+// alone are the watchers and peers of one daemon: the watcher is told after a time, and does what
+// the test says.
 type alone struct {
 	watcher string
 	learn   time.Duration
@@ -122,6 +123,11 @@
 	return NewReader(batches, peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
 }
 
+// aloneReader is a reader that has nobody to ask.
+func aloneReader(batches *ledger.Ledger) *Reader {
+	return NewReader(batches, nil, nil, journal.Grants{}, "h", zap.NewNop())
+}
+
 // A question whose own read has an answer after 0.5 s is answered then, also where nobody can say
 // who holds the partition.
 func TestAnOwnAnswerDoesNotWaitForTheSearchOfTheWatcher(t *testing.T) {
@@ -151,7 +157,7 @@
 		is := is.New(t)
 		ctx := t.Context()
 		log := bulky(ctx, t, 1)
-		watcher := NewReader(ledger.New(ctx, log, zap.NewNop()), nil, nil, journal.Grants{}, "h", zap.NewNop()).Service(ctx)
+		watcher := aloneReader(ledger.New(ctx, log, zap.NewNop())).Service(ctx)
 		blamed := false
 		peers := &alone{daemons: 4, learn: 550 * time.Millisecond, watcher: identity.New("h", time.Now())}
 		peers.answer = func(ctx context.Context, args, reply any) error {
@@ -167,7 +173,8 @@
 				return ctx.Err()
 			}
 		}
-		reader := NewReader(ledger.New(ctx, log, zap.NewNop()), peers, peers, scarce, identity.New("m0", time.Now()), zap.NewNop())
+		batches := ledger.New(ctx, log, zap.NewNop())
+		reader := NewReader(batches, peers, peers, scarce, identity.New("m0", time.Now()), zap.NewNop())
 		const wait = 2 * time.Second
 		began := time.Now()
 		page, err := reader.Results(ctx, Query{BatchID: "b", After: 10, Wait: wait})
@@ -211,7 +218,8 @@
 					}
 					after = max(after, page.Next)
 				}
-				t.Logf("told after %v, %d refused, %d bytes read by the daemon", time.Since(began), refused, log.Usage().ReadBytes)
+				t.Logf("told after %v, %d refused, %d bytes read by the daemon",
+					time.Since(began), refused, log.Usage().ReadBytes)
 				is.True(time.Since(began) < 15*time.Second)
 			})
 		})
@@ -226,7 +234,8 @@
 		log := bulky(ctx, t, 1)
 		core, lines := observer.New(zap.InfoLevel)
 		peers := &alone{daemons: 84, watcher: ""}
-		reader := NewReader(ledger.New(ctx, tardy{log, takes}, zap.NewNop()), peers, peers, log.Granted, "m0", zap.New(core))
+		batches := ledger.New(ctx, tardy{log, takes}, zap.NewNop())
+		reader := NewReader(batches, peers, peers, log.Granted, "m0", zap.New(core))
 		time.Sleep(ownReadTime)
 		const questions = 20
 		for range questions {
@@ -250,7 +259,7 @@
 		ctx := t.Context()
 		const takes = 300 * time.Millisecond
 		log := bulky(ctx, t, 8)
-		reader := NewReader(ledger.New(ctx, tardy{log, takesAtFirst(takes)}, zap.NewNop()), nil, nil, journal.Grants{}, "h", zap.NewNop())
+		reader := aloneReader(ledger.New(ctx, tardy{log, takesAtFirst(takes)}, zap.NewNop()))
 		began := time.Now()
 		page, err := reader.Results(ctx, Query{BatchID: "b"})
 		is.NoErr(err)
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -100,7 +100,10 @@
 			configuration := journal.Partition{Topic: "configuration"}
 			for asking.Err() == nil {
 				before := time.Now()
-				appended, err := d.log.Append(ctx, journal.Append{Partition: configuration, Records: [][]byte{make([]byte, 1024)}})
+				appended, err := d.log.Append(ctx, journal.Append{
+					Partition: configuration,
+					Records:   [][]byte{make([]byte, 1024)},
+				})
 				if err != nil {
 					t.Error(err)
 				}
@@ -112,7 +115,9 @@
 			}
 		})
 		for i := range 2 * restartBatches {
-			clients.Go(func() { d.readWhole(asking, fmt.Sprintf("b%d", i%restartBatches), rand.New(rand.NewPCG(7, uint64(i)))) })
+			clients.Go(func() {
+				d.readWhole(asking, fmt.Sprintf("b%d", i%restartBatches), rand.New(rand.NewPCG(7, uint64(i))))
+			})
 		}
 		clients.Wait()
 		took := time.Since(began)
@@ -120,7 +125,8 @@
 		stop()
 		prompt.Wait()
 		unasked := logs.FilterMessage("partition read for a question").Len()
-		t.Logf("%d batches told after %v, %d MB read, %d questions whose watcher did not answer", restartBatches, took, read>>20, unasked)
+		t.Logf("%d batches told after %v, %d MB read, %d questions whose watcher did not answer",
+			restartBatches, took, read>>20, unasked)
 		is.True(took < restartAnswered)
 		// Such a question costs a page at once, as it may have no other answer.
 		own := float64(read - restartBatches*restartBytes - unasked*d.readers[0].ledger.PageBytes())
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -137,7 +137,10 @@
 		d := newDaemons(ctx, 40)
 		d.accept(t, "b", 3)
 		text := make([]byte, 100<<10)
-		d.append(t, "b", batch.Listed("b", []batch.Result{{Item: 0, Outcome: batch.Done, Text: text}, {Item: 2, Outcome: batch.Done, Text: text}}))
+		d.append(t, "b", batch.Listed("b", []batch.Result{
+			{Item: 0, Outcome: batch.Done, Text: text},
+			{Item: 2, Outcome: batch.Done, Text: text},
+		}))
 		release := d.ledgers[0].Of("b").Follow()
 		defer release()
 		time.Sleep(3 * time.Second)
@@ -351,7 +354,11 @@
 		for i := 0; later == "" || d.ledgers[0].Of(later).Name() != partition; i++ {
 			later = fmt.Sprintf("later-%d", i)
 		}
-		d.append(t, later, batch.Accepted(&batch.Submission{ID: later, Tenant: "t", Items: []batch.Item{{ID: "i"}}}, "owner"))
+		d.append(t, later, batch.Accepted(&batch.Submission{
+			ID:     later,
+			Tenant: "t",
+			Items:  []batch.Item{{ID: "i"}},
+		}, "owner"))
 		page, err := d.readers[1].Results(ctx, Query{BatchID: later, Tenant: "t"})
 		is.NoErr(err)
 		is.True(page.Found)
@@ -410,7 +417,9 @@
 		core, logs := observer.New(zap.InfoLevel)
 		reader := NewReader(ledger.New(ctx, d.log, zap.NewNop()), d, d, scarce, d.runs[1], zap.New(core))
 		var ways []string
-		reader.SetObserver(func(way string, answered bool, _ time.Duration) { ways = append(ways, fmt.Sprint(way, answered)) })
+		reader.SetObserver(func(way string, answered bool, _ time.Duration) {
+			ways = append(ways, fmt.Sprint(way, answered))
+		})
 		d.dark[identity.Machine(d.runs[0])] = true
 		d.log.SetBefall(func(call journaltest.Call) journaltest.Fault {
 			if call == journaltest.Read {
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -38,7 +38,8 @@
 				options := reported()
 				options.daemons, options.partitions, options.batches = 3, 1, 12
 				// Each daemon may save up what all partitions hold.
-				options.granted = 2 * float64(options.daemons*options.batches*options.texts*options.textBytes) / ownReadShare / ownReadTime.Seconds()
+				bytes := options.daemons * options.batches * options.texts * options.textBytes
+				options.granted = 2 * float64(bytes) / ownReadShare / ownReadTime.Seconds()
 				f := newFleet(ctx, t, options, zap.NewNop())
 				time.Sleep(recovered)
 				worse(f)
@@ -70,7 +71,8 @@
 			set(&options)
 			told := tellAll(t, options, recovered)
 			if told.refused+told.left > 0 {
-				t.Errorf("of %d questions %d were refused, and %d without an answer as their caller left", told.questions, told.refused, told.left)
+				t.Errorf("of %d questions %d were refused, and %d without an answer as their caller left",
+					told.questions, told.refused, told.left)
 			}
 		})
 	}
@@ -113,7 +115,8 @@
 		defer stop()
 		told = f.ask(asking, 7, 3)
 		t.Logf("%d questions, %d refused, %d left, at most %d tries, told after %v, %d MB read, %d MB from watchers",
-			told.questions, told.refused, told.left, told.most, told.took, (f.store.carried.Load()-before)>>20, f.told.Load()>>20)
+			told.questions, told.refused, told.left, told.most, told.took,
+			(f.store.carried.Load()-before)>>20, f.told.Load()>>20)
 	})
 	return told
 }
--- a/internal/batches/runner/dispatch_test.go
+++ b/internal/batches/runner/dispatch_test.go
@@ -20,7 +20,10 @@
 // they come in a few large batches (the users' rule on weights, of their news).
 func TestASplitRouteDividesTheItemsOfOneBatch(t *testing.T) {
 	is := is.New(t)
-	split := &route.Route{Kind: route.Batch, Shares: []route.Share{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}}}
+	split := &route.Route{
+		Kind:   route.Batch,
+		Shares: []route.Share{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}},
+	}
 	const items = 400
 	counts := map[string]int{}
 	for i := range items {
@@ -38,7 +41,11 @@
 	now := replica.Replica{Entry: replica.Entry{ID: "a", Born: time.UnixMilli(2)}}
 	other := replica.Replica{Entry: replica.Entry{ID: "b"}}
 	items := func() []scheduling.Item {
-		return []scheduling.Item{{GroupEngine: string(before.Incarnation())}, {GroupEngine: string(other.Incarnation())}, {}}
+		return []scheduling.Item{
+			{GroupEngine: string(before.Incarnation())},
+			{GroupEngine: string(other.Incarnation())},
+			{},
+		}
 	}
 	engines := func(v view) (named []string) {
 		v.nameGroupEngines()
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -142,7 +142,12 @@
 	snap := scheduling.Snapshot{NoMoves: true}
 	for i := range standEngines {
 		rep := replica.Replica{Entry: replica.Entry{ID: fmt.Sprintf("e%d", i)}}
-		engine := scheduling.Engine{ID: rep.ID, Slots: standSlots, InFlight: owner.at(i), Avoided: s.tick < owner.resting[i]}
+		engine := scheduling.Engine{
+			ID:       rep.ID,
+			Slots:    standSlots,
+			InFlight: owner.at(i),
+			Avoided:  s.tick < owner.resting[i],
+		}
 		snap.Engines = append(snap.Engines, owner.sharing.withReports(engine, rep, s.now()))
 	}
 	for _, text := range owner.texts {
@@ -275,7 +280,9 @@
 	now := time.Now()
 	rep := replica.Replica{Entry: replica.Entry{ID: "e"}}
 	told := func(age time.Duration) {
-		s.table.Adopt(occupancy.Occupancy{Measured: []occupancy.Measurement{occupancy.NewMeasurement(KeyOf(rep), 20*time.Millisecond, age)}})
+		s.table.Adopt(occupancy.Occupancy{
+			Measured: []occupancy.Measurement{occupancy.NewMeasurement(KeyOf(rep), 20*time.Millisecond, age)},
+		})
 	}
 	eventTime := func(own, age time.Duration) time.Duration {
 		rep.EventTime, rep.EventAt = own, now.Add(-age)
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -44,7 +44,9 @@
 }
 
 // putOthers fills a partition with some bytes of other batches.
-func putOthers(ctx context.Context, t *testing.T, log journal.Journal, partition journal.Partition, bytes int) {
+func putOthers(
+	ctx context.Context, t *testing.T, log journal.Journal, partition journal.Partition, bytes int,
+) {
 	t.Helper()
 	const part = 64 << 10
 	for i := range bytes / part {
--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -20,7 +20,12 @@
 	t.Helper()
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Replace([]replica.Entry{{ID: "from", Service: "s", Slots: 4}, {ID: "to", Service: "s", Slots: 4}})
-	j := &job{r: &Runner{table: table}, submission: &batch.Submission{}, placement: placement{groups: map[string]replica.Incarnation{}}, logger: zap.NewNop()}
+	j := &job{
+		r:          &Runner{table: table},
+		submission: &batch.Submission{},
+		placement:  placement{groups: map[string]replica.Incarnation{}},
+		logger:     zap.NewNop(),
+	}
 	j.ctx, j.cancel = context.WithCancel(t.Context())
 	it := &item{state: itemRunning, attempt: 1, lastReplica: "from", cancel: func() {}, buffering: true}
 	j.items = []*item{it}
@@ -33,12 +38,19 @@
 
 // tryOf is an attempt at the replica that an item is at.
 func tryOf(j *job, it *item, number int, rt *route.Route) *attempt {
-	return &attempt{routedItem: routedItem{job: j, item: it, route: rt}, number: number, replica: replica.Replica{Entry: replica.Entry{ID: "from"}}}
+	return &attempt{
+		routedItem: routedItem{job: j, item: it, route: rt},
+		number:     number,
+		replica:    replica.Replica{Entry: replica.Entry{ID: "from"}},
+	}
 }
 
 // nextTryOf is an attempt at another replica, which was asked to go on.
 func nextTryOf(j *job, it *item) *attempt {
-	return &attempt{routedItem: routedItem{job: j, item: it, route: &route.Route{}}, replica: replica.Replica{Entry: replica.Entry{ID: "to"}}}
+	return &attempt{
+		routedItem: routedItem{job: j, item: it, route: &route.Route{}},
+		replica:    replica.Replica{Entry: replica.Entry{ID: "to"}},
+	}
 }
 
 // Events that come while another replica is asked are buffered: dropped if that one
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -119,7 +119,9 @@
 func TestANewOwnerReadsItsBatchAloneWhereTheJournalIsLate(t *testing.T) {
 	const others = 8 << 20
 	for name, groupTells := range map[string]bool{"the watcher is known": false, "the group tells": true} {
-		for _, takes := range []time.Duration{4 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond} {
+		for _, takes := range []time.Duration{
+			4 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond,
+		} {
 			t.Run(fmt.Sprint(name, ", ", takes), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -39,7 +39,12 @@
 	t.Helper()
 	j, it := movedJob(t)
 	j.r.operator = batchesFor(t, maxQueue)
-	j.submission = &batch.Submission{ID: "x", Host: "h", Path: "/p/x", AcceptedAtMs: time.Now().Add(-behind).UnixMilli()}
+	j.submission = &batch.Submission{
+		ID:           "x",
+		Host:         "h",
+		Path:         "/p/x",
+		AcceptedAtMs: time.Now().Add(-behind).UnixMilli(),
+	}
 	j.adoptedAt, j.results = time.Now(), resultQueue{wake: make(chan struct{}, 1)}
 	it.state, it.buffering, it.cancel = itemWaiting, false, nil
 	return j
@@ -90,7 +95,9 @@
 
 func TestTheTimeForAFirstEventDoubles(t *testing.T) {
 	is := is.New(t)
-	for attempt, timeout := range []time.Duration{1500 * time.Millisecond, 3 * time.Second, 6 * time.Second, 10 * time.Second, 10 * time.Second} {
+	for attempt, timeout := range []time.Duration{
+		1500 * time.Millisecond, 3 * time.Second, 6 * time.Second, 10 * time.Second, 10 * time.Second,
+	} {
 		is.Equal(firstEventTimeoutOf(attempt+1), timeout)
 	}
 }
--- a/internal/batches/runner/timing_test.go
+++ b/internal/batches/runner/timing_test.go
@@ -19,9 +19,19 @@
 	parts := map[string]time.Duration{}
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	owner := &Runner{observe: func(part string, took time.Duration) { parts[part] = took }}
-	j := &job{r: owner, submission: &batch.Submission{ID: "b", AcceptedAtMs: start.UnixMilli()}, adoptedAt: start.Add(time.Second), logger: zap.New(core)}
+	j := &job{
+		r:          owner,
+		submission: &batch.Submission{ID: "b", AcceptedAtMs: start.UnixMilli()},
+		adoptedAt:  start.Add(time.Second),
+		logger:     zap.New(core),
+	}
 	walk := func(id string, steps ...time.Duration) {
-		it := &item{Item: batch.Item{ID: id}, state: itemListed, text: text{lastEvent: 10}, timing: timing{since: j.adoptedAt}}
+		it := &item{
+			Item:   batch.Item{ID: id},
+			state:  itemListed,
+			text:   text{lastEvent: 10},
+			timing: timing{since: j.adoptedAt},
+		}
 		now := j.adoptedAt
 		for i, took := range steps {
 			now = now.Add(took)
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -74,7 +74,8 @@
 	jobs := ledger.New(ctx, log, zap.NewNop())
 	over, cancel := context.WithCancel(ctx)
 	cancel() // nothing that is taken over is run
-	return NewWatcher(&Runner{self: "b/1", ledger: jobs, locator: holds{}, logger: zap.NewNop(), ctx: over}, group), jobs.Of("x")
+	runner := &Runner{self: "b/1", ledger: jobs, locator: holds{}, logger: zap.NewNop(), ctx: over}
+	return NewWatcher(runner, group), jobs.Of("x")
 }
 
 func ownerOf(partition *ledger.Partition, batchID string) string {
@@ -170,7 +171,9 @@
 // longer for each of its reads: it took none of the batches over that it watched, for as
 // long as that lasted, and nobody else watches them.
 func TestASlowWatcherTakesBatchesOver(t *testing.T) {
-	for _, lag := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond, 700 * time.Millisecond} {
+	for _, lag := range []time.Duration{
+		0, 200 * time.Millisecond, 400 * time.Millisecond, 700 * time.Millisecond,
+	} {
 		for _, released := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%v released=%v", lag, released), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -34,7 +34,12 @@
 	l := &load{rests: map[string][]time.Duration{}, lengths: NewLengths()}
 	for i := range 45 {
 		pace := []time.Duration{loadFast, loadSlow, loadSlow, loadSlow}[i%4]
-		l.engines = append(l.engines, Engine{ID: fmt.Sprint("e", i), Slots: 8, EventTime: pace, Versions: map[string]int64{"0": 1, "1": 1}})
+		l.engines = append(l.engines, Engine{
+			ID:        fmt.Sprint("e", i),
+			Slots:     8,
+			EventTime: pace,
+			Versions:  map[string]int64{"0": 1, "1": 1},
+		})
 	}
 	random := rand.New(rand.NewPCG(seed, seed))
 	for i := range loadBatches * loadGroups * 8 {
@@ -96,7 +101,8 @@
 	}
 	for i := range snapshot.Engines {
 		engine := &snapshot.Engines[i]
-		l.rests[owner+engine.ID] = slices.DeleteFunc(l.rests[owner+engine.ID], func(until time.Duration) bool { return until < now })
+		rests := l.rests[owner+engine.ID]
+		l.rests[owner+engine.ID] = slices.DeleteFunc(rests, func(until time.Duration) bool { return until < now })
 		engine.IdleConns = len(l.rests[owner+engine.ID])
 		engine.EventTime += engine.EventTime * time.Duration(7*(engine.InFlight+engine.OthersInFlight)) / 1000
 	}
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -43,12 +43,15 @@
 		load := newLoad(seed + 1)
 		load.play()
 		for batch := range loadBatches {
-			took += load.needed(batch, func(each *text) time.Duration { return each.done - each.begins }) / (seeds * loadBatches)
-			bound += load.needed(batch, func(each *text) time.Duration { return time.Duration(each.length) * loadFast }) / (seeds * loadBatches)
+			needed := load.needed(batch, func(each *text) time.Duration { return each.done - each.begins })
+			took += needed / (seeds * loadBatches)
+			least := load.needed(batch, func(each *text) time.Duration { return time.Duration(each.length) * loadFast })
+			bound += least / (seeds * loadBatches)
 		}
 		connections, moves = connections+load.connections, moves+load.moves
 	}
-	t.Logf("steps took %v, bound %v, %d connections and %d moves for each %d texts", took, bound, connections/seeds, moves/seeds, loadBatches*loadGroups*8)
+	t.Logf("steps took %v, bound %v, %d connections and %d moves for each %d texts",
+		took, bound, connections/seeds, moves/seeds, loadBatches*loadGroups*8)
 	is.True(took < bound*120/100)
 	is.True(connections/seeds < 1300)
 	is.True(moves/seeds < 60)
@@ -90,7 +93,13 @@
 // the long one stayed at its slow engine to its end.
 func TestAPlaceAtAFastEngineIsKeptForATextThatNeedsIt(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(10, Item{Model: testModel, Remaining: 100, MaxRemaining: 140, Engine: "slow0", RunFor: time.Second})
+	snapshot := uneven(10, Item{
+		Model:        testModel,
+		Remaining:    100,
+		MaxRemaining: 140,
+		Engine:       "slow0",
+		RunFor:       time.Second,
+	})
 	for i := range snapshot.Engines {
 		snapshot.Engines[i].InFlight = snapshot.Engines[i].Slots
 	}
@@ -125,7 +134,13 @@
 // one, and none is held longer than is stated.
 func TestShortTextsWaitWhileTheStepLeavesRoom(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(40, Item{Model: testModel, Remaining: 100, MaxRemaining: 140, Engine: "fast", RunFor: time.Second})
+	snapshot := uneven(40, Item{
+		Model:        testModel,
+		Remaining:    100,
+		MaxRemaining: 140,
+		Engine:       "fast",
+		RunFor:       time.Second,
+	})
 	snapshot.Engines[2].IdleConns = 3
 	begun, connected := 0, 0
 	for _, decision := range Plan(snapshot) {
@@ -205,7 +220,12 @@
 func TestOnlyTextsThatDecideMove(t *testing.T) {
 	is := is.New(t)
 	snapshot := uneven(0, Item{Model: testModel, Remaining: 100, Engine: "fast", RunFor: time.Second})
-	snapshot.Items = append(snapshot.Items, Item{Model: testModel, Remaining: 20, Engine: "slow0", RunFor: time.Second})
+	snapshot.Items = append(snapshot.Items, Item{
+		Model:     testModel,
+		Remaining: 20,
+		Engine:    "slow0",
+		RunFor:    time.Second,
+	})
 	is.Equal(len(Plan(snapshot)), 0)
 	// It would miss the end, its engine having turned slow.
 	snapshot.Engines[1].EventTime = 200 * time.Millisecond
@@ -218,7 +238,13 @@
 	is := is.New(t)
 	snapshot := uneven(0, Item{Model: testModel, Remaining: 100, Engine: "fast", RunFor: time.Second})
 	for range 5 {
-		snapshot.Items = append(snapshot.Items, Item{Model: testModel, Remaining: 10, Engine: "slow0", RunFor: 600 * time.Millisecond, Overdue: 300 * time.Millisecond})
+		snapshot.Items = append(snapshot.Items, Item{
+			Model:     testModel,
+			Remaining: 10,
+			Engine:    "slow0",
+			RunFor:    600 * time.Millisecond,
+			Overdue:   300 * time.Millisecond,
+		})
 	}
 	decisions := Plan(snapshot)
 	is.Equal(len(decisions), maxOverdueMoves)
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -196,7 +196,14 @@
 func TestMovesPayForThemselves(t *testing.T) {
 	is := is.New(t)
 	movedFrom := func(pace time.Duration, remaining float64, runFor time.Duration) bool {
-		snapshot := Snapshot{Zone: "z", Engines: []Engine{paced("at", pace), paced("free", 40*time.Millisecond), paced("other", 40*time.Millisecond)}}
+		snapshot := Snapshot{
+			Zone: "z",
+			Engines: []Engine{
+				paced("at", pace),
+				paced("free", 40*time.Millisecond),
+				paced("other", 40*time.Millisecond),
+			},
+		}
 		snapshot.Items = []Item{{Model: testModel, Engine: "at", RunFor: runFor, Remaining: remaining}}
 		return len(Plan(snapshot)) == 1
 	}
@@ -252,9 +259,18 @@
 func TestRequestsOfOtherOwnersTakeRoom(t *testing.T) {
 	is := is.New(t)
 	engine := func(id string, pace time.Duration, others int) Engine {
-		return Engine{ID: id, Slots: 2, OthersInFlight: others, EventTime: pace, Versions: map[string]int64{testModel: 1}}
+		return Engine{
+			ID:             id,
+			Slots:          2,
+			OthersInFlight: others,
+			EventTime:      pace,
+			Versions:       map[string]int64{testModel: 1},
+		}
 	}
 	item := Item{Model: testModel, Remaining: 100}
-	decisions := Plan(Snapshot{Engines: []Engine{engine("fast", 20*time.Millisecond, 2), engine("slow", 50*time.Millisecond, 1)}, Items: []Item{item, item}})
+	decisions := Plan(Snapshot{
+		Engines: []Engine{engine("fast", 20*time.Millisecond, 2), engine("slow", 50*time.Millisecond, 1)},
+		Items:   []Item{item, item},
+	})
 	is.Equal(decisions, []Decision{Start{Item: 0, Engine: 1}})
 }
