--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -35,11 +35,12 @@
 // The zero value is not ready; use NewLengths.
 type Lengths struct {
 	mu sync.Mutex
-	// weight, mean and square are of the logarithms of events by hinted tokens.
-	weight, mean, square float64
-	// hint and spread are the mean of the logarithms of the hints and the mean square
-	// of their distance from it, along how that distance goes with the first logarithms'.
-	hint, spread, along float64
+	// weight is how many texts the means count as, up to maxWeight. mean and variance are of
+	// the logarithm of events by hinted tokens.
+	weight, mean, variance float64
+	// hintMean and hintVariance are of the logarithm of the hints, covariance is that of the
+	// two logarithms.
+	hintMean, hintVariance, covariance float64
 	// longest is the greatest length of late, in events.
 	longest float64
 }
@@ -47,7 +48,7 @@
 // NewLengths returns a forecast before any text.
 func NewLengths() *Lengths {
 	mean := -math.Log(tokensPerEvent)
-	return &Lengths{weight: defaultWeight, mean: mean, square: defaultSpread * defaultSpread}
+	return &Lengths{weight: defaultWeight, mean: mean, variance: defaultSpread * defaultSpread}
 }
 
 // Observe notes a whole text: the tokens hinted at and the events that it had.
@@ -60,15 +61,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.longest == 0 {
-		l.hint = hinted
+		l.hintMean = hinted
 	}
 	l.weight = min(l.weight+1, maxWeight)
-	off, hintOff := value-l.mean, hinted-l.hint
+	off, hintOff := value-l.mean, hinted-l.hintMean
 	l.mean += off / l.weight
-	l.hint += hintOff / l.weight
-	l.square += (off*(value-l.mean) - l.square) / l.weight
-	l.spread += (hintOff*(hinted-l.hint) - l.spread) / l.weight
-	l.along += (hintOff*(value-l.mean) - l.along) / l.weight
+	l.hintMean += hintOff / l.weight
+	l.variance += (off*(value-l.mean) - l.variance) / l.weight
+	l.hintVariance += (hintOff*(hinted-l.hintMean) - l.hintVariance) / l.weight
+	l.covariance += (hintOff*(value-l.mean) - l.covariance) / l.weight
 	l.longest = max(float64(events), l.longest*(1-1/float64(maxWeight)))
 }
 
@@ -78,14 +79,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	hinted := math.Log(float64(max(hint, 1)))
-	slope := l.along / (l.spread + defaultWeight*defaultSpread*defaultSpread/l.weight)
-	median = hinted + l.mean + slope*(hinted-l.hint)
-	square := l.square - 2*slope*l.along + slope*slope*l.spread
+	slope := l.covariance / (l.hintVariance + defaultWeight*defaultSpread*defaultSpread/l.weight)
+	median = hinted + l.mean + slope*(hinted-l.hintMean)
+	variance := l.variance - 2*slope*l.covariance + slope*slope*l.hintVariance
 	longest = math.Inf(1)
 	if l.weight >= defaultWeight+minTextsForLongest {
 		longest = l.longest
 	}
-	return min(median, math.Log(longest)), max(math.Sqrt(max(square, 0)), minSpread), longest
+	return min(median, math.Log(longest)), max(math.Sqrt(max(variance, 0)), minSpread), longest
 }
 
 // Remaining returns how many events are expected to come of a text with a hint, in
--- a/internal/batches/scheduling/length_test.go
+++ b/internal/batches/scheduling/length_test.go
@@ -37,7 +37,7 @@
 		lengths.Observe(hint, max(int(float64(hint)/100*math.Exp(0.3*source.NormFloat64())), 1))
 	}
 	is.True(math.Abs(lengths.Remaining(10000, 0)-100) < 10)
-	is.True(math.Abs(math.Sqrt(lengths.square)-0.3) < 0.05)
+	is.True(math.Abs(math.Sqrt(lengths.variance)-0.3) < 0.05)
 	// A text that has outrun its hint is long: it should be expected to go on.
 	is.True(lengths.Remaining(10000, 150) > 5)
 	is.True(lengths.Remaining(10000, 150) < 60)
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -97,7 +97,7 @@
 		}
 	}
 	p.compareEngines()
-	p.foresee()
+	p.forecastSteps()
 	return p
 }
 
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -36,9 +36,9 @@
 	return p.steps.get(stepKey{class: classOf(it), since: it.BatchSince}, func() *step { return &step{} })
 }
 
-// foresee works out when each step could end, which of its texts decide that, and what
+// forecastSteps works out when each step could end, which of its texts decide that, and what
 // the others come to.
-func (p *planner) foresee() {
+func (p *planner) forecastSteps() {
 	remaining := map[*tiers][]float64{}
 	for i := range p.Items {
 		it := &p.Items[i]
@@ -47,7 +47,7 @@
 		remaining[tier] = append(remaining[tier], it.Remaining)
 	}
 	for tier, values := range remaining {
-		tier.minRemaining = leastOf(values, tier.slots(p))
+		tier.minRemaining = nthLargest(values, tier.slots(p))
 	}
 	for i := range p.Items {
 		p.count(&p.Items[i])
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -91,11 +91,12 @@
 	return !it.Pinned && p.decidesStep(it, here) && worthMoving(here, it.Remaining*tier.bestTime)
 }
 
-// leastOf returns the smallest of the largest values, as many as are named.
-func leastOf(values []float64, count int) float64 {
-	if count >= len(values) {
+// nthLargest returns the n-th largest value, the largest one for an n below 1, and 0 if there are
+// no more values than n. It sorts the values.
+func nthLargest(values []float64, n int) float64 {
+	if n >= len(values) {
 		return 0
 	}
 	slices.Sort(values)
-	return values[len(values)-1-max(count-1, 0)]
+	return values[len(values)-1-max(n-1, 0)]
 }
