--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -237,8 +237,8 @@
 	return !slices.ContainsFunc(versions, func(version int64) bool { return version < b.MinVersion })
 }
 
-// end closes the batch. Bodies are not asked for any more and are dropped; the
-// ids stay, as results are told under them.
+// end closes the batch. Bodies are not needed any more and are dropped; the ids
+// stay, as results are returned under them.
 func (b *Batch) end() {
 	if b.Ended {
 		return
--- a/internal/batches/ledger/ledger.go
+++ b/internal/batches/ledger/ledger.go
@@ -1,10 +1,10 @@
 // Package ledger keeps batches in the partitions of the journal: it appends
-// records, and holds the fold of those partitions that are asked for.
+// records, and holds the folds of the partitions in use.
 //
 // A partition's fold is a cache. It may be dropped whenever nobody uses it and
 // is read again from the journal when somebody asks. What a reader is told is
-// never older than what any daemon told before the question came: an answer
-// that denies something follows a read that was begun after the question.
+// never older than what any daemon told before the question came: that there is
+// nothing is said only after a read that was begun after the question.
 //
 // The package owns the folds and the appends on their way. It relies on batch for what a record
 // means and how a long one is cut, and on the journal for all that lasts.
--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -16,7 +16,7 @@
 	// freshFor is how long after its last read a fold is fresh: little is missing of it,
 	// while a partition that is followed is read every second.
 	freshFor = 2 * time.Second
-	// noEnd stands where a read told no end.
+	// noEnd is the end of a partition of which no read has told one.
 	noEnd = int64(-1)
 )
 
@@ -37,7 +37,7 @@
 	// reading says that a catch-up read is under way; readEnded is closed at its end.
 	reading   bool
 	readEnded chan struct{}
-	// lastRead is when a read was last answered after which the fold held all.
+	// lastRead is when a read last brought the fold up to the partition's end.
 	lastRead time.Time
 	// followers counts those who have the partition followed.
 	followers  int
@@ -45,7 +45,7 @@
 	// pending are the appends that wait, while appending says that one is under way.
 	pending   []*appendCall
 	appending bool
-	// end is the highest end of the partition that a read has told, noEnd before.
+	// end is the highest end of the partition that a read has told, or noEnd.
 	end int64
 	// readBytes and readRecords are what reads have brought of the partition so far.
 	readBytes, readRecords int64
--- a/internal/batches/occupancy/allowance.go
+++ b/internal/batches/occupancy/allowance.go
@@ -10,8 +10,8 @@
 // Unbounded is the allowance of an owner that nobody waits for.
 const Unbounded = math.MaxInt
 
-// yieldTime is for how long an owner leaves room to others that wait for it: they hear of it
-// within some hundred milliseconds. After that it takes what they have not, as what they
+// yieldTime is for how long an owner leaves room to others that wait for it: they learn of the
+// room within some hundred milliseconds. After that it takes what they have left, as what they
 // wait for may be at other engines.
 const yieldTime = 300 * time.Millisecond
 
@@ -21,7 +21,7 @@
 // want if that is less. An owner that nobody waits for may start as it likes.
 //
 // Without it, an owner whose requests fill all engines would take each place that becomes
-// free before others hear of it, and these would wait until it has nothing left.
+// free before others learn of it, and these would wait until it has nothing left.
 func Allowance(slots int, own Demand, others []Demand) int {
 	var equal []int
 	waits := false
@@ -87,7 +87,7 @@
 
 // Preference ranks a replica among ones that are as good as each other, from 0 to below 1,
 // in an order that differs from owner to owner: two that start at the same instant, before
-// either can have heard of the other, then seldom choose the same.
+// either can know of the other, then seldom choose the same.
 func Preference(owner, replica string) float64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(owner)) // it never fails
--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -81,8 +81,8 @@
 		return nil
 	case d == nil:
 	case d.report.Sender != report.Sender:
-		// The order of two incarnations is told by the machine's own time of day, which may have been
-		// put back: it decides only as long as the later one is known to be alive.
+		// Two incarnations are ordered by the machine's own time of day, which may have been set
+		// back: that decides only as long as the later one is known to be alive.
 		if d.current && identity.Started(report.Sender) < identity.Started(d.report.Sender) {
 			return nil
 		}
@@ -154,7 +154,7 @@
 	return true
 }
 
-// drop counts a daemon's report no more. The mutex is held.
+// drop takes a daemon's report out of the counts. The mutex is held.
 func (t *Table) drop(d *daemon) {
 	if !d.current {
 		return
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -14,7 +14,7 @@
 // The package owns a Table of what others reported and a Publisher that sends this daemon's
 // reports; a Service takes reports in. It relies on the relay for calls to other daemons and
 // on the group for who may become an owner. Allowance and Turn are the rules by which owners
-// leave each other room; they are pure. The load answered: some owners, each with bursts of
+// leave each other room; they are pure. The package is built for some owners, each with bursts of
 // some hundred texts of seconds to a minute, on the same tens to thousands of engines.
 //
 // # Usage
@@ -157,7 +157,7 @@
 	return counts
 }
 
-// Relayed is a report that another daemon has got, Age milliseconds ago.
+// Relayed is a report that another daemon got, Age milliseconds ago.
 type Relayed struct {
 	Report Report `cbor:"1,keyasint"`
 	Age    uint32 `cbor:"2,keyasint"`
--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -29,13 +29,13 @@
 	// introduceInterval is the time between two reports to a daemon that has no batches but
 	// may get one at any moment.
 	introduceInterval = 2 * time.Second
-	// lingerTime is for how long a daemon hears of the others' requests on after it has none
+	// lingerTime is for how long others go on reporting to a daemon after it has no requests
 	// itself: the next step of a trainer mostly comes within seconds, and begins with a burst.
 	lingerTime = 10 * time.Second
 	// callTimeout bounds one call, of either kind: as long as other calls between daemons
 	// may take, as a peer that needs longer is left alone for all of them.
 	callTimeout = 700 * time.Millisecond
-	// maxAsked is how many peers are asked for what they know until one knows anything.
+	// maxAsked is how many peers at most are asked, one after the other, for what they know.
 	maxAsked = 3
 	// eventTimeRepeat is after how long an event time is sent again, eventTimeChange by which
 	// part it must differ to be sent before: they are known to within a few hundredths.
@@ -183,7 +183,7 @@
 	return p.pause
 }
 
-// begin starts to report. What the others know is asked for meanwhile. The mutex is held.
+// begin starts to report, and has another owner asked for what it knows. The mutex is held.
 func (p *Publisher) begin(ctx context.Context) {
 	p.active = true
 	p.logger.Info("reports to other owners begin", zap.Uint64("report", p.number+1),
@@ -191,7 +191,7 @@
 	go p.askOwners(ctx)
 }
 
-// end ceases to report. The mutex is held.
+// end stops reporting. The mutex is held.
 func (p *Publisher) end() {
 	p.active, p.endedAt = false, time.Now()
 	p.logger.Info("reports to other owners end", zap.Uint64("report", p.number),
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -85,7 +85,8 @@
 	return due
 }
 
-// measuredDue returns the event times that have changed or were not sent for a while. The mutex is held.
+// measuredDue returns the event times that have changed or were not sent for a while. The mutex is
+// held.
 func (p *Publisher) measuredDue(measured []Measurement, now time.Time) (due []Measurement) {
 	for _, m := range measured {
 		before, ok := p.sentTimes[m.Replica]
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -16,11 +16,11 @@
 	// between two of them, so that one that is lost or late changes nothing. It is also the
 	// longest for which an item waits for room that nobody uses; texts take seconds.
 	reportLifetime = 1200 * time.Millisecond
-	// eventTimeLifetime is how long an event time counts that others measured: an engine's speed is that of
-	// its machine and changes with trouble only, and a first text there shows what it is now.
+	// eventTimeLifetime is how long an event time counts that others measured: an engine's speed is
+	// that of its machine and changes only with faults, and the first text there shows the new one.
 	eventTimeLifetime = 30 * time.Second
-	// rememberFor is how long a daemon that reports no more is remembered, so that an old
-	// report of its which comes late is known for that.
+	// rememberFor is how long a daemon that reports no more is remembered, so that a report of
+	// its that arrives late is recognised as old.
 	rememberFor = 30 * time.Second
 	// maxDaemons bounds the daemons whose reports are kept. More than so many owners at a time
 	// would have one or two requests each at an engine.
@@ -30,8 +30,8 @@
 	// ownerLifetime is how long a daemon is taken for an owner that can be asked: it introduces
 	// itself to each that may become one more often.
 	ownerLifetime = 2 * introduceInterval
-	// clockDrift is by how much two machines' clocks may differ in speed, as a ratio, far above what
-	// quartz does.
+	// clockDrift is by how much two machines' clocks may differ in speed, as a ratio, far above the
+	// drift of quartz.
 	clockDrift = 0.001
 )
 
--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -15,8 +15,8 @@
 // late, and rising steadily otherwise.
 //
 // A journal may send less than it grants, to some or to all, for seconds or for good. Daemons
-// that go by the grant then ask for more than comes, each read is given up before its end, and
-// nobody learns anything however long they ask.
+// that rely on the grant then ask for more than arrives, each read is given up before its end, and
+// no question is answered however long they ask.
 type bandwidthShare struct {
 	part   float64
 	at     time.Time
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -3,7 +3,7 @@
 // A batch's state is the fold of its partition of the journal, which the partition's watcher
 // holds. A reader answers from its own fold if that is fresh; else it reads what it lacks within
 // its share of the journal's bandwidth; else it asks the watcher, as well where the own read is
-// late; and if that one can't be asked, it reads the journal at the rate of its share. The share
+// late; and if the watcher can't be asked, it reads the journal at the rate of its share. The share
 // keeps such reads, of which each may be of a whole partition, from filling the journal's
 // bandwidth where hundreds of daemons are asked.
 //
@@ -91,7 +91,7 @@
 	cold chan struct{}
 	// open counts the questions of this daemon's callers that are being answered.
 	open atomic.Int64
-	// observe is told of each of them.
+	// observe is called with each of them.
 	observe Observer
 	// lateReads sums the own reads that were late: in an outage each question has one.
 	lateReads *logging.Episodes
@@ -119,7 +119,7 @@
 	return r
 }
 
-// SetObserver sets who is told of each question, nobody before. It is called before any.
+// SetObserver sets who observes the questions. It is called before any.
 func (r *Reader) SetObserver(observe Observer) { r.observe = observe }
 
 // Results returns a page of results: at least one if there is one at the position, or
--- a/internal/batches/results/trace.go
+++ b/internal/batches/results/trace.go
@@ -24,11 +24,11 @@
 	wayPaced way = "paced"
 )
 
-// Observer is told of each question: how it was answered, whether it was, and how long that
+// Observer takes each question: how it was answered, whether it was, and how long that
 // took beyond the time for which it was kept open.
 type Observer func(way string, answered bool, took time.Duration)
 
-// trace is one question with what befalls it, for its line in the log.
+// trace is one question with what happened to it, for its log line and the observer.
 type trace struct {
 	r         *Reader
 	batchID   string
@@ -41,7 +41,7 @@
 	// where nothing of the partition had been read.
 	missing      int
 	missingKnown bool
-	// call is what came of asking the watcher, the zero value if it was not asked or has not
+	// call is the outcome of asking the watcher, the zero value if it was not asked or has not
 	// answered.
 	call watcherCall
 }
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -16,7 +16,7 @@
 	watcherCall
 }
 
-// watcherCall is what came of asking the watcher of a partition.
+// watcherCall is the outcome of asking the watcher of a partition.
 type watcherCall struct {
 	// watcher is the incarnation that was asked, "" if it was not known, soughtFor how long it
 	// took to learn of it, and askedFor how long it was waited for.
--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -40,8 +40,8 @@
 	WatcherOf(ctx context.Context, partition journal.Partition) (string, bool)
 }
 
-// Assigner chooses the owners of new batches and hears of those assigned here.
-// It only decides who works: a batch whose owner does not hear of it is taken
+// Assigner chooses the owners of new batches and follows those assigned here.
+// It only decides who works: a batch whose owner does not learn of it is taken
 // over by the watcher of its partition.
 type Assigner struct {
 	journal journal.Journal
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -13,12 +13,12 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// ownEventTimeMaxAge is for how long an event time that this daemon measured goes before one
-// that others have measured since: texts show one every few hundredths of a second.
+// ownEventTimeMaxAge is for how long an event time that this daemon measured is preferred to one
+// that others have measured since: each event of a text gives a new one.
 const ownEventTimeMaxAge = 3 * time.Second
 
-// sharing is what the dispatcher needs to share engines with other owners. A nil one has
-// none to share with.
+// sharing is what the dispatcher needs to share engines with other owners. A nil one shares
+// them with nobody.
 type sharing struct {
 	self    string
 	table   *occupancy.Table
@@ -26,7 +26,8 @@
 	logger  *zap.Logger
 
 	mu sync.Mutex
-	// demands are what the last dispatch left waiting, by service; turns who starts next.
+	// demands are what the last dispatch left waiting, by service; turns say whether starts are
+	// held back for other owners.
 	demands map[string]occupancy.Demand
 	turns   map[string]occupancy.Turn
 }
@@ -38,7 +39,7 @@
 	}
 }
 
-// ShareEngines lets the runner reckon with what the table holds of other owners. Changed is
+// ShareEngines has the runner take the reports of other owners in the table into account. Changed is
 // called whenever the runner's own requests may have changed; it must not block. It is called
 // before Run.
 func (r *Runner) ShareEngines(table *occupancy.Table, changed func()) {
@@ -159,7 +160,7 @@
 	return started, taken
 }
 
-// dispatched ends a round over the services with items: those of the others are over.
+// dispatched ends a round of dispatch. What is kept of services without items is dropped.
 func (s *sharing) dispatched(views map[string]*view) {
 	if s == nil {
 		return
@@ -171,8 +172,8 @@
 	s.changed()
 }
 
-// HeardOfOthers has the dispatcher look again if items wait for room: others may have told of
-// some. It never blocks.
+// HeardOfOthers has the dispatcher look again if items wait for room: a report may show that
+// there is some. It never blocks.
 func (r *Runner) HeardOfOthers() {
 	s := r.shared
 	s.mu.Lock()
--- a/internal/batches/runner/heartbeat.go
+++ b/internal/batches/runner/heartbeat.go
@@ -15,7 +15,7 @@
 	// heartbeatInterval is the time between an owner's heartbeats in a batch's partition.
 	heartbeatInterval = 350 * time.Millisecond
 	// checkpointAfter is how long an item runs before its progress is worth keeping: a
-	// shorter one is sooner made again.
+	// shorter text costs less to generate again.
 	checkpointAfter = 700 * time.Millisecond
 	// maxCheckpointBytes bounds what one record keeps.
 	maxCheckpointBytes = 128 << 10
--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -43,7 +43,7 @@
 	readAt time.Time
 }
 
-// still reports whether nothing has been heard of the owner since.
+// still reports whether the batch shows nothing new of its owner since.
 func (o observation) still(b *batch.Batch) bool {
 	return b.Open() && b.Owner == o.owner && b.Signs == o.signs
 }
--- a/internal/batches/runner/release.go
+++ b/internal/batches/runner/release.go
@@ -90,7 +90,7 @@
 	r.logger.Info("batch released unstarted", zap.String("batch", batchID), zap.Error(err))
 }
 
-// Release lets all batches go: no more items are started, each batch gets a record that
+// Release releases all batches: no more items are started, each batch gets a record that
 // says so, and the items under way are finished. It returns when they are, or when the
 // context ends.
 func (r *Runner) Release(ctx context.Context) {
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// handOverFault is what a refused handing over says of the replica that was asked; the
-// item goes on where it is.
+// handOverFault is what a failed hand-over says of the replica that was asked; the item goes on
+// where it is.
 func handOverFault(cause error) fault {
 	var quarantined *forward.QuarantinedError
 	switch {
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -97,8 +97,8 @@
 	assigner  *Assigner
 	locator   Locator
 	observe   Observer
-	// shared is nil where the settings name no address for peers: other owners are not
-	// heard.
+	// shared is nil where the settings name no address for peers: nothing is known of other
+	// owners then.
 	shared *sharing
 
 	history     *history
@@ -146,7 +146,7 @@
 
 // Accept makes a batch exist, owned by the daemon that should run it. A batch
 // that exists already stays as it is. After nil it is certain that the batch
-// exists; after ErrNotDone that this call has not made it exist.
+// exists; after ErrNotDone that this call did not create it.
 func (r *Runner) Accept(ctx context.Context, submission *batch.Submission) error {
 	if r.stopping.Load() {
 		return ErrStopping
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -20,7 +20,7 @@
 // view is a snapshot of one service.
 type view struct {
 	scheduling.Snapshot
-	// routed are what the entries of Items stand for, and replicas those of Engines.
+	// routed are the items that Items describes, replicas those that Engines describes, by index.
 	routed   []routedItem
 	replicas []replica.Replica
 }
@@ -110,7 +110,7 @@
 	return configuration.Tenants.Named(j.submission.Tenant).Rank(rt.Priority)
 }
 
-// describe tells the scheduler of an item. The mutex is held.
+// describe returns an item as the scheduler sees it. The mutex is held.
 func (j *job) describe(it *item, rt *route.Route, priority int, now time.Time) scheduling.Item {
 	events, lengths := len(it.events), j.placement.lengths
 	described := scheduling.Item{
@@ -142,7 +142,7 @@
 	return !table.Quiet() && table.Blocked(j.contentOf(it))
 }
 
-// contentOf is what the item asks a replica for. The mutex is held.
+// contentOf returns what the quarantine knows the item's request by. The mutex is held.
 func (j *job) contentOf(it *item) *quarantine.Content {
 	if it.content == nil {
 		it.content = &quarantine.Content{
--- a/internal/batches/runner/timing.go
+++ b/internal/batches/runner/timing.go
@@ -46,11 +46,10 @@
 	t.phase, t.since = next, now
 }
 
-// Observer is told how long an item spent on something.
+// Observer takes how long an item spent in a phase, or waited after it.
 type Observer func(part string, took time.Duration)
 
-// SetObserver sets who is told where the time of batches went. It is called before
-// Run.
+// SetObserver sets who observes where the time of batches went. It is called before Run.
 func (r *Runner) SetObserver(observe Observer) { r.observe = observe }
 
 // listedHere returns the items that were listed while this owner ran them. The mutex is held.
@@ -63,7 +62,7 @@
 	return listed
 }
 
-// publishItemTime tells how long the batch's items took a slot, in the mean. The mutex is
+// publishItemTime publishes for how long an item of the batch took a slot, in the mean. The mutex is
 // held.
 func (j *job) publishItemTime() {
 	listed := j.listedHere()
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -15,7 +15,7 @@
 	// watchInterval is the time between two looks at the owners, and at what is dealt.
 	watchInterval = 200 * time.Millisecond
 	// unwatchDelay is how long a partition is watched after it was dealt to another member,
-	// who hears of it only at its second join from then.
+	// which learns of it only at its second join from then.
 	unwatchDelay = 1500 * time.Millisecond
 )
 
--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -17,13 +17,13 @@
 	// maxWeight is how many texts the means reach back.
 	maxWeight = 1000
 	// minTextsForLongest is from how many texts on the longest of them bounds the
-	// forecasts: engines bound lengths, and many texts come to that bound.
+	// forecasts: engines bound lengths, and many texts reach that bound.
 	minTextsForLongest = 100
 	// minSpread keeps a forecast from certainty.
 	minSpread = 0.05
 	// exceededPart is the part of the texts that outgrow what MaxRemaining returns.
 	exceededPart = 0.05
-	// minTail is the smallest part of longer texts that is told from none.
+	// minTail is the smallest part of longer texts that is distinguished from none.
 	minTail = 1e-9
 	// outgrownPart is what is expected of a text far beyond any forecast, by its length.
 	outgrownPart = 0.1
--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -38,7 +38,7 @@
 
 // moves returns the running items whose step ends sooner if they go on at another engine
 // with room: those that would end after its longest text could. The cost counts as lost,
-// so that an item is not moved to and fro.
+// so that an item is not moved back and forth.
 func (p *planner) moves() []Decision {
 	if p.NoMoves {
 		return nil
--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// What is added to an engine's score, which is the expected time between events by the
-// usual one: 1 is a usual engine with nothing else to do.
+// What is added to an engine's score, which is the expected time between events as a ratio of
+// the usual one: 1 is a usual engine with nothing else to do.
 const (
 	// sharedPromptBonus is taken off for the engine that read the group's shared prompt:
 	// reading it again takes about as long as a part of an event.
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -29,7 +29,8 @@
 	pools cache[poolKey, pool]
 }
 
-// cache holds values by key. Items in order mostly share the one that was asked for last.
+// cache holds values by key. Items that follow each other mostly have the same key, so that the last
+// value is kept at hand.
 type cache[K comparable, V any] struct {
 	values  map[K]*V
 	lastKey K
@@ -61,7 +62,7 @@
 	inFlight, idleConns int
 	// load is by how much, as a ratio, the requests there slow one more.
 	load float64
-	// unloaded is its event time with nothing else under way, by the usual one.
+	// unloaded is its event time with nothing else under way, as a ratio of the usual one.
 	unloaded float64
 	// overdue says that a first event is overdue there.
 	overdue bool
@@ -101,7 +102,7 @@
 	return p
 }
 
-// compareEngines sets the usual event time, and each engine's by it.
+// compareEngines sets the usual event time, and each engine's as a ratio of it.
 func (p *planner) compareEngines() {
 	var times []time.Duration
 	for i := range p.Engines {
@@ -123,8 +124,8 @@
 	}
 }
 
-// relativeTime is the expected time between the events of one more request at an engine, by
-// the usual one.
+// relativeTime is the expected time between the events of one more request at an engine, as a
+// ratio of the usual one.
 func (e *engineState) relativeTime() float64 { return e.unloaded * (1 + e.load) }
 
 // eventTime is the expected time between the events of one more request at an engine, in
--- a/internal/batches/scheduling/pool.go
+++ b/internal/batches/scheduling/pool.go
@@ -9,7 +9,7 @@
 }
 
 // pool has the engines that passed the filter for the items of one class, the best on top.
-// Its order may be out of date as room is taken: best puts it right.
+// Its order goes out of date as room is taken; best corrects it.
 type pool struct {
 	planner *planner
 	choice  choice
--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -1,7 +1,7 @@
 // Package scheduling decides which engine runs which item of the batches, and which
 // running items go on at another engine. It is pure: a snapshot goes in, a list of
-// decisions comes out, and the same snapshot gives the same decisions. Beside it stand
-// what the forecasts rest on: Lengths, and FirstEvents.
+// decisions comes out, and the same snapshot gives the same decisions. Lengths and FirstEvents
+// learn what the forecasts in a snapshot rest on.
 //
 // A round goes through these stages:
 //
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -20,7 +20,7 @@
 	since time.Time
 }
 
-// step is what the items of one batch come to.
+// step sums up the items of one batch and class.
 type step struct {
 	// end is in how long its longest text could be whole at the best engine, in
 	// nanoseconds.
@@ -31,13 +31,13 @@
 	shortWork    float64
 }
 
-// step returns what an item's batch comes to.
+// step returns the step of an item's batch.
 func (p *planner) step(it *Item) *step {
 	return p.steps.get(stepKey{class: classOf(it), since: it.BatchSince}, func() *step { return &step{} })
 }
 
-// forecastSteps works out when each step could end, which of its texts decide that, and what
-// the others come to.
+// forecastSteps forecasts when each step could end, which texts are long enough to need a fast
+// engine, and how much work the short ones are.
 func (p *planner) forecastSteps() {
 	remaining := map[*tiers][]float64{}
 	for i := range p.Items {
@@ -89,7 +89,7 @@
 	return float64(step.shortRunning)*shortItemsPart*step.end >= step.shortWork
 }
 
-// started counts a text that was started, left one that goes on at another engine.
+// started counts a text that was started.
 func (p *planner) started(it *Item) {
 	if p.short(it) {
 		p.step(it).shortRunning++
@@ -99,6 +99,7 @@
 	}
 }
 
+// left counts a text that goes on at another engine than before.
 func (p *planner) left(it *Item, from int) {
 	if tier := p.tier(it); !tier.fast[from] && p.needsFast(it) {
 		tier.wanted = max(tier.wanted-1, 0)
