--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -20,38 +20,38 @@
 )
 
 // question is a question on its way to an answer.
-type question[T any] struct {
+type question[Q, T any] struct {
 	*trace
-	kind[T]
+	kind[Q, T]
 }
 
-// kind is how one kind of questions is answered. Wait is for how long the question may be kept
-// open.
-type kind[T any] struct {
-	// method and args are what the watcher is called with.
+// kind is how one kind of questions is answered: a query of type Q by an answer of type T.
+type kind[Q, T any] struct {
+	// method is what the watcher is called with.
 	method string
-	args   func(wait time.Duration) any
+	// query returns the query that may be kept open for wait.
+	query func(wait time.Duration) Q
 	// here answers from this daemon's fold; ready reports whether that has the answer already.
-	here  func(ctx context.Context, wait time.Duration) (T, error)
+	here  func(ctx context.Context, query Q) (T, error)
 	ready func() bool
 }
 
 // read answers a question that may be kept open for wait.
-func read[T any](
-	ctx context.Context, r *Reader, batchID string, wait time.Duration, k kind[T],
+func read[Q, T any](
+	ctx context.Context, r *Reader, batchID string, wait time.Duration, k kind[Q, T],
 ) (answer T, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+answerWithin)
 	defer cancel()
-	q := question[T]{trace: r.startTrace(batchID, wait), kind: k}
+	q := question[Q, T]{trace: r.startTrace(batchID, wait), kind: k}
 	defer func() { q.end(err) }()
 	return q.answer(ctx)
 }
 
 // answer tries the ways to an answer in their order: the fold held here, an own read within the
 // budget, the partition's watcher beside it, a read at the rate of the budget.
-func (q *question[T]) answer(ctx context.Context) (answer T, err error) {
+func (q *question[Q, T]) answer(ctx context.Context) (answer T, err error) {
 	if q.partition.Fresh() || q.r.budget == nil {
-		return q.here(ctx, q.wait)
+		return q.here(ctx, q.query(q.wait))
 	}
 	q.way = wayBudget
 	own := async(func() (T, error) { return q.readWithinBudget(ctx) })
@@ -65,7 +65,7 @@
 		return answer, nil
 	case errors.Is(err, errSelf):
 		q.way = wayFold
-		return q.here(ctx, q.waitLeft())
+		return q.here(ctx, q.query(q.waitLeft()))
 	case ctx.Err() != nil:
 		return answer, err
 	}
@@ -74,16 +74,16 @@
 
 // readWithinBudget answers from this daemon's fold, after a read of what it lacks if the budget
 // allows that.
-func (q *question[T]) readWithinBudget(ctx context.Context) (answer T, err error) {
+func (q *question[Q, T]) readWithinBudget(ctx context.Context) (answer T, err error) {
 	if !q.r.affords(ctx, q.partition) {
 		return answer, errUnaffordable
 	}
-	return q.here(ctx, q.wait)
+	return q.here(ctx, q.query(q.wait))
 }
 
 // await returns the outcome of the own read, or errLate once the question has waited for the
 // journal for askWatcherAfter. A long poll waits on.
-func (q *question[T]) await(own *future[T]) (answer T, err error) {
+func (q *question[Q, T]) await(own *future[T]) (answer T, err error) {
 	timer := time.NewTimer(askWatcherAfter)
 	defer timer.Stop()
 	select {
@@ -102,7 +102,7 @@
 
 // askWatcherBeside asks the partition's watcher beside the own read, which may have ended, and
 // returns the first answer of the two.
-func (q *question[T]) askWatcherBeside(ctx context.Context, own *future[T]) (answer T, err error) {
+func (q *question[Q, T]) askWatcherBeside(ctx context.Context, own *future[T]) (answer T, err error) {
 	q.way = wayWatcher
 	watcher := async(func() (watcherReply[T], error) { return q.askWatcher(ctx) })
 	awaitEither(own, watcher)
@@ -122,7 +122,7 @@
 }
 
 // readAtRate reads the partition at the rate of the budget, as its watcher could not be asked.
-func (q *question[T]) readAtRate(ctx context.Context, cause error) (answer T, err error) {
+func (q *question[Q, T]) readAtRate(ctx context.Context, cause error) (answer T, err error) {
 	q.way = wayPaced
 	if err := q.r.enterCold(ctx); err != nil {
 		return answer, err
@@ -134,5 +134,5 @@
 	if err := q.r.readPages(ctx, q.partition, q.ready); err != nil {
 		return answer, err
 	}
-	return q.here(ctx, q.waitLeft())
+	return q.here(ctx, q.query(q.waitLeft()))
 }
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -130,27 +130,24 @@
 
 // page answers a query here or by a method of the watcher.
 func (r *Reader) page(ctx context.Context, method string, query Query) (Page, error) {
-	polling := func(wait time.Duration) Query {
-		query := query
-		query.Wait = wait
-		return query
-	}
-	return read(ctx, r, query.BatchID, query.Wait, kind[Page]{
+	return read(ctx, r, query.BatchID, query.Wait, kind[Query, Page]{
 		method: method,
-		args:   func(wait time.Duration) any { return polling(wait) },
-		here: func(ctx context.Context, wait time.Duration) (Page, error) {
-			return r.resultsHere(ctx, polling(wait))
+		query: func(wait time.Duration) Query {
+			query := query
+			query.Wait = wait
+			return query
 		},
+		here:  r.resultsHere,
 		ready: func() bool { return len(lookUp(r.ledger.Of(query.BatchID), query).Results) > 0 },
 	})
 }
 
 // Item returns the body of an item. The error wraps ErrBehind.
 func (r *Reader) Item(ctx context.Context, query ItemQuery) (Body, error) {
-	return read(ctx, r, query.BatchID, 0, kind[Body]{
+	return read(ctx, r, query.BatchID, 0, kind[ItemQuery, Body]{
 		method: methodItem,
-		args:   func(time.Duration) any { return query },
-		here:   func(ctx context.Context, _ time.Duration) (Body, error) { return r.itemHere(ctx, query) },
+		query:  func(time.Duration) ItemQuery { return query },
+		here:   r.itemHere,
 		ready:  func() bool { return itemBody(r.ledger.Of(query.BatchID), query).Found },
 	})
 }
@@ -163,10 +160,10 @@
 
 // Items returns items of a batch as of now. The error wraps ErrBehind.
 func (r *Reader) Items(ctx context.Context, query ItemsQuery) (Items, error) {
-	return read(ctx, r, query.BatchID, 0, kind[Items]{
+	return read(ctx, r, query.BatchID, 0, kind[ItemsQuery, Items]{
 		method: methodItems,
-		args:   func(time.Duration) any { return query },
-		here:   func(ctx context.Context, _ time.Duration) (Items, error) { return r.itemsHere(ctx, query) },
+		query:  func(time.Duration) ItemsQuery { return query },
+		here:   r.itemsHere,
 		ready:  func() bool { return false },
 	})
 }
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -27,7 +27,7 @@
 
 // askWatcher looks for the partition's watcher and has it answer the question. The error is errSelf
 // if that is this daemon.
-func (q *question[T]) askWatcher(ctx context.Context) (reply watcherReply[T], err error) {
+func (q *question[Q, T]) askWatcher(ctx context.Context) (reply watcherReply[T], err error) {
 	began := time.Now()
 	watcher, ok := q.r.awaitWatcher(ctx, q.partition.Name())
 	reply.watcher, reply.soughtFor = watcher, time.Since(began)
@@ -36,7 +36,7 @@
 	}
 	began = time.Now()
 	wait := q.waitLeft()
-	reply.answer, reply.err = callWatcher[T](ctx, q.r, watcher, q.method, q.args(wait), wait)
+	reply.answer, reply.err = callWatcher[T](ctx, q.r, watcher, q.method, q.query(wait), wait)
 	reply.askedFor = time.Since(began)
 	return reply, reply.err
 }
