--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -126,13 +126,7 @@
 			}
 		}
 	case kindResults:
-		before := len(b.Results)
-		for _, result := range rec.Results {
-			b.list(result)
-		}
-		if len(b.Results) > before {
-			b.Signs++
-		}
+		b.listAll(rec.Results)
 	case kindTakenOver:
 		// A takeover counts only against the owner it names, so that of two
 		// at the same time one wins for every reader.
@@ -215,6 +209,17 @@
 	}
 }
 
+// listAll lists results. Those that were not listed before show the owner alive.
+func (b *Batch) listAll(results []Result) {
+	before := len(b.Results)
+	for _, result := range results {
+		b.list(result)
+	}
+	if len(b.Results) > before {
+		b.Signs++
+	}
+}
+
 // list gives a result the next position if its item has none and the batch is
 // open.
 func (b *Batch) list(result Result) {
--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -148,10 +148,15 @@
 		t.inFlight[c.Replica] += int(c.Requests)
 		t.counts.Elsewhere += int(c.Requests)
 	}
-	if lapses := at.Add(reportLifetime); t.nextLapse.IsZero() || lapses.Before(t.nextLapse) {
+	t.noteLapse(d)
+	return true
+}
+
+// noteLapse remembers when a daemon's report lapses if none does before. The mutex is held.
+func (t *Table) noteLapse(d *daemon) {
+	if lapses := d.lapses(); t.nextLapse.IsZero() || lapses.Before(t.nextLapse) {
 		t.nextLapse = lapses
 	}
-	return true
 }
 
 // drop takes a daemon's report out of the counts. The mutex is held.
@@ -188,16 +193,15 @@
 	}
 	t.nextLapse = time.Time{}
 	for _, d := range t.daemons {
-		lapses := d.at.Add(reportLifetime)
 		switch {
 		case !d.current:
-		case !now.Before(lapses):
+		case !now.Before(d.lapses()):
 			t.drop(d)
 			t.counts.Expired++
 			t.logger.Info("report of another owner lapsed", zap.String("owner", d.report.Sender),
 				zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.at)))
-		case t.nextLapse.IsZero() || lapses.Before(t.nextLapse):
-			t.nextLapse = lapses
+		default:
+			t.noteLapse(d)
 		}
 	}
 }
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -51,6 +51,9 @@
 	offsetAt time.Time
 }
 
+// lapses is when the report counts no more.
+func (d *daemon) lapses() time.Time { return d.at.Add(reportLifetime) }
+
 // measuredTime is an event time that others reported, with when it was measured.
 type measuredTime struct {
 	eventTime time.Duration
