--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -129,12 +129,25 @@
 }
 
 func checkBatch(t *rapid.T, b *Batch, before []Result, ended bool) {
-	if len(b.Results) < len(before) || !reflect.DeepEqual(b.Results[:len(before)], append([]Result(nil), before...)) && len(before) > 0 {
+	if len(b.Results) < len(before) ||
+		!reflect.DeepEqual(b.Results[:len(before)], append([]Result(nil), before...)) && len(before) > 0 {
 		t.Fatalf("positions changed: %v, then %v", before, b.Results)
 	}
 	if ended && (len(b.Results) != len(before) || !b.Ended) {
 		t.Fatal("a batch went on after its end")
 	}
+	checkResults(t, b)
+	checkPartials(t, b)
+	for i, it := range b.Items {
+		if !b.Ended && (len(it.Body) != 1 || it.Body[0] != byte(i)) {
+			t.Fatal("a body is gone before the end")
+		}
+	}
+}
+
+// checkResults checks that each result is of an item of the batch, the only one, and of versions
+// that are new enough.
+func checkResults(t *rapid.T, b *Batch) {
 	seen := map[int]bool{}
 	for _, result := range b.Results {
 		if seen[result.Item] {
@@ -150,6 +163,11 @@
 			}
 		}
 	}
+}
+
+// checkPartials checks that beginnings are kept whole, of items that are open and of versions that
+// are new enough.
+func checkPartials(t *rapid.T, b *Batch) {
 	for i, partial := range b.Partials {
 		if b.Ended || b.Listed[i] {
 			t.Fatal("a beginning is kept of an item that has ended")
@@ -168,11 +186,6 @@
 			}
 		}
 	}
-	for i, it := range b.Items {
-		if !b.Ended && (len(it.Body) != 1 || it.Body[0] != byte(i)) {
-			t.Fatal("a body is gone before the end")
-		}
-	}
 }
 
 // Two readers of the same records hold the same state, also when one of them
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -89,6 +89,12 @@
 			t.Fatalf("item %d at weights that are too old", item)
 		}
 	}
+	checkEngines(t, snapshot, taken)
+	checkWaiting(t, snapshot, taken, decided)
+}
+
+// checkEngines checks that no engine has got more than it may.
+func checkEngines(t *rapid.T, snapshot Snapshot, taken []int) {
 	for i, engine := range snapshot.Engines {
 		switch {
 		case taken[i] > 0 && engine.Avoided:
@@ -99,12 +105,17 @@
 			t.Fatalf("engine %s gets %d beside %d", engine.ID, taken[i], engine.InFlight)
 		}
 	}
+}
+
+// checkWaiting checks that no item waits though there is room for it.
+func checkWaiting(t *rapid.T, snapshot Snapshot, taken []int, decided map[int]bool) {
 	for i, item := range snapshot.Items {
 		if item.Engine != "" || decided[i] {
 			continue
 		}
 		for e, engine := range snapshot.Engines {
-			room := engine.InFlight+taken[e] < snapshot.Engines[e].Capacity() && !engine.Avoided && !(engine.Declining && taken[e] > 0)
+			room := engine.InFlight+taken[e] < snapshot.Engines[e].Capacity() && !engine.Avoided &&
+				!(engine.Declining && taken[e] > 0)
 			if room && engine.Versions[testModel] >= item.MinVersion {
 				t.Fatalf("item %d waits though %s has room", i, engine.ID)
 			}
