--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -36,23 +36,23 @@
 	return eventstream.Event{ID: id, HasID: true, Data: []byte{byte('a' + id)}}
 }
 
-// tryOf is an attempt at the replica that an item is at.
-func tryOf(j *job, it *item, number int, rt *route.Route) *attempt {
+// attemptAt is an attempt of an item at a replica, with number 0 one that does not count yet.
+func attemptAt(replicaID string, j *job, it *item, number int, rt *route.Route) *attempt {
 	return &attempt{
 		routedItem: routedItem{job: j, item: it, route: rt},
 		number:     number,
-		replica:    replica.Replica{Entry: replica.Entry{ID: "from"}},
+		replica:    replica.Replica{Entry: replica.Entry{ID: replicaID}},
 	}
 }
 
-// nextTryOf is an attempt at another replica, which was asked to go on.
-func nextTryOf(j *job, it *item) *attempt {
-	return &attempt{
-		routedItem: routedItem{job: j, item: it, route: &route.Route{}},
-		replica:    replica.Replica{Entry: replica.Entry{ID: "to"}},
-	}
+// tryOf is an attempt at the replica that an item is at.
+func tryOf(j *job, it *item, number int, rt *route.Route) *attempt {
+	return attemptAt("from", j, it, number, rt)
 }
 
+// nextTryOf is an attempt at another replica, which was asked to go on.
+func nextTryOf(j *job, it *item) *attempt { return attemptAt("to", j, it, 0, &route.Route{}) }
+
 // Events that come while another replica is asked are buffered: dropped if that one
 // goes on after the last event before, and added if it does not.
 func TestEventsAreHeldBackWhileAnotherReplicaIsAsked(t *testing.T) {
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -76,13 +76,7 @@
 }
 
 // attemptOf is the attempt that an item of running is at.
-func attemptOf(j *job, i int) *attempt {
-	return &attempt{
-		routedItem: routedItem{job: j, item: j.items[i], route: &route.Route{}},
-		number:     1,
-		replica:    replica.Replica{Entry: replica.Entry{ID: "engine"}},
-	}
-}
+func attemptOf(j *job, i int) *attempt { return attemptAt("engine", j, j.items[i], 1, &route.Route{}) }
 
 // startable returns how many items a daemon would start if there were room.
 func startable(owner *Runner) int {
