--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -35,17 +35,10 @@
 
 // score has a whole text scored and hands it to be listed.
 func (j *job) score(it *item) {
-	j.mu.Lock()
-	if it.state != itemRunning {
-		j.mu.Unlock()
+	result, ok := j.beginScoring(it)
+	if !ok {
 		return
 	}
-	it.state = itemEnding
-	it.timing.enter(phaseScoring, time.Now())
-	j.placement.lengths.Observe(it.expectedTokens, len(it.events))
-	text := bytes.Join(it.events, []byte("\n"))
-	result := batch.Result{Item: it.index, Outcome: batch.Done, Text: text, Versions: slices.Clone(it.versions)}
-	j.mu.Unlock()
 	j.r.Kick()
 	reason := ""
 	if it.Reward != nil {
@@ -66,6 +59,25 @@
 	}
 }
 
+// beginScoring ends the text of a running item and returns its result without a score, and false
+// if the item does not run any more.
+func (j *job) beginScoring(it *item) (result batch.Result, ok bool) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if it.state != itemRunning {
+		return result, false
+	}
+	it.state = itemEnding
+	it.timing.enter(phaseScoring, time.Now())
+	j.placement.lengths.Observe(it.expectedTokens, len(it.events))
+	return batch.Result{
+		Item:     it.index,
+		Outcome:  batch.Done,
+		Text:     bytes.Join(it.events, []byte("\n")),
+		Versions: slices.Clone(it.versions),
+	}, true
+}
+
 // reward sends an item's reward call until it has a signature, or its service
 // has failed as often as its route allows.
 func (j *job) reward(it *item) (string, error) {
@@ -109,21 +121,7 @@
 	}
 	ctx, cancel := context.WithTimeout(j.ctx, timeout)
 	defer cancel()
-	forwarder := j.r.forwarder
-	header := http.Header{http.CanonicalHeaderKey(forwarder.Names.RequestID): {it.Reward.ID}}
-	answer, err := forwarder.Do(ctx, &forward.Call{
-		Request: forward.Request{
-			RequestID: it.Reward.ID,
-			Method:    http.MethodPost,
-			Target:    it.Reward.Path,
-			Host:      it.Reward.Host,
-			Header:    header,
-			Body:      it.Reward.Body,
-		},
-		Services:    rt.Order(it.Reward.ID),
-		Repeatable:  true,
-		MaxAttempts: 1,
-	})
+	answer, err := j.r.forwarder.Do(ctx, j.rewardCall(it, rt))
 	if err != nil {
 		j.logger.Info("reward call failed", zap.String("item", it.ID), zap.String("reward", it.Reward.ID),
 			zap.Error(err))
@@ -131,7 +129,7 @@
 	}
 	defer answer.Close()
 	if answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices {
-		return answer.Header.Get(forwarder.Names.Stamp), true, nil
+		return answer.Header.Get(j.r.forwarder.Names.Stamp), true, nil
 	}
 	if answer.Status == http.StatusInternalServerError {
 		it.rewardFailures++
@@ -141,3 +139,20 @@
 	}
 	return "", false, nil
 }
+
+// rewardCall is the reward call of an item, to be attempted once.
+func (j *job) rewardCall(it *item, rt *route.Route) *forward.Call {
+	return &forward.Call{
+		Request: forward.Request{
+			RequestID: it.Reward.ID,
+			Method:    http.MethodPost,
+			Target:    it.Reward.Path,
+			Host:      it.Reward.Host,
+			Header:    http.Header{http.CanonicalHeaderKey(j.r.forwarder.Names.RequestID): {it.Reward.ID}},
+			Body:      it.Reward.Body,
+		},
+		Services:    rt.Order(it.Reward.ID),
+		Repeatable:  true,
+		MaxAttempts: 1,
+	}
+}
