--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -98,28 +98,34 @@
 	}
 }
 
+// drawnFaults gives each call the next of some faults, 0 to 3, or none for a higher number; reads are
+// refused or hang only.
+func drawnFaults(faults []int) func(journaltest.Call) journaltest.Fault {
+	var mutex sync.Mutex
+	calls := 0
+	return func(call journaltest.Call) journaltest.Fault {
+		mutex.Lock()
+		defer mutex.Unlock()
+		calls++
+		drawn := faults[calls%len(faults)]
+		if call == journaltest.Read && drawn > 1 {
+			return journaltest.None
+		}
+		return map[int]journaltest.Fault{
+			0: journaltest.Refuse,
+			1: journaltest.Hang,
+			2: journaltest.LoseAnswer,
+			3: journaltest.Late,
+		}[drawn]
+	}
+}
+
 func recordHistory(t *testing.T, faults, pauses []int) []porcupine.Operation {
 	seen := &recorder{}
 	synctest.Test(t, func(t *testing.T) {
 		seen.start = time.Now()
 		log := journaltest.New()
-		var mutex sync.Mutex
-		calls := 0
-		log.Befall = func(call journaltest.Call) journaltest.Fault {
-			mutex.Lock()
-			defer mutex.Unlock()
-			calls++
-			drawn := faults[calls%len(faults)]
-			if call == journaltest.Read && drawn > 1 {
-				return journaltest.None
-			}
-			return map[int]journaltest.Fault{
-				0: journaltest.Refuse,
-				1: journaltest.Hang,
-				2: journaltest.LoseAnswer,
-				3: journaltest.Late,
-			}[drawn]
-		}
+		log.Befall = drawnFaults(faults)
 		ctx, cancel := context.WithCancel(t.Context())
 		var clients sync.WaitGroup
 		const daemons = 3
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -79,6 +79,26 @@
 	}
 }
 
+// readPromptly checks short reads, as of a configuration, for as long as daemons are asked.
+func (d *daemons) readPromptly(ctx, asking context.Context, t *testing.T) {
+	configuration := journal.Partition{Topic: "configuration"}
+	for asking.Err() == nil {
+		before := time.Now()
+		appended, err := d.log.Append(ctx, journal.Append{
+			Partition: configuration,
+			Records:   [][]byte{make([]byte, 1024)},
+		})
+		if err != nil {
+			t.Error(err)
+		}
+		_, err = d.log.Read(asking, journal.Read{Partition: configuration, From: appended.Offset})
+		if took := time.Since(before); took > restartPrompt || err != nil && asking.Err() == nil {
+			t.Errorf("a short read took %v: %v", took, err)
+		}
+		time.Sleep(200 * time.Millisecond)
+	}
+}
+
 // After a start of all daemons at once every batch is asked for at any of them. When each
 // read what it was asked for, 91 daemons asked for 6.8 GB of a journal that sends 80 MB a
 // second: no read came to an end before it was given up, and nobody learned anything for
@@ -96,24 +116,7 @@
 		defer stop()
 		began := time.Now()
 		var clients, prompt sync.WaitGroup
-		prompt.Go(func() {
-			configuration := journal.Partition{Topic: "configuration"}
-			for asking.Err() == nil {
-				before := time.Now()
-				appended, err := d.log.Append(ctx, journal.Append{
-					Partition: configuration,
-					Records:   [][]byte{make([]byte, 1024)},
-				})
-				if err != nil {
-					t.Error(err)
-				}
-				_, err = d.log.Read(asking, journal.Read{Partition: configuration, From: appended.Offset})
-				if took := time.Since(before); took > restartPrompt || err != nil && asking.Err() == nil {
-					t.Errorf("a short read took %v: %v", took, err)
-				}
-				time.Sleep(200 * time.Millisecond)
-			}
-		})
+		prompt.Go(func() { d.readPromptly(ctx, asking, t) })
 		for i := range 2 * restartBatches {
 			clients.Go(func() {
 				d.readWhole(asking, fmt.Sprintf("b%d", i%restartBatches), rand.New(rand.NewPCG(7, uint64(i))))
