--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -27,30 +27,34 @@
 	name   journal.Partition
 	usedAt time.Time // guarded by the ledger's mutex
 
-	mu      sync.Mutex
-	state   *batch.State
-	changed chan struct{}
-	// reads counts catch-up reads begun; done is the newest that succeeded, failed the newest
-	// that did not, with readErr.
+	mu sync.Mutex
+
+	// The fold. changed is closed when it changes, missed says that records were removed before
+	// they were folded here, lastRead is when a read last brought it up to the partition's end.
+	state    *batch.State
+	changed  chan struct{}
+	missed   bool
+	lastRead time.Time
+
+	// What reads have told of the partition: its highest end, or noEnd, and how much they brought.
+	end                    int64
+	readBytes, readRecords int64
+
+	// Catch-up reads. reads counts those begun; done is the newest that succeeded, failed the
+	// newest that did not, with readErr. While reading, one is under way, and readEnded is closed
+	// at its end.
 	reads, done, failed uint64
 	readErr             error
-	// reading says that a catch-up read is under way; readEnded is closed at its end.
-	reading   bool
-	readEnded chan struct{}
-	// lastRead is when a read last brought the fold up to the partition's end.
-	lastRead time.Time
+	reading             bool
+	readEnded           chan struct{}
+
 	// followers counts those who have the partition followed.
 	followers  int
 	stopFollow context.CancelFunc
+
 	// pending are the appends that wait, while appending says that one is under way.
 	pending   []*appendCall
 	appending bool
-	// end is the highest end of the partition that a read has told, or noEnd.
-	end int64
-	// readBytes and readRecords are what reads have brought of the partition so far.
-	readBytes, readRecords int64
-	// missed says that records were removed before they were folded here.
-	missed bool
 }
 
 func newPartition(ledger *Ledger, name journal.Partition, from int64) *Partition {
--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -85,22 +85,27 @@
 	logger     *zap.Logger
 	wake       chan struct{}
 
-	mu         sync.Mutex
-	number     uint64
+	mu sync.Mutex
+
+	// Who is sent reports. machines may be given batches; machinesAt is when they were learned
+	// last, refreshing that they are being.
 	recipients map[string]*recipient
 	machines   []string
-	// machinesAt is when the machines were learned last, refreshing that they are being.
 	machinesAt time.Time
 	refreshing bool
-	active     bool
-	// endedAt is when this daemon had something to report last, zero if it never had.
-	endedAt   time.Time
-	sentTimes map[Key]sentTime
+
+	// What was reported: the last report, when, and for how long after that the next one waits.
+	number    uint64
 	last      Report
 	lastAt    time.Time
-	// pause is how long after lastAt the next report may go.
-	pause  time.Duration
-	totals Totals
+	pause     time.Duration
+	sentTimes map[Key]sentTime
+
+	// active says that there is something to report; endedAt is when there was last, zero if there
+	// never was.
+	active  bool
+	endedAt time.Time
+	totals  Totals
 }
 
 // Totals are a publisher's totals: calls made, those that failed, and bytes.
