--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -66,6 +66,14 @@
 	return d
 }
 
+// withDaemons runs a test in a bubble of synctest, with some daemons.
+func withDaemons(
+	t *testing.T, count int, test func(ctx context.Context, t *testing.T, is *is.I, d *daemons),
+) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) { test(t.Context(), t, is.New(t), newDaemons(t.Context(), count)) })
+}
+
 func (d *daemons) watch(daemon int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,10 +139,7 @@
 // A question costs what its batch is worth: with the fold held by one daemon, no other
 // reads the partition from its beginning.
 func TestQuestionsGoToTheDaemonThatHoldsTheFold(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx := t.Context()
-		d := newDaemons(ctx, 40)
+	withDaemons(t, 40, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.accept(t, "b", 3)
 		text := make([]byte, 100<<10)
 		d.append(t, "b", batch.Listed("b", []batch.Result{
@@ -187,10 +192,7 @@
 func TestQuestionsAreAnsweredWithoutTheWatcher(t *testing.T) {
 	for name, watcher := range map[string]int{"dark": 1, "not known": -1} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				is := is.New(t)
-				ctx := t.Context()
-				d := newDaemons(ctx, 3)
+			withDaemons(t, 3, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 				d.accept(t, "b", 2)
 				d.watch(watcher)
 				d.dark["m1"] = true
@@ -209,10 +211,7 @@
 
 // A question that is held is answered when a result comes, through the watcher too.
 func TestAHeldQuestionEndsWithTheResult(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx := t.Context()
-		d := newDaemons(ctx, 2)
+	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.accept(t, "b", 2)
 		time.AfterFunc(400*time.Millisecond, func() {
 			d.append(t, "b", batch.Listed("b", []batch.Result{{Item: 1, Outcome: batch.Done}}))
@@ -231,10 +230,7 @@
 
 // While the journal is silent nothing is denied.
 func TestNothingIsDeniedWhileTheJournalIsSilent(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx := t.Context()
-		d := newDaemons(ctx, 2)
+	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 		_, err := d.readers[1].Results(ctx, Query{BatchID: "b"})
 		is.True(errors.Is(err, ErrBehind))
@@ -335,10 +331,7 @@
 // answered 404 for the batches in them, which those that had read them served on. What a
 // daemon has not read it does not deny: that is an answer only to who has read all.
 func TestNothingIsDeniedWhoseRecordsAreGone(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx := t.Context()
-		d := newDaemons(ctx, 2)
+	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.watch(1)
 		d.accept(t, "b", 1)
 		partition := d.ledgers[0].Of("b").Name()
@@ -409,10 +402,7 @@
 // A question that is refused has a line that tells its way: what was missing here, whom this
 // daemon asked, and why that did not help.
 func TestARefusedQuestionTellsItsWay(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx := t.Context()
-		d := newDaemons(ctx, 2)
+	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.accept(t, "b", 1)
 		core, logs := observer.New(zap.InfoLevel)
 		reader := NewReader(ledger.New(ctx, d.log, zap.NewNop()), d, d, scarce, d.runs[1], zap.New(core))
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -128,10 +128,7 @@
 // A batch that came twice, or that has ended, is not begun anew by an owner that reads it
 // alone: its fold begins with the first acceptance.
 func TestABatchReadAloneIsTheFirstOne(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx := t.Context()
-		log := journaltest.New()
+	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		whole := ledger.New(ctx, log, zap.NewNop())
 		partition := whole.Of("x")
 		is.NoErr(partition.Append(ctx, batch.Accepted(&batch.Submission{ID: "before"}, "c/1")))
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -21,6 +21,14 @@
 	"woodworks/internal/requests/upstream"
 )
 
+// withJournal runs a test in a bubble of synctest, with a journal of its own.
+func withJournal(
+	t *testing.T, test func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal),
+) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) { test(t.Context(), t, is.New(t), journaltest.New()) })
+}
+
 // newOwner is a daemon that owns what it accepts, with one replica of the service "s".
 func newOwner(ctx context.Context, t *testing.T, log journal.Journal, self string) *Runner {
 	t.Helper()
@@ -93,10 +101,7 @@
 // had room. The owner that stops gives such an item back at once.
 func TestAnItemThatBreaksAtAStoppingOwnerIsStartedByTheNext(t *testing.T) {
 	for _, early := range []bool{false, true} {
-		synctest.Test(t, func(t *testing.T) {
-			is := is.New(t)
-			ctx := t.Context()
-			log := journaltest.New()
+		withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 			first, second := newOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "b/1")
 			begun := running(first, 2)
 			if early {
@@ -120,10 +125,7 @@
 
 // The next owner hears also of an item that breaks after it has begun itself.
 func TestAnItemThatBreaksAfterTheHandingOverIsStartedByTheNext(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx := t.Context()
-		log := journaltest.New()
+	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		begun, second := stoppingOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "b/1")
 		is.NoErr(second.TakeOver(ctx, "x", ""))
 		time.Sleep(time.Second)
@@ -137,10 +139,7 @@
 // An owner that took a batch over and then fell silent had not finished what an owner
 // before it had been left: its successor left the same items alone for 5 s once more.
 func TestItemsAreLeftToTheOwnerBeforeOnlyOnce(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx := t.Context()
-		log := journaltest.New()
+	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		stoppingOwnerOfTwo(ctx, t, log)
 		third := newOwner(ctx, t, log, "c/1")
 		is.NoErr(third.ledger.Of("x").Append(ctx, batch.TakenOver("x", "", "b/1")))
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -63,10 +63,7 @@
 // An owner that has begun keeps its batch, also where its sign has reached the
 // journal but not yet the accepting daemon.
 func TestABatchStaysWithAnOwnerThatHasBegun(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx := t.Context()
-		log := journaltest.New()
+	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		accepter := accepterOfOne(ctx, t, log, "a/1")
 		time.Sleep(standByWait / 2)
 		owner := ledger.New(ctx, log, zap.NewNop())
@@ -79,10 +76,7 @@
 // Where the journal cannot be read nothing is taken over: the owner may be at
 // work all the same.
 func TestNothingIsTakenBackWhileTheJournalIsAway(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx := t.Context()
-		log := journaltest.New()
+	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		accepter := accepterOfOne(ctx, t, log, "a/1")
 		refuse(log, journaltest.Read)
 		time.Sleep(10 * standByWait)
@@ -96,10 +90,7 @@
 // looked in its fold of the whole partition whether the owner was still silent. That does not
 // know the batch, so that nothing was taken back, however long the owner was gone.
 func TestABatchThatIsReadAloneIsTakenBack(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx := t.Context()
-		log := journaltest.New()
+	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		watcher := ledger.New(ctx, log, zap.NewNop())
 		defer watcher.Of("x").Follow()()
 		putOthers(ctx, t, log, watcher.Of("x").Name(), 64<<10)
--- a/internal/batches/runner/stop_test.go
+++ b/internal/batches/runner/stop_test.go
@@ -40,10 +40,7 @@
 // handed over, ended, and the batch stood still until its owner's silence was noticed,
 // after 1.5 s more.
 func TestAReleaseEndsWithItsRecordsInTheJournal(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx := t.Context()
-		log := journaltest.New()
+	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		owner := newOwnerOfTwo(ctx, t, log)
 		refuse(log, journaltest.Append)
 		time.AfterFunc(4*time.Second, func() { log.SetBefall(nil) })
