--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -8,8 +8,6 @@
 	"time"
 
 	"go.uber.org/zap"
-
-	"woodworks/internal/membership/identity"
 )
 
 const (
@@ -64,17 +62,6 @@
 	at        time.Time
 }
 
-// recipient is a machine that is sent reports.
-type recipient struct {
-	// sending says that a call is under way.
-	sending bool
-	// owner says that it has batches itself, as it answered last.
-	owner  bool
-	sentAt time.Time
-	// acknowledged is the report that it has taken in last, Number 0 if none is known to be.
-	acknowledged Report
-}
-
 // Publisher reports this daemon's requests to the other owners while it has any. It is safe
 // for concurrent use.
 type Publisher struct {
@@ -225,34 +212,6 @@
 	return slices.Equal(a.Counts, b.Counts) && slices.Equal(a.Demands, b.Demands)
 }
 
-// refresh learns anew which machines may be given batches, without waiting for it. The mutex
-// is held.
-func (p *Publisher) refresh(ctx context.Context, now time.Time) {
-	if p.refreshing || !p.machinesAt.IsZero() && now.Sub(p.machinesAt) < introduceInterval {
-		return
-	}
-	p.refreshing, p.machinesAt = true, now
-	go func() {
-		machines := p.candidateMachines(ctx)
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.refreshing = false
-		if len(machines) == 0 || slices.Equal(p.machines, machines) {
-			return // where it can't be learned, those of before may still be right
-		}
-		// Some are to get a report though nothing else has changed.
-		p.machines, p.last = machines, Report{}
-	}()
-}
-
-func (p *Publisher) candidateMachines(ctx context.Context) (machines []string) {
-	for _, daemon := range p.candidates(ctx) {
-		machines = append(machines, identity.Machine(daemon))
-	}
-	slices.Sort(machines)
-	return slices.Compact(machines)
-}
-
 // own returns the report that this daemon would send now.
 func (p *Publisher) own() Report {
 	own := p.current()
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -55,36 +55,6 @@
 	return own
 }
 
-// due returns the machines to send to now, and whether they are owners: these always, others that
-// may become ones now and then. One that has not answered yet is passed over. The mutex is held.
-func (p *Publisher) due(now time.Time, last bool) map[string]bool {
-	due := map[string]bool{}
-	for _, machine := range p.machines {
-		due[machine] = false
-	}
-	for machine, to := range p.recipients {
-		if to.owner {
-			due[machine] = true
-		}
-	}
-	for _, machine := range p.table.Reporters() {
-		due[machine] = true
-	}
-	delete(due, identity.Machine(p.table.self))
-	for machine, owner := range due {
-		to := p.recipients[machine]
-		if to == nil {
-			to = &recipient{}
-			p.recipients[machine] = to
-		}
-		introduce := !last && now.Sub(to.sentAt) >= introduceInterval
-		if to.sending || !owner && !introduce {
-			delete(due, machine)
-		}
-	}
-	return due
-}
-
 // measuredDue returns the event times that have changed or were not sent for a while. The mutex is
 // held.
 func (p *Publisher) measuredDue(measured []Measurement, now time.Time) (due []Measurement) {
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -10,9 +10,10 @@
 // What a caller is told is never older than what any daemon told before: whoever
 // answers that there is nothing has begun a read of the journal after the question.
 //
-// The package owns the ways to an answer (read.go) and the budget of own reads (budget.go). It
-// relies on the ledger for folds, on the group for who watches what, on the relay for calls to
-// other daemons, and takes the time for each from questiontime.
+// The package owns the ways to an answer (read.go), among them that from the fold here (here.go,
+// and fold.go for what a fold says), and the budget of own reads (budget.go). It relies on the
+// ledger for folds, on the group for who watches what, on the relay for calls to other daemons,
+// and takes the time for each from questiontime.
 //
 // # Usage
 //
--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -1,14 +1,59 @@
 package runner
 
 import (
+	"context"
 	"time"
 
 	"woodworks/internal/batches/scheduling"
 	"woodworks/internal/replicas/replica"
 )
 
-// moveInterval is the time between two rounds in which items may be moved.
-const moveInterval = 250 * time.Millisecond
+const (
+	// wakeInterval bounds how long the dispatcher waits for a change.
+	wakeInterval = 100 * time.Millisecond
+	// moveInterval is the time between two rounds in which items may be moved.
+	moveInterval = 250 * time.Millisecond
+)
+
+// Kick makes the dispatcher look again. It never blocks.
+func (r *Runner) Kick() { signal(r.wake) }
+
+// signal wakes who receives from a channel with room for one value. It never blocks.
+func signal(wake chan<- struct{}) {
+	select {
+	case wake <- struct{}{}:
+	default:
+	}
+}
+
+// Run starts items as replicas have room, until the context ends.
+func (r *Runner) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		changed := r.table.Changed()
+		if !r.stopping.Load() {
+			r.dispatch(time.Now())
+		}
+		wait := wakeInterval
+		if r.idle() {
+			wait, changed = time.Hour, nil
+		}
+		timer := time.NewTimer(wait)
+		select {
+		case <-ctx.Done():
+		case <-changed:
+		case <-r.wake:
+		case <-timer.C:
+		}
+		timer.Stop()
+	}
+}
+
+// idle reports whether no batch is run here.
+func (r *Runner) idle() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.jobs) == 0
+}
 
 // dispatch carries out what the scheduler decides: it starts waiting items while
 // replicas have room, and now and then moves items that should go on elsewhere.
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -15,12 +15,12 @@
 //
 // Files that hold state: runner.go (the jobs), job.go (one batch), item.go, text.go and timing.go
 // (one item), history.go (a model's batches before), engineshare.go (what waits, for other owners
-// to know), and for the batches of others watcher.go (what was seen of their owners) and
-// takeover.go (the reads that confirm silence).
+// to know; enginedemand.go works it out), and for the batches of others watcher.go (what was seen
+// of their owners) and takeover.go (the reads that confirm silence).
 //
-// All others carry out: for an item snapshot.go, dispatch.go, attempt.go, handover.go,
-// listing.go, heartbeat.go; for a batch on its way from owner to owner adopt.go, fold.go,
-// standby.go and release.go.
+// All others carry out: for all batches dispatch.go; for an item snapshot.go, attempt.go,
+// handover.go, listing.go, heartbeat.go; for a batch on its way from owner to owner adopt.go,
+// fold.go, standby.go and release.go.
 //
 // # Usage
 //
@@ -67,12 +67,8 @@
 // not answer.
 const SubmitTimeout = 2500 * time.Millisecond
 
-const (
-	// wakeInterval bounds how long the dispatcher waits for a change.
-	wakeInterval = 100 * time.Millisecond
-	// journalPause is the time between two tries at a call to the journal.
-	journalPause = 100 * time.Millisecond
-)
+// journalPause is the time between two tries at a call to the journal.
+const journalPause = 100 * time.Millisecond
 
 // Operator tells what the operator has set.
 type Operator interface {
@@ -234,43 +230,3 @@
 
 // Started returns how many items were sent to a replica.
 func (r *Runner) Started() uint64 { return r.started.Load() }
-
-// Kick makes the dispatcher look again. It never blocks.
-func (r *Runner) Kick() { signal(r.wake) }
-
-// signal wakes who receives from a channel with room for one value. It never blocks.
-func signal(wake chan<- struct{}) {
-	select {
-	case wake <- struct{}{}:
-	default:
-	}
-}
-
-// Run starts items as replicas have room, until the context ends.
-func (r *Runner) Run(ctx context.Context) {
-	for ctx.Err() == nil {
-		changed := r.table.Changed()
-		if !r.stopping.Load() {
-			r.dispatch(time.Now())
-		}
-		wait := wakeInterval
-		if r.idle() {
-			wait, changed = time.Hour, nil
-		}
-		timer := time.NewTimer(wait)
-		select {
-		case <-ctx.Done():
-		case <-changed:
-		case <-r.wake:
-		case <-timer.C:
-		}
-		timer.Stop()
-	}
-}
-
-// idle reports whether no batch is run here.
-func (r *Runner) idle() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.jobs) == 0
-}
