--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -61,7 +61,7 @@
 	}
 	for _, v := range g.parts.Replicas.All() {
 		status.Replicas = append(status.Replicas, replicaStatus{
-			ID: v.ID, Service: v.Service, Address: v.Address, Zone: v.Zone,
+			ID: v.ID, Service: v.Service, Address: v.Address.String(), Zone: v.Zone,
 			Draining: v.Draining, InFlight: v.InFlight, Versions: v.Versions,
 		})
 	}
--- a/internal/api/standalone/decoder.go
+++ b/internal/api/standalone/decoder.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"net/netip"
 	"slices"
 	"sync"
 
@@ -92,8 +93,12 @@
 	if err := cbor.Unmarshal(value, &machine); err != nil {
 		return replica.Entry{}, errors.Wrapf(err, "machine %q", id)
 	}
+	address, err := netip.ParseAddrPort(machine.Address)
+	if err != nil {
+		return replica.Entry{}, errors.Wrapf(err, "address of machine %q", id)
+	}
 	return replica.Entry{
-		ID: id, Service: machine.Service, Address: machine.Address, Zone: machine.Zone, Slots: machine.Slots,
+		ID: id, Service: machine.Service, Address: address, Zone: machine.Zone, Slots: machine.Slots,
 		Draining: machine.Leaving, Versions: machine.Models,
 	}, nil
 }
--- a/internal/api/standalone/engines.go
+++ b/internal/api/standalone/engines.go
@@ -53,7 +53,7 @@
 		header.Set("Content-Type", "application/json")
 	}
 	answer, err := e.pool.Exchange(ctx, target.Address,
-		&upstream.Request{Method: method, Target: path, Host: target.Address, Header: header, Body: body})
+		&upstream.Request{Method: method, Target: path, Host: target.Address.String(), Header: header, Body: body})
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/journal/logservice/client.go
+++ b/internal/journal/logservice/client.go
@@ -23,7 +23,7 @@
 type Client struct {
 	journal.Shape
 	pool *upstream.Pool
-	addr string
+	addr netip.AddrPort
 }
 
 var _ journal.Journal = (*Client)(nil)
@@ -32,7 +32,7 @@
 // of local (IP:port), "" for any.
 func New(addr netip.AddrPort, local string, shape journal.Shape) *Client {
 	options := upstream.Options{LocalAddress: local, ConnectTimeout: connectTimeout, UnackedTimeout: unackedTimeout}
-	return &Client{Shape: shape, pool: upstream.NewPool(options), addr: addr.String()}
+	return &Client{Shape: shape, pool: upstream.NewPool(options), addr: addr}
 }
 
 // call sends one call and decodes its answer.
@@ -43,7 +43,7 @@
 		return answer, errors.Wrap(journal.ErrNotDone, err.Error())
 	}
 	resp, err := c.pool.Exchange(ctx, c.addr, &upstream.Request{
-		Method: http.MethodPost, Target: pathPrefix + name, Host: c.addr,
+		Method: http.MethodPost, Target: pathPrefix + name, Host: c.addr.String(),
 		Header: http.Header{"Content-Type": {contentType}}, Body: body,
 	})
 	if errors.Is(err, upstream.ErrNotSent) {
--- a/internal/replicas/replica/changes.go
+++ b/internal/replicas/replica/changes.go
@@ -38,7 +38,7 @@
 	switch {
 	case c.before == nil:
 		t.logger.Info("replica listed", zap.String("replica", c.now.ID), zap.String("service", c.now.Service),
-			zap.String("address", c.now.Address), zap.String("zone", c.now.Zone), zap.Bool("draining", c.now.Draining))
+			zap.Stringer("address", c.now.Address), zap.String("zone", c.now.Zone), zap.Bool("draining", c.now.Draining))
 	case c.now == nil:
 		t.logger.Info("replica gone from the list", zap.String("replica", c.before.ID))
 	default:
--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -1,6 +1,7 @@
 package replica
 
 import (
+	"net/netip"
 	"strconv"
 	"strings"
 	"time"
@@ -52,7 +53,7 @@
 // known to have started again, or under which it is listed since: connections that rest
 // there lead to a process that has ended. It is called with the table locked, and must not
 // call the table. It is set before any other method is called.
-func (t *Table) OnRestart(restarted func(address string)) { t.restarted = restarted }
+func (t *Table) OnRestart(restarted func(address netip.AddrPort)) { t.restarted = restarted }
 
 // Seen notes what a replica itself says of when it started. It reports whether that is
 // the incarnation that is meant. After a later one, what was known of the replica is forgotten.
@@ -112,7 +113,7 @@
 		e.goneAt, e.last = t.now(), Entry{}
 	}
 	t.logger.Info("replica started again", zap.String("replica", now.ID), zap.String("service", now.Service),
-		zap.String("address", now.Address),
+		zap.Stringer("address", now.Address),
 		zap.Time("born", now.Born), zap.Time("before", before.Born), zap.Int("in_flight_before", inFlight))
 	t.restarted(before.Address)
 	if now.Address != before.Address {
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -1,6 +1,7 @@
 package replica
 
 import (
+	"net/netip"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -107,20 +108,21 @@
 func TestAnAddressIsToldWhenItsReplicaStartsAgain(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(drainBound, zap.NewNop())
-	var told []string
-	table.OnRestart(func(address string) { told = append(told, address) })
+	other := netip.MustParseAddrPort("10.0.0.2:80")
+	var told []netip.AddrPort
+	table.OnRestart(func(address netip.AddrPort) { told = append(told, address) })
 	table.Set(started("a", 0, 1))
 	table.Set(started("a", 0, 2))
 	is.Equal(len(told), 0)
 	table.Set(started("a", 1, 1))
-	is.Equal(told, []string{"a"})
+	is.Equal(told, []netip.AddrPort{address})
 	moved := started("a", 2, 1)
-	moved.Address = "b"
+	moved.Address = other
 	table.Set(moved)
-	is.Equal(told, []string{"a", "a", "b"})
+	is.Equal(told, []netip.AddrPort{address, address, other})
 	table.Remove("a")
 	table.Set(started("a", 3, 1))
-	is.Equal(told, []string{"a", "a", "b", "b", "a"})
+	is.Equal(told, []netip.AddrPort{address, address, other, other, address})
 }
 
 // A replica's own word of a later start counts before its entry has come.
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -26,6 +26,7 @@
 package replica
 
 import (
+	"net/netip"
 	"sync"
 	"time"
 
@@ -41,7 +42,7 @@
 type Entry struct {
 	ID      string
 	Service string
-	Address string
+	Address netip.AddrPort
 	Zone    string
 	Slots   int
 	// Draining replicas get no new work.
@@ -108,7 +109,7 @@
 	// newest has the newest incarnation of each id that was listed of late.
 	newest map[string]Entry
 	// restarted is called with addresses of replicas that have started again.
-	restarted func(address string)
+	restarted func(address netip.AddrPort)
 	changed   chan struct{}
 }
 
@@ -119,7 +120,7 @@
 		logger: logger, removedGrace: drainBound / 2, now: bootclock.Now,
 		entries: map[string]*listed{}, services: map[string]map[string]*listed{},
 		learned: map[Incarnation]*experience{}, newest: map[string]Entry{},
-		restarted: func(string) {}, changed: make(chan struct{}),
+		restarted: func(netip.AddrPort) {}, changed: make(chan struct{}),
 	}
 }
 
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/netip"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -19,7 +20,12 @@
 
 const drainBound = 2 * time.Second
 
-func entry(id string) Entry { return Entry{ID: id, Service: "s", Address: "a", Zone: "z", Slots: 4} }
+func entry(id string) Entry {
+	return Entry{ID: id, Service: "s", Address: address, Zone: "z", Slots: 4}
+}
+
+// address is where the replicas of these tests are listed; nobody dials it.
+var address = netip.MustParseAddrPort("10.0.0.1:80")
 
 // After an outage of the platform the list may be empty until the replicas have
 // written their entries again: they go on getting work for half the drain
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -51,7 +51,7 @@
 	f.Logger.Info("attempt failed", zap.String("request", failed.requestID), zap.String("outcome", failed.outcome),
 		zap.String("content", failed.content.Digest().Short()), zap.String("replica", failed.chosen.ID),
 		zap.String("service", failed.chosen.Service),
-		zap.String("address", failed.chosen.Address), zap.Stringer("process", liveness), zap.Bool("may_have_run", failed.mayHaveRun),
+		zap.Stringer("address", failed.chosen.Address), zap.Stringer("process", liveness), zap.Bool("may_have_run", failed.mayHaveRun),
 		zap.Duration("after", failed.after), zap.Error(failed.err))
 }
 
--- a/internal/requests/forward/failed_test.go
+++ b/internal/requests/forward/failed_test.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 	"net/http/httptest"
-	"strings"
+	"net/netip"
 	"testing"
 	"time"
 
@@ -38,7 +38,7 @@
 			server.Start()
 			t.Cleanup(server.Close)
 			table := replica.NewTable(time.Second, zap.NewNop())
-			table.Set(replica.Entry{ID: "a", Service: "s", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 4})
+			table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 4})
 			f := &floor{forwarder: &Forwarder{MaxOpen: Unbounded, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.New(core), Observe: func(string, string, time.Duration) {},
 				Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, UnackedTimeout: time.Second})}}
 			var asked *Call
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -6,8 +6,8 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"net/netip"
 	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"testing"
@@ -69,7 +69,7 @@
 			server.CloseClientConnections()
 			server.Close()
 		})
-		table.Set(replica.Entry{ID: string(rune('a' + i)), Service: "s", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 4})
+		table.Set(replica.Entry{ID: string(rune('a' + i)), Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 4})
 	}
 	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, UnackedTimeout: time.Second})
 	f.forwarder = &Forwarder{MaxOpen: Unbounded, Pool: pool, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}
@@ -303,7 +303,7 @@
 }
 
 // silentAddress is an address at which no connection comes up: its queue is full.
-func silentAddress(t *testing.T) string {
+func silentAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -324,7 +324,7 @@
 	for {
 		conn, err := net.DialTimeout("tcp4", address, 50*time.Millisecond)
 		if err != nil {
-			return address
+			return netip.MustParseAddrPort(address)
 		}
 		t.Cleanup(func() { _ = conn.Close() })
 	}
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -8,6 +8,7 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"net/netip"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -73,7 +74,7 @@
 		s.made <- struct{}{}
 	}))
 	table := replica.NewTable(time.Second, zap.NewNop())
-	table.Set(replica.Entry{ID: "a", Service: "s", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 1000})
+	table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 1000})
 	names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Stamp: "Signature"}
 	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: kind, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	is.New(t).NoErr(err)
--- a/internal/requests/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -4,6 +4,7 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"net/netip"
 	"strings"
 	"testing"
 	"time"
@@ -56,7 +57,7 @@
 			}))
 			t.Cleanup(server.Close)
 			table := replica.NewTable(time.Second, zap.NewNop())
-			table.Set(replica.Entry{ID: "a", Service: "s", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 1})
+			table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 1})
 			clock := clocktest.New()
 			names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Stamp: "Signature"}
 			cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe,
--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"net/http"
 	"net/http/httptest"
+	"net/netip"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -35,7 +36,7 @@
 	}))
 	t.Cleanup(server.Close)
 	table := replica.NewTable(time.Second, zap.NewNop())
-	table.Set(replica.Entry{ID: "a", Service: "s", Address: strings.TrimPrefix(server.URL, "http://"), Slots: 100})
+	table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 100})
 	clock := clocktest.New()
 	names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Stamp: "Signature"}
 	cfg, err := route.New(route.Declared{Version: 1, Services: map[string]route.Service{"s": {Name: "s", Engine: engine}},
--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"net/http"
+	"net/netip"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -29,7 +30,7 @@
 // most.
 type connection struct {
 	pool    *Pool
-	address string
+	address netip.AddrPort
 	raw     net.Conn
 	reader  *bufio.Reader
 	// sureUntil is until when it may rest for any request, restUntil for one that may be
@@ -43,7 +44,7 @@
 	tainted  bool
 }
 
-func newConnection(p *Pool, address string, raw net.Conn) *connection {
+func newConnection(p *Pool, address netip.AddrPort, raw net.Conn) *connection {
 	return &connection{pool: p, address: address, raw: raw, reader: bufio.NewReaderSize(raw, readBufferBytes)}
 }
 
--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/netip"
 	"time"
 
 	"github.com/pkg/errors"
@@ -34,7 +35,7 @@
 // claim returns a connection that rests, which may have rested too long, or a channel that
 // is closed when one may have become free. Without either there is a place for a new
 // connection, which is counted already.
-func (p *Pool) claim(address string, req *Request) (conn *connection, freed <-chan struct{}) {
+func (p *Pool) claim(address netip.AddrPort, req *Request) (conn *connection, freed <-chan struct{}) {
 	now := p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,7 +61,7 @@
 
 // take returns a resting connection that is still sound, or a new one. At the limit it waits
 // for one until the request's WaitUntil.
-func (p *Pool) take(ctx context.Context, address string, req *Request) (*connection, error) {
+func (p *Pool) take(ctx context.Context, address netip.AddrPort, req *Request) (*connection, error) {
 	late := time.NewTimer(time.Until(req.WaitUntil))
 	defer late.Stop()
 	for {
@@ -89,7 +90,7 @@
 func (p *Pool) Full() uint64 { return p.full.Load() }
 
 // signal wakes those that wait for a connection to a peer. The mutex is held.
-func (p *Pool) signal(address string) {
+func (p *Pool) signal(address netip.AddrPort) {
 	if freed := p.freed[address]; freed != nil {
 		close(freed)
 		delete(p.freed, address)
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"net/http"
+	"net/netip"
 	"sync"
 	"testing"
 	"time"
@@ -33,7 +34,7 @@
 }
 
 // answersWhenTold is a peer that answers each request when it is told to.
-func answersWhenTold(t *testing.T, tell <-chan struct{}) string {
+func answersWhenTold(t *testing.T, tell <-chan struct{}) netip.AddrPort {
 	return peer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		for {
 			req, err := http.ReadRequest(reader)
@@ -48,7 +49,7 @@
 }
 
 // bounded sends a request that waits for a connection.
-func bounded(t *testing.T, p *Pool, address string, most int, wait time.Duration) error {
+func bounded(t *testing.T, p *Pool, address netip.AddrPort, most int, wait time.Duration) error {
 	req := request("r")
 	req.MaxOpen, req.WaitUntil = most, time.Now().Add(wait)
 	answer, err := p.Exchange(t.Context(), address, req)
@@ -106,9 +107,9 @@
 
 	left, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := p.take(left, "127.0.0.1:1", &Request{MaxOpen: 1})
+	_, err := p.take(left, netip.MustParseAddrPort("127.0.0.1:1"), &Request{MaxOpen: 1})
 	is.True(err != nil)
-	is.Equal(p.Open("127.0.0.1:1"), 0)
+	is.Equal(p.Open(netip.MustParseAddrPort("127.0.0.1:1")), 0)
 }
 
 // Of the rest that a peer grants, a request that can't be repeated keeps well away from the
@@ -126,18 +127,18 @@
 	p.now = func() time.Time { return now }
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = far.Close() }) // it is not read any more
-	p.open["peer"]++
-	p.put(newConnection(p, "peer", near), now.Add(600*time.Millisecond), now.Add(900*time.Millisecond))
+	p.open[peerAddress]++
+	p.put(newConnection(p, peerAddress, near), now.Add(600*time.Millisecond), now.Add(900*time.Millisecond))
 	now = now.Add(700 * time.Millisecond)
-	conn, _ := p.claim("peer", &Request{})
+	conn, _ := p.claim(peerAddress, &Request{})
 	is.True(conn == nil) // a new one is made
-	is.True(p.Resting("peer") > 0)
-	conn, _ = p.claim("peer", &Request{Repeatable: true})
+	is.True(p.Resting(peerAddress) > 0)
+	conn, _ = p.claim(peerAddress, &Request{Repeatable: true})
 	is.True(conn != nil)
 	p.put(conn, now, now.Add(200*time.Millisecond))
 	// Where its place is needed it is closed for the request that can't be repeated.
-	conn, _ = p.claim("peer", &Request{MaxOpen: 2})
+	conn, _ = p.claim(peerAddress, &Request{MaxOpen: 2})
 	is.True(conn != nil && !conn.usable(now, false))
 	conn.close()
-	is.Equal(p.Open("peer"), 1) // the place that was counted for the new one
+	is.Equal(p.Open(peerAddress), 1) // the place that was counted for the new one
 }
--- a/internal/requests/upstream/probe.go
+++ b/internal/requests/upstream/probe.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net/http"
+	"net/netip"
 	"syscall"
 	"time"
 
@@ -42,7 +43,7 @@
 // Probe finds out whether a process listens at an address, as after a connection to it
 // broke: one connection may break by itself, a process that has ended refuses all. A
 // connection that is taken rests in the pool for the next request.
-func (p *Pool) Probe(ctx context.Context, address string) Liveness {
+func (p *Pool) Probe(ctx context.Context, address netip.AddrPort) Liveness {
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	p.mu.Lock()
--- a/internal/requests/upstream/rest_test.go
+++ b/internal/requests/upstream/rest_test.go
@@ -30,7 +30,7 @@
 			}()
 			p := NewPool(Options{})
 			p.now = time.Now
-			conn := newConnection(p, "peer", near)
+			conn := newConnection(p, peerAddress, near)
 			answer, err := conn.exchange(t.Context(), &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}})
 			is.NoErr(err)
 			_, err = io.ReadAll(answer)
@@ -40,7 +40,7 @@
 			time.Sleep(2*time.Second - idleMargin - time.Second - time.Millisecond)
 			none, cancel := context.WithCancel(t.Context())
 			cancel() // a connection that is not there is not made
-			_, err = p.take(none, "peer", &Request{})
+			_, err = p.take(none, peerAddress, &Request{})
 			is.Equal(err == nil, held <= time.Second)
 			conn.close()
 			_ = far.Close() // it is not read any more
@@ -56,12 +56,12 @@
 		near, far := net.Pipe()
 		p := NewPool(Options{})
 		p.now = time.Now
-		conn := newConnection(p, "peer", near)
-		is.Equal(p.Resting("peer"), 0)
+		conn := newConnection(p, peerAddress, near)
+		is.Equal(p.Resting(peerAddress), 0)
 		p.put(conn, time.Now().Add(time.Second), time.Now().Add(time.Second))
-		is.Equal(p.Resting("peer"), 1)
+		is.Equal(p.Resting(peerAddress), 1)
 		time.Sleep(time.Second)
-		is.Equal(p.Resting("peer"), 0)
+		is.Equal(p.Resting(peerAddress), 0)
 		conn.close()
 		_ = far.Close() // it is not read any more
 	})
--- a/internal/requests/upstream/suspend_test.go
+++ b/internal/requests/upstream/suspend_test.go
@@ -25,12 +25,12 @@
 	none, cancel := context.WithCancel(t.Context())
 	cancel() // a connection that is not there is not made
 	sure, rest := restOf(http.Header{"Keep-Alive": {"timeout=2"}})
-	p.put(newConnection(p, "peer", near), clock.Now().Add(sure), clock.Now().Add(rest))
+	p.put(newConnection(p, peerAddress, near), clock.Now().Add(sure), clock.Now().Add(rest))
 	clock.Suspend(time.Second)
-	kept, err := p.take(none, "peer", &Request{})
+	kept, err := p.take(none, peerAddress, &Request{})
 	is.NoErr(err)
 	p.put(kept, clock.Now().Add(time.Second), clock.Now().Add(time.Second))
 	clock.Suspend(time.Second)
-	_, err = p.take(none, "peer", &Request{})
+	_, err = p.take(none, peerAddress, &Request{})
 	is.True(err != nil)
 }
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -20,6 +20,7 @@
 	"context"
 	"net"
 	"net/http"
+	"net/netip"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -98,11 +99,11 @@
 	now bootclock.Clock
 
 	mu   sync.Mutex
-	idle map[string][]*connection
+	idle map[netip.AddrPort][]*connection
 	// open counts the connections to each peer, those that are being made included.
-	open map[string]int
+	open map[netip.AddrPort]int
 	// freed, where somebody waits, is closed when a connection rests or has ended.
-	freed map[string]chan struct{}
+	freed map[netip.AddrPort]chan struct{}
 
 	dials, full atomic.Uint64
 }
@@ -128,12 +129,12 @@
 
 // NewPool returns an empty pool.
 func NewPool(options Options) *Pool {
-	return &Pool{dialer: NewDialer(options), now: bootclock.Now, idle: map[string][]*connection{}, open: map[string]int{},
-		freed: map[string]chan struct{}{}}
+	return &Pool{dialer: NewDialer(options), now: bootclock.Now, idle: map[netip.AddrPort][]*connection{}, open: map[netip.AddrPort]int{},
+		freed: map[netip.AddrPort]chan struct{}{}}
 }
 
 // Open returns how many connections to a peer are open.
-func (p *Pool) Open(address string) int {
+func (p *Pool) Open(address netip.AddrPort) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open[address]
@@ -141,7 +142,7 @@
 
 // Resting returns how many connections to a peer rest and may be used still. Each may turn
 // out to be closed.
-func (p *Pool) Resting(address string) int {
+func (p *Pool) Resting(address netip.AddrPort) int {
 	now := p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,7 +185,7 @@
 
 // Drop closes the connections to a peer that rest, as its process is known to have ended.
 // Exchanges under way go on.
-func (p *Pool) Drop(address string) {
+func (p *Pool) Drop(address netip.AddrPort) {
 	p.mu.Lock()
 	resting := p.idle[address]
 	delete(p.idle, address)
@@ -196,7 +197,7 @@
 
 // Exchange sends a request and returns its answer once the head is there. The
 // caller must Close the answer. When the context ends, the connection is cut.
-func (p *Pool) Exchange(ctx context.Context, address string, req *Request) (*Answer, error) {
+func (p *Pool) Exchange(ctx context.Context, address netip.AddrPort, req *Request) (*Answer, error) {
 	if ctx.Err() != nil {
 		// A resting connection would take the request before the end closes it.
 		return nil, errors.Wrap(ErrNotSent, ctx.Err().Error())
@@ -212,8 +213,8 @@
 }
 
 // dial makes a connection, whose place is counted already.
-func (p *Pool) dial(ctx context.Context, address string) (*connection, error) {
-	raw, err := p.dialer.DialContext(ctx, "tcp4", address)
+func (p *Pool) dial(ctx context.Context, address netip.AddrPort) (*connection, error) {
+	raw, err := p.dialer.DialContext(ctx, "tcp4", address.String())
 	if err != nil {
 		p.closed(address)
 		return nil, err
@@ -232,7 +233,7 @@
 	p.signal(conn.address)
 }
 
-func (p *Pool) closed(address string) {
+func (p *Pool) closed(address netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open[address]--
--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -8,6 +8,7 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"net/netip"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -19,8 +20,11 @@
 	"woodworks/internal/demo/process"
 )
 
+// peerAddress is of a peer that is never dialled.
+var peerAddress = netip.MustParseAddrPort("127.0.0.1:1")
+
 // peer is a server that answers each connection by a script.
-func peer(t *testing.T, script func(conn net.Conn, reader *bufio.Reader, number int)) string {
+func peer(t *testing.T, script func(conn net.Conn, reader *bufio.Reader, number int)) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -39,7 +43,7 @@
 			}()
 		}
 	}()
-	return listener.Addr().String()
+	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
 func newTestPool() *Pool {
@@ -51,7 +55,7 @@
 }
 
 // ask sends a request and returns the whole body.
-func ask(p *Pool, address, id string) (string, error) {
+func ask(p *Pool, address netip.AddrPort, id string) (string, error) {
 	answer, err := p.Exchange(context.Background(), address, request(id))
 	if err != nil {
 		return "", err
@@ -213,7 +217,7 @@
 	is := is.New(t)
 	address, err := process.FreeAddress()
 	is.NoErr(err)
-	_, err = ask(newTestPool(), address, "a")
+	_, err = ask(newTestPool(), netip.MustParseAddrPort(address), "a")
 	is.True(errors.Is(err, ErrNotSent))
 }
 
@@ -272,7 +276,7 @@
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 	defer server.Close()
-	address := strings.TrimPrefix(server.URL, "http://")
+	address := netip.MustParseAddrPort(server.Listener.Addr().String())
 	p := NewPool(Options{ConnectTimeout: time.Second, UnackedTimeout: time.Second})
 	exchange := func() *Answer {
 		answer, err := p.Exchange(t.Context(), address, &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}})
@@ -285,7 +289,7 @@
 	underWay := exchange()
 	is.Equal(p.Dials(), uint64(1))
 	p.Drop(address)
-	p.Drop("another")
+	p.Drop(peerAddress)
 	underWay.Close()
 	is.True(p.Resting(address) > 0) // its peer answered
 	p.Drop(address)
