--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -10,6 +10,7 @@
 	"slices"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -28,6 +29,7 @@
 	"woodworks/internal/demo/process"
 	"woodworks/internal/demo/services"
 	"woodworks/internal/journal/journaltest"
+	"woodworks/internal/requests/refusal"
 )
 
 // go-zero's client logs each request.
@@ -263,23 +265,40 @@
 	is.NoErr(f.client(0, "bots").Announce(f.ctx(), "bots", 1, "artifact"))
 }
 
+// A daemon whose read or claim had no answer from the journal in time, as on a machine that
+// is busy, says so, and its caller asks again with the same key. If such a claim does count,
+// nothing may run under the key any more, and all tries hear that.
 func TestAKeyedMoveRunsOnceThroughAllDaemons(t *testing.T) {
 	f := newFloor(t, 2)
 	is := is.New(t)
 	key := fmt.Sprintf("%d-abcdefgh", time.Now().UnixMilli())
 	var tries sync.WaitGroup
+	var unsure atomic.Bool
 	answers := make([]client.Answer, 6)
 	for i := range answers {
 		tries.Go(func() {
-			answers[i], _, _ = f.client(i%2, "players").Call(f.ctx(), "game-front", "move", key, []byte("e4"))
+			for end := time.Now().Add(patience); time.Now().Before(end); {
+				answers[i], _, _ = f.client(i%2, "players").Call(f.ctx(), "game-front", "move", key, []byte("e4"))
+				mayCount := bytes.Contains(answers[i].Body, []byte(refusal.V1PermitUnsure.Name))
+				if !mayCount && !bytes.Contains(answers[i].Body, []byte(refusal.V1LogUnavailable.Name)) {
+					return
+				}
+				if mayCount {
+					unsure.Store(true)
+				}
+			}
 		})
 	}
 	tries.Wait()
+	status, executions := http.StatusOK, 1
+	if unsure.Load() && answers[0].Status == http.StatusConflict {
+		status, executions = http.StatusConflict, 0
+	}
 	for _, answer := range answers {
-		is.Equal(answer.Status, http.StatusOK)
+		is.Equal(answer.Status, status)
 		is.Equal(string(answer.Body), string(answers[0].Body))
 	}
-	is.Equal(f.executions("e4"), 1)
+	is.Equal(f.executions("e4"), executions)
 	answer, outcome, err := f.client(0, "players").Call(f.ctx(), "game-front", "move", key, []byte("d4"))
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusConflict)
