--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -89,7 +89,8 @@
 		pauses := rapid.SliceOfN(rapid.IntRange(0, 900), 24, 24).Draw(rt, "pauses")
 		history := recordHistory(t, faults, pauses)
 		checked += len(history)
-		if result := porcupine.CheckOperationsTimeout(existence, history, 10*time.Second); result == porcupine.Illegal {
+		result := porcupine.CheckOperationsTimeout(existence, history, 10*time.Second)
+		if result == porcupine.Illegal {
 			rt.Fatalf("no order of these calls explains what was told: %+v", history)
 		}
 	})
--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -71,7 +71,8 @@
 		report.Counts = append([]Count(nil), report.Counts...)
 		return report
 	}
-	o.publisher = NewPublisher(o.table, f, source, func(context.Context) []string { return f.dealt }, zap.NewNop())
+	candidates := func(context.Context) []string { return f.dealt }
+	o.publisher = NewPublisher(o.table, f, source, candidates, zap.NewNop())
 	f.mu.Lock()
 	f.services[machine], f.daemons[machine] = NewService(o.table, o.publisher, func() {}), o
 	f.mu.Unlock()
--- a/internal/batches/occupancy/rpc_test.go
+++ b/internal/batches/occupancy/rpc_test.go
@@ -37,7 +37,8 @@
 		t.Fatal(err)
 	}
 	go relayed.Run(ctx)
-	go journal.NewKeyedFollower(relayed, relay.PeersPartition, relayed.Peers(), 3*time.Second, zap.NewNop()).Run(ctx)
+	const every = 3 * time.Second
+	go journal.NewKeyedFollower(relayed, relay.PeersPartition, relayed.Peers(), every, zap.NewNop()).Run(ctx)
 	go publisher.Run(ctx)
 	return table
 }
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -163,8 +163,10 @@
 		table := NewTable("self/1", func() time.Time { return now }, zap.NewNop())
 		for number := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
-			run := fmt.Sprintf("%c/%d", 'a'+rapid.IntRange(0, 4).Draw(t, "machine"), rapid.IntRange(1, 2).Draw(t, "run"))
-			report := reported(run, uint64(rapid.IntRange(0, number).Draw(t, "number")), now, uint32(rapid.IntRange(0, 8).Draw(t, "requests")))
+			run := fmt.Sprintf("%c/%d",
+				'a'+rapid.IntRange(0, 4).Draw(t, "machine"), rapid.IntRange(1, 2).Draw(t, "run"))
+			report := reported(run, uint64(rapid.IntRange(0, number).Draw(t, "number")), now,
+				uint32(rapid.IntRange(0, 8).Draw(t, "requests")))
 			table.Merge(report)
 			sum := 0
 			for _, d := range table.daemons {
@@ -173,7 +175,8 @@
 				}
 			}
 			if table.InFlight(engine) != sum || table.Counts().Elsewhere != sum {
-				t.Fatalf("%d at the engine, %d in all, reports say %d", table.InFlight(engine), table.Counts().Elsewhere, sum)
+				t.Fatalf("%d at the engine, %d in all, reports say %d",
+					table.InFlight(engine), table.Counts().Elsewhere, sum)
 			}
 		}
 	})
--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -151,7 +151,8 @@
 func reported() fleetOptions {
 	return fleetOptions{daemons: 84, partitions: 24, batches: 52, texts: 148, textBytes: 6500, perRecord: 37,
 		weak: 60e6 / 8, strong: 600e6 / 8, strongEach: 4, granted: 80e6, carries: 80e6,
-		takes: 4 * time.Millisecond, peerTakes: 4 * time.Millisecond, knowPeers: 500 * time.Millisecond, revive: true}
+		takes: 4 * time.Millisecond, peerTakes: 4 * time.Millisecond,
+		knowPeers: 500 * time.Millisecond, revive: true}
 }
 
 // stop is one daemon of a fleet.
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -114,7 +114,8 @@
 		asking, stop := context.WithTimeout(ctx, giveUp)
 		defer stop()
 		told = f.ask(asking, 7, 3)
-		t.Logf("%d questions, %d refused, %d left, at most %d tries, told after %v, %d MB read, %d MB from watchers",
+		t.Logf("%d questions, %d refused, %d left, at most %d tries, told after %v, "+
+			"%d MB read, %d MB from watchers",
 			told.questions, told.refused, told.left, told.most, told.took,
 			(f.store.carried.Load()-before)>>20, f.told.Load()>>20)
 	})
--- a/internal/batches/runner/dispatch_test.go
+++ b/internal/batches/runner/dispatch_test.go
@@ -54,6 +54,8 @@
 		}
 		return named
 	}
-	is.Equal(engines(view{Snapshot: scheduling.Snapshot{Items: items()}, replicas: []replica.Replica{before, other}}), []string{"a", "b", ""})
-	is.Equal(engines(view{Snapshot: scheduling.Snapshot{Items: items()}, replicas: []replica.Replica{now, other}}), []string{"", "b", ""})
+	is.Equal(engines(view{Snapshot: scheduling.Snapshot{Items: items()}, replicas: []replica.Replica{before, other}}),
+		[]string{"a", "b", ""})
+	is.Equal(engines(view{Snapshot: scheduling.Snapshot{Items: items()}, replicas: []replica.Replica{now, other}}),
+		[]string{"", "b", ""})
 }
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -295,7 +295,8 @@
 	is.Equal(eventTime(40*time.Millisecond, 4*time.Second), 40*time.Millisecond)
 	is.Equal(eventTime(40*time.Millisecond, 6*time.Second), 20*time.Millisecond)
 	var alone *sharing
-	is.Equal(alone.withReports(scheduling.Engine{ID: "e", EventTime: 1}, rep, now), scheduling.Engine{ID: "e", EventTime: 1})
+	is.Equal(alone.withReports(scheduling.Engine{ID: "e", EventTime: 1}, rep, now),
+		scheduling.Engine{ID: "e", EventTime: 1})
 }
 
 // What is told is what is under way now. A daemon that stops wants nothing more, and one
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -26,7 +26,8 @@
 func batchesFor(t *testing.T, maxQueue time.Duration) configured {
 	t.Helper()
 	configuration, err := route.New(route.Declared{Routes: []route.Route{{
-		Name: "r", Host: "h", PathPrefix: "/p/", Kind: route.Batch, MaxQueue: maxQueue, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
+		Name: "r", Host: "h", PathPrefix: "/p/", Kind: route.Batch, MaxQueue: maxQueue,
+		Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,8 +90,10 @@
 	is.Equal(retryAfter(&forward.StatusError{Status: 503}, 9, 3), again(noFault))
 	is.Equal(retryAfter(&forward.StatusError{Status: 422}, 0, 3), retry{dead: "cannot be done"})
 	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 1, 3), retry{counts: true, pause: failurePause})
-	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 2, 3), retry{counts: true, dead: "failed at every attempt"})
-	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 0, 0), retry{counts: true, dead: "failed at every attempt"})
+	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 2, 3),
+		retry{counts: true, dead: "failed at every attempt"})
+	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 0, 0),
+		retry{counts: true, dead: "failed at every attempt"})
 }
 
 func TestTheTimeForAFirstEventDoubles(t *testing.T) {
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -45,7 +45,9 @@
 		for batch := range loadBatches {
 			needed := load.needed(batch, func(each *text) time.Duration { return each.done - each.begins })
 			took += needed / (seeds * loadBatches)
-			least := load.needed(batch, func(each *text) time.Duration { return time.Duration(each.length) * loadFast })
+			least := load.needed(batch, func(each *text) time.Duration {
+				return time.Duration(each.length) * loadFast
+			})
 			bound += least / (seeds * loadBatches)
 		}
 		connections, moves = connections+load.connections, moves+load.moves
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -23,8 +23,9 @@
 		ID: id, Zone: rapid.SampledFrom([]string{"z", "y"}).Draw(t, "zone"),
 		Slots: rapid.IntRange(0, 4).Draw(t, "slots"), InFlight: rapid.IntRange(0, 5).Draw(t, "in flight"),
 		EventTime: time.Duration(rapid.IntRange(0, 100).Draw(t, "pace")) * time.Millisecond,
-		Avoided:   rapid.IntRange(0, 4).Draw(t, "resting") == 0, Declining: rapid.IntRange(0, 4).Draw(t, "declining") == 0,
-		Versions: map[string]int64{testModel: rapid.Int64Range(1, 4).Draw(t, "version")},
+		Avoided:   rapid.IntRange(0, 4).Draw(t, "resting") == 0,
+		Declining: rapid.IntRange(0, 4).Draw(t, "declining") == 0,
+		Versions:  map[string]int64{testModel: rapid.Int64Range(1, 4).Draw(t, "version")},
 	}
 }
 
@@ -231,7 +232,8 @@
 			return time.Duration(rapid.IntRange(10, 200).Draw(t, name)) * time.Millisecond
 		}
 		snapshot := Snapshot{Zone: "z", Engines: []Engine{paced("a", pace("a")), paced("b", pace("b"))}}
-		snapshot.Items = []Item{{Model: testModel, Engine: "a", RunFor: time.Second, Remaining: float64(rapid.IntRange(1, 200).Draw(t, "remaining"))}}
+		remaining := float64(rapid.IntRange(1, 200).Draw(t, "remaining"))
+		snapshot.Items = []Item{{Model: testModel, Engine: "a", RunFor: time.Second, Remaining: remaining}}
 		snapshot.Engines[0].InFlight = 1
 		if len(Plan(snapshot)) == 0 {
 			return
@@ -239,7 +241,8 @@
 		snapshot.Engines[0].InFlight, snapshot.Engines[1].InFlight = 0, 1
 		snapshot.Items[0].Engine = "b"
 		if len(Plan(snapshot)) != 0 {
-			t.Fatalf("moved to and fro between %v and %v", snapshot.Engines[0].EventTime, snapshot.Engines[1].EventTime)
+			t.Fatalf("moved to and fro between %v and %v",
+				snapshot.Engines[0].EventTime, snapshot.Engines[1].EventTime)
 		}
 	})
 }
@@ -250,7 +253,8 @@
 		b.Run(fmt.Sprint(items), func(b *testing.B) {
 			snapshot := Snapshot{Zone: "z"}
 			for i := range items / 10 {
-				snapshot.Engines = append(snapshot.Engines, paced(fmt.Sprint("e", i), time.Duration(30+i%20)*time.Millisecond))
+				pace := time.Duration(30+i%20) * time.Millisecond
+				snapshot.Engines = append(snapshot.Engines, paced(fmt.Sprint("e", i), pace))
 			}
 			for i := range items {
 				snapshot.Items = append(snapshot.Items, Item{
