--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -30,16 +30,16 @@
 	// be held, callerReturns when it asks another daemon after that.
 	callerLeaves  = 1500 * time.Millisecond
 	callerReturns = 500 * time.Millisecond
-	// chunkBytes is what a line carries of one answer before the next one has its turn.
+	// chunkBytes is what a link carries of one answer before the next one has its turn.
 	chunkBytes = 256 << 10
 	// silentRest is how long a peer is left alone that did not answer.
 	silentRest = time.Second
 )
 
-// line carries bytes at a rate, in turns among those who send.
-type line struct {
+// link carries bytes at a rate, in turns among those who send.
+type link struct {
 	bytesPerSecond float64
-	// whole lines carry one answer after the other, and to its end also where nobody
+	// whole links carry one answer after the other, and to its end also where nobody
 	// awaits it any more.
 	whole bool
 
@@ -48,15 +48,15 @@
 	carried   atomic.Int64
 }
 
-// set changes the line's rate.
-func (l *line) set(bytesPerSecond float64) {
+// set changes the link's rate.
+func (l *link) set(bytesPerSecond float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.bytesPerSecond = bytesPerSecond
 }
 
-// take takes the line for so many bytes, and returns how long it takes until it has carried them.
-func (l *line) take(bytes int) time.Duration {
+// take takes the link for so many bytes, and returns how long it takes until it has carried them.
+func (l *link) take(bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now := time.Now(); l.busyUntil.Before(now) {
@@ -67,16 +67,16 @@
 	return time.Until(l.busyUntil)
 }
 
-// carryOver sends an answer over lines that follow each other. A part that one line has begun to
+// carryOver sends an answer over links that follow each other. A part that one link has begun to
 // carry is passed on at once; the slowest sets the pace.
-func carryOver(ctx context.Context, bytes int, lines ...*line) error {
+func carryOver(ctx context.Context, bytes int, links ...*link) error {
 	part := chunkBytes
-	if lines[0].whole {
+	if links[0].whole {
 		part = bytes
 	}
 	for ; bytes > 0; bytes -= part {
 		var takes time.Duration
-		for _, each := range lines {
+		for _, each := range links {
 			takes = max(takes, each.take(min(part, bytes)))
 		}
 		if err := pause(ctx, takes); err != nil {
@@ -87,11 +87,11 @@
 }
 
 // distant is a journal as one machine reaches it: each answer takes a time, and records
-// come over the lines of the journal and of the machine.
+// come over the links of the journal and of the machine.
 type distant struct {
 	*journaltest.Journal
 	fleet *fleet
-	lines []*line
+	links []*link
 }
 
 func (d distant) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
@@ -103,7 +103,7 @@
 		return read, err
 	}
 	for i, record := range read.Records {
-		if err := carryOver(ctx, len(record), d.lines...); err != nil {
+		if err := carryOver(ctx, len(record), d.links...); err != nil {
 			// Those that came whole are of use, as to a client of the platform.
 			read.Records = read.Records[:i]
 			return read, errors.Wrap(journal.ErrUnknown, err.Error())
@@ -155,15 +155,15 @@
 		knowPeers: 500 * time.Millisecond, revive: true}
 }
 
-// stop is one daemon of a fleet.
-type stop struct {
+// node is one daemon of a fleet.
+type node struct {
 	run      string
 	reader   *Reader
 	service  *Service
 	ledger   *ledger.Ledger
 	member   *group.Member
 	revived  *journal.Revived
-	down, up *line
+	down, up *link
 
 	mu    sync.Mutex
 	rests map[string]time.Time
@@ -173,8 +173,8 @@
 type fleet struct {
 	options fleetOptions
 	log     *journaltest.Journal
-	store   *line
-	stops   []*stop
+	store   *link
+	nodes   []*node
 	began   time.Time
 	// readTakes is the time of an answer to a read, a time.Duration.
 	readTakes atomic.Int64
@@ -186,7 +186,7 @@
 	f := &fleet{
 		options: options,
 		log:     journaltest.New(),
-		store:   &line{bytesPerSecond: options.carries, whole: options.whole},
+		store:   &link{bytesPerSecond: options.carries, whole: options.whole},
 		began:   time.Now(),
 	}
 	f.readTakes.Store(int64(options.takes))
@@ -196,7 +196,7 @@
 	f.fill(t, ledger.New(ctx, f.log, zap.NewNop()))
 	f.log.ResetUsage()
 	for i := range options.daemons {
-		f.stops = append(f.stops, f.start(ctx, i, logger))
+		f.nodes = append(f.nodes, f.start(ctx, i, logger))
 	}
 	return f
 }
@@ -233,33 +233,36 @@
 }
 
 // start starts a daemon.
-func (f *fleet) start(ctx context.Context, number int, logger *zap.Logger) *stop {
+func (f *fleet) start(ctx context.Context, number int, logger *zap.Logger) *node {
 	rate := f.options.weak
 	if number%f.options.strongEach == 0 {
 		rate = f.options.strong
 	}
-	s := &stop{run: identity.New(fmt.Sprintf("m%d", number), time.Now()), rests: map[string]time.Time{},
-		down: &line{bytesPerSecond: rate, whole: f.options.whole},
-		up:   &line{bytesPerSecond: rate, whole: f.options.whole}}
-	var log journal.Journal = distant{Journal: f.log, fleet: f, lines: []*line{f.store, s.down}}
+	n := &node{
+		run:   identity.New(fmt.Sprintf("m%d", number), time.Now()),
+		down:  &link{bytesPerSecond: rate, whole: f.options.whole},
+		up:    &link{bytesPerSecond: rate, whole: f.options.whole},
+		rests: map[string]time.Time{},
+	}
+	var log journal.Journal = distant{Journal: f.log, fleet: f, links: []*link{f.store, n.down}}
 	if f.options.revive {
-		s.revived = journal.Revive(log, zap.NewNop())
-		log = s.revived
-	}
-	s.ledger = ledger.New(ctx, log, zap.NewNop())
-	s.member = group.New(log, s.run, append(ledger.TopicNames(), "woodworks.runners"), zap.NewNop())
-	s.reader = NewReader(s.ledger, s.member, &neighbours{f, s}, log.Grants(), s.run, logger)
-	s.service = s.reader.Service(ctx)
-	go s.member.Run(ctx)
-	go s.watch(ctx)
+		n.revived = journal.Revive(log, zap.NewNop())
+		log = n.revived
+	}
+	n.ledger = ledger.New(ctx, log, zap.NewNop())
+	n.member = group.New(log, n.run, append(ledger.TopicNames(), "woodworks.runners"), zap.NewNop())
+	n.reader = NewReader(n.ledger, n.member, &neighbours{f, n}, log.Grants(), n.run, logger)
+	n.service = n.reader.Service(ctx)
+	go n.member.Run(ctx)
+	go n.watch(ctx)
 	// Daemons that are asked now and then save up all along.
-	time.AfterFunc(f.options.knowPeers, func() { s.reader.budget.adjust(time.Now()) })
+	time.AfterFunc(f.options.knowPeers, func() { n.reader.budget.adjust(time.Now()) })
 	for i, held := range []time.Duration{
 		1200 * time.Millisecond, 1200 * time.Millisecond, 9 * time.Second, 9 * time.Second,
 	} {
 		go follow(ctx, log, journal.Partition{Topic: fmt.Sprintf("keyed.%d", i)}, held)
 	}
-	return s
+	return n
 }
 
 // follow holds reads of a short partition, as those of configurations are.
@@ -275,7 +278,7 @@
 
 // watch follows the partitions dealt to the daemon once the group has settled, and drops folds that
 // nobody uses.
-func (s *stop) watch(ctx context.Context) {
+func (n *node) watch(ctx context.Context) {
 	type followed struct {
 		release func()
 		dropped time.Time
@@ -283,12 +286,12 @@
 	watched := map[journal.Partition]*followed{}
 	last := int64(0)
 	for pause(ctx, 200*time.Millisecond) == nil {
-		dealt, generation := s.member.Partitions(), s.member.Generation()
+		dealt, generation := n.member.Partitions(), n.member.Generation()
 		settled := generation == last
 		last = generation
 		for name := range dealt {
 			if settled && watched[name] == nil && name.Topic != "woodworks.runners" {
-				watched[name] = &followed{release: s.ledger.Partition(name).Follow()}
+				watched[name] = &followed{release: n.ledger.Partition(name).Follow()}
 			}
 		}
 		for name, each := range watched {
@@ -302,14 +305,14 @@
 				delete(watched, name)
 			}
 		}
-		s.ledger.Sweep(time.Now())
+		n.ledger.Sweep(time.Now())
 	}
 }
 
 // neighbours is the rest of the fleet, as one daemon reaches it. It implements Peers.
 type neighbours struct {
 	fleet *fleet
-	from  *stop
+	from  *node
 }
 
 // Daemons implements Peers; their number is told as 0 until it is known.
@@ -358,7 +361,7 @@
 	if err := pause(ctx, n.fleet.options.peerTakes); err != nil {
 		return err
 	}
-	for _, each := range n.fleet.stops {
+	for _, each := range n.fleet.nodes {
 		if identity.Machine(each.run) != machine {
 			continue
 		}
@@ -413,7 +416,7 @@
 // readAll reads a batch page by page, each at a random daemon.
 func (f *fleet) readAll(ctx context.Context, w *wave, query Query, random *rand.Rand) {
 	for total, tries := 1, 1; query.After < total; tries++ {
-		page, err := f.question(ctx, f.stops[random.IntN(len(f.stops))], query)
+		page, err := f.question(ctx, f.nodes[random.IntN(len(f.nodes))], query)
 		if ctx.Err() != nil {
 			w.mu.Lock()
 			w.unfinished++
@@ -430,7 +433,7 @@
 }
 
 // question asks a daemon, and has the answer come over the daemon's link.
-func (f *fleet) question(ctx context.Context, at *stop, query Query) (Page, error) {
+func (f *fleet) question(ctx context.Context, at *node, query Query) (Page, error) {
 	bounded, cancel := context.WithTimeout(ctx, query.Wait+callerLeaves)
 	defer cancel()
 	page, err := at.reader.Results(bounded, query)
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -51,20 +51,20 @@
 	is.True(!budget.takePage(1000))
 }
 
-// takesAtFirst is how long each read of a tardy journal takes, until that is changed.
+// takesAtFirst is how long each read of a slowJournal takes, until that is changed.
 func takesAtFirst(takes time.Duration) *atomic.Int64 {
 	made := &atomic.Int64{}
 	made.Store(int64(takes))
 	return made
 }
 
-// tardy is a journal whose reads take a time.
-type tardy struct {
+// slowJournal is a journal whose reads take a time.
+type slowJournal struct {
 	*journaltest.Journal
 	takes *atomic.Int64 // a time.Duration
 }
 
-func (j tardy) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+func (j slowJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	if err := pause(ctx, time.Duration(j.takes.Load())); err != nil {
 		return journal.Records{}, journal.ErrUnknown
 	}
@@ -117,9 +117,9 @@
 	return log
 }
 
-// tardyReader is a reader before a journal whose reads take a time.
-func tardyReader(ctx context.Context, log *journaltest.Journal, takes *atomic.Int64, peers *alone) *Reader {
-	batches := ledger.New(ctx, tardy{log, takes}, zap.NewNop())
+// slowReader is a reader before a journal whose reads take a time.
+func slowReader(ctx context.Context, log *journaltest.Journal, takes *atomic.Int64, peers *alone) *Reader {
+	batches := ledger.New(ctx, slowJournal{log, takes}, zap.NewNop())
 	return NewReader(batches, peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
 }
 
@@ -137,7 +137,7 @@
 		takes := takesAtFirst(500 * time.Millisecond)
 		log := bulky(ctx, t, 1)
 		peers := &alone{daemons: 4, learn: 150 * time.Millisecond}
-		reader := tardyReader(ctx, log, takes, peers)
+		reader := slowReader(ctx, log, takes, peers)
 		time.Sleep(ownReadTime)
 		// The first page tells what there is, and a later question of one text comes upon it.
 		err := reader.ledger.Of("b").ReadPage(ctx)
@@ -204,7 +204,7 @@
 				log := bulky(ctx, t, 3)
 				peers := &alone{daemons: 84, watcher: identity.New("h", time.Now())}
 				peers.answer = func(context.Context, any, any) error { return errDark }
-				reader := tardyReader(ctx, log, takes, peers)
+				reader := slowReader(ctx, log, takes, peers)
 				time.Sleep(ownReadTime)
 				began, refused := time.Now(), 0
 				for after := 0; after < 30 && time.Since(began) < time.Minute; {
@@ -234,7 +234,7 @@
 		log := bulky(ctx, t, 1)
 		core, lines := observer.New(zap.InfoLevel)
 		peers := &alone{daemons: 84, watcher: ""}
-		batches := ledger.New(ctx, tardy{log, takes}, zap.NewNop())
+		batches := ledger.New(ctx, slowJournal{log, takes}, zap.NewNop())
 		reader := NewReader(batches, peers, peers, log.Granted, "m0", zap.New(core))
 		time.Sleep(ownReadTime)
 		const questions = 20
@@ -259,7 +259,7 @@
 		ctx := t.Context()
 		const takes = 300 * time.Millisecond
 		log := bulky(ctx, t, 8)
-		reader := aloneReader(ledger.New(ctx, tardy{log, takesAtFirst(takes)}, zap.NewNop()))
+		reader := aloneReader(ledger.New(ctx, slowJournal{log, takesAtFirst(takes)}, zap.NewNop()))
 		began := time.Now()
 		page, err := reader.Results(ctx, Query{BatchID: "b"})
 		is.NoErr(err)
@@ -277,7 +277,7 @@
 		log := bulky(ctx, t, 1)
 		peers := &alone{daemons: 4, watcher: identity.New("h", time.Now())}
 		peers.answer = func(context.Context, any, any) error { return errDark }
-		reader := tardyReader(ctx, log, takesAtFirst(takes), peers)
+		reader := slowReader(ctx, log, takesAtFirst(takes), peers)
 		reader.budget.adjust(time.Now())
 		time.Sleep(ownReadTime)
 		err := reader.ledger.Of("b").ReadPage(ctx)
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -44,7 +44,7 @@
 				time.Sleep(recovered)
 				worse(f)
 				id := f.newest()
-				for _, at := range f.stops {
+				for _, at := range f.nodes {
 					page, err := f.question(ctx, at, Query{BatchID: id})
 					is.NoErr(err)
 					is.True(len(page.Results) > 0)
@@ -126,7 +126,7 @@
 func (f *fleet) newest() (id string) {
 	held, most := map[journal.Partition]int{}, 0
 	for i := range f.options.batches {
-		name := f.stops[0].ledger.Locate(fmt.Sprintf("b%d", i))
+		name := f.nodes[0].ledger.Locate(fmt.Sprintf("b%d", i))
 		held[name]++
 		if held[name] > most {
 			id, most = fmt.Sprintf("b%d", i), held[name]
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -14,62 +14,62 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// The stand has some engines that run eight texts each and let four more wait; what comes
+// The simulation has some engines that run eight texts each and let four more wait; what comes
 // beyond is declined. Owners look every tick, and hear of each other every tellTicks.
 const (
-	standEngines = 20
-	standSlots   = 8
-	standQueue   = 4
+	simEngines   = 20
+	simSlots     = 8
+	simQueue     = 4
 	tick         = 10 * time.Millisecond
 	tellTicks    = 10
 	declineTicks = 12
 )
 
-// standText is one text: where it is and for how many ticks it still runs.
-type standText struct {
+// simText is one text: where it is and for how many ticks it still runs.
+type simText struct {
 	engine int // -1 while it waits at its owner
 	runs   bool
 	left   int
 }
 
-// standOwner is one owner with its texts, in the order in which they should start.
-type standOwner struct {
+// simOwner is one owner with its texts, in the order in which they should start.
+type simOwner struct {
 	sharing *sharing
 	number  uint64
 	from    int // the tick of its burst
-	texts   []*standText
-	resting [standEngines]int
+	texts   []*simText
+	resting [simEngines]int
 	ended   int
 }
 
-// stand is what is measured of some owners that share engines.
-type stand struct {
+// simulation is some owners that share engines.
+type simulation struct {
 	tick             int
-	owners           []*standOwner
+	owners           []*simOwner
 	queued, declines int // ticks that texts waited in engines' queues, and texts declined
 }
 
-func newStand(hear bool, seed uint64, bursts ...[2]int) *stand {
-	s := &stand{}
+func newSimulation(hear bool, seed uint64, bursts ...[2]int) *simulation {
+	s := &simulation{}
 	random := rand.New(rand.NewPCG(seed, 1))
 	for i, burst := range bursts {
-		owner := &standOwner{from: burst[0]}
+		owner := &simOwner{from: burst[0]}
 		if hear {
 			run := fmt.Sprintf("d%d/1", i)
 			owner.sharing = newSharing(run, occupancy.NewTable(run, s.now, zap.NewNop()), func() {}, zap.NewNop())
 		}
 		for range burst[1] {
-			owner.texts = append(owner.texts, &standText{engine: -1, left: 50 + random.IntN(400)})
+			owner.texts = append(owner.texts, &simText{engine: -1, left: 50 + random.IntN(400)})
 		}
 		s.owners = append(s.owners, owner)
 	}
 	return s
 }
 
-func (s *stand) now() time.Time { return time.Unix(1000, 0).Add(time.Duration(s.tick) * tick) }
+func (s *simulation) now() time.Time { return time.Unix(1000, 0).Add(time.Duration(s.tick) * tick) }
 
 // run plays until all texts have ended.
-func (s *stand) run(t *testing.T) {
+func (s *simulation) run(t *testing.T) {
 	for over := false; !over; s.tick++ {
 		if s.tick > 20000 {
 			t.Fatal("texts never end")
@@ -89,15 +89,15 @@
 }
 
 // work has the engines run their texts for a tick, the first ones that came.
-func (s *stand) work() {
-	var running [standEngines]int
+func (s *simulation) work() {
+	var running [simEngines]int
 	for _, waits := range []bool{false, true} {
 		for _, owner := range s.owners {
 			for _, text := range owner.texts {
 				if text.engine < 0 || text.runs == waits {
 					continue
 				}
-				if waits && running[text.engine] >= standSlots {
+				if waits && running[text.engine] >= simSlots {
 					s.queued++
 					continue
 				}
@@ -121,14 +121,14 @@
 	}
 }
 
-func (s *stand) at(engine int) (requests int) {
+func (s *simulation) at(engine int) (requests int) {
 	for _, owner := range s.owners {
 		requests += owner.at(engine)
 	}
 	return requests
 }
 
-func (o *standOwner) at(engine int) (requests int) {
+func (o *simOwner) at(engine int) (requests int) {
 	for _, text := range o.texts {
 		if text.engine == engine {
 			requests++
@@ -138,13 +138,13 @@
 }
 
 // dispatch starts texts of an owner as the scheduler decides.
-func (s *stand) dispatch(owner *standOwner) {
+func (s *simulation) dispatch(owner *simOwner) {
 	snap := scheduling.Snapshot{NoMoves: true}
-	for i := range standEngines {
+	for i := range simEngines {
 		rep := replica.Replica{Entry: replica.Entry{ID: fmt.Sprintf("e%d", i)}}
 		engine := scheduling.Engine{
 			ID:       rep.ID,
-			Slots:    standSlots,
+			Slots:    simSlots,
 			InFlight: owner.at(i),
 			Avoided:  s.tick < owner.resting[i],
 		}
@@ -159,7 +159,7 @@
 	}
 	for _, decision := range owner.sharing.inTurn("s", &snap, scheduling.Plan(snap), s.now()) {
 		start := decision.(scheduling.Start)
-		if s.at(start.Engine) >= standSlots+standQueue {
+		if s.at(start.Engine) >= simSlots+simQueue {
 			s.declines++
 			owner.resting[start.Engine] = s.tick + declineTicks
 			continue
@@ -169,13 +169,13 @@
 }
 
 // tell lets the others hear of an owner.
-func (s *stand) tell(owner *standOwner) {
+func (s *simulation) tell(owner *simOwner) {
 	if owner.sharing == nil {
 		return
 	}
 	owner.number++
 	report := occupancy.Report{Sender: owner.sharing.self, Number: owner.number, Sent: s.now().UnixMilli()}
-	for i := range standEngines {
+	for i := range simEngines {
 		key := occupancy.KeyOf(fmt.Sprintf("e%d", i), time.Time{})
 		report.Counts = append(report.Counts, occupancy.Count{Replica: key, Requests: uint32(owner.at(i))})
 	}
@@ -194,8 +194,8 @@
 // owners, and start where room is; both bursts end no later.
 func TestOwnersThatHearOfEachOtherDontOverfillEngines(t *testing.T) {
 	is := is.New(t)
-	play := func(hear bool) *stand {
-		s := newStand(hear, 5, [2]int{0, 130}, [2]int{30, 130})
+	play := func(hear bool) *simulation {
+		s := newSimulation(hear, 5, [2]int{0, 130}, [2]int{30, 130})
 		s.run(t)
 		t.Logf("hear %v: %d ticks of waiting in queues, %d declines, bursts over at ticks %d and %d",
 			hear, s.queued, s.declines, s.owners[0].ended, s.owners[1].ended)
@@ -206,7 +206,7 @@
 	is.True(before.declines > 10)
 	is.True(after.queued <= before.queued/100)
 	is.Equal(after.declines, 0)
-	last := func(s *stand) int { return max(s.owners[0].ended, s.owners[1].ended) }
+	last := func(s *simulation) int { return max(s.owners[0].ended, s.owners[1].ended) }
 	is.True(last(after) <= last(before)*105/100)
 }
 
@@ -215,12 +215,12 @@
 func TestOwnersThatStartAtOnceChooseOtherEngines(t *testing.T) {
 	is := is.New(t)
 	overfilled := func(hear bool) (requests int) {
-		s := newStand(hear, 5, [2]int{0, 50}, [2]int{0, 50}, [2]int{0, 50})
+		s := newSimulation(hear, 5, [2]int{0, 50}, [2]int{0, 50}, [2]int{0, 50})
 		for _, owner := range s.owners {
 			s.dispatch(owner)
 		}
-		for engine := range standEngines {
-			requests += max(s.at(engine)-standSlots, 0)
+		for engine := range simEngines {
+			requests += max(s.at(engine)-simSlots, 0)
 		}
 		return requests
 	}
@@ -234,21 +234,21 @@
 // burst is over well before, and long before it would be if it waited for the first to end.
 func TestAnOwnerThatComesLaterGetsItsShare(t *testing.T) {
 	is := is.New(t)
-	s := newStand(true, 5, [2]int{0, 800}, [2]int{200, 100})
+	s := newSimulation(true, 5, [2]int{0, 800}, [2]int{200, 100})
 	s.run(t)
 	t.Logf("bursts over at ticks %d and %d, %d ticks of waiting in queues, %d declines",
 		s.owners[0].ended, s.owners[1].ended, s.queued, s.declines)
 	is.True(s.owners[1].ended < s.owners[0].ended*2/3)
 	is.Equal(s.declines, 0)
 	// The engines lose little by what is left free: the work alone takes that many ticks.
-	work := newStand(true, 5, [2]int{0, 800}, [2]int{200, 100}).owners
+	work := newSimulation(true, 5, [2]int{0, 800}, [2]int{200, 100}).owners
 	sum := 0
 	for _, owner := range work {
 		for _, text := range owner.texts {
 			sum += text.left
 		}
 	}
-	least := sum / (standEngines * standSlots)
+	least := sum / (simEngines * simSlots)
 	t.Logf("the work alone takes %d ticks", least)
 	is.True(s.owners[0].ended <= least*130/100)
 }
@@ -257,7 +257,7 @@
 // leave them places.
 func TestItemsThatWaitForWeightsClaimNoPlaces(t *testing.T) {
 	is := is.New(t)
-	s := newStand(true, 1, [2]int{0, 1}).owners[0].sharing
+	s := newSimulation(true, 1, [2]int{0, 1}).owners[0].sharing
 	snap := scheduling.Snapshot{
 		Engines: []scheduling.Engine{
 			{ID: "old", Slots: 2, Versions: map[string]int64{"m": 1}},
@@ -276,7 +276,7 @@
 // An event time that others measured counts where this daemon has none, or an older one.
 func TestAnEventTimeOfOthersStandsInForTheOwn(t *testing.T) {
 	is := is.New(t)
-	s := newStand(true, 1, [2]int{0, 1}).owners[0].sharing
+	s := newSimulation(true, 1, [2]int{0, 1}).owners[0].sharing
 	now := time.Now()
 	rep := replica.Replica{Entry: replica.Entry{ID: "e"}}
 	told := func(age time.Duration) {
