--- a/internal/batches/occupancy/recipients.go
+++ b/internal/batches/occupancy/recipients.go
@@ -48,7 +48,8 @@
 }
 
 // due returns the machines to send to now, and whether they are owners: these always, others that
-// may become ones now and then. One that has not answered yet is passed over. The mutex is held.
+// may become ones each introduceInterval. One that has not answered yet is left out. The mutex is
+// held.
 func (p *Publisher) due(now time.Time, last bool) map[string]bool {
 	due := map[string]bool{}
 	for _, machine := range p.machines {
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -13,8 +13,8 @@
 	// to read partitions for questions. The other half is left to those who must read: the
 	// watchers of partitions, and the followers of configurations and replicas.
 	ownReadShare = 0.5
-	// ownReadTime is for how long a daemon saves up what it does not read: questions of
-	// one caller about one batch come some seconds apart.
+	// ownReadTime is for how long a daemon saves up what it does not read: the questions of
+	// one caller about one batch are some seconds apart.
 	ownReadTime = 4 * time.Second
 )
 
@@ -60,7 +60,7 @@
 		b.limiter.SetBurstAt(now, max(int(bytes*ownReadTime.Seconds()), 1))
 	}
 	if daemons > b.daemonsSeen {
-		// What was saved up as one of fewer is not this daemon's.
+		// What was saved up while fewer were known is the others' too.
 		b.empty(now)
 	}
 	b.daemonsSeen = daemons
--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -14,7 +14,7 @@
 func (r *Runner) AdoptWhenSeen(batchID string) {
 	whole := r.ledger.Of(batchID)
 	if !r.begin() {
-		// The one who named this daemon did not know that it stops.
+		// Whoever named this daemon did not know that it stops.
 		r.releaseUnstarted(whole, batchID)
 		return
 	}
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -15,7 +15,7 @@
 	"woodworks/internal/requests/forward"
 )
 
-// itemDeadline is how long a replica may work on an item in one go.
+// itemDeadline is how long a replica may work on an item in one attempt.
 const itemDeadline = 60 * time.Second
 
 var (
--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -56,7 +56,7 @@
 }
 
 // dispatch carries out what the scheduler decides: it starts waiting items while
-// replicas have room, and now and then moves items that should go on elsewhere.
+// replicas have room, and each moveInterval moves items that should go on elsewhere.
 func (r *Runner) dispatch(now time.Time) {
 	moves := now.Sub(r.movedAt) >= moveInterval
 	if moves {
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -148,7 +148,7 @@
 		return ErrStopping
 	}
 	if ctx.Err() != nil {
-		// Nobody would learn what became of it.
+		// Nobody waits for the outcome.
 		return errors.Wrap(ErrNotDone, ctx.Err().Error())
 	}
 	partition := r.ledger.Of(submission.ID)
@@ -174,7 +174,7 @@
 }
 
 // appendUntil appends a record again until the outcome is certain or the
-// context ends. Doubles of all our records are harmless in the fold.
+// context ends. A record that is appended twice counts once in the fold.
 func (r *Runner) appendUntil(ctx context.Context, partition *ledger.Partition, record []byte) error {
 	outcome := ErrNotDone
 	for {
--- a/internal/batches/scheduling/firstevent.go
+++ b/internal/batches/scheduling/firstevent.go
@@ -10,8 +10,7 @@
 	// MaxFirstEvent is how long the first event of an answer is waited for until it is
 	// known what is usual: an engine that changes its weights holds its texts for a second.
 	MaxFirstEvent = 1500 * time.Millisecond
-	// minFirstEvent is what is waited at least: a long prompt behind some others is read in
-	// that time.
+	// minFirstEvent is the least wait: a long prompt behind some others is read in that time.
 	minFirstEvent = 300 * time.Millisecond
 	// firstEventWindow is how many first events are remembered, minFirstEvents from how
 	// many on they show what is usual.
--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -11,7 +11,7 @@
 	// minRunTime is how long an item runs at an engine before it may be moved: its event
 	// time there must have shown.
 	minRunTime = 500 * time.Millisecond
-	// moveCost is what a move takes: a connection, and the reading of the prompt and of the
+	// moveCost is the time a move takes: a connection, and the reading of the prompt and of the
 	// text so far at the other engine.
 	moveCost = 60 * time.Millisecond
 	// minGain is by how much sooner an item must end for a move.
