--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -92,7 +92,6 @@
 	return b.share.wasLate(time.Now())
 }
 
-// left is how many bytes the budget has now.
 func (b *readBudget) left() int {
 	return max(int(b.limiter.Tokens()), 0)
 }
--- a/internal/batches/results/future.go
+++ b/internal/batches/results/future.go
@@ -32,7 +32,6 @@
 	}
 }
 
-// ended reports whether the future has ended.
 func (f *future[T]) ended() bool {
 	select {
 	case <-f.done:
--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -47,7 +47,6 @@
 	}
 }
 
-// itemHere answers from the fold of this daemon.
 func (r *Reader) itemHere(ctx context.Context, query ItemQuery) (Body, error) {
 	partition := r.ledger.Of(query.BatchID)
 	if body := itemBody(partition, query); body.Found {
@@ -69,7 +68,6 @@
 	return itemsOf(partition, query), nil
 }
 
-// beginningHere answers from the fold of this daemon.
 func (r *Reader) beginningHere(ctx context.Context, query BeginningQuery) (Beginning, error) {
 	partition := r.ledger.Of(query.BatchID)
 	if beginning := beginningOf(partition, query.BatchID); beginning.Found {
--- a/internal/batches/results/samples.go
+++ b/internal/batches/results/samples.go
@@ -26,13 +26,11 @@
 	Makes []int
 }
 
-// further reports whether the query is for a further round.
 func (s *Samples) further() bool { return s != nil && s.Further }
 
 // full reports whether a page with so many results has as many as are wanted.
 func (s *Samples) full(results int) bool { return s != nil && s.Limit > 0 && results >= s.Limit }
 
-// want reports whether the result of an item is wanted.
 func (s *Samples) want(itemID string) bool {
 	if s == nil {
 		return true
--- a/internal/batches/results/trace.go
+++ b/internal/batches/results/trace.go
@@ -46,7 +46,6 @@
 	call watcherCall
 }
 
-// startTrace begins the trace of a question.
 func (r *Reader) startTrace(batchID string, wait time.Duration) *trace {
 	t := &trace{
 		r:         r,
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -6,6 +6,7 @@
 
 	"github.com/pkg/errors"
 
+	"woodworks/internal/daemon/periodic"
 	"woodworks/internal/journal"
 	"woodworks/internal/membership/identity"
 )
@@ -49,10 +50,9 @@
 		if ok || time.Since(began) > watcherWait {
 			return watcher, ok
 		}
-		select {
-		case <-ctx.Done():
+		periodic.Pause(ctx, watcherPause)
+		if ctx.Err() != nil {
 			return "", false
-		case <-time.After(watcherPause):
 		}
 	}
 }
--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -55,7 +55,6 @@
 	return &Assigner{journal: log, dealt: dealt, self: self, logger: logger}
 }
 
-// partitionOf returns the partition that a batch's model belongs to.
 func (a *Assigner) partitionOf(submission *batch.Submission) journal.Partition {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(submission.Host))
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -56,7 +56,6 @@
 	return a.job.r.forwarder.OpenStream(ctx, req, a.replica)
 }
 
-// end takes the attempt's outcome into account.
 func (a *attempt) end(err error) {
 	j, it := a.job, a.item
 	j.r.table.Ended(a.replica.Incarnation())
@@ -205,7 +204,6 @@
 	}
 }
 
-// noteFault tells the table of a replica's fault.
 func (r *Runner) noteFault(incarnation replica.Incarnation, f fault) {
 	switch f {
 	case noFault:
--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -48,7 +48,6 @@
 	}
 }
 
-// idle reports whether no batch is run here.
 func (r *Runner) idle() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -63,7 +63,6 @@
 	timing timing
 }
 
-// newItems makes the items of a batch, before any progress.
 func newItems(submission *batch.Submission, r *Runner) []*item {
 	items := make([]*item, len(submission.Items))
 	for i := range submission.Items {
@@ -114,7 +113,6 @@
 	return it.attempt
 }
 
-// cancelAttempt ends the attempt under way.
 func (it *item) cancelAttempt() {
 	if it.cancel != nil {
 		it.cancel()
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -174,7 +174,6 @@
 	return len(j.results.pending) == 0 && !slices.ContainsFunc(j.items, (*item).underWay)
 }
 
-// waiting returns how many items wait.
 func (j *job) waiting() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -212,7 +212,6 @@
 	return r.appendUntil(ctx, r.ledger.Of(batchID), batch.Ended(batchID, tenant))
 }
 
-// jobList returns the batches that are run here.
 func (r *Runner) jobList() []*job {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/batches/runner/text.go
+++ b/internal/batches/runner/text.go
@@ -88,5 +88,4 @@
 	return nil
 }
 
-// stopBuffering drops the buffered events.
 func (it *item) stopBuffering() { it.buffering, it.buffered = false, nil }
--- a/internal/batches/scheduling/pool.go
+++ b/internal/batches/scheduling/pool.go
@@ -17,7 +17,6 @@
 	scores  []float64
 }
 
-// pool returns the engines for an item.
 func (p *planner) pool(it *Item, choice choice) *pool {
 	key := poolKey{class: classOf(it), choice: choice}
 	return p.pools.get(key, func() *pool { return p.newPool(it, choice) })
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -31,7 +31,6 @@
 	shortWork    float64
 }
 
-// step returns the step of an item's batch.
 func (p *planner) step(it *Item) *step {
 	return p.steps.get(stepKey{class: classOf(it), since: it.BatchSince}, func() *step { return &step{} })
 }
@@ -89,7 +88,6 @@
 	return float64(step.shortRunning)*shortItemsPart*step.end >= step.shortWork
 }
 
-// started counts a text that was started.
 func (p *planner) started(it *Item) {
 	if p.short(it) {
 		p.step(it).shortRunning++
