--- a/internal/batches/runner/stop_test.go
+++ b/internal/batches/runner/stop_test.go
@@ -69,33 +69,35 @@
 	return s.Journal.Read(ctx, request)
 }
 
+// acceptFor accepts twoItems for an owner, which releases it unless it is "b/1".
+func acceptFor(ctx context.Context, partition *ledger.Partition, owner string) error {
+	if err := partition.Append(ctx, batch.Accepted(&twoItems, owner)); err != nil || owner == "b/1" {
+		return err
+	}
+	return partition.Append(ctx, batch.Released("x", owner, nil))
+}
+
 // A stop that begins while this daemon takes a batch over, or hears that it owns one, came
 // between the record and the start of the items: the batch was owned by a daemon that did
 // not run it and did not let it go, until its silence was noticed 1.5 s later. Where
 // daemons are stopped one after the other, the next one may meet the same chance.
 func TestABatchThatCameDuringAStopIsLetGo(t *testing.T) {
 	const lag = 300 * time.Millisecond
-	free := func(ctx context.Context, partition *ledger.Partition, owner string) error {
-		if err := partition.Append(ctx, batch.Accepted(&twoItems, owner)); err != nil || owner == "b/1" {
-			return err
-		}
-		return partition.Append(ctx, batch.Released("x", owner, nil))
-	}
 	for name, get := range map[string]func(ctx context.Context, log *slow, stopping *Runner) error{
 		"taken over, slow append": func(ctx context.Context, log *slow, stopping *Runner) error {
-			err := free(ctx, stopping.ledger.Of("x"), "a/1")
+			err := acceptFor(ctx, stopping.ledger.Of("x"), "a/1")
 			log.appends.Store(int64(lag))
 			go func() { _ = stopping.TakeOver(ctx, "x", "") }() // what came of it is read below
 			return err
 		},
 		"taken over, slow read": func(ctx context.Context, log *slow, stopping *Runner) error {
-			err := free(ctx, stopping.ledger.Of("x"), "a/1")
+			err := acceptFor(ctx, stopping.ledger.Of("x"), "a/1")
 			log.reads.Store(int64(lag))
 			go func() { _ = stopping.TakeOver(ctx, "x", "") }() // what came of it is read below
 			return err
 		},
 		"assigned, slow read": func(ctx context.Context, log *slow, stopping *Runner) error {
-			err := free(ctx, stopping.ledger.Of("x"), "b/1")
+			err := acceptFor(ctx, stopping.ledger.Of("x"), "b/1")
 			log.reads.Store(int64(lag))
 			go stopping.AdoptWhenSeen("x")
 			return err
