--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -146,13 +146,58 @@
 	return wanted
 }
 
+// journalLate are the refusals of a daemon whose journal did not answer in time, which
+// happens on a busy machine.
+var journalLate = []string{"batch_unsure", "delivery_failed", "log_unavailable"}
+
+// comesBack makes a call that may be repeated, again when a daemon says for as long as its
+// journal is late.
+func (f *floor) comesBack(call func() error) error {
+	for end := time.Now().Add(patience); ; {
+		err := call()
+		problem, ok := client.AsProblem(err)
+		if !ok || problem.Status != http.StatusServiceUnavailable || !slices.Contains(journalLate, problem.Problem.Code) {
+			return err
+		}
+		wait := time.Duration(problem.Problem.RetryAfterMillis) * time.Millisecond
+		if wait <= 0 || time.Now().Add(wait).After(end) {
+			return err
+		}
+		f.t.Log("comes back in ", wait, ": ", err)
+		time.Sleep(wait)
+	}
+}
+
+// submit submits a batch of the trainer "bots".
+func (f *floor) submit(daemon int, wanted rollout.Request) (submitted gateway.Submitted, err error) {
+	err = f.comesBack(func() error {
+		submitted, err = f.client(daemon, "bots").Submit(f.ctx(), wanted)
+		return err
+	})
+	return submitted, err
+}
+
+// announce tells a daemon of a version of the trainer "bots".
+func (f *floor) announce(daemon int, version uint64) error {
+	return f.comesBack(func() error { return f.client(daemon, "bots").Announce(f.ctx(), "bots", version, "artifact") })
+}
+
+// pull asks for samples of a batch of the trainer "bots".
+func (f *floor) pull(daemon int, name, cursor string, version uint64, limit int, wait time.Duration) (pulled gateway.Pulled, err error) {
+	err = f.comesBack(func() error {
+		pulled, err = f.client(daemon, "bots").Pull(f.ctx(), "bots", name, cursor, version, limit, wait)
+		return err
+	})
+	return pulled, err
+}
+
 // collect pulls a batch through the daemons in turn until it is done, and
 // checks each sample against what its versions generate.
 func (f *floor) collect(wanted rollout.Request, cursor string, version uint64, through ...int) map[int]rollout.Result {
 	f.t.Helper()
 	samples := map[int]rollout.Result{}
 	for turn := 0; ; turn++ {
-		pulled, err := f.client(through[turn%len(through)], "bots").Pull(f.ctx(), wanted.Trainer, wanted.Name, cursor, version, 5, time.Second)
+		pulled, err := f.pull(through[turn%len(through)], wanted.Name, cursor, version, 5, time.Second)
 		if err != nil {
 			f.t.Fatal(err)
 		}
@@ -189,15 +234,15 @@
 	f := newFloor(t, 2)
 	is := is.New(t)
 	wanted := batchOf("step-1", 4, 4)
-	first, err := f.client(0, "bots").Submit(f.ctx(), wanted)
+	first, err := f.submit(0, wanted)
 	is.NoErr(err)
-	again, err := f.client(1, "bots").Submit(f.ctx(), wanted)
+	again, err := f.submit(1, wanted)
 	is.NoErr(err)
 	is.Equal(first, again)
 	is.Equal(len(f.collect(wanted, first.Cursor, 0, 0, 1)), 16)
 	other := wanted
 	other.Seed++
-	_, err = f.client(0, "bots").Submit(f.ctx(), other)
+	_, err = f.submit(0, other)
 	problem, ok := client.AsProblem(err)
 	is.True(ok)
 	is.Equal(problem.Status, http.StatusConflict)
@@ -210,7 +255,7 @@
 		engine.Break(4)
 	}
 	wanted := batchOf("broken", 4, 4)
-	submitted, err := f.client(0, "bots").Submit(f.ctx(), wanted)
+	submitted, err := f.submit(0, wanted)
 	is.NoErr(err)
 	is.Equal(len(f.collect(wanted, submitted.Cursor, 0, 0)), 16)
 	resumed := 0
@@ -229,13 +274,13 @@
 	f := newFloor(t, 2)
 	is := is.New(t)
 	wanted := batchOf("stale", 2, 2)
-	submitted, err := f.client(0, "bots").Submit(f.ctx(), wanted)
+	submitted, err := f.submit(0, wanted)
 	is.NoErr(err)
-	partly, err := f.client(0, "bots").Pull(f.ctx(), "bots", "stale", submitted.Cursor, 0, 1, patience)
+	partly, err := f.pull(0, "stale", submitted.Cursor, 0, 1, patience)
 	is.NoErr(err)
 	is.Equal(len(partly.Samples), 1)
 	for version := uint64(2); version <= 6; version++ {
-		is.NoErr(f.client(0, "bots").Announce(f.ctx(), "bots", version, "artifact"))
+		is.NoErr(f.announce(0, version))
 	}
 	// The policy's bound is 3: version 2 and older are too old for version 6.
 	rest := f.collect(wanted, partly.Cursor, 6, 0, 1)
@@ -250,7 +295,7 @@
 func TestWeightsFollowTheNamedVersion(t *testing.T) {
 	f := newFloor(t, 2)
 	is := is.New(t)
-	is.NoErr(f.client(1, "bots").Announce(f.ctx(), "bots", 2, "artifact"))
+	is.NoErr(f.announce(1, 2))
 	f.until("an engine was ordered to version 2", func() bool {
 		for _, engine := range f.services.Engines {
 			for _, order := range engine.Orders() {
@@ -262,7 +307,7 @@
 		return false
 	})
 	// An older version is answered with the newest.
-	is.NoErr(f.client(0, "bots").Announce(f.ctx(), "bots", 1, "artifact"))
+	is.NoErr(f.announce(0, 1))
 }
 
 // A daemon whose read or claim had no answer from the journal in time, as on a machine that
@@ -422,7 +467,9 @@
 func TestADrainedBackEndGetsNoNewWork(t *testing.T) {
 	f := newFloor(t, 2)
 	is := is.New(t)
-	is.NoErr(f.operator(0).JSON(f.ctx(), http.MethodPost, "/v1/drains", map[string]any{"machine": "plain-0"}, nil))
+	is.NoErr(f.comesBack(func() error {
+		return f.operator(0).JSON(f.ctx(), http.MethodPost, "/v1/drains", map[string]any{"machine": "plain-0"}, nil)
+	}))
 	f.until("both daemons know", func() bool {
 		for i := range 2 {
 			var status gateway.Status
@@ -454,7 +501,7 @@
 	f := newFloor(t, 2)
 	is := is.New(t)
 	wanted := batchOf("stop", 8, 4)
-	submitted, err := f.client(0, "bots").Submit(f.ctx(), wanted)
+	submitted, err := f.submit(0, wanted)
 	is.NoErr(err)
 	f.until("samples are being made", func() bool {
 		for _, engine := range f.services.Engines {
@@ -478,7 +525,7 @@
 	f := newFloor(t, 1)
 	is := is.New(t)
 	wanted := batchOf("kill", 8, 4)
-	submitted, err := f.client(0, "bots").Submit(f.ctx(), wanted)
+	submitted, err := f.submit(0, wanted)
 	is.NoErr(err)
 	f.services.Engines[1].Kill()
 	is.Equal(len(f.collect(wanted, submitted.Cursor, 0, 0)), 32)
@@ -563,7 +610,7 @@
 	f := newFloor(t, 1)
 	is := is.New(t)
 	wanted := batchOf("ended", 8, 8)
-	_, err := f.client(0, "bots").Submit(f.ctx(), wanted)
+	_, err := f.submit(0, wanted)
 	is.NoErr(err)
 	is.NoErr(f.client(0, "bots").JSON(f.ctx(), http.MethodDelete, "/v1/rollouts/bots/ended", nil, nil))
 	starts := func() int {
