--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"time"
 
 	"github.com/pkg/errors"
 
@@ -10,6 +11,10 @@
 	"woodworks/internal/daemon/periodic"
 )
 
+// closedFor is how long a batch whose job found it closed is not begun anew: longer than a
+// fold may be old by which the watcher still goes, and which may lack what closed the batch.
+const closedFor = 2 * heartbeatTimeout
+
 // AdoptWhenSeen starts a batch once the fold shows that this daemon owns it.
 func (r *Runner) AdoptWhenSeen(batchID string) {
 	whole := r.ledger.Of(batchID)
@@ -51,12 +56,12 @@
 }
 
 // adopt starts a batch if a fold of its partition says that this daemon owns it, it is open,
-// and it does not run yet. The batch goes by that fold from then on. Its job is work that a
-// stop waits for.
+// and it neither runs yet nor did until it was closed. The batch goes by that fold from then
+// on. Its job is work that a stop waits for.
 func (r *Runner) adopt(partition *ledger.Partition, batchID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.jobs[batchID] != nil || r.ctx.Err() != nil || r.stopping.Load() {
+	if r.jobs[batchID] != nil || r.closed[batchID] || r.ctx.Err() != nil || r.stopping.Load() {
 		return
 	}
 	var j *job
@@ -75,6 +80,23 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		delete(r.jobs, batchID)
+		r.keepClosed(j)
 	})
 	r.Kick()
 }
+
+// keepClosed keeps the batch of a job that has ended from being begun anew if it is closed,
+// as the job's fold says, which may be ahead of others. The mutex is held.
+func (r *Runner) keepClosed(j *job) {
+	batchID, open := j.submission.ID, true
+	j.partition.ViewBatch(batchID, func(b *batch.Batch) { open = b.Open() })
+	if open {
+		return
+	}
+	r.closed[batchID] = true
+	time.AfterFunc(closedFor, func() {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		delete(r.closed, batchID)
+	})
+}
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -109,10 +109,12 @@
 	// work is what a stop waits for.
 	work sync.WaitGroup
 
-	// mu guards jobs, and that no work begins after stopping is set.
+	// mu guards jobs and closed, and that no work begins after stopping is set.
 	mu       sync.Mutex
 	jobs     map[string]*job
 	stopping atomic.Bool
+	// closed are the batches that a job here has lately found closed.
+	closed map[string]bool
 }
 
 // New returns a runner whose owner name is self. All its work ends with the
@@ -136,6 +138,7 @@
 		observe:   func(string, time.Duration) {},
 		history:   newHistory(),
 		jobs:      map[string]*job{},
+		closed:    map[string]bool{},
 		wake:      make(chan struct{}, 1),
 	}
 }
