--- a/internal/demo/fakebackend/fakebackend.go
+++ b/internal/demo/fakebackend/fakebackend.go
@@ -107,7 +107,13 @@
 	if fault == Cut || ends != nil && ends(e) {
 		panic(http.ErrAbortHandler)
 	}
-	encoded, err := json.Marshal(Reply{Echo: string(body)})
+	b.answer(w, id, e, fault)
+}
+
+// answer answers an executed request, unless a fault truncates the answer.
+func (b *Backend) answer(w http.ResponseWriter, id string, e Execution, fault Fault) {
+	names := standalone.HeaderNames()
+	encoded, err := json.Marshal(Reply{Echo: e.Body})
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/demo/fakeengine/fakeengine.go
+++ b/internal/demo/fakeengine/fakeengine.go
@@ -240,7 +240,8 @@
 func (e *Engine) writeEvent(w io.Writer, req rollout.Generate, number int64, first, count int, last bool) {
 	frame := rollout.Frame{Version: e.versionOf(req.Model)}
 	for position := first; position < first+count; position++ {
-		frame.Tokens = append(frame.Tokens, Token(req.Model, req.Prompt, req.Seed, uint64(frame.Version), position))
+		token := Token(req.Model, req.Prompt, req.Seed, uint64(frame.Version), position)
+		frame.Tokens = append(frame.Tokens, token)
 	}
 	if last {
 		frame.End = "stop"
--- a/internal/journal/journaltest/group.go
+++ b/internal/journal/journaltest/group.go
@@ -54,7 +54,8 @@
 	for _, topic := range j.topics {
 		for number := 0; number < j.Partitions; number++ {
 			partition := journal.Partition{Topic: topic, Number: number}
-			rows = append(rows, journal.Ownership{Partition: partition, Member: members[(len(rows)+j.turn)%len(members)]})
+			member := members[(len(rows)+j.turn)%len(members)]
+			rows = append(rows, journal.Ownership{Partition: partition, Member: member})
 		}
 	}
 	return rows
--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -189,7 +189,9 @@
 }
 
 // Newest implements journal.Journal.
-func (j *Journal) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
+func (j *Journal) Newest(
+	ctx context.Context, partition journal.Partition, afterKey string,
+) (journal.KeyedPage, error) {
 	if err := j.countRead(); err != nil {
 		return journal.KeyedPage{}, err
 	}
