--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -14,12 +14,10 @@
 	"context"
 	"io"
 	"os"
-	"path/filepath"
 	"sync"
 	"time"
 
 	"github.com/pkg/errors"
-	"gopkg.in/yaml.v3"
 
 	"woodworks/internal/api/client"
 	"woodworks/internal/demo/checks"
@@ -58,10 +56,9 @@
 
 var zones = []string{"hall-a", "hall-b", "hall-c"}
 
-// daemon is one daemon with the newest of its processes.
+// daemon is one daemon.
 type daemon struct {
-	*process.Process
-	name string
+	*process.Daemon
 	// address is where clients come.
 	address string
 }
@@ -121,29 +118,11 @@
 	if err := process.FreeAddresses(&cfg.Listen.Public, &cfg.Listen.Internal); err != nil {
 		return nil, err
 	}
-	encoded, err := yaml.Marshal(cfg)
+	d, err := process.StartDaemon(r.options.Program, r.options.Folder, cfg)
 	if err != nil {
-		return nil, errors.Wrap(err, "demo: settings")
-	}
-	d := &daemon{name: cfg.Name, address: cfg.Listen.Public}
-	if err := os.WriteFile(r.file(d, ".yaml"), encoded, 0o600); err != nil {
-		return nil, errors.Wrap(err, "demo: settings")
-	}
-	return d, r.launch(d)
-}
-
-// launch starts a process of a daemon.
-func (r *run) launch(d *daemon) error {
-	p, err := process.Launch(d.name, r.options.Program, r.file(d, ".log"), "serve", "-c", r.file(d, ".yaml"))
-	if err != nil {
-		return err
+		return nil, err
 	}
-	d.Process = p
-	return nil
-}
-
-func (r *run) file(d *daemon, suffix string) string {
-	return filepath.Join(r.options.Folder, d.name+suffix)
+	return &daemon{d, cfg.Listen.Public}, nil
 }
 
 func (r *run) stop() {
@@ -175,12 +154,12 @@
 	r.services.Engines[0].Kill()
 	time.Sleep(phase)
 	stopped, killed := r.daemons[1], r.daemons[2]
-	r.Note("stopping daemon %s by plan", stopped.name)
-	r.Check(plannedStop, stopped.Terminate(stopTimeout), "daemon %s did not stop cleanly", stopped.name)
-	r.Note("killing daemon %s", killed.name)
+	r.Note("stopping daemon %s by plan", stopped.Name)
+	r.Check(plannedStop, stopped.Terminate(stopTimeout), "daemon %s did not stop cleanly", stopped.Name)
+	r.Note("killing daemon %s", killed.Name)
 	killed.Kill()
 	for _, d := range []*daemon{stopped, killed} {
-		if err := r.launch(d); err != nil {
+		if err := d.StartAgain(); err != nil {
 			r.Note("restart: %v", err)
 		}
 	}
--- a/internal/demo/process/process.go
+++ b/internal/demo/process/process.go
@@ -1,12 +1,13 @@
-// Package process starts programs for runs on one machine, finds addresses for them and
+// Package process starts daemons for runs on one machine, finds addresses for them and
 // waits until they are ready. It owns the processes that it started and ends only these,
 // by their process id; a run that dies takes its processes along.
 //
 // # Usage
 //
-//	p, err := process.Launch("daemon-1", "bin/woodworks", "daemon-1.log", "serve", "-c", "daemon-1.yaml")
-//	err = process.AwaitReady(20*time.Second, "http://127.0.0.1:7180/readyz")
-//	stopped := p.Terminate(15 * time.Second)
+//	err := process.FreeAddresses(&cfg.Listen.Public)
+//	d, err := process.StartDaemon("bin/woodworks", "out", cfg)
+//	err = process.AwaitReady(20*time.Second, "http://"+cfg.Listen.Public+"/readyz")
+//	stopped := d.Terminate(15 * time.Second)
 package process
 
 import (
@@ -25,18 +26,6 @@
 	done chan struct{}
 }
 
-// Launch starts a program whose output goes to the end of a file.
-func Launch(name, path, logPath string, args ...string) (*Process, error) {
-	output, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-	if err != nil {
-		return nil, errors.Wrap(err, "process: log file")
-	}
-	defer func() { _ = output.Close() }()
-	cmd := exec.Command(path, args...)
-	cmd.Stdout, cmd.Stderr = output, output
-	return Start(name, cmd)
-}
-
 // Start starts a command.
 func Start(name string, cmd *exec.Cmd) (*Process, error) {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
