--- a/bench/compare.py
+++ b/bench/compare.py
@@ -56,7 +56,8 @@
         except ValueError:
             return {"error": (done.stdout + done.stderr)[-400:]}
     return {
-        "worth": told["G"], "behind": behind_of(told.get("hints") or []), "breaks": told.get("breaks") or {}, "fault": told.get("fault"), "first": told.get("first"),
+        "worth": told["G"], "behind": behind_of(told.get("hints") or []),
+        "breaks": told.get("breaks") or {}, "fault": told.get("fault"), "first": told.get("first"),
         "parts": {name: share for name, _, share in told["parts"]},
         "prices": {name: price for name, _, price in told["prices"]},
     }
@@ -65,7 +66,8 @@
 def behind_of(hints):
     """Returns by how many seconds the trainers' last steps came late: steadier than the
     worth, which falls by whole steps."""
-    late = [float(each) for hint in hints for each in re.findall(r"steps asked, the last ([\d.]+) s behind", hint)]
+    late = [float(each) for hint in hints
+            for each in re.findall(r"steps asked, the last ([\d.]+) s behind", hint)]
     return statistics.mean(late) if late else 0.0
 
 
@@ -82,15 +84,19 @@
             if "error" in told:
                 print(f"  NOT PLAYED {day} seed {seed}: {told['error']!r}")
             elif told["breaks"] or told["fault"]:
-                print(f"  BROKEN {day} seed {seed}: {told['breaks']} {told['fault'] or ''} {told.get('first') or ''}")
+                print(f"  BROKEN {day} seed {seed}: {told['breaks']} {told['fault'] or ''} "
+                      f"{told.get('first') or ''}")
         good = [(seed, told) for seed, told in plays if "error" not in told]
         if not good:
             continue
         worths += [told["worth"] for _, told in good]
         lowest, at = min((told["worth"], seed) for seed, told in good)
-        parts = ", ".join(f"{part} {statistics.mean(told['parts'][part] for _, told in good):.3f}" for part in good[0][1]["parts"])
+        parts = ", ".join(f"{part} {statistics.mean(told['parts'][part] for _, told in good):.3f}"
+                          for part in good[0][1]["parts"])
         late = statistics.mean(told.get("behind", 0.0) for _, told in good)
-        print(f"  {os.path.basename(day):12} {statistics.mean(told['worth'] for _, told in good):.3f}  lowest {lowest:.3f} (seed {at})  {parts}, last steps {late:.1f} s late")
+        worth = statistics.mean(told["worth"] for _, told in good)
+        print(f"  {os.path.basename(day):12} {worth:.3f}  lowest {lowest:.3f} (seed {at})  {parts}, "
+              f"last steps {late:.1f} s late")
         for _, told in good:
             for price, part in told["prices"].items():
                 prices[price] = prices.get(price, 0) + part
@@ -127,14 +133,16 @@
     for number, name in enumerate(names):
         worths = [[got(name, day, seed).get("worth", 0) for seed in seeds] for day in days]
         places = [place + 0.25 * number for place in range(len(days))]
-        axes.errorbar(places, [statistics.mean(each) for each in worths], [error_of(each) for each in worths], fmt="o", label=name)
+        means, errors = [statistics.mean(each) for each in worths], [error_of(each) for each in worths]
+        axes.errorbar(places, means, errors, fmt="o", label=name)
     axes.set_xticks(range(len(days)), [os.path.basename(day) for day in days])
     axes.set_ylabel("worth")
     axes.legend()
     figure.savefig(path, bbox_inches="tight")
 
 
-def main():
+def parse_arguments():
+    """Returns the arguments, with paths made absolute and checkouts by name."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("bench")
     parser.add_argument("site")
@@ -146,13 +154,27 @@
     parser.add_argument("--results")
     parser.add_argument("--plot")
     asked = parser.parse_args()
-    bench, site = os.path.abspath(asked.bench), os.path.abspath(asked.site)
+    asked.bench, asked.site = os.path.abspath(asked.bench), os.path.abspath(asked.site)
     checkouts = {}
     for each in asked.checkouts:
         name, _, folder = each.partition("=")
         if not folder:
             parser.error(f"{each!r} is not NAME=FOLDER")
         checkouts[name] = os.path.abspath(folder)
+    asked.checkouts = checkouts
+    return asked
+
+
+def build_all(bench, folders):
+    for name, folder in sorted(folders.items()):
+        built = subprocess.run([bench, "build"], cwd=folder, capture_output=True, text=True)
+        if built.returncode != 0:
+            sys.exit(f"{name} does not build:\n{built.stdout}{built.stderr}")
+
+
+def main():
+    asked = parse_arguments()
+    bench, site, checkouts = asked.bench, asked.site, asked.checkouts
     days, seeds = parse_days(site, asked.days), parse_seeds(asked.seeds)
     known = {}
     if asked.results and os.path.exists(asked.results):
@@ -162,13 +184,11 @@
         size = "|small" if asked.small else ""
         return f"{name}|{os.path.basename(site)}|{os.path.basename(day)}|{seed}{size}"
 
-    due = [(name, day, seed) for day in days for seed in seeds for name in checkouts if key(name, day, seed) not in known]
-    for name in sorted({name for name, _, _ in due}):
-        built = subprocess.run([bench, "build"], cwd=checkouts[name], capture_output=True, text=True)
-        if built.returncode != 0:
-            sys.exit(f"{name} does not build:\n{built.stdout}{built.stderr}")
+    due = [(name, day, seed) for day in days for seed in seeds for name in checkouts
+           if key(name, day, seed) not in known]
+    build_all(bench, {name: checkouts[name] for name, _, _ in due})
     with ThreadPoolExecutor(asked.jobs) as pool:
-        told = pool.map(lambda each: play(bench, site, checkouts[each[0]], each[1], each[2], asked.small), due)
+        told = pool.map(lambda each: play(bench, site, checkouts[each[0]], *each[1:], asked.small), due)
         for each, result in zip(due, told):
             known[key(*each)] = result
             save(asked.results, known)
@@ -184,7 +204,8 @@
         found = differences(names[0], name, days, seeds, got)
         if found:
             late = differences(names[0], name, days, seeds, got, "behind")
-            print(f"== {name} less {names[0]}: {statistics.mean(found):+.4f} +- {error_of(found):.4f} over {len(found)}, last steps {statistics.mean(late):+.2f} +- {error_of(late):.2f} s")
+            print(f"== {name} less {names[0]}: {statistics.mean(found):+.4f} +- {error_of(found):.4f} "
+                  f"over {len(found)}, last steps {statistics.mean(late):+.2f} +- {error_of(late):.2f} s")
     if asked.plot:
         plot(asked.plot, names, days, seeds, got)
 
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -27,18 +27,21 @@
 
 def unsafe(text):
     """The clients' plain requests run at most once."""
-    return re.sub(r'(\{ name = "[\w-]+"), (aim_ms = [\d.]+, deadline_ms = [\d.]+, worth = 0\.2)', r'\1, kind = "unsafe", \2', text)
+    plain = r'(\{ name = "[\w-]+"), (aim_ms = [\d.]+, deadline_ms = [\d.]+, worth = 0\.2)'
+    return re.sub(plain, r'\1, kind = "unsafe", \2', text)
 
 
 def streams(resumable):
     """Clients also ask for streams of the model replicas."""
 
+    def mixed(m):
+        return "mix = { %s = %s, chat = %s }, per_s = %.2f" % (m[1], m[2], m[2], 2 * float(m[3]))
+
     def change(text):
         service = re.search(r'service = "([\w-]+)", method = "POST", kind = "rollout"', text)[1]
         entry = STREAM % (service, "true" if resumable else "false")
         text = text.replace("classes = [\n", "classes = [\n" + entry, 1)
-        return re.sub(r"mix = \{ ([\w-]+) = ([\d.]+) \}, per_s = ([\d.]+)",
-                      lambda m: "mix = { %s = %s, chat = %s }, per_s = %.2f" % (m[1], m[2], m[2], 2 * float(m[3])), text)
+        return re.sub(r"mix = \{ ([\w-]+) = ([\d.]+) \}, per_s = ([\d.]+)", mixed, text)
 
     return change
 
@@ -57,7 +60,9 @@
     "slow-links": swap("link_mbps = 1000.0", "link_mbps = 30.0"),
     "slow-store": swap("append_ms = 4.0", "append_ms = 15.0"),
     "two-parts": swap("parts = 8", "parts = 2"),
-    "scarce-store": lambda text: re.sub(r"writes_per_s = 800.0", "writes_per_s = 120.0", re.sub(r"reads_per_s = 2000.0", "reads_per_s = 300.0", text)),
+    "scarce-store": lambda text: re.sub(
+        r"writes_per_s = 800.0", "writes_per_s = 120.0",
+        re.sub(r"reads_per_s = 2000.0", "reads_per_s = 300.0", text)),
     "one-machine-a-zone": swap(r'(class = "front".*?count = )\d+', r"\g<1>1"),
     "small-replicas": lambda text: re.sub(r"kv_tokens = \d+", "kv_tokens = 24000", text),
     "wide": swap("cross_zone_ms = [\\d.]+", "cross_zone_ms = 8.0"),
@@ -65,10 +70,14 @@
     "strict-keys": swap("closed = false", "closed = true"),
     "one-tenant": swap(r"(\[tenants\]\ncount = )\d+", r"\g<1>1"),
     "many-tenants": swap(r"(\[tenants\]\ncount = )\d+", r"\g<1>2000"),
-    "few-engines": swap(r'servers = \[\{ zone = "bern-a", count = 12 \}, \{ zone = "bern-b", count = 12 \}, \{ zone = "solothurn", count = 11 \}\]',
-                        'servers = [{ zone = "bern-a", count = 4 }, { zone = "bern-b", count = 4 }, { zone = "solothurn", count = 3 }]'),
+    "few-engines": swap(
+        r'servers = \[\{ zone = "bern-a", count = 12 \}, \{ zone = "bern-b", count = 12 \}, '
+        r'\{ zone = "solothurn", count = 11 \}\]',
+        'servers = [{ zone = "bern-a", count = 4 }, { zone = "bern-b", count = 4 }, '
+        '{ zone = "solothurn", count = 3 }]'),
     "slow-boot": swap("boot_s = 4.0", "boot_s = 12.0"),
-    "tight-bounds": lambda text: text.replace("drain_ms = 2000", "drain_ms = 1200").replace("config_ms = 2000", "config_ms = 1200"),
+    "tight-bounds": lambda text: text.replace("drain_ms = 2000", "drain_ms = 1200")
+                                     .replace("config_ms = 2000", "config_ms = 1200"),
 }
 
 
@@ -87,15 +96,18 @@
         text = text.replace(f'name = "{base}"', f'name = "{base}-{name}"', 1)
         path = os.path.join(folder, f"{base}-{name}.toml")
         open(path, "w").write(text)
-        played = subprocess.run([bench, "hunt", path, "--days", days, "--why", f"variant {name}"], capture_output=True, text=True)
+        command = [bench, "hunt", path, "--days", days, "--why", f"variant {name}"]
+        played = subprocess.run(command, capture_output=True, text=True)
         output = played.stdout + played.stderr
         open(path + ".txt", "w").write(output)
-        worths = [float(row[1]) for row in re.findall(r"^\S.*?\s\d+/\d+\s+([\d.]+)\s+([\d.]+)\s", output, re.M)]
+        rows = re.findall(r"^\S.*?\s\d+/\d+\s+([\d.]+)\s+([\d.]+)\s", output, re.M)
+        worths = [float(row[1]) for row in rows]
         broken = re.findall(r"^(\S+(?: --seed \d+)?) .*BROKEN: (.*)$", output, re.M)
         if not worths:
             print(f"{name}: not played: {output[-400:]}")
             continue
-        print(f"{name}: {len(worths)} days, mean worth {sum(worths) / len(worths):.3f}, lowest {min(worths):.3f}, broken: {broken or 'none'}", flush=True)
+        print(f"{name}: {len(worths)} days, mean worth {sum(worths) / len(worths):.3f}, "
+              f"lowest {min(worths):.3f}, broken: {broken or 'none'}", flush=True)
 
 
 if __name__ == "__main__":
