--- a/internal/daemon/cli/arguments_test.go
+++ b/internal/daemon/cli/arguments_test.go
@@ -40,3 +40,28 @@
 		is.True(strings.Contains(stderr.String(), `"surplus"`))
 	}
 }
+
+// An empty argument, such as of a shell variable that is not set, is named: the library that
+// parses arguments panics at it. The value of a flag may be empty.
+func TestAnEmptyArgumentIsNamed(t *testing.T) {
+	is := is.New(t)
+	for _, c := range []struct {
+		args []string
+		want string
+	}{
+		{[]string{"explain", ""}, `argument 2, after "explain", is empty`},
+		{[]string{"explain", "--log", "a.log", ""}, `argument 4, after "a.log", is empty`},
+		{[]string{"rollout", "follow", "assessor", ""}, `argument 4, after "assessor", is empty`},
+		{[]string{"status", "--key", "", ""}, `argument 4, after "", is empty`},
+		{[]string{"explain", "--zone", ""}, `argument 3, after "--zone", is empty`},
+		{[]string{"--key", "", "status"}, `argument 2, after "--key", is empty`},
+		{[]string{"drain", "--undo", ""}, `argument 3, after "--undo", is empty`},
+		{[]string{""}, `argument 1 is empty`},
+		{[]string{"policy", "check", "--", "-", ""}, `argument 5, after "-", is empty`},
+		{[]string{"policy", "test", "--output", "", "missing.star"}, `--output: "" is not text or json`},
+	} {
+		var stdout, stderr bytes.Buffer
+		is.Equal(Main(c.args, nil, &stdout, &stderr), ExitUsage)
+		is.Equal(stderr.String(), "woodworks: "+c.want+"\n")
+	}
+}
--- a/internal/daemon/cli/cli.go
+++ b/internal/daemon/cli/cli.go
@@ -14,6 +14,8 @@
 	"encoding/json"
 	"io"
 	"os"
+	"slices"
+	"strings"
 	"time"
 
 	"github.com/integrii/flaggy"
@@ -88,6 +90,9 @@
 		"The bearer key is taken from --key or " + keyVariable + ".\n" +
 		"Example: woodworks serve -c examples/operator/bern-a.yaml"
 	commands := attachCommands(parser, o)
+	if err := refuseEmpty(args, commands); err != nil {
+		return report(stderr, err)
+	}
 	if err := parser.ParseArgs(args); err != nil {
 		return report(stderr, usagef("%v", err))
 	}
@@ -113,6 +118,34 @@
 	return ExitUsage
 }
 
+// refuseEmpty refuses an empty argument that is no value of the command's flags: flaggy panics
+// at it.
+func refuseEmpty(args []string, commands []command) error {
+	var used *flaggy.Subcommand
+	for i, arg := range args {
+		at := slices.IndexFunc(commands, func(c command) bool { return c.node.Name == arg })
+		switch {
+		case arg == "" && i == 0:
+			return usagef("argument 1 is empty")
+		case arg == "" && !takesValue(used, args[i-1]):
+			return usagef("argument %d, after %q, is empty", i+1, args[i-1])
+		case used == nil && at >= 0:
+			used = commands[at].node
+		}
+	}
+	return nil
+}
+
+// takesValue reports whether an argument is a flag of a command, nil for none, whose value is the
+// next one.
+func takesValue(used *flaggy.Subcommand, arg string) bool {
+	name := strings.TrimLeft(arg, "-")
+	return used != nil && name != "" && name != arg && slices.ContainsFunc(used.Flags, func(flag *flaggy.Flag) bool {
+		_, isBool := flag.AssignmentVar.(*bool)
+		return !isBool && flag.HasName(name)
+	})
+}
+
 func (o *options) client() *client.Client { return client.New(o.server, o.key) }
 
 // remoteTimeout bounds a call to a daemon.
