--- /dev/null
+++ b/internal/api/gateway/authenticate.go
@@ -0,0 +1,94 @@
+package gateway
+
+import (
+	"crypto/subtle"
+	"fmt"
+	"net/http"
+
+	"woodworks/internal/api/policy"
+	"woodworks/internal/callers/apikey"
+	"woodworks/internal/requests/refusal"
+)
+
+// handler is a request handler that knows its caller.
+type handler func(w http.ResponseWriter, r *http.Request, caller policy.Caller)
+
+// checked wraps a handler with what every request passes: the key, the caller's
+// audience and bound, and, for new work, a confirmed configuration.
+func (g *Gateway) checked(audience policy.Audience, newWork bool, next handler) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		if _, ok := g.parts.Configuration(); !ok && audience == policy.Public {
+			refuse(w, refusal.V1NoConfiguration, "this daemon knows no policies yet")
+			return
+		}
+		caller, ok := g.authenticate(r, audience)
+		if !ok || (caller.Audience == policy.Internal && audience == policy.Public) {
+			w.Header().Set("WWW-Authenticate", "Bearer")
+			writeProblem(w, http.StatusUnauthorized,
+				Problem{Code: "unauthorized", Message: "a valid bearer key is required"})
+			return
+		}
+		if newWork && !g.mayTakeWork(w) {
+			return
+		}
+		if !g.flights.enter(caller.Name, caller.MaxInFlight) {
+			refuse(w, refusal.V1TooManyInFlight,
+				fmt.Sprintf("caller %q has %d requests in flight, its bound", caller.Name, caller.MaxInFlight))
+			return
+		}
+		defer g.flights.leave(caller.Name)
+		r.Body = http.MaxBytesReader(w, r.Body, g.limits.MaxBodyBytes)
+		next(w, r, caller)
+	}
+}
+
+// authenticate finds the caller of a bearer key: in the policies, or, on the
+// internal listener, among the operators of the settings.
+func (g *Gateway) authenticate(r *http.Request, audience policy.Audience) (policy.Caller, bool) {
+	key, sent := apikey.FromHeader(r.Header)
+	if !sent {
+		return policy.Caller{}, false
+	}
+	if configuration, ok := g.parts.Configuration(); ok {
+		if caller, ok := configuration.Policies.CallerOf(key); ok {
+			return caller, true
+		}
+	}
+	if audience == policy.Public {
+		return policy.Caller{}, false
+	}
+	digest := []byte(apikey.DigestOf(key).String())
+	for _, operator := range g.limits.Operators {
+		if subtle.ConstantTimeCompare(digest, []byte(operator.KeySHA256)) == 1 {
+			return policy.Caller{Name: operator.Name, Audience: policy.Internal, Operator: true}, true
+		}
+	}
+	return policy.Caller{}, false
+}
+
+// operatorOnly refuses callers that are not operators.
+func (g *Gateway) operatorOnly(next handler) handler {
+	return func(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
+		if !caller.Operator {
+			writeProblem(w, http.StatusForbidden,
+				Problem{Code: "operators_only", Message: "caller is not an operator"})
+			return
+		}
+		next(w, r, caller)
+	}
+}
+
+// mayTakeWork refuses new work while this daemon stops, or cannot confirm that
+// its configuration is the newest.
+func (g *Gateway) mayTakeWork(w http.ResponseWriter) bool {
+	if g.stopping() {
+		refuse(w, refusal.V1Stopping, "this daemon is being stopped; use another")
+		return false
+	}
+	configuration, ok := g.parts.Configuration()
+	if !ok || configuration.Age > g.limits.ConfirmBound {
+		refuse(w, refusal.V1NotConfirmed, "this daemon cannot confirm that its configuration is the newest")
+		return false
+	}
+	return true
+}
--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -19,17 +19,6 @@
 	forcePause     = 20 * time.Millisecond
 )
 
-// operatorOnly refuses callers that are not operators.
-func (g *Gateway) operatorOnly(next handler) handler {
-	return func(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
-		if !caller.Operator {
-			writeProblem(w, http.StatusForbidden, Problem{Code: "operators_only", Message: "caller is not an operator"})
-			return
-		}
-		next(w, r, caller)
-	}
-}
-
 // replicaStatus is what this daemon believes of a back end.
 type replicaStatus struct {
 	ID       string           `json:"id"`
