--- a/internal/daemon/explain/conclusion.go
+++ b/internal/daemon/explain/conclusion.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"slices"
-	"sort"
 	"strconv"
 	"strings"
 )
@@ -79,10 +78,8 @@
 // hasTenant reports whether an id is one that belongs to a tenant.
 func hasTenant(own map[*line]bool, id string) bool {
 	for l := range own {
-		for _, key := range []string{"request", "item", "reward", "batch"} {
-			if l.get(key) == id {
-				return true
-			}
+		if slices.Contains([]string{l.get("request"), l.get("item"), l.get("reward"), l.get("batch")}, id) {
+			return true
 		}
 	}
 	return false
@@ -165,7 +162,7 @@
 				"a daemon's log is missing, or it was killed before it told", -difference, tenant))
 		}
 	}
-	sort.Strings(sentences)
+	slices.Sort(sentences)
 	return sentences
 }
 
--- a/internal/daemon/explain/explain.go
+++ b/internal/daemon/explain/explain.go
@@ -13,10 +13,10 @@
 
 import (
 	"bufio"
+	"cmp"
 	"fmt"
 	"io"
 	"slices"
-	"sort"
 	"strings"
 
 	"github.com/go-logfmt/logfmt"
@@ -128,7 +128,7 @@
 	stops := stopsOf(lines)
 	own, batches, replicas := directLines(lines, id)
 	story := related(lines, own, batches, replicas, contentsOf(own))
-	story = append(story, linesOfStops(stops, id, story)...)
+	story = append(story, linesOfStops(stops, id)...)
 	if len(story) == 0 && isNode(lines, id) {
 		_, err := fmt.Fprintf(output, "%s: no planned stop is in these logs\n", id)
 		return err
@@ -137,6 +137,7 @@
 		return errors.Wrap(ErrNotFound, id)
 	}
 	inOrder(story)
+	story = slices.Compact(story)
 	for _, l := range story {
 		mark := " "
 		if own[l] {
@@ -153,11 +154,8 @@
 
 // inOrder sorts lines by time, those of one moment as they were read.
 func inOrder(lines []*line) {
-	sort.SliceStable(lines, func(i, j int) bool {
-		if lines[i].time != lines[j].time {
-			return lines[i].time < lines[j].time
-		}
-		return lines[i].order < lines[j].order
+	slices.SortFunc(lines, func(a, b *line) int {
+		return cmp.Or(cmp.Compare(a.time, b.time), cmp.Compare(a.order, b.order))
 	})
 }
 
@@ -167,33 +165,21 @@
 }
 
 // linesOfStops are the lines of the stops of a daemon, or the steps of those that befell
-// a request, as far as the story does not have them.
-func linesOfStops(stops []*stop, id string, story []*line) []*line {
-	there := map[*line]bool{}
-	for _, l := range story {
-		there[l] = true
-	}
-	var added []*line
-	add := func(l *line) {
-		if !there[l] {
-			there[l] = true
-			added = append(added, l)
-		}
-	}
+// a request.
+func linesOfStops(stops []*stop, id string) []*line {
+	var lines []*line
 	ofDaemon, ofRequest := stopped(stops, id)
 	for _, stop := range ofDaemon {
-		for _, l := range stop.story() {
-			add(l)
-		}
+		lines = append(lines, stop.story()...)
 	}
 	for _, stop := range ofRequest {
 		for _, l := range stop.lines {
 			if stopSteps[l.event] {
-				add(l)
+				lines = append(lines, l)
 			}
 		}
 	}
-	return added
+	return lines
 }
 
 // directLines are the lines that name the id, with the batches and replicas
--- a/internal/daemon/explain/stop.go
+++ b/internal/daemon/explain/stop.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -97,12 +98,9 @@
 
 // turnedAway reports whether the stop turned a request away.
 func (s *stop) turnedAway(request string) bool {
-	for _, l := range s.lines {
-		if l.event == eventTurnedAway && l.get("request") == request {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(s.lines, func(l *line) bool {
+		return l.event == eventTurnedAway && l.get("request") == request
+	})
 }
 
 // story are the lines that tell the stop.
