--- a/internal/api/gateway/authenticate.go
+++ b/internal/api/gateway/authenticate.go
@@ -24,8 +24,8 @@
 		caller, ok := g.authenticate(r, audience)
 		if !ok || (caller.Audience == policy.Internal && audience == policy.Public) {
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			writeProblem(w, http.StatusUnauthorized,
-				Problem{Code: "unauthorized", Message: "a valid bearer key is required"})
+			writeProblem(w, Problem{status: http.StatusUnauthorized,
+				Code: "unauthorized", Message: "a valid bearer key is required"})
 			return
 		}
 		if newWork && !g.mayTakeWork(w) {
@@ -70,8 +70,8 @@
 func (g *Gateway) operatorOnly(next handler) handler {
 	return func(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
 		if !caller.Operator {
-			writeProblem(w, http.StatusForbidden,
-				Problem{Code: "operators_only", Message: "caller is not an operator"})
+			writeProblem(w, Problem{status: http.StatusForbidden,
+				Code: "operators_only", Message: "caller is not an operator"})
 			return
 		}
 		next(w, r, caller)
--- a/internal/api/gateway/decode.go
+++ b/internal/api/gateway/decode.go
@@ -34,7 +34,7 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		writeProblem(w, http.StatusRequestEntityTooLarge, Problem{
+		writeProblem(w, Problem{status: http.StatusRequestEntityTooLarge,
 			Code:    "body_too_large",
 			Field:   "body",
 			Message: fmt.Sprintf("body: over the limit of %d bytes", tooLarge.Limit),
--- a/internal/api/gateway/errors.go
+++ b/internal/api/gateway/errors.go
@@ -27,6 +27,8 @@
 
 // Problem is the body of every answer that is not a success.
 type Problem struct {
+	// status is that of the answer; the body does not repeat it.
+	status  int
 	Code    string `json:"code"`
 	Message string `json:"message"`
 	// Field names the faulty field of a bad request.
@@ -48,9 +50,9 @@
 	Error Problem `json:"error"`
 }
 
-// writeProblem sends a problem as the final answer. A refusal of a request with
-// a key speaks of this try only: an earlier one may have run.
-func writeProblem(w http.ResponseWriter, status int, problem Problem) {
+// writeProblem sends a problem as the final answer, under its status. A refusal of a request
+// with a key speaks of this try only: an earlier one may have run.
+func writeProblem(w http.ResponseWriter, problem Problem) {
 	if problem.Outcome == "" {
 		problem.Outcome = NotExecuted
 		if rec, ok := w.(*recorder); ok && rec.keyed {
@@ -63,7 +65,7 @@
 		w.Header().Set("Retry-After", strconv.Itoa(int(seconds)))
 	}
 	w.Header().Set(OutcomeHeader, string(problem.Outcome))
-	writeJSON(w, status, problemBody{Error: problem})
+	writeJSON(w, problem.status, problemBody{Error: problem})
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
@@ -85,18 +87,19 @@
 }
 
 func badField(w http.ResponseWriter, field, message string) {
-	writeProblem(w, http.StatusBadRequest, Problem{Code: "bad_request", Message: field + ": " + message, Field: field})
+	writeProblem(w, Problem{status: http.StatusBadRequest, Code: "bad_request", Message: field + ": " + message, Field: field})
 }
 
 // refuse answers with a reason of the list.
 func refuse(w http.ResponseWriter, reason refusal.Reason, message string) {
-	writeProblem(w, reason.Status, problemFor(reason, message))
+	writeProblem(w, problemFor(reason, message))
 }
 
 // problemFor is the problem that tells a reason. Its outcome is left to writeProblem if the
 // request has not run.
 func problemFor(reason refusal.Reason, message string) Problem {
-	problem := Problem{Code: reason.Name, Message: message, RetryAfterMillis: reason.RetryAfter.Milliseconds()}
+	problem := Problem{status: reason.Status, Code: reason.Name, Message: message,
+		RetryAfterMillis: reason.RetryAfter.Milliseconds()}
 	if reason.MayHaveRun {
 		problem.Outcome = Unknown
 	}
--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -128,11 +128,11 @@
 }
 
 func notFound(w http.ResponseWriter, _ *http.Request) {
-	writeProblem(w, http.StatusNotFound, Problem{Code: "not_found", Message: "no such path"})
+	writeProblem(w, Problem{status: http.StatusNotFound, Code: "not_found", Message: "no such path"})
 }
 
 func notAllowed(w http.ResponseWriter, _ *http.Request) {
-	writeProblem(w, http.StatusMethodNotAllowed, Problem{Code: "method_not_allowed", Message: "the path does not take this method"})
+	writeProblem(w, Problem{status: http.StatusMethodNotAllowed, Code: "method_not_allowed", Message: "the path does not take this method"})
 }
 
 // recorder is an http.ResponseWriter that remembers the status for the metrics, and whether
--- a/internal/api/gateway/golden_test.go
+++ b/internal/api/gateway/golden_test.go
@@ -40,10 +40,10 @@
 	for _, keyed := range []bool{false, true} {
 		tell(keyed, func(rec *recorder) { badField(rec, "field", "is wrong") })
 		tell(keyed, func(rec *recorder) {
-			writeProblem(rec, 503, Problem{Code: "code", Message: "message", RetryAfterMillis: 1500})
+			writeProblem(rec, Problem{status: 503, Code: "code", Message: "message", RetryAfterMillis: 1500})
 		})
 		tell(keyed, func(rec *recorder) {
-			writeProblem(rec, 503, Problem{Code: "code", Message: "message", Outcome: Unknown, RetryAfterMillis: 20})
+			writeProblem(rec, Problem{status: 503, Code: "code", Message: "message", Outcome: Unknown, RetryAfterMillis: 20})
 		})
 		tell(keyed, func(rec *recorder) { writeDone(rec, 201, statusWord{Status: "ok"}) })
 	}
--- a/internal/api/gateway/pull.go
+++ b/internal/api/gateway/pull.go
@@ -47,7 +47,7 @@
 	}
 	delivered, err := g.parts.Delivery.Deliver(r.Context(), trainer, pull)
 	if err != nil {
-		writeDeliveryError(w, err)
+		writeProblem(w, deliveryProblem(err))
 		return
 	}
 	g.parts.Metrics.Delivered(trainer.Name, len(delivered.Samples))
@@ -77,8 +77,7 @@
 		pull.Wait = followWait
 		delivered, err := g.parts.Delivery.Deliver(r.Context(), trainer, pull)
 		if err != nil {
-			_, problem := deliveryProblem(err)
-			lines.write(problemBody{Error: problem})
+			lines.write(problemBody{Error: deliveryProblem(err)})
 			return
 		}
 		if len(delivered.Samples) > 0 || delivered.Open == 0 {
@@ -140,7 +139,7 @@
 	if text == "" {
 		header, err := g.parts.Delivery.Find(r.Context(), trainer, name)
 		if err != nil {
-			writeDeliveryError(w, err)
+			writeProblem(w, deliveryProblem(err))
 			return rollout.Cursor{}, false
 		}
 		return rollout.NewCursor(header), true
--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -21,12 +21,11 @@
 func TestEachProblemTellsWhatIsCertainAndWhenToReturn(t *testing.T) {
 	fromIngress := func(status int, header http.Header) func(*Gateway, http.ResponseWriter) {
 		return func(_ *Gateway, w http.ResponseWriter) {
-			status, problem := problemOf(status, header)
-			writeProblem(w, status, problem)
+			writeProblem(w, problemOf(status, header))
 		}
 	}
 	pullFailed := func(err error) func(*Gateway, http.ResponseWriter) {
-		return func(_ *Gateway, w http.ResponseWriter) { writeDeliveryError(w, err) }
+		return func(_ *Gateway, w http.ResponseWriter) { writeProblem(w, deliveryProblem(err)) }
 	}
 	cases := map[string]struct {
 		answer   func(g *Gateway, w http.ResponseWriter)
@@ -75,8 +74,7 @@
 		"timed out":  {answer: fromIngress(504, nil), status: 504, problem: Problem{Code: "timed_out", Message: "no whole answer came in time", Outcome: Unknown}},
 		"failed":     {answer: fromIngress(502, nil), status: 502, problem: Problem{Code: "back_end_failed", Message: "no replica gave a whole answer", Outcome: Unknown}},
 		"cut": {answer: func(_ *Gateway, w http.ResponseWriter) {
-			status, problem := (&ingressReply{cut: true}).problem()
-			writeProblem(w, status, problem)
+			writeProblem(w, (&ingressReply{cut: true}).problem())
 		}, status: 502, problem: Problem{Code: "answer_cut_off", Message: "the back end's answer did not come whole", Outcome: Unknown}},
 		"a bad field":   {answer: func(_ *Gateway, w http.ResponseWriter) { badField(w, "f", "is odd") }, status: 400, problem: Problem{Code: "bad_request", Field: "f", Message: "f: is odd", Outcome: NotExecuted}},
 		"a lost answer": {answer: func(g *Gateway, w http.ResponseWriter) { g.answerTaken(stopped(t), w, "c/k") }, status: 409, problem: Problem{Code: "earlier_try_lost", Message: "an earlier try with this key may have run, and its outcome is not known", Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -38,7 +38,7 @@
 // act for it.
 func (g *Gateway) trainerOf(w http.ResponseWriter, caller policy.Caller, name string) (delivery.Trainer, bool) {
 	if caller.Trainer != name && !caller.Operator {
-		writeProblem(w, http.StatusForbidden, Problem{Code: "not_your_trainer", Field: "trainer",
+		writeProblem(w, Problem{status: http.StatusForbidden, Code: "not_your_trainer", Field: "trainer",
 			Message: "trainer: caller " + strconv.Quote(caller.Name) + " may not act for trainer " + strconv.Quote(name)})
 		return delivery.Trainer{}, false
 	}
@@ -49,7 +49,7 @@
 	}
 	declared, ok := configuration.Policies.Trainers[name]
 	if !ok {
-		writeProblem(w, http.StatusNotFound, Problem{Code: "unknown_trainer", Field: "trainer",
+		writeProblem(w, Problem{status: http.StatusNotFound, Code: "unknown_trainer", Field: "trainer",
 			Message: "trainer: no policy declares trainer " + strconv.Quote(name)})
 		return delivery.Trainer{}, false
 	}
@@ -77,7 +77,7 @@
 	case err == nil:
 		writeDone(w, http.StatusAccepted, submitted(rollout.NewCursor(header)))
 	case errors.Is(err, delivery.ErrConflict):
-		writeProblem(w, http.StatusConflict, Problem{Code: "name_taken", Field: "name",
+		writeProblem(w, Problem{status: http.StatusConflict, Code: "name_taken", Field: "name",
 			Message: "name: another batch of this trainer has this name and other content"})
 	case errors.Is(err, delivery.ErrUnavailable):
 		refuse(w, refusal.V1LogUnavailable, err.Error())
@@ -93,25 +93,16 @@
 
 // deliveryProblem is the answer to a pull that failed. Nothing was handed over:
 // the same cursor may be used again.
-func deliveryProblem(err error) (int, Problem) {
-	problem := Problem{Message: err.Error(), Outcome: NotExecuted}
+func deliveryProblem(err error) Problem {
+	problem := problemFor(refusal.V1DeliveryFailed, err.Error())
 	switch {
 	case errors.Is(err, delivery.ErrUnknownBatch):
-		problem.Code = "unknown_batch"
-		return http.StatusNotFound, problem
+		problem = Problem{status: http.StatusNotFound, Code: "unknown_batch", Message: err.Error()}
 	case errors.Is(err, delivery.ErrTooManyRounds):
-		problem.Code = "samples_unusable"
-		return http.StatusBadGateway, problem
-	default:
-		problem = problemFor(refusal.V1DeliveryFailed, err.Error())
-		problem.Outcome = NotExecuted
-		return refusal.V1DeliveryFailed.Status, problem
+		problem = Problem{status: http.StatusBadGateway, Code: "samples_unusable", Message: err.Error()}
 	}
-}
-
-func writeDeliveryError(w http.ResponseWriter, err error) {
-	status, problem := deliveryProblem(err)
-	writeProblem(w, status, problem)
+	problem.Outcome = NotExecuted
+	return problem
 }
 
 func (g *Gateway) rolloutStatus(w http.ResponseWriter, r *http.Request, trainer delivery.Trainer, name string) {
@@ -129,7 +120,7 @@
 	case errors.Is(err, delivery.ErrUnsure):
 		refuse(w, refusal.V1EndUnsure, err.Error()+"; end it again")
 	default:
-		writeDeliveryError(w, err)
+		writeProblem(w, deliveryProblem(err))
 	}
 }
 
--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -143,8 +143,7 @@
 // finish writes the last line, or the problem if there is no sample.
 func (s *sampleWriter) finish() {
 	if !s.fromEngine() {
-		status, problem := problemOf(s.status, s.header)
-		writeProblem(s.w, status, problem)
+		writeProblem(s.w, problemOf(s.status, s.header))
 		return
 	}
 	if s.broken || s.sample.End == "" {
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -38,12 +38,12 @@
 		service, ok := configuration.Policies.Services[variables["service"]]
 		hidden := ok && audience == policy.Public && service.Audience == policy.Internal
 		if !ok || hidden || service.Kind != policy.PlainService {
-			writeProblem(w, http.StatusNotFound, Problem{Code: "unknown_service", Field: "service", Message: "service: no such service"})
+			writeProblem(w, Problem{status: http.StatusNotFound, Code: "unknown_service", Field: "service", Message: "service: no such service"})
 			return
 		}
 		operation, ok := service.Operations[variables["operation"]]
 		if !ok {
-			writeProblem(w, http.StatusNotFound, Problem{Code: "unknown_operation", Field: "operation",
+			writeProblem(w, Problem{status: http.StatusNotFound, Code: "unknown_operation", Field: "operation",
 				Message: "operation: the service has no such operation"})
 			return
 		}
@@ -72,8 +72,7 @@
 // answerCall gives a caller the reply of the ingress.
 func (g *Gateway) answerCall(w http.ResponseWriter, reply *ingressReply) {
 	if !reply.whole(g.parts.Headers.Stamp) {
-		status, problem := reply.problem()
-		writeProblem(w, status, problem)
+		writeProblem(w, reply.problem())
 		return
 	}
 	writeAnswer(w, permit.Outcome{Status: reply.status, ContentType: reply.header.Get("Content-Type"), Body: reply.body.Bytes()})
@@ -113,7 +112,7 @@
 	case permit.Taken:
 		g.answerTaken(ctx, w, name)
 	case permit.OtherContent:
-		writeProblem(w, http.StatusConflict, Problem{Code: "key_reused_with_other_content", Field: KeyHeader,
+		writeProblem(w, Problem{status: http.StatusConflict, Code: "key_reused_with_other_content", Field: KeyHeader,
 			Message: KeyHeader + ": names a request of other content"})
 	default:
 		g.refuseClaim(w, err)
@@ -146,11 +145,11 @@
 func (g *Gateway) runOnce(w http.ResponseWriter, ctx context.Context, granted permit.Granted, call ingressCall) {
 	reply := g.ask(ctx, call)
 	if !reply.whole(g.parts.Headers.Stamp) {
-		status, problem := reply.problem()
+		problem := reply.problem()
 		if problem.Outcome == NotExecuted {
 			g.giveBack(ctx, granted)
 		}
-		writeProblem(w, status, problem)
+		writeProblem(w, problem)
 		return
 	}
 	outcome := permit.Outcome{Status: reply.status, ContentType: reply.header.Get("Content-Type"), Body: reply.body.Bytes()}
@@ -200,7 +199,7 @@
 	}
 	problem := problemFor(refusal.V1EarlierTryLost, "an earlier try with this key may have run, and its outcome is not known")
 	problem.ThisTry = notSent
-	writeProblem(w, refusal.V1EarlierTryLost.Status, problem)
+	writeProblem(w, problem)
 }
 
 // refuseClaim answers a try that got no permit. It was not sent.
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -88,9 +88,9 @@
 func (r *ingressReply) whole(stamp string) bool { return !r.cut && r.header.Get(stamp) != "" }
 
 // problem is what to tell a caller of a reply that is no back end's answer.
-func (r *ingressReply) problem() (int, Problem) {
+func (r *ingressReply) problem() Problem {
 	if r.cut {
-		return refusal.V1CutOff.Status, problemFor(refusal.V1CutOff, "the back end's answer did not come whole")
+		return problemFor(refusal.V1CutOff, "the back end's answer did not come whole")
 	}
 	return problemOf(r.status, r.header)
 }
@@ -105,20 +105,22 @@
 }
 
 // problemOf turns a final answer of the ingress into a problem.
-func problemOf(status int, header http.Header) (int, Problem) {
+func problemOf(status int, header http.Header) Problem {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		problem := problemFor(comeBackOf(refusal.V1NoReplica, header), "no replica of the service took the request")
 		if ended := header.Get(QuarantinedHeader); ended != "" {
-			problem = problemFor(comeBackOf(refusal.V1Quarantined, header), ended+" replicas of the service ended while they ran this content")
+			problem = problemFor(comeBackOf(refusal.V1Quarantined, header),
+				ended+" replicas of the service ended while they ran this content")
 		}
-		problem.Outcome = NotExecuted
-		return status, problem
+		problem.status, problem.Outcome = status, NotExecuted
+		return problem
 	case http.StatusNotFound:
-		return status, Problem{Code: "unknown_service", Message: "the configuration in force has no such service", Outcome: NotExecuted}
+		return Problem{status: status, Code: "unknown_service", Message: "the configuration in force has no such service",
+			Outcome: NotExecuted}
 	case http.StatusGatewayTimeout:
-		return status, problemFor(refusal.V1TimedOut, "no whole answer came in time")
+		return problemFor(refusal.V1TimedOut, "no whole answer came in time")
 	default:
-		return refusal.V1Failed.Status, problemFor(refusal.V1Failed, "no replica gave a whole answer")
+		return problemFor(refusal.V1Failed, "no replica gave a whole answer")
 	}
 }
