--- a/internal/api/policy/declare.go
+++ b/internal/api/policy/declare.go
@@ -52,6 +52,14 @@
 	return nil
 }
 
+// unpack takes the arguments of a declaration apart, the first of which is its name.
+func unpack(kind string, args starlark.Tuple, kwargs []starlark.Tuple, name *string, others ...any) error {
+	if err := starlark.UnpackArgs(kind, args, kwargs, append([]any{"name", name}, others...)...); err != nil {
+		return err
+	}
+	return errors.Wrap(CheckName(*name), kind)
+}
+
 func checkAudience(audience Audience) error {
 	if audience != Public && audience != Internal {
 		return errors.Errorf("audience %q is not public or internal", audience)
@@ -62,14 +70,11 @@
 func (d *declarations) trainer(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error {
 	t := Trainer{Class: defaultClass, origin: at}
 	staleness, share := int64(-1), int64(1) // share is taken and has no effect
-	err := starlark.UnpackArgs("trainer", args, kwargs,
-		"name", &t.Name, "service", &t.Service, "max_staleness", &staleness, "traffic_class?", &t.Class, "share?", &share)
+	err := unpack("trainer", args, kwargs, &t.Name,
+		"service", &t.Service, "max_staleness", &staleness, "traffic_class?", &t.Class, "share?", &share)
 	if err != nil {
 		return err
 	}
-	if err := CheckName(t.Name); err != nil {
-		return errors.Wrap(err, "trainer")
-	}
 	if staleness < 0 {
 		return errors.Errorf("trainer %q: max_staleness %d is negative", t.Name, staleness)
 	}
@@ -84,14 +89,11 @@
 func (d *declarations) service(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error {
 	service := Service{Operations: map[string]Operation{}, origin: at}
 	var operations *starlark.List
-	err := starlark.UnpackArgs("service", args, kwargs, "name", &service.Name, "kind", (*string)(&service.Kind),
-		"audience", (*string)(&service.Audience), "operations?", &operations)
+	err := unpack("service", args, kwargs, &service.Name,
+		"kind", (*string)(&service.Kind), "audience", (*string)(&service.Audience), "operations?", &operations)
 	if err != nil {
 		return err
 	}
-	if err := CheckName(service.Name); err != nil {
-		return errors.Wrap(err, "service")
-	}
 	if service.Kind != EngineService && service.Kind != PlainService {
 		return errors.Errorf("service %q: kind %q is not engine or plain", service.Name, service.Kind)
 	}
@@ -124,15 +126,11 @@
 
 func (d *declarations) caller(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error {
 	c, digest := Caller{origin: at}, ""
-	err := starlark.UnpackArgs("caller", args, kwargs,
-		"name", &c.Name, "key_sha256", &digest, "audience", (*string)(&c.Audience),
+	err := unpack("caller", args, kwargs, &c.Name, "key_sha256", &digest, "audience", (*string)(&c.Audience),
 		"trainer?", &c.Trainer, "operator?", &c.Operator, "max_in_flight?", &c.MaxInFlight)
 	if err != nil {
 		return err
 	}
-	if err := CheckName(c.Name); err != nil {
-		return errors.Wrap(err, "caller")
-	}
 	if err := checkAudience(c.Audience); err != nil {
 		return errors.Wrapf(err, "caller %q", c.Name)
 	}
@@ -149,14 +147,10 @@
 
 func (d *declarations) class(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error {
 	class := Class{QueueLimit: defaultQueueLimit, origin: at}
-	err := starlark.UnpackArgs("traffic_class", args, kwargs,
-		"name", &class.Name, "weight", &class.Weight, "queue_limit?", &class.QueueLimit)
+	err := unpack("traffic_class", args, kwargs, &class.Name, "weight", &class.Weight, "queue_limit?", &class.QueueLimit)
 	if err != nil {
 		return err
 	}
-	if err := CheckName(class.Name); err != nil {
-		return errors.Wrap(err, "traffic_class")
-	}
 	if class.Weight < 0 {
 		return errors.Errorf("traffic_class %q: weight %d is negative", class.Name, class.Weight)
 	}
@@ -201,15 +195,11 @@
 func makeOperation(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	operation := Operation{Class: defaultClass}
 	timeout, hedge := defaultOperationTimeout.Milliseconds(), int64(0)
-	err := starlark.UnpackArgs("operation", args, kwargs,
-		"name", &operation.Name, "repeatable", &operation.Repeatable,
+	err := unpack("operation", args, kwargs, &operation.Name, "repeatable", &operation.Repeatable,
 		"traffic_class?", &operation.Class, "timeout_ms?", &timeout, "hedge_ms?", &hedge)
 	if err != nil {
 		return nil, err
 	}
-	if err := CheckName(operation.Name); err != nil {
-		return nil, errors.Wrap(err, "operation")
-	}
 	if timeout < 1 || timeout > maxOperationTimeout.Milliseconds() {
 		return nil, errors.Errorf("operation %q: timeout_ms %d is not between 1 and %d",
 			operation.Name, timeout, maxOperationTimeout.Milliseconds())
