--- a/internal/daemon/cli/cli.go
+++ b/internal/daemon/cli/cli.go
@@ -22,6 +22,7 @@
 
 	"woodworks/internal/api/client"
 	"woodworks/internal/daemon/node"
+	"woodworks/internal/daemon/settings"
 	"woodworks/internal/daemon/signals"
 )
 
@@ -30,14 +31,10 @@
 
 // options are the values of all flags.
 type options struct {
-	config       string
-	checkOnly    bool
-	name         string
-	zone         string
-	region       string
-	listenPublic string
-	listenIntern string
-	logLevel     string
+	config    string
+	checkOnly bool
+	// over has what flags say over the file, "" where they say nothing.
+	over         settings.Settings
 	server       string
 	key          string
 	output       string
--- a/internal/daemon/cli/commands.go
+++ b/internal/daemon/cli/commands.go
@@ -16,12 +16,12 @@
 	serve := leaf("serve", "run a daemon", "woodworks serve -c settings.yaml --zone bern-a")
 	serve.String(&o.config, "c", "config", "settings file (YAML)")
 	serve.Bool(&o.checkOnly, "", "check", "only check the settings")
-	serve.String(&o.name, "", "name", "daemon name, over the file")
-	serve.String(&o.zone, "", "zone", "zone, over the file")
-	serve.String(&o.region, "", "region", "region, over the file")
-	serve.String(&o.listenPublic, "", "listen-public", "public IP:port, over the file")
-	serve.String(&o.listenIntern, "", "listen-internal", "internal IP:port, over the file")
-	serve.String(&o.logLevel, "", "log-level", "debug, info, warn or error, over the file")
+	serve.String(&o.over.Name, "", "name", "daemon name, over the file")
+	serve.String(&o.over.Zone, "", "zone", "zone, over the file")
+	serve.String(&o.over.Region, "", "region", "region, over the file")
+	serve.String(&o.over.Listen.Public, "", "listen-public", "public IP:port, over the file")
+	serve.String(&o.over.Listen.Internal, "", "listen-internal", "internal IP:port, over the file")
+	serve.String(&o.over.Log.Level, "", "log-level", "debug, info, warn or error, over the file")
 	parser.AttachSubcommand(serve, 1)
 
 	commands := []command{{node: serve, run: runServe, isDaemon: true}}
--- a/internal/daemon/cli/serve.go
+++ b/internal/daemon/cli/serve.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"os"
@@ -25,17 +26,12 @@
 			return loaded, withCode(ExitUsage, fileFaults)
 		}
 	}
-	override := func(value string, target *string) {
-		if value != "" {
-			*target = value
-		}
-	}
-	override(o.name, &loaded.Name)
-	override(o.zone, &loaded.Zone)
-	override(o.region, &loaded.Region)
-	override(o.listenPublic, &loaded.Listen.Public)
-	override(o.listenIntern, &loaded.Listen.Internal)
-	override(o.logLevel, &loaded.Log.Level)
+	loaded.Name = cmp.Or(o.over.Name, loaded.Name)
+	loaded.Zone = cmp.Or(o.over.Zone, loaded.Zone)
+	loaded.Region = cmp.Or(o.over.Region, loaded.Region)
+	loaded.Listen.Public = cmp.Or(o.over.Listen.Public, loaded.Listen.Public)
+	loaded.Listen.Internal = cmp.Or(o.over.Listen.Internal, loaded.Listen.Internal)
+	loaded.Log.Level = cmp.Or(o.over.Log.Level, loaded.Log.Level)
 	return loaded, withCode(ExitUsage, together(fileFaults, loaded.Check()))
 }
 
--- a/internal/daemon/golden/golden.go
+++ b/internal/daemon/golden/golden.go
@@ -18,6 +18,7 @@
 	"bytes"
 	"encoding/gob"
 	"encoding/json"
+	"errors"
 	"flag"
 	"os"
 	"path/filepath"
@@ -95,7 +96,8 @@
 func kept(t *testing.T, name string, now []byte) []byte {
 	t.Helper()
 	if *update {
-		if err := write(filepath.Join(folder, name), now); err != nil {
+		err := errors.Join(os.MkdirAll(folder, dirMode), os.WriteFile(filepath.Join(folder, name), now, fileMode))
+		if err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -110,10 +112,3 @@
 	}
 	return content
 }
-
-func write(path string, content []byte) error {
-	if err := os.MkdirAll(filepath.Dir(path), dirMode); err != nil {
-		return err
-	}
-	return os.WriteFile(path, content, fileMode)
-}
