--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -156,10 +156,7 @@
 
 // Announce tells of a new weight version.
 func (c *Client) Announce(ctx context.Context, trainer string, version uint64, artifact string) error {
-	body := struct {
-		Version  uint64 `json:"version"`
-		Artifact string `json:"artifact"`
-	}{version, artifact}
+	body := gateway.AnnounceRequest{Version: int64(version), Artifact: artifact}
 	return c.JSON(ctx, http.MethodPost, "/v1/trainers/"+url.PathEscape(trainer)+"/versions", body, nil)
 }
 
--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -103,7 +103,8 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-type publishRequest struct {
+// PublishRequest is the body of POST /v1/policies.
+type PublishRequest struct {
 	Name   string `json:"name"`
 	Source string `json:"source"`
 	// Replaces is the version of the document that the author saw; absent means
@@ -113,7 +114,7 @@
 
 // publishPolicy answers once the change is in force at this daemon.
 func (g *Gateway) publishPolicy(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
-	var req publishRequest
+	var req PublishRequest
 	if !decodeJSON(w, r, &req) {
 		return
 	}
@@ -151,7 +152,8 @@
 	}
 }
 
-type drainRequest struct {
+// DrainRequest is the body of POST /v1/drains.
+type DrainRequest struct {
 	Machine string `json:"machine"`
 	// Undo takes an earlier order back.
 	Undo bool `json:"undo,omitempty"`
@@ -163,7 +165,7 @@
 }
 
 func (g *Gateway) drain(w http.ResponseWriter, r *http.Request, _ policy.Caller) {
-	var req drainRequest
+	var req DrainRequest
 	if !decodeJSON(w, r, &req) {
 		return
 	}
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -124,7 +124,8 @@
 	}
 }
 
-type announceRequest struct {
+// AnnounceRequest is the body of POST /v1/trainers/TRAINER/versions.
+type AnnounceRequest struct {
 	Version  int64  `json:"version"`
 	Artifact string `json:"artifact"`
 }
@@ -137,7 +138,7 @@
 // announceVersion takes in that a trainer published weights. Versions only
 // rise: an older one is answered with the newest known.
 func (g *Gateway) announceVersion(w http.ResponseWriter, r *http.Request, trainer delivery.Trainer, _ string) {
-	var req announceRequest
+	var req AnnounceRequest
 	if !decodeJSON(w, r, &req) {
 		return
 	}
--- a/internal/daemon/cli/policy.go
+++ b/internal/daemon/cli/policy.go
@@ -82,11 +82,7 @@
 	if err != nil {
 		return err
 	}
-	body := struct {
-		Name     string `json:"name"`
-		Source   string `json:"source"`
-		Replaces *int64 `json:"replaces,omitempty"`
-	}{Name: o.nameOfDocument(), Source: source}
+	body := gateway.PublishRequest{Name: o.nameOfDocument(), Source: source}
 	if o.replaces != "" {
 		version, err := strconv.ParseInt(o.replaces, 10, 64)
 		if err != nil {
--- a/internal/daemon/cli/status.go
+++ b/internal/daemon/cli/status.go
@@ -36,10 +36,7 @@
 }
 
 func runDrain(o *options) error {
-	body := struct {
-		Machine string `json:"machine"`
-		Undo    bool   `json:"undo,omitempty"`
-	}{o.machine, o.undo}
+	body := gateway.DrainRequest{Machine: o.machine, Undo: o.undo}
 	if err := o.call(http.MethodPost, "/v1/drains", body, nil); err != nil {
 		return err
 	}
