--- a/internal/journal/journaltest/group.go
+++ b/internal/journal/journaltest/group.go
@@ -2,7 +2,8 @@
 
 import (
 	"context"
-	"sort"
+	"maps"
+	"slices"
 	"time"
 
 	"woodworks/internal/journal"
@@ -42,14 +43,10 @@
 
 // deal gives each partition to a member. The mutex is held.
 func (j *Journal) deal() []journal.Ownership {
-	members := make([]string, 0, len(j.members))
-	for member := range j.members {
-		members = append(members, member)
-	}
+	members := slices.Sorted(maps.Keys(j.members))
 	if len(members) == 0 {
 		return nil
 	}
-	sort.Strings(members)
 	var rows []journal.Ownership
 	for _, topic := range j.topics {
 		for number := 0; number < j.Partitions; number++ {
--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -89,9 +89,6 @@
 	return m.generation
 }
 
-// SetClock sets the clock by which Silence goes. It is called before Run.
-func (m *Member) SetClock(now bootclock.Clock) { m.lastContact = journal.NewContact(now) }
-
 // Silence is how long ago the journal last answered.
 func (m *Member) Silence() time.Duration { return m.lastContact.Silence() }
 
--- a/internal/membership/identity/identity.go
+++ b/internal/membership/identity/identity.go
@@ -8,6 +8,7 @@
 package identity
 
 import (
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -29,16 +30,8 @@
 // Replaced reports whether an incarnation is over for certain: another one of its machine is
 // among those alive, and it is not. A machine has one at a time.
 func Replaced(incarnation string, alive []string) bool {
-	replaced := false
-	for _, other := range alive {
-		if other == incarnation {
-			return false
-		}
-		if Machine(other) == Machine(incarnation) {
-			replaced = true
-		}
-	}
-	return replaced
+	return !slices.Contains(alive, incarnation) &&
+		slices.ContainsFunc(alive, func(other string) bool { return Machine(other) == Machine(incarnation) })
 }
 
 // Started returns when an incarnation began by its machine's time of day, in nanoseconds since 1970,
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -30,7 +30,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(drainBound, zap.NewNop())
-		table.SetClock(clocktest.New().Now)
+		table.now = clocktest.New().Now
 		table.Set(started("a", 0, 9))
 		seen := func() Replica { return table.Replicas("s")[0] }
 		before := seen()
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -124,10 +124,6 @@
 	}
 }
 
-// SetClock sets the clock by which replicas count as just removed. It is called before
-// any other method.
-func (t *Table) SetClock(now bootclock.Clock) { t.now = now }
-
 // Replace sets the whole list.
 func (t *Table) Replace(entries []Entry) {
 	t.mu.Lock()
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -35,7 +35,7 @@
 		is := is.New(t)
 		clock := clocktest.New()
 		table := NewTable(drainBound, zap.NewNop())
-		table.SetClock(clock.Now)
+		table.now = clock.Now
 		table.Replace([]Entry{entry("a"), entry("b")})
 		table.Replace(nil)
 		is.Equal(len(table.Replicas("s")), 2)
@@ -51,7 +51,7 @@
 	is := is.New(t)
 	clock := clocktest.New()
 	table := NewTable(drainBound, zap.NewNop())
-	table.SetClock(clock.Now)
+	table.now = clock.Now
 	table.Replace([]Entry{entry("a"), entry("b")})
 	table.Replace(nil)
 	clock.Suspend(drainBound)
