--- a/internal/api/permit/fold.go
+++ b/internal/api/permit/fold.go
@@ -81,8 +81,7 @@
 		}
 	case kindOutcome:
 		if c != nil && c.claimant == r.Claimant && c.outcome == nil {
-			outcome := r.Outcome
-			c.outcome = &outcome
+			c.outcome = new(r.Outcome)
 		}
 	case kindRelease:
 		if c != nil && c.claimant == r.Claimant && c.outcome == nil {
--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -103,6 +103,5 @@
 	if c == nil {
 		return nil
 	}
-	copied := *c
-	return &copied
+	return new(*c)
 }
--- a/internal/requests/quarantine/content.go
+++ b/internal/requests/quarantine/content.go
@@ -4,7 +4,6 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/hex"
-	"hash"
 	"io"
 	"sync"
 
@@ -61,7 +60,8 @@
 	c.once.Do(func() {
 		sum := sha256.New()
 		for _, part := range []string{c.Caller, c.Method, c.Host, c.Target} {
-			writeLength(sum, len(part))
+			// The length keeps the end of one part from being taken for the beginning of the next.
+			_, _ = sum.Write(binary.BigEndian.AppendUint64(nil, uint64(len(part))))
 			_, _ = io.WriteString(sum, part) // A hash takes all bytes.
 		}
 		_, _ = sum.Write(c.Body) // A hash takes all bytes.
@@ -69,10 +69,3 @@
 	})
 	return c.digest
 }
-
-// writeLength keeps the end of one part from being taken for the beginning of the next.
-func writeLength(sum hash.Hash, length int) {
-	var encoded [8]byte
-	binary.BigEndian.PutUint64(encoded[:], uint64(length))
-	_, _ = sum.Write(encoded[:]) // A hash takes all bytes.
-}
