--- a/internal/api/standalone/routes.go
+++ b/internal/api/standalone/routes.go
@@ -32,7 +32,7 @@
 	for name, service := range set.Services {
 		m := route.Service{Name: name, Engine: service.Kind == policy.EngineService}
 		for _, trainer := range set.TrainersOf(name) {
-			m.Models = append(m.Models, route.Model{Name: trainer.Name})
+			m.Models = append(m.Models, trainer.Name)
 			routes = append(routes, trainerRoutes(set, trainer)...)
 		}
 		services[name] = m
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -158,8 +158,8 @@
 	deadline := batchDeadline(configuration, service.Name)
 	var loads []Load
 	for _, model := range service.Models {
-		if d := m.Demands.Of(model.Name); d.Items > 0 {
-			loads = append(loads, Load{Items: d.Items, ItemTime: m.Demands.ItemTime(model.Name), Deadline: deadline})
+		if d := m.Demands.Of(model); d.Items > 0 {
+			loads = append(loads, Load{Items: d.Items, ItemTime: m.Demands.ItemTime(model), Deadline: deadline})
 		}
 	}
 	return loads
--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"woodworks/internal/replicas/replica"
-	"woodworks/internal/requests/route"
 )
 
 // reallotThreshold is by how many replicas what a model is due must differ from what it has
@@ -32,11 +31,11 @@
 }
 
 // capped limits each model's allotment to what its batches need.
-func (s *Syncer) capped(allotment []int, models []route.Model, slots int) []int {
+func (s *Syncer) capped(allotment []int, models []string, slots int) []int {
 	limited := make([]int, len(allotment))
 	for i, model := range models {
 		limited[i] = allotment[i]
-		if d := s.Demands.Of(model.Name); d.Items > 0 {
+		if d := s.Demands.Of(model); d.Items > 0 {
 			limited[i] = min(allotment[i], enough(d.Items, slots))
 		}
 	}
@@ -45,10 +44,10 @@
 
 // allotmentOf returns how many replicas of a service are for each of its models:
 // parts by the work of their batches, kept while they are about right.
-func (s *Syncer) allotmentOf(service string, models []route.Model, replicas int) []int {
+func (s *Syncer) allotmentOf(service string, models []string, replicas int) []int {
 	work := make([]float64, len(models))
 	for i, model := range models {
-		work[i] = float64(s.Demands.Of(model.Name).Work)
+		work[i] = float64(s.Demands.Of(model).Work)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +133,7 @@
 // dealsOf returns the replicas of a service that are for each of its models. A
 // replica keeps its model while the allotment leaves room, also when others come and
 // go: a change of model costs a load and what it has kept.
-func (s *Syncer) dealsOf(service string, models []route.Model, replicas []replica.Replica) [][]replica.Replica {
+func (s *Syncer) dealsOf(service string, models []string, replicas []replica.Replica) [][]replica.Replica {
 	allotment := s.allotmentOf(service, models, len(replicas))
 	if len(replicas) > 0 {
 		allotment = s.capped(allotment, models, replicas[0].Slots)
@@ -146,7 +145,7 @@
 	for i, model := range models {
 		for _, rep := range deals[i] {
 			if len(replicas) >= len(models) {
-				s.noteOf(rep.ID).model = model.Name
+				s.noteOf(rep.ID).model = model
 			}
 		}
 	}
@@ -168,7 +167,7 @@
 // whose newest version it holds, as a holder of the lease before may have dealt
 // it so. Replicas beyond the allotment are for none. Where there are fewer replicas than models,
 // a replica is there for several.
-func deal(replicas []replica.Replica, models []route.Model, allotment []int, before map[string]string) [][]replica.Replica {
+func deal(replicas []replica.Replica, models []string, allotment []int, before map[string]string) [][]replica.Replica {
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b replica.Replica) int { return strings.Compare(a.ID, b.ID) })
 	if len(sorted) >= len(models) {
@@ -184,12 +183,12 @@
 }
 
 // dealAllotment gives each replica to one model at most, in the order in which they come.
-func dealAllotment(sorted []replica.Replica, models []route.Model, allotment []int,
+func dealAllotment(sorted []replica.Replica, models []string, allotment []int,
 	before map[string]string) [][]replica.Replica {
 	deals := make([][]replica.Replica, len(models))
 	var left []replica.Replica
 	for _, rep := range sorted {
-		kept := slices.IndexFunc(models, func(model route.Model) bool { return model.Name == before[rep.ID] })
+		kept := slices.Index(models, before[rep.ID])
 		if kept >= 0 && len(deals[kept]) < allotment[kept] {
 			deals[kept] = append(deals[kept], rep)
 		} else {
@@ -199,7 +198,7 @@
 	for _, rep := range left {
 		chosen := -1
 		for i, model := range models {
-			if len(deals[i]) < allotment[i] && (chosen < 0 || rep.Versions[model.Name] > rep.Versions[models[chosen].Name]) {
+			if len(deals[i]) < allotment[i] && (chosen < 0 || rep.Versions[model] > rep.Versions[models[chosen]]) {
 				chosen = i
 			}
 		}
--- a/internal/replicas/modelsync/due.go
+++ b/internal/replicas/modelsync/due.go
@@ -31,13 +31,13 @@
 // changesDue returns the changes that are due for the replicas of a service,
 // those under way among them, in the order in which they should start. Deals
 // says which replicas are for which model.
-func changesDue(deals [][]replica.Replica, models []route.Model, named map[string]int64,
+func changesDue(deals [][]replica.Replica, models []string, named map[string]int64,
 	lagOf func(model string) int64, manner engine.Manner, loading func(replicaID string) bool) []change {
 	needs := make([]modelNeed, len(models))
 	for i, model := range models {
-		version, lag := named[model.Name], lagOf(model.Name)
-		due := changesOfModel(deals[i], model.Name, version, lag, manner)
-		needs[i] = needOf(deals[i], model.Name, version, lag, due, loading)
+		version, lag := named[model], lagOf(model)
+		due := changesOfModel(deals[i], model, version, lag, manner)
+		needs[i] = needOf(deals[i], model, version, lag, due, loading)
 	}
 	return inTurn(needs, lagOf)
 }
--- a/internal/replicas/modelsync/kinds.go
+++ b/internal/replicas/modelsync/kinds.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"woodworks/internal/replicas/replica"
-	"woodworks/internal/requests/route"
 )
 
 const (
@@ -74,7 +73,7 @@
 // dealEvenly deals replicas to models so that each model has its part of every kind of
 // engine, the fast ones first: a step ends with its longest text, which takes much longer
 // where its model holds no fast engine.
-func dealEvenly(replicas []replica.Replica, models []route.Model, allotment []int, before map[string]string,
+func dealEvenly(replicas []replica.Replica, models []string, allotment []int, before map[string]string,
 	eventTimeOf func(id string) time.Duration) [][]replica.Replica {
 	kinds := kindsOf(replicas, eventTimeOf)
 	if len(kinds) == 1 || len(replicas) < len(models) {
@@ -97,7 +96,7 @@
 // partsOf returns how many engines of a kind each model gets, given what it has of the
 // faster ones, reached being how many engines there are up to this kind. What a model has
 // already of the kind it keeps within the rounding.
-func partsOf(kind []replica.Replica, models []route.Model, allotment, given []int, before map[string]string,
+func partsOf(kind []replica.Replica, models []string, allotment, given []int, before map[string]string,
 	reached int) []int {
 	part := min(float64(reached)/float64(max(total(allotment), 1)), 1)
 	held := heldOf(kind, models, before)
@@ -127,11 +126,11 @@
 }
 
 // heldOf returns how many engines of a kind were dealt to each model before.
-func heldOf(kind []replica.Replica, models []route.Model, before map[string]string) []int {
+func heldOf(kind []replica.Replica, models []string, before map[string]string) []int {
 	held := make([]int, len(models))
 	for i, model := range models {
 		for _, rep := range kind {
-			if before[rep.ID] == model.Name {
+			if before[rep.ID] == model {
 				held[i]++
 			}
 		}
--- a/internal/replicas/modelsync/kinds_test.go
+++ b/internal/replicas/modelsync/kinds_test.go
@@ -9,10 +9,9 @@
 	"pgregory.net/rapid"
 
 	"woodworks/internal/replicas/replica"
-	"woodworks/internal/requests/route"
 )
 
-var fourModels = []route.Model{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
+var fourModels = []string{"a", "b", "c", "d"}
 
 // unevenEngines are 45 engines of which each fourth is twice as fast as the others.
 func unevenEngines() (replicas []replica.Replica, eventTimeOf func(id string) time.Duration) {
@@ -29,11 +28,11 @@
 }
 
 // recordDeals returns which model each engine was dealt to.
-func recordDeals(models []route.Model, deals [][]replica.Replica) map[string]string {
+func recordDeals(models []string, deals [][]replica.Replica) map[string]string {
 	dealt := map[string]string{}
 	for i, ofModel := range deals {
 		for _, rep := range ofModel {
-			dealt[rep.ID] = models[i].Name
+			dealt[rep.ID] = models[i]
 		}
 	}
 	return dealt
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -15,7 +15,6 @@
 	"woodworks/internal/replicas/demand"
 	"woodworks/internal/replicas/engine"
 	"woodworks/internal/replicas/replica"
-	"woodworks/internal/requests/route"
 )
 
 // speedUnknown is the event time of engines of which nothing is known.
@@ -92,7 +91,7 @@
 
 func TestEachModelHasAReplicaThoughThereAreFewerReplicas(t *testing.T) {
 	is := is.New(t)
-	models := []route.Model{{Name: "a"}, {Name: "b"}, {Name: "c"}}
+	models := []string{"a", "b", "c"}
 	named := map[string]int64{"a": 2, "b": 2, "c": 2}
 	due := changesDue(deal(replicasAt(1, 1), models, allot(make([]float64, 3), 2), nil), models, named, func(string) int64 { return 0 }, engine.Continue, idle)
 	changed := map[string]bool{}
@@ -104,7 +103,7 @@
 
 func TestChangesComeFurthestBehindFirst(t *testing.T) {
 	is := is.New(t)
-	models := []route.Model{{Name: "m"}}
+	models := []string{"m"}
 	due := changesDue(deal(replicasAt(5, 3, 4, 6), models, []int{4}, nil), models, map[string]int64{"m": 6}, func(string) int64 { return 1 }, engine.Continue, idle)
 	is.Equal(len(due), 3)
 	is.Equal(due[0].replica.ID, "r01")
@@ -116,7 +115,7 @@
 // seconds.
 func TestReplicasKeepTheirModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		models := []route.Model{{Name: "a"}, {Name: "b"}, {Name: "c"}}
+		models := []string{"a", "b", "c"}
 		work := rapid.SliceOfN(rapid.Float64Range(1, 100), 3, 3).Draw(t, "work")
 		all := replicasAt(make([]int64, rapid.IntRange(4, 12).Draw(t, "replicas"))...)
 		before := map[string]string{}
@@ -124,7 +123,7 @@
 			count := 0
 			for i, model := range models {
 				for _, rep := range deals[i] {
-					before[rep.ID] = model.Name
+					before[rep.ID] = model
 					count++
 				}
 			}
@@ -157,7 +156,7 @@
 // A new holder of the lease finds the deal of the one before in the versions.
 func TestANewHolderKeepsTheDeal(t *testing.T) {
 	is := is.New(t)
-	models := []route.Model{{Name: "a"}, {Name: "b"}}
+	models := []string{"a", "b"}
 	replicas := replicasAt(0, 0, 0, 0)
 	for i, versions := range []map[string]int64{{"a": 2, "b": 7}, {"a": 8, "b": 1}, {"a": 1, "b": 6}, {"a": 7, "b": 2}} {
 		replicas[i].Versions = versions
@@ -176,7 +175,7 @@
 	is.Equal(enough(48, 8), 24)
 	is.Equal(enough(1, 8), minEngines)
 	is.Equal(enough(100, 0), 50)
-	models := []route.Model{{Name: "m"}}
+	models := []string{"m"}
 	demands := demand.NewState(zap.NewNop())
 	encoded, err := cbor.Marshal(demand.Demand{MinVersion: 1, Named: 3, Work: 100, Items: 16})
 	is.NoErr(err)
--- a/internal/replicas/modelsync/order_test.go
+++ b/internal/replicas/modelsync/order_test.go
@@ -9,7 +9,6 @@
 
 	"woodworks/internal/replicas/engine"
 	"woodworks/internal/replicas/replica"
-	"woodworks/internal/requests/route"
 )
 
 // enginesOf are engines that were dealt to a model, at the given versions.
@@ -28,7 +27,7 @@
 // for 12 s, and the third one's steps stood still.
 func TestAModelWithoutUsableEnginesComesFirst(t *testing.T) {
 	is := is.New(t)
-	models := []route.Model{{Name: "a"}, {Name: "b"}, {Name: "c"}}
+	models := []string{"a", "b", "c"}
 	named := map[string]int64{"a": 4, "b": 4, "c": 3}
 	deals := [][]replica.Replica{enginesOf("a", 3, 3, 2), enginesOf("b", 3, 2, 2), enginesOf("c", 1, 1, 1)}
 	due := changesDue(deals, models, named, lagOfOne, engine.Continue, idle)
@@ -43,7 +42,7 @@
 // version comes first.
 func TestTheModelWithFewestNewestEnginesComesFirst(t *testing.T) {
 	is := is.New(t)
-	models := []route.Model{{Name: "a"}, {Name: "b"}}
+	models := []string{"a", "b"}
 	named := map[string]int64{"a": 2, "b": 2}
 	deals := [][]replica.Replica{enginesOf("a", 2, 2, 1), enginesOf("b", 1, 1, 1)}
 	due := changesDue(deals, models, named, lagOfOne, engine.Continue, idle)
@@ -55,16 +54,16 @@
 // no better off than any other for which one is due.
 func TestChangesStartWhereEnginesAreFewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		models := []route.Model{{Name: "a"}, {Name: "b"}, {Name: "c"}}
+		models := []string{"a", "b", "c"}
 		named := map[string]int64{}
 		deals := make([][]replica.Replica, len(models))
 		loading := map[string]bool{}
 		for i, model := range models {
-			named[model.Name] = rapid.Int64Range(1, 6).Draw(t, "named")
-			versions := rapid.SliceOfN(rapid.Int64Range(1, named[model.Name]), 1, 4).Draw(t, "versions")
-			deals[i] = enginesOf(model.Name, versions...)
+			named[model] = rapid.Int64Range(1, 6).Draw(t, "named")
+			versions := rapid.SliceOfN(rapid.Int64Range(1, named[model]), 1, 4).Draw(t, "versions")
+			deals[i] = enginesOf(model, versions...)
 			for _, rep := range deals[i] {
-				loading[rep.ID] = rep.Versions[model.Name] < named[model.Name] && rapid.IntRange(0, 3).Draw(t, "loading") == 0
+				loading[rep.ID] = rep.Versions[model] < named[model] && rapid.IntRange(0, 3).Draw(t, "loading") == 0
 			}
 		}
 		due := changesDue(deals, models, named, lagOfOne, engine.Continue, func(id string) bool { return loading[id] })
@@ -72,7 +71,7 @@
 			all, ready := 0, 0
 			for i := range models {
 				for _, rep := range deals[i] {
-					if models[i].Name != model {
+					if models[i] != model {
 						continue
 					}
 					all++
--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -72,17 +72,14 @@
 	MaxQueue time.Duration
 }
 
-// Model is a model that a service's engines hold.
-type Model struct{ Name string }
-
 // Service is a set of replicas.
 type Service struct {
 	Name string
 	// MaxConnections is what one replica accepts from all callers together.
 	MaxConnections int
-	// Engine says that the replicas are model engines; Models are theirs.
+	// Engine says that the replicas are model engines; Models are the names of theirs.
 	Engine bool
-	Models []Model
+	Models []string
 	// Slots is how many requests an engine runs at once.
 	Slots int
 	// Scaling is nil where the number of replicas is not ours to order.
