--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -57,8 +57,9 @@
 	failedAt time.Time
 	// rest is the pause after calls that failed.
 	rest backoff.Rest
-	// reported and failed count calls, for the metrics.
-	reported, failed atomic.Uint64
+	// Reported counts the reports that the platform took from this daemon, Failed the calls to
+	// report that failed.
+	Reported, Failed atomic.Uint64
 }
 
 // NewReporter returns a reporter that acts in the name of holder.
@@ -70,12 +71,6 @@
 	}
 }
 
-// Reported returns how many reports the platform took from this daemon.
-func (r *Reporter) Reported() uint64 { return r.reported.Load() }
-
-// Failed returns how many calls to report failed.
-func (r *Reporter) Failed() uint64 { return r.failed.Load() }
-
 // Run settles and reports until the context ends.
 func (r *Reporter) Run(ctx context.Context) { periodic.Every(ctx, lookInterval, r.step) }
 
@@ -214,9 +209,9 @@
 		zap.Int64("requests", total(requests)), zap.Duration("after", r.clock.Now().Sub(endOf(window, r.windows))),
 		zap.Int("failures_before", r.rest.Failures()), zap.Error(err))
 	if err == nil {
-		r.reported.Add(1)
+		r.Reported.Add(1)
 	} else {
-		r.failed.Add(1)
+		r.Failed.Add(1)
 	}
 	// A call that was refused would be refused again: its window is done with.
 	if err != nil && !errors.Is(err, duty.ErrRefused) {
--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -59,13 +59,13 @@
 func (n *Node) registerDutyMetrics() {
 	if n.reporter != nil {
 		metrics.Counter(n.metrics, "usage_reports_total",
-			"Reports of usage that the platform took from this daemon.", n.reporter.Reported)
-		metrics.Counter(n.metrics, "usage_reports_failed_total", "Calls to report usage that failed.", n.reporter.Failed)
+			"Reports of usage that the platform took from this daemon.", n.reporter.Reported.Load)
+		metrics.Counter(n.metrics, "usage_reports_failed_total", "Calls to report usage that failed.", n.reporter.Failed.Load)
 	}
 	if n.fleet != nil {
 		metrics.Counter(n.metrics, "fleet_orders_total",
-			"Orders for replicas that the platform took from this daemon.", n.fleet.Orders)
-		metrics.Counter(n.metrics, "fleet_orders_failed_total", "Orders for replicas that failed.", n.fleet.Failed)
+			"Orders for replicas that the platform took from this daemon.", n.fleet.Ordered.Load)
+		metrics.Counter(n.metrics, "fleet_orders_failed_total", "Orders for replicas that failed.", n.fleet.Failed.Load)
 	}
 }
 
--- a/internal/daemon/node/metrics.go
+++ b/internal/daemon/node/metrics.go
@@ -24,7 +24,7 @@
 	metrics.Gauge(n.metrics, "lease_held", "1 while this daemon holds the lease for orders to engines.",
 		func() int { return oneIf(n.lease.Held()) })
 	metrics.Counter(n.metrics, "items_started_total", "Attempts at items sent to replicas.", n.runner.Started)
-	metrics.Counter(n.metrics, "engine_orders_total", "Orders given to engines.", n.syncer.Orders)
+	metrics.Counter(n.metrics, "engine_orders_total", "Orders given to engines.", n.syncer.Ordered.Load)
 }
 
 // registerJournalMetrics tells of the paths to the journal.
@@ -32,12 +32,12 @@
 	metrics.Gauge(n.metrics, "journal_silence_seconds", "Time since the journal last answered.",
 		func() float64 { return n.silence().Seconds() })
 	metrics.Counter(n.metrics, "journal_calls_given_up_total",
-		"Calls to the journal given up as later ones were answered.", n.journal.GivenUp)
+		"Calls to the journal given up as later ones were answered.", n.journal.GivenUp.Load)
 	if n.relay != nil {
 		metrics.Gauge(n.metrics, "journal_path_lost", "1 while this daemon's own path to the journal is lost.",
 			func() int { return oneIf(n.relay.Lost()) })
 		metrics.Counter(n.metrics, "journal_calls_relayed_total", "Calls to the journal answered through a peer.",
-			func() uint64 { done, _ := n.relay.Relayed(); return done })
+			n.relay.Relayed.Load)
 	}
 }
 
--- a/internal/journal/relay/call.go
+++ b/internal/journal/relay/call.go
@@ -72,8 +72,11 @@
 // peer has made it.
 func (j *Journal) throughPeer(ctx context.Context, op operation) (reply, error) {
 	answer, err := j.peers.relay(ctx, op)
-	if !errors.Is(err, errNoPeer) {
-		j.counts.note(err)
+	switch {
+	case err == nil:
+		j.Relayed.Add(1)
+	case !errors.Is(err, errNoPeer):
+		j.RelayFailed.Add(1)
 	}
 	return answer, err
 }
--- a/internal/journal/relay/protocol.go
+++ b/internal/journal/relay/protocol.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"sync/atomic"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
@@ -160,19 +159,3 @@
 func (m Message) decode(into any) error {
 	return errors.Wrap(cbor.Unmarshal(m.Body, into), "relay: decode")
 }
-
-// counts are of the calls that went through peers.
-type counts struct{ done, failed atomic.Uint64 }
-
-func (c *counts) note(err error) {
-	if err == nil {
-		c.done.Add(1)
-	} else {
-		c.failed.Add(1)
-	}
-}
-
-// Relayed returns how many calls went through a peer, and how many of these failed.
-func (j *Journal) Relayed() (done, failed uint64) {
-	return j.counts.done.Load(), j.counts.failed.Load()
-}
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -24,6 +24,7 @@
 
 import (
 	"context"
+	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
@@ -59,8 +60,9 @@
 	logger  *zap.Logger
 	path    *path
 	peers   *peers
-	counts  counts
 	gate    gate
+	// Relayed counts the calls that a peer has made, RelayFailed those through one that failed.
+	Relayed, RelayFailed atomic.Uint64
 	// receivers answer the other calls of peers, by name.
 	receivers map[string]any
 }
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -192,10 +192,9 @@
 			time.Sleep(2 * probeInterval)
 			is.True(!d.relays[0].Lost())
 			is.True(d.relays[1].Lost())
-			done, _ := d.relays[0].Relayed()
+			done := d.relays[0].Relayed.Load()
 			is.NoErr(appendOne(ctx, d.relays[0], "own way", 200*time.Millisecond))
-			after, _ := d.relays[0].Relayed()
-			is.Equal(after, done)
+			is.Equal(d.relays[0].Relayed.Load(), done)
 		})
 	}
 }
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
@@ -47,10 +48,11 @@
 	// part of all calls each of them is one.
 	answers *logging.Episodes
 	observe Observer
+	// GivenUp counts the calls that were given up.
+	GivenUp atomic.Uint64
 
 	mu      sync.Mutex
 	pending map[*pendingCall]struct{}
-	givenUp uint64
 	// answeredAt is when a call was last answered, backAt when the last silence
 	// of all calls ended.
 	answeredAt, backAt time.Time
@@ -85,13 +87,6 @@
 // SetObserver sets who is told of calls. It is called before any call.
 func (r *Revived) SetObserver(observe Observer) { r.observe = observe }
 
-// GivenUp returns how many calls were given up.
-func (r *Revived) GivenUp() uint64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.givenUp
-}
-
 func (r *Revived) begin(ctx context.Context, call pendingCall) (context.Context, *pendingCall) {
 	bounded, cancel := context.WithCancel(ctx)
 	call.began, call.cancel = time.Now(), cancel
@@ -130,7 +125,7 @@
 	if givenUp == 0 {
 		return
 	}
-	r.givenUp += uint64(givenUp)
+	r.GivenUp.Add(uint64(givenUp))
 	took := now.Sub(call.began)
 	r.answers.Note(logging.Occurrence{Subject: call.partition.Topic, Took: took, Times: givenUp},
 		zap.Int("calls_given_up", givenUp),
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -79,7 +79,8 @@
 	// rest is the pause after orders that failed.
 	rest backoff.Rest
 
-	orders, failed atomic.Uint64
+	// Ordered counts the orders that the platform took from this daemon, Failed those that failed.
+	Ordered, Failed atomic.Uint64
 }
 
 // NewManager returns a manager.
@@ -90,12 +91,6 @@
 	}
 }
 
-// Orders returns how many orders the platform took from this daemon.
-func (m *Manager) Orders() uint64 { return m.orders.Load() }
-
-// Failed returns how many orders failed.
-func (m *Manager) Failed() uint64 { return m.failed.Load() }
-
 // Run orders replicas until the context ends.
 func (m *Manager) Run(ctx context.Context) { periodic.Every(ctx, lookInterval, m.step) }
 
@@ -199,13 +194,13 @@
 		zap.Int("desired", order.Desired), zap.Int("need", Need(in)), zap.Stringers("zones", in.Zones),
 		zap.Stringers("loads", in.Loads), zap.Int64("fence", fence), zap.Error(err))
 	if err != nil {
-		m.failed.Add(1)
+		m.Failed.Add(1)
 		m.rest.Failed(orderPauses, time.Now())
 		// It has to be ordered again.
 		delete(m.ordered, key)
 		return false
 	}
-	m.orders.Add(1)
+	m.Ordered.Add(1)
 	m.rest.Succeeded()
 	return true
 }
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -19,6 +19,7 @@
 import (
 	"context"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
@@ -53,6 +54,8 @@
 type Syncer struct {
 	Parts
 	logger *zap.Logger
+	// Ordered counts the orders given.
+	Ordered atomic.Uint64
 
 	mu sync.Mutex
 	// notes are what is remembered of each engine, by its id.
@@ -60,7 +63,6 @@
 	// loading counts the engines with a change under way.
 	loading  int
 	loadTime time.Duration
-	orders   uint64
 	// allotments is how many replicas of a service are for each of its models.
 	allotments map[string][]int
 	width      width
@@ -73,13 +75,6 @@
 	}
 }
 
-// Orders returns how many orders were given.
-func (s *Syncer) Orders() uint64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.orders
-}
-
 // Run looks for engines to change while the lease is held, until the context
 // ends. Demands are followed only meanwhile.
 func (s *Syncer) Run(ctx context.Context, follow func(context.Context)) {
--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -78,7 +78,7 @@
 		select {
 		case <-freed:
 		case <-late.C:
-			p.full.Add(1)
+			p.Full.Add(1)
 			return nil, ErrFull
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -86,9 +86,6 @@
 	}
 }
 
-// Full returns how many requests found no connection free in time.
-func (p *Pool) Full() uint64 { return p.full.Load() }
-
 // signal wakes those that wait for a connection to a peer. The mutex is held.
 func (p *Pool) signal(address netip.AddrPort) {
 	if freed := p.freed[address]; freed != nil {
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -75,13 +75,13 @@
 	err := bounded(t, p, address, 1, 0)
 	is.True(errors.Is(err, ErrFull))
 	is.True(errors.Is(err, ErrNotSent))
-	is.Equal(p.Full(), uint64(1))
+	is.Equal(p.Full.Load(), uint64(1))
 	go func() { second <- bounded(t, p, address, 1, time.Hour) }()
 	tell <- struct{}{}
 	is.NoErr(<-first)
 	tell <- struct{}{}
 	is.NoErr(<-second)
-	is.Equal(p.Dials(), uint64(1))
+	is.Equal(p.Dials.Load(), uint64(1))
 	is.Equal(p.Open(address), 1)
 }
 
@@ -103,7 +103,7 @@
 		tell <- struct{}{}
 	}
 	all.Wait()
-	is.True(p.Dials() <= 3)
+	is.True(p.Dials.Load() <= 3)
 
 	left, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -105,7 +105,8 @@
 	// freed, where somebody waits, is closed when a connection rests or has ended.
 	freed map[netip.AddrPort]chan struct{}
 
-	dials, full atomic.Uint64
+	// Dials counts the connections that were made, Full the requests that found none free in time.
+	Dials, Full atomic.Uint64
 }
 
 // NewDialer returns a dialer whose connections keep to the options.
@@ -155,9 +156,6 @@
 	return count
 }
 
-// Dials returns how many connections were made.
-func (p *Pool) Dials() uint64 { return p.dials.Load() }
-
 // Sweep closes connections that have rested as long as they may.
 func (p *Pool) Sweep() {
 	now := p.now()
@@ -219,7 +217,7 @@
 		p.closed(address)
 		return nil, err
 	}
-	p.dials.Add(1)
+	p.Dials.Add(1)
 	return newConnection(p, address, raw), nil
 }
 
--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -95,7 +95,7 @@
 		is.NoErr(err)
 		is.Equal(body, "0")
 	}
-	is.Equal(p.Dials(), uint64(1))
+	is.Equal(p.Dials.Load(), uint64(1))
 }
 
 // An answer that comes late, where the next one is due, is passed over; the
@@ -116,7 +116,7 @@
 	is.Equal(body, "right")
 	_, err = ask(p, address, "b")
 	is.NoErr(err)
-	is.Equal(p.Dials(), uint64(2))
+	is.Equal(p.Dials.Load(), uint64(2))
 }
 
 // Bytes after a whole answer end the connection's use.
@@ -287,7 +287,7 @@
 	}
 	exchange().Close()
 	underWay := exchange()
-	is.Equal(p.Dials(), uint64(1))
+	is.Equal(p.Dials.Load(), uint64(1))
 	p.Drop(address)
 	p.Drop(peerAddress)
 	underWay.Close()
@@ -296,5 +296,5 @@
 	is.True(p.Resting(address) == 0)
 	is.Equal(p.Open(address), 0)
 	exchange().Close()
-	is.Equal(p.Dials(), uint64(2))
+	is.Equal(p.Dials.Load(), uint64(2))
 }
