--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -56,10 +56,15 @@
 	}
 	n.relay = relay.New(n.journal, relay.Options{Name: n.settings.Name, Zone: n.settings.Zone, Address: address}, n.logger)
 	n.peerFollower = journal.NewKeyedFollower(n.relay, relay.PeersPartition, n.relay.Peers(), peerContact, n.logger)
-	n.peerFollower.SetInterval(journal.SharedReadInterval(n.journal, peerReadShare, n.daemons))
+	n.peerFollower.SetInterval(n.readInterval(peerReadShare))
 	return n.relay
 }
 
+// readInterval is that of a follower which uses a share of the reads that the journal grants.
+func (n *Node) readInterval(share float64) journal.Interval {
+	return journal.SharedInterval(n.journal.Grants().ReadsPerSecond*share, n.daemons)
+}
+
 // buildListeners makes the listeners for clients; who answers them is known later.
 func (n *Node) buildListeners() {
 	n.public = newClientListener(n.shutdown, n.logger)
@@ -74,10 +79,10 @@
 	n.table.OnRestart(n.pool.Drop)
 	n.operator = catalog.NewState(drivers.Decoder, n.public.configured, n.logger)
 	n.operatorFollower = journal.NewKeyedFollower(log, drivers.OperatorRecords, n.operator, contact, n.logger)
-	n.operatorFollower.SetInterval(journal.SharedReadInterval(log, operatorReadShare, n.daemons))
+	n.operatorFollower.SetInterval(n.readInterval(operatorReadShare))
 	directory := catalog.NewDirectory(drivers.Decoder, n.table, n.logger)
 	n.replicaFollower = journal.NewKeyedFollower(log, drivers.ReplicaRecords, directory, contact, n.logger)
-	n.replicaFollower.SetInterval(journal.SharedReadInterval(log, replicaReadShare, n.daemons))
+	n.replicaFollower.SetInterval(n.readInterval(replicaReadShare))
 }
 
 // newForwarder returns what sends requests to replicas.
@@ -135,7 +140,7 @@
 	n.handler = &ingress.Handler{
 		Names: drivers.Headers, Codec: drivers.Codec, Configuration: n.operator.Configuration, Forwarder: forwarder,
 		Clock: bootclock.Now, Retries: ingress.NoRetryPolicy{}, Ran: func(string, time.Time) {},
-		Runner: n.runner, Results: n.results, Observer: n.metrics, Logger: n.logger,
+		Runner: n.runner, Results: n.results, Observe: n.metrics.Request, Logger: n.logger,
 		ConfigurationAge: n.configurationAge, Stop: n.shutdown, Admission: n.newAdmission(),
 		Holding: n.holding, Unread: timing.Unread.Std(),
 		Keys: ingress.KeyPolicy{TrustKnown: timing.KeyBound.Std(), TrustUnknown: timing.ContactBound.Std()},
--- a/internal/journal/interval.go
+++ b/internal/journal/interval.go
@@ -13,21 +13,10 @@
 // between two reads take several changes at once, and their reads grow as the daemons.
 type Interval func() time.Duration
 
-// SharedReadInterval returns the interval at which the followers of one partition, one a daemon,
-// use a share of the reads that a journal grants. Daemons tells how many there are.
-func SharedReadInterval(log Journal, share float64, daemons func() int) Interval {
-	return intervalOf(log.Grants().ReadsPerSecond*share, daemons)
-}
-
-// SharedWriteInterval returns the interval at which writers, one a daemon, use a share of the
-// writes that a journal grants.
-func SharedWriteInterval(log Journal, share float64, daemons func() int) Interval {
-	return intervalOf(log.Grants().WritesPerSecond*share, daemons)
-}
-
-// intervalOf returns the interval at which daemons make so many calls a second together; 0
-// names no bound.
-func intervalOf(granted float64, daemons func() int) Interval {
+// SharedInterval returns the interval at which daemons make so many calls a second together, as
+// followers of one partition do with a share of the reads that a journal grants; 0 names no
+// bound. Daemons tells how many there are.
+func SharedInterval(granted float64, daemons func() int) Interval {
 	if granted <= 0 {
 		return noInterval
 	}
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -51,7 +51,7 @@
 // outcomes hands out how requests ended.
 type outcomes chan string
 
-func (o outcomes) Request(_, _, outcome string, _ time.Duration) { o <- outcome }
+func (o outcomes) observe(_, _, outcome string, _ time.Duration) { o <- outcome }
 
 // slow is a daemon with a replica whose clients read as they like.
 type slow struct {
@@ -79,7 +79,7 @@
 	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: kind, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	is.New(t).NoErr(err)
 	s.handler = bare(time.Now)
-	s.handler.Names, s.handler.Observer, s.handler.Configuration = names, s.outcomes, func() *route.Configuration { return cfg }
+	s.handler.Names, s.handler.Observe, s.handler.Configuration = names, s.outcomes.observe, func() *route.Configuration { return cfg }
 	s.handler.Holding = holding.New(holding.LimitsOf(most))
 	setForwarder(s.handler, &forward.Forwarder{MaxOpen: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: 10 * time.Second}), Table: table, Names: names,
 		Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -32,11 +32,6 @@
 	"woodworks/internal/requests/route"
 )
 
-// Observer counts final answers.
-type Observer interface {
-	Request(route, status, outcome string, took time.Duration)
-}
-
 // Retries decides on attempts at further replicas, beyond what forward.AttemptState allows.
 type Retries interface {
 	// Began is told of each request.
@@ -71,9 +66,10 @@
 	Results   *results.Reader
 	// Ran is told of each request of a tenant that a replica ran or may have run, with when
 	// it was sent there.
-	Ran      func(tenant string, sentAt time.Time)
-	Observer Observer
-	Logger   *zap.Logger
+	Ran func(tenant string, sentAt time.Time)
+	// Observe is told of each final answer and how long it took.
+	Observe func(route, status, outcome string, took time.Duration)
+	Logger  *zap.Logger
 	// Clock is the clock by which clients wait.
 	Clock bootclock.Clock
 	// Retries bounds attempts at further replicas.
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -27,11 +27,6 @@
 	"woodworks/internal/requests/route"
 )
 
-// lastOutcome keeps the outcome of the last request.
-type lastOutcome struct{ outcome string }
-
-func (l *lastOutcome) Request(_, _, outcome string, _ time.Duration) { l.outcome = outcome }
-
 // tenanted is a configuration without routes whose tenant has one key.
 func tenanted(t *testing.T) *route.Configuration {
 	t.Helper()
@@ -160,15 +155,16 @@
 					ctx = interrupted(t)
 				}
 				r, recorder := askedOf(ctx, newStop(), route.Safe, left)
-				outcome := &lastOutcome{}
+				outcome := "" // that of the last request
 				r.req.Header.Set("Deadline", "24025")
-				r.handler.Names, r.handler.Observer, r.handler.Logger = headers.Names{Quarantined: "Quarantined", DeadlineMs: "Deadline"}, outcome, zap.NewNop()
+				r.handler.Names, r.handler.Logger = headers.Names{Quarantined: "Quarantined", DeadlineMs: "Deadline"}, zap.NewNop()
+				r.handler.Observe = func(_, _, told string, _ time.Duration) { outcome = told }
 				r.handler.ConfigurationAge = func() time.Duration { return 0 }
 				r.handler.Keys = KeyPolicy{TrustKnown: time.Second, TrustUnknown: time.Second}
 				one.answer(r)
 				is.Equal(recorder.Code, one.status)
 				is.Equal(recorder.Header().Get("Retry-After"), one.comeBack)
-				is.Equal(outcome.outcome, one.outcome)
+				is.Equal(outcome, one.outcome)
 				is.Equal(recorder.Header().Get("Quarantined") != "", one.quarantined)
 				is.Equal(recorder.Header().Get("Connection") == "close", one.closes)
 				if one.body != "" {
--- a/internal/requests/ingress/request.go
+++ b/internal/requests/ingress/request.go
@@ -86,7 +86,7 @@
 		name = r.route.Name
 	}
 	took := r.held()
-	r.handler.Observer.Request(name, strconv.Itoa(status), outcome, took)
+	r.handler.Observe(name, strconv.Itoa(status), outcome, took)
 	r.logger.Info("request", zap.String("route", name), zap.String("tenant", r.tenantName()), zap.Int("status", status),
 		zap.String("outcome", outcome),
 		zap.String("reason", reason), zap.String("replica", r.replica), zap.Int("attempts", r.attempts), zap.Duration("took", took))
