--- a/internal/api/operator/policies.go
+++ b/internal/api/operator/policies.go
@@ -110,27 +110,17 @@
 // History returns the configurations that the log still has, the oldest first.
 func (o *Operator) History(ctx context.Context) ([]Policies, error) {
 	var history []Policies
-	p := RecordsPartition
-	for next := int64(0); ; {
-		read, err := o.readFrom(ctx, p, next)
-		var trimmed *journal.TrimmedError
-		if errors.As(err, &trimmed) {
-			next = trimmed.First
-			continue
-		}
-		if err != nil {
-			return nil, errors.Wrap(ErrNotDone, err.Error())
-		}
-		for _, record := range read.Records {
+	_, err := journal.ReadOn(ctx, o.journal, RecordsPartition, 0, callTimeout, func(_ int64, records [][]byte) {
+		for _, record := range records {
 			if policies, ok := o.policiesIn(record); ok {
 				history = append(history, policies)
 			}
 		}
-		next += int64(len(read.Records))
-		if next >= read.End || len(read.Records) == 0 {
-			return history, nil
-		}
+	})
+	if err != nil {
+		return nil, errors.Wrap(ErrNotDone, err.Error())
 	}
+	return history, nil
 }
 
 // policiesIn returns the configuration in a record, if it has one.
--- a/internal/api/operator/update.go
+++ b/internal/api/operator/update.go
@@ -52,7 +52,9 @@
 // only stand where the partition ended; once another stands there, the
 // condition cannot hold any more.
 func (o *Operator) settle(ctx context.Context, p journal.Partition, end int64, record []byte, cause error) (offset int64, err error) {
-	read, err := o.readFrom(ctx, p, end)
+	bounded, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	read, err := o.journal.Read(bounded, journal.Read{Partition: p, From: end})
 	if err != nil || len(read.Records) == 0 {
 		return 0, errors.Wrap(ErrUnknown, cause.Error())
 	}
@@ -69,12 +71,6 @@
 	return appended.Offset, err
 }
 
-func (o *Operator) readFrom(ctx context.Context, p journal.Partition, offset int64) (journal.Records, error) {
-	bounded, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	return o.journal.Read(bounded, journal.Read{Partition: p, From: offset})
-}
-
 // read returns a key's value and the end of the partition that it holds at. As
 // pages form no snapshot, the end is that of the first page: a change after it
 // fails the condition of the append.
--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -6,7 +6,6 @@
 	"sync"
 	"time"
 
-	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
 	"woodworks/internal/journal"
@@ -49,48 +48,34 @@
 
 // append adds a record with one call.
 func (p *Permits) append(ctx context.Context, part *partition, r record) error {
-	bounded, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	_, err := p.journal.Append(bounded, journal.Append{Partition: part.name, Records: [][]byte{r.encode()}})
-	return err
+	return journal.AppendWithin(ctx, p.journal, callTimeout, part.name, r.encode())
 }
 
 // catchUp reads a partition up to where it ended when the read began.
-func (p *Permits) catchUp(ctx context.Context, part *partition) error {
+func (p *Permits) catchUp(ctx context.Context, part *partition) (err error) {
 	select {
 	case part.reading <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	defer func() { <-part.reading }()
-	for {
-		bounded, cancel := context.WithTimeout(ctx, callTimeout)
-		read, err := p.journal.Read(bounded, journal.Read{Partition: part.name, From: part.next})
-		cancel()
-		var trimmed *journal.TrimmedError
-		if errors.As(err, &trimmed) {
-			part.next = trimmed.First
-			continue
-		}
-		if err != nil {
-			return err
-		}
-		part.fold(read.Records, time.Now().Add(-p.retention-clockMargin))
-		if part.next >= read.End || len(read.Records) == 0 {
-			return nil
-		}
-	}
+	part.next, err = journal.ReadOn(ctx, p.journal, part.name, part.next, callTimeout,
+		func(offset int64, records [][]byte) {
+			part.fold(offset, records, time.Now().Add(-p.retention-clockMargin))
+		})
+	return err
 }
 
-// fold takes records in, and drops the keys that were claimed before a time.
-func (p *partition) fold(records [][]byte, before time.Time) {
+// fold takes records in that begin at an offset, and drops the keys that were claimed before a
+// time.
+func (p *partition) fold(offset int64, records [][]byte, before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, encoded := range records {
+	for i, encoded := range records {
 		if err := p.keys.apply(encoded); err != nil {
-			p.logger.Warn("permit record passed over", zap.Int("partition", p.name.Number), zap.Int64("offset", p.next), zap.Error(err))
+			p.logger.Warn("permit record passed over", zap.Int("partition", p.name.Number),
+				zap.Int64("offset", offset+int64(i)), zap.Error(err))
 		}
-		p.next++
 	}
 	p.keys.forget(before, p.kept)
 }
--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -228,11 +228,11 @@
 		part := permits.of("k")
 		dropsBefore := func(clock time.Time) time.Time { return clock.Add(-retention - clockMargin) }
 		rec := record{Kind: kindClaim, Key: "k", Claimant: "first", Digest: 1, AtMs: time.Now().UnixMilli()}
-		part.fold([][]byte{rec.encode()}, dropsBefore(time.Now()))
-		part.fold(nil, dropsBefore(time.Now().Add(time.Hour)))
+		part.fold(0, [][]byte{rec.encode()}, dropsBefore(time.Now()))
+		part.fold(0, nil, dropsBefore(time.Now().Add(time.Hour)))
 		is.True(part.lookUp("k") != nil)
 		time.Sleep(retention + clockMargin + time.Millisecond)
-		part.fold(nil, dropsBefore(time.Now()))
+		part.fold(0, nil, dropsBefore(time.Now()))
 		is.True(part.lookUp("k") == nil)
 	})
 }
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -82,7 +82,9 @@
 		r.failedAt = time.Now()
 		return
 	}
-	if r.mayDecide() && r.catchUp(ctx) {
+	// The counts are worth a look as long as nothing was read, or once a window has ended long
+	// enough ago.
+	if (r.next == 0 || r.sinceEnd() >= r.partOfDue(settlePart)) && r.catchUp(ctx) {
 		r.decide(ctx, time.Now())
 	}
 	r.report(ctx)
@@ -110,12 +112,6 @@
 	return time.Duration(part * float64(r.windows.Due))
 }
 
-// mayDecide reports whether it is worth to look at the counts: nothing was read yet, or
-// a window has ended long enough ago.
-func (r *Reporter) mayDecide() bool {
-	return r.next == 0 || r.sinceEnd() >= r.partOfDue(settlePart)
-}
-
 // decide settles the next window if it is time. It does one at a time, so that reports
 // are not held up by many.
 func (r *Reporter) decide(ctx context.Context, now time.Time) {
@@ -140,9 +136,7 @@
 }
 
 func (r *Reporter) append(ctx context.Context, rec record) error {
-	bounded, cancel := context.WithTimeout(ctx, appendTimeout)
-	defer cancel()
-	_, err := r.journal.Append(bounded, journal.Append{Partition: Partition, Records: [][]byte{encode(rec)}})
+	err := journal.AppendWithin(ctx, r.journal, appendTimeout, Partition, encode(rec))
 	if err != nil {
 		r.failedAt = time.Now()
 	}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -176,6 +176,41 @@
 	Grants() Grants
 }
 
+// AppendWithin appends records to a partition, and waits for the answer until the timeout.
+func AppendWithin(ctx context.Context, log Journal, timeout time.Duration, partition Partition, records ...[]byte) error {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	_, err := log.Append(bounded, Append{Partition: partition, Records: records})
+	return err
+}
+
+// ReadOn gives take the records of a partition from an offset on, up to where it ends, and returns
+// the offset after them. Those that were trimmed are passed over. Each read is waited for until the
+// timeout.
+func ReadOn(
+	ctx context.Context, log Journal, partition Partition, from int64, timeout time.Duration,
+	take func(offset int64, records [][]byte),
+) (next int64, err error) {
+	for next = from; ; {
+		bounded, cancel := context.WithTimeout(ctx, timeout)
+		read, err := log.Read(bounded, Read{Partition: partition, From: next})
+		cancel()
+		var trimmed *TrimmedError
+		if errors.As(err, &trimmed) {
+			next = trimmed.First
+			continue
+		}
+		if err != nil {
+			return next, err
+		}
+		take(next, read.Records)
+		next += int64(len(read.Records))
+		if next >= read.End || len(read.Records) == 0 {
+			return next, nil
+		}
+	}
+}
+
 // Shape is what a journal takes and grants. It has the methods of a Journal that tell so.
 type Shape struct {
 	// Partitions is how many partitions each topic has.
--- a/internal/journal/relay/announce.go
+++ b/internal/journal/relay/announce.go
@@ -34,9 +34,7 @@
 	}
 	record := journal.EncodeKeyed(j.options.Name, encoded)
 	for ctx.Err() == nil {
-		bounded, cancel := context.WithTimeout(ctx, announceTimeout)
-		_, err := j.Append(bounded, journal.Append{Partition: PeersPartition, Records: [][]byte{record}})
-		cancel()
+		err := journal.AppendWithin(ctx, j, announceTimeout, PeersPartition, record)
 		if err == nil {
 			return
 		}
--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -88,10 +88,8 @@
 		p.logger.Error("demand not encoded", zap.String("key", key), zap.Error(err))
 		return
 	}
-	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
-	defer cancel()
 	record := journal.EncodeKeyed(key, encoded)
-	if _, err := p.journal.Append(bounded, journal.Append{Partition: Partition, Records: [][]byte{record}}); err != nil {
+	if err := journal.AppendWithin(ctx, p.journal, writeTimeout, Partition, record); err != nil {
 		p.logger.Info("demand not written", zap.String("key", key), zap.Error(err))
 	}
 }
--- a/internal/replicas/fleet/orders.go
+++ b/internal/replicas/fleet/orders.go
@@ -44,10 +44,8 @@
 	if err != nil {
 		return errors.Wrap(err, "fleet: encode")
 	}
-	bounded, cancel := context.WithTimeout(ctx, journalTimeout)
-	defer cancel()
 	record := journal.EncodeKeyed(rec.Service+"/"+rec.Zone, encoded)
-	_, err = m.Journal.Append(bounded, journal.Append{Partition: partition, Records: [][]byte{record}})
+	err = journal.AppendWithin(ctx, m.Journal, journalTimeout, partition, record)
 	return errors.Wrap(err, "fleet: order not noted")
 }
 
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -138,9 +138,7 @@
 		}
 		records = append(records, journal.EncodeKeyed(entry.Digest.String(), value))
 	}
-	bounded, cancel := context.WithTimeout(ctx, recordTimeout)
-	defer cancel()
-	if _, err := r.journal.Append(bounded, journal.Append{Partition: Partition, Records: records}); err != nil {
+	if err := journal.AppendWithin(ctx, r.journal, recordTimeout, Partition, records...); err != nil {
 		return err
 	}
 	r.table.written(entries)
