--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -151,13 +151,7 @@
 func (o *observation) wait(ctx context.Context, length time.Duration) {
 	polling, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go func() {
-		select {
-		case <-o.pull.Stopping:
-			cancel()
-		case <-polling.Done():
-		}
-	}()
+	defer context.AfterFunc(o.pull.Stopping, cancel)()
 	for _, r := range o.rounds {
 		r.more = r.next < r.total
 	}
--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -229,9 +229,9 @@
 		is.Equal(got.Open, 5)
 		is.True(p.count("Samples") > int(comes/lookInterval)) // a look after the submission, and all of those since
 
-		stopping := make(chan struct{})
+		stopping, stop := context.WithCancel(ctx)
 		began = time.Now()
-		time.AfterFunc(comes, func() { close(stopping) })
+		time.AfterFunc(comes, stop)
 		got, err = desk.Deliver(ctx, trains(3, 1), Pull{Cursor: got.Cursor, Limit: 4, Wait: 10 * time.Second, Stopping: stopping})
 		is.NoErr(err)
 		is.Equal(time.Since(began), comes)
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -34,19 +34,12 @@
 	Limit int
 	// Wait is how long the pull may be kept open until there is a sample.
 	Wait time.Duration
-	// Stopping, if not nil, is closed when a planned stop begins: a pull is not kept open then.
-	Stopping <-chan struct{}
+	// Stopping, if not nil, ends when a planned stop begins: a pull is not kept open then.
+	Stopping context.Context
 }
 
 // mayWait reports whether the pull may be kept open until a time.
-func (p Pull) mayWait(end time.Time) bool {
-	select {
-	case <-p.Stopping:
-		return false
-	default:
-		return time.Now().Before(end)
-	}
-}
+func (p Pull) mayWait(end time.Time) bool { return p.Stopping.Err() == nil && time.Now().Before(end) }
 
 // Delivery is what a pull got. The samples and the cursor belong together.
 type Delivery struct {
@@ -60,6 +53,9 @@
 // Samples that became too old are made again. The error wraps ErrUnavailable, ErrUnknownBatch or
 // ErrTooManyRounds.
 func (s *Service) Deliver(ctx context.Context, t Trainer, pull Pull) (Delivery, error) {
+	if pull.Stopping == nil {
+		pull.Stopping = context.Background()
+	}
 	end := time.Now().Add(pull.Wait)
 	trained := max(pull.Version, t.Newest, 1)
 	accepts := func(oldest int64) bool { return t.Accepts(oldest, trained) }
--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -15,6 +15,7 @@
 package gateway
 
 import (
+	"context"
 	"net/http"
 	"strconv"
 	"time"
@@ -72,8 +73,8 @@
 	NewID    func() string
 	Identity string
 	Ready    func() (bool, string)
-	// Stopping is closed when a planned stop begins.
-	Stopping <-chan struct{}
+	// Stopping ends when a planned stop begins.
+	Stopping context.Context
 }
 
 // Gateway serves both listeners.
@@ -88,14 +89,7 @@
 	return &Gateway{parts: parts, limits: limits, flights: inFlight{counts: map[string]int64{}}}
 }
 
-func (g *Gateway) stopping() bool {
-	select {
-	case <-g.parts.Stopping:
-		return true
-	default:
-		return false
-	}
-}
+func (g *Gateway) stopping() bool { return g.parts.Stopping.Err() != nil }
 
 // Handler returns the interface of one listener. Operators' paths exist on the
 // internal listener only.
--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -43,9 +43,7 @@
 			g.trainerOf(w, policy.Caller{Trainer: "t"}, "t")
 		}, status: 503, problem: Problem{Code: "no_configuration", Message: "this daemon knows no policies yet", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"stopping": {answer: func(g *Gateway, w http.ResponseWriter) {
-			stopping := make(chan struct{})
-			close(stopping)
-			g.parts.Stopping = stopping
+			g.parts.Stopping = stopped(t)
 			g.mayTakeWork(w)
 		}, status: 503, problem: Problem{Code: "stopping", Message: "this daemon is being stopped; use another", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"not confirmed": {answer: func(g *Gateway, w http.ResponseWriter) {
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -186,13 +186,7 @@
 func (g *Gateway) answerTaken(ctx context.Context, w http.ResponseWriter, name string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go func() {
-		select {
-		case <-g.parts.Stopping:
-			cancel()
-		case <-ctx.Done():
-		}
-	}()
+	defer context.AfterFunc(g.parts.Stopping, cancel)()
 	if outcome, ok := g.parts.Permits.Await(ctx, name); ok {
 		writeAnswer(w, outcome)
 		return
--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -34,22 +34,22 @@
 
 func (idle) End(context.Context, string, string) error { return nil }
 
-// stoppable is a gateway with one trainer, "t", and the channel that begins its stop.
-func stoppable(ctx context.Context) (*Gateway, chan struct{}) {
+// stoppable is a gateway with one trainer, "t", and what begins its stop.
+func stoppable(ctx context.Context) (*Gateway, context.CancelFunc) {
 	return stoppableOn(ctx, journaltest.New())
 }
 
 // stoppableOn is a stoppable gateway over a journal.
-func stoppableOn(ctx context.Context, log *journaltest.Journal) (*Gateway, chan struct{}) {
+func stoppableOn(ctx context.Context, log *journaltest.Journal) (*Gateway, context.CancelFunc) {
 	batches := ledger.New(ctx, log, zap.NewNop())
-	stopping := make(chan struct{})
+	stopping, stop := context.WithCancel(context.Background())
 	set := &policy.Set{Trainers: map[string]policy.Trainer{"t": {Name: "t"}}}
 	return New(Parts{
 		Configuration: func() (Configuration, bool) { return Configuration{Policies: set}, true },
 		Delivery:      delivery.New(results.NewReader(batches, nil, nil, journal.Grants{}, "self/1", zap.NewNop()), idle{batches}, rollout.ItemHeaders{}, zap.NewNop()),
 		Permits:       permit.New(log, 10*time.Minute, func() string { return "claimant" }, zap.NewNop()),
 		Metrics:       metrics.New(), Logger: zap.NewNop(), Stopping: stopping,
-	}, Limits{}), stopping
+	}, Limits{}), stop
 }
 
 // A pull may be held for a minute, and a stop has a grace of seconds: it was cut at the
@@ -60,13 +60,13 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		g, stopping := stoppable(ctx)
+		g, stop := stoppable(ctx)
 		caller := policy.Caller{Name: "c", Trainer: "t"}
 		header, err := g.parts.Delivery.Submit(ctx, delivery.Trainer{Name: "t", Accepts: func(oldest, trained int64) bool { return oldest >= trained }},
 			rollout.Request{Trainer: "t", Name: "n", Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}, SamplesPerPrompt: 1, MaxTokens: 5})
 		is.NoErr(err)
 		began := time.Now()
-		time.AfterFunc(1300*time.Millisecond, func() { close(stopping) })
+		time.AfterFunc(1300*time.Millisecond, stop)
 		for range 2 { // also one that comes after the stop has begun
 			asked := httptest.NewRequestWithContext(ctx, http.MethodGet, "/v1/rollouts/t/n/samples?wait_ms=60000", nil)
 			answer := httptest.NewRecorder()
@@ -89,11 +89,11 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		g, stopping := stoppable(ctx)
+		g, stop := stoppable(ctx)
 		_, err := g.parts.Permits.Claim(ctx, "c/k", 1)
 		is.NoErr(err)
 		began := time.Now()
-		time.AfterFunc(1300*time.Millisecond, func() { close(stopping) })
+		time.AfterFunc(1300*time.Millisecond, stop)
 		bounded, cancel := context.WithTimeout(ctx, 30*time.Second)
 		defer cancel()
 		answer := httptest.NewRecorder()
--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -74,18 +74,7 @@
 // Unwrap lets http.ResponseController reach the real writer.
 func (a *answer) Unwrap() http.ResponseWriter { return a.ResponseWriter }
 
-// setKeep sets the longest that answers tell clients to keep their connections.
-func (l *clientListener) setKeep(keep time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.keep = keep
-}
-
-func (l *clientListener) longestKept() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.keep
-}
+func (l *clientListener) longestKept() time.Duration { return time.Duration(l.keep.Load()) }
 
 // tellConnection says in an answer's head what becomes of its connection.
 func (l *clientListener) tellConnection(header http.Header) {
--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -41,10 +41,10 @@
 	planned *shutdown.Stop
 	// draining makes each answer the last one of its connection.
 	draining atomic.Bool
+	// keep is the longest that an answer tells a client to keep its connection, a time.Duration.
+	keep atomic.Int64
 
-	mu sync.Mutex
-	// keep is the longest that an answer tells a client to keep its connection.
-	keep     time.Duration
+	mu       sync.Mutex
 	limits   route.Limits
 	current  *http.Server
 	listener net.Listener
@@ -55,7 +55,9 @@
 }
 
 func newClientListener(planned *shutdown.Stop, logger *zap.Logger) *clientListener {
-	return &clientListener{logger: logger, conns: newClientConns(), planned: planned, keep: longestKeep}
+	l := &clientListener{logger: logger, conns: newClientConns(), planned: planned}
+	l.keep.Store(int64(longestKeep))
+	return l
 }
 
 // ServeHTTP implements http.Handler.
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -110,8 +110,8 @@
 	Ready func() (bool, string)
 	// ConfigurationAge is how long ago the configuration was last confirmed.
 	ConfigurationAge func() time.Duration
-	// Stopping is closed when a planned stop begins.
-	Stopping <-chan struct{}
+	// Stopping ends when a planned stop begins.
+	Stopping context.Context
 }
 
 // Interface are the handlers of the daemon's listeners for callers.
--- a/internal/daemon/node/ready.go
+++ b/internal/daemon/node/ready.go
@@ -4,12 +4,9 @@
 
 // ready reports whether clients should come here, and why not.
 func (n *Node) ready() (bool, string) {
-	select {
-	case <-n.shutdown.Begun():
-		return false, "stopping"
-	default:
-	}
 	switch {
+	case n.shutdown.Begun().Err() != nil:
+		return false, "stopping"
 	case n.operator.Configuration() == nil:
 		return false, "no configuration is known"
 	case !n.replicaFollower.Synced():
--- a/internal/daemon/node/stop.go
+++ b/internal/daemon/node/stop.go
@@ -13,9 +13,9 @@
 // SetStopGrace sets how long a planned stop may take, for one that has not begun.
 func (n *Node) SetStopGrace(grace time.Duration) {
 	n.grace.Store(int64(grace))
-	keep := keepFor(shutdown.PlanOf(grace).Interrupt)
-	n.public.setKeep(keep)
-	n.private.setKeep(keep)
+	keep := int64(keepFor(shutdown.PlanOf(grace).Interrupt))
+	n.public.keep.Store(keep)
+	n.private.keep.Store(keep)
 }
 
 // Stop takes no more work, hands batches over, finishes what is under way and
--- a/internal/daemon/shutdown/shutdown.go
+++ b/internal/daemon/shutdown/shutdown.go
@@ -98,7 +98,8 @@
 // Stop is the planned stop of a daemon, which may not have begun. It is safe for
 // concurrent use.
 type Stop struct {
-	begun     chan struct{}
+	begun     context.Context
+	begin     context.CancelFunc
 	ending    context.Context
 	interrupt context.CancelCauseFunc
 
@@ -112,8 +113,9 @@
 
 // New returns a stop that has not begun.
 func New() *Stop {
+	begun, begin := context.WithCancel(context.Background())
 	ending, interrupt := context.WithCancelCause(context.Background())
-	return &Stop{begun: make(chan struct{}), ending: ending, interrupt: interrupt, now: bootclock.Now}
+	return &Stop{begun: begun, begin: begin, ending: ending, interrupt: interrupt, now: bootclock.Now}
 }
 
 // SetClock sets the clock by which the stop's time runs. It is called before Begin.
@@ -138,13 +140,13 @@
 	defer s.mu.Unlock()
 	if s.at.IsZero() {
 		s.at, s.plan = s.now(), PlanOf(grace)
-		close(s.begun)
+		s.begin()
 	}
 	return s.plan
 }
 
-// Begun is closed when the stop begins.
-func (s *Stop) Begun() <-chan struct{} { return s.begun }
+// Begun is a context that ends when the stop begins.
+func (s *Stop) Begun() context.Context { return s.begun }
 
 // Left returns how long a request that comes now may take, and false if no stop bounds
 // it.
