--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -24,12 +24,16 @@
 // KeyedHandler takes the records of a keyed partition. Its methods are called
 // by one goroutine.
 type KeyedHandler interface {
-	// Reset gives all newest records; keys that are not among them are gone.
-	Reset(records []KeyedRecord)
-	// Apply gives one later record.
+	// Apply gives one record.
 	Apply(record KeyedRecord)
 }
 
+// KeyedResetter is a KeyedHandler that has to know which keys are gone.
+type KeyedResetter interface {
+	// Reset gives all newest records at once; keys that are not among them are gone.
+	Reset(records []KeyedRecord)
+}
+
 // KeyedFollower keeps a handler up to date with a keyed partition: a full read,
 // then each record as it comes. After a gap it reads fully again.
 type KeyedFollower struct {
@@ -100,7 +104,13 @@
 		return 0, err
 	}
 	f.noteContact()
-	f.handler.Reset(records)
+	if resetter, ok := f.handler.(KeyedResetter); ok {
+		resetter.Reset(records)
+	} else {
+		for _, record := range records {
+			f.handler.Apply(record)
+		}
+	}
 	f.synced.Store(true)
 	f.logger.Info("full read", zap.Int("keys", len(records)), zap.Int64("next", next))
 	return next, nil
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -69,13 +69,6 @@
 	}
 }
 
-// Reset implements journal.KeyedHandler.
-func (p *peers) Reset(records []journal.KeyedRecord) {
-	for _, record := range records {
-		p.Apply(record)
-	}
-}
-
 // Apply implements journal.KeyedHandler. A daemon that started anew at the same
 // address keeps its place.
 func (p *peers) Apply(record journal.KeyedRecord) {
--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -78,14 +78,7 @@
 	return maps.Clone(s.named)
 }
 
-// Reset implements journal.KeyedHandler. A missing key takes nothing back.
-func (s *State) Reset(records []journal.KeyedRecord) {
-	for _, record := range records {
-		s.Apply(record)
-	}
-}
-
-// Apply implements journal.KeyedHandler.
+// Apply implements journal.KeyedHandler. A key that is missing takes nothing back.
 func (s *State) Apply(record journal.KeyedRecord) {
 	if removes(record) {
 		return
--- a/internal/replicas/catalog/directory.go
+++ b/internal/replicas/catalog/directory.go
@@ -8,7 +8,8 @@
 )
 
 // Directory feeds the replicas' entries into a table. An entry that can't be understood
-// names no replica to use; the others hold. It implements journal.KeyedHandler.
+// names no replica to use; the others hold. It implements
+// journal.KeyedHandler and journal.KeyedResetter.
 type Directory struct {
 	decoder Decoder
 	table   *replica.Table
@@ -21,7 +22,7 @@
 	return &Directory{decoder: decoder, table: table, logger: logger, refused: newRefusals()}
 }
 
-// Reset implements journal.KeyedHandler.
+// Reset implements journal.KeyedResetter.
 func (d *Directory) Reset(records []journal.KeyedRecord) {
 	entries := make([]replica.Entry, 0, len(records))
 	listed := make(map[string]bool, len(records))
--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -117,13 +117,6 @@
 	return &State{logger: logger, demands: map[string]Demand{}, itemTimes: map[string]time.Duration{}}
 }
 
-// Reset implements journal.KeyedHandler.
-func (s *State) Reset(records []journal.KeyedRecord) {
-	for _, record := range records {
-		s.Apply(record)
-	}
-}
-
 // Apply implements journal.KeyedHandler.
 func (s *State) Apply(record journal.KeyedRecord) {
 	if model, isTime := strings.CutPrefix(record.Key, timeKeyPrefix); isTime {
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -35,7 +35,7 @@
 
 // Recorder keeps suspected contents in the journal, so that what is held against them
 // outlasts every process, and learns from it what was before this one started. It
-// implements journal.KeyedHandler.
+// implements journal.KeyedHandler and journal.KeyedResetter.
 type Recorder struct {
 	table   *Table
 	journal journal.Journal
@@ -53,7 +53,7 @@
 	return &Recorder{table: table, journal: log, atOnce: !reached, logger: logger}
 }
 
-// Reset implements journal.KeyedHandler.
+// Reset implements journal.KeyedResetter.
 func (r *Recorder) Reset(records []journal.KeyedRecord) {
 	listed := map[string]bool{}
 	for _, record := range records {
