--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -95,8 +95,9 @@
 // internal listener only.
 func (g *Gateway) Handler(audience policy.Audience) http.Handler {
 	r := router.NewRouter()
-	r.SetNotFoundHandler(http.HandlerFunc(notFound))
-	r.SetNotAllowedHandler(http.HandlerFunc(notAllowed))
+	r.SetNotFoundHandler(always(Problem{status: http.StatusNotFound, Code: "not_found", Message: "no such path"}))
+	r.SetNotAllowedHandler(always(Problem{status: http.StatusMethodNotAllowed, Code: "method_not_allowed",
+		Message: "the path does not take this method"}))
 	add := func(method, path string, next http.HandlerFunc) {
 		if err := r.Handle(method, path, g.observed(method+" "+path, next)); err != nil {
 			panic(err) // the paths are fixed
@@ -121,12 +122,9 @@
 	return r
 }
 
-func notFound(w http.ResponseWriter, _ *http.Request) {
-	writeProblem(w, Problem{status: http.StatusNotFound, Code: "not_found", Message: "no such path"})
-}
-
-func notAllowed(w http.ResponseWriter, _ *http.Request) {
-	writeProblem(w, Problem{status: http.StatusMethodNotAllowed, Code: "method_not_allowed", Message: "the path does not take this method"})
+// always answers every request with a problem.
+func always(problem Problem) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { writeProblem(w, problem) })
 }
 
 // recorder is an http.ResponseWriter that remembers the status for the metrics, and whether
--- a/internal/api/policy/hooks.go
+++ b/internal/api/policy/hooks.go
@@ -2,7 +2,6 @@
 
 import (
 	"maps"
-	"sync"
 
 	"go.starlark.net/starlark"
 )
@@ -33,7 +32,7 @@
 	}
 	verdict, ok := answer.(starlark.Bool)
 	if !ok {
-		s.faults.add("accepts")
+		s.fault("accepts")
 		return true
 	}
 	return bool(verdict)
@@ -50,7 +49,7 @@
 	text, _ := starlark.AsString(answer) // "" is no action
 	action := FailureAction(text)
 	if action != ActionRetry && action != ActionRefuse {
-		s.faults.add("on_failure")
+		s.fault("on_failure")
 		return ActionRetry
 	}
 	return action
@@ -69,7 +68,7 @@
 			return value
 		}
 	}
-	s.faults.add("priority")
+	s.fault("priority")
 	return fallback
 }
 
@@ -82,29 +81,21 @@
 	}
 	answer, ok, err := p.call(hook, args)
 	if err != nil {
-		s.faults.add(hook)
+		s.fault(hook)
 	}
 	return answer, ok
 }
 
 // HookFaults returns how often each hook failed since the set was compiled.
 func (s *Set) HookFaults() map[string]uint64 {
-	s.faults.mu.Lock()
-	defer s.faults.mu.Unlock()
-	return maps.Clone(s.faults.counts)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return maps.Clone(s.faults)
 }
 
-// faultCounter counts hook faults by hook.
-type faultCounter struct {
-	mu     sync.Mutex
-	counts map[string]uint64
-}
-
-func (c *faultCounter) add(hook string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.counts == nil {
-		c.counts = map[string]uint64{}
-	}
-	c.counts[hook]++
+// fault counts a fault of a hook.
+func (s *Set) fault(hook string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.faults[hook]++
 }
--- a/internal/api/policy/set.go
+++ b/internal/api/policy/set.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"maps"
 	"slices"
+	"sync"
 
 	"woodworks/internal/callers/apikey"
 )
@@ -17,7 +18,10 @@
 	Retry    RetryBudget
 	callers  apikey.Ring[Caller]
 	programs map[string]*program
-	faults   faultCounter
+
+	mu sync.Mutex
+	// faults counts those of hooks, by hook.
+	faults map[string]uint64
 }
 
 const (
@@ -39,6 +43,7 @@
 		Classes:  map[string]Class{},
 		callers:  apikey.Ring[Caller]{},
 		programs: map[string]*program{},
+		faults:   map[string]uint64{},
 	}
 	for _, name := range slices.Sorted(maps.Keys(sources)) {
 		p, err := loadProgram(name, sources[name])
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -153,7 +153,11 @@
 	if drivers.Interface == nil {
 		return
 	}
-	handlers := drivers.Interface(n.parts(drivers))
+	handlers := drivers.Interface(Parts{
+		Settings: n.settings, Identity: n.identity, Journal: drivers.Journal, Operator: n.operator, Replicas: n.table,
+		Results: n.results, Runner: n.runner, Ingress: n.handler, Metrics: n.metrics, Logger: n.logger, Ready: n.ready,
+		ConfigurationAge: n.configurationAge, Stopping: n.shutdown.Begun(),
+	})
 	n.public.handler, n.private.handler = handlers.Public, handlers.Internal
 }
 
@@ -165,16 +169,6 @@
 	}
 }
 
-// parts are what an interface for callers is made of.
-func (n *Node) parts(drivers Drivers) Parts {
-	return Parts{
-		Settings: n.settings, Identity: n.identity, Journal: drivers.Journal, Operator: n.operator, Replicas: n.table,
-		Results: n.results, Runner: n.runner, Ingress: n.handler, Metrics: n.metrics, Logger: n.logger, Ready: n.ready,
-		ConfigurationAge: n.configurationAge,
-		Stopping:         n.shutdown.Begun(),
-	}
-}
-
 // knownPeers are the peers, whose number is told as 0 until their list has been read: a daemon
 // that has just started would take itself for the only one, and all that the journal sends for its
 // own.
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -252,18 +252,12 @@
 		n.ledger.Sweep(now)
 		n.table.Sweep()
 		n.occupancy.sweep()
-		n.quarantine.table.Sweep(n.listed())
+		present := sync.OnceValue(n.table.Present) // read only if there is something to sweep
+		n.quarantine.table.Sweep(func(start string) bool { return present()[replica.Incarnation(start)] })
 		n.lease.SetCandidate(isCandidate(n.member.Partitions(), n.partitions))
 	})
 }
 
-// listed returns what reports whether a start of a replica is the one in the platform's
-// list. The list is read when it is first asked for.
-func (n *Node) listed() func(start string) bool {
-	present := sync.OnceValue(n.table.Present)
-	return func(start string) bool { return present()[replica.Incarnation(start)] }
-}
-
 // closeExpired closes clients' connections that have rested for longer than they may.
 func (n *Node) closeExpired(now time.Time) {
 	n.public.conns.closeExpired(now)
