--- a/internal/daemon/explain/explain.go
+++ b/internal/daemon/explain/explain.go
@@ -129,7 +129,7 @@
 	own, batches, replicas := directLines(lines, id)
 	story := related(lines, own, batches, replicas, contentsOf(own))
 	story = append(story, linesOfStops(stops, id)...)
-	if len(story) == 0 && isNode(lines, id) {
+	if len(story) == 0 && slices.ContainsFunc(lines, func(l *line) bool { return l.node == id }) {
 		_, err := fmt.Fprintf(output, "%s: no planned stop is in these logs\n", id)
 		return err
 	}
@@ -159,11 +159,6 @@
 	})
 }
 
-// isNode reports whether a daemon of that name wrote any of the lines.
-func isNode(lines []*line, name string) bool {
-	return slices.ContainsFunc(lines, func(l *line) bool { return l.node == name })
-}
-
 // linesOfStops are the lines of the stops of a daemon, or the steps of those that befell
 // a request.
 func linesOfStops(stops []*stop, id string) []*line {
--- a/internal/daemon/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -30,11 +30,12 @@
 	requests  *prometheus.CounterVec
 	latency   *prometheus.HistogramVec
 	samples   *prometheus.CounterVec
-	journal   *prometheus.HistogramVec
-	attempts  *prometheus.HistogramVec
 	batches   *prometheus.HistogramVec
-	waits     *prometheus.HistogramVec
-	questions *prometheus.HistogramVec
+	questions func(way, outcome string, took time.Duration)
+
+	// JournalCall counts a call to the journal by its kind, Attempt an offer of a request or an
+	// item to a replica and Admission the end of a request's wait for a place by service.
+	JournalCall, Attempt, Admission func(of, outcome string, took time.Duration)
 }
 
 // New returns a registry with the counters that the gateway feeds.
@@ -43,16 +44,16 @@
 	m.requests = m.counts("requests_total", "Final answers by route, HTTP status and outcome.", "route", "status", "outcome")
 	m.latency = m.times("request_seconds", "Time from a request's arrival to the end of its answer.", "route")
 	m.samples = m.counts("samples_delivered_total", "Samples handed to trainers, a repeated pull counted again.", "trainer")
-	m.journal = m.times("journal_call_seconds", "Time of calls to the journal by kind and outcome.", "call", "outcome")
-	m.attempts = m.times("attempt_seconds",
-		"Time of offers of requests and items to replicas by service and outcome.", "service", "outcome")
+	m.JournalCall = m.timesByOutcome("journal_call_seconds", "Time of calls to the journal by kind and outcome.", "call")
+	m.Attempt = m.timesByOutcome("attempt_seconds",
+		"Time of offers of requests and items to replicas by service and outcome.", "service")
 	m.batches = m.times("batch_part_seconds",
 		"Where the time of the item went that each batch listed last, by part.", "part")
-	m.waits = m.times("admission_wait_seconds",
-		"Time that plain requests waited for a place at a full service, by service and how they went on.", "service", "outcome")
-	m.questions = m.times("question_seconds",
+	m.Admission = m.timesByOutcome("admission_wait_seconds",
+		"Time that plain requests waited for a place at a full service, by service and how they went on.", "service")
+	m.questions = m.timesByOutcome("question_seconds",
 		"Time of questions about batches beyond the time that they were held on purpose, by the way of the answer and by outcome.",
-		"way", "outcome")
+		"way")
 	return m
 }
 
@@ -71,34 +72,27 @@
 	return histogram
 }
 
+// timesByOutcome registers times by a label and by outcome, and returns what counts one.
+func (m *Metrics) timesByOutcome(name, help, label string) func(of, outcome string, took time.Duration) {
+	histogram := m.times(name, help, label, "outcome")
+	return func(of, outcome string, took time.Duration) {
+		histogram.WithLabelValues(of, outcome).Observe(took.Seconds())
+	}
+}
+
 // Request counts a final answer.
 func (m *Metrics) Request(route, status, outcome string, took time.Duration) {
 	m.requests.WithLabelValues(route, status, outcome).Inc()
 	m.latency.WithLabelValues(route).Observe(took.Seconds())
 }
 
-// JournalCall counts a call to the journal.
-func (m *Metrics) JournalCall(call, outcome string, took time.Duration) {
-	m.journal.WithLabelValues(call, outcome).Observe(took.Seconds())
-}
-
-// Attempt counts an offer of a request or an item to a replica.
-func (m *Metrics) Attempt(service, outcome string, took time.Duration) {
-	m.attempts.WithLabelValues(service, outcome).Observe(took.Seconds())
-}
-
-// Admission counts how the wait of a request for a place at a service ended.
-func (m *Metrics) Admission(service, outcome string, waited time.Duration) {
-	m.waits.WithLabelValues(service, outcome).Observe(waited.Seconds())
-}
-
 // Question counts how a question about a batch was answered.
 func (m *Metrics) Question(way string, answered bool, took time.Duration) {
 	outcome := "answered"
 	if !answered {
 		outcome = "refused"
 	}
-	m.questions.WithLabelValues(way, outcome).Observe(took.Seconds())
+	m.questions(way, outcome, took)
 }
 
 // BatchPart counts a part of the time of the item that a batch listed last.
--- a/internal/journal/failures.go
+++ b/internal/journal/failures.go
@@ -70,13 +70,9 @@
 		f.failures.throttled = 0
 		return followPause
 	}
-	pause := throttledPause << min(f.failures.throttled, maxDoublings)
+	pause := min(throttledPause<<min(f.failures.throttled, maxDoublings), f.maxInterval)
 	f.failures.throttled++
-	return jittered(min(pause, f.maxInterval))
-}
-
-// jittered returns a time between a half and one and a half of the given one, so that
-// daemons that were refused at the same moment do not come back together.
-func jittered(pause time.Duration) time.Duration {
+	// Between a half and one and a half of that, so that daemons that were refused at the same
+	// moment do not come back together.
 	return pause/2 + rand.N(pause+1)
 }
--- a/internal/replicas/modelsync/kinds.go
+++ b/internal/replicas/modelsync/kinds.go
@@ -24,15 +24,6 @@
 // measured, or 0 if it is not known.
 type EventTime func(rep replica.Replica) (eventTime, age time.Duration)
 
-// noteEventTimes keeps the best event times of the engines that are listed. The mutex is held.
-func (s *Syncer) noteEventTimes(replicas []replica.Replica, now time.Time) {
-	for _, rep := range replicas {
-		if eventTime, age := s.EventTime(rep); eventTime > 0 && age <= maxEventTimeAge {
-			s.noteOf(rep.ID).best.Note(eventTime, bestSpan, now)
-		}
-	}
-}
-
 // kindsOf parts engines by their speeds, the fastest first: where two event times next to
 // each other differ by kindGap a kind ends. Engines of which none is known count among the
 // kind of most. Each kind is in the order of ids.
--- a/internal/replicas/modelsync/notes.go
+++ b/internal/replicas/modelsync/notes.go
@@ -34,7 +34,7 @@
 	return n != nil && n.loading
 }
 
-// noteListed keeps the notes of the engines that are listed.
+// noteListed keeps the notes of the engines that are listed, with their best event times.
 func (s *Syncer) noteListed(replicas []replica.Replica, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,8 +46,10 @@
 			s.notes[rep.ID] = n
 		}
 		n.listedAt = now
+		if eventTime, age := s.EventTime(rep); eventTime > 0 && age <= maxEventTimeAge {
+			n.best.Note(eventTime, bestSpan, now)
+		}
 	}
-	s.noteEventTimes(replicas, now)
 }
 
 // forget drops the notes of engines that are long gone.
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -44,7 +44,8 @@
 		return // neither says anything of the replica's soundness, and both are frequent
 	}
 	liveness := upstream.LivenessUnknown
-	if connectionEnded(failed.err) {
+	if errors.Is(failed.err, upstream.ErrNoAnswer) || errors.Is(failed.err, eventstream.ErrCut) {
+		// The connection ended once the request had been sent.
 		liveness = f.Pool.Probe(ctx, failed.chosen.Address)
 		f.noteReplicaEnd(failed, liveness)
 	}
@@ -68,9 +69,3 @@
 		f.Quarantine.Broke(failed.content, string(rep.Incarnation()), rep.Service)
 	}
 }
-
-// connectionEnded reports whether an attempt failed as its connection did, once the request
-// had been sent.
-func connectionEnded(err error) bool {
-	return errors.Is(err, upstream.ErrNoAnswer) || errors.Is(err, eventstream.ErrCut)
-}
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -28,7 +28,8 @@
 	if length >= 0 && r.req.Method != http.MethodHead {
 		r.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	r.setWriteDeadline(r.answerTime())
+	// The client still waits for that long, and no other has this answer.
+	r.setWriteDeadline(max(r.deadline()-r.held(), r.handler.Unread))
 	r.w.WriteHeader(answer.Status)
 	err := r.writeAnswer(answer)
 	if err != nil && r.req.Method != http.MethodHead {
@@ -38,12 +39,6 @@
 	r.observe(answer.Status, "answered", "")
 }
 
-// answerTime is how long the client of a replica's answer may take to read it: it still
-// waits for that long. No other has that answer.
-func (r *request) answerTime() time.Duration {
-	return max(r.deadline()-r.held(), r.handler.Unread)
-}
-
 // setWriteDeadline bounds writes to the client from now on.
 func (r *request) setWriteDeadline(within time.Duration) {
 	if err := http.NewResponseController(r.w).SetWriteDeadline(time.Now().Add(within)); err != nil {
