--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -124,9 +124,11 @@
 		Replaces: req.Replaces})
 	switch {
 	case errors.Is(err, operator.ErrInvalid):
-		writeProblem(w, Problem{status: http.StatusUnprocessableEntity, Code: "policy_invalid", Field: "source", Message: err.Error()})
+		writeProblem(w, Problem{status: http.StatusUnprocessableEntity, Code: "policy_invalid", Field: "source",
+			Message: err.Error()})
 	case errors.Is(err, operator.ErrConflict):
-		writeProblem(w, Problem{status: http.StatusConflict, Code: "policy_conflict", Field: "replaces", Message: err.Error()})
+		writeProblem(w, Problem{status: http.StatusConflict, Code: "policy_conflict", Field: "replaces",
+			Message: err.Error()})
 	case errors.Is(err, operator.ErrNotDone):
 		refuse(w, refusal.V1LogUnavailable, err.Error())
 	case err != nil:
@@ -174,7 +176,8 @@
 	case err == nil:
 		writeDone(w, http.StatusOK, drainAnswer{Machine: req.Machine, Draining: !req.Undo})
 	case errors.Is(err, operator.ErrNoMachine):
-		writeProblem(w, Problem{status: http.StatusNotFound, Code: "unknown_machine", Field: "machine", Message: "machine: " + err.Error()})
+		writeProblem(w, Problem{status: http.StatusNotFound, Code: "unknown_machine", Field: "machine",
+			Message: "machine: " + err.Error()})
 	case errors.Is(err, operator.ErrUnknown):
 		refuse(w, refusal.V1LogUnknown, err.Error())
 	default:
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -38,7 +38,8 @@
 		service, ok := configuration.Policies.Services[variables["service"]]
 		hidden := ok && audience == policy.Public && service.Audience == policy.Internal
 		if !ok || hidden || service.Kind != policy.PlainService {
-			writeProblem(w, Problem{status: http.StatusNotFound, Code: "unknown_service", Field: "service", Message: "service: no such service"})
+			writeProblem(w, Problem{status: http.StatusNotFound, Code: "unknown_service", Field: "service",
+				Message: "service: no such service"})
 			return
 		}
 		operation, ok := service.Operations[variables["operation"]]
