--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -107,8 +107,8 @@
 	bounded, cancel := context.WithTimeout(ctx, againTimeout)
 	defer cancel()
 	err = s.runner.Accept(bounded, job)
-	s.logger.Info("samples requested again", zap.String("batch", job.ID), zap.Int("samples", len(samples)), zap.Int64("trained", trained),
-		zap.Int64("min_version", job.MinVersion), zap.Error(err))
+	s.logger.Info("samples requested again", zap.String("batch", job.ID), zap.Int("samples", len(samples)),
+		zap.Int64("trained", trained), zap.Int64("min_version", job.MinVersion), zap.Error(err))
 	return nil
 }
 
--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -45,8 +45,8 @@
 	configuration, _ := g.parts.Configuration()
 	ready, reason := g.parts.Ready()
 	status := Status{
-		Daemon: g.parts.Identity, Ready: ready, Reason: reason, Named: configuration.Named,
-		ConfigurationVersion: configuration.Version, ConfigurationAgeMs: configuration.Age.Milliseconds(), Replicas: []replicaStatus{},
+		Daemon: g.parts.Identity, Ready: ready, Reason: reason, Named: configuration.Named, Replicas: []replicaStatus{},
+		ConfigurationVersion: configuration.Version, ConfigurationAgeMs: configuration.Age.Milliseconds(),
 	}
 	for _, v := range g.parts.Replicas.All() {
 		status.Replicas = append(status.Replicas, replicaStatus{
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -38,8 +38,8 @@
 	}
 	header.Set(g.parts.Headers.DeadlineMs, strconv.FormatInt(a.timeout.Milliseconds(), 10))
 	r := &http.Request{
-		Method: http.MethodPost, Host: a.host, RequestURI: a.path, URL: &url.URL{Path: a.path}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: header, Body: io.NopCloser(bytes.NewReader(a.body)), ContentLength: int64(len(a.body)),
+		Method: http.MethodPost, Host: a.host, RequestURI: a.path, URL: &url.URL{Path: a.path}, Header: header,
+		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Body: io.NopCloser(bytes.NewReader(a.body)), ContentLength: int64(len(a.body)),
 	}
 	return r.WithContext(ctx)
 }
--- a/internal/api/standalone/standalone.go
+++ b/internal/api/standalone/standalone.go
@@ -69,9 +69,9 @@
 		Permits:  permit.New(parts.Journal, parts.Settings.Timing.RecordRetention.Std(), newID, parts.Logger),
 		Operator: operator.New(parts.Journal, parts.Logger),
 		Replicas: parts.Replicas,
-		Ingress:  parts.Ingress,
-		Headers:  names, SamplesHost: SamplesHost, ServiceHost: ServiceHost, OperationPath: OperationPath,
-		Metrics: parts.Metrics, Logger: parts.Logger, NewID: newID, Identity: parts.Identity, Ready: parts.Ready, Stopping: parts.Stopping,
+		Ingress:  parts.Ingress, Ready: parts.Ready, Stopping: parts.Stopping,
+		Headers: names, SamplesHost: SamplesHost, ServiceHost: ServiceHost, OperationPath: OperationPath,
+		Metrics: parts.Metrics, Logger: parts.Logger, NewID: newID, Identity: parts.Identity,
 	}, gateway.Limits{
 		MaxBodyBytes: parts.Settings.Limits.MaxBodyBytes, ConfirmBound: parts.Settings.Timing.ConfirmBound.Std(),
 		Operators: parts.Settings.Operators,
--- a/internal/daemon/explain/explain.go
+++ b/internal/daemon/explain/explain.go
@@ -49,8 +49,8 @@
 		"content cleared": true, "suspect runs alone": true}
 	// contextEvents are told of each node that a line of the story comes from.
 	contextEvents = map[string]bool{"started": true, "stopping": true, "stopped": true,
-		"dependency lost": true, "dependency regained": true,
-		"configuration in force": true, "lease claimed": true, "lease lost": true, "log lines dropped": true, "log lines left out": true}
+		"dependency lost": true, "dependency regained": true, "configuration in force": true,
+		"lease claimed": true, "lease lost": true, "log lines dropped": true, "log lines left out": true}
 )
 
 // line is one log line.
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -76,8 +76,8 @@
 	before := g.rate.binds
 	g.rate.Full(now, c, sign)
 	if !before {
-		g.options.Logger.Info("service full", zap.String("service", g.service), zap.String("sign", string(sign)), zap.Int("slots", c.Slots),
-			zap.Int("daemons", c.Daemons), zap.Duration("usual", c.Usual), zap.Float64("rate", g.rate.perSecond))
+		g.options.Logger.Info("service full", zap.String("service", g.service), zap.String("sign", string(sign)),
+			zap.Int("slots", c.Slots), zap.Int("daemons", c.Daemons), zap.Duration("usual", c.Usual), zap.Float64("rate", g.rate.perSecond))
 	}
 }
 
--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -47,8 +47,8 @@
 	case key != "" && exceeded(age, policy.TrustUnknown):
 		unconfirmed = "the key may have been added"
 	}
-	r.logger.Info("key refused", zap.String("key_digest", apikey.DigestOf(key).Short()), zap.Bool("sent", key != ""), zap.Bool("known", ok),
-		zap.Int64("configuration", cfg.Version), zap.Duration("age", age))
+	r.logger.Info("key refused", zap.String("key_digest", apikey.DigestOf(key).Short()), zap.Bool("sent", key != ""),
+		zap.Bool("known", ok), zap.Int64("configuration", cfg.Version), zap.Duration("age", age))
 	if unconfirmed != "" {
 		r.refuse(refusal.KeyUnconfirmed, unconfirmed)
 		return false
