--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -79,10 +79,7 @@
 		a.logger.Error("assignment not encoded", zap.String("batch", submission.ID), zap.Error(err))
 		return
 	}
-	bounded, cancel := context.WithTimeout(ctx, assignTimeout)
-	defer cancel()
-	record := journal.Append{Partition: a.partitionOf(submission), Records: [][]byte{encoded}}
-	_, err = a.journal.Append(bounded, record)
+	err = journal.AppendWithin(ctx, a.journal, assignTimeout, a.partitionOf(submission), encoded)
 	a.logger.Info("batch assigned", zap.String("batch", submission.ID), zap.String("to", owner), zap.Error(err))
 }
 
