--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: soak soak-restart soak-smoke build test known-red lint fuzz smoke demo bench
+.PHONY: soak soak-restart soak-smoke build test known-red lint rename fuzz smoke demo bench
 
 build:
 	go build -o bin/ ./cmd/woodworks ./cmd/woodworks-demo
@@ -29,6 +29,11 @@
 	@! go tool deadcode -test ./... | grep .
 	@for patch in bench/ablation/*.patch; do git apply --check $$patch || exit 1; done
 
+# Renames an identifier with all its uses: make rename AT=FILE:LINE:COLUMN TO=NAME
+GOPLS = golang.org/x/tools/gopls@v0.23.0
+rename:
+	go run $(GOPLS) rename -w $(AT) $(TO)
+
 # Each fuzz target for a fixed number of inputs.
 FUZZ ?= 20000x
 fuzz:
