--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// forgetAfter is how long after its last end a content is remembered. One that still
+	// suspicionTTL is how long after its last end a content is remembered. One that still
 	// comes then begins anew, so that a fault which was mended without a word to
 	// the operator of this service is found mended within a day.
-	forgetAfter = 24 * time.Hour
+	suspicionTTL = 24 * time.Hour
 	// settleWithin is how long a broken connection may turn out to be the end of its
 	// replica: an entry lapses three heartbeats after its process, a few seconds.
 	settleWithin = 8 * time.Second
@@ -66,7 +66,7 @@
 		t.settle(s, now, listed)
 		switch {
 		case s.deciding != nil:
-		case len(s.Ended) > 0 && now.Sub(s.endedAt) > forgetAfter:
+		case len(s.Ended) > 0 && now.Sub(s.endedAt) > suspicionTTL:
 			t.clear(s, "long ago")
 		case !s.active() && s.journaled == nil && now.Sub(s.usedAt) > clearedKept:
 			t.forget(s, "cleared")
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -216,7 +216,7 @@
 	is.Equal(int(table.active.Load()), capacity)
 	is.Equal(table.Suspicion(refused), Quarantined)
 	is.Equal(table.Suspicion(contentNamed("0")), Unsuspected)
-	clock.pass(forgetAfter + 1)
+	clock.pass(suspicionTTL + 1)
 	table.Sweep(func(string) bool { return true })
 	is.True(table.Quiet())
 	clock.pass(clearedKept + 1)
