--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -11,9 +11,9 @@
 	// comes then begins anew, so that a fault which was mended without a word to
 	// the operator of this service is found mended within a day.
 	suspicionTTL = 24 * time.Hour
-	// settleWithin is how long a broken connection may turn out to be the end of its
+	// brokenConnectionTTL is how long a broken connection may turn out to be the end of its
 	// replica: an entry lapses three heartbeats after its process, a few seconds.
-	settleWithin = 8 * time.Second
+	brokenConnectionTTL = 8 * time.Second
 	// clearedKept is how long a cleared content is remembered, so that what another daemon
 	// tells late of its earlier epoch changes nothing.
 	clearedKept = 10 * time.Minute
@@ -80,7 +80,7 @@
 		switch {
 		case !listed(replica):
 			t.ended(s, replica)
-		case now.Sub(at) > settleWithin:
+		case now.Sub(at) > brokenConnectionTTL:
 			t.change(s, func() { delete(s.broke, replica) })
 		}
 	}
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -172,7 +172,7 @@
 	sweep()
 	is.Equal(table.Suspicion(bad), Suspected)
 	is.Equal(table.Suspicion(good), Unsuspected)
-	clock.pass(settleWithin + 1)
+	clock.pass(brokenConnectionTTL + 1)
 	sweep()
 	delete(entries, "b") // long after, for another reason
 	sweep()
