--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -14,9 +14,9 @@
 	// brokenConnectionTTL is how long a broken connection may turn out to be the end of its
 	// replica: an entry lapses three heartbeats after its process, a few seconds.
 	brokenConnectionTTL = 8 * time.Second
-	// clearedKept is how long a cleared content is remembered, so that what another daemon
+	// clearedTTL is how long a cleared content is remembered, so that what another daemon
 	// tells late of its earlier epoch changes nothing.
-	clearedKept = 10 * time.Minute
+	clearedTTL = 10 * time.Minute
 	// capacity bounds the contents remembered, each of 3 KiB at most with its label. At
 	// three ends each, that many mean 12,000 crashes within forgetAfter.
 	capacity = 4096
@@ -68,7 +68,7 @@
 		case s.deciding != nil:
 		case len(s.Ended) > 0 && now.Sub(s.endedAt) > suspicionTTL:
 			t.clear(s, "long ago")
-		case !s.active() && s.journaled == nil && now.Sub(s.usedAt) > clearedKept:
+		case !s.active() && s.journaled == nil && now.Sub(s.usedAt) > clearedTTL:
 			t.forget(s, "cleared")
 		}
 	}
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -219,7 +219,7 @@
 	clock.pass(suspicionTTL + 1)
 	table.Sweep(func(string) bool { return true })
 	is.True(table.Quiet())
-	clock.pass(clearedKept + 1)
+	clock.pass(clearedTTL + 1)
 	table.Sweep(func(string) bool { return true })
 	is.Equal(len(table.entries), 0)
 }
