--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -17,9 +17,9 @@
 	// clearedTTL is how long a cleared content is remembered, so that what another daemon
 	// tells late of its earlier epoch changes nothing.
 	clearedTTL = 10 * time.Minute
-	// capacity bounds the contents remembered, each of 3 KiB at most with its label. At
+	// maxEntries bounds the contents remembered, each of 3 KiB at most with its label. At
 	// three ends each, that many mean 12,000 crashes within forgetAfter.
-	capacity = 4096
+	maxEntries = 4096
 )
 
 // forget drops an entry. The mutex is held.
--- a/internal/requests/quarantine/quarantine.go
+++ b/internal/requests/quarantine/quarantine.go
@@ -89,7 +89,7 @@
 func (t *Table) entry(digest Digest) *suspect {
 	s := t.entries[digest]
 	if s == nil {
-		if len(t.entries) >= capacity {
+		if len(t.entries) >= maxEntries {
 			t.forgetOne()
 		}
 		s = &suspect{Entry: Entry{Digest: digest}, usedAt: t.now()}
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -208,12 +208,12 @@
 	for _, replica := range []string{"a", "b", "c"} {
 		table.Ended(refused, replica, "s")
 	}
-	for i := range capacity + 100 {
+	for i := range maxEntries + 100 {
 		clock.pass(time.Millisecond)
 		table.Ended(contentNamed(fmt.Sprint(i)), "a", "s")
 	}
-	is.Equal(len(table.entries), capacity)
-	is.Equal(int(table.active.Load()), capacity)
+	is.Equal(len(table.entries), maxEntries)
+	is.Equal(int(table.active.Load()), maxEntries)
 	is.Equal(table.Suspicion(refused), Quarantined)
 	is.Equal(table.Suspicion(contentNamed("0")), Unsuspected)
 	clock.pass(suspicionTTL + 1)
