--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -34,9 +34,9 @@
 	delete(t.changed, s.Digest)
 }
 
-// forgetOne makes room: of the contents with the fewest ends the one that was not used
+// evictOne makes room: of the contents with the fewest ends the one that was not used
 // for longest goes. The mutex is held.
-func (t *Table) forgetOne() {
+func (t *Table) evictOne() {
 	var least *suspect
 	for _, s := range t.entries {
 		if s.deciding == nil && (least == nil || s.lessThan(least)) {
--- a/internal/requests/quarantine/quarantine.go
+++ b/internal/requests/quarantine/quarantine.go
@@ -90,7 +90,7 @@
 	s := t.entries[digest]
 	if s == nil {
 		if len(t.entries) >= maxEntries {
-			t.forgetOne()
+			t.evictOne()
 		}
 		s = &suspect{Entry: Entry{Digest: digest}, usedAt: t.now()}
 		t.entries[digest] = s
