--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -22,8 +22,8 @@
 	maxEntries = 4096
 )
 
-// forget drops an entry. The mutex is held.
-func (t *Table) forget(s *suspect, reason string) {
+// remove drops an entry. The mutex is held.
+func (t *Table) remove(s *suspect, reason string) {
 	if s.active() {
 		t.active.Add(-1)
 		t.logger.Info("content forgotten", zap.String("content", s.Digest.Short()), zap.String("reason", reason),
@@ -44,7 +44,7 @@
 		}
 	}
 	if least != nil {
-		t.forget(least, "too many")
+		t.remove(least, "too many")
 	}
 }
 
@@ -69,7 +69,7 @@
 		case len(s.Ended) > 0 && now.Sub(s.endedAt) > suspicionTTL:
 			t.clear(s, "long ago")
 		case !s.active() && s.journaled == nil && now.Sub(s.usedAt) > clearedTTL:
-			t.forget(s, "cleared")
+			t.remove(s, "cleared")
 		}
 	}
 }
