--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -39,7 +39,7 @@
 func (t *Table) evictOne() {
 	var least *suspect
 	for _, s := range t.entries {
-		if s.deciding == nil && (least == nil || s.lessThan(least)) {
+		if s.deciding == nil && (least == nil || s.evictedBefore(least)) {
 			least = s
 		}
 	}
@@ -48,8 +48,8 @@
 	}
 }
 
-// lessThan orders entries by how little is lost with them.
-func (s *suspect) lessThan(other *suspect) bool {
+// evictedBefore orders entries by how little is lost with them.
+func (s *suspect) evictedBefore(other *suspect) bool {
 	if s.ends() != other.ends() {
 		return s.ends() < other.ends()
 	}
