--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -63,7 +63,7 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	for _, s := range t.entries {
-		t.settle(s, now, listed)
+		t.resolveBroken(s, now, listed)
 		switch {
 		case s.deciding != nil:
 		case len(s.Ended) > 0 && now.Sub(s.endedAt) > suspicionTTL:
@@ -74,8 +74,8 @@
 	}
 }
 
-// settle decides on the broken connections of an entry. The mutex is held.
-func (t *Table) settle(s *suspect, now time.Time, listed func(replica string) bool) {
+// resolveBroken decides on the broken connections of an entry. The mutex is held.
+func (t *Table) resolveBroken(s *suspect, now time.Time, listed func(replica string) bool) {
 	for replica, at := range s.broke {
 		switch {
 		case !listed(replica):
