--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// aloneFrom is from how many ended replicas on a content runs alone, and endedLimit
+	// minEndsToIsolate is from how many ended replicas on a content runs alone, and endedLimit
 	// from how many on it is refused. One end is a coincidence with any other crash; two
 	// in a row without an answer are rare for an innocent content, three need as many
 	// coincidences, the last of them while it ran by itself.
-	aloneFrom  = 2
-	endedLimit = 3
+	minEndsToIsolate = 2
+	endedLimit       = 3
 	// endedKept bounds the replicas that an entry names.
 	endedKept = 8
 	// sameEnd is within which time two ends of a replica are one that doesn't tell its
@@ -94,7 +94,7 @@
 	switch {
 	case s == nil || len(s.Ended) == 0:
 		return Unsuspected
-	case s.ends() < aloneFrom:
+	case s.ends() < minEndsToIsolate:
 		return Suspected
 	case !s.refused():
 		return OnlyAlone
@@ -131,7 +131,7 @@
 	}
 	now := t.now()
 	s.usedAt = now
-	if s.ends() < aloneFrom {
+	if s.ends() < minEndsToIsolate {
 		return Free{}
 	}
 	if refused, is := t.refuse(s, now, others); is {
