--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -62,7 +62,7 @@
 func (e *Entry) replicas() []string { return slices.Sorted(maps.Keys(e.Ended)) }
 
 // refused reports whether the content must not run any more.
-func (e *Entry) refused() bool { return e.ends() >= endedLimit }
+func (e *Entry) refused() bool { return e.ends() >= minEndsToRefuse }
 
 // suspect is an entry with what concerns only this daemon.
 type suspect struct {
--- a/internal/requests/quarantine/start_test.go
+++ b/internal/requests/quarantine/start_test.go
@@ -25,8 +25,8 @@
 	is := is.New(t)
 	clock := newTestClock()
 	table, bad := clock.table("m"), contentNamed("bad")
-	names := starts(endedLimit + 1)
-	for i := range endedLimit {
+	names := starts(minEndsToRefuse + 1)
+	for i := range minEndsToRefuse {
 		present := names[i]
 		table.Broke(bad, names[i], "s")
 		table.Sweep(func(name string) bool { return name == present })
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -17,7 +17,7 @@
 	// in a row without an answer are rare for an innocent content, three need as many
 	// coincidences, the last of them while it ran by itself.
 	minEndsToIsolate = 2
-	endedLimit       = 3
+	minEndsToRefuse  = 3
 	// endedKept bounds the replicas that an entry names.
 	endedKept = 8
 	// sameEnd is within which time two ends of a replica are one that doesn't tell its
