--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -135,7 +135,7 @@
 // endedKept count no more.
 func (s *suspect) raise(replica string, times int, now time.Time) bool {
 	before, named := s.Ended[replica]
-	if times <= before || !named && len(s.Ended) >= endedKept {
+	if times <= before || !named && len(s.Ended) >= maxEndedReplicas {
 		return false
 	}
 	if s.Ended == nil {
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -30,7 +30,7 @@
 		if s.broke == nil {
 			s.broke = map[string]time.Time{}
 		}
-		if len(s.broke) < endedKept {
+		if len(s.broke) < maxEndedReplicas {
 			s.broke[replica] = t.now()
 		}
 	})
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -18,8 +18,8 @@
 	// coincidences, the last of them while it ran by itself.
 	minEndsToIsolate = 2
 	minEndsToRefuse  = 3
-	// endedKept bounds the replicas that an entry names.
-	endedKept = 8
+	// maxEndedReplicas bounds the replicas that an entry names.
+	maxEndedReplicas = 8
 	// sameEnd is within which time two ends of a replica are one that doesn't tell its
 	// starts apart: several runs of a content show it within milliseconds, and no process is
 	// back and ends again so soon.
