--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -125,7 +125,7 @@
 // which another run of the content, here or at another daemon, has shown.
 func (s *suspect) addEnd(name string, now time.Time) bool {
 	seen, before := s.seenAt[name]
-	if before && (replica.Incarnation(name).EndsOnce() || now.Sub(seen) < sameEnd) {
+	if before && (replica.Incarnation(name).EndsOnce() || now.Sub(seen) < endDedupWindow) {
 		return false
 	}
 	return s.raise(name, s.Ended[name]+1, now)
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -89,7 +89,7 @@
 			clock.pass(aloneWait)
 		}
 		is.Equal(verdictOn(table, content, "only"), wanted)
-		clock.pass(sameEnd)
+		clock.pass(endDedupWindow)
 	}
 }
 
@@ -256,7 +256,7 @@
 		said := [][]Entry{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			at := tables[rapid.IntRange(0, len(tables)-1).Draw(t, "at")]
-			clock.pass(rapid.SampledFrom([]time.Duration{0, time.Millisecond, sameEnd}).Draw(t, "pause"))
+			clock.pass(rapid.SampledFrom([]time.Duration{0, time.Millisecond, endDedupWindow}).Draw(t, "pause"))
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				at.Ended(content, rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "replica"), "s")
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -20,10 +20,10 @@
 	minEndsToRefuse  = 3
 	// maxEndedReplicas bounds the replicas that an entry names.
 	maxEndedReplicas = 8
-	// sameEnd is within which time two ends of a replica are one that doesn't tell its
+	// endDedupWindow is within which time two ends of a replica are one that doesn't tell its
 	// starts apart: several runs of a content show it within milliseconds, and no process is
 	// back and ends again so soon.
-	sameEnd = time.Second
+	endDedupWindow = time.Second
 	// aloneWait is how long a run alone waits for a second replica of its service: a
 	// process that ended is replaced within some seconds.
 	aloneWait = 5 * time.Second
