--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -152,7 +152,7 @@
 // it is hardly back.
 func (s *suspect) endedLately(replica string, now time.Time) bool {
 	seen, ended := s.seenAt[replica]
-	return ended && now.Sub(seen) < aloneWait
+	return ended && now.Sub(seen) < replicaRestartTime
 }
 
 func (s *suspect) copied() Entry {
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -24,9 +24,9 @@
 	// starts apart: several runs of a content show it within milliseconds, and no process is
 	// back and ends again so soon.
 	endDedupWindow = time.Second
-	// aloneWait is how long a run alone waits for a second replica of its service: a
+	// replicaRestartTime is how long a run alone waits for a second replica of its service: a
 	// process that ended is replaced within some seconds.
-	aloneWait = 5 * time.Second
+	replicaRestartTime = 5 * time.Second
 	// retryAfterEnd is how long after its last end a refused content may run once more.
 	retryAfterEnd = 15 * time.Second
 )
@@ -157,8 +157,8 @@
 		refused.RetryAfter, refused.Final = refusal.Quarantined.RetryAfter, true
 	case s.refused() && since < retryAfterEnd:
 		refused.RetryAfter = retryAfterEnd - since
-	case s.deciding == nil && since < aloneWait && !s.anyUp(others(), now):
-		refused.RetryAfter = min(refusal.SuspectAlone.RetryAfter, aloneWait-since)
+	case s.deciding == nil && since < replicaRestartTime && !s.anyUp(others(), now):
+		refused.RetryAfter = min(refusal.SuspectAlone.RetryAfter, replicaRestartTime-since)
 	default:
 		return Refused{}, false
 	}
