--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -126,7 +126,7 @@
 	other.Merge(keeper.entriesOf([]Digest{content.Digest()}), "keeper")
 	is.Equal(verdictOn(other, content, "x", others...), "refused for good")
 	is.Equal(verdictOn(keeper, content, "x", others...), "refused")
-	clock.pass(retryAfterEnd)
+	clock.pass(retryDelay)
 	is.Equal(verdictOn(other, content, "x", others...), "refused for good")
 	is.True(other.Blocked(content))
 	is.True(!keeper.Blocked(content))
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -27,8 +27,8 @@
 	// replicaRestartTime is how long a run alone waits for a second replica of its service: a
 	// process that ended is replaced within some seconds.
 	replicaRestartTime = 5 * time.Second
-	// retryAfterEnd is how long after its last end a refused content may run once more.
-	retryAfterEnd = 15 * time.Second
+	// retryDelay is how long after its last end a refused content may run once more.
+	retryDelay = 15 * time.Second
 )
 
 // Suspicion is what is held against a content.
@@ -155,8 +155,8 @@
 	switch {
 	case s.refused() && (s.Keeper != t.machine || s.Retried):
 		refused.RetryAfter, refused.Final = refusal.Quarantined.RetryAfter, true
-	case s.refused() && since < retryAfterEnd:
-		refused.RetryAfter = retryAfterEnd - since
+	case s.refused() && since < retryDelay:
+		refused.RetryAfter = retryDelay - since
 	case s.deciding == nil && since < replicaRestartTime && !s.anyUp(others(), now):
 		refused.RetryAfter = min(refusal.SuspectAlone.RetryAfter, replicaRestartTime-since)
 	default:
@@ -168,7 +168,7 @@
 // mayRetry reports whether a refused content may run once more from here. The mutex is
 // held.
 func (t *Table) mayRetry(s *suspect, now time.Time) bool {
-	return s.Keeper == t.machine && !s.Retried && now.Sub(s.endedAt) >= retryAfterEnd
+	return s.Keeper == t.machine && !s.Retried && now.Sub(s.endedAt) >= retryDelay
 }
 
 // anyUp reports whether one of the replicas did not end under the content lately.
