--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -57,7 +57,7 @@
 	default:
 		// A content that has just ended replicas, or of which another daemon has learned so, runs
 		// next alone, if at all.
-		return s.Repeatable && s.Suspicion < quarantine.OnlyAlone
+		return s.Repeatable && s.Suspicion < quarantine.IsolatedOnly
 	}
 }
 
--- a/internal/requests/forward/retry_test.go
+++ b/internal/requests/forward/retry_test.go
@@ -24,8 +24,8 @@
 		"attempts used up":                 {AttemptState{MayHaveRun: 1, Open: 1, MaxAttempts: 2, Repeatable: true}, false},
 		"no attempts named":                {AttemptState{MayHaveRun: 1, Repeatable: true}, false},
 		"suspected":                        {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.Suspected}, true},
-		"its end was a second one":         {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.OnlyAlone}, false},
-		"declined, content may only alone": {AttemptState{NotRun: 1, MaxAttempts: 2, Suspicion: quarantine.OnlyAlone}, true},
+		"its end was a second one":         {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.IsolatedOnly}, false},
+		"declined, content may only alone": {AttemptState{NotRun: 1, MaxAttempts: 2, Suspicion: quarantine.IsolatedOnly}, true},
 		"refused":                          {AttemptState{Refused: true, MaxAttempts: 2, Repeatable: true}, false},
 	}
 	for name, one := range cases {
--- a/internal/requests/quarantine/spread_test.go
+++ b/internal/requests/quarantine/spread_test.go
@@ -267,7 +267,7 @@
 		f.forget()
 		again := f.startAll(3, true)
 		for _, s := range again {
-			is.Equal(s.table.Suspicion(poison), OnlyAlone)
+			is.Equal(s.table.Suspicion(poison), IsolatedOnly)
 		}
 		again[2].table.Ended(poison, "one-more", "s")
 		time.Sleep(contactBound)
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -40,8 +40,8 @@
 	Unsuspected Suspicion = iota
 	// Suspected: one has.
 	Suspected
-	// OnlyAlone: it may run alone.
-	OnlyAlone
+	// IsolatedOnly: it may run alone.
+	IsolatedOnly
 	// Quarantined: it is refused.
 	Quarantined
 )
@@ -97,7 +97,7 @@
 	case s.ends() < minEndsToIsolate:
 		return Suspected
 	case !s.refused():
-		return OnlyAlone
+		return IsolatedOnly
 	default:
 		return Quarantined
 	}
