--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -46,8 +46,8 @@
 	Quarantined
 )
 
-// Verdict is what a content may do now: Free, Alone, Wait, Elsewhere or Refused.
-type Verdict interface{ verdict() }
+// Decision is what a content may do now: Free, Alone, Wait, Elsewhere or Refused.
+type Decision interface{ verdict() }
 
 // Free lets the content run as any other.
 type Free struct{}
@@ -118,7 +118,7 @@
 // Judge says whether the content may run at a replica now. Others returns the ids of the
 // other replicas of its service that are listed; it is asked of suspects only, with the
 // table locked.
-func (t *Table) Judge(content *Content, replica string, others func() []string) Verdict {
+func (t *Table) Judge(content *Content, replica string, others func() []string) Decision {
 	if t.Quiet() {
 		return Free{}
 	}
