--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -31,7 +31,7 @@
 // verdictOn names what a content may do, without beginning it.
 func verdictOn(t *Table, content *Content, replica string, others ...string) string {
 	switch got := t.Judge(content, replica, func() []string { return others }).(type) {
-	case Free:
+	case Allowed:
 		if t.Suspicion(content) == Suspected {
 			return "suspected"
 		}
@@ -300,7 +300,7 @@
 	}
 	body := make([]byte, 8<<10)
 	for b.Loop() {
-		if _, free := table.Judge(&Content{Method: "POST", Target: "/path/of/a/request", Body: body}, "x", listed).(Free); !free {
+		if _, free := table.Judge(&Content{Method: "POST", Target: "/path/of/a/request", Body: body}, "x", listed).(Allowed); !free {
 			b.Fatal("an innocent content is not free")
 		}
 	}
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -49,8 +49,8 @@
 // Decision is what a content may do now: Free, Alone, Wait, Elsewhere or Refused.
 type Decision interface{ verdict() }
 
-// Free lets the content run as any other.
-type Free struct{}
+// Allowed lets the content run as any other.
+type Allowed struct{}
 
 // Alone lets the content run at the one replica asked for, once, with no other suspect
 // from here beside it. End must be called when the run is over, after what it showed was
@@ -76,7 +76,7 @@
 	Final bool
 }
 
-func (Free) verdict()      {}
+func (Allowed) verdict()   {}
 func (Alone) verdict()     {}
 func (Wait) verdict()      {}
 func (Elsewhere) verdict() {}
@@ -120,19 +120,19 @@
 // table locked.
 func (t *Table) Judge(content *Content, replica string, others func() []string) Decision {
 	if t.Quiet() {
-		return Free{}
+		return Allowed{}
 	}
 	digest := content.Digest()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.entries[digest]
 	if s == nil || len(s.Ended) == 0 {
-		return Free{}
+		return Allowed{}
 	}
 	now := t.now()
 	s.usedAt = now
 	if s.ends() < minEndsToIsolate {
-		return Free{}
+		return Allowed{}
 	}
 	if refused, is := t.refuse(s, now, others); is {
 		s.turnedAway++
