--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -65,7 +65,7 @@
 		return func() {}, nil
 	}
 	switch verdict := f.Quarantine.Judge(content, string(rep.Incarnation()), func() []string { return f.others(rep) }).(type) {
-	case quarantine.Alone:
+	case quarantine.Isolated:
 		release = verdict.End
 	case quarantine.Wait:
 		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, over: verdict.Over}
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -36,7 +36,7 @@
 			return "suspected"
 		}
 		return "free"
-	case Alone:
+	case Isolated:
 		got.End()
 		return "alone"
 	case Wait:
@@ -102,7 +102,7 @@
 		table.Ended(content, "a", "s")
 		table.Ended(content, "b", "s")
 	}
-	run, granted := table.Judge(one, "x", listed).(Alone)
+	run, granted := table.Judge(one, "x", listed).(Isolated)
 	is.True(granted)
 	is.Equal(verdictOn(table, two, "x", others...), "elsewhere")
 	is.Equal(verdictOn(table, two, "y", others...), "alone")
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -52,10 +52,10 @@
 // Allowed lets the content run as any other.
 type Allowed struct{}
 
-// Alone lets the content run at the one replica asked for, once, with no other suspect
+// Isolated lets the content run at the one replica asked for, once, with no other suspect
 // from here beside it. End must be called when the run is over, after what it showed was
 // told to the table.
-type Alone struct{ End func() }
+type Isolated struct{ End func() }
 
 // Wait says that another run of the content is finding out. It is over when Over is
 // closed.
@@ -77,7 +77,7 @@
 }
 
 func (Allowed) verdict()   {}
-func (Alone) verdict()     {}
+func (Isolated) verdict()  {}
 func (Wait) verdict()      {}
 func (Elsewhere) verdict() {}
 func (Refused) verdict()   {}
@@ -177,7 +177,7 @@
 }
 
 // runAlone begins the one run that the content may have now. The mutex is held.
-func (t *Table) runAlone(s *suspect, name string) Alone {
+func (t *Table) runAlone(s *suspect, name string) Isolated {
 	over := make(chan struct{})
 	s.deciding = over
 	t.alone[name]++
@@ -190,7 +190,7 @@
 		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()), zap.Bool("refused", s.refused()),
 		zap.Duration("since_end", t.now().Sub(s.endedAt)))
 	var once sync.Once
-	return Alone{End: func() { once.Do(func() { t.endAlone(s, name, over) }) }}
+	return Isolated{End: func() { once.Do(func() { t.endAlone(s, name, over) }) }}
 }
 
 func (t *Table) endAlone(s *suspect, replica string, over chan struct{}) {
