--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -69,7 +69,7 @@
 		release = verdict.End
 	case quarantine.Wait:
 		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, over: verdict.Over}
-	case quarantine.Elsewhere:
+	case quarantine.OtherReplica:
 		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, Elsewhere: true}
 	case quarantine.Refused:
 		refused = &QuarantinedError{Ended: verdict.Ended, RetryAfter: verdict.RetryAfter, Final: verdict.Final}
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -41,7 +41,7 @@
 		return "alone"
 	case Wait:
 		return "wait"
-	case Elsewhere:
+	case OtherReplica:
 		return "elsewhere"
 	case Refused:
 		if got.Final {
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -61,9 +61,9 @@
 // closed.
 type Wait struct{ Over <-chan struct{} }
 
-// Elsewhere says that another suspect runs at the replica asked for, or that the replica
+// OtherReplica says that another suspect runs at the replica asked for, or that the replica
 // is one that has ended under the content.
-type Elsewhere struct{}
+type OtherReplica struct{}
 
 // Refused says that the content must not run now.
 type Refused struct {
@@ -76,11 +76,11 @@
 	Final bool
 }
 
-func (Allowed) verdict()   {}
-func (Isolated) verdict()  {}
-func (Wait) verdict()      {}
-func (Elsewhere) verdict() {}
-func (Refused) verdict()   {}
+func (Allowed) verdict()      {}
+func (Isolated) verdict()     {}
+func (Wait) verdict()         {}
+func (OtherReplica) verdict() {}
+func (Refused) verdict()      {}
 
 // Suspicion returns what is held against a content, without asking for it to run.
 func (t *Table) Suspicion(content *Content) Suspicion {
@@ -143,7 +143,7 @@
 	case s.deciding != nil:
 		return Wait{Over: s.deciding}
 	case t.alone[replica] > 0, s.endedLately(replica, now):
-		return Elsewhere{}
+		return OtherReplica{}
 	}
 	return t.runAlone(s, replica)
 }
