--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -64,7 +64,7 @@
 	if f.Quarantine.Quiet() {
 		return func() {}, nil
 	}
-	switch verdict := f.Quarantine.Judge(content, string(rep.Incarnation()), func() []string { return f.others(rep) }).(type) {
+	switch verdict := f.Quarantine.Decide(content, string(rep.Incarnation()), func() []string { return f.others(rep) }).(type) {
 	case quarantine.Isolated:
 		release = verdict.End
 	case quarantine.Wait:
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -30,7 +30,7 @@
 
 // verdictOn names what a content may do, without beginning it.
 func verdictOn(t *Table, content *Content, replica string, others ...string) string {
-	switch got := t.Judge(content, replica, func() []string { return others }).(type) {
+	switch got := t.Decide(content, replica, func() []string { return others }).(type) {
 	case Allowed:
 		if t.Suspicion(content) == Suspected {
 			return "suspected"
@@ -102,11 +102,11 @@
 		table.Ended(content, "a", "s")
 		table.Ended(content, "b", "s")
 	}
-	run, granted := table.Judge(one, "x", listed).(Isolated)
+	run, granted := table.Decide(one, "x", listed).(Isolated)
 	is.True(granted)
 	is.Equal(verdictOn(table, two, "x", others...), "elsewhere")
 	is.Equal(verdictOn(table, two, "y", others...), "alone")
-	waiting, waits := table.Judge(one, "y", listed).(Wait)
+	waiting, waits := table.Decide(one, "y", listed).(Wait)
 	is.True(waits)
 	table.Answered(one)
 	run.End()
@@ -300,7 +300,7 @@
 	}
 	body := make([]byte, 8<<10)
 	for b.Loop() {
-		if _, free := table.Judge(&Content{Method: "POST", Target: "/path/of/a/request", Body: body}, "x", listed).(Allowed); !free {
+		if _, free := table.Decide(&Content{Method: "POST", Target: "/path/of/a/request", Body: body}, "x", listed).(Allowed); !free {
 			b.Fatal("an innocent content is not free")
 		}
 	}
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -115,10 +115,10 @@
 	return s != nil && s.refused() && !t.mayRetry(s, t.now())
 }
 
-// Judge says whether the content may run at a replica now. Others returns the ids of the
+// Decide says whether the content may run at a replica now. Others returns the ids of the
 // other replicas of its service that are listed; it is asked of suspects only, with the
 // table locked.
-func (t *Table) Judge(content *Content, replica string, others func() []string) Decision {
+func (t *Table) Decide(content *Content, replica string, others func() []string) Decision {
 	if t.Quiet() {
 		return Allowed{}
 	}
