--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -134,7 +134,7 @@
 	if s.ends() < minEndsToIsolate {
 		return Allowed{}
 	}
-	if refused, is := t.refuse(s, now, others); is {
+	if refused, is := t.refusalFor(s, now, others); is {
 		s.turnedAway++
 		t.turnedAway.Add(1)
 		return refused
@@ -148,8 +148,8 @@
 	return t.runAlone(s, replica)
 }
 
-// refuse reports whether the content must not run now. The mutex is held.
-func (t *Table) refuse(s *suspect, now time.Time, others func() []string) (Refused, bool) {
+// refusalFor reports whether the content must not run now. The mutex is held.
+func (t *Table) refusalFor(s *suspect, now time.Time, others func() []string) (Refused, bool) {
 	since := now.Sub(s.endedAt)
 	refused := Refused{Ended: s.ends()}
 	switch {
