--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -157,7 +157,7 @@
 		refused.RetryAfter, refused.Final = refusal.Quarantined.RetryAfter, true
 	case s.refused() && since < retryDelay:
 		refused.RetryAfter = retryDelay - since
-	case s.deciding == nil && since < replicaRestartTime && !s.anyUp(others(), now):
+	case s.deciding == nil && since < replicaRestartTime && !s.anyAvailable(others(), now):
 		refused.RetryAfter = min(refusal.SuspectAlone.RetryAfter, replicaRestartTime-since)
 	default:
 		return Refused{}, false
@@ -171,8 +171,8 @@
 	return s.Keeper == t.machine && !s.Retried && now.Sub(s.endedAt) >= retryDelay
 }
 
-// anyUp reports whether one of the replicas did not end under the content lately.
-func (s *suspect) anyUp(replicas []string, now time.Time) bool {
+// anyAvailable reports whether one of the replicas did not end under the content lately.
+func (s *suspect) anyAvailable(replicas []string, now time.Time) bool {
 	return slices.ContainsFunc(replicas, func(id string) bool { return !s.endedLately(id, now) })
 }
 
