--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -145,7 +145,7 @@
 	case t.alone[replica] > 0, s.endedLately(replica, now):
 		return OtherReplica{}
 	}
-	return t.runAlone(s, replica)
+	return t.startIsolated(s, replica)
 }
 
 // refusalFor reports whether the content must not run now. The mutex is held.
@@ -176,8 +176,8 @@
 	return slices.ContainsFunc(replicas, func(id string) bool { return !s.endedLately(id, now) })
 }
 
-// runAlone begins the one run that the content may have now. The mutex is held.
-func (t *Table) runAlone(s *suspect, name string) Isolated {
+// startIsolated begins the one run that the content may have now. The mutex is held.
+func (t *Table) startIsolated(s *suspect, name string) Isolated {
 	over := make(chan struct{})
 	s.deciding = over
 	t.alone[name]++
