--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -190,10 +190,10 @@
 		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()), zap.Bool("refused", s.refused()),
 		zap.Duration("since_end", t.now().Sub(s.endedAt)))
 	var once sync.Once
-	return Isolated{End: func() { once.Do(func() { t.endAlone(s, name, over) }) }}
+	return Isolated{End: func() { once.Do(func() { t.endIsolated(s, name, over) }) }}
 }
 
-func (t *Table) endAlone(s *suspect, replica string, over chan struct{}) {
+func (t *Table) endIsolated(s *suspect, replica string, over chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s.deciding = nil
