--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -148,9 +148,9 @@
 	return true
 }
 
-// endedLately reports whether a replica ended under the content so short a time ago that
+// endedRecently reports whether a replica ended under the content so short a time ago that
 // it is hardly back.
-func (s *suspect) endedLately(replica string, now time.Time) bool {
+func (s *suspect) endedRecently(replica string, now time.Time) bool {
 	seen, ended := s.seenAt[replica]
 	return ended && now.Sub(seen) < replicaRestartTime
 }
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -142,7 +142,7 @@
 	switch {
 	case s.deciding != nil:
 		return Wait{Over: s.deciding}
-	case t.alone[replica] > 0, s.endedLately(replica, now):
+	case t.alone[replica] > 0, s.endedRecently(replica, now):
 		return OtherReplica{}
 	}
 	return t.startIsolated(s, replica)
@@ -173,7 +173,7 @@
 
 // anyAvailable reports whether one of the replicas did not end under the content lately.
 func (s *suspect) anyAvailable(replicas []string, now time.Time) bool {
-	return slices.ContainsFunc(replicas, func(id string) bool { return !s.endedLately(id, now) })
+	return slices.ContainsFunc(replicas, func(id string) bool { return !s.endedRecently(id, now) })
 }
 
 // startIsolated begins the one run that the content may have now. The mutex is held.
