--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -107,7 +107,7 @@
 		s.broke, s.seenAt = nil, nil
 	}
 	for replica, times := range other.Ended {
-		changed = s.raise(replica, times, now) || changed
+		changed = s.raiseEnds(replica, times, now) || changed
 	}
 	if other.Keeper != "" && (s.Keeper == "" || other.Keeper < s.Keeper) {
 		s.Keeper, changed = other.Keeper, true
@@ -128,12 +128,12 @@
 	if before && (replica.Incarnation(name).EndsOnce() || now.Sub(seen) < endDedupWindow) {
 		return false
 	}
-	return s.raise(name, s.Ended[name]+1, now)
+	return s.raiseEnds(name, s.Ended[name]+1, now)
 }
 
-// raise sets how often a replica ended, if that is more than is known. Replicas beyond
+// raiseEnds sets how often a replica ended, if that is more than is known. Replicas beyond
 // endedKept count no more.
-func (s *suspect) raise(replica string, times int, now time.Time) bool {
+func (s *suspect) raiseEnds(replica string, times int, now time.Time) bool {
 	before, named := s.Ended[replica]
 	if times <= before || !named && len(s.Ended) >= maxEndedReplicas {
 		return false
