--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -155,7 +155,7 @@
 	return ended && now.Sub(seen) < replicaRestartTime
 }
 
-func (s *suspect) copied() Entry {
+func (s *suspect) cloneEntry() Entry {
 	copied := s.Entry
 	copied.Ended = maps.Clone(s.Ended)
 	return copied
--- a/internal/requests/quarantine/listing.go
+++ b/internal/requests/quarantine/listing.go
@@ -23,7 +23,7 @@
 	list := []Listing{}
 	for _, s := range t.entries {
 		if len(s.Ended) > 0 {
-			list = append(list, Listing{Digest: s.Digest.String(), Entry: s.copied(), Refused: s.refused(),
+			list = append(list, Listing{Digest: s.Digest.String(), Entry: s.cloneEntry(), Refused: s.refused(),
 				TurnedAway: s.turnedAway, SinceEndMs: t.now().Sub(s.endedAt).Milliseconds()})
 		}
 	}
--- a/internal/requests/quarantine/quarantine.go
+++ b/internal/requests/quarantine/quarantine.go
@@ -145,7 +145,7 @@
 	var entries []Entry
 	for _, digest := range digests {
 		if s := t.entries[digest]; s != nil {
-			entries = append(entries, s.copied())
+			entries = append(entries, s.cloneEntry())
 		}
 	}
 	return entries
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -157,7 +157,7 @@
 		}
 		lacking = true
 		if len(due) < recordsAtOnce && s.recordDue(now, atOnce) {
-			due = append(due, s.copied())
+			due = append(due, s.cloneEntry())
 		}
 	}
 	return due, lacking
