--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -89,8 +89,8 @@
 // active reports whether requests must be looked up for the entry's sake.
 func (s *suspect) active() bool { return len(s.Ended) > 0 || len(s.broke) > 0 }
 
-// label names the content to operators, if that was not done.
-func (s *suspect) label(content *Content, service string) {
+// setLabel names the content to operators, if that was not done.
+func (s *suspect) setLabel(content *Content, service string) {
 	if s.Label == (Label{}) {
 		s.Label = labelOf(content, service)
 	}
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -14,7 +14,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.entry(digest)
-	s.label(content, service)
+	s.setLabel(content, service)
 	t.ended(s, replica)
 }
 
@@ -25,7 +25,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.entry(digest)
-	s.label(content, service)
+	s.setLabel(content, service)
 	t.change(s, func() {
 		if s.broke == nil {
 			s.broke = map[string]time.Time{}
