--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -67,9 +67,9 @@
 // suspect is an entry with what concerns only this daemon.
 type suspect struct {
 	Entry
-	// broke are replicas on which a connection ended under the content while it is not
+	// brokenAt are replicas on which a connection ended under the content while it is not
 	// known yet whether the process did, with when that was.
-	broke map[string]time.Time
+	brokenAt map[string]time.Time
 	// seenAt is when the last end of each replica was learned of here, endedAt the newest
 	// of these; usedAt is when the entry was last changed or asked for.
 	seenAt          map[string]time.Time
@@ -87,7 +87,7 @@
 }
 
 // active reports whether requests must be looked up for the entry's sake.
-func (s *suspect) active() bool { return len(s.Ended) > 0 || len(s.broke) > 0 }
+func (s *suspect) active() bool { return len(s.Ended) > 0 || len(s.brokenAt) > 0 }
 
 // setLabel names the content to operators, if that was not done.
 func (s *suspect) setLabel(content *Content, service string) {
@@ -104,7 +104,7 @@
 	changed := other.Epoch > s.Epoch
 	if changed {
 		s.Entry = Entry{Digest: s.Digest, Epoch: other.Epoch, Label: s.Label}
-		s.broke, s.seenAt = nil, nil
+		s.brokenAt, s.seenAt = nil, nil
 	}
 	for replica, times := range other.Ended {
 		changed = s.raiseEnds(replica, times, now) || changed
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -27,11 +27,11 @@
 	s := t.entry(digest)
 	s.setLabel(content, service)
 	t.change(s, func() {
-		if s.broke == nil {
-			s.broke = map[string]time.Time{}
+		if s.brokenAt == nil {
+			s.brokenAt = map[string]time.Time{}
 		}
-		if len(s.broke) < maxEndedReplicas {
-			s.broke[replica] = t.now()
+		if len(s.brokenAt) < maxEndedReplicas {
+			s.brokenAt[replica] = t.now()
 		}
 	})
 }
@@ -40,7 +40,7 @@
 func (t *Table) ended(s *suspect, name string) {
 	added := false
 	t.change(s, func() {
-		delete(s.broke, name)
+		delete(s.brokenAt, name)
 		added = s.addEnd(name, t.now())
 		if added && s.refused() && s.Keeper == "" {
 			s.Keeper = t.machine
@@ -72,8 +72,8 @@
 	case s == nil:
 	case len(s.Ended) > 0:
 		t.clear(s, "answered")
-	case len(s.broke) > 0:
-		t.change(s, func() { s.broke = nil })
+	case len(s.brokenAt) > 0:
+		t.change(s, func() { s.brokenAt = nil })
 	}
 }
 
@@ -96,7 +96,7 @@
 		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()), zap.Uint64("turned_away", s.turnedAway))
 	t.change(s, func() {
 		s.Entry = Entry{Digest: s.Digest, Epoch: s.Epoch + 1, Label: s.Label}
-		s.broke, s.seenAt, s.turnedAway = nil, nil, 0
+		s.brokenAt, s.seenAt, s.turnedAway = nil, nil, 0
 	})
 	s.ownChange = true
 	t.announce(s)
--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -76,12 +76,12 @@
 
 // resolveBroken decides on the broken connections of an entry. The mutex is held.
 func (t *Table) resolveBroken(s *suspect, now time.Time, listed func(replica string) bool) {
-	for replica, at := range s.broke {
+	for replica, at := range s.brokenAt {
 		switch {
 		case !listed(replica):
 			t.ended(s, replica)
 		case now.Sub(at) > brokenConnectionTTL:
-			t.change(s, func() { delete(s.broke, replica) })
+			t.change(s, func() { delete(s.brokenAt, replica) })
 		}
 	}
 }
