--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -70,9 +70,9 @@
 	// brokenAt are replicas on which a connection ended under the content while it is not
 	// known yet whether the process did, with when that was.
 	brokenAt map[string]time.Time
-	// seenAt is when the last end of each replica was learned of here, endedAt the newest
+	// endSeenAt is when the last end of each replica was learned of here, endedAt the newest
 	// of these; usedAt is when the entry was last changed or asked for.
-	seenAt          map[string]time.Time
+	endSeenAt       map[string]time.Time
 	endedAt, usedAt time.Time
 	// turnedAway counts tries that were refused here.
 	turnedAway uint64
@@ -104,7 +104,7 @@
 	changed := other.Epoch > s.Epoch
 	if changed {
 		s.Entry = Entry{Digest: s.Digest, Epoch: other.Epoch, Label: s.Label}
-		s.brokenAt, s.seenAt = nil, nil
+		s.brokenAt, s.endSeenAt = nil, nil
 	}
 	for replica, times := range other.Ended {
 		changed = s.raiseEnds(replica, times, now) || changed
@@ -124,7 +124,7 @@
 // addEnd notes an end of a replica. It reports whether it is a new one, and not that
 // which another run of the content, here or at another daemon, has shown.
 func (s *suspect) addEnd(name string, now time.Time) bool {
-	seen, before := s.seenAt[name]
+	seen, before := s.endSeenAt[name]
 	if before && (replica.Incarnation(name).EndsOnce() || now.Sub(seen) < endDedupWindow) {
 		return false
 	}
@@ -141,17 +141,17 @@
 	if s.Ended == nil {
 		s.Ended = map[string]int{}
 	}
-	if s.seenAt == nil {
-		s.seenAt = map[string]time.Time{}
+	if s.endSeenAt == nil {
+		s.endSeenAt = map[string]time.Time{}
 	}
-	s.Ended[replica], s.seenAt[replica], s.endedAt = times, now, now
+	s.Ended[replica], s.endSeenAt[replica], s.endedAt = times, now, now
 	return true
 }
 
 // endedRecently reports whether a replica ended under the content so short a time ago that
 // it is hardly back.
 func (s *suspect) endedRecently(replica string, now time.Time) bool {
-	seen, ended := s.seenAt[replica]
+	seen, ended := s.endSeenAt[replica]
 	return ended && now.Sub(seen) < replicaRestartTime
 }
 
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -96,7 +96,7 @@
 		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()), zap.Uint64("turned_away", s.turnedAway))
 	t.change(s, func() {
 		s.Entry = Entry{Digest: s.Digest, Epoch: s.Epoch + 1, Label: s.Label}
-		s.brokenAt, s.seenAt, s.turnedAway = nil, nil, 0
+		s.brokenAt, s.endSeenAt, s.turnedAway = nil, nil, 0
 	})
 	s.ownChange = true
 	t.announce(s)
