--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -72,8 +72,8 @@
 	brokenAt map[string]time.Time
 	// endSeenAt is when the last end of each replica was learned of here, endedAt the newest
 	// of these; usedAt is when the entry was last changed or asked for.
-	endSeenAt       map[string]time.Time
-	endedAt, usedAt time.Time
+	endSeenAt         map[string]time.Time
+	lastEndAt, usedAt time.Time
 	// turnedAway counts tries that were refused here.
 	turnedAway uint64
 	// deciding is not nil while a run alone is under way from here; it is closed with it.
@@ -144,7 +144,7 @@
 	if s.endSeenAt == nil {
 		s.endSeenAt = map[string]time.Time{}
 	}
-	s.Ended[replica], s.endSeenAt[replica], s.endedAt = times, now, now
+	s.Ended[replica], s.endSeenAt[replica], s.lastEndAt = times, now, now
 	return true
 }
 
--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -66,7 +66,7 @@
 		t.resolveBroken(s, now, listed)
 		switch {
 		case s.deciding != nil:
-		case len(s.Ended) > 0 && now.Sub(s.endedAt) > suspicionTTL:
+		case len(s.Ended) > 0 && now.Sub(s.lastEndAt) > suspicionTTL:
 			t.clear(s, "long ago")
 		case !s.active() && s.journaled == nil && now.Sub(s.usedAt) > clearedTTL:
 			t.remove(s, "cleared")
--- a/internal/requests/quarantine/listing.go
+++ b/internal/requests/quarantine/listing.go
@@ -24,7 +24,7 @@
 	for _, s := range t.entries {
 		if len(s.Ended) > 0 {
 			list = append(list, Listing{Digest: s.Digest.String(), Entry: s.cloneEntry(), Refused: s.refused(),
-				TurnedAway: s.turnedAway, SinceEndMs: t.now().Sub(s.endedAt).Milliseconds()})
+				TurnedAway: s.turnedAway, SinceEndMs: t.now().Sub(s.lastEndAt).Milliseconds()})
 		}
 	}
 	slices.SortFunc(list, func(a, b Listing) int {
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -189,7 +189,7 @@
 	case atOnce, s.refused(), len(s.Ended) == 0:
 		return true
 	default:
-		return now.Sub(s.endedAt) >= suspectedFor
+		return now.Sub(s.lastEndAt) >= suspectedFor
 	}
 }
 
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -150,7 +150,7 @@
 
 // refusalFor reports whether the content must not run now. The mutex is held.
 func (t *Table) refusalFor(s *suspect, now time.Time, others func() []string) (Refused, bool) {
-	since := now.Sub(s.endedAt)
+	since := now.Sub(s.lastEndAt)
 	refused := Refused{Ended: s.ends()}
 	switch {
 	case s.refused() && (s.Keeper != t.machine || s.Retried):
@@ -168,7 +168,7 @@
 // mayRetry reports whether a refused content may run once more from here. The mutex is
 // held.
 func (t *Table) mayRetry(s *suspect, now time.Time) bool {
-	return s.Keeper == t.machine && !s.Retried && now.Sub(s.endedAt) >= retryDelay
+	return s.Keeper == t.machine && !s.Retried && now.Sub(s.lastEndAt) >= retryDelay
 }
 
 // anyAvailable reports whether one of the replicas did not end under the content lately.
@@ -188,7 +188,7 @@
 	t.logger.Info("suspect runs alone", zap.String("content", s.Digest.Short()),
 		zap.String("replica", replica.Incarnation(name).ID()), zap.String("start", name),
 		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()), zap.Bool("refused", s.refused()),
-		zap.Duration("since_end", t.now().Sub(s.endedAt)))
+		zap.Duration("since_end", t.now().Sub(s.lastEndAt)))
 	var once sync.Once
 	return Isolated{End: func() { once.Do(func() { t.endIsolated(s, name, over) }) }}
 }
