--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -76,8 +76,8 @@
 	lastEndAt, usedAt time.Time
 	// turnedAway counts tries that were refused here.
 	turnedAway uint64
-	// deciding is not nil while a run alone is under way from here; it is closed with it.
-	deciding chan struct{}
+	// isolatedRun is not nil while a run alone is under way from here; it is closed with it.
+	isolatedRun chan struct{}
 	// journaled is the entry as the journal has it, nil if it has none. A difference that
 	// comes from here (ownChange) is written at once, any other only after recordAfter, in
 	// case the daemon that made it has gone.
--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -39,7 +39,7 @@
 func (t *Table) evictOne() {
 	var least *suspect
 	for _, s := range t.entries {
-		if s.deciding == nil && (least == nil || s.evictedBefore(least)) {
+		if s.isolatedRun == nil && (least == nil || s.evictedBefore(least)) {
 			least = s
 		}
 	}
@@ -65,7 +65,7 @@
 	for _, s := range t.entries {
 		t.resolveBroken(s, now, listed)
 		switch {
-		case s.deciding != nil:
+		case s.isolatedRun != nil:
 		case len(s.Ended) > 0 && now.Sub(s.lastEndAt) > suspicionTTL:
 			t.clear(s, "long ago")
 		case !s.active() && s.journaled == nil && now.Sub(s.usedAt) > clearedTTL:
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -140,8 +140,8 @@
 		return refused
 	}
 	switch {
-	case s.deciding != nil:
-		return Wait{Over: s.deciding}
+	case s.isolatedRun != nil:
+		return Wait{Over: s.isolatedRun}
 	case t.alone[replica] > 0, s.endedRecently(replica, now):
 		return OtherReplica{}
 	}
@@ -157,7 +157,7 @@
 		refused.RetryAfter, refused.Final = refusal.Quarantined.RetryAfter, true
 	case s.refused() && since < retryDelay:
 		refused.RetryAfter = retryDelay - since
-	case s.deciding == nil && since < replicaRestartTime && !s.anyAvailable(others(), now):
+	case s.isolatedRun == nil && since < replicaRestartTime && !s.anyAvailable(others(), now):
 		refused.RetryAfter = min(refusal.SuspectAlone.RetryAfter, replicaRestartTime-since)
 	default:
 		return Refused{}, false
@@ -179,7 +179,7 @@
 // startIsolated begins the one run that the content may have now. The mutex is held.
 func (t *Table) startIsolated(s *suspect, name string) Isolated {
 	over := make(chan struct{})
-	s.deciding = over
+	s.isolatedRun = over
 	t.alone[name]++
 	if s.refused() {
 		t.change(s, func() { s.Retried, s.ownChange = true, true })
@@ -196,7 +196,7 @@
 func (t *Table) endIsolated(s *suspect, replica string, over chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s.deciding = nil
+	s.isolatedRun = nil
 	close(over)
 	t.alone[replica]--
 	if t.alone[replica] <= 0 {
