--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -82,7 +82,7 @@
 	// comes from here (ownChange) is written at once, any other only after recordAfter, in
 	// case the daemon that made it has gone.
 	journaled   *Entry
-	ownChange   bool
+	changedHere bool
 	recordAfter time.Time
 }
 
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -49,7 +49,7 @@
 	if !added {
 		return
 	}
-	s.ownChange = true
+	s.changedHere = true
 	t.logger.Warn("replica ended under a content", zap.String("content", s.Digest.Short()),
 		zap.String("replica", replica.Incarnation(name).ID()), zap.String("start", name),
 		zap.String("service", s.Label.Service), zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
@@ -98,7 +98,7 @@
 		s.Entry = Entry{Digest: s.Digest, Epoch: s.Epoch + 1, Label: s.Label}
 		s.brokenAt, s.endSeenAt, s.turnedAway = nil, nil, 0
 	})
-	s.ownChange = true
+	s.changedHere = true
 	t.announce(s)
 }
 
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -184,7 +184,7 @@
 // recordDue reports whether this daemon should write the entry now.
 func (s *suspect) recordDue(now time.Time, atOnce bool) bool {
 	switch {
-	case !s.ownChange:
+	case !s.changedHere:
 		return !now.Before(s.recordAfter)
 	case atOnce, s.refused(), len(s.Ended) == 0:
 		return true
@@ -200,7 +200,7 @@
 	defer t.mu.Unlock()
 	for _, entry := range entries {
 		if s := t.entries[entry.Digest]; s != nil && s.recordedBy(&entry) {
-			s.ownChange, s.recordAfter = false, t.now().Add(leaveToOther)
+			s.changedHere, s.recordAfter = false, t.now().Add(leaveToOther)
 		}
 	}
 }
