--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -47,7 +47,7 @@
 )
 
 // Decision is what a content may do now: Free, Alone, Wait, Elsewhere or Refused.
-type Decision interface{ verdict() }
+type Decision interface{ isDecision() }
 
 // Allowed lets the content run as any other.
 type Allowed struct{}
@@ -76,11 +76,11 @@
 	Final bool
 }
 
-func (Allowed) verdict()      {}
-func (Isolated) verdict()     {}
-func (Wait) verdict()         {}
-func (OtherReplica) verdict() {}
-func (Refused) verdict()      {}
+func (Allowed) isDecision()      {}
+func (Isolated) isDecision()     {}
+func (Wait) isDecision()         {}
+func (OtherReplica) isDecision() {}
+func (Refused) isDecision()      {}
 
 // Suspicion returns what is held against a content, without asking for it to run.
 func (t *Table) Suspicion(content *Content) Suspicion {
