--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -152,7 +152,7 @@
 // it is hardly back.
 func (s *suspect) endedRecently(replica string, now time.Time) bool {
 	seen, ended := s.endSeenAt[replica]
-	return ended && now.Sub(seen) < replicaRestartTime
+	return ended && now.Sub(seen) < replicaRestartTimeout
 }
 
 func (s *suspect) cloneEntry() Entry {
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -67,7 +67,7 @@
 	is.Equal(verdictOn(table, bad, "a", others...), "elsewhere") // it has just ended there
 	is.Equal(verdictOn(table, bad, "x", "a", "b"), "refused")    // no other replica would serve the others
 	is.Equal(verdictOn(table, bad, "x", "y"), "alone")
-	clock.pass(replicaRestartTime)
+	clock.pass(replicaRestartTimeout)
 	is.Equal(verdictOn(table, bad, "x"), "alone") // a service may have one replica only
 	table.Ended(bad, "x", "s")
 	is.Equal(verdictOn(table, bad, "y", others...), "refused")
@@ -86,7 +86,7 @@
 		table.Ended(content, "only", "s") // another run shows the same end
 		if wanted == "alone" {
 			is.Equal(verdictOn(table, content, "only"), "refused") // it is hardly back
-			clock.pass(replicaRestartTime)
+			clock.pass(replicaRestartTimeout)
 		}
 		is.Equal(verdictOn(table, content, "only"), wanted)
 		clock.pass(endDedupWindow)
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -24,9 +24,9 @@
 	// starts apart: several runs of a content show it within milliseconds, and no process is
 	// back and ends again so soon.
 	endDedupWindow = time.Second
-	// replicaRestartTime is how long a run alone waits for a second replica of its service: a
+	// replicaRestartTimeout is how long a run alone waits for a second replica of its service: a
 	// process that ended is replaced within some seconds.
-	replicaRestartTime = 5 * time.Second
+	replicaRestartTimeout = 5 * time.Second
 	// retryDelay is how long after its last end a refused content may run once more.
 	retryDelay = 15 * time.Second
 )
@@ -157,8 +157,8 @@
 		refused.RetryAfter, refused.Final = refusal.Quarantined.RetryAfter, true
 	case s.refused() && since < retryDelay:
 		refused.RetryAfter = retryDelay - since
-	case s.isolatedRun == nil && since < replicaRestartTime && !s.anyAvailable(others(), now):
-		refused.RetryAfter = min(refusal.SuspectAlone.RetryAfter, replicaRestartTime-since)
+	case s.isolatedRun == nil && since < replicaRestartTimeout && !s.anyAvailable(others(), now):
+		refused.RetryAfter = min(refusal.SuspectAlone.RetryAfter, replicaRestartTimeout-since)
 	default:
 		return Refused{}, false
 	}
