--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -64,7 +64,7 @@
 		return
 	}
 	if liveness == upstream.Gone {
-		f.Quarantine.Ended(failed.content, string(rep.Incarnation()), rep.Service)
+		f.Quarantine.ReplicaEnded(failed.content, string(rep.Incarnation()), rep.Service)
 	} else {
 		f.Quarantine.Broke(failed.content, string(rep.Incarnation()), rep.Service)
 	}
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -8,8 +8,8 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// Ended notes that a replica of a service ended while it ran the content.
-func (t *Table) Ended(content *Content, replica, service string) {
+// ReplicaEnded notes that a replica of a service ended while it ran the content.
+func (t *Table) ReplicaEnded(content *Content, replica, service string) {
 	digest := content.Digest()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/requests/quarantine/spread_test.go
+++ b/internal/requests/quarantine/spread_test.go
@@ -133,7 +133,7 @@
 // end has three daemons see a replica end under the content, one each.
 func end(daemons ...*daemon) {
 	for i, s := range daemons {
-		s.table.Ended(poison, fmt.Sprint("replica-", i), "s")
+		s.table.ReplicaEnded(poison, fmt.Sprint("replica-", i), "s")
 	}
 }
 
@@ -269,7 +269,7 @@
 		for _, s := range again {
 			is.Equal(s.table.Suspicion(poison), IsolatedOnly)
 		}
-		again[2].table.Ended(poison, "one-more", "s")
+		again[2].table.ReplicaEnded(poison, "one-more", "s")
 		time.Sleep(contactBound)
 		is.Equal(knowing(again), len(again))
 		// What is answered is dropped from the journal, for all that start later.
--- a/internal/requests/quarantine/start_test.go
+++ b/internal/requests/quarantine/start_test.go
@@ -47,11 +47,11 @@
 	table, other, bad := clock.table("m"), clock.table("n"), contentNamed("bad")
 	name := starts(1)[0]
 	table.Broke(bad, name, "s")
-	other.Ended(bad, name, "s")
+	other.ReplicaEnded(bad, name, "s")
 	table.Merge(other.entriesOf([]Digest{bad.Digest()}), "n")
 	clock.pass(3 * time.Second)
 	table.Sweep(func(string) bool { return false })
-	table.Ended(bad, name, "s")
+	table.ReplicaEnded(bad, name, "s")
 	is.Equal(ends(table, bad), 1)
 }
 
@@ -61,8 +61,8 @@
 	clock := newTestClock()
 	table, bad := clock.table("m"), contentNamed("bad")
 	names := starts(3)
-	table.Ended(bad, "b", "s")
-	table.Ended(bad, names[0], "s")
+	table.ReplicaEnded(bad, "b", "s")
+	table.ReplicaEnded(bad, names[0], "s")
 	is.Equal(verdictOn(table, bad, names[0], "x"), "elsewhere")
 	is.Equal(verdictOn(table, bad, names[1], "x"), "alone")
 	is.Equal(verdictOn(table, bad, "x", names[1]), "alone")
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -58,18 +58,18 @@
 	table, bad := clock.table("m"), contentNamed("bad")
 	is.True(table.Quiet())
 	is.Equal(verdictOn(table, bad, "a", others...), "free")
-	table.Ended(bad, "a", "s")
+	table.ReplicaEnded(bad, "a", "s")
 	is.True(!table.Quiet())
 	is.Equal(verdictOn(table, bad, "b", others...), "suspected")
-	table.Ended(bad, "a", "s") // the same end, seen by another request's side
+	table.ReplicaEnded(bad, "a", "s") // the same end, seen by another request's side
 	is.Equal(verdictOn(table, bad, "b", others...), "suspected")
-	table.Ended(bad, "b", "s")
+	table.ReplicaEnded(bad, "b", "s")
 	is.Equal(verdictOn(table, bad, "a", others...), "elsewhere") // it has just ended there
 	is.Equal(verdictOn(table, bad, "x", "a", "b"), "refused")    // no other replica would serve the others
 	is.Equal(verdictOn(table, bad, "x", "y"), "alone")
 	clock.pass(replicaRestartTimeout)
 	is.Equal(verdictOn(table, bad, "x"), "alone") // a service may have one replica only
-	table.Ended(bad, "x", "s")
+	table.ReplicaEnded(bad, "x", "s")
 	is.Equal(verdictOn(table, bad, "y", others...), "refused")
 	is.True(table.Blocked(bad))
 	is.Equal(verdictOn(table, contentNamed("good"), "y", others...), "free")
@@ -82,8 +82,8 @@
 	clock := newTestClock()
 	table, content := clock.table("m"), contentNamed("c")
 	for _, wanted := range []string{"suspected", "alone", "refused"} {
-		table.Ended(content, "only", "s")
-		table.Ended(content, "only", "s") // another run shows the same end
+		table.ReplicaEnded(content, "only", "s")
+		table.ReplicaEnded(content, "only", "s") // another run shows the same end
 		if wanted == "alone" {
 			is.Equal(verdictOn(table, content, "only"), "refused") // it is hardly back
 			clock.pass(replicaRestartTimeout)
@@ -99,8 +99,8 @@
 	clock := newTestClock()
 	table, one, two := clock.table("m"), contentNamed("one"), contentNamed("two")
 	for _, content := range []*Content{one, two} {
-		table.Ended(content, "a", "s")
-		table.Ended(content, "b", "s")
+		table.ReplicaEnded(content, "a", "s")
+		table.ReplicaEnded(content, "b", "s")
 	}
 	run, granted := table.Decide(one, "x", listed).(Isolated)
 	is.True(granted)
@@ -121,7 +121,7 @@
 	clock := newTestClock()
 	keeper, other, content := clock.table("keeper"), clock.table("other"), contentNamed("c")
 	for _, replica := range []string{"a", "b", "c"} {
-		keeper.Ended(content, replica, "s")
+		keeper.ReplicaEnded(content, replica, "s")
 	}
 	other.Merge(keeper.entriesOf([]Digest{content.Digest()}), "keeper")
 	is.Equal(verdictOn(other, content, "x", others...), "refused for good")
@@ -146,8 +146,8 @@
 	is := is.New(t)
 	table, popular := newTestClock().table("m"), contentNamed("popular")
 	for i := range 20 {
-		table.Ended(popular, fmt.Sprint("a", i), "s")
-		table.Ended(popular, fmt.Sprint("b", i), "s")
+		table.ReplicaEnded(popular, fmt.Sprint("a", i), "s")
+		table.ReplicaEnded(popular, fmt.Sprint("b", i), "s")
 		table.Answered(popular)
 		is.Equal(verdictOn(table, popular, "x", others...), "free")
 	}
@@ -185,10 +185,10 @@
 	is := is.New(t)
 	clock := newTestClock()
 	table, bad := clock.table("m"), contentNamed("bad")
-	table.Ended(bad, "a", "s")
+	table.ReplicaEnded(bad, "a", "s")
 	first, _ := table.toRecord(true)
 	is.Equal(len(first), 1)
-	table.Ended(bad, "b", "s")
+	table.ReplicaEnded(bad, "b", "s")
 	table.written(first)
 	second, _ := table.toRecord(true)
 	is.Equal(len(second), 1)
@@ -206,11 +206,11 @@
 	clock := newTestClock()
 	table, refused := clock.table("m"), contentNamed("refused")
 	for _, replica := range []string{"a", "b", "c"} {
-		table.Ended(refused, replica, "s")
+		table.ReplicaEnded(refused, replica, "s")
 	}
 	for i := range maxEntries + 100 {
 		clock.pass(time.Millisecond)
-		table.Ended(contentNamed(fmt.Sprint(i)), "a", "s")
+		table.ReplicaEnded(contentNamed(fmt.Sprint(i)), "a", "s")
 	}
 	is.Equal(len(table.entries), maxEntries)
 	is.Equal(int(table.active.Load()), maxEntries)
@@ -229,7 +229,7 @@
 	table := newTestClock().table("m")
 	content := &Content{Caller: "tenant", Method: "POST", Host: "h", Target: "/t", Body: []byte("body")}
 	for _, replica := range []string{"c", "a", "b"} {
-		table.Ended(content, replica, "s")
+		table.ReplicaEnded(content, replica, "s")
 	}
 	is.Equal(verdictOn(table, content, "x", others...), "refused")
 	list := table.List()
@@ -259,7 +259,7 @@
 			clock.pass(rapid.SampledFrom([]time.Duration{0, time.Millisecond, endDedupWindow}).Draw(t, "pause"))
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				at.Ended(content, rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "replica"), "s")
+				at.ReplicaEnded(content, rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "replica"), "s")
 			case 2:
 				at.Answered(content)
 			default:
@@ -296,7 +296,7 @@
 func BenchmarkAdmitBesideARefusedContent(b *testing.B) {
 	table := newTestClock().table("m")
 	for _, replica := range []string{"a", "b", "c"} {
-		table.Ended(contentNamed("refused"), replica, "s")
+		table.ReplicaEnded(contentNamed("refused"), replica, "s")
 	}
 	body := make([]byte, 8<<10)
 	for b.Loop() {
