--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -66,6 +66,6 @@
 	if liveness == upstream.Gone {
 		f.Quarantine.ReplicaEnded(failed.content, string(rep.Incarnation()), rep.Service)
 	} else {
-		f.Quarantine.Broke(failed.content, string(rep.Incarnation()), rep.Service)
+		f.Quarantine.ConnectionBroken(failed.content, string(rep.Incarnation()), rep.Service)
 	}
 }
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -18,9 +18,9 @@
 	t.ended(s, replica)
 }
 
-// Broke notes that the connection to a replica ended while it ran the content, and that
+// ConnectionBroken notes that the connection to a replica ended while it ran the content, and that
 // its process may have.
-func (t *Table) Broke(content *Content, replica, service string) {
+func (t *Table) ConnectionBroken(content *Content, replica, service string) {
 	digest := content.Digest()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/requests/quarantine/start_test.go
+++ b/internal/requests/quarantine/start_test.go
@@ -28,7 +28,7 @@
 	names := starts(minEndsToRefuse + 1)
 	for i := range minEndsToRefuse {
 		present := names[i]
-		table.Broke(bad, names[i], "s")
+		table.ConnectionBroken(bad, names[i], "s")
 		table.Sweep(func(name string) bool { return name == present })
 		is.Equal(ends(table, bad), i)
 		clock.pass(300 * time.Millisecond) // sooner than two ends of an unnamed start would count
@@ -46,7 +46,7 @@
 	clock := newTestClock()
 	table, other, bad := clock.table("m"), clock.table("n"), contentNamed("bad")
 	name := starts(1)[0]
-	table.Broke(bad, name, "s")
+	table.ConnectionBroken(bad, name, "s")
 	other.ReplicaEnded(bad, name, "s")
 	table.Merge(other.entriesOf([]Digest{bad.Digest()}), "n")
 	clock.pass(3 * time.Second)
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -162,8 +162,8 @@
 	entries := map[string]bool{"a": true, "b": true}
 	sweep := func() { table.Sweep(func(id string) bool { return entries[id] }) }
 	for _, content := range []*Content{bad, good} {
-		table.Broke(content, "a", "s")
-		table.Broke(content, "b", "s")
+		table.ConnectionBroken(content, "a", "s")
+		table.ConnectionBroken(content, "b", "s")
 	}
 	sweep()
 	is.Equal(table.Suspicion(bad), Unsuspected)
