--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -15,7 +15,7 @@
 	defer t.mu.Unlock()
 	s := t.entry(digest)
 	s.setLabel(content, service)
-	t.ended(s, replica)
+	t.addEnd(s, replica)
 }
 
 // ConnectionBroken notes that the connection to a replica ended while it ran the content, and that
@@ -36,8 +36,8 @@
 	})
 }
 
-// ended adds a replica to those that ended under a content. The mutex is held.
-func (t *Table) ended(s *suspect, name string) {
+// addEnd adds a replica to those that addEnd under a content. The mutex is held.
+func (t *Table) addEnd(s *suspect, name string) {
 	added := false
 	t.change(s, func() {
 		delete(s.brokenAt, name)
--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -79,7 +79,7 @@
 	for replica, at := range s.brokenAt {
 		switch {
 		case !listed(replica):
-			t.ended(s, replica)
+			t.addEnd(s, replica)
 		case now.Sub(at) > brokenConnectionTTL:
 			t.change(s, func() { delete(s.brokenAt, replica) })
 		}
