--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -71,7 +71,7 @@
 	switch {
 	case s == nil:
 	case len(s.Ended) > 0:
-		t.clear(s, "answered")
+		t.clearEntry(s, "answered")
 	case len(s.brokenAt) > 0:
 		t.change(s, func() { s.brokenAt = nil })
 	}
@@ -85,12 +85,12 @@
 	if s == nil || len(s.Ended) == 0 {
 		return false
 	}
-	t.clear(s, "lifted by an operator")
+	t.clearEntry(s, "lifted by an operator")
 	return true
 }
 
-// clear begins a new epoch of a content. The mutex is held.
-func (t *Table) clear(s *suspect, reason string) {
+// clearEntry begins a new epoch of a content. The mutex is held.
+func (t *Table) clearEntry(s *suspect, reason string) {
 	t.logger.Info("content cleared", zap.String("content", s.Digest.Short()), zap.String("reason", reason),
 		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
 		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()), zap.Uint64("turned_away", s.turnedAway))
--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -67,7 +67,7 @@
 		switch {
 		case s.isolatedRun != nil:
 		case len(s.Ended) > 0 && now.Sub(s.lastEndAt) > suspicionTTL:
-			t.clear(s, "long ago")
+			t.clearEntry(s, "long ago")
 		case !s.active() && s.journaled == nil && now.Sub(s.usedAt) > clearedTTL:
 			t.remove(s, "cleared")
 		}
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -242,6 +242,6 @@
 	s.journaled = nil
 	signal(t.unrecorded)
 	if before != nil && before.Epoch == s.Epoch && len(s.Ended) > 0 {
-		t.clear(s, "cleared in the journal")
+		t.clearEntry(s, "cleared in the journal")
 	}
 }
