--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -139,7 +139,7 @@
 // held.
 func (j *job) blocked(it *item) bool {
 	table := j.r.forwarder.Quarantine
-	return !table.Quiet() && table.Blocked(j.contentOf(it))
+	return !table.NoneSuspected() && table.Blocked(j.contentOf(it))
 }
 
 // contentOf returns what the quarantine knows the item's request by. The mutex is held.
--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -61,7 +61,7 @@
 // mayRun asks whether a request may be sent to a replica now, for its content's sake. If
 // so, release must be called when the run is over and what it showed is noted.
 func (f *Forwarder) mayRun(requestID string, content *quarantine.Content, rep replica.Replica) (release func(), refused *QuarantinedError) {
-	if f.Quarantine.Quiet() {
+	if f.Quarantine.NoneSuspected() {
 		return func() {}, nil
 	}
 	switch verdict := f.Quarantine.Decide(content, string(rep.Incarnation()), func() []string { return f.others(rep) }).(type) {
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -61,7 +61,7 @@
 // Answered notes that a replica gave the content a whole answer: it does not end what
 // runs it.
 func (t *Table) Answered(content *Content) {
-	if t.Quiet() {
+	if t.NoneSuspected() {
 		return
 	}
 	digest := content.Digest()
--- a/internal/requests/quarantine/quarantine.go
+++ b/internal/requests/quarantine/quarantine.go
@@ -82,8 +82,8 @@
 		changed: map[Digest]bool{}, wake: make(chan struct{}, 1), unrecorded: make(chan struct{}, 1)}
 }
 
-// Quiet reports whether no content is suspected.
-func (t *Table) Quiet() bool { return t.active.Load() == 0 }
+// NoneSuspected reports whether no content is suspected.
+func (t *Table) NoneSuspected() bool { return t.active.Load() == 0 }
 
 // entry returns the entry of a content, made if there is none. The mutex is held.
 func (t *Table) entry(digest Digest) *suspect {
--- a/internal/requests/quarantine/spread_test.go
+++ b/internal/requests/quarantine/spread_test.go
@@ -242,7 +242,7 @@
 		time.Sleep(contactBound)
 		is.Equal(len(f.log.Records(Partition)), 0)
 		for _, s := range daemons {
-			is.True(s.table.Quiet())
+			is.True(s.table.NoneSuspected())
 		}
 		cancel()
 		synctest.Wait()
@@ -277,7 +277,7 @@
 		time.Sleep(contactBound)
 		late := f.start("late", true)
 		synctest.Wait()
-		is.True(late.table.Quiet())
+		is.True(late.table.NoneSuspected())
 		cancel()
 		synctest.Wait()
 	})
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -56,10 +56,10 @@
 	is := is.New(t)
 	clock := newTestClock()
 	table, bad := clock.table("m"), contentNamed("bad")
-	is.True(table.Quiet())
+	is.True(table.NoneSuspected())
 	is.Equal(verdictOn(table, bad, "a", others...), "free")
 	table.ReplicaEnded(bad, "a", "s")
-	is.True(!table.Quiet())
+	is.True(!table.NoneSuspected())
 	is.Equal(verdictOn(table, bad, "b", others...), "suspected")
 	table.ReplicaEnded(bad, "a", "s") // the same end, seen by another request's side
 	is.Equal(verdictOn(table, bad, "b", others...), "suspected")
@@ -136,7 +136,7 @@
 	other.Merge(keeper.entriesOf([]Digest{content.Digest()}), "keeper")
 	for _, s := range []*Table{keeper, other} {
 		is.Equal(verdictOn(s, content, "x", others...), "free")
-		is.True(s.Quiet())
+		is.True(s.NoneSuspected())
 	}
 }
 
@@ -218,7 +218,7 @@
 	is.Equal(table.Suspicion(contentNamed("0")), Unsuspected)
 	clock.pass(suspicionTTL + 1)
 	table.Sweep(func(string) bool { return true })
-	is.True(table.Quiet())
+	is.True(table.NoneSuspected())
 	clock.pass(clearedTTL + 1)
 	table.Sweep(func(string) bool { return true })
 	is.Equal(len(table.entries), 0)
@@ -284,7 +284,7 @@
 			if one != nil && (one.Epoch != two.Epoch || !maps.Equal(one.Ended, two.Ended) || one.Keeper != two.Keeper || one.Retried != two.Retried) {
 				t.Fatalf("%+v and %+v", one.Entry, two.Entry)
 			}
-			if (one != nil && one.active()) == s.Quiet() {
+			if (one != nil && one.active()) == s.NoneSuspected() {
 				t.Fatalf("active is %d for %+v", s.active.Load(), two)
 			}
 		}
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -84,7 +84,7 @@
 
 // Suspicion returns what is held against a content, without asking for it to run.
 func (t *Table) Suspicion(content *Content) Suspicion {
-	if t.Quiet() {
+	if t.NoneSuspected() {
 		return Unsuspected
 	}
 	digest := content.Digest()
@@ -105,7 +105,7 @@
 
 // Blocked reports whether the content is refused now, whatever the replica.
 func (t *Table) Blocked(content *Content) bool {
-	if t.Quiet() {
+	if t.NoneSuspected() {
 		return false
 	}
 	digest := content.Digest()
@@ -119,7 +119,7 @@
 // other replicas of its service that are listed; it is asked of suspects only, with the
 // table locked.
 func (t *Table) Decide(content *Content, replica string, others func() []string) Decision {
-	if t.Quiet() {
+	if t.NoneSuspected() {
 		return Allowed{}
 	}
 	digest := content.Digest()
