--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -13,7 +13,7 @@
 	digest := content.Digest()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.entry(digest)
+	s := t.ensureEntry(digest)
 	s.setLabel(content, service)
 	t.addEnd(s, replica)
 }
@@ -24,7 +24,7 @@
 	digest := content.Digest()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.entry(digest)
+	s := t.ensureEntry(digest)
 	s.setLabel(content, service)
 	t.change(s, func() {
 		if s.brokenAt == nil {
@@ -107,7 +107,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, other := range entries {
-		if s := t.entry(other.Digest); t.merge(s, other, from) {
+		if s := t.ensureEntry(other.Digest); t.merge(s, other, from) {
 			t.announce(s)
 		}
 	}
--- a/internal/requests/quarantine/quarantine.go
+++ b/internal/requests/quarantine/quarantine.go
@@ -85,8 +85,8 @@
 // NoneSuspected reports whether no content is suspected.
 func (t *Table) NoneSuspected() bool { return t.active.Load() == 0 }
 
-// entry returns the entry of a content, made if there is none. The mutex is held.
-func (t *Table) entry(digest Digest) *suspect {
+// ensureEntry returns the ensureEntry of a content, made if there is none. The mutex is held.
+func (t *Table) ensureEntry(digest Digest) *suspect {
 	s := t.entries[digest]
 	if s == nil {
 		if len(t.entries) >= maxEntries {
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -209,7 +209,7 @@
 func (t *Table) journaled(entry Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.entry(entry.Digest)
+	s := t.ensureEntry(entry.Digest)
 	t.merge(s, entry, "journal")
 	s.journaled = &entry
 	signal(t.unrecorded)
