--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -26,7 +26,7 @@
 	defer t.mu.Unlock()
 	s := t.ensureEntry(digest)
 	s.setLabel(content, service)
-	t.change(s, func() {
+	t.update(s, func() {
 		if s.brokenAt == nil {
 			s.brokenAt = map[string]time.Time{}
 		}
@@ -39,7 +39,7 @@
 // addEnd adds a replica to those that addEnd under a content. The mutex is held.
 func (t *Table) addEnd(s *suspect, name string) {
 	added := false
-	t.change(s, func() {
+	t.update(s, func() {
 		delete(s.brokenAt, name)
 		added = s.addEnd(name, t.now())
 		if added && s.refused() && s.Keeper == "" {
@@ -73,7 +73,7 @@
 	case len(s.Ended) > 0:
 		t.clearEntry(s, "answered")
 	case len(s.brokenAt) > 0:
-		t.change(s, func() { s.brokenAt = nil })
+		t.update(s, func() { s.brokenAt = nil })
 	}
 }
 
@@ -94,7 +94,7 @@
 	t.logger.Info("content cleared", zap.String("content", s.Digest.Short()), zap.String("reason", reason),
 		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
 		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()), zap.Uint64("turned_away", s.turnedAway))
-	t.change(s, func() {
+	t.update(s, func() {
 		s.Entry = Entry{Digest: s.Digest, Epoch: s.Epoch + 1, Label: s.Label}
 		s.brokenAt, s.endSeenAt, s.turnedAway = nil, nil, 0
 	})
@@ -117,7 +117,7 @@
 // The mutex is held.
 func (t *Table) merge(s *suspect, other Entry, from string) bool {
 	news := false
-	t.change(s, func() { news = s.merge(other, t.now()) })
+	t.update(s, func() { news = s.merge(other, t.now()) })
 	if !news {
 		return false
 	}
--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -81,7 +81,7 @@
 		case !listed(replica):
 			t.addEnd(s, replica)
 		case now.Sub(at) > brokenConnectionTTL:
-			t.change(s, func() { delete(s.brokenAt, replica) })
+			t.update(s, func() { delete(s.brokenAt, replica) })
 		}
 	}
 }
--- a/internal/requests/quarantine/quarantine.go
+++ b/internal/requests/quarantine/quarantine.go
@@ -98,9 +98,9 @@
 	return s
 }
 
-// change makes a change of an entry and brings what hangs on it up to date. The mutex is
+// update makes a update of an entry and brings what hangs on it up to date. The mutex is
 // held.
-func (t *Table) change(s *suspect, apply func()) {
+func (t *Table) update(s *suspect, apply func()) {
 	was := s.active()
 	apply()
 	is := s.active()
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -182,7 +182,7 @@
 	s.isolatedRun = over
 	t.alone[name]++
 	if s.refused() {
-		t.change(s, func() { s.Retried, s.changedHere = true, true })
+		t.update(s, func() { s.Retried, s.changedHere = true, true })
 		t.announce(s)
 	}
 	t.logger.Info("suspect runs alone", zap.String("content", s.Digest.Short()),
