--- a/internal/requests/quarantine/quarantine.go
+++ b/internal/requests/quarantine/quarantine.go
@@ -68,8 +68,8 @@
 
 	mu      sync.Mutex
 	entries map[Digest]*suspect
-	// alone counts the runs alone from here at each replica.
-	alone map[string]int
+	// isolatedRuns counts the runs isolatedRuns from here at each replica.
+	isolatedRuns map[string]int
 	// changed are the contents to tell other daemons of; wake says that there are some.
 	// unrecorded says that the journal may lack something.
 	changed          map[Digest]bool
@@ -78,7 +78,7 @@
 
 // New returns an empty table of a machine.
 func New(machine string, now bootclock.Clock, logger *zap.Logger) *Table {
-	return &Table{machine: machine, now: now, logger: logger, entries: map[Digest]*suspect{}, alone: map[string]int{},
+	return &Table{machine: machine, now: now, logger: logger, entries: map[Digest]*suspect{}, isolatedRuns: map[string]int{},
 		changed: map[Digest]bool{}, wake: make(chan struct{}, 1), unrecorded: make(chan struct{}, 1)}
 }
 
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -142,7 +142,7 @@
 	switch {
 	case s.isolatedRun != nil:
 		return Wait{Over: s.isolatedRun}
-	case t.alone[replica] > 0, s.endedRecently(replica, now):
+	case t.isolatedRuns[replica] > 0, s.endedRecently(replica, now):
 		return OtherReplica{}
 	}
 	return t.startIsolated(s, replica)
@@ -180,7 +180,7 @@
 func (t *Table) startIsolated(s *suspect, name string) Isolated {
 	over := make(chan struct{})
 	s.isolatedRun = over
-	t.alone[name]++
+	t.isolatedRuns[name]++
 	if s.refused() {
 		t.update(s, func() { s.Retried, s.changedHere = true, true })
 		t.announce(s)
@@ -198,8 +198,8 @@
 	defer t.mu.Unlock()
 	s.isolatedRun = nil
 	close(over)
-	t.alone[replica]--
-	if t.alone[replica] <= 0 {
-		delete(t.alone, replica)
+	t.isolatedRuns[replica]--
+	if t.isolatedRuns[replica] <= 0 {
+		delete(t.isolatedRuns, replica)
 	}
 }
