--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -25,7 +25,7 @@
 // remove drops an entry. The mutex is held.
 func (t *Table) remove(s *suspect, reason string) {
 	if s.active() {
-		t.active.Add(-1)
+		t.activeCount.Add(-1)
 		t.logger.Info("content forgotten", zap.String("content", s.Digest.Short()), zap.String("reason", reason),
 			zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
 			zap.Bool("refused", s.refused()), zap.Uint64("turned_away", s.turnedAway))
--- a/internal/requests/quarantine/quarantine.go
+++ b/internal/requests/quarantine/quarantine.go
@@ -61,8 +61,8 @@
 	machine string
 	now     bootclock.Clock
 	logger  *zap.Logger
-	// active counts the entries that are: while there is none, no request is looked up.
-	active atomic.Int64
+	// activeCount counts the entries that are: while there is none, no request is looked up.
+	activeCount atomic.Int64
 	// turnedAway counts tries that were refused.
 	turnedAway atomic.Uint64
 
@@ -83,7 +83,7 @@
 }
 
 // NoneSuspected reports whether no content is suspected.
-func (t *Table) NoneSuspected() bool { return t.active.Load() == 0 }
+func (t *Table) NoneSuspected() bool { return t.activeCount.Load() == 0 }
 
 // ensureEntry returns the ensureEntry of a content, made if there is none. The mutex is held.
 func (t *Table) ensureEntry(digest Digest) *suspect {
@@ -106,9 +106,9 @@
 	is := s.active()
 	switch {
 	case is && !was:
-		t.active.Add(1)
+		t.activeCount.Add(1)
 	case was && !is:
-		t.active.Add(-1)
+		t.activeCount.Add(-1)
 	}
 	s.usedAt = t.now()
 	s.recordAfter = s.usedAt.Add(leaveToOther)
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -213,7 +213,7 @@
 		table.ReplicaEnded(contentNamed(fmt.Sprint(i)), "a", "s")
 	}
 	is.Equal(len(table.entries), maxEntries)
-	is.Equal(int(table.active.Load()), maxEntries)
+	is.Equal(int(table.activeCount.Load()), maxEntries)
 	is.Equal(table.Suspicion(refused), Quarantined)
 	is.Equal(table.Suspicion(contentNamed("0")), Unsuspected)
 	clock.pass(suspicionTTL + 1)
@@ -285,7 +285,7 @@
 				t.Fatalf("%+v and %+v", one.Entry, two.Entry)
 			}
 			if (one != nil && one.active()) == s.NoneSuspected() {
-				t.Fatalf("active is %d for %+v", s.active.Load(), two)
+				t.Fatalf("active is %d for %+v", s.activeCount.Load(), two)
 			}
 		}
 	})
