--- a/internal/daemon/cli/quarantine.go
+++ b/internal/daemon/cli/quarantine.go
@@ -13,14 +13,14 @@
 )
 
 func runQuarantineList(o *options) error {
-	var list []quarantine.Listing
+	var list []quarantine.ListedContent
 	if err := o.call(http.MethodGet, quarantine.Path, nil, &list); err != nil {
 		return err
 	}
 	return o.print(list, func(w io.Writer) { printQuarantine(w, list) })
 }
 
-func printQuarantine(w io.Writer, list []quarantine.Listing) {
+func printQuarantine(w io.Writer, list []quarantine.ListedContent) {
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "REFUSED\tREPLICAS ENDED\tLAST END\tTURNED AWAY\tSERVICE\tREQUEST\tDIGEST")
 	for _, entry := range list {
--- a/internal/requests/quarantine/golden_test.go
+++ b/internal/requests/quarantine/golden_test.go
@@ -17,7 +17,7 @@
 	golden.Service(t, ServiceName, &Service{})
 	golden.Gob[Told](t, "told")
 	golden.CBOR[Entry](t, "entry")
-	golden.JSON[Listing](t, "listing")
+	golden.JSON[ListedContent](t, "listing")
 	golden.JSON[problem](t, "problem")
 	golden.JSON[Lifted](t, "lifted")
 	content := &Content{Caller: "caller", Method: "POST", Host: "host", Target: "/target?query", Body: []byte("body")}
--- a/internal/requests/quarantine/listing.go
+++ b/internal/requests/quarantine/listing.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Listing is what an operator is told of a content.
-type Listing struct {
+// ListedContent is what an operator is told of a content.
+type ListedContent struct {
 	Digest string `json:"digest"`
 	Entry
 	Refused bool `json:"refused"`
@@ -17,17 +17,17 @@
 }
 
 // List returns the suspected contents, those with the most ends first.
-func (t *Table) List() []Listing {
+func (t *Table) List() []ListedContent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	list := []Listing{}
+	list := []ListedContent{}
 	for _, s := range t.entries {
 		if len(s.Ended) > 0 {
-			list = append(list, Listing{Digest: s.Digest.String(), Entry: s.cloneEntry(), Refused: s.refused(),
+			list = append(list, ListedContent{Digest: s.Digest.String(), Entry: s.cloneEntry(), Refused: s.refused(),
 				TurnedAway: s.turnedAway, SinceEndMs: t.now().Sub(s.lastEndAt).Milliseconds()})
 		}
 	}
-	slices.SortFunc(list, func(a, b Listing) int {
+	slices.SortFunc(list, func(a, b ListedContent) int {
 		return cmp.Or(cmp.Compare(b.ends(), a.ends()), cmp.Compare(a.Digest, b.Digest))
 	})
 	return list
