--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// gatherTime is how long a change waits for others to be told with: the ends that one
+	// gatherDelay is how long a change waits for others to be told with: the ends that one
 	// crash leaves at a daemon come within milliseconds.
-	gatherTime = 5 * time.Millisecond
+	gatherDelay = 5 * time.Millisecond
 	// tellTimeout bounds one call to a neighbour, retryInterval is the time between two tries.
 	tellTimeout   = 700 * time.Millisecond
 	retryInterval = 300 * time.Millisecond
@@ -86,7 +86,7 @@
 			return
 		case <-s.table.wake:
 		}
-		periodic.Pause(ctx, gatherTime)
+		periodic.Pause(ctx, gatherDelay)
 		changed := s.table.takeChanged()
 		for _, machine := range s.neighbours.Neighbours() {
 			s.add(ctx, machine, changed)
