--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -23,8 +23,8 @@
 	// gatherDelay is how long a change waits for others to be told with: the ends that one
 	// crash leaves at a daemon come within milliseconds.
 	gatherDelay = 5 * time.Millisecond
-	// tellTimeout bounds one call to a neighbour, retryInterval is the time between two tries.
-	tellTimeout   = 700 * time.Millisecond
+	// callTimeout bounds one call to a neighbour, retryInterval is the time between two tries.
+	callTimeout   = 700 * time.Millisecond
 	retryInterval = 300 * time.Millisecond
 	// giveUpAfter is how long a neighbour that does not answer is tried. One that is away for
 	// longer learns from the journal what is refused.
@@ -139,7 +139,7 @@
 // tellOnce makes one call. A neighbour that does not know the call, as one of an earlier
 // version, is taken as told.
 func (s *Spreader) tellOnce(ctx context.Context, machine string, batch []Digest) error {
-	bounded, cancel := context.WithTimeout(ctx, tellTimeout)
+	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	taken := 0
 	err := s.neighbours.Ask(bounded, machine, tellMethod, Told{From: s.table.machine, Entries: s.table.entriesOf(batch)}, &taken)
