--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -24,8 +24,8 @@
 	// crash leaves at a daemon come within milliseconds.
 	gatherDelay = 5 * time.Millisecond
 	// callTimeout bounds one call to a neighbour, retryInterval is the time between two tries.
-	callTimeout   = 700 * time.Millisecond
-	retryInterval = 300 * time.Millisecond
+	callTimeout    = 700 * time.Millisecond
+	callRetryDelay = 300 * time.Millisecond
 	// giveUpAfter is how long a neighbour that does not answer is tried. One that is away for
 	// longer learns from the journal what is refused.
 	giveUpAfter = time.Minute
@@ -131,8 +131,8 @@
 				zap.Int("contents", len(batch)), zap.Error(err))
 		}
 		s.putBack(machine, batch)
-		silent += retryInterval
-		periodic.Pause(ctx, retryInterval)
+		silent += callRetryDelay
+		periodic.Pause(ctx, callRetryDelay)
 	}
 }
 
