--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -26,9 +26,9 @@
 	// callTimeout bounds one call to a neighbour, retryInterval is the time between two tries.
 	callTimeout    = 700 * time.Millisecond
 	callRetryDelay = 300 * time.Millisecond
-	// giveUpAfter is how long a neighbour that does not answer is tried. One that is away for
+	// giveUpTimeout is how long a neighbour that does not answer is tried. One that is away for
 	// longer learns from the journal what is refused.
-	giveUpAfter = time.Minute
+	giveUpTimeout = time.Minute
 	// entriesAtOnce bounds the entries of one call, of 3 KiB each at most.
 	entriesAtOnce = 128
 )
@@ -117,7 +117,7 @@
 func (s *Spreader) tell(ctx context.Context, machine string) {
 	var silent time.Duration
 	for {
-		batch, over := s.take(machine, ctx.Err() != nil || silent >= giveUpAfter)
+		batch, over := s.take(machine, ctx.Err() != nil || silent >= giveUpTimeout)
 		if over {
 			return
 		}
