--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -29,8 +29,8 @@
 	// giveUpTimeout is how long a neighbour that does not answer is tried. One that is away for
 	// longer learns from the journal what is refused.
 	giveUpTimeout = time.Minute
-	// entriesAtOnce bounds the entries of one call, of 3 KiB each at most.
-	entriesAtOnce = 128
+	// maxEntriesPerCall bounds the entries of one call, of 3 KiB each at most.
+	maxEntriesPerCall = 128
 )
 
 // Neighbours are the daemons that this one tells.
@@ -163,7 +163,7 @@
 	for digest := range due {
 		batch = append(batch, digest)
 		delete(due, digest)
-		if len(batch) == entriesAtOnce {
+		if len(batch) == maxEntriesPerCall {
 			break
 		}
 	}
