--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -15,7 +15,7 @@
 	recorder *quarantine.Recorder
 	follower *journal.KeyedFollower
 	// spreader is nil where the settings name no address for peers.
-	spreader *quarantine.Spreader
+	spreader *quarantine.Gossiper
 }
 
 // newQuarantine makes the parts. The relay is there already, if there is one.
--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -60,9 +60,9 @@
 	return nil
 }
 
-// Spreader tells neighbours of changes of a table. What they learn anew they tell on, so
+// Gossiper tells neighbours of changes of a table. What they learn anew they tell on, so
 // that all daemons know after a few calls, with or without the journal.
-type Spreader struct {
+type Gossiper struct {
 	table      *Table
 	neighbours Neighbours
 	logger     *zap.Logger
@@ -74,12 +74,12 @@
 }
 
 // NewSpreader returns a spreader; Run starts it.
-func NewSpreader(table *Table, neighbours Neighbours, logger *zap.Logger) *Spreader {
-	return &Spreader{table: table, neighbours: neighbours, logger: logger, due: map[string]map[Digest]bool{}}
+func NewSpreader(table *Table, neighbours Neighbours, logger *zap.Logger) *Gossiper {
+	return &Gossiper{table: table, neighbours: neighbours, logger: logger, due: map[string]map[Digest]bool{}}
 }
 
 // Run tells of changes until the context ends.
-func (s *Spreader) Run(ctx context.Context) {
+func (s *Gossiper) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -95,7 +95,7 @@
 }
 
 // add has a neighbour told of contents.
-func (s *Spreader) add(ctx context.Context, machine string, changed []Digest) {
+func (s *Gossiper) add(ctx context.Context, machine string, changed []Digest) {
 	if len(changed) == 0 {
 		return
 	}
@@ -114,7 +114,7 @@
 
 // tell tells a neighbour what is due until nothing is, or until it has not answered for
 // too long.
-func (s *Spreader) tell(ctx context.Context, machine string) {
+func (s *Gossiper) tell(ctx context.Context, machine string) {
 	var silent time.Duration
 	for {
 		batch, over := s.take(machine, ctx.Err() != nil || silent >= giveUpTimeout)
@@ -138,7 +138,7 @@
 
 // tellOnce makes one call. A neighbour that does not know the call, as one of an earlier
 // version, is taken as told.
-func (s *Spreader) tellOnce(ctx context.Context, machine string, batch []Digest) error {
+func (s *Gossiper) tellOnce(ctx context.Context, machine string, batch []Digest) error {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	taken := 0
@@ -152,7 +152,7 @@
 
 // take returns the next contents to tell a neighbour of. If there are none, or if it is
 // given up, the telling is over.
-func (s *Spreader) take(machine string, giveUp bool) (batch []Digest, over bool) {
+func (s *Gossiper) take(machine string, giveUp bool) (batch []Digest, over bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	due := s.due[machine]
@@ -170,7 +170,7 @@
 	return batch, false
 }
 
-func (s *Spreader) putBack(machine string, batch []Digest) {
+func (s *Gossiper) putBack(machine string, batch []Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, digest := range batch {
