--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -26,7 +26,7 @@
 	if n.relay != nil {
 		// Peers tell what is new; the journal is for what this daemon has missed.
 		contact = peerContact
-		parts.spreader = quarantine.NewSpreader(table, n.relay, n.logger)
+		parts.spreader = quarantine.NewGossiper(table, n.relay, n.logger)
 		n.relay.Register(quarantine.ServiceName, quarantine.NewService(table))
 	}
 	parts.follower = journal.NewKeyedFollower(log, quarantine.Partition, parts.recorder, contact, n.logger)
--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -73,8 +73,8 @@
 	due map[string]map[Digest]bool
 }
 
-// NewSpreader returns a spreader; Run starts it.
-func NewSpreader(table *Table, neighbours Neighbours, logger *zap.Logger) *Gossiper {
+// NewGossiper returns a spreader; Run starts it.
+func NewGossiper(table *Table, neighbours Neighbours, logger *zap.Logger) *Gossiper {
 	return &Gossiper{table: table, neighbours: neighbours, logger: logger, due: map[string]map[Digest]bool{}}
 }
 
--- a/internal/requests/quarantine/spread_test.go
+++ b/internal/requests/quarantine/spread_test.go
@@ -60,7 +60,7 @@
 	go keeper.Run(ctx)
 	go journal.NewKeyedFollower(f.log, Partition, keeper, contactBound, zap.NewNop()).Run(ctx)
 	if peers {
-		go NewSpreader(d.table, d, zap.NewNop()).Run(ctx)
+		go NewGossiper(d.table, d, zap.NewNop()).Run(ctx)
 	}
 	return d
 }
