--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -68,14 +68,14 @@
 	logger     *zap.Logger
 
 	mu sync.Mutex
-	// due are the contents that a neighbour has to be told of. A neighbour has an entry
+	// pending are the contents that a neighbour has to be told of. A neighbour has an entry
 	// while a goroutine tells it.
-	due map[string]map[Digest]bool
+	pending map[string]map[Digest]bool
 }
 
 // NewGossiper returns a spreader; Run starts it.
 func NewGossiper(table *Table, neighbours Neighbours, logger *zap.Logger) *Gossiper {
-	return &Gossiper{table: table, neighbours: neighbours, logger: logger, due: map[string]map[Digest]bool{}}
+	return &Gossiper{table: table, neighbours: neighbours, logger: logger, pending: map[string]map[Digest]bool{}}
 }
 
 // Run tells of changes until the context ends.
@@ -101,10 +101,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	due, telling := s.due[machine]
+	due, telling := s.pending[machine]
 	if !telling {
 		due = map[Digest]bool{}
-		s.due[machine] = due
+		s.pending[machine] = due
 		go s.tell(ctx, machine)
 	}
 	for _, digest := range changed {
@@ -155,9 +155,9 @@
 func (s *Gossiper) take(machine string, giveUp bool) (batch []Digest, over bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	due := s.due[machine]
+	due := s.pending[machine]
 	if len(due) == 0 || giveUp {
-		delete(s.due, machine)
+		delete(s.pending, machine)
 		return nil, true
 	}
 	for digest := range due {
@@ -174,6 +174,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, digest := range batch {
-		s.due[machine][digest] = true
+		s.pending[machine][digest] = true
 	}
 }
