--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -89,13 +89,13 @@
 		periodic.Pause(ctx, gatherDelay)
 		changed := s.table.takeChanged()
 		for _, machine := range s.neighbours.Neighbours() {
-			s.add(ctx, machine, changed)
+			s.enqueue(ctx, machine, changed)
 		}
 	}
 }
 
-// add has a neighbour told of contents.
-func (s *Gossiper) add(ctx context.Context, machine string, changed []Digest) {
+// enqueue has a neighbour told of contents.
+func (s *Gossiper) enqueue(ctx context.Context, machine string, changed []Digest) {
 	if len(changed) == 0 {
 		return
 	}
