--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -121,7 +121,7 @@
 		if over {
 			return
 		}
-		err := s.tellOnce(ctx, machine, batch)
+		err := s.sendBatch(ctx, machine, batch)
 		if err == nil {
 			silent = 0
 			continue
@@ -136,9 +136,9 @@
 	}
 }
 
-// tellOnce makes one call. A neighbour that does not know the call, as one of an earlier
+// sendBatch makes one call. A neighbour that does not know the call, as one of an earlier
 // version, is taken as told.
-func (s *Gossiper) tellOnce(ctx context.Context, machine string, batch []Digest) error {
+func (s *Gossiper) sendBatch(ctx context.Context, machine string, batch []Digest) error {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	taken := 0
