--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -105,16 +105,16 @@
 	if !telling {
 		due = map[Digest]bool{}
 		s.pending[machine] = due
-		go s.tell(ctx, machine)
+		go s.sendPending(ctx, machine)
 	}
 	for _, digest := range changed {
 		due[digest] = true
 	}
 }
 
-// tell tells a neighbour what is due until nothing is, or until it has not answered for
+// sendPending tells a neighbour what is due until nothing is, or until it has not answered for
 // too long.
-func (s *Gossiper) tell(ctx context.Context, machine string) {
+func (s *Gossiper) sendPending(ctx context.Context, machine string) {
 	var silent time.Duration
 	for {
 		batch, over := s.take(machine, ctx.Err() != nil || silent >= giveUpTimeout)
