--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -117,7 +117,7 @@
 func (s *Gossiper) sendPending(ctx context.Context, machine string) {
 	var silent time.Duration
 	for {
-		batch, over := s.take(machine, ctx.Err() != nil || silent >= giveUpTimeout)
+		batch, over := s.takeBatch(machine, ctx.Err() != nil || silent >= giveUpTimeout)
 		if over {
 			return
 		}
@@ -150,9 +150,9 @@
 	return err
 }
 
-// take returns the next contents to tell a neighbour of. If there are none, or if it is
+// takeBatch returns the next contents to tell a neighbour of. If there are none, or if it is
 // given up, the telling is over.
-func (s *Gossiper) take(machine string, giveUp bool) (batch []Digest, over bool) {
+func (s *Gossiper) takeBatch(machine string, giveUp bool) (batch []Digest, over bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	due := s.pending[machine]
