--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -130,7 +130,7 @@
 			s.logger.Info("sending suspected contents to a peer failed", zap.String("machine", machine),
 				zap.Int("contents", len(batch)), zap.Error(err))
 		}
-		s.putBack(machine, batch)
+		s.requeue(machine, batch)
 		silent += callRetryDelay
 		periodic.Pause(ctx, callRetryDelay)
 	}
@@ -170,7 +170,7 @@
 	return batch, false
 }
 
-func (s *Gossiper) putBack(machine string, batch []Digest) {
+func (s *Gossiper) requeue(machine string, batch []Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, digest := range batch {
