--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -17,9 +17,9 @@
 	// it lacks something. An end that is not there when all machines lose power costs a
 	// replica more.
 	recordInterval = 50 * time.Millisecond
-	// suspectedFor is how long a content must be merely suspected to be written: most are
+	// suspectRecordDelay is how long a content must be merely suspected to be written: most are
 	// bystanders, whose next run answers within this time.
-	suspectedFor = 300 * time.Millisecond
+	suspectRecordDelay = 300 * time.Millisecond
 	// leaveToOther is how long a daemon leaves a change to the one that made it to write.
 	leaveToOther  = 4 * time.Second
 	recordTimeout = time.Second
@@ -189,7 +189,7 @@
 	case atOnce, s.refused(), len(s.Ended) == 0:
 		return true
 	default:
-		return now.Sub(s.lastEndAt) >= suspectedFor
+		return now.Sub(s.lastEndAt) >= suspectRecordDelay
 	}
 }
 
--- a/internal/requests/quarantine/spread_test.go
+++ b/internal/requests/quarantine/spread_test.go
@@ -237,7 +237,7 @@
 		f := newFleet(ctx)
 		daemons := f.startAll(3, true)
 		end(daemons[0], daemons[1])
-		time.Sleep(suspectedFor / 2)
+		time.Sleep(suspectRecordDelay / 2)
 		daemons[2].table.Answered(poison)
 		time.Sleep(contactBound)
 		is.Equal(len(f.log.Records(Partition)), 0)
@@ -259,7 +259,7 @@
 		f := newFleet(ctx)
 		daemons := f.startAll(3, true)
 		end(daemons[0], daemons[1])
-		time.Sleep(2 * suspectedFor)
+		time.Sleep(2 * suspectRecordDelay)
 		for _, s := range daemons {
 			s.stop()
 		}
