--- a/internal/requests/quarantine/quarantine.go
+++ b/internal/requests/quarantine/quarantine.go
@@ -111,7 +111,7 @@
 		t.activeCount.Add(-1)
 	}
 	s.usedAt = t.now()
-	s.recordAfter = s.usedAt.Add(leaveToOther)
+	s.recordAfter = s.usedAt.Add(otherWriterDelay)
 	signal(t.unrecorded)
 }
 
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -20,9 +20,9 @@
 	// suspectRecordDelay is how long a content must be merely suspected to be written: most are
 	// bystanders, whose next run answers within this time.
 	suspectRecordDelay = 300 * time.Millisecond
-	// leaveToOther is how long a daemon leaves a change to the one that made it to write.
-	leaveToOther  = 4 * time.Second
-	recordTimeout = time.Second
+	// otherWriterDelay is how long a daemon leaves a change to the one that made it to write.
+	otherWriterDelay = 4 * time.Second
+	recordTimeout    = time.Second
 	// failedPause is the pause after a write that failed: in an outage of the journal each
 	// daemon tries once a second.
 	failedPause = time.Second
@@ -200,7 +200,7 @@
 	defer t.mu.Unlock()
 	for _, entry := range entries {
 		if s := t.entries[entry.Digest]; s != nil && s.recordedBy(&entry) {
-			s.changedHere, s.recordAfter = false, t.now().Add(leaveToOther)
+			s.changedHere, s.recordAfter = false, t.now().Add(otherWriterDelay)
 		}
 	}
 }
