--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -23,9 +23,9 @@
 	// otherWriterDelay is how long a daemon leaves a change to the one that made it to write.
 	otherWriterDelay = 4 * time.Second
 	recordTimeout    = time.Second
-	// failedPause is the pause after a write that failed: in an outage of the journal each
+	// writeRetryDelay is the pause after a write that failed: in an outage of the journal each
 	// daemon tries once a second.
-	failedPause = time.Second
+	writeRetryDelay = time.Second
 	// recordsAtOnce bounds the records of one append.
 	recordsAtOnce = 32
 )
@@ -99,7 +99,7 @@
 // pause is the time until the next look.
 func (r *Recorder) pause() time.Duration {
 	if r.failing {
-		return failedPause
+		return writeRetryDelay
 	}
 	return recordInterval
 }
--- a/internal/requests/quarantine/spread_test.go
+++ b/internal/requests/quarantine/spread_test.go
@@ -306,7 +306,7 @@
 		is.True(appends.Load() >= 10)
 		is.True(appends.Load() <= 3*11)
 		f.log.SetBefall(nil)
-		time.Sleep(2 * failedPause)
+		time.Sleep(2 * writeRetryDelay)
 		is.True(len(f.log.Records(Partition)) > 0)
 		cancel()
 		synctest.Wait()
