--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -26,8 +26,8 @@
 	// writeRetryDelay is the pause after a write that failed: in an outage of the journal each
 	// daemon tries once a second.
 	writeRetryDelay = time.Second
-	// recordsAtOnce bounds the records of one append.
-	recordsAtOnce = 32
+	// maxRecordsPerAppend bounds the records of one append.
+	maxRecordsPerAppend = 32
 )
 
 // Partition is where suspected contents are kept.
@@ -156,7 +156,7 @@
 			continue
 		}
 		lacking = true
-		if len(due) < recordsAtOnce && s.recordDue(now, atOnce) {
+		if len(due) < maxRecordsPerAppend && s.recordDue(now, atOnce) {
 			due = append(due, s.cloneEntry())
 		}
 	}
