--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -39,10 +39,10 @@
 type Recorder struct {
 	table   *Table
 	journal journal.Journal
-	// atOnce has every end written at once: daemons that do not reach each other count
+	// writeImmediately has every end written at once: daemons that do not reach each other count
 	// ends through the journal.
-	atOnce bool
-	logger *zap.Logger
+	writeImmediately bool
+	logger           *zap.Logger
 	// failing says that the last write failed. It is Run's alone.
 	failing bool
 }
@@ -50,7 +50,7 @@
 // NewRecorder returns the recorder of a table. Reached says that daemons tell each other of
 // suspected contents, so that the journal is only for what lasts.
 func NewRecorder(table *Table, log journal.Journal, reached bool, logger *zap.Logger) *Recorder {
-	return &Recorder{table: table, journal: log, atOnce: !reached, logger: logger}
+	return &Recorder{table: table, journal: log, writeImmediately: !reached, logger: logger}
 }
 
 // Reset implements journal.KeyedResetter.
@@ -107,7 +107,7 @@
 // writeDue writes what is due now, and reports whether the journal will still lack
 // something.
 func (r *Recorder) writeDue(ctx context.Context) bool {
-	due, lacking := r.table.toRecord(r.atOnce)
+	due, lacking := r.table.toRecord(r.writeImmediately)
 	if len(due) > 0 {
 		r.note(r.write(ctx, due), len(due))
 	}
