--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -91,13 +91,13 @@
 		case <-r.table.unrecorded:
 		}
 		for r.writeDue(ctx) {
-			periodic.Pause(ctx, r.pause())
+			periodic.Pause(ctx, r.delay())
 		}
 	}
 }
 
-// pause is the time until the next look.
-func (r *Recorder) pause() time.Duration {
+// delay is the time until the next look.
+func (r *Recorder) delay() time.Duration {
 	if r.failing {
 		return writeRetryDelay
 	}
