--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -109,13 +109,13 @@
 func (r *Recorder) writeDue(ctx context.Context) bool {
 	due, lacking := r.table.toRecord(r.writeImmediately)
 	if len(due) > 0 {
-		r.note(r.write(ctx, due), len(due))
+		r.updateFailing(r.write(ctx, due), len(due))
 	}
 	return lacking && ctx.Err() == nil
 }
 
-// note logs that writes begin to fail, and that they succeed again.
-func (r *Recorder) note(err error, contents int) {
+// updateFailing logs that writes begin to fail, and that they succeed again.
+func (r *Recorder) updateFailing(err error, contents int) {
 	if (err != nil) == r.failing {
 		return
 	}
