--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -107,7 +107,7 @@
 // writeDue writes what is due now, and reports whether the journal will still lack
 // something.
 func (r *Recorder) writeDue(ctx context.Context) bool {
-	due, lacking := r.table.toRecord(r.writeImmediately)
+	due, lacking := r.table.dueEntries(r.writeImmediately)
 	if len(due) > 0 {
 		r.updateFailing(r.write(ctx, due), len(due))
 	}
@@ -145,9 +145,9 @@
 	return nil
 }
 
-// toRecord returns the entries that this daemon should write to the journal now, and whether
+// dueEntries returns the entries that this daemon should write to the journal now, and whether
 // the journal lacks any.
-func (t *Table) toRecord(atOnce bool) (due []Entry, lacking bool) {
+func (t *Table) dueEntries(atOnce bool) (due []Entry, lacking bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -186,15 +186,15 @@
 	clock := newTestClock()
 	table, bad := clock.table("m"), contentNamed("bad")
 	table.ReplicaEnded(bad, "a", "s")
-	first, _ := table.toRecord(true)
+	first, _ := table.dueEntries(true)
 	is.Equal(len(first), 1)
 	table.ReplicaEnded(bad, "b", "s")
 	table.written(first)
-	second, _ := table.toRecord(true)
+	second, _ := table.dueEntries(true)
 	is.Equal(len(second), 1)
 	is.Equal(second[0].ends(), 2)
 	table.written(second)
-	third, lacking := table.toRecord(true)
+	third, lacking := table.dueEntries(true)
 	is.Equal(len(third), 0) // It is left alone until it is read back.
 	is.True(lacking)
 }
