--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -172,12 +172,12 @@
 	case s.journaled == nil:
 		return true
 	default:
-		return !s.recordedBy(s.journaled)
+		return !s.matches(s.journaled)
 	}
 }
 
-// recordedBy reports whether the journal lacks nothing of the content if it has the entry.
-func (s *suspect) recordedBy(e *Entry) bool {
+// matches reports whether the journal lacks nothing of the content if it has the entry.
+func (s *suspect) matches(e *Entry) bool {
 	return e.Epoch == s.Epoch && e.Retried == s.Retried && e.ends() == s.ends()
 }
 
@@ -199,7 +199,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, entry := range entries {
-		if s := t.entries[entry.Digest]; s != nil && s.recordedBy(&entry) {
+		if s := t.entries[entry.Digest]; s != nil && s.matches(&entry) {
 			s.changedHere, s.recordAfter = false, t.now().Add(otherWriterDelay)
 		}
 	}
