--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -141,7 +141,7 @@
 	if err := journal.AppendWithin(ctx, r.journal, recordTimeout, Partition, records...); err != nil {
 		return err
 	}
-	r.table.written(entries)
+	r.table.markWritten(entries)
 	return nil
 }
 
@@ -193,9 +193,9 @@
 	}
 }
 
-// written has the entries that were just written left alone until they are read back, but
+// markWritten has the entries that were just markWritten left alone until they are read back, but
 // for what has changed since.
-func (t *Table) written(entries []Entry) {
+func (t *Table) markWritten(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, entry := range entries {
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -189,11 +189,11 @@
 	first, _ := table.dueEntries(true)
 	is.Equal(len(first), 1)
 	table.ReplicaEnded(bad, "b", "s")
-	table.written(first)
+	table.markWritten(first)
 	second, _ := table.dueEntries(true)
 	is.Equal(len(second), 1)
 	is.Equal(second[0].ends(), 2)
-	table.written(second)
+	table.markWritten(second)
 	third, lacking := table.dueEntries(true)
 	is.Equal(len(third), 0) // It is left alone until it is read back.
 	is.True(lacking)
