--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -79,7 +79,7 @@
 		r.logger.Warn("journal record of a suspected content not decoded", zap.String("key", record.Key), zap.Error(err))
 		return
 	}
-	r.table.journaled(entry)
+	r.table.applyJournaled(entry)
 }
 
 // Run writes what the journal lacks until the context ends.
@@ -205,8 +205,8 @@
 	}
 }
 
-// journaled takes in an entry as the journal has it.
-func (t *Table) journaled(entry Entry) {
+// applyJournaled takes in an entry as the journal has it.
+func (t *Table) applyJournaled(entry Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.ensureEntry(entry.Digest)
