--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -71,7 +71,7 @@
 		return
 	}
 	if len(record.Value) == 0 {
-		r.table.dropped(digest)
+		r.table.applyDeletion(digest)
 		return
 	}
 	entry := Entry{}
@@ -215,8 +215,8 @@
 	signal(t.unrecorded)
 }
 
-// dropped takes in that the journal has no entry of a content any more: it was cleared.
-func (t *Table) dropped(digest Digest) {
+// applyDeletion takes in that the journal has no entry of a content any more: it was cleared.
+func (t *Table) applyDeletion(digest Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.entries[digest]; s != nil {
