--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -60,7 +60,7 @@
 		listed[record.Key] = true
 		r.Apply(record)
 	}
-	r.table.dropMissing(listed)
+	r.table.applyDeletionsExcept(listed)
 }
 
 // Apply implements journal.KeyedHandler.
@@ -224,8 +224,8 @@
 	}
 }
 
-// dropMissing takes in that the journal has entries only under the keys given.
-func (t *Table) dropMissing(listed map[string]bool) {
+// applyDeletionsExcept takes in that the journal has entries only under the keys given.
+func (t *Table) applyDeletionsExcept(listed map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.entries {
