--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -220,7 +220,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.entries[digest]; s != nil {
-		t.drop(s)
+		t.journalEntryDeleted(s)
 	}
 }
 
@@ -230,14 +230,14 @@
 	defer t.mu.Unlock()
 	for _, s := range t.entries {
 		if !listed[s.Digest.String()] {
-			t.drop(s)
+			t.journalEntryDeleted(s)
 		}
 	}
 }
 
-// drop clears an entry that the journal had in its present epoch and has no more. The
+// journalEntryDeleted clears an entry that the journal had in its present epoch and has no more. The
 // mutex is held.
-func (t *Table) drop(s *suspect) {
+func (t *Table) journalEntryDeleted(s *suspect) {
 	before := s.journaled
 	s.journaled = nil
 	signal(t.unrecorded)
