--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -39,12 +39,12 @@
 	Bytes   int    `cbor:"6,keyasint" json:"body_bytes"`
 }
 
-// labelBytes bounds each text of a label: callers choose some of them, and an entry must
+// maxLabelBytes bounds each text of a label: callers choose some of them, and an entry must
 // fit a record.
-const labelBytes = 256
+const maxLabelBytes = 256
 
 func labelOf(content *Content, service string) Label {
-	head := func(text string) string { return text[:min(len(text), labelBytes)] }
+	head := func(text string) string { return text[:min(len(text), maxLabelBytes)] }
 	return Label{Service: head(service), Caller: head(content.Caller), Method: head(content.Method), Host: head(content.Host),
 		Target: head(content.Target), Bytes: len(content.Body)}
 }
