--- a/internal/requests/quarantine/http.go
+++ b/internal/requests/quarantine/http.go
@@ -35,9 +35,9 @@
 		text := strings.Trim(strings.TrimPrefix(r.URL.Path, Path), "/")
 		switch {
 		case text == "" && r.Method == http.MethodGet:
-			answer(w, http.StatusOK, table.List(), logger)
+			writeResponse(w, http.StatusOK, table.List(), logger)
 		case r.Method != http.MethodDelete || text == "":
-			answer(w, http.StatusMethodNotAllowed, problemOf("wrong_method",
+			writeResponse(w, http.StatusMethodNotAllowed, problemOf("wrong_method",
 				"list with GET "+Path+", lift with DELETE "+Path+"/DIGEST", "method"), logger)
 		default:
 			lift(w, table, text, logger)
@@ -49,11 +49,11 @@
 	digest, err := ParseDigest(text)
 	switch {
 	case err != nil:
-		answer(w, http.StatusBadRequest, problemOf("malformed", err.Error(), "digest"), logger)
+		writeResponse(w, http.StatusBadRequest, problemOf("malformed", err.Error(), "digest"), logger)
 	case !table.Lift(digest):
-		answer(w, http.StatusNotFound, problemOf("unknown_content", "digest: nothing is held against this content here", "digest"), logger)
+		writeResponse(w, http.StatusNotFound, problemOf("unknown_content", "digest: nothing is held against this content here", "digest"), logger)
 	default:
-		answer(w, http.StatusOK, Lifted{Digest: text}, logger)
+		writeResponse(w, http.StatusOK, Lifted{Digest: text}, logger)
 	}
 }
 
@@ -61,7 +61,7 @@
 	return problem{Error: problemText{Code: code, Message: message, Field: field}}
 }
 
-func answer(w http.ResponseWriter, status int, body any, logger *zap.Logger) {
+func writeResponse(w http.ResponseWriter, status int, body any, logger *zap.Logger) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(body); err != nil {
