--- a/internal/daemon/explain/explain.go
+++ b/internal/daemon/explain/explain.go
@@ -45,8 +45,8 @@
 		"heartbeat not recorded": true, "heartbeats recorded again": true, "silence of the owner not confirmed": true}
 	replicaEvents = map[string]bool{"replica listed": true, "replica state changed": true, "replica started again": true,
 		"replica's entry refused": true, "replica gone from the list": true, "replica failed": true, "order": true, "weights": true}
-	contentEvents = map[string]bool{"replica ended under a content": true, "content learned of": true,
-		"content cleared": true, "suspect runs alone": true}
+	contentEvents = map[string]bool{"replica ended while running content": true, "content entry merged": true,
+		"content cleared": true, "isolated run started": true}
 	// contextEvents are told of each node that a line of the story comes from.
 	contextEvents = map[string]bool{"started": true, "stopping": true, "stopped": true,
 		"dependency lost": true, "dependency regained": true, "configuration in force": true,
--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -21,6 +21,10 @@
 	"samples not made again":                "samples not requested again",
 	"offer failed":                          "attempt failed",
 	"owners of partitions not learned":      "watchers of partitions not learned",
+	"replica ended under a content":         "replica ended while running content",
+	"content learned of":                    "content entry merged",
+	"content forgotten":                     "content entry removed",
+	"suspect runs alone":                    "isolated run started",
 }
 
 // eventName returns the name that an event has today.
--- a/internal/requests/quarantine/content.go
+++ b/internal/requests/quarantine/content.go
@@ -10,24 +10,23 @@
 	"github.com/pkg/errors"
 )
 
-// shortDigest is how many bytes of a digest stand in a log line: enough to tell contents
-// apart by eye.
+// shortDigest is the number of digest bytes shown in log lines.
 const shortDigest = 6
 
-// ErrDigest: a text is no digest in hexadecimal.
+// ErrDigest is returned by ParseDigest for a text that is not 64 hexadecimal digits.
 var ErrDigest = errors.New("quarantine: digest: want 64 hexadecimal digits")
 
-// Digest names a content. It is a SHA-256, so that nobody can make a second content
-// that is refused in place of, or along with, somebody else's.
+// Digest identifies a Content. It is a SHA-256 hash, so a caller cannot craft a second content
+// that is refused together with, or in place of, another caller's.
 type Digest [sha256.Size]byte
 
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Short returns the beginning of the digest, for logs.
+// Short returns the first digits of the digest, for log lines.
 func (d Digest) Short() string { return hex.EncodeToString(d[:shortDigest]) }
 
-// ParseDigest reads what String wrote.
+// ParseDigest parses the result of String. It returns ErrDigest for any other text.
 func ParseDigest(text string) (Digest, error) {
 	var d Digest
 	decoded, err := hex.DecodeString(text)
@@ -38,15 +37,16 @@
 	return d, nil
 }
 
-// Content is what makes two requests the same to a replica: whose it is, where it goes
-// and what it carries. Headers are left out, as ids and deadlines differ from try to try.
-// It must not be copied, and its fields must not change, once Digest was called.
+// Content holds the parts of a request that decide whether a replica processes two requests
+// alike: the tenant, the destination and the body. Headers are excluded because request ids and
+// deadlines differ between attempts. A Content must not be copied, and its fields must not
+// change after the first call of Digest.
 type Content struct {
-	// Caller is the tenant that sent it, "" where there are none.
+	// Caller is the tenant that sent the request, or "" if the platform has no tenants.
 	Caller string
 	Method string
 	Host   string
-	// Target is the path with its query.
+	// Target is the path with the query.
 	Target string
 	Body   []byte
 
@@ -54,17 +54,19 @@
 	digest Digest
 }
 
-// Digest returns the content's name. It is computed at the first call: most requests
-// never need one. That call takes time by the body, so that no lock should be held.
+// Digest returns the identifier of the content. The first call computes it, in time
+// proportional to the size of the body, so callers should hold no lock; later calls return the
+// cached value. It is safe for concurrent use.
 func (c *Content) Digest() Digest {
 	c.once.Do(func() {
 		sum := sha256.New()
 		for _, part := range []string{c.Caller, c.Method, c.Host, c.Target} {
-			// The length keeps the end of one part from being taken for the beginning of the next.
+			// The length prefix keeps adjacent parts apart: "ab"+"c" and "a"+"bc" hash
+			// differently.
 			_, _ = sum.Write(binary.BigEndian.AppendUint64(nil, uint64(len(part))))
-			_, _ = io.WriteString(sum, part) // A hash takes all bytes.
+			_, _ = io.WriteString(sum, part) // hash.Hash never returns an error
 		}
-		_, _ = sum.Write(c.Body) // A hash takes all bytes.
+		_, _ = sum.Write(c.Body) // hash.Hash never returns an error
 		sum.Sum(c.digest[:0])
 	})
 	return c.digest
--- a/internal/requests/quarantine/content_test.go
+++ b/internal/requests/quarantine/content_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestADigestNamesAllThatMakesAContent(t *testing.T) {
+func TestDigestCoversEveryField(t *testing.T) {
 	is := is.New(t)
 	base := func() *Content {
 		return &Content{Caller: "c", Method: "POST", Host: "h", Target: "/t", Body: []byte("b")}
@@ -24,12 +24,12 @@
 	} {
 		changed := base()
 		change(changed)
-		is.Equal(seen[changed.Digest()], "") // each differs from all others
+		is.Equal(seen[changed.Digest()], "") // all digests differ
 		seen[changed.Digest()] = name
 	}
 }
 
-func TestADigestIsReadAsWritten(t *testing.T) {
+func TestParseDigest(t *testing.T) {
 	is := is.New(t)
 	d := (&Content{Target: "/x"}).Digest()
 	read, err := ParseDigest(d.String())
@@ -41,7 +41,7 @@
 	}
 }
 
-// A digest is computed of each request while any content is suspected.
+// BenchmarkDigest measures the cost for each request while any content is suspected.
 func BenchmarkDigest(b *testing.B) {
 	body := make([]byte, 8<<10)
 	b.SetBytes(int64(len(body)))
--- a/internal/requests/quarantine/decision.go
+++ b/internal/requests/quarantine/decision.go
@@ -12,67 +12,70 @@
 )
 
 const (
-	// minEndsToIsolate is from how many ended replicas on a content runs alone, and endedLimit
-	// from how many on it is refused. One end is a coincidence with any other crash; two
-	// in a row without an answer are rare for an innocent content, three need as many
-	// coincidences, the last of them while it ran by itself.
+	// minEndsToIsolate is the number of ends from which a content runs only in isolation,
+	// minEndsToRefuse that from which it is refused. One end may coincide with an unrelated
+	// crash. Two without an answer in between are rare for a harmless content, and a third
+	// would have to coincide with its isolated run.
 	minEndsToIsolate = 2
 	minEndsToRefuse  = 3
-	// maxEndedReplicas bounds the replicas that an entry names.
+	// maxEndedReplicas bounds the replicas that an entry lists.
 	maxEndedReplicas = 8
-	// endDedupWindow is within which time two ends of a replica are one that doesn't tell its
-	// starts apart: several runs of a content show it within milliseconds, and no process is
-	// back and ends again so soon.
+	// endDedupWindow is the time within which reports of an end of the same replica count as
+	// one end, if its incarnations cannot be told apart. Concurrent runs report an end within
+	// milliseconds, and a process cannot restart and end again within this time.
 	endDedupWindow = time.Second
-	// replicaRestartTimeout is how long a run alone waits for a second replica of its service: a
-	// process that ended is replaced within some seconds.
+	// replicaRestartTimeout is the time within which a replica that ended is assumed to be
+	// unavailable, and for which a suspect waits for another replica of its service. An ended
+	// process is replaced within seconds.
 	replicaRestartTimeout = 5 * time.Second
-	// retryDelay is how long after its last end a refused content may run once more.
+	// retryDelay is how long after its last end a refused content may run once more at its
+	// keeper.
 	retryDelay = 15 * time.Second
 )
 
-// Suspicion is what is held against a content.
+// Suspicion is the degree to which a content is suspected of ending replicas.
 type Suspicion int
 
-// What is held against a content, less first.
+// The degrees of Suspicion, in increasing order.
 const (
-	// Unsuspected: no replica has ended under it without an answer since.
+	// Unsuspected: no replica has ended under the content since its last answer.
 	Unsuspected Suspicion = iota
-	// Suspected: one has.
+	// Suspected: one end; the content runs without a hedge.
 	Suspected
-	// IsolatedOnly: it may run alone.
+	// IsolatedOnly: the content may only run in isolation.
 	IsolatedOnly
-	// Quarantined: it is refused.
+	// Quarantined: the content is refused.
 	Quarantined
 )
 
-// Decision is what a content may do now: Free, Alone, Wait, Elsewhere or Refused.
+// Decision is the result of Table.Decide: Allowed, Isolated, Wait, OtherReplica or Refused.
 type Decision interface{ isDecision() }
 
-// Allowed lets the content run as any other.
+// Allowed permits the content to run without restrictions.
 type Allowed struct{}
 
-// Isolated lets the content run at the one replica asked for, once, with no other suspect
-// from here beside it. End must be called when the run is over, after what it showed was
-// told to the table.
+// Isolated permits one run of the content at the replica passed to Decide, where this daemon
+// starts no other isolated run meanwhile. The caller must call End when the run is done and its
+// outcome has been reported to the table. End may be called more than once.
 type Isolated struct{ End func() }
 
-// Wait says that another run of the content is finding out. It is over when Over is
-// closed.
+// Wait means that an isolated run of the content is in progress. Over is closed when it ends;
+// the caller may then call Decide again.
 type Wait struct{ Over <-chan struct{} }
 
-// OtherReplica says that another suspect runs at the replica asked for, or that the replica
-// is one that has ended under the content.
+// OtherReplica means that the content may not run at the replica passed to Decide, because
+// another suspect runs there or because it recently ended under this content, but may run at
+// another one.
 type OtherReplica struct{}
 
-// Refused says that the content must not run now.
+// Refused means that the content must not run now.
 type Refused struct {
-	// Ended is how many replicas have ended under it.
+	// Ended is the number of ends counted for the content.
 	Ended int
-	// RetryAfter is when it may be asked for again with some hope.
+	// RetryAfter is the time after which the caller should try again.
 	RetryAfter time.Duration
-	// Final says that it stays refused until an operator lifts that, or until it was not
-	// asked for any more for long.
+	// Final reports that this daemon will not run the content until its refusal expires, is
+	// lifted by an operator, or is cleared by the keeper's run.
 	Final bool
 }
 
@@ -82,7 +85,7 @@
 func (OtherReplica) isDecision() {}
 func (Refused) isDecision()      {}
 
-// Suspicion returns what is held against a content, without asking for it to run.
+// Suspicion returns how far a content is suspected, without starting a run.
 func (t *Table) Suspicion(content *Content) Suspicion {
 	if t.NoneSuspected() {
 		return Unsuspected
@@ -103,7 +106,7 @@
 	}
 }
 
-// Blocked reports whether the content is refused now, whatever the replica.
+// Blocked reports whether the content is refused at every replica now.
 func (t *Table) Blocked(content *Content) bool {
 	if t.NoneSuspected() {
 		return false
@@ -115,9 +118,10 @@
 	return s != nil && s.refused() && !t.mayRetry(s, t.now())
 }
 
-// Decide says whether the content may run at a replica now. Others returns the ids of the
-// other replicas of its service that are listed; it is asked of suspects only, with the
-// table locked.
+// Decide returns whether the content may run now at a replica, given by its incarnation.
+// Isolated means that the run has been started in the table. Others returns the incarnations of
+// the other listed replicas of the service. It is called only for contents with at least
+// minEndsToIsolate ends, and with t.mu held, so it must not call the table.
 func (t *Table) Decide(content *Content, replica string, others func() []string) Decision {
 	if t.NoneSuspected() {
 		return Allowed{}
@@ -134,7 +138,7 @@
 	if s.ends() < minEndsToIsolate {
 		return Allowed{}
 	}
-	if refused, is := t.refusalFor(s, now, others); is {
+	if refused, ok := t.refusalFor(s, now, others); ok {
 		s.turnedAway++
 		t.turnedAway.Add(1)
 		return refused
@@ -148,7 +152,8 @@
 	return t.startIsolated(s, replica)
 }
 
-// refusalFor reports whether the content must not run now. The mutex is held.
+// refusalFor returns the refusal of a content that must not run at any replica now, and false
+// if there is none. t.mu must be held.
 func (t *Table) refusalFor(s *suspect, now time.Time, others func() []string) (Refused, bool) {
 	since := now.Sub(s.lastEndAt)
 	refused := Refused{Ended: s.ends()}
@@ -165,39 +170,41 @@
 	return refused, true
 }
 
-// mayRetry reports whether a refused content may run once more from here. The mutex is
-// held.
+// mayRetry reports whether this daemon may run a refused content once more. t.mu must be held.
 func (t *Table) mayRetry(s *suspect, now time.Time) bool {
 	return s.Keeper == t.machine && !s.Retried && now.Sub(s.lastEndAt) >= retryDelay
 }
 
-// anyAvailable reports whether one of the replicas did not end under the content lately.
+// anyAvailable reports whether at least one of the replicas has not ended under the content
+// recently.
 func (s *suspect) anyAvailable(replicas []string, now time.Time) bool {
 	return slices.ContainsFunc(replicas, func(id string) bool { return !s.endedRecently(id, now) })
 }
 
-// startIsolated begins the one run that the content may have now. The mutex is held.
+// startIsolated starts an isolated run of the content. For a refused content it marks the
+// keeper's one retry as used. t.mu must be held.
 func (t *Table) startIsolated(s *suspect, name string) Isolated {
-	over := make(chan struct{})
-	s.isolatedRun = over
+	done := make(chan struct{})
+	s.isolatedRun = done
 	t.isolatedRuns[name]++
 	if s.refused() {
 		t.update(s, func() { s.Retried, s.changedHere = true, true })
 		t.announce(s)
 	}
-	t.logger.Info("suspect runs alone", zap.String("content", s.Digest.Short()),
+	t.logger.Info("isolated run started", zap.String("content", s.Digest.Short()),
 		zap.String("replica", replica.Incarnation(name).ID()), zap.String("start", name),
 		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()), zap.Bool("refused", s.refused()),
 		zap.Duration("since_end", t.now().Sub(s.lastEndAt)))
 	var once sync.Once
-	return Isolated{End: func() { once.Do(func() { t.endIsolated(s, name, over) }) }}
+	return Isolated{End: func() { once.Do(func() { t.endIsolated(s, name, done) }) }}
 }
 
-func (t *Table) endIsolated(s *suspect, replica string, over chan struct{}) {
+// endIsolated ends an isolated run and wakes the callers that wait for it.
+func (t *Table) endIsolated(s *suspect, replica string, done chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s.isolatedRun = nil
-	close(over)
+	close(done)
 	t.isolatedRuns[replica]--
 	if t.isolatedRuns[replica] <= 0 {
 		delete(t.isolatedRuns, replica)
--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -8,28 +8,27 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// Entry is what is known of a content under which replicas have ended. Two entries of a
-// content merge to the same one at every daemon, in whatever order they come.
+// Entry is the shared state of a content under which replicas have ended. Merging entries of
+// the same content gives the same result at every daemon, in any order.
 type Entry struct {
 	Digest Digest `cbor:"1,keyasint" json:"-"`
-	// Epoch rises with each answer that the content gets and each time that an operator
-	// lifts its refusal. What is known of an earlier epoch counts no more.
+	// Epoch increases whenever the content is answered or an operator lifts its refusal.
+	// Evidence from an earlier epoch is ignored.
 	Epoch int64 `cbor:"2,keyasint" json:"epoch"`
-	// Ended counts, by replica, how often each ended under the content in this epoch. A
-	// replica is named by its incarnation (replica.Incarnation), so that one that starts again under
-	// its id can be told from the one that ended; where it doesn't tell when it started,
-	// that is its id, and each end that is sameEnd after the last counts.
+	// Ended maps each replica to the number of times that it ended under the content in this
+	// epoch. Keys are incarnations (replica.Incarnation), so that a restarted replica is
+	// distinct from the one that ended. If the start time of a replica is unknown, its key is
+	// the plain id, and ends at least endDedupWindow apart count separately.
 	Ended map[string]int `cbor:"3,keyasint" json:"replicas_ended"`
-	// Keeper is the machine that may find out whether the refused content still ends
-	// replicas, and Retried says that it has begun to.
+	// Keeper is the machine whose daemon may run the refused content once more to check whether
+	// it still ends replicas. Retried reports whether that run has started.
 	Keeper  string `cbor:"4,keyasint" json:"keeper,omitempty"`
 	Retried bool   `cbor:"5,keyasint" json:"retried,omitempty"`
-	// Label tells an operator what the content is.
+	// Label describes the content to operators.
 	Label Label `cbor:"6,keyasint" json:"request"`
 }
 
-// Label is what an operator is told of a content: the beginning of each text, of labelBytes
-// at most.
+// Label describes a content to operators. Each text is cut to maxLabelBytes.
 type Label struct {
 	Service string `cbor:"1,keyasint" json:"service"`
 	Caller  string `cbor:"2,keyasint" json:"caller,omitempty"`
@@ -39,17 +38,18 @@
 	Bytes   int    `cbor:"6,keyasint" json:"body_bytes"`
 }
 
-// maxLabelBytes bounds each text of a label: callers choose some of them, and an entry must
-// fit a record.
+// maxLabelBytes is the maximum length of each text of a Label. Callers control some of the
+// texts, and an entry must fit into one journal record.
 const maxLabelBytes = 256
 
+// labelOf returns the label of a content, with each text cut to maxLabelBytes.
 func labelOf(content *Content, service string) Label {
 	head := func(text string) string { return text[:min(len(text), maxLabelBytes)] }
 	return Label{Service: head(service), Caller: head(content.Caller), Method: head(content.Method), Host: head(content.Host),
 		Target: head(content.Target), Bytes: len(content.Body)}
 }
 
-// ends is how often a replica ended under the content.
+// ends returns the total number of times that a replica ended under the content.
 func (e *Entry) ends() int {
 	total := 0
 	for _, times := range e.Ended {
@@ -58,45 +58,50 @@
 	return total
 }
 
-// replicas returns the replicas that ended under the content, in order.
+// replicas returns the incarnations that ended under the content, sorted.
 func (e *Entry) replicas() []string { return slices.Sorted(maps.Keys(e.Ended)) }
 
-// refused reports whether the content must not run any more.
+// refused reports whether enough replicas have ended under the content to refuse it.
 func (e *Entry) refused() bool { return e.ends() >= minEndsToRefuse }
 
-// suspect is an entry with what concerns only this daemon.
+// suspect is an Entry with the state that stays local to this daemon. Table.mu guards it.
 type suspect struct {
 	Entry
-	// brokenAt are replicas on which a connection ended under the content while it is not
-	// known yet whether the process did, with when that was.
+	// brokenAt maps each replica whose connection broke under the content to the time of the
+	// break, while it is unknown whether the process ended.
 	brokenAt map[string]time.Time
-	// endSeenAt is when the last end of each replica was learned of here, endedAt the newest
-	// of these; usedAt is when the entry was last changed or asked for.
+	// endSeenAt maps each ended replica to the time at which this daemon learned of its last
+	// end, and lastEndAt is the latest of these times. usedAt is when the entry was last
+	// updated or looked up by Decide.
 	endSeenAt         map[string]time.Time
 	lastEndAt, usedAt time.Time
-	// turnedAway counts tries that were refused here.
+	// turnedAway counts the attempts that this daemon refused.
 	turnedAway uint64
-	// isolatedRun is not nil while a run alone is under way from here; it is closed with it.
+	// isolatedRun is non-nil while this daemon has an isolated run of the content in progress,
+	// and is closed when that run ends.
 	isolatedRun chan struct{}
-	// journaled is the entry as the journal has it, nil if it has none. A difference that
-	// comes from here (ownChange) is written at once, any other only after recordAfter, in
-	// case the daemon that made it has gone.
+	// journaled is the entry as stored in the journal, or nil if there is none. If it differs
+	// from Entry because of a change made by this daemon (changedHere), this daemon writes the
+	// entry as soon as it is due. Otherwise it does so only after recordAfter, in case the
+	// daemon that made the change has stopped.
 	journaled   *Entry
 	changedHere bool
 	recordAfter time.Time
 }
 
-// active reports whether requests must be looked up for the entry's sake.
+// active reports whether requests must be checked against this entry.
 func (s *suspect) active() bool { return len(s.Ended) > 0 || len(s.brokenAt) > 0 }
 
-// setLabel names the content to operators, if that was not done.
+// setLabel sets the label of the entry unless it already has one.
 func (s *suspect) setLabel(content *Content, service string) {
 	if s.Label == (Label{}) {
 		s.Label = labelOf(content, service)
 	}
 }
 
-// merge takes in what another daemon knows. It reports whether that changed the entry.
+// merge applies the entry of another daemon and reports whether that changed this one. A higher
+// epoch replaces the entry; within an epoch, end counts only grow, the smallest keeper name
+// wins and Retried stays set.
 func (s *suspect) merge(other Entry, now time.Time) bool {
 	if other.Epoch < s.Epoch {
 		return false
@@ -121,8 +126,8 @@
 	return changed
 }
 
-// addEnd notes an end of a replica. It reports whether it is a new one, and not that
-// which another run of the content, here or at another daemon, has shown.
+// addEnd counts one end of a replica. It returns false for an end that is already counted, as
+// reported by another run of the content here or at another daemon.
 func (s *suspect) addEnd(name string, now time.Time) bool {
 	seen, before := s.endSeenAt[name]
 	if before && (replica.Incarnation(name).EndsOnce() || now.Sub(seen) < endDedupWindow) {
@@ -131,8 +136,8 @@
 	return s.raiseEnds(name, s.Ended[name]+1, now)
 }
 
-// raiseEnds sets how often a replica ended, if that is more than is known. Replicas beyond
-// endedKept count no more.
+// raiseEnds sets the number of ends of a replica if that is higher than the current one, and
+// reports whether it did. It ignores further replicas once maxEndedReplicas are known.
 func (s *suspect) raiseEnds(replica string, times int, now time.Time) bool {
 	before, named := s.Ended[replica]
 	if times <= before || !named && len(s.Ended) >= maxEndedReplicas {
@@ -148,13 +153,14 @@
 	return true
 }
 
-// endedRecently reports whether a replica ended under the content so short a time ago that
-// it is hardly back.
+// endedRecently reports whether the replica ended under the content less than
+// replicaRestartTimeout ago, so that it has probably not restarted yet.
 func (s *suspect) endedRecently(replica string, now time.Time) bool {
 	seen, ended := s.endSeenAt[replica]
 	return ended && now.Sub(seen) < replicaRestartTimeout
 }
 
+// cloneEntry returns a copy of the entry that shares no map with it.
 func (s *suspect) cloneEntry() Entry {
 	copied := s.Entry
 	copied.Ended = maps.Clone(s.Ended)
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -8,7 +8,8 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// ReplicaEnded notes that a replica of a service ended while it ran the content.
+// ReplicaEnded records that a replica of the service ended while it ran the content. The
+// replica is given by its incarnation.
 func (t *Table) ReplicaEnded(content *Content, replica, service string) {
 	digest := content.Digest()
 	t.mu.Lock()
@@ -18,8 +19,8 @@
 	t.addEnd(s, replica)
 }
 
-// ConnectionBroken notes that the connection to a replica ended while it ran the content, and that
-// its process may have.
+// ConnectionBroken records that the connection to a replica broke while it ran the content, so
+// that its process may have ended. Sweep decides whether it did.
 func (t *Table) ConnectionBroken(content *Content, replica, service string) {
 	digest := content.Digest()
 	t.mu.Lock()
@@ -36,7 +37,8 @@
 	})
 }
 
-// addEnd adds a replica to those that addEnd under a content. The mutex is held.
+// addEnd counts an end of a replica under a content, and logs and announces it if it is new.
+// The third end makes this machine the keeper unless there is one. t.mu must be held.
 func (t *Table) addEnd(s *suspect, name string) {
 	added := false
 	t.update(s, func() {
@@ -50,7 +52,7 @@
 		return
 	}
 	s.changedHere = true
-	t.logger.Warn("replica ended under a content", zap.String("content", s.Digest.Short()),
+	t.logger.Warn("replica ended while running content", zap.String("content", s.Digest.Short()),
 		zap.String("replica", replica.Incarnation(name).ID()), zap.String("start", name),
 		zap.String("service", s.Label.Service), zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
 		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()),
@@ -58,8 +60,8 @@
 	t.announce(s)
 }
 
-// Answered notes that a replica gave the content a whole answer: it does not end what
-// runs it.
+// Answered records that a replica answered the content completely, which clears all suspicion
+// of it.
 func (t *Table) Answered(content *Content) {
 	if t.NoneSuspected() {
 		return
@@ -77,7 +79,8 @@
 	}
 }
 
-// Lift clears a content for an operator. It reports whether there was something to clear.
+// Lift clears a content on behalf of an operator. It returns false if no replica has ended
+// under the content.
 func (t *Table) Lift(digest Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,7 +92,8 @@
 	return true
 }
 
-// clearEntry begins a new epoch of a content. The mutex is held.
+// clearEntry starts a new epoch of a content, without ended replicas, and announces it. t.mu
+// must be held.
 func (t *Table) clearEntry(s *suspect, reason string) {
 	t.logger.Info("content cleared", zap.String("content", s.Digest.Short()), zap.String("reason", reason),
 		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
@@ -102,7 +106,8 @@
 	t.announce(s)
 }
 
-// Merge takes in what another daemon knows of contents. What is news is told on.
+// Merge applies entries received from another daemon, and announces those that changed the
+// table. From names the sender in the log.
 func (t *Table) Merge(entries []Entry, from string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,15 +118,14 @@
 	}
 }
 
-// merge takes in what is known elsewhere of one content, and reports whether it was news.
-// The mutex is held.
+// merge applies one received entry and reports whether it changed the table. t.mu must be held.
 func (t *Table) merge(s *suspect, other Entry, from string) bool {
-	news := false
-	t.update(s, func() { news = s.merge(other, t.now()) })
-	if !news {
+	changed := false
+	t.update(s, func() { changed = s.merge(other, t.now()) })
+	if !changed {
 		return false
 	}
-	t.logger.Info("content learned of", zap.String("content", s.Digest.Short()), zap.String("from", from),
+	t.logger.Info("content entry merged", zap.String("content", s.Digest.Short()), zap.String("from", from),
 		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
 		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()), zap.String("keeper", s.Keeper))
 	return true
--- a/internal/requests/quarantine/expiry.go
+++ b/internal/requests/quarantine/expiry.go
@@ -7,26 +7,24 @@
 )
 
 const (
-	// suspicionTTL is how long after its last end a content is remembered. One that still
-	// comes then begins anew, so that a fault which was mended without a word to
-	// the operator of this service is found mended within a day.
+	// suspicionTTL is how long after the last end a content stays suspected or refused. Later
+	// ends count from zero, so a fixed fault is noticed even if no operator lifts the refusal.
 	suspicionTTL = 24 * time.Hour
-	// brokenConnectionTTL is how long a broken connection may turn out to be the end of its
-	// replica: an entry lapses three heartbeats after its process, a few seconds.
+	// brokenConnectionTTL is how long a broken connection may still turn out to be the end of
+	// its replica. The list drops a replica after three missed heartbeats, a few seconds.
 	brokenConnectionTTL = 8 * time.Second
-	// clearedTTL is how long a cleared content is remembered, so that what another daemon
-	// tells late of its earlier epoch changes nothing.
+	// clearedTTL is how long a cleared entry is kept, so that delayed messages about its
+	// earlier epoch are ignored.
 	clearedTTL = 10 * time.Minute
-	// maxEntries bounds the contents remembered, each of 3 KiB at most with its label. At
-	// three ends each, that many mean 12,000 crashes within forgetAfter.
+	// maxEntries bounds the entries of a table, each of at most 3 KiB with its label.
 	maxEntries = 4096
 )
 
-// remove drops an entry. The mutex is held.
+// remove deletes an entry from the table. t.mu must be held.
 func (t *Table) remove(s *suspect, reason string) {
 	if s.active() {
 		t.activeCount.Add(-1)
-		t.logger.Info("content forgotten", zap.String("content", s.Digest.Short()), zap.String("reason", reason),
+		t.logger.Info("content entry removed", zap.String("content", s.Digest.Short()), zap.String("reason", reason),
 			zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
 			zap.Bool("refused", s.refused()), zap.Uint64("turned_away", s.turnedAway))
 	}
@@ -34,21 +32,21 @@
 	delete(t.changed, s.Digest)
 }
 
-// evictOne makes room: of the contents with the fewest ends the one that was not used
-// for longest goes. The mutex is held.
+// evictOne removes the least recently used of the entries with the fewest ends, to make room.
+// It spares entries with an isolated run in progress. t.mu must be held.
 func (t *Table) evictOne() {
-	var least *suspect
+	var victim *suspect
 	for _, s := range t.entries {
-		if s.isolatedRun == nil && (least == nil || s.evictedBefore(least)) {
-			least = s
+		if s.isolatedRun == nil && (victim == nil || s.evictedBefore(victim)) {
+			victim = s
 		}
 	}
-	if least != nil {
-		t.remove(least, "too many")
+	if victim != nil {
+		t.remove(victim, "table full")
 	}
 }
 
-// evictedBefore orders entries by how little is lost with them.
+// evictedBefore reports whether s is evicted in preference to other.
 func (s *suspect) evictedBefore(other *suspect) bool {
 	if s.ends() != other.ends() {
 		return s.ends() < other.ends()
@@ -56,8 +54,10 @@
 	return s.usedAt.Before(other.usedAt)
 }
 
-// Sweep decides on broken connections by which replicas are still listed, and forgets
-// what is old. One that is listed as started again has ended.
+// Sweep resolves broken connections, clears suspicions after suspicionTTL and removes cleared
+// entries after clearedTTL. Listed reports whether the replica list has an incarnation; one
+// that is missing, also because its replica has restarted, has ended. Sweep calls it with t.mu
+// held.
 func (t *Table) Sweep(listed func(replica string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,14 +67,15 @@
 		switch {
 		case s.isolatedRun != nil:
 		case len(s.Ended) > 0 && now.Sub(s.lastEndAt) > suspicionTTL:
-			t.clearEntry(s, "long ago")
+			t.clearEntry(s, "expired")
 		case !s.active() && s.journaled == nil && now.Sub(s.usedAt) > clearedTTL:
-			t.remove(s, "cleared")
+			t.remove(s, "cleared entry expired")
 		}
 	}
 }
 
-// resolveBroken decides on the broken connections of an entry. The mutex is held.
+// resolveBroken counts each broken connection of an entry as an end if its replica is no longer
+// listed, and discards it after brokenConnectionTTL otherwise. t.mu must be held.
 func (t *Table) resolveBroken(s *suspect, now time.Time, listed func(replica string) bool) {
 	for replica, at := range s.brokenAt {
 		switch {
--- a/internal/requests/quarantine/golden_test.go
+++ b/internal/requests/quarantine/golden_test.go
@@ -13,7 +13,8 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestEntriesKeepTheirForm(t *testing.T) {
+// Guards against changes of the stored records and of the messages between daemons.
+func TestEncodings(t *testing.T) {
 	golden.Service(t, ServiceName, &Service{})
 	golden.Gob[Told](t, "told")
 	golden.CBOR[Entry](t, "entry")
@@ -24,7 +25,8 @@
 	golden.Text(t, "names.txt", fmt.Sprintln(tellMethod, Path, Partition, content.Digest()))
 }
 
-func TestOperatorsAnswersKeepTheirForm(t *testing.T) {
+// Guards against changes of the responses of the operator endpoint.
+func TestOperatorResponses(t *testing.T) {
 	now := func() time.Time { return time.UnixMilli(1_700_000_000_000) }
 	table := New("machine/1", now, zap.NewNop())
 	content := &Content{Method: "GET", Host: "host", Target: "/"}
--- a/internal/requests/quarantine/gossip.go
+++ b/internal/requests/quarantine/gossip.go
@@ -12,73 +12,78 @@
 	"woodworks/internal/journal/relay"
 )
 
-// ServiceName is the name under which daemons answer each other about contents, and
-// tellMethod what they call there.
+// ServiceName is the net/rpc service under which daemons receive entries from each other, and
+// tellMethod its method.
 const (
 	ServiceName = "Quarantine"
 	tellMethod  = ServiceName + ".Tell"
 )
 
 const (
-	// gatherDelay is how long a change waits for others to be told with: the ends that one
-	// crash leaves at a daemon come within milliseconds.
+	// gatherDelay is how long a change waits to be sent together with others. The ends caused
+	// by one crash are observed within milliseconds.
 	gatherDelay = 5 * time.Millisecond
-	// callTimeout bounds one call to a neighbour, retryInterval is the time between two tries.
+	// callTimeout bounds one call to a neighbour; callRetryDelay is the wait after a failed
+	// call.
 	callTimeout    = 700 * time.Millisecond
 	callRetryDelay = 300 * time.Millisecond
-	// giveUpTimeout is how long a neighbour that does not answer is tried. One that is away for
-	// longer learns from the journal what is refused.
+	// giveUpTimeout is how long an unresponsive neighbour is retried. One that is away for
+	// longer reads the entries from the journal.
 	giveUpTimeout = time.Minute
-	// maxEntriesPerCall bounds the entries of one call, of 3 KiB each at most.
+	// maxEntriesPerCall bounds the entries of one call, each of at most 3 KiB.
 	maxEntriesPerCall = 128
 )
 
-// Neighbours are the daemons that this one tells.
+// Neighbours gives access to the peers to which this daemon sends entries.
 type Neighbours interface {
-	// Neighbours returns the machines to tell: if each daemon tells its own, all learn.
+	// Neighbours returns the machines of the peers. Entries must reach all daemons if each
+	// daemon forwards them to its own neighbours.
 	Neighbours() []string
+	// Ask calls a net/rpc method at a peer. Its errors are those of relay.Journal.Ask.
 	Ask(ctx context.Context, machine, method string, req, answer any) error
 }
 
-// Told is what one daemon tells another. net/rpc encodes it by the names of its fields, which
-// stay, as those of Entry and Label.
+// Told is the argument of the net/rpc method Quarantine.Tell. It is encoded by the names of the
+// types and fields, so those of Told, Entry and Label must not change.
 type Told struct {
 	From    string
 	Entries []Entry
 }
 
-// Service takes in what other daemons tell. Its exported method is that of net/rpc.
+// Service is the net/rpc service that receives entries from peers.
 type Service struct{ table *Table }
 
-// NewService returns the service of a table.
+// NewService returns the service that merges received entries into table.
 func NewService(table *Table) *Service { return &Service{table: table} }
 
-// Tell takes entries in. It is exported for net/rpc, whose callers know it by its name.
+// Tell merges the entries of a peer and sets taken to their number. It is a net/rpc method, so
+// its name must not change.
 func (s *Service) Tell(msg Told, taken *int) error {
 	s.table.Merge(msg.Entries, msg.From)
 	*taken = len(msg.Entries)
 	return nil
 }
 
-// Gossiper tells neighbours of changes of a table. What they learn anew they tell on, so
-// that all daemons know after a few calls, with or without the journal.
+// Gossiper sends changed entries of a table to the neighbours. Entries that change a
+// neighbour's table are forwarded by it, so they reach all daemons in a few steps even without
+// the journal.
 type Gossiper struct {
 	table      *Table
 	neighbours Neighbours
 	logger     *zap.Logger
 
 	mu sync.Mutex
-	// pending are the contents that a neighbour has to be told of. A neighbour has an entry
-	// while a goroutine tells it.
+	// pending maps each neighbour to the contents to send to it. A neighbour has an entry
+	// exactly while a goroutine runs sendPending for it.
 	pending map[string]map[Digest]bool
 }
 
-// NewGossiper returns a spreader; Run starts it.
+// NewGossiper returns a gossiper; Run starts it.
 func NewGossiper(table *Table, neighbours Neighbours, logger *zap.Logger) *Gossiper {
 	return &Gossiper{table: table, neighbours: neighbours, logger: logger, pending: map[string]map[Digest]bool{}}
 }
 
-// Run tells of changes until the context ends.
+// Run sends changes of the table to the neighbours until the context ends.
 func (s *Gossiper) Run(ctx context.Context) {
 	for {
 		select {
@@ -94,15 +99,16 @@
 	}
 }
 
-// enqueue has a neighbour told of contents.
+// enqueue adds contents to those pending for a neighbour, and starts its sender goroutine if
+// there is none.
 func (s *Gossiper) enqueue(ctx context.Context, machine string, changed []Digest) {
 	if len(changed) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	due, telling := s.pending[machine]
-	if !telling {
+	due, sending := s.pending[machine]
+	if !sending {
 		due = map[Digest]bool{}
 		s.pending[machine] = due
 		go s.sendPending(ctx, machine)
@@ -112,32 +118,32 @@
 	}
 }
 
-// sendPending tells a neighbour what is due until nothing is, or until it has not answered for
-// too long.
+// sendPending sends pending contents to a neighbour until none are left or giveUpTimeout is
+// reached.
 func (s *Gossiper) sendPending(ctx context.Context, machine string) {
-	var silent time.Duration
+	var unresponsive time.Duration
 	for {
-		batch, over := s.takeBatch(machine, ctx.Err() != nil || silent >= giveUpTimeout)
-		if over {
+		batch, done := s.takeBatch(machine, ctx.Err() != nil || unresponsive >= giveUpTimeout)
+		if done {
 			return
 		}
 		err := s.sendBatch(ctx, machine, batch)
 		if err == nil {
-			silent = 0
+			unresponsive = 0
 			continue
 		}
-		if silent == 0 {
+		if unresponsive == 0 {
 			s.logger.Info("sending suspected contents to a peer failed", zap.String("machine", machine),
 				zap.Int("contents", len(batch)), zap.Error(err))
 		}
 		s.requeue(machine, batch)
-		silent += callRetryDelay
+		unresponsive += callRetryDelay
 		periodic.Pause(ctx, callRetryDelay)
 	}
 }
 
-// sendBatch makes one call. A neighbour that does not know the call, as one of an earlier
-// version, is taken as told.
+// sendBatch makes one call with the present entries of the batch. If the neighbour rejects the
+// call, for example because its version lacks the method, the batch counts as sent.
 func (s *Gossiper) sendBatch(ctx context.Context, machine string, batch []Digest) error {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -150,9 +156,9 @@
 	return err
 }
 
-// takeBatch returns the next contents to tell a neighbour of. If there are none, or if it is
-// given up, the telling is over.
-func (s *Gossiper) takeBatch(machine string, giveUp bool) (batch []Digest, over bool) {
+// takeBatch removes and returns the next contents to send to a neighbour. If none are left or
+// giveUp is set, it ends the neighbour's sending and returns done.
+func (s *Gossiper) takeBatch(machine string, giveUp bool) (batch []Digest, done bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	due := s.pending[machine]
@@ -170,6 +176,7 @@
 	return batch, false
 }
 
+// requeue makes the contents of a failed batch pending again.
 func (s *Gossiper) requeue(machine string, batch []Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/requests/quarantine/gossip_test.go
+++ b/internal/requests/quarantine/gossip_test.go
@@ -18,13 +18,14 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// contactBound is within which time all daemons must know what one has learned.
-const contactBound = 3 * time.Second
+// maxPropagation is the time within which all daemons must learn what one of them knows.
+const maxPropagation = 3 * time.Second
 
-// callTime is how long a call to a peer takes, hangTime one to a peer that is cut off.
-const callTime, hangTime = 2 * time.Millisecond, 700 * time.Millisecond
+// callDuration is the duration of a call to a peer, hangDuration that of a call that gets no
+// answer.
+const callDuration, hangDuration = 2 * time.Millisecond, 700 * time.Millisecond
 
-// fleet is some daemons that tell each other in memory, before one journal.
+// fleet is a set of daemons connected in memory that share one journal.
 type fleet struct {
 	log   *journaltest.Journal
 	ctx   context.Context
@@ -35,36 +36,37 @@
 	calls   int
 }
 
-// daemon is one of a fleet, with all that belongs to the package.
+// daemon is one member of a fleet, with the table and the goroutines of this package.
 type daemon struct {
 	fleet *fleet
 	name  string
 	table *Table
 	stop  context.CancelFunc
-	// alone daemons reach no peer, and none reaches them.
-	alone bool
+	// isCutOff daemons neither reach a peer nor are reached by one.
+	isCutOff bool
 }
 
 func newFleet(ctx context.Context) *fleet {
 	return &fleet{log: journaltest.New(), ctx: ctx, clock: time.Now, daemons: map[string]*daemon{}}
 }
 
-// start starts a daemon. Without peers it has the journal alone.
+// start starts a daemon. Without peers, it is connected to the journal only.
 func (f *fleet) start(name string, peers bool) *daemon {
 	ctx, cancel := context.WithCancel(f.ctx)
 	d := &daemon{fleet: f, name: name, table: New(name, f.clock, zap.NewNop()), stop: cancel}
 	f.mu.Lock()
 	f.daemons[name] = d
 	f.mu.Unlock()
-	keeper := NewRecorder(d.table, f.log, peers, zap.NewNop())
-	go keeper.Run(ctx)
-	go journal.NewKeyedFollower(f.log, Partition, keeper, contactBound, zap.NewNop()).Run(ctx)
+	recorder := NewRecorder(d.table, f.log, peers, zap.NewNop())
+	go recorder.Run(ctx)
+	go journal.NewKeyedFollower(f.log, Partition, recorder, maxPropagation, zap.NewNop()).Run(ctx)
 	if peers {
 		go NewGossiper(d.table, d, zap.NewNop()).Run(ctx)
 	}
 	return d
 }
 
+// startAll starts count daemons and waits until they are idle.
 func (f *fleet) startAll(count int, peers bool) []*daemon {
 	var started []*daemon
 	for i := range count {
@@ -74,7 +76,7 @@
 	return started
 }
 
-// Neighbours implements Neighbours as package relay does.
+// Neighbours implements Neighbours with the topology of package relay.
 func (d *daemon) Neighbours() []string {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
@@ -97,32 +99,32 @@
 func (d *daemon) Ask(ctx context.Context, machine, _ string, asked, answer any) error {
 	d.fleet.mu.Lock()
 	to := d.fleet.daemons[machine]
-	cut := to == nil || to.alone || d.alone
+	cut := to == nil || to.isCutOff || d.isCutOff
 	d.fleet.calls++
 	d.fleet.mu.Unlock()
 	if cut {
-		time.Sleep(hangTime)
+		time.Sleep(hangDuration)
 		return errors.New("no answer")
 	}
-	time.Sleep(callTime)
+	time.Sleep(callDuration)
 	return NewService(to.table).Tell(asked.(Told), answer.(*int))
 }
 
 func (d *daemon) cutOff(cut bool) {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
-	d.alone = cut
+	d.isCutOff = cut
 }
 
-// made is how many calls daemons made to each other.
-func (f *fleet) made() int {
+// callCount returns the number of calls that daemons made to each other.
+func (f *fleet) callCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// forget drops the daemons, which have stopped.
-func (f *fleet) forget() {
+// removeAll removes the daemons from the fleet. They must have been stopped.
+func (f *fleet) removeAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.daemons = map[string]*daemon{}
@@ -130,15 +132,15 @@
 
 var poison = contentNamed("poison")
 
-// end has three daemons see a replica end under the content, one each.
-func end(daemons ...*daemon) {
+// endReplicas makes each daemon observe the end of a different replica under the content.
+func endReplicas(daemons ...*daemon) {
 	for i, s := range daemons {
 		s.table.ReplicaEnded(poison, fmt.Sprint("replica-", i), "s")
 	}
 }
 
-// knowing returns how many of the daemons refuse the content.
-func knowing(daemons []*daemon) int {
+// countRefusing returns the number of daemons that refuse the content.
+func countRefusing(daemons []*daemon) int {
 	count := 0
 	for _, s := range daemons {
 		if s.table.Suspicion(poison) == Quarantined {
@@ -148,20 +150,20 @@
 	return count
 }
 
-// Three daemons each see one end; none of them alone could tell.
-func TestAllDaemonsKnowWithinTheContactBound(t *testing.T) {
+// Guards against ends observed by different daemons that do not add up at all of them in time.
+func TestRefusalReachesAllDaemons(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// peers says that daemons tell each other, outage that the journal is away.
+		// peers connects the daemons to each other; outage makes the journal unavailable.
 		peers, outage bool
 		daemons       int
-		// mostCalls bounds calls between peers.
-		mostCalls int
+		// maxCalls bounds the calls between peers.
+		maxCalls int
 	}{
 		{"peers", true, false, 12, 300},
 		{"peers, no journal", true, true, 12, 300},
 		{"peers, no journal, many", true, true, 770, 25_000},
-		{"journal alone", false, false, 12, 0},
+		{"journal only", false, false, 12, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -173,14 +175,14 @@
 				if c.outage {
 					f.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
 				}
-				began := time.Now()
-				end(daemons[0], daemons[c.daemons/2], daemons[c.daemons-1])
-				for knowing(daemons) < len(daemons) && time.Since(began) <= contactBound {
+				startedAt := time.Now()
+				endReplicas(daemons[0], daemons[c.daemons/2], daemons[c.daemons-1])
+				for countRefusing(daemons) < len(daemons) && time.Since(startedAt) <= maxPropagation {
 					time.Sleep(time.Millisecond)
 				}
-				is.Equal(knowing(daemons), len(daemons))
-				is.True(f.made() <= c.mostCalls)
-				t.Logf("%d daemons know after %v, %d calls between peers", len(daemons), time.Since(began), f.made())
+				is.Equal(countRefusing(daemons), len(daemons))
+				is.True(f.callCount() <= c.maxCalls)
+				t.Logf("%d daemons refuse the content after %v, with %d calls between peers", len(daemons), time.Since(startedAt), f.callCount())
 				cancel()
 				synctest.Wait()
 			})
@@ -188,9 +190,9 @@
 	}
 }
 
-// A daemon that reached nobody learns of the refusal once it is back, and one that starts
-// after all that knew have gone learns of it from the journal.
-func TestARefusalOutlastsCutsAndProcesses(t *testing.T) {
+// Guards against a refusal that is lost at a daemon that was cut off, or when all daemons
+// restart.
+func TestRefusalSurvivesPartitionsAndRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -199,47 +201,47 @@
 		daemons := f.startAll(6, true)
 		f.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
 		daemons[2].cutOff(true)
-		end(daemons[0], daemons[1], daemons[3])
-		time.Sleep(contactBound)
-		is.Equal(knowing(daemons), len(daemons)-1)
+		endReplicas(daemons[0], daemons[1], daemons[3])
+		time.Sleep(maxPropagation)
+		is.Equal(countRefusing(daemons), len(daemons)-1)
 		daemons[2].cutOff(false)
-		time.Sleep(contactBound)
-		is.Equal(knowing(daemons), len(daemons))
+		time.Sleep(maxPropagation)
+		is.Equal(countRefusing(daemons), len(daemons))
 		f.log.SetBefall(nil)
-		time.Sleep(contactBound)
+		time.Sleep(maxPropagation)
 		for _, s := range daemons {
 			s.stop()
 		}
 		synctest.Wait()
-		f.forget()
+		f.removeAll()
 		again := f.startAll(6, true)
-		time.Sleep(contactBound / 10)
-		is.Equal(knowing(again), len(again))
-		// An operator lifts it at one daemon, and all do, also those that start later.
+		time.Sleep(maxPropagation / 10)
+		is.Equal(countRefusing(again), len(again))
+		// A refusal lifted at one daemon is lifted at all, including daemons started later.
 		is.True(again[4].table.Lift(poison.Digest()))
-		time.Sleep(contactBound)
-		is.Equal(knowing(again), 0)
+		time.Sleep(maxPropagation)
+		is.Equal(countRefusing(again), 0)
 		late := f.start("late", true)
-		time.Sleep(contactBound)
-		is.Equal(knowing([]*daemon{late}), 0)
-		is.Equal(knowing(again), 0)
+		time.Sleep(maxPropagation)
+		is.Equal(countRefusing([]*daemon{late}), 0)
+		is.Equal(countRefusing(again), 0)
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// A bystander of an end is answered soon after: the journal is written nothing for it.
-func TestNothingIsWrittenForABystander(t *testing.T) {
+// Guards against journal writes for a content that is answered soon after an end.
+func TestHarmlessContentIsNotJournaled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		f := newFleet(ctx)
 		daemons := f.startAll(3, true)
-		end(daemons[0], daemons[1])
+		endReplicas(daemons[0], daemons[1])
 		time.Sleep(suspectRecordDelay / 2)
 		daemons[2].table.Answered(poison)
-		time.Sleep(contactBound)
+		time.Sleep(maxPropagation)
 		is.Equal(len(f.log.Records(Partition)), 0)
 		for _, s := range daemons {
 			is.True(s.table.NoneSuspected())
@@ -249,32 +251,31 @@
 	})
 }
 
-// All machines lose power between the second end and the third. Each end that was forgotten
-// with them cost one replica more.
-func TestEndsOutlastAllProcesses(t *testing.T) {
+// Guards against the loss of counted ends when all machines lose power before the third end.
+func TestEndsSurviveRestartOfAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		f := newFleet(ctx)
 		daemons := f.startAll(3, true)
-		end(daemons[0], daemons[1])
+		endReplicas(daemons[0], daemons[1])
 		time.Sleep(2 * suspectRecordDelay)
 		for _, s := range daemons {
 			s.stop()
 		}
 		synctest.Wait()
-		f.forget()
+		f.removeAll()
 		again := f.startAll(3, true)
 		for _, s := range again {
 			is.Equal(s.table.Suspicion(poison), IsolatedOnly)
 		}
 		again[2].table.ReplicaEnded(poison, "one-more", "s")
-		time.Sleep(contactBound)
-		is.Equal(knowing(again), len(again))
-		// What is answered is dropped from the journal, for all that start later.
+		time.Sleep(maxPropagation)
+		is.Equal(countRefusing(again), len(again))
+		// An answered content is deleted from the journal, also for daemons started later.
 		again[0].table.Answered(poison)
-		time.Sleep(contactBound)
+		time.Sleep(maxPropagation)
 		late := f.start("late", true)
 		synctest.Wait()
 		is.True(late.table.NoneSuspected())
@@ -283,9 +284,9 @@
 	})
 }
 
-// In an outage of the journal each daemon that has something to write tries once a second;
-// nothing is asked of it where there is nothing to write.
-func TestAnOutageOfTheJournalIsNotPressed(t *testing.T) {
+// Guards against more than one append per second from each daemon during an outage of the
+// journal, and against any append when there is nothing to write.
+func TestJournalOutageLimitsAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -301,7 +302,7 @@
 		})
 		time.Sleep(10 * time.Second)
 		is.Equal(appends.Load(), int64(0))
-		end(daemons...)
+		endReplicas(daemons...)
 		time.Sleep(10 * time.Second)
 		is.True(appends.Load() >= 10)
 		is.True(appends.Load() <= 3*11)
--- a/internal/requests/quarantine/http.go
+++ b/internal/requests/quarantine/http.go
@@ -8,11 +8,11 @@
 	"go.uber.org/zap"
 )
 
-// Path is where operators see the suspected contents of a daemon; the one below it with
-// a digest is where they lift what is held against a content, by DELETE.
+// Path is the operator endpoint of a daemon. GET lists the suspected contents; DELETE on
+// Path/DIGEST clears one.
 const Path = "/quarantine"
 
-// problem is an answer that is not a success, as daemons answer everywhere.
+// problem is the body of an error response, in the format that all endpoints of a daemon use.
 type problem struct {
 	Error problemText `json:"error"`
 }
@@ -24,12 +24,13 @@
 	Field string `json:"field,omitempty"`
 }
 
-// Lifted is the answer to a content that was cleared.
+// Lifted is the response to a DELETE that cleared a content.
 type Lifted struct {
 	Digest string `json:"digest"`
 }
 
-// Handler answers operators. What one daemon lifts all lift.
+// Handler serves the operator endpoint at Path. A content cleared at one daemon is cleared at
+// all of them.
 func Handler(table *Table, logger *zap.Logger) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text := strings.Trim(strings.TrimPrefix(r.URL.Path, Path), "/")
--- a/internal/requests/quarantine/listing.go
+++ b/internal/requests/quarantine/listing.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// ListedContent is what an operator is told of a content.
+// ListedContent is one suspected content in the list for operators.
 type ListedContent struct {
 	Digest string `json:"digest"`
 	Entry
 	Refused bool `json:"refused"`
-	// TurnedAway counts the tries that this daemon refused.
+	// TurnedAway counts the attempts that this daemon refused.
 	TurnedAway uint64 `json:"turned_away"`
-	// SinceEndMs is how long ago a replica last ended under it, in milliseconds.
+	// SinceEndMs is the time since a replica last ended under the content, in milliseconds.
 	SinceEndMs int64 `json:"since_end_ms"`
 }
 
-// List returns the suspected contents, those with the most ends first.
+// List returns the suspected and refused contents, those with the most ends first.
 func (t *Table) List() []ListedContent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -33,8 +33,8 @@
 	return list
 }
 
-// Count returns how many contents are suspected, how many of them are refused, and how
-// many tries were turned away.
+// Count returns the number of suspected contents (including refused ones), the number of
+// refused ones, and the number of attempts refused since the start of the daemon.
 func (t *Table) Count() (suspected, refused int, turnedAway uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/requests/quarantine/quarantine.go
+++ b/internal/requests/quarantine/quarantine.go
@@ -1,46 +1,43 @@
-// Package quarantine keeps a request that ends the replicas which run it from being sent
-// to further ones.
+// Package quarantine detects requests that crash the replicas running them, and refuses such
+// requests before they crash more replicas.
 //
-// A request may crash the process that runs it. Its caller sends it again, at any daemon,
-// and each try would cost another replica with all that runs there. Daemons therefore
-// remember contents (who asks for what) under which a replica has ended, and tell each
-// other. What shared a replica with the guilty content looks as guilty as it, so that
-// suspicion comes in steps:
+// A request may crash the process that runs it. If its caller repeats it, possibly at another
+// daemon, each attempt costs another replica and every request running there. Daemons therefore
+// record each content (tenant, destination and body of a request) under which a replica has
+// ended, and share these records. Requests that merely ran on the same replica are suspected as
+// well, so the restrictions increase with the number of ends:
 //
-//   - One end: the content is suspected. It may run as before, but no second replica is
-//     asked while the first is silent.
-//   - Two ends: it may run once more, alone: one run at a time from a daemon, at a replica
-//     without another suspect, while the service has a second replica to serve the others.
-//     What is innocent gets its answer there.
-//   - Three ends: it is refused. The daemon that saw the third end lets it run once more
-//     after a while, which sets free what three coincidences had condemned.
+//   - One end: the content is suspected. It may run as before, but without a hedge.
+//   - Two ends: it runs only in isolation, that is, one run at a time from a daemon, at a
+//     replica without another isolated run. Shortly after an end, the service must also have a
+//     second replica available. A harmless content is answered in such a run.
+//   - Three ends: it is refused. The daemon that saw the third end (the keeper) runs it once
+//     more after a delay, which clears contents that were suspected three times by coincidence.
 //
-// Any whole answer clears a content at once. Ends that no answer came between are counted
-// by incarnation of a replica, so that it does not matter which daemons saw them or how often
-// they tell. Replicas are named by their incarnations everywhere here.
+// Any complete answer clears a content at once. Ends are counted per incarnation of a replica,
+// so the count does not depend on which daemons observe an end or how often they report it.
+// Throughout this package, replicas are identified by their incarnations.
 //
-// Nothing is looked up for a request while no content is suspected: that costs one load
-// of a counter.
+// While no content is suspected, checking a request costs one atomic load.
 //
-// The package owns the table of suspected contents of this daemon and the rules on them
-// (verdict.go). It relies on forward to tell what became of replicas, on peers (Spreader) and
-// the journal (Recorder) to learn what other daemons know.
+// The package owns the table of suspected contents of this daemon and the rules for them
+// (decision.go). Package forward reports the outcome of attempts; peers (Gossiper) and the
+// journal (Recorder) supply the entries of other daemons.
 //
-// Invariants: an entry of a higher epoch replaces one of a lower; within an epoch ended
-// replicas are only added; a refused content runs at most once more in an epoch, from its
-// keeper.
+// Invariants: an entry with a higher epoch replaces one with a lower epoch; within an epoch,
+// end counts never decrease; the keeper runs a refused content at most once per epoch.
 //
 // # Usage
 //
-//	switch got := table.Judge(content, replica, others).(type) {
-//	case quarantine.Free:
+//	switch decision := table.Decide(content, replica, others).(type) {
+//	case quarantine.Allowed:
 //		// run it, then:
-//		table.Answered(content) // or table.Ended(content, replica, service)
-//	case quarantine.Alone:
-//		defer got.End()
-//		// likewise
+//		table.Answered(content) // or table.ReplicaEnded(content, replica, service)
+//	case quarantine.Isolated:
+//		defer decision.End()
+//		// run it and report its outcome as above, before End
 //	case quarantine.Refused:
-//		// tell the caller that it has not run
+//		// answer the caller that the request was not run
 //	}
 package quarantine
 
@@ -55,37 +52,40 @@
 	"woodworks/internal/daemon/bootclock"
 )
 
-// Table is what a daemon knows of contents under which replicas have ended. It is safe
+// Table holds the contents under which replicas have ended, as known to this daemon. It is safe
 // for concurrent use.
 type Table struct {
 	machine string
 	now     bootclock.Clock
 	logger  *zap.Logger
-	// activeCount counts the entries that are: while there is none, no request is looked up.
+	// activeCount is the number of active entries. While it is 0, requests are not looked up.
 	activeCount atomic.Int64
-	// turnedAway counts tries that were refused.
+	// turnedAway counts refused attempts.
 	turnedAway atomic.Uint64
 
 	mu      sync.Mutex
 	entries map[Digest]*suspect
-	// isolatedRuns counts the runs isolatedRuns from here at each replica.
+	// isolatedRuns maps each replica to the number of isolated runs in progress there from this
+	// daemon.
 	isolatedRuns map[string]int
-	// changed are the contents to tell other daemons of; wake says that there are some.
-	// unrecorded says that the journal may lack something.
+	// changed holds the contents to announce to other daemons; wake is signalled when one is
+	// added. unrecorded is signalled when the journal may be out of date.
 	changed          map[Digest]bool
 	wake, unrecorded chan struct{}
 }
 
-// New returns an empty table of a machine.
+// New returns the empty table of a daemon. Machine is the name under which other daemons know
+// it.
 func New(machine string, now bootclock.Clock, logger *zap.Logger) *Table {
 	return &Table{machine: machine, now: now, logger: logger, entries: map[Digest]*suspect{}, isolatedRuns: map[string]int{},
 		changed: map[Digest]bool{}, wake: make(chan struct{}, 1), unrecorded: make(chan struct{}, 1)}
 }
 
-// NoneSuspected reports whether no content is suspected.
+// NoneSuspected reports whether no content is suspected or refused, without taking a lock.
 func (t *Table) NoneSuspected() bool { return t.activeCount.Load() == 0 }
 
-// ensureEntry returns the ensureEntry of a content, made if there is none. The mutex is held.
+// ensureEntry returns the entry of a content, creating it if it is missing. If the table is
+// full, another entry is evicted. t.mu must be held.
 func (t *Table) ensureEntry(digest Digest) *suspect {
 	s := t.entries[digest]
 	if s == nil {
@@ -98,8 +98,8 @@
 	return s
 }
 
-// update makes a update of an entry and brings what hangs on it up to date. The mutex is
-// held.
+// update calls apply to modify the entry, then updates activeCount and the entry's timestamps
+// and signals the recorder. t.mu must be held.
 func (t *Table) update(s *suspect, apply func()) {
 	was := s.active()
 	apply()
@@ -115,13 +115,14 @@
 	signal(t.unrecorded)
 }
 
-// announce has the other daemons told of an entry. The mutex is held.
+// announce queues an entry to be sent to other daemons. t.mu must be held.
 func (t *Table) announce(s *suspect) {
 	t.changed[s.Digest] = true
 	signal(t.wake)
 }
 
-// signal wakes who waits, or has them look again once they have looked.
+// signal wakes the receiver without blocking. A signal sent while the receiver is busy is kept
+// until its next receive; further ones are merged with it.
 func signal(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
@@ -129,7 +130,7 @@
 	}
 }
 
-// takeChanged returns the contents that others have not been told of.
+// takeChanged returns the contents that are queued to be announced, and empties the queue.
 func (t *Table) takeChanged() []Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,7 +139,8 @@
 	return changed
 }
 
-// entriesOf returns the entries of contents, as they are now.
+// entriesOf returns copies of the present entries of the contents. Contents without an entry
+// are omitted.
 func (t *Table) entriesOf(digests []Digest) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -13,44 +13,46 @@
 
 const (
 	topic = "woodworks.quarantine"
-	// recordInterval is the time between two looks for what the journal does not have, while
-	// it lacks something. An end that is not there when all machines lose power costs a
-	// replica more.
+	// recordInterval is the time between checks for entries to write, while the journal is out
+	// of date. An end that is not written when all machines lose power may cost one more
+	// replica.
 	recordInterval = 50 * time.Millisecond
-	// suspectRecordDelay is how long a content must be merely suspected to be written: most are
-	// bystanders, whose next run answers within this time.
+	// suspectRecordDelay is how long after its last end a content that is not yet refused is
+	// written. Most such contents are harmless and are answered before.
 	suspectRecordDelay = 300 * time.Millisecond
-	// otherWriterDelay is how long a daemon leaves a change to the one that made it to write.
+	// otherWriterDelay is how long a daemon waits for the daemon that made a change to write
+	// it.
 	otherWriterDelay = 4 * time.Second
-	recordTimeout    = time.Second
-	// writeRetryDelay is the pause after a write that failed: in an outage of the journal each
-	// daemon tries once a second.
+	// recordTimeout bounds one append to the journal.
+	recordTimeout = time.Second
+	// writeRetryDelay is the wait after a failed write, so that an outage of the journal causes
+	// at most one write per second from each daemon.
 	writeRetryDelay = time.Second
 	// maxRecordsPerAppend bounds the records of one append.
 	maxRecordsPerAppend = 32
 )
 
-// Partition is where suspected contents are kept.
+// Partition is the journal partition that stores suspected contents, keyed by digest.
 var Partition = journal.Partition{Topic: journal.KeyedTopic(topic)}
 
-// Recorder keeps suspected contents in the journal, so that what is held against them
-// outlasts every process, and learns from it what was before this one started. It
-// implements journal.KeyedHandler and journal.KeyedResetter.
+// Recorder writes the entries of a table to the journal, so that they survive the restart of
+// all daemons, and applies the entries that it reads back from there. It implements
+// journal.KeyedHandler and journal.KeyedResetter.
 type Recorder struct {
 	table   *Table
 	journal journal.Journal
-	// writeImmediately has every end written at once: daemons that do not reach each other count
-	// ends through the journal.
+	// writeImmediately makes every end be written without suspectRecordDelay. It is set if
+	// daemons have no peer connections and count ends only through the journal.
 	writeImmediately bool
 	logger           *zap.Logger
-	// failing says that the last write failed. It is Run's alone.
+	// failing reports whether the last write failed. Only the goroutine of Run uses it.
 	failing bool
 }
 
-// NewRecorder returns the recorder of a table. Reached says that daemons tell each other of
-// suspected contents, so that the journal is only for what lasts.
-func NewRecorder(table *Table, log journal.Journal, reached bool, logger *zap.Logger) *Recorder {
-	return &Recorder{table: table, journal: log, writeImmediately: !reached, logger: logger}
+// NewRecorder returns the recorder of a table; Run starts it. HasPeers reports whether daemons
+// exchange entries directly, so that the journal serves for durability only.
+func NewRecorder(table *Table, log journal.Journal, hasPeers bool, logger *zap.Logger) *Recorder {
+	return &Recorder{table: table, journal: log, writeImmediately: !hasPeers, logger: logger}
 }
 
 // Reset implements journal.KeyedResetter.
@@ -82,7 +84,7 @@
 	r.table.applyJournaled(entry)
 }
 
-// Run writes what the journal lacks until the context ends.
+// Run writes entries to the journal whenever it is out of date, until the context ends.
 func (r *Recorder) Run(ctx context.Context) {
 	for {
 		select {
@@ -96,7 +98,7 @@
 	}
 }
 
-// delay is the time until the next look.
+// delay returns the time to wait before the next check.
 func (r *Recorder) delay() time.Duration {
 	if r.failing {
 		return writeRetryDelay
@@ -104,17 +106,17 @@
 	return recordInterval
 }
 
-// writeDue writes what is due now, and reports whether the journal will still lack
-// something.
+// writeDue writes the entries that are due and reports whether Run must check again. Entries
+// count as missing until they are read back.
 func (r *Recorder) writeDue(ctx context.Context) bool {
-	due, lacking := r.table.dueEntries(r.writeImmediately)
+	due, outOfDate := r.table.dueEntries(r.writeImmediately)
 	if len(due) > 0 {
 		r.updateFailing(r.write(ctx, due), len(due))
 	}
-	return lacking && ctx.Err() == nil
+	return outOfDate && ctx.Err() == nil
 }
 
-// updateFailing logs that writes begin to fail, and that they succeed again.
+// updateFailing stores whether the last write failed, and logs when that changes.
 func (r *Recorder) updateFailing(err error, contents int) {
 	if (err != nil) == r.failing {
 		return
@@ -123,8 +125,8 @@
 	r.logger.Info("journal writes of suspected contents", zap.Bool("failing", r.failing), zap.Int("contents", contents), zap.Error(err))
 }
 
-// write appends the entries, or drops those that have no ended replicas any more. What
-// was written is taken as kept once it is read back.
+// write appends the entries to the journal. For an entry without ended replicas it appends a
+// deletion of the key.
 func (r *Recorder) write(ctx context.Context, entries []Entry) error {
 	var records [][]byte
 	for _, entry := range entries {
@@ -145,9 +147,9 @@
 	return nil
 }
 
-// dueEntries returns the entries that this daemon should write to the journal now, and whether
-// the journal lacks any.
-func (t *Table) dueEntries(atOnce bool) (due []Entry, lacking bool) {
+// dueEntries returns the entries that this daemon should write now, at most
+// maxRecordsPerAppend, and whether the journal is out of date for any entry.
+func (t *Table) dueEntries(immediately bool) (due []Entry, outOfDate bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -155,16 +157,15 @@
 		if !s.unrecorded() {
 			continue
 		}
-		lacking = true
-		if len(due) < maxRecordsPerAppend && s.recordDue(now, atOnce) {
+		outOfDate = true
+		if len(due) < maxRecordsPerAppend && s.recordDue(now, immediately) {
 			due = append(due, s.cloneEntry())
 		}
 	}
-	return due, lacking
+	return due, outOfDate
 }
 
-// unrecorded reports whether the journal has something else of the content than it
-// should have.
+// unrecorded reports whether the journal is out of date for this content.
 func (s *suspect) unrecorded() bool {
 	switch {
 	case len(s.Ended) == 0:
@@ -176,25 +177,26 @@
 	}
 }
 
-// matches reports whether the journal lacks nothing of the content if it has the entry.
+// matches reports whether e, as stored in the journal, is up to date.
 func (s *suspect) matches(e *Entry) bool {
 	return e.Epoch == s.Epoch && e.Retried == s.Retried && e.ends() == s.ends()
 }
 
 // recordDue reports whether this daemon should write the entry now.
-func (s *suspect) recordDue(now time.Time, atOnce bool) bool {
+func (s *suspect) recordDue(now time.Time, immediately bool) bool {
 	switch {
 	case !s.changedHere:
 		return !now.Before(s.recordAfter)
-	case atOnce, s.refused(), len(s.Ended) == 0:
+	case immediately, s.refused(), len(s.Ended) == 0:
 		return true
 	default:
 		return now.Sub(s.lastEndAt) >= suspectRecordDelay
 	}
 }
 
-// markWritten has the entries that were just markWritten left alone until they are read back, but
-// for what has changed since.
+// markWritten prevents entries that were just written from being written again for
+// otherWriterDelay, within which they are normally read back. Entries that have changed since
+// the write stay due.
 func (t *Table) markWritten(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -205,7 +207,7 @@
 	}
 }
 
-// applyJournaled takes in an entry as the journal has it.
+// applyJournaled merges an entry read from the journal.
 func (t *Table) applyJournaled(entry Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -215,7 +217,7 @@
 	signal(t.unrecorded)
 }
 
-// applyDeletion takes in that the journal has no entry of a content any more: it was cleared.
+// applyDeletion handles the deletion of a content's key from the journal.
 func (t *Table) applyDeletion(digest Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -224,7 +226,7 @@
 	}
 }
 
-// applyDeletionsExcept takes in that the journal has entries only under the keys given.
+// applyDeletionsExcept handles the deletion of every key that is not in listed.
 func (t *Table) applyDeletionsExcept(listed map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -235,13 +237,13 @@
 	}
 }
 
-// journalEntryDeleted clears an entry that the journal had in its present epoch and has no more. The
-// mutex is held.
+// journalEntryDeleted clears an entry if the journal held its current epoch and no longer does.
+// A deletion that belongs to an earlier epoch leaves it unchanged. t.mu must be held.
 func (t *Table) journalEntryDeleted(s *suspect) {
 	before := s.journaled
 	s.journaled = nil
 	signal(t.unrecorded)
 	if before != nil && before.Epoch == s.Epoch && len(s.Ended) > 0 {
-		t.clearEntry(s, "cleared in the journal")
+		t.clearEntry(s, "deleted from the journal")
 	}
 }
