--- a/internal/requests/eventstream/eventstream.go
+++ b/internal/requests/eventstream/eventstream.go
@@ -19,9 +19,9 @@
 
 // Errors of a stream.
 var (
-	// ErrCut: the stream ended within an event or before its connection's
+	// ErrTruncated: the stream ended within an event or before its connection's
 	// framing said so.
-	ErrCut = errors.New("event stream: cut off")
+	ErrTruncated = errors.New("event stream: cut off")
 	// ErrMalformed: the bytes are no event.
 	ErrMalformed = errors.New("event stream: malformed event")
 )
@@ -64,7 +64,7 @@
 			return Event{}, io.EOF
 		}
 		if err == io.EOF {
-			return Event{}, ErrCut
+			return Event{}, ErrTruncated
 		}
 		if err != nil {
 			return Event{}, err
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -44,7 +44,7 @@
 		return // neither says anything of the replica's soundness, and both are frequent
 	}
 	liveness := upstream.LivenessUnknown
-	if errors.Is(failed.err, upstream.ErrNoAnswer) || errors.Is(failed.err, eventstream.ErrCut) {
+	if errors.Is(failed.err, upstream.ErrNoAnswer) || errors.Is(failed.err, eventstream.ErrTruncated) {
 		// The connection ended once the request had been sent.
 		liveness = f.Pool.Probe(ctx, failed.chosen.Address)
 		f.noteReplicaEnd(failed, liveness)
