--- a/internal/requests/eventstream/eventstream.go
+++ b/internal/requests/eventstream/eventstream.go
@@ -78,7 +78,7 @@
 			}
 			return event, nil
 		}
-		if err := r.field(&event, text, &dataSeen); err != nil {
+		if err := r.parseField(&event, text, &dataSeen); err != nil {
 			return Event{}, err
 		}
 	}
@@ -102,7 +102,7 @@
 	return long, err
 }
 
-func (r *Reader) field(event *Event, text []byte, dataSeen *bool) (err error) {
+func (r *Reader) parseField(event *Event, text []byte, dataSeen *bool) (err error) {
 	line := string(text)
 	if data, ok := strings.CutPrefix(line, "data:"); ok {
 		if *dataSeen {
