--- a/internal/requests/eventstream/eventstream_test.go
+++ b/internal/requests/eventstream/eventstream_test.go
@@ -19,8 +19,8 @@
 
 const versionField = "X-Weights"
 
-// all reads a stream to its end.
-func all(source io.Reader) ([]Event, error) {
+// readAll reads a stream to its end.
+func readAll(source io.Reader) ([]Event, error) {
 	reader := NewReader(source, versionField)
 	var events []Event
 	for {
@@ -49,7 +49,7 @@
 			ends[text.Len()] = i
 		}
 		cut := rapid.IntRange(0, text.Len()).Draw(t, "cut")
-		events, err := all(iotest.OneByteReader(strings.NewReader(text.String()[:cut])))
+		events, err := readAll(iotest.OneByteReader(strings.NewReader(text.String()[:cut])))
 		whole, between := ends[cut]
 		if between != errors.Is(err, io.EOF) && cut > 0 {
 			t.Fatalf("cut at %d of %d: %v", cut, text.Len(), err)
@@ -72,18 +72,18 @@
 
 func TestDataOfManyLinesAndVersions(t *testing.T) {
 	is := is.New(t)
-	events, err := all(strings.NewReader(": comment\n\nx-weights: 7\nid: 3\ndata: a\ndata: b\n\n"))
+	events, err := readAll(strings.NewReader(": comment\n\nx-weights: 7\nid: 3\ndata: a\ndata: b\n\n"))
 	is.Equal(err, io.EOF)
 	is.Equal(len(events), 1)
 	is.Equal(string(events[0].Data), "a\nb")
 	is.Equal(events[0].Version, int64(7))
-	_, err = all(strings.NewReader("id: x\ndata: a\n\n"))
+	_, err = readAll(strings.NewReader("id: x\ndata: a\n\n"))
 	is.True(errors.Is(err, ErrMalformed))
 }
 
 func FuzzNext(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\n"))
-	f.Fuzz(func(_ *testing.T, text []byte) { _, _ = all(bytes.NewReader(text)) })
+	f.Fuzz(func(_ *testing.T, text []byte) { _, _ = readAll(bytes.NewReader(text)) })
 }
 
 // A line that fills the reader's buffer twice came out with its beginning twice.
@@ -92,7 +92,7 @@
 		t.Run(fmt.Sprint(length), func(t *testing.T) {
 			is := is.New(t)
 			text := "id: 1\ndata: " + strings.Repeat("x", length) + "\n\n"
-			events, err := all(strings.NewReader(text))
+			events, err := readAll(strings.NewReader(text))
 			is.Equal(err, io.EOF)
 			is.Equal(len(events), 1)
 			is.Equal(len(events[0].Data), length)
