--- a/internal/requests/eventstream/eventstream.go
+++ b/internal/requests/eventstream/eventstream.go
@@ -1,10 +1,10 @@
-// Package eventstream reads a text/event-stream one whole event at a time. It keeps the raw
-// bytes, so that an event can be passed on as it came, and tells the stream's proper end from a
-// cut.
+// Package eventstream parses a text/event-stream into whole events. It keeps the raw bytes of
+// each event, so that a relay can forward them unchanged, and distinguishes the regular end of
+// a stream from a truncated one.
 //
 // # Usage
 //
-//	event, err := reader.Next() // io.EOF at the proper end
+//	event, err := reader.Next() // io.EOF at the regular end
 package eventstream
 
 import (
@@ -17,44 +17,49 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of a stream.
+// Errors returned by Reader.Next.
 var (
-	// ErrTruncated: the stream ended within an event or before its connection's
-	// framing said so.
+	// ErrTruncated is returned if the source ends within an event.
 	ErrTruncated = errors.New("event stream: cut off")
-	// ErrMalformed: the bytes are no event.
+	// ErrMalformed is returned for an id or a version that is not a number, and for an event
+	// that is too long.
 	ErrMalformed = errors.New("event stream: malformed event")
 )
 
-// maxEventBytes bounds an event, in bytes, where one of its lines fills the buffer.
+// maxEventBytes bounds the size of an event. It is checked only for lines longer than the read
+// buffer.
 const maxEventBytes = 4 << 20
 
-// Event is one whole event.
+// Event is one complete event.
 type Event struct {
-	// Raw are the bytes of the event with the blank line after it.
+	// Raw is the event as received, including the blank line that ends it.
 	Raw []byte
-	// ID is the event's number; HasID says whether it has one.
+	// ID is the number in the event's id field. HasID reports whether the event has one.
 	ID    int64
 	HasID bool
-	Data  []byte
-	// Version is the version of the weights from this event on, or 0 if the
-	// event names none.
+	// Data is the content of the data fields, joined by newlines.
+	Data []byte
+	// Version is the version of the weights from this event on, or 0 if the event has no
+	// version field.
 	Version int64
 }
 
-// Reader reads events.
+// Reader reads events from a stream. It is not safe for concurrent use.
 type Reader struct {
 	source        *bufio.Reader
 	versionPrefix string
 }
 
-// NewReader reads from source; versionField is the name of the line in which
-// an event tells a change of version.
+// NewReader returns a reader of source. VersionField is the name of the field that announces a
+// new version of the weights; events must spell it in lower case, whatever the case of
+// versionField.
 func NewReader(source io.Reader, versionField string) *Reader {
 	return &Reader{source: bufio.NewReaderSize(source, 4<<10), versionPrefix: strings.ToLower(versionField) + ":"}
 }
 
-// Next returns the next event, io.EOF at the stream's proper end, or an error.
+// Next returns the next event that has an id or data; others are skipped. It returns io.EOF at
+// the regular end of the stream, and otherwise ErrTruncated, ErrMalformed or the error of the
+// source.
 func (r *Reader) Next() (Event, error) {
 	var event Event
 	dataSeen := false
@@ -84,16 +89,17 @@
 	}
 }
 
-// readLine returns the next line with its end, valid until the next read. A line that fills
-// the buffer must have no more than room bytes. With io.EOF comes what there is of a line.
-func (r *Reader) readLine(room int) ([]byte, error) {
+// readLine returns the next line including its end, valid until the next read. It returns
+// ErrMalformed if a line longer than the buffer exceeds maxBytes. At io.EOF it also returns the
+// bytes of an unterminated line.
+func (r *Reader) readLine(maxBytes int) ([]byte, error) {
 	line, err := r.source.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
 		return line, err
 	}
 	long := bytes.Clone(line)
 	for errors.Is(err, bufio.ErrBufferFull) {
-		if len(long) > room {
+		if len(long) > maxBytes {
 			return nil, ErrMalformed
 		}
 		line, err = r.source.ReadSlice('\n')
@@ -102,6 +108,8 @@
 	return long, err
 }
 
+// parseField adds one line to the event and sets dataSeen if it is a data field. Unknown fields
+// and comments are ignored.
 func (r *Reader) parseField(event *Event, text []byte, dataSeen *bool) (err error) {
 	line := string(text)
 	if data, ok := strings.CutPrefix(line, "data:"); ok {
--- a/internal/requests/eventstream/eventstream_test.go
+++ b/internal/requests/eventstream/eventstream_test.go
@@ -19,7 +19,7 @@
 
 const versionField = "X-Weights"
 
-// readAll reads a stream to its end.
+// readAll returns the events of a stream and the error that ended it.
 func readAll(source io.Reader) ([]Event, error) {
 	reader := NewReader(source, versionField)
 	var events []Event
@@ -32,30 +32,29 @@
 	}
 }
 
-// Whole events come out as they went in, however the bytes are cut into reads,
-// and a stream that is cut off anywhere gives only whole events and no proper
-// end unless the cut is between events.
-func TestEventsAreWholeOrNotThere(t *testing.T) {
+// Guards against partial events, and against reporting the regular end of a stream that was
+// truncated within an event.
+func TestOnlyWholeEventsAreReturned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(0, 6).Draw(t, "count")
 		var text strings.Builder
-		ends := map[int]int{0: 0}
+		eventsAt := map[int]int{0: 0}
 		for i := 1; i <= count; i++ {
 			if rapid.Bool().Draw(t, "names a version") {
 				fmt.Fprintf(&text, "x-weights: %d\n", i)
 			}
 			data := strings.Repeat(rapid.StringMatching(`[a-z]{0,9}`).Draw(t, "data"), rapid.IntRange(1, 2000).Draw(t, "times"))
 			fmt.Fprintf(&text, "id: %d\ndata: %s\n\n", i, data)
-			ends[text.Len()] = i
+			eventsAt[text.Len()] = i
 		}
 		cut := rapid.IntRange(0, text.Len()).Draw(t, "cut")
 		events, err := readAll(iotest.OneByteReader(strings.NewReader(text.String()[:cut])))
-		whole, between := ends[cut]
-		if between != errors.Is(err, io.EOF) && cut > 0 {
+		want, atBoundary := eventsAt[cut]
+		if atBoundary != errors.Is(err, io.EOF) && cut > 0 {
 			t.Fatalf("cut at %d of %d: %v", cut, text.Len(), err)
 		}
-		if between && len(events) != whole {
-			t.Fatalf("%d events of %d", len(events), whole)
+		if atBoundary && len(events) != want {
+			t.Fatalf("got %d events, want %d", len(events), want)
 		}
 		var raw bytes.Buffer
 		for i, event := range events {
@@ -65,12 +64,14 @@
 			}
 		}
 		if !strings.HasPrefix(text.String(), raw.String()) {
-			t.Fatal("the raw bytes are not those that came")
+			t.Fatal("the raw bytes differ from the input")
 		}
 	})
 }
 
-func TestDataOfManyLinesAndVersions(t *testing.T) {
+// Guards against losing a line of the data or the version, and against accepting an id that is
+// not a number.
+func TestMultilineDataAndVersion(t *testing.T) {
 	is := is.New(t)
 	events, err := readAll(strings.NewReader(": comment\n\nx-weights: 7\nid: 3\ndata: a\ndata: b\n\n"))
 	is.Equal(err, io.EOF)
@@ -81,13 +82,14 @@
 	is.True(errors.Is(err, ErrMalformed))
 }
 
+// FuzzNext guards against panics on malformed input.
 func FuzzNext(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\n"))
 	f.Fuzz(func(_ *testing.T, text []byte) { _, _ = readAll(bytes.NewReader(text)) })
 }
 
-// A line that fills the reader's buffer twice came out with its beginning twice.
-func TestALongLineIsPassedOnAsItCame(t *testing.T) {
+// Guards against repeating the start of a line that is longer than the read buffer.
+func TestLongLineIsForwardedUnchanged(t *testing.T) {
 	for _, length := range []int{100, 5 << 10, 9 << 10, 40 << 10, 1 << 20} {
 		t.Run(fmt.Sprint(length), func(t *testing.T) {
 			is := is.New(t)
