--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -113,7 +113,7 @@
 	s.w.WriteHeader(status)
 }
 
-func (s *sampleWriter) fromEngine() bool { return s.header.Get(s.names.Stamp) != "" }
+func (s *sampleWriter) fromEngine() bool { return s.header.Get(s.names.Signature) != "" }
 
 // Write implements http.ResponseWriter. The ingress writes one whole event at a
 // time.
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -72,7 +72,7 @@
 
 // answerCall gives a caller the reply of the ingress.
 func (g *Gateway) answerCall(w http.ResponseWriter, reply *ingressReply) {
-	if !reply.whole(g.parts.Headers.Stamp) {
+	if !reply.whole(g.parts.Headers.Signature) {
 		writeProblem(w, reply.problem())
 		return
 	}
@@ -145,7 +145,7 @@
 // caller comes back with the same key.
 func (g *Gateway) runOnce(w http.ResponseWriter, ctx context.Context, granted permit.Granted, call ingressCall) {
 	reply := g.ask(ctx, call)
-	if !reply.whole(g.parts.Headers.Stamp) {
+	if !reply.whole(g.parts.Headers.Signature) {
 		problem := reply.problem()
 		if problem.Outcome == NotExecuted {
 			g.giveBack(ctx, granted)
--- a/internal/api/standalone/protocol.go
+++ b/internal/api/standalone/protocol.go
@@ -12,7 +12,7 @@
 		DeadlineMs:    "Woodworks-Deadline-Ms",
 		ExpectReplica: "Woodworks-Expect-Replica",
 		NotExecuted:   "Woodworks-Not-Executed",
-		Stamp:         "Woodworks-Signature",
+		Signature:     "Woodworks-Signature",
 		LastEventID:   "Last-Event-Id",
 		Versions:      "Woodworks-Weight-Version",
 		TokenUsage:    "Woodworks-Token-Usage",
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -129,7 +129,7 @@
 	}
 	defer answer.Close()
 	if answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices {
-		return answer.Header.Get(j.r.forwarder.Names.Stamp), true, nil
+		return answer.Header.Get(j.r.forwarder.Names.Signature), true, nil
 	}
 	if answer.Status == http.StatusInternalServerError {
 		it.rewardFailures++
--- a/internal/demo/fakebackend/fakebackend.go
+++ b/internal/demo/fakebackend/fakebackend.go
@@ -118,7 +118,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set(names.Stamp, b.id)
+	w.Header().Set(names.Signature, b.id)
 	w.Header().Set(names.RequestID, id)
 	if fault == Truncate {
 		w.Header().Set("Content-Length", "100000")
--- a/internal/demo/fakeengine/fakeengine.go
+++ b/internal/demo/fakeengine/fakeengine.go
@@ -211,7 +211,7 @@
 	header := w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set(names.RequestID, id)
-	header.Set(names.Stamp, e.shape.ID)
+	header.Set(names.Signature, e.shape.ID)
 	header.Set(names.Versions, strconv.FormatInt(e.versionOf(req.Model), 10))
 	w.WriteHeader(http.StatusOK)
 	e.stream(w, r, req, after, breaks)
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -143,7 +143,7 @@
 		response.Close()
 		return nil, sentAt, false, errors.Wrapf(errPlainDeclined, "status %d", response.Status)
 	}
-	if response.Header.Get(f.Names.Stamp) == "" {
+	if response.Header.Get(f.Names.Signature) == "" {
 		response.Close()
 		return nil, sentAt, true, errors.Wrapf(errUnsound, "status %d without a signature", response.Status)
 	}
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -24,7 +24,7 @@
 	"woodworks/internal/requests/upstream"
 )
 
-var names = headers.Names{RequestID: "Id", DeadlineMs: "Deadline", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", Stamp: "Signature"}
+var names = headers.Names{RequestID: "Id", DeadlineMs: "Deadline", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", Signature: "Signature"}
 
 // behaviour is what a replica does with a request.
 type behaviour func(w http.ResponseWriter, r *http.Request)
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -122,7 +122,7 @@
 	switch {
 	case !errors.Is(err, ErrStatus):
 		ended(err)
-	case answer.Header.Get(f.Names.Stamp) != "":
+	case answer.Header.Get(f.Names.Signature) != "":
 		// The replica itself says that the request failed, and lives on.
 		ended(nil)
 	}
@@ -145,7 +145,7 @@
 	if answer.Status >= http.StatusBadRequest {
 		return &StatusError{Status: answer.Status}
 	}
-	if answer.Status != http.StatusOK || answer.Header.Get(f.Names.Stamp) == "" {
+	if answer.Status != http.StatusOK || answer.Header.Get(f.Names.Signature) == "" {
 		return errors.Wrapf(errUnsound, "status %d", answer.Status)
 	}
 	return nil
--- a/internal/requests/headers/headers.go
+++ b/internal/requests/headers/headers.go
@@ -21,8 +21,8 @@
 	ExpectReplica string
 	// NotExecuted marks an answer whose request was not run.
 	NotExecuted string
-	// Stamp is a replica's signature under its answer.
-	Stamp string
+	// Signature is a replica's signature under its answer.
+	Signature string
 	// LastEventID is the last event that the caller has of a stream.
 	LastEventID string
 	// Versions is the version of the weights that made an answer.
--- a/internal/requests/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -59,7 +59,7 @@
 			table := replica.NewTable(time.Second, zap.NewNop())
 			table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 1})
 			clock := clocktest.New()
-			names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Stamp: "Signature"}
+			names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Signature: "Signature"}
 			cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe,
 				Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 			is.NoErr(err)
--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -38,7 +38,7 @@
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 100})
 	clock := clocktest.New()
-	names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Stamp: "Signature"}
+	names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Signature: "Signature"}
 	cfg, err := route.New(route.Declared{Version: 1, Services: map[string]route.Service{"s": {Name: "s", Engine: engine}},
 		Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	if err != nil {
