--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -121,7 +121,7 @@
 	if !s.fromEngine() {
 		return len(event), nil
 	}
-	read, err := eventstream.NewReader(bytes.NewReader(event), s.names.Versions).Next()
+	read, err := eventstream.NewReader(bytes.NewReader(event), s.names.WeightsVersion).Next()
 	if err != nil {
 		s.broken = true
 		return 0, err
--- a/internal/api/standalone/protocol.go
+++ b/internal/api/standalone/protocol.go
@@ -8,17 +8,17 @@
 // HeaderNames are the product's own names for what a message tells of a request.
 func HeaderNames() headers.Names {
 	return headers.Names{
-		RequestID:     "Woodworks-Request-Id",
-		DeadlineMs:    "Woodworks-Deadline-Ms",
-		ExpectReplica: "Woodworks-Expect-Replica",
-		NotExecuted:   "Woodworks-Not-Executed",
-		Signature:     "Woodworks-Signature",
-		LastEventID:   "Last-Event-Id",
-		Versions:      "Woodworks-Weight-Version",
-		TokenUsage:    "Woodworks-Token-Usage",
-		LengthHint:    "Woodworks-Length-Hint",
-		WaitMs:        "Woodworks-Wait-Ms",
-		Quarantined:   gateway.QuarantinedHeader,
+		RequestID:      "Woodworks-Request-Id",
+		DeadlineMs:     "Woodworks-Deadline-Ms",
+		ExpectReplica:  "Woodworks-Expect-Replica",
+		NotExecuted:    "Woodworks-Not-Executed",
+		Signature:      "Woodworks-Signature",
+		LastEventID:    "Last-Event-Id",
+		WeightsVersion: "Woodworks-Weight-Version",
+		TokenUsage:     "Woodworks-Token-Usage",
+		LengthHint:     "Woodworks-Length-Hint",
+		WaitMs:         "Woodworks-Wait-Ms",
+		Quarantined:    gateway.QuarantinedHeader,
 	}
 }
 
--- a/internal/demo/fakeengine/fakeengine.go
+++ b/internal/demo/fakeengine/fakeengine.go
@@ -212,7 +212,7 @@
 	header.Set("Content-Type", "text/event-stream")
 	header.Set(names.RequestID, id)
 	header.Set(names.Signature, e.shape.ID)
-	header.Set(names.Versions, strconv.FormatInt(e.versionOf(req.Model), 10))
+	header.Set(names.WeightsVersion, strconv.FormatInt(e.versionOf(req.Model), 10))
 	w.WriteHeader(http.StatusOK)
 	e.stream(w, r, req, after, breaks)
 }
@@ -250,6 +250,6 @@
 	if err != nil {
 		panic(err) // numbers are always encodable
 	}
-	versionField := strings.ToLower(standalone.HeaderNames().Versions)
+	versionField := strings.ToLower(standalone.HeaderNames().WeightsVersion)
 	_, _ = fmt.Fprintf(w, "%s: %d\nid: %d\ndata: %s\n\n", versionField, frame.Version, number, data)
 }
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -112,9 +112,9 @@
 		return nil, err
 	}
 	// A service without weights names no version: 0.
-	version, _ := strconv.ParseInt(strings.TrimSpace(answer.Header.Get(names.Versions)), 10, 64)
+	version, _ := strconv.ParseInt(strings.TrimSpace(answer.Header.Get(names.WeightsVersion)), 10, 64)
 	return &Stream{Status: answer.Status, Header: answer.Header, Version: version,
-		reader: eventstream.NewReader(answer, names.Versions), answer: answer, ended: ended, release: release}, nil
+		reader: eventstream.NewReader(answer, names.WeightsVersion), answer: answer, ended: ended, release: release}, nil
 }
 
 // headFailed ends an exchange whose answer, if there is one, has no events.
--- a/internal/requests/headers/headers.go
+++ b/internal/requests/headers/headers.go
@@ -25,8 +25,8 @@
 	Signature string
 	// LastEventID is the last event that the caller has of a stream.
 	LastEventID string
-	// Versions is the version of the weights that made an answer.
-	Versions string
+	// WeightsVersion is the version of the weights that made an answer.
+	WeightsVersion string
 	// TokenUsage is the size of a prompt and of the longest answer, in tokens.
 	TokenUsage string
 	// LengthHint is the estimated length of the answer, in tokens.
