--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -171,10 +171,10 @@
 
 // noteLoad notes what an answer tells of its replica's load.
 func (f *Forwarder) noteLoad(rep replica.Replica, header http.Header) {
-	if f.Names.Load == nil {
+	if f.Names.DecodeLoad == nil {
 		return
 	}
-	load, ok := f.Names.Load(header)
+	load, ok := f.Names.DecodeLoad(header)
 	if !ok {
 		return
 	}
--- a/internal/requests/forward/load_test.go
+++ b/internal/requests/forward/load_test.go
@@ -25,7 +25,7 @@
 		loads := []headers.Load{{Running: 2, Waiting: 1, Slowdown: 2}, {Running: 4}}
 		f := &Forwarder{MaxOpen: Unbounded, Table: table}
 		for _, load := range loads {
-			f.Names.Load = func(http.Header) (headers.Load, bool) { return load, true }
+			f.Names.DecodeLoad = func(http.Header) (headers.Load, bool) { return load, true }
 			rep, _ := table.Get("a")
 			f.noteLoad(rep, nil)
 			known, _ := table.Get("a")
@@ -57,7 +57,7 @@
 				is := is.New(t)
 				f := newFloor(t, 1, does)
 				var read atomic.Int64
-				f.forwarder.Names.Load = func(http.Header) (headers.Load, bool) {
+				f.forwarder.Names.DecodeLoad = func(http.Header) (headers.Load, bool) {
 					read.Add(1)
 					return headers.Load{}, false
 				}
--- a/internal/requests/headers/headers.go
+++ b/internal/requests/headers/headers.go
@@ -39,9 +39,9 @@
 	Quarantined string
 	// WaitMs is how long a call may be held for news, in milliseconds.
 	WaitMs string
-	// Load, if not nil, decodes what an answer tells of its replica's load, and
+	// DecodeLoad, if not nil, decodes what an answer tells of its replica's load, and
 	// reports whether it tells any.
-	Load func(header http.Header) (Load, bool)
+	DecodeLoad func(header http.Header) (Load, bool)
 }
 
 // SetTenant tells a replica the tenant of a request, and nothing else about who sent
