--- a/internal/requests/headers/headers.go
+++ b/internal/requests/headers/headers.go
@@ -66,8 +66,8 @@
 	Slowdown float64
 }
 
-// connectionHeaders concern one connection and are never passed on.
-var connectionHeaders = map[string]bool{
+// hopByHopHeaders concern one connection and are never passed on.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Content-Length": true, "Host": true, "Expect": true,
@@ -84,7 +84,7 @@
 	}
 	copied := make(http.Header, len(from)+4)
 	for name, values := range from {
-		if !connectionHeaders[name] && !named[name] {
+		if !hopByHopHeaders[name] && !named[name] {
 			copied[name] = values
 		}
 	}
