--- a/internal/requests/headers/headers.go
+++ b/internal/requests/headers/headers.go
@@ -1,7 +1,6 @@
-// Package headers holds the names of the HTTP headers in which woodworks,
-// its callers and its replicas tell each other about a request. The names
-// differ between platforms; what each header means does not. The package owns no state; an
-// empty name stands for a header that a platform does not have.
+// Package headers defines the HTTP headers by which woodworks, its callers and its replicas
+// exchange metadata about a request. Platforms use different names for the same headers. An
+// empty name means that the platform lacks the header. The package holds no state.
 package headers
 
 import (
@@ -11,42 +10,46 @@
 	"woodworks/internal/callers/apikey"
 )
 
-// Names are the header names in force.
+// Names holds the names that a platform uses for the headers. The comment of each field
+// describes the value of that header.
 type Names struct {
-	// RequestID names one try of one request; replicas repeat it.
+	// RequestID identifies one attempt of a request. Replicas repeat it in their answers.
 	RequestID string
-	// DeadlineMs is how long the caller waits, in milliseconds.
+	// DeadlineMs is the time that the caller waits for the answer, in milliseconds.
 	DeadlineMs string
 	// ExpectReplica is the id of the only replica that may run the request.
 	ExpectReplica string
-	// NotExecuted marks an answer whose request was not run.
+	// NotExecuted marks an answer to a request that was not run.
 	NotExecuted string
-	// Signature is a replica's signature under its answer.
+	// Signature is set by a replica on its own answers, and absent from those of proxies and
+	// other servers.
 	Signature string
-	// LastEventID is the last event that the caller has of a stream.
+	// LastEventID is the id of the last event of a stream that the caller received.
 	LastEventID string
-	// WeightsVersion is the version of the weights that made an answer.
+	// WeightsVersion is the version of the model weights that produced the answer.
 	WeightsVersion string
-	// TokenUsage is the size of a prompt and of the longest answer, in tokens.
+	// TokenUsage is the size of the prompt and the maximum size of the answer, in tokens,
+	// separated by a comma.
 	TokenUsage string
 	// LengthHint is the estimated length of the answer, in tokens.
 	LengthHint string
-	// Tenant is the name of the tenant whose key the request carried, "" where the
+	// Tenant is the name of the tenant that owns the request's API key. It is empty if the
 	// platform has no tenants.
 	Tenant string
-	// Quarantined says that a request was refused, and how many replicas have ended under
-	// its content; "" where callers are told in words only.
+	// Quarantined marks the refusal of a request whose content ended replicas, and holds the
+	// number of these ends. It is empty if the platform reports this in the error text only.
 	Quarantined string
-	// WaitMs is how long a call may be held for news, in milliseconds.
+	// WaitMs is the maximum duration of a long poll, in milliseconds.
 	WaitMs string
-	// DecodeLoad, if not nil, decodes what an answer tells of its replica's load, and
-	// reports whether it tells any.
+	// DecodeLoad decodes the load that a replica reports in an answer. It returns false if the
+	// answer reports none. It is nil if the platform's replicas never report their load.
 	DecodeLoad func(header http.Header) (Load, bool)
 }
 
-// SetTenant tells a replica the tenant of a request, and nothing else about who sent
-// it: the key, and what the sender said of a tenant, are dropped. Without a name the
-// replica is told no tenant.
+// SetTenant prepares the headers of a request for a replica, which learns the tenant but
+// nothing else about the sender: it removes the API key and any tenant set by the sender, and
+// sets the tenant header unless tenant is empty. It does nothing if the platform has no
+// tenants.
 func (names Names) SetTenant(header http.Header, tenant string) {
 	if names.Tenant == "" {
 		return
@@ -58,23 +61,25 @@
 	}
 }
 
-// Load is a replica's load, of the requests of all its callers.
+// Load is the load of a replica, from all of its callers.
 type Load struct {
+	// Running and Waiting count requests, Slots those that the replica can run at once.
 	Running, Waiting, Slots int
-	// Slowdown is how long work takes there at present, as the machine is shared with
-	// others: 1 is as usual, 2 twice as long; 0 if that is not told.
+	// Slowdown is the present duration of work relative to the usual one, as the machine is
+	// shared: 2 means twice as long. It is 0 if not reported.
 	Slowdown float64
 }
 
-// hopByHopHeaders concern one connection and are never passed on.
+// hopByHopHeaders are the headers that concern a single connection and are never forwarded.
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Content-Length": true, "Host": true, "Expect": true,
 }
 
-// CopyEndToEnd returns the headers of a message that are not about one
-// connection, with room for a few more.
+// CopyEndToEnd returns a copy of a message's headers without those that concern a single
+// connection, with capacity for a few more. The copy shares the slices of values, which must
+// not be changed.
 func CopyEndToEnd(from http.Header) http.Header {
 	named := map[string]bool{}
 	for _, value := range from["Connection"] {
