--- a/internal/requests/headers/headers.go
+++ b/internal/requests/headers/headers.go
@@ -21,8 +21,8 @@
 	ExpectReplica string
 	// NotExecuted marks an answer to a request that was not run.
 	NotExecuted string
-	// Signature is set by a replica on its own answers, and absent from those of proxies and
-	// other servers.
+	// Signature is the signature that a replica puts on its answers. Answers of proxies and
+	// other servers have none.
 	Signature string
 	// LastEventID is the id of the last event of a stream that the caller received.
 	LastEventID string
