--- a/internal/requests/quarantine/decision.go
+++ b/internal/requests/quarantine/decision.go
@@ -24,10 +24,10 @@
 	// one end, if its incarnations cannot be told apart. Concurrent runs report an end within
 	// milliseconds, and a process cannot restart and end again within this time.
 	endDedupWindow = time.Second
-	// replicaRestartTimeout is the time within which a replica that ended is assumed to be
+	// recentEndMaxAge is the time within which a replica that ended is assumed to be
 	// unavailable, and for which a suspect waits for another replica of its service. An ended
 	// process is replaced within seconds.
-	replicaRestartTimeout = 5 * time.Second
+	recentEndMaxAge = 5 * time.Second
 	// retryDelay is how long after its last end a refused content may run once more at its
 	// keeper.
 	retryDelay = 15 * time.Second
@@ -162,8 +162,8 @@
 		refused.RetryAfter, refused.Final = refusal.Quarantined.RetryAfter, true
 	case s.refused() && since < retryDelay:
 		refused.RetryAfter = retryDelay - since
-	case s.isolatedRun == nil && since < replicaRestartTimeout && !s.anyAvailable(others(), now):
-		refused.RetryAfter = min(refusal.SuspectAlone.RetryAfter, replicaRestartTimeout-since)
+	case s.isolatedRun == nil && since < recentEndMaxAge && !s.anyAvailable(others(), now):
+		refused.RetryAfter = min(refusal.SuspectAlone.RetryAfter, recentEndMaxAge-since)
 	default:
 		return Refused{}, false
 	}
--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -157,7 +157,7 @@
 // replicaRestartTimeout ago, so that it has probably not restarted yet.
 func (s *suspect) endedRecently(replica string, now time.Time) bool {
 	seen, ended := s.endSeenAt[replica]
-	return ended && now.Sub(seen) < replicaRestartTimeout
+	return ended && now.Sub(seen) < recentEndMaxAge
 }
 
 // cloneEntry returns a copy of the entry that shares no map with it.
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -68,7 +68,7 @@
 	is.Equal(decisionOn(table, bad, "a", otherReplicas...), "other replica") // this replica has just ended
 	is.Equal(decisionOn(table, bad, "x", "a", "b"), "refused")               // no other replica is available
 	is.Equal(decisionOn(table, bad, "x", "y"), "isolated")
-	clock.advance(replicaRestartTimeout)
+	clock.advance(recentEndMaxAge)
 	is.Equal(decisionOn(table, bad, "x"), "isolated") // allowed even if the service has one replica only
 	table.ReplicaEnded(bad, "x", "s")
 	is.Equal(decisionOn(table, bad, "y", otherReplicas...), "refused")
@@ -87,7 +87,7 @@
 		table.ReplicaEnded(content, "only", "s") // the same end, reported by another run
 		if want == "isolated" {
 			is.Equal(decisionOn(table, content, "only"), "refused") // not restarted yet
-			clock.advance(replicaRestartTimeout)
+			clock.advance(recentEndMaxAge)
 		}
 		is.Equal(decisionOn(table, content, "only"), want)
 		clock.advance(endDedupWindow)
