--- a/internal/requests/quarantine/decision.go
+++ b/internal/requests/quarantine/decision.go
@@ -24,9 +24,9 @@
 	// one end, if its incarnations cannot be told apart. Concurrent runs report an end within
 	// milliseconds, and a process cannot restart and end again within this time.
 	endDedupWindow = time.Second
-	// recentEndMaxAge is the time within which a replica that ended is assumed to be
-	// unavailable, and for which a suspect waits for another replica of its service. An ended
-	// process is replaced within seconds.
+	// recentEndMaxAge is the age up to which an end counts as recent. Until then the replica is
+	// assumed to be unavailable, and a suspect waits for another replica of its service. An
+	// ended process is usually replaced within seconds.
 	recentEndMaxAge = 5 * time.Second
 	// retryDelay is how long after its last end a refused content may run once more at its
 	// keeper.
--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -153,8 +153,8 @@
 	return true
 }
 
-// endedRecently reports whether the replica ended under the content less than
-// replicaRestartTimeout ago, so that it has probably not restarted yet.
+// endedRecently reports whether the replica ended under the content within recentEndMaxAge, so
+// that it has probably not been replaced yet.
 func (s *suspect) endedRecently(replica string, now time.Time) bool {
 	seen, ended := s.endSeenAt[replica]
 	return ended && now.Sub(seen) < recentEndMaxAge
--- a/internal/requests/quarantine/http.go
+++ b/internal/requests/quarantine/http.go
@@ -17,6 +17,7 @@
 	Error problemText `json:"error"`
 }
 
+// problemText is the error within a problem.
 type problemText struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
@@ -46,6 +47,7 @@
 	})
 }
 
+// lift clears the content whose digest is text and responds to the operator.
 func lift(w http.ResponseWriter, table *Table, text string, logger *zap.Logger) {
 	digest, err := ParseDigest(text)
 	switch {
@@ -62,6 +64,8 @@
 	return problem{Error: problemText{Code: code, Message: message, Field: field}}
 }
 
+// writeResponse writes a JSON response. A failure is only logged, as the status has already
+// been sent.
 func writeResponse(w http.ResponseWriter, status int, body any, logger *zap.Logger) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
