--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -113,7 +113,7 @@
 	s.w.WriteHeader(status)
 }
 
-func (s *sampleWriter) fromEngine() bool { return s.header.Get(s.names.Stamp) != "" }
+func (s *sampleWriter) fromEngine() bool { return s.header.Get(s.names.Signature) != "" }
 
 // Write implements http.ResponseWriter. The ingress writes one whole event at a
 // time.
@@ -121,7 +121,7 @@
 	if !s.fromEngine() {
 		return len(event), nil
 	}
-	read, err := eventstream.NewReader(bytes.NewReader(event), s.names.Versions).Next()
+	read, err := eventstream.NewReader(bytes.NewReader(event), s.names.WeightsVersion).Next()
 	if err != nil {
 		s.broken = true
 		return 0, err
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -44,7 +44,7 @@
 		return // neither says anything of the replica's soundness, and both are frequent
 	}
 	liveness := upstream.LivenessUnknown
-	if errors.Is(failed.err, upstream.ErrNoAnswer) || errors.Is(failed.err, eventstream.ErrCut) {
+	if errors.Is(failed.err, upstream.ErrNoAnswer) || errors.Is(failed.err, eventstream.ErrTruncated) {
 		// The connection ended once the request had been sent.
 		liveness = f.Pool.Probe(ctx, failed.chosen.Address)
 		f.noteReplicaEnd(failed, liveness)
@@ -64,8 +64,8 @@
 		return
 	}
 	if liveness == upstream.Gone {
-		f.Quarantine.Ended(failed.content, string(rep.Incarnation()), rep.Service)
+		f.Quarantine.ReplicaEnded(failed.content, string(rep.Incarnation()), rep.Service)
 	} else {
-		f.Quarantine.Broke(failed.content, string(rep.Incarnation()), rep.Service)
+		f.Quarantine.ConnectionBroken(failed.content, string(rep.Incarnation()), rep.Service)
 	}
 }
--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -61,15 +61,15 @@
 // mayRun asks whether a request may be sent to a replica now, for its content's sake. If
 // so, release must be called when the run is over and what it showed is noted.
 func (f *Forwarder) mayRun(requestID string, content *quarantine.Content, rep replica.Replica) (release func(), refused *QuarantinedError) {
-	if f.Quarantine.Quiet() {
+	if f.Quarantine.NoneSuspected() {
 		return func() {}, nil
 	}
-	switch verdict := f.Quarantine.Judge(content, string(rep.Incarnation()), func() []string { return f.others(rep) }).(type) {
-	case quarantine.Alone:
+	switch verdict := f.Quarantine.Decide(content, string(rep.Incarnation()), func() []string { return f.others(rep) }).(type) {
+	case quarantine.Isolated:
 		release = verdict.End
 	case quarantine.Wait:
 		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, over: verdict.Over}
-	case quarantine.Elsewhere:
+	case quarantine.OtherReplica:
 		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, Elsewhere: true}
 	case quarantine.Refused:
 		refused = &QuarantinedError{Ended: verdict.Ended, RetryAfter: verdict.RetryAfter, Final: verdict.Final}
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -112,9 +112,9 @@
 		return nil, err
 	}
 	// A service without weights names no version: 0.
-	version, _ := strconv.ParseInt(strings.TrimSpace(answer.Header.Get(names.Versions)), 10, 64)
+	version, _ := strconv.ParseInt(strings.TrimSpace(answer.Header.Get(names.WeightsVersion)), 10, 64)
 	return &Stream{Status: answer.Status, Header: answer.Header, Version: version,
-		reader: eventstream.NewReader(answer, names.Versions), answer: answer, ended: ended, release: release}, nil
+		reader: eventstream.NewReader(answer, names.WeightsVersion), answer: answer, ended: ended, release: release}, nil
 }
 
 // headFailed ends an exchange whose answer, if there is one, has no events.
@@ -122,7 +122,7 @@
 	switch {
 	case !errors.Is(err, ErrStatus):
 		ended(err)
-	case answer.Header.Get(f.Names.Stamp) != "":
+	case answer.Header.Get(f.Names.Signature) != "":
 		// The replica itself says that the request failed, and lives on.
 		ended(nil)
 	}
@@ -145,7 +145,7 @@
 	if answer.Status >= http.StatusBadRequest {
 		return &StatusError{Status: answer.Status}
 	}
-	if answer.Status != http.StatusOK || answer.Header.Get(f.Names.Stamp) == "" {
+	if answer.Status != http.StatusOK || answer.Header.Get(f.Names.Signature) == "" {
 		return errors.Wrapf(errUnsound, "status %d", answer.Status)
 	}
 	return nil
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -8,39 +8,41 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// Ended notes that a replica of a service ended while it ran the content.
-func (t *Table) Ended(content *Content, replica, service string) {
+// ReplicaEnded records that a replica of the service ended while it ran the content. The
+// replica is given by its incarnation.
+func (t *Table) ReplicaEnded(content *Content, replica, service string) {
 	digest := content.Digest()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.entry(digest)
-	s.label(content, service)
-	t.ended(s, replica)
+	s := t.ensureEntry(digest)
+	s.setLabel(content, service)
+	t.addEnd(s, replica)
 }
 
-// Broke notes that the connection to a replica ended while it ran the content, and that
-// its process may have.
-func (t *Table) Broke(content *Content, replica, service string) {
+// ConnectionBroken records that the connection to a replica broke while it ran the content, so
+// that its process may have ended. Sweep decides whether it did.
+func (t *Table) ConnectionBroken(content *Content, replica, service string) {
 	digest := content.Digest()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.entry(digest)
-	s.label(content, service)
-	t.change(s, func() {
-		if s.broke == nil {
-			s.broke = map[string]time.Time{}
+	s := t.ensureEntry(digest)
+	s.setLabel(content, service)
+	t.update(s, func() {
+		if s.brokenAt == nil {
+			s.brokenAt = map[string]time.Time{}
 		}
-		if len(s.broke) < endedKept {
-			s.broke[replica] = t.now()
+		if len(s.brokenAt) < maxEndedReplicas {
+			s.brokenAt[replica] = t.now()
 		}
 	})
 }
 
-// ended adds a replica to those that ended under a content. The mutex is held.
-func (t *Table) ended(s *suspect, name string) {
+// addEnd counts an end of a replica under a content, and logs and announces it if it is new.
+// The third end makes this machine the keeper unless there is one. t.mu must be held.
+func (t *Table) addEnd(s *suspect, name string) {
 	added := false
-	t.change(s, func() {
-		delete(s.broke, name)
+	t.update(s, func() {
+		delete(s.brokenAt, name)
 		added = s.addEnd(name, t.now())
 		if added && s.refused() && s.Keeper == "" {
 			s.Keeper = t.machine
@@ -49,8 +51,8 @@
 	if !added {
 		return
 	}
-	s.ownChange = true
-	t.logger.Warn("replica ended under a content", zap.String("content", s.Digest.Short()),
+	s.changedHere = true
+	t.logger.Warn("replica ended while running content", zap.String("content", s.Digest.Short()),
 		zap.String("replica", replica.Incarnation(name).ID()), zap.String("start", name),
 		zap.String("service", s.Label.Service), zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
 		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()),
@@ -58,10 +60,10 @@
 	t.announce(s)
 }
 
-// Answered notes that a replica gave the content a whole answer: it does not end what
-// runs it.
+// Answered records that a replica answered the content completely, which clears all suspicion
+// of it.
 func (t *Table) Answered(content *Content) {
-	if t.Quiet() {
+	if t.NoneSuspected() {
 		return
 	}
 	digest := content.Digest()
@@ -71,13 +73,14 @@
 	switch {
 	case s == nil:
 	case len(s.Ended) > 0:
-		t.clear(s, "answered")
-	case len(s.broke) > 0:
-		t.change(s, func() { s.broke = nil })
+		t.clearEntry(s, "answered")
+	case len(s.brokenAt) > 0:
+		t.update(s, func() { s.brokenAt = nil })
 	}
 }
 
-// Lift clears a content for an operator. It reports whether there was something to clear.
+// Lift clears a content on behalf of an operator. It returns false if no replica has ended
+// under the content.
 func (t *Table) Lift(digest Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,43 +88,44 @@
 	if s == nil || len(s.Ended) == 0 {
 		return false
 	}
-	t.clear(s, "lifted by an operator")
+	t.clearEntry(s, "lifted by an operator")
 	return true
 }
 
-// clear begins a new epoch of a content. The mutex is held.
-func (t *Table) clear(s *suspect, reason string) {
+// clearEntry starts a new epoch of a content, without ended replicas, and announces it. t.mu
+// must be held.
+func (t *Table) clearEntry(s *suspect, reason string) {
 	t.logger.Info("content cleared", zap.String("content", s.Digest.Short()), zap.String("reason", reason),
 		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
 		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()), zap.Uint64("turned_away", s.turnedAway))
-	t.change(s, func() {
+	t.update(s, func() {
 		s.Entry = Entry{Digest: s.Digest, Epoch: s.Epoch + 1, Label: s.Label}
-		s.broke, s.seenAt, s.turnedAway = nil, nil, 0
+		s.brokenAt, s.endSeenAt, s.turnedAway = nil, nil, 0
 	})
-	s.ownChange = true
+	s.changedHere = true
 	t.announce(s)
 }
 
-// Merge takes in what another daemon knows of contents. What is news is told on.
+// Merge applies entries received from another daemon, and announces those that changed the
+// table. From names the sender in the log.
 func (t *Table) Merge(entries []Entry, from string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, other := range entries {
-		if s := t.entry(other.Digest); t.merge(s, other, from) {
+		if s := t.ensureEntry(other.Digest); t.merge(s, other, from) {
 			t.announce(s)
 		}
 	}
 }
 
-// merge takes in what is known elsewhere of one content, and reports whether it was news.
-// The mutex is held.
+// merge applies one received entry and reports whether it changed the table. t.mu must be held.
 func (t *Table) merge(s *suspect, other Entry, from string) bool {
-	news := false
-	t.change(s, func() { news = s.merge(other, t.now()) })
-	if !news {
+	changed := false
+	t.update(s, func() { changed = s.merge(other, t.now()) })
+	if !changed {
 		return false
 	}
-	t.logger.Info("content learned of", zap.String("content", s.Digest.Short()), zap.String("from", from),
+	t.logger.Info("content entry merged", zap.String("content", s.Digest.Short()), zap.String("from", from),
 		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
 		zap.Int64("epoch", s.Epoch), zap.Bool("refused", s.refused()), zap.String("keeper", s.Keeper))
 	return true
--- a/internal/requests/quarantine/golden_test.go
+++ b/internal/requests/quarantine/golden_test.go
@@ -13,18 +13,20 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestEntriesKeepTheirForm(t *testing.T) {
+// Guards against changes of the stored records and of the messages between daemons.
+func TestEncodings(t *testing.T) {
 	golden.Service(t, ServiceName, &Service{})
 	golden.Gob[Told](t, "told")
 	golden.CBOR[Entry](t, "entry")
-	golden.JSON[Listing](t, "listing")
+	golden.JSON[ListedContent](t, "listing")
 	golden.JSON[problem](t, "problem")
 	golden.JSON[Lifted](t, "lifted")
 	content := &Content{Caller: "caller", Method: "POST", Host: "host", Target: "/target?query", Body: []byte("body")}
 	golden.Text(t, "names.txt", fmt.Sprintln(tellMethod, Path, Partition, content.Digest()))
 }
 
-func TestOperatorsAnswersKeepTheirForm(t *testing.T) {
+// Guards against changes of the responses of the operator endpoint.
+func TestOperatorResponses(t *testing.T) {
 	now := func() time.Time { return time.UnixMilli(1_700_000_000_000) }
 	table := New("machine/1", now, zap.NewNop())
 	content := &Content{Method: "GET", Host: "host", Target: "/"}
--- /dev/null
+++ b/internal/requests/quarantine/gossip.go
@@ -0,0 +1,186 @@
+package quarantine
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+	"go.uber.org/zap"
+
+	"woodworks/internal/daemon/periodic"
+	"woodworks/internal/journal/relay"
+)
+
+// ServiceName is the net/rpc service under which daemons receive entries from each other, and
+// tellMethod its method.
+const (
+	ServiceName = "Quarantine"
+	tellMethod  = ServiceName + ".Tell"
+)
+
+const (
+	// gatherDelay is how long a change waits to be sent together with others. The ends caused
+	// by one crash are observed within milliseconds.
+	gatherDelay = 5 * time.Millisecond
+	// callTimeout bounds one call to a neighbour; callRetryDelay is the wait after a failed
+	// call.
+	callTimeout    = 700 * time.Millisecond
+	callRetryDelay = 300 * time.Millisecond
+	// giveUpTimeout is how long an unresponsive neighbour is retried. One that is away for
+	// longer reads the entries from the journal.
+	giveUpTimeout = time.Minute
+	// maxEntriesPerCall bounds the entries of one call, each of at most 3 KiB.
+	maxEntriesPerCall = 128
+)
+
+// Neighbours gives access to the peers to which this daemon sends entries.
+type Neighbours interface {
+	// Neighbours returns the machines of the peers. Entries must reach all daemons if each
+	// daemon forwards them to its own neighbours.
+	Neighbours() []string
+	// Ask calls a net/rpc method at a peer. Its errors are those of relay.Journal.Ask.
+	Ask(ctx context.Context, machine, method string, req, answer any) error
+}
+
+// Told is the argument of the net/rpc method Quarantine.Tell. It is encoded by the names of the
+// types and fields, so those of Told, Entry and Label must not change.
+type Told struct {
+	From    string
+	Entries []Entry
+}
+
+// Service is the net/rpc service that receives entries from peers.
+type Service struct{ table *Table }
+
+// NewService returns the service that merges received entries into table.
+func NewService(table *Table) *Service { return &Service{table: table} }
+
+// Tell merges the entries of a peer and sets taken to their number. It is a net/rpc method, so
+// its name must not change.
+func (s *Service) Tell(msg Told, taken *int) error {
+	s.table.Merge(msg.Entries, msg.From)
+	*taken = len(msg.Entries)
+	return nil
+}
+
+// Gossiper sends changed entries of a table to the neighbours. Entries that change a
+// neighbour's table are forwarded by it, so they reach all daemons in a few steps even without
+// the journal.
+type Gossiper struct {
+	table      *Table
+	neighbours Neighbours
+	logger     *zap.Logger
+
+	mu sync.Mutex
+	// pending maps each neighbour to the contents to send to it. A neighbour has an entry
+	// exactly while a goroutine runs sendPending for it.
+	pending map[string]map[Digest]bool
+}
+
+// NewGossiper returns a gossiper; Run starts it.
+func NewGossiper(table *Table, neighbours Neighbours, logger *zap.Logger) *Gossiper {
+	return &Gossiper{table: table, neighbours: neighbours, logger: logger, pending: map[string]map[Digest]bool{}}
+}
+
+// Run sends changes of the table to the neighbours until the context ends.
+func (s *Gossiper) Run(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-s.table.wake:
+		}
+		periodic.Pause(ctx, gatherDelay)
+		changed := s.table.takeChanged()
+		for _, machine := range s.neighbours.Neighbours() {
+			s.enqueue(ctx, machine, changed)
+		}
+	}
+}
+
+// enqueue adds contents to those pending for a neighbour, and starts its sender goroutine if
+// there is none.
+func (s *Gossiper) enqueue(ctx context.Context, machine string, changed []Digest) {
+	if len(changed) == 0 {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	due, sending := s.pending[machine]
+	if !sending {
+		due = map[Digest]bool{}
+		s.pending[machine] = due
+		go s.sendPending(ctx, machine)
+	}
+	for _, digest := range changed {
+		due[digest] = true
+	}
+}
+
+// sendPending sends pending contents to a neighbour until none are left or giveUpTimeout is
+// reached.
+func (s *Gossiper) sendPending(ctx context.Context, machine string) {
+	var unresponsive time.Duration
+	for {
+		batch, done := s.takeBatch(machine, ctx.Err() != nil || unresponsive >= giveUpTimeout)
+		if done {
+			return
+		}
+		err := s.sendBatch(ctx, machine, batch)
+		if err == nil {
+			unresponsive = 0
+			continue
+		}
+		if unresponsive == 0 {
+			s.logger.Info("sending suspected contents to a peer failed", zap.String("machine", machine),
+				zap.Int("contents", len(batch)), zap.Error(err))
+		}
+		s.requeue(machine, batch)
+		unresponsive += callRetryDelay
+		periodic.Pause(ctx, callRetryDelay)
+	}
+}
+
+// sendBatch makes one call with the present entries of the batch. If the neighbour rejects the
+// call, for example because its version lacks the method, the batch counts as sent.
+func (s *Gossiper) sendBatch(ctx context.Context, machine string, batch []Digest) error {
+	bounded, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	taken := 0
+	err := s.neighbours.Ask(bounded, machine, tellMethod, Told{From: s.table.machine, Entries: s.table.entriesOf(batch)}, &taken)
+	if errors.Is(err, relay.ErrRefused) {
+		s.logger.Info("peer does not take suspected contents", zap.String("machine", machine), zap.Error(err))
+		return nil
+	}
+	return err
+}
+
+// takeBatch removes and returns the next contents to send to a neighbour. If none are left or
+// giveUp is set, it ends the neighbour's sending and returns done.
+func (s *Gossiper) takeBatch(machine string, giveUp bool) (batch []Digest, done bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	due := s.pending[machine]
+	if len(due) == 0 || giveUp {
+		delete(s.pending, machine)
+		return nil, true
+	}
+	for digest := range due {
+		batch = append(batch, digest)
+		delete(due, digest)
+		if len(batch) == maxEntriesPerCall {
+			break
+		}
+	}
+	return batch, false
+}
+
+// requeue makes the contents of a failed batch pending again.
+func (s *Gossiper) requeue(machine string, batch []Digest) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, digest := range batch {
+		s.pending[machine][digest] = true
+	}
+}
--- a/internal/requests/quarantine/http.go
+++ b/internal/requests/quarantine/http.go
@@ -8,15 +8,16 @@
 	"go.uber.org/zap"
 )
 
-// Path is where operators see the suspected contents of a daemon; the one below it with
-// a digest is where they lift what is held against a content, by DELETE.
+// Path is the operator endpoint of a daemon. GET lists the suspected contents; DELETE on
+// Path/DIGEST clears one.
 const Path = "/quarantine"
 
-// problem is an answer that is not a success, as daemons answer everywhere.
+// problem is the body of an error response, in the format that all endpoints of a daemon use.
 type problem struct {
 	Error problemText `json:"error"`
 }
 
+// problemText is the error within a problem.
 type problemText struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
@@ -24,20 +25,21 @@
 	Field string `json:"field,omitempty"`
 }
 
-// Lifted is the answer to a content that was cleared.
+// Lifted is the response to a DELETE that cleared a content.
 type Lifted struct {
 	Digest string `json:"digest"`
 }
 
-// Handler answers operators. What one daemon lifts all lift.
+// Handler serves the operator endpoint at Path. A content cleared at one daemon is cleared at
+// all of them.
 func Handler(table *Table, logger *zap.Logger) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text := strings.Trim(strings.TrimPrefix(r.URL.Path, Path), "/")
 		switch {
 		case text == "" && r.Method == http.MethodGet:
-			answer(w, http.StatusOK, table.List(), logger)
+			writeResponse(w, http.StatusOK, table.List(), logger)
 		case r.Method != http.MethodDelete || text == "":
-			answer(w, http.StatusMethodNotAllowed, problemOf("wrong_method",
+			writeResponse(w, http.StatusMethodNotAllowed, problemOf("wrong_method",
 				"list with GET "+Path+", lift with DELETE "+Path+"/DIGEST", "method"), logger)
 		default:
 			lift(w, table, text, logger)
@@ -45,15 +47,16 @@
 	})
 }
 
+// lift clears the content whose digest is text and responds to the operator.
 func lift(w http.ResponseWriter, table *Table, text string, logger *zap.Logger) {
 	digest, err := ParseDigest(text)
 	switch {
 	case err != nil:
-		answer(w, http.StatusBadRequest, problemOf("malformed", err.Error(), "digest"), logger)
+		writeResponse(w, http.StatusBadRequest, problemOf("malformed", err.Error(), "digest"), logger)
 	case !table.Lift(digest):
-		answer(w, http.StatusNotFound, problemOf("unknown_content", "digest: nothing is held against this content here", "digest"), logger)
+		writeResponse(w, http.StatusNotFound, problemOf("unknown_content", "digest: nothing is held against this content here", "digest"), logger)
 	default:
-		answer(w, http.StatusOK, Lifted{Digest: text}, logger)
+		writeResponse(w, http.StatusOK, Lifted{Digest: text}, logger)
 	}
 }
 
@@ -61,7 +64,9 @@
 	return problem{Error: problemText{Code: code, Message: message, Field: field}}
 }
 
-func answer(w http.ResponseWriter, status int, body any, logger *zap.Logger) {
+// writeResponse writes a JSON response. A failure is only logged, as the status has already
+// been sent.
+func writeResponse(w http.ResponseWriter, status int, body any, logger *zap.Logger) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(body); err != nil {
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -13,44 +13,46 @@
 
 const (
 	topic = "woodworks.quarantine"
-	// recordInterval is the time between two looks for what the journal does not have, while
-	// it lacks something. An end that is not there when all machines lose power costs a
-	// replica more.
+	// recordInterval is the time between checks for entries to write, while the journal is out
+	// of date. An end that is not written when all machines lose power may cost one more
+	// replica.
 	recordInterval = 50 * time.Millisecond
-	// suspectedFor is how long a content must be merely suspected to be written: most are
-	// bystanders, whose next run answers within this time.
-	suspectedFor = 300 * time.Millisecond
-	// leaveToOther is how long a daemon leaves a change to the one that made it to write.
-	leaveToOther  = 4 * time.Second
+	// suspectRecordDelay is how long after its last end a content that is not yet refused is
+	// written. Most such contents are harmless and are answered before.
+	suspectRecordDelay = 300 * time.Millisecond
+	// otherWriterDelay is how long a daemon waits for the daemon that made a change to write
+	// it.
+	otherWriterDelay = 4 * time.Second
+	// recordTimeout bounds one append to the journal.
 	recordTimeout = time.Second
-	// failedPause is the pause after a write that failed: in an outage of the journal each
-	// daemon tries once a second.
-	failedPause = time.Second
-	// recordsAtOnce bounds the records of one append.
-	recordsAtOnce = 32
+	// writeRetryDelay is the wait after a failed write, so that an outage of the journal causes
+	// at most one write per second from each daemon.
+	writeRetryDelay = time.Second
+	// maxRecordsPerAppend bounds the records of one append.
+	maxRecordsPerAppend = 32
 )
 
-// Partition is where suspected contents are kept.
+// Partition is the journal partition that stores suspected contents, keyed by digest.
 var Partition = journal.Partition{Topic: journal.KeyedTopic(topic)}
 
-// Recorder keeps suspected contents in the journal, so that what is held against them
-// outlasts every process, and learns from it what was before this one started. It
-// implements journal.KeyedHandler and journal.KeyedResetter.
+// Recorder writes the entries of a table to the journal, so that they survive the restart of
+// all daemons, and applies the entries that it reads back from there. It implements
+// journal.KeyedHandler and journal.KeyedResetter.
 type Recorder struct {
 	table   *Table
 	journal journal.Journal
-	// atOnce has every end written at once: daemons that do not reach each other count
-	// ends through the journal.
-	atOnce bool
-	logger *zap.Logger
-	// failing says that the last write failed. It is Run's alone.
+	// writeImmediately makes every end be written without suspectRecordDelay. It is set if
+	// daemons have no peer connections and count ends only through the journal.
+	writeImmediately bool
+	logger           *zap.Logger
+	// failing reports whether the last write failed. Only the goroutine of Run uses it.
 	failing bool
 }
 
-// NewRecorder returns the recorder of a table. Reached says that daemons tell each other of
-// suspected contents, so that the journal is only for what lasts.
-func NewRecorder(table *Table, log journal.Journal, reached bool, logger *zap.Logger) *Recorder {
-	return &Recorder{table: table, journal: log, atOnce: !reached, logger: logger}
+// NewRecorder returns the recorder of a table; Run starts it. HasPeers reports whether daemons
+// exchange entries directly, so that the journal serves for durability only.
+func NewRecorder(table *Table, log journal.Journal, hasPeers bool, logger *zap.Logger) *Recorder {
+	return &Recorder{table: table, journal: log, writeImmediately: !hasPeers, logger: logger}
 }
 
 // Reset implements journal.KeyedResetter.
@@ -60,7 +62,7 @@
 		listed[record.Key] = true
 		r.Apply(record)
 	}
-	r.table.dropMissing(listed)
+	r.table.applyDeletionsExcept(listed)
 }
 
 // Apply implements journal.KeyedHandler.
@@ -71,7 +73,7 @@
 		return
 	}
 	if len(record.Value) == 0 {
-		r.table.dropped(digest)
+		r.table.applyDeletion(digest)
 		return
 	}
 	entry := Entry{}
@@ -79,10 +81,10 @@
 		r.logger.Warn("journal record of a suspected content not decoded", zap.String("key", record.Key), zap.Error(err))
 		return
 	}
-	r.table.journaled(entry)
+	r.table.applyJournaled(entry)
 }
 
-// Run writes what the journal lacks until the context ends.
+// Run writes entries to the journal whenever it is out of date, until the context ends.
 func (r *Recorder) Run(ctx context.Context) {
 	for {
 		select {
@@ -91,31 +93,31 @@
 		case <-r.table.unrecorded:
 		}
 		for r.writeDue(ctx) {
-			periodic.Pause(ctx, r.pause())
+			periodic.Pause(ctx, r.delay())
 		}
 	}
 }
 
-// pause is the time until the next look.
-func (r *Recorder) pause() time.Duration {
+// delay returns the time to wait before the next check.
+func (r *Recorder) delay() time.Duration {
 	if r.failing {
-		return failedPause
+		return writeRetryDelay
 	}
 	return recordInterval
 }
 
-// writeDue writes what is due now, and reports whether the journal will still lack
-// something.
+// writeDue writes the entries that are due and reports whether Run must check again. Entries
+// count as missing until they are read back.
 func (r *Recorder) writeDue(ctx context.Context) bool {
-	due, lacking := r.table.toRecord(r.atOnce)
+	due, outOfDate := r.table.dueEntries(r.writeImmediately)
 	if len(due) > 0 {
-		r.note(r.write(ctx, due), len(due))
+		r.updateFailing(r.write(ctx, due), len(due))
 	}
-	return lacking && ctx.Err() == nil
+	return outOfDate && ctx.Err() == nil
 }
 
-// note logs that writes begin to fail, and that they succeed again.
-func (r *Recorder) note(err error, contents int) {
+// updateFailing stores whether the last write failed, and logs when that changes.
+func (r *Recorder) updateFailing(err error, contents int) {
 	if (err != nil) == r.failing {
 		return
 	}
@@ -123,8 +125,8 @@
 	r.logger.Info("journal writes of suspected contents", zap.Bool("failing", r.failing), zap.Int("contents", contents), zap.Error(err))
 }
 
-// write appends the entries, or drops those that have no ended replicas any more. What
-// was written is taken as kept once it is read back.
+// write appends the entries to the journal. For an entry without ended replicas it appends a
+// deletion of the key.
 func (r *Recorder) write(ctx context.Context, entries []Entry) error {
 	var records [][]byte
 	for _, entry := range entries {
@@ -141,13 +143,13 @@
 	if err := journal.AppendWithin(ctx, r.journal, recordTimeout, Partition, records...); err != nil {
 		return err
 	}
-	r.table.written(entries)
+	r.table.markWritten(entries)
 	return nil
 }
 
-// toRecord returns the entries that this daemon should write to the journal now, and whether
-// the journal lacks any.
-func (t *Table) toRecord(atOnce bool) (due []Entry, lacking bool) {
+// dueEntries returns the entries that this daemon should write now, at most
+// maxRecordsPerAppend, and whether the journal is out of date for any entry.
+func (t *Table) dueEntries(immediately bool) (due []Entry, outOfDate bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -155,16 +157,15 @@
 		if !s.unrecorded() {
 			continue
 		}
-		lacking = true
-		if len(due) < recordsAtOnce && s.recordDue(now, atOnce) {
-			due = append(due, s.copied())
+		outOfDate = true
+		if len(due) < maxRecordsPerAppend && s.recordDue(now, immediately) {
+			due = append(due, s.cloneEntry())
 		}
 	}
-	return due, lacking
+	return due, outOfDate
 }
 
-// unrecorded reports whether the journal has something else of the content than it
-// should have.
+// unrecorded reports whether the journal is out of date for this content.
 func (s *suspect) unrecorded() bool {
 	switch {
 	case len(s.Ended) == 0:
@@ -172,76 +173,77 @@
 	case s.journaled == nil:
 		return true
 	default:
-		return !s.recordedBy(s.journaled)
+		return !s.matches(s.journaled)
 	}
 }
 
-// recordedBy reports whether the journal lacks nothing of the content if it has the entry.
-func (s *suspect) recordedBy(e *Entry) bool {
+// matches reports whether e, as stored in the journal, is up to date.
+func (s *suspect) matches(e *Entry) bool {
 	return e.Epoch == s.Epoch && e.Retried == s.Retried && e.ends() == s.ends()
 }
 
 // recordDue reports whether this daemon should write the entry now.
-func (s *suspect) recordDue(now time.Time, atOnce bool) bool {
+func (s *suspect) recordDue(now time.Time, immediately bool) bool {
 	switch {
-	case !s.ownChange:
+	case !s.changedHere:
 		return !now.Before(s.recordAfter)
-	case atOnce, s.refused(), len(s.Ended) == 0:
+	case immediately, s.refused(), len(s.Ended) == 0:
 		return true
 	default:
-		return now.Sub(s.endedAt) >= suspectedFor
+		return now.Sub(s.lastEndAt) >= suspectRecordDelay
 	}
 }
 
-// written has the entries that were just written left alone until they are read back, but
-// for what has changed since.
-func (t *Table) written(entries []Entry) {
+// markWritten prevents entries that were just written from being written again for
+// otherWriterDelay, within which they are normally read back. Entries that have changed since
+// the write stay due.
+func (t *Table) markWritten(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, entry := range entries {
-		if s := t.entries[entry.Digest]; s != nil && s.recordedBy(&entry) {
-			s.ownChange, s.recordAfter = false, t.now().Add(leaveToOther)
+		if s := t.entries[entry.Digest]; s != nil && s.matches(&entry) {
+			s.changedHere, s.recordAfter = false, t.now().Add(otherWriterDelay)
 		}
 	}
 }
 
-// journaled takes in an entry as the journal has it.
-func (t *Table) journaled(entry Entry) {
+// applyJournaled merges an entry read from the journal.
+func (t *Table) applyJournaled(entry Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.entry(entry.Digest)
+	s := t.ensureEntry(entry.Digest)
 	t.merge(s, entry, "journal")
 	s.journaled = &entry
 	signal(t.unrecorded)
 }
 
-// dropped takes in that the journal has no entry of a content any more: it was cleared.
-func (t *Table) dropped(digest Digest) {
+// applyDeletion handles the deletion of a content's key from the journal.
+func (t *Table) applyDeletion(digest Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.entries[digest]; s != nil {
-		t.drop(s)
+		t.journalEntryDeleted(s)
 	}
 }
 
-// dropMissing takes in that the journal has entries only under the keys given.
-func (t *Table) dropMissing(listed map[string]bool) {
+// applyDeletionsExcept handles the deletion of every key that is not in listed.
+func (t *Table) applyDeletionsExcept(listed map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.entries {
 		if !listed[s.Digest.String()] {
-			t.drop(s)
+			t.journalEntryDeleted(s)
 		}
 	}
 }
 
-// drop clears an entry that the journal had in its present epoch and has no more. The
-// mutex is held.
-func (t *Table) drop(s *suspect) {
+// journalEntryDeleted clears an entry if the journal held its current epoch and no longer does.
+// A deletion that belongs to an earlier epoch leaves it unchanged. t.mu must be held.
+func (t *Table) journalEntryDeleted(s *suspect) {
 	before := s.journaled
 	s.journaled = nil
 	signal(t.unrecorded)
 	if before != nil && before.Epoch == s.Epoch && len(s.Ended) > 0 {
-		t.clear(s, "cleared in the journal")
+		t.clearEntry(s, "deleted from the journal")
 	}
 }
