--- a/internal/api/standalone/retries.go
+++ b/internal/api/standalone/retries.go
@@ -17,7 +17,7 @@
 	budget        retrybudget.Budget
 }
 
-var _ ingress.Retries = (*retries)(nil)
+var _ ingress.RetryPolicy = (*retries)(nil)
 
 func (r *retries) Began(*route.Route) {
 	if set, ok := r.decoder.SetOf(r.configuration()); ok {
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -32,8 +32,8 @@
 	"woodworks/internal/requests/route"
 )
 
-// Retries decides on attempts at further replicas, beyond what forward.AttemptState allows.
-type Retries interface {
+// RetryPolicy decides on attempts at further replicas, beyond what forward.AttemptState allows.
+type RetryPolicy interface {
 	// Began is told of each request.
 	Began(rt *route.Route)
 	// May reports whether a request may have another attempt after some.
@@ -73,7 +73,7 @@
 	// Clock is the clock by which clients wait.
 	Clock bootclock.Clock
 	// Retries bounds attempts at further replicas.
-	Retries Retries
+	Retries RetryPolicy
 	// Admission decides which plain requests wait or are refused while a service is full.
 	Admission *admission.Controller
 	// Stop is the planned stop of the daemon.
