--- a/internal/api/standalone/retries.go
+++ b/internal/api/standalone/retries.go
@@ -19,7 +19,7 @@
 
 var _ ingress.RetryPolicy = (*retries)(nil)
 
-func (r *retries) Began(*route.Route) {
+func (r *retries) RequestStarted(*route.Route) {
 	if set, ok := r.decoder.SetOf(r.configuration()); ok {
 		r.budget.FirstTry(set.Retry.Percent)
 	}
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -34,8 +34,8 @@
 
 // RetryPolicy decides on attempts at further replicas, beyond what forward.AttemptState allows.
 type RetryPolicy interface {
-	// Began is told of each request.
-	Began(rt *route.Route)
+	// RequestStarted is told of each request.
+	RequestStarted(rt *route.Route)
 	// May reports whether a request may have another attempt after some.
 	May(rt *route.Route, attempts int) bool
 }
@@ -43,8 +43,8 @@
 // NoRetryPolicy is the Retries of a platform without policies: it adds no bound.
 type NoRetryPolicy struct{}
 
-// Began implements Retries.
-func (NoRetryPolicy) Began(*route.Route) {}
+// RequestStarted implements Retries.
+func (NoRetryPolicy) RequestStarted(*route.Route) {}
 
 // May implements Retries.
 func (NoRetryPolicy) May(*route.Route, int) bool { return true }
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -19,7 +19,7 @@
 func (r *request) servePlain(cfg *route.Configuration, body []byte) {
 	ctx, cancel := r.bounded()
 	defer cancel()
-	r.handler.Retries.Began(r.route)
+	r.handler.Retries.RequestStarted(r.route)
 	answer, err := r.sendInTurn(ctx, cfg, r.call(cfg, body))
 	if err != nil {
 		r.refusePlain(err)
