--- a/internal/api/standalone/retries.go
+++ b/internal/api/standalone/retries.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func (r *retries) May(rt *route.Route, attempts int) bool {
+func (r *retries) MayRetry(rt *route.Route, attempts int) bool {
 	set, ok := r.decoder.SetOf(r.configuration())
 	if !ok {
 		return false
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -36,8 +36,8 @@
 type RetryPolicy interface {
 	// RequestStarted is told of each request.
 	RequestStarted(rt *route.Route)
-	// May reports whether a request may have another attempt after some.
-	May(rt *route.Route, attempts int) bool
+	// MayRetry reports whether a request may have another attempt after some.
+	MayRetry(rt *route.Route, attempts int) bool
 }
 
 // NoRetryPolicy is the Retries of a platform without policies: it adds no bound.
@@ -46,8 +46,8 @@
 // RequestStarted implements Retries.
 func (NoRetryPolicy) RequestStarted(*route.Route) {}
 
-// May implements Retries.
-func (NoRetryPolicy) May(*route.Route, int) bool { return true }
+// MayRetry implements Retries.
+func (NoRetryPolicy) MayRetry(*route.Route, int) bool { return true }
 
 // Handler answers the requests of clients. It is safe for concurrent use.
 type Handler struct {
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -42,7 +42,9 @@
 }
 
 // policyMayRetry reports whether the policies in force allow the request another attempt.
-func (r *request) policyMayRetry(attempts int) bool { return r.handler.Retries.May(r.route, attempts) }
+func (r *request) policyMayRetry(attempts int) bool {
+	return r.handler.Retries.MayRetry(r.route, attempts)
+}
 
 // sendInTurn sends a call once it has its turn among the requests of its service. Engines
 // have queues of their own, which batches fill by plan.
