--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -139,7 +139,7 @@
 	n.holding = holding.New(n.settings.Limits.Held())
 	n.handler = &ingress.Handler{
 		Names: drivers.Headers, Codec: drivers.Codec, Configuration: n.operator.Configuration, Forwarder: forwarder,
-		Clock: bootclock.Now, Retries: ingress.NoRetryPolicy{}, Ran: func(string, time.Time) {},
+		Clock: bootclock.Now, Retries: ingress.NoRetryPolicy{}, OnRun: func(string, time.Time) {},
 		Runner: n.runner, Results: n.results, Observe: n.metrics.Request, Logger: n.logger,
 		ConfigurationAge: n.configurationAge, Stop: n.shutdown, Admission: n.newAdmission(),
 		Holding: n.holding, Unread: timing.Unread.Std(),
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -64,9 +64,9 @@
 	Forwarder *forward.Forwarder
 	Runner    *runner.Runner
 	Results   *results.Reader
-	// Ran is told of each request of a tenant that a replica ran or may have run, with when
+	// OnRun is told of each request of a tenant that a replica ran or may have run, with when
 	// it was sent there.
-	Ran func(tenant string, sentAt time.Time)
+	OnRun func(tenant string, sentAt time.Time)
 	// Observe is told of each final answer and how long it took.
 	Observe func(route, status, outcome string, took time.Duration)
 	Logger  *zap.Logger
--- a/internal/requests/ingress/request.go
+++ b/internal/requests/ingress/request.go
@@ -75,7 +75,7 @@
 // countRun has a run of the request counted for its tenant.
 func (r *request) countRun(sentAt time.Time) {
 	if r.tenant != nil {
-		r.handler.Ran(r.tenant.Name, sentAt)
+		r.handler.OnRun(r.tenant.Name, sentAt)
 	}
 }
 
