--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -50,7 +50,7 @@
 func (r *request) endHolding() {
 	r.account.End()
 	// What the server still has is written after this, and may be a few KiB.
-	r.setWriteDeadline(r.handler.Unread)
+	r.setWriteDeadline(r.handler.WriteTimeout)
 }
 
 // readBody reads the whole body, or answers why it could not. The body has the time of its
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -249,7 +249,7 @@
 			}
 		}
 	})
-	s.handler.Unread = 100 * time.Millisecond
+	s.handler.WriteTimeout = 100 * time.Millisecond
 	lazy := s.ask("/", "")
 	is.Equal(<-s.outcomes, "broken off")
 	_, _, body, err := lazy.read()
@@ -263,7 +263,7 @@
 func TestAnUnreadPageEndsItsConnection(t *testing.T) {
 	is := is.New(t)
 	s := newSlow(t, route.Unsafe, 64<<20, nil)
-	s.handler.Unread = 100 * time.Millisecond
+	s.handler.WriteTimeout = 100 * time.Millisecond
 	page := content(2 << 20)
 	s.daemon = serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		account, _ := s.handler.Holding.Begin(0)
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -80,9 +80,9 @@
 	Stop *shutdown.Stop
 	// Holding bounds what is held on behalf of clients.
 	Holding *holding.Budget
-	// Unread is how long what is written may stay unread: with some seconds a client that
+	// WriteTimeout is how long what is written may stay unread: with some seconds a client that
 	// was paused, or whose network lost some packets, is not cut off.
-	Unread time.Duration
+	WriteTimeout time.Duration
 
 	inFlight atomic.Int64
 }
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -29,7 +29,7 @@
 		r.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	// The client still waits for that long, and no other has this answer.
-	r.setWriteDeadline(max(r.deadline()-r.held(), r.handler.Unread))
+	r.setWriteDeadline(max(r.deadline()-r.held(), r.handler.WriteTimeout))
 	r.w.WriteHeader(answer.Status)
 	err := r.writeAnswer(answer)
 	if err != nil && r.req.Method != http.MethodHead {
@@ -68,7 +68,7 @@
 // for Handler.Unread is left.
 func (r *request) writeSlowly(content []byte) error {
 	for {
-		r.setWriteDeadline(r.handler.Unread)
+		r.setWriteDeadline(r.handler.WriteTimeout)
 		piece := content[:min(len(content), pieceBytes)]
 		if _, err := r.w.Write(piece); err != nil {
 			return err
@@ -102,7 +102,7 @@
 		}
 		defer r.account.Give(holding.Answers, n)
 	}
-	r.setWriteDeadline(r.handler.Unread)
+	r.setWriteDeadline(r.handler.WriteTimeout)
 	if _, err := r.w.Write(raw); err != nil {
 		return err
 	}
