--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -142,7 +142,7 @@
 		Clock: bootclock.Now, Retries: ingress.NoRetryPolicy{}, OnRun: func(string, time.Time) {},
 		Runner: n.runner, Results: n.results, Observe: n.metrics.Request, Logger: n.logger,
 		ConfigurationAge: n.configurationAge, Stop: n.shutdown, Admission: n.newAdmission(),
-		Holding: n.holding, WriteTimeout: timing.Unread.Std(),
+		MemoryBudget: n.holding, WriteTimeout: timing.Unread.Std(),
 		Keys: ingress.KeyPolicy{TrustKnown: timing.KeyBound.Std(), TrustUnknown: timing.ContactBound.Std()},
 	}
 	n.public.handler = n.handler
--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -36,7 +36,7 @@
 
 // beginHolding counts the request, or turns it away if there is no room.
 func (r *request) beginHolding() bool {
-	account, ok := r.handler.Holding.Begin(baseBytes)
+	account, ok := r.handler.MemoryBudget.Begin(baseBytes)
 	if !ok {
 		r.w.Header().Set("Connection", "close")
 		r.refuse(refusal.NoMemory, errNoRoom.Error())
@@ -99,7 +99,7 @@
 		_, err := io.Copy(io.Discard, body)
 		return nil, err
 	}
-	if !r.handler.Holding.MayEver(holding.Bodies, announced) {
+	if !r.handler.MemoryBudget.MayEver(holding.Bodies, announced) {
 		return nil, errors.Wrap(errNoRoom, "a body of that length")
 	}
 	read, whole, err := r.account.Read(holding.Bodies, body, announced, limit+1, func(n int64) bool { return r.awaitRoom(holding.Bodies, n) })
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -80,7 +80,7 @@
 	is.New(t).NoErr(err)
 	s.handler = bare(time.Now)
 	s.handler.Names, s.handler.Observe, s.handler.Configuration = names, s.outcomes.observe, func() *route.Configuration { return cfg }
-	s.handler.Holding = holding.New(holding.LimitsOf(most))
+	s.handler.MemoryBudget = holding.New(holding.LimitsOf(most))
 	setForwarder(s.handler, &forward.Forwarder{MaxOpen: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: 10 * time.Second}), Table: table, Names: names,
 		Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
 	s.daemon = serve(t, s.handler)
@@ -151,7 +151,7 @@
 		lazy = append(lazy, s.ask("/big", ""))
 		<-s.ran
 	}
-	for s.handler.Holding.Held(holding.Answers) < limits.Of[holding.Answers]-length {
+	for s.handler.MemoryBudget.Held(holding.Answers) < limits.Of[holding.Answers]-length {
 		time.Sleep(time.Millisecond)
 	}
 	for range 50 {
@@ -166,9 +166,9 @@
 		is.Equal(status, http.StatusOK)
 		is.True(bytes.Equal(body, big))
 	}
-	_, most := s.handler.Holding.Sum()
+	_, most := s.handler.MemoryBudget.Sum()
 	is.True(most <= limits.All)
-	for now := int64(1); now > 0; now, _ = s.handler.Holding.Sum() {
+	for now := int64(1); now > 0; now, _ = s.handler.MemoryBudget.Sum() {
 		time.Sleep(time.Millisecond) // until the last handler has returned
 	}
 }
@@ -192,7 +192,7 @@
 	is := is.New(t)
 	s := newSlow(t, route.Unsafe, 100*kib, func(http.ResponseWriter, *http.Request) {})
 	for {
-		if _, ok := s.handler.Holding.Begin(kib); !ok {
+		if _, ok := s.handler.MemoryBudget.Begin(kib); !ok {
 			break
 		}
 	}
@@ -219,11 +219,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				r, recorder := askedOf(t.Context(), nil, route.Unsafe, time.Hour)
-				r.handler.Holding = holding.New(holding.LimitsOf(100 * kib))
-				other, _ := r.handler.Holding.Begin(0)
+				r.handler.MemoryBudget = holding.New(holding.LimitsOf(100 * kib))
+				other, _ := r.handler.MemoryBudget.Begin(0)
 				is.True(other.Take(holding.Bodies, 60*kib))
 				time.AfterFunc(c.frees, other.End)
-				r.account, _ = r.handler.Holding.Begin(0)
+				r.account, _ = r.handler.MemoryBudget.Begin(0)
 				text := content(c.length)
 				r.req.Body, r.req.ContentLength = io.NopCloser(bytes.NewReader(text)), int64(len(text))
 				began := time.Now()
@@ -266,7 +266,7 @@
 	s.handler.WriteTimeout = 100 * time.Millisecond
 	page := content(2 << 20)
 	s.daemon = serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		account, _ := s.handler.Holding.Begin(0)
+		account, _ := s.handler.MemoryBudget.Begin(0)
 		asked := &request{handler: s.handler, w: w, req: r, logger: zap.NewNop(), arrived: time.Now(), account: account}
 		asked.writePage(page)
 	}))
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -78,8 +78,8 @@
 	Admission *admission.Controller
 	// Stop is the planned stop of the daemon.
 	Stop *shutdown.Stop
-	// Holding bounds what is held on behalf of clients.
-	Holding *holding.Budget
+	// MemoryBudget bounds what is held on behalf of clients.
+	MemoryBudget *holding.Budget
 	// WriteTimeout is how long what is written may stay unread: with some seconds a client that
 	// was paused, or whose network lost some packets, is not cut off.
 	WriteTimeout time.Duration
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -74,7 +74,7 @@
 			r.handler.ServeHTTP(r.w, r.req)
 		}, status: 503, comeBack: "0.250", outcome: "refused", body: "no configuration is known yet"},
 		"no room to begin": {answer: func(r *request) {
-			r.handler.Holding = holding.New(holding.LimitsOf(1))
+			r.handler.MemoryBudget = holding.New(holding.LimitsOf(1))
 			r.handler.ServeHTTP(r.w, r.req)
 		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoRoom.Error(), closes: true},
 		"no room for a page": {answer: func(r *request) {
@@ -82,7 +82,7 @@
 			r.writePage(make([]byte, 1<<20))
 		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoRoom.Error()},
 		"no room for a body": {answer: func(r *request) {
-			r.handler.Holding = holding.New(holding.LimitsOf(64 << 10))
+			r.handler.MemoryBudget = holding.New(holding.LimitsOf(64 << 10))
 			r.req = httptest.NewRequest(http.MethodPost, "/x", strings.NewReader(strings.Repeat("x", 1<<20)))
 			r.readBody(2 << 20)
 		}, status: 503, comeBack: "1.000", outcome: "refused", body: "a body of that length: " + errNoRoom.Error(), closes: true},
