--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -15,9 +15,9 @@
 // KeyPolicy says how far a configuration of some age is trusted about keys. Zero values
 // mean without bound.
 type KeyPolicy struct {
-	// TrustKnown is how long after the configuration was last confirmed a key that it
+	// AcceptMaxAge is how long after the configuration was last confirmed a key that it
 	// has is still taken. Beyond it the key may have been withdrawn.
-	TrustKnown time.Duration
+	AcceptMaxAge time.Duration
 	// TrustUnknown is how long after the configuration was last confirmed a key that it does
 	// not have is refused for good. Beyond it the key may have been added.
 	TrustUnknown time.Duration
@@ -39,7 +39,7 @@
 	policy := r.handler.Keys
 	unconfirmed := ""
 	switch {
-	case ok && exceeded(age, policy.TrustKnown):
+	case ok && exceeded(age, policy.AcceptMaxAge):
 		unconfirmed = "the key may have been withdrawn"
 	case ok:
 		r.tenant = t
