--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -143,7 +143,7 @@
 		Runner: n.runner, Results: n.results, Observe: n.metrics.Request, Logger: n.logger,
 		ConfigurationAge: n.configurationAge, Stop: n.shutdown, Admission: n.newAdmission(),
 		MemoryBudget: n.holding, WriteTimeout: timing.Unread.Std(),
-		Keys: ingress.KeyPolicy{AcceptMaxAge: timing.KeyBound.Std(), TrustUnknown: timing.ContactBound.Std()},
+		Keys: ingress.KeyPolicy{AcceptMaxAge: timing.KeyBound.Std(), RejectMaxAge: timing.ContactBound.Std()},
 	}
 	n.public.handler = n.handler
 }
--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -18,9 +18,9 @@
 	// AcceptMaxAge is how long after the configuration was last confirmed a key that it
 	// has is still taken. Beyond it the key may have been withdrawn.
 	AcceptMaxAge time.Duration
-	// TrustUnknown is how long after the configuration was last confirmed a key that it does
+	// RejectMaxAge is how long after the configuration was last confirmed a key that it does
 	// not have is refused for good. Beyond it the key may have been added.
-	TrustUnknown time.Duration
+	RejectMaxAge time.Duration
 }
 
 // exceeded reports whether an age is beyond a bound, 0 being none.
@@ -44,7 +44,7 @@
 	case ok:
 		r.tenant = t
 		return true
-	case key != "" && exceeded(age, policy.TrustUnknown):
+	case key != "" && exceeded(age, policy.RejectMaxAge):
 		unconfirmed = "the key may have been added"
 	}
 	r.logger.Info("key refused", zap.String("key_digest", apikey.DigestOf(key).Short()), zap.Bool("sent", key != ""),
--- a/internal/requests/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -63,8 +63,8 @@
 // What a key is worth follows from what the configuration says of it and from how long
 // ago that was confirmed.
 func TestKeysAreJudgedByTheConfigurationsAge(t *testing.T) {
-	strict := KeyPolicy{AcceptMaxAge: 5 * time.Second, TrustUnknown: 4 * time.Second}
-	open := KeyPolicy{TrustUnknown: 4 * time.Second}
+	strict := KeyPolicy{AcceptMaxAge: 5 * time.Second, RejectMaxAge: 4 * time.Second}
+	open := KeyPolicy{RejectMaxAge: 4 * time.Second}
 	cases := map[string]struct {
 		authorization string
 		age           time.Duration
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -160,7 +160,7 @@
 				r.handler.Names, r.handler.Logger = headers.Names{Quarantined: "Quarantined", DeadlineMs: "Deadline"}, zap.NewNop()
 				r.handler.Observe = func(_, _, told string, _ time.Duration) { outcome = told }
 				r.handler.ConfigurationAge = func() time.Duration { return 0 }
-				r.handler.Keys = KeyPolicy{AcceptMaxAge: time.Second, TrustUnknown: time.Second}
+				r.handler.Keys = KeyPolicy{AcceptMaxAge: time.Second, RejectMaxAge: time.Second}
 				one.answer(r)
 				is.Equal(recorder.Code, one.status)
 				is.Equal(recorder.Header().Get("Retry-After"), one.comeBack)
