--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -76,9 +76,9 @@
 	return r.tenant.Name
 }
 
-// onward returns the request as it goes to a replica. Where there are tenants, the replica
+// outgoingRequest returns the request as it goes to a replica. Where there are tenants, the replica
 // sees the tenant in place of the key.
-func (r *request) onward(cfg *route.Configuration, body []byte) forward.Request {
+func (r *request) outgoingRequest(cfg *route.Configuration, body []byte) forward.Request {
 	header := headers.CopyEndToEnd(r.req.Header)
 	if cfg.Tenants != nil {
 		r.handler.Names.SetTenant(header, r.tenantName())
--- a/internal/requests/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -51,7 +51,7 @@
 	handler.Names, handler.Keys, handler.ConfigurationAge = headers.Names{Tenant: "X-Tenant"}, policy, func() time.Duration { return age }
 	r := &request{handler: handler, w: recorder, req: req, arrived: time.Now(), logger: zap.New(core)}
 	if r.authenticate(cfg) {
-		header := r.onward(cfg, nil).Header
+		header := r.outgoingRequest(cfg, nil).Header
 		if header.Get("Authorization") != "" || header.Get("X-Tenant") != r.tenantName() {
 			t.Fatalf("header onward: %v", header)
 		}
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -38,7 +38,7 @@
 func (r *request) serveStream(cfg *route.Configuration, body []byte) {
 	ctx, cancel := r.bounded()
 	defer cancel()
-	s := &streamRelay{request: r, passedOver: map[string]bool{}, call: &forward.StreamRequest{Request: r.onward(cfg, body)}}
+	s := &streamRelay{request: r, passedOver: map[string]bool{}, call: &forward.StreamRequest{Request: r.outgoingRequest(cfg, body)}}
 	if text := r.req.Header.Get(r.handler.Names.LastEventID); text != "" {
 		if after, err := strconv.ParseInt(text, 10, 64); err == nil {
 			s.call.After, s.call.HasAfter = after, true
