--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -13,8 +13,8 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// errNoRoom: the daemon holds as much for its clients as it may.
-var errNoRoom = errors.New("ingress: the daemon holds as much for clients as it may")
+// errNoMemory: the daemon holds as much for its clients as it may.
+var errNoMemory = errors.New("ingress: the daemon holds as much for clients as it may")
 
 const (
 	// baseBytes is what a request costs beside its body and its answer: the buffers of its
@@ -39,7 +39,7 @@
 	account, ok := r.handler.MemoryBudget.Begin(baseBytes)
 	if !ok {
 		r.w.Header().Set("Connection", "close")
-		r.refuse(refusal.NoMemory, errNoRoom.Error())
+		r.refuse(refusal.NoMemory, errNoMemory.Error())
 		return false
 	}
 	r.account = account
@@ -83,7 +83,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		r.w.Header().Set("Connection", "close")
 		r.refuse(refusal.BodyLate, "the body did not come in time")
-	case errors.Is(err, errNoRoom):
+	case errors.Is(err, errNoMemory):
 		r.w.Header().Set("Connection", "close")
 		r.refuse(refusal.NoMemory, err.Error())
 	default:
@@ -100,11 +100,11 @@
 		return nil, err
 	}
 	if !r.handler.MemoryBudget.MayEver(holding.Bodies, announced) {
-		return nil, errors.Wrap(errNoRoom, "a body of that length")
+		return nil, errors.Wrap(errNoMemory, "a body of that length")
 	}
 	read, whole, err := r.account.Read(holding.Bodies, body, announced, limit+1, func(n int64) bool { return r.awaitRoom(holding.Bodies, n) })
 	if err == nil && !whole {
-		err = errNoRoom
+		err = errNoMemory
 	}
 	return read, err
 }
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -76,16 +76,16 @@
 		"no room to begin": {answer: func(r *request) {
 			r.handler.MemoryBudget = holding.New(holding.LimitsOf(1))
 			r.handler.ServeHTTP(r.w, r.req)
-		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoRoom.Error(), closes: true},
+		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoMemory.Error(), closes: true},
 		"no room for a page": {answer: func(r *request) {
 			r.account, _ = holding.New(holding.LimitsOf(64 << 10)).Begin(1)
 			r.writePage(make([]byte, 1<<20))
-		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoRoom.Error()},
+		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoMemory.Error()},
 		"no room for a body": {answer: func(r *request) {
 			r.handler.MemoryBudget = holding.New(holding.LimitsOf(64 << 10))
 			r.req = httptest.NewRequest(http.MethodPost, "/x", strings.NewReader(strings.Repeat("x", 1<<20)))
 			r.readBody(2 << 20)
-		}, status: 503, comeBack: "1.000", outcome: "refused", body: "a body of that length: " + errNoRoom.Error(), closes: true},
+		}, status: 503, comeBack: "1.000", outcome: "refused", body: "a body of that length: " + errNoMemory.Error(), closes: true},
 		"body too large": {answer: func(r *request) {
 			r.req = httptest.NewRequest(http.MethodPost, "/x", strings.NewReader("body"))
 			r.readBody(1)
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -82,7 +82,7 @@
 // writePage answers with a page of results, if there is room for it.
 func (r *request) writePage(encoded []byte) {
 	if !r.account.Take(holding.Pages, int64(len(encoded))) {
-		r.refuse(refusal.NoMemory, errNoRoom.Error())
+		r.refuse(refusal.NoMemory, errNoMemory.Error())
 		return
 	}
 	r.writeHead(http.StatusOK, len(encoded))
@@ -98,7 +98,7 @@
 func (r *request) writeEvent(raw []byte) error {
 	if n := int64(len(raw)); n > baseBytes {
 		if !r.awaitRoom(holding.Answers, n) {
-			return errNoRoom
+			return errNoMemory
 		}
 		defer r.account.Give(holding.Answers, n)
 	}
