--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -17,9 +17,9 @@
 var errNoMemory = errors.New("ingress: the daemon holds as much for clients as it may")
 
 const (
-	// baseBytes is what a request costs beside its body and its answer: the buffers of its
+	// requestOverheadBytes is what a request costs beside its body and its answer: the buffers of its
 	// connections, its head and the stacks of its goroutines.
-	baseBytes = 16 << 10
+	requestOverheadBytes = 16 << 10
 	// defaultBody is the longest body, in bytes, if the configuration names no bound.
 	defaultBody = 32 << 20
 	// bodyGrace is how long beyond its request's time a body that stalls is awaited: a
@@ -36,7 +36,7 @@
 
 // beginHolding counts the request, or turns it away if there is no room.
 func (r *request) beginHolding() bool {
-	account, ok := r.handler.MemoryBudget.Begin(baseBytes)
+	account, ok := r.handler.MemoryBudget.Begin(requestOverheadBytes)
 	if !ok {
 		r.w.Header().Set("Connection", "close")
 		r.refuse(refusal.NoMemory, errNoMemory.Error())
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -96,7 +96,7 @@
 // writeEvent writes an event of a stream. One that is longer than what a request costs is
 // counted, and waits for room.
 func (r *request) writeEvent(raw []byte) error {
-	if n := int64(len(raw)); n > baseBytes {
+	if n := int64(len(raw)); n > requestOverheadBytes {
 		if !r.awaitRoom(holding.Answers, n) {
 			return errNoMemory
 		}
