--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -20,8 +20,8 @@
 	// requestOverheadBytes is what a request costs beside its body and its answer: the buffers of its
 	// connections, its head and the stacks of its goroutines.
 	requestOverheadBytes = 16 << 10
-	// defaultBody is the longest body, in bytes, if the configuration names no bound.
-	defaultBody = 32 << 20
+	// defaultMaxBodyBytes is the longest body, in bytes, if the configuration names no bound.
+	defaultMaxBodyBytes = 32 << 20
 	// bodyGrace is how long beyond its request's time a body that stalls is awaited: a
 	// body that is whole by then has long been read, so that its connection's watch for
 	// the client's leaving does not meet the bound. A route's time is held to be kept
@@ -57,7 +57,7 @@
 // request: one that stalls is not held for as long as its client likes.
 func (r *request) readBody(limit int64) ([]byte, bool) {
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBodyBytes
 	}
 	late := time.AfterFunc(max(r.timeLeft(), 0)+bodyGrace, func() { r.setReadDeadline(time.Now()) })
 	defer func() {
