--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -27,11 +27,11 @@
 	// the client's leaving does not meet the bound. A route's time is held to be kept
 	// within a quarter of a second.
 	bodyGrace = 200 * time.Millisecond
-	// roomWait is how long what comes stays with its sender while there is no room, and
+	// maxMemoryWait is how long what comes stays with its sender while there is no room, and
 	// roomPause the time between two looks. Answers that are read meanwhile make room; a
 	// client that is told to come back after longer has lost that time for nothing.
-	roomWait  = 300 * time.Millisecond
-	roomPause = 10 * time.Millisecond
+	maxMemoryWait = 300 * time.Millisecond
+	roomPause     = 10 * time.Millisecond
 )
 
 // beginHolding counts the request, or turns it away if there is no room.
@@ -113,7 +113,7 @@
 // meanwhile stays with its sender.
 func (r *request) awaitRoom(share holding.Share, n int64) bool {
 	for waited := time.Duration(0); !r.account.Take(share, n); waited += roomPause {
-		if waited >= roomWait || r.req.Context().Err() != nil {
+		if waited >= maxMemoryWait || r.req.Context().Err() != nil {
 			return false
 		}
 		time.Sleep(roomPause)
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -212,7 +212,7 @@
 		frees, took    time.Duration
 	}{
 		{"room comes", 50 * kib, 0, 95 * time.Millisecond, 100 * time.Millisecond},
-		{"none comes", 50 * kib, http.StatusServiceUnavailable, time.Minute, roomWait},
+		{"none comes", 50 * kib, http.StatusServiceUnavailable, time.Minute, maxMemoryWait},
 		{"never fits", 80 * kib, http.StatusServiceUnavailable, time.Minute, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
