--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -30,8 +30,8 @@
 	// maxMemoryWait is how long what comes stays with its sender while there is no room, and
 	// roomPause the time between two looks. Answers that are read meanwhile make room; a
 	// client that is told to come back after longer has lost that time for nothing.
-	maxMemoryWait = 300 * time.Millisecond
-	roomPause     = 10 * time.Millisecond
+	maxMemoryWait      = 300 * time.Millisecond
+	memoryPollInterval = 10 * time.Millisecond
 )
 
 // beginHolding counts the request, or turns it away if there is no room.
@@ -112,11 +112,11 @@
 // awaitRoom waits for a short while until there is room for n bytes more; what comes
 // meanwhile stays with its sender.
 func (r *request) awaitRoom(share holding.Share, n int64) bool {
-	for waited := time.Duration(0); !r.account.Take(share, n); waited += roomPause {
+	for waited := time.Duration(0); !r.account.Take(share, n); waited += memoryPollInterval {
 		if waited >= maxMemoryWait || r.req.Context().Err() != nil {
 			return false
 		}
-		time.Sleep(roomPause)
+		time.Sleep(memoryPollInterval)
 	}
 	return true
 }
