--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -22,11 +22,11 @@
 	requestOverheadBytes = 16 << 10
 	// defaultMaxBodyBytes is the longest body, in bytes, if the configuration names no bound.
 	defaultMaxBodyBytes = 32 << 20
-	// bodyGrace is how long beyond its request's time a body that stalls is awaited: a
+	// bodyTimeoutGrace is how long beyond its request's time a body that stalls is awaited: a
 	// body that is whole by then has long been read, so that its connection's watch for
 	// the client's leaving does not meet the bound. A route's time is held to be kept
 	// within a quarter of a second.
-	bodyGrace = 200 * time.Millisecond
+	bodyTimeoutGrace = 200 * time.Millisecond
 	// maxMemoryWait is how long what comes stays with its sender while there is no room, and
 	// roomPause the time between two looks. Answers that are read meanwhile make room; a
 	// client that is told to come back after longer has lost that time for nothing.
@@ -59,7 +59,7 @@
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
 	}
-	late := time.AfterFunc(max(r.timeLeft(), 0)+bodyGrace, func() { r.setReadDeadline(time.Now()) })
+	late := time.AfterFunc(max(r.timeLeft(), 0)+bodyTimeoutGrace, func() { r.setReadDeadline(time.Now()) })
 	defer func() {
 		if !late.Stop() {
 			r.setReadDeadline(time.Time{})
