--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -34,8 +34,8 @@
 	memoryPollInterval = 10 * time.Millisecond
 )
 
-// beginHolding counts the request, or turns it away if there is no room.
-func (r *request) beginHolding() bool {
+// reserveMemory counts the request, or turns it away if there is no room.
+func (r *request) reserveMemory() bool {
 	account, ok := r.handler.MemoryBudget.Begin(requestOverheadBytes)
 	if !ok {
 		r.w.Header().Set("Connection", "close")
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -95,7 +95,7 @@
 	h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
 	r := h.newRequest(w, req)
-	if !r.beginHolding() {
+	if !r.reserveMemory() {
 		return
 	}
 	defer r.endHolding()
