--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -46,8 +46,8 @@
 	return true
 }
 
-// endHolding ends the account of the request once its answer is with the client's system.
-func (r *request) endHolding() {
+// releaseMemory ends the account of the request once its answer is with the client's system.
+func (r *request) releaseMemory() {
 	r.account.End()
 	// What the server still has is written after this, and may be a few KiB.
 	r.setWriteDeadline(r.handler.WriteTimeout)
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -98,7 +98,7 @@
 	if !r.reserveMemory() {
 		return
 	}
-	defer r.endHolding()
+	defer r.releaseMemory()
 	cfg := h.Configuration()
 	if cfg == nil {
 		r.refuse(refusal.NoConfiguration, "no configuration is known yet")
