--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -65,7 +65,7 @@
 			r.setReadDeadline(time.Time{})
 		}
 	}()
-	body, err := r.takeBody(http.MaxBytesReader(r.w, r.req.Body, limit), limit)
+	body, err := r.bufferBody(http.MaxBytesReader(r.w, r.req.Body, limit), limit)
 	if err != nil {
 		r.refuseBody(err)
 		return nil, false
@@ -91,8 +91,8 @@
 	}
 }
 
-// takeBody reads a body of known bounds into memory that is counted as it comes.
-func (r *request) takeBody(body io.Reader, limit int64) ([]byte, error) {
+// bufferBody reads a body of known bounds into memory that is counted as it comes.
+func (r *request) bufferBody(body io.Reader, limit int64) ([]byte, error) {
 	announced := r.req.ContentLength
 	if announced > limit {
 		// It is read to the bound, as the client must have sent that to hear of it.
