--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -102,16 +102,16 @@
 	if !r.handler.MemoryBudget.MayEver(holding.Bodies, announced) {
 		return nil, errors.Wrap(errNoMemory, "a body of that length")
 	}
-	read, whole, err := r.account.Read(holding.Bodies, body, announced, limit+1, func(n int64) bool { return r.awaitRoom(holding.Bodies, n) })
+	read, whole, err := r.account.Read(holding.Bodies, body, announced, limit+1, func(n int64) bool { return r.waitForMemory(holding.Bodies, n) })
 	if err == nil && !whole {
 		err = errNoMemory
 	}
 	return read, err
 }
 
-// awaitRoom waits for a short while until there is room for n bytes more; what comes
+// waitForMemory waits for a short while until there is room for n bytes more; what comes
 // meanwhile stays with its sender.
-func (r *request) awaitRoom(share holding.Share, n int64) bool {
+func (r *request) waitForMemory(share holding.Share, n int64) bool {
 	for waited := time.Duration(0); !r.account.Take(share, n); waited += memoryPollInterval {
 		if waited >= maxMemoryWait || r.req.Context().Err() != nil {
 			return false
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -97,7 +97,7 @@
 // counted, and waits for room.
 func (r *request) writeEvent(raw []byte) error {
 	if n := int64(len(raw)); n > requestOverheadBytes {
-		if !r.awaitRoom(holding.Answers, n) {
+		if !r.waitForMemory(holding.Answers, n) {
 			return errNoMemory
 		}
 		defer r.account.Give(holding.Answers, n)
