--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -11,9 +11,9 @@
 	"woodworks/internal/requests/route"
 )
 
-// mostTurns is how often a request is let to the replicas that all decline it. Each time it
+// maxAdmissions is how often a request is let to the replicas that all decline it. Each time it
 // waits for its turn again, so that it costs the others nothing.
-const mostTurns = 3
+const maxAdmissions = 3
 
 // servePlain sends a request to a replica and passes the answer on.
 func (r *request) servePlain(cfg *route.Configuration, body []byte) {
@@ -66,7 +66,7 @@
 		if _, full := outcome.(admission.Declined); !full || ctx.Err() != nil {
 			return answer, err
 		}
-		if turn == mostTurns {
+		if turn == maxAdmissions {
 			return nil, h.Admission.Full(r.admission(service))
 		}
 	}
--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -74,7 +74,7 @@
 	handler, r := fullService(t, 1<<30, false)
 	recorder := askFull(handler, "20000")
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
-	is.Equal(r.Load(), int32(mostTurns))
+	is.Equal(r.Load(), int32(maxAdmissions))
 	is.True(secondsOf(t, recorder.Header()) > 0)
 	is.True(secondsOf(t, recorder.Header()) < refusal.Within(time.Hour, 20*time.Second))
 }
