--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -20,7 +20,7 @@
 	ctx, cancel := r.bounded()
 	defer cancel()
 	r.handler.Retries.RequestStarted(r.route)
-	answer, err := r.sendInTurn(ctx, cfg, r.call(cfg, body))
+	answer, err := r.sendWhenAdmitted(ctx, cfg, r.call(cfg, body))
 	if err != nil {
 		r.refusePlain(err)
 		return
@@ -46,9 +46,9 @@
 	return r.handler.Retries.MayRetry(r.route, attempts)
 }
 
-// sendInTurn sends a call once it has its turn among the requests of its service. Engines
+// sendWhenAdmitted sends a call once it has its turn among the requests of its service. Engines
 // have queues of their own, which batches fill by plan.
-func (r *request) sendInTurn(ctx context.Context, cfg *route.Configuration, call *forward.Call) (*forward.Answer, error) {
+func (r *request) sendWhenAdmitted(ctx context.Context, cfg *route.Configuration, call *forward.Call) (*forward.Answer, error) {
 	h, service := r.handler, call.Services[0]
 	if cfg.Services[service].Engine {
 		return h.Forwarder.Do(ctx, call)
