--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -20,7 +20,7 @@
 	ctx, cancel := r.bounded()
 	defer cancel()
 	r.handler.Retries.RequestStarted(r.route)
-	answer, err := r.sendWhenAdmitted(ctx, cfg, r.call(cfg, body))
+	answer, err := r.sendWhenAdmitted(ctx, cfg, r.newCall(cfg, body))
 	if err != nil {
 		r.refusePlain(err)
 		return
@@ -30,8 +30,8 @@
 	r.passOn(answer)
 }
 
-// call returns the call to a service that the request makes.
-func (r *request) call(cfg *route.Configuration, body []byte) *forward.Call {
+// newCall returns the newCall to a service that the request makes.
+func (r *request) newCall(cfg *route.Configuration, body []byte) *forward.Call {
 	repeatable := r.route.Kind == route.Safe
 	return &forward.Call{
 		Request: r.outgoingRequest(cfg, body), Services: r.route.Order(r.id),
