--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -54,7 +54,7 @@
 		return h.Forwarder.Do(ctx, call)
 	}
 	for turn := 1; ; turn++ {
-		ticket, err := h.Admission.Enter(ctx, r.admission(service))
+		ticket, err := h.Admission.Enter(ctx, r.admissionRequest(service))
 		if err != nil {
 			return nil, err
 		}
@@ -67,13 +67,13 @@
 			return answer, err
 		}
 		if turn == maxAdmissions {
-			return nil, h.Admission.Full(r.admission(service))
+			return nil, h.Admission.Full(r.admissionRequest(service))
 		}
 	}
 }
 
-// admission is what decides on the request's turn.
-func (r *request) admission(service string) admission.Request {
+// admissionRequest is what decides on the request's turn.
+func (r *request) admissionRequest(service string) admission.Request {
 	return admission.Request{ID: r.id, Service: service, Tenant: r.tenantName(), Rank: r.tenant.Rank(r.route.Priority),
 		Left: r.timeLeft, Aim: r.route.TargetLatency, Held: r.held()}
 }
