--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -13,9 +13,9 @@
 // there is room or not, and isn't counted.
 const chunkBytes = 32 << 10
 
-// mostChunks bounds what is read ahead of one answer, 16 MiB, also where the memory has no
+// maxChunks bounds what is read ahead of one answer, 16 MiB, also where the memory has no
 // bound.
-const mostChunks = 512
+const maxChunks = 512
 
 // readAhead is what has been read of an answer and not been written. A replica gives up an
 // answer that is not read for some seconds, so that it is read as fast as it comes as long
@@ -55,7 +55,7 @@
 		if len(a.chunks) == 0 {
 			return true
 		}
-		if len(a.chunks) < mostChunks && a.account.Take(holding.Answers, chunkBytes) {
+		if len(a.chunks) < maxChunks && a.account.Take(holding.Answers, chunkBytes) {
 			a.counted++
 			return true
 		}
