--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -25,9 +25,9 @@
 type readAhead struct {
 	account *holding.Account
 
-	mu     sync.Mutex
-	turned sync.Cond
-	chunks [][]byte
+	mu      sync.Mutex
+	changed sync.Cond
+	chunks  [][]byte
 	// counted is for how many chunks room was taken.
 	counted int
 	// ended says that no chunk comes any more, err why; left that none is wanted.
@@ -59,7 +59,7 @@
 			a.counted++
 			return true
 		}
-		a.turned.Wait() // until the client has taken a chunk
+		a.changed.Wait() // until the client has taken a chunk
 	}
 	return false
 }
@@ -72,7 +72,7 @@
 		a.chunks = append(a.chunks, chunk)
 	}
 	a.ended, a.err = err != nil, err
-	a.turned.Broadcast()
+	a.changed.Broadcast()
 }
 
 // next returns the next chunk to write, or why there is none.
@@ -80,7 +80,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for len(a.chunks) == 0 && !a.ended {
-		a.turned.Wait()
+		a.changed.Wait()
 	}
 	if len(a.chunks) == 0 {
 		return nil, a.err
@@ -98,7 +98,7 @@
 		a.counted--
 		a.account.Give(holding.Answers, chunkBytes)
 	}
-	a.turned.Broadcast()
+	a.changed.Broadcast()
 }
 
 // leave says that no further chunk is wanted.
@@ -106,7 +106,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.left = true
-	a.turned.Broadcast()
+	a.changed.Broadcast()
 }
 
 // writeAnswer writes an answer to the client, and reads ahead what is still to come of it.
@@ -116,7 +116,7 @@
 		return err
 	}
 	a := &readAhead{account: r.account}
-	a.turned.L = &a.mu
+	a.changed.L = &a.mu
 	var reading sync.WaitGroup
 	reading.Go(func() { a.read(answer.Rest) })
 	defer reading.Wait()
