--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -30,9 +30,9 @@
 	chunks  [][]byte
 	// counted is for how many chunks room was taken.
 	counted int
-	// ended says that no chunk comes any more, err why; left that none is wanted.
-	ended, left bool
-	err         error
+	// ended says that no chunk comes any more, err why; cancelled that none is wanted.
+	ended, cancelled bool
+	err              error
 }
 
 // read reads the source to its end, or until no more is wanted.
@@ -51,7 +51,7 @@
 func (a *readAhead) room() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for !a.left && !a.ended {
+	for !a.cancelled && !a.ended {
 		if len(a.chunks) == 0 {
 			return true
 		}
@@ -105,7 +105,7 @@
 func (a *readAhead) leave() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.left = true
+	a.cancelled = true
 	a.changed.Broadcast()
 }
 
