--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -101,8 +101,8 @@
 	a.changed.Broadcast()
 }
 
-// leave says that no further chunk is wanted.
-func (a *readAhead) leave() {
+// cancel says that no further chunk is wanted.
+func (a *readAhead) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancelled = true
@@ -120,7 +120,7 @@
 	var reading sync.WaitGroup
 	reading.Go(func() { a.read(answer.Rest) })
 	defer reading.Wait()
-	defer a.leave()
+	defer a.cancel()
 	_, err := r.w.Write(answer.Body)
 	for err == nil {
 		var chunk []byte
