--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -88,8 +88,8 @@
 	return a.chunks[0], nil
 }
 
-// taken drops the chunk that next returned.
-func (a *readAhead) taken() {
+// dropFirst drops the chunk that next returned.
+func (a *readAhead) dropFirst() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.chunks[0] = nil
@@ -128,7 +128,7 @@
 			break
 		}
 		if _, err = r.w.Write(chunk); err == nil {
-			a.taken()
+			a.dropFirst()
 		}
 	}
 	if err == io.EOF {
