--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -37,7 +37,7 @@
 
 // read reads the source to its end, or until no more is wanted.
 func (a *readAhead) read(source io.Reader) {
-	for a.room() {
+	for a.waitForSpace() {
 		chunk := make([]byte, chunkBytes)
 		n, err := source.Read(chunk)
 		if chunk = chunk[:n]; n < chunkBytes/2 {
@@ -47,8 +47,8 @@
 	}
 }
 
-// room waits until a further chunk may be read, and reports false if none is wanted.
-func (a *readAhead) room() bool {
+// waitForSpace waits until a further chunk may be read, and reports false if none is wanted.
+func (a *readAhead) waitForSpace() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for !a.cancelled && !a.ended {
