--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -27,7 +27,7 @@
 	}
 	defer answer.Close()
 	r.replica = answer.Replica
-	r.passOn(answer)
+	r.relayAnswer(answer)
 }
 
 // newCall returns the newCall to a service that the request makes.
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -18,8 +18,8 @@
 // client's system has room for several pieces, and takes none if it has none.
 const pieceBytes = 16 << 10
 
-// passOn writes a replica's answer to the client.
-func (r *request) passOn(answer *forward.Answer) {
+// relayAnswer writes a replica's answer to the client.
+func (r *request) relayAnswer(answer *forward.Answer) {
 	maps.Copy(r.w.Header(), headers.CopyEndToEnd(answer.Header))
 	length := int64(len(answer.Body))
 	if answer.Rest != nil {
