--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -109,8 +109,8 @@
 	a.changed.Broadcast()
 }
 
-// writeAnswer writes an answer to the client, and reads ahead what is still to come of it.
-func (r *request) writeAnswer(answer *forward.Answer) error {
+// writeAnswerBody writes an answer to the client, and reads ahead what is still to come of it.
+func (r *request) writeAnswerBody(answer *forward.Answer) error {
 	if answer.Rest == nil {
 		_, err := r.w.Write(answer.Body)
 		return err
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -31,7 +31,7 @@
 	// The client still waits for that long, and no other has this answer.
 	r.setWriteDeadline(max(r.deadline()-r.held(), r.handler.WriteTimeout))
 	r.w.WriteHeader(answer.Status)
-	err := r.writeAnswer(answer)
+	err := r.writeAnswerBody(answer)
 	if err != nil && r.req.Method != http.MethodHead {
 		r.observe(answer.Status, "broken off", err.Error())
 		panic(http.ErrAbortHandler)
