--- a/internal/requests/ingress/batches.go
+++ b/internal/requests/ingress/batches.go
@@ -100,7 +100,7 @@
 	}
 	r.w.Header().Set("Content-Type", "application/octet-stream")
 	r.w.WriteHeader(http.StatusOK)
-	if err := r.writeSlowly(body.Bytes); err != nil {
+	if err := r.writeChunks(body.Bytes); err != nil {
 		r.observe(http.StatusOK, "broken off", err.Error())
 		return
 	}
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -49,7 +49,7 @@
 // write gives an answer of our own.
 func (r *request) write(status int, body []byte) {
 	r.writeHead(status, len(body))
-	if err := r.writeSlowly(body); err != nil {
+	if err := r.writeChunks(body); err != nil {
 		r.logger.Debug("answer of our own not taken", zap.Error(err)) // it says nothing that counts for others
 	}
 }
@@ -64,9 +64,9 @@
 	r.w.WriteHeader(status)
 }
 
-// writeSlowly writes what the client can ask for again. A client that takes nothing of it
+// writeChunks writes what the client can ask for again. A client that takes nothing of it
 // for Handler.Unread is left.
-func (r *request) writeSlowly(content []byte) error {
+func (r *request) writeChunks(content []byte) error {
 	for {
 		r.setWriteDeadline(r.handler.WriteTimeout)
 		piece := content[:min(len(content), pieceBytes)]
@@ -86,7 +86,7 @@
 		return
 	}
 	r.writeHead(http.StatusOK, len(encoded))
-	if err := r.writeSlowly(encoded); err != nil {
+	if err := r.writeChunks(encoded); err != nil {
 		r.observe(http.StatusOK, "broken off", err.Error())
 		panic(http.ErrAbortHandler)
 	}
