--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -14,9 +14,9 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// pieceBytes is how much of an answer of our own must be read within Handler.Unread: a
+// writeChunkBytes is how much of an answer of our own must be read within Handler.Unread: a
 // client's system has room for several pieces, and takes none if it has none.
-const pieceBytes = 16 << 10
+const writeChunkBytes = 16 << 10
 
 // relayAnswer writes a replica's answer to the client.
 func (r *request) relayAnswer(answer *forward.Answer) {
@@ -69,7 +69,7 @@
 func (r *request) writeChunks(content []byte) error {
 	for {
 		r.setWriteDeadline(r.handler.WriteTimeout)
-		piece := content[:min(len(content), pieceBytes)]
+		piece := content[:min(len(content), writeChunkBytes)]
 		if _, err := r.w.Write(piece); err != nil {
 			return err
 		}
