--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -9,9 +9,9 @@
 	"woodworks/internal/requests/holding"
 )
 
-// chunkBytes is how much of an answer is read ahead at a time. The first chunk is held whether
+// readChunkBytes is how much of an answer is read ahead at a time. The first chunk is held whether
 // there is room or not, and isn't counted.
-const chunkBytes = 32 << 10
+const readChunkBytes = 32 << 10
 
 // maxChunks bounds what is read ahead of one answer, 16 MiB, also where the memory has no
 // bound.
@@ -38,9 +38,9 @@
 // read reads the source to its end, or until no more is wanted.
 func (a *readAhead) read(source io.Reader) {
 	for a.waitForSpace() {
-		chunk := make([]byte, chunkBytes)
+		chunk := make([]byte, readChunkBytes)
 		n, err := source.Read(chunk)
-		if chunk = chunk[:n]; n < chunkBytes/2 {
+		if chunk = chunk[:n]; n < readChunkBytes/2 {
 			chunk = bytes.Clone(chunk)
 		}
 		a.put(chunk, err)
@@ -55,7 +55,7 @@
 		if len(a.chunks) == 0 {
 			return true
 		}
-		if len(a.chunks) < maxChunks && a.account.Take(holding.Answers, chunkBytes) {
+		if len(a.chunks) < maxChunks && a.account.Take(holding.Answers, readChunkBytes) {
 			a.counted++
 			return true
 		}
@@ -96,7 +96,7 @@
 	a.chunks = a.chunks[1:]
 	if a.counted > 0 {
 		a.counted--
-		a.account.Give(holding.Answers, chunkBytes)
+		a.account.Give(holding.Answers, readChunkBytes)
 	}
 	a.changed.Broadcast()
 }
