--- a/internal/requests/ingress/batches.go
+++ b/internal/requests/ingress/batches.go
@@ -68,7 +68,7 @@
 
 // serveResults answers with results from a position on.
 func (r *request) serveResults(call BatchCall) {
-	wait := max(call.Wait-r.held(), 0)
+	wait := max(call.Wait-r.elapsed(), 0)
 	page, err := r.handler.Results.Results(r.req.Context(),
 		results.Query{BatchID: call.BatchID, Tenant: r.tenantName(), After: call.After, Wait: wait})
 	if err != nil {
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -75,7 +75,7 @@
 // admissionRequest is what decides on the request's turn.
 func (r *request) admissionRequest(service string) admission.Request {
 	return admission.Request{ID: r.id, Service: service, Tenant: r.tenantName(), Rank: r.tenant.Rank(r.route.Priority),
-		Left: r.timeLeft, Aim: r.route.TargetLatency, Held: r.held()}
+		Left: r.timeLeft, Aim: r.route.TargetLatency, Held: r.elapsed()}
 }
 
 // admissionOutcome is what the end of a call tells of the room at the replicas.
--- a/internal/requests/ingress/request.go
+++ b/internal/requests/ingress/request.go
@@ -45,8 +45,8 @@
 	return &request{handler: h, w: w, req: req, arrived: h.Clock(), id: id, logger: h.Logger.With(zap.String("request", id))}
 }
 
-// held is how long ago the request came.
-func (r *request) held() time.Duration { return r.handler.Clock().Sub(r.arrived) }
+// elapsed is how long ago the request came.
+func (r *request) elapsed() time.Duration { return r.handler.Clock().Sub(r.arrived) }
 
 // deadline is how long the client waits, from its request on.
 func (r *request) deadline() time.Duration {
@@ -64,7 +64,7 @@
 	if r.route != nil && r.route.Kind != route.Batch && r.route.Timeout > 0 {
 		left = min(left, r.route.Timeout)
 	}
-	return left - r.held() - answerMargin
+	return left - r.elapsed() - answerMargin
 }
 
 // bounded returns a context that ends with the request's time.
@@ -85,7 +85,7 @@
 	if r.route != nil {
 		name = r.route.Name
 	}
-	took := r.held()
+	took := r.elapsed()
 	r.handler.Observe(name, strconv.Itoa(status), outcome, took)
 	r.logger.Info("request", zap.String("route", name), zap.String("tenant", r.tenantName()), zap.Int("status", status),
 		zap.String("outcome", outcome),
