--- a/internal/requests/ingress/request.go
+++ b/internal/requests/ingress/request.go
@@ -48,8 +48,8 @@
 // elapsed is how long ago the request came.
 func (r *request) elapsed() time.Duration { return r.handler.Clock().Sub(r.arrived) }
 
-// deadline is how long the client waits, from its request on.
-func (r *request) deadline() time.Duration {
+// clientTimeout is how long the client waits, from its request on.
+func (r *request) clientTimeout() time.Duration {
 	if text := r.req.Header.Get(r.handler.Names.DeadlineMs); text != "" {
 		if value, err := strconv.ParseFloat(text, 64); err == nil {
 			return time.Duration(value * float64(time.Millisecond))
@@ -60,7 +60,7 @@
 
 // timeLeft is how long the request may still be held.
 func (r *request) timeLeft() time.Duration {
-	left := r.deadline()
+	left := r.clientTimeout()
 	if r.route != nil && r.route.Kind != route.Batch && r.route.Timeout > 0 {
 		left = min(left, r.route.Timeout)
 	}
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -29,7 +29,7 @@
 		r.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	// The client still waits for that long, and no other has this answer.
-	r.setWriteDeadline(max(r.deadline()-r.elapsed(), r.handler.WriteTimeout))
+	r.setWriteDeadline(max(r.clientTimeout()-r.elapsed(), r.handler.WriteTimeout))
 	r.w.WriteHeader(answer.Status)
 	err := r.writeAnswerBody(answer)
 	if err != nil && r.req.Method != http.MethodHead {
