--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -17,7 +17,7 @@
 
 // servePlain sends a request to a replica and passes the answer on.
 func (r *request) servePlain(cfg *route.Configuration, body []byte) {
-	ctx, cancel := r.bounded()
+	ctx, cancel := r.timeoutContext()
 	defer cancel()
 	r.handler.Retries.RequestStarted(r.route)
 	answer, err := r.sendWhenAdmitted(ctx, cfg, r.newCall(cfg, body))
--- a/internal/requests/ingress/request.go
+++ b/internal/requests/ingress/request.go
@@ -67,8 +67,8 @@
 	return left - r.elapsed() - answerMargin
 }
 
-// bounded returns a context that ends with the request's time.
-func (r *request) bounded() (context.Context, context.CancelFunc) {
+// timeoutContext returns a context that ends with the request's time.
+func (r *request) timeoutContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(r.req.Context(), r.timeLeft())
 }
 
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -36,7 +36,7 @@
 // serveStream passes a stream on. Without the right to resume it, it is
 // sent again only as long as it has certainly not run.
 func (r *request) serveStream(cfg *route.Configuration, body []byte) {
-	ctx, cancel := r.bounded()
+	ctx, cancel := r.timeoutContext()
 	defer cancel()
 	s := &streamRelay{request: r, passedOver: map[string]bool{}, call: &forward.StreamRequest{Request: r.outgoingRequest(cfg, body)}}
 	if text := r.req.Header.Get(r.handler.Names.LastEventID); text != "" {
