--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -37,7 +37,7 @@
 		Request: r.outgoingRequest(cfg, body), Services: r.route.Order(r.id),
 		Repeatable: repeatable, MaxAttempts: max(r.route.MaxAttempts, 1), Hedge: repeatable, HedgeAfter: r.route.HedgeAfter,
 		ConnectionUntil: time.Now().Add(r.route.ConnectionWait()),
-		Left:            r.timeLeft, Ran: r.countRun, Account: r.account, MayRetry: r.policyMayRetry,
+		Left:            r.timeLeft, Ran: r.reportRun, Account: r.account, MayRetry: r.policyMayRetry,
 	}
 }
 
--- a/internal/requests/ingress/request.go
+++ b/internal/requests/ingress/request.go
@@ -72,8 +72,8 @@
 	return context.WithTimeout(r.req.Context(), r.timeLeft())
 }
 
-// countRun has a run of the request counted for its tenant.
-func (r *request) countRun(sentAt time.Time) {
+// reportRun has a run of the request counted for its tenant.
+func (r *request) reportRun(sentAt time.Time) {
 	if r.tenant != nil {
 		r.handler.OnRun(r.tenant.Name, sentAt)
 	}
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -122,7 +122,7 @@
 	}
 	mayHaveRun = err == nil || !errors.Is(err, forward.ErrDeclined) && !errors.Is(err, upstream.ErrNotSent)
 	if mayHaveRun {
-		s.countRun(sentAt)
+		s.reportRun(sentAt)
 	}
 	if err != nil {
 		if ctx.Err() == nil && !errors.Is(err, upstream.ErrFull) {
