--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -119,7 +119,7 @@
 	if !rt.Anonymous && !r.authenticate(cfg) {
 		return
 	}
-	if !r.endsInTime() {
+	if !r.fitsBeforeStop() {
 		return
 	}
 	body, ok := r.readBody(cfg.Limits.MaxBodyBytes)
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -106,7 +106,7 @@
 			r.handler.Stop = newStop()
 			r.handler.Stop.Begin(8 * time.Second)
 			time.Sleep(4 * time.Second)
-			r.endsInTime()
+			r.fitsBeforeStop()
 		}, status: 503, comeBack: "0.050", outcome: "refused", body: shutdown.ErrInterrupted.Error()},
 		"batch: wrong method":  {answer: func(r *request) { r.req.Method = http.MethodPut; r.serveSubmission(nil) }, status: 405, outcome: "malformed", body: "batches are submitted by POST"},
 		"batch: malformed":     {answer: func(r *request) { r.serveSubmission(nil) }, status: 400, outcome: "malformed", body: http.ErrNotSupported.Error()},
--- a/internal/requests/ingress/stop.go
+++ b/internal/requests/ingress/stop.go
@@ -11,9 +11,9 @@
 	"woodworks/internal/requests/route"
 )
 
-// endsInTime reports whether a planned stop leaves the request its time. One that it
+// fitsBeforeStop reports whether a planned stop leaves the request its time. One that it
 // might interrupt is turned away at once, to a daemon that has the time.
-func (r *request) endsInTime() bool {
+func (r *request) fitsBeforeStop() bool {
 	left, bounded := r.handler.Stop.Left()
 	needed := r.timeNeeded()
 	if !bounded || needed <= left {
--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -74,7 +74,7 @@
 					time.Sleep(each.after)
 				}
 				r, recorder := askedOf(t.Context(), stop, each.kind, each.timeout)
-				is.Equal(r.endsInTime(), each.served)
+				is.Equal(r.fitsBeforeStop(), each.served)
 				if each.served {
 					return
 				}
