--- a/internal/requests/ingress/stop.go
+++ b/internal/requests/ingress/stop.go
@@ -15,7 +15,7 @@
 // might interrupt is turned away at once, to a daemon that has the time.
 func (r *request) fitsBeforeStop() bool {
 	left, bounded := r.handler.Stop.Left()
-	needed := r.timeNeeded()
+	needed := r.maxDuration()
 	if !bounded || needed <= left {
 		return true
 	}
@@ -24,8 +24,8 @@
 	return false
 }
 
-// timeNeeded is the longest that the request may be held.
-func (r *request) timeNeeded() time.Duration {
+// maxDuration is the longest that the request may be held.
+func (r *request) maxDuration() time.Duration {
 	if r.route != nil && r.route.Kind == route.Batch {
 		return runner.SubmitTimeout
 	}
