--- a/internal/requests/ingress/refuse.go
+++ b/internal/requests/ingress/refuse.go
@@ -36,7 +36,7 @@
 
 // refusePlain gives the final answer to a plain request without a replica's answer.
 func (r *request) refusePlain(err error) {
-	if r.clientLeft() {
+	if r.clientGone() {
 		r.observe(0, "client left", err.Error())
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/requests/ingress/stop.go
+++ b/internal/requests/ingress/stop.go
@@ -36,5 +36,5 @@
 // answer. The client is still there, and is told what is certain.
 func (r *request) interrupted() bool { return shutdown.Interrupted(r.req.Context()) }
 
-// clientLeft reports whether nobody waits for the answer any more.
-func (r *request) clientLeft() bool { return r.req.Context().Err() != nil && !r.interrupted() }
+// clientGone reports whether nobody waits for the answer any more.
+func (r *request) clientGone() bool { return r.req.Context().Err() != nil && !r.interrupted() }
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -175,7 +175,7 @@
 	if s.lastErr != nil {
 		reason = s.lastErr.Error()
 	}
-	if s.began || s.clientLeft() {
+	if s.began || s.clientGone() {
 		s.observe(0, "broken off", reason)
 		panic(http.ErrAbortHandler)
 	}
