--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -20,8 +20,8 @@
 // streamRelay passes the events of one or more replicas on as one answer.
 type streamRelay struct {
 	*request
-	call       *forward.StreamRequest
-	passedOver map[string]bool
+	call     *forward.StreamRequest
+	excluded map[string]bool
 	// mayHaveRun counts the attempts that ran or may have, notRun those that did not.
 	mayHaveRun, notRun int
 	began              bool
@@ -38,7 +38,7 @@
 func (r *request) serveStream(cfg *route.Configuration, body []byte) {
 	ctx, cancel := r.timeoutContext()
 	defer cancel()
-	s := &streamRelay{request: r, passedOver: map[string]bool{}, call: &forward.StreamRequest{Request: r.outgoingRequest(cfg, body)}}
+	s := &streamRelay{request: r, excluded: map[string]bool{}, call: &forward.StreamRequest{Request: r.outgoingRequest(cfg, body)}}
 	if text := r.req.Header.Get(r.handler.Names.LastEventID); text != "" {
 		if after, err := strconv.ParseInt(text, 10, 64); err == nil {
 			s.call.After, s.call.HasAfter = after, true
@@ -49,7 +49,7 @@
 
 func (s *streamRelay) run(ctx context.Context) {
 	for {
-		rep, ok := s.handler.Forwarder.Pick(s.route.Order(s.id), s.passedOver)
+		rep, ok := s.handler.Forwarder.Pick(s.route.Order(s.id), s.excluded)
 		if !ok {
 			break
 		}
@@ -76,7 +76,7 @@
 
 // note counts an attempt that failed.
 func (s *streamRelay) note(rep replica.Replica, mayHaveRun bool, err error) {
-	s.passedOver[rep.ID] = true
+	s.excluded[rep.ID] = true
 	s.replica, s.lastErr = rep.ID, err
 	s.logger.Info("stream attempt failed", zap.String("replica", rep.ID), zap.Bool("may_have_run", mayHaveRun), zap.Error(err))
 	if mayHaveRun {
@@ -93,7 +93,7 @@
 	case s.mayHaveRun > 0 && !err.Elsewhere:
 		// Its own run has ended a replica: the next one is alone, or is none.
 	case err.Elsewhere:
-		s.passedOver[rep.ID] = true
+		s.excluded[rep.ID] = true
 		return true
 	case err.Await(ctx):
 		return true
