--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -25,8 +25,8 @@
 	// mayHaveRun counts the attempts that ran or may have, notRun those that did not.
 	mayHaveRun, notRun int
 	began              bool
-	// unread says that the client has not taken an event: no other replica changes that.
-	unread bool
+	// clientStalled says that the client has not taken an event: no other replica changes that.
+	clientStalled bool
 	// lastErr is why the last attempt failed.
 	lastErr error
 	// quarantined, if not nil, is why the stream may not run now.
@@ -105,7 +105,7 @@
 // mayContinue reports whether another replica may go on with the stream.
 func (s *streamRelay) mayContinue(ctx context.Context) bool {
 	state := forward.AttemptState{MayHaveRun: s.mayHaveRun, NotRun: s.notRun, MaxAttempts: s.route.MaxAttempts, Repeatable: s.route.Resumable}
-	return ctx.Err() == nil && !s.unread && state.MayRetry()
+	return ctx.Err() == nil && !s.clientStalled && state.MayRetry()
 }
 
 // attempt passes on what one replica makes of the stream, to its proper end or an error.
@@ -150,7 +150,7 @@
 		}
 		s.begin(stream)
 		if err := s.writeEvent(event.Raw); err != nil {
-			s.unread = true
+			s.clientStalled = true
 			return err
 		}
 		if event.HasID {
