--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -137,7 +137,7 @@
 		<-ctx.Done()
 		r, recorder := askedOf(ctx, stop, route.Stream, time.Minute)
 		defer func() { status, panicked = recorder.Code, recover() }()
-		(&streamRelay{request: r, mayHaveRun: ran, began: began}).giveUp()
+		(&streamRelay{request: r, mayHaveRun: ran, headWritten: began}).giveUp()
 		return 0, nil
 	}
 	is := is.New(t)
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -24,7 +24,7 @@
 	excluded map[string]bool
 	// mayHaveRun counts the attempts that ran or may have, notRun those that did not.
 	mayHaveRun, notRun int
-	began              bool
+	headWritten        bool
 	// clientStalled says that the client has not taken an event: no other replica changes that.
 	clientStalled bool
 	// lastErr is why the last attempt failed.
@@ -161,10 +161,10 @@
 
 // begin writes the head of the first replica that gave one.
 func (s *streamRelay) begin(stream *forward.Stream) {
-	if s.began {
+	if s.headWritten {
 		return
 	}
-	s.began = true
+	s.headWritten = true
 	maps.Copy(s.w.Header(), headers.CopyEndToEnd(stream.Header))
 	s.w.WriteHeader(stream.Status)
 }
@@ -175,7 +175,7 @@
 	if s.lastErr != nil {
 		reason = s.lastErr.Error()
 	}
-	if s.began || s.clientGone() {
+	if s.headWritten || s.clientGone() {
 		s.observe(0, "broken off", reason)
 		panic(http.ErrAbortHandler)
 	}
