--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -66,7 +66,7 @@
 			}
 			continue
 		}
-		s.note(rep, mayHaveRun, err)
+		s.recordFailure(rep, mayHaveRun, err)
 		if !s.mayContinue(ctx) {
 			break
 		}
@@ -74,8 +74,8 @@
 	s.giveUp()
 }
 
-// note counts an attempt that failed.
-func (s *streamRelay) note(rep replica.Replica, mayHaveRun bool, err error) {
+// recordFailure counts an attempt that failed.
+func (s *streamRelay) recordFailure(rep replica.Replica, mayHaveRun bool, err error) {
 	s.excluded[rep.ID] = true
 	s.replica, s.lastErr = rep.ID, err
 	s.logger.Info("stream attempt failed", zap.String("replica", rep.ID), zap.Bool("may_have_run", mayHaveRun), zap.Error(err))
