--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -61,7 +61,7 @@
 		}
 		var quarantined *forward.QuarantinedError
 		if errors.As(err, &quarantined) {
-			if !s.mayAskAgain(ctx, rep, quarantined) {
+			if !s.mayRetryQuarantined(ctx, rep, quarantined) {
 				break
 			}
 			continue
@@ -86,9 +86,9 @@
 	}
 }
 
-// mayAskAgain reports whether a stream that was not sent for its content's sake may be
+// mayRetryQuarantined reports whether a stream that was not sent for its content's sake may be
 // asked for again now.
-func (s *streamRelay) mayAskAgain(ctx context.Context, rep replica.Replica, err *forward.QuarantinedError) bool {
+func (s *streamRelay) mayRetryQuarantined(ctx context.Context, rep replica.Replica, err *forward.QuarantinedError) bool {
 	switch {
 	case s.mayHaveRun > 0 && !err.Elsewhere:
 		// Its own run has ended a replica: the next one is alone, or is none.
