--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -131,11 +131,11 @@
 		return mayHaveRun, err
 	}
 	defer stream.Close()
-	return true, s.passEvents(stream)
+	return true, s.relayEvents(stream)
 }
 
-// passEvents writes the events of a stream to its proper end.
-func (s *streamRelay) passEvents(stream *forward.Stream) error {
+// relayEvents writes the events of a stream to its proper end.
+func (s *streamRelay) relayEvents(stream *forward.Stream) error {
 	for {
 		event, err := stream.Next()
 		if err == io.EOF {
