--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -139,7 +139,7 @@
 	for {
 		event, err := stream.Next()
 		if err == io.EOF {
-			s.begin(stream)
+			s.writeStreamHead(stream)
 			return nil
 		}
 		if err != nil {
@@ -148,7 +148,7 @@
 		if event.HasID && s.call.HasAfter && event.ID <= s.call.After {
 			return errors.Errorf("event %d after %d", event.ID, s.call.After)
 		}
-		s.begin(stream)
+		s.writeStreamHead(stream)
 		if err := s.writeEvent(event.Raw); err != nil {
 			s.clientStalled = true
 			return err
@@ -159,8 +159,8 @@
 	}
 }
 
-// begin writes the head of the first replica that gave one.
-func (s *streamRelay) begin(stream *forward.Stream) {
+// writeStreamHead writes the head of the first replica that gave one.
+func (s *streamRelay) writeStreamHead(stream *forward.Stream) {
 	if s.headWritten {
 		return
 	}
