--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -63,8 +63,8 @@
 	ran, made chan struct{}
 }
 
-// newSlow starts a daemon that may hold some bytes, 0 being no bound, and its replica.
-func newSlow(t *testing.T, kind route.Kind, most int64, answer http.HandlerFunc) *slow {
+// newSlowClientTest starts a daemon that may hold some bytes, 0 being no bound, and its replica.
+func newSlowClientTest(t *testing.T, kind route.Kind, most int64, answer http.HandlerFunc) *slow {
 	t.Helper()
 	s := &slow{T: t, outcomes: make(outcomes, 1000), ran: make(chan struct{}, 1000), made: make(chan struct{}, 1000)}
 	server := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -139,7 +139,7 @@
 	const memory, clients, length = 64 << 20, 60, 900 * kib
 	big, small := content(length), content(800)
 	limits := holding.LimitsOf(memory * 35 / 100)
-	s := newSlow(t, route.Unsafe, limits.All, func(w http.ResponseWriter, r *http.Request) {
+	s := newSlowClientTest(t, route.Unsafe, limits.All, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/big" {
 			_, _ = w.Write(big)
 			return
@@ -178,7 +178,7 @@
 func TestALongAnswerIsTakenFromItsReplica(t *testing.T) {
 	is := is.New(t)
 	long := content(14 << 20)
-	s := newSlow(t, route.Unsafe, 64<<20, func(w http.ResponseWriter, r *http.Request) { _, _ = w.Write(long) })
+	s := newSlowClientTest(t, route.Unsafe, 64<<20, func(w http.ResponseWriter, r *http.Request) { _, _ = w.Write(long) })
 	lazy := s.ask("/", "")
 	<-s.made
 	status, _, body, err := lazy.read()
@@ -190,7 +190,7 @@
 // Where all is held, a request is turned away at once, and has not run.
 func TestARequestWithoutRoomIsTurnedAway(t *testing.T) {
 	is := is.New(t)
-	s := newSlow(t, route.Unsafe, 100*kib, func(http.ResponseWriter, *http.Request) {})
+	s := newSlowClientTest(t, route.Unsafe, 100*kib, func(http.ResponseWriter, *http.Request) {})
 	for {
 		if _, ok := s.handler.MemoryBudget.Begin(kib); !ok {
 			break
@@ -241,7 +241,7 @@
 // client liked. It ends as broken, never as complete, and no other replica is asked.
 func TestAnUnreadStreamEndsAsBroken(t *testing.T) {
 	is := is.New(t)
-	s := newSlow(t, route.Stream, 0, func(w http.ResponseWriter, r *http.Request) {
+	s := newSlowClientTest(t, route.Stream, 0, func(w http.ResponseWriter, r *http.Request) {
 		event := []byte("data: " + strings.Repeat("x", 2*kib) + "\n\n")
 		for {
 			if _, err := w.Write(event); err != nil {
@@ -262,7 +262,7 @@
 // Results that nobody reads were held likewise.
 func TestAnUnreadPageEndsItsConnection(t *testing.T) {
 	is := is.New(t)
-	s := newSlow(t, route.Unsafe, 64<<20, nil)
+	s := newSlowClientTest(t, route.Unsafe, 64<<20, nil)
 	s.handler.WriteTimeout = 100 * time.Millisecond
 	page := content(2 << 20)
 	s.daemon = serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
