--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -53,8 +53,8 @@
 
 func (o outcomes) observe(_, _, outcome string, _ time.Duration) { o <- outcome }
 
-// slow is a daemon with a replica whose clients read as they like.
-type slow struct {
+// slowClientTest is a daemon with a replica whose clients read as they like.
+type slowClientTest struct {
 	*testing.T
 	handler  *Handler
 	outcomes outcomes
@@ -64,9 +64,9 @@
 }
 
 // newSlowClientTest starts a daemon that may hold some bytes, 0 being no bound, and its replica.
-func newSlowClientTest(t *testing.T, kind route.Kind, most int64, answer http.HandlerFunc) *slow {
+func newSlowClientTest(t *testing.T, kind route.Kind, most int64, answer http.HandlerFunc) *slowClientTest {
 	t.Helper()
-	s := &slow{T: t, outcomes: make(outcomes, 1000), ran: make(chan struct{}, 1000), made: make(chan struct{}, 1000)}
+	s := &slowClientTest{T: t, outcomes: make(outcomes, 1000), ran: make(chan struct{}, 1000), made: make(chan struct{}, 1000)}
 	server := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.ran <- struct{}{}
 		w.Header().Set("Signature", "s")
@@ -94,7 +94,7 @@
 }
 
 // ask sends a request, and reads nothing.
-func (s *slow) ask(target, body string) *client {
+func (s *slowClientTest) ask(target, body string) *client {
 	s.Helper()
 	dialer := net.Dialer{}
 	conn, err := dialer.Dial("tcp4", s.daemon.Listener.Addr().String())
