--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -59,16 +59,16 @@
 	handler  *Handler
 	outcomes outcomes
 	daemon   *httptest.Server
-	// ran counts the requests that the replica has begun, made those it has answered.
-	ran, made chan struct{}
+	// started counts the requests that the replica has begun, made those it has answered.
+	started, made chan struct{}
 }
 
 // newSlowClientTest starts a daemon that may hold some bytes, 0 being no bound, and its replica.
 func newSlowClientTest(t *testing.T, kind route.Kind, most int64, answer http.HandlerFunc) *slowClientTest {
 	t.Helper()
-	s := &slowClientTest{T: t, outcomes: make(outcomes, 1000), ran: make(chan struct{}, 1000), made: make(chan struct{}, 1000)}
+	s := &slowClientTest{T: t, outcomes: make(outcomes, 1000), started: make(chan struct{}, 1000), made: make(chan struct{}, 1000)}
 	server := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.ran <- struct{}{}
+		s.started <- struct{}{}
 		w.Header().Set("Signature", "s")
 		answer(w, r)
 		s.made <- struct{}{}
@@ -149,7 +149,7 @@
 	var lazy []*client
 	for range clients {
 		lazy = append(lazy, s.ask("/big", ""))
-		<-s.ran
+		<-s.started
 	}
 	for s.handler.MemoryBudget.Held(holding.Answers) < limits.Of[holding.Answers]-length {
 		time.Sleep(time.Millisecond)
@@ -200,7 +200,7 @@
 	is.NoErr(err)
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.Equal(secondsOf(t, header), refusal.NoMemory.RetryAfter)
-	is.Equal(len(s.ran), 0)
+	is.Equal(len(s.started), 0)
 }
 
 // A body for which there is no room stays with its client for a moment. If there is none
@@ -256,7 +256,7 @@
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	is.True(len(body) > 0)
 	<-s.made
-	is.Equal(len(s.ran), 1)
+	is.Equal(len(s.started), 1)
 }
 
 // Results that nobody reads were held likewise.
