--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -59,19 +59,19 @@
 	handler  *Handler
 	outcomes outcomes
 	daemon   *httptest.Server
-	// started counts the requests that the replica has begun, made those it has answered.
-	started, made chan struct{}
+	// started counts the requests that the replica has begun, answered those it has answered.
+	started, answered chan struct{}
 }
 
 // newSlowClientTest starts a daemon that may hold some bytes, 0 being no bound, and its replica.
 func newSlowClientTest(t *testing.T, kind route.Kind, most int64, answer http.HandlerFunc) *slowClientTest {
 	t.Helper()
-	s := &slowClientTest{T: t, outcomes: make(outcomes, 1000), started: make(chan struct{}, 1000), made: make(chan struct{}, 1000)}
+	s := &slowClientTest{T: t, outcomes: make(outcomes, 1000), started: make(chan struct{}, 1000), answered: make(chan struct{}, 1000)}
 	server := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.started <- struct{}{}
 		w.Header().Set("Signature", "s")
 		answer(w, r)
-		s.made <- struct{}{}
+		s.answered <- struct{}{}
 	}))
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 1000})
@@ -180,7 +180,7 @@
 	long := content(14 << 20)
 	s := newSlowClientTest(t, route.Unsafe, 64<<20, func(w http.ResponseWriter, r *http.Request) { _, _ = w.Write(long) })
 	lazy := s.ask("/", "")
-	<-s.made
+	<-s.answered
 	status, _, body, err := lazy.read()
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
@@ -255,7 +255,7 @@
 	_, _, body, err := lazy.read()
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	is.True(len(body) > 0)
-	<-s.made
+	<-s.answered
 	is.Equal(len(s.started), 1)
 }
 
