--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -93,8 +93,8 @@
 	reader *bufio.Reader
 }
 
-// ask sends a request, and reads nothing.
-func (s *slowClientTest) ask(target, body string) *client {
+// send sends a request, and reads nothing.
+func (s *slowClientTest) send(target, body string) *client {
 	s.Helper()
 	dialer := net.Dialer{}
 	conn, err := dialer.Dial("tcp4", s.daemon.Listener.Addr().String())
@@ -148,14 +148,14 @@
 	})
 	var lazy []*client
 	for range clients {
-		lazy = append(lazy, s.ask("/big", ""))
+		lazy = append(lazy, s.send("/big", ""))
 		<-s.started
 	}
 	for s.handler.MemoryBudget.Held(holding.Answers) < limits.Of[holding.Answers]-length {
 		time.Sleep(time.Millisecond)
 	}
 	for range 50 {
-		status, _, body, err := s.ask("/small", "").read()
+		status, _, body, err := s.send("/small", "").read()
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
 		is.True(bytes.Equal(body, small))
@@ -179,7 +179,7 @@
 	is := is.New(t)
 	long := content(14 << 20)
 	s := newSlowClientTest(t, route.Unsafe, 64<<20, func(w http.ResponseWriter, r *http.Request) { _, _ = w.Write(long) })
-	lazy := s.ask("/", "")
+	lazy := s.send("/", "")
 	<-s.answered
 	status, _, body, err := lazy.read()
 	is.NoErr(err)
@@ -196,7 +196,7 @@
 			break
 		}
 	}
-	status, header, _, err := s.ask("/", "").read()
+	status, header, _, err := s.send("/", "").read()
 	is.NoErr(err)
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.Equal(secondsOf(t, header), refusal.NoMemory.RetryAfter)
@@ -250,7 +250,7 @@
 		}
 	})
 	s.handler.WriteTimeout = 100 * time.Millisecond
-	lazy := s.ask("/", "")
+	lazy := s.send("/", "")
 	is.Equal(<-s.outcomes, "broken off")
 	_, _, body, err := lazy.read()
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
@@ -270,7 +270,7 @@
 		asked := &request{handler: s.handler, w: w, req: r, logger: zap.NewNop(), arrived: time.Now(), account: account}
 		asked.writePage(page)
 	}))
-	lazy := s.ask("/", "")
+	lazy := s.send("/", "")
 	is.Equal(<-s.outcomes, "broken off")
 	_, _, body, err := lazy.read()
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
