--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -110,8 +110,8 @@
 	return &client{conn, bufio.NewReader(conn)}
 }
 
-// read reads the answer to its end.
-func (c *client) read() (status int, header http.Header, body []byte, err error) {
+// readAnswer reads the answer to its end.
+func (c *client) readAnswer() (status int, header http.Header, body []byte, err error) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, nil, nil, err
@@ -155,13 +155,13 @@
 		time.Sleep(time.Millisecond)
 	}
 	for range 50 {
-		status, _, body, err := s.send("/small", "").read()
+		status, _, body, err := s.send("/small", "").readAnswer()
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
 		is.True(bytes.Equal(body, small))
 	}
 	for _, each := range lazy {
-		status, _, body, err := each.read()
+		status, _, body, err := each.readAnswer()
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
 		is.True(bytes.Equal(body, big))
@@ -181,7 +181,7 @@
 	s := newSlowClientTest(t, route.Unsafe, 64<<20, func(w http.ResponseWriter, r *http.Request) { _, _ = w.Write(long) })
 	lazy := s.send("/", "")
 	<-s.answered
-	status, _, body, err := lazy.read()
+	status, _, body, err := lazy.readAnswer()
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 	is.True(bytes.Equal(body, long))
@@ -196,7 +196,7 @@
 			break
 		}
 	}
-	status, header, _, err := s.send("/", "").read()
+	status, header, _, err := s.send("/", "").readAnswer()
 	is.NoErr(err)
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.Equal(secondsOf(t, header), refusal.NoMemory.RetryAfter)
@@ -252,7 +252,7 @@
 	s.handler.WriteTimeout = 100 * time.Millisecond
 	lazy := s.send("/", "")
 	is.Equal(<-s.outcomes, "broken off")
-	_, _, body, err := lazy.read()
+	_, _, body, err := lazy.readAnswer()
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	is.True(len(body) > 0)
 	<-s.answered
@@ -272,7 +272,7 @@
 	}))
 	lazy := s.send("/", "")
 	is.Equal(<-s.outcomes, "broken off")
-	_, _, body, err := lazy.read()
+	_, _, body, err := lazy.readAnswer()
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	is.True(len(body) < len(page))
 }
