--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -122,8 +122,8 @@
 
 const kib = 1 << 10
 
-// content is a text in which no part is like another.
-func content(length int) []byte {
+// uniqueText is a text in which no part is like another.
+func uniqueText(length int) []byte {
 	var text bytes.Buffer
 	for i := 0; text.Len() < length; i++ {
 		_, _ = fmt.Fprintf(&text, "%07d ", i)
@@ -137,7 +137,7 @@
 func TestSlowReadersLeaveRoomForPromptOnes(t *testing.T) {
 	is := is.New(t)
 	const memory, clients, length = 64 << 20, 60, 900 * kib
-	big, small := content(length), content(800)
+	big, small := uniqueText(length), uniqueText(800)
 	limits := holding.LimitsOf(memory * 35 / 100)
 	s := newSlowClientTest(t, route.Unsafe, limits.All, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/big" {
@@ -177,7 +177,7 @@
 // comes, also where the client reads nothing meanwhile.
 func TestALongAnswerIsTakenFromItsReplica(t *testing.T) {
 	is := is.New(t)
-	long := content(14 << 20)
+	long := uniqueText(14 << 20)
 	s := newSlowClientTest(t, route.Unsafe, 64<<20, func(w http.ResponseWriter, r *http.Request) { _, _ = w.Write(long) })
 	lazy := s.send("/", "")
 	<-s.answered
@@ -224,7 +224,7 @@
 				is.True(other.Take(holding.Bodies, 60*kib))
 				time.AfterFunc(c.frees, other.End)
 				r.account, _ = r.handler.MemoryBudget.Begin(0)
-				text := content(c.length)
+				text := uniqueText(c.length)
 				r.req.Body, r.req.ContentLength = io.NopCloser(bytes.NewReader(text)), int64(len(text))
 				began := time.Now()
 				body, ok := r.readBody(kib * kib)
@@ -264,7 +264,7 @@
 	is := is.New(t)
 	s := newSlowClientTest(t, route.Unsafe, 64<<20, nil)
 	s.handler.WriteTimeout = 100 * time.Millisecond
-	page := content(2 << 20)
+	page := uniqueText(2 << 20)
 	s.daemon = serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		account, _ := s.handler.MemoryBudget.Begin(0)
 		asked := &request{handler: s.handler, w: w, req: r, logger: zap.NewNop(), arrived: time.Now(), account: account}
