--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -28,10 +28,10 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// smallBuffers is a listener whose connections hold little in the system's buffers.
-type smallBuffers struct{ net.Listener }
+// smallBufferListener is a listener whose connections hold little in the system's buffers.
+type smallBufferListener struct{ net.Listener }
 
-func (l smallBuffers) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetWriteBuffer(64 << 10)
@@ -42,7 +42,7 @@
 func serve(t *testing.T, handler http.Handler) *httptest.Server {
 	t.Helper()
 	server := httptest.NewUnstartedServer(handler)
-	server.Listener = smallBuffers{server.Listener}
+	server.Listener = smallBufferListener{server.Listener}
 	server.Start()
 	t.Cleanup(server.CloseClientConnections)
 	return server
