--- a/internal/requests/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -30,9 +30,9 @@
 // unobserved counts nothing.
 func unobserved(string, string, string, time.Duration) {}
 
-// ask has a request of a key judged by a daemon whose configuration was confirmed a
+// authenticateKey has a request of a key judged by a daemon whose configuration was confirmed a
 // while ago. It returns the status, 0 for a request that may go on, and the logs.
-func ask(t *testing.T, authorization string, age time.Duration, policy KeyPolicy) (*request, int, *observer.ObservedLogs) {
+func authenticateKey(t *testing.T, authorization string, age time.Duration, policy KeyPolicy) (*request, int, *observer.ObservedLogs) {
 	t.Helper()
 	core, logs := observer.New(zap.InfoLevel)
 	directory, err := tenant.NewDirectory([]tenant.Declared{{Name: "a", Keys: []string{"valid-key"}}})
@@ -87,7 +87,7 @@
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r, status, logs := ask(t, one.authorization, one.age, one.policy)
+			r, status, logs := authenticateKey(t, one.authorization, one.age, one.policy)
 			is.Equal(status, one.status)
 			if status == 0 {
 				is.Equal(r.tenantName(), "a")
