--- a/internal/requests/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -27,8 +27,8 @@
 func (plainCodec) EncodeResults(results.Page) ([]byte, error) { return nil, http.ErrNotSupported }
 func (plainCodec) EncodeError(text string) []byte             { return []byte(text) }
 
-// unobserved counts nothing.
-func unobserved(string, string, string, time.Duration) {}
+// ignoreAnswer counts nothing.
+func ignoreAnswer(string, string, string, time.Duration) {}
 
 // authenticateKey has a request of a key judged by a daemon whose configuration was confirmed a
 // while ago. It returns the status, 0 for a request that may go on, and the logs.
--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -21,7 +21,7 @@
 
 // bare is a handler without replicas and routes, that bounds and counts nothing.
 func bare(clock bootclock.Clock) *Handler {
-	return &Handler{Clock: clock, Codec: plainCodec{}, Observe: unobserved, Logger: zap.NewNop(), Stop: newStop(), MemoryBudget: holding.New(holding.LimitsOf(0)),
+	return &Handler{Clock: clock, Codec: plainCodec{}, Observe: ignoreAnswer, Logger: zap.NewNop(), Stop: newStop(), MemoryBudget: holding.New(holding.LimitsOf(0)),
 		Retries: NoRetryPolicy{}, WriteTimeout: 5 * time.Second}
 }
 
