--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -27,8 +27,8 @@
 	"woodworks/internal/requests/route"
 )
 
-// tenanted is a configuration without routes whose tenant has one key.
-func tenanted(t *testing.T) *route.Configuration {
+// tenantConfiguration is a configuration without routes whose tenant has one key.
+func tenantConfiguration(t *testing.T) *route.Configuration {
 	t.Helper()
 	directory, err := tenant.NewDirectory([]tenant.Declared{{Name: "a", Keys: []string{"valid-key"}}})
 	if err != nil {
@@ -90,17 +90,17 @@
 			r.req = httptest.NewRequest(http.MethodPost, "/x", strings.NewReader("body"))
 			r.readBody(1)
 		}, status: 413, outcome: "too large", body: "the body is longer than the limit"},
-		"no route":  {answer: func(r *request) { r.serve(tenanted(t)) }, status: 404, outcome: "no route", body: "no route has this host and path"},
-		"no tenant": {answer: func(r *request) { r.authenticate(tenanted(t)) }, status: 401, outcome: "no tenant", body: "no tenant has this key"},
+		"no route":  {answer: func(r *request) { r.serve(tenantConfiguration(t)) }, status: 404, outcome: "no route", body: "no route has this host and path"},
+		"no tenant": {answer: func(r *request) { r.authenticate(tenantConfiguration(t)) }, status: 401, outcome: "no tenant", body: "no tenant has this key"},
 		"a key that may be withdrawn": {answer: func(r *request) {
 			r.req.Header.Set("Authorization", "Bearer valid-key")
 			r.handler.ConfigurationAge = func() time.Duration { return time.Hour }
-			r.authenticate(tenanted(t))
+			r.authenticate(tenantConfiguration(t))
 		}, status: 503, comeBack: "0.400", outcome: "refused", body: "the key may have been withdrawn"},
 		"a key that may be new": {answer: func(r *request) {
 			r.req.Header.Set("Authorization", "Bearer other-key")
 			r.handler.ConfigurationAge = func() time.Duration { return time.Hour }
-			r.authenticate(tenanted(t))
+			r.authenticate(tenantConfiguration(t))
 		}, status: 503, comeBack: "0.400", outcome: "refused", body: "the key may have been added"},
 		"too late in a stop": {answer: func(r *request) {
 			r.handler.Stop = newStop()
