--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -41,8 +41,8 @@
 	return cfg
 }
 
-// interrupted is a context that the end of a planned stop has ended.
-func interrupted(t *testing.T) context.Context {
+// interruptedContext is a context that the end of a planned stop has ended.
+func interruptedContext(t *testing.T) context.Context {
 	stop := newStop()
 	ctx, release := stop.Bound(t.Context())
 	t.Cleanup(release)
@@ -152,7 +152,7 @@
 				is := is.New(t)
 				ctx := t.Context()
 				if one.interrupted {
-					ctx = interrupted(t)
+					ctx = interruptedContext(t)
 				}
 				r, recorder := askedOf(ctx, newStop(), route.Safe, left)
 				outcome := "" // that of the last request
