--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -136,12 +136,12 @@
 		}, status: 503,
 			comeBack: "1.000", outcome: "quarantined", body: "forward: 0 replicas ended while they ran this content; it may run alone later", quarantined: true},
 		"results: no answer": {answer: func(r *request) {
-			r.handler.Results = unread(r.req.Context())
+			r.handler.Results = unreadableResults(r.req.Context())
 			r.serveCall(BatchCall{Kind: ReadResults, BatchID: "b"})
 		}, status: 503,
 			comeBack: "0.400", outcome: "refused"},
 		"item: no answer": {answer: func(r *request) {
-			r.handler.Results = unread(r.req.Context())
+			r.handler.Results = unreadableResults(r.req.Context())
 			r.serveCall(BatchCall{Kind: ReadItem, BatchID: "b"})
 		}, status: 503,
 			comeBack: "0.400", outcome: "refused"},
@@ -175,8 +175,8 @@
 	}
 }
 
-// unread is a reader of batches before a journal that answers nothing.
-func unread(ctx context.Context) *results.Reader {
+// unreadableResults is a reader of batches before a journal that answers nothing.
+func unreadableResults(ctx context.Context) *results.Reader {
 	log := journaltest.New()
 	log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
 	return results.NewReader(ledger.New(ctx, log, zap.NewNop()), nil, nil, journal.Grants{}, "self/1", zap.NewNop())
