--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -199,7 +199,7 @@
 	status, header, _, err := s.send("/", "").readAnswer()
 	is.NoErr(err)
 	is.Equal(status, http.StatusServiceUnavailable)
-	is.Equal(secondsOf(t, header), refusal.NoMemory.RetryAfter)
+	is.Equal(retryAfterOf(t, header), refusal.NoMemory.RetryAfter)
 	is.Equal(len(s.started), 0)
 }
 
--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -20,8 +20,8 @@
 	"woodworks/internal/requests/route"
 )
 
-// secondsOf is the Retry-After of an answer.
-func secondsOf(t *testing.T, header http.Header) time.Duration {
+// retryAfterOf is the Retry-After of an answer.
+func retryAfterOf(t *testing.T, header http.Header) time.Duration {
 	t.Helper()
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil {
@@ -48,7 +48,7 @@
 				time.Sleep(one.after)
 				r.refusePlain(&forward.Failure{Certainty: forward.NotRun})
 				is.Equal(recorder.Code, http.StatusServiceUnavailable)
-				is.Equal(secondsOf(t, recorder.Header()), one.told)
+				is.Equal(retryAfterOf(t, recorder.Header()), one.told)
 			})
 		})
 	}
@@ -73,7 +73,7 @@
 			r.refuseUnrecorded(one.err)
 			is.Equal(recorder.Code, one.status)
 			if one.status == http.StatusServiceUnavailable {
-				is.Equal(secondsOf(t, recorder.Header()), one.told)
+				is.Equal(retryAfterOf(t, recorder.Header()), one.told)
 			}
 		})
 	}
--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -75,8 +75,8 @@
 	recorder := askFull(handler, "20000")
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), int32(maxAdmissions))
-	is.True(secondsOf(t, recorder.Header()) > 0)
-	is.True(secondsOf(t, recorder.Header()) < refusal.Within(time.Hour, 20*time.Second))
+	is.True(retryAfterOf(t, recorder.Header()) > 0)
+	is.True(retryAfterOf(t, recorder.Header()) < refusal.Within(time.Hour, 20*time.Second))
 }
 
 // Engines have queues of their own.
