--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -78,7 +78,7 @@
 	names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Stamp: "Signature"}
 	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: kind, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	is.New(t).NoErr(err)
-	s.handler = bare(time.Now)
+	s.handler = newTestHandler(time.Now)
 	s.handler.Names, s.handler.Observe, s.handler.Configuration = names, s.outcomes.observe, func() *route.Configuration { return cfg }
 	s.handler.MemoryBudget = holding.New(holding.LimitsOf(most))
 	setForwarder(s.handler, &forward.Forwarder{MaxOpen: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: 10 * time.Second}), Table: table, Names: names,
--- a/internal/requests/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -47,7 +47,7 @@
 	req.Header.Set("Authorization", authorization)
 	req.Header.Set("X-Tenant", "forged")
 	recorder := httptest.NewRecorder()
-	handler := bare(time.Now)
+	handler := newTestHandler(time.Now)
 	handler.Names, handler.Keys, handler.ConfigurationAge = headers.Names{Tenant: "X-Tenant"}, policy, func() time.Duration { return age }
 	r := &request{handler: handler, w: recorder, req: req, arrived: time.Now(), logger: zap.New(core)}
 	if r.authenticate(cfg) {
--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -85,7 +85,7 @@
 	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{
 		Name: "r", Host: "h", PathPrefix: "/x/", Kind: route.Safe, Timeout: 100 * time.Millisecond, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	is.NoErr(err)
-	handler := bare(time.Now)
+	handler := newTestHandler(time.Now)
 	handler.Configuration = func() *route.Configuration { return cfg }
 	server := httptest.NewServer(handler)
 	defer server.Close()
--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -19,8 +19,8 @@
 	"woodworks/internal/requests/route"
 )
 
-// bare is a handler without replicas and routes, that bounds and counts nothing.
-func bare(clock bootclock.Clock) *Handler {
+// newTestHandler is a handler without replicas and routes, that bounds and counts nothing.
+func newTestHandler(clock bootclock.Clock) *Handler {
 	return &Handler{Clock: clock, Codec: plainCodec{}, Observe: ignoreAnswer, Logger: zap.NewNop(), Stop: newStop(), MemoryBudget: holding.New(holding.LimitsOf(0)),
 		Retries: NoRetryPolicy{}, WriteTimeout: 5 * time.Second}
 }
@@ -36,7 +36,7 @@
 // answer goes.
 func askedOf(ctx context.Context, stop *shutdown.Stop, kind route.Kind, timeout time.Duration) (*request, *httptest.ResponseRecorder) {
 	recorder := httptest.NewRecorder()
-	handler := bare(time.Now)
+	handler := newTestHandler(time.Now)
 	handler.Stop = stop
 	return &request{
 		handler: handler, w: recorder, req: httptest.NewRequest(http.MethodPost, "/x", nil).WithContext(ctx),
@@ -118,7 +118,7 @@
 		cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{
 			Name: "r", Host: "example.com", PathPrefix: "/x/", Kind: route.Stream, Timeout: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 		is.NoErr(err)
-		handler := bare(time.Now)
+		handler := newTestHandler(time.Now)
 		handler.Stop, handler.Configuration = stop, func() *route.Configuration { return cfg }
 		recorder, late := httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/x/1", nil)
 		handler.ServeHTTP(recorder, late)
--- a/internal/requests/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -63,7 +63,7 @@
 			cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe,
 				Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 			is.NoErr(err)
-			handler := bare(clock.Now)
+			handler := newTestHandler(clock.Now)
 			handler.Names, handler.Configuration = names, func() *route.Configuration { return cfg }
 			setForwarder(handler, &forward.Forwarder{MaxOpen: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names,
 				Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	handler := bare(clock.Now)
+	handler := newTestHandler(clock.Now)
 	handler.Names, handler.Configuration = names, func() *route.Configuration { return cfg }
 	setForwarder(handler, &forward.Forwarder{MaxOpen: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names,
 		Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
