--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -218,7 +218,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				r, recorder := askedOf(t.Context(), nil, route.Unsafe, time.Hour)
+				r, recorder := newTestRequest(t.Context(), nil, route.Unsafe, time.Hour)
 				r.handler.MemoryBudget = holding.New(holding.LimitsOf(100 * kib))
 				other, _ := r.handler.MemoryBudget.Begin(0)
 				is.True(other.Take(holding.Bodies, 60*kib))
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -154,7 +154,7 @@
 				if one.interrupted {
 					ctx = interruptedContext(t)
 				}
-				r, recorder := askedOf(ctx, newStop(), route.Safe, left)
+				r, recorder := newTestRequest(ctx, newStop(), route.Safe, left)
 				outcome := "" // that of the last request
 				r.req.Header.Set("Deadline", "24025")
 				r.handler.Names, r.handler.Logger = headers.Names{Quarantined: "Quarantined", DeadlineMs: "Deadline"}, zap.NewNop()
--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				r, recorder := askedOf(t.Context(), newStop(), route.Safe, one.timeout)
+				r, recorder := newTestRequest(t.Context(), newStop(), route.Safe, one.timeout)
 				time.Sleep(one.after)
 				r.refusePlain(&forward.Failure{Certainty: forward.NotRun})
 				is.Equal(recorder.Code, http.StatusServiceUnavailable)
@@ -69,7 +69,7 @@
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r, recorder := askedOf(t.Context(), newStop(), route.Batch, time.Minute)
+			r, recorder := newTestRequest(t.Context(), newStop(), route.Batch, time.Minute)
 			r.refuseUnrecorded(one.err)
 			is.Equal(recorder.Code, one.status)
 			if one.status == http.StatusServiceUnavailable {
--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -32,9 +32,9 @@
 		Observe: func(string, string, time.Duration) {}, Logger: zap.NewNop()})
 }
 
-// askedOf returns a request for a route of a daemon that may be stopping, with where its
+// newTestRequest returns a request for a route of a daemon that may be stopping, with where its
 // answer goes.
-func askedOf(ctx context.Context, stop *shutdown.Stop, kind route.Kind, timeout time.Duration) (*request, *httptest.ResponseRecorder) {
+func newTestRequest(ctx context.Context, stop *shutdown.Stop, kind route.Kind, timeout time.Duration) (*request, *httptest.ResponseRecorder) {
 	recorder := httptest.NewRecorder()
 	handler := newTestHandler(time.Now)
 	handler.Stop = stop
@@ -73,7 +73,7 @@
 					stop.Begin(grace)
 					time.Sleep(each.after)
 				}
-				r, recorder := askedOf(t.Context(), stop, each.kind, each.timeout)
+				r, recorder := newTestRequest(t.Context(), stop, each.kind, each.timeout)
 				is.Equal(r.fitsBeforeStop(), each.served)
 				if each.served {
 					return
@@ -94,7 +94,7 @@
 		defer release()
 		stop.Interrupt()
 		<-ctx.Done()
-		r, recorder := askedOf(ctx, stop, route.Unsafe, time.Minute)
+		r, recorder := newTestRequest(ctx, stop, route.Unsafe, time.Minute)
 		r.refusePlain(failure)
 		return recorder.Code
 	}
@@ -103,7 +103,7 @@
 	is.Equal(answered(&forward.Failure{Certainty: forward.MayHaveRun}), http.StatusBadGateway)
 	left, leave := context.WithCancel(t.Context())
 	leave()
-	r, _ := askedOf(left, newStop(), route.Unsafe, time.Minute)
+	r, _ := newTestRequest(left, newStop(), route.Unsafe, time.Minute)
 	defer func() { is.Equal(recover(), http.ErrAbortHandler) }()
 	r.refusePlain(&forward.Failure{Certainty: forward.NotRun})
 }
@@ -135,7 +135,7 @@
 		defer release()
 		stop.Interrupt()
 		<-ctx.Done()
-		r, recorder := askedOf(ctx, stop, route.Stream, time.Minute)
+		r, recorder := newTestRequest(ctx, stop, route.Stream, time.Minute)
 		defer func() { status, panicked = recorder.Code, recover() }()
 		(&streamRelay{request: r, mayHaveRun: ran, headWritten: began}).giveUp()
 		return 0, nil
