--- a/internal/requests/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -21,14 +21,14 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// suspending is a body during which the machine is suspended.
-type suspending struct {
+// suspendingBody is a body during which the machine is suspended.
+type suspendingBody struct {
 	io.Reader
 	clock *clocktest.Clock
 	sleep time.Duration
 }
 
-func (s *suspending) Read(buffer []byte) (int, error) {
+func (s *suspendingBody) Read(buffer []byte) (int, error) {
 	s.clock.Suspend(s.sleep)
 	s.sleep = 0
 	return s.Reader.Read(buffer)
@@ -67,7 +67,7 @@
 			handler.Names, handler.Configuration = names, func() *route.Configuration { return cfg }
 			setForwarder(handler, &forward.Forwarder{MaxOpen: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names,
 				Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
-			r := httptest.NewRequest(http.MethodPost, "/x", &suspending{strings.NewReader("body"), clock, c.sleep})
+			r := httptest.NewRequest(http.MethodPost, "/x", &suspendingBody{strings.NewReader("body"), clock, c.sleep})
 			r.Host = "h"
 			r.Header.Set("Deadline", "2000")
 			recorder := httptest.NewRecorder()
