--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -23,8 +23,8 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// fullService is a handler before one replica that declines so many requests and then answers.
-func fullService(t *testing.T, declines int32, engine bool) (*Handler, *atomic.Int32) {
+// newFullServiceTest is a handler before one replica that declines so many requests and then answers.
+func newFullServiceTest(t *testing.T, declines int32, engine bool) (*Handler, *atomic.Int32) {
 	t.Helper()
 	asked := &atomic.Int32{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -63,7 +63,7 @@
 // A request that has certainly not run waits for its turn again, instead of being refused.
 func TestADeclinedRequestHasItsTurnAgain(t *testing.T) {
 	is := is.New(t)
-	handler, r := fullService(t, 1, false)
+	handler, r := newFullServiceTest(t, 1, false)
 	is.Equal(askFull(handler, "20000").Code, http.StatusOK)
 	is.Equal(r.Load(), int32(2))
 }
@@ -71,7 +71,7 @@
 // However long it is declined, it is offered a few times, and refused with when to come back.
 func TestTurnsAreBounded(t *testing.T) {
 	is := is.New(t)
-	handler, r := fullService(t, 1<<30, false)
+	handler, r := newFullServiceTest(t, 1<<30, false)
 	recorder := askFull(handler, "20000")
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), int32(maxAdmissions))
@@ -82,7 +82,7 @@
 // Engines have queues of their own.
 func TestEnginesAreNotAdmittedTo(t *testing.T) {
 	is := is.New(t)
-	handler, r := fullService(t, 1<<30, true)
+	handler, r := newFullServiceTest(t, 1<<30, true)
 	is.Equal(askFull(handler, "20000").Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), int32(1))
 	is.Equal(handler.Admission.Count().Full, 0)
@@ -91,7 +91,7 @@
 // A refusal promises that no replica was asked.
 func TestARequestWithoutTimeIsNotSentToAFullService(t *testing.T) {
 	is := is.New(t)
-	handler, r := fullService(t, 1<<30, false)
+	handler, r := newFullServiceTest(t, 1<<30, false)
 	_ = askFull(handler, "20000")
 	before := r.Load()
 	recorder := askFull(handler, "60") // less than answers take before any is known
@@ -102,7 +102,7 @@
 // A client that leaves while its request waits gets no answer, and no replica the request.
 func TestAClientLeavesWhileItsRequestWaits(t *testing.T) {
 	is := is.New(t)
-	handler, r := fullService(t, 1<<30, false)
+	handler, r := newFullServiceTest(t, 1<<30, false)
 	_ = askFull(handler, "20000")
 	before := r.Load()
 	ctx, cancel := context.WithCancel(t.Context())
