--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -51,7 +51,7 @@
 	return handler, asked
 }
 
-func askFull(handler *Handler, deadline string) *httptest.ResponseRecorder {
+func sendWithDeadline(handler *Handler, deadline string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "/x", strings.NewReader("body"))
 	r.Host = "h"
 	r.Header.Set("Deadline", deadline)
@@ -64,7 +64,7 @@
 func TestADeclinedRequestHasItsTurnAgain(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1, false)
-	is.Equal(askFull(handler, "20000").Code, http.StatusOK)
+	is.Equal(sendWithDeadline(handler, "20000").Code, http.StatusOK)
 	is.Equal(r.Load(), int32(2))
 }
 
@@ -72,7 +72,7 @@
 func TestTurnsAreBounded(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1<<30, false)
-	recorder := askFull(handler, "20000")
+	recorder := sendWithDeadline(handler, "20000")
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), int32(maxAdmissions))
 	is.True(retryAfterOf(t, recorder.Header()) > 0)
@@ -83,7 +83,7 @@
 func TestEnginesAreNotAdmittedTo(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1<<30, true)
-	is.Equal(askFull(handler, "20000").Code, http.StatusServiceUnavailable)
+	is.Equal(sendWithDeadline(handler, "20000").Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), int32(1))
 	is.Equal(handler.Admission.Count().Full, 0)
 }
@@ -92,9 +92,9 @@
 func TestARequestWithoutTimeIsNotSentToAFullService(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1<<30, false)
-	_ = askFull(handler, "20000")
+	_ = sendWithDeadline(handler, "20000")
 	before := r.Load()
-	recorder := askFull(handler, "60") // less than answers take before any is known
+	recorder := sendWithDeadline(handler, "60") // less than answers take before any is known
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), before)
 }
@@ -103,7 +103,7 @@
 func TestAClientLeavesWhileItsRequestWaits(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1<<30, false)
-	_ = askFull(handler, "20000")
+	_ = sendWithDeadline(handler, "20000")
 	before := r.Load()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
