--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -134,7 +134,7 @@
 // Each answer that a client did not read was held whole. A daemon with 64 MB holds no more
 // than its part of them, serves those that are prompt, and every client that reads in the
 // end has its whole answer.
-func TestSlowReadersLeaveRoomForPromptOnes(t *testing.T) {
+func TestSlowClientsLeaveMemoryForFastOnes(t *testing.T) {
 	is := is.New(t)
 	const memory, clients, length = 64 << 20, 60, 900 * kib
 	big, small := uniqueText(length), uniqueText(800)
