--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -175,7 +175,7 @@
 
 // A replica gives up an answer that is not read for some seconds. It is read as fast as it
 // comes, also where the client reads nothing meanwhile.
-func TestALongAnswerIsTakenFromItsReplica(t *testing.T) {
+func TestALongAnswerIsReadAheadOfASlowClient(t *testing.T) {
 	is := is.New(t)
 	long := uniqueText(14 << 20)
 	s := newSlowClientTest(t, route.Unsafe, 64<<20, func(w http.ResponseWriter, r *http.Request) { _, _ = w.Write(long) })
