--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -188,7 +188,7 @@
 }
 
 // Where all is held, a request is turned away at once, and has not run.
-func TestARequestWithoutRoomIsTurnedAway(t *testing.T) {
+func TestARequestIsRefusedWithoutFreeMemory(t *testing.T) {
 	is := is.New(t)
 	s := newSlowClientTest(t, route.Unsafe, 100*kib, func(http.ResponseWriter, *http.Request) {})
 	for {
