--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -205,7 +205,7 @@
 
 // A body for which there is no room stays with its client for a moment. If there is none
 // then it is refused, and has not run; a body that can never fit is refused at once.
-func TestABodyWaitsForRoom(t *testing.T) {
+func TestABodyWaitsForMemory(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		length, status int
