--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -239,7 +239,7 @@
 
 // A stream that its client does not read was held, with its replica, for as long as the
 // client liked. It ends as broken, never as complete, and no other replica is asked.
-func TestAnUnreadStreamEndsAsBroken(t *testing.T) {
+func TestAnUnreadStreamIsAborted(t *testing.T) {
 	is := is.New(t)
 	s := newSlowClientTest(t, route.Stream, 0, func(w http.ResponseWriter, r *http.Request) {
 		event := []byte("data: " + strings.Repeat("x", 2*kib) + "\n\n")
