--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -260,7 +260,7 @@
 }
 
 // Results that nobody reads were held likewise.
-func TestAnUnreadPageEndsItsConnection(t *testing.T) {
+func TestAnUnreadPageIsAborted(t *testing.T) {
 	is := is.New(t)
 	s := newSlowClientTest(t, route.Unsafe, 64<<20, nil)
 	s.handler.WriteTimeout = 100 * time.Millisecond
