--- a/internal/requests/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -62,7 +62,7 @@
 
 // What a key is worth follows from what the configuration says of it and from how long
 // ago that was confirmed.
-func TestKeysAreJudgedByTheConfigurationsAge(t *testing.T) {
+func TestKeyDecisionsDependOnTheConfigurationsAge(t *testing.T) {
 	strict := KeyPolicy{AcceptMaxAge: 5 * time.Second, RejectMaxAge: 4 * time.Second}
 	open := KeyPolicy{RejectMaxAge: 4 * time.Second}
 	cases := map[string]struct {
