--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -53,7 +53,7 @@
 
 // Each reason for which a client gets no whole answer has one status, one time to return
 // and one outcome. The time left is 24 s, so that a third of it bounds none of the fixed times.
-func TestEachRefusalTellsWhatIsCertainAndWhenToReturn(t *testing.T) {
+func TestRefusalStatusAndRetryAfter(t *testing.T) {
 	const left = 24*time.Second + answerMargin
 	notRun := &forward.Failure{Certainty: forward.NotRun, Reason: "nobody"}
 	mayHaveRun := &forward.Failure{Certainty: forward.MayHaveRun, Reason: "lost"}
