--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -31,7 +31,7 @@
 }
 
 // A client that is refused late was told to wait for longer than its request had left.
-func TestNobodyIsToldToWaitForLongerThanAThirdOfItsTime(t *testing.T) {
+func TestRetryAfterIsAtMostAThirdOfTheTimeLeft(t *testing.T) {
 	cases := map[string]struct {
 		timeout, after, told time.Duration
 	}{
