--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -56,7 +56,7 @@
 
 // What became of a submission or an end decides its answer: a refusal promises that it has
 // not happened, and nothing else does. A daemon that stops sends its callers to others soon.
-func TestBatchCallsAreAnsweredWithWhatIsCertain(t *testing.T) {
+func TestRunnerErrorsMapToStatuses(t *testing.T) {
 	cases := map[string]struct {
 		err    error
 		status int
