--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -80,7 +80,7 @@
 }
 
 // A request whose body never came whole was held for as long as its client liked.
-func TestABodyHasTheTimeOfItsRequest(t *testing.T) {
+func TestReadingABodyIsBoundedByTheTimeout(t *testing.T) {
 	is := is.New(t)
 	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{
 		Name: "r", Host: "h", PathPrefix: "/x/", Kind: route.Safe, Timeout: 100 * time.Millisecond, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
