--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -46,7 +46,7 @@
 
 // A request that came late in a stop was taken whatever its time, and cut at the end of
 // the grace. It is turned away at once if it might not end, and served if it does.
-func TestALateRequestIsServedOnlyIfItEndsInTime(t *testing.T) {
+func TestDuringAStopOnlyRequestsThatFitAreServed(t *testing.T) {
 	const grace = 8 * time.Second
 	cases := map[string]struct {
 		after   time.Duration
