--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -87,7 +87,7 @@
 
 // A request that the end of a stop interrupts is answered with what is certain; one whose
 // client has left is not.
-func TestAnInterruptedRequestIsAnsweredWithWhatIsCertain(t *testing.T) {
+func TestInterruptedRequestsAreAnswered(t *testing.T) {
 	answered := func(failure *forward.Failure) int {
 		stop := newStop()
 		ctx, release := stop.Bound(t.Context())
