--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -109,7 +109,7 @@
 }
 
 // A late request is turned away before its body is read or a replica is asked.
-func TestTheHandlerTurnsLateRequestsAway(t *testing.T) {
+func TestTheHandlerRefusesRequestsThatOutlastTheStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		stop := newStop()
