--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -128,7 +128,7 @@
 
 // A stream that is interrupted before its first event is answered; one that has begun must
 // not look complete.
-func TestAnInterruptedStreamIsAnsweredIfItHasNotBegun(t *testing.T) {
+func TestInterruptedStreamsAreAnsweredOrAborted(t *testing.T) {
 	interrupted := func(ran int, began bool) (status int, panicked any) {
 		stop := newStop()
 		ctx, release := stop.Bound(t.Context())
