--- a/internal/requests/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -37,7 +37,7 @@
 // A machine is suspended while it reads a request. The client's time has passed meanwhile:
 // by a clock that stands still the request was sent on with all of it, and a replica worked
 // for a client that had long left. It is refused, as it has not run.
-func TestARequestWhoseTimeWasSleptAwayIsNotSent(t *testing.T) {
+func TestTimeSuspendedCountsAgainstTheDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		sleep        time.Duration
