--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -61,7 +61,7 @@
 }
 
 // A request that has certainly not run waits for its turn again, instead of being refused.
-func TestADeclinedRequestHasItsTurnAgain(t *testing.T) {
+func TestADeclinedRequestIsAdmittedAgain(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1, false)
 	is.Equal(sendWithDeadline(handler, "20000").Code, http.StatusOK)
