--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -69,7 +69,7 @@
 }
 
 // However long it is declined, it is offered a few times, and refused with when to come back.
-func TestTurnsAreBounded(t *testing.T) {
+func TestAdmissionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1<<30, false)
 	recorder := sendWithDeadline(handler, "20000")
