--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -80,7 +80,7 @@
 }
 
 // Engines have queues of their own.
-func TestEnginesAreNotAdmittedTo(t *testing.T) {
+func TestCallsToEnginesSkipAdmission(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1<<30, true)
 	is.Equal(sendWithDeadline(handler, "20000").Code, http.StatusServiceUnavailable)
