--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -89,7 +89,7 @@
 }
 
 // A refusal promises that no replica was asked.
-func TestARequestWithoutTimeIsNotSentToAFullService(t *testing.T) {
+func TestARequestWithTooLittleTimeIsNotSent(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1<<30, false)
 	_ = sendWithDeadline(handler, "20000")
