--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -100,7 +100,7 @@
 }
 
 // A client that leaves while its request waits gets no answer, and no replica the request.
-func TestAClientLeavesWhileItsRequestWaits(t *testing.T) {
+func TestAWaitingRequestOfAGoneClientIsNotSent(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1<<30, false)
 	_ = sendWithDeadline(handler, "20000")
