--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/admission_test.go
@@ -23,7 +23,8 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// newFullServiceTest is a handler before one replica that declines so many requests and then answers.
+// newFullServiceTest returns a handler with one replica that declines this many requests before
+// it answers, and the count of requests sent to the replica.
 func newFullServiceTest(t *testing.T, declines int32, engine bool) (*Handler, *atomic.Int32) {
 	t.Helper()
 	asked := &atomic.Int32{}
@@ -60,7 +61,7 @@
 	return recorder
 }
 
-// A request that has certainly not run waits for its turn again, instead of being refused.
+// A declined request has not run, so it is admitted again instead of refused.
 func TestADeclinedRequestIsAdmittedAgain(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1, false)
@@ -68,7 +69,7 @@
 	is.Equal(r.Load(), int32(2))
 }
 
-// However long it is declined, it is offered a few times, and refused with when to come back.
+// A request that is always declined is refused with a Retry-After after maxAdmissions.
 func TestAdmissionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1<<30, false)
@@ -79,7 +80,7 @@
 	is.True(retryAfterOf(t, recorder.Header()) < refusal.Within(time.Hour, 20*time.Second))
 }
 
-// Engines have queues of their own.
+// Engines queue requests themselves, so admission must not count their declines.
 func TestCallsToEnginesSkipAdmission(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1<<30, true)
@@ -88,18 +89,18 @@
 	is.Equal(handler.Admission.Count().Full, 0)
 }
 
-// A refusal promises that no replica was asked.
+// A request with less time than an answer takes must be refused before it is sent.
 func TestARequestWithTooLittleTimeIsNotSent(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1<<30, false)
 	_ = sendWithDeadline(handler, "20000")
 	before := r.Load()
-	recorder := sendWithDeadline(handler, "60") // less than answers take before any is known
+	recorder := sendWithDeadline(handler, "60") // less than an answer is assumed to take before any was measured
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), before)
 }
 
-// A client that leaves while its request waits gets no answer, and no replica the request.
+// A request whose client disconnects while it waits must not be answered or sent.
 func TestAWaitingRequestOfAGoneClientIsNotSent(t *testing.T) {
 	is := is.New(t)
 	handler, r := newFullServiceTest(t, 1<<30, false)
--- a/internal/requests/ingress/batches.go
+++ b/internal/requests/ingress/batches.go
@@ -13,7 +13,8 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// serveSubmission keeps a batch. Only an acknowledged record is accepted.
+// serveSubmission accepts a batch. It answers 202 only after the journal has acknowledged the
+// batch's record.
 func (r *request) serveSubmission(body []byte) {
 	if r.req.Method != http.MethodPost {
 		r.refuse(refusal.WrongMethod, "batches are submitted by POST")
@@ -41,7 +42,8 @@
 	r.observe(http.StatusAccepted, "accepted", "")
 }
 
-// refuseUnrecorded answers a submission or an end whose record is not known to be in the journal.
+// refuseUnrecorded answers a submission, or a call that ends a batch, whose record the journal
+// has not acknowledged.
 func (r *request) refuseUnrecorded(err error) {
 	switch {
 	case errors.Is(err, runner.ErrStopping):
@@ -53,7 +55,7 @@
 	}
 }
 
-// serveCall answers a call about a batch.
+// serveCall answers a call about an existing batch.
 func (r *request) serveCall(call BatchCall) {
 	r.logger = r.logger.With(zap.String("batch", call.BatchID))
 	switch call.Kind {
@@ -66,7 +68,8 @@
 	}
 }
 
-// serveResults answers with results from a position on.
+// serveResults answers with the results from the requested position on. It waits up to the
+// call's Wait, less the time that the request has already taken, for the first of them.
 func (r *request) serveResults(call BatchCall) {
 	wait := max(call.Wait-r.elapsed(), 0)
 	page, err := r.handler.Results.Results(r.req.Context(),
@@ -107,7 +110,7 @@
 	r.observe(http.StatusOK, "item", "")
 }
 
-// serveEnd ends a batch; the answer comes once the record is acknowledged.
+// serveEnd ends a batch and answers once the journal has acknowledged the record.
 func (r *request) serveEnd(call BatchCall) {
 	ctx, cancel := context.WithTimeout(r.req.Context(), min(r.timeLeft(), runner.SubmitTimeout))
 	defer cancel()
--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -13,28 +13,27 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// errNoMemory: the daemon holds as much for its clients as it may.
+// errNoMemory means that the daemon's memory budget for clients is exhausted.
 var errNoMemory = errors.New("ingress: the daemon holds as much for clients as it may")
 
 const (
-	// requestOverheadBytes is what a request costs beside its body and its answer: the buffers of its
-	// connections, its head and the stacks of its goroutines.
+	// requestOverheadBytes is the memory that a request costs apart from its body and its answer:
+	// connection buffers, head and goroutine stacks.
 	requestOverheadBytes = 16 << 10
-	// defaultMaxBodyBytes is the longest body, in bytes, if the configuration names no bound.
+	// defaultMaxBodyBytes is the longest accepted body if the configuration sets no limit.
 	defaultMaxBodyBytes = 32 << 20
-	// bodyTimeoutGrace is how long beyond its request's time a body that stalls is awaited: a
-	// body that is whole by then has long been read, so that its connection's watch for
-	// the client's leaving does not meet the bound. A route's time is held to be kept
-	// within a quarter of a second.
+	// bodyTimeoutGrace is added to the request's timeout when a body is read. It keeps the read
+	// deadline from interrupting the server's background read that detects a closed client
+	// connection, which starts once a body has been read whole.
 	bodyTimeoutGrace = 200 * time.Millisecond
-	// maxMemoryWait is how long what comes stays with its sender while there is no room, and
-	// roomPause the time between two looks. Answers that are read meanwhile make room; a
-	// client that is told to come back after longer has lost that time for nothing.
+	// maxMemoryWait is how long reading pauses for memory before the request is refused, and
+	// memoryPollInterval is how often the budget is polled meanwhile.
 	maxMemoryWait      = 300 * time.Millisecond
 	memoryPollInterval = 10 * time.Millisecond
 )
 
-// reserveMemory counts the request, or turns it away if there is no room.
+// reserveMemory opens the request's account in the memory budget. It refuses the request and
+// returns false if the budget has no memory for it.
 func (r *request) reserveMemory() bool {
 	account, ok := r.handler.MemoryBudget.Begin(requestOverheadBytes)
 	if !ok {
@@ -46,22 +45,22 @@
 	return true
 }
 
-// releaseMemory ends the account of the request once its answer is with the client's system.
+// releaseMemory closes the request's account. It is called after the answer has been written.
 func (r *request) releaseMemory() {
 	r.account.End()
-	// What the server still has is written after this, and may be a few KiB.
+	// The server flushes the last few KiB of the answer after the handler returns.
 	r.setWriteDeadline(r.handler.WriteTimeout)
 }
 
-// readBody reads the whole body, or answers why it could not. The body has the time of its
-// request: one that stalls is not held for as long as its client likes.
+// readBody reads the whole body, or refuses the request and returns false. Reading is bounded
+// by the request's timeout, so that a stalled client does not occupy memory indefinitely.
 func (r *request) readBody(limit int64) ([]byte, bool) {
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
 	}
-	late := time.AfterFunc(max(r.timeLeft(), 0)+bodyTimeoutGrace, func() { r.setReadDeadline(time.Now()) })
+	timer := time.AfterFunc(max(r.timeLeft(), 0)+bodyTimeoutGrace, func() { r.setReadDeadline(time.Now()) })
 	defer func() {
-		if !late.Stop() {
+		if !timer.Stop() {
 			r.setReadDeadline(time.Time{})
 		}
 	}()
@@ -73,8 +72,8 @@
 	return body, true
 }
 
-// refuseBody answers a request whose body was not read whole. Where more of it may come, its
-// connection ends: the rest of a body is no request.
+// refuseBody answers a request whose body was not read whole. Where more of the body may follow
+// it closes the connection, as the rest must not be parsed as the next request.
 func (r *request) refuseBody(err error) {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -91,26 +90,28 @@
 	}
 }
 
-// bufferBody reads a body of known bounds into memory that is counted as it comes.
+// bufferBody reads a body of at most limit bytes into memory that is counted in the request's
+// account while it is read.
 func (r *request) bufferBody(body io.Reader, limit int64) ([]byte, error) {
-	announced := r.req.ContentLength
-	if announced > limit {
-		// It is read to the bound, as the client must have sent that to hear of it.
+	contentLength := r.req.ContentLength
+	if contentLength > limit {
+		// Read up to the limit, as the client may not read an answer before it has sent that much.
 		_, err := io.Copy(io.Discard, body)
 		return nil, err
 	}
-	if !r.handler.MemoryBudget.MayEver(holding.Bodies, announced) {
+	if !r.handler.MemoryBudget.MayEver(holding.Bodies, contentLength) {
 		return nil, errors.Wrap(errNoMemory, "a body of that length")
 	}
-	read, whole, err := r.account.Read(holding.Bodies, body, announced, limit+1, func(n int64) bool { return r.waitForMemory(holding.Bodies, n) })
+	read, whole, err := r.account.Read(holding.Bodies, body, contentLength, limit+1, func(n int64) bool { return r.waitForMemory(holding.Bodies, n) })
 	if err == nil && !whole {
 		err = errNoMemory
 	}
 	return read, err
 }
 
-// waitForMemory waits for a short while until there is room for n bytes more; what comes
-// meanwhile stays with its sender.
+// waitForMemory counts n more bytes in the request's account, and waits up to maxMemoryWait for
+// them to be available. It reports whether they were counted. Nothing is read from the peer
+// meanwhile.
 func (r *request) waitForMemory(share holding.Share, n int64) bool {
 	for waited := time.Duration(0); !r.account.Take(share, n); waited += memoryPollInterval {
 		if waited >= maxMemoryWait || r.req.Context().Err() != nil {
@@ -121,10 +122,10 @@
 	return true
 }
 
-// setReadDeadline bounds reads of the client's connection, which must be without bound again
-// once the body is read: the server watches it for the client's leaving.
+// setReadDeadline sets the deadline for reads of the client's connection. It must be cleared
+// once the body is read, as the server keeps reading to detect a closed connection.
 func (r *request) setReadDeadline(until time.Time) {
 	if err := http.NewResponseController(r.w).SetReadDeadline(until); err != nil {
-		r.logger.Debug("reads of the client's connection are not bounded", zap.Error(err))
+		r.logger.Debug("read deadline of the client's connection not set", zap.Error(err))
 	}
 }
--- a/internal/requests/ingress/codec.go
+++ b/internal/requests/ingress/codec.go
@@ -8,37 +8,37 @@
 	"woodworks/internal/batches/results"
 )
 
-// CallKind says what a call about a batch asks for.
+// CallKind is the operation that a BatchCall requests.
 type CallKind int
 
-// Calls about batches.
+// Operations on batches.
 const (
-	// ReadResults asks for the results from a position on.
+	// ReadResults returns the results from a position on.
 	ReadResults CallKind = iota + 1
-	// ReadItem asks for the body of an item.
+	// ReadItem returns the body of an item.
 	ReadItem
-	// EndBatch ends a batch.
+	// EndBatch ends the batch.
 	EndBatch
 )
 
-// BatchCall is a call about a batch that exists.
+// BatchCall is a client's call about an existing batch.
 type BatchCall struct {
 	Kind    CallKind
 	BatchID string
-	// After is the first position wanted.
+	// After is the position of the first result to return, counted from 0.
 	After int
-	// ItemID names the item wanted.
+	// ItemID is the item to return.
 	ItemID string
-	// Wait is how long the call may be held until there is a result.
+	// Wait is how long the call may wait for a result (long poll).
 	Wait time.Duration
 }
 
-// Codec reads and writes calls as the platform spells them.
+// Codec parses calls and encodes answers in the platform's wire format.
 type Codec interface {
-	// ParseCall recognises a call about a batch. The error names the wrong
-	// field of a call that is one.
+	// ParseCall parses a call about a batch. It returns recognised as false if the request is
+	// not such a call, and an error that names the invalid field if it is an invalid one.
 	ParseCall(request *http.Request) (call BatchCall, recognised bool, err error)
-	// DecodeSubmission reads a batch; the error names the wrong field.
+	// DecodeSubmission decodes a batch. The error names the invalid field.
 	DecodeSubmission(body []byte) (*batch.Submission, error)
 	EncodeResults(page results.Page) ([]byte, error)
 	EncodeError(text string) []byte
--- a/internal/requests/ingress/golden_test.go
+++ b/internal/requests/ingress/golden_test.go
@@ -6,5 +6,5 @@
 	"woodworks/internal/daemon/golden"
 )
 
-// Bodies of answers and of logs tell clients why they were refused.
+// Guards the texts in answers and logs from which clients learn why a request was refused.
 func TestReasonsKeepTheirTexts(t *testing.T) { golden.Literals(t, "texts.literals") }
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -1,11 +1,12 @@
-// Package ingress answers clients: it finds the route of a request and has it forwarded, kept
-// as a batch, or refused with what is certain.
+// Package ingress serves the requests of clients: it finds the route of each request, and
+// forwards the request, accepts it as a batch, or refuses it with a status that tells whether it
+// may have run.
 //
-// The package owns a client's request from its arrival to its final answer: the time it has,
-// the bytes held for it, its answer and its log line. It relies on the configuration in force
-// (route), forward and admission for plain requests and streams, runner and results for
-// batches, holding for memory, shutdown for a planned stop, and refusal for what to answer
-// when there is nothing to pass on.
+// The package owns a client's request from its arrival to its final answer: its timeout, the
+// memory it uses, its answer and its log line. It relies on route for the configuration in force,
+// on forward and admission for plain requests and streams, on runner and results for batches, on
+// holding for the memory budget, on shutdown for planned stops, and on refusal for the status of
+// requests that get no other answer.
 //
 // # Usage
 //
@@ -32,62 +33,64 @@
 	"woodworks/internal/requests/route"
 )
 
-// RetryPolicy decides on attempts at further replicas, beyond what forward.AttemptState allows.
+// RetryPolicy decides on attempts at further replicas, in addition to forward.AttemptState.
 type RetryPolicy interface {
-	// RequestStarted is told of each request.
+	// RequestStarted is called once for each plain request, before its first attempt.
 	RequestStarted(rt *route.Route)
-	// MayRetry reports whether a request may have another attempt after some.
+	// MayRetry reports whether a request may have another attempt after this many. It may
+	// consume a retry budget.
 	MayRetry(rt *route.Route, attempts int) bool
 }
 
-// NoRetryPolicy is the Retries of a platform without policies: it adds no bound.
+// NoRetryPolicy is a RetryPolicy that allows every retry.
 type NoRetryPolicy struct{}
 
-// RequestStarted implements Retries.
+// RequestStarted implements RetryPolicy.
 func (NoRetryPolicy) RequestStarted(*route.Route) {}
 
-// MayRetry implements Retries.
+// MayRetry implements RetryPolicy.
 func (NoRetryPolicy) MayRetry(*route.Route, int) bool { return true }
 
-// Handler answers the requests of clients. It is safe for concurrent use.
+// Handler serves the requests of clients. It is safe for concurrent use.
 type Handler struct {
 	Names headers.Names
 	Codec Codec
-	// Configuration returns the one in force, nil before the first.
+	// Configuration returns the configuration in force, or nil before the first one is read.
 	Configuration func() *route.Configuration
-	// ConfigurationAge is how long ago it was last confirmed that the configuration is
+	// ConfigurationAge returns the time since the configuration was last confirmed to be
 	// the newest.
 	ConfigurationAge func() time.Duration
-	// Keys says how long keys are trusted without news of the configuration.
+	// Keys bounds the age of the configuration at which API keys are checked against it.
 	Keys KeyPolicy
 	// Forwarder sends plain requests and streams to replicas.
 	Forwarder *forward.Forwarder
 	Runner    *runner.Runner
 	Results   *results.Reader
-	// OnRun is told of each request of a tenant that a replica ran or may have run, with when
-	// it was sent there.
+	// OnRun is called for each attempt of a tenant's request that ran or may have run at a
+	// replica, with the time at which it was sent.
 	OnRun func(tenant string, sentAt time.Time)
-	// Observe is told of each final answer and how long it took.
+	// Observe is called with each final answer and the time it took.
 	Observe func(route, status, outcome string, took time.Duration)
 	Logger  *zap.Logger
-	// Clock is the clock by which clients wait.
+	// Clock measures the time that clients have waited, including time suspended.
 	Clock bootclock.Clock
-	// Retries bounds attempts at further replicas.
+	// Retries decides on attempts at further replicas.
 	Retries RetryPolicy
-	// Admission decides which plain requests wait or are refused while a service is full.
+	// Admission decides whether plain requests are sent, wait or are refused while a service
+	// is full.
 	Admission *admission.Controller
 	// Stop is the planned stop of the daemon.
 	Stop *shutdown.Stop
-	// MemoryBudget bounds what is held on behalf of clients.
+	// MemoryBudget bounds the memory held for clients.
 	MemoryBudget *holding.Budget
-	// WriteTimeout is how long what is written may stay unread: with some seconds a client that
-	// was paused, or whose network lost some packets, is not cut off.
+	// WriteTimeout is how long a client may take to read each written chunk. A few seconds
+	// tolerate a paused client or lost packets.
 	WriteTimeout time.Duration
 
 	inFlight atomic.Int64
 }
 
-// InFlight is how many requests are being answered.
+// InFlight returns the number of requests being served.
 func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -107,7 +110,7 @@
 	r.serve(cfg)
 }
 
-// serve finds what the request is for and answers it.
+// serve finds the route of the request and answers it by the route's kind.
 func (r *request) serve(cfg *route.Configuration) {
 	path, _, _ := strings.Cut(r.req.RequestURI, "?")
 	rt, ok := cfg.Find(r.req.Host, path)
@@ -136,7 +139,7 @@
 	}
 }
 
-// serveWithoutRoute answers a call about a batch, or refuses a path that no route has.
+// serveWithoutRoute answers a call about a batch, or refuses a path that has no route.
 func (r *request) serveWithoutRoute(cfg *route.Configuration, path string) {
 	call, ok, err := r.handler.Codec.ParseCall(r.req)
 	switch {
--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -12,23 +12,23 @@
 	"woodworks/internal/requests/route"
 )
 
-// KeyPolicy says how far a configuration of some age is trusted about keys. Zero values
-// mean without bound.
+// KeyPolicy bounds the age of the configuration, counted from when it was last confirmed, at
+// which it decides on API keys. A bound of zero means none.
 type KeyPolicy struct {
-	// AcceptMaxAge is how long after the configuration was last confirmed a key that it
-	// has is still taken. Beyond it the key may have been withdrawn.
+	// AcceptMaxAge is the greatest age at which a key in the configuration is accepted.
+	// Beyond it the key may have been withdrawn.
 	AcceptMaxAge time.Duration
-	// RejectMaxAge is how long after the configuration was last confirmed a key that it does
-	// not have is refused for good. Beyond it the key may have been added.
+	// RejectMaxAge is the greatest age at which a key that is not in the configuration is
+	// rejected as invalid. Beyond it the key may have been added.
 	RejectMaxAge time.Duration
 }
 
-// exceeded reports whether an age is beyond a bound, 0 being none.
+// exceeded reports whether age is greater than bound. A bound of 0 is never exceeded.
 func exceeded(age, bound time.Duration) bool { return bound > 0 && age > bound }
 
-// authenticate finds the tenant of a request by its key, or answers why it has none: 401
-// if the key is certainly not valid, 503 if this daemon has lost contact for too long to
-// know, so that the caller asks another one.
+// authenticate sets the request's tenant by its API key, or refuses the request and returns
+// false. It answers 401 if the key is certainly invalid, and 503 if the configuration is too old
+// to decide, so that the caller tries another daemon.
 func (r *request) authenticate(cfg *route.Configuration) bool {
 	if cfg.Tenants == nil {
 		return true
@@ -57,9 +57,9 @@
 	return false
 }
 
-// authenticateCall finds the tenant of a call about a batch. A call needs no key where
-// batches may be submitted without one; a key that is sent counts all the same, as a host
-// may have batches of both kinds.
+// authenticateCall authenticates a call about a batch. No key is needed if the host accepts
+// batches without one; a key that is sent is checked all the same, as a host may have batches
+// with and without tenants.
 func (r *request) authenticateCall(cfg *route.Configuration) bool {
 	_, sent := apikey.FromHeader(r.req.Header)
 	if !sent && cfg.AnonymousBatches(r.req.Host) {
@@ -68,7 +68,7 @@
 	return r.authenticate(cfg)
 }
 
-// tenantName returns the name of the request's tenant, "" if it has none.
+// tenantName returns the name of the request's tenant, or "" if it has none.
 func (r *request) tenantName() string {
 	if r.tenant == nil {
 		return ""
@@ -76,8 +76,8 @@
 	return r.tenant.Name
 }
 
-// outgoingRequest returns the request as it goes to a replica. Where there are tenants, the replica
-// sees the tenant in place of the key.
+// outgoingRequest returns the request as it is sent to a replica. If the configuration has
+// tenants, the API key is replaced by the tenant's name.
 func (r *request) outgoingRequest(cfg *route.Configuration, body []byte) forward.Request {
 	header := headers.CopyEndToEnd(r.req.Header)
 	if cfg.Tenants != nil {
--- a/internal/requests/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -17,7 +17,7 @@
 	"woodworks/internal/requests/route"
 )
 
-// plainCodec knows no calls about batches.
+// plainCodec is a Codec without calls about batches.
 type plainCodec struct{}
 
 func (plainCodec) ParseCall(*http.Request) (BatchCall, bool, error) { return BatchCall{}, false, nil }
@@ -27,11 +27,11 @@
 func (plainCodec) EncodeResults(results.Page) ([]byte, error) { return nil, http.ErrNotSupported }
 func (plainCodec) EncodeError(text string) []byte             { return []byte(text) }
 
-// ignoreAnswer counts nothing.
+// ignoreAnswer is a Handler.Observe that does nothing.
 func ignoreAnswer(string, string, string, time.Duration) {}
 
-// authenticateKey has a request of a key judged by a daemon whose configuration was confirmed a
-// while ago. It returns the status, 0 for a request that may go on, and the logs.
+// authenticateKey authenticates a request at a daemon whose configuration was last confirmed age
+// ago. It returns the request, the status it was refused with or 0, and the logs.
 func authenticateKey(t *testing.T, authorization string, age time.Duration, policy KeyPolicy) (*request, int, *observer.ObservedLogs) {
 	t.Helper()
 	core, logs := observer.New(zap.InfoLevel)
@@ -53,15 +53,14 @@
 	if r.authenticate(cfg) {
 		header := r.outgoingRequest(cfg, nil).Header
 		if header.Get("Authorization") != "" || header.Get("X-Tenant") != r.tenantName() {
-			t.Fatalf("header onward: %v", header)
+			t.Fatalf("outgoing header: %v", header)
 		}
 		return r, 0, logs
 	}
 	return r, recorder.Code, logs
 }
 
-// What a key is worth follows from what the configuration says of it and from how long
-// ago that was confirmed.
+// A key is only accepted or rejected with a 401 if the configuration is recent enough.
 func TestKeyDecisionsDependOnTheConfigurationsAge(t *testing.T) {
 	strict := KeyPolicy{AcceptMaxAge: 5 * time.Second, RejectMaxAge: 4 * time.Second}
 	open := KeyPolicy{RejectMaxAge: 4 * time.Second}
@@ -78,17 +77,17 @@
 		"unknown":                                {"Bearer other-key", time.Second, strict, http.StatusUnauthorized},
 		"unknown, may have been added":           {"Bearer other-key", 6 * time.Second, open, http.StatusServiceUnavailable},
 		"none":                                   {"", time.Second, strict, http.StatusUnauthorized},
-		"none, out of contact: none is none":     {"", time.Hour, strict, http.StatusUnauthorized},
+		"none, out of contact":                   {"", time.Hour, strict, http.StatusUnauthorized},
 		"another scheme":                         {"Basic valid-key", time.Second, strict, http.StatusUnauthorized},
 		"a part of a valid key":                  {"Bearer valid-ke", time.Second, strict, http.StatusUnauthorized},
 		"a valid key and more":                   {"Bearer valid-key2", time.Second, strict, http.StatusUnauthorized},
 		"valid, scheme in other case, confirmed": {"bearer valid-key", 0, strict, 0},
 	}
-	for name, one := range cases {
+	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r, status, logs := authenticateKey(t, one.authorization, one.age, one.policy)
-			is.Equal(status, one.status)
+			r, status, logs := authenticateKey(t, c.authorization, c.age, c.policy)
+			is.Equal(status, c.status)
 			if status == 0 {
 				is.Equal(r.tenantName(), "a")
 				return
@@ -97,7 +96,7 @@
 			is.Equal(logs.FilterMessage("key refused").Len(), 1)
 			for _, entry := range logs.All() {
 				for _, value := range entry.ContextMap() {
-					is.True(value != "valid-key") // keys never stand in logs
+					is.True(value != "valid-key") // keys must not be logged
 					is.True(value != "other-key")
 				}
 			}
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/memory_test.go
@@ -28,7 +28,7 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// smallBufferListener is a listener whose connections hold little in the system's buffers.
+// smallBufferListener accepts connections with a small send buffer in the kernel.
 type smallBufferListener struct{ net.Listener }
 
 func (l smallBufferListener) Accept() (net.Conn, error) {
@@ -48,23 +48,24 @@
 	return server
 }
 
-// outcomes hands out how requests ended.
+// outcomes receives the outcome of each request.
 type outcomes chan string
 
 func (o outcomes) observe(_, _, outcome string, _ time.Duration) { o <- outcome }
 
-// slowClientTest is a daemon with a replica whose clients read as they like.
+// slowClientTest is a daemon with one replica, for tests that decide when a client reads.
 type slowClientTest struct {
 	*testing.T
 	handler  *Handler
 	outcomes outcomes
 	daemon   *httptest.Server
-	// started counts the requests that the replica has begun, answered those it has answered.
+	// started receives a value per request that the replica has started, answered one per
+	// request that it has answered.
 	started, answered chan struct{}
 }
 
-// newSlowClientTest starts a daemon that may hold some bytes, 0 being no bound, and its replica.
-func newSlowClientTest(t *testing.T, kind route.Kind, most int64, answer http.HandlerFunc) *slowClientTest {
+// newSlowClientTest starts a replica and a daemon with a memory budget in bytes, 0 for none.
+func newSlowClientTest(t *testing.T, kind route.Kind, budget int64, answer http.HandlerFunc) *slowClientTest {
 	t.Helper()
 	s := &slowClientTest{T: t, outcomes: make(outcomes, 1000), started: make(chan struct{}, 1000), answered: make(chan struct{}, 1000)}
 	server := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -80,20 +81,20 @@
 	is.New(t).NoErr(err)
 	s.handler = newTestHandler(time.Now)
 	s.handler.Names, s.handler.Observe, s.handler.Configuration = names, s.outcomes.observe, func() *route.Configuration { return cfg }
-	s.handler.MemoryBudget = holding.New(holding.LimitsOf(most))
+	s.handler.MemoryBudget = holding.New(holding.LimitsOf(budget))
 	setForwarder(s.handler, &forward.Forwarder{MaxOpen: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: 10 * time.Second}), Table: table, Names: names,
 		Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
 	s.daemon = serve(t, s.handler)
 	return s
 }
 
-// client is one that reads what the test reads.
+// client is a client that only reads when the test does.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// send sends a request, and reads nothing.
+// send sends a request and reads nothing.
 func (s *slowClientTest) send(target, body string) *client {
 	s.Helper()
 	dialer := net.Dialer{}
@@ -110,7 +111,7 @@
 	return &client{conn, bufio.NewReader(conn)}
 }
 
-// readAnswer reads the answer to its end.
+// readAnswer reads the whole answer.
 func (c *client) readAnswer() (status int, header http.Header, body []byte, err error) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -122,7 +123,7 @@
 
 const kib = 1 << 10
 
-// uniqueText is a text in which no part is like another.
+// uniqueText returns a text without repetitions, in which lost or repeated parts show.
 func uniqueText(length int) []byte {
 	var text bytes.Buffer
 	for i := 0; text.Len() < length; i++ {
@@ -131,9 +132,8 @@
 	return text.Bytes()[:length]
 }
 
-// Each answer that a client did not read was held whole. A daemon with 64 MB holds no more
-// than its part of them, serves those that are prompt, and every client that reads in the
-// end has its whole answer.
+// Guards against slow clients that use up the memory budget: fast clients must still be served,
+// and slow ones must receive their whole answers in the end.
 func TestSlowClientsLeaveMemoryForFastOnes(t *testing.T) {
 	is := is.New(t)
 	const memory, clients, length = 64 << 20, 60, 900 * kib
@@ -146,9 +146,9 @@
 		}
 		_, _ = w.Write(small)
 	})
-	var lazy []*client
+	var slow []*client
 	for range clients {
-		lazy = append(lazy, s.send("/big", ""))
+		slow = append(slow, s.send("/big", ""))
 		<-s.started
 	}
 	for s.handler.MemoryBudget.Held(holding.Answers) < limits.Of[holding.Answers]-length {
@@ -160,7 +160,7 @@
 		is.Equal(status, http.StatusOK)
 		is.True(bytes.Equal(body, small))
 	}
-	for _, each := range lazy {
+	for _, each := range slow {
 		status, _, body, err := each.readAnswer()
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
@@ -173,21 +173,21 @@
 	}
 }
 
-// A replica gives up an answer that is not read for some seconds. It is read as fast as it
-// comes, also where the client reads nothing meanwhile.
+// Guards against an answer that stays with its replica, which aborts answers that are not read
+// for some seconds, because the client reads nothing.
 func TestALongAnswerIsReadAheadOfASlowClient(t *testing.T) {
 	is := is.New(t)
 	long := uniqueText(14 << 20)
 	s := newSlowClientTest(t, route.Unsafe, 64<<20, func(w http.ResponseWriter, r *http.Request) { _, _ = w.Write(long) })
-	lazy := s.send("/", "")
+	slow := s.send("/", "")
 	<-s.answered
-	status, _, body, err := lazy.readAnswer()
+	status, _, body, err := slow.readAnswer()
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 	is.True(bytes.Equal(body, long))
 }
 
-// Where all is held, a request is turned away at once, and has not run.
+// A request must be refused before it is sent if the budget has no memory for it.
 func TestARequestIsRefusedWithoutFreeMemory(t *testing.T) {
 	is := is.New(t)
 	s := newSlowClientTest(t, route.Unsafe, 100*kib, func(http.ResponseWriter, *http.Request) {})
@@ -203,17 +203,17 @@
 	is.Equal(len(s.started), 0)
 }
 
-// A body for which there is no room stays with its client for a moment. If there is none
-// then it is refused, and has not run; a body that can never fit is refused at once.
+// A body waits up to maxMemoryWait for memory and is then refused. A body that exceeds the whole
+// budget is refused at once.
 func TestABodyWaitsForMemory(t *testing.T) {
 	for _, c := range []struct {
-		name           string
-		length, status int
-		frees, took    time.Duration
+		name                string
+		length, status      int
+		releasedAfter, wait time.Duration
 	}{
-		{"room comes", 50 * kib, 0, 95 * time.Millisecond, 100 * time.Millisecond},
-		{"none comes", 50 * kib, http.StatusServiceUnavailable, time.Minute, maxMemoryWait},
-		{"never fits", 80 * kib, http.StatusServiceUnavailable, time.Minute, 0},
+		{"memory is released", 50 * kib, 0, 95 * time.Millisecond, 100 * time.Millisecond},
+		{"none is released", 50 * kib, http.StatusServiceUnavailable, time.Minute, maxMemoryWait},
+		{"exceeds the budget", 80 * kib, http.StatusServiceUnavailable, time.Minute, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -222,13 +222,13 @@
 				r.handler.MemoryBudget = holding.New(holding.LimitsOf(100 * kib))
 				other, _ := r.handler.MemoryBudget.Begin(0)
 				is.True(other.Take(holding.Bodies, 60*kib))
-				time.AfterFunc(c.frees, other.End)
+				time.AfterFunc(c.releasedAfter, other.End)
 				r.account, _ = r.handler.MemoryBudget.Begin(0)
 				text := uniqueText(c.length)
 				r.req.Body, r.req.ContentLength = io.NopCloser(bytes.NewReader(text)), int64(len(text))
 				began := time.Now()
 				body, ok := r.readBody(kib * kib)
-				is.Equal(time.Since(began), c.took)
+				is.Equal(time.Since(began), c.wait)
 				is.Equal(ok, c.status == 0)
 				is.True(!ok || bytes.Equal(body, text))
 				is.True(ok || recorder.Code == c.status && recorder.Header().Get("Retry-After") != "")
@@ -237,8 +237,8 @@
 	}
 }
 
-// A stream that its client does not read was held, with its replica, for as long as the
-// client liked. It ends as broken, never as complete, and no other replica is asked.
+// Guards against a client that reads nothing and so occupies a replica indefinitely. Its stream
+// must be aborted, not ended regularly, and must not be tried at another replica.
 func TestAnUnreadStreamIsAborted(t *testing.T) {
 	is := is.New(t)
 	s := newSlowClientTest(t, route.Stream, 0, func(w http.ResponseWriter, r *http.Request) {
@@ -250,16 +250,16 @@
 		}
 	})
 	s.handler.WriteTimeout = 100 * time.Millisecond
-	lazy := s.send("/", "")
+	slow := s.send("/", "")
 	is.Equal(<-s.outcomes, "broken off")
-	_, _, body, err := lazy.readAnswer()
+	_, _, body, err := slow.readAnswer()
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	is.True(len(body) > 0)
 	<-s.answered
 	is.Equal(len(s.started), 1)
 }
 
-// Results that nobody reads were held likewise.
+// Guards against pages of results that stay in memory because their client reads nothing.
 func TestAnUnreadPageIsAborted(t *testing.T) {
 	is := is.New(t)
 	s := newSlowClientTest(t, route.Unsafe, 64<<20, nil)
@@ -270,9 +270,9 @@
 		asked := &request{handler: s.handler, w: w, req: r, logger: zap.NewNop(), arrived: time.Now(), account: account}
 		asked.writePage(page)
 	}))
-	lazy := s.send("/", "")
+	slow := s.send("/", "")
 	is.Equal(<-s.outcomes, "broken off")
-	_, _, body, err := lazy.readAnswer()
+	_, _, body, err := slow.readAnswer()
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	is.True(len(body) < len(page))
 }
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -11,11 +11,11 @@
 	"woodworks/internal/requests/route"
 )
 
-// maxAdmissions is how often a request is let to the replicas that all decline it. Each time it
-// waits for its turn again, so that it costs the others nothing.
+// maxAdmissions bounds how often a request is admitted after every replica has declined it. It
+// waits for admission again each time, so that it does not delay other requests.
 const maxAdmissions = 3
 
-// servePlain sends a request to a replica and passes the answer on.
+// servePlain sends a request to a replica and relays the answer.
 func (r *request) servePlain(cfg *route.Configuration, body []byte) {
 	ctx, cancel := r.timeoutContext()
 	defer cancel()
@@ -30,7 +30,7 @@
 	r.relayAnswer(answer)
 }
 
-// newCall returns the newCall to a service that the request makes.
+// newCall returns the forwarder's call for the request.
 func (r *request) newCall(cfg *route.Configuration, body []byte) *forward.Call {
 	repeatable := r.route.Kind == route.Safe
 	return &forward.Call{
@@ -41,19 +41,19 @@
 	}
 }
 
-// policyMayRetry reports whether the policies in force allow the request another attempt.
+// policyMayRetry reports whether the retry policy allows the request another attempt.
 func (r *request) policyMayRetry(attempts int) bool {
 	return r.handler.Retries.MayRetry(r.route, attempts)
 }
 
-// sendWhenAdmitted sends a call once it has its turn among the requests of its service. Engines
-// have queues of their own, which batches fill by plan.
+// sendWhenAdmitted sends a call once admission control admits it. Calls to engines skip
+// admission, as engines queue requests themselves and batches plan how full they are.
 func (r *request) sendWhenAdmitted(ctx context.Context, cfg *route.Configuration, call *forward.Call) (*forward.Answer, error) {
 	h, service := r.handler, call.Services[0]
 	if cfg.Services[service].Engine {
 		return h.Forwarder.Do(ctx, call)
 	}
-	for turn := 1; ; turn++ {
+	for admissions := 1; ; admissions++ {
 		ticket, err := h.Admission.Enter(ctx, r.admissionRequest(service))
 		if err != nil {
 			return nil, err
@@ -63,22 +63,22 @@
 		answer, err := h.Forwarder.Do(ctx, call)
 		outcome := admissionOutcome(err, h.Clock().Sub(sentAt))
 		ticket.Done(outcome)
-		if _, full := outcome.(admission.Declined); !full || ctx.Err() != nil {
+		if _, declined := outcome.(admission.Declined); !declined || ctx.Err() != nil {
 			return answer, err
 		}
-		if turn == maxAdmissions {
+		if admissions == maxAdmissions {
 			return nil, h.Admission.Full(r.admissionRequest(service))
 		}
 	}
 }
 
-// admissionRequest is what decides on the request's turn.
+// admissionRequest returns the request's description for admission control.
 func (r *request) admissionRequest(service string) admission.Request {
 	return admission.Request{ID: r.id, Service: service, Tenant: r.tenantName(), Rank: r.tenant.Rank(r.route.Priority),
 		Left: r.timeLeft, Aim: r.route.TargetLatency, Held: r.elapsed()}
 }
 
-// admissionOutcome is what the end of a call tells of the room at the replicas.
+// admissionOutcome converts the result of a call to its outcome for admission control.
 func admissionOutcome(err error, took time.Duration) admission.Outcome {
 	if err == nil {
 		return admission.Answered{Took: took}
--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -9,33 +9,33 @@
 	"woodworks/internal/requests/holding"
 )
 
-// readChunkBytes is how much of an answer is read ahead at a time. The first chunk is held whether
-// there is room or not, and isn't counted.
+// readChunkBytes is the size of a chunk that is read ahead. The first chunk of an answer needs
+// no free memory and is not counted.
 const readChunkBytes = 32 << 10
 
-// maxChunks bounds what is read ahead of one answer, 16 MiB, also where the memory has no
-// bound.
+// maxChunks bounds the chunks read ahead of one answer (16 MiB), also without a memory budget.
 const maxChunks = 512
 
-// readAhead is what has been read of an answer and not been written. A replica gives up an
-// answer that is not read for some seconds, so that it is read as fast as it comes as long
-// as there is room, however slowly the client reads.
+// readAhead buffers the part of an answer that has been read from the replica and not yet
+// written to the client. Replicas abort answers that are not read for some seconds, so an answer
+// is read at the replica's speed while memory allows, even if the client reads slowly.
 //
-// Invariant: there is room for all chunks but the first.
+// Invariant: every buffered chunk but the first is counted in the account.
 type readAhead struct {
 	account *holding.Account
 
 	mu      sync.Mutex
 	changed sync.Cond
 	chunks  [][]byte
-	// counted is for how many chunks room was taken.
+	// counted is the number of chunks that are counted in the account.
 	counted int
-	// ended says that no chunk comes any more, err why; cancelled that none is wanted.
+	// ended means that the source has no more chunks, and err is the error that it ended with.
+	// cancelled means that the writer wants no more chunks.
 	ended, cancelled bool
 	err              error
 }
 
-// read reads the source to its end, or until no more is wanted.
+// read reads the source to its end or until cancel is called.
 func (a *readAhead) read(source io.Reader) {
 	for a.waitForSpace() {
 		chunk := make([]byte, readChunkBytes)
@@ -47,7 +47,7 @@
 	}
 }
 
-// waitForSpace waits until a further chunk may be read, and reports false if none is wanted.
+// waitForSpace waits until another chunk may be read. It returns false if none is wanted.
 func (a *readAhead) waitForSpace() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -59,12 +59,12 @@
 			a.counted++
 			return true
 		}
-		a.changed.Wait() // until the client has taken a chunk
+		a.changed.Wait() // woken when a chunk is dropped or the reading is cancelled
 	}
 	return false
 }
 
-// put adds what was read.
+// put appends a chunk, and records err as the end of the source if it is not nil.
 func (a *readAhead) put(chunk []byte, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -75,7 +75,8 @@
 	a.changed.Broadcast()
 }
 
-// next returns the next chunk to write, or why there is none.
+// next waits for the first chunk and returns it, or the error that the source ended with. The
+// chunk stays buffered until dropFirst.
 func (a *readAhead) next() ([]byte, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -88,7 +89,7 @@
 	return a.chunks[0], nil
 }
 
-// dropFirst drops the chunk that next returned.
+// dropFirst removes the chunk that next returned.
 func (a *readAhead) dropFirst() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -101,7 +102,7 @@
 	a.changed.Broadcast()
 }
 
-// cancel says that no further chunk is wanted.
+// cancel stops the reading ahead. A read that is under way continues.
 func (a *readAhead) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -109,7 +110,7 @@
 	a.changed.Broadcast()
 }
 
-// writeAnswerBody writes an answer to the client, and reads ahead what is still to come of it.
+// writeAnswerBody writes the body of an answer to the client while it reads the rest ahead.
 func (r *request) writeAnswerBody(answer *forward.Answer) error {
 	if answer.Rest == nil {
 		_, err := r.w.Write(answer.Body)
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -27,7 +27,7 @@
 	"woodworks/internal/requests/route"
 )
 
-// tenantConfiguration is a configuration without routes whose tenant has one key.
+// tenantConfiguration returns a configuration without routes and with one tenant and key.
 func tenantConfiguration(t *testing.T) *route.Configuration {
 	t.Helper()
 	directory, err := tenant.NewDirectory([]tenant.Declared{{Name: "a", Keys: []string{"valid-key"}}})
@@ -41,7 +41,7 @@
 	return cfg
 }
 
-// interruptedContext is a context that the end of a planned stop has ended.
+// interruptedContext returns a context that the end of a planned stop has cancelled.
 func interruptedContext(t *testing.T) context.Context {
 	stop := newStop()
 	ctx, release := stop.Bound(t.Context())
@@ -51,8 +51,8 @@
 	return ctx
 }
 
-// Each reason for which a client gets no whole answer has one status, one time to return
-// and one outcome. The time left is 24 s, so that a third of it bounds none of the fixed times.
+// Checks the status, Retry-After and outcome of every refusal. The time left is 24 s, of which a
+// third bounds none of the fixed values of Retry-After.
 func TestRefusalStatusAndRetryAfter(t *testing.T) {
 	const left = 24*time.Second + answerMargin
 	notRun := &forward.Failure{Certainty: forward.NotRun, Reason: "nobody"}
@@ -60,32 +60,32 @@
 	quarantined := func(err forward.QuarantinedError) *forward.Failure {
 		return &forward.Failure{Certainty: forward.NotRun, Quarantined: &err}
 	}
-	explain := func(err error) func(*request) { return func(r *request) { r.refusePlain(err) } }
+	refuse := func(err error) func(*request) { return func(r *request) { r.refusePlain(err) } }
 	cases := map[string]struct {
 		answer              func(r *request)
 		interrupted         bool
 		status              int
-		comeBack            string
+		retryAfter          string
 		outcome, body       string
 		quarantined, closes bool
 	}{
 		"no configuration": {answer: func(r *request) {
 			r.handler.Configuration = func() *route.Configuration { return nil }
 			r.handler.ServeHTTP(r.w, r.req)
-		}, status: 503, comeBack: "0.250", outcome: "refused", body: "no configuration is known yet"},
-		"no room to begin": {answer: func(r *request) {
+		}, status: 503, retryAfter: "0.250", outcome: "refused", body: "no configuration is known yet"},
+		"no memory for a request": {answer: func(r *request) {
 			r.handler.MemoryBudget = holding.New(holding.LimitsOf(1))
 			r.handler.ServeHTTP(r.w, r.req)
-		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoMemory.Error(), closes: true},
-		"no room for a page": {answer: func(r *request) {
+		}, status: 503, retryAfter: "1.000", outcome: "refused", body: errNoMemory.Error(), closes: true},
+		"no memory for a page": {answer: func(r *request) {
 			r.account, _ = holding.New(holding.LimitsOf(64 << 10)).Begin(1)
 			r.writePage(make([]byte, 1<<20))
-		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoMemory.Error()},
-		"no room for a body": {answer: func(r *request) {
+		}, status: 503, retryAfter: "1.000", outcome: "refused", body: errNoMemory.Error()},
+		"no memory for a body": {answer: func(r *request) {
 			r.handler.MemoryBudget = holding.New(holding.LimitsOf(64 << 10))
 			r.req = httptest.NewRequest(http.MethodPost, "/x", strings.NewReader(strings.Repeat("x", 1<<20)))
 			r.readBody(2 << 20)
-		}, status: 503, comeBack: "1.000", outcome: "refused", body: "a body of that length: " + errNoMemory.Error(), closes: true},
+		}, status: 503, retryAfter: "1.000", outcome: "refused", body: "a body of that length: " + errNoMemory.Error(), closes: true},
 		"body too large": {answer: func(r *request) {
 			r.req = httptest.NewRequest(http.MethodPost, "/x", strings.NewReader("body"))
 			r.readBody(1)
@@ -96,55 +96,55 @@
 			r.req.Header.Set("Authorization", "Bearer valid-key")
 			r.handler.ConfigurationAge = func() time.Duration { return time.Hour }
 			r.authenticate(tenantConfiguration(t))
-		}, status: 503, comeBack: "0.400", outcome: "refused", body: "the key may have been withdrawn"},
+		}, status: 503, retryAfter: "0.400", outcome: "refused", body: "the key may have been withdrawn"},
 		"a key that may be new": {answer: func(r *request) {
 			r.req.Header.Set("Authorization", "Bearer other-key")
 			r.handler.ConfigurationAge = func() time.Duration { return time.Hour }
 			r.authenticate(tenantConfiguration(t))
-		}, status: 503, comeBack: "0.400", outcome: "refused", body: "the key may have been added"},
-		"too late in a stop": {answer: func(r *request) {
+		}, status: 503, retryAfter: "0.400", outcome: "refused", body: "the key may have been added"},
+		"does not fit before a stop": {answer: func(r *request) {
 			r.handler.Stop = newStop()
 			r.handler.Stop.Begin(8 * time.Second)
 			time.Sleep(4 * time.Second)
 			r.fitsBeforeStop()
-		}, status: 503, comeBack: "0.050", outcome: "refused", body: shutdown.ErrInterrupted.Error()},
-		"batch: wrong method":  {answer: func(r *request) { r.req.Method = http.MethodPut; r.serveSubmission(nil) }, status: 405, outcome: "malformed", body: "batches are submitted by POST"},
-		"batch: malformed":     {answer: func(r *request) { r.serveSubmission(nil) }, status: 400, outcome: "malformed", body: http.ErrNotSupported.Error()},
-		"batch: not kept":      {answer: func(r *request) { r.refuseUnrecorded(runner.ErrNotDone) }, status: 503, comeBack: "0.400", outcome: "refused", body: runner.ErrNotDone.Error()},
-		"batch: stopping":      {answer: func(r *request) { r.refuseUnrecorded(runner.ErrStopping) }, status: 503, comeBack: "0.050", outcome: "refused", body: runner.ErrStopping.Error()},
-		"batch: maybe kept":    {answer: func(r *request) { r.refuseUnrecorded(runner.ErrUnknown) }, status: 504, outcome: "unknown", body: runner.ErrUnknown.Error()},
-		"not sent":             {answer: explain(notRun), status: 503, comeBack: "0.250", outcome: "refused", body: "nobody"},
-		"not sent, stopping":   {answer: explain(notRun), interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "nobody"},
-		"maybe run":            {answer: explain(mayHaveRun), status: 502, outcome: "failed", body: "lost"},
-		"maybe run, stopping":  {answer: explain(mayHaveRun), interrupted: true, status: 502, outcome: "interrupted", body: shutdown.ErrInterrupted.Error()},
-		"maybe run, time up":   {answer: func(r *request) { time.Sleep(left); r.refusePlain(mayHaveRun) }, status: 504, outcome: "timed out", body: "lost"},
-		"an error of its own":  {answer: explain(errors.New("odd")), status: 502, outcome: "failed", body: "odd"},
-		"full":                 {answer: explain(&admission.Refused{Reason: admission.NoTime, ComeBack: 3 * time.Second}), status: 503, comeBack: "3.000", outcome: "refused", body: "admission: no turn in time"},
-		"full, beyond a third": {answer: explain(&admission.Refused{Reason: admission.TooMany, ComeBack: 9 * time.Second}), status: 503, comeBack: "8.000", outcome: "refused", body: "admission: too many wait"},
-		"full, stopping":       {answer: explain(&admission.Refused{Reason: admission.Ended, ComeBack: 3 * time.Second}), interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "admission: its wait has ended"},
-		"quarantined": {answer: explain(quarantined(forward.QuarantinedError{Ended: 3, RetryAfter: time.Minute, Final: true})), status: 503, comeBack: "60.000",
+		}, status: 503, retryAfter: "0.050", outcome: "refused", body: shutdown.ErrInterrupted.Error()},
+		"batch: wrong method":   {answer: func(r *request) { r.req.Method = http.MethodPut; r.serveSubmission(nil) }, status: 405, outcome: "malformed", body: "batches are submitted by POST"},
+		"batch: malformed":      {answer: func(r *request) { r.serveSubmission(nil) }, status: 400, outcome: "malformed", body: http.ErrNotSupported.Error()},
+		"batch: not accepted":   {answer: func(r *request) { r.refuseUnrecorded(runner.ErrNotDone) }, status: 503, retryAfter: "0.400", outcome: "refused", body: runner.ErrNotDone.Error()},
+		"batch: stopping":       {answer: func(r *request) { r.refuseUnrecorded(runner.ErrStopping) }, status: 503, retryAfter: "0.050", outcome: "refused", body: runner.ErrStopping.Error()},
+		"batch: maybe accepted": {answer: func(r *request) { r.refuseUnrecorded(runner.ErrUnknown) }, status: 504, outcome: "unknown", body: runner.ErrUnknown.Error()},
+		"not sent":              {answer: refuse(notRun), status: 503, retryAfter: "0.250", outcome: "refused", body: "nobody"},
+		"not sent, stopping":    {answer: refuse(notRun), interrupted: true, status: 503, retryAfter: "0.050", outcome: "refused", body: "nobody"},
+		"maybe run":             {answer: refuse(mayHaveRun), status: 502, outcome: "failed", body: "lost"},
+		"maybe run, stopping":   {answer: refuse(mayHaveRun), interrupted: true, status: 502, outcome: "interrupted", body: shutdown.ErrInterrupted.Error()},
+		"maybe run, time up":    {answer: func(r *request) { time.Sleep(left); r.refusePlain(mayHaveRun) }, status: 504, outcome: "timed out", body: "lost"},
+		"another error":         {answer: refuse(errors.New("odd")), status: 502, outcome: "failed", body: "odd"},
+		"full":                  {answer: refuse(&admission.Refused{Reason: admission.NoTime, ComeBack: 3 * time.Second}), status: 503, retryAfter: "3.000", outcome: "refused", body: "admission: no turn in time"},
+		"full, beyond a third":  {answer: refuse(&admission.Refused{Reason: admission.TooMany, ComeBack: 9 * time.Second}), status: 503, retryAfter: "8.000", outcome: "refused", body: "admission: too many wait"},
+		"full, stopping":        {answer: refuse(&admission.Refused{Reason: admission.Ended, ComeBack: 3 * time.Second}), interrupted: true, status: 503, retryAfter: "0.050", outcome: "refused", body: "admission: its wait has ended"},
+		"quarantined": {answer: refuse(quarantined(forward.QuarantinedError{Ended: 3, RetryAfter: time.Minute, Final: true})), status: 503, retryAfter: "60.000",
 			outcome: "quarantined", body: "forward: 3 replicas ended while they ran this content; it is refused until an operator lifts that", quarantined: true},
-		"quarantined, stopping": {answer: explain(quarantined(forward.QuarantinedError{RetryAfter: 100 * time.Millisecond, Elsewhere: true})), interrupted: true, status: 503,
-			comeBack: "0.100", outcome: "quarantined", body: "forward: another suspect runs at the replica", quarantined: true},
-		"stream: not sent":           {answer: func(r *request) { (&streamRelay{request: r}).giveUp() }, status: 503, comeBack: "0.250", outcome: "refused", body: "no replica"},
-		"stream: not sent, stop":     {answer: func(r *request) { (&streamRelay{request: r}).giveUp() }, interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "no replica"},
+		"quarantined, stopping": {answer: refuse(quarantined(forward.QuarantinedError{RetryAfter: 100 * time.Millisecond, Elsewhere: true})), interrupted: true, status: 503,
+			retryAfter: "0.100", outcome: "quarantined", body: "forward: another suspect runs at the replica", quarantined: true},
+		"stream: not sent":           {answer: func(r *request) { (&streamRelay{request: r}).giveUp() }, status: 503, retryAfter: "0.250", outcome: "refused", body: "no replica"},
+		"stream: not sent, stop":     {answer: func(r *request) { (&streamRelay{request: r}).giveUp() }, interrupted: true, status: 503, retryAfter: "0.050", outcome: "refused", body: "no replica"},
 		"stream: maybe run":          {answer: func(r *request) { (&streamRelay{request: r, mayHaveRun: 1, lastErr: errors.New("lost")}).giveUp() }, status: 502, outcome: "failed", body: "lost"},
 		"stream: maybe run, stop":    {answer: func(r *request) { (&streamRelay{request: r, mayHaveRun: 1}).giveUp() }, interrupted: true, status: 502, outcome: "interrupted", body: shutdown.ErrInterrupted.Error()},
 		"stream: maybe run, no time": {answer: func(r *request) { time.Sleep(left); (&streamRelay{request: r, mayHaveRun: 1}).giveUp() }, status: 504, outcome: "timed out", body: "no replica"},
 		"stream: quarantined": {answer: func(r *request) {
 			(&streamRelay{request: r, quarantined: &forward.QuarantinedError{RetryAfter: time.Second}}).giveUp()
 		}, status: 503,
-			comeBack: "1.000", outcome: "quarantined", body: "forward: 0 replicas ended while they ran this content; it may run alone later", quarantined: true},
+			retryAfter: "1.000", outcome: "quarantined", body: "forward: 0 replicas ended while they ran this content; it may run alone later", quarantined: true},
 		"results: no answer": {answer: func(r *request) {
 			r.handler.Results = unreadableResults(r.req.Context())
 			r.serveCall(BatchCall{Kind: ReadResults, BatchID: "b"})
 		}, status: 503,
-			comeBack: "0.400", outcome: "refused"},
+			retryAfter: "0.400", outcome: "refused"},
 		"item: no answer": {answer: func(r *request) {
 			r.handler.Results = unreadableResults(r.req.Context())
 			r.serveCall(BatchCall{Kind: ReadItem, BatchID: "b"})
 		}, status: 503,
-			comeBack: "0.400", outcome: "refused"},
+			retryAfter: "0.400", outcome: "refused"},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -155,15 +155,15 @@
 					ctx = interruptedContext(t)
 				}
 				r, recorder := newTestRequest(ctx, newStop(), route.Safe, left)
-				outcome := "" // that of the last request
+				outcome := "" // of the last request
 				r.req.Header.Set("Deadline", "24025")
 				r.handler.Names, r.handler.Logger = headers.Names{Quarantined: "Quarantined", DeadlineMs: "Deadline"}, zap.NewNop()
-				r.handler.Observe = func(_, _, told string, _ time.Duration) { outcome = told }
+				r.handler.Observe = func(_, _, got string, _ time.Duration) { outcome = got }
 				r.handler.ConfigurationAge = func() time.Duration { return 0 }
 				r.handler.Keys = KeyPolicy{AcceptMaxAge: time.Second, RejectMaxAge: time.Second}
 				one.answer(r)
 				is.Equal(recorder.Code, one.status)
-				is.Equal(recorder.Header().Get("Retry-After"), one.comeBack)
+				is.Equal(recorder.Header().Get("Retry-After"), one.retryAfter)
 				is.Equal(outcome, one.outcome)
 				is.Equal(recorder.Header().Get("Quarantined") != "", one.quarantined)
 				is.Equal(recorder.Header().Get("Connection") == "close", one.closes)
@@ -175,7 +175,7 @@
 	}
 }
 
-// unreadableResults is a reader of batches before a journal that answers nothing.
+// unreadableResults returns a results reader whose journal refuses every call.
 func unreadableResults(ctx context.Context) *results.Reader {
 	log := journaltest.New()
 	log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
--- a/internal/requests/ingress/refuse.go
+++ b/internal/requests/ingress/refuse.go
@@ -14,19 +14,19 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// refuse gives an answer of our own that is not a success.
+// refuse answers the request with an error, and with Retry-After if the reason allows a retry.
 func (r *request) refuse(reason refusal.Reason, text string) {
 	if reason.MayReturn() {
-		comeBack := reason.ComeBack(r.timeLeft())
-		r.w.Header().Set("Retry-After", strconv.FormatFloat(comeBack.Seconds(), 'f', 3, 64))
-		r.logger = r.logger.With(zap.Duration("come_back", comeBack))
+		retryAfter := reason.ComeBack(r.timeLeft())
+		r.w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+		r.logger = r.logger.With(zap.Duration("come_back", retryAfter))
 	}
 	r.write(reason.Status, r.handler.Codec.EncodeError(text))
 	r.observe(reason.Status, reason.Name, text)
 }
 
-// refuseQuarantined promises that the request has not run, as replicas have ended under
-// its content.
+// refuseQuarantined refuses a request because replicas ended while they ran its content. The
+// answer guarantees that this request has not run.
 func (r *request) refuseQuarantined(err *forward.QuarantinedError) {
 	if name := r.handler.Names.Quarantined; name != "" {
 		r.w.Header().Set(name, strconv.Itoa(err.Ended))
@@ -34,15 +34,15 @@
 	r.refuse(refusal.Quarantined.In(err.RetryAfter), err.Error())
 }
 
-// refusePlain gives the final answer to a plain request without a replica's answer.
+// refusePlain gives the final answer to a plain request that has no answer from a replica.
 func (r *request) refusePlain(err error) {
 	if r.clientGone() {
 		r.observe(0, "client left", err.Error())
 		panic(http.ErrAbortHandler)
 	}
-	var full *admission.Refused
-	if errors.As(err, &full) {
-		r.refuse(r.unlessStopping(refusal.ServiceFull.In(full.ComeBack)), full.Error())
+	var refused *admission.Refused
+	if errors.As(err, &refused) {
+		r.refuse(r.unlessStopping(refusal.ServiceFull.In(refused.ComeBack)), refused.Error())
 		return
 	}
 	var failure *forward.Failure
@@ -54,8 +54,8 @@
 	r.refuseUnanswered(failure.Certainty == forward.NotRun, failure.Quarantined, failure.Reason)
 }
 
-// refuseUnanswered answers a request that replicas were asked for, with what is certain of it.
-// Quarantined, if not nil, is why it was not sent.
+// refuseUnanswered answers a request that got no whole answer from a replica. The status tells
+// whether it may have run. If quarantined is not nil, it is why the request was not sent.
 func (r *request) refuseUnanswered(notRun bool, quarantined *forward.QuarantinedError, reason string) {
 	switch {
 	case notRun && quarantined != nil:
@@ -71,8 +71,8 @@
 	}
 }
 
-// unlessStopping is the reason for a request that has not run: that of the stop if its end
-// has come, as another daemon takes the request at once.
+// unlessStopping returns the reason to refuse a request that has not run: Stopping if the end of
+// a planned stop interrupted it, as another daemon can take it at once, else the given reason.
 func (r *request) unlessStopping(reason refusal.Reason) refusal.Reason {
 	if r.interrupted() {
 		return refusal.Stopping
--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -20,7 +20,7 @@
 	"woodworks/internal/requests/route"
 )
 
-// retryAfterOf is the Retry-After of an answer.
+// retryAfterOf returns the Retry-After of an answer.
 func retryAfterOf(t *testing.T, header http.Header) time.Duration {
 	t.Helper()
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
@@ -30,10 +30,10 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// A client that is refused late was told to wait for longer than its request had left.
+// Guards against a Retry-After that is longer than the time the request has left.
 func TestRetryAfterIsAtMostAThirdOfTheTimeLeft(t *testing.T) {
 	cases := map[string]struct {
-		timeout, after, told time.Duration
+		timeout, after, retryAfter time.Duration
 	}{
 		"much time left":   {10 * time.Second, 0, refusal.NoReplica.RetryAfter},
 		"little time left": {325 * time.Millisecond, 0, 100 * time.Millisecond},
@@ -48,19 +48,19 @@
 				time.Sleep(one.after)
 				r.refusePlain(&forward.Failure{Certainty: forward.NotRun})
 				is.Equal(recorder.Code, http.StatusServiceUnavailable)
-				is.Equal(retryAfterOf(t, recorder.Header()), one.told)
+				is.Equal(retryAfterOf(t, recorder.Header()), one.retryAfter)
 			})
 		})
 	}
 }
 
-// What became of a submission or an end decides its answer: a refusal promises that it has
-// not happened, and nothing else does. A daemon that stops sends its callers to others soon.
+// A submission or the end of a batch is refused with a 503 only if it is certain not to have
+// happened, and a stopping daemon has its callers retry soon.
 func TestRunnerErrorsMapToStatuses(t *testing.T) {
 	cases := map[string]struct {
-		err    error
-		status int
-		told   time.Duration
+		err        error
+		status     int
+		retryAfter time.Duration
 	}{
 		"not done": {errors.Wrap(runner.ErrNotDone, "refused"), http.StatusServiceUnavailable, refusal.StoreSilent.RetryAfter},
 		"stopping": {runner.ErrStopping, http.StatusServiceUnavailable, refusal.Stopping.RetryAfter},
@@ -73,13 +73,13 @@
 			r.refuseUnrecorded(one.err)
 			is.Equal(recorder.Code, one.status)
 			if one.status == http.StatusServiceUnavailable {
-				is.Equal(retryAfterOf(t, recorder.Header()), one.told)
+				is.Equal(retryAfterOf(t, recorder.Header()), one.retryAfter)
 			}
 		})
 	}
 }
 
-// A request whose body never came whole was held for as long as its client liked.
+// Guards against a body that never ends and occupies memory indefinitely.
 func TestReadingABodyIsBoundedByTheTimeout(t *testing.T) {
 	is := is.New(t)
 	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{
@@ -99,5 +99,5 @@
 	is.NoErr(err)
 	defer func() { _ = response.Body.Close() }()
 	is.Equal(response.StatusCode, http.StatusServiceUnavailable)
-	is.True(response.Close) // the rest of the body must not be taken for a request
+	is.True(response.Close) // the rest of the body must not be parsed as a request
 }
--- a/internal/requests/ingress/request.go
+++ b/internal/requests/ingress/request.go
@@ -14,15 +14,14 @@
 )
 
 const (
-	// answerMargin is how long before a request's last moment it gets its
-	// final answer.
+	// answerMargin is how long before its deadline a request gets its final answer.
 	answerMargin = 25 * time.Millisecond
-	// defaultTimeout holds for requests that name no deadline, also where their route's
-	// timeout is longer.
+	// defaultTimeout applies to requests without a deadline, even if their route's timeout is
+	// longer.
 	defaultTimeout = 30 * time.Second
 )
 
-// request is one request of a client on its way.
+// request is the state of a client's request while it is served.
 type request struct {
 	handler *Handler
 	w       http.ResponseWriter
@@ -31,12 +30,12 @@
 	arrived time.Time
 	// route is nil until it is found, and for calls about batches.
 	route *route.Route
-	// tenant is nil where there are no tenants, and on anonymous routes.
+	// tenant is nil if the configuration has no tenants, and on anonymous routes.
 	tenant   *tenant.Tenant
 	logger   *zap.Logger
 	replica  string
 	attempts int
-	// account counts what is held for the request.
+	// account counts the memory held for the request.
 	account *holding.Account
 }
 
@@ -45,10 +44,10 @@
 	return &request{handler: h, w: w, req: req, arrived: h.Clock(), id: id, logger: h.Logger.With(zap.String("request", id))}
 }
 
-// elapsed is how long ago the request came.
+// elapsed returns the time since the request arrived.
 func (r *request) elapsed() time.Duration { return r.handler.Clock().Sub(r.arrived) }
 
-// clientTimeout is how long the client waits, from its request on.
+// clientTimeout returns how long the client waits for its answer, counted from its arrival.
 func (r *request) clientTimeout() time.Duration {
 	if text := r.req.Header.Get(r.handler.Names.DeadlineMs); text != "" {
 		if value, err := strconv.ParseFloat(text, 64); err == nil {
@@ -58,7 +57,7 @@
 	return defaultTimeout
 }
 
-// timeLeft is how long the request may still be held.
+// timeLeft returns how long the request may still take, less answerMargin.
 func (r *request) timeLeft() time.Duration {
 	left := r.clientTimeout()
 	if r.route != nil && r.route.Kind != route.Batch && r.route.Timeout > 0 {
@@ -72,14 +71,14 @@
 	return context.WithTimeout(r.req.Context(), r.timeLeft())
 }
 
-// reportRun has a run of the request counted for its tenant.
+// reportRun calls Handler.OnRun for an attempt if the request has a tenant.
 func (r *request) reportRun(sentAt time.Time) {
 	if r.tenant != nil {
 		r.handler.OnRun(r.tenant.Name, sentAt)
 	}
 }
 
-// observe counts and logs the end of a request.
+// observe reports the final answer of the request to Handler.Observe and logs it.
 func (r *request) observe(status int, outcome, reason string) {
 	name := "none"
 	if r.route != nil {
--- a/internal/requests/ingress/stop.go
+++ b/internal/requests/ingress/stop.go
@@ -11,8 +11,8 @@
 	"woodworks/internal/requests/route"
 )
 
-// fitsBeforeStop reports whether a planned stop leaves the request its time. One that it
-// might interrupt is turned away at once, to a daemon that has the time.
+// fitsBeforeStop reports whether the request is sure to end before a planned stop does. If not,
+// it refuses the request at once, so that the client tries another daemon.
 func (r *request) fitsBeforeStop() bool {
 	left, bounded := r.handler.Stop.Left()
 	needed := r.maxDuration()
@@ -24,7 +24,7 @@
 	return false
 }
 
-// maxDuration is the longest that the request may be held.
+// maxDuration returns the longest time that the request may still take.
 func (r *request) maxDuration() time.Duration {
 	if r.route != nil && r.route.Kind == route.Batch {
 		return runner.SubmitTimeout
@@ -32,9 +32,9 @@
 	return r.timeLeft()
 }
 
-// interrupted reports whether the end of a planned stop keeps the request from its
-// answer. The client is still there, and is told what is certain.
+// interrupted reports whether the end of a planned stop interrupted the request. Its client is
+// still connected and must be answered.
 func (r *request) interrupted() bool { return shutdown.Interrupted(r.req.Context()) }
 
-// clientGone reports whether nobody waits for the answer any more.
+// clientGone reports whether the client has closed its connection.
 func (r *request) clientGone() bool { return r.req.Context().Err() != nil && !r.interrupted() }
--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -19,21 +19,21 @@
 	"woodworks/internal/requests/route"
 )
 
-// newTestHandler is a handler without replicas and routes, that bounds and counts nothing.
+// newTestHandler returns a handler without routes, replicas and limits.
 func newTestHandler(clock bootclock.Clock) *Handler {
 	return &Handler{Clock: clock, Codec: plainCodec{}, Observe: ignoreAnswer, Logger: zap.NewNop(), Stop: newStop(), MemoryBudget: holding.New(holding.LimitsOf(0)),
 		Retries: NoRetryPolicy{}, WriteTimeout: 5 * time.Second}
 }
 
-// setForwarder gives a handler the replicas of a forwarder.
+// setForwarder sets the handler's forwarder, and an admission controller for its replicas.
 func setForwarder(handler *Handler, forwarder *forward.Forwarder) {
 	handler.Forwarder = forwarder
 	handler.Admission = admission.New(admission.Options{Replicas: forwarder.Table.Replicas, Daemons: func() int { return 1 }, Clock: handler.Clock,
 		Observe: func(string, string, time.Duration) {}, Logger: zap.NewNop()})
 }
 
-// newTestRequest returns a request for a route of a daemon that may be stopping, with where its
-// answer goes.
+// newTestRequest returns a request for a route at a daemon with the given stop, and the recorder
+// of its answer.
 func newTestRequest(ctx context.Context, stop *shutdown.Stop, kind route.Kind, timeout time.Duration) (*request, *httptest.ResponseRecorder) {
 	recorder := httptest.NewRecorder()
 	handler := newTestHandler(time.Now)
@@ -44,8 +44,8 @@
 	}, recorder
 }
 
-// A request that came late in a stop was taken whatever its time, and cut at the end of
-// the grace. It is turned away at once if it might not end, and served if it does.
+// Guards against requests that are accepted during a planned stop and then interrupted by its
+// end.
 func TestDuringAStopOnlyRequestsThatFitAreServed(t *testing.T) {
 	const grace = 8 * time.Second
 	cases := map[string]struct {
@@ -54,28 +54,28 @@
 		timeout time.Duration
 		served  bool
 	}{
-		"before the stop":           {-1, route.Stream, time.Minute, true},
-		"early":                     {time.Second, route.Stream, time.Minute, true},
-		"late and short":            {4 * time.Second, route.Safe, time.Second, true},
-		"late and long":             {4 * time.Second, route.Safe, 10 * time.Second, false},
-		"at the end":                {7 * time.Second, route.Safe, time.Second, false},
-		"a submission in time":      {4 * time.Second, route.Batch, time.Minute, true},
-		"a submission at the end":   {7 * time.Second, route.Batch, time.Minute, false},
-		"without time of its own":   {4 * time.Second, route.Unsafe, 0, false},
-		"after the grace was spent": {grace, route.Safe, time.Millisecond, false},
+		"before the stop":                {-1, route.Stream, time.Minute, true},
+		"early":                          {time.Second, route.Stream, time.Minute, true},
+		"late and short":                 {4 * time.Second, route.Safe, time.Second, true},
+		"late and long":                  {4 * time.Second, route.Safe, 10 * time.Second, false},
+		"at the end":                     {7 * time.Second, route.Safe, time.Second, false},
+		"a submission in time":           {4 * time.Second, route.Batch, time.Minute, true},
+		"a submission at the end":        {7 * time.Second, route.Batch, time.Minute, false},
+		"without a timeout of its route": {4 * time.Second, route.Unsafe, 0, false},
+		"after the grace was spent":      {grace, route.Safe, time.Millisecond, false},
 	}
-	for name, each := range cases {
+	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				stop := newStop()
-				if each.after >= 0 {
+				if c.after >= 0 {
 					stop.Begin(grace)
-					time.Sleep(each.after)
+					time.Sleep(c.after)
 				}
-				r, recorder := newTestRequest(t.Context(), stop, each.kind, each.timeout)
-				is.Equal(r.fitsBeforeStop(), each.served)
-				if each.served {
+				r, recorder := newTestRequest(t.Context(), stop, c.kind, c.timeout)
+				is.Equal(r.fitsBeforeStop(), c.served)
+				if c.served {
 					return
 				}
 				is.Equal(recorder.Code, http.StatusServiceUnavailable)
@@ -85,8 +85,8 @@
 	}
 }
 
-// A request that the end of a stop interrupts is answered with what is certain; one whose
-// client has left is not.
+// A request that the end of a stop interrupts gets the status of its failure. A request whose
+// client has disconnected is aborted.
 func TestInterruptedRequestsAreAnswered(t *testing.T) {
 	answered := func(failure *forward.Failure) int {
 		stop := newStop()
@@ -108,7 +108,7 @@
 	r.refusePlain(&forward.Failure{Certainty: forward.NotRun})
 }
 
-// A late request is turned away before its body is read or a replica is asked.
+// A request that may outlast the stop is refused before its body is read or a replica is chosen.
 func TestTheHandlerRefusesRequestsThatOutlastTheStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -126,8 +126,8 @@
 	})
 }
 
-// A stream that is interrupted before its first event is answered; one that has begun must
-// not look complete.
+// A stream that is interrupted before its first event gets a status. One that has begun is
+// aborted, so that it does not look complete.
 func TestInterruptedStreamsAreAnsweredOrAborted(t *testing.T) {
 	interrupted := func(ran int, began bool) (status int, panicked any) {
 		stop := newStop()
@@ -151,7 +151,7 @@
 	is.Equal(panicked, http.ErrAbortHandler)
 }
 
-// newStop is a stop that has not begun, by the clock of the test.
+// newStop returns a stop that has not begun and uses the test's clock.
 func newStop() *shutdown.Stop {
 	stop := shutdown.New()
 	stop.SetClock(time.Now)
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -17,24 +17,26 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// streamRelay passes the events of one or more replicas on as one answer.
+// streamRelay relays the events of a stream to the client. If a replica fails, another one may
+// continue the stream within the same answer.
 type streamRelay struct {
 	*request
 	call     *forward.StreamRequest
 	excluded map[string]bool
-	// mayHaveRun counts the attempts that ran or may have, notRun those that did not.
+	// mayHaveRun counts the failed attempts that ran or may have, notRun those that did not.
 	mayHaveRun, notRun int
 	headWritten        bool
-	// clientStalled says that the client has not taken an event: no other replica changes that.
+	// clientStalled means that an event could not be written, so trying another replica is
+	// useless.
 	clientStalled bool
-	// lastErr is why the last attempt failed.
+	// lastErr is the error of the last attempt.
 	lastErr error
 	// quarantined, if not nil, is why the stream may not run now.
 	quarantined *forward.QuarantinedError
 }
 
-// serveStream passes a stream on. Without the right to resume it, it is
-// sent again only as long as it has certainly not run.
+// serveStream serves a stream. Unless its route is resumable, a stream is only retried while it
+// has certainly not run.
 func (r *request) serveStream(cfg *route.Configuration, body []byte) {
 	ctx, cancel := r.timeoutContext()
 	defer cancel()
@@ -74,7 +76,7 @@
 	s.giveUp()
 }
 
-// recordFailure counts an attempt that failed.
+// recordFailure records a failed attempt and excludes its replica from further ones.
 func (s *streamRelay) recordFailure(rep replica.Replica, mayHaveRun bool, err error) {
 	s.excluded[rep.ID] = true
 	s.replica, s.lastErr = rep.ID, err
@@ -86,12 +88,12 @@
 	}
 }
 
-// mayRetryQuarantined reports whether a stream that was not sent for its content's sake may be
-// asked for again now.
+// mayRetryQuarantined reports whether a stream that was not sent because of quarantine may be
+// tried again now, after a short wait if needed.
 func (s *streamRelay) mayRetryQuarantined(ctx context.Context, rep replica.Replica, err *forward.QuarantinedError) bool {
 	switch {
 	case s.mayHaveRun > 0 && !err.Elsewhere:
-		// Its own run has ended a replica: the next one is alone, or is none.
+		// An earlier attempt of this stream may have ended its replica: it is not run again here.
 	case err.Elsewhere:
 		s.excluded[rep.ID] = true
 		return true
@@ -102,13 +104,14 @@
 	return false
 }
 
-// mayContinue reports whether another replica may go on with the stream.
+// mayContinue reports whether another replica may continue the stream.
 func (s *streamRelay) mayContinue(ctx context.Context) bool {
 	state := forward.AttemptState{MayHaveRun: s.mayHaveRun, NotRun: s.notRun, MaxAttempts: s.route.MaxAttempts, Repeatable: s.route.Resumable}
 	return ctx.Err() == nil && !s.clientStalled && state.MayRetry()
 }
 
-// attempt passes on what one replica makes of the stream, to its proper end or an error.
+// attempt relays the stream from one replica until its regular end, or returns an error.
+// mayHaveRun tells whether the replica may have run the request.
 func (s *streamRelay) attempt(ctx context.Context, rep replica.Replica) (mayHaveRun bool, err error) {
 	forwarder := s.handler.Forwarder
 	forwarder.Table.Started(rep.Incarnation())
@@ -134,7 +137,8 @@
 	return true, s.relayEvents(stream)
 }
 
-// relayEvents writes the events of a stream to its proper end.
+// relayEvents writes the events of a stream to the client until its regular end. It rejects
+// events whose id is not greater than the last one written.
 func (s *streamRelay) relayEvents(stream *forward.Stream) error {
 	for {
 		event, err := stream.Next()
@@ -159,7 +163,7 @@
 	}
 }
 
-// writeStreamHead writes the head of the first replica that gave one.
+// writeStreamHead writes the status and the header of the first replica that sent any.
 func (s *streamRelay) writeStreamHead(stream *forward.Stream) {
 	if s.headWritten {
 		return
@@ -169,7 +173,8 @@
 	s.w.WriteHeader(stream.Status)
 }
 
-// giveUp ends the answer in a way that cannot be taken for a whole one.
+// giveUp answers a stream that no replica completed. If the answer has begun it aborts the
+// connection, so that the client cannot take the answer for a complete one.
 func (s *streamRelay) giveUp() {
 	reason := "no replica"
 	if s.lastErr != nil {
--- a/internal/requests/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -21,7 +21,7 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// suspendingBody is a body during which the machine is suspended.
+// suspendingBody is a request body during whose first Read the machine is suspended.
 type suspendingBody struct {
 	io.Reader
 	clock *clocktest.Clock
@@ -34,15 +34,14 @@
 	return s.Reader.Read(buffer)
 }
 
-// A machine is suspended while it reads a request. The client's time has passed meanwhile:
-// by a clock that stands still the request was sent on with all of it, and a replica worked
-// for a client that had long left. It is refused, as it has not run.
+// Guards against a clock that stops while the machine is suspended: the request would be sent
+// with the time it had before, and run at a replica after its client has left.
 func TestTimeSuspendedCountsAgainstTheDeadline(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		sleep        time.Duration
-		status       int
-		mostDeadline time.Duration
+		name        string
+		sleep       time.Duration
+		status      int
+		maxDeadline time.Duration
 	}{
 		{"awake", 0, http.StatusOK, 2 * time.Second},
 		{"some time left", time.Second, http.StatusOK, time.Second},
@@ -50,9 +49,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			told := ""
+			deadlineSent := ""
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				told = r.Header.Get("Deadline")
+				deadlineSent = r.Header.Get("Deadline")
 				w.Header().Set("Signature", "s")
 			}))
 			t.Cleanup(server.Close)
@@ -73,9 +72,9 @@
 			recorder := httptest.NewRecorder()
 			handler.ServeHTTP(recorder, r)
 			is.Equal(recorder.Code, c.status)
-			deadline, _ := time.ParseDuration(told + "ms")
-			is.True(deadline <= c.mostDeadline)
-			is.Equal(told != "", c.status == http.StatusOK)
+			deadline, _ := time.ParseDuration(deadlineSent + "ms")
+			is.True(deadline <= c.maxDeadline)
+			is.Equal(deadlineSent != "", c.status == http.StatusOK)
 		})
 	}
 }
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -14,8 +14,8 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// writeChunkBytes is how much of an answer of our own must be read within Handler.Unread: a
-// client's system has room for several pieces, and takes none if it has none.
+// writeChunkBytes is how much of a local answer must be written within Handler.WriteTimeout. It
+// is well below the size of socket buffers, so a write only stalls if the client reads nothing.
 const writeChunkBytes = 16 << 10
 
 // relayAnswer writes a replica's answer to the client.
@@ -28,7 +28,7 @@
 	if length >= 0 && r.req.Method != http.MethodHead {
 		r.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	// The client still waits for that long, and no other has this answer.
+	// Unlike a local answer it can't be requested again, so it gets all the time the client waits.
 	r.setWriteDeadline(max(r.clientTimeout()-r.elapsed(), r.handler.WriteTimeout))
 	r.w.WriteHeader(answer.Status)
 	err := r.writeAnswerBody(answer)
@@ -39,22 +39,22 @@
 	r.observe(answer.Status, "answered", "")
 }
 
-// setWriteDeadline bounds writes to the client from now on.
+// setWriteDeadline sets the deadline of all further writes to the client.
 func (r *request) setWriteDeadline(within time.Duration) {
 	if err := http.NewResponseController(r.w).SetWriteDeadline(time.Now().Add(within)); err != nil {
-		r.logger.Debug("writes to the client's connection are not bounded", zap.Error(err))
+		r.logger.Debug("write deadline of the client's connection not set", zap.Error(err))
 	}
 }
 
-// write gives an answer of our own.
+// write writes an answer of the daemon itself.
 func (r *request) write(status int, body []byte) {
 	r.writeHead(status, len(body))
 	if err := r.writeChunks(body); err != nil {
-		r.logger.Debug("answer of our own not taken", zap.Error(err)) // it says nothing that counts for others
+		r.logger.Debug("answer to the client not written", zap.Error(err))
 	}
 }
 
-// writeHead begins an answer of our own.
+// writeHead writes the status and the header of an answer of the daemon itself.
 func (r *request) writeHead(status, length int) {
 	r.w.Header().Set("Content-Type", "application/json")
 	r.w.Header().Set("Content-Length", strconv.Itoa(length))
@@ -64,22 +64,22 @@
 	r.w.WriteHeader(status)
 }
 
-// writeChunks writes what the client can ask for again. A client that takes nothing of it
-// for Handler.Unread is left.
+// writeChunks writes content that the client can request again. It fails if the client does
+// not read a chunk within Handler.WriteTimeout.
 func (r *request) writeChunks(content []byte) error {
 	for {
 		r.setWriteDeadline(r.handler.WriteTimeout)
-		piece := content[:min(len(content), writeChunkBytes)]
-		if _, err := r.w.Write(piece); err != nil {
+		chunk := content[:min(len(content), writeChunkBytes)]
+		if _, err := r.w.Write(chunk); err != nil {
 			return err
 		}
-		if content = content[len(piece):]; len(content) == 0 {
+		if content = content[len(chunk):]; len(content) == 0 {
 			return nil
 		}
 	}
 }
 
-// writePage answers with a page of results, if there is room for it.
+// writePage answers with a page of results, or refuses the request if there is no memory for it.
 func (r *request) writePage(encoded []byte) {
 	if !r.account.Take(holding.Pages, int64(len(encoded))) {
 		r.refuse(refusal.NoMemory, errNoMemory.Error())
@@ -93,8 +93,8 @@
 	r.observe(http.StatusOK, "results", "")
 }
 
-// writeEvent writes an event of a stream. One that is longer than what a request costs is
-// counted, and waits for room.
+// writeEvent writes one event of a stream. An event longer than requestOverheadBytes is counted
+// in the request's account, and waits for memory.
 func (r *request) writeEvent(raw []byte) error {
 	if n := int64(len(raw)); n > requestOverheadBytes {
 		if !r.waitForMemory(holding.Answers, n) {
