--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -17,11 +17,11 @@
 // daemons that have started and are not known yet.
 const reservePart = 10
 
-// Part is how many connections to one peer a daemon may have, of a limit that all daemons
+// ConnectionShare is how many connections to one peer a daemon may have, of a limit that all daemons
 // share evenly: one at least, so that none is shut out, and as many as the requests that the
 // peer runs at once if lent says that it may use what others leave idle. Without a limit it
 // is 0.
-func Part(limit, daemons, slots int, lent bool) int {
+func ConnectionShare(limit, daemons, slots int, lent bool) int {
 	if limit <= 0 {
 		return 0
 	}
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -21,16 +21,16 @@
 	is := is.New(t)
 	for limit := 1; limit <= 600; limit++ {
 		for _, daemons := range []int{1, 2, 3, 67, 91, 300, 770} {
-			part := Part(limit, daemons, 8, false)
+			part := ConnectionShare(limit, daemons, 8, false)
 			is.True(part >= 1)
 			is.True(part*daemons <= limit || part == 1 && daemons > limit-limit/reservePart)
 			// As many owners as there are slots' worth of the limit find their engines' slots.
-			is.True(Part(limit, daemons, 8, true) >= min(8, limit))
+			is.True(ConnectionShare(limit, daemons, 8, true) >= min(8, limit))
 		}
 	}
-	is.Equal(Part(0, 67, 8, true), 0)
-	is.Equal(Part(430, 67, 8, false), 5)
-	is.Equal(Part(430, 67, 8, true), 8)
+	is.Equal(ConnectionShare(0, 67, 8, true), 0)
+	is.Equal(ConnectionShare(430, 67, 8, false), 5)
+	is.Equal(ConnectionShare(430, 67, 8, true), 8)
 }
 
 // answersWhenTold is a peer that answers each request when it is told to.
