--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -12,10 +12,10 @@
 // It is an ErrNotSent.
 var ErrFull = errors.WithMessage(ErrNotSent, "upstream: no connection is free")
 
-// reservePart is the part of a peer's limit, one in so many, that no daemon counts on: it is
+// reserveDivisor is the part of a peer's limit, one in so many, that no daemon counts on: it is
 // for probes, for connections of a daemon that is gone which the peer still counts, and for
 // daemons that have started and are not known yet.
-const reservePart = 10
+const reserveDivisor = 10
 
 // ConnectionShare is how many connections to one peer a daemon may have, of a limit that all daemons
 // share evenly: one at least, so that none is shut out, and as many as the requests that the
@@ -25,7 +25,7 @@
 	if limit <= 0 {
 		return 0
 	}
-	part := max((limit-limit/reservePart)/max(daemons, 1), 1)
+	part := max((limit-limit/reserveDivisor)/max(daemons, 1), 1)
 	if lent {
 		return max(part, min(slots, limit))
 	}
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -23,7 +23,7 @@
 		for _, daemons := range []int{1, 2, 3, 67, 91, 300, 770} {
 			part := ConnectionShare(limit, daemons, 8, false)
 			is.True(part >= 1)
-			is.True(part*daemons <= limit || part == 1 && daemons > limit-limit/reservePart)
+			is.True(part*daemons <= limit || part == 1 && daemons > limit-limit/reserveDivisor)
 			// As many owners as there are slots' worth of the limit find their engines' slots.
 			is.True(ConnectionShare(limit, daemons, 8, true) >= min(8, limit))
 		}
