--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -32,10 +32,10 @@
 	return part
 }
 
-// claim returns a connection that rests, which may have rested too long, or a channel that
+// tryAcquire returns a connection that rests, which may have rested too long, or a channel that
 // is closed when one may have become free. Without either there is a place for a new
 // connection, which is counted already.
-func (p *Pool) claim(address netip.AddrPort, req *Request) (conn *connection, freed <-chan struct{}) {
+func (p *Pool) tryAcquire(address netip.AddrPort, req *Request) (conn *connection, freed <-chan struct{}) {
 	now := p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +65,7 @@
 	late := time.NewTimer(time.Until(req.WaitUntil))
 	defer late.Stop()
 	for {
-		conn, freed := p.claim(address, req)
+		conn, freed := p.tryAcquire(address, req)
 		switch {
 		case conn != nil && conn.usable(p.now(), req.Repeatable) && conn.quiet():
 			return conn, nil
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -130,14 +130,14 @@
 	p.open[peerAddress]++
 	p.put(newConnection(p, peerAddress, near), now.Add(600*time.Millisecond), now.Add(900*time.Millisecond))
 	now = now.Add(700 * time.Millisecond)
-	conn, _ := p.claim(peerAddress, &Request{})
+	conn, _ := p.tryAcquire(peerAddress, &Request{})
 	is.True(conn == nil) // a new one is made
 	is.True(p.Resting(peerAddress) > 0)
-	conn, _ = p.claim(peerAddress, &Request{Repeatable: true})
+	conn, _ = p.tryAcquire(peerAddress, &Request{Repeatable: true})
 	is.True(conn != nil)
 	p.put(conn, now, now.Add(200*time.Millisecond))
 	// Where its place is needed it is closed for the request that can't be repeated.
-	conn, _ = p.claim(peerAddress, &Request{MaxOpen: 2})
+	conn, _ = p.tryAcquire(peerAddress, &Request{MaxOpen: 2})
 	is.True(conn != nil && !conn.usable(now, false))
 	conn.close()
 	is.Equal(p.Open(peerAddress), 1) // the place that was counted for the new one
