--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -59,9 +59,9 @@
 	return nil, p.freed[address]
 }
 
-// take returns a resting connection that is still sound, or a new one. At the limit it waits
+// acquire returns a resting connection that is still sound, or a new one. At the limit it waits
 // for one until the request's WaitUntil.
-func (p *Pool) take(ctx context.Context, address netip.AddrPort, req *Request) (*connection, error) {
+func (p *Pool) acquire(ctx context.Context, address netip.AddrPort, req *Request) (*connection, error) {
 	late := time.NewTimer(time.Until(req.WaitUntil))
 	defer late.Stop()
 	for {
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -107,7 +107,7 @@
 
 	left, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := p.take(left, netip.MustParseAddrPort("127.0.0.1:1"), &Request{MaxOpen: 1})
+	_, err := p.acquire(left, netip.MustParseAddrPort("127.0.0.1:1"), &Request{MaxOpen: 1})
 	is.True(err != nil)
 	is.Equal(p.Open(netip.MustParseAddrPort("127.0.0.1:1")), 0)
 }
--- a/internal/requests/upstream/rest_test.go
+++ b/internal/requests/upstream/rest_test.go
@@ -40,7 +40,7 @@
 			time.Sleep(2*time.Second - idleMargin - time.Second - time.Millisecond)
 			none, cancel := context.WithCancel(t.Context())
 			cancel() // a connection that is not there is not made
-			_, err = p.take(none, peerAddress, &Request{})
+			_, err = p.acquire(none, peerAddress, &Request{})
 			is.Equal(err == nil, held <= time.Second)
 			conn.close()
 			_ = far.Close() // it is not read any more
--- a/internal/requests/upstream/suspend_test.go
+++ b/internal/requests/upstream/suspend_test.go
@@ -27,10 +27,10 @@
 	sure, rest := restOf(http.Header{"Keep-Alive": {"timeout=2"}})
 	p.put(newConnection(p, peerAddress, near), clock.Now().Add(sure), clock.Now().Add(rest))
 	clock.Suspend(time.Second)
-	kept, err := p.take(none, peerAddress, &Request{})
+	kept, err := p.acquire(none, peerAddress, &Request{})
 	is.NoErr(err)
 	p.put(kept, clock.Now().Add(time.Second), clock.Now().Add(time.Second))
 	clock.Suspend(time.Second)
-	_, err = p.take(none, peerAddress, &Request{})
+	_, err = p.acquire(none, peerAddress, &Request{})
 	is.True(err != nil)
 }
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -200,7 +200,7 @@
 		// A resting connection would take the request before the end closes it.
 		return nil, errors.Wrap(ErrNotSent, ctx.Err().Error())
 	}
-	conn, err := p.take(ctx, address, req)
+	conn, err := p.acquire(ctx, address, req)
 	if errors.Is(err, ErrFull) {
 		return nil, err
 	}
