--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// signal wakes those that wait for a connection to a peer. The mutex is held.
-func (p *Pool) signal(address netip.AddrPort) {
+// notifyWaiters wakes those that wait for a connection to a peer. The mutex is held.
+func (p *Pool) notifyWaiters(address netip.AddrPort) {
 	if freed := p.freed[address]; freed != nil {
 		close(freed)
 		delete(p.freed, address)
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -228,14 +228,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[conn.address] = append(p.idle[conn.address], conn)
-	p.signal(conn.address)
+	p.notifyWaiters(conn.address)
 }
 
 func (p *Pool) closed(address netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open[address]--
-	p.signal(address)
+	p.notifyWaiters(address)
 	if p.open[address] <= 0 {
 		delete(p.open, address)
 	}
