--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -38,7 +38,7 @@
 		v.replicas = r.table.Replicas(service)
 		for _, rep := range v.replicas {
 			engine := r.shared.withReports(engineOf(rep, now), rep, now)
-			engine.IdleConns = r.forwarder.Pool.Resting(rep.Address)
+			engine.IdleConns = r.forwarder.Pool.IdleConnections(rep.Address)
 			v.Engines = append(v.Engines, engine)
 		}
 		v.nameGroupEngines()
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -76,7 +76,7 @@
 func (f *Forwarder) Replicas(service string) []replica.Replica {
 	replicas := f.Table.Replicas(service)
 	for i := range replicas {
-		replicas[i].Connected = f.Pool.Resting(replicas[i].Address) > 0
+		replicas[i].Connected = f.Pool.IdleConnections(replicas[i].Address) > 0
 	}
 	return replicas
 }
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -132,7 +132,7 @@
 	now = now.Add(700 * time.Millisecond)
 	conn, _ := p.tryAcquire(peerAddress, &Request{})
 	is.True(conn == nil) // a new one is made
-	is.True(p.Resting(peerAddress) > 0)
+	is.True(p.IdleConnections(peerAddress) > 0)
 	conn, _ = p.tryAcquire(peerAddress, &Request{Repeatable: true})
 	is.True(conn != nil)
 	p.put(conn, now, now.Add(200*time.Millisecond))
--- a/internal/requests/upstream/rest_test.go
+++ b/internal/requests/upstream/rest_test.go
@@ -57,11 +57,11 @@
 		p := NewPool(Options{})
 		p.now = time.Now
 		conn := newConnection(p, peerAddress, near)
-		is.Equal(p.Resting(peerAddress), 0)
+		is.Equal(p.IdleConnections(peerAddress), 0)
 		p.put(conn, time.Now().Add(time.Second), time.Now().Add(time.Second))
-		is.Equal(p.Resting(peerAddress), 1)
+		is.Equal(p.IdleConnections(peerAddress), 1)
 		time.Sleep(time.Second)
-		is.Equal(p.Resting(peerAddress), 0)
+		is.Equal(p.IdleConnections(peerAddress), 0)
 		conn.close()
 		_ = far.Close() // it is not read any more
 	})
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -141,9 +141,9 @@
 	return p.open[address]
 }
 
-// Resting returns how many connections to a peer rest and may be used still. Each may turn
+// IdleConnections returns how many connections to a peer rest and may be used still. Each may turn
 // out to be closed.
-func (p *Pool) Resting(address netip.AddrPort) int {
+func (p *Pool) IdleConnections(address netip.AddrPort) int {
 	now := p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -264,7 +264,7 @@
 	leave()
 	_, err = p.Exchange(ctx, address, request("b"))
 	is.True(errors.Is(err, ErrNotSent))
-	is.True(p.Resting(address) > 0) // the connection is not spent on it
+	is.True(p.IdleConnections(address) > 0) // the connection is not spent on it
 	_, err = ask(p, address, "c")
 	is.NoErr(err)
 	is.Equal(seen.Load(), int64(2))
@@ -291,9 +291,9 @@
 	p.Drop(address)
 	p.Drop(peerAddress)
 	underWay.Close()
-	is.True(p.Resting(address) > 0) // its peer answered
+	is.True(p.IdleConnections(address) > 0) // its peer answered
 	p.Drop(address)
-	is.True(p.Resting(address) == 0)
+	is.True(p.IdleConnections(address) == 0)
 	is.Equal(p.Open(address), 0)
 	exchange().Close()
 	is.Equal(p.Dials.Load(), uint64(2))
