--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -45,7 +45,7 @@
 	for service := range configuration.Services {
 		for _, rep := range n.table.Replicas(service) {
 			if part := n.maxOpen(rep); part > 0 {
-				most = max(most, float64(n.pool.Open(rep.Address))/float64(part))
+				most = max(most, float64(n.pool.OpenConnections(rep.Address))/float64(part))
 			}
 		}
 	}
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -69,7 +69,7 @@
 	address, p := answersWhenTold(t, tell), newTestPool()
 	first, second := make(chan error, 1), make(chan error, 1)
 	go func() { first <- bounded(t, p, address, 1, 0) }()
-	for p.Open(address) == 0 {
+	for p.OpenConnections(address) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	err := bounded(t, p, address, 1, 0)
@@ -82,7 +82,7 @@
 	tell <- struct{}{}
 	is.NoErr(<-second)
 	is.Equal(p.Dials.Load(), uint64(1))
-	is.Equal(p.Open(address), 1)
+	is.Equal(p.OpenConnections(address), 1)
 }
 
 // Requests that come together make no more connections than allowed, those that fail to be
@@ -109,7 +109,7 @@
 	cancel()
 	_, err := p.acquire(left, netip.MustParseAddrPort("127.0.0.1:1"), &Request{MaxOpen: 1})
 	is.True(err != nil)
-	is.Equal(p.Open(netip.MustParseAddrPort("127.0.0.1:1")), 0)
+	is.Equal(p.OpenConnections(netip.MustParseAddrPort("127.0.0.1:1")), 0)
 }
 
 // Of the rest that a peer grants, a request that can't be repeated keeps well away from the
@@ -140,5 +140,5 @@
 	conn, _ = p.tryAcquire(peerAddress, &Request{MaxOpen: 2})
 	is.True(conn != nil && !conn.usable(now, false))
 	conn.close()
-	is.Equal(p.Open(peerAddress), 1) // the place that was counted for the new one
+	is.Equal(p.OpenConnections(peerAddress), 1) // the place that was counted for the new one
 }
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -134,8 +134,8 @@
 		freed: map[netip.AddrPort]chan struct{}{}}
 }
 
-// Open returns how many connections to a peer are open.
-func (p *Pool) Open(address netip.AddrPort) int {
+// OpenConnections returns how many connections to a peer are open.
+func (p *Pool) OpenConnections(address netip.AddrPort) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open[address]
--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -294,7 +294,7 @@
 	is.True(p.IdleConnections(address) > 0) // its peer answered
 	p.Drop(address)
 	is.True(p.IdleConnections(address) == 0)
-	is.Equal(p.Open(address), 0)
+	is.Equal(p.OpenConnections(address), 0)
 	exchange().Close()
 	is.Equal(p.Dials.Load(), uint64(2))
 }
