--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -248,7 +248,7 @@
 	periodic.Every(ctx, sweepInterval, func(context.Context) {
 		now := time.Now()
 		n.closeExpired(now)
-		n.pool.Sweep()
+		n.pool.CloseExpired()
 		n.ledger.Sweep(now)
 		n.table.Sweep()
 		n.occupancy.sweep()
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -156,8 +156,8 @@
 	return count
 }
 
-// Sweep closes connections that have rested as long as they may.
-func (p *Pool) Sweep() {
+// CloseExpired closes connections that have rested as long as they may.
+func (p *Pool) CloseExpired() {
 	now := p.now()
 	var expired []*connection
 	p.mu.Lock()
