--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -181,9 +181,9 @@
 	}
 }
 
-// Drop closes the connections to a peer that rest, as its process is known to have ended.
+// CloseIdle closes the connections to a peer that rest, as its process is known to have ended.
 // Exchanges under way go on.
-func (p *Pool) Drop(address netip.AddrPort) {
+func (p *Pool) CloseIdle(address netip.AddrPort) {
 	p.mu.Lock()
 	resting := p.idle[address]
 	delete(p.idle, address)
