--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -30,7 +30,7 @@
 	metrics.Counter(n.metrics, "replica_connections_total", "Connections made to replicas.", n.pool.Dials.Load)
 	metrics.Counter(n.metrics, "replica_connections_lacking_total",
 		"Requests that found as many connections to a replica in use as this daemon may have, and none free in time.",
-		n.pool.Full.Load)
+		n.pool.Exhausted.Load)
 	metrics.Gauge(n.metrics, "replica_connections_used_ratio",
 		"Connections to a replica against this daemon's part of what it takes, at the replica where that is highest.",
 		n.connectionsUsed)
--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -78,7 +78,7 @@
 		select {
 		case <-freed:
 		case <-late.C:
-			p.Full.Add(1)
+			p.Exhausted.Add(1)
 			return nil, ErrFull
 		case <-ctx.Done():
 			return nil, ctx.Err()
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -75,7 +75,7 @@
 	err := bounded(t, p, address, 1, 0)
 	is.True(errors.Is(err, ErrFull))
 	is.True(errors.Is(err, ErrNotSent))
-	is.Equal(p.Full.Load(), uint64(1))
+	is.Equal(p.Exhausted.Load(), uint64(1))
 	go func() { second <- bounded(t, p, address, 1, time.Hour) }()
 	tell <- struct{}{}
 	is.NoErr(<-first)
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -105,8 +105,8 @@
 	// freed, where somebody waits, is closed when a connection rests or has ended.
 	freed map[netip.AddrPort]chan struct{}
 
-	// Dials counts the connections that were made, Full the requests that found none free in time.
-	Dials, Full atomic.Uint64
+	// Dials counts the connections that were made, Exhausted the requests that found none free in time.
+	Dials, Exhausted atomic.Uint64
 }
 
 // NewDialer returns a dialer whose connections keep to the options.
