--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -62,7 +62,7 @@
 // acquire returns a resting connection that is still sound, or a new one. At the limit it waits
 // for one until the request's WaitUntil.
 func (p *Pool) acquire(ctx context.Context, address netip.AddrPort, req *Request) (*connection, error) {
-	late := time.NewTimer(time.Until(req.WaitUntil))
+	late := time.NewTimer(time.Until(req.ConnectionDeadline))
 	defer late.Stop()
 	for {
 		conn, freed := p.tryAcquire(address, req)
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -51,7 +51,7 @@
 // bounded sends a request that waits for a connection.
 func bounded(t *testing.T, p *Pool, address netip.AddrPort, most int, wait time.Duration) error {
 	req := request("r")
-	req.MaxOpen, req.WaitUntil = most, time.Now().Add(wait)
+	req.MaxOpen, req.ConnectionDeadline = most, time.Now().Add(wait)
 	answer, err := p.Exchange(t.Context(), address, req)
 	if err != nil {
 		return err
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -74,8 +74,8 @@
 	Repeatable bool
 	// MaxOpen is how many connections to the peer there may be, 0 without bound.
 	MaxOpen int
-	// WaitUntil is until when one is waited for when there are as many.
-	WaitUntil time.Time
+	// ConnectionDeadline is until when one is waited for when there are as many.
+	ConnectionDeadline time.Time
 	// SentAt is set by Exchange: when the first byte was sent, by bootclock, zero if none was.
 	SentAt time.Time
 }
