--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -144,8 +144,8 @@
 			}
 			continue
 		}
-		echoed := response.Header.Get(req.EchoName)
-		if req.EchoName == "" || echoed == "" || echoed == req.EchoValue {
+		echoed := response.Header.Get(req.EchoHeader)
+		if req.EchoHeader == "" || echoed == "" || echoed == req.EchoValue {
 			return response, nil
 		}
 		foreign++
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -67,9 +67,9 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// EchoName, if set, is the header in which the answer must repeat EchoValue
+	// EchoHeader, if set, is the header in which the answer must repeat EchoValue
 	// if it has that header at all.
-	EchoName, EchoValue string
+	EchoHeader, EchoValue string
 	// Repeatable requests may use a connection that the peer might be about to close.
 	Repeatable bool
 	// MaxOpen is how many connections to the peer there may be, 0 without bound.
--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -51,7 +51,7 @@
 }
 
 func request(id string) *Request {
-	return &Request{Method: http.MethodPost, Target: "/x?a=%2F", Host: "h", Header: http.Header{"X-Id": {id}}, Body: []byte("body"), EchoName: "X-Id", EchoValue: id}
+	return &Request{Method: http.MethodPost, Target: "/x?a=%2F", Host: "h", Header: http.Header{"X-Id": {id}}, Body: []byte("body"), EchoHeader: "X-Id", EchoValue: id}
 }
 
 // ask sends a request and returns the whole body.
