--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -46,8 +46,8 @@
 const (
 	// inlineBodyBytes is the largest body written before the answer is awaited.
 	inlineBodyBytes = 16 << 10
-	// defaultIdle is how long a connection may rest if the peer named no time.
-	defaultIdle = 20 * time.Second
+	// defaultIdleTimeout is how long a connection may rest if the peer named no time.
+	defaultIdleTimeout = 20 * time.Second
 	// idleMargin is taken off the rest that a peer grants, for requests that must not be
 	// repeated: a request on its way as the peer closes may have run or not.
 	idleMargin = 400 * time.Millisecond
@@ -258,5 +258,5 @@
 			return max(granted-idleMargin, 0), max(granted-margin, 0)
 		}
 	}
-	return defaultIdle, defaultIdle
+	return defaultIdleTimeout, defaultIdleTimeout
 }
