--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -51,10 +51,10 @@
 	// idleMargin is taken off the rest that a peer grants, for requests that must not be
 	// repeated: a request on its way as the peer closes may have run or not.
 	idleMargin = 400 * time.Millisecond
-	// repeatableMarginPart is the part of the granted rest, one in so many, that is taken off for
+	// repeatableMarginDivisor is the part of the granted rest, one in so many, that is taken off for
 	// requests that may be repeated, and leastMargin the least: the way to another region and back.
-	repeatableMarginPart = 10
-	leastMargin          = 100 * time.Millisecond
+	repeatableMarginDivisor = 10
+	leastMargin             = 100 * time.Millisecond
 	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT option.
 	tcpUserTimeout = 18
 )
@@ -254,7 +254,7 @@
 		}
 		granted, err := time.ParseDuration(value + "s")
 		if err == nil {
-			margin := min(max(granted/repeatableMarginPart, leastMargin), idleMargin)
+			margin := min(max(granted/repeatableMarginDivisor, leastMargin), idleMargin)
 			return max(granted-idleMargin, 0), max(granted-margin, 0)
 		}
 	}
