--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -54,7 +54,7 @@
 	// repeatableMarginDivisor is the part of the granted rest, one in so many, that is taken off for
 	// requests that may be repeated, and leastMargin the least: the way to another region and back.
 	repeatableMarginDivisor = 10
-	leastMargin             = 100 * time.Millisecond
+	minIdleMargin           = 100 * time.Millisecond
 	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT option.
 	tcpUserTimeout = 18
 )
@@ -254,7 +254,7 @@
 		}
 		granted, err := time.ParseDuration(value + "s")
 		if err == nil {
-			margin := min(max(granted/repeatableMarginDivisor, leastMargin), idleMargin)
+			margin := min(max(granted/repeatableMarginDivisor, minIdleMargin), idleMargin)
 			return max(granted-idleMargin, 0), max(granted-margin, 0)
 		}
 	}
