--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -225,7 +225,7 @@
 		a.conn.close()
 		return
 	}
-	sure, rest := restOf(a.Header)
+	sure, rest := idleTimeouts(a.Header)
 	if rest <= 0 {
 		a.conn.close()
 		return
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -119,7 +119,7 @@
 	for granted, want := range map[string][2]time.Duration{
 		"0": {0, 0}, "1": {600 * time.Millisecond, 900 * time.Millisecond}, "2": {1600 * time.Millisecond, 1800 * time.Millisecond}, "10": {9600 * time.Millisecond, 9600 * time.Millisecond},
 	} {
-		sure, rest := restOf(http.Header{"Keep-Alive": {"timeout=" + granted}})
+		sure, rest := idleTimeouts(http.Header{"Keep-Alive": {"timeout=" + granted}})
 		is.Equal([2]time.Duration{sure, rest}, want)
 	}
 	now := time.Now()
--- a/internal/requests/upstream/probe.go
+++ b/internal/requests/upstream/probe.go
@@ -52,7 +52,7 @@
 	conn, err := p.dial(bounded, address)
 	switch {
 	case err == nil:
-		sure, rest := restOf(http.Header{})
+		sure, rest := idleTimeouts(http.Header{})
 		p.put(conn, p.now().Add(sure), p.now().Add(rest))
 		return Alive
 	case errors.Is(err, syscall.ECONNREFUSED):
--- a/internal/requests/upstream/suspend_test.go
+++ b/internal/requests/upstream/suspend_test.go
@@ -24,7 +24,7 @@
 	t.Cleanup(func() { _ = far.Close() }) // it is not read any more
 	none, cancel := context.WithCancel(t.Context())
 	cancel() // a connection that is not there is not made
-	sure, rest := restOf(http.Header{"Keep-Alive": {"timeout=2"}})
+	sure, rest := idleTimeouts(http.Header{"Keep-Alive": {"timeout=2"}})
 	p.put(newConnection(p, peerAddress, near), clock.Now().Add(sure), clock.Now().Add(rest))
 	clock.Suspend(time.Second)
 	kept, err := p.acquire(none, peerAddress, &Request{})
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -241,12 +241,12 @@
 	}
 }
 
-// restOf returns how long a connection may rest after an answer: for any request, and for
+// idleTimeouts returns how long a connection may rest after an answer: for any request, and for
 // one that may be repeated. A peer counts from when it has sent the answer, and closes when
 // the time that it granted is over: a request that meets the end is lost. One that may be
 // repeated then costs a try; it uses nine tenths of a short grant, of which the way there
 // and back takes little.
-func restOf(header http.Header) (sure, rest time.Duration) {
+func idleTimeouts(header http.Header) (sure, rest time.Duration) {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
