--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -51,7 +51,7 @@
 func (c *connection) close() {
 	c.closeOnce.Do(func() {
 		_ = c.raw.Close() // all that was promised of it stands in the answer
-		c.pool.closed(c.address)
+		c.pool.countClosed(c.address)
 	})
 }
 
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -214,7 +214,7 @@
 func (p *Pool) dial(ctx context.Context, address netip.AddrPort) (*connection, error) {
 	raw, err := p.dialer.DialContext(ctx, "tcp4", address.String())
 	if err != nil {
-		p.closed(address)
+		p.countClosed(address)
 		return nil, err
 	}
 	p.Dials.Add(1)
@@ -231,7 +231,7 @@
 	p.notifyWaiters(conn.address)
 }
 
-func (p *Pool) closed(address netip.AddrPort) {
+func (p *Pool) countClosed(address netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open[address]--
