--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -33,10 +33,10 @@
 	address netip.AddrPort
 	raw     net.Conn
 	reader  *bufio.Reader
-	// sureUntil is until when it may rest for any request, restUntil for one that may be
+	// reusableUntil is until when it may rest for any request, restUntil for one that may be
 	// repeated.
-	sureUntil, restUntil time.Time
-	closeOnce            sync.Once
+	reusableUntil, restUntil time.Time
+	closeOnce                sync.Once
 	// writing is closed when the request's body has been written; nil if the
 	// whole request was written before the answer was awaited.
 	writing  chan struct{}
@@ -60,7 +60,7 @@
 	if repeatable {
 		return now.Before(c.restUntil)
 	}
-	return now.Before(c.sureUntil)
+	return now.Before(c.reusableUntil)
 }
 
 // quiet reports whether a resting connection is open and has no bytes to read:
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -224,7 +224,7 @@
 // put lets a connection rest until a moment, for requests that may be repeated until a later
 // one.
 func (p *Pool) put(conn *connection, sureUntil, restUntil time.Time) {
-	conn.sureUntil, conn.restUntil = sureUntil, restUntil
+	conn.reusableUntil, conn.restUntil = sureUntil, restUntil
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[conn.address] = append(p.idle[conn.address], conn)
