--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -33,10 +33,10 @@
 	address netip.AddrPort
 	raw     net.Conn
 	reader  *bufio.Reader
-	// reusableUntil is until when it may rest for any request, restUntil for one that may be
+	// reusableUntil is until when it may rest for any request, repeatableUntil for one that may be
 	// repeated.
-	reusableUntil, restUntil time.Time
-	closeOnce                sync.Once
+	reusableUntil, repeatableUntil time.Time
+	closeOnce                      sync.Once
 	// writing is closed when the request's body has been written; nil if the
 	// whole request was written before the answer was awaited.
 	writing  chan struct{}
@@ -58,7 +58,7 @@
 // usable reports whether a resting connection has not rested too long for a request.
 func (c *connection) usable(now time.Time, repeatable bool) bool {
 	if repeatable {
-		return now.Before(c.restUntil)
+		return now.Before(c.repeatableUntil)
 	}
 	return now.Before(c.reusableUntil)
 }
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -164,7 +164,7 @@
 	for address, resting := range p.idle {
 		kept := resting[:0]
 		for _, conn := range resting {
-			if now.After(conn.restUntil) {
+			if now.After(conn.repeatableUntil) {
 				expired = append(expired, conn)
 			} else {
 				kept = append(kept, conn)
@@ -224,7 +224,7 @@
 // put lets a connection rest until a moment, for requests that may be repeated until a later
 // one.
 func (p *Pool) put(conn *connection, sureUntil, restUntil time.Time) {
-	conn.reusableUntil, conn.restUntil = sureUntil, restUntil
+	conn.reusableUntil, conn.repeatableUntil = sureUntil, restUntil
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[conn.address] = append(p.idle[conn.address], conn)
