--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -63,9 +63,9 @@
 	return now.Before(c.reusableUntil)
 }
 
-// quiet reports whether a resting connection is open and has no bytes to read:
+// isClean reports whether a resting connection is open and has no bytes to read:
 // bytes there belong to no request of ours.
-func (c *connection) quiet() bool {
+func (c *connection) isClean() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -67,7 +67,7 @@
 	for {
 		conn, freed := p.tryAcquire(address, req)
 		switch {
-		case conn != nil && conn.usable(p.now(), req.Repeatable) && conn.quiet():
+		case conn != nil && conn.usable(p.now(), req.Repeatable) && conn.isClean():
 			return conn, nil
 		case conn != nil:
 			conn.close()
