--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -37,11 +37,11 @@
 	// repeated.
 	reusableUntil, repeatableUntil time.Time
 	closeOnce                      sync.Once
-	// writing is closed when the request's body has been written; nil if the
+	// bodyWritten is closed when the request's body has been written; nil if the
 	// whole request was written before the answer was awaited.
-	writing  chan struct{}
-	writeErr atomic.Bool
-	tainted  bool
+	bodyWritten chan struct{}
+	writeErr    atomic.Bool
+	tainted     bool
 }
 
 func newConnection(p *Pool, address netip.AddrPort, raw net.Conn) *connection {
@@ -118,7 +118,7 @@
 // answer before it has read all.
 func (c *connection) writeBody(body []byte) {
 	done := make(chan struct{})
-	c.writing = done
+	c.bodyWritten = done
 	go func() {
 		defer close(done)
 		if _, err := c.raw.Write(body); err != nil {
@@ -235,10 +235,10 @@
 
 func (a *Answer) reusable() bool {
 	conn := a.conn
-	if conn.writing != nil {
+	if conn.bodyWritten != nil {
 		select {
-		case <-conn.writing:
-			conn.writing = nil
+		case <-conn.bodyWritten:
+			conn.bodyWritten = nil
 		default:
 			return false
 		}
