--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -189,9 +189,9 @@
 	response *http.Response
 	conn     *connection
 	stop     func() bool
-	// wholeAt is when the body was read to its end, or zero.
-	wholeAt time.Time
-	failed  bool
+	// bodyEndAt is when the body was read to its end, or zero.
+	bodyEndAt time.Time
+	failed    bool
 }
 
 // Read reads the body. Any error but io.EOF means that the body is not whole.
@@ -199,8 +199,8 @@
 	count, err := a.response.Body.Read(buf)
 	switch {
 	case err == io.EOF:
-		if a.wholeAt.IsZero() {
-			a.wholeAt = a.conn.pool.now()
+		if a.bodyEndAt.IsZero() {
+			a.bodyEndAt = a.conn.pool.now()
 		}
 	case err != nil:
 		a.failed = true
@@ -221,7 +221,7 @@
 // for the peer, however late Close comes.
 func (a *Answer) Close() {
 	live := a.stop()
-	if !live || a.wholeAt.IsZero() || !a.reusable() {
+	if !live || a.bodyEndAt.IsZero() || !a.reusable() {
 		a.conn.close()
 		return
 	}
@@ -230,7 +230,7 @@
 		a.conn.close()
 		return
 	}
-	a.conn.pool.put(a.conn, a.wholeAt.Add(sure), a.wholeAt.Add(rest))
+	a.conn.pool.put(a.conn, a.bodyEndAt.Add(sure), a.bodyEndAt.Add(rest))
 }
 
 func (a *Answer) reusable() bool {
