--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -114,7 +114,7 @@
 // time; Close must follow once no Read is under way.
 func (r *Rest) GiveUp() {
 	r.abandoned.Store(true)
-	r.Answer.Cut()
+	r.Answer.Abort()
 }
 
 // Read implements io.Reader.
--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -212,9 +212,9 @@
 // Length is the body's length in bytes, or -1 if it is not known beforehand.
 func (a *Answer) Length() int64 { return a.response.ContentLength }
 
-// Cut ends the exchange's connection, so that a Read under way fails. Unlike all else it
+// Abort ends the exchange's connection, so that a Read under way fails. Unlike all else it
 // may be called at any time; Close must follow.
-func (a *Answer) Cut() { a.conn.close() }
+func (a *Answer) Abort() { a.conn.close() }
 
 // Close ends the exchange. The connection is kept if the body was read to its
 // end and nothing speaks against another request on it. It rests from that end on, as
