--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -17,7 +17,7 @@
 
 // The parts of all daemons never exceed a limit that has a place for each of them, and no
 // daemon is shut out.
-func TestThePartsOfAllDaemonsKeepToTheLimit(t *testing.T) {
+func TestConnectionSharesStayWithinTheLimit(t *testing.T) {
 	is := is.New(t)
 	for limit := 1; limit <= 600; limit++ {
 		for _, daemons := range []int{1, 2, 3, 67, 91, 300, 770} {
