--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -33,8 +33,8 @@
 	is.Equal(ConnectionShare(430, 67, 8, true), 8)
 }
 
-// answersWhenTold is a peer that answers each request when it is told to.
-func answersWhenTold(t *testing.T, tell <-chan struct{}) netip.AddrPort {
+// peerAnsweringOn is a peer that answers each request when it is told to.
+func peerAnsweringOn(t *testing.T, tell <-chan struct{}) netip.AddrPort {
 	return peer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		for {
 			req, err := http.ReadRequest(reader)
@@ -66,7 +66,7 @@
 func TestARequestWaitsForAConnectionAtTheLimit(t *testing.T) {
 	is := is.New(t)
 	tell := make(chan struct{})
-	address, p := answersWhenTold(t, tell), newTestPool()
+	address, p := peerAnsweringOn(t, tell), newTestPool()
 	first, second := make(chan error, 1), make(chan error, 1)
 	go func() { first <- bounded(t, p, address, 1, 0) }()
 	for p.OpenConnections(address) == 0 {
@@ -90,7 +90,7 @@
 func TestConnectionsMadeTogetherKeepToTheLimit(t *testing.T) {
 	is := is.New(t)
 	tell := make(chan struct{})
-	address, p := answersWhenTold(t, tell), newTestPool()
+	address, p := peerAnsweringOn(t, tell), newTestPool()
 	var all sync.WaitGroup
 	for range 40 {
 		all.Go(func() {
