--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// bounded sends a request that waits for a connection.
-func bounded(t *testing.T, p *Pool, address netip.AddrPort, most int, wait time.Duration) error {
+// exchangeWithLimit sends a request that waits for a connection.
+func exchangeWithLimit(t *testing.T, p *Pool, address netip.AddrPort, most int, wait time.Duration) error {
 	req := request("r")
 	req.MaxOpen, req.ConnectionDeadline = most, time.Now().Add(wait)
 	answer, err := p.Exchange(t.Context(), address, req)
@@ -68,15 +68,15 @@
 	tell := make(chan struct{})
 	address, p := peerAnsweringOn(t, tell), newTestPool()
 	first, second := make(chan error, 1), make(chan error, 1)
-	go func() { first <- bounded(t, p, address, 1, 0) }()
+	go func() { first <- exchangeWithLimit(t, p, address, 1, 0) }()
 	for p.OpenConnections(address) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	err := bounded(t, p, address, 1, 0)
+	err := exchangeWithLimit(t, p, address, 1, 0)
 	is.True(errors.Is(err, ErrFull))
 	is.True(errors.Is(err, ErrNotSent))
 	is.Equal(p.Exhausted.Load(), uint64(1))
-	go func() { second <- bounded(t, p, address, 1, time.Hour) }()
+	go func() { second <- exchangeWithLimit(t, p, address, 1, time.Hour) }()
 	tell <- struct{}{}
 	is.NoErr(<-first)
 	tell <- struct{}{}
@@ -94,7 +94,7 @@
 	var all sync.WaitGroup
 	for range 40 {
 		all.Go(func() {
-			if err := bounded(t, p, address, 3, time.Hour); err != nil {
+			if err := exchangeWithLimit(t, p, address, 3, time.Hour); err != nil {
 				t.Error(err)
 			}
 		})
