--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -87,7 +87,7 @@
 
 // Requests that come together make no more connections than allowed, those that fail to be
 // made give their places back, and one whose caller has left is not sent.
-func TestConnectionsMadeTogetherKeepToTheLimit(t *testing.T) {
+func TestConcurrentRequestsStayWithinTheLimit(t *testing.T) {
 	is := is.New(t)
 	tell := make(chan struct{})
 	address, p := peerAnsweringOn(t, tell), newTestPool()
