--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -114,7 +114,7 @@
 
 // Of the rest that a peer grants, a request that can't be repeated keeps well away from the
 // end. One that can uses more of a short grant, and the connection rests on for it.
-func TestARequestThatMayBeRepeatedUsesMoreOfAShortRest(t *testing.T) {
+func TestRepeatableRequestsUseIdleConnectionsLonger(t *testing.T) {
 	is := is.New(t)
 	for granted, want := range map[string][2]time.Duration{
 		"0": {0, 0}, "1": {600 * time.Millisecond, 900 * time.Millisecond}, "2": {1600 * time.Millisecond, 1800 * time.Millisecond}, "10": {9600 * time.Millisecond, 9600 * time.Millisecond},
