--- a/internal/requests/upstream/rest_test.go
+++ b/internal/requests/upstream/rest_test.go
@@ -18,7 +18,7 @@
 // a process that stood still, does seconds later: the connection was taken up when the
 // peer was about to close it, and a request that can't be repeated ended without an
 // answer. It rests from when its answer was read whole.
-func TestAConnectionRestsFromTheEndOfItsAnswer(t *testing.T) {
+func TestIdleTimeCountsFromTheEndOfTheAnswer(t *testing.T) {
 	for _, held := range []time.Duration{0, time.Second, 3 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
