--- a/internal/requests/upstream/rest_test.go
+++ b/internal/requests/upstream/rest_test.go
@@ -50,7 +50,7 @@
 
 // What rests no longer is not counted, also before it is swept away: texts are sent where
 // a connection may be used again.
-func TestOnlyConnectionsThatMayBeUsedCountAsResting(t *testing.T) {
+func TestOnlyUsableConnectionsCountAsIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		near, far := net.Pipe()
