--- a/internal/requests/upstream/suspend_test.go
+++ b/internal/requests/upstream/suspend_test.go
@@ -15,7 +15,7 @@
 // A peer goes on counting how long a connection rests while this machine is suspended. The
 // connection looked as if it might still be used, and a request that can't be repeated
 // was sent on one that the peer was about to close.
-func TestAConnectionRestsWhileTheMachineIsSuspended(t *testing.T) {
+func TestIdleTimeCountsWhileSuspended(t *testing.T) {
 	is := is.New(t)
 	clock := clocktest.New()
 	p := NewPool(Options{})
