--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -54,8 +54,8 @@
 	return &Request{Method: http.MethodPost, Target: "/x?a=%2F", Host: "h", Header: http.Header{"X-Id": {id}}, Body: []byte("body"), EchoHeader: "X-Id", EchoValue: id}
 }
 
-// ask sends a request and returns the whole body.
-func ask(p *Pool, address netip.AddrPort, id string) (string, error) {
+// exchangeBody sends a request and returns the whole body.
+func exchangeBody(p *Pool, address netip.AddrPort, id string) (string, error) {
 	answer, err := p.Exchange(context.Background(), address, request(id))
 	if err != nil {
 		return "", err
@@ -91,7 +91,7 @@
 	})
 	p := newTestPool()
 	for i := 0; i < 5; i++ {
-		body, err := ask(p, address, fmt.Sprint(i))
+		body, err := exchangeBody(p, address, fmt.Sprint(i))
 		is.NoErr(err)
 		is.Equal(body, "0")
 	}
@@ -111,10 +111,10 @@
 		_, _ = readRequest(reader)
 	})
 	p := newTestPool()
-	body, err := ask(p, address, "a")
+	body, err := exchangeBody(p, address, "a")
 	is.NoErr(err)
 	is.Equal(body, "right")
-	_, err = ask(p, address, "b")
+	_, err = exchangeBody(p, address, "b")
 	is.NoErr(err)
 	is.Equal(p.Dials.Load(), uint64(2))
 }
@@ -134,12 +134,12 @@
 		_, _ = readRequest(reader)
 	})
 	p := newTestPool()
-	_, err := ask(p, address, "a")
+	_, err := exchangeBody(p, address, "a")
 	is.NoErr(err)
 	close(answered)
 	<-sent
 	// Loopback hands the bytes over before the peer's write returns.
-	body, err := ask(p, address, "b")
+	body, err := exchangeBody(p, address, "b")
 	is.NoErr(err)
 	is.Equal(body, "first")
 }
@@ -158,7 +158,7 @@
 				_, _ = readRequest(reader)
 				_, _ = io.WriteString(conn, text)
 			})
-			_, err := ask(newTestPool(), address, "a")
+			_, err := exchangeBody(newTestPool(), address, "a")
 			is.True(errors.Is(err, ErrNoAnswer))
 		})
 	}
@@ -176,10 +176,10 @@
 		}
 	})
 	p := newTestPool()
-	body, err := ask(p, address, "a")
+	body, err := exchangeBody(p, address, "a")
 	is.NoErr(err)
 	is.Equal(body, "all of it")
-	_, err = ask(p, address, "b")
+	_, err = exchangeBody(p, address, "b")
 	is.True(errors.Is(err, ErrNoAnswer))
 }
 
@@ -217,7 +217,7 @@
 	is := is.New(t)
 	address, err := process.FreeAddress()
 	is.NoErr(err)
-	_, err = ask(newTestPool(), netip.MustParseAddrPort(address), "a")
+	_, err = exchangeBody(newTestPool(), netip.MustParseAddrPort(address), "a")
 	is.True(errors.Is(err, ErrNotSent))
 }
 
@@ -258,14 +258,14 @@
 		}
 	})
 	p := newTestPool()
-	_, err := ask(p, address, "a")
+	_, err := exchangeBody(p, address, "a")
 	is.NoErr(err)
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
 	_, err = p.Exchange(ctx, address, request("b"))
 	is.True(errors.Is(err, ErrNotSent))
 	is.True(p.IdleConnections(address) > 0) // the connection is not spent on it
-	_, err = ask(p, address, "c")
+	_, err = exchangeBody(p, address, "c")
 	is.NoErr(err)
 	is.Equal(seen.Load(), int64(2))
 }
