--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -35,7 +35,7 @@
 
 // peerAnsweringOn is a peer that answers each request when it is told to.
 func peerAnsweringOn(t *testing.T, tell <-chan struct{}) netip.AddrPort {
-	return peer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+	return startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		for {
 			req, err := http.ReadRequest(reader)
 			if err != nil {
--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -23,8 +23,8 @@
 // peerAddress is of a peer that is never dialled.
 var peerAddress = netip.MustParseAddrPort("127.0.0.1:1")
 
-// peer is a server that answers each connection by a script.
-func peer(t *testing.T, script func(conn net.Conn, reader *bufio.Reader, number int)) netip.AddrPort {
+// startPeer is a server that answers each connection by a script.
+func startPeer(t *testing.T, script func(conn net.Conn, reader *bufio.Reader, number int)) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -80,7 +80,7 @@
 
 func TestConnectionsAreUsedAgain(t *testing.T) {
 	is := is.New(t)
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
+	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
 		for {
 			id, ok := readRequest(reader)
 			if !ok {
@@ -102,7 +102,7 @@
 // connection is not used again.
 func TestLateAnswersAreNotMistaken(t *testing.T) {
 	is := is.New(t)
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
+	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
 		id, _ := readRequest(reader)
 		if number == 0 {
 			_, _ = io.WriteString(conn, answerText("earlier", "wrong"))
@@ -123,7 +123,7 @@
 func TestStrayBytesEndAConnection(t *testing.T) {
 	is := is.New(t)
 	answered, sent := make(chan struct{}), make(chan struct{})
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
+	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
 		id, _ := readRequest(reader)
 		_, _ = io.WriteString(conn, answerText(id, "first"))
 		if number == 0 {
@@ -154,7 +154,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			address := peer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+			address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 				_, _ = readRequest(reader)
 				_, _ = io.WriteString(conn, text)
 			})
@@ -167,7 +167,7 @@
 // An answer without a length ends with its connection; a reset is no end.
 func TestResetsAreNoEnd(t *testing.T) {
 	is := is.New(t)
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
+	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
 		_, _ = readRequest(reader)
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nall of it")
 		if number == 1 {
@@ -188,7 +188,7 @@
 func TestEarlyAnswersDoNotMixRequests(t *testing.T) {
 	is := is.New(t)
 	got := make(chan string, 4)
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
@@ -225,7 +225,7 @@
 func TestTheContextsEndCutsTheConnection(t *testing.T) {
 	is := is.New(t)
 	cut := make(chan struct{})
-	address := peer(t, func(_ net.Conn, reader *bufio.Reader, _ int) {
+	address := startPeer(t, func(_ net.Conn, reader *bufio.Reader, _ int) {
 		_, _ = readRequest(reader)
 		_, _ = reader.ReadByte()
 		close(cut)
@@ -247,7 +247,7 @@
 func TestNothingIsSentForAnEndedContext(t *testing.T) {
 	is := is.New(t)
 	var seen atomic.Int64
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		for {
 			id, ok := readRequest(reader)
 			if !ok {
