--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -50,7 +50,7 @@
 
 // exchangeWithLimit sends a request that waits for a connection.
 func exchangeWithLimit(t *testing.T, p *Pool, address netip.AddrPort, most int, wait time.Duration) error {
-	req := request("r")
+	req := newRequest("r")
 	req.MaxOpen, req.ConnectionDeadline = most, time.Now().Add(wait)
 	answer, err := p.Exchange(t.Context(), address, req)
 	if err != nil {
--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -50,13 +50,13 @@
 	return NewPool(Options{ConnectTimeout: time.Second, UnackedTimeout: time.Second})
 }
 
-func request(id string) *Request {
+func newRequest(id string) *Request {
 	return &Request{Method: http.MethodPost, Target: "/x?a=%2F", Host: "h", Header: http.Header{"X-Id": {id}}, Body: []byte("body"), EchoHeader: "X-Id", EchoValue: id}
 }
 
 // exchangeBody sends a request and returns the whole body.
 func exchangeBody(p *Pool, address netip.AddrPort, id string) (string, error) {
-	answer, err := p.Exchange(context.Background(), address, request(id))
+	answer, err := p.Exchange(context.Background(), address, newRequest(id))
 	if err != nil {
 		return "", err
 	}
@@ -199,7 +199,7 @@
 	})
 	p := newTestPool()
 	for i := 0; i < 2; i++ {
-		long := request(fmt.Sprint(i))
+		long := newRequest(fmt.Sprint(i))
 		long.Body = []byte(strings.Repeat("y", 8<<20))
 		answer, err := p.Exchange(context.Background(), address, long)
 		is.NoErr(err)
@@ -233,7 +233,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() {
-		_, err := newTestPool().Exchange(ctx, address, request("a"))
+		_, err := newTestPool().Exchange(ctx, address, newRequest("a"))
 		done <- err
 	}()
 	time.Sleep(10 * time.Millisecond)
@@ -262,7 +262,7 @@
 	is.NoErr(err)
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
-	_, err = p.Exchange(ctx, address, request("b"))
+	_, err = p.Exchange(ctx, address, newRequest("b"))
 	is.True(errors.Is(err, ErrNotSent))
 	is.True(p.IdleConnections(address) > 0) // the connection is not spent on it
 	_, err = exchangeBody(p, address, "c")
