--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -78,7 +78,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	is := is.New(t)
 	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
 		for {
