--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -100,7 +100,7 @@
 
 // An answer that comes late, where the next one is due, is passed over; the
 // connection is not used again.
-func TestLateAnswersAreNotMistaken(t *testing.T) {
+func TestAnswersToEarlierRequestsAreSkipped(t *testing.T) {
 	is := is.New(t)
 	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
 		id, _ := readRequest(reader)
