--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -120,7 +120,7 @@
 }
 
 // Bytes after a whole answer end the connection's use.
-func TestStrayBytesEndAConnection(t *testing.T) {
+func TestAConnectionWithStrayBytesIsNotReused(t *testing.T) {
 	is := is.New(t)
 	answered, sent := make(chan struct{}), make(chan struct{})
 	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
