--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -144,7 +144,7 @@
 	is.Equal(body, "first")
 }
 
-func TestCutAnswersAreNotWhole(t *testing.T) {
+func TestTruncatedAnswersAreErrors(t *testing.T) {
 	for name, text := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
