--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -165,7 +165,7 @@
 }
 
 // An answer without a length ends with its connection; a reset is no end.
-func TestResetsAreNoEnd(t *testing.T) {
+func TestAResetIsNotTheEndOfABody(t *testing.T) {
 	is := is.New(t)
 	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
 		_, _ = readRequest(reader)
