--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -213,7 +213,7 @@
 	}
 }
 
-func TestADeadPortIsNotSent(t *testing.T) {
+func TestAClosedPortMeansNotSent(t *testing.T) {
 	is := is.New(t)
 	address, err := process.FreeAddress()
 	is.NoErr(err)
