--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -222,7 +222,7 @@
 }
 
 // The end of the context cuts the connection, so that the peer stops working.
-func TestTheContextsEndCutsTheConnection(t *testing.T) {
+func TestCancellationClosesTheConnection(t *testing.T) {
 	is := is.New(t)
 	cut := make(chan struct{})
 	address := startPeer(t, func(_ net.Conn, reader *bufio.Reader, _ int) {
