--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -272,7 +272,7 @@
 
 // Connections that rest at the address of a process that has ended are dropped; others
 // stay, and so does what is under way.
-func TestADroppedPeerIsConnectedToAnew(t *testing.T) {
+func TestAPeerIsDialledAgainAfterCloseIdle(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 	defer server.Close()
