--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -20,28 +20,30 @@
 
 const (
 	readBufferBytes = 4 << 10
-	// maxForeignAnswers is how many answers to earlier requests are passed over.
+	// maxForeignAnswers bounds the skipped answers to earlier requests.
 	maxForeignAnswers = 2
-	// maxInformational is how many 1xx answers are passed over.
+	// maxInformational bounds the skipped 1xx answers.
 	maxInformational = 4
 )
 
-// connection is one connection to a peer; one request is under way on it at
-// most.
+// connection is a connection to a peer. At most one request at a time uses it.
 type connection struct {
 	pool    *Pool
 	address netip.AddrPort
 	raw     net.Conn
 	reader  *bufio.Reader
-	// reusableUntil is until when it may rest for any request, repeatableUntil for one that may be
-	// repeated.
+	// reusableUntil and repeatableUntil are until when the connection may be reused: for any
+	// request, and for requests that may be repeated.
 	reusableUntil, repeatableUntil time.Time
 	closeOnce                      sync.Once
-	// bodyWritten is closed when the request's body has been written; nil if the
-	// whole request was written before the answer was awaited.
+	// bodyWritten is closed once the request's body has been written. It is nil if the body was
+	// written together with the head.
 	bodyWritten chan struct{}
-	writeErr    atomic.Bool
-	tainted     bool
+	// writeErr means that the body could not be written whole.
+	writeErr atomic.Bool
+	// tainted means that an answer to an earlier request was received: answers may be out of
+	// step with requests, so the connection is not reused.
+	tainted bool
 }
 
 func newConnection(p *Pool, address netip.AddrPort, raw net.Conn) *connection {
@@ -50,12 +52,12 @@
 
 func (c *connection) close() {
 	c.closeOnce.Do(func() {
-		_ = c.raw.Close() // all that was promised of it stands in the answer
+		_ = c.raw.Close() // errors that matter were returned by Read or exchange
 		c.pool.countClosed(c.address)
 	})
 }
 
-// usable reports whether a resting connection has not rested too long for a request.
+// usable reports whether an idle connection may be used for a request at the given time.
 func (c *connection) usable(now time.Time, repeatable bool) bool {
 	if repeatable {
 		return now.Before(c.repeatableUntil)
@@ -63,8 +65,8 @@
 	return now.Before(c.reusableUntil)
 }
 
-// isClean reports whether a resting connection is open and has no bytes to read:
-// bytes there belong to no request of ours.
+// isClean reports whether an idle connection is open and has no unread bytes, which would
+// belong to no request of this pool.
 func (c *connection) isClean() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -75,7 +77,8 @@
 	return recvbuf.Look(c.raw) == recvbuf.Empty
 }
 
-// exchange sends a request and returns its answer once the head is there.
+// exchange sends a request and returns the answer as soon as its head has been read. The
+// connection is closed if that fails or when ctx ends before Answer.Close.
 func (c *connection) exchange(ctx context.Context, req *Request) (*Answer, error) {
 	stop := context.AfterFunc(ctx, c.close)
 	response, err := c.roundTrip(req)
@@ -94,7 +97,7 @@
 	return c.readHead(req)
 }
 
-// send writes the request; a long body goes on being written while the answer is awaited.
+// send writes the request. A long body is written in the background while the answer is read.
 func (c *connection) send(req *Request) error {
 	text := appendHead(nil, req)
 	long := len(req.Body) > inlineBodyBytes
@@ -114,8 +117,7 @@
 	return nil
 }
 
-// writeBody writes a long body while the answer is awaited, as a peer may
-// answer before it has read all.
+// writeBody writes a long body in the background, as a peer may answer before it has read it.
 func (c *connection) writeBody(body []byte) {
 	done := make(chan struct{})
 	c.bodyWritten = done
@@ -127,8 +129,8 @@
 	}()
 }
 
-// readHead reads the head of the answer, passing over answers that are late
-// and belong to earlier requests.
+// readHead reads the head of the answer. It skips 1xx answers, and late answers to earlier
+// requests.
 func (c *connection) readHead(req *Request) (*http.Response, error) {
 	sent := &http.Request{Method: req.Method}
 	informational := 0
@@ -182,19 +184,21 @@
 	return append(buf, "\r\n"...)
 }
 
-// Answer is the answer to a request, its body still to be read.
+// Answer is the answer to a request. Its body is read with Read, and Close must be called.
+// Except for Abort, its methods must not be called concurrently.
 type Answer struct {
 	Status   int
 	Header   http.Header
 	response *http.Response
 	conn     *connection
 	stop     func() bool
-	// bodyEndAt is when the body was read to its end, or zero.
+	// bodyEndAt is when the end of the body was read, or zero.
 	bodyEndAt time.Time
 	failed    bool
 }
 
-// Read reads the body. Any error but io.EOF means that the body is not whole.
+// Read reads the body. Any error except io.EOF means that the body is incomplete, and wraps
+// ErrNoAnswer.
 func (a *Answer) Read(buf []byte) (int, error) {
 	count, err := a.response.Body.Read(buf)
 	switch {
@@ -209,28 +213,28 @@
 	return count, err
 }
 
-// Length is the body's length in bytes, or -1 if it is not known beforehand.
+// Length returns the length of the body in bytes, or -1 if the peer has not announced it.
 func (a *Answer) Length() int64 { return a.response.ContentLength }
 
-// Abort ends the exchange's connection, so that a Read under way fails. Unlike all else it
-// may be called at any time; Close must follow.
+// Abort closes the exchange's connection, so that a concurrent Read fails. It may be called at
+// any time, from any goroutine; Close must still be called.
 func (a *Answer) Abort() { a.conn.close() }
 
-// Close ends the exchange. The connection is kept if the body was read to its
-// end and nothing speaks against another request on it. It rests from that end on, as
-// for the peer, however late Close comes.
+// Close ends the exchange. The connection is returned to the pool if the body was read to its
+// end and the connection is fit for another request. Its idle time counts from the end of the
+// body, as it does at the peer, however late Close is called.
 func (a *Answer) Close() {
-	live := a.stop()
-	if !live || a.bodyEndAt.IsZero() || !a.reusable() {
+	active := a.stop()
+	if !active || a.bodyEndAt.IsZero() || !a.reusable() {
 		a.conn.close()
 		return
 	}
-	sure, rest := idleTimeouts(a.Header)
-	if rest <= 0 {
+	forAny, forRepeatable := idleTimeouts(a.Header)
+	if forRepeatable <= 0 {
 		a.conn.close()
 		return
 	}
-	a.conn.pool.put(a.conn, a.bodyEndAt.Add(sure), a.bodyEndAt.Add(rest))
+	a.conn.pool.put(a.conn, a.bodyEndAt.Add(forAny), a.bodyEndAt.Add(forRepeatable))
 }
 
 func (a *Answer) reusable() bool {
--- a/internal/requests/upstream/rest_test.go
+++ b/internal/requests/upstream/idle_test.go
@@ -13,13 +13,10 @@
 	"github.com/matryer/is"
 )
 
-// A peer counts the time for which a connection may rest from the end of its answer. Here
-// it was counted from when the answer was given up, which a slow reader of the answer, or
-// a process that stood still, does seconds later: the connection was taken up when the
-// peer was about to close it, and a request that can't be repeated ended without an
-// answer. It rests from when its answer was read whole.
+// Guards against an idle time that counts from Close instead of the end of the answer: a slow
+// reader would return the connection just before the peer closes it.
 func TestIdleTimeCountsFromTheEndOfTheAnswer(t *testing.T) {
-	for _, held := range []time.Duration{0, time.Second, 3 * time.Second} {
+	for _, delay := range []time.Duration{0, time.Second, 3 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			near, far := net.Pipe()
@@ -35,21 +32,20 @@
 			is.NoErr(err)
 			_, err = io.ReadAll(answer)
 			is.NoErr(err)
-			time.Sleep(held)
+			time.Sleep(delay)
 			answer.Close()
 			time.Sleep(2*time.Second - idleMargin - time.Second - time.Millisecond)
-			none, cancel := context.WithCancel(t.Context())
-			cancel() // a connection that is not there is not made
-			_, err = p.acquire(none, peerAddress, &Request{})
-			is.Equal(err == nil, held <= time.Second)
+			cancelled, cancel := context.WithCancel(t.Context())
+			cancel() // prevents dialling
+			_, err = p.acquire(cancelled, peerAddress, &Request{})
+			is.Equal(err == nil, delay <= time.Second)
 			conn.close()
-			_ = far.Close() // it is not read any more
+			_ = far.Close() // nothing reads it any more
 		})
 	}
 }
 
-// What rests no longer is not counted, also before it is swept away: texts are sent where
-// a connection may be used again.
+// Guards against counting expired connections that CloseExpired has not closed yet.
 func TestOnlyUsableConnectionsCountAsIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -63,6 +59,6 @@
 		time.Sleep(time.Second)
 		is.Equal(p.IdleConnections(peerAddress), 0)
 		conn.close()
-		_ = far.Close() // it is not read any more
+		_ = far.Close() // nothing reads it any more
 	})
 }
--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -8,44 +8,44 @@
 	"github.com/pkg/errors"
 )
 
-// ErrFull: this daemon has as many connections to the peer as it may, and all are in use.
-// It is an ErrNotSent.
+// ErrFull means that all connections that this daemon may have to the peer are in use. It wraps
+// ErrNotSent.
 var ErrFull = errors.WithMessage(ErrNotSent, "upstream: no connection is free")
 
-// reserveDivisor is the part of a peer's limit, one in so many, that no daemon counts on: it is
-// for probes, for connections of a daemon that is gone which the peer still counts, and for
-// daemons that have started and are not known yet.
+// reserveDivisor sets the reserve of a peer's limit, limit/reserveDivisor. It is left for probes,
+// for connections of ended daemons that the peer still counts, and for daemons that have just
+// started.
 const reserveDivisor = 10
 
-// ConnectionShare is how many connections to one peer a daemon may have, of a limit that all daemons
-// share evenly: one at least, so that none is shut out, and as many as the requests that the
-// peer runs at once if lent says that it may use what others leave idle. Without a limit it
-// is 0.
-func ConnectionShare(limit, daemons, slots int, lent bool) int {
+// ConnectionShare returns how many connections a daemon may have to one peer, if all daemons
+// share the peer's limit evenly. It is at least 1. With mayBorrow it is at least the number of
+// requests that the peer runs at once (slots), for which the daemon uses connections that others
+// leave unused. Without a limit it is 0.
+func ConnectionShare(limit, daemons, slots int, mayBorrow bool) int {
 	if limit <= 0 {
 		return 0
 	}
-	part := max((limit-limit/reserveDivisor)/max(daemons, 1), 1)
-	if lent {
-		return max(part, min(slots, limit))
+	share := max((limit-limit/reserveDivisor)/max(daemons, 1), 1)
+	if mayBorrow {
+		return max(share, min(slots, limit))
 	}
-	return part
+	return share
 }
 
-// tryAcquire returns a connection that rests, which may have rested too long, or a channel that
-// is closed when one may have become free. Without either there is a place for a new
-// connection, which is counted already.
+// tryAcquire returns an idle connection, which may have expired, or a channel that is closed
+// when a connection may have become available. If it returns neither, the caller may dial a new
+// connection, which is already counted as open.
 func (p *Pool) tryAcquire(address netip.AddrPort, req *Request) (conn *connection, freed <-chan struct{}) {
 	now := p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	full := req.MaxOpen > 0 && p.open[address] >= req.MaxOpen
-	if resting := p.idle[address]; len(resting) > 0 {
-		last := resting[len(resting)-1]
-		// One that is not sure enough for this request rests on for others, unless its place
-		// is needed.
+	if idle := p.idle[address]; len(idle) > 0 {
+		last := idle[len(idle)-1]
+		// A connection that only repeatable requests may use stays idle for them, unless the
+		// limit is reached.
 		if full || last.usable(now, req.Repeatable) || !last.usable(now, true) {
-			p.idle[address] = resting[:len(resting)-1]
+			p.idle[address] = idle[:len(idle)-1]
 			return last, nil
 		}
 	}
@@ -59,11 +59,11 @@
 	return nil, p.freed[address]
 }
 
-// acquire returns a resting connection that is still sound, or a new one. At the limit it waits
-// for one until the request's WaitUntil.
+// acquire returns a usable idle connection or a new one. At the limit it waits for one until the
+// request's ConnectionDeadline, and then returns ErrFull.
 func (p *Pool) acquire(ctx context.Context, address netip.AddrPort, req *Request) (*connection, error) {
-	late := time.NewTimer(time.Until(req.ConnectionDeadline))
-	defer late.Stop()
+	timer := time.NewTimer(time.Until(req.ConnectionDeadline))
+	defer timer.Stop()
 	for {
 		conn, freed := p.tryAcquire(address, req)
 		switch {
@@ -77,7 +77,7 @@
 		}
 		select {
 		case <-freed:
-		case <-late.C:
+		case <-timer.C:
 			p.Exhausted.Add(1)
 			return nil, ErrFull
 		case <-ctx.Done():
@@ -86,7 +86,7 @@
 	}
 }
 
-// notifyWaiters wakes those that wait for a connection to a peer. The mutex is held.
+// notifyWaiters wakes the requests that wait for a connection to a peer. The mutex must be held.
 func (p *Pool) notifyWaiters(address netip.AddrPort) {
 	if freed := p.freed[address]; freed != nil {
 		close(freed)
--- a/internal/requests/upstream/probe.go
+++ b/internal/requests/upstream/probe.go
@@ -10,20 +10,20 @@
 	"github.com/pkg/errors"
 )
 
-// Liveness is what a new connection tells of the process at an address.
+// Liveness is the result of a probe of the process at an address.
 type Liveness int
 
-// What a probe found.
+// Results of a probe.
 const (
-	// LivenessUnknown: nothing answered in time, or the way there is cut.
+	// LivenessUnknown means that the probe timed out or the network is broken.
 	LivenessUnknown Liveness = iota
-	// Alive: a process took the connection.
+	// Alive means that a process accepted the connection.
 	Alive
-	// Gone: the machine answers and no process listens at the address.
+	// Gone means that the host refused the connection, as no process listens at the address.
 	Gone
 )
 
-// String returns the name under which logs show it.
+// String returns the name of the result in logs.
 func (l Liveness) String() string {
 	switch l {
 	case Alive:
@@ -35,25 +35,24 @@
 	}
 }
 
-// probeTimeout bounds a probe: a few round trips between regions. An attempt that failed
-// waits for it before the next one, so that it is short; a process that is gone shows
-// after one round trip.
+// probeTimeout bounds a probe. It allows a few round trips between regions, and is short because
+// the next attempt of a failed request waits for the probe.
 const probeTimeout = 150 * time.Millisecond
 
-// Probe finds out whether a process listens at an address, as after a connection to it
-// broke: one connection may break by itself, a process that has ended refuses all. A
-// connection that is taken rests in the pool for the next request.
+// Probe dials an address to find out whether a process still listens there, for instance after a
+// connection to it broke. If so, the new connection is added to the pool. The probe is not
+// subject to Request.MaxOpen.
 func (p *Pool) Probe(ctx context.Context, address netip.AddrPort) Liveness {
-	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
+	timeoutCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	p.mu.Lock()
 	p.open[address]++
 	p.mu.Unlock()
-	conn, err := p.dial(bounded, address)
+	conn, err := p.dial(timeoutCtx, address)
 	switch {
 	case err == nil:
-		sure, rest := idleTimeouts(http.Header{})
-		p.put(conn, p.now().Add(sure), p.now().Add(rest))
+		forAny, forRepeatable := idleTimeouts(http.Header{})
+		p.put(conn, p.now().Add(forAny), p.now().Add(forRepeatable))
 		return Alive
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return Gone
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -1,19 +1,18 @@
-// Package upstream sends HTTP/1.1 requests over pooled connections and says
-// exactly what is known of each: not sent, sent without an answer, answered.
+// Package upstream sends HTTP/1.1 requests over pooled connections, and reports for each whether
+// it was not sent, sent without an answer, or answered.
 //
-// It stands where net/http's Transport would: that one sends some requests
-// again by itself and unpacks bodies, and a caller that must count attempts
-// can allow neither.
+// It is used instead of net/http's Transport, which retries some requests and decompresses
+// bodies by itself. Callers must count every attempt and relay bodies unchanged.
 //
-// The package owns the connections to peers: how many there are, which rest and until when. It
-// relies on peers to say how long a connection may rest (Keep-Alive) and to repeat the id of
-// a request in its answer.
+// The package owns the connections to peers: their number, and how long idle ones are kept. It
+// relies on peers to announce their idle timeout (Keep-Alive) and to return the id of a request
+// in its answer.
 //
 // # Usage
 //
 //	answer, err := pool.Exchange(ctx, address, &upstream.Request{...})
 //	if errors.Is(err, upstream.ErrNotSent) { ... it has not run ... }
-//	defer answer.Close() // the connection rests if the answer was read to its end
+//	defer answer.Close() // keeps the connection if the answer was read to its end
 package upstream
 
 import (
@@ -35,81 +34,84 @@
 
 // Errors of an exchange.
 var (
-	// ErrNotSent: no byte of the request left.
+	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = errors.New("upstream: not sent")
-	// ErrNoAnswer: the request was sent, in part at least, and no whole answer came.
+	// ErrNoAnswer means that the request was sent, at least in part, and that its answer is
+	// missing or incomplete.
 	ErrNoAnswer = errors.New("upstream: no answer")
-	// ErrForeignAnswer: an answer came that belongs to another request.
+	// ErrForeignAnswer means that only answers to other requests were received.
 	ErrForeignAnswer = errors.New("upstream: answer to another request")
 )
 
 const (
-	// inlineBodyBytes is the largest body written before the answer is awaited.
+	// inlineBodyBytes is the longest body that is written together with the head.
 	inlineBodyBytes = 16 << 10
-	// defaultIdleTimeout is how long a connection may rest if the peer named no time.
+	// defaultIdleTimeout is how long a connection stays idle if the peer announces no timeout.
 	defaultIdleTimeout = 20 * time.Second
-	// idleMargin is taken off the rest that a peer grants, for requests that must not be
-	// repeated: a request on its way as the peer closes may have run or not.
+	// idleMargin is subtracted from the announced idle timeout for requests that must not be
+	// repeated, as it is unknown whether a request ran that met the peer's close.
 	idleMargin = 400 * time.Millisecond
-	// repeatableMarginDivisor is the part of the granted rest, one in so many, that is taken off for
-	// requests that may be repeated, and leastMargin the least: the way to another region and back.
+	// repeatableMarginDivisor sets the margin for requests that may be repeated, as a fraction
+	// of the announced timeout. minIdleMargin is its minimum, one round trip between regions.
 	repeatableMarginDivisor = 10
 	minIdleMargin           = 100 * time.Millisecond
-	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT option.
+	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT option, in milliseconds.
 	tcpUserTimeout = 18
 )
 
-// Request is one request to a peer.
+// Request is a request to a peer.
 type Request struct {
 	Method string
-	// Target is the path with its query, as it goes on the wire.
+	// Target is the path and query as sent in the request line.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// EchoHeader, if set, is the header in which the answer must repeat EchoValue
-	// if it has that header at all.
+	// EchoHeader, if not "", is a header of the answer. An answer that has it with a value
+	// other than EchoValue belongs to another request.
 	EchoHeader, EchoValue string
-	// Repeatable requests may use a connection that the peer might be about to close.
+	// Repeatable allows the use of an idle connection that the peer may be about to close.
 	Repeatable bool
-	// MaxOpen is how many connections to the peer there may be, 0 without bound.
+	// MaxOpen is the limit of open connections to the peer, or 0 for none.
 	MaxOpen int
-	// ConnectionDeadline is until when one is waited for when there are as many.
+	// ConnectionDeadline is until when the request waits for a connection at the limit.
 	ConnectionDeadline time.Time
-	// SentAt is set by Exchange: when the first byte was sent, by bootclock, zero if none was.
+	// SentAt is set by Exchange to the time, by bootclock, at which it began to write the
+	// request. It is zero if there was no connection to write to.
 	SentAt time.Time
 }
 
-// Options bound a pool's connections.
+// Options configures the connections of a pool.
 type Options struct {
-	// LocalAddress is the source IP with any port, or "".
+	// LocalAddress is the source IP address with any port, or "" for the system's choice.
 	LocalAddress string
-	// ConnectTimeout bounds the making of a connection.
+	// ConnectTimeout bounds the dialling of a connection.
 	ConnectTimeout time.Duration
-	// UnackedTimeout is how long sent bytes may stay unacknowledged before the
-	// connection counts as broken.
+	// UnackedTimeout is how long sent bytes may stay unacknowledged before the connection is
+	// considered broken.
 	UnackedTimeout time.Duration
 }
 
-// Pool holds idle connections to any number of peers.
+// Pool holds the connections to any number of peers. It is safe for concurrent use.
 type Pool struct {
 	dialer *net.Dialer
-	// now is the clock by which connections rest: a peer goes on counting while this machine
-	// is suspended.
+	// now is the clock for idle timeouts. It must advance while this machine is suspended, as
+	// peers' clocks do.
 	now bootclock.Clock
 
 	mu   sync.Mutex
 	idle map[netip.AddrPort][]*connection
-	// open counts the connections to each peer, those that are being made included.
+	// open counts the connections to each peer, including those being dialled.
 	open map[netip.AddrPort]int
-	// freed, where somebody waits, is closed when a connection rests or has ended.
+	// freed has a channel for each peer for whose connections requests wait. It is closed when
+	// a connection becomes idle or is closed.
 	freed map[netip.AddrPort]chan struct{}
 
-	// Dials counts the connections that were made, Exhausted the requests that found none free in time.
+	// Dials counts the connections made, and Exhausted the requests that failed with ErrFull.
 	Dials, Exhausted atomic.Uint64
 }
 
-// NewDialer returns a dialer whose connections keep to the options.
+// NewDialer returns a dialer for connections with the given options.
 func NewDialer(options Options) *net.Dialer {
 	dialer := sourceaddr.Dialer(options.LocalAddress, options.ConnectTimeout)
 	dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
@@ -121,7 +123,7 @@
 			}
 		}
 		return raw.Control(func(descriptor uintptr) {
-			// Where it is not known, a broken connection shows by keep-alive, later.
+			// If the option is not supported, keep-alive detects broken connections later.
 			_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(options.UnackedTimeout.Milliseconds()))
 		})
 	}
@@ -134,15 +136,15 @@
 		freed: map[netip.AddrPort]chan struct{}{}}
 }
 
-// OpenConnections returns how many connections to a peer are open.
+// OpenConnections returns the number of connections to a peer, including those being dialled.
 func (p *Pool) OpenConnections(address netip.AddrPort) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open[address]
 }
 
-// IdleConnections returns how many connections to a peer rest and may be used still. Each may turn
-// out to be closed.
+// IdleConnections returns the number of idle connections to a peer that have not expired. The
+// peer may have closed any of them.
 func (p *Pool) IdleConnections(address netip.AddrPort) int {
 	now := p.now()
 	p.mu.Lock()
@@ -156,14 +158,14 @@
 	return count
 }
 
-// CloseExpired closes connections that have rested as long as they may.
+// CloseExpired closes the connections whose idle timeout is over.
 func (p *Pool) CloseExpired() {
 	now := p.now()
 	var expired []*connection
 	p.mu.Lock()
-	for address, resting := range p.idle {
-		kept := resting[:0]
-		for _, conn := range resting {
+	for address, idle := range p.idle {
+		kept := idle[:0]
+		for _, conn := range idle {
 			if now.After(conn.repeatableUntil) {
 				expired = append(expired, conn)
 			} else {
@@ -181,23 +183,23 @@
 	}
 }
 
-// CloseIdle closes the connections to a peer that rest, as its process is known to have ended.
-// Exchanges under way go on.
+// CloseIdle closes the idle connections to a peer, whose process is known to have ended.
+// Exchanges in progress continue.
 func (p *Pool) CloseIdle(address netip.AddrPort) {
 	p.mu.Lock()
-	resting := p.idle[address]
+	idle := p.idle[address]
 	delete(p.idle, address)
 	p.mu.Unlock()
-	for _, conn := range resting {
+	for _, conn := range idle {
 		conn.close()
 	}
 }
 
-// Exchange sends a request and returns its answer once the head is there. The
-// caller must Close the answer. When the context ends, the connection is cut.
+// Exchange sends a request and returns its answer once the head has been read. The caller must
+// Close the answer. When ctx ends before that, the connection is closed.
 func (p *Pool) Exchange(ctx context.Context, address netip.AddrPort, req *Request) (*Answer, error) {
 	if ctx.Err() != nil {
-		// A resting connection would take the request before the end closes it.
+		// An idle connection would send the request before the end of ctx closes it.
 		return nil, errors.Wrap(ErrNotSent, ctx.Err().Error())
 	}
 	conn, err := p.acquire(ctx, address, req)
@@ -210,7 +212,7 @@
 	return conn.exchange(ctx, req)
 }
 
-// dial makes a connection, whose place is counted already.
+// dial makes a connection, which the caller has already counted as open.
 func (p *Pool) dial(ctx context.Context, address netip.AddrPort) (*connection, error) {
 	raw, err := p.dialer.DialContext(ctx, "tcp4", address.String())
 	if err != nil {
@@ -221,10 +223,10 @@
 	return newConnection(p, address, raw), nil
 }
 
-// put lets a connection rest until a moment, for requests that may be repeated until a later
-// one.
-func (p *Pool) put(conn *connection, sureUntil, restUntil time.Time) {
-	conn.reusableUntil, conn.repeatableUntil = sureUntil, restUntil
+// put adds an idle connection to the pool. Any request may use it before reusableUntil, a
+// repeatable one before repeatableUntil.
+func (p *Pool) put(conn *connection, reusableUntil, repeatableUntil time.Time) {
+	conn.reusableUntil, conn.repeatableUntil = reusableUntil, repeatableUntil
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[conn.address] = append(p.idle[conn.address], conn)
@@ -241,21 +243,20 @@
 	}
 }
 
-// idleTimeouts returns how long a connection may rest after an answer: for any request, and for
-// one that may be repeated. A peer counts from when it has sent the answer, and closes when
-// the time that it granted is over: a request that meets the end is lost. One that may be
-// repeated then costs a try; it uses nine tenths of a short grant, of which the way there
-// and back takes little.
-func idleTimeouts(header http.Header) (sure, rest time.Duration) {
-	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
-		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
+// idleTimeouts returns how long a connection may be reused after an answer: for any request, and
+// for a repeatable one. A peer closes the connection when the timeout that it announced has
+// passed since it sent the answer, and a request that it has not read by then is lost. A
+// repeatable request is merely sent again, so its margin is smaller.
+func idleTimeouts(header http.Header) (forAny, forRepeatable time.Duration) {
+	for _, param := range strings.Split(header.Get("Keep-Alive"), ",") {
+		value, ok := strings.CutPrefix(strings.TrimSpace(param), "timeout=")
 		if !ok {
 			continue
 		}
-		granted, err := time.ParseDuration(value + "s")
+		announced, err := time.ParseDuration(value + "s")
 		if err == nil {
-			margin := min(max(granted/repeatableMarginDivisor, minIdleMargin), idleMargin)
-			return max(granted-idleMargin, 0), max(granted-margin, 0)
+			margin := min(max(announced/repeatableMarginDivisor, minIdleMargin), idleMargin)
+			return max(announced-idleMargin, 0), max(announced-margin, 0)
 		}
 	}
 	return defaultIdleTimeout, defaultIdleTimeout
--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -20,10 +20,10 @@
 	"woodworks/internal/demo/process"
 )
 
-// peerAddress is of a peer that is never dialled.
+// peerAddress is the address of a peer that is never dialled.
 var peerAddress = netip.MustParseAddrPort("127.0.0.1:1")
 
-// startPeer is a server that answers each connection by a script.
+// startPeer starts a server that runs script on each connection.
 func startPeer(t *testing.T, script func(conn net.Conn, reader *bufio.Reader, number int)) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 	return &Request{Method: http.MethodPost, Target: "/x?a=%2F", Host: "h", Header: http.Header{"X-Id": {id}}, Body: []byte("body"), EchoHeader: "X-Id", EchoValue: id}
 }
 
-// exchangeBody sends a request and returns the whole body.
+// exchangeBody sends a request and returns the whole body of its answer.
 func exchangeBody(p *Pool, address netip.AddrPort, id string) (string, error) {
 	answer, err := p.Exchange(context.Background(), address, newRequest(id))
 	if err != nil {
@@ -98,8 +98,7 @@
 	is.Equal(p.Dials.Load(), uint64(1))
 }
 
-// An answer that comes late, where the next one is due, is passed over; the
-// connection is not used again.
+// A late answer to an earlier request is skipped, and the connection is not reused.
 func TestAnswersToEarlierRequestsAreSkipped(t *testing.T) {
 	is := is.New(t)
 	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
@@ -119,7 +118,7 @@
 	is.Equal(p.Dials.Load(), uint64(2))
 }
 
-// Bytes after a whole answer end the connection's use.
+// A connection with unread bytes after an answer must not be reused.
 func TestAConnectionWithStrayBytesIsNotReused(t *testing.T) {
 	is := is.New(t)
 	answered, sent := make(chan struct{}), make(chan struct{})
@@ -138,7 +137,7 @@
 	is.NoErr(err)
 	close(answered)
 	<-sent
-	// Loopback hands the bytes over before the peer's write returns.
+	// On loopback, the bytes are readable as soon as the peer's write has returned.
 	body, err := exchangeBody(p, address, "b")
 	is.NoErr(err)
 	is.Equal(body, "first")
@@ -164,7 +163,7 @@
 	}
 }
 
-// An answer without a length ends with its connection; a reset is no end.
+// An answer without a length ends when the connection is closed, but not when it is reset.
 func TestAResetIsNotTheEndOfABody(t *testing.T) {
 	is := is.New(t)
 	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
@@ -183,8 +182,8 @@
 	is.True(errors.Is(err, ErrNoAnswer))
 }
 
-// A peer may answer before it has read a long body. The connection is not used
-// again, and nothing but the body is ever sent on it.
+// A peer may answer before it has read a long body. The connection must then not be reused, as
+// the rest of the body may still be sent on it.
 func TestEarlyAnswersDoNotMixRequests(t *testing.T) {
 	is := is.New(t)
 	got := make(chan string, 4)
@@ -221,7 +220,7 @@
 	is.True(errors.Is(err, ErrNotSent))
 }
 
-// The end of the context cuts the connection, so that the peer stops working.
+// Cancelling the context closes the connection, so that the peer can stop working.
 func TestCancellationClosesTheConnection(t *testing.T) {
 	is := is.New(t)
 	cut := make(chan struct{})
@@ -242,8 +241,8 @@
 	<-cut
 }
 
-// A resting connection took a request whose context had ended: the write came before the
-// close.
+// Guards against a request whose context has ended being written to an idle connection before
+// that is closed.
 func TestNothingIsSentForAnEndedContext(t *testing.T) {
 	is := is.New(t)
 	var seen atomic.Int64
@@ -260,18 +259,18 @@
 	p := newTestPool()
 	_, err := exchangeBody(p, address, "a")
 	is.NoErr(err)
-	ctx, leave := context.WithCancel(t.Context())
-	leave()
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 	_, err = p.Exchange(ctx, address, newRequest("b"))
 	is.True(errors.Is(err, ErrNotSent))
-	is.True(p.IdleConnections(address) > 0) // the connection is not spent on it
+	is.True(p.IdleConnections(address) > 0) // the connection was not used for it
 	_, err = exchangeBody(p, address, "c")
 	is.NoErr(err)
 	is.Equal(seen.Load(), int64(2))
 }
 
-// Connections that rest at the address of a process that has ended are dropped; others
-// stay, and so does what is under way.
+// CloseIdle closes the idle connections to one peer. Other peers and exchanges in progress are
+// not affected.
 func TestAPeerIsDialledAgainAfterCloseIdle(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
@@ -286,12 +285,12 @@
 		return answer
 	}
 	exchange().Close()
-	underWay := exchange()
+	inProgress := exchange()
 	is.Equal(p.Dials.Load(), uint64(1))
 	p.CloseIdle(address)
 	p.CloseIdle(peerAddress)
-	underWay.Close()
-	is.True(p.IdleConnections(address) > 0) // its peer answered
+	inProgress.Close()
+	is.True(p.IdleConnections(address) > 0) // the peer answered after CloseIdle
 	p.CloseIdle(address)
 	is.True(p.IdleConnections(address) == 0)
 	is.Equal(p.OpenConnections(address), 0)
