--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -24,7 +24,8 @@
 	defaultMaxBodyBytes = 32 << 20
 	// bodyTimeoutGrace is added to the request's timeout when a body is read. It keeps the read
 	// deadline from interrupting the server's background read that detects a closed client
-	// connection, which starts once a body has been read whole.
+	// connection, which starts once a body has been read whole. Requests must end within 250 ms
+	// of their route's timeout, so it is shorter than that.
 	bodyTimeoutGrace = 200 * time.Millisecond
 	// maxMemoryWait is how long reading pauses for memory before the request is refused, and
 	// memoryPollInterval is how often the budget is polled meanwhile.
--- a/internal/requests/ingress/codec.go
+++ b/internal/requests/ingress/codec.go
@@ -40,6 +40,8 @@
 	ParseCall(request *http.Request) (call BatchCall, recognised bool, err error)
 	// DecodeSubmission decodes a batch. The error names the invalid field.
 	DecodeSubmission(body []byte) (*batch.Submission, error)
+	// EncodeResults encodes the answer to ReadResults.
 	EncodeResults(page results.Page) ([]byte, error)
+	// EncodeError encodes the body of a refusal.
 	EncodeError(text string) []byte
 }
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -47,7 +47,7 @@
 }
 
 // sendWhenAdmitted sends a call once admission control admits it. Calls to engines skip
-// admission, as engines queue requests themselves and batches plan how full they are.
+// admission: engines have queues of their own, which the batch runner fills deliberately.
 func (r *request) sendWhenAdmitted(ctx context.Context, cfg *route.Configuration, call *forward.Call) (*forward.Answer, error) {
 	h, service := r.handler, call.Services[0]
 	if cfg.Services[service].Engine {
--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -37,7 +37,7 @@
 	}{
 		"much time left":   {10 * time.Second, 0, refusal.NoReplica.RetryAfter},
 		"little time left": {325 * time.Millisecond, 0, 100 * time.Millisecond},
-		"held before":      {time.Second, 675 * time.Millisecond, 100 * time.Millisecond},
+		"some time used":   {time.Second, 675 * time.Millisecond, 100 * time.Millisecond},
 		"no time left":     {time.Second, 2 * time.Second, 0},
 	}
 	for name, one := range cases {
--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -18,9 +18,9 @@
 const reserveDivisor = 10
 
 // ConnectionShare returns how many connections a daemon may have to one peer, if all daemons
-// share the peer's limit evenly. It is at least 1. With mayBorrow it is at least the number of
-// requests that the peer runs at once (slots), for which the daemon uses connections that others
-// leave unused. Without a limit it is 0.
+// share the peer's limit evenly. It is at least 1, and 0 without a limit. With mayBorrow the daemon
+// may use connections that others leave unused: the share is then at least slots, the number of
+// requests that the peer runs at once, up to the limit.
 func ConnectionShare(limit, daemons, slots int, mayBorrow bool) int {
 	if limit <= 0 {
 		return 0
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -49,13 +49,13 @@
 	// defaultIdleTimeout is how long a connection stays idle if the peer announces no timeout.
 	defaultIdleTimeout = 20 * time.Second
 	// idleMargin is subtracted from the announced idle timeout for requests that must not be
-	// repeated, as it is unknown whether a request ran that met the peer's close.
+	// repeated: one that arrives while the peer closes the connection may have run or not.
 	idleMargin = 400 * time.Millisecond
 	// repeatableMarginDivisor sets the margin for requests that may be repeated, as a fraction
 	// of the announced timeout. minIdleMargin is its minimum, one round trip between regions.
 	repeatableMarginDivisor = 10
 	minIdleMargin           = 100 * time.Millisecond
-	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT option, in milliseconds.
+	// tcpUserTimeout is the number of Linux's TCP_USER_TIMEOUT option.
 	tcpUserTimeout = 18
 )
 
@@ -183,8 +183,8 @@
 	}
 }
 
-// CloseIdle closes the idle connections to a peer, whose process is known to have ended.
-// Exchanges in progress continue.
+// CloseIdle closes the idle connections to a peer. It is called when the peer's process is known
+// to have ended. Exchanges in progress continue.
 func (p *Pool) CloseIdle(address netip.AddrPort) {
 	p.mu.Lock()
 	idle := p.idle[address]
