--- a/internal/api/standalone/retries.go
+++ b/internal/api/standalone/retries.go
@@ -17,15 +17,15 @@
 	budget        retrybudget.Budget
 }
 
-var _ ingress.Retries = (*retries)(nil)
+var _ ingress.RetryPolicy = (*retries)(nil)
 
-func (r *retries) Began(*route.Route) {
+func (r *retries) RequestStarted(*route.Route) {
 	if set, ok := r.decoder.SetOf(r.configuration()); ok {
 		r.budget.FirstTry(set.Retry.Percent)
 	}
 }
 
-func (r *retries) May(rt *route.Route, attempts int) bool {
+func (r *retries) MayRetry(rt *route.Route, attempts int) bool {
 	set, ok := r.decoder.SetOf(r.configuration())
 	if !ok {
 		return false
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -76,7 +76,7 @@
 func (n *Node) buildCatalog(drivers Drivers) {
 	log, contact := drivers.Journal, n.settings.Timing.ContactBound.Std()
 	n.table = replica.NewTable(n.settings.Timing.DrainBound.Std(), n.logger)
-	n.table.OnRestart(n.pool.Drop)
+	n.table.OnRestart(n.pool.CloseIdle)
 	n.operator = catalog.NewState(drivers.Decoder, n.public.configured, n.logger)
 	n.operatorFollower = journal.NewKeyedFollower(log, drivers.OperatorRecords, n.operator, contact, n.logger)
 	n.operatorFollower.SetInterval(n.readInterval(operatorReadShare))
@@ -139,11 +139,11 @@
 	n.holding = holding.New(n.settings.Limits.Held())
 	n.handler = &ingress.Handler{
 		Names: drivers.Headers, Codec: drivers.Codec, Configuration: n.operator.Configuration, Forwarder: forwarder,
-		Clock: bootclock.Now, Retries: ingress.NoRetryPolicy{}, Ran: func(string, time.Time) {},
+		Clock: bootclock.Now, Retries: ingress.NoRetryPolicy{}, OnRun: func(string, time.Time) {},
 		Runner: n.runner, Results: n.results, Observe: n.metrics.Request, Logger: n.logger,
 		ConfigurationAge: n.configurationAge, Stop: n.shutdown, Admission: n.newAdmission(),
-		Holding: n.holding, Unread: timing.Unread.Std(),
-		Keys: ingress.KeyPolicy{TrustKnown: timing.KeyBound.Std(), TrustUnknown: timing.ContactBound.Std()},
+		MemoryBudget: n.holding, WriteTimeout: timing.Unread.Std(),
+		Keys: ingress.KeyPolicy{AcceptMaxAge: timing.KeyBound.Std(), RejectMaxAge: timing.ContactBound.Std()},
 	}
 	n.public.handler = n.handler
 }
--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -22,7 +22,7 @@
 		// Any number of others may be there.
 		daemons = max(service.MaxConnections, 1)
 	}
-	return upstream.Part(service.MaxConnections, daemons, max(service.Slots, chosen.Slots), service.Engine)
+	return upstream.ConnectionShare(service.MaxConnections, daemons, max(service.Slots, chosen.Slots), service.Engine)
 }
 
 // registerConnectionMetrics tells of connections to replicas.
@@ -30,7 +30,7 @@
 	metrics.Counter(n.metrics, "replica_connections_total", "Connections made to replicas.", n.pool.Dials.Load)
 	metrics.Counter(n.metrics, "replica_connections_lacking_total",
 		"Requests that found as many connections to a replica in use as this daemon may have, and none free in time.",
-		n.pool.Full.Load)
+		n.pool.Exhausted.Load)
 	metrics.Gauge(n.metrics, "replica_connections_used_ratio",
 		"Connections to a replica against this daemon's part of what it takes, at the replica where that is highest.",
 		n.connectionsUsed)
@@ -45,7 +45,7 @@
 	for service := range configuration.Services {
 		for _, rep := range n.table.Replicas(service) {
 			if part := n.maxOpen(rep); part > 0 {
-				most = max(most, float64(n.pool.Open(rep.Address))/float64(part))
+				most = max(most, float64(n.pool.OpenConnections(rep.Address))/float64(part))
 			}
 		}
 	}
--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/admission_test.go
@@ -23,8 +23,9 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// fullService is a handler before one replica that declines so many requests and then answers.
-func fullService(t *testing.T, declines int32, engine bool) (*Handler, *atomic.Int32) {
+// newFullServiceTest returns a handler with one replica that declines this many requests before
+// it answers, and the count of requests sent to the replica.
+func newFullServiceTest(t *testing.T, declines int32, engine bool) (*Handler, *atomic.Int32) {
 	t.Helper()
 	asked := &atomic.Int32{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -44,14 +45,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	handler := bare(clock.Now)
+	handler := newTestHandler(clock.Now)
 	handler.Names, handler.Configuration = names, func() *route.Configuration { return cfg }
 	setForwarder(handler, &forward.Forwarder{MaxOpen: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names,
 		Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
 	return handler, asked
 }
 
-func askFull(handler *Handler, deadline string) *httptest.ResponseRecorder {
+func sendWithDeadline(handler *Handler, deadline string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "/x", strings.NewReader("body"))
 	r.Host = "h"
 	r.Header.Set("Deadline", deadline)
@@ -60,50 +61,50 @@
 	return recorder
 }
 
-// A request that has certainly not run waits for its turn again, instead of being refused.
-func TestADeclinedRequestHasItsTurnAgain(t *testing.T) {
+// A declined request has not run, so it is admitted again instead of refused.
+func TestADeclinedRequestIsAdmittedAgain(t *testing.T) {
 	is := is.New(t)
-	handler, r := fullService(t, 1, false)
-	is.Equal(askFull(handler, "20000").Code, http.StatusOK)
+	handler, r := newFullServiceTest(t, 1, false)
+	is.Equal(sendWithDeadline(handler, "20000").Code, http.StatusOK)
 	is.Equal(r.Load(), int32(2))
 }
 
-// However long it is declined, it is offered a few times, and refused with when to come back.
-func TestTurnsAreBounded(t *testing.T) {
+// A request that is always declined is refused with a Retry-After after maxAdmissions.
+func TestAdmissionsAreBounded(t *testing.T) {
 	is := is.New(t)
-	handler, r := fullService(t, 1<<30, false)
-	recorder := askFull(handler, "20000")
+	handler, r := newFullServiceTest(t, 1<<30, false)
+	recorder := sendWithDeadline(handler, "20000")
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
-	is.Equal(r.Load(), int32(mostTurns))
-	is.True(secondsOf(t, recorder.Header()) > 0)
-	is.True(secondsOf(t, recorder.Header()) < refusal.Within(time.Hour, 20*time.Second))
+	is.Equal(r.Load(), int32(maxAdmissions))
+	is.True(retryAfterOf(t, recorder.Header()) > 0)
+	is.True(retryAfterOf(t, recorder.Header()) < refusal.Within(time.Hour, 20*time.Second))
 }
 
-// Engines have queues of their own.
-func TestEnginesAreNotAdmittedTo(t *testing.T) {
+// Engines queue requests themselves, so admission must not count their declines.
+func TestCallsToEnginesSkipAdmission(t *testing.T) {
 	is := is.New(t)
-	handler, r := fullService(t, 1<<30, true)
-	is.Equal(askFull(handler, "20000").Code, http.StatusServiceUnavailable)
+	handler, r := newFullServiceTest(t, 1<<30, true)
+	is.Equal(sendWithDeadline(handler, "20000").Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), int32(1))
 	is.Equal(handler.Admission.Count().Full, 0)
 }
 
-// A refusal promises that no replica was asked.
-func TestARequestWithoutTimeIsNotSentToAFullService(t *testing.T) {
+// A request with less time than an answer takes must be refused before it is sent.
+func TestARequestWithTooLittleTimeIsNotSent(t *testing.T) {
 	is := is.New(t)
-	handler, r := fullService(t, 1<<30, false)
-	_ = askFull(handler, "20000")
+	handler, r := newFullServiceTest(t, 1<<30, false)
+	_ = sendWithDeadline(handler, "20000")
 	before := r.Load()
-	recorder := askFull(handler, "60") // less than answers take before any is known
+	recorder := sendWithDeadline(handler, "60") // less than an answer is assumed to take before any was measured
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), before)
 }
 
-// A client that leaves while its request waits gets no answer, and no replica the request.
-func TestAClientLeavesWhileItsRequestWaits(t *testing.T) {
+// A request whose client disconnects while it waits must not be answered or sent.
+func TestAWaitingRequestOfAGoneClientIsNotSent(t *testing.T) {
 	is := is.New(t)
-	handler, r := fullService(t, 1<<30, false)
-	_ = askFull(handler, "20000")
+	handler, r := newFullServiceTest(t, 1<<30, false)
+	_ = sendWithDeadline(handler, "20000")
 	before := r.Load()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/memory_test.go
@@ -28,10 +28,10 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// smallBuffers is a listener whose connections hold little in the system's buffers.
-type smallBuffers struct{ net.Listener }
+// smallBufferListener accepts connections with a small send buffer in the kernel.
+type smallBufferListener struct{ net.Listener }
 
-func (l smallBuffers) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetWriteBuffer(64 << 10)
@@ -42,59 +42,60 @@
 func serve(t *testing.T, handler http.Handler) *httptest.Server {
 	t.Helper()
 	server := httptest.NewUnstartedServer(handler)
-	server.Listener = smallBuffers{server.Listener}
+	server.Listener = smallBufferListener{server.Listener}
 	server.Start()
 	t.Cleanup(server.CloseClientConnections)
 	return server
 }
 
-// outcomes hands out how requests ended.
+// outcomes receives the outcome of each request.
 type outcomes chan string
 
 func (o outcomes) observe(_, _, outcome string, _ time.Duration) { o <- outcome }
 
-// slow is a daemon with a replica whose clients read as they like.
-type slow struct {
+// slowClientTest is a daemon with one replica, for tests that decide when a client reads.
+type slowClientTest struct {
 	*testing.T
 	handler  *Handler
 	outcomes outcomes
 	daemon   *httptest.Server
-	// ran counts the requests that the replica has begun, made those it has answered.
-	ran, made chan struct{}
+	// started receives a value per request that the replica has started, answered one per
+	// request that it has answered.
+	started, answered chan struct{}
 }
 
-// newSlow starts a daemon that may hold some bytes, 0 being no bound, and its replica.
-func newSlow(t *testing.T, kind route.Kind, most int64, answer http.HandlerFunc) *slow {
+// newSlowClientTest starts a replica and a daemon with a memory budget in bytes, 0 for none.
+func newSlowClientTest(t *testing.T, kind route.Kind, budget int64, answer http.HandlerFunc) *slowClientTest {
 	t.Helper()
-	s := &slow{T: t, outcomes: make(outcomes, 1000), ran: make(chan struct{}, 1000), made: make(chan struct{}, 1000)}
+	s := &slowClientTest{T: t, outcomes: make(outcomes, 1000), started: make(chan struct{}, 1000), answered: make(chan struct{}, 1000)}
 	server := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.ran <- struct{}{}
+		s.started <- struct{}{}
 		w.Header().Set("Signature", "s")
 		answer(w, r)
-		s.made <- struct{}{}
+		s.answered <- struct{}{}
 	}))
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 1000})
 	names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Signature: "Signature"}
 	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: kind, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	is.New(t).NoErr(err)
-	s.handler = bare(time.Now)
+	s.handler = newTestHandler(time.Now)
 	s.handler.Names, s.handler.Observe, s.handler.Configuration = names, s.outcomes.observe, func() *route.Configuration { return cfg }
-	s.handler.Holding = holding.New(holding.LimitsOf(most))
+	s.handler.MemoryBudget = holding.New(holding.LimitsOf(budget))
 	setForwarder(s.handler, &forward.Forwarder{MaxOpen: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: 10 * time.Second}), Table: table, Names: names,
 		Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
 	s.daemon = serve(t, s.handler)
 	return s
 }
 
-// client is one that reads what the test reads.
+// client is a client that only reads when the test does.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// ask sends a request, and reads nothing.
-func (s *slow) ask(target, body string) *client {
+// send sends a request and reads nothing.
+func (s *slowClientTest) send(target, body string) *client {
 	s.Helper()
 	dialer := net.Dialer{}
 	conn, err := dialer.Dial("tcp4", s.daemon.Listener.Addr().String())
@@ -110,8 +111,8 @@
 	return &client{conn, bufio.NewReader(conn)}
 }
 
-// read reads the answer to its end.
-func (c *client) read() (status int, header http.Header, body []byte, err error) {
+// readAnswer reads the whole answer.
+func (c *client) readAnswer() (status int, header http.Header, body []byte, err error) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, nil, nil, err
@@ -122,8 +123,8 @@
 
 const kib = 1 << 10
 
-// content is a text in which no part is like another.
-func content(length int) []byte {
+// uniqueText returns a text without repetitions, in which lost or repeated parts show.
+func uniqueText(length int) []byte {
 	var text bytes.Buffer
 	for i := 0; text.Len() < length; i++ {
 		_, _ = fmt.Fprintf(&text, "%07d ", i)
@@ -131,104 +132,103 @@
 	return text.Bytes()[:length]
 }
 
-// Each answer that a client did not read was held whole. A daemon with 64 MB holds no more
-// than its part of them, serves those that are prompt, and every client that reads in the
-// end has its whole answer.
-func TestSlowReadersLeaveRoomForPromptOnes(t *testing.T) {
+// Guards against slow clients that use up the memory budget: fast clients must still be served,
+// and slow ones must receive their whole answers in the end.
+func TestSlowClientsLeaveMemoryForFastOnes(t *testing.T) {
 	is := is.New(t)
 	const memory, clients, length = 64 << 20, 60, 900 * kib
-	big, small := content(length), content(800)
+	big, small := uniqueText(length), uniqueText(800)
 	limits := holding.LimitsOf(memory * 35 / 100)
-	s := newSlow(t, route.Unsafe, limits.All, func(w http.ResponseWriter, r *http.Request) {
+	s := newSlowClientTest(t, route.Unsafe, limits.All, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/big" {
 			_, _ = w.Write(big)
 			return
 		}
 		_, _ = w.Write(small)
 	})
-	var lazy []*client
+	var slow []*client
 	for range clients {
-		lazy = append(lazy, s.ask("/big", ""))
-		<-s.ran
+		slow = append(slow, s.send("/big", ""))
+		<-s.started
 	}
-	for s.handler.Holding.Held(holding.Answers) < limits.Of[holding.Answers]-length {
+	for s.handler.MemoryBudget.Held(holding.Answers) < limits.Of[holding.Answers]-length {
 		time.Sleep(time.Millisecond)
 	}
 	for range 50 {
-		status, _, body, err := s.ask("/small", "").read()
+		status, _, body, err := s.send("/small", "").readAnswer()
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
 		is.True(bytes.Equal(body, small))
 	}
-	for _, each := range lazy {
-		status, _, body, err := each.read()
+	for _, each := range slow {
+		status, _, body, err := each.readAnswer()
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
 		is.True(bytes.Equal(body, big))
 	}
-	_, most := s.handler.Holding.Sum()
+	_, most := s.handler.MemoryBudget.Sum()
 	is.True(most <= limits.All)
-	for now := int64(1); now > 0; now, _ = s.handler.Holding.Sum() {
+	for now := int64(1); now > 0; now, _ = s.handler.MemoryBudget.Sum() {
 		time.Sleep(time.Millisecond) // until the last handler has returned
 	}
 }
 
-// A replica gives up an answer that is not read for some seconds. It is read as fast as it
-// comes, also where the client reads nothing meanwhile.
-func TestALongAnswerIsTakenFromItsReplica(t *testing.T) {
+// Guards against an answer that stays with its replica, which aborts answers that are not read
+// for some seconds, because the client reads nothing.
+func TestALongAnswerIsReadAheadOfASlowClient(t *testing.T) {
 	is := is.New(t)
-	long := content(14 << 20)
-	s := newSlow(t, route.Unsafe, 64<<20, func(w http.ResponseWriter, r *http.Request) { _, _ = w.Write(long) })
-	lazy := s.ask("/", "")
-	<-s.made
-	status, _, body, err := lazy.read()
+	long := uniqueText(14 << 20)
+	s := newSlowClientTest(t, route.Unsafe, 64<<20, func(w http.ResponseWriter, r *http.Request) { _, _ = w.Write(long) })
+	slow := s.send("/", "")
+	<-s.answered
+	status, _, body, err := slow.readAnswer()
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
 	is.True(bytes.Equal(body, long))
 }
 
-// Where all is held, a request is turned away at once, and has not run.
-func TestARequestWithoutRoomIsTurnedAway(t *testing.T) {
+// A request must be refused before it is sent if the budget has no memory for it.
+func TestARequestIsRefusedWithoutFreeMemory(t *testing.T) {
 	is := is.New(t)
-	s := newSlow(t, route.Unsafe, 100*kib, func(http.ResponseWriter, *http.Request) {})
+	s := newSlowClientTest(t, route.Unsafe, 100*kib, func(http.ResponseWriter, *http.Request) {})
 	for {
-		if _, ok := s.handler.Holding.Begin(kib); !ok {
+		if _, ok := s.handler.MemoryBudget.Begin(kib); !ok {
 			break
 		}
 	}
-	status, header, _, err := s.ask("/", "").read()
+	status, header, _, err := s.send("/", "").readAnswer()
 	is.NoErr(err)
 	is.Equal(status, http.StatusServiceUnavailable)
-	is.Equal(secondsOf(t, header), refusal.NoMemory.RetryAfter)
-	is.Equal(len(s.ran), 0)
+	is.Equal(retryAfterOf(t, header), refusal.NoMemory.RetryAfter)
+	is.Equal(len(s.started), 0)
 }
 
-// A body for which there is no room stays with its client for a moment. If there is none
-// then it is refused, and has not run; a body that can never fit is refused at once.
-func TestABodyWaitsForRoom(t *testing.T) {
+// A body waits up to maxMemoryWait for memory and is then refused. A body that exceeds the whole
+// budget is refused at once.
+func TestABodyWaitsForMemory(t *testing.T) {
 	for _, c := range []struct {
-		name           string
-		length, status int
-		frees, took    time.Duration
+		name                string
+		length, status      int
+		releasedAfter, wait time.Duration
 	}{
-		{"room comes", 50 * kib, 0, 95 * time.Millisecond, 100 * time.Millisecond},
-		{"none comes", 50 * kib, http.StatusServiceUnavailable, time.Minute, roomWait},
-		{"never fits", 80 * kib, http.StatusServiceUnavailable, time.Minute, 0},
+		{"memory is released", 50 * kib, 0, 95 * time.Millisecond, 100 * time.Millisecond},
+		{"none is released", 50 * kib, http.StatusServiceUnavailable, time.Minute, maxMemoryWait},
+		{"exceeds the budget", 80 * kib, http.StatusServiceUnavailable, time.Minute, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				r, recorder := askedOf(t.Context(), nil, route.Unsafe, time.Hour)
-				r.handler.Holding = holding.New(holding.LimitsOf(100 * kib))
-				other, _ := r.handler.Holding.Begin(0)
+				r, recorder := newTestRequest(t.Context(), nil, route.Unsafe, time.Hour)
+				r.handler.MemoryBudget = holding.New(holding.LimitsOf(100 * kib))
+				other, _ := r.handler.MemoryBudget.Begin(0)
 				is.True(other.Take(holding.Bodies, 60*kib))
-				time.AfterFunc(c.frees, other.End)
-				r.account, _ = r.handler.Holding.Begin(0)
-				text := content(c.length)
+				time.AfterFunc(c.releasedAfter, other.End)
+				r.account, _ = r.handler.MemoryBudget.Begin(0)
+				text := uniqueText(c.length)
 				r.req.Body, r.req.ContentLength = io.NopCloser(bytes.NewReader(text)), int64(len(text))
 				began := time.Now()
 				body, ok := r.readBody(kib * kib)
-				is.Equal(time.Since(began), c.took)
+				is.Equal(time.Since(began), c.wait)
 				is.Equal(ok, c.status == 0)
 				is.True(!ok || bytes.Equal(body, text))
 				is.True(ok || recorder.Code == c.status && recorder.Header().Get("Retry-After") != "")
@@ -237,11 +237,11 @@
 	}
 }
 
-// A stream that its client does not read was held, with its replica, for as long as the
-// client liked. It ends as broken, never as complete, and no other replica is asked.
-func TestAnUnreadStreamEndsAsBroken(t *testing.T) {
+// Guards against a client that reads nothing and so occupies a replica indefinitely. Its stream
+// must be aborted, not ended regularly, and must not be tried at another replica.
+func TestAnUnreadStreamIsAborted(t *testing.T) {
 	is := is.New(t)
-	s := newSlow(t, route.Stream, 0, func(w http.ResponseWriter, r *http.Request) {
+	s := newSlowClientTest(t, route.Stream, 0, func(w http.ResponseWriter, r *http.Request) {
 		event := []byte("data: " + strings.Repeat("x", 2*kib) + "\n\n")
 		for {
 			if _, err := w.Write(event); err != nil {
@@ -249,30 +249,30 @@
 			}
 		}
 	})
-	s.handler.Unread = 100 * time.Millisecond
-	lazy := s.ask("/", "")
+	s.handler.WriteTimeout = 100 * time.Millisecond
+	slow := s.send("/", "")
 	is.Equal(<-s.outcomes, "broken off")
-	_, _, body, err := lazy.read()
+	_, _, body, err := slow.readAnswer()
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	is.True(len(body) > 0)
-	<-s.made
-	is.Equal(len(s.ran), 1)
+	<-s.answered
+	is.Equal(len(s.started), 1)
 }
 
-// Results that nobody reads were held likewise.
-func TestAnUnreadPageEndsItsConnection(t *testing.T) {
+// Guards against pages of results that stay in memory because their client reads nothing.
+func TestAnUnreadPageIsAborted(t *testing.T) {
 	is := is.New(t)
-	s := newSlow(t, route.Unsafe, 64<<20, nil)
-	s.handler.Unread = 100 * time.Millisecond
-	page := content(2 << 20)
+	s := newSlowClientTest(t, route.Unsafe, 64<<20, nil)
+	s.handler.WriteTimeout = 100 * time.Millisecond
+	page := uniqueText(2 << 20)
 	s.daemon = serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		account, _ := s.handler.Holding.Begin(0)
+		account, _ := s.handler.MemoryBudget.Begin(0)
 		asked := &request{handler: s.handler, w: w, req: r, logger: zap.NewNop(), arrived: time.Now(), account: account}
 		asked.writePage(page)
 	}))
-	lazy := s.ask("/", "")
+	slow := s.send("/", "")
 	is.Equal(<-s.outcomes, "broken off")
-	_, _, body, err := lazy.read()
+	_, _, body, err := slow.readAnswer()
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	is.True(len(body) < len(page))
 }
--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -9,62 +9,62 @@
 	"woodworks/internal/requests/holding"
 )
 
-// chunkBytes is how much of an answer is read ahead at a time. The first chunk is held whether
-// there is room or not, and isn't counted.
-const chunkBytes = 32 << 10
+// readChunkBytes is the size of a chunk that is read ahead. The first chunk of an answer needs
+// no free memory and is not counted.
+const readChunkBytes = 32 << 10
 
-// mostChunks bounds what is read ahead of one answer, 16 MiB, also where the memory has no
-// bound.
-const mostChunks = 512
+// maxChunks bounds the chunks read ahead of one answer (16 MiB), also without a memory budget.
+const maxChunks = 512
 
-// readAhead is what has been read of an answer and not been written. A replica gives up an
-// answer that is not read for some seconds, so that it is read as fast as it comes as long
-// as there is room, however slowly the client reads.
+// readAhead buffers the part of an answer that has been read from the replica and not yet
+// written to the client. Replicas abort answers that are not read for some seconds, so an answer
+// is read at the replica's speed while memory allows, even if the client reads slowly.
 //
-// Invariant: there is room for all chunks but the first.
+// Invariant: every buffered chunk but the first is counted in the account.
 type readAhead struct {
 	account *holding.Account
 
-	mu     sync.Mutex
-	turned sync.Cond
-	chunks [][]byte
-	// counted is for how many chunks room was taken.
+	mu      sync.Mutex
+	changed sync.Cond
+	chunks  [][]byte
+	// counted is the number of chunks that are counted in the account.
 	counted int
-	// ended says that no chunk comes any more, err why; left that none is wanted.
-	ended, left bool
-	err         error
+	// ended means that the source has no more chunks, and err is the error that it ended with.
+	// cancelled means that the writer wants no more chunks.
+	ended, cancelled bool
+	err              error
 }
 
-// read reads the source to its end, or until no more is wanted.
+// read reads the source to its end or until cancel is called.
 func (a *readAhead) read(source io.Reader) {
-	for a.room() {
-		chunk := make([]byte, chunkBytes)
+	for a.waitForSpace() {
+		chunk := make([]byte, readChunkBytes)
 		n, err := source.Read(chunk)
-		if chunk = chunk[:n]; n < chunkBytes/2 {
+		if chunk = chunk[:n]; n < readChunkBytes/2 {
 			chunk = bytes.Clone(chunk)
 		}
 		a.put(chunk, err)
 	}
 }
 
-// room waits until a further chunk may be read, and reports false if none is wanted.
-func (a *readAhead) room() bool {
+// waitForSpace waits until another chunk may be read. It returns false if none is wanted.
+func (a *readAhead) waitForSpace() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for !a.left && !a.ended {
+	for !a.cancelled && !a.ended {
 		if len(a.chunks) == 0 {
 			return true
 		}
-		if len(a.chunks) < mostChunks && a.account.Take(holding.Answers, chunkBytes) {
+		if len(a.chunks) < maxChunks && a.account.Take(holding.Answers, readChunkBytes) {
 			a.counted++
 			return true
 		}
-		a.turned.Wait() // until the client has taken a chunk
+		a.changed.Wait() // woken when a chunk is dropped or the reading is cancelled
 	}
 	return false
 }
 
-// put adds what was read.
+// put appends a chunk, and records err as the end of the source if it is not nil.
 func (a *readAhead) put(chunk []byte, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -72,15 +72,16 @@
 		a.chunks = append(a.chunks, chunk)
 	}
 	a.ended, a.err = err != nil, err
-	a.turned.Broadcast()
+	a.changed.Broadcast()
 }
 
-// next returns the next chunk to write, or why there is none.
+// next waits for the first chunk and returns it, or the error that the source ended with. The
+// chunk stays buffered until dropFirst.
 func (a *readAhead) next() ([]byte, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for len(a.chunks) == 0 && !a.ended {
-		a.turned.Wait()
+		a.changed.Wait()
 	}
 	if len(a.chunks) == 0 {
 		return nil, a.err
@@ -88,39 +89,39 @@
 	return a.chunks[0], nil
 }
 
-// taken drops the chunk that next returned.
-func (a *readAhead) taken() {
+// dropFirst removes the chunk that next returned.
+func (a *readAhead) dropFirst() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.chunks[0] = nil
 	a.chunks = a.chunks[1:]
 	if a.counted > 0 {
 		a.counted--
-		a.account.Give(holding.Answers, chunkBytes)
+		a.account.Give(holding.Answers, readChunkBytes)
 	}
-	a.turned.Broadcast()
+	a.changed.Broadcast()
 }
 
-// leave says that no further chunk is wanted.
-func (a *readAhead) leave() {
+// cancel stops the reading ahead. A read that is under way continues.
+func (a *readAhead) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.left = true
-	a.turned.Broadcast()
+	a.cancelled = true
+	a.changed.Broadcast()
 }
 
-// writeAnswer writes an answer to the client, and reads ahead what is still to come of it.
-func (r *request) writeAnswer(answer *forward.Answer) error {
+// writeAnswerBody writes the body of an answer to the client while it reads the rest ahead.
+func (r *request) writeAnswerBody(answer *forward.Answer) error {
 	if answer.Rest == nil {
 		_, err := r.w.Write(answer.Body)
 		return err
 	}
 	a := &readAhead{account: r.account}
-	a.turned.L = &a.mu
+	a.changed.L = &a.mu
 	var reading sync.WaitGroup
 	reading.Go(func() { a.read(answer.Rest) })
 	defer reading.Wait()
-	defer a.leave()
+	defer a.cancel()
 	_, err := r.w.Write(answer.Body)
 	for err == nil {
 		var chunk []byte
@@ -128,7 +129,7 @@
 			break
 		}
 		if _, err = r.w.Write(chunk); err == nil {
-			a.taken()
+			a.dropFirst()
 		}
 	}
 	if err == io.EOF {
--- a/internal/requests/ingress/stop.go
+++ b/internal/requests/ingress/stop.go
@@ -11,11 +11,11 @@
 	"woodworks/internal/requests/route"
 )
 
-// endsInTime reports whether a planned stop leaves the request its time. One that it
-// might interrupt is turned away at once, to a daemon that has the time.
-func (r *request) endsInTime() bool {
+// fitsBeforeStop reports whether the request is sure to end before a planned stop does. If not,
+// it refuses the request at once, so that the client tries another daemon.
+func (r *request) fitsBeforeStop() bool {
 	left, bounded := r.handler.Stop.Left()
-	needed := r.timeNeeded()
+	needed := r.maxDuration()
 	if !bounded || needed <= left {
 		return true
 	}
@@ -24,17 +24,17 @@
 	return false
 }
 
-// timeNeeded is the longest that the request may be held.
-func (r *request) timeNeeded() time.Duration {
+// maxDuration returns the longest time that the request may still take.
+func (r *request) maxDuration() time.Duration {
 	if r.route != nil && r.route.Kind == route.Batch {
 		return runner.SubmitTimeout
 	}
 	return r.timeLeft()
 }
 
-// interrupted reports whether the end of a planned stop keeps the request from its
-// answer. The client is still there, and is told what is certain.
+// interrupted reports whether the end of a planned stop interrupted the request. Its client is
+// still connected and must be answered.
 func (r *request) interrupted() bool { return shutdown.Interrupted(r.req.Context()) }
 
-// clientLeft reports whether nobody waits for the answer any more.
-func (r *request) clientLeft() bool { return r.req.Context().Err() != nil && !r.interrupted() }
+// clientGone reports whether the client has closed its connection.
+func (r *request) clientGone() bool { return r.req.Context().Err() != nil && !r.interrupted() }
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -17,28 +17,30 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// streamRelay passes the events of one or more replicas on as one answer.
+// streamRelay relays the events of a stream to the client. If a replica fails, another one may
+// continue the stream within the same answer.
 type streamRelay struct {
 	*request
-	call       *forward.StreamRequest
-	passedOver map[string]bool
-	// mayHaveRun counts the attempts that ran or may have, notRun those that did not.
+	call     *forward.StreamRequest
+	excluded map[string]bool
+	// mayHaveRun counts the failed attempts that ran or may have, notRun those that did not.
 	mayHaveRun, notRun int
-	began              bool
-	// unread says that the client has not taken an event: no other replica changes that.
-	unread bool
-	// lastErr is why the last attempt failed.
+	headWritten        bool
+	// clientStalled means that an event could not be written, so trying another replica is
+	// useless.
+	clientStalled bool
+	// lastErr is the error of the last attempt.
 	lastErr error
 	// quarantined, if not nil, is why the stream may not run now.
 	quarantined *forward.QuarantinedError
 }
 
-// serveStream passes a stream on. Without the right to resume it, it is
-// sent again only as long as it has certainly not run.
+// serveStream serves a stream. Unless its route is resumable, a stream is only retried while it
+// has certainly not run.
 func (r *request) serveStream(cfg *route.Configuration, body []byte) {
-	ctx, cancel := r.bounded()
+	ctx, cancel := r.timeoutContext()
 	defer cancel()
-	s := &streamRelay{request: r, passedOver: map[string]bool{}, call: &forward.StreamRequest{Request: r.onward(cfg, body)}}
+	s := &streamRelay{request: r, excluded: map[string]bool{}, call: &forward.StreamRequest{Request: r.outgoingRequest(cfg, body)}}
 	if text := r.req.Header.Get(r.handler.Names.LastEventID); text != "" {
 		if after, err := strconv.ParseInt(text, 10, 64); err == nil {
 			s.call.After, s.call.HasAfter = after, true
@@ -49,7 +51,7 @@
 
 func (s *streamRelay) run(ctx context.Context) {
 	for {
-		rep, ok := s.handler.Forwarder.Pick(s.route.Order(s.id), s.passedOver)
+		rep, ok := s.handler.Forwarder.Pick(s.route.Order(s.id), s.excluded)
 		if !ok {
 			break
 		}
@@ -61,12 +63,12 @@
 		}
 		var quarantined *forward.QuarantinedError
 		if errors.As(err, &quarantined) {
-			if !s.mayAskAgain(ctx, rep, quarantined) {
+			if !s.mayRetryQuarantined(ctx, rep, quarantined) {
 				break
 			}
 			continue
 		}
-		s.note(rep, mayHaveRun, err)
+		s.recordFailure(rep, mayHaveRun, err)
 		if !s.mayContinue(ctx) {
 			break
 		}
@@ -74,9 +76,9 @@
 	s.giveUp()
 }
 
-// note counts an attempt that failed.
-func (s *streamRelay) note(rep replica.Replica, mayHaveRun bool, err error) {
-	s.passedOver[rep.ID] = true
+// recordFailure records a failed attempt and excludes its replica from further ones.
+func (s *streamRelay) recordFailure(rep replica.Replica, mayHaveRun bool, err error) {
+	s.excluded[rep.ID] = true
 	s.replica, s.lastErr = rep.ID, err
 	s.logger.Info("stream attempt failed", zap.String("replica", rep.ID), zap.Bool("may_have_run", mayHaveRun), zap.Error(err))
 	if mayHaveRun {
@@ -86,14 +88,14 @@
 	}
 }
 
-// mayAskAgain reports whether a stream that was not sent for its content's sake may be
-// asked for again now.
-func (s *streamRelay) mayAskAgain(ctx context.Context, rep replica.Replica, err *forward.QuarantinedError) bool {
+// mayRetryQuarantined reports whether a stream that was not sent because of quarantine may be
+// tried again now, after a short wait if needed.
+func (s *streamRelay) mayRetryQuarantined(ctx context.Context, rep replica.Replica, err *forward.QuarantinedError) bool {
 	switch {
 	case s.mayHaveRun > 0 && !err.Elsewhere:
-		// Its own run has ended a replica: the next one is alone, or is none.
+		// An earlier attempt of this stream may have ended its replica: it is not run again here.
 	case err.Elsewhere:
-		s.passedOver[rep.ID] = true
+		s.excluded[rep.ID] = true
 		return true
 	case err.Await(ctx):
 		return true
@@ -102,13 +104,14 @@
 	return false
 }
 
-// mayContinue reports whether another replica may go on with the stream.
+// mayContinue reports whether another replica may continue the stream.
 func (s *streamRelay) mayContinue(ctx context.Context) bool {
 	state := forward.AttemptState{MayHaveRun: s.mayHaveRun, NotRun: s.notRun, MaxAttempts: s.route.MaxAttempts, Repeatable: s.route.Resumable}
-	return ctx.Err() == nil && !s.unread && state.MayRetry()
+	return ctx.Err() == nil && !s.clientStalled && state.MayRetry()
 }
 
-// attempt passes on what one replica makes of the stream, to its proper end or an error.
+// attempt relays the stream from one replica until its regular end, or returns an error.
+// mayHaveRun tells whether the replica may have run the request.
 func (s *streamRelay) attempt(ctx context.Context, rep replica.Replica) (mayHaveRun bool, err error) {
 	forwarder := s.handler.Forwarder
 	forwarder.Table.Started(rep.Incarnation())
@@ -122,7 +125,7 @@
 	}
 	mayHaveRun = err == nil || !errors.Is(err, forward.ErrDeclined) && !errors.Is(err, upstream.ErrNotSent)
 	if mayHaveRun {
-		s.countRun(sentAt)
+		s.reportRun(sentAt)
 	}
 	if err != nil {
 		if ctx.Err() == nil && !errors.Is(err, upstream.ErrFull) {
@@ -131,15 +134,16 @@
 		return mayHaveRun, err
 	}
 	defer stream.Close()
-	return true, s.passEvents(stream)
+	return true, s.relayEvents(stream)
 }
 
-// passEvents writes the events of a stream to its proper end.
-func (s *streamRelay) passEvents(stream *forward.Stream) error {
+// relayEvents writes the events of a stream to the client until its regular end. It rejects
+// events whose id is not greater than the last one written.
+func (s *streamRelay) relayEvents(stream *forward.Stream) error {
 	for {
 		event, err := stream.Next()
 		if err == io.EOF {
-			s.begin(stream)
+			s.writeStreamHead(stream)
 			return nil
 		}
 		if err != nil {
@@ -148,9 +152,9 @@
 		if event.HasID && s.call.HasAfter && event.ID <= s.call.After {
 			return errors.Errorf("event %d after %d", event.ID, s.call.After)
 		}
-		s.begin(stream)
+		s.writeStreamHead(stream)
 		if err := s.writeEvent(event.Raw); err != nil {
-			s.unread = true
+			s.clientStalled = true
 			return err
 		}
 		if event.HasID {
@@ -159,23 +163,24 @@
 	}
 }
 
-// begin writes the head of the first replica that gave one.
-func (s *streamRelay) begin(stream *forward.Stream) {
-	if s.began {
+// writeStreamHead writes the status and the header of the first replica that sent any.
+func (s *streamRelay) writeStreamHead(stream *forward.Stream) {
+	if s.headWritten {
 		return
 	}
-	s.began = true
+	s.headWritten = true
 	maps.Copy(s.w.Header(), headers.CopyEndToEnd(stream.Header))
 	s.w.WriteHeader(stream.Status)
 }
 
-// giveUp ends the answer in a way that cannot be taken for a whole one.
+// giveUp answers a stream that no replica completed. If the answer has begun it aborts the
+// connection, so that the client cannot take the answer for a complete one.
 func (s *streamRelay) giveUp() {
 	reason := "no replica"
 	if s.lastErr != nil {
 		reason = s.lastErr.Error()
 	}
-	if s.began || s.clientLeft() {
+	if s.headWritten || s.clientGone() {
 		s.observe(0, "broken off", reason)
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/requests/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -21,28 +21,27 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// suspending is a body during which the machine is suspended.
-type suspending struct {
+// suspendingBody is a request body during whose first Read the machine is suspended.
+type suspendingBody struct {
 	io.Reader
 	clock *clocktest.Clock
 	sleep time.Duration
 }
 
-func (s *suspending) Read(buffer []byte) (int, error) {
+func (s *suspendingBody) Read(buffer []byte) (int, error) {
 	s.clock.Suspend(s.sleep)
 	s.sleep = 0
 	return s.Reader.Read(buffer)
 }
 
-// A machine is suspended while it reads a request. The client's time has passed meanwhile:
-// by a clock that stands still the request was sent on with all of it, and a replica worked
-// for a client that had long left. It is refused, as it has not run.
-func TestARequestWhoseTimeWasSleptAwayIsNotSent(t *testing.T) {
+// Guards against a clock that stops while the machine is suspended: the request would be sent
+// with the time it had before, and run at a replica after its client has left.
+func TestTimeSuspendedCountsAgainstTheDeadline(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		sleep        time.Duration
-		status       int
-		mostDeadline time.Duration
+		name        string
+		sleep       time.Duration
+		status      int
+		maxDeadline time.Duration
 	}{
 		{"awake", 0, http.StatusOK, 2 * time.Second},
 		{"some time left", time.Second, http.StatusOK, time.Second},
@@ -50,9 +49,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			told := ""
+			deadlineSent := ""
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				told = r.Header.Get("Deadline")
+				deadlineSent = r.Header.Get("Deadline")
 				w.Header().Set("Signature", "s")
 			}))
 			t.Cleanup(server.Close)
@@ -63,19 +62,19 @@
 			cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe,
 				Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 			is.NoErr(err)
-			handler := bare(clock.Now)
+			handler := newTestHandler(clock.Now)
 			handler.Names, handler.Configuration = names, func() *route.Configuration { return cfg }
 			setForwarder(handler, &forward.Forwarder{MaxOpen: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names,
 				Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
-			r := httptest.NewRequest(http.MethodPost, "/x", &suspending{strings.NewReader("body"), clock, c.sleep})
+			r := httptest.NewRequest(http.MethodPost, "/x", &suspendingBody{strings.NewReader("body"), clock, c.sleep})
 			r.Host = "h"
 			r.Header.Set("Deadline", "2000")
 			recorder := httptest.NewRecorder()
 			handler.ServeHTTP(recorder, r)
 			is.Equal(recorder.Code, c.status)
-			deadline, _ := time.ParseDuration(told + "ms")
-			is.True(deadline <= c.mostDeadline)
-			is.Equal(told != "", c.status == http.StatusOK)
+			deadline, _ := time.ParseDuration(deadlineSent + "ms")
+			is.True(deadline <= c.maxDeadline)
+			is.Equal(deadlineSent != "", c.status == http.StatusOK)
 		})
 	}
 }
--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -20,11 +20,11 @@
 	"woodworks/internal/demo/process"
 )
 
-// peerAddress is of a peer that is never dialled.
+// peerAddress is the address of a peer that is never dialled.
 var peerAddress = netip.MustParseAddrPort("127.0.0.1:1")
 
-// peer is a server that answers each connection by a script.
-func peer(t *testing.T, script func(conn net.Conn, reader *bufio.Reader, number int)) netip.AddrPort {
+// startPeer starts a server that runs script on each connection.
+func startPeer(t *testing.T, script func(conn net.Conn, reader *bufio.Reader, number int)) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -50,13 +50,13 @@
 	return NewPool(Options{ConnectTimeout: time.Second, UnackedTimeout: time.Second})
 }
 
-func request(id string) *Request {
-	return &Request{Method: http.MethodPost, Target: "/x?a=%2F", Host: "h", Header: http.Header{"X-Id": {id}}, Body: []byte("body"), EchoName: "X-Id", EchoValue: id}
+func newRequest(id string) *Request {
+	return &Request{Method: http.MethodPost, Target: "/x?a=%2F", Host: "h", Header: http.Header{"X-Id": {id}}, Body: []byte("body"), EchoHeader: "X-Id", EchoValue: id}
 }
 
-// ask sends a request and returns the whole body.
-func ask(p *Pool, address netip.AddrPort, id string) (string, error) {
-	answer, err := p.Exchange(context.Background(), address, request(id))
+// exchangeBody sends a request and returns the whole body of its answer.
+func exchangeBody(p *Pool, address netip.AddrPort, id string) (string, error) {
+	answer, err := p.Exchange(context.Background(), address, newRequest(id))
 	if err != nil {
 		return "", err
 	}
@@ -78,9 +78,9 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	is := is.New(t)
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
+	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
 		for {
 			id, ok := readRequest(reader)
 			if !ok {
@@ -91,18 +91,17 @@
 	})
 	p := newTestPool()
 	for i := 0; i < 5; i++ {
-		body, err := ask(p, address, fmt.Sprint(i))
+		body, err := exchangeBody(p, address, fmt.Sprint(i))
 		is.NoErr(err)
 		is.Equal(body, "0")
 	}
 	is.Equal(p.Dials.Load(), uint64(1))
 }
 
-// An answer that comes late, where the next one is due, is passed over; the
-// connection is not used again.
-func TestLateAnswersAreNotMistaken(t *testing.T) {
+// A late answer to an earlier request is skipped, and the connection is not reused.
+func TestAnswersToEarlierRequestsAreSkipped(t *testing.T) {
 	is := is.New(t)
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
+	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
 		id, _ := readRequest(reader)
 		if number == 0 {
 			_, _ = io.WriteString(conn, answerText("earlier", "wrong"))
@@ -111,19 +110,19 @@
 		_, _ = readRequest(reader)
 	})
 	p := newTestPool()
-	body, err := ask(p, address, "a")
+	body, err := exchangeBody(p, address, "a")
 	is.NoErr(err)
 	is.Equal(body, "right")
-	_, err = ask(p, address, "b")
+	_, err = exchangeBody(p, address, "b")
 	is.NoErr(err)
 	is.Equal(p.Dials.Load(), uint64(2))
 }
 
-// Bytes after a whole answer end the connection's use.
-func TestStrayBytesEndAConnection(t *testing.T) {
+// A connection with unread bytes after an answer must not be reused.
+func TestAConnectionWithStrayBytesIsNotReused(t *testing.T) {
 	is := is.New(t)
 	answered, sent := make(chan struct{}), make(chan struct{})
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
+	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
 		id, _ := readRequest(reader)
 		_, _ = io.WriteString(conn, answerText(id, "first"))
 		if number == 0 {
@@ -134,17 +133,17 @@
 		_, _ = readRequest(reader)
 	})
 	p := newTestPool()
-	_, err := ask(p, address, "a")
+	_, err := exchangeBody(p, address, "a")
 	is.NoErr(err)
 	close(answered)
 	<-sent
-	// Loopback hands the bytes over before the peer's write returns.
-	body, err := ask(p, address, "b")
+	// On loopback, the bytes are readable as soon as the peer's write has returned.
+	body, err := exchangeBody(p, address, "b")
 	is.NoErr(err)
 	is.Equal(body, "first")
 }
 
-func TestCutAnswersAreNotWhole(t *testing.T) {
+func TestTruncatedAnswersAreErrors(t *testing.T) {
 	for name, text := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -154,20 +153,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			address := peer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+			address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 				_, _ = readRequest(reader)
 				_, _ = io.WriteString(conn, text)
 			})
-			_, err := ask(newTestPool(), address, "a")
+			_, err := exchangeBody(newTestPool(), address, "a")
 			is.True(errors.Is(err, ErrNoAnswer))
 		})
 	}
 }
 
-// An answer without a length ends with its connection; a reset is no end.
-func TestResetsAreNoEnd(t *testing.T) {
+// An answer without a length ends when the connection is closed, but not when it is reset.
+func TestAResetIsNotTheEndOfABody(t *testing.T) {
 	is := is.New(t)
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
+	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, number int) {
 		_, _ = readRequest(reader)
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nall of it")
 		if number == 1 {
@@ -176,19 +175,19 @@
 		}
 	})
 	p := newTestPool()
-	body, err := ask(p, address, "a")
+	body, err := exchangeBody(p, address, "a")
 	is.NoErr(err)
 	is.Equal(body, "all of it")
-	_, err = ask(p, address, "b")
+	_, err = exchangeBody(p, address, "b")
 	is.True(errors.Is(err, ErrNoAnswer))
 }
 
-// A peer may answer before it has read a long body. The connection is not used
-// again, and nothing but the body is ever sent on it.
+// A peer may answer before it has read a long body. The connection must then not be reused, as
+// the rest of the body may still be sent on it.
 func TestEarlyAnswersDoNotMixRequests(t *testing.T) {
 	is := is.New(t)
 	got := make(chan string, 4)
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
@@ -199,7 +198,7 @@
 	})
 	p := newTestPool()
 	for i := 0; i < 2; i++ {
-		long := request(fmt.Sprint(i))
+		long := newRequest(fmt.Sprint(i))
 		long.Body = []byte(strings.Repeat("y", 8<<20))
 		answer, err := p.Exchange(context.Background(), address, long)
 		is.NoErr(err)
@@ -213,19 +212,19 @@
 	}
 }
 
-func TestADeadPortIsNotSent(t *testing.T) {
+func TestAClosedPortMeansNotSent(t *testing.T) {
 	is := is.New(t)
 	address, err := process.FreeAddress()
 	is.NoErr(err)
-	_, err = ask(newTestPool(), netip.MustParseAddrPort(address), "a")
+	_, err = exchangeBody(newTestPool(), netip.MustParseAddrPort(address), "a")
 	is.True(errors.Is(err, ErrNotSent))
 }
 
-// The end of the context cuts the connection, so that the peer stops working.
-func TestTheContextsEndCutsTheConnection(t *testing.T) {
+// Cancelling the context closes the connection, so that the peer can stop working.
+func TestCancellationClosesTheConnection(t *testing.T) {
 	is := is.New(t)
 	cut := make(chan struct{})
-	address := peer(t, func(_ net.Conn, reader *bufio.Reader, _ int) {
+	address := startPeer(t, func(_ net.Conn, reader *bufio.Reader, _ int) {
 		_, _ = readRequest(reader)
 		_, _ = reader.ReadByte()
 		close(cut)
@@ -233,7 +232,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() {
-		_, err := newTestPool().Exchange(ctx, address, request("a"))
+		_, err := newTestPool().Exchange(ctx, address, newRequest("a"))
 		done <- err
 	}()
 	time.Sleep(10 * time.Millisecond)
@@ -242,12 +241,12 @@
 	<-cut
 }
 
-// A resting connection took a request whose context had ended: the write came before the
-// close.
+// Guards against a request whose context has ended being written to an idle connection before
+// that is closed.
 func TestNothingIsSentForAnEndedContext(t *testing.T) {
 	is := is.New(t)
 	var seen atomic.Int64
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
+	address := startPeer(t, func(conn net.Conn, reader *bufio.Reader, _ int) {
 		for {
 			id, ok := readRequest(reader)
 			if !ok {
@@ -258,21 +257,21 @@
 		}
 	})
 	p := newTestPool()
-	_, err := ask(p, address, "a")
+	_, err := exchangeBody(p, address, "a")
 	is.NoErr(err)
-	ctx, leave := context.WithCancel(t.Context())
-	leave()
-	_, err = p.Exchange(ctx, address, request("b"))
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	_, err = p.Exchange(ctx, address, newRequest("b"))
 	is.True(errors.Is(err, ErrNotSent))
-	is.True(p.Resting(address) > 0) // the connection is not spent on it
-	_, err = ask(p, address, "c")
+	is.True(p.IdleConnections(address) > 0) // the connection was not used for it
+	_, err = exchangeBody(p, address, "c")
 	is.NoErr(err)
 	is.Equal(seen.Load(), int64(2))
 }
 
-// Connections that rest at the address of a process that has ended are dropped; others
-// stay, and so does what is under way.
-func TestADroppedPeerIsConnectedToAnew(t *testing.T) {
+// CloseIdle closes the idle connections to one peer. Other peers and exchanges in progress are
+// not affected.
+func TestAPeerIsDialledAgainAfterCloseIdle(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 	defer server.Close()
@@ -286,15 +285,15 @@
 		return answer
 	}
 	exchange().Close()
-	underWay := exchange()
+	inProgress := exchange()
 	is.Equal(p.Dials.Load(), uint64(1))
-	p.Drop(address)
-	p.Drop(peerAddress)
-	underWay.Close()
-	is.True(p.Resting(address) > 0) // its peer answered
-	p.Drop(address)
-	is.True(p.Resting(address) == 0)
-	is.Equal(p.Open(address), 0)
+	p.CloseIdle(address)
+	p.CloseIdle(peerAddress)
+	inProgress.Close()
+	is.True(p.IdleConnections(address) > 0) // the peer answered after CloseIdle
+	p.CloseIdle(address)
+	is.True(p.IdleConnections(address) == 0)
+	is.Equal(p.OpenConnections(address), 0)
 	exchange().Close()
 	is.Equal(p.Dials.Load(), uint64(2))
 }
