--- a/internal/batches/runner/accept_test.go
+++ b/internal/batches/runner/accept_test.go
@@ -52,7 +52,7 @@
 				return journaltest.Refuse
 			})
 			owner := newOwner(t.Context(), t, log, "a/1")
-			bounded, cancel := context.WithTimeout(t.Context(), 3*journalPause)
+			bounded, cancel := context.WithTimeout(t.Context(), 3*journalRetryDelay)
 			defer cancel()
 			err := owner.appendUntil(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
 			is.True(errors.Is(err, ErrNotDone))
@@ -68,7 +68,7 @@
 		log := journaltest.New()
 		log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 		owner := newOwner(t.Context(), t, log, "a/1")
-		bounded, cancel := context.WithTimeout(t.Context(), journalPause)
+		bounded, cancel := context.WithTimeout(t.Context(), journalRetryDelay)
 		defer cancel()
 		err := owner.appendUntil(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
 		is.True(errors.Is(err, ErrUnknown))
--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -32,7 +32,7 @@
 			r.adopt(partition, batchID)
 			return
 		}
-		periodic.Pause(r.ctx, journalPause) // the calls to the journal that failed are logged there
+		periodic.Pause(r.ctx, journalRetryDelay) // the calls to the journal that failed are logged there
 	}
 }
 
--- a/internal/batches/runner/listing.go
+++ b/internal/batches/runner/listing.go
@@ -89,7 +89,7 @@
 		if failures == 1 && j.ctx.Err() == nil {
 			j.logger.Info("results not listed yet", zap.Int("results", len(results)), zap.Error(err))
 		}
-		periodic.Pause(j.ctx, journalPause)
+		periodic.Pause(j.ctx, journalRetryDelay)
 	}
 	return false
 }
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -67,8 +67,8 @@
 // not answer.
 const SubmitTimeout = 2500 * time.Millisecond
 
-// journalPause is the time between two tries at a call to the journal.
-const journalPause = 100 * time.Millisecond
+// journalRetryDelay is the time between two tries at a call to the journal.
+const journalRetryDelay = 100 * time.Millisecond
 
 // Operator tells what the operator has set.
 type Operator interface {
@@ -188,7 +188,7 @@
 		if !errors.Is(err, ledger.ErrNotDone) {
 			outcome = ErrUnknown
 		}
-		periodic.Pause(ctx, journalPause)
+		periodic.Pause(ctx, journalRetryDelay)
 		deadline, bounded := ctx.Deadline()
 		if ctx.Err() != nil || bounded && !time.Now().Before(deadline) {
 			return errors.Wrap(outcome, err.Error())
