--- a/internal/batches/runner/accept_test.go
+++ b/internal/batches/runner/accept_test.go
@@ -54,7 +54,7 @@
 			owner := newOwner(t.Context(), t, log, "a/1")
 			bounded, cancel := context.WithTimeout(t.Context(), 3*journalRetryDelay)
 			defer cancel()
-			err := owner.appendUntil(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
+			err := owner.appendWithRetry(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
 			is.True(errors.Is(err, ErrNotDone))
 			is.Equal(refusals, 3)
 		})
@@ -70,7 +70,7 @@
 		owner := newOwner(t.Context(), t, log, "a/1")
 		bounded, cancel := context.WithTimeout(t.Context(), journalRetryDelay)
 		defer cancel()
-		err := owner.appendUntil(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
+		err := owner.appendWithRetry(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
 		is.True(errors.Is(err, ErrUnknown))
 	})
 }
--- a/internal/batches/runner/release.go
+++ b/internal/batches/runner/release.go
@@ -30,7 +30,7 @@
 	j.mu.Unlock()
 	j.logger.Info("batch released", zap.Int("under_way", len(handedOff)))
 	record := batch.Released(j.submission.ID, j.r.self, handedOff)
-	if err := j.r.appendUntil(ctx, j.partition, record); err != nil {
+	if err := j.r.appendWithRetry(ctx, j.partition, record); err != nil {
 		// The watchers take the batch over as its owner is silent.
 		j.logger.Info("release not recorded", zap.Error(err))
 		return
@@ -57,7 +57,7 @@
 	if len(items) == 0 {
 		return
 	}
-	err := j.r.appendUntil(ctx, j.partition, batch.Returned(j.submission.ID, j.r.self, items))
+	err := j.r.appendWithRetry(ctx, j.partition, batch.Returned(j.submission.ID, j.r.self, items))
 	j.logger.Info("items given back", zap.Ints("items", items), zap.Error(err))
 }
 
@@ -86,7 +86,7 @@
 	if !unstarted {
 		return
 	}
-	err := r.appendUntil(r.ctx, partition, batch.Released(batchID, r.self, nil))
+	err := r.appendWithRetry(r.ctx, partition, batch.Released(batchID, r.self, nil))
 	r.logger.Info("batch released unstarted", zap.String("batch", batchID), zap.Error(err))
 }
 
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -157,7 +157,7 @@
 	partition := r.ledger.Of(submission.ID)
 	owner := r.assigner.Choose(ctx, submission)
 	began := time.Now()
-	if err := r.appendUntil(ctx, partition, batch.Accepted(submission, owner)); err != nil {
+	if err := r.appendWithRetry(ctx, partition, batch.Accepted(submission, owner)); err != nil {
 		return err
 	}
 	if owner != r.self {
@@ -176,9 +176,9 @@
 	return nil
 }
 
-// appendUntil appends a record again until the outcome is certain or the
+// appendWithRetry appends a record again until the outcome is certain or the
 // context ends. A record that is appended twice counts once in the fold.
-func (r *Runner) appendUntil(ctx context.Context, partition *ledger.Partition, record []byte) error {
+func (r *Runner) appendWithRetry(ctx context.Context, partition *ledger.Partition, record []byte) error {
 	outcome := ErrNotDone
 	for {
 		err := partition.Append(ctx, record)
@@ -212,7 +212,7 @@
 // unknown batch is ended as well, as its acceptance may still be on its way. A batch of
 // another tenant stays as it is, and the caller does not learn of it.
 func (r *Runner) End(ctx context.Context, batchID, tenant string) error {
-	return r.appendUntil(ctx, r.ledger.Of(batchID), batch.Ended(batchID, tenant))
+	return r.appendWithRetry(ctx, r.ledger.Of(batchID), batch.Ended(batchID, tenant))
 }
 
 func (r *Runner) jobList() []*job {
