--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -18,7 +18,7 @@
 // AdoptWhenSeen starts a batch once the fold shows that this daemon owns it.
 func (r *Runner) AdoptWhenSeen(batchID string) {
 	whole := r.ledger.Of(batchID)
-	if !r.begin() {
+	if !r.beginWork() {
 		// Whoever named this daemon did not know that it stops.
 		r.releaseUnstarted(whole, batchID)
 		return
@@ -38,7 +38,7 @@
 
 // TakeOver makes this daemon the owner in place of another and starts the batch.
 func (r *Runner) TakeOver(ctx context.Context, batchID, from string) error {
-	if !r.begin() {
+	if !r.beginWork() {
 		return ErrStopping
 	}
 	defer r.work.Done()
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -196,9 +196,9 @@
 	}
 }
 
-// begin counts work that a stop must wait for, or refuses it if the stop has
+// beginWork counts work that a stop must wait for, or refuses it if the stop has
 // begun.
-func (r *Runner) begin() bool {
+func (r *Runner) beginWork() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stopping.Load() {
--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -13,7 +13,7 @@
 // that one gives no first sign of life: it may have ended since the group named
 // it. The watcher of the partition would find out as well, but later.
 func (r *Runner) standBy(batchID, owner string, accepting time.Duration) {
-	if !r.begin() {
+	if !r.beginWork() {
 		return
 	}
 	defer r.work.Done()
