--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -16,9 +16,9 @@
 // that others have measured since: each event of a text gives a new one.
 const ownEventTimeMaxAge = 3 * time.Second
 
-// sharing is what the dispatcher needs to share engines with other owners. A nil one shares
+// engineSharing is what the dispatcher needs to share engines with other owners. A nil one shares
 // them with nobody.
-type sharing struct {
+type engineSharing struct {
 	self    string
 	table   *occupancy.Table
 	changed func()
@@ -31,8 +31,8 @@
 	turns   map[string]occupancy.Turn
 }
 
-func newSharing(self string, table *occupancy.Table, changed func(), logger *zap.Logger) *sharing {
-	return &sharing{
+func newSharing(self string, table *occupancy.Table, changed func(), logger *zap.Logger) *engineSharing {
+	return &engineSharing{
 		self: self, table: table, changed: changed, logger: logger,
 		demands: map[string]occupancy.Demand{}, turns: map[string]occupancy.Turn{},
 	}
@@ -49,7 +49,7 @@
 func KeyOf(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.Born) }
 
 // withReports adds to an engine what other owners report of it.
-func (s *sharing) withReports(
+func (s *engineSharing) withReports(
 	engine scheduling.Engine, rep replica.Replica, now time.Time,
 ) scheduling.Engine {
 	if s == nil {
@@ -68,7 +68,7 @@
 
 // inTurn returns the decisions of a service that may be carried out now, as other owners wait
 // for room as well, and notes what is left waiting.
-func (s *sharing) inTurn(
+func (s *engineSharing) inTurn(
 	service string, snap *scheduling.Snapshot, decisions []scheduling.Decision, now time.Time,
 ) []scheduling.Decision {
 	if s == nil {
@@ -100,7 +100,7 @@
 }
 
 // dispatched ends a round of dispatch. What is kept of services without items is dropped.
-func (s *sharing) dispatched(views map[string]*view) {
+func (s *engineSharing) dispatched(views map[string]*view) {
 	if s == nil {
 		return
 	}
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -34,7 +34,7 @@
 
 // simOwner is one owner with its texts, in the order in which they should start.
 type simOwner struct {
-	sharing *sharing
+	sharing *engineSharing
 	number  uint64
 	from    int // the tick of its burst
 	texts   []*simText
@@ -294,7 +294,7 @@
 	is.Equal(eventTime(40*time.Millisecond, time.Second), 40*time.Millisecond)
 	is.Equal(eventTime(40*time.Millisecond, 4*time.Second), 40*time.Millisecond)
 	is.Equal(eventTime(40*time.Millisecond, 6*time.Second), 20*time.Millisecond)
-	var alone *sharing
+	var alone *engineSharing
 	is.Equal(alone.withReports(scheduling.Engine{ID: "e", EventTime: 1}, rep, now),
 		scheduling.Engine{ID: "e", EventTime: 1})
 }
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -95,7 +95,7 @@
 	observe   Observer
 	// shared is nil where the settings name no address for peers: nothing is known of other
 	// owners then.
-	shared *sharing
+	shared *engineSharing
 
 	history     *history
 	firstEvents scheduling.FirstEvents
