--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -31,7 +31,7 @@
 	turns   map[string]occupancy.Turn
 }
 
-func newSharing(self string, table *occupancy.Table, changed func(), logger *zap.Logger) *engineSharing {
+func newEngineSharing(self string, table *occupancy.Table, changed func(), logger *zap.Logger) *engineSharing {
 	return &engineSharing{
 		self: self, table: table, changed: changed, logger: logger,
 		demands: map[string]occupancy.Demand{}, turns: map[string]occupancy.Turn{},
@@ -42,7 +42,7 @@
 // called whenever the runner's own requests may have changed; it must not block. It is called
 // before Run.
 func (r *Runner) ShareEngines(table *occupancy.Table, changed func()) {
-	r.shared = newSharing(r.self, table, changed, r.logger)
+	r.shared = newEngineSharing(r.self, table, changed, r.logger)
 }
 
 // KeyOf names the incarnation of a replica to other owners.
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -56,7 +56,7 @@
 		owner := &simOwner{from: burst[0]}
 		if hear {
 			run := fmt.Sprintf("d%d/1", i)
-			owner.sharing = newSharing(run, occupancy.NewTable(run, s.now, zap.NewNop()), func() {}, zap.NewNop())
+			owner.sharing = newEngineSharing(run, occupancy.NewTable(run, s.now, zap.NewNop()), func() {}, zap.NewNop())
 		}
 		for range burst[1] {
 			owner.texts = append(owner.texts, &simText{engine: -1, left: 50 + random.IntN(400)})
