--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -42,7 +42,7 @@
 // called whenever the runner's own requests may have changed; it must not block. It is called
 // before Run.
 func (r *Runner) ShareEngines(table *occupancy.Table, changed func()) {
-	r.shared = newEngineSharing(r.self, table, changed, r.logger)
+	r.sharing = newEngineSharing(r.self, table, changed, r.logger)
 }
 
 // KeyOf names the incarnation of a replica to other owners.
@@ -114,7 +114,7 @@
 // HeardOfOthers has the dispatcher look again if items wait for room: a report may show that
 // there is some. It never blocks.
 func (r *Runner) HeardOfOthers() {
-	s := r.shared
+	s := r.sharing
 	s.mu.Lock()
 	waits := false
 	for _, d := range s.demands {
@@ -128,7 +128,7 @@
 
 // Occupied returns what this daemon has at the engines that it shares with other owners.
 func (r *Runner) Occupied() (report occupancy.Report) {
-	s := r.shared
+	s := r.sharing
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.idle() {
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -308,7 +308,7 @@
 	runner.wake = make(chan struct{}, 1)
 	runner.self, runner.jobs = "d0/1", map[string]*job{"b": j}
 	runner.ShareEngines(occupancy.NewTable("d0/1", time.Now, zap.NewNop()), func() {})
-	runner.shared.demands["s"] = occupancy.Demand{Service: 1, Waiting: 3}
+	runner.sharing.demands["s"] = occupancy.Demand{Service: 1, Waiting: 3}
 	runner.table.Started("to")
 	for range 5 {
 		runner.table.ObserveEvent("from", 30*time.Millisecond)
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -93,9 +93,9 @@
 	assigner  *Assigner
 	locator   Locator
 	observe   Observer
-	// shared is nil where the settings name no address for peers: nothing is known of other
+	// sharing is nil where the settings name no address for peers: nothing is known of other
 	// owners then.
-	shared *engineSharing
+	sharing *engineSharing
 
 	history     *history
 	firstEvents scheduling.FirstEvents
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -37,7 +37,7 @@
 		v.Zone = r.forwarder.Zone
 		v.replicas = r.table.Replicas(service)
 		for _, rep := range v.replicas {
-			engine := r.shared.withReports(engineOf(rep, now), rep, now)
+			engine := r.sharing.withReports(engineOf(rep, now), rep, now)
 			engine.IdleConns = r.forwarder.Pool.Resting(rep.Address)
 			v.Engines = append(v.Engines, engine)
 		}
