--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -64,7 +64,7 @@
 	views := r.views(now)
 	for service, v := range views {
 		v.NoMoves = !moves
-		for _, decision := range r.sharing.inTurn(service, &v.Snapshot, scheduling.Plan(v.Snapshot), now) {
+		for _, decision := range r.sharing.holdBackStarts(service, &v.Snapshot, scheduling.Plan(v.Snapshot), now) {
 			switch decision := decision.(type) {
 			case scheduling.Start:
 				r.start(v.routed[decision.Item], v.replicas[decision.Engine])
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -66,9 +66,9 @@
 	return engine
 }
 
-// inTurn returns the decisions of a service that may be carried out now, as other owners wait
+// holdBackStarts returns the decisions of a service that may be carried out now, as other owners wait
 // for room as well, and notes what is left waiting.
-func (s *engineSharing) inTurn(
+func (s *engineSharing) holdBackStarts(
 	service string, snap *scheduling.Snapshot, decisions []scheduling.Decision, now time.Time,
 ) []scheduling.Decision {
 	if s == nil {
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -157,7 +157,7 @@
 		}
 		snap.Items = append(snap.Items, item)
 	}
-	for _, decision := range owner.sharing.inTurn("s", &snap, scheduling.Plan(snap), s.now()) {
+	for _, decision := range owner.sharing.holdBackStarts("s", &snap, scheduling.Plan(snap), s.now()) {
 		start := decision.(scheduling.Start)
 		if s.at(start.Engine) >= simSlots+simQueue {
 			s.declines++
@@ -265,10 +265,10 @@
 		},
 		Items: []scheduling.Item{{Model: "m", MinVersion: 2}, {Model: "m", MinVersion: 2}},
 	}
-	s.inTurn("s", &snap, nil, time.Unix(0, 0))
+	s.holdBackStarts("s", &snap, nil, time.Unix(0, 0))
 	is.Equal(s.demands["s"].Waiting, uint32(2)) // the engine that may run them is full
 	snap.Engines[1].InFlight = 1
-	s.inTurn("s", &snap, nil, time.Unix(0, 0))
+	s.holdBackStarts("s", &snap, nil, time.Unix(0, 0))
 	is.Equal(s.demands["s"].Waiting, uint32(0))
 	is.Equal(s.demands["s"].InFlight, uint32(1))
 }
