--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -74,7 +74,7 @@
 			}
 		}
 	}
-	r.sharing.dispatched(views)
+	r.sharing.finishDispatch(views)
 }
 
 // start sends a waiting item to a replica.
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -99,8 +99,8 @@
 	return kept
 }
 
-// dispatched ends a round of dispatch. What is kept of services without items is dropped.
-func (s *engineSharing) dispatched(views map[string]*view) {
+// finishDispatch ends a round of dispatch. What is kept of services without items is dropped.
+func (s *engineSharing) finishDispatch(views map[string]*view) {
 	if s == nil {
 		return
 	}
