--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -19,10 +19,10 @@
 // engineSharing is what the dispatcher needs to share engines with other owners. A nil one shares
 // them with nobody.
 type engineSharing struct {
-	self    string
-	table   *occupancy.Table
-	changed func()
-	logger  *zap.Logger
+	self     string
+	table    *occupancy.Table
+	onChange func()
+	logger   *zap.Logger
 
 	mu sync.Mutex
 	// demands are what the last dispatch left waiting, by service; turns say whether starts are
@@ -33,7 +33,7 @@
 
 func newEngineSharing(self string, table *occupancy.Table, changed func(), logger *zap.Logger) *engineSharing {
 	return &engineSharing{
-		self: self, table: table, changed: changed, logger: logger,
+		self: self, table: table, onChange: changed, logger: logger,
 		demands: map[string]occupancy.Demand{}, turns: map[string]occupancy.Turn{},
 	}
 }
@@ -108,7 +108,7 @@
 	maps.DeleteFunc(s.demands, func(service string, _ occupancy.Demand) bool { return views[service] == nil })
 	maps.DeleteFunc(s.turns, func(service string, _ occupancy.Turn) bool { return views[service] == nil })
 	s.mu.Unlock()
-	s.changed()
+	s.onChange()
 }
 
 // HeardOfOthers has the dispatcher look again if items wait for room: a report may show that
