--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -111,9 +111,9 @@
 	s.onChange()
 }
 
-// HeardOfOthers has the dispatcher look again if items wait for room: a report may show that
+// ReportReceived has the dispatcher look again if items wait for room: a report may show that
 // there is some. It never blocks.
-func (r *Runner) HeardOfOthers() {
+func (r *Runner) ReportReceived() {
 	s := r.sharing
 	s.mu.Lock()
 	waits := false
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -322,7 +322,7 @@
 	is.Equal(requests, uint32(1))
 	is.Equal(len(report.Measured), 1)
 	is.Equal(report.Measured[0].EventTime, uint32(300))
-	runner.HeardOfOthers()
+	runner.ReportReceived()
 	is.Equal(len(runner.wake), 1) // items wait, and there may be room
 	runner.stopping.Store(true)
 	is.Equal(runner.Occupied().Demands[0].Waiting, uint32(0))
