--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// Occupied returns what this daemon has at the engines that it shares with other owners.
-func (r *Runner) Occupied() (report occupancy.Report) {
+// OccupancyReport returns what this daemon has at the engines that it shares with other owners.
+func (r *Runner) OccupancyReport() (report occupancy.Report) {
 	s := r.sharing
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -313,7 +313,7 @@
 	for range 5 {
 		runner.table.ObserveEvent("from", 30*time.Millisecond)
 	}
-	report := runner.Occupied()
+	report := runner.OccupancyReport()
 	is.Equal(report.Demands, []occupancy.Demand{{Service: 1, InFlight: 1, Waiting: 3}})
 	requests := uint32(0)
 	for _, c := range report.Counts {
@@ -325,7 +325,7 @@
 	runner.ReportReceived()
 	is.Equal(len(runner.wake), 1) // items wait, and there may be room
 	runner.stopping.Store(true)
-	is.Equal(runner.Occupied().Demands[0].Waiting, uint32(0))
+	is.Equal(runner.OccupancyReport().Demands[0].Waiting, uint32(0))
 	delete(runner.jobs, "b")
-	is.Equal(len(runner.Occupied().Demands), 0)
+	is.Equal(len(runner.OccupancyReport().Demands), 0)
 }
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -25,7 +25,7 @@
 		return nil
 	}
 	table := occupancy.NewTable(n.identity, bootclock.Now, n.logger)
-	publisher := occupancy.NewPublisher(table, n.relay, n.runner.Occupied, n.dealtEngines, n.logger)
+	publisher := occupancy.NewPublisher(table, n.relay, n.runner.OccupancyReport, n.dealtEngines, n.logger)
 	n.runner.ShareEngines(table, publisher.Wake)
 	n.relay.Register(occupancy.ServiceName, occupancy.NewService(table, publisher, n.runner.ReportReceived))
 	return &occupancyParts{table: table, publisher: publisher}
