--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -45,8 +45,8 @@
 	r.sharing = newEngineSharing(r.self, table, changed, r.logger)
 }
 
-// KeyOf names the incarnation of a replica to other owners.
-func KeyOf(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.Born) }
+// ReplicaKey names the incarnation of a replica to other owners.
+func ReplicaKey(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.Born) }
 
 // withReports adds to an engine what other owners report of it.
 func (s *engineSharing) withReports(
@@ -55,7 +55,7 @@
 	if s == nil {
 		return engine
 	}
-	key := KeyOf(rep)
+	key := ReplicaKey(rep)
 	engine.OthersInFlight = s.table.InFlight(key)
 	engine.Preference = occupancy.Preference(s.self, rep.ID)
 	if own := now.Sub(rep.EventAt); rep.EventTime == 0 || own > ownEventTimeMaxAge {
@@ -145,9 +145,9 @@
 		for _, rep := range r.table.Replicas(service) {
 			inFlight := uint32(max(rep.InFlight, 0))
 			demand.InFlight += inFlight
-			report.Counts = append(report.Counts, occupancy.Count{Replica: KeyOf(rep), Requests: inFlight})
+			report.Counts = append(report.Counts, occupancy.Count{Replica: ReplicaKey(rep), Requests: inFlight})
 			if age := now.Sub(rep.EventAt); rep.EventTime > 0 && age <= ownEventTimeMaxAge {
-				report.Measured = append(report.Measured, occupancy.NewMeasurement(KeyOf(rep), rep.EventTime, age))
+				report.Measured = append(report.Measured, occupancy.NewMeasurement(ReplicaKey(rep), rep.EventTime, age))
 			}
 		}
 		report.Demands = append(report.Demands, demand)
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -281,7 +281,7 @@
 	rep := replica.Replica{Entry: replica.Entry{ID: "e"}}
 	told := func(age time.Duration) {
 		s.table.Adopt(occupancy.Occupancy{
-			Measured: []occupancy.Measurement{occupancy.NewMeasurement(KeyOf(rep), 20*time.Millisecond, age)},
+			Measured: []occupancy.Measurement{occupancy.NewMeasurement(ReplicaKey(rep), 20*time.Millisecond, age)},
 		})
 	}
 	eventTime := func(own, age time.Duration) time.Duration {
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -50,7 +50,7 @@
 	if o == nil {
 		return e.EventTime, own
 	}
-	others, othersAge := o.table.EventTime(runner.KeyOf(e))
+	others, othersAge := o.table.EventTime(runner.ReplicaKey(e))
 	if others > 0 && (e.EventTime == 0 || othersAge < own) {
 		return others, othersAge
 	}
