--- a/internal/batches/runner/enginedemand.go
+++ b/internal/batches/runner/enginedemand.go
@@ -9,8 +9,8 @@
 
 // What a snapshot and the decisions on it say of an owner's demand. These functions are pure.
 
-// firstStarts returns the decisions without the starts after so many.
-func firstStarts(decisions []scheduling.Decision, starts int) []scheduling.Decision {
+// limitStarts returns the decisions without the starts after so many.
+func limitStarts(decisions []scheduling.Decision, starts int) []scheduling.Decision {
 	return slices.DeleteFunc(slices.Clone(decisions), func(decision scheduling.Decision) bool {
 		_, start := decision.(scheduling.Start)
 		if start {
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -89,7 +89,7 @@
 			zap.Int("starts", due), zap.Int("allowed", allowed), zap.Uint32("in_flight", own.InFlight),
 			zap.Uint32("waiting", own.Waiting), zap.Int("owners", len(others)))
 	}
-	kept := firstStarts(decisions, allowed)
+	kept := limitStarts(decisions, allowed)
 	demand, room := demandOf(key, snap, kept)
 	if allowed == due && room {
 		// What waits beside room waits for something else, as for weights.
