--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -97,9 +97,9 @@
 	// owners then.
 	sharing *engineSharing
 
-	history     *history
-	firstEvents scheduling.FirstEvents
-	confirming  confirmations
+	history       *history
+	firstEvents   scheduling.FirstEvents
+	confirmations confirmations
 	// movedAt is when items were last moved. Only the dispatcher uses it.
 	movedAt time.Time
 	// wake has the dispatcher look again.
--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -83,7 +83,7 @@
 	reads := map[journal.Partition]*confirmation{}
 	for _, suspect := range suspects {
 		if reads[suspect.partition] == nil {
-			reads[suspect.partition] = r.confirming.begin(ctx, r.ledger.Partition(suspect.partition))
+			reads[suspect.partition] = r.confirmations.begin(ctx, r.ledger.Partition(suspect.partition))
 		}
 	}
 	bounded, cancel := context.WithTimeout(ctx, confirmTimeout)
@@ -93,7 +93,7 @@
 		case <-read.ended:
 		case <-bounded.Done():
 		}
-		ended := r.confirming.take(name, read)
+		ended := r.confirmations.take(name, read)
 		if ended && read.err != nil {
 			r.logger.Info("silence of owners not confirmed", zap.Inline(r.ledger.Partition(name)), zap.Error(read.err))
 		}
