--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -57,9 +57,9 @@
 // dispatch carries out what the scheduler decides: it starts waiting items while
 // replicas have room, and each moveInterval moves items that should go on elsewhere.
 func (r *Runner) dispatch(now time.Time) {
-	moves := now.Sub(r.movedAt) >= moveInterval
+	moves := now.Sub(r.lastMoveRound) >= moveInterval
 	if moves {
-		r.movedAt = now
+		r.lastMoveRound = now
 	}
 	views := r.views(now)
 	for service, v := range views {
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -100,8 +100,8 @@
 	history       *history
 	firstEvents   scheduling.FirstEvents
 	confirmations confirmations
-	// movedAt is when items were last moved. Only the dispatcher uses it.
-	movedAt time.Time
+	// lastMoveRound is when items were last moved. Only the dispatcher uses it.
+	lastMoveRound time.Time
 	// wake has the dispatcher look again.
 	wake chan struct{}
 	// started counts the items sent to a replica.
