--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -61,7 +61,7 @@
 func (r *Runner) adopt(partition *ledger.Partition, batchID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.jobs[batchID] != nil || r.closed[batchID] || r.ctx.Err() != nil || r.stopping.Load() {
+	if r.jobs[batchID] != nil || r.closedBatches[batchID] || r.ctx.Err() != nil || r.stopping.Load() {
 		return
 	}
 	var j *job
@@ -93,10 +93,10 @@
 	if open {
 		return
 	}
-	r.closed[batchID] = true
+	r.closedBatches[batchID] = true
 	time.AfterFunc(closedFor, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.closed, batchID)
+		delete(r.closedBatches, batchID)
 	})
 }
--- a/internal/batches/runner/adopt_test.go
+++ b/internal/batches/runner/adopt_test.go
@@ -51,7 +51,7 @@
 				is.Equal(begun(), 0)
 				owner.mu.Lock()
 				defer owner.mu.Unlock()
-				is.Equal(len(owner.closed), 0)
+				is.Equal(len(owner.closedBatches), 0)
 			})
 		})
 	}
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -113,8 +113,8 @@
 	mu       sync.Mutex
 	jobs     map[string]*job
 	stopping atomic.Bool
-	// closed are the batches that a job here has lately found closed.
-	closed map[string]bool
+	// closedBatches are the batches that a job here has lately found closedBatches.
+	closedBatches map[string]bool
 }
 
 // New returns a runner whose owner name is self. All its work ends with the
@@ -124,22 +124,22 @@
 	demands *demand.Publisher, assigner *Assigner, locator Locator, logger *zap.Logger,
 ) *Runner {
 	return &Runner{
-		self:      self,
-		startedAt: time.Now(),
-		ctx:       ctx,
-		logger:    logger,
-		ledger:    batches,
-		table:     forwarder.Table,
-		forwarder: forwarder,
-		operator:  operator,
-		demands:   demands,
-		assigner:  assigner,
-		locator:   locator,
-		observe:   func(string, time.Duration) {},
-		history:   newHistory(),
-		jobs:      map[string]*job{},
-		closed:    map[string]bool{},
-		wake:      make(chan struct{}, 1),
+		self:          self,
+		startedAt:     time.Now(),
+		ctx:           ctx,
+		logger:        logger,
+		ledger:        batches,
+		table:         forwarder.Table,
+		forwarder:     forwarder,
+		operator:      operator,
+		demands:       demands,
+		assigner:      assigner,
+		locator:       locator,
+		observe:       func(string, time.Duration) {},
+		history:       newHistory(),
+		jobs:          map[string]*job{},
+		closedBatches: map[string]bool{},
+		wake:          make(chan struct{}, 1),
 	}
 }
 
