--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -230,5 +230,5 @@
 	return len(jobs), waiting
 }
 
-// Started returns how many items were sent to a replica.
-func (r *Runner) Started() uint64 { return r.started.Load() }
+// ItemsStarted returns how many items were sent to a replica.
+func (r *Runner) ItemsStarted() uint64 { return r.started.Load() }
