--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -82,7 +82,7 @@
 		delete(r.jobs, batchID)
 		r.keepClosed(j)
 	})
-	r.Kick()
+	r.WakeDispatcher()
 }
 
 // keepClosed keeps the batch of a job that has ended from being begun anew if it is closed,
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -78,7 +78,7 @@
 		a.failed(err)
 		j.giveBack(j.r.ctx)
 	}
-	j.r.Kick()
+	j.r.WakeDispatcher()
 }
 
 // follow reads the events of an open stream until the text is whole.
--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -15,8 +15,8 @@
 	moveInterval = 250 * time.Millisecond
 )
 
-// Kick makes the dispatcher look again. It never blocks.
-func (r *Runner) Kick() { signal(r.wake) }
+// WakeDispatcher makes the dispatcher look again. It never blocks.
+func (r *Runner) WakeDispatcher() { signal(r.wake) }
 
 // signal wakes who receives from a channel with room for one value. It never blocks.
 func signal(wake chan<- struct{}) {
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -122,7 +122,7 @@
 	}
 	s.mu.Unlock()
 	if waits {
-		r.Kick()
+		r.WakeDispatcher()
 	}
 }
 
--- a/internal/batches/runner/release.go
+++ b/internal/batches/runner/release.go
@@ -70,7 +70,7 @@
 	for i, it := range j.items {
 		if it.handedOff && !b.HandedOff[i] {
 			it.handedOff, it.notBefore = false, time.Time{}
-			j.r.Kick()
+			j.r.WakeDispatcher()
 		}
 	}
 }
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -39,7 +39,7 @@
 	if !ok {
 		return
 	}
-	j.r.Kick()
+	j.r.WakeDispatcher()
 	reason := ""
 	if it.Reward != nil {
 		score, err := j.reward(it)
