--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -95,8 +95,8 @@
 	return tokens
 }
 
-// expectedWork is how many tokens a batch should make.
-func (r *Runner) expectedWork(submission *batch.Submission) int64 {
+// expectedBatchTokens is how many tokens a batch should make.
+func (r *Runner) expectedBatchTokens(submission *batch.Submission) int64 {
 	work := int64(0)
 	for i := range submission.Items {
 		work += r.expectedLength(headerOf(submission.Items[i].Headers), submission.Items[i].Tokens)
