--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -22,8 +22,8 @@
 const (
 	// assignTimeout bounds a call that writes or reads assignments, besides assignWait, for
 	// which a read waits for news.
-	assignTimeout = time.Second
-	assignWait    = time.Second
+	assignTimeout     = time.Second
+	assignPollTimeout = time.Second
 	// assignPause is the time before a read that failed is made again.
 	assignPause = 200 * time.Millisecond
 )
@@ -147,8 +147,8 @@
 }
 
 func (a *Assigner) read(ctx context.Context, name journal.Partition, from int64) ([][]byte, error) {
-	bounded, cancel := context.WithTimeout(ctx, assignWait+assignTimeout)
+	bounded, cancel := context.WithTimeout(ctx, assignPollTimeout+assignTimeout)
 	defer cancel()
-	read, err := a.journal.Read(bounded, journal.Read{Partition: name, From: from, Wait: assignWait})
+	read, err := a.journal.Read(bounded, journal.Read{Partition: name, From: from, Wait: assignPollTimeout})
 	return read.Records, err
 }
