--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -24,8 +24,8 @@
 	// which a read waits for news.
 	assignTimeout     = time.Second
 	assignPollTimeout = time.Second
-	// assignPause is the time before a read that failed is made again.
-	assignPause = 200 * time.Millisecond
+	// assignRetryDelay is the time before a read that failed is made again.
+	assignRetryDelay = 200 * time.Millisecond
 )
 
 // assignment is the record that tells a daemon that it owns a batch.
@@ -120,7 +120,7 @@
 			continue
 		}
 		if err != nil {
-			periodic.Pause(ctx, assignPause)
+			periodic.Pause(ctx, assignRetryDelay)
 			continue
 		}
 		for _, record := range records {
