--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -34,8 +34,8 @@
 	Owner string `cbor:"2,keyasint"`
 }
 
-// Dealt tells to whom the partitions of the group are dealt.
-type Dealt interface {
+// GroupPartitions tells to whom the partitions of the group are dealt.
+type GroupPartitions interface {
 	Partitions() map[journal.Partition]bool
 	WatcherOf(ctx context.Context, partition journal.Partition) (string, bool)
 }
@@ -45,13 +45,13 @@
 // over by the watcher of its partition.
 type Assigner struct {
 	journal journal.Journal
-	dealt   Dealt
+	dealt   GroupPartitions
 	self    string
 	logger  *zap.Logger
 }
 
 // NewAssigner returns an assigner.
-func NewAssigner(log journal.Journal, dealt Dealt, self string, logger *zap.Logger) *Assigner {
+func NewAssigner(log journal.Journal, dealt GroupPartitions, self string, logger *zap.Logger) *Assigner {
 	return &Assigner{journal: log, dealt: dealt, self: self, logger: logger}
 }
 
