--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -45,14 +45,14 @@
 // over by the watcher of its partition.
 type Assigner struct {
 	journal journal.Journal
-	dealt   GroupPartitions
+	group   GroupPartitions
 	self    string
 	logger  *zap.Logger
 }
 
 // NewAssigner returns an assigner.
 func NewAssigner(log journal.Journal, dealt GroupPartitions, self string, logger *zap.Logger) *Assigner {
-	return &Assigner{journal: log, dealt: dealt, self: self, logger: logger}
+	return &Assigner{journal: log, group: dealt, self: self, logger: logger}
 }
 
 func (a *Assigner) partitionOf(submission *batch.Submission) journal.Partition {
@@ -65,7 +65,7 @@
 
 // Choose returns the daemon that should own a batch.
 func (a *Assigner) Choose(ctx context.Context, submission *batch.Submission) string {
-	owner, ok := a.dealt.WatcherOf(ctx, a.partitionOf(submission))
+	owner, ok := a.group.WatcherOf(ctx, a.partitionOf(submission))
 	if !ok {
 		return a.self
 	}
@@ -88,7 +88,7 @@
 func (a *Assigner) Run(ctx context.Context, adopt func(batchID string)) {
 	following := map[journal.Partition]context.CancelFunc{}
 	periodic.Every(ctx, watchInterval, func(ctx context.Context) {
-		dealt := a.dealt.Partitions()
+		dealt := a.group.Partitions()
 		for name := range dealt {
 			if name.Topic == RunnersTopic && following[name] == nil {
 				bounded, cancel := context.WithCancel(ctx)
