--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -63,8 +63,8 @@
 	return journal.Partition{Topic: RunnersTopic, Number: int(hash.Sum32() % uint32(partitions))}
 }
 
-// Choose returns the daemon that should own a batch.
-func (a *Assigner) Choose(ctx context.Context, submission *batch.Submission) string {
+// ChooseOwner returns the daemon that should own a batch.
+func (a *Assigner) ChooseOwner(ctx context.Context, submission *batch.Submission) string {
 	owner, ok := a.group.WatcherOf(ctx, a.partitionOf(submission))
 	if !ok {
 		return a.self
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -155,7 +155,7 @@
 		return errors.Wrap(ErrNotDone, ctx.Err().Error())
 	}
 	partition := r.ledger.Of(submission.ID)
-	owner := r.assigner.Choose(ctx, submission)
+	owner := r.assigner.ChooseOwner(ctx, submission)
 	began := time.Now()
 	if err := r.appendWithRetry(ctx, partition, batch.Accepted(submission, owner)); err != nil {
 		return err
