--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -15,8 +15,8 @@
 // fold may be old by which the watcher still goes, and which may lack what closed the batch.
 const closedFor = 2 * heartbeatTimeout
 
-// AdoptWhenSeen starts a batch once the fold shows that this daemon owns it.
-func (r *Runner) AdoptWhenSeen(batchID string) {
+// AdoptAssigned starts a batch once the fold shows that this daemon owns it.
+func (r *Runner) AdoptAssigned(batchID string) {
 	whole := r.ledger.Of(batchID)
 	if !r.beginWork() {
 		// Whoever named this daemon did not know that it stops.
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -88,7 +88,7 @@
 	if err := accepter.Accept(ctx, &oneItem); err != nil {
 		t.Fatal(err)
 	}
-	chosen.AdoptWhenSeen("x")
+	chosen.AdoptAssigned("x")
 	for begun := false; !begun; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 5*time.Second {
 			t.Fatal("nobody has begun")
@@ -137,7 +137,7 @@
 		is.NoErr(partition.Append(ctx, batch.Accepted(&twoItems, "a/1")))
 		owner := newOwner(ctx, t, log, "a/1")
 		owner.locator = holds{whole}
-		owner.AdoptWhenSeen("x")
+		owner.AdoptAssigned("x")
 		batches, _ := owner.Load()
 		is.Equal(batches, 0)
 	})
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -104,7 +104,7 @@
 	if err := accepter.Accept(ctx, &oneItem); err != nil {
 		t.Fatal(err)
 	}
-	go chosen.AdoptWhenSeen("x")
+	go chosen.AdoptAssigned("x")
 	for begun := false; !begun && time.Since(began) < 20*time.Second; time.Sleep(time.Millisecond) {
 		begun, owner = firstSign(partition)
 	}
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -171,7 +171,7 @@
 		})
 	}
 	if owner == r.self {
-		go r.AdoptWhenSeen(submission.ID)
+		go r.AdoptAssigned(submission.ID)
 	}
 	return nil
 }
--- a/internal/batches/runner/stop_test.go
+++ b/internal/batches/runner/stop_test.go
@@ -99,7 +99,7 @@
 		"assigned, slow read": func(ctx context.Context, log *slow, stopping *Runner) error {
 			err := acceptFor(ctx, stopping.ledger.Of("x"), "b/1")
 			log.reads.Store(int64(lag))
-			go stopping.AdoptWhenSeen("x")
+			go stopping.AdoptAssigned("x")
 			return err
 		},
 		"accepted, slow append": func(ctx context.Context, log *slow, stopping *Runner) error {
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -219,7 +219,7 @@
 	for _, run := range []func(context.Context){
 		n.operatorFollower.Run, n.replicaFollower.Run, n.member.Run, n.watcher.Run,
 		n.runner.Run, n.lease.Run, n.sweep, n.quarantine.run, n.occupancy.run,
-		func(ctx context.Context) { n.assigner.Run(ctx, n.runner.AdoptWhenSeen) },
+		func(ctx context.Context) { n.assigner.Run(ctx, n.runner.AdoptAssigned) },
 		func(ctx context.Context) { n.syncer.Run(ctx, n.demandFollower.Run) },
 	} {
 		go run(n.context)
