--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -11,9 +11,9 @@
 	"woodworks/internal/daemon/periodic"
 )
 
-// closedFor is how long a batch whose job found it closed is not begun anew: longer than a
+// closedBatchTTL is how long a batch whose job found it closed is not begun anew: longer than a
 // fold may be old by which the watcher still goes, and which may lack what closed the batch.
-const closedFor = 2 * heartbeatTimeout
+const closedBatchTTL = 2 * heartbeatTimeout
 
 // AdoptAssigned starts a batch once the fold shows that this daemon owns it.
 func (r *Runner) AdoptAssigned(batchID string) {
@@ -94,7 +94,7 @@
 		return
 	}
 	r.closedBatches[batchID] = true
-	time.AfterFunc(closedFor, func() {
+	time.AfterFunc(closedBatchTTL, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		delete(r.closedBatches, batchID)
--- a/internal/batches/runner/adopt_test.go
+++ b/internal/batches/runner/adopt_test.go
@@ -46,7 +46,7 @@
 				watcher.inspect(whole.Name(), &watched{owners: map[string]observation{}}, 0, time.Now())
 				is.Equal(begun(), 0)
 				// What is remembered of it goes, as does the watcher's old fold.
-				time.Sleep(closedFor + time.Millisecond)
+				time.Sleep(closedBatchTTL + time.Millisecond)
 				watcher.inspect(whole.Name(), &watched{owners: map[string]observation{}}, 0, time.Now())
 				is.Equal(begun(), 0)
 				owner.mu.Lock()
