--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -80,14 +80,14 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		delete(r.jobs, batchID)
-		r.keepClosed(j)
+		r.recordClosed(j)
 	})
 	r.WakeDispatcher()
 }
 
-// keepClosed keeps the batch of a job that has ended from being begun anew if it is closed,
+// recordClosed keeps the batch of a job that has ended from being begun anew if it is closed,
 // as the job's fold says, which may be ahead of others. The mutex is held.
-func (r *Runner) keepClosed(j *job) {
+func (r *Runner) recordClosed(j *job) {
 	batchID, open := j.submission.ID, true
 	j.partition.ViewBatch(batchID, func(b *batch.Batch) { open = b.Open() })
 	if open {
