--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -15,8 +15,8 @@
 	"woodworks/internal/requests/forward"
 )
 
-// itemDeadline is how long a replica may work on an item in one attempt.
-const itemDeadline = 60 * time.Second
+// attemptTimeout is how long a replica may work on an item in one attempt.
+const attemptTimeout = 60 * time.Second
 
 var (
 	// errTooOld: the replica's weights are older than the batch allows.
@@ -199,7 +199,7 @@
 		},
 		After:      it.lastEvent,
 		HasAfter:   it.hasEvent,
-		Deadline:   itemDeadline,
+		Deadline:   attemptTimeout,
 		Repeatable: true,
 	}
 }
