--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -44,7 +44,7 @@
 	if err == nil {
 		err = a.follow(cancel, stream)
 	}
-	a.end(err)
+	a.handleOutcome(err)
 }
 
 // open asks the attempt's replica for the item's events, and cancels that after the timeout.
@@ -56,7 +56,7 @@
 	return a.job.r.forwarder.OpenStream(ctx, req, a.replica)
 }
 
-func (a *attempt) end(err error) {
+func (a *attempt) handleOutcome(err error) {
 	j, it := a.job, a.item
 	j.r.table.Ended(a.replica.Incarnation())
 	j.mu.Lock()
--- a/internal/batches/runner/handover.go
+++ b/internal/batches/runner/handover.go
@@ -42,7 +42,7 @@
 		a.abandon(stream, err)
 		return
 	}
-	a.end(a.follow(cancel, stream))
+	a.handleOutcome(a.follow(cancel, stream))
 }
 
 // replace makes the attempt the one that counts, if its replica has accepted the item and
--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -93,7 +93,7 @@
 	j, it := movedJob(t)
 	it.state = itemListed // the outcome of the run is taken into account elsewhere
 	is.NoErr(tryOf(j, it, 1, &route.Route{}).receive(event(1), 1))
-	tryOf(j, it, 1, &route.Route{}).end(nil)
+	tryOf(j, it, 1, &route.Route{}).handleOutcome(nil)
 	is.Equal(it.lastEvent, int64(1))
 	is.True(!nextTryOf(j, it).replace(1, func() {}, 0, nil))
 }
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -110,7 +110,7 @@
 			}
 			go first.Release(ctx)
 			synctest.Wait()
-			attemptOf(begun, 0).end(errors.New("reset"))
+			attemptOf(begun, 0).handleOutcome(errors.New("reset"))
 			time.Sleep(200 * time.Millisecond)
 			log.SetBefall(nil)
 			time.Sleep(200 * time.Millisecond)
@@ -130,7 +130,7 @@
 		is.NoErr(second.TakeOver(ctx, "x", ""))
 		time.Sleep(time.Second)
 		is.Equal(startable(second), 0)
-		attemptOf(begun, 1).end(errors.New("reset"))
+		attemptOf(begun, 1).handleOutcome(errors.New("reset"))
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(startable(second), 1)
 	})
