--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -75,7 +75,7 @@
 	if err == nil {
 		j.score(it)
 	} else {
-		a.failed(err)
+		a.handleFailure(err)
 		j.giveBack(j.r.ctx)
 	}
 	j.r.WakeDispatcher()
@@ -156,8 +156,8 @@
 	a.job.r.firstEvents.Observe(serviceOf(a.route, a.item), time.Since(a.item.startedAt))
 }
 
-// failed lets the item wait for another attempt, or gives it up.
-func (a *attempt) failed(cause error) {
+// handleFailure lets the item wait for another attempt, or gives it up.
+func (a *attempt) handleFailure(cause error) {
 	j, it := a.job, a.item
 	j.mu.Lock()
 	defer j.mu.Unlock()
