--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -86,7 +86,7 @@
 	defer stream.Close()
 	a.job.r.table.Accepted(a.replica.Incarnation())
 	version := stream.Version
-	a.noteVersion(version)
+	a.recordVersion(version)
 	timeout := eventTimeoutOf(a.replica.EventTime)
 	watchdog := time.AfterFunc(timeout, cancel)
 	defer watchdog.Stop()
@@ -102,7 +102,7 @@
 		}
 		if event.Version > 0 {
 			version = event.Version
-			a.noteVersion(version)
+			a.recordVersion(version)
 		}
 		if err := a.receive(event, version); err != nil {
 			return err
@@ -111,8 +111,8 @@
 	}
 }
 
-// noteVersion tells the table which version of the weights the replica holds, 0 if it did not say.
-func (a *attempt) noteVersion(version int64) {
+// recordVersion tells the table which version of the weights the replica holds, 0 if it did not say.
+func (a *attempt) recordVersion(version int64) {
 	if version > 0 {
 		a.job.r.table.HoldsVersion(a.replica.Incarnation(), a.job.submission.Model, version)
 	}
