--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -107,7 +107,7 @@
 		if err := a.receive(event, version); err != nil {
 			return err
 		}
-		last = a.noteEvent(last)
+		last = a.recordEventTime(last)
 	}
 }
 
@@ -118,9 +118,9 @@
 	}
 }
 
-// noteEvent notes how long an event took after the last one, which was at a time that is zero before
+// recordEventTime notes how long an event took after the last one, which was at a time that is zero before
 // the first, and returns its own time.
-func (a *attempt) noteEvent(last time.Time) time.Time {
+func (a *attempt) recordEventTime(last time.Time) time.Time {
 	now := time.Now()
 	if last.IsZero() {
 		a.noteFirstEvent()
