--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -123,7 +123,7 @@
 func (a *attempt) recordEventTime(last time.Time) time.Time {
 	now := time.Now()
 	if last.IsZero() {
-		a.noteFirstEvent()
+		a.recordFirstEvent()
 	} else {
 		a.job.r.table.ObserveEvent(a.replica.Incarnation(), now.Sub(last))
 	}
@@ -145,8 +145,8 @@
 	return a.item.appendEvent(e, a.job.submission.MinVersion)
 }
 
-// noteFirstEvent notes that the attempt has brought an event, and after how long.
-func (a *attempt) noteFirstEvent() {
+// recordFirstEvent notes that the attempt has brought an event, and after how long.
+func (a *attempt) recordFirstEvent() {
 	a.job.mu.Lock()
 	defer a.job.mu.Unlock()
 	if a.item.attempt != a.number {
--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -35,7 +35,7 @@
 		is.Equal(scheduledItems(owner)[0].Overdue, time.Second)
 		first := attemptOf(begun, 0)
 		first.route = &route.Route{Shares: []route.Share{{Service: "s", Weight: 1}}}
-		first.noteFirstEvent()
+		first.recordFirstEvent()
 		is.Equal(scheduledItems(owner)[0].Overdue, time.Duration(0))
 	})
 }
