--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -165,7 +165,7 @@
 	if next.counts {
 		it.failures++
 	}
-	j.r.noteFault(a.replica.Incarnation(), next.fault)
+	j.r.recordFault(a.replica.Incarnation(), next.fault)
 	j.logger.Info("item attempt failed", zap.String("item", it.ID), zap.String("replica", a.replica.ID),
 		zap.Int("attempt", it.attempt), zap.Int64("events", it.lastEvent),
 		zap.Duration("after", time.Since(it.startedAt)), zap.Error(cause))
@@ -204,7 +204,7 @@
 	}
 }
 
-func (r *Runner) noteFault(incarnation replica.Incarnation, f fault) {
+func (r *Runner) recordFault(incarnation replica.Incarnation, f fault) {
 	switch f {
 	case noFault:
 	case faultDeclined:
--- a/internal/batches/runner/handover.go
+++ b/internal/batches/runner/handover.go
@@ -85,5 +85,5 @@
 		// The batch ended meanwhile, which says nothing of the replica.
 		return
 	}
-	a.job.r.noteFault(a.replica.Incarnation(), handOverFault(err))
+	a.job.r.recordFault(a.replica.Incarnation(), handOverFault(err))
 }
