--- a/internal/batches/runner/heartbeat.go
+++ b/internal/batches/runner/heartbeat.go
@@ -14,9 +14,9 @@
 const (
 	// heartbeatInterval is the time between an owner's heartbeats in a batch's partition.
 	heartbeatInterval = 350 * time.Millisecond
-	// checkpointAfter is how long an item runs before its progress is worth keeping: a
+	// minCheckpointAge is how long an item runs before its progress is worth keeping: a
 	// shorter text costs less to generate again.
-	checkpointAfter = 700 * time.Millisecond
+	minCheckpointAge = 700 * time.Millisecond
 	// maxCheckpointBytes bounds what one record keeps.
 	maxCheckpointBytes = 128 << 10
 )
@@ -72,7 +72,7 @@
 	}
 	var advanced []*item
 	for _, it := range j.items {
-		if it.state == itemRunning && len(it.events) > it.checkpointed && now.Sub(it.startedAt) >= checkpointAfter {
+		if it.state == itemRunning && len(it.events) > it.checkpointed && now.Sub(it.startedAt) >= minCheckpointAge {
 			advanced = append(advanced, it)
 		}
 	}
