--- a/internal/batches/runner/heartbeat.go
+++ b/internal/batches/runner/heartbeat.go
@@ -38,13 +38,13 @@
 	ctx, cancel := context.WithTimeout(j.ctx, heartbeatInterval)
 	defer cancel()
 	err := j.partition.Append(ctx, record)
-	j.heartbeatDone(progress, err)
+	j.handleHeartbeatResult(progress, err)
 }
 
-// heartbeatDone notes what the journal has acknowledged. A heartbeat that was not, or whose
+// handleHeartbeatResult notes what the journal has acknowledged. A heartbeat that was not, or whose
 // outcome is not known, is not repeated: the next one carries its progress too, which the
 // fold takes once.
-func (j *job) heartbeatDone(progress []batch.Progress, err error) {
+func (j *job) handleHeartbeatResult(progress []batch.Progress, err error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if err != nil {
