--- a/internal/batches/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -8,9 +8,9 @@
 	"woodworks/internal/batches/scheduling"
 )
 
-// rememberedBatches is how many batches of a model are remembered: trainers have
+// maxRememberedBatches is how many batches of a model are remembered: trainers have
 // a few open at a time, and what was not whole comes again in one of the next.
-const rememberedBatches = 4
+const maxRememberedBatches = 4
 
 // history is what this daemon remembers of the batches of each model that it ran.
 // It is safe for concurrent use.
@@ -81,7 +81,7 @@
 		return
 	}
 	m.batches = append(m.batches, b)
-	if len(m.batches) > rememberedBatches {
+	if len(m.batches) > maxRememberedBatches {
 		m.batches = m.batches[1:]
 	}
 }
--- a/internal/batches/runner/history_test.go
+++ b/internal/batches/runner/history_test.go
@@ -35,5 +35,5 @@
 		begin(groupsBatch(id, "m", id))
 	}
 	is.Equal(begin(groupsBatch("8", "m", "a", "4", "7")), map[string]bool{"4": true, "7": true})
-	is.Equal(len(remembered.models["m"].batches), rememberedBatches)
+	is.Equal(len(remembered.models["m"].batches), maxRememberedBatches)
 }
