--- a/internal/batches/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -33,8 +33,8 @@
 
 func newHistory() *history { return &history{models: map[string]*modelHistory{}} }
 
-// of returns a model's history. The mutex is held.
-func (h *history) of(model string) *modelHistory {
+// model returns a model's history. The mutex is held.
+func (h *history) model(model string) *modelHistory {
 	m := h.models[model]
 	if m == nil {
 		m = &modelHistory{lengths: scheduling.NewLengths()}
@@ -48,7 +48,7 @@
 func (h *history) begin(submission *batch.Submission) (again map[string]bool, lengths *scheduling.Lengths) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	m := h.of(submission.Model)
+	m := h.model(submission.Model)
 	b := rememberedBatch{id: submission.ID, groups: map[string]bool{}}
 	for i := range submission.Items {
 		if group := submission.Items[i].Group; group != "" {
