--- a/internal/batches/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -43,9 +43,9 @@
 	return m
 }
 
-// begin remembers a batch and returns those of its groups that were in an earlier
+// recordBatch remembers a batch and returns those of its groups that were in an earlier
 // one: a trainer that sends a group again waits for it to be whole.
-func (h *history) begin(submission *batch.Submission) (again map[string]bool, lengths *scheduling.Lengths) {
+func (h *history) recordBatch(submission *batch.Submission) (again map[string]bool, lengths *scheduling.Lengths) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	m := h.model(submission.Model)
--- a/internal/batches/runner/history_test.go
+++ b/internal/batches/runner/history_test.go
@@ -20,7 +20,7 @@
 	is := is.New(t)
 	remembered := newHistory()
 	begin := func(submission *batch.Submission) map[string]bool {
-		again, lengths := remembered.begin(submission)
+		again, lengths := remembered.recordBatch(submission)
 		is.True(lengths != nil)
 		return again
 	}
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -60,7 +60,7 @@
 		results:    resultQueue{wake: make(chan struct{}, 1)},
 	}
 	j.ctx, j.cancel = context.WithCancel(r.ctx)
-	j.placement.required, j.placement.lengths = r.history.begin(&submission)
+	j.placement.required, j.placement.lengths = r.history.recordBatch(&submission)
 	j.items = newItems(&submission, r)
 	for i, it := range j.items {
 		if b.Listed[i] {
