--- a/internal/batches/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -55,13 +55,13 @@
 			b.groups[group] = true
 		}
 	}
-	again = m.repeated(b)
+	again = m.repeatedGroups(b)
 	m.remember(b)
 	return again, m.lengths
 }
 
-// repeated returns the groups of a batch that others had before.
-func (m *modelHistory) repeated(b rememberedBatch) map[string]bool {
+// repeatedGroups returns the groups of a batch that others had before.
+func (m *modelHistory) repeatedGroups(b rememberedBatch) map[string]bool {
 	repeated := map[string]bool{}
 	for _, before := range m.batches {
 		if before.id == b.id {
