--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -152,7 +152,7 @@
 	if a.item.attempt != a.number {
 		return
 	}
-	a.item.answered = true
+	a.item.hasFirstEvent = true
 	a.job.r.firstEvents.Observe(serviceOf(a.route, a.item), time.Since(a.item.startedAt))
 }
 
--- a/internal/batches/runner/handover.go
+++ b/internal/batches/runner/handover.go
@@ -22,7 +22,7 @@
 		return
 	}
 	it.buffering = true
-	if !it.answered {
+	if !it.hasFirstEvent {
 		// What was waited for in vain counts: where all engines get slow it becomes usual.
 		j.r.firstEvents.Observe(serviceOf(routed.route, it), time.Since(it.startedAt))
 	}
@@ -64,7 +64,7 @@
 	}
 	j.logger.Info("item moved", zap.String("item", it.ID), zap.String("replica", it.lastReplica),
 		zap.String("to", a.replica.ID), zap.Int64("events", it.lastEvent), zap.Int("dropped", len(it.buffered)),
-		zap.Duration("gain", gain), zap.Bool("silent", !it.answered))
+		zap.Duration("gain", gain), zap.Bool("silent", !it.hasFirstEvent))
 	cancelBefore := it.cancel
 	a.number = it.beginAttempt(a.replica.ID, time.Now())
 	it.cancel = cancel
--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -51,8 +51,8 @@
 	// lastReplica ran the item last.
 	lastReplica string
 	startedAt   time.Time
-	// answered says that the attempt has brought an event.
-	answered bool
+	// hasFirstEvent says that the attempt has brought an event.
+	hasFirstEvent bool
 	// cancel, if not nil, ends the attempt under way.
 	cancel func()
 	// buffering says that events are kept in buffered, while another replica is asked to go
@@ -108,7 +108,7 @@
 func (it *item) beginAttempt(replicaID string, now time.Time) int {
 	it.attempt++
 	it.lastReplica, it.startedAt = replicaID, now
-	it.answered = false
+	it.hasFirstEvent = false
 	it.stopBuffering()
 	return it.attempt
 }
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -95,7 +95,7 @@
 			views[service] = v
 		}
 		described := j.describe(it, rt, priority, now)
-		if runs && !it.answered {
+		if runs && !it.hasFirstEvent {
 			described.Overdue = max(described.RunFor-j.r.firstEvents.OverdueAfter(service), 0)
 		}
 		v.Items = append(v.Items, described)
