--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -16,8 +16,8 @@
 const (
 	itemWaiting itemState = iota
 	itemRunning
-	// itemEnding: the text is whole or the item given up, and the result is not listed yet.
-	itemEnding
+	// itemResultPending: the text is whole or the item given up, and the result is not listed yet.
+	itemResultPending
 	itemListed
 )
 
@@ -120,4 +120,4 @@
 }
 
 // underWay reports whether the item is at a replica, or its result is not listed yet.
-func (it *item) underWay() bool { return it.state == itemRunning || it.state == itemEnding }
+func (it *item) underWay() bool { return it.state == itemRunning || it.state == itemResultPending }
--- a/internal/batches/runner/listing.go
+++ b/internal/batches/runner/listing.go
@@ -26,7 +26,7 @@
 
 // finish hands a result to be listed. The mutex is held.
 func (j *job) finish(it *item, result batch.Result, reason string) {
-	it.state = itemEnding
+	it.state = itemResultPending
 	it.timing.enter(phaseListing, time.Now())
 	j.results.pending = append(j.results.pending, result)
 	outcome := "done"
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -54,7 +54,7 @@
 	slices.Sort(result.Versions)
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if it.state == itemEnding {
+	if it.state == itemResultPending {
 		j.finish(it, result, reason)
 	}
 }
@@ -67,7 +67,7 @@
 	if it.state != itemRunning {
 		return result, false
 	}
-	it.state = itemEnding
+	it.state = itemResultPending
 	it.timing.enter(phaseScoring, time.Now())
 	j.placement.lengths.Observe(it.expectedTokens, len(it.events))
 	return batch.Result{
