--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -66,13 +66,13 @@
 func newItems(submission *batch.Submission, r *Runner) []*item {
 	items := make([]*item, len(submission.Items))
 	for i := range submission.Items {
-		items[i] = &item{index: i, Item: submission.Items[i], header: headerOf(submission.Items[i].Headers)}
+		items[i] = &item{index: i, Item: submission.Items[i], header: itemHeader(submission.Items[i].Headers)}
 		items[i].expectedTokens = r.expectedLength(items[i].header, items[i].Tokens)
 	}
 	return items
 }
 
-func headerOf(list []batch.Header) http.Header {
+func itemHeader(list []batch.Header) http.Header {
 	header := make(http.Header, len(list)+4)
 	for _, h := range list {
 		name := http.CanonicalHeaderKey(h.Name)
@@ -99,7 +99,7 @@
 func (r *Runner) expectedBatchTokens(submission *batch.Submission) int64 {
 	work := int64(0)
 	for i := range submission.Items {
-		work += r.expectedLength(headerOf(submission.Items[i].Headers), submission.Items[i].Tokens)
+		work += r.expectedLength(itemHeader(submission.Items[i].Headers), submission.Items[i].Tokens)
 	}
 	return work
 }
