--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -119,5 +119,5 @@
 	}
 }
 
-// underWay reports whether the item is at a replica, or its result is not listed yet.
-func (it *item) underWay() bool { return it.state == itemRunning || it.state == itemResultPending }
+// inProgress reports whether the item is at a replica, or its result is not listed yet.
+func (it *item) inProgress() bool { return it.state == itemRunning || it.state == itemResultPending }
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -171,7 +171,7 @@
 
 // noneUnderWay reports whether nothing is left to finish here. The mutex is held.
 func (j *job) noneUnderWay() bool {
-	return len(j.results.pending) == 0 && !slices.ContainsFunc(j.items, (*item).underWay)
+	return len(j.results.pending) == 0 && !slices.ContainsFunc(j.items, (*item).inProgress)
 }
 
 func (j *job) waiting() int {
--- a/internal/batches/runner/release.go
+++ b/internal/batches/runner/release.go
@@ -22,7 +22,7 @@
 	j.release.begun = true
 	var handedOff []int
 	for _, it := range j.items {
-		it.handedOff = it.underWay()
+		it.handedOff = it.inProgress()
 		if it.handedOff {
 			handedOff = append(handedOff, it.index)
 		}
