--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -123,7 +123,7 @@
 	defer j.mu.Unlock()
 	reason := "unknown"
 	j.partition.ViewBatch(j.submission.ID, func(b *batch.Batch) {
-		if reason = j.reasonToLeave(b); reason == "" {
+		if reason = j.reasonToEnd(b); reason == "" {
 			j.markListed(b)
 			j.markReturned(b)
 		}
@@ -140,9 +140,9 @@
 	return true
 }
 
-// reasonToLeave returns why a batch has no more to do here by the fold, or "" if it has. The
+// reasonToEnd returns why a batch has no more to do here by the fold, or "" if it has. The
 // mutex is held.
-func (j *job) reasonToLeave(b *batch.Batch) string {
+func (j *job) reasonToEnd(b *batch.Batch) string {
 	switch {
 	case b.Ended:
 		return "ended"
