--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -128,7 +128,7 @@
 			j.markReturned(b)
 		}
 	})
-	if reason == "" && j.release.begun && j.noneUnderWay() {
+	if reason == "" && j.release.begun && j.noneInProgress() {
 		reason = "released"
 	}
 	if reason == "" {
@@ -169,8 +169,8 @@
 	}
 }
 
-// noneUnderWay reports whether nothing is left to finish here. The mutex is held.
-func (j *job) noneUnderWay() bool {
+// noneInProgress reports whether nothing is left to finish here. The mutex is held.
+func (j *job) noneInProgress() bool {
 	return len(j.results.pending) == 0 && !slices.ContainsFunc(j.items, (*item).inProgress)
 }
 
