--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -110,7 +110,7 @@
 			return
 		case <-changed:
 		case <-beat.C:
-			j.giveUpTooOld()
+			j.giveUpExpired()
 			go j.heartbeat()
 		}
 	}
@@ -195,10 +195,10 @@
 	return configuration.Find(j.submission.Host, j.submission.Path)
 }
 
-// giveUpTooOld lists as dead the waiting items that are older than their route lets them
+// giveUpExpired lists as dead the waiting items that are older than their route lets them
 // grow. A batch's age is counted from when this owner began, by its steady clock: that is
 // never more than the true age, whatever time of day daemons believe.
-func (j *job) giveUpTooOld() {
+func (j *job) giveUpExpired() {
 	rt, ok := j.route()
 	if !ok || !tooOld(time.Since(j.adoptedAt), rt.MaxQueue) {
 		return
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -63,13 +63,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				j := agedJob(t, behind, maxQueue)
-				j.giveUpTooOld()
+				j.giveUpExpired()
 				is.Equal(len(j.results.pending), 0) // nothing is old at the start
 				time.Sleep(maxQueue - time.Millisecond)
-				j.giveUpTooOld()
+				j.giveUpExpired()
 				is.Equal(len(j.results.pending), 0)
 				time.Sleep(2 * time.Millisecond)
-				j.giveUpTooOld()
+				j.giveUpExpired()
 				is.Equal(len(j.results.pending), 1)
 				is.Equal(j.results.pending[0].Outcome, batch.Dead)
 			})
