--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -102,7 +102,7 @@
 	defer beat.Stop()
 	for {
 		changed := j.partition.Changed()
-		if j.finished() {
+		if j.applyFold() {
 			return
 		}
 		select {
@@ -116,9 +116,9 @@
 	}
 }
 
-// finished takes the fold into account and reports whether the job is done here. If so, its
+// applyFold takes the fold into account and reports whether the job is done here. If so, its
 // account is closed.
-func (j *job) finished() bool {
+func (j *job) applyFold() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	reason := "unknown"
