--- a/internal/batches/runner/listing.go
+++ b/internal/batches/runner/listing.go
@@ -57,7 +57,7 @@
 		if len(results) == 0 {
 			continue
 		}
-		if !j.list(results) {
+		if !j.appendResults(results) {
 			return
 		}
 		j.mu.Lock()
@@ -70,9 +70,9 @@
 	}
 }
 
-// list appends results until it is certain that they are in the ledger, and reports whether
+// appendResults appends results until it is certain that they are in the ledger, and reports whether
 // they are.
-func (j *job) list(results []batch.Result) bool {
+func (j *job) appendResults(results []batch.Result) bool {
 	record := batch.Listed(j.submission.ID, results)
 	failures := 0
 	for j.ctx.Err() == nil {
