--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -173,7 +173,7 @@
 		return
 	}
 	if next.dead != "" {
-		j.finish(it, batch.Result{Item: it.index, Outcome: batch.Dead}, next.dead)
+		j.finishItem(it, batch.Result{Item: it.index, Outcome: batch.Dead}, next.dead)
 		return
 	}
 	it.state = itemWaiting
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -207,7 +207,7 @@
 	defer j.mu.Unlock()
 	for _, it := range j.items {
 		if it.state == itemWaiting {
-			j.finish(it, batch.Result{Item: it.index, Outcome: batch.Dead}, "older than allowed")
+			j.finishItem(it, batch.Result{Item: it.index, Outcome: batch.Dead}, "older than allowed")
 		}
 	}
 }
--- a/internal/batches/runner/listing.go
+++ b/internal/batches/runner/listing.go
@@ -24,8 +24,8 @@
 	wake chan struct{}
 }
 
-// finish hands a result to be listed. The mutex is held.
-func (j *job) finish(it *item, result batch.Result, reason string) {
+// finishItem hands a result to be listed. The mutex is held.
+func (j *job) finishItem(it *item, result batch.Result, reason string) {
 	it.state = itemResultPending
 	it.timing.enter(phaseListing, time.Now())
 	j.results.pending = append(j.results.pending, result)
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -55,7 +55,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if it.state == itemResultPending {
-		j.finish(it, result, reason)
+		j.finishItem(it, result, reason)
 	}
 }
 
