--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -17,9 +17,9 @@
 	// firstHeartbeatTimeout is how long the first owner of a batch may take to give its first
 	// sign of life. One that took a batch over has heartbeatTimeout from the start.
 	firstHeartbeatTimeout = 700 * time.Millisecond
-	// suspectOwnerAfter is after how long an owner's machine is looked for among those alive: a
+	// suspectTimeout is after how long an owner's machine is looked for among those alive: a
 	// new incarnation there proves that the owner is gone.
-	suspectOwnerAfter = 500 * time.Millisecond
+	suspectTimeout = 500 * time.Millisecond
 	// standByWait is how long the daemon that accepted a batch waits for the owner's first
 	// sign of life, besides standBySteps times what the acceptance took: that many calls lie
 	// between the two.
@@ -55,7 +55,7 @@
 // group, when it has been silent, and always if the batch has none or it is an incarnation
 // of the own machine.
 func (o observation) suspectsOwner(self string, generation int64, now time.Time) bool {
-	return o.owner == "" || o.judgedIn != generation || now.Sub(o.at) > suspectOwnerAfter ||
+	return o.owner == "" || o.judgedIn != generation || now.Sub(o.at) > suspectTimeout ||
 		identity.Machine(o.owner) == identity.Machine(self)
 }
 
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -96,7 +96,7 @@
 		go watcher.Run(ctx)
 		time.Sleep(1300 * time.Millisecond)
 		is.NoErr(partition.Append(ctx, batch.Accepted(&oneItem, "a/1")))
-		time.Sleep(suspectOwnerAfter + 2*watchInterval + 20*time.Millisecond)
+		time.Sleep(suspectTimeout + 2*watchInterval + 20*time.Millisecond)
 		is.Equal(ownerOf(partition, "x"), "b/1")
 	})
 }
@@ -114,7 +114,7 @@
 		is.NoErr(partition.CatchUp(ctx))
 		seen := &watched{owners: map[string]observation{}}
 		is.Equal(len(watcher.inspect(partition.Name(), seen, 0, time.Now())), 0)
-		time.Sleep(suspectOwnerAfter + time.Millisecond)
+		time.Sleep(suspectTimeout + time.Millisecond)
 		suspects := watcher.inspect(partition.Name(), seen, 0, time.Now())
 		is.Equal(len(suspects), 1)
 		is.Equal(len(watcher.runner.confirm(ctx, suspects)), 1)
