--- a/internal/batches/runner/fold.go
+++ b/internal/batches/runner/fold.go
@@ -10,7 +10,7 @@
 
 // locateTimeout bounds the question where a batch begins: a part of standByWait, within which
 // the owner must begin also where nobody answers.
-const locateTimeout = standByWait / 2
+const locateTimeout = minStandByDelay / 2
 
 // Locator tells at which offset a batch begins in its partition.
 type Locator interface {
--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -20,11 +20,11 @@
 	// suspectTimeout is after how long an owner's machine is looked for among those alive: a
 	// new incarnation there proves that the owner is gone.
 	suspectTimeout = 500 * time.Millisecond
-	// standByWait is how long the daemon that accepted a batch waits for the owner's first
+	// minStandByDelay is how long the daemon that accepted a batch waits for the owner's first
 	// sign of life, besides standBySteps times what the acceptance took: that many calls lie
 	// between the two.
-	standByWait  = 300 * time.Millisecond
-	standBySteps = 4
+	minStandByDelay = 300 * time.Millisecond
+	standBySteps    = 4
 )
 
 // observation is what a daemon last saw of a batch's owner.
@@ -79,5 +79,5 @@
 // standByTime is how long the daemon that accepted a batch for another one waits before it
 // takes the batch over, by how long the acceptance took.
 func standByTime(accepting time.Duration) time.Duration {
-	return standByWait + standBySteps*accepting
+	return minStandByDelay + standBySteps*accepting
 }
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -53,7 +53,7 @@
 		ctx := t.Context()
 		accepter := accepterOfOne(ctx, t, journaltest.New(), "gone/1")
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "gone/1")
-		time.Sleep(standByWait + 20*time.Millisecond)
+		time.Sleep(minStandByDelay + 20*time.Millisecond)
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "b/1")
 		batches, _ := accepter.Load()
 		is.Equal(batches, 1)
@@ -65,10 +65,10 @@
 func TestABatchStaysWithAnOwnerThatHasBegun(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		accepter := accepterOfOne(ctx, t, log, "a/1")
-		time.Sleep(standByWait / 2)
+		time.Sleep(minStandByDelay / 2)
 		owner := ledger.New(ctx, log, zap.NewNop())
 		is.NoErr(owner.Of("x").Append(ctx, batch.Heartbeat("x", "a/1", 1)))
-		time.Sleep(10 * standByWait)
+		time.Sleep(10 * minStandByDelay)
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "a/1")
 	})
 }
@@ -79,7 +79,7 @@
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		accepter := accepterOfOne(ctx, t, log, "a/1")
 		refuse(log, journaltest.Read)
-		time.Sleep(10 * standByWait)
+		time.Sleep(10 * minStandByDelay)
 		log.SetBefall(nil)
 		is.NoErr(accepter.ledger.Of("x").CatchUp(ctx))
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "a/1")
@@ -97,7 +97,7 @@
 		accepter := newAccepter(ctx, log, "gone/1")
 		accepter.locator = holds{watcher}
 		is.NoErr(accepter.Accept(ctx, &oneItem))
-		time.Sleep(standByWait + 20*time.Millisecond)
+		time.Sleep(minStandByDelay + 20*time.Millisecond)
 		is.Equal(ownerInJournal(ctx, t, log, "x"), "b/1")
 	})
 }
