--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -23,8 +23,8 @@
 	// minStandByDelay is how long the daemon that accepted a batch waits for the owner's first
 	// sign of life, besides standBySteps times what the acceptance took: that many calls lie
 	// between the two.
-	minStandByDelay = 300 * time.Millisecond
-	standBySteps    = 4
+	minStandByDelay     = 300 * time.Millisecond
+	standByAcceptFactor = 4
 )
 
 // observation is what a daemon last saw of a batch's owner.
@@ -79,5 +79,5 @@
 // standByTime is how long the daemon that accepted a batch for another one waits before it
 // takes the batch over, by how long the acceptance took.
 func standByTime(accepting time.Duration) time.Duration {
-	return minStandByDelay + standBySteps*accepting
+	return minStandByDelay + standByAcceptFactor*accepting
 }
