--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// standByTime is how long the daemon that accepted a batch for another one waits before it
+// standByDelay is how long the daemon that accepted a batch for another one waits before it
 // takes the batch over, by how long the acceptance took.
-func standByTime(accepting time.Duration) time.Duration {
+func standByDelay(accepting time.Duration) time.Duration {
 	return minStandByDelay + standByAcceptFactor*accepting
 }
--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -20,7 +20,7 @@
 	partition := r.foldOf(r.ctx, batchID)
 	defer partition.Follow()()
 	expected := observation{partition: partition.Name(), batch: batchID, owner: owner, at: time.Now()}
-	patience, cancel := context.WithTimeout(r.ctx, standByTime(accepting))
+	patience, cancel := context.WithTimeout(r.ctx, standByDelay(accepting))
 	defer cancel()
 	begun := partition.Await(patience.Done(), func() (begun bool) {
 		partition.ViewBatch(batchID, func(b *batch.Batch) { begun = !expected.still(b) })
