--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -43,8 +43,8 @@
 	readAt time.Time
 }
 
-// still reports whether the batch shows nothing new of its owner since.
-func (o observation) still(b *batch.Batch) bool {
+// unchanged reports whether the batch shows nothing new of its owner since.
+func (o observation) unchanged(b *batch.Batch) bool {
 	return b.Open() && b.Owner == o.owner && b.Signs == o.signs
 }
 
--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -23,7 +23,7 @@
 	patience, cancel := context.WithTimeout(r.ctx, standByDelay(accepting))
 	defer cancel()
 	begun := partition.Await(patience.Done(), func() (begun bool) {
-		partition.ViewBatch(batchID, func(b *batch.Batch) { begun = !expected.still(b) })
+		partition.ViewBatch(batchID, func(b *batch.Batch) { begun = !expected.unchanged(b) })
 		return begun
 	})
 	if begun || r.ctx.Err() != nil {
--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -113,7 +113,7 @@
 // stillSilent reports whether the fold shows nothing new of a suspect owner.
 func (r *Runner) stillSilent(suspect observation) (still bool) {
 	partition := r.ledger.Partition(suspect.partition)
-	partition.ViewBatch(suspect.batch, func(b *batch.Batch) { still = suspect.still(b) })
+	partition.ViewBatch(suspect.batch, func(b *batch.Batch) { still = suspect.unchanged(b) })
 	return still
 }
 
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -145,7 +145,7 @@
 // since when nothing new was.
 func (p *watched) observe(name journal.Partition, b *batch.Batch, now time.Time) observation {
 	before, ok := p.owners[b.ID]
-	if ok && before.still(b) {
+	if ok && before.unchanged(b) {
 		return before
 	}
 	o := observation{partition: name, batch: b.ID, owner: b.Owner, signs: b.Signs, at: now}
