--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -34,8 +34,8 @@
 	owner     string
 	// signs is the batch's count of signs of life, over all its owners.
 	signs int64
-	// at is since when nothing new was seen.
-	at time.Time
+	// unchangedSince is since when nothing new was seen.
+	unchangedSince time.Time
 	// judgedIn is the generation of the group in which the owner was last looked for among
 	// those alive.
 	judgedIn int64
@@ -49,13 +49,13 @@
 }
 
 // silent is for how long the owner is known to have given no sign.
-func (o observation) silent() time.Duration { return o.readAt.Sub(o.at) }
+func (o observation) silent() time.Duration { return o.readAt.Sub(o.unchangedSince) }
 
 // suspectsOwner reports whether the owner is to be looked for: once in each generation of the
 // group, when it has been silent, and always if the batch has none or it is an incarnation
 // of the own machine.
 func (o observation) suspectsOwner(self string, generation int64, now time.Time) bool {
-	return o.owner == "" || o.judgedIn != generation || now.Sub(o.at) > suspectTimeout ||
+	return o.owner == "" || o.judgedIn != generation || now.Sub(o.unchangedSince) > suspectTimeout ||
 		identity.Machine(o.owner) == identity.Machine(self)
 }
 
--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -19,7 +19,7 @@
 	defer r.work.Done()
 	partition := r.foldOf(r.ctx, batchID)
 	defer partition.Follow()()
-	expected := observation{partition: partition.Name(), batch: batchID, owner: owner, at: time.Now()}
+	expected := observation{partition: partition.Name(), batch: batchID, owner: owner, unchangedSince: time.Now()}
 	patience, cancel := context.WithTimeout(r.ctx, standByDelay(accepting))
 	defer cancel()
 	begun := partition.Await(patience.Done(), func() (begun bool) {
--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -131,5 +131,5 @@
 		event = "batch perhaps taken over"
 	}
 	r.logger.Info(event, zap.String("batch", suspect.batch), zap.String("from", suspect.owner),
-		zap.String("reason", reason), zap.Duration("silent", time.Since(suspect.at)), zap.Error(err))
+		zap.String("reason", reason), zap.Duration("silent", time.Since(suspect.unchangedSince)), zap.Error(err))
 }
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -148,7 +148,7 @@
 	if ok && before.unchanged(b) {
 		return before
 	}
-	o := observation{partition: name, batch: b.ID, owner: b.Owner, signs: b.Signs, at: now}
+	o := observation{partition: name, batch: b.ID, owner: b.Owner, signs: b.Signs, unchangedSince: now}
 	if before.owner == b.Owner {
 		o.judgedIn = before.judgedIn
 	}
