--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -36,9 +36,9 @@
 	signs int64
 	// unchangedSince is since when nothing new was seen.
 	unchangedSince time.Time
-	// judgedIn is the generation of the group in which the owner was last looked for among
+	// checkedGeneration is the generation of the group in which the owner was last looked for among
 	// those alive.
-	judgedIn int64
+	checkedGeneration int64
 	// readAt is when the read began that confirmed the silence, or zero.
 	readAt time.Time
 }
@@ -55,7 +55,7 @@
 // group, when it has been silent, and always if the batch has none or it is an incarnation
 // of the own machine.
 func (o observation) suspectsOwner(self string, generation int64, now time.Time) bool {
-	return o.owner == "" || o.judgedIn != generation || now.Sub(o.unchangedSince) > suspectTimeout ||
+	return o.owner == "" || o.checkedGeneration != generation || now.Sub(o.unchangedSince) > suspectTimeout ||
 		identity.Machine(o.owner) == identity.Machine(self)
 }
 
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -150,7 +150,7 @@
 	}
 	o := observation{partition: name, batch: b.ID, owner: b.Owner, signs: b.Signs, unchangedSince: now}
 	if before.owner == b.Owner {
-		o.judgedIn = before.judgedIn
+		o.checkedGeneration = before.checkedGeneration
 	}
 	p.owners[b.ID] = o
 	return o
@@ -161,7 +161,7 @@
 	for _, suspect := range suspects {
 		p := w.watched[suspect.partition]
 		if o := p.owners[suspect.batch]; o.owner == suspect.owner {
-			o.judgedIn = generation
+			o.checkedGeneration = generation
 			p.owners[suspect.batch] = o
 		}
 	}
