--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -39,8 +39,8 @@
 	// checkedGeneration is the generation of the group in which the owner was last looked for among
 	// those alive.
 	checkedGeneration int64
-	// readAt is when the read began that confirmed the silence, or zero.
-	readAt time.Time
+	// confirmStart is when the read began that confirmed the silence, or zero.
+	confirmStart time.Time
 }
 
 // unchanged reports whether the batch shows nothing new of its owner since.
@@ -49,7 +49,7 @@
 }
 
 // silent is for how long the owner is known to have given no sign.
-func (o observation) silent() time.Duration { return o.readAt.Sub(o.unchangedSince) }
+func (o observation) silent() time.Duration { return o.confirmStart.Sub(o.unchangedSince) }
 
 // suspectsOwner reports whether the owner is to be looked for: once in each generation of the
 // group, when it has been silent, and always if the batch has none or it is an incarnation
--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -103,7 +103,7 @@
 	}
 	for _, suspect := range suspects {
 		if read := reads[suspect.partition]; read != nil && r.stillSilent(suspect) {
-			suspect.readAt = read.began
+			suspect.confirmStart = read.began
 			confirmed = append(confirmed, suspect)
 		}
 	}
