--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -48,8 +48,8 @@
 	return b.Open() && b.Owner == o.owner && b.Signs == o.signs
 }
 
-// silent is for how long the owner is known to have given no sign.
-func (o observation) silent() time.Duration { return o.confirmStart.Sub(o.unchangedSince) }
+// silentFor is for how long the owner is known to have given no sign.
+func (o observation) silentFor() time.Duration { return o.confirmStart.Sub(o.unchangedSince) }
 
 // suspectsOwner reports whether the owner is to be looked for: once in each generation of the
 // group, when it has been silent, and always if the batch has none or it is an incarnation
@@ -67,9 +67,9 @@
 		return "released"
 	case identity.Replaced(o.owner, alive):
 		return "owner replaced"
-	case o.signs == 0 && o.silent() > firstHeartbeatTimeout:
+	case o.signs == 0 && o.silentFor() > firstHeartbeatTimeout:
 		return "owner has not begun"
-	case o.silent() > heartbeatTimeout:
+	case o.silentFor() > heartbeatTimeout:
 		return "owner silent"
 	default:
 		return ""
