--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -69,7 +69,7 @@
 		it.resumeFrom(b.Partials[i])
 		it.timing.since = j.adoptedAt
 		if b.HandedOff[i] {
-			it.handedOff, it.notBefore = true, j.adoptedAt.Add(handOffWait)
+			it.handedOff, it.notBefore = true, j.adoptedAt.Add(handOffTimeout)
 		}
 	}
 	return j
--- a/internal/batches/runner/release.go
+++ b/internal/batches/runner/release.go
@@ -10,8 +10,8 @@
 	"woodworks/internal/batches/ledger"
 )
 
-// handOffWait is how long an item is left to the owner that released it.
-const handOffWait = 5 * time.Second
+// handOffTimeout is how long an item is left to the owner that released it.
+const handOffTimeout = 5 * time.Second
 
 // releaseState is how far a job's release is: begun, and its record in the journal.
 type releaseState struct{ begun, recorded bool }
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -117,7 +117,7 @@
 			is.NoErr(second.TakeOver(ctx, "x", ""))
 			time.Sleep(200 * time.Millisecond)
 			is.Equal(startable(second), 1) // the other one still runs at the first owner
-			time.Sleep(handOffWait)
+			time.Sleep(handOffTimeout)
 			is.Equal(startable(second), 2)
 		})
 	}
