--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -76,7 +76,7 @@
 		j.score(it)
 	} else {
 		a.handleFailure(err)
-		j.giveBack(j.r.ctx)
+		j.returnItems(j.r.ctx)
 	}
 	j.r.WakeDispatcher()
 }
--- a/internal/batches/runner/release.go
+++ b/internal/batches/runner/release.go
@@ -38,13 +38,13 @@
 	j.mu.Lock()
 	j.release.recorded = true
 	j.mu.Unlock()
-	j.giveBack(ctx)
+	j.returnItems(ctx)
 }
 
-// giveBack tells the next owner of the items that this one will not finish after all, which
+// returnItems tells the next owner of the items that this one will not finish after all, which
 // would otherwise be at no replica until handOffWait is over. Nothing is given back before
 // the release is recorded: the fold would not take it.
-func (j *job) giveBack(ctx context.Context) {
+func (j *job) returnItems(ctx context.Context) {
 	j.mu.Lock()
 	var items []int
 	for _, it := range j.items {
