--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -210,7 +210,7 @@
 	case faultDeclined:
 		r.table.Declined(incarnation)
 	case faultFull:
-		r.table.Busy(incarnation, failurePause)
+		r.table.Busy(incarnation, retryDelay)
 	case faultFailed:
 		r.table.Failed(incarnation)
 	}
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -14,9 +14,9 @@
 // The rules by which items are tried again and given up.
 
 const (
-	// failurePause is how long an item waits after an attempt that failed, and how long a
+	// retryDelay is how long an item waits after an attempt that failed, and how long a
 	// replica without a free slot is spared.
-	failurePause = 20 * time.Millisecond
+	retryDelay = 20 * time.Millisecond
 	// firstEventTimeout is how long the first sign of an answer may take, for the first
 	// attempt; it doubles with each further one, up to maxFirstEventTimeout.
 	firstEventTimeout    = scheduling.MaxFirstEvent
@@ -62,13 +62,13 @@
 	case errors.As(cause, &quarantined):
 		return retry{pause: quarantined.RetryAfter}
 	case errors.Is(cause, forward.ErrDeclined), errors.Is(cause, errTooOld):
-		return retry{fault: faultDeclined, pause: failurePause}
+		return retry{fault: faultDeclined, pause: retryDelay}
 	case errors.Is(cause, upstream.ErrFull):
-		return retry{fault: faultFull, pause: failurePause}
+		return retry{fault: faultFull, pause: retryDelay}
 	case errors.As(cause, &status):
 		return retryAfterStatus(status.Status, failures, maxAttempts)
 	default:
-		return retry{fault: faultFailed, pause: failurePause}
+		return retry{fault: faultFailed, pause: retryDelay}
 	}
 }
 
@@ -79,7 +79,7 @@
 	case status == http.StatusInternalServerError && exhausted(failures+1, maxAttempts):
 		return retry{counts: true, dead: "failed at every attempt"}
 	default:
-		return retry{counts: status == http.StatusInternalServerError, pause: failurePause}
+		return retry{counts: status == http.StatusInternalServerError, pause: retryDelay}
 	}
 }
 
