--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -23,8 +23,8 @@
 	maxFirstEventTimeout = 10 * time.Second
 	// minEventTimeout is the least that is waited for a further event, and eventTimes how many
 	// times the replica's event time (a median).
-	minEventTimeout = 1200 * time.Millisecond
-	eventTimes      = 4
+	minEventTimeout    = 1200 * time.Millisecond
+	eventTimeoutFactor = 4
 )
 
 // fault is what a failed attempt says of its replica.
@@ -111,5 +111,5 @@
 
 // eventTimeoutOf returns how long a further event may take at a replica.
 func eventTimeoutOf(eventTime time.Duration) time.Duration {
-	return max(minEventTimeout, eventTimes*eventTime)
+	return max(minEventTimeout, eventTimeoutFactor*eventTime)
 }
