--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -41,8 +41,8 @@
 	faultFailed
 )
 
-// retry is what becomes of an item after a failed attempt.
-type retry struct {
+// retryDecision is what becomes of an item after a failed attempt.
+type retryDecision struct {
 	fault fault
 	// counts says that the failure is the item's, by its replica's answer.
 	counts bool
@@ -55,31 +55,31 @@
 // retryAfter is the rule for items whose attempt failed: only a replica's own answer counts
 // against an item, as often as its route allows attempts; all else is tried again until the
 // item is older than its route allows. Failures are those of the item before this one.
-func retryAfter(cause error, failures, maxAttempts int) retry {
+func retryAfter(cause error, failures, maxAttempts int) retryDecision {
 	var status *forward.StatusError
 	var quarantined *forward.QuarantinedError
 	switch {
 	case errors.As(cause, &quarantined):
-		return retry{pause: quarantined.RetryAfter}
+		return retryDecision{pause: quarantined.RetryAfter}
 	case errors.Is(cause, forward.ErrDeclined), errors.Is(cause, errTooOld):
-		return retry{fault: faultDeclined, pause: retryDelay}
+		return retryDecision{fault: faultDeclined, pause: retryDelay}
 	case errors.Is(cause, upstream.ErrFull):
-		return retry{fault: faultFull, pause: retryDelay}
+		return retryDecision{fault: faultFull, pause: retryDelay}
 	case errors.As(cause, &status):
 		return retryAfterStatus(status.Status, failures, maxAttempts)
 	default:
-		return retry{fault: faultFailed, pause: retryDelay}
+		return retryDecision{fault: faultFailed, pause: retryDelay}
 	}
 }
 
-func retryAfterStatus(status, failures, maxAttempts int) retry {
+func retryAfterStatus(status, failures, maxAttempts int) retryDecision {
 	switch {
 	case status == http.StatusUnprocessableEntity:
-		return retry{dead: "cannot be done"}
+		return retryDecision{dead: "cannot be done"}
 	case status == http.StatusInternalServerError && exhausted(failures+1, maxAttempts):
-		return retry{counts: true, dead: "failed at every attempt"}
+		return retryDecision{counts: true, dead: "failed at every attempt"}
 	default:
-		return retry{counts: status == http.StatusInternalServerError, pause: retryDelay}
+		return retryDecision{counts: status == http.StatusInternalServerError, pause: retryDelay}
 	}
 }
 
