--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -178,7 +178,7 @@
 	}
 	it.state = itemWaiting
 	it.timing.enter(phaseWaiting, time.Now())
-	it.notBefore = time.Now().Add(next.pause)
+	it.notBefore = time.Now().Add(next.delay)
 }
 
 // streamRequest asks a replica for the rest of an item's text. The mutex is held.
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -46,8 +46,8 @@
 	fault fault
 	// counts says that the failure is the item's, by its replica's answer.
 	counts bool
-	// pause is how long the item waits for its next attempt.
-	pause time.Duration
+	// delay is how long the item waits for its next attempt.
+	delay time.Duration
 	// dead says why the item is given up, "" if it is tried again.
 	dead string
 }
@@ -60,15 +60,15 @@
 	var quarantined *forward.QuarantinedError
 	switch {
 	case errors.As(cause, &quarantined):
-		return retryDecision{pause: quarantined.RetryAfter}
+		return retryDecision{delay: quarantined.RetryAfter}
 	case errors.Is(cause, forward.ErrDeclined), errors.Is(cause, errTooOld):
-		return retryDecision{fault: faultDeclined, pause: retryDelay}
+		return retryDecision{fault: faultDeclined, delay: retryDelay}
 	case errors.Is(cause, upstream.ErrFull):
-		return retryDecision{fault: faultFull, pause: retryDelay}
+		return retryDecision{fault: faultFull, delay: retryDelay}
 	case errors.As(cause, &status):
 		return retryAfterStatus(status.Status, failures, maxAttempts)
 	default:
-		return retryDecision{fault: faultFailed, pause: retryDelay}
+		return retryDecision{fault: faultFailed, delay: retryDelay}
 	}
 }
 
@@ -79,7 +79,7 @@
 	case status == http.StatusInternalServerError && exhausted(failures+1, maxAttempts):
 		return retryDecision{counts: true, dead: "failed at every attempt"}
 	default:
-		return retryDecision{counts: status == http.StatusInternalServerError, pause: retryDelay}
+		return retryDecision{counts: status == http.StatusInternalServerError, delay: retryDelay}
 	}
 }
 
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -81,15 +81,15 @@
 // replica decides who gets the next one.
 func TestWhatFollowsAFailedAttempt(t *testing.T) {
 	is := is.New(t)
-	again := func(f fault) retryDecision { return retryDecision{fault: f, pause: retryDelay} }
-	is.Equal(retryAfter(&forward.QuarantinedError{RetryAfter: time.Minute}, 9, 3), retryDecision{pause: time.Minute})
+	again := func(f fault) retryDecision { return retryDecision{fault: f, delay: retryDelay} }
+	is.Equal(retryAfter(&forward.QuarantinedError{RetryAfter: time.Minute}, 9, 3), retryDecision{delay: time.Minute})
 	is.Equal(retryAfter(forward.ErrDeclined, 9, 3), again(faultDeclined))
 	is.Equal(retryAfter(errTooOld, 9, 3), again(faultDeclined))
 	is.Equal(retryAfter(upstream.ErrFull, 9, 3), again(faultFull))
 	is.Equal(retryAfter(context.Canceled, 9, 3), again(faultFailed))
 	is.Equal(retryAfter(&forward.StatusError{Status: 503}, 9, 3), again(noFault))
 	is.Equal(retryAfter(&forward.StatusError{Status: 422}, 0, 3), retryDecision{dead: "cannot be done"})
-	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 1, 3), retryDecision{counts: true, pause: retryDelay})
+	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 1, 3), retryDecision{counts: true, delay: retryDelay})
 	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 2, 3),
 		retryDecision{counts: true, dead: "failed at every attempt"})
 	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 0, 0),
