--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -162,7 +162,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	next := retryAfter(cause, it.failures, a.route.MaxAttempts)
-	if next.counts {
+	if next.countsAsFailure {
 		it.failures++
 	}
 	j.r.recordFault(a.replica.Incarnation(), next.fault)
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -44,8 +44,8 @@
 // retryDecision is what becomes of an item after a failed attempt.
 type retryDecision struct {
 	fault fault
-	// counts says that the failure is the item's, by its replica's answer.
-	counts bool
+	// countsAsFailure says that the failure is the item's, by its replica's answer.
+	countsAsFailure bool
 	// delay is how long the item waits for its next attempt.
 	delay time.Duration
 	// dead says why the item is given up, "" if it is tried again.
@@ -77,9 +77,9 @@
 	case status == http.StatusUnprocessableEntity:
 		return retryDecision{dead: "cannot be done"}
 	case status == http.StatusInternalServerError && exhausted(failures+1, maxAttempts):
-		return retryDecision{counts: true, dead: "failed at every attempt"}
+		return retryDecision{countsAsFailure: true, dead: "failed at every attempt"}
 	default:
-		return retryDecision{counts: status == http.StatusInternalServerError, delay: retryDelay}
+		return retryDecision{countsAsFailure: status == http.StatusInternalServerError, delay: retryDelay}
 	}
 }
 
