--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -172,8 +172,8 @@
 	if it.state != itemRunning {
 		return
 	}
-	if next.dead != "" {
-		j.finishItem(it, batch.Result{Item: it.index, Outcome: batch.Dead}, next.dead)
+	if next.deadReason != "" {
+		j.finishItem(it, batch.Result{Item: it.index, Outcome: batch.Dead}, next.deadReason)
 		return
 	}
 	it.state = itemWaiting
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -48,8 +48,8 @@
 	countsAsFailure bool
 	// delay is how long the item waits for its next attempt.
 	delay time.Duration
-	// dead says why the item is given up, "" if it is tried again.
-	dead string
+	// deadReason says why the item is given up, "" if it is tried again.
+	deadReason string
 }
 
 // retryAfter is the rule for items whose attempt failed: only a replica's own answer counts
@@ -75,9 +75,9 @@
 func retryAfterStatus(status, failures, maxAttempts int) retryDecision {
 	switch {
 	case status == http.StatusUnprocessableEntity:
-		return retryDecision{dead: "cannot be done"}
+		return retryDecision{deadReason: "cannot be done"}
 	case status == http.StatusInternalServerError && exhausted(failures+1, maxAttempts):
-		return retryDecision{countsAsFailure: true, dead: "failed at every attempt"}
+		return retryDecision{countsAsFailure: true, deadReason: "failed at every attempt"}
 	default:
 		return retryDecision{countsAsFailure: status == http.StatusInternalServerError, delay: retryDelay}
 	}
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -88,12 +88,12 @@
 	is.Equal(retryAfter(upstream.ErrFull, 9, 3), again(faultFull))
 	is.Equal(retryAfter(context.Canceled, 9, 3), again(faultFailed))
 	is.Equal(retryAfter(&forward.StatusError{Status: 503}, 9, 3), again(noFault))
-	is.Equal(retryAfter(&forward.StatusError{Status: 422}, 0, 3), retryDecision{dead: "cannot be done"})
+	is.Equal(retryAfter(&forward.StatusError{Status: 422}, 0, 3), retryDecision{deadReason: "cannot be done"})
 	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 1, 3), retryDecision{countsAsFailure: true, delay: retryDelay})
 	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 2, 3),
-		retryDecision{countsAsFailure: true, dead: "failed at every attempt"})
+		retryDecision{countsAsFailure: true, deadReason: "failed at every attempt"})
 	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 0, 0),
-		retryDecision{countsAsFailure: true, dead: "failed at every attempt"})
+		retryDecision{countsAsFailure: true, deadReason: "failed at every attempt"})
 }
 
 func TestTheTimeForAFirstEventDoubles(t *testing.T) {
