--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -161,7 +161,7 @@
 	j, it := a.job, a.item
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	next := retryAfter(cause, it.failures, a.route.MaxAttempts)
+	next := decideRetry(cause, it.failures, a.route.MaxAttempts)
 	if next.countsAsFailure {
 		it.failures++
 	}
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -52,10 +52,10 @@
 	deadReason string
 }
 
-// retryAfter is the rule for items whose attempt failed: only a replica's own answer counts
+// decideRetry is the rule for items whose attempt failed: only a replica's own answer counts
 // against an item, as often as its route allows attempts; all else is tried again until the
 // item is older than its route allows. Failures are those of the item before this one.
-func retryAfter(cause error, failures, maxAttempts int) retryDecision {
+func decideRetry(cause error, failures, maxAttempts int) retryDecision {
 	var status *forward.StatusError
 	var quarantined *forward.QuarantinedError
 	switch {
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -82,17 +82,17 @@
 func TestWhatFollowsAFailedAttempt(t *testing.T) {
 	is := is.New(t)
 	again := func(f fault) retryDecision { return retryDecision{fault: f, delay: retryDelay} }
-	is.Equal(retryAfter(&forward.QuarantinedError{RetryAfter: time.Minute}, 9, 3), retryDecision{delay: time.Minute})
-	is.Equal(retryAfter(forward.ErrDeclined, 9, 3), again(faultDeclined))
-	is.Equal(retryAfter(errTooOld, 9, 3), again(faultDeclined))
-	is.Equal(retryAfter(upstream.ErrFull, 9, 3), again(faultFull))
-	is.Equal(retryAfter(context.Canceled, 9, 3), again(faultFailed))
-	is.Equal(retryAfter(&forward.StatusError{Status: 503}, 9, 3), again(noFault))
-	is.Equal(retryAfter(&forward.StatusError{Status: 422}, 0, 3), retryDecision{deadReason: "cannot be done"})
-	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 1, 3), retryDecision{countsAsFailure: true, delay: retryDelay})
-	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 2, 3),
+	is.Equal(decideRetry(&forward.QuarantinedError{RetryAfter: time.Minute}, 9, 3), retryDecision{delay: time.Minute})
+	is.Equal(decideRetry(forward.ErrDeclined, 9, 3), again(faultDeclined))
+	is.Equal(decideRetry(errTooOld, 9, 3), again(faultDeclined))
+	is.Equal(decideRetry(upstream.ErrFull, 9, 3), again(faultFull))
+	is.Equal(decideRetry(context.Canceled, 9, 3), again(faultFailed))
+	is.Equal(decideRetry(&forward.StatusError{Status: 503}, 9, 3), again(noFault))
+	is.Equal(decideRetry(&forward.StatusError{Status: 422}, 0, 3), retryDecision{deadReason: "cannot be done"})
+	is.Equal(decideRetry(&forward.StatusError{Status: 500}, 1, 3), retryDecision{countsAsFailure: true, delay: retryDelay})
+	is.Equal(decideRetry(&forward.StatusError{Status: 500}, 2, 3),
 		retryDecision{countsAsFailure: true, deadReason: "failed at every attempt"})
-	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 0, 0),
+	is.Equal(decideRetry(&forward.StatusError{Status: 500}, 0, 0),
 		retryDecision{countsAsFailure: true, deadReason: "failed at every attempt"})
 }
 
