--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -66,13 +66,13 @@
 	case errors.Is(cause, upstream.ErrFull):
 		return retryDecision{fault: faultFull, delay: retryDelay}
 	case errors.As(cause, &status):
-		return retryAfterStatus(status.Status, failures, maxAttempts)
+		return decideRetryForStatus(status.Status, failures, maxAttempts)
 	default:
 		return retryDecision{fault: faultFailed, delay: retryDelay}
 	}
 }
 
-func retryAfterStatus(status, failures, maxAttempts int) retryDecision {
+func decideRetryForStatus(status, failures, maxAttempts int) retryDecision {
 	switch {
 	case status == http.StatusUnprocessableEntity:
 		return retryDecision{deadReason: "cannot be done"}
