--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -200,7 +200,7 @@
 // never more than the true age, whatever time of day daemons believe.
 func (j *job) giveUpExpired() {
 	rt, ok := j.route()
-	if !ok || !tooOld(time.Since(j.adoptedAt), rt.MaxQueue) {
+	if !ok || !expired(time.Since(j.adoptedAt), rt.MaxQueue) {
 		return
 	}
 	j.mu.Lock()
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -100,9 +100,9 @@
 // exhausted reports whether a route allows no more attempts after so many failures.
 func exhausted(failures, maxAttempts int) bool { return failures >= max(maxAttempts, 1) }
 
-// tooOld reports whether an item is given up that has waited since its batch came to this
+// expired reports whether an item is given up that has waited since its batch came to this
 // owner. A route without a limit lets items wait for ever.
-func tooOld(age, maxQueue time.Duration) bool { return maxQueue > 0 && age >= maxQueue }
+func expired(age, maxQueue time.Duration) bool { return maxQueue > 0 && age >= maxQueue }
 
 // firstEventTimeoutOf returns how long the first sign of an answer may take at an attempt.
 func firstEventTimeoutOf(attempt int) time.Duration {
