--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -19,9 +19,9 @@
 const (
 	// rewardTimeout bounds one try of a reward call, where its route allows no less.
 	rewardTimeout = 2 * time.Second
-	// rewardPause is the time before the second try of a reward call; it doubles with each
+	// rewardBackoff is the time before the second try of a reward call; it doubles with each
 	// further one, up to maxRewardPause.
-	rewardPause    = 50 * time.Millisecond
+	rewardBackoff  = 50 * time.Millisecond
 	maxRewardPause = time.Second
 	// rewardSlots is the part of a service's slots that reward calls may fill: they come in
 	// bursts, and clients' requests must find room beside them. rewardRoomPause is the time
@@ -81,7 +81,7 @@
 // reward sends an item's reward call until it has a signature, or its service
 // has failed as often as its route allows.
 func (j *job) reward(it *item) (string, error) {
-	pause := rewardPause
+	pause := rewardBackoff
 	for j.ctx.Err() == nil {
 		configuration := j.r.operator.Configuration()
 		rewardRoute, ok := configuration.Find(it.Reward.Host, it.Reward.Path)
