--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -21,8 +21,8 @@
 	rewardTimeout = 2 * time.Second
 	// rewardBackoff is the time before the second try of a reward call; it doubles with each
 	// further one, up to maxRewardPause.
-	rewardBackoff  = 50 * time.Millisecond
-	maxRewardPause = time.Second
+	rewardBackoff    = 50 * time.Millisecond
+	maxRewardBackoff = time.Second
 	// rewardSlots is the part of a service's slots that reward calls may fill: they come in
 	// bursts, and clients' requests must find room beside them. rewardRoomPause is the time
 	// between two looks for room.
@@ -98,7 +98,7 @@
 			}
 		}
 		periodic.Pause(j.ctx, pause)
-		pause = min(2*pause, maxRewardPause)
+		pause = min(2*pause, maxRewardBackoff)
 	}
 	return "", j.ctx.Err()
 }
