--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -89,7 +89,7 @@
 		case !ok:
 			j.logger.Info("reward call has no route", zap.String("item", it.ID),
 				zap.Int64("configuration", configuration.Version))
-		case !j.r.rewardRoom(rewardRoute):
+		case !j.r.hasRewardRoom(rewardRoute):
 			periodic.Pause(j.ctx, rewardRoomPause)
 			continue
 		default:
@@ -103,8 +103,8 @@
 	return "", j.ctx.Err()
 }
 
-// rewardRoom reports whether a reward call may go to a service now.
-func (r *Runner) rewardRoom(rt *route.Route) bool {
+// hasRewardRoom reports whether a reward call may go to a service now.
+func (r *Runner) hasRewardRoom(rt *route.Route) bool {
 	slots, inFlight := 0, 0
 	for _, rep := range r.table.Replicas(rt.Shares[0].Service) {
 		slots += max(rep.Slots, 1)
