--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -93,7 +93,7 @@
 			periodic.Pause(j.ctx, rewardRoomPause)
 			continue
 		default:
-			if score, done, err := j.rewardOnce(it, rewardRoute); done {
+			if score, done, err := j.attemptReward(it, rewardRoute); done {
 				return score, err
 			}
 		}
@@ -113,8 +113,8 @@
 	return float64(inFlight) < max(rewardSlots*float64(slots), 1)
 }
 
-// rewardOnce makes one attempt at the reward call.
-func (j *job) rewardOnce(it *item, rt *route.Route) (score string, done bool, err error) {
+// attemptReward makes one attempt at the reward call.
+func (j *job) attemptReward(it *item, rt *route.Route) (score string, done bool, err error) {
 	timeout := rewardTimeout
 	if rt.Timeout > 0 {
 		timeout = min(timeout, rt.Timeout)
