--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -121,7 +121,7 @@
 	}
 	ctx, cancel := context.WithTimeout(j.ctx, timeout)
 	defer cancel()
-	answer, err := j.r.forwarder.Do(ctx, j.rewardCall(it, rt))
+	answer, err := j.r.forwarder.Do(ctx, j.newRewardCall(it, rt))
 	if err != nil {
 		j.logger.Info("reward call failed", zap.String("item", it.ID), zap.String("reward", it.Reward.ID),
 			zap.Error(err))
@@ -140,8 +140,8 @@
 	return "", false, nil
 }
 
-// rewardCall is the reward call of an item, to be attempted once.
-func (j *job) rewardCall(it *item, rt *route.Route) *forward.Call {
+// newRewardCall is the reward call of an item, to be attempted once.
+func (j *job) newRewardCall(it *item, rt *route.Route) *forward.Call {
 	return &forward.Call{
 		Request: forward.Request{
 			RequestID: it.Reward.ID,
