--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -30,8 +30,8 @@
 	rewardRoomPause = 8 * time.Millisecond
 )
 
-// errRewardFails: the reward call's replica said at every attempt that it failed.
-var errRewardFails = errors.New("runner: reward call fails at every attempt")
+// errRewardFailed: the reward call's replica said at every attempt that it failed.
+var errRewardFailed = errors.New("runner: reward call fails at every attempt")
 
 // score has a whole text scored and hands it to be listed.
 func (j *job) score(it *item) {
@@ -134,7 +134,7 @@
 	if answer.Status == http.StatusInternalServerError {
 		it.rewardFailures++
 		if exhausted(it.rewardFailures, rt.MaxAttempts) {
-			return "", true, errRewardFails
+			return "", true, errRewardFailed
 		}
 	}
 	return "", false, nil
