--- a/internal/batches/runner/dispatch_test.go
+++ b/internal/batches/runner/dispatch_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 	engines := func(v view) (named []string) {
-		v.nameGroupEngines()
+		v.resolveGroupEngines()
 		for _, each := range v.Items {
 			named = append(named, each.GroupEngine)
 		}
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -41,14 +41,14 @@
 			engine.IdleConns = r.forwarder.Pool.Resting(rep.Address)
 			v.Engines = append(v.Engines, engine)
 		}
-		v.nameGroupEngines()
+		v.resolveGroupEngines()
 	}
 	return views
 }
 
-// nameGroupEngines turns the incarnations that last read a group's prompt into the ids of their
+// resolveGroupEngines turns the incarnations that last read a group's prompt into the ids of their
 // engines. One that has started again has the prompt no more.
-func (v *view) nameGroupEngines() {
+func (v *view) resolveGroupEngines() {
 	present := make(map[string]string, len(v.replicas))
 	for _, rep := range v.replicas {
 		present[string(rep.Incarnation())] = rep.ID
