--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -73,13 +73,13 @@
 	return true
 }
 
-// confirm returns the suspect owners of which a read of their partition brings nothing either.
+// confirmSilence returns the suspect owners of which a read of their partition brings nothing either.
 // The reads of followers are long polls: they alone would show silence late or not at all.
 //
 // It waits for confirmTimeout at most, so that one partition does not hold up the others.
 // A read that takes longer goes on, and counts at a later call: a slow machine would
 // otherwise begin one after the other, and never take a batch over.
-func (r *Runner) confirm(ctx context.Context, suspects []observation) (confirmed []observation) {
+func (r *Runner) confirmSilence(ctx context.Context, suspects []observation) (confirmed []observation) {
 	reads := map[journal.Partition]*confirmation{}
 	for _, suspect := range suspects {
 		if reads[suspect.partition] == nil {
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -63,7 +63,7 @@
 		for name, p := range w.watched {
 			suspects = append(suspects, w.inspect(name, p, generation, time.Now())...)
 		}
-		confirmed := w.runner.confirm(ctx, suspects)
+		confirmed := w.runner.confirmSilence(ctx, suspects)
 		if w.judge(ctx, confirmed) {
 			w.noteJudged(confirmed, generation)
 		}
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -117,12 +117,12 @@
 		time.Sleep(suspectTimeout + time.Millisecond)
 		suspects := watcher.inspect(partition.Name(), seen, 0, time.Now())
 		is.Equal(len(suspects), 1)
-		is.Equal(len(watcher.runner.confirm(ctx, suspects)), 1)
+		is.Equal(len(watcher.runner.confirmSilence(ctx, suspects)), 1)
 		other := ledger.New(ctx, log, zap.NewNop())
 		is.NoErr(other.Of("x").Append(ctx, batch.Heartbeat("x", "a/1", 1)))
-		is.Equal(len(watcher.runner.confirm(ctx, suspects)), 0)
+		is.Equal(len(watcher.runner.confirmSilence(ctx, suspects)), 0)
 		log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
-		is.Equal(len(watcher.runner.confirm(ctx, suspects)), 0)
+		is.Equal(len(watcher.runner.confirmSilence(ctx, suspects)), 0)
 	})
 }
 
