--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -137,7 +137,7 @@
 	if a.item.attempt != a.number {
 		return errHandedOver
 	}
-	e := receivedEvent{event: event, version: version, single: a.route.SingleVersion}
+	e := receivedEvent{event: event, version: version, singleVersion: a.route.SingleVersion}
 	if a.item.buffering {
 		a.item.buffered = append(a.item.buffered, e)
 		return nil
--- a/internal/batches/runner/text.go
+++ b/internal/batches/runner/text.go
@@ -26,8 +26,8 @@
 type receivedEvent struct {
 	event   eventstream.Event
 	version int64
-	// single says that a text must be of one version.
-	single bool
+	// singleVersion says that a text must be of one version.
+	singleVersion bool
 }
 
 // append adds an event. Events come in order without gaps, and each was made by a version that
@@ -40,7 +40,7 @@
 	if version < minVersion {
 		return errTooOld
 	}
-	if e.single && len(t.versions) > 0 && t.versions[0] != version {
+	if e.singleVersion && len(t.versions) > 0 && t.versions[0] != version {
 		*t = text{} // it begins anew
 		return errors.New("version changed within a text of one version")
 	}
