--- a/internal/batches/runner/timing.go
+++ b/internal/batches/runner/timing.go
@@ -25,7 +25,7 @@
 	phaseListing
 	// phaseDone: the result is listed.
 	phaseDone
-	phases
+	phaseCount
 )
 
 // String returns the phase's name in logs and metrics.
@@ -37,7 +37,7 @@
 type timing struct {
 	phase phase
 	since time.Time
-	spent [phases]time.Duration
+	spent [phaseCount]time.Duration
 }
 
 // enter ends the phase that an item is in and begins another.
