--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -134,7 +134,7 @@
 	if reason == "" {
 		return false
 	}
-	j.closeAccount(reason, time.Now())
+	j.logTimeBreakdown(reason, time.Now())
 	j.publishItemTime()
 	j.logger.Info("batch left", zap.String("reason", reason), zap.Duration("after", time.Since(j.adoptedAt)))
 	return true
--- a/internal/batches/runner/timing.go
+++ b/internal/batches/runner/timing.go
@@ -76,9 +76,9 @@
 	go j.r.demands.PublishTime(j.r.ctx, j.submission.Model, sum/time.Duration(len(listed)))
 }
 
-// closeAccount logs where the time of a batch went, and has it observed: that of the item listed
+// logTimeBreakdown logs where the time of a batch went, and has it observed: that of the item listed
 // last, as it decided when the batch had all its results. The mutex is held.
-func (j *job) closeAccount(reason string, now time.Time) {
+func (j *job) logTimeBreakdown(reason string, now time.Time) {
 	listed := j.listedHere()
 	if len(listed) == 0 {
 		return
--- a/internal/batches/runner/timing_test.go
+++ b/internal/batches/runner/timing_test.go
@@ -42,7 +42,7 @@
 	walk("early", 1*time.Second, time.Second, time.Second, time.Second, time.Second)
 	walk("last", 1*time.Second, 2*time.Second, 3*time.Second, 4*time.Second, 5*time.Second)
 	j.items = append(j.items, &item{Item: batch.Item{ID: "open"}, state: itemRunning})
-	j.closeAccount("ended", start.Add(20*time.Second))
+	j.logTimeBreakdown("ended", start.Add(20*time.Second))
 	is.Equal(lines.Len(), 1)
 	told := lines.All()[0].ContextMap()
 	is.Equal(told["last_item"], "last")
