--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -92,7 +92,7 @@
 	demands   *demand.Publisher
 	assigner  *Assigner
 	locator   Locator
-	observe   Observer
+	observe   PhaseObserver
 	// sharing is nil where the settings name no address for peers: nothing is known of other
 	// owners then.
 	sharing *engineSharing
--- a/internal/batches/runner/timing.go
+++ b/internal/batches/runner/timing.go
@@ -46,11 +46,11 @@
 	t.phase, t.since = next, now
 }
 
-// Observer takes how long an item spent in a phase, or waited after it.
-type Observer func(part string, took time.Duration)
+// PhaseObserver takes how long an item spent in a phase, or waited after it.
+type PhaseObserver func(part string, took time.Duration)
 
 // SetObserver sets who observes where the time of batches went. It is called before Run.
-func (r *Runner) SetObserver(observe Observer) { r.observe = observe }
+func (r *Runner) SetObserver(observe PhaseObserver) { r.observe = observe }
 
 // listedHere returns the items that were listed while this owner ran them. The mutex is held.
 func (j *job) listedHere() (listed []*item) {
