--- a/internal/batches/runner/timing.go
+++ b/internal/batches/runner/timing.go
@@ -49,8 +49,8 @@
 // PhaseObserver takes how long an item spent in a phase, or waited after it.
 type PhaseObserver func(part string, took time.Duration)
 
-// SetObserver sets who observes where the time of batches went. It is called before Run.
-func (r *Runner) SetObserver(observe PhaseObserver) { r.observe = observe }
+// SetPhaseObserver sets who observes where the time of batches went. It is called before Run.
+func (r *Runner) SetPhaseObserver(observe PhaseObserver) { r.observe = observe }
 
 // listedHere returns the items that were listed while this owner ran them. The mutex is held.
 func (j *job) listedHere() (listed []*item) {
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -101,7 +101,7 @@
 	n.assigner = runner.NewAssigner(log, n.member, n.identity, n.logger)
 	n.runner = runner.New(n.context, n.identity, n.ledger, forwarder, n.operator, demand.NewPublisher(log, n.logger),
 		n.assigner, n.results, n.logger)
-	n.runner.SetObserver(n.metrics.BatchPart)
+	n.runner.SetPhaseObserver(n.metrics.BatchPart)
 	n.watcher = runner.NewWatcher(n.runner, n.member)
 }
 
