--- a/internal/batches/runner/adopt_test.go
+++ b/internal/batches/runner/adopt_test.go
@@ -43,11 +43,11 @@
 				synctest.Wait()
 				is.Equal(begun(), 0)
 				watcher := NewWatcher(owner, &dealing{})
-				watcher.inspect(whole.Name(), &watched{owners: map[string]observation{}}, 0, time.Now())
+				watcher.inspect(whole.Name(), &watchedPartition{owners: map[string]observation{}}, 0, time.Now())
 				is.Equal(begun(), 0)
 				// What is remembered of it goes, as does the watcher's old fold.
 				time.Sleep(closedBatchTTL + time.Millisecond)
-				watcher.inspect(whole.Name(), &watched{owners: map[string]observation{}}, 0, time.Now())
+				watcher.inspect(whole.Name(), &watchedPartition{owners: map[string]observation{}}, 0, time.Now())
 				is.Equal(begun(), 0)
 				owner.mu.Lock()
 				defer owner.mu.Unlock()
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -34,15 +34,15 @@
 type Watcher struct {
 	runner  *Runner
 	group   Group
-	watched map[journal.Partition]*watched
+	watched map[journal.Partition]*watchedPartition
 	// generation is that of the group at the last look.
 	generation int64
 	// aliveUnknown says that the last look could not learn who is alive.
 	aliveUnknown bool
 }
 
-// watched is one partition with when each owner was last seen alive.
-type watched struct {
+// watchedPartition is one partition with when each owner was last seen alive.
+type watchedPartition struct {
 	unfollow func()
 	owners   map[string]observation
 	// dropped is when it was first seen to be dealt to another member, or zero.
@@ -51,7 +51,7 @@
 
 // NewWatcher returns a watcher of the partitions dealt by the group.
 func NewWatcher(runner *Runner, group Group) *Watcher {
-	return &Watcher{runner: runner, group: group, watched: map[journal.Partition]*watched{}}
+	return &Watcher{runner: runner, group: group, watched: map[journal.Partition]*watchedPartition{}}
 }
 
 // Run watches until the context ends.
@@ -84,7 +84,7 @@
 		case p == nil && !settled:
 		case p == nil:
 			unfollow := w.runner.ledger.Partition(name).Follow()
-			w.watched[name] = &watched{unfollow: unfollow, owners: map[string]observation{}}
+			w.watched[name] = &watchedPartition{unfollow: unfollow, owners: map[string]observation{}}
 		default:
 			p.dropped = time.Time{}
 		}
@@ -110,7 +110,7 @@
 
 // inspect returns the batches of one partition whose owner may be gone, and
 // starts those that this daemon owns.
-func (w *Watcher) inspect(name journal.Partition, p *watched, generation int64, now time.Time) []observation {
+func (w *Watcher) inspect(name journal.Partition, p *watchedPartition, generation int64, now time.Time) []observation {
 	partition := w.runner.ledger.Partition(name)
 	// Silence counts only while the journal can be read: what an owner wrote
 	// during an outage is seen afterwards.
@@ -143,7 +143,7 @@
 
 // observe returns what was last seen of the owner of an open batch, with the time
 // since when nothing new was.
-func (p *watched) observe(name journal.Partition, b *batch.Batch, now time.Time) observation {
+func (p *watchedPartition) observe(name journal.Partition, b *batch.Batch, now time.Time) observation {
 	before, ok := p.owners[b.ID]
 	if ok && before.unchanged(b) {
 		return before
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -112,7 +112,7 @@
 		watcher, partition := newWatched(ctx, log, group)
 		is.NoErr(partition.Append(ctx, batch.Accepted(&oneItem, "a/1")))
 		is.NoErr(partition.CatchUp(ctx))
-		seen := &watched{owners: map[string]observation{}}
+		seen := &watchedPartition{owners: map[string]observation{}}
 		is.Equal(len(watcher.inspect(partition.Name(), seen, 0, time.Now())), 0)
 		time.Sleep(suspectTimeout + time.Millisecond)
 		suspects := watcher.inspect(partition.Name(), seen, 0, time.Now())
@@ -153,7 +153,7 @@
 	watcher, partition := newWatched(ctx, journaltest.New(), group)
 	is.NoErr(partition.Append(ctx, batch.Accepted(&oneItem, "c/1")))
 	is.NoErr(partition.CatchUp(ctx))
-	p := &watched{owners: map[string]observation{}}
+	p := &watchedPartition{owners: map[string]observation{}}
 	watcher.watched[partition.Name()] = p
 	suspects := watcher.inspect(partition.Name(), p, 7, time.Now())
 	is.Equal(len(suspects), 1)
