--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -45,8 +45,8 @@
 type watchedPartition struct {
 	unfollow func()
 	owners   map[string]observation
-	// dropped is when it was first seen to be dealt to another member, or zero.
-	dropped time.Time
+	// reassignedAt is when it was first seen to be dealt to another member, or zero.
+	reassignedAt time.Time
 }
 
 // NewWatcher returns a watcher of the partitions dealt by the group.
@@ -86,15 +86,15 @@
 			unfollow := w.runner.ledger.Partition(name).Follow()
 			w.watched[name] = &watchedPartition{unfollow: unfollow, owners: map[string]observation{}}
 		default:
-			p.dropped = time.Time{}
+			p.reassignedAt = time.Time{}
 		}
 	}
 	for name, p := range w.watched {
 		switch {
 		case dealt[name]:
-		case p.dropped.IsZero() && !w.runner.stopping.Load():
-			p.dropped = now
-		case w.runner.stopping.Load() || now.Sub(p.dropped) > unwatchDelay:
+		case p.reassignedAt.IsZero() && !w.runner.stopping.Load():
+			p.reassignedAt = now
+		case w.runner.stopping.Load() || now.Sub(p.reassignedAt) > unwatchDelay:
 			p.unfollow()
 			delete(w.watched, name)
 		}
