--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -77,7 +77,7 @@
 // the second look of a generation on: while daemons start one after the other all are dealt anew
 // with each, and would be read by everyone in turn.
 func (w *Watcher) follow(now time.Time) {
-	dealt, settled := w.group.Partitions(), w.settled()
+	dealt, settled := w.group.Partitions(), w.generationStable()
 	for name := range dealt {
 		switch p := w.watched[name]; {
 		case name.Topic == RunnersTopic:
@@ -101,8 +101,8 @@
 	}
 }
 
-// settled reports whether the group's generation is that of the last look.
-func (w *Watcher) settled() bool {
+// generationStable reports whether the group's generation is that of the last look.
+func (w *Watcher) generationStable() bool {
 	before := w.generation
 	w.generation = w.group.Generation()
 	return w.generation == before
