--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -64,7 +64,7 @@
 			suspects = append(suspects, w.inspect(name, p, generation, time.Now())...)
 		}
 		confirmed := w.runner.confirmSilence(ctx, suspects)
-		if w.judge(ctx, confirmed) {
+		if w.replaceLostOwners(ctx, confirmed) {
 			w.noteJudged(confirmed, generation)
 		}
 	})
@@ -167,9 +167,9 @@
 	}
 }
 
-// judge takes over the suspects that are gone, and reports whether it could
+// replaceLostOwners takes over the suspects that are gone, and reports whether it could
 // tell which are.
-func (w *Watcher) judge(ctx context.Context, suspects []observation) bool {
+func (w *Watcher) replaceLostOwners(ctx context.Context, suspects []observation) bool {
 	if len(suspects) == 0 {
 		return true
 	}
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -157,7 +157,7 @@
 	watcher.watched[partition.Name()] = p
 	suspects := watcher.inspect(partition.Name(), p, 7, time.Now())
 	is.Equal(len(suspects), 1)
-	is.True(watcher.judge(ctx, suspects))
+	is.True(watcher.replaceLostOwners(ctx, suspects))
 	watcher.noteJudged(suspects, 7)
 	is.NoErr(partition.Append(ctx, batch.Heartbeat("x", "c/1", 1)))
 	is.NoErr(partition.CatchUp(ctx))
