--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -65,7 +65,7 @@
 		}
 		confirmed := w.runner.confirmSilence(ctx, suspects)
 		if w.replaceLostOwners(ctx, confirmed) {
-			w.noteJudged(confirmed, generation)
+			w.recordChecked(confirmed, generation)
 		}
 	})
 	for _, p := range w.watched {
@@ -156,8 +156,8 @@
 	return o
 }
 
-// noteJudged notes the generation in which owners were looked for.
-func (w *Watcher) noteJudged(suspects []observation, generation int64) {
+// recordChecked notes the generation in which owners were looked for.
+func (w *Watcher) recordChecked(suspects []observation, generation int64) {
 	for _, suspect := range suspects {
 		p := w.watched[suspect.partition]
 		if o := p.owners[suspect.batch]; o.owner == suspect.owner {
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -158,7 +158,7 @@
 	suspects := watcher.inspect(partition.Name(), p, 7, time.Now())
 	is.Equal(len(suspects), 1)
 	is.True(watcher.replaceLostOwners(ctx, suspects))
-	watcher.noteJudged(suspects, 7)
+	watcher.recordChecked(suspects, 7)
 	is.NoErr(partition.Append(ctx, batch.Heartbeat("x", "c/1", 1)))
 	is.NoErr(partition.CatchUp(ctx))
 	is.Equal(len(watcher.inspect(partition.Name(), p, 7, time.Now())), 0)
