--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -17,11 +17,11 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// holds is a daemon that has the fold of all partitions, or a silent one if it is nil.
-type holds struct{ *ledger.Ledger }
+// ledgerLocator is a daemon that has the fold of all partitions, or a silent one if it is nil.
+type ledgerLocator struct{ *ledger.Ledger }
 
 // Beginning implements Locator.
-func (h holds) Beginning(ctx context.Context, batchID string) (offset int64, err error) {
+func (h ledgerLocator) Beginning(ctx context.Context, batchID string) (offset int64, err error) {
 	if h.Ledger == nil {
 		return 0, errors.New("no answer")
 	}
@@ -78,7 +78,7 @@
 	defer partition.Follow()()
 	putOthers(ctx, t, log, partition.Name(), others)
 	if locator == nil {
-		locator = holds{seen}
+		locator = ledgerLocator{seen}
 	}
 	chosen := newOwner(ctx, t, log.Behind(bytesPerSecond), "a/1")
 	chosen.locator = locator
@@ -109,7 +109,7 @@
 		owner string
 	}{
 		"the watcher tells where": {nil, 50 * time.Millisecond, "a/1"},
-		"nobody tells":            {holds{}, 700 * time.Millisecond, ""},
+		"nobody tells":            {ledgerLocator{}, 700 * time.Millisecond, ""},
 		"the watcher is silent":   {silent{}, 700*time.Millisecond + locateTimeout, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -136,7 +136,7 @@
 		is.NoErr(partition.Append(ctx, batch.Ended("x", "")))
 		is.NoErr(partition.Append(ctx, batch.Accepted(&twoItems, "a/1")))
 		owner := newOwner(ctx, t, log, "a/1")
-		owner.locator = holds{whole}
+		owner.locator = ledgerLocator{whole}
 		owner.AdoptAssigned("x")
 		batches, _ := owner.Load()
 		is.Equal(batches, 0)
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -47,7 +47,7 @@
 		Table: table, Pool: upstream.NewPool(upstream.Options{}), Logger: logger,
 	}
 	assigner := NewAssigner(log, dealtTo(owner), self, logger)
-	return New(ctx, self, ledger.New(ctx, log, logger), forwarder, operator, nil, assigner, holds{}, logger)
+	return New(ctx, self, ledger.New(ctx, log, logger), forwarder, operator, nil, assigner, ledgerLocator{}, logger)
 }
 
 // twoItems is a batch for the route of newOwner.
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -95,7 +95,7 @@
 		defer watcher.Of("x").Follow()()
 		putOthers(ctx, t, log, watcher.Of("x").Name(), 64<<10)
 		accepter := newAccepter(ctx, log, "gone/1")
-		accepter.locator = holds{watcher}
+		accepter.locator = ledgerLocator{watcher}
 		is.NoErr(accepter.Accept(ctx, &oneItem))
 		time.Sleep(minStandByDelay + 20*time.Millisecond)
 		is.Equal(ownerInJournal(ctx, t, log, "x"), "b/1")
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -74,7 +74,7 @@
 	jobs := ledger.New(ctx, log, zap.NewNop())
 	over, cancel := context.WithCancel(ctx)
 	cancel() // nothing that is taken over is run
-	runner := &Runner{self: "b/1", ledger: jobs, locator: holds{}, logger: zap.NewNop(), ctx: over}
+	runner := &Runner{self: "b/1", ledger: jobs, locator: ledgerLocator{}, logger: zap.NewNop(), ctx: over}
 	return NewWatcher(runner, group), jobs.Of("x")
 }
 
