--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -35,10 +35,10 @@
 	return offset, nil
 }
 
-// silent is a watcher that never answers.
-type silent struct{}
+// silentLocator is a watcher that never answers.
+type silentLocator struct{}
 
-func (silent) Beginning(ctx context.Context, _ string) (int64, error) {
+func (silentLocator) Beginning(ctx context.Context, _ string) (int64, error) {
 	<-ctx.Done()
 	return 0, ctx.Err()
 }
@@ -110,7 +110,7 @@
 	}{
 		"the watcher tells where": {nil, 50 * time.Millisecond, "a/1"},
 		"nobody tells":            {ledgerLocator{}, 700 * time.Millisecond, ""},
-		"the watcher is silent":   {silent{}, 700*time.Millisecond + locateTimeout, ""},
+		"the watcher is silent":   {silentLocator{}, 700*time.Millisecond + locateTimeout, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
