--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -43,8 +43,8 @@
 	return 0, ctx.Err()
 }
 
-// putOthers fills a partition with some bytes of other batches.
-func putOthers(
+// appendOtherBatches fills a partition with some bytes of other batches.
+func appendOtherBatches(
 	ctx context.Context, t *testing.T, log journal.Journal, partition journal.Partition, bytes int,
 ) {
 	t.Helper()
@@ -76,7 +76,7 @@
 	seen := ledger.New(ctx, log, zap.NewNop())
 	partition := seen.Of("x")
 	defer partition.Follow()()
-	putOthers(ctx, t, log, partition.Name(), others)
+	appendOtherBatches(ctx, t, log, partition.Name(), others)
 	if locator == nil {
 		locator = ledgerLocator{seen}
 	}
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -83,7 +83,7 @@
 	slow := lateJournal{Journal: log, takes: takes}
 	held := ledger.New(ctx, slow, logger)
 	partition := held.Of("x")
-	putOthers(ctx, t, log, partition.Name(), others)
+	appendOtherBatches(ctx, t, log, partition.Name(), others)
 	member := group.New(slow, watcher, ledger.TopicNames(), logger)
 	go member.Run(ctx)
 	defer partition.Follow()()
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -93,7 +93,7 @@
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		watcher := ledger.New(ctx, log, zap.NewNop())
 		defer watcher.Of("x").Follow()()
-		putOthers(ctx, t, log, watcher.Of("x").Name(), 64<<10)
+		appendOtherBatches(ctx, t, log, watcher.Of("x").Name(), 64<<10)
 		accepter := newAccepter(ctx, log, "gone/1")
 		accepter.locator = ledgerLocator{watcher}
 		is.NoErr(accepter.Accept(ctx, &oneItem))
