--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// firstSign reports whether the owner of oneItem has given a sign, and names it.
-func firstSign(partition *ledger.Partition) (given bool, owner string) {
+// firstHeartbeat reports whether the owner of oneItem has given a sign, and names it.
+func firstHeartbeat(partition *ledger.Partition) (given bool, owner string) {
 	partition.ViewBatch("x", func(b *batch.Batch) { given, owner = b.Signs > 0, b.Owner })
 	return given, owner
 }
@@ -93,7 +93,7 @@
 		if time.Since(began) > 5*time.Second {
 			t.Fatal("nobody has begun")
 		}
-		begun, owner = firstSign(partition)
+		begun, owner = firstHeartbeat(partition)
 	}
 	return time.Since(began), owner
 }
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -106,7 +106,7 @@
 	}
 	go chosen.AdoptAssigned("x")
 	for begun := false; !begun && time.Since(began) < 20*time.Second; time.Sleep(time.Millisecond) {
-		begun, owner = firstSign(partition)
+		begun, owner = firstHeartbeat(partition)
 	}
 	return time.Since(began), owner
 }
