--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -67,9 +67,9 @@
 	return given, owner
 }
 
-// begunAfter is how long after the acceptance of oneItem its owner gives its first sign,
+// timeToFirstHeartbeat is how long after the acceptance of oneItem its owner gives its first sign,
 // with some bytes of other batches in the partition, at an owner behind a link.
-func begunAfter(
+func timeToFirstHeartbeat(
 	ctx context.Context, t *testing.T, others int, bytesPerSecond float64, locator Locator,
 ) (took time.Duration, owner string) {
 	log := journaltest.New()
@@ -116,7 +116,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx := t.Context()
-				took, owner := begunAfter(ctx, t, others, link, each.locator)
+				took, owner := timeToFirstHeartbeat(ctx, t, others, link, each.locator)
 				t.Logf("begun after %v by %s", took, owner)
 				is.True(each.owner == "" || owner == each.owner)
 				is.True(took < each.most)
