--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -303,7 +303,7 @@
 // without batches has nothing to tell.
 func TestWhatIsToldOfTheOwnRequests(t *testing.T) {
 	is := is.New(t)
-	j, _ := movedJob(t)
+	j, _ := newMovingJob(t)
 	runner := j.r
 	runner.wake = make(chan struct{}, 1)
 	runner.self, runner.jobs = "d0/1", map[string]*job{"b": j}
--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -16,7 +16,7 @@
 	"woodworks/internal/requests/route"
 )
 
-func movedJob(t *testing.T) (*job, *item) {
+func newMovingJob(t *testing.T) (*job, *item) {
 	t.Helper()
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Replace([]replica.Entry{{ID: "from", Service: "s", Slots: 4}, {ID: "to", Service: "s", Slots: 4}})
@@ -59,7 +59,7 @@
 	is := is.New(t)
 	rt := &route.Route{}
 	for _, accepted := range []bool{true, false} {
-		j, it := movedJob(t)
+		j, it := newMovingJob(t)
 		it.buffering = false
 		is.NoErr(tryOf(j, it, 1, rt).receive(event(1), 1))
 		it.buffering = true
@@ -90,7 +90,7 @@
 // replica's exchange does not become the item's.
 func TestARunThatEndsMeanwhileIsWhole(t *testing.T) {
 	is := is.New(t)
-	j, it := movedJob(t)
+	j, it := newMovingJob(t)
 	it.state = itemListed // the outcome of the run is taken into account elsewhere
 	is.NoErr(tryOf(j, it, 1, &route.Route{}).receive(event(1), 1))
 	tryOf(j, it, 1, &route.Route{}).handleOutcome(nil)
@@ -103,7 +103,7 @@
 func TestTheEndOfABatchIsNoFailureOfTheReplicaAsked(t *testing.T) {
 	is := is.New(t)
 	for _, ended := range []bool{true, false} {
-		j, it := movedJob(t)
+		j, it := newMovingJob(t)
 		if ended {
 			j.cancel()
 		}
@@ -117,7 +117,7 @@
 // may hold other weights, and the text would begin anew.
 func TestATextOfOneVersionStaysWhereItBegan(t *testing.T) {
 	is := is.New(t)
-	j, it := movedJob(t)
+	j, it := newMovingJob(t)
 	j.placement.lengths, it.buffering = scheduling.NewLengths(), false
 	fixed := func(single bool) bool {
 		return j.describe(it, &route.Route{SingleVersion: single}, 0, time.Now()).Pinned
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -38,7 +38,7 @@
 // another time of day than the owner's.
 func agedJob(t *testing.T, behind, maxQueue time.Duration) *job {
 	t.Helper()
-	j, it := movedJob(t)
+	j, it := newMovingJob(t)
 	j.r.operator = batchesFor(t, maxQueue)
 	j.submission = &batch.Submission{
 		ID:           "x",
