--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// tryOf is an attempt at the replica that an item is at.
-func tryOf(j *job, it *item, number int, rt *route.Route) *attempt {
+// currentAttempt is an attempt at the replica that an item is at.
+func currentAttempt(j *job, it *item, number int, rt *route.Route) *attempt {
 	return attemptAt("from", j, it, number, rt)
 }
 
@@ -61,10 +61,10 @@
 	for _, accepted := range []bool{true, false} {
 		j, it := newMovingJob(t)
 		it.buffering = false
-		is.NoErr(tryOf(j, it, 1, rt).receive(event(1), 1))
+		is.NoErr(currentAttempt(j, it, 1, rt).receive(event(1), 1))
 		it.buffering = true
-		is.NoErr(tryOf(j, it, 1, rt).receive(event(2), 1))
-		is.NoErr(tryOf(j, it, 1, rt).receive(event(3), 1))
+		is.NoErr(currentAttempt(j, it, 1, rt).receive(event(2), 1))
+		is.NoErr(currentAttempt(j, it, 1, rt).receive(event(3), 1))
 		is.Equal(it.lastEvent, int64(1))
 		cause := errors.New("declined")
 		if accepted {
@@ -75,11 +75,11 @@
 		is.Equal(taken, accepted)
 		if !accepted {
 			is.Equal(it.lastEvent, int64(3))
-			is.NoErr(tryOf(j, it, 1, rt).receive(event(4), 1))
+			is.NoErr(currentAttempt(j, it, 1, rt).receive(event(4), 1))
 			continue
 		}
 		is.Equal(it.lastReplica, "to")
-		is.True(errors.Is(tryOf(j, it, 1, rt).receive(event(4), 1), errHandedOver))
+		is.True(errors.Is(currentAttempt(j, it, 1, rt).receive(event(4), 1), errHandedOver))
 		is.NoErr(next.receive(event(2), 2))
 		is.Equal(it.lastEvent, int64(2))
 		is.Equal(it.versions, []int64{1, 2})
@@ -92,8 +92,8 @@
 	is := is.New(t)
 	j, it := newMovingJob(t)
 	it.state = itemListed // the outcome of the run is taken into account elsewhere
-	is.NoErr(tryOf(j, it, 1, &route.Route{}).receive(event(1), 1))
-	tryOf(j, it, 1, &route.Route{}).handleOutcome(nil)
+	is.NoErr(currentAttempt(j, it, 1, &route.Route{}).receive(event(1), 1))
+	currentAttempt(j, it, 1, &route.Route{}).handleOutcome(nil)
 	is.Equal(it.lastEvent, int64(1))
 	is.True(!nextTryOf(j, it).replace(1, func() {}, 0, nil))
 }
@@ -123,7 +123,7 @@
 		return j.describe(it, &route.Route{SingleVersion: single}, 0, time.Now()).Pinned
 	}
 	is.True(!fixed(true))
-	is.NoErr(tryOf(j, it, 1, &route.Route{SingleVersion: true}).receive(event(1), 1))
+	is.NoErr(currentAttempt(j, it, 1, &route.Route{SingleVersion: true}).receive(event(1), 1))
 	is.True(fixed(true))
 	is.True(!fixed(false))
 }
