--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -50,8 +50,8 @@
 	return attemptAt("from", j, it, number, rt)
 }
 
-// nextTryOf is an attempt at another replica, which was asked to go on.
-func nextTryOf(j *job, it *item) *attempt { return attemptAt("to", j, it, 0, &route.Route{}) }
+// handOverAttempt is an attempt at another replica, which was asked to go on.
+func handOverAttempt(j *job, it *item) *attempt { return attemptAt("to", j, it, 0, &route.Route{}) }
 
 // Events that come while another replica is asked are buffered: dropped if that one
 // goes on after the last event before, and added if it does not.
@@ -70,7 +70,7 @@
 		if accepted {
 			cause = nil
 		}
-		next := nextTryOf(j, it)
+		next := handOverAttempt(j, it)
 		taken := next.replace(1, func() {}, 0, cause)
 		is.Equal(taken, accepted)
 		if !accepted {
@@ -95,7 +95,7 @@
 	is.NoErr(currentAttempt(j, it, 1, &route.Route{}).receive(event(1), 1))
 	currentAttempt(j, it, 1, &route.Route{}).handleOutcome(nil)
 	is.Equal(it.lastEvent, int64(1))
-	is.True(!nextTryOf(j, it).replace(1, func() {}, 0, nil))
+	is.True(!handOverAttempt(j, it).replace(1, func() {}, 0, nil))
 }
 
 // An exchange that is cut as the batch ends says nothing of its replica, which would
@@ -107,7 +107,7 @@
 		if ended {
 			j.cancel()
 		}
-		nextTryOf(j, it).abandon(nil, context.Canceled)
+		handOverAttempt(j, it).abandon(nil, context.Canceled)
 		rep, _ := j.r.table.Get("to")
 		is.Equal(rep.AvoidUntil.IsZero(), ended)
 	}
