--- a/internal/batches/runner/history_test.go
+++ b/internal/batches/runner/history_test.go
@@ -8,7 +8,7 @@
 	"woodworks/internal/batches/batch"
 )
 
-func groupsBatch(id, model string, groups ...string) *batch.Submission {
+func batchOfGroups(id, model string, groups ...string) *batch.Submission {
 	sub := &batch.Submission{ID: id, Model: model}
 	for _, group := range groups {
 		sub.Items = append(sub.Items, batch.Item{ID: id + group, Group: group})
@@ -24,16 +24,16 @@
 		is.True(lengths != nil)
 		return again
 	}
-	is.Equal(begin(groupsBatch("1", "m", "a", "b", "")), map[string]bool{})
+	is.Equal(begin(batchOfGroups("1", "m", "a", "b", "")), map[string]bool{})
 	// The same batch, had again after a takeover, is no repeat of itself.
-	is.Equal(begin(groupsBatch("1", "m", "a", "b", "")), map[string]bool{})
-	is.Equal(begin(groupsBatch("2", "m", "c", "")), map[string]bool{})
-	is.Equal(begin(groupsBatch("3", "m", "b", "d", "")), map[string]bool{"b": true})
-	is.Equal(begin(groupsBatch("3", "other", "b")), map[string]bool{})
+	is.Equal(begin(batchOfGroups("1", "m", "a", "b", "")), map[string]bool{})
+	is.Equal(begin(batchOfGroups("2", "m", "c", "")), map[string]bool{})
+	is.Equal(begin(batchOfGroups("3", "m", "b", "d", "")), map[string]bool{"b": true})
+	is.Equal(begin(batchOfGroups("3", "other", "b")), map[string]bool{})
 	// Batches of long ago are forgotten.
 	for _, id := range []string{"4", "5", "6", "7"} {
-		begin(groupsBatch(id, "m", id))
+		begin(batchOfGroups(id, "m", id))
 	}
-	is.Equal(begin(groupsBatch("8", "m", "a", "4", "7")), map[string]bool{"4": true, "7": true})
+	is.Equal(begin(batchOfGroups("8", "m", "a", "4", "7")), map[string]bool{"4": true, "7": true})
 	is.Equal(len(remembered.models["m"].batches), maxRememberedBatches)
 }
