--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -18,13 +18,13 @@
 	"woodworks/internal/membership/group"
 )
 
-// lateJournal is a journal that answers each call after a time.
-type lateJournal struct {
+// delayedJournal is a journal that answers each call after a time.
+type delayedJournal struct {
 	journal.Journal
 	takes time.Duration
 }
 
-func (l lateJournal) pass(ctx context.Context) error {
+func (l delayedJournal) pass(ctx context.Context) error {
 	select {
 	case <-time.After(l.takes):
 		return nil
@@ -33,14 +33,14 @@
 	}
 }
 
-func (l lateJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
+func (l delayedJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
 	if err := l.pass(ctx); err != nil {
 		return journal.Appended{}, err
 	}
 	return l.Journal.Append(ctx, request)
 }
 
-func (l lateJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+func (l delayedJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	read, err := l.Journal.Read(ctx, request)
 	if err := l.pass(ctx); err != nil {
 		return journal.Records{}, err
@@ -48,14 +48,14 @@
 	return read, err
 }
 
-func (l lateJournal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
+func (l delayedJournal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
 	if err := l.pass(ctx); err != nil {
 		return journal.Assignment{}, err
 	}
 	return l.Journal.Join(ctx, request)
 }
 
-func (l lateJournal) Owners(ctx context.Context, name string) ([]journal.Ownership, error) {
+func (l delayedJournal) Owners(ctx context.Context, name string) ([]journal.Ownership, error) {
 	if err := l.pass(ctx); err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 	logger := zap.NewNop()
 	log := journaltest.New()
 	log.RecordBytes = 256 << 10
-	slow := lateJournal{Journal: log, takes: takes}
+	slow := delayedJournal{Journal: log, takes: takes}
 	held := ledger.New(ctx, slow, logger)
 	partition := held.Of("x")
 	appendOtherBatches(ctx, t, log, partition.Name(), others)
