--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -21,12 +21,12 @@
 // delayedJournal is a journal that answers each call after a time.
 type delayedJournal struct {
 	journal.Journal
-	takes time.Duration
+	delay time.Duration
 }
 
 func (l delayedJournal) pass(ctx context.Context) error {
 	select {
-	case <-time.After(l.takes):
+	case <-time.After(l.delay):
 		return nil
 	case <-ctx.Done():
 		return errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
@@ -80,7 +80,7 @@
 	logger := zap.NewNop()
 	log := journaltest.New()
 	log.RecordBytes = 256 << 10
-	slow := delayedJournal{Journal: log, takes: takes}
+	slow := delayedJournal{Journal: log, delay: takes}
 	held := ledger.New(ctx, slow, logger)
 	partition := held.Of("x")
 	appendOtherBatches(ctx, t, log, partition.Name(), others)
