--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -24,7 +24,7 @@
 	delay time.Duration
 }
 
-func (l delayedJournal) pass(ctx context.Context) error {
+func (l delayedJournal) wait(ctx context.Context) error {
 	select {
 	case <-time.After(l.delay):
 		return nil
@@ -34,7 +34,7 @@
 }
 
 func (l delayedJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
-	if err := l.pass(ctx); err != nil {
+	if err := l.wait(ctx); err != nil {
 		return journal.Appended{}, err
 	}
 	return l.Journal.Append(ctx, request)
@@ -42,21 +42,21 @@
 
 func (l delayedJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	read, err := l.Journal.Read(ctx, request)
-	if err := l.pass(ctx); err != nil {
+	if err := l.wait(ctx); err != nil {
 		return journal.Records{}, err
 	}
 	return read, err
 }
 
 func (l delayedJournal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
-	if err := l.pass(ctx); err != nil {
+	if err := l.wait(ctx); err != nil {
 		return journal.Assignment{}, err
 	}
 	return l.Journal.Join(ctx, request)
 }
 
 func (l delayedJournal) Owners(ctx context.Context, name string) ([]journal.Ownership, error) {
-	if err := l.pass(ctx); err != nil {
+	if err := l.wait(ctx); err != nil {
 		return nil, err
 	}
 	return l.Journal.Owners(ctx, name)
