--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -62,12 +62,12 @@
 	return l.Journal.Owners(ctx, name)
 }
 
-// oneWatcher is the daemon that watches all partitions. It implements results.Peers.
-type oneWatcher struct{ reader *results.Reader }
+// watcherPeer is the daemon that watches all partitions. It implements results.Peers.
+type watcherPeer struct{ reader *results.Reader }
 
-func (oneWatcher) Daemons() int { return 3 }
+func (watcherPeer) Daemons() int { return 3 }
 
-func (h oneWatcher) Ask(ctx context.Context, _, _ string, asked, answer any) error {
+func (h watcherPeer) Ask(ctx context.Context, _, _ string, asked, answer any) error {
 	return h.reader.Service(ctx).Beginning(asked.(results.BeginningQuery), answer.(*results.Beginning))
 }
 
@@ -88,7 +88,7 @@
 	go member.Run(ctx)
 	defer partition.Follow()()
 	time.Sleep(10 * time.Second)
-	peers := oneWatcher{results.NewReader(held, dealtTo(watcher), nil, log.Grants(), watcher, logger)}
+	peers := watcherPeer{results.NewReader(held, dealtTo(watcher), nil, log.Grants(), watcher, logger)}
 	locator := func(self string, batches *ledger.Ledger) Locator {
 		var watchers results.Watchers = dealtTo(watcher)
 		if groupTells {
