--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -71,9 +71,9 @@
 	return h.reader.Service(ctx).Beginning(asked.(results.BeginningQuery), answer.(*results.Beginning))
 }
 
-// beginsLate is how long after its acceptance the owner of a new batch gives its first sign, and
+// timeToFirstHeartbeatDelayed is how long after its acceptance the owner of a new batch gives its first sign, and
 // who that is, with some bytes of other batches in the partition.
-func beginsLate(
+func timeToFirstHeartbeatDelayed(
 	ctx context.Context, t *testing.T, others int, takes time.Duration, groupTells bool,
 ) (took time.Duration, owner string) {
 	const watcher = "h/1"
@@ -126,8 +126,8 @@
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
 					ctx := t.Context()
-					alone, _ := beginsLate(ctx, t, 0, takes, groupTells)
-					among, owner := beginsLate(ctx, t, others, takes, groupTells)
+					alone, _ := timeToFirstHeartbeatDelayed(ctx, t, 0, takes, groupTells)
+					among, owner := timeToFirstHeartbeatDelayed(ctx, t, others, takes, groupTells)
 					t.Logf("begun after %v alone, after %v among %d MB of others, by %s", alone, among, others>>20, owner)
 					is.True(among <= alone+takes)
 				})
