--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -22,7 +22,7 @@
 		is := is.New(t)
 		ctx := t.Context()
 		owner := newOwnerOfTwo(ctx, t, journaltest.New())
-		begun := running(owner, 1)
+		begun := markRunning(owner, 1)
 		begun.items[0].startedAt = time.Now()
 		for range 100 {
 			owner.firstEvents.Observe("s", 20*time.Millisecond)
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -62,8 +62,8 @@
 	return owner
 }
 
-// running makes the first items of a batch run, as far as its owner believes.
-func running(owner *Runner, count int) *job {
+// markRunning makes the first items of a batch run, as far as its owner believes.
+func markRunning(owner *Runner, count int) *job {
 	j := owner.jobList()[0]
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -77,7 +77,7 @@
 func stoppingOwnerOfTwo(ctx context.Context, t *testing.T, log journal.Journal) *job {
 	t.Helper()
 	owner := newOwnerOfTwo(ctx, t, log)
-	begun := running(owner, 2)
+	begun := markRunning(owner, 2)
 	go owner.Release(ctx)
 	synctest.Wait()
 	return begun
@@ -103,7 +103,7 @@
 	for _, early := range []bool{false, true} {
 		withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 			first, second := newOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "b/1")
-			begun := running(first, 2)
+			begun := markRunning(first, 2)
 			if early {
 				// The run breaks while the record of the release is on its way.
 				log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
