--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -33,7 +33,7 @@
 		is.Equal(scheduledItems(owner)[0].Overdue, time.Duration(0))
 		time.Sleep(time.Second)
 		is.Equal(scheduledItems(owner)[0].Overdue, time.Second)
-		first := attemptOf(begun, 0)
+		first := runningAttempt(begun, 0)
 		first.route = &route.Route{Shares: []route.Share{{Service: "s", Weight: 1}}}
 		first.recordFirstEvent()
 		is.Equal(scheduledItems(owner)[0].Overdue, time.Duration(0))
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -83,8 +83,10 @@
 	return begun
 }
 
-// attemptOf is the attempt that an item of running is at.
-func attemptOf(j *job, i int) *attempt { return attemptAt("engine", j, j.items[i], 1, &route.Route{}) }
+// runningAttempt is the attempt that an item of running is at.
+func runningAttempt(j *job, i int) *attempt {
+	return attemptAt("engine", j, j.items[i], 1, &route.Route{})
+}
 
 // startable returns how many items a daemon would start if there were room.
 func startable(owner *Runner) int {
@@ -110,7 +112,7 @@
 			}
 			go first.Release(ctx)
 			synctest.Wait()
-			attemptOf(begun, 0).handleOutcome(errors.New("reset"))
+			runningAttempt(begun, 0).handleOutcome(errors.New("reset"))
 			time.Sleep(200 * time.Millisecond)
 			log.SetBefall(nil)
 			time.Sleep(200 * time.Millisecond)
@@ -130,7 +132,7 @@
 		is.NoErr(second.TakeOver(ctx, "x", ""))
 		time.Sleep(time.Second)
 		is.Equal(startable(second), 0)
-		attemptOf(begun, 1).handleOutcome(errors.New("reset"))
+		runningAttempt(begun, 1).handleOutcome(errors.New("reset"))
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(startable(second), 1)
 	})
