--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -14,16 +14,16 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// configured is an operator that has given one configuration.
-type configured struct {
+// configuredOperator is an operator that has given one configuration.
+type configuredOperator struct {
 	unaware
 	configuration *route.Configuration
 }
 
-func (c configured) Configuration() *route.Configuration { return c.configuration }
+func (c configuredOperator) Configuration() *route.Configuration { return c.configuration }
 
 // batchesFor is an operator whose one route lets batches wait for a time.
-func batchesFor(t *testing.T, maxQueue time.Duration) configured {
+func batchesFor(t *testing.T, maxQueue time.Duration) configuredOperator {
 	t.Helper()
 	configuration, err := route.New(route.Declared{Routes: []route.Route{{
 		Name: "r", Host: "h", PathPrefix: "/p/", Kind: route.Batch, MaxQueue: maxQueue,
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return configured{configuration: configuration}
+	return configuredOperator{configuration: configuration}
 }
 
 // agedJob is a batch with one waiting item, accepted by a daemon whose clock shows
