--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -34,7 +34,7 @@
 	t.Helper()
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Replace([]replica.Entry{{ID: "engine", Service: "s", Slots: 4}})
-	return newRunner(ctx, log, self, self, batchesFor(t, time.Minute), table)
+	return newRunner(ctx, log, self, self, operatorWithMaxQueue(t, time.Minute), table)
 }
 
 // newRunner is a daemon with its replicas; the group gives its batches to owner.
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -22,8 +22,8 @@
 
 func (c configuredOperator) Configuration() *route.Configuration { return c.configuration }
 
-// batchesFor is an operator whose one route lets batches wait for a time.
-func batchesFor(t *testing.T, maxQueue time.Duration) configuredOperator {
+// operatorWithMaxQueue is an operator whose one route lets batches wait for a time.
+func operatorWithMaxQueue(t *testing.T, maxQueue time.Duration) configuredOperator {
 	t.Helper()
 	configuration, err := route.New(route.Declared{Routes: []route.Route{{
 		Name: "r", Host: "h", PathPrefix: "/p/", Kind: route.Batch, MaxQueue: maxQueue,
@@ -39,7 +39,7 @@
 func agedJob(t *testing.T, behind, maxQueue time.Duration) *job {
 	t.Helper()
 	j, it := newMovingJob(t)
-	j.r.operator = batchesFor(t, maxQueue)
+	j.r.operator = operatorWithMaxQueue(t, maxQueue)
 	j.submission = &batch.Submission{
 		ID:           "x",
 		Host:         "h",
