--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -34,9 +34,9 @@
 	return configuredOperator{configuration: configuration}
 }
 
-// agedJob is a batch with one waiting item, accepted by a daemon whose clock shows
+// newWaitingJob is a batch with one waiting item, accepted by a daemon whose clock shows
 // another time of day than the owner's.
-func agedJob(t *testing.T, behind, maxQueue time.Duration) *job {
+func newWaitingJob(t *testing.T, behind, maxQueue time.Duration) *job {
 	t.Helper()
 	j, it := newMovingJob(t)
 	j.r.operator = operatorWithMaxQueue(t, maxQueue)
@@ -62,7 +62,7 @@
 		t.Run(behind.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				j := agedJob(t, behind, maxQueue)
+				j := newWaitingJob(t, behind, maxQueue)
 				j.giveUpExpired()
 				is.Equal(len(j.results.pending), 0) // nothing is old at the start
 				time.Sleep(maxQueue - time.Millisecond)
