--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -16,7 +16,7 @@
 
 // configuredOperator is an operator that has given one configuration.
 type configuredOperator struct {
-	unaware
+	emptyOperator
 	configuration *route.Configuration
 }
 
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -16,11 +16,11 @@
 	"woodworks/internal/requests/route"
 )
 
-// unaware is an operator that has said nothing.
-type unaware struct{}
+// emptyOperator is an operator that has said nothing.
+type emptyOperator struct{}
 
-func (unaware) Configuration() *route.Configuration { return nil }
-func (unaware) Named() map[string]int64             { return nil }
+func (emptyOperator) Configuration() *route.Configuration { return nil }
+func (emptyOperator) Named() map[string]int64             { return nil }
 
 // dealtTo is a group that has dealt everything to one daemon.
 type dealtTo string
@@ -31,7 +31,7 @@
 
 // newAccepter is a daemon "b/1" whose batches the group gives to another one.
 func newAccepter(ctx context.Context, log journal.Journal, owner string) *Runner {
-	return newRunner(ctx, log, "b/1", owner, unaware{}, nil)
+	return newRunner(ctx, log, "b/1", owner, emptyOperator{}, nil)
 }
 
 // oneItem is a batch of one item for the route of newOwner.
