--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -88,9 +88,9 @@
 	go member.Run(ctx)
 	defer partition.Follow()()
 	time.Sleep(10 * time.Second)
-	peers := watcherPeer{results.NewReader(held, dealtTo(watcher), nil, log.Grants(), watcher, logger)}
+	peers := watcherPeer{results.NewReader(held, fixedWatcher(watcher), nil, log.Grants(), watcher, logger)}
 	locator := func(self string, batches *ledger.Ledger) Locator {
-		var watchers results.Watchers = dealtTo(watcher)
+		var watchers results.Watchers = fixedWatcher(watcher)
 		if groupTells {
 			watchers = group.New(slow, self, ledger.TopicNames(), logger)
 		}
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -46,7 +46,7 @@
 		MaxOpen: forward.Unbounded, Quarantine: quarantine.New("m", time.Now, logger),
 		Table: table, Pool: upstream.NewPool(upstream.Options{}), Logger: logger,
 	}
-	assigner := NewAssigner(log, dealtTo(owner), self, logger)
+	assigner := NewAssigner(log, fixedWatcher(owner), self, logger)
 	return New(ctx, self, ledger.New(ctx, log, logger), forwarder, operator, nil, assigner, ledgerLocator{}, logger)
 }
 
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -22,12 +22,14 @@
 func (emptyOperator) Configuration() *route.Configuration { return nil }
 func (emptyOperator) Named() map[string]int64             { return nil }
 
-// dealtTo is a group that has dealt everything to one daemon.
-type dealtTo string
+// fixedWatcher is a group that has dealt everything to one daemon.
+type fixedWatcher string
 
-func (dealtTo) Partitions() map[journal.Partition]bool { return nil }
+func (fixedWatcher) Partitions() map[journal.Partition]bool { return nil }
 
-func (d dealtTo) WatcherOf(context.Context, journal.Partition) (string, bool) { return string(d), true }
+func (d fixedWatcher) WatcherOf(context.Context, journal.Partition) (string, bool) {
+	return string(d), true
+}
 
 // newAccepter is a daemon "b/1" whose batches the group gives to another one.
 func newAccepter(ctx context.Context, log journal.Journal, owner string) *Runner {
