--- a/internal/batches/runner/stop_test.go
+++ b/internal/batches/runner/stop_test.go
@@ -51,18 +51,18 @@
 	})
 }
 
-// slow is a journal that takes its time for appends and for reads that are not held.
-type slow struct {
+// slowJournal is a journal that takes its time for appends and for reads that are not held.
+type slowJournal struct {
 	*journaltest.Journal
 	appends, reads atomic.Int64
 }
 
-func (s *slow) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
+func (s *slowJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
 	periodic.Pause(ctx, time.Duration(s.appends.Load()))
 	return s.Journal.Append(ctx, request)
 }
 
-func (s *slow) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+func (s *slowJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	if request.Wait == 0 {
 		periodic.Pause(ctx, time.Duration(s.reads.Load()))
 	}
@@ -83,26 +83,26 @@
 // daemons are stopped one after the other, the next one may meet the same chance.
 func TestABatchThatCameDuringAStopIsLetGo(t *testing.T) {
 	const lag = 300 * time.Millisecond
-	for name, get := range map[string]func(ctx context.Context, log *slow, stopping *Runner) error{
-		"taken over, slow append": func(ctx context.Context, log *slow, stopping *Runner) error {
+	for name, get := range map[string]func(ctx context.Context, log *slowJournal, stopping *Runner) error{
+		"taken over, slow append": func(ctx context.Context, log *slowJournal, stopping *Runner) error {
 			err := acceptFor(ctx, stopping.ledger.Of("x"), "a/1")
 			log.appends.Store(int64(lag))
 			go func() { _ = stopping.TakeOver(ctx, "x", "") }() // what came of it is read below
 			return err
 		},
-		"taken over, slow read": func(ctx context.Context, log *slow, stopping *Runner) error {
+		"taken over, slow read": func(ctx context.Context, log *slowJournal, stopping *Runner) error {
 			err := acceptFor(ctx, stopping.ledger.Of("x"), "a/1")
 			log.reads.Store(int64(lag))
 			go func() { _ = stopping.TakeOver(ctx, "x", "") }() // what came of it is read below
 			return err
 		},
-		"assigned, slow read": func(ctx context.Context, log *slow, stopping *Runner) error {
+		"assigned, slow read": func(ctx context.Context, log *slowJournal, stopping *Runner) error {
 			err := acceptFor(ctx, stopping.ledger.Of("x"), "b/1")
 			log.reads.Store(int64(lag))
 			go stopping.AdoptAssigned("x")
 			return err
 		},
-		"accepted, slow append": func(ctx context.Context, log *slow, stopping *Runner) error {
+		"accepted, slow append": func(ctx context.Context, log *slowJournal, stopping *Runner) error {
 			log.appends.Store(int64(lag))
 			go func() { _ = stopping.Accept(ctx, &twoItems) }() // what came of it is read below
 			return nil
@@ -112,7 +112,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx := t.Context()
-				log := &slow{Journal: journaltest.New()}
+				log := &slowJournal{Journal: journaltest.New()}
 				stopping := newOwner(ctx, t, log, "b/1")
 				is.NoErr(get(ctx, log, stopping))
 				time.Sleep(lag / 2)
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -179,7 +179,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
 					ctx := t.Context()
-					log := &slow{Journal: journaltest.New()}
+					log := &slowJournal{Journal: journaltest.New()}
 					owner := newOwner(ctx, t, log, "b/1")
 					partition := owner.ledger.Of("x")
 					is.NoErr(partition.Append(ctx, batch.Accepted(&twoItems, "a/1")))
