--- a/internal/batches/runner/adopt_test.go
+++ b/internal/batches/runner/adopt_test.go
@@ -42,7 +42,7 @@
 				is.NoErr(others.Append(ctx, closing))
 				synctest.Wait()
 				is.Equal(begun(), 0)
-				watcher := NewWatcher(owner, &dealing{})
+				watcher := NewWatcher(owner, &fakeGroup{})
 				watcher.inspect(whole.Name(), &watchedPartition{owners: map[string]observation{}}, 0, time.Now())
 				is.Equal(begun(), 0)
 				// What is remembered of it goes, as does the watcher's old fold.
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -16,17 +16,17 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// dealing is a group whose partitions the test deals.
-type dealing struct {
+// fakeGroup is a group whose partitions the test deals.
+type fakeGroup struct {
 	partitions map[journal.Partition]bool
 	generation int64
 }
 
-func (d *dealing) Generation() int64 { return d.generation }
+func (d *fakeGroup) Generation() int64 { return d.generation }
 
-func (d *dealing) Partitions() map[journal.Partition]bool { return d.partitions }
+func (d *fakeGroup) Partitions() map[journal.Partition]bool { return d.partitions }
 
-func (d *dealing) Alive(context.Context) ([]string, error) { return nil, nil }
+func (d *fakeGroup) Alive(context.Context) ([]string, error) { return nil, nil }
 
 // A partition that is dealt to another member is watched on for a while: the
 // other hears of it only at its second join from then. A batch had no owner for 9 s,
@@ -37,7 +37,7 @@
 		ctx := t.Context()
 		jobs := ledger.New(ctx, journaltest.New(), zap.NewNop())
 		one := journal.Partition{Topic: ledger.TopicNames()[0]}
-		group := &dealing{partitions: map[journal.Partition]bool{one: true}}
+		group := &fakeGroup{partitions: map[journal.Partition]bool{one: true}}
 		watcher := NewWatcher(&Runner{ledger: jobs, logger: zap.NewNop()}, group)
 		watcher.follow(time.Now())
 		is.Equal(len(watcher.watched), 1)
@@ -66,7 +66,7 @@
 }
 
 // replaced is a group in which another incarnation of each owner's machine is alive.
-type replaced struct{ dealing }
+type replaced struct{ fakeGroup }
 
 func (replaced) Alive(context.Context) ([]string, error) { return []string{"a/2"}, nil }
 
@@ -187,7 +187,7 @@
 						is.NoErr(partition.Append(ctx, batch.Released("x", "a/1", nil)))
 					}
 					log.reads.Store(int64(lag))
-					go NewWatcher(owner, &dealing{partitions: map[journal.Partition]bool{partition.Name(): true}}).Run(ctx)
+					go NewWatcher(owner, &fakeGroup{partitions: map[journal.Partition]bool{partition.Name(): true}}).Run(ctx)
 					time.Sleep(heartbeatTimeout + 2*time.Second)
 					is.Equal(ownerInJournal(ctx, t, log.Journal, "x"), "b/1")
 				})
