--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -65,10 +65,10 @@
 	})
 }
 
-// replaced is a group in which another incarnation of each owner's machine is alive.
-type replaced struct{ fakeGroup }
+// replacedGroup is a group in which another incarnation of each owner's machine is alive.
+type replacedGroup struct{ fakeGroup }
 
-func (replaced) Alive(context.Context) ([]string, error) { return []string{"a/2"}, nil }
+func (replacedGroup) Alive(context.Context) ([]string, error) { return []string{"a/2"}, nil }
 
 func newWatched(ctx context.Context, log *journaltest.Journal, group Group) (*Watcher, *ledger.Partition) {
 	jobs := ledger.New(ctx, log, zap.NewNop())
@@ -90,7 +90,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
-		group := &replaced{}
+		group := &replacedGroup{}
 		watcher, partition := newWatched(ctx, journaltest.New(), group)
 		group.partitions = map[journal.Partition]bool{partition.Name(): true}
 		go watcher.Run(ctx)
@@ -107,7 +107,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
-		group := &replaced{}
+		group := &replacedGroup{}
 		log := journaltest.New()
 		watcher, partition := newWatched(ctx, log, group)
 		is.NoErr(partition.Append(ctx, batch.Accepted(&oneItem, "a/1")))
@@ -133,7 +133,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
-		group := &replaced{}
+		group := &replacedGroup{}
 		log := journaltest.New()
 		watcher, partition := newWatched(ctx, log, group)
 		accepter := ledger.New(ctx, log, zap.NewNop())
@@ -149,7 +149,7 @@
 func TestALivingOwnerIsLookedForOnceInAGeneration(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
-	group := &replaced{}
+	group := &replacedGroup{}
 	watcher, partition := newWatched(ctx, journaltest.New(), group)
 	is.NoErr(partition.Append(ctx, batch.Accepted(&oneItem, "c/1")))
 	is.NoErr(partition.CatchUp(ctx))
