--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -70,7 +70,7 @@
 
 func (replacedGroup) Alive(context.Context) ([]string, error) { return []string{"a/2"}, nil }
 
-func newWatched(ctx context.Context, log *journaltest.Journal, group Group) (*Watcher, *ledger.Partition) {
+func newTestWatcher(ctx context.Context, log *journaltest.Journal, group Group) (*Watcher, *ledger.Partition) {
 	jobs := ledger.New(ctx, log, zap.NewNop())
 	over, cancel := context.WithCancel(ctx)
 	cancel() // nothing that is taken over is run
@@ -91,7 +91,7 @@
 		is := is.New(t)
 		ctx := t.Context()
 		group := &replacedGroup{}
-		watcher, partition := newWatched(ctx, journaltest.New(), group)
+		watcher, partition := newTestWatcher(ctx, journaltest.New(), group)
 		group.partitions = map[journal.Partition]bool{partition.Name(): true}
 		go watcher.Run(ctx)
 		time.Sleep(1300 * time.Millisecond)
@@ -109,7 +109,7 @@
 		ctx := t.Context()
 		group := &replacedGroup{}
 		log := journaltest.New()
-		watcher, partition := newWatched(ctx, log, group)
+		watcher, partition := newTestWatcher(ctx, log, group)
 		is.NoErr(partition.Append(ctx, batch.Accepted(&oneItem, "a/1")))
 		is.NoErr(partition.CatchUp(ctx))
 		seen := &watchedPartition{owners: map[string]observation{}}
@@ -135,7 +135,7 @@
 		ctx := t.Context()
 		group := &replacedGroup{}
 		log := journaltest.New()
-		watcher, partition := newWatched(ctx, log, group)
+		watcher, partition := newTestWatcher(ctx, log, group)
 		accepter := ledger.New(ctx, log, zap.NewNop())
 		is.NoErr(accepter.Of("x").Append(ctx, batch.Accepted(&oneItem, "a/1")))
 		group.partitions, group.generation = map[journal.Partition]bool{partition.Name(): true}, 2
@@ -150,7 +150,7 @@
 	is := is.New(t)
 	ctx := t.Context()
 	group := &replacedGroup{}
-	watcher, partition := newWatched(ctx, journaltest.New(), group)
+	watcher, partition := newTestWatcher(ctx, journaltest.New(), group)
 	is.NoErr(partition.Append(ctx, batch.Accepted(&oneItem, "c/1")))
 	is.NoErr(partition.CatchUp(ctx))
 	p := &watchedPartition{owners: map[string]observation{}}
