--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -15,12 +15,12 @@
 )
 
 // The simulation has some engines that run eight texts each and let four more wait; what comes
-// beyond is declined. Owners look every tick, and hear of each other every tellTicks.
+// beyond is declined. Owners look every tickDuration, and hear of each other every tellTicks.
 const (
 	simEngines   = 20
 	simSlots     = 8
 	simQueue     = 4
-	tick         = 10 * time.Millisecond
+	tickDuration = 10 * time.Millisecond
 	tellTicks    = 10
 	declineTicks = 12
 )
@@ -66,7 +66,9 @@
 	return s
 }
 
-func (s *simulation) now() time.Time { return time.Unix(1000, 0).Add(time.Duration(s.tick) * tick) }
+func (s *simulation) now() time.Time {
+	return time.Unix(1000, 0).Add(time.Duration(s.tick) * tickDuration)
+}
 
 // run plays until all texts have ended.
 func (s *simulation) run(t *testing.T) {
