--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -15,13 +15,13 @@
 )
 
 // The simulation has some engines that run eight texts each and let four more wait; what comes
-// beyond is declined. Owners look every tickDuration, and hear of each other every tellTicks.
+// beyond is declined. Owners look every tickDuration, and hear of each other every reportTicks.
 const (
 	simEngines   = 20
 	simSlots     = 8
 	simQueue     = 4
 	tickDuration = 10 * time.Millisecond
-	tellTicks    = 10
+	reportTicks  = 10
 	declineTicks = 12
 )
 
@@ -79,7 +79,7 @@
 		s.work()
 		over = true
 		for _, owner := range s.owners {
-			if s.tick%tellTicks == 0 {
+			if s.tick%reportTicks == 0 {
 				s.tell(owner)
 			}
 			if s.tick >= owner.from {
