--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -22,7 +22,7 @@
 	simQueue     = 4
 	tickDuration = 10 * time.Millisecond
 	reportTicks  = 10
-	declineTicks = 12
+	avoidTicks   = 12
 )
 
 // simText is one text: where it is and for how many ticks it still runs.
@@ -163,7 +163,7 @@
 		start := decision.(scheduling.Start)
 		if s.at(start.Engine) >= simSlots+simQueue {
 			s.declines++
-			owner.resting[start.Engine] = s.tick + declineTicks
+			owner.resting[start.Engine] = s.tick + avoidTicks
 			continue
 		}
 		owner.texts[start.Item].engine = start.Engine
