--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -27,9 +27,9 @@
 
 // simText is one text: where it is and for how many ticks it still runs.
 type simText struct {
-	engine int // -1 while it waits at its owner
-	runs   bool
-	left   int
+	engine  int // -1 while it waits at its owner
+	running bool
+	left    int
 }
 
 // simOwner is one owner with its texts, in the order in which they should start.
@@ -96,14 +96,14 @@
 	for _, waits := range []bool{false, true} {
 		for _, owner := range s.owners {
 			for _, text := range owner.texts {
-				if text.engine < 0 || text.runs == waits {
+				if text.engine < 0 || text.running == waits {
 					continue
 				}
 				if waits && running[text.engine] >= simSlots {
 					s.queued++
 					continue
 				}
-				text.runs = true
+				text.running = true
 				running[text.engine]++
 				text.left--
 			}
