--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -27,9 +27,9 @@
 
 // simText is one text: where it is and for how many ticks it still runs.
 type simText struct {
-	engine  int // -1 while it waits at its owner
-	running bool
-	left    int
+	engine    int // -1 while it waits at its owner
+	running   bool
+	remaining int
 }
 
 // simOwner is one owner with its texts, in the order in which they should start.
@@ -59,7 +59,7 @@
 			owner.sharing = newEngineSharing(run, occupancy.NewTable(run, s.now, zap.NewNop()), func() {}, zap.NewNop())
 		}
 		for range burst[1] {
-			owner.texts = append(owner.texts, &simText{engine: -1, left: 50 + random.IntN(400)})
+			owner.texts = append(owner.texts, &simText{engine: -1, remaining: 50 + random.IntN(400)})
 		}
 		s.owners = append(s.owners, owner)
 	}
@@ -105,14 +105,14 @@
 				}
 				text.running = true
 				running[text.engine]++
-				text.left--
+				text.remaining--
 			}
 		}
 	}
 	for _, owner := range s.owners {
 		open := owner.texts[:0]
 		for _, text := range owner.texts {
-			if text.left > 0 {
+			if text.remaining > 0 {
 				open = append(open, text)
 			}
 		}
@@ -247,7 +247,7 @@
 	sum := 0
 	for _, owner := range work {
 		for _, text := range owner.texts {
-			sum += text.left
+			sum += text.remaining
 		}
 	}
 	least := sum / (simEngines * simSlots)
