--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -34,12 +34,12 @@
 
 // simOwner is one owner with its texts, in the order in which they should start.
 type simOwner struct {
-	sharing *engineSharing
-	number  uint64
-	from    int // the tick of its burst
-	texts   []*simText
-	resting [simEngines]int
-	ended   int
+	sharing   *engineSharing
+	number    uint64
+	startTick int // the tick of its burst
+	texts     []*simText
+	resting   [simEngines]int
+	ended     int
 }
 
 // simulation is some owners that share engines.
@@ -53,7 +53,7 @@
 	s := &simulation{}
 	random := rand.New(rand.NewPCG(seed, 1))
 	for i, burst := range bursts {
-		owner := &simOwner{from: burst[0]}
+		owner := &simOwner{startTick: burst[0]}
 		if hear {
 			run := fmt.Sprintf("d%d/1", i)
 			owner.sharing = newEngineSharing(run, occupancy.NewTable(run, s.now, zap.NewNop()), func() {}, zap.NewNop())
@@ -82,7 +82,7 @@
 			if s.tick%reportTicks == 0 {
 				s.tell(owner)
 			}
-			if s.tick >= owner.from {
+			if s.tick >= owner.startTick {
 				s.dispatch(owner)
 			}
 			over = over && owner.ended > 0
