--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -34,12 +34,12 @@
 
 // simOwner is one owner with its texts, in the order in which they should start.
 type simOwner struct {
-	sharing   *engineSharing
-	number    uint64
-	startTick int // the tick of its burst
-	texts     []*simText
-	resting   [simEngines]int
-	ended     int
+	sharing      *engineSharing
+	number       uint64
+	startTick    int // the tick of its burst
+	texts        []*simText
+	avoidedUntil [simEngines]int
+	ended        int
 }
 
 // simulation is some owners that share engines.
@@ -148,7 +148,7 @@
 			ID:       rep.ID,
 			Slots:    simSlots,
 			InFlight: owner.at(i),
-			Avoided:  s.tick < owner.resting[i],
+			Avoided:  s.tick < owner.avoidedUntil[i],
 		}
 		snap.Engines = append(snap.Engines, owner.sharing.withReports(engine, rep, s.now()))
 	}
@@ -163,7 +163,7 @@
 		start := decision.(scheduling.Start)
 		if s.at(start.Engine) >= simSlots+simQueue {
 			s.declines++
-			owner.resting[start.Engine] = s.tick + avoidTicks
+			owner.avoidedUntil[start.Engine] = s.tick + avoidTicks
 			continue
 		}
 		owner.texts[start.Item].engine = start.Engine
