--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -39,7 +39,7 @@
 	startTick    int // the tick of its burst
 	texts        []*simText
 	avoidedUntil [simEngines]int
-	ended        int
+	endTick      int
 }
 
 // simulation is some owners that share engines.
@@ -85,7 +85,7 @@
 			if s.tick >= owner.startTick {
 				s.dispatch(owner)
 			}
-			over = over && owner.ended > 0
+			over = over && owner.endTick > 0
 		}
 	}
 }
@@ -117,8 +117,8 @@
 			}
 		}
 		owner.texts = open
-		if len(open) == 0 && owner.ended == 0 {
-			owner.ended = s.tick
+		if len(open) == 0 && owner.endTick == 0 {
+			owner.endTick = s.tick
 		}
 	}
 }
@@ -200,7 +200,7 @@
 		s := newSimulation(hear, 5, [2]int{0, 130}, [2]int{30, 130})
 		s.run(t)
 		t.Logf("hear %v: %d ticks of waiting in queues, %d declines, bursts over at ticks %d and %d",
-			hear, s.queued, s.declines, s.owners[0].ended, s.owners[1].ended)
+			hear, s.queued, s.declines, s.owners[0].endTick, s.owners[1].endTick)
 		return s
 	}
 	before, after := play(false), play(true)
@@ -208,7 +208,7 @@
 	is.True(before.declines > 10)
 	is.True(after.queued <= before.queued/100)
 	is.Equal(after.declines, 0)
-	last := func(s *simulation) int { return max(s.owners[0].ended, s.owners[1].ended) }
+	last := func(s *simulation) int { return max(s.owners[0].endTick, s.owners[1].endTick) }
 	is.True(last(after) <= last(before)*105/100)
 }
 
@@ -239,8 +239,8 @@
 	s := newSimulation(true, 5, [2]int{0, 800}, [2]int{200, 100})
 	s.run(t)
 	t.Logf("bursts over at ticks %d and %d, %d ticks of waiting in queues, %d declines",
-		s.owners[0].ended, s.owners[1].ended, s.queued, s.declines)
-	is.True(s.owners[1].ended < s.owners[0].ended*2/3)
+		s.owners[0].endTick, s.owners[1].endTick, s.queued, s.declines)
+	is.True(s.owners[1].endTick < s.owners[0].endTick*2/3)
 	is.Equal(s.declines, 0)
 	// The engines lose little by what is left free: the work alone takes that many ticks.
 	work := newSimulation(true, 5, [2]int{0, 800}, [2]int{200, 100}).owners
@@ -252,7 +252,7 @@
 	}
 	least := sum / (simEngines * simSlots)
 	t.Logf("the work alone takes %d ticks", least)
-	is.True(s.owners[0].ended <= least*130/100)
+	is.True(s.owners[0].endTick <= least*130/100)
 }
 
 // Items that wait beside room wait for something else, as for newer weights: others need not
