--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -76,7 +76,7 @@
 		if s.tick > 20000 {
 			t.Fatal("texts never end")
 		}
-		s.work()
+		s.advance()
 		over = true
 		for _, owner := range s.owners {
 			if s.tick%reportTicks == 0 {
@@ -90,8 +90,8 @@
 	}
 }
 
-// work has the engines run their texts for a tick, the first ones that came.
-func (s *simulation) work() {
+// advance has the engines run their texts for a tick, the first ones that came.
+func (s *simulation) advance() {
 	var running [simEngines]int
 	for _, waits := range []bool{false, true} {
 		for _, owner := range s.owners {
