--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-func (s *simulation) at(engine int) (requests int) {
+func (s *simulation) inFlight(engine int) (requests int) {
 	for _, owner := range s.owners {
 		requests += owner.at(engine)
 	}
@@ -161,7 +161,7 @@
 	}
 	for _, decision := range owner.sharing.holdBackStarts("s", &snap, scheduling.Plan(snap), s.now()) {
 		start := decision.(scheduling.Start)
-		if s.at(start.Engine) >= simSlots+simQueue {
+		if s.inFlight(start.Engine) >= simSlots+simQueue {
 			s.declines++
 			owner.avoidedUntil[start.Engine] = s.tick + avoidTicks
 			continue
@@ -222,7 +222,7 @@
 			s.dispatch(owner)
 		}
 		for engine := range simEngines {
-			requests += max(s.at(engine)-simSlots, 0)
+			requests += max(s.inFlight(engine)-simSlots, 0)
 		}
 		return requests
 	}
