--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -125,12 +125,12 @@
 
 func (s *simulation) inFlight(engine int) (requests int) {
 	for _, owner := range s.owners {
-		requests += owner.at(engine)
+		requests += owner.inFlight(engine)
 	}
 	return requests
 }
 
-func (o *simOwner) at(engine int) (requests int) {
+func (o *simOwner) inFlight(engine int) (requests int) {
 	for _, text := range o.texts {
 		if text.engine == engine {
 			requests++
@@ -147,7 +147,7 @@
 		engine := scheduling.Engine{
 			ID:       rep.ID,
 			Slots:    simSlots,
-			InFlight: owner.at(i),
+			InFlight: owner.inFlight(i),
 			Avoided:  s.tick < owner.avoidedUntil[i],
 		}
 		snap.Engines = append(snap.Engines, owner.sharing.withReports(engine, rep, s.now()))
@@ -179,7 +179,7 @@
 	report := occupancy.Report{Sender: owner.sharing.self, Number: owner.number, Sent: s.now().UnixMilli()}
 	for i := range simEngines {
 		key := occupancy.KeyOf(fmt.Sprintf("e%d", i), time.Time{})
-		report.Counts = append(report.Counts, occupancy.Count{Replica: key, Requests: uint32(owner.at(i))})
+		report.Counts = append(report.Counts, occupancy.Count{Replica: key, Requests: uint32(owner.inFlight(i))})
 	}
 	if demand, some := owner.sharing.demands["s"]; some {
 		report.Demands = []occupancy.Demand{demand}
