--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -80,7 +80,7 @@
 		over = true
 		for _, owner := range s.owners {
 			if s.tick%reportTicks == 0 {
-				s.tell(owner)
+				s.sendReport(owner)
 			}
 			if s.tick >= owner.startTick {
 				s.dispatch(owner)
@@ -170,8 +170,8 @@
 	}
 }
 
-// tell lets the others hear of an owner.
-func (s *simulation) tell(owner *simOwner) {
+// sendReport lets the others hear of an owner.
+func (s *simulation) sendReport(owner *simOwner) {
 	if owner.sharing == nil {
 		return
 	}
