--- a/internal/batches/runner/accept_test.go
+++ b/internal/batches/runner/accept_test.go
@@ -15,7 +15,7 @@
 
 // A batch whose caller has left, or whose time was up before its body was read, was kept
 // all the same: its record was sent, its fate not awaited, and the batch run for nobody.
-func TestABatchOfNobodyIsNotKept(t *testing.T) {
+func TestAcceptWithCancelledContextCreatesNoBatch(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		owner := newOwner(ctx, t, log, "a/1")
 		left, leave := context.WithCancel(ctx)
