--- a/internal/batches/runner/accept_test.go
+++ b/internal/batches/runner/accept_test.go
@@ -27,7 +27,7 @@
 }
 
 // A batch that is turned away by a stop has not been taken, and its caller learns why.
-func TestAStoppingOwnerTakesNoBatch(t *testing.T) {
+func TestStoppingRunnerRefusesBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
