--- a/internal/batches/runner/accept_test.go
+++ b/internal/batches/runner/accept_test.go
@@ -41,7 +41,7 @@
 
 // Where the pause after a refused append ended with the time for the answer, one more was begun and
 // cut at once, and the answer said that the outcome is unknown.
-func TestNoAppendIsBegunAfterTheTimeIsUp(t *testing.T) {
+func TestNoAppendStartsAfterTheDeadline(t *testing.T) {
 	for range 32 {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
