--- a/internal/batches/runner/accept_test.go
+++ b/internal/batches/runner/accept_test.go
@@ -62,7 +62,7 @@
 }
 
 // An append that the time for the answer cuts may still be done.
-func TestAnAppendThatIsCutIsUnknown(t *testing.T) {
+func TestInterruptedAppendHasUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
