--- a/internal/batches/runner/adopt_test.go
+++ b/internal/batches/runner/adopt_test.go
@@ -16,7 +16,7 @@
 // A batch goes by a fold of its own, which may be ahead of that of the whole partition. The
 // watcher, whose fold lacked the last results, began a batch anew that had just been left
 // with all listed, and ran an item once more that had been given up.
-func TestABatchThatWasClosedHereIsNotBegunAnew(t *testing.T) {
+func TestClosedBatchIsNotAdoptedAgain(t *testing.T) {
 	for name, closing := range map[string][]byte{
 		"all listed": batch.Listed("x", []batch.Result{{Item: 0, Outcome: batch.Dead}, {Item: 1, Outcome: batch.Dead}}),
 		"ended":      batch.Ended("x", ""),
