--- a/internal/batches/runner/dispatch_test.go
+++ b/internal/batches/runner/dispatch_test.go
@@ -18,7 +18,7 @@
 
 // A split route gives each part its weight's share of the items, also where
 // they come in a few large batches (the users' rule on weights, of their news).
-func TestASplitRouteDividesTheItemsOfOneBatch(t *testing.T) {
+func TestSplitRouteDividesItemsOfOneBatch(t *testing.T) {
 	is := is.New(t)
 	split := &route.Route{
 		Kind:   route.Batch,
