--- a/internal/batches/runner/dispatch_test.go
+++ b/internal/batches/runner/dispatch_test.go
@@ -35,7 +35,7 @@
 }
 
 // An engine that has started again has read no prompt, whatever its id.
-func TestAGroupsEngineIsOneStart(t *testing.T) {
+func TestGroupEngineIsBoundToIncarnation(t *testing.T) {
 	is := is.New(t)
 	before := replica.Replica{Entry: replica.Entry{ID: "a", Born: time.UnixMilli(1)}}
 	now := replica.Replica{Entry: replica.Entry{ID: "a", Born: time.UnixMilli(2)}}
