--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -194,7 +194,7 @@
 // Two owners whose bursts meet on the same engines filled some of them beyond their places:
 // texts waited there or were declined. With what they tell each other texts wait at their
 // owners, and start where room is; both bursts end no later.
-func TestOwnersThatHearOfEachOtherDontOverfillEngines(t *testing.T) {
+func TestReportsKeepOwnersFromOverfillingEngines(t *testing.T) {
 	is := is.New(t)
 	play := func(hear bool) *simulation {
 		s := newSimulation(hear, 5, [2]int{0, 130}, [2]int{30, 130})
