--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -214,7 +214,7 @@
 
 // Owners that start at the same instant have heard nothing yet. Each begins with other ones
 // of the engines that are as good, so that fewer are filled beyond their places.
-func TestOwnersThatStartAtOnceChooseOtherEngines(t *testing.T) {
+func TestSimultaneousOwnersPreferDifferentEngines(t *testing.T) {
 	is := is.New(t)
 	overfilled := func(hear bool) (requests int) {
 		s := newSimulation(hear, 5, [2]int{0, 50}, [2]int{0, 50}, [2]int{0, 50})
