--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -234,7 +234,7 @@
 
 // An owner with a long queue of its own leaves places to one that comes later: that one's
 // burst is over well before, and long before it would be if it waited for the first to end.
-func TestAnOwnerThatComesLaterGetsItsShare(t *testing.T) {
+func TestLaterOwnerGetsItsShare(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(true, 5, [2]int{0, 800}, [2]int{200, 100})
 	s.run(t)
