--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -257,7 +257,7 @@
 
 // Items that wait beside room wait for something else, as for newer weights: others need not
 // leave them places.
-func TestItemsThatWaitForWeightsClaimNoPlaces(t *testing.T) {
+func TestItemsWaitingForWeightsReserveNoSlots(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(true, 1, [2]int{0, 1}).owners[0].sharing
 	snap := scheduling.Snapshot{
