--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -276,7 +276,7 @@
 }
 
 // An event time that others measured counts where this daemon has none, or an older one.
-func TestAnEventTimeOfOthersStandsInForTheOwn(t *testing.T) {
+func TestReportedEventTimeReplacesMissingOrStaleOne(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(true, 1, [2]int{0, 1}).owners[0].sharing
 	now := time.Now()
