--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -303,7 +303,7 @@
 
 // What is told is what is under way now. A daemon that stops wants nothing more, and one
 // without batches has nothing to tell.
-func TestWhatIsToldOfTheOwnRequests(t *testing.T) {
+func TestOccupancyReport(t *testing.T) {
 	is := is.New(t)
 	j, _ := newMovingJob(t)
 	runner := j.r
