--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -100,7 +100,7 @@
 
 // An owner on a weak link begins at once, whatever its batch's partition holds of others.
 // When it read all of them first, the daemon that had accepted the batch took it for gone.
-func TestANewOwnerReadsItsBatchAlone(t *testing.T) {
+func TestNewOwnerReadsOnlyItsBatch(t *testing.T) {
 	const link, others = 60e6 / 8, 4 << 20
 	for name, each := range map[string]struct {
 		locator Locator
