--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -127,7 +127,7 @@
 
 // A batch that came twice, or that has ended, is not begun anew by an owner that reads it
 // alone: its fold begins with the first acceptance.
-func TestABatchReadAloneIsTheFirstOne(t *testing.T) {
+func TestSeparateFoldStartsAtFirstAcceptance(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		whole := ledger.New(ctx, log, zap.NewNop())
 		partition := whole.Of("x")
