--- a/internal/batches/runner/golden_test.go
+++ b/internal/batches/runner/golden_test.go
@@ -10,7 +10,7 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-func TestAssignmentsKeepTheirForm(t *testing.T) {
+func TestAssignmentEncoding(t *testing.T) {
 	golden.CBOR[assignment](t, "assignment")
 	log := journaltest.New()
 	log.Partitions = 24
