--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -55,7 +55,7 @@
 
 // Events that come while another replica is asked are buffered: dropped if that one
 // goes on after the last event before, and added if it does not.
-func TestEventsAreHeldBackWhileAnotherReplicaIsAsked(t *testing.T) {
+func TestEventsAreBufferedDuringHandOver(t *testing.T) {
 	is := is.New(t)
 	rt := &route.Route{}
 	for _, accepted := range []bool{true, false} {
