--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -88,7 +88,7 @@
 
 // A run that ended while another replica was asked keeps all its events, and that
 // replica's exchange does not become the item's.
-func TestARunThatEndsMeanwhileIsWhole(t *testing.T) {
+func TestAttemptEndingDuringHandOverKeepsItsEvents(t *testing.T) {
 	is := is.New(t)
 	j, it := newMovingJob(t)
 	it.state = itemListed // the outcome of the run is taken into account elsewhere
