--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -100,7 +100,7 @@
 
 // An exchange that is cut as the batch ends says nothing of its replica, which would
 // otherwise be avoided for up to three seconds by the batches that go on.
-func TestTheEndOfABatchIsNoFailureOfTheReplicaAsked(t *testing.T) {
+func TestEndOfBatchDuringHandOverIsNoReplicaFault(t *testing.T) {
 	is := is.New(t)
 	for _, ended := range []bool{true, false} {
 		j, it := newMovingJob(t)
