--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -115,7 +115,7 @@
 
 // A text that must be of one version is not moved once it has begun: another engine
 // may hold other weights, and the text would begin anew.
-func TestATextOfOneVersionStaysWhereItBegan(t *testing.T) {
+func TestSingleVersionTextIsPinned(t *testing.T) {
 	is := is.New(t)
 	j, it := newMovingJob(t)
 	j.placement.lengths, it.buffering = scheduling.NewLengths(), false
