--- a/internal/batches/runner/history_test.go
+++ b/internal/batches/runner/history_test.go
@@ -16,7 +16,7 @@
 	return sub
 }
 
-func TestGroupsThatComeAgainAreKnown(t *testing.T) {
+func TestRepeatedGroupsAreDetected(t *testing.T) {
 	is := is.New(t)
 	remembered := newHistory()
 	begin := func(submission *batch.Submission) map[string]bool {
