--- a/internal/batches/runner/owner_test.go
+++ b/internal/batches/runner/owner_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWhenAnOwnerIsReplaced(t *testing.T) {
+func TestReasonToReplaceOwner(t *testing.T) {
 	is := is.New(t)
 	seen := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	reason := func(owner string, signs int64, silent time.Duration, alive ...string) string {
