--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -17,7 +17,7 @@
 
 // An item whose first event takes longer than is usual is told to be silent, until its
 // run brings one.
-func TestTheSchedulerHearsOfOverdueFirstEvents(t *testing.T) {
+func TestOverdueFirstEventIsReportedToScheduler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
