--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -41,7 +41,7 @@
 }
 
 // Only items that were never begun may be deferred for their step's sake.
-func TestItemsThatFailedAreNotHeldBack(t *testing.T) {
+func TestFailedItemsAreNotDeferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
