--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -101,7 +101,7 @@
 // them alone for 5 s. One of them whose run broke after the stop had begun was started by
 // neither for that long and the handing over, which is 5.2 s at no replica while replicas
 // had room. The owner that stops gives such an item back at once.
-func TestAnItemThatBreaksAtAStoppingOwnerIsStartedByTheNext(t *testing.T) {
+func TestItemFailingDuringReleaseIsReturnedToNextOwner(t *testing.T) {
 	for _, early := range []bool{false, true} {
 		withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 			first, second := newOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "b/1")
