--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -126,7 +126,7 @@
 }
 
 // The next owner hears also of an item that breaks after it has begun itself.
-func TestAnItemThatBreaksAfterTheHandingOverIsStartedByTheNext(t *testing.T) {
+func TestItemFailingAfterTakeOverIsReturnedToNextOwner(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		begun, second := stoppingOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "b/1")
 		is.NoErr(second.TakeOver(ctx, "x", ""))
