--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -140,7 +140,7 @@
 
 // An owner that took a batch over and then fell silent had not finished what an owner
 // before it had been left: its successor left the same items alone for 5 s once more.
-func TestItemsAreLeftToTheOwnerBeforeOnlyOnce(t *testing.T) {
+func TestHandedOffItemsDelayOnlyFirstSuccessor(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		stoppingOwnerOfTwo(ctx, t, log)
 		third := newOwner(ctx, t, log, "c/1")
