--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -56,7 +56,7 @@
 // than the route lets items wait (60 s), every item that waited was listed as dead 0.35 s
 // after the owner had begun; where it was behind, none was ever given up. How old a batch
 // is says the owner's steady clock.
-func TestItemsAreGivenUpByTheOwnersSteadyClock(t *testing.T) {
+func TestExpiryUsesMonotonicClock(t *testing.T) {
 	const maxQueue = time.Minute
 	for _, behind := range []time.Duration{-time.Hour, -time.Minute, 0, 3 * time.Minute, time.Hour} {
 		t.Run(behind.String(), func(t *testing.T) {
