--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -79,7 +79,7 @@
 
 // Only a replica's own answer counts against an item, and what an attempt says of its
 // replica decides who gets the next one.
-func TestWhatFollowsAFailedAttempt(t *testing.T) {
+func TestDecideRetry(t *testing.T) {
 	is := is.New(t)
 	again := func(f fault) retryDecision { return retryDecision{fault: f, delay: retryDelay} }
 	is.Equal(decideRetry(&forward.QuarantinedError{RetryAfter: time.Minute}, 9, 3), retryDecision{delay: time.Minute})
