--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -96,7 +96,7 @@
 		retryDecision{countsAsFailure: true, deadReason: "failed at every attempt"})
 }
 
-func TestTheTimeForAFirstEventDoubles(t *testing.T) {
+func TestFirstEventTimeoutDoubles(t *testing.T) {
 	is := is.New(t)
 	for attempt, timeout := range []time.Duration{
 		1500 * time.Millisecond, 3 * time.Second, 6 * time.Second, 10 * time.Second, 10 * time.Second,
