--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -49,7 +49,7 @@
 
 // A batch that was given to a daemon that has ended is taken back by the one
 // that accepted it: the watchers needed 0.85 to 1.0 s of a step's 7.5.
-func TestABatchGivenToAnOwnerThatHasEndedIsTakenBack(t *testing.T) {
+func TestAccepterTakesOverFromEndedOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
