--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -64,7 +64,7 @@
 
 // An owner that has begun keeps its batch, also where its sign has reached the
 // journal but not yet the accepting daemon.
-func TestABatchStaysWithAnOwnerThatHasBegun(t *testing.T) {
+func TestStandByKeepsOwnerWithHeartbeat(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		accepter := accepterOfOne(ctx, t, log, "a/1")
 		time.Sleep(minStandByDelay / 2)
