--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -77,7 +77,7 @@
 
 // Where the journal cannot be read nothing is taken over: the owner may be at
 // work all the same.
-func TestNothingIsTakenBackWhileTheJournalIsAway(t *testing.T) {
+func TestNoTakeOverWhileJournalIsUnavailable(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		accepter := accepterOfOne(ctx, t, log, "a/1")
 		refuse(log, journaltest.Read)
