--- a/internal/batches/runner/stop_test.go
+++ b/internal/batches/runner/stop_test.go
@@ -39,7 +39,7 @@
 // the release waited for a journal that refused appends: the daemon believed that all was
 // handed over, ended, and the batch stood still until its owner's silence was noticed,
 // after 1.5 s more.
-func TestAReleaseEndsWithItsRecordsInTheJournal(t *testing.T) {
+func TestReleaseWaitsForItsRecords(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		owner := newOwnerOfTwo(ctx, t, log)
 		refuse(log, journaltest.Append)
