--- a/internal/batches/runner/stop_test.go
+++ b/internal/batches/runner/stop_test.go
@@ -81,7 +81,7 @@
 // between the record and the start of the items: the batch was owned by a daemon that did
 // not run it and did not let it go, until its silence was noticed 1.5 s later. Where
 // daemons are stopped one after the other, the next one may meet the same chance.
-func TestABatchThatCameDuringAStopIsLetGo(t *testing.T) {
+func TestBatchAcquiredDuringStopIsReleased(t *testing.T) {
 	const lag = 300 * time.Millisecond
 	for name, get := range map[string]func(ctx context.Context, log *slowJournal, stopping *Runner) error{
 		"taken over, slow append": func(ctx context.Context, log *slowJournal, stopping *Runner) error {
