--- a/internal/batches/runner/timing_test.go
+++ b/internal/batches/runner/timing_test.go
@@ -13,7 +13,7 @@
 )
 
 // The account of a batch is that of the item listed last, and its parts add up.
-func TestTheAccountIsOfTheItemListedLast(t *testing.T) {
+func TestTimeBreakdownIsOfItemListedLast(t *testing.T) {
 	is := is.New(t)
 	core, lines := observer.New(zapcore.InfoLevel)
 	parts := map[string]time.Duration{}
