--- a/internal/batches/runner/timing_test.go
+++ b/internal/batches/runner/timing_test.go
@@ -60,7 +60,7 @@
 }
 
 // An item whose run failed waits again: the time counts as waiting.
-func TestTimeOfFurtherAttemptsAddsUp(t *testing.T) {
+func TestPhaseTimesOfAttemptsAddUp(t *testing.T) {
 	is := is.New(t)
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	a := timing{since: start}
