--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -31,7 +31,7 @@
 // A partition that is dealt to another member is watched on for a while: the
 // other hears of it only at its second join from then. A batch had no owner for 9 s,
 // as its partition had no watcher just before an outage of the journal.
-func TestPartitionsAreWatchedOnUntilAnotherWatches(t *testing.T) {
+func TestReassignedPartitionStaysWatchedForDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
