--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -86,7 +86,7 @@
 
 // An owner that was replaced is found as soon as it is suspect, also between
 // two answers to the long poll, for which it waited half a second longer.
-func TestSilenceIsSeenBetweenHeldReads(t *testing.T) {
+func TestReplacedOwnerIsDetectedBetweenLongPolls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
