--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -103,7 +103,7 @@
 
 // A sign that reached the journal but not this daemon counts: the watcher reads
 // before it takes a batch over.
-func TestASignInTheJournalKeepsTheOwner(t *testing.T) {
+func TestUnreadHeartbeatKeepsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
