--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -129,7 +129,7 @@
 // A batch whose owner has been replaced changes hands as soon as the group
 // tells of another incarnation: after all daemons are killed at once, each step would
 // otherwise wait for half a second of silence.
-func TestAReplacedOwnerIsFoundWhenTheGroupChanges(t *testing.T) {
+func TestReplacedOwnerIsDetectedOnGroupChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
