--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -146,7 +146,7 @@
 }
 
 // Each owner is looked for once in a generation, not at each of its signs.
-func TestALivingOwnerIsLookedForOnceInAGeneration(t *testing.T) {
+func TestLivingOwnerIsCheckedOncePerGeneration(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
 	group := &replacedGroup{}
