--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -170,7 +170,7 @@
 // daemon on a fraction of a core, or before a store that is slow for it alone, needs
 // longer for each of its reads: it took none of the batches over that it watched, for as
 // long as that lasted, and nobody else watches them.
-func TestASlowWatcherTakesBatchesOver(t *testing.T) {
+func TestSlowWatcherTakesOverBatches(t *testing.T) {
 	for _, lag := range []time.Duration{
 		0, 200 * time.Millisecond, 400 * time.Millisecond, 700 * time.Millisecond,
 	} {
