--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -23,11 +23,11 @@
 	// further one, up to maxRewardPause.
 	rewardBackoff    = 50 * time.Millisecond
 	maxRewardBackoff = time.Second
-	// rewardSlots is the part of a service's slots that reward calls may fill: they come in
+	// rewardSlotFraction is the part of a service's slots that reward calls may fill: they come in
 	// bursts, and clients' requests must find room beside them. rewardRoomPause is the time
 	// between two looks for room.
-	rewardSlots     = 0.6
-	rewardRoomPause = 8 * time.Millisecond
+	rewardSlotFraction = 0.6
+	rewardRoomPause    = 8 * time.Millisecond
 )
 
 // errRewardFailed: the reward call's replica said at every attempt that it failed.
@@ -110,7 +110,7 @@
 		slots += max(rep.Slots, 1)
 		inFlight += rep.InFlight
 	}
-	return float64(inFlight) < max(rewardSlots*float64(slots), 1)
+	return float64(inFlight) < max(rewardSlotFraction*float64(slots), 1)
 }
 
 // attemptReward makes one attempt at the reward call.
