--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -27,7 +27,7 @@
 	// bursts, and clients' requests must find room beside them. rewardRoomPause is the time
 	// between two looks for room.
 	rewardSlotFraction = 0.6
-	rewardRoomPause    = 8 * time.Millisecond
+	rewardRoomDelay    = 8 * time.Millisecond
 )
 
 // errRewardFailed: the reward call's replica said at every attempt that it failed.
@@ -90,7 +90,7 @@
 			j.logger.Info("reward call has no route", zap.String("item", it.ID),
 				zap.Int64("configuration", configuration.Version))
 		case !j.r.hasRewardRoom(rewardRoute):
-			periodic.Pause(j.ctx, rewardRoomPause)
+			periodic.Pause(j.ctx, rewardRoomDelay)
 			continue
 		default:
 			if score, done, err := j.attemptReward(it, rewardRoute); done {
