--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -72,8 +72,8 @@
 	return owner
 }
 
-// Tell lets another daemon know that it owns a batch.
-func (a *Assigner) Tell(ctx context.Context, submission *batch.Submission, owner string) {
+// Assign lets another daemon know that it owns a batch.
+func (a *Assigner) Assign(ctx context.Context, submission *batch.Submission, owner string) {
 	encoded, err := cbor.Marshal(assignment{Batch: submission.ID, Owner: owner})
 	if err != nil {
 		a.logger.Error("assignment not encoded", zap.String("batch", submission.ID), zap.Error(err))
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -161,7 +161,7 @@
 		return err
 	}
 	if owner != r.self {
-		go r.assigner.Tell(r.ctx, submission, owner)
+		go r.assigner.Assign(r.ctx, submission, owner)
 		go r.standBy(submission.ID, owner, time.Since(began))
 	}
 	if submission.Model != "" {
