--- a/internal/batches/runner/accept_test.go
+++ b/internal/batches/runner/accept_test.go
@@ -13,8 +13,7 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// A batch whose caller has left, or whose time was up before its body was read, was kept
-// all the same: its record was sent, its fate not awaited, and the batch run for nobody.
+// Accept must not create a batch if its caller has left or the deadline has passed.
 func TestAcceptWithCancelledContextCreatesNoBatch(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		owner := newOwner(ctx, t, log, "a/1")
@@ -26,7 +25,7 @@
 	})
 }
 
-// A batch that is turned away by a stop has not been taken, and its caller learns why.
+// A batch refused because of a stop is reported as not taken, with the stop as the reason.
 func TestStoppingRunnerRefusesBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -39,8 +38,7 @@
 	})
 }
 
-// Where the pause after a refused append ended with the time for the answer, one more was begun and
-// cut at once, and the answer said that the outcome is unknown.
+// No append may start at the deadline: it would be cut off at once and make the outcome unknown.
 func TestNoAppendStartsAfterTheDeadline(t *testing.T) {
 	for range 32 {
 		synctest.Test(t, func(t *testing.T) {
@@ -61,7 +59,7 @@
 	}
 }
 
-// An append that the time for the answer cuts may still be done.
+// An append interrupted by the deadline may still take effect.
 func TestInterruptedAppendHasUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -11,15 +11,16 @@
 	"woodworks/internal/daemon/periodic"
 )
 
-// closedBatchTTL is how long a batch whose job found it closed is not begun anew: longer than a
-// fold may be old by which the watcher still goes, and which may lack what closed the batch.
+// closedBatchTTL is how long a batch that was found closed is not adopted again. It exceeds the age
+// of the fold by which the watcher may still go and which may lack the closing record.
 const closedBatchTTL = 2 * heartbeatTimeout
 
-// AdoptAssigned starts a batch once the fold shows that this daemon owns it.
+// AdoptAssigned starts a batch if, after its fold has caught up, this daemon owns it. It retries
+// while the journal can't be read.
 func (r *Runner) AdoptAssigned(batchID string) {
 	whole := r.ledger.Of(batchID)
 	if !r.beginWork() {
-		// Whoever named this daemon did not know that it stops.
+		// The daemon that assigned the batch did not know of the stop.
 		r.releaseUnstarted(whole, batchID)
 		return
 	}
@@ -32,11 +33,12 @@
 			r.adopt(partition, batchID)
 			return
 		}
-		periodic.Pause(r.ctx, journalRetryDelay) // the calls to the journal that failed are logged there
+		periodic.Pause(r.ctx, journalRetryDelay) // the ledger logs failed calls to the journal
 	}
 }
 
-// TakeOver makes this daemon the owner in place of another and starts the batch.
+// TakeOver makes this daemon the owner in place of from ("" for a released batch) and starts the
+// batch. It has no effect if from is no longer the owner. The error is ErrStopping or ErrUnknown.
 func (r *Runner) TakeOver(ctx context.Context, batchID, from string) error {
 	if !r.beginWork() {
 		return ErrStopping
@@ -55,9 +57,9 @@
 	return nil
 }
 
-// adopt starts a batch if a fold of its partition says that this daemon owns it, it is open,
-// and it neither runs yet nor did until it was closed. The batch goes by that fold from then
-// on. Its job is work that a stop waits for.
+// adopt starts a batch if the fold says that it is open and owned by this daemon, and it neither
+// runs here nor was recently closed here. The job follows the batch by that fold; Release waits for
+// the job.
 func (r *Runner) adopt(partition *ledger.Partition, batchID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,8 +87,8 @@
 	r.WakeDispatcher()
 }
 
-// recordClosed keeps the batch of a job that has ended from being begun anew if it is closed,
-// as the job's fold says, which may be ahead of others. The mutex is held.
+// recordClosed prevents the batch of an ended job from being adopted again if the job's fold, which
+// may be ahead of other folds, says that it is closed. The mutex is held.
 func (r *Runner) recordClosed(j *job) {
 	batchID, open := j.submission.ID, true
 	j.partition.ViewBatch(batchID, func(b *batch.Batch) { open = b.Open() })
--- a/internal/batches/runner/adopt_test.go
+++ b/internal/batches/runner/adopt_test.go
@@ -13,9 +13,8 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// A batch goes by a fold of its own, which may be ahead of that of the whole partition. The
-// watcher, whose fold lacked the last results, began a batch anew that had just been left
-// with all listed, and ran an item once more that had been given up.
+// A job's fold may be ahead of the watcher's fold of the whole partition. The watcher must not
+// start a batch again that the job has found closed.
 func TestClosedBatchIsNotAdoptedAgain(t *testing.T) {
 	for name, closing := range map[string][]byte{
 		"all listed": batch.Listed("x", []batch.Result{{Item: 0, Outcome: batch.Dead}, {Item: 1, Outcome: batch.Dead}}),
@@ -29,7 +28,7 @@
 				others := ledger.New(ctx, log, zap.NewNop()).Of("x")
 				owner := newOwner(ctx, t, log, "a/1")
 				whole := owner.ledger.Of("x")
-				begun := func() int {
+				running := func() int {
 					batches, _ := owner.Load()
 					return batches
 				}
@@ -38,17 +37,17 @@
 				alone := owner.ledger.From(whole.Name(), 0)
 				is.NoErr(alone.CatchUp(ctx))
 				owner.adopt(alone, "x")
-				is.Equal(begun(), 1)
+				is.Equal(running(), 1)
 				is.NoErr(others.Append(ctx, closing))
 				synctest.Wait()
-				is.Equal(begun(), 0)
+				is.Equal(running(), 0)
 				watcher := NewWatcher(owner, &fakeGroup{})
 				watcher.inspect(whole.Name(), &watchedPartition{owners: map[string]observation{}}, 0, time.Now())
-				is.Equal(begun(), 0)
-				// What is remembered of it goes, as does the watcher's old fold.
+				is.Equal(running(), 0)
+				// The entry expires, and the watcher's stale fold with it.
 				time.Sleep(closedBatchTTL + time.Millisecond)
 				watcher.inspect(whole.Name(), &watchedPartition{owners: map[string]observation{}}, 0, time.Now())
-				is.Equal(begun(), 0)
+				is.Equal(running(), 0)
 				owner.mu.Lock()
 				defer owner.mu.Unlock()
 				is.Equal(len(owner.closedBatches), 0)
--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -14,35 +14,37 @@
 	"woodworks/internal/journal"
 )
 
-// RunnersTopic has a partition for each share of the models. The member of the
-// group that has a partition runs the batches of its models: one daemon then
-// keeps the connections to a model's engines and knows their load.
+// RunnersTopic is the topic of assignments. Models are spread over its partitions, and the member
+// of the group that watches a partition runs the batches of its models: a single daemon then keeps
+// the connections to a model's engines and knows their load.
 const RunnersTopic = "woodworks.runners"
 
 const (
-	// assignTimeout bounds a call that writes or reads assignments, besides assignWait, for
-	// which a read waits for news.
+	// assignTimeout bounds an append or a read of assignments. A read may take assignPollTimeout
+	// longer, the time for which it waits for new records.
 	assignTimeout     = time.Second
 	assignPollTimeout = time.Second
-	// assignRetryDelay is the time before a read that failed is made again.
+	// assignRetryDelay is the delay before a failed read is repeated.
 	assignRetryDelay = 200 * time.Millisecond
 )
 
-// assignment is the record that tells a daemon that it owns a batch.
+// assignment is the record that informs a daemon that it owns a batch.
 type assignment struct {
 	Batch string `cbor:"1,keyasint"`
 	Owner string `cbor:"2,keyasint"`
 }
 
-// GroupPartitions tells to whom the partitions of the group are dealt.
+// GroupPartitions reports which members of the group watch which partitions.
 type GroupPartitions interface {
+	// Partitions returns the partitions that this daemon watches.
 	Partitions() map[journal.Partition]bool
+	// WatcherOf returns the daemon that watches a partition, and false if it is unknown.
 	WatcherOf(ctx context.Context, partition journal.Partition) (string, bool)
 }
 
-// Assigner chooses the owners of new batches and follows those assigned here.
-// It only decides who works: a batch whose owner does not learn of it is taken
-// over by the watcher of its partition.
+// Assigner chooses the owners of new batches and reads the assignments to this daemon. An
+// assignment only informs the owner: if it is lost, the watcher of the batch's partition takes the
+// batch over.
 type Assigner struct {
 	journal journal.Journal
 	group   GroupPartitions
@@ -50,9 +52,9 @@
 	logger  *zap.Logger
 }
 
-// NewAssigner returns an assigner.
-func NewAssigner(log journal.Journal, dealt GroupPartitions, self string, logger *zap.Logger) *Assigner {
-	return &Assigner{journal: log, group: dealt, self: self, logger: logger}
+// NewAssigner returns an assigner for the daemon self.
+func NewAssigner(log journal.Journal, group GroupPartitions, self string, logger *zap.Logger) *Assigner {
+	return &Assigner{journal: log, group: group, self: self, logger: logger}
 }
 
 func (a *Assigner) partitionOf(submission *batch.Submission) journal.Partition {
@@ -63,7 +65,8 @@
 	return journal.Partition{Topic: RunnersTopic, Number: int(hash.Sum32() % uint32(partitions))}
 }
 
-// ChooseOwner returns the daemon that should own a batch.
+// ChooseOwner returns the daemon that should own a batch: the watcher of its model's partition, or
+// this daemon if the watcher is unknown.
 func (a *Assigner) ChooseOwner(ctx context.Context, submission *batch.Submission) string {
 	owner, ok := a.group.WatcherOf(ctx, a.partitionOf(submission))
 	if !ok {
@@ -72,7 +75,8 @@
 	return owner
 }
 
-// Assign lets another daemon know that it owns a batch.
+// Assign appends a record that informs another daemon that it owns a batch. A failure is only
+// logged.
 func (a *Assigner) Assign(ctx context.Context, submission *batch.Submission, owner string) {
 	encoded, err := cbor.Marshal(assignment{Batch: submission.ID, Owner: owner})
 	if err != nil {
@@ -83,13 +87,13 @@
 	a.logger.Info("batch assigned", zap.String("batch", submission.ID), zap.String("to", owner), zap.Error(err))
 }
 
-// Run calls adopt for each batch that is assigned to this daemon, until the
-// context ends.
+// Run calls adopt, in a goroutine of its own, for each batch that is assigned to this daemon, until
+// ctx ends.
 func (a *Assigner) Run(ctx context.Context, adopt func(batchID string)) {
 	following := map[journal.Partition]context.CancelFunc{}
 	periodic.Every(ctx, watchInterval, func(ctx context.Context) {
-		dealt := a.group.Partitions()
-		for name := range dealt {
+		assigned := a.group.Partitions()
+		for name := range assigned {
 			if name.Topic == RunnersTopic && following[name] == nil {
 				bounded, cancel := context.WithCancel(ctx)
 				following[name] = cancel
@@ -97,7 +101,7 @@
 			}
 		}
 		for name, cancel := range following {
-			if !dealt[name] {
+			if !assigned[name] {
 				cancel()
 				delete(following, name)
 			}
@@ -108,8 +112,8 @@
 	}
 }
 
-// follow reads the assignments of one partition. Old ones are read as well: a
-// batch that is over, or is another daemon's, is not adopted.
+// follow reads the assignments of one partition from its beginning. Old ones do no harm: adopt
+// ignores batches that have ended or belong to another daemon.
 func (a *Assigner) follow(ctx context.Context, name journal.Partition, adopt func(batchID string)) {
 	next := int64(0)
 	for ctx.Err() == nil {
@@ -132,11 +136,11 @@
 	}
 }
 
-// assignedHere returns the batch of an assignment to this daemon, else "".
+// assignedHere returns the batch id of an assignment to this daemon, else "".
 func (a *Assigner) assignedHere(record []byte) string {
 	var msg assignment
 	if err := cbor.Unmarshal(record, &msg); err != nil {
-		// The watcher of the batch's partition takes it over.
+		// The watcher of the batch's partition takes the batch over.
 		a.logger.Warn("assignment not decoded", zap.Error(err))
 		return ""
 	}
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -15,24 +15,25 @@
 	"woodworks/internal/requests/forward"
 )
 
-// attemptTimeout is how long a replica may work on an item in one attempt.
+// attemptTimeout is the deadline given to a replica for one attempt at an item.
 const attemptTimeout = 60 * time.Second
 
 var (
-	// errTooOld: the replica's weights are older than the batch allows.
-	errTooOld = errors.New("runner: weights too old")
-	// errHandedOver: another replica goes on with the item.
-	errHandedOver = errors.New("runner: handed over")
+	// errTooOld says that the replica's weights are older than the batch allows.
+	errTooOld = errors.New("runner: weights older than the batch allows")
+	// errHandedOver says that the item was handed over to another replica.
+	errHandedOver = errors.New("runner: item handed over to another replica")
 )
 
-// attempt is one try of an item at a replica. It counts until the item has a newer one.
+// attempt is one attempt at running an item at a replica. It is the current one until the item has
+// a newer one; only the current attempt changes the item.
 type attempt struct {
 	routedItem
 	number  int
 	replica replica.Replica
 }
 
-// run makes the attempt and takes its outcome into account.
+// run makes the attempt and handles its outcome.
 func (a *attempt) run() {
 	ctx, cancel := context.WithCancel(a.job.ctx)
 	defer cancel()
@@ -47,7 +48,8 @@
 	a.handleOutcome(err)
 }
 
-// open asks the attempt's replica for the item's events, and cancels that after the timeout.
+// open requests the item's event stream from the replica and cancels the attempt if it gets no
+// answer within the timeout.
 func (a *attempt) open(
 	ctx context.Context, cancel context.CancelFunc, req *forward.StreamRequest, timeout time.Duration,
 ) (*forward.Stream, error) {
@@ -81,7 +83,7 @@
 	j.r.WakeDispatcher()
 }
 
-// follow reads the events of an open stream until the text is whole.
+// follow reads the events of an open stream. It returns nil at the end of the text.
 func (a *attempt) follow(cancel context.CancelFunc, stream *forward.Stream) error {
 	defer stream.Close()
 	a.job.r.table.Accepted(a.replica.Incarnation())
@@ -111,15 +113,16 @@
 	}
 }
 
-// recordVersion tells the table which version of the weights the replica holds, 0 if it did not say.
+// recordVersion records in the replica table which version of the weights the replica holds. A
+// version of 0, which means that the replica did not report one, is ignored.
 func (a *attempt) recordVersion(version int64) {
 	if version > 0 {
 		a.job.r.table.HoldsVersion(a.replica.Incarnation(), a.job.submission.Model, version)
 	}
 }
 
-// recordEventTime notes how long an event took after the last one, which was at a time that is zero before
-// the first, and returns its own time.
+// recordEventTime records the time between the last event and this one, or the time to the first
+// event if last is zero. It returns the current time.
 func (a *attempt) recordEventTime(last time.Time) time.Time {
 	now := time.Now()
 	if last.IsZero() {
@@ -130,7 +133,8 @@
 	return now
 }
 
-// receive adds an event to the item's text, unless another attempt goes on with it.
+// receive adds an event to the item's text, or to its buffer during a hand-over. It returns
+// errHandedOver if the attempt is no longer the current one.
 func (a *attempt) receive(event eventstream.Event, version int64) error {
 	a.job.mu.Lock()
 	defer a.job.mu.Unlock()
@@ -145,7 +149,7 @@
 	return a.item.appendEvent(e, a.job.submission.MinVersion)
 }
 
-// recordFirstEvent notes that the attempt has brought an event, and after how long.
+// recordFirstEvent records that the attempt has received its first event and how long that took.
 func (a *attempt) recordFirstEvent() {
 	a.job.mu.Lock()
 	defer a.job.mu.Unlock()
@@ -156,7 +160,7 @@
 	a.job.r.firstEvents.Observe(serviceOf(a.route, a.item), time.Since(a.item.startedAt))
 }
 
-// handleFailure lets the item wait for another attempt, or gives it up.
+// handleFailure schedules another attempt at the item or gives the item up.
 func (a *attempt) handleFailure(cause error) {
 	j, it := a.job, a.item
 	j.mu.Lock()
@@ -181,7 +185,7 @@
 	it.notBefore = time.Now().Add(next.delay)
 }
 
-// streamRequest asks a replica for the rest of an item's text. The mutex is held.
+// streamRequest returns the request for the rest of an item's text. The mutex is held.
 func (j *job) streamRequest(it *item) *forward.StreamRequest {
 	header := it.header.Clone()
 	names := j.r.forwarder.Names
--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// wakeInterval bounds how long the dispatcher waits for a change.
+	// wakeInterval is the maximum time between two passes of the dispatcher while there are jobs.
 	wakeInterval = 100 * time.Millisecond
-	// moveInterval is the time between two rounds in which items may be moved.
+	// moveInterval is the minimum time between two passes in which items may be moved.
 	moveInterval = 250 * time.Millisecond
 )
 
-// WakeDispatcher makes the dispatcher look again. It never blocks.
+// WakeDispatcher triggers a pass of the dispatcher. It never blocks.
 func (r *Runner) WakeDispatcher() { signal(r.wake) }
 
-// signal wakes who receives from a channel with room for one value. It never blocks.
+// signal wakes the receiver of a channel with room for one value. It never blocks.
 func signal(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
@@ -26,7 +26,8 @@
 	}
 }
 
-// Run starts items as replicas have room, until the context ends.
+// Run dispatches items until ctx ends: whenever the replica table changes, WakeDispatcher is called
+// or wakeInterval has passed.
 func (r *Runner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := r.table.Changed()
@@ -54,8 +55,8 @@
 	return len(r.jobs) == 0
 }
 
-// dispatch carries out what the scheduler decides: it starts waiting items while
-// replicas have room, and each moveInterval moves items that should go on elsewhere.
+// dispatch carries out the decisions of the scheduler: it starts waiting items while replicas have
+// room and, every moveInterval, moves running items to better replicas.
 func (r *Runner) dispatch(now time.Time) {
 	moves := now.Sub(r.lastMoveRound) >= moveInterval
 	if moves {
@@ -77,7 +78,7 @@
 	r.sharing.finishDispatch(views)
 }
 
-// start sends a waiting item to a replica.
+// start sends a waiting item to a replica, unless its state has changed since the view was made.
 func (r *Runner) start(routed routedItem, rep replica.Replica) {
 	j, it := routed.job, routed.item
 	j.mu.Lock()
@@ -92,7 +93,7 @@
 	r.launch(rep, a.run)
 }
 
-// launch makes an attempt at a replica beside all else, as work that a stop waits for.
+// launch runs an attempt at a replica in a goroutine that Release waits for.
 func (r *Runner) launch(rep replica.Replica, attempt func()) {
 	r.table.Started(rep.Incarnation())
 	r.started.Add(1)
--- a/internal/batches/runner/dispatch_test.go
+++ b/internal/batches/runner/dispatch_test.go
@@ -16,8 +16,7 @@
 
 func init() { testseed.Fix() }
 
-// A split route gives each part its weight's share of the items, also where
-// they come in a few large batches (the users' rule on weights, of their news).
+// A split route divides the items by weight even if they come in a few large batches.
 func TestSplitRouteDividesItemsOfOneBatch(t *testing.T) {
 	is := is.New(t)
 	split := &route.Route{
@@ -34,15 +33,15 @@
 	is.Equal(counts["a"]+counts["b"], items)
 }
 
-// An engine that has started again has read no prompt, whatever its id.
+// A restarted engine has the same id but has not cached the group's prompt.
 func TestGroupEngineIsBoundToIncarnation(t *testing.T) {
 	is := is.New(t)
-	before := replica.Replica{Entry: replica.Entry{ID: "a", Born: time.UnixMilli(1)}}
-	now := replica.Replica{Entry: replica.Entry{ID: "a", Born: time.UnixMilli(2)}}
+	earlier := replica.Replica{Entry: replica.Entry{ID: "a", Born: time.UnixMilli(1)}}
+	restarted := replica.Replica{Entry: replica.Entry{ID: "a", Born: time.UnixMilli(2)}}
 	other := replica.Replica{Entry: replica.Entry{ID: "b"}}
 	items := func() []scheduling.Item {
 		return []scheduling.Item{
-			{GroupEngine: string(before.Incarnation())},
+			{GroupEngine: string(earlier.Incarnation())},
 			{GroupEngine: string(other.Incarnation())},
 			{},
 		}
@@ -54,8 +53,8 @@
 		}
 		return named
 	}
-	is.Equal(engines(view{Snapshot: scheduling.Snapshot{Items: items()}, replicas: []replica.Replica{before, other}}),
+	is.Equal(engines(view{Snapshot: scheduling.Snapshot{Items: items()}, replicas: []replica.Replica{earlier, other}}),
 		[]string{"a", "b", ""})
-	is.Equal(engines(view{Snapshot: scheduling.Snapshot{Items: items()}, replicas: []replica.Replica{now, other}}),
+	is.Equal(engines(view{Snapshot: scheduling.Snapshot{Items: items()}, replicas: []replica.Replica{restarted, other}}),
 		[]string{"", "b", ""})
 }
--- a/internal/batches/runner/enginedemand.go
+++ b/internal/batches/runner/enginedemand.go
@@ -7,9 +7,9 @@
 	"woodworks/internal/batches/scheduling"
 )
 
-// What a snapshot and the decisions on it say of an owner's demand. These functions are pure.
+// Pure functions that compute an owner's demand from a snapshot and the decisions on it.
 
-// limitStarts returns the decisions without the starts after so many.
+// limitStarts returns the decisions without any starts beyond the given number.
 func limitStarts(decisions []scheduling.Decision, starts int) []scheduling.Decision {
 	return slices.DeleteFunc(slices.Clone(decisions), func(decision scheduling.Decision) bool {
 		_, start := decision.(scheduling.Start)
@@ -20,16 +20,16 @@
 	})
 }
 
-// capacityOf returns how many requests the engines of a snapshot run at a time.
-func capacityOf(snap *scheduling.Snapshot) (places int) {
+// capacityOf returns the number of requests that the engines of a snapshot run at a time.
+func capacityOf(snap *scheduling.Snapshot) (slots int) {
 	for i := range snap.Engines {
-		places += snap.Engines[i].Capacity()
+		slots += snap.Engines[i].Capacity()
 	}
-	return places
+	return slots
 }
 
-// demandOf returns what an owner has and still wants after some decisions, and whether an engine
-// has room for the most urgent item that waits.
+// demandOf returns what an owner has in flight and waiting after the decisions are carried out, and
+// whether an engine has room for the most urgent item that waits.
 func demandOf(service occupancy.Key, snap *scheduling.Snapshot, decisions []scheduling.Decision) (
 	demand occupancy.Demand, room bool,
 ) {
@@ -57,7 +57,8 @@
 	return demand, room
 }
 
-// startsOf returns the items that decisions start, and how many at each engine.
+// startsOf returns the indices of the items that the decisions start, and the number of starts at
+// each engine.
 func startsOf(decisions []scheduling.Decision) (started map[int]bool, taken map[int]int) {
 	started, taken = map[int]bool{}, map[int]int{}
 	for _, decision := range decisions {
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -12,12 +12,12 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// ownEventTimeMaxAge is for how long an event time that this daemon measured is preferred to one
-// that others have measured since: each event of a text gives a new one.
+// ownEventTimeMaxAge is how long an event time that this daemon measured is preferred to a newer
+// one that others report.
 const ownEventTimeMaxAge = 3 * time.Second
 
-// engineSharing is what the dispatcher needs to share engines with other owners. A nil one shares
-// them with nobody.
+// engineSharing divides the room at engines between this daemon and other owners. A nil one ignores
+// other owners.
 type engineSharing struct {
 	self     string
 	table    *occupancy.Table
@@ -25,8 +25,8 @@
 	logger   *zap.Logger
 
 	mu sync.Mutex
-	// demands are what the last dispatch left waiting, by service; turns say whether starts are
-	// held back for other owners.
+	// demands holds, by service, what the last dispatch left waiting; turns holds whether starts
+	// are being held back for other owners.
 	demands map[string]occupancy.Demand
 	turns   map[string]occupancy.Turn
 }
@@ -38,17 +38,19 @@
 	}
 }
 
-// ShareEngines has the runner take the reports of other owners in the table into account. Changed is
-// called whenever the runner's own requests may have changed; it must not block. It is called
-// before Run.
+// ShareEngines makes the runner take the reports of other owners in the table into account. It is
+// called before Run. The runner calls changed whenever its own requests may have changed; changed
+// must not block.
 func (r *Runner) ShareEngines(table *occupancy.Table, changed func()) {
 	r.sharing = newEngineSharing(r.self, table, changed, r.logger)
 }
 
-// ReplicaKey names the incarnation of a replica to other owners.
+// ReplicaKey returns the key by which other owners know this incarnation of a replica.
 func ReplicaKey(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.Born) }
 
-// withReports adds to an engine what other owners report of it.
+// withReports returns the engine with this owner's preference for it and with what other owners
+// report: their requests in flight, and their event time if this daemon has none or only an old
+// one.
 func (s *engineSharing) withReports(
 	engine scheduling.Engine, rep replica.Replica, now time.Time,
 ) scheduling.Engine {
@@ -58,16 +60,16 @@
 	key := ReplicaKey(rep)
 	engine.OthersInFlight = s.table.InFlight(key)
 	engine.Preference = occupancy.Preference(s.self, rep.ID)
-	if own := now.Sub(rep.EventAt); rep.EventTime == 0 || own > ownEventTimeMaxAge {
-		if eventTime, age := s.table.EventTime(key); eventTime > 0 && (rep.EventTime == 0 || age < own) {
+	if ownAge := now.Sub(rep.EventAt); rep.EventTime == 0 || ownAge > ownEventTimeMaxAge {
+		if eventTime, age := s.table.EventTime(key); eventTime > 0 && (rep.EventTime == 0 || age < ownAge) {
 			engine.EventTime = eventTime
 		}
 	}
 	return engine
 }
 
-// holdBackStarts returns the decisions of a service that may be carried out now, as other owners wait
-// for room as well, and notes what is left waiting.
+// holdBackStarts returns the decisions of a service that may be carried out now, given the demands
+// of other owners, and records what is left waiting.
 func (s *engineSharing) holdBackStarts(
 	service string, snap *scheduling.Snapshot, decisions []scheduling.Decision, now time.Time,
 ) []scheduling.Decision {
@@ -81,25 +83,26 @@
 	started, _ := startsOf(decisions)
 	due := len(started)
 	turn, others := s.turns[service], s.table.Demands(key)
-	left := turn.Leaves()
+	heldBack := turn.Leaves()
 	allowed := turn.Allow(now, occupancy.Allowance(capacityOf(snap), own, others), due)
 	s.turns[service] = turn
-	if turn.Leaves() && !left {
-		s.logger.Info("room left to other owners", zap.String("service", service),
+	if turn.Leaves() && !heldBack {
+		s.logger.Info("starts held back for other owners", zap.String("service", service),
 			zap.Int("starts", due), zap.Int("allowed", allowed), zap.Uint32("in_flight", own.InFlight),
 			zap.Uint32("waiting", own.Waiting), zap.Int("owners", len(others)))
 	}
 	kept := limitStarts(decisions, allowed)
 	demand, room := demandOf(key, snap, kept)
 	if allowed == due && room {
-		// What waits beside room waits for something else, as for weights.
+		// Items that wait although there is room wait for something else, such as newer weights.
 		demand.Waiting = 0
 	}
 	s.demands[service] = demand
 	return kept
 }
 
-// finishDispatch ends a round of dispatch. What is kept of services without items is dropped.
+// finishDispatch ends a pass of the dispatcher: it drops the state of services without items and
+// calls onChange.
 func (s *engineSharing) finishDispatch(views map[string]*view) {
 	if s == nil {
 		return
@@ -111,22 +114,24 @@
 	s.onChange()
 }
 
-// ReportReceived has the dispatcher look again if items wait for room: a report may show that
-// there is some. It never blocks.
+// ReportReceived triggers a pass of the dispatcher if items wait for room: a new report may show
+// that there is some. It never blocks. ShareEngines must have been called.
 func (r *Runner) ReportReceived() {
 	s := r.sharing
 	s.mu.Lock()
-	waits := false
+	waiting := false
 	for _, d := range s.demands {
-		waits = waits || d.Waiting > 0
+		waiting = waiting || d.Waiting > 0
 	}
 	s.mu.Unlock()
-	if waits {
+	if waiting {
 		r.WakeDispatcher()
 	}
 }
 
-// OccupancyReport returns what this daemon has at the engines that it shares with other owners.
+// OccupancyReport returns the requests, demands and event times that this daemon reports to other
+// owners. It is empty while no batch runs; a stopping daemon reports no waiting items. ShareEngines
+// must have been called.
 func (r *Runner) OccupancyReport() (report occupancy.Report) {
 	s := r.sharing
 	s.mu.Lock()
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -14,8 +14,8 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// The simulation has some engines that run eight texts each and let four more wait; what comes
-// beyond is declined. Owners look every tickDuration, and hear of each other every reportTicks.
+// The simulated engines run simSlots texts each, queue simQueue more and decline the rest. Owners
+// dispatch at every tick and report to each other every reportTicks.
 const (
 	simEngines   = 20
 	simSlots     = 8
@@ -25,36 +25,36 @@
 	avoidTicks   = 12
 )
 
-// simText is one text: where it is and for how many ticks it still runs.
+// simText is a text with the engine that it is at and the ticks that it still runs.
 type simText struct {
-	engine    int // -1 while it waits at its owner
+	engine    int // -1 while the text waits at its owner
 	running   bool
 	remaining int
 }
 
-// simOwner is one owner with its texts, in the order in which they should start.
+// simOwner is an owner with its texts, in the order in which they should start.
 type simOwner struct {
 	sharing      *engineSharing
 	number       uint64
-	startTick    int // the tick of its burst
+	startTick    int // start of the burst
 	texts        []*simText
 	avoidedUntil [simEngines]int
 	endTick      int
 }
 
-// simulation is some owners that share engines.
+// simulation simulates owners that share engines.
 type simulation struct {
 	tick             int
 	owners           []*simOwner
-	queued, declines int // ticks that texts waited in engines' queues, and texts declined
+	queued, declines int // ticks that texts spent in engines' queues; number of declined texts
 }
 
-func newSimulation(hear bool, seed uint64, bursts ...[2]int) *simulation {
+func newSimulation(share bool, seed uint64, bursts ...[2]int) *simulation {
 	s := &simulation{}
 	random := rand.New(rand.NewPCG(seed, 1))
 	for i, burst := range bursts {
 		owner := &simOwner{startTick: burst[0]}
-		if hear {
+		if share {
 			run := fmt.Sprintf("d%d/1", i)
 			owner.sharing = newEngineSharing(run, occupancy.NewTable(run, s.now, zap.NewNop()), func() {}, zap.NewNop())
 		}
@@ -70,14 +70,14 @@
 	return time.Unix(1000, 0).Add(time.Duration(s.tick) * tickDuration)
 }
 
-// run plays until all texts have ended.
+// run runs the simulation until all texts have ended.
 func (s *simulation) run(t *testing.T) {
-	for over := false; !over; s.tick++ {
+	for ended := false; !ended; s.tick++ {
 		if s.tick > 20000 {
-			t.Fatal("texts never end")
+			t.Fatal("texts have not ended after 20000 ticks")
 		}
 		s.advance()
-		over = true
+		ended = true
 		for _, owner := range s.owners {
 			if s.tick%reportTicks == 0 {
 				s.sendReport(owner)
@@ -85,21 +85,21 @@
 			if s.tick >= owner.startTick {
 				s.dispatch(owner)
 			}
-			over = over && owner.endTick > 0
+			ended = ended && owner.endTick > 0
 		}
 	}
 }
 
-// advance has the engines run their texts for a tick, the first ones that came.
+// advance runs the texts at the engines for one tick: those that run already, then queued ones.
 func (s *simulation) advance() {
 	var running [simEngines]int
-	for _, waits := range []bool{false, true} {
+	for _, queued := range []bool{false, true} {
 		for _, owner := range s.owners {
 			for _, text := range owner.texts {
-				if text.engine < 0 || text.running == waits {
+				if text.engine < 0 || text.running == queued {
 					continue
 				}
-				if waits && running[text.engine] >= simSlots {
+				if queued && running[text.engine] >= simSlots {
 					s.queued++
 					continue
 				}
@@ -170,7 +170,7 @@
 	}
 }
 
-// sendReport lets the others hear of an owner.
+// sendReport sends an owner's report to the other owners.
 func (s *simulation) sendReport(owner *simOwner) {
 	if owner.sharing == nil {
 		return
@@ -181,7 +181,7 @@
 		key := occupancy.KeyOf(fmt.Sprintf("e%d", i), time.Time{})
 		report.Counts = append(report.Counts, occupancy.Count{Replica: key, Requests: uint32(owner.inFlight(i))})
 	}
-	if demand, some := owner.sharing.demands["s"]; some {
+	if demand, ok := owner.sharing.demands["s"]; ok {
 		report.Demands = []occupancy.Demand{demand}
 	}
 	for _, other := range s.owners {
@@ -191,33 +191,32 @@
 	}
 }
 
-// Two owners whose bursts meet on the same engines filled some of them beyond their places:
-// texts waited there or were declined. With what they tell each other texts wait at their
-// owners, and start where room is; both bursts end no later.
+// Two owners with simultaneous bursts must not overfill engines: with reports their texts wait at
+// the owners, not in queues, and both bursts end no later.
 func TestReportsKeepOwnersFromOverfillingEngines(t *testing.T) {
 	is := is.New(t)
-	play := func(hear bool) *simulation {
-		s := newSimulation(hear, 5, [2]int{0, 130}, [2]int{30, 130})
+	simulate := func(share bool) *simulation {
+		s := newSimulation(share, 5, [2]int{0, 130}, [2]int{30, 130})
 		s.run(t)
-		t.Logf("hear %v: %d ticks of waiting in queues, %d declines, bursts over at ticks %d and %d",
-			hear, s.queued, s.declines, s.owners[0].endTick, s.owners[1].endTick)
+		t.Logf("reports %v: %d ticks in queues, %d declines, bursts ended at ticks %d and %d",
+			share, s.queued, s.declines, s.owners[0].endTick, s.owners[1].endTick)
 		return s
 	}
-	before, after := play(false), play(true)
-	is.True(before.queued > 5000)
-	is.True(before.declines > 10)
-	is.True(after.queued <= before.queued/100)
-	is.Equal(after.declines, 0)
+	without, with := simulate(false), simulate(true)
+	is.True(without.queued > 5000)
+	is.True(without.declines > 10)
+	is.True(with.queued <= without.queued/100)
+	is.Equal(with.declines, 0)
 	last := func(s *simulation) int { return max(s.owners[0].endTick, s.owners[1].endTick) }
-	is.True(last(after) <= last(before)*105/100)
+	is.True(last(with) <= last(without)*105/100)
 }
 
-// Owners that start at the same instant have heard nothing yet. Each begins with other ones
-// of the engines that are as good, so that fewer are filled beyond their places.
+// Owners that start at the same instant have no reports yet. They must prefer different engines
+// among equally good ones.
 func TestSimultaneousOwnersPreferDifferentEngines(t *testing.T) {
 	is := is.New(t)
-	overfilled := func(hear bool) (requests int) {
-		s := newSimulation(hear, 5, [2]int{0, 50}, [2]int{0, 50}, [2]int{0, 50})
+	overfilled := func(share bool) (requests int) {
+		s := newSimulation(share, 5, [2]int{0, 50}, [2]int{0, 50}, [2]int{0, 50})
 		for _, owner := range s.owners {
 			s.dispatch(owner)
 		}
@@ -226,37 +225,37 @@
 		}
 		return requests
 	}
-	before, after := overfilled(false), overfilled(true)
-	t.Logf("of 150 texts for 160 places %d and %d are one too many", before, after)
-	is.Equal(before, 10)
-	is.True(after <= 4)
+	without, with := overfilled(false), overfilled(true)
+	t.Logf("of 150 texts for 160 slots, %d without and %d with preferences exceed their engine's slots", without, with)
+	is.Equal(without, 10)
+	is.True(with <= 4)
 }
 
-// An owner with a long queue of its own leaves places to one that comes later: that one's
-// burst is over well before, and long before it would be if it waited for the first to end.
+// An owner with a long queue must leave slots to one whose burst starts later.
 func TestLaterOwnerGetsItsShare(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(true, 5, [2]int{0, 800}, [2]int{200, 100})
 	s.run(t)
-	t.Logf("bursts over at ticks %d and %d, %d ticks of waiting in queues, %d declines",
+	t.Logf("bursts ended at ticks %d and %d, %d ticks in queues, %d declines",
 		s.owners[0].endTick, s.owners[1].endTick, s.queued, s.declines)
 	is.True(s.owners[1].endTick < s.owners[0].endTick*2/3)
 	is.Equal(s.declines, 0)
-	// The engines lose little by what is left free: the work alone takes that many ticks.
-	work := newSimulation(true, 5, [2]int{0, 800}, [2]int{200, 100}).owners
+	// Holding slots free costs little: the last burst ends soon after the time that the work alone
+	// takes.
+	owners := newSimulation(true, 5, [2]int{0, 800}, [2]int{200, 100}).owners
 	sum := 0
-	for _, owner := range work {
+	for _, owner := range owners {
 		for _, text := range owner.texts {
 			sum += text.remaining
 		}
 	}
-	least := sum / (simEngines * simSlots)
-	t.Logf("the work alone takes %d ticks", least)
-	is.True(s.owners[0].endTick <= least*130/100)
+	minTicks := sum / (simEngines * simSlots)
+	t.Logf("the work alone takes %d ticks", minTicks)
+	is.True(s.owners[0].endTick <= minTicks*130/100)
 }
 
-// Items that wait beside room wait for something else, as for newer weights: others need not
-// leave them places.
+// Items that wait for newer weights, although there is room, must not make other owners hold back
+// starts.
 func TestItemsWaitingForWeightsReserveNoSlots(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(true, 1, [2]int{0, 1}).owners[0].sharing
@@ -268,20 +267,20 @@
 		Items: []scheduling.Item{{Model: "m", MinVersion: 2}, {Model: "m", MinVersion: 2}},
 	}
 	s.holdBackStarts("s", &snap, nil, time.Unix(0, 0))
-	is.Equal(s.demands["s"].Waiting, uint32(2)) // the engine that may run them is full
+	is.Equal(s.demands["s"].Waiting, uint32(2)) // the only engine with the weights is full
 	snap.Engines[1].InFlight = 1
 	s.holdBackStarts("s", &snap, nil, time.Unix(0, 0))
 	is.Equal(s.demands["s"].Waiting, uint32(0))
 	is.Equal(s.demands["s"].InFlight, uint32(1))
 }
 
-// An event time that others measured counts where this daemon has none, or an older one.
+// A reported event time is used if this daemon has none or an older one.
 func TestReportedEventTimeReplacesMissingOrStaleOne(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(true, 1, [2]int{0, 1}).owners[0].sharing
 	now := time.Now()
 	rep := replica.Replica{Entry: replica.Entry{ID: "e"}}
-	told := func(age time.Duration) {
+	report := func(age time.Duration) {
 		s.table.Adopt(occupancy.Occupancy{
 			Measured: []occupancy.Measurement{occupancy.NewMeasurement(ReplicaKey(rep), 20*time.Millisecond, age)},
 		})
@@ -291,7 +290,7 @@
 		return s.withReports(scheduling.Engine{EventTime: own}, rep, now).EventTime
 	}
 	is.Equal(eventTime(0, time.Hour), time.Duration(0))
-	told(5 * time.Second)
+	report(5 * time.Second)
 	is.Equal(eventTime(0, time.Hour), 20*time.Millisecond)
 	is.Equal(eventTime(40*time.Millisecond, time.Second), 40*time.Millisecond)
 	is.Equal(eventTime(40*time.Millisecond, 4*time.Second), 40*time.Millisecond)
@@ -301,8 +300,8 @@
 		scheduling.Engine{ID: "e", EventTime: 1})
 }
 
-// What is told is what is under way now. A daemon that stops wants nothing more, and one
-// without batches has nothing to tell.
+// The report contains the current requests. A stopping daemon wants no more slots, and a daemon
+// without batches reports nothing.
 func TestOccupancyReport(t *testing.T) {
 	is := is.New(t)
 	j, _ := newMovingJob(t)
@@ -325,7 +324,7 @@
 	is.Equal(len(report.Measured), 1)
 	is.Equal(report.Measured[0].EventTime, uint32(300))
 	runner.ReportReceived()
-	is.Equal(len(runner.wake), 1) // items wait, and there may be room
+	is.Equal(len(runner.wake), 1) // items wait and there may be room
 	runner.stopping.Store(true)
 	is.Equal(runner.OccupancyReport().Demands[0].Waiting, uint32(0))
 	delete(runner.jobs, "b")
--- a/internal/batches/runner/fold.go
+++ b/internal/batches/runner/fold.go
@@ -8,19 +8,20 @@
 	"woodworks/internal/batches/ledger"
 )
 
-// locateTimeout bounds the question where a batch begins: a part of standByWait, within which
-// the owner must begin also where nobody answers.
+// locateTimeout bounds the query for a batch's offset. It is a fraction of minStandByDelay, so that
+// the owner can send its first heartbeat in time even if the query gets no answer.
 const locateTimeout = minStandByDelay / 2
 
-// Locator tells at which offset a batch begins in its partition.
+// Locator finds where a batch begins.
 type Locator interface {
+	// Beginning returns the offset of the record that accepted the batch, in the batch's partition.
 	Beginning(ctx context.Context, batchID string) (int64, error)
 }
 
-// foldOf returns the fold by which this daemon runs a batch: that of the whole partition if
-// it is fresh here, else one that begins with the batch: a new owner on a weak link that reads
-// megabytes of other batches first does not begin before the daemon that accepted the batch
-// takes it for gone.
+// foldOf returns the fold by which this daemon runs a batch. It is the fold of the whole partition
+// if that is fresh here, else one that starts at the batch: on a slow link, reading megabytes of
+// other batches first would delay the first heartbeat until the accepting daemon takes the batch
+// over.
 func (r *Runner) foldOf(ctx context.Context, batchID string) *ledger.Partition {
 	whole := r.ledger.Of(batchID)
 	if whole.Fresh() {
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -17,7 +17,7 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// ledgerLocator is a daemon that has the fold of all partitions, or a silent one if it is nil.
+// ledgerLocator locates batches in a ledger; with a nil one it always fails.
 type ledgerLocator struct{ *ledger.Ledger }
 
 // Beginning implements Locator.
@@ -30,12 +30,12 @@
 		return 0, err
 	}
 	if !partition.ViewBatch(batchID, func(b *batch.Batch) { offset = b.Offset }) {
-		return 0, errors.New("not known")
+		return 0, errors.New("unknown batch")
 	}
 	return offset, nil
 }
 
-// silentLocator is a watcher that never answers.
+// silentLocator is a Locator that never answers.
 type silentLocator struct{}
 
 func (silentLocator) Beginning(ctx context.Context, _ string) (int64, error) {
@@ -43,16 +43,16 @@
 	return 0, ctx.Err()
 }
 
-// appendOtherBatches fills a partition with some bytes of other batches.
+// appendOtherBatches fills a partition with the given number of bytes of other batches.
 func appendOtherBatches(
 	ctx context.Context, t *testing.T, log journal.Journal, partition journal.Partition, bytes int,
 ) {
 	t.Helper()
-	const part = 64 << 10
-	for i := range bytes / part {
+	const size = 64 << 10
+	for i := range bytes / size {
 		other := batch.Submission{
 			ID:    fmt.Sprintf("other-%d", i),
-			Items: []batch.Item{{ID: "o", Body: make([]byte, part)}},
+			Items: []batch.Item{{ID: "o", Body: make([]byte, size)}},
 		}
 		record := batch.Accepted(&other, "gone/1")
 		if _, err := log.Append(ctx, journal.Append{Partition: partition, Records: [][]byte{record}}); err != nil {
@@ -61,24 +61,25 @@
 	}
 }
 
-// firstHeartbeat reports whether the owner of oneItem has given a sign, and names it.
-func firstHeartbeat(partition *ledger.Partition) (given bool, owner string) {
-	partition.ViewBatch("x", func(b *batch.Batch) { given, owner = b.Signs > 0, b.Owner })
-	return given, owner
+// firstHeartbeat reports whether the owner of oneItem has shown a sign of life, and who owns it.
+func firstHeartbeat(partition *ledger.Partition) (seen bool, owner string) {
+	partition.ViewBatch("x", func(b *batch.Batch) { seen, owner = b.Signs > 0, b.Owner })
+	return seen, owner
 }
 
-// timeToFirstHeartbeat is how long after the acceptance of oneItem its owner gives its first sign,
-// with some bytes of other batches in the partition, at an owner behind a link.
+// timeToFirstHeartbeat returns the time from the acceptance of oneItem to its owner's first
+// heartbeat, and that owner. The partition holds the given bytes of other batches, and the owner is
+// behind a slow link.
 func timeToFirstHeartbeat(
 	ctx context.Context, t *testing.T, others int, bytesPerSecond float64, locator Locator,
 ) (took time.Duration, owner string) {
 	log := journaltest.New()
-	seen := ledger.New(ctx, log, zap.NewNop())
-	partition := seen.Of("x")
+	whole := ledger.New(ctx, log, zap.NewNop())
+	partition := whole.Of("x")
 	defer partition.Follow()()
 	appendOtherBatches(ctx, t, log, partition.Name(), others)
 	if locator == nil {
-		locator = ledgerLocator{seen}
+		locator = ledgerLocator{whole}
 	}
 	chosen := newOwner(ctx, t, log.Behind(bytesPerSecond), "a/1")
 	chosen.locator = locator
@@ -89,44 +90,44 @@
 		t.Fatal(err)
 	}
 	chosen.AdoptAssigned("x")
-	for begun := false; !begun; time.Sleep(time.Millisecond) {
+	for seen := false; !seen; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 5*time.Second {
-			t.Fatal("nobody has begun")
+			t.Fatal("no heartbeat after 5 s")
 		}
-		begun, owner = firstHeartbeat(partition)
+		seen, owner = firstHeartbeat(partition)
 	}
 	return time.Since(began), owner
 }
 
-// An owner on a weak link begins at once, whatever its batch's partition holds of others.
-// When it read all of them first, the daemon that had accepted the batch took it for gone.
+// A new owner on a slow link must send its first heartbeat before the accepting daemon takes the
+// batch over, however many bytes of other batches the partition holds.
 func TestNewOwnerReadsOnlyItsBatch(t *testing.T) {
 	const link, others = 60e6 / 8, 4 << 20
 	for name, each := range map[string]struct {
 		locator Locator
-		most    time.Duration
-		// owner is who begins, "" being any.
+		max     time.Duration
+		// owner is the expected owner, "" for any.
 		owner string
 	}{
-		"the watcher tells where": {nil, 50 * time.Millisecond, "a/1"},
-		"nobody tells":            {ledgerLocator{}, 700 * time.Millisecond, ""},
-		"the watcher is silent":   {silentLocator{}, 700*time.Millisecond + locateTimeout, ""},
+		"located":           {nil, 50 * time.Millisecond, "a/1"},
+		"locator fails":     {ledgerLocator{}, 700 * time.Millisecond, ""},
+		"locator is silent": {silentLocator{}, 700*time.Millisecond + locateTimeout, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx := t.Context()
 				took, owner := timeToFirstHeartbeat(ctx, t, others, link, each.locator)
-				t.Logf("begun after %v by %s", took, owner)
+				t.Logf("first heartbeat after %v by %s", took, owner)
 				is.True(each.owner == "" || owner == each.owner)
-				is.True(took < each.most)
+				is.True(took < each.max)
 			})
 		})
 	}
 }
 
-// A batch that came twice, or that has ended, is not begun anew by an owner that reads it
-// alone: its fold begins with the first acceptance.
+// A fold that starts at the batch starts at its first acceptance: a batch that was accepted twice,
+// or has ended, must not start again.
 func TestSeparateFoldStartsAtFirstAcceptance(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		whole := ledger.New(ctx, log, zap.NewNop())
--- a/internal/batches/runner/golden_test.go
+++ b/internal/batches/runner/golden_test.go
@@ -15,10 +15,10 @@
 	log := journaltest.New()
 	log.Partitions = 24
 	assigner := &Assigner{journal: log}
-	var places strings.Builder
+	var partitions strings.Builder
 	for i := range 8 {
 		submission := &batch.Submission{Host: "host", Model: fmt.Sprint("model-", i)}
-		fmt.Fprintln(&places, submission.Model, assigner.partitionOf(submission))
+		fmt.Fprintln(&partitions, submission.Model, assigner.partitionOf(submission))
 	}
-	golden.Text(t, "partitions.txt", places.String())
+	golden.Text(t, "partitions.txt", partitions.String())
 }
--- a/internal/batches/runner/handover.go
+++ b/internal/batches/runner/handover.go
@@ -10,10 +10,10 @@
 	"woodworks/internal/requests/forward"
 )
 
-// handOver lets an item go on at another replica. The attempt under way is cut only once
-// the other replica has accepted the item: one that changes its weights declines, for a
-// second. The events that come meanwhile are buffered, as the other replica makes them too;
-// if it declines, they count.
+// handOver moves a running item to another replica. The current attempt is cancelled only once the
+// other replica has accepted the item, since a replica that is changing its weights declines.
+// Events that arrive meanwhile are buffered: they are dropped if the other replica accepts, which
+// generates them too, and added to the text if it declines.
 func (j *job) handOver(routed routedItem, to replica.Replica, gain time.Duration) {
 	it := routed.item
 	j.mu.Lock()
@@ -23,7 +23,8 @@
 	}
 	it.buffering = true
 	if !it.hasFirstEvent {
-		// What was waited for in vain counts: where all engines get slow it becomes usual.
+		// A first event that has not arrived yet counts as well, so that the expected time grows
+		// when all engines become slow.
 		j.r.firstEvents.Observe(serviceOf(routed.route, it), time.Since(it.startedAt))
 	}
 	from := it.attempt
@@ -33,7 +34,8 @@
 	j.r.launch(to, func() { next.continueFrom(from, req, gain) })
 }
 
-// continueFrom has the attempt's replica go on with the item after an attempt before.
+// continueFrom asks the attempt's replica to continue the item after attempt number from and, if it
+// accepts, follows the stream.
 func (a *attempt) continueFrom(from int, req *forward.StreamRequest, gain time.Duration) {
 	ctx, cancel := context.WithCancel(a.job.ctx)
 	defer cancel()
@@ -45,8 +47,8 @@
 	a.handleOutcome(a.follow(cancel, stream))
 }
 
-// replace makes the attempt the one that counts, if its replica has accepted the item and
-// the attempt before still counts.
+// replace makes the attempt the current one if its replica has accepted the item and attempt number
+// from is still the current one. It reports whether it did.
 func (a *attempt) replace(from int, cancel context.CancelFunc, gain time.Duration, err error) bool {
 	j, it := a.job, a.item
 	j.mu.Lock()
@@ -75,14 +77,14 @@
 	return true
 }
 
-// abandon ends an attempt that has not become the one that counts.
+// abandon ends an attempt that did not become the current one.
 func (a *attempt) abandon(stream *forward.Stream, err error) {
 	if err == nil {
 		stream.Close()
 	}
 	a.job.r.table.Ended(a.replica.Incarnation())
 	if a.job.ctx.Err() != nil {
-		// The batch ended meanwhile, which says nothing of the replica.
+		// The request was cancelled with its batch, which is no fault of the replica.
 		return
 	}
 	a.job.r.recordFault(a.replica.Incarnation(), handOverFault(err))
--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -16,6 +16,7 @@
 	"woodworks/internal/requests/route"
 )
 
+// newMovingJob returns a job whose item is being handed over from replica "from" to "to".
 func newMovingJob(t *testing.T) (*job, *item) {
 	t.Helper()
 	table := replica.NewTable(time.Second, zap.NewNop())
@@ -32,11 +33,12 @@
 	return j, it
 }
 
+// event returns the event with an id.
 func event(id int64) eventstream.Event {
 	return eventstream.Event{ID: id, HasID: true, Data: []byte{byte('a' + id)}}
 }
 
-// attemptAt is an attempt of an item at a replica, with number 0 one that does not count yet.
+// attemptAt returns an attempt at a replica; with number 0 it is not yet the current one.
 func attemptAt(replicaID string, j *job, it *item, number int, rt *route.Route) *attempt {
 	return &attempt{
 		routedItem: routedItem{job: j, item: it, route: rt},
@@ -45,16 +47,16 @@
 	}
 }
 
-// currentAttempt is an attempt at the replica that an item is at.
+// currentAttempt returns an attempt at the replica that runs the item.
 func currentAttempt(j *job, it *item, number int, rt *route.Route) *attempt {
 	return attemptAt("from", j, it, number, rt)
 }
 
-// handOverAttempt is an attempt at another replica, which was asked to go on.
+// handOverAttempt returns an attempt at the replica that was asked to continue the item.
 func handOverAttempt(j *job, it *item) *attempt { return attemptAt("to", j, it, 0, &route.Route{}) }
 
-// Events that come while another replica is asked are buffered: dropped if that one
-// goes on after the last event before, and added if it does not.
+// Events that arrive during a hand-over are buffered: they are dropped if the other replica accepts
+// the item and added if it declines.
 func TestEventsAreBufferedDuringHandOver(t *testing.T) {
 	is := is.New(t)
 	rt := &route.Route{}
@@ -86,20 +88,19 @@
 	}
 }
 
-// A run that ended while another replica was asked keeps all its events, and that
-// replica's exchange does not become the item's.
+// An attempt that ends during a hand-over keeps its events, and the attempt at the other replica
+// does not become the current one.
 func TestAttemptEndingDuringHandOverKeepsItsEvents(t *testing.T) {
 	is := is.New(t)
 	j, it := newMovingJob(t)
-	it.state = itemListed // the outcome of the run is taken into account elsewhere
+	it.state = itemListed // the outcome was handled elsewhere
 	is.NoErr(currentAttempt(j, it, 1, &route.Route{}).receive(event(1), 1))
 	currentAttempt(j, it, 1, &route.Route{}).handleOutcome(nil)
 	is.Equal(it.lastEvent, int64(1))
 	is.True(!handOverAttempt(j, it).replace(1, func() {}, 0, nil))
 }
 
-// An exchange that is cut as the batch ends says nothing of its replica, which would
-// otherwise be avoided for up to three seconds by the batches that go on.
+// A hand-over that is cancelled because its batch ended must not mark the replica as failed.
 func TestEndOfBatchDuringHandOverIsNoReplicaFault(t *testing.T) {
 	is := is.New(t)
 	for _, ended := range []bool{true, false} {
@@ -113,17 +114,17 @@
 	}
 }
 
-// A text that must be of one version is not moved once it has begun: another engine
-// may hold other weights, and the text would begin anew.
+// A single-version text must not be moved once it has events: an engine with other weights would
+// start it over.
 func TestSingleVersionTextIsPinned(t *testing.T) {
 	is := is.New(t)
 	j, it := newMovingJob(t)
 	j.placement.lengths, it.buffering = scheduling.NewLengths(), false
-	fixed := func(single bool) bool {
-		return j.describe(it, &route.Route{SingleVersion: single}, 0, time.Now()).Pinned
+	pinned := func(singleVersion bool) bool {
+		return j.describe(it, &route.Route{SingleVersion: singleVersion}, 0, time.Now()).Pinned
 	}
-	is.True(!fixed(true))
+	is.True(!pinned(true))
 	is.NoErr(currentAttempt(j, it, 1, &route.Route{SingleVersion: true}).receive(event(1), 1))
-	is.True(fixed(true))
-	is.True(!fixed(false))
+	is.True(pinned(true))
+	is.True(!pinned(false))
 }
--- a/internal/batches/runner/heartbeat.go
+++ b/internal/batches/runner/heartbeat.go
@@ -14,14 +14,15 @@
 const (
 	// heartbeatInterval is the time between an owner's heartbeats in a batch's partition.
 	heartbeatInterval = 350 * time.Millisecond
-	// minCheckpointAge is how long an item runs before its progress is worth keeping: a
-	// shorter text costs less to generate again.
+	// minCheckpointAge is how long an attempt runs before its events are checkpointed: a shorter
+	// text costs less to generate again.
 	minCheckpointAge = 700 * time.Millisecond
-	// maxCheckpointBytes bounds what one record keeps.
+	// maxCheckpointBytes bounds the events in one record; a single item may exceed it.
 	maxCheckpointBytes = 128 << 10
 )
 
-// heartbeat appends a sign of life, with what the items that run for long have so far.
+// heartbeat appends a heartbeat that includes the new events of items that have run for
+// minCheckpointAge. A released batch gets none.
 func (j *job) heartbeat() {
 	j.mu.Lock()
 	released := j.release.begun
@@ -41,9 +42,9 @@
 	j.handleHeartbeatResult(progress, err)
 }
 
-// handleHeartbeatResult notes what the journal has acknowledged. A heartbeat that was not, or whose
-// outcome is not known, is not repeated: the next one carries its progress too, which the
-// fold takes once.
+// handleHeartbeatResult records which events the journal has acknowledged. A heartbeat that failed,
+// or whose outcome is unknown, is not repeated: the next one includes its events, and the fold
+// applies them only once.
 func (j *job) handleHeartbeatResult(progress []batch.Progress, err error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -63,9 +64,9 @@
 	}
 }
 
-// progress returns what is not kept yet of the items that run for long, those with the most
-// first. The mutex is held. Texts of one version may have to be begun anew, so they are not
-// kept.
+// progress returns the events that are not checkpointed yet, of the items that have run for
+// minCheckpointAge, longest text first. Single-version texts are not checkpointed, since the next
+// owner may have to start them over. The mutex is held.
 func (j *job) progress(now time.Time) []batch.Progress {
 	if rt, ok := j.route(); !ok || rt.SingleVersion {
 		return nil
@@ -95,8 +96,8 @@
 	return progress
 }
 
-// heartbeatNumber numbers a heartbeat. It rises over all batches of this incarnation, so
-// that a batch that comes back here is not taken for silent.
+// heartbeatNumber returns the number of a heartbeat. It increases over all batches of this
+// incarnation, so that a batch that returns to this daemon is not taken for silent.
 func (r *Runner) heartbeatNumber(now time.Time) int64 {
 	return now.Sub(r.startedAt).Milliseconds() + 1
 }
--- a/internal/batches/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -8,12 +8,12 @@
 	"woodworks/internal/batches/scheduling"
 )
 
-// maxRememberedBatches is how many batches of a model are remembered: trainers have
-// a few open at a time, and what was not whole comes again in one of the next.
+// maxRememberedBatches is the number of batches remembered per model. Trainers keep a few open at a
+// time, and an incomplete group is repeated in one of the next.
 const maxRememberedBatches = 4
 
-// history is what this daemon remembers of the batches of each model that it ran.
-// It is safe for concurrent use.
+// history holds the groups and text lengths of the recent batches of each model. It is safe for
+// concurrent use.
 type history struct {
 	mu     sync.Mutex
 	models map[string]*modelHistory
@@ -22,10 +22,11 @@
 // modelHistory is the history of one model.
 type modelHistory struct {
 	lengths *scheduling.Lengths
-	// batches are the groups of the last batches, the newest last.
+	// batches holds the most recent batches, newest last.
 	batches []rememberedBatch
 }
 
+// rememberedBatch is a recorded batch with its groups.
 type rememberedBatch struct {
 	id     string
 	groups map[string]bool
@@ -33,7 +34,7 @@
 
 func newHistory() *history { return &history{models: map[string]*modelHistory{}} }
 
-// model returns a model's history. The mutex is held.
+// model returns the history of a model and creates it if needed. The mutex is held.
 func (h *history) model(model string) *modelHistory {
 	m := h.models[model]
 	if m == nil {
@@ -43,9 +44,9 @@
 	return m
 }
 
-// recordBatch remembers a batch and returns those of its groups that were in an earlier
-// one: a trainer that sends a group again waits for it to be whole.
-func (h *history) recordBatch(submission *batch.Submission) (again map[string]bool, lengths *scheduling.Lengths) {
+// recordBatch records a batch. It returns the groups that an earlier batch contained too, since a
+// trainer that sends a group again waits for it to be complete, and the model's text lengths.
+func (h *history) recordBatch(submission *batch.Submission) (repeated map[string]bool, lengths *scheduling.Lengths) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	m := h.model(submission.Model)
@@ -55,12 +56,12 @@
 			b.groups[group] = true
 		}
 	}
-	again = m.repeatedGroups(b)
+	repeated = m.repeatedGroups(b)
 	m.remember(b)
-	return again, m.lengths
+	return repeated, m.lengths
 }
 
-// repeatedGroups returns the groups of a batch that others had before.
+// repeatedGroups returns the groups of a batch that another recorded batch contains.
 func (m *modelHistory) repeatedGroups(b rememberedBatch) map[string]bool {
 	repeated := map[string]bool{}
 	for _, before := range m.batches {
--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -10,53 +10,54 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// itemState is where an item stands in this job.
+// itemState is the state of an item in this job.
 type itemState int
 
 const (
 	itemWaiting itemState = iota
 	itemRunning
-	// itemResultPending: the text is whole or the item given up, and the result is not listed yet.
+	// itemResultPending: the text is complete or the item was given up, and its result is not in
+	// the ledger yet.
 	itemResultPending
 	itemListed
 )
 
-// item is one item with its progress at this owner. The job's mutex guards what changes of it,
-// but for rewardFailures, which only its reward call uses.
+// item is an item of a batch with its progress at this owner. The job's mutex guards its mutable
+// fields except rewardFailures, which only the item's reward call uses.
 type item struct {
 	batch.Item
 	index  int
 	header http.Header
-	// content names what the item asks for, nil until it is needed.
+	// content identifies the request for the quarantine. It is nil until contentOf is first called.
 	content *quarantine.Content
 	// expectedTokens is the expected length of the answer.
 	expectedTokens int64
 
 	state itemState
-	// notBefore delays the next attempt.
+	// notBefore is the earliest time of the next attempt.
 	notBefore time.Time
-	// handedOff says that the item is left to the owner that released it. At that owner it
-	// says that the record which does so names it.
+	// handedOff says, at a new owner, that the item is left to the owner that released the batch.
+	// At the releasing owner it says that the Released record names the item.
 	handedOff bool
 
 	text
 
-	// attempt numbers the attempt whose events count, from 1. One that was handed over to
-	// another replica has a lower number.
+	// attempt is the number, from 1, of the current attempt. Events of attempts with another number
+	// are ignored.
 	attempt int
-	// failures counts answers of replicas that say that the item failed, rewardFailures
-	// likewise of its reward call.
+	// failures counts the answers of replicas that report a failure of the item, rewardFailures
+	// those of its reward call.
 	failures       int
 	rewardFailures int
-	// lastReplica ran the item last.
+	// lastReplica is the replica of the current or last attempt.
 	lastReplica string
 	startedAt   time.Time
-	// hasFirstEvent says that the attempt has brought an event.
+	// hasFirstEvent says that the current attempt has received an event.
 	hasFirstEvent bool
-	// cancel, if not nil, ends the attempt under way.
+	// cancel, if not nil, cancels the current attempt.
 	cancel func()
-	// buffering says that events are kept in buffered, while another replica is asked to go
-	// on after the last one before.
+	// buffering says that events are kept in buffered during a hand-over: another replica is asked
+	// to continue after the last event before them.
 	buffering bool
 	buffered  []receivedEvent
 
@@ -81,8 +82,8 @@
 	return header
 }
 
-// expectedLength is the number of tokens that an item's answer should have, by its headers,
-// or else by its tokens in all.
+// expectedLength returns the expected number of tokens of an item's answer: the length hint in its
+// headers, else the second number of its token usage header, else tokens.
 func (r *Runner) expectedLength(header http.Header, tokens int64) int64 {
 	names := r.forwarder.Names
 	if hint, err := strconv.ParseInt(header.Get(names.LengthHint), 10, 64); err == nil && hint > 0 {
@@ -95,7 +96,7 @@
 	return tokens
 }
 
-// expectedBatchTokens is how many tokens a batch should make.
+// expectedBatchTokens returns the expected number of tokens of all answers of a batch.
 func (r *Runner) expectedBatchTokens(submission *batch.Submission) int64 {
 	work := int64(0)
 	for i := range submission.Items {
@@ -104,7 +105,7 @@
 	return work
 }
 
-// beginAttempt makes an attempt at a replica the one that counts, and returns its number.
+// beginAttempt makes a new attempt the current one and returns its number. The job's mutex is held.
 func (it *item) beginAttempt(replicaID string, now time.Time) int {
 	it.attempt++
 	it.lastReplica, it.startedAt = replicaID, now
@@ -119,5 +120,6 @@
 	}
 }
 
-// inProgress reports whether the item is at a replica, or its result is not listed yet.
+// inProgress reports whether the item runs at a replica or its result is pending. The job's mutex
+// is held.
 func (it *item) inProgress() bool { return it.state == itemRunning || it.state == itemResultPending }
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -15,39 +15,41 @@
 	"woodworks/internal/requests/route"
 )
 
-// job is one batch that this daemon runs.
+// job is a batch that this daemon runs.
 type job struct {
 	r          *Runner
 	submission *batch.Submission
-	// partition is the fold that the batch goes by.
+	// partition is the fold by which the job follows its batch: that of the whole partition or one
+	// that starts at the batch.
 	partition *ledger.Partition
 	adoptedAt time.Time
 	logger    *zap.Logger
 	ctx       context.Context
 	cancel    context.CancelFunc
 
-	// mu guards what is below, the fields of the items too.
+	// mu guards the fields below and the mutable fields of the items.
 	mu        sync.Mutex
 	items     []*item
 	placement placement
 	results   resultQueue
 	release   releaseState
-	// missedHeartbeats is how many heartbeats in a row were not recorded.
+	// missedHeartbeats is the number of consecutive heartbeats that the journal did not
+	// acknowledge.
 	missedHeartbeats int
 }
 
-// placement is what a job knows for the scheduler beside its items.
+// placement holds what the scheduler needs to know of a job besides its items.
 type placement struct {
-	// groups names the incarnation of the replica that last started an item of a group. A
-	// later one has not read the group's prompt.
+	// groups maps a group to the incarnation of the replica that last started one of its items. A
+	// later incarnation has not cached the group's prompt.
 	groups map[string]replica.Incarnation
-	// required are the groups that came again: the trainer waits for them.
+	// required are the groups that an earlier batch contained too: the trainer waits for them.
 	required map[string]bool
-	// lengths forecasts the lengths of texts of the batch's model.
+	// lengths estimates the lengths of the texts of the batch's model.
 	lengths *scheduling.Lengths
 }
 
-// newJob makes a job of an open batch. It is called within a view of the fold.
+// newJob returns a job of an open batch. It is called within a view of the fold.
 func newJob(r *Runner, partition *ledger.Partition, b *batch.Batch) *job {
 	submission := b.Submission
 	j := &job{
@@ -75,31 +77,32 @@
 	return j
 }
 
-// logOwned logs with what the job begins. It is called before the job is shared.
+// logOwned logs the state in which the job starts. It is called before other goroutines see the
+// job.
 func (j *job) logOwned() {
-	listed, begun := 0, 0
+	listed, started := 0, 0
 	for _, it := range j.items {
 		if it.state == itemListed {
 			listed++
 		}
 		if len(it.events) > 0 {
-			begun++
+			started++
 		}
 	}
 	s := j.submission
 	j.logger.Info("batch owned", zap.Int("items", len(j.items)), zap.Int("listed", listed),
-		zap.Int("begun", begun), zap.Int64("step", s.Step), zap.String("model", s.Model),
+		zap.Int("begun", started), zap.Int64("step", s.Step), zap.String("model", s.Model),
 		zap.Int64("min_version", s.MinVersion), zap.Int("desired", s.Desired), zap.Inline(j.partition))
 }
 
-// run keeps the job until its batch has no more to do here.
+// run runs the job until its batch needs nothing more from this daemon.
 func (j *job) run() {
 	defer j.cancel()
 	defer j.partition.Follow()()
 	go j.listResults()
 	go j.heartbeat()
-	beat := time.NewTicker(heartbeatInterval)
-	defer beat.Stop()
+	heartbeats := time.NewTicker(heartbeatInterval)
+	defer heartbeats.Stop()
 	for {
 		changed := j.partition.Changed()
 		if j.applyFold() {
@@ -109,15 +112,15 @@
 		case <-j.ctx.Done():
 			return
 		case <-changed:
-		case <-beat.C:
+		case <-heartbeats.C:
 			j.giveUpExpired()
 			go j.heartbeat()
 		}
 	}
 }
 
-// applyFold takes the fold into account and reports whether the job is done here. If so, its
-// account is closed.
+// applyFold applies the state of the fold to the job and reports whether the job has ended. If so,
+// it logs how the time was spent and publishes the mean item time.
 func (j *job) applyFold() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -136,12 +139,12 @@
 	}
 	j.logTimeBreakdown(reason, time.Now())
 	j.publishItemTime()
-	j.logger.Info("batch left", zap.String("reason", reason), zap.Duration("after", time.Since(j.adoptedAt)))
+	j.logger.Info("batch job ended", zap.String("reason", reason), zap.Duration("after", time.Since(j.adoptedAt)))
 	return true
 }
 
-// reasonToEnd returns why a batch has no more to do here by the fold, or "" if it has. The
-// mutex is held.
+// reasonToEnd returns why the job ends according to the fold, or "" if it continues. The mutex is
+// held.
 func (j *job) reasonToEnd(b *batch.Batch) string {
 	switch {
 	case b.Ended:
@@ -155,7 +158,8 @@
 	}
 }
 
-// markListed takes the results into account that are in the ledger. The mutex is held.
+// markListed marks the items whose results are in the ledger, and cancels their attempts. The mutex
+// is held.
 func (j *job) markListed(b *batch.Batch) {
 	for i, listed := range b.Listed {
 		it := j.items[i]
@@ -169,7 +173,8 @@
 	}
 }
 
-// noneInProgress reports whether nothing is left to finish here. The mutex is held.
+// noneInProgress reports whether no item is in progress and no result waits to be appended. The
+// mutex is held.
 func (j *job) noneInProgress() bool {
 	return len(j.results.pending) == 0 && !slices.ContainsFunc(j.items, (*item).inProgress)
 }
@@ -186,7 +191,7 @@
 	return count
 }
 
-// route returns the route of the batch by the configuration in force.
+// route returns the batch's route in the configuration in force.
 func (j *job) route() (*route.Route, bool) {
 	configuration := j.r.operator.Configuration()
 	if configuration == nil {
@@ -195,9 +200,9 @@
 	return configuration.Find(j.submission.Host, j.submission.Path)
 }
 
-// giveUpExpired lists as dead the waiting items that are older than their route lets them
-// grow. A batch's age is counted from when this owner began, by its steady clock: that is
-// never more than the true age, whatever time of day daemons believe.
+// giveUpExpired gives up the waiting items once the batch is older than its route allows. The age
+// is measured on the monotonic clock from the time this owner adopted the batch. It is therefore
+// never more than the true age, whatever the wall clocks of daemons show.
 func (j *job) giveUpExpired() {
 	rt, ok := j.route()
 	if !ok || !expired(time.Since(j.adoptedAt), rt.MaxQueue) {
@@ -207,7 +212,7 @@
 	defer j.mu.Unlock()
 	for _, it := range j.items {
 		if it.state == itemWaiting {
-			j.finishItem(it, batch.Result{Item: it.index, Outcome: batch.Dead}, "older than allowed")
+			j.finishItem(it, batch.Result{Item: it.index, Outcome: batch.Dead}, "exceeded the queue time limit")
 		}
 	}
 }
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -18,7 +18,7 @@
 	"woodworks/internal/membership/group"
 )
 
-// delayedJournal is a journal that answers each call after a time.
+// delayedJournal is a journal that delays the answer to each call.
 type delayedJournal struct {
 	journal.Journal
 	delay time.Duration
@@ -62,7 +62,7 @@
 	return l.Journal.Owners(ctx, name)
 }
 
-// watcherPeer is the daemon that watches all partitions. It implements results.Peers.
+// watcherPeer is the only peer, which watches all partitions. It implements results.Peers.
 type watcherPeer struct{ reader *results.Reader }
 
 func (watcherPeer) Daemons() int { return 3 }
@@ -71,8 +71,9 @@
 	return h.reader.Service(ctx).Beginning(asked.(results.BeginningQuery), answer.(*results.Beginning))
 }
 
-// timeToFirstHeartbeatDelayed is how long after its acceptance the owner of a new batch gives its first sign, and
-// who that is, with some bytes of other batches in the partition.
+// timeToFirstHeartbeatDelayed returns the time from the acceptance of a new batch to its owner's
+// first heartbeat, and that owner, behind a delayed journal. The partition holds the given bytes of
+// other batches.
 func timeToFirstHeartbeatDelayed(
 	ctx context.Context, t *testing.T, others int, takes time.Duration, groupTells bool,
 ) (took time.Duration, owner string) {
@@ -81,14 +82,14 @@
 	log := journaltest.New()
 	log.RecordBytes = 256 << 10
 	slow := delayedJournal{Journal: log, delay: takes}
-	held := ledger.New(ctx, slow, logger)
-	partition := held.Of("x")
+	watched := ledger.New(ctx, slow, logger)
+	partition := watched.Of("x")
 	appendOtherBatches(ctx, t, log, partition.Name(), others)
 	member := group.New(slow, watcher, ledger.TopicNames(), logger)
 	go member.Run(ctx)
 	defer partition.Follow()()
 	time.Sleep(10 * time.Second)
-	peers := watcherPeer{results.NewReader(held, fixedWatcher(watcher), nil, log.Grants(), watcher, logger)}
+	peers := watcherPeer{results.NewReader(watched, fixedWatcher(watcher), nil, log.Grants(), watcher, logger)}
 	locator := func(self string, batches *ledger.Ledger) Locator {
 		var watchers results.Watchers = fixedWatcher(watcher)
 		if groupTells {
@@ -105,17 +106,15 @@
 		t.Fatal(err)
 	}
 	go chosen.AdoptAssigned("x")
-	for begun := false; !begun && time.Since(began) < 20*time.Second; time.Sleep(time.Millisecond) {
-		begun, owner = firstHeartbeat(partition)
+	for seen := false; !seen && time.Since(began) < 20*time.Second; time.Sleep(time.Millisecond) {
+		seen, owner = firstHeartbeat(partition)
 	}
 	return time.Since(began), owner
 }
 
-// Where the journal took 0.25 s an answer, a new owner began 5.8 s after its batch was accepted
-// in a partition with 8 MB of others, in place of 1.2 s in an empty one: the question where the
-// batch begins was given up after 0.15 s, and the whole partition was read page by page, by the
-// owner and by the accepter each. The watcher has to hear of the batch from the same journal, and
-// whom to ask is told by it too, so that the bound ran out whenever an answer took longer.
+// With a slow journal, a new owner must not read the whole partition because the query for its
+// batch's offset has timed out: the watcher reads the batch from the same slow journal, and so does
+// the group that tells whom to ask.
 func TestANewOwnerReadsItsBatchAloneWhereTheJournalIsLate(t *testing.T) {
 	const others = 8 << 20
 	for name, groupTells := range map[string]bool{"the watcher is known": false, "the group tells": true} {
@@ -128,7 +127,7 @@
 					ctx := t.Context()
 					alone, _ := timeToFirstHeartbeatDelayed(ctx, t, 0, takes, groupTells)
 					among, owner := timeToFirstHeartbeatDelayed(ctx, t, others, takes, groupTells)
-					t.Logf("begun after %v alone, after %v among %d MB of others, by %s", alone, among, others>>20, owner)
+					t.Logf("first heartbeat after %v alone, after %v among %d MB of others, by %s", alone, among, others>>20, owner)
 					is.True(among <= alone+takes)
 				})
 			})
--- a/internal/batches/runner/listing.go
+++ b/internal/batches/runner/listing.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// listDelay is how long a result waits for others to be listed with.
+	// listDelay is how long a result waits for others, to be appended in one record.
 	listDelay = 10 * time.Millisecond
-	// listTimeout bounds one try to list results.
+	// listTimeout bounds one attempt to append results.
 	listTimeout = 2 * time.Second
 )
 
 // resultQueue holds the results that are not in the ledger yet.
 type resultQueue struct {
 	pending []batch.Result
-	// wake gets a value when there are some.
+	// wake receives a value when there are pending results.
 	wake chan struct{}
 }
 
-// finishItem hands a result to be listed. The mutex is held.
+// finishItem queues an item's result to be appended to the ledger; reason says why an item is dead.
+// The mutex is held.
 func (j *job) finishItem(it *item, result batch.Result, reason string) {
 	it.state = itemResultPending
 	it.timing.enter(phaseListing, time.Now())
@@ -41,8 +42,7 @@
 	signal(j.results.wake)
 }
 
-// listResults appends results to the ledger as they come, a few together, until the job
-// ends.
+// listResults appends queued results to the ledger, several per record, until the job ends.
 func (j *job) listResults() {
 	for {
 		select {
@@ -70,8 +70,8 @@
 	}
 }
 
-// appendResults appends results until it is certain that they are in the ledger, and reports whether
-// they are.
+// appendResults appends results, retrying until they are certain to be in the ledger. It reports
+// false if the job ended first.
 func (j *job) appendResults(results []batch.Result) bool {
 	record := batch.Listed(j.submission.ID, results)
 	failures := 0
--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -8,59 +8,62 @@
 	"woodworks/internal/membership/identity"
 )
 
-// The rules by which the owner of a batch is replaced.
+// The rules that decide when the owner of a batch is replaced.
 
 const (
-	// heartbeatTimeout is how long an owner may give no sign of life before another daemon
-	// takes its batch over.
+	// heartbeatTimeout is how long an owner may be silent before another daemon takes over its
+	// batch.
 	heartbeatTimeout = 1500 * time.Millisecond
-	// firstHeartbeatTimeout is how long the first owner of a batch may take to give its first
-	// sign of life. One that took a batch over has heartbeatTimeout from the start.
+	// firstHeartbeatTimeout is how long the first owner of a batch may take to send its first
+	// heartbeat. An owner that took a batch over has heartbeatTimeout from the start.
 	firstHeartbeatTimeout = 700 * time.Millisecond
-	// suspectTimeout is after how long an owner's machine is looked for among those alive: a
-	// new incarnation there proves that the owner is gone.
+	// suspectTimeout is how long an owner may be silent before it is checked against the daemons
+	// that are alive: a newer incarnation on its machine proves that it has ended.
 	suspectTimeout = 500 * time.Millisecond
-	// minStandByDelay is how long the daemon that accepted a batch waits for the owner's first
-	// sign of life, besides standBySteps times what the acceptance took: that many calls lie
-	// between the two.
+	// minStandByDelay is the minimum time that the accepting daemon waits for the first heartbeat
+	// of the owner. standByAcceptFactor times the duration of the acceptance is added, since about
+	// that many calls to the journal lie between acceptance and heartbeat.
 	minStandByDelay     = 300 * time.Millisecond
 	standByAcceptFactor = 4
 )
 
-// observation is what a daemon last saw of a batch's owner.
+// observation is what a daemon last observed of the owner of a batch.
 type observation struct {
 	partition journal.Partition
 	batch     string
 	owner     string
-	// signs is the batch's count of signs of life, over all its owners.
+	// signs is the number of records, over all owners, that showed the owner of the batch alive
+	// (batch.Batch.Signs).
 	signs int64
-	// unchangedSince is since when nothing new was seen.
+	// unchangedSince is the time since which nothing new was observed.
 	unchangedSince time.Time
-	// checkedGeneration is the generation of the group in which the owner was last looked for among
-	// those alive.
+	// checkedGeneration is the generation of the group in which the owner was last checked against
+	// the daemons that are alive.
 	checkedGeneration int64
-	// confirmStart is when the read began that confirmed the silence, or zero.
+	// confirmStart is the start of the read that confirmed the silence, or zero.
 	confirmStart time.Time
 }
 
-// unchanged reports whether the batch shows nothing new of its owner since.
+// unchanged reports whether the batch is still open, has the same owner and shows no new sign of
+// life since the observation.
 func (o observation) unchanged(b *batch.Batch) bool {
 	return b.Open() && b.Owner == o.owner && b.Signs == o.signs
 }
 
-// silentFor is for how long the owner is known to have given no sign.
+// silentFor returns how long the owner is known to have been silent: up to the start of the
+// confirming read, as a later record might not have been read.
 func (o observation) silentFor() time.Duration { return o.confirmStart.Sub(o.unchangedSince) }
 
-// suspectsOwner reports whether the owner is to be looked for: once in each generation of the
-// group, when it has been silent, and always if the batch has none or it is an incarnation
-// of the own machine.
+// suspectsOwner reports whether the owner is to be checked: once per generation of the group, when
+// it has been silent for suspectTimeout, and always if the batch has no owner or the owner is an
+// incarnation on this machine.
 func (o observation) suspectsOwner(self string, generation int64, now time.Time) bool {
 	return o.owner == "" || o.checkedGeneration != generation || now.Sub(o.unchangedSince) > suspectTimeout ||
 		identity.Machine(o.owner) == identity.Machine(self)
 }
 
-// reasonToReplace returns why the owner of a batch whose silence is confirmed is to be
-// replaced, or "" if it is not. Alive are the daemons of the group.
+// reasonToReplace returns why the owner is to be replaced, or "" if it is not. Its silence must be
+// confirmed; alive are the daemons of the group.
 func (o observation) reasonToReplace(alive []string) string {
 	switch {
 	case o.owner == "":
@@ -68,7 +71,7 @@
 	case identity.Replaced(o.owner, alive):
 		return "owner replaced"
 	case o.signs == 0 && o.silentFor() > firstHeartbeatTimeout:
-		return "owner has not begun"
+		return "no first heartbeat"
 	case o.silentFor() > heartbeatTimeout:
 		return "owner silent"
 	default:
@@ -76,8 +79,8 @@
 	}
 }
 
-// standByDelay is how long the daemon that accepted a batch for another one waits before it
-// takes the batch over, by how long the acceptance took.
+// standByDelay returns how long the daemon that accepted a batch for another owner waits before it
+// takes the batch over; accepting is how long the acceptance took.
 func standByDelay(accepting time.Duration) time.Duration {
 	return minStandByDelay + standByAcceptFactor*accepting
 }
--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -12,35 +12,34 @@
 	"woodworks/internal/requests/route"
 )
 
-// scheduledItems are the items of newOwner's batch as the scheduler gets them.
+// scheduledItems returns the items of newOwner's batch in the form that the scheduler gets.
 func scheduledItems(owner *Runner) []scheduling.Item { return owner.views(time.Now())["s"].Items }
 
-// An item whose first event takes longer than is usual is told to be silent, until its
-// run brings one.
+// An item whose first event is overdue is reported as such until the event arrives.
 func TestOverdueFirstEventIsReportedToScheduler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
 		owner := newOwnerOfTwo(ctx, t, journaltest.New())
-		begun := markRunning(owner, 1)
-		begun.items[0].startedAt = time.Now()
+		j := markRunning(owner, 1)
+		j.items[0].startedAt = time.Now()
 		for range 100 {
 			owner.firstEvents.Observe("s", 20*time.Millisecond)
 		}
-		usual := owner.firstEvents.OverdueAfter("s")
-		is.True(usual < scheduling.MaxFirstEvent)
-		time.Sleep(usual)
+		expected := owner.firstEvents.OverdueAfter("s")
+		is.True(expected < scheduling.MaxFirstEvent)
+		time.Sleep(expected)
 		is.Equal(scheduledItems(owner)[0].Overdue, time.Duration(0))
 		time.Sleep(time.Second)
 		is.Equal(scheduledItems(owner)[0].Overdue, time.Second)
-		first := runningAttempt(begun, 0)
+		first := runningAttempt(j, 0)
 		first.route = &route.Route{Shares: []route.Share{{Service: "s", Weight: 1}}}
 		first.recordFirstEvent()
 		is.Equal(scheduledItems(owner)[0].Overdue, time.Duration(0))
 	})
 }
 
-// Only items that were never begun may be deferred for their step's sake.
+// Only items that were never started may be deferred.
 func TestFailedItemsAreNotDeferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/batches/runner/release.go
+++ b/internal/batches/runner/release.go
@@ -10,13 +10,14 @@
 	"woodworks/internal/batches/ledger"
 )
 
-// handOffTimeout is how long an item is left to the owner that released it.
+// handOffTimeout is how long a new owner leaves an item to the owner that released the batch.
 const handOffTimeout = 5 * time.Second
 
-// releaseState is how far a job's release is: begun, and its record in the journal.
+// releaseState is the progress of a job's release: begun, and recorded in the journal.
 type releaseState struct{ begun, recorded bool }
 
-// startRelease releases the batch: no more items start, those under way go on.
+// startRelease releases the batch: no more items start, and those in progress continue. It returns
+// once the release is recorded or ctx ends.
 func (j *job) startRelease(ctx context.Context) {
 	j.mu.Lock()
 	j.release.begun = true
@@ -31,7 +32,7 @@
 	j.logger.Info("batch released", zap.Int("under_way", len(handedOff)))
 	record := batch.Released(j.submission.ID, j.r.self, handedOff)
 	if err := j.r.appendWithRetry(ctx, j.partition, record); err != nil {
-		// The watchers take the batch over as its owner is silent.
+		// The watchers take the batch over once its owner is silent.
 		j.logger.Info("release not recorded", zap.Error(err))
 		return
 	}
@@ -41,9 +42,9 @@
 	j.returnItems(ctx)
 }
 
-// returnItems tells the next owner of the items that this one will not finish after all, which
-// would otherwise be at no replica until handOffWait is over. Nothing is given back before
-// the release is recorded: the fold would not take it.
+// returnItems informs the next owner of handed-off items that failed here, which it would otherwise
+// not start until handOffTimeout has passed. It does nothing before the release is recorded, as the
+// fold would ignore the record.
 func (j *job) returnItems(ctx context.Context) {
 	j.mu.Lock()
 	var items []int
@@ -61,8 +62,7 @@
 	j.logger.Info("items given back", zap.Ints("items", items), zap.Error(err))
 }
 
-// markReturned lets the items start that the owner before has given back. The mutex is
-// held.
+// markReturned allows the items to start that the releasing owner has returned. The mutex is held.
 func (j *job) markReturned(b *batch.Batch) {
 	if j.release.begun {
 		return
@@ -75,9 +75,9 @@
 	}
 }
 
-// releaseUnstarted releases a batch that came to this daemon while its stop began, and that
-// it therefore does not run: the stop itself releases what is run. The record changes
-// nothing where the batch is not this daemon's.
+// releaseUnstarted releases a batch that this daemon came to own while it was stopping and
+// therefore does not run; Release itself releases the batches that run. The record has no effect if
+// the batch has another owner.
 func (r *Runner) releaseUnstarted(partition *ledger.Partition, batchID string) {
 	r.mu.Lock()
 	_, runs := r.jobs[batchID]
@@ -90,16 +90,15 @@
 	r.logger.Info("batch released unstarted", zap.String("batch", batchID), zap.Error(err))
 }
 
-// Release releases all batches: no more items are started, each batch gets a record that
-// says so, and the items under way are finished. It returns when they are, or when the
-// context ends.
+// Release stops the runner: it starts no more items, records the release of each batch and waits
+// until the items in progress are finished or ctx ends.
 func (r *Runner) Release(ctx context.Context) {
 	r.mu.Lock()
 	r.stopping.Store(true)
 	r.mu.Unlock()
 	for _, j := range r.jobList() {
-		// Counted: a batch with nothing under way is left at once, and its record must
-		// be in the journal all the same before the daemon ends.
+		// Counted as work: the job of a batch without items in progress ends at once, but its
+		// record must be in the journal before the daemon ends.
 		r.work.Go(func() { j.startRelease(ctx) })
 	}
 	done := make(chan struct{})
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -21,7 +21,7 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// withJournal runs a test in a bubble of synctest, with a journal of its own.
+// withJournal runs a test in a synctest bubble with its own journal.
 func withJournal(
 	t *testing.T, test func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal),
 ) {
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) { test(t.Context(), t, is.New(t), journaltest.New()) })
 }
 
-// newOwner is a daemon that owns what it accepts, with one replica of the service "s".
+// newOwner returns a daemon that owns what it accepts, with one replica of the service "s".
 func newOwner(ctx context.Context, t *testing.T, log journal.Journal, self string) *Runner {
 	t.Helper()
 	table := replica.NewTable(time.Second, zap.NewNop())
@@ -37,7 +37,8 @@
 	return newRunner(ctx, log, self, self, operatorWithMaxQueue(t, time.Minute), table)
 }
 
-// newRunner is a daemon with its replicas; the group gives its batches to owner.
+// newRunner returns the runner of daemon self with the given replicas. The group assigns its
+// batches to owner.
 func newRunner(
 	ctx context.Context, log journal.Journal, self, owner string, operator Operator, table *replica.Table,
 ) *Runner {
@@ -50,10 +51,10 @@
 	return New(ctx, self, ledger.New(ctx, log, logger), forwarder, operator, nil, assigner, ledgerLocator{}, logger)
 }
 
-// twoItems is a batch for the route of newOwner.
+// twoItems is a batch of two items for newOwner's route.
 var twoItems = batch.Submission{ID: "x", Host: "h", Path: "/p/x", Items: []batch.Item{{ID: "i"}, {ID: "j"}}}
 
-// newOwnerOfTwo is an owner "a/1" of twoItems, in a bubble of synctest.
+// newOwnerOfTwo returns an owner "a/1" of twoItems. It must run in a synctest bubble.
 func newOwnerOfTwo(ctx context.Context, t *testing.T, log journal.Journal) *Runner {
 	t.Helper()
 	owner := newOwner(ctx, t, log, "a/1")
@@ -62,7 +63,7 @@
 	return owner
 }
 
-// markRunning makes the first items of a batch run, as far as its owner believes.
+// markRunning marks the first items of an owner's batch as running at its replica.
 func markRunning(owner *Runner, count int) *job {
 	j := owner.jobList()[0]
 	j.mu.Lock()
@@ -73,22 +74,23 @@
 	return j
 }
 
-// stoppingOwnerOfTwo is an owner "a/1" of twoItems that stops while both run.
+// stoppingOwnerOfTwo returns the job of an owner "a/1" of twoItems that is stopping while both
+// items run.
 func stoppingOwnerOfTwo(ctx context.Context, t *testing.T, log journal.Journal) *job {
 	t.Helper()
 	owner := newOwnerOfTwo(ctx, t, log)
-	begun := markRunning(owner, 2)
+	j := markRunning(owner, 2)
 	go owner.Release(ctx)
 	synctest.Wait()
-	return begun
+	return j
 }
 
-// runningAttempt is the attempt that an item of running is at.
+// runningAttempt returns the attempt of an item that markRunning has marked.
 func runningAttempt(j *job, i int) *attempt {
 	return attemptAt("engine", j, j.items[i], 1, &route.Route{})
 }
 
-// startable returns how many items a daemon would start if there were room.
+// startable returns the number of items that a daemon would start if there were room.
 func startable(owner *Runner) int {
 	v := owner.views(time.Now())["s"]
 	if v == nil {
@@ -97,49 +99,47 @@
 	return len(v.routed)
 }
 
-// An owner that stops names the items that it still finishes, and the next owner leaves
-// them alone for 5 s. One of them whose run broke after the stop had begun was started by
-// neither for that long and the handing over, which is 5.2 s at no replica while replicas
-// had room. The owner that stops gives such an item back at once.
+// A handed-off item that fails at the stopping owner is returned at once, so that the next owner
+// starts it before handOffTimeout has passed.
 func TestItemFailingDuringReleaseIsReturnedToNextOwner(t *testing.T) {
 	for _, early := range []bool{false, true} {
 		withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 			first, second := newOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "b/1")
-			begun := markRunning(first, 2)
+			released := markRunning(first, 2)
 			if early {
-				// The run breaks while the record of the release is on its way.
+				// The attempt fails before the release is recorded.
 				log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
 			}
 			go first.Release(ctx)
 			synctest.Wait()
-			runningAttempt(begun, 0).handleOutcome(errors.New("reset"))
+			runningAttempt(released, 0).handleOutcome(errors.New("reset"))
 			time.Sleep(200 * time.Millisecond)
 			log.SetBefall(nil)
 			time.Sleep(200 * time.Millisecond)
 			is.NoErr(second.TakeOver(ctx, "x", ""))
 			time.Sleep(200 * time.Millisecond)
-			is.Equal(startable(second), 1) // the other one still runs at the first owner
+			is.Equal(startable(second), 1) // the other item still runs at the first owner
 			time.Sleep(handOffTimeout)
 			is.Equal(startable(second), 2)
 		})
 	}
 }
 
-// The next owner hears also of an item that breaks after it has begun itself.
+// An item may also fail after the next owner has adopted the batch.
 func TestItemFailingAfterTakeOverIsReturnedToNextOwner(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
-		begun, second := stoppingOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "b/1")
+		released, second := stoppingOwnerOfTwo(ctx, t, log), newOwner(ctx, t, log, "b/1")
 		is.NoErr(second.TakeOver(ctx, "x", ""))
 		time.Sleep(time.Second)
 		is.Equal(startable(second), 0)
-		runningAttempt(begun, 1).handleOutcome(errors.New("reset"))
+		runningAttempt(released, 1).handleOutcome(errors.New("reset"))
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(startable(second), 1)
 	})
 }
 
-// An owner that took a batch over and then fell silent had not finished what an owner
-// before it had been left: its successor left the same items alone for 5 s once more.
+// If the next owner falls silent in turn, its successor must not wait for the handed-off items
+// again.
 func TestHandedOffItemsDelayOnlyFirstSuccessor(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		stoppingOwnerOfTwo(ctx, t, log)
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -11,50 +11,50 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// The rules by which items are tried again and given up.
+// The rules that decide whether an item is tried again or given up.
 
 const (
-	// retryDelay is how long an item waits after an attempt that failed, and how long a
-	// replica without a free slot is spared.
+	// retryDelay is the delay before the next attempt at an item, and how long a replica is avoided
+	// to which this daemon has no free connection.
 	retryDelay = 20 * time.Millisecond
-	// firstEventTimeout is how long the first sign of an answer may take, for the first
-	// attempt; it doubles with each further one, up to maxFirstEventTimeout.
+	// firstEventTimeout bounds the wait for a replica's first response at the first attempt. It
+	// doubles with each attempt up to maxFirstEventTimeout.
 	firstEventTimeout    = scheduling.MaxFirstEvent
 	maxFirstEventTimeout = 10 * time.Second
-	// minEventTimeout is the least that is waited for a further event, and eventTimes how many
-	// times the replica's event time (a median).
+	// minEventTimeout is the minimum timeout for a further event; eventTimeoutFactor times the
+	// replica's median event time applies if that is longer.
 	minEventTimeout    = 1200 * time.Millisecond
 	eventTimeoutFactor = 4
 )
 
-// fault is what a failed attempt says of its replica.
+// fault is the fault of a replica that a failed attempt shows.
 type fault int
 
 const (
-	// noFault: the replica has done nothing wrong.
+	// noFault: the replica is not at fault.
 	noFault fault = iota
-	// faultDeclined: it takes nothing now, as its weights change or are too old.
+	// faultDeclined: the replica declines requests, or its weights are too old.
 	faultDeclined
-	// faultFull: this daemon has no connection left to it.
+	// faultFull: this daemon has no free connection to the replica.
 	faultFull
-	// faultFailed: it is not there, or broke off.
+	// faultFailed: the replica was unreachable or the stream broke off.
 	faultFailed
 )
 
-// retryDecision is what becomes of an item after a failed attempt.
+// retryDecision says what follows a failed attempt at an item.
 type retryDecision struct {
 	fault fault
-	// countsAsFailure says that the failure is the item's, by its replica's answer.
+	// countsAsFailure says that the replica's answer reports a failure of the item itself.
 	countsAsFailure bool
-	// delay is how long the item waits for its next attempt.
+	// delay is the delay before the item's next attempt.
 	delay time.Duration
-	// deadReason says why the item is given up, "" if it is tried again.
+	// deadReason says why the item is given up; it is "" if the item is tried again.
 	deadReason string
 }
 
-// decideRetry is the rule for items whose attempt failed: only a replica's own answer counts
-// against an item, as often as its route allows attempts; all else is tried again until the
-// item is older than its route allows. Failures are those of the item before this one.
+// decideRetry decides what follows a failed attempt. Only answers of replicas count as failures of
+// the item, up to maxAttempts; after any other cause the item is tried again until it expires.
+// failures is the number of failures before this one.
 func decideRetry(cause error, failures, maxAttempts int) retryDecision {
 	var status *forward.StatusError
 	var quarantined *forward.QuarantinedError
@@ -75,7 +75,7 @@
 func decideRetryForStatus(status, failures, maxAttempts int) retryDecision {
 	switch {
 	case status == http.StatusUnprocessableEntity:
-		return retryDecision{deadReason: "cannot be done"}
+		return retryDecision{deadReason: "rejected as unprocessable"}
 	case status == http.StatusInternalServerError && exhausted(failures+1, maxAttempts):
 		return retryDecision{countsAsFailure: true, deadReason: "failed at every attempt"}
 	default:
@@ -83,8 +83,8 @@
 	}
 }
 
-// handOverFault is what a failed hand-over says of the replica that was asked; the item goes on
-// where it is.
+// handOverFault returns the fault of the replica that was asked in a failed hand-over. The item
+// continues at its current replica.
 func handOverFault(cause error) fault {
 	var quarantined *forward.QuarantinedError
 	switch {
@@ -97,19 +97,20 @@
 	}
 }
 
-// exhausted reports whether a route allows no more attempts after so many failures.
+// exhausted reports whether no attempt is left after the given number of failures.
 func exhausted(failures, maxAttempts int) bool { return failures >= max(maxAttempts, 1) }
 
-// expired reports whether an item is given up that has waited since its batch came to this
-// owner. A route without a limit lets items wait for ever.
+// expired reports whether a waiting item whose batch was adopted the given time ago is given up. A
+// maxQueue of 0 means no limit.
 func expired(age, maxQueue time.Duration) bool { return maxQueue > 0 && age >= maxQueue }
 
-// firstEventTimeoutOf returns how long the first sign of an answer may take at an attempt.
+// firstEventTimeoutOf returns the timeout for the replica's first response at an attempt, numbered
+// from 1.
 func firstEventTimeoutOf(attempt int) time.Duration {
 	return min(firstEventTimeout<<min(attempt-1, 3), maxFirstEventTimeout)
 }
 
-// eventTimeoutOf returns how long a further event may take at a replica.
+// eventTimeoutOf returns the timeout for a further event of a replica with the given event time.
 func eventTimeoutOf(eventTime time.Duration) time.Duration {
 	return max(minEventTimeout, eventTimeoutFactor*eventTime)
 }
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -14,7 +14,7 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// configuredOperator is an operator that has given one configuration.
+// configuredOperator is an operator with one configuration.
 type configuredOperator struct {
 	emptyOperator
 	configuration *route.Configuration
@@ -22,7 +22,7 @@
 
 func (c configuredOperator) Configuration() *route.Configuration { return c.configuration }
 
-// operatorWithMaxQueue is an operator whose one route lets batches wait for a time.
+// operatorWithMaxQueue returns an operator with one route, which lets batches wait for maxQueue.
 func operatorWithMaxQueue(t *testing.T, maxQueue time.Duration) configuredOperator {
 	t.Helper()
 	configuration, err := route.New(route.Declared{Routes: []route.Route{{
@@ -34,8 +34,8 @@
 	return configuredOperator{configuration: configuration}
 }
 
-// newWaitingJob is a batch with one waiting item, accepted by a daemon whose clock shows
-// another time of day than the owner's.
+// newWaitingJob returns a job with one waiting item, accepted by a daemon whose wall clock is
+// behind the owner's by the given time.
 func newWaitingJob(t *testing.T, behind, maxQueue time.Duration) *job {
 	t.Helper()
 	j, it := newMovingJob(t)
@@ -51,11 +51,8 @@
 	return j
 }
 
-// The accepting daemon's time of day stood in the batch's record, and its owner took the
-// difference to its own for the batch's age. Where the owner's clock was ahead by more
-// than the route lets items wait (60 s), every item that waited was listed as dead 0.35 s
-// after the owner had begun; where it was behind, none was ever given up. How old a batch
-// is says the owner's steady clock.
+// The age of a batch must be measured by the owner's monotonic clock. By the wall clocks, items
+// would expire at once, or never, if those of accepting daemon and owner differ.
 func TestExpiryUsesMonotonicClock(t *testing.T) {
 	const maxQueue = time.Minute
 	for _, behind := range []time.Duration{-time.Hour, -time.Minute, 0, 3 * time.Minute, time.Hour} {
@@ -64,7 +61,7 @@
 				is := is.New(t)
 				j := newWaitingJob(t, behind, maxQueue)
 				j.giveUpExpired()
-				is.Equal(len(j.results.pending), 0) // nothing is old at the start
+				is.Equal(len(j.results.pending), 0) // not expired at the start
 				time.Sleep(maxQueue - time.Millisecond)
 				j.giveUpExpired()
 				is.Equal(len(j.results.pending), 0)
@@ -77,18 +74,18 @@
 	}
 }
 
-// Only a replica's own answer counts against an item, and what an attempt says of its
-// replica decides who gets the next one.
+// Only answers of replicas count as failures of an item, and the fault decides whether the replica
+// is avoided.
 func TestDecideRetry(t *testing.T) {
 	is := is.New(t)
-	again := func(f fault) retryDecision { return retryDecision{fault: f, delay: retryDelay} }
+	retried := func(f fault) retryDecision { return retryDecision{fault: f, delay: retryDelay} }
 	is.Equal(decideRetry(&forward.QuarantinedError{RetryAfter: time.Minute}, 9, 3), retryDecision{delay: time.Minute})
-	is.Equal(decideRetry(forward.ErrDeclined, 9, 3), again(faultDeclined))
-	is.Equal(decideRetry(errTooOld, 9, 3), again(faultDeclined))
-	is.Equal(decideRetry(upstream.ErrFull, 9, 3), again(faultFull))
-	is.Equal(decideRetry(context.Canceled, 9, 3), again(faultFailed))
-	is.Equal(decideRetry(&forward.StatusError{Status: 503}, 9, 3), again(noFault))
-	is.Equal(decideRetry(&forward.StatusError{Status: 422}, 0, 3), retryDecision{deadReason: "cannot be done"})
+	is.Equal(decideRetry(forward.ErrDeclined, 9, 3), retried(faultDeclined))
+	is.Equal(decideRetry(errTooOld, 9, 3), retried(faultDeclined))
+	is.Equal(decideRetry(upstream.ErrFull, 9, 3), retried(faultFull))
+	is.Equal(decideRetry(context.Canceled, 9, 3), retried(faultFailed))
+	is.Equal(decideRetry(&forward.StatusError{Status: 503}, 9, 3), retried(noFault))
+	is.Equal(decideRetry(&forward.StatusError{Status: 422}, 0, 3), retryDecision{deadReason: "rejected as unprocessable"})
 	is.Equal(decideRetry(&forward.StatusError{Status: 500}, 1, 3), retryDecision{countsAsFailure: true, delay: retryDelay})
 	is.Equal(decideRetry(&forward.StatusError{Status: 500}, 2, 3),
 		retryDecision{countsAsFailure: true, deadReason: "failed at every attempt"})
@@ -96,6 +93,7 @@
 		retryDecision{countsAsFailure: true, deadReason: "failed at every attempt"})
 }
 
+// The timeout for the first event doubles with each attempt, up to its maximum.
 func TestFirstEventTimeoutDoubles(t *testing.T) {
 	is := is.New(t)
 	for attempt, timeout := range []time.Duration{
@@ -105,9 +103,8 @@
 	}
 }
 
-// A hand-over that finds no free connection of this daemon (upstream.ErrFull) says nothing of
-// the replica that was asked: it was avoided by all batches for 0.2 to 3 s, as if it had failed,
-// where an attempt that meets the same spares it for 20 ms.
+// A hand-over that fails because this daemon has no free connection (upstream.ErrFull) must not
+// mark the replica as failed: other batches would avoid it for seconds.
 func TestAFullPoolIsNoFailureOfTheReplicaAsked(t *testing.T) {
 	is := is.New(t)
 	is.Equal(handOverFault(upstream.ErrFull), faultFull)
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -17,23 +17,25 @@
 )
 
 const (
-	// rewardTimeout bounds one try of a reward call, where its route allows no less.
+	// rewardTimeout bounds one attempt at a reward call; a shorter timeout of its route applies
+	// instead.
 	rewardTimeout = 2 * time.Second
-	// rewardBackoff is the time before the second try of a reward call; it doubles with each
-	// further one, up to maxRewardPause.
+	// rewardBackoff is the delay before the second attempt at a reward call. It doubles with each
+	// attempt up to maxRewardBackoff.
 	rewardBackoff    = 50 * time.Millisecond
 	maxRewardBackoff = time.Second
-	// rewardSlotFraction is the part of a service's slots that reward calls may fill: they come in
-	// bursts, and clients' requests must find room beside them. rewardRoomPause is the time
-	// between two looks for room.
+	// rewardSlotFraction is the fraction of a service's slots that reward calls may fill: they come
+	// in bursts and must leave room for requests of clients. rewardRoomDelay is the delay before
+	// room is checked again.
 	rewardSlotFraction = 0.6
 	rewardRoomDelay    = 8 * time.Millisecond
 )
 
-// errRewardFailed: the reward call's replica said at every attempt that it failed.
-var errRewardFailed = errors.New("runner: reward call fails at every attempt")
+// errRewardFailed says that replicas reported a failure of the reward call at every attempt that
+// its route allows.
+var errRewardFailed = errors.New("runner: reward call failed at every attempt")
 
-// score has a whole text scored and hands it to be listed.
+// score sends the reward call of a completed text, if the item has one, and queues the result.
 func (j *job) score(it *item) {
 	result, ok := j.beginScoring(it)
 	if !ok {
@@ -59,8 +61,8 @@
 	}
 }
 
-// beginScoring ends the text of a running item and returns its result without a score, and false
-// if the item does not run any more.
+// beginScoring marks a running item as complete and returns its result without a score. It returns
+// false if the item does not run any more.
 func (j *job) beginScoring(it *item) (result batch.Result, ok bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -78,10 +80,10 @@
 	}, true
 }
 
-// reward sends an item's reward call until it has a signature, or its service
-// has failed as often as its route allows.
+// reward sends an item's reward call until it succeeds, which returns the score, or has failed as
+// often as its route allows.
 func (j *job) reward(it *item) (string, error) {
-	pause := rewardBackoff
+	backoff := rewardBackoff
 	for j.ctx.Err() == nil {
 		configuration := j.r.operator.Configuration()
 		rewardRoute, ok := configuration.Find(it.Reward.Host, it.Reward.Path)
@@ -97,13 +99,13 @@
 				return score, err
 			}
 		}
-		periodic.Pause(j.ctx, pause)
-		pause = min(2*pause, maxRewardBackoff)
+		periodic.Pause(j.ctx, backoff)
+		backoff = min(2*backoff, maxRewardBackoff)
 	}
 	return "", j.ctx.Err()
 }
 
-// hasRewardRoom reports whether a reward call may go to a service now.
+// hasRewardRoom reports whether a reward call may be sent to the route's service now.
 func (r *Runner) hasRewardRoom(rt *route.Route) bool {
 	slots, inFlight := 0, 0
 	for _, rep := range r.table.Replicas(rt.Shares[0].Service) {
@@ -113,7 +115,8 @@
 	return float64(inFlight) < max(rewardSlotFraction*float64(slots), 1)
 }
 
-// attemptReward makes one attempt at the reward call.
+// attemptReward makes one attempt at the reward call. It reports done if no further attempt is to
+// follow.
 func (j *job) attemptReward(it *item, rt *route.Route) (score string, done bool, err error) {
 	timeout := rewardTimeout
 	if rt.Timeout > 0 {
@@ -140,7 +143,7 @@
 	return "", false, nil
 }
 
-// newRewardCall is the reward call of an item, to be attempted once.
+// newRewardCall returns an item's reward call, for one attempt.
 func (j *job) newRewardCall(it *item, rt *route.Route) *forward.Call {
 	return &forward.Call{
 		Request: forward.Request{
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -1,35 +1,35 @@
-// Package runner runs the items of the batches that this daemon owns, and takes over those
-// whose owner is gone. It picks replicas, follows the answers event by event, resumes what
-// broke, has texts scored and lists results in the ledger.
+// Package runner runs the items of the batches that this daemon owns, and takes over batches whose
+// owner has ended. It chooses replicas, reads the answers event by event, resumes interrupted
+// items, has texts scored and appends the results to the ledger.
 //
-// It owns the jobs (one a batch that runs here, with its items) in memory only: what must
-// last is in the batch's partition of the ledger, from which the next owner goes on. It
-// relies on the ledger's folds, which say who owns a batch; on the replica table for what is
-// known of replicas; on the forwarder to reach them; and on the group for who is alive and
+// Jobs (one per batch that runs here, with its items) are kept in memory only. Everything that must
+// survive the process is in the batch's partition of the ledger, from which the next owner
+// continues. The folds of the ledger say who owns a batch, the replica table what is known of
+// replicas, the forwarder sends requests to them, and the group says which daemons are alive and
 // which partitions this daemon watches.
 //
-// Files that decide: retry.go (which attempt follows, when an item is given up), owner.go
-// (when an owner is replaced), assign.go (who owns a new batch), reward.go (when a reward call
-// may go), and the packages scheduling (what starts and moves where) and occupancy (what is
-// left to other owners).
+// Decisions: retry.go (whether an item is tried again or given up), owner.go (when an owner is
+// replaced), assign.go (who owns a new batch), reward.go (when a reward call may be sent), and the
+// packages scheduling (which items start or move, and where) and occupancy (how many slots are left
+// to other owners).
 //
-// Files that hold state: runner.go (the jobs), job.go (one batch), item.go, text.go and timing.go
-// (one item), history.go (a model's batches before), engineshare.go (what waits, for other owners
-// to know; enginedemand.go works it out), and for the batches of others watcher.go (what was seen
-// of their owners) and takeover.go (the reads that confirm silence).
+// State: runner.go (the jobs), job.go (one batch), item.go, text.go and timing.go (one item),
+// history.go (earlier batches of a model), engineshare.go (the demand reported to other owners;
+// enginedemand.go computes it). For batches of other owners: watcher.go (what was last observed of
+// the owner) and takeover.go (the reads that confirm that an owner is silent).
 //
-// All others carry out: for all batches dispatch.go; for an item snapshot.go, attempt.go,
-// handover.go, listing.go, heartbeat.go; for a batch on its way from owner to owner adopt.go,
-// fold.go, standby.go and release.go.
+// Execution: dispatch.go for all batches; snapshot.go, attempt.go, handover.go, listing.go and
+// heartbeat.go for one item or batch; adopt.go, fold.go, standby.go and release.go for a batch that
+// changes its owner.
 //
 // # Usage
 //
 //	r := runner.New(ctx, self, batches, forwarder, operator, demands, assigner, locator, logger)
-//	go r.Run(ctx)                             // starts items as replicas have room
-//	go assigner.Run(ctx, r.AdoptWhenSeen)     // batches accepted elsewhere
-//	go runner.NewWatcher(r, group).Run(ctx)   // batches whose owner is gone
-//	err := r.Accept(ctx, submission)          // a new batch
-//	r.Release(ctx)                            // at a planned stop
+//	go r.Run(ctx)                             // starts items when replicas have room
+//	go assigner.Run(ctx, r.AdoptAssigned)     // adopts batches that other daemons accepted
+//	go runner.NewWatcher(r, group).Run(ctx)   // takes over batches whose owner has ended
+//	err := r.Accept(ctx, submission)          // accepts a new batch
+//	r.Release(ctx)                            // releases all batches at a planned stop
 package runner
 
 import (
@@ -53,28 +53,27 @@
 	"woodworks/internal/requests/route"
 )
 
-// Errors of taking work in.
+// Errors of Accept, End and TakeOver.
 var (
-	// ErrNotDone: the work was not taken and will not be.
+	// ErrNotDone is returned when the call had no effect and will have none.
 	ErrNotDone = errors.New("runner: not taken")
-	// ErrUnknown: the work may have been taken.
+	// ErrUnknown is returned when it is unknown whether the call has had or will have its effect.
 	ErrUnknown = errors.New("runner: outcome unknown")
-	// ErrStopping: this daemon takes no more work; it is an ErrNotDone.
+	// ErrStopping is returned once Release has been called. It wraps ErrNotDone.
 	ErrStopping = errors.Wrap(ErrNotDone, "runner: stopping")
 )
 
-// SubmitTimeout bounds how long a caller of Accept or End is kept waiting while the journal does
-// not answer.
+// SubmitTimeout bounds a call of Accept or End while the journal does not answer.
 const SubmitTimeout = 2500 * time.Millisecond
 
-// journalRetryDelay is the time between two tries at a call to the journal.
+// journalRetryDelay is the delay before a failed call to the journal is repeated.
 const journalRetryDelay = 100 * time.Millisecond
 
-// Operator tells what the operator has set.
+// Operator provides the settings made by the operator.
 type Operator interface {
-	// Configuration returns the configuration in force, or nil.
+	// Configuration returns the configuration in force, or nil if there is none.
 	Configuration() *route.Configuration
-	// Named returns the newest version named of each model.
+	// Named returns, by model, the newest version that the operator has named.
 	Named() map[string]int64
 }
 
@@ -93,32 +92,32 @@
 	assigner  *Assigner
 	locator   Locator
 	observe   PhaseObserver
-	// sharing is nil where the settings name no address for peers: nothing is known of other
-	// owners then.
+	// sharing is nil if no address for peers is configured: nothing is known of other owners then.
 	sharing *engineSharing
 
 	history       *history
 	firstEvents   scheduling.FirstEvents
 	confirmations confirmations
-	// lastMoveRound is when items were last moved. Only the dispatcher uses it.
+	// lastMoveRound is the time of the last pass in which items could be moved. Only the dispatcher
+	// uses it.
 	lastMoveRound time.Time
-	// wake has the dispatcher look again.
+	// wake wakes the dispatcher.
 	wake chan struct{}
-	// started counts the items sent to a replica.
+	// started counts the attempts sent to replicas.
 	started atomic.Uint64
-	// work is what a stop waits for.
+	// work counts the work that Release waits for.
 	work sync.WaitGroup
 
-	// mu guards jobs and closed, and that no work begins after stopping is set.
+	// mu guards jobs and closedBatches. It also ensures that no work is added after stopping is
+	// set.
 	mu       sync.Mutex
 	jobs     map[string]*job
 	stopping atomic.Bool
-	// closedBatches are the batches that a job here has lately found closedBatches.
+	// closedBatches holds batches that a job of this daemon has found closed within closedBatchTTL.
 	closedBatches map[string]bool
 }
 
-// New returns a runner whose owner name is self. All its work ends with the
-// context.
+// New returns a runner whose owner name is self. All its work ends with ctx.
 func New(
 	ctx context.Context, self string, batches *ledger.Ledger, forwarder *forward.Forwarder, operator Operator,
 	demands *demand.Publisher, assigner *Assigner, locator Locator, logger *zap.Logger,
@@ -143,15 +142,15 @@
 	}
 }
 
-// Accept makes a batch exist, owned by the daemon that should run it. A batch
-// that exists already stays as it is. After nil it is certain that the batch
-// exists; after ErrNotDone that this call did not create it.
+// Accept records a batch and chooses its owner. A batch that exists already is not changed. If
+// Accept returns nil, the batch exists; if the error is ErrNotDone, this call did not create it; if
+// it is ErrUnknown, the batch may exist.
 func (r *Runner) Accept(ctx context.Context, submission *batch.Submission) error {
 	if r.stopping.Load() {
 		return ErrStopping
 	}
 	if ctx.Err() != nil {
-		// Nobody waits for the outcome.
+		// The caller has left: nobody waits for the outcome.
 		return errors.Wrap(ErrNotDone, ctx.Err().Error())
 	}
 	partition := r.ledger.Of(submission.ID)
@@ -176,8 +175,8 @@
 	return nil
 }
 
-// appendWithRetry appends a record again until the outcome is certain or the
-// context ends. A record that is appended twice counts once in the fold.
+// appendWithRetry appends a record, retrying until the outcome is certain or ctx ends. Repeating is
+// safe: the fold applies a record that was appended twice only once.
 func (r *Runner) appendWithRetry(ctx context.Context, partition *ledger.Partition, record []byte) error {
 	outcome := ErrNotDone
 	for {
@@ -196,8 +195,8 @@
 	}
 }
 
-// beginWork counts work that a stop must wait for, or refuses it if the stop has
-// begun.
+// beginWork registers work that Release waits for, and reports false if Release has been called.
+// The caller calls r.work.Done when the work has ended.
 func (r *Runner) beginWork() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -208,9 +207,9 @@
 	return true
 }
 
-// End ends a batch: after nil no more of it is run than is under way. An
-// unknown batch is ended as well, as its acceptance may still be on its way. A batch of
-// another tenant stays as it is, and the caller does not learn of it.
+// End ends a batch: after it returns nil, no further items are started. An unknown batch is ended
+// too, since its acceptance may still be on its way. A batch of another tenant is not changed, and
+// the caller can't tell it from an unknown one.
 func (r *Runner) End(ctx context.Context, batchID, tenant string) error {
 	return r.appendWithRetry(ctx, r.ledger.Of(batchID), batch.Ended(batchID, tenant))
 }
@@ -221,7 +220,8 @@
 	return slices.Collect(maps.Values(r.jobs))
 }
 
-// Load returns how many batches are run here and how many items wait.
+// Load returns the number of batches that run here and the number of their items that wait for a
+// replica.
 func (r *Runner) Load() (batches, waiting int) {
 	jobs := r.jobList()
 	for _, j := range jobs {
@@ -230,5 +230,5 @@
 	return len(jobs), waiting
 }
 
-// ItemsStarted returns how many items were sent to a replica.
+// ItemsStarted returns the number of attempts sent to replicas.
 func (r *Runner) ItemsStarted() uint64 { return r.started.Load() }
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -10,22 +10,22 @@
 	"woodworks/internal/requests/route"
 )
 
-// routedItem is an item of a job with its route when the view was taken.
+// routedItem is an item of a job with the route in force when the view was made.
 type routedItem struct {
 	job   *job
 	item  *item
 	route *route.Route
 }
 
-// view is a snapshot of one service.
+// view is the scheduler's snapshot of one service with the objects that it describes.
 type view struct {
 	scheduling.Snapshot
-	// routed are the items that Items describes, replicas those that Engines describes, by index.
+	// routed and replicas are the objects described by Items and Engines, at the same indices.
 	routed   []routedItem
 	replicas []replica.Replica
 }
 
-// views takes a snapshot of each service that has items to start or to move.
+// views returns a view of each service that has items to start or to move.
 func (r *Runner) views(now time.Time) map[string]*view {
 	views := map[string]*view{}
 	for _, j := range r.jobList() {
@@ -46,8 +46,8 @@
 	return views
 }
 
-// resolveGroupEngines turns the incarnations that last read a group's prompt into the ids of their
-// engines. One that has started again has the prompt no more.
+// resolveGroupEngines replaces the incarnation in each item's GroupEngine by the id of its engine,
+// or by "" if that incarnation has ended: a restarted engine has not cached the prompt.
 func (v *view) resolveGroupEngines() {
 	present := make(map[string]string, len(v.replicas))
 	for _, rep := range v.replicas {
@@ -71,8 +71,7 @@
 	}
 }
 
-// addTo adds the job's items that may start now, and those that run, to the views of
-// their services.
+// addTo adds the job's running items, and those that may start now, to the views of their services.
 func (j *job) addTo(views map[string]*view, rt *route.Route, now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -81,11 +80,11 @@
 	}
 	priority := j.priority(rt)
 	for _, it := range j.items {
-		waits := it.state == itemWaiting && !now.Before(it.notBefore)
-		runs := it.state == itemRunning
-		if !waits && !runs || waits && j.blocked(it) {
-			// A refused item waits until it is older than its route lets it grow, or until
-			// its batch ends: only its replicas may say that it failed.
+		waiting := it.state == itemWaiting && !now.Before(it.notBefore)
+		running := it.state == itemRunning
+		if !waiting && !running || waiting && j.blocked(it) {
+			// A quarantined item waits until it expires or its batch ends: only answers of replicas
+			// count as failures of an item.
 			continue
 		}
 		service := serviceOf(rt, it)
@@ -95,7 +94,7 @@
 			views[service] = v
 		}
 		described := j.describe(it, rt, priority, now)
-		if runs && !it.hasFirstEvent {
+		if running && !it.hasFirstEvent {
 			described.Overdue = max(described.RunFor-j.r.firstEvents.OverdueAfter(service), 0)
 		}
 		v.Items = append(v.Items, described)
@@ -103,46 +102,46 @@
 	}
 }
 
-// priority returns the rank of the job's items: that of its tenant goes before that of
-// its route.
+// priority returns the rank of the job's items: that of the tenant if it has one, else that of the
+// route.
 func (j *job) priority(rt *route.Route) int {
 	configuration := j.r.operator.Configuration()
 	return configuration.Tenants.Named(j.submission.Tenant).Rank(rt.Priority)
 }
 
-// describe returns an item as the scheduler sees it. The mutex is held.
+// describe returns an item in the form that the scheduler uses. The mutex is held.
 func (j *job) describe(it *item, rt *route.Route, priority int, now time.Time) scheduling.Item {
 	events, lengths := len(it.events), j.placement.lengths
 	described := scheduling.Item{
 		Priority: priority, BatchSince: j.adoptedAt, BatchAge: now.Sub(j.adoptedAt),
 		Model: j.submission.Model, MinVersion: j.submission.MinVersion, Required: j.placement.required[it.Group],
 		Events: events, Remaining: lengths.Remaining(it.expectedTokens, events),
-		GroupEngine: string(j.placement.groups[it.Group]), // the incarnation; nameGroupEngines puts the engine's id
+		GroupEngine: string(j.placement.groups[it.Group]), // the incarnation; resolveGroupEngines puts the engine's id
 	}
 	if it.attempt == 0 || it.state == itemRunning {
-		// Without it an item that failed is not deferred.
+		// Without MaxRemaining an item is never deferred; one whose attempt failed must not be.
 		described.MaxRemaining = lengths.MaxRemaining(it.expectedTokens, events)
 	}
 	if it.state == itemRunning {
 		described.Engine, described.RunFor = it.lastReplica, now.Sub(it.startedAt)
-		// A text of one version would begin anew at an engine of another.
+		// At an engine with another version, a single-version text would start over.
 		described.Pinned = it.cancel == nil || it.buffering || rt.SingleVersion && len(it.events) > 0
 	}
 	return described
 }
 
-// serviceOf returns the service that runs an item. Each item is drawn by itself:
-// the parts of a split route would otherwise be as uneven as whole batches are.
+// serviceOf returns the service that runs an item. It is drawn per item, not per batch, so that a
+// few large batches follow the weights of a split route too.
 func serviceOf(rt *route.Route, it *item) string { return rt.Order(it.ID)[0] }
 
-// blocked reports whether the item must not run now for its content's sake. The mutex is
-// held.
+// blocked reports whether the quarantine forbids to run the item's content now. The mutex is held.
 func (j *job) blocked(it *item) bool {
 	table := j.r.forwarder.Quarantine
 	return !table.Quiet() && table.Blocked(j.contentOf(it))
 }
 
-// contentOf returns what the quarantine knows the item's request by. The mutex is held.
+// contentOf returns the content by which the quarantine identifies the item's request. The mutex is
+// held.
 func (j *job) contentOf(it *item) *quarantine.Content {
 	if it.content == nil {
 		it.content = &quarantine.Content{
--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -9,9 +9,9 @@
 	"woodworks/internal/batches/batch"
 )
 
-// standBy takes a batch over that this daemon has accepted for another one, if
-// that one gives no first sign of life: it may have ended since the group named
-// it. The watcher of the partition would find out as well, but later.
+// standBy takes over a batch that this daemon accepted for another owner if that owner sends no
+// first heartbeat: it may have ended before the group noticed. The watcher of the partition would
+// take the batch over too, but later.
 func (r *Runner) standBy(batchID, owner string, accepting time.Duration) {
 	if !r.beginWork() {
 		return
@@ -20,24 +20,24 @@
 	partition := r.foldOf(r.ctx, batchID)
 	defer partition.Follow()()
 	expected := observation{partition: partition.Name(), batch: batchID, owner: owner, unchangedSince: time.Now()}
-	patience, cancel := context.WithTimeout(r.ctx, standByDelay(accepting))
+	waiting, cancel := context.WithTimeout(r.ctx, standByDelay(accepting))
 	defer cancel()
-	begun := partition.Await(patience.Done(), func() (begun bool) {
-		partition.ViewBatch(batchID, func(b *batch.Batch) { begun = !expected.unchanged(b) })
-		return begun
+	started := partition.Await(waiting.Done(), func() (changed bool) {
+		partition.ViewBatch(batchID, func(b *batch.Batch) { changed = !expected.unchanged(b) })
+		return changed
 	})
-	if begun || r.ctx.Err() != nil {
+	if started || r.ctx.Err() != nil {
 		return
 	}
 	bounded, cancel := context.WithTimeout(r.ctx, takeOverTimeout)
 	defer cancel()
 	if err := partition.CatchUp(bounded); err != nil {
-		// The partition's watcher finds out later.
+		// The partition's watcher takes the batch over later.
 		r.logger.Info("silence of the owner not confirmed", zap.String("batch", batchID),
 			zap.String("owner", owner), zap.Error(err))
 		return
 	}
 	if r.stillSilent(expected) {
-		r.replaceOwner(r.ctx, expected, "owner has not begun")
+		r.replaceOwner(r.ctx, expected, "no first heartbeat")
 	}
 }
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -16,13 +16,13 @@
 	"woodworks/internal/requests/route"
 )
 
-// emptyOperator is an operator that has said nothing.
+// emptyOperator is an operator without settings.
 type emptyOperator struct{}
 
 func (emptyOperator) Configuration() *route.Configuration { return nil }
 func (emptyOperator) Named() map[string]int64             { return nil }
 
-// fixedWatcher is a group that has dealt everything to one daemon.
+// fixedWatcher is a group in which one daemon watches all partitions.
 type fixedWatcher string
 
 func (fixedWatcher) Partitions() map[journal.Partition]bool { return nil }
@@ -31,15 +31,15 @@
 	return string(d), true
 }
 
-// newAccepter is a daemon "b/1" whose batches the group gives to another one.
+// newAccepter returns a daemon "b/1" whose batches the group assigns to another one.
 func newAccepter(ctx context.Context, log journal.Journal, owner string) *Runner {
 	return newRunner(ctx, log, "b/1", owner, emptyOperator{}, nil)
 }
 
-// oneItem is a batch of one item for the route of newOwner.
+// oneItem is a batch of one item for newOwner's route.
 var oneItem = batch.Submission{ID: "x", Host: "h", Path: "/p/x", Items: []batch.Item{{ID: "i"}}}
 
-// accepterOfOne is an accepter that has accepted oneItem.
+// accepterOfOne returns an accepter that has accepted oneItem.
 func accepterOfOne(ctx context.Context, t *testing.T, log journal.Journal, owner string) *Runner {
 	t.Helper()
 	accepter := newAccepter(ctx, log, owner)
@@ -47,8 +47,7 @@
 	return accepter
 }
 
-// A batch that was given to a daemon that has ended is taken back by the one
-// that accepted it: the watchers needed 0.85 to 1.0 s of a step's 7.5.
+// The accepting daemon takes over a batch whose owner has ended, earlier than the watchers would.
 func TestAccepterTakesOverFromEndedOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -62,8 +61,8 @@
 	})
 }
 
-// An owner that has begun keeps its batch, also where its sign has reached the
-// journal but not yet the accepting daemon.
+// An owner that has sent a heartbeat keeps its batch, even if the heartbeat has not reached the
+// accepting daemon.
 func TestStandByKeepsOwnerWithHeartbeat(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		accepter := accepterOfOne(ctx, t, log, "a/1")
@@ -75,8 +74,7 @@
 	})
 }
 
-// Where the journal cannot be read nothing is taken over: the owner may be at
-// work all the same.
+// While the journal can't be read nothing is taken over, since the owner may still run.
 func TestNoTakeOverWhileJournalIsUnavailable(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		accepter := accepterOfOne(ctx, t, log, "a/1")
@@ -88,9 +86,8 @@
 	})
 }
 
-// A daemon that had accepted a batch, and read it alone as it did not hold the whole partition,
-// looked in its fold of the whole partition whether the owner was still silent. That does not
-// know the batch, so that nothing was taken back, however long the owner was gone.
+// The accepting daemon must take a batch over even if it reads that batch alone: its fold of the
+// whole partition does not contain the batch.
 func TestABatchThatIsReadAloneIsTakenBack(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		watcher := ledger.New(ctx, log, zap.NewNop())
--- a/internal/batches/runner/stop_test.go
+++ b/internal/batches/runner/stop_test.go
@@ -17,7 +17,7 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// ownerInJournal reads who owns a batch now.
+// ownerInJournal returns the current owner of a batch, read from the journal.
 func ownerInJournal(ctx context.Context, t *testing.T, log *journaltest.Journal, batchID string) string {
 	t.Helper()
 	partition := ledger.New(ctx, log, zap.NewNop()).Of(batchID)
@@ -35,10 +35,8 @@
 	})
 }
 
-// A batch with nothing under way is left as soon as the stop begins, while its record of
-// the release waited for a journal that refused appends: the daemon believed that all was
-// handed over, ended, and the batch stood still until its owner's silence was noticed,
-// after 1.5 s more.
+// Release must wait for the records of batches without items in progress. If the daemon ended
+// before, those batches would stay idle until their owner was found silent.
 func TestReleaseWaitsForItsRecords(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		owner := newOwnerOfTwo(ctx, t, log)
@@ -51,7 +49,7 @@
 	})
 }
 
-// slowJournal is a journal that takes its time for appends and for reads that are not held.
+// slowJournal is a journal that delays appends, and reads that are not long polls.
 type slowJournal struct {
 	*journaltest.Journal
 	appends, reads atomic.Int64
@@ -69,7 +67,7 @@
 	return s.Journal.Read(ctx, request)
 }
 
-// acceptFor accepts twoItems for an owner, which releases it unless it is "b/1".
+// acceptFor accepts twoItems for an owner, and releases it unless the owner is "b/1".
 func acceptFor(ctx context.Context, partition *ledger.Partition, owner string) error {
 	if err := partition.Append(ctx, batch.Accepted(&twoItems, owner)); err != nil || owner == "b/1" {
 		return err
@@ -77,34 +75,32 @@
 	return partition.Append(ctx, batch.Released("x", owner, nil))
 }
 
-// A stop that begins while this daemon takes a batch over, or hears that it owns one, came
-// between the record and the start of the items: the batch was owned by a daemon that did
-// not run it and did not let it go, until its silence was noticed 1.5 s later. Where
-// daemons are stopped one after the other, the next one may meet the same chance.
+// A batch that this daemon comes to own while it is stopping must be released: it would otherwise
+// stay idle until its owner was found silent.
 func TestBatchAcquiredDuringStopIsReleased(t *testing.T) {
-	const lag = 300 * time.Millisecond
-	for name, get := range map[string]func(ctx context.Context, log *slowJournal, stopping *Runner) error{
+	const delay = 300 * time.Millisecond
+	for name, acquire := range map[string]func(ctx context.Context, log *slowJournal, stopping *Runner) error{
 		"taken over, slow append": func(ctx context.Context, log *slowJournal, stopping *Runner) error {
 			err := acceptFor(ctx, stopping.ledger.Of("x"), "a/1")
-			log.appends.Store(int64(lag))
-			go func() { _ = stopping.TakeOver(ctx, "x", "") }() // what came of it is read below
+			log.appends.Store(int64(delay))
+			go func() { _ = stopping.TakeOver(ctx, "x", "") }() // the outcome is read from the journal below
 			return err
 		},
 		"taken over, slow read": func(ctx context.Context, log *slowJournal, stopping *Runner) error {
 			err := acceptFor(ctx, stopping.ledger.Of("x"), "a/1")
-			log.reads.Store(int64(lag))
-			go func() { _ = stopping.TakeOver(ctx, "x", "") }() // what came of it is read below
+			log.reads.Store(int64(delay))
+			go func() { _ = stopping.TakeOver(ctx, "x", "") }() // the outcome is read from the journal below
 			return err
 		},
 		"assigned, slow read": func(ctx context.Context, log *slowJournal, stopping *Runner) error {
 			err := acceptFor(ctx, stopping.ledger.Of("x"), "b/1")
-			log.reads.Store(int64(lag))
+			log.reads.Store(int64(delay))
 			go stopping.AdoptAssigned("x")
 			return err
 		},
 		"accepted, slow append": func(ctx context.Context, log *slowJournal, stopping *Runner) error {
-			log.appends.Store(int64(lag))
-			go func() { _ = stopping.Accept(ctx, &twoItems) }() // what came of it is read below
+			log.appends.Store(int64(delay))
+			go func() { _ = stopping.Accept(ctx, &twoItems) }() // the outcome is read from the journal below
 			return nil
 		},
 	} {
@@ -114,10 +110,10 @@
 				ctx := t.Context()
 				log := &slowJournal{Journal: journaltest.New()}
 				stopping := newOwner(ctx, t, log, "b/1")
-				is.NoErr(get(ctx, log, stopping))
-				time.Sleep(lag / 2)
+				is.NoErr(acquire(ctx, log, stopping))
+				time.Sleep(delay / 2)
 				stopping.Release(ctx)
-				time.Sleep(2 * lag)
+				time.Sleep(2 * delay)
 				is.Equal(ownerInJournal(ctx, t, log.Journal, "x"), "")
 			})
 		})
--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -14,21 +14,20 @@
 )
 
 const (
-	// takeOverTimeout bounds the taking over of a batch, and a read that confirms silence.
+	// takeOverTimeout bounds a takeover, and a read that confirms an owner's silence.
 	takeOverTimeout = 1500 * time.Millisecond
-	// confirmTimeout is how long a watcher waits at a time for the reads that show whether
-	// suspect owners are still silent.
+	// confirmTimeout is how long one call of confirmSilence waits for its reads.
 	confirmTimeout = 300 * time.Millisecond
 )
 
-// confirmations are the reads that show whether suspect owners are still silent, one a
-// partition. The zero value is ready for use.
+// confirmations holds the reads in progress that confirm the silence of owners, one per partition.
+// The zero value is ready for use.
 type confirmations struct {
 	mu    sync.Mutex
 	reads map[journal.Partition]*confirmation
 }
 
-// confirmation is one read up to a partition's end.
+// confirmation is one read up to the end of a partition.
 type confirmation struct {
 	began time.Time
 	// ended is closed once err is set.
@@ -36,7 +35,7 @@
 	err   error
 }
 
-// begin returns the read of a partition that is under way, or begins one.
+// begin returns the read of a partition that is in progress, or starts one.
 func (c *confirmations) begin(ctx context.Context, partition *ledger.Partition) *confirmation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,8 +56,8 @@
 	return read
 }
 
-// take reports whether the read of a partition has ended. One that has is taken off: the
-// next look begins another one.
+// take reports whether the read of a partition has ended, and removes it if so: the next check
+// starts another one.
 func (c *confirmations) take(name journal.Partition, read *confirmation) bool {
 	select {
 	case <-read.ended:
@@ -73,12 +72,12 @@
 	return true
 }
 
-// confirmSilence returns the suspect owners of which a read of their partition brings nothing either.
-// The reads of followers are long polls: they alone would show silence late or not at all.
+// confirmSilence returns the suspects that are still silent after a read up to the end of their
+// partition. The long polls of followers alone would show silence late or not at all.
 //
-// It waits for confirmTimeout at most, so that one partition does not hold up the others.
-// A read that takes longer goes on, and counts at a later call: a slow machine would
-// otherwise begin one after the other, and never take a batch over.
+// It waits at most confirmTimeout, so that one partition does not delay the others. A read that
+// takes longer continues and counts at a later call: a slow machine would otherwise start one read
+// after the other and never take a batch over.
 func (r *Runner) confirmSilence(ctx context.Context, suspects []observation) (confirmed []observation) {
 	reads := map[journal.Partition]*confirmation{}
 	for _, suspect := range suspects {
@@ -110,15 +109,15 @@
 	return confirmed
 }
 
-// stillSilent reports whether the fold shows nothing new of a suspect owner.
+// stillSilent reports whether the fold of the partition shows nothing new of a suspect owner.
 func (r *Runner) stillSilent(suspect observation) (still bool) {
 	partition := r.ledger.Partition(suspect.partition)
 	partition.ViewBatch(suspect.batch, func(b *batch.Batch) { still = suspect.unchanged(b) })
 	return still
 }
 
-// replaceOwner takes the batch of a suspect owner over. The record names the owner it
-// replaces, so that one of several takeovers counts.
+// replaceOwner takes over the batch of a suspect owner. The record names the replaced owner, so
+// that only one of several takeovers has an effect.
 func (r *Runner) replaceOwner(ctx context.Context, suspect observation, reason string) {
 	bounded, cancel := context.WithTimeout(ctx, takeOverTimeout)
 	defer cancel()
@@ -128,7 +127,7 @@
 	case errors.Is(err, ErrNotDone):
 		event = "batch not taken over"
 	case err != nil:
-		event = "batch perhaps taken over"
+		event = "batch takeover outcome unknown"
 	}
 	r.logger.Info(event, zap.String("batch", suspect.batch), zap.String("from", suspect.owner),
 		zap.String("reason", reason), zap.Duration("silent", time.Since(suspect.unchangedSince)), zap.Error(err))
--- a/internal/batches/runner/text.go
+++ b/internal/batches/runner/text.go
@@ -10,39 +10,39 @@
 	"woodworks/internal/requests/eventstream"
 )
 
-// text is what an owner has of an item's text.
+// text is the part of an item's text that this owner has.
 type text struct {
-	// events are the data of the events so far; lastEvent is the last one's id.
+	// events is the data of the events so far; lastEvent is the id of the last one.
 	events    [][]byte
 	lastEvent int64
 	hasEvent  bool
-	// versions are those of the weights that made the events.
+	// versions are the versions of the weights that generated the events.
 	versions []int64
-	// checkpointed is how many of the events are in the journal.
+	// checkpointed is the number of events that are in the journal.
 	checkpointed int
 }
 
-// receivedEvent is an event with the version of the weights that made it.
+// receivedEvent is an event with the version of the weights that generated it.
 type receivedEvent struct {
 	event   eventstream.Event
 	version int64
-	// singleVersion says that a text must be of one version.
+	// singleVersion says that all events of the text must be of one version.
 	singleVersion bool
 }
 
-// append adds an event. Events come in order without gaps, and each was made by a version that
-// the batch allows.
+// append adds an event. It returns an error if the event leaves a gap, or if its version is older
+// than minVersion or differs from that of a single-version text, which starts over then.
 func (t *text) append(e receivedEvent, minVersion int64) error {
 	event, version := e.event, e.version
 	if !event.HasID || (t.hasEvent && event.ID != t.lastEvent+1) {
-		return errors.Errorf("event %d after %d", event.ID, t.lastEvent)
+		return errors.Errorf("event out of order: %d after %d", event.ID, t.lastEvent)
 	}
 	if version < minVersion {
 		return errTooOld
 	}
 	if e.singleVersion && len(t.versions) > 0 && t.versions[0] != version {
-		*t = text{} // it begins anew
-		return errors.New("version changed within a text of one version")
+		*t = text{} // the text starts over
+		return errors.New("version changed within a single-version text")
 	}
 	t.events = append(t.events, event.Data)
 	t.lastEvent, t.hasEvent = event.ID, true
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// resumeFrom begins the text with what an owner before has checkpointed, if there is something.
+// resumeFrom initializes the text with the checkpoint of an earlier owner, if there is one.
 func (t *text) resumeFrom(partial batch.Partial) {
 	if len(partial.Events) == 0 {
 		return
@@ -63,8 +63,7 @@
 	t.versions = slices.Clone(partial.Versions)
 }
 
-// appendEvent adds an event to the item's text. The first one of an attempt ends the phase of the
-// prompt.
+// appendEvent adds an event to the item's text. The first one of an attempt ends the prompt phase.
 func (it *item) appendEvent(e receivedEvent, minVersion int64) error {
 	if err := it.text.append(e, minVersion); err != nil {
 		return err
@@ -75,8 +74,8 @@
 	return nil
 }
 
-// flushBuffered adds the buffered events. An error says that the attempt under way cannot
-// go on.
+// flushBuffered stops buffering and adds the buffered events. After an error the current attempt
+// can't continue.
 func (it *item) flushBuffered(minVersion int64) error {
 	buffered := it.buffered
 	it.stopBuffering()
--- a/internal/batches/runner/timing.go
+++ b/internal/batches/runner/timing.go
@@ -7,23 +7,22 @@
 	"go.uber.org/zap"
 )
 
-// phase is what an item's time is spent on.
+// phase is a phase in the life of an item.
 type phase int
 
-// Phases of an item, in the order in which it goes through them; an item whose
-// attempt failed waits again.
+// Phases of an item, in their order. An item whose attempt failed returns to phaseWaiting.
 const (
-	// phaseWaiting: for a slot at a replica.
+	// phaseWaiting: until a replica has a free slot.
 	phaseWaiting phase = iota
 	// phasePrompt: from the start of an attempt to its first event.
 	phasePrompt
-	// phaseGenerating: between the first event of an attempt and its end.
+	// phaseGenerating: from the first event of an attempt to its end.
 	phaseGenerating
-	// phaseScoring: the reward call.
+	// phaseScoring: until the reward call has ended.
 	phaseScoring
-	// phaseListing: until the result stands in the journal.
+	// phaseListing: until the result is in the journal.
 	phaseListing
-	// phaseDone: the result is listed.
+	// phaseDone: the result is in the journal.
 	phaseDone
 	phaseCount
 )
@@ -33,26 +32,29 @@
 	return [...]string{"waiting", "prompt", "making", "scoring", "listing", "done"}[p]
 }
 
-// timing is where an item's time went at this owner.
+// timing is the time that an item spent in each phase at this owner.
 type timing struct {
 	phase phase
 	since time.Time
 	spent [phaseCount]time.Duration
 }
 
-// enter ends the phase that an item is in and begins another.
+// enter ends the current phase and starts the next.
 func (t *timing) enter(next phase, now time.Time) {
 	t.spent[t.phase] += now.Sub(t.since)
 	t.phase, t.since = next, now
 }
 
-// PhaseObserver takes how long an item spent in a phase, or waited after it.
-type PhaseObserver func(part string, took time.Duration)
+// PhaseObserver receives the name of a phase and how long an item spent in it. After the last item
+// it also receives "until left", the time until the job ended.
+type PhaseObserver func(phase string, took time.Duration)
 
-// SetPhaseObserver sets who observes where the time of batches went. It is called before Run.
+// SetPhaseObserver sets the observer of the phases of each batch's last item. It is called before
+// Run.
 func (r *Runner) SetPhaseObserver(observe PhaseObserver) { r.observe = observe }
 
-// listedHere returns the items that were listed while this owner ran them. The mutex is held.
+// listedHere returns the items whose results were appended while this owner ran them. The mutex is
+// held.
 func (j *job) listedHere() (listed []*item) {
 	for _, it := range j.items {
 		if it.timing.phase == phaseDone {
@@ -62,7 +64,7 @@
 	return listed
 }
 
-// publishItemTime publishes for how long an item of the batch took a slot, in the mean. The mutex is
+// publishItemTime publishes the mean time that the batch's items occupied a slot. The mutex is
 // held.
 func (j *job) publishItemTime() {
 	listed := j.listedHere()
@@ -76,8 +78,8 @@
 	go j.r.demands.PublishTime(j.r.ctx, j.submission.Model, sum/time.Duration(len(listed)))
 }
 
-// logTimeBreakdown logs where the time of a batch went, and has it observed: that of the item listed
-// last, as it decided when the batch had all its results. The mutex is held.
+// logTimeBreakdown logs and observes the phases of the item whose result came last, since it
+// determined when the batch was complete. The mutex is held.
 func (j *job) logTimeBreakdown(reason string, now time.Time) {
 	listed := j.listedHere()
 	if len(listed) == 0 {
@@ -101,11 +103,11 @@
 	if last.lastEvent > 0 {
 		fields = append(fields, zap.Duration("event_time", spent[phaseGenerating]/time.Duration(last.lastEvent)))
 	}
-	for part := phaseWaiting; part < phaseDone; part++ {
-		fields = append(fields, zap.Duration(part.String(), spent[part]))
-		j.r.observe(part.String(), spent[part])
+	for p := phaseWaiting; p < phaseDone; p++ {
+		fields = append(fields, zap.Duration(p.String(), spent[p]))
+		j.r.observe(p.String(), spent[p])
 	}
 	afterLast := now.Sub(last.timing.since)
 	j.r.observe("until left", afterLast)
-	j.logger.Info("batch account", append(fields, zap.Duration("until_left", afterLast))...)
+	j.logger.Info("batch time breakdown", append(fields, zap.Duration("until_left", afterLast))...)
 }
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -12,49 +12,50 @@
 )
 
 const (
-	// watchInterval is the time between two looks at the owners, and at what is dealt.
+	// watchInterval is the time between two checks of the owners and of the assigned partitions.
 	watchInterval = 200 * time.Millisecond
-	// unwatchDelay is how long a partition is watched after it was dealt to another member,
-	// which learns of it only at its second join from then.
+	// unwatchDelay is how long a partition stays watched after it was assigned to another member,
+	// which learns of that only at its second join.
 	unwatchDelay = 1500 * time.Millisecond
 )
 
-// Group tells which partitions this daemon watches, and who is alive.
+// Group reports which partitions this daemon watches and which daemons are alive.
 type Group interface {
+	// Partitions returns the partitions that this daemon watches.
 	Partitions() map[journal.Partition]bool
+	// Alive returns the daemons that are alive, by owner name.
 	Alive(ctx context.Context) ([]string, error)
-	// Generation rises whenever a daemon comes or goes.
+	// Generation increases whenever a daemon joins or leaves.
 	Generation() int64
 }
 
-// Watcher looks after the batches in the partitions dealt to this daemon: it
-// takes over those whose owner has released them, has been replaced by another
-// incarnation on its machine, or gives no sign of life. Two watchers of one partition
-// do no harm, as one takeover counts.
+// Watcher watches the batches in the partitions assigned to this daemon. It takes over those whose
+// owner has released them, was replaced by another incarnation on its machine, or is silent. Two
+// watchers of one partition do no harm, as only one takeover has an effect.
 type Watcher struct {
 	runner  *Runner
 	group   Group
 	watched map[journal.Partition]*watchedPartition
-	// generation is that of the group at the last look.
+	// generation is the group's generation at the last check.
 	generation int64
-	// aliveUnknown says that the last look could not learn who is alive.
+	// aliveUnknown says that the last check failed to find out which daemons are alive.
 	aliveUnknown bool
 }
 
-// watchedPartition is one partition with when each owner was last seen alive.
+// watchedPartition is a partition with the last observation of each owner, by batch.
 type watchedPartition struct {
 	unfollow func()
 	owners   map[string]observation
-	// reassignedAt is when it was first seen to be dealt to another member, or zero.
+	// reassignedAt is when the partition was first seen assigned to another member, or zero.
 	reassignedAt time.Time
 }
 
-// NewWatcher returns a watcher of the partitions dealt by the group.
+// NewWatcher returns a watcher of the partitions that the group assigns to this daemon.
 func NewWatcher(runner *Runner, group Group) *Watcher {
 	return &Watcher{runner: runner, group: group, watched: map[journal.Partition]*watchedPartition{}}
 }
 
-// Run watches until the context ends.
+// Run watches until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	periodic.Every(ctx, watchInterval, func(ctx context.Context) {
 		w.follow(time.Now())
@@ -73,15 +74,15 @@
 	}
 }
 
-// follow starts and stops following as partitions come and go. A partition is followed from
-// the second look of a generation on: while daemons start one after the other all are dealt anew
-// with each, and would be read by everyone in turn.
+// follow starts and stops following partitions as they are assigned and reassigned. A new partition
+// is followed only once the group's generation is stable: while daemons start one after the other,
+// each start reassigns all partitions, and every daemon would read them all in turn.
 func (w *Watcher) follow(now time.Time) {
-	dealt, settled := w.group.Partitions(), w.generationStable()
-	for name := range dealt {
+	assigned, stable := w.group.Partitions(), w.generationStable()
+	for name := range assigned {
 		switch p := w.watched[name]; {
 		case name.Topic == RunnersTopic:
-		case p == nil && !settled:
+		case p == nil && !stable:
 		case p == nil:
 			unfollow := w.runner.ledger.Partition(name).Follow()
 			w.watched[name] = &watchedPartition{unfollow: unfollow, owners: map[string]observation{}}
@@ -91,7 +92,7 @@
 	}
 	for name, p := range w.watched {
 		switch {
-		case dealt[name]:
+		case assigned[name]:
 		case p.reassignedAt.IsZero() && !w.runner.stopping.Load():
 			p.reassignedAt = now
 		case w.runner.stopping.Load() || now.Sub(p.reassignedAt) > unwatchDelay:
@@ -101,19 +102,19 @@
 	}
 }
 
-// generationStable reports whether the group's generation is that of the last look.
+// generationStable reports whether the group's generation is the same as at the last call.
 func (w *Watcher) generationStable() bool {
 	before := w.generation
 	w.generation = w.group.Generation()
 	return w.generation == before
 }
 
-// inspect returns the batches of one partition whose owner may be gone, and
-// starts those that this daemon owns.
+// inspect returns the batches of a partition whose owner is suspect, and adopts those that this
+// daemon owns.
 func (w *Watcher) inspect(name journal.Partition, p *watchedPartition, generation int64, now time.Time) []observation {
 	partition := w.runner.ledger.Partition(name)
-	// Silence counts only while the journal can be read: what an owner wrote
-	// during an outage is seen afterwards.
+	// Silence counts only while the journal can be read: records written during an outage are read
+	// afterwards.
 	if now.Sub(partition.LastRead()) > heartbeatTimeout {
 		p.owners = map[string]observation{}
 		return nil
@@ -141,8 +142,7 @@
 	return suspects
 }
 
-// observe returns what was last seen of the owner of an open batch, with the time
-// since when nothing new was.
+// observe returns the last observation of the owner of an open batch, updated from the fold.
 func (p *watchedPartition) observe(name journal.Partition, b *batch.Batch, now time.Time) observation {
 	before, ok := p.owners[b.ID]
 	if ok && before.unchanged(b) {
@@ -156,7 +156,7 @@
 	return o
 }
 
-// recordChecked notes the generation in which owners were looked for.
+// recordChecked records the generation in which owners were checked.
 func (w *Watcher) recordChecked(suspects []observation, generation int64) {
 	for _, suspect := range suspects {
 		p := w.watched[suspect.partition]
@@ -167,21 +167,21 @@
 	}
 }
 
-// replaceLostOwners takes over the suspects that are gone, and reports whether it could
-// tell which are.
+// replaceLostOwners takes over the batches of the suspects that have ended. It reports false if it
+// could not find out which daemons are alive.
 func (w *Watcher) replaceLostOwners(ctx context.Context, suspects []observation) bool {
 	if len(suspects) == 0 {
 		return true
 	}
 	alive, err := w.group.Alive(ctx)
 	if err != nil && !w.aliveUnknown {
-		w.runner.logger.Info("owners not judged", zap.Int("suspects", len(suspects)), zap.Error(err))
+		w.runner.logger.Info("suspect owners not checked", zap.Int("suspects", len(suspects)), zap.Error(err))
 	}
 	w.aliveUnknown = err != nil
 	if w.aliveUnknown {
 		return false
 	}
-	// This daemon is alive whatever the group says.
+	// This daemon is alive whatever the group reports.
 	alive = append(alive, w.runner.self)
 	for _, suspect := range suspects {
 		if reason := suspect.reasonToReplace(alive); reason != "" {
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -16,7 +16,7 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// fakeGroup is a group whose partitions the test deals.
+// fakeGroup is a group whose partitions the test assigns.
 type fakeGroup struct {
 	partitions map[journal.Partition]bool
 	generation int64
@@ -28,9 +28,8 @@
 
 func (d *fakeGroup) Alive(context.Context) ([]string, error) { return nil, nil }
 
-// A partition that is dealt to another member is watched on for a while: the
-// other hears of it only at its second join from then. A batch had no owner for 9 s,
-// as its partition had no watcher just before an outage of the journal.
+// A partition that is assigned to another member stays watched until that member has learned of it,
+// so that it is never without a watcher.
 func TestReassignedPartitionStaysWatchedForDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -49,7 +48,7 @@
 		time.Sleep(2 * time.Millisecond)
 		watcher.follow(time.Now())
 		is.Equal(len(watcher.watched), 0)
-		// One that comes back meanwhile stays.
+		// A partition that is assigned back in the meantime stays watched.
 		group.partitions = map[journal.Partition]bool{one: true}
 		watcher.follow(time.Now())
 		group.partitions = nil
@@ -65,16 +64,16 @@
 	})
 }
 
-// replacedGroup is a group in which another incarnation of each owner's machine is alive.
+// replacedGroup is a group in which a newer incarnation of owner "a/1" is alive.
 type replacedGroup struct{ fakeGroup }
 
 func (replacedGroup) Alive(context.Context) ([]string, error) { return []string{"a/2"}, nil }
 
 func newTestWatcher(ctx context.Context, log *journaltest.Journal, group Group) (*Watcher, *ledger.Partition) {
 	jobs := ledger.New(ctx, log, zap.NewNop())
-	over, cancel := context.WithCancel(ctx)
-	cancel() // nothing that is taken over is run
-	runner := &Runner{self: "b/1", ledger: jobs, locator: ledgerLocator{}, logger: zap.NewNop(), ctx: over}
+	cancelled, cancel := context.WithCancel(ctx)
+	cancel() // batches taken over don't run
+	runner := &Runner{self: "b/1", ledger: jobs, locator: ledgerLocator{}, logger: zap.NewNop(), ctx: cancelled}
 	return NewWatcher(runner, group), jobs.Of("x")
 }
 
@@ -84,8 +83,7 @@
 	return owner
 }
 
-// An owner that was replaced is found as soon as it is suspect, also between
-// two answers to the long poll, for which it waited half a second longer.
+// A replaced owner is detected as soon as it is suspect, also between two answers to a long poll.
 func TestReplacedOwnerIsDetectedBetweenLongPolls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -101,7 +99,7 @@
 	})
 }
 
-// A sign that reached the journal but not this daemon counts: the watcher reads
+// A heartbeat that is in the journal but not yet in this daemon's fold counts: the watcher reads
 // before it takes a batch over.
 func TestUnreadHeartbeatKeepsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -112,10 +110,10 @@
 		watcher, partition := newTestWatcher(ctx, log, group)
 		is.NoErr(partition.Append(ctx, batch.Accepted(&oneItem, "a/1")))
 		is.NoErr(partition.CatchUp(ctx))
-		seen := &watchedPartition{owners: map[string]observation{}}
-		is.Equal(len(watcher.inspect(partition.Name(), seen, 0, time.Now())), 0)
+		p := &watchedPartition{owners: map[string]observation{}}
+		is.Equal(len(watcher.inspect(partition.Name(), p, 0, time.Now())), 0)
 		time.Sleep(suspectTimeout + time.Millisecond)
-		suspects := watcher.inspect(partition.Name(), seen, 0, time.Now())
+		suspects := watcher.inspect(partition.Name(), p, 0, time.Now())
 		is.Equal(len(suspects), 1)
 		is.Equal(len(watcher.runner.confirmSilence(ctx, suspects)), 1)
 		other := ledger.New(ctx, log, zap.NewNop())
@@ -126,9 +124,8 @@
 	})
 }
 
-// A batch whose owner has been replaced changes hands as soon as the group
-// tells of another incarnation: after all daemons are killed at once, each step would
-// otherwise wait for half a second of silence.
+// A replaced owner is detected as soon as the group reports the newer incarnation, without waiting
+// for suspectTimeout.
 func TestReplacedOwnerIsDetectedOnGroupChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -145,7 +142,7 @@
 	})
 }
 
-// Each owner is looked for once in a generation, not at each of its signs.
+// Each owner is checked once per generation of the group, not after each of its heartbeats.
 func TestLivingOwnerIsCheckedOncePerGeneration(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
@@ -166,16 +163,13 @@
 	is.Equal(ownerOf(partition, "x"), "c/1")
 }
 
-// A watcher reads a partition before it takes a batch over, and gave that read 0.3 s. A
-// daemon on a fraction of a core, or before a store that is slow for it alone, needs
-// longer for each of its reads: it took none of the batches over that it watched, for as
-// long as that lasted, and nobody else watches them.
+// A watcher whose reads take longer than confirmTimeout must still take over batches.
 func TestSlowWatcherTakesOverBatches(t *testing.T) {
-	for _, lag := range []time.Duration{
+	for _, delay := range []time.Duration{
 		0, 200 * time.Millisecond, 400 * time.Millisecond, 700 * time.Millisecond,
 	} {
 		for _, released := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%v released=%v", lag, released), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%v released=%v", delay, released), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
 					ctx := t.Context()
@@ -186,7 +180,7 @@
 					if released {
 						is.NoErr(partition.Append(ctx, batch.Released("x", "a/1", nil)))
 					}
-					log.reads.Store(int64(lag))
+					log.reads.Store(int64(delay))
 					go NewWatcher(owner, &fakeGroup{partitions: map[journal.Partition]bool{partition.Name(): true}}).Run(ctx)
 					time.Sleep(heartbeatTimeout + 2*time.Second)
 					is.Equal(ownerInJournal(ctx, t, log.Journal, "x"), "b/1")
--- a/internal/daemon/explain/explain.go
+++ b/internal/daemon/explain/explain.go
@@ -38,8 +38,8 @@
 // batchEvents, replicaEvents and contentEvents are the lines that explain an item or a
 // request although they do not name it.
 var (
-	batchEvents = map[string]bool{"batch owned": true, "batch left": true, "batch account": true, "batch released": true,
-		"batch taken over": true, "batch not taken over": true, "batch perhaps taken over": true,
+	batchEvents = map[string]bool{"batch owned": true, "batch job ended": true, "batch time breakdown": true, "batch released": true,
+		"batch taken over": true, "batch not taken over": true, "batch takeover outcome unknown": true,
 		"results not listed yet": true, "results listed": true,
 		"items given back": true, "batch released unstarted": true, "release not recorded": true,
 		"heartbeat not recorded": true, "heartbeats recorded again": true, "silence of the owner not confirmed": true}
--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -21,6 +21,11 @@
 	"samples not made again":                "samples not requested again",
 	"offer failed":                          "attempt failed",
 	"owners of partitions not learned":      "watchers of partitions not learned",
+	"batch left":                            "batch job ended",
+	"batch account":                         "batch time breakdown",
+	"batch perhaps taken over":              "batch takeover outcome unknown",
+	"owners not judged":                     "suspect owners not checked",
+	"room left to other owners":             "starts held back for other owners",
 }
 
 // eventName returns the name that an event has today.
