--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -11,8 +11,8 @@
 	"woodworks/internal/daemon/periodic"
 )
 
-// closedBatchTTL is how long a batch that was found closed is not adopted again. It exceeds the age
-// of the fold by which the watcher may still go and which may lack the closing record.
+// closedBatchTTL is how long a batch that was found closed is not adopted again. It exceeds the
+// maximum age of the watcher's fold, which may lack the record that closed the batch.
 const closedBatchTTL = 2 * heartbeatTimeout
 
 // AdoptAssigned starts a batch if, after its fold has caught up, this daemon owns it. It retries
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -58,6 +58,8 @@
 	return a.job.r.forwarder.OpenStream(ctx, req, a.replica)
 }
 
+// handleOutcome handles the end of an attempt, successful if err is nil: the item is scored, tried
+// again or given up. The item does not change if the attempt is no longer the current one.
 func (a *attempt) handleOutcome(err error) {
 	j, it := a.job, a.item
 	j.r.table.Ended(a.replica.Incarnation())
@@ -208,6 +210,7 @@
 	}
 }
 
+// recordFault records the fault of a replica in the replica table.
 func (r *Runner) recordFault(incarnation replica.Incarnation, f fault) {
 	switch f {
 	case noFault:
--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -64,6 +64,7 @@
 	timing timing
 }
 
+// newItems returns the items of a batch, all waiting.
 func newItems(submission *batch.Submission, r *Runner) []*item {
 	items := make([]*item, len(submission.Items))
 	for i := range submission.Items {
@@ -73,6 +74,7 @@
 	return items
 }
 
+// itemHeader returns an item's header list as an http.Header, with room for a few more.
 func itemHeader(list []batch.Header) http.Header {
 	header := make(http.Header, len(list)+4)
 	for _, h := range list {
@@ -89,20 +91,20 @@
 	if hint, err := strconv.ParseInt(header.Get(names.LengthHint), 10, 64); err == nil && hint > 0 {
 		return hint
 	}
-	_, most, ok := strings.Cut(header.Get(names.TokenUsage), ",")
-	if longest, err := strconv.ParseInt(strings.TrimSpace(most), 10, 64); ok && err == nil {
-		return longest
+	_, second, ok := strings.Cut(header.Get(names.TokenUsage), ",")
+	if length, err := strconv.ParseInt(strings.TrimSpace(second), 10, 64); ok && err == nil {
+		return length
 	}
 	return tokens
 }
 
 // expectedBatchTokens returns the expected number of tokens of all answers of a batch.
 func (r *Runner) expectedBatchTokens(submission *batch.Submission) int64 {
-	work := int64(0)
+	sum := int64(0)
 	for i := range submission.Items {
-		work += r.expectedLength(itemHeader(submission.Items[i].Headers), submission.Items[i].Tokens)
+		sum += r.expectedLength(itemHeader(submission.Items[i].Headers), submission.Items[i].Tokens)
 	}
-	return work
+	return sum
 }
 
 // beginAttempt makes a new attempt the current one and returns its number. The job's mutex is held.
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -72,6 +72,7 @@
 	}
 }
 
+// decideRetryForStatus decides what follows an answer of a replica with an error status.
 func decideRetryForStatus(status, failures, maxAttempts int) retryDecision {
 	switch {
 	case status == http.StatusUnprocessableEntity:
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -4,9 +4,9 @@
 //
 // Jobs (one per batch that runs here, with its items) are kept in memory only. Everything that must
 // survive the process is in the batch's partition of the ledger, from which the next owner
-// continues. The folds of the ledger say who owns a batch, the replica table what is known of
-// replicas, the forwarder sends requests to them, and the group says which daemons are alive and
-// which partitions this daemon watches.
+// continues. The runner reads who owns a batch from the folds of the ledger and the state of
+// replicas from the replica table, sends requests through the forwarder, and asks the group which
+// daemons are alive and which partitions this daemon watches.
 //
 // Decisions: retry.go (whether an item is tried again or given up), owner.go (when an owner is
 // replaced), assign.go (who owns a new batch), reward.go (when a reward call may be sent), and the
@@ -18,7 +18,7 @@
 // enginedemand.go computes it). For batches of other owners: watcher.go (what was last observed of
 // the owner) and takeover.go (the reads that confirm that an owner is silent).
 //
-// Execution: dispatch.go for all batches; snapshot.go, attempt.go, handover.go, listing.go and
+// Execution: dispatch.go and snapshot.go for all batches; attempt.go, handover.go, listing.go and
 // heartbeat.go for one item or batch; adopt.go, fold.go, standby.go and release.go for a batch that
 // changes its owner.
 //
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -15,7 +15,7 @@
 	// watchInterval is the time between two checks of the owners and of the assigned partitions.
 	watchInterval = 200 * time.Millisecond
 	// unwatchDelay is how long a partition stays watched after it was assigned to another member,
-	// which learns of that only at its second join.
+	// which learns of that only at the second join from then.
 	unwatchDelay = 1500 * time.Millisecond
 )
 
