--- a/internal/batches/runner/accept_test.go
+++ b/internal/batches/runner/accept_test.go
@@ -13,9 +13,8 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// A batch whose caller has left, or whose time was up before its body was read, was kept
-// all the same: its record was sent, its fate not awaited, and the batch run for nobody.
-func TestABatchOfNobodyIsNotKept(t *testing.T) {
+// Accept must not create a batch if its caller has left or the deadline has passed.
+func TestAcceptWithCancelledContextCreatesNoBatch(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		owner := newOwner(ctx, t, log, "a/1")
 		left, leave := context.WithCancel(ctx)
@@ -26,8 +25,8 @@
 	})
 }
 
-// A batch that is turned away by a stop has not been taken, and its caller learns why.
-func TestAStoppingOwnerTakesNoBatch(t *testing.T) {
+// A batch refused because of a stop is reported as not taken, with the stop as the reason.
+func TestStoppingRunnerRefusesBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
@@ -39,9 +38,8 @@
 	})
 }
 
-// Where the pause after a refused append ended with the time for the answer, one more was begun and
-// cut at once, and the answer said that the outcome is unknown.
-func TestNoAppendIsBegunAfterTheTimeIsUp(t *testing.T) {
+// No append may start at the deadline: it would be cut off at once and make the outcome unknown.
+func TestNoAppendStartsAfterTheDeadline(t *testing.T) {
 	for range 32 {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -52,25 +50,25 @@
 				return journaltest.Refuse
 			})
 			owner := newOwner(t.Context(), t, log, "a/1")
-			bounded, cancel := context.WithTimeout(t.Context(), 3*journalPause)
+			bounded, cancel := context.WithTimeout(t.Context(), 3*journalRetryDelay)
 			defer cancel()
-			err := owner.appendUntil(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
+			err := owner.appendWithRetry(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
 			is.True(errors.Is(err, ErrNotDone))
 			is.Equal(refusals, 3)
 		})
 	}
 }
 
-// An append that the time for the answer cuts may still be done.
-func TestAnAppendThatIsCutIsUnknown(t *testing.T) {
+// An append interrupted by the deadline may still take effect.
+func TestInterruptedAppendHasUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
 		log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 		owner := newOwner(t.Context(), t, log, "a/1")
-		bounded, cancel := context.WithTimeout(t.Context(), journalPause)
+		bounded, cancel := context.WithTimeout(t.Context(), journalRetryDelay)
 		defer cancel()
-		err := owner.appendUntil(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
+		err := owner.appendWithRetry(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
 		is.True(errors.Is(err, ErrUnknown))
 	})
 }
--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -11,15 +11,16 @@
 	"woodworks/internal/daemon/periodic"
 )
 
-// closedFor is how long a batch whose job found it closed is not begun anew: longer than a
-// fold may be old by which the watcher still goes, and which may lack what closed the batch.
-const closedFor = 2 * heartbeatTimeout
+// closedBatchTTL is how long a batch that was found closed is not adopted again. It exceeds the
+// maximum age of the watcher's fold, which may lack the record that closed the batch.
+const closedBatchTTL = 2 * heartbeatTimeout
 
-// AdoptWhenSeen starts a batch once the fold shows that this daemon owns it.
-func (r *Runner) AdoptWhenSeen(batchID string) {
+// AdoptAssigned starts a batch if, after its fold has caught up, this daemon owns it. It retries
+// while the journal can't be read.
+func (r *Runner) AdoptAssigned(batchID string) {
 	whole := r.ledger.Of(batchID)
-	if !r.begin() {
-		// Whoever named this daemon did not know that it stops.
+	if !r.beginWork() {
+		// The daemon that assigned the batch did not know of the stop.
 		r.releaseUnstarted(whole, batchID)
 		return
 	}
@@ -32,13 +33,14 @@
 			r.adopt(partition, batchID)
 			return
 		}
-		periodic.Pause(r.ctx, journalPause) // the calls to the journal that failed are logged there
+		periodic.Pause(r.ctx, journalRetryDelay) // the ledger logs failed calls to the journal
 	}
 }
 
-// TakeOver makes this daemon the owner in place of another and starts the batch.
+// TakeOver makes this daemon the owner in place of from ("" for a released batch) and starts the
+// batch. It has no effect if from is no longer the owner. The error is ErrStopping or ErrUnknown.
 func (r *Runner) TakeOver(ctx context.Context, batchID, from string) error {
-	if !r.begin() {
+	if !r.beginWork() {
 		return ErrStopping
 	}
 	defer r.work.Done()
@@ -55,13 +57,13 @@
 	return nil
 }
 
-// adopt starts a batch if a fold of its partition says that this daemon owns it, it is open,
-// and it neither runs yet nor did until it was closed. The batch goes by that fold from then
-// on. Its job is work that a stop waits for.
+// adopt starts a batch if the fold says that it is open and owned by this daemon, and it neither
+// runs here nor was recently closed here. The job follows the batch by that fold; Release waits for
+// the job.
 func (r *Runner) adopt(partition *ledger.Partition, batchID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.jobs[batchID] != nil || r.closed[batchID] || r.ctx.Err() != nil || r.stopping.Load() {
+	if r.jobs[batchID] != nil || r.closedBatches[batchID] || r.ctx.Err() != nil || r.stopping.Load() {
 		return
 	}
 	var j *job
@@ -80,23 +82,23 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		delete(r.jobs, batchID)
-		r.keepClosed(j)
+		r.recordClosed(j)
 	})
-	r.Kick()
+	r.WakeDispatcher()
 }
 
-// keepClosed keeps the batch of a job that has ended from being begun anew if it is closed,
-// as the job's fold says, which may be ahead of others. The mutex is held.
-func (r *Runner) keepClosed(j *job) {
+// recordClosed prevents the batch of an ended job from being adopted again if the job's fold, which
+// may be ahead of other folds, says that it is closed. The mutex is held.
+func (r *Runner) recordClosed(j *job) {
 	batchID, open := j.submission.ID, true
 	j.partition.ViewBatch(batchID, func(b *batch.Batch) { open = b.Open() })
 	if open {
 		return
 	}
-	r.closed[batchID] = true
-	time.AfterFunc(closedFor, func() {
+	r.closedBatches[batchID] = true
+	time.AfterFunc(closedBatchTTL, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.closed, batchID)
+		delete(r.closedBatches, batchID)
 	})
 }
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -15,24 +15,25 @@
 	"woodworks/internal/requests/forward"
 )
 
-// itemDeadline is how long a replica may work on an item in one attempt.
-const itemDeadline = 60 * time.Second
+// attemptTimeout is the deadline given to a replica for one attempt at an item.
+const attemptTimeout = 60 * time.Second
 
 var (
-	// errTooOld: the replica's weights are older than the batch allows.
-	errTooOld = errors.New("runner: weights too old")
-	// errHandedOver: another replica goes on with the item.
-	errHandedOver = errors.New("runner: handed over")
+	// errTooOld says that the replica's weights are older than the batch allows.
+	errTooOld = errors.New("runner: weights older than the batch allows")
+	// errHandedOver says that the item was handed over to another replica.
+	errHandedOver = errors.New("runner: item handed over to another replica")
 )
 
-// attempt is one try of an item at a replica. It counts until the item has a newer one.
+// attempt is one attempt at running an item at a replica. It is the current one until the item has
+// a newer one; only the current attempt changes the item.
 type attempt struct {
 	routedItem
 	number  int
 	replica replica.Replica
 }
 
-// run makes the attempt and takes its outcome into account.
+// run makes the attempt and handles its outcome.
 func (a *attempt) run() {
 	ctx, cancel := context.WithCancel(a.job.ctx)
 	defer cancel()
@@ -44,10 +45,11 @@
 	if err == nil {
 		err = a.follow(cancel, stream)
 	}
-	a.end(err)
+	a.handleOutcome(err)
 }
 
-// open asks the attempt's replica for the item's events, and cancels that after the timeout.
+// open requests the item's event stream from the replica and cancels the attempt if it gets no
+// answer within the timeout.
 func (a *attempt) open(
 	ctx context.Context, cancel context.CancelFunc, req *forward.StreamRequest, timeout time.Duration,
 ) (*forward.Stream, error) {
@@ -56,7 +58,9 @@
 	return a.job.r.forwarder.OpenStream(ctx, req, a.replica)
 }
 
-func (a *attempt) end(err error) {
+// handleOutcome handles the end of an attempt, successful if err is nil: the item is scored, tried
+// again or given up. The item does not change if the attempt is no longer the current one.
+func (a *attempt) handleOutcome(err error) {
 	j, it := a.job, a.item
 	j.r.table.Ended(a.replica.Incarnation())
 	j.mu.Lock()
@@ -75,18 +79,18 @@
 	if err == nil {
 		j.score(it)
 	} else {
-		a.failed(err)
-		j.giveBack(j.r.ctx)
+		a.handleFailure(err)
+		j.returnItems(j.r.ctx)
 	}
-	j.r.Kick()
+	j.r.WakeDispatcher()
 }
 
-// follow reads the events of an open stream until the text is whole.
+// follow reads the events of an open stream. It returns nil at the end of the text.
 func (a *attempt) follow(cancel context.CancelFunc, stream *forward.Stream) error {
 	defer stream.Close()
 	a.job.r.table.Accepted(a.replica.Incarnation())
 	version := stream.Version
-	a.noteVersion(version)
+	a.recordVersion(version)
 	timeout := eventTimeoutOf(a.replica.EventTime)
 	watchdog := time.AfterFunc(timeout, cancel)
 	defer watchdog.Stop()
@@ -102,42 +106,44 @@
 		}
 		if event.Version > 0 {
 			version = event.Version
-			a.noteVersion(version)
+			a.recordVersion(version)
 		}
 		if err := a.receive(event, version); err != nil {
 			return err
 		}
-		last = a.noteEvent(last)
+		last = a.recordEventTime(last)
 	}
 }
 
-// noteVersion tells the table which version of the weights the replica holds, 0 if it did not say.
-func (a *attempt) noteVersion(version int64) {
+// recordVersion records in the replica table which version of the weights the replica holds. A
+// version of 0, which means that the replica did not report one, is ignored.
+func (a *attempt) recordVersion(version int64) {
 	if version > 0 {
 		a.job.r.table.HoldsVersion(a.replica.Incarnation(), a.job.submission.Model, version)
 	}
 }
 
-// noteEvent notes how long an event took after the last one, which was at a time that is zero before
-// the first, and returns its own time.
-func (a *attempt) noteEvent(last time.Time) time.Time {
+// recordEventTime records the time between the last event and this one, or the time to the first
+// event if last is zero. It returns the current time.
+func (a *attempt) recordEventTime(last time.Time) time.Time {
 	now := time.Now()
 	if last.IsZero() {
-		a.noteFirstEvent()
+		a.recordFirstEvent()
 	} else {
 		a.job.r.table.ObserveEvent(a.replica.Incarnation(), now.Sub(last))
 	}
 	return now
 }
 
-// receive adds an event to the item's text, unless another attempt goes on with it.
+// receive adds an event to the item's text, or to its buffer during a hand-over. It returns
+// errHandedOver if the attempt is no longer the current one.
 func (a *attempt) receive(event eventstream.Event, version int64) error {
 	a.job.mu.Lock()
 	defer a.job.mu.Unlock()
 	if a.item.attempt != a.number {
 		return errHandedOver
 	}
-	e := receivedEvent{event: event, version: version, single: a.route.SingleVersion}
+	e := receivedEvent{event: event, version: version, singleVersion: a.route.SingleVersion}
 	if a.item.buffering {
 		a.item.buffered = append(a.item.buffered, e)
 		return nil
@@ -145,43 +151,43 @@
 	return a.item.appendEvent(e, a.job.submission.MinVersion)
 }
 
-// noteFirstEvent notes that the attempt has brought an event, and after how long.
-func (a *attempt) noteFirstEvent() {
+// recordFirstEvent records that the attempt has received its first event and how long that took.
+func (a *attempt) recordFirstEvent() {
 	a.job.mu.Lock()
 	defer a.job.mu.Unlock()
 	if a.item.attempt != a.number {
 		return
 	}
-	a.item.answered = true
+	a.item.hasFirstEvent = true
 	a.job.r.firstEvents.Observe(serviceOf(a.route, a.item), time.Since(a.item.startedAt))
 }
 
-// failed lets the item wait for another attempt, or gives it up.
-func (a *attempt) failed(cause error) {
+// handleFailure schedules another attempt at the item or gives the item up.
+func (a *attempt) handleFailure(cause error) {
 	j, it := a.job, a.item
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	next := retryAfter(cause, it.failures, a.route.MaxAttempts)
-	if next.counts {
+	next := decideRetry(cause, it.failures, a.route.MaxAttempts)
+	if next.countsAsFailure {
 		it.failures++
 	}
-	j.r.noteFault(a.replica.Incarnation(), next.fault)
+	j.r.recordFault(a.replica.Incarnation(), next.fault)
 	j.logger.Info("item attempt failed", zap.String("item", it.ID), zap.String("replica", a.replica.ID),
 		zap.Int("attempt", it.attempt), zap.Int64("events", it.lastEvent),
 		zap.Duration("after", time.Since(it.startedAt)), zap.Error(cause))
 	if it.state != itemRunning {
 		return
 	}
-	if next.dead != "" {
-		j.finish(it, batch.Result{Item: it.index, Outcome: batch.Dead}, next.dead)
+	if next.deadReason != "" {
+		j.finishItem(it, batch.Result{Item: it.index, Outcome: batch.Dead}, next.deadReason)
 		return
 	}
 	it.state = itemWaiting
 	it.timing.enter(phaseWaiting, time.Now())
-	it.notBefore = time.Now().Add(next.pause)
+	it.notBefore = time.Now().Add(next.delay)
 }
 
-// streamRequest asks a replica for the rest of an item's text. The mutex is held.
+// streamRequest returns the request for the rest of an item's text. The mutex is held.
 func (j *job) streamRequest(it *item) *forward.StreamRequest {
 	header := it.header.Clone()
 	names := j.r.forwarder.Names
@@ -199,18 +205,19 @@
 		},
 		After:      it.lastEvent,
 		HasAfter:   it.hasEvent,
-		Deadline:   itemDeadline,
+		Deadline:   attemptTimeout,
 		Repeatable: true,
 	}
 }
 
-func (r *Runner) noteFault(incarnation replica.Incarnation, f fault) {
+// recordFault records the fault of a replica in the replica table.
+func (r *Runner) recordFault(incarnation replica.Incarnation, f fault) {
 	switch f {
 	case noFault:
 	case faultDeclined:
 		r.table.Declined(incarnation)
 	case faultFull:
-		r.table.Busy(incarnation, failurePause)
+		r.table.Busy(incarnation, retryDelay)
 	case faultFailed:
 		r.table.Failed(incarnation)
 	}
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -14,121 +14,123 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// The simulation has some engines that run eight texts each and let four more wait; what comes
-// beyond is declined. Owners look every tick, and hear of each other every tellTicks.
+// The simulated engines run simSlots texts each, queue simQueue more and decline the rest. Owners
+// dispatch at every tick and report to each other every reportTicks.
 const (
 	simEngines   = 20
 	simSlots     = 8
 	simQueue     = 4
-	tick         = 10 * time.Millisecond
-	tellTicks    = 10
-	declineTicks = 12
+	tickDuration = 10 * time.Millisecond
+	reportTicks  = 10
+	avoidTicks   = 12
 )
 
-// simText is one text: where it is and for how many ticks it still runs.
+// simText is a text with the engine that it is at and the ticks that it still runs.
 type simText struct {
-	engine int // -1 while it waits at its owner
-	runs   bool
-	left   int
+	engine    int // -1 while the text waits at its owner
+	running   bool
+	remaining int
 }
 
-// simOwner is one owner with its texts, in the order in which they should start.
+// simOwner is an owner with its texts, in the order in which they should start.
 type simOwner struct {
-	sharing *sharing
-	number  uint64
-	from    int // the tick of its burst
-	texts   []*simText
-	resting [simEngines]int
-	ended   int
+	sharing      *engineSharing
+	number       uint64
+	startTick    int // start of the burst
+	texts        []*simText
+	avoidedUntil [simEngines]int
+	endTick      int
 }
 
-// simulation is some owners that share engines.
+// simulation simulates owners that share engines.
 type simulation struct {
 	tick             int
 	owners           []*simOwner
-	queued, declines int // ticks that texts waited in engines' queues, and texts declined
+	queued, declines int // ticks that texts spent in engines' queues; number of declined texts
 }
 
-func newSimulation(hear bool, seed uint64, bursts ...[2]int) *simulation {
+func newSimulation(share bool, seed uint64, bursts ...[2]int) *simulation {
 	s := &simulation{}
 	random := rand.New(rand.NewPCG(seed, 1))
 	for i, burst := range bursts {
-		owner := &simOwner{from: burst[0]}
-		if hear {
+		owner := &simOwner{startTick: burst[0]}
+		if share {
 			run := fmt.Sprintf("d%d/1", i)
-			owner.sharing = newSharing(run, occupancy.NewTable(run, s.now, zap.NewNop()), func() {}, zap.NewNop())
+			owner.sharing = newEngineSharing(run, occupancy.NewTable(run, s.now, zap.NewNop()), func() {}, zap.NewNop())
 		}
 		for range burst[1] {
-			owner.texts = append(owner.texts, &simText{engine: -1, left: 50 + random.IntN(400)})
+			owner.texts = append(owner.texts, &simText{engine: -1, remaining: 50 + random.IntN(400)})
 		}
 		s.owners = append(s.owners, owner)
 	}
 	return s
 }
 
-func (s *simulation) now() time.Time { return time.Unix(1000, 0).Add(time.Duration(s.tick) * tick) }
+func (s *simulation) now() time.Time {
+	return time.Unix(1000, 0).Add(time.Duration(s.tick) * tickDuration)
+}
 
-// run plays until all texts have ended.
+// run runs the simulation until all texts have ended.
 func (s *simulation) run(t *testing.T) {
-	for over := false; !over; s.tick++ {
+	for ended := false; !ended; s.tick++ {
 		if s.tick > 20000 {
-			t.Fatal("texts never end")
+			t.Fatal("texts have not ended after 20000 ticks")
 		}
-		s.work()
-		over = true
+		s.advance()
+		ended = true
 		for _, owner := range s.owners {
-			if s.tick%tellTicks == 0 {
-				s.tell(owner)
+			if s.tick%reportTicks == 0 {
+				s.sendReport(owner)
 			}
-			if s.tick >= owner.from {
+			if s.tick >= owner.startTick {
 				s.dispatch(owner)
 			}
-			over = over && owner.ended > 0
+			ended = ended && owner.endTick > 0
 		}
 	}
 }
 
-// work has the engines run their texts for a tick, the first ones that came.
-func (s *simulation) work() {
+// advance runs the texts at the engines for one tick: those that run already, then queued ones.
+func (s *simulation) advance() {
 	var running [simEngines]int
-	for _, waits := range []bool{false, true} {
+	for _, queued := range []bool{false, true} {
 		for _, owner := range s.owners {
 			for _, text := range owner.texts {
-				if text.engine < 0 || text.runs == waits {
+				if text.engine < 0 || text.running == queued {
 					continue
 				}
-				if waits && running[text.engine] >= simSlots {
+				if queued && running[text.engine] >= simSlots {
 					s.queued++
 					continue
 				}
-				text.runs = true
+				text.running = true
 				running[text.engine]++
-				text.left--
+				text.remaining--
 			}
 		}
 	}
 	for _, owner := range s.owners {
 		open := owner.texts[:0]
 		for _, text := range owner.texts {
-			if text.left > 0 {
+			if text.remaining > 0 {
 				open = append(open, text)
 			}
 		}
 		owner.texts = open
-		if len(open) == 0 && owner.ended == 0 {
-			owner.ended = s.tick
+		if len(open) == 0 && owner.endTick == 0 {
+			owner.endTick = s.tick
 		}
 	}
 }
 
-func (s *simulation) at(engine int) (requests int) {
+func (s *simulation) inFlight(engine int) (requests int) {
 	for _, owner := range s.owners {
-		requests += owner.at(engine)
+		requests += owner.inFlight(engine)
 	}
 	return requests
 }
 
-func (o *simOwner) at(engine int) (requests int) {
+func (o *simOwner) inFlight(engine int) (requests int) {
 	for _, text := range o.texts {
 		if text.engine == engine {
 			requests++
@@ -145,8 +147,8 @@
 		engine := scheduling.Engine{
 			ID:       rep.ID,
 			Slots:    simSlots,
-			InFlight: owner.at(i),
-			Avoided:  s.tick < owner.resting[i],
+			InFlight: owner.inFlight(i),
+			Avoided:  s.tick < owner.avoidedUntil[i],
 		}
 		snap.Engines = append(snap.Engines, owner.sharing.withReports(engine, rep, s.now()))
 	}
@@ -157,19 +159,19 @@
 		}
 		snap.Items = append(snap.Items, item)
 	}
-	for _, decision := range owner.sharing.inTurn("s", &snap, scheduling.Plan(snap), s.now()) {
+	for _, decision := range owner.sharing.holdBackStarts("s", &snap, scheduling.Plan(snap), s.now()) {
 		start := decision.(scheduling.Start)
-		if s.at(start.Engine) >= simSlots+simQueue {
+		if s.inFlight(start.Engine) >= simSlots+simQueue {
 			s.declines++
-			owner.resting[start.Engine] = s.tick + declineTicks
+			owner.avoidedUntil[start.Engine] = s.tick + avoidTicks
 			continue
 		}
 		owner.texts[start.Item].engine = start.Engine
 	}
 }
 
-// tell lets the others hear of an owner.
-func (s *simulation) tell(owner *simOwner) {
+// sendReport sends an owner's report to the other owners.
+func (s *simulation) sendReport(owner *simOwner) {
 	if owner.sharing == nil {
 		return
 	}
@@ -177,9 +179,9 @@
 	report := occupancy.Report{Sender: owner.sharing.self, Number: owner.number, Sent: s.now().UnixMilli()}
 	for i := range simEngines {
 		key := occupancy.KeyOf(fmt.Sprintf("e%d", i), time.Time{})
-		report.Counts = append(report.Counts, occupancy.Count{Replica: key, Requests: uint32(owner.at(i))})
+		report.Counts = append(report.Counts, occupancy.Count{Replica: key, Requests: uint32(owner.inFlight(i))})
 	}
-	if demand, some := owner.sharing.demands["s"]; some {
+	if demand, ok := owner.sharing.demands["s"]; ok {
 		report.Demands = []occupancy.Demand{demand}
 	}
 	for _, other := range s.owners {
@@ -189,73 +191,72 @@
 	}
 }
 
-// Two owners whose bursts meet on the same engines filled some of them beyond their places:
-// texts waited there or were declined. With what they tell each other texts wait at their
-// owners, and start where room is; both bursts end no later.
-func TestOwnersThatHearOfEachOtherDontOverfillEngines(t *testing.T) {
+// Two owners with simultaneous bursts must not overfill engines: with reports their texts wait at
+// the owners, not in queues, and both bursts end no later.
+func TestReportsKeepOwnersFromOverfillingEngines(t *testing.T) {
 	is := is.New(t)
-	play := func(hear bool) *simulation {
-		s := newSimulation(hear, 5, [2]int{0, 130}, [2]int{30, 130})
+	simulate := func(share bool) *simulation {
+		s := newSimulation(share, 5, [2]int{0, 130}, [2]int{30, 130})
 		s.run(t)
-		t.Logf("hear %v: %d ticks of waiting in queues, %d declines, bursts over at ticks %d and %d",
-			hear, s.queued, s.declines, s.owners[0].ended, s.owners[1].ended)
+		t.Logf("reports %v: %d ticks in queues, %d declines, bursts ended at ticks %d and %d",
+			share, s.queued, s.declines, s.owners[0].endTick, s.owners[1].endTick)
 		return s
 	}
-	before, after := play(false), play(true)
-	is.True(before.queued > 5000)
-	is.True(before.declines > 10)
-	is.True(after.queued <= before.queued/100)
-	is.Equal(after.declines, 0)
-	last := func(s *simulation) int { return max(s.owners[0].ended, s.owners[1].ended) }
-	is.True(last(after) <= last(before)*105/100)
+	without, with := simulate(false), simulate(true)
+	is.True(without.queued > 5000)
+	is.True(without.declines > 10)
+	is.True(with.queued <= without.queued/100)
+	is.Equal(with.declines, 0)
+	last := func(s *simulation) int { return max(s.owners[0].endTick, s.owners[1].endTick) }
+	is.True(last(with) <= last(without)*105/100)
 }
 
-// Owners that start at the same instant have heard nothing yet. Each begins with other ones
-// of the engines that are as good, so that fewer are filled beyond their places.
-func TestOwnersThatStartAtOnceChooseOtherEngines(t *testing.T) {
+// Owners that start at the same instant have no reports yet. They must prefer different engines
+// among equally good ones.
+func TestSimultaneousOwnersPreferDifferentEngines(t *testing.T) {
 	is := is.New(t)
-	overfilled := func(hear bool) (requests int) {
-		s := newSimulation(hear, 5, [2]int{0, 50}, [2]int{0, 50}, [2]int{0, 50})
+	overfilled := func(share bool) (requests int) {
+		s := newSimulation(share, 5, [2]int{0, 50}, [2]int{0, 50}, [2]int{0, 50})
 		for _, owner := range s.owners {
 			s.dispatch(owner)
 		}
 		for engine := range simEngines {
-			requests += max(s.at(engine)-simSlots, 0)
+			requests += max(s.inFlight(engine)-simSlots, 0)
 		}
 		return requests
 	}
-	before, after := overfilled(false), overfilled(true)
-	t.Logf("of 150 texts for 160 places %d and %d are one too many", before, after)
-	is.Equal(before, 10)
-	is.True(after <= 4)
+	without, with := overfilled(false), overfilled(true)
+	t.Logf("of 150 texts for 160 slots, %d without and %d with preferences exceed their engine's slots", without, with)
+	is.Equal(without, 10)
+	is.True(with <= 4)
 }
 
-// An owner with a long queue of its own leaves places to one that comes later: that one's
-// burst is over well before, and long before it would be if it waited for the first to end.
-func TestAnOwnerThatComesLaterGetsItsShare(t *testing.T) {
+// An owner with a long queue must leave slots to one whose burst starts later.
+func TestLaterOwnerGetsItsShare(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(true, 5, [2]int{0, 800}, [2]int{200, 100})
 	s.run(t)
-	t.Logf("bursts over at ticks %d and %d, %d ticks of waiting in queues, %d declines",
-		s.owners[0].ended, s.owners[1].ended, s.queued, s.declines)
-	is.True(s.owners[1].ended < s.owners[0].ended*2/3)
+	t.Logf("bursts ended at ticks %d and %d, %d ticks in queues, %d declines",
+		s.owners[0].endTick, s.owners[1].endTick, s.queued, s.declines)
+	is.True(s.owners[1].endTick < s.owners[0].endTick*2/3)
 	is.Equal(s.declines, 0)
-	// The engines lose little by what is left free: the work alone takes that many ticks.
-	work := newSimulation(true, 5, [2]int{0, 800}, [2]int{200, 100}).owners
+	// Holding slots free costs little: the last burst ends soon after the time that the work alone
+	// takes.
+	owners := newSimulation(true, 5, [2]int{0, 800}, [2]int{200, 100}).owners
 	sum := 0
-	for _, owner := range work {
+	for _, owner := range owners {
 		for _, text := range owner.texts {
-			sum += text.left
+			sum += text.remaining
 		}
 	}
-	least := sum / (simEngines * simSlots)
-	t.Logf("the work alone takes %d ticks", least)
-	is.True(s.owners[0].ended <= least*130/100)
+	minTicks := sum / (simEngines * simSlots)
+	t.Logf("the work alone takes %d ticks", minTicks)
+	is.True(s.owners[0].endTick <= minTicks*130/100)
 }
 
-// Items that wait beside room wait for something else, as for newer weights: others need not
-// leave them places.
-func TestItemsThatWaitForWeightsClaimNoPlaces(t *testing.T) {
+// Items that wait for newer weights, although there is room, must not make other owners hold back
+// starts.
+func TestItemsWaitingForWeightsReserveNoSlots(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(true, 1, [2]int{0, 1}).owners[0].sharing
 	snap := scheduling.Snapshot{
@@ -265,23 +266,23 @@
 		},
 		Items: []scheduling.Item{{Model: "m", MinVersion: 2}, {Model: "m", MinVersion: 2}},
 	}
-	s.inTurn("s", &snap, nil, time.Unix(0, 0))
-	is.Equal(s.demands["s"].Waiting, uint32(2)) // the engine that may run them is full
+	s.holdBackStarts("s", &snap, nil, time.Unix(0, 0))
+	is.Equal(s.demands["s"].Waiting, uint32(2)) // the only engine with the weights is full
 	snap.Engines[1].InFlight = 1
-	s.inTurn("s", &snap, nil, time.Unix(0, 0))
+	s.holdBackStarts("s", &snap, nil, time.Unix(0, 0))
 	is.Equal(s.demands["s"].Waiting, uint32(0))
 	is.Equal(s.demands["s"].InFlight, uint32(1))
 }
 
-// An event time that others measured counts where this daemon has none, or an older one.
-func TestAnEventTimeOfOthersStandsInForTheOwn(t *testing.T) {
+// A reported event time is used if this daemon has none or an older one.
+func TestReportedEventTimeReplacesMissingOrStaleOne(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(true, 1, [2]int{0, 1}).owners[0].sharing
 	now := time.Now()
 	rep := replica.Replica{Entry: replica.Entry{ID: "e"}}
-	told := func(age time.Duration) {
+	report := func(age time.Duration) {
 		s.table.Adopt(occupancy.Occupancy{
-			Measured: []occupancy.Measurement{occupancy.NewMeasurement(KeyOf(rep), 20*time.Millisecond, age)},
+			Measured: []occupancy.Measurement{occupancy.NewMeasurement(ReplicaKey(rep), 20*time.Millisecond, age)},
 		})
 	}
 	eventTime := func(own, age time.Duration) time.Duration {
@@ -289,31 +290,31 @@
 		return s.withReports(scheduling.Engine{EventTime: own}, rep, now).EventTime
 	}
 	is.Equal(eventTime(0, time.Hour), time.Duration(0))
-	told(5 * time.Second)
+	report(5 * time.Second)
 	is.Equal(eventTime(0, time.Hour), 20*time.Millisecond)
 	is.Equal(eventTime(40*time.Millisecond, time.Second), 40*time.Millisecond)
 	is.Equal(eventTime(40*time.Millisecond, 4*time.Second), 40*time.Millisecond)
 	is.Equal(eventTime(40*time.Millisecond, 6*time.Second), 20*time.Millisecond)
-	var alone *sharing
+	var alone *engineSharing
 	is.Equal(alone.withReports(scheduling.Engine{ID: "e", EventTime: 1}, rep, now),
 		scheduling.Engine{ID: "e", EventTime: 1})
 }
 
-// What is told is what is under way now. A daemon that stops wants nothing more, and one
-// without batches has nothing to tell.
-func TestWhatIsToldOfTheOwnRequests(t *testing.T) {
+// The report contains the current requests. A stopping daemon wants no more slots, and a daemon
+// without batches reports nothing.
+func TestOccupancyReport(t *testing.T) {
 	is := is.New(t)
-	j, _ := movedJob(t)
+	j, _ := newMovingJob(t)
 	runner := j.r
 	runner.wake = make(chan struct{}, 1)
 	runner.self, runner.jobs = "d0/1", map[string]*job{"b": j}
 	runner.ShareEngines(occupancy.NewTable("d0/1", time.Now, zap.NewNop()), func() {})
-	runner.shared.demands["s"] = occupancy.Demand{Service: 1, Waiting: 3}
+	runner.sharing.demands["s"] = occupancy.Demand{Service: 1, Waiting: 3}
 	runner.table.Started("to")
 	for range 5 {
 		runner.table.ObserveEvent("from", 30*time.Millisecond)
 	}
-	report := runner.Occupied()
+	report := runner.OccupancyReport()
 	is.Equal(report.Demands, []occupancy.Demand{{Service: 1, InFlight: 1, Waiting: 3}})
 	requests := uint32(0)
 	for _, c := range report.Counts {
@@ -322,10 +323,10 @@
 	is.Equal(requests, uint32(1))
 	is.Equal(len(report.Measured), 1)
 	is.Equal(report.Measured[0].EventTime, uint32(300))
-	runner.HeardOfOthers()
-	is.Equal(len(runner.wake), 1) // items wait, and there may be room
+	runner.ReportReceived()
+	is.Equal(len(runner.wake), 1) // items wait and there may be room
 	runner.stopping.Store(true)
-	is.Equal(runner.Occupied().Demands[0].Waiting, uint32(0))
+	is.Equal(runner.OccupancyReport().Demands[0].Waiting, uint32(0))
 	delete(runner.jobs, "b")
-	is.Equal(len(runner.Occupied().Demands), 0)
+	is.Equal(len(runner.OccupancyReport().Demands), 0)
 }
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -17,11 +17,11 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// holds is a daemon that has the fold of all partitions, or a silent one if it is nil.
-type holds struct{ *ledger.Ledger }
+// ledgerLocator locates batches in a ledger; with a nil one it always fails.
+type ledgerLocator struct{ *ledger.Ledger }
 
 // Beginning implements Locator.
-func (h holds) Beginning(ctx context.Context, batchID string) (offset int64, err error) {
+func (h ledgerLocator) Beginning(ctx context.Context, batchID string) (offset int64, err error) {
 	if h.Ledger == nil {
 		return 0, errors.New("no answer")
 	}
@@ -30,29 +30,29 @@
 		return 0, err
 	}
 	if !partition.ViewBatch(batchID, func(b *batch.Batch) { offset = b.Offset }) {
-		return 0, errors.New("not known")
+		return 0, errors.New("unknown batch")
 	}
 	return offset, nil
 }
 
-// silent is a watcher that never answers.
-type silent struct{}
+// silentLocator is a Locator that never answers.
+type silentLocator struct{}
 
-func (silent) Beginning(ctx context.Context, _ string) (int64, error) {
+func (silentLocator) Beginning(ctx context.Context, _ string) (int64, error) {
 	<-ctx.Done()
 	return 0, ctx.Err()
 }
 
-// putOthers fills a partition with some bytes of other batches.
-func putOthers(
+// appendOtherBatches fills a partition with the given number of bytes of other batches.
+func appendOtherBatches(
 	ctx context.Context, t *testing.T, log journal.Journal, partition journal.Partition, bytes int,
 ) {
 	t.Helper()
-	const part = 64 << 10
-	for i := range bytes / part {
+	const size = 64 << 10
+	for i := range bytes / size {
 		other := batch.Submission{
 			ID:    fmt.Sprintf("other-%d", i),
-			Items: []batch.Item{{ID: "o", Body: make([]byte, part)}},
+			Items: []batch.Item{{ID: "o", Body: make([]byte, size)}},
 		}
 		record := batch.Accepted(&other, "gone/1")
 		if _, err := log.Append(ctx, journal.Append{Partition: partition, Records: [][]byte{record}}); err != nil {
@@ -61,24 +61,25 @@
 	}
 }
 
-// firstSign reports whether the owner of oneItem has given a sign, and names it.
-func firstSign(partition *ledger.Partition) (given bool, owner string) {
-	partition.ViewBatch("x", func(b *batch.Batch) { given, owner = b.Signs > 0, b.Owner })
-	return given, owner
+// firstHeartbeat reports whether the owner of oneItem has shown a sign of life, and who owns it.
+func firstHeartbeat(partition *ledger.Partition) (seen bool, owner string) {
+	partition.ViewBatch("x", func(b *batch.Batch) { seen, owner = b.Signs > 0, b.Owner })
+	return seen, owner
 }
 
-// begunAfter is how long after the acceptance of oneItem its owner gives its first sign,
-// with some bytes of other batches in the partition, at an owner behind a link.
-func begunAfter(
+// timeToFirstHeartbeat returns the time from the acceptance of oneItem to its owner's first
+// heartbeat, and that owner. The partition holds the given bytes of other batches, and the owner is
+// behind a slow link.
+func timeToFirstHeartbeat(
 	ctx context.Context, t *testing.T, others int, bytesPerSecond float64, locator Locator,
 ) (took time.Duration, owner string) {
 	log := journaltest.New()
-	seen := ledger.New(ctx, log, zap.NewNop())
-	partition := seen.Of("x")
+	whole := ledger.New(ctx, log, zap.NewNop())
+	partition := whole.Of("x")
 	defer partition.Follow()()
-	putOthers(ctx, t, log, partition.Name(), others)
+	appendOtherBatches(ctx, t, log, partition.Name(), others)
 	if locator == nil {
-		locator = holds{seen}
+		locator = ledgerLocator{whole}
 	}
 	chosen := newOwner(ctx, t, log.Behind(bytesPerSecond), "a/1")
 	chosen.locator = locator
@@ -88,46 +89,46 @@
 	if err := accepter.Accept(ctx, &oneItem); err != nil {
 		t.Fatal(err)
 	}
-	chosen.AdoptWhenSeen("x")
-	for begun := false; !begun; time.Sleep(time.Millisecond) {
+	chosen.AdoptAssigned("x")
+	for seen := false; !seen; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 5*time.Second {
-			t.Fatal("nobody has begun")
+			t.Fatal("no heartbeat after 5 s")
 		}
-		begun, owner = firstSign(partition)
+		seen, owner = firstHeartbeat(partition)
 	}
 	return time.Since(began), owner
 }
 
-// An owner on a weak link begins at once, whatever its batch's partition holds of others.
-// When it read all of them first, the daemon that had accepted the batch took it for gone.
-func TestANewOwnerReadsItsBatchAlone(t *testing.T) {
+// A new owner on a slow link must send its first heartbeat before the accepting daemon takes the
+// batch over, however many bytes of other batches the partition holds.
+func TestNewOwnerReadsOnlyItsBatch(t *testing.T) {
 	const link, others = 60e6 / 8, 4 << 20
 	for name, each := range map[string]struct {
 		locator Locator
-		most    time.Duration
-		// owner is who begins, "" being any.
+		max     time.Duration
+		// owner is the expected owner, "" for any.
 		owner string
 	}{
-		"the watcher tells where": {nil, 50 * time.Millisecond, "a/1"},
-		"nobody tells":            {holds{}, 700 * time.Millisecond, ""},
-		"the watcher is silent":   {silent{}, 700*time.Millisecond + locateTimeout, ""},
+		"located":           {nil, 50 * time.Millisecond, "a/1"},
+		"locator fails":     {ledgerLocator{}, 700 * time.Millisecond, ""},
+		"locator is silent": {silentLocator{}, 700*time.Millisecond + locateTimeout, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx := t.Context()
-				took, owner := begunAfter(ctx, t, others, link, each.locator)
-				t.Logf("begun after %v by %s", took, owner)
+				took, owner := timeToFirstHeartbeat(ctx, t, others, link, each.locator)
+				t.Logf("first heartbeat after %v by %s", took, owner)
 				is.True(each.owner == "" || owner == each.owner)
-				is.True(took < each.most)
+				is.True(took < each.max)
 			})
 		})
 	}
 }
 
-// A batch that came twice, or that has ended, is not begun anew by an owner that reads it
-// alone: its fold begins with the first acceptance.
-func TestABatchReadAloneIsTheFirstOne(t *testing.T) {
+// A fold that starts at the batch starts at its first acceptance: a batch that was accepted twice,
+// or has ended, must not start again.
+func TestSeparateFoldStartsAtFirstAcceptance(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		whole := ledger.New(ctx, log, zap.NewNop())
 		partition := whole.Of("x")
@@ -136,8 +137,8 @@
 		is.NoErr(partition.Append(ctx, batch.Ended("x", "")))
 		is.NoErr(partition.Append(ctx, batch.Accepted(&twoItems, "a/1")))
 		owner := newOwner(ctx, t, log, "a/1")
-		owner.locator = holds{whole}
-		owner.AdoptWhenSeen("x")
+		owner.locator = ledgerLocator{whole}
+		owner.AdoptAssigned("x")
 		batches, _ := owner.Load()
 		is.Equal(batches, 0)
 	})
--- a/internal/batches/runner/history_test.go
+++ b/internal/batches/runner/history_test.go
@@ -8,7 +8,8 @@
 	"woodworks/internal/batches/batch"
 )
 
-func groupsBatch(id, model string, groups ...string) *batch.Submission {
+// batchOfGroups returns a batch with one item per group.
+func batchOfGroups(id, model string, groups ...string) *batch.Submission {
 	sub := &batch.Submission{ID: id, Model: model}
 	for _, group := range groups {
 		sub.Items = append(sub.Items, batch.Item{ID: id + group, Group: group})
@@ -16,24 +17,25 @@
 	return sub
 }
 
-func TestGroupsThatComeAgainAreKnown(t *testing.T) {
+// A group that an earlier batch of the model contained is reported as repeated.
+func TestRepeatedGroupsAreDetected(t *testing.T) {
 	is := is.New(t)
 	remembered := newHistory()
 	begin := func(submission *batch.Submission) map[string]bool {
-		again, lengths := remembered.begin(submission)
+		repeated, lengths := remembered.recordBatch(submission)
 		is.True(lengths != nil)
-		return again
+		return repeated
 	}
-	is.Equal(begin(groupsBatch("1", "m", "a", "b", "")), map[string]bool{})
-	// The same batch, had again after a takeover, is no repeat of itself.
-	is.Equal(begin(groupsBatch("1", "m", "a", "b", "")), map[string]bool{})
-	is.Equal(begin(groupsBatch("2", "m", "c", "")), map[string]bool{})
-	is.Equal(begin(groupsBatch("3", "m", "b", "d", "")), map[string]bool{"b": true})
-	is.Equal(begin(groupsBatch("3", "other", "b")), map[string]bool{})
-	// Batches of long ago are forgotten.
+	is.Equal(begin(batchOfGroups("1", "m", "a", "b", "")), map[string]bool{})
+	// The same batch, adopted again after a takeover, does not repeat itself.
+	is.Equal(begin(batchOfGroups("1", "m", "a", "b", "")), map[string]bool{})
+	is.Equal(begin(batchOfGroups("2", "m", "c", "")), map[string]bool{})
+	is.Equal(begin(batchOfGroups("3", "m", "b", "d", "")), map[string]bool{"b": true})
+	is.Equal(begin(batchOfGroups("3", "other", "b")), map[string]bool{})
+	// Older batches are forgotten.
 	for _, id := range []string{"4", "5", "6", "7"} {
-		begin(groupsBatch(id, "m", id))
+		begin(batchOfGroups(id, "m", id))
 	}
-	is.Equal(begin(groupsBatch("8", "m", "a", "4", "7")), map[string]bool{"4": true, "7": true})
-	is.Equal(len(remembered.models["m"].batches), rememberedBatches)
+	is.Equal(begin(batchOfGroups("8", "m", "a", "4", "7")), map[string]bool{"4": true, "7": true})
+	is.Equal(len(remembered.models["m"].batches), maxRememberedBatches)
 }
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -18,79 +18,80 @@
 	"woodworks/internal/membership/group"
 )
 
-// lateJournal is a journal that answers each call after a time.
-type lateJournal struct {
+// delayedJournal is a journal that delays the answer to each call.
+type delayedJournal struct {
 	journal.Journal
-	takes time.Duration
+	delay time.Duration
 }
 
-func (l lateJournal) pass(ctx context.Context) error {
+func (l delayedJournal) wait(ctx context.Context) error {
 	select {
-	case <-time.After(l.takes):
+	case <-time.After(l.delay):
 		return nil
 	case <-ctx.Done():
 		return errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
 	}
 }
 
-func (l lateJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
-	if err := l.pass(ctx); err != nil {
+func (l delayedJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
+	if err := l.wait(ctx); err != nil {
 		return journal.Appended{}, err
 	}
 	return l.Journal.Append(ctx, request)
 }
 
-func (l lateJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+func (l delayedJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	read, err := l.Journal.Read(ctx, request)
-	if err := l.pass(ctx); err != nil {
+	if err := l.wait(ctx); err != nil {
 		return journal.Records{}, err
 	}
 	return read, err
 }
 
-func (l lateJournal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
-	if err := l.pass(ctx); err != nil {
+func (l delayedJournal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
+	if err := l.wait(ctx); err != nil {
 		return journal.Assignment{}, err
 	}
 	return l.Journal.Join(ctx, request)
 }
 
-func (l lateJournal) Owners(ctx context.Context, name string) ([]journal.Ownership, error) {
-	if err := l.pass(ctx); err != nil {
+func (l delayedJournal) Owners(ctx context.Context, name string) ([]journal.Ownership, error) {
+	if err := l.wait(ctx); err != nil {
 		return nil, err
 	}
 	return l.Journal.Owners(ctx, name)
 }
 
-// oneWatcher is the daemon that watches all partitions. It implements results.Peers.
-type oneWatcher struct{ reader *results.Reader }
+// watcherPeer is the only peer, which watches all partitions. It implements results.Peers.
+type watcherPeer struct{ reader *results.Reader }
 
-func (oneWatcher) Daemons() int { return 3 }
+func (watcherPeer) Daemons() int { return 3 }
 
-func (h oneWatcher) Ask(ctx context.Context, _, _ string, asked, answer any) error {
+func (h watcherPeer) Ask(ctx context.Context, _, _ string, asked, answer any) error {
 	return h.reader.Service(ctx).Beginning(asked.(results.BeginningQuery), answer.(*results.Beginning))
 }
 
-// beginsLate is how long after its acceptance the owner of a new batch gives its first sign, and
-// who that is, with some bytes of other batches in the partition.
-func beginsLate(
+// timeToFirstHeartbeatDelayed returns the time from the acceptance of a new batch to its owner's
+// first heartbeat, and that owner, behind a delayed journal. The partition holds the given bytes of
+// other batches.
+func timeToFirstHeartbeatDelayed(
 	ctx context.Context, t *testing.T, others int, takes time.Duration, groupTells bool,
 ) (took time.Duration, owner string) {
 	const watcher = "h/1"
 	logger := zap.NewNop()
 	log := journaltest.New()
 	log.RecordBytes = 256 << 10
-	slow := lateJournal{Journal: log, takes: takes}
-	held := ledger.New(ctx, slow, logger)
-	partition := held.Of("x")
-	putOthers(ctx, t, log, partition.Name(), others)
+	slow := delayedJournal{Journal: log, delay: takes}
+	watched := ledger.New(ctx, slow, logger)
+	partition := watched.Of("x")
+	appendOtherBatches(ctx, t, log, partition.Name(), others)
 	member := group.New(slow, watcher, ledger.TopicNames(), logger)
 	go member.Run(ctx)
 	defer partition.Follow()()
 	time.Sleep(10 * time.Second)
-	peers := oneWatcher{results.NewReader(held, dealtTo(watcher), nil, log.Grants(), watcher, logger)}
+	peers := watcherPeer{results.NewReader(watched, fixedWatcher(watcher), nil, log.Grants(), watcher, logger)}
 	locator := func(self string, batches *ledger.Ledger) Locator {
-		var watchers results.Watchers = dealtTo(watcher)
+		var watchers results.Watchers = fixedWatcher(watcher)
 		if groupTells {
 			watchers = group.New(slow, self, ledger.TopicNames(), logger)
 		}
@@ -104,18 +105,16 @@
 	if err := accepter.Accept(ctx, &oneItem); err != nil {
 		t.Fatal(err)
 	}
-	go chosen.AdoptWhenSeen("x")
-	for begun := false; !begun && time.Since(began) < 20*time.Second; time.Sleep(time.Millisecond) {
-		begun, owner = firstSign(partition)
+	go chosen.AdoptAssigned("x")
+	for seen := false; !seen && time.Since(began) < 20*time.Second; time.Sleep(time.Millisecond) {
+		seen, owner = firstHeartbeat(partition)
 	}
 	return time.Since(began), owner
 }
 
-// Where the journal took 0.25 s an answer, a new owner began 5.8 s after its batch was accepted
-// in a partition with 8 MB of others, in place of 1.2 s in an empty one: the question where the
-// batch begins was given up after 0.15 s, and the whole partition was read page by page, by the
-// owner and by the accepter each. The watcher has to hear of the batch from the same journal, and
-// whom to ask is told by it too, so that the bound ran out whenever an answer took longer.
+// With a slow journal, a new owner must not read the whole partition because the query for its
+// batch's offset has timed out: the watcher reads the batch from the same slow journal, and so does
+// the group that tells whom to ask.
 func TestANewOwnerReadsItsBatchAloneWhereTheJournalIsLate(t *testing.T) {
 	const others = 8 << 20
 	for name, groupTells := range map[string]bool{"the watcher is known": false, "the group tells": true} {
@@ -126,9 +125,9 @@
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
 					ctx := t.Context()
-					alone, _ := beginsLate(ctx, t, 0, takes, groupTells)
-					among, owner := beginsLate(ctx, t, others, takes, groupTells)
-					t.Logf("begun after %v alone, after %v among %d MB of others, by %s", alone, among, others>>20, owner)
+					alone, _ := timeToFirstHeartbeatDelayed(ctx, t, 0, takes, groupTells)
+					among, owner := timeToFirstHeartbeatDelayed(ctx, t, others, takes, groupTells)
+					t.Logf("first heartbeat after %v alone, after %v among %d MB of others, by %s", alone, among, others>>20, owner)
 					is.True(among <= alone+takes)
 				})
 			})
--- a/internal/batches/runner/listing.go
+++ b/internal/batches/runner/listing.go
@@ -11,22 +11,23 @@
 )
 
 const (
-	// listDelay is how long a result waits for others to be listed with.
+	// listDelay is how long a result waits for others, to be appended in one record.
 	listDelay = 10 * time.Millisecond
-	// listTimeout bounds one try to list results.
+	// listTimeout bounds one attempt to append results.
 	listTimeout = 2 * time.Second
 )
 
 // resultQueue holds the results that are not in the ledger yet.
 type resultQueue struct {
 	pending []batch.Result
-	// wake gets a value when there are some.
+	// wake receives a value when there are pending results.
 	wake chan struct{}
 }
 
-// finish hands a result to be listed. The mutex is held.
-func (j *job) finish(it *item, result batch.Result, reason string) {
-	it.state = itemEnding
+// finishItem queues an item's result to be appended to the ledger; reason says why an item is dead.
+// The mutex is held.
+func (j *job) finishItem(it *item, result batch.Result, reason string) {
+	it.state = itemResultPending
 	it.timing.enter(phaseListing, time.Now())
 	j.results.pending = append(j.results.pending, result)
 	outcome := "done"
@@ -41,8 +42,7 @@
 	signal(j.results.wake)
 }
 
-// listResults appends results to the ledger as they come, a few together, until the job
-// ends.
+// listResults appends queued results to the ledger, several per record, until the job ends.
 func (j *job) listResults() {
 	for {
 		select {
@@ -57,7 +57,7 @@
 		if len(results) == 0 {
 			continue
 		}
-		if !j.list(results) {
+		if !j.appendResults(results) {
 			return
 		}
 		j.mu.Lock()
@@ -70,9 +70,9 @@
 	}
 }
 
-// list appends results until it is certain that they are in the ledger, and reports whether
-// they are.
-func (j *job) list(results []batch.Result) bool {
+// appendResults appends results, retrying until they are certain to be in the ledger. It reports
+// false if the job ended first.
+func (j *job) appendResults(results []batch.Result) bool {
 	record := batch.Listed(j.submission.ID, results)
 	failures := 0
 	for j.ctx.Err() == nil {
@@ -89,7 +89,7 @@
 		if failures == 1 && j.ctx.Err() == nil {
 			j.logger.Info("results not listed yet", zap.Int("results", len(results)), zap.Error(err))
 		}
-		periodic.Pause(j.ctx, journalPause)
+		periodic.Pause(j.ctx, journalRetryDelay)
 	}
 	return false
 }
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -14,16 +14,16 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// configured is an operator that has given one configuration.
-type configured struct {
-	unaware
+// configuredOperator is an operator with one configuration.
+type configuredOperator struct {
+	emptyOperator
 	configuration *route.Configuration
 }
 
-func (c configured) Configuration() *route.Configuration { return c.configuration }
+func (c configuredOperator) Configuration() *route.Configuration { return c.configuration }
 
-// batchesFor is an operator whose one route lets batches wait for a time.
-func batchesFor(t *testing.T, maxQueue time.Duration) configured {
+// operatorWithMaxQueue returns an operator with one route, which lets batches wait for maxQueue.
+func operatorWithMaxQueue(t *testing.T, maxQueue time.Duration) configuredOperator {
 	t.Helper()
 	configuration, err := route.New(route.Declared{Routes: []route.Route{{
 		Name: "r", Host: "h", PathPrefix: "/p/", Kind: route.Batch, MaxQueue: maxQueue,
@@ -31,15 +31,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return configured{configuration: configuration}
+	return configuredOperator{configuration: configuration}
 }
 
-// agedJob is a batch with one waiting item, accepted by a daemon whose clock shows
-// another time of day than the owner's.
-func agedJob(t *testing.T, behind, maxQueue time.Duration) *job {
+// newWaitingJob returns a job with one waiting item, accepted by a daemon whose wall clock is
+// behind the owner's by the given time.
+func newWaitingJob(t *testing.T, behind, maxQueue time.Duration) *job {
 	t.Helper()
-	j, it := movedJob(t)
-	j.r.operator = batchesFor(t, maxQueue)
+	j, it := newMovingJob(t)
+	j.r.operator = operatorWithMaxQueue(t, maxQueue)
 	j.submission = &batch.Submission{
 		ID:           "x",
 		Host:         "h",
@@ -51,25 +51,22 @@
 	return j
 }
 
-// The accepting daemon's time of day stood in the batch's record, and its owner took the
-// difference to its own for the batch's age. Where the owner's clock was ahead by more
-// than the route lets items wait (60 s), every item that waited was listed as dead 0.35 s
-// after the owner had begun; where it was behind, none was ever given up. How old a batch
-// is says the owner's steady clock.
-func TestItemsAreGivenUpByTheOwnersSteadyClock(t *testing.T) {
+// The age of a batch must be measured by the owner's monotonic clock. By the wall clocks, items
+// would expire at once, or never, if those of accepting daemon and owner differ.
+func TestExpiryUsesMonotonicClock(t *testing.T) {
 	const maxQueue = time.Minute
 	for _, behind := range []time.Duration{-time.Hour, -time.Minute, 0, 3 * time.Minute, time.Hour} {
 		t.Run(behind.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				j := agedJob(t, behind, maxQueue)
-				j.giveUpTooOld()
-				is.Equal(len(j.results.pending), 0) // nothing is old at the start
+				j := newWaitingJob(t, behind, maxQueue)
+				j.giveUpExpired()
+				is.Equal(len(j.results.pending), 0) // not expired at the start
 				time.Sleep(maxQueue - time.Millisecond)
-				j.giveUpTooOld()
+				j.giveUpExpired()
 				is.Equal(len(j.results.pending), 0)
 				time.Sleep(2 * time.Millisecond)
-				j.giveUpTooOld()
+				j.giveUpExpired()
 				is.Equal(len(j.results.pending), 1)
 				is.Equal(j.results.pending[0].Outcome, batch.Dead)
 			})
@@ -77,26 +74,27 @@
 	}
 }
 
-// Only a replica's own answer counts against an item, and what an attempt says of its
-// replica decides who gets the next one.
-func TestWhatFollowsAFailedAttempt(t *testing.T) {
+// Only answers of replicas count as failures of an item, and the fault decides whether the replica
+// is avoided.
+func TestDecideRetry(t *testing.T) {
 	is := is.New(t)
-	again := func(f fault) retry { return retry{fault: f, pause: failurePause} }
-	is.Equal(retryAfter(&forward.QuarantinedError{RetryAfter: time.Minute}, 9, 3), retry{pause: time.Minute})
-	is.Equal(retryAfter(forward.ErrDeclined, 9, 3), again(faultDeclined))
-	is.Equal(retryAfter(errTooOld, 9, 3), again(faultDeclined))
-	is.Equal(retryAfter(upstream.ErrFull, 9, 3), again(faultFull))
-	is.Equal(retryAfter(context.Canceled, 9, 3), again(faultFailed))
-	is.Equal(retryAfter(&forward.StatusError{Status: 503}, 9, 3), again(noFault))
-	is.Equal(retryAfter(&forward.StatusError{Status: 422}, 0, 3), retry{dead: "cannot be done"})
-	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 1, 3), retry{counts: true, pause: failurePause})
-	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 2, 3),
-		retry{counts: true, dead: "failed at every attempt"})
-	is.Equal(retryAfter(&forward.StatusError{Status: 500}, 0, 0),
-		retry{counts: true, dead: "failed at every attempt"})
+	retried := func(f fault) retryDecision { return retryDecision{fault: f, delay: retryDelay} }
+	is.Equal(decideRetry(&forward.QuarantinedError{RetryAfter: time.Minute}, 9, 3), retryDecision{delay: time.Minute})
+	is.Equal(decideRetry(forward.ErrDeclined, 9, 3), retried(faultDeclined))
+	is.Equal(decideRetry(errTooOld, 9, 3), retried(faultDeclined))
+	is.Equal(decideRetry(upstream.ErrFull, 9, 3), retried(faultFull))
+	is.Equal(decideRetry(context.Canceled, 9, 3), retried(faultFailed))
+	is.Equal(decideRetry(&forward.StatusError{Status: 503}, 9, 3), retried(noFault))
+	is.Equal(decideRetry(&forward.StatusError{Status: 422}, 0, 3), retryDecision{deadReason: "rejected as unprocessable"})
+	is.Equal(decideRetry(&forward.StatusError{Status: 500}, 1, 3), retryDecision{countsAsFailure: true, delay: retryDelay})
+	is.Equal(decideRetry(&forward.StatusError{Status: 500}, 2, 3),
+		retryDecision{countsAsFailure: true, deadReason: "failed at every attempt"})
+	is.Equal(decideRetry(&forward.StatusError{Status: 500}, 0, 0),
+		retryDecision{countsAsFailure: true, deadReason: "failed at every attempt"})
 }
 
-func TestTheTimeForAFirstEventDoubles(t *testing.T) {
+// The timeout for the first event doubles with each attempt, up to its maximum.
+func TestFirstEventTimeoutDoubles(t *testing.T) {
 	is := is.New(t)
 	for attempt, timeout := range []time.Duration{
 		1500 * time.Millisecond, 3 * time.Second, 6 * time.Second, 10 * time.Second, 10 * time.Second,
@@ -105,9 +103,8 @@
 	}
 }
 
-// A hand-over that finds no free connection of this daemon (upstream.ErrFull) says nothing of
-// the replica that was asked: it was avoided by all batches for 0.2 to 3 s, as if it had failed,
-// where an attempt that meets the same spares it for 20 ms.
+// A hand-over that fails because this daemon has no free connection (upstream.ErrFull) must not
+// mark the replica as failed: other batches would avoid it for seconds.
 func TestAFullPoolIsNoFailureOfTheReplicaAsked(t *testing.T) {
 	is := is.New(t)
 	is.Equal(handOverFault(upstream.ErrFull), faultFull)
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -17,29 +17,31 @@
 )
 
 const (
-	// rewardTimeout bounds one try of a reward call, where its route allows no less.
+	// rewardTimeout bounds one attempt at a reward call; a shorter timeout of its route applies
+	// instead.
 	rewardTimeout = 2 * time.Second
-	// rewardPause is the time before the second try of a reward call; it doubles with each
-	// further one, up to maxRewardPause.
-	rewardPause    = 50 * time.Millisecond
-	maxRewardPause = time.Second
-	// rewardSlots is the part of a service's slots that reward calls may fill: they come in
-	// bursts, and clients' requests must find room beside them. rewardRoomPause is the time
-	// between two looks for room.
-	rewardSlots     = 0.6
-	rewardRoomPause = 8 * time.Millisecond
+	// rewardBackoff is the delay before the second attempt at a reward call. It doubles with each
+	// attempt up to maxRewardBackoff.
+	rewardBackoff    = 50 * time.Millisecond
+	maxRewardBackoff = time.Second
+	// rewardSlotFraction is the fraction of a service's slots that reward calls may fill: they come
+	// in bursts and must leave room for requests of clients. rewardRoomDelay is the delay before
+	// room is checked again.
+	rewardSlotFraction = 0.6
+	rewardRoomDelay    = 8 * time.Millisecond
 )
 
-// errRewardFails: the reward call's replica said at every attempt that it failed.
-var errRewardFails = errors.New("runner: reward call fails at every attempt")
+// errRewardFailed says that replicas reported a failure of the reward call at every attempt that
+// its route allows.
+var errRewardFailed = errors.New("runner: reward call failed at every attempt")
 
-// score has a whole text scored and hands it to be listed.
+// score sends the reward call of a completed text, if the item has one, and queues the result.
 func (j *job) score(it *item) {
 	result, ok := j.beginScoring(it)
 	if !ok {
 		return
 	}
-	j.r.Kick()
+	j.r.WakeDispatcher()
 	reason := ""
 	if it.Reward != nil {
 		score, err := j.reward(it)
@@ -54,20 +56,20 @@
 	slices.Sort(result.Versions)
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if it.state == itemEnding {
-		j.finish(it, result, reason)
+	if it.state == itemResultPending {
+		j.finishItem(it, result, reason)
 	}
 }
 
-// beginScoring ends the text of a running item and returns its result without a score, and false
-// if the item does not run any more.
+// beginScoring marks a running item as complete and returns its result without a score. It returns
+// false if the item does not run any more.
 func (j *job) beginScoring(it *item) (result batch.Result, ok bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if it.state != itemRunning {
 		return result, false
 	}
-	it.state = itemEnding
+	it.state = itemResultPending
 	it.timing.enter(phaseScoring, time.Now())
 	j.placement.lengths.Observe(it.expectedTokens, len(it.events))
 	return batch.Result{
@@ -78,10 +80,10 @@
 	}, true
 }
 
-// reward sends an item's reward call until it has a signature, or its service
-// has failed as often as its route allows.
+// reward sends an item's reward call until it succeeds, which returns the score, or has failed as
+// often as its route allows.
 func (j *job) reward(it *item) (string, error) {
-	pause := rewardPause
+	backoff := rewardBackoff
 	for j.ctx.Err() == nil {
 		configuration := j.r.operator.Configuration()
 		rewardRoute, ok := configuration.Find(it.Reward.Host, it.Reward.Path)
@@ -89,39 +91,40 @@
 		case !ok:
 			j.logger.Info("reward call has no route", zap.String("item", it.ID),
 				zap.Int64("configuration", configuration.Version))
-		case !j.r.rewardRoom(rewardRoute):
-			periodic.Pause(j.ctx, rewardRoomPause)
+		case !j.r.hasRewardRoom(rewardRoute):
+			periodic.Pause(j.ctx, rewardRoomDelay)
 			continue
 		default:
-			if score, done, err := j.rewardOnce(it, rewardRoute); done {
+			if score, done, err := j.attemptReward(it, rewardRoute); done {
 				return score, err
 			}
 		}
-		periodic.Pause(j.ctx, pause)
-		pause = min(2*pause, maxRewardPause)
+		periodic.Pause(j.ctx, backoff)
+		backoff = min(2*backoff, maxRewardBackoff)
 	}
 	return "", j.ctx.Err()
 }
 
-// rewardRoom reports whether a reward call may go to a service now.
-func (r *Runner) rewardRoom(rt *route.Route) bool {
+// hasRewardRoom reports whether a reward call may be sent to the route's service now.
+func (r *Runner) hasRewardRoom(rt *route.Route) bool {
 	slots, inFlight := 0, 0
 	for _, rep := range r.table.Replicas(rt.Shares[0].Service) {
 		slots += max(rep.Slots, 1)
 		inFlight += rep.InFlight
 	}
-	return float64(inFlight) < max(rewardSlots*float64(slots), 1)
+	return float64(inFlight) < max(rewardSlotFraction*float64(slots), 1)
 }
 
-// rewardOnce makes one attempt at the reward call.
-func (j *job) rewardOnce(it *item, rt *route.Route) (score string, done bool, err error) {
+// attemptReward makes one attempt at the reward call. It reports done if no further attempt is to
+// follow.
+func (j *job) attemptReward(it *item, rt *route.Route) (score string, done bool, err error) {
 	timeout := rewardTimeout
 	if rt.Timeout > 0 {
 		timeout = min(timeout, rt.Timeout)
 	}
 	ctx, cancel := context.WithTimeout(j.ctx, timeout)
 	defer cancel()
-	answer, err := j.r.forwarder.Do(ctx, j.rewardCall(it, rt))
+	answer, err := j.r.forwarder.Do(ctx, j.newRewardCall(it, rt))
 	if err != nil {
 		j.logger.Info("reward call failed", zap.String("item", it.ID), zap.String("reward", it.Reward.ID),
 			zap.Error(err))
@@ -134,14 +137,14 @@
 	if answer.Status == http.StatusInternalServerError {
 		it.rewardFailures++
 		if exhausted(it.rewardFailures, rt.MaxAttempts) {
-			return "", true, errRewardFails
+			return "", true, errRewardFailed
 		}
 	}
 	return "", false, nil
 }
 
-// rewardCall is the reward call of an item, to be attempted once.
-func (j *job) rewardCall(it *item, rt *route.Route) *forward.Call {
+// newRewardCall returns an item's reward call, for one attempt.
+func (j *job) newRewardCall(it *item, rt *route.Route) *forward.Call {
 	return &forward.Call{
 		Request: forward.Request{
 			RequestID: it.Reward.ID,
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -16,28 +16,30 @@
 	"woodworks/internal/requests/route"
 )
 
-// unaware is an operator that has said nothing.
-type unaware struct{}
+// emptyOperator is an operator without settings.
+type emptyOperator struct{}
 
-func (unaware) Configuration() *route.Configuration { return nil }
-func (unaware) Named() map[string]int64             { return nil }
+func (emptyOperator) Configuration() *route.Configuration { return nil }
+func (emptyOperator) Named() map[string]int64             { return nil }
 
-// dealtTo is a group that has dealt everything to one daemon.
-type dealtTo string
+// fixedWatcher is a group in which one daemon watches all partitions.
+type fixedWatcher string
 
-func (dealtTo) Partitions() map[journal.Partition]bool { return nil }
+func (fixedWatcher) Partitions() map[journal.Partition]bool { return nil }
 
-func (d dealtTo) WatcherOf(context.Context, journal.Partition) (string, bool) { return string(d), true }
+func (d fixedWatcher) WatcherOf(context.Context, journal.Partition) (string, bool) {
+	return string(d), true
+}
 
-// newAccepter is a daemon "b/1" whose batches the group gives to another one.
+// newAccepter returns a daemon "b/1" whose batches the group assigns to another one.
 func newAccepter(ctx context.Context, log journal.Journal, owner string) *Runner {
-	return newRunner(ctx, log, "b/1", owner, unaware{}, nil)
+	return newRunner(ctx, log, "b/1", owner, emptyOperator{}, nil)
 }
 
-// oneItem is a batch of one item for the route of newOwner.
+// oneItem is a batch of one item for newOwner's route.
 var oneItem = batch.Submission{ID: "x", Host: "h", Path: "/p/x", Items: []batch.Item{{ID: "i"}}}
 
-// accepterOfOne is an accepter that has accepted oneItem.
+// accepterOfOne returns an accepter that has accepted oneItem.
 func accepterOfOne(ctx context.Context, t *testing.T, log journal.Journal, owner string) *Runner {
 	t.Helper()
 	accepter := newAccepter(ctx, log, owner)
@@ -45,59 +47,56 @@
 	return accepter
 }
 
-// A batch that was given to a daemon that has ended is taken back by the one
-// that accepted it: the watchers needed 0.85 to 1.0 s of a step's 7.5.
-func TestABatchGivenToAnOwnerThatHasEndedIsTakenBack(t *testing.T) {
+// The accepting daemon takes over a batch whose owner has ended, earlier than the watchers would.
+func TestAccepterTakesOverFromEndedOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
 		accepter := accepterOfOne(ctx, t, journaltest.New(), "gone/1")
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "gone/1")
-		time.Sleep(standByWait + 20*time.Millisecond)
+		time.Sleep(minStandByDelay + 20*time.Millisecond)
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "b/1")
 		batches, _ := accepter.Load()
 		is.Equal(batches, 1)
 	})
 }
 
-// An owner that has begun keeps its batch, also where its sign has reached the
-// journal but not yet the accepting daemon.
-func TestABatchStaysWithAnOwnerThatHasBegun(t *testing.T) {
+// An owner that has sent a heartbeat keeps its batch, even if the heartbeat has not reached the
+// accepting daemon.
+func TestStandByKeepsOwnerWithHeartbeat(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		accepter := accepterOfOne(ctx, t, log, "a/1")
-		time.Sleep(standByWait / 2)
+		time.Sleep(minStandByDelay / 2)
 		owner := ledger.New(ctx, log, zap.NewNop())
 		is.NoErr(owner.Of("x").Append(ctx, batch.Heartbeat("x", "a/1", 1)))
-		time.Sleep(10 * standByWait)
+		time.Sleep(10 * minStandByDelay)
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "a/1")
 	})
 }
 
-// Where the journal cannot be read nothing is taken over: the owner may be at
-// work all the same.
-func TestNothingIsTakenBackWhileTheJournalIsAway(t *testing.T) {
+// While the journal can't be read nothing is taken over, since the owner may still run.
+func TestNoTakeOverWhileJournalIsUnavailable(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		accepter := accepterOfOne(ctx, t, log, "a/1")
 		refuse(log, journaltest.Read)
-		time.Sleep(10 * standByWait)
+		time.Sleep(10 * minStandByDelay)
 		log.SetBefall(nil)
 		is.NoErr(accepter.ledger.Of("x").CatchUp(ctx))
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "a/1")
 	})
 }
 
-// A daemon that had accepted a batch, and read it alone as it did not hold the whole partition,
-// looked in its fold of the whole partition whether the owner was still silent. That does not
-// know the batch, so that nothing was taken back, however long the owner was gone.
+// The accepting daemon must take a batch over even if it reads that batch alone: its fold of the
+// whole partition does not contain the batch.
 func TestABatchThatIsReadAloneIsTakenBack(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		watcher := ledger.New(ctx, log, zap.NewNop())
 		defer watcher.Of("x").Follow()()
-		putOthers(ctx, t, log, watcher.Of("x").Name(), 64<<10)
+		appendOtherBatches(ctx, t, log, watcher.Of("x").Name(), 64<<10)
 		accepter := newAccepter(ctx, log, "gone/1")
-		accepter.locator = holds{watcher}
+		accepter.locator = ledgerLocator{watcher}
 		is.NoErr(accepter.Accept(ctx, &oneItem))
-		time.Sleep(standByWait + 20*time.Millisecond)
+		time.Sleep(minStandByDelay + 20*time.Millisecond)
 		is.Equal(ownerInJournal(ctx, t, log, "x"), "b/1")
 	})
 }
--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -25,6 +25,11 @@
 	"content learned of":                    "content entry merged",
 	"content forgotten":                     "content entry removed",
 	"suspect runs alone":                    "isolated run started",
+	"batch left":                            "batch job ended",
+	"batch account":                         "batch time breakdown",
+	"batch perhaps taken over":              "batch takeover outcome unknown",
+	"owners not judged":                     "suspect owners not checked",
+	"room left to other owners":             "starts held back for other owners",
 }
 
 // eventName returns the name that an event has today.
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -25,9 +25,9 @@
 		return nil
 	}
 	table := occupancy.NewTable(n.identity, bootclock.Now, n.logger)
-	publisher := occupancy.NewPublisher(table, n.relay, n.runner.Occupied, n.dealtEngines, n.logger)
+	publisher := occupancy.NewPublisher(table, n.relay, n.runner.OccupancyReport, n.dealtEngines, n.logger)
 	n.runner.ShareEngines(table, publisher.Wake)
-	n.relay.Register(occupancy.ServiceName, occupancy.NewService(table, publisher, n.runner.HeardOfOthers))
+	n.relay.Register(occupancy.ServiceName, occupancy.NewService(table, publisher, n.runner.ReportReceived))
 	return &occupancyParts{table: table, publisher: publisher}
 }
 
@@ -50,7 +50,7 @@
 	if o == nil {
 		return e.EventTime, own
 	}
-	others, othersAge := o.table.EventTime(runner.KeyOf(e))
+	others, othersAge := o.table.EventTime(runner.ReplicaKey(e))
 	if others > 0 && (e.EventTime == 0 || othersAge < own) {
 		return others, othersAge
 	}
