--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -28,7 +28,7 @@
 			owner.firstEvents.Observe("s", 20*time.Millisecond)
 		}
 		usual := owner.firstEvents.OverdueAfter("s")
-		is.True(usual < scheduling.MaxFirstEvent)
+		is.True(usual < scheduling.MaxFirstEventTimeout)
 		time.Sleep(usual)
 		is.Equal(scheduledItems(owner)[0].Overdue, time.Duration(0))
 		time.Sleep(time.Second)
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -19,7 +19,7 @@
 	failurePause = 20 * time.Millisecond
 	// firstEventTimeout is how long the first sign of an answer may take, for the first
 	// attempt; it doubles with each further one, up to maxFirstEventTimeout.
-	firstEventTimeout    = scheduling.MaxFirstEvent
+	firstEventTimeout    = scheduling.MaxFirstEventTimeout
 	maxFirstEventTimeout = 10 * time.Second
 	// minEventTimeout is the least that is waited for a further event, and eventTimes how many
 	// times the replica's event time (a median).
--- a/internal/batches/scheduling/firstevent.go
+++ b/internal/batches/scheduling/firstevent.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// MaxFirstEvent is how long the first event of an answer is waited for until it is
+	// MaxFirstEventTimeout is how long the first event of an answer is waited for until it is
 	// known what is usual: an engine that changes its weights holds its texts for a second.
-	MaxFirstEvent = 1500 * time.Millisecond
+	MaxFirstEventTimeout = 1500 * time.Millisecond
 	// minFirstEvent is the least wait: a long prompt behind some others is read in that time.
 	minFirstEvent = 300 * time.Millisecond
 	// firstEventWindow is how many first events are remembered, minFirstEvents from how
@@ -59,11 +59,11 @@
 	defer f.mu.Unlock()
 	t := f.services[service]
 	if t == nil || t.count < minFirstEvents {
-		return MaxFirstEvent
+		return MaxFirstEventTimeout
 	}
 	sorted := t.times
 	count := min(t.count, firstEventWindow)
 	slices.Sort(sorted[:count])
 	usual := sorted[int(usualQuantile*float64(count))]
-	return min(max(time.Duration(overdueFactor*float64(usual)), minFirstEvent), MaxFirstEvent)
+	return min(max(time.Duration(overdueFactor*float64(usual)), minFirstEvent), MaxFirstEventTimeout)
 }
--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -58,7 +58,7 @@
 		switch {
 		case it.Overdue > 0:
 			// Where it is it may get nothing until it is given up.
-			gain = max(MaxFirstEvent-it.RunFor, minGain)
+			gain = max(MaxFirstEventTimeout-it.RunFor, minGain)
 		case !worthMoving(c.here, there):
 			continue
 		}
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -265,7 +265,7 @@
 func TestThePatienceForFirstEventsIsLearned(t *testing.T) {
 	is := is.New(t)
 	var firsts FirstEvents
-	is.Equal(firsts.OverdueAfter("s"), MaxFirstEvent)
+	is.Equal(firsts.OverdueAfter("s"), MaxFirstEventTimeout)
 	for i := range 100 {
 		took := 20 * time.Millisecond
 		if i%20 == 0 {
@@ -274,7 +274,7 @@
 		firsts.Observe("s", took)
 	}
 	is.Equal(firsts.OverdueAfter("s"), minFirstEvent)
-	is.Equal(firsts.OverdueAfter("another"), MaxFirstEvent)
+	is.Equal(firsts.OverdueAfter("another"), MaxFirstEventTimeout)
 	for range firstEventWindow {
 		firsts.Observe("s", 200*time.Millisecond)
 	}
@@ -282,5 +282,5 @@
 	for range firstEventWindow {
 		firsts.Observe("s", 2*time.Second)
 	}
-	is.Equal(firsts.OverdueAfter("s"), MaxFirstEvent)
+	is.Equal(firsts.OverdueAfter("s"), MaxFirstEventTimeout)
 }
