--- a/internal/batches/scheduling/firstevent.go
+++ b/internal/batches/scheduling/firstevent.go
@@ -10,8 +10,8 @@
 	// MaxFirstEventTimeout is how long the first event of an answer is waited for until it is
 	// known what is usual: an engine that changes its weights holds its texts for a second.
 	MaxFirstEventTimeout = 1500 * time.Millisecond
-	// minFirstEvent is the least wait: a long prompt behind some others is read in that time.
-	minFirstEvent = 300 * time.Millisecond
+	// minFirstEventTimeout is the least wait: a long prompt behind some others is read in that time.
+	minFirstEventTimeout = 300 * time.Millisecond
 	// firstEventWindow is how many first events are remembered, minFirstEvents from how
 	// many on they show what is usual.
 	firstEventWindow = 128
@@ -65,5 +65,5 @@
 	count := min(t.count, firstEventWindow)
 	slices.Sort(sorted[:count])
 	usual := sorted[int(usualQuantile*float64(count))]
-	return min(max(time.Duration(overdueFactor*float64(usual)), minFirstEvent), MaxFirstEventTimeout)
+	return min(max(time.Duration(overdueFactor*float64(usual)), minFirstEventTimeout), MaxFirstEventTimeout)
 }
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -273,7 +273,7 @@
 		}
 		firsts.Observe("s", took)
 	}
-	is.Equal(firsts.OverdueAfter("s"), minFirstEvent)
+	is.Equal(firsts.OverdueAfter("s"), minFirstEventTimeout)
 	is.Equal(firsts.OverdueAfter("another"), MaxFirstEventTimeout)
 	for range firstEventWindow {
 		firsts.Observe("s", 200*time.Millisecond)
