--- a/internal/batches/scheduling/firstevent.go
+++ b/internal/batches/scheduling/firstevent.go
@@ -14,8 +14,8 @@
 	minFirstEventTimeout = 300 * time.Millisecond
 	// firstEventWindow is how many first events are remembered, minFirstEvents from how
 	// many on they show what is usual.
-	firstEventWindow = 128
-	minFirstEvents   = 16
+	firstEventWindow     = 128
+	minFirstEventSamples = 16
 	// usualQuantile is the part of the first events that comes in the usual time, and
 	// overdueFactor by what that is exceeded where something is wrong.
 	usualQuantile = 0.9
@@ -58,7 +58,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.services[service]
-	if t == nil || t.count < minFirstEvents {
+	if t == nil || t.count < minFirstEventSamples {
 		return MaxFirstEventTimeout
 	}
 	sorted := t.times
