--- a/internal/batches/scheduling/firstevent.go
+++ b/internal/batches/scheduling/firstevent.go
@@ -16,10 +16,10 @@
 	// many on they show what is usual.
 	firstEventWindow     = 128
 	minFirstEventSamples = 16
-	// usualQuantile is the part of the first events that comes in the usual time, and
+	// referenceQuantile is the part of the first events that comes in the usual time, and
 	// overdueFactor by what that is exceeded where something is wrong.
-	usualQuantile = 0.9
-	overdueFactor = 2.5
+	referenceQuantile = 0.9
+	overdueFactor     = 2.5
 )
 
 // FirstEvents learns how long the engines of each service take for the first event of an
@@ -64,6 +64,6 @@
 	sorted := t.times
 	count := min(t.count, firstEventWindow)
 	slices.Sort(sorted[:count])
-	usual := sorted[int(usualQuantile*float64(count))]
+	usual := sorted[int(referenceQuantile*float64(count))]
 	return min(max(time.Duration(overdueFactor*float64(usual)), minFirstEventTimeout), MaxFirstEventTimeout)
 }
