--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -98,7 +98,7 @@
 	shared *sharing
 
 	history     *history
-	firstEvents scheduling.FirstEvents
+	firstEvents scheduling.FirstEventLatency
 	confirming  confirmations
 	// movedAt is when items were last moved. Only the dispatcher uses it.
 	movedAt time.Time
--- a/internal/batches/scheduling/firstevent.go
+++ b/internal/batches/scheduling/firstevent.go
@@ -22,9 +22,9 @@
 	overdueFactor     = 2.5
 )
 
-// FirstEvents learns how long the engines of each service take for the first event of an
+// FirstEventLatency learns how long the engines of each service take for the first event of an
 // answer. It is safe for concurrent use, and the zero value is ready.
-type FirstEvents struct {
+type FirstEventLatency struct {
 	mu       sync.Mutex
 	services map[string]*firstEventTimes
 }
@@ -37,7 +37,7 @@
 
 // Observe notes the time from the start of an attempt to its first event, or to its end if
 // it was left without one.
-func (f *FirstEvents) Observe(service string, took time.Duration) {
+func (f *FirstEventLatency) Observe(service string, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.services == nil {
@@ -54,7 +54,7 @@
 
 // OverdueAfter returns how long the first event of an answer of a service should be waited
 // for before the text is to go on elsewhere.
-func (f *FirstEvents) OverdueAfter(service string) time.Duration {
+func (f *FirstEventLatency) OverdueAfter(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.services[service]
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -264,7 +264,7 @@
 
 func TestThePatienceForFirstEventsIsLearned(t *testing.T) {
 	is := is.New(t)
-	var firsts FirstEvents
+	var firsts FirstEventLatency
 	is.Equal(firsts.OverdueAfter("s"), MaxFirstEventTimeout)
 	for i := range 100 {
 		took := 20 * time.Millisecond
