--- a/internal/batches/scheduling/firstevent.go
+++ b/internal/batches/scheduling/firstevent.go
@@ -26,11 +26,11 @@
 // answer. It is safe for concurrent use, and the zero value is ready.
 type FirstEventLatency struct {
 	mu       sync.Mutex
-	services map[string]*firstEventTimes
+	services map[string]*latencyWindow
 }
 
-// firstEventTimes are the last times of one service.
-type firstEventTimes struct {
+// latencyWindow are the last times of one service.
+type latencyWindow struct {
 	times [firstEventWindow]time.Duration
 	count int
 }
@@ -41,11 +41,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.services == nil {
-		f.services = map[string]*firstEventTimes{}
+		f.services = map[string]*latencyWindow{}
 	}
 	t := f.services[service]
 	if t == nil {
-		t = &firstEventTimes{}
+		t = &latencyWindow{}
 		f.services[service] = t
 	}
 	t.times[t.count%firstEventWindow] = took
