--- a/internal/batches/scheduling/firstevent.go
+++ b/internal/batches/scheduling/firstevent.go
@@ -31,8 +31,8 @@
 
 // latencyWindow are the last times of one service.
 type latencyWindow struct {
-	times [firstEventWindow]time.Duration
-	count int
+	latencies [firstEventWindow]time.Duration
+	count     int
 }
 
 // Observe notes the time from the start of an attempt to its first event, or to its end if
@@ -48,7 +48,7 @@
 		t = &latencyWindow{}
 		f.services[service] = t
 	}
-	t.times[t.count%firstEventWindow] = took
+	t.latencies[t.count%firstEventWindow] = took
 	t.count++
 }
 
@@ -61,7 +61,7 @@
 	if t == nil || t.count < minFirstEventSamples {
 		return MaxFirstEventTimeout
 	}
-	sorted := t.times
+	sorted := t.latencies
 	count := min(t.count, firstEventWindow)
 	slices.Sort(sorted[:count])
 	usual := sorted[int(referenceQuantile*float64(count))]
