--- a/internal/batches/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -21,7 +21,7 @@
 
 // modelHistory is the history of one model.
 type modelHistory struct {
-	lengths *scheduling.Lengths
+	lengths *scheduling.LengthEstimator
 	// batches are the groups of the last batches, the newest last.
 	batches []rememberedBatch
 }
@@ -45,7 +45,7 @@
 
 // begin remembers a batch and returns those of its groups that were in an earlier
 // one: a trainer that sends a group again waits for it to be whole.
-func (h *history) begin(submission *batch.Submission) (again map[string]bool, lengths *scheduling.Lengths) {
+func (h *history) begin(submission *batch.Submission) (again map[string]bool, lengths *scheduling.LengthEstimator) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	m := h.of(submission.Model)
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -44,7 +44,7 @@
 	// required are the groups that came again: the trainer waits for them.
 	required map[string]bool
 	// lengths forecasts the lengths of texts of the batch's model.
-	lengths *scheduling.Lengths
+	lengths *scheduling.LengthEstimator
 }
 
 // newJob makes a job of an open batch. It is called within a view of the fold.
--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -29,11 +29,11 @@
 	outgrownPart = 0.1
 )
 
-// Lengths forecasts how long texts get, from their hints and from how texts before
+// LengthEstimator forecasts how long texts get, from their hints and from how texts before
 // compared with theirs: lengths by hints are taken to be log-normal, and a hint that is
 // far off the usual one to be so in part by its own error. It is safe for concurrent use.
 // The zero value is not ready; use NewLengths.
-type Lengths struct {
+type LengthEstimator struct {
 	mu sync.Mutex
 	// weight is how many texts the means count as, up to maxWeight. mean and variance are of
 	// the logarithm of events by hinted tokens.
@@ -46,13 +46,13 @@
 }
 
 // NewLengths returns a forecast before any text.
-func NewLengths() *Lengths {
+func NewLengths() *LengthEstimator {
 	mean := -math.Log(tokensPerEvent)
-	return &Lengths{weight: defaultWeight, mean: mean, variance: defaultSpread * defaultSpread}
+	return &LengthEstimator{weight: defaultWeight, mean: mean, variance: defaultSpread * defaultSpread}
 }
 
 // Observe notes a whole text: the tokens hinted at and the events that it had.
-func (l *Lengths) Observe(hint int64, events int) {
+func (l *LengthEstimator) Observe(hint int64, events int) {
 	if hint <= 0 || events <= 0 {
 		return
 	}
@@ -75,7 +75,7 @@
 
 // forecast is the logarithm of a text's length to expect by its hint, with the standard
 // deviation, and the length that no text of late had; infinite if too few were seen.
-func (l *Lengths) forecast(hint int64) (median, deviation, longest float64) {
+func (l *LengthEstimator) forecast(hint int64) (median, deviation, longest float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	hinted := math.Log(float64(max(hint, 1)))
@@ -91,16 +91,18 @@
 
 // Remaining returns how many events are expected to come of a text with a hint, in
 // tokens, and some events already: the median over the texts that got as far.
-func (l *Lengths) Remaining(hint int64, events int) float64 { return l.quantile(hint, events, 0.5) }
+func (l *LengthEstimator) Remaining(hint int64, events int) float64 {
+	return l.quantile(hint, events, 0.5)
+}
 
 // MaxRemaining returns how many events come at most of a text, but for a few in a hundred of the
 // texts that got as far.
-func (l *Lengths) MaxRemaining(hint int64, events int) float64 {
+func (l *LengthEstimator) MaxRemaining(hint int64, events int) float64 {
 	return l.quantile(hint, events, exceededPart)
 }
 
 // quantile returns how many more events a part of the texts get that got as far.
-func (l *Lengths) quantile(hint int64, events int, part float64) float64 {
+func (l *LengthEstimator) quantile(hint int64, events int, part float64) float64 {
 	median, spread, longest := l.forecast(hint)
 	if events <= 0 {
 		return min(math.Exp(median+spread*upperQuantile(part)), longest)
--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -24,7 +24,7 @@
 	texts   []*text
 	// rests has until when connections of an owner rest at an engine.
 	rests              map[string][]time.Duration
-	lengths            *Lengths
+	lengths            *LengthEstimator
 	connections, moves int
 }
 
