--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -118,7 +118,7 @@
 func TestATextOfOneVersionStaysWhereItBegan(t *testing.T) {
 	is := is.New(t)
 	j, it := movedJob(t)
-	j.placement.lengths, it.buffering = scheduling.NewLengths(), false
+	j.placement.lengths, it.buffering = scheduling.NewLengthEstimator(), false
 	fixed := func(single bool) bool {
 		return j.describe(it, &route.Route{SingleVersion: single}, 0, time.Now()).Pinned
 	}
--- a/internal/batches/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -37,7 +37,7 @@
 func (h *history) of(model string) *modelHistory {
 	m := h.models[model]
 	if m == nil {
-		m = &modelHistory{lengths: scheduling.NewLengths()}
+		m = &modelHistory{lengths: scheduling.NewLengthEstimator()}
 		h.models[model] = m
 	}
 	return m
--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -45,8 +45,8 @@
 	longest float64
 }
 
-// NewLengths returns a forecast before any text.
-func NewLengths() *LengthEstimator {
+// NewLengthEstimator returns a forecast before any text.
+func NewLengthEstimator() *LengthEstimator {
 	mean := -math.Log(tokensPerEvent)
 	return &LengthEstimator{weight: defaultWeight, mean: mean, variance: defaultSpread * defaultSpread}
 }
--- a/internal/batches/scheduling/length_test.go
+++ b/internal/batches/scheduling/length_test.go
@@ -12,7 +12,7 @@
 // Forecasts are positive and finite for any hints and lengths.
 func TestForecastsAreSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lengths := NewLengths()
+		lengths := NewLengthEstimator()
 		for range rapid.IntRange(0, 30).Draw(t, "texts") {
 			lengths.Observe(rapid.Int64Range(-1, 1<<40).Draw(t, "hint"), rapid.IntRange(-1, 1<<20).Draw(t, "events"))
 		}
@@ -31,7 +31,7 @@
 func TestForecastsFollowTheTexts(t *testing.T) {
 	is := is.New(t)
 	source := rand.New(rand.NewPCG(1, 2))
-	lengths := NewLengths()
+	lengths := NewLengthEstimator()
 	for range 2000 {
 		hint := int64(500 + source.IntN(20000))
 		lengths.Observe(hint, max(int(float64(hint)/100*math.Exp(0.3*source.NormFloat64())), 1))
@@ -55,7 +55,7 @@
 		length := max(min(math.Round(14*math.Exp(0.9*source.NormFloat64())), 145), 1)
 		return int64(max(length*75*math.Exp(0.5*source.NormFloat64()), 1)), int(length)
 	}
-	lengths := NewLengths()
+	lengths := NewLengthEstimator()
 	for range 2000 {
 		lengths.Observe(draw())
 	}
--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -31,7 +31,7 @@
 // newLoad makes 45 engines, a quarter of them fast, and bursts of 18 groups of 8 texts,
 // one for each owner every 4 s. Hints are off by a factor of e^0.5 (standard deviation).
 func newLoad(seed uint64) *load {
-	l := &load{rests: map[string][]time.Duration{}, lengths: NewLengths()}
+	l := &load{rests: map[string][]time.Duration{}, lengths: NewLengthEstimator()}
 	for i := range 45 {
 		pace := []time.Duration{loadFast, loadSlow, loadSlow, loadSlow}[i%4]
 		l.engines = append(l.engines, Engine{
