--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// tokensPerEvent is assumed until texts have shown how many tokens an event
+	// defaultTokensPerEvent is assumed until texts have shown how many tokens an event
 	// carries by their hints.
-	tokensPerEvent = 50
+	defaultTokensPerEvent = 50
 	// defaultSpread is the standard deviation of the logarithm of a length by its
 	// hint, until it was observed.
 	defaultSpread = 0.5
@@ -47,7 +47,7 @@
 
 // NewLengthEstimator returns a forecast before any text.
 func NewLengthEstimator() *LengthEstimator {
-	mean := -math.Log(tokensPerEvent)
+	mean := -math.Log(defaultTokensPerEvent)
 	return &LengthEstimator{weight: defaultWeight, mean: mean, variance: defaultSpread * defaultSpread}
 }
 
