--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -9,9 +9,9 @@
 	// defaultTokensPerEvent is assumed until texts have shown how many tokens an event
 	// carries by their hints.
 	defaultTokensPerEvent = 50
-	// defaultSpread is the standard deviation of the logarithm of a length by its
+	// defaultDeviation is the standard deviation of the logarithm of a length by its
 	// hint, until it was observed.
-	defaultSpread = 0.5
+	defaultDeviation = 0.5
 	// defaultWeight is how many texts the defaults count as.
 	defaultWeight = 8
 	// maxWeight is how many texts the means reach back.
@@ -48,7 +48,7 @@
 // NewLengthEstimator returns a forecast before any text.
 func NewLengthEstimator() *LengthEstimator {
 	mean := -math.Log(defaultTokensPerEvent)
-	return &LengthEstimator{weight: defaultWeight, mean: mean, variance: defaultSpread * defaultSpread}
+	return &LengthEstimator{weight: defaultWeight, mean: mean, variance: defaultDeviation * defaultDeviation}
 }
 
 // Observe notes a whole text: the tokens hinted at and the events that it had.
@@ -79,7 +79,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	hinted := math.Log(float64(max(hint, 1)))
-	slope := l.covariance / (l.hintVariance + defaultWeight*defaultSpread*defaultSpread/l.weight)
+	slope := l.covariance / (l.hintVariance + defaultWeight*defaultDeviation*defaultDeviation/l.weight)
 	median = hinted + l.mean + slope*(hinted-l.hintMean)
 	variance := l.variance - 2*slope*l.covariance + slope*slope*l.hintVariance
 	longest = math.Inf(1)
