--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -12,8 +12,8 @@
 	// defaultDeviation is the standard deviation of the logarithm of a length by its
 	// hint, until it was observed.
 	defaultDeviation = 0.5
-	// defaultWeight is how many texts the defaults count as.
-	defaultWeight = 8
+	// priorWeight is how many texts the defaults count as.
+	priorWeight = 8
 	// maxWeight is how many texts the means reach back.
 	maxWeight = 1000
 	// minTextsForLongest is from how many texts on the longest of them bounds the
@@ -48,7 +48,7 @@
 // NewLengthEstimator returns a forecast before any text.
 func NewLengthEstimator() *LengthEstimator {
 	mean := -math.Log(defaultTokensPerEvent)
-	return &LengthEstimator{weight: defaultWeight, mean: mean, variance: defaultDeviation * defaultDeviation}
+	return &LengthEstimator{weight: priorWeight, mean: mean, variance: defaultDeviation * defaultDeviation}
 }
 
 // Observe notes a whole text: the tokens hinted at and the events that it had.
@@ -79,11 +79,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	hinted := math.Log(float64(max(hint, 1)))
-	slope := l.covariance / (l.hintVariance + defaultWeight*defaultDeviation*defaultDeviation/l.weight)
+	slope := l.covariance / (l.hintVariance + priorWeight*defaultDeviation*defaultDeviation/l.weight)
 	median = hinted + l.mean + slope*(hinted-l.hintMean)
 	variance := l.variance - 2*slope*l.covariance + slope*slope*l.hintVariance
 	longest = math.Inf(1)
-	if l.weight >= defaultWeight+minTextsForLongest {
+	if l.weight >= priorWeight+minTextsForLongest {
 		longest = l.longest
 	}
 	return min(median, math.Log(longest)), max(math.Sqrt(max(variance, 0)), minSpread), longest
