--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -16,9 +16,9 @@
 	priorWeight = 8
 	// maxWeight is how many texts the means reach back.
 	maxWeight = 1000
-	// minTextsForLongest is from how many texts on the longest of them bounds the
+	// minSamplesForLongest is from how many texts on the longest of them bounds the
 	// forecasts: engines bound lengths, and many texts reach that bound.
-	minTextsForLongest = 100
+	minSamplesForLongest = 100
 	// minSpread keeps a forecast from certainty.
 	minSpread = 0.05
 	// exceededPart is the part of the texts that outgrow what MaxRemaining returns.
@@ -83,7 +83,7 @@
 	median = hinted + l.mean + slope*(hinted-l.hintMean)
 	variance := l.variance - 2*slope*l.covariance + slope*slope*l.hintVariance
 	longest = math.Inf(1)
-	if l.weight >= priorWeight+minTextsForLongest {
+	if l.weight >= priorWeight+minSamplesForLongest {
 		longest = l.longest
 	}
 	return min(median, math.Log(longest)), max(math.Sqrt(max(variance, 0)), minSpread), longest
