--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -19,8 +19,8 @@
 	// minSamplesForLongest is from how many texts on the longest of them bounds the
 	// forecasts: engines bound lengths, and many texts reach that bound.
 	minSamplesForLongest = 100
-	// minSpread keeps a forecast from certainty.
-	minSpread = 0.05
+	// minDeviation keeps a forecast from certainty.
+	minDeviation = 0.05
 	// exceededPart is the part of the texts that outgrow what MaxRemaining returns.
 	exceededPart = 0.05
 	// minTail is the smallest part of longer texts that is distinguished from none.
@@ -86,7 +86,7 @@
 	if l.weight >= priorWeight+minSamplesForLongest {
 		longest = l.longest
 	}
-	return min(median, math.Log(longest)), max(math.Sqrt(max(variance, 0)), minSpread), longest
+	return min(median, math.Log(longest)), max(math.Sqrt(max(variance, 0)), minDeviation), longest
 }
 
 // Remaining returns how many events are expected to come of a text with a hint, in
