--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -21,8 +21,8 @@
 	minSamplesForLongest = 100
 	// minDeviation keeps a forecast from certainty.
 	minDeviation = 0.05
-	// exceededPart is the part of the texts that outgrow what MaxRemaining returns.
-	exceededPart = 0.05
+	// exceedingFraction is the part of the texts that outgrow what MaxRemaining returns.
+	exceedingFraction = 0.05
 	// minTail is the smallest part of longer texts that is distinguished from none.
 	minTail = 1e-9
 	// outgrownPart is what is expected of a text far beyond any forecast, by its length.
@@ -98,7 +98,7 @@
 // MaxRemaining returns how many events come at most of a text, but for a few in a hundred of the
 // texts that got as far.
 func (l *LengthEstimator) MaxRemaining(hint int64, events int) float64 {
-	return l.quantile(hint, events, exceededPart)
+	return l.quantile(hint, events, exceedingFraction)
 }
 
 // quantile returns how many more events a part of the texts get that got as far.
