--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -23,8 +23,8 @@
 	minDeviation = 0.05
 	// exceedingFraction is the part of the texts that outgrow what MaxRemaining returns.
 	exceedingFraction = 0.05
-	// minTail is the smallest part of longer texts that is distinguished from none.
-	minTail = 1e-9
+	// minTailFraction is the smallest part of longer texts that is distinguished from none.
+	minTailFraction = 1e-9
 	// outgrownPart is what is expected of a text far beyond any forecast, by its length.
 	outgrownPart = 0.1
 )
@@ -110,7 +110,7 @@
 	so := float64(events)
 	// above is the part of the texts that get longer than this one is.
 	above := upperTail((math.Log(so) - median) / spread)
-	if above < minTail || so >= longest {
+	if above < minTailFraction || so >= longest {
 		return so * outgrownPart * math.Log(1/part) / math.Ln2
 	}
 	return max(min(math.Exp(median+spread*upperQuantile(above*part)), longest)-so, 1)
