--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -25,8 +25,8 @@
 	exceedingFraction = 0.05
 	// minTailFraction is the smallest part of longer texts that is distinguished from none.
 	minTailFraction = 1e-9
-	// outgrownPart is what is expected of a text far beyond any forecast, by its length.
-	outgrownPart = 0.1
+	// overrunFraction is what is expected of a text far beyond any forecast, by its length.
+	overrunFraction = 0.1
 )
 
 // LengthEstimator forecasts how long texts get, from their hints and from how texts before
@@ -111,7 +111,7 @@
 	// above is the part of the texts that get longer than this one is.
 	above := upperTail((math.Log(so) - median) / spread)
 	if above < minTailFraction || so >= longest {
-		return so * outgrownPart * math.Log(1/part) / math.Ln2
+		return so * overrunFraction * math.Log(1/part) / math.Ln2
 	}
 	return max(min(math.Exp(median+spread*upperQuantile(above*part)), longest)-so, 1)
 }
