--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -92,17 +92,17 @@
 // Remaining returns how many events are expected to come of a text with a hint, in
 // tokens, and some events already: the median over the texts that got as far.
 func (l *LengthEstimator) Remaining(hint int64, events int) float64 {
-	return l.quantile(hint, events, 0.5)
+	return l.remainingQuantile(hint, events, 0.5)
 }
 
 // MaxRemaining returns how many events come at most of a text, but for a few in a hundred of the
 // texts that got as far.
 func (l *LengthEstimator) MaxRemaining(hint int64, events int) float64 {
-	return l.quantile(hint, events, exceedingFraction)
+	return l.remainingQuantile(hint, events, exceedingFraction)
 }
 
-// quantile returns how many more events a part of the texts get that got as far.
-func (l *LengthEstimator) quantile(hint int64, events int, part float64) float64 {
+// remainingQuantile returns how many more events a part of the texts get that got as far.
+func (l *LengthEstimator) remainingQuantile(hint int64, events int, part float64) float64 {
 	median, spread, longest := l.forecast(hint)
 	if events <= 0 {
 		return min(math.Exp(median+spread*upperQuantile(part)), longest)
