--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -14,8 +14,8 @@
 	// moveCost is the time a move takes: a connection, and the reading of the prompt and of the
 	// text so far at the other engine.
 	moveCost = 60 * time.Millisecond
-	// minGain is by how much sooner an item must end for a move.
-	minGain = 150 * time.Millisecond
+	// minMoveGain is by how much sooner an item must end for a move.
+	minMoveGain = 150 * time.Millisecond
 	// maxMoveRatio is how much of the time at its engine an item may take at another one
 	// for a move: event times are known to within a few hundredths.
 	maxMoveRatio = 0.92
@@ -58,7 +58,7 @@
 		switch {
 		case it.Overdue > 0:
 			// Where it is it may get nothing until it is given up.
-			gain = max(MaxFirstEventTimeout-it.RunFor, minGain)
+			gain = max(MaxFirstEventTimeout-it.RunFor, minMoveGain)
 		case !worthMoving(c.here, there):
 			continue
 		}
@@ -104,7 +104,7 @@
 // worthMoving reports whether an item that takes so long at its engine, and there at
 // another, in nanoseconds, should go on there.
 func worthMoving(here, there float64) bool {
-	return rounded(here-there)-moveCost >= minGain && there <= maxMoveRatio*here
+	return rounded(here-there)-moveCost >= minMoveGain && there <= maxMoveRatio*here
 }
 
 // decidesStep reports whether an item that takes some time more at its engine, in
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -77,7 +77,7 @@
 			if snapshot.Items[item].Engine == "" || snapshot.Items[item].Engine == snapshot.Engines[engine].ID {
 				t.Fatalf("item %d is moved from %q to %q", item, snapshot.Items[item].Engine, snapshot.Engines[engine].ID)
 			}
-			if decision.Gain < minGain {
+			if decision.Gain < minMoveGain {
 				t.Fatalf("a move gains %v", decision.Gain)
 			}
 		}
