--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -23,10 +23,10 @@
 	// event is overdue. There are some rounds a second, so that a dark engine is left by all
 	// within the time in which one that changes its weights loses a few.
 	maxOverdueMoves = 2
-	// decisivePart is the part of the time in which its step could end that an item may
+	// stepDelayFraction is the part of the time in which its step could end that an item may
 	// still take and stay where it is: forecasts are off by that much, and a move costs a
 	// connection.
-	decisivePart = 0.6
+	stepDelayFraction = 0.6
 )
 
 // candidate is a running item that may be moved, with the engine that it runs at.
@@ -110,7 +110,7 @@
 // decidesStep reports whether an item that takes some time more at its engine, in
 // nanoseconds, ends after its step could.
 func (p *planner) decidesStep(it *Item, here float64) bool {
-	return it.Overdue > 0 || here > decisivePart*p.step(it).end
+	return it.Overdue > 0 || here > stepDelayFraction*p.step(it).end
 }
 
 // moveTarget returns the engine that an item should go on at, or -1.
