--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -32,8 +32,8 @@
 // candidate is a running item that may be moved, with the engine that it runs at.
 type candidate struct {
 	item, engine int
-	// here is how long it should still take there, in nanoseconds.
-	here float64
+	// timeLeft is how long it should still take there, in nanoseconds.
+	timeLeft float64
 }
 
 // moves returns the running items whose step ends sooner if they go on at another engine
@@ -46,7 +46,7 @@
 	var decisions []Decision
 	for _, c := range p.candidates() {
 		it := &p.Items[c.item]
-		if !p.decidesStep(it, c.here) {
+		if !p.decidesStep(it, c.timeLeft) {
 			continue
 		}
 		target := p.moveTarget(it, c.engine)
@@ -54,12 +54,12 @@
 			continue
 		}
 		there := it.Remaining * p.eventTime(target)
-		gain := rounded(c.here-there) - moveCost
+		gain := rounded(c.timeLeft-there) - moveCost
 		switch {
 		case it.Overdue > 0:
 			// Where it is it may get nothing until it is given up.
 			gain = max(MaxFirstEventTimeout-it.RunFor, minMoveGain)
-		case !worthMoving(c.here, there):
+		case !worthMoving(c.timeLeft, there):
 			continue
 		}
 		p.reserve(target, it)
@@ -84,7 +84,7 @@
 		if it.Overdue == 0 && (it.RunFor < minRunTime || eventTime == 0) {
 			continue
 		}
-		candidates = append(candidates, candidate{item: i, engine: engine, here: it.Remaining * float64(eventTime)})
+		candidates = append(candidates, candidate{item: i, engine: engine, timeLeft: it.Remaining * float64(eventTime)})
 	}
 	slices.SortStableFunc(candidates, p.compareCandidates)
 	leaving := make([]int, len(p.Engines))
@@ -98,7 +98,7 @@
 }
 
 func (p *planner) compareCandidates(a, b candidate) int {
-	return cmp.Or(compareRequired(&p.Items[a.item], &p.Items[b.item]), cmp.Compare(b.here, a.here))
+	return cmp.Or(compareRequired(&p.Items[a.item], &p.Items[b.item]), cmp.Compare(b.timeLeft, a.timeLeft))
 }
 
 // worthMoving reports whether an item that takes so long at its engine, and there at
