--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -36,10 +36,10 @@
 	timeLeft float64
 }
 
-// moves returns the running items whose step ends sooner if they go on at another engine
+// planMoves returns the running items whose step ends sooner if they go on at another engine
 // with room: those that would end after its longest text could. The cost counts as lost,
 // so that an item is not moved back and forth.
-func (p *planner) moves() []Decision {
+func (p *planner) planMoves() []Decision {
 	if p.NoMoves {
 		return nil
 	}
--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -147,7 +147,7 @@
 // its end than one that waits, then the starts.
 func Plan(snapshot Snapshot) []Decision {
 	p := newPlanner(snapshot)
-	moves := p.moves()
+	moves := p.planMoves()
 	return append(moves, p.starts()...)
 }
 
