--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -46,7 +46,7 @@
 	var decisions []Decision
 	for _, c := range p.candidates() {
 		it := &p.Items[c.item]
-		if !p.decidesStep(it, c.timeLeft) {
+		if !p.delaysStep(it, c.timeLeft) {
 			continue
 		}
 		target := p.moveTarget(it, c.engine)
@@ -107,9 +107,9 @@
 	return rounded(here-there)-moveCost >= minMoveGain && there <= maxMoveRatio*here
 }
 
-// decidesStep reports whether an item that takes some time more at its engine, in
+// delaysStep reports whether an item that takes some time more at its engine, in
 // nanoseconds, ends after its step could.
-func (p *planner) decidesStep(it *Item, here float64) bool {
+func (p *planner) delaysStep(it *Item, here float64) bool {
 	return it.Overdue > 0 || here > stepDelayFraction*p.step(it).end
 }
 
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -88,7 +88,7 @@
 		return true
 	}
 	here := it.Remaining * float64(p.Engines[engine].EventTime)
-	return !it.Pinned && p.decidesStep(it, here) && worthMoving(here, it.Remaining*tier.bestTime)
+	return !it.Pinned && p.delaysStep(it, here) && worthMoving(here, it.Remaining*tier.bestTime)
 }
 
 // nthLargest returns the n-th largest value, the largest one for an n below 1, and 0 if there are
