--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		there := it.Remaining * p.eventTime(target)
-		gain := rounded(c.timeLeft-there) - moveCost
+		gain := toDuration(c.timeLeft-there) - moveCost
 		switch {
 		case it.Overdue > 0:
 			// Where it is it may get nothing until it is given up.
@@ -104,7 +104,7 @@
 // worthMoving reports whether an item that takes so long at its engine, and there at
 // another, in nanoseconds, should go on there.
 func worthMoving(here, there float64) bool {
-	return rounded(here-there)-moveCost >= minMoveGain && there <= maxMoveRatio*here
+	return toDuration(here-there)-moveCost >= minMoveGain && there <= maxMoveRatio*here
 }
 
 // delaysStep reports whether an item that takes some time more at its engine, in
@@ -131,7 +131,7 @@
 	return best
 }
 
-// rounded turns nanoseconds that need not be whole into a duration.
-func rounded(nanoseconds float64) time.Duration {
+// toDuration turns nanoseconds that need not be whole into a duration.
+func toDuration(nanoseconds float64) time.Duration {
 	return time.Duration(math.Round(nanoseconds))
 }
