--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -22,12 +22,12 @@
 	overduePenalty = 1
 )
 
-// choice is which engines a text may go to.
-type choice int
+// engineFilter is which engines a text may go to.
+type engineFilter int
 
 const (
 	// anyEngine: all that can run it.
-	anyEngine choice = iota
+	anyEngine engineFilter = iota
 	// ordinaryEngine: all but the fast ones.
 	ordinaryEngine
 	// connectedEngine: likewise, and rather one with an idle connection.
@@ -85,7 +85,7 @@
 }
 
 // choiceOf returns to which engines an item should go.
-func (p *planner) choiceOf(it *Item) choice {
+func (p *planner) choiceOf(it *Item) engineFilter {
 	switch {
 	case p.short(it):
 		return connectedEngine
@@ -99,7 +99,7 @@
 // pick returns the best of the engines that pass the filter, or -1: the one with the least
 // score, of equal ones the preferred, but the engine that has the prompt of the item's
 // group unless it is clearly worse.
-func (p *planner) pick(it *Item, choice choice) int {
+func (p *planner) pick(it *Item, choice engineFilter) int {
 	best := p.pool(it, choice).best()
 	if best < 0 || it.GroupEngine == "" || it.GroupEngine == p.Engines[best].ID {
 		return best
@@ -116,12 +116,12 @@
 
 // passes is the filter: it reports whether an engine has room for an item, weights that
 // are new enough, and is one of those chosen for it.
-func (p *planner) passes(engine int, it *Item, choice choice) bool {
+func (p *planner) passes(engine int, it *Item, choice engineFilter) bool {
 	return p.canRun(engine, it) && (choice == anyEngine || !p.tier(it).fast[engine])
 }
 
 // score is lower for a better engine.
-func (p *planner) score(engine int, choice choice) float64 {
+func (p *planner) score(engine int, choice engineFilter) float64 {
 	e := &p.engines[engine]
 	score := e.relativeTime()
 	if e.Zone != p.Zone {
--- a/internal/batches/scheduling/pool.go
+++ b/internal/batches/scheduling/pool.go
@@ -5,24 +5,24 @@
 // poolKey names the engines for the items of one class.
 type poolKey struct {
 	class
-	choice choice
+	choice engineFilter
 }
 
 // pool has the engines that passed the filter for the items of one class, the best on top.
 // Its order goes out of date as room is taken; best corrects it.
 type pool struct {
 	planner *planner
-	choice  choice
+	choice  engineFilter
 	engines []int
 	scores  []float64
 }
 
-func (p *planner) pool(it *Item, choice choice) *pool {
+func (p *planner) pool(it *Item, choice engineFilter) *pool {
 	key := poolKey{class: classOf(it), choice: choice}
 	return p.pools.get(key, func() *pool { return p.newPool(it, choice) })
 }
 
-func (p *planner) newPool(it *Item, choice choice) *pool {
+func (p *planner) newPool(it *Item, choice engineFilter) *pool {
 	pl := &pool{planner: p, choice: choice}
 	for i := range p.engines {
 		if p.passes(i, it, choice) {
