--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -28,8 +28,8 @@
 const (
 	// anyEngine: all that can run it.
 	anyEngine engineFilter = iota
-	// ordinaryEngine: all but the fast ones.
-	ordinaryEngine
+	// slowEngine: all but the fast ones.
+	slowEngine
 	// connectedEngine: likewise, and rather one with an idle connection.
 	connectedEngine
 )
@@ -92,7 +92,7 @@
 	case len(p.tier(it).fastest) == 0 || p.needsFast(it):
 		return anyEngine
 	default:
-		return ordinaryEngine
+		return slowEngine
 	}
 }
 
