--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -30,8 +30,8 @@
 	anyEngine engineFilter = iota
 	// slowEngine: all but the fast ones.
 	slowEngine
-	// connectedEngine: likewise, and rather one with an idle connection.
-	connectedEngine
+	// slowEngineConnected: likewise, and rather one with an idle connection.
+	slowEngineConnected
 )
 
 // order returns the waiting items in the order in which they are placed.
@@ -88,7 +88,7 @@
 func (p *planner) choiceOf(it *Item) engineFilter {
 	switch {
 	case p.short(it):
-		return connectedEngine
+		return slowEngineConnected
 	case len(p.tier(it).fastest) == 0 || p.needsFast(it):
 		return anyEngine
 	default:
@@ -130,7 +130,7 @@
 	if e.overdue {
 		score += overduePenalty
 	}
-	if choice == connectedEngine && e.idleConns == 0 {
+	if choice == slowEngineConnected && e.idleConns == 0 {
 		score += noConnPenalty
 	}
 	return score
