--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -34,8 +34,8 @@
 	slowEngineConnected
 )
 
-// order returns the waiting items in the order in which they are placed.
-func (p *planner) order() []int {
+// waitingItems returns the waiting items in the waitingItems in which they are placed.
+func (p *planner) waitingItems() []int {
 	var waiting []int
 	for i := range p.Items {
 		if p.Items[i].Engine == "" {
--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -154,7 +154,7 @@
 // starts sends waiting items, in order, to the engines with room.
 func (p *planner) starts() []Decision {
 	var decisions []Decision
-	for _, i := range p.order() {
+	for _, i := range p.waitingItems() {
 		it := &p.Items[i]
 		if p.deferred(it) {
 			continue
