--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -42,13 +42,13 @@
 			waiting = append(waiting, i)
 		}
 	}
-	slices.SortStableFunc(waiting, func(a, b int) int { return compare(&p.Items[a], &p.Items[b]) })
+	slices.SortStableFunc(waiting, func(a, b int) int { return compareWaiting(&p.Items[a], &p.Items[b]) })
 	return waiting
 }
 
-// compare orders waiting items: by rank, age of the batch, those that are required, and
+// compareWaiting orders waiting items: by rank, age of the batch, those that are required, and
 // then the longest first, as they decide when the last group is whole.
-func compare(a, b *Item) int {
+func compareWaiting(a, b *Item) int {
 	return cmp.Or(
 		cmp.Compare(a.Priority, b.Priority),
 		a.BatchSince.Compare(b.BatchSince),
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -152,7 +152,7 @@
 		for i := range snapshot.Items {
 			for j := range snapshot.Items {
 				first, second := &snapshot.Items[i], &snapshot.Items[j]
-				if first.Engine == "" && second.Engine == "" && compare(first, second) < 0 && started[j] && !started[i] {
+				if first.Engine == "" && second.Engine == "" && compareWaiting(first, second) < 0 && started[j] && !started[i] {
 					t.Fatalf("item %d is started, item %d that comes before it is not", j, i)
 				}
 			}
@@ -170,8 +170,8 @@
 	ordered := []*Item{urgent, older, required, longer, shorter}
 	for i, first := range ordered {
 		for _, second := range ordered[i+1:] {
-			is.True(compare(first, second) < 0)
-			is.True(compare(second, first) > 0)
+			is.True(compareWaiting(first, second) < 0)
+			is.True(compareWaiting(second, first) > 0)
 		}
 	}
 }
