--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -69,10 +69,10 @@
 	}
 }
 
-// place returns the engine that should run an item, or -1 if it waits for room. Texts that
+// selectEngine returns the engine that should run an item, or -1 if it waits for room. Texts that
 // need no fast engine go to one only if no other has room, and short ones only while the
 // fast ones have room besides for the texts that need them.
-func (p *planner) place(it *Item) int {
+func (p *planner) selectEngine(it *Item) int {
 	choice := p.choiceOf(it)
 	engine := p.pick(it, choice)
 	if engine >= 0 || choice == anyEngine {
--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -159,7 +159,7 @@
 		if p.deferred(it) {
 			continue
 		}
-		engine := p.place(it)
+		engine := p.selectEngine(it)
 		if engine < 0 {
 			continue
 		}
