--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -73,7 +73,7 @@
 // need no fast engine go to one only if no other has room, and short ones only while the
 // fast ones have room besides for the texts that need them.
 func (p *planner) selectEngine(it *Item) int {
-	choice := p.choiceOf(it)
+	choice := p.filterFor(it)
 	engine := p.pick(it, choice)
 	if engine >= 0 || choice == anyEngine {
 		return engine
@@ -84,8 +84,8 @@
 	return p.pick(it, anyEngine)
 }
 
-// choiceOf returns to which engines an item should go.
-func (p *planner) choiceOf(it *Item) engineFilter {
+// filterFor returns to which engines an item should go.
+func (p *planner) filterFor(it *Item) engineFilter {
 	switch {
 	case p.short(it):
 		return slowEngineConnected
