--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -74,14 +74,14 @@
 // fast ones have room besides for the texts that need them.
 func (p *planner) selectEngine(it *Item) int {
 	choice := p.filterFor(it)
-	engine := p.pick(it, choice)
+	engine := p.bestEngine(it, choice)
 	if engine >= 0 || choice == anyEngine {
 		return engine
 	}
 	if it.MaxRemaining > 0 && p.tier(it).reserved(p) {
 		return -1
 	}
-	return p.pick(it, anyEngine)
+	return p.bestEngine(it, anyEngine)
 }
 
 // filterFor returns to which engines an item should go.
@@ -96,10 +96,10 @@
 	}
 }
 
-// pick returns the best of the engines that pass the filter, or -1: the one with the least
+// bestEngine returns the best of the engines that pass the filter, or -1: the one with the least
 // score, of equal ones the preferred, but the engine that has the prompt of the item's
 // group unless it is clearly worse.
-func (p *planner) pick(it *Item, choice engineFilter) int {
+func (p *planner) bestEngine(it *Item, choice engineFilter) int {
 	best := p.pool(it, choice).best()
 	if best < 0 || it.GroupEngine == "" || it.GroupEngine == p.Engines[best].ID {
 		return best
