--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -105,7 +105,7 @@
 		return best
 	}
 	near, ok := p.byID[it.GroupEngine]
-	if !ok || near == best || !p.passes(near, it, choice) {
+	if !ok || near == best || !p.matches(near, it, choice) {
 		return best
 	}
 	if p.score(near, choice)-sharedPromptBonus < p.score(best, choice) {
@@ -114,9 +114,9 @@
 	return best
 }
 
-// passes is the filter: it reports whether an engine has room for an item, weights that
+// matches is the filter: it reports whether an engine has room for an item, weights that
 // are new enough, and is one of those chosen for it.
-func (p *planner) passes(engine int, it *Item, choice engineFilter) bool {
+func (p *planner) matches(engine int, it *Item, choice engineFilter) bool {
 	return p.canRun(engine, it) && (choice == anyEngine || !p.tier(it).fast[engine])
 }
 
--- a/internal/batches/scheduling/pool.go
+++ b/internal/batches/scheduling/pool.go
@@ -25,7 +25,7 @@
 func (p *planner) newPool(it *Item, choice engineFilter) *pool {
 	pl := &pool{planner: p, choice: choice}
 	for i := range p.engines {
-		if p.passes(i, it, choice) {
+		if p.matches(i, it, choice) {
 			pl.engines = append(pl.engines, i)
 			pl.scores = append(pl.scores, p.score(i, choice))
 		}
