--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// loadPerRequest is by how much, as a ratio, a request under way slows the others at an
+	// slowdownPerRequest is by how much, as a ratio, a request under way slows the others at an
 	// engine, and loadPerEvent by how much more for each event of its text: for each token
 	// an engine reads all that the text has so far.
-	loadPerRequest = 0.005
-	loadPerEvent   = 0.0001
+	slowdownPerRequest = 0.005
+	loadPerEvent       = 0.0001
 )
 
 // loadOf is by how much a request slows the others, with the events of its text.
-func loadOf(events float64) float64 { return loadPerRequest + loadPerEvent*events }
+func loadOf(events float64) float64 { return slowdownPerRequest + loadPerEvent*events }
 
 // planner is one round of decisions. It counts the room that they take.
 type planner struct {
