--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -10,11 +10,11 @@
 	// engine, and loadPerEvent by how much more for each event of its text: for each token
 	// an engine reads all that the text has so far.
 	slowdownPerRequest = 0.005
-	loadPerEvent       = 0.0001
+	slowdownPerEvent   = 0.0001
 )
 
 // loadOf is by how much a request slows the others, with the events of its text.
-func loadOf(events float64) float64 { return slowdownPerRequest + loadPerEvent*events }
+func loadOf(events float64) float64 { return slowdownPerRequest + slowdownPerEvent*events }
 
 // planner is one round of decisions. It counts the room that they take.
 type planner struct {
