--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -62,7 +62,7 @@
 		}
 		loads := map[string]float64{}
 		for _, t := range l.texts {
-			loads[t.Engine] += loadOf(t.made)
+			loads[t.Engine] += slowdownBy(t.made)
 		}
 		for _, t := range l.texts {
 			if t.Engine == "" || now < t.ready {
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -13,8 +13,8 @@
 	slowdownPerEvent   = 0.0001
 )
 
-// loadOf is by how much a request slows the others, with the events of its text.
-func loadOf(events float64) float64 { return slowdownPerRequest + slowdownPerEvent*events }
+// slowdownBy is by how much a request slows the others, with the events of its text.
+func slowdownBy(events float64) float64 { return slowdownPerRequest + slowdownPerEvent*events }
 
 // planner is one round of decisions. It counts the room that they take.
 type planner struct {
@@ -86,14 +86,14 @@
 			Engine:    e,
 			inFlight:  inFlight,
 			idleConns: e.IdleConns,
-			load:      float64(inFlight) * loadOf(0),
+			load:      float64(inFlight) * slowdownBy(0),
 		}
 		p.byID[e.ID] = i
 	}
 	for i := range snapshot.Items {
 		it := &snapshot.Items[i]
 		if at, ok := p.byID[it.Engine]; ok {
-			p.engines[at].load += loadOf(it.Length()) - loadOf(0)
+			p.engines[at].load += slowdownBy(it.Length()) - slowdownBy(0)
 			p.engines[at].overdue = p.engines[at].overdue || it.Overdue > 0
 		}
 	}
@@ -150,5 +150,5 @@
 	e := &p.engines[engine]
 	e.inFlight++
 	e.idleConns = max(e.idleConns-1, 0)
-	e.load += loadOf(it.Length())
+	e.load += slowdownBy(it.Length())
 }
