--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -60,8 +60,8 @@
 	// inFlight is how many requests are under way there, of all owners; idleConns how many
 	// connections to it are left.
 	inFlight, idleConns int
-	// load is by how much, as a ratio, the requests there slow one more.
-	load float64
+	// slowdown is by how much, as a ratio, the requests there slow one more.
+	slowdown float64
 	// unloaded is its event time with nothing else under way, as a ratio of the usual one.
 	unloaded float64
 	// overdue says that a first event is overdue there.
@@ -86,14 +86,14 @@
 			Engine:    e,
 			inFlight:  inFlight,
 			idleConns: e.IdleConns,
-			load:      float64(inFlight) * slowdownBy(0),
+			slowdown:  float64(inFlight) * slowdownBy(0),
 		}
 		p.byID[e.ID] = i
 	}
 	for i := range snapshot.Items {
 		it := &snapshot.Items[i]
 		if at, ok := p.byID[it.Engine]; ok {
-			p.engines[at].load += slowdownBy(it.Length()) - slowdownBy(0)
+			p.engines[at].slowdown += slowdownBy(it.Length()) - slowdownBy(0)
 			p.engines[at].overdue = p.engines[at].overdue || it.Overdue > 0
 		}
 	}
@@ -120,13 +120,13 @@
 		if e.EventTime > 0 {
 			e.unloaded = float64(e.EventTime) / float64(p.usual)
 		}
-		e.unloaded /= 1 + e.load
+		e.unloaded /= 1 + e.slowdown
 	}
 }
 
 // relativeTime is the expected time between the events of one more request at an engine, as a
 // ratio of the usual one.
-func (e *engineState) relativeTime() float64 { return e.unloaded * (1 + e.load) }
+func (e *engineState) relativeTime() float64 { return e.unloaded * (1 + e.slowdown) }
 
 // eventTime is the expected time between the events of one more request at an engine, in
 // nanoseconds.
@@ -150,5 +150,5 @@
 	e := &p.engines[engine]
 	e.inFlight++
 	e.idleConns = max(e.idleConns-1, 0)
-	e.load += slowdownBy(it.Length())
+	e.slowdown += slowdownBy(it.Length())
 }
