--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -62,8 +62,8 @@
 	inFlight, idleConns int
 	// slowdown is by how much, as a ratio, the requests there slow one more.
 	slowdown float64
-	// unloaded is its event time with nothing else under way, as a ratio of the usual one.
-	unloaded float64
+	// unloadedRatio is its event time with nothing else under way, as a ratio of the usual one.
+	unloadedRatio float64
 	// overdue says that a first event is overdue there.
 	overdue bool
 }
@@ -116,17 +116,17 @@
 	}
 	for i := range p.engines {
 		e := &p.engines[i]
-		e.unloaded = 1
+		e.unloadedRatio = 1
 		if e.EventTime > 0 {
-			e.unloaded = float64(e.EventTime) / float64(p.usual)
+			e.unloadedRatio = float64(e.EventTime) / float64(p.usual)
 		}
-		e.unloaded /= 1 + e.slowdown
+		e.unloadedRatio /= 1 + e.slowdown
 	}
 }
 
 // relativeTime is the expected time between the events of one more request at an engine, as a
 // ratio of the usual one.
-func (e *engineState) relativeTime() float64 { return e.unloaded * (1 + e.slowdown) }
+func (e *engineState) relativeTime() float64 { return e.unloadedRatio * (1 + e.slowdown) }
 
 // eventTime is the expected time between the events of one more request at an engine, in
 // nanoseconds.
