--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -20,8 +20,8 @@
 type planner struct {
 	Snapshot
 	engines []engineState
-	// usual is the median of the known event times, 0 if none is known.
-	usual time.Duration
+	// medianEventTime is the median of the known event times, 0 if none is known.
+	medianEventTime time.Duration
 	// byID are the indices of engines.
 	byID  map[string]int
 	tiers cache[class, tiers]
@@ -112,13 +112,13 @@
 	}
 	if len(times) > 0 {
 		slices.Sort(times)
-		p.usual = times[(len(times)-1)/2]
+		p.medianEventTime = times[(len(times)-1)/2]
 	}
 	for i := range p.engines {
 		e := &p.engines[i]
 		e.unloadedRatio = 1
 		if e.EventTime > 0 {
-			e.unloadedRatio = float64(e.EventTime) / float64(p.usual)
+			e.unloadedRatio = float64(e.EventTime) / float64(p.medianEventTime)
 		}
 		e.unloadedRatio /= 1 + e.slowdown
 	}
@@ -131,7 +131,7 @@
 // eventTime is the expected time between the events of one more request at an engine, in
 // nanoseconds.
 func (p *planner) eventTime(engine int) float64 {
-	return p.engines[engine].relativeTime() * float64(p.usual)
+	return p.engines[engine].relativeTime() * float64(p.medianEventTime)
 }
 
 // hasRoom reports whether an engine may get one more request.
