--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -97,13 +97,13 @@
 			p.engines[at].overdue = p.engines[at].overdue || it.Overdue > 0
 		}
 	}
-	p.compareEngines()
+	p.normalizeEventTimes()
 	p.forecastSteps()
 	return p
 }
 
-// compareEngines sets the usual event time, and each engine's as a ratio of it.
-func (p *planner) compareEngines() {
+// normalizeEventTimes sets the usual event time, and each engine's as a ratio of it.
+func (p *planner) normalizeEventTimes() {
 	var times []time.Duration
 	for i := range p.Engines {
 		if p.Engines[i].EventTime > 0 {
