--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -123,7 +123,7 @@
 // score is lower for a better engine.
 func (p *planner) score(engine int, choice engineFilter) float64 {
 	e := &p.engines[engine]
-	score := e.relativeTime()
+	score := e.relativeEventTime()
 	if e.Zone != p.Zone {
 		score += otherZonePenalty
 	}
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -124,14 +124,14 @@
 	}
 }
 
-// relativeTime is the expected time between the events of one more request at an engine, as a
+// relativeEventTime is the expected time between the events of one more request at an engine, as a
 // ratio of the usual one.
-func (e *engineState) relativeTime() float64 { return e.unloadedRatio * (1 + e.slowdown) }
+func (e *engineState) relativeEventTime() float64 { return e.unloadedRatio * (1 + e.slowdown) }
 
 // eventTime is the expected time between the events of one more request at an engine, in
 // nanoseconds.
 func (p *planner) eventTime(engine int) float64 {
-	return p.engines[engine].relativeTime() * float64(p.medianEventTime)
+	return p.engines[engine].relativeEventTime() * float64(p.medianEventTime)
 }
 
 // hasRoom reports whether an engine may get one more request.
