--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -70,9 +70,9 @@
 	return e.Slots
 }
 
-// Room reports whether the engine may get another request now, besides some that it is
+// HasRoom reports whether the engine may get another request now, besides some that it is
 // about to get.
-func (e *Engine) Room(more int) bool {
+func (e *Engine) HasRoom(more int) bool {
 	return !e.Avoided && !e.Declining && e.InFlight+e.OthersInFlight+more < e.Capacity()
 }
 
