--- a/internal/batches/runner/enginedemand.go
+++ b/internal/batches/runner/enginedemand.go
@@ -52,7 +52,7 @@
 	}
 	for i := range snap.Engines {
 		engine := &snap.Engines[i]
-		room = room || first != nil && engine.HasRoom(taken[i]) && engine.Holds(first)
+		room = room || first != nil && engine.HasRoom(taken[i]) && engine.HasWeightsFor(first)
 	}
 	return demand, room
 }
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -142,7 +142,7 @@
 
 // canRun reports whether an engine has room for an item, and weights for it.
 func (p *planner) canRun(engine int, it *Item) bool {
-	return p.engines[engine].hasRoom() && p.engines[engine].Holds(it)
+	return p.engines[engine].hasRoom() && p.engines[engine].HasWeightsFor(it)
 }
 
 // reserve counts an item that an engine gets.
--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -76,8 +76,8 @@
 	return !e.Avoided && !e.Declining && e.InFlight+e.OthersInFlight+more < e.Capacity()
 }
 
-// Holds reports whether the engine's weights are new enough for an item, as far as is known.
-func (e *Engine) Holds(it *Item) bool {
+// HasWeightsFor reports whether the engine's weights are new enough for an item, as far as is known.
+func (e *Engine) HasWeightsFor(it *Item) bool {
 	version, ok := e.Versions[it.Model]
 	return !ok || version >= it.MinVersion
 }
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -34,7 +34,7 @@
 	var times []float64
 	usable := 0
 	for i := range p.Engines {
-		if !p.Engines[i].Holds(it) || p.Engines[i].Avoided {
+		if !p.Engines[i].HasWeightsFor(it) || p.Engines[i].Avoided {
 			continue
 		}
 		usable++
@@ -48,7 +48,7 @@
 	slices.Sort(times)
 	t.bestTime, t.ordinaryTime = times[0], times[len(times)*3/4]
 	for i := range p.Engines {
-		if p.Engines[i].Holds(it) && p.Engines[i].EventTime > 0 && p.eventTime(i) < fastRatio*t.ordinaryTime {
+		if p.Engines[i].HasWeightsFor(it) && p.Engines[i].EventTime > 0 && p.eventTime(i) < fastRatio*t.ordinaryTime {
 			t.fast[i] = true
 			t.fastest = append(t.fastest, i)
 		}
