--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -114,7 +114,7 @@
 func (j *job) describe(it *item, rt *route.Route, priority int, now time.Time) scheduling.Item {
 	events, lengths := len(it.events), j.placement.lengths
 	described := scheduling.Item{
-		Priority: priority, BatchSince: j.adoptedAt, BatchAge: now.Sub(j.adoptedAt),
+		Priority: priority, BatchAdoptedAt: j.adoptedAt, BatchAge: now.Sub(j.adoptedAt),
 		Model: j.submission.Model, MinVersion: j.submission.MinVersion, Required: j.placement.required[it.Group],
 		Events: events, Remaining: lengths.Remaining(it.expectedTokens, events),
 		GroupEngine: string(j.placement.groups[it.Group]), // the incarnation; nameGroupEngines puts the engine's id
--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -47,7 +47,7 @@
 		t := &text{group: i / 8, begins: time.Duration(batch/2) * 4 * time.Second}
 		t.length = max(min(math.Round(14*math.Exp(0.9*random.NormFloat64())), 145), 1)
 		t.hint = int64(max(t.length*defaultTokensPerEvent*math.Exp(0.5*random.NormFloat64()), 1))
-		t.Item = Item{Model: fmt.Sprint(batch % 2), BatchSince: testStart.Add(t.begins)}
+		t.Item = Item{Model: fmt.Sprint(batch % 2), BatchAdoptedAt: testStart.Add(t.begins)}
 		l.texts = append(l.texts, t)
 	}
 	return l
--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -51,7 +51,7 @@
 func compareWaiting(a, b *Item) int {
 	return cmp.Or(
 		cmp.Compare(a.Priority, b.Priority),
-		a.BatchSince.Compare(b.BatchSince),
+		a.BatchAdoptedAt.Compare(b.BatchAdoptedAt),
 		compareRequired(a, b),
 		cmp.Compare(b.Remaining, a.Remaining),
 	)
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -210,7 +210,7 @@
 	longest := 0.0
 	for i := range snapshot.Items {
 		other := &snapshot.Items[i]
-		if other.BatchSince.Equal(item.BatchSince) && classOf(other) == classOf(item) {
+		if other.BatchAdoptedAt.Equal(item.BatchAdoptedAt) && classOf(other) == classOf(item) {
 			longest = max(longest, other.Remaining)
 		}
 	}
--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -86,9 +86,9 @@
 type Item struct {
 	// Priority is the rank of the item, 0 being the most urgent, and BatchSince orders the
 	// batches of one rank: older ones first.
-	Priority   int
-	BatchSince time.Time
-	Model      string
+	Priority       int
+	BatchAdoptedAt time.Time
+	Model          string
 	// MinVersion is the oldest version of the weights that may make its text.
 	MinVersion int64
 	// Required items are of a group without which the batch's trainer does not go on.
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -31,9 +31,9 @@
 
 func drawItem(t *rapid.T, engines []Engine) Item {
 	it := Item{
-		Priority:   rapid.IntRange(0, 1).Draw(t, "priority"),
-		BatchSince: testStart.Add(time.Duration(rapid.IntRange(0, 2).Draw(t, "since")) * time.Second),
-		Model:      testModel, MinVersion: rapid.Int64Range(1, 4).Draw(t, "least version"),
+		Priority:       rapid.IntRange(0, 1).Draw(t, "priority"),
+		BatchAdoptedAt: testStart.Add(time.Duration(rapid.IntRange(0, 2).Draw(t, "since")) * time.Second),
+		Model:          testModel, MinVersion: rapid.Int64Range(1, 4).Draw(t, "least version"),
 		Required: rapid.Bool().Draw(t, "required"), Remaining: float64(rapid.IntRange(1, 200).Draw(t, "remaining")),
 	}
 	if len(engines) > 0 && rapid.Bool().Draw(t, "runs") {
@@ -162,11 +162,11 @@
 
 func TestTheOrderOfItems(t *testing.T) {
 	is := is.New(t)
-	urgent := &Item{Priority: 0, BatchSince: testStart.Add(time.Minute)}
-	older := &Item{Priority: 1, BatchSince: testStart}
-	required := &Item{Priority: 1, BatchSince: testStart.Add(time.Second), Required: true, Remaining: 1}
-	longer := &Item{Priority: 1, BatchSince: testStart.Add(time.Second), Remaining: 9}
-	shorter := &Item{Priority: 1, BatchSince: testStart.Add(time.Second), Remaining: 2}
+	urgent := &Item{Priority: 0, BatchAdoptedAt: testStart.Add(time.Minute)}
+	older := &Item{Priority: 1, BatchAdoptedAt: testStart}
+	required := &Item{Priority: 1, BatchAdoptedAt: testStart.Add(time.Second), Required: true, Remaining: 1}
+	longer := &Item{Priority: 1, BatchAdoptedAt: testStart.Add(time.Second), Remaining: 9}
+	shorter := &Item{Priority: 1, BatchAdoptedAt: testStart.Add(time.Second), Remaining: 2}
 	ordered := []*Item{urgent, older, required, longer, shorter}
 	for i, first := range ordered {
 		for _, second := range ordered[i+1:] {
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -32,7 +32,7 @@
 }
 
 func (p *planner) step(it *Item) *step {
-	return p.steps.get(stepKey{class: classOf(it), since: it.BatchSince}, func() *step { return &step{} })
+	return p.steps.get(stepKey{class: classOf(it), since: it.BatchAdoptedAt}, func() *step { return &step{} })
 }
 
 // forecastSteps forecasts when each step could end, which texts are long enough to need a fast
