--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -151,7 +151,7 @@
 		snap.Engines = append(snap.Engines, owner.sharing.withReports(engine, rep, s.now()))
 	}
 	for _, text := range owner.texts {
-		item := scheduling.Item{Remaining: 100}
+		item := scheduling.Item{RemainingEvents: 100}
 		if text.engine >= 0 {
 			item.Engine = fmt.Sprintf("e%d", text.engine)
 		}
--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -50,7 +50,7 @@
 		time.Sleep(time.Second)
 		items := scheduledItems(owner)
 		is.Equal(items[0].MaxRemaining, 0.0)
-		is.True(items[1].MaxRemaining > items[1].Remaining)
+		is.True(items[1].MaxRemaining > items[1].RemainingEvents)
 		is.Equal(items[1].BatchAge, time.Second)
 	})
 }
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -116,7 +116,7 @@
 	described := scheduling.Item{
 		Priority: priority, BatchAdoptedAt: j.adoptedAt, BatchAge: now.Sub(j.adoptedAt),
 		Model: j.submission.Model, MinVersion: j.submission.MinVersion, Required: j.placement.required[it.Group],
-		Events: events, Remaining: lengths.Remaining(it.expectedTokens, events),
+		Events: events, RemainingEvents: lengths.Remaining(it.expectedTokens, events),
 		GroupEngine: string(j.placement.groups[it.Group]), // the incarnation; nameGroupEngines puts the engine's id
 	}
 	if it.attempt == 0 || it.state == itemRunning {
--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -92,7 +92,7 @@
 			snapshot.Engines[at].OthersInFlight++
 		case t.Model == owner:
 			t.Events, t.RunFor, t.BatchAge = int(t.made), now-t.ready, now-t.begins
-			t.Remaining = l.lengths.Remaining(t.hint, t.Events)
+			t.RemainingEvents = l.lengths.Remaining(t.hint, t.Events)
 			t.MaxRemaining = l.lengths.MaxRemaining(t.hint, t.Events)
 			own, snapshot.Items = append(own, t), append(snapshot.Items, t.Item)
 			if at >= 0 {
--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -53,7 +53,7 @@
 		if target < 0 {
 			continue
 		}
-		there := it.Remaining * p.eventTime(target)
+		there := it.RemainingEvents * p.eventTime(target)
 		gain := toDuration(c.timeLeft-there) - moveCost
 		switch {
 		case it.Overdue > 0:
@@ -84,7 +84,7 @@
 		if it.Overdue == 0 && (it.RunFor < minRunTime || eventTime == 0) {
 			continue
 		}
-		candidates = append(candidates, candidate{item: i, engine: engine, timeLeft: it.Remaining * float64(eventTime)})
+		candidates = append(candidates, candidate{item: i, engine: engine, timeLeft: it.RemainingEvents * float64(eventTime)})
 	}
 	slices.SortStableFunc(candidates, p.compareCandidates)
 	leaving := make([]int, len(p.Engines))
--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -53,7 +53,7 @@
 		cmp.Compare(a.Priority, b.Priority),
 		a.BatchAdoptedAt.Compare(b.BatchAdoptedAt),
 		compareRequired(a, b),
-		cmp.Compare(b.Remaining, a.Remaining),
+		cmp.Compare(b.RemainingEvents, a.RemainingEvents),
 	)
 }
 
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -67,7 +67,7 @@
 	}
 	snapshot.Items = []Item{decisive}
 	for range short {
-		snapshot.Items = append(snapshot.Items, Item{Model: testModel, Remaining: 10, MaxRemaining: 25})
+		snapshot.Items = append(snapshot.Items, Item{Model: testModel, RemainingEvents: 10, MaxRemaining: 25})
 	}
 	return snapshot
 }
@@ -76,7 +76,7 @@
 // others are full.
 func TestShortTextsLeaveTheFastEnginesFree(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(100, Item{Model: testModel, Remaining: 140, MaxRemaining: 140})
+	snapshot := uneven(100, Item{Model: testModel, RemainingEvents: 140, MaxRemaining: 140})
 	for i := range snapshot.Items {
 		snapshot.Items[i].BatchAge = maxDeferral
 	}
@@ -96,11 +96,11 @@
 func TestAPlaceAtAFastEngineIsKeptForATextThatNeedsIt(t *testing.T) {
 	is := is.New(t)
 	snapshot := uneven(10, Item{
-		Model:        testModel,
-		Remaining:    100,
-		MaxRemaining: 140,
-		Engine:       "slow0",
-		RunFor:       time.Second,
+		Model:           testModel,
+		RemainingEvents: 100,
+		MaxRemaining:    140,
+		Engine:          "slow0",
+		RunFor:          time.Second,
 	})
 	for i := range snapshot.Engines {
 		snapshot.Engines[i].InFlight = snapshot.Engines[i].Slots
@@ -122,7 +122,7 @@
 // places are neither kept nor those that the longest texts could have.
 func TestOnlyEnginesThatMayRunATextCountAsFastForIt(t *testing.T) {
 	is := is.New(t)
-	item := Item{Model: testModel, MinVersion: 1, Remaining: 140, MaxRemaining: 140}
+	item := Item{Model: testModel, MinVersion: 1, RemainingEvents: 140, MaxRemaining: 140}
 	snapshot := uneven(0, item)
 	other := paced("other", loadFast)
 	other.Versions = map[string]int64{testModel: 0}
@@ -137,11 +137,11 @@
 func TestShortTextsWaitWhileTheStepLeavesRoom(t *testing.T) {
 	is := is.New(t)
 	snapshot := uneven(40, Item{
-		Model:        testModel,
-		Remaining:    100,
-		MaxRemaining: 140,
-		Engine:       "fast",
-		RunFor:       time.Second,
+		Model:           testModel,
+		RemainingEvents: 100,
+		MaxRemaining:    140,
+		Engine:          "fast",
+		RunFor:          time.Second,
 	})
 	snapshot.Engines[2].IdleConns = 3
 	begun, connected := 0, 0
@@ -167,7 +167,7 @@
 		snapshot := drawSnapshot(t)
 		for i := range snapshot.Items {
 			item := &snapshot.Items[i]
-			item.MaxRemaining = item.Remaining * rapid.Float64Range(1, 3).Draw(t, "most")
+			item.MaxRemaining = item.RemainingEvents * rapid.Float64Range(1, 3).Draw(t, "most")
 			item.BatchAge = time.Duration(rapid.IntRange(0, 3000).Draw(t, "waited")) * time.Millisecond
 		}
 		// Moves do not count here: they may take an engine from an item that waits.
@@ -211,7 +211,7 @@
 	for i := range snapshot.Items {
 		other := &snapshot.Items[i]
 		if other.BatchAdoptedAt.Equal(item.BatchAdoptedAt) && classOf(other) == classOf(item) {
-			longest = max(longest, other.Remaining)
+			longest = max(longest, other.RemainingEvents)
 		}
 	}
 	return longest
@@ -221,12 +221,12 @@
 // faster: its connection is worth more than what it gains.
 func TestOnlyTextsThatDecideMove(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(0, Item{Model: testModel, Remaining: 100, Engine: "fast", RunFor: time.Second})
+	snapshot := uneven(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunFor: time.Second})
 	snapshot.Items = append(snapshot.Items, Item{
-		Model:     testModel,
-		Remaining: 20,
-		Engine:    "slow0",
-		RunFor:    time.Second,
+		Model:           testModel,
+		RemainingEvents: 20,
+		Engine:          "slow0",
+		RunFor:          time.Second,
 	})
 	is.Equal(len(Plan(snapshot)), 0)
 	// It would miss the end, its engine having turned slow.
@@ -238,14 +238,14 @@
 // holds several up: it may only be changing its weights.
 func TestTextsLeaveASilentEngineAFewAtATime(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(0, Item{Model: testModel, Remaining: 100, Engine: "fast", RunFor: time.Second})
+	snapshot := uneven(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunFor: time.Second})
 	for range 5 {
 		snapshot.Items = append(snapshot.Items, Item{
-			Model:     testModel,
-			Remaining: 10,
-			Engine:    "slow0",
-			RunFor:    600 * time.Millisecond,
-			Overdue:   300 * time.Millisecond,
+			Model:           testModel,
+			RemainingEvents: 10,
+			Engine:          "slow0",
+			RunFor:          600 * time.Millisecond,
+			Overdue:         300 * time.Millisecond,
 		})
 	}
 	decisions := Plan(snapshot)
@@ -254,7 +254,7 @@
 		is.True(snapshot.Engines[decision.(Move).Engine].ID != "slow0")
 	}
 	// New texts go elsewhere.
-	snapshot.Items = append(snapshot.Items, Item{Model: testModel, Remaining: 10})
+	snapshot.Items = append(snapshot.Items, Item{Model: testModel, RemainingEvents: 10})
 	for _, decision := range Plan(snapshot) {
 		if start, ok := decision.(Start); ok {
 			is.True(snapshot.Engines[start.Engine].ID != "slow0")
--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -94,8 +94,8 @@
 	// Required items are of a group without which the batch's trainer does not go on.
 	Required bool
 	// Events is how many events its text has, Remaining how many are expected to come.
-	Events    int
-	Remaining float64
+	Events          int
+	RemainingEvents float64
 	// MaxRemaining is how many events come at most, but for a few texts in a hundred; 0 if
 	// the item must not be deferred.
 	MaxRemaining float64
@@ -114,7 +114,7 @@
 }
 
 // Length is how many events the text should have in the end.
-func (it *Item) Length() float64 { return float64(it.Events) + it.Remaining }
+func (it *Item) Length() float64 { return float64(it.Events) + it.RemainingEvents }
 
 // Snapshot is what the decisions rest on: the engines of one service and the items that
 // are for them.
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -34,7 +34,7 @@
 		Priority:       rapid.IntRange(0, 1).Draw(t, "priority"),
 		BatchAdoptedAt: testStart.Add(time.Duration(rapid.IntRange(0, 2).Draw(t, "since")) * time.Second),
 		Model:          testModel, MinVersion: rapid.Int64Range(1, 4).Draw(t, "least version"),
-		Required: rapid.Bool().Draw(t, "required"), Remaining: float64(rapid.IntRange(1, 200).Draw(t, "remaining")),
+		Required: rapid.Bool().Draw(t, "required"), RemainingEvents: float64(rapid.IntRange(1, 200).Draw(t, "remaining")),
 	}
 	if len(engines) > 0 && rapid.Bool().Draw(t, "runs") {
 		it.Engine = rapid.SampledFrom(engines).Draw(t, "engine").ID
@@ -164,9 +164,9 @@
 	is := is.New(t)
 	urgent := &Item{Priority: 0, BatchAdoptedAt: testStart.Add(time.Minute)}
 	older := &Item{Priority: 1, BatchAdoptedAt: testStart}
-	required := &Item{Priority: 1, BatchAdoptedAt: testStart.Add(time.Second), Required: true, Remaining: 1}
-	longer := &Item{Priority: 1, BatchAdoptedAt: testStart.Add(time.Second), Remaining: 9}
-	shorter := &Item{Priority: 1, BatchAdoptedAt: testStart.Add(time.Second), Remaining: 2}
+	required := &Item{Priority: 1, BatchAdoptedAt: testStart.Add(time.Second), Required: true, RemainingEvents: 1}
+	longer := &Item{Priority: 1, BatchAdoptedAt: testStart.Add(time.Second), RemainingEvents: 9}
+	shorter := &Item{Priority: 1, BatchAdoptedAt: testStart.Add(time.Second), RemainingEvents: 2}
 	ordered := []*Item{urgent, older, required, longer, shorter}
 	for i, first := range ordered {
 		for _, second := range ordered[i+1:] {
@@ -190,14 +190,14 @@
 		paced("slower", 52*time.Millisecond), paced("a", 40*time.Millisecond), paced("b", 39*time.Millisecond),
 	}}
 	for length := range 30 {
-		snapshot.Items = append(snapshot.Items, Item{Model: testModel, Remaining: float64(length)})
+		snapshot.Items = append(snapshot.Items, Item{Model: testModel, RemainingEvents: float64(length)})
 	}
 	atSlower := 0
 	for _, decision := range Plan(snapshot) {
 		start := decision.(Start)
 		if snapshot.Engines[start.Engine].ID == "slower" {
 			atSlower++
-			is.True(snapshot.Items[start.Item].Remaining < 6)
+			is.True(snapshot.Items[start.Item].RemainingEvents < 6)
 		}
 	}
 	is.Equal(atSlower, 6)
@@ -216,7 +216,7 @@
 				paced("other", 40*time.Millisecond),
 			},
 		}
-		snapshot.Items = []Item{{Model: testModel, Engine: "at", RunFor: runFor, Remaining: remaining}}
+		snapshot.Items = []Item{{Model: testModel, Engine: "at", RunFor: runFor, RemainingEvents: remaining}}
 		return len(Plan(snapshot)) == 1
 	}
 	is.True(movedFrom(52*time.Millisecond, 80, time.Second))
@@ -233,7 +233,7 @@
 		}
 		snapshot := Snapshot{Zone: "z", Engines: []Engine{paced("a", pace("a")), paced("b", pace("b"))}}
 		remaining := float64(rapid.IntRange(1, 200).Draw(t, "remaining"))
-		snapshot.Items = []Item{{Model: testModel, Engine: "a", RunFor: time.Second, Remaining: remaining}}
+		snapshot.Items = []Item{{Model: testModel, Engine: "a", RunFor: time.Second, RemainingEvents: remaining}}
 		snapshot.Engines[0].InFlight = 1
 		if len(Plan(snapshot)) == 0 {
 			return
@@ -258,7 +258,7 @@
 			}
 			for i := range items {
 				snapshot.Items = append(snapshot.Items, Item{
-					Model: testModel, Remaining: float64(i * 7919 % 165), Required: i%10 == 0,
+					Model: testModel, RemainingEvents: float64(i * 7919 % 165), Required: i%10 == 0,
 					GroupEngine: fmt.Sprint("e", i/4%len(snapshot.Engines)),
 				})
 			}
@@ -282,7 +282,7 @@
 			Versions:       map[string]int64{testModel: 1},
 		}
 	}
-	item := Item{Model: testModel, Remaining: 100}
+	item := Item{Model: testModel, RemainingEvents: 100}
 	decisions := Plan(Snapshot{
 		Engines: []Engine{engine("fast", 20*time.Millisecond, 2), engine("slow", 50*time.Millisecond, 1)},
 		Items:   []Item{item, item},
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -42,8 +42,8 @@
 	for i := range p.Items {
 		it := &p.Items[i]
 		step, tier := p.step(it), p.tier(it)
-		step.end = max(step.end, it.Remaining*tier.bestTime)
-		remaining[tier] = append(remaining[tier], it.Remaining)
+		step.end = max(step.end, it.RemainingEvents*tier.bestTime)
+		remaining[tier] = append(remaining[tier], it.RemainingEvents)
 	}
 	for tier, values := range remaining {
 		tier.minRemaining = nthLargest(values, tier.slots(p))
@@ -58,7 +58,7 @@
 	step, tier := p.step(it), p.tier(it)
 	engine, runs := p.byID[it.Engine]
 	if p.short(it) {
-		step.shortWork += it.Remaining * tier.ordinaryTime
+		step.shortWork += it.RemainingEvents * tier.ordinaryTime
 		if runs {
 			step.shortRunning++
 		}
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -80,15 +80,15 @@
 // and would go to one that has room.
 func (p *planner) needsFast(it *Item) bool {
 	tier := p.tier(it)
-	if p.short(it) || it.Remaining < tier.minRemaining {
+	if p.short(it) || it.RemainingEvents < tier.minRemaining {
 		return false
 	}
 	engine, runs := p.byID[it.Engine]
 	if !runs || tier.fast[engine] {
 		return true
 	}
-	here := it.Remaining * float64(p.Engines[engine].EventTime)
-	return !it.Pinned && p.delaysStep(it, here) && worthMoving(here, it.Remaining*tier.bestTime)
+	here := it.RemainingEvents * float64(p.Engines[engine].EventTime)
+	return !it.Pinned && p.delaysStep(it, here) && worthMoving(here, it.RemainingEvents*tier.bestTime)
 }
 
 // nthLargest returns the n-th largest value, the largest one for an n below 1, and 0 if there are
