--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -49,8 +49,8 @@
 		owner.jobList()[0].items[0].attempt = 1
 		time.Sleep(time.Second)
 		items := scheduledItems(owner)
-		is.Equal(items[0].MaxRemaining, 0.0)
-		is.True(items[1].MaxRemaining > items[1].RemainingEvents)
+		is.Equal(items[0].MaxRemainingEvents, 0.0)
+		is.True(items[1].MaxRemainingEvents > items[1].RemainingEvents)
 		is.Equal(items[1].BatchAge, time.Second)
 	})
 }
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -121,7 +121,7 @@
 	}
 	if it.attempt == 0 || it.state == itemRunning {
 		// Without it an item that failed is not deferred.
-		described.MaxRemaining = lengths.MaxRemaining(it.expectedTokens, events)
+		described.MaxRemainingEvents = lengths.MaxRemaining(it.expectedTokens, events)
 	}
 	if it.state == itemRunning {
 		described.Engine, described.RunFor = it.lastReplica, now.Sub(it.startedAt)
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -67,7 +67,7 @@
 	}
 	snapshot.Items = []Item{decisive}
 	for range short {
-		snapshot.Items = append(snapshot.Items, Item{Model: testModel, RemainingEvents: 10, MaxRemaining: 25})
+		snapshot.Items = append(snapshot.Items, Item{Model: testModel, RemainingEvents: 10, MaxRemainingEvents: 25})
 	}
 	return snapshot
 }
@@ -76,7 +76,7 @@
 // others are full.
 func TestShortTextsLeaveTheFastEnginesFree(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(100, Item{Model: testModel, RemainingEvents: 140, MaxRemaining: 140})
+	snapshot := uneven(100, Item{Model: testModel, RemainingEvents: 140, MaxRemainingEvents: 140})
 	for i := range snapshot.Items {
 		snapshot.Items[i].BatchAge = maxDeferral
 	}
@@ -96,11 +96,11 @@
 func TestAPlaceAtAFastEngineIsKeptForATextThatNeedsIt(t *testing.T) {
 	is := is.New(t)
 	snapshot := uneven(10, Item{
-		Model:           testModel,
-		RemainingEvents: 100,
-		MaxRemaining:    140,
-		Engine:          "slow0",
-		RunFor:          time.Second,
+		Model:              testModel,
+		RemainingEvents:    100,
+		MaxRemainingEvents: 140,
+		Engine:             "slow0",
+		RunFor:             time.Second,
 	})
 	for i := range snapshot.Engines {
 		snapshot.Engines[i].InFlight = snapshot.Engines[i].Slots
@@ -122,7 +122,7 @@
 // places are neither kept nor those that the longest texts could have.
 func TestOnlyEnginesThatMayRunATextCountAsFastForIt(t *testing.T) {
 	is := is.New(t)
-	item := Item{Model: testModel, MinVersion: 1, RemainingEvents: 140, MaxRemaining: 140}
+	item := Item{Model: testModel, MinVersion: 1, RemainingEvents: 140, MaxRemainingEvents: 140}
 	snapshot := uneven(0, item)
 	other := paced("other", loadFast)
 	other.Versions = map[string]int64{testModel: 0}
@@ -137,11 +137,11 @@
 func TestShortTextsWaitWhileTheStepLeavesRoom(t *testing.T) {
 	is := is.New(t)
 	snapshot := uneven(40, Item{
-		Model:           testModel,
-		RemainingEvents: 100,
-		MaxRemaining:    140,
-		Engine:          "fast",
-		RunFor:          time.Second,
+		Model:              testModel,
+		RemainingEvents:    100,
+		MaxRemainingEvents: 140,
+		Engine:             "fast",
+		RunFor:             time.Second,
 	})
 	snapshot.Engines[2].IdleConns = 3
 	begun, connected := 0, 0
@@ -167,7 +167,7 @@
 		snapshot := drawSnapshot(t)
 		for i := range snapshot.Items {
 			item := &snapshot.Items[i]
-			item.MaxRemaining = item.RemainingEvents * rapid.Float64Range(1, 3).Draw(t, "most")
+			item.MaxRemainingEvents = item.RemainingEvents * rapid.Float64Range(1, 3).Draw(t, "most")
 			item.BatchAge = time.Duration(rapid.IntRange(0, 3000).Draw(t, "waited")) * time.Millisecond
 		}
 		// Moves do not count here: they may take an engine from an item that waits.
@@ -176,7 +176,7 @@
 		keeps := func(item *Item) bool { return planner.short(item) && planner.tier(item).wanted > 0 }
 		for i, started := range startedOf(snapshot) {
 			item := &snapshot.Items[i]
-			may := !item.Required && item.BatchAge < maxDeferral && item.MaxRemaining < longestOf(snapshot, item)
+			may := !item.Required && item.BatchAge < maxDeferral && item.MaxRemainingEvents < longestOf(snapshot, item)
 			if started || item.Engine != "" || may || keeps(item) {
 				continue
 			}
--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -96,9 +96,9 @@
 	// Events is how many events its text has, Remaining how many are expected to come.
 	Events          int
 	RemainingEvents float64
-	// MaxRemaining is how many events come at most, but for a few texts in a hundred; 0 if
+	// MaxRemainingEvents is how many events come at most, but for a few texts in a hundred; 0 if
 	// the item must not be deferred.
-	MaxRemaining float64
+	MaxRemainingEvents float64
 	// BatchAge is for how long its batch has been here.
 	BatchAge time.Duration
 	// Overdue is for how long the first event of its attempt is overdue, 0 if it is not.
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -71,7 +71,7 @@
 // short reports whether a text surely ends before its step, at any engine.
 func (p *planner) short(it *Item) bool {
 	ordinary := p.tier(it).ordinaryTime
-	return it.MaxRemaining > 0 && !it.Required && ordinary > 0 && it.MaxRemaining*ordinary <= p.step(it).end
+	return it.MaxRemainingEvents > 0 && !it.Required && ordinary > 0 && it.MaxRemainingEvents*ordinary <= p.step(it).end
 }
 
 // deferred reports whether a text need not start yet: so many others of its step are under
@@ -82,7 +82,7 @@
 		return false
 	}
 	step := p.step(it)
-	if it.MaxRemaining*p.tier(it).ordinaryTime > latestStartPart*step.end {
+	if it.MaxRemainingEvents*p.tier(it).ordinaryTime > latestStartPart*step.end {
 		return false
 	}
 	return float64(step.shortRunning)*shortItemsPart*step.end >= step.shortWork
