--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -93,7 +93,7 @@
 	for i := range snapshot.Items {
 		it := &snapshot.Items[i]
 		if at, ok := p.byID[it.Engine]; ok {
-			p.engines[at].slowdown += slowdownBy(it.Length()) - slowdownBy(0)
+			p.engines[at].slowdown += slowdownBy(it.TotalEvents()) - slowdownBy(0)
 			p.engines[at].overdue = p.engines[at].overdue || it.Overdue > 0
 		}
 	}
@@ -150,5 +150,5 @@
 	e := &p.engines[engine]
 	e.inFlight++
 	e.idleConns = max(e.idleConns-1, 0)
-	e.slowdown += slowdownBy(it.Length())
+	e.slowdown += slowdownBy(it.TotalEvents())
 }
--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -113,8 +113,8 @@
 	Pinned bool
 }
 
-// Length is how many events the text should have in the end.
-func (it *Item) Length() float64 { return float64(it.Events) + it.RemainingEvents }
+// TotalEvents is how many events the text should have in the end.
+func (it *Item) TotalEvents() float64 { return float64(it.Events) + it.RemainingEvents }
 
 // Snapshot is what the decisions rest on: the engines of one service and the items that
 // are for them.
