--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -96,7 +96,7 @@
 		}
 		described := j.describe(it, rt, priority, now)
 		if runs && !it.answered {
-			described.Overdue = max(described.RunFor-j.r.firstEvents.OverdueAfter(service), 0)
+			described.Overdue = max(described.RunTime-j.r.firstEvents.OverdueAfter(service), 0)
 		}
 		v.Items = append(v.Items, described)
 		v.routed = append(v.routed, routedItem{job: j, item: it, route: rt})
@@ -124,7 +124,7 @@
 		described.MaxRemainingEvents = lengths.MaxRemaining(it.expectedTokens, events)
 	}
 	if it.state == itemRunning {
-		described.Engine, described.RunFor = it.lastReplica, now.Sub(it.startedAt)
+		described.Engine, described.RunTime = it.lastReplica, now.Sub(it.startedAt)
 		// A text of one version would begin anew at an engine of another.
 		described.Pinned = it.cancel == nil || it.buffering || rt.SingleVersion && len(it.events) > 0
 	}
--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -91,7 +91,7 @@
 		case t.Model != owner && at >= 0:
 			snapshot.Engines[at].OthersInFlight++
 		case t.Model == owner:
-			t.Events, t.RunFor, t.BatchAge = int(t.made), now-t.ready, now-t.begins
+			t.Events, t.RunTime, t.BatchAge = int(t.made), now-t.ready, now-t.begins
 			t.RemainingEvents = l.lengths.Remaining(t.hint, t.Events)
 			t.MaxRemainingEvents = l.lengths.MaxRemaining(t.hint, t.Events)
 			own, snapshot.Items = append(own, t), append(snapshot.Items, t.Item)
--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -58,7 +58,7 @@
 		switch {
 		case it.Overdue > 0:
 			// Where it is it may get nothing until it is given up.
-			gain = max(MaxFirstEventTimeout-it.RunFor, minMoveGain)
+			gain = max(MaxFirstEventTimeout-it.RunTime, minMoveGain)
 		case !worthMoving(c.timeLeft, there):
 			continue
 		}
@@ -81,7 +81,7 @@
 			continue
 		}
 		eventTime := p.Engines[engine].EventTime
-		if it.Overdue == 0 && (it.RunFor < minRunTime || eventTime == 0) {
+		if it.Overdue == 0 && (it.RunTime < minRunTime || eventTime == 0) {
 			continue
 		}
 		candidates = append(candidates, candidate{item: i, engine: engine, timeLeft: it.RemainingEvents * float64(eventTime)})
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -100,7 +100,7 @@
 		RemainingEvents:    100,
 		MaxRemainingEvents: 140,
 		Engine:             "slow0",
-		RunFor:             time.Second,
+		RunTime:            time.Second,
 	})
 	for i := range snapshot.Engines {
 		snapshot.Engines[i].InFlight = snapshot.Engines[i].Slots
@@ -141,7 +141,7 @@
 		RemainingEvents:    100,
 		MaxRemainingEvents: 140,
 		Engine:             "fast",
-		RunFor:             time.Second,
+		RunTime:            time.Second,
 	})
 	snapshot.Engines[2].IdleConns = 3
 	begun, connected := 0, 0
@@ -221,12 +221,12 @@
 // faster: its connection is worth more than what it gains.
 func TestOnlyTextsThatDecideMove(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunFor: time.Second})
+	snapshot := uneven(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunTime: time.Second})
 	snapshot.Items = append(snapshot.Items, Item{
 		Model:           testModel,
 		RemainingEvents: 20,
 		Engine:          "slow0",
-		RunFor:          time.Second,
+		RunTime:         time.Second,
 	})
 	is.Equal(len(Plan(snapshot)), 0)
 	// It would miss the end, its engine having turned slow.
@@ -238,13 +238,13 @@
 // holds several up: it may only be changing its weights.
 func TestTextsLeaveASilentEngineAFewAtATime(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunFor: time.Second})
+	snapshot := uneven(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunTime: time.Second})
 	for range 5 {
 		snapshot.Items = append(snapshot.Items, Item{
 			Model:           testModel,
 			RemainingEvents: 10,
 			Engine:          "slow0",
-			RunFor:          600 * time.Millisecond,
+			RunTime:         600 * time.Millisecond,
 			Overdue:         300 * time.Millisecond,
 		})
 	}
--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -107,8 +107,8 @@
 	GroupEngine string
 	// Engine runs the item; "" while it waits.
 	Engine string
-	// RunFor is for how long it has run there.
-	RunFor time.Duration
+	// RunTime is for how long it has run there.
+	RunTime time.Duration
 	// Pinned items cannot be moved now.
 	Pinned bool
 }
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -38,7 +38,7 @@
 	}
 	if len(engines) > 0 && rapid.Bool().Draw(t, "runs") {
 		it.Engine = rapid.SampledFrom(engines).Draw(t, "engine").ID
-		it.RunFor = time.Duration(rapid.IntRange(0, 3000).Draw(t, "run for")) * time.Millisecond
+		it.RunTime = time.Duration(rapid.IntRange(0, 3000).Draw(t, "run for")) * time.Millisecond
 	}
 	if len(engines) > 0 && rapid.Bool().Draw(t, "group has begun") {
 		it.GroupEngine = rapid.SampledFrom(engines).Draw(t, "group's engine").ID
@@ -216,7 +216,7 @@
 				paced("other", 40*time.Millisecond),
 			},
 		}
-		snapshot.Items = []Item{{Model: testModel, Engine: "at", RunFor: runFor, RemainingEvents: remaining}}
+		snapshot.Items = []Item{{Model: testModel, Engine: "at", RunTime: runFor, RemainingEvents: remaining}}
 		return len(Plan(snapshot)) == 1
 	}
 	is.True(movedFrom(52*time.Millisecond, 80, time.Second))
@@ -233,7 +233,7 @@
 		}
 		snapshot := Snapshot{Zone: "z", Engines: []Engine{paced("a", pace("a")), paced("b", pace("b"))}}
 		remaining := float64(rapid.IntRange(1, 200).Draw(t, "remaining"))
-		snapshot.Items = []Item{{Model: testModel, Engine: "a", RunFor: time.Second, RemainingEvents: remaining}}
+		snapshot.Items = []Item{{Model: testModel, Engine: "a", RunTime: time.Second, RemainingEvents: remaining}}
 		snapshot.Engines[0].InFlight = 1
 		if len(Plan(snapshot)) == 0 {
 			return
