--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -201,7 +201,7 @@
 
 func planAfter(snapshot Snapshot) *planner {
 	planner := newPlanner(snapshot)
-	planner.starts()
+	planner.planStarts()
 	return planner
 }
 
--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -148,11 +148,11 @@
 func Plan(snapshot Snapshot) []Decision {
 	p := newPlanner(snapshot)
 	moves := p.planMoves()
-	return append(moves, p.starts()...)
+	return append(moves, p.planStarts()...)
 }
 
-// starts sends waiting items, in order, to the engines with room.
-func (p *planner) starts() []Decision {
+// planStarts sends waiting items, in order, to the engines with room.
+func (p *planner) planStarts() []Decision {
 	var decisions []Decision
 	for _, i := range p.waitingItems() {
 		it := &p.Items[i]
