--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -78,7 +78,7 @@
 	is := is.New(t)
 	snapshot := uneven(100, Item{Model: testModel, RemainingEvents: 140, MaxRemainingEvents: 140})
 	for i := range snapshot.Items {
-		snapshot.Items[i].BatchAge = maxDeferral
+		snapshot.Items[i].BatchAge = maxDeferralAge
 	}
 	at := map[string]int{}
 	for _, decision := range Plan(snapshot) {
@@ -107,7 +107,7 @@
 	}
 	snapshot.Engines[0].InFlight--
 	for i := range snapshot.Items {
-		snapshot.Items[i].BatchAge = maxDeferral
+		snapshot.Items[i].BatchAge = maxDeferralAge
 	}
 	snapshot.NoMoves = true
 	is.Equal(len(Plan(snapshot)), 0)
@@ -155,7 +155,7 @@
 	is.True(begun >= 17 && begun <= 19)
 	is.True(connected >= 3)
 	for i := range snapshot.Items {
-		snapshot.Items[i].BatchAge = maxDeferral
+		snapshot.Items[i].BatchAge = maxDeferralAge
 	}
 	is.Equal(len(Plan(snapshot)), 40)
 }
@@ -176,7 +176,7 @@
 		keeps := func(item *Item) bool { return planner.short(item) && planner.tier(item).wanted > 0 }
 		for i, started := range startedOf(snapshot) {
 			item := &snapshot.Items[i]
-			may := !item.Required && item.BatchAge < maxDeferral && item.MaxRemainingEvents < longestOf(snapshot, item)
+			may := !item.Required && item.BatchAge < maxDeferralAge && item.MaxRemainingEvents < longestOf(snapshot, item)
 			if started || item.Engine != "" || may || keeps(item) {
 				continue
 			}
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// maxDeferral is how old a batch may be while a text of it is deferred: what a wrong
+	// maxDeferralAge is how old a batch may be while a text of it is deferred: what a wrong
 	// forecast of the step's end may cost, in steps that take seconds.
-	maxDeferral = 2 * time.Second
+	maxDeferralAge = 2 * time.Second
 	// shortItemsPart is the part of the time to a step's end in which its short texts are
 	// to be made: the rest is the margin for texts that outgrow their forecasts.
 	shortItemsPart = 0.5
@@ -78,7 +78,7 @@
 // way that all are whole long before the step can end. Those that wait then take the
 // connections, and the slots, of those that end.
 func (p *planner) deferred(it *Item) bool {
-	if it.BatchAge >= maxDeferral || !p.short(it) {
+	if it.BatchAge >= maxDeferralAge || !p.short(it) {
 		return false
 	}
 	step := p.step(it)
