--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -6,9 +6,9 @@
 	// maxDeferralAge is how old a batch may be while a text of it is deferred: what a wrong
 	// forecast of the step's end may cost, in steps that take seconds.
 	maxDeferralAge = 2 * time.Second
-	// shortItemsPart is the part of the time to a step's end in which its short texts are
+	// shortItemsFraction is the part of the time to a step's end in which its short texts are
 	// to be made: the rest is the margin for texts that outgrow their forecasts.
-	shortItemsPart = 0.5
+	shortItemsFraction = 0.5
 	// latestStartPart is the part of the time to a step's end that a text may take at most
 	// for its start to be deferred.
 	latestStartPart = 0.6
@@ -85,7 +85,7 @@
 	if it.MaxRemainingEvents*p.tier(it).ordinaryTime > latestStartPart*step.end {
 		return false
 	}
-	return float64(step.shortRunning)*shortItemsPart*step.end >= step.shortWork
+	return float64(step.shortRunning)*shortItemsFraction*step.end >= step.shortWork
 }
 
 func (p *planner) started(it *Item) {
