--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -9,9 +9,9 @@
 	// shortItemsFraction is the part of the time to a step's end in which its short texts are
 	// to be made: the rest is the margin for texts that outgrow their forecasts.
 	shortItemsFraction = 0.5
-	// latestStartPart is the part of the time to a step's end that a text may take at most
+	// latestStartFraction is the part of the time to a step's end that a text may take at most
 	// for its start to be deferred.
-	latestStartPart = 0.6
+	latestStartFraction = 0.6
 )
 
 // stepKey names the items of one batch and class.
@@ -82,7 +82,7 @@
 		return false
 	}
 	step := p.step(it)
-	if it.MaxRemainingEvents*p.tier(it).ordinaryTime > latestStartPart*step.end {
+	if it.MaxRemainingEvents*p.tier(it).ordinaryTime > latestStartFraction*step.end {
 		return false
 	}
 	return float64(step.shortRunning)*shortItemsFraction*step.end >= step.shortWork
