--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -17,7 +17,7 @@
 // stepKey names the items of one batch and class.
 type stepKey struct {
 	class
-	since time.Time
+	adoptedAt time.Time
 }
 
 // step sums up the items of one batch and class.
@@ -32,7 +32,7 @@
 }
 
 func (p *planner) step(it *Item) *step {
-	return p.steps.get(stepKey{class: classOf(it), since: it.BatchAdoptedAt}, func() *step { return &step{} })
+	return p.steps.get(stepKey{class: classOf(it), adoptedAt: it.BatchAdoptedAt}, func() *step { return &step{} })
 }
 
 // forecastSteps forecasts when each step could end, which texts are long enough to need a fast
