--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -110,7 +110,7 @@
 // delaysStep reports whether an item that takes some time more at its engine, in
 // nanoseconds, ends after its step could.
 func (p *planner) delaysStep(it *Item, here float64) bool {
-	return it.Overdue > 0 || here > stepDelayFraction*p.step(it).end
+	return it.Overdue > 0 || here > stepDelayFraction*p.step(it).timeToEnd
 }
 
 // moveTarget returns the engine that an item should go on at, or -1.
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -22,9 +22,9 @@
 
 // step sums up the items of one batch and class.
 type step struct {
-	// end is in how long its longest text could be whole at the best engine, in
+	// timeToEnd is in how long its longest text could be whole at the best engine, in
 	// nanoseconds.
-	end float64
+	timeToEnd float64
 	// shortRunning is how many of its short texts are under way, shortWork the time that
 	// these and those that wait take at an ordinary engine, in nanoseconds.
 	shortRunning int
@@ -42,7 +42,7 @@
 	for i := range p.Items {
 		it := &p.Items[i]
 		step, tier := p.step(it), p.tier(it)
-		step.end = max(step.end, it.RemainingEvents*tier.bestTime)
+		step.timeToEnd = max(step.timeToEnd, it.RemainingEvents*tier.bestTime)
 		remaining[tier] = append(remaining[tier], it.RemainingEvents)
 	}
 	for tier, values := range remaining {
@@ -71,7 +71,7 @@
 // short reports whether a text surely ends before its step, at any engine.
 func (p *planner) short(it *Item) bool {
 	ordinary := p.tier(it).ordinaryTime
-	return it.MaxRemainingEvents > 0 && !it.Required && ordinary > 0 && it.MaxRemainingEvents*ordinary <= p.step(it).end
+	return it.MaxRemainingEvents > 0 && !it.Required && ordinary > 0 && it.MaxRemainingEvents*ordinary <= p.step(it).timeToEnd
 }
 
 // deferred reports whether a text need not start yet: so many others of its step are under
@@ -82,10 +82,10 @@
 		return false
 	}
 	step := p.step(it)
-	if it.MaxRemainingEvents*p.tier(it).ordinaryTime > latestStartFraction*step.end {
+	if it.MaxRemainingEvents*p.tier(it).ordinaryTime > latestStartFraction*step.timeToEnd {
 		return false
 	}
-	return float64(step.shortRunning)*shortItemsFraction*step.end >= step.shortWork
+	return float64(step.shortRunning)*shortItemsFraction*step.timeToEnd >= step.shortWork
 }
 
 func (p *planner) started(it *Item) {
