--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -49,12 +49,12 @@
 		tier.minRemaining = nthLargest(values, tier.slots(p))
 	}
 	for i := range p.Items {
-		p.count(&p.Items[i])
+		p.countItem(&p.Items[i])
 	}
 }
 
-// count adds an item to what its step and its tier have.
-func (p *planner) count(it *Item) {
+// countItem adds an item to what its step and its tier have.
+func (p *planner) countItem(it *Item) {
 	step, tier := p.step(it), p.tier(it)
 	engine, runs := p.byID[it.Engine]
 	if p.short(it) {
