--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -87,7 +87,7 @@
 // filterFor returns to which engines an item should go.
 func (p *planner) filterFor(it *Item) engineFilter {
 	switch {
-	case p.short(it):
+	case p.isShort(it):
 		return slowEngineConnected
 	case len(p.tier(it).fastest) == 0 || p.needsFast(it):
 		return anyEngine
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -57,7 +57,7 @@
 func (p *planner) countItem(it *Item) {
 	step, tier := p.step(it), p.tier(it)
 	engine, runs := p.byID[it.Engine]
-	if p.short(it) {
+	if p.isShort(it) {
 		step.shortWork += it.RemainingEvents * tier.ordinaryTime
 		if runs {
 			step.shortRunning++
@@ -68,8 +68,8 @@
 	}
 }
 
-// short reports whether a text surely ends before its step, at any engine.
-func (p *planner) short(it *Item) bool {
+// isShort reports whether a text surely ends before its step, at any engine.
+func (p *planner) isShort(it *Item) bool {
 	ordinary := p.tier(it).ordinaryTime
 	return it.MaxRemainingEvents > 0 && !it.Required && ordinary > 0 && it.MaxRemainingEvents*ordinary <= p.step(it).timeToEnd
 }
@@ -78,7 +78,7 @@
 // way that all are whole long before the step can end. Those that wait then take the
 // connections, and the slots, of those that end.
 func (p *planner) deferred(it *Item) bool {
-	if it.BatchAge >= maxDeferralAge || !p.short(it) {
+	if it.BatchAge >= maxDeferralAge || !p.isShort(it) {
 		return false
 	}
 	step := p.step(it)
@@ -89,7 +89,7 @@
 }
 
 func (p *planner) started(it *Item) {
-	if p.short(it) {
+	if p.isShort(it) {
 		p.step(it).shortRunning++
 	}
 	if p.needsFast(it) {
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -80,7 +80,7 @@
 // and would go to one that has room.
 func (p *planner) needsFast(it *Item) bool {
 	tier := p.tier(it)
-	if p.short(it) || it.RemainingEvents < tier.minRemaining {
+	if p.isShort(it) || it.RemainingEvents < tier.minRemaining {
 		return false
 	}
 	engine, runs := p.byID[it.Engine]
