--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -156,7 +156,7 @@
 	var decisions []Decision
 	for _, i := range p.waitingItems() {
 		it := &p.Items[i]
-		if p.deferred(it) {
+		if p.canDefer(it) {
 			continue
 		}
 		engine := p.selectEngine(it)
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -74,10 +74,10 @@
 	return it.MaxRemainingEvents > 0 && !it.Required && ordinary > 0 && it.MaxRemainingEvents*ordinary <= p.step(it).timeToEnd
 }
 
-// deferred reports whether a text need not start yet: so many others of its step are under
+// canDefer reports whether a text need not start yet: so many others of its step are under
 // way that all are whole long before the step can end. Those that wait then take the
 // connections, and the slots, of those that end.
-func (p *planner) deferred(it *Item) bool {
+func (p *planner) canDefer(it *Item) bool {
 	if it.BatchAge >= maxDeferralAge || !p.isShort(it) {
 		return false
 	}
