--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -164,7 +164,7 @@
 			continue
 		}
 		p.reserve(engine, it)
-		p.started(it)
+		p.countStart(it)
 		decisions = append(decisions, Start{Item: i, Engine: engine})
 	}
 	return decisions
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -88,7 +88,7 @@
 	return float64(step.shortRunning)*shortItemsFraction*step.timeToEnd >= step.shortWork
 }
 
-func (p *planner) started(it *Item) {
+func (p *planner) countStart(it *Item) {
 	if p.isShort(it) {
 		p.step(it).shortRunning++
 	}
