--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -63,7 +63,7 @@
 			continue
 		}
 		p.reserve(target, it)
-		p.left(it, c.engine)
+		p.countMove(it, c.engine)
 		decisions = append(decisions, Move{Item: c.item, Engine: target, Gain: gain})
 	}
 	return decisions
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// left counts a text that goes on at another engine than before.
-func (p *planner) left(it *Item, from int) {
+// countMove counts a text that goes on at another engine than before.
+func (p *planner) countMove(it *Item, from int) {
 	if tier := p.tier(it); !tier.fast[from] && p.needsFast(it) {
 		tier.wanted = max(tier.wanted-1, 0)
 	}
