--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -24,7 +24,7 @@
 	medianEventTime time.Duration
 	// byID are the indices of engines.
 	byID  map[string]int
-	tiers cache[class, tiers]
+	tiers cache[class, engineTiers]
 	steps cache[stepKey, step]
 	pools cache[poolKey, pool]
 }
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -38,7 +38,7 @@
 // forecastSteps forecasts when each step could end, which texts are long enough to need a fast
 // engine, and how much work the short ones are.
 func (p *planner) forecastSteps() {
-	remaining := map[*tiers][]float64{}
+	remaining := map[*engineTiers][]float64{}
 	for i := range p.Items {
 		it := &p.Items[i]
 		step, tier := p.step(it), p.tier(it)
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -7,8 +7,8 @@
 // equal engines.
 const fastRatio = 0.75
 
-// tiers are the engines that can run the items of one class, by how fast they are.
-type tiers struct {
+// engineTiers are the engines that can run the items of one class, by how fast they are.
+type engineTiers struct {
 	// fast engines are kept for texts that need them; fastest are their indices.
 	fast    []bool
 	fastest []int
@@ -23,14 +23,14 @@
 }
 
 // tier returns the engines of an item's class by how fast they are.
-func (p *planner) tier(it *Item) *tiers {
-	return p.tiers.get(classOf(it), func() *tiers { return p.newTiers(it) })
+func (p *planner) tier(it *Item) *engineTiers {
+	return p.tiers.get(classOf(it), func() *engineTiers { return p.newTiers(it) })
 }
 
 // newTiers compares the engines of a class. Unless the event times of half of them are
 // known, none counts as fast.
-func (p *planner) newTiers(it *Item) *tiers {
-	t := &tiers{fast: make([]bool, len(p.Engines))}
+func (p *planner) newTiers(it *Item) *engineTiers {
+	t := &engineTiers{fast: make([]bool, len(p.Engines))}
 	var times []float64
 	usable := 0
 	for i := range p.Engines {
@@ -57,7 +57,7 @@
 }
 
 // reserved reports whether the fast engines have room only for texts that need it.
-func (t *tiers) reserved(p *planner) bool {
+func (t *engineTiers) reserved(p *planner) bool {
 	room := 0
 	for _, i := range t.fastest {
 		if p.engines[i].hasRoom() {
@@ -68,7 +68,7 @@
 }
 
 // slots is how many requests of this owner the fast engines take.
-func (t *tiers) slots(p *planner) int {
+func (t *engineTiers) slots(p *planner) int {
 	slots := 0
 	for _, i := range t.fastest {
 		slots += max(p.Engines[i].Capacity()-p.Engines[i].OthersInFlight, 0)
