--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -117,7 +117,7 @@
 // matches is the filter: it reports whether an engine has room for an item, weights that
 // are new enough, and is one of those chosen for it.
 func (p *planner) matches(engine int, it *Item, choice engineFilter) bool {
-	return p.canRun(engine, it) && (choice == anyEngine || !p.tier(it).fast[engine])
+	return p.canRun(engine, it) && (choice == anyEngine || !p.tier(it).isFast[engine])
 }
 
 // score is lower for a better engine.
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -63,7 +63,7 @@
 			step.shortRunning++
 		}
 	}
-	if p.needsFast(it) && (!runs || !tier.fast[engine]) {
+	if p.needsFast(it) && (!runs || !tier.isFast[engine]) {
 		tier.wanted++
 	}
 }
@@ -99,7 +99,7 @@
 
 // countMove counts a text that goes on at another engine than before.
 func (p *planner) countMove(it *Item, from int) {
-	if tier := p.tier(it); !tier.fast[from] && p.needsFast(it) {
+	if tier := p.tier(it); !tier.isFast[from] && p.needsFast(it) {
 		tier.wanted = max(tier.wanted-1, 0)
 	}
 }
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -9,8 +9,8 @@
 
 // engineTiers are the engines that can run the items of one class, by how fast they are.
 type engineTiers struct {
-	// fast engines are kept for texts that need them; fastest are their indices.
-	fast    []bool
+	// isFast engines are kept for texts that need them; fastest are their indices.
+	isFast  []bool
 	fastest []int
 	// bestTime is the time between two events at the best engine, ordinaryTime at the
 	// others, in nanoseconds; 0 if too few event times are known.
@@ -30,7 +30,7 @@
 // newTiers compares the engines of a class. Unless the event times of half of them are
 // known, none counts as fast.
 func (p *planner) newTiers(it *Item) *engineTiers {
-	t := &engineTiers{fast: make([]bool, len(p.Engines))}
+	t := &engineTiers{isFast: make([]bool, len(p.Engines))}
 	var times []float64
 	usable := 0
 	for i := range p.Engines {
@@ -49,7 +49,7 @@
 	t.bestTime, t.ordinaryTime = times[0], times[len(times)*3/4]
 	for i := range p.Engines {
 		if p.Engines[i].HasWeightsFor(it) && p.Engines[i].EventTime > 0 && p.eventTime(i) < fastRatio*t.ordinaryTime {
-			t.fast[i] = true
+			t.isFast[i] = true
 			t.fastest = append(t.fastest, i)
 		}
 	}
@@ -84,7 +84,7 @@
 		return false
 	}
 	engine, runs := p.byID[it.Engine]
-	if !runs || tier.fast[engine] {
+	if !runs || tier.isFast[engine] {
 		return true
 	}
 	here := it.RemainingEvents * float64(p.Engines[engine].EventTime)
