--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -128,7 +128,7 @@
 	other.Versions = map[string]int64{testModel: 0}
 	snapshot.Engines = append(snapshot.Engines, other)
 	planner := newPlanner(snapshot)
-	is.Equal(planner.tier(&item).fastest, []int{0})
+	is.Equal(planner.tier(&item).fastEngines, []int{0})
 	is.Equal(planner.tier(&item).slots(planner), 12)
 }
 
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -10,8 +10,8 @@
 // engineTiers are the engines that can run the items of one class, by how fast they are.
 type engineTiers struct {
 	// isFast engines are kept for texts that need them; fastest are their indices.
-	isFast  []bool
-	fastest []int
+	isFast      []bool
+	fastEngines []int
 	// bestTime is the time between two events at the best engine, ordinaryTime at the
 	// others, in nanoseconds; 0 if too few event times are known.
 	bestTime, ordinaryTime float64
@@ -50,7 +50,7 @@
 	for i := range p.Engines {
 		if p.Engines[i].HasWeightsFor(it) && p.Engines[i].EventTime > 0 && p.eventTime(i) < fastRatio*t.ordinaryTime {
 			t.isFast[i] = true
-			t.fastest = append(t.fastest, i)
+			t.fastEngines = append(t.fastEngines, i)
 		}
 	}
 	return t
@@ -59,7 +59,7 @@
 // reserved reports whether the fast engines have room only for texts that need it.
 func (t *engineTiers) reserved(p *planner) bool {
 	room := 0
-	for _, i := range t.fastest {
+	for _, i := range t.fastEngines {
 		if p.engines[i].hasRoom() {
 			room += p.engines[i].Capacity() - p.engines[i].inFlight
 		}
@@ -70,7 +70,7 @@
 // slots is how many requests of this owner the fast engines take.
 func (t *engineTiers) slots(p *planner) int {
 	slots := 0
-	for _, i := range t.fastest {
+	for _, i := range t.fastEngines {
 		slots += max(p.Engines[i].Capacity()-p.Engines[i].OthersInFlight, 0)
 	}
 	return slots
