--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -42,7 +42,7 @@
 	for i := range p.Items {
 		it := &p.Items[i]
 		step, tier := p.step(it), p.tier(it)
-		step.timeToEnd = max(step.timeToEnd, it.RemainingEvents*tier.bestTime)
+		step.timeToEnd = max(step.timeToEnd, it.RemainingEvents*tier.bestEventTime)
 		remaining[tier] = append(remaining[tier], it.RemainingEvents)
 	}
 	for tier, values := range remaining {
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -12,9 +12,9 @@
 	// isFast engines are kept for texts that need them; fastest are their indices.
 	isFast      []bool
 	fastEngines []int
-	// bestTime is the time between two events at the best engine, ordinaryTime at the
+	// bestEventTime is the time between two events at the best engine, ordinaryTime at the
 	// others, in nanoseconds; 0 if too few event times are known.
-	bestTime, ordinaryTime float64
+	bestEventTime, ordinaryTime float64
 	// minRemaining is what a text must have before it at least to need a fast engine: as
 	// many have that much as the fast engines have slots.
 	minRemaining float64
@@ -46,7 +46,7 @@
 		return t
 	}
 	slices.Sort(times)
-	t.bestTime, t.ordinaryTime = times[0], times[len(times)*3/4]
+	t.bestEventTime, t.ordinaryTime = times[0], times[len(times)*3/4]
 	for i := range p.Engines {
 		if p.Engines[i].HasWeightsFor(it) && p.Engines[i].EventTime > 0 && p.eventTime(i) < fastRatio*t.ordinaryTime {
 			t.isFast[i] = true
@@ -88,7 +88,7 @@
 		return true
 	}
 	here := it.RemainingEvents * float64(p.Engines[engine].EventTime)
-	return !it.Pinned && p.delaysStep(it, here) && worthMoving(here, it.RemainingEvents*tier.bestTime)
+	return !it.Pinned && p.delaysStep(it, here) && worthMoving(here, it.RemainingEvents*tier.bestEventTime)
 }
 
 // nthLargest returns the n-th largest value, the largest one for an n below 1, and 0 if there are
