--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -58,7 +58,7 @@
 	step, tier := p.step(it), p.tier(it)
 	engine, runs := p.byID[it.Engine]
 	if p.isShort(it) {
-		step.shortWork += it.RemainingEvents * tier.ordinaryTime
+		step.shortWork += it.RemainingEvents * tier.slowEventTime
 		if runs {
 			step.shortRunning++
 		}
@@ -70,7 +70,7 @@
 
 // isShort reports whether a text surely ends before its step, at any engine.
 func (p *planner) isShort(it *Item) bool {
-	ordinary := p.tier(it).ordinaryTime
+	ordinary := p.tier(it).slowEventTime
 	return it.MaxRemainingEvents > 0 && !it.Required && ordinary > 0 && it.MaxRemainingEvents*ordinary <= p.step(it).timeToEnd
 }
 
@@ -82,7 +82,7 @@
 		return false
 	}
 	step := p.step(it)
-	if it.MaxRemainingEvents*p.tier(it).ordinaryTime > latestStartFraction*step.timeToEnd {
+	if it.MaxRemainingEvents*p.tier(it).slowEventTime > latestStartFraction*step.timeToEnd {
 		return false
 	}
 	return float64(step.shortRunning)*shortItemsFraction*step.timeToEnd >= step.shortWork
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -12,9 +12,9 @@
 	// isFast engines are kept for texts that need them; fastest are their indices.
 	isFast      []bool
 	fastEngines []int
-	// bestEventTime is the time between two events at the best engine, ordinaryTime at the
+	// bestEventTime is the time between two events at the best engine, slowEventTime at the
 	// others, in nanoseconds; 0 if too few event times are known.
-	bestEventTime, ordinaryTime float64
+	bestEventTime, slowEventTime float64
 	// minRemaining is what a text must have before it at least to need a fast engine: as
 	// many have that much as the fast engines have slots.
 	minRemaining float64
@@ -46,9 +46,9 @@
 		return t
 	}
 	slices.Sort(times)
-	t.bestEventTime, t.ordinaryTime = times[0], times[len(times)*3/4]
+	t.bestEventTime, t.slowEventTime = times[0], times[len(times)*3/4]
 	for i := range p.Engines {
-		if p.Engines[i].HasWeightsFor(it) && p.Engines[i].EventTime > 0 && p.eventTime(i) < fastRatio*t.ordinaryTime {
+		if p.Engines[i].HasWeightsFor(it) && p.Engines[i].EventTime > 0 && p.eventTime(i) < fastRatio*t.slowEventTime {
 			t.isFast[i] = true
 			t.fastEngines = append(t.fastEngines, i)
 		}
