--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -15,9 +15,9 @@
 	// bestEventTime is the time between two events at the best engine, slowEventTime at the
 	// others, in nanoseconds; 0 if too few event times are known.
 	bestEventTime, slowEventTime float64
-	// minRemaining is what a text must have before it at least to need a fast engine: as
+	// minFastEvents is what a text must have before it at least to need a fast engine: as
 	// many have that much as the fast engines have slots.
-	minRemaining float64
+	minFastEvents float64
 	// wanted is how many texts need a fast engine and are not at one.
 	wanted int
 }
@@ -80,7 +80,7 @@
 // and would go to one that has room.
 func (p *planner) needsFast(it *Item) bool {
 	tier := p.tier(it)
-	if p.isShort(it) || it.RemainingEvents < tier.minRemaining {
+	if p.isShort(it) || it.RemainingEvents < tier.minFastEvents {
 		return false
 	}
 	engine, runs := p.byID[it.Engine]
