--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -173,7 +173,7 @@
 		// Moves do not count here: they may take an engine from an item that waits.
 		snapshot.NoMoves = true
 		planner := newPlanner(snapshot)
-		keeps := func(item *Item) bool { return planner.isShort(item) && planner.tier(item).wanted > 0 }
+		keeps := func(item *Item) bool { return planner.isShort(item) && planner.tier(item).fastDemand > 0 }
 		for i, started := range startedOf(snapshot) {
 			item := &snapshot.Items[i]
 			may := !item.Required && item.BatchAge < maxDeferralAge && item.MaxRemainingEvents < longestOf(snapshot, item)
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -64,7 +64,7 @@
 		}
 	}
 	if p.needsFast(it) && (!runs || !tier.isFast[engine]) {
-		tier.wanted++
+		tier.fastDemand++
 	}
 }
 
@@ -93,13 +93,13 @@
 		p.step(it).shortRunning++
 	}
 	if p.needsFast(it) {
-		p.tier(it).wanted--
+		p.tier(it).fastDemand--
 	}
 }
 
 // countMove counts a text that goes on at another engine than before.
 func (p *planner) countMove(it *Item, from int) {
 	if tier := p.tier(it); !tier.isFast[from] && p.needsFast(it) {
-		tier.wanted = max(tier.wanted-1, 0)
+		tier.fastDemand = max(tier.fastDemand-1, 0)
 	}
 }
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -18,8 +18,8 @@
 	// minFastEvents is what a text must have before it at least to need a fast engine: as
 	// many have that much as the fast engines have slots.
 	minFastEvents float64
-	// wanted is how many texts need a fast engine and are not at one.
-	wanted int
+	// fastDemand is how many texts need a fast engine and are not at one.
+	fastDemand int
 }
 
 // tier returns the engines of an item's class by how fast they are.
@@ -64,7 +64,7 @@
 			room += p.engines[i].Capacity() - p.engines[i].inFlight
 		}
 	}
-	return room <= t.wanted
+	return room <= t.fastDemand
 }
 
 // slots is how many requests of this owner the fast engines take.
