--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -78,7 +78,7 @@
 	if engine >= 0 || choice == anyEngine {
 		return engine
 	}
-	if it.MaxRemainingEvents > 0 && p.tier(it).reserved(p) {
+	if it.MaxRemainingEvents > 0 && p.tier(it).isReserved(p) {
 		return -1
 	}
 	return p.bestEngine(it, anyEngine)
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -56,8 +56,8 @@
 	return t
 }
 
-// reserved reports whether the fast engines have room only for texts that need it.
-func (t *engineTiers) reserved(p *planner) bool {
+// isReserved reports whether the fast engines have room only for texts that need it.
+func (t *engineTiers) isReserved(p *planner) bool {
 	room := 0
 	for _, i := range t.fastEngines {
 		if p.engines[i].hasRoom() {
