--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -129,7 +129,7 @@
 	snapshot.Engines = append(snapshot.Engines, other)
 	planner := newPlanner(snapshot)
 	is.Equal(planner.tier(&item).fastEngines, []int{0})
-	is.Equal(planner.tier(&item).slots(planner), 12)
+	is.Equal(planner.tier(&item).fastSlots(planner), 12)
 }
 
 // Short texts start as the step's end leaves room, where a connection rests if there is
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -46,7 +46,7 @@
 		remaining[tier] = append(remaining[tier], it.RemainingEvents)
 	}
 	for tier, values := range remaining {
-		tier.minFastEvents = nthLargest(values, tier.slots(p))
+		tier.minFastEvents = nthLargest(values, tier.fastSlots(p))
 	}
 	for i := range p.Items {
 		p.countItem(&p.Items[i])
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -67,8 +67,8 @@
 	return room <= t.fastDemand
 }
 
-// slots is how many requests of this owner the fast engines take.
-func (t *engineTiers) slots(p *planner) int {
+// fastSlots is how many requests of this owner the fast engines take.
+func (t *engineTiers) fastSlots(p *planner) int {
 	slots := 0
 	for _, i := range t.fastEngines {
 		slots += max(p.Engines[i].Capacity()-p.Engines[i].OthersInFlight, 0)
