--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -89,7 +89,7 @@
 	switch {
 	case p.isShort(it):
 		return slowEngineConnected
-	case len(p.tier(it).fastEngines) == 0 || p.needsFast(it):
+	case len(p.tier(it).fastEngines) == 0 || p.needsFastEngine(it):
 		return anyEngine
 	default:
 		return slowEngine
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -63,7 +63,7 @@
 			step.shortRunning++
 		}
 	}
-	if p.needsFast(it) && (!runs || !tier.isFast[engine]) {
+	if p.needsFastEngine(it) && (!runs || !tier.isFast[engine]) {
 		tier.fastDemand++
 	}
 }
@@ -92,14 +92,14 @@
 	if p.isShort(it) {
 		p.step(it).shortRunning++
 	}
-	if p.needsFast(it) {
+	if p.needsFastEngine(it) {
 		p.tier(it).fastDemand--
 	}
 }
 
 // countMove counts a text that goes on at another engine than before.
 func (p *planner) countMove(it *Item, from int) {
-	if tier := p.tier(it); !tier.isFast[from] && p.needsFast(it) {
+	if tier := p.tier(it); !tier.isFast[from] && p.needsFastEngine(it) {
 		tier.fastDemand = max(tier.fastDemand-1, 0)
 	}
 }
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -76,9 +76,9 @@
 	return slots
 }
 
-// needsFast reports whether a text is one of the longest, for which the fast engines are,
+// needsFastEngine reports whether a text is one of the longest, for which the fast engines are,
 // and would go to one that has room.
-func (p *planner) needsFast(it *Item) bool {
+func (p *planner) needsFastEngine(it *Item) bool {
 	tier := p.tier(it)
 	if p.isShort(it) || it.RemainingEvents < tier.minFastEvents {
 		return false
