--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// text is one text of the load: what is known of it, its true length, and how it goes.
-type text struct {
+// loadItem is one loadItem of the load: what is known of it, its true length, and how it goes.
+type loadItem struct {
 	Item
 	group        int
 	hint         int64
@@ -21,7 +21,7 @@
 // load plays bursts of two owners on engines of two speeds, in virtual time.
 type load struct {
 	engines []Engine
-	texts   []*text
+	texts   []*loadItem
 	// rests has until when connections of an owner rest at an engine.
 	rests              map[string][]time.Duration
 	lengths            *LengthEstimator
@@ -44,7 +44,7 @@
 	random := rand.New(rand.NewPCG(seed, seed))
 	for i := range loadBatches * loadGroups * 8 {
 		batch := i / (loadGroups * 8)
-		t := &text{group: i / 8, begins: time.Duration(batch/2) * 4 * time.Second}
+		t := &loadItem{group: i / 8, begins: time.Duration(batch/2) * 4 * time.Second}
 		t.length = max(min(math.Round(14*math.Exp(0.9*random.NormFloat64())), 145), 1)
 		t.hint = int64(max(t.length*defaultTokensPerEvent*math.Exp(0.5*random.NormFloat64()), 1))
 		t.Item = Item{Model: fmt.Sprint(batch % 2), BatchAdoptedAt: testStart.Add(t.begins)}
@@ -83,7 +83,7 @@
 // decide lets an owner plan, and does what it says.
 func (l *load) decide(owner string, now time.Duration) {
 	snapshot := Snapshot{Engines: slices.Clone(l.engines), NoMoves: now%(250*time.Millisecond) != 0}
-	var own []*text
+	var own []*loadItem
 	for _, t := range l.texts {
 		at := slices.IndexFunc(l.engines, func(engine Engine) bool { return engine.ID == t.Engine })
 		switch {
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -19,7 +19,7 @@
 )
 
 // needed returns when as many groups as needed have all that each of their texts comes to.
-func (l *load) needed(batch int, of func(*text) time.Duration) time.Duration {
+func (l *load) needed(batch int, of func(*loadItem) time.Duration) time.Duration {
 	groups := make([]time.Duration, loadGroups)
 	for _, t := range l.texts {
 		if t.group/loadGroups == batch {
@@ -43,9 +43,9 @@
 		load := newLoad(seed + 1)
 		load.play()
 		for batch := range loadBatches {
-			needed := load.needed(batch, func(each *text) time.Duration { return each.done - each.begins })
+			needed := load.needed(batch, func(each *loadItem) time.Duration { return each.done - each.begins })
 			took += needed / (seeds * loadBatches)
-			least := load.needed(batch, func(each *text) time.Duration {
+			least := load.needed(batch, func(each *loadItem) time.Duration {
 				return time.Duration(each.length) * loadFast
 			})
 			bound += least / (seeds * loadBatches)
