--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -21,7 +21,7 @@
 // load plays bursts of two owners on engines of two speeds, in virtual time.
 type load struct {
 	engines []Engine
-	texts   []*loadItem
+	items   []*loadItem
 	// rests has until when connections of an owner rest at an engine.
 	rests              map[string][]time.Duration
 	lengths            *LengthEstimator
@@ -48,7 +48,7 @@
 		t.length = max(min(math.Round(14*math.Exp(0.9*random.NormFloat64())), 145), 1)
 		t.hint = int64(max(t.length*defaultTokensPerEvent*math.Exp(0.5*random.NormFloat64()), 1))
 		t.Item = Item{Model: fmt.Sprint(batch % 2), BatchAdoptedAt: testStart.Add(t.begins)}
-		l.texts = append(l.texts, t)
+		l.items = append(l.items, t)
 	}
 	return l
 }
@@ -56,15 +56,15 @@
 // play goes on in steps until all texts are whole.
 func (l *load) play() {
 	const tick = 25 * time.Millisecond
-	for now, open := time.Duration(0), len(l.texts); open > 0; now += tick {
+	for now, open := time.Duration(0), len(l.items); open > 0; now += tick {
 		for _, owner := range []string{"0", "1"} {
 			l.decide(owner, now)
 		}
 		loads := map[string]float64{}
-		for _, t := range l.texts {
+		for _, t := range l.items {
 			loads[t.Engine] += slowdownBy(t.made)
 		}
-		for _, t := range l.texts {
+		for _, t := range l.items {
 			if t.Engine == "" || now < t.ready {
 				continue
 			}
@@ -84,7 +84,7 @@
 func (l *load) decide(owner string, now time.Duration) {
 	snapshot := Snapshot{Engines: slices.Clone(l.engines), NoMoves: now%(250*time.Millisecond) != 0}
 	var own []*loadItem
-	for _, t := range l.texts {
+	for _, t := range l.items {
 		at := slices.IndexFunc(l.engines, func(engine Engine) bool { return engine.ID == t.Engine })
 		switch {
 		case t.done > 0 || t.begins > now:
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -21,7 +21,7 @@
 // needed returns when as many groups as needed have all that each of their texts comes to.
 func (l *load) needed(batch int, of func(*loadItem) time.Duration) time.Duration {
 	groups := make([]time.Duration, loadGroups)
-	for _, t := range l.texts {
+	for _, t := range l.items {
 		if t.group/loadGroups == batch {
 			groups[t.group%loadGroups] = max(groups[t.group%loadGroups], of(t))
 		}
