--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -11,9 +11,9 @@
 // loadItem is one loadItem of the load: what is known of it, its true length, and how it goes.
 type loadItem struct {
 	Item
-	group        int
-	hint         int64
-	length, made float64
+	group             int
+	hint              int64
+	length, generated float64
 	// ready is when it begins to be made where it is, done when it was whole.
 	begins, ready, done time.Duration
 }
@@ -62,15 +62,15 @@
 		}
 		loads := map[string]float64{}
 		for _, t := range l.items {
-			loads[t.Engine] += slowdownBy(t.made)
+			loads[t.Engine] += slowdownBy(t.generated)
 		}
 		for _, t := range l.items {
 			if t.Engine == "" || now < t.ready {
 				continue
 			}
 			at := slices.IndexFunc(l.engines, func(engine Engine) bool { return engine.ID == t.Engine })
-			t.made += float64(tick) / (float64(l.engines[at].EventTime) * (1 + loads[t.Engine]))
-			if t.made >= t.length {
+			t.generated += float64(tick) / (float64(l.engines[at].EventTime) * (1 + loads[t.Engine]))
+			if t.generated >= t.length {
 				l.rests[t.Model+t.Engine] = append(l.rests[t.Model+t.Engine], now+1100*time.Millisecond)
 				t.done, t.Engine = now+tick, ""
 				l.lengths.Observe(t.hint, int(t.length))
@@ -91,7 +91,7 @@
 		case t.Model != owner && at >= 0:
 			snapshot.Engines[at].OthersInFlight++
 		case t.Model == owner:
-			t.Events, t.RunTime, t.BatchAge = int(t.made), now-t.ready, now-t.begins
+			t.Events, t.RunTime, t.BatchAge = int(t.generated), now-t.ready, now-t.begins
 			t.RemainingEvents = l.lengths.Remaining(t.hint, t.Events)
 			t.MaxRemainingEvents = l.lengths.MaxRemaining(t.hint, t.Events)
 			own, snapshot.Items = append(own, t), append(snapshot.Items, t.Item)
