--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -22,8 +22,8 @@
 type load struct {
 	engines []Engine
 	items   []*loadItem
-	// rests has until when connections of an owner rest at an engine.
-	rests              map[string][]time.Duration
+	// idleConns has until when connections of an owner rest at an engine.
+	idleConns          map[string][]time.Duration
 	lengths            *LengthEstimator
 	connections, moves int
 }
@@ -31,7 +31,7 @@
 // newLoad makes 45 engines, a quarter of them fast, and bursts of 18 groups of 8 texts,
 // one for each owner every 4 s. Hints are off by a factor of e^0.5 (standard deviation).
 func newLoad(seed uint64) *load {
-	l := &load{rests: map[string][]time.Duration{}, lengths: NewLengthEstimator()}
+	l := &load{idleConns: map[string][]time.Duration{}, lengths: NewLengthEstimator()}
 	for i := range 45 {
 		pace := []time.Duration{loadFast, loadSlow, loadSlow, loadSlow}[i%4]
 		l.engines = append(l.engines, Engine{
@@ -71,7 +71,7 @@
 			at := slices.IndexFunc(l.engines, func(engine Engine) bool { return engine.ID == t.Engine })
 			t.generated += float64(tick) / (float64(l.engines[at].EventTime) * (1 + loads[t.Engine]))
 			if t.generated >= t.length {
-				l.rests[t.Model+t.Engine] = append(l.rests[t.Model+t.Engine], now+1100*time.Millisecond)
+				l.idleConns[t.Model+t.Engine] = append(l.idleConns[t.Model+t.Engine], now+1100*time.Millisecond)
 				t.done, t.Engine = now+tick, ""
 				l.lengths.Observe(t.hint, int(t.length))
 				open--
@@ -102,9 +102,9 @@
 	}
 	for i := range snapshot.Engines {
 		engine := &snapshot.Engines[i]
-		rests := l.rests[owner+engine.ID]
-		l.rests[owner+engine.ID] = slices.DeleteFunc(rests, func(until time.Duration) bool { return until < now })
-		engine.IdleConns = len(l.rests[owner+engine.ID])
+		rests := l.idleConns[owner+engine.ID]
+		l.idleConns[owner+engine.ID] = slices.DeleteFunc(rests, func(until time.Duration) bool { return until < now })
+		engine.IdleConns = len(l.idleConns[owner+engine.ID])
 		engine.EventTime += engine.EventTime * time.Duration(7*(engine.InFlight+engine.OthersInFlight)) / 1000
 	}
 	for _, decision := range Plan(snapshot) {
@@ -113,8 +113,8 @@
 			start = Start{Item: move.Item, Engine: move.Engine}
 			l.moves++
 		}
-		resting := l.rests[owner+l.engines[start.Engine].ID]
-		l.rests[owner+l.engines[start.Engine].ID] = resting[min(1, len(resting)):]
+		resting := l.idleConns[owner+l.engines[start.Engine].ID]
+		l.idleConns[owner+l.engines[start.Engine].ID] = resting[min(1, len(resting)):]
 		l.connections += 1 - min(1, len(resting))
 		own[start.Item].Engine, own[start.Item].ready = l.engines[start.Engine].ID, now+moveCost
 		if starts {
