--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -53,8 +53,8 @@
 	return l
 }
 
-// play goes on in steps until all texts are whole.
-func (l *load) play() {
+// run goes on in steps until all texts are whole.
+func (l *load) run() {
 	const tick = 25 * time.Millisecond
 	for now, open := time.Duration(0), len(l.items); open > 0; now += tick {
 		for _, owner := range []string{"0", "1"} {
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -41,7 +41,7 @@
 	took, bound, connections, moves := time.Duration(0), time.Duration(0), 0, 0
 	for seed := range uint64(seeds) {
 		load := newLoad(seed + 1)
-		load.play()
+		load.run()
 		for batch := range loadBatches {
 			needed := load.needed(batch, func(each *loadItem) time.Duration { return each.done - each.begins })
 			took += needed / (seeds * loadBatches)
