--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -58,7 +58,7 @@
 	const tick = 25 * time.Millisecond
 	for now, open := time.Duration(0), len(l.items); open > 0; now += tick {
 		for _, owner := range []string{"0", "1"} {
-			l.decide(owner, now)
+			l.plan(owner, now)
 		}
 		loads := map[string]float64{}
 		for _, t := range l.items {
@@ -80,8 +80,8 @@
 	}
 }
 
-// decide lets an owner plan, and does what it says.
-func (l *load) decide(owner string, now time.Duration) {
+// plan lets an owner plan, and does what it says.
+func (l *load) plan(owner string, now time.Duration) {
 	snapshot := Snapshot{Engines: slices.Clone(l.engines), NoMoves: now%(250*time.Millisecond) != 0}
 	var own []*loadItem
 	for _, t := range l.items {
