--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -18,8 +18,8 @@
 	loadNeeded = 17
 )
 
-// needed returns when as many groups as needed have all that each of their texts comes to.
-func (l *load) needed(batch int, of func(*loadItem) time.Duration) time.Duration {
+// neededGroupsTime returns when as many groups as neededGroupsTime have all that each of their texts comes to.
+func (l *load) neededGroupsTime(batch int, of func(*loadItem) time.Duration) time.Duration {
 	groups := make([]time.Duration, loadGroups)
 	for _, t := range l.items {
 		if t.group/loadGroups == batch {
@@ -43,9 +43,9 @@
 		load := newLoad(seed + 1)
 		load.run()
 		for batch := range loadBatches {
-			needed := load.needed(batch, func(each *loadItem) time.Duration { return each.done - each.begins })
+			needed := load.neededGroupsTime(batch, func(each *loadItem) time.Duration { return each.done - each.begins })
 			took += needed / (seeds * loadBatches)
-			least := load.needed(batch, func(each *loadItem) time.Duration {
+			least := load.neededGroupsTime(batch, func(each *loadItem) time.Duration {
 				return time.Duration(each.length) * loadFast
 			})
 			bound += least / (seeds * loadBatches)
