--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -59,8 +59,8 @@
 	is.True(moves/seeds < 60)
 }
 
-// uneven is a step with one text that decides, at or for a fast engine, and short ones.
-func uneven(short int, decisive Item) Snapshot {
+// unevenStep is a step with one text that decides, at or for a fast engine, and short ones.
+func unevenStep(short int, decisive Item) Snapshot {
 	snapshot := Snapshot{Zone: "z", Engines: []Engine{paced("fast", loadFast)}}
 	for i := range 5 {
 		snapshot.Engines = append(snapshot.Engines, paced(fmt.Sprint("slow", i), loadSlow))
@@ -76,7 +76,7 @@
 // others are full.
 func TestShortTextsLeaveTheFastEnginesFree(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(100, Item{Model: testModel, RemainingEvents: 140, MaxRemainingEvents: 140})
+	snapshot := unevenStep(100, Item{Model: testModel, RemainingEvents: 140, MaxRemainingEvents: 140})
 	for i := range snapshot.Items {
 		snapshot.Items[i].BatchAge = maxDeferralAge
 	}
@@ -95,7 +95,7 @@
 // the long one stayed at its slow engine to its end.
 func TestAPlaceAtAFastEngineIsKeptForATextThatNeedsIt(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(10, Item{
+	snapshot := unevenStep(10, Item{
 		Model:              testModel,
 		RemainingEvents:    100,
 		MaxRemainingEvents: 140,
@@ -123,7 +123,7 @@
 func TestOnlyEnginesThatMayRunATextCountAsFastForIt(t *testing.T) {
 	is := is.New(t)
 	item := Item{Model: testModel, MinVersion: 1, RemainingEvents: 140, MaxRemainingEvents: 140}
-	snapshot := uneven(0, item)
+	snapshot := unevenStep(0, item)
 	other := paced("other", loadFast)
 	other.Versions = map[string]int64{testModel: 0}
 	snapshot.Engines = append(snapshot.Engines, other)
@@ -136,7 +136,7 @@
 // one, and none is held longer than is stated.
 func TestShortTextsWaitWhileTheStepLeavesRoom(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(40, Item{
+	snapshot := unevenStep(40, Item{
 		Model:              testModel,
 		RemainingEvents:    100,
 		MaxRemainingEvents: 140,
@@ -221,7 +221,7 @@
 // faster: its connection is worth more than what it gains.
 func TestOnlyTextsThatDecideMove(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunTime: time.Second})
+	snapshot := unevenStep(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunTime: time.Second})
 	snapshot.Items = append(snapshot.Items, Item{
 		Model:           testModel,
 		RemainingEvents: 20,
@@ -238,7 +238,7 @@
 // holds several up: it may only be changing its weights.
 func TestTextsLeaveASilentEngineAFewAtATime(t *testing.T) {
 	is := is.New(t)
-	snapshot := uneven(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunTime: time.Second})
+	snapshot := unevenStep(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunTime: time.Second})
 	for range 5 {
 		snapshot.Items = append(snapshot.Items, Item{
 			Model:           testModel,
