--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -174,7 +174,7 @@
 		snapshot.NoMoves = true
 		planner := newPlanner(snapshot)
 		keeps := func(item *Item) bool { return planner.isShort(item) && planner.tier(item).fastDemand > 0 }
-		for i, started := range startedOf(snapshot) {
+		for i, started := range startedItems(snapshot) {
 			item := &snapshot.Items[i]
 			may := !item.Required && item.BatchAge < maxDeferralAge && item.MaxRemainingEvents < longestOf(snapshot, item)
 			if started || item.Engine != "" || may || keeps(item) {
@@ -190,8 +190,8 @@
 	})
 }
 
-// startedOf tells which items are started, planAfter what is left then.
-func startedOf(snapshot Snapshot) []bool {
+// startedItems tells which items are started, planAfter what is left then.
+func startedItems(snapshot Snapshot) []bool {
 	started := make([]bool, len(snapshot.Items))
 	for _, decision := range Plan(snapshot) {
 		started[decision.(Start).Item] = true
