--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -176,7 +176,7 @@
 		keeps := func(item *Item) bool { return planner.isShort(item) && planner.tier(item).fastDemand > 0 }
 		for i, started := range startedItems(snapshot) {
 			item := &snapshot.Items[i]
-			may := !item.Required && item.BatchAge < maxDeferralAge && item.MaxRemainingEvents < longestOf(snapshot, item)
+			may := !item.Required && item.BatchAge < maxDeferralAge && item.MaxRemainingEvents < longestInStep(snapshot, item)
 			if started || item.Engine != "" || may || keeps(item) {
 				continue
 			}
@@ -205,8 +205,8 @@
 	return planner
 }
 
-// longestOf is the longest text that is expected in an item's step.
-func longestOf(snapshot Snapshot, item *Item) float64 {
+// longestInStep is the longest text that is expected in an item's step.
+func longestInStep(snapshot Snapshot, item *Item) float64 {
 	longest := 0.0
 	for i := range snapshot.Items {
 		other := &snapshot.Items[i]
