--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -61,9 +61,9 @@
 
 // unevenStep is a step with one text that decides, at or for a fast engine, and short ones.
 func unevenStep(short int, decisive Item) Snapshot {
-	snapshot := Snapshot{Zone: "z", Engines: []Engine{paced("fast", loadFast)}}
+	snapshot := Snapshot{Zone: "z", Engines: []Engine{engineWithEventTime("fast", loadFast)}}
 	for i := range 5 {
-		snapshot.Engines = append(snapshot.Engines, paced(fmt.Sprint("slow", i), loadSlow))
+		snapshot.Engines = append(snapshot.Engines, engineWithEventTime(fmt.Sprint("slow", i), loadSlow))
 	}
 	snapshot.Items = []Item{decisive}
 	for range short {
@@ -124,7 +124,7 @@
 	is := is.New(t)
 	item := Item{Model: testModel, MinVersion: 1, RemainingEvents: 140, MaxRemainingEvents: 140}
 	snapshot := unevenStep(0, item)
-	other := paced("other", loadFast)
+	other := engineWithEventTime("other", loadFast)
 	other.Versions = map[string]int64{testModel: 0}
 	snapshot.Engines = append(snapshot.Engines, other)
 	planner := newPlanner(snapshot)
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -176,7 +176,7 @@
 	}
 }
 
-func paced(id string, pace time.Duration) Engine {
+func engineWithEventTime(id string, pace time.Duration) Engine {
 	return Engine{ID: id, Zone: "z", Slots: 12, EventTime: pace, Versions: map[string]int64{testModel: 1}}
 }
 
@@ -187,7 +187,7 @@
 func TestLongItemsStartAtTheFasterEngines(t *testing.T) {
 	is := is.New(t)
 	snapshot := Snapshot{Zone: "z", Engines: []Engine{
-		paced("slower", 52*time.Millisecond), paced("a", 40*time.Millisecond), paced("b", 39*time.Millisecond),
+		engineWithEventTime("slower", 52*time.Millisecond), engineWithEventTime("a", 40*time.Millisecond), engineWithEventTime("b", 39*time.Millisecond),
 	}}
 	for length := range 30 {
 		snapshot.Items = append(snapshot.Items, Item{Model: testModel, RemainingEvents: float64(length)})
@@ -211,9 +211,9 @@
 		snapshot := Snapshot{
 			Zone: "z",
 			Engines: []Engine{
-				paced("at", pace),
-				paced("free", 40*time.Millisecond),
-				paced("other", 40*time.Millisecond),
+				engineWithEventTime("at", pace),
+				engineWithEventTime("free", 40*time.Millisecond),
+				engineWithEventTime("other", 40*time.Millisecond),
 			},
 		}
 		snapshot.Items = []Item{{Model: testModel, Engine: "at", RunTime: runFor, RemainingEvents: remaining}}
@@ -231,7 +231,7 @@
 		pace := func(name string) time.Duration {
 			return time.Duration(rapid.IntRange(10, 200).Draw(t, name)) * time.Millisecond
 		}
-		snapshot := Snapshot{Zone: "z", Engines: []Engine{paced("a", pace("a")), paced("b", pace("b"))}}
+		snapshot := Snapshot{Zone: "z", Engines: []Engine{engineWithEventTime("a", pace("a")), engineWithEventTime("b", pace("b"))}}
 		remaining := float64(rapid.IntRange(1, 200).Draw(t, "remaining"))
 		snapshot.Items = []Item{{Model: testModel, Engine: "a", RunTime: time.Second, RemainingEvents: remaining}}
 		snapshot.Engines[0].InFlight = 1
@@ -254,7 +254,7 @@
 			snapshot := Snapshot{Zone: "z"}
 			for i := range items / 10 {
 				pace := time.Duration(30+i%20) * time.Millisecond
-				snapshot.Engines = append(snapshot.Engines, paced(fmt.Sprint("e", i), pace))
+				snapshot.Engines = append(snapshot.Engines, engineWithEventTime(fmt.Sprint("e", i), pace))
 			}
 			for i := range items {
 				snapshot.Items = append(snapshot.Items, Item{
