--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -59,8 +59,8 @@
 	return Key(hash.Sum32())
 }
 
-// Count is how many requests of a daemon are under way at a replica.
-type Count struct {
+// RequestCount is how many requests of a daemon are under way at a replica.
+type RequestCount struct {
 	_        struct{} `cbor:",toarray"`
 	Replica  Key
 	Requests uint32
@@ -99,10 +99,10 @@
 	Sent int64 `cbor:"3,keyasint"`
 	// Counts are in the order of their keys. With a Base they are only those that differ
 	// from the report of that number, 0 for what is no longer there.
-	Counts   []Count       `cbor:"4,keyasint,omitempty"`
-	Measured []Measurement `cbor:"5,keyasint,omitempty"`
-	Demands  []Demand      `cbor:"6,keyasint,omitempty"`
-	Base     uint64        `cbor:"7,keyasint,omitempty"`
+	Counts   []RequestCount `cbor:"4,keyasint,omitempty"`
+	Measured []Measurement  `cbor:"5,keyasint,omitempty"`
+	Demands  []Demand       `cbor:"6,keyasint,omitempty"`
+	Base     uint64         `cbor:"7,keyasint,omitempty"`
 	// Introduces says that the sender has batches, and reports to one that has none only so
 	// and the event times that it knows.
 	Introduces bool `cbor:"8,keyasint,omitempty"`
@@ -119,11 +119,11 @@
 }
 
 // changes returns the counts that differ between two reports, both in order.
-func changes(before, now []Count) (diff []Count) {
+func changes(before, now []RequestCount) (diff []RequestCount) {
 	for len(before)+len(now) > 0 {
 		switch {
 		case len(now) == 0 || len(before) > 0 && before[0].Replica < now[0].Replica:
-			diff = append(diff, Count{Replica: before[0].Replica})
+			diff = append(diff, RequestCount{Replica: before[0].Replica})
 			before = before[1:]
 		case len(before) == 0 || now[0].Replica < before[0].Replica:
 			diff = append(diff, now[0])
@@ -139,7 +139,7 @@
 }
 
 // apply returns counts with changes, both in order.
-func apply(before, changes []Count) (counts []Count) {
+func apply(before, changes []RequestCount) (counts []RequestCount) {
 	for len(before)+len(changes) > 0 {
 		if len(changes) == 0 || len(before) > 0 && before[0].Replica < changes[0].Replica {
 			counts = append(counts, before[0])
--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -193,8 +193,8 @@
 }
 
 // ordered brings counts in order, those of one key as one.
-func ordered(counts []Count) (sums []Count) {
-	slices.SortFunc(counts, func(a, b Count) int { return cmp.Compare(a.Replica, b.Replica) })
+func ordered(counts []RequestCount) (sums []RequestCount) {
+	slices.SortFunc(counts, func(a, b RequestCount) int { return cmp.Compare(a.Replica, b.Replica) })
 	for _, c := range counts {
 		switch last := len(sums) - 1; {
 		case c.Requests == 0:
--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -54,7 +54,7 @@
 	state     Report
 }
 
-func (o *owner) set(counts ...Count) {
+func (o *owner) set(counts ...RequestCount) {
 	o.mu.Lock()
 	o.state.Counts = counts
 	o.mu.Unlock()
@@ -68,7 +68,7 @@
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		report := o.state
-		report.Counts = append([]Count(nil), report.Counts...)
+		report.Counts = append([]RequestCount(nil), report.Counts...)
 		return report
 	}
 	candidates := func(context.Context) []string { return f.dealt }
@@ -106,20 +106,20 @@
 		a, b, c := daemons.daemons["d0"], daemons.daemons["d1"], daemons.daemons["d2"]
 		time.Sleep(5 * time.Second)
 		is.Equal(a.publisher.Totals().Sent+b.publisher.Totals().Sent, uint64(0))
-		a.set(Count{Replica: engine, Requests: 3})
-		b.set(Count{Replica: engine, Requests: 2}, Count{Replica: engine + 1, Requests: 1})
+		a.set(RequestCount{Replica: engine, Requests: 3})
+		b.set(RequestCount{Replica: engine, Requests: 2}, RequestCount{Replica: engine + 1, Requests: 1})
 		time.Sleep(2 * reportInterval)
 		// One that has nothing only knows whom to ask.
 		is.Equal(c.table.InFlight(engine), 0)
 		is.Equal(c.table.Counts().Expired, uint64(0))
 		is.Equal(len(c.table.Owners()), 2)
 		is.Equal(a.table.InFlight(engine+1), 1)
-		c.set(Count{Replica: engine, Requests: 4})
+		c.set(RequestCount{Replica: engine, Requests: 4})
 		time.Sleep(2 * reportInterval)
 		is.Equal(c.table.InFlight(engine), 5)
 		is.Equal(b.table.InFlight(engine), 7)
 		c.set()
-		a.set(Count{Replica: engine, Requests: 1})
+		a.set(RequestCount{Replica: engine, Requests: 1})
 		time.Sleep(2 * reportInterval)
 		is.Equal(b.table.InFlight(engine), 1)
 		// Nothing changes, and what was told holds all the same.
@@ -140,8 +140,8 @@
 func TestAnOwnerBetweenTwoBatchesHearsOn(t *testing.T) {
 	withFleet(t, 2, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b := daemons.daemons["d0"], daemons.daemons["d1"]
-		a.set(Count{Replica: engine, Requests: 3})
-		b.set(Count{Replica: engine, Requests: 1})
+		a.set(RequestCount{Replica: engine, Requests: 3})
+		b.set(RequestCount{Replica: engine, Requests: 1})
 		time.Sleep(time.Second)
 		b.set()
 		for range 4 {
@@ -158,12 +158,12 @@
 func TestASilentPeerHoldsUpNobody(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b, c := daemons.daemons["d0"], daemons.daemons["d1"], daemons.daemons["d2"]
-		b.set(Count{Replica: engine, Requests: 1})
-		c.set(Count{Replica: engine, Requests: 1})
+		b.set(RequestCount{Replica: engine, Requests: 1})
+		c.set(RequestCount{Replica: engine, Requests: 1})
 		time.Sleep(time.Second)
 		daemons.setSilent("d1", true)
 		for number := range uint32(40) {
-			a.set(Count{Replica: engine, Requests: number + 1})
+			a.set(RequestCount{Replica: engine, Requests: number + 1})
 			time.Sleep(reportInterval)
 			is.True(c.table.InFlight(engine) >= int(number)) // one interval behind at most, c's count left out
 		}
@@ -181,11 +181,11 @@
 func TestAPeerThatWasRestartedGetsTheWhole(t *testing.T) {
 	withFleet(t, 2, func(is *is.I, ctx context.Context, daemons *fleet) {
 		a, b := daemons.daemons["d0"], daemons.daemons["d1"]
-		b.set(Count{Replica: engine, Requests: 1})
-		a.set(Count{Replica: engine, Requests: 3}, Count{Replica: engine + 1, Requests: 1})
+		b.set(RequestCount{Replica: engine, Requests: 1})
+		a.set(RequestCount{Replica: engine, Requests: 3}, RequestCount{Replica: engine + 1, Requests: 1})
 		time.Sleep(time.Second)
 		again := daemons.start(ctx, "d1/2", "d1")
-		again.set(Count{Replica: engine, Requests: 1})
+		again.set(RequestCount{Replica: engine, Requests: 1})
 		time.Sleep(2 * repeatInterval)
 		is.Equal(again.table.InFlight(engine), 3)
 		is.Equal(again.table.InFlight(engine+1), 1)
@@ -198,13 +198,13 @@
 	withFleet(t, 4, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b, c := daemons.daemons["d0"], daemons.daemons["d1"], daemons.daemons["d2"]
 		a.table.Adopt(Occupancy{Measured: []Measurement{NewMeasurement(engine+9, 20*time.Millisecond, 0)}})
-		a.set(Count{Replica: engine, Requests: 3})
-		b.set(Count{Replica: engine, Requests: 2})
+		a.set(RequestCount{Replica: engine, Requests: 3})
+		b.set(RequestCount{Replica: engine, Requests: 2})
 		time.Sleep(2 * time.Second)
 		daemons.setSilent("d3", true)
 		pace, _ := c.table.EventTime(engine + 9)
 		is.Equal(pace, time.Duration(0)) // hearsay is not told unasked
-		c.set(Count{Replica: engine, Requests: 1})
+		c.set(RequestCount{Replica: engine, Requests: 1})
 		time.Sleep(time.Millisecond)
 		is.Equal(c.table.InFlight(engine), 5)
 		pace, _ = c.table.EventTime(engine + 9)
@@ -224,13 +224,13 @@
 					if i > 0 && step > 0 && step%perSecond > 0 {
 						continue // one owner's requests change all the time, the others' now and then
 					}
-					var counts []Count
+					var counts []RequestCount
 					for at := range uint32(engines) {
 						requests := uint32(8/owners) + (at+i+step)/engines%2
 						if (at+i)%uint32(owners) >= 8 {
 							requests = 0
 						}
-						counts = append(counts, Count{Replica: Key(at * 0x9e3779b1), Requests: requests})
+						counts = append(counts, RequestCount{Replica: Key(at * 0x9e3779b1), Requests: requests})
 					}
 					daemons.daemons[fmt.Sprintf("d%d", i)].set(counts...)
 				}
--- a/internal/batches/occupancy/rpc_test.go
+++ b/internal/batches/occupancy/rpc_test.go
@@ -52,7 +52,7 @@
 	has := func(requests uint32) Source {
 		return func() Report {
 			return Report{
-				Counts: []Count{{Replica: engine, Requests: requests}},
+				Counts: []RequestCount{{Replica: engine, Requests: requests}},
 				Measured: []Measurement{
 					NewMeasurement(engine+Key(requests), time.Duration(requests)*10*time.Millisecond, 0),
 				},
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -24,7 +24,7 @@
 		Sender: run,
 		Number: number,
 		Sent:   sent.UnixMilli(),
-		Counts: []Count{{Replica: engine, Requests: requests}},
+		Counts: []RequestCount{{Replica: engine, Requests: requests}},
 	}
 }
 
@@ -130,7 +130,7 @@
 			Number: 3,
 			Base:   2,
 			Sent:   clock.Now().UnixMilli(),
-			Counts: []Count{{Replica: engine + 1, Requests: 1}},
+			Counts: []RequestCount{{Replica: engine + 1, Requests: 1}},
 		}
 		is.Equal(table.Merge(more), Taken)
 		is.Equal(table.InFlight(engine), 5)
@@ -141,10 +141,10 @@
 // What differs between two states, put on top of the first, gives the second.
 func TestChangesMakeTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(name string) []Count {
-			var counts []Count
+		draw := func(name string) []RequestCount {
+			var counts []RequestCount
 			for _, key := range rapid.SliceOfN(rapid.Uint32Range(0, 20), 0, 12).Draw(t, name) {
-				counts = append(counts, Count{Replica: Key(key), Requests: key%4 + uint32(len(counts))})
+				counts = append(counts, RequestCount{Replica: Key(key), Requests: key%4 + uint32(len(counts))})
 			}
 			return ordered(counts)
 		}
@@ -187,7 +187,7 @@
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		long := Report{Sender: "long/1", Number: 1, Sent: clock.Now().UnixMilli()}
 		for i := range 2 * maxEntries {
-			long.Counts = append(long.Counts, Count{Replica: Key(i), Requests: 1})
+			long.Counts = append(long.Counts, RequestCount{Replica: Key(i), Requests: 1})
 		}
 		table.Merge(long)
 		is.Equal(table.Counts().Elsewhere, maxEntries)
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -145,7 +145,7 @@
 		for _, rep := range r.table.Replicas(service) {
 			inFlight := uint32(max(rep.InFlight, 0))
 			demand.InFlight += inFlight
-			report.Counts = append(report.Counts, occupancy.Count{Replica: KeyOf(rep), Requests: inFlight})
+			report.Counts = append(report.Counts, occupancy.RequestCount{Replica: KeyOf(rep), Requests: inFlight})
 			if age := now.Sub(rep.EventAt); rep.EventTime > 0 && age <= ownEventTimeMaxAge {
 				report.Measured = append(report.Measured, occupancy.NewMeasurement(KeyOf(rep), rep.EventTime, age))
 			}
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -177,7 +177,7 @@
 	report := occupancy.Report{Sender: owner.sharing.self, Number: owner.number, Sent: s.now().UnixMilli()}
 	for i := range simEngines {
 		key := occupancy.KeyOf(fmt.Sprintf("e%d", i), time.Time{})
-		report.Counts = append(report.Counts, occupancy.Count{Replica: key, Requests: uint32(owner.at(i))})
+		report.Counts = append(report.Counts, occupancy.RequestCount{Replica: key, Requests: uint32(owner.at(i))})
 	}
 	if demand, some := owner.sharing.demands["s"]; some {
 		report.Demands = []occupancy.Demand{demand}
