--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -99,7 +99,7 @@
 
 // lateness is for how much longer than usual a report was on its way.
 func (d *daemon) lateness(report *Report, now time.Time) time.Duration {
-	offset := now.Sub(time.UnixMilli(report.Sent))
+	offset := now.Sub(time.UnixMilli(report.SentMillis))
 	if !d.offsetAt.IsZero() {
 		d.offset += time.Duration(clockDrift * float64(now.Sub(d.offsetAt)))
 	}
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -94,9 +94,9 @@
 	// incarnation.
 	Sender string `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
-	// Sent is when it was sent by the sender's own clock, in milliseconds. Only the
+	// SentMillis is when it was sent by the sender's own clock, in milliseconds. Only the
 	// differences between reports of one incarnation mean anything.
-	Sent int64 `cbor:"3,keyasint"`
+	SentMillis int64 `cbor:"3,keyasint"`
 	// Counts are in the order of their keys. With a Base they are only those that differ
 	// from the report of that number, 0 for what is no longer there.
 	Counts   []RequestCount `cbor:"4,keyasint,omitempty"`
--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -231,7 +231,7 @@
 
 // stamp says in a report who sends it, when, and its number. The mutex is held.
 func (p *Publisher) stamp(report *Report) {
-	report.Sender, report.Number, report.Sent = p.table.self, p.number, p.table.now().UnixMilli()
+	report.Sender, report.Number, report.SentMillis = p.table.self, p.number, p.table.now().UnixMilli()
 }
 
 // listens reports whether others should send this daemon their reports: it has requests
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -21,10 +21,10 @@
 // reported is a report with some requests at one engine, sent at a time of the sender's clock.
 func reported(run string, number uint64, sent time.Time, requests uint32) Report {
 	return Report{
-		Sender: run,
-		Number: number,
-		Sent:   sent.UnixMilli(),
-		Counts: []RequestCount{{Replica: engine, Requests: requests}},
+		Sender:     run,
+		Number:     number,
+		SentMillis: sent.UnixMilli(),
+		Counts:     []RequestCount{{Replica: engine, Requests: requests}},
 	}
 }
 
@@ -90,7 +90,7 @@
 		is.Equal(table.Merge(second), Refused)
 		is.Equal(table.InFlight(engine), 1)
 		// An empty one ends the belief, and what it has overtaken doesn't bring it back.
-		is.Equal(table.Merge(Report{Sender: "a/1", Number: 4, Sent: clock.Now().UnixMilli()}), Taken)
+		is.Equal(table.Merge(Report{Sender: "a/1", Number: 4, SentMillis: clock.Now().UnixMilli()}), Taken)
 		is.Equal(table.Merge(reported("a/1", 3, clock.Now(), 9)), Refused)
 		is.Equal(table.InFlight(engine), 0)
 	})
@@ -126,11 +126,11 @@
 		// After a time without reports the base is still known.
 		time.Sleep(2 * reportLifetime)
 		more := Report{
-			Sender: "a/1",
-			Number: 3,
-			Base:   2,
-			Sent:   clock.Now().UnixMilli(),
-			Counts: []RequestCount{{Replica: engine + 1, Requests: 1}},
+			Sender:     "a/1",
+			Number:     3,
+			Base:       2,
+			SentMillis: clock.Now().UnixMilli(),
+			Counts:     []RequestCount{{Replica: engine + 1, Requests: 1}},
 		}
 		is.Equal(table.Merge(more), Taken)
 		is.Equal(table.InFlight(engine), 5)
@@ -185,7 +185,7 @@
 // A table is bounded in daemons, entries of a report and paces; what holds is not pushed out.
 func TestATableIsBounded(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
-		long := Report{Sender: "long/1", Number: 1, Sent: clock.Now().UnixMilli()}
+		long := Report{Sender: "long/1", Number: 1, SentMillis: clock.Now().UnixMilli()}
 		for i := range 2 * maxEntries {
 			long.Counts = append(long.Counts, RequestCount{Replica: Key(i), Requests: 1})
 		}
@@ -215,10 +215,10 @@
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		tell := func(run string, pace, age time.Duration) {
 			report := Report{
-				Sender:   run,
-				Number:   1,
-				Sent:     clock.Now().UnixMilli(),
-				Measured: []Measurement{NewMeasurement(engine, pace, age)},
+				Sender:     run,
+				Number:     1,
+				SentMillis: clock.Now().UnixMilli(),
+				Measured:   []Measurement{NewMeasurement(engine, pace, age)},
 			}
 			is.Equal(table.Merge(report), Taken)
 		}
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -174,7 +174,7 @@
 		return
 	}
 	owner.number++
-	report := occupancy.Report{Sender: owner.sharing.self, Number: owner.number, Sent: s.now().UnixMilli()}
+	report := occupancy.Report{Sender: owner.sharing.self, Number: owner.number, SentMillis: s.now().UnixMilli()}
 	for i := range simEngines {
 		key := occupancy.KeyOf(fmt.Sprintf("e%d", i), time.Time{})
 		report.Counts = append(report.Counts, occupancy.RequestCount{Replica: key, Requests: uint32(owner.at(i))})
