--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -33,12 +33,12 @@
 		t.counts.Refused++
 		return Refused
 	}
-	if report.Base > 0 {
-		if d.report.Number != report.Base {
+	if report.BaseNumber > 0 {
+		if d.report.Number != report.BaseNumber {
 			t.counts.Refused++
 			return BaseMissing
 		}
-		report.Counts, report.Base = apply(d.report.Counts, report.Counts), 0
+		report.Counts, report.BaseNumber = apply(d.report.Counts, report.Counts), 0
 	}
 	late := d.lateness(&report, now)
 	if report.Introduces {
@@ -60,7 +60,7 @@
 	t.lapse(now)
 	for _, relayed := range o.Reports[:min(len(o.Reports), maxDaemons)] {
 		d, at := t.daemonOf(&relayed.Report, now), now.Add(-time.Duration(relayed.Age)*ageUnit)
-		if d != nil && relayed.Report.Base == 0 && t.take(d, relayed.Report, at, now) {
+		if d != nil && relayed.Report.BaseNumber == 0 && t.take(d, relayed.Report, at, now) {
 			reports++
 		}
 	}
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -50,7 +50,7 @@
 		return own
 	}
 	if diff := changes(before.Counts, own.Counts); len(diff) < len(own.Counts) || len(own.Counts) == 0 {
-		own.Counts, own.Base = diff, before.Number
+		own.Counts, own.BaseNumber = diff, before.Number
 	}
 	return own
 }
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -118,7 +118,7 @@
 func TestChangesNeedTheirBase(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		change := reported("a/1", 2, clock.Now(), 5)
-		change.Base = 1
+		change.BaseNumber = 1
 		is.Equal(table.Merge(change), BaseMissing)
 		table.Merge(reported("a/1", 1, clock.Now(), 3))
 		is.Equal(table.Merge(change), Taken)
@@ -128,7 +128,7 @@
 		more := Report{
 			Sender:     "a/1",
 			Number:     3,
-			Base:       2,
+			BaseNumber: 2,
 			SentMillis: clock.Now().UnixMilli(),
 			Counts:     []RequestCount{{Replica: engine + 1, Requests: 1}},
 		}
