--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -41,7 +41,7 @@
 		report.Counts, report.BaseNumber = apply(d.report.Counts, report.Counts), 0
 	}
 	late := d.lateness(&report, now)
-	if report.Introduces {
+	if report.IsIntroduction {
 		t.introduce(d, &report, now.Add(-late))
 		return Taken
 	}
@@ -87,7 +87,7 @@
 			return nil
 		}
 		t.drop(d)
-	case !report.Introduces && report.Number <= d.report.Number:
+	case !report.IsIntroduction && report.Number <= d.report.Number:
 		return nil
 	default:
 		return d
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -103,9 +103,9 @@
 	Measured   []Measurement  `cbor:"5,keyasint,omitempty"`
 	Demands    []Demand       `cbor:"6,keyasint,omitempty"`
 	BaseNumber uint64         `cbor:"7,keyasint,omitempty"`
-	// Introduces says that the sender has batches, and reports to one that has none only so
+	// IsIntroduction says that the sender has batches, and reports to one that has none only so
 	// and the event times that it knows.
-	Introduces bool `cbor:"8,keyasint,omitempty"`
+	IsIntroduction bool `cbor:"8,keyasint,omitempty"`
 }
 
 // empty reports whether nothing is under way and nothing waits.
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -20,7 +20,7 @@
 	p.number++
 	p.stamp(&own)
 	introduction := own
-	introduction.Counts, introduction.Demands, introduction.Introduces = nil, nil, true
+	introduction.Counts, introduction.Demands, introduction.IsIntroduction = nil, nil, true
 	introduction.bound()
 	own.Measured = p.measuredDue(own.Measured, now)
 	own.bound()
