--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -128,14 +128,14 @@
 		t.counts.Refused++
 		return false
 	}
-	if !d.current && !report.empty() {
+	if !d.current && !report.isEmpty() {
 		t.logger.Info("report of another owner begins", zap.String("owner", report.Sender),
 			zap.Uint64("report", report.Number), zap.Int("replicas", len(report.Counts)),
 			zap.Duration("age", now.Sub(at)))
 	}
 	t.drop(d)
 	t.counts.Received++
-	d.report, d.at, d.current = report, at, !report.empty()
+	d.report, d.at, d.current = report, at, !report.isEmpty()
 	d.ownerAt = time.Time{}
 	if d.current {
 		d.ownerAt = at
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -108,8 +108,8 @@
 	IsIntroduction bool `cbor:"8,keyasint,omitempty"`
 }
 
-// empty reports whether nothing is under way and nothing waits.
-func (r *Report) empty() bool { return len(r.Counts) == 0 && len(r.Demands) == 0 }
+// isEmpty reports whether nothing is under way and nothing waits.
+func (r *Report) isEmpty() bool { return len(r.Counts) == 0 && len(r.Demands) == 0 }
 
 // bound drops the entries beyond what a table takes in.
 func (r *Report) bound() {
--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -151,7 +151,7 @@
 	own := p.current()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if own.empty() && !p.active {
+	if own.isEmpty() && !p.active {
 		return repeatInterval
 	}
 	if rest := p.lastAt.Add(p.pause).Sub(now); p.active && rest > 0 {
@@ -168,7 +168,7 @@
 	sent := p.send(ctx, own, now)
 	p.last, p.lastAt = own, now
 	p.pause = max(reportInterval, time.Duration(float64(sent)/bytesPerSecond*float64(time.Second)))
-	if own.empty() {
+	if own.isEmpty() {
 		p.end()
 		return repeatInterval
 	}
--- a/internal/batches/occupancy/service.go
+++ b/internal/batches/occupancy/service.go
@@ -56,7 +56,7 @@
 // for net/rpc.
 func (s *Service) Ask(_ struct{}, msg *Message) error {
 	o := s.table.Occupancy()
-	if own := s.publisher.own(); !own.empty() {
+	if own := s.publisher.own(); !own.isEmpty() {
 		o.Measured = append(o.Measured, own.Measured...)
 		own.Measured = nil
 		o.Reports = append(o.Reports, Relayed{Report: own})
