--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -120,7 +120,7 @@
 
 // take makes a report the one that counts for its daemon. The mutex is held.
 func (t *Table) take(d *daemon, report Report, at, now time.Time) bool {
-	report.bound()
+	report.truncate()
 	if now.Sub(at) > reportLifetime {
 		// Its counts are over, yet those before it even more so.
 		t.drop(d)
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -111,8 +111,8 @@
 // isEmpty reports whether nothing is under way and nothing waits.
 func (r *Report) isEmpty() bool { return len(r.Counts) == 0 && len(r.Demands) == 0 }
 
-// bound drops the entries beyond what a table takes in.
-func (r *Report) bound() {
+// truncate drops the entries beyond what a table takes in.
+func (r *Report) truncate() {
 	r.Counts = r.Counts[:min(len(r.Counts), maxEntries)]
 	r.Measured = r.Measured[:min(len(r.Measured), maxEntries)]
 	r.Demands = r.Demands[:min(len(r.Demands), maxEntries)]
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -21,9 +21,9 @@
 	p.stamp(&own)
 	introduction := own
 	introduction.Counts, introduction.Demands, introduction.IsIntroduction = nil, nil, true
-	introduction.bound()
+	introduction.truncate()
 	own.Measured = p.measuredDue(own.Measured, now)
-	own.bound()
+	own.truncate()
 	for machine, owner := range due {
 		to := p.recipients[machine]
 		report, state := basedOn(to.acknowledged, own), own
