--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -118,8 +118,8 @@
 	r.Demands = r.Demands[:min(len(r.Demands), maxEntries)]
 }
 
-// changes returns the counts that differ between two reports, both in order.
-func changes(before, now []RequestCount) (diff []RequestCount) {
+// diffCounts returns the counts that differ between two reports, both in order.
+func diffCounts(before, now []RequestCount) (diff []RequestCount) {
 	for len(before)+len(now) > 0 {
 		switch {
 		case len(now) == 0 || len(before) > 0 && before[0].Replica < now[0].Replica:
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -49,7 +49,7 @@
 	if before.Number == 0 {
 		return own
 	}
-	if diff := changes(before.Counts, own.Counts); len(diff) < len(own.Counts) || len(own.Counts) == 0 {
+	if diff := diffCounts(before.Counts, own.Counts); len(diff) < len(own.Counts) || len(own.Counts) == 0 {
 		own.Counts, own.BaseNumber = diff, before.Number
 	}
 	return own
