--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -38,7 +38,7 @@
 			t.counts.Refused++
 			return BaseMissing
 		}
-		report.Counts, report.BaseNumber = apply(d.report.Counts, report.Counts), 0
+		report.Counts, report.BaseNumber = applyDiff(d.report.Counts, report.Counts), 0
 	}
 	late := d.lateness(&report, now)
 	if report.IsIntroduction {
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -138,8 +138,8 @@
 	return diff
 }
 
-// apply returns counts with changes, both in order.
-func apply(before, changes []RequestCount) (counts []RequestCount) {
+// applyDiff returns counts with changes, both in order.
+func applyDiff(before, changes []RequestCount) (counts []RequestCount) {
 	for len(before)+len(changes) > 0 {
 		if len(changes) == 0 || len(before) > 0 && before[0].Replica < changes[0].Replica {
 			counts = append(counts, before[0])
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -149,7 +149,7 @@
 			return ordered(counts)
 		}
 		before, now := draw("before"), draw("now")
-		made := apply(before, diffCounts(before, now))
+		made := applyDiff(before, diffCounts(before, now))
 		if fmt.Sprint(made) != fmt.Sprint(now) {
 			t.Fatalf("%v with changes is %v, not %v", before, made, now)
 		}
