--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -157,16 +157,16 @@
 	return counts
 }
 
-// Relayed is a report that another daemon got, Age milliseconds ago.
-type Relayed struct {
+// RelayedReport is a report that another daemon got, Age milliseconds ago.
+type RelayedReport struct {
 	Report Report `cbor:"1,keyasint"`
 	Age    uint32 `cbor:"2,keyasint"`
 }
 
 // Occupancy is all that a daemon knows, its own state included.
 type Occupancy struct {
-	Reports  []Relayed     `cbor:"1,keyasint,omitempty"`
-	Measured []Measurement `cbor:"2,keyasint,omitempty"`
+	Reports  []RelayedReport `cbor:"1,keyasint,omitempty"`
+	Measured []Measurement   `cbor:"2,keyasint,omitempty"`
 }
 
 // NewMeasurement returns an event time with its age as it is sent.
--- a/internal/batches/occupancy/service.go
+++ b/internal/batches/occupancy/service.go
@@ -59,7 +59,7 @@
 	if own := s.publisher.own(); !own.isEmpty() {
 		o.Measured = append(o.Measured, own.Measured...)
 		own.Measured = nil
-		o.Reports = append(o.Reports, Relayed{Report: own})
+		o.Reports = append(o.Reports, RelayedReport{Report: own})
 	}
 	encoded, err := encode(o)
 	*msg = encoded
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -179,7 +179,7 @@
 		if d.current {
 			report := d.report
 			report.Measured = nil
-			o.Reports = append(o.Reports, Relayed{Report: report, Age: uint32(now.Sub(d.at) / ageUnit)})
+			o.Reports = append(o.Reports, RelayedReport{Report: report, Age: uint32(now.Sub(d.at) / ageUnit)})
 		}
 	}
 	for replica, m := range t.eventTimes {
