--- a/internal/batches/occupancy/golden_test.go
+++ b/internal/batches/occupancy/golden_test.go
@@ -13,7 +13,7 @@
 	golden.Gob[Message](t, "message")
 	golden.Gob[Heard](t, "heard")
 	golden.CBOR[Report](t, "report")
-	golden.CBOR[Occupancy](t, "beliefs")
+	golden.CBOR[Snapshot](t, "beliefs")
 	golden.Text(t, "names.txt", fmt.Sprintln(tellMethod, askMethod, KeyOf("replica", time.Time{}), KeyOf("replica", time.UnixMilli(1_700_000_000_000)),
 		NewMeasurement(7, 40*time.Millisecond, 3*time.Second)))
 }
--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -53,7 +53,7 @@
 
 // Adopt takes in what another daemon knows, where it is newer than what is known here.
 // It returns how many reports were.
-func (t *Table) Adopt(o Occupancy) (reports int) {
+func (t *Table) Adopt(o Snapshot) (reports int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -163,8 +163,8 @@
 	Age    uint32 `cbor:"2,keyasint"`
 }
 
-// Occupancy is all that a daemon knows, its own state included.
-type Occupancy struct {
+// Snapshot is all that a daemon knows, its own state included.
+type Snapshot struct {
 	Reports  []RelayedReport `cbor:"1,keyasint,omitempty"`
 	Measured []Measurement   `cbor:"2,keyasint,omitempty"`
 }
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -114,7 +114,7 @@
 	}
 }
 
-func (p *Publisher) ask(ctx context.Context, machine string) (o Occupancy, err error) {
+func (p *Publisher) ask(ctx context.Context, machine string) (o Snapshot, err error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var answer Message
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -169,12 +169,12 @@
 }
 
 // Occupancy returns all that is known.
-func (t *Table) Occupancy() Occupancy {
+func (t *Table) Occupancy() Snapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	t.lapse(now)
-	var o Occupancy
+	var o Snapshot
 	for _, d := range t.daemons {
 		if d.current {
 			report := d.report
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -199,7 +199,7 @@
 		is.Equal(table.Merge(reported("late/1", 1, clock.Now(), 1)), Taken)
 		is.Equal(len(table.daemons), maxDaemons)
 		for i := range maxEventTimes {
-			table.Adopt(Occupancy{
+			table.Adopt(Snapshot{
 				Measured: []Measurement{{Replica: Key(i), EventTime: 1}, {Replica: Key(maxEventTimes + i), EventTime: 1}},
 			})
 		}
@@ -243,7 +243,7 @@
 		table.Merge(reported("a/1", 1, clock.Now(), 3))
 		table.Merge(reported("b/1", 5, clock.Now(), 2))
 		table.Merge(reported("new/1", 1, clock.Now(), 8))
-		table.Adopt(Occupancy{Measured: []Measurement{NewMeasurement(engine, 20*time.Millisecond, time.Second)}})
+		table.Adopt(Snapshot{Measured: []Measurement{NewMeasurement(engine, 20*time.Millisecond, time.Second)}})
 		time.Sleep(reportLifetime / 2)
 		newcomer := NewTable("new/2", clock.Now, zap.NewNop())
 		newcomer.Merge(reported("b/1", 6, clock.Now(), 1))
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -280,7 +280,7 @@
 	now := time.Now()
 	rep := replica.Replica{Entry: replica.Entry{ID: "e"}}
 	told := func(age time.Duration) {
-		s.table.Adopt(occupancy.Occupancy{
+		s.table.Adopt(occupancy.Snapshot{
 			Measured: []occupancy.Measurement{occupancy.NewMeasurement(KeyOf(rep), 20*time.Millisecond, age)},
 		})
 	}
