--- a/internal/batches/occupancy/service.go
+++ b/internal/batches/occupancy/service.go
@@ -55,7 +55,7 @@
 // Ask answers a daemon that becomes an owner with all that is known here. It is exported
 // for net/rpc.
 func (s *Service) Ask(_ struct{}, msg *Message) error {
-	o := s.table.Occupancy()
+	o := s.table.Snapshot()
 	if own := s.publisher.own(); !own.isEmpty() {
 		o.Measured = append(o.Measured, own.Measured...)
 		own.Measured = nil
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -168,8 +168,8 @@
 	return machines
 }
 
-// Occupancy returns all that is known.
-func (t *Table) Occupancy() Snapshot {
+// Snapshot returns all that is known.
+func (t *Table) Snapshot() Snapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -247,7 +247,7 @@
 		time.Sleep(reportLifetime / 2)
 		newcomer := NewTable("new/2", clock.Now, zap.NewNop())
 		newcomer.Merge(reported("b/1", 6, clock.Now(), 1))
-		is.Equal(newcomer.Adopt(table.Occupancy()), 1)
+		is.Equal(newcomer.Adopt(table.Snapshot()), 1)
 		is.Equal(newcomer.InFlight(engine), 4)
 		pace, _ := newcomer.EventTime(engine)
 		is.Equal(pace, 20*time.Millisecond)
