--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -115,7 +115,7 @@
 func (t *Table) introduce(d *daemon, report *Report, at time.Time) {
 	t.counts.Received++
 	d.ownerAt = at
-	t.addMeasured(report.Measured[:min(len(report.Measured), maxEntries)], at)
+	t.addMeasured(report.Measurements[:min(len(report.Measurements), maxEntries)], at)
 }
 
 // take makes a report the one that counts for its daemon. The mutex is held.
@@ -140,7 +140,7 @@
 	if d.current {
 		d.ownerAt = at
 	}
-	t.addMeasured(report.Measured, at)
+	t.addMeasured(report.Measurements, at)
 	if !d.current {
 		return true
 	}
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -99,10 +99,10 @@
 	SentMillis int64 `cbor:"3,keyasint"`
 	// Counts are in the order of their keys. With a Base they are only those that differ
 	// from the report of that number, 0 for what is no longer there.
-	Counts     []RequestCount `cbor:"4,keyasint,omitempty"`
-	Measured   []Measurement  `cbor:"5,keyasint,omitempty"`
-	Demands    []Demand       `cbor:"6,keyasint,omitempty"`
-	BaseNumber uint64         `cbor:"7,keyasint,omitempty"`
+	Counts       []RequestCount `cbor:"4,keyasint,omitempty"`
+	Measurements []Measurement  `cbor:"5,keyasint,omitempty"`
+	Demands      []Demand       `cbor:"6,keyasint,omitempty"`
+	BaseNumber   uint64         `cbor:"7,keyasint,omitempty"`
 	// IsIntroduction says that the sender has batches, and reports to one that has none only so
 	// and the event times that it knows.
 	IsIntroduction bool `cbor:"8,keyasint,omitempty"`
@@ -114,7 +114,7 @@
 // truncate drops the entries beyond what a table takes in.
 func (r *Report) truncate() {
 	r.Counts = r.Counts[:min(len(r.Counts), maxEntries)]
-	r.Measured = r.Measured[:min(len(r.Measured), maxEntries)]
+	r.Measurements = r.Measurements[:min(len(r.Measurements), maxEntries)]
 	r.Demands = r.Demands[:min(len(r.Demands), maxEntries)]
 }
 
--- a/internal/batches/occupancy/rpc_test.go
+++ b/internal/batches/occupancy/rpc_test.go
@@ -53,7 +53,7 @@
 		return func() Report {
 			return Report{
 				Counts: []RequestCount{{Replica: engine, Requests: requests}},
-				Measured: []Measurement{
+				Measurements: []Measurement{
 					NewMeasurement(engine+Key(requests), time.Duration(requests)*10*time.Millisecond, 0),
 				},
 				Demands: []Demand{{Service: 1, Rank: 2, InFlight: requests, Waiting: 4}},
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -22,7 +22,7 @@
 	introduction := own
 	introduction.Counts, introduction.Demands, introduction.IsIntroduction = nil, nil, true
 	introduction.truncate()
-	own.Measured = p.measuredDue(own.Measured, now)
+	own.Measurements = p.measuredDue(own.Measurements, now)
 	own.truncate()
 	for machine, owner := range due {
 		to := p.recipients[machine]
--- a/internal/batches/occupancy/service.go
+++ b/internal/batches/occupancy/service.go
@@ -57,8 +57,8 @@
 func (s *Service) Ask(_ struct{}, msg *Message) error {
 	o := s.table.Snapshot()
 	if own := s.publisher.own(); !own.isEmpty() {
-		o.Measured = append(o.Measured, own.Measured...)
-		own.Measured = nil
+		o.Measured = append(o.Measured, own.Measurements...)
+		own.Measurements = nil
 		o.Reports = append(o.Reports, RelayedReport{Report: own})
 	}
 	encoded, err := encode(o)
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -178,7 +178,7 @@
 	for _, d := range t.daemons {
 		if d.current {
 			report := d.report
-			report.Measured = nil
+			report.Measurements = nil
 			o.Reports = append(o.Reports, RelayedReport{Report: report, Age: uint32(now.Sub(d.at) / ageUnit)})
 		}
 	}
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -215,10 +215,10 @@
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		tell := func(run string, pace, age time.Duration) {
 			report := Report{
-				Sender:     run,
-				Number:     1,
-				SentMillis: clock.Now().UnixMilli(),
-				Measured:   []Measurement{NewMeasurement(engine, pace, age)},
+				Sender:       run,
+				Number:       1,
+				SentMillis:   clock.Now().UnixMilli(),
+				Measurements: []Measurement{NewMeasurement(engine, pace, age)},
 			}
 			is.Equal(table.Merge(report), Taken)
 		}
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -147,7 +147,7 @@
 			demand.InFlight += inFlight
 			report.Counts = append(report.Counts, occupancy.RequestCount{Replica: KeyOf(rep), Requests: inFlight})
 			if age := now.Sub(rep.EventAt); rep.EventTime > 0 && age <= ownEventTimeMaxAge {
-				report.Measured = append(report.Measured, occupancy.NewMeasurement(KeyOf(rep), rep.EventTime, age))
+				report.Measurements = append(report.Measurements, occupancy.NewMeasurement(KeyOf(rep), rep.EventTime, age))
 			}
 		}
 		report.Demands = append(report.Demands, demand)
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -320,8 +320,8 @@
 		requests += c.Requests
 	}
 	is.Equal(requests, uint32(1))
-	is.Equal(len(report.Measured), 1)
-	is.Equal(report.Measured[0].EventTime, uint32(300))
+	is.Equal(len(report.Measurements), 1)
+	is.Equal(report.Measurements[0].EventTime, uint32(300))
 	runner.HeardOfOthers()
 	is.Equal(len(runner.wake), 1) // items wait, and there may be room
 	runner.stopping.Store(true)
