--- a/internal/batches/occupancy/allowance.go
+++ b/internal/batches/occupancy/allowance.go
@@ -41,13 +41,13 @@
 	if !waits {
 		return Unbounded
 	}
-	share := evenShare(slots, int(own.InFlight+own.Waiting), equal)
+	share := fairShare(slots, int(own.InFlight+own.Waiting), equal)
 	return max(share-int(own.InFlight), 0)
 }
 
-// evenShare returns what one gets of some places that it and others want: an equal part, to
+// fairShare returns what one gets of some places that it and others want: an equal part, to
 // which is added what others leave of theirs.
-func evenShare(places, wanted int, others []int) int {
+func fairShare(places, wanted int, others []int) int {
 	slices.Sort(others)
 	for i, other := range others {
 		part := places / (len(others) - i + 1)
--- a/internal/batches/occupancy/allowance_test.go
+++ b/internal/batches/occupancy/allowance_test.go
@@ -50,7 +50,7 @@
 					others = append(others, each)
 				}
 			}
-			share := evenShare(places, own, others)
+			share := fairShare(places, own, others)
 			if share < min(own, places/len(wanted)) || share > own {
 				t.Fatalf("%d of %d places for %d beside %v", share, places, own, others)
 			}
