--- a/internal/batches/occupancy/allowance.go
+++ b/internal/batches/occupancy/allowance.go
@@ -59,16 +59,16 @@
 	return max(min(wanted, places), 0)
 }
 
-// Turn is one owner's view of who may start next at a service's engines. The zero value is
+// StartLimiter is one owner's view of who may start next at a service's engines. The zero value is
 // ready for use.
-type Turn struct {
+type StartLimiter struct {
 	// since is from when on room was left to others, or zero.
 	since time.Time
 }
 
 // Allow returns how many of the starts that are due may be made now, with an allowance as
 // Allowance returns it. What is left to others for yieldTime is taken in the end.
-func (t *Turn) Allow(now time.Time, allowance, due int) int {
+func (t *StartLimiter) Allow(now time.Time, allowance, due int) int {
 	switch {
 	case due <= allowance:
 		t.since = time.Time{}
@@ -83,7 +83,7 @@
 }
 
 // Leaves reports whether room is being left to others.
-func (t *Turn) Leaves() bool { return !t.since.IsZero() }
+func (t *StartLimiter) Leaves() bool { return !t.since.IsZero() }
 
 // Preference ranks a replica among ones that are as good as each other, from 0 to below 1,
 // in an order that differs from owner to owner: two that start at the same instant, before
--- a/internal/batches/occupancy/allowance_test.go
+++ b/internal/batches/occupancy/allowance_test.go
@@ -65,7 +65,7 @@
 // Room that is left to others is taken in the end, and they get another chance after that.
 func TestRoomIsLeftToOthersForAWhile(t *testing.T) {
 	is := is.New(t)
-	var turn Turn
+	var turn StartLimiter
 	now := time.Unix(0, 0)
 	is.Equal(turn.Allow(now, Unbounded, 9), 9)
 	is.Equal(turn.Allow(now, 2, 9), 2)
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -28,13 +28,13 @@
 	// demands are what the last dispatch left waiting, by service; turns say whether starts are
 	// held back for other owners.
 	demands map[string]occupancy.Demand
-	turns   map[string]occupancy.Turn
+	turns   map[string]occupancy.StartLimiter
 }
 
 func newSharing(self string, table *occupancy.Table, changed func(), logger *zap.Logger) *sharing {
 	return &sharing{
 		self: self, table: table, changed: changed, logger: logger,
-		demands: map[string]occupancy.Demand{}, turns: map[string]occupancy.Turn{},
+		demands: map[string]occupancy.Demand{}, turns: map[string]occupancy.StartLimiter{},
 	}
 }
 
@@ -106,7 +106,7 @@
 	}
 	s.mu.Lock()
 	maps.DeleteFunc(s.demands, func(service string, _ occupancy.Demand) bool { return views[service] == nil })
-	maps.DeleteFunc(s.turns, func(service string, _ occupancy.Turn) bool { return views[service] == nil })
+	maps.DeleteFunc(s.turns, func(service string, _ occupancy.StartLimiter) bool { return views[service] == nil })
 	s.mu.Unlock()
 	s.changed()
 }
