--- a/internal/batches/occupancy/allowance.go
+++ b/internal/batches/occupancy/allowance.go
@@ -82,8 +82,8 @@
 	return allowance
 }
 
-// Leaves reports whether room is being left to others.
-func (t *StartLimiter) Leaves() bool { return !t.since.IsZero() }
+// IsYielding reports whether room is being left to others.
+func (t *StartLimiter) IsYielding() bool { return !t.since.IsZero() }
 
 // Preference ranks a replica among ones that are as good as each other, from 0 to below 1,
 // in an order that differs from owner to owner: two that start at the same instant, before
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -81,10 +81,10 @@
 	started, _ := startsOf(decisions)
 	due := len(started)
 	turn, others := s.turns[service], s.table.Demands(key)
-	left := turn.Leaves()
+	left := turn.IsYielding()
 	allowed := turn.Allow(now, occupancy.Allowance(capacityOf(snap), own, others), due)
 	s.turns[service] = turn
-	if turn.Leaves() && !left {
+	if turn.IsYielding() && !left {
 		s.logger.Info("room left to other owners", zap.String("service", service),
 			zap.Int("starts", due), zap.Int("allowed", allowed), zap.Uint32("in_flight", own.InFlight),
 			zap.Uint32("waiting", own.Waiting), zap.Int("owners", len(others)))
