--- a/internal/batches/occupancy/allowance.go
+++ b/internal/batches/occupancy/allowance.go
@@ -62,8 +62,8 @@
 // StartLimiter is one owner's view of who may start next at a service's engines. The zero value is
 // ready for use.
 type StartLimiter struct {
-	// since is from when on room was left to others, or zero.
-	since time.Time
+	// yieldingSince is from when on room was left to others, or zero.
+	yieldingSince time.Time
 }
 
 // Allow returns how many of the starts that are due may be made now, with an allowance as
@@ -71,19 +71,19 @@
 func (t *StartLimiter) Allow(now time.Time, allowance, due int) int {
 	switch {
 	case due <= allowance:
-		t.since = time.Time{}
+		t.yieldingSince = time.Time{}
 		return due
-	case t.since.IsZero():
-		t.since = now
-	case now.Sub(t.since) >= yieldTime:
-		t.since = time.Time{}
+	case t.yieldingSince.IsZero():
+		t.yieldingSince = now
+	case now.Sub(t.yieldingSince) >= yieldTime:
+		t.yieldingSince = time.Time{}
 		return due
 	}
 	return allowance
 }
 
 // IsYielding reports whether room is being left to others.
-func (t *StartLimiter) IsYielding() bool { return !t.since.IsZero() }
+func (t *StartLimiter) IsYielding() bool { return !t.yieldingSince.IsZero() }
 
 // Preference ranks a replica among ones that are as good as each other, from 0 to below 1,
 // in an order that differs from owner to owner: two that start at the same instant, before
