--- a/internal/batches/occupancy/allowance.go
+++ b/internal/batches/occupancy/allowance.go
@@ -10,10 +10,10 @@
 // Unbounded is the allowance of an owner that nobody waits for.
 const Unbounded = math.MaxInt
 
-// yieldTime is for how long an owner leaves room to others that wait for it: they learn of the
+// maxYieldTime is for how long an owner leaves room to others that wait for it: they learn of the
 // room within some hundred milliseconds. After that it takes what they have left, as what they
 // wait for may be at other engines.
-const yieldTime = 300 * time.Millisecond
+const maxYieldTime = 300 * time.Millisecond
 
 // Allowance returns how many more requests an owner may have under way at some engines with
 // slots places in all, so that each owner comes to its part of them: what others of a more
@@ -75,7 +75,7 @@
 		return due
 	case t.yieldingSince.IsZero():
 		t.yieldingSince = now
-	case now.Sub(t.yieldingSince) >= yieldTime:
+	case now.Sub(t.yieldingSince) >= maxYieldTime:
 		t.yieldingSince = time.Time{}
 		return due
 	}
--- a/internal/batches/occupancy/allowance_test.go
+++ b/internal/batches/occupancy/allowance_test.go
@@ -69,11 +69,11 @@
 	now := time.Unix(0, 0)
 	is.Equal(turn.Allow(now, Unbounded, 9), 9)
 	is.Equal(turn.Allow(now, 2, 9), 2)
-	is.Equal(turn.Allow(now.Add(yieldTime-1), 0, 7), 0)
-	is.Equal(turn.Allow(now.Add(yieldTime), 0, 7), 7)
-	is.Equal(turn.Allow(now.Add(yieldTime+1), 0, 7), 0)
-	is.Equal(turn.Allow(now.Add(yieldTime+2), 7, 7), 7)
-	is.Equal(turn.Allow(now.Add(2*yieldTime+1), 0, 7), 0)
+	is.Equal(turn.Allow(now.Add(maxYieldTime-1), 0, 7), 0)
+	is.Equal(turn.Allow(now.Add(maxYieldTime), 0, 7), 7)
+	is.Equal(turn.Allow(now.Add(maxYieldTime+1), 0, 7), 0)
+	is.Equal(turn.Allow(now.Add(maxYieldTime+2), 7, 7), 7)
+	is.Equal(turn.Allow(now.Add(2*maxYieldTime+1), 0, 7), 0)
 }
 
 // Two owners that choose one of many equal engines at the same instant seldom choose the
