--- a/internal/batches/occupancy/allowance.go
+++ b/internal/batches/occupancy/allowance.go
@@ -93,11 +93,11 @@
 	_, _ = hash.Write([]byte(owner)) // it never fails
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(replica))
-	return float64(mixed(hash.Sum64())>>11) / (1 << 53)
+	return float64(mixBits(hash.Sum64())>>11) / (1 << 53)
 }
 
-// mixed spreads the differences of the last bytes over all bits, as the end of murmur3 does.
-func mixed(hash uint64) uint64 {
+// mixBits spreads the differences of the last bytes over all bits, as the end of murmur3 does.
+func mixBits(hash uint64) uint64 {
 	hash ^= hash >> 33
 	hash *= 0xff51afd7ed558ccd
 	hash ^= hash >> 33
