--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -14,8 +14,8 @@
 
 // The outcomes of Merge.
 const (
-	// Taken: the report is the one that counts for its daemon.
-	Taken Outcome = iota
+	// Accepted: the report is the one that counts for its daemon.
+	Accepted Outcome = iota
 	// Refused: it is late, older than one before, or one too many.
 	Refused
 	// BaseMissing: the report that it is based on is not here.
@@ -43,10 +43,10 @@
 	late := d.lateness(&report, now)
 	if report.IsIntroduction {
 		t.introduce(d, &report, now.Add(-late))
-		return Taken
+		return Accepted
 	}
 	if t.take(d, report, now.Add(-late), now) {
-		return Taken
+		return Accepted
 	}
 	return Refused
 }
--- a/internal/batches/occupancy/service.go
+++ b/internal/batches/occupancy/service.go
@@ -46,7 +46,7 @@
 	if err := decode(msg, &report); err != nil {
 		return err
 	}
-	reply.Whole = s.table.Merge(report) != Taken
+	reply.Whole = s.table.Merge(report) != Accepted
 	reply.Owner = s.publisher.listens()
 	s.onReport()
 	return nil
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -39,11 +39,11 @@
 // An owner that is cut off, or gone without a word, counts for reportHolds and no longer.
 func TestAReportIsBelievedForAStatedTime(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
-		is.Equal(table.Merge(reported("a/1", 1, clock.Now(), 3)), Taken)
-		is.Equal(table.Merge(reported("b/1", 1, clock.Now(), 2)), Taken)
+		is.Equal(table.Merge(reported("a/1", 1, clock.Now(), 3)), Accepted)
+		is.Equal(table.Merge(reported("b/1", 1, clock.Now(), 2)), Accepted)
 		is.Equal(table.InFlight(engine), 5)
 		time.Sleep(reportLifetime - time.Millisecond)
-		is.Equal(table.Merge(reported("b/1", 2, clock.Now(), 4)), Taken)
+		is.Equal(table.Merge(reported("b/1", 2, clock.Now(), 4)), Accepted)
 		is.Equal(table.InFlight(engine), 7)
 		time.Sleep(time.Millisecond)
 		is.Equal(table.InFlight(engine), 4)
@@ -69,14 +69,14 @@
 		table.Merge(reported("a/1", 1, clock.Now().Add(ahead), 3))
 		late := reported("a/1", 2, clock.Now().Add(ahead), 4)
 		clock.Suspend(reportLifetime / 2)
-		is.Equal(table.Merge(late), Taken)
+		is.Equal(table.Merge(late), Accepted)
 		time.Sleep(reportLifetime/2 + 2*time.Millisecond)
 		is.Equal(table.InFlight(engine), 0)
 		late = reported("a/1", 3, clock.Now().Add(ahead), 5)
 		clock.Suspend(2 * reportLifetime)
 		is.Equal(table.Merge(late), Refused)
 		is.Equal(table.InFlight(engine), 0)
-		is.Equal(table.Merge(reported("a/1", 4, clock.Now().Add(ahead), 6)), Taken)
+		is.Equal(table.Merge(reported("a/1", 4, clock.Now().Add(ahead), 6)), Accepted)
 		is.Equal(table.InFlight(engine), 6)
 	})
 }
@@ -85,12 +85,12 @@
 func TestADoubleOrAnOvertakenReportIsRefused(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		first, second := reported("a/1", 1, clock.Now(), 3), reported("a/1", 2, clock.Now(), 1)
-		is.Equal(table.Merge(second), Taken)
+		is.Equal(table.Merge(second), Accepted)
 		is.Equal(table.Merge(first), Refused)
 		is.Equal(table.Merge(second), Refused)
 		is.Equal(table.InFlight(engine), 1)
 		// An empty one ends the belief, and what it has overtaken doesn't bring it back.
-		is.Equal(table.Merge(Report{Sender: "a/1", Number: 4, SentMillis: clock.Now().UnixMilli()}), Taken)
+		is.Equal(table.Merge(Report{Sender: "a/1", Number: 4, SentMillis: clock.Now().UnixMilli()}), Accepted)
 		is.Equal(table.Merge(reported("a/1", 3, clock.Now(), 9)), Refused)
 		is.Equal(table.InFlight(engine), 0)
 	})
@@ -102,12 +102,12 @@
 func TestANewRunReplacesTheOneBefore(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		table.Merge(reported("a/1", 9, clock.Now(), 3))
-		is.Equal(table.Merge(reported("a/2", 1, clock.Now(), 1)), Taken)
+		is.Equal(table.Merge(reported("a/2", 1, clock.Now(), 1)), Accepted)
 		is.Equal(table.InFlight(engine), 1)
 		is.Equal(table.Merge(reported("a/1", 10, clock.Now(), 3)), Refused)
 		is.Equal(table.InFlight(engine), 1)
 		time.Sleep(reportLifetime)
-		is.Equal(table.Merge(reported("a/0", 1, clock.Now(), 2)), Taken)
+		is.Equal(table.Merge(reported("a/0", 1, clock.Now(), 2)), Accepted)
 		is.Equal(table.InFlight(engine), 2)
 		// What this machine's earlier run told is not another's.
 		is.Equal(table.Merge(reported("self/0", 1, clock.Now(), 2)), Refused)
@@ -121,7 +121,7 @@
 		change.BaseNumber = 1
 		is.Equal(table.Merge(change), BaseMissing)
 		table.Merge(reported("a/1", 1, clock.Now(), 3))
-		is.Equal(table.Merge(change), Taken)
+		is.Equal(table.Merge(change), Accepted)
 		is.Equal(table.InFlight(engine), 5)
 		// After a time without reports the base is still known.
 		time.Sleep(2 * reportLifetime)
@@ -132,7 +132,7 @@
 			SentMillis: clock.Now().UnixMilli(),
 			Counts:     []RequestCount{{Replica: engine + 1, Requests: 1}},
 		}
-		is.Equal(table.Merge(more), Taken)
+		is.Equal(table.Merge(more), Accepted)
 		is.Equal(table.InFlight(engine), 5)
 		is.Equal(table.InFlight(engine+1), 1)
 	})
@@ -193,10 +193,10 @@
 		is.Equal(table.Counts().Elsewhere, maxEntries)
 		for i := range 2 * maxDaemons {
 			outcome := table.Merge(reported(fmt.Sprintf("d%d/1", i), 1, clock.Now(), 1))
-			is.Equal(outcome == Taken, i < maxDaemons-1)
+			is.Equal(outcome == Accepted, i < maxDaemons-1)
 		}
 		time.Sleep(reportLifetime)
-		is.Equal(table.Merge(reported("late/1", 1, clock.Now(), 1)), Taken)
+		is.Equal(table.Merge(reported("late/1", 1, clock.Now(), 1)), Accepted)
 		is.Equal(len(table.daemons), maxDaemons)
 		for i := range maxEventTimes {
 			table.Adopt(Snapshot{
@@ -220,7 +220,7 @@
 				SentMillis:   clock.Now().UnixMilli(),
 				Measurements: []Measurement{NewMeasurement(engine, pace, age)},
 			}
-			is.Equal(table.Merge(report), Taken)
+			is.Equal(table.Merge(report), Accepted)
 		}
 		tell("a/1", 30*time.Millisecond, 2*time.Second)
 		tell("b/1", 40*time.Millisecond, 5*time.Second)
