--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -28,7 +28,7 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	t.lapse(now)
-	d := t.daemonOf(&report, now)
+	d := t.daemonFor(&report, now)
 	if d == nil {
 		t.counts.Refused++
 		return Refused
@@ -59,7 +59,7 @@
 	now := t.now()
 	t.lapse(now)
 	for _, relayed := range o.Reports[:min(len(o.Reports), maxDaemons)] {
-		d, at := t.daemonOf(&relayed.Report, now), now.Add(-time.Duration(relayed.Age)*ageUnit)
+		d, at := t.daemonFor(&relayed.Report, now), now.Add(-time.Duration(relayed.Age)*ageUnit)
 		if d != nil && relayed.Report.BaseNumber == 0 && t.take(d, relayed.Report, at, now) {
 			reports++
 		}
@@ -68,9 +68,9 @@
 	return reports
 }
 
-// daemonOf returns the daemon that a report may be taken into, or nil if the report is to be
+// daemonFor returns the daemon that a report may be taken into, or nil if the report is to be
 // refused. The mutex is held.
-func (t *Table) daemonOf(report *Report, now time.Time) *daemon {
+func (t *Table) daemonFor(report *Report, now time.Time) *daemon {
 	machine := identity.Machine(report.Sender)
 	if machine == "" || machine == identity.Machine(t.self) {
 		return nil
