--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -40,7 +40,7 @@
 		}
 		report.Counts, report.BaseNumber = applyDiff(d.report.Counts, report.Counts), 0
 	}
-	late := d.lateness(&report, now)
+	late := d.excessDelay(&report, now)
 	if report.IsIntroduction {
 		t.introduce(d, &report, now.Add(-late))
 		return Accepted
@@ -97,8 +97,8 @@
 	return d
 }
 
-// lateness is for how much longer than usual a report was on its way.
-func (d *daemon) lateness(report *Report, now time.Time) time.Duration {
+// excessDelay is for how much longer than usual a report was on its way.
+func (d *daemon) excessDelay(report *Report, now time.Time) time.Duration {
 	offset := now.Sub(time.UnixMilli(report.SentMillis))
 	if !d.offsetAt.IsZero() {
 		d.offset += time.Duration(clockDrift * float64(now.Sub(d.offsetAt)))
