--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -42,7 +42,7 @@
 	}
 	late := d.excessDelay(&report, now)
 	if report.IsIntroduction {
-		t.introduce(d, &report, now.Add(-late))
+		t.acceptIntroduction(d, &report, now.Add(-late))
 		return Accepted
 	}
 	if t.take(d, report, now.Add(-late), now) {
@@ -110,9 +110,9 @@
 	return offset - d.offset
 }
 
-// introduce notes that a daemon is an owner, and the event times that it reported. Its
+// acceptIntroduction notes that a daemon is an owner, and the event times that it reported. Its
 // report before stays. The mutex is held.
-func (t *Table) introduce(d *daemon, report *Report, at time.Time) {
+func (t *Table) acceptIntroduction(d *daemon, report *Report, at time.Time) {
 	t.counts.Received++
 	d.ownerAt = at
 	t.addMeasured(report.Measurements[:min(len(report.Measurements), maxEntries)], at)
