--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -45,7 +45,7 @@
 		t.acceptIntroduction(d, &report, now.Add(-late))
 		return Accepted
 	}
-	if t.take(d, report, now.Add(-late), now) {
+	if t.acceptReport(d, report, now.Add(-late), now) {
 		return Accepted
 	}
 	return Refused
@@ -60,7 +60,7 @@
 	t.lapse(now)
 	for _, relayed := range o.Reports[:min(len(o.Reports), maxDaemons)] {
 		d, at := t.daemonFor(&relayed.Report, now), now.Add(-time.Duration(relayed.Age)*ageUnit)
-		if d != nil && relayed.Report.BaseNumber == 0 && t.take(d, relayed.Report, at, now) {
+		if d != nil && relayed.Report.BaseNumber == 0 && t.acceptReport(d, relayed.Report, at, now) {
 			reports++
 		}
 	}
@@ -118,8 +118,8 @@
 	t.addMeasured(report.Measurements[:min(len(report.Measurements), maxEntries)], at)
 }
 
-// take makes a report the one that counts for its daemon. The mutex is held.
-func (t *Table) take(d *daemon, report Report, at, now time.Time) bool {
+// acceptReport makes a report the one that counts for its daemon. The mutex is held.
+func (t *Table) acceptReport(d *daemon, report Report, at, now time.Time) bool {
 	report.truncate()
 	if now.Sub(at) > reportLifetime {
 		// Its counts are over, yet those before it even more so.
