--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -148,12 +148,12 @@
 		t.inFlight[c.Replica] += int(c.Requests)
 		t.counts.Elsewhere += int(c.Requests)
 	}
-	t.noteLapse(d)
+	t.updateNextExpiry(d)
 	return true
 }
 
-// noteLapse remembers when a daemon's report lapses if none does before. The mutex is held.
-func (t *Table) noteLapse(d *daemon) {
+// updateNextExpiry remembers when a daemon's report lapses if none does before. The mutex is held.
+func (t *Table) updateNextExpiry(d *daemon) {
 	if lapses := d.lapses(); t.nextLapse.IsZero() || lapses.Before(t.nextLapse) {
 		t.nextLapse = lapses
 	}
@@ -201,7 +201,7 @@
 			t.logger.Info("report of another owner lapsed", zap.String("owner", d.report.Sender),
 				zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.at)))
 		default:
-			t.noteLapse(d)
+			t.updateNextExpiry(d)
 		}
 	}
 }
