--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -86,7 +86,7 @@
 		if d.current && identity.Started(report.Sender) < identity.Started(d.report.Sender) {
 			return nil
 		}
-		t.drop(d)
+		t.removeCounts(d)
 	case !report.IsIntroduction && report.Number <= d.report.Number:
 		return nil
 	default:
@@ -123,7 +123,7 @@
 	report.truncate()
 	if now.Sub(at) > reportLifetime {
 		// Its counts are over, yet those before it even more so.
-		t.drop(d)
+		t.removeCounts(d)
 		d.report, d.at = report, at
 		t.counts.Refused++
 		return false
@@ -133,7 +133,7 @@
 			zap.Uint64("report", report.Number), zap.Int("replicas", len(report.Counts)),
 			zap.Duration("age", now.Sub(at)))
 	}
-	t.drop(d)
+	t.removeCounts(d)
 	t.counts.Received++
 	d.report, d.at, d.current = report, at, !report.isEmpty()
 	d.ownerAt = time.Time{}
@@ -159,8 +159,8 @@
 	}
 }
 
-// drop takes a daemon's report out of the counts. The mutex is held.
-func (t *Table) drop(d *daemon) {
+// removeCounts takes a daemon's report out of the counts. The mutex is held.
+func (t *Table) removeCounts(d *daemon) {
 	if !d.current {
 		return
 	}
@@ -196,7 +196,7 @@
 		switch {
 		case !d.current:
 		case !now.Before(d.lapses()):
-			t.drop(d)
+			t.removeCounts(d)
 			t.counts.Expired++
 			t.logger.Info("report of another owner lapsed", zap.String("owner", d.report.Sender),
 				zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.at)))
