--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -27,7 +27,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	t.lapse(now)
+	t.expireReports(now)
 	d := t.daemonFor(&report, now)
 	if d == nil {
 		t.counts.Refused++
@@ -57,7 +57,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	t.lapse(now)
+	t.expireReports(now)
 	for _, relayed := range o.Reports[:min(len(o.Reports), maxDaemons)] {
 		d, at := t.daemonFor(&relayed.Report, now), now.Add(-time.Duration(relayed.Age)*ageUnit)
 		if d != nil && relayed.Report.BaseNumber == 0 && t.acceptReport(d, relayed.Report, at, now) {
@@ -186,8 +186,8 @@
 	}
 }
 
-// lapse ends reports that are too old. The mutex is held.
-func (t *Table) lapse(now time.Time) {
+// expireReports ends reports that are too old. The mutex is held.
+func (t *Table) expireReports(now time.Time) {
 	if t.nextLapse.IsZero() || now.Before(t.nextLapse) {
 		return
 	}
@@ -224,7 +224,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	t.lapse(now)
+	t.expireReports(now)
 	maps.DeleteFunc(t.daemons, func(_ string, d *daemon) bool {
 		return !d.current && now.Sub(d.at) > rememberFor && now.Sub(d.ownerAt) > rememberFor
 	})
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -104,7 +104,7 @@
 	if len(t.inFlight) == 0 {
 		return 0
 	}
-	t.lapse(t.now())
+	t.expireReports(t.now())
 	return t.inFlight[replica]
 }
 
@@ -125,7 +125,7 @@
 func (t *Table) Demands(service Key) []Demand {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lapse(t.now())
+	t.expireReports(t.now())
 	var demands []Demand
 	for _, d := range t.daemons {
 		for _, dm := range d.report.Demands {
@@ -141,7 +141,7 @@
 func (t *Table) Reporters() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lapse(t.now())
+	t.expireReports(t.now())
 	var machines []string
 	for machine, d := range t.daemons {
 		if d.current {
@@ -173,7 +173,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	t.lapse(now)
+	t.expireReports(now)
 	var o Snapshot
 	for _, d := range t.daemons {
 		if d.current {
@@ -194,6 +194,6 @@
 func (t *Table) Counts() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lapse(t.now())
+	t.expireReports(t.now())
 	return t.counts
 }
