--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -77,7 +77,7 @@
 	}
 	d := t.daemons[machine]
 	switch {
-	case d == nil && len(t.daemons) >= maxDaemons && !t.forgetOne():
+	case d == nil && len(t.daemons) >= maxDaemons && !t.evictOldest():
 		return nil
 	case d == nil:
 	case d.report.Sender != report.Sender:
@@ -206,9 +206,9 @@
 	}
 }
 
-// forgetOne forgets the daemon that has reported nothing for longest, of those whose reports
+// evictOldest forgets the daemon that has reported nothing for longest, of those whose reports
 // don't count. The mutex is held.
-func (t *Table) forgetOne() bool {
+func (t *Table) evictOldest() bool {
 	oldest := ""
 	for machine, d := range t.daemons {
 		if !d.current && (oldest == "" || d.at.Before(t.daemons[oldest].at)) {
