--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -121,7 +121,7 @@
 // acceptReport makes a report the one that counts for its daemon. The mutex is held.
 func (t *Table) acceptReport(d *daemon, report Report, at, now time.Time) bool {
 	report.truncate()
-	if now.Sub(at) > reportLifetime {
+	if now.Sub(at) > reportTTL {
 		// Its counts are over, yet those before it even more so.
 		t.removeCounts(d)
 		d.report, d.at = report, at
--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -15,7 +15,7 @@
 	// a change, and less than what the shortest text takes.
 	reportInterval = 100 * time.Millisecond
 	// repeatInterval is after how long a report is sent again though nothing has changed.
-	repeatInterval = reportLifetime / 3
+	repeatInterval = reportTTL / 3
 	// bytesPerSecond bounds what a daemon sends, two thirds of the 18 KB that one may need
 	// for all that is no work, and with callBytes its calls to 40 a second. From some 40 owners on
 	// reports lapse before the next comes, and an owner knows a part of the others' requests
--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -123,7 +123,7 @@
 		time.Sleep(2 * reportInterval)
 		is.Equal(b.table.InFlight(engine), 1)
 		// Nothing changes, and what was told holds all the same.
-		time.Sleep(10 * reportLifetime)
+		time.Sleep(10 * reportTTL)
 		is.Equal(b.table.InFlight(engine), 1)
 		is.Equal(b.table.Counts().Expired, uint64(0))
 		a.set()
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// reportLifetime is how long a report counts: three times as long as a daemon lets pass
+	// reportTTL is how long a report counts: three times as long as a daemon lets pass
 	// between two of them, so that one that is lost or late changes nothing. It is also the
 	// longest for which an item waits for room that nobody uses; texts take seconds.
-	reportLifetime = 1200 * time.Millisecond
+	reportTTL = 1200 * time.Millisecond
 	// eventTimeLifetime is how long an event time counts that others measured: an engine's speed is
 	// that of its machine and changes only with faults, and the first text there shows the new one.
 	eventTimeLifetime = 30 * time.Second
@@ -52,7 +52,7 @@
 }
 
 // lapses is when the report counts no more.
-func (d *daemon) lapses() time.Time { return d.at.Add(reportLifetime) }
+func (d *daemon) lapses() time.Time { return d.at.Add(reportTTL) }
 
 // measuredTime is an event time that others reported, with when it was measured.
 type measuredTime struct {
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -42,7 +42,7 @@
 		is.Equal(table.Merge(reported("a/1", 1, clock.Now(), 3)), Accepted)
 		is.Equal(table.Merge(reported("b/1", 1, clock.Now(), 2)), Accepted)
 		is.Equal(table.InFlight(engine), 5)
-		time.Sleep(reportLifetime - time.Millisecond)
+		time.Sleep(reportTTL - time.Millisecond)
 		is.Equal(table.Merge(reported("b/1", 2, clock.Now(), 4)), Accepted)
 		is.Equal(table.InFlight(engine), 7)
 		time.Sleep(time.Millisecond)
@@ -56,7 +56,7 @@
 func TestBeliefsLapseWhileTheMachineIsSuspended(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		table.Merge(reported("a/1", 1, clock.Now(), 3))
-		clock.Suspend(reportLifetime)
+		clock.Suspend(reportTTL)
 		is.Equal(table.InFlight(engine), 0)
 	})
 }
@@ -68,12 +68,12 @@
 		ahead := 40 * time.Minute // the sender's clock
 		table.Merge(reported("a/1", 1, clock.Now().Add(ahead), 3))
 		late := reported("a/1", 2, clock.Now().Add(ahead), 4)
-		clock.Suspend(reportLifetime / 2)
+		clock.Suspend(reportTTL / 2)
 		is.Equal(table.Merge(late), Accepted)
-		time.Sleep(reportLifetime/2 + 2*time.Millisecond)
+		time.Sleep(reportTTL/2 + 2*time.Millisecond)
 		is.Equal(table.InFlight(engine), 0)
 		late = reported("a/1", 3, clock.Now().Add(ahead), 5)
-		clock.Suspend(2 * reportLifetime)
+		clock.Suspend(2 * reportTTL)
 		is.Equal(table.Merge(late), Refused)
 		is.Equal(table.InFlight(engine), 0)
 		is.Equal(table.Merge(reported("a/1", 4, clock.Now().Add(ahead), 6)), Accepted)
@@ -106,7 +106,7 @@
 		is.Equal(table.InFlight(engine), 1)
 		is.Equal(table.Merge(reported("a/1", 10, clock.Now(), 3)), Refused)
 		is.Equal(table.InFlight(engine), 1)
-		time.Sleep(reportLifetime)
+		time.Sleep(reportTTL)
 		is.Equal(table.Merge(reported("a/0", 1, clock.Now(), 2)), Accepted)
 		is.Equal(table.InFlight(engine), 2)
 		// What this machine's earlier run told is not another's.
@@ -124,7 +124,7 @@
 		is.Equal(table.Merge(change), Accepted)
 		is.Equal(table.InFlight(engine), 5)
 		// After a time without reports the base is still known.
-		time.Sleep(2 * reportLifetime)
+		time.Sleep(2 * reportTTL)
 		more := Report{
 			Sender:     "a/1",
 			Number:     3,
@@ -170,7 +170,7 @@
 			table.Merge(report)
 			sum := 0
 			for _, d := range table.daemons {
-				if d.current && now.Sub(d.at) < reportLifetime {
+				if d.current && now.Sub(d.at) < reportTTL {
 					sum += int(d.report.Counts[0].Requests)
 				}
 			}
@@ -195,7 +195,7 @@
 			outcome := table.Merge(reported(fmt.Sprintf("d%d/1", i), 1, clock.Now(), 1))
 			is.Equal(outcome == Accepted, i < maxDaemons-1)
 		}
-		time.Sleep(reportLifetime)
+		time.Sleep(reportTTL)
 		is.Equal(table.Merge(reported("late/1", 1, clock.Now(), 1)), Accepted)
 		is.Equal(len(table.daemons), maxDaemons)
 		for i := range maxEventTimes {
@@ -244,14 +244,14 @@
 		table.Merge(reported("b/1", 5, clock.Now(), 2))
 		table.Merge(reported("new/1", 1, clock.Now(), 8))
 		table.Adopt(Snapshot{Measured: []Measurement{NewMeasurement(engine, 20*time.Millisecond, time.Second)}})
-		time.Sleep(reportLifetime / 2)
+		time.Sleep(reportTTL / 2)
 		newcomer := NewTable("new/2", clock.Now, zap.NewNop())
 		newcomer.Merge(reported("b/1", 6, clock.Now(), 1))
 		is.Equal(newcomer.Adopt(table.Snapshot()), 1)
 		is.Equal(newcomer.InFlight(engine), 4)
 		pace, _ := newcomer.EventTime(engine)
 		is.Equal(pace, 20*time.Millisecond)
-		time.Sleep(reportLifetime / 2)
+		time.Sleep(reportTTL / 2)
 		is.Equal(newcomer.InFlight(engine), 1)
 	})
 }
