--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -228,5 +228,5 @@
 	maps.DeleteFunc(t.daemons, func(_ string, d *daemon) bool {
 		return !d.current && now.Sub(d.at) > rememberFor && now.Sub(d.ownerAt) > rememberFor
 	})
-	maps.DeleteFunc(t.eventTimes, func(_ Key, m measuredTime) bool { return now.Sub(m.at) > eventTimeLifetime })
+	maps.DeleteFunc(t.eventTimes, func(_ Key, m measuredTime) bool { return now.Sub(m.at) > eventTimeMaxAge })
 }
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -171,7 +171,7 @@
 
 // NewMeasurement returns an event time with its age as it is sent.
 func NewMeasurement(replica Key, eventTime, age time.Duration) Measurement {
-	age = min(age, eventTimeLifetime)
+	age = min(age, eventTimeMaxAge)
 	return Measurement{
 		Replica:   replica,
 		EventTime: uint32(eventTime / eventTimeUnit),
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -16,9 +16,9 @@
 	// between two of them, so that one that is lost or late changes nothing. It is also the
 	// longest for which an item waits for room that nobody uses; texts take seconds.
 	reportTTL = 1200 * time.Millisecond
-	// eventTimeLifetime is how long an event time counts that others measured: an engine's speed is
+	// eventTimeMaxAge is how long an event time counts that others measured: an engine's speed is
 	// that of its machine and changes only with faults, and the first text there shows the new one.
-	eventTimeLifetime = 30 * time.Second
+	eventTimeMaxAge = 30 * time.Second
 	// rememberFor is how long a daemon that reports no more is remembered, so that a report of
 	// its that arrives late is recognised as old.
 	rememberFor = 30 * time.Second
@@ -115,7 +115,7 @@
 	defer t.mu.Unlock()
 	m, ok := t.eventTimes[replica]
 	age = t.now().Sub(m.at)
-	if !ok || age > eventTimeLifetime {
+	if !ok || age > eventTimeMaxAge {
 		return 0, 0
 	}
 	return m.eventTime, max(age, 0)
@@ -183,7 +183,7 @@
 		}
 	}
 	for replica, m := range t.eventTimes {
-		if age := now.Sub(m.at); age <= eventTimeLifetime && len(o.Measured) < maxEntries {
+		if age := now.Sub(m.at); age <= eventTimeMaxAge && len(o.Measured) < maxEntries {
 			o.Measured = append(o.Measured, NewMeasurement(replica, m.eventTime, age))
 		}
 	}
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -204,7 +204,7 @@
 			})
 		}
 		is.Equal(len(table.eventTimes), maxEventTimes)
-		time.Sleep(max(rememberFor, eventTimeLifetime) + time.Second)
+		time.Sleep(max(rememberFor, eventTimeMaxAge) + time.Second)
 		table.Sweep()
 		is.Equal(len(table.daemons)+len(table.eventTimes)+len(table.inFlight), 0)
 	})
@@ -230,7 +230,7 @@
 		tell("c/1", 50*time.Millisecond, time.Second)
 		pace, _ = table.EventTime(engine)
 		is.Equal(pace, 50*time.Millisecond)
-		time.Sleep(eventTimeLifetime)
+		time.Sleep(eventTimeMaxAge)
 		pace, _ = table.EventTime(engine)
 		is.Equal(pace, time.Duration(0))
 	})
