--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -226,7 +226,7 @@
 	now := t.now()
 	t.expireReports(now)
 	maps.DeleteFunc(t.daemons, func(_ string, d *daemon) bool {
-		return !d.current && now.Sub(d.at) > rememberFor && now.Sub(d.ownerAt) > rememberFor
+		return !d.current && now.Sub(d.at) > daemonTTL && now.Sub(d.ownerAt) > daemonTTL
 	})
 	maps.DeleteFunc(t.eventTimes, func(_ Key, m measuredTime) bool { return now.Sub(m.at) > eventTimeMaxAge })
 }
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -19,9 +19,9 @@
 	// eventTimeMaxAge is how long an event time counts that others measured: an engine's speed is
 	// that of its machine and changes only with faults, and the first text there shows the new one.
 	eventTimeMaxAge = 30 * time.Second
-	// rememberFor is how long a daemon that reports no more is remembered, so that a report of
+	// daemonTTL is how long a daemon that reports no more is remembered, so that a report of
 	// its that arrives late is recognised as old.
-	rememberFor = 30 * time.Second
+	daemonTTL = 30 * time.Second
 	// maxDaemons bounds the daemons whose reports are kept. More than so many owners at a time
 	// would have one or two requests each at an engine.
 	maxDaemons = 256
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -204,7 +204,7 @@
 			})
 		}
 		is.Equal(len(table.eventTimes), maxEventTimes)
-		time.Sleep(max(rememberFor, eventTimeMaxAge) + time.Second)
+		time.Sleep(max(daemonTTL, eventTimeMaxAge) + time.Second)
 		table.Sweep()
 		is.Equal(len(table.daemons)+len(table.eventTimes)+len(table.inFlight), 0)
 	})
