--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -27,9 +27,9 @@
 	maxDaemons = 256
 	// maxEventTimes bounds the replicas whose event times are kept.
 	maxEventTimes = 16384
-	// ownerLifetime is how long a daemon is taken for an owner that can be asked: it introduces
+	// ownerTTL is how long a daemon is taken for an owner that can be asked: it introduces
 	// itself to each that may become one more often.
-	ownerLifetime = 2 * introduceInterval
+	ownerTTL = 2 * introduceInterval
 	// clockDrift is by how much two machines' clocks may differ in speed, as a ratio, far above the
 	// drift of quartz.
 	clockDrift = 0.001
@@ -158,7 +158,7 @@
 	now := t.now()
 	var machines []string
 	for machine, d := range t.daemons {
-		if !d.ownerAt.IsZero() && now.Sub(d.ownerAt) <= ownerLifetime {
+		if !d.ownerAt.IsZero() && now.Sub(d.ownerAt) <= ownerTTL {
 			machines = append(machines, machine)
 		}
 	}
