--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -101,7 +101,7 @@
 func (d *daemon) excessDelay(report *Report, now time.Time) time.Duration {
 	offset := now.Sub(time.UnixMilli(report.SentMillis))
 	if !d.offsetAt.IsZero() {
-		d.offset += time.Duration(clockDrift * float64(now.Sub(d.offsetAt)))
+		d.offset += time.Duration(maxClockDrift * float64(now.Sub(d.offsetAt)))
 	}
 	if d.offsetAt.IsZero() || offset < d.offset {
 		d.offset = offset
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -30,9 +30,9 @@
 	// ownerTTL is how long a daemon is taken for an owner that can be asked: it introduces
 	// itself to each that may become one more often.
 	ownerTTL = 2 * introduceInterval
-	// clockDrift is by how much two machines' clocks may differ in speed, as a ratio, far above the
+	// maxClockDrift is by how much two machines' clocks may differ in speed, as a ratio, far above the
 	// drift of quartz.
-	clockDrift = 0.001
+	maxClockDrift = 0.001
 )
 
 // daemon is what a machine reported last.
