--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -70,7 +70,7 @@
 
 // daemonFor returns the daemon that a report may be taken into, or nil if the report is to be
 // refused. The mutex is held.
-func (t *Table) daemonFor(report *Report, now time.Time) *daemon {
+func (t *Table) daemonFor(report *Report, now time.Time) *daemonState {
 	machine := identity.Machine(report.Sender)
 	if machine == "" || machine == identity.Machine(t.self) {
 		return nil
@@ -92,13 +92,13 @@
 	default:
 		return d
 	}
-	d = &daemon{report: Report{Sender: report.Sender}}
+	d = &daemonState{report: Report{Sender: report.Sender}}
 	t.daemons[machine] = d
 	return d
 }
 
 // excessDelay is for how much longer than usual a report was on its way.
-func (d *daemon) excessDelay(report *Report, now time.Time) time.Duration {
+func (d *daemonState) excessDelay(report *Report, now time.Time) time.Duration {
 	offset := now.Sub(time.UnixMilli(report.SentMillis))
 	if !d.offsetAt.IsZero() {
 		d.offset += time.Duration(maxClockDrift * float64(now.Sub(d.offsetAt)))
@@ -112,14 +112,14 @@
 
 // acceptIntroduction notes that a daemon is an owner, and the event times that it reported. Its
 // report before stays. The mutex is held.
-func (t *Table) acceptIntroduction(d *daemon, report *Report, at time.Time) {
+func (t *Table) acceptIntroduction(d *daemonState, report *Report, at time.Time) {
 	t.counts.Received++
 	d.ownerAt = at
 	t.addMeasured(report.Measurements[:min(len(report.Measurements), maxEntries)], at)
 }
 
 // acceptReport makes a report the one that counts for its daemon. The mutex is held.
-func (t *Table) acceptReport(d *daemon, report Report, at, now time.Time) bool {
+func (t *Table) acceptReport(d *daemonState, report Report, at, now time.Time) bool {
 	report.truncate()
 	if now.Sub(at) > reportTTL {
 		// Its counts are over, yet those before it even more so.
@@ -153,14 +153,14 @@
 }
 
 // updateNextExpiry remembers when a daemon's report lapses if none does before. The mutex is held.
-func (t *Table) updateNextExpiry(d *daemon) {
+func (t *Table) updateNextExpiry(d *daemonState) {
 	if lapses := d.lapses(); t.nextLapse.IsZero() || lapses.Before(t.nextLapse) {
 		t.nextLapse = lapses
 	}
 }
 
 // removeCounts takes a daemon's report out of the counts. The mutex is held.
-func (t *Table) removeCounts(d *daemon) {
+func (t *Table) removeCounts(d *daemonState) {
 	if !d.current {
 		return
 	}
@@ -225,7 +225,7 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	t.expireReports(now)
-	maps.DeleteFunc(t.daemons, func(_ string, d *daemon) bool {
+	maps.DeleteFunc(t.daemons, func(_ string, d *daemonState) bool {
 		return !d.current && now.Sub(d.at) > daemonTTL && now.Sub(d.ownerAt) > daemonTTL
 	})
 	maps.DeleteFunc(t.eventTimes, func(_ Key, m measuredTime) bool { return now.Sub(m.at) > eventTimeMaxAge })
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -35,8 +35,8 @@
 	maxClockDrift = 0.001
 )
 
-// daemon is what a machine reported last.
-type daemon struct {
+// daemonState is what a machine reported last.
+type daemonState struct {
 	report Report
 	// at is when the report was sent, by the clock here.
 	at time.Time
@@ -52,7 +52,7 @@
 }
 
 // lapses is when the report counts no more.
-func (d *daemon) lapses() time.Time { return d.at.Add(reportTTL) }
+func (d *daemonState) lapses() time.Time { return d.at.Add(reportTTL) }
 
 // measuredTime is an event time that others reported, with when it was measured.
 type measuredTime struct {
@@ -71,7 +71,7 @@
 	logger *zap.Logger
 
 	mu         sync.Mutex
-	daemons    map[string]*daemon
+	daemons    map[string]*daemonState
 	inFlight   map[Key]int
 	eventTimes map[Key]measuredTime
 	// nextLapse is when the next report lapses at the earliest.
@@ -92,7 +92,7 @@
 func NewTable(self string, now bootclock.Clock, logger *zap.Logger) *Table {
 	return &Table{
 		self: self, now: now, logger: logger,
-		daemons: map[string]*daemon{}, inFlight: map[Key]int{}, eventTimes: map[Key]measuredTime{},
+		daemons: map[string]*daemonState{}, inFlight: map[Key]int{}, eventTimes: map[Key]measuredTime{},
 	}
 }
 
