--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -124,7 +124,7 @@
 	if now.Sub(at) > reportTTL {
 		// Its counts are over, yet those before it even more so.
 		t.removeCounts(d)
-		d.report, d.at = report, at
+		d.report, d.sentAt = report, at
 		t.counts.Refused++
 		return false
 	}
@@ -135,7 +135,7 @@
 	}
 	t.removeCounts(d)
 	t.counts.Received++
-	d.report, d.at, d.current = report, at, !report.isEmpty()
+	d.report, d.sentAt, d.current = report, at, !report.isEmpty()
 	d.ownerAt = time.Time{}
 	if d.current {
 		d.ownerAt = at
@@ -199,7 +199,7 @@
 			t.removeCounts(d)
 			t.counts.Expired++
 			t.logger.Info("report of another owner lapsed", zap.String("owner", d.report.Sender),
-				zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.at)))
+				zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.sentAt)))
 		default:
 			t.updateNextExpiry(d)
 		}
@@ -211,7 +211,7 @@
 func (t *Table) evictOldest() bool {
 	oldest := ""
 	for machine, d := range t.daemons {
-		if !d.current && (oldest == "" || d.at.Before(t.daemons[oldest].at)) {
+		if !d.current && (oldest == "" || d.sentAt.Before(t.daemons[oldest].sentAt)) {
 			oldest = machine
 		}
 	}
@@ -226,7 +226,7 @@
 	now := t.now()
 	t.expireReports(now)
 	maps.DeleteFunc(t.daemons, func(_ string, d *daemonState) bool {
-		return !d.current && now.Sub(d.at) > daemonTTL && now.Sub(d.ownerAt) > daemonTTL
+		return !d.current && now.Sub(d.sentAt) > daemonTTL && now.Sub(d.ownerAt) > daemonTTL
 	})
 	maps.DeleteFunc(t.eventTimes, func(_ Key, m measuredTime) bool { return now.Sub(m.at) > eventTimeMaxAge })
 }
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -38,8 +38,8 @@
 // daemonState is what a machine reported last.
 type daemonState struct {
 	report Report
-	// at is when the report was sent, by the clock here.
-	at time.Time
+	// sentAt is when the report was sent, by the clock here.
+	sentAt time.Time
 	// current says that the report counts.
 	current bool
 	// ownerAt is when it was an owner last, as it reported.
@@ -52,7 +52,7 @@
 }
 
 // lapses is when the report counts no more.
-func (d *daemonState) lapses() time.Time { return d.at.Add(reportTTL) }
+func (d *daemonState) lapses() time.Time { return d.sentAt.Add(reportTTL) }
 
 // measuredTime is an event time that others reported, with when it was measured.
 type measuredTime struct {
@@ -179,7 +179,7 @@
 		if d.current {
 			report := d.report
 			report.Measurements = nil
-			o.Reports = append(o.Reports, RelayedReport{Report: report, Age: uint32(now.Sub(d.at) / ageUnit)})
+			o.Reports = append(o.Reports, RelayedReport{Report: report, Age: uint32(now.Sub(d.sentAt) / ageUnit)})
 		}
 	}
 	for replica, m := range t.eventTimes {
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -170,7 +170,7 @@
 			table.Merge(report)
 			sum := 0
 			for _, d := range table.daemons {
-				if d.current && now.Sub(d.at) < reportTTL {
+				if d.current && now.Sub(d.sentAt) < reportTTL {
 					sum += int(d.report.Counts[0].Requests)
 				}
 			}
