--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -114,7 +114,7 @@
 // report before stays. The mutex is held.
 func (t *Table) acceptIntroduction(d *daemonState, report *Report, at time.Time) {
 	t.counts.Received++
-	d.ownerAt = at
+	d.ownerSeenAt = at
 	t.addMeasured(report.Measurements[:min(len(report.Measurements), maxEntries)], at)
 }
 
@@ -136,9 +136,9 @@
 	t.removeCounts(d)
 	t.counts.Received++
 	d.report, d.sentAt, d.current = report, at, !report.isEmpty()
-	d.ownerAt = time.Time{}
+	d.ownerSeenAt = time.Time{}
 	if d.current {
-		d.ownerAt = at
+		d.ownerSeenAt = at
 	}
 	t.addMeasured(report.Measurements, at)
 	if !d.current {
@@ -226,7 +226,7 @@
 	now := t.now()
 	t.expireReports(now)
 	maps.DeleteFunc(t.daemons, func(_ string, d *daemonState) bool {
-		return !d.current && now.Sub(d.sentAt) > daemonTTL && now.Sub(d.ownerAt) > daemonTTL
+		return !d.current && now.Sub(d.sentAt) > daemonTTL && now.Sub(d.ownerSeenAt) > daemonTTL
 	})
 	maps.DeleteFunc(t.eventTimes, func(_ Key, m measuredTime) bool { return now.Sub(m.at) > eventTimeMaxAge })
 }
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -42,8 +42,8 @@
 	sentAt time.Time
 	// current says that the report counts.
 	current bool
-	// ownerAt is when it was an owner last, as it reported.
-	ownerAt time.Time
+	// ownerSeenAt is when it was an owner last, as it reported.
+	ownerSeenAt time.Time
 	// offset is the least difference seen between the clock here and the sender's as a
 	// report of this incarnation came: by how much more one differs, it was on its way for longer
 	// or waited for a machine that was suspended. Zero offsetAt: none was seen.
@@ -158,12 +158,12 @@
 	now := t.now()
 	var machines []string
 	for machine, d := range t.daemons {
-		if !d.ownerAt.IsZero() && now.Sub(d.ownerAt) <= ownerTTL {
+		if !d.ownerSeenAt.IsZero() && now.Sub(d.ownerSeenAt) <= ownerTTL {
 			machines = append(machines, machine)
 		}
 	}
 	slices.SortFunc(machines, func(a, b string) int {
-		return cmp.Or(t.daemons[b].ownerAt.Compare(t.daemons[a].ownerAt), cmp.Compare(a, b))
+		return cmp.Or(t.daemons[b].ownerSeenAt.Compare(t.daemons[a].ownerSeenAt), cmp.Compare(a, b))
 	})
 	return machines
 }
