--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -101,13 +101,13 @@
 func (d *daemonState) excessDelay(report *Report, now time.Time) time.Duration {
 	offset := now.Sub(time.UnixMilli(report.SentMillis))
 	if !d.offsetAt.IsZero() {
-		d.offset += time.Duration(maxClockDrift * float64(now.Sub(d.offsetAt)))
+		d.minOffset += time.Duration(maxClockDrift * float64(now.Sub(d.offsetAt)))
 	}
-	if d.offsetAt.IsZero() || offset < d.offset {
-		d.offset = offset
+	if d.offsetAt.IsZero() || offset < d.minOffset {
+		d.minOffset = offset
 	}
 	d.offsetAt = now
-	return offset - d.offset
+	return offset - d.minOffset
 }
 
 // acceptIntroduction notes that a daemon is an owner, and the event times that it reported. Its
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -44,11 +44,11 @@
 	current bool
 	// ownerSeenAt is when it was an owner last, as it reported.
 	ownerSeenAt time.Time
-	// offset is the least difference seen between the clock here and the sender's as a
+	// minOffset is the least difference seen between the clock here and the sender's as a
 	// report of this incarnation came: by how much more one differs, it was on its way for longer
 	// or waited for a machine that was suspended. Zero offsetAt: none was seen.
-	offset   time.Duration
-	offsetAt time.Time
+	minOffset time.Duration
+	offsetAt  time.Time
 }
 
 // lapses is when the report counts no more.
