--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -100,13 +100,13 @@
 // excessDelay is for how much longer than usual a report was on its way.
 func (d *daemonState) excessDelay(report *Report, now time.Time) time.Duration {
 	offset := now.Sub(time.UnixMilli(report.SentMillis))
-	if !d.offsetAt.IsZero() {
-		d.minOffset += time.Duration(maxClockDrift * float64(now.Sub(d.offsetAt)))
+	if !d.minOffsetAt.IsZero() {
+		d.minOffset += time.Duration(maxClockDrift * float64(now.Sub(d.minOffsetAt)))
 	}
-	if d.offsetAt.IsZero() || offset < d.minOffset {
+	if d.minOffsetAt.IsZero() || offset < d.minOffset {
 		d.minOffset = offset
 	}
-	d.offsetAt = now
+	d.minOffsetAt = now
 	return offset - d.minOffset
 }
 
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -47,8 +47,8 @@
 	// minOffset is the least difference seen between the clock here and the sender's as a
 	// report of this incarnation came: by how much more one differs, it was on its way for longer
 	// or waited for a machine that was suspended. Zero offsetAt: none was seen.
-	minOffset time.Duration
-	offsetAt  time.Time
+	minOffset   time.Duration
+	minOffsetAt time.Time
 }
 
 // lapses is when the report counts no more.
