--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -154,7 +154,7 @@
 
 // updateNextExpiry remembers when a daemon's report lapses if none does before. The mutex is held.
 func (t *Table) updateNextExpiry(d *daemonState) {
-	if lapses := d.lapses(); t.nextLapse.IsZero() || lapses.Before(t.nextLapse) {
+	if lapses := d.expiresAt(); t.nextLapse.IsZero() || lapses.Before(t.nextLapse) {
 		t.nextLapse = lapses
 	}
 }
@@ -195,7 +195,7 @@
 	for _, d := range t.daemons {
 		switch {
 		case !d.current:
-		case !now.Before(d.lapses()):
+		case !now.Before(d.expiresAt()):
 			t.removeCounts(d)
 			t.counts.Expired++
 			t.logger.Info("report of another owner lapsed", zap.String("owner", d.report.Sender),
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -51,8 +51,8 @@
 	minOffsetAt time.Time
 }
 
-// lapses is when the report counts no more.
-func (d *daemonState) lapses() time.Time { return d.sentAt.Add(reportTTL) }
+// expiresAt is when the report counts no more.
+func (d *daemonState) expiresAt() time.Time { return d.sentAt.Add(reportTTL) }
 
 // measuredTime is an event time that others reported, with when it was measured.
 type measuredTime struct {
