--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -54,8 +54,8 @@
 // expiresAt is when the report counts no more.
 func (d *daemonState) expiresAt() time.Time { return d.sentAt.Add(reportTTL) }
 
-// measuredTime is an event time that others reported, with when it was measured.
-type measuredTime struct {
+// reportedEventTime is an event time that others reported, with when it was measured.
+type reportedEventTime struct {
 	eventTime time.Duration
 	at        time.Time
 }
@@ -73,7 +73,7 @@
 	mu         sync.Mutex
 	daemons    map[string]*daemonState
 	inFlight   map[Key]int
-	eventTimes map[Key]measuredTime
+	eventTimes map[Key]reportedEventTime
 	// nextLapse is when the next report lapses at the earliest.
 	nextLapse time.Time
 	counts    Counts
@@ -92,7 +92,7 @@
 func NewTable(self string, now bootclock.Clock, logger *zap.Logger) *Table {
 	return &Table{
 		self: self, now: now, logger: logger,
-		daemons: map[string]*daemonState{}, inFlight: map[Key]int{}, eventTimes: map[Key]measuredTime{},
+		daemons: map[string]*daemonState{}, inFlight: map[Key]int{}, eventTimes: map[Key]reportedEventTime{},
 	}
 }
 
