--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -179,10 +179,10 @@
 	for _, m := range measurements {
 		measured := at.Add(-time.Duration(m.Age) * ageUnit)
 		before, ok := t.eventTimes[m.Replica]
-		if m.EventTime == 0 || ok && !measured.After(before.at) || !ok && len(t.eventTimes) >= maxEventTimes {
+		if m.EventTime == 0 || ok && !measured.After(before.measuredAt) || !ok && len(t.eventTimes) >= maxEventTimes {
 			continue
 		}
-		t.eventTimes[m.Replica] = reportedEventTime{eventTime: time.Duration(m.EventTime) * eventTimeUnit, at: measured}
+		t.eventTimes[m.Replica] = reportedEventTime{eventTime: time.Duration(m.EventTime) * eventTimeUnit, measuredAt: measured}
 	}
 }
 
@@ -228,5 +228,5 @@
 	maps.DeleteFunc(t.daemons, func(_ string, d *daemonState) bool {
 		return !d.current && now.Sub(d.sentAt) > daemonTTL && now.Sub(d.ownerSeenAt) > daemonTTL
 	})
-	maps.DeleteFunc(t.eventTimes, func(_ Key, m reportedEventTime) bool { return now.Sub(m.at) > eventTimeMaxAge })
+	maps.DeleteFunc(t.eventTimes, func(_ Key, m reportedEventTime) bool { return now.Sub(m.measuredAt) > eventTimeMaxAge })
 }
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -56,8 +56,8 @@
 
 // reportedEventTime is an event time that others reported, with when it was measured.
 type reportedEventTime struct {
-	eventTime time.Duration
-	at        time.Time
+	eventTime  time.Duration
+	measuredAt time.Time
 }
 
 // Table holds what other daemons reported of their requests, each for a time. It is safe for
@@ -114,7 +114,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m, ok := t.eventTimes[replica]
-	age = t.now().Sub(m.at)
+	age = t.now().Sub(m.measuredAt)
 	if !ok || age > eventTimeMaxAge {
 		return 0, 0
 	}
@@ -183,7 +183,7 @@
 		}
 	}
 	for replica, m := range t.eventTimes {
-		if age := now.Sub(m.at); age <= eventTimeMaxAge && len(o.Measured) < maxEntries {
+		if age := now.Sub(m.measuredAt); age <= eventTimeMaxAge && len(o.Measured) < maxEntries {
 			o.Measured = append(o.Measured, NewMeasurement(replica, m.eventTime, age))
 		}
 	}
