--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -154,8 +154,8 @@
 
 // updateNextExpiry remembers when a daemon's report lapses if none does before. The mutex is held.
 func (t *Table) updateNextExpiry(d *daemonState) {
-	if lapses := d.expiresAt(); t.nextLapse.IsZero() || lapses.Before(t.nextLapse) {
-		t.nextLapse = lapses
+	if lapses := d.expiresAt(); t.nextExpiry.IsZero() || lapses.Before(t.nextExpiry) {
+		t.nextExpiry = lapses
 	}
 }
 
@@ -188,10 +188,10 @@
 
 // expireReports ends reports that are too old. The mutex is held.
 func (t *Table) expireReports(now time.Time) {
-	if t.nextLapse.IsZero() || now.Before(t.nextLapse) {
+	if t.nextExpiry.IsZero() || now.Before(t.nextExpiry) {
 		return
 	}
-	t.nextLapse = time.Time{}
+	t.nextExpiry = time.Time{}
 	for _, d := range t.daemons {
 		switch {
 		case !d.current:
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -74,9 +74,9 @@
 	daemons    map[string]*daemonState
 	inFlight   map[Key]int
 	eventTimes map[Key]reportedEventTime
-	// nextLapse is when the next report lapses at the earliest.
-	nextLapse time.Time
-	counts    Counts
+	// nextExpiry is when the next report lapses at the earliest.
+	nextExpiry time.Time
+	counts     Counts
 }
 
 // Counts are totals of a table, but for Elsewhere, which is of now.
