--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -30,12 +30,12 @@
 	t.expireReports(now)
 	d := t.daemonFor(&report, now)
 	if d == nil {
-		t.counts.Refused++
+		t.stats.Refused++
 		return Refused
 	}
 	if report.BaseNumber > 0 {
 		if d.report.Number != report.BaseNumber {
-			t.counts.Refused++
+			t.stats.Refused++
 			return BaseMissing
 		}
 		report.Counts, report.BaseNumber = applyDiff(d.report.Counts, report.Counts), 0
@@ -113,7 +113,7 @@
 // acceptIntroduction notes that a daemon is an owner, and the event times that it reported. Its
 // report before stays. The mutex is held.
 func (t *Table) acceptIntroduction(d *daemonState, report *Report, at time.Time) {
-	t.counts.Received++
+	t.stats.Received++
 	d.ownerSeenAt = at
 	t.addMeasured(report.Measurements[:min(len(report.Measurements), maxEntries)], at)
 }
@@ -125,7 +125,7 @@
 		// Its counts are over, yet those before it even more so.
 		t.removeCounts(d)
 		d.report, d.sentAt = report, at
-		t.counts.Refused++
+		t.stats.Refused++
 		return false
 	}
 	if !d.current && !report.isEmpty() {
@@ -134,7 +134,7 @@
 			zap.Duration("age", now.Sub(at)))
 	}
 	t.removeCounts(d)
-	t.counts.Received++
+	t.stats.Received++
 	d.report, d.sentAt, d.current = report, at, !report.isEmpty()
 	d.ownerSeenAt = time.Time{}
 	if d.current {
@@ -146,7 +146,7 @@
 	}
 	for _, c := range report.Counts {
 		t.inFlight[c.Replica] += int(c.Requests)
-		t.counts.Elsewhere += int(c.Requests)
+		t.stats.Elsewhere += int(c.Requests)
 	}
 	t.updateNextExpiry(d)
 	return true
@@ -166,7 +166,7 @@
 	}
 	d.current = false
 	for _, c := range d.report.Counts {
-		t.counts.Elsewhere -= int(c.Requests)
+		t.stats.Elsewhere -= int(c.Requests)
 		if t.inFlight[c.Replica] -= int(c.Requests); t.inFlight[c.Replica] <= 0 {
 			delete(t.inFlight, c.Replica)
 		}
@@ -197,7 +197,7 @@
 		case !d.current:
 		case !now.Before(d.expiresAt()):
 			t.removeCounts(d)
-			t.counts.Expired++
+			t.stats.Expired++
 			t.logger.Info("report of another owner lapsed", zap.String("owner", d.report.Sender),
 				zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.sentAt)))
 		default:
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -76,7 +76,7 @@
 	eventTimes map[Key]reportedEventTime
 	// nextExpiry is when the next report lapses at the earliest.
 	nextExpiry time.Time
-	counts     Counts
+	stats      Counts
 }
 
 // Counts are totals of a table, but for Elsewhere, which is of now.
@@ -195,5 +195,5 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expireReports(t.now())
-	return t.counts
+	return t.stats
 }
