--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -76,11 +76,11 @@
 	eventTimes map[Key]reportedEventTime
 	// nextExpiry is when the next report lapses at the earliest.
 	nextExpiry time.Time
-	stats      Counts
+	stats      TableStats
 }
 
-// Counts are totals of a table, but for Elsewhere, which is of now.
-type Counts struct {
+// TableStats are totals of a table, but for Elsewhere, which is of now.
+type TableStats struct {
 	// Received are the reports taken in, Refused those that were late, old or too many,
 	// Expired those that counted to the end of their time.
 	Received, Refused, Expired uint64
@@ -191,7 +191,7 @@
 }
 
 // Counts returns the totals.
-func (t *Table) Counts() Counts {
+func (t *Table) Counts() TableStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expireReports(t.now())
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -48,7 +48,7 @@
 		time.Sleep(time.Millisecond)
 		is.Equal(table.InFlight(engine), 4)
 		is.Equal(table.Reporters(), []string{"b"})
-		is.Equal(table.Counts(), Counts{Received: 3, Expired: 1, Elsewhere: 4})
+		is.Equal(table.Counts(), TableStats{Received: 3, Expired: 1, Elsewhere: 4})
 	})
 }
 
