--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -111,7 +111,7 @@
 		time.Sleep(2 * reportInterval)
 		// One that has nothing only knows whom to ask.
 		is.Equal(c.table.InFlight(engine), 0)
-		is.Equal(c.table.Counts().Expired, uint64(0))
+		is.Equal(c.table.Stats().Expired, uint64(0))
 		is.Equal(len(c.table.Owners()), 2)
 		is.Equal(a.table.InFlight(engine+1), 1)
 		c.set(RequestCount{Replica: engine, Requests: 4})
@@ -125,7 +125,7 @@
 		// Nothing changes, and what was told holds all the same.
 		time.Sleep(10 * reportTTL)
 		is.Equal(b.table.InFlight(engine), 1)
-		is.Equal(b.table.Counts().Expired, uint64(0))
+		is.Equal(b.table.Stats().Expired, uint64(0))
 		a.set()
 		time.Sleep(2 * reportInterval)
 		is.Equal(b.table.InFlight(engine), 0)
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -190,8 +190,8 @@
 	return o
 }
 
-// Counts returns the totals.
-func (t *Table) Counts() TableStats {
+// Stats returns the totals.
+func (t *Table) Stats() TableStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expireReports(t.now())
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -75,15 +75,15 @@
 		return
 	}
 	metrics.Gauge(n.metrics, "requests_elsewhere", "Requests of other owners believed to be under way at replicas.",
-		func() int { return o.table.Counts().Elsewhere })
+		func() int { return o.table.Stats().Elsewhere })
 	metrics.Counter(n.metrics, "occupancy_reports_received_total", "Reports of other owners' requests taken in.",
-		func() uint64 { return o.table.Counts().Received })
+		func() uint64 { return o.table.Stats().Received })
 	metrics.Counter(n.metrics, "occupancy_reports_refused_total",
 		"Reports of other owners' requests that were late, old or too many.",
-		func() uint64 { return o.table.Counts().Refused })
+		func() uint64 { return o.table.Stats().Refused })
 	metrics.Counter(n.metrics, "occupancy_reports_expired_total",
 		"Reports of other owners' requests that were not followed by another in time.",
-		func() uint64 { return o.table.Counts().Expired })
+		func() uint64 { return o.table.Stats().Expired })
 	metrics.Counter(n.metrics, "occupancy_reports_sent_total", "Reports of own requests sent to other daemons.",
 		func() uint64 { return o.publisher.Totals().Sent })
 	metrics.Counter(n.metrics, "occupancy_reports_failed_total", "Reports of own requests that were not answered.",
