--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -146,7 +146,7 @@
 	}
 	for _, c := range report.Counts {
 		t.inFlight[c.Replica] += int(c.Requests)
-		t.stats.Elsewhere += int(c.Requests)
+		t.stats.OthersInFlight += int(c.Requests)
 	}
 	t.updateNextExpiry(d)
 	return true
@@ -166,7 +166,7 @@
 	}
 	d.current = false
 	for _, c := range d.report.Counts {
-		t.stats.Elsewhere -= int(c.Requests)
+		t.stats.OthersInFlight -= int(c.Requests)
 		if t.inFlight[c.Replica] -= int(c.Requests); t.inFlight[c.Replica] <= 0 {
 			delete(t.inFlight, c.Replica)
 		}
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -84,8 +84,8 @@
 	// Received are the reports taken in, Refused those that were late, old or too many,
 	// Expired those that counted to the end of their time.
 	Received, Refused, Expired uint64
-	// Elsewhere is how many requests of other daemons are under way, by their reports.
-	Elsewhere int
+	// OthersInFlight is how many requests of other daemons are under way, by their reports.
+	OthersInFlight int
 }
 
 // NewTable returns an empty table of the daemon with the given identity.
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -48,7 +48,7 @@
 		time.Sleep(time.Millisecond)
 		is.Equal(table.InFlight(engine), 4)
 		is.Equal(table.Reporters(), []string{"b"})
-		is.Equal(table.Stats(), TableStats{Received: 3, Expired: 1, Elsewhere: 4})
+		is.Equal(table.Stats(), TableStats{Received: 3, Expired: 1, OthersInFlight: 4})
 	})
 }
 
@@ -174,9 +174,9 @@
 					sum += int(d.report.Counts[0].Requests)
 				}
 			}
-			if table.InFlight(engine) != sum || table.Stats().Elsewhere != sum {
+			if table.InFlight(engine) != sum || table.Stats().OthersInFlight != sum {
 				t.Fatalf("%d at the engine, %d in all, reports say %d",
-					table.InFlight(engine), table.Stats().Elsewhere, sum)
+					table.InFlight(engine), table.Stats().OthersInFlight, sum)
 			}
 		}
 	})
@@ -190,7 +190,7 @@
 			long.Counts = append(long.Counts, RequestCount{Replica: Key(i), Requests: 1})
 		}
 		table.Merge(long)
-		is.Equal(table.Stats().Elsewhere, maxEntries)
+		is.Equal(table.Stats().OthersInFlight, maxEntries)
 		for i := range 2 * maxDaemons {
 			outcome := table.Merge(reported(fmt.Sprintf("d%d/1", i), 1, clock.Now(), 1))
 			is.Equal(outcome == Accepted, i < maxDaemons-1)
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -75,7 +75,7 @@
 		return
 	}
 	metrics.Gauge(n.metrics, "requests_elsewhere", "Requests of other owners believed to be under way at replicas.",
-		func() int { return o.table.Stats().Elsewhere })
+		func() int { return o.table.Stats().OthersInFlight })
 	metrics.Counter(n.metrics, "occupancy_reports_received_total", "Reports of other owners' requests taken in.",
 		func() uint64 { return o.table.Stats().Received })
 	metrics.Counter(n.metrics, "occupancy_reports_refused_total",
