--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -16,11 +16,11 @@
 	reportInterval = 100 * time.Millisecond
 	// repeatInterval is after how long a report is sent again though nothing has changed.
 	repeatInterval = reportTTL / 3
-	// bytesPerSecond bounds what a daemon sends, two thirds of the 18 KB that one may need
+	// maxBytesPerSecond bounds what a daemon sends, two thirds of the 18 KB that one may need
 	// for all that is no work, and with callBytes its calls to 40 a second. From some 40 owners on
 	// reports lapse before the next comes, and an owner knows a part of the others' requests
 	// at a time.
-	bytesPerSecond = 12000
+	maxBytesPerSecond = 12000
 	// callBytes is what a call takes besides the report: the headers of net/rpc both ways
 	// and of four segments.
 	callBytes = 300
@@ -167,7 +167,7 @@
 	}
 	sent := p.send(ctx, own, now)
 	p.last, p.lastAt = own, now
-	p.pause = max(reportInterval, time.Duration(float64(sent)/bytesPerSecond*float64(time.Second)))
+	p.pause = max(reportInterval, time.Duration(float64(sent)/maxBytesPerSecond*float64(time.Second)))
 	if own.isEmpty() {
 		p.end()
 		return repeatInterval
--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -237,7 +237,7 @@
 				time.Sleep(time.Second / perSecond)
 			}
 			totals := daemons.daemons["d0"].publisher.Totals()
-			is.True(float64(totals.Bytes) <= 1.2*bytesPerSecond*over.Seconds()) // a first round is whole
+			is.True(float64(totals.Bytes) <= 1.2*maxBytesPerSecond*over.Seconds()) // a first round is whole
 			perPeer := float64(totals.Sent) / over.Seconds() / float64(owners-1)
 			is.True(perPeer <= 1.1/reportInterval.Seconds())
 			t.Logf("%d owners: %.0f bytes a second, %.2f reports a second to each other one, %.0f bytes each", owners,
