--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -21,9 +21,9 @@
 	// reports lapse before the next comes, and an owner knows a part of the others' requests
 	// at a time.
 	maxBytesPerSecond = 12000
-	// callBytes is what a call takes besides the report: the headers of net/rpc both ways
+	// callOverheadBytes is what a call takes besides the report: the headers of net/rpc both ways
 	// and of four segments.
-	callBytes = 300
+	callOverheadBytes = 300
 	// introduceInterval is the time between two reports to a daemon that has no batches but
 	// may get one at any moment.
 	introduceInterval = 2 * time.Second
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -36,7 +36,7 @@
 			return bytes
 		}
 		to.sending, to.sentAt = true, now
-		bytes += len(msg.Body) + callBytes
+		bytes += len(msg.Body) + callOverheadBytes
 		go p.sendTo(ctx, machine, to, state, msg)
 	}
 	p.totals.Sent += uint64(len(due))
