--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -33,8 +33,8 @@
 	// callTimeout bounds one call, of either kind: as long as other calls between daemons
 	// may take, as a peer that needs longer is left alone for all of them.
 	callTimeout = 700 * time.Millisecond
-	// maxAsked is how many peers at most are asked, one after the other, for what they know.
-	maxAsked = 3
+	// maxSnapshotCalls is how many peers at most are asked, one after the other, for what they know.
+	maxSnapshotCalls = 3
 	// eventTimeRepeat is after how long an event time is sent again, eventTimeChange by which
 	// part it must differ to be sent before: they are known to within a few hundredths.
 	eventTimeRepeat = 2 * time.Second
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -100,7 +100,7 @@
 		if asked[machine] {
 			continue
 		}
-		if len(asked) > maxAsked {
+		if len(asked) > maxSnapshotCalls {
 			return
 		}
 		asked[machine] = true
