--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -35,10 +35,10 @@
 	callTimeout = 700 * time.Millisecond
 	// maxSnapshotCalls is how many peers at most are asked, one after the other, for what they know.
 	maxSnapshotCalls = 3
-	// eventTimeRepeat is after how long an event time is sent again, eventTimeChange by which
+	// eventTimeRepeatInterval is after how long an event time is sent again, eventTimeChange by which
 	// part it must differ to be sent before: they are known to within a few hundredths.
-	eventTimeRepeat = 2 * time.Second
-	eventTimeChange = 0.08
+	eventTimeRepeatInterval = 2 * time.Second
+	eventTimeChange         = 0.08
 )
 
 // Peers are the other daemons.
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -62,7 +62,7 @@
 		before, ok := p.sentTimes[m.Replica]
 		difference := max(m.EventTime, before.eventTime) - min(m.EventTime, before.eventTime)
 		small := float64(difference) < eventTimeChange*float64(before.eventTime)
-		if ok && small && now.Sub(before.at) < eventTimeRepeat {
+		if ok && small && now.Sub(before.at) < eventTimeRepeatInterval {
 			continue
 		}
 		p.sentTimes[m.Replica] = sentTime{eventTime: m.EventTime, at: now}
