--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -37,8 +37,8 @@
 	maxSnapshotCalls = 3
 	// eventTimeRepeatInterval is after how long an event time is sent again, eventTimeChange by which
 	// part it must differ to be sent before: they are known to within a few hundredths.
-	eventTimeRepeatInterval = 2 * time.Second
-	eventTimeChange         = 0.08
+	eventTimeRepeatInterval    = 2 * time.Second
+	minEventTimeChangeFraction = 0.08
 )
 
 // Peers are the other daemons.
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -61,7 +61,7 @@
 	for _, m := range measured {
 		before, ok := p.sentTimes[m.Replica]
 		difference := max(m.EventTime, before.eventTime) - min(m.EventTime, before.eventTime)
-		small := float64(difference) < eventTimeChange*float64(before.eventTime)
+		small := float64(difference) < minEventTimeChangeFraction*float64(before.eventTime)
 		if ok && small && now.Sub(before.at) < eventTimeRepeatInterval {
 			continue
 		}
