--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -56,8 +56,8 @@
 // as a call to the journal.
 type Candidates func(ctx context.Context) []string
 
-// sentTime is an event time as it was sent last.
-type sentTime struct {
+// sentEventTime is an event time as it was sent last.
+type sentEventTime struct {
 	eventTime uint32
 	at        time.Time
 }
@@ -86,7 +86,7 @@
 	last      Report
 	lastAt    time.Time
 	pause     time.Duration
-	sentTimes map[Key]sentTime
+	sentTimes map[Key]sentEventTime
 
 	// active says that there is something to report; endedAt is when there was last, zero if there
 	// never was.
@@ -110,7 +110,7 @@
 		logger:     logger,
 		wake:       make(chan struct{}, 1),
 		recipients: map[string]*recipient{},
-		sentTimes:  map[Key]sentTime{},
+		sentTimes:  map[Key]sentEventTime{},
 	}
 }
 
@@ -189,7 +189,7 @@
 	p.logger.Info("reports to other owners end", zap.Uint64("report", p.number),
 		zap.Uint64("calls", p.totals.Sent), zap.Uint64("failed", p.totals.Failed),
 		zap.Uint64("bytes", p.totals.Bytes))
-	p.recipients, p.sentTimes = map[string]*recipient{}, map[Key]sentTime{}
+	p.recipients, p.sentTimes = map[string]*recipient{}, map[Key]sentEventTime{}
 }
 
 // ordered brings counts in order, those of one key as one.
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -65,7 +65,7 @@
 		if ok && small && now.Sub(before.at) < eventTimeRepeatInterval {
 			continue
 		}
-		p.sentTimes[m.Replica] = sentTime{eventTime: m.EventTime, at: now}
+		p.sentTimes[m.Replica] = sentEventTime{eventTime: m.EventTime, at: now}
 		due = append(due, m)
 	}
 	return due
