--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -82,11 +82,11 @@
 	refreshing bool
 
 	// What was reported: the last report, when, and for how long after that the next one waits.
-	number    uint64
-	last      Report
-	lastAt    time.Time
-	pause     time.Duration
-	sentTimes map[Key]sentEventTime
+	number         uint64
+	last           Report
+	lastAt         time.Time
+	pause          time.Duration
+	sentEventTimes map[Key]sentEventTime
 
 	// active says that there is something to report; endedAt is when there was last, zero if there
 	// never was.
@@ -103,14 +103,14 @@
 	table *Table, peers Peers, source Source, candidates Candidates, logger *zap.Logger,
 ) *Publisher {
 	return &Publisher{
-		table:      table,
-		peers:      peers,
-		source:     source,
-		candidates: candidates,
-		logger:     logger,
-		wake:       make(chan struct{}, 1),
-		recipients: map[string]*recipient{},
-		sentTimes:  map[Key]sentEventTime{},
+		table:          table,
+		peers:          peers,
+		source:         source,
+		candidates:     candidates,
+		logger:         logger,
+		wake:           make(chan struct{}, 1),
+		recipients:     map[string]*recipient{},
+		sentEventTimes: map[Key]sentEventTime{},
 	}
 }
 
@@ -189,7 +189,7 @@
 	p.logger.Info("reports to other owners end", zap.Uint64("report", p.number),
 		zap.Uint64("calls", p.totals.Sent), zap.Uint64("failed", p.totals.Failed),
 		zap.Uint64("bytes", p.totals.Bytes))
-	p.recipients, p.sentTimes = map[string]*recipient{}, map[Key]sentEventTime{}
+	p.recipients, p.sentEventTimes = map[string]*recipient{}, map[Key]sentEventTime{}
 }
 
 // ordered brings counts in order, those of one key as one.
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -59,13 +59,13 @@
 // held.
 func (p *Publisher) measuredDue(measured []Measurement, now time.Time) (due []Measurement) {
 	for _, m := range measured {
-		before, ok := p.sentTimes[m.Replica]
+		before, ok := p.sentEventTimes[m.Replica]
 		difference := max(m.EventTime, before.eventTime) - min(m.EventTime, before.eventTime)
 		small := float64(difference) < minEventTimeChangeFraction*float64(before.eventTime)
 		if ok && small && now.Sub(before.at) < eventTimeRepeatInterval {
 			continue
 		}
-		p.sentTimes[m.Replica] = sentEventTime{eventTime: m.EventTime, at: now}
+		p.sentEventTimes[m.Replica] = sentEventTime{eventTime: m.EventTime, at: now}
 		due = append(due, m)
 	}
 	return due
