--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -85,7 +85,7 @@
 	number         uint64
 	last           Report
 	lastAt         time.Time
-	pause          time.Duration
+	sendInterval   time.Duration
 	sentEventTimes map[Key]sentEventTime
 
 	// active says that there is something to report; endedAt is when there was last, zero if there
@@ -139,7 +139,7 @@
 func (p *Publisher) wakeUnlessResting() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.active && time.Since(p.lastAt) < p.pause {
+	if p.active && time.Since(p.lastAt) < p.sendInterval {
 		return nil
 	}
 	return p.wake
@@ -154,7 +154,7 @@
 	if own.isEmpty() && !p.active {
 		return repeatInterval
 	}
-	if rest := p.lastAt.Add(p.pause).Sub(now); p.active && rest > 0 {
+	if rest := p.lastAt.Add(p.sendInterval).Sub(now); p.active && rest > 0 {
 		return rest
 	}
 	if !p.active {
@@ -167,12 +167,12 @@
 	}
 	sent := p.send(ctx, own, now)
 	p.last, p.lastAt = own, now
-	p.pause = max(reportInterval, time.Duration(float64(sent)/maxBytesPerSecond*float64(time.Second)))
+	p.sendInterval = max(reportInterval, time.Duration(float64(sent)/maxBytesPerSecond*float64(time.Second)))
 	if own.isEmpty() {
 		p.end()
 		return repeatInterval
 	}
-	return p.pause
+	return p.sendInterval
 }
 
 // begin starts to report, and has another owner asked for what it knows. The mutex is held.
