--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -83,7 +83,7 @@
 
 	// What was reported: the last report, when, and for how long after that the next one waits.
 	number         uint64
-	last           Report
+	lastReport     Report
 	lastAt         time.Time
 	sendInterval   time.Duration
 	sentEventTimes map[Key]sentEventTime
@@ -161,12 +161,12 @@
 		p.begin(ctx)
 	}
 	p.refresh(ctx, now)
-	changed := !sameState(&own, &p.last)
+	changed := !sameState(&own, &p.lastReport)
 	if !changed && now.Sub(p.lastAt) < repeatInterval {
 		return reportInterval
 	}
 	sent := p.send(ctx, own, now)
-	p.last, p.lastAt = own, now
+	p.lastReport, p.lastAt = own, now
 	p.sendInterval = max(reportInterval, time.Duration(float64(sent)/maxBytesPerSecond*float64(time.Second)))
 	if own.isEmpty() {
 		p.end()
--- a/internal/batches/occupancy/recipients.go
+++ b/internal/batches/occupancy/recipients.go
@@ -35,7 +35,7 @@
 			return // where it can't be learned, those of before may still be right
 		}
 		// Some are to get a report though nothing else has changed.
-		p.machines, p.last = machines, Report{}
+		p.machines, p.lastReport = machines, Report{}
 	}()
 }
 
