--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -84,7 +84,7 @@
 	// What was reported: the last report, when, and for how long after that the next one waits.
 	number         uint64
 	lastReport     Report
-	lastAt         time.Time
+	lastSentAt     time.Time
 	sendInterval   time.Duration
 	sentEventTimes map[Key]sentEventTime
 
@@ -139,7 +139,7 @@
 func (p *Publisher) wakeUnlessResting() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.active && time.Since(p.lastAt) < p.sendInterval {
+	if p.active && time.Since(p.lastSentAt) < p.sendInterval {
 		return nil
 	}
 	return p.wake
@@ -154,7 +154,7 @@
 	if own.isEmpty() && !p.active {
 		return repeatInterval
 	}
-	if rest := p.lastAt.Add(p.sendInterval).Sub(now); p.active && rest > 0 {
+	if rest := p.lastSentAt.Add(p.sendInterval).Sub(now); p.active && rest > 0 {
 		return rest
 	}
 	if !p.active {
@@ -162,11 +162,11 @@
 	}
 	p.refresh(ctx, now)
 	changed := !sameState(&own, &p.lastReport)
-	if !changed && now.Sub(p.lastAt) < repeatInterval {
+	if !changed && now.Sub(p.lastSentAt) < repeatInterval {
 		return reportInterval
 	}
 	sent := p.send(ctx, own, now)
-	p.lastReport, p.lastAt = own, now
+	p.lastReport, p.lastSentAt = own, now
 	p.sendInterval = max(reportInterval, time.Duration(float64(sent)/maxBytesPerSecond*float64(time.Second)))
 	if own.isEmpty() {
 		p.end()
