--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -88,11 +88,11 @@
 	sendInterval   time.Duration
 	sentEventTimes map[Key]sentEventTime
 
-	// active says that there is something to report; endedAt is when there was last, zero if there
+	// reporting says that there is something to report; endedAt is when there was last, zero if there
 	// never was.
-	active  bool
-	endedAt time.Time
-	totals  Totals
+	reporting bool
+	endedAt   time.Time
+	totals    Totals
 }
 
 // Totals are a publisher's totals: calls made, those that failed, and bytes.
@@ -139,7 +139,7 @@
 func (p *Publisher) wakeUnlessResting() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.active && time.Since(p.lastSentAt) < p.sendInterval {
+	if p.reporting && time.Since(p.lastSentAt) < p.sendInterval {
 		return nil
 	}
 	return p.wake
@@ -151,13 +151,13 @@
 	own := p.current()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if own.isEmpty() && !p.active {
+	if own.isEmpty() && !p.reporting {
 		return repeatInterval
 	}
-	if rest := p.lastSentAt.Add(p.sendInterval).Sub(now); p.active && rest > 0 {
+	if rest := p.lastSentAt.Add(p.sendInterval).Sub(now); p.reporting && rest > 0 {
 		return rest
 	}
-	if !p.active {
+	if !p.reporting {
 		p.begin(ctx)
 	}
 	p.refresh(ctx, now)
@@ -177,7 +177,7 @@
 
 // begin starts to report, and has another owner asked for what it knows. The mutex is held.
 func (p *Publisher) begin(ctx context.Context) {
-	p.active = true
+	p.reporting = true
 	p.logger.Info("reports to other owners begin", zap.Uint64("report", p.number+1),
 		zap.Int("owners_known", len(p.table.Owners())))
 	go p.askOwners(ctx)
@@ -185,7 +185,7 @@
 
 // end stops reporting. The mutex is held.
 func (p *Publisher) end() {
-	p.active, p.endedAt = false, time.Now()
+	p.reporting, p.endedAt = false, time.Now()
 	p.logger.Info("reports to other owners end", zap.Uint64("report", p.number),
 		zap.Uint64("calls", p.totals.Sent), zap.Uint64("failed", p.totals.Failed),
 		zap.Uint64("bytes", p.totals.Bytes))
@@ -239,7 +239,7 @@
 func (p *Publisher) listens() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.active || !p.endedAt.IsZero() && time.Since(p.endedAt) < lingerTime
+	return p.reporting || !p.endedAt.IsZero() && time.Since(p.endedAt) < lingerTime
 }
 
 // Totals returns the totals since the start.
