--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -91,7 +91,7 @@
 	// reporting says that there is something to report; endedAt is when there was last, zero if there
 	// never was.
 	reporting bool
-	endedAt   time.Time
+	stoppedAt time.Time
 	totals    Totals
 }
 
@@ -185,7 +185,7 @@
 
 // end stops reporting. The mutex is held.
 func (p *Publisher) end() {
-	p.reporting, p.endedAt = false, time.Now()
+	p.reporting, p.stoppedAt = false, time.Now()
 	p.logger.Info("reports to other owners end", zap.Uint64("report", p.number),
 		zap.Uint64("calls", p.totals.Sent), zap.Uint64("failed", p.totals.Failed),
 		zap.Uint64("bytes", p.totals.Bytes))
@@ -239,7 +239,7 @@
 func (p *Publisher) listens() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.reporting || !p.endedAt.IsZero() && time.Since(p.endedAt) < lingerTime
+	return p.reporting || !p.stoppedAt.IsZero() && time.Since(p.stoppedAt) < lingerTime
 }
 
 // Totals returns the totals since the start.
