--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -92,7 +92,7 @@
 	// never was.
 	reporting bool
 	stoppedAt time.Time
-	totals    Totals
+	stats     Totals
 }
 
 // Totals are a publisher's totals: calls made, those that failed, and bytes.
@@ -187,8 +187,8 @@
 func (p *Publisher) end() {
 	p.reporting, p.stoppedAt = false, time.Now()
 	p.logger.Info("reports to other owners end", zap.Uint64("report", p.number),
-		zap.Uint64("calls", p.totals.Sent), zap.Uint64("failed", p.totals.Failed),
-		zap.Uint64("bytes", p.totals.Bytes))
+		zap.Uint64("calls", p.stats.Sent), zap.Uint64("failed", p.stats.Failed),
+		zap.Uint64("bytes", p.stats.Bytes))
 	p.recipients, p.sentEventTimes = map[string]*recipient{}, map[Key]sentEventTime{}
 }
 
@@ -246,5 +246,5 @@
 func (p *Publisher) Totals() Totals {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.totals
+	return p.stats
 }
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -39,8 +39,8 @@
 		bytes += len(msg.Body) + callOverheadBytes
 		go p.sendTo(ctx, machine, to, state, msg)
 	}
-	p.totals.Sent += uint64(len(due))
-	p.totals.Bytes += uint64(bytes)
+	p.stats.Sent += uint64(len(due))
+	p.stats.Bytes += uint64(bytes)
 	return bytes
 }
 
@@ -82,7 +82,7 @@
 	to.sending, to.owner, to.acknowledged = false, false, Report{}
 	if err != nil {
 		// An answer may still be written to reply.
-		p.totals.Failed++
+		p.stats.Failed++
 		p.logger.Debug("report not sent", zap.String("to", machine), zap.Error(err)) // up to 40 calls a second
 		return
 	}
