--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -92,11 +92,11 @@
 	// never was.
 	reporting bool
 	stoppedAt time.Time
-	stats     Totals
+	stats     PublisherStats
 }
 
-// Totals are a publisher's totals: calls made, those that failed, and bytes.
-type Totals struct{ Sent, Failed, Bytes uint64 }
+// PublisherStats are a publisher's totals: calls made, those that failed, and bytes.
+type PublisherStats struct{ Sent, Failed, Bytes uint64 }
 
 // NewPublisher returns a publisher; Run starts it.
 func NewPublisher(
@@ -243,7 +243,7 @@
 }
 
 // Totals returns the totals since the start.
-func (p *Publisher) Totals() Totals {
+func (p *Publisher) Totals() PublisherStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stats
