--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -242,8 +242,8 @@
 	return p.reporting || !p.stoppedAt.IsZero() && time.Since(p.stoppedAt) < lingerTime
 }
 
-// Totals returns the totals since the start.
-func (p *Publisher) Totals() PublisherStats {
+// Stats returns the totals since the start.
+func (p *Publisher) Stats() PublisherStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stats
--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -105,7 +105,7 @@
 	withFleet(t, 3, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b, c := daemons.daemons["d0"], daemons.daemons["d1"], daemons.daemons["d2"]
 		time.Sleep(5 * time.Second)
-		is.Equal(a.publisher.Totals().Sent+b.publisher.Totals().Sent, uint64(0))
+		is.Equal(a.publisher.Stats().Sent+b.publisher.Stats().Sent, uint64(0))
 		a.set(RequestCount{Replica: engine, Requests: 3})
 		b.set(RequestCount{Replica: engine, Requests: 2}, RequestCount{Replica: engine + 1, Requests: 1})
 		time.Sleep(2 * reportInterval)
@@ -129,9 +129,9 @@
 		a.set()
 		time.Sleep(2 * reportInterval)
 		is.Equal(b.table.InFlight(engine), 0)
-		told := a.publisher.Totals().Sent
+		told := a.publisher.Stats().Sent
 		time.Sleep(10 * time.Second)
-		is.Equal(a.publisher.Totals().Sent, told)
+		is.Equal(a.publisher.Stats().Sent, told)
 	})
 }
 
@@ -168,7 +168,7 @@
 			is.True(c.table.InFlight(engine) >= int(number)) // one interval behind at most, c's count left out
 		}
 		time.Sleep(reportInterval)
-		totals := a.publisher.Totals()
+		totals := a.publisher.Stats()
 		is.True(totals.Failed >= 2)
 		is.True(totals.Failed <= uint64(40*reportInterval/callTimeout)+1)
 		daemons.setSilent("d1", false)
@@ -236,7 +236,7 @@
 				}
 				time.Sleep(time.Second / perSecond)
 			}
-			totals := daemons.daemons["d0"].publisher.Totals()
+			totals := daemons.daemons["d0"].publisher.Stats()
 			is.True(float64(totals.Bytes) <= 1.2*maxBytesPerSecond*over.Seconds()) // a first round is whole
 			perPeer := float64(totals.Sent) / over.Seconds() / float64(owners-1)
 			is.True(perPeer <= 1.1/reportInterval.Seconds())
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -85,9 +85,9 @@
 		"Reports of other owners' requests that were not followed by another in time.",
 		func() uint64 { return o.table.Stats().Expired })
 	metrics.Counter(n.metrics, "occupancy_reports_sent_total", "Reports of own requests sent to other daemons.",
-		func() uint64 { return o.publisher.Totals().Sent })
+		func() uint64 { return o.publisher.Stats().Sent })
 	metrics.Counter(n.metrics, "occupancy_reports_failed_total", "Reports of own requests that were not answered.",
-		func() uint64 { return o.publisher.Totals().Failed })
+		func() uint64 { return o.publisher.Stats().Failed })
 	metrics.Counter(n.metrics, "occupancy_bytes_sent_total", "Bytes of reports of own requests, with their headers.",
-		func() uint64 { return o.publisher.Totals().Bytes })
+		func() uint64 { return o.publisher.Stats().Bytes })
 }
