--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -158,7 +158,7 @@
 		return rest
 	}
 	if !p.reporting {
-		p.begin(ctx)
+		p.startReporting(ctx)
 	}
 	p.refresh(ctx, now)
 	changed := !sameState(&own, &p.lastReport)
@@ -175,8 +175,8 @@
 	return p.sendInterval
 }
 
-// begin starts to report, and has another owner asked for what it knows. The mutex is held.
-func (p *Publisher) begin(ctx context.Context) {
+// startReporting starts to report, and has another owner asked for what it knows. The mutex is held.
+func (p *Publisher) startReporting(ctx context.Context) {
 	p.reporting = true
 	p.logger.Info("reports to other owners begin", zap.Uint64("report", p.number+1),
 		zap.Int("owners_known", len(p.table.Owners())))
