--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -169,7 +169,7 @@
 	p.lastReport, p.lastSentAt = own, now
 	p.sendInterval = max(reportInterval, time.Duration(float64(sent)/maxBytesPerSecond*float64(time.Second)))
 	if own.isEmpty() {
-		p.end()
+		p.stopReporting()
 		return repeatInterval
 	}
 	return p.sendInterval
@@ -183,8 +183,8 @@
 	go p.askOwners(ctx)
 }
 
-// end stops reporting. The mutex is held.
-func (p *Publisher) end() {
+// stopReporting stops reporting. The mutex is held.
+func (p *Publisher) stopReporting() {
 	p.reporting, p.stoppedAt = false, time.Now()
 	p.logger.Info("reports to other owners end", zap.Uint64("report", p.number),
 		zap.Uint64("calls", p.stats.Sent), zap.Uint64("failed", p.stats.Failed),
