--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -192,8 +192,8 @@
 	p.recipients, p.sentEventTimes = map[string]*recipient{}, map[Key]sentEventTime{}
 }
 
-// ordered brings counts in order, those of one key as one.
-func ordered(counts []RequestCount) (sums []RequestCount) {
+// normalizeCounts brings counts in order, those of one key as one.
+func normalizeCounts(counts []RequestCount) (sums []RequestCount) {
 	slices.SortFunc(counts, func(a, b RequestCount) int { return cmp.Compare(a.Replica, b.Replica) })
 	for _, c := range counts {
 		switch last := len(sums) - 1; {
@@ -224,7 +224,7 @@
 // current returns what this daemon has now, its counts and demands in order.
 func (p *Publisher) current() Report {
 	own := p.source()
-	own.Counts = ordered(own.Counts)
+	own.Counts = normalizeCounts(own.Counts)
 	slices.SortFunc(own.Demands, func(a, b Demand) int { return cmp.Compare(a.Service, b.Service) })
 	return own
 }
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -146,7 +146,7 @@
 			for _, key := range rapid.SliceOfN(rapid.Uint32Range(0, 20), 0, 12).Draw(t, name) {
 				counts = append(counts, RequestCount{Replica: Key(key), Requests: key%4 + uint32(len(counts))})
 			}
-			return ordered(counts)
+			return normalizeCounts(counts)
 		}
 		before, now := draw("before"), draw("now")
 		made := applyDiff(before, diffCounts(before, now))
