--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -212,8 +212,8 @@
 	return slices.Equal(a.Counts, b.Counts) && slices.Equal(a.Demands, b.Demands)
 }
 
-// own returns the report that this daemon would send now.
-func (p *Publisher) own() Report {
+// ownReport returns the report that this daemon would send now.
+func (p *Publisher) ownReport() Report {
 	own := p.current()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/batches/occupancy/service.go
+++ b/internal/batches/occupancy/service.go
@@ -56,7 +56,7 @@
 // for net/rpc.
 func (s *Service) Ask(_ struct{}, msg *Message) error {
 	o := s.table.Snapshot()
-	if own := s.publisher.own(); !own.isEmpty() {
+	if own := s.publisher.ownReport(); !own.isEmpty() {
 		o.Measured = append(o.Measured, own.Measurements...)
 		own.Measurements = nil
 		o.Reports = append(o.Reports, RelayedReport{Report: own})
