--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -148,7 +148,7 @@
 // publish sends a report if there is something new, and returns when to look again at the
 // latest.
 func (p *Publisher) publish(ctx context.Context, now time.Time) time.Duration {
-	own := p.current()
+	own := p.currentState()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if own.isEmpty() && !p.reporting {
@@ -214,15 +214,15 @@
 
 // ownReport returns the report that this daemon would send now.
 func (p *Publisher) ownReport() Report {
-	own := p.current()
+	own := p.currentState()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stamp(&own)
 	return own
 }
 
-// current returns what this daemon has now, its counts and demands in order.
-func (p *Publisher) current() Report {
+// currentState returns what this daemon has now, its counts and demands in order.
+func (p *Publisher) currentState() Report {
 	own := p.source()
 	own.Counts = normalizeCounts(own.Counts)
 	slices.SortFunc(own.Demands, func(a, b Demand) int { return cmp.Compare(a.Service, b.Service) })
