--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -234,9 +234,9 @@
 	report.Sender, report.Number, report.SentMillis = p.table.self, p.number, p.table.now().UnixMilli()
 }
 
-// listens reports whether others should send this daemon their reports: it has requests
+// wantsReports reports whether others should send this daemon their reports: it has requests
 // itself, or had a moment ago.
-func (p *Publisher) listens() bool {
+func (p *Publisher) wantsReports() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reporting || !p.stoppedAt.IsZero() && time.Since(p.stoppedAt) < lingerTime
--- a/internal/batches/occupancy/service.go
+++ b/internal/batches/occupancy/service.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	reply.Whole = s.table.Merge(report) != Accepted
-	reply.Owner = s.publisher.listens()
+	reply.Owner = s.publisher.wantsReports()
 	s.onReport()
 	return nil
 }
