--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -129,14 +129,14 @@
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-		case <-p.wakeUnlessResting():
+		case <-p.wakeChannel():
 		}
 		timer.Stop()
 	}
 }
 
-// wakeUnlessResting returns the channel of Wake, or nil as long as the next report must not go.
-func (p *Publisher) wakeUnlessResting() <-chan struct{} {
+// wakeChannel returns the channel of Wake, or nil as long as the next report must not go.
+func (p *Publisher) wakeChannel() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.reporting && time.Since(p.lastSentAt) < p.sendInterval {
