--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -125,7 +125,7 @@
 // Run sends reports until the context ends. It waits for none of them.
 func (p *Publisher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		timer := time.NewTimer(p.publish(ctx, time.Now()))
+		timer := time.NewTimer(p.publishIfDue(ctx, time.Now()))
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -145,9 +145,9 @@
 	return p.wake
 }
 
-// publish sends a report if there is something new, and returns when to look again at the
+// publishIfDue sends a report if there is something new, and returns when to look again at the
 // latest.
-func (p *Publisher) publish(ctx context.Context, now time.Time) time.Duration {
+func (p *Publisher) publishIfDue(ctx context.Context, now time.Time) time.Duration {
 	own := p.currentState()
 	p.mu.Lock()
 	defer p.mu.Unlock()
