--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -160,7 +160,7 @@
 	if !p.reporting {
 		p.startReporting(ctx)
 	}
-	p.refresh(ctx, now)
+	p.refreshMachines(ctx, now)
 	changed := !sameState(&own, &p.lastReport)
 	if !changed && now.Sub(p.lastSentAt) < repeatInterval {
 		return reportInterval
--- a/internal/batches/occupancy/recipients.go
+++ b/internal/batches/occupancy/recipients.go
@@ -19,9 +19,9 @@
 	acknowledged Report
 }
 
-// refresh learns anew which machines may be given batches, without waiting for it. The mutex
+// refreshMachines learns anew which machines may be given batches, without waiting for it. The mutex
 // is held.
-func (p *Publisher) refresh(ctx context.Context, now time.Time) {
+func (p *Publisher) refreshMachines(ctx context.Context, now time.Time) {
 	if p.refreshing || !p.machinesAt.IsZero() && now.Sub(p.machinesAt) < introduceInterval {
 		return
 	}
