--- a/internal/batches/occupancy/recipients.go
+++ b/internal/batches/occupancy/recipients.go
@@ -47,10 +47,10 @@
 	return slices.Compact(machines)
 }
 
-// due returns the machines to send to now, and whether they are owners: these always, others that
+// dueMachines returns the machines to send to now, and whether they are owners: these always, others that
 // may become ones each introduceInterval. One that has not answered yet is left out. The mutex is
 // held.
-func (p *Publisher) due(now time.Time, last bool) map[string]bool {
+func (p *Publisher) dueMachines(now time.Time, last bool) map[string]bool {
 	due := map[string]bool{}
 	for _, machine := range p.machines {
 		due[machine] = false
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -13,7 +13,7 @@
 // send sends a report to all that are due, and returns how many bytes that takes. The mutex
 // is held.
 func (p *Publisher) send(ctx context.Context, own Report, now time.Time) (bytes int) {
-	due := p.due(now, own.isEmpty())
+	due := p.dueMachines(now, own.isEmpty())
 	if len(due) == 0 {
 		return 0
 	}
