--- a/internal/batches/occupancy/recipients.go
+++ b/internal/batches/occupancy/recipients.go
@@ -12,9 +12,9 @@
 type recipient struct {
 	// sending says that a call is under way.
 	sending bool
-	// owner says that it has batches itself, as it answered last.
-	owner  bool
-	sentAt time.Time
+	// isOwner says that it has batches itself, as it answered last.
+	isOwner bool
+	sentAt  time.Time
 	// acknowledged is the report that it has taken in last, Number 0 if none is known to be.
 	acknowledged Report
 }
@@ -56,7 +56,7 @@
 		due[machine] = false
 	}
 	for machine, to := range p.recipients {
-		if to.owner {
+		if to.isOwner {
 			due[machine] = true
 		}
 	}
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -79,14 +79,14 @@
 	err := p.peers.Ask(bounded, machine, tellMethod, msg, &reply)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to.sending, to.owner, to.acknowledged = false, false, Report{}
+	to.sending, to.isOwner, to.acknowledged = false, false, Report{}
 	if err != nil {
 		// An answer may still be written to reply.
 		p.stats.Failed++
 		p.logger.Debug("report not sent", zap.String("to", machine), zap.Error(err)) // up to 40 calls a second
 		return
 	}
-	to.owner = reply.Owner
+	to.isOwner = reply.Owner
 	if !reply.Whole {
 		to.acknowledged = state
 	}
