--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -165,7 +165,7 @@
 	if !changed && now.Sub(p.lastSentAt) < repeatInterval {
 		return reportInterval
 	}
-	sent := p.send(ctx, own, now)
+	sent := p.sendReports(ctx, own, now)
 	p.lastReport, p.lastSentAt = own, now
 	p.sendInterval = max(reportInterval, time.Duration(float64(sent)/maxBytesPerSecond*float64(time.Second)))
 	if own.isEmpty() {
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -10,9 +10,9 @@
 	"woodworks/internal/membership/identity"
 )
 
-// send sends a report to all that are due, and returns how many bytes that takes. The mutex
+// sendReports sends a report to all that are due, and returns how many bytes that takes. The mutex
 // is held.
-func (p *Publisher) send(ctx context.Context, own Report, now time.Time) (bytes int) {
+func (p *Publisher) sendReports(ctx context.Context, own Report, now time.Time) (bytes int) {
 	due := p.dueMachines(now, own.isEmpty())
 	if len(due) == 0 {
 		return 0
