--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -26,7 +26,7 @@
 	own.truncate()
 	for machine, owner := range due {
 		to := p.recipients[machine]
-		report, state := basedOn(to.acknowledged, own), own
+		report, state := deltaFrom(to.acknowledged, own), own
 		if !owner {
 			report, state = introduction, Report{}
 		}
@@ -44,8 +44,8 @@
 	return bytes
 }
 
-// basedOn returns a report as it is sent to one who has an earlier one.
-func basedOn(before, own Report) Report {
+// deltaFrom returns a report as it is sent to one who has an earlier one.
+func deltaFrom(before, own Report) Report {
 	if before.Number == 0 {
 		return own
 	}
