--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -22,7 +22,7 @@
 	introduction := own
 	introduction.Counts, introduction.Demands, introduction.IsIntroduction = nil, nil, true
 	introduction.truncate()
-	own.Measurements = p.measuredDue(own.Measurements, now)
+	own.Measurements = p.dueMeasurements(own.Measurements, now)
 	own.truncate()
 	for machine, owner := range due {
 		to := p.recipients[machine]
@@ -55,9 +55,9 @@
 	return own
 }
 
-// measuredDue returns the event times that have changed or were not sent for a while. The mutex is
+// dueMeasurements returns the event times that have changed or were not sent for a while. The mutex is
 // held.
-func (p *Publisher) measuredDue(measured []Measurement, now time.Time) (due []Measurement) {
+func (p *Publisher) dueMeasurements(measured []Measurement, now time.Time) (due []Measurement) {
 	for _, m := range measured {
 		before, ok := p.sentEventTimes[m.Replica]
 		difference := max(m.EventTime, before.eventTime) - min(m.EventTime, before.eventTime)
