--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -180,7 +180,7 @@
 	p.reporting = true
 	p.logger.Info("reports to other owners begin", zap.Uint64("report", p.number+1),
 		zap.Int("owners_known", len(p.table.Owners())))
-	go p.askOwners(ctx)
+	go p.fetchSnapshot(ctx)
 }
 
 // stopReporting stops reporting. The mutex is held.
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// askOwners asks an owner for all that it knows: one that reported, or else any that may be
+// fetchSnapshot asks an owner for all that it knows: one that reported, or else any that may be
 // one.
-func (p *Publisher) askOwners(ctx context.Context) {
+func (p *Publisher) fetchSnapshot(ctx context.Context) {
 	asked := map[string]bool{identity.Machine(p.table.self): true}
 	for _, machine := range append(p.table.Owners(), p.candidateMachines(ctx)...) {
 		if asked[machine] {
