--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -104,7 +104,7 @@
 			return
 		}
 		asked[machine] = true
-		o, err := p.ask(ctx, machine)
+		o, err := p.requestSnapshot(ctx, machine)
 		reports := p.table.Adopt(o)
 		p.logger.Info("occupancy asked for", zap.String("from", machine), zap.Int("reports", len(o.Reports)),
 			zap.Int("adopted", reports), zap.Int("event_times", len(o.Measured)), zap.Error(err))
@@ -114,7 +114,7 @@
 	}
 }
 
-func (p *Publisher) ask(ctx context.Context, machine string) (o Snapshot, err error) {
+func (p *Publisher) requestSnapshot(ctx context.Context, machine string) (o Snapshot, err error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var answer Message
