--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -18,8 +18,8 @@
 
 const engine = Key(7)
 
-// reported is a report with some requests at one engine, sent at a time of the sender's clock.
-func reported(run string, number uint64, sent time.Time, requests uint32) Report {
+// newReport is a report with some requests at one engine, sent at a time of the sender's clock.
+func newReport(run string, number uint64, sent time.Time, requests uint32) Report {
 	return Report{
 		Sender:     run,
 		Number:     number,
@@ -39,11 +39,11 @@
 // An owner that is cut off, or gone without a word, counts for reportHolds and no longer.
 func TestAReportIsBelievedForAStatedTime(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
-		is.Equal(table.Merge(reported("a/1", 1, clock.Now(), 3)), Accepted)
-		is.Equal(table.Merge(reported("b/1", 1, clock.Now(), 2)), Accepted)
+		is.Equal(table.Merge(newReport("a/1", 1, clock.Now(), 3)), Accepted)
+		is.Equal(table.Merge(newReport("b/1", 1, clock.Now(), 2)), Accepted)
 		is.Equal(table.InFlight(engine), 5)
 		time.Sleep(reportTTL - time.Millisecond)
-		is.Equal(table.Merge(reported("b/1", 2, clock.Now(), 4)), Accepted)
+		is.Equal(table.Merge(newReport("b/1", 2, clock.Now(), 4)), Accepted)
 		is.Equal(table.InFlight(engine), 7)
 		time.Sleep(time.Millisecond)
 		is.Equal(table.InFlight(engine), 4)
@@ -55,7 +55,7 @@
 // Beliefs grow old while the machine that holds them is suspended.
 func TestBeliefsLapseWhileTheMachineIsSuspended(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
-		table.Merge(reported("a/1", 1, clock.Now(), 3))
+		table.Merge(newReport("a/1", 1, clock.Now(), 3))
 		clock.Suspend(reportTTL)
 		is.Equal(table.InFlight(engine), 0)
 	})
@@ -66,17 +66,17 @@
 func TestAReportThatWasOnItsWayForLongIsOld(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		ahead := 40 * time.Minute // the sender's clock
-		table.Merge(reported("a/1", 1, clock.Now().Add(ahead), 3))
-		late := reported("a/1", 2, clock.Now().Add(ahead), 4)
+		table.Merge(newReport("a/1", 1, clock.Now().Add(ahead), 3))
+		late := newReport("a/1", 2, clock.Now().Add(ahead), 4)
 		clock.Suspend(reportTTL / 2)
 		is.Equal(table.Merge(late), Accepted)
 		time.Sleep(reportTTL/2 + 2*time.Millisecond)
 		is.Equal(table.InFlight(engine), 0)
-		late = reported("a/1", 3, clock.Now().Add(ahead), 5)
+		late = newReport("a/1", 3, clock.Now().Add(ahead), 5)
 		clock.Suspend(2 * reportTTL)
 		is.Equal(table.Merge(late), Refused)
 		is.Equal(table.InFlight(engine), 0)
-		is.Equal(table.Merge(reported("a/1", 4, clock.Now().Add(ahead), 6)), Accepted)
+		is.Equal(table.Merge(newReport("a/1", 4, clock.Now().Add(ahead), 6)), Accepted)
 		is.Equal(table.InFlight(engine), 6)
 	})
 }
@@ -84,14 +84,14 @@
 // Doubles and reports that were overtaken change nothing.
 func TestADoubleOrAnOvertakenReportIsRefused(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
-		first, second := reported("a/1", 1, clock.Now(), 3), reported("a/1", 2, clock.Now(), 1)
+		first, second := newReport("a/1", 1, clock.Now(), 3), newReport("a/1", 2, clock.Now(), 1)
 		is.Equal(table.Merge(second), Accepted)
 		is.Equal(table.Merge(first), Refused)
 		is.Equal(table.Merge(second), Refused)
 		is.Equal(table.InFlight(engine), 1)
 		// An empty one ends the belief, and what it has overtaken doesn't bring it back.
 		is.Equal(table.Merge(Report{Sender: "a/1", Number: 4, SentMillis: clock.Now().UnixMilli()}), Accepted)
-		is.Equal(table.Merge(reported("a/1", 3, clock.Now(), 9)), Refused)
+		is.Equal(table.Merge(newReport("a/1", 3, clock.Now(), 9)), Refused)
 		is.Equal(table.InFlight(engine), 0)
 	})
 }
@@ -101,26 +101,26 @@
 // lapsed.
 func TestANewRunReplacesTheOneBefore(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
-		table.Merge(reported("a/1", 9, clock.Now(), 3))
-		is.Equal(table.Merge(reported("a/2", 1, clock.Now(), 1)), Accepted)
+		table.Merge(newReport("a/1", 9, clock.Now(), 3))
+		is.Equal(table.Merge(newReport("a/2", 1, clock.Now(), 1)), Accepted)
 		is.Equal(table.InFlight(engine), 1)
-		is.Equal(table.Merge(reported("a/1", 10, clock.Now(), 3)), Refused)
+		is.Equal(table.Merge(newReport("a/1", 10, clock.Now(), 3)), Refused)
 		is.Equal(table.InFlight(engine), 1)
 		time.Sleep(reportTTL)
-		is.Equal(table.Merge(reported("a/0", 1, clock.Now(), 2)), Accepted)
+		is.Equal(table.Merge(newReport("a/0", 1, clock.Now(), 2)), Accepted)
 		is.Equal(table.InFlight(engine), 2)
 		// What this machine's earlier run told is not another's.
-		is.Equal(table.Merge(reported("self/0", 1, clock.Now(), 2)), Refused)
+		is.Equal(table.Merge(newReport("self/0", 1, clock.Now(), 2)), Refused)
 	})
 }
 
 // Changes count only on top of the report that they are based on.
 func TestChangesNeedTheirBase(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
-		change := reported("a/1", 2, clock.Now(), 5)
+		change := newReport("a/1", 2, clock.Now(), 5)
 		change.BaseNumber = 1
 		is.Equal(table.Merge(change), BaseMissing)
-		table.Merge(reported("a/1", 1, clock.Now(), 3))
+		table.Merge(newReport("a/1", 1, clock.Now(), 3))
 		is.Equal(table.Merge(change), Accepted)
 		is.Equal(table.InFlight(engine), 5)
 		// After a time without reports the base is still known.
@@ -165,7 +165,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			run := fmt.Sprintf("%c/%d",
 				'a'+rapid.IntRange(0, 4).Draw(t, "machine"), rapid.IntRange(1, 2).Draw(t, "run"))
-			report := reported(run, uint64(rapid.IntRange(0, number).Draw(t, "number")), now,
+			report := newReport(run, uint64(rapid.IntRange(0, number).Draw(t, "number")), now,
 				uint32(rapid.IntRange(0, 8).Draw(t, "requests")))
 			table.Merge(report)
 			sum := 0
@@ -192,11 +192,11 @@
 		table.Merge(long)
 		is.Equal(table.Stats().OthersInFlight, maxEntries)
 		for i := range 2 * maxDaemons {
-			outcome := table.Merge(reported(fmt.Sprintf("d%d/1", i), 1, clock.Now(), 1))
+			outcome := table.Merge(newReport(fmt.Sprintf("d%d/1", i), 1, clock.Now(), 1))
 			is.Equal(outcome == Accepted, i < maxDaemons-1)
 		}
 		time.Sleep(reportTTL)
-		is.Equal(table.Merge(reported("late/1", 1, clock.Now(), 1)), Accepted)
+		is.Equal(table.Merge(newReport("late/1", 1, clock.Now(), 1)), Accepted)
 		is.Equal(len(table.daemons), maxDaemons)
 		for i := range maxEventTimes {
 			table.Adopt(Snapshot{
@@ -240,13 +240,13 @@
 // heard itself stays where that is newer, and it is not told of its own requests.
 func TestBeliefsAreAdopted(t *testing.T) {
 	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
-		table.Merge(reported("a/1", 1, clock.Now(), 3))
-		table.Merge(reported("b/1", 5, clock.Now(), 2))
-		table.Merge(reported("new/1", 1, clock.Now(), 8))
+		table.Merge(newReport("a/1", 1, clock.Now(), 3))
+		table.Merge(newReport("b/1", 5, clock.Now(), 2))
+		table.Merge(newReport("new/1", 1, clock.Now(), 8))
 		table.Adopt(Snapshot{Measured: []Measurement{NewMeasurement(engine, 20*time.Millisecond, time.Second)}})
 		time.Sleep(reportTTL / 2)
 		newcomer := NewTable("new/2", clock.Now, zap.NewNop())
-		newcomer.Merge(reported("b/1", 6, clock.Now(), 1))
+		newcomer.Merge(newReport("b/1", 6, clock.Now(), 1))
 		is.Equal(newcomer.Adopt(table.Snapshot()), 1)
 		is.Equal(newcomer.InFlight(engine), 4)
 		pace, _ := newcomer.EventTime(engine)
