--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// heard runs a test of a table in virtual time, with the clock of its machine.
-func heard(t *testing.T, test func(is *is.I, table *Table, clock *clocktest.Clock)) {
+// withTable runs a test of a table in virtual time, with the clock of its machine.
+func withTable(t *testing.T, test func(is *is.I, table *Table, clock *clocktest.Clock)) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clocktest.New()
 		test(is.New(t), NewTable("self/1", clock.Now, zap.NewNop()), clock)
@@ -38,7 +38,7 @@
 
 // An owner that is cut off, or gone without a word, counts for reportHolds and no longer.
 func TestAReportIsBelievedForAStatedTime(t *testing.T) {
-	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
+	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		is.Equal(table.Merge(newReport("a/1", 1, clock.Now(), 3)), Accepted)
 		is.Equal(table.Merge(newReport("b/1", 1, clock.Now(), 2)), Accepted)
 		is.Equal(table.InFlight(engine), 5)
@@ -54,7 +54,7 @@
 
 // Beliefs grow old while the machine that holds them is suspended.
 func TestBeliefsLapseWhileTheMachineIsSuspended(t *testing.T) {
-	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
+	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		table.Merge(newReport("a/1", 1, clock.Now(), 3))
 		clock.Suspend(reportTTL)
 		is.Equal(table.InFlight(engine), 0)
@@ -64,7 +64,7 @@
 // A report that waited for its sender or for this machine to be woken is as old as it is: it
 // is refused if it is over, and else believed for what is left.
 func TestAReportThatWasOnItsWayForLongIsOld(t *testing.T) {
-	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
+	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		ahead := 40 * time.Minute // the sender's clock
 		table.Merge(newReport("a/1", 1, clock.Now().Add(ahead), 3))
 		late := newReport("a/1", 2, clock.Now().Add(ahead), 4)
@@ -83,7 +83,7 @@
 
 // Doubles and reports that were overtaken change nothing.
 func TestADoubleOrAnOvertakenReportIsRefused(t *testing.T) {
-	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
+	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		first, second := newReport("a/1", 1, clock.Now(), 3), newReport("a/1", 2, clock.Now(), 1)
 		is.Equal(table.Merge(second), Accepted)
 		is.Equal(table.Merge(first), Refused)
@@ -100,7 +100,7 @@
 // run count no more. A machine whose time of day was put back is heard once the run before has
 // lapsed.
 func TestANewRunReplacesTheOneBefore(t *testing.T) {
-	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
+	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		table.Merge(newReport("a/1", 9, clock.Now(), 3))
 		is.Equal(table.Merge(newReport("a/2", 1, clock.Now(), 1)), Accepted)
 		is.Equal(table.InFlight(engine), 1)
@@ -116,7 +116,7 @@
 
 // Changes count only on top of the report that they are based on.
 func TestChangesNeedTheirBase(t *testing.T) {
-	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
+	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		change := newReport("a/1", 2, clock.Now(), 5)
 		change.BaseNumber = 1
 		is.Equal(table.Merge(change), BaseMissing)
@@ -184,7 +184,7 @@
 
 // A table is bounded in daemons, entries of a report and paces; what holds is not pushed out.
 func TestATableIsBounded(t *testing.T) {
-	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
+	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		long := Report{Sender: "long/1", Number: 1, SentMillis: clock.Now().UnixMilli()}
 		for i := range 2 * maxEntries {
 			long.Counts = append(long.Counts, RequestCount{Replica: Key(i), Requests: 1})
@@ -212,7 +212,7 @@
 
 // Of the paces told of a replica the one measured last counts, for paceHolds.
 func TestThePaceMeasuredLastCounts(t *testing.T) {
-	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
+	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		tell := func(run string, pace, age time.Duration) {
 			report := Report{
 				Sender:       run,
@@ -239,7 +239,7 @@
 // A daemon that becomes an owner takes over what another believes, with its age; what it has
 // heard itself stays where that is newer, and it is not told of its own requests.
 func TestBeliefsAreAdopted(t *testing.T) {
-	heard(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
+	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		table.Merge(newReport("a/1", 1, clock.Now(), 3))
 		table.Merge(newReport("b/1", 5, clock.Now(), 2))
 		table.Merge(newReport("new/1", 1, clock.Now(), 8))
