--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -17,8 +17,8 @@
 
 // fleet are daemons that call each other at once.
 type fleet struct {
-	dealt []string
-	mu    sync.Mutex
+	identities []string
+	mu         sync.Mutex
 	// silent machines answer nothing.
 	silent   map[string]bool
 	services map[string]*Service
@@ -71,7 +71,7 @@
 		report.Counts = append([]RequestCount(nil), report.Counts...)
 		return report
 	}
-	candidates := func(context.Context) []string { return f.dealt }
+	candidates := func(context.Context) []string { return f.identities }
 	o.publisher = NewPublisher(o.table, f, source, candidates, zap.NewNop())
 	f.mu.Lock()
 	f.services[machine], f.daemons[machine] = NewService(o.table, o.publisher, func() {}), o
@@ -84,9 +84,9 @@
 func newFleet(ctx context.Context, count int) *fleet {
 	f := &fleet{silent: map[string]bool{}, services: map[string]*Service{}, daemons: map[string]*owner{}}
 	for i := range count {
-		f.dealt = append(f.dealt, fmt.Sprintf("d%d/1", i))
+		f.identities = append(f.identities, fmt.Sprintf("d%d/1", i))
 	}
-	for i, run := range f.dealt {
+	for i, run := range f.identities {
 		f.start(ctx, run, fmt.Sprintf("d%d", i))
 	}
 	return f
