--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -61,7 +61,7 @@
 	o.publisher.Wake()
 }
 
-func (f *fleet) start(ctx context.Context, run, machine string) *owner {
+func (f *fleet) startDaemon(ctx context.Context, run, machine string) *owner {
 	clock := clocktest.New()
 	o := &owner{table: NewTable(run, clock.Now, zap.NewNop())}
 	source := func() Report {
@@ -87,7 +87,7 @@
 		f.identities = append(f.identities, fmt.Sprintf("d%d/1", i))
 	}
 	for i, run := range f.identities {
-		f.start(ctx, run, fmt.Sprintf("d%d", i))
+		f.startDaemon(ctx, run, fmt.Sprintf("d%d", i))
 	}
 	return f
 }
@@ -184,7 +184,7 @@
 		b.set(RequestCount{Replica: engine, Requests: 1})
 		a.set(RequestCount{Replica: engine, Requests: 3}, RequestCount{Replica: engine + 1, Requests: 1})
 		time.Sleep(time.Second)
-		again := daemons.start(ctx, "d1/2", "d1")
+		again := daemons.startDaemon(ctx, "d1/2", "d1")
 		again.set(RequestCount{Replica: engine, Requests: 1})
 		time.Sleep(2 * repeatInterval)
 		is.Equal(again.table.InFlight(engine), 3)
