--- a/internal/batches/occupancy/rpc_test.go
+++ b/internal/batches/occupancy/rpc_test.go
@@ -25,8 +25,8 @@
 	return address
 }
 
-// related starts a daemon's relay with the parts of this package on it.
-func related(ctx context.Context, t *testing.T, name string, store journal.Journal, source Source) *Table {
+// startRelayedDaemon starts a daemon's relay with the parts of this package on it.
+func startRelayedDaemon(ctx context.Context, t *testing.T, name string, store journal.Journal, source Source) *Table {
 	t.Helper()
 	relayed := relay.New(store, relay.Options{Name: name, Zone: "z", Address: freeAddress(t)}, zap.NewNop())
 	table := NewTable(name+"/1", bootclock.Now, zap.NewNop())
@@ -60,7 +60,7 @@
 			}
 		}
 	}
-	a, b := related(ctx, t, "a", store, has(3)), related(ctx, t, "b", store, has(5))
+	a, b := startRelayedDaemon(ctx, t, "a", store, has(3)), startRelayedDaemon(ctx, t, "b", store, has(5))
 	for ctx.Err() == nil && (a.InFlight(engine) != 5 || b.InFlight(engine) != 3 || len(a.Demands(1)) == 0) {
 		time.Sleep(5 * time.Millisecond)
 	}
