--- a/internal/batches/scheduling/firstevent.go
+++ b/internal/batches/scheduling/firstevent.go
@@ -7,37 +7,39 @@
 )
 
 const (
-	// MaxFirstEventTimeout is how long the first event of an answer is waited for until it is
-	// known what is usual: an engine that changes its weights holds its texts for a second.
+	// MaxFirstEventTimeout bounds the wait for the first event of an attempt. It applies until
+	// enough latencies of a service are known; an engine that loads new weights can hold
+	// responses back for about a second.
 	MaxFirstEventTimeout = 1500 * time.Millisecond
-	// minFirstEventTimeout is the least wait: a long prompt behind some others is read in that time.
+	// minFirstEventTimeout covers the prefill of a long prompt behind several others.
 	minFirstEventTimeout = 300 * time.Millisecond
-	// firstEventWindow is how many first events are remembered, minFirstEvents from how
-	// many on they show what is usual.
+	// firstEventWindow is the number of latencies kept for each service. Below
+	// minFirstEventSamples of them MaxFirstEventTimeout applies.
 	firstEventWindow     = 128
 	minFirstEventSamples = 16
-	// referenceQuantile is the part of the first events that comes in the usual time, and
-	// overdueFactor by what that is exceeded where something is wrong.
+	// referenceQuantile and overdueFactor determine when a first event is overdue: after
+	// overdueFactor times that quantile of the recorded latencies.
 	referenceQuantile = 0.9
 	overdueFactor     = 2.5
 )
 
-// FirstEventLatency learns how long the engines of each service take for the first event of an
-// answer. It is safe for concurrent use, and the zero value is ready.
+// FirstEventLatency records, for each service, how long attempts take to produce their first
+// event. It is safe for concurrent use, and the zero value is ready to use.
 type FirstEventLatency struct {
 	mu       sync.Mutex
 	services map[string]*latencyWindow
 }
 
-// latencyWindow are the last times of one service.
+// latencyWindow is a ring buffer of a service's latest latencies. count is the number of
+// latencies ever recorded.
 type latencyWindow struct {
 	latencies [firstEventWindow]time.Duration
 	count     int
 }
 
-// Observe notes the time from the start of an attempt to its first event, or to its end if
-// it was left without one.
-func (f *FirstEventLatency) Observe(service string, took time.Duration) {
+// Observe records the time from the start of an attempt to its first event, or to its end if
+// it produced none.
+func (f *FirstEventLatency) Observe(service string, latency time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.services == nil {
@@ -48,12 +50,12 @@
 		t = &latencyWindow{}
 		f.services[service] = t
 	}
-	t.latencies[t.count%firstEventWindow] = took
+	t.latencies[t.count%firstEventWindow] = latency
 	t.count++
 }
 
-// OverdueAfter returns how long the first event of an answer of a service should be waited
-// for before the text is to go on elsewhere.
+// OverdueAfter returns the time after which the first event of an attempt at a service is
+// overdue, so that its item should move to another engine.
 func (f *FirstEventLatency) OverdueAfter(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,6 +66,6 @@
 	sorted := t.latencies
 	count := min(t.count, firstEventWindow)
 	slices.Sort(sorted[:count])
-	usual := sorted[int(referenceQuantile*float64(count))]
-	return min(max(time.Duration(overdueFactor*float64(usual)), minFirstEventTimeout), MaxFirstEventTimeout)
+	reference := sorted[int(referenceQuantile*float64(count))]
+	return min(max(time.Duration(overdueFactor*float64(reference)), minFirstEventTimeout), MaxFirstEventTimeout)
 }
--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -6,52 +6,55 @@
 )
 
 const (
-	// defaultTokensPerEvent is assumed until texts have shown how many tokens an event
-	// carries by their hints.
+	// defaultTokensPerEvent is the number of hinted tokens per event assumed before any
+	// observation.
 	defaultTokensPerEvent = 50
-	// defaultDeviation is the standard deviation of the logarithm of a length by its
-	// hint, until it was observed.
+	// defaultDeviation is the standard deviation of log(events / hinted tokens) assumed before
+	// any observation.
 	defaultDeviation = 0.5
-	// priorWeight is how many texts the defaults count as.
+	// priorWeight is the number of observations that the defaults count as.
 	priorWeight = 8
-	// maxWeight is how many texts the means reach back.
+	// maxWeight limits how many past observations the running means reflect.
 	maxWeight = 1000
-	// minSamplesForLongest is from how many texts on the longest of them bounds the
-	// forecasts: engines bound lengths, and many texts reach that bound.
+	// minSamplesForLongest is the number of observations from which the longest output bounds
+	// the estimates: engines truncate outputs, so many end at the same length.
 	minSamplesForLongest = 100
-	// minDeviation keeps a forecast from certainty.
+	// minDeviation keeps the estimated distribution from collapsing to one point.
 	minDeviation = 0.05
-	// exceedingFraction is the part of the texts that outgrow what MaxRemaining returns.
+	// exceedingFraction is the fraction of outputs that exceed the result of MaxRemaining.
 	exceedingFraction = 0.05
-	// minTailFraction is the smallest part of longer texts that is distinguished from none.
+	// minTailFraction is the tail probability below which an output counts as longer than any
+	// estimate.
 	minTailFraction = 1e-9
-	// overrunFraction is what is expected of a text far beyond any forecast, by its length.
+	// overrunFraction is the expected remaining length of an output that is longer than any
+	// estimate, as a fraction of its present length.
 	overrunFraction = 0.1
 )
 
-// LengthEstimator forecasts how long texts get, from their hints and from how texts before
-// compared with theirs: lengths by hints are taken to be log-normal, and a hint that is
-// far off the usual one to be so in part by its own error. It is safe for concurrent use.
-// The zero value is not ready; use NewLengths.
+// LengthEstimator estimates the length of outputs, in events, from the token counts hinted by
+// callers and from earlier outputs. The ratio of length to hint is modelled as log-normal; a
+// regression on the hint corrects for hints that are extreme because of their own error. It is
+// safe for concurrent use. Create it with NewLengthEstimator; the zero value is not usable.
 type LengthEstimator struct {
 	mu sync.Mutex
-	// weight is how many texts the means count as, up to maxWeight. mean and variance are of
-	// the logarithm of events by hinted tokens.
+	// weight is the number of observations that the running means count as, at most maxWeight.
+	// mean and variance are those of log(events / hinted tokens).
 	weight, mean, variance float64
-	// hintMean and hintVariance are of the logarithm of the hints, covariance is that of the
-	// two logarithms.
+	// hintMean and hintVariance are those of log(hinted tokens); covariance is that of the two
+	// logarithms.
 	hintMean, hintVariance, covariance float64
-	// longest is the greatest length of late, in events.
+	// longest is the length of the longest recent output, in events. It decays slowly.
 	longest float64
 }
 
-// NewLengthEstimator returns a forecast before any text.
+// NewLengthEstimator returns an estimator that has only the default distribution.
 func NewLengthEstimator() *LengthEstimator {
 	mean := -math.Log(defaultTokensPerEvent)
 	return &LengthEstimator{weight: priorWeight, mean: mean, variance: defaultDeviation * defaultDeviation}
 }
 
-// Observe notes a whole text: the tokens hinted at and the events that it had.
+// Observe records a complete output: its hinted tokens and its number of events. It ignores
+// values that are not positive.
 func (l *LengthEstimator) Observe(hint int64, events int) {
 	if hint <= 0 || events <= 0 {
 		return
@@ -64,17 +67,18 @@
 		l.hintMean = hinted
 	}
 	l.weight = min(l.weight+1, maxWeight)
-	off, hintOff := value-l.mean, hinted-l.hintMean
-	l.mean += off / l.weight
-	l.hintMean += hintOff / l.weight
-	l.variance += (off*(value-l.mean) - l.variance) / l.weight
-	l.hintVariance += (hintOff*(hinted-l.hintMean) - l.hintVariance) / l.weight
-	l.covariance += (hintOff*(value-l.mean) - l.covariance) / l.weight
+	diff, hintDiff := value-l.mean, hinted-l.hintMean
+	l.mean += diff / l.weight
+	l.hintMean += hintDiff / l.weight
+	l.variance += (diff*(value-l.mean) - l.variance) / l.weight
+	l.hintVariance += (hintDiff*(hinted-l.hintMean) - l.hintVariance) / l.weight
+	l.covariance += (hintDiff*(value-l.mean) - l.covariance) / l.weight
 	l.longest = max(float64(events), l.longest*(1-1/float64(maxWeight)))
 }
 
-// forecast is the logarithm of a text's length to expect by its hint, with the standard
-// deviation, and the length that no text of late had; infinite if too few were seen.
+// forecast returns the median and the standard deviation of the logarithm of an output's
+// length, and the bound on lengths in events, which is infinite until enough outputs were
+// observed.
 func (l *LengthEstimator) forecast(hint int64) (median, deviation, longest float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,35 +93,36 @@
 	return min(median, math.Log(longest)), max(math.Sqrt(max(variance, 0)), minDeviation), longest
 }
 
-// Remaining returns how many events are expected to come of a text with a hint, in
-// tokens, and some events already: the median over the texts that got as far.
+// Remaining returns the expected number of events still to come of an output with a hint, in
+// tokens, that has produced some events: the median over outputs that reach that length.
 func (l *LengthEstimator) Remaining(hint int64, events int) float64 {
 	return l.remainingQuantile(hint, events, 0.5)
 }
 
-// MaxRemaining returns how many events come at most of a text, but for a few in a hundred of the
-// texts that got as far.
+// MaxRemaining returns an upper estimate of the number of remaining events: of the outputs
+// that reach the present length, only exceedingFraction have more.
 func (l *LengthEstimator) MaxRemaining(hint int64, events int) float64 {
 	return l.remainingQuantile(hint, events, exceedingFraction)
 }
 
-// remainingQuantile returns how many more events a part of the texts get that got as far.
-func (l *LengthEstimator) remainingQuantile(hint int64, events int, part float64) float64 {
-	median, spread, longest := l.forecast(hint)
+// remainingQuantile estimates the number of remaining events that the given fraction of
+// outputs exceeds, among those that reach the present length.
+func (l *LengthEstimator) remainingQuantile(hint int64, events int, fraction float64) float64 {
+	median, deviation, longest := l.forecast(hint)
 	if events <= 0 {
-		return min(math.Exp(median+spread*upperQuantile(part)), longest)
+		return min(math.Exp(median+deviation*upperQuantile(fraction)), longest)
 	}
-	so := float64(events)
-	// above is the part of the texts that get longer than this one is.
-	above := upperTail((math.Log(so) - median) / spread)
-	if above < minTailFraction || so >= longest {
-		return so * overrunFraction * math.Log(1/part) / math.Ln2
+	current := float64(events)
+	// longer is the fraction of outputs that exceed the present length.
+	longer := upperTail((math.Log(current) - median) / deviation)
+	if longer < minTailFraction || current >= longest {
+		return current * overrunFraction * math.Log(1/fraction) / math.Ln2
 	}
-	return max(min(math.Exp(median+spread*upperQuantile(above*part)), longest)-so, 1)
+	return max(min(math.Exp(median+deviation*upperQuantile(longer*fraction)), longest)-current, 1)
 }
 
-// upperTail is the part of a normal distribution above z.
+// upperTail returns the probability that a standard normal variable exceeds z.
 func upperTail(z float64) float64 { return math.Erfc(z/math.Sqrt2) / 2 }
 
-// upperQuantile is the z that a part of a normal distribution lies above.
-func upperQuantile(part float64) float64 { return math.Sqrt2 * math.Erfcinv(2*part) }
+// upperQuantile is the inverse of upperTail.
+func upperQuantile(probability float64) float64 { return math.Sqrt2 * math.Erfcinv(2*probability) }
--- a/internal/batches/scheduling/length_test.go
+++ b/internal/batches/scheduling/length_test.go
@@ -9,25 +9,25 @@
 	"pgregory.net/rapid"
 )
 
-// Forecasts are positive and finite for any hints and lengths.
+// Estimates must be positive and finite for any hints and lengths.
 func TestForecastsAreSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lengths := NewLengthEstimator()
-		for range rapid.IntRange(0, 30).Draw(t, "texts") {
+		for range rapid.IntRange(0, 30).Draw(t, "items") {
 			lengths.Observe(rapid.Int64Range(-1, 1<<40).Draw(t, "hint"), rapid.IntRange(-1, 1<<20).Draw(t, "events"))
 		}
-		hint, soFar := rapid.Int64Range(-1, 1<<40).Draw(t, "hint"), rapid.IntRange(0, 1<<20).Draw(t, "so far")
-		remaining, most := lengths.Remaining(hint, soFar), lengths.MaxRemaining(hint, soFar)
+		hint, events := rapid.Int64Range(-1, 1<<40).Draw(t, "hint"), rapid.IntRange(0, 1<<20).Draw(t, "events")
+		remaining, maxRemaining := lengths.Remaining(hint, events), lengths.MaxRemaining(hint, events)
 		if !(remaining > 0) || math.IsInf(remaining, 0) {
-			t.Fatalf("%v events remain", remaining)
+			t.Fatalf("Remaining = %v, want a positive finite number", remaining)
 		}
-		if !(most >= remaining) || math.IsInf(most, 0) {
-			t.Fatalf("%v events remain, %v at most", remaining, most)
+		if !(maxRemaining >= remaining) || math.IsInf(maxRemaining, 0) {
+			t.Fatalf("Remaining = %v, MaxRemaining = %v", remaining, maxRemaining)
 		}
 	})
 }
 
-// Hints are learned: their scale, and how far they are off.
+// Estimates must adopt the scale of the hints and the spread of their errors.
 func TestForecastsFollowTheTexts(t *testing.T) {
 	is := is.New(t)
 	source := rand.New(rand.NewPCG(1, 2))
@@ -38,16 +38,16 @@
 	}
 	is.True(math.Abs(lengths.Remaining(10000, 0)-100) < 10)
 	is.True(math.Abs(math.Sqrt(lengths.variance)-0.3) < 0.05)
-	// A text that has outrun its hint is long: it should be expected to go on.
+	// An output that is longer than its estimate is expected to continue.
 	is.True(lengths.Remaining(10000, 150) > 5)
 	is.True(lengths.Remaining(10000, 150) < 60)
 	is.True(lengths.Remaining(10000, 50) > 40)
-	// The longer hint stays the longer text while both run.
+	// Of two outputs of equal length the one with the greater hint is the longer one.
 	is.True(lengths.Remaining(20000, 50) > lengths.Remaining(10000, 50))
 }
 
-// A hint that is far off the usual is so in part by its own error, no text is expected to
-// get longer than the longest, and few get longer than is said of most.
+// Extreme hints must be corrected towards the mean, no estimate may exceed the longest output,
+// and few outputs may exceed MaxRemaining.
 func TestForecastsOfUnevenTexts(t *testing.T) {
 	is := is.New(t)
 	source := rand.New(rand.NewPCG(3, 4))
@@ -61,9 +61,9 @@
 	}
 	is.True(lengths.Remaining(400*75, 0) <= 145)
 	is.True(lengths.Remaining(75, 0) > 1.5)
-	const texts = 2000
+	const outputs = 2000
 	longer, below := 0, 0
-	for range texts {
+	for range outputs {
 		hint, events := draw()
 		if float64(events) > lengths.MaxRemaining(hint, 0) {
 			longer++
@@ -72,6 +72,6 @@
 			below++
 		}
 	}
-	is.True(longer > texts*2/100 && longer < texts*8/100)
-	is.True(below > texts*40/100 && below < texts*60/100)
+	is.True(longer > outputs*2/100 && longer < outputs*8/100)
+	is.True(below > outputs*40/100 && below < outputs*60/100)
 }
--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -8,36 +8,38 @@
 	"time"
 )
 
-// loadItem is one loadItem of the load: what is known of it, its true length, and how it goes.
+// loadItem is an item of the simulated load. length is the true number of events of its
+// output, generated the number so far.
 type loadItem struct {
 	Item
 	group             int
 	hint              int64
 	length, generated float64
-	// ready is when it begins to be made where it is, done when it was whole.
+	// begins is when the item arrives, ready when its engine starts to generate, done when its
+	// output is complete.
 	begins, ready, done time.Duration
 }
 
-// load plays bursts of two owners on engines of two speeds, in virtual time.
+// load simulates bursts of two owners on engines of two speeds, in virtual time.
 type load struct {
 	engines []Engine
 	items   []*loadItem
-	// idleConns has until when connections of an owner rest at an engine.
+	// idleConns has the times at which idle connections expire, by owner and engine.
 	idleConns          map[string][]time.Duration
 	lengths            *LengthEstimator
 	connections, moves int
 }
 
-// newLoad makes 45 engines, a quarter of them fast, and bursts of 18 groups of 8 texts,
-// one for each owner every 4 s. Hints are off by a factor of e^0.5 (standard deviation).
+// newLoad returns 45 engines, a quarter of them fast, and for each owner a burst of 18 groups
+// of 8 items every 4 s. Hints have a log-normal error with a standard deviation of 0.5.
 func newLoad(seed uint64) *load {
 	l := &load{idleConns: map[string][]time.Duration{}, lengths: NewLengthEstimator()}
 	for i := range 45 {
-		pace := []time.Duration{loadFast, loadSlow, loadSlow, loadSlow}[i%4]
+		eventTime := []time.Duration{loadFast, loadSlow, loadSlow, loadSlow}[i%4]
 		l.engines = append(l.engines, Engine{
 			ID:        fmt.Sprint("e", i),
 			Slots:     8,
-			EventTime: pace,
+			EventTime: eventTime,
 			Versions:  map[string]int64{"0": 1, "1": 1},
 		})
 	}
@@ -53,23 +55,23 @@
 	return l
 }
 
-// run goes on in steps until all texts are whole.
+// run advances the simulation until all items are done.
 func (l *load) run() {
 	const tick = 25 * time.Millisecond
 	for now, open := time.Duration(0), len(l.items); open > 0; now += tick {
 		for _, owner := range []string{"0", "1"} {
 			l.plan(owner, now)
 		}
-		loads := map[string]float64{}
+		slowdowns := map[string]float64{}
 		for _, t := range l.items {
-			loads[t.Engine] += slowdownBy(t.generated)
+			slowdowns[t.Engine] += slowdownBy(t.generated)
 		}
 		for _, t := range l.items {
 			if t.Engine == "" || now < t.ready {
 				continue
 			}
 			at := slices.IndexFunc(l.engines, func(engine Engine) bool { return engine.ID == t.Engine })
-			t.generated += float64(tick) / (float64(l.engines[at].EventTime) * (1 + loads[t.Engine]))
+			t.generated += float64(tick) / (float64(l.engines[at].EventTime) * (1 + slowdowns[t.Engine]))
 			if t.generated >= t.length {
 				l.idleConns[t.Model+t.Engine] = append(l.idleConns[t.Model+t.Engine], now+1100*time.Millisecond)
 				t.done, t.Engine = now+tick, ""
@@ -80,7 +82,7 @@
 	}
 }
 
-// plan lets an owner plan, and does what it says.
+// plan makes the decisions of one owner and carries them out.
 func (l *load) plan(owner string, now time.Duration) {
 	snapshot := Snapshot{Engines: slices.Clone(l.engines), NoMoves: now%(250*time.Millisecond) != 0}
 	var own []*loadItem
@@ -102,8 +104,8 @@
 	}
 	for i := range snapshot.Engines {
 		engine := &snapshot.Engines[i]
-		rests := l.idleConns[owner+engine.ID]
-		l.idleConns[owner+engine.ID] = slices.DeleteFunc(rests, func(until time.Duration) bool { return until < now })
+		conns := l.idleConns[owner+engine.ID]
+		l.idleConns[owner+engine.ID] = slices.DeleteFunc(conns, func(until time.Duration) bool { return until < now })
 		engine.IdleConns = len(l.idleConns[owner+engine.ID])
 		engine.EventTime += engine.EventTime * time.Duration(7*(engine.InFlight+engine.OthersInFlight)) / 1000
 	}
@@ -113,9 +115,9 @@
 			start = Start{Item: move.Item, Engine: move.Engine}
 			l.moves++
 		}
-		resting := l.idleConns[owner+l.engines[start.Engine].ID]
-		l.idleConns[owner+l.engines[start.Engine].ID] = resting[min(1, len(resting)):]
-		l.connections += 1 - min(1, len(resting))
+		conns := l.idleConns[owner+l.engines[start.Engine].ID]
+		l.idleConns[owner+l.engines[start.Engine].ID] = conns[min(1, len(conns)):]
+		l.connections += 1 - min(1, len(conns))
 		own[start.Item].Engine, own[start.Item].ready = l.engines[start.Engine].ID, now+moveCost
 		if starts {
 			own[start.Item].ready = now + 20*time.Millisecond
--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -8,37 +8,36 @@
 )
 
 const (
-	// minRunTime is how long an item runs at an engine before it may be moved: its event
-	// time there must have shown.
+	// minRunTime is how long an item runs at an engine before it may be moved, so that the
+	// engine's event time is known.
 	minRunTime = 500 * time.Millisecond
-	// moveCost is the time a move takes: a connection, and the reading of the prompt and of the
-	// text so far at the other engine.
+	// moveCost is the time that a move takes: connecting, and prefill of the prompt and of the
+	// output so far at the other engine.
 	moveCost = 60 * time.Millisecond
-	// minMoveGain is by how much sooner an item must end for a move.
+	// minMoveGain is the least time that a move must save.
 	minMoveGain = 150 * time.Millisecond
-	// maxMoveRatio is how much of the time at its engine an item may take at another one
-	// for a move: event times are known to within a few hundredths.
+	// maxMoveRatio bounds the remaining time at the target engine relative to that at the
+	// present one. It leaves out gains within the error of measured event times.
 	maxMoveRatio = 0.92
-	// maxOverdueMoves is how many items leave an engine in one round because their first
-	// event is overdue. There are some rounds a second, so that a dark engine is left by all
-	// within the time in which one that changes its weights loses a few.
+	// maxOverdueMoves limits, per planning round and engine, the moves of items whose first
+	// event is overdue. Rounds are frequent enough to empty an unresponsive engine, while an
+	// engine that is only loading weights loses few items.
 	maxOverdueMoves = 2
-	// stepDelayFraction is the part of the time in which its step could end that an item may
-	// still take and stay where it is: forecasts are off by that much, and a move costs a
-	// connection.
+	// stepDelayFraction is the fraction of the time to its step's end from which an item's
+	// remaining time delays the step. The margin allows for estimation errors.
 	stepDelayFraction = 0.6
 )
 
-// candidate is a running item that may be moved, with the engine that it runs at.
+// candidate is a running item that may be moved. item and engine are indices of the snapshot.
 type candidate struct {
 	item, engine int
-	// timeLeft is how long it should still take there, in nanoseconds.
+	// timeLeft is the expected remaining time at the present engine, in nanoseconds.
 	timeLeft float64
 }
 
-// planMoves returns the running items whose step ends sooner if they go on at another engine
-// with room: those that would end after its longest text could. The cost counts as lost,
-// so that an item is not moved back and forth.
+// planMoves returns the moves of running items that delay their step and would finish sooner
+// at an engine with room. A move's cost counts against it, so that items are not moved back
+// and forth.
 func (p *planner) planMoves() []Decision {
 	if p.NoMoves {
 		return nil
@@ -53,13 +52,13 @@
 		if target < 0 {
 			continue
 		}
-		there := it.RemainingEvents * p.eventTime(target)
-		gain := toDuration(c.timeLeft-there) - moveCost
+		targetTime := it.RemainingEvents * p.eventTime(target)
+		gain := toDuration(c.timeLeft-targetTime) - moveCost
 		switch {
 		case it.Overdue > 0:
-			// Where it is it may get nothing until it is given up.
+			// The present engine may produce nothing until the attempt times out.
 			gain = max(MaxFirstEventTimeout-it.RunTime, minMoveGain)
-		case !worthMoving(c.timeLeft, there):
+		case !worthMoving(c.timeLeft, targetTime):
 			continue
 		}
 		p.reserve(target, it)
@@ -69,9 +68,9 @@
 	return decisions
 }
 
-// candidates returns the items that may be moved, in the order in which they are worth it:
-// those that are required, then those that take longest. Of those whose first event is
-// overdue a few leave an engine, as it may only be changing its weights.
+// candidates returns the items that may be moved: required ones first, then by descending
+// remaining time. At most maxOverdueMoves overdue items leave an engine at a time, as it may
+// only be loading new weights.
 func (p *planner) candidates() []candidate {
 	var candidates []candidate
 	for i := range p.Items {
@@ -97,23 +96,25 @@
 	})
 }
 
+// compareCandidates orders required items first, then items by descending remaining time.
 func (p *planner) compareCandidates(a, b candidate) int {
 	return cmp.Or(compareRequired(&p.Items[a.item], &p.Items[b.item]), cmp.Compare(b.timeLeft, a.timeLeft))
 }
 
-// worthMoving reports whether an item that takes so long at its engine, and there at
-// another, in nanoseconds, should go on there.
-func worthMoving(here, there float64) bool {
-	return toDuration(here-there)-moveCost >= minMoveGain && there <= maxMoveRatio*here
+// worthMoving reports whether an item should move, given its remaining times in nanoseconds at
+// its present engine and at the target.
+func worthMoving(present, target float64) bool {
+	return toDuration(present-target)-moveCost >= minMoveGain && target <= maxMoveRatio*present
 }
 
-// delaysStep reports whether an item that takes some time more at its engine, in
-// nanoseconds, ends after its step could.
-func (p *planner) delaysStep(it *Item, here float64) bool {
-	return it.Overdue > 0 || here > stepDelayFraction*p.step(it).timeToEnd
+// delaysStep reports whether an item with the given remaining time, in nanoseconds, may finish
+// after the rest of its step, or has an overdue first event.
+func (p *planner) delaysStep(it *Item, timeLeft float64) bool {
+	return it.Overdue > 0 || timeLeft > stepDelayFraction*p.step(it).timeToEnd
 }
 
-// moveTarget returns the engine that an item should go on at, or -1.
+// moveTarget returns the best engine for an item, or -1 if that is its present one. An overdue
+// item gets the best other engine.
 func (p *planner) moveTarget(it *Item, from int) int {
 	best := p.pool(it, anyEngine).best()
 	if best != from {
@@ -131,7 +132,7 @@
 	return best
 }
 
-// toDuration turns nanoseconds that need not be whole into a duration.
+// toDuration rounds nanoseconds to a duration.
 func toDuration(nanoseconds float64) time.Duration {
 	return time.Duration(math.Round(nanoseconds))
 }
--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -5,36 +5,36 @@
 	"slices"
 )
 
-// What is added to an engine's score, which is the expected time between events as a ratio of
-// the usual one: 1 is a usual engine with nothing else to do.
+// Adjustments of an engine's score. The score is the expected event time relative to the
+// median; 1 is a median engine without load.
 const (
-	// sharedPromptBonus is taken off for the engine that read the group's shared prompt:
-	// reading it again takes about as long as a part of an event.
+	// sharedPromptBonus lowers the score of the engine that last processed the shared prompt
+	// of the item's group, as processing it elsewhere takes time.
 	sharedPromptBonus = 0.02
-	// otherZonePenalty is for an engine in another zone, as bytes between zones cost: as
-	// much as for a short text under way.
+	// otherZonePenalty reflects the cost of traffic between zones, about as much as the
+	// slowdown by one short item.
 	otherZonePenalty = 0.008
-	// noConnPenalty is for an engine without an idle connection, where a text can wait:
-	// making one takes the engine's time.
+	// noConnPenalty applies to an engine without an idle connection if the item can wait for
+	// one, as connecting takes time of the engine.
 	noConnPenalty = 0.3
-	// overduePenalty is for an engine where a first event is overdue: as if it took twice
-	// as long, so that it gets more only where all the others are no better.
+	// overduePenalty applies to an engine with an overdue first event, so that it gets new
+	// items only if no other engine has a better score.
 	overduePenalty = 1
 )
 
-// engineFilter is which engines a text may go to.
+// engineFilter restricts the engines that an item may go to.
 type engineFilter int
 
 const (
-	// anyEngine: all that can run it.
+	// anyEngine admits every engine that can run the item.
 	anyEngine engineFilter = iota
-	// slowEngine: all but the fast ones.
+	// slowEngine admits all but the fast engines.
 	slowEngine
-	// slowEngineConnected: likewise, and rather one with an idle connection.
+	// slowEngineConnected is slowEngine with a preference for engines with an idle connection.
 	slowEngineConnected
 )
 
-// waitingItems returns the waiting items in the waitingItems in which they are placed.
+// waitingItems returns the indices of the waiting items in the order in which they are placed.
 func (p *planner) waitingItems() []int {
 	var waiting []int
 	for i := range p.Items {
@@ -46,8 +46,9 @@
 	return waiting
 }
 
-// compareWaiting orders waiting items: by rank, age of the batch, those that are required, and
-// then the longest first, as they decide when the last group is whole.
+// compareWaiting orders waiting items by priority, by age of the batch, required ones first,
+// and then by descending length, as the longest items determine when the last group is
+// complete.
 func compareWaiting(a, b *Item) int {
 	return cmp.Or(
 		cmp.Compare(a.Priority, b.Priority),
@@ -57,7 +58,7 @@
 	)
 }
 
-// compareRequired puts an item that is required before one that is not.
+// compareRequired orders required items first.
 func compareRequired(a, b *Item) int {
 	switch {
 	case a.Required == b.Required:
@@ -69,13 +70,13 @@
 	}
 }
 
-// selectEngine returns the engine that should run an item, or -1 if it waits for room. Texts that
-// need no fast engine go to one only if no other has room, and short ones only while the
-// fast ones have room besides for the texts that need them.
+// selectEngine returns the engine that should run an item, or -1 if the item has to wait.
+// Items that need no fast engine go to one only if no other engine has room. Of these, items
+// that may be deferred wait while the items that need a fast engine take all room there.
 func (p *planner) selectEngine(it *Item) int {
-	choice := p.filterFor(it)
-	engine := p.bestEngine(it, choice)
-	if engine >= 0 || choice == anyEngine {
+	filter := p.filterFor(it)
+	engine := p.bestEngine(it, filter)
+	if engine >= 0 || filter == anyEngine {
 		return engine
 	}
 	if it.MaxRemainingEvents > 0 && p.tier(it).isReserved(p) {
@@ -84,7 +85,7 @@
 	return p.bestEngine(it, anyEngine)
 }
 
-// filterFor returns to which engines an item should go.
+// filterFor returns which engines an item should go to at first.
 func (p *planner) filterFor(it *Item) engineFilter {
 	switch {
 	case p.isShort(it):
@@ -96,32 +97,32 @@
 	}
 }
 
-// bestEngine returns the best of the engines that pass the filter, or -1: the one with the least
-// score, of equal ones the preferred, but the engine that has the prompt of the item's
-// group unless it is clearly worse.
-func (p *planner) bestEngine(it *Item, choice engineFilter) int {
-	best := p.pool(it, choice).best()
+// bestEngine returns the matching engine with room that has the lowest score, or -1. Ties go
+// to the higher preference. The engine that last processed the prompt of the item's group wins
+// unless its score is worse by more than sharedPromptBonus.
+func (p *planner) bestEngine(it *Item, filter engineFilter) int {
+	best := p.pool(it, filter).best()
 	if best < 0 || it.GroupEngine == "" || it.GroupEngine == p.Engines[best].ID {
 		return best
 	}
-	near, ok := p.byID[it.GroupEngine]
-	if !ok || near == best || !p.matches(near, it, choice) {
+	groupEngine, ok := p.byID[it.GroupEngine]
+	if !ok || groupEngine == best || !p.matches(groupEngine, it, filter) {
 		return best
 	}
-	if p.score(near, choice)-sharedPromptBonus < p.score(best, choice) {
-		return near
+	if p.score(groupEngine, filter)-sharedPromptBonus < p.score(best, filter) {
+		return groupEngine
 	}
 	return best
 }
 
-// matches is the filter: it reports whether an engine has room for an item, weights that
-// are new enough, and is one of those chosen for it.
-func (p *planner) matches(engine int, it *Item, choice engineFilter) bool {
-	return p.canRun(engine, it) && (choice == anyEngine || !p.tier(it).isFast[engine])
+// matches reports whether an engine has room and recent enough weights for an item, and is
+// admitted by the filter.
+func (p *planner) matches(engine int, it *Item, filter engineFilter) bool {
+	return p.canRun(engine, it) && (filter == anyEngine || !p.tier(it).isFast[engine])
 }
 
-// score is lower for a better engine.
-func (p *planner) score(engine int, choice engineFilter) float64 {
+// score returns the score of an engine; lower is better.
+func (p *planner) score(engine int, filter engineFilter) float64 {
 	e := &p.engines[engine]
 	score := e.relativeEventTime()
 	if e.Zone != p.Zone {
@@ -130,7 +131,7 @@
 	if e.overdue {
 		score += overduePenalty
 	}
-	if choice == slowEngineConnected && e.idleConns == 0 {
+	if filter == slowEngineConnected && e.idleConns == 0 {
 		score += noConnPenalty
 	}
 	return score
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -14,11 +14,12 @@
 	loadFast, loadSlow = 28 * time.Millisecond, 59 * time.Millisecond
 	loadBatches        = 12
 	loadGroups         = 18
-	// loadNeeded is how many whole groups a trainer waits for.
+	// loadNeeded is the number of complete groups that a trainer waits for.
 	loadNeeded = 17
 )
 
-// neededGroupsTime returns when as many groups as neededGroupsTime have all that each of their texts comes to.
+// neededGroupsTime returns the time at which loadNeeded groups of a batch are complete, given
+// the time of each item.
 func (l *load) neededGroupsTime(batch int, of func(*loadItem) time.Duration) time.Duration {
 	groups := make([]time.Duration, loadGroups)
 	for _, t := range l.items {
@@ -30,11 +31,9 @@
 	return groups[loadNeeded-1]
 }
 
-// Bursts of texts of which the longest decide, forecast with an error, on engines of which
-// a quarter is twice as fast. The bound is the longest needed text at a fast engine, alone:
-// 2.90 s in the mean of these seeds. Before, when all texts started at once and went
-// wherever they ended sooner, the mean end was 3.23 s, with 2060 connections and 352 moves
-// for the 1728 texts.
+// Guards against steps that end late, or need many connections and moves, when a few long
+// items determine the end of a burst. The bound is the time of the longest needed item alone
+// at a fast engine.
 func TestStepsEndNearTheirBoundWithFewConnections(t *testing.T) {
 	is := is.New(t)
 	const seeds = 4
@@ -45,21 +44,22 @@
 		for batch := range loadBatches {
 			needed := load.neededGroupsTime(batch, func(each *loadItem) time.Duration { return each.done - each.begins })
 			took += needed / (seeds * loadBatches)
-			least := load.neededGroupsTime(batch, func(each *loadItem) time.Duration {
+			ideal := load.neededGroupsTime(batch, func(each *loadItem) time.Duration {
 				return time.Duration(each.length) * loadFast
 			})
-			bound += least / (seeds * loadBatches)
+			bound += ideal / (seeds * loadBatches)
 		}
 		connections, moves = connections+load.connections, moves+load.moves
 	}
-	t.Logf("steps took %v, bound %v, %d connections and %d moves for each %d texts",
+	t.Logf("mean step time %v, lower bound %v, %d connections and %d moves per %d items",
 		took, bound, connections/seeds, moves/seeds, loadBatches*loadGroups*8)
 	is.True(took < bound*120/100)
 	is.True(connections/seeds < 1300)
 	is.True(moves/seeds < 60)
 }
 
-// unevenStep is a step with one text that decides, at or for a fast engine, and short ones.
+// unevenStep returns a step of one decisive item, one fast and five slow engines, and some
+// short items.
 func unevenStep(short int, decisive Item) Snapshot {
 	snapshot := Snapshot{Zone: "z", Engines: []Engine{engineWithEventTime("fast", loadFast)}}
 	for i := range 5 {
@@ -72,8 +72,7 @@
 	return snapshot
 }
 
-// Short texts leave the fast engine to those that need it, and start there only when the
-// others are full.
+// Guards against short items that take slots of fast engines while slow ones have room.
 func TestShortTextsLeaveTheFastEnginesFree(t *testing.T) {
 	is := is.New(t)
 	snapshot := unevenStep(100, Item{Model: testModel, RemainingEvents: 140, MaxRemainingEvents: 140})
@@ -90,9 +89,8 @@
 	is.Equal(at["fast"], 12)
 }
 
-// A place that comes free at a fast engine between two looks for moves is kept for the
-// long text that runs elsewhere. Before, the next short text took it, time after time, and
-// the long one stayed at its slow engine to its end.
+// Guards against short items that take a slot freed at a fast engine between two rounds with
+// moves, while a long item at a slow engine needs it.
 func TestAPlaceAtAFastEngineIsKeptForATextThatNeedsIt(t *testing.T) {
 	is := is.New(t)
 	snapshot := unevenStep(10, Item{
@@ -118,8 +116,8 @@
 	is.Equal(move.Item, 0)
 }
 
-// A fast engine that has only older weights, or another model's, counts for nothing: its
-// places are neither kept nor those that the longest texts could have.
+// An engine without the required weights must not count as fast, neither for reserved slots
+// nor for their total.
 func TestOnlyEnginesThatMayRunATextCountAsFastForIt(t *testing.T) {
 	is := is.New(t)
 	item := Item{Model: testModel, MinVersion: 1, RemainingEvents: 140, MaxRemainingEvents: 140}
@@ -132,8 +130,8 @@
 	is.Equal(planner.tier(&item).fastSlots(planner), 12)
 }
 
-// Short texts start as the step's end leaves room, where a connection rests if there is
-// one, and none is held longer than is stated.
+// Guards against short items that start earlier than their step requires, that ignore idle
+// connections, or that are deferred beyond maxDeferralAge.
 func TestShortTextsWaitWhileTheStepLeavesRoom(t *testing.T) {
 	is := is.New(t)
 	snapshot := unevenStep(40, Item{
@@ -144,15 +142,15 @@
 		RunTime:            time.Second,
 	})
 	snapshot.Engines[2].IdleConns = 3
-	begun, connected := 0, 0
+	started, connected := 0, 0
 	for _, decision := range Plan(snapshot) {
-		begun++
+		started++
 		if decision.(Start).Engine == 2 {
 			connected++
 		}
 	}
-	// 40 texts of 10 events are 24 s of work, half of the 2.8 s to the end 1.4 s.
-	is.True(begun >= 17 && begun <= 19)
+	// 40 items of 10 events are 24 s of work; half of the 2.8 s to the step's end is 1.4 s.
+	is.True(started >= 17 && started <= 19)
 	is.True(connected >= 3)
 	for i := range snapshot.Items {
 		snapshot.Items[i].BatchAge = maxDeferralAge
@@ -160,24 +158,23 @@
 	is.Equal(len(Plan(snapshot)), 40)
 }
 
-// Whatever is held back is short, has not waited for long, and is of a step that has
-// something longer to wait for.
+// A deferred item must be short, recent, and of a step with a longer item.
 func TestOnlyShortTextsAreHeldBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := drawSnapshot(t)
 		for i := range snapshot.Items {
 			item := &snapshot.Items[i]
-			item.MaxRemainingEvents = item.RemainingEvents * rapid.Float64Range(1, 3).Draw(t, "most")
-			item.BatchAge = time.Duration(rapid.IntRange(0, 3000).Draw(t, "waited")) * time.Millisecond
+			item.MaxRemainingEvents = item.RemainingEvents * rapid.Float64Range(1, 3).Draw(t, "max remaining ratio")
+			item.BatchAge = time.Duration(rapid.IntRange(0, 3000).Draw(t, "batch age")) * time.Millisecond
 		}
-		// Moves do not count here: they may take an engine from an item that waits.
+		// A move could take the room that a waiting item would have got.
 		snapshot.NoMoves = true
 		planner := newPlanner(snapshot)
-		keeps := func(item *Item) bool { return planner.isShort(item) && planner.tier(item).fastDemand > 0 }
+		awaitsSlow := func(item *Item) bool { return planner.isShort(item) && planner.tier(item).fastDemand > 0 }
 		for i, started := range startedItems(snapshot) {
 			item := &snapshot.Items[i]
-			may := !item.Required && item.BatchAge < maxDeferralAge && item.MaxRemainingEvents < longestInStep(snapshot, item)
-			if started || item.Engine != "" || may || keeps(item) {
+			mayDefer := !item.Required && item.BatchAge < maxDeferralAge && item.MaxRemainingEvents < longestInStep(snapshot, item)
+			if started || item.Engine != "" || mayDefer || awaitsSlow(item) {
 				continue
 			}
 			after := planAfter(snapshot)
@@ -190,7 +187,7 @@
 	})
 }
 
-// startedItems tells which items are started, planAfter what is left then.
+// startedItems reports, by index, which items Plan starts.
 func startedItems(snapshot Snapshot) []bool {
 	started := make([]bool, len(snapshot.Items))
 	for _, decision := range Plan(snapshot) {
@@ -199,13 +196,14 @@
 	return started
 }
 
+// planAfter returns the planner after all starts.
 func planAfter(snapshot Snapshot) *planner {
 	planner := newPlanner(snapshot)
 	planner.planStarts()
 	return planner
 }
 
-// longestInStep is the longest text that is expected in an item's step.
+// longestInStep returns the longest remaining length in an item's step.
 func longestInStep(snapshot Snapshot, item *Item) float64 {
 	longest := 0.0
 	for i := range snapshot.Items {
@@ -217,8 +215,8 @@
 	return longest
 }
 
-// A text that ends well before its step stays where it is, though another engine is
-// faster: its connection is worth more than what it gains.
+// Guards against moves of items that finish well before their step: a new connection costs
+// more than the move gains.
 func TestOnlyTextsThatDecideMove(t *testing.T) {
 	is := is.New(t)
 	snapshot := unevenStep(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunTime: time.Second})
@@ -229,13 +227,13 @@
 		RunTime:         time.Second,
 	})
 	is.Equal(len(Plan(snapshot)), 0)
-	// It would miss the end, its engine having turned slow.
+	// With a slower engine it would delay the step.
 	snapshot.Engines[1].EventTime = 200 * time.Millisecond
 	is.Equal(len(Plan(snapshot)), 1)
 }
 
-// A text whose first event is overdue goes on elsewhere, two at a time of an engine that
-// holds several up: it may only be changing its weights.
+// Items with an overdue first event must leave an engine in small numbers, as it may only be
+// loading weights.
 func TestTextsLeaveASilentEngineAFewAtATime(t *testing.T) {
 	is := is.New(t)
 	snapshot := unevenStep(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunTime: time.Second})
@@ -253,7 +251,7 @@
 	for _, decision := range decisions {
 		is.True(snapshot.Engines[decision.(Move).Engine].ID != "slow0")
 	}
-	// New texts go elsewhere.
+	// New items must avoid the engine.
 	snapshot.Items = append(snapshot.Items, Item{Model: testModel, RemainingEvents: 10})
 	for _, decision := range Plan(snapshot) {
 		if start, ok := decision.(Start); ok {
@@ -264,23 +262,23 @@
 
 func TestThePatienceForFirstEventsIsLearned(t *testing.T) {
 	is := is.New(t)
-	var firsts FirstEventLatency
-	is.Equal(firsts.OverdueAfter("s"), MaxFirstEventTimeout)
+	var latency FirstEventLatency
+	is.Equal(latency.OverdueAfter("s"), MaxFirstEventTimeout)
 	for i := range 100 {
 		took := 20 * time.Millisecond
 		if i%20 == 0 {
-			took = 5 * time.Second // a few that never came do not matter
+			took = 5 * time.Second // a few attempts without a first event must not matter
 		}
-		firsts.Observe("s", took)
+		latency.Observe("s", took)
 	}
-	is.Equal(firsts.OverdueAfter("s"), minFirstEventTimeout)
-	is.Equal(firsts.OverdueAfter("another"), MaxFirstEventTimeout)
+	is.Equal(latency.OverdueAfter("s"), minFirstEventTimeout)
+	is.Equal(latency.OverdueAfter("another"), MaxFirstEventTimeout)
 	for range firstEventWindow {
-		firsts.Observe("s", 200*time.Millisecond)
+		latency.Observe("s", 200*time.Millisecond)
 	}
-	is.Equal(firsts.OverdueAfter("s"), 500*time.Millisecond)
+	is.Equal(latency.OverdueAfter("s"), 500*time.Millisecond)
 	for range firstEventWindow {
-		firsts.Observe("s", 2*time.Second)
+		latency.Observe("s", 2*time.Second)
 	}
-	is.Equal(firsts.OverdueAfter("s"), MaxFirstEventTimeout)
+	is.Equal(latency.OverdueAfter("s"), MaxFirstEventTimeout)
 }
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -6,38 +6,40 @@
 )
 
 const (
-	// slowdownPerRequest is by how much, as a ratio, a request under way slows the others at an
-	// engine, and loadPerEvent by how much more for each event of its text: for each token
-	// an engine reads all that the text has so far.
+	// slowdownPerRequest is the relative slowdown that one running request causes to the
+	// others at an engine. slowdownPerEvent adds to it for each event of its output, as
+	// decoding a token reads the whole context.
 	slowdownPerRequest = 0.005
 	slowdownPerEvent   = 0.0001
 )
 
-// slowdownBy is by how much a request slows the others, with the events of its text.
+// slowdownBy returns the relative slowdown that a request with the given number of events
+// causes.
 func slowdownBy(events float64) float64 { return slowdownPerRequest + slowdownPerEvent*events }
 
-// planner is one round of decisions. It counts the room that they take.
+// planner holds the state of one planning round, including the room taken by the decisions so
+// far.
 type planner struct {
 	Snapshot
 	engines []engineState
 	// medianEventTime is the median of the known event times, 0 if none is known.
 	medianEventTime time.Duration
-	// byID are the indices of engines.
+	// byID maps engine ids to indices of engines.
 	byID  map[string]int
 	tiers cache[class, engineTiers]
 	steps cache[stepKey, step]
 	pools cache[poolKey, pool]
 }
 
-// cache holds values by key. Items that follow each other mostly have the same key, so that the last
-// value is kept at hand.
+// cache holds values by key. Consecutive items mostly share a key, so the last value is kept
+// outside the map.
 type cache[K comparable, V any] struct {
 	values  map[K]*V
 	lastKey K
 	last    *V
 }
 
-// get returns the value of a key, made by newValue if there is none.
+// get returns the value of a key, and calls newValue to create it if there is none.
 func (c *cache[K, V]) get(key K, newValue func() *V) *V {
 	if c.last != nil && c.lastKey == key {
 		return c.last
@@ -54,21 +56,21 @@
 	return v
 }
 
-// engineState is an engine as it is after the decisions so far.
+// engineState is an engine with the decisions so far applied.
 type engineState struct {
 	*Engine
-	// inFlight is how many requests are under way there, of all owners; idleConns how many
-	// connections to it are left.
+	// inFlight is the number of requests of all owners at the engine, idleConns the number of
+	// idle connections left.
 	inFlight, idleConns int
-	// slowdown is by how much, as a ratio, the requests there slow one more.
+	// slowdown is the relative slowdown that one more request would see there.
 	slowdown float64
-	// unloadedRatio is its event time with nothing else under way, as a ratio of the usual one.
+	// unloadedRatio is the engine's event time without load relative to the median one.
 	unloadedRatio float64
-	// overdue says that a first event is overdue there.
+	// overdue is set if the first event of an item there is overdue.
 	overdue bool
 }
 
-// class is what an engine must fulfil for an item.
+// class is what items require of an engine's weights.
 type class struct {
 	model      string
 	minVersion int64
@@ -92,9 +94,9 @@
 	}
 	for i := range snapshot.Items {
 		it := &snapshot.Items[i]
-		if at, ok := p.byID[it.Engine]; ok {
-			p.engines[at].slowdown += slowdownBy(it.TotalEvents()) - slowdownBy(0)
-			p.engines[at].overdue = p.engines[at].overdue || it.Overdue > 0
+		if engine, ok := p.byID[it.Engine]; ok {
+			p.engines[engine].slowdown += slowdownBy(it.TotalEvents()) - slowdownBy(0)
+			p.engines[engine].overdue = p.engines[engine].overdue || it.Overdue > 0
 		}
 	}
 	p.normalizeEventTimes()
@@ -102,7 +104,8 @@
 	return p
 }
 
-// normalizeEventTimes sets the usual event time, and each engine's as a ratio of it.
+// normalizeEventTimes sets the median event time and each engine's unloaded ratio to it.
+// Engines of unknown event time count as median ones.
 func (p *planner) normalizeEventTimes() {
 	var times []time.Duration
 	for i := range p.Engines {
@@ -124,28 +127,28 @@
 	}
 }
 
-// relativeEventTime is the expected time between the events of one more request at an engine, as a
-// ratio of the usual one.
+// relativeEventTime returns the expected event time of one more request at an engine, relative
+// to the median one.
 func (e *engineState) relativeEventTime() float64 { return e.unloadedRatio * (1 + e.slowdown) }
 
-// eventTime is the expected time between the events of one more request at an engine, in
-// nanoseconds.
+// eventTime returns the expected event time of one more request at an engine, in nanoseconds.
 func (p *planner) eventTime(engine int) float64 {
 	return p.engines[engine].relativeEventTime() * float64(p.medianEventTime)
 }
 
-// hasRoom reports whether an engine may get one more request.
+// hasRoom reports whether an engine may get one more request. A declining engine gets at most
+// one in a round, as a probe.
 func (e *engineState) hasRoom() bool {
 	probed := e.Declining && e.inFlight > e.InFlight+e.OthersInFlight
 	return !e.Avoided && !probed && e.inFlight < e.Capacity()
 }
 
-// canRun reports whether an engine has room for an item, and weights for it.
+// canRun reports whether an engine has room and recent enough weights for an item.
 func (p *planner) canRun(engine int, it *Item) bool {
 	return p.engines[engine].hasRoom() && p.engines[engine].HasWeightsFor(it)
 }
 
-// reserve counts an item that an engine gets.
+// reserve accounts for an item that was assigned to an engine.
 func (p *planner) reserve(engine int, it *Item) {
 	e := &p.engines[engine]
 	e.inFlight++
--- a/internal/batches/scheduling/pool.go
+++ b/internal/batches/scheduling/pool.go
@@ -2,39 +2,40 @@
 
 import "container/heap"
 
-// poolKey names the engines for the items of one class.
+// poolKey identifies the pool for the items of one class under one filter.
 type poolKey struct {
 	class
-	choice engineFilter
+	filter engineFilter
 }
 
-// pool has the engines that passed the filter for the items of one class, the best on top.
-// Its order goes out of date as room is taken; best corrects it.
+// pool is a heap of the engines that match a filter for the items of one class, the best on
+// top. Scores become stale as room is taken; best updates those at the top, which suffices as
+// scores only increase.
 type pool struct {
 	planner *planner
-	choice  engineFilter
+	filter  engineFilter
 	engines []int
 	scores  []float64
 }
 
-func (p *planner) pool(it *Item, choice engineFilter) *pool {
-	key := poolKey{class: classOf(it), choice: choice}
-	return p.pools.get(key, func() *pool { return p.newPool(it, choice) })
+func (p *planner) pool(it *Item, filter engineFilter) *pool {
+	key := poolKey{class: classOf(it), filter: filter}
+	return p.pools.get(key, func() *pool { return p.newPool(it, filter) })
 }
 
-func (p *planner) newPool(it *Item, choice engineFilter) *pool {
-	pl := &pool{planner: p, choice: choice}
+func (p *planner) newPool(it *Item, filter engineFilter) *pool {
+	pl := &pool{planner: p, filter: filter}
 	for i := range p.engines {
-		if p.matches(i, it, choice) {
+		if p.matches(i, it, filter) {
 			pl.engines = append(pl.engines, i)
-			pl.scores = append(pl.scores, p.score(i, choice))
+			pl.scores = append(pl.scores, p.score(i, filter))
 		}
 	}
 	heap.Init(pl)
 	return pl
 }
 
-// best returns the best engine with room, or -1.
+// best returns the best engine with room, or -1. It removes full engines from the heap.
 func (pl *pool) best() int {
 	for len(pl.engines) > 0 {
 		engine := pl.engines[0]
@@ -42,7 +43,7 @@
 			heap.Pop(pl)
 			continue
 		}
-		score := pl.planner.score(engine, pl.choice)
+		score := pl.planner.score(engine, pl.filter)
 		if score == pl.scores[0] {
 			return engine
 		}
@@ -52,7 +53,7 @@
 	return -1
 }
 
-// Len, Less, Swap, Push and Pop implement heap.Interface.
+// Len implements heap.Interface, as do Less, Swap, Push and Pop. Push is never used.
 func (pl *pool) Len() int { return len(pl.engines) }
 
 func (pl *pool) Less(i, j int) bool {
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -22,8 +22,8 @@
 	return Engine{
 		ID: id, Zone: rapid.SampledFrom([]string{"z", "y"}).Draw(t, "zone"),
 		Slots: rapid.IntRange(0, 4).Draw(t, "slots"), InFlight: rapid.IntRange(0, 5).Draw(t, "in flight"),
-		EventTime: time.Duration(rapid.IntRange(0, 100).Draw(t, "pace")) * time.Millisecond,
-		Avoided:   rapid.IntRange(0, 4).Draw(t, "resting") == 0,
+		EventTime: time.Duration(rapid.IntRange(0, 100).Draw(t, "event time")) * time.Millisecond,
+		Avoided:   rapid.IntRange(0, 4).Draw(t, "avoided") == 0,
 		Declining: rapid.IntRange(0, 4).Draw(t, "declining") == 0,
 		Versions:  map[string]int64{testModel: rapid.Int64Range(1, 4).Draw(t, "version")},
 	}
@@ -33,15 +33,15 @@
 	it := Item{
 		Priority:       rapid.IntRange(0, 1).Draw(t, "priority"),
 		BatchAdoptedAt: testStart.Add(time.Duration(rapid.IntRange(0, 2).Draw(t, "since")) * time.Second),
-		Model:          testModel, MinVersion: rapid.Int64Range(1, 4).Draw(t, "least version"),
+		Model:          testModel, MinVersion: rapid.Int64Range(1, 4).Draw(t, "min version"),
 		Required: rapid.Bool().Draw(t, "required"), RemainingEvents: float64(rapid.IntRange(1, 200).Draw(t, "remaining")),
 	}
 	if len(engines) > 0 && rapid.Bool().Draw(t, "runs") {
 		it.Engine = rapid.SampledFrom(engines).Draw(t, "engine").ID
-		it.RunTime = time.Duration(rapid.IntRange(0, 3000).Draw(t, "run for")) * time.Millisecond
+		it.RunTime = time.Duration(rapid.IntRange(0, 3000).Draw(t, "run time")) * time.Millisecond
 	}
-	if len(engines) > 0 && rapid.Bool().Draw(t, "group has begun") {
-		it.GroupEngine = rapid.SampledFrom(engines).Draw(t, "group's engine").ID
+	if len(engines) > 0 && rapid.Bool().Draw(t, "group has engine") {
+		it.GroupEngine = rapid.SampledFrom(engines).Draw(t, "group engine").ID
 	}
 	return it
 }
@@ -57,10 +57,10 @@
 	return s
 }
 
-// checkPlan checks what holds of every plan: no engine over its slots, none that
-// rests or has weights that are too old is used, a declining one gets one request at
-// most, each item is decided on once, and no item waits though an engine that may run
-// it has room.
+// checkPlan checks the invariants of a plan: no engine gets more than it has slots for,
+// avoided engines and those with older weights get nothing, a declining engine gets at most
+// one request, each item has at most one decision, and no item waits while an engine that can
+// run it has room.
 func checkPlan(t *rapid.T, snapshot Snapshot, decisions []Decision) {
 	taken := make([]int, len(snapshot.Engines))
 	decided := map[int]bool{}
@@ -70,7 +70,7 @@
 		case Start:
 			item, engine = decision.Item, decision.Engine
 			if snapshot.Items[item].Engine != "" {
-				t.Fatalf("item %d is started though it runs", item)
+				t.Fatalf("item %d is started but already runs", item)
 			}
 		case Move:
 			item, engine = decision.Item, decision.Engine
@@ -78,37 +78,37 @@
 				t.Fatalf("item %d is moved from %q to %q", item, snapshot.Items[item].Engine, snapshot.Engines[engine].ID)
 			}
 			if decision.Gain < minMoveGain {
-				t.Fatalf("a move gains %v", decision.Gain)
+				t.Fatalf("gain of a move is only %v", decision.Gain)
 			}
 		}
 		if decided[item] {
-			t.Fatalf("item %d is decided on twice", item)
+			t.Fatalf("item %d has two decisions", item)
 		}
 		decided[item] = true
 		taken[engine]++
 		if snapshot.Engines[engine].Versions[testModel] < snapshot.Items[item].MinVersion {
-			t.Fatalf("item %d at weights that are too old", item)
+			t.Fatalf("item %d is assigned to an engine with outdated weights", item)
 		}
 	}
 	checkEngines(t, snapshot, taken)
 	checkWaiting(t, snapshot, taken, decided)
 }
 
-// checkEngines checks that no engine has got more than it may.
+// checkEngines checks that no engine gets more requests than allowed.
 func checkEngines(t *rapid.T, snapshot Snapshot, taken []int) {
 	for i, engine := range snapshot.Engines {
 		switch {
 		case taken[i] > 0 && engine.Avoided:
-			t.Fatalf("engine %s rests and gets %d", engine.ID, taken[i])
+			t.Fatalf("avoided engine %s gets %d requests", engine.ID, taken[i])
 		case taken[i] > 1 && engine.Declining:
-			t.Fatalf("engine %s declines and gets %d", engine.ID, taken[i])
+			t.Fatalf("declining engine %s gets %d requests", engine.ID, taken[i])
 		case taken[i] > 0 && engine.InFlight+taken[i] > snapshot.Engines[i].Capacity():
-			t.Fatalf("engine %s gets %d beside %d", engine.ID, taken[i], engine.InFlight)
+			t.Fatalf("engine %s gets %d requests in addition to %d", engine.ID, taken[i], engine.InFlight)
 		}
 	}
 }
 
-// checkWaiting checks that no item waits though there is room for it.
+// checkWaiting checks that no item waits while an engine that can run it has room.
 func checkWaiting(t *rapid.T, snapshot Snapshot, taken []int, decided map[int]bool) {
 	for i, item := range snapshot.Items {
 		if item.Engine != "" || decided[i] {
@@ -135,8 +135,8 @@
 	})
 }
 
-// Of two waiting items that the same engines may run, the one that must be whole,
-// else the longer one, is never left behind the other.
+// Guards against items that start before ones that precede them in compareWaiting, if the same
+// engines can run both.
 func TestNoItemIsPlacedBeforeOneThatComesFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := drawSnapshot(t)
@@ -153,7 +153,7 @@
 			for j := range snapshot.Items {
 				first, second := &snapshot.Items[i], &snapshot.Items[j]
 				if first.Engine == "" && second.Engine == "" && compareWaiting(first, second) < 0 && started[j] && !started[i] {
-					t.Fatalf("item %d is started, item %d that comes before it is not", j, i)
+					t.Fatalf("item %d is started, but item %d, which precedes it, is not", j, i)
 				}
 			}
 		}
@@ -176,14 +176,12 @@
 	}
 }
 
-func engineWithEventTime(id string, pace time.Duration) Engine {
-	return Engine{ID: id, Zone: "z", Slots: 12, EventTime: pace, Versions: map[string]int64{testModel: 1}}
+func engineWithEventTime(id string, eventTime time.Duration) Engine {
+	return Engine{ID: id, Zone: "z", Slots: 12, EventTime: eventTime, Versions: map[string]int64{testModel: 1}}
 }
 
-// A text of the greatest length takes 8.6 s at an engine that is 1.3 times slower
-// than the others, and its batch 7.5 s at most for the trainer to keep its pace:
-// long items start at the faster engines while these have room, the short ones that come
-// last elsewhere.
+// Guards against long items at slow engines, where a single one may delay the batch, while
+// faster ones have room.
 func TestLongItemsStartAtTheFasterEngines(t *testing.T) {
 	is := is.New(t)
 	snapshot := Snapshot{Zone: "z", Engines: []Engine{
@@ -203,15 +201,15 @@
 	is.Equal(atSlower, 6)
 }
 
-// An item at a slower engine goes on elsewhere if it ends clearly sooner there, and
-// not for what is within the noise, or too short to pay for reading its text again.
+// Guards against moves whose gain is within measurement noise or below the cost of a move, and
+// against missing ones.
 func TestMovesPayForThemselves(t *testing.T) {
 	is := is.New(t)
-	movedFrom := func(pace time.Duration, remaining float64, runFor time.Duration) bool {
+	movedFrom := func(eventTime time.Duration, remaining float64, runFor time.Duration) bool {
 		snapshot := Snapshot{
 			Zone: "z",
 			Engines: []Engine{
-				engineWithEventTime("at", pace),
+				engineWithEventTime("at", eventTime),
 				engineWithEventTime("free", 40*time.Millisecond),
 				engineWithEventTime("other", 40*time.Millisecond),
 			},
@@ -228,10 +226,10 @@
 
 func TestAMoveDoesNotComeBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pace := func(name string) time.Duration {
+		eventTime := func(name string) time.Duration {
 			return time.Duration(rapid.IntRange(10, 200).Draw(t, name)) * time.Millisecond
 		}
-		snapshot := Snapshot{Zone: "z", Engines: []Engine{engineWithEventTime("a", pace("a")), engineWithEventTime("b", pace("b"))}}
+		snapshot := Snapshot{Zone: "z", Engines: []Engine{engineWithEventTime("a", eventTime("a")), engineWithEventTime("b", eventTime("b"))}}
 		remaining := float64(rapid.IntRange(1, 200).Draw(t, "remaining"))
 		snapshot.Items = []Item{{Model: testModel, Engine: "a", RunTime: time.Second, RemainingEvents: remaining}}
 		snapshot.Engines[0].InFlight = 1
@@ -241,20 +239,20 @@
 		snapshot.Engines[0].InFlight, snapshot.Engines[1].InFlight = 0, 1
 		snapshot.Items[0].Engine = "b"
 		if len(Plan(snapshot)) != 0 {
-			t.Fatalf("moved to and fro between %v and %v",
+			t.Fatalf("item oscillates between engines with event times %v and %v",
 				snapshot.Engines[0].EventTime, snapshot.Engines[1].EventTime)
 		}
 	})
 }
 
-// BenchmarkPlan decides on 10,000 waiting items and a tenth as many engines.
+// BenchmarkPlan plans up to 10,000 waiting items on a tenth as many engines.
 func BenchmarkPlan(b *testing.B) {
 	for _, items := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(items), func(b *testing.B) {
 			snapshot := Snapshot{Zone: "z"}
 			for i := range items / 10 {
-				pace := time.Duration(30+i%20) * time.Millisecond
-				snapshot.Engines = append(snapshot.Engines, engineWithEventTime(fmt.Sprint("e", i), pace))
+				eventTime := time.Duration(30+i%20) * time.Millisecond
+				snapshot.Engines = append(snapshot.Engines, engineWithEventTime(fmt.Sprint("e", i), eventTime))
 			}
 			for i := range items {
 				snapshot.Items = append(snapshot.Items, Item{
@@ -269,16 +267,16 @@
 	}
 }
 
-// Owners that share engines see each other's requests: without, the second of two bursts
-// waits in the queue of the engine that both take for free.
+// Guards against items that queue at an engine whose slots are taken by another owner's
+// requests.
 func TestRequestsOfOtherOwnersTakeRoom(t *testing.T) {
 	is := is.New(t)
-	engine := func(id string, pace time.Duration, others int) Engine {
+	engine := func(id string, eventTime time.Duration, others int) Engine {
 		return Engine{
 			ID:             id,
 			Slots:          2,
 			OthersInFlight: others,
-			EventTime:      pace,
+			EventTime:      eventTime,
 			Versions:       map[string]int64{testModel: 1},
 		}
 	}
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -3,40 +3,41 @@
 import "time"
 
 const (
-	// maxDeferralAge is how old a batch may be while a text of it is deferred: what a wrong
-	// forecast of the step's end may cost, in steps that take seconds.
+	// maxDeferralAge is the batch age from which items are no longer deferred. It bounds the
+	// delay caused by a wrong estimate of the step's end.
 	maxDeferralAge = 2 * time.Second
-	// shortItemsFraction is the part of the time to a step's end in which its short texts are
-	// to be made: the rest is the margin for texts that outgrow their forecasts.
+	// shortItemsFraction is the fraction of the time to a step's end in which its short items
+	// should finish. The rest is a margin for items that exceed their estimates.
 	shortItemsFraction = 0.5
-	// latestStartFraction is the part of the time to a step's end that a text may take at most
-	// for its start to be deferred.
+	// latestStartFraction is the greatest fraction of the time to its step's end that a
+	// deferred item may take.
 	latestStartFraction = 0.6
 )
 
-// stepKey names the items of one batch and class.
+// stepKey identifies the step of a batch's items of one class.
 type stepKey struct {
 	class
 	adoptedAt time.Time
 }
 
-// step sums up the items of one batch and class.
+// step aggregates the items of one batch and class.
 type step struct {
-	// timeToEnd is in how long its longest text could be whole at the best engine, in
+	// timeToEnd is the time after which the longest item could finish at the best engine, in
 	// nanoseconds.
 	timeToEnd float64
-	// shortRunning is how many of its short texts are under way, shortWork the time that
-	// these and those that wait take at an ordinary engine, in nanoseconds.
+	// shortRunning is the number of running short items. shortWork is the total time that all
+	// unfinished short items take at a slow engine, in nanoseconds.
 	shortRunning int
 	shortWork    float64
 }
 
+// step returns the step of an item.
 func (p *planner) step(it *Item) *step {
 	return p.steps.get(stepKey{class: classOf(it), adoptedAt: it.BatchAdoptedAt}, func() *step { return &step{} })
 }
 
-// forecastSteps forecasts when each step could end, which texts are long enough to need a fast
-// engine, and how much work the short ones are.
+// forecastSteps estimates when each step could end, which items are long enough to need a fast
+// engine, and how much work the short items are.
 func (p *planner) forecastSteps() {
 	remaining := map[*engineTiers][]float64{}
 	for i := range p.Items {
@@ -53,7 +54,7 @@
 	}
 }
 
-// countItem adds an item to what its step and its tier have.
+// countItem adds an item to the counts of its step and tiers.
 func (p *planner) countItem(it *Item) {
 	step, tier := p.step(it), p.tier(it)
 	engine, runs := p.byID[it.Engine]
@@ -68,15 +69,16 @@
 	}
 }
 
-// isShort reports whether a text surely ends before its step, at any engine.
+// isShort reports whether an item almost certainly finishes before its step, even at a slow
+// engine.
 func (p *planner) isShort(it *Item) bool {
-	ordinary := p.tier(it).slowEventTime
-	return it.MaxRemainingEvents > 0 && !it.Required && ordinary > 0 && it.MaxRemainingEvents*ordinary <= p.step(it).timeToEnd
+	eventTime := p.tier(it).slowEventTime
+	return it.MaxRemainingEvents > 0 && !it.Required && eventTime > 0 && it.MaxRemainingEvents*eventTime <= p.step(it).timeToEnd
 }
 
-// canDefer reports whether a text need not start yet: so many others of its step are under
-// way that all are whole long before the step can end. Those that wait then take the
-// connections, and the slots, of those that end.
+// canDefer reports whether the start of an item may be deferred: enough short items of its
+// step are running to finish all of them well before the step's end. Deferred items later
+// reuse the connections and slots of finished ones.
 func (p *planner) canDefer(it *Item) bool {
 	if it.BatchAge >= maxDeferralAge || !p.isShort(it) {
 		return false
@@ -88,6 +90,7 @@
 	return float64(step.shortRunning)*shortItemsFraction*step.timeToEnd >= step.shortWork
 }
 
+// countStart updates the counts for a waiting item that was started.
 func (p *planner) countStart(it *Item) {
 	if p.isShort(it) {
 		p.step(it).shortRunning++
@@ -97,7 +100,7 @@
 	}
 }
 
-// countMove counts a text that goes on at another engine than before.
+// countMove updates the counts for an item that was moved away from an engine.
 func (p *planner) countMove(it *Item, from int) {
 	if tier := p.tier(it); !tier.isFast[from] && p.needsFastEngine(it) {
 		tier.fastDemand = max(tier.fastDemand-1, 0)
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -2,33 +2,33 @@
 
 import "slices"
 
-// fastRatio is how long an engine may take for an event, by the upper quartile of the
-// engines, to be one that long texts need: less than that is what load and noise make of
-// equal engines.
+// fastRatio bounds the event time of a fast engine relative to the upper quartile of all.
+// Smaller differences arise from load and noise between equal engines.
 const fastRatio = 0.75
 
-// engineTiers are the engines that can run the items of one class, by how fast they are.
+// engineTiers divides the engines that can run the items of one class into fast and slow ones.
 type engineTiers struct {
-	// isFast engines are kept for texts that need them; fastest are their indices.
+	// isFast reports by index which engines are fast; fastEngines lists their indices. Fast
+	// engines are kept free for the items that need them.
 	isFast      []bool
 	fastEngines []int
-	// bestEventTime is the time between two events at the best engine, slowEventTime at the
-	// others, in nanoseconds; 0 if too few event times are known.
+	// bestEventTime is the event time of the best engine and slowEventTime the upper quartile
+	// of all, in nanoseconds; 0 if too few event times are known.
 	bestEventTime, slowEventTime float64
-	// minFastEvents is what a text must have before it at least to need a fast engine: as
-	// many have that much as the fast engines have slots.
+	// minFastEvents is the number of remaining events from which an item needs a fast engine.
+	// It is chosen so that as many items reach it as the fast engines have slots.
 	minFastEvents float64
-	// fastDemand is how many texts need a fast engine and are not at one.
+	// fastDemand is the number of items that need a fast engine and are not at one.
 	fastDemand int
 }
 
-// tier returns the engines of an item's class by how fast they are.
+// tier returns the tiers of engines for an item's class.
 func (p *planner) tier(it *Item) *engineTiers {
 	return p.tiers.get(classOf(it), func() *engineTiers { return p.newTiers(it) })
 }
 
-// newTiers compares the engines of a class. Unless the event times of half of them are
-// known, none counts as fast.
+// newTiers divides the engines for an item's class by speed. No engine counts as fast unless
+// the event times of at least half of them are known.
 func (p *planner) newTiers(it *Item) *engineTiers {
 	t := &engineTiers{isFast: make([]bool, len(p.Engines))}
 	var times []float64
@@ -56,7 +56,8 @@
 	return t
 }
 
-// isReserved reports whether the fast engines have room only for texts that need it.
+// isReserved reports whether the items that need a fast engine take all room that the fast
+// ones have.
 func (t *engineTiers) isReserved(p *planner) bool {
 	room := 0
 	for _, i := range t.fastEngines {
@@ -67,7 +68,7 @@
 	return room <= t.fastDemand
 }
 
-// fastSlots is how many requests of this owner the fast engines take.
+// fastSlots returns the number of slots of the fast engines that other owners leave.
 func (t *engineTiers) fastSlots(p *planner) int {
 	slots := 0
 	for _, i := range t.fastEngines {
@@ -76,8 +77,8 @@
 	return slots
 }
 
-// needsFastEngine reports whether a text is one of the longest, for which the fast engines are,
-// and would go to one that has room.
+// needsFastEngine reports whether an item is one of the longest, which fast engines are kept
+// for, and would be placed at one or moved to one if that had room.
 func (p *planner) needsFastEngine(it *Item) bool {
 	tier := p.tier(it)
 	if p.isShort(it) || it.RemainingEvents < tier.minFastEvents {
@@ -91,8 +92,8 @@
 	return !it.Pinned && p.delaysStep(it, here) && worthMoving(here, it.RemainingEvents*tier.bestEventTime)
 }
 
-// nthLargest returns the n-th largest value, the largest one for an n below 1, and 0 if there are
-// no more values than n. It sorts the values.
+// nthLargest returns the n-th largest value, the largest one if n is below 1, and 0 if there
+// are no more than n values. It sorts the values.
 func nthLargest(values []float64, n int) float64 {
 	if n >= len(values) {
 		return 0
