--- a/internal/batches/scheduling/length_test.go
+++ b/internal/batches/scheduling/length_test.go
@@ -10,7 +10,7 @@
 )
 
 // Estimates must be positive and finite for any hints and lengths.
-func TestForecastsAreSound(t *testing.T) {
+func TestEstimatesArePositiveAndFinite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lengths := NewLengthEstimator()
 		for range rapid.IntRange(0, 30).Draw(t, "items") {
