--- a/internal/batches/scheduling/length_test.go
+++ b/internal/batches/scheduling/length_test.go
@@ -28,7 +28,7 @@
 }
 
 // Estimates must adopt the scale of the hints and the spread of their errors.
-func TestForecastsFollowTheTexts(t *testing.T) {
+func TestEstimatesFollowObservedLengths(t *testing.T) {
 	is := is.New(t)
 	source := rand.New(rand.NewPCG(1, 2))
 	lengths := NewLengthEstimator()
