--- a/internal/batches/scheduling/length_test.go
+++ b/internal/batches/scheduling/length_test.go
@@ -48,7 +48,7 @@
 
 // Extreme hints must be corrected towards the mean, no estimate may exceed the longest output,
 // and few outputs may exceed MaxRemaining.
-func TestForecastsOfUnevenTexts(t *testing.T) {
+func TestEstimatesOfSkewedLengths(t *testing.T) {
 	is := is.New(t)
 	source := rand.New(rand.NewPCG(3, 4))
 	draw := func() (hint int64, events int) {
