--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -73,7 +73,7 @@
 }
 
 // Guards against short items that take slots of fast engines while slow ones have room.
-func TestShortTextsLeaveTheFastEnginesFree(t *testing.T) {
+func TestShortItemsLeaveFastEnginesFree(t *testing.T) {
 	is := is.New(t)
 	snapshot := unevenStep(100, Item{Model: testModel, RemainingEvents: 140, MaxRemainingEvents: 140})
 	for i := range snapshot.Items {
