--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -91,7 +91,7 @@
 
 // Guards against short items that take a slot freed at a fast engine between two rounds with
 // moves, while a long item at a slow engine needs it.
-func TestAPlaceAtAFastEngineIsKeptForATextThatNeedsIt(t *testing.T) {
+func TestFastSlotIsKeptForItemThatNeedsIt(t *testing.T) {
 	is := is.New(t)
 	snapshot := unevenStep(10, Item{
 		Model:              testModel,
