--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -118,7 +118,7 @@
 
 // An engine without the required weights must not count as fast, neither for reserved slots
 // nor for their total.
-func TestOnlyEnginesThatMayRunATextCountAsFastForIt(t *testing.T) {
+func TestOnlyUsableEnginesCountAsFast(t *testing.T) {
 	is := is.New(t)
 	item := Item{Model: testModel, MinVersion: 1, RemainingEvents: 140, MaxRemainingEvents: 140}
 	snapshot := unevenStep(0, item)
