--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -132,7 +132,7 @@
 
 // Guards against short items that start earlier than their step requires, that ignore idle
 // connections, or that are deferred beyond maxDeferralAge.
-func TestShortTextsWaitWhileTheStepLeavesRoom(t *testing.T) {
+func TestShortItemsAreDeferredWhileStepAllows(t *testing.T) {
 	is := is.New(t)
 	snapshot := unevenStep(40, Item{
 		Model:              testModel,
