--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -159,7 +159,7 @@
 }
 
 // A deferred item must be short, recent, and of a step with a longer item.
-func TestOnlyShortTextsAreHeldBack(t *testing.T) {
+func TestOnlyShortItemsAreDeferred(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := drawSnapshot(t)
 		for i := range snapshot.Items {
