--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -217,7 +217,7 @@
 
 // Guards against moves of items that finish well before their step: a new connection costs
 // more than the move gains.
-func TestOnlyTextsThatDecideMove(t *testing.T) {
+func TestOnlyItemsThatDelayStepMove(t *testing.T) {
 	is := is.New(t)
 	snapshot := unevenStep(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunTime: time.Second})
 	snapshot.Items = append(snapshot.Items, Item{
