--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -234,7 +234,7 @@
 
 // Items with an overdue first event must leave an engine in small numbers, as it may only be
 // loading weights.
-func TestTextsLeaveASilentEngineAFewAtATime(t *testing.T) {
+func TestItemsLeaveUnresponsiveEngineGradually(t *testing.T) {
 	is := is.New(t)
 	snapshot := unevenStep(0, Item{Model: testModel, RemainingEvents: 100, Engine: "fast", RunTime: time.Second})
 	for range 5 {
