--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -260,7 +260,7 @@
 	}
 }
 
-func TestThePatienceForFirstEventsIsLearned(t *testing.T) {
+func TestFirstEventTimeoutIsLearned(t *testing.T) {
 	is := is.New(t)
 	var latency FirstEventLatency
 	is.Equal(latency.OverdueAfter("s"), MaxFirstEventTimeout)
