--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -34,7 +34,7 @@
 // Guards against steps that end late, or need many connections and moves, when a few long
 // items determine the end of a burst. The bound is the time of the longest needed item alone
 // at a fast engine.
-func TestStepsEndNearTheirBoundWithFewConnections(t *testing.T) {
+func TestStepsEndNearLowerBoundWithFewConnections(t *testing.T) {
 	is := is.New(t)
 	const seeds = 4
 	took, bound, connections, moves := time.Duration(0), time.Duration(0), 0, 0
