--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestPlansKeepWhatAlwaysHolds(t *testing.T) {
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := drawSnapshot(t)
 		decisions := Plan(snapshot)
