--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -137,7 +137,7 @@
 
 // Guards against items that start before ones that precede them in compareWaiting, if the same
 // engines can run both.
-func TestNoItemIsPlacedBeforeOneThatComesFirst(t *testing.T) {
+func TestItemsStartInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := drawSnapshot(t)
 		for i := range snapshot.Items {
