--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -160,7 +160,7 @@
 	})
 }
 
-func TestTheOrderOfItems(t *testing.T) {
+func TestCompareWaiting(t *testing.T) {
 	is := is.New(t)
 	urgent := &Item{Priority: 0, BatchAdoptedAt: testStart.Add(time.Minute)}
 	older := &Item{Priority: 1, BatchAdoptedAt: testStart}
