--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -182,7 +182,7 @@
 
 // Guards against long items at slow engines, where a single one may delay the batch, while
 // faster ones have room.
-func TestLongItemsStartAtTheFasterEngines(t *testing.T) {
+func TestLongItemsStartAtFasterEngines(t *testing.T) {
 	is := is.New(t)
 	snapshot := Snapshot{Zone: "z", Engines: []Engine{
 		engineWithEventTime("slower", 52*time.Millisecond), engineWithEventTime("a", 40*time.Millisecond), engineWithEventTime("b", 39*time.Millisecond),
