--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -203,7 +203,7 @@
 
 // Guards against moves whose gain is within measurement noise or below the cost of a move, and
 // against missing ones.
-func TestMovesPayForThemselves(t *testing.T) {
+func TestMovesOutweighTheirCost(t *testing.T) {
 	is := is.New(t)
 	movedFrom := func(eventTime time.Duration, remaining float64, runFor time.Duration) bool {
 		snapshot := Snapshot{
