--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -224,7 +224,7 @@
 	is.True(!movedFrom(52*time.Millisecond, 80, minRunTime/2))
 }
 
-func TestAMoveDoesNotComeBack(t *testing.T) {
+func TestMovesDoNotOscillate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		eventTime := func(name string) time.Duration {
 			return time.Duration(rapid.IntRange(10, 200).Draw(t, name)) * time.Millisecond
