--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -269,7 +269,7 @@
 
 // Guards against items that queue at an engine whose slots are taken by another owner's
 // requests.
-func TestRequestsOfOtherOwnersTakeRoom(t *testing.T) {
+func TestRequestsOfOtherOwnersOccupySlots(t *testing.T) {
 	is := is.New(t)
 	engine := func(id string, eventTime time.Duration, others int) Engine {
 		return Engine{
