--- a/internal/batches/occupancy/allowance_test.go
+++ b/internal/batches/occupancy/allowance_test.go
@@ -38,7 +38,7 @@
 
 // Owners of one rank that know of each other want no more than there is, each gets an equal
 // part at least or all that it wants, and nothing is left over that one of them wants.
-func TestEvenShares(t *testing.T) {
+func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		places := rapid.IntRange(0, 100).Draw(t, "places")
 		wanted := rapid.SliceOfN(rapid.IntRange(0, 100), 1, 6).Draw(t, "wanted")
