--- a/internal/batches/occupancy/allowance_test.go
+++ b/internal/batches/occupancy/allowance_test.go
@@ -63,7 +63,7 @@
 }
 
 // Room that is left to others is taken in the end, and they get another chance after that.
-func TestRoomIsLeftToOthersForAWhile(t *testing.T) {
+func TestYieldingIsBounded(t *testing.T) {
 	is := is.New(t)
 	var turn StartLimiter
 	now := time.Unix(0, 0)
