--- a/internal/batches/occupancy/golden_test.go
+++ b/internal/batches/occupancy/golden_test.go
@@ -8,7 +8,7 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestReportsKeepTheirForm(t *testing.T) {
+func TestWireFormatIsUnchanged(t *testing.T) {
 	golden.Service(t, ServiceName, &Service{})
 	golden.Gob[Message](t, "message")
 	golden.Gob[Heard](t, "heard")
