--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -101,7 +101,7 @@
 
 // What an owner starts is known to the others at once, and what has ended is known within two
 // intervals; one that has nothing tells nothing, and is heard no more.
-func TestOwnersHearOfEachOther(t *testing.T) {
+func TestOwnersExchangeReports(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b, c := daemons.daemons["d0"], daemons.daemons["d1"], daemons.daemons["d2"]
 		time.Sleep(5 * time.Second)
