--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -137,7 +137,7 @@
 
 // An owner between two batches hears on, so that the next burst doesn't begin blind. After
 // lingerTime it only knows whom to ask.
-func TestAnOwnerBetweenTwoBatchesHearsOn(t *testing.T) {
+func TestOwnerBetweenBatchesStillGetsReports(t *testing.T) {
 	withFleet(t, 2, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b := daemons.daemons["d0"], daemons.daemons["d1"]
 		a.set(RequestCount{Replica: engine, Requests: 3})
