--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -155,7 +155,7 @@
 }
 
 // A peer that answers nothing holds up nobody, and has no more than one call at a time.
-func TestASilentPeerHoldsUpNobody(t *testing.T) {
+func TestUnresponsivePeerDelaysNoOther(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b, c := daemons.daemons["d0"], daemons.daemons["d1"], daemons.daemons["d2"]
 		b.set(RequestCount{Replica: engine, Requests: 1})
