--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -178,7 +178,7 @@
 }
 
 // A peer that was restarted lacks what changes are based on: it gets the whole.
-func TestAPeerThatWasRestartedGetsTheWhole(t *testing.T) {
+func TestRestartedPeerGetsFullReport(t *testing.T) {
 	withFleet(t, 2, func(is *is.I, ctx context.Context, daemons *fleet) {
 		a, b := daemons.daemons["d0"], daemons.daemons["d1"]
 		b.set(RequestCount{Replica: engine, Requests: 1})
