--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -194,7 +194,7 @@
 
 // A daemon that becomes an owner knows at once what the owners before it do, paces also of
 // replicas that nobody uses now.
-func TestANewOwnerAdoptsBeliefs(t *testing.T) {
+func TestNewOwnerAdoptsSnapshot(t *testing.T) {
 	withFleet(t, 4, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b, c := daemons.daemons["d0"], daemons.daemons["d1"], daemons.daemons["d2"]
 		a.table.Adopt(Snapshot{Measured: []Measurement{NewMeasurement(engine+9, 20*time.Millisecond, 0)}})
