--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -215,7 +215,7 @@
 // However many owners there are and however often their requests change, what a daemon sends
 // stays within its bound, and so does its number of calls. The log tells how often each other
 // owner hears of it.
-func TestTellingIsBounded(t *testing.T) {
+func TestTrafficIsBounded(t *testing.T) {
 	for _, owners := range []int{4, 18, 100} {
 		withFleet(t, owners, func(is *is.I, _ context.Context, daemons *fleet) {
 			const engines, over, perSecond = 45, 10 * time.Second, 20
