--- a/internal/batches/occupancy/rpc_test.go
+++ b/internal/batches/occupancy/rpc_test.go
@@ -44,7 +44,7 @@
 }
 
 // Two daemons tell each other over connections of net/rpc.
-func TestDaemonsTellEachOtherOverTheirRelays(t *testing.T) {
+func TestReportsOverRelays(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
