--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -37,7 +37,7 @@
 }
 
 // An owner that is cut off, or gone without a word, counts for reportHolds and no longer.
-func TestAReportIsBelievedForAStatedTime(t *testing.T) {
+func TestReportsExpire(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		is.Equal(table.Merge(newReport("a/1", 1, clock.Now(), 3)), Accepted)
 		is.Equal(table.Merge(newReport("b/1", 1, clock.Now(), 2)), Accepted)
