--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -53,7 +53,7 @@
 }
 
 // Beliefs grow old while the machine that holds them is suspended.
-func TestBeliefsLapseWhileTheMachineIsSuspended(t *testing.T) {
+func TestReportsExpireDuringSuspend(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		table.Merge(newReport("a/1", 1, clock.Now(), 3))
 		clock.Suspend(reportTTL)
