--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -63,7 +63,7 @@
 
 // A report that waited for its sender or for this machine to be woken is as old as it is: it
 // is refused if it is over, and else believed for what is left.
-func TestAReportThatWasOnItsWayForLongIsOld(t *testing.T) {
+func TestDelayedReportsKeepTheirAge(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		ahead := 40 * time.Minute // the sender's clock
 		table.Merge(newReport("a/1", 1, clock.Now().Add(ahead), 3))
