--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -82,7 +82,7 @@
 }
 
 // Doubles and reports that were overtaken change nothing.
-func TestADoubleOrAnOvertakenReportIsRefused(t *testing.T) {
+func TestDuplicateAndReorderedReportsAreRefused(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		first, second := newReport("a/1", 1, clock.Now(), 3), newReport("a/1", 2, clock.Now(), 1)
 		is.Equal(table.Merge(second), Accepted)
