--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -99,7 +99,7 @@
 // A new run replaces what the run before told, whatever the numbers, and late words of that
 // run count no more. A machine whose time of day was put back is heard once the run before has
 // lapsed.
-func TestANewRunReplacesTheOneBefore(t *testing.T) {
+func TestNewIncarnationReplacesFormer(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		table.Merge(newReport("a/1", 9, clock.Now(), 3))
 		is.Equal(table.Merge(newReport("a/2", 1, clock.Now(), 1)), Accepted)
