--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -115,7 +115,7 @@
 }
 
 // Changes count only on top of the report that they are based on.
-func TestChangesNeedTheirBase(t *testing.T) {
+func TestDeltasNeedTheirBase(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		change := newReport("a/1", 2, clock.Now(), 5)
 		change.BaseNumber = 1
