--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -139,7 +139,7 @@
 }
 
 // What differs between two states, put on top of the first, gives the second.
-func TestChangesMakeTheWhole(t *testing.T) {
+func TestDiffAndApplyRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) []RequestCount {
 			var counts []RequestCount
