--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -157,7 +157,7 @@
 }
 
 // The requests believed are always the sum of the reports that hold.
-func TestTheSumIsThatOfTheReports(t *testing.T) {
+func TestSumsMatchCurrentReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC) // it stands still during a step
 		table := NewTable("self/1", func() time.Time { return now }, zap.NewNop())
