--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -183,7 +183,7 @@
 }
 
 // A table is bounded in daemons, entries of a report and paces; what holds is not pushed out.
-func TestATableIsBounded(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		long := Report{Sender: "long/1", Number: 1, SentMillis: clock.Now().UnixMilli()}
 		for i := range 2 * maxEntries {
