--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -211,7 +211,7 @@
 }
 
 // Of the paces told of a replica the one measured last counts, for paceHolds.
-func TestThePaceMeasuredLastCounts(t *testing.T) {
+func TestLatestEventTimeCounts(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		tell := func(run string, pace, age time.Duration) {
 			report := Report{
