--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -238,7 +238,7 @@
 
 // A daemon that becomes an owner takes over what another believes, with its age; what it has
 // heard itself stays where that is newer, and it is not told of its own requests.
-func TestBeliefsAreAdopted(t *testing.T) {
+func TestSnapshotsAreAdopted(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		table.Merge(newReport("a/1", 1, clock.Now(), 3))
 		table.Merge(newReport("b/1", 5, clock.Now(), 2))
