--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -257,7 +257,7 @@
 }
 
 // A report is for one start of a replica where starts are known.
-func TestStartsOfAReplicaAreToldApart(t *testing.T) {
+func TestKeysOfIncarnationsDiffer(t *testing.T) {
 	is := is.New(t)
 	born := time.Unix(1000, 0)
 	is.Equal(KeyOf("e", born), KeyOf("e", born.UTC()))
