--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -64,7 +64,7 @@
 			reports++
 		}
 	}
-	t.addMeasured(o.Measured, now)
+	t.addMeasured(o.Measurements, now)
 	return reports
 }
 
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -165,8 +165,8 @@
 
 // Snapshot is all that a daemon knows, its own state included.
 type Snapshot struct {
-	Reports  []RelayedReport `cbor:"1,keyasint,omitempty"`
-	Measured []Measurement   `cbor:"2,keyasint,omitempty"`
+	Reports      []RelayedReport `cbor:"1,keyasint,omitempty"`
+	Measurements []Measurement   `cbor:"2,keyasint,omitempty"`
 }
 
 // NewMeasurement returns an event time with its age as it is sent.
--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -197,7 +197,7 @@
 func TestNewOwnerAdoptsSnapshot(t *testing.T) {
 	withFleet(t, 4, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b, c := daemons.daemons["d0"], daemons.daemons["d1"], daemons.daemons["d2"]
-		a.table.Adopt(Snapshot{Measured: []Measurement{NewMeasurement(engine+9, 20*time.Millisecond, 0)}})
+		a.table.Adopt(Snapshot{Measurements: []Measurement{NewMeasurement(engine+9, 20*time.Millisecond, 0)}})
 		a.set(RequestCount{Replica: engine, Requests: 3})
 		b.set(RequestCount{Replica: engine, Requests: 2})
 		time.Sleep(2 * time.Second)
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -107,7 +107,7 @@
 		o, err := p.requestSnapshot(ctx, machine)
 		reports := p.table.Adopt(o)
 		p.logger.Info("occupancy asked for", zap.String("from", machine), zap.Int("reports", len(o.Reports)),
-			zap.Int("adopted", reports), zap.Int("event_times", len(o.Measured)), zap.Error(err))
+			zap.Int("adopted", reports), zap.Int("event_times", len(o.Measurements)), zap.Error(err))
 		if len(o.Reports) > 0 {
 			return
 		}
--- a/internal/batches/occupancy/service.go
+++ b/internal/batches/occupancy/service.go
@@ -57,7 +57,7 @@
 func (s *Service) Ask(_ struct{}, msg *Message) error {
 	o := s.table.Snapshot()
 	if own := s.publisher.ownReport(); !own.isEmpty() {
-		o.Measured = append(o.Measured, own.Measurements...)
+		o.Measurements = append(o.Measurements, own.Measurements...)
 		own.Measurements = nil
 		o.Reports = append(o.Reports, RelayedReport{Report: own})
 	}
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -183,8 +183,8 @@
 		}
 	}
 	for replica, m := range t.eventTimes {
-		if age := now.Sub(m.measuredAt); age <= eventTimeMaxAge && len(o.Measured) < maxEntries {
-			o.Measured = append(o.Measured, NewMeasurement(replica, m.eventTime, age))
+		if age := now.Sub(m.measuredAt); age <= eventTimeMaxAge && len(o.Measurements) < maxEntries {
+			o.Measurements = append(o.Measurements, NewMeasurement(replica, m.eventTime, age))
 		}
 	}
 	return o
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -200,7 +200,7 @@
 		is.Equal(len(table.daemons), maxDaemons)
 		for i := range maxEventTimes {
 			table.Adopt(Snapshot{
-				Measured: []Measurement{{Replica: Key(i), EventTime: 1}, {Replica: Key(maxEventTimes + i), EventTime: 1}},
+				Measurements: []Measurement{{Replica: Key(i), EventTime: 1}, {Replica: Key(maxEventTimes + i), EventTime: 1}},
 			})
 		}
 		is.Equal(len(table.eventTimes), maxEventTimes)
@@ -243,7 +243,7 @@
 		table.Merge(newReport("a/1", 1, clock.Now(), 3))
 		table.Merge(newReport("b/1", 5, clock.Now(), 2))
 		table.Merge(newReport("new/1", 1, clock.Now(), 8))
-		table.Adopt(Snapshot{Measured: []Measurement{NewMeasurement(engine, 20*time.Millisecond, time.Second)}})
+		table.Adopt(Snapshot{Measurements: []Measurement{NewMeasurement(engine, 20*time.Millisecond, time.Second)}})
 		time.Sleep(reportTTL / 2)
 		newcomer := NewTable("new/2", clock.Now, zap.NewNop())
 		newcomer.Merge(newReport("b/1", 6, clock.Now(), 1))
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -281,7 +281,7 @@
 	rep := replica.Replica{Entry: replica.Entry{ID: "e"}}
 	told := func(age time.Duration) {
 		s.table.Adopt(occupancy.Snapshot{
-			Measured: []occupancy.Measurement{occupancy.NewMeasurement(KeyOf(rep), 20*time.Millisecond, age)},
+			Measurements: []occupancy.Measurement{occupancy.NewMeasurement(KeyOf(rep), 20*time.Millisecond, age)},
 		})
 	}
 	eventTime := func(own, age time.Duration) time.Duration {
