--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -64,7 +64,7 @@
 			reports++
 		}
 	}
-	t.addMeasured(o.Measurements, now)
+	t.addMeasurements(o.Measurements, now)
 	return reports
 }
 
@@ -115,7 +115,7 @@
 func (t *Table) acceptIntroduction(d *daemonState, report *Report, at time.Time) {
 	t.stats.Received++
 	d.ownerSeenAt = at
-	t.addMeasured(report.Measurements[:min(len(report.Measurements), maxEntries)], at)
+	t.addMeasurements(report.Measurements[:min(len(report.Measurements), maxEntries)], at)
 }
 
 // acceptReport makes a report the one that counts for its daemon. The mutex is held.
@@ -140,7 +140,7 @@
 	if d.current {
 		d.ownerSeenAt = at
 	}
-	t.addMeasured(report.Measurements, at)
+	t.addMeasurements(report.Measurements, at)
 	if !d.current {
 		return true
 	}
@@ -173,9 +173,9 @@
 	}
 }
 
-// addMeasured takes event times in that were reported at a time, where they are newer than
+// addMeasurements takes event times in that were reported at a time, where they are newer than
 // those known. The mutex is held.
-func (t *Table) addMeasured(measurements []Measurement, at time.Time) {
+func (t *Table) addMeasurements(measurements []Measurement, at time.Time) {
 	for _, m := range measurements {
 		measured := at.Add(-time.Duration(m.Age) * ageUnit)
 		before, ok := t.eventTimes[m.Replica]
