--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -83,7 +83,8 @@
 		if it.Overdue == 0 && (it.RunTime < minRunTime || eventTime == 0) {
 			continue
 		}
-		candidates = append(candidates, candidate{item: i, engine: engine, timeLeft: it.RemainingEvents * float64(eventTime)})
+		candidates = append(candidates, candidate{
+			item: i, engine: engine, timeLeft: it.RemainingEvents * float64(eventTime)})
 	}
 	slices.SortStableFunc(candidates, p.compareCandidates)
 	leaving := make([]int, len(p.Engines))
--- a/internal/batches/scheduling/placement_test.go
+++ b/internal/batches/scheduling/placement_test.go
@@ -173,7 +173,8 @@
 		awaitsSlow := func(item *Item) bool { return planner.isShort(item) && planner.tier(item).fastDemand > 0 }
 		for i, started := range startedItems(snapshot) {
 			item := &snapshot.Items[i]
-			mayDefer := !item.Required && item.BatchAge < maxDeferralAge && item.MaxRemainingEvents < longestInStep(snapshot, item)
+			mayDefer := !item.Required && item.BatchAge < maxDeferralAge &&
+				item.MaxRemainingEvents < longestInStep(snapshot, item)
 			if started || item.Engine != "" || mayDefer || awaitsSlow(item) {
 				continue
 			}
--- a/internal/batches/scheduling/scheduling_test.go
+++ b/internal/batches/scheduling/scheduling_test.go
@@ -34,7 +34,8 @@
 		Priority:       rapid.IntRange(0, 1).Draw(t, "priority"),
 		BatchAdoptedAt: testStart.Add(time.Duration(rapid.IntRange(0, 2).Draw(t, "since")) * time.Second),
 		Model:          testModel, MinVersion: rapid.Int64Range(1, 4).Draw(t, "min version"),
-		Required: rapid.Bool().Draw(t, "required"), RemainingEvents: float64(rapid.IntRange(1, 200).Draw(t, "remaining")),
+		Required:        rapid.Bool().Draw(t, "required"),
+		RemainingEvents: float64(rapid.IntRange(1, 200).Draw(t, "remaining")),
 	}
 	if len(engines) > 0 && rapid.Bool().Draw(t, "runs") {
 		it.Engine = rapid.SampledFrom(engines).Draw(t, "engine").ID
@@ -152,7 +153,8 @@
 		for i := range snapshot.Items {
 			for j := range snapshot.Items {
 				first, second := &snapshot.Items[i], &snapshot.Items[j]
-				if first.Engine == "" && second.Engine == "" && compareWaiting(first, second) < 0 && started[j] && !started[i] {
+				if first.Engine == "" && second.Engine == "" && compareWaiting(first, second) < 0 &&
+					started[j] && !started[i] {
 					t.Fatalf("item %d is started, but item %d, which precedes it, is not", j, i)
 				}
 			}
@@ -185,7 +187,9 @@
 func TestLongItemsStartAtFasterEngines(t *testing.T) {
 	is := is.New(t)
 	snapshot := Snapshot{Zone: "z", Engines: []Engine{
-		engineWithEventTime("slower", 52*time.Millisecond), engineWithEventTime("a", 40*time.Millisecond), engineWithEventTime("b", 39*time.Millisecond),
+		engineWithEventTime("slower", 52*time.Millisecond),
+		engineWithEventTime("a", 40*time.Millisecond),
+		engineWithEventTime("b", 39*time.Millisecond),
 	}}
 	for length := range 30 {
 		snapshot.Items = append(snapshot.Items, Item{Model: testModel, RemainingEvents: float64(length)})
@@ -229,7 +233,8 @@
 		eventTime := func(name string) time.Duration {
 			return time.Duration(rapid.IntRange(10, 200).Draw(t, name)) * time.Millisecond
 		}
-		snapshot := Snapshot{Zone: "z", Engines: []Engine{engineWithEventTime("a", eventTime("a")), engineWithEventTime("b", eventTime("b"))}}
+		snapshot := Snapshot{Zone: "z", Engines: []Engine{
+			engineWithEventTime("a", eventTime("a")), engineWithEventTime("b", eventTime("b"))}}
 		remaining := float64(rapid.IntRange(1, 200).Draw(t, "remaining"))
 		snapshot.Items = []Item{{Model: testModel, Engine: "a", RunTime: time.Second, RemainingEvents: remaining}}
 		snapshot.Engines[0].InFlight = 1
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -73,7 +73,8 @@
 // engine.
 func (p *planner) isShort(it *Item) bool {
 	eventTime := p.tier(it).slowEventTime
-	return it.MaxRemainingEvents > 0 && !it.Required && eventTime > 0 && it.MaxRemainingEvents*eventTime <= p.step(it).timeToEnd
+	return it.MaxRemainingEvents > 0 && !it.Required && eventTime > 0 &&
+		it.MaxRemainingEvents*eventTime <= p.step(it).timeToEnd
 }
 
 // canDefer reports whether the start of an item may be deferred: enough short items of its
