--- a/internal/batches/occupancy/allowance.go
+++ b/internal/batches/occupancy/allowance.go
@@ -7,67 +7,67 @@
 	"time"
 )
 
-// Unbounded is the allowance of an owner that nobody waits for.
+// Unbounded is the allowance of an owner while no other owner waits for slots.
 const Unbounded = math.MaxInt
 
-// maxYieldTime is for how long an owner leaves room to others that wait for it: they learn of the
-// room within some hundred milliseconds. After that it takes what they have left, as what they
-// wait for may be at other engines.
+// maxYieldTime bounds how long an owner leaves free slots to waiting owners, which learn of
+// them within a few hundred milliseconds. Slots still free after that may not be the ones that
+// these wait for, so the owner takes them.
 const maxYieldTime = 300 * time.Millisecond
 
-// Allowance returns how many more requests an owner may have under way at some engines with
-// slots places in all, so that each owner comes to its part of them: what others of a more
-// urgent rank want comes first, and owners of the same rank get equal parts, or what they
-// want if that is less. An owner that nobody waits for may start as it likes.
+// Allowance returns how many more requests an owner may start at engines with the given total
+// number of slots, so that the slots are shared fairly. Demand of a more urgent rank comes
+// first; owners of the same rank get max-min fair shares. The result is Unbounded if no owner
+// of the same or a more urgent rank waits for slots.
 //
-// Without it, an owner whose requests fill all engines would take each place that becomes
-// free before others learn of it, and these would wait until it has nothing left.
+// Without it, an owner whose requests fill all engines would take every slot that becomes free
+// before others learn of it, and starve them.
 func Allowance(slots int, own Demand, others []Demand) int {
-	var equal []int
-	waits := false
+	var equalDemands []int
+	contended := false
 	for _, dm := range others {
-		has, wants := int(dm.InFlight), int(dm.InFlight+dm.Waiting)
+		inFlight, demand := int(dm.InFlight), int(dm.InFlight+dm.Waiting)
 		switch {
 		case dm.Waiting == 0 || dm.Rank > own.Rank:
-			slots -= has
+			slots -= inFlight
 		case dm.Rank < own.Rank:
-			waits = true
-			slots -= wants
+			contended = true
+			slots -= demand
 		default:
-			waits = true
-			equal = append(equal, wants)
+			contended = true
+			equalDemands = append(equalDemands, demand)
 		}
 	}
-	if !waits {
+	if !contended {
 		return Unbounded
 	}
-	share := fairShare(slots, int(own.InFlight+own.Waiting), equal)
+	share := fairShare(slots, int(own.InFlight+own.Waiting), equalDemands)
 	return max(share-int(own.InFlight), 0)
 }
 
-// fairShare returns what one gets of some places that it and others want: an equal part, to
-// which is added what others leave of theirs.
-func fairShare(places, wanted int, others []int) int {
+// fairShare returns one owner's max-min fair share of some slots: an equal part, plus what
+// others leave of theirs. It sorts others.
+func fairShare(slots, wanted int, others []int) int {
 	slices.Sort(others)
 	for i, other := range others {
-		part := places / (len(others) - i + 1)
+		part := slots / (len(others) - i + 1)
 		if wanted <= part || other > part {
 			return max(min(wanted, part), 0)
 		}
-		places -= other
+		slots -= other
 	}
-	return max(min(wanted, places), 0)
+	return max(min(wanted, slots), 0)
 }
 
-// StartLimiter is one owner's view of who may start next at a service's engines. The zero value is
-// ready for use.
+// StartLimiter limits the starts of one owner at a service's engines while other owners wait
+// for slots. The zero value is ready to use. It is not safe for concurrent use.
 type StartLimiter struct {
-	// yieldingSince is from when on room was left to others, or zero.
+	// yieldingSince is when the owner began to leave slots to others, or zero.
 	yieldingSince time.Time
 }
 
-// Allow returns how many of the starts that are due may be made now, with an allowance as
-// Allowance returns it. What is left to others for yieldTime is taken in the end.
+// Allow returns how many of the due starts may be made now, given the result of Allowance.
+// Once the owner has left slots to others for maxYieldTime, it allows all due starts.
 func (t *StartLimiter) Allow(now time.Time, allowance, due int) int {
 	switch {
 	case due <= allowance:
@@ -82,21 +82,22 @@
 	return allowance
 }
 
-// IsYielding reports whether room is being left to others.
+// IsYielding reports whether the owner is leaving slots to others.
 func (t *StartLimiter) IsYielding() bool { return !t.yieldingSince.IsZero() }
 
-// Preference ranks a replica among ones that are as good as each other, from 0 to below 1,
-// in an order that differs from owner to owner: two that start at the same instant, before
-// either can know of the other, then seldom choose the same.
+// Preference returns a value in [0, 1) that breaks ties between equally good replicas. It
+// depends on the owner, so that owners which start at the same instant, before any can see the
+// others' requests, rarely choose the same replica.
 func Preference(owner, replica string) float64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(owner)) // it never fails
+	_, _ = hash.Write([]byte(owner)) // never fails
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(replica))
 	return float64(mixBits(hash.Sum64())>>11) / (1 << 53)
 }
 
-// mixBits spreads the differences of the last bytes over all bits, as the end of murmur3 does.
+// mixBits spreads differences in the last bytes over all bits, like the finalizer of
+// MurmurHash3.
 func mixBits(hash uint64) uint64 {
 	hash ^= hash >> 33
 	hash *= 0xff51afd7ed558ccd
--- a/internal/batches/occupancy/allowance_test.go
+++ b/internal/batches/occupancy/allowance_test.go
@@ -21,26 +21,26 @@
 	}{
 		{demand(0, 360, 100), nil, Unbounded},
 		{demand(0, 360, 100), []Demand{demand(0, 20, 0)}, Unbounded},
-		{demand(0, 360, 100), []Demand{demand(0, 0, 130)}, 0},                // it has more than its 230
-		{demand(0, 200, 100), []Demand{demand(0, 0, 130)}, 30},               // and here 30 less
-		{demand(0, 100, 200), []Demand{demand(0, 100, 200)}, 80},             // half of it all
-		{demand(0, 50, 50), []Demand{demand(0, 300, 200)}, 50},               // all that it wants
-		{demand(1, 100, 200), []Demand{demand(0, 100, 200)}, 0},              // the other's rank goes first
-		{demand(0, 100, 200), []Demand{demand(1, 200, 200)}, Unbounded},      // and this one's
-		{demand(0, 0, 200), []Demand{demand(0, 900, 1)}, 180},                // places that are counted twice
-		{demand(0, 0, 200), []Demand{demand(1, 400, 0), demand(0, 0, 1)}, 0}, // none is left at all
+		{demand(0, 360, 100), []Demand{demand(0, 0, 130)}, 0},                // already above its share of 230
+		{demand(0, 200, 100), []Demand{demand(0, 0, 130)}, 30},               // 30 less than its share
+		{demand(0, 100, 200), []Demand{demand(0, 100, 200)}, 80},             // half of all slots
+		{demand(0, 50, 50), []Demand{demand(0, 300, 200)}, 50},               // its whole demand
+		{demand(1, 100, 200), []Demand{demand(0, 100, 200)}, 0},              // the other one is more urgent
+		{demand(0, 100, 200), []Demand{demand(1, 200, 200)}, Unbounded},      // this one is more urgent
+		{demand(0, 0, 200), []Demand{demand(0, 900, 1)}, 180},                // overcommitted slots
+		{demand(0, 0, 200), []Demand{demand(1, 400, 0), demand(0, 0, 1)}, 0}, // no slot is left
 	} {
 		if got := Allowance(slots, each.own, each.others); got != each.want {
-			t.Errorf("%+v beside %+v: %d, not %d", each.own, each.others, got, each.want)
+			t.Errorf("own %+v, others %+v: Allowance = %d, want %d", each.own, each.others, got, each.want)
 		}
 	}
 }
 
-// Owners of one rank that know of each other want no more than there is, each gets an equal
-// part at least or all that it wants, and nothing is left over that one of them wants.
+// Guards against shares below an equal part of what an owner wants, shares that exceed the
+// slots in sum, and slots left unused despite demand.
 func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		places := rapid.IntRange(0, 100).Draw(t, "places")
+		slots := rapid.IntRange(0, 100).Draw(t, "slots")
 		wanted := rapid.SliceOfN(rapid.IntRange(0, 100), 1, 6).Draw(t, "wanted")
 		sum, all := 0, 0
 		for i, own := range wanted {
@@ -50,34 +50,33 @@
 					others = append(others, each)
 				}
 			}
-			share := fairShare(places, own, others)
-			if share < min(own, places/len(wanted)) || share > own {
-				t.Fatalf("%d of %d places for %d beside %v", share, places, own, others)
+			share := fairShare(slots, own, others)
+			if share < min(own, slots/len(wanted)) || share > own {
+				t.Fatalf("fairShare(%d, %d, %v) = %d", slots, own, others, share)
 			}
 			sum, all = sum+share, all+own
 		}
-		if sum > places || sum < min(places, all)-len(wanted) {
-			t.Fatalf("%d of %d places are given to %v", sum, places, wanted)
+		if sum > slots || sum < min(slots, all)-len(wanted) {
+			t.Fatalf("shares of %v sum up to %d of %d slots", wanted, sum, slots)
 		}
 	})
 }
 
-// Room that is left to others is taken in the end, and they get another chance after that.
+// Guards against yielding forever, and against not yielding again after slots were taken.
 func TestYieldingIsBounded(t *testing.T) {
 	is := is.New(t)
-	var turn StartLimiter
+	var limiter StartLimiter
 	now := time.Unix(0, 0)
-	is.Equal(turn.Allow(now, Unbounded, 9), 9)
-	is.Equal(turn.Allow(now, 2, 9), 2)
-	is.Equal(turn.Allow(now.Add(maxYieldTime-1), 0, 7), 0)
-	is.Equal(turn.Allow(now.Add(maxYieldTime), 0, 7), 7)
-	is.Equal(turn.Allow(now.Add(maxYieldTime+1), 0, 7), 0)
-	is.Equal(turn.Allow(now.Add(maxYieldTime+2), 7, 7), 7)
-	is.Equal(turn.Allow(now.Add(2*maxYieldTime+1), 0, 7), 0)
+	is.Equal(limiter.Allow(now, Unbounded, 9), 9)
+	is.Equal(limiter.Allow(now, 2, 9), 2)
+	is.Equal(limiter.Allow(now.Add(maxYieldTime-1), 0, 7), 0)
+	is.Equal(limiter.Allow(now.Add(maxYieldTime), 0, 7), 7)
+	is.Equal(limiter.Allow(now.Add(maxYieldTime+1), 0, 7), 0)
+	is.Equal(limiter.Allow(now.Add(maxYieldTime+2), 7, 7), 7)
+	is.Equal(limiter.Allow(now.Add(2*maxYieldTime+1), 0, 7), 0)
 }
 
-// Two owners that choose one of many equal engines at the same instant seldom choose the
-// same, and each comes to all of them alike.
+// Guards against owners that prefer the same replicas.
 func TestPreferencesDifferBetweenOwners(t *testing.T) {
 	is := is.New(t)
 	const owners, engines = 200, 45
--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -9,20 +9,20 @@
 	"woodworks/internal/membership/identity"
 )
 
-// Outcome says what became of a report.
+// Outcome is the result of merging a report.
 type Outcome int
 
-// The outcomes of Merge.
+// Results of Table.Merge.
 const (
-	// Accepted: the report is the one that counts for its daemon.
+	// Accepted means that the report took effect.
 	Accepted Outcome = iota
-	// Refused: it is late, older than one before, or one too many.
+	// Refused means that the report is too old or out of order, or that the table is full.
 	Refused
-	// BaseMissing: the report that it is based on is not here.
+	// BaseMissing means that the table lacks the report that a delta is based on.
 	BaseMissing
 )
 
-// Merge takes in a report that its sender has just sent.
+// Merge applies a report that was received from its sender.
 func (t *Table) Merge(report Report) Outcome {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -40,19 +40,19 @@
 		}
 		report.Counts, report.BaseNumber = applyDiff(d.report.Counts, report.Counts), 0
 	}
-	late := d.excessDelay(&report, now)
+	delay := d.excessDelay(&report, now)
 	if report.IsIntroduction {
-		t.acceptIntroduction(d, &report, now.Add(-late))
+		t.acceptIntroduction(d, &report, now.Add(-delay))
 		return Accepted
 	}
-	if t.acceptReport(d, report, now.Add(-late), now) {
+	if t.acceptReport(d, report, now.Add(-delay), now) {
 		return Accepted
 	}
 	return Refused
 }
 
-// Adopt takes in what another daemon knows, where it is newer than what is known here.
-// It returns how many reports were.
+// Adopt merges a snapshot of another daemon where it is newer than the table. It returns the
+// number of reports that were accepted.
 func (t *Table) Adopt(o Snapshot) (reports int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,8 +68,8 @@
 	return reports
 }
 
-// daemonFor returns the daemon that a report may be taken into, or nil if the report is to be
-// refused. The mutex is held.
+// daemonFor returns the state that a report may be merged into, after creating it if
+// necessary, or nil if the report must be refused. The mutex is held.
 func (t *Table) daemonFor(report *Report, now time.Time) *daemonState {
 	machine := identity.Machine(report.Sender)
 	if machine == "" || machine == identity.Machine(t.self) {
@@ -81,8 +81,9 @@
 		return nil
 	case d == nil:
 	case d.report.Sender != report.Sender:
-		// Two incarnations are ordered by the machine's own time of day, which may have been set
-		// back: that decides only as long as the later one is known to be alive.
+		// Start times of incarnations come from the machine's wall clock, which may have been
+		// set back. The order is enforced only while the later incarnation is known to be
+		// alive.
 		if d.current && identity.Started(report.Sender) < identity.Started(d.report.Sender) {
 			return nil
 		}
@@ -97,7 +98,8 @@
 	return d
 }
 
-// excessDelay is for how much longer than usual a report was on its way.
+// excessDelay updates the minimal clock offset and returns how much longer than the fastest
+// report a report took to arrive.
 func (d *daemonState) excessDelay(report *Report, now time.Time) time.Duration {
 	offset := now.Sub(time.UnixMilli(report.SentMillis))
 	if !d.minOffsetAt.IsZero() {
@@ -110,26 +112,27 @@
 	return offset - d.minOffset
 }
 
-// acceptIntroduction notes that a daemon is an owner, and the event times that it reported. Its
-// report before stays. The mutex is held.
+// acceptIntroduction records that a daemon is an owner, and its measurements. The current
+// report of the daemon stays. The mutex is held.
 func (t *Table) acceptIntroduction(d *daemonState, report *Report, at time.Time) {
 	t.stats.Received++
 	d.ownerSeenAt = at
 	t.addMeasurements(report.Measurements[:min(len(report.Measurements), maxEntries)], at)
 }
 
-// acceptReport makes a report the one that counts for its daemon. The mutex is held.
+// acceptReport makes a report that was sent at a given local time the latest one of its
+// daemon. It returns false if the report has already expired. The mutex is held.
 func (t *Table) acceptReport(d *daemonState, report Report, at, now time.Time) bool {
 	report.truncate()
 	if now.Sub(at) > reportTTL {
-		// Its counts are over, yet those before it even more so.
+		// The report has expired, and so has the one that it replaces.
 		t.removeCounts(d)
 		d.report, d.sentAt = report, at
 		t.stats.Refused++
 		return false
 	}
 	if !d.current && !report.isEmpty() {
-		t.logger.Info("report of another owner begins", zap.String("owner", report.Sender),
+		t.logger.Info("reports from another owner started", zap.String("owner", report.Sender),
 			zap.Uint64("report", report.Number), zap.Int("replicas", len(report.Counts)),
 			zap.Duration("age", now.Sub(at)))
 	}
@@ -152,14 +155,15 @@
 	return true
 }
 
-// updateNextExpiry remembers when a daemon's report lapses if none does before. The mutex is held.
+// updateNextExpiry takes the expiry of a daemon's report into account. The mutex is held.
 func (t *Table) updateNextExpiry(d *daemonState) {
-	if lapses := d.expiresAt(); t.nextExpiry.IsZero() || lapses.Before(t.nextExpiry) {
-		t.nextExpiry = lapses
+	if expiry := d.expiresAt(); t.nextExpiry.IsZero() || expiry.Before(t.nextExpiry) {
+		t.nextExpiry = expiry
 	}
 }
 
-// removeCounts takes a daemon's report out of the counts. The mutex is held.
+// removeCounts subtracts a daemon's current report from the sums, after which it is not
+// current. The mutex is held.
 func (t *Table) removeCounts(d *daemonState) {
 	if !d.current {
 		return
@@ -173,8 +177,8 @@
 	}
 }
 
-// addMeasurements takes event times in that were reported at a time, where they are newer than
-// those known. The mutex is held.
+// addMeasurements stores event times reported at a given time where they are newer than the
+// known ones. New replicas beyond maxEventTimes are ignored. The mutex is held.
 func (t *Table) addMeasurements(measurements []Measurement, at time.Time) {
 	for _, m := range measurements {
 		measured := at.Add(-time.Duration(m.Age) * ageUnit)
@@ -182,11 +186,12 @@
 		if m.EventTime == 0 || ok && !measured.After(before.measuredAt) || !ok && len(t.eventTimes) >= maxEventTimes {
 			continue
 		}
-		t.eventTimes[m.Replica] = reportedEventTime{eventTime: time.Duration(m.EventTime) * eventTimeUnit, measuredAt: measured}
+		t.eventTimes[m.Replica] = reportedEventTime{
+			eventTime: time.Duration(m.EventTime) * eventTimeUnit, measuredAt: measured}
 	}
 }
 
-// expireReports ends reports that are too old. The mutex is held.
+// expireReports removes the reports that have expired. The mutex is held.
 func (t *Table) expireReports(now time.Time) {
 	if t.nextExpiry.IsZero() || now.Before(t.nextExpiry) {
 		return
@@ -198,7 +203,7 @@
 		case !now.Before(d.expiresAt()):
 			t.removeCounts(d)
 			t.stats.Expired++
-			t.logger.Info("report of another owner lapsed", zap.String("owner", d.report.Sender),
+			t.logger.Info("report from another owner expired", zap.String("owner", d.report.Sender),
 				zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.sentAt)))
 		default:
 			t.updateNextExpiry(d)
@@ -206,8 +211,8 @@
 	}
 }
 
-// evictOldest forgets the daemon that has reported nothing for longest, of those whose reports
-// don't count. The mutex is held.
+// evictOldest removes the daemon with the oldest report among those without a current one. It
+// reports whether there was one. The mutex is held.
 func (t *Table) evictOldest() bool {
 	oldest := ""
 	for machine, d := range t.daemons {
@@ -219,7 +224,7 @@
 	return oldest != ""
 }
 
-// Sweep forgets daemons and event times of long ago.
+// Sweep removes daemons and event times that are no longer needed. It is called periodically.
 func (t *Table) Sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -228,5 +233,7 @@
 	maps.DeleteFunc(t.daemons, func(_ string, d *daemonState) bool {
 		return !d.current && now.Sub(d.sentAt) > daemonTTL && now.Sub(d.ownerSeenAt) > daemonTTL
 	})
-	maps.DeleteFunc(t.eventTimes, func(_ Key, m reportedEventTime) bool { return now.Sub(m.measuredAt) > eventTimeMaxAge })
+	maps.DeleteFunc(t.eventTimes, func(_ Key, m reportedEventTime) bool {
+		return now.Sub(m.measuredAt) > eventTimeMaxAge
+	})
 }
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -1,21 +1,20 @@
-// Package occupancy lets the owners of batches that share engines know of each other's
-// requests.
+// Package occupancy shares, between the owners of batches, how many requests each has at the
+// engines that they have in common.
 //
-// An owner counts the requests that it has under way at an engine; those of other owners
-// it can't see. Owners that start bursts on the same engines would fill some of them twice
-// over, so that texts wait in an engine's queue or are declined, beside engines that have
-// room. Each owner therefore reports to the others how many requests it has where, how many
-// items it would start if there were room, and which event times it has measured.
+// An owner knows only its own requests at an engine. Owners that start bursts on the same
+// engines would overload some of them, so that items queue or are declined while other engines
+// have room. Each owner therefore reports to the others its requests by engine, the number of
+// items it would start if there were room, and the event times it has measured.
 //
-// A report counts for a stated time and as none after that, so that an owner that is cut
-// off, paused or gone leaves the others with what they know by themselves. Nothing here is
-// waited for, and no promise rests on it: all of it may be lost.
+// A report expires after reportTTL, so that an owner that is cut off, paused or gone no longer
+// counts. Nothing waits for reports, and correctness does not depend on them: any of them may
+// be lost.
 //
-// The package owns a Table of what others reported and a Publisher that sends this daemon's
-// reports; a Service takes reports in. It relies on the relay for calls to other daemons and
-// on the group for who may become an owner. Allowance and Turn are the rules by which owners
-// leave each other room; they are pure. The package is built for some owners, each with bursts of
-// some hundred texts of seconds to a minute, on the same tens to thousands of engines.
+// Table holds the reports of other owners, Publisher sends this daemon's, and Service receives
+// reports. The package uses the relay for calls to other daemons and group membership to learn
+// which daemons may become owners. Allowance and StartLimiter implement fair sharing of slots;
+// they do no I/O. The design is for a small number of owners, each with bursts of some hundred
+// items that take seconds to a minute, on up to thousands of shared engines.
 //
 // # Usage
 //
@@ -34,91 +33,88 @@
 )
 
 const (
-	// eventTimeUnit is the unit of event times on the wire: a hundredth of a usual one and less.
+	// eventTimeUnit is the unit of event times on the wire.
 	eventTimeUnit = 100 * time.Microsecond
 	// ageUnit is the unit of ages on the wire.
 	ageUnit = time.Millisecond
-	// maxEntries bounds the entries of each list in a report. Requests at replicas beyond it
-	// are not reported.
+	// maxEntries limits each list of a report. Entries beyond it are not sent.
 	maxEntries = 1024
 )
 
-// Key stands for one start of a replica, or for a service, where its name would be most of
-// a message. Of 10,000 replicas two share a key with a chance of one in a hundred; their
-// requests then count at both.
+// Key is a hash that identifies one incarnation of a replica, or a service, and keeps messages
+// short. On a collision the requests of both replicas count at each of them.
 type Key uint32
 
-// KeyOf returns the key of the start of a replica at a time, or of a replica whose start is
-// not known where born is zero. What was reported of an earlier start has another key.
+// KeyOf returns the key of the incarnation of a replica that started at born. A zero born
+// means that the start is unknown, or that id names a service.
 func KeyOf(id string, born time.Time) Key {
 	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(id)) // it never fails
+	_, _ = hash.Write([]byte(id)) // never fails
 	if !born.IsZero() {
 		_, _ = hash.Write([]byte("\x00" + strconv.FormatInt(born.UnixNano(), 36)))
 	}
 	return Key(hash.Sum32())
 }
 
-// RequestCount is how many requests of a daemon are under way at a replica.
+// RequestCount is the number of a daemon's requests at a replica.
 type RequestCount struct {
 	_        struct{} `cbor:",toarray"`
 	Replica  Key
 	Requests uint32
 }
 
-// Measurement is an event time that was measured at a replica.
+// Measurement is an event time measured at a replica.
 type Measurement struct {
 	_       struct{} `cbor:",toarray"`
 	Replica Key
-	// EventTime is the time between two events of a text in units of eventTimeUnit, Age how long
-	// ago the last of these was, in milliseconds.
+	// EventTime is the time between two events of an output, in units of eventTimeUnit. Age is
+	// the time since the later of these, in milliseconds.
 	EventTime, Age uint32
 }
 
-// Demand is what a daemon has and would have of a service's engines.
+// Demand is a daemon's use of a service's engines, and how much more it wants.
 type Demand struct {
 	_       struct{} `cbor:",toarray"`
 	Service Key
-	// Rank is that of the most urgent item that waits, 0 being the most urgent of all.
+	// Rank is the rank of the most urgent waiting item, 0 being the most urgent.
 	Rank int32
-	// InFlight is how many requests are under way, Waiting how many items wait for room
-	// and for nothing else.
+	// InFlight is the number of running requests, Waiting the number of items that wait only
+	// for room.
 	InFlight, Waiting uint32
 }
 
-// Report is what a daemon reports of itself. It replaces the reports before of the same
-// incarnation; only its event times add to what was reported before. On the wire its fields
-// go by their keys.
+// Report is a daemon's own state. It replaces earlier reports of the same incarnation, except
+// that measurements add to those reported before. The integer keys of its fields are its wire
+// format.
 type Report struct {
-	// Sender is the daemon's identity, Number the report's place among those of this
-	// incarnation.
+	// Sender is the daemon's identity. Number increases with each report of an incarnation.
 	Sender string `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
-	// SentMillis is when it was sent by the sender's own clock, in milliseconds. Only the
-	// differences between reports of one incarnation mean anything.
+	// SentMillis is the time of sending by the sender's clock, in milliseconds. Only
+	// differences between reports of one incarnation are meaningful.
 	SentMillis int64 `cbor:"3,keyasint"`
-	// Counts are in the order of their keys. With a Base they are only those that differ
-	// from the report of that number, 0 for what is no longer there.
+	// Counts are sorted by replica. If BaseNumber is set, they are a delta to the report of
+	// that number, with 0 for replicas without requests.
 	Counts       []RequestCount `cbor:"4,keyasint,omitempty"`
 	Measurements []Measurement  `cbor:"5,keyasint,omitempty"`
 	Demands      []Demand       `cbor:"6,keyasint,omitempty"`
 	BaseNumber   uint64         `cbor:"7,keyasint,omitempty"`
-	// IsIntroduction says that the sender has batches, and reports to one that has none only so
-	// and the event times that it knows.
+	// IsIntroduction marks a report to a daemon without batches. It says only that the sender
+	// has batches, and contains its measurements.
 	IsIntroduction bool `cbor:"8,keyasint,omitempty"`
 }
 
-// isEmpty reports whether nothing is under way and nothing waits.
+// isEmpty reports whether the daemon has neither running requests nor waiting items.
 func (r *Report) isEmpty() bool { return len(r.Counts) == 0 && len(r.Demands) == 0 }
 
-// truncate drops the entries beyond what a table takes in.
+// truncate limits each list to maxEntries.
 func (r *Report) truncate() {
 	r.Counts = r.Counts[:min(len(r.Counts), maxEntries)]
 	r.Measurements = r.Measurements[:min(len(r.Measurements), maxEntries)]
 	r.Demands = r.Demands[:min(len(r.Demands), maxEntries)]
 }
 
-// diffCounts returns the counts that differ between two reports, both in order.
+// diffCounts returns the delta between two lists of counts sorted by replica.
 func diffCounts(before, now []RequestCount) (diff []RequestCount) {
 	for len(before)+len(now) > 0 {
 		switch {
@@ -138,7 +134,7 @@
 	return diff
 }
 
-// applyDiff returns counts with changes, both in order.
+// applyDiff returns counts with a delta applied. Both must be sorted by replica.
 func applyDiff(before, changes []RequestCount) (counts []RequestCount) {
 	for len(before)+len(changes) > 0 {
 		if len(changes) == 0 || len(before) > 0 && before[0].Replica < changes[0].Replica {
@@ -157,19 +153,19 @@
 	return counts
 }
 
-// RelayedReport is a report that another daemon got, Age milliseconds ago.
+// RelayedReport is a report of a third daemon with its age in milliseconds.
 type RelayedReport struct {
 	Report Report `cbor:"1,keyasint"`
 	Age    uint32 `cbor:"2,keyasint"`
 }
 
-// Snapshot is all that a daemon knows, its own state included.
+// Snapshot is everything that a daemon knows, including its own state.
 type Snapshot struct {
 	Reports      []RelayedReport `cbor:"1,keyasint,omitempty"`
 	Measurements []Measurement   `cbor:"2,keyasint,omitempty"`
 }
 
-// NewMeasurement returns an event time with its age as it is sent.
+// NewMeasurement converts an event time and its age to their wire format.
 func NewMeasurement(replica Key, eventTime, age time.Duration) Measurement {
 	age = min(age, eventTimeMaxAge)
 	return Measurement{
--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -11,59 +11,61 @@
 )
 
 const (
-	// reportInterval is the least time between two reports: a part of a dispatcher's wait for
-	// a change, and less than what the shortest text takes.
+	// reportInterval is the minimal time between two reports. It is shorter than the shortest
+	// items take.
 	reportInterval = 100 * time.Millisecond
-	// repeatInterval is after how long a report is sent again though nothing has changed.
+	// repeatInterval is the time after which an unchanged report is sent again. It is short
+	// enough for one repetition to be lost before the report expires.
 	repeatInterval = reportTTL / 3
-	// maxBytesPerSecond bounds what a daemon sends, two thirds of the 18 KB that one may need
-	// for all that is no work, and with callBytes its calls to 40 a second. From some 40 owners on
-	// reports lapse before the next comes, and an owner knows a part of the others' requests
-	// at a time.
+	// maxBytesPerSecond limits the traffic that a daemon sends, and thus its calls to about 40
+	// per second. With more than about 40 owners some reports expire before they are repeated,
+	// and an owner sees only a part of the others' requests.
 	maxBytesPerSecond = 12000
-	// callOverheadBytes is what a call takes besides the report: the headers of net/rpc both ways
-	// and of four segments.
+	// callOverheadBytes is the size of a call without the report: net/rpc headers and four TCP
+	// segments.
 	callOverheadBytes = 300
-	// introduceInterval is the time between two reports to a daemon that has no batches but
-	// may get one at any moment.
+	// introduceInterval is the time between two introductions to a daemon that has no batches
+	// but may get some.
 	introduceInterval = 2 * time.Second
-	// lingerTime is for how long others go on reporting to a daemon after it has no requests
-	// itself: the next step of a trainer mostly comes within seconds, and begins with a burst.
+	// lingerTime is how long others continue to report to a daemon after its last request
+	// ended. A trainer's next step usually follows within seconds and starts with a burst.
 	lingerTime = 10 * time.Second
-	// callTimeout bounds one call, of either kind: as long as other calls between daemons
-	// may take, as a peer that needs longer is left alone for all of them.
+	// callTimeout bounds each call. It equals the bound of other calls between daemons, as a
+	// peer that exceeds it is avoided by all of them.
 	callTimeout = 700 * time.Millisecond
-	// maxSnapshotCalls is how many peers at most are asked, one after the other, for what they know.
+	// maxSnapshotCalls limits how many peers are asked, one after the other, for a snapshot.
 	maxSnapshotCalls = 3
-	// eventTimeRepeatInterval is after how long an event time is sent again, eventTimeChange by which
-	// part it must differ to be sent before: they are known to within a few hundredths.
+	// eventTimeRepeatInterval is the time after which an event time is sent again. It is sent
+	// earlier if it has changed by at least minEventTimeChangeFraction; smaller changes are
+	// within measurement error.
 	eventTimeRepeatInterval    = 2 * time.Second
 	minEventTimeChangeFraction = 0.08
 )
 
-// Peers are the other daemons.
+// Peers calls other daemons.
 type Peers interface {
-	// Ask calls a method that another daemon has registered. A peer that is silent is left
-	// alone for a while, and calls to it then fail at once.
+	// Ask calls a method registered by another daemon. Calls to a peer that did not respond
+	// fail at once for a while.
 	Ask(ctx context.Context, machine, method string, args, reply any) error
 }
 
-// Source returns what this daemon has now: the counts, the event times that it has measured
-// lately, and the demands. Sender, Number and Sent are left empty.
+// Source returns this daemon's counts, recently measured event times and demands. Sender,
+// Number and SentMillis are left empty.
 type Source func() Report
 
-// Candidates returns the identities of the daemons that may be given batches. It may take as long
-// as a call to the journal.
+// Candidates returns the identities of the daemons that may be given batches. It may block for
+// as long as a call to the journal.
 type Candidates func(ctx context.Context) []string
 
-// sentEventTime is an event time as it was sent last.
+// sentEventTime is an event time that was last sent, in units of eventTimeUnit, with the time
+// of sending.
 type sentEventTime struct {
 	eventTime uint32
 	at        time.Time
 }
 
-// Publisher reports this daemon's requests to the other owners while it has any. It is safe
-// for concurrent use.
+// Publisher sends reports of this daemon's requests to other owners while it has any. It is
+// safe for concurrent use.
 type Publisher struct {
 	table      *Table
 	peers      Peers
@@ -74,31 +76,32 @@
 
 	mu sync.Mutex
 
-	// Who is sent reports. machines may be given batches; machinesAt is when they were learned
-	// last, refreshing that they are being.
+	// Recipients of reports, by machine. machines may be given batches; machinesAt is when the
+	// list was last requested, and refreshing is set while a request runs.
 	recipients map[string]*recipient
 	machines   []string
 	machinesAt time.Time
 	refreshing bool
 
-	// What was reported: the last report, when, and for how long after that the next one waits.
+	// State of the last report: its number, contents and time, and the minimal time until the
+	// next.
 	number         uint64
 	lastReport     Report
 	lastSentAt     time.Time
 	sendInterval   time.Duration
 	sentEventTimes map[Key]sentEventTime
 
-	// reporting says that there is something to report; endedAt is when there was last, zero if there
-	// never was.
+	// reporting is set while there is something to report. stoppedAt is when it was last
+	// cleared, or zero.
 	reporting bool
 	stoppedAt time.Time
 	stats     PublisherStats
 }
 
-// PublisherStats are a publisher's totals: calls made, those that failed, and bytes.
+// PublisherStats counts calls made, failed calls, and bytes sent since the start.
 type PublisherStats struct{ Sent, Failed, Bytes uint64 }
 
-// NewPublisher returns a publisher; Run starts it.
+// NewPublisher returns a publisher that sends nothing until Run is called.
 func NewPublisher(
 	table *Table, peers Peers, source Source, candidates Candidates, logger *zap.Logger,
 ) *Publisher {
@@ -114,7 +117,7 @@
 	}
 }
 
-// Wake says that the daemon's own requests may have changed. It never blocks.
+// Wake signals that the daemon's own requests may have changed. It never blocks.
 func (p *Publisher) Wake() {
 	select {
 	case p.wake <- struct{}{}:
@@ -122,7 +125,7 @@
 	}
 }
 
-// Run sends reports until the context ends. It waits for none of them.
+// Run sends reports until the context ends. It does not wait for replies.
 func (p *Publisher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(p.publishIfDue(ctx, time.Now()))
@@ -135,7 +138,7 @@
 	}
 }
 
-// wakeChannel returns the channel of Wake, or nil as long as the next report must not go.
+// wakeChannel returns the channel of Wake, or nil if the next report must not be sent yet.
 func (p *Publisher) wakeChannel() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,8 +148,8 @@
 	return p.wake
 }
 
-// publishIfDue sends a report if there is something new, and returns when to look again at the
-// latest.
+// publishIfDue sends a report if there is a change or a repetition is due, and returns the
+// time after which to call it again.
 func (p *Publisher) publishIfDue(ctx context.Context, now time.Time) time.Duration {
 	own := p.currentState()
 	p.mu.Lock()
@@ -154,8 +157,8 @@
 	if own.isEmpty() && !p.reporting {
 		return repeatInterval
 	}
-	if rest := p.lastSentAt.Add(p.sendInterval).Sub(now); p.reporting && rest > 0 {
-		return rest
+	if wait := p.lastSentAt.Add(p.sendInterval).Sub(now); p.reporting && wait > 0 {
+		return wait
 	}
 	if !p.reporting {
 		p.startReporting(ctx)
@@ -175,24 +178,25 @@
 	return p.sendInterval
 }
 
-// startReporting starts to report, and has another owner asked for what it knows. The mutex is held.
+// startReporting begins a period of reporting and requests a snapshot from another owner. The
+// mutex is held.
 func (p *Publisher) startReporting(ctx context.Context) {
 	p.reporting = true
-	p.logger.Info("reports to other owners begin", zap.Uint64("report", p.number+1),
+	p.logger.Info("reporting to other owners started", zap.Uint64("report", p.number+1),
 		zap.Int("owners_known", len(p.table.Owners())))
 	go p.fetchSnapshot(ctx)
 }
 
-// stopReporting stops reporting. The mutex is held.
+// stopReporting ends the period of reporting. The mutex is held.
 func (p *Publisher) stopReporting() {
 	p.reporting, p.stoppedAt = false, time.Now()
-	p.logger.Info("reports to other owners end", zap.Uint64("report", p.number),
+	p.logger.Info("reporting to other owners stopped", zap.Uint64("report", p.number),
 		zap.Uint64("calls", p.stats.Sent), zap.Uint64("failed", p.stats.Failed),
 		zap.Uint64("bytes", p.stats.Bytes))
 	p.recipients, p.sentEventTimes = map[string]*recipient{}, map[Key]sentEventTime{}
 }
 
-// normalizeCounts brings counts in order, those of one key as one.
+// normalizeCounts sorts counts by replica, adds up those of the same replica, and omits zeros.
 func normalizeCounts(counts []RequestCount) (sums []RequestCount) {
 	slices.SortFunc(counts, func(a, b RequestCount) int { return cmp.Compare(a.Replica, b.Replica) })
 	for _, c := range counts {
@@ -207,7 +211,7 @@
 	return sums
 }
 
-// sameState reports whether two reports say the same but for event times.
+// sameState reports whether two reports have equal counts and demands.
 func sameState(a, b *Report) bool {
 	return slices.Equal(a.Counts, b.Counts) && slices.Equal(a.Demands, b.Demands)
 }
@@ -221,7 +225,7 @@
 	return own
 }
 
-// currentState returns what this daemon has now, its counts and demands in order.
+// currentState returns this daemon's state, with counts and demands sorted.
 func (p *Publisher) currentState() Report {
 	own := p.source()
 	own.Counts = normalizeCounts(own.Counts)
@@ -229,13 +233,13 @@
 	return own
 }
 
-// stamp says in a report who sends it, when, and its number. The mutex is held.
+// stamp sets the sender, number and time of a report. The mutex is held.
 func (p *Publisher) stamp(report *Report) {
 	report.Sender, report.Number, report.SentMillis = p.table.self, p.number, p.table.now().UnixMilli()
 }
 
-// wantsReports reports whether others should send this daemon their reports: it has requests
-// itself, or had a moment ago.
+// wantsReports reports whether others should send this daemon their reports: it has requests,
+// or had some within lingerTime.
 func (p *Publisher) wantsReports() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -15,18 +15,18 @@
 	"woodworks/internal/daemon/bootclock/clocktest"
 )
 
-// fleet are daemons that call each other at once.
+// fleet is a set of daemons that call each other directly.
 type fleet struct {
 	identities []string
 	mu         sync.Mutex
-	// silent machines answer nothing.
+	// silent machines do not reply.
 	silent   map[string]bool
 	services map[string]*Service
 	daemons  map[string]*owner
 }
 
 // Ask implements Peers.
-func (f *fleet) Ask(ctx context.Context, machine, method string, asked, answer any) error {
+func (f *fleet) Ask(ctx context.Context, machine, method string, args, reply any) error {
 	f.mu.Lock()
 	service, silent := f.services[machine], f.silent[machine]
 	f.mu.Unlock()
@@ -35,9 +35,9 @@
 		return errors.New("silent")
 	}
 	if method == askMethod {
-		return service.Ask(struct{}{}, answer.(*Message))
+		return service.Ask(struct{}{}, reply.(*Message))
 	}
-	return service.Tell(asked.(Message), answer.(*Heard))
+	return service.Tell(args.(Message), reply.(*Heard))
 }
 
 func (f *fleet) setSilent(machine string, silent bool) {
@@ -46,7 +46,7 @@
 	f.silent[machine] = silent
 }
 
-// owner is a daemon of a fleet.
+// owner is one daemon of a fleet.
 type owner struct {
 	table     *Table
 	publisher *Publisher
@@ -61,9 +61,9 @@
 	o.publisher.Wake()
 }
 
-func (f *fleet) startDaemon(ctx context.Context, run, machine string) *owner {
+func (f *fleet) startDaemon(ctx context.Context, identity, machine string) *owner {
 	clock := clocktest.New()
-	o := &owner{table: NewTable(run, clock.Now, zap.NewNop())}
+	o := &owner{table: NewTable(identity, clock.Now, zap.NewNop())}
 	source := func() Report {
 		o.mu.Lock()
 		defer o.mu.Unlock()
@@ -80,14 +80,14 @@
 	return o
 }
 
-// newFleet starts daemons d0, d1 and so on, to all of which batches may be dealt.
+// newFleet starts daemons d0, d1 and so on, all of which may be given batches.
 func newFleet(ctx context.Context, count int) *fleet {
 	f := &fleet{silent: map[string]bool{}, services: map[string]*Service{}, daemons: map[string]*owner{}}
 	for i := range count {
 		f.identities = append(f.identities, fmt.Sprintf("d%d/1", i))
 	}
-	for i, run := range f.identities {
-		f.startDaemon(ctx, run, fmt.Sprintf("d%d", i))
+	for i, identity := range f.identities {
+		f.startDaemon(ctx, identity, fmt.Sprintf("d%d", i))
 	}
 	return f
 }
@@ -99,8 +99,8 @@
 	})
 }
 
-// What an owner starts is known to the others at once, and what has ended is known within two
-// intervals; one that has nothing tells nothing, and is heard no more.
+// Guards against reports that arrive late, that expire while unchanged, or that are sent by a
+// daemon without requests.
 func TestOwnersExchangeReports(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b, c := daemons.daemons["d0"], daemons.daemons["d1"], daemons.daemons["d2"]
@@ -109,7 +109,7 @@
 		a.set(RequestCount{Replica: engine, Requests: 3})
 		b.set(RequestCount{Replica: engine, Requests: 2}, RequestCount{Replica: engine + 1, Requests: 1})
 		time.Sleep(2 * reportInterval)
-		// One that has nothing only knows whom to ask.
+		// A daemon without requests only learns which owners it could ask.
 		is.Equal(c.table.InFlight(engine), 0)
 		is.Equal(c.table.Stats().Expired, uint64(0))
 		is.Equal(len(c.table.Owners()), 2)
@@ -122,21 +122,21 @@
 		a.set(RequestCount{Replica: engine, Requests: 1})
 		time.Sleep(2 * reportInterval)
 		is.Equal(b.table.InFlight(engine), 1)
-		// Nothing changes, and what was told holds all the same.
+		// Unchanged reports are repeated and do not expire.
 		time.Sleep(10 * reportTTL)
 		is.Equal(b.table.InFlight(engine), 1)
 		is.Equal(b.table.Stats().Expired, uint64(0))
 		a.set()
 		time.Sleep(2 * reportInterval)
 		is.Equal(b.table.InFlight(engine), 0)
-		told := a.publisher.Stats().Sent
+		sent := a.publisher.Stats().Sent
 		time.Sleep(10 * time.Second)
-		is.Equal(a.publisher.Stats().Sent, told)
+		is.Equal(a.publisher.Stats().Sent, sent)
 	})
 }
 
-// An owner between two batches hears on, so that the next burst doesn't begin blind. After
-// lingerTime it only knows whom to ask.
+// Guards against an owner that has no reports of others at the start of its next batch. After
+// lingerTime it only knows which owners it could ask.
 func TestOwnerBetweenBatchesStillGetsReports(t *testing.T) {
 	withFleet(t, 2, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b := daemons.daemons["d0"], daemons.daemons["d1"]
@@ -154,7 +154,7 @@
 	})
 }
 
-// A peer that answers nothing holds up nobody, and has no more than one call at a time.
+// Guards against an unresponsive peer that delays reports to others or accumulates calls.
 func TestUnresponsivePeerDelaysNoOther(t *testing.T) {
 	withFleet(t, 3, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b, c := daemons.daemons["d0"], daemons.daemons["d1"], daemons.daemons["d2"]
@@ -165,7 +165,7 @@
 		for number := range uint32(40) {
 			a.set(RequestCount{Replica: engine, Requests: number + 1})
 			time.Sleep(reportInterval)
-			is.True(c.table.InFlight(engine) >= int(number)) // one interval behind at most, c's count left out
+			is.True(c.table.InFlight(engine) >= int(number)) // at most one interval behind
 		}
 		time.Sleep(reportInterval)
 		totals := a.publisher.Stats()
@@ -177,23 +177,22 @@
 	})
 }
 
-// A peer that was restarted lacks what changes are based on: it gets the whole.
+// A restarted peer lacks the base of deltas and must get a full report.
 func TestRestartedPeerGetsFullReport(t *testing.T) {
 	withFleet(t, 2, func(is *is.I, ctx context.Context, daemons *fleet) {
 		a, b := daemons.daemons["d0"], daemons.daemons["d1"]
 		b.set(RequestCount{Replica: engine, Requests: 1})
 		a.set(RequestCount{Replica: engine, Requests: 3}, RequestCount{Replica: engine + 1, Requests: 1})
 		time.Sleep(time.Second)
-		again := daemons.startDaemon(ctx, "d1/2", "d1")
-		again.set(RequestCount{Replica: engine, Requests: 1})
+		restarted := daemons.startDaemon(ctx, "d1/2", "d1")
+		restarted.set(RequestCount{Replica: engine, Requests: 1})
 		time.Sleep(2 * repeatInterval)
-		is.Equal(again.table.InFlight(engine), 3)
-		is.Equal(again.table.InFlight(engine+1), 1)
+		is.Equal(restarted.table.InFlight(engine), 3)
+		is.Equal(restarted.table.InFlight(engine+1), 1)
 	})
 }
 
-// A daemon that becomes an owner knows at once what the owners before it do, paces also of
-// replicas that nobody uses now.
+// Guards against a new owner that starts without the other owners' reports and event times.
 func TestNewOwnerAdoptsSnapshot(t *testing.T) {
 	withFleet(t, 4, func(is *is.I, _ context.Context, daemons *fleet) {
 		a, b, c := daemons.daemons["d0"], daemons.daemons["d1"], daemons.daemons["d2"]
@@ -202,27 +201,26 @@
 		b.set(RequestCount{Replica: engine, Requests: 2})
 		time.Sleep(2 * time.Second)
 		daemons.setSilent("d3", true)
-		pace, _ := c.table.EventTime(engine + 9)
-		is.Equal(pace, time.Duration(0)) // hearsay is not told unasked
+		eventTime, _ := c.table.EventTime(engine + 9)
+		is.Equal(eventTime, time.Duration(0)) // event times measured by others are sent only on request
 		c.set(RequestCount{Replica: engine, Requests: 1})
 		time.Sleep(time.Millisecond)
 		is.Equal(c.table.InFlight(engine), 5)
-		pace, _ = c.table.EventTime(engine + 9)
-		is.Equal(pace, 20*time.Millisecond)
+		eventTime, _ = c.table.EventTime(engine + 9)
+		is.Equal(eventTime, 20*time.Millisecond)
 	})
 }
 
-// However many owners there are and however often their requests change, what a daemon sends
-// stays within its bound, and so does its number of calls. The log tells how often each other
-// owner hears of it.
+// Guards against traffic and calls that grow with the number of owners or with the rate of
+// changes.
 func TestTrafficIsBounded(t *testing.T) {
 	for _, owners := range []int{4, 18, 100} {
 		withFleet(t, owners, func(is *is.I, _ context.Context, daemons *fleet) {
-			const engines, over, perSecond = 45, 10 * time.Second, 20
-			for step := range uint32(over.Seconds() * perSecond) {
+			const engines, duration, perSecond = 45, 10 * time.Second, 20
+			for step := range uint32(duration.Seconds() * perSecond) {
 				for i := range uint32(owners) {
 					if i > 0 && step > 0 && step%perSecond > 0 {
-						continue // one owner's requests change all the time, the others' now and then
+						continue // one owner's requests change in every step, the others' once a second
 					}
 					var counts []RequestCount
 					for at := range uint32(engines) {
@@ -237,11 +235,11 @@
 				time.Sleep(time.Second / perSecond)
 			}
 			totals := daemons.daemons["d0"].publisher.Stats()
-			is.True(float64(totals.Bytes) <= 1.2*maxBytesPerSecond*over.Seconds()) // a first round is whole
-			perPeer := float64(totals.Sent) / over.Seconds() / float64(owners-1)
+			is.True(float64(totals.Bytes) <= 1.2*maxBytesPerSecond*duration.Seconds()) // the first reports are no deltas
+			perPeer := float64(totals.Sent) / duration.Seconds() / float64(owners-1)
 			is.True(perPeer <= 1.1/reportInterval.Seconds())
-			t.Logf("%d owners: %.0f bytes a second, %.2f reports a second to each other one, %.0f bytes each", owners,
-				float64(totals.Bytes)/over.Seconds(), perPeer, float64(totals.Bytes)/float64(totals.Sent))
+			t.Logf("%d owners: %.0f bytes per second, %.2f reports per second to each peer, %.0f bytes per report",
+				owners, float64(totals.Bytes)/duration.Seconds(), perPeer, float64(totals.Bytes)/float64(totals.Sent))
 		})
 	}
 }
--- a/internal/batches/occupancy/recipients.go
+++ b/internal/batches/occupancy/recipients.go
@@ -8,19 +8,20 @@
 	"woodworks/internal/membership/identity"
 )
 
-// recipient is a machine that is sent reports.
+// recipient is the state of a machine to which reports are sent.
 type recipient struct {
-	// sending says that a call is under way.
+	// sending is set while a call runs. There is at most one at a time.
 	sending bool
-	// isOwner says that it has batches itself, as it answered last.
+	// isOwner is set if the machine had batches according to its last reply.
 	isOwner bool
 	sentAt  time.Time
-	// acknowledged is the report that it has taken in last, Number 0 if none is known to be.
+	// acknowledged is the last report known to be accepted; its Number is 0 if there is none.
+	// Deltas are based on it.
 	acknowledged Report
 }
 
-// refreshMachines learns anew which machines may be given batches, without waiting for it. The mutex
-// is held.
+// refreshMachines starts to request the list of machines that may be given batches, if it is
+// due. The mutex is held.
 func (p *Publisher) refreshMachines(ctx context.Context, now time.Time) {
 	if p.refreshing || !p.machinesAt.IsZero() && now.Sub(p.machinesAt) < introduceInterval {
 		return
@@ -32,13 +33,14 @@
 		defer p.mu.Unlock()
 		p.refreshing = false
 		if len(machines) == 0 || slices.Equal(p.machines, machines) {
-			return // where it can't be learned, those of before may still be right
+			return // keep the former list if the request failed
 		}
-		// Some are to get a report though nothing else has changed.
+		// Clearing the last report makes the next one due, so that new machines get it.
 		p.machines, p.lastReport = machines, Report{}
 	}()
 }
 
+// candidateMachines returns the machines that may be given batches, sorted.
 func (p *Publisher) candidateMachines(ctx context.Context) (machines []string) {
 	for _, daemon := range p.candidates(ctx) {
 		machines = append(machines, identity.Machine(daemon))
@@ -47,9 +49,10 @@
 	return slices.Compact(machines)
 }
 
-// dueMachines returns the machines to send to now, and whether they are owners: these always, others that
-// may become ones each introduceInterval. One that has not answered yet is left out. The mutex is
-// held.
+// dueMachines returns the machines to send a report to now, and whether each is an owner.
+// Owners always get reports; other machines that may be given batches get an introduction
+// every introduceInterval, except for the last report. Machines with a running call are left
+// out. The mutex is held.
 func (p *Publisher) dueMachines(now time.Time, last bool) map[string]bool {
 	due := map[string]bool{}
 	for _, machine := range p.machines {
--- a/internal/batches/occupancy/rpc_test.go
+++ b/internal/batches/occupancy/rpc_test.go
@@ -15,7 +15,7 @@
 	"woodworks/internal/journal/relay"
 )
 
-// freeAddress is one of the loopback that is this test's alone.
+// freeAddress returns an unused loopback address.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := process.FreeAddress()
@@ -25,31 +25,31 @@
 	return address
 }
 
-// startRelayedDaemon starts a daemon's relay with the parts of this package on it.
+// startRelayedDaemon starts a relay with a table, a publisher and a service of this package.
 func startRelayedDaemon(ctx context.Context, t *testing.T, name string, store journal.Journal, source Source) *Table {
 	t.Helper()
 	relayed := relay.New(store, relay.Options{Name: name, Zone: "z", Address: freeAddress(t)}, zap.NewNop())
 	table := NewTable(name+"/1", bootclock.Now, zap.NewNop())
-	dealt := func(context.Context) []string { return []string{"a/1", "b/1"} }
-	publisher := NewPublisher(table, relayed, source, dealt, zap.NewNop())
+	candidates := func(context.Context) []string { return []string{"a/1", "b/1"} }
+	publisher := NewPublisher(table, relayed, source, candidates, zap.NewNop())
 	relayed.Register(ServiceName, NewService(table, publisher, func() {}))
 	if err := relayed.Serve(ctx); err != nil {
 		t.Fatal(err)
 	}
 	go relayed.Run(ctx)
-	const every = 3 * time.Second
-	go journal.NewKeyedFollower(relayed, relay.PeersPartition, relayed.Peers(), every, zap.NewNop()).Run(ctx)
+	const interval = 3 * time.Second
+	go journal.NewKeyedFollower(relayed, relay.PeersPartition, relayed.Peers(), interval, zap.NewNop()).Run(ctx)
 	go publisher.Run(ctx)
 	return table
 }
 
-// Two daemons tell each other over connections of net/rpc.
+// Guards against reports that are lost or altered between two daemons connected by net/rpc.
 func TestReportsOverRelays(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	store := journaltest.New()
-	has := func(requests uint32) Source {
+	sourceOf := func(requests uint32) Source {
 		return func() Report {
 			return Report{
 				Counts: []RequestCount{{Replica: engine, Requests: requests}},
@@ -60,13 +60,13 @@
 			}
 		}
 	}
-	a, b := startRelayedDaemon(ctx, t, "a", store, has(3)), startRelayedDaemon(ctx, t, "b", store, has(5))
+	a, b := startRelayedDaemon(ctx, t, "a", store, sourceOf(3)), startRelayedDaemon(ctx, t, "b", store, sourceOf(5))
 	for ctx.Err() == nil && (a.InFlight(engine) != 5 || b.InFlight(engine) != 3 || len(a.Demands(1)) == 0) {
 		time.Sleep(5 * time.Millisecond)
 	}
 	is.Equal(a.InFlight(engine), 5)
 	is.Equal(b.InFlight(engine), 3)
 	is.Equal(a.Demands(1), []Demand{{Service: 1, Rank: 2, InFlight: 5, Waiting: 4}})
-	pace, _ := b.EventTime(engine + 3)
-	is.Equal(pace, 30*time.Millisecond)
+	eventTime, _ := b.EventTime(engine + 3)
+	is.Equal(eventTime, 30*time.Millisecond)
 }
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -10,8 +10,8 @@
 	"woodworks/internal/membership/identity"
 )
 
-// sendReports sends a report to all that are due, and returns how many bytes that takes. The mutex
-// is held.
+// sendReports sends a report to all machines that are due, without waiting for replies, and
+// returns the number of bytes. The mutex is held.
 func (p *Publisher) sendReports(ctx context.Context, own Report, now time.Time) (bytes int) {
 	due := p.dueMachines(now, own.isEmpty())
 	if len(due) == 0 {
@@ -32,7 +32,7 @@
 		}
 		msg, err := encode(report)
 		if err != nil {
-			p.logger.Error("report not encoded", zap.Error(err))
+			p.logger.Error("failed to encode report", zap.Error(err))
 			return bytes
 		}
 		to.sending, to.sentAt = true, now
@@ -44,25 +44,25 @@
 	return bytes
 }
 
-// deltaFrom returns a report as it is sent to one who has an earlier one.
+// deltaFrom returns a report as a delta to an earlier one, if that is shorter.
 func deltaFrom(before, own Report) Report {
 	if before.Number == 0 {
 		return own
 	}
-	if diff := diffCounts(before.Counts, own.Counts); len(diff) < len(own.Counts) || len(own.Counts) == 0 {
-		own.Counts, own.BaseNumber = diff, before.Number
+	if delta := diffCounts(before.Counts, own.Counts); len(delta) < len(own.Counts) || len(own.Counts) == 0 {
+		own.Counts, own.BaseNumber = delta, before.Number
 	}
 	return own
 }
 
-// dueMeasurements returns the event times that have changed or were not sent for a while. The mutex is
-// held.
+// dueMeasurements returns the event times that have changed or are due for repetition, and
+// records them as sent. The mutex is held.
 func (p *Publisher) dueMeasurements(measured []Measurement, now time.Time) (due []Measurement) {
 	for _, m := range measured {
 		before, ok := p.sentEventTimes[m.Replica]
 		difference := max(m.EventTime, before.eventTime) - min(m.EventTime, before.eventTime)
-		small := float64(difference) < minEventTimeChangeFraction*float64(before.eventTime)
-		if ok && small && now.Sub(before.at) < eventTimeRepeatInterval {
+		unchanged := float64(difference) < minEventTimeChangeFraction*float64(before.eventTime)
+		if ok && unchanged && now.Sub(before.at) < eventTimeRepeatInterval {
 			continue
 		}
 		p.sentEventTimes[m.Replica] = sentEventTime{eventTime: m.EventTime, at: now}
@@ -71,7 +71,8 @@
 	return due
 }
 
-// sendTo makes one call. State is what the machine knows after it.
+// sendTo sends a message to a machine and updates its state. state is the base for the next
+// delta if the machine accepts the message.
 func (p *Publisher) sendTo(ctx context.Context, machine string, to *recipient, state Report, msg Message) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -81,9 +82,9 @@
 	defer p.mu.Unlock()
 	to.sending, to.isOwner, to.acknowledged = false, false, Report{}
 	if err != nil {
-		// An answer may still be written to reply.
+		// net/rpc may still write to reply, so it is not read.
 		p.stats.Failed++
-		p.logger.Debug("report not sent", zap.String("to", machine), zap.Error(err)) // up to 40 calls a second
+		p.logger.Debug("failed to send report", zap.String("to", machine), zap.Error(err)) // frequent
 		return
 	}
 	to.isOwner = reply.Owner
@@ -92,8 +93,8 @@
 	}
 }
 
-// fetchSnapshot asks an owner for all that it knows: one that reported, or else any that may be
-// one.
+// fetchSnapshot requests a snapshot from known owners first, then from other candidates, until
+// one returns reports or maxSnapshotCalls were made.
 func (p *Publisher) fetchSnapshot(ctx context.Context) {
 	asked := map[string]bool{identity.Machine(p.table.self): true}
 	for _, machine := range append(p.table.Owners(), p.candidateMachines(ctx)...) {
@@ -106,7 +107,7 @@
 		asked[machine] = true
 		o, err := p.requestSnapshot(ctx, machine)
 		reports := p.table.Adopt(o)
-		p.logger.Info("occupancy asked for", zap.String("from", machine), zap.Int("reports", len(o.Reports)),
+		p.logger.Info("occupancy snapshot requested", zap.String("from", machine), zap.Int("reports", len(o.Reports)),
 			zap.Int("adopted", reports), zap.Int("event_times", len(o.Measurements)), zap.Error(err))
 		if len(o.Reports) > 0 {
 			return
@@ -114,12 +115,13 @@
 	}
 }
 
+// requestSnapshot requests a snapshot from one machine.
 func (p *Publisher) requestSnapshot(ctx context.Context, machine string) (o Snapshot, err error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var answer Message
-	if err := p.peers.Ask(bounded, machine, askMethod, struct{}{}, &answer); err != nil {
+	var reply Message
+	if err := p.peers.Ask(bounded, machine, askMethod, struct{}{}, &reply); err != nil {
 		return o, errors.Wrap(err, "occupancy: ask")
 	}
-	return o, decode(answer, &o)
+	return o, decode(reply, &o)
 }
--- a/internal/batches/occupancy/service.go
+++ b/internal/batches/occupancy/service.go
@@ -5,42 +5,42 @@
 	"github.com/pkg/errors"
 )
 
-// ServiceName is the name under which daemons report to each other, and tellMethod and
-// askMethod what they call there.
+// ServiceName is the net/rpc service of this package, tellMethod and askMethod are its
+// methods. The names are part of the wire format.
 const (
 	ServiceName = "Occupancy"
 	tellMethod  = ServiceName + ".Tell"
 	askMethod   = ServiceName + ".Ask"
 )
 
-// Message is what net/rpc carries: a value in CBOR, which is half as long as by its own
-// codec.
+// Message wraps a CBOR-encoded value for net/rpc. CBOR takes about half the space of gob.
 type Message struct{ Body []byte }
 
-// Heard is the answer to a report. net/rpc encodes it by the names of its fields.
+// Heard is the reply to a report. Its name and fields are part of the wire format, as net/rpc
+// encodes them by name.
 type Heard struct {
-	// Owner says that the daemon that answers has batches itself, or had some a moment ago.
+	// Owner is set if the replying daemon has batches, or had some recently.
 	Owner bool
-	// Whole says that it has not taken the report, as one that lacks what it is based on
-	// can't: the next one is to be whole.
+	// Whole is set if the report was not accepted, for example for lack of its base. The next
+	// report must not be a delta.
 	Whole bool
 }
 
-// Service takes reports in, and answers with all that is known here. Its exported methods
-// are those of net/rpc: their names are on the wire.
+// Service receives reports, and answers requests for snapshots. Its exported methods are
+// called through net/rpc, so their names are part of the wire format.
 type Service struct {
 	table     *Table
 	publisher *Publisher
 	onReport  func()
 }
 
-// NewService returns the service of a table, and of the publisher of this daemon's own
-// requests. OnReport is called after each report and must not block.
+// NewService returns a service that merges reports into table and adds publisher's own report
+// to snapshots. onReport is called after each report and must not block.
 func NewService(table *Table, publisher *Publisher, onReport func()) *Service {
 	return &Service{table: table, publisher: publisher, onReport: onReport}
 }
 
-// Tell takes a report in. It is exported for net/rpc.
+// Tell merges a report. It implements a net/rpc method.
 func (s *Service) Tell(msg Message, reply *Heard) error {
 	var report Report
 	if err := decode(msg, &report); err != nil {
@@ -52,8 +52,7 @@
 	return nil
 }
 
-// Ask answers a daemon that becomes an owner with all that is known here. It is exported
-// for net/rpc.
+// Ask returns a snapshot to a daemon that becomes an owner. It implements a net/rpc method.
 func (s *Service) Ask(_ struct{}, msg *Message) error {
 	o := s.table.Snapshot()
 	if own := s.publisher.ownReport(); !own.isEmpty() {
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -12,59 +12,59 @@
 )
 
 const (
-	// reportTTL is how long a report counts: three times as long as a daemon lets pass
-	// between two of them, so that one that is lost or late changes nothing. It is also the
-	// longest for which an item waits for room that nobody uses; texts take seconds.
+	// reportTTL is how long a report counts. It spans three repetitions, so that one may be
+	// lost or late. It also bounds how long an item waits for slots that a vanished owner no
+	// longer uses.
 	reportTTL = 1200 * time.Millisecond
-	// eventTimeMaxAge is how long an event time counts that others measured: an engine's speed is
-	// that of its machine and changes only with faults, and the first text there shows the new one.
+	// eventTimeMaxAge is the age at which a reported event time expires. An engine's speed
+	// rarely changes.
 	eventTimeMaxAge = 30 * time.Second
-	// daemonTTL is how long a daemon that reports no more is remembered, so that a report of
-	// its that arrives late is recognised as old.
+	// daemonTTL is how long a daemon without reports is kept, so that late reports of it are
+	// recognised as old.
 	daemonTTL = 30 * time.Second
-	// maxDaemons bounds the daemons whose reports are kept. More than so many owners at a time
-	// would have one or two requests each at an engine.
+	// maxDaemons limits the daemons whose reports are kept.
 	maxDaemons = 256
-	// maxEventTimes bounds the replicas whose event times are kept.
+	// maxEventTimes limits the replicas whose event times are kept.
 	maxEventTimes = 16384
-	// ownerTTL is how long a daemon is taken for an owner that can be asked: it introduces
-	// itself to each that may become one more often.
+	// ownerTTL is how long a daemon counts as an owner after its last report or introduction.
 	ownerTTL = 2 * introduceInterval
-	// maxClockDrift is by how much two machines' clocks may differ in speed, as a ratio, far above the
-	// drift of quartz.
+	// maxClockDrift bounds the relative difference in speed of two machines' clocks. It is far
+	// above the drift of quartz clocks.
 	maxClockDrift = 0.001
 )
 
-// daemonState is what a machine reported last.
+// daemonState is what is known of the daemon on one machine.
 type daemonState struct {
+	// report is the latest one, expanded if it was a delta.
 	report Report
-	// sentAt is when the report was sent, by the clock here.
+	// sentAt is when the report was sent, by the local clock.
 	sentAt time.Time
-	// current says that the report counts.
+	// current is set while the report counts.
 	current bool
-	// ownerSeenAt is when it was an owner last, as it reported.
+	// ownerSeenAt is when the daemon last reported to be an owner.
 	ownerSeenAt time.Time
-	// minOffset is the least difference seen between the clock here and the sender's as a
-	// report of this incarnation came: by how much more one differs, it was on its way for longer
-	// or waited for a machine that was suspended. Zero offsetAt: none was seen.
+	// minOffset is the smallest difference seen between the local time of arrival and the
+	// sender's time of sending, over the reports of this incarnation. A larger difference
+	// means that a report was delayed, or that a machine was suspended. minOffsetAt is when it
+	// was last updated, or zero.
 	minOffset   time.Duration
 	minOffsetAt time.Time
 }
 
-// expiresAt is when the report counts no more.
+// expiresAt returns when the report stops counting.
 func (d *daemonState) expiresAt() time.Time { return d.sentAt.Add(reportTTL) }
 
-// reportedEventTime is an event time that others reported, with when it was measured.
+// reportedEventTime is an event time reported by another daemon, with the time of its
+// measurement.
 type reportedEventTime struct {
 	eventTime  time.Duration
 	measuredAt time.Time
 }
 
-// Table holds what other daemons reported of their requests, each for a time. It is safe for
-// concurrent use.
+// Table holds the latest reports of other daemons. It is safe for concurrent use.
 //
-// Invariants: inFlight is the sum of the counts of all current reports; a machine has one
-// report at most.
+// Invariants: inFlight is the sum of the counts of all current reports; a machine has at most
+// one report.
 type Table struct {
 	self   string
 	now    bootclock.Clock
@@ -74,21 +74,22 @@
 	daemons    map[string]*daemonState
 	inFlight   map[Key]int
 	eventTimes map[Key]reportedEventTime
-	// nextExpiry is when the next report lapses at the earliest.
+	// nextExpiry is the earliest expiry of a current report, or zero.
 	nextExpiry time.Time
 	stats      TableStats
 }
 
-// TableStats are totals of a table, but for Elsewhere, which is of now.
+// TableStats has counters since the start, and OthersInFlight, which is a present value.
 type TableStats struct {
-	// Received are the reports taken in, Refused those that were late, old or too many,
-	// Expired those that counted to the end of their time.
+	// Received counts accepted reports, Refused those that were too old, out of order or
+	// beyond a limit, Expired those that were not followed by another in time.
 	Received, Refused, Expired uint64
-	// OthersInFlight is how many requests of other daemons are under way, by their reports.
+	// OthersInFlight is the number of requests of other daemons according to their current
+	// reports.
 	OthersInFlight int
 }
 
-// NewTable returns an empty table of the daemon with the given identity.
+// NewTable returns an empty table of the daemon with identity self.
 func NewTable(self string, now bootclock.Clock, logger *zap.Logger) *Table {
 	return &Table{
 		self: self, now: now, logger: logger,
@@ -96,8 +97,7 @@
 	}
 }
 
-// InFlight returns how many requests of other daemons are under way at a replica, as these
-// report.
+// InFlight returns the number of requests that other daemons report at a replica.
 func (t *Table) InFlight(replica Key) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,8 +108,8 @@
 	return t.inFlight[replica]
 }
 
-// EventTime returns the event time of a replica that others measured last, and how long ago;
-// 0 if none is known.
+// EventTime returns the latest event time that another daemon measured at a replica, and its
+// age; 0 if none is known.
 func (t *Table) EventTime(replica Key) (eventTime, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,7 +121,7 @@
 	return m.eventTime, max(age, 0)
 }
 
-// Demands returns what other daemons have and want of a service's engines.
+// Demands returns the demands that other daemons currently report for a service.
 func (t *Table) Demands(service Key) []Demand {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -137,7 +137,7 @@
 	return demands
 }
 
-// Reporters returns the machines whose reports count.
+// Reporters returns the machines with a current report.
 func (t *Table) Reporters() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,7 +151,7 @@
 	return machines
 }
 
-// Owners returns the machines that are owners, as they reported lately, the last first.
+// Owners returns the machines that recently reported to be owners, the latest first.
 func (t *Table) Owners() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -168,7 +168,8 @@
 	return machines
 }
 
-// Snapshot returns all that is known.
+// Snapshot returns all current reports and event times, with their ages. At most maxEntries
+// event times are included.
 func (t *Table) Snapshot() Snapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,7 +191,7 @@
 	return o
 }
 
-// Stats returns the totals.
+// Stats returns the table's statistics.
 func (t *Table) Stats() TableStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/batches/occupancy/table_test.go
+++ b/internal/batches/occupancy/table_test.go
@@ -18,17 +18,18 @@
 
 const engine = Key(7)
 
-// newReport is a report with some requests at one engine, sent at a time of the sender's clock.
-func newReport(run string, number uint64, sent time.Time, requests uint32) Report {
+// newReport returns a report with some requests at one engine, sent at the given time of the
+// sender's clock.
+func newReport(sender string, number uint64, sent time.Time, requests uint32) Report {
 	return Report{
-		Sender:     run,
+		Sender:     sender,
 		Number:     number,
 		SentMillis: sent.UnixMilli(),
 		Counts:     []RequestCount{{Replica: engine, Requests: requests}},
 	}
 }
 
-// withTable runs a test of a table in virtual time, with the clock of its machine.
+// withTable runs a test with a table and its machine's clock, in virtual time.
 func withTable(t *testing.T, test func(is *is.I, table *Table, clock *clocktest.Clock)) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := clocktest.New()
@@ -36,7 +37,7 @@
 	})
 }
 
-// An owner that is cut off, or gone without a word, counts for reportHolds and no longer.
+// The requests of an owner that stopped reporting must count for reportTTL and no longer.
 func TestReportsExpire(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		is.Equal(table.Merge(newReport("a/1", 1, clock.Now(), 3)), Accepted)
@@ -52,7 +53,7 @@
 	})
 }
 
-// Beliefs grow old while the machine that holds them is suspended.
+// Reports must expire while the local machine is suspended.
 func TestReportsExpireDuringSuspend(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		table.Merge(newReport("a/1", 1, clock.Now(), 3))
@@ -61,8 +62,8 @@
 	})
 }
 
-// A report that waited for its sender or for this machine to be woken is as old as it is: it
-// is refused if it is over, and else believed for what is left.
+// A report delayed by its sender or by suspension of this machine must count only for the rest
+// of its lifetime, or be refused.
 func TestDelayedReportsKeepTheirAge(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		ahead := 40 * time.Minute // the sender's clock
@@ -81,7 +82,7 @@
 	})
 }
 
-// Doubles and reports that were overtaken change nothing.
+// Duplicates and reports overtaken by later ones must change nothing.
 func TestDuplicateAndReorderedReportsAreRefused(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		first, second := newReport("a/1", 1, clock.Now(), 3), newReport("a/1", 2, clock.Now(), 1)
@@ -89,16 +90,17 @@
 		is.Equal(table.Merge(first), Refused)
 		is.Equal(table.Merge(second), Refused)
 		is.Equal(table.InFlight(engine), 1)
-		// An empty one ends the belief, and what it has overtaken doesn't bring it back.
+		// An empty report ends the sender's, and one that it has overtaken must not restore
+		// it.
 		is.Equal(table.Merge(Report{Sender: "a/1", Number: 4, SentMillis: clock.Now().UnixMilli()}), Accepted)
 		is.Equal(table.Merge(newReport("a/1", 3, clock.Now(), 9)), Refused)
 		is.Equal(table.InFlight(engine), 0)
 	})
 }
 
-// A new run replaces what the run before told, whatever the numbers, and late words of that
-// run count no more. A machine whose time of day was put back is heard once the run before has
-// lapsed.
+// A new incarnation must replace the former one whatever its report numbers, and late reports
+// of the former must be refused. If the wall clock was set back, the new one is accepted once
+// the former's report has expired.
 func TestNewIncarnationReplacesFormer(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		table.Merge(newReport("a/1", 9, clock.Now(), 3))
@@ -109,36 +111,36 @@
 		time.Sleep(reportTTL)
 		is.Equal(table.Merge(newReport("a/0", 1, clock.Now(), 2)), Accepted)
 		is.Equal(table.InFlight(engine), 2)
-		// What this machine's earlier run told is not another's.
+		// Reports of an earlier incarnation of this daemon are not another owner's.
 		is.Equal(table.Merge(newReport("self/0", 1, clock.Now(), 2)), Refused)
 	})
 }
 
-// Changes count only on top of the report that they are based on.
+// A delta must be refused unless its base is the last accepted report.
 func TestDeltasNeedTheirBase(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
-		change := newReport("a/1", 2, clock.Now(), 5)
-		change.BaseNumber = 1
-		is.Equal(table.Merge(change), BaseMissing)
+		delta := newReport("a/1", 2, clock.Now(), 5)
+		delta.BaseNumber = 1
+		is.Equal(table.Merge(delta), BaseMissing)
 		table.Merge(newReport("a/1", 1, clock.Now(), 3))
-		is.Equal(table.Merge(change), Accepted)
+		is.Equal(table.Merge(delta), Accepted)
 		is.Equal(table.InFlight(engine), 5)
-		// After a time without reports the base is still known.
+		// The base is kept after it has expired.
 		time.Sleep(2 * reportTTL)
-		more := Report{
+		next := Report{
 			Sender:     "a/1",
 			Number:     3,
 			BaseNumber: 2,
 			SentMillis: clock.Now().UnixMilli(),
 			Counts:     []RequestCount{{Replica: engine + 1, Requests: 1}},
 		}
-		is.Equal(table.Merge(more), Accepted)
+		is.Equal(table.Merge(next), Accepted)
 		is.Equal(table.InFlight(engine), 5)
 		is.Equal(table.InFlight(engine+1), 1)
 	})
 }
 
-// What differs between two states, put on top of the first, gives the second.
+// Applying the difference between two lists of counts to the first must give the second.
 func TestDiffAndApplyRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) []RequestCount {
@@ -149,23 +151,23 @@
 			return normalizeCounts(counts)
 		}
 		before, now := draw("before"), draw("now")
-		made := applyDiff(before, diffCounts(before, now))
-		if fmt.Sprint(made) != fmt.Sprint(now) {
-			t.Fatalf("%v with changes is %v, not %v", before, made, now)
+		got := applyDiff(before, diffCounts(before, now))
+		if fmt.Sprint(got) != fmt.Sprint(now) {
+			t.Fatalf("applying the diff to %v gives %v, want %v", before, got, now)
 		}
 	})
 }
 
-// The requests believed are always the sum of the reports that hold.
+// The sums must always match the reports that have not expired.
 func TestSumsMatchCurrentReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC) // it stands still during a step
+		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC) // does not advance during a step
 		table := NewTable("self/1", func() time.Time { return now }, zap.NewNop())
 		for number := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
-			run := fmt.Sprintf("%c/%d",
-				'a'+rapid.IntRange(0, 4).Draw(t, "machine"), rapid.IntRange(1, 2).Draw(t, "run"))
-			report := newReport(run, uint64(rapid.IntRange(0, number).Draw(t, "number")), now,
+			sender := fmt.Sprintf("%c/%d",
+				'a'+rapid.IntRange(0, 4).Draw(t, "machine"), rapid.IntRange(1, 2).Draw(t, "incarnation"))
+			report := newReport(sender, uint64(rapid.IntRange(0, number).Draw(t, "number")), now,
 				uint32(rapid.IntRange(0, 8).Draw(t, "requests")))
 			table.Merge(report)
 			sum := 0
@@ -175,14 +177,14 @@
 				}
 			}
 			if table.InFlight(engine) != sum || table.Stats().OthersInFlight != sum {
-				t.Fatalf("%d at the engine, %d in all, reports say %d",
+				t.Fatalf("InFlight = %d, OthersInFlight = %d, want %d",
 					table.InFlight(engine), table.Stats().OthersInFlight, sum)
 			}
 		}
 	})
 }
 
-// A table is bounded in daemons, entries of a report and paces; what holds is not pushed out.
+// The table must bound its daemons, counts and event times, without evicting current reports.
 func TestTableIsBounded(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		long := Report{Sender: "long/1", Number: 1, SentMillis: clock.Now().UnixMilli()}
@@ -210,34 +212,34 @@
 	})
 }
 
-// Of the paces told of a replica the one measured last counts, for paceHolds.
+// The latest measurement of a replica's event time must count, for eventTimeMaxAge.
 func TestLatestEventTimeCounts(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
-		tell := func(run string, pace, age time.Duration) {
-			report := Report{
-				Sender:       run,
+		report := func(sender string, eventTime, age time.Duration) {
+			r := Report{
+				Sender:       sender,
 				Number:       1,
 				SentMillis:   clock.Now().UnixMilli(),
-				Measurements: []Measurement{NewMeasurement(engine, pace, age)},
+				Measurements: []Measurement{NewMeasurement(engine, eventTime, age)},
 			}
-			is.Equal(table.Merge(report), Accepted)
+			is.Equal(table.Merge(r), Accepted)
 		}
-		tell("a/1", 30*time.Millisecond, 2*time.Second)
-		tell("b/1", 40*time.Millisecond, 5*time.Second)
-		pace, age := table.EventTime(engine)
-		is.Equal(pace, 30*time.Millisecond)
+		report("a/1", 30*time.Millisecond, 2*time.Second)
+		report("b/1", 40*time.Millisecond, 5*time.Second)
+		eventTime, age := table.EventTime(engine)
+		is.Equal(eventTime, 30*time.Millisecond)
 		is.Equal(age, 2*time.Second)
-		tell("c/1", 50*time.Millisecond, time.Second)
-		pace, _ = table.EventTime(engine)
-		is.Equal(pace, 50*time.Millisecond)
+		report("c/1", 50*time.Millisecond, time.Second)
+		eventTime, _ = table.EventTime(engine)
+		is.Equal(eventTime, 50*time.Millisecond)
 		time.Sleep(eventTimeMaxAge)
-		pace, _ = table.EventTime(engine)
-		is.Equal(pace, time.Duration(0))
+		eventTime, _ = table.EventTime(engine)
+		is.Equal(eventTime, time.Duration(0))
 	})
 }
 
-// A daemon that becomes an owner takes over what another believes, with its age; what it has
-// heard itself stays where that is newer, and it is not told of its own requests.
+// A new owner must adopt another's snapshot with the ages of its reports, keep what it knows
+// from newer reports, and skip reports of itself.
 func TestSnapshotsAreAdopted(t *testing.T) {
 	withTable(t, func(is *is.I, table *Table, clock *clocktest.Clock) {
 		table.Merge(newReport("a/1", 1, clock.Now(), 3))
@@ -249,14 +251,14 @@
 		newcomer.Merge(newReport("b/1", 6, clock.Now(), 1))
 		is.Equal(newcomer.Adopt(table.Snapshot()), 1)
 		is.Equal(newcomer.InFlight(engine), 4)
-		pace, _ := newcomer.EventTime(engine)
-		is.Equal(pace, 20*time.Millisecond)
+		eventTime, _ := newcomer.EventTime(engine)
+		is.Equal(eventTime, 20*time.Millisecond)
 		time.Sleep(reportTTL / 2)
 		is.Equal(newcomer.InFlight(engine), 1)
 	})
 }
 
-// A report is for one start of a replica where starts are known.
+// Reports of one incarnation of a replica must not count for another one.
 func TestKeysOfIncarnationsDiffer(t *testing.T) {
 	is := is.New(t)
 	born := time.Unix(1000, 0)
