--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -68,7 +68,7 @@
 	_       struct{} `cbor:",toarray"`
 	Replica Key
 	// EventTime is the time between two events of an output, in units of eventTimeUnit. Age is
-	// the time since the later of these, in milliseconds.
+	// the time since the last of these events, in milliseconds.
 	EventTime, Age uint32
 }
 
--- a/internal/batches/occupancy/publish_test.go
+++ b/internal/batches/occupancy/publish_test.go
@@ -54,6 +54,7 @@
 	state     Report
 }
 
+// set replaces the owner's counts and wakes its publisher.
 func (o *owner) set(counts ...RequestCount) {
 	o.mu.Lock()
 	o.state.Counts = counts
@@ -61,6 +62,7 @@
 	o.publisher.Wake()
 }
 
+// startDaemon starts an incarnation of the daemon on a machine, which replaces a former one for calls.
 func (f *fleet) startDaemon(ctx context.Context, identity, machine string) *owner {
 	clock := clocktest.New()
 	o := &owner{table: NewTable(identity, clock.Now, zap.NewNop())}
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -78,6 +78,8 @@
 
 func classOf(it *Item) class { return class{model: it.Model, minVersion: it.MinVersion} }
 
+// newPlanner returns a planner with all derived state of the snapshot: slowdowns, normalized
+// event times and forecasts of the steps.
 func newPlanner(snapshot Snapshot) *planner {
 	count := len(snapshot.Engines)
 	p := &planner{Snapshot: snapshot, engines: make([]engineState, count), byID: make(map[string]int, count)}
--- a/internal/batches/scheduling/pool.go
+++ b/internal/batches/scheduling/pool.go
@@ -18,6 +18,7 @@
 	scores  []float64
 }
 
+// pool returns the pool for an item's class under a filter.
 func (p *planner) pool(it *Item, filter engineFilter) *pool {
 	key := poolKey{class: classOf(it), filter: filter}
 	return p.pools.get(key, func() *pool { return p.newPool(it, filter) })
--- a/internal/batches/scheduling/scheduling.go
+++ b/internal/batches/scheduling/scheduling.go
@@ -87,7 +87,8 @@
 // Item is one item of a batch that waits for an engine or runs at one.
 type Item struct {
 	// Priority is the rank of the item, 0 being the most urgent. BatchAdoptedAt is when this
-	// daemon took over the batch; it orders the batches of one rank, older ones first.
+	// daemon became the owner of the batch; it orders the batches of one rank, older ones
+	// first.
 	Priority       int
 	BatchAdoptedAt time.Time
 	Model          string
