--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -9,209 +9,214 @@
 	"woodworks/internal/membership/identity"
 )
 
-// Outcome says what became of a report.
+// Outcome is the result of merging a report.
 type Outcome int
 
-// The outcomes of Merge.
+// Results of Table.Merge.
 const (
-	// Taken: the report is the one that counts for its daemon.
-	Taken Outcome = iota
-	// Refused: it is late, older than one before, or one too many.
+	// Accepted means that the report took effect.
+	Accepted Outcome = iota
+	// Refused means that the report is too old or out of order, or that the table is full.
 	Refused
-	// BaseMissing: the report that it is based on is not here.
+	// BaseMissing means that the table lacks the report that a delta is based on.
 	BaseMissing
 )
 
-// Merge takes in a report that its sender has just sent.
+// Merge applies a report that was received from its sender.
 func (t *Table) Merge(report Report) Outcome {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	t.lapse(now)
-	d := t.daemonOf(&report, now)
+	t.expireReports(now)
+	d := t.daemonFor(&report, now)
 	if d == nil {
-		t.counts.Refused++
+		t.stats.Refused++
 		return Refused
 	}
-	if report.Base > 0 {
-		if d.report.Number != report.Base {
-			t.counts.Refused++
+	if report.BaseNumber > 0 {
+		if d.report.Number != report.BaseNumber {
+			t.stats.Refused++
 			return BaseMissing
 		}
-		report.Counts, report.Base = apply(d.report.Counts, report.Counts), 0
+		report.Counts, report.BaseNumber = applyDiff(d.report.Counts, report.Counts), 0
 	}
-	late := d.lateness(&report, now)
-	if report.Introduces {
-		t.introduce(d, &report, now.Add(-late))
-		return Taken
+	delay := d.excessDelay(&report, now)
+	if report.IsIntroduction {
+		t.acceptIntroduction(d, &report, now.Add(-delay))
+		return Accepted
 	}
-	if t.take(d, report, now.Add(-late), now) {
-		return Taken
+	if t.acceptReport(d, report, now.Add(-delay), now) {
+		return Accepted
 	}
 	return Refused
 }
 
-// Adopt takes in what another daemon knows, where it is newer than what is known here.
-// It returns how many reports were.
-func (t *Table) Adopt(o Occupancy) (reports int) {
+// Adopt merges a snapshot of another daemon where it is newer than the table. It returns the
+// number of reports that were accepted.
+func (t *Table) Adopt(o Snapshot) (reports int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	t.lapse(now)
+	t.expireReports(now)
 	for _, relayed := range o.Reports[:min(len(o.Reports), maxDaemons)] {
-		d, at := t.daemonOf(&relayed.Report, now), now.Add(-time.Duration(relayed.Age)*ageUnit)
-		if d != nil && relayed.Report.Base == 0 && t.take(d, relayed.Report, at, now) {
+		d, at := t.daemonFor(&relayed.Report, now), now.Add(-time.Duration(relayed.Age)*ageUnit)
+		if d != nil && relayed.Report.BaseNumber == 0 && t.acceptReport(d, relayed.Report, at, now) {
 			reports++
 		}
 	}
-	t.addMeasured(o.Measured, now)
+	t.addMeasurements(o.Measurements, now)
 	return reports
 }
 
-// daemonOf returns the daemon that a report may be taken into, or nil if the report is to be
-// refused. The mutex is held.
-func (t *Table) daemonOf(report *Report, now time.Time) *daemon {
+// daemonFor returns the state that a report may be merged into, after creating it if
+// necessary, or nil if the report must be refused. The mutex is held.
+func (t *Table) daemonFor(report *Report, now time.Time) *daemonState {
 	machine := identity.Machine(report.Sender)
 	if machine == "" || machine == identity.Machine(t.self) {
 		return nil
 	}
 	d := t.daemons[machine]
 	switch {
-	case d == nil && len(t.daemons) >= maxDaemons && !t.forgetOne():
+	case d == nil && len(t.daemons) >= maxDaemons && !t.evictOldest():
 		return nil
 	case d == nil:
 	case d.report.Sender != report.Sender:
-		// Two incarnations are ordered by the machine's own time of day, which may have been set
-		// back: that decides only as long as the later one is known to be alive.
+		// Start times of incarnations come from the machine's wall clock, which may have been
+		// set back. The order is enforced only while the later incarnation is known to be
+		// alive.
 		if d.current && identity.Started(report.Sender) < identity.Started(d.report.Sender) {
 			return nil
 		}
-		t.drop(d)
-	case !report.Introduces && report.Number <= d.report.Number:
+		t.removeCounts(d)
+	case !report.IsIntroduction && report.Number <= d.report.Number:
 		return nil
 	default:
 		return d
 	}
-	d = &daemon{report: Report{Sender: report.Sender}}
+	d = &daemonState{report: Report{Sender: report.Sender}}
 	t.daemons[machine] = d
 	return d
 }
 
-// lateness is for how much longer than usual a report was on its way.
-func (d *daemon) lateness(report *Report, now time.Time) time.Duration {
-	offset := now.Sub(time.UnixMilli(report.Sent))
-	if !d.offsetAt.IsZero() {
-		d.offset += time.Duration(clockDrift * float64(now.Sub(d.offsetAt)))
+// excessDelay updates the minimal clock offset and returns how much longer than the fastest
+// report a report took to arrive.
+func (d *daemonState) excessDelay(report *Report, now time.Time) time.Duration {
+	offset := now.Sub(time.UnixMilli(report.SentMillis))
+	if !d.minOffsetAt.IsZero() {
+		d.minOffset += time.Duration(maxClockDrift * float64(now.Sub(d.minOffsetAt)))
 	}
-	if d.offsetAt.IsZero() || offset < d.offset {
-		d.offset = offset
+	if d.minOffsetAt.IsZero() || offset < d.minOffset {
+		d.minOffset = offset
 	}
-	d.offsetAt = now
-	return offset - d.offset
+	d.minOffsetAt = now
+	return offset - d.minOffset
 }
 
-// introduce notes that a daemon is an owner, and the event times that it reported. Its
-// report before stays. The mutex is held.
-func (t *Table) introduce(d *daemon, report *Report, at time.Time) {
-	t.counts.Received++
-	d.ownerAt = at
-	t.addMeasured(report.Measured[:min(len(report.Measured), maxEntries)], at)
+// acceptIntroduction records that a daemon is an owner, and its measurements. The current
+// report of the daemon stays. The mutex is held.
+func (t *Table) acceptIntroduction(d *daemonState, report *Report, at time.Time) {
+	t.stats.Received++
+	d.ownerSeenAt = at
+	t.addMeasurements(report.Measurements[:min(len(report.Measurements), maxEntries)], at)
 }
 
-// take makes a report the one that counts for its daemon. The mutex is held.
-func (t *Table) take(d *daemon, report Report, at, now time.Time) bool {
-	report.bound()
-	if now.Sub(at) > reportLifetime {
-		// Its counts are over, yet those before it even more so.
-		t.drop(d)
-		d.report, d.at = report, at
-		t.counts.Refused++
+// acceptReport makes a report that was sent at a given local time the latest one of its
+// daemon. It returns false if the report has already expired. The mutex is held.
+func (t *Table) acceptReport(d *daemonState, report Report, at, now time.Time) bool {
+	report.truncate()
+	if now.Sub(at) > reportTTL {
+		// The report has expired, and so has the one that it replaces.
+		t.removeCounts(d)
+		d.report, d.sentAt = report, at
+		t.stats.Refused++
 		return false
 	}
-	if !d.current && !report.empty() {
-		t.logger.Info("report of another owner begins", zap.String("owner", report.Sender),
+	if !d.current && !report.isEmpty() {
+		t.logger.Info("reports from another owner started", zap.String("owner", report.Sender),
 			zap.Uint64("report", report.Number), zap.Int("replicas", len(report.Counts)),
 			zap.Duration("age", now.Sub(at)))
 	}
-	t.drop(d)
-	t.counts.Received++
-	d.report, d.at, d.current = report, at, !report.empty()
-	d.ownerAt = time.Time{}
+	t.removeCounts(d)
+	t.stats.Received++
+	d.report, d.sentAt, d.current = report, at, !report.isEmpty()
+	d.ownerSeenAt = time.Time{}
 	if d.current {
-		d.ownerAt = at
+		d.ownerSeenAt = at
 	}
-	t.addMeasured(report.Measured, at)
+	t.addMeasurements(report.Measurements, at)
 	if !d.current {
 		return true
 	}
 	for _, c := range report.Counts {
 		t.inFlight[c.Replica] += int(c.Requests)
-		t.counts.Elsewhere += int(c.Requests)
+		t.stats.OthersInFlight += int(c.Requests)
 	}
-	t.noteLapse(d)
+	t.updateNextExpiry(d)
 	return true
 }
 
-// noteLapse remembers when a daemon's report lapses if none does before. The mutex is held.
-func (t *Table) noteLapse(d *daemon) {
-	if lapses := d.lapses(); t.nextLapse.IsZero() || lapses.Before(t.nextLapse) {
-		t.nextLapse = lapses
+// updateNextExpiry takes the expiry of a daemon's report into account. The mutex is held.
+func (t *Table) updateNextExpiry(d *daemonState) {
+	if expiry := d.expiresAt(); t.nextExpiry.IsZero() || expiry.Before(t.nextExpiry) {
+		t.nextExpiry = expiry
 	}
 }
 
-// drop takes a daemon's report out of the counts. The mutex is held.
-func (t *Table) drop(d *daemon) {
+// removeCounts subtracts a daemon's current report from the sums, after which it is not
+// current. The mutex is held.
+func (t *Table) removeCounts(d *daemonState) {
 	if !d.current {
 		return
 	}
 	d.current = false
 	for _, c := range d.report.Counts {
-		t.counts.Elsewhere -= int(c.Requests)
+		t.stats.OthersInFlight -= int(c.Requests)
 		if t.inFlight[c.Replica] -= int(c.Requests); t.inFlight[c.Replica] <= 0 {
 			delete(t.inFlight, c.Replica)
 		}
 	}
 }
 
-// addMeasured takes event times in that were reported at a time, where they are newer than
-// those known. The mutex is held.
-func (t *Table) addMeasured(measurements []Measurement, at time.Time) {
+// addMeasurements stores event times reported at a given time where they are newer than the
+// known ones. New replicas beyond maxEventTimes are ignored. The mutex is held.
+func (t *Table) addMeasurements(measurements []Measurement, at time.Time) {
 	for _, m := range measurements {
 		measured := at.Add(-time.Duration(m.Age) * ageUnit)
 		before, ok := t.eventTimes[m.Replica]
-		if m.EventTime == 0 || ok && !measured.After(before.at) || !ok && len(t.eventTimes) >= maxEventTimes {
+		if m.EventTime == 0 || ok && !measured.After(before.measuredAt) || !ok && len(t.eventTimes) >= maxEventTimes {
 			continue
 		}
-		t.eventTimes[m.Replica] = measuredTime{eventTime: time.Duration(m.EventTime) * eventTimeUnit, at: measured}
+		t.eventTimes[m.Replica] = reportedEventTime{
+			eventTime: time.Duration(m.EventTime) * eventTimeUnit, measuredAt: measured}
 	}
 }
 
-// lapse ends reports that are too old. The mutex is held.
-func (t *Table) lapse(now time.Time) {
-	if t.nextLapse.IsZero() || now.Before(t.nextLapse) {
+// expireReports removes the reports that have expired. The mutex is held.
+func (t *Table) expireReports(now time.Time) {
+	if t.nextExpiry.IsZero() || now.Before(t.nextExpiry) {
 		return
 	}
-	t.nextLapse = time.Time{}
+	t.nextExpiry = time.Time{}
 	for _, d := range t.daemons {
 		switch {
 		case !d.current:
-		case !now.Before(d.lapses()):
-			t.drop(d)
-			t.counts.Expired++
-			t.logger.Info("report of another owner lapsed", zap.String("owner", d.report.Sender),
-				zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.at)))
+		case !now.Before(d.expiresAt()):
+			t.removeCounts(d)
+			t.stats.Expired++
+			t.logger.Info("report from another owner expired", zap.String("owner", d.report.Sender),
+				zap.Uint64("report", d.report.Number), zap.Duration("age", now.Sub(d.sentAt)))
 		default:
-			t.noteLapse(d)
+			t.updateNextExpiry(d)
 		}
 	}
 }
 
-// forgetOne forgets the daemon that has reported nothing for longest, of those whose reports
-// don't count. The mutex is held.
-func (t *Table) forgetOne() bool {
+// evictOldest removes the daemon with the oldest report among those without a current one. It
+// reports whether there was one. The mutex is held.
+func (t *Table) evictOldest() bool {
 	oldest := ""
 	for machine, d := range t.daemons {
-		if !d.current && (oldest == "" || d.at.Before(t.daemons[oldest].at)) {
+		if !d.current && (oldest == "" || d.sentAt.Before(t.daemons[oldest].sentAt)) {
 			oldest = machine
 		}
 	}
@@ -219,14 +224,16 @@
 	return oldest != ""
 }
 
-// Sweep forgets daemons and event times of long ago.
+// Sweep removes daemons and event times that are no longer needed. It is called periodically.
 func (t *Table) Sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	t.lapse(now)
-	maps.DeleteFunc(t.daemons, func(_ string, d *daemon) bool {
-		return !d.current && now.Sub(d.at) > rememberFor && now.Sub(d.ownerAt) > rememberFor
+	t.expireReports(now)
+	maps.DeleteFunc(t.daemons, func(_ string, d *daemonState) bool {
+		return !d.current && now.Sub(d.sentAt) > daemonTTL && now.Sub(d.ownerSeenAt) > daemonTTL
+	})
+	maps.DeleteFunc(t.eventTimes, func(_ Key, m reportedEventTime) bool {
+		return now.Sub(m.measuredAt) > eventTimeMaxAge
 	})
-	maps.DeleteFunc(t.eventTimes, func(_ Key, m measuredTime) bool { return now.Sub(m.at) > eventTimeLifetime })
 }
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -10,68 +10,69 @@
 	"woodworks/internal/membership/identity"
 )
 
-// send sends a report to all that are due, and returns how many bytes that takes. The mutex
-// is held.
-func (p *Publisher) send(ctx context.Context, own Report, now time.Time) (bytes int) {
-	due := p.due(now, own.empty())
+// sendReports sends a report to all machines that are due, without waiting for replies, and
+// returns the number of bytes. The mutex is held.
+func (p *Publisher) sendReports(ctx context.Context, own Report, now time.Time) (bytes int) {
+	due := p.dueMachines(now, own.isEmpty())
 	if len(due) == 0 {
 		return 0
 	}
 	p.number++
 	p.stamp(&own)
 	introduction := own
-	introduction.Counts, introduction.Demands, introduction.Introduces = nil, nil, true
-	introduction.bound()
-	own.Measured = p.measuredDue(own.Measured, now)
-	own.bound()
+	introduction.Counts, introduction.Demands, introduction.IsIntroduction = nil, nil, true
+	introduction.truncate()
+	own.Measurements = p.dueMeasurements(own.Measurements, now)
+	own.truncate()
 	for machine, owner := range due {
 		to := p.recipients[machine]
-		report, state := basedOn(to.acknowledged, own), own
+		report, state := deltaFrom(to.acknowledged, own), own
 		if !owner {
 			report, state = introduction, Report{}
 		}
 		msg, err := encode(report)
 		if err != nil {
-			p.logger.Error("report not encoded", zap.Error(err))
+			p.logger.Error("failed to encode report", zap.Error(err))
 			return bytes
 		}
 		to.sending, to.sentAt = true, now
-		bytes += len(msg.Body) + callBytes
+		bytes += len(msg.Body) + callOverheadBytes
 		go p.sendTo(ctx, machine, to, state, msg)
 	}
-	p.totals.Sent += uint64(len(due))
-	p.totals.Bytes += uint64(bytes)
+	p.stats.Sent += uint64(len(due))
+	p.stats.Bytes += uint64(bytes)
 	return bytes
 }
 
-// basedOn returns a report as it is sent to one who has an earlier one.
-func basedOn(before, own Report) Report {
+// deltaFrom returns a report as a delta to an earlier one, if that is shorter.
+func deltaFrom(before, own Report) Report {
 	if before.Number == 0 {
 		return own
 	}
-	if diff := changes(before.Counts, own.Counts); len(diff) < len(own.Counts) || len(own.Counts) == 0 {
-		own.Counts, own.Base = diff, before.Number
+	if delta := diffCounts(before.Counts, own.Counts); len(delta) < len(own.Counts) || len(own.Counts) == 0 {
+		own.Counts, own.BaseNumber = delta, before.Number
 	}
 	return own
 }
 
-// measuredDue returns the event times that have changed or were not sent for a while. The mutex is
-// held.
-func (p *Publisher) measuredDue(measured []Measurement, now time.Time) (due []Measurement) {
+// dueMeasurements returns the event times that have changed or are due for repetition, and
+// records them as sent. The mutex is held.
+func (p *Publisher) dueMeasurements(measured []Measurement, now time.Time) (due []Measurement) {
 	for _, m := range measured {
-		before, ok := p.sentTimes[m.Replica]
+		before, ok := p.sentEventTimes[m.Replica]
 		difference := max(m.EventTime, before.eventTime) - min(m.EventTime, before.eventTime)
-		small := float64(difference) < eventTimeChange*float64(before.eventTime)
-		if ok && small && now.Sub(before.at) < eventTimeRepeat {
+		unchanged := float64(difference) < minEventTimeChangeFraction*float64(before.eventTime)
+		if ok && unchanged && now.Sub(before.at) < eventTimeRepeatInterval {
 			continue
 		}
-		p.sentTimes[m.Replica] = sentTime{eventTime: m.EventTime, at: now}
+		p.sentEventTimes[m.Replica] = sentEventTime{eventTime: m.EventTime, at: now}
 		due = append(due, m)
 	}
 	return due
 }
 
-// sendTo makes one call. State is what the machine knows after it.
+// sendTo sends a message to a machine and updates its state. state is the base for the next
+// delta if the machine accepts the message.
 func (p *Publisher) sendTo(ctx context.Context, machine string, to *recipient, state Report, msg Message) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -79,47 +80,48 @@
 	err := p.peers.Ask(bounded, machine, tellMethod, msg, &reply)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to.sending, to.owner, to.acknowledged = false, false, Report{}
+	to.sending, to.isOwner, to.acknowledged = false, false, Report{}
 	if err != nil {
-		// An answer may still be written to reply.
-		p.totals.Failed++
-		p.logger.Debug("report not sent", zap.String("to", machine), zap.Error(err)) // up to 40 calls a second
+		// net/rpc may still write to reply, so it is not read.
+		p.stats.Failed++
+		p.logger.Debug("failed to send report", zap.String("to", machine), zap.Error(err)) // frequent
 		return
 	}
-	to.owner = reply.Owner
+	to.isOwner = reply.Owner
 	if !reply.Whole {
 		to.acknowledged = state
 	}
 }
 
-// askOwners asks an owner for all that it knows: one that reported, or else any that may be
-// one.
-func (p *Publisher) askOwners(ctx context.Context) {
+// fetchSnapshot requests a snapshot from known owners first, then from other candidates, until
+// one returns reports or maxSnapshotCalls were made.
+func (p *Publisher) fetchSnapshot(ctx context.Context) {
 	asked := map[string]bool{identity.Machine(p.table.self): true}
 	for _, machine := range append(p.table.Owners(), p.candidateMachines(ctx)...) {
 		if asked[machine] {
 			continue
 		}
-		if len(asked) > maxAsked {
+		if len(asked) > maxSnapshotCalls {
 			return
 		}
 		asked[machine] = true
-		o, err := p.ask(ctx, machine)
+		o, err := p.requestSnapshot(ctx, machine)
 		reports := p.table.Adopt(o)
-		p.logger.Info("occupancy asked for", zap.String("from", machine), zap.Int("reports", len(o.Reports)),
-			zap.Int("adopted", reports), zap.Int("event_times", len(o.Measured)), zap.Error(err))
+		p.logger.Info("occupancy snapshot requested", zap.String("from", machine), zap.Int("reports", len(o.Reports)),
+			zap.Int("adopted", reports), zap.Int("event_times", len(o.Measurements)), zap.Error(err))
 		if len(o.Reports) > 0 {
 			return
 		}
 	}
 }
 
-func (p *Publisher) ask(ctx context.Context, machine string) (o Occupancy, err error) {
+// requestSnapshot requests a snapshot from one machine.
+func (p *Publisher) requestSnapshot(ctx context.Context, machine string) (o Snapshot, err error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var answer Message
-	if err := p.peers.Ask(bounded, machine, askMethod, struct{}{}, &answer); err != nil {
+	var reply Message
+	if err := p.peers.Ask(bounded, machine, askMethod, struct{}{}, &reply); err != nil {
 		return o, errors.Wrap(err, "occupancy: ask")
 	}
-	return o, decode(answer, &o)
+	return o, decode(reply, &o)
 }
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -12,120 +12,120 @@
 )
 
 const (
-	// reportLifetime is how long a report counts: three times as long as a daemon lets pass
-	// between two of them, so that one that is lost or late changes nothing. It is also the
-	// longest for which an item waits for room that nobody uses; texts take seconds.
-	reportLifetime = 1200 * time.Millisecond
-	// eventTimeLifetime is how long an event time counts that others measured: an engine's speed is
-	// that of its machine and changes only with faults, and the first text there shows the new one.
-	eventTimeLifetime = 30 * time.Second
-	// rememberFor is how long a daemon that reports no more is remembered, so that a report of
-	// its that arrives late is recognised as old.
-	rememberFor = 30 * time.Second
-	// maxDaemons bounds the daemons whose reports are kept. More than so many owners at a time
-	// would have one or two requests each at an engine.
+	// reportTTL is how long a report counts. It spans three repetitions, so that one may be
+	// lost or late. It also bounds how long an item waits for slots that a vanished owner no
+	// longer uses.
+	reportTTL = 1200 * time.Millisecond
+	// eventTimeMaxAge is the age at which a reported event time expires. An engine's speed
+	// rarely changes.
+	eventTimeMaxAge = 30 * time.Second
+	// daemonTTL is how long a daemon without reports is kept, so that late reports of it are
+	// recognised as old.
+	daemonTTL = 30 * time.Second
+	// maxDaemons limits the daemons whose reports are kept.
 	maxDaemons = 256
-	// maxEventTimes bounds the replicas whose event times are kept.
+	// maxEventTimes limits the replicas whose event times are kept.
 	maxEventTimes = 16384
-	// ownerLifetime is how long a daemon is taken for an owner that can be asked: it introduces
-	// itself to each that may become one more often.
-	ownerLifetime = 2 * introduceInterval
-	// clockDrift is by how much two machines' clocks may differ in speed, as a ratio, far above the
-	// drift of quartz.
-	clockDrift = 0.001
+	// ownerTTL is how long a daemon counts as an owner after its last report or introduction.
+	ownerTTL = 2 * introduceInterval
+	// maxClockDrift bounds the relative difference in speed of two machines' clocks. It is far
+	// above the drift of quartz clocks.
+	maxClockDrift = 0.001
 )
 
-// daemon is what a machine reported last.
-type daemon struct {
+// daemonState is what is known of the daemon on one machine.
+type daemonState struct {
+	// report is the latest one, expanded if it was a delta.
 	report Report
-	// at is when the report was sent, by the clock here.
-	at time.Time
-	// current says that the report counts.
+	// sentAt is when the report was sent, by the local clock.
+	sentAt time.Time
+	// current is set while the report counts.
 	current bool
-	// ownerAt is when it was an owner last, as it reported.
-	ownerAt time.Time
-	// offset is the least difference seen between the clock here and the sender's as a
-	// report of this incarnation came: by how much more one differs, it was on its way for longer
-	// or waited for a machine that was suspended. Zero offsetAt: none was seen.
-	offset   time.Duration
-	offsetAt time.Time
+	// ownerSeenAt is when the daemon last reported to be an owner.
+	ownerSeenAt time.Time
+	// minOffset is the smallest difference seen between the local time of arrival and the
+	// sender's time of sending, over the reports of this incarnation. A larger difference
+	// means that a report was delayed, or that a machine was suspended. minOffsetAt is when it
+	// was last updated, or zero.
+	minOffset   time.Duration
+	minOffsetAt time.Time
 }
 
-// lapses is when the report counts no more.
-func (d *daemon) lapses() time.Time { return d.at.Add(reportLifetime) }
+// expiresAt returns when the report stops counting.
+func (d *daemonState) expiresAt() time.Time { return d.sentAt.Add(reportTTL) }
 
-// measuredTime is an event time that others reported, with when it was measured.
-type measuredTime struct {
-	eventTime time.Duration
-	at        time.Time
+// reportedEventTime is an event time reported by another daemon, with the time of its
+// measurement.
+type reportedEventTime struct {
+	eventTime  time.Duration
+	measuredAt time.Time
 }
 
-// Table holds what other daemons reported of their requests, each for a time. It is safe for
-// concurrent use.
+// Table holds the latest reports of other daemons. It is safe for concurrent use.
 //
-// Invariants: inFlight is the sum of the counts of all current reports; a machine has one
-// report at most.
+// Invariants: inFlight is the sum of the counts of all current reports; a machine has at most
+// one report.
 type Table struct {
 	self   string
 	now    bootclock.Clock
 	logger *zap.Logger
 
 	mu         sync.Mutex
-	daemons    map[string]*daemon
+	daemons    map[string]*daemonState
 	inFlight   map[Key]int
-	eventTimes map[Key]measuredTime
-	// nextLapse is when the next report lapses at the earliest.
-	nextLapse time.Time
-	counts    Counts
+	eventTimes map[Key]reportedEventTime
+	// nextExpiry is the earliest expiry of a current report, or zero.
+	nextExpiry time.Time
+	stats      TableStats
 }
 
-// Counts are totals of a table, but for Elsewhere, which is of now.
-type Counts struct {
-	// Received are the reports taken in, Refused those that were late, old or too many,
-	// Expired those that counted to the end of their time.
+// TableStats has counters since the start, and OthersInFlight, which is a present value.
+type TableStats struct {
+	// Received counts accepted reports, Refused those that were too old, out of order or
+	// beyond a limit, Expired those that were not followed by another in time.
 	Received, Refused, Expired uint64
-	// Elsewhere is how many requests of other daemons are under way, by their reports.
-	Elsewhere int
+	// OthersInFlight is the number of requests of other daemons according to their current
+	// reports.
+	OthersInFlight int
 }
 
-// NewTable returns an empty table of the daemon with the given identity.
+// NewTable returns an empty table of the daemon with identity self.
 func NewTable(self string, now bootclock.Clock, logger *zap.Logger) *Table {
 	return &Table{
 		self: self, now: now, logger: logger,
-		daemons: map[string]*daemon{}, inFlight: map[Key]int{}, eventTimes: map[Key]measuredTime{},
+		daemons: map[string]*daemonState{}, inFlight: map[Key]int{}, eventTimes: map[Key]reportedEventTime{},
 	}
 }
 
-// InFlight returns how many requests of other daemons are under way at a replica, as these
-// report.
+// InFlight returns the number of requests that other daemons report at a replica.
 func (t *Table) InFlight(replica Key) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.inFlight) == 0 {
 		return 0
 	}
-	t.lapse(t.now())
+	t.expireReports(t.now())
 	return t.inFlight[replica]
 }
 
-// EventTime returns the event time of a replica that others measured last, and how long ago;
-// 0 if none is known.
+// EventTime returns the latest event time that another daemon measured at a replica, and its
+// age; 0 if none is known.
 func (t *Table) EventTime(replica Key) (eventTime, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m, ok := t.eventTimes[replica]
-	age = t.now().Sub(m.at)
-	if !ok || age > eventTimeLifetime {
+	age = t.now().Sub(m.measuredAt)
+	if !ok || age > eventTimeMaxAge {
 		return 0, 0
 	}
 	return m.eventTime, max(age, 0)
 }
 
-// Demands returns what other daemons have and want of a service's engines.
+// Demands returns the demands that other daemons currently report for a service.
 func (t *Table) Demands(service Key) []Demand {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lapse(t.now())
+	t.expireReports(t.now())
 	var demands []Demand
 	for _, d := range t.daemons {
 		for _, dm := range d.report.Demands {
@@ -137,11 +137,11 @@
 	return demands
 }
 
-// Reporters returns the machines whose reports count.
+// Reporters returns the machines with a current report.
 func (t *Table) Reporters() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lapse(t.now())
+	t.expireReports(t.now())
 	var machines []string
 	for machine, d := range t.daemons {
 		if d.current {
@@ -151,49 +151,50 @@
 	return machines
 }
 
-// Owners returns the machines that are owners, as they reported lately, the last first.
+// Owners returns the machines that recently reported to be owners, the latest first.
 func (t *Table) Owners() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	var machines []string
 	for machine, d := range t.daemons {
-		if !d.ownerAt.IsZero() && now.Sub(d.ownerAt) <= ownerLifetime {
+		if !d.ownerSeenAt.IsZero() && now.Sub(d.ownerSeenAt) <= ownerTTL {
 			machines = append(machines, machine)
 		}
 	}
 	slices.SortFunc(machines, func(a, b string) int {
-		return cmp.Or(t.daemons[b].ownerAt.Compare(t.daemons[a].ownerAt), cmp.Compare(a, b))
+		return cmp.Or(t.daemons[b].ownerSeenAt.Compare(t.daemons[a].ownerSeenAt), cmp.Compare(a, b))
 	})
 	return machines
 }
 
-// Occupancy returns all that is known.
-func (t *Table) Occupancy() Occupancy {
+// Snapshot returns all current reports and event times, with their ages. At most maxEntries
+// event times are included.
+func (t *Table) Snapshot() Snapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	t.lapse(now)
-	var o Occupancy
+	t.expireReports(now)
+	var o Snapshot
 	for _, d := range t.daemons {
 		if d.current {
 			report := d.report
-			report.Measured = nil
-			o.Reports = append(o.Reports, Relayed{Report: report, Age: uint32(now.Sub(d.at) / ageUnit)})
+			report.Measurements = nil
+			o.Reports = append(o.Reports, RelayedReport{Report: report, Age: uint32(now.Sub(d.sentAt) / ageUnit)})
 		}
 	}
 	for replica, m := range t.eventTimes {
-		if age := now.Sub(m.at); age <= eventTimeLifetime && len(o.Measured) < maxEntries {
-			o.Measured = append(o.Measured, NewMeasurement(replica, m.eventTime, age))
+		if age := now.Sub(m.measuredAt); age <= eventTimeMaxAge && len(o.Measurements) < maxEntries {
+			o.Measurements = append(o.Measurements, NewMeasurement(replica, m.eventTime, age))
 		}
 	}
 	return o
 }
 
-// Counts returns the totals.
-func (t *Table) Counts() Counts {
+// Stats returns the table's statistics.
+func (t *Table) Stats() TableStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lapse(t.now())
-	return t.counts
+	t.expireReports(t.now())
+	return t.stats
 }
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -28,13 +28,13 @@
 	// demands holds, by service, what the last dispatch left waiting; turns holds whether starts
 	// are being held back for other owners.
 	demands map[string]occupancy.Demand
-	turns   map[string]occupancy.Turn
+	turns   map[string]occupancy.StartLimiter
 }
 
 func newEngineSharing(self string, table *occupancy.Table, changed func(), logger *zap.Logger) *engineSharing {
 	return &engineSharing{
 		self: self, table: table, onChange: changed, logger: logger,
-		demands: map[string]occupancy.Demand{}, turns: map[string]occupancy.Turn{},
+		demands: map[string]occupancy.Demand{}, turns: map[string]occupancy.StartLimiter{},
 	}
 }
 
@@ -83,10 +83,10 @@
 	started, _ := startsOf(decisions)
 	due := len(started)
 	turn, others := s.turns[service], s.table.Demands(key)
-	heldBack := turn.Leaves()
+	heldBack := turn.IsYielding()
 	allowed := turn.Allow(now, occupancy.Allowance(capacityOf(snap), own, others), due)
 	s.turns[service] = turn
-	if turn.Leaves() && !heldBack {
+	if turn.IsYielding() && !heldBack {
 		s.logger.Info("starts held back for other owners", zap.String("service", service),
 			zap.Int("starts", due), zap.Int("allowed", allowed), zap.Uint32("in_flight", own.InFlight),
 			zap.Uint32("waiting", own.Waiting), zap.Int("owners", len(others)))
@@ -109,7 +109,7 @@
 	}
 	s.mu.Lock()
 	maps.DeleteFunc(s.demands, func(service string, _ occupancy.Demand) bool { return views[service] == nil })
-	maps.DeleteFunc(s.turns, func(service string, _ occupancy.Turn) bool { return views[service] == nil })
+	maps.DeleteFunc(s.turns, func(service string, _ occupancy.StartLimiter) bool { return views[service] == nil })
 	s.mu.Unlock()
 	s.onChange()
 }
@@ -150,9 +150,9 @@
 		for _, rep := range r.table.Replicas(service) {
 			inFlight := uint32(max(rep.InFlight, 0))
 			demand.InFlight += inFlight
-			report.Counts = append(report.Counts, occupancy.Count{Replica: ReplicaKey(rep), Requests: inFlight})
+			report.Counts = append(report.Counts, occupancy.RequestCount{Replica: ReplicaKey(rep), Requests: inFlight})
 			if age := now.Sub(rep.EventAt); rep.EventTime > 0 && age <= ownEventTimeMaxAge {
-				report.Measured = append(report.Measured, occupancy.NewMeasurement(ReplicaKey(rep), rep.EventTime, age))
+				report.Measurements = append(report.Measurements, occupancy.NewMeasurement(ReplicaKey(rep), rep.EventTime, age))
 			}
 		}
 		report.Demands = append(report.Demands, demand)
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -153,7 +153,7 @@
 		snap.Engines = append(snap.Engines, owner.sharing.withReports(engine, rep, s.now()))
 	}
 	for _, text := range owner.texts {
-		item := scheduling.Item{Remaining: 100}
+		item := scheduling.Item{RemainingEvents: 100}
 		if text.engine >= 0 {
 			item.Engine = fmt.Sprintf("e%d", text.engine)
 		}
@@ -176,10 +176,10 @@
 		return
 	}
 	owner.number++
-	report := occupancy.Report{Sender: owner.sharing.self, Number: owner.number, Sent: s.now().UnixMilli()}
+	report := occupancy.Report{Sender: owner.sharing.self, Number: owner.number, SentMillis: s.now().UnixMilli()}
 	for i := range simEngines {
 		key := occupancy.KeyOf(fmt.Sprintf("e%d", i), time.Time{})
-		report.Counts = append(report.Counts, occupancy.Count{Replica: key, Requests: uint32(owner.inFlight(i))})
+		report.Counts = append(report.Counts, occupancy.RequestCount{Replica: key, Requests: uint32(owner.inFlight(i))})
 	}
 	if demand, ok := owner.sharing.demands["s"]; ok {
 		report.Demands = []occupancy.Demand{demand}
@@ -281,8 +281,8 @@
 	now := time.Now()
 	rep := replica.Replica{Entry: replica.Entry{ID: "e"}}
 	report := func(age time.Duration) {
-		s.table.Adopt(occupancy.Occupancy{
-			Measured: []occupancy.Measurement{occupancy.NewMeasurement(ReplicaKey(rep), 20*time.Millisecond, age)},
+		s.table.Adopt(occupancy.Snapshot{
+			Measurements: []occupancy.Measurement{occupancy.NewMeasurement(ReplicaKey(rep), 20*time.Millisecond, age)},
 		})
 	}
 	eventTime := func(own, age time.Duration) time.Duration {
@@ -321,8 +321,8 @@
 		requests += c.Requests
 	}
 	is.Equal(requests, uint32(1))
-	is.Equal(len(report.Measured), 1)
-	is.Equal(report.Measured[0].EventTime, uint32(300))
+	is.Equal(len(report.Measurements), 1)
+	is.Equal(report.Measurements[0].EventTime, uint32(300))
 	runner.ReportReceived()
 	is.Equal(len(runner.wake), 1) // items wait and there may be room
 	runner.stopping.Store(true)
--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -119,7 +119,7 @@
 func TestSingleVersionTextIsPinned(t *testing.T) {
 	is := is.New(t)
 	j, it := newMovingJob(t)
-	j.placement.lengths, it.buffering = scheduling.NewLengths(), false
+	j.placement.lengths, it.buffering = scheduling.NewLengthEstimator(), false
 	pinned := func(singleVersion bool) bool {
 		return j.describe(it, &route.Route{SingleVersion: singleVersion}, 0, time.Now()).Pinned
 	}
--- a/internal/batches/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -21,7 +21,7 @@
 
 // modelHistory is the history of one model.
 type modelHistory struct {
-	lengths *scheduling.Lengths
+	lengths *scheduling.LengthEstimator
 	// batches holds the most recent batches, newest last.
 	batches []rememberedBatch
 }
@@ -38,7 +38,7 @@
 func (h *history) model(model string) *modelHistory {
 	m := h.models[model]
 	if m == nil {
-		m = &modelHistory{lengths: scheduling.NewLengths()}
+		m = &modelHistory{lengths: scheduling.NewLengthEstimator()}
 		h.models[model] = m
 	}
 	return m
@@ -46,7 +46,7 @@
 
 // recordBatch records a batch. It returns the groups that an earlier batch contained too, since a
 // trainer that sends a group again waits for it to be complete, and the model's text lengths.
-func (h *history) recordBatch(submission *batch.Submission) (repeated map[string]bool, lengths *scheduling.Lengths) {
+func (h *history) recordBatch(submission *batch.Submission) (repeated map[string]bool, lengths *scheduling.LengthEstimator) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	m := h.model(submission.Model)
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -46,7 +46,7 @@
 	// required are the groups that an earlier batch contained too: the trainer waits for them.
 	required map[string]bool
 	// lengths estimates the lengths of the texts of the batch's model.
-	lengths *scheduling.Lengths
+	lengths *scheduling.LengthEstimator
 }
 
 // newJob returns a job of an open batch. It is called within a view of the fold.
--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -27,7 +27,7 @@
 			owner.firstEvents.Observe("s", 20*time.Millisecond)
 		}
 		expected := owner.firstEvents.OverdueAfter("s")
-		is.True(expected < scheduling.MaxFirstEvent)
+		is.True(expected < scheduling.MaxFirstEventTimeout)
 		time.Sleep(expected)
 		is.Equal(scheduledItems(owner)[0].Overdue, time.Duration(0))
 		time.Sleep(time.Second)
@@ -48,8 +48,8 @@
 		owner.jobList()[0].items[0].attempt = 1
 		time.Sleep(time.Second)
 		items := scheduledItems(owner)
-		is.Equal(items[0].MaxRemaining, 0.0)
-		is.True(items[1].MaxRemaining > items[1].Remaining)
+		is.Equal(items[0].MaxRemainingEvents, 0.0)
+		is.True(items[1].MaxRemainingEvents > items[1].RemainingEvents)
 		is.Equal(items[1].BatchAge, time.Second)
 	})
 }
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -19,7 +19,7 @@
 	retryDelay = 20 * time.Millisecond
 	// firstEventTimeout bounds the wait for a replica's first response at the first attempt. It
 	// doubles with each attempt up to maxFirstEventTimeout.
-	firstEventTimeout    = scheduling.MaxFirstEvent
+	firstEventTimeout    = scheduling.MaxFirstEventTimeout
 	maxFirstEventTimeout = 10 * time.Second
 	// minEventTimeout is the minimum timeout for a further event; eventTimeoutFactor times the
 	// replica's median event time applies if that is longer.
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -96,7 +96,7 @@
 	sharing *engineSharing
 
 	history       *history
-	firstEvents   scheduling.FirstEvents
+	firstEvents   scheduling.FirstEventLatency
 	confirmations confirmations
 	// lastMoveRound is the time of the last pass in which items could be moved. Only the dispatcher
 	// uses it.
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -95,7 +95,7 @@
 		}
 		described := j.describe(it, rt, priority, now)
 		if running && !it.hasFirstEvent {
-			described.Overdue = max(described.RunFor-j.r.firstEvents.OverdueAfter(service), 0)
+			described.Overdue = max(described.RunTime-j.r.firstEvents.OverdueAfter(service), 0)
 		}
 		v.Items = append(v.Items, described)
 		v.routed = append(v.routed, routedItem{job: j, item: it, route: rt})
@@ -113,17 +113,17 @@
 func (j *job) describe(it *item, rt *route.Route, priority int, now time.Time) scheduling.Item {
 	events, lengths := len(it.events), j.placement.lengths
 	described := scheduling.Item{
-		Priority: priority, BatchSince: j.adoptedAt, BatchAge: now.Sub(j.adoptedAt),
+		Priority: priority, BatchAdoptedAt: j.adoptedAt, BatchAge: now.Sub(j.adoptedAt),
 		Model: j.submission.Model, MinVersion: j.submission.MinVersion, Required: j.placement.required[it.Group],
-		Events: events, Remaining: lengths.Remaining(it.expectedTokens, events),
+		Events: events, RemainingEvents: lengths.Remaining(it.expectedTokens, events),
 		GroupEngine: string(j.placement.groups[it.Group]), // resolveGroupEngines replaces the incarnation by the engine's id
 	}
 	if it.attempt == 0 || it.state == itemRunning {
 		// Without MaxRemaining an item is never deferred; one whose attempt failed must not be.
-		described.MaxRemaining = lengths.MaxRemaining(it.expectedTokens, events)
+		described.MaxRemainingEvents = lengths.MaxRemaining(it.expectedTokens, events)
 	}
 	if it.state == itemRunning {
-		described.Engine, described.RunFor = it.lastReplica, now.Sub(it.startedAt)
+		described.Engine, described.RunTime = it.lastReplica, now.Sub(it.startedAt)
 		// At an engine with another version, a single-version text would start over.
 		described.Pinned = it.cancel == nil || it.buffering || rt.SingleVersion && len(it.events) > 0
 	}
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -3,103 +3,107 @@
 import "time"
 
 const (
-	// maxDeferral is how old a batch may be while a text of it is deferred: what a wrong
-	// forecast of the step's end may cost, in steps that take seconds.
-	maxDeferral = 2 * time.Second
-	// shortItemsPart is the part of the time to a step's end in which its short texts are
-	// to be made: the rest is the margin for texts that outgrow their forecasts.
-	shortItemsPart = 0.5
-	// latestStartPart is the part of the time to a step's end that a text may take at most
-	// for its start to be deferred.
-	latestStartPart = 0.6
+	// maxDeferralAge is the batch age from which items are no longer deferred. It bounds the
+	// delay caused by a wrong estimate of the step's end.
+	maxDeferralAge = 2 * time.Second
+	// shortItemsFraction is the fraction of the time to a step's end in which its short items
+	// should finish. The rest is a margin for items that exceed their estimates.
+	shortItemsFraction = 0.5
+	// latestStartFraction is the greatest fraction of the time to its step's end that a
+	// deferred item may take.
+	latestStartFraction = 0.6
 )
 
-// stepKey names the items of one batch and class.
+// stepKey identifies the step of a batch's items of one class.
 type stepKey struct {
 	class
-	since time.Time
+	adoptedAt time.Time
 }
 
-// step sums up the items of one batch and class.
+// step aggregates the items of one batch and class.
 type step struct {
-	// end is in how long its longest text could be whole at the best engine, in
+	// timeToEnd is the time after which the longest item could finish at the best engine, in
 	// nanoseconds.
-	end float64
-	// shortRunning is how many of its short texts are under way, shortWork the time that
-	// these and those that wait take at an ordinary engine, in nanoseconds.
+	timeToEnd float64
+	// shortRunning is the number of running short items. shortWork is the total time that all
+	// unfinished short items take at a slow engine, in nanoseconds.
 	shortRunning int
 	shortWork    float64
 }
 
+// step returns the step of an item.
 func (p *planner) step(it *Item) *step {
-	return p.steps.get(stepKey{class: classOf(it), since: it.BatchSince}, func() *step { return &step{} })
+	return p.steps.get(stepKey{class: classOf(it), adoptedAt: it.BatchAdoptedAt}, func() *step { return &step{} })
 }
 
-// forecastSteps forecasts when each step could end, which texts are long enough to need a fast
-// engine, and how much work the short ones are.
+// forecastSteps estimates when each step could end, which items are long enough to need a fast
+// engine, and how much work the short items are.
 func (p *planner) forecastSteps() {
-	remaining := map[*tiers][]float64{}
+	remaining := map[*engineTiers][]float64{}
 	for i := range p.Items {
 		it := &p.Items[i]
 		step, tier := p.step(it), p.tier(it)
-		step.end = max(step.end, it.Remaining*tier.bestTime)
-		remaining[tier] = append(remaining[tier], it.Remaining)
+		step.timeToEnd = max(step.timeToEnd, it.RemainingEvents*tier.bestEventTime)
+		remaining[tier] = append(remaining[tier], it.RemainingEvents)
 	}
 	for tier, values := range remaining {
-		tier.minRemaining = nthLargest(values, tier.slots(p))
+		tier.minFastEvents = nthLargest(values, tier.fastSlots(p))
 	}
 	for i := range p.Items {
-		p.count(&p.Items[i])
+		p.countItem(&p.Items[i])
 	}
 }
 
-// count adds an item to what its step and its tier have.
-func (p *planner) count(it *Item) {
+// countItem adds an item to the counts of its step and tiers.
+func (p *planner) countItem(it *Item) {
 	step, tier := p.step(it), p.tier(it)
 	engine, runs := p.byID[it.Engine]
-	if p.short(it) {
-		step.shortWork += it.Remaining * tier.ordinaryTime
+	if p.isShort(it) {
+		step.shortWork += it.RemainingEvents * tier.slowEventTime
 		if runs {
 			step.shortRunning++
 		}
 	}
-	if p.needsFast(it) && (!runs || !tier.fast[engine]) {
-		tier.wanted++
+	if p.needsFastEngine(it) && (!runs || !tier.isFast[engine]) {
+		tier.fastDemand++
 	}
 }
 
-// short reports whether a text surely ends before its step, at any engine.
-func (p *planner) short(it *Item) bool {
-	ordinary := p.tier(it).ordinaryTime
-	return it.MaxRemaining > 0 && !it.Required && ordinary > 0 && it.MaxRemaining*ordinary <= p.step(it).end
+// isShort reports whether an item almost certainly finishes before its step, even at a slow
+// engine.
+func (p *planner) isShort(it *Item) bool {
+	eventTime := p.tier(it).slowEventTime
+	return it.MaxRemainingEvents > 0 && !it.Required && eventTime > 0 &&
+		it.MaxRemainingEvents*eventTime <= p.step(it).timeToEnd
 }
 
-// deferred reports whether a text need not start yet: so many others of its step are under
-// way that all are whole long before the step can end. Those that wait then take the
-// connections, and the slots, of those that end.
-func (p *planner) deferred(it *Item) bool {
-	if it.BatchAge >= maxDeferral || !p.short(it) {
+// canDefer reports whether the start of an item may be deferred: enough short items of its
+// step are running to finish all of them well before the step's end. Deferred items later
+// reuse the connections and slots of finished ones.
+func (p *planner) canDefer(it *Item) bool {
+	if it.BatchAge >= maxDeferralAge || !p.isShort(it) {
 		return false
 	}
 	step := p.step(it)
-	if it.MaxRemaining*p.tier(it).ordinaryTime > latestStartPart*step.end {
+	if it.MaxRemainingEvents*p.tier(it).slowEventTime > latestStartFraction*step.timeToEnd {
 		return false
 	}
-	return float64(step.shortRunning)*shortItemsPart*step.end >= step.shortWork
+	return float64(step.shortRunning)*shortItemsFraction*step.timeToEnd >= step.shortWork
 }
 
-func (p *planner) started(it *Item) {
-	if p.short(it) {
+// countStart updates the counts for a waiting item that was started.
+func (p *planner) countStart(it *Item) {
+	if p.isShort(it) {
 		p.step(it).shortRunning++
 	}
-	if p.needsFast(it) {
-		p.tier(it).wanted--
+	if p.needsFastEngine(it) {
+		p.tier(it).fastDemand--
 	}
 }
 
-// left counts a text that goes on at another engine than before.
-func (p *planner) left(it *Item, from int) {
-	if tier := p.tier(it); !tier.fast[from] && p.needsFast(it) {
-		tier.wanted = max(tier.wanted-1, 0)
+// countMove updates the counts for an item that was moved away from an engine.
+func (p *planner) countMove(it *Item, from int) {
+	if tier := p.tier(it); !tier.isFast[from] && p.needsFastEngine(it) {
+		tier.fastDemand = max(tier.fastDemand-1, 0)
 	}
 }
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -2,39 +2,39 @@
 
 import "slices"
 
-// fastRatio is how long an engine may take for an event, by the upper quartile of the
-// engines, to be one that long texts need: less than that is what load and noise make of
-// equal engines.
+// fastRatio bounds the event time of a fast engine relative to the upper quartile of all.
+// Smaller differences arise from load and noise between equal engines.
 const fastRatio = 0.75
 
-// tiers are the engines that can run the items of one class, by how fast they are.
-type tiers struct {
-	// fast engines are kept for texts that need them; fastest are their indices.
-	fast    []bool
-	fastest []int
-	// bestTime is the time between two events at the best engine, ordinaryTime at the
-	// others, in nanoseconds; 0 if too few event times are known.
-	bestTime, ordinaryTime float64
-	// minRemaining is what a text must have before it at least to need a fast engine: as
-	// many have that much as the fast engines have slots.
-	minRemaining float64
-	// wanted is how many texts need a fast engine and are not at one.
-	wanted int
+// engineTiers divides the engines that can run the items of one class into fast and slow ones.
+type engineTiers struct {
+	// isFast reports by index which engines are fast; fastEngines lists their indices. Fast
+	// engines are kept free for the items that need them.
+	isFast      []bool
+	fastEngines []int
+	// bestEventTime is the event time of the best engine and slowEventTime the upper quartile
+	// of all, in nanoseconds; 0 if too few event times are known.
+	bestEventTime, slowEventTime float64
+	// minFastEvents is the number of remaining events from which an item needs a fast engine.
+	// It is chosen so that as many items reach it as the fast engines have slots.
+	minFastEvents float64
+	// fastDemand is the number of items that need a fast engine and are not at one.
+	fastDemand int
 }
 
-// tier returns the engines of an item's class by how fast they are.
-func (p *planner) tier(it *Item) *tiers {
-	return p.tiers.get(classOf(it), func() *tiers { return p.newTiers(it) })
+// tier returns the tiers of engines for an item's class.
+func (p *planner) tier(it *Item) *engineTiers {
+	return p.tiers.get(classOf(it), func() *engineTiers { return p.newTiers(it) })
 }
 
-// newTiers compares the engines of a class. Unless the event times of half of them are
-// known, none counts as fast.
-func (p *planner) newTiers(it *Item) *tiers {
-	t := &tiers{fast: make([]bool, len(p.Engines))}
+// newTiers divides the engines for an item's class by speed. No engine counts as fast unless
+// the event times of at least half of them are known.
+func (p *planner) newTiers(it *Item) *engineTiers {
+	t := &engineTiers{isFast: make([]bool, len(p.Engines))}
 	var times []float64
 	usable := 0
 	for i := range p.Engines {
-		if !p.Engines[i].Holds(it) || p.Engines[i].Avoided {
+		if !p.Engines[i].HasWeightsFor(it) || p.Engines[i].Avoided {
 			continue
 		}
 		usable++
@@ -46,53 +46,54 @@
 		return t
 	}
 	slices.Sort(times)
-	t.bestTime, t.ordinaryTime = times[0], times[len(times)*3/4]
+	t.bestEventTime, t.slowEventTime = times[0], times[len(times)*3/4]
 	for i := range p.Engines {
-		if p.Engines[i].Holds(it) && p.Engines[i].EventTime > 0 && p.eventTime(i) < fastRatio*t.ordinaryTime {
-			t.fast[i] = true
-			t.fastest = append(t.fastest, i)
+		if p.Engines[i].HasWeightsFor(it) && p.Engines[i].EventTime > 0 && p.eventTime(i) < fastRatio*t.slowEventTime {
+			t.isFast[i] = true
+			t.fastEngines = append(t.fastEngines, i)
 		}
 	}
 	return t
 }
 
-// reserved reports whether the fast engines have room only for texts that need it.
-func (t *tiers) reserved(p *planner) bool {
+// isReserved reports whether the items that need a fast engine take all room that the fast
+// ones have.
+func (t *engineTiers) isReserved(p *planner) bool {
 	room := 0
-	for _, i := range t.fastest {
+	for _, i := range t.fastEngines {
 		if p.engines[i].hasRoom() {
 			room += p.engines[i].Capacity() - p.engines[i].inFlight
 		}
 	}
-	return room <= t.wanted
+	return room <= t.fastDemand
 }
 
-// slots is how many requests of this owner the fast engines take.
-func (t *tiers) slots(p *planner) int {
+// fastSlots returns the number of slots of the fast engines that other owners leave.
+func (t *engineTiers) fastSlots(p *planner) int {
 	slots := 0
-	for _, i := range t.fastest {
+	for _, i := range t.fastEngines {
 		slots += max(p.Engines[i].Capacity()-p.Engines[i].OthersInFlight, 0)
 	}
 	return slots
 }
 
-// needsFast reports whether a text is one of the longest, for which the fast engines are,
-// and would go to one that has room.
-func (p *planner) needsFast(it *Item) bool {
+// needsFastEngine reports whether an item is one of the longest, which fast engines are kept
+// for, and would be placed at one or moved to one if that had room.
+func (p *planner) needsFastEngine(it *Item) bool {
 	tier := p.tier(it)
-	if p.short(it) || it.Remaining < tier.minRemaining {
+	if p.isShort(it) || it.RemainingEvents < tier.minFastEvents {
 		return false
 	}
 	engine, runs := p.byID[it.Engine]
-	if !runs || tier.fast[engine] {
+	if !runs || tier.isFast[engine] {
 		return true
 	}
-	here := it.Remaining * float64(p.Engines[engine].EventTime)
-	return !it.Pinned && p.decidesStep(it, here) && worthMoving(here, it.Remaining*tier.bestTime)
+	here := it.RemainingEvents * float64(p.Engines[engine].EventTime)
+	return !it.Pinned && p.delaysStep(it, here) && worthMoving(here, it.RemainingEvents*tier.bestEventTime)
 }
 
-// nthLargest returns the n-th largest value, the largest one for an n below 1, and 0 if there are
-// no more values than n. It sorts the values.
+// nthLargest returns the n-th largest value, the largest one if n is below 1, and 0 if there
+// are no more than n values. It sorts the values.
 func nthLargest(values []float64, n int) float64 {
 	if n >= len(values) {
 		return 0
