--- a/internal/requests/admission/accounts.go
+++ b/internal/requests/admission/accounts.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// fairSpan is over which time tenants are held equal. Most often one request waits at a
+// fairnessTimeConstant is over which time tenants are held equal. Most often one request waits at a
 // daemon at a time, or none, so that the order of those that wait is fair only if it remembers
 // what each tenant has had before; a tenant that has paused is not owed more than this.
-const fairSpan = 5 * time.Second
+const fairnessTimeConstant = 5 * time.Second
 
 // accounts are the work that each tenant has had lately, which decays over fairSpan.
 type accounts map[string]account
@@ -24,7 +24,7 @@
 	if !ok {
 		return 0
 	}
-	return time.Duration(float64(held.work) * math.Exp(-max(now.Sub(held.at), 0).Seconds()/fairSpan.Seconds()))
+	return time.Duration(float64(held.work) * math.Exp(-max(now.Sub(held.at), 0).Seconds()/fairnessTimeConstant.Seconds()))
 }
 
 // charge adds to a tenant's work, or takes off it.
