--- a/internal/requests/admission/accounts.go
+++ b/internal/requests/admission/accounts.go
@@ -10,8 +10,8 @@
 // what each tenant has had before; a tenant that has paused is not owed more than this.
 const fairnessTimeConstant = 5 * time.Second
 
-// accounts are the work that each tenant has had lately, which decays over fairSpan.
-type accounts map[string]account
+// tenantWork are the work that each tenant has had lately, which decays over fairSpan.
+type tenantWork map[string]account
 
 type account struct {
 	work time.Duration
@@ -19,7 +19,7 @@
 }
 
 // of is the work of a tenant as of now.
-func (a accounts) of(tenant string, now time.Time) time.Duration {
+func (a tenantWork) of(tenant string, now time.Time) time.Duration {
 	held, ok := a[tenant]
 	if !ok {
 		return 0
@@ -28,6 +28,6 @@
 }
 
 // charge adds to a tenant's work, or takes off it.
-func (a accounts) charge(tenant string, work time.Duration, now time.Time) {
+func (a tenantWork) charge(tenant string, work time.Duration, now time.Time) {
 	a[tenant] = account{work: max(a.of(tenant, now)+work, 0), at: now}
 }
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -47,7 +47,7 @@
 	retries retrybudget.Budget
 	waiting []*waiter
 	// served has the work that tenants have had while the start rate bound.
-	served accounts
+	served tenantWork
 	// starts counts while the start rate binds.
 	starts int
 	demand demand
