--- a/internal/requests/admission/accounts.go
+++ b/internal/requests/admission/accounts.go
@@ -11,9 +11,9 @@
 const fairnessTimeConstant = 5 * time.Second
 
 // tenantWork are the work that each tenant has had lately, which decays over fairSpan.
-type tenantWork map[string]account
+type tenantWork map[string]decayingWork
 
-type account struct {
+type decayingWork struct {
 	work time.Duration
 	at   time.Time
 }
@@ -29,5 +29,5 @@
 
 // charge adds to a tenant's work, or takes off it.
 func (a tenantWork) charge(tenant string, work time.Duration, now time.Time) {
-	a[tenant] = account{work: max(a.of(tenant, now)+work, 0), at: now}
+	a[tenant] = decayingWork{work: max(a.of(tenant, now)+work, 0), at: now}
 }
