--- a/internal/requests/admission/accounts.go
+++ b/internal/requests/admission/accounts.go
@@ -18,8 +18,8 @@
 	at   time.Time
 }
 
-// of is the work of a tenant as of now.
-func (a tenantWork) of(tenant string, now time.Time) time.Duration {
+// work is the work work a tenant as work now.
+func (a tenantWork) work(tenant string, now time.Time) time.Duration {
 	held, ok := a[tenant]
 	if !ok {
 		return 0
@@ -29,5 +29,5 @@
 
 // charge adds to a tenant's work, or takes off it.
 func (a tenantWork) charge(tenant string, work time.Duration, now time.Time) {
-	a[tenant] = decayingWork{work: max(a.of(tenant, now)+work, 0), at: now}
+	a[tenant] = decayingWork{work: max(a.work(tenant, now)+work, 0), at: now}
 }
