--- a/internal/requests/admission/accounts.go
+++ b/internal/requests/admission/accounts.go
@@ -27,7 +27,7 @@
 	return time.Duration(float64(held.work) * math.Exp(-max(now.Sub(held.at), 0).Seconds()/fairnessTimeConstant.Seconds()))
 }
 
-// charge adds to a tenant's work, or takes off it.
-func (a tenantWork) charge(tenant string, work time.Duration, now time.Time) {
+// add adds to a tenant's work, or takes off it.
+func (a tenantWork) add(tenant string, work time.Duration, now time.Time) {
 	a[tenant] = decayingWork{work: max(a.work(tenant, now)+work, 0), at: now}
 }
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -138,7 +138,7 @@
 	g.starts++
 	g.retries.FirstTry(retriesPercent)
 	ticket.charged = g.times.quantile(0.5)
-	g.served.charge(req.Tenant, ticket.charged, g.options.Clock())
+	g.served.add(req.Tenant, ticket.charged, g.options.Clock())
 	return ticket
 }
 
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -67,7 +67,7 @@
 // charge corrects the work that a tenant has had. The lock is held.
 func (g *gate) charge(t *Ticket, more time.Duration) {
 	if _, ok := g.served[t.tenant]; ok && t.charged > 0 {
-		g.served.charge(t.tenant, more, g.options.Clock())
+		g.served.add(t.tenant, more, g.options.Clock())
 	}
 }
 
