--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -48,8 +48,8 @@
 	Tenant string
 	// Rank is 0 for those that go first.
 	Rank int
-	// Left is how long the caller still waits, by a clock that counts suspensions.
-	Left func() time.Duration
+	// TimeLeft is how long the caller still waits, by a clock that counts suspensions.
+	TimeLeft func() time.Duration
 	// Aim is the time within which the answer earns its full credit, from the request's
 	// arrival, 0 for none.
 	Aim time.Duration
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -158,7 +158,7 @@
 			patience = max(w.Aim/patiencePart-held, 0)
 		}
 		s.Served[w.Tenant] = g.served.work(w.Tenant, now)
-		s.Waiting[i] = Waiting{Held: held, Tenant: w.Tenant, Rank: w.Rank, Left: w.Left(), AimLeft: aim, Patience: patience}
+		s.Waiting[i] = Waiting{Held: held, Tenant: w.Tenant, Rank: w.Rank, Left: w.TimeLeft(), AimLeft: aim, Patience: patience}
 	}
 	return s
 }
--- a/internal/requests/admission/gate_test.go
+++ b/internal/requests/admission/gate_test.go
@@ -29,7 +29,7 @@
 	told := make(chan entered, 1)
 	began := clock()
 	go func() {
-		ticket, err := d.controller.Enter(ctx, Request{ID: "q", Service: "s", Tenant: tenant, Left: func() time.Duration { return span - clock().Sub(began) }})
+		ticket, err := d.controller.Enter(ctx, Request{ID: "q", Service: "s", Tenant: tenant, TimeLeft: func() time.Duration { return span - clock().Sub(began) }})
 		told <- entered{ticket, err, clock().Sub(began)}
 	}()
 	synctest.Wait()
@@ -39,12 +39,12 @@
 // fill has a daemon see that its service is full, and spend its credit.
 func (d *daemon) fill(t *testing.T) {
 	t.Helper()
-	ticket, err := d.controller.Enter(t.Context(), Request{Service: "s", Left: func() time.Duration { return far }})
+	ticket, err := d.controller.Enter(t.Context(), Request{Service: "s", TimeLeft: func() time.Duration { return far }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ticket.Done(Declined{})
-	if _, err = d.controller.Enter(t.Context(), Request{Service: "s", Left: func() time.Duration { return far }}); err != nil {
+	if _, err = d.controller.Enter(t.Context(), Request{Service: "s", TimeLeft: func() time.Duration { return far }}); err != nil {
 		t.Fatal(err)
 	}
 }
