--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -50,9 +50,9 @@
 	Rank int
 	// TimeLeft is how long the caller still waits, by a clock that counts suspensions.
 	TimeLeft func() time.Duration
-	// Aim is the time within which the answer earns its full credit, from the request's
+	// TargetLatency is the time within which the answer earns its full credit, from the request's
 	// arrival, 0 for none.
-	Aim time.Duration
+	TargetLatency time.Duration
 	// Held is how long ago the request arrived.
 	Held time.Duration
 }
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -131,7 +131,7 @@
 
 // start gives a request its turn. The lock is held.
 func (g *gate) start(req Request) *Ticket {
-	ticket := &Ticket{gate: g, tenant: req.Tenant, aim: req.Aim}
+	ticket := &Ticket{gate: g, tenant: req.Tenant, aim: req.TargetLatency}
 	if !g.rate.binds {
 		return ticket
 	}
@@ -153,9 +153,9 @@
 	for i, w := range g.waiting {
 		held, aim := w.Held+now.Sub(w.since), time.Duration(math.MaxInt64)
 		patience := aim
-		if w.Aim > 0 {
-			aim = w.Aim - held
-			patience = max(w.Aim/patiencePart-held, 0)
+		if w.TargetLatency > 0 {
+			aim = w.TargetLatency - held
+			patience = max(w.TargetLatency/patiencePart-held, 0)
 		}
 		s.Served[w.Tenant] = g.served.work(w.Tenant, now)
 		s.Waiting[i] = Waiting{Held: held, Tenant: w.Tenant, Rank: w.Rank, Left: w.TimeLeft(), AimLeft: aim, Patience: patience}
