--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -53,8 +53,8 @@
 	// TargetLatency is the time within which the answer earns its full credit, from the request's
 	// arrival, 0 for none.
 	TargetLatency time.Duration
-	// Held is how long ago the request arrived.
-	Held time.Duration
+	// Age is how long ago the request arrived.
+	Age time.Duration
 }
 
 // Reason says why a request was refused.
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -151,7 +151,7 @@
 		Served: make(map[string]time.Duration), Starts: g.starts,
 	}
 	for i, w := range g.waiting {
-		held, aim := w.Held+now.Sub(w.since), time.Duration(math.MaxInt64)
+		held, aim := w.Age+now.Sub(w.since), time.Duration(math.MaxInt64)
 		patience := aim
 		if w.TargetLatency > 0 {
 			aim = w.TargetLatency - held
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -46,7 +46,7 @@
 func (g *gate) noPlace(req Request) *Refused {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	w := &waiter{Request: req, since: g.options.Clock().Add(-req.Held)}
+	w := &waiter{Request: req, since: g.options.Clock().Add(-req.Age)}
 	return g.refusal(w, NoPlace, inSeconds(float64(len(g.waiting)+1)/max(g.rate.perSecond, minRate)))
 }
 
--- a/internal/requests/admission/replay_test.go
+++ b/internal/requests/admission/replay_test.go
@@ -127,7 +127,7 @@
 	}
 	tried := time.Now()
 	req := func() Request {
-		return Request{ID: "q", Service: "s", Tenant: fmt.Sprint(tenant), TargetLatency: replayAim, Held: time.Since(tried),
+		return Request{ID: "q", Service: "s", Tenant: fmt.Sprint(tenant), TargetLatency: replayAim, Age: time.Since(tried),
 			TimeLeft: func() time.Duration { return replayDeadline - time.Since(began) - 25*time.Millisecond }}
 	}
 	for range 3 {
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -73,7 +73,7 @@
 // admission is what decides on the request's turn.
 func (r *request) admission(service string) admission.Request {
 	return admission.Request{ID: r.id, Service: service, Tenant: r.tenantName(), Rank: r.tenant.Rank(r.route.Priority),
-		TimeLeft: r.timeLeft, TargetLatency: r.route.TargetLatency, Held: r.held()}
+		TimeLeft: r.timeLeft, TargetLatency: r.route.TargetLatency, Age: r.held()}
 }
 
 // admissionOutcome is what the end of a call tells of the room at the replicas.
