--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -62,9 +62,9 @@
 
 // Reasons of refusals.
 const (
-	// NoTime: by its place in the queue it can't be answered in its time, or would wait for longer
+	// NoTurnInTime: by its place in the queue it can't be answered in its time, or would wait for longer
 	// than a part of its aim.
-	NoTime Reason = "no turn in time"
+	NoTurnInTime Reason = "no turn in time"
 	// TooMany: as many wait as this daemon lets wait for one service.
 	TooMany Reason = "too many wait"
 	// NoPlace: every replica that was asked declined it, in each of its turns.
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -194,7 +194,7 @@
 		w := all[turn.Index]
 		switch {
 		case turn.Refused:
-			g.refuse(w, NoTime, drain)
+			g.refuse(w, NoTurnInTime, drain)
 		case i >= maxWaiting:
 			g.refuse(w, TooMany, drain)
 		case first == nil:
--- a/internal/requests/admission/gate_test.go
+++ b/internal/requests/admission/gate_test.go
@@ -76,7 +76,7 @@
 		got := <-d.enter(t.Context(), clock.Now, "a", 60*time.Millisecond)
 		var refused *Refused
 		is.True(errors.As(got.err, &refused))
-		is.Equal(refused.Reason, NoTime)
+		is.Equal(refused.Reason, NoTurnInTime)
 		is.Equal(got.after, time.Duration(0))
 		is.True(refused.ComeBack <= 20*time.Millisecond) // a third of its time
 	})
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -119,7 +119,7 @@
 		"maybe run, stopping":  {answer: explain(mayHaveRun), interrupted: true, status: 502, outcome: "interrupted", body: shutdown.ErrInterrupted.Error()},
 		"maybe run, time up":   {answer: func(r *request) { time.Sleep(left); r.refusePlain(mayHaveRun) }, status: 504, outcome: "timed out", body: "lost"},
 		"an error of its own":  {answer: explain(errors.New("odd")), status: 502, outcome: "failed", body: "odd"},
-		"full":                 {answer: explain(&admission.Refused{Reason: admission.NoTime, ComeBack: 3 * time.Second}), status: 503, comeBack: "3.000", outcome: "refused", body: "admission: no turn in time"},
+		"full":                 {answer: explain(&admission.Refused{Reason: admission.NoTurnInTime, ComeBack: 3 * time.Second}), status: 503, comeBack: "3.000", outcome: "refused", body: "admission: no turn in time"},
 		"full, beyond a third": {answer: explain(&admission.Refused{Reason: admission.TooMany, ComeBack: 9 * time.Second}), status: 503, comeBack: "8.000", outcome: "refused", body: "admission: too many wait"},
 		"full, stopping":       {answer: explain(&admission.Refused{Reason: admission.Ended, ComeBack: 3 * time.Second}), interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "admission: its wait has ended"},
 		"quarantined": {answer: explain(quarantined(forward.QuarantinedError{Ended: 3, RetryAfter: time.Minute, Final: true})), status: 503, comeBack: "60.000",
