--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -65,8 +65,8 @@
 	// NoTurnInTime: by its place in the queue it can't be answered in its time, or would wait for longer
 	// than a part of its aim.
 	NoTurnInTime Reason = "no turn in time"
-	// TooMany: as many wait as this daemon lets wait for one service.
-	TooMany Reason = "too many wait"
+	// QueueFull: as many wait as this daemon lets wait for one service.
+	QueueFull Reason = "too many wait"
 	// NoPlace: every replica that was asked declined it, in each of its turns.
 	NoPlace Reason = "all replicas are full"
 	// Ended: the context of the request ended while it waited.
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -196,7 +196,7 @@
 		case turn.Refused:
 			g.refuse(w, NoTurnInTime, drain)
 		case i >= maxWaiting:
-			g.refuse(w, TooMany, drain)
+			g.refuse(w, QueueFull, drain)
 		case first == nil:
 			first = w
 		}
--- a/internal/requests/admission/gate_test.go
+++ b/internal/requests/admission/gate_test.go
@@ -96,7 +96,7 @@
 		cancel()
 		for _, each := range told {
 			var why *Refused
-			if errors.As((<-each).err, &why) && why.Reason == TooMany {
+			if errors.As((<-each).err, &why) && why.Reason == QueueFull {
 				refused++
 			}
 		}
