--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -67,8 +67,8 @@
 	NoTurnInTime Reason = "no turn in time"
 	// QueueFull: as many wait as this daemon lets wait for one service.
 	QueueFull Reason = "too many wait"
-	// NoPlace: every replica that was asked declined it, in each of its turns.
-	NoPlace Reason = "all replicas are full"
+	// AllDeclined: every replica that was asked declined it, in each of its turns.
+	AllDeclined Reason = "all replicas are full"
 	// Ended: the context of the request ended while it waited.
 	Ended Reason = "its wait has ended"
 )
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -47,7 +47,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	w := &waiter{Request: req, since: g.options.Clock().Add(-req.Age)}
-	return g.refusal(w, NoPlace, inSeconds(float64(len(g.waiting)+1)/max(g.rate.perSecond, minRate)))
+	return g.refusal(w, AllDeclined, inSeconds(float64(len(g.waiting)+1)/max(g.rate.perSecond, minRate)))
 }
 
 // admit ends the wait of a request by its turn. The lock is held.
