--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -69,8 +69,8 @@
 	QueueFull Reason = "too many wait"
 	// AllDeclined: every replica that was asked declined it, in each of its turns.
 	AllDeclined Reason = "all replicas are full"
-	// Ended: the context of the request ended while it waited.
-	Ended Reason = "its wait has ended"
+	// ContextEnded: the context of the request ended while it waited.
+	ContextEnded Reason = "its wait has ended"
 )
 
 // Refused says that a request was not sent to a replica, or that each declined it. It promises that the
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -81,7 +81,7 @@
 		g.charge(d.ticket, -d.ticket.charged)
 	}
 	g.decide(g.options.Clock(), g.options.Replicas(g.service))
-	return nil, &Refused{Reason: Ended, ComeBack: minComeBack}
+	return nil, &Refused{Reason: ContextEnded, ComeBack: minComeBack}
 }
 
 // wakeAfter has those that wait looked at again. The lock is held.
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -121,7 +121,7 @@
 		"an error of its own":  {answer: explain(errors.New("odd")), status: 502, outcome: "failed", body: "odd"},
 		"full":                 {answer: explain(&admission.Refused{Reason: admission.NoTurnInTime, ComeBack: 3 * time.Second}), status: 503, comeBack: "3.000", outcome: "refused", body: "admission: no turn in time"},
 		"full, beyond a third": {answer: explain(&admission.Refused{Reason: admission.QueueFull, ComeBack: 9 * time.Second}), status: 503, comeBack: "8.000", outcome: "refused", body: "admission: too many wait"},
-		"full, stopping":       {answer: explain(&admission.Refused{Reason: admission.Ended, ComeBack: 3 * time.Second}), interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "admission: its wait has ended"},
+		"full, stopping":       {answer: explain(&admission.Refused{Reason: admission.ContextEnded, ComeBack: 3 * time.Second}), interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "admission: its wait has ended"},
 		"quarantined": {answer: explain(quarantined(forward.QuarantinedError{Ended: 3, RetryAfter: time.Minute, Final: true})), status: 503, comeBack: "60.000",
 			outcome: "quarantined", body: "forward: 3 replicas ended while they ran this content; it is refused until an operator lifts that", quarantined: true},
 		"quarantined, stopping": {answer: explain(quarantined(forward.QuarantinedError{RetryAfter: 100 * time.Millisecond, Elsewhere: true})), interrupted: true, status: 503,
