--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -73,9 +73,9 @@
 	ContextEnded Reason = "its wait has ended"
 )
 
-// Refused says that a request was not sent to a replica, or that each declined it. It promises that the
+// RefusedError says that a request was not sent to a replica, or that each declined it. It promises that the
 // request has not run and will not.
-type Refused struct {
+type RefusedError struct {
 	Reason Reason
 	// ComeBack is when the caller should come back; it differs between callers.
 	ComeBack time.Duration
@@ -84,7 +84,7 @@
 }
 
 // Error implements error.
-func (err *Refused) Error() string { return "admission: " + string(err.Reason) }
+func (err *RefusedError) Error() string { return "admission: " + string(err.Reason) }
 
 // Options are what a Controller is made of.
 type Options struct {
@@ -117,7 +117,7 @@
 }
 
 // Full refuses a request that each replica has declined in each of its turns.
-func (c *Controller) Full(req Request) *Refused {
+func (c *Controller) Full(req Request) *RefusedError {
 	return c.gate(req.Service).noPlace(req)
 }
 
--- a/internal/requests/admission/gate_test.go
+++ b/internal/requests/admission/gate_test.go
@@ -74,7 +74,7 @@
 	inBubble(t, func(t *testing.T, is *is.I, d *daemon, clock *clocktest.Clock) {
 		d.fill(t)
 		got := <-d.enter(t.Context(), clock.Now, "a", 60*time.Millisecond)
-		var refused *Refused
+		var refused *RefusedError
 		is.True(errors.As(got.err, &refused))
 		is.Equal(refused.Reason, NoTurnInTime)
 		is.Equal(got.after, time.Duration(0))
@@ -95,7 +95,7 @@
 		refused := 0
 		cancel()
 		for _, each := range told {
-			var why *Refused
+			var why *RefusedError
 			if errors.As((<-each).err, &why) && why.Reason == QueueFull {
 				refused++
 			}
@@ -146,7 +146,7 @@
 		short, long := d.enter(t.Context(), clock.Now, "a", 2*time.Second), d.enter(t.Context(), clock.Now, "b", far)
 		clock.Suspend(10 * time.Second)
 		got := <-short
-		var refused *Refused
+		var refused *RefusedError
 		is.True(errors.As(got.err, &refused))
 		is.Equal(refused.ComeBack, time.Duration(0)) // it has no time left to wait in
 		is.NoErr((<-long).err)
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -36,14 +36,14 @@
 }
 
 // refusal is that of a request, which it logs. The lock is held.
-func (g *gate) refusal(w *waiter, reason Reason, drain time.Duration) *Refused {
-	refused := &Refused{Reason: reason, ComeBack: ComeBack(drain, w.TimeLeft(), w.Rank, g.draw()), drain: drain}
+func (g *gate) refusal(w *waiter, reason Reason, drain time.Duration) *RefusedError {
+	refused := &RefusedError{Reason: reason, ComeBack: ComeBack(drain, w.TimeLeft(), w.Rank, g.draw()), drain: drain}
 	g.log(w, outcomeRefused, refused)
 	return refused
 }
 
 // noPlace refuses a request that does not wait.
-func (g *gate) noPlace(req Request) *Refused {
+func (g *gate) noPlace(req Request) *RefusedError {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	w := &waiter{Request: req, since: g.options.Clock().Add(-req.Age)}
@@ -54,7 +54,7 @@
 func (g *gate) admit(w *waiter) {
 	g.drop(w)
 	if g.options.Clock().After(w.since) {
-		g.log(w, outcomeStarted, &Refused{})
+		g.log(w, outcomeStarted, &RefusedError{})
 	}
 	w.decided <- decision{ticket: g.start(w.Request)}
 }
@@ -74,14 +74,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.drop(w) {
-		g.log(w, outcomeLeft, &Refused{Reason: Reason(context.Cause(ctx).Error())})
+		g.log(w, outcomeLeft, &RefusedError{Reason: Reason(context.Cause(ctx).Error())})
 	} else if d := <-w.decided; d.ticket != nil {
 		// Its turn came together with the end: it is not sent, and its part goes to the next one.
 		g.rate.Room(g.options.Clock())
 		g.charge(d.ticket, -d.ticket.charged)
 	}
 	g.decide(g.options.Clock(), g.options.Replicas(g.service))
-	return nil, &Refused{Reason: ContextEnded, ComeBack: minComeBack}
+	return nil, &RefusedError{Reason: ContextEnded, ComeBack: minComeBack}
 }
 
 // wakeAfter has those that wait looked at again. The lock is held.
@@ -98,7 +98,7 @@
 }
 
 // log writes the line about a request that waited or was refused. The lock is held.
-func (g *gate) log(w *waiter, outcome string, why *Refused) {
+func (g *gate) log(w *waiter, outcome string, why *RefusedError) {
 	now := g.options.Clock()
 	waited := now.Sub(w.since)
 	g.options.Observe(g.service, outcome, waited)
--- a/internal/requests/admission/replay_test.go
+++ b/internal/requests/admission/replay_test.go
@@ -132,7 +132,7 @@
 	}
 	for range 3 {
 		ticket, err := d.controller.Enter(ctx, req())
-		var refused *Refused
+		var refused *RefusedError
 		if errors.As(err, &refused) {
 			return Declined{}, refused.ComeBack
 		}
--- a/internal/requests/ingress/refuse.go
+++ b/internal/requests/ingress/refuse.go
@@ -40,7 +40,7 @@
 		r.observe(0, "client left", err.Error())
 		panic(http.ErrAbortHandler)
 	}
-	var full *admission.Refused
+	var full *admission.RefusedError
 	if errors.As(err, &full) {
 		r.refuse(r.unlessStopping(refusal.ServiceFull.In(full.ComeBack)), full.Error())
 		return
