--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -77,8 +77,8 @@
 // request has not run and will not.
 type RefusedError struct {
 	Reason Reason
-	// ComeBack is when the caller should come back; it differs between callers.
-	ComeBack time.Duration
+	// RetryAfter is when the caller should come back; it differs between callers.
+	RetryAfter time.Duration
 	// drain is when those that wait will have had their turns.
 	drain time.Duration
 }
--- a/internal/requests/admission/gate_test.go
+++ b/internal/requests/admission/gate_test.go
@@ -78,7 +78,7 @@
 		is.True(errors.As(got.err, &refused))
 		is.Equal(refused.Reason, NoTurnInTime)
 		is.Equal(got.after, time.Duration(0))
-		is.True(refused.ComeBack <= 20*time.Millisecond) // a third of its time
+		is.True(refused.RetryAfter <= 20*time.Millisecond) // a third of its time
 	})
 }
 
@@ -148,7 +148,7 @@
 		got := <-short
 		var refused *RefusedError
 		is.True(errors.As(got.err, &refused))
-		is.Equal(refused.ComeBack, time.Duration(0)) // it has no time left to wait in
+		is.Equal(refused.RetryAfter, time.Duration(0)) // it has no time left to wait in
 		is.NoErr((<-long).err)
 	})
 }
--- a/internal/requests/admission/replay_test.go
+++ b/internal/requests/admission/replay_test.go
@@ -134,7 +134,7 @@
 		ticket, err := d.controller.Enter(ctx, req())
 		var refused *RefusedError
 		if errors.As(err, &refused) {
-			return Declined{}, refused.ComeBack
+			return Declined{}, refused.RetryAfter
 		}
 		outcome := d.send(ctx, work, ticket.MayRetry)
 		ticket.Done(outcome)
@@ -142,7 +142,7 @@
 			return outcome, 0
 		}
 	}
-	return Declined{}, d.controller.Full(req()).ComeBack
+	return Declined{}, d.controller.Full(req()).RetryAfter
 }
 
 // replay has many callers ask some times as much as the replicas can serve.
--- a/internal/requests/ingress/refuse.go
+++ b/internal/requests/ingress/refuse.go
@@ -42,7 +42,7 @@
 	}
 	var full *admission.RefusedError
 	if errors.As(err, &full) {
-		r.refuse(r.unlessStopping(refusal.ServiceFull.In(full.ComeBack)), full.Error())
+		r.refuse(r.unlessStopping(refusal.ServiceFull.In(full.RetryAfter)), full.Error())
 		return
 	}
 	var failure *forward.Failure
