--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -79,8 +79,8 @@
 	Reason Reason
 	// RetryAfter is when the caller should come back; it differs between callers.
 	RetryAfter time.Duration
-	// drain is when those that wait will have had their turns.
-	drain time.Duration
+	// drainTime is when those that wait will have had their turns.
+	drainTime time.Duration
 }
 
 // Error implements error.
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -37,7 +37,7 @@
 
 // refusal is that of a request, which it logs. The lock is held.
 func (g *gate) refusal(w *waiter, reason Reason, drain time.Duration) *RefusedError {
-	refused := &RefusedError{Reason: reason, RetryAfter: ComeBack(drain, w.TimeLeft(), w.Rank, g.draw()), drain: drain}
+	refused := &RefusedError{Reason: reason, RetryAfter: ComeBack(drain, w.TimeLeft(), w.Rank, g.draw()), drainTime: drain}
 	g.log(w, outcomeRefused, refused)
 	return refused
 }
@@ -108,5 +108,5 @@
 		zap.Int("queue", len(g.waiting)), zap.Float64("rate", g.rate.perSecond), zap.Float64("places", g.places()),
 		zap.Duration("usual", g.times.quantile(0.5)), zap.Duration("need", g.times.quantile(needPart)),
 		zap.Duration("waited", waited), zap.Duration("left", w.TimeLeft()),
-		zap.Duration("full_age", now.Sub(g.rate.fullAt)), zap.Duration("drain", why.drain), zap.Duration("come_back", why.RetryAfter))
+		zap.Duration("full_age", now.Sub(g.rate.fullAt)), zap.Duration("drain", why.drainTime), zap.Duration("come_back", why.RetryAfter))
 }
