--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -116,8 +116,8 @@
 	return c.gate(req.Service).enter(ctx, req)
 }
 
-// Full refuses a request that each replica has declined in each of its turns.
-func (c *Controller) Full(req Request) *RefusedError {
+// RefuseDeclined refuses a request that each replica has declined in each of its turns.
+func (c *Controller) RefuseDeclined(req Request) *RefusedError {
 	return c.gate(req.Service).noPlace(req)
 }
 
--- a/internal/requests/admission/replay_test.go
+++ b/internal/requests/admission/replay_test.go
@@ -142,7 +142,7 @@
 			return outcome, 0
 		}
 	}
-	return Declined{}, d.controller.Full(req()).RetryAfter
+	return Declined{}, d.controller.RefuseDeclined(req()).RetryAfter
 }
 
 // replay has many callers ask some times as much as the replicas can serve.
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -65,7 +65,7 @@
 			return answer, err
 		}
 		if turn == mostTurns {
-			return nil, h.Admission.Full(r.admission(service))
+			return nil, h.Admission.RefuseDeclined(r.admission(service))
 		}
 	}
 }
