--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -137,8 +137,8 @@
 type Counts struct {
 	// Waiting is how many requests wait.
 	Waiting int
-	// Full is how many services are seen to be full.
-	Full int
+	// FullServices is how many services are seen to be full.
+	FullServices int
 	// Places is this daemon's part of the places of the full ones.
 	Places float64
 }
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -219,7 +219,7 @@
 		g.rate.Rest(g.options.Clock())
 	}
 	if g.rate.binds {
-		counts.Full++
+		counts.FullServices++
 		counts.Places += g.places()
 	}
 }
--- a/internal/requests/admission/gate_test.go
+++ b/internal/requests/admission/gate_test.go
@@ -66,7 +66,7 @@
 		is.NoErr(got.err)
 		is.True(got.after > 0)
 		is.Equal(d.controller.Count().Waiting, 0)
-		is.Equal(d.controller.Count().Full, 1)
+		is.Equal(d.controller.Count().FullServices, 1)
 	})
 }
 
--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -85,7 +85,7 @@
 	handler, r := fullService(t, 1<<30, true)
 	is.Equal(askFull(handler, "20000").Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), int32(1))
-	is.Equal(handler.Admission.Count().Full, 0)
+	is.Equal(handler.Admission.Count().FullServices, 0)
 }
 
 // A refusal promises that no replica was asked.
