--- a/internal/daemon/node/admission.go
+++ b/internal/daemon/node/admission.go
@@ -21,5 +21,5 @@
 	metrics.Gauge(m, "admission_full_services", "Services that this daemon has seen to be full.",
 		func() int { return controller.Count().FullServices })
 	metrics.Gauge(m, "admission_places", "This daemon's part of the places of the services that are full.",
-		func() float64 { return controller.Count().Places })
+		func() float64 { return controller.Count().SlotShare })
 }
--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -139,8 +139,8 @@
 	Waiting int
 	// FullServices is how many services are seen to be full.
 	FullServices int
-	// Places is this daemon's part of the places of the full ones.
-	Places float64
+	// SlotShare is this daemon's part of the places of the full ones.
+	SlotShare float64
 }
 
 // Count returns the figures as they are now.
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -220,6 +220,6 @@
 	}
 	if g.rate.binds {
 		counts.FullServices++
-		counts.Places += g.places()
+		counts.SlotShare += g.places()
 	}
 }
