--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -16,9 +16,9 @@
 	// than a daemon's part of the places ends within the time of a plain request, and
 	// few enough to be put in order at each arrival.
 	maxWaiting = 64
-	// lookAgain is after which time those that wait are looked at again if nothing has
+	// recheckInterval is after which time those that wait are looked at again if nothing has
 	// woken them: replicas come and go, and times run out.
-	lookAgain = 50 * time.Millisecond
+	recheckInterval = 50 * time.Millisecond
 	// needPart is the part of the answers whose time a request must have left: the few that
 	// take longest are no reason to refuse others.
 	needPart = 0.9
@@ -178,7 +178,7 @@
 		}
 	}
 	if len(g.waiting) > 0 {
-		g.wakeAfter(max(min(g.rate.Next(now), lookAgain), time.Millisecond))
+		g.wakeAfter(max(min(g.rate.Next(now), recheckInterval), time.Millisecond))
 	}
 }
 
