--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -19,9 +19,9 @@
 	// recheckInterval is after which time those that wait are looked at again if nothing has
 	// woken them: replicas come and go, and times run out.
 	recheckInterval = 50 * time.Millisecond
-	// needPart is the part of the answers whose time a request must have left: the few that
+	// requiredTimeQuantile is the part of the answers whose time a request must have left: the few that
 	// take longest are no reason to refuse others.
-	needPart = 0.9
+	requiredTimeQuantile = 0.9
 	// retriesPercent is how many further attempts each hundred first ones of a full service
 	// earn, minRetries how many a second there are at least.
 	retriesPercent = 100
@@ -147,7 +147,7 @@
 	rate := g.rate.perSecond
 	s := Snapshot{
 		Waiting: make([]Waiting, len(g.waiting)), Rate: rate, LateRate: max(rate-g.demand.note(now, 0), rate/oldestEvery),
-		First: g.rate.Next(now), Need: g.times.quantile(needPart), Usual: g.times.quantile(0.5),
+		First: g.rate.Next(now), Need: g.times.quantile(requiredTimeQuantile), Usual: g.times.quantile(0.5),
 		Served: make(map[string]time.Duration), Starts: g.starts,
 	}
 	for i, w := range g.waiting {
