--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -24,8 +24,8 @@
 	requiredTimeQuantile = 0.9
 	// retriesPercent is how many further attempts each hundred first ones of a full service
 	// earn, minRetries how many a second there are at least.
-	retriesPercent = 100
-	minRetries     = 2
+	retriesPercent      = 100
+	minRetriesPerSecond = 2
 	// patiencePart is the part of its aim, one in so many, that a request waits at most while
 	// the aim can be reached: a caller that is refused within it has the rest of the time for another
 	// try.
--- a/internal/requests/admission/gate_test.go
+++ b/internal/requests/admission/gate_test.go
@@ -183,7 +183,7 @@
 			got.ticket.Done(Declined{})
 		}
 		is.True(starts > 2)
-		is.True(offers <= starts+3*minRetries+2) // and so many a second
+		is.True(offers <= starts+3*minRetriesPerSecond+2) // and so many a second
 	})
 }
 
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -40,7 +40,7 @@
 	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.rate.binds || g.retries.TryRetry(g.options.Clock(), minRetries)
+	return !g.rate.binds || g.retries.TryRetry(g.options.Clock(), minRetriesPerSecond)
 }
 
 // Done tells what became of the request.
