--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -26,10 +26,10 @@
 	// earn, minRetries how many a second there are at least.
 	retriesPercent      = 100
 	minRetriesPerSecond = 2
-	// patiencePart is the part of its aim, one in so many, that a request waits at most while
+	// maxWaitDivisor is the part of its aim, one in so many, that a request waits at most while
 	// the aim can be reached: a caller that is refused within it has the rest of the time for another
 	// try.
-	patiencePart = 4
+	maxWaitDivisor = 4
 	// demandSpan is over which time arrivals are counted.
 	demandSpan = 500 * time.Millisecond
 )
@@ -155,7 +155,7 @@
 		patience := aim
 		if w.TargetLatency > 0 {
 			aim = w.TargetLatency - held
-			patience = max(w.TargetLatency/patiencePart-held, 0)
+			patience = max(w.TargetLatency/maxWaitDivisor-held, 0)
 		}
 		s.Served[w.Tenant] = g.served.work(w.Tenant, now)
 		s.Waiting[i] = Waiting{Held: held, Tenant: w.Tenant, Rank: w.Rank, Left: w.TimeLeft(), AimLeft: aim, Patience: patience}
