--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -30,8 +30,8 @@
 	// the aim can be reached: a caller that is refused within it has the rest of the time for another
 	// try.
 	maxWaitDivisor = 4
-	// demandSpan is over which time arrivals are counted.
-	demandSpan = 500 * time.Millisecond
+	// demandTimeConstant is over which time arrivals are counted.
+	demandTimeConstant = 500 * time.Millisecond
 )
 
 // gate admits the requests for one service.
@@ -62,8 +62,8 @@
 
 // note decays the rate and, for each arrival, raises it.
 func (d *demand) note(now time.Time, arrivals float64) float64 {
-	passed := max(now.Sub(d.at), 0).Seconds() / demandSpan.Seconds()
-	d.rate = d.rate*math.Exp(-passed) + arrivals/demandSpan.Seconds()
+	passed := max(now.Sub(d.at), 0).Seconds() / demandTimeConstant.Seconds()
+	d.rate = d.rate*math.Exp(-passed) + arrivals/demandTimeConstant.Seconds()
 	d.at = now
 	return d.rate
 }
