--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -38,8 +38,8 @@
 type gate struct {
 	options *Options
 	service string
-	// draw returns numbers from 0 to 1.
-	draw func() float64
+	// random returns numbers from 0 to 1.
+	random func() float64
 
 	mu      sync.Mutex
 	rate    StartRate
