--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -127,7 +127,7 @@
 	defer c.mu.Unlock()
 	g := c.gates[service]
 	if g == nil {
-		g = &gate{options: &c.Options, service: service, served: tenantWork{}, random: rand.Float64}
+		g = &gate{options: &c.Options, service: service, work: tenantWork{}, random: rand.Float64}
 		c.gates[service] = g
 	}
 	return g
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -46,8 +46,8 @@
 	times   times
 	retries retrybudget.Budget
 	waiting []*waiter
-	// served has the work that tenants have had while the start rate bound.
-	served tenantWork
+	// work has the work that tenants have had while the start rate bound.
+	work tenantWork
 	// starts counts while the start rate binds.
 	starts int
 	demand demand
@@ -108,7 +108,7 @@
 		g.rate.Rest(now)
 	}
 	if !g.rate.binds {
-		clear(g.served)
+		clear(g.work)
 		g.starts = 0
 	}
 }
@@ -138,7 +138,7 @@
 	g.starts++
 	g.retries.FirstTry(retriesPercent)
 	ticket.charged = g.times.quantile(0.5)
-	g.served.add(req.Tenant, ticket.charged, g.options.Clock())
+	g.work.add(req.Tenant, ticket.charged, g.options.Clock())
 	return ticket
 }
 
@@ -157,7 +157,7 @@
 			aim = w.TargetLatency - held
 			patience = max(w.TargetLatency/maxWaitDivisor-held, 0)
 		}
-		s.Served[w.Tenant] = g.served.work(w.Tenant, now)
+		s.Served[w.Tenant] = g.work.work(w.Tenant, now)
 		s.Waiting[i] = Waiting{Held: held, Tenant: w.Tenant, Rank: w.Rank, Left: w.TimeLeft(), AimLeft: aim, Patience: patience}
 	}
 	return s
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -66,8 +66,8 @@
 
 // charge corrects the work that a tenant has had. The lock is held.
 func (g *gate) charge(t *Ticket, more time.Duration) {
-	if _, ok := g.served[t.tenant]; ok && t.charged > 0 {
-		g.served.add(t.tenant, more, g.options.Clock())
+	if _, ok := g.work[t.tenant]; ok && t.charged > 0 {
+		g.work.add(t.tenant, more, g.options.Clock())
 	}
 }
 
