--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -49,9 +49,9 @@
 	// work has the work that tenants have had while the start rate bound.
 	work tenantWork
 	// starts counts while the start rate binds.
-	starts int
-	demand demand
-	timer  *time.Timer
+	starts   int
+	arrivals demand
+	timer    *time.Timer
 }
 
 // demand is the rate of arrivals, in requests a second.
@@ -88,7 +88,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.options.Clock()
-	g.demand.note(now, 1)
+	g.arrivals.note(now, 1)
 	replicas := g.options.Replicas(g.service)
 	g.look(now, replicas)
 	if len(replicas) == 0 || !g.rate.binds {
@@ -125,7 +125,7 @@
 	for _, rep := range replicas {
 		slots += max(rep.Slots, 1)
 	}
-	return Capacity{Slots: slots, Daemons: g.options.Daemons(), Demand: g.demand.note(g.options.Clock(), 0),
+	return Capacity{Slots: slots, Daemons: g.options.Daemons(), Demand: g.arrivals.note(g.options.Clock(), 0),
 		Usual: max(g.times.quantile(0.5), time.Millisecond)}
 }
 
@@ -146,7 +146,7 @@
 func (g *gate) snapshot(now time.Time) Snapshot {
 	rate := g.rate.perSecond
 	s := Snapshot{
-		Waiting: make([]Waiting, len(g.waiting)), Rate: rate, LateRate: max(rate-g.demand.note(now, 0), rate/oldestEvery),
+		Waiting: make([]Waiting, len(g.waiting)), Rate: rate, LateRate: max(rate-g.arrivals.note(now, 0), rate/oldestEvery),
 		First: g.rate.Next(now), Need: g.times.quantile(requiredTimeQuantile), Usual: g.times.quantile(0.5),
 		Served: make(map[string]time.Duration), Starts: g.starts,
 	}
