--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -50,18 +50,18 @@
 	work tenantWork
 	// starts counts while the start rate binds.
 	starts   int
-	arrivals demand
+	arrivals arrivalRate
 	timer    *time.Timer
 }
 
-// demand is the rate of arrivals, in requests a second.
-type demand struct {
+// arrivalRate is the rate of arrivals, in requests a second.
+type arrivalRate struct {
 	rate float64
 	at   time.Time
 }
 
 // note decays the rate and, for each arrival, raises it.
-func (d *demand) note(now time.Time, arrivals float64) float64 {
+func (d *arrivalRate) note(now time.Time, arrivals float64) float64 {
 	passed := max(now.Sub(d.at), 0).Seconds() / demandTimeConstant.Seconds()
 	d.rate = d.rate*math.Exp(-passed) + arrivals/demandTimeConstant.Seconds()
 	d.at = now
