--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -56,16 +56,16 @@
 
 // arrivalRate is the rate of arrivals, in requests a second.
 type arrivalRate struct {
-	rate float64
-	at   time.Time
+	perSecond float64
+	at        time.Time
 }
 
 // note decays the rate and, for each arrival, raises it.
 func (d *arrivalRate) note(now time.Time, arrivals float64) float64 {
 	passed := max(now.Sub(d.at), 0).Seconds() / demandTimeConstant.Seconds()
-	d.rate = d.rate*math.Exp(-passed) + arrivals/demandTimeConstant.Seconds()
+	d.perSecond = d.perSecond*math.Exp(-passed) + arrivals/demandTimeConstant.Seconds()
 	d.at = now
-	return d.rate
+	return d.perSecond
 }
 
 // enter returns once a request may be sent.
