--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -60,8 +60,8 @@
 	at        time.Time
 }
 
-// note decays the rate and, for each arrival, raises it.
-func (d *arrivalRate) note(now time.Time, arrivals float64) float64 {
+// add decays the rate and, for each arrival, raises it.
+func (d *arrivalRate) add(now time.Time, arrivals float64) float64 {
 	passed := max(now.Sub(d.at), 0).Seconds() / demandTimeConstant.Seconds()
 	d.perSecond = d.perSecond*math.Exp(-passed) + arrivals/demandTimeConstant.Seconds()
 	d.at = now
@@ -88,7 +88,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.options.Clock()
-	g.arrivals.note(now, 1)
+	g.arrivals.add(now, 1)
 	replicas := g.options.Replicas(g.service)
 	g.look(now, replicas)
 	if len(replicas) == 0 || !g.rate.binds {
@@ -125,7 +125,7 @@
 	for _, rep := range replicas {
 		slots += max(rep.Slots, 1)
 	}
-	return Capacity{Slots: slots, Daemons: g.options.Daemons(), Demand: g.arrivals.note(g.options.Clock(), 0),
+	return Capacity{Slots: slots, Daemons: g.options.Daemons(), Demand: g.arrivals.add(g.options.Clock(), 0),
 		Usual: max(g.times.quantile(0.5), time.Millisecond)}
 }
 
@@ -146,7 +146,7 @@
 func (g *gate) snapshot(now time.Time) Snapshot {
 	rate := g.rate.perSecond
 	s := Snapshot{
-		Waiting: make([]Waiting, len(g.waiting)), Rate: rate, LateRate: max(rate-g.arrivals.note(now, 0), rate/oldestEvery),
+		Waiting: make([]Waiting, len(g.waiting)), Rate: rate, LateRate: max(rate-g.arrivals.add(now, 0), rate/oldestEvery),
 		First: g.rate.Next(now), Need: g.times.quantile(requiredTimeQuantile), Usual: g.times.quantile(0.5),
 		Served: make(map[string]time.Duration), Starts: g.starts,
 	}
