--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -70,7 +70,7 @@
 
 // enter returns once a request may be sent.
 func (g *gate) enter(ctx context.Context, req Request) (*Ticket, error) {
-	waiting, ticket := g.arrive(req)
+	waiting, ticket := g.startOrEnqueue(req)
 	if ticket != nil {
 		return ticket, nil
 	}
@@ -82,9 +82,9 @@
 	return g.leave(ctx, waiting)
 }
 
-// arrive lets a request start if its service is not seen to be full, or has it take its place
+// startOrEnqueue lets a request start if its service is not seen to be full, or has it take its place
 // among those that wait, where it may start or be refused at once.
-func (g *gate) arrive(req Request) (*waiter, *Ticket) {
+func (g *gate) startOrEnqueue(req Request) (*waiter, *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.options.Clock()
