--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -90,7 +90,7 @@
 	now := g.options.Clock()
 	g.arrivals.add(now, 1)
 	replicas := g.options.Replicas(g.service)
-	g.look(now, replicas)
+	g.updateRate(now, replicas)
 	if len(replicas) == 0 || !g.rate.binds {
 		return nil, g.start(req)
 	}
@@ -100,8 +100,8 @@
 	return added, nil
 }
 
-// look takes what is believed of the replicas into account. The lock is held.
-func (g *gate) look(now time.Time, replicas []replica.Replica) {
+// updateRate takes what is believed of the replicas into account. The lock is held.
+func (g *gate) updateRate(now time.Time, replicas []replica.Replica) {
 	if allFull(replicas) {
 		g.full(now, SignTold, g.capacity(replicas))
 	} else if len(g.waiting) == 0 {
@@ -166,7 +166,7 @@
 // decide starts, keeps and refuses those that wait, and sees to it that it is called again.
 // The lock is held.
 func (g *gate) decide(now time.Time, replicas []replica.Replica) {
-	g.look(now, replicas)
+	g.updateRate(now, replicas)
 	for len(g.waiting) > 0 {
 		if len(replicas) == 0 || !g.rate.binds {
 			// Nothing is known to be full: what is sent says what is certain.
