--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -79,7 +79,7 @@
 		return d.ticket, d.err
 	case <-ctx.Done():
 	}
-	return g.leave(ctx, waiting)
+	return g.abandon(ctx, waiting)
 }
 
 // startOrEnqueue lets a request start if its service is not seen to be full, or has it take its place
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -69,8 +69,8 @@
 	return true
 }
 
-// leave ends the wait of a request whose context has ended.
-func (g *gate) leave(ctx context.Context, w *waiter) (*Ticket, error) {
+// abandon ends the wait of a request whose context has ended.
+func (g *gate) abandon(ctx context.Context, w *waiter) (*Ticket, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.drop(w) {
