--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -96,7 +96,7 @@
 	}
 	added := &waiter{Request: req, since: now, decided: make(chan decision, 1)}
 	g.waiting = append(g.waiting, added)
-	g.decide(now, replicas)
+	g.processQueue(now, replicas)
 	return added, nil
 }
 
@@ -163,9 +163,9 @@
 	return s
 }
 
-// decide starts, keeps and refuses those that wait, and sees to it that it is called again.
+// processQueue starts, keeps and refuses those that wait, and sees to it that it is called again.
 // The lock is held.
-func (g *gate) decide(now time.Time, replicas []replica.Replica) {
+func (g *gate) processQueue(now time.Time, replicas []replica.Replica) {
 	g.updateRate(now, replicas)
 	for len(g.waiting) > 0 {
 		if len(replicas) == 0 || !g.rate.binds {
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -80,7 +80,7 @@
 		g.rate.Room(g.options.Clock())
 		g.charge(d.ticket, -d.ticket.charged)
 	}
-	g.decide(g.options.Clock(), g.options.Replicas(g.service))
+	g.processQueue(g.options.Clock(), g.options.Replicas(g.service))
 	return nil, &RefusedError{Reason: ContextEnded, RetryAfter: minComeBack}
 }
 
@@ -93,7 +93,7 @@
 	g.timer = time.AfterFunc(after, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.decide(g.options.Clock(), g.options.Replicas(g.service))
+		g.processQueue(g.options.Clock(), g.options.Replicas(g.service))
 	})
 }
 
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -60,7 +60,7 @@
 	case Lost:
 	}
 	if len(g.waiting) > 0 {
-		g.decide(now, replicas)
+		g.processQueue(now, replicas)
 	}
 }
 
