--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -173,7 +173,7 @@
 			g.admit(g.waiting[0])
 			continue
 		}
-		if !g.step(now) {
+		if !g.startNext(now) {
 			break
 		}
 	}
@@ -182,9 +182,9 @@
 	}
 }
 
-// step refuses those that have no time, and starts the first one if it may. It reports
+// startNext refuses those that have no time, and starts the first one if it may. It reports
 // whether one has started. The lock is held.
-func (g *gate) step(now time.Time) bool {
+func (g *gate) startNext(now time.Time) bool {
 	var first *waiter
 	s := g.snapshot(now)
 	turns := Plan(s)
