--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -208,8 +208,8 @@
 	return true
 }
 
-// places is this daemon's part of the places, while the start rate binds. The lock is held.
-func (g *gate) places() float64 { return g.rate.perSecond * g.times.quantile(0.5).Seconds() }
+// slotShare is this daemon's part of the slotShare, while the start rate binds. The lock is held.
+func (g *gate) slotShare() float64 { return g.rate.perSecond * g.times.quantile(0.5).Seconds() }
 
 func (g *gate) count(counts *Counts) {
 	g.mu.Lock()
@@ -220,6 +220,6 @@
 	}
 	if g.rate.binds {
 		counts.FullServices++
-		counts.SlotShare += g.places()
+		counts.SlotShare += g.slotShare()
 	}
 }
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -105,7 +105,7 @@
 	g.options.Logger.Info("admission", zap.String("request", w.ID), zap.String("service", g.service),
 		zap.String("tenant", w.Tenant), zap.Int("rank", w.Rank),
 		zap.String("outcome", outcome), zap.String("reason", string(why.Reason)),
-		zap.Int("queue", len(g.waiting)), zap.Float64("rate", g.rate.perSecond), zap.Float64("places", g.places()),
+		zap.Int("queue", len(g.waiting)), zap.Float64("rate", g.rate.perSecond), zap.Float64("places", g.slotShare()),
 		zap.Duration("usual", g.times.quantile(0.5)), zap.Duration("need", g.times.quantile(requiredTimeQuantile)),
 		zap.Duration("waited", waited), zap.Duration("left", w.TimeLeft()),
 		zap.Duration("full_age", now.Sub(g.rate.fullAt)), zap.Duration("drain", why.drainTime), zap.Duration("come_back", why.RetryAfter))
