--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -10,9 +10,9 @@
 
 // Outcomes of requests that waited or were refused, in logs and metrics.
 const (
-	outcomeStarted = "started"
-	outcomeRefused = "refused"
-	outcomeLeft    = "let go"
+	outcomeStarted   = "started"
+	outcomeRefused   = "refused"
+	outcomeAbandoned = "let go"
 )
 
 // waiter is a request that waits.
@@ -74,7 +74,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.drop(w) {
-		g.log(w, outcomeLeft, &RefusedError{Reason: Reason(context.Cause(ctx).Error())})
+		g.log(w, outcomeAbandoned, &RefusedError{Reason: Reason(context.Cause(ctx).Error())})
 	} else if d := <-w.decided; d.ticket != nil {
 		// Its turn came together with the end: it is not sent, and its part goes to the next one.
 		g.rate.Room(g.options.Clock())
