--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -32,11 +32,11 @@
 // refuse ends the wait of a request that has not run. The lock is held.
 func (g *gate) refuse(w *waiter, reason Reason, drain time.Duration) {
 	g.drop(w)
-	w.decided <- decision{err: g.refusal(w, reason, drain)}
+	w.decided <- decision{err: g.newRefusal(w, reason, drain)}
 }
 
-// refusal is that of a request, which it logs. The lock is held.
-func (g *gate) refusal(w *waiter, reason Reason, drain time.Duration) *RefusedError {
+// newRefusal is that of a request, which it logs. The lock is held.
+func (g *gate) newRefusal(w *waiter, reason Reason, drain time.Duration) *RefusedError {
 	refused := &RefusedError{Reason: reason, RetryAfter: ComeBack(drain, w.TimeLeft(), w.Rank, g.random()), drainTime: drain}
 	g.log(w, outcomeRefused, refused)
 	return refused
@@ -47,7 +47,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	w := &waiter{Request: req, since: g.options.Clock().Add(-req.Age)}
-	return g.refusal(w, AllDeclined, inSeconds(float64(len(g.waiting)+1)/max(g.rate.perSecond, minRate)))
+	return g.newRefusal(w, AllDeclined, inSeconds(float64(len(g.waiting)+1)/max(g.rate.perSecond, minRate)))
 }
 
 // admit ends the wait of a request by its turn. The lock is held.
