--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -118,7 +118,7 @@
 
 // RefuseDeclined refuses a request that each replica has declined in each of its turns.
 func (c *Controller) RefuseDeclined(req Request) *RefusedError {
-	return c.gate(req.Service).noPlace(req)
+	return c.gate(req.Service).refuseDeclined(req)
 }
 
 // gate returns that of a service.
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -42,8 +42,8 @@
 	return refused
 }
 
-// noPlace refuses a request that does not wait.
-func (g *gate) noPlace(req Request) *RefusedError {
+// refuseDeclined refuses a request that does not wait.
+func (g *gate) refuseDeclined(req Request) *RefusedError {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	w := &waiter{Request: req, since: g.options.Clock().Add(-req.Age)}
