--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -31,7 +31,7 @@
 
 // refuse ends the wait of a request that has not run. The lock is held.
 func (g *gate) refuse(w *waiter, reason Reason, drain time.Duration) {
-	g.drop(w)
+	g.dequeue(w)
 	w.decided <- decision{err: g.newRefusal(w, reason, drain)}
 }
 
@@ -52,15 +52,15 @@
 
 // admit ends the wait of a request by its turn. The lock is held.
 func (g *gate) admit(w *waiter) {
-	g.drop(w)
+	g.dequeue(w)
 	if g.options.Clock().After(w.since) {
 		g.log(w, outcomeStarted, &RefusedError{})
 	}
 	w.decided <- decision{ticket: g.start(w.Request)}
 }
 
-// drop takes a request off those that wait, and reports whether it was among them. The lock is held.
-func (g *gate) drop(w *waiter) bool {
+// dequeue takes a request off those that wait, and reports whether it was among them. The lock is held.
+func (g *gate) dequeue(w *waiter) bool {
 	i := slices.Index(g.waiting, w)
 	if i < 0 {
 		return false
@@ -73,7 +73,7 @@
 func (g *gate) abandon(ctx context.Context, w *waiter) (*Ticket, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.drop(w) {
+	if g.dequeue(w) {
 		g.log(w, outcomeAbandoned, &RefusedError{Reason: Reason(context.Cause(ctx).Error())})
 	} else if d := <-w.decided; d.ticket != nil {
 		// Its turn came together with the end: it is not sent, and its part goes to the next one.
