--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -178,7 +178,7 @@
 		}
 	}
 	if len(g.waiting) > 0 {
-		g.wakeAfter(max(min(g.rate.Next(now), recheckInterval), time.Millisecond))
+		g.scheduleRecheck(max(min(g.rate.Next(now), recheckInterval), time.Millisecond))
 	}
 }
 
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -84,8 +84,8 @@
 	return nil, &RefusedError{Reason: ContextEnded, RetryAfter: minComeBack}
 }
 
-// wakeAfter has those that wait looked at again. The lock is held.
-func (g *gate) wakeAfter(after time.Duration) {
+// scheduleRecheck has those that wait looked at again. The lock is held.
+func (g *gate) scheduleRecheck(after time.Duration) {
 	if g.timer != nil {
 		g.timer.Reset(after)
 		return
