--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -7,11 +7,11 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// oldestEvery is how often, one start in so many, the request goes first that has waited
+// oldestTurnInterval is how often, one start in so many, the request goes first that has waited
 // longest. It is the bound on starvation: a request that keeps its time and has k requests
-// before it by arrival starts with one of the next oldestEvery*(k+1) starts, whatever comes
+// before it by arrival starts with one of the next oldestTurnInterval*(k+1) starts, whatever comes
 // meanwhile of higher ranks and other tenants. It costs the others that part of the places.
-const oldestEvery = 32
+const oldestTurnInterval = 32
 
 // Waiting is a request that waits.
 type Waiting struct {
@@ -63,7 +63,7 @@
 	starts := 0
 	for range s.Waiting {
 		after := s.First + inSeconds(float64(starts)/s.Rate)
-		longest := (s.Starts+starts)%oldestEvery == oldestEvery-1
+		longest := (s.Starts+starts)%oldestTurnInterval == oldestTurnInterval-1
 		index := s.pick(done, had, after, longest)
 		picked := s.Waiting[index]
 		done[index] = true
--- a/internal/requests/admission/plan_test.go
+++ b/internal/requests/admission/plan_test.go
@@ -90,7 +90,7 @@
 		s.Waiting = append(s.Waiting, Waiting{Held: far - time.Duration(i), Tenant: "flood", Rank: 9, Left: far, AimLeft: 0})
 	}
 	s.Served["flood"] = far
-	for ; s.Starts < oldestEvery*(before+1); s.Starts++ {
+	for ; s.Starts < oldestTurnInterval*(before+1); s.Starts++ {
 		for range 2 {
 			s.Waiting = append(s.Waiting, Waiting{Tenant: fmt.Sprint("new", s.Starts), Left: far, AimLeft: far, Patience: far})
 		}
