--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -146,7 +146,7 @@
 func (g *gate) snapshot(now time.Time) Snapshot {
 	rate := g.rate.perSecond
 	s := Snapshot{
-		Waiting: make([]Waiting, len(g.waiting)), Rate: rate, LateRate: max(rate-g.arrivals.add(now, 0), rate/oldestTurnInterval),
+		Waiting: make([]QueuedRequest, len(g.waiting)), Rate: rate, LateRate: max(rate-g.arrivals.add(now, 0), rate/oldestTurnInterval),
 		First: g.rate.Next(now), Need: g.times.quantile(requiredTimeQuantile), Usual: g.times.quantile(0.5),
 		Served: make(map[string]time.Duration), Starts: g.starts,
 	}
@@ -158,7 +158,7 @@
 			patience = max(w.TargetLatency/maxWaitDivisor-held, 0)
 		}
 		s.Served[w.Tenant] = g.work.work(w.Tenant, now)
-		s.Waiting[i] = Waiting{Held: held, Tenant: w.Tenant, Rank: w.Rank, Left: w.TimeLeft(), AimLeft: aim, Patience: patience}
+		s.Waiting[i] = QueuedRequest{Held: held, Tenant: w.Tenant, Rank: w.Rank, Left: w.TimeLeft(), AimLeft: aim, Patience: patience}
 	}
 	return s
 }
--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -13,8 +13,8 @@
 // meanwhile of higher ranks and other tenants. It costs the others that part of the places.
 const oldestTurnInterval = 32
 
-// Waiting is a request that waits.
-type Waiting struct {
+// QueuedRequest is a request that waits.
+type QueuedRequest struct {
 	// Held is how long ago it arrived.
 	Held   time.Duration
 	Tenant string
@@ -27,7 +27,7 @@
 
 // Snapshot is what decides on the order of those that wait.
 type Snapshot struct {
-	Waiting []Waiting
+	Waiting []QueuedRequest
 	// Rate is that of starts, LateRate what it leaves to those that are late, as newer ones
 	// go before them. Both are in starts a second and above 0.
 	Rate, LateRate float64
@@ -81,7 +81,7 @@
 	return turns
 }
 
-func (s Snapshot) late(waiting Waiting, after time.Duration) bool {
+func (s Snapshot) late(waiting QueuedRequest, after time.Duration) bool {
 	return after+s.Usual > waiting.AimLeft
 }
 
@@ -103,7 +103,7 @@
 }
 
 // before reports whether one request goes before the other.
-func (s Snapshot) before(one, other Waiting, had map[string]time.Duration, after time.Duration) bool {
+func (s Snapshot) before(one, other QueuedRequest, had map[string]time.Duration, after time.Duration) bool {
 	if one.Rank != other.Rank {
 		return one.Rank < other.Rank
 	}
--- a/internal/requests/admission/plan_test.go
+++ b/internal/requests/admission/plan_test.go
@@ -11,7 +11,7 @@
 const far = time.Hour
 
 // snapshotOf is one of a daemon that starts ten a second.
-func snapshotOf(waiting ...Waiting) Snapshot {
+func snapshotOf(waiting ...QueuedRequest) Snapshot {
 	return Snapshot{Waiting: waiting, Rate: 10, LateRate: 10, Need: 50 * time.Millisecond, Usual: 20 * time.Millisecond, Served: map[string]time.Duration{}}
 }
 
@@ -26,8 +26,8 @@
 }
 
 func TestPlanOrders(t *testing.T) {
-	in := func(rank int, tenant string, left time.Duration) Waiting {
-		return Waiting{Rank: rank, Tenant: tenant, Left: left, AimLeft: far, Patience: far}
+	in := func(rank int, tenant string, left time.Duration) QueuedRequest {
+		return QueuedRequest{Rank: rank, Tenant: tenant, Left: left, AimLeft: far, Patience: far}
 	}
 	aimless := in(0, "a", far)
 	aimless.AimLeft = 0
@@ -35,21 +35,21 @@
 	impatient := in(1, "b", far)
 	impatient.Patience = 90 * time.Millisecond
 	cases := map[string]struct {
-		waiting []Waiting
+		waiting []QueuedRequest
 		served  map[string]time.Duration
 		order   string
 	}{
 		"nobody":                               {nil, nil, ""},
-		"rank before all else":                 {[]Waiting{in(1, "a", time.Second), in(0, "b", far)}, map[string]time.Duration{"b": time.Second}, "10"},
-		"the tenant that had less":             {[]Waiting{in(0, "a", time.Second), in(0, "b", far)}, map[string]time.Duration{"a": time.Second}, "10"},
-		"tenants take turns":                   {[]Waiting{in(0, "a", far), in(0, "a", far), in(0, "a", far), in(0, "b", far), in(0, "b", far)}, map[string]time.Duration{"b": time.Millisecond}, "03142"},
-		"the earliest deadline of a tenant":    {[]Waiting{in(0, "a", 2*time.Second), in(0, "a", time.Second)}, nil, "10"},
-		"one that is late goes behind":         {[]Waiting{aimless, in(0, "b", far)}, map[string]time.Duration{"b": time.Second}, "10"},
-		"a late one before those of less rank": {[]Waiting{lowAim, aimless}, nil, "10"},
-		"one without time has no place":        {[]Waiting{in(0, "a", 40*time.Millisecond), in(0, "b", 60*time.Millisecond)}, nil, "1"},
-		"one whose patience ends before":       {[]Waiting{in(0, "a", far), impatient}, nil, "0"},
-		"one whose patience lasts":             {[]Waiting{impatient}, nil, "0"},
-		"one without time for its place":       {[]Waiting{in(0, "a", far), in(1, "b", 120*time.Millisecond), in(2, "c", 160*time.Millisecond)}, nil, "02"},
+		"rank before all else":                 {[]QueuedRequest{in(1, "a", time.Second), in(0, "b", far)}, map[string]time.Duration{"b": time.Second}, "10"},
+		"the tenant that had less":             {[]QueuedRequest{in(0, "a", time.Second), in(0, "b", far)}, map[string]time.Duration{"a": time.Second}, "10"},
+		"tenants take turns":                   {[]QueuedRequest{in(0, "a", far), in(0, "a", far), in(0, "a", far), in(0, "b", far), in(0, "b", far)}, map[string]time.Duration{"b": time.Millisecond}, "03142"},
+		"the earliest deadline of a tenant":    {[]QueuedRequest{in(0, "a", 2*time.Second), in(0, "a", time.Second)}, nil, "10"},
+		"one that is late goes behind":         {[]QueuedRequest{aimless, in(0, "b", far)}, map[string]time.Duration{"b": time.Second}, "10"},
+		"a late one before those of less rank": {[]QueuedRequest{lowAim, aimless}, nil, "10"},
+		"one without time has no place":        {[]QueuedRequest{in(0, "a", 40*time.Millisecond), in(0, "b", 60*time.Millisecond)}, nil, "1"},
+		"one whose patience ends before":       {[]QueuedRequest{in(0, "a", far), impatient}, nil, "0"},
+		"one whose patience lasts":             {[]QueuedRequest{impatient}, nil, "0"},
+		"one without time for its place":       {[]QueuedRequest{in(0, "a", far), in(1, "b", 120*time.Millisecond), in(2, "c", 160*time.Millisecond)}, nil, "02"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 	is := is.New(t)
 	s := snapshotOf()
 	for i := range 40 {
-		s.Waiting = append(s.Waiting, Waiting{Rank: i % 3, Tenant: fmt.Sprint(i % 5), Left: time.Duration(i%8) * 400 * time.Millisecond, AimLeft: time.Duration(i%4) * 100 * time.Millisecond, Patience: time.Duration(i%5) * 300 * time.Millisecond})
+		s.Waiting = append(s.Waiting, QueuedRequest{Rank: i % 3, Tenant: fmt.Sprint(i % 5), Left: time.Duration(i%8) * 400 * time.Millisecond, AimLeft: time.Duration(i%4) * 100 * time.Millisecond, Patience: time.Duration(i%5) * 300 * time.Millisecond})
 	}
 	named := map[int]bool{}
 	for _, turn := range Plan(s) {
@@ -87,15 +87,15 @@
 	const before = 3
 	s := snapshotOf()
 	for i := range before + 1 {
-		s.Waiting = append(s.Waiting, Waiting{Held: far - time.Duration(i), Tenant: "flood", Rank: 9, Left: far, AimLeft: 0})
+		s.Waiting = append(s.Waiting, QueuedRequest{Held: far - time.Duration(i), Tenant: "flood", Rank: 9, Left: far, AimLeft: 0})
 	}
 	s.Served["flood"] = far
 	for ; s.Starts < oldestTurnInterval*(before+1); s.Starts++ {
 		for range 2 {
-			s.Waiting = append(s.Waiting, Waiting{Tenant: fmt.Sprint("new", s.Starts), Left: far, AimLeft: far, Patience: far})
+			s.Waiting = append(s.Waiting, QueuedRequest{Tenant: fmt.Sprint("new", s.Starts), Left: far, AimLeft: far, Patience: far})
 		}
 		first := Plan(s)[0]
-		s.Waiting = append(append([]Waiting{}, s.Waiting[:first.Index]...), s.Waiting[first.Index+1:]...)
+		s.Waiting = append(append([]QueuedRequest{}, s.Waiting[:first.Index]...), s.Waiting[first.Index+1:]...)
 	}
 	for _, w := range s.Waiting {
 		is.True(w.Tenant != "flood")
@@ -118,7 +118,7 @@
 func BenchmarkPlan(b *testing.B) {
 	s := snapshotOf()
 	for i := range maxWaiting {
-		s.Waiting = append(s.Waiting, Waiting{Rank: i % 3, Tenant: fmt.Sprint(i % 8), Left: far, AimLeft: time.Duration(i) * 10 * time.Millisecond, Patience: far})
+		s.Waiting = append(s.Waiting, QueuedRequest{Rank: i % 3, Tenant: fmt.Sprint(i % 8), Left: far, AimLeft: time.Duration(i) * 10 * time.Millisecond, Patience: far})
 	}
 	for b.Loop() {
 		Plan(s)
