--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -15,8 +15,8 @@
 
 // QueuedRequest is a request that waits.
 type QueuedRequest struct {
-	// Held is how long ago it arrived.
-	Held   time.Duration
+	// Age is how long ago it arrived.
+	Age    time.Duration
 	Tenant string
 	Rank   int
 	// Left is how long its caller still waits, AimLeft within which its answer would earn
@@ -92,7 +92,7 @@
 		if done[i] || longest && after+s.Need > w.Left {
 			continue
 		}
-		if best < 0 || longest && w.Held > s.Waiting[best].Held || !longest && s.before(w, s.Waiting[best], had, after) {
+		if best < 0 || longest && w.Age > s.Waiting[best].Age || !longest && s.before(w, s.Waiting[best], had, after) {
 			best = i
 		}
 	}
@@ -116,7 +116,7 @@
 	if one.Left != other.Left {
 		return one.Left < other.Left
 	}
-	return one.Held > other.Held
+	return one.Age > other.Age
 }
 
 const (
--- a/internal/requests/admission/plan_test.go
+++ b/internal/requests/admission/plan_test.go
@@ -87,7 +87,7 @@
 	const before = 3
 	s := snapshotOf()
 	for i := range before + 1 {
-		s.Waiting = append(s.Waiting, QueuedRequest{Held: far - time.Duration(i), Tenant: "flood", Rank: 9, Left: far, AimLeft: 0})
+		s.Waiting = append(s.Waiting, QueuedRequest{Age: far - time.Duration(i), Tenant: "flood", Rank: 9, Left: far, AimLeft: 0})
 	}
 	s.Served["flood"] = far
 	for ; s.Starts < oldestTurnInterval*(before+1); s.Starts++ {
