--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -19,10 +19,10 @@
 	Age    time.Duration
 	Tenant string
 	Rank   int
-	// Left is how long its caller still waits, AimLeft within which its answer would earn
+	// Left is how long its caller still waits, TargetLeft within which its answer would earn
 	// its full credit, Patience how long it may wait so that a caller that is
 	// refused can still be served soon elsewhere.
-	Left, AimLeft, Patience time.Duration
+	Left, TargetLeft, Patience time.Duration
 }
 
 // Snapshot is what decides on the order of those that wait.
@@ -82,7 +82,7 @@
 }
 
 func (s Snapshot) late(waiting QueuedRequest, after time.Duration) bool {
-	return after+s.Usual > waiting.AimLeft
+	return after+s.Usual > waiting.TargetLeft
 }
 
 // pick returns which request goes next. One at least is not done.
