--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -19,10 +19,10 @@
 	Age    time.Duration
 	Tenant string
 	Rank   int
-	// Left is how long its caller still waits, TargetLeft within which its answer would earn
+	// TimeLeft is how long its caller still waits, TargetLeft within which its answer would earn
 	// its full credit, Patience how long it may wait so that a caller that is
 	// refused can still be served soon elsewhere.
-	Left, TargetLeft, Patience time.Duration
+	TimeLeft, TargetLeft, Patience time.Duration
 }
 
 // Snapshot is what decides on the order of those that wait.
@@ -71,7 +71,7 @@
 		if !longest && late {
 			after = s.First + inSeconds(float64(starts+1)/s.LateRate)
 		}
-		turn := Turn{Index: index, After: after, Refused: after+s.Need > picked.Left || !late && after > picked.Patience}
+		turn := Turn{Index: index, After: after, Refused: after+s.Need > picked.TimeLeft || !late && after > picked.Patience}
 		turns = append(turns, turn)
 		if !turn.Refused {
 			starts++
@@ -89,7 +89,7 @@
 func (s Snapshot) pick(done []bool, had map[string]time.Duration, after time.Duration, longest bool) int {
 	best := -1
 	for i, w := range s.Waiting {
-		if done[i] || longest && after+s.Need > w.Left {
+		if done[i] || longest && after+s.Need > w.TimeLeft {
 			continue
 		}
 		if best < 0 || longest && w.Age > s.Waiting[best].Age || !longest && s.before(w, s.Waiting[best], had, after) {
@@ -113,8 +113,8 @@
 	if had[one.Tenant] != had[other.Tenant] {
 		return had[one.Tenant] < had[other.Tenant]
 	}
-	if one.Left != other.Left {
-		return one.Left < other.Left
+	if one.TimeLeft != other.TimeLeft {
+		return one.TimeLeft < other.TimeLeft
 	}
 	return one.Age > other.Age
 }
--- a/internal/requests/admission/plan_test.go
+++ b/internal/requests/admission/plan_test.go
@@ -27,7 +27,7 @@
 
 func TestPlanOrders(t *testing.T) {
 	in := func(rank int, tenant string, left time.Duration) QueuedRequest {
-		return QueuedRequest{Rank: rank, Tenant: tenant, Left: left, TargetLeft: far, Patience: far}
+		return QueuedRequest{Rank: rank, Tenant: tenant, TimeLeft: left, TargetLeft: far, Patience: far}
 	}
 	aimless := in(0, "a", far)
 	aimless.TargetLeft = 0
@@ -68,14 +68,14 @@
 	is := is.New(t)
 	s := snapshotOf()
 	for i := range 40 {
-		s.Waiting = append(s.Waiting, QueuedRequest{Rank: i % 3, Tenant: fmt.Sprint(i % 5), Left: time.Duration(i%8) * 400 * time.Millisecond, TargetLeft: time.Duration(i%4) * 100 * time.Millisecond, Patience: time.Duration(i%5) * 300 * time.Millisecond})
+		s.Waiting = append(s.Waiting, QueuedRequest{Rank: i % 3, Tenant: fmt.Sprint(i % 5), TimeLeft: time.Duration(i%8) * 400 * time.Millisecond, TargetLeft: time.Duration(i%4) * 100 * time.Millisecond, Patience: time.Duration(i%5) * 300 * time.Millisecond})
 	}
 	named := map[int]bool{}
 	for _, turn := range Plan(s) {
 		is.True(!named[turn.Index])
 		named[turn.Index] = true
 		waiting := s.Waiting[turn.Index]
-		is.Equal(turn.Refused, turn.After+s.Need > waiting.Left || turn.After+s.Usual <= waiting.TargetLeft && turn.After > waiting.Patience)
+		is.Equal(turn.Refused, turn.After+s.Need > waiting.TimeLeft || turn.After+s.Usual <= waiting.TargetLeft && turn.After > waiting.Patience)
 	}
 	is.Equal(len(named), 40)
 }
@@ -87,12 +87,12 @@
 	const before = 3
 	s := snapshotOf()
 	for i := range before + 1 {
-		s.Waiting = append(s.Waiting, QueuedRequest{Age: far - time.Duration(i), Tenant: "flood", Rank: 9, Left: far, TargetLeft: 0})
+		s.Waiting = append(s.Waiting, QueuedRequest{Age: far - time.Duration(i), Tenant: "flood", Rank: 9, TimeLeft: far, TargetLeft: 0})
 	}
 	s.Served["flood"] = far
 	for ; s.Starts < oldestTurnInterval*(before+1); s.Starts++ {
 		for range 2 {
-			s.Waiting = append(s.Waiting, QueuedRequest{Tenant: fmt.Sprint("new", s.Starts), Left: far, TargetLeft: far, Patience: far})
+			s.Waiting = append(s.Waiting, QueuedRequest{Tenant: fmt.Sprint("new", s.Starts), TimeLeft: far, TargetLeft: far, Patience: far})
 		}
 		first := Plan(s)[0]
 		s.Waiting = append(append([]QueuedRequest{}, s.Waiting[:first.Index]...), s.Waiting[first.Index+1:]...)
@@ -118,7 +118,7 @@
 func BenchmarkPlan(b *testing.B) {
 	s := snapshotOf()
 	for i := range maxWaiting {
-		s.Waiting = append(s.Waiting, QueuedRequest{Rank: i % 3, Tenant: fmt.Sprint(i % 8), Left: far, TargetLeft: time.Duration(i) * 10 * time.Millisecond, Patience: far})
+		s.Waiting = append(s.Waiting, QueuedRequest{Rank: i % 3, Tenant: fmt.Sprint(i % 8), TimeLeft: far, TargetLeft: time.Duration(i) * 10 * time.Millisecond, Patience: far})
 	}
 	for b.Loop() {
 		Plan(s)
