--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -158,7 +158,7 @@
 			patience = max(w.TargetLatency/maxWaitDivisor-held, 0)
 		}
 		s.Served[w.Tenant] = g.work.work(w.Tenant, now)
-		s.Waiting[i] = QueuedRequest{Age: held, Tenant: w.Tenant, Rank: w.Rank, TimeLeft: w.TimeLeft(), TargetLeft: aim, Patience: patience}
+		s.Waiting[i] = QueuedRequest{Age: held, Tenant: w.Tenant, Rank: w.Rank, TimeLeft: w.TimeLeft(), TargetLeft: aim, MaxWait: patience}
 	}
 	return s
 }
--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -20,9 +20,9 @@
 	Tenant string
 	Rank   int
 	// TimeLeft is how long its caller still waits, TargetLeft within which its answer would earn
-	// its full credit, Patience how long it may wait so that a caller that is
+	// its full credit, MaxWait how long it may wait so that a caller that is
 	// refused can still be served soon elsewhere.
-	TimeLeft, TargetLeft, Patience time.Duration
+	TimeLeft, TargetLeft, MaxWait time.Duration
 }
 
 // Snapshot is what decides on the order of those that wait.
@@ -71,7 +71,7 @@
 		if !longest && late {
 			after = s.First + inSeconds(float64(starts+1)/s.LateRate)
 		}
-		turn := Turn{Index: index, After: after, Refused: after+s.Need > picked.TimeLeft || !late && after > picked.Patience}
+		turn := Turn{Index: index, After: after, Refused: after+s.Need > picked.TimeLeft || !late && after > picked.MaxWait}
 		turns = append(turns, turn)
 		if !turn.Refused {
 			starts++
--- a/internal/requests/admission/plan_test.go
+++ b/internal/requests/admission/plan_test.go
@@ -27,13 +27,13 @@
 
 func TestPlanOrders(t *testing.T) {
 	in := func(rank int, tenant string, left time.Duration) QueuedRequest {
-		return QueuedRequest{Rank: rank, Tenant: tenant, TimeLeft: left, TargetLeft: far, Patience: far}
+		return QueuedRequest{Rank: rank, Tenant: tenant, TimeLeft: left, TargetLeft: far, MaxWait: far}
 	}
 	aimless := in(0, "a", far)
 	aimless.TargetLeft = 0
 	lowAim := in(1, "b", far)
 	impatient := in(1, "b", far)
-	impatient.Patience = 90 * time.Millisecond
+	impatient.MaxWait = 90 * time.Millisecond
 	cases := map[string]struct {
 		waiting []QueuedRequest
 		served  map[string]time.Duration
@@ -68,14 +68,14 @@
 	is := is.New(t)
 	s := snapshotOf()
 	for i := range 40 {
-		s.Waiting = append(s.Waiting, QueuedRequest{Rank: i % 3, Tenant: fmt.Sprint(i % 5), TimeLeft: time.Duration(i%8) * 400 * time.Millisecond, TargetLeft: time.Duration(i%4) * 100 * time.Millisecond, Patience: time.Duration(i%5) * 300 * time.Millisecond})
+		s.Waiting = append(s.Waiting, QueuedRequest{Rank: i % 3, Tenant: fmt.Sprint(i % 5), TimeLeft: time.Duration(i%8) * 400 * time.Millisecond, TargetLeft: time.Duration(i%4) * 100 * time.Millisecond, MaxWait: time.Duration(i%5) * 300 * time.Millisecond})
 	}
 	named := map[int]bool{}
 	for _, turn := range Plan(s) {
 		is.True(!named[turn.Index])
 		named[turn.Index] = true
 		waiting := s.Waiting[turn.Index]
-		is.Equal(turn.Refused, turn.After+s.Need > waiting.TimeLeft || turn.After+s.Usual <= waiting.TargetLeft && turn.After > waiting.Patience)
+		is.Equal(turn.Refused, turn.After+s.Need > waiting.TimeLeft || turn.After+s.Usual <= waiting.TargetLeft && turn.After > waiting.MaxWait)
 	}
 	is.Equal(len(named), 40)
 }
@@ -92,7 +92,7 @@
 	s.Served["flood"] = far
 	for ; s.Starts < oldestTurnInterval*(before+1); s.Starts++ {
 		for range 2 {
-			s.Waiting = append(s.Waiting, QueuedRequest{Tenant: fmt.Sprint("new", s.Starts), TimeLeft: far, TargetLeft: far, Patience: far})
+			s.Waiting = append(s.Waiting, QueuedRequest{Tenant: fmt.Sprint("new", s.Starts), TimeLeft: far, TargetLeft: far, MaxWait: far})
 		}
 		first := Plan(s)[0]
 		s.Waiting = append(append([]QueuedRequest{}, s.Waiting[:first.Index]...), s.Waiting[first.Index+1:]...)
@@ -118,7 +118,7 @@
 func BenchmarkPlan(b *testing.B) {
 	s := snapshotOf()
 	for i := range maxWaiting {
-		s.Waiting = append(s.Waiting, QueuedRequest{Rank: i % 3, Tenant: fmt.Sprint(i % 8), TimeLeft: far, TargetLeft: time.Duration(i) * 10 * time.Millisecond, Patience: far})
+		s.Waiting = append(s.Waiting, QueuedRequest{Rank: i % 3, Tenant: fmt.Sprint(i % 8), TimeLeft: far, TargetLeft: time.Duration(i) * 10 * time.Millisecond, MaxWait: far})
 	}
 	for b.Loop() {
 		Plan(s)
