--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -31,8 +31,8 @@
 	// Rate is that of starts, LateRate what it leaves to those that are late, as newer ones
 	// go before them. Both are in starts a second and above 0.
 	Rate, LateRate float64
-	// First is after which time the next request may start.
-	First time.Duration
+	// NextStartIn is after which time the next request may start.
+	NextStartIn time.Duration
 	// Need is within which time most answers come, Usual half of them.
 	Need, Usual time.Duration
 	// Served is the work that each tenant of those that wait has had lately.
@@ -62,14 +62,14 @@
 	maps.Copy(had, s.Served)
 	starts := 0
 	for range s.Waiting {
-		after := s.First + inSeconds(float64(starts)/s.Rate)
+		after := s.NextStartIn + inSeconds(float64(starts)/s.Rate)
 		longest := (s.Starts+starts)%oldestTurnInterval == oldestTurnInterval-1
 		index := s.pick(done, had, after, longest)
 		picked := s.Waiting[index]
 		done[index] = true
 		late := s.late(picked, after)
 		if !longest && late {
-			after = s.First + inSeconds(float64(starts+1)/s.LateRate)
+			after = s.NextStartIn + inSeconds(float64(starts+1)/s.LateRate)
 		}
 		turn := Turn{Index: index, After: after, Refused: after+s.Need > picked.TimeLeft || !late && after > picked.MaxWait}
 		turns = append(turns, turn)
