--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -33,8 +33,8 @@
 	Rate, LateRate float64
 	// NextStartIn is after which time the next request may start.
 	NextStartIn time.Duration
-	// Need is within which time most answers come, Usual half of them.
-	Need, Usual time.Duration
+	// RequiredTime is within which time most answers come, Usual half of them.
+	RequiredTime, Usual time.Duration
 	// Served is the work that each tenant of those that wait has had lately.
 	Served map[string]time.Duration
 	// Starts is how many requests have started.
@@ -71,7 +71,7 @@
 		if !longest && late {
 			after = s.NextStartIn + inSeconds(float64(starts+1)/s.LateRate)
 		}
-		turn := Turn{Index: index, After: after, Refused: after+s.Need > picked.TimeLeft || !late && after > picked.MaxWait}
+		turn := Turn{Index: index, After: after, Refused: after+s.RequiredTime > picked.TimeLeft || !late && after > picked.MaxWait}
 		turns = append(turns, turn)
 		if !turn.Refused {
 			starts++
@@ -89,7 +89,7 @@
 func (s Snapshot) pick(done []bool, had map[string]time.Duration, after time.Duration, longest bool) int {
 	best := -1
 	for i, w := range s.Waiting {
-		if done[i] || longest && after+s.Need > w.TimeLeft {
+		if done[i] || longest && after+s.RequiredTime > w.TimeLeft {
 			continue
 		}
 		if best < 0 || longest && w.Age > s.Waiting[best].Age || !longest && s.before(w, s.Waiting[best], had, after) {
