--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -147,7 +147,7 @@
 	rate := g.rate.perSecond
 	s := Snapshot{
 		Waiting: make([]QueuedRequest, len(g.waiting)), Rate: rate, LateRate: max(rate-g.arrivals.add(now, 0), rate/oldestTurnInterval),
-		NextStartIn: g.rate.Next(now), RequiredTime: g.times.quantile(requiredTimeQuantile), Usual: g.times.quantile(0.5),
+		NextStartIn: g.rate.Next(now), RequiredTime: g.times.quantile(requiredTimeQuantile), TypicalTime: g.times.quantile(0.5),
 		Served: make(map[string]time.Duration), Starts: g.starts,
 	}
 	for i, w := range g.waiting {
--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -33,8 +33,8 @@
 	Rate, LateRate float64
 	// NextStartIn is after which time the next request may start.
 	NextStartIn time.Duration
-	// RequiredTime is within which time most answers come, Usual half of them.
-	RequiredTime, Usual time.Duration
+	// RequiredTime is within which time most answers come, TypicalTime half of them.
+	RequiredTime, TypicalTime time.Duration
 	// Served is the work that each tenant of those that wait has had lately.
 	Served map[string]time.Duration
 	// Starts is how many requests have started.
@@ -75,14 +75,14 @@
 		turns = append(turns, turn)
 		if !turn.Refused {
 			starts++
-			had[picked.Tenant] += s.Usual
+			had[picked.Tenant] += s.TypicalTime
 		}
 	}
 	return turns
 }
 
 func (s Snapshot) late(waiting QueuedRequest, after time.Duration) bool {
-	return after+s.Usual > waiting.TargetLeft
+	return after+s.TypicalTime > waiting.TargetLeft
 }
 
 // pick returns which request goes next. One at least is not done.
--- a/internal/requests/admission/plan_test.go
+++ b/internal/requests/admission/plan_test.go
@@ -12,7 +12,7 @@
 
 // snapshotOf is one of a daemon that starts ten a second.
 func snapshotOf(waiting ...QueuedRequest) Snapshot {
-	return Snapshot{Waiting: waiting, Rate: 10, LateRate: 10, RequiredTime: 50 * time.Millisecond, Usual: 20 * time.Millisecond, Served: map[string]time.Duration{}}
+	return Snapshot{Waiting: waiting, Rate: 10, LateRate: 10, RequiredTime: 50 * time.Millisecond, TypicalTime: 20 * time.Millisecond, Served: map[string]time.Duration{}}
 }
 
 func orderOf(s Snapshot) string {
@@ -75,7 +75,7 @@
 		is.True(!named[turn.Index])
 		named[turn.Index] = true
 		waiting := s.Waiting[turn.Index]
-		is.Equal(turn.Refused, turn.After+s.RequiredTime > waiting.TimeLeft || turn.After+s.Usual <= waiting.TargetLeft && turn.After > waiting.MaxWait)
+		is.Equal(turn.Refused, turn.After+s.RequiredTime > waiting.TimeLeft || turn.After+s.TypicalTime <= waiting.TargetLeft && turn.After > waiting.MaxWait)
 	}
 	is.Equal(len(named), 40)
 }
