--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -148,7 +148,7 @@
 	s := Snapshot{
 		Waiting: make([]QueuedRequest, len(g.waiting)), Rate: rate, LateRate: max(rate-g.arrivals.add(now, 0), rate/oldestTurnInterval),
 		NextStartIn: g.rate.Next(now), RequiredTime: g.times.quantile(requiredTimeQuantile), TypicalTime: g.times.quantile(0.5),
-		Served: make(map[string]time.Duration), Starts: g.starts,
+		TenantWork: make(map[string]time.Duration), Starts: g.starts,
 	}
 	for i, w := range g.waiting {
 		held, aim := w.Age+now.Sub(w.since), time.Duration(math.MaxInt64)
@@ -157,7 +157,7 @@
 			aim = w.TargetLatency - held
 			patience = max(w.TargetLatency/maxWaitDivisor-held, 0)
 		}
-		s.Served[w.Tenant] = g.work.work(w.Tenant, now)
+		s.TenantWork[w.Tenant] = g.work.work(w.Tenant, now)
 		s.Waiting[i] = QueuedRequest{Age: held, Tenant: w.Tenant, Rank: w.Rank, TimeLeft: w.TimeLeft(), TargetLeft: aim, MaxWait: patience}
 	}
 	return s
--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -35,8 +35,8 @@
 	NextStartIn time.Duration
 	// RequiredTime is within which time most answers come, TypicalTime half of them.
 	RequiredTime, TypicalTime time.Duration
-	// Served is the work that each tenant of those that wait has had lately.
-	Served map[string]time.Duration
+	// TenantWork is the work that each tenant of those that wait has had lately.
+	TenantWork map[string]time.Duration
 	// Starts is how many requests have started.
 	Starts int
 }
@@ -59,7 +59,7 @@
 	turns := make([]Turn, 0, len(s.Waiting))
 	done := make([]bool, len(s.Waiting))
 	had := map[string]time.Duration{}
-	maps.Copy(had, s.Served)
+	maps.Copy(had, s.TenantWork)
 	starts := 0
 	for range s.Waiting {
 		after := s.NextStartIn + inSeconds(float64(starts)/s.Rate)
--- a/internal/requests/admission/plan_test.go
+++ b/internal/requests/admission/plan_test.go
@@ -12,7 +12,7 @@
 
 // snapshotOf is one of a daemon that starts ten a second.
 func snapshotOf(waiting ...QueuedRequest) Snapshot {
-	return Snapshot{Waiting: waiting, Rate: 10, LateRate: 10, RequiredTime: 50 * time.Millisecond, TypicalTime: 20 * time.Millisecond, Served: map[string]time.Duration{}}
+	return Snapshot{Waiting: waiting, Rate: 10, LateRate: 10, RequiredTime: 50 * time.Millisecond, TypicalTime: 20 * time.Millisecond, TenantWork: map[string]time.Duration{}}
 }
 
 func orderOf(s Snapshot) string {
@@ -56,7 +56,7 @@
 			is := is.New(t)
 			s := snapshotOf(c.waiting...)
 			if c.served != nil {
-				s.Served = c.served
+				s.TenantWork = c.served
 			}
 			is.Equal(orderOf(s), c.order)
 		})
@@ -89,7 +89,7 @@
 	for i := range before + 1 {
 		s.Waiting = append(s.Waiting, QueuedRequest{Age: far - time.Duration(i), Tenant: "flood", Rank: 9, TimeLeft: far, TargetLeft: 0})
 	}
-	s.Served["flood"] = far
+	s.TenantWork["flood"] = far
 	for ; s.Starts < oldestTurnInterval*(before+1); s.Starts++ {
 		for range 2 {
 			s.Waiting = append(s.Waiting, QueuedRequest{Tenant: fmt.Sprint("new", s.Starts), TimeLeft: far, TargetLeft: far, MaxWait: far})
