--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -45,8 +45,8 @@
 type Turn struct {
 	// Index is that in Snapshot.Waiting.
 	Index int
-	// After is when it is likely to start.
-	After time.Duration
+	// StartsIn is when it is likely to start.
+	StartsIn time.Duration
 	// Refused says that it can't be served in its time, or not before its patience ends.
 	Refused bool
 }
@@ -71,7 +71,7 @@
 		if !longest && late {
 			after = s.NextStartIn + inSeconds(float64(starts+1)/s.LateRate)
 		}
-		turn := Turn{Index: index, After: after, Refused: after+s.RequiredTime > picked.TimeLeft || !late && after > picked.MaxWait}
+		turn := Turn{Index: index, StartsIn: after, Refused: after+s.RequiredTime > picked.TimeLeft || !late && after > picked.MaxWait}
 		turns = append(turns, turn)
 		if !turn.Refused {
 			starts++
--- a/internal/requests/admission/plan_test.go
+++ b/internal/requests/admission/plan_test.go
@@ -75,7 +75,7 @@
 		is.True(!named[turn.Index])
 		named[turn.Index] = true
 		waiting := s.Waiting[turn.Index]
-		is.Equal(turn.Refused, turn.After+s.RequiredTime > waiting.TimeLeft || turn.After+s.TypicalTime <= waiting.TargetLeft && turn.After > waiting.MaxWait)
+		is.Equal(turn.Refused, turn.StartsIn+s.RequiredTime > waiting.TimeLeft || turn.StartsIn+s.TypicalTime <= waiting.TargetLeft && turn.StartsIn > waiting.MaxWait)
 	}
 	is.Equal(len(named), 40)
 }
