--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -107,8 +107,8 @@
 	if one.Rank != other.Rank {
 		return one.Rank < other.Rank
 	}
-	if late := s.late(one, after); late != s.late(other, after) {
-		return !late
+	if isLate := s.late(one, after); isLate != s.late(other, after) {
+		return !isLate
 	}
 	if had[one.Tenant] != had[other.Tenant] {
 		return had[one.Tenant] < had[other.Tenant]
