--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -64,7 +64,7 @@
 	for range s.Waiting {
 		after := s.NextStartIn + inSeconds(float64(starts)/s.Rate)
 		longest := (s.Starts+starts)%oldestTurnInterval == oldestTurnInterval-1
-		index := s.pick(done, had, after, longest)
+		index := s.pickNext(done, had, after, longest)
 		picked := s.Waiting[index]
 		done[index] = true
 		late := s.late(picked, after)
@@ -85,8 +85,8 @@
 	return after+s.TypicalTime > waiting.TargetLeft
 }
 
-// pick returns which request goes next. One at least is not done.
-func (s Snapshot) pick(done []bool, had map[string]time.Duration, after time.Duration, longest bool) int {
+// pickNext returns which request goes next. One at least is not done.
+func (s Snapshot) pickNext(done []bool, had map[string]time.Duration, after time.Duration, longest bool) int {
 	best := -1
 	for i, w := range s.Waiting {
 		if done[i] || longest && after+s.RequiredTime > w.TimeLeft {
@@ -97,7 +97,7 @@
 		}
 	}
 	if best < 0 {
-		return s.pick(done, had, after, false)
+		return s.pickNext(done, had, after, false)
 	}
 	return best
 }
