--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -120,9 +120,9 @@
 }
 
 const (
-	// minComeBack is the shortest time that a refused caller is told to wait, a few requests'
+	// minRetryAfter is the shortest time that a refused caller is told to wait, a few requests'
 	// time, where its own time allows it.
-	minComeBack = 100 * time.Millisecond
+	minRetryAfter = 100 * time.Millisecond
 	// lowestRank is from which rank on callers are told the same.
 	lowestRank = 3
 )
@@ -131,7 +131,7 @@
 // half of that time, so that callers refused together do not return together, and sooner the higher
 // its rank. Draw is between 0 and 1.
 func ComeBack(drain, left time.Duration, rank int, draw float64) time.Duration {
-	most := refusal.Within(max(2*drain, 2*minComeBack), left)
+	most := refusal.Within(max(2*drain, 2*minRetryAfter), left)
 	place := (float64(min(max(rank, 0), lowestRank)) + draw) / (lowestRank + 1)
 	return most/2 + time.Duration(place*float64(most/2))
 }
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -81,7 +81,7 @@
 		g.charge(d.ticket, -d.ticket.charged)
 	}
 	g.processQueue(g.options.Clock(), g.options.Replicas(g.service))
-	return nil, &RefusedError{Reason: ContextEnded, RetryAfter: minComeBack}
+	return nil, &RefusedError{Reason: ContextEnded, RetryAfter: minRetryAfter}
 }
 
 // scheduleRecheck has those that wait looked at again. The lock is held.
