--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -127,10 +127,10 @@
 	lowestRank = 3
 )
 
-// ComeBack is when a refused caller should come back: as the queue has drained, spread over
+// RetryAfter is when a refused caller should come back: as the queue has drained, spread over
 // half of that time, so that callers refused together do not return together, and sooner the higher
 // its rank. Draw is between 0 and 1.
-func ComeBack(drain, left time.Duration, rank int, draw float64) time.Duration {
+func RetryAfter(drain, left time.Duration, rank int, draw float64) time.Duration {
 	most := refusal.Within(max(2*drain, 2*minRetryAfter), left)
 	place := (float64(min(max(rank, 0), lowestRank)) + draw) / (lowestRank + 1)
 	return most/2 + time.Duration(place*float64(most/2))
--- a/internal/requests/admission/plan_test.go
+++ b/internal/requests/admission/plan_test.go
@@ -105,13 +105,13 @@
 func TestRefusedCallersComeBackApartAndByRank(t *testing.T) {
 	is := is.New(t)
 	const drain, left = 400 * time.Millisecond, 2 * time.Second
-	is.True(ComeBack(drain, left, 0, 0.9)-ComeBack(drain, left, 0, 0.1) > 20*time.Millisecond)
+	is.True(RetryAfter(drain, left, 0, 0.9)-RetryAfter(drain, left, 0, 0.1) > 20*time.Millisecond)
 	for rank := range lowestRank {
-		is.True(ComeBack(drain, left, rank, 0.99) < ComeBack(drain, left, rank+1, 0))
+		is.True(RetryAfter(drain, left, rank, 0.99) < RetryAfter(drain, left, rank+1, 0))
 	}
 	for _, left := range []time.Duration{-time.Second, 0, 30 * time.Millisecond, time.Second} {
-		is.True(ComeBack(time.Hour, left, 9, 0.999) <= max(left/3, 0)) // within a third of the time left
-		is.True(ComeBack(time.Hour, left, 0, 0) >= 0)
+		is.True(RetryAfter(time.Hour, left, 9, 0.999) <= max(left/3, 0)) // within a third of the time left
+		is.True(RetryAfter(time.Hour, left, 0, 0) >= 0)
 	}
 }
 
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -37,7 +37,7 @@
 
 // newRefusal is that of a request, which it logs. The lock is held.
 func (g *gate) newRefusal(w *waiter, reason Reason, drain time.Duration) *RefusedError {
-	refused := &RefusedError{Reason: reason, RetryAfter: ComeBack(drain, w.TimeLeft(), w.Rank, g.random()), drainTime: drain}
+	refused := &RefusedError{Reason: reason, RetryAfter: RetryAfter(drain, w.TimeLeft(), w.Rank, g.random()), drainTime: drain}
 	g.log(w, outcomeRefused, refused)
 	return refused
 }
