--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// calmAnswers is how many answers in a row without a sign of fullness show that there
+	// minCalmAnswers is how many answers in a row without a sign of fullness show that there
 	// is room again: twice as many as come between two cuts at an even load.
-	calmAnswers = 20
+	minCalmAnswers = 20
 	// fullHolds is how long at most a service counts as full after the last sign of it:
 	// a daemon that asks seldom sees no run of answers.
 	fullHolds = 3 * time.Second
@@ -137,7 +137,7 @@
 
 // full reports whether the last sign of fullness still counts.
 func (r *StartRate) full(now time.Time) bool {
-	return r.calm < calmAnswers && now.Sub(r.fullAt) <= fullHolds
+	return r.calm < minCalmAnswers && now.Sub(r.fullAt) <= fullHolds
 }
 
 // Take spends the credit for a start, if there is one.
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -32,7 +32,7 @@
 	is.Equal(p.Next(paceStart).Round(time.Millisecond), 50*time.Millisecond)
 	p.Rest(paceStart)
 	is.True(p.binds)
-	for range calmAnswers {
+	for range minCalmAnswers {
 		p.Answered(paceStart, tenth)
 	}
 	p.Rest(paceStart)
