--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -9,9 +9,9 @@
 	// minCalmAnswers is how many answers in a row without a sign of fullness show that there
 	// is room again: twice as many as come between two cuts at an even load.
 	minCalmAnswers = 20
-	// fullHolds is how long at most a service counts as full after the last sign of it:
+	// fullMaxAge is how long at most a service counts as full after the last sign of it:
 	// a daemon that asks seldom sees no run of answers.
-	fullHolds = 3 * time.Second
+	fullMaxAge = 3 * time.Second
 	// lowerEvery is the least time between two cuts of the rate: requests that were sent
 	// before a cut say nothing of the rate after it.
 	lowerEvery = 60 * time.Millisecond
@@ -137,7 +137,7 @@
 
 // full reports whether the last sign of fullness still counts.
 func (r *StartRate) full(now time.Time) bool {
-	return r.calm < minCalmAnswers && now.Sub(r.fullAt) <= fullHolds
+	return r.calm < minCalmAnswers && now.Sub(r.fullAt) <= fullMaxAge
 }
 
 // Take spends the credit for a start, if there is one.
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -44,9 +44,9 @@
 	is := is.New(t)
 	var p StartRate
 	p.Full(paceStart, tenth, SignDeclined)
-	p.Rest(paceStart.Add(fullHolds))
+	p.Rest(paceStart.Add(fullMaxAge))
 	is.True(p.binds)
-	p.Rest(paceStart.Add(fullHolds + 1))
+	p.Rest(paceStart.Add(fullMaxAge + 1))
 	is.True(!p.binds)
 }
 
