--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -12,9 +12,9 @@
 	// fullMaxAge is how long at most a service counts as full after the last sign of it:
 	// a daemon that asks seldom sees no run of answers.
 	fullMaxAge = 3 * time.Second
-	// lowerEvery is the least time between two cuts of the rate: requests that were sent
+	// minCutInterval is the least time between two cuts of the rate: requests that were sent
 	// before a cut say nothing of the rate after it.
-	lowerEvery = 60 * time.Millisecond
+	minCutInterval = 60 * time.Millisecond
 	// declinedCut is what a request that was declined leaves of the rate. A decline costs the
 	// replicas little: some are taken into account so that their places stay in use.
 	declinedCut = 0.8
@@ -94,7 +94,7 @@
 	}
 	r.fill(now)
 	r.fullAt, r.calm = now, 0
-	if now.Sub(r.cutAt) >= lowerEvery {
+	if now.Sub(r.cutAt) >= minCutInterval {
 		r.perSecond, r.cutAt = r.lowered(c, sign), now
 	}
 	r.bound(c)
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -56,7 +56,7 @@
 	var p StartRate
 	p.Full(paceStart, tenth, SignDeclined)
 	for range 10 {
-		p.Full(paceStart.Add(lowerEvery), tenth, SignDeclined)
+		p.Full(paceStart.Add(minCutInterval), tenth, SignDeclined)
 	}
 	is.Equal(p.perSecond, 20*declinedCut)
 }
@@ -67,7 +67,7 @@
 	is := is.New(t)
 	var p StartRate
 	for i := range 100 {
-		p.Full(paceStart.Add(time.Duration(i)*lowerEvery), tenth, SignSlow)
+		p.Full(paceStart.Add(time.Duration(i)*minCutInterval), tenth, SignSlow)
 	}
 	is.Equal(p.perSecond, 20.0)
 }
@@ -77,7 +77,7 @@
 	is := is.New(t)
 	var p StartRate
 	for i := range 1000 {
-		p.Full(paceStart.Add(time.Duration(i)*lowerEvery), tenth, SignDeclined)
+		p.Full(paceStart.Add(time.Duration(i)*minCutInterval), tenth, SignDeclined)
 	}
 	is.Equal(p.perSecond, 20*minPart)
 }
