--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -15,9 +15,9 @@
 	// minCutInterval is the least time between two cuts of the rate: requests that were sent
 	// before a cut say nothing of the rate after it.
 	minCutInterval = 60 * time.Millisecond
-	// declinedCut is what a request that was declined leaves of the rate. A decline costs the
+	// declinedCutFactor is what a request that was declined leaves of the rate. A decline costs the
 	// replicas little: some are taken into account so that their places stay in use.
-	declinedCut = 0.8
+	declinedCutFactor = 0.8
 	// queuedCut is what a sign that requests wait at the replicas leaves of it, but no less
 	// than an equal share: at that rate as many run as there are slots, by the times seen. At the
 	// replicas requests have no order and hold up those that come after them.
@@ -102,7 +102,7 @@
 
 func (r *StartRate) lowered(c Capacity, sign Sign) float64 {
 	if sign == SignDeclined {
-		return r.perSecond * declinedCut
+		return r.perSecond * declinedCutFactor
 	}
 	return min(r.perSecond, max(r.perSecond*queuedCut, c.equal()))
 }
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -58,7 +58,7 @@
 	for range 10 {
 		p.Full(paceStart.Add(minCutInterval), tenth, SignDeclined)
 	}
-	is.Equal(p.perSecond, 20*declinedCut)
+	is.Equal(p.perSecond, 20*declinedCutFactor)
 }
 
 // A service that has become slow is used to as many requests as it has slots, not less and
