--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -18,10 +18,10 @@
 	// declinedCutFactor is what a request that was declined leaves of the rate. A decline costs the
 	// replicas little: some are taken into account so that their places stay in use.
 	declinedCutFactor = 0.8
-	// queuedCut is what a sign that requests wait at the replicas leaves of it, but no less
+	// queuedCutFactor is what a sign that requests wait at the replicas leaves of it, but no less
 	// than an equal share: at that rate as many run as there are slots, by the times seen. At the
 	// replicas requests have no order and hold up those that come after them.
-	queuedCut = 0.5
+	queuedCutFactor = 0.5
 	// raiseBy is by which part of the mean of the rate and an equal share an answer raises
 	// the rate (the geometric mean: those above their share grow by less of it than those
 	// below, so that parts even out, and a daemon with all the demand keeps the places in
@@ -104,7 +104,7 @@
 	if sign == SignDeclined {
 		return r.perSecond * declinedCutFactor
 	}
-	return min(r.perSecond, max(r.perSecond*queuedCut, c.equal()))
+	return min(r.perSecond, max(r.perSecond*queuedCutFactor, c.equal()))
 }
 
 // Answered notes an answer without such a sign.
