--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -22,12 +22,12 @@
 	// than an equal share: at that rate as many run as there are slots, by the times seen. At the
 	// replicas requests have no order and hold up those that come after them.
 	queuedCutFactor = 0.5
-	// raiseBy is by which part of the mean of the rate and an equal share an answer raises
+	// raiseFraction is by which part of the mean of the rate and an equal share an answer raises
 	// the rate (the geometric mean: those above their share grow by less of it than those
 	// below, so that parts even out, and a daemon with all the demand keeps the places in
 	// use). At an equal share a cut then comes with each second start: a decline costs little, an idle
 	// place an answer.
-	raiseBy = 0.2
+	raiseFraction = 0.2
 	// regainBy is the same once no sign of fullness has come in calmAnswers.
 	regainBy = 0.5
 	// firstPart of a daemon's demand is where it begins if that is more than an equal share:
@@ -114,7 +114,7 @@
 	}
 	r.fill(now)
 	r.calm++
-	step := raiseBy
+	step := raiseFraction
 	if !r.full(now) {
 		step = regainBy
 	}
