--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -28,8 +28,8 @@
 	// use). At an equal share a cut then comes with each second start: a decline costs little, an idle
 	// place an answer.
 	raiseFraction = 0.2
-	// regainBy is the same once no sign of fullness has come in calmAnswers.
-	regainBy = 0.5
+	// calmRaiseFraction is the same once no sign of fullness has come in calmAnswers.
+	calmRaiseFraction = 0.5
 	// firstPart of a daemon's demand is where it begins if that is more than an equal share:
 	// where all clients come to few daemons, these have most of the places.
 	firstPart = 0.5
@@ -116,7 +116,7 @@
 	r.calm++
 	step := raiseFraction
 	if !r.full(now) {
-		step = regainBy
+		step = calmRaiseFraction
 	}
 	r.perSecond += step * math.Sqrt(c.equal()*r.perSecond)
 	r.bound(c)
