--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -30,9 +30,9 @@
 	raiseFraction = 0.2
 	// calmRaiseFraction is the same once no sign of fullness has come in calmAnswers.
 	calmRaiseFraction = 0.5
-	// firstPart of a daemon's demand is where it begins if that is more than an equal share:
+	// initialDemandFraction of a daemon's demand is where it begins if that is more than an equal share:
 	// where all clients come to few daemons, these have most of the places.
-	firstPart = 0.5
+	initialDemandFraction = 0.5
 	// minPart of an equal share is always used, or the room that others leave would
 	// never be found; minRate does the same for a daemon among very many, in starts a
 	// second.
@@ -90,7 +90,7 @@
 // Full notes a sign that the service is full.
 func (r *StartRate) Full(now time.Time, c Capacity, sign Sign) {
 	if !r.binds {
-		*r = StartRate{binds: true, perSecond: max(c.equal(), firstPart*c.Demand), credit: maxCredit, at: now, cutAt: now}
+		*r = StartRate{binds: true, perSecond: max(c.equal(), initialDemandFraction*c.Demand), credit: maxCredit, at: now, cutAt: now}
 	}
 	r.fill(now)
 	r.fullAt, r.calm = now, 0
