--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -33,11 +33,11 @@
 	// initialDemandFraction of a daemon's demand is where it begins if that is more than an equal share:
 	// where all clients come to few daemons, these have most of the places.
 	initialDemandFraction = 0.5
-	// minPart of an equal share is always used, or the room that others leave would
+	// minShareFraction of an equal share is always used, or the room that others leave would
 	// never be found; minRate does the same for a daemon among very many, in starts a
 	// second.
-	minPart = 1.0 / 8
-	minRate = 1.0
+	minShareFraction = 1.0 / 8
+	minRate          = 1.0
 	// maxCredit is how many starts may be saved up: a daemon that sees a request now and
 	// then sends it at once.
 	maxCredit = 1.0
@@ -168,7 +168,7 @@
 }
 
 func (r *StartRate) bound(c Capacity) {
-	least := max(c.equal()*minPart, minRate)
+	least := max(c.equal()*minShareFraction, minRate)
 	r.perSecond = max(least, min(r.perSecond, c.whole()))
 }
 
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -79,7 +79,7 @@
 	for i := range 1000 {
 		p.Full(paceStart.Add(time.Duration(i)*minCutInterval), tenth, SignDeclined)
 	}
-	is.Equal(p.perSecond, 20*minPart)
+	is.Equal(p.perSecond, 20*minShareFraction)
 }
 
 // Two daemons of which one has most of the places come to like parts, as each meets declines
