--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -50,9 +50,9 @@
 const (
 	// SignDeclined: each replica asked has declined a request.
 	SignDeclined Sign = "declined"
-	// SignTold: each replica has told of as many requests as it has slots, or has as
+	// SignSlotsTaken: each replica has told of as many requests as it has slots, or has as
 	// many of this daemon's.
-	SignTold Sign = "as many requests as slots"
+	SignSlotsTaken Sign = "as many requests as slots"
 	// SignSlow: answers take far longer than usual.
 	SignSlow Sign = "slow answers"
 )
