--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -43,18 +43,18 @@
 	maxCredit = 1.0
 )
 
-// Sign is why a service is taken to be full.
-type Sign string
+// FullnessSign is why a service is taken to be full.
+type FullnessSign string
 
 // Signs of a full service.
 const (
 	// SignDeclined: each replica asked has declined a request.
-	SignDeclined Sign = "declined"
+	SignDeclined FullnessSign = "declined"
 	// SignSlotsTaken: each replica has told of as many requests as it has slots, or has as
 	// many of this daemon's.
-	SignSlotsTaken Sign = "as many requests as slots"
+	SignSlotsTaken FullnessSign = "as many requests as slots"
 	// SignSlow: answers take far longer than usual.
-	SignSlow Sign = "slow answers"
+	SignSlow FullnessSign = "slow answers"
 )
 
 // Capacity is what the replicas of a service bear together, and among how many daemons.
@@ -88,7 +88,7 @@
 }
 
 // Full notes a sign that the service is full.
-func (r *StartRate) Full(now time.Time, c Capacity, sign Sign) {
+func (r *StartRate) Full(now time.Time, c Capacity, sign FullnessSign) {
 	if !r.binds {
 		*r = StartRate{binds: true, perSecond: max(c.equal(), initialDemandFraction*c.Demand), credit: maxCredit, at: now, cutAt: now}
 	}
@@ -100,7 +100,7 @@
 	r.bound(c)
 }
 
-func (r *StartRate) lowered(c Capacity, sign Sign) float64 {
+func (r *StartRate) lowered(c Capacity, sign FullnessSign) float64 {
 	if sign == SignDeclined {
 		return r.perSecond * declinedCutFactor
 	}
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -72,7 +72,7 @@
 }
 
 // full notes a sign that the service is full. The lock is held.
-func (g *gate) full(now time.Time, sign Sign, c Capacity) {
+func (g *gate) full(now time.Time, sign FullnessSign, c Capacity) {
 	before := g.rate.binds
 	g.rate.Full(now, c, sign)
 	if !before {
