--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -126,7 +126,7 @@
 		slots += max(rep.Slots, 1)
 	}
 	return Capacity{Slots: slots, Daemons: g.options.Daemons(), Demand: g.arrivals.add(g.options.Clock(), 0),
-		Usual: max(g.times.quantile(0.5), time.Millisecond)}
+		TypicalTime: max(g.times.quantile(0.5), time.Millisecond)}
 }
 
 // start gives a request its turn. The lock is held.
--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -62,12 +62,12 @@
 	Slots, Daemons int
 	// Demand is how many requests a second this daemon has got lately.
 	Demand float64
-	// Usual is what a request takes.
-	Usual time.Duration
+	// TypicalTime is what a request takes.
+	TypicalTime time.Duration
 }
 
 // whole is the rate at which all places are in use, in starts a second.
-func (c Capacity) whole() float64 { return float64(max(c.Slots, 1)) / c.Usual.Seconds() }
+func (c Capacity) whole() float64 { return float64(max(c.Slots, 1)) / c.TypicalTime.Seconds() }
 
 // equal is an equal part of it.
 func (c Capacity) equal() float64 { return c.whole() / float64(max(c.Daemons, 1)) }
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -10,7 +10,7 @@
 var paceStart = time.Unix(1000, 0)
 
 // tenth is a service of 20 slots, at 100 ms a request, that ten daemons share: 20 starts a second each.
-var tenth = Capacity{Slots: 20, Daemons: 10, Usual: 100 * time.Millisecond}
+var tenth = Capacity{Slots: 20, Daemons: 10, TypicalTime: 100 * time.Millisecond}
 
 func TestNothingWaitsBeforeASign(t *testing.T) {
 	is := is.New(t)
@@ -86,7 +86,7 @@
 // by its rate.
 func TestPartsEvenOut(t *testing.T) {
 	is := is.New(t)
-	c := Capacity{Slots: 8, Daemons: 2, Usual: 100 * time.Millisecond}
+	c := Capacity{Slots: 8, Daemons: 2, TypicalTime: 100 * time.Millisecond}
 	paces := [2]StartRate{{binds: true, perSecond: 70, at: paceStart}, {binds: true, perSecond: 10, at: paceStart}}
 	var starts, declines [2]float64
 	const step = 10 * time.Millisecond
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -77,7 +77,7 @@
 	g.rate.Full(now, c, sign)
 	if !before {
 		g.options.Logger.Info("service full", zap.String("service", g.service), zap.String("sign", string(sign)),
-			zap.Int("slots", c.Slots), zap.Int("daemons", c.Daemons), zap.Duration("usual", c.Usual), zap.Float64("rate", g.rate.perSecond))
+			zap.Int("slots", c.Slots), zap.Int("daemons", c.Daemons), zap.Duration("usual", c.TypicalTime), zap.Float64("rate", g.rate.perSecond))
 	}
 }
 
@@ -86,7 +86,7 @@
 	c := g.capacity(replicas)
 	slowAnswer := g.times.slow(took, aim, g.rate.binds)
 	if lately, slow := g.times.note(now, took, slowAnswer, g.rate.binds); slow {
-		c.Usual = lately
+		c.TypicalTime = lately
 		g.full(now, SignSlow, c)
 		return
 	}
