--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -66,11 +66,11 @@
 	TypicalTime time.Duration
 }
 
-// whole is the rate at which all places are in use, in starts a second.
-func (c Capacity) whole() float64 { return float64(max(c.Slots, 1)) / c.TypicalTime.Seconds() }
+// totalRate is the rate at which all places are in use, in starts a second.
+func (c Capacity) totalRate() float64 { return float64(max(c.Slots, 1)) / c.TypicalTime.Seconds() }
 
 // equal is an equal part of it.
-func (c Capacity) equal() float64 { return c.whole() / float64(max(c.Daemons, 1)) }
+func (c Capacity) equal() float64 { return c.totalRate() / float64(max(c.Daemons, 1)) }
 
 // StartRate is the rate of starts of a daemon at one service. It binds from the first sign that
 // the service is full until none has come for a while and nothing waits. The zero StartRate
@@ -169,7 +169,7 @@
 
 func (r *StartRate) bound(c Capacity) {
 	least := max(c.equal()*minShareFraction, minRate)
-	r.perSecond = max(least, min(r.perSecond, c.whole()))
+	r.perSecond = max(least, min(r.perSecond, c.totalRate()))
 }
 
 // creditSlack keeps a timer that rounds down from being set again for nothing.
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -94,7 +94,7 @@
 		total := paces[0].perSecond + paces[1].perSecond
 		for i := range paces {
 			for starts[i] += paces[i].perSecond * step.Seconds(); starts[i] >= 1; starts[i]-- {
-				if declines[i] += max(0, 1-c.whole()/total); declines[i] < 1 {
+				if declines[i] += max(0, 1-c.totalRate()/total); declines[i] < 1 {
 					paces[i].Answered(now, c)
 					continue
 				}
@@ -104,7 +104,7 @@
 		}
 	}
 	is.True(paces[0].perSecond < 1.3*paces[1].perSecond && paces[1].perSecond < 1.3*paces[0].perSecond)
-	is.True(paces[0].perSecond+paces[1].perSecond > 0.8*c.whole()) // and the places are in use
+	is.True(paces[0].perSecond+paces[1].perSecond > 0.8*c.totalRate()) // and the places are in use
 }
 
 // A suspended daemon has saved up no more than any other.
