--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -69,8 +69,8 @@
 // totalRate is the rate at which all places are in use, in starts a second.
 func (c Capacity) totalRate() float64 { return float64(max(c.Slots, 1)) / c.TypicalTime.Seconds() }
 
-// equal is an equal part of it.
-func (c Capacity) equal() float64 { return c.totalRate() / float64(max(c.Daemons, 1)) }
+// equalShare is an equalShare part of it.
+func (c Capacity) equalShare() float64 { return c.totalRate() / float64(max(c.Daemons, 1)) }
 
 // StartRate is the rate of starts of a daemon at one service. It binds from the first sign that
 // the service is full until none has come for a while and nothing waits. The zero StartRate
@@ -90,7 +90,7 @@
 // Full notes a sign that the service is full.
 func (r *StartRate) Full(now time.Time, c Capacity, sign FullnessSign) {
 	if !r.binds {
-		*r = StartRate{binds: true, perSecond: max(c.equal(), initialDemandFraction*c.Demand), credit: maxCredit, at: now, cutAt: now}
+		*r = StartRate{binds: true, perSecond: max(c.equalShare(), initialDemandFraction*c.Demand), credit: maxCredit, at: now, cutAt: now}
 	}
 	r.fill(now)
 	r.fullAt, r.calm = now, 0
@@ -104,7 +104,7 @@
 	if sign == SignDeclined {
 		return r.perSecond * declinedCutFactor
 	}
-	return min(r.perSecond, max(r.perSecond*queuedCutFactor, c.equal()))
+	return min(r.perSecond, max(r.perSecond*queuedCutFactor, c.equalShare()))
 }
 
 // Answered notes an answer without such a sign.
@@ -118,7 +118,7 @@
 	if !r.full(now) {
 		step = calmRaiseFraction
 	}
-	r.perSecond += step * math.Sqrt(c.equal()*r.perSecond)
+	r.perSecond += step * math.Sqrt(c.equalShare()*r.perSecond)
 	r.bound(c)
 }
 
@@ -168,7 +168,7 @@
 }
 
 func (r *StartRate) bound(c Capacity) {
-	least := max(c.equal()*minShareFraction, minRate)
+	least := max(c.equalShare()*minShareFraction, minRate)
 	r.perSecond = max(least, min(r.perSecond, c.totalRate()))
 }
 
