--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -91,7 +91,7 @@
 	g.arrivals.add(now, 1)
 	replicas := g.options.Replicas(g.service)
 	g.updateRate(now, replicas)
-	if len(replicas) == 0 || !g.rate.binds {
+	if len(replicas) == 0 || !g.rate.active {
 		return nil, g.start(req)
 	}
 	added := &waiter{Request: req, since: now, decided: make(chan decision, 1)}
@@ -107,7 +107,7 @@
 	} else if len(g.waiting) == 0 {
 		g.rate.Rest(now)
 	}
-	if !g.rate.binds {
+	if !g.rate.active {
 		clear(g.work)
 		g.starts = 0
 	}
@@ -132,7 +132,7 @@
 // start gives a request its turn. The lock is held.
 func (g *gate) start(req Request) *Ticket {
 	ticket := &Ticket{gate: g, tenant: req.Tenant, aim: req.TargetLatency}
-	if !g.rate.binds {
+	if !g.rate.active {
 		return ticket
 	}
 	g.starts++
@@ -168,7 +168,7 @@
 func (g *gate) processQueue(now time.Time, replicas []replica.Replica) {
 	g.updateRate(now, replicas)
 	for len(g.waiting) > 0 {
-		if len(replicas) == 0 || !g.rate.binds {
+		if len(replicas) == 0 || !g.rate.active {
 			// Nothing is known to be full: what is sent says what is certain.
 			g.admit(g.waiting[0])
 			continue
@@ -218,7 +218,7 @@
 	if len(g.waiting) == 0 {
 		g.rate.Rest(g.options.Clock())
 	}
-	if g.rate.binds {
+	if g.rate.active {
 		counts.FullServices++
 		counts.SlotShare += g.slotShare()
 	}
--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -76,7 +76,7 @@
 // the service is full until none has come for a while and nothing waits. The zero StartRate
 // does not bind.
 type StartRate struct {
-	binds     bool
+	active    bool
 	perSecond float64
 	// credit is how many requests may start now, as of at.
 	credit float64
@@ -89,8 +89,8 @@
 
 // Full notes a sign that the service is full.
 func (r *StartRate) Full(now time.Time, c Capacity, sign FullnessSign) {
-	if !r.binds {
-		*r = StartRate{binds: true, perSecond: max(c.equalShare(), initialDemandFraction*c.Demand), credit: maxCredit, at: now, cutAt: now}
+	if !r.active {
+		*r = StartRate{active: true, perSecond: max(c.equalShare(), initialDemandFraction*c.Demand), credit: maxCredit, at: now, cutAt: now}
 	}
 	r.fill(now)
 	r.fullAt, r.calm = now, 0
@@ -109,7 +109,7 @@
 
 // Answered notes an answer without such a sign.
 func (r *StartRate) Answered(now time.Time, c Capacity) {
-	if !r.binds {
+	if !r.active {
 		return
 	}
 	r.fill(now)
@@ -130,7 +130,7 @@
 
 // Rest ends the binding once the service is not seen to be full any more. Nothing may wait.
 func (r *StartRate) Rest(now time.Time) {
-	if r.binds && !r.full(now) {
+	if r.active && !r.full(now) {
 		*r = StartRate{}
 	}
 }
@@ -142,7 +142,7 @@
 
 // Take spends the credit for a start, if there is one.
 func (r *StartRate) Take(now time.Time) bool {
-	if !r.binds {
+	if !r.active {
 		return true
 	}
 	r.fill(now)
@@ -155,7 +155,7 @@
 
 // Next is after which time a request may start, 0 for now.
 func (r *StartRate) Next(now time.Time) time.Duration {
-	if !r.binds {
+	if !r.active {
 		return 0
 	}
 	r.fill(now)
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -31,12 +31,12 @@
 	is.True(!p.Take(paceStart))
 	is.Equal(p.Next(paceStart).Round(time.Millisecond), 50*time.Millisecond)
 	p.Rest(paceStart)
-	is.True(p.binds)
+	is.True(p.active)
 	for range minCalmAnswers {
 		p.Answered(paceStart, tenth)
 	}
 	p.Rest(paceStart)
-	is.True(!p.binds)
+	is.True(!p.active)
 }
 
 // A daemon that asks seldom sees no run of answers: the sign lapses.
@@ -45,9 +45,9 @@
 	var p StartRate
 	p.Full(paceStart, tenth, SignDeclined)
 	p.Rest(paceStart.Add(fullMaxAge))
-	is.True(p.binds)
+	is.True(p.active)
 	p.Rest(paceStart.Add(fullMaxAge + 1))
-	is.True(!p.binds)
+	is.True(!p.active)
 }
 
 // Requests that were sent before a cut say nothing of the rate after it.
@@ -87,7 +87,7 @@
 func TestPartsEvenOut(t *testing.T) {
 	is := is.New(t)
 	c := Capacity{Slots: 8, Daemons: 2, TypicalTime: 100 * time.Millisecond}
-	paces := [2]StartRate{{binds: true, perSecond: 70, at: paceStart}, {binds: true, perSecond: 10, at: paceStart}}
+	paces := [2]StartRate{{active: true, perSecond: 70, at: paceStart}, {active: true, perSecond: 10, at: paceStart}}
 	var starts, declines [2]float64
 	const step = 10 * time.Millisecond
 	for now := paceStart; now.Sub(paceStart) < time.Minute; now = now.Add(step) {
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -40,7 +40,7 @@
 	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.rate.binds || g.retries.TryRetry(g.options.Clock(), minRetriesPerSecond)
+	return !g.rate.active || g.retries.TryRetry(g.options.Clock(), minRetriesPerSecond)
 }
 
 // Done tells what became of the request.
@@ -73,7 +73,7 @@
 
 // full notes a sign that the service is full. The lock is held.
 func (g *gate) full(now time.Time, sign FullnessSign, c Capacity) {
-	before := g.rate.binds
+	before := g.rate.active
 	g.rate.Full(now, c, sign)
 	if !before {
 		g.options.Logger.Info("service full", zap.String("service", g.service), zap.String("sign", string(sign)),
@@ -84,13 +84,13 @@
 // answered learns from the time of an answer. The lock is held.
 func (g *gate) answered(now time.Time, took, aim time.Duration, replicas []replica.Replica) {
 	c := g.capacity(replicas)
-	slowAnswer := g.times.slow(took, aim, g.rate.binds)
-	if lately, slow := g.times.note(now, took, slowAnswer, g.rate.binds); slow {
+	slowAnswer := g.times.slow(took, aim, g.rate.active)
+	if lately, slow := g.times.note(now, took, slowAnswer, g.rate.active); slow {
 		c.TypicalTime = lately
 		g.full(now, SignSlow, c)
 		return
 	}
-	if slowAnswer && g.rate.binds {
+	if slowAnswer && g.rate.active {
 		// It may have waited at the replica: it shows no room, and is no sign by itself.
 		return
 	}
