--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -79,10 +79,10 @@
 	active    bool
 	perSecond float64
 	// credit is how many requests may start now, as of at.
-	credit float64
-	at     time.Time
-	fullAt time.Time
-	cutAt  time.Time
+	credit   float64
+	creditAt time.Time
+	fullAt   time.Time
+	cutAt    time.Time
 	// calm counts answers since fullAt.
 	calm int
 }
@@ -90,7 +90,7 @@
 // Full notes a sign that the service is full.
 func (r *StartRate) Full(now time.Time, c Capacity, sign FullnessSign) {
 	if !r.active {
-		*r = StartRate{active: true, perSecond: max(c.equalShare(), initialDemandFraction*c.Demand), credit: maxCredit, at: now, cutAt: now}
+		*r = StartRate{active: true, perSecond: max(c.equalShare(), initialDemandFraction*c.Demand), credit: maxCredit, creditAt: now, cutAt: now}
 	}
 	r.fill(now)
 	r.fullAt, r.calm = now, 0
@@ -163,8 +163,8 @@
 }
 
 func (r *StartRate) fill(now time.Time) {
-	r.credit = min(r.credit+r.perSecond*max(now.Sub(r.at), 0).Seconds(), maxCredit)
-	r.at = now
+	r.credit = min(r.credit+r.perSecond*max(now.Sub(r.creditAt), 0).Seconds(), maxCredit)
+	r.creditAt = now
 }
 
 func (r *StartRate) bound(c Capacity) {
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -87,7 +87,7 @@
 func TestPartsEvenOut(t *testing.T) {
 	is := is.New(t)
 	c := Capacity{Slots: 8, Daemons: 2, TypicalTime: 100 * time.Millisecond}
-	paces := [2]StartRate{{active: true, perSecond: 70, at: paceStart}, {active: true, perSecond: 10, at: paceStart}}
+	paces := [2]StartRate{{active: true, perSecond: 70, creditAt: paceStart}, {active: true, perSecond: 10, creditAt: paceStart}}
 	var starts, declines [2]float64
 	const step = 10 * time.Millisecond
 	for now := paceStart; now.Sub(paceStart) < time.Minute; now = now.Add(step) {
