--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -83,8 +83,8 @@
 	creditAt time.Time
 	fullAt   time.Time
 	cutAt    time.Time
-	// calm counts answers since fullAt.
-	calm int
+	// calmAnswers counts answers since fullAt.
+	calmAnswers int
 }
 
 // Full notes a sign that the service is full.
@@ -93,7 +93,7 @@
 		*r = StartRate{active: true, perSecond: max(c.equalShare(), initialDemandFraction*c.Demand), credit: maxCredit, creditAt: now, cutAt: now}
 	}
 	r.fill(now)
-	r.fullAt, r.calm = now, 0
+	r.fullAt, r.calmAnswers = now, 0
 	if now.Sub(r.cutAt) >= minCutInterval {
 		r.perSecond, r.cutAt = r.lowered(c, sign), now
 	}
@@ -113,7 +113,7 @@
 		return
 	}
 	r.fill(now)
-	r.calm++
+	r.calmAnswers++
 	step := raiseFraction
 	if !r.full(now) {
 		step = calmRaiseFraction
@@ -137,7 +137,7 @@
 
 // full reports whether the last sign of fullness still counts.
 func (r *StartRate) full(now time.Time) bool {
-	return r.calm < minCalmAnswers && now.Sub(r.fullAt) <= fullMaxAge
+	return r.calmAnswers < minCalmAnswers && now.Sub(r.fullAt) <= fullMaxAge
 }
 
 // Take spends the credit for a start, if there is one.
