--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -95,12 +95,12 @@
 	r.fill(now)
 	r.fullAt, r.calmAnswers = now, 0
 	if now.Sub(r.cutAt) >= minCutInterval {
-		r.perSecond, r.cutAt = r.lowered(c, sign), now
+		r.perSecond, r.cutAt = r.reduced(c, sign), now
 	}
 	r.bound(c)
 }
 
-func (r *StartRate) lowered(c Capacity, sign FullnessSign) float64 {
+func (r *StartRate) reduced(c Capacity, sign FullnessSign) float64 {
 	if sign == SignDeclined {
 		return r.perSecond * declinedCutFactor
 	}
