--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -92,7 +92,7 @@
 	if !r.active {
 		*r = StartRate{active: true, perSecond: max(c.equalShare(), initialDemandFraction*c.Demand), credit: maxCredit, creditAt: now, cutAt: now}
 	}
-	r.fill(now)
+	r.refill(now)
 	r.fullAt, r.calmAnswers = now, 0
 	if now.Sub(r.cutAt) >= minCutInterval {
 		r.perSecond, r.cutAt = r.reduced(c, sign), now
@@ -112,7 +112,7 @@
 	if !r.active {
 		return
 	}
-	r.fill(now)
+	r.refill(now)
 	r.calmAnswers++
 	step := raiseFraction
 	if !r.full(now) {
@@ -124,7 +124,7 @@
 
 // Room notes that a place is free: a request may start now.
 func (r *StartRate) Room(now time.Time) {
-	r.fill(now)
+	r.refill(now)
 	r.credit = maxCredit
 }
 
@@ -145,7 +145,7 @@
 	if !r.active {
 		return true
 	}
-	r.fill(now)
+	r.refill(now)
 	if r.credit < 1 {
 		return false
 	}
@@ -158,11 +158,11 @@
 	if !r.active {
 		return 0
 	}
-	r.fill(now)
+	r.refill(now)
 	return max(0, inSeconds((1-r.credit)/r.perSecond))
 }
 
-func (r *StartRate) fill(now time.Time) {
+func (r *StartRate) refill(now time.Time) {
 	r.credit = min(r.credit+r.perSecond*max(now.Sub(r.creditAt), 0).Seconds(), maxCredit)
 	r.creditAt = now
 }
