--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -97,7 +97,7 @@
 	if now.Sub(r.cutAt) >= minCutInterval {
 		r.perSecond, r.cutAt = r.reduced(c, sign), now
 	}
-	r.bound(c)
+	r.clamp(c)
 }
 
 func (r *StartRate) reduced(c Capacity, sign FullnessSign) float64 {
@@ -119,7 +119,7 @@
 		step = calmRaiseFraction
 	}
 	r.perSecond += step * math.Sqrt(c.equalShare()*r.perSecond)
-	r.bound(c)
+	r.clamp(c)
 }
 
 // Room notes that a place is free: a request may start now.
@@ -167,7 +167,7 @@
 	r.creditAt = now
 }
 
-func (r *StartRate) bound(c Capacity) {
+func (r *StartRate) clamp(c Capacity) {
 	least := max(c.equalShare()*minShareFraction, minRate)
 	r.perSecond = max(least, min(r.perSecond, c.totalRate()))
 }
