--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -172,12 +172,12 @@
 	r.perSecond = max(least, min(r.perSecond, c.totalRate()))
 }
 
-// creditSlack keeps a timer that rounds down from being set again for nothing.
-const creditSlack = time.Microsecond
+// timerSlack keeps a timer that rounds down from being set again for nothing.
+const timerSlack = time.Microsecond
 
 func inSeconds(seconds float64) time.Duration {
 	if seconds <= 0 {
 		return 0
 	}
-	return time.Duration(seconds*float64(time.Second)) + creditSlack
+	return time.Duration(seconds*float64(time.Second)) + timerSlack
 }
