--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -189,7 +189,7 @@
 	s := g.snapshot(now)
 	turns := Plan(s)
 	all := g.waiting
-	drain := inSeconds(float64(len(turns)) / s.LateRate)
+	drain := secondsToDuration(float64(len(turns)) / s.LateRate)
 	for i, turn := range turns {
 		w := all[turn.Index]
 		switch {
--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -62,14 +62,14 @@
 	maps.Copy(had, s.TenantWork)
 	starts := 0
 	for range s.Waiting {
-		after := s.NextStartIn + inSeconds(float64(starts)/s.Rate)
+		after := s.NextStartIn + secondsToDuration(float64(starts)/s.Rate)
 		longest := (s.Starts+starts)%oldestTurnInterval == oldestTurnInterval-1
 		index := s.pickNext(done, had, after, longest)
 		picked := s.Waiting[index]
 		done[index] = true
 		late := s.late(picked, after)
 		if !longest && late {
-			after = s.NextStartIn + inSeconds(float64(starts+1)/s.LateRate)
+			after = s.NextStartIn + secondsToDuration(float64(starts+1)/s.LateRate)
 		}
 		turn := Turn{Index: index, StartsIn: after, Refused: after+s.RequiredTime > picked.TimeLeft || !late && after > picked.MaxWait}
 		turns = append(turns, turn)
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -47,7 +47,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	w := &waiter{Request: req, since: g.options.Clock().Add(-req.Age)}
-	return g.newRefusal(w, AllDeclined, inSeconds(float64(len(g.waiting)+1)/max(g.rate.perSecond, minRate)))
+	return g.newRefusal(w, AllDeclined, secondsToDuration(float64(len(g.waiting)+1)/max(g.rate.perSecond, minRate)))
 }
 
 // admit ends the wait of a request by its turn. The lock is held.
--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -159,7 +159,7 @@
 		return 0
 	}
 	r.refill(now)
-	return max(0, inSeconds((1-r.credit)/r.perSecond))
+	return max(0, secondsToDuration((1-r.credit)/r.perSecond))
 }
 
 func (r *StartRate) refill(now time.Time) {
@@ -175,7 +175,7 @@
 // timerSlack keeps a timer that rounds down from being set again for nothing.
 const timerSlack = time.Microsecond
 
-func inSeconds(seconds float64) time.Duration {
+func secondsToDuration(seconds float64) time.Duration {
 	if seconds <= 0 {
 		return 0
 	}
