--- a/internal/requests/admission/service_test.go
+++ b/internal/requests/admission/service_test.go
@@ -107,7 +107,7 @@
 		load, ran := d.service.replicas[chosen.ID].run(ctx, work)
 		d.table.Ended(chosen.Incarnation())
 		if ctx.Err() != nil {
-			return Lost{}
+			return Unanswered{}
 		}
 		if ran {
 			if d.service.tells {
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -18,12 +18,12 @@
 // Declined: each replica that it was offered to was full. It has not run.
 type Declined struct{}
 
-// Lost: there is no answer, for reasons that say nothing of the room at the replicas.
-type Lost struct{}
+// Unanswered: there is no answer, for reasons that say nothing of the room at the replicas.
+type Unanswered struct{}
 
-func (Answered) outcome() {}
-func (Declined) outcome() {}
-func (Lost) outcome()     {}
+func (Answered) outcome()   {}
+func (Declined) outcome()   {}
+func (Unanswered) outcome() {}
 
 // Ticket is a request's turn at its service. Done is called once, as it is over.
 type Ticket struct {
@@ -57,7 +57,7 @@
 	case Declined:
 		g.full(now, SignDeclined, g.capacity(replicas))
 		g.charge(t, -t.charged)
-	case Lost:
+	case Unanswered:
 	}
 	if len(g.waiting) > 0 {
 		g.processQueue(now, replicas)
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -85,5 +85,5 @@
 	if errors.As(err, &failure) && failure.Full {
 		return admission.Declined{}
 	}
-	return admission.Lost{}
+	return admission.Unanswered{}
 }
