--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -131,7 +131,7 @@
 
 // start gives a request its turn. The lock is held.
 func (g *gate) start(req Request) *Ticket {
-	ticket := &Ticket{gate: g, tenant: req.Tenant, aim: req.TargetLatency}
+	ticket := &Ticket{gate: g, tenant: req.Tenant, targetLatency: req.TargetLatency}
 	if !g.rate.active {
 		return ticket
 	}
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -27,9 +27,9 @@
 
 // Ticket is a request's turn at its service. Done is called once, as it is over.
 type Ticket struct {
-	gate   *gate
-	tenant string
-	aim    time.Duration
+	gate          *gate
+	tenant        string
+	targetLatency time.Duration
 	// charged is the work that was reckoned for it.
 	charged time.Duration
 }
@@ -52,7 +52,7 @@
 	replicas := g.options.Replicas(g.service)
 	switch became := became.(type) {
 	case Answered:
-		g.answered(now, became.Took, t.aim, replicas)
+		g.answered(now, became.Took, t.targetLatency, replicas)
 		g.charge(t, became.Took-t.charged)
 	case Declined:
 		g.full(now, SignDeclined, g.capacity(replicas))
