--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -137,8 +137,8 @@
 	}
 	g.starts++
 	g.retries.FirstTry(retriesPercent)
-	ticket.charged = g.times.quantile(0.5)
-	g.work.add(req.Tenant, ticket.charged, g.options.Clock())
+	ticket.chargedWork = g.times.quantile(0.5)
+	g.work.add(req.Tenant, ticket.chargedWork, g.options.Clock())
 	return ticket
 }
 
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -30,8 +30,8 @@
 	gate          *gate
 	tenant        string
 	targetLatency time.Duration
-	// charged is the work that was reckoned for it.
-	charged time.Duration
+	// chargedWork is the work that was reckoned for it.
+	chargedWork time.Duration
 }
 
 // MayRetry reports whether the request may be offered to a further replica. While the
@@ -53,10 +53,10 @@
 	switch became := became.(type) {
 	case Answered:
 		g.answered(now, became.Took, t.targetLatency, replicas)
-		g.charge(t, became.Took-t.charged)
+		g.charge(t, became.Took-t.chargedWork)
 	case Declined:
 		g.full(now, SignDeclined, g.capacity(replicas))
-		g.charge(t, -t.charged)
+		g.charge(t, -t.chargedWork)
 	case Unanswered:
 	}
 	if len(g.waiting) > 0 {
@@ -66,7 +66,7 @@
 
 // charge corrects the work that a tenant has had. The lock is held.
 func (g *gate) charge(t *Ticket, more time.Duration) {
-	if _, ok := g.work[t.tenant]; ok && t.charged > 0 {
+	if _, ok := g.work[t.tenant]; ok && t.chargedWork > 0 {
 		g.work.add(t.tenant, more, g.options.Clock())
 	}
 }
