--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -78,7 +78,7 @@
 	} else if d := <-w.decided; d.ticket != nil {
 		// Its turn came together with the end: it is not sent, and its part goes to the next one.
 		g.rate.Room(g.options.Clock())
-		g.charge(d.ticket, -d.ticket.chargedWork)
+		g.correctWork(d.ticket, -d.ticket.chargedWork)
 	}
 	g.processQueue(g.options.Clock(), g.options.Replicas(g.service))
 	return nil, &RefusedError{Reason: ContextEnded, RetryAfter: minRetryAfter}
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -53,10 +53,10 @@
 	switch became := became.(type) {
 	case Answered:
 		g.answered(now, became.Took, t.targetLatency, replicas)
-		g.charge(t, became.Took-t.chargedWork)
+		g.correctWork(t, became.Took-t.chargedWork)
 	case Declined:
 		g.full(now, SignDeclined, g.capacity(replicas))
-		g.charge(t, -t.chargedWork)
+		g.correctWork(t, -t.chargedWork)
 	case Unanswered:
 	}
 	if len(g.waiting) > 0 {
@@ -64,8 +64,8 @@
 	}
 }
 
-// charge corrects the work that a tenant has had. The lock is held.
-func (g *gate) charge(t *Ticket, more time.Duration) {
+// correctWork corrects the work that a tenant has had. The lock is held.
+func (g *gate) correctWork(t *Ticket, more time.Duration) {
 	if _, ok := g.work[t.tenant]; ok && t.chargedWork > 0 {
 		g.work.add(t.tenant, more, g.options.Clock())
 	}
