--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -103,7 +103,7 @@
 // updateRate takes what is believed of the replicas into account. The lock is held.
 func (g *gate) updateRate(now time.Time, replicas []replica.Replica) {
 	if allFull(replicas) {
-		g.full(now, SignSlotsTaken, g.capacity(replicas))
+		g.recordFull(now, SignSlotsTaken, g.capacity(replicas))
 	} else if len(g.waiting) == 0 {
 		g.rate.Rest(now)
 	}
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -55,7 +55,7 @@
 		g.answered(now, became.Took, t.targetLatency, replicas)
 		g.correctWork(t, became.Took-t.chargedWork)
 	case Declined:
-		g.full(now, SignDeclined, g.capacity(replicas))
+		g.recordFull(now, SignDeclined, g.capacity(replicas))
 		g.correctWork(t, -t.chargedWork)
 	case Unanswered:
 	}
@@ -71,8 +71,8 @@
 	}
 }
 
-// full notes a sign that the service is full. The lock is held.
-func (g *gate) full(now time.Time, sign FullnessSign, c Capacity) {
+// recordFull notes a sign that the service is recordFull. The lock is held.
+func (g *gate) recordFull(now time.Time, sign FullnessSign, c Capacity) {
 	before := g.rate.active
 	g.rate.Full(now, c, sign)
 	if !before {
@@ -87,7 +87,7 @@
 	slowAnswer := g.times.slow(took, aim, g.rate.active)
 	if lately, slow := g.times.note(now, took, slowAnswer, g.rate.active); slow {
 		c.TypicalTime = lately
-		g.full(now, SignSlow, c)
+		g.recordFull(now, SignSlow, c)
 		return
 	}
 	if slowAnswer && g.rate.active {
