--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -52,7 +52,7 @@
 	replicas := g.options.Replicas(g.service)
 	switch became := became.(type) {
 	case Answered:
-		g.answered(now, became.Took, t.targetLatency, replicas)
+		g.recordAnswer(now, became.Took, t.targetLatency, replicas)
 		g.correctWork(t, became.Took-t.chargedWork)
 	case Declined:
 		g.recordFull(now, SignDeclined, g.capacity(replicas))
@@ -81,8 +81,8 @@
 	}
 }
 
-// answered learns from the time of an answer. The lock is held.
-func (g *gate) answered(now time.Time, took, aim time.Duration, replicas []replica.Replica) {
+// recordAnswer learns from the time of an answer. The lock is held.
+func (g *gate) recordAnswer(now time.Time, took, aim time.Duration, replicas []replica.Replica) {
 	c := g.capacity(replicas)
 	slowAnswer := g.times.slow(took, aim, g.rate.active)
 	if lately, slow := g.times.note(now, took, slowAnswer, g.rate.active); slow {
