--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// timesKept is over how many answers the times of a service are taken: enough to
+	// sampleSize is over how many answers the times of a service are taken: enough to
 	// tell needPart, few enough that a slower replica shows within seconds.
-	timesKept = 32
+	sampleSize = 32
 	// minAnswers is from how many answers on times are believed.
 	minAnswers = 4
 	// assumedTime is reckoned with before that: most plain requests take less.
@@ -31,12 +31,12 @@
 
 // samples are the times of the last answers.
 type samples struct {
-	kept  [timesKept]time.Duration
+	kept  [sampleSize]time.Duration
 	count int
 }
 
 func (s *samples) note(took time.Duration) {
-	s.kept[s.count%timesKept] = took
+	s.kept[s.count%sampleSize] = took
 	s.count++
 }
 
@@ -47,7 +47,7 @@
 		return assumedTime
 	}
 	sorted := s.kept
-	taken := sorted[:min(s.count, timesKept)]
+	taken := sorted[:min(s.count, sampleSize)]
 	slices.Sort(taken)
 	return taken[int(part*float64(len(taken)-1))]
 }
@@ -70,7 +70,7 @@
 	if full && aim > 0 && took >= aim/slowAimPart {
 		return true
 	}
-	return t.calm.count >= timesKept/2 && took >= slowBy*t.calm.quantile(usuallyPart)
+	return t.calm.count >= sampleSize/2 && took >= slowBy*t.calm.quantile(usuallyPart)
 }
 
 // note takes an answer into account, that was slow or not. It reports whether the service is slow, and by which
