--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -9,8 +9,8 @@
 	// sampleSize is over how many answers the times of a service are taken: enough to
 	// tell needPart, few enough that a slower replica shows within seconds.
 	sampleSize = 32
-	// minAnswers is from how many answers on times are believed.
-	minAnswers = 4
+	// minSamples is from how many answers on times are believed.
+	minSamples = 4
 	// assumedTime is reckoned with before that: most plain requests take less.
 	assumedTime = 50 * time.Millisecond
 	// slowAnswers is how many answers in a row must be slow, within slowSpan, for a service to be
@@ -43,7 +43,7 @@
 // quantile returns the time within which a part of the answers came. One answer that took
 // for ever does not move it.
 func (s *samples) quantile(part float64) time.Duration {
-	if s.count < minAnswers {
+	if s.count < minSamples {
 		return assumedTime
 	}
 	sorted := s.kept
