--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -11,8 +11,8 @@
 	sampleSize = 32
 	// minSamples is from how many answers on times are believed.
 	minSamples = 4
-	// assumedTime is reckoned with before that: most plain requests take less.
-	assumedTime = 50 * time.Millisecond
+	// defaultRequestTime is reckoned with before that: most plain requests take less.
+	defaultRequestTime = 50 * time.Millisecond
 	// slowAnswers is how many answers in a row must be slow, within slowSpan, for a service to be
 	// taken to be full: with room, one of so many is as fast as most, however much
 	// requests differ.
@@ -44,7 +44,7 @@
 // for ever does not move it.
 func (s *samples) quantile(part float64) time.Duration {
 	if s.count < minSamples {
-		return assumedTime
+		return defaultRequestTime
 	}
 	sorted := s.kept
 	taken := sorted[:min(s.count, sampleSize)]
