--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -13,11 +13,11 @@
 	minSamples = 4
 	// defaultRequestTime is reckoned with before that: most plain requests take less.
 	defaultRequestTime = 50 * time.Millisecond
-	// slowAnswers is how many answers in a row must be slow, within slowSpan, for a service to be
+	// minSlowAnswers is how many answers in a row must be slow, within slowSpan, for a service to be
 	// taken to be full: with room, one of so many is as fast as most, however much
 	// requests differ.
-	slowAnswers = 4
-	slowSpan    = 2 * time.Second
+	minSlowAnswers = 4
+	slowSpan       = 2 * time.Second
 	// slowBy is by how much they take longer than usuallyPart of the answers do.
 	slowBy      = 2
 	usuallyPart = 0.75
@@ -86,7 +86,7 @@
 	if slow {
 		t.last = append(t.last, took)
 	}
-	if len(t.last) < slowAnswers {
+	if len(t.last) < minSlowAnswers {
 		return 0, false
 	}
 	slices.Sort(t.last)
