--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -17,7 +17,7 @@
 	// taken to be full: with room, one of so many is as fast as most, however much
 	// requests differ.
 	minSlowAnswers = 4
-	slowSpan       = 2 * time.Second
+	slowWindow     = 2 * time.Second
 	// slowBy is by how much they take longer than usuallyPart of the answers do.
 	slowBy      = 2
 	usuallyPart = 0.75
@@ -80,7 +80,7 @@
 	if !full || t.samples.count%usualFollows == 0 {
 		t.calm.note(took)
 	}
-	if !slow || now.Sub(t.since) > slowSpan {
+	if !slow || now.Sub(t.since) > slowWindow {
 		t.last, t.since = t.last[:0], now
 	}
 	if slow {
