--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -19,8 +19,8 @@
 	minSlowAnswers = 4
 	slowWindow     = 2 * time.Second
 	// slowFactor is by how much they take longer than usuallyPart of the answers do.
-	slowFactor  = 2
-	usuallyPart = 0.75
+	slowFactor            = 2
+	slowReferenceQuantile = 0.75
 	// slowAimPart is the part of its aim, one in so many, from which on an answer of a full service
 	// is slow.
 	slowAimPart = 2
@@ -70,7 +70,7 @@
 	if full && aim > 0 && took >= aim/slowAimPart {
 		return true
 	}
-	return t.calm.count >= sampleSize/2 && took >= slowFactor*t.calm.quantile(usuallyPart)
+	return t.calm.count >= sampleSize/2 && took >= slowFactor*t.calm.quantile(slowReferenceQuantile)
 }
 
 // note takes an answer into account, that was slow or not. It reports whether the service is slow, and by which
