--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -21,9 +21,9 @@
 	// slowFactor is by how much they take longer than usuallyPart of the answers do.
 	slowFactor            = 2
 	slowReferenceQuantile = 0.75
-	// slowAimPart is the part of its aim, one in so many, from which on an answer of a full service
+	// slowTargetDivisor is the part of its aim, one in so many, from which on an answer of a full service
 	// is slow.
-	slowAimPart = 2
+	slowTargetDivisor = 2
 	// usualFollows is how often, one answer in so many, what is usual follows while the service
 	// is taken to be full: one that has become slow for good is soon as usual.
 	usualFollows = 8
@@ -67,7 +67,7 @@
 // much of its aim that requests which wait here before could not reach theirs. A daemon that
 // asks seldom knows little of what is usual.
 func (t *times) slow(took, aim time.Duration, full bool) bool {
-	if full && aim > 0 && took >= aim/slowAimPart {
+	if full && aim > 0 && took >= aim/slowTargetDivisor {
 		return true
 	}
 	return t.calm.count >= sampleSize/2 && took >= slowFactor*t.calm.quantile(slowReferenceQuantile)
