--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -24,9 +24,9 @@
 	// slowTargetDivisor is the part of its aim, one in so many, from which on an answer of a full service
 	// is slow.
 	slowTargetDivisor = 2
-	// usualFollows is how often, one answer in so many, what is usual follows while the service
+	// baselineSampleInterval is how often, one answer in so many, what is usual follows while the service
 	// is taken to be full: one that has become slow for good is soon as usual.
-	usualFollows = 8
+	baselineSampleInterval = 8
 )
 
 // samples are the times of the last answers.
@@ -77,7 +77,7 @@
 // time: as fast as half of the last answers.
 func (t *times) note(now time.Time, took time.Duration, slow, full bool) (lately time.Duration, isSlow bool) {
 	t.samples.note(took)
-	if !full || t.samples.count%usualFollows == 0 {
+	if !full || t.samples.count%baselineSampleInterval == 0 {
 		t.calm.note(took)
 	}
 	if !slow || now.Sub(t.since) > slowWindow {
