--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -31,12 +31,12 @@
 
 // samples are the times of the last answers.
 type samples struct {
-	kept  [sampleSize]time.Duration
+	ring  [sampleSize]time.Duration
 	count int
 }
 
 func (s *samples) note(took time.Duration) {
-	s.kept[s.count%sampleSize] = took
+	s.ring[s.count%sampleSize] = took
 	s.count++
 }
 
@@ -46,7 +46,7 @@
 	if s.count < minSamples {
 		return defaultRequestTime
 	}
-	sorted := s.kept
+	sorted := s.ring
 	taken := sorted[:min(s.count, sampleSize)]
 	slices.Sort(taken)
 	return taken[int(part*float64(len(taken)-1))]
