--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -35,7 +35,7 @@
 	count int
 }
 
-func (s *samples) note(took time.Duration) {
+func (s *samples) add(took time.Duration) {
 	s.ring[s.count%sampleSize] = took
 	s.count++
 }
@@ -76,9 +76,9 @@
 // note takes an answer into account, that was slow or not. It reports whether the service is slow, and by which
 // time: as fast as half of the last answers.
 func (t *times) note(now time.Time, took time.Duration, slow, full bool) (lately time.Duration, isSlow bool) {
-	t.samples.note(took)
+	t.samples.add(took)
 	if !full || t.samples.count%baselineSampleInterval == 0 {
-		t.calm.note(took)
+		t.calm.add(took)
 	}
 	if !slow || now.Sub(t.since) > slowWindow {
 		t.last, t.since = t.last[:0], now
