--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -43,7 +43,7 @@
 
 	mu      sync.Mutex
 	rate    StartRate
-	times   times
+	times   answerTimes
 	retries retrybudget.Budget
 	waiting []*waiter
 	// work has the work that tenants have had while the start rate bound.
--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -52,8 +52,8 @@
 	return taken[int(part*float64(len(taken)-1))]
 }
 
-// times are those that the answers of a service took.
-type times struct {
+// answerTimes are those that the answers of a service took.
+type answerTimes struct {
 	samples
 	// calm are those while it was not taken to be full.
 	calm samples
@@ -66,7 +66,7 @@
 // slow reports whether an answer took slowBy times as long as is usual or, of a full service, so
 // much of its aim that requests which wait here before could not reach theirs. A daemon that
 // asks seldom knows little of what is usual.
-func (t *times) slow(took, aim time.Duration, full bool) bool {
+func (t *answerTimes) slow(took, aim time.Duration, full bool) bool {
 	if full && aim > 0 && took >= aim/slowTargetDivisor {
 		return true
 	}
@@ -75,7 +75,7 @@
 
 // note takes an answer into account, that was slow or not. It reports whether the service is slow, and by which
 // time: as fast as half of the last answers.
-func (t *times) note(now time.Time, took time.Duration, slow, full bool) (lately time.Duration, isSlow bool) {
+func (t *answerTimes) note(now time.Time, took time.Duration, slow, full bool) (lately time.Duration, isSlow bool) {
 	t.samples.add(took)
 	if !full || t.samples.count%baselineSampleInterval == 0 {
 		t.calm.add(took)
