--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -55,8 +55,8 @@
 // answerTimes are those that the answers of a service took.
 type answerTimes struct {
 	samples
-	// calm are those while it was not taken to be full.
-	calm samples
+	// baseline are those while it was not taken to be full.
+	baseline samples
 	// last are the slow answers in a row, of which no conclusion was drawn yet.
 	last []time.Duration
 	// since is when the first of them came.
@@ -70,7 +70,7 @@
 	if full && aim > 0 && took >= aim/slowTargetDivisor {
 		return true
 	}
-	return t.calm.count >= sampleSize/2 && took >= slowFactor*t.calm.quantile(slowReferenceQuantile)
+	return t.baseline.count >= sampleSize/2 && took >= slowFactor*t.baseline.quantile(slowReferenceQuantile)
 }
 
 // note takes an answer into account, that was slow or not. It reports whether the service is slow, and by which
@@ -78,7 +78,7 @@
 func (t *answerTimes) note(now time.Time, took time.Duration, slow, full bool) (lately time.Duration, isSlow bool) {
 	t.samples.add(took)
 	if !full || t.samples.count%baselineSampleInterval == 0 {
-		t.calm.add(took)
+		t.baseline.add(took)
 	}
 	if !slow || now.Sub(t.since) > slowWindow {
 		t.last, t.since = t.last[:0], now
