--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -57,8 +57,8 @@
 	samples
 	// baseline are those while it was not taken to be full.
 	baseline samples
-	// last are the slow answers in a row, of which no conclusion was drawn yet.
-	last []time.Duration
+	// slowRun are the slow answers in a row, of which no conclusion was drawn yet.
+	slowRun []time.Duration
 	// since is when the first of them came.
 	since time.Time
 }
@@ -81,16 +81,16 @@
 		t.baseline.add(took)
 	}
 	if !slow || now.Sub(t.since) > slowWindow {
-		t.last, t.since = t.last[:0], now
+		t.slowRun, t.since = t.slowRun[:0], now
 	}
 	if slow {
-		t.last = append(t.last, took)
+		t.slowRun = append(t.slowRun, took)
 	}
-	if len(t.last) < minSlowAnswers {
+	if len(t.slowRun) < minSlowAnswers {
 		return 0, false
 	}
-	slices.Sort(t.last)
-	lately = t.last[len(t.last)/2]
-	t.last, t.since = t.last[:0], now
+	slices.Sort(t.slowRun)
+	lately = t.slowRun[len(t.slowRun)/2]
+	t.slowRun, t.since = t.slowRun[:0], now
 	return lately, true
 }
