--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -59,8 +59,8 @@
 	baseline samples
 	// slowRun are the slow answers in a row, of which no conclusion was drawn yet.
 	slowRun []time.Duration
-	// since is when the first of them came.
-	since time.Time
+	// slowSince is when the first of them came.
+	slowSince time.Time
 }
 
 // slow reports whether an answer took slowBy times as long as is usual or, of a full service, so
@@ -80,8 +80,8 @@
 	if !full || t.samples.count%baselineSampleInterval == 0 {
 		t.baseline.add(took)
 	}
-	if !slow || now.Sub(t.since) > slowWindow {
-		t.slowRun, t.since = t.slowRun[:0], now
+	if !slow || now.Sub(t.slowSince) > slowWindow {
+		t.slowRun, t.slowSince = t.slowRun[:0], now
 	}
 	if slow {
 		t.slowRun = append(t.slowRun, took)
@@ -91,6 +91,6 @@
 	}
 	slices.Sort(t.slowRun)
 	lately = t.slowRun[len(t.slowRun)/2]
-	t.slowRun, t.since = t.slowRun[:0], now
+	t.slowRun, t.slowSince = t.slowRun[:0], now
 	return lately, true
 }
