--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -84,7 +84,7 @@
 // recordAnswer learns from the time of an answer. The lock is held.
 func (g *gate) recordAnswer(now time.Time, took, aim time.Duration, replicas []replica.Replica) {
 	c := g.capacity(replicas)
-	slowAnswer := g.times.slow(took, aim, g.rate.active)
+	slowAnswer := g.times.isSlow(took, aim, g.rate.active)
 	if lately, slow := g.times.note(now, took, slowAnswer, g.rate.active); slow {
 		c.TypicalTime = lately
 		g.recordFull(now, SignSlow, c)
--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -63,10 +63,10 @@
 	slowSince time.Time
 }
 
-// slow reports whether an answer took slowBy times as long as is usual or, of a full service, so
+// isSlow reports whether an answer took slowBy times as long as is usual or, of a full service, so
 // much of its aim that requests which wait here before could not reach theirs. A daemon that
 // asks seldom knows little of what is usual.
-func (t *answerTimes) slow(took, aim time.Duration, full bool) bool {
+func (t *answerTimes) isSlow(took, aim time.Duration, full bool) bool {
 	if full && aim > 0 && took >= aim/slowTargetDivisor {
 		return true
 	}
