--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -85,7 +85,7 @@
 func (g *gate) recordAnswer(now time.Time, took, aim time.Duration, replicas []replica.Replica) {
 	c := g.capacity(replicas)
 	slowAnswer := g.times.isSlow(took, aim, g.rate.active)
-	if lately, slow := g.times.note(now, took, slowAnswer, g.rate.active); slow {
+	if lately, slow := g.times.record(now, took, slowAnswer, g.rate.active); slow {
 		c.TypicalTime = lately
 		g.recordFull(now, SignSlow, c)
 		return
--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -73,9 +73,9 @@
 	return t.baseline.count >= sampleSize/2 && took >= slowFactor*t.baseline.quantile(slowReferenceQuantile)
 }
 
-// note takes an answer into account, that was slow or not. It reports whether the service is slow, and by which
+// record takes an answer into account, that was slow or not. It reports whether the service is slow, and by which
 // time: as fast as half of the last answers.
-func (t *answerTimes) note(now time.Time, took time.Duration, slow, full bool) (lately time.Duration, isSlow bool) {
+func (t *answerTimes) record(now time.Time, took time.Duration, slow, full bool) (lately time.Duration, isSlow bool) {
 	t.samples.add(took)
 	if !full || t.samples.count%baselineSampleInterval == 0 {
 		t.baseline.add(took)
