--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -87,8 +87,8 @@
 	calmAnswers int
 }
 
-// Full notes a sign that the service is full.
-func (r *StartRate) Full(now time.Time, c Capacity, sign FullnessSign) {
+// RecordFull notes a sign that the service is full.
+func (r *StartRate) RecordFull(now time.Time, c Capacity, sign FullnessSign) {
 	if !r.active {
 		*r = StartRate{active: true, perSecond: max(c.equalShare(), initialDemandFraction*c.Demand), credit: maxCredit, creditAt: now, cutAt: now}
 	}
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -25,7 +25,7 @@
 func TestASignBindsToAnEqualShareAndCalmEndsIt(t *testing.T) {
 	is := is.New(t)
 	var p StartRate
-	p.Full(paceStart, tenth, SignDeclined)
+	p.RecordFull(paceStart, tenth, SignDeclined)
 	is.Equal(p.perSecond, 20.0)
 	is.True(p.Take(paceStart))
 	is.True(!p.Take(paceStart))
@@ -43,7 +43,7 @@
 func TestASignLapses(t *testing.T) {
 	is := is.New(t)
 	var p StartRate
-	p.Full(paceStart, tenth, SignDeclined)
+	p.RecordFull(paceStart, tenth, SignDeclined)
 	p.Rest(paceStart.Add(fullMaxAge))
 	is.True(p.active)
 	p.Rest(paceStart.Add(fullMaxAge + 1))
@@ -54,9 +54,9 @@
 func TestSignsOfOneMomentCountOnce(t *testing.T) {
 	is := is.New(t)
 	var p StartRate
-	p.Full(paceStart, tenth, SignDeclined)
+	p.RecordFull(paceStart, tenth, SignDeclined)
 	for range 10 {
-		p.Full(paceStart.Add(minCutInterval), tenth, SignDeclined)
+		p.RecordFull(paceStart.Add(minCutInterval), tenth, SignDeclined)
 	}
 	is.Equal(p.perSecond, 20*declinedCutFactor)
 }
@@ -67,7 +67,7 @@
 	is := is.New(t)
 	var p StartRate
 	for i := range 100 {
-		p.Full(paceStart.Add(time.Duration(i)*minCutInterval), tenth, SignSlow)
+		p.RecordFull(paceStart.Add(time.Duration(i)*minCutInterval), tenth, SignSlow)
 	}
 	is.Equal(p.perSecond, 20.0)
 }
@@ -77,7 +77,7 @@
 	is := is.New(t)
 	var p StartRate
 	for i := range 1000 {
-		p.Full(paceStart.Add(time.Duration(i)*minCutInterval), tenth, SignDeclined)
+		p.RecordFull(paceStart.Add(time.Duration(i)*minCutInterval), tenth, SignDeclined)
 	}
 	is.Equal(p.perSecond, 20*minShareFraction)
 }
@@ -99,7 +99,7 @@
 					continue
 				}
 				declines[i]--
-				paces[i].Full(now, c, SignDeclined)
+				paces[i].RecordFull(now, c, SignDeclined)
 			}
 		}
 	}
@@ -111,7 +111,7 @@
 func TestASuspensionSavesNothingUp(t *testing.T) {
 	is := is.New(t)
 	var p StartRate
-	p.Full(paceStart, tenth, SignDeclined)
+	p.RecordFull(paceStart, tenth, SignDeclined)
 	is.True(p.Take(paceStart))
 	after := paceStart.Add(time.Hour)
 	is.True(p.Take(after))
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -74,7 +74,7 @@
 // recordFull notes a sign that the service is recordFull. The lock is held.
 func (g *gate) recordFull(now time.Time, sign FullnessSign, c Capacity) {
 	before := g.rate.active
-	g.rate.Full(now, c, sign)
+	g.rate.RecordFull(now, c, sign)
 	if !before {
 		g.options.Logger.Info("service full", zap.String("service", g.service), zap.String("sign", string(sign)),
 			zap.Int("slots", c.Slots), zap.Int("daemons", c.Daemons), zap.Duration("usual", c.TypicalTime), zap.Float64("rate", g.rate.perSecond))
