--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -107,8 +107,8 @@
 	return min(r.perSecond, max(r.perSecond*queuedCutFactor, c.equalShare()))
 }
 
-// Answered notes an answer without such a sign.
-func (r *StartRate) Answered(now time.Time, c Capacity) {
+// RecordAnswer notes an answer without such a sign.
+func (r *StartRate) RecordAnswer(now time.Time, c Capacity) {
 	if !r.active {
 		return
 	}
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -17,7 +17,7 @@
 	var p StartRate
 	for range 1000 {
 		is.True(p.Take(paceStart))
-		p.Answered(paceStart, tenth)
+		p.RecordAnswer(paceStart, tenth)
 	}
 	is.Equal(p.Next(paceStart), time.Duration(0))
 }
@@ -33,7 +33,7 @@
 	p.Rest(paceStart)
 	is.True(p.active)
 	for range minCalmAnswers {
-		p.Answered(paceStart, tenth)
+		p.RecordAnswer(paceStart, tenth)
 	}
 	p.Rest(paceStart)
 	is.True(!p.active)
@@ -95,7 +95,7 @@
 		for i := range paces {
 			for starts[i] += paces[i].perSecond * step.Seconds(); starts[i] >= 1; starts[i]-- {
 				if declines[i] += max(0, 1-c.totalRate()/total); declines[i] < 1 {
-					paces[i].Answered(now, c)
+					paces[i].RecordAnswer(now, c)
 					continue
 				}
 				declines[i]--
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -94,7 +94,7 @@
 		// It may have waited at the replica: it shows no room, and is no sign by itself.
 		return
 	}
-	g.rate.Answered(now, c)
+	g.rate.RecordAnswer(now, c)
 	if hasRoom(replicas) {
 		g.rate.Room(now)
 	}
