--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -77,7 +77,7 @@
 		g.log(w, outcomeAbandoned, &RefusedError{Reason: Reason(context.Cause(ctx).Error())})
 	} else if d := <-w.decided; d.ticket != nil {
 		// Its turn came together with the end: it is not sent, and its part goes to the next one.
-		g.rate.Room(g.options.Clock())
+		g.rate.AllowStart(g.options.Clock())
 		g.correctWork(d.ticket, -d.ticket.chargedWork)
 	}
 	g.processQueue(g.options.Clock(), g.options.Replicas(g.service))
--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -122,8 +122,8 @@
 	r.clamp(c)
 }
 
-// Room notes that a place is free: a request may start now.
-func (r *StartRate) Room(now time.Time) {
+// AllowStart notes that a place is free: a request may start now.
+func (r *StartRate) AllowStart(now time.Time) {
 	r.refill(now)
 	r.credit = maxCredit
 }
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -96,7 +96,7 @@
 	}
 	g.rate.RecordAnswer(now, c)
 	if hasRoom(replicas) {
-		g.rate.Room(now)
+		g.rate.AllowStart(now)
 	}
 }
 
