--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -105,7 +105,7 @@
 	if allFull(replicas) {
 		g.recordFull(now, SignSlotsTaken, g.capacity(replicas))
 	} else if len(g.waiting) == 0 {
-		g.rate.Rest(now)
+		g.rate.Expire(now)
 	}
 	if !g.rate.active {
 		clear(g.work)
@@ -216,7 +216,7 @@
 	defer g.mu.Unlock()
 	counts.Waiting += len(g.waiting)
 	if len(g.waiting) == 0 {
-		g.rate.Rest(g.options.Clock())
+		g.rate.Expire(g.options.Clock())
 	}
 	if g.rate.active {
 		counts.FullServices++
--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -128,8 +128,8 @@
 	r.credit = maxCredit
 }
 
-// Rest ends the binding once the service is not seen to be full any more. Nothing may wait.
-func (r *StartRate) Rest(now time.Time) {
+// Expire ends the binding once the service is not seen to be full any more. Nothing may wait.
+func (r *StartRate) Expire(now time.Time) {
 	if r.active && !r.full(now) {
 		*r = StartRate{}
 	}
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -30,12 +30,12 @@
 	is.True(p.Take(paceStart))
 	is.True(!p.Take(paceStart))
 	is.Equal(p.Next(paceStart).Round(time.Millisecond), 50*time.Millisecond)
-	p.Rest(paceStart)
+	p.Expire(paceStart)
 	is.True(p.active)
 	for range minCalmAnswers {
 		p.RecordAnswer(paceStart, tenth)
 	}
-	p.Rest(paceStart)
+	p.Expire(paceStart)
 	is.True(!p.active)
 }
 
@@ -44,9 +44,9 @@
 	is := is.New(t)
 	var p StartRate
 	p.RecordFull(paceStart, tenth, SignDeclined)
-	p.Rest(paceStart.Add(fullMaxAge))
+	p.Expire(paceStart.Add(fullMaxAge))
 	is.True(p.active)
-	p.Rest(paceStart.Add(fullMaxAge + 1))
+	p.Expire(paceStart.Add(fullMaxAge + 1))
 	is.True(!p.active)
 }
 
