--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -115,7 +115,7 @@
 	r.refill(now)
 	r.calmAnswers++
 	step := raiseFraction
-	if !r.full(now) {
+	if !r.isFull(now) {
 		step = calmRaiseFraction
 	}
 	r.perSecond += step * math.Sqrt(c.equalShare()*r.perSecond)
@@ -130,13 +130,13 @@
 
 // Expire ends the binding once the service is not seen to be full any more. Nothing may wait.
 func (r *StartRate) Expire(now time.Time) {
-	if r.active && !r.full(now) {
+	if r.active && !r.isFull(now) {
 		*r = StartRate{}
 	}
 }
 
-// full reports whether the last sign of fullness still counts.
-func (r *StartRate) full(now time.Time) bool {
+// isFull reports whether the last sign of fullness still counts.
+func (r *StartRate) isFull(now time.Time) bool {
 	return r.calmAnswers < minCalmAnswers && now.Sub(r.fullAt) <= fullMaxAge
 }
 
