--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -201,7 +201,7 @@
 			first = w
 		}
 	}
-	if first == nil || !g.rate.Take(now) {
+	if first == nil || !g.rate.TryStart(now) {
 		return false
 	}
 	g.admit(first)
--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -140,8 +140,8 @@
 	return r.calmAnswers < minCalmAnswers && now.Sub(r.fullAt) <= fullMaxAge
 }
 
-// Take spends the credit for a start, if there is one.
-func (r *StartRate) Take(now time.Time) bool {
+// TryStart spends the credit for a start, if there is one.
+func (r *StartRate) TryStart(now time.Time) bool {
 	if !r.active {
 		return true
 	}
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	var p StartRate
 	for range 1000 {
-		is.True(p.Take(paceStart))
+		is.True(p.TryStart(paceStart))
 		p.RecordAnswer(paceStart, tenth)
 	}
 	is.Equal(p.Next(paceStart), time.Duration(0))
@@ -27,8 +27,8 @@
 	var p StartRate
 	p.RecordFull(paceStart, tenth, SignDeclined)
 	is.Equal(p.perSecond, 20.0)
-	is.True(p.Take(paceStart))
-	is.True(!p.Take(paceStart))
+	is.True(p.TryStart(paceStart))
+	is.True(!p.TryStart(paceStart))
 	is.Equal(p.Next(paceStart).Round(time.Millisecond), 50*time.Millisecond)
 	p.Expire(paceStart)
 	is.True(p.active)
@@ -112,8 +112,8 @@
 	is := is.New(t)
 	var p StartRate
 	p.RecordFull(paceStart, tenth, SignDeclined)
-	is.True(p.Take(paceStart))
+	is.True(p.TryStart(paceStart))
 	after := paceStart.Add(time.Hour)
-	is.True(p.Take(after))
-	is.True(!p.Take(after))
+	is.True(p.TryStart(after))
+	is.True(!p.TryStart(after))
 }
