--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -147,7 +147,7 @@
 	rate := g.rate.perSecond
 	s := Snapshot{
 		Waiting: make([]QueuedRequest, len(g.waiting)), Rate: rate, LateRate: max(rate-g.arrivals.add(now, 0), rate/oldestTurnInterval),
-		NextStartIn: g.rate.Next(now), RequiredTime: g.times.quantile(requiredTimeQuantile), TypicalTime: g.times.quantile(0.5),
+		NextStartIn: g.rate.NextStartIn(now), RequiredTime: g.times.quantile(requiredTimeQuantile), TypicalTime: g.times.quantile(0.5),
 		TenantWork: make(map[string]time.Duration), Starts: g.starts,
 	}
 	for i, w := range g.waiting {
@@ -178,7 +178,7 @@
 		}
 	}
 	if len(g.waiting) > 0 {
-		g.scheduleRecheck(max(min(g.rate.Next(now), recheckInterval), time.Millisecond))
+		g.scheduleRecheck(max(min(g.rate.NextStartIn(now), recheckInterval), time.Millisecond))
 	}
 }
 
--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -153,8 +153,8 @@
 	return true
 }
 
-// Next is after which time a request may start, 0 for now.
-func (r *StartRate) Next(now time.Time) time.Duration {
+// NextStartIn is after which time a request may start, 0 for now.
+func (r *StartRate) NextStartIn(now time.Time) time.Duration {
 	if !r.active {
 		return 0
 	}
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -19,7 +19,7 @@
 		is.True(p.TryStart(paceStart))
 		p.RecordAnswer(paceStart, tenth)
 	}
-	is.Equal(p.Next(paceStart), time.Duration(0))
+	is.Equal(p.NextStartIn(paceStart), time.Duration(0))
 }
 
 func TestASignBindsToAnEqualShareAndCalmEndsIt(t *testing.T) {
@@ -29,7 +29,7 @@
 	is.Equal(p.perSecond, 20.0)
 	is.True(p.TryStart(paceStart))
 	is.True(!p.TryStart(paceStart))
-	is.Equal(p.Next(paceStart).Round(time.Millisecond), 50*time.Millisecond)
+	is.Equal(p.NextStartIn(paceStart).Round(time.Millisecond), 50*time.Millisecond)
 	p.Expire(paceStart)
 	is.True(p.active)
 	for range minCalmAnswers {
