--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -67,7 +67,7 @@
 		index := s.pickNext(done, had, after, longest)
 		picked := s.Waiting[index]
 		done[index] = true
-		late := s.late(picked, after)
+		late := s.isLate(picked, after)
 		if !longest && late {
 			after = s.NextStartIn + secondsToDuration(float64(starts+1)/s.LateRate)
 		}
@@ -81,7 +81,7 @@
 	return turns
 }
 
-func (s Snapshot) late(waiting QueuedRequest, after time.Duration) bool {
+func (s Snapshot) isLate(waiting QueuedRequest, after time.Duration) bool {
 	return after+s.TypicalTime > waiting.TargetLeft
 }
 
@@ -107,7 +107,7 @@
 	if one.Rank != other.Rank {
 		return one.Rank < other.Rank
 	}
-	if isLate := s.late(one, after); isLate != s.late(other, after) {
+	if isLate := s.isLate(one, after); isLate != s.isLate(other, after) {
 		return !isLate
 	}
 	if had[one.Tenant] != had[other.Tenant] {
