--- a/internal/requests/admission/accounts.go
+++ b/internal/requests/admission/accounts.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// fairnessTimeConstant is over which time tenants are held equal. Most often one request waits at a
-// daemon at a time, or none, so that the order of those that wait is fair only if it remembers
-// what each tenant has had before; a tenant that has paused is not owed more than this.
+// fairnessTimeConstant is the time constant of the exponential decay of each tenant's work. Since
+// at most one request usually waits at a daemon, the order is only fair if it accounts for recent
+// work; the decay bounds the advantage that an idle tenant accumulates.
 const fairnessTimeConstant = 5 * time.Second
 
-// tenantWork are the work that each tenant has had lately, which decays over fairSpan.
+// tenantWork maps each tenant to its recent work, which decays with fairnessTimeConstant.
 type tenantWork map[string]decayingWork
 
 type decayingWork struct {
@@ -18,16 +18,16 @@
 	at   time.Time
 }
 
-// work is the work work a tenant as work now.
+// work returns the recent work of a tenant, decayed up to now.
 func (a tenantWork) work(tenant string, now time.Time) time.Duration {
-	held, ok := a[tenant]
+	entry, ok := a[tenant]
 	if !ok {
 		return 0
 	}
-	return time.Duration(float64(held.work) * math.Exp(-max(now.Sub(held.at), 0).Seconds()/fairnessTimeConstant.Seconds()))
+	return time.Duration(float64(entry.work) * math.Exp(-max(now.Sub(entry.at), 0).Seconds()/fairnessTimeConstant.Seconds()))
 }
 
-// add adds to a tenant's work, or takes off it.
+// add adds work, which may be negative, to a tenant. The total never drops below 0.
 func (a tenantWork) add(tenant string, work time.Duration, now time.Time) {
 	a[tenant] = decayingWork{work: max(a.work(tenant, now)+work, 0), at: now}
 }
--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -1,31 +1,32 @@
-// Package admission decides, at each daemon by itself, which plain requests run now, which
-// wait for a place and which are told at once that they can't be served in time.
+// Package admission decides, independently at each daemon, which plain requests run now, which wait
+// in a queue and which are refused at once because they can't be served in time.
 //
-// It answers a burst of more plain requests than a service has places for, met by many
-// daemons that each see a few of them, from tenants of which some are large. Unlimited, the
-// requests fill the replicas' queues until all are late, or are offered from replica to
-// replica and refused together; a tenant that floods takes all places. While a service is
-// not seen to be full nothing waits and nothing changes.
+// It handles bursts in which many daemons together receive more plain requests than a service has
+// slots for, some of them from tenants that send far more than others. Without admission control
+// the requests fill the replicas' queues until all of them are late, or are declined by one replica
+// after the other, and a single tenant can take all slots. As long as a service shows no sign of
+// being full, requests pass without waiting.
 //
-// A daemon's part of the places may be less than one. It is therefore a rate of starts: the
-// part over the usual time of a request (Little's law), halved as a request is declined
-// everywhere, raised by a fixed step as one is answered (AIMD), which lets daemons that share
-// a service arrive at like parts without a word between them.
+// A daemon's share of the slots may be less than one, so it is expressed as a rate of starts: the
+// share divided by the typical duration of a request (Little's law). The rate is adjusted by
+// additive increase and multiplicative decrease (AIMD): it is cut when all replicas decline a
+// request and raised with each answer. Daemons that share a service thereby converge to similar
+// shares without communicating.
 //
 // # Usage
 //
 //	controller := admission.New(admission.Options{...})
-//	ticket, err := controller.Enter(ctx, admission.Request{ID: id, Service: service, Tenant: tenant, Rank: rank, Left: left})
+//	ticket, err := controller.Enter(ctx, admission.Request{ID: id, Service: service, Tenant: tenant, Rank: rank, TimeLeft: left})
 //	if err != nil {
-//		return err // a *Refused: the request has not run
+//		return err // a *RefusedError: the request has not run
 //	}
 //	answer, err := send() // further attempts as long as ticket.MayRetry
 //	ticket.Done(admission.Answered{Took: took})
 //
-// Plan and StartRate decide; they read no clock, and hold neither locks nor goroutines. A gate
-// for each service owns the state: the requests that wait, the start rate, the times of answers
-// and the work that tenants have had. It relies on replica for what is believed of the
-// replicas, and on ingress to tell by Ticket.Done what became of each request.
+// Plan and StartRate implement the decisions without clocks, locks or goroutines. One gate for each
+// service owns the state: the queue, the start rate, the durations of answers and the recent work
+// of tenants. The gate reads the state of the replicas from package replica, and the caller
+// (ingress) reports the outcome of each request with Ticket.Done.
 package admission
 
 import (
@@ -40,61 +41,64 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// Request is what decides on a request's turn.
+// Request describes a plain request that asks for admission.
 type Request struct {
 	ID      string
 	Service string
-	// Tenant is "" where there are no tenants; these requests share one part.
+	// Tenant is "" for requests without a tenant, which together count as one tenant.
 	Tenant string
-	// Rank is 0 for those that go first.
+	// Rank is the priority of the request; 0 is the highest.
 	Rank int
-	// TimeLeft is how long the caller still waits, by a clock that counts suspensions.
+	// TimeLeft returns how long the caller will still wait. Its clock includes the time in which
+	// the machine was suspended.
 	TimeLeft func() time.Duration
-	// TargetLatency is the time within which the answer earns its full credit, from the request's
-	// arrival, 0 for none.
+	// TargetLatency is the time from arrival within which an answer earns its full credit; 0 means
+	// that the request has no target.
 	TargetLatency time.Duration
-	// Age is how long ago the request arrived.
+	// Age is the time since the request arrived.
 	Age time.Duration
 }
 
-// Reason says why a request was refused.
+// Reason is the cause of a refusal. It is part of the error text that callers receive.
 type Reason string
 
 // Reasons of refusals.
 const (
-	// NoTurnInTime: by its place in the queue it can't be answered in its time, or would wait for longer
-	// than a part of its aim.
+	// NoTurnInTime: at its position in the queue the request can't be answered before its deadline,
+	// or it would wait longer than a fraction of its target latency.
 	NoTurnInTime Reason = "no turn in time"
-	// QueueFull: as many wait as this daemon lets wait for one service.
+	// QueueFull: the queue of the service at this daemon has reached maxWaiting.
 	QueueFull Reason = "too many wait"
-	// AllDeclined: every replica that was asked declined it, in each of its turns.
+	// AllDeclined: each time that the request was admitted, every replica that was asked declined
+	// it.
 	AllDeclined Reason = "all replicas are full"
 	// ContextEnded: the context of the request ended while it waited.
 	ContextEnded Reason = "its wait has ended"
 )
 
-// RefusedError says that a request was not sent to a replica, or that each declined it. It promises that the
-// request has not run and will not.
+// RefusedError reports that a request was refused before it was sent, or that every replica
+// declined it. It guarantees that the request has not run and will not run.
 type RefusedError struct {
 	Reason Reason
-	// RetryAfter is when the caller should come back; it differs between callers.
+	// RetryAfter is the suggested delay before the caller tries again. It is randomized, so that
+	// callers do not return at the same time.
 	RetryAfter time.Duration
-	// drainTime is when those that wait will have had their turns.
+	// drainTime is the estimated time until the current queue is empty.
 	drainTime time.Duration
 }
 
 // Error implements error.
 func (err *RefusedError) Error() string { return "admission: " + string(err.Reason) }
 
-// Options are what a Controller is made of.
+// Options configure a Controller and provide its dependencies.
 type Options struct {
-	// Replicas returns what is believed of the replicas of a service.
+	// Replicas returns the known state of the replicas of a service.
 	Replicas func(service string) []replica.Replica
-	// Daemons is how many daemons share the services.
+	// Daemons returns the number of daemons that share the services.
 	Daemons func() int
 	Clock   bootclock.Clock
-	// Observe is told of each request that waited or was refused: how it went on and
-	// how long it waited.
+	// Observe is called with the outcome and the waiting time of each request that waited or was
+	// refused. It is called with a mutex held and must not call the Controller.
 	Observe func(service, outcome string, waited time.Duration)
 	Logger  *zap.Logger
 }
@@ -106,22 +110,23 @@
 	gates map[string]*gate
 }
 
-// New returns a controller that has seen no service full.
+// New returns a Controller that considers no service full.
 func New(options Options) *Controller {
 	return &Controller{Options: options, gates: map[string]*gate{}}
 }
 
-// Enter returns once the request may be sent. The error is a *Refused.
+// Enter blocks until the request may be sent or is refused. The error is always a *RefusedError.
 func (c *Controller) Enter(ctx context.Context, req Request) (*Ticket, error) {
 	return c.gate(req.Service).enter(ctx, req)
 }
 
-// RefuseDeclined refuses a request that each replica has declined in each of its turns.
+// RefuseDeclined returns the refusal of a request that was declined by every replica each time it
+// was admitted.
 func (c *Controller) RefuseDeclined(req Request) *RefusedError {
 	return c.gate(req.Service).refuseDeclined(req)
 }
 
-// gate returns that of a service.
+// gate returns the gate of a service, creating it on first use.
 func (c *Controller) gate(service string) *gate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,17 +138,18 @@
 	return g
 }
 
-// Counts are figures of all services together.
+// Counts are gauges summed over all services.
 type Counts struct {
-	// Waiting is how many requests wait.
+	// Waiting is the number of queued requests.
 	Waiting int
-	// FullServices is how many services are seen to be full.
+	// FullServices is the number of services that are considered full.
 	FullServices int
-	// SlotShare is this daemon's part of the places of the full ones.
+	// SlotShare is this daemon's share of the slots of the full services.
 	SlotShare float64
 }
 
-// Count returns the figures as they are now.
+// Count returns the current counts. It ends the rate limit of services whose last sign of being
+// full is too old.
 func (c *Controller) Count() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -12,25 +12,23 @@
 )
 
 const (
-	// maxWaiting is how many requests of a service wait at one daemon at most: more
-	// than a daemon's part of the places ends within the time of a plain request, and
-	// few enough to be put in order at each arrival.
+	// maxWaiting bounds the requests of one service that wait at one daemon. It keeps the queue
+	// short enough to be sorted at each arrival.
 	maxWaiting = 64
-	// recheckInterval is after which time those that wait are looked at again if nothing has
-	// woken them: replicas come and go, and times run out.
+	// recheckInterval is the longest time between two checks of the queue, since replicas and
+	// deadlines change without an event at the gate.
 	recheckInterval = 50 * time.Millisecond
-	// requiredTimeQuantile is the part of the answers whose time a request must have left: the few that
-	// take longest are no reason to refuse others.
+	// requiredTimeQuantile is the quantile of answer durations that must fit into the time that a
+	// request has left. Slower outliers do not lead to refusals.
 	requiredTimeQuantile = 0.9
-	// retriesPercent is how many further attempts each hundred first ones of a full service
-	// earn, minRetries how many a second there are at least.
+	// retriesPercent is the number of further attempts earned by a hundred admitted requests of a
+	// full service; minRetriesPerSecond are allowed in any case.
 	retriesPercent      = 100
 	minRetriesPerSecond = 2
-	// maxWaitDivisor is the part of its aim, one in so many, that a request waits at most while
-	// the aim can be reached: a caller that is refused within it has the rest of the time for another
-	// try.
+	// maxWaitDivisor sets the longest wait of a request whose target latency can still be met: the
+	// target divided by it. The rest is left for a retry at another daemon.
 	maxWaitDivisor = 4
-	// demandTimeConstant is over which time arrivals are counted.
+	// demandTimeConstant is the time constant of the exponential decay of the arrival rate.
 	demandTimeConstant = 500 * time.Millisecond
 )
 
@@ -38,7 +36,7 @@
 type gate struct {
 	options *Options
 	service string
-	// random returns numbers from 0 to 1.
+	// random returns a number in [0, 1).
 	random func() float64
 
 	mu      sync.Mutex
@@ -46,44 +44,44 @@
 	times   answerTimes
 	retries retrybudget.Budget
 	waiting []*waiter
-	// work has the work that tenants have had while the start rate bound.
+	// work is the recent work of tenants since the rate limit became active.
 	work tenantWork
-	// starts counts while the start rate binds.
+	// starts is the number of requests admitted since the rate limit became active.
 	starts   int
 	arrivals arrivalRate
 	timer    *time.Timer
 }
 
-// arrivalRate is the rate of arrivals, in requests a second.
+// arrivalRate is an exponentially decaying estimate of the arrivals per second.
 type arrivalRate struct {
 	perSecond float64
 	at        time.Time
 }
 
-// add decays the rate and, for each arrival, raises it.
+// add decays the rate up to now, adds the given number of arrivals and returns the new rate.
 func (d *arrivalRate) add(now time.Time, arrivals float64) float64 {
-	passed := max(now.Sub(d.at), 0).Seconds() / demandTimeConstant.Seconds()
-	d.perSecond = d.perSecond*math.Exp(-passed) + arrivals/demandTimeConstant.Seconds()
+	elapsed := max(now.Sub(d.at), 0).Seconds() / demandTimeConstant.Seconds()
+	d.perSecond = d.perSecond*math.Exp(-elapsed) + arrivals/demandTimeConstant.Seconds()
 	d.at = now
 	return d.perSecond
 }
 
-// enter returns once a request may be sent.
+// enter blocks until the request may be sent, is refused or its context ends.
 func (g *gate) enter(ctx context.Context, req Request) (*Ticket, error) {
-	waiting, ticket := g.startOrEnqueue(req)
+	w, ticket := g.startOrEnqueue(req)
 	if ticket != nil {
 		return ticket, nil
 	}
 	select {
-	case d := <-waiting.decided:
+	case d := <-w.decided:
 		return d.ticket, d.err
 	case <-ctx.Done():
 	}
-	return g.abandon(ctx, waiting)
+	return g.abandon(ctx, w)
 }
 
-// startOrEnqueue lets a request start if its service is not seen to be full, or has it take its place
-// among those that wait, where it may start or be refused at once.
+// startOrEnqueue returns a ticket if the service is not considered full. Otherwise it queues the
+// request, which may be admitted or refused at once.
 func (g *gate) startOrEnqueue(req Request) (*waiter, *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -94,13 +92,14 @@
 	if len(replicas) == 0 || !g.rate.active {
 		return nil, g.start(req)
 	}
-	added := &waiter{Request: req, since: now, decided: make(chan decision, 1)}
-	g.waiting = append(g.waiting, added)
+	w := &waiter{Request: req, since: now, decided: make(chan decision, 1)}
+	g.waiting = append(g.waiting, w)
 	g.processQueue(now, replicas)
-	return added, nil
+	return w, nil
 }
 
-// updateRate takes what is believed of the replicas into account. The lock is held.
+// updateRate activates the rate limit if the replicas are full, and ends it if the last sign is too
+// old and the queue is empty. g.mu must be held.
 func (g *gate) updateRate(now time.Time, replicas []replica.Replica) {
 	if allFull(replicas) {
 		g.recordFull(now, SignSlotsTaken, g.capacity(replicas))
@@ -113,7 +112,8 @@
 	}
 }
 
-// allFull reports whether each replica is known to have as many requests as slots.
+// allFull reports whether there are replicas and each is known to have at least as many requests as
+// slots.
 func allFull(replicas []replica.Replica) bool {
 	return len(replicas) > 0 && !slices.ContainsFunc(replicas, func(rep replica.Replica) bool {
 		return rep.Slots <= 0 || max(rep.InFlight, rep.ReportedLoad) < rep.Slots
@@ -129,7 +129,8 @@
 		TypicalTime: max(g.times.quantile(0.5), time.Millisecond)}
 }
 
-// start gives a request its turn. The lock is held.
+// start returns the ticket of a request that is admitted. While the rate limit is active, it
+// charges the typical work of a request to the tenant. g.mu must be held.
 func (g *gate) start(req Request) *Ticket {
 	ticket := &Ticket{gate: g, tenant: req.Tenant, targetLatency: req.TargetLatency}
 	if !g.rate.active {
@@ -142,7 +143,7 @@
 	return ticket
 }
 
-// snapshot is what decides on the order of those that wait. The lock is held.
+// snapshot returns the input of Plan. g.mu must be held.
 func (g *gate) snapshot(now time.Time) Snapshot {
 	rate := g.rate.perSecond
 	s := Snapshot{
@@ -151,25 +152,26 @@
 		TenantWork: make(map[string]time.Duration), Starts: g.starts,
 	}
 	for i, w := range g.waiting {
-		held, aim := w.Age+now.Sub(w.since), time.Duration(math.MaxInt64)
-		patience := aim
+		age, targetLeft := w.Age+now.Sub(w.since), time.Duration(math.MaxInt64)
+		maxWait := targetLeft
 		if w.TargetLatency > 0 {
-			aim = w.TargetLatency - held
-			patience = max(w.TargetLatency/maxWaitDivisor-held, 0)
+			targetLeft = w.TargetLatency - age
+			maxWait = max(w.TargetLatency/maxWaitDivisor-age, 0)
 		}
 		s.TenantWork[w.Tenant] = g.work.work(w.Tenant, now)
-		s.Waiting[i] = QueuedRequest{Age: held, Tenant: w.Tenant, Rank: w.Rank, TimeLeft: w.TimeLeft(), TargetLeft: aim, MaxWait: patience}
+		s.Waiting[i] = QueuedRequest{Age: age, Tenant: w.Tenant, Rank: w.Rank, TimeLeft: w.TimeLeft(), TargetLeft: targetLeft, MaxWait: maxWait}
 	}
 	return s
 }
 
-// processQueue starts, keeps and refuses those that wait, and sees to it that it is called again.
-// The lock is held.
+// processQueue admits and refuses queued requests as far as possible now, and schedules the next
+// check if any still wait. g.mu must be held.
 func (g *gate) processQueue(now time.Time, replicas []replica.Replica) {
 	g.updateRate(now, replicas)
 	for len(g.waiting) > 0 {
 		if len(replicas) == 0 || !g.rate.active {
-			// Nothing is known to be full: what is sent says what is certain.
+			// Without a sign that the service is full, the attempts themselves determine the
+			// outcome.
 			g.admit(g.waiting[0])
 			continue
 		}
@@ -182,21 +184,21 @@
 	}
 }
 
-// startNext refuses those that have no time, and starts the first one if it may. It reports
-// whether one has started. The lock is held.
+// startNext refuses the requests that can't be served in time, and admits the next one if the rate
+// allows it. It reports whether a request was admitted. g.mu must be held.
 func (g *gate) startNext(now time.Time) bool {
 	var first *waiter
 	s := g.snapshot(now)
 	turns := Plan(s)
-	all := g.waiting
-	drain := secondsToDuration(float64(len(turns)) / s.LateRate)
+	waiting := g.waiting
+	drainTime := secondsToDuration(float64(len(turns)) / s.LateRate)
 	for i, turn := range turns {
-		w := all[turn.Index]
+		w := waiting[turn.Index]
 		switch {
 		case turn.Refused:
-			g.refuse(w, NoTurnInTime, drain)
+			g.refuse(w, NoTurnInTime, drainTime)
 		case i >= maxWaiting:
-			g.refuse(w, QueueFull, drain)
+			g.refuse(w, QueueFull, drainTime)
 		case first == nil:
 			first = w
 		}
@@ -208,7 +210,8 @@
 	return true
 }
 
-// slotShare is this daemon's part of the slotShare, while the start rate binds. The lock is held.
+// slotShare returns this daemon's share of the service's slots while the rate limit is active. g.mu
+// must be held.
 func (g *gate) slotShare() float64 { return g.rate.perSecond * g.times.quantile(0.5).Seconds() }
 
 func (g *gate) count(counts *Counts) {
--- a/internal/requests/admission/gate_test.go
+++ b/internal/requests/admission/gate_test.go
@@ -17,26 +17,27 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// entered is what became of one request at the gate.
+// entered is the result of one call of Enter and the time it took.
 type entered struct {
 	ticket *Ticket
 	err    error
 	after  time.Duration
 }
 
-// enter has a request of a tenant with so much time enter, and tells in a channel how it went on.
+// enter calls Enter for a request of a tenant that has span left, and sends the result on a
+// channel.
 func (d *daemon) enter(ctx context.Context, clock func() time.Time, tenant string, span time.Duration) <-chan entered {
-	told := make(chan entered, 1)
+	results := make(chan entered, 1)
 	began := clock()
 	go func() {
 		ticket, err := d.controller.Enter(ctx, Request{ID: "q", Service: "s", Tenant: tenant, TimeLeft: func() time.Duration { return span - clock().Sub(began) }})
-		told <- entered{ticket, err, clock().Sub(began)}
+		results <- entered{ticket, err, clock().Sub(began)}
 	}()
 	synctest.Wait()
-	return told
+	return results
 }
 
-// fill has a daemon see that its service is full, and spend its credit.
+// fill makes a daemon detect that its service is full and spends its credit.
 func (d *daemon) fill(t *testing.T) {
 	t.Helper()
 	ticket, err := d.controller.Enter(t.Context(), Request{Service: "s", TimeLeft: func() time.Duration { return far }})
@@ -59,7 +60,7 @@
 	})
 }
 
-func TestARequestWaitsForItsTurn(t *testing.T) {
+func TestRequestWaitsAtFullService(t *testing.T) {
 	inBubble(t, func(t *testing.T, is *is.I, d *daemon, clock *clocktest.Clock) {
 		d.fill(t)
 		got := <-d.enter(t.Context(), clock.Now, "a", far)
@@ -70,7 +71,7 @@
 	})
 }
 
-func TestARequestWithoutTimeIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutTimeIsRefusedImmediately(t *testing.T) {
 	inBubble(t, func(t *testing.T, is *is.I, d *daemon, clock *clocktest.Clock) {
 		d.fill(t)
 		got := <-d.enter(t.Context(), clock.Now, "a", 60*time.Millisecond)
@@ -78,23 +79,23 @@
 		is.True(errors.As(got.err, &refused))
 		is.Equal(refused.Reason, NoTurnInTime)
 		is.Equal(got.after, time.Duration(0))
-		is.True(refused.RetryAfter <= 20*time.Millisecond) // a third of its time
+		is.True(refused.RetryAfter <= 20*time.Millisecond) // a third of its remaining time
 	})
 }
 
-// Many wait at most; those that come then are refused.
-func TestTheQueueIsBounded(t *testing.T) {
+// Requests beyond maxWaiting are refused.
+func TestQueueIsBounded(t *testing.T) {
 	inBubble(t, func(t *testing.T, is *is.I, d *daemon, clock *clocktest.Clock) {
 		d.fill(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		var told []<-chan entered
+		var results []<-chan entered
 		for range maxWaiting + 3 {
-			told = append(told, d.enter(ctx, clock.Now, "a", far))
+			results = append(results, d.enter(ctx, clock.Now, "a", far))
 		}
 		is.Equal(d.controller.Count().Waiting, maxWaiting)
 		refused := 0
 		cancel()
-		for _, each := range told {
+		for _, each := range results {
 			var why *RefusedError
 			if errors.As((<-each).err, &why) && why.Reason == QueueFull {
 				refused++
@@ -104,7 +105,7 @@
 	})
 }
 
-func TestClientsThatLeaveAreLetGo(t *testing.T) {
+func TestCancelledRequestsLeaveTheQueue(t *testing.T) {
 	inBubble(t, func(t *testing.T, is *is.I, d *daemon, clock *clocktest.Clock) {
 		d.fill(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -119,17 +120,18 @@
 	})
 }
 
-// Beliefs of replicas go with them: what is sent then says what is certain.
-func TestReplicasVanish(t *testing.T) {
+// Without known replicas, waiting and new requests are admitted: the attempts determine the
+// outcome.
+func TestRequestsAreAdmittedWithoutKnownReplicas(t *testing.T) {
 	inBubble(t, func(t *testing.T, is *is.I, d *daemon, clock *clocktest.Clock) {
 		d.fill(t)
-		var told []<-chan entered
+		var results []<-chan entered
 		for range 20 {
-			told = append(told, d.enter(t.Context(), clock.Now, "a", far))
+			results = append(results, d.enter(t.Context(), clock.Now, "a", far))
 		}
 		d.table.Replace(nil)
-		time.Sleep(2 * time.Second) // they count as just removed for a while
-		for _, each := range told {
+		time.Sleep(2 * time.Second) // the table keeps removed replicas for a while
+		for _, each := range results {
 			is.NoErr((<-each).err)
 		}
 		got := <-d.enter(t.Context(), clock.Now, "a", far)
@@ -138,9 +140,8 @@
 	})
 }
 
-// The requests of a daemon that slept are refused as it wakes if their time has passed, and
-// run if not.
-func TestADaemonIsSuspended(t *testing.T) {
+// After a suspension, waiting requests whose deadline has passed are refused, and the others run.
+func TestQueueAfterSuspension(t *testing.T) {
 	inBubble(t, func(t *testing.T, is *is.I, d *daemon, clock *clocktest.Clock) {
 		d.fill(t)
 		short, long := d.enter(t.Context(), clock.Now, "a", 2*time.Second), d.enter(t.Context(), clock.Now, "b", far)
@@ -148,13 +149,13 @@
 		got := <-short
 		var refused *RefusedError
 		is.True(errors.As(got.err, &refused))
-		is.Equal(refused.RetryAfter, time.Duration(0)) // it has no time left to wait in
+		is.Equal(refused.RetryAfter, time.Duration(0)) // no time left to wait
 		is.NoErr((<-long).err)
 	})
 }
 
-// With fewer slots than before less starts, with more more, at once.
-func TestTheSlotsChange(t *testing.T) {
+// The start rate follows a change of the number of slots at once.
+func TestStartRateFollowsSlots(t *testing.T) {
 	inBubble(t, func(t *testing.T, is *is.I, d *daemon, clock *clocktest.Clock) {
 		d.fill(t)
 		before := d.controller.gate("s").rate.perSecond
@@ -167,28 +168,28 @@
 	})
 }
 
-// A full service is offered at most one more replica for each request in the long run.
-func TestFurtherOffersAreBounded(t *testing.T) {
+// At a full service, further attempts are limited to about one for each admitted request.
+func TestFurtherAttemptsAreBounded(t *testing.T) {
 	inBubble(t, func(t *testing.T, is *is.I, d *daemon, clock *clocktest.Clock) {
 		d.fill(t)
-		offers, starts := 0, 0
-		for began := time.Now(); time.Since(began) < 2*time.Second; starts++ {
+		further, admitted := 0, 0
+		for began := time.Now(); time.Since(began) < 2*time.Second; admitted++ {
 			got := <-d.enter(t.Context(), clock.Now, "a", far)
 			is.NoErr(got.err)
 			for range 4 {
 				if got.ticket.MayRetry() {
-					offers++
+					further++
 				}
 			}
 			got.ticket.Done(Declined{})
 		}
-		is.True(starts > 2)
-		is.True(offers <= starts+3*minRetriesPerSecond+2) // and so many a second
+		is.True(admitted > 2)
+		is.True(further <= admitted+3*minRetriesPerSecond+2) // plus the minimum rate and the initial tokens
 	})
 }
 
-// Each request that waited or was refused has one line, with what decided it.
-func TestOneLineForEachRequestThatWaited(t *testing.T) {
+// Each request that waited or was refused logs exactly one line with the inputs of the decision.
+func TestOneLogLinePerQueuedRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		core, logged := observer.New(zapcore.InfoLevel)
--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -7,111 +7,113 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// oldestTurnInterval is how often, one start in so many, the request goes first that has waited
-// longest. It is the bound on starvation: a request that keeps its time and has k requests
-// before it by arrival starts with one of the next oldestTurnInterval*(k+1) starts, whatever comes
-// meanwhile of higher ranks and other tenants. It costs the others that part of the places.
+// oldestTurnInterval is the number of starts after which the request that has waited longest goes
+// first. It bounds starvation: a request with k requests before it by arrival that keeps its
+// deadline is among the next oldestTurnInterval*(k+1) starts, no matter what arrives with a higher
+// rank or from other tenants.
 const oldestTurnInterval = 32
 
-// QueuedRequest is a request that waits.
+// QueuedRequest describes a waiting request to Plan.
 type QueuedRequest struct {
-	// Age is how long ago it arrived.
+	// Age is the time since the request arrived.
 	Age    time.Duration
 	Tenant string
 	Rank   int
-	// TimeLeft is how long its caller still waits, TargetLeft within which its answer would earn
-	// its full credit, MaxWait how long it may wait so that a caller that is
-	// refused can still be served soon elsewhere.
+	// TimeLeft is how long the caller will still wait, TargetLeft the time in which an answer would
+	// still meet the target latency. MaxWait bounds the further wait of a request that can meet its
+	// target, so that a refused caller has time to be served elsewhere.
 	TimeLeft, TargetLeft, MaxWait time.Duration
 }
 
-// Snapshot is what decides on the order of those that wait.
+// Snapshot is the input of Plan: the queue of one service at one moment.
 type Snapshot struct {
 	Waiting []QueuedRequest
-	// Rate is that of starts, LateRate what it leaves to those that are late, as newer ones
-	// go before them. Both are in starts a second and above 0.
+	// Rate is the rate of starts. LateRate is the part of it that is left for late requests, since
+	// newer ones go before them. Both are in starts per second and above 0.
 	Rate, LateRate float64
-	// NextStartIn is after which time the next request may start.
+	// NextStartIn is the time until the next request may start.
 	NextStartIn time.Duration
-	// RequiredTime is within which time most answers come, TypicalTime half of them.
+	// RequiredTime is the time within which most answers come, TypicalTime the median.
 	RequiredTime, TypicalTime time.Duration
-	// TenantWork is the work that each tenant of those that wait has had lately.
+	// TenantWork is the recent work of each tenant with a waiting request.
 	TenantWork map[string]time.Duration
-	// Starts is how many requests have started.
+	// Starts is the number of requests that have started.
 	Starts int
 }
 
-// Turn is the place of a request in the order.
+// Turn is the planned start, or the refusal, of a waiting request.
 type Turn struct {
-	// Index is that in Snapshot.Waiting.
+	// Index is the request's index in Snapshot.Waiting.
 	Index int
-	// StartsIn is when it is likely to start.
+	// StartsIn is the estimated time until the request starts.
 	StartsIn time.Duration
-	// Refused says that it can't be served in its time, or not before its patience ends.
+	// Refused reports that the request can't be answered before its deadline, or would start later
+	// than its MaxWait allows.
 	Refused bool
 }
 
-// Plan refuses those that can't be answered in their time or whose patience ends before their
-// turn, and orders the others: by rank; those first whose answer can still earn its full credit;
-// then the tenant's that has had the least work; then the one whose caller leaves first.
-// Each start is reckoned as work of its tenant. Those refused have no place in the order.
+// Plan orders the waiting requests and marks those as refused that can't be answered in time or
+// that would wait too long. The order is by rank; then requests that can still meet their target
+// latency before late ones; then the tenant with the least recent work; then the earliest deadline.
+// Each planned start counts as work of its tenant. Refused requests take no position in the order.
 func Plan(s Snapshot) []Turn {
 	turns := make([]Turn, 0, len(s.Waiting))
-	done := make([]bool, len(s.Waiting))
-	had := map[string]time.Duration{}
-	maps.Copy(had, s.TenantWork)
+	planned := make([]bool, len(s.Waiting))
+	work := map[string]time.Duration{}
+	maps.Copy(work, s.TenantWork)
 	starts := 0
 	for range s.Waiting {
-		after := s.NextStartIn + secondsToDuration(float64(starts)/s.Rate)
-		longest := (s.Starts+starts)%oldestTurnInterval == oldestTurnInterval-1
-		index := s.pickNext(done, had, after, longest)
+		startsIn := s.NextStartIn + secondsToDuration(float64(starts)/s.Rate)
+		oldestFirst := (s.Starts+starts)%oldestTurnInterval == oldestTurnInterval-1
+		index := s.pickNext(planned, work, startsIn, oldestFirst)
 		picked := s.Waiting[index]
-		done[index] = true
-		late := s.isLate(picked, after)
-		if !longest && late {
-			after = s.NextStartIn + secondsToDuration(float64(starts+1)/s.LateRate)
+		planned[index] = true
+		isLate := s.isLate(picked, startsIn)
+		if !oldestFirst && isLate {
+			startsIn = s.NextStartIn + secondsToDuration(float64(starts+1)/s.LateRate)
 		}
-		turn := Turn{Index: index, StartsIn: after, Refused: after+s.RequiredTime > picked.TimeLeft || !late && after > picked.MaxWait}
+		turn := Turn{Index: index, StartsIn: startsIn, Refused: startsIn+s.RequiredTime > picked.TimeLeft || !isLate && startsIn > picked.MaxWait}
 		turns = append(turns, turn)
 		if !turn.Refused {
 			starts++
-			had[picked.Tenant] += s.TypicalTime
+			work[picked.Tenant] += s.TypicalTime
 		}
 	}
 	return turns
 }
 
-func (s Snapshot) isLate(waiting QueuedRequest, after time.Duration) bool {
-	return after+s.TypicalTime > waiting.TargetLeft
+func (s Snapshot) isLate(waiting QueuedRequest, startsIn time.Duration) bool {
+	return startsIn+s.TypicalTime > waiting.TargetLeft
 }
 
-// pickNext returns which request goes next. One at least is not done.
-func (s Snapshot) pickNext(done []bool, had map[string]time.Duration, after time.Duration, longest bool) int {
+// pickNext returns the index of the request that goes next. At least one element of planned must be
+// false.
+func (s Snapshot) pickNext(planned []bool, work map[string]time.Duration, startsIn time.Duration, oldestFirst bool) int {
 	best := -1
 	for i, w := range s.Waiting {
-		if done[i] || longest && after+s.RequiredTime > w.TimeLeft {
+		if planned[i] || oldestFirst && startsIn+s.RequiredTime > w.TimeLeft {
 			continue
 		}
-		if best < 0 || longest && w.Age > s.Waiting[best].Age || !longest && s.before(w, s.Waiting[best], had, after) {
+		if best < 0 || oldestFirst && w.Age > s.Waiting[best].Age || !oldestFirst && s.before(w, s.Waiting[best], work, startsIn) {
 			best = i
 		}
 	}
 	if best < 0 {
-		return s.pickNext(done, had, after, false)
+		return s.pickNext(planned, work, startsIn, false)
 	}
 	return best
 }
 
-// before reports whether one request goes before the other.
-func (s Snapshot) before(one, other QueuedRequest, had map[string]time.Duration, after time.Duration) bool {
+// before reports whether request one goes before request other.
+func (s Snapshot) before(one, other QueuedRequest, work map[string]time.Duration, startsIn time.Duration) bool {
 	if one.Rank != other.Rank {
 		return one.Rank < other.Rank
 	}
-	if isLate := s.isLate(one, after); isLate != s.isLate(other, after) {
+	if isLate := s.isLate(one, startsIn); isLate != s.isLate(other, startsIn) {
 		return !isLate
 	}
-	if had[one.Tenant] != had[other.Tenant] {
-		return had[one.Tenant] < had[other.Tenant]
+	if work[one.Tenant] != work[other.Tenant] {
+		return work[one.Tenant] < work[other.Tenant]
 	}
 	if one.TimeLeft != other.TimeLeft {
 		return one.TimeLeft < other.TimeLeft
@@ -120,18 +122,18 @@
 }
 
 const (
-	// minRetryAfter is the shortest time that a refused caller is told to wait, a few requests'
-	// time, where its own time allows it.
+	// minRetryAfter is the shortest delay that is suggested to a refused caller, unless the
+	// caller's remaining time is too short for it.
 	minRetryAfter = 100 * time.Millisecond
-	// lowestRank is from which rank on callers are told the same.
+	// lowestRank is the rank from which on all ranks get the same delay.
 	lowestRank = 3
 )
 
-// RetryAfter is when a refused caller should come back: as the queue has drained, spread over
-// half of that time, so that callers refused together do not return together, and sooner the higher
-// its rank. Draw is between 0 and 1.
-func RetryAfter(drain, left time.Duration, rank int, draw float64) time.Duration {
-	most := refusal.Within(max(2*drain, 2*minRetryAfter), left)
-	place := (float64(min(max(rank, 0), lowestRank)) + draw) / (lowestRank + 1)
-	return most/2 + time.Duration(place*float64(most/2))
+// RetryAfter returns the delay after which a refused caller should try again. The delay is about
+// the time that the queue takes to drain, is shorter for higher ranks and is spread by draw, a
+// random number in [0, 1), so that callers refused together do not return together.
+func RetryAfter(drainTime, left time.Duration, rank int, draw float64) time.Duration {
+	maxDelay := refusal.Within(max(2*drainTime, 2*minRetryAfter), left)
+	position := (float64(min(max(rank, 0), lowestRank)) + draw) / (lowestRank + 1)
+	return maxDelay/2 + time.Duration(position*float64(maxDelay/2))
 }
--- a/internal/requests/admission/plan_test.go
+++ b/internal/requests/admission/plan_test.go
@@ -10,7 +10,7 @@
 
 const far = time.Hour
 
-// snapshotOf is one of a daemon that starts ten a second.
+// snapshotOf returns the snapshot of a daemon with ten starts per second.
 func snapshotOf(waiting ...QueuedRequest) Snapshot {
 	return Snapshot{Waiting: waiting, Rate: 10, LateRate: 10, RequiredTime: 50 * time.Millisecond, TypicalTime: 20 * time.Millisecond, TenantWork: map[string]time.Duration{}}
 }
@@ -25,13 +25,13 @@
 	return order
 }
 
-func TestPlanOrders(t *testing.T) {
+func TestPlanOrder(t *testing.T) {
 	in := func(rank int, tenant string, left time.Duration) QueuedRequest {
 		return QueuedRequest{Rank: rank, Tenant: tenant, TimeLeft: left, TargetLeft: far, MaxWait: far}
 	}
-	aimless := in(0, "a", far)
-	aimless.TargetLeft = 0
-	lowAim := in(1, "b", far)
+	late := in(0, "a", far)
+	late.TargetLeft = 0
+	lowRank := in(1, "b", far)
 	impatient := in(1, "b", far)
 	impatient.MaxWait = 90 * time.Millisecond
 	cases := map[string]struct {
@@ -39,17 +39,17 @@
 		served  map[string]time.Duration
 		order   string
 	}{
-		"nobody":                               {nil, nil, ""},
-		"rank before all else":                 {[]QueuedRequest{in(1, "a", time.Second), in(0, "b", far)}, map[string]time.Duration{"b": time.Second}, "10"},
-		"the tenant that had less":             {[]QueuedRequest{in(0, "a", time.Second), in(0, "b", far)}, map[string]time.Duration{"a": time.Second}, "10"},
-		"tenants take turns":                   {[]QueuedRequest{in(0, "a", far), in(0, "a", far), in(0, "a", far), in(0, "b", far), in(0, "b", far)}, map[string]time.Duration{"b": time.Millisecond}, "03142"},
-		"the earliest deadline of a tenant":    {[]QueuedRequest{in(0, "a", 2*time.Second), in(0, "a", time.Second)}, nil, "10"},
-		"one that is late goes behind":         {[]QueuedRequest{aimless, in(0, "b", far)}, map[string]time.Duration{"b": time.Second}, "10"},
-		"a late one before those of less rank": {[]QueuedRequest{lowAim, aimless}, nil, "10"},
-		"one without time has no place":        {[]QueuedRequest{in(0, "a", 40*time.Millisecond), in(0, "b", 60*time.Millisecond)}, nil, "1"},
-		"one whose patience ends before":       {[]QueuedRequest{in(0, "a", far), impatient}, nil, "0"},
-		"one whose patience lasts":             {[]QueuedRequest{impatient}, nil, "0"},
-		"one without time for its place":       {[]QueuedRequest{in(0, "a", far), in(1, "b", 120*time.Millisecond), in(2, "c", 160*time.Millisecond)}, nil, "02"},
+		"empty queue":                         {nil, nil, ""},
+		"rank decides first":                  {[]QueuedRequest{in(1, "a", time.Second), in(0, "b", far)}, map[string]time.Duration{"b": time.Second}, "10"},
+		"tenant with less work":               {[]QueuedRequest{in(0, "a", time.Second), in(0, "b", far)}, map[string]time.Duration{"a": time.Second}, "10"},
+		"tenants alternate":                   {[]QueuedRequest{in(0, "a", far), in(0, "a", far), in(0, "a", far), in(0, "b", far), in(0, "b", far)}, map[string]time.Duration{"b": time.Millisecond}, "03142"},
+		"earliest deadline of a tenant":       {[]QueuedRequest{in(0, "a", 2*time.Second), in(0, "a", time.Second)}, nil, "10"},
+		"late request goes last":              {[]QueuedRequest{late, in(0, "b", far)}, map[string]time.Duration{"b": time.Second}, "10"},
+		"late request before a lower rank":    {[]QueuedRequest{lowRank, late}, nil, "10"},
+		"deadline too close":                  {[]QueuedRequest{in(0, "a", 40*time.Millisecond), in(0, "b", 60*time.Millisecond)}, nil, "1"},
+		"MaxWait exceeded":                    {[]QueuedRequest{in(0, "a", far), impatient}, nil, "0"},
+		"MaxWait not exceeded":                {[]QueuedRequest{impatient}, nil, "0"},
+		"deadline too close for its position": {[]QueuedRequest{in(0, "a", far), in(1, "b", 120*time.Millisecond), in(2, "c", 160*time.Millisecond)}, nil, "02"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -63,26 +63,26 @@
 	}
 }
 
-// A plan names each request once, and refuses exactly those that would not be answered in time.
-func TestPlanIsTruthful(t *testing.T) {
+// A plan contains each request once and refuses exactly those that can't be answered in time.
+func TestPlanRefusesWhatCannotBeServed(t *testing.T) {
 	is := is.New(t)
 	s := snapshotOf()
 	for i := range 40 {
 		s.Waiting = append(s.Waiting, QueuedRequest{Rank: i % 3, Tenant: fmt.Sprint(i % 5), TimeLeft: time.Duration(i%8) * 400 * time.Millisecond, TargetLeft: time.Duration(i%4) * 100 * time.Millisecond, MaxWait: time.Duration(i%5) * 300 * time.Millisecond})
 	}
-	named := map[int]bool{}
+	seen := map[int]bool{}
 	for _, turn := range Plan(s) {
-		is.True(!named[turn.Index])
-		named[turn.Index] = true
+		is.True(!seen[turn.Index])
+		seen[turn.Index] = true
 		waiting := s.Waiting[turn.Index]
 		is.Equal(turn.Refused, turn.StartsIn+s.RequiredTime > waiting.TimeLeft || turn.StartsIn+s.TypicalTime <= waiting.TargetLeft && turn.StartsIn > waiting.MaxWait)
 	}
-	is.Equal(len(named), 40)
+	is.Equal(len(seen), 40)
 }
 
-// Whatever comes meanwhile, a request with k before it by arrival starts with one of the next
-// oldestEvery*(k+1) starts.
-func TestNobodyStarves(t *testing.T) {
+// A request with k requests before it by arrival is among the next oldestTurnInterval*(k+1) starts,
+// no matter what arrives meanwhile.
+func TestPlanPreventsStarvation(t *testing.T) {
 	is := is.New(t)
 	const before = 3
 	s := snapshotOf()
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestRefusedCallersComeBackApartAndByRank(t *testing.T) {
+func TestRetryAfterIsSpreadAndOrderedByRank(t *testing.T) {
 	is := is.New(t)
 	const drain, left = 400 * time.Millisecond, 2 * time.Second
 	is.True(RetryAfter(drain, left, 0, 0.9)-RetryAfter(drain, left, 0, 0.1) > 20*time.Millisecond)
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -8,41 +8,41 @@
 	"go.uber.org/zap"
 )
 
-// Outcomes of requests that waited or were refused, in logs and metrics.
+// Outcomes of requests that waited or were refused, as they appear in logs and metrics.
 const (
 	outcomeStarted   = "started"
 	outcomeRefused   = "refused"
 	outcomeAbandoned = "let go"
 )
 
-// waiter is a request that waits.
+// waiter is a request in the queue.
 type waiter struct {
 	Request
 	since time.Time
-	// decided has room for the one decision that ends its wait.
+	// decided is buffered for the one decision that ends the wait, so that sending never blocks.
 	decided chan decision
 }
 
-// decision ends the wait of a request: its turn, or a *Refused.
+// decision ends the wait of a request with either a ticket or a *RefusedError.
 type decision struct {
 	ticket *Ticket
 	err    error
 }
 
-// refuse ends the wait of a request that has not run. The lock is held.
-func (g *gate) refuse(w *waiter, reason Reason, drain time.Duration) {
+// refuse removes a waiting request from the queue and refuses it. g.mu must be held.
+func (g *gate) refuse(w *waiter, reason Reason, drainTime time.Duration) {
 	g.dequeue(w)
-	w.decided <- decision{err: g.newRefusal(w, reason, drain)}
+	w.decided <- decision{err: g.newRefusal(w, reason, drainTime)}
 }
 
-// newRefusal is that of a request, which it logs. The lock is held.
-func (g *gate) newRefusal(w *waiter, reason Reason, drain time.Duration) *RefusedError {
-	refused := &RefusedError{Reason: reason, RetryAfter: RetryAfter(drain, w.TimeLeft(), w.Rank, g.random()), drainTime: drain}
+// newRefusal returns the refusal of a request and logs it. g.mu must be held.
+func (g *gate) newRefusal(w *waiter, reason Reason, drainTime time.Duration) *RefusedError {
+	refused := &RefusedError{Reason: reason, RetryAfter: RetryAfter(drainTime, w.TimeLeft(), w.Rank, g.random()), drainTime: drainTime}
 	g.log(w, outcomeRefused, refused)
 	return refused
 }
 
-// refuseDeclined refuses a request that does not wait.
+// refuseDeclined refuses a request that is not in the queue because all replicas declined it.
 func (g *gate) refuseDeclined(req Request) *RefusedError {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -50,7 +50,7 @@
 	return g.newRefusal(w, AllDeclined, secondsToDuration(float64(len(g.waiting)+1)/max(g.rate.perSecond, minRate)))
 }
 
-// admit ends the wait of a request by its turn. The lock is held.
+// admit removes a waiting request from the queue and lets it start. g.mu must be held.
 func (g *gate) admit(w *waiter) {
 	g.dequeue(w)
 	if g.options.Clock().After(w.since) {
@@ -59,13 +59,13 @@
 	w.decided <- decision{ticket: g.start(w.Request)}
 }
 
-// dequeue takes a request off those that wait, and reports whether it was among them. The lock is held.
+// dequeue removes a request from the queue and reports whether it was there. g.mu must be held.
 func (g *gate) dequeue(w *waiter) bool {
 	i := slices.Index(g.waiting, w)
 	if i < 0 {
 		return false
 	}
-	g.waiting = slices.Delete(slices.Clone(g.waiting), i, i+1) // a plan under way holds the former slice
+	g.waiting = slices.Delete(slices.Clone(g.waiting), i, i+1) // cloned because startNext iterates over the old slice
 	return true
 }
 
@@ -76,7 +76,8 @@
 	if g.dequeue(w) {
 		g.log(w, outcomeAbandoned, &RefusedError{Reason: Reason(context.Cause(ctx).Error())})
 	} else if d := <-w.decided; d.ticket != nil {
-		// Its turn came together with the end: it is not sent, and its part goes to the next one.
+		// It was admitted at the moment its context ended. It is not sent, so the next request may
+		// start in its place.
 		g.rate.AllowStart(g.options.Clock())
 		g.correctWork(d.ticket, -d.ticket.chargedWork)
 	}
@@ -84,7 +85,7 @@
 	return nil, &RefusedError{Reason: ContextEnded, RetryAfter: minRetryAfter}
 }
 
-// scheduleRecheck has those that wait looked at again. The lock is held.
+// scheduleRecheck has the queue checked again after the given time. g.mu must be held.
 func (g *gate) scheduleRecheck(after time.Duration) {
 	if g.timer != nil {
 		g.timer.Reset(after)
@@ -97,16 +98,16 @@
 	})
 }
 
-// log writes the line about a request that waited or was refused. The lock is held.
-func (g *gate) log(w *waiter, outcome string, why *RefusedError) {
+// log logs and observes the outcome of a request that waited or was refused. g.mu must be held.
+func (g *gate) log(w *waiter, outcome string, refused *RefusedError) {
 	now := g.options.Clock()
 	waited := now.Sub(w.since)
 	g.options.Observe(g.service, outcome, waited)
 	g.options.Logger.Info("admission", zap.String("request", w.ID), zap.String("service", g.service),
 		zap.String("tenant", w.Tenant), zap.Int("rank", w.Rank),
-		zap.String("outcome", outcome), zap.String("reason", string(why.Reason)),
+		zap.String("outcome", outcome), zap.String("reason", string(refused.Reason)),
 		zap.Int("queue", len(g.waiting)), zap.Float64("rate", g.rate.perSecond), zap.Float64("places", g.slotShare()),
 		zap.Duration("usual", g.times.quantile(0.5)), zap.Duration("need", g.times.quantile(requiredTimeQuantile)),
 		zap.Duration("waited", waited), zap.Duration("left", w.TimeLeft()),
-		zap.Duration("full_age", now.Sub(g.rate.fullAt)), zap.Duration("drain", why.drainTime), zap.Duration("come_back", why.RetryAfter))
+		zap.Duration("full_age", now.Sub(g.rate.fullAt)), zap.Duration("drain", refused.drainTime), zap.Duration("come_back", refused.RetryAfter))
 }
--- a/internal/requests/admission/replay_test.go
+++ b/internal/requests/admission/replay_test.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	replayAim      = 150 * time.Millisecond
+	replayTarget   = 150 * time.Millisecond
 	replayDeadline = 2 * time.Second
 	replayDaemons  = 67
 	replayTenants  = 88
 	replaySpan     = 5 * time.Second
-	// replayCalm comes before, at calmLoad of the capacity.
-	replayCalm = 5 * time.Second
-	calmLoad   = 0.3
-	// capacity is what the replicas can serve, in requests a second.
+	// replayWarmup precedes the burst, at warmupLoad of the capacity.
+	replayWarmup = 5 * time.Second
+	warmupLoad   = 0.3
+	// capacity is what the replicas can serve, in requests per second.
 	capacity = 18 / 0.025
 )
 
-// tally is what callers saw, by tenant.
+// tally counts the results that callers saw, by tenant.
 type tally struct {
-	mu                          sync.Mutex
-	asked, inAim, served, again [replayTenants]int
-	refusals                    int
-	// worth counts 1 for an answer in aim, less for one that is late, or that came in aim
-	// only after a refusal, and less than nothing for a caller that is refused twice.
-	worth                 float64
-	heldRefused, mostHeld time.Duration
+	mu                                        sync.Mutex
+	requests, inTarget, served, inTargetRetry [replayTenants]int
+	refusals                                  int
+	// score adds 1 for an answer within the target latency, less for an answer that is late or that
+	// came within the target only after a refusal, and subtracts for a second refusal.
+	score                            float64
+	totalWaitRefused, maxWaitRefused time.Duration
 }
 
 func sum(counts []int) float64 {
@@ -47,23 +47,23 @@
 	return float64(total)
 }
 
-// small are the tenants that ask least: all but the eight largest.
-const small = 8
+// firstSmall is the index of the first small tenant: all but the eight largest are small.
+const firstSmall = 8
 
 func (t *tally) String() string {
-	return fmt.Sprintf("worth %.3f, asked %.0f, in aim %.3f, in aim at the second try %.3f, served %.3f, small tenants in time %.3f, refusals %d held %v in the mean, %v at most",
-		t.worth/sum(t.asked[:]), sum(t.asked[:]), t.inAimShare(), sum(t.again[:])/sum(t.asked[:]), sum(t.served[:])/sum(t.asked[:]), t.smallShare(), t.refusals, t.meanHeld().Round(time.Millisecond/10), t.mostHeld.Round(time.Millisecond))
+	return fmt.Sprintf("score %.3f, requests %.0f, within target %.3f, within target on retry %.3f, served %.3f, small tenants within target %.3f, refusals %d after %v on average, %v at most",
+		t.score/sum(t.requests[:]), sum(t.requests[:]), t.inTargetFraction(), sum(t.inTargetRetry[:])/sum(t.requests[:]), sum(t.served[:])/sum(t.requests[:]), t.smallTenantFraction(), t.refusals, t.meanWaitRefused().Round(time.Millisecond/10), t.maxWaitRefused.Round(time.Millisecond))
 }
 
-func (t *tally) inAimShare() float64 { return sum(t.inAim[:]) / sum(t.asked[:]) }
-func (t *tally) smallShare() float64 {
-	return (sum(t.inAim[small:]) + sum(t.again[small:])) / sum(t.asked[small:])
+func (t *tally) inTargetFraction() float64 { return sum(t.inTarget[:]) / sum(t.requests[:]) }
+func (t *tally) smallTenantFraction() float64 {
+	return (sum(t.inTarget[firstSmall:]) + sum(t.inTargetRetry[firstSmall:])) / sum(t.requests[firstSmall:])
 }
-func (t *tally) meanHeld() time.Duration {
-	return t.heldRefused / time.Duration(max(t.refusals, 1))
+func (t *tally) meanWaitRefused() time.Duration {
+	return t.totalWaitRefused / time.Duration(max(t.refusals, 1))
 }
 
-// zipf returns a tenant, the first being the largest.
+// zipf draws a tenant from a Zipf distribution; tenant 0 is the largest.
 func zipf(random *rand.Rand) int {
 	total := 0.0
 	for i := range replayTenants {
@@ -78,41 +78,41 @@
 	return replayTenants - 1
 }
 
-// call is one caller: it comes back once after a refusal, to any daemon.
-func (t *tally) call(daemons []*daemon, tenant int, work time.Duration, at [2]int, admits bool) {
+// call simulates one caller, which retries once after a refusal, at another random daemon.
+func (t *tally) call(daemons []*daemon, tenant int, work time.Duration, daemonIndexes [2]int, withAdmission bool) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), replayDeadline)
 	defer cancel()
-	early := true
-	for try, which := range at {
+	refusedEarly := true
+	for try, which := range daemonIndexes {
 		tried := time.Now()
-		outcome, comeBack := daemons[which].answer(ctx, tenant, work, began, admits)
+		outcome, comeBack := daemons[which].answer(ctx, tenant, work, began, withAdmission)
 		t.mu.Lock()
 		took := time.Since(began)
 		if _, answered := outcome.(Answered); answered {
 			t.served[tenant]++
 			switch {
-			case took <= replayAim:
-				t.inAim[tenant]++
-				t.worth++
-			case time.Since(tried) <= replayAim:
-				t.again[tenant]++
-				t.worth += 0.25
-				if early {
-					t.worth += 0.375
+			case took <= replayTarget:
+				t.inTarget[tenant]++
+				t.score++
+			case time.Since(tried) <= replayTarget:
+				t.inTargetRetry[tenant]++
+				t.score += 0.25
+				if refusedEarly {
+					t.score += 0.375
 				}
 			default:
-				t.worth += 0.25
+				t.score += 0.25
 			}
 			t.mu.Unlock()
 			return
 		}
-		held := time.Since(tried)
+		waited := time.Since(tried)
 		t.refusals++
-		t.heldRefused += held
-		t.mostHeld = max(t.mostHeld, held)
-		early = early && held <= replayAim/4
-		t.worth -= 0.3 * float64(try)
+		t.totalWaitRefused += waited
+		t.maxWaitRefused = max(t.maxWaitRefused, waited)
+		refusedEarly = refusedEarly && waited <= replayTarget/4
+		t.score -= 0.3 * float64(try)
 		t.mu.Unlock()
 		wait(ctx, comeBack)
 		if ctx.Err() != nil {
@@ -121,13 +121,13 @@
 	}
 }
 
-func (d *daemon) answer(ctx context.Context, tenant int, work time.Duration, began time.Time, admits bool) (Outcome, time.Duration) {
-	if !admits {
+func (d *daemon) answer(ctx context.Context, tenant int, work time.Duration, began time.Time, withAdmission bool) (Outcome, time.Duration) {
+	if !withAdmission {
 		return d.send(ctx, work, func() bool { return true }), 250 * time.Millisecond
 	}
 	tried := time.Now()
 	req := func() Request {
-		return Request{ID: "q", Service: "s", Tenant: fmt.Sprint(tenant), TargetLatency: replayAim, Age: time.Since(tried),
+		return Request{ID: "q", Service: "s", Tenant: fmt.Sprint(tenant), TargetLatency: replayTarget, Age: time.Since(tried),
 			TimeLeft: func() time.Duration { return replayDeadline - time.Since(began) - 25*time.Millisecond }}
 	}
 	for range 3 {
@@ -145,88 +145,91 @@
 	return Declined{}, d.controller.RefuseDeclined(req()).RetryAfter
 }
 
-// replay has many callers ask some times as much as the replicas can serve.
-func replay(times float64, queue int, tells, admits bool) (*tally, *service) {
+// replay simulates callers that send a multiple of what the replicas can serve.
+func replay(times float64, queue int, reportsLoad, withAdmission bool) (*tally, *service) {
 	random := rand.New(rand.NewPCG(11, 7))
-	s := newService(queue, tells)
+	s := newService(queue, reportsLoad)
 	var daemons []*daemon
 	for range replayDaemons {
 		daemons = append(daemons, newDaemon(s, replayDaemons, zap.NewNop()))
 	}
-	counted := &tally{}
-	var all sync.WaitGroup
-	burst := func(times float64, span time.Duration, counted *tally) {
+	result := &tally{}
+	var callers sync.WaitGroup
+	burst := func(times float64, span time.Duration, result *tally) {
 		for began := time.Now(); time.Since(began) < span; {
 			time.Sleep(time.Duration(random.ExpFloat64() / (times * capacity) * float64(time.Second)))
 			tenant, work, at := zipf(random), workOf(random), [2]int{random.IntN(replayDaemons), random.IntN(replayDaemons)}
-			counted.asked[tenant]++
-			all.Go(func() { counted.call(daemons, tenant, work, at, admits) })
+			result.requests[tenant]++
+			callers.Go(func() { result.call(daemons, tenant, work, at, withAdmission) })
 		}
 	}
-	burst(calmLoad, replayCalm, &tally{})
-	burst(times, replaySpan, counted)
-	all.Wait()
-	return counted, s
+	burst(warmupLoad, replayWarmup, &tally{})
+	burst(times, replaySpan, result)
+	callers.Wait()
+	return result, s
 }
 
-// offers are how often the replicas were asked.
-func (s *service) offers() float64 {
-	req := 0
+// attempts returns the number of attempts that reached the replicas.
+func (s *service) attempts() float64 {
+	total := 0
 	for _, each := range s.replicas {
-		req += each.asked
+		total += each.attempts
 	}
-	return float64(req)
+	return float64(total)
 }
 
-// inTime is the part that was answered within its aim, at the first or the second try.
-func (t *tally) inTime() float64 { return (sum(t.inAim[:]) + sum(t.again[:])) / sum(t.asked[:]) }
+// inTime returns the fraction that was answered within the target latency of the first or second
+// try.
+func (t *tally) inTime() float64 {
+	return (sum(t.inTarget[:]) + sum(t.inTargetRetry[:])) / sum(t.requests[:])
+}
 
-// The load that the package answers: three times what the replicas can serve, for seconds,
-// without admission and with it. The bounds leave room for chance: replicas are picked at random.
-func TestABurstIsServedAsWellFairlyAndWithFewerOffers(t *testing.T) {
+// A sustained burst of three times the capacity, without and with admission. The bounds leave room
+// for chance, since replicas are picked at random.
+func TestBurstWithAdmission(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		queue     int
-		tells     bool
-		smallGain float64
-	}{{"full replicas decline", 0, false, 1.1}, {"full replicas queue", 24, false, 0.9}, {"full replicas queue and tell", 24, true, 0.9}} {
+		name          string
+		queue         int
+		reportsLoad   bool
+		minSmallRatio float64
+	}{{"full replicas decline", 0, false, 1.1}, {"full replicas queue", 24, false, 0.9}, {"full replicas queue and report load", 24, true, 0.9}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			before, sentBefore := played(t, 3, c.queue, c.tells, false)
-			after, sentAfter := played(t, 3, c.queue, c.tells, true)
-			is.True(after.inTime() > 0.8*before.inTime())                 // the places are used as well
-			is.True(after.smallShare() > c.smallGain*before.smallShare()) // small tenants have their part
-			is.True(sentAfter < sentBefore/3)                             // the overload is not multiplied
-			is.True(after.meanHeld() < replayAim/4)                       // callers hear early
+			without, attemptsWithout := runReplay(t, 3, c.queue, c.reportsLoad, false)
+			with, attemptsWith := runReplay(t, 3, c.queue, c.reportsLoad, true)
+			is.True(with.inTime() > 0.8*without.inTime())                                       // the slots are used about as well
+			is.True(with.smallTenantFraction() > c.minSmallRatio*without.smallTenantFraction()) // small tenants get their share
+			is.True(attemptsWith < attemptsWithout/3)                                           // retries do not multiply the overload
+			is.True(with.meanWaitRefused() < replayTarget/4)                                    // callers are refused early
 		})
 	}
 }
 
-// With room nothing waits, and nothing is refused that was served before.
-func TestWithRoomNothingChanges(t *testing.T) {
+// Below capacity, admission must not delay or refuse requests that would be served without it.
+func TestAdmissionBelowCapacity(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		queue int
-		tells bool
-	}{{"full replicas decline", 0, false}, {"full replicas queue and tell", 24, true}} {
+		name        string
+		queue       int
+		reportsLoad bool
+	}{{"full replicas decline", 0, false}, {"full replicas queue and report load", 24, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			before, _ := played(t, 0.5, c.queue, c.tells, false)
-			after, _ := played(t, 0.5, c.queue, c.tells, true)
-			is.True(after.inTime() > before.inTime()-0.01)
-			is.True(sum(after.served[:]) >= sum(before.served[:])-1)
+			without, _ := runReplay(t, 0.5, c.queue, c.reportsLoad, false)
+			with, _ := runReplay(t, 0.5, c.queue, c.reportsLoad, true)
+			is.True(with.inTime() > without.inTime()-0.01)
+			is.True(sum(with.served[:]) >= sum(without.served[:])-1)
 		})
 	}
 }
 
-// played replays a load in virtual time, and says what came of it.
-func played(t *testing.T, times float64, queue int, tells, admits bool) (counted *tally, offers float64) {
+// runReplay runs replay in virtual time and returns its tally and the number of attempts.
+func runReplay(t *testing.T, times float64, queue int, reportsLoad, withAdmission bool) (result *tally, attempts float64) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		var s *service
-		counted, s = replay(times, queue, tells, admits)
-		offers = s.offers()
-		t.Logf("admission %v: %v; offers %.0f", admits, counted, offers)
+		result, s = replay(times, queue, reportsLoad, withAdmission)
+		attempts = s.attempts()
+		t.Logf("admission %v: %v; attempts %.0f", withAdmission, result, attempts)
 	})
-	return counted, offers
+	return result, attempts
 }
--- a/internal/requests/admission/service_test.go
+++ b/internal/requests/admission/service_test.go
@@ -12,26 +12,26 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// fakeReplica runs as many requests as it has slots, lets some wait and declines the rest.
+// fakeReplica runs as many requests as it has slots, queues some and declines the rest.
 type fakeReplica struct {
 	id             string
 	queue, waiting int
 	slots          chan struct{}
 	mu             sync.Mutex
-	slow           float64
-	asked          int
+	slowdown       float64
+	attempts       int
 }
 
-// run works on a request, or reports that it declined it. Load is what the answer tells.
+// run runs a request and returns the load after it, or returns false if it declines the request.
 func (r *fakeReplica) run(ctx context.Context, work time.Duration) (load int, ran bool) {
 	r.mu.Lock()
-	r.asked++
+	r.attempts++
 	if len(r.slots) == cap(r.slots) && r.waiting >= r.queue {
 		r.mu.Unlock()
 		return 0, false
 	}
 	r.waiting++
-	work = time.Duration(float64(work) * r.slow)
+	work = time.Duration(float64(work) * r.slowdown)
 	r.mu.Unlock()
 	select {
 	case r.slots <- struct{}{}:
@@ -50,7 +50,7 @@
 	return len(r.slots) + r.waiting, true
 }
 
-// wait waits for a time or the end of a context.
+// wait sleeps for a span or until the context ends.
 func wait(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -60,22 +60,22 @@
 	}
 }
 
-// service is three replicas of six slots.
+// service has three replicas of six slots each.
 type service struct {
-	replicas map[string]*fakeReplica
-	tells    bool
+	replicas    map[string]*fakeReplica
+	reportsLoad bool
 }
 
-func newService(queue int, tells bool) *service {
-	made := &service{replicas: map[string]*fakeReplica{}, tells: tells}
+func newService(queue int, reportsLoad bool) *service {
+	made := &service{replicas: map[string]*fakeReplica{}, reportsLoad: reportsLoad}
 	for i := range 3 {
 		id := fmt.Sprint("r", i)
-		made.replicas[id] = &fakeReplica{id: id, queue: queue, slots: make(chan struct{}, 6), slow: 1}
+		made.replicas[id] = &fakeReplica{id: id, queue: queue, slots: make(chan struct{}, 6), slowdown: 1}
 	}
 	return made
 }
 
-// daemon has its own beliefs of the replicas.
+// daemon has its own view of the replicas.
 type daemon struct {
 	table      *replica.Table
 	controller *Controller
@@ -92,11 +92,11 @@
 	return made
 }
 
-// send offers a request to one replica after the other. It reports how it ended and whether it was answered.
-func (d *daemon) send(ctx context.Context, work time.Duration, mayOffer func() bool) Outcome {
+// send tries one replica after the other while mayRetry allows it, and returns the outcome.
+func (d *daemon) send(ctx context.Context, work time.Duration, mayRetry func() bool) Outcome {
 	tried := map[string]bool{}
 	began := time.Now()
-	for offers := 0; offers == 0 || mayOffer(); offers++ {
+	for attempts := 0; attempts == 0 || mayRetry(); attempts++ {
 		chosen, ok := replica.Pick(d.table.Replicas("s"), tried, time.Now())
 		if !ok {
 			break
@@ -110,7 +110,7 @@
 			return Unanswered{}
 		}
 		if ran {
-			if d.service.tells {
+			if d.service.reportsLoad {
 				d.table.ReportLoad(chosen.Incarnation(), load)
 			}
 			return Answered{Took: time.Since(began)}
@@ -120,7 +120,7 @@
 	return Declined{}
 }
 
-// workOf is 25 ms in the mean, with a tail.
+// workOf draws the duration of a request: 25 ms on average, with a long tail.
 func workOf(random *rand.Rand) time.Duration {
 	work := 15 + 5*random.ExpFloat64()
 	if random.Float64() < 0.05 {
--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -6,88 +6,88 @@
 )
 
 const (
-	// minCalmAnswers is how many answers in a row without a sign of fullness show that there
-	// is room again: twice as many as come between two cuts at an even load.
+	// minCalmAnswers is the number of consecutive answers without a sign that the service is full
+	// after which it is considered to have room again.
 	minCalmAnswers = 20
-	// fullMaxAge is how long at most a service counts as full after the last sign of it:
-	// a daemon that asks seldom sees no run of answers.
+	// fullMaxAge is how long the last sign keeps a service full at most, since a daemon with few
+	// requests does not see minCalmAnswers.
 	fullMaxAge = 3 * time.Second
-	// minCutInterval is the least time between two cuts of the rate: requests that were sent
-	// before a cut say nothing of the rate after it.
+	// minCutInterval is the shortest time between two cuts of the rate. The outcomes of requests
+	// that were sent before a cut carry no information about the new rate.
 	minCutInterval = 60 * time.Millisecond
-	// declinedCutFactor is what a request that was declined leaves of the rate. A decline costs the
-	// replicas little: some are taken into account so that their places stay in use.
+	// declinedCutFactor multiplies the rate when a request was declined. The cut is mild because a
+	// decline costs the replicas little and some declines keep the slots in use.
 	declinedCutFactor = 0.8
-	// queuedCutFactor is what a sign that requests wait at the replicas leaves of it, but no less
-	// than an equal share: at that rate as many run as there are slots, by the times seen. At the
-	// replicas requests have no order and hold up those that come after them.
+	// queuedCutFactor multiplies the rate when requests queue at the replicas, but does not take it
+	// below an equal share, at which as many requests run as there are slots. The cut is strong
+	// because the replicas' queues ignore rank and delay all later requests.
 	queuedCutFactor = 0.5
-	// raiseFraction is by which part of the mean of the rate and an equal share an answer raises
-	// the rate (the geometric mean: those above their share grow by less of it than those
-	// below, so that parts even out, and a daemon with all the demand keeps the places in
-	// use). At an equal share a cut then comes with each second start: a decline costs little, an idle
-	// place an answer.
+	// raiseFraction is the fraction of the geometric mean of the rate and an equal share by which
+	// an answer raises the rate. The geometric mean makes shares converge, since rates above an
+	// equal share grow by a smaller fraction than rates below it, and still lets a daemon with all
+	// of the demand use all slots.
 	raiseFraction = 0.2
-	// calmRaiseFraction is the same once no sign of fullness has come in calmAnswers.
+	// calmRaiseFraction replaces raiseFraction once the service has room again.
 	calmRaiseFraction = 0.5
-	// initialDemandFraction of a daemon's demand is where it begins if that is more than an equal share:
-	// where all clients come to few daemons, these have most of the places.
+	// initialDemandFraction is the fraction of a daemon's demand at which its rate starts if that
+	// is more than an equal share, as when all clients connect to a few daemons.
 	initialDemandFraction = 0.5
-	// minShareFraction of an equal share is always used, or the room that others leave would
-	// never be found; minRate does the same for a daemon among very many, in starts a
-	// second.
+	// minShareFraction is the fraction of an equal share that a daemon always uses, so that it
+	// notices slots that others release. minRate, in starts per second, does the same where an
+	// equal share is tiny.
 	minShareFraction = 1.0 / 8
 	minRate          = 1.0
-	// maxCredit is how many starts may be saved up: a daemon that sees a request now and
-	// then sends it at once.
+	// maxCredit is how many starts can be saved up. A daemon with occasional requests sends each at
+	// once.
 	maxCredit = 1.0
 )
 
-// FullnessSign is why a service is taken to be full.
+// FullnessSign is the observation by which a service is considered full.
 type FullnessSign string
 
-// Signs of a full service.
+// Signs that a service is full.
 const (
-	// SignDeclined: each replica asked has declined a request.
+	// SignDeclined: each replica that was asked declined a request.
 	SignDeclined FullnessSign = "declined"
-	// SignSlotsTaken: each replica has told of as many requests as it has slots, or has as
-	// many of this daemon's.
+	// SignSlotsTaken: each replica reports as many requests as it has slots, or has that many from
+	// this daemon.
 	SignSlotsTaken FullnessSign = "as many requests as slots"
-	// SignSlow: answers take far longer than usual.
+	// SignSlow: several consecutive answers took far longer than usual.
 	SignSlow FullnessSign = "slow answers"
 )
 
-// Capacity is what the replicas of a service bear together, and among how many daemons.
+// Capacity is what the replicas of a service can serve, and among how many daemons it is shared.
 type Capacity struct {
 	Slots, Daemons int
-	// Demand is how many requests a second this daemon has got lately.
+	// Demand is this daemon's recent rate of arrivals, in requests per second.
 	Demand float64
-	// TypicalTime is what a request takes.
+	// TypicalTime is the typical duration of a request. It must be above 0.
 	TypicalTime time.Duration
 }
 
-// totalRate is the rate at which all places are in use, in starts a second.
+// totalRate returns the rate at which all slots are in use, in starts per second.
 func (c Capacity) totalRate() float64 { return float64(max(c.Slots, 1)) / c.TypicalTime.Seconds() }
 
-// equalShare is an equalShare part of it.
+// equalShare returns totalRate divided by the number of daemons.
 func (c Capacity) equalShare() float64 { return c.totalRate() / float64(max(c.Daemons, 1)) }
 
-// StartRate is the rate of starts of a daemon at one service. It binds from the first sign that
-// the service is full until none has come for a while and nothing waits. The zero StartRate
-// does not bind.
+// StartRate limits the rate at which a daemon starts requests at one service. The limit is active
+// from the first sign that the service is full until Expire finds that none has come for a while.
+// The zero StartRate is inactive. It is not safe for concurrent use.
 type StartRate struct {
 	active    bool
 	perSecond float64
-	// credit is how many requests may start now, as of at.
+	// credit is the number of requests that may start, as of creditAt.
 	credit   float64
 	creditAt time.Time
 	fullAt   time.Time
 	cutAt    time.Time
-	// calmAnswers counts answers since fullAt.
+	// calmAnswers counts the answers since fullAt.
 	calmAnswers int
 }
 
-// RecordFull notes a sign that the service is full.
+// RecordFull records a sign that the service is full. It activates the limit, or cuts the rate
+// unless the last cut is less than minCutInterval ago.
 func (r *StartRate) RecordFull(now time.Time, c Capacity, sign FullnessSign) {
 	if !r.active {
 		*r = StartRate{active: true, perSecond: max(c.equalShare(), initialDemandFraction*c.Demand), credit: maxCredit, creditAt: now, cutAt: now}
@@ -107,7 +107,7 @@
 	return min(r.perSecond, max(r.perSecond*queuedCutFactor, c.equalShare()))
 }
 
-// RecordAnswer notes an answer without such a sign.
+// RecordAnswer records an answer without a sign that the service is full, and raises the rate.
 func (r *StartRate) RecordAnswer(now time.Time, c Capacity) {
 	if !r.active {
 		return
@@ -122,25 +122,27 @@
 	r.clamp(c)
 }
 
-// AllowStart notes that a place is free: a request may start now.
+// AllowStart sets the credit so that one request may start now, because a slot has become free.
 func (r *StartRate) AllowStart(now time.Time) {
 	r.refill(now)
 	r.credit = maxCredit
 }
 
-// Expire ends the binding once the service is not seen to be full any more. Nothing may wait.
+// Expire deactivates the limit if the service is no longer considered full. No request may be
+// waiting.
 func (r *StartRate) Expire(now time.Time) {
 	if r.active && !r.isFull(now) {
 		*r = StartRate{}
 	}
 }
 
-// isFull reports whether the last sign of fullness still counts.
+// isFull reports whether the last sign that the service is full still counts.
 func (r *StartRate) isFull(now time.Time) bool {
 	return r.calmAnswers < minCalmAnswers && now.Sub(r.fullAt) <= fullMaxAge
 }
 
-// TryStart spends the credit for a start, if there is one.
+// TryStart reports whether a request may start now, and if so spends the credit for it. It always
+// succeeds while the limit is inactive.
 func (r *StartRate) TryStart(now time.Time) bool {
 	if !r.active {
 		return true
@@ -153,7 +155,7 @@
 	return true
 }
 
-// NextStartIn is after which time a request may start, 0 for now.
+// NextStartIn returns the time until a request may start, 0 if it may start now.
 func (r *StartRate) NextStartIn(now time.Time) time.Duration {
 	if !r.active {
 		return 0
@@ -168,11 +170,12 @@
 }
 
 func (r *StartRate) clamp(c Capacity) {
-	least := max(c.equalShare()*minShareFraction, minRate)
-	r.perSecond = max(least, min(r.perSecond, c.totalRate()))
+	minPerSecond := max(c.equalShare()*minShareFraction, minRate)
+	r.perSecond = max(minPerSecond, min(r.perSecond, c.totalRate()))
 }
 
-// timerSlack keeps a timer that rounds down from being set again for nothing.
+// timerSlack is added to durations because a timer that fires slightly early would have to be set
+// again.
 const timerSlack = time.Microsecond
 
 func secondsToDuration(seconds float64) time.Duration {
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -7,113 +7,112 @@
 	"github.com/matryer/is"
 )
 
-var paceStart = time.Unix(1000, 0)
+var start = time.Unix(1000, 0)
 
-// tenth is a service of 20 slots, at 100 ms a request, that ten daemons share: 20 starts a second each.
+// tenth is a service of 20 slots at 100 ms a request, shared by ten daemons: 20 starts per second
+// for each.
 var tenth = Capacity{Slots: 20, Daemons: 10, TypicalTime: 100 * time.Millisecond}
 
-func TestNothingWaitsBeforeASign(t *testing.T) {
+func TestInactiveLimitAllowsAllStarts(t *testing.T) {
 	is := is.New(t)
-	var p StartRate
+	var rate StartRate
 	for range 1000 {
-		is.True(p.TryStart(paceStart))
-		p.RecordAnswer(paceStart, tenth)
+		is.True(rate.TryStart(start))
+		rate.RecordAnswer(start, tenth)
 	}
-	is.Equal(p.NextStartIn(paceStart), time.Duration(0))
+	is.Equal(rate.NextStartIn(start), time.Duration(0))
 }
 
-func TestASignBindsToAnEqualShareAndCalmEndsIt(t *testing.T) {
+func TestSignActivatesAtEqualShareAndCalmExpires(t *testing.T) {
 	is := is.New(t)
-	var p StartRate
-	p.RecordFull(paceStart, tenth, SignDeclined)
-	is.Equal(p.perSecond, 20.0)
-	is.True(p.TryStart(paceStart))
-	is.True(!p.TryStart(paceStart))
-	is.Equal(p.NextStartIn(paceStart).Round(time.Millisecond), 50*time.Millisecond)
-	p.Expire(paceStart)
-	is.True(p.active)
+	var rate StartRate
+	rate.RecordFull(start, tenth, SignDeclined)
+	is.Equal(rate.perSecond, 20.0)
+	is.True(rate.TryStart(start))
+	is.True(!rate.TryStart(start))
+	is.Equal(rate.NextStartIn(start).Round(time.Millisecond), 50*time.Millisecond)
+	rate.Expire(start)
+	is.True(rate.active)
 	for range minCalmAnswers {
-		p.RecordAnswer(paceStart, tenth)
+		rate.RecordAnswer(start, tenth)
 	}
-	p.Expire(paceStart)
-	is.True(!p.active)
+	rate.Expire(start)
+	is.True(!rate.active)
 }
 
-// A daemon that asks seldom sees no run of answers: the sign lapses.
-func TestASignLapses(t *testing.T) {
+// A daemon with few requests never sees enough calm answers, so the sign must expire by its age.
+func TestSignExpiresByAge(t *testing.T) {
 	is := is.New(t)
-	var p StartRate
-	p.RecordFull(paceStart, tenth, SignDeclined)
-	p.Expire(paceStart.Add(fullMaxAge))
-	is.True(p.active)
-	p.Expire(paceStart.Add(fullMaxAge + 1))
-	is.True(!p.active)
+	var rate StartRate
+	rate.RecordFull(start, tenth, SignDeclined)
+	rate.Expire(start.Add(fullMaxAge))
+	is.True(rate.active)
+	rate.Expire(start.Add(fullMaxAge + 1))
+	is.True(!rate.active)
 }
 
-// Requests that were sent before a cut say nothing of the rate after it.
-func TestSignsOfOneMomentCountOnce(t *testing.T) {
+// Several signs within minCutInterval must cut the rate only once.
+func TestSignsWithinIntervalCutOnce(t *testing.T) {
 	is := is.New(t)
-	var p StartRate
-	p.RecordFull(paceStart, tenth, SignDeclined)
+	var rate StartRate
+	rate.RecordFull(start, tenth, SignDeclined)
 	for range 10 {
-		p.RecordFull(paceStart.Add(minCutInterval), tenth, SignDeclined)
+		rate.RecordFull(start.Add(minCutInterval), tenth, SignDeclined)
 	}
-	is.Equal(p.perSecond, 20*declinedCutFactor)
+	is.Equal(rate.perSecond, 20*declinedCutFactor)
 }
 
-// A service that has become slow is used to as many requests as it has slots, not less and
-// less.
-func TestSlowAnswersLeaveAnEqualShare(t *testing.T) {
+// Slow answers must not cut the rate below an equal share.
+func TestSlowAnswersKeepEqualShare(t *testing.T) {
 	is := is.New(t)
-	var p StartRate
+	var rate StartRate
 	for i := range 100 {
-		p.RecordFull(paceStart.Add(time.Duration(i)*minCutInterval), tenth, SignSlow)
+		rate.RecordFull(start.Add(time.Duration(i)*minCutInterval), tenth, SignSlow)
 	}
-	is.Equal(p.perSecond, 20.0)
+	is.Equal(rate.perSecond, 20.0)
 }
 
-// However many declines come, a daemon finds out now and then.
-func TestTheRateHasAFloor(t *testing.T) {
+// Declines must not cut the rate so far that a daemon stops probing for free slots.
+func TestRateHasMinimum(t *testing.T) {
 	is := is.New(t)
-	var p StartRate
+	var rate StartRate
 	for i := range 1000 {
-		p.RecordFull(paceStart.Add(time.Duration(i)*minCutInterval), tenth, SignDeclined)
+		rate.RecordFull(start.Add(time.Duration(i)*minCutInterval), tenth, SignDeclined)
 	}
-	is.Equal(p.perSecond, 20*minShareFraction)
+	is.Equal(rate.perSecond, 20*minShareFraction)
 }
 
-// Two daemons of which one has most of the places come to like parts, as each meets declines
-// by its rate.
-func TestPartsEvenOut(t *testing.T) {
+// Two daemons with unequal shares converge to similar ones.
+func TestSharesConverge(t *testing.T) {
 	is := is.New(t)
 	c := Capacity{Slots: 8, Daemons: 2, TypicalTime: 100 * time.Millisecond}
-	paces := [2]StartRate{{active: true, perSecond: 70, creditAt: paceStart}, {active: true, perSecond: 10, creditAt: paceStart}}
+	rates := [2]StartRate{{active: true, perSecond: 70, creditAt: start}, {active: true, perSecond: 10, creditAt: start}}
 	var starts, declines [2]float64
 	const step = 10 * time.Millisecond
-	for now := paceStart; now.Sub(paceStart) < time.Minute; now = now.Add(step) {
-		total := paces[0].perSecond + paces[1].perSecond
-		for i := range paces {
-			for starts[i] += paces[i].perSecond * step.Seconds(); starts[i] >= 1; starts[i]-- {
+	for now := start; now.Sub(start) < time.Minute; now = now.Add(step) {
+		total := rates[0].perSecond + rates[1].perSecond
+		for i := range rates {
+			for starts[i] += rates[i].perSecond * step.Seconds(); starts[i] >= 1; starts[i]-- {
 				if declines[i] += max(0, 1-c.totalRate()/total); declines[i] < 1 {
-					paces[i].RecordAnswer(now, c)
+					rates[i].RecordAnswer(now, c)
 					continue
 				}
 				declines[i]--
-				paces[i].RecordFull(now, c, SignDeclined)
+				rates[i].RecordFull(now, c, SignDeclined)
 			}
 		}
 	}
-	is.True(paces[0].perSecond < 1.3*paces[1].perSecond && paces[1].perSecond < 1.3*paces[0].perSecond)
-	is.True(paces[0].perSecond+paces[1].perSecond > 0.8*c.totalRate()) // and the places are in use
+	is.True(rates[0].perSecond < 1.3*rates[1].perSecond && rates[1].perSecond < 1.3*rates[0].perSecond)
+	is.True(rates[0].perSecond+rates[1].perSecond > 0.8*c.totalRate()) // the slots are in use
 }
 
-// A suspended daemon has saved up no more than any other.
-func TestASuspensionSavesNothingUp(t *testing.T) {
+// A suspended daemon must not accumulate more than maxCredit.
+func TestSuspensionAddsNoCredit(t *testing.T) {
 	is := is.New(t)
-	var p StartRate
-	p.RecordFull(paceStart, tenth, SignDeclined)
-	is.True(p.TryStart(paceStart))
-	after := paceStart.Add(time.Hour)
-	is.True(p.TryStart(after))
-	is.True(!p.TryStart(after))
+	var rate StartRate
+	rate.RecordFull(start, tenth, SignDeclined)
+	is.True(rate.TryStart(start))
+	after := start.Add(time.Hour)
+	is.True(rate.TryStart(after))
+	is.True(!rate.TryStart(after))
 }
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -9,33 +9,34 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// Outcome is what became of a request that was let to the replicas.
+// Outcome is the outcome of an admitted request: Answered, Declined or Unanswered.
 type Outcome interface{ outcome() }
 
-// Answered: a replica answered it within the given time.
+// Answered means that a replica answered the request, in the given time.
 type Answered struct{ Took time.Duration }
 
-// Declined: each replica that it was offered to was full. It has not run.
+// Declined means that every replica that was asked was full. The request has not run.
 type Declined struct{}
 
-// Unanswered: there is no answer, for reasons that say nothing of the room at the replicas.
+// Unanswered means that there is no answer, for a reason unrelated to the load of the replicas.
 type Unanswered struct{}
 
 func (Answered) outcome()   {}
 func (Declined) outcome()   {}
 func (Unanswered) outcome() {}
 
-// Ticket is a request's turn at its service. Done is called once, as it is over.
+// Ticket permits an admitted request to be sent. Done must be called exactly once, when the request
+// has ended.
 type Ticket struct {
 	gate          *gate
 	tenant        string
 	targetLatency time.Duration
-	// chargedWork is the work that was reckoned for it.
+	// chargedWork is the estimated work that was charged to the tenant, 0 if none was.
 	chargedWork time.Duration
 }
 
-// MayRetry reports whether the request may be offered to a further replica. While the
-// service is full, further attempts are bounded by a part of the first ones.
+// MayRetry reports whether the request may be sent to another replica. While the service is full,
+// each further attempt spends from a retry budget.
 func (t *Ticket) MayRetry() bool {
 	g := t.gate
 	g.mu.Lock()
@@ -43,17 +44,17 @@
 	return !g.rate.active || g.retries.TryRetry(g.options.Clock(), minRetriesPerSecond)
 }
 
-// Done tells what became of the request.
-func (t *Ticket) Done(became Outcome) {
+// Done records the outcome of the request.
+func (t *Ticket) Done(outcome Outcome) {
 	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.options.Clock()
 	replicas := g.options.Replicas(g.service)
-	switch became := became.(type) {
+	switch outcome := outcome.(type) {
 	case Answered:
-		g.recordAnswer(now, became.Took, t.targetLatency, replicas)
-		g.correctWork(t, became.Took-t.chargedWork)
+		g.recordAnswer(now, outcome.Took, t.targetLatency, replicas)
+		g.correctWork(t, outcome.Took-t.chargedWork)
 	case Declined:
 		g.recordFull(now, SignDeclined, g.capacity(replicas))
 		g.correctWork(t, -t.chargedWork)
@@ -64,34 +65,36 @@
 	}
 }
 
-// correctWork corrects the work that a tenant has had. The lock is held.
-func (g *gate) correctWork(t *Ticket, more time.Duration) {
+// correctWork adjusts the work charged to the ticket's tenant, if any was charged. g.mu must be
+// held.
+func (g *gate) correctWork(t *Ticket, delta time.Duration) {
 	if _, ok := g.work[t.tenant]; ok && t.chargedWork > 0 {
-		g.work.add(t.tenant, more, g.options.Clock())
+		g.work.add(t.tenant, delta, g.options.Clock())
 	}
 }
 
-// recordFull notes a sign that the service is recordFull. The lock is held.
+// recordFull records a sign that the service is full. g.mu must be held.
 func (g *gate) recordFull(now time.Time, sign FullnessSign, c Capacity) {
-	before := g.rate.active
+	wasActive := g.rate.active
 	g.rate.RecordFull(now, c, sign)
-	if !before {
+	if !wasActive {
 		g.options.Logger.Info("service full", zap.String("service", g.service), zap.String("sign", string(sign)),
 			zap.Int("slots", c.Slots), zap.Int("daemons", c.Daemons), zap.Duration("usual", c.TypicalTime), zap.Float64("rate", g.rate.perSecond))
 	}
 }
 
-// recordAnswer learns from the time of an answer. The lock is held.
-func (g *gate) recordAnswer(now time.Time, took, aim time.Duration, replicas []replica.Replica) {
+// recordAnswer updates the durations and the start rate with an answer. g.mu must be held.
+func (g *gate) recordAnswer(now time.Time, took, targetLatency time.Duration, replicas []replica.Replica) {
 	c := g.capacity(replicas)
-	slowAnswer := g.times.isSlow(took, aim, g.rate.active)
-	if lately, slow := g.times.record(now, took, slowAnswer, g.rate.active); slow {
-		c.TypicalTime = lately
+	isSlow := g.times.isSlow(took, targetLatency, g.rate.active)
+	if median, runComplete := g.times.record(now, took, isSlow, g.rate.active); runComplete {
+		c.TypicalTime = median
 		g.recordFull(now, SignSlow, c)
 		return
 	}
-	if slowAnswer && g.rate.active {
-		// It may have waited at the replica: it shows no room, and is no sign by itself.
+	if isSlow && g.rate.active {
+		// The request may have waited at the replica: it neither shows room nor, by itself, a full
+		// service.
 		return
 	}
 	g.rate.RecordAnswer(now, c)
@@ -100,9 +103,8 @@
 	}
 }
 
-// hasRoom reports whether a replica has told a moment ago that it has fewer requests than
-// slots. One that has just answered has room for another, so that each answer lets
-// one request of this daemon start, and no more than end.
+// hasRoom reports whether a replica recently reported fewer requests than it has slots. A replica
+// that has just answered has a free slot, so each answer lets one request of this daemon start.
 func hasRoom(replicas []replica.Replica) bool {
 	return slices.ContainsFunc(replicas, func(rep replica.Replica) bool {
 		return rep.ReportedLoad > 0 && max(rep.ReportedLoad, rep.InFlight) < rep.Slots
--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -6,30 +6,29 @@
 )
 
 const (
-	// sampleSize is over how many answers the times of a service are taken: enough to
-	// tell needPart, few enough that a slower replica shows within seconds.
+	// sampleSize is the number of answers whose durations are kept: enough to estimate
+	// requiredTimeQuantile, few enough to notice a slower replica within seconds.
 	sampleSize = 32
-	// minSamples is from how many answers on times are believed.
+	// minSamples is the number of answers below which quantiles are not computed.
 	minSamples = 4
-	// defaultRequestTime is reckoned with before that: most plain requests take less.
+	// defaultRequestTime is the estimate used with fewer than minSamples answers.
 	defaultRequestTime = 50 * time.Millisecond
-	// minSlowAnswers is how many answers in a row must be slow, within slowSpan, for a service to be
-	// taken to be full: with room, one of so many is as fast as most, however much
-	// requests differ.
+	// minSlowAnswers is the number of consecutive slow answers within slowWindow that indicate a
+	// full service. With free slots, some of that many answers are fast.
 	minSlowAnswers = 4
 	slowWindow     = 2 * time.Second
-	// slowFactor is by how much they take longer than usuallyPart of the answers do.
+	// An answer is slow if it takes slowFactor times the slowReferenceQuantile of the baseline.
 	slowFactor            = 2
 	slowReferenceQuantile = 0.75
-	// slowTargetDivisor is the part of its aim, one in so many, from which on an answer of a full service
-	// is slow.
+	// slowTargetDivisor sets the time from which an answer of a full service is slow: the target
+	// latency divided by it.
 	slowTargetDivisor = 2
-	// baselineSampleInterval is how often, one answer in so many, what is usual follows while the service
-	// is taken to be full: one that has become slow for good is soon as usual.
+	// baselineSampleInterval is the number of answers of a full service of which one is added to
+	// the baseline, so that a service that stays slow becomes the new baseline.
 	baselineSampleInterval = 8
 )
 
-// samples are the times of the last answers.
+// samples holds the durations of the last sampleSize answers.
 type samples struct {
 	ring  [sampleSize]time.Duration
 	count int
@@ -40,57 +39,57 @@
 	s.count++
 }
 
-// quantile returns the time within which a part of the answers came. One answer that took
-// for ever does not move it.
-func (s *samples) quantile(part float64) time.Duration {
+// quantile returns the given quantile, a fraction in [0, 1], of the durations, or
+// defaultRequestTime if there are too few.
+func (s *samples) quantile(q float64) time.Duration {
 	if s.count < minSamples {
 		return defaultRequestTime
 	}
 	sorted := s.ring
-	taken := sorted[:min(s.count, sampleSize)]
-	slices.Sort(taken)
-	return taken[int(part*float64(len(taken)-1))]
+	durations := sorted[:min(s.count, sampleSize)]
+	slices.Sort(durations)
+	return durations[int(q*float64(len(durations)-1))]
 }
 
-// answerTimes are those that the answers of a service took.
+// answerTimes tracks the durations of the answers of a service, and detects runs of slow ones.
 type answerTimes struct {
 	samples
-	// baseline are those while it was not taken to be full.
+	// baseline holds durations of answers while the service was not considered full.
 	baseline samples
-	// slowRun are the slow answers in a row, of which no conclusion was drawn yet.
+	// slowRun holds the durations of the current run of consecutive slow answers.
 	slowRun []time.Duration
-	// slowSince is when the first of them came.
+	// slowSince is the time at which slowRun was last emptied.
 	slowSince time.Time
 }
 
-// isSlow reports whether an answer took slowBy times as long as is usual or, of a full service, so
-// much of its aim that requests which wait here before could not reach theirs. A daemon that
-// asks seldom knows little of what is usual.
-func (t *answerTimes) isSlow(took, aim time.Duration, full bool) bool {
-	if full && aim > 0 && took >= aim/slowTargetDivisor {
+// isSlow reports whether an answer took slowFactor times the baseline or, at a full service, so
+// much of its target latency that a request that waited here before could not have met it. The
+// second condition covers daemons with too few requests for a baseline.
+func (t *answerTimes) isSlow(took, targetLatency time.Duration, full bool) bool {
+	if full && targetLatency > 0 && took >= targetLatency/slowTargetDivisor {
 		return true
 	}
 	return t.baseline.count >= sampleSize/2 && took >= slowFactor*t.baseline.quantile(slowReferenceQuantile)
 }
 
-// record takes an answer into account, that was slow or not. It reports whether the service is slow, and by which
-// time: as fast as half of the last answers.
-func (t *answerTimes) record(now time.Time, took time.Duration, slow, full bool) (lately time.Duration, isSlow bool) {
+// record adds an answer, with whether it was slow and whether the service is considered full. It
+// reports whether a run of slow answers is complete, and returns the median duration of the run.
+func (t *answerTimes) record(now time.Time, took time.Duration, isSlow, full bool) (median time.Duration, complete bool) {
 	t.samples.add(took)
 	if !full || t.samples.count%baselineSampleInterval == 0 {
 		t.baseline.add(took)
 	}
-	if !slow || now.Sub(t.slowSince) > slowWindow {
+	if !isSlow || now.Sub(t.slowSince) > slowWindow {
 		t.slowRun, t.slowSince = t.slowRun[:0], now
 	}
-	if slow {
+	if isSlow {
 		t.slowRun = append(t.slowRun, took)
 	}
 	if len(t.slowRun) < minSlowAnswers {
 		return 0, false
 	}
 	slices.Sort(t.slowRun)
-	lately = t.slowRun[len(t.slowRun)/2]
+	median = t.slowRun[len(t.slowRun)/2]
 	t.slowRun, t.slowSince = t.slowRun[:0], now
-	return lately, true
+	return median, true
 }
