--- a/internal/requests/admission/accounts.go
+++ b/internal/requests/admission/accounts.go
@@ -18,8 +18,8 @@
 	at   time.Time
 }
 
-// work returns the recent work of a tenant, decayed up to now.
-func (a tenantWork) work(tenant string, now time.Time) time.Duration {
+// recent returns the recent recent of a tenant, decayed up to now.
+func (a tenantWork) recent(tenant string, now time.Time) time.Duration {
 	entry, ok := a[tenant]
 	if !ok {
 		return 0
@@ -29,5 +29,5 @@
 
 // add adds work, which may be negative, to a tenant. The total never drops below 0.
 func (a tenantWork) add(tenant string, work time.Duration, now time.Time) {
-	a[tenant] = decayingWork{work: max(a.work(tenant, now)+work, 0), at: now}
+	a[tenant] = decayingWork{work: max(a.recent(tenant, now)+work, 0), at: now}
 }
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -158,7 +158,7 @@
 			targetLeft = w.TargetLatency - age
 			maxWait = max(w.TargetLatency/maxWaitDivisor-age, 0)
 		}
-		s.TenantWork[w.Tenant] = g.work.work(w.Tenant, now)
+		s.TenantWork[w.Tenant] = g.work.recent(w.Tenant, now)
 		s.Waiting[i] = QueuedRequest{Age: age, Tenant: w.Tenant, Rank: w.Rank, TimeLeft: w.TimeLeft(), TargetLeft: targetLeft, MaxWait: maxWait}
 	}
 	return s
