--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -19,7 +19,7 @@
 // Errors of an attempt; each says why no answer could be passed on. A stream that was
 // declined has ErrDeclined.
 var (
-	errUnsound       = errors.New("forward: unsound answer")
+	errInvalidAnswer = errors.New("forward: unsound answer")
 	errPlainDeclined = errors.New("forward: declined")
 	errTimeUp        = errors.New("time is up")
 )
@@ -145,7 +145,7 @@
 	}
 	if response.Header.Get(f.Names.Stamp) == "" {
 		response.Close()
-		return nil, sentAt, true, errors.Wrapf(errUnsound, "status %d without a signature", response.Status)
+		return nil, sentAt, true, errors.Wrapf(errInvalidAnswer, "status %d without a signature", response.Status)
 	}
 	answer, err = f.readAnswer(call, response)
 	if err == nil && answer.Rest != nil {
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -146,7 +146,7 @@
 		return &StatusError{Status: answer.Status}
 	}
 	if answer.Status != http.StatusOK || answer.Header.Get(f.Names.Stamp) == "" {
-		return errors.Wrapf(errUnsound, "status %d", answer.Status)
+		return errors.Wrapf(errInvalidAnswer, "status %d", answer.Status)
 	}
 	return nil
 }
