--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	// bufferedBytes is the longest answer that is held until it is whole.
-	bufferedBytes = 1 << 20
+	// maxBufferedBytes is the longest answer that is held until it is whole.
+	maxBufferedBytes = 1 << 20
 	// declinedPause is how long a replica that declined is passed over.
 	declinedPause = 60 * time.Millisecond
 )
@@ -139,7 +139,7 @@
 	}
 	if f.notRun(response) {
 		// An error shows as the connection is given back.
-		_, _ = io.Copy(io.Discard, io.LimitReader(response, bufferedBytes))
+		_, _ = io.Copy(io.Discard, io.LimitReader(response, maxBufferedBytes))
 		response.Close()
 		return nil, sentAt, false, errors.Wrapf(errPlainDeclined, "status %d", response.Status)
 	}
@@ -193,7 +193,7 @@
 	if call.Method == http.MethodHead {
 		announced = 0 // it tells the length of what does not come
 	}
-	body, whole, err := call.Account.Read(holding.Answers, response, announced, bufferedBytes,
+	body, whole, err := call.Account.Read(holding.Answers, response, announced, maxBufferedBytes,
 		func(n int64) bool { return call.Account.Take(holding.Answers, n) })
 	if err != nil {
 		response.Close()
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -127,7 +127,7 @@
 		ended(nil)
 	}
 	if answer != nil {
-		_, _ = io.Copy(io.Discard, io.LimitReader(answer, bufferedBytes)) // What it says of its failure is not passed on.
+		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxBufferedBytes)) // What it says of its failure is not passed on.
 		answer.Close()
 	}
 }
