--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -27,8 +27,8 @@
 const (
 	// maxBufferedBytes is the longest answer that is held until it is whole.
 	maxBufferedBytes = 1 << 20
-	// declinedPause is how long a replica that declined is passed over.
-	declinedPause = 60 * time.Millisecond
+	// declinedRetryDelay is how long a replica that declined is passed over.
+	declinedRetryDelay = 60 * time.Millisecond
 )
 
 // result is the outcome of one attempt at one replica.
@@ -105,7 +105,7 @@
 
 func (f *Forwarder) learn(rep replica.Replica, err error) {
 	if errors.Is(err, errPlainDeclined) || errors.Is(err, upstream.ErrFull) {
-		f.Table.Busy(rep.Incarnation(), declinedPause)
+		f.Table.Busy(rep.Incarnation(), declinedRetryDelay)
 		return
 	}
 	f.Table.Failed(rep.Incarnation())
