--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -74,13 +74,13 @@
 
 // Names of how attempts end, in logs and metrics.
 const (
-	outcomeAnswered = "answered"
-	outcomeDeclined = "declined"
-	outcomeCut      = "cut"
-	outcomeNotSent  = "not sent"
-	outcomeFull     = "no connection"
-	outcomeFailed   = "failed"
-	outcomeBroken   = "broken"
+	outcomeAnswered  = "answered"
+	outcomeDeclined  = "declined"
+	outcomeCancelled = "cut"
+	outcomeNotSent   = "not sent"
+	outcomeFull      = "no connection"
+	outcomeFailed    = "failed"
+	outcomeBroken    = "broken"
 )
 
 // outcomeOf names how an attempt ended.
@@ -91,7 +91,7 @@
 	case errors.Is(err, errPlainDeclined), errors.Is(err, ErrDeclined):
 		return outcomeDeclined
 	case ctx.Err() != nil:
-		return outcomeCut
+		return outcomeCancelled
 	case errors.Is(err, upstream.ErrFull):
 		return outcomeFull
 	case errors.Is(err, upstream.ErrNotSent):
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -40,7 +40,7 @@
 // against the content, and tells both in one line. The content's digest joins the attempts at
 // one content at all daemons.
 func (f *Forwarder) noteFailure(ctx context.Context, failed failedAttempt) {
-	if failed.outcome == outcomeDeclined || failed.outcome == outcomeCut {
+	if failed.outcome == outcomeDeclined || failed.outcome == outcomeCancelled {
 		return // neither says anything of the replica's soundness, and both are frequent
 	}
 	liveness := upstream.LivenessUnknown
