--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -74,13 +74,13 @@
 
 // Names of how attempts end, in logs and metrics.
 const (
-	outcomeAnswered  = "answered"
-	outcomeDeclined  = "declined"
-	outcomeCancelled = "cut"
-	outcomeNotSent   = "not sent"
-	outcomeFull      = "no connection"
-	outcomeFailed    = "failed"
-	outcomeBroken    = "broken"
+	outcomeAnswered     = "answered"
+	outcomeDeclined     = "declined"
+	outcomeCancelled    = "cut"
+	outcomeNotSent      = "not sent"
+	outcomeNoConnection = "no connection"
+	outcomeFailed       = "failed"
+	outcomeBroken       = "broken"
 )
 
 // outcomeOf names how an attempt ended.
@@ -93,7 +93,7 @@
 	case ctx.Err() != nil:
 		return outcomeCancelled
 	case errors.Is(err, upstream.ErrFull):
-		return outcomeFull
+		return outcomeNoConnection
 	case errors.Is(err, upstream.ErrNotSent):
 		return outcomeNotSent
 	case errors.Is(err, ErrStatus):
