--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -79,7 +79,7 @@
 	outcomeCancelled    = "cut"
 	outcomeNotSent      = "not sent"
 	outcomeNoConnection = "no connection"
-	outcomeFailed       = "failed"
+	outcomeErrorStatus  = "failed"
 	outcomeBroken       = "broken"
 )
 
@@ -97,7 +97,7 @@
 	case errors.Is(err, upstream.ErrNotSent):
 		return outcomeNotSent
 	case errors.Is(err, ErrStatus):
-		return outcomeFailed
+		return outcomeErrorStatus
 	default:
 		return outcomeBroken
 	}
