--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -59,7 +59,7 @@
 			outcome: outcome, mayHaveRun: mayHaveRun, after: time.Since(started), err: err})
 		end()
 		if !cut {
-			f.learn(rep, err)
+			f.avoidReplica(rep, err)
 		}
 		return result{err: err, mayHaveRun: mayHaveRun}
 	}
@@ -103,7 +103,7 @@
 	}
 }
 
-func (f *Forwarder) learn(rep replica.Replica, err error) {
+func (f *Forwarder) avoidReplica(rep replica.Replica, err error) {
 	if errors.Is(err, errPlainDeclined) || errors.Is(err, upstream.ErrFull) {
 		f.Table.Busy(rep.Incarnation(), declinedRetryDelay)
 		return
