--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -109,12 +109,12 @@
 		return
 	}
 	f.Table.Failed(rep.Incarnation())
-	f.failures().Note(logging.Occurrence{Key: rep.ID}, zap.String("service", rep.Service), zap.Error(err))
+	f.replicaFailures().Note(logging.Occurrence{Key: rep.ID}, zap.String("service", rep.Service), zap.Error(err))
 }
 
-// failures sums the failures of each replica; what they did to a request is in its
+// replicaFailures sums the replicaFailures of each replica; what they did to a request is in its
 // "attempt failed".
-func (f *Forwarder) failures() *logging.Episodes {
+func (f *Forwarder) replicaFailures() *logging.Episodes {
 	f.failedOnce.Do(func() { f.failed = logging.NewEpisodes(f.Logger, "replica failed", "replica", "") })
 	return f.failed
 }
