--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -132,7 +132,7 @@
 		header[http.CanonicalHeaderKey(f.Names.DeadlineMs)] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
 	}
 	out := &upstream.Request{Header: header, Repeatable: call.Repeatable, WaitUntil: call.ConnectionUntil}
-	response, err := f.ask(ctx, rep, &call.Request, out)
+	response, err := f.roundTrip(ctx, rep, &call.Request, out)
 	sentAt = out.SentAt
 	if err != nil {
 		return nil, sentAt, !errors.Is(err, upstream.ErrNotSent), err
@@ -156,9 +156,9 @@
 	return answer, sentAt, true, err
 }
 
-// ask completes what is sent to a replica for a request, sends it, and returns the answer once
+// roundTrip completes what is sent to a replica for a request, sends it, and returns the answer once
 // its head has come.
-func (f *Forwarder) ask(ctx context.Context, rep replica.Replica, req *Request, out *upstream.Request) (*upstream.Answer, error) {
+func (f *Forwarder) roundTrip(ctx context.Context, rep replica.Replica, req *Request, out *upstream.Request) (*upstream.Answer, error) {
 	out.Method, out.Target, out.Host, out.Body = req.Method, req.Target, req.Host, req.Body
 	out.Header[http.CanonicalHeaderKey(f.Names.ExpectReplica)] = []string{rep.ID}
 	out.EchoName, out.EchoValue, out.MaxOpen = f.Names.RequestID, req.RequestID, f.MaxOpen(rep)
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -101,7 +101,7 @@
 		f.noteEnd(ctx, failedAttempt{requestID: req.RequestID, content: content, chosen: rep,
 			mayHaveRun: !errors.Is(err, upstream.ErrNotSent), after: time.Since(began), err: err})
 	}
-	answer, err := f.ask(ctx, rep, &req.Request, &upstream.Request{Header: header, Repeatable: req.Repeatable})
+	answer, err := f.roundTrip(ctx, rep, &req.Request, &upstream.Request{Header: header, Repeatable: req.Repeatable})
 	if err == nil {
 		err = f.checkStreamHead(answer)
 	}
