--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -164,13 +164,13 @@
 	out.EchoName, out.EchoValue, out.MaxOpen = f.Names.RequestID, req.RequestID, f.MaxOpen(rep)
 	answer, err := f.Pool.Exchange(ctx, rep.Address, out)
 	if err == nil {
-		f.noteLoad(rep, answer.Header)
+		f.recordLoad(rep, answer.Header)
 	}
 	return answer, err
 }
 
-// noteLoad notes what an answer tells of its replica's load.
-func (f *Forwarder) noteLoad(rep replica.Replica, header http.Header) {
+// recordLoad notes what an answer tells of its replica's load.
+func (f *Forwarder) recordLoad(rep replica.Replica, header http.Header) {
 	if f.Names.Load == nil {
 		return
 	}
--- a/internal/requests/forward/load_test.go
+++ b/internal/requests/forward/load_test.go
@@ -27,7 +27,7 @@
 		for _, load := range loads {
 			f.Names.Load = func(http.Header) (headers.Load, bool) { return load, true }
 			rep, _ := table.Get("a")
-			f.noteLoad(rep, nil)
+			f.recordLoad(rep, nil)
 			known, _ := table.Get("a")
 			is.Equal(known.ReportedLoad, load.Running+load.Waiting)
 			is.Equal(known.Slowdown, 2.0) // one that tells no pace takes none back
