--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -17,10 +17,10 @@
 // errNoReplica: no replica of the call's services is listed, or each is passed over.
 var errNoReplica = errors.New("forward: no replica")
 
-// lastWord is how long the attempts that the end of the context cuts have to say whether they
+// cancelledAttemptTimeout is how long the attempts that the end of the context cuts have to say whether they
 // were sent. They end at once; a third of the time that ingress keeps back for a final answer
 // leaves the rest of it to the answer.
-const lastWord = 8 * time.Millisecond
+const cancelledAttemptTimeout = 8 * time.Millisecond
 
 // attempts are those at one call. All but outcomes belongs to the goroutine of loop.
 type attempts struct {
@@ -87,7 +87,7 @@
 // says whether it was sent: one whose connection was never made has not run, and an
 // answer that came whole with the end is still the answer.
 func (a *attempts) timeUp() (*Answer, error) {
-	late := time.NewTimer(lastWord)
+	late := time.NewTimer(cancelledAttemptTimeout)
 	defer late.Stop()
 	for a.open > 0 {
 		select {
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -255,14 +255,14 @@
 		certainty Certainty // 0 where an answer is passed on
 	}{
 		"not sent":                     {1, []result{notSent}, 0, NotRun},
-		"not sent, said in time":       {1, []result{notSent}, lastWord / 2, NotRun},
-		"not sent, said late":          {1, []result{notSent}, 2 * lastWord, MayHaveRun},
+		"not sent, said in time":       {1, []result{notSent}, cancelledAttemptTimeout / 2, NotRun},
+		"not sent, said late":          {1, []result{notSent}, 2 * cancelledAttemptTimeout, MayHaveRun},
 		"sent":                         {1, []result{broken}, 0, MayHaveRun},
 		"one of two sent":              {2, []result{notSent, broken}, 0, MayHaveRun},
 		"one of two says nothing":      {2, []result{notSent}, 0, MayHaveRun},
 		"a whole answer with the end":  {1, []result{whole}, 0, 0},
-		"a whole answer beside a hang": {2, []result{whole}, lastWord / 2, 0},
-		"a whole answer, but late":     {1, []result{whole}, 2 * lastWord, MayHaveRun},
+		"a whole answer beside a hang": {2, []result{whole}, cancelledAttemptTimeout / 2, 0},
+		"a whole answer, but late":     {1, []result{whole}, 2 * cancelledAttemptTimeout, MayHaveRun},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -280,15 +280,15 @@
 				} else {
 					time.AfterFunc(one.after, say)
 				}
-				time.AfterFunc(4*lastWord, func() { // those that say nothing end some time
+				time.AfterFunc(4*cancelledAttemptTimeout, func() { // those that say nothing end some time
 					for range silent {
 						a.outcomes <- broken
 					}
 				})
-				defer time.Sleep(8 * lastWord)
+				defer time.Sleep(8 * cancelledAttemptTimeout)
 				began := time.Now()
 				answer, err := a.timeUp()
-				is.True(time.Since(began) <= lastWord)
+				is.True(time.Since(began) <= cancelledAttemptTimeout)
 				if one.certainty == 0 {
 					is.NoErr(err)
 					is.Equal(answer.Replica, "c")
