--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -26,9 +26,9 @@
 type attempts struct {
 	forwarder *Forwarder
 	call      *Call
-	// passedOver are the replicas that had an attempt, and those that may not run the content
+	// excluded are the replicas that had an attempt, and those that may not run the content
 	// now.
-	passedOver map[string]bool
+	excluded map[string]bool
 	// asked are the replicas that had an attempt, each with what cuts it.
 	asked    map[string]context.CancelFunc
 	outcomes chan result
@@ -46,7 +46,7 @@
 
 func newAttempts(f *Forwarder, call *Call) *attempts {
 	call.complete()
-	return &attempts{forwarder: f, call: call, passedOver: map[string]bool{}, asked: map[string]context.CancelFunc{},
+	return &attempts{forwarder: f, call: call, excluded: map[string]bool{}, asked: map[string]context.CancelFunc{},
 		outcomes: make(chan result, call.MaxAttempts+extraAttempts+1)}
 }
 
@@ -168,7 +168,7 @@
 	if !ok {
 		return noHedge
 	}
-	a.passedOver[rep.ID] = true
+	a.excluded[rep.ID] = true
 	a.open++
 	attemptCtx, cancel := context.WithCancel(ctx)
 	a.asked[rep.ID] = cancel
@@ -187,7 +187,7 @@
 // another run of the content finds out whether it ends its replica.
 func (a *attempts) pick(ctx context.Context) (rep replica.Replica, release func(), ok bool) {
 	for ctx.Err() == nil {
-		if rep, ok = a.forwarder.Pick(a.call.Services, a.passedOver); !ok {
+		if rep, ok = a.forwarder.Pick(a.call.Services, a.excluded); !ok {
 			return replica.Replica{}, nil, false
 		}
 		release, err := a.forwarder.mayRun(a.call.RequestID, a.call.content, rep)
@@ -196,7 +196,7 @@
 			return rep, release, true
 		case err.Await(ctx):
 		case err.Elsewhere:
-			a.passedOver[rep.ID] = true
+			a.excluded[rep.ID] = true
 		default:
 			a.quarantined, a.lastReason = err, err.Error()
 			return replica.Replica{}, nil, false
