--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -29,9 +29,9 @@
 	// excluded are the replicas that had an attempt, and those that may not run the content
 	// now.
 	excluded map[string]bool
-	// asked are the replicas that had an attempt, each with what cuts it.
-	asked    map[string]context.CancelFunc
-	outcomes chan result
+	// cancelByReplica are the replicas that had an attempt, each with what cuts it.
+	cancelByReplica map[string]context.CancelFunc
+	outcomes        chan result
 	// mayHaveRun counts attempts that may have run, notRun those that did not,
 	// open those without an outcome yet.
 	mayHaveRun, notRun, open int
@@ -46,7 +46,7 @@
 
 func newAttempts(f *Forwarder, call *Call) *attempts {
 	call.complete()
-	return &attempts{forwarder: f, call: call, excluded: map[string]bool{}, asked: map[string]context.CancelFunc{},
+	return &attempts{forwarder: f, call: call, excluded: map[string]bool{}, cancelByReplica: map[string]context.CancelFunc{},
 		outcomes: make(chan result, call.MaxAttempts+extraAttempts+1)}
 }
 
@@ -113,7 +113,7 @@
 // drain cuts the attempts that are open, but for that to the kept replica, and
 // gives their connections back.
 func (a *attempts) drain(kept string) {
-	for id, cancel := range a.asked {
+	for id, cancel := range a.cancelByReplica {
 		if id != kept {
 			cancel()
 		}
@@ -144,7 +144,7 @@
 		reason = errNoReplica.Error()
 	}
 	return &Failure{Certainty: certainty, Reason: reason, Quarantined: a.quarantined, Attempts: a.mayHaveRun,
-		Asked: slices.Sorted(maps.Keys(a.asked)),
+		Asked: slices.Sorted(maps.Keys(a.cancelByReplica)),
 		Full:  certainty == NotRun && a.declined > 0 && a.declined == a.notRun && a.quarantined == nil}
 }
 
@@ -171,7 +171,7 @@
 	a.excluded[rep.ID] = true
 	a.open++
 	attemptCtx, cancel := context.WithCancel(ctx)
-	a.asked[rep.ID] = cancel
+	a.cancelByReplica[rep.ID] = cancel
 	go func() {
 		a.outcomes <- a.forwarder.attempt(attemptCtx, func() { cancel(); release() }, a.call, rep)
 	}()
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -268,7 +268,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				a := &attempts{call: &Call{Repeatable: true, MaxAttempts: 3}, asked: map[string]context.CancelFunc{}, outcomes: make(chan result, 4), open: one.open}
+				a := &attempts{call: &Call{Repeatable: true, MaxAttempts: 3}, cancelByReplica: map[string]context.CancelFunc{}, outcomes: make(chan result, 4), open: one.open}
 				silent := one.open - len(one.said)
 				say := func() {
 					for _, rep := range one.said {
