--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -50,8 +50,8 @@
 		outcomes: make(chan result, call.MaxAttempts+extraAttempts+1)}
 }
 
-// loop makes attempts until one has an answer to pass on, or none may be made any more.
-func (a *attempts) loop(ctx context.Context) (*Answer, error) {
+// run makes attempts until one has an answer to pass on, or none may be made any more.
+func (a *attempts) run(ctx context.Context) (*Answer, error) {
 	if ctx.Err() != nil {
 		return nil, a.failure(errTimeUp.Error())
 	}
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -57,7 +57,7 @@
 // Do sends the call until a replica has answered, the attempts are used up or
 // the context has ended.
 func (f *Forwarder) Do(ctx context.Context, call *Call) (*Answer, error) {
-	return newAttempts(f, call).loop(ctx)
+	return newAttempts(f, call).run(ctx)
 }
 
 // Pick returns the best replica that is not passed over, of the first service that has one.
