--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -61,7 +61,7 @@
 		select {
 		case res := <-a.outcomes:
 			a.open--
-			if answer := a.judge(res); answer != nil {
+			if answer := a.handleResult(res); answer != nil {
 				a.drain(answer.Replica)
 				return answer, nil
 			}
@@ -93,7 +93,7 @@
 		select {
 		case res := <-a.outcomes:
 			a.open--
-			answer := a.judge(res)
+			answer := a.handleResult(res)
 			if answer != nil && answer.Rest == nil {
 				a.drain(answer.Replica)
 				return answer, nil
@@ -206,9 +206,9 @@
 	return replica.Replica{}, nil, false
 }
 
-// judge takes an outcome into account and returns the answer to pass on, if
+// handleResult takes an outcome into account and returns the answer to pass on, if
 // this is it.
-func (a *attempts) judge(res result) *Answer {
+func (a *attempts) handleResult(res result) *Answer {
 	if res.err != nil {
 		a.lastReason = res.err.Error()
 		if res.mayHaveRun {
