--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -62,7 +62,7 @@
 		case res := <-a.outcomes:
 			a.open--
 			if answer := a.handleResult(res); answer != nil {
-				a.drain(answer.Replica)
+				a.cancelOthers(answer.Replica)
 				return answer, nil
 			}
 			if a.open == 0 && a.mayRetry(ctx) {
@@ -95,7 +95,7 @@
 			a.open--
 			answer := a.handleResult(res)
 			if answer != nil && answer.Rest == nil {
-				a.drain(answer.Replica)
+				a.cancelOthers(answer.Replica)
 				return answer, nil
 			}
 			if answer != nil {
@@ -103,16 +103,16 @@
 			}
 		case <-late.C:
 			a.mayHaveRun += a.open
-			a.drain("")
+			a.cancelOthers("")
 			return nil, a.failure(errTimeUp.Error())
 		}
 	}
 	return nil, a.failure(errTimeUp.Error())
 }
 
-// drain cuts the attempts that are open, but for that to the kept replica, and
+// cancelOthers cuts the attempts that are open, but for that to the kept replica, and
 // gives their connections back.
-func (a *attempts) drain(kept string) {
+func (a *attempts) cancelOthers(kept string) {
 	for id, cancel := range a.cancelByReplica {
 		if id != kept {
 			cancel()
