--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -74,7 +74,7 @@
 				hedge.Reset(a.start(ctx))
 			}
 		case <-ctx.Done():
-			return a.timeUp()
+			return a.awaitCancelled()
 		}
 	}
 	if a.fallback != nil {
@@ -83,10 +83,10 @@
 	return nil, a.failure(a.lastReason)
 }
 
-// timeUp ends a call whose context has ended, which has cut its open attempts. Each of them
+// awaitCancelled ends a call whose context has ended, which has cut its open attempts. Each of them
 // says whether it was sent: one whose connection was never made has not run, and an
 // answer that came whole with the end is still the answer.
-func (a *attempts) timeUp() (*Answer, error) {
+func (a *attempts) awaitCancelled() (*Answer, error) {
 	late := time.NewTimer(cancelledAttemptTimeout)
 	defer late.Stop()
 	for a.open > 0 {
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -287,7 +287,7 @@
 				})
 				defer time.Sleep(8 * cancelledAttemptTimeout)
 				began := time.Now()
-				answer, err := a.timeUp()
+				answer, err := a.awaitCancelled()
 				is.True(time.Since(began) <= cancelledAttemptTimeout)
 				if one.certainty == 0 {
 					is.NoErr(err)
