--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -164,7 +164,7 @@
 // start sends the call to the next replica, if there is one, and returns after
 // which time another should be asked as well.
 func (a *attempts) start(ctx context.Context) time.Duration {
-	rep, release, ok := a.pick(ctx)
+	rep, release, ok := a.pickReplica(ctx)
 	if !ok {
 		return noHedge
 	}
@@ -183,9 +183,9 @@
 	return a.forwarder.Quarantine.Suspicion(a.call.content)
 }
 
-// pick picks a replica at which the call's content may run now. It waits while
+// pickReplica picks a replica at which the call's content may run now. It waits while
 // another run of the content finds out whether it ends its replica.
-func (a *attempts) pick(ctx context.Context) (rep replica.Replica, release func(), ok bool) {
+func (a *attempts) pickReplica(ctx context.Context) (rep replica.Replica, release func(), ok bool) {
 	for ctx.Err() == nil {
 		if rep, ok = a.forwarder.Pick(a.call.Services, a.excluded); !ok {
 			return replica.Replica{}, nil, false
