--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -125,7 +125,7 @@
 ) (answer *Answer, sentAt time.Time, mayHaveRun bool, err error) {
 	header := call.Header.Clone()
 	if deadline, bounded := ctx.Deadline(); bounded {
-		left := min(time.Until(deadline), call.Left())
+		left := min(time.Until(deadline), call.TimeLeft())
 		if left <= 0 {
 			return nil, sentAt, false, errors.Wrap(upstream.ErrNotSent, errTimeUp.Error())
 		}
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -55,10 +55,10 @@
 	// MayRetry is asked before an attempt at a further replica, with the number of attempts
 	// so far. Nil adds no bound to that of AttemptState.
 	MayRetry func(attempts int) bool
-	// Left is how long the caller still waits. It counts the time in which this machine
+	// TimeLeft is how long the caller still waits. It counts the time in which this machine
 	// was suspended, which the end of a context does not. Nil adds no bound to the
 	// context's.
-	Left func() time.Duration
+	TimeLeft func() time.Duration
 	// ConnectionUntil is until when a connection is waited for at a replica to which this
 	// daemon has as many as it may.
 	ConnectionUntil time.Time
@@ -78,8 +78,8 @@
 	if c.MayRetry == nil {
 		c.MayRetry = func(int) bool { return true }
 	}
-	if c.Left == nil {
-		c.Left = func() time.Duration { return math.MaxInt64 }
+	if c.TimeLeft == nil {
+		c.TimeLeft = func() time.Duration { return math.MaxInt64 }
 	}
 	if c.Ran == nil {
 		c.Ran = func(time.Time) {}
