--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -131,7 +131,7 @@
 		}
 		header[http.CanonicalHeaderKey(f.Names.DeadlineMs)] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
 	}
-	out := &upstream.Request{Header: header, Repeatable: call.Repeatable, WaitUntil: call.ConnectionUntil}
+	out := &upstream.Request{Header: header, Repeatable: call.Repeatable, WaitUntil: call.ConnectionDeadline}
 	response, err := f.roundTrip(ctx, rep, &call.Request, out)
 	sentAt = out.SentAt
 	if err != nil {
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -59,9 +59,9 @@
 	// was suspended, which the end of a context does not. Nil adds no bound to the
 	// context's.
 	TimeLeft func() time.Duration
-	// ConnectionUntil is until when a connection is waited for at a replica to which this
+	// ConnectionDeadline is until when a connection is waited for at a replica to which this
 	// daemon has as many as it may.
-	ConnectionUntil time.Time
+	ConnectionDeadline time.Time
 	// Ran is told of each replica that ran the call or may have run it, with when the call
 	// was sent there, by bootclock. Nil if nobody counts runs.
 	Ran func(sentAt time.Time)
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -36,8 +36,8 @@
 	return &forward.Call{
 		Request: r.onward(cfg, body), Services: r.route.Order(r.id),
 		Repeatable: repeatable, MaxAttempts: max(r.route.MaxAttempts, 1), Hedge: repeatable, HedgeAfter: r.route.HedgeAfter,
-		ConnectionUntil: time.Now().Add(r.route.ConnectionWait()),
-		TimeLeft:        r.timeLeft, Ran: r.countRun, Account: r.account, MayRetry: r.policyMayRetry,
+		ConnectionDeadline: time.Now().Add(r.route.ConnectionWait()),
+		TimeLeft:           r.timeLeft, Ran: r.countRun, Account: r.account, MayRetry: r.policyMayRetry,
 	}
 }
 
