--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -48,7 +48,7 @@
 	started := time.Now()
 	answer, sentAt, mayHaveRun, err := f.exchange(ctx, call, rep)
 	if mayHaveRun {
-		call.Ran(sentAt)
+		call.OnRun(sentAt)
 	}
 	outcome := outcomeOf(ctx, err)
 	f.Observe(rep.Service, outcome, time.Since(started))
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -62,9 +62,9 @@
 	// ConnectionDeadline is until when a connection is waited for at a replica to which this
 	// daemon has as many as it may.
 	ConnectionDeadline time.Time
-	// Ran is told of each replica that ran the call or may have run it, with when the call
+	// OnRun is told of each replica that ran the call or may have run it, with when the call
 	// was sent there, by bootclock. Nil if nobody counts runs.
-	Ran func(sentAt time.Time)
+	OnRun func(sentAt time.Time)
 	// Account counts what is held of answers; nil has no bound. An answer for which it has
 	// no room is passed on as it comes, like a long one.
 	Account *holding.Account
@@ -81,8 +81,8 @@
 	if c.TimeLeft == nil {
 		c.TimeLeft = func() time.Duration { return math.MaxInt64 }
 	}
-	if c.Ran == nil {
-		c.Ran = func(time.Time) {}
+	if c.OnRun == nil {
+		c.OnRun = func(time.Time) {}
 	}
 	if c.content == nil {
 		c.content = c.Request.content()
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -37,7 +37,7 @@
 		Request: r.onward(cfg, body), Services: r.route.Order(r.id),
 		Repeatable: repeatable, MaxAttempts: max(r.route.MaxAttempts, 1), Hedge: repeatable, HedgeAfter: r.route.HedgeAfter,
 		ConnectionDeadline: time.Now().Add(r.route.ConnectionWait()),
-		TimeLeft:           r.timeLeft, Ran: r.countRun, Account: r.account, MayRetry: r.policyMayRetry,
+		TimeLeft:           r.timeLeft, OnRun: r.countRun, Account: r.account, MayRetry: r.policyMayRetry,
 	}
 }
 
