--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -45,7 +45,7 @@
 }
 
 func newAttempts(f *Forwarder, call *Call) *attempts {
-	call.complete()
+	call.setDefaults()
 	return &attempts{forwarder: f, call: call, excluded: map[string]bool{}, cancelByReplica: map[string]context.CancelFunc{},
 		outcomes: make(chan result, call.MaxAttempts+extraAttempts+1)}
 }
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -72,9 +72,9 @@
 	content *quarantine.Content
 }
 
-// complete gives what the caller left out its value without effect, and the call its content.
+// setDefaults gives what the caller left out its value without effect, and the call its content.
 // A call may be done again while attempts of its first time still end.
-func (c *Call) complete() {
+func (c *Call) setDefaults() {
 	if c.MayRetry == nil {
 		c.MayRetry = func(int) bool { return true }
 	}
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -235,7 +235,7 @@
 	for range 20 {
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Millisecond)
 		call := &Call{Request: Request{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}}}
-		call.complete()
+		call.setDefaults()
 		res := f.forwarder.attempt(ctx, cancel, call, rep)
 		is.True(errors.Is(res.err, upstream.ErrNotSent))
 		is.True(!res.mayHaveRun)
