--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -97,8 +97,8 @@
 	// Body is the answer's body if Rest is nil, else its beginning.
 	Body []byte
 	Rest *Rest
-	// end, not nil where there is a rest, ends the attempt.
-	end func()
+	// endAttempt, not nil where there is a rest, ends the attempt.
+	endAttempt func()
 }
 
 // Rest is what is still to come of a long answer.
@@ -133,7 +133,7 @@
 func (a *Answer) Close() {
 	if a.Rest != nil {
 		a.Rest.Close()
-		a.end()
+		a.endAttempt()
 	}
 }
 
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -247,7 +247,7 @@
 func TestTheEndOfACallsTime(t *testing.T) {
 	notSent := result{err: errors.Wrap(upstream.ErrNotSent, "cut")}
 	broken := result{err: errors.New("cut"), mayHaveRun: true}
-	whole := result{answer: &Answer{Status: http.StatusOK, Replica: "c", end: func() {}}, mayHaveRun: true}
+	whole := result{answer: &Answer{Status: http.StatusOK, Replica: "c", endAttempt: func() {}}, mayHaveRun: true}
 	cases := map[string]struct {
 		open      int
 		said      []result
