--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -149,7 +149,7 @@
 	}
 	answer, err = f.readAnswer(call, response)
 	if err == nil && answer.Rest != nil {
-		answer.Rest.ended = func(err error) {
+		answer.Rest.onEnd = func(err error) {
 			f.noteEnd(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, mayHaveRun: true, err: err})
 		}
 	}
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -104,8 +104,8 @@
 // Rest is what is still to come of a long answer.
 type Rest struct {
 	*upstream.Answer
-	// ended is told how the reading ended, nil being the answer's proper end.
-	ended func(err error)
+	// onEnd is told how the reading onEnd, nil being the answer's proper end.
+	onEnd func(err error)
 	// abandoned says that nobody reads the rest any more: its end says nothing of the replica.
 	abandoned atomic.Bool
 }
@@ -122,9 +122,9 @@
 	n, err := r.Answer.Read(p)
 	switch {
 	case err == io.EOF:
-		r.ended(nil)
+		r.onEnd(nil)
 	case err != nil && !r.abandoned.Load():
-		r.ended(err)
+		r.onEnd(err)
 	}
 	return n, err
 }
