--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -110,9 +110,9 @@
 	abandoned atomic.Bool
 }
 
-// GiveUp ends a Read under way, and all later ones, with an error. It may be called at any
+// Abandon ends a Read under way, and all later ones, with an error. It may be called at any
 // time; Close must follow once no Read is under way.
-func (r *Rest) GiveUp() {
+func (r *Rest) Abandon() {
 	r.abandoned.Store(true)
 	r.Answer.Cut()
 }
--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -134,6 +134,6 @@
 	if err == io.EOF {
 		return nil
 	}
-	answer.Rest.GiveUp()
+	answer.Rest.Abandon()
 	return err
 }
