--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -144,8 +144,8 @@
 		reason = errNoReplica.Error()
 	}
 	return &Failure{Certainty: certainty, Reason: reason, Quarantined: a.quarantined, Attempts: a.mayHaveRun,
-		Asked: slices.Sorted(maps.Keys(a.cancelByReplica)),
-		Full:  certainty == NotRun && a.declined > 0 && a.declined == a.notRun && a.quarantined == nil}
+		AskedReplicas: slices.Sorted(maps.Keys(a.cancelByReplica)),
+		Full:          certainty == NotRun && a.declined > 0 && a.declined == a.notRun && a.quarantined == nil}
 }
 
 // state is what has become of the call so far.
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -146,8 +146,8 @@
 	Quarantined *QuarantinedError
 	// Attempts is how many replicas may have run the request.
 	Attempts int
-	// Asked are the replicas that had an attempt.
-	Asked []string
+	// AskedReplicas are the replicas that had an attempt.
+	AskedReplicas []string
 	// Full says that each of them declined it: it has not run, and there is no other sign
 	// that something is wrong.
 	Full bool
--- a/internal/requests/ingress/refuse.go
+++ b/internal/requests/ingress/refuse.go
@@ -50,7 +50,7 @@
 		r.refuse(refusal.Failed, err.Error())
 		return
 	}
-	r.attempts, r.replica = failure.Attempts, strings.Join(failure.Asked, ",")
+	r.attempts, r.replica = failure.Attempts, strings.Join(failure.AskedReplicas, ",")
 	r.refuseUnanswered(failure.Certainty == forward.NotRun, failure.Quarantined, failure.Reason)
 }
 
