--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -145,7 +145,7 @@
 	}
 	return &Failure{Certainty: certainty, Reason: reason, Quarantined: a.quarantined, Attempts: a.mayHaveRun,
 		AskedReplicas: slices.Sorted(maps.Keys(a.cancelByReplica)),
-		Full:          certainty == NotRun && a.declined > 0 && a.declined == a.notRun && a.quarantined == nil}
+		AllDeclined:   certainty == NotRun && a.declined > 0 && a.declined == a.notRun && a.quarantined == nil}
 }
 
 // state is what has become of the call so far.
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -148,9 +148,9 @@
 	Attempts int
 	// AskedReplicas are the replicas that had an attempt.
 	AskedReplicas []string
-	// Full says that each of them declined it: it has not run, and there is no other sign
+	// AllDeclined says that each of them declined it: it has not run, and there is no other sign
 	// that something is wrong.
-	Full bool
+	AllDeclined bool
 }
 
 // Error implements error.
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -82,7 +82,7 @@
 		return admission.Answered{Took: took}
 	}
 	var failure *forward.Failure
-	if errors.As(err, &failure) && failure.Full {
+	if errors.As(err, &failure) && failure.AllDeclined {
 		return admission.Declined{}
 	}
 	return admission.Unanswered{}
