--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -21,7 +21,7 @@
 	// outcome is the name of how it ended, mayHaveRun says that the replica may have run it.
 	outcome    string
 	mayHaveRun bool
-	after      time.Duration
+	took       time.Duration
 	err        error
 }
 
@@ -53,7 +53,7 @@
 		zap.String("content", failed.content.Digest().Short()), zap.String("replica", failed.chosen.ID),
 		zap.String("service", failed.chosen.Service),
 		zap.Stringer("address", failed.chosen.Address), zap.Stringer("process", liveness), zap.Bool("may_have_run", failed.mayHaveRun),
-		zap.Duration("after", failed.after), zap.Error(failed.err))
+		zap.Duration("after", failed.took), zap.Error(failed.err))
 }
 
 // noteReplicaEnd holds the end of a replica, or what may be one, against the content that it
