--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -150,7 +150,7 @@
 	answer, err = f.readAnswer(call, response)
 	if err == nil && answer.Rest != nil {
 		answer.Rest.onEnd = func(err error) {
-			f.noteEnd(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, mayHaveRun: true, err: err})
+			f.recordEnd(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, mayHaveRun: true, err: err})
 		}
 	}
 	return answer, sentAt, true, err
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -25,9 +25,9 @@
 	err        error
 }
 
-// noteEnd notes how an answer that had begun ended: properly, which clears its content, or by
+// recordEnd notes how an answer that had begun ended: properly, which clears its content, or by
 // an error.
-func (f *Forwarder) noteEnd(ctx context.Context, ended failedAttempt) {
+func (f *Forwarder) recordEnd(ctx context.Context, ended failedAttempt) {
 	if ended.err == nil {
 		f.Quarantine.Answered(ended.content)
 		return
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -98,7 +98,7 @@
 	}
 	began := time.Now()
 	ended := func(err error) {
-		f.noteEnd(ctx, failedAttempt{requestID: req.RequestID, content: content, chosen: rep,
+		f.recordEnd(ctx, failedAttempt{requestID: req.RequestID, content: content, chosen: rep,
 			mayHaveRun: !errors.Is(err, upstream.ErrNotSent), took: time.Since(began), err: err})
 	}
 	answer, err := f.roundTrip(ctx, rep, &req.Request, &upstream.Request{Header: header, Repeatable: req.Repeatable})
