--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		// The end below cancels the attempt's context, which then says nothing of the caller.
 		cut := ctx.Err() != nil
-		f.noteFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep,
+		f.recordFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep,
 			outcome: outcome, mayHaveRun: mayHaveRun, took: time.Since(started), err: err})
 		end()
 		if !cut {
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -33,13 +33,13 @@
 		return
 	}
 	ended.outcome = outcomeOf(ctx, ended.err)
-	f.noteFailure(ctx, ended)
+	f.recordFailure(ctx, ended)
 }
 
-// noteFailure finds out what became of the replica of an attempt that failed, holds its end
+// recordFailure finds out what became of the replica of an attempt that failed, holds its end
 // against the content, and tells both in one line. The content's digest joins the attempts at
 // one content at all daemons.
-func (f *Forwarder) noteFailure(ctx context.Context, failed failedAttempt) {
+func (f *Forwarder) recordFailure(ctx context.Context, failed failedAttempt) {
 	if failed.outcome == outcomeDeclined || failed.outcome == outcomeCancelled {
 		return // neither says anything of the replica's soundness, and both are frequent
 	}
