--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -47,7 +47,7 @@
 	if errors.Is(failed.err, upstream.ErrNoAnswer) || errors.Is(failed.err, eventstream.ErrCut) {
 		// The connection ended once the request had been sent.
 		liveness = f.Pool.Probe(ctx, failed.chosen.Address)
-		f.noteReplicaEnd(failed, liveness)
+		f.recordReplicaEnd(failed, liveness)
 	}
 	f.Logger.Info("attempt failed", zap.String("request", failed.requestID), zap.String("outcome", failed.outcome),
 		zap.String("content", failed.content.Digest().Short()), zap.String("replica", failed.chosen.ID),
@@ -56,9 +56,9 @@
 		zap.Duration("after", failed.took), zap.Error(failed.err))
 }
 
-// noteReplicaEnd holds the end of a replica, or what may be one, against the content that it
+// recordReplicaEnd holds the end of a replica, or what may be one, against the content that it
 // ran. The end of a replica that was leaving was planned.
-func (f *Forwarder) noteReplicaEnd(failed failedAttempt, liveness upstream.Liveness) {
+func (f *Forwarder) recordReplicaEnd(failed failedAttempt, liveness upstream.Liveness) {
 	rep := failed.chosen
 	if now, listed := f.Table.Get(rep.ID); listed && now.Draining && now.Incarnation() == rep.Incarnation() {
 		return
