--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -161,7 +161,7 @@
 func (f *Forwarder) roundTrip(ctx context.Context, rep replica.Replica, req *Request, out *upstream.Request) (*upstream.Answer, error) {
 	out.Method, out.Target, out.Host, out.Body = req.Method, req.Target, req.Host, req.Body
 	out.Header[http.CanonicalHeaderKey(f.Names.ExpectReplica)] = []string{rep.ID}
-	out.EchoName, out.EchoValue, out.MaxOpen = f.Names.RequestID, req.RequestID, f.MaxOpen(rep)
+	out.EchoName, out.EchoValue, out.MaxOpen = f.Names.RequestID, req.RequestID, f.MaxConnections(rep)
 	answer, err := f.Pool.Exchange(ctx, rep.Address, out)
 	if err == nil {
 		f.recordLoad(rep, answer.Header)
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -41,8 +41,8 @@
 	// Quarantine knows the contents under which replicas have ended.
 	Quarantine *quarantine.Table
 	Logger     *zap.Logger
-	// MaxOpen is how many connections to a replica this daemon may have, 0 without bound.
-	MaxOpen func(rep replica.Replica) int
+	// MaxConnections is how many connections to a replica this daemon may have, 0 without bound.
+	MaxConnections func(rep replica.Replica) int
 	// Observe is told of each attempt at a replica: the service, how it ended and
 	// how long it took.
 	Observe func(service, outcome string, took time.Duration)
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -72,7 +72,7 @@
 		table.Set(replica.Entry{ID: string(rune('a' + i)), Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 4})
 	}
 	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, UnackedTimeout: time.Second})
-	f.forwarder = &Forwarder{MaxOpen: Unbounded, Pool: pool, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}
+	f.forwarder = &Forwarder{MaxConnections: Unbounded, Pool: pool, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}
 	return f
 }
 
@@ -362,7 +362,7 @@
 	for replicas, answered := range map[int]bool{1: false, 2: true} {
 		is := is.New(t)
 		f := newFloor(t, replicas, hangs, answers)
-		f.forwarder.MaxOpen = func(replica.Replica) int { return 1 }
+		f.forwarder.MaxConnections = func(replica.Replica) int { return 1 }
 		ctx, cancel := context.WithCancel(t.Context())
 		first := make(chan error, 1)
 		go func() {
