--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -43,7 +43,7 @@
 ) *Runner {
 	logger := zap.NewNop()
 	forwarder := &forward.Forwarder{
-		MaxConnections: forward.Unbounded, Quarantine: quarantine.New("m", time.Now, logger),
+		MaxConnections: forward.UnboundedConnections, Quarantine: quarantine.New("m", time.Now, logger),
 		Table: table, Pool: upstream.NewPool(upstream.Options{}), Logger: logger,
 	}
 	assigner := NewAssigner(log, dealtTo(owner), self, logger)
--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -14,7 +14,7 @@
 func (n *Node) maxOpen(chosen replica.Replica) int {
 	configuration := n.operator.Configuration()
 	if n.relay == nil || configuration == nil {
-		return forward.Unbounded(chosen)
+		return forward.UnboundedConnections(chosen)
 	}
 	service := configuration.Services[chosen.Service]
 	daemons := n.daemons()
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -299,7 +299,7 @@
 	b.reader = results.NewReader(b.batches, b.member, all, own.Grants(), b.run, logger)
 	follower := journal.NewKeyedFollower(own, startTopic, b.applied, settings.Defaults().Timing.ContactBound.Std(), logger)
 	follower.SetInterval(journal.SharedInterval(own.Grants().ReadsPerSecond*operatorReadShare, all.Daemons))
-	forwarder := &forward.Forwarder{MaxConnections: forward.Unbounded, Names: headers.Names{}, Quarantine: quarantine.New(b.run, time.Now, logger), Table: replica.NewTable(time.Second, logger), Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
+	forwarder := &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Names: headers.Names{}, Quarantine: quarantine.New(b.run, time.Now, logger), Table: replica.NewTable(time.Second, logger), Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
 	jobs := runner.New(ctx, b.run, b.batches, forwarder, nil, nil, runner.NewAssigner(own, b.member, b.run, logger), b.reader, logger)
 	time.AfterFunc(after, func() {
 		for _, run := range []func(context.Context){follower.Run, b.member.Run, runner.NewWatcher(jobs, b.member).Run} {
--- a/internal/requests/forward/failed_test.go
+++ b/internal/requests/forward/failed_test.go
@@ -39,7 +39,7 @@
 			t.Cleanup(server.Close)
 			table := replica.NewTable(time.Second, zap.NewNop())
 			table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 4})
-			f := &floor{forwarder: &Forwarder{MaxConnections: Unbounded, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.New(core), Observe: func(string, string, time.Duration) {},
+			f := &floor{forwarder: &Forwarder{MaxConnections: UnboundedConnections, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.New(core), Observe: func(string, string, time.Duration) {},
 				Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, UnackedTimeout: time.Second})}}
 			var asked *Call
 			_, err := f.call(t, func(call *Call) { asked = call })
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -51,8 +51,8 @@
 	failed     *logging.Episodes
 }
 
-// Unbounded is the MaxOpen of a daemon that shares its replicas with none.
-func Unbounded(replica.Replica) int { return 0 }
+// UnboundedConnections is the MaxOpen of a daemon that shares its replicas with none.
+func UnboundedConnections(replica.Replica) int { return 0 }
 
 // Do sends the call until a replica has answered, the attempts are used up or
 // the context has ended.
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -72,7 +72,7 @@
 		table.Set(replica.Entry{ID: string(rune('a' + i)), Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 4})
 	}
 	pool := upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, UnackedTimeout: time.Second})
-	f.forwarder = &Forwarder{MaxConnections: Unbounded, Pool: pool, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}
+	f.forwarder = &Forwarder{MaxConnections: UnboundedConnections, Pool: pool, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}}
 	return f
 }
 
--- a/internal/requests/forward/load_test.go
+++ b/internal/requests/forward/load_test.go
@@ -23,7 +23,7 @@
 		table := replica.NewTable(time.Second, zap.NewNop())
 		table.Replace([]replica.Entry{{ID: "a", Service: "s", Born: time.UnixMilli(1)}, {ID: "b", Service: "s"}})
 		loads := []headers.Load{{Running: 2, Waiting: 1, Slowdown: 2}, {Running: 4}}
-		f := &Forwarder{MaxConnections: Unbounded, Table: table}
+		f := &Forwarder{MaxConnections: UnboundedConnections, Table: table}
 		for _, load := range loads {
 			f.Names.Load = func(http.Header) (headers.Load, bool) { return load, true }
 			rep, _ := table.Get("a")
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -81,7 +81,7 @@
 	s.handler = bare(time.Now)
 	s.handler.Names, s.handler.Observe, s.handler.Configuration = names, s.outcomes.observe, func() *route.Configuration { return cfg }
 	s.handler.Holding = holding.New(holding.LimitsOf(most))
-	setForwarder(s.handler, &forward.Forwarder{MaxConnections: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: 10 * time.Second}), Table: table, Names: names,
+	setForwarder(s.handler, &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: 10 * time.Second}), Table: table, Names: names,
 		Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
 	s.daemon = serve(t, s.handler)
 	return s
--- a/internal/requests/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -65,7 +65,7 @@
 			is.NoErr(err)
 			handler := bare(clock.Now)
 			handler.Names, handler.Configuration = names, func() *route.Configuration { return cfg }
-			setForwarder(handler, &forward.Forwarder{MaxConnections: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names,
+			setForwarder(handler, &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names,
 				Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
 			r := httptest.NewRequest(http.MethodPost, "/x", &suspending{strings.NewReader("body"), clock, c.sleep})
 			r.Host = "h"
--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -46,7 +46,7 @@
 	}
 	handler := bare(clock.Now)
 	handler.Names, handler.Configuration = names, func() *route.Configuration { return cfg }
-	setForwarder(handler, &forward.Forwarder{MaxConnections: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names,
+	setForwarder(handler, &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names,
 		Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
 	return handler, asked
 }
