--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -115,7 +115,7 @@
 // replicaFailures sums the replicaFailures of each replica; what they did to a request is in its
 // "attempt failed".
 func (f *Forwarder) replicaFailures() *logging.Episodes {
-	f.failedOnce.Do(func() { f.failed = logging.NewEpisodes(f.Logger, "replica failed", "replica", "") })
+	f.failuresOnce.Do(func() { f.failed = logging.NewEpisodes(f.Logger, "replica failed", "replica", "") })
 	return f.failed
 }
 
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -47,8 +47,8 @@
 	// how long it took.
 	Observe func(service, outcome string, took time.Duration)
 
-	failedOnce sync.Once
-	failed     *logging.Episodes
+	failuresOnce sync.Once
+	failed       *logging.Episodes
 }
 
 // UnboundedConnections is the MaxOpen of a daemon that shares its replicas with none.
