--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -115,8 +115,8 @@
 // replicaFailures sums the replicaFailures of each replica; what they did to a request is in its
 // "attempt failed".
 func (f *Forwarder) replicaFailures() *logging.Episodes {
-	f.failuresOnce.Do(func() { f.failed = logging.NewEpisodes(f.Logger, "replica failed", "replica", "") })
-	return f.failed
+	f.failuresOnce.Do(func() { f.failures = logging.NewEpisodes(f.Logger, "replica failed", "replica", "") })
+	return f.failures
 }
 
 // exchange sends the call and reads the answer, whole if it is short.
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -48,7 +48,7 @@
 	Observe func(service, outcome string, took time.Duration)
 
 	failuresOnce sync.Once
-	failed       *logging.Episodes
+	failures     *logging.Episodes
 }
 
 // UnboundedConnections is the MaxOpen of a daemon that shares its replicas with none.
