--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -15,8 +15,8 @@
 // QuarantinedError says that a request was not sent, as replicas have ended under its
 // content. It promises that the request has not run.
 type QuarantinedError struct {
-	// Ended is how many replicas have ended under the content, 0 if others decide.
-	Ended int
+	// EndedReplicas is how many replicas have ended under the content, 0 if others decide.
+	EndedReplicas int
 	// RetryAfter is when the content may be asked for again with some hope.
 	RetryAfter time.Duration
 	// Final says that it stays refused until an operator lifts that.
@@ -35,9 +35,9 @@
 	case e.over != nil:
 		return "forward: a run of the content finds out whether it ends its replica"
 	case e.Final:
-		return "forward: " + strconv.Itoa(e.Ended) + " replicas ended while they ran this content; it is refused until an operator lifts that"
+		return "forward: " + strconv.Itoa(e.EndedReplicas) + " replicas ended while they ran this content; it is refused until an operator lifts that"
 	default:
-		return "forward: " + strconv.Itoa(e.Ended) + " replicas ended while they ran this content; it may run alone later"
+		return "forward: " + strconv.Itoa(e.EndedReplicas) + " replicas ended while they ran this content; it may run alone later"
 	}
 }
 
@@ -72,7 +72,7 @@
 	case quarantine.Elsewhere:
 		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, Elsewhere: true}
 	case quarantine.Refused:
-		refused = &QuarantinedError{Ended: verdict.Ended, RetryAfter: verdict.RetryAfter, Final: verdict.Final}
+		refused = &QuarantinedError{EndedReplicas: verdict.Ended, RetryAfter: verdict.RetryAfter, Final: verdict.Final}
 	default: // quarantine.Free
 		return func() {}, nil
 	}
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -122,7 +122,7 @@
 		"full":                 {answer: explain(&admission.RefusedError{Reason: admission.NoTurnInTime, RetryAfter: 3 * time.Second}), status: 503, comeBack: "3.000", outcome: "refused", body: "admission: no turn in time"},
 		"full, beyond a third": {answer: explain(&admission.RefusedError{Reason: admission.QueueFull, RetryAfter: 9 * time.Second}), status: 503, comeBack: "8.000", outcome: "refused", body: "admission: too many wait"},
 		"full, stopping":       {answer: explain(&admission.RefusedError{Reason: admission.ContextEnded, RetryAfter: 3 * time.Second}), interrupted: true, status: 503, comeBack: "0.050", outcome: "refused", body: "admission: its wait has ended"},
-		"quarantined": {answer: explain(quarantined(forward.QuarantinedError{Ended: 3, RetryAfter: time.Minute, Final: true})), status: 503, comeBack: "60.000",
+		"quarantined": {answer: explain(quarantined(forward.QuarantinedError{EndedReplicas: 3, RetryAfter: time.Minute, Final: true})), status: 503, comeBack: "60.000",
 			outcome: "quarantined", body: "forward: 3 replicas ended while they ran this content; it is refused until an operator lifts that", quarantined: true},
 		"quarantined, stopping": {answer: explain(quarantined(forward.QuarantinedError{RetryAfter: 100 * time.Millisecond, Elsewhere: true})), interrupted: true, status: 503,
 			comeBack: "0.100", outcome: "quarantined", body: "forward: another suspect runs at the replica", quarantined: true},
--- a/internal/requests/ingress/refuse.go
+++ b/internal/requests/ingress/refuse.go
@@ -29,7 +29,7 @@
 // its content.
 func (r *request) refuseQuarantined(err *forward.QuarantinedError) {
 	if name := r.handler.Names.Quarantined; name != "" {
-		r.w.Header().Set(name, strconv.Itoa(err.Ended))
+		r.w.Header().Set(name, strconv.Itoa(err.EndedReplicas))
 	}
 	r.refuse(refusal.Quarantined.In(err.RetryAfter), err.Error())
 }
