--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -195,7 +195,7 @@
 		case err == nil:
 			return rep, release, true
 		case err.Await(ctx):
-		case err.Elsewhere:
+		case err.TryElsewhere:
 			a.excluded[rep.ID] = true
 		default:
 			a.quarantined, a.lastReason = err, err.Error()
--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -21,8 +21,8 @@
 	RetryAfter time.Duration
 	// Final says that it stays refused until an operator lifts that.
 	Final bool
-	// Elsewhere says that another replica may take it now.
-	Elsewhere bool
+	// TryElsewhere says that another replica may take it now.
+	TryElsewhere bool
 	// over, if not nil, is closed when the run of the content has ended that decides.
 	over <-chan struct{}
 }
@@ -30,7 +30,7 @@
 // Error implements error.
 func (e *QuarantinedError) Error() string {
 	switch {
-	case e.Elsewhere:
+	case e.TryElsewhere:
 		return "forward: another suspect runs at the replica"
 	case e.over != nil:
 		return "forward: a run of the content finds out whether it ends its replica"
@@ -70,7 +70,7 @@
 	case quarantine.Wait:
 		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, over: verdict.Over}
 	case quarantine.Elsewhere:
-		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, Elsewhere: true}
+		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, TryElsewhere: true}
 	case quarantine.Refused:
 		refused = &QuarantinedError{EndedReplicas: verdict.Ended, RetryAfter: verdict.RetryAfter, Final: verdict.Final}
 	default: // quarantine.Free
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -90,9 +90,9 @@
 // asked for again now.
 func (s *streamRelay) mayAskAgain(ctx context.Context, rep replica.Replica, err *forward.QuarantinedError) bool {
 	switch {
-	case s.mayHaveRun > 0 && !err.Elsewhere:
+	case s.mayHaveRun > 0 && !err.TryElsewhere:
 		// Its own run has ended a replica: the next one is alone, or is none.
-	case err.Elsewhere:
+	case err.TryElsewhere:
 		s.passedOver[rep.ID] = true
 		return true
 	case err.Await(ctx):
