--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -23,8 +23,8 @@
 	Final bool
 	// TryElsewhere says that another replica may take it now.
 	TryElsewhere bool
-	// over, if not nil, is closed when the run of the content has ended that decides.
-	over <-chan struct{}
+	// decided, if not nil, is closed when the run of the content has ended that decides.
+	decided <-chan struct{}
 }
 
 // Error implements error.
@@ -32,7 +32,7 @@
 	switch {
 	case e.TryElsewhere:
 		return "forward: another suspect runs at the replica"
-	case e.over != nil:
+	case e.decided != nil:
 		return "forward: a run of the content finds out whether it ends its replica"
 	case e.Final:
 		return "forward: " + strconv.Itoa(e.EndedReplicas) + " replicas ended while they ran this content; it is refused until an operator lifts that"
@@ -44,13 +44,13 @@
 // Await waits a little for the run that decides on the content, if there is one, and
 // reports whether the content may be asked for again.
 func (e *QuarantinedError) Await(ctx context.Context) bool {
-	if e.over == nil {
+	if e.decided == nil {
 		return false
 	}
 	late := time.NewTimer(decisionWait)
 	defer late.Stop()
 	select {
-	case <-e.over:
+	case <-e.decided:
 		return true
 	case <-late.C:
 	case <-ctx.Done():
@@ -68,7 +68,7 @@
 	case quarantine.Alone:
 		release = verdict.End
 	case quarantine.Wait:
-		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, over: verdict.Over}
+		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, decided: verdict.Over}
 	case quarantine.Elsewhere:
 		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, TryElsewhere: true}
 	case quarantine.Refused:
