--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -194,7 +194,7 @@
 		switch {
 		case err == nil:
 			return rep, release, true
-		case err.Await(ctx):
+		case err.AwaitDecision(ctx):
 		case err.TryElsewhere:
 			a.excluded[rep.ID] = true
 		default:
--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// Await waits a little for the run that decides on the content, if there is one, and
+// AwaitDecision waits a little for the run that decides on the content, if there is one, and
 // reports whether the content may be asked for again.
-func (e *QuarantinedError) Await(ctx context.Context) bool {
+func (e *QuarantinedError) AwaitDecision(ctx context.Context) bool {
 	if e.decided == nil {
 		return false
 	}
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -95,7 +95,7 @@
 	case err.TryElsewhere:
 		s.passedOver[rep.ID] = true
 		return true
-	case err.Await(ctx):
+	case err.AwaitDecision(ctx):
 		return true
 	}
 	s.quarantined, s.lastErr = err, err
