--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -47,7 +47,7 @@
 	if e.decided == nil {
 		return false
 	}
-	late := time.NewTimer(decisionWait)
+	late := time.NewTimer(decisionTimeout)
 	defer late.Stop()
 	select {
 	case <-e.decided:
@@ -85,10 +85,10 @@
 	return release, refused
 }
 
-// decisionWait is how long a request waits for another run of its content to decide. Most
+// decisionTimeout is how long a request waits for another run of its content to decide. Most
 // plain requests take a tenth of it; a text may take seconds, and who waits for one is told
 // after this to come back.
-const decisionWait = 300 * time.Millisecond
+const decisionTimeout = 300 * time.Millisecond
 
 // others returns the incarnations of the other replicas of a replica's service.
 func (f *Forwarder) others(rep replica.Replica) []string {
