--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -190,7 +190,7 @@
 		if rep, ok = a.forwarder.Pick(a.call.Services, a.excluded); !ok {
 			return replica.Replica{}, nil, false
 		}
-		release, err := a.forwarder.mayRun(a.call.RequestID, a.call.content, rep)
+		release, err := a.forwarder.admitContent(a.call.RequestID, a.call.content, rep)
 		switch {
 		case err == nil:
 			return rep, release, true
--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -58,9 +58,9 @@
 	return false
 }
 
-// mayRun asks whether a request may be sent to a replica now, for its content's sake. If
+// admitContent asks whether a request may be sent to a replica now, for its content's sake. If
 // so, release must be called when the run is over and what it showed is noted.
-func (f *Forwarder) mayRun(requestID string, content *quarantine.Content, rep replica.Replica) (release func(), refused *QuarantinedError) {
+func (f *Forwarder) admitContent(requestID string, content *quarantine.Content, rep replica.Replica) (release func(), refused *QuarantinedError) {
 	if f.Quarantine.Quiet() {
 		return func() {}, nil
 	}
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -92,7 +92,7 @@
 		header[http.CanonicalHeaderKey(names.DeadlineMs)] = []string{strconv.FormatInt(req.Deadline.Milliseconds(), 10)}
 	}
 	content := req.content()
-	release, refused := f.mayRun(req.RequestID, content, rep)
+	release, refused := f.admitContent(req.RequestID, content, rep)
 	if refused != nil {
 		return nil, refused
 	}
