--- a/internal/requests/forward/failed_test.go
+++ b/internal/requests/forward/failed_test.go
@@ -61,5 +61,5 @@
 	f := newFloor(t, 2)
 	rep, ok := f.forwarder.Table.Get("a")
 	is.True(ok)
-	is.Equal(f.forwarder.others(rep), []string{"b"})
+	is.Equal(f.forwarder.otherIncarnations(rep), []string{"b"})
 }
--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -64,7 +64,7 @@
 	if f.Quarantine.Quiet() {
 		return func() {}, nil
 	}
-	switch verdict := f.Quarantine.Judge(content, string(rep.Incarnation()), func() []string { return f.others(rep) }).(type) {
+	switch verdict := f.Quarantine.Judge(content, string(rep.Incarnation()), func() []string { return f.otherIncarnations(rep) }).(type) {
 	case quarantine.Alone:
 		release = verdict.End
 	case quarantine.Wait:
@@ -90,8 +90,8 @@
 // after this to come back.
 const decisionTimeout = 300 * time.Millisecond
 
-// others returns the incarnations of the other replicas of a replica's service.
-func (f *Forwarder) others(rep replica.Replica) []string {
+// otherIncarnations returns the incarnations of the other replicas of a replica's service.
+func (f *Forwarder) otherIncarnations(rep replica.Replica) []string {
 	var others []string
 	for _, other := range f.Table.Replicas(rep.Service) {
 		if other.ID != rep.ID {
