--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -47,7 +47,7 @@
 func newAttempts(f *Forwarder, call *Call) *attempts {
 	call.setDefaults()
 	return &attempts{forwarder: f, call: call, excluded: map[string]bool{}, cancelByReplica: map[string]context.CancelFunc{},
-		outcomes: make(chan result, call.MaxAttempts+extraAttempts+1)}
+		outcomes: make(chan result, call.MaxAttempts+maxExtraAttempts+1)}
 }
 
 // run makes attempts until one has an answer to pass on, or none may be made any more.
--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -19,9 +19,9 @@
 // another turn at its service (ingress, mostTurns).
 
 const (
-	// extraAttempts is how often a request that was certainly not run may be
+	// maxExtraAttempts is how often a request that was certainly not run may be
 	// sent to replicas beyond its attempts.
-	extraAttempts = 4
+	maxExtraAttempts = 4
 	// firstHedge is when a second replica is asked while the first is silent whose latency is
 	// not known, hedgeFactor after how many times its usual latency else, leastHedge the
 	// least time.
@@ -50,7 +50,7 @@
 func (s AttemptState) MayRetry() bool {
 	started := s.MayHaveRun + s.Open
 	switch {
-	case s.Refused, s.NotRun > extraAttempts, started >= max(s.MaxAttempts, 1):
+	case s.Refused, s.NotRun > maxExtraAttempts, started >= max(s.MaxAttempts, 1):
 		return false
 	case started == 0:
 		return true
--- a/internal/requests/forward/retry_test.go
+++ b/internal/requests/forward/retry_test.go
@@ -16,8 +16,8 @@
 		may   bool
 	}{
 		"nothing yet":                      {AttemptState{}, true},
-		"declined, not repeatable":         {AttemptState{NotRun: extraAttempts}, true},
-		"declined too often":               {AttemptState{NotRun: extraAttempts + 1, Repeatable: true, MaxAttempts: 9}, false},
+		"declined, not repeatable":         {AttemptState{NotRun: maxExtraAttempts}, true},
+		"declined too often":               {AttemptState{NotRun: maxExtraAttempts + 1, Repeatable: true, MaxAttempts: 9}, false},
 		"may have run, not repeatable":     {AttemptState{MayHaveRun: 1, MaxAttempts: 3}, false},
 		"under way, not repeatable":        {AttemptState{Open: 1, MaxAttempts: 3}, false},
 		"may have run":                     {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true}, true},
