--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -22,12 +22,12 @@
 	// maxExtraAttempts is how often a request that was certainly not run may be
 	// sent to replicas beyond its attempts.
 	maxExtraAttempts = 4
-	// firstHedge is when a second replica is asked while the first is silent whose latency is
+	// defaultHedgeDelay is when a second replica is asked while the first is silent whose latency is
 	// not known, hedgeFactor after how many times its usual latency else, leastHedge the
 	// least time.
-	firstHedge  = 200 * time.Millisecond
-	hedgeFactor = 3
-	leastHedge  = 60 * time.Millisecond
+	defaultHedgeDelay = 200 * time.Millisecond
+	hedgeFactor       = 3
+	leastHedge        = 60 * time.Millisecond
 	// noHedge stands for no hedge, where there is no replica to ask.
 	noHedge = time.Hour
 )
@@ -68,7 +68,7 @@
 	case ofRoute > 0:
 		return ofRoute
 	case latency == 0:
-		return firstHedge
+		return defaultHedgeDelay
 	default:
 		return max(hedgeFactor*latency, leastHedge)
 	}
--- a/internal/requests/forward/retry_test.go
+++ b/internal/requests/forward/retry_test.go
@@ -37,7 +37,7 @@
 func TestWhenASecondReplicaIsAsked(t *testing.T) {
 	is := is.New(t)
 	is.Equal(hedgeDelay(time.Second, time.Millisecond), time.Second)
-	is.Equal(hedgeDelay(0, 0), firstHedge)
+	is.Equal(hedgeDelay(0, 0), defaultHedgeDelay)
 	is.Equal(hedgeDelay(0, time.Millisecond), leastHedge)
 	is.Equal(hedgeDelay(0, time.Second), hedgeFactor*time.Second)
 }
