--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -25,9 +25,9 @@
 	// defaultHedgeDelay is when a second replica is asked while the first is silent whose latency is
 	// not known, hedgeFactor after how many times its usual latency else, leastHedge the
 	// least time.
-	defaultHedgeDelay = 200 * time.Millisecond
-	hedgeFactor       = 3
-	leastHedge        = 60 * time.Millisecond
+	defaultHedgeDelay  = 200 * time.Millisecond
+	hedgeLatencyFactor = 3
+	leastHedge         = 60 * time.Millisecond
 	// noHedge stands for no hedge, where there is no replica to ask.
 	noHedge = time.Hour
 )
@@ -70,6 +70,6 @@
 	case latency == 0:
 		return defaultHedgeDelay
 	default:
-		return max(hedgeFactor*latency, leastHedge)
+		return max(hedgeLatencyFactor*latency, leastHedge)
 	}
 }
--- a/internal/requests/forward/retry_test.go
+++ b/internal/requests/forward/retry_test.go
@@ -39,5 +39,5 @@
 	is.Equal(hedgeDelay(time.Second, time.Millisecond), time.Second)
 	is.Equal(hedgeDelay(0, 0), defaultHedgeDelay)
 	is.Equal(hedgeDelay(0, time.Millisecond), leastHedge)
-	is.Equal(hedgeDelay(0, time.Second), hedgeFactor*time.Second)
+	is.Equal(hedgeDelay(0, time.Second), hedgeLatencyFactor*time.Second)
 }
