--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -27,7 +27,7 @@
 	// least time.
 	defaultHedgeDelay  = 200 * time.Millisecond
 	hedgeLatencyFactor = 3
-	leastHedge         = 60 * time.Millisecond
+	minHedgeDelay      = 60 * time.Millisecond
 	// noHedge stands for no hedge, where there is no replica to ask.
 	noHedge = time.Hour
 )
@@ -70,6 +70,6 @@
 	case latency == 0:
 		return defaultHedgeDelay
 	default:
-		return max(hedgeLatencyFactor*latency, leastHedge)
+		return max(hedgeLatencyFactor*latency, minHedgeDelay)
 	}
 }
--- a/internal/requests/forward/retry_test.go
+++ b/internal/requests/forward/retry_test.go
@@ -38,6 +38,6 @@
 	is := is.New(t)
 	is.Equal(hedgeDelay(time.Second, time.Millisecond), time.Second)
 	is.Equal(hedgeDelay(0, 0), defaultHedgeDelay)
-	is.Equal(hedgeDelay(0, time.Millisecond), leastHedge)
+	is.Equal(hedgeDelay(0, time.Millisecond), minHedgeDelay)
 	is.Equal(hedgeDelay(0, time.Second), hedgeLatencyFactor*time.Second)
 }
