--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -166,7 +166,7 @@
 func (a *attempts) start(ctx context.Context) time.Duration {
 	rep, release, ok := a.pickReplica(ctx)
 	if !ok {
-		return noHedge
+		return noHedgeDelay
 	}
 	a.excluded[rep.ID] = true
 	a.open++
--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -28,8 +28,8 @@
 	defaultHedgeDelay  = 200 * time.Millisecond
 	hedgeLatencyFactor = 3
 	minHedgeDelay      = 60 * time.Millisecond
-	// noHedge stands for no hedge, where there is no replica to ask.
-	noHedge = time.Hour
+	// noHedgeDelay stands for no hedge, where there is no replica to ask.
+	noHedgeDelay = time.Hour
 )
 
 // AttemptState is what has become of a request so far.
