--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -151,7 +151,7 @@
 // state is what has become of the call so far.
 func (a *attempts) state() AttemptState {
 	return AttemptState{MayHaveRun: a.mayHaveRun, Open: a.open, NotRun: a.notRun, MaxAttempts: a.call.MaxAttempts,
-		Repeatable: a.call.Repeatable, Suspicion: a.suspicion(), Refused: a.quarantined != nil}
+		Repeatable: a.call.Repeatable, Suspicion: a.suspicion(), ContentRefused: a.quarantined != nil}
 }
 
 // mayRetry reports whether another replica is asked now. Nothing is begun for a caller
--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -42,15 +42,15 @@
 	// Repeatable requests, and streams that can be resumed, may run more than once.
 	Repeatable bool
 	// Suspicion is what is held against the content, Refused that it may not run now.
-	Suspicion quarantine.Suspicion
-	Refused   bool
+	Suspicion      quarantine.Suspicion
+	ContentRefused bool
 }
 
 // MayRetry reports whether a further replica may be asked.
 func (s AttemptState) MayRetry() bool {
 	started := s.MayHaveRun + s.Open
 	switch {
-	case s.Refused, s.NotRun > maxExtraAttempts, started >= max(s.MaxAttempts, 1):
+	case s.ContentRefused, s.NotRun > maxExtraAttempts, started >= max(s.MaxAttempts, 1):
 		return false
 	case started == 0:
 		return true
--- a/internal/requests/forward/retry_test.go
+++ b/internal/requests/forward/retry_test.go
@@ -26,7 +26,7 @@
 		"suspected":                        {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.Suspected}, true},
 		"its end was a second one":         {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.OnlyAlone}, false},
 		"declined, content may only alone": {AttemptState{NotRun: 1, MaxAttempts: 2, Suspicion: quarantine.OnlyAlone}, true},
-		"refused":                          {AttemptState{Refused: true, MaxAttempts: 2, Repeatable: true}, false},
+		"refused":                          {AttemptState{ContentRefused: true, MaxAttempts: 2, Repeatable: true}, false},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(one.tries.MayRetry(), one.may) })
