--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -42,9 +42,9 @@
 	Version int64
 	reader  *eventstream.Reader
 	answer  *upstream.Answer
-	// ended is told how the events ended, nil being their proper end, release that the
+	// onEnd is told how the events onEnd, nil being their proper end, release that the
 	// exchange is over.
-	ended   func(err error)
+	onEnd   func(err error)
 	release func()
 }
 
@@ -54,9 +54,9 @@
 	switch err {
 	case nil:
 	case io.EOF:
-		s.ended(nil)
+		s.onEnd(nil)
 	default:
-		s.ended(err)
+		s.onEnd(err)
 	}
 	return event, err
 }
@@ -114,7 +114,7 @@
 	// A service without weights names no version: 0.
 	version, _ := strconv.ParseInt(strings.TrimSpace(answer.Header.Get(names.Versions)), 10, 64)
 	return &Stream{Status: answer.Status, Header: answer.Header, Version: version,
-		reader: eventstream.NewReader(answer, names.Versions), answer: answer, ended: ended, release: release}, nil
+		reader: eventstream.NewReader(answer, names.Versions), answer: answer, onEnd: ended, release: release}, nil
 }
 
 // headFailed ends an exchange whose answer, if there is one, has no events.
