--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -72,9 +72,9 @@
 	Request
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// After is the last event that is known; HasAfter says that there is one.
-	After    int64
-	HasAfter bool
+	// LastEventID is the last event that is known; HasAfter says that there is one.
+	LastEventID int64
+	HasAfter    bool
 	// Deadline is how long the replica may work; 0 names none.
 	Deadline time.Duration
 }
@@ -86,7 +86,7 @@
 func (f *Forwarder) OpenStream(ctx context.Context, req *StreamRequest, rep replica.Replica) (*Stream, error) {
 	names, header := f.Names, req.Header.Clone()
 	if req.HasAfter {
-		header[http.CanonicalHeaderKey(names.LastEventID)] = []string{strconv.FormatInt(req.After, 10)}
+		header[http.CanonicalHeaderKey(names.LastEventID)] = []string{strconv.FormatInt(req.LastEventID, 10)}
 	}
 	if req.Deadline > 0 {
 		header[http.CanonicalHeaderKey(names.DeadlineMs)] = []string{strconv.FormatInt(req.Deadline.Milliseconds(), 10)}
