--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -197,10 +197,10 @@
 			Body:      it.Body,
 			Caller:    j.submission.Tenant,
 		},
-		LastEventID: it.lastEvent,
-		HasAfter:    it.hasEvent,
-		Deadline:    itemDeadline,
-		Repeatable:  true,
+		LastEventID:    it.lastEvent,
+		HasLastEventID: it.hasEvent,
+		Deadline:       itemDeadline,
+		Repeatable:     true,
 	}
 }
 
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -73,8 +73,8 @@
 	// Repeatable requests may run more than once.
 	Repeatable bool
 	// LastEventID is the last event that is known; HasAfter says that there is one.
-	LastEventID int64
-	HasAfter    bool
+	LastEventID    int64
+	HasLastEventID bool
 	// Deadline is how long the replica may work; 0 names none.
 	Deadline time.Duration
 }
@@ -85,7 +85,7 @@
 // anything else may have run unless it wraps upstream.ErrNotSent.
 func (f *Forwarder) OpenStream(ctx context.Context, req *StreamRequest, rep replica.Replica) (*Stream, error) {
 	names, header := f.Names, req.Header.Clone()
-	if req.HasAfter {
+	if req.HasLastEventID {
 		header[http.CanonicalHeaderKey(names.LastEventID)] = []string{strconv.FormatInt(req.LastEventID, 10)}
 	}
 	if req.Deadline > 0 {
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -41,7 +41,7 @@
 	s := &streamRelay{request: r, passedOver: map[string]bool{}, call: &forward.StreamRequest{Request: r.onward(cfg, body)}}
 	if text := r.req.Header.Get(r.handler.Names.LastEventID); text != "" {
 		if after, err := strconv.ParseInt(text, 10, 64); err == nil {
-			s.call.LastEventID, s.call.HasAfter = after, true
+			s.call.LastEventID, s.call.HasLastEventID = after, true
 		}
 	}
 	s.run(ctx)
@@ -145,7 +145,7 @@
 		if err != nil {
 			return err
 		}
-		if event.HasID && s.call.HasAfter && event.ID <= s.call.LastEventID {
+		if event.HasID && s.call.HasLastEventID && event.ID <= s.call.LastEventID {
 			return errors.Errorf("event %d after %d", event.ID, s.call.LastEventID)
 		}
 		s.begin(stream)
@@ -154,7 +154,7 @@
 			return err
 		}
 		if event.HasID {
-			s.call.LastEventID, s.call.HasAfter = event.ID, true
+			s.call.LastEventID, s.call.HasLastEventID = event.ID, true
 		}
 	}
 }
