--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -107,7 +107,7 @@
 	}
 	f.Observe(rep.Service, outcomeOf(ctx, err), time.Since(began))
 	if err != nil {
-		f.headFailed(answer, err, ended)
+		f.endFailedExchange(answer, err, ended)
 		release()
 		return nil, err
 	}
@@ -117,8 +117,8 @@
 		reader: eventstream.NewReader(answer, names.Versions), answer: answer, onEnd: ended, release: release}, nil
 }
 
-// headFailed ends an exchange whose answer, if there is one, has no events.
-func (f *Forwarder) headFailed(answer *upstream.Answer, err error, ended func(err error)) {
+// endFailedExchange ends an exchange whose answer, if there is one, has no events.
+func (f *Forwarder) endFailedExchange(answer *upstream.Answer, err error, ended func(err error)) {
 	switch {
 	case !errors.Is(err, ErrStatus):
 		ended(err)
