--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, sentAt, !errors.Is(err, upstream.ErrNotSent), err
 	}
-	if f.notRun(response) {
+	if f.wasNotRun(response) {
 		// An error shows as the connection is given back.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response, maxBufferedBytes))
 		response.Close()
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -132,14 +132,14 @@
 	}
 }
 
-// notRun reports whether a replica says that it has not run a request, or that it is not the
+// wasNotRun reports whether a replica says that it has not run a request, or that it is not the
 // replica that the request was for.
-func (f *Forwarder) notRun(answer *upstream.Answer) bool {
+func (f *Forwarder) wasNotRun(answer *upstream.Answer) bool {
 	return answer.Header.Get(f.Names.NotExecuted) != "" || answer.Status == http.StatusMisdirectedRequest
 }
 
 func (f *Forwarder) checkStreamHead(answer *upstream.Answer) error {
-	if f.notRun(answer) {
+	if f.wasNotRun(answer) {
 		return errors.Wrapf(ErrDeclined, "status %d", answer.Status)
 	}
 	if answer.Status >= http.StatusBadRequest {
