--- a/internal/daemon/explain/explain_test.go
+++ b/internal/daemon/explain/explain_test.go
@@ -56,7 +56,7 @@
 		"time=2026-01-01T00:00:01.001Z level=warn event=\"replica ended under a content\" node=edge-1 content=c0 replica=a ends=1\n" +
 		"time=2026-01-01T00:00:02.001Z level=warn event=\"replica ended under a content\" node=edge-2 content=c0 replica=b ends=3\n" +
 		"time=2026-01-01T00:00:02.001Z level=warn event=\"replica ended under a content\" node=edge-2 content=other replica=b ends=1\n" +
-		"time=2026-01-01T00:00:05.000Z level=info event=\"suspect asked to run\" node=edge-3 request=r9 content=c0 replica=d refused=\"3 replicas ended\"\n" +
+		"time=2026-01-01T00:00:05.000Z level=info event=\"suspect content checked\" node=edge-3 request=r9 content=c0 replica=d refused=\"3 replicas ended\"\n" +
 		"time=2026-01-01T00:00:05.001Z level=info event=request node=edge-3 request=r9 status=503 outcome=quarantined reason=\"3 replicas ended\"\n"
 	var sentences strings.Builder
 	is.NoErr(Explain(&sentences, "r9", strings.NewReader(logs)))
--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -21,6 +21,7 @@
 	"samples not made again":                "samples not requested again",
 	"offer failed":                          "attempt failed",
 	"owners of partitions not learned":      "watchers of partitions not learned",
+	"suspect asked to run":                  "suspect content checked",
 }
 
 // eventName returns the name that an event has today.
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -16,8 +16,8 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// Errors of an attempt; each says why no answer could be passed on. A stream that was
-// declined has ErrDeclined.
+// Errors of an attempt without an answer to pass on. A declined stream has ErrDeclined instead of
+// errPlainDeclined.
 var (
 	errInvalidAnswer = errors.New("forward: unsound answer")
 	errPlainDeclined = errors.New("forward: declined")
@@ -25,24 +25,26 @@
 )
 
 const (
-	// maxBufferedBytes is the longest answer that is held until it is whole.
+	// maxBufferedBytes is the length up to which an answer is read completely before it is passed
+	// on.
 	maxBufferedBytes = 1 << 20
-	// declinedRetryDelay is how long a replica that declined is passed over.
+	// declinedRetryDelay is how long a replica that declined is avoided.
 	declinedRetryDelay = 60 * time.Millisecond
 )
 
-// result is the outcome of one attempt at one replica.
+// result is the outcome of one attempt at one replica. Exactly one of answer and err is set.
 type result struct {
 	answer     *Answer
 	err        error
 	mayHaveRun bool
 }
 
-// attempt sends the call to one replica; over is called when the exchange has ended.
-func (f *Forwarder) attempt(ctx context.Context, over func(), call *Call, rep replica.Replica) result {
+// attempt sends the call to one replica. It calls onEnd when the exchange has ended; for an answer
+// with a Rest this is when the answer is closed.
+func (f *Forwarder) attempt(ctx context.Context, onEnd func(), call *Call, rep replica.Replica) result {
 	f.Table.Started(rep.Incarnation())
 	end := func() {
-		over()
+		onEnd()
 		f.Table.Ended(rep.Incarnation())
 	}
 	started := time.Now()
@@ -53,12 +55,13 @@
 	outcome := outcomeOf(ctx, err)
 	f.Observe(rep.Service, outcome, time.Since(started))
 	if err != nil {
-		// The end below cancels the attempt's context, which then says nothing of the caller.
-		cut := ctx.Err() != nil
+		// Checked before end, which cancels the attempt's context: afterwards ctx.Err does not tell
+		// whether the caller cancelled.
+		cancelled := ctx.Err() != nil
 		f.recordFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep,
 			outcome: outcome, mayHaveRun: mayHaveRun, took: time.Since(started), err: err})
 		end()
-		if !cut {
+		if !cancelled {
 			f.avoidReplica(rep, err)
 		}
 		return result{err: err, mayHaveRun: mayHaveRun}
@@ -72,7 +75,7 @@
 	return result{answer: answer, mayHaveRun: true}
 }
 
-// Names of how attempts end, in logs and metrics.
+// Outcomes of attempts, as they appear in logs and metrics.
 const (
 	outcomeAnswered     = "answered"
 	outcomeDeclined     = "declined"
@@ -83,7 +86,7 @@
 	outcomeBroken       = "broken"
 )
 
-// outcomeOf names how an attempt ended.
+// outcomeOf returns the outcome of an attempt for logs and metrics.
 func outcomeOf(ctx context.Context, err error) string {
 	switch {
 	case err == nil:
@@ -112,14 +115,15 @@
 	f.replicaFailures().Note(logging.Occurrence{Key: rep.ID}, zap.String("service", rep.Service), zap.Error(err))
 }
 
-// replicaFailures sums the replicaFailures of each replica; what they did to a request is in its
-// "attempt failed".
+// replicaFailures returns the log episodes that summarize the failures of each replica. The effect
+// on a single request is logged as "attempt failed".
 func (f *Forwarder) replicaFailures() *logging.Episodes {
 	f.failuresOnce.Do(func() { f.failures = logging.NewEpisodes(f.Logger, "replica failed", "replica", "") })
 	return f.failures
 }
 
-// exchange sends the call and reads the answer, whole if it is short.
+// exchange sends the call and reads the answer, completely if it is short. sentAt is the time at
+// which the request was sent; mayHaveRun reports whether the replica may have run it.
 func (f *Forwarder) exchange(
 	ctx context.Context, call *Call, rep replica.Replica,
 ) (answer *Answer, sentAt time.Time, mayHaveRun bool, err error) {
@@ -138,7 +142,7 @@
 		return nil, sentAt, !errors.Is(err, upstream.ErrNotSent), err
 	}
 	if f.wasNotRun(response) {
-		// An error shows as the connection is given back.
+		// A read error surfaces when the connection is returned to the pool.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response, maxBufferedBytes))
 		response.Close()
 		return nil, sentAt, false, errors.Wrapf(errPlainDeclined, "status %d", response.Status)
@@ -156,8 +160,8 @@
 	return answer, sentAt, true, err
 }
 
-// roundTrip completes what is sent to a replica for a request, sends it, and returns the answer once
-// its head has come.
+// roundTrip adds the replica's headers to out, sends it and returns the answer once its head has
+// been received.
 func (f *Forwarder) roundTrip(ctx context.Context, rep replica.Replica, req *Request, out *upstream.Request) (*upstream.Answer, error) {
 	out.Method, out.Target, out.Host, out.Body = req.Method, req.Target, req.Host, req.Body
 	out.Header[http.CanonicalHeaderKey(f.Names.ExpectReplica)] = []string{rep.ID}
@@ -169,7 +173,7 @@
 	return answer, err
 }
 
-// recordLoad notes what an answer tells of its replica's load.
+// recordLoad records the load and the slowdown that a replica reports in an answer.
 func (f *Forwarder) recordLoad(rep replica.Replica, header http.Header) {
 	if f.Names.Load == nil {
 		return
@@ -184,14 +188,14 @@
 	}
 }
 
-// readAnswer reads an answer whole if it is short and there is room for it, else its
-// beginning. One that announces its length is read into one buffer of that size: growing
-// one costs twice the length.
+// readAnswer reads an answer completely if it is short and memory can be reserved for it; otherwise
+// it reads the beginning and leaves the rest in Answer.Rest. An announced length sizes the buffer
+// in advance, since growing a buffer needs twice the memory.
 func (f *Forwarder) readAnswer(call *Call, response *upstream.Answer) (*Answer, error) {
 	answer := &Answer{Status: response.Status, Header: response.Header}
 	announced := response.Length()
 	if call.Method == http.MethodHead {
-		announced = 0 // it tells the length of what does not come
+		announced = 0 // the announced length is that of a body that is not sent
 	}
 	body, whole, err := call.Account.Read(holding.Answers, response, announced, maxBufferedBytes,
 		func(n int64) bool { return call.Account.Take(holding.Answers, n) })
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -14,33 +14,32 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// errNoReplica: no replica of the call's services is listed, or each is passed over.
+// errNoReplica: no replica of the call's services is listed, or all are excluded.
 var errNoReplica = errors.New("forward: no replica")
 
-// cancelledAttemptTimeout is how long the attempts that the end of the context cuts have to say whether they
-// were sent. They end at once; a third of the time that ingress keeps back for a final answer
-// leaves the rest of it to the answer.
+// cancelledAttemptTimeout is how long a call waits for the outcomes of attempts that were cancelled
+// with its context. It is a third of the time that ingress reserves for the final answer.
 const cancelledAttemptTimeout = 8 * time.Millisecond
 
-// attempts are those at one call. All but outcomes belongs to the goroutine of loop.
+// attempts holds the state of all attempts of one call. All fields but outcomes belong to the
+// goroutine of run.
 type attempts struct {
 	forwarder *Forwarder
 	call      *Call
-	// excluded are the replicas that had an attempt, and those that may not run the content
-	// now.
+	// excluded holds the replicas that had an attempt, and those that may not run the content now.
 	excluded map[string]bool
-	// cancelByReplica are the replicas that had an attempt, each with what cuts it.
+	// cancelByReplica holds the cancel function of each replica's attempt.
 	cancelByReplica map[string]context.CancelFunc
 	outcomes        chan result
-	// mayHaveRun counts attempts that may have run, notRun those that did not,
-	// open those without an outcome yet.
+	// mayHaveRun counts attempts that may have run, notRun those that certainly did not, open those
+	// without an outcome yet.
 	mayHaveRun, notRun, open int
-	// declined counts those of notRun that their replica turned away.
+	// declined counts the attempts of notRun that were declined by their replica.
 	declined   int
 	lastReason string
-	// quarantined, if not nil, is why the content may not run now.
+	// quarantined is set if quarantine refuses to run the content now.
 	quarantined *QuarantinedError
-	// fallback is a replica's own failure, passed on if nothing better comes.
+	// fallback is a replica's own error answer, which is passed on if no better one comes.
 	fallback *Answer
 }
 
@@ -50,7 +49,7 @@
 		outcomes: make(chan result, call.MaxAttempts+maxExtraAttempts+1)}
 }
 
-// run makes attempts until one has an answer to pass on, or none may be made any more.
+// run makes attempts until one has an answer to pass on or no further attempt is allowed.
 func (a *attempts) run(ctx context.Context) (*Answer, error) {
 	if ctx.Err() != nil {
 		return nil, a.failure(errTimeUp.Error())
@@ -83,12 +82,12 @@
 	return nil, a.failure(a.lastReason)
 }
 
-// awaitCancelled ends a call whose context has ended, which has cut its open attempts. Each of them
-// says whether it was sent: one whose connection was never made has not run, and an
-// answer that came whole with the end is still the answer.
+// awaitCancelled collects the outcomes of the open attempts after the call's context has ended and
+// cancelled them. Attempts that were never sent have not run, and an answer that was received
+// completely at the last moment is still passed on.
 func (a *attempts) awaitCancelled() (*Answer, error) {
-	late := time.NewTimer(cancelledAttemptTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(cancelledAttemptTimeout)
+	defer timeout.Stop()
 	for a.open > 0 {
 		select {
 		case res := <-a.outcomes:
@@ -101,7 +100,7 @@
 			if answer != nil {
 				answer.Close()
 			}
-		case <-late.C:
+		case <-timeout.C:
 			a.mayHaveRun += a.open
 			a.cancelOthers("")
 			return nil, a.failure(errTimeUp.Error())
@@ -110,8 +109,8 @@
 	return nil, a.failure(errTimeUp.Error())
 }
 
-// cancelOthers cuts the attempts that are open, but for that to the kept replica, and
-// gives their connections back.
+// cancelOthers cancels the open attempts except that at the replica kept, and closes their answers
+// in the background.
 func (a *attempts) cancelOthers(kept string) {
 	for id, cancel := range a.cancelByReplica {
 		if id != kept {
@@ -131,7 +130,7 @@
 	}()
 }
 
-// failure says why the call has no answer to pass on. It closes the fallback, if there is one.
+// failure returns the error of a call without an answer to pass on. It closes the fallback.
 func (a *attempts) failure(reason string) *Failure {
 	if a.fallback != nil {
 		a.fallback.Close()
@@ -148,21 +147,20 @@
 		AllDeclined:   certainty == NotRun && a.declined > 0 && a.declined == a.notRun && a.quarantined == nil}
 }
 
-// state is what has become of the call so far.
+// state returns the input of the retry rule.
 func (a *attempts) state() AttemptState {
 	return AttemptState{MayHaveRun: a.mayHaveRun, Open: a.open, NotRun: a.notRun, MaxAttempts: a.call.MaxAttempts,
 		Repeatable: a.call.Repeatable, Suspicion: a.suspicion(), ContentRefused: a.quarantined != nil}
 }
 
-// mayRetry reports whether another replica is asked now. Nothing is begun for a caller
-// that has left: its end may come together with the outcome or the moment that woke the
-// loop.
+// mayRetry reports whether another replica may be asked now. It checks the context first, as the
+// caller may have left at the moment of the event that woke run.
 func (a *attempts) mayRetry(ctx context.Context) bool {
 	return ctx.Err() == nil && a.state().MayRetry() && a.call.MayRetry(a.mayHaveRun+a.notRun+a.open)
 }
 
-// start sends the call to the next replica, if there is one, and returns after
-// which time another should be asked as well.
+// start sends the call to the next replica, if there is one, and returns the delay after which a
+// hedge may be sent.
 func (a *attempts) start(ctx context.Context) time.Duration {
 	rep, release, ok := a.pickReplica(ctx)
 	if !ok {
@@ -178,13 +176,14 @@
 	return hedgeDelay(a.call.HedgeAfter, rep.Latency)
 }
 
-// suspicion is what is held against the call's content.
+// suspicion returns the quarantine's current suspicion against the call's content.
 func (a *attempts) suspicion() quarantine.Suspicion {
 	return a.forwarder.Quarantine.Suspicion(a.call.content)
 }
 
-// pickReplica picks a replica at which the call's content may run now. It waits while
-// another run of the content finds out whether it ends its replica.
+// pickReplica picks a replica that may run the call's content now, and waits while another run of
+// the content shows whether it crashes its replica. The caller must call release when the run has
+// ended.
 func (a *attempts) pickReplica(ctx context.Context) (rep replica.Replica, release func(), ok bool) {
 	for ctx.Err() == nil {
 		if rep, ok = a.forwarder.Pick(a.call.Services, a.excluded); !ok {
@@ -206,8 +205,7 @@
 	return replica.Replica{}, nil, false
 }
 
-// handleResult takes an outcome into account and returns the answer to pass on, if
-// this is it.
+// handleResult counts the result of an attempt and returns its answer if it is to be passed on.
 func (a *attempts) handleResult(res result) *Answer {
 	if res.err != nil {
 		a.lastReason = res.err.Error()
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -12,18 +12,18 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// Certainty says what is known of a request without a passable answer.
+// Certainty tells whether a request without an answer may have run.
 type Certainty int
 
-// What is known of a request.
+// Values of Certainty.
 const (
 	// NotRun: no replica has run the request and none will.
 	NotRun Certainty = iota + 1
-	// MayHaveRun: a replica got the request and its answer was lost or unsound.
+	// MayHaveRun: a replica received the request, but its answer was lost or invalid.
 	MayHaveRun
 )
 
-// Request is what a replica is asked for.
+// Request is a request as it is sent to a replica.
 type Request struct {
 	RequestID string
 	Method    string
@@ -31,7 +31,7 @@
 	Host      string
 	Header    http.Header
 	Body      []byte
-	// Caller is the tenant that sent the request, "" where there are none.
+	// Caller is the tenant that sent the request, "" without tenants.
 	Caller string
 }
 
@@ -39,41 +39,40 @@
 	return &quarantine.Content{Caller: r.Caller, Method: r.Method, Host: r.Host, Target: r.Target, Body: r.Body}
 }
 
-// Call is one request to a service.
+// Call is a request to a service, with the rules for further attempts.
 type Call struct {
 	Request
-	// Services are tried in this order; the later ones only where no replica
-	// of the earlier ones is there.
+	// Services are tried in order; later ones are used only if the earlier ones have no replica
+	// left to ask.
 	Services []string
 	// Repeatable requests may run more than once.
 	Repeatable  bool
 	MaxAttempts int
-	// Hedge allows a second replica to be asked while the first is silent.
+	// Hedge allows a second replica to be asked while the first has not answered.
 	Hedge bool
-	// HedgeAfter is when to do so, 0 for what its usual latency suggests.
+	// HedgeAfter is the delay before a hedge, 0 to derive it from the replica's latency.
 	HedgeAfter time.Duration
-	// MayRetry is asked before an attempt at a further replica, with the number of attempts
-	// so far. Nil adds no bound to that of AttemptState.
+	// MayRetry is called before each further attempt with the number of attempts so far. Nil allows
+	// whatever AttemptState.MayRetry allows.
 	MayRetry func(attempts int) bool
-	// TimeLeft is how long the caller still waits. It counts the time in which this machine
-	// was suspended, which the end of a context does not. Nil adds no bound to the
-	// context's.
+	// TimeLeft returns how long the caller will still wait, including time in which the machine was
+	// suspended, which a context's deadline does not count. Nil leaves only the context's deadline.
 	TimeLeft func() time.Duration
-	// ConnectionDeadline is until when a connection is waited for at a replica to which this
-	// daemon has as many as it may.
+	// ConnectionDeadline bounds the wait for a connection to a replica to which this daemon has
+	// reached its limit of connections.
 	ConnectionDeadline time.Time
-	// OnRun is told of each replica that ran the call or may have run it, with when the call
-	// was sent there, by bootclock. Nil if nobody counts runs.
+	// OnRun, if not nil, is called for each attempt that ran or may have run, with the time by
+	// bootclock at which it was sent.
 	OnRun func(sentAt time.Time)
-	// Account counts what is held of answers; nil has no bound. An answer for which it has
-	// no room is passed on as it comes, like a long one.
+	// Account is charged for the memory of answers; nil has no bound. An answer that does not fit
+	// is streamed like a long one.
 	Account *holding.Account
 
 	content *quarantine.Content
 }
 
-// setDefaults gives what the caller left out its value without effect, and the call its content.
-// A call may be done again while attempts of its first time still end.
+// setDefaults replaces nil functions with defaults and sets the content. Fields already set are not
+// written again, since a call may be repeated while attempts of its previous run still end.
 func (c *Call) setDefaults() {
 	if c.MayRetry == nil {
 		c.MayRetry = func(int) bool { return true }
@@ -89,29 +88,30 @@
 	}
 }
 
-// Answer is a replica's whole answer, or its beginning with the rest to come.
+// Answer is a replica's answer: either complete, or its beginning and a Rest to be read.
 type Answer struct {
 	Status  int
 	Header  http.Header
 	Replica string
-	// Body is the answer's body if Rest is nil, else its beginning.
+	// Body is the complete body if Rest is nil, otherwise its beginning.
 	Body []byte
 	Rest *Rest
-	// endAttempt, not nil where there is a rest, ends the attempt.
+	// endAttempt ends the attempt; it is called by Close if there is a Rest.
 	endAttempt func()
 }
 
-// Rest is what is still to come of a long answer.
+// Rest is the unread remainder of a long answer.
 type Rest struct {
 	*upstream.Answer
-	// onEnd is told how the reading onEnd, nil being the answer's proper end.
+	// onEnd is called with the result of the reading, nil if the answer is complete.
 	onEnd func(err error)
-	// abandoned says that nobody reads the rest any more: its end says nothing of the replica.
+	// abandoned reports that the reader gave up, so that a read error is not a failure of the
+	// replica.
 	abandoned atomic.Bool
 }
 
-// Abandon ends a Read under way, and all later ones, with an error. It may be called at any
-// time; Close must follow once no Read is under way.
+// Abandon ends a Read in progress and all later ones with an error. It may be called at any time,
+// from any goroutine. Close must still be called once no Read is in progress.
 func (r *Rest) Abandon() {
 	r.abandoned.Store(true)
 	r.Answer.Cut()
@@ -129,7 +129,7 @@
 	return n, err
 }
 
-// Close gives the connection of a rest back.
+// Close releases the connection and ends the attempt of an answer with a Rest.
 func (a *Answer) Close() {
 	if a.Rest != nil {
 		a.Rest.Close()
@@ -137,19 +137,18 @@
 	}
 }
 
-// Failure says why there is no answer to pass on.
+// Failure is the error of a call without an answer to pass on.
 type Failure struct {
 	Certainty Certainty
 	Reason    string
-	// Quarantined, if not nil, says that the request was not sent as replicas have ended
-	// under its content.
+	// Quarantined is set if the request was not sent because replicas have ended under its content.
 	Quarantined *QuarantinedError
-	// Attempts is how many replicas may have run the request.
+	// Attempts is the number of replicas that may have run the request.
 	Attempts int
-	// AskedReplicas are the replicas that had an attempt.
+	// AskedReplicas are the IDs of the replicas that had an attempt, sorted.
 	AskedReplicas []string
-	// AllDeclined says that each of them declined it: it has not run, and there is no other sign
-	// that something is wrong.
+	// AllDeclined reports that every replica that was asked declined the request, so it has not run
+	// and nothing else went wrong.
 	AllDeclined bool
 }
 
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -13,39 +13,39 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// failedAttempt is an attempt that got no sound answer.
+// failedAttempt describes the end of an attempt for logs and the quarantine.
 type failedAttempt struct {
 	requestID string
 	content   *quarantine.Content
 	chosen    replica.Replica
-	// outcome is the name of how it ended, mayHaveRun says that the replica may have run it.
+	// outcome is one of the outcome constants; mayHaveRun reports whether the replica may have run
+	// the request.
 	outcome    string
 	mayHaveRun bool
 	took       time.Duration
 	err        error
 }
 
-// recordEnd notes how an answer that had begun ended: properly, which clears its content, or by
-// an error.
-func (f *Forwarder) recordEnd(ctx context.Context, ended failedAttempt) {
-	if ended.err == nil {
-		f.Quarantine.Answered(ended.content)
+// recordEnd records the end of an answer that had begun: a complete answer clears its content in
+// the quarantine, an error counts as a failed attempt.
+func (f *Forwarder) recordEnd(ctx context.Context, attempt failedAttempt) {
+	if attempt.err == nil {
+		f.Quarantine.Answered(attempt.content)
 		return
 	}
-	ended.outcome = outcomeOf(ctx, ended.err)
-	f.recordFailure(ctx, ended)
+	attempt.outcome = outcomeOf(ctx, attempt.err)
+	f.recordFailure(ctx, attempt)
 }
 
-// recordFailure finds out what became of the replica of an attempt that failed, holds its end
-// against the content, and tells both in one line. The content's digest joins the attempts at
-// one content at all daemons.
+// recordFailure probes the replica of a failed attempt, reports its end to the quarantine and logs
+// both. The digest of the content correlates attempts at the same content across daemons.
 func (f *Forwarder) recordFailure(ctx context.Context, failed failedAttempt) {
 	if failed.outcome == outcomeDeclined || failed.outcome == outcomeCancelled {
 		return // neither says anything of the replica's soundness, and both are frequent
 	}
 	liveness := upstream.LivenessUnknown
 	if errors.Is(failed.err, upstream.ErrNoAnswer) || errors.Is(failed.err, eventstream.ErrCut) {
-		// The connection ended once the request had been sent.
+		// The connection broke after the request had been sent.
 		liveness = f.Pool.Probe(ctx, failed.chosen.Address)
 		f.recordReplicaEnd(failed, liveness)
 	}
@@ -56,11 +56,11 @@
 		zap.Duration("after", failed.took), zap.Error(failed.err))
 }
 
-// recordReplicaEnd holds the end of a replica, or what may be one, against the content that it
-// ran. The end of a replica that was leaving was planned.
+// recordReplicaEnd reports to the quarantine that a replica ended, or may have ended, while it ran
+// a content. The end of a draining replica is planned and not reported.
 func (f *Forwarder) recordReplicaEnd(failed failedAttempt, liveness upstream.Liveness) {
 	rep := failed.chosen
-	if now, listed := f.Table.Get(rep.ID); listed && now.Draining && now.Incarnation() == rep.Incarnation() {
+	if current, listed := f.Table.Get(rep.ID); listed && current.Draining && current.Incarnation() == rep.Incarnation() {
 		return
 	}
 	if liveness == upstream.Gone {
--- a/internal/requests/forward/failed_test.go
+++ b/internal/requests/forward/failed_test.go
@@ -17,10 +17,9 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// A replica that ends under a request and one that only breaks a connection look the
-// same to the request. The line about the failed offer tells them apart, and names the
-// content, so that the tries of one content can be joined.
-func TestAFailedOfferTellsWhetherItsReplicaEnded(t *testing.T) {
+// A crashed replica and a broken connection look the same to the request. The log line must tell
+// them apart and name the content, so that its attempts can be correlated.
+func TestFailedAttemptLogsWhetherReplicaEnded(t *testing.T) {
 	for _, c := range []struct {
 		process string
 		ends    bool
@@ -39,7 +38,7 @@
 			t.Cleanup(server.Close)
 			table := replica.NewTable(time.Second, zap.NewNop())
 			table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 4})
-			f := &floor{forwarder: &Forwarder{MaxConnections: UnboundedConnections, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.New(core), Observe: func(string, string, time.Duration) {},
+			f := &testService{forwarder: &Forwarder{MaxConnections: UnboundedConnections, Table: table, Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Names: names, Logger: zap.New(core), Observe: func(string, string, time.Duration) {},
 				Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second, UnackedTimeout: time.Second})}}
 			var asked *Call
 			_, err := f.call(t, func(call *Call) { asked = call })
@@ -55,10 +54,10 @@
 	}
 }
 
-// A suspect may run alone only while other replicas serve the rest: its own is none of them.
-func TestAReplicaIsNotAmongTheOthers(t *testing.T) {
+// A suspect runs alone only if other replicas remain, so a replica must not count itself.
+func TestOtherIncarnationsExcludeReplica(t *testing.T) {
 	is := is.New(t)
-	f := newFloor(t, 2)
+	f := newTestService(t, 2)
 	rep, ok := f.forwarder.Table.Get("a")
 	is.True(ok)
 	is.Equal(f.forwarder.otherIncarnations(rep), []string{"b"})
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -1,20 +1,20 @@
-// Package forward sends one request to the replicas of a service: it picks one, tries again
-// where that is allowed, and says what is certain when no replica answered.
+// Package forward sends a request to the replicas of a service. It picks a replica, retries where
+// that is allowed, and reports whether a request without an answer may have run.
 //
 // The package owns a call from its first attempt to its answer or failure: which replicas were
-// asked, what may have run, and the rule by which another one is asked (retry.go). It relies on
-// replica for the choice, on upstream for the exchange, and on quarantine for contents that end
-// replicas; what replicas do is told to both.
+// asked, which attempts may have run, and the rule for further attempts (retry.go). It uses replica
+// to choose among replicas, upstream to exchange messages, and quarantine to keep contents that
+// crash replicas from running. It reports the behaviour of replicas to replica and quarantine.
 //
 // # Usage
 //
 //	answer, err := forwarder.Do(ctx, &forward.Call{...})
 //	if err != nil {
-//		return err // a *Failure: its Certainty says whether the request may have run
+//		return err // a *Failure: its Certainty tells whether the request may have run
 //	}
 //	defer answer.Close()
 //
-// Streams are opened one replica at a time by OpenStream; who reads one decides on the next.
+// OpenStream opens a stream at one replica. The reader of the stream decides on further attempts.
 package forward
 
 import (
@@ -38,41 +38,41 @@
 	Names headers.Names
 	Zone  string
 
-	// Quarantine knows the contents under which replicas have ended.
+	// Quarantine tracks the contents under which replicas have ended.
 	Quarantine *quarantine.Table
 	Logger     *zap.Logger
-	// MaxConnections is how many connections to a replica this daemon may have, 0 without bound.
+	// MaxConnections returns how many connections this daemon may have to a replica, 0 for no
+	// limit.
 	MaxConnections func(rep replica.Replica) int
-	// Observe is told of each attempt at a replica: the service, how it ended and
-	// how long it took.
+	// Observe is called for each attempt with the service, the outcome and the duration.
 	Observe func(service, outcome string, took time.Duration)
 
 	failuresOnce sync.Once
 	failures     *logging.Episodes
 }
 
-// UnboundedConnections is the MaxOpen of a daemon that shares its replicas with none.
+// UnboundedConnections is the MaxConnections of a daemon that is the only user of its replicas.
 func UnboundedConnections(replica.Replica) int { return 0 }
 
-// Do sends the call until a replica has answered, the attempts are used up or
-// the context has ended.
+// Do sends the call until a replica has answered, the attempts are used up or the context has
+// ended. The error is always a *Failure. The answer must be closed.
 func (f *Forwarder) Do(ctx context.Context, call *Call) (*Answer, error) {
 	return newAttempts(f, call).run(ctx)
 }
 
-// Pick returns the best replica that is not passed over, of the first service that has one.
-func (f *Forwarder) Pick(services []string, passedOver map[string]bool) (replica.Replica, bool) {
+// Pick returns the best replica that is not excluded, from the first service that has one.
+func (f *Forwarder) Pick(services []string, excluded map[string]bool) (replica.Replica, bool) {
 	now := time.Now()
 	for _, service := range services {
-		if rep, ok := replica.Pick(f.Replicas(service), passedOver, now); ok {
+		if rep, ok := replica.Pick(f.Replicas(service), excluded, now); ok {
 			return rep, true
 		}
 	}
 	return replica.Replica{}, false
 }
 
-// Replicas returns the replicas of a service that may get new work, with whether a
-// connection to each rests here.
+// Replicas returns the replicas of a service that may get new work. Connected is set for those with
+// an idle connection in the pool.
 func (f *Forwarder) Replicas(service string) []replica.Replica {
 	replicas := f.Table.Replicas(service)
 	for i := range replicas {
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -26,7 +26,7 @@
 
 var names = headers.Names{RequestID: "Id", DeadlineMs: "Deadline", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", Stamp: "Signature"}
 
-// behaviour is what a replica does with a request.
+// behaviour is a replica's reaction to a request.
 type behaviour func(w http.ResponseWriter, r *http.Request)
 
 func answers(w http.ResponseWriter, r *http.Request) {
@@ -39,7 +39,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func cuts(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func breaks(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func fails(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Signature", "s")
@@ -48,20 +48,21 @@
 
 func unsigned(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "of somebody") }
 
-// hangs holds a request until its sender gives it up.
+// hangs holds a request until its sender cancels it.
 func hangs(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// floor is some replicas of one service that behave as told, first offers first.
-type floor struct {
-	forwarder *Forwarder
-	mu        sync.Mutex
-	plan      []behaviour
-	offers    int
+// testService is a service whose replicas follow a plan: one behaviour for each attempt in order,
+// the last one for all further attempts.
+type testService struct {
+	forwarder  *Forwarder
+	mu         sync.Mutex
+	behaviours []behaviour
+	attempts   int
 }
 
-func newFloor(t *testing.T, replicas int, plan ...behaviour) *floor {
+func newTestService(t *testing.T, replicas int, behaviours ...behaviour) *testService {
 	t.Helper()
-	f := &floor{plan: plan}
+	f := &testService{behaviours: behaviours}
 	table := replica.NewTable(time.Second, zap.NewNop())
 	for i := range replicas {
 		server := httptest.NewServer(http.HandlerFunc(f.serve))
@@ -76,22 +77,22 @@
 	return f
 }
 
-func (f *floor) serve(w http.ResponseWriter, r *http.Request) {
+func (f *testService) serve(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.ReadAll(r.Body)
 	f.mu.Lock()
-	does := f.plan[min(f.offers, len(f.plan)-1)]
-	f.offers++
+	does := f.behaviours[min(f.attempts, len(f.behaviours)-1)]
+	f.attempts++
 	f.mu.Unlock()
 	does(w, r)
 }
 
-func (f *floor) offered() int {
+func (f *testService) attemptCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.offers
+	return f.attempts
 }
 
-func (f *floor) call(t *testing.T, change func(*Call)) (*Answer, error) {
+func (f *testService) call(t *testing.T, change func(*Call)) (*Answer, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
@@ -103,85 +104,85 @@
 func repeatable(call *Call) { call.Repeatable = true }
 func once(*Call)            {}
 
-// What is told of a request without an answer follows from what its replicas did.
+// The reported certainty must match what the replicas did with the request.
 func TestCertainty(t *testing.T) {
 	cases := map[string]struct {
-		plan      []behaviour
-		change    func(*Call)
-		offers    int
-		certainty Certainty // 0 where an answer is passed on
+		behaviours []behaviour
+		change     func(*Call)
+		attempts   int
+		certainty  Certainty // 0 if an answer is passed on
 	}{
-		"answered":                         {[]behaviour{answers}, once, 1, 0},
-		"declined, then answered":          {[]behaviour{declines, answers}, once, 2, 0},
-		"declined by all":                  {[]behaviour{declines}, once, 3, NotRun},
-		"cut, once only":                   {[]behaviour{cuts, answers}, once, 1, MayHaveRun},
-		"cut, repeatable":                  {[]behaviour{cuts, answers}, repeatable, 2, 0},
-		"not signed, once only":            {[]behaviour{unsigned, answers}, once, 1, MayHaveRun},
-		"its own failure, once only":       {[]behaviour{fails, answers}, once, 1, 0},
-		"its own failure, repeatable":      {[]behaviour{fails, answers}, repeatable, 2, 0},
-		"declined, then cut, once only":    {[]behaviour{declines, cuts, answers}, once, 2, MayHaveRun},
-		"cut at every attempt, repeatable": {[]behaviour{cuts}, repeatable, 3, MayHaveRun},
+		"answered":                              {[]behaviour{answers}, once, 1, 0},
+		"declined, then answered":               {[]behaviour{declines, answers}, once, 2, 0},
+		"declined by all":                       {[]behaviour{declines}, once, 3, NotRun},
+		"broken, not repeatable":                {[]behaviour{breaks, answers}, once, 1, MayHaveRun},
+		"broken, repeatable":                    {[]behaviour{breaks, answers}, repeatable, 2, 0},
+		"not signed, not repeatable":            {[]behaviour{unsigned, answers}, once, 1, MayHaveRun},
+		"error status, not repeatable":          {[]behaviour{fails, answers}, once, 1, 0},
+		"error status, repeatable":              {[]behaviour{fails, answers}, repeatable, 2, 0},
+		"declined, then broken, not repeatable": {[]behaviour{declines, breaks, answers}, once, 2, MayHaveRun},
+		"broken at every attempt, repeatable":   {[]behaviour{breaks}, repeatable, 3, MayHaveRun},
 	}
-	for name, one := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := newFloor(t, 3, one.plan...)
-			answer, err := f.call(t, one.change)
-			is.Equal(f.offered(), one.offers)
-			if one.certainty == 0 {
+			f := newTestService(t, 3, tc.behaviours...)
+			answer, err := f.call(t, tc.change)
+			is.Equal(f.attemptCount(), tc.attempts)
+			if tc.certainty == 0 {
 				is.NoErr(err)
 				answer.Close()
 				return
 			}
 			var failure *Failure
 			is.True(errors.As(err, &failure))
-			is.Equal(failure.Certainty, one.certainty)
+			is.Equal(failure.Certainty, tc.certainty)
 		})
 	}
 }
 
-func TestAServiceWithoutReplicasHasRunNothing(t *testing.T) {
+func TestServiceWithoutReplicas(t *testing.T) {
 	is := is.New(t)
-	_, err := newFloor(t, 0, answers).call(t, once)
+	_, err := newTestService(t, 0, answers).call(t, once)
 	var failure *Failure
 	is.True(errors.As(err, &failure))
 	is.Equal(failure.Certainty, NotRun)
 }
 
-// The retry budget and the policy are asked before each further offer, with the
-// number of offers so far, and not before the first.
-func TestFurtherOffersNeedLeave(t *testing.T) {
+// MayRetry must be asked before each further attempt with the number of attempts so far, and not
+// before the first.
+func TestFurtherAttemptsAskMayRetry(t *testing.T) {
 	is := is.New(t)
-	f := newFloor(t, 3, cuts)
+	f := newTestService(t, 3, breaks)
 	var asked []int
 	_, err := f.call(t, func(call *Call) {
 		call.Repeatable = true
-		call.MayRetry = func(offers int) bool {
-			asked = append(asked, offers)
-			return offers < 2
+		call.MayRetry = func(attempts int) bool {
+			asked = append(asked, attempts)
+			return attempts < 2
 		}
 	})
 	is.True(err != nil)
-	is.Equal(f.offered(), 2)
+	is.Equal(f.attemptCount(), 2)
 	is.Equal(asked, []int{1, 2})
 }
 
-// A silent replica gets company after the operation's own time.
-func TestASilentReplicaGetsCompany(t *testing.T) {
+// A second replica is asked after the route's HedgeAfter.
+func TestHedgeOfUnansweredAttempt(t *testing.T) {
 	is := is.New(t)
-	f := newFloor(t, 3, hangs, answers)
+	f := newTestService(t, 3, hangs, answers)
 	answer, err := f.call(t, func(call *Call) {
 		call.Repeatable, call.Hedge, call.HedgeAfter = true, true, time.Millisecond
 	})
 	is.NoErr(err)
 	answer.Close()
-	is.True(f.offered() >= 2)
+	is.True(f.attemptCount() >= 2)
 }
 
-// What may run once only never gets company.
-func TestARequestThatMayRunOnceGetsNoCompany(t *testing.T) {
+// A request that is not repeatable must never be hedged.
+func TestUnrepeatableRequestIsNotHedged(t *testing.T) {
 	is := is.New(t)
-	f := newFloor(t, 3, hangs, answers)
+	f := newTestService(t, 3, hangs, answers)
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	_, err := f.forwarder.Do(ctx, &Call{Request: Request{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}},
@@ -189,22 +190,22 @@
 	var failure *Failure
 	is.True(errors.As(err, &failure))
 	is.Equal(failure.Certainty, MayHaveRun)
-	is.Equal(f.offered(), 1)
+	is.Equal(f.attemptCount(), 1)
 }
 
-// A request whose caller has left reaches no replica, whichever moment that is: before its
-// first offer, or together with the outcome of one, which both wake the loop.
-func TestNobodysRequestReachesNoReplica(t *testing.T) {
+// A request whose context has ended must not be sent, even if an attempt's outcome arrives at the
+// same moment.
+func TestCancelledCallIsNotSent(t *testing.T) {
 	is := is.New(t)
-	f := newFloor(t, 3, answers)
+	f := newTestService(t, 3, answers)
 	for range 3 {
-		answer, err := f.call(t, repeatable) // connections rest at the replicas
+		answer, err := f.call(t, repeatable) // leaves idle connections in the pool
 		is.NoErr(err)
 		answer.Close()
 	}
-	before := f.offered()
-	ctx, leave := context.WithCancel(t.Context())
-	leave()
+	before := f.attemptCount()
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 	for range 50 {
 		_, err := f.forwarder.Do(ctx, &Call{Request: Request{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}},
 			Services: []string{"s"}, Repeatable: true, MaxAttempts: 3})
@@ -212,24 +213,24 @@
 		is.True(errors.As(err, &failure))
 		is.Equal(failure.Certainty, NotRun)
 	}
-	is.Equal(f.offered(), before)
+	is.Equal(f.attemptCount(), before)
 }
 
-// The end of a caller that comes together with a failure of its replica starts no retry.
-func TestARetryIsNotBegunForNobody(t *testing.T) {
+// No retry may start if the caller leaves at the moment an attempt fails.
+func TestNoRetryAfterCallerLeft(t *testing.T) {
 	is := is.New(t)
-	ctx, leave := context.WithCancel(t.Context())
-	a := newAttempts(newFloor(t, 0).forwarder, &Call{Repeatable: true, MaxAttempts: 3})
+	ctx, cancel := context.WithCancel(t.Context())
+	a := newAttempts(newTestService(t, 0).forwarder, &Call{Repeatable: true, MaxAttempts: 3})
 	is.True(a.mayRetry(ctx))
-	leave()
+	cancel()
 	is.True(!a.mayRetry(ctx))
 }
 
-// A request whose time ends while the connection to its replica is still being made was
-// told as one that may have run. The offer that is cut says that it was not sent.
-func TestAnOfferCutWhileConnectingWasNotSent(t *testing.T) {
+// An attempt that is cancelled while its connection is being made has not run, and must be reported
+// so.
+func TestAttemptCancelledWhileConnectingWasNotSent(t *testing.T) {
 	is := is.New(t)
-	f := newFloor(t, 0, answers)
+	f := newTestService(t, 0, answers)
 	f.forwarder.Pool = upstream.NewPool(upstream.Options{ConnectTimeout: time.Minute, UnackedTimeout: time.Second})
 	rep := replica.Replica{Entry: replica.Entry{ID: "a", Service: "s", Address: silentAddress(t), Slots: 4}}
 	for range 20 {
@@ -242,67 +243,68 @@
 	}
 }
 
-// What is told at the end of a call's time follows from what its cut offers say in time. The
-// clock is virtual: how soon they say it is up to the machine.
-func TestTheEndOfACallsTime(t *testing.T) {
+// The certainty at the end of a call's context follows from the outcomes that cancelled attempts
+// report within cancelledAttemptTimeout. The clock is virtual to be independent of the machine's
+// speed.
+func TestOutcomesAfterContextEnd(t *testing.T) {
 	notSent := result{err: errors.Wrap(upstream.ErrNotSent, "cut")}
 	broken := result{err: errors.New("cut"), mayHaveRun: true}
 	whole := result{answer: &Answer{Status: http.StatusOK, Replica: "c", endAttempt: func() {}}, mayHaveRun: true}
 	cases := map[string]struct {
 		open      int
-		said      []result
+		results   []result
 		after     time.Duration
-		certainty Certainty // 0 where an answer is passed on
+		certainty Certainty // 0 if an answer is passed on
 	}{
-		"not sent":                     {1, []result{notSent}, 0, NotRun},
-		"not sent, said in time":       {1, []result{notSent}, cancelledAttemptTimeout / 2, NotRun},
-		"not sent, said late":          {1, []result{notSent}, 2 * cancelledAttemptTimeout, MayHaveRun},
-		"sent":                         {1, []result{broken}, 0, MayHaveRun},
-		"one of two sent":              {2, []result{notSent, broken}, 0, MayHaveRun},
-		"one of two says nothing":      {2, []result{notSent}, 0, MayHaveRun},
-		"a whole answer with the end":  {1, []result{whole}, 0, 0},
-		"a whole answer beside a hang": {2, []result{whole}, cancelledAttemptTimeout / 2, 0},
-		"a whole answer, but late":     {1, []result{whole}, 2 * cancelledAttemptTimeout, MayHaveRun},
+		"not sent":                             {1, []result{notSent}, 0, NotRun},
+		"not sent, reported in time":           {1, []result{notSent}, cancelledAttemptTimeout / 2, NotRun},
+		"not sent, reported late":              {1, []result{notSent}, 2 * cancelledAttemptTimeout, MayHaveRun},
+		"sent":                                 {1, []result{broken}, 0, MayHaveRun},
+		"one of two sent":                      {2, []result{notSent, broken}, 0, MayHaveRun},
+		"one of two not reported":              {2, []result{notSent}, 0, MayHaveRun},
+		"complete answer at the end":           {1, []result{whole}, 0, 0},
+		"complete answer, other attempt hangs": {2, []result{whole}, cancelledAttemptTimeout / 2, 0},
+		"complete answer, too late":            {1, []result{whole}, 2 * cancelledAttemptTimeout, MayHaveRun},
 	}
-	for name, one := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				a := &attempts{call: &Call{Repeatable: true, MaxAttempts: 3}, cancelByReplica: map[string]context.CancelFunc{}, outcomes: make(chan result, 4), open: one.open}
-				silent := one.open - len(one.said)
-				say := func() {
-					for _, rep := range one.said {
+				a := &attempts{call: &Call{Repeatable: true, MaxAttempts: 3}, cancelByReplica: map[string]context.CancelFunc{}, outcomes: make(chan result, 4), open: tc.open}
+				unreported := tc.open - len(tc.results)
+				report := func() {
+					for _, rep := range tc.results {
 						a.outcomes <- rep
 					}
 				}
-				if one.after == 0 {
-					say()
+				if tc.after == 0 {
+					report()
 				} else {
-					time.AfterFunc(one.after, say)
+					time.AfterFunc(tc.after, report)
 				}
-				time.AfterFunc(4*cancelledAttemptTimeout, func() { // those that say nothing end some time
-					for range silent {
+				time.AfterFunc(4*cancelledAttemptTimeout, func() { // the others end eventually
+					for range unreported {
 						a.outcomes <- broken
 					}
 				})
 				defer time.Sleep(8 * cancelledAttemptTimeout)
-				began := time.Now()
+				startedAt := time.Now()
 				answer, err := a.awaitCancelled()
-				is.True(time.Since(began) <= cancelledAttemptTimeout)
-				if one.certainty == 0 {
+				is.True(time.Since(startedAt) <= cancelledAttemptTimeout)
+				if tc.certainty == 0 {
 					is.NoErr(err)
 					is.Equal(answer.Replica, "c")
 					return
 				}
 				var failure *Failure
 				is.True(errors.As(err, &failure))
-				is.Equal(failure.Certainty, one.certainty)
+				is.Equal(failure.Certainty, tc.certainty)
 			})
 		})
 	}
 }
 
-// silentAddress is an address at which no connection comes up: its queue is full.
+// silentAddress returns an address whose backlog is full, so that connecting to it hangs.
 func silentAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -330,13 +332,11 @@
 	}
 }
 
-// A replica whose offers fail is passed over for a while, and that is logged. The end of
-// an offer cancels its context, and was taken for the caller's leaving: in 28 logs of
-// runs with thousands of failed offers stood not one line of a replica that failed, and
-// it stayed the first choice.
+// A replica whose attempts fail must be avoided. The end of an attempt cancels its context, which
+// must not be taken for the caller leaving.
 func TestAReplicaThatFailsIsPassedOver(t *testing.T) {
 	is := is.New(t)
-	f := newFloor(t, 1, cuts)
+	f := newTestService(t, 1, breaks)
 	_, err := f.call(t, once)
 	is.True(err != nil)
 	seen, listed := f.forwarder.Table.Get("a")
@@ -344,10 +344,10 @@
 	is.True(seen.AvoidUntil.After(time.Now()))
 }
 
-// What the caller cut says nothing of the replica.
-func TestACutOfferIsNotHeldAgainstItsReplica(t *testing.T) {
+// An attempt cancelled by the caller must not count against its replica.
+func TestCancelledAttemptDoesNotCountAgainstReplica(t *testing.T) {
 	is := is.New(t)
-	f := newFloor(t, 1, hangs)
+	f := newTestService(t, 1, hangs)
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(50*time.Millisecond, cancel)
 	_, err := f.forwarder.Do(ctx, &Call{Request: Request{RequestID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{"Id": {"r"}}}, Services: []string{"s"}, MaxAttempts: 1})
@@ -356,12 +356,12 @@
 	is.True(seen.AvoidUntil.IsZero())
 }
 
-// A daemon that has as many connections to a replica as it may sends the request to another
-// one, and says that it has not run if there is none.
-func TestAtItsPartOfTheConnectionsACallGoesElsewhere(t *testing.T) {
+// At its connection limit to one replica, a daemon must use another one, and report NotRun if there
+// is none.
+func TestConnectionLimitUsesOtherReplica(t *testing.T) {
 	for replicas, answered := range map[int]bool{1: false, 2: true} {
 		is := is.New(t)
-		f := newFloor(t, replicas, hangs, answers)
+		f := newTestService(t, replicas, hangs, answers)
 		f.forwarder.MaxConnections = func(replica.Replica) int { return 1 }
 		ctx, cancel := context.WithCancel(t.Context())
 		first := make(chan error, 1)
@@ -369,7 +369,7 @@
 			_, err := f.forwarder.Do(ctx, &Call{Request: Request{RequestID: "r", Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}}, Services: []string{"s"}, MaxAttempts: 1})
 			first <- err
 		}()
-		for f.offered() == 0 {
+		for f.attemptCount() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		_, err := f.call(t, func(*Call) {})
--- a/internal/requests/forward/load_test.go
+++ b/internal/requests/forward/load_test.go
@@ -15,9 +15,8 @@
 	"woodworks/internal/requests/headers"
 )
 
-// What an answer tells of its replica's load and of its pace of work is known of that
-// replica.
-func TestTheLoadThatAnAnswerTellsIsKnown(t *testing.T) {
+// The load and the slowdown reported in an answer must be recorded for the answering replica only.
+func TestReportedLoadIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := replica.NewTable(time.Second, zap.NewNop())
@@ -30,7 +29,7 @@
 			f.recordLoad(rep, nil)
 			known, _ := table.Get("a")
 			is.Equal(known.ReportedLoad, load.Running+load.Waiting)
-			is.Equal(known.Slowdown, 2.0) // one that tells no pace takes none back
+			is.Equal(known.Slowdown, 2.0) // a report without a slowdown keeps the last one
 			other, _ := table.Get("b")
 			is.Equal(other.ReportedLoad, 0)
 			is.Equal(other.Slowdown, 1.0)
@@ -38,9 +37,8 @@
 	})
 }
 
-// Loads are read of every answer, whether it is whole, events, or says that the request
-// has not run.
-func TestTheLoadOfEachAnswerIsRead(t *testing.T) {
+// The load must be read from every answer: complete answers, streams and declines.
+func TestLoadIsReadFromEveryAnswer(t *testing.T) {
 	for name, does := range map[string]behaviour{
 		"answer": answers,
 		"events": func(w http.ResponseWriter, _ *http.Request) {
@@ -55,7 +53,7 @@
 		for _, stream := range []bool{false, true} {
 			t.Run(name, func(t *testing.T) {
 				is := is.New(t)
-				f := newFloor(t, 1, does)
+				f := newTestService(t, 1, does)
 				var read atomic.Int64
 				f.forwarder.Names.Load = func(http.Header) (headers.Load, bool) {
 					read.Add(1)
@@ -69,9 +67,9 @@
 						opened.Close()
 					}
 				} else {
-					_, _ = f.call(t, func(*Call) {}) // only what was told counts here
+					_, _ = f.call(t, func(*Call) {}) // only the header matters here
 				}
-				is.Equal(read.Load(), int64(f.offered()))
+				is.Equal(read.Load(), int64(f.attemptCount()))
 			})
 		}
 	}
--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -12,18 +12,19 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// QuarantinedError says that a request was not sent, as replicas have ended under its
-// content. It promises that the request has not run.
+// QuarantinedError reports that a request was not sent because replicas have ended under its
+// content. It guarantees that the request has not run.
 type QuarantinedError struct {
-	// EndedReplicas is how many replicas have ended under the content, 0 if others decide.
+	// EndedReplicas is how many replicas have ended under the content; 0 if the refusal is due to
+	// other runs.
 	EndedReplicas int
-	// RetryAfter is when the content may be asked for again with some hope.
+	// RetryAfter is the delay after which the content may be allowed to run.
 	RetryAfter time.Duration
-	// Final says that it stays refused until an operator lifts that.
+	// Final reports that the content stays refused until an operator lifts the quarantine.
 	Final bool
-	// TryElsewhere says that another replica may take it now.
+	// TryElsewhere reports that another replica may run the content now.
 	TryElsewhere bool
-	// decided, if not nil, is closed when the run of the content has ended that decides.
+	// decided, if not nil, is closed when the run that decides on the content has ended.
 	decided <-chan struct{}
 }
 
@@ -41,25 +42,25 @@
 	}
 }
 
-// AwaitDecision waits a little for the run that decides on the content, if there is one, and
-// reports whether the content may be asked for again.
+// AwaitDecision waits up to decisionTimeout for the run that decides on the content, if there is
+// one. It reports whether that run has ended, so that the content may be tried again.
 func (e *QuarantinedError) AwaitDecision(ctx context.Context) bool {
 	if e.decided == nil {
 		return false
 	}
-	late := time.NewTimer(decisionTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(decisionTimeout)
+	defer timeout.Stop()
 	select {
 	case <-e.decided:
 		return true
-	case <-late.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	return false
 }
 
-// admitContent asks whether a request may be sent to a replica now, for its content's sake. If
-// so, release must be called when the run is over and what it showed is noted.
+// admitContent asks the quarantine whether a request's content may run at a replica now. If refused
+// is nil, the caller must call release after the run has ended and its result has been recorded.
 func (f *Forwarder) admitContent(requestID string, content *quarantine.Content, rep replica.Replica) (release func(), refused *QuarantinedError) {
 	if f.Quarantine.Quiet() {
 		return func() {}, nil
@@ -76,18 +77,17 @@
 	default: // quarantine.Free
 		return func() {}, nil
 	}
-	why := zap.Skip()
+	refusal := zap.Skip()
 	if refused != nil {
-		why = zap.NamedError("refused", refused)
+		refusal = zap.NamedError("refused", refused)
 	}
-	f.Logger.Info("suspect asked to run", zap.String("request", requestID), zap.String("content", content.Digest().Short()),
-		zap.String("replica", rep.ID), zap.String("service", rep.Service), zap.Bool("alone", refused == nil), why)
+	f.Logger.Info("suspect content checked", zap.String("request", requestID), zap.String("content", content.Digest().Short()),
+		zap.String("replica", rep.ID), zap.String("service", rep.Service), zap.Bool("alone", refused == nil), refusal)
 	return release, refused
 }
 
-// decisionTimeout is how long a request waits for another run of its content to decide. Most
-// plain requests take a tenth of it; a text may take seconds, and who waits for one is told
-// after this to come back.
+// decisionTimeout is how long a request waits for another run of its content. It is well above the
+// duration of most plain requests; callers are told to retry if the run takes longer.
 const decisionTimeout = 300 * time.Millisecond
 
 // otherIncarnations returns the incarnations of the other replicas of a replica's service.
--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -6,42 +6,42 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// The rule by which a further replica is asked. A plain request is sent to one after each
-// attempt that failed and, if nothing is held against its content, while its attempts are silent
-// (hedge); a stream after each attempt that failed. That is so
+// The rule for asking a further replica. A plain request is sent to a further replica after each
+// failed attempt and, if its content is not suspected, as a hedge while its attempts are
+// unanswered; a stream after each failed attempt. The conditions are:
 //
-//  1. as long as the caller waits and AttemptState.MayRetry allows it;
-//  2. for plain requests, if then Call.MayRetry does, which may spend from a budget and is asked
-//     last: the policies in force with their retry budget (standalone) and, while the service
-//     is full, the budget of further attempts (admission.Ticket.MayRetry).
+//  1. The caller still waits, and AttemptState.MayRetry allows it.
+//  2. For plain requests, Call.MayRetry allows it. It may spend from a budget and is therefore asked
+//     last. It covers the policies in force with their retry budget (standalone) and, while the
+//     service is full, the budget of further attempts (admission.Ticket.MayRetry).
 //
-// Within a turn no replica is sent a request twice. A plain request that every replica declined waits for
-// another turn at its service (ingress, mostTurns).
+// Within one turn, no replica gets a request twice. A plain request that every replica declined
+// waits for another turn at its service (ingress, mostTurns).
 
 const (
-	// maxExtraAttempts is how often a request that was certainly not run may be
-	// sent to replicas beyond its attempts.
+	// maxExtraAttempts is the number of attempts, beyond MaxAttempts, that may be made because
+	// earlier ones certainly did not run.
 	maxExtraAttempts = 4
-	// defaultHedgeDelay is when a second replica is asked while the first is silent whose latency is
-	// not known, hedgeFactor after how many times its usual latency else, leastHedge the
-	// least time.
+	// A hedge is sent after hedgeLatencyFactor times the replica's usual latency, but at least
+	// minHedgeDelay, or after defaultHedgeDelay if the latency is not known.
 	defaultHedgeDelay  = 200 * time.Millisecond
 	hedgeLatencyFactor = 3
 	minHedgeDelay      = 60 * time.Millisecond
-	// noHedgeDelay stands for no hedge, where there is no replica to ask.
+	// noHedgeDelay is longer than any call. It is used when there is no replica to ask.
 	noHedgeDelay = time.Hour
 )
 
-// AttemptState is what has become of a request so far.
+// AttemptState is the state of a request's attempts, as input of the retry rule.
 type AttemptState struct {
 	// MayHaveRun counts the attempts that ran or may have, Open those without an outcome yet,
 	// NotRun those that certainly have not run.
 	MayHaveRun, Open, NotRun int
-	// MaxAttempts is how many attempts may run, one at least.
+	// MaxAttempts is how many attempts may run; values below 1 count as 1.
 	MaxAttempts int
-	// Repeatable requests, and streams that can be resumed, may run more than once.
+	// Repeatable is set for requests, and resumable streams, that may run more than once.
 	Repeatable bool
-	// Suspicion is what is held against the content, Refused that it may not run now.
+	// Suspicion is the quarantine's suspicion against the content. ContentRefused reports that the
+	// content may not run now.
 	Suspicion      quarantine.Suspicion
 	ContentRefused bool
 }
@@ -55,18 +55,19 @@
 	case started == 0:
 		return true
 	default:
-		// A content that has just ended replicas, or of which another daemon has learned so, runs
-		// next alone, if at all.
+		// A content under which replicas have just ended, as observed here or by another daemon,
+		// may only run alone from then on.
 		return s.Repeatable && s.Suspicion < quarantine.OnlyAlone
 	}
 }
 
-// hedgeDelay is how long an attempt may be silent before another replica is asked, by the
-// route's own time, if it has one, or by the replica's usual latency, 0 if it is not known.
-func hedgeDelay(ofRoute, latency time.Duration) time.Duration {
+// hedgeDelay returns how long an attempt may be unanswered before another replica is asked: the
+// route's own delay if it has one, otherwise based on the replica's usual latency, 0 if that is not
+// known.
+func hedgeDelay(routeDelay, latency time.Duration) time.Duration {
 	switch {
-	case ofRoute > 0:
-		return ofRoute
+	case routeDelay > 0:
+		return routeDelay
 	case latency == 0:
 		return defaultHedgeDelay
 	default:
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -19,11 +19,11 @@
 var (
 	// ErrDeclined: the replica did not run the request.
 	ErrDeclined = errors.New("forward: replica declined the stream")
-	// ErrStatus: the replica answered with a failure; see StatusError.
+	// ErrStatus: the replica answered with an error status; see StatusError.
 	ErrStatus = errors.New("forward: failure status")
 )
 
-// StatusError is a replica's own failure.
+// StatusError is an answer with an error status from the replica itself.
 type StatusError struct{ Status int }
 
 // Error implements error.
@@ -31,24 +31,24 @@
 	return "forward: replica answered with status " + strconv.Itoa(e.Status)
 }
 
-// Unwrap makes the error an ErrStatus.
+// Unwrap makes errors.Is(err, ErrStatus) true.
 func (e *StatusError) Unwrap() error { return ErrStatus }
 
-// Stream is an answer of events from one replica.
+// Stream is an answer from one replica that consists of events.
 type Stream struct {
 	Status int
 	Header http.Header
-	// Version is the version of the weights at the start, or 0.
+	// Version is the model version of the weights at the start of the stream, 0 if there is none.
 	Version int64
 	reader  *eventstream.Reader
 	answer  *upstream.Answer
-	// onEnd is told how the events onEnd, nil being their proper end, release that the
-	// exchange is over.
+	// onEnd is called with the result of the stream, nil at its proper end. release is called when
+	// the exchange has ended.
 	onEnd   func(err error)
 	release func()
 }
 
-// Next returns the next whole event, or io.EOF at the stream's proper end.
+// Next returns the next complete event, or io.EOF at the proper end of the stream.
 func (s *Stream) Next() (eventstream.Event, error) {
 	event, err := s.reader.Next()
 	switch err {
@@ -61,28 +61,28 @@
 	return event, err
 }
 
-// Close ends the exchange.
+// Close ends the exchange and the run of its content.
 func (s *Stream) Close() {
 	s.answer.Close()
 	s.release()
 }
 
-// StreamRequest is a request for events, maybe from the middle on.
+// StreamRequest is a request for a stream of events, from the start or after a known event.
 type StreamRequest struct {
 	Request
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// LastEventID is the last event that is known; HasAfter says that there is one.
+	// LastEventID is the last event that was received; it only counts if HasLastEventID is set.
 	LastEventID    int64
 	HasLastEventID bool
-	// Deadline is how long the replica may work; 0 names none.
+	// Deadline is how long the replica may work on the request, 0 for no bound.
 	Deadline time.Duration
 }
 
-// OpenStream sends a request for events to one replica. It returns when the
-// head of the answer has come. A declined request gives ErrDeclined, a failure
-// of the replica a *StatusError, a content that may not run now a *QuarantinedError, and
-// anything else may have run unless it wraps upstream.ErrNotSent.
+// OpenStream sends a request for events to one replica and returns when the head of the answer has
+// been received. The error is ErrDeclined if the replica declined, a *StatusError for an error
+// status and a *QuarantinedError if the content may not run now. With any other error the request
+// may have run unless the error wraps upstream.ErrNotSent.
 func (f *Forwarder) OpenStream(ctx context.Context, req *StreamRequest, rep replica.Replica) (*Stream, error) {
 	names, header := f.Names, req.Header.Clone()
 	if req.HasLastEventID {
@@ -96,44 +96,44 @@
 	if refused != nil {
 		return nil, refused
 	}
-	began := time.Now()
-	ended := func(err error) {
+	startedAt := time.Now()
+	onEnd := func(err error) {
 		f.recordEnd(ctx, failedAttempt{requestID: req.RequestID, content: content, chosen: rep,
-			mayHaveRun: !errors.Is(err, upstream.ErrNotSent), took: time.Since(began), err: err})
+			mayHaveRun: !errors.Is(err, upstream.ErrNotSent), took: time.Since(startedAt), err: err})
 	}
 	answer, err := f.roundTrip(ctx, rep, &req.Request, &upstream.Request{Header: header, Repeatable: req.Repeatable})
 	if err == nil {
 		err = f.checkStreamHead(answer)
 	}
-	f.Observe(rep.Service, outcomeOf(ctx, err), time.Since(began))
+	f.Observe(rep.Service, outcomeOf(ctx, err), time.Since(startedAt))
 	if err != nil {
-		f.endFailedExchange(answer, err, ended)
+		f.endFailedExchange(answer, err, onEnd)
 		release()
 		return nil, err
 	}
-	// A service without weights names no version: 0.
+	// A service without weights sends no version, which parses as 0.
 	version, _ := strconv.ParseInt(strings.TrimSpace(answer.Header.Get(names.Versions)), 10, 64)
 	return &Stream{Status: answer.Status, Header: answer.Header, Version: version,
-		reader: eventstream.NewReader(answer, names.Versions), answer: answer, onEnd: ended, release: release}, nil
+		reader: eventstream.NewReader(answer, names.Versions), answer: answer, onEnd: onEnd, release: release}, nil
 }
 
-// endFailedExchange ends an exchange whose answer, if there is one, has no events.
-func (f *Forwarder) endFailedExchange(answer *upstream.Answer, err error, ended func(err error)) {
+// endFailedExchange ends an exchange without events, whose answer may be nil.
+func (f *Forwarder) endFailedExchange(answer *upstream.Answer, err error, onEnd func(err error)) {
 	switch {
 	case !errors.Is(err, ErrStatus):
-		ended(err)
+		onEnd(err)
 	case answer.Header.Get(f.Names.Stamp) != "":
-		// The replica itself says that the request failed, and lives on.
-		ended(nil)
+		// A signed error status is the replica's own: the request failed, but the replica did not.
+		onEnd(nil)
 	}
 	if answer != nil {
-		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxBufferedBytes)) // What it says of its failure is not passed on.
+		_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxBufferedBytes)) // The body of a failure is not passed on.
 		answer.Close()
 	}
 }
 
-// wasNotRun reports whether a replica says that it has not run a request, or that it is not the
-// replica that the request was for.
+// wasNotRun reports whether the answer states that the replica has not run the request, or that the
+// request was meant for another replica.
 func (f *Forwarder) wasNotRun(answer *upstream.Answer) bool {
 	return answer.Header.Get(f.Names.NotExecuted) != "" || answer.Status == http.StatusMisdirectedRequest
 }
