--- a/internal/requests/refusal/refusal.go
+++ b/internal/requests/refusal/refusal.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// maxPart is the part of the time left, one in so many, that a refused caller waits at most:
+// retryAfterDivisor is the part of the time left, one in so many, that a refused caller waits at most:
 // another daemon may serve the request in the rest. Clients of the platform cap it likewise.
-const maxPart = 3
+const retryAfterDivisor = 3
 
 // Reason is why a request gets no whole answer. Reasons are values of this package.
 type Reason struct {
@@ -57,5 +57,5 @@
 
 // Within bounds a time to return by the part of the time left that a refused caller may wait.
 func Within(retryAfter, left time.Duration) time.Duration {
-	return min(retryAfter, max(left/maxPart, 0))
+	return min(retryAfter, max(left/retryAfterDivisor, 0))
 }
