--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -30,7 +30,7 @@
 	// content that an operator must lift: no promise to serve it then, it keeps a caller from
 	// asking at once. Others are SuspectAlone, SuspectAwaited and the rest of the time until a
 	// refused content may run once more.
-	Quarantined = Reason{Name: "quarantined", Status: http.StatusServiceUnavailable, RetryAfter: time.Minute, Everywhere: true}
+	Quarantined = Reason{Name: "quarantined", Status: http.StatusServiceUnavailable, RetryAfter: time.Minute, AllDaemons: true}
 	// SuspectAlone: the content may soon run alone; at most this long.
 	SuspectAlone = Quarantined.In(time.Second)
 	// SuspectAwaited: other runs of the content, or of another suspect, keep it waiting. Most
--- a/internal/requests/refusal/refusal.go
+++ b/internal/requests/refusal/refusal.go
@@ -33,9 +33,9 @@
 	// RetryAfter is when the caller should come back, 0 if that would not help or if it is
 	// known only in the case (In).
 	RetryAfter time.Duration
-	// Everywhere says that other daemons would refuse the request too, so that the time left
+	// AllDaemons says that other daemons would refuse the request too, so that the time left
 	// does not shorten RetryAfter.
-	Everywhere bool
+	AllDaemons bool
 }
 
 // In returns the reason with the time to return of one case.
@@ -49,7 +49,7 @@
 
 // ComeBack returns when a caller that still waits for left should come back.
 func (r Reason) ComeBack(left time.Duration) time.Duration {
-	if r.Everywhere {
+	if r.AllDaemons {
 		return r.RetryAfter
 	}
 	return Within(r.RetryAfter, left)
--- a/internal/requests/refusal/v1.go
+++ b/internal/requests/refusal/v1.go
@@ -27,7 +27,7 @@
 	// V1NoReplica and V1Quarantined are refusals of the client listener, whose time to return
 	// goes before this one.
 	V1NoReplica   = Reason{Name: "no_replica", Status: http.StatusServiceUnavailable, RetryAfter: v1RetryAfter}
-	V1Quarantined = Reason{Name: "quarantined", Status: http.StatusServiceUnavailable, RetryAfter: v1RetryAfter, Everywhere: true}
+	V1Quarantined = Reason{Name: "quarantined", Status: http.StatusServiceUnavailable, RetryAfter: v1RetryAfter, AllDaemons: true}
 )
 
 // Reasons at /v1/ for which the request may have run.
