--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return reason
 	}
-	return reason.In(time.Duration(seconds * float64(time.Second)))
+	return reason.WithRetryAfter(time.Duration(seconds * float64(time.Second)))
 }
 
 // problemOf turns a final answer of the ingress into a problem.
--- a/internal/requests/ingress/refuse.go
+++ b/internal/requests/ingress/refuse.go
@@ -31,7 +31,7 @@
 	if name := r.handler.Names.Quarantined; name != "" {
 		r.w.Header().Set(name, strconv.Itoa(err.EndedReplicas))
 	}
-	r.refuse(refusal.Quarantined.In(err.RetryAfter), err.Error())
+	r.refuse(refusal.Quarantined.WithRetryAfter(err.RetryAfter), err.Error())
 }
 
 // refusePlain gives the final answer to a plain request without a replica's answer.
@@ -42,7 +42,7 @@
 	}
 	var full *admission.RefusedError
 	if errors.As(err, &full) {
-		r.refuse(r.unlessStopping(refusal.ServiceFull.In(full.RetryAfter)), full.Error())
+		r.refuse(r.unlessStopping(refusal.ServiceFull.WithRetryAfter(full.RetryAfter)), full.Error())
 		return
 	}
 	var failure *forward.Failure
--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -32,10 +32,10 @@
 	// refused content may run once more.
 	Quarantined = Reason{Name: "quarantined", Status: http.StatusServiceUnavailable, RetryAfter: time.Minute, AllDaemons: true}
 	// SuspectAlone: the content may soon run alone; at most this long.
-	SuspectAlone = Quarantined.In(time.Second)
+	SuspectAlone = Quarantined.WithRetryAfter(time.Second)
 	// SuspectAwaited: other runs of the content, or of another suspect, keep it waiting. Most
 	// requests to plain services are over by then.
-	SuspectAwaited = Quarantined.In(100 * time.Millisecond)
+	SuspectAwaited = Quarantined.WithRetryAfter(100 * time.Millisecond)
 )
 
 // Reasons at the client listener that lie in the request. It has not run.
--- a/internal/requests/refusal/refusal.go
+++ b/internal/requests/refusal/refusal.go
@@ -38,8 +38,8 @@
 	AllDaemons bool
 }
 
-// In returns the reason with the time to return of one case.
-func (r Reason) In(retryAfter time.Duration) Reason {
+// WithRetryAfter returns the reason with the time to return of one case.
+func (r Reason) WithRetryAfter(retryAfter time.Duration) Reason {
 	r.RetryAfter = retryAfter
 	return r
 }
--- a/internal/requests/refusal/refusal_test.go
+++ b/internal/requests/refusal/refusal_test.go
@@ -14,6 +14,6 @@
 	is.Equal(NoReplica.ComeBack(10*time.Second), NoReplica.RetryAfter)
 	is.Equal(NoReplica.ComeBack(300*time.Millisecond), 100*time.Millisecond)
 	is.Equal(NoReplica.ComeBack(-time.Second), time.Duration(0))
-	is.Equal(ServiceFull.In(time.Hour).ComeBack(3*time.Second), time.Second)
+	is.Equal(ServiceFull.WithRetryAfter(time.Hour).ComeBack(3*time.Second), time.Second)
 	is.Equal(Quarantined.ComeBack(time.Second), time.Minute)
 }
