--- a/internal/requests/refusal/refusal.go
+++ b/internal/requests/refusal/refusal.go
@@ -44,8 +44,8 @@
 	return r
 }
 
-// MayReturn reports whether a client is told when to come back, though it be at once.
-func (r Reason) MayReturn() bool { return r.Status == http.StatusServiceUnavailable }
+// HasRetryAfter reports whether a client is told when to come back, though it be at once.
+func (r Reason) HasRetryAfter() bool { return r.Status == http.StatusServiceUnavailable }
 
 // ComeBack returns when a caller that still waits for left should come back.
 func (r Reason) ComeBack(left time.Duration) time.Duration {
