--- a/internal/requests/ingress/refuse.go
+++ b/internal/requests/ingress/refuse.go
@@ -17,7 +17,7 @@
 // refuse gives an answer of our own that is not a success.
 func (r *request) refuse(reason refusal.Reason, text string) {
 	if reason.HasRetryAfter() {
-		comeBack := reason.ComeBack(r.timeLeft())
+		comeBack := reason.RetryDelay(r.timeLeft())
 		r.w.Header().Set("Retry-After", strconv.FormatFloat(comeBack.Seconds(), 'f', 3, 64))
 		r.logger = r.logger.With(zap.Duration("come_back", comeBack))
 	}
--- a/internal/requests/refusal/refusal.go
+++ b/internal/requests/refusal/refusal.go
@@ -47,8 +47,8 @@
 // HasRetryAfter reports whether a client is told when to come back, though it be at once.
 func (r Reason) HasRetryAfter() bool { return r.Status == http.StatusServiceUnavailable }
 
-// ComeBack returns when a caller that still waits for left should come back.
-func (r Reason) ComeBack(left time.Duration) time.Duration {
+// RetryDelay returns when a caller that still waits for left should come back.
+func (r Reason) RetryDelay(left time.Duration) time.Duration {
 	if r.AllDaemons {
 		return r.RetryAfter
 	}
--- a/internal/requests/refusal/refusal_test.go
+++ b/internal/requests/refusal/refusal_test.go
@@ -11,9 +11,9 @@
 // every daemon would refuse it, less would only bring it back in vain.
 func TestNobodyWaitsForMoreThanAThirdOfTheTimeLeft(t *testing.T) {
 	is := is.New(t)
-	is.Equal(NoReplica.ComeBack(10*time.Second), NoReplica.RetryAfter)
-	is.Equal(NoReplica.ComeBack(300*time.Millisecond), 100*time.Millisecond)
-	is.Equal(NoReplica.ComeBack(-time.Second), time.Duration(0))
-	is.Equal(ServiceFull.WithRetryAfter(time.Hour).ComeBack(3*time.Second), time.Second)
-	is.Equal(Quarantined.ComeBack(time.Second), time.Minute)
+	is.Equal(NoReplica.RetryDelay(10*time.Second), NoReplica.RetryAfter)
+	is.Equal(NoReplica.RetryDelay(300*time.Millisecond), 100*time.Millisecond)
+	is.Equal(NoReplica.RetryDelay(-time.Second), time.Duration(0))
+	is.Equal(ServiceFull.WithRetryAfter(time.Hour).RetryDelay(3*time.Second), time.Second)
+	is.Equal(Quarantined.RetryDelay(time.Second), time.Minute)
 }
