--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -133,7 +133,7 @@
 // the time that the queue takes to drain, is shorter for higher ranks and is spread by draw, a
 // random number in [0, 1), so that callers refused together do not return together.
 func RetryAfter(drainTime, left time.Duration, rank int, draw float64) time.Duration {
-	maxDelay := refusal.Within(max(2*drainTime, 2*minRetryAfter), left)
+	maxDelay := refusal.CapRetryAfter(max(2*drainTime, 2*minRetryAfter), left)
 	position := (float64(min(max(rank, 0), lowestRank)) + draw) / (lowestRank + 1)
 	return maxDelay/2 + time.Duration(position*float64(maxDelay/2))
 }
--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -76,7 +76,7 @@
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), int32(mostTurns))
 	is.True(secondsOf(t, recorder.Header()) > 0)
-	is.True(secondsOf(t, recorder.Header()) < refusal.Within(time.Hour, 20*time.Second))
+	is.True(secondsOf(t, recorder.Header()) < refusal.CapRetryAfter(time.Hour, 20*time.Second))
 }
 
 // Engines have queues of their own.
--- a/internal/requests/refusal/refusal.go
+++ b/internal/requests/refusal/refusal.go
@@ -52,10 +52,10 @@
 	if r.AllDaemons {
 		return r.RetryAfter
 	}
-	return Within(r.RetryAfter, left)
+	return CapRetryAfter(r.RetryAfter, left)
 }
 
-// Within bounds a time to return by the part of the time left that a refused caller may wait.
-func Within(retryAfter, left time.Duration) time.Duration {
+// CapRetryAfter bounds a time to return by the part of the time left that a refused caller may wait.
+func CapRetryAfter(retryAfter, left time.Duration) time.Duration {
 	return min(retryAfter, max(left/retryAfterDivisor, 0))
 }
