--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -8,24 +8,24 @@
 // Reasons at the client listener for which the request has not run and may be sent again.
 var (
 	// NoConfiguration: this daemon has just started and has not read any.
-	NoConfiguration = Reason{Name: refused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
+	NoConfiguration = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
 	// BodyLate: the body did not come in the time of its request.
-	BodyLate = Reason{Name: refused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
+	BodyLate = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
 	// NoReplica: no replica took the request, and it was not sent to one that may run it.
-	NoReplica = Reason{Name: refused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
+	NoReplica = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
 	// NoMemory: this daemon holds as much for clients as it may. Clients that read at all have
 	// read much within the time to return.
-	NoMemory = Reason{Name: refused, Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
+	NoMemory = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
 	// StoreSilent: neither the journal nor the watcher of the batch's partition answered in time.
-	StoreSilent = Reason{Name: refused, Status: http.StatusServiceUnavailable, RetryAfter: 400 * time.Millisecond}
+	StoreSilent = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 400 * time.Millisecond}
 	// KeyUnconfirmed: the configuration is too old to tell whether the key is valid.
-	KeyUnconfirmed = Reason{Name: refused, Status: http.StatusServiceUnavailable, RetryAfter: 400 * time.Millisecond}
+	KeyUnconfirmed = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 400 * time.Millisecond}
 	// Stopping: a planned stop leaves the request no time. Other daemons take it at once; a few
 	// round trips spread those that come together.
-	Stopping = Reason{Name: refused, Status: http.StatusServiceUnavailable, RetryAfter: 50 * time.Millisecond}
+	Stopping = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 50 * time.Millisecond}
 	// ServiceFull: the service has no place for the request in its time; admission.ComeBack
 	// gives the time to return.
-	ServiceFull = Reason{Name: refused, Status: http.StatusServiceUnavailable}
+	ServiceFull = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable}
 	// Quarantined: replicas ended under the request's content. The time to return is that of a
 	// content that an operator must lift: no promise to serve it then, it keeps a caller from
 	// asking at once. Others are SuspectAlone, SuspectAwaited and the rest of the time until a
@@ -64,5 +64,5 @@
 	BatchUnknown = Reason{Name: "unknown", Status: http.StatusGatewayTimeout, MayHaveRun: true}
 )
 
-// refused is the outcome of most refusals, a label of a metric.
-const refused = "refused"
+// outcomeRefused is the outcome of most refusals, a label of a metric.
+const outcomeRefused = "refused"
