--- a/internal/requests/ingress/batches.go
+++ b/internal/requests/ingress/batches.go
@@ -47,7 +47,7 @@
 	case errors.Is(err, runner.ErrStopping):
 		r.refuse(refusal.Stopping, err.Error())
 	case errors.Is(err, runner.ErrNotDone):
-		r.refuse(refusal.StoreSilent, err.Error())
+		r.refuse(refusal.JournalTimeout, err.Error())
 	default:
 		r.refuse(refusal.BatchUnknown, err.Error())
 	}
@@ -72,7 +72,7 @@
 	page, err := r.handler.Results.Results(r.req.Context(),
 		results.Query{BatchID: call.BatchID, Tenant: r.tenantName(), After: call.After, Wait: wait})
 	if err != nil {
-		r.refuse(refusal.StoreSilent, err.Error())
+		r.refuse(refusal.JournalTimeout, err.Error())
 		return
 	}
 	if !page.Found {
@@ -91,7 +91,7 @@
 func (r *request) serveItem(call BatchCall) {
 	body, err := r.handler.Results.Item(r.req.Context(), results.ItemQuery{BatchID: call.BatchID, Tenant: r.tenantName(), ItemID: call.ItemID})
 	if err != nil {
-		r.refuse(refusal.StoreSilent, err.Error())
+		r.refuse(refusal.JournalTimeout, err.Error())
 		return
 	}
 	if !body.Found {
--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -62,7 +62,7 @@
 		status int
 		told   time.Duration
 	}{
-		"not done": {errors.Wrap(runner.ErrNotDone, "refused"), http.StatusServiceUnavailable, refusal.StoreSilent.RetryAfter},
+		"not done": {errors.Wrap(runner.ErrNotDone, "refused"), http.StatusServiceUnavailable, refusal.JournalTimeout.RetryAfter},
 		"stopping": {runner.ErrStopping, http.StatusServiceUnavailable, refusal.Stopping.RetryAfter},
 		"unknown":  {errors.Wrap(runner.ErrUnknown, "silent"), http.StatusGatewayTimeout, 0},
 	}
--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -16,8 +16,8 @@
 	// NoMemory: this daemon holds as much for clients as it may. Clients that read at all have
 	// read much within the time to return.
 	NoMemory = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
-	// StoreSilent: neither the journal nor the watcher of the batch's partition answered in time.
-	StoreSilent = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 400 * time.Millisecond}
+	// JournalTimeout: neither the journal nor the watcher of the batch's partition answered in time.
+	JournalTimeout = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 400 * time.Millisecond}
 	// KeyUnconfirmed: the configuration is too old to tell whether the key is valid.
 	KeyUnconfirmed = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 400 * time.Millisecond}
 	// Stopping: a planned stop leaves the request no time. Other daemons take it at once; a few
