--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -82,7 +82,7 @@
 		r.refuse(refusal.BodyTooLarge, "the body is longer than the limit")
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		r.w.Header().Set("Connection", "close")
-		r.refuse(refusal.BodyLate, "the body did not come in time")
+		r.refuse(refusal.BodyTimeout, "the body did not come in time")
 	case errors.Is(err, errNoRoom):
 		r.w.Header().Set("Connection", "close")
 		r.refuse(refusal.NoMemory, err.Error())
--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -9,8 +9,8 @@
 var (
 	// NoConfiguration: this daemon has just started and has not read any.
 	NoConfiguration = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
-	// BodyLate: the body did not come in the time of its request.
-	BodyLate = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
+	// BodyTimeout: the body did not come in the time of its request.
+	BodyTimeout = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
 	// NoReplica: no replica took the request, and it was not sent to one that may run it.
 	NoReplica = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
 	// NoMemory: this daemon holds as much for clients as it may. Clients that read at all have
