--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -39,7 +39,7 @@
 	account, ok := r.handler.Holding.Begin(baseBytes)
 	if !ok {
 		r.w.Header().Set("Connection", "close")
-		r.refuse(refusal.NoMemory, errNoRoom.Error())
+		r.refuse(refusal.MemoryLimitReached, errNoRoom.Error())
 		return false
 	}
 	r.account = account
@@ -85,7 +85,7 @@
 		r.refuse(refusal.BodyTimeout, "the body did not come in time")
 	case errors.Is(err, errNoRoom):
 		r.w.Header().Set("Connection", "close")
-		r.refuse(refusal.NoMemory, err.Error())
+		r.refuse(refusal.MemoryLimitReached, err.Error())
 	default:
 		r.refuse(refusal.BodyCutOff, "the body could not be read")
 	}
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -199,7 +199,7 @@
 	status, header, _, err := s.ask("/", "").read()
 	is.NoErr(err)
 	is.Equal(status, http.StatusServiceUnavailable)
-	is.Equal(secondsOf(t, header), refusal.NoMemory.RetryAfter)
+	is.Equal(secondsOf(t, header), refusal.MemoryLimitReached.RetryAfter)
 	is.Equal(len(s.ran), 0)
 }
 
--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -13,9 +13,9 @@
 	BodyTimeout = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
 	// NoReplica: no replica took the request, and it was not sent to one that may run it.
 	NoReplica = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
-	// NoMemory: this daemon holds as much for clients as it may. Clients that read at all have
+	// MemoryLimitReached: this daemon holds as much for clients as it may. Clients that read at all have
 	// read much within the time to return.
-	NoMemory = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
+	MemoryLimitReached = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
 	// JournalTimeout: neither the journal nor the watcher of the batch's partition answered in time.
 	JournalTimeout = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 400 * time.Millisecond}
 	// KeyUnconfirmed: the configuration is too old to tell whether the key is valid.
