--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -158,7 +158,7 @@
 	case s.refused() && since < retryAfterEnd:
 		refused.RetryAfter = retryAfterEnd - since
 	case s.deciding == nil && since < aloneWait && !s.anyUp(others(), now):
-		refused.RetryAfter = min(refusal.SuspectAlone.RetryAfter, aloneWait-since)
+		refused.RetryAfter = min(refusal.LoneRunPending.RetryAfter, aloneWait-since)
 	default:
 		return Refused{}, false
 	}
--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -31,8 +31,8 @@
 	// asking at once. Others are SuspectAlone, SuspectAwaited and the rest of the time until a
 	// refused content may run once more.
 	Quarantined = Reason{Name: "quarantined", Status: http.StatusServiceUnavailable, RetryAfter: time.Minute, AllDaemons: true}
-	// SuspectAlone: the content may soon run alone; at most this long.
-	SuspectAlone = Quarantined.WithRetryAfter(time.Second)
+	// LoneRunPending: the content may soon run alone; at most this long.
+	LoneRunPending = Quarantined.WithRetryAfter(time.Second)
 	// SuspectAwaited: other runs of the content, or of another suspect, keep it waiting. Most
 	// requests to plain services are over by then.
 	SuspectAwaited = Quarantined.WithRetryAfter(100 * time.Millisecond)
