--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -69,9 +69,9 @@
 	case quarantine.Alone:
 		release = verdict.End
 	case quarantine.Wait:
-		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, decided: verdict.Over}
+		refused = &QuarantinedError{RetryAfter: refusal.OtherRunPending.RetryAfter, decided: verdict.Over}
 	case quarantine.Elsewhere:
-		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, TryElsewhere: true}
+		refused = &QuarantinedError{RetryAfter: refusal.OtherRunPending.RetryAfter, TryElsewhere: true}
 	case quarantine.Refused:
 		refused = &QuarantinedError{EndedReplicas: verdict.Ended, RetryAfter: verdict.RetryAfter, Final: verdict.Final}
 	default: // quarantine.Free
--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -33,9 +33,9 @@
 	Quarantined = Reason{Name: "quarantined", Status: http.StatusServiceUnavailable, RetryAfter: time.Minute, AllDaemons: true}
 	// LoneRunPending: the content may soon run alone; at most this long.
 	LoneRunPending = Quarantined.WithRetryAfter(time.Second)
-	// SuspectAwaited: other runs of the content, or of another suspect, keep it waiting. Most
+	// OtherRunPending: other runs of the content, or of another suspect, keep it waiting. Most
 	// requests to plain services are over by then.
-	SuspectAwaited = Quarantined.WithRetryAfter(100 * time.Millisecond)
+	OtherRunPending = Quarantined.WithRetryAfter(100 * time.Millisecond)
 )
 
 // Reasons at the client listener that lie in the request. It has not run.
