--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -87,7 +87,7 @@
 		r.w.Header().Set("Connection", "close")
 		r.refuse(refusal.MemoryLimitReached, err.Error())
 	default:
-		r.refuse(refusal.BodyCutOff, "the body could not be read")
+		r.refuse(refusal.BodyIncomplete, "the body could not be read")
 	}
 }
 
--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -40,14 +40,14 @@
 
 // Reasons at the client listener that lie in the request. It has not run.
 var (
-	Malformed    = Reason{Name: "malformed", Status: http.StatusBadRequest}
-	WrongMethod  = Reason{Name: "malformed", Status: http.StatusMethodNotAllowed}
-	NoTenant     = Reason{Name: "no tenant", Status: http.StatusUnauthorized}
-	NoRoute      = Reason{Name: "no route", Status: http.StatusNotFound}
-	UnknownBatch = Reason{Name: "unknown batch", Status: http.StatusNotFound}
-	UnknownItem  = Reason{Name: "unknown item", Status: http.StatusNotFound}
-	BodyTooLarge = Reason{Name: "too large", Status: http.StatusRequestEntityTooLarge}
-	BodyCutOff   = Reason{Name: "cut off", Status: http.StatusBadRequest}
+	Malformed      = Reason{Name: "malformed", Status: http.StatusBadRequest}
+	WrongMethod    = Reason{Name: "malformed", Status: http.StatusMethodNotAllowed}
+	NoTenant       = Reason{Name: "no tenant", Status: http.StatusUnauthorized}
+	NoRoute        = Reason{Name: "no route", Status: http.StatusNotFound}
+	UnknownBatch   = Reason{Name: "unknown batch", Status: http.StatusNotFound}
+	UnknownItem    = Reason{Name: "unknown item", Status: http.StatusNotFound}
+	BodyTooLarge   = Reason{Name: "too large", Status: http.StatusRequestEntityTooLarge}
+	BodyIncomplete = Reason{Name: "cut off", Status: http.StatusBadRequest}
 )
 
 // Reasons at the client listener for which nothing is promised.
