--- a/internal/requests/ingress/batches.go
+++ b/internal/requests/ingress/batches.go
@@ -81,7 +81,7 @@
 	}
 	encoded, err := r.handler.Codec.EncodeResults(page)
 	if err != nil {
-		r.refuse(refusal.PageUnreadable, err.Error())
+		r.refuse(refusal.PageNotEncoded, err.Error())
 		return
 	}
 	r.writePage(encoded)
--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -52,8 +52,8 @@
 
 // Reasons at the client listener for which nothing is promised.
 var (
-	// PageUnreadable: results could not be encoded. Reading them again does no harm.
-	PageUnreadable = Reason{Name: "failed", Status: http.StatusInternalServerError, MayHaveRun: true}
+	// PageNotEncoded: results could not be encoded. Reading them again does no harm.
+	PageNotEncoded = Reason{Name: "failed", Status: http.StatusInternalServerError, MayHaveRun: true}
 	// Failed: a replica got the request, and its answer was lost or unsound.
 	Failed = Reason{Name: "failed", Status: http.StatusBadGateway, MayHaveRun: true}
 	// Interrupted: the end of a planned stop cut the request.
