--- a/internal/requests/ingress/batches.go
+++ b/internal/requests/ingress/batches.go
@@ -49,7 +49,7 @@
 	case errors.Is(err, runner.ErrNotDone):
 		r.refuse(refusal.JournalTimeout, err.Error())
 	default:
-		r.refuse(refusal.BatchUnknown, err.Error())
+		r.refuse(refusal.BatchOutcomeUnknown, err.Error())
 	}
 }
 
--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -60,8 +60,8 @@
 	Interrupted = Reason{Name: "interrupted", Status: http.StatusBadGateway, MayHaveRun: true}
 	// TimedOut: a replica got the request, and its time has passed.
 	TimedOut = Reason{Name: "timed out", Status: http.StatusGatewayTimeout, MayHaveRun: true}
-	// BatchUnknown: whether the journal has the record of a submission or an end is not known.
-	BatchUnknown = Reason{Name: "unknown", Status: http.StatusGatewayTimeout, MayHaveRun: true}
+	// BatchOutcomeUnknown: whether the journal has the record of a submission or an end is not known.
+	BatchOutcomeUnknown = Reason{Name: "unknown", Status: http.StatusGatewayTimeout, MayHaveRun: true}
 )
 
 // outcomeRefused is the outcome of most refusals, a label of a metric.
