--- a/internal/api/gateway/authenticate.go
+++ b/internal/api/gateway/authenticate.go
@@ -87,7 +87,7 @@
 	}
 	configuration, ok := g.parts.Configuration()
 	if !ok || configuration.Age > g.limits.ConfirmBound {
-		refuse(w, refusal.V1NotConfirmed, "this daemon cannot confirm that its configuration is the newest")
+		refuse(w, refusal.V1ConfigurationNotConfirmed, "this daemon cannot confirm that its configuration is the newest")
 		return false
 	}
 	return true
--- a/internal/requests/refusal/v1.go
+++ b/internal/requests/refusal/v1.go
@@ -12,9 +12,9 @@
 // Reasons at /v1/ for which this try has not run.
 var (
 	V1NoConfiguration = Reason{Name: "no_configuration", Status: http.StatusServiceUnavailable, RetryAfter: v1RetryAfter}
-	// V1NotConfirmed: this daemon can't confirm that its policies are the newest.
-	V1NotConfirmed = Reason{Name: "configuration_not_confirmed", Status: http.StatusServiceUnavailable, RetryAfter: v1RetryAfter}
-	V1Stopping     = Reason{Name: "stopping", Status: http.StatusServiceUnavailable, RetryAfter: v1RetryAfter}
+	// V1ConfigurationNotConfirmed: this daemon can't confirm that its policies are the newest.
+	V1ConfigurationNotConfirmed = Reason{Name: "configuration_not_confirmed", Status: http.StatusServiceUnavailable, RetryAfter: v1RetryAfter}
+	V1Stopping                  = Reason{Name: "stopping", Status: http.StatusServiceUnavailable, RetryAfter: v1RetryAfter}
 	// V1QueueFull: the traffic class has as many requests at this daemon as it may.
 	V1QueueFull = Reason{Name: "queue_full", Status: http.StatusTooManyRequests, RetryAfter: v1RetryAfter}
 	// V1TooManyInFlight: the caller has.
