--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -201,7 +201,7 @@
 func (g *Gateway) refuseClaim(w http.ResponseWriter, err error) {
 	reason := refusal.V1LogUnavailable
 	if errors.Is(err, permit.ErrUnknown) {
-		reason = refusal.V1PermitUnsure
+		reason = refusal.V1PermitUnknown
 	}
 	refuse(w, reason, "no permit for the key")
 }
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -324,7 +324,7 @@
 		tries.Go(func() {
 			for end := time.Now().Add(patience); time.Now().Before(end); {
 				answers[i], _, _ = f.client(i%2, "players").Call(f.ctx(), "game-front", "move", key, []byte("e4"))
-				mayCount := bytes.Contains(answers[i].Body, []byte(refusal.V1PermitUnsure.Name))
+				mayCount := bytes.Contains(answers[i].Body, []byte(refusal.V1PermitUnknown.Name))
 				if !mayCount && !bytes.Contains(answers[i].Body, []byte(refusal.V1LogUnavailable.Name)) {
 					return
 				}
--- a/internal/requests/refusal/v1.go
+++ b/internal/requests/refusal/v1.go
@@ -21,8 +21,8 @@
 	V1TooManyInFlight = Reason{Name: "too_many_in_flight", Status: http.StatusTooManyRequests, RetryAfter: v1RetryAfter}
 	// V1LogUnavailable: the journal did not take the record.
 	V1LogUnavailable = Reason{Name: "log_unavailable", Status: http.StatusServiceUnavailable, RetryAfter: v1RetryAfter}
-	// V1PermitUnsure: whether the journal has the claim of the request's key is not known.
-	V1PermitUnsure   = Reason{Name: "permit_unsure", Status: http.StatusServiceUnavailable, RetryAfter: v1RetryAfter}
+	// V1PermitUnknown: whether the journal has the claim of the request's key is not known.
+	V1PermitUnknown  = Reason{Name: "permit_unsure", Status: http.StatusServiceUnavailable, RetryAfter: v1RetryAfter}
 	V1DeliveryFailed = Reason{Name: "delivery_failed", Status: http.StatusServiceUnavailable, RetryAfter: v1RetryAfter}
 	// V1NoReplica and V1Quarantined are refusals of the client listener, whose time to return
 	// goes before this one.
