--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -132,7 +132,7 @@
 	case errors.Is(err, operator.ErrNotDone):
 		refuse(w, refusal.V1LogUnavailable, err.Error())
 	case err != nil:
-		refuse(w, refusal.V1LogUnknown, err.Error())
+		refuse(w, refusal.V1LogOutcomeUnknown, err.Error())
 	case !g.awaitInForce(ctx, published.Version):
 		refuse(w, refusal.V1PolicyPending, "the policy is in the log but not yet in force at this daemon")
 	default:
@@ -179,7 +179,7 @@
 		writeProblem(w, Problem{status: http.StatusNotFound, Code: "unknown_machine", Field: "machine",
 			Message: "machine: " + err.Error()})
 	case errors.Is(err, operator.ErrUnknown):
-		refuse(w, refusal.V1LogUnknown, err.Error())
+		refuse(w, refusal.V1LogOutcomeUnknown, err.Error())
 	default:
 		refuse(w, refusal.V1LogUnavailable, err.Error())
 	}
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -155,7 +155,7 @@
 	case err == nil:
 		writeDone(w, http.StatusOK, announceAnswer{Trainer: trainer.Name, Version: newest})
 	case errors.Is(err, operator.ErrUnknown):
-		refuse(w, refusal.V1LogUnknown, err.Error())
+		refuse(w, refusal.V1LogOutcomeUnknown, err.Error())
 	default:
 		refuse(w, refusal.V1LogUnavailable, err.Error())
 	}
--- a/internal/requests/refusal/v1.go
+++ b/internal/requests/refusal/v1.go
@@ -32,8 +32,8 @@
 
 // Reasons at /v1/ for which the request may have run.
 var (
-	// V1LogUnknown: whether the journal has the record is not known.
-	V1LogUnknown = Reason{Name: "log_unavailable", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
+	// V1LogOutcomeUnknown: whether the journal has the record is not known.
+	V1LogOutcomeUnknown = Reason{Name: "log_unavailable", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	// V1PolicyPending: the journal has the policy, and it is not yet in force here.
 	V1PolicyPending = Reason{Name: "policy_pending", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	V1BatchUnsure   = Reason{Name: "batch_unsure", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
