--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -82,7 +82,7 @@
 	case errors.Is(err, delivery.ErrUnavailable):
 		refuse(w, refusal.V1LogUnavailable, err.Error())
 	default:
-		refuse(w, refusal.V1BatchUnsure, err.Error()+"; submit it again under the same name")
+		refuse(w, refusal.V1BatchOutcomeUnknown, err.Error()+"; submit it again under the same name")
 	}
 }
 
--- a/internal/requests/refusal/v1.go
+++ b/internal/requests/refusal/v1.go
@@ -35,9 +35,9 @@
 	// V1LogOutcomeUnknown: whether the journal has the record is not known.
 	V1LogOutcomeUnknown = Reason{Name: "log_unavailable", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	// V1PolicyPending: the journal has the policy, and it is not yet in force here.
-	V1PolicyPending = Reason{Name: "policy_pending", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
-	V1BatchUnsure   = Reason{Name: "batch_unsure", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
-	V1EndUnsure     = Reason{Name: "end_unsure", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
+	V1PolicyPending       = Reason{Name: "policy_pending", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
+	V1BatchOutcomeUnknown = Reason{Name: "batch_unsure", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
+	V1EndUnsure           = Reason{Name: "end_unsure", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	// V1FollowEnded: a planned stop ends a stream of samples, as its last line.
 	V1FollowEnded = Reason{Name: "stopping", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	// V1EarlierTryLost: an earlier try with the key may have run, and its outcome is not known.
