--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -118,7 +118,7 @@
 	case err == nil:
 		writeDone(w, http.StatusOK, statusWord{Status: "ended"})
 	case errors.Is(err, delivery.ErrUnsure):
-		refuse(w, refusal.V1EndUnsure, err.Error()+"; end it again")
+		refuse(w, refusal.V1EndOutcomeUnknown, err.Error()+"; end it again")
 	default:
 		writeProblem(w, deliveryProblem(err))
 	}
--- a/internal/requests/refusal/v1.go
+++ b/internal/requests/refusal/v1.go
@@ -37,7 +37,7 @@
 	// V1PolicyPending: the journal has the policy, and it is not yet in force here.
 	V1PolicyPending       = Reason{Name: "policy_pending", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	V1BatchOutcomeUnknown = Reason{Name: "batch_unsure", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
-	V1EndUnsure           = Reason{Name: "end_unsure", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
+	V1EndOutcomeUnknown   = Reason{Name: "end_unsure", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	// V1FollowEnded: a planned stop ends a stream of samples, as its last line.
 	V1FollowEnded = Reason{Name: "stopping", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	// V1EarlierTryLost: an earlier try with the key may have run, and its outcome is not known.
