--- a/internal/requests/refusal/v1.go
+++ b/internal/requests/refusal/v1.go
@@ -38,8 +38,8 @@
 	V1PolicyPending       = Reason{Name: "policy_pending", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	V1BatchOutcomeUnknown = Reason{Name: "batch_unsure", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	V1EndOutcomeUnknown   = Reason{Name: "end_unsure", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
-	// V1FollowEnded: a planned stop ends a stream of samples, as its last line.
-	V1FollowEnded = Reason{Name: "stopping", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
+	// V1StreamStopped: a planned stop ends a stream of samples, as its last line.
+	V1StreamStopped = Reason{Name: "stopping", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	// V1EarlierTryLost: an earlier try with the key may have run, and its outcome is not known.
 	V1EarlierTryLost = Reason{Name: "earlier_try_lost", Status: http.StatusConflict, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	V1TimedOut       = Reason{Name: "timed_out", Status: http.StatusGatewayTimeout, MayHaveRun: true}
