--- a/internal/requests/refusal/v1.go
+++ b/internal/requests/refusal/v1.go
@@ -40,9 +40,9 @@
 	V1EndOutcomeUnknown   = Reason{Name: "end_unsure", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	// V1StreamStopped: a planned stop ends a stream of samples, as its last line.
 	V1StreamStopped = Reason{Name: "stopping", Status: http.StatusServiceUnavailable, MayHaveRun: true, RetryAfter: v1RetryAfter}
-	// V1EarlierTryLost: an earlier try with the key may have run, and its outcome is not known.
-	V1EarlierTryLost = Reason{Name: "earlier_try_lost", Status: http.StatusConflict, MayHaveRun: true, RetryAfter: v1RetryAfter}
-	V1TimedOut       = Reason{Name: "timed_out", Status: http.StatusGatewayTimeout, MayHaveRun: true}
-	V1Failed         = Reason{Name: "back_end_failed", Status: http.StatusBadGateway, MayHaveRun: true}
-	V1CutOff         = Reason{Name: "answer_cut_off", Status: http.StatusBadGateway, MayHaveRun: true}
+	// V1EarlierAttemptUnknown: an earlier try with the key may have run, and its outcome is not known.
+	V1EarlierAttemptUnknown = Reason{Name: "earlier_try_lost", Status: http.StatusConflict, MayHaveRun: true, RetryAfter: v1RetryAfter}
+	V1TimedOut              = Reason{Name: "timed_out", Status: http.StatusGatewayTimeout, MayHaveRun: true}
+	V1Failed                = Reason{Name: "back_end_failed", Status: http.StatusBadGateway, MayHaveRun: true}
+	V1CutOff                = Reason{Name: "answer_cut_off", Status: http.StatusBadGateway, MayHaveRun: true}
 )
