--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -121,6 +121,6 @@
 	case http.StatusGatewayTimeout:
 		return problemFor(refusal.V1TimedOut, "no whole answer came in time")
 	default:
-		return problemFor(refusal.V1Failed, "no replica gave a whole answer")
+		return problemFor(refusal.V1BackEndFailed, "no replica gave a whole answer")
 	}
 }
