--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -90,7 +90,7 @@
 // problem is what to tell a caller of a reply that is no back end's answer.
 func (r *ingressReply) problem() Problem {
 	if r.cut {
-		return problemFor(refusal.V1CutOff, "the back end's answer did not come whole")
+		return problemFor(refusal.V1AnswerIncomplete, "the back end's answer did not come whole")
 	}
 	return problemOf(r.status, r.header)
 }
--- a/internal/requests/refusal/v1.go
+++ b/internal/requests/refusal/v1.go
@@ -44,5 +44,5 @@
 	V1EarlierAttemptUnknown = Reason{Name: "earlier_try_lost", Status: http.StatusConflict, MayHaveRun: true, RetryAfter: v1RetryAfter}
 	V1TimedOut              = Reason{Name: "timed_out", Status: http.StatusGatewayTimeout, MayHaveRun: true}
 	V1BackEndFailed         = Reason{Name: "back_end_failed", Status: http.StatusBadGateway, MayHaveRun: true}
-	V1CutOff                = Reason{Name: "answer_cut_off", Status: http.StatusBadGateway, MayHaveRun: true}
+	V1AnswerIncomplete      = Reason{Name: "answer_cut_off", Status: http.StatusBadGateway, MayHaveRun: true}
 )
