--- a/internal/requests/retrybudget/retrybudget.go
+++ b/internal/requests/retrybudget/retrybudget.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// maxSaved is how many retries may be saved up, in seconds' worth of the
+// maxTokens is how many retries may be saved up, in seconds' worth of the
 // minimum plus this constant.
-const maxSaved = 50
+const maxTokens = 50
 
 // Budget is a token bucket that first tries fill. It is safe for concurrent use.
 type Budget struct {
@@ -28,7 +28,7 @@
 func (b *Budget) FirstTry(percent int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+float64(percent)/100, maxSaved)
+	b.tokens = min(b.tokens+float64(percent)/100, maxTokens)
 }
 
 // TryRetry reports whether a retry is allowed now, and spends it if so.
@@ -42,7 +42,7 @@
 	}
 	elapsed := max(now.Sub(b.filled).Seconds(), 0)
 	b.filled = now
-	b.tokens = min(b.tokens+elapsed*float64(minimum), maxSaved+float64(minimum))
+	b.tokens = min(b.tokens+elapsed*float64(minimum), maxTokens+float64(minimum))
 	if b.tokens < 1 {
 		return false
 	}
