--- a/internal/requests/retrybudget/retrybudget.go
+++ b/internal/requests/retrybudget/retrybudget.go
@@ -19,9 +19,9 @@
 
 // Budget is a token bucket that first tries fill. It is safe for concurrent use.
 type Budget struct {
-	mu     sync.Mutex
-	tokens float64
-	filled time.Time
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
 }
 
 // FirstTry notes a request's first try, which earns percent/100 of a retry.
@@ -36,12 +36,12 @@
 func (b *Budget) TryRetry(now time.Time, minimum int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.filled.IsZero() {
-		b.filled = now
+	if b.refilledAt.IsZero() {
+		b.refilledAt = now
 		b.tokens += float64(minimum)
 	}
-	elapsed := max(now.Sub(b.filled).Seconds(), 0)
-	b.filled = now
+	elapsed := max(now.Sub(b.refilledAt).Seconds(), 0)
+	b.refilledAt = now
 	b.tokens = min(b.tokens+elapsed*float64(minimum), maxTokens+float64(minimum))
 	if b.tokens < 1 {
 		return false
