--- a/internal/api/standalone/retries.go
+++ b/internal/api/standalone/retries.go
@@ -21,7 +21,7 @@
 
 func (r *retries) Began(*route.Route) {
 	if set, ok := r.decoder.SetOf(r.configuration()); ok {
-		r.budget.FirstTry(set.Retry.Percent)
+		r.budget.RecordFirstAttempt(set.Retry.Percent)
 	}
 }
 
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -137,7 +137,7 @@
 		return ticket
 	}
 	g.starts++
-	g.retries.FirstTry(retriesPercent)
+	g.retries.RecordFirstAttempt(retriesPercent)
 	ticket.chargedWork = g.times.quantile(0.5)
 	g.work.add(req.Tenant, ticket.chargedWork, g.options.Clock())
 	return ticket
--- a/internal/requests/retrybudget/retrybudget.go
+++ b/internal/requests/retrybudget/retrybudget.go
@@ -24,8 +24,8 @@
 	refilledAt time.Time
 }
 
-// FirstTry notes a request's first try, which earns percent/100 of a retry.
-func (b *Budget) FirstTry(percent int64) {
+// RecordFirstAttempt notes a request's first try, which earns percent/100 of a retry.
+func (b *Budget) RecordFirstAttempt(percent int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+float64(percent)/100, maxTokens)
