--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -151,7 +151,7 @@
 			Header:    http.Header{http.CanonicalHeaderKey(j.r.forwarder.Names.RequestID): {it.Reward.ID}},
 			Body:      it.Reward.Body,
 		},
-		Services:    rt.Order(it.Reward.ID),
+		Services:    rt.ServiceOrder(it.Reward.ID),
 		Repeatable:  true,
 		MaxAttempts: 1,
 	}
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -133,7 +133,7 @@
 
 // serviceOf returns the service that runs an item. Each item is drawn by itself:
 // the parts of a split route would otherwise be as uneven as whole batches are.
-func serviceOf(rt *route.Route, it *item) string { return rt.Order(it.ID)[0] }
+func serviceOf(rt *route.Route, it *item) string { return rt.ServiceOrder(it.ID)[0] }
 
 // blocked reports whether the item must not run now for its content's sake. The mutex is
 // held.
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -34,7 +34,7 @@
 func (r *request) call(cfg *route.Configuration, body []byte) *forward.Call {
 	repeatable := r.route.Kind == route.Safe
 	return &forward.Call{
-		Request: r.onward(cfg, body), Services: r.route.Order(r.id),
+		Request: r.onward(cfg, body), Services: r.route.ServiceOrder(r.id),
 		Repeatable: repeatable, MaxAttempts: max(r.route.MaxAttempts, 1), Hedge: repeatable, HedgeAfter: r.route.HedgeAfter,
 		ConnectionDeadline: time.Now().Add(r.route.ConnectionWait()),
 		TimeLeft:           r.timeLeft, OnRun: r.countRun, Account: r.account, MayRetry: r.policyMayRetry,
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -49,7 +49,7 @@
 
 func (s *streamRelay) run(ctx context.Context) {
 	for {
-		rep, ok := s.handler.Forwarder.Pick(s.route.Order(s.id), s.passedOver)
+		rep, ok := s.handler.Forwarder.Pick(s.route.ServiceOrder(s.id), s.passedOver)
 		if !ok {
 			break
 		}
--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -202,10 +202,10 @@
 // which this daemon has as many as it may.
 func (r *Route) ConnectionWait() time.Duration { return r.TargetLatency / connectionWaitPart }
 
-// Order returns the route's services in the order in which a request should
+// ServiceOrder returns the route's services in the order in which a request should
 // try them: the first is drawn by weight from the request's id, so that each
 // part gets its share without any state.
-func (r *Route) Order(requestID string) []string {
+func (r *Route) ServiceOrder(requestID string) []string {
 	if len(r.Shares) == 1 {
 		return []string{r.Shares[0].Service}
 	}
