--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -75,4 +75,4 @@
 	})
 }
 
-func (s *stage) boot() time.Duration { return s.configuration().Services["s"].Scaling.Boot }
+func (s *stage) boot() time.Duration { return s.configuration().Services["s"].Scaling.StartupTime }
--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -64,7 +64,7 @@
 // capacity is how many replicas the zone can be relied on for: one that has not brought up
 // what was ordered is left as it is.
 func (z Zone) capacity(in Input) int {
-	if z.Ordered > z.Present && !z.booting(in.Scaling.Boot, in.Now) {
+	if z.Ordered > z.Present && !z.booting(in.Scaling.StartupTime, in.Now) {
 		return z.Present
 	}
 	return in.Scaling.Max
@@ -131,7 +131,7 @@
 func Plan(in Input) []Order {
 	counts := make([]int, len(in.Zones))
 	for i, z := range in.Zones {
-		counts[i] = z.expected(in.Scaling.Boot, in.Now)
+		counts[i] = z.expected(in.Scaling.StartupTime, in.Now)
 	}
 	need := Need(in)
 	switch {
@@ -143,7 +143,7 @@
 	}
 	var orders []Order
 	for i, z := range in.Zones {
-		expected := z.expected(in.Scaling.Boot, in.Now)
+		expected := z.expected(in.Scaling.StartupTime, in.Now)
 		switch {
 		case counts[i] > expected:
 			orders = append(orders, Order{z.Name, max(counts[i], min(z.Seen, in.Scaling.Max))})
--- a/internal/replicas/fleet/plan_test.go
+++ b/internal/replicas/fleet/plan_test.go
@@ -16,7 +16,7 @@
 var testStart = time.Unix(1_800_000_000, 0)
 
 func scaling(most int) route.Scaling {
-	return route.Scaling{Min: 1, Max: most, Boot: 4 * time.Second, ZonePrices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
+	return route.Scaling{Min: 1, Max: most, StartupTime: 4 * time.Second, ZonePrices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
 }
 
 func drawInput(t *rapid.T) Input {
@@ -111,7 +111,7 @@
 				}
 			}
 			for count := p.zones[i].Present + underWay; count < order.Desired; count++ {
-				p.booting = append(p.booting, boot{i, now.Add(p.scaling.Boot)})
+				p.booting = append(p.booting, boot{i, now.Add(p.scaling.StartupTime)})
 			}
 			p.zones[i].Present = min(p.zones[i].Present, order.Desired)
 		}
@@ -160,11 +160,11 @@
 	p := &platform{scaling: scaling(24), zones: []Zone{{Name: "a", Present: 3}, {Name: "b", Present: 3}, {Name: "c", Present: 3}}}
 	need := func(items int) int { return Need(Input{Slots: 6, Loads: loadsOf(items)}) }
 	now := testStart
-	is.True(p.run(loadsOf(240), now, 30*time.Second) <= p.scaling.Boot+2*lookInterval)
+	is.True(p.run(loadsOf(240), now, 30*time.Second) <= p.scaling.StartupTime+2*lookInterval)
 	is.Equal(p.present(), need(240))
 	is.Equal(p.orders, 2) // zones have different prices
 	now = now.Add(30 * time.Second)
-	is.True(p.run(loadsOf(480), now, 30*time.Second) <= p.scaling.Boot+2*lookInterval)
+	is.True(p.run(loadsOf(480), now, 30*time.Second) <= p.scaling.StartupTime+2*lookInterval)
 	is.Equal(p.present(), need(480))
 	is.True(p.orders <= 6)
 	for _, z := range p.zones {
--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -90,8 +90,8 @@
 type Scaling struct {
 	// Min and Max bound the replicas of each zone.
 	Min, Max int
-	// Boot is how long a replica takes from its order until it serves.
-	Boot time.Duration
+	// StartupTime is how long a replica takes from its order until it serves.
+	StartupTime time.Duration
 	// ZonePrices is what a second of a replica costs, by zone.
 	ZonePrices map[string]float64
 }
