--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -167,7 +167,7 @@
 				return counts[i] < most
 			}
 			return cmp.Or(
-				cmp.Compare(in.Scaling.Price(in.Zones[j].Name), in.Scaling.Price(in.Zones[i].Name)),
+				cmp.Compare(in.Scaling.PricePerSecond(in.Zones[j].Name), in.Scaling.PricePerSecond(in.Zones[i].Name)),
 				cmp.Compare(counts[j], counts[i]),
 			) > 0
 		}
@@ -191,7 +191,7 @@
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(i, j int) int {
-		return cmp.Compare(in.Scaling.Price(in.Zones[j].Name), in.Scaling.Price(in.Zones[i].Name))
+		return cmp.Compare(in.Scaling.PricePerSecond(in.Zones[j].Name), in.Scaling.PricePerSecond(in.Zones[i].Name))
 	})
 	for _, i := range order {
 		whole := in.Zones[i].Seen <= in.Zones[i].Present && counts[i] == in.Zones[i].Present
--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -96,9 +96,9 @@
 	ZonePrices map[string]float64
 }
 
-// Price is what a second of a replica costs in a zone; 1 where the configuration names
+// PricePerSecond is what a second of a replica costs in a zone; 1 where the configuration names
 // no price.
-func (s Scaling) Price(zone string) float64 {
+func (s Scaling) PricePerSecond(zone string) float64 {
 	if price, ok := s.ZonePrices[zone]; ok {
 		return price
 	}
