--- a/internal/api/standalone/routes.go
+++ b/internal/api/standalone/routes.go
@@ -30,7 +30,7 @@
 	var routes []route.Route
 	services := map[string]route.Service{}
 	for name, service := range set.Services {
-		m := route.Service{Name: name, Engine: service.Kind == policy.EngineService}
+		m := route.Service{Name: name, IsEngine: service.Kind == policy.EngineService}
 		for _, trainer := range set.TrainersOf(name) {
 			m.Models = append(m.Models, trainer.Name)
 			routes = append(routes, trainerRoutes(set, trainer)...)
--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -22,7 +22,7 @@
 		// Any number of others may be there.
 		daemons = max(service.MaxConnections, 1)
 	}
-	return upstream.Part(service.MaxConnections, daemons, max(service.Slots, chosen.Slots), service.Engine)
+	return upstream.Part(service.MaxConnections, daemons, max(service.Slots, chosen.Slots), service.IsEngine)
 }
 
 // registerConnectionMetrics tells of connections to replicas.
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -95,7 +95,7 @@
 	bounds := scaling(24)
 	made, err := route.New(route.Declared{Version: 1,
 		Routes:   []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Batch, BatchDeadline: 7500 * time.Millisecond, Shares: []route.Share{{Service: "s", Weight: 1}}}},
-		Services: map[string]route.Service{"s": {Name: "s", Engine: true, Slots: 6, Models: []string{"m"}, Scaling: &bounds}}})
+		Services: map[string]route.Service{"s": {Name: "s", IsEngine: true, Slots: 6, Models: []string{"m"}, Scaling: &bounds}}})
 	if err != nil {
 		panic(err)
 	}
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -106,7 +106,7 @@
 	}
 	named := s.Named()
 	for name, service := range configuration.Services {
-		if !service.Engine || len(service.Models) == 0 {
+		if !service.IsEngine || len(service.Models) == 0 {
 			continue
 		}
 		replicas := s.Table.Replicas(name)
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -48,7 +48,7 @@
 // have queues of their own, which batches fill by plan.
 func (r *request) sendInTurn(ctx context.Context, cfg *route.Configuration, call *forward.Call) (*forward.Answer, error) {
 	h, service := r.handler, call.Services[0]
-	if cfg.Services[service].Engine {
+	if cfg.Services[service].IsEngine {
 		return h.Forwarder.Do(ctx, call)
 	}
 	for turn := 1; ; turn++ {
--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -77,9 +77,9 @@
 	Name string
 	// MaxConnections is what one replica accepts from all callers together.
 	MaxConnections int
-	// Engine says that the replicas are model engines; Models are the names of theirs.
-	Engine bool
-	Models []string
+	// IsEngine says that the replicas are model engines; Models are the names of theirs.
+	IsEngine bool
+	Models   []string
 	// Slots is how many requests an engine runs at once.
 	Slots int
 	// Scaling is nil where the number of replicas is not ours to order.
