--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -200,7 +200,7 @@
 // never more than the true age, whatever time of day daemons believe.
 func (j *job) giveUpTooOld() {
 	rt, ok := j.route()
-	if !ok || !tooOld(time.Since(j.adoptedAt), rt.MaxQueue) {
+	if !ok || !tooOld(time.Since(j.adoptedAt), rt.MaxQueueTime) {
 		return
 	}
 	j.mu.Lock()
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -26,7 +26,7 @@
 func batchesFor(t *testing.T, maxQueue time.Duration) configured {
 	t.Helper()
 	configuration, err := route.New(route.Declared{Routes: []route.Route{{
-		Name: "r", Host: "h", PathPrefix: "/p/", Kind: route.Batch, MaxQueue: maxQueue,
+		Name: "r", Host: "h", PathPrefix: "/p/", Kind: route.Batch, MaxQueueTime: maxQueue,
 		Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -68,8 +68,8 @@
 	HedgeAfter time.Duration
 	// BatchDeadline is the span after submission by which results are due.
 	BatchDeadline time.Duration
-	// MaxQueue is the span after submission from which an item may be given up.
-	MaxQueue time.Duration
+	// MaxQueueTime is the span after submission from which an item may be given up.
+	MaxQueueTime time.Duration
 }
 
 // Service is a set of replicas.
