--- a/internal/api/standalone/routes.go
+++ b/internal/api/standalone/routes.go
@@ -40,7 +40,7 @@
 			routes = append(routes, operationRoute(set, service, operation))
 		}
 	}
-	return route.New(route.Declared{Version: version, Routes: routes, Services: services})
+	return route.New(route.Definition{Version: version, Routes: routes, Services: services})
 }
 
 // trainerRoutes are the routes of a trainer's batches and of its single samples.
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -25,7 +25,7 @@
 // batchesFor is an operator whose one route lets batches wait for a time.
 func batchesFor(t *testing.T, maxQueue time.Duration) configured {
 	t.Helper()
-	configuration, err := route.New(route.Declared{Routes: []route.Route{{
+	configuration, err := route.New(route.Definition{Routes: []route.Route{{
 		Name: "r", Host: "h", PathPrefix: "/p/", Kind: route.Batch, MaxQueueTime: maxQueue,
 		Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	if err != nil {
--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -251,5 +251,5 @@
 }
 
 func idleLimit(version int64, idle time.Duration) *route.Configuration {
-	return &route.Configuration{Declared: route.Declared{Version: version, Limits: route.Limits{IdleTimeout: idle}}}
+	return &route.Configuration{Definition: route.Definition{Version: version, Limits: route.Limits{IdleTimeout: idle}}}
 }
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -93,7 +93,7 @@
 
 func (s *stage) configuration() *route.Configuration {
 	bounds := scaling(24)
-	made, err := route.New(route.Declared{Version: 1,
+	made, err := route.New(route.Definition{Version: 1,
 		Routes:   []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Batch, BatchDeadline: 7500 * time.Millisecond, Shares: []route.Share{{Service: "s", Weight: 1}}}},
 		Services: map[string]route.Service{"s": {Name: "s", IsEngine: true, Slots: 6, Models: []string{"m"}, Scaling: &bounds}}})
 	if err != nil {
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -76,7 +76,7 @@
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 1000})
 	names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Stamp: "Signature"}
-	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: kind, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
+	cfg, err := route.New(route.Definition{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: kind, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	is.New(t).NoErr(err)
 	s.handler = bare(time.Now)
 	s.handler.Names, s.handler.Observe, s.handler.Configuration = names, s.outcomes.observe, func() *route.Configuration { return cfg }
--- a/internal/requests/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := route.New(route.Declared{Version: 1, Tenants: directory})
+	cfg, err := route.New(route.Definition{Version: 1, Tenants: directory})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := route.New(route.Declared{Version: 1, Tenants: directory})
+	cfg, err := route.New(route.Definition{Version: 1, Tenants: directory})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -82,7 +82,7 @@
 // A request whose body never came whole was held for as long as its client liked.
 func TestABodyHasTheTimeOfItsRequest(t *testing.T) {
 	is := is.New(t)
-	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{
+	cfg, err := route.New(route.Definition{Version: 1, Routes: []route.Route{{
 		Name: "r", Host: "h", PathPrefix: "/x/", Kind: route.Safe, Timeout: 100 * time.Millisecond, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	is.NoErr(err)
 	handler := bare(time.Now)
--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -115,7 +115,7 @@
 		stop := newStop()
 		stop.Begin(8 * time.Second)
 		time.Sleep(4 * time.Second)
-		cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{
+		cfg, err := route.New(route.Definition{Version: 1, Routes: []route.Route{{
 			Name: "r", Host: "example.com", PathPrefix: "/x/", Kind: route.Stream, Timeout: time.Minute, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 		is.NoErr(err)
 		handler := bare(time.Now)
--- a/internal/requests/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -60,7 +60,7 @@
 			table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 1})
 			clock := clocktest.New()
 			names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Stamp: "Signature"}
-			cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe,
+			cfg, err := route.New(route.Definition{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe,
 				Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 			is.NoErr(err)
 			handler := bare(clock.Now)
--- a/internal/requests/ingress/turns_test.go
+++ b/internal/requests/ingress/turns_test.go
@@ -39,7 +39,7 @@
 	table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 100})
 	clock := clocktest.New()
 	names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Stamp: "Signature"}
-	cfg, err := route.New(route.Declared{Version: 1, Services: map[string]route.Service{"s": {Name: "s", IsEngine: engine}},
+	cfg, err := route.New(route.Definition{Version: 1, Services: map[string]route.Service{"s": {Name: "s", IsEngine: engine}},
 		Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -113,8 +113,8 @@
 	IdleTimeout    time.Duration
 }
 
-// Declared is what an operator declares in one version of the configuration.
-type Declared struct {
+// Definition is what an operator declares in one version of the configuration.
+type Definition struct {
 	Version  int64
 	Routes   []Route
 	Services map[string]Service
@@ -126,13 +126,13 @@
 // Configuration is one accepted version of the operator's configuration. It is
 // never changed once made.
 type Configuration struct {
-	Declared
+	Definition
 	byHost map[string][]*Route
 }
 
 // New checks a configuration and makes it ready for look-ups.
-func New(declared Declared) (*Configuration, error) {
-	c := &Configuration{Declared: declared, byHost: map[string][]*Route{}}
+func New(declared Definition) (*Configuration, error) {
+	c := &Configuration{Definition: declared, byHost: map[string][]*Route{}}
 	for i := range declared.Routes {
 		if err := checkRoute(&declared.Routes[i]); err != nil {
 			return nil, err
