--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -127,20 +127,20 @@
 // never changed once made.
 type Configuration struct {
 	Definition
-	byHost map[string][]*Route
+	routesByHost map[string][]*Route
 }
 
 // New checks a configuration and makes it ready for look-ups.
 func New(declared Definition) (*Configuration, error) {
-	c := &Configuration{Definition: declared, byHost: map[string][]*Route{}}
+	c := &Configuration{Definition: declared, routesByHost: map[string][]*Route{}}
 	for i := range declared.Routes {
 		if err := checkRoute(&declared.Routes[i]); err != nil {
 			return nil, err
 		}
 		host := strings.ToLower(declared.Routes[i].Host)
-		c.byHost[host] = append(c.byHost[host], &declared.Routes[i])
+		c.routesByHost[host] = append(c.routesByHost[host], &declared.Routes[i])
 	}
-	for _, ofHost := range c.byHost {
+	for _, ofHost := range c.routesByHost {
 		sort.SliceStable(ofHost, func(i, j int) bool { return len(ofHost[i].PathPrefix) > len(ofHost[j].PathPrefix) })
 	}
 	return c, nil
@@ -161,7 +161,7 @@
 
 // Find returns the route of a host and path: the one with the longest prefix.
 func (c *Configuration) Find(host, path string) (*Route, bool) {
-	for _, r := range c.byHost[hostName(host)] {
+	for _, r := range c.routesByHost[hostName(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
 			return r, true
 		}
@@ -172,7 +172,7 @@
 // AnonymousBatches reports whether batches may be submitted to a host without a key, so
 // that calls about them need none either.
 func (c *Configuration) AnonymousBatches(host string) bool {
-	for _, r := range c.byHost[hostName(host)] {
+	for _, r := range c.routesByHost[hostName(host)] {
 		if r.Kind == Batch && r.Anonymous {
 			return true
 		}
