--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -62,7 +62,7 @@
 // may have batches of both kinds.
 func (r *request) authenticateCall(cfg *route.Configuration) bool {
 	_, sent := apikey.FromHeader(r.req.Header)
-	if !sent && cfg.AnonymousBatches(r.req.Host) {
+	if !sent && cfg.AllowsAnonymousBatches(r.req.Host) {
 		return true
 	}
 	return r.authenticate(cfg)
--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -169,9 +169,9 @@
 	return nil, false
 }
 
-// AnonymousBatches reports whether batches may be submitted to a host without a key, so
+// AllowsAnonymousBatches reports whether batches may be submitted to a host without a key, so
 // that calls about them need none either.
-func (c *Configuration) AnonymousBatches(host string) bool {
+func (c *Configuration) AllowsAnonymousBatches(host string) bool {
 	for _, r := range c.routesByHost[hostName(host)] {
 		if r.Kind == Batch && r.Anonymous {
 			return true
