--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -193,14 +193,14 @@
 	return slices.ContainsFunc(r.Shares, func(share Share) bool { return share.Service == service })
 }
 
-// connectionWaitPart is the part of the target latency, one in so many, that a request waits
+// connectionWaitDivisor is the part of the target latency, one in so many, that a request waits
 // for a connection at most: what is left after it is enough for another replica, and whoever
 // is turned away then hears so while another try is worth it.
-const connectionWaitPart = 4
+const connectionWaitDivisor = 4
 
 // ConnectionWait is how long a request of the route waits for a connection to a replica to
 // which this daemon has as many as it may.
-func (r *Route) ConnectionWait() time.Duration { return r.TargetLatency / connectionWaitPart }
+func (r *Route) ConnectionWait() time.Duration { return r.TargetLatency / connectionWaitDivisor }
 
 // ServiceOrder returns the route's services in the order in which a request should
 // try them: the first is drawn by weight from the request's id, so that each
