--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -36,7 +36,7 @@
 	return &forward.Call{
 		Request: r.onward(cfg, body), Services: r.route.ServiceOrder(r.id),
 		Repeatable: repeatable, MaxAttempts: max(r.route.MaxAttempts, 1), Hedge: repeatable, HedgeAfter: r.route.HedgeAfter,
-		ConnectionDeadline: time.Now().Add(r.route.ConnectionWait()),
+		ConnectionDeadline: time.Now().Add(r.route.MaxConnectionWait()),
 		TimeLeft:           r.timeLeft, OnRun: r.countRun, Account: r.account, MayRetry: r.policyMayRetry,
 	}
 }
--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -198,9 +198,9 @@
 // is turned away then hears so while another try is worth it.
 const connectionWaitDivisor = 4
 
-// ConnectionWait is how long a request of the route waits for a connection to a replica to
+// MaxConnectionWait is how long a request of the route waits for a connection to a replica to
 // which this daemon has as many as it may.
-func (r *Route) ConnectionWait() time.Duration { return r.TargetLatency / connectionWaitDivisor }
+func (r *Route) MaxConnectionWait() time.Duration { return r.TargetLatency / connectionWaitDivisor }
 
 // ServiceOrder returns the route's services in the order in which a request should
 // try them: the first is drawn by weight from the request's id, so that each
