--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -161,7 +161,7 @@
 
 // Find returns the route of a host and path: the one with the longest prefix.
 func (c *Configuration) Find(host, path string) (*Route, bool) {
-	for _, r := range c.routesByHost[hostName(host)] {
+	for _, r := range c.routesByHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
 			return r, true
 		}
@@ -172,7 +172,7 @@
 // AllowsAnonymousBatches reports whether batches may be submitted to a host without a key, so
 // that calls about them need none either.
 func (c *Configuration) AllowsAnonymousBatches(host string) bool {
-	for _, r := range c.routesByHost[hostName(host)] {
+	for _, r := range c.routesByHost[normalizeHost(host)] {
 		if r.Kind == Batch && r.Anonymous {
 			return true
 		}
@@ -180,8 +180,8 @@
 	return false
 }
 
-// hostName is a Host header's name without its port, in lower case.
-func hostName(host string) string {
+// normalizeHost is a Host header's name without its port, in lower case.
+func normalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
 	}
