--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -213,7 +213,7 @@
 	for _, share := range r.Shares {
 		total += share.Weight
 	}
-	drawn := uniform(requestID) * total
+	drawn := hashFraction(requestID) * total
 	first := len(r.Shares) - 1
 	for i, share := range r.Shares {
 		if drawn < share.Weight {
@@ -231,8 +231,8 @@
 	return order
 }
 
-// uniform maps a text to a number from 0 to 1, evenly.
-func uniform(text string) float64 {
+// hashFraction maps a text to a number from 0 to 1, evenly.
+func hashFraction(text string) float64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(text))
 	mixed := hash.Sum64()
