--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -20,13 +20,13 @@
 
 import "sync"
 
-// Share is a part of the memory, named by what bytes are held for.
-type Share int
+// Category is a part of the memory, named by what bytes are held for.
+type Category int
 
 // Shares.
 const (
 	// Connections are the fixed costs of requests under way.
-	Connections Share = iota
+	Connections Category = iota
 	// Bodies are bodies that come in, or that a replica has not taken yet.
 	Bodies
 	// Answers are answers of replicas that are not written yet.
@@ -37,12 +37,12 @@
 )
 
 // String names the share in metrics and logs.
-func (s Share) String() string {
+func (s Category) String() string {
 	return [shares]string{"connections", "bodies", "answers", "pages"}[s]
 }
 
 // All returns all shares.
-func All() []Share { return []Share{Connections, Bodies, Answers, Pages} }
+func All() []Category { return []Category{Connections, Bodies, Answers, Pages} }
 
 // Limits are bounds in bytes. The zero value bounds nothing.
 type Limits struct {
@@ -94,7 +94,7 @@
 }
 
 // Held returns how many bytes a share holds.
-func (b *Budget) Held(share Share) int64 {
+func (b *Budget) Held(share Category) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.of[share]
@@ -126,7 +126,7 @@
 
 // Take counts n more bytes, and reports whether there was room; without room nothing is
 // counted.
-func (a *Account) Take(share Share, n int64) bool {
+func (a *Account) Take(share Category, n int64) bool {
 	if a == nil {
 		return true
 	}
@@ -142,14 +142,14 @@
 
 // MayEver reports whether an account that had nothing else could have n bytes, however
 // little others hold.
-func (b *Budget) MayEver(share Share, n int64) bool {
+func (b *Budget) MayEver(share Category, n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.limits.All == 0 || n <= min(b.limits.Of[share], b.limits.Each)
 }
 
 // Give counts n bytes as held no more.
-func (a *Account) Give(share Share, n int64) {
+func (a *Account) Give(share Category, n int64) {
 	if a == nil {
 		return
 	}
@@ -179,7 +179,7 @@
 }
 
 // add counts bytes of an account. The mutex is held.
-func (b *Budget) add(a *Account, share Share, n int64) {
+func (b *Budget) add(a *Account, share Category, n int64) {
 	a.of[share] += n
 	b.of[share] += n
 	b.all += n
--- a/internal/requests/holding/holding_test.go
+++ b/internal/requests/holding/holding_test.go
@@ -28,7 +28,7 @@
 			a.End()
 		}
 		for a, had := range holders {
-			share := holding.Share(random.IntN(4))
+			share := holding.Category(random.IntN(4))
 			n := random.Int64N(2000)
 			switch {
 			case random.IntN(3) > 0:
--- a/internal/requests/holding/read.go
+++ b/internal/requests/holding/read.go
@@ -20,7 +20,7 @@
 // Announced is the length that the source tells, below 0 if it tells none. It is not whole
 // if the source has more than most bytes, or more than there is room for; then the source
 // can be read further. What was taken and isn't part of the slice is given back.
-func (a *Account) Read(share Share, source io.Reader, announced, most int64, room Room) (read []byte, whole bool, err error) {
+func (a *Account) Read(share Category, source io.Reader, announced, most int64, room Room) (read []byte, whole bool, err error) {
 	for {
 		if len(read) == cap(read) {
 			size := min(nextSize(int64(len(read)), announced), most)
