--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -33,12 +33,12 @@
 	Answers
 	// Pages are results of batches that are not written yet.
 	Pages
-	shares
+	numCategories
 )
 
 // String names the share in metrics and logs.
 func (s Category) String() string {
-	return [shares]string{"connections", "bodies", "answers", "pages"}[s]
+	return [numCategories]string{"connections", "bodies", "answers", "pages"}[s]
 }
 
 // All returns all shares.
@@ -51,7 +51,7 @@
 	// Each bounds one account.
 	Each int64
 	// Of bounds each share.
-	Of [shares]int64
+	Of [numCategories]int64
 }
 
 const (
@@ -80,7 +80,7 @@
 	limits Limits
 	all    int64
 	most   int64
-	of     [shares]int64
+	of     [numCategories]int64
 }
 
 // New returns an empty budget.
@@ -121,7 +121,7 @@
 type Account struct {
 	budget *Budget
 	// of is what it has, guarded by the budget's mutex.
-	of [shares]int64
+	of [numCategories]int64
 }
 
 // Take counts n more bytes, and reports whether there was room; without room nothing is
