--- a/internal/daemon/node/holding.go
+++ b/internal/daemon/node/holding.go
@@ -10,7 +10,7 @@
 func (n *Node) SetHeld(limits holding.Limits) { n.holding.SetLimits(limits) }
 
 func (n *Node) registerHoldingMetrics() {
-	for _, share := range holding.All() {
+	for _, share := range holding.Categories() {
 		metrics.Gauge(n.metrics, "held_"+share.String()+"_bytes", "Bytes held on behalf of clients: "+share.String()+".",
 			func() int64 { return n.holding.Held(share) })
 	}
--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -41,8 +41,8 @@
 	return [numCategories]string{"connections", "bodies", "answers", "pages"}[s]
 }
 
-// All returns all shares.
-func All() []Category { return []Category{Connections, Bodies, Answers, Pages} }
+// Categories returns all shares.
+func Categories() []Category { return []Category{Connections, Bodies, Answers, Pages} }
 
 // Limits are bounds in bytes. The zero value bounds nothing.
 type Limits struct {
@@ -66,7 +66,7 @@
 // bound.
 func LimitsOf(all int64) Limits {
 	limits := Limits{All: all, Each: all * eachPart / 100}
-	for _, share := range All() {
+	for _, share := range Categories() {
 		limits.Of[share] = all * sharePart / 100
 	}
 	return limits
@@ -165,7 +165,7 @@
 	}
 	a.budget.mu.Lock()
 	defer a.budget.mu.Unlock()
-	for _, share := range All() {
+	for _, share := range Categories() {
 		a.budget.add(a, share, -a.of[share])
 	}
 }
--- a/internal/requests/holding/holding_test.go
+++ b/internal/requests/holding/holding_test.go
@@ -48,7 +48,7 @@
 			break
 		}
 		sum := int64(0)
-		for _, share := range holding.All() {
+		for _, share := range holding.Categories() {
 			is.True(budget.Held(share) <= limits.Of[share])
 			sum += budget.Held(share)
 		}
