--- a/internal/daemon/cli/reload_test.go
+++ b/internal/daemon/cli/reload_test.go
@@ -82,11 +82,11 @@
 	again := settings.Defaults()
 	again.Limits.MemoryMB = 100
 	l.take(reading{settings: again})
-	is.Equal(held.All, int64(35<<20))
-	is.True(held.Each < held.All)
+	is.Equal(held.Total, int64(35<<20))
+	is.True(held.Each < held.Total)
 	again.Limits.HeldMB, again.Limits.HeldPerClientMB = 20, 3
 	l.take(reading{settings: again})
-	is.Equal(held.All, int64(20<<20))
+	is.Equal(held.Total, int64(20<<20))
 	is.Equal(held.Each, int64(3<<20))
 }
 
--- a/internal/daemon/settings/settings_test.go
+++ b/internal/daemon/settings/settings_test.go
@@ -53,7 +53,7 @@
 		is.NoErr(err)
 		faults, _ := loaded.Check().(settings.Faults)
 		is.Equal(len(faults), c.faults)
-		is.Equal(loaded.Limits.Held().All, c.held)
+		is.Equal(loaded.Limits.Held().Total, c.held)
 	}
 }
 
--- a/internal/requests/holding/holding_test.go
+++ b/internal/requests/holding/holding_test.go
@@ -54,7 +54,7 @@
 		}
 		now, most := budget.Sum()
 		is.Equal(now, sum)
-		is.True(now <= most && most <= limits.All)
+		is.True(now <= most && most <= limits.Total)
 	}
 	for a := range holders {
 		a.End()
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -139,7 +139,7 @@
 	const memory, clients, length = 64 << 20, 60, 900 * kib
 	big, small := content(length), content(800)
 	limits := holding.LimitsOf(memory * 35 / 100)
-	s := newSlow(t, route.Unsafe, limits.All, func(w http.ResponseWriter, r *http.Request) {
+	s := newSlow(t, route.Unsafe, limits.Total, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/big" {
 			_, _ = w.Write(big)
 			return
@@ -167,7 +167,7 @@
 		is.True(bytes.Equal(body, big))
 	}
 	_, most := s.handler.Holding.Sum()
-	is.True(most <= limits.All)
+	is.True(most <= limits.Total)
 	for now := int64(1); now > 0; now, _ = s.handler.Holding.Sum() {
 		time.Sleep(time.Millisecond) // until the last handler has returned
 	}
