--- a/internal/daemon/cli/reload_test.go
+++ b/internal/daemon/cli/reload_test.go
@@ -83,11 +83,11 @@
 	again.Limits.MemoryMB = 100
 	l.take(reading{settings: again})
 	is.Equal(held.Total, int64(35<<20))
-	is.True(held.Each < held.Total)
+	is.True(held.PerAccount < held.Total)
 	again.Limits.HeldMB, again.Limits.HeldPerClientMB = 20, 3
 	l.take(reading{settings: again})
 	is.Equal(held.Total, int64(20<<20))
-	is.Equal(held.Each, int64(3<<20))
+	is.Equal(held.PerAccount, int64(3<<20))
 }
 
 // Signals that storm in during a stop are one line at most each and delay nothing.
--- a/internal/daemon/settings/limits.go
+++ b/internal/daemon/settings/limits.go
@@ -39,7 +39,7 @@
 	}
 	held := holding.LimitsOf(all)
 	if l.HeldPerClientMB > 0 {
-		held.Each = int64(l.HeldPerClientMB) * mebibyte
+		held.PerAccount = int64(l.HeldPerClientMB) * mebibyte
 	}
 	return held
 }
--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -48,8 +48,8 @@
 type Limits struct {
 	// Total bounds what is held in all, 0 being no bound of any kind.
 	Total int64
-	// Each bounds one account.
-	Each int64
+	// PerAccount bounds one account.
+	PerAccount int64
 	// Of bounds each share.
 	Of [numCategories]int64
 }
@@ -65,7 +65,7 @@
 // LimitsOf returns the limits of a daemon that may hold so many bytes in all, 0 being no
 // bound.
 func LimitsOf(all int64) Limits {
-	limits := Limits{Total: all, Each: all * eachPart / 100}
+	limits := Limits{Total: all, PerAccount: all * eachPart / 100}
 	for _, share := range Categories() {
 		limits.Of[share] = all * sharePart / 100
 	}
@@ -133,7 +133,7 @@
 	b := a.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.limits.Total > 0 && (b.all+n > b.limits.Total || b.of[share]+n > b.limits.Of[share] || a.sum()+n > b.limits.Each) {
+	if b.limits.Total > 0 && (b.all+n > b.limits.Total || b.of[share]+n > b.limits.Of[share] || a.sum()+n > b.limits.PerAccount) {
 		return false
 	}
 	b.add(a, share, n)
@@ -145,7 +145,7 @@
 func (b *Budget) MayEver(share Category, n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.limits.Total == 0 || n <= min(b.limits.Of[share], b.limits.Each)
+	return b.limits.Total == 0 || n <= min(b.limits.Of[share], b.limits.PerAccount)
 }
 
 // Give counts n bytes as held no more.
