--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -50,8 +50,8 @@
 	Total int64
 	// PerAccount bounds one account.
 	PerAccount int64
-	// Of bounds each share.
-	Of [numCategories]int64
+	// PerCategory bounds each share.
+	PerCategory [numCategories]int64
 }
 
 const (
@@ -67,7 +67,7 @@
 func LimitsOf(all int64) Limits {
 	limits := Limits{Total: all, PerAccount: all * eachPart / 100}
 	for _, share := range Categories() {
-		limits.Of[share] = all * sharePart / 100
+		limits.PerCategory[share] = all * sharePart / 100
 	}
 	return limits
 }
@@ -133,7 +133,7 @@
 	b := a.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.limits.Total > 0 && (b.all+n > b.limits.Total || b.of[share]+n > b.limits.Of[share] || a.sum()+n > b.limits.PerAccount) {
+	if b.limits.Total > 0 && (b.all+n > b.limits.Total || b.of[share]+n > b.limits.PerCategory[share] || a.sum()+n > b.limits.PerAccount) {
 		return false
 	}
 	b.add(a, share, n)
@@ -145,7 +145,7 @@
 func (b *Budget) MayEver(share Category, n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.limits.Total == 0 || n <= min(b.limits.Of[share], b.limits.PerAccount)
+	return b.limits.Total == 0 || n <= min(b.limits.PerCategory[share], b.limits.PerAccount)
 }
 
 // Give counts n bytes as held no more.
--- a/internal/requests/holding/holding_test.go
+++ b/internal/requests/holding/holding_test.go
@@ -49,7 +49,7 @@
 		}
 		sum := int64(0)
 		for _, share := range holding.Categories() {
-			is.True(budget.Held(share) <= limits.Of[share])
+			is.True(budget.Held(share) <= limits.PerCategory[share])
 			sum += budget.Held(share)
 		}
 		now, most := budget.Sum()
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -151,7 +151,7 @@
 		lazy = append(lazy, s.ask("/big", ""))
 		<-s.ran
 	}
-	for s.handler.Holding.Held(holding.Answers) < limits.Of[holding.Answers]-length {
+	for s.handler.Holding.Held(holding.Answers) < limits.PerCategory[holding.Answers]-length {
 		time.Sleep(time.Millisecond)
 	}
 	for range 50 {
