--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -58,8 +58,8 @@
 	// accountPercent and sharePart are the parts of the whole, in percent, that one account may
 	// have, and all accounts of one share. One body of the largest size must fit beside the
 	// answers of others; a quarter is always left for what is not in the fullest share.
-	accountPercent = 70
-	sharePart      = 75
+	accountPercent  = 70
+	categoryPercent = 75
 )
 
 // LimitsOf returns the limits of a daemon that may hold so many bytes in all, 0 being no
@@ -67,7 +67,7 @@
 func LimitsOf(all int64) Limits {
 	limits := Limits{Total: all, PerAccount: all * accountPercent / 100}
 	for _, share := range Categories() {
-		limits.PerCategory[share] = all * sharePart / 100
+		limits.PerCategory[share] = all * categoryPercent / 100
 	}
 	return limits
 }
