--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -78,7 +78,7 @@
 type Budget struct {
 	mu     sync.Mutex
 	limits Limits
-	all    int64
+	total  int64
 	most   int64
 	of     [numCategories]int64
 }
@@ -104,7 +104,7 @@
 func (b *Budget) Sum() (now, most int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.all, b.most
+	return b.total, b.most
 }
 
 // Begin returns an account with a base of fixed cost, and false if there is no room for it.
@@ -133,7 +133,7 @@
 	b := a.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.limits.Total > 0 && (b.all+n > b.limits.Total || b.of[share]+n > b.limits.PerCategory[share] || a.sum()+n > b.limits.PerAccount) {
+	if b.limits.Total > 0 && (b.total+n > b.limits.Total || b.of[share]+n > b.limits.PerCategory[share] || a.sum()+n > b.limits.PerAccount) {
 		return false
 	}
 	b.add(a, share, n)
@@ -182,6 +182,6 @@
 func (b *Budget) add(a *Account, share Category, n int64) {
 	a.of[share] += n
 	b.of[share] += n
-	b.all += n
-	b.most = max(b.most, b.all)
+	b.total += n
+	b.most = max(b.most, b.total)
 }
