--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -79,7 +79,7 @@
 	mu     sync.Mutex
 	limits Limits
 	total  int64
-	most   int64
+	peak   int64
 	of     [numCategories]int64
 }
 
@@ -104,7 +104,7 @@
 func (b *Budget) Sum() (now, most int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.total, b.most
+	return b.total, b.peak
 }
 
 // Begin returns an account with a base of fixed cost, and false if there is no room for it.
@@ -183,5 +183,5 @@
 	a.of[share] += n
 	b.of[share] += n
 	b.total += n
-	b.most = max(b.most, b.total)
+	b.peak = max(b.peak, b.total)
 }
