--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -76,11 +76,11 @@
 //
 // Invariant: all is the sum of of, which are the sums of what the accounts have.
 type Budget struct {
-	mu     sync.Mutex
-	limits Limits
-	total  int64
-	peak   int64
-	of     [numCategories]int64
+	mu         sync.Mutex
+	limits     Limits
+	total      int64
+	peak       int64
+	byCategory [numCategories]int64
 }
 
 // New returns an empty budget.
@@ -97,7 +97,7 @@
 func (b *Budget) Held(share Category) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of[share]
+	return b.byCategory[share]
 }
 
 // Sum returns how many bytes are held now, and the most that ever were.
@@ -133,7 +133,7 @@
 	b := a.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.limits.Total > 0 && (b.total+n > b.limits.Total || b.of[share]+n > b.limits.PerCategory[share] || a.sum()+n > b.limits.PerAccount) {
+	if b.limits.Total > 0 && (b.total+n > b.limits.Total || b.byCategory[share]+n > b.limits.PerCategory[share] || a.sum()+n > b.limits.PerAccount) {
 		return false
 	}
 	b.add(a, share, n)
@@ -181,7 +181,7 @@
 // add counts bytes of an account. The mutex is held.
 func (b *Budget) add(a *Account, share Category, n int64) {
 	a.of[share] += n
-	b.of[share] += n
+	b.byCategory[share] += n
 	b.total += n
 	b.peak = max(b.peak, b.total)
 }
