--- a/internal/daemon/node/holding.go
+++ b/internal/daemon/node/holding.go
@@ -15,7 +15,7 @@
 			func() int64 { return n.holding.Held(share) })
 	}
 	metrics.Gauge(n.metrics, "held_most_bytes", "The most bytes that were ever held on behalf of clients.", func() int64 {
-		_, most := n.holding.Sum()
+		_, most := n.holding.Usage()
 		return most
 	})
 }
--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -100,8 +100,8 @@
 	return b.byCategory[share]
 }
 
-// Sum returns how many bytes are held now, and the most that ever were.
-func (b *Budget) Sum() (now, most int64) {
+// Usage returns how many bytes are held now, and the most that ever were.
+func (b *Budget) Usage() (now, most int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.total, b.peak
--- a/internal/requests/holding/holding_test.go
+++ b/internal/requests/holding/holding_test.go
@@ -52,14 +52,14 @@
 			is.True(budget.Held(share) <= limits.PerCategory[share])
 			sum += budget.Held(share)
 		}
-		now, most := budget.Sum()
+		now, most := budget.Usage()
 		is.Equal(now, sum)
 		is.True(now <= most && most <= limits.Total)
 	}
 	for a := range holders {
 		a.End()
 	}
-	now, _ := budget.Sum()
+	now, _ := budget.Usage()
 	is.Equal(now, int64(0))
 }
 
@@ -117,7 +117,7 @@
 			is.True(bytes.Equal(read, content))
 			is.Equal(budget.Held(holding.Bodies), int64(cap(read)))
 			if announced == int64(length) {
-				_, most := budget.Sum()
+				_, most := budget.Usage()
 				is.True(most <= int64(length)+max(int64(length)/8, 64<<10)+1)
 			}
 		}
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -166,9 +166,9 @@
 		is.Equal(status, http.StatusOK)
 		is.True(bytes.Equal(body, big))
 	}
-	_, most := s.handler.Holding.Sum()
+	_, most := s.handler.Holding.Usage()
 	is.True(most <= limits.Total)
-	for now := int64(1); now > 0; now, _ = s.handler.Holding.Sum() {
+	for now := int64(1); now > 0; now, _ = s.handler.Holding.Usage() {
 		time.Sleep(time.Millisecond) // until the last handler has returned
 	}
 }
