--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -107,8 +107,8 @@
 	return b.total, b.peak
 }
 
-// Begin returns an account with a base of fixed cost, and false if there is no room for it.
-func (b *Budget) Begin(base int64) (*Account, bool) {
+// OpenAccount returns an account with a base of fixed cost, and false if there is no room for it.
+func (b *Budget) OpenAccount(base int64) (*Account, bool) {
 	a := &Account{budget: b}
 	if !a.Take(Connections, base) {
 		return nil, false
--- a/internal/requests/holding/holding_test.go
+++ b/internal/requests/holding/holding_test.go
@@ -22,7 +22,7 @@
 	budget := holding.New(limits)
 	holders := map[*holding.Account][4]int64{}
 	for range 20_000 {
-		if a, ok := budget.Begin(random.Int64N(100)); ok && len(holders) < 50 {
+		if a, ok := budget.OpenAccount(random.Int64N(100)); ok && len(holders) < 50 {
 			holders[a] = [4]int64{}
 		} else {
 			a.End()
@@ -67,18 +67,18 @@
 func TestOneHolderLeavesRoom(t *testing.T) {
 	is := is.New(t)
 	budget := holding.New(holding.LimitsOf(1000))
-	greedy, _ := budget.Begin(0)
+	greedy, _ := budget.OpenAccount(0)
 	for greedy.Take(holding.Answers, 10) {
 	}
 	is.Equal(budget.Held(holding.Answers), int64(700))
 	for {
-		other, _ := budget.Begin(0)
+		other, _ := budget.OpenAccount(0)
 		if !other.Take(holding.Answers, 10) {
 			break
 		}
 	}
 	is.Equal(budget.Held(holding.Answers), int64(750))
-	prompt, ok := budget.Begin(100)
+	prompt, ok := budget.OpenAccount(100)
 	is.True(ok)
 	is.True(prompt.Take(holding.Bodies, 100))
 	is.True(!budget.MayEver(holding.Bodies, 701))
@@ -92,13 +92,13 @@
 	is.True(free.Take(holding.Bodies, 1<<40))
 	free.Give(holding.Bodies, 1)
 	budget := holding.New(holding.Limits{})
-	a, ok := budget.Begin(1000)
+	a, ok := budget.OpenAccount(1000)
 	is.True(ok)
 	budget.SetLimits(holding.LimitsOf(500))
-	_, ok = budget.Begin(1)
+	_, ok = budget.OpenAccount(1)
 	is.True(!ok)
 	a.End()
-	_, ok = budget.Begin(1)
+	_, ok = budget.OpenAccount(1)
 	is.True(ok)
 }
 
@@ -109,7 +109,7 @@
 		for _, length := range []int{0, 1, 4096, 100_000, 1_000_000} {
 			is := is.New(t)
 			budget := holding.New(holding.LimitsOf(10_000_000))
-			a, _ := budget.Begin(0)
+			a, _ := budget.OpenAccount(0)
 			content := bytes.Repeat([]byte("x"), length)
 			read, whole, err := a.Read(holding.Bodies, iotest.HalfReader(bytes.NewReader(content)), announced, 3_000_000, func(n int64) bool { return a.Take(holding.Bodies, n) })
 			is.NoErr(err)
@@ -128,7 +128,7 @@
 func TestAReadStopsWhereThereIsNoRoom(t *testing.T) {
 	is := is.New(t)
 	budget := holding.New(holding.LimitsOf(100_000))
-	a, _ := budget.Begin(0)
+	a, _ := budget.OpenAccount(0)
 	source := strings.NewReader(strings.Repeat("x", 200_000))
 	read, whole, err := a.Read(holding.Answers, source, -1, 1<<30, func(n int64) bool { return a.Take(holding.Answers, n) })
 	is.NoErr(err)
--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -36,7 +36,7 @@
 
 // beginHolding counts the request, or turns it away if there is no room.
 func (r *request) beginHolding() bool {
-	account, ok := r.handler.Holding.Begin(baseBytes)
+	account, ok := r.handler.Holding.OpenAccount(baseBytes)
 	if !ok {
 		r.w.Header().Set("Connection", "close")
 		r.refuse(refusal.MemoryLimitReached, errNoRoom.Error())
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -192,7 +192,7 @@
 	is := is.New(t)
 	s := newSlow(t, route.Unsafe, 100*kib, func(http.ResponseWriter, *http.Request) {})
 	for {
-		if _, ok := s.handler.Holding.Begin(kib); !ok {
+		if _, ok := s.handler.Holding.OpenAccount(kib); !ok {
 			break
 		}
 	}
@@ -220,10 +220,10 @@
 				is := is.New(t)
 				r, recorder := askedOf(t.Context(), nil, route.Unsafe, time.Hour)
 				r.handler.Holding = holding.New(holding.LimitsOf(100 * kib))
-				other, _ := r.handler.Holding.Begin(0)
+				other, _ := r.handler.Holding.OpenAccount(0)
 				is.True(other.Take(holding.Bodies, 60*kib))
 				time.AfterFunc(c.frees, other.End)
-				r.account, _ = r.handler.Holding.Begin(0)
+				r.account, _ = r.handler.Holding.OpenAccount(0)
 				text := content(c.length)
 				r.req.Body, r.req.ContentLength = io.NopCloser(bytes.NewReader(text)), int64(len(text))
 				began := time.Now()
@@ -266,7 +266,7 @@
 	s.handler.Unread = 100 * time.Millisecond
 	page := content(2 << 20)
 	s.daemon = serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		account, _ := s.handler.Holding.Begin(0)
+		account, _ := s.handler.Holding.OpenAccount(0)
 		asked := &request{handler: s.handler, w: w, req: r, logger: zap.NewNop(), arrived: time.Now(), account: account}
 		asked.writePage(page)
 	}))
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -78,7 +78,7 @@
 			r.handler.ServeHTTP(r.w, r.req)
 		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoRoom.Error(), closes: true},
 		"no room for a page": {answer: func(r *request) {
-			r.account, _ = holding.New(holding.LimitsOf(64 << 10)).Begin(1)
+			r.account, _ = holding.New(holding.LimitsOf(64 << 10)).OpenAccount(1)
 			r.writePage(make([]byte, 1<<20))
 		}, status: 503, comeBack: "1.000", outcome: "refused", body: errNoRoom.Error()},
 		"no room for a body": {answer: func(r *request) {
