--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -120,8 +120,8 @@
 // budget and has no bound.
 type Account struct {
 	budget *Budget
-	// of is what it has, guarded by the budget's mutex.
-	of [numCategories]int64
+	// byCategory is what it has, guarded by the budget's mutex.
+	byCategory [numCategories]int64
 }
 
 // Take counts n more bytes, and reports whether there was room; without room nothing is
@@ -166,13 +166,13 @@
 	a.budget.mu.Lock()
 	defer a.budget.mu.Unlock()
 	for _, share := range Categories() {
-		a.budget.add(a, share, -a.of[share])
+		a.budget.add(a, share, -a.byCategory[share])
 	}
 }
 
 // sum is what an account has of all shares. The mutex is held.
 func (a *Account) sum() (n int64) {
-	for _, of := range a.of {
+	for _, of := range a.byCategory {
 		n += of
 	}
 	return n
@@ -180,7 +180,7 @@
 
 // add counts bytes of an account. The mutex is held.
 func (b *Budget) add(a *Account, share Category, n int64) {
-	a.of[share] += n
+	a.byCategory[share] += n
 	b.byCategory[share] += n
 	b.total += n
 	b.peak = max(b.peak, b.total)
