--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -198,7 +198,7 @@
 		announced = 0 // the announced length is that of a body that is not sent
 	}
 	body, whole, err := call.Account.Read(holding.Answers, response, announced, maxBufferedBytes,
-		func(n int64) bool { return call.Account.Take(holding.Answers, n) })
+		func(n int64) bool { return call.Account.Reserve(holding.Answers, n) })
 	if err != nil {
 		response.Close()
 		return nil, err
--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -110,7 +110,7 @@
 // OpenAccount returns an account with a base of fixed cost, and false if there is no room for it.
 func (b *Budget) OpenAccount(base int64) (*Account, bool) {
 	a := &Account{budget: b}
-	if !a.Take(Connections, base) {
+	if !a.Reserve(Connections, base) {
 		return nil, false
 	}
 	return a, true
@@ -124,9 +124,9 @@
 	byCategory [numCategories]int64
 }
 
-// Take counts n more bytes, and reports whether there was room; without room nothing is
+// Reserve counts n more bytes, and reports whether there was room; without room nothing is
 // counted.
-func (a *Account) Take(share Category, n int64) bool {
+func (a *Account) Reserve(share Category, n int64) bool {
 	if a == nil {
 		return true
 	}
--- a/internal/requests/holding/holding_test.go
+++ b/internal/requests/holding/holding_test.go
@@ -32,7 +32,7 @@
 			n := random.Int64N(2000)
 			switch {
 			case random.IntN(3) > 0:
-				if a.Take(share, n) {
+				if a.Reserve(share, n) {
 					had[share] += n
 				}
 			case had[share] > 0:
@@ -68,19 +68,19 @@
 	is := is.New(t)
 	budget := holding.New(holding.LimitsOf(1000))
 	greedy, _ := budget.OpenAccount(0)
-	for greedy.Take(holding.Answers, 10) {
+	for greedy.Reserve(holding.Answers, 10) {
 	}
 	is.Equal(budget.Held(holding.Answers), int64(700))
 	for {
 		other, _ := budget.OpenAccount(0)
-		if !other.Take(holding.Answers, 10) {
+		if !other.Reserve(holding.Answers, 10) {
 			break
 		}
 	}
 	is.Equal(budget.Held(holding.Answers), int64(750))
 	prompt, ok := budget.OpenAccount(100)
 	is.True(ok)
-	is.True(prompt.Take(holding.Bodies, 100))
+	is.True(prompt.Reserve(holding.Bodies, 100))
 	is.True(!budget.MayEver(holding.Bodies, 701))
 	is.True(budget.MayEver(holding.Bodies, 700))
 }
@@ -89,7 +89,7 @@
 func TestLimitsMayBeNone(t *testing.T) {
 	is := is.New(t)
 	var free *holding.Account
-	is.True(free.Take(holding.Bodies, 1<<40))
+	is.True(free.Reserve(holding.Bodies, 1<<40))
 	free.Give(holding.Bodies, 1)
 	budget := holding.New(holding.Limits{})
 	a, ok := budget.OpenAccount(1000)
@@ -111,7 +111,7 @@
 			budget := holding.New(holding.LimitsOf(10_000_000))
 			a, _ := budget.OpenAccount(0)
 			content := bytes.Repeat([]byte("x"), length)
-			read, whole, err := a.Read(holding.Bodies, iotest.HalfReader(bytes.NewReader(content)), announced, 3_000_000, func(n int64) bool { return a.Take(holding.Bodies, n) })
+			read, whole, err := a.Read(holding.Bodies, iotest.HalfReader(bytes.NewReader(content)), announced, 3_000_000, func(n int64) bool { return a.Reserve(holding.Bodies, n) })
 			is.NoErr(err)
 			is.True(whole)
 			is.True(bytes.Equal(read, content))
@@ -130,7 +130,7 @@
 	budget := holding.New(holding.LimitsOf(100_000))
 	a, _ := budget.OpenAccount(0)
 	source := strings.NewReader(strings.Repeat("x", 200_000))
-	read, whole, err := a.Read(holding.Answers, source, -1, 1<<30, func(n int64) bool { return a.Take(holding.Answers, n) })
+	read, whole, err := a.Read(holding.Answers, source, -1, 1<<30, func(n int64) bool { return a.Reserve(holding.Answers, n) })
 	is.NoErr(err)
 	is.True(!whole)
 	is.True(len(read) > 0)
--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -112,7 +112,7 @@
 // awaitRoom waits for a short while until there is room for n bytes more; what comes
 // meanwhile stays with its sender.
 func (r *request) awaitRoom(share holding.Category, n int64) bool {
-	for waited := time.Duration(0); !r.account.Take(share, n); waited += roomPause {
+	for waited := time.Duration(0); !r.account.Reserve(share, n); waited += roomPause {
 		if waited >= roomWait || r.req.Context().Err() != nil {
 			return false
 		}
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -221,7 +221,7 @@
 				r, recorder := askedOf(t.Context(), nil, route.Unsafe, time.Hour)
 				r.handler.Holding = holding.New(holding.LimitsOf(100 * kib))
 				other, _ := r.handler.Holding.OpenAccount(0)
-				is.True(other.Take(holding.Bodies, 60*kib))
+				is.True(other.Reserve(holding.Bodies, 60*kib))
 				time.AfterFunc(c.frees, other.End)
 				r.account, _ = r.handler.Holding.OpenAccount(0)
 				text := content(c.length)
--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -55,7 +55,7 @@
 		if len(a.chunks) == 0 {
 			return true
 		}
-		if len(a.chunks) < mostChunks && a.account.Take(holding.Answers, chunkBytes) {
+		if len(a.chunks) < mostChunks && a.account.Reserve(holding.Answers, chunkBytes) {
 			a.counted++
 			return true
 		}
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -81,7 +81,7 @@
 
 // writePage answers with a page of results, if there is room for it.
 func (r *request) writePage(encoded []byte) {
-	if !r.account.Take(holding.Pages, int64(len(encoded))) {
+	if !r.account.Reserve(holding.Pages, int64(len(encoded))) {
 		r.refuse(refusal.MemoryLimitReached, errNoRoom.Error())
 		return
 	}
