--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -140,9 +140,9 @@
 	return true
 }
 
-// MayEver reports whether an account that had nothing else could have n bytes, however
+// CanEverFit reports whether an account that had nothing else could have n bytes, however
 // little others hold.
-func (b *Budget) MayEver(share Category, n int64) bool {
+func (b *Budget) CanEverFit(share Category, n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.limits.Total == 0 || n <= min(b.limits.PerCategory[share], b.limits.PerAccount)
--- a/internal/requests/holding/holding_test.go
+++ b/internal/requests/holding/holding_test.go
@@ -81,8 +81,8 @@
 	prompt, ok := budget.OpenAccount(100)
 	is.True(ok)
 	is.True(prompt.Reserve(holding.Bodies, 100))
-	is.True(!budget.MayEver(holding.Bodies, 701))
-	is.True(budget.MayEver(holding.Bodies, 700))
+	is.True(!budget.CanEverFit(holding.Bodies, 701))
+	is.True(budget.CanEverFit(holding.Bodies, 700))
 }
 
 // No account and no limits bound nothing; limits set later hold from then on.
--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -99,7 +99,7 @@
 		_, err := io.Copy(io.Discard, body)
 		return nil, err
 	}
-	if !r.handler.Holding.MayEver(holding.Bodies, announced) {
+	if !r.handler.Holding.CanEverFit(holding.Bodies, announced) {
 		return nil, errors.Wrap(errNoRoom, "a body of that length")
 	}
 	read, whole, err := r.account.Read(holding.Bodies, body, announced, limit+1, func(n int64) bool { return r.awaitRoom(holding.Bodies, n) })
