--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -148,8 +148,8 @@
 	return b.limits.Total == 0 || n <= min(b.limits.PerCategory[share], b.limits.PerAccount)
 }
 
-// Give counts n bytes as held no more.
-func (a *Account) Give(share Category, n int64) {
+// Release counts n bytes as held no more.
+func (a *Account) Release(share Category, n int64) {
 	if a == nil {
 		return
 	}
--- a/internal/requests/holding/holding_test.go
+++ b/internal/requests/holding/holding_test.go
@@ -36,7 +36,7 @@
 					had[share] += n
 				}
 			case had[share] > 0:
-				a.Give(share, had[share])
+				a.Release(share, had[share])
 				had[share] = 0
 			case random.IntN(10) == 0:
 				a.End()
@@ -90,7 +90,7 @@
 	is := is.New(t)
 	var free *holding.Account
 	is.True(free.Reserve(holding.Bodies, 1<<40))
-	free.Give(holding.Bodies, 1)
+	free.Release(holding.Bodies, 1)
 	budget := holding.New(holding.Limits{})
 	a, ok := budget.OpenAccount(1000)
 	is.True(ok)
--- a/internal/requests/holding/read.go
+++ b/internal/requests/holding/read.go
@@ -29,7 +29,7 @@
 			}
 			grown := make([]byte, len(read), size)
 			copy(grown, read)
-			a.Give(share, int64(cap(read)))
+			a.Release(share, int64(cap(read)))
 			read = grown
 		}
 		n, err := source.Read(read[len(read):cap(read)])
--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -96,7 +96,7 @@
 	a.chunks = a.chunks[1:]
 	if a.counted > 0 {
 		a.counted--
-		a.account.Give(holding.Answers, chunkBytes)
+		a.account.Release(holding.Answers, chunkBytes)
 	}
 	a.turned.Broadcast()
 }
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -100,7 +100,7 @@
 		if !r.awaitRoom(holding.Answers, n) {
 			return errNoRoom
 		}
-		defer r.account.Give(holding.Answers, n)
+		defer r.account.Release(holding.Answers, n)
 	}
 	r.setWriteDeadline(r.handler.Unread)
 	if _, err := r.w.Write(raw); err != nil {
