--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -158,8 +158,8 @@
 	a.budget.add(a, share, -n)
 }
 
-// End counts all that is left as held no more. It may be called again.
-func (a *Account) End() {
+// ReleaseAll counts all that is left as held no more. It may be called again.
+func (a *Account) ReleaseAll() {
 	if a == nil {
 		return
 	}
--- a/internal/requests/holding/holding_test.go
+++ b/internal/requests/holding/holding_test.go
@@ -25,7 +25,7 @@
 		if a, ok := budget.OpenAccount(random.Int64N(100)); ok && len(holders) < 50 {
 			holders[a] = [4]int64{}
 		} else {
-			a.End()
+			a.ReleaseAll()
 		}
 		for a, had := range holders {
 			share := holding.Category(random.IntN(4))
@@ -39,8 +39,8 @@
 				a.Release(share, had[share])
 				had[share] = 0
 			case random.IntN(10) == 0:
-				a.End()
-				a.End()
+				a.ReleaseAll()
+				a.ReleaseAll()
 				delete(holders, a)
 				continue
 			}
@@ -57,7 +57,7 @@
 		is.True(now <= most && most <= limits.Total)
 	}
 	for a := range holders {
-		a.End()
+		a.ReleaseAll()
 	}
 	now, _ := budget.Usage()
 	is.Equal(now, int64(0))
@@ -97,7 +97,7 @@
 	budget.SetLimits(holding.LimitsOf(500))
 	_, ok = budget.OpenAccount(1)
 	is.True(!ok)
-	a.End()
+	a.ReleaseAll()
 	_, ok = budget.OpenAccount(1)
 	is.True(ok)
 }
--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -48,7 +48,7 @@
 
 // endHolding ends the account of the request once its answer is with the client's system.
 func (r *request) endHolding() {
-	r.account.End()
+	r.account.ReleaseAll()
 	// What the server still has is written after this, and may be a few KiB.
 	r.setWriteDeadline(r.handler.Unread)
 }
--- a/internal/requests/ingress/hold_test.go
+++ b/internal/requests/ingress/hold_test.go
@@ -222,7 +222,7 @@
 				r.handler.Holding = holding.New(holding.LimitsOf(100 * kib))
 				other, _ := r.handler.Holding.OpenAccount(0)
 				is.True(other.Reserve(holding.Bodies, 60*kib))
-				time.AfterFunc(c.frees, other.End)
+				time.AfterFunc(c.frees, other.ReleaseAll)
 				r.account, _ = r.handler.Holding.OpenAccount(0)
 				text := content(c.length)
 				r.req.Body, r.req.ContentLength = io.NopCloser(bytes.NewReader(text)), int64(len(text))
