--- a/internal/requests/holding/read.go
+++ b/internal/requests/holding/read.go
@@ -3,10 +3,10 @@
 import "io"
 
 const (
-	// firstBytes is the first size of a buffer for a source that does not announce its
+	// initialBytes is the first size of a buffer for a source that does not announce its
 	// length, and the largest first size for one that does: who announces much must send
 	// some of it before memory is set aside.
-	firstBytes   = 4 << 10
+	initialBytes = 4 << 10
 	firstGranted = 64 << 10
 	// announcedPart is the part, one in so many, that must have come of an announced
 	// length before room for all of it is taken at once.
@@ -49,7 +49,7 @@
 	whole := announced + 1
 	switch {
 	case announced < 0 || whole <= full:
-		return max(2*full, firstBytes)
+		return max(2*full, initialBytes)
 	case full == 0:
 		return min(whole, firstGranted)
 	case full >= whole/announcedPart:
