--- a/internal/requests/holding/read.go
+++ b/internal/requests/holding/read.go
@@ -6,8 +6,8 @@
 	// initialBytes is the first size of a buffer for a source that does not announce its
 	// length, and the largest first size for one that does: who announces much must send
 	// some of it before memory is set aside.
-	initialBytes = 4 << 10
-	firstGranted = 64 << 10
+	initialBytes    = 4 << 10
+	maxInitialBytes = 64 << 10
 	// announcedPart is the part, one in so many, that must have come of an announced
 	// length before room for all of it is taken at once.
 	announcedPart = 16
@@ -51,7 +51,7 @@
 	case announced < 0 || whole <= full:
 		return max(2*full, initialBytes)
 	case full == 0:
-		return min(whole, firstGranted)
+		return min(whole, maxInitialBytes)
 	case full >= whole/announcedPart:
 		return whole
 	default:
