--- a/internal/requests/holding/read.go
+++ b/internal/requests/holding/read.go
@@ -8,9 +8,9 @@
 	// some of it before memory is set aside.
 	initialBytes    = 4 << 10
 	maxInitialBytes = 64 << 10
-	// announcedPart is the part, one in so many, that must have come of an announced
+	// announcedDivisor is the part, one in so many, that must have come of an announced
 	// length before room for all of it is taken at once.
-	announcedPart = 16
+	announcedDivisor = 16
 )
 
 // Room asks for n more bytes, and reports whether they may be held.
@@ -52,7 +52,7 @@
 		return max(2*full, initialBytes)
 	case full == 0:
 		return min(whole, maxInitialBytes)
-	case full >= whole/announcedPart:
+	case full >= whole/announcedDivisor:
 		return whole
 	default:
 		return min(2*full, whole)
