--- a/internal/requests/holding/read.go
+++ b/internal/requests/holding/read.go
@@ -13,14 +13,14 @@
 	announcedDivisor = 16
 )
 
-// Room asks for n more bytes, and reports whether they may be held.
-type Room func(n int64) bool
+// ReserveFunc asks for n more bytes, and reports whether they may be held.
+type ReserveFunc func(n int64) bool
 
 // Read reads a source to its end into one slice, of which it holds no more than most bytes.
 // Announced is the length that the source tells, below 0 if it tells none. It is not whole
 // if the source has more than most bytes, or more than there is room for; then the source
 // can be read further. What was taken and isn't part of the slice is given back.
-func (a *Account) Read(share Category, source io.Reader, announced, most int64, room Room) (read []byte, whole bool, err error) {
+func (a *Account) Read(share Category, source io.Reader, announced, most int64, room ReserveFunc) (read []byte, whole bool, err error) {
 	for {
 		if len(read) == cap(read) {
 			size := min(nextSize(int64(len(read)), announced), most)
