--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -77,12 +77,12 @@
 	default: // quarantine.Free
 		return func() {}, nil
 	}
-	refusal := zap.Skip()
+	refusedField := zap.Skip()
 	if refused != nil {
-		refusal = zap.NamedError("refused", refused)
+		refusedField = zap.NamedError("refused", refused)
 	}
 	f.Logger.Info("suspect content checked", zap.String("request", requestID), zap.String("content", content.Digest().Short()),
-		zap.String("replica", rep.ID), zap.String("service", rep.Service), zap.Bool("alone", refused == nil), refusal)
+		zap.String("replica", rep.ID), zap.String("service", rep.Service), zap.Bool("alone", refused == nil), refusedField)
 	return release, refused
 }
 
