--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// Reasons at the client listener for which the request has not run and may be sent again.
+// Reasons at the client listener that guarantee that the request has not run. It may be sent again.
 var (
-	// NoConfiguration: this daemon has just started and has not read any.
+	// NoConfiguration: this daemon has just started and has not read a configuration yet.
 	NoConfiguration = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
-	// BodyTimeout: the body did not come in the time of its request.
+	// BodyTimeout: the body was not received before the deadline of the request.
 	BodyTimeout = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
-	// NoReplica: no replica took the request, and it was not sent to one that may run it.
+	// NoReplica: no replica accepted the request, and it was not sent to one that may run it.
 	NoReplica = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 250 * time.Millisecond}
-	// MemoryLimitReached: this daemon holds as much for clients as it may. Clients that read at all have
-	// read much within the time to return.
+	// MemoryLimitReached: this daemon holds as many bytes for clients as it may. The delay lets
+	// clients that read at a normal rate free memory.
 	MemoryLimitReached = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: time.Second}
-	// JournalTimeout: neither the journal nor the watcher of the batch's partition answered in time.
+	// JournalTimeout: neither the journal nor the watcher of the batch's partition answered in
+	// time.
 	JournalTimeout = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 400 * time.Millisecond}
-	// KeyUnconfirmed: the configuration is too old to tell whether the key is valid.
+	// KeyUnconfirmed: the configuration is too old to decide whether the key is valid.
 	KeyUnconfirmed = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 400 * time.Millisecond}
-	// Stopping: a planned stop leaves the request no time. Other daemons take it at once; a few
-	// round trips spread those that come together.
+	// Stopping: a planned stop leaves no time for the request. Other daemons can take it at once;
+	// the short delay only spreads requests that were refused together.
 	Stopping = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable, RetryAfter: 50 * time.Millisecond}
-	// ServiceFull: the service has no place for the request in its time; admission.ComeBack
-	// gives the time to return.
+	// ServiceFull: the service has no free slot for the request before its deadline.
+	// admission.RetryAfter computes the delay.
 	ServiceFull = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable}
-	// Quarantined: replicas ended under the request's content. The time to return is that of a
-	// content that an operator must lift: no promise to serve it then, it keeps a caller from
-	// asking at once. Others are SuspectAlone, SuspectAwaited and the rest of the time until a
-	// refused content may run once more.
+	// Quarantined: replicas ended under the request's content, and an operator must lift the
+	// quarantine. The delay does not promise success; it limits how often a caller asks. In other
+	// cases of quarantine the delay is that of LoneRunPending or OtherRunPending, or the time until
+	// a refused content may run once more.
 	Quarantined = Reason{Name: "quarantined", Status: http.StatusServiceUnavailable, RetryAfter: time.Minute, AllDaemons: true}
-	// LoneRunPending: the content may soon run alone; at most this long.
+	// LoneRunPending: the content may run alone, within this delay.
 	LoneRunPending = Quarantined.WithRetryAfter(time.Second)
-	// OtherRunPending: other runs of the content, or of another suspect, keep it waiting. Most
-	// requests to plain services are over by then.
+	// OtherRunPending: the content waits for other runs of it, or of another suspect. Most requests
+	// to plain services end within this delay.
 	OtherRunPending = Quarantined.WithRetryAfter(100 * time.Millisecond)
 )
 
-// Reasons at the client listener that lie in the request. It has not run.
+// Reasons at the client listener for faults of the request. It has not run.
 var (
 	Malformed      = Reason{Name: "malformed", Status: http.StatusBadRequest}
 	WrongMethod    = Reason{Name: "malformed", Status: http.StatusMethodNotAllowed}
@@ -50,19 +51,20 @@
 	BodyIncomplete = Reason{Name: "cut off", Status: http.StatusBadRequest}
 )
 
-// Reasons at the client listener for which nothing is promised.
+// Reasons at the client listener that leave open whether the request has run.
 var (
-	// PageNotEncoded: results could not be encoded. Reading them again does no harm.
+	// PageNotEncoded: results could not be encoded. It is safe to read them again.
 	PageNotEncoded = Reason{Name: "failed", Status: http.StatusInternalServerError, MayHaveRun: true}
-	// Failed: a replica got the request, and its answer was lost or unsound.
+	// Failed: a replica received the request, but its answer was lost or invalid.
 	Failed = Reason{Name: "failed", Status: http.StatusBadGateway, MayHaveRun: true}
-	// Interrupted: the end of a planned stop cut the request.
+	// Interrupted: a planned stop reached its end and cancelled the request.
 	Interrupted = Reason{Name: "interrupted", Status: http.StatusBadGateway, MayHaveRun: true}
-	// TimedOut: a replica got the request, and its time has passed.
+	// TimedOut: a replica received the request, and the request's deadline has passed.
 	TimedOut = Reason{Name: "timed out", Status: http.StatusGatewayTimeout, MayHaveRun: true}
-	// BatchOutcomeUnknown: whether the journal has the record of a submission or an end is not known.
+	// BatchOutcomeUnknown: it is not known whether the journal has the record of a submission or of
+	// an end.
 	BatchOutcomeUnknown = Reason{Name: "unknown", Status: http.StatusGatewayTimeout, MayHaveRun: true}
 )
 
-// outcomeRefused is the outcome of most refusals, a label of a metric.
+// outcomeRefused is the Name of most refusals, which is a label value of a metric.
 const outcomeRefused = "refused"
--- a/internal/requests/refusal/refusal_test.go
+++ b/internal/requests/refusal/refusal_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A client that was refused late was told to wait for longer than its request had left; where
-// every daemon would refuse it, less would only bring it back in vain.
-func TestNobodyWaitsForMoreThanAThirdOfTheTimeLeft(t *testing.T) {
+// A caller must not be asked to wait for more than a third of its remaining time, unless every
+// daemon would refuse the request.
+func TestRetryDelayIsCapped(t *testing.T) {
 	is := is.New(t)
 	is.Equal(NoReplica.RetryDelay(10*time.Second), NoReplica.RetryAfter)
 	is.Equal(NoReplica.RetryDelay(300*time.Millisecond), 100*time.Millisecond)
