--- a/internal/requests/retrybudget/retrybudget.go
+++ b/internal/requests/retrybudget/retrybudget.go
@@ -1,11 +1,10 @@
-// Package retrybudget bounds retries to a part of first tries, so that
-// retries cannot multiply an overload. A Budget owns what is saved up, and relies on its
-// user to note each first try; the user has the rates.
+// Package retrybudget limits retries to a fraction of first attempts, so that retries can't
+// multiply an overload. The caller records each first attempt and provides the rates.
 //
 // # Usage
 //
-//	budget.FirstTry(20)                            // each hundred first tries earn 20 retries
-//	if budget.TryRetry(now, 5) { ... try again ... } // 5 a second in any case
+//	budget.RecordFirstAttempt(20)                    // a hundred first attempts earn 20 retries
+//	if budget.TryRetry(now, 5) { ... try again ... } // at least 5 per second are allowed
 package retrybudget
 
 import (
@@ -13,26 +12,26 @@
 	"time"
 )
 
-// maxTokens is how many retries may be saved up, in seconds' worth of the
-// minimum plus this constant.
+// maxTokens bounds the saved retries, in addition to one second's worth of the minimum rate.
 const maxTokens = 50
 
-// Budget is a token bucket that first tries fill. It is safe for concurrent use.
+// Budget is a token bucket that is filled by first attempts and at a minimum rate. The zero Budget
+// is ready to use. It is safe for concurrent use.
 type Budget struct {
 	mu         sync.Mutex
 	tokens     float64
 	refilledAt time.Time
 }
 
-// RecordFirstAttempt notes a request's first try, which earns percent/100 of a retry.
+// RecordFirstAttempt records the first attempt of a request, which earns percent/100 of a retry.
 func (b *Budget) RecordFirstAttempt(percent int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+float64(percent)/100, maxTokens)
 }
 
-// TryRetry reports whether a retry is allowed now, and spends it if so.
-// At least minimum retries a second are allowed.
+// TryRetry reports whether a retry is allowed now, and if so spends it. At least minimum retries
+// per second are allowed.
 func (b *Budget) TryRetry(now time.Time, minimum int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
