--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -1,80 +1,78 @@
-// Package holding counts the bytes that a daemon holds on behalf of others, and bounds them.
+// Package holding counts and bounds the memory that a daemon holds on behalf of clients.
 //
-// A client may be slow to send its request or to read its answer, and a replica slow to
-// take a body; what they have not taken stays in the daemon's memory. One of them may hold
-// so much at most, all of one kind so much, and all together so much. Whoever holds bytes
-// asks before it takes more, and waits, reads no further or gives up when there is no room:
-// the budget itself decides nothing and never blocks. Hundreds of clients that read a byte a
-// second fill the share of answers, and what is left stays for the small accounts of prompt ones.
-//
-// The package owns the counts; it relies on those who hold bytes to say so.
+// A client may send its request or read its answer slowly, and a replica may take a body slowly;
+// the bytes that are not yet taken stay in the daemon's memory. There are bounds for each account,
+// for each category and for the total, so that hundreds of clients that read a byte per second can
+// fill the category of answers but leave room for others. The holder of the bytes reserves memory
+// before it takes more; without room it waits, stops reading or gives up. The budget itself never
+// blocks.
 //
 // # Usage
 //
 //	budget := holding.New(holding.LimitsOf(bytes))
-//	account, ok := budget.Begin(base) // false: the request is turned away
-//	defer account.End()
-//	if !account.Take(holding.Answers, n) { ... read no further ... }
-//	account.Give(holding.Answers, n)
+//	account, ok := budget.OpenAccount(base) // false: refuse the request
+//	defer account.ReleaseAll()
+//	if !account.Reserve(holding.Answers, n) { ... stop reading ... }
+//	account.Release(holding.Answers, n)
 package holding
 
 import "sync"
 
-// Category is a part of the memory, named by what bytes are held for.
+// Category is the purpose for which bytes are held.
 type Category int
 
-// Shares.
+// Categories of held bytes.
 const (
-	// Connections are the fixed costs of requests under way.
+	// Connections are the fixed costs of requests in progress.
 	Connections Category = iota
-	// Bodies are bodies that come in, or that a replica has not taken yet.
+	// Bodies are request bodies that are being received or that a replica has not taken yet.
 	Bodies
-	// Answers are answers of replicas that are not written yet.
+	// Answers are answers of replicas that are not yet written to the client.
 	Answers
-	// Pages are results of batches that are not written yet.
+	// Pages are results of batches that are not yet written to the client.
 	Pages
 	numCategories
 )
 
-// String names the share in metrics and logs.
-func (s Category) String() string {
-	return [numCategories]string{"connections", "bodies", "answers", "pages"}[s]
+// String returns the name of the category in metrics and logs.
+func (c Category) String() string {
+	return [numCategories]string{"connections", "bodies", "answers", "pages"}[c]
 }
 
-// Categories returns all shares.
+// Categories returns all categories.
 func Categories() []Category { return []Category{Connections, Bodies, Answers, Pages} }
 
-// Limits are bounds in bytes. The zero value bounds nothing.
+// Limits are bounds in bytes. The zero Limits bound nothing.
 type Limits struct {
-	// Total bounds what is held in all, 0 being no bound of any kind.
+	// Total bounds all held bytes; 0 disables all three bounds.
 	Total int64
 	// PerAccount bounds one account.
 	PerAccount int64
-	// PerCategory bounds each share.
+	// PerCategory bounds each category.
 	PerCategory [numCategories]int64
 }
 
 const (
-	// accountPercent and sharePart are the parts of the whole, in percent, that one account may
-	// have, and all accounts of one share. One body of the largest size must fit beside the
-	// answers of others; a quarter is always left for what is not in the fullest share.
+	// accountPercent and categoryPercent are the percentages of the total that one account and one
+	// category may hold. A body of the largest size must fit beside the answers of others, and no
+	// category can fill all of the memory.
 	accountPercent  = 70
 	categoryPercent = 75
 )
 
-// LimitsOf returns the limits of a daemon that may hold so many bytes in all, 0 being no
-// bound.
-func LimitsOf(all int64) Limits {
-	limits := Limits{Total: all, PerAccount: all * accountPercent / 100}
-	for _, share := range Categories() {
-		limits.PerCategory[share] = all * categoryPercent / 100
+// LimitsOf returns the limits of a daemon that may hold the given number of bytes in total, 0 for
+// no limits.
+func LimitsOf(total int64) Limits {
+	limits := Limits{Total: total, PerAccount: total * accountPercent / 100}
+	for _, category := range Categories() {
+		limits.PerCategory[category] = total * categoryPercent / 100
 	}
 	return limits
 }
 
-// Budget is the account of a daemon. It is safe for concurrent use.
+// Budget counts the bytes that a daemon holds. It is safe for concurrent use.
 //
-// Invariant: all is the sum of of, which are the sums of what the accounts have.
+// Invariant: total is the sum of byCategory, and byCategory is the sum of the accounts' byCategory.
 type Budget struct {
 	mu         sync.Mutex
 	limits     Limits
@@ -83,31 +81,32 @@
 	byCategory [numCategories]int64
 }
 
-// New returns an empty budget.
+// New returns an empty Budget.
 func New(limits Limits) *Budget { return &Budget{limits: limits} }
 
-// SetLimits changes the bounds. What is held beyond them stays held.
+// SetLimits changes the bounds. Bytes held beyond the new bounds stay reserved.
 func (b *Budget) SetLimits(limits Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limits = limits
 }
 
-// Held returns how many bytes a share holds.
-func (b *Budget) Held(share Category) int64 {
+// Held returns the number of bytes held in a category.
+func (b *Budget) Held(category Category) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.byCategory[share]
+	return b.byCategory[category]
 }
 
-// Usage returns how many bytes are held now, and the most that ever were.
-func (b *Budget) Usage() (now, most int64) {
+// Usage returns the number of bytes held now and the highest number so far.
+func (b *Budget) Usage() (now, peak int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.total, b.peak
 }
 
-// OpenAccount returns an account with a base of fixed cost, and false if there is no room for it.
+// OpenAccount returns an account with base bytes reserved in Connections, or false if there is no
+// room for them.
 func (b *Budget) OpenAccount(base int64) (*Account, bool) {
 	a := &Account{budget: b}
 	if !a.Reserve(Connections, base) {
@@ -116,72 +115,71 @@
 	return a, true
 }
 
-// Account counts what is held on behalf of one. It is safe for concurrent use. Nil is of no
-// budget and has no bound.
+// Account counts the bytes held on behalf of one request. It is safe for concurrent use. A nil
+// Account belongs to no budget and has no bound.
 type Account struct {
 	budget *Budget
-	// byCategory is what it has, guarded by the budget's mutex.
+	// byCategory is guarded by budget.mu.
 	byCategory [numCategories]int64
 }
 
-// Reserve counts n more bytes, and reports whether there was room; without room nothing is
-// counted.
-func (a *Account) Reserve(share Category, n int64) bool {
+// Reserve reports whether n more bytes may be held, and if so counts them.
+func (a *Account) Reserve(category Category, n int64) bool {
 	if a == nil {
 		return true
 	}
 	b := a.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.limits.Total > 0 && (b.total+n > b.limits.Total || b.byCategory[share]+n > b.limits.PerCategory[share] || a.sum()+n > b.limits.PerAccount) {
+	if b.limits.Total > 0 && (b.total+n > b.limits.Total || b.byCategory[category]+n > b.limits.PerCategory[category] || a.sum()+n > b.limits.PerAccount) {
 		return false
 	}
-	b.add(a, share, n)
+	b.add(a, category, n)
 	return true
 }
 
-// CanEverFit reports whether an account that had nothing else could have n bytes, however
-// little others hold.
-func (b *Budget) CanEverFit(share Category, n int64) bool {
+// CanEverFit reports whether an otherwise empty account could hold n bytes if other accounts held
+// nothing.
+func (b *Budget) CanEverFit(category Category, n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.limits.Total == 0 || n <= min(b.limits.PerCategory[share], b.limits.PerAccount)
+	return b.limits.Total == 0 || n <= min(b.limits.PerCategory[category], b.limits.PerAccount)
 }
 
-// Release counts n bytes as held no more.
-func (a *Account) Release(share Category, n int64) {
+// Release returns n bytes that were reserved before.
+func (a *Account) Release(category Category, n int64) {
 	if a == nil {
 		return
 	}
 	a.budget.mu.Lock()
 	defer a.budget.mu.Unlock()
-	a.budget.add(a, share, -n)
+	a.budget.add(a, category, -n)
 }
 
-// ReleaseAll counts all that is left as held no more. It may be called again.
+// ReleaseAll returns all bytes of the account. It may be called more than once.
 func (a *Account) ReleaseAll() {
 	if a == nil {
 		return
 	}
 	a.budget.mu.Lock()
 	defer a.budget.mu.Unlock()
-	for _, share := range Categories() {
-		a.budget.add(a, share, -a.byCategory[share])
+	for _, category := range Categories() {
+		a.budget.add(a, category, -a.byCategory[category])
 	}
 }
 
-// sum is what an account has of all shares. The mutex is held.
+// sum returns the bytes of the account in all categories. budget.mu must be held.
 func (a *Account) sum() (n int64) {
-	for _, of := range a.byCategory {
-		n += of
+	for _, bytes := range a.byCategory {
+		n += bytes
 	}
 	return n
 }
 
-// add counts bytes of an account. The mutex is held.
-func (b *Budget) add(a *Account, share Category, n int64) {
-	a.byCategory[share] += n
-	b.byCategory[share] += n
+// add adds n bytes, which may be negative, to an account and its budget. b.mu must be held.
+func (b *Budget) add(a *Account, category Category, n int64) {
+	a.byCategory[category] += n
+	b.byCategory[category] += n
 	b.total += n
 	b.peak = max(b.peak, b.total)
 }
--- a/internal/requests/holding/holding_test.go
+++ b/internal/requests/holding/holding_test.go
@@ -13,62 +13,62 @@
 	"woodworks/internal/requests/holding"
 )
 
-// Whatever is asked for in whatever order, no bound is passed, and nothing stays counted
-// once all have ended.
-func TestNoBoundIsPassed(t *testing.T) {
+// No sequence of operations may exceed a bound, and nothing may stay counted after all accounts
+// have been released.
+func TestNoBoundIsExceeded(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	limits := holding.LimitsOf(10_000)
 	budget := holding.New(limits)
-	holders := map[*holding.Account][4]int64{}
+	accounts := map[*holding.Account][4]int64{}
 	for range 20_000 {
-		if a, ok := budget.OpenAccount(random.Int64N(100)); ok && len(holders) < 50 {
-			holders[a] = [4]int64{}
+		if a, ok := budget.OpenAccount(random.Int64N(100)); ok && len(accounts) < 50 {
+			accounts[a] = [4]int64{}
 		} else {
 			a.ReleaseAll()
 		}
-		for a, had := range holders {
-			share := holding.Category(random.IntN(4))
+		for a, held := range accounts {
+			category := holding.Category(random.IntN(4))
 			n := random.Int64N(2000)
 			switch {
 			case random.IntN(3) > 0:
-				if a.Reserve(share, n) {
-					had[share] += n
+				if a.Reserve(category, n) {
+					held[category] += n
 				}
-			case had[share] > 0:
-				a.Release(share, had[share])
-				had[share] = 0
+			case held[category] > 0:
+				a.Release(category, held[category])
+				held[category] = 0
 			case random.IntN(10) == 0:
 				a.ReleaseAll()
 				a.ReleaseAll()
-				delete(holders, a)
+				delete(accounts, a)
 				continue
 			}
-			holders[a] = had
+			accounts[a] = held
 			break
 		}
 		sum := int64(0)
-		for _, share := range holding.Categories() {
-			is.True(budget.Held(share) <= limits.PerCategory[share])
-			sum += budget.Held(share)
+		for _, category := range holding.Categories() {
+			is.True(budget.Held(category) <= limits.PerCategory[category])
+			sum += budget.Held(category)
 		}
-		now, most := budget.Usage()
+		now, peak := budget.Usage()
 		is.Equal(now, sum)
-		is.True(now <= most && most <= limits.Total)
+		is.True(now <= peak && peak <= limits.Total)
 	}
-	for a := range holders {
+	for a := range accounts {
 		a.ReleaseAll()
 	}
 	now, _ := budget.Usage()
 	is.Equal(now, int64(0))
 }
 
-// One holder can't take all, nor one share: there is always room for others.
-func TestOneHolderLeavesRoom(t *testing.T) {
+// One account can't use up the memory, nor can one category: others always have room.
+func TestOneAccountLeavesRoom(t *testing.T) {
 	is := is.New(t)
 	budget := holding.New(holding.LimitsOf(1000))
-	greedy, _ := budget.OpenAccount(0)
-	for greedy.Reserve(holding.Answers, 10) {
+	first, _ := budget.OpenAccount(0)
+	for first.Reserve(holding.Answers, 10) {
 	}
 	is.Equal(budget.Held(holding.Answers), int64(700))
 	for {
@@ -78,15 +78,15 @@
 		}
 	}
 	is.Equal(budget.Held(holding.Answers), int64(750))
-	prompt, ok := budget.OpenAccount(100)
+	third, ok := budget.OpenAccount(100)
 	is.True(ok)
-	is.True(prompt.Reserve(holding.Bodies, 100))
+	is.True(third.Reserve(holding.Bodies, 100))
 	is.True(!budget.CanEverFit(holding.Bodies, 701))
 	is.True(budget.CanEverFit(holding.Bodies, 700))
 }
 
-// No account and no limits bound nothing; limits set later hold from then on.
-func TestLimitsMayBeNone(t *testing.T) {
+// A nil account and zero limits bound nothing, and new limits apply from then on.
+func TestNoLimits(t *testing.T) {
 	is := is.New(t)
 	var free *holding.Account
 	is.True(free.Reserve(holding.Bodies, 1<<40))
@@ -102,9 +102,9 @@
 	is.True(ok)
 }
 
-// What is read is what the source has, whatever it announces, and no more is held than its
-// bytes and a part of them.
-func TestReadsAreWholeAndCounted(t *testing.T) {
+// Read returns exactly the bytes of the source, whatever length is announced, and reserves only a
+// bounded amount beyond them.
+func TestReadIsCompleteAndCounted(t *testing.T) {
 	for _, announced := range []int64{-1, 0, 1, 5, 100_000, 1_000_000, 2_000_000} {
 		for _, length := range []int{0, 1, 4096, 100_000, 1_000_000} {
 			is := is.New(t)
@@ -117,15 +117,15 @@
 			is.True(bytes.Equal(read, content))
 			is.Equal(budget.Held(holding.Bodies), int64(cap(read)))
 			if announced == int64(length) {
-				_, most := budget.Usage()
-				is.True(most <= int64(length)+max(int64(length)/8, 64<<10)+1)
+				_, peak := budget.Usage()
+				is.True(peak <= int64(length)+max(int64(length)/8, 64<<10)+1)
 			}
 		}
 	}
 }
 
-// Without room, or beyond the bound, the rest stays with the source.
-func TestAReadStopsWhereThereIsNoRoom(t *testing.T) {
+// At the limit of the memory or of the length, Read leaves the rest in the source.
+func TestReadStopsAtLimits(t *testing.T) {
 	is := is.New(t)
 	budget := holding.New(holding.LimitsOf(100_000))
 	a, _ := budget.OpenAccount(0)
@@ -142,7 +142,7 @@
 	is.Equal(len(read), 1000)
 }
 
-// A page of 256 KiB with its length announced, read by Read and by the library.
+// BenchmarkRead compares Read with io.ReadAll for a page of announced length.
 func BenchmarkRead(b *testing.B) {
 	page := bytes.Repeat([]byte("x"), 256<<10)
 	var unbounded *holding.Account
--- a/internal/requests/holding/read.go
+++ b/internal/requests/holding/read.go
@@ -3,33 +3,34 @@
 import "io"
 
 const (
-	// initialBytes is the first size of a buffer for a source that does not announce its
-	// length, and the largest first size for one that does: who announces much must send
-	// some of it before memory is set aside.
+	// initialBytes is the initial buffer size for a source that does not announce its length.
+	// maxInitialBytes is the largest initial size for one that does, since a client must not make
+	// the daemon allocate memory by an announcement alone.
 	initialBytes    = 4 << 10
 	maxInitialBytes = 64 << 10
-	// announcedDivisor is the part, one in so many, that must have come of an announced
-	// length before room for all of it is taken at once.
+	// announcedDivisor sets how much of an announced length must have been received before the
+	// whole length is reserved: the length divided by it.
 	announcedDivisor = 16
 )
 
-// ReserveFunc asks for n more bytes, and reports whether they may be held.
+// ReserveFunc reports whether n more bytes may be held, and if so reserves them.
 type ReserveFunc func(n int64) bool
 
-// Read reads a source to its end into one slice, of which it holds no more than most bytes.
-// Announced is the length that the source tells, below 0 if it tells none. It is not whole
-// if the source has more than most bytes, or more than there is room for; then the source
-// can be read further. What was taken and isn't part of the slice is given back.
-func (a *Account) Read(share Category, source io.Reader, announced, most int64, room ReserveFunc) (read []byte, whole bool, err error) {
+// Read reads a source to its end into one slice of at most maxBytes bytes. announced is the length
+// that the source announces, negative if unknown. whole is false if the source has more than
+// maxBytes bytes or more than could be reserved; the rest can then be read from the source. The
+// capacity of the returned slice stays reserved in the category; everything else that was reserved
+// is released. On an error, read holds what was received before it.
+func (a *Account) Read(category Category, source io.Reader, announced, maxBytes int64, reserve ReserveFunc) (read []byte, whole bool, err error) {
 	for {
 		if len(read) == cap(read) {
-			size := min(nextSize(int64(len(read)), announced), most)
-			if size <= int64(len(read)) || !room(size) {
+			size := min(nextSize(int64(len(read)), announced), maxBytes)
+			if size <= int64(len(read)) || !reserve(size) {
 				return read, false, nil
 			}
 			grown := make([]byte, len(read), size)
 			copy(grown, read)
-			a.Release(share, int64(cap(read)))
+			a.Release(category, int64(cap(read)))
 			read = grown
 		}
 		n, err := source.Read(read[len(read):cap(read)])
@@ -43,18 +44,18 @@
 	}
 }
 
-// nextSize is the size of the buffer that follows one that is full. There is room for a
-// byte beyond the announced length, as the end of a source may come after its last byte.
+// nextSize returns the size of the buffer that follows a full one. It leaves room for a byte beyond
+// the announced length, since a source may report its end only after its last byte.
 func nextSize(full, announced int64) int64 {
-	whole := announced + 1
+	total := announced + 1
 	switch {
-	case announced < 0 || whole <= full:
+	case announced < 0 || total <= full:
 		return max(2*full, initialBytes)
 	case full == 0:
-		return min(whole, maxInitialBytes)
-	case full >= whole/announcedDivisor:
-		return whole
+		return min(total, maxInitialBytes)
+	case full >= total/announcedDivisor:
+		return total
 	default:
-		return min(2*full, whole)
+		return min(2*full, total)
 	}
 }
