--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -62,7 +62,6 @@
 // Reason is the cause of a refusal. It is part of the error text that callers receive.
 type Reason string
 
-// Reasons of refusals.
 const (
 	// NoTurnInTime: at its position in the queue the request can't be answered before its deadline,
 	// or it would wait longer than a fraction of its target latency.
--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -45,7 +45,6 @@
 // FullnessSign is the observation by which a service is considered full.
 type FullnessSign string
 
-// Signs that a service is full.
 const (
 	// SignDeclined: each replica that was asked declined a request.
 	SignDeclined FullnessSign = "declined"
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -15,7 +15,6 @@
 // Certainty tells whether a request without an answer may have run.
 type Certainty int
 
-// Values of Certainty.
 const (
 	// NotRun: no replica has run the request and none will.
 	NotRun Certainty = iota + 1
--- a/internal/requests/holding/holding.go
+++ b/internal/requests/holding/holding.go
@@ -21,7 +21,6 @@
 // Category is the purpose for which bytes are held.
 type Category int
 
-// Categories of held bytes.
 const (
 	// Connections are the fixed costs of requests in progress.
 	Connections Category = iota
@@ -42,13 +41,12 @@
 // Categories returns all categories.
 func Categories() []Category { return []Category{Connections, Bodies, Answers, Pages} }
 
-// Limits are bounds in bytes. The zero Limits bound nothing.
+// Limits are the bounds of a Budget in bytes: in total, for each account and for each category. The
+// zero Limits bound nothing.
 type Limits struct {
-	// Total bounds all held bytes; 0 disables all three bounds.
-	Total int64
-	// PerAccount bounds one account.
-	PerAccount int64
-	// PerCategory bounds each category.
+	// Total of 0 disables all three bounds.
+	Total       int64
+	PerAccount  int64
 	PerCategory [numCategories]int64
 }
 
--- a/internal/requests/refusal/refusal.go
+++ b/internal/requests/refusal/refusal.go
@@ -26,8 +26,7 @@
 type Reason struct {
 	// Name is the outcome in metrics and logs at the client listener, and the code of the problem
 	// at /v1/.
-	Name string
-	// Status is the HTTP status of the answer.
+	Name   string
 	Status int
 	// MayHaveRun reports that the request may have run. If false, it has not run and never will.
 	MayHaveRun bool
--- a/internal/requests/route/route.go
+++ b/internal/requests/route/route.go
@@ -23,7 +23,6 @@
 // Kind defines how often the requests of a route may run and how they are answered.
 type Kind int
 
-// Kinds of routes.
 const (
 	// Safe requests may run more than once.
 	Safe Kind = iota + 1
