--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -82,7 +82,7 @@
 	case errors.Is(err, delivery.ErrUnavailable):
 		refuse(w, refusal.V1LogUnavailable, err.Error())
 	default:
-		refuse(w, refusal.V1BatchUnsure, err.Error()+"; submit it again under the same name")
+		refuse(w, refusal.V1BatchOutcomeUnknown, err.Error()+"; submit it again under the same name")
 	}
 }
 
@@ -118,7 +118,7 @@
 	case err == nil:
 		writeDone(w, http.StatusOK, statusWord{Status: "ended"})
 	case errors.Is(err, delivery.ErrUnsure):
-		refuse(w, refusal.V1EndUnsure, err.Error()+"; end it again")
+		refuse(w, refusal.V1EndOutcomeUnknown, err.Error()+"; end it again")
 	default:
 		writeProblem(w, deliveryProblem(err))
 	}
@@ -155,7 +155,7 @@
 	case err == nil:
 		writeDone(w, http.StatusOK, announceAnswer{Trainer: trainer.Name, Version: newest})
 	case errors.Is(err, operator.ErrUnknown):
-		refuse(w, refusal.V1LogUnknown, err.Error())
+		refuse(w, refusal.V1LogOutcomeUnknown, err.Error())
 	default:
 		refuse(w, refusal.V1LogUnavailable, err.Error())
 	}
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -90,7 +90,7 @@
 // problem is what to tell a caller of a reply that is no back end's answer.
 func (r *ingressReply) problem() Problem {
 	if r.cut {
-		return problemFor(refusal.V1CutOff, "the back end's answer did not come whole")
+		return problemFor(refusal.V1AnswerIncomplete, "the back end's answer did not come whole")
 	}
 	return problemOf(r.status, r.header)
 }
@@ -101,7 +101,7 @@
 	if err != nil {
 		return reason
 	}
-	return reason.In(time.Duration(seconds * float64(time.Second)))
+	return reason.WithRetryAfter(time.Duration(seconds * float64(time.Second)))
 }
 
 // problemOf turns a final answer of the ingress into a problem.
@@ -121,6 +121,6 @@
 	case http.StatusGatewayTimeout:
 		return problemFor(refusal.V1TimedOut, "no whole answer came in time")
 	default:
-		return problemFor(refusal.V1Failed, "no replica gave a whole answer")
+		return problemFor(refusal.V1BackEndFailed, "no replica gave a whole answer")
 	}
 }
--- a/internal/api/standalone/routes.go
+++ b/internal/api/standalone/routes.go
@@ -30,7 +30,7 @@
 	var routes []route.Route
 	services := map[string]route.Service{}
 	for name, service := range set.Services {
-		m := route.Service{Name: name, Engine: service.Kind == policy.EngineService}
+		m := route.Service{Name: name, IsEngine: service.Kind == policy.EngineService}
 		for _, trainer := range set.TrainersOf(name) {
 			m.Models = append(m.Models, trainer.Name)
 			routes = append(routes, trainerRoutes(set, trainer)...)
@@ -40,7 +40,7 @@
 			routes = append(routes, operationRoute(set, service, operation))
 		}
 	}
-	return route.New(route.Declared{Version: version, Routes: routes, Services: services})
+	return route.New(route.Definition{Version: version, Routes: routes, Services: services})
 }
 
 // trainerRoutes are the routes of a trainer's batches and of its single samples.
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -203,10 +203,10 @@
 			Body:      it.Body,
 			Caller:    j.submission.Tenant,
 		},
-		After:      it.lastEvent,
-		HasAfter:   it.hasEvent,
-		Deadline:   attemptTimeout,
-		Repeatable: true,
+		LastEventID:    it.lastEvent,
+		HasLastEventID: it.hasEvent,
+		Deadline:       attemptTimeout,
+		Repeatable:     true,
 	}
 }
 
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -205,7 +205,7 @@
 // never more than the true age, whatever the wall clocks of daemons show.
 func (j *job) giveUpExpired() {
 	rt, ok := j.route()
-	if !ok || !expired(time.Since(j.adoptedAt), rt.MaxQueue) {
+	if !ok || !expired(time.Since(j.adoptedAt), rt.MaxQueueTime) {
 		return
 	}
 	j.mu.Lock()
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -44,7 +44,7 @@
 ) *Runner {
 	logger := zap.NewNop()
 	forwarder := &forward.Forwarder{
-		MaxOpen: forward.Unbounded, Quarantine: quarantine.New("m", time.Now, logger),
+		MaxConnections: forward.UnboundedConnections, Quarantine: quarantine.New("m", time.Now, logger),
 		Table: table, Pool: upstream.NewPool(upstream.Options{}), Logger: logger,
 	}
 	assigner := NewAssigner(log, fixedWatcher(owner), self, logger)
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -25,8 +25,8 @@
 // operatorWithMaxQueue returns an operator with one route, which lets batches wait for maxQueue.
 func operatorWithMaxQueue(t *testing.T, maxQueue time.Duration) configuredOperator {
 	t.Helper()
-	configuration, err := route.New(route.Declared{Routes: []route.Route{{
-		Name: "r", Host: "h", PathPrefix: "/p/", Kind: route.Batch, MaxQueue: maxQueue,
+	configuration, err := route.New(route.Definition{Routes: []route.Route{{
+		Name: "r", Host: "h", PathPrefix: "/p/", Kind: route.Batch, MaxQueueTime: maxQueue,
 		Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -154,7 +154,7 @@
 			Header:    http.Header{http.CanonicalHeaderKey(j.r.forwarder.Names.RequestID): {it.Reward.ID}},
 			Body:      it.Reward.Body,
 		},
-		Services:    rt.Order(it.Reward.ID),
+		Services:    rt.ServiceOrder(it.Reward.ID),
 		Repeatable:  true,
 		MaxAttempts: 1,
 	}
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -132,7 +132,7 @@
 
 // serviceOf returns the service that runs an item. It is drawn per item, not per batch, so that a
 // few large batches follow the weights of a split route too.
-func serviceOf(rt *route.Route, it *item) string { return rt.Order(it.ID)[0] }
+func serviceOf(rt *route.Route, it *item) string { return rt.ServiceOrder(it.ID)[0] }
 
 // blocked reports whether the quarantine forbids to run the item's content now. The mutex is held.
 func (j *job) blocked(it *item) bool {
--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -37,6 +37,7 @@
 	"batch perhaps taken over":              "batch takeover outcome unknown",
 	"owners not judged":                     "suspect owners not checked",
 	"room left to other owners":             "starts held back for other owners",
+	"suspect asked to run":                  "suspect content checked",
 }
 
 // eventName returns the name that an event has today.
--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -14,7 +14,7 @@
 func (n *Node) maxOpen(chosen replica.Replica) int {
 	configuration := n.operator.Configuration()
 	if n.relay == nil || configuration == nil {
-		return forward.Unbounded(chosen)
+		return forward.UnboundedConnections(chosen)
 	}
 	service := configuration.Services[chosen.Service]
 	daemons := n.daemons()
@@ -22,7 +22,7 @@
 		// Any number of others may be there.
 		daemons = max(service.MaxConnections, 1)
 	}
-	return upstream.ConnectionShare(service.MaxConnections, daemons, max(service.Slots, chosen.Slots), service.Engine)
+	return upstream.ConnectionShare(service.MaxConnections, daemons, max(service.Slots, chosen.Slots), service.IsEngine)
 }
 
 // registerConnectionMetrics tells of connections to replicas.
--- a/internal/requests/admission/accounts.go
+++ b/internal/requests/admission/accounts.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// fairSpan is over which time tenants are held equal. Most often one request waits at a
-// daemon at a time, or none, so that the order of those that wait is fair only if it remembers
-// what each tenant has had before; a tenant that has paused is not owed more than this.
-const fairSpan = 5 * time.Second
+// fairnessTimeConstant is the time constant of the exponential decay of each tenant's work. Since
+// at most one request usually waits at a daemon, the order is only fair if it accounts for recent
+// work; the decay bounds the advantage that an idle tenant accumulates.
+const fairnessTimeConstant = 5 * time.Second
 
-// accounts are the work that each tenant has had lately, which decays over fairSpan.
-type accounts map[string]account
+// tenantWork maps each tenant to its recent work, which decays with fairnessTimeConstant.
+type tenantWork map[string]decayingWork
 
-type account struct {
+type decayingWork struct {
 	work time.Duration
 	at   time.Time
 }
 
-// of is the work of a tenant as of now.
-func (a accounts) of(tenant string, now time.Time) time.Duration {
-	held, ok := a[tenant]
+// recent returns the recent recent of a tenant, decayed up to now.
+func (a tenantWork) recent(tenant string, now time.Time) time.Duration {
+	entry, ok := a[tenant]
 	if !ok {
 		return 0
 	}
-	return time.Duration(float64(held.work) * math.Exp(-max(now.Sub(held.at), 0).Seconds()/fairSpan.Seconds()))
+	return time.Duration(float64(entry.work) * math.Exp(-max(now.Sub(entry.at), 0).Seconds()/fairnessTimeConstant.Seconds()))
 }
 
-// charge adds to a tenant's work, or takes off it.
-func (a accounts) charge(tenant string, work time.Duration, now time.Time) {
-	a[tenant] = account{work: max(a.of(tenant, now)+work, 0), at: now}
+// add adds work, which may be negative, to a tenant. The total never drops below 0.
+func (a tenantWork) add(tenant string, work time.Duration, now time.Time) {
+	a[tenant] = decayingWork{work: max(a.recent(tenant, now)+work, 0), at: now}
 }
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -12,108 +12,108 @@
 )
 
 const (
-	// maxWaiting is how many requests of a service wait at one daemon at most: more
-	// than a daemon's part of the places ends within the time of a plain request, and
-	// few enough to be put in order at each arrival.
+	// maxWaiting bounds the requests of one service that wait at one daemon. It keeps the queue
+	// short enough to be sorted at each arrival.
 	maxWaiting = 64
-	// lookAgain is after which time those that wait are looked at again if nothing has
-	// woken them: replicas come and go, and times run out.
-	lookAgain = 50 * time.Millisecond
-	// needPart is the part of the answers whose time a request must have left: the few that
-	// take longest are no reason to refuse others.
-	needPart = 0.9
-	// retriesPercent is how many further attempts each hundred first ones of a full service
-	// earn, minRetries how many a second there are at least.
-	retriesPercent = 100
-	minRetries     = 2
-	// patiencePart is the part of its aim, one in so many, that a request waits at most while
-	// the aim can be reached: a caller that is refused within it has the rest of the time for another
-	// try.
-	patiencePart = 4
-	// demandSpan is over which time arrivals are counted.
-	demandSpan = 500 * time.Millisecond
+	// recheckInterval is the longest time between two checks of the queue, since replicas and
+	// deadlines change without an event at the gate.
+	recheckInterval = 50 * time.Millisecond
+	// requiredTimeQuantile is the quantile of answer durations that must fit into the time that a
+	// request has left. Slower outliers do not lead to refusals.
+	requiredTimeQuantile = 0.9
+	// retriesPercent is the number of further attempts earned by a hundred admitted requests of a
+	// full service; minRetriesPerSecond are allowed in any case.
+	retriesPercent      = 100
+	minRetriesPerSecond = 2
+	// maxWaitDivisor sets the longest wait of a request whose target latency can still be met: the
+	// target divided by it. The rest is left for a retry at another daemon.
+	maxWaitDivisor = 4
+	// demandTimeConstant is the time constant of the exponential decay of the arrival rate.
+	demandTimeConstant = 500 * time.Millisecond
 )
 
 // gate admits the requests for one service.
 type gate struct {
 	options *Options
 	service string
-	// draw returns numbers from 0 to 1.
-	draw func() float64
+	// random returns a number in [0, 1).
+	random func() float64
 
 	mu      sync.Mutex
 	rate    StartRate
-	times   times
+	times   answerTimes
 	retries retrybudget.Budget
 	waiting []*waiter
-	// served has the work that tenants have had while the start rate bound.
-	served accounts
-	// starts counts while the start rate binds.
-	starts int
-	demand demand
-	timer  *time.Timer
+	// work is the recent work of tenants since the rate limit became active.
+	work tenantWork
+	// starts is the number of requests admitted since the rate limit became active.
+	starts   int
+	arrivals arrivalRate
+	timer    *time.Timer
 }
 
-// demand is the rate of arrivals, in requests a second.
-type demand struct {
-	rate float64
-	at   time.Time
+// arrivalRate is an exponentially decaying estimate of the arrivals per second.
+type arrivalRate struct {
+	perSecond float64
+	at        time.Time
 }
 
-// note decays the rate and, for each arrival, raises it.
-func (d *demand) note(now time.Time, arrivals float64) float64 {
-	passed := max(now.Sub(d.at), 0).Seconds() / demandSpan.Seconds()
-	d.rate = d.rate*math.Exp(-passed) + arrivals/demandSpan.Seconds()
+// add decays the rate up to now, adds the given number of arrivals and returns the new rate.
+func (d *arrivalRate) add(now time.Time, arrivals float64) float64 {
+	elapsed := max(now.Sub(d.at), 0).Seconds() / demandTimeConstant.Seconds()
+	d.perSecond = d.perSecond*math.Exp(-elapsed) + arrivals/demandTimeConstant.Seconds()
 	d.at = now
-	return d.rate
+	return d.perSecond
 }
 
-// enter returns once a request may be sent.
+// enter blocks until the request may be sent, is refused or its context ends.
 func (g *gate) enter(ctx context.Context, req Request) (*Ticket, error) {
-	waiting, ticket := g.arrive(req)
+	w, ticket := g.startOrEnqueue(req)
 	if ticket != nil {
 		return ticket, nil
 	}
 	select {
-	case d := <-waiting.decided:
+	case d := <-w.decided:
 		return d.ticket, d.err
 	case <-ctx.Done():
 	}
-	return g.leave(ctx, waiting)
+	return g.abandon(ctx, w)
 }
 
-// arrive lets a request start if its service is not seen to be full, or has it take its place
-// among those that wait, where it may start or be refused at once.
-func (g *gate) arrive(req Request) (*waiter, *Ticket) {
+// startOrEnqueue returns a ticket if the service is not considered full. Otherwise it queues the
+// request, which may be admitted or refused at once.
+func (g *gate) startOrEnqueue(req Request) (*waiter, *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.options.Clock()
-	g.demand.note(now, 1)
+	g.arrivals.add(now, 1)
 	replicas := g.options.Replicas(g.service)
-	g.look(now, replicas)
-	if len(replicas) == 0 || !g.rate.binds {
+	g.updateRate(now, replicas)
+	if len(replicas) == 0 || !g.rate.active {
 		return nil, g.start(req)
 	}
-	added := &waiter{Request: req, since: now, decided: make(chan decision, 1)}
-	g.waiting = append(g.waiting, added)
-	g.decide(now, replicas)
-	return added, nil
+	w := &waiter{Request: req, since: now, decided: make(chan decision, 1)}
+	g.waiting = append(g.waiting, w)
+	g.processQueue(now, replicas)
+	return w, nil
 }
 
-// look takes what is believed of the replicas into account. The lock is held.
-func (g *gate) look(now time.Time, replicas []replica.Replica) {
+// updateRate activates the rate limit if the replicas are full, and ends it if the last sign is too
+// old and the queue is empty. g.mu must be held.
+func (g *gate) updateRate(now time.Time, replicas []replica.Replica) {
 	if allFull(replicas) {
-		g.full(now, SignTold, g.capacity(replicas))
+		g.recordFull(now, SignSlotsTaken, g.capacity(replicas))
 	} else if len(g.waiting) == 0 {
-		g.rate.Rest(now)
+		g.rate.Expire(now)
 	}
-	if !g.rate.binds {
-		clear(g.served)
+	if !g.rate.active {
+		clear(g.work)
 		g.starts = 0
 	}
 }
 
-// allFull reports whether each replica is known to have as many requests as slots.
+// allFull reports whether there are replicas and each is known to have at least as many requests as
+// slots.
 func allFull(replicas []replica.Replica) bool {
 	return len(replicas) > 0 && !slices.ContainsFunc(replicas, func(rep replica.Replica) bool {
 		return rep.Slots <= 0 || max(rep.InFlight, rep.ReportedLoad) < rep.Slots
@@ -125,101 +125,104 @@
 	for _, rep := range replicas {
 		slots += max(rep.Slots, 1)
 	}
-	return Capacity{Slots: slots, Daemons: g.options.Daemons(), Demand: g.demand.note(g.options.Clock(), 0),
-		Usual: max(g.times.quantile(0.5), time.Millisecond)}
+	return Capacity{Slots: slots, Daemons: g.options.Daemons(), Demand: g.arrivals.add(g.options.Clock(), 0),
+		TypicalTime: max(g.times.quantile(0.5), time.Millisecond)}
 }
 
-// start gives a request its turn. The lock is held.
+// start returns the ticket of a request that is admitted. While the rate limit is active, it
+// charges the typical work of a request to the tenant. g.mu must be held.
 func (g *gate) start(req Request) *Ticket {
-	ticket := &Ticket{gate: g, tenant: req.Tenant, aim: req.Aim}
-	if !g.rate.binds {
+	ticket := &Ticket{gate: g, tenant: req.Tenant, targetLatency: req.TargetLatency}
+	if !g.rate.active {
 		return ticket
 	}
 	g.starts++
-	g.retries.FirstTry(retriesPercent)
-	ticket.charged = g.times.quantile(0.5)
-	g.served.charge(req.Tenant, ticket.charged, g.options.Clock())
+	g.retries.RecordFirstAttempt(retriesPercent)
+	ticket.chargedWork = g.times.quantile(0.5)
+	g.work.add(req.Tenant, ticket.chargedWork, g.options.Clock())
 	return ticket
 }
 
-// snapshot is what decides on the order of those that wait. The lock is held.
+// snapshot returns the input of Plan. g.mu must be held.
 func (g *gate) snapshot(now time.Time) Snapshot {
 	rate := g.rate.perSecond
 	s := Snapshot{
-		Waiting: make([]Waiting, len(g.waiting)), Rate: rate, LateRate: max(rate-g.demand.note(now, 0), rate/oldestEvery),
-		First: g.rate.Next(now), Need: g.times.quantile(needPart), Usual: g.times.quantile(0.5),
-		Served: make(map[string]time.Duration), Starts: g.starts,
+		Waiting: make([]QueuedRequest, len(g.waiting)), Rate: rate, LateRate: max(rate-g.arrivals.add(now, 0), rate/oldestTurnInterval),
+		NextStartIn: g.rate.NextStartIn(now), RequiredTime: g.times.quantile(requiredTimeQuantile), TypicalTime: g.times.quantile(0.5),
+		TenantWork: make(map[string]time.Duration), Starts: g.starts,
 	}
 	for i, w := range g.waiting {
-		held, aim := w.Held+now.Sub(w.since), time.Duration(math.MaxInt64)
-		patience := aim
-		if w.Aim > 0 {
-			aim = w.Aim - held
-			patience = max(w.Aim/patiencePart-held, 0)
+		age, targetLeft := w.Age+now.Sub(w.since), time.Duration(math.MaxInt64)
+		maxWait := targetLeft
+		if w.TargetLatency > 0 {
+			targetLeft = w.TargetLatency - age
+			maxWait = max(w.TargetLatency/maxWaitDivisor-age, 0)
 		}
-		s.Served[w.Tenant] = g.served.of(w.Tenant, now)
-		s.Waiting[i] = Waiting{Held: held, Tenant: w.Tenant, Rank: w.Rank, Left: w.Left(), AimLeft: aim, Patience: patience}
+		s.TenantWork[w.Tenant] = g.work.recent(w.Tenant, now)
+		s.Waiting[i] = QueuedRequest{Age: age, Tenant: w.Tenant, Rank: w.Rank, TimeLeft: w.TimeLeft(), TargetLeft: targetLeft, MaxWait: maxWait}
 	}
 	return s
 }
 
-// decide starts, keeps and refuses those that wait, and sees to it that it is called again.
-// The lock is held.
-func (g *gate) decide(now time.Time, replicas []replica.Replica) {
-	g.look(now, replicas)
+// processQueue admits and refuses queued requests as far as possible now, and schedules the next
+// check if any still wait. g.mu must be held.
+func (g *gate) processQueue(now time.Time, replicas []replica.Replica) {
+	g.updateRate(now, replicas)
 	for len(g.waiting) > 0 {
-		if len(replicas) == 0 || !g.rate.binds {
-			// Nothing is known to be full: what is sent says what is certain.
+		if len(replicas) == 0 || !g.rate.active {
+			// Without a sign that the service is full, the attempts themselves determine the
+			// outcome.
 			g.admit(g.waiting[0])
 			continue
 		}
-		if !g.step(now) {
+		if !g.startNext(now) {
 			break
 		}
 	}
 	if len(g.waiting) > 0 {
-		g.wakeAfter(max(min(g.rate.Next(now), lookAgain), time.Millisecond))
+		g.scheduleRecheck(max(min(g.rate.NextStartIn(now), recheckInterval), time.Millisecond))
 	}
 }
 
-// step refuses those that have no time, and starts the first one if it may. It reports
-// whether one has started. The lock is held.
-func (g *gate) step(now time.Time) bool {
+// startNext refuses the requests that can't be served in time, and admits the next one if the rate
+// allows it. It reports whether a request was admitted. g.mu must be held.
+func (g *gate) startNext(now time.Time) bool {
 	var first *waiter
 	s := g.snapshot(now)
 	turns := Plan(s)
-	all := g.waiting
-	drain := inSeconds(float64(len(turns)) / s.LateRate)
+	waiting := g.waiting
+	drainTime := secondsToDuration(float64(len(turns)) / s.LateRate)
 	for i, turn := range turns {
-		w := all[turn.Index]
+		w := waiting[turn.Index]
 		switch {
 		case turn.Refused:
-			g.refuse(w, NoTime, drain)
+			g.refuse(w, NoTurnInTime, drainTime)
 		case i >= maxWaiting:
-			g.refuse(w, TooMany, drain)
+			g.refuse(w, QueueFull, drainTime)
 		case first == nil:
 			first = w
 		}
 	}
-	if first == nil || !g.rate.Take(now) {
+	if first == nil || !g.rate.TryStart(now) {
 		return false
 	}
 	g.admit(first)
 	return true
 }
 
-// places is this daemon's part of the places, while the start rate binds. The lock is held.
-func (g *gate) places() float64 { return g.rate.perSecond * g.times.quantile(0.5).Seconds() }
+// slotShare returns this daemon's share of the service's slots while the rate limit is active. g.mu
+// must be held.
+func (g *gate) slotShare() float64 { return g.rate.perSecond * g.times.quantile(0.5).Seconds() }
 
 func (g *gate) count(counts *Counts) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	counts.Waiting += len(g.waiting)
 	if len(g.waiting) == 0 {
-		g.rate.Rest(g.options.Clock())
+		g.rate.Expire(g.options.Clock())
 	}
-	if g.rate.binds {
-		counts.Full++
-		counts.Places += g.places()
+	if g.rate.active {
+		counts.FullServices++
+		counts.SlotShare += g.slotShare()
 	}
 }
--- a/internal/requests/admission/plan.go
+++ b/internal/requests/admission/plan.go
@@ -7,131 +7,133 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// oldestEvery is how often, one start in so many, the request goes first that has waited
-// longest. It is the bound on starvation: a request that keeps its time and has k requests
-// before it by arrival starts with one of the next oldestEvery*(k+1) starts, whatever comes
-// meanwhile of higher ranks and other tenants. It costs the others that part of the places.
-const oldestEvery = 32
+// oldestTurnInterval is the number of starts after which the request that has waited longest goes
+// first. It bounds starvation: a request with k requests before it by arrival that keeps its
+// deadline is among the next oldestTurnInterval*(k+1) starts, no matter what arrives with a higher
+// rank or from other tenants.
+const oldestTurnInterval = 32
 
-// Waiting is a request that waits.
-type Waiting struct {
-	// Held is how long ago it arrived.
-	Held   time.Duration
+// QueuedRequest describes a waiting request to Plan.
+type QueuedRequest struct {
+	// Age is the time since the request arrived.
+	Age    time.Duration
 	Tenant string
 	Rank   int
-	// Left is how long its caller still waits, AimLeft within which its answer would earn
-	// its full credit, Patience how long it may wait so that a caller that is
-	// refused can still be served soon elsewhere.
-	Left, AimLeft, Patience time.Duration
+	// TimeLeft is how long the caller will still wait, TargetLeft the time in which an answer would
+	// still meet the target latency. MaxWait bounds the further wait of a request that can meet its
+	// target, so that a refused caller has time to be served elsewhere.
+	TimeLeft, TargetLeft, MaxWait time.Duration
 }
 
-// Snapshot is what decides on the order of those that wait.
+// Snapshot is the input of Plan: the queue of one service at one moment.
 type Snapshot struct {
-	Waiting []Waiting
-	// Rate is that of starts, LateRate what it leaves to those that are late, as newer ones
-	// go before them. Both are in starts a second and above 0.
+	Waiting []QueuedRequest
+	// Rate is the rate of starts. LateRate is the part of it that is left for late requests, since
+	// newer ones go before them. Both are in starts per second and above 0.
 	Rate, LateRate float64
-	// First is after which time the next request may start.
-	First time.Duration
-	// Need is within which time most answers come, Usual half of them.
-	Need, Usual time.Duration
-	// Served is the work that each tenant of those that wait has had lately.
-	Served map[string]time.Duration
-	// Starts is how many requests have started.
+	// NextStartIn is the time until the next request may start.
+	NextStartIn time.Duration
+	// RequiredTime is the time within which most answers come, TypicalTime the median.
+	RequiredTime, TypicalTime time.Duration
+	// TenantWork is the recent work of each tenant with a waiting request.
+	TenantWork map[string]time.Duration
+	// Starts is the number of requests that have started.
 	Starts int
 }
 
-// Turn is the place of a request in the order.
+// Turn is the planned start, or the refusal, of a waiting request.
 type Turn struct {
-	// Index is that in Snapshot.Waiting.
+	// Index is the request's index in Snapshot.Waiting.
 	Index int
-	// After is when it is likely to start.
-	After time.Duration
-	// Refused says that it can't be served in its time, or not before its patience ends.
+	// StartsIn is the estimated time until the request starts.
+	StartsIn time.Duration
+	// Refused reports that the request can't be answered before its deadline, or would start later
+	// than its MaxWait allows.
 	Refused bool
 }
 
-// Plan refuses those that can't be answered in their time or whose patience ends before their
-// turn, and orders the others: by rank; those first whose answer can still earn its full credit;
-// then the tenant's that has had the least work; then the one whose caller leaves first.
-// Each start is reckoned as work of its tenant. Those refused have no place in the order.
+// Plan orders the waiting requests and marks those as refused that can't be answered in time or
+// that would wait too long. The order is by rank; then requests that can still meet their target
+// latency before late ones; then the tenant with the least recent work; then the earliest deadline.
+// Each planned start counts as work of its tenant. Refused requests take no position in the order.
 func Plan(s Snapshot) []Turn {
 	turns := make([]Turn, 0, len(s.Waiting))
-	done := make([]bool, len(s.Waiting))
-	had := map[string]time.Duration{}
-	maps.Copy(had, s.Served)
+	planned := make([]bool, len(s.Waiting))
+	work := map[string]time.Duration{}
+	maps.Copy(work, s.TenantWork)
 	starts := 0
 	for range s.Waiting {
-		after := s.First + inSeconds(float64(starts)/s.Rate)
-		longest := (s.Starts+starts)%oldestEvery == oldestEvery-1
-		index := s.pick(done, had, after, longest)
+		startsIn := s.NextStartIn + secondsToDuration(float64(starts)/s.Rate)
+		oldestFirst := (s.Starts+starts)%oldestTurnInterval == oldestTurnInterval-1
+		index := s.pickNext(planned, work, startsIn, oldestFirst)
 		picked := s.Waiting[index]
-		done[index] = true
-		late := s.late(picked, after)
-		if !longest && late {
-			after = s.First + inSeconds(float64(starts+1)/s.LateRate)
+		planned[index] = true
+		isLate := s.isLate(picked, startsIn)
+		if !oldestFirst && isLate {
+			startsIn = s.NextStartIn + secondsToDuration(float64(starts+1)/s.LateRate)
 		}
-		turn := Turn{Index: index, After: after, Refused: after+s.Need > picked.Left || !late && after > picked.Patience}
+		turn := Turn{Index: index, StartsIn: startsIn, Refused: startsIn+s.RequiredTime > picked.TimeLeft || !isLate && startsIn > picked.MaxWait}
 		turns = append(turns, turn)
 		if !turn.Refused {
 			starts++
-			had[picked.Tenant] += s.Usual
+			work[picked.Tenant] += s.TypicalTime
 		}
 	}
 	return turns
 }
 
-func (s Snapshot) late(waiting Waiting, after time.Duration) bool {
-	return after+s.Usual > waiting.AimLeft
+func (s Snapshot) isLate(waiting QueuedRequest, startsIn time.Duration) bool {
+	return startsIn+s.TypicalTime > waiting.TargetLeft
 }
 
-// pick returns which request goes next. One at least is not done.
-func (s Snapshot) pick(done []bool, had map[string]time.Duration, after time.Duration, longest bool) int {
+// pickNext returns the index of the request that goes next. At least one element of planned must be
+// false.
+func (s Snapshot) pickNext(planned []bool, work map[string]time.Duration, startsIn time.Duration, oldestFirst bool) int {
 	best := -1
 	for i, w := range s.Waiting {
-		if done[i] || longest && after+s.Need > w.Left {
+		if planned[i] || oldestFirst && startsIn+s.RequiredTime > w.TimeLeft {
 			continue
 		}
-		if best < 0 || longest && w.Held > s.Waiting[best].Held || !longest && s.before(w, s.Waiting[best], had, after) {
+		if best < 0 || oldestFirst && w.Age > s.Waiting[best].Age || !oldestFirst && s.before(w, s.Waiting[best], work, startsIn) {
 			best = i
 		}
 	}
 	if best < 0 {
-		return s.pick(done, had, after, false)
+		return s.pickNext(planned, work, startsIn, false)
 	}
 	return best
 }
 
-// before reports whether one request goes before the other.
-func (s Snapshot) before(one, other Waiting, had map[string]time.Duration, after time.Duration) bool {
+// before reports whether request one goes before request other.
+func (s Snapshot) before(one, other QueuedRequest, work map[string]time.Duration, startsIn time.Duration) bool {
 	if one.Rank != other.Rank {
 		return one.Rank < other.Rank
 	}
-	if late := s.late(one, after); late != s.late(other, after) {
-		return !late
+	if isLate := s.isLate(one, startsIn); isLate != s.isLate(other, startsIn) {
+		return !isLate
 	}
-	if had[one.Tenant] != had[other.Tenant] {
-		return had[one.Tenant] < had[other.Tenant]
+	if work[one.Tenant] != work[other.Tenant] {
+		return work[one.Tenant] < work[other.Tenant]
 	}
-	if one.Left != other.Left {
-		return one.Left < other.Left
+	if one.TimeLeft != other.TimeLeft {
+		return one.TimeLeft < other.TimeLeft
 	}
-	return one.Held > other.Held
+	return one.Age > other.Age
 }
 
 const (
-	// minComeBack is the shortest time that a refused caller is told to wait, a few requests'
-	// time, where its own time allows it.
-	minComeBack = 100 * time.Millisecond
-	// lowestRank is from which rank on callers are told the same.
+	// minRetryAfter is the shortest delay that is suggested to a refused caller, unless the
+	// caller's remaining time is too short for it.
+	minRetryAfter = 100 * time.Millisecond
+	// lowestRank is the rank from which on all ranks get the same delay.
 	lowestRank = 3
 )
 
-// ComeBack is when a refused caller should come back: as the queue has drained, spread over
-// half of that time, so that callers refused together do not return together, and sooner the higher
-// its rank. Draw is between 0 and 1.
-func ComeBack(drain, left time.Duration, rank int, draw float64) time.Duration {
-	most := refusal.Within(max(2*drain, 2*minComeBack), left)
-	place := (float64(min(max(rank, 0), lowestRank)) + draw) / (lowestRank + 1)
-	return most/2 + time.Duration(place*float64(most/2))
+// RetryAfter returns the delay after which a refused caller should try again. The delay is about
+// the time that the queue takes to drain, is shorter for higher ranks and is spread by draw, a
+// random number in [0, 1), so that callers refused together do not return together.
+func RetryAfter(drainTime, left time.Duration, rank int, draw float64) time.Duration {
+	maxDelay := refusal.CapRetryAfter(max(2*drainTime, 2*minRetryAfter), left)
+	position := (float64(min(max(rank, 0), lowestRank)) + draw) / (lowestRank + 1)
+	return maxDelay/2 + time.Duration(position*float64(maxDelay/2))
 }
--- a/internal/requests/admission/startrate.go
+++ b/internal/requests/admission/startrate.go
@@ -6,146 +6,147 @@
 )
 
 const (
-	// calmAnswers is how many answers in a row without a sign of fullness show that there
-	// is room again: twice as many as come between two cuts at an even load.
-	calmAnswers = 20
-	// fullHolds is how long at most a service counts as full after the last sign of it:
-	// a daemon that asks seldom sees no run of answers.
-	fullHolds = 3 * time.Second
-	// lowerEvery is the least time between two cuts of the rate: requests that were sent
-	// before a cut say nothing of the rate after it.
-	lowerEvery = 60 * time.Millisecond
-	// declinedCut is what a request that was declined leaves of the rate. A decline costs the
-	// replicas little: some are taken into account so that their places stay in use.
-	declinedCut = 0.8
-	// queuedCut is what a sign that requests wait at the replicas leaves of it, but no less
-	// than an equal share: at that rate as many run as there are slots, by the times seen. At the
-	// replicas requests have no order and hold up those that come after them.
-	queuedCut = 0.5
-	// raiseBy is by which part of the mean of the rate and an equal share an answer raises
-	// the rate (the geometric mean: those above their share grow by less of it than those
-	// below, so that parts even out, and a daemon with all the demand keeps the places in
-	// use). At an equal share a cut then comes with each second start: a decline costs little, an idle
-	// place an answer.
-	raiseBy = 0.2
-	// regainBy is the same once no sign of fullness has come in calmAnswers.
-	regainBy = 0.5
-	// firstPart of a daemon's demand is where it begins if that is more than an equal share:
-	// where all clients come to few daemons, these have most of the places.
-	firstPart = 0.5
-	// minPart of an equal share is always used, or the room that others leave would
-	// never be found; minRate does the same for a daemon among very many, in starts a
-	// second.
-	minPart = 1.0 / 8
-	minRate = 1.0
-	// maxCredit is how many starts may be saved up: a daemon that sees a request now and
-	// then sends it at once.
+	// minCalmAnswers is the number of consecutive answers without a sign that the service is full
+	// after which it is considered to have room again.
+	minCalmAnswers = 20
+	// fullMaxAge is how long the last sign keeps a service full at most, since a daemon with few
+	// requests does not see minCalmAnswers.
+	fullMaxAge = 3 * time.Second
+	// minCutInterval is the shortest time between two cuts of the rate. The outcomes of requests
+	// that were sent before a cut carry no information about the new rate.
+	minCutInterval = 60 * time.Millisecond
+	// declinedCutFactor multiplies the rate when a request was declined. The cut is mild because a
+	// decline costs the replicas little and some declines keep the slots in use.
+	declinedCutFactor = 0.8
+	// queuedCutFactor multiplies the rate when requests queue at the replicas, but does not take it
+	// below an equal share, at which as many requests run as there are slots. The cut is strong
+	// because the replicas' queues ignore rank and delay all later requests.
+	queuedCutFactor = 0.5
+	// raiseFraction is the fraction of the geometric mean of the rate and an equal share by which
+	// an answer raises the rate. The geometric mean makes shares converge, since rates above an
+	// equal share grow by a smaller fraction than rates below it, and still lets a daemon with all
+	// of the demand use all slots.
+	raiseFraction = 0.2
+	// calmRaiseFraction replaces raiseFraction once the service has room again.
+	calmRaiseFraction = 0.5
+	// initialDemandFraction is the fraction of a daemon's demand at which its rate starts if that
+	// is more than an equal share, as when all clients connect to a few daemons.
+	initialDemandFraction = 0.5
+	// minShareFraction is the fraction of an equal share that a daemon always uses, so that it
+	// notices slots that others release. minRate, in starts per second, does the same where an
+	// equal share is tiny.
+	minShareFraction = 1.0 / 8
+	minRate          = 1.0
+	// maxCredit is how many starts can be saved up. A daemon with occasional requests sends each at
+	// once.
 	maxCredit = 1.0
 )
 
-// Sign is why a service is taken to be full.
-type Sign string
+// FullnessSign is the observation by which a service is considered full.
+type FullnessSign string
 
-// Signs of a full service.
 const (
-	// SignDeclined: each replica asked has declined a request.
-	SignDeclined Sign = "declined"
-	// SignTold: each replica has told of as many requests as it has slots, or has as
-	// many of this daemon's.
-	SignTold Sign = "as many requests as slots"
-	// SignSlow: answers take far longer than usual.
-	SignSlow Sign = "slow answers"
+	// SignDeclined: each replica that was asked declined a request.
+	SignDeclined FullnessSign = "declined"
+	// SignSlotsTaken: each replica reports as many requests as it has slots, or has that many from
+	// this daemon.
+	SignSlotsTaken FullnessSign = "as many requests as slots"
+	// SignSlow: several consecutive answers took far longer than usual.
+	SignSlow FullnessSign = "slow answers"
 )
 
-// Capacity is what the replicas of a service bear together, and among how many daemons.
+// Capacity is what the replicas of a service can serve, and among how many daemons it is shared.
 type Capacity struct {
 	Slots, Daemons int
-	// Demand is how many requests a second this daemon has got lately.
+	// Demand is this daemon's recent rate of arrivals, in requests per second.
 	Demand float64
-	// Usual is what a request takes.
-	Usual time.Duration
+	// TypicalTime is the typical duration of a request. It must be above 0.
+	TypicalTime time.Duration
 }
 
-// whole is the rate at which all places are in use, in starts a second.
-func (c Capacity) whole() float64 { return float64(max(c.Slots, 1)) / c.Usual.Seconds() }
+// totalRate returns the rate at which all slots are in use, in starts per second.
+func (c Capacity) totalRate() float64 { return float64(max(c.Slots, 1)) / c.TypicalTime.Seconds() }
 
-// equal is an equal part of it.
-func (c Capacity) equal() float64 { return c.whole() / float64(max(c.Daemons, 1)) }
+// equalShare returns totalRate divided by the number of daemons.
+func (c Capacity) equalShare() float64 { return c.totalRate() / float64(max(c.Daemons, 1)) }
 
-// StartRate is the rate of starts of a daemon at one service. It binds from the first sign that
-// the service is full until none has come for a while and nothing waits. The zero StartRate
-// does not bind.
+// StartRate limits the rate at which a daemon starts requests at one service. The limit is active
+// from the first sign that the service is full until Expire finds that none has come for a while.
+// The zero StartRate is inactive. It is not safe for concurrent use.
 type StartRate struct {
-	binds     bool
+	active    bool
 	perSecond float64
-	// credit is how many requests may start now, as of at.
-	credit float64
-	at     time.Time
-	fullAt time.Time
-	cutAt  time.Time
-	// calm counts answers since fullAt.
-	calm int
+	// credit is the number of requests that may start, as of creditAt.
+	credit   float64
+	creditAt time.Time
+	fullAt   time.Time
+	cutAt    time.Time
+	// calmAnswers counts the answers since fullAt.
+	calmAnswers int
 }
 
-// Full notes a sign that the service is full.
-func (r *StartRate) Full(now time.Time, c Capacity, sign Sign) {
-	if !r.binds {
-		*r = StartRate{binds: true, perSecond: max(c.equal(), firstPart*c.Demand), credit: maxCredit, at: now, cutAt: now}
+// RecordFull records a sign that the service is full. It activates the limit, or cuts the rate
+// unless the last cut is less than minCutInterval ago.
+func (r *StartRate) RecordFull(now time.Time, c Capacity, sign FullnessSign) {
+	if !r.active {
+		*r = StartRate{active: true, perSecond: max(c.equalShare(), initialDemandFraction*c.Demand), credit: maxCredit, creditAt: now, cutAt: now}
 	}
-	r.fill(now)
-	r.fullAt, r.calm = now, 0
-	if now.Sub(r.cutAt) >= lowerEvery {
-		r.perSecond, r.cutAt = r.lowered(c, sign), now
+	r.refill(now)
+	r.fullAt, r.calmAnswers = now, 0
+	if now.Sub(r.cutAt) >= minCutInterval {
+		r.perSecond, r.cutAt = r.reduced(c, sign), now
 	}
-	r.bound(c)
+	r.clamp(c)
 }
 
-func (r *StartRate) lowered(c Capacity, sign Sign) float64 {
+func (r *StartRate) reduced(c Capacity, sign FullnessSign) float64 {
 	if sign == SignDeclined {
-		return r.perSecond * declinedCut
+		return r.perSecond * declinedCutFactor
 	}
-	return min(r.perSecond, max(r.perSecond*queuedCut, c.equal()))
+	return min(r.perSecond, max(r.perSecond*queuedCutFactor, c.equalShare()))
 }
 
-// Answered notes an answer without such a sign.
-func (r *StartRate) Answered(now time.Time, c Capacity) {
-	if !r.binds {
+// RecordAnswer records an answer without a sign that the service is full, and raises the rate.
+func (r *StartRate) RecordAnswer(now time.Time, c Capacity) {
+	if !r.active {
 		return
 	}
-	r.fill(now)
-	r.calm++
-	step := raiseBy
-	if !r.full(now) {
-		step = regainBy
+	r.refill(now)
+	r.calmAnswers++
+	step := raiseFraction
+	if !r.isFull(now) {
+		step = calmRaiseFraction
 	}
-	r.perSecond += step * math.Sqrt(c.equal()*r.perSecond)
-	r.bound(c)
+	r.perSecond += step * math.Sqrt(c.equalShare()*r.perSecond)
+	r.clamp(c)
 }
 
-// Room notes that a place is free: a request may start now.
-func (r *StartRate) Room(now time.Time) {
-	r.fill(now)
+// AllowStart sets the credit so that one request may start now, because a slot has become free.
+func (r *StartRate) AllowStart(now time.Time) {
+	r.refill(now)
 	r.credit = maxCredit
 }
 
-// Rest ends the binding once the service is not seen to be full any more. Nothing may wait.
-func (r *StartRate) Rest(now time.Time) {
-	if r.binds && !r.full(now) {
+// Expire deactivates the limit if the service is no longer considered full. No request may be
+// waiting.
+func (r *StartRate) Expire(now time.Time) {
+	if r.active && !r.isFull(now) {
 		*r = StartRate{}
 	}
 }
 
-// full reports whether the last sign of fullness still counts.
-func (r *StartRate) full(now time.Time) bool {
-	return r.calm < calmAnswers && now.Sub(r.fullAt) <= fullHolds
+// isFull reports whether the last sign that the service is full still counts.
+func (r *StartRate) isFull(now time.Time) bool {
+	return r.calmAnswers < minCalmAnswers && now.Sub(r.fullAt) <= fullMaxAge
 }
 
-// Take spends the credit for a start, if there is one.
-func (r *StartRate) Take(now time.Time) bool {
-	if !r.binds {
+// TryStart reports whether a request may start now, and if so spends the credit for it. It always
+// succeeds while the limit is inactive.
+func (r *StartRate) TryStart(now time.Time) bool {
+	if !r.active {
 		return true
 	}
-	r.fill(now)
+	r.refill(now)
 	if r.credit < 1 {
 		return false
 	}
@@ -153,31 +154,32 @@
 	return true
 }
 
-// Next is after which time a request may start, 0 for now.
-func (r *StartRate) Next(now time.Time) time.Duration {
-	if !r.binds {
+// NextStartIn returns the time until a request may start, 0 if it may start now.
+func (r *StartRate) NextStartIn(now time.Time) time.Duration {
+	if !r.active {
 		return 0
 	}
-	r.fill(now)
-	return max(0, inSeconds((1-r.credit)/r.perSecond))
+	r.refill(now)
+	return max(0, secondsToDuration((1-r.credit)/r.perSecond))
 }
 
-func (r *StartRate) fill(now time.Time) {
-	r.credit = min(r.credit+r.perSecond*max(now.Sub(r.at), 0).Seconds(), maxCredit)
-	r.at = now
+func (r *StartRate) refill(now time.Time) {
+	r.credit = min(r.credit+r.perSecond*max(now.Sub(r.creditAt), 0).Seconds(), maxCredit)
+	r.creditAt = now
 }
 
-func (r *StartRate) bound(c Capacity) {
-	least := max(c.equal()*minPart, minRate)
-	r.perSecond = max(least, min(r.perSecond, c.whole()))
+func (r *StartRate) clamp(c Capacity) {
+	minPerSecond := max(c.equalShare()*minShareFraction, minRate)
+	r.perSecond = max(minPerSecond, min(r.perSecond, c.totalRate()))
 }
 
-// creditSlack keeps a timer that rounds down from being set again for nothing.
-const creditSlack = time.Microsecond
+// timerSlack is added to durations because a timer that fires slightly early would have to be set
+// again.
+const timerSlack = time.Microsecond
 
-func inSeconds(seconds float64) time.Duration {
+func secondsToDuration(seconds float64) time.Duration {
 	if seconds <= 0 {
 		return 0
 	}
-	return time.Duration(seconds*float64(time.Second)) + creditSlack
+	return time.Duration(seconds*float64(time.Second)) + timerSlack
 }
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -16,55 +16,58 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// Errors of an attempt; each says why no answer could be passed on. A stream that was
-// declined has ErrDeclined.
+// Errors of an attempt without an answer to pass on. A declined stream has ErrDeclined instead of
+// errPlainDeclined.
 var (
-	errUnsound       = errors.New("forward: unsound answer")
+	errInvalidAnswer = errors.New("forward: unsound answer")
 	errPlainDeclined = errors.New("forward: declined")
 	errTimeUp        = errors.New("time is up")
 )
 
 const (
-	// bufferedBytes is the longest answer that is held until it is whole.
-	bufferedBytes = 1 << 20
-	// declinedPause is how long a replica that declined is passed over.
-	declinedPause = 60 * time.Millisecond
+	// maxBufferedBytes is the length up to which an answer is read completely before it is passed
+	// on.
+	maxBufferedBytes = 1 << 20
+	// declinedRetryDelay is how long a replica that declined is avoided.
+	declinedRetryDelay = 60 * time.Millisecond
 )
 
-// result is the outcome of one attempt at one replica.
+// result is the outcome of one attempt at one replica. Exactly one of answer and err is set.
 type result struct {
 	answer     *Answer
 	err        error
 	mayHaveRun bool
 }
 
-// attempt sends the call to one replica; over is called when the exchange has ended.
-func (f *Forwarder) attempt(ctx context.Context, over func(), call *Call, rep replica.Replica) result {
+// attempt sends the call to one replica. It calls onEnd when the exchange has ended; for an answer
+// with a Rest this is when the answer is closed.
+func (f *Forwarder) attempt(ctx context.Context, onEnd func(), call *Call, rep replica.Replica) result {
 	f.Table.Started(rep.Incarnation())
 	end := func() {
-		over()
+		onEnd()
 		f.Table.Ended(rep.Incarnation())
 	}
 	started := time.Now()
 	answer, sentAt, mayHaveRun, err := f.exchange(ctx, call, rep)
 	if mayHaveRun {
-		call.Ran(sentAt)
+		call.OnRun(sentAt)
 	}
 	outcome := outcomeOf(ctx, err)
 	f.Observe(rep.Service, outcome, time.Since(started))
 	if err != nil {
-		// The end below cancels the attempt's context, which then says nothing of the caller.
-		cut := ctx.Err() != nil
-		f.noteFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep,
-			outcome: outcome, mayHaveRun: mayHaveRun, after: time.Since(started), err: err})
+		// Checked before end, which cancels the attempt's context: afterwards ctx.Err does not tell
+		// whether the caller cancelled.
+		cancelled := ctx.Err() != nil
+		f.recordFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep,
+			outcome: outcome, mayHaveRun: mayHaveRun, took: time.Since(started), err: err})
 		end()
-		if !cut {
-			f.learn(rep, err)
+		if !cancelled {
+			f.avoidReplica(rep, err)
 		}
 		return result{err: err, mayHaveRun: mayHaveRun}
 	}
 	f.Table.Succeeded(rep.Incarnation(), time.Since(started))
-	answer.Replica, answer.end = rep.ID, end
+	answer.Replica, answer.endAttempt = rep.ID, end
 	if answer.Rest == nil {
 		f.Quarantine.Answered(call.content)
 		end()
@@ -72,18 +75,18 @@
 	return result{answer: answer, mayHaveRun: true}
 }
 
-// Names of how attempts end, in logs and metrics.
+// Outcomes of attempts, as they appear in logs and metrics.
 const (
-	outcomeAnswered = "answered"
-	outcomeDeclined = "declined"
-	outcomeCut      = "cut"
-	outcomeNotSent  = "not sent"
-	outcomeFull     = "no connection"
-	outcomeFailed   = "failed"
-	outcomeBroken   = "broken"
+	outcomeAnswered     = "answered"
+	outcomeDeclined     = "declined"
+	outcomeCancelled    = "cut"
+	outcomeNotSent      = "not sent"
+	outcomeNoConnection = "no connection"
+	outcomeErrorStatus  = "failed"
+	outcomeBroken       = "broken"
 )
 
-// outcomeOf names how an attempt ended.
+// outcomeOf returns the outcome of an attempt for logs and metrics.
 func outcomeOf(ctx context.Context, err error) string {
 	switch {
 	case err == nil:
@@ -91,86 +94,87 @@
 	case errors.Is(err, errPlainDeclined), errors.Is(err, ErrDeclined):
 		return outcomeDeclined
 	case ctx.Err() != nil:
-		return outcomeCut
+		return outcomeCancelled
 	case errors.Is(err, upstream.ErrFull):
-		return outcomeFull
+		return outcomeNoConnection
 	case errors.Is(err, upstream.ErrNotSent):
 		return outcomeNotSent
 	case errors.Is(err, ErrStatus):
-		return outcomeFailed
+		return outcomeErrorStatus
 	default:
 		return outcomeBroken
 	}
 }
 
-func (f *Forwarder) learn(rep replica.Replica, err error) {
+func (f *Forwarder) avoidReplica(rep replica.Replica, err error) {
 	if errors.Is(err, errPlainDeclined) || errors.Is(err, upstream.ErrFull) {
-		f.Table.Busy(rep.Incarnation(), declinedPause)
+		f.Table.Busy(rep.Incarnation(), declinedRetryDelay)
 		return
 	}
 	f.Table.Failed(rep.Incarnation())
-	f.failures().Note(logging.Occurrence{Key: rep.ID}, zap.String("service", rep.Service), zap.Error(err))
+	f.replicaFailures().Note(logging.Occurrence{Key: rep.ID}, zap.String("service", rep.Service), zap.Error(err))
 }
 
-// failures sums the failures of each replica; what they did to a request is in its
-// "attempt failed".
-func (f *Forwarder) failures() *logging.Episodes {
-	f.failedOnce.Do(func() { f.failed = logging.NewEpisodes(f.Logger, "replica failed", "replica", "") })
-	return f.failed
+// replicaFailures returns the log episodes that summarize the failures of each replica. The effect
+// on a single request is logged as "attempt failed".
+func (f *Forwarder) replicaFailures() *logging.Episodes {
+	f.failuresOnce.Do(func() { f.failures = logging.NewEpisodes(f.Logger, "replica failed", "replica", "") })
+	return f.failures
 }
 
-// exchange sends the call and reads the answer, whole if it is short.
+// exchange sends the call and reads the answer, completely if it is short. sentAt is the time at
+// which the request was sent; mayHaveRun reports whether the replica may have run it.
 func (f *Forwarder) exchange(
 	ctx context.Context, call *Call, rep replica.Replica,
 ) (answer *Answer, sentAt time.Time, mayHaveRun bool, err error) {
 	header := call.Header.Clone()
 	if deadline, bounded := ctx.Deadline(); bounded {
-		left := min(time.Until(deadline), call.Left())
+		left := min(time.Until(deadline), call.TimeLeft())
 		if left <= 0 {
 			return nil, sentAt, false, errors.Wrap(upstream.ErrNotSent, errTimeUp.Error())
 		}
 		header[http.CanonicalHeaderKey(f.Names.DeadlineMs)] = []string{strconv.FormatInt(max(left.Milliseconds(), 1), 10)}
 	}
-	out := &upstream.Request{Header: header, Repeatable: call.Repeatable, ConnectionDeadline: call.ConnectionUntil}
-	response, err := f.ask(ctx, rep, &call.Request, out)
+	out := &upstream.Request{Header: header, Repeatable: call.Repeatable, ConnectionDeadline: call.ConnectionDeadline}
+	response, err := f.roundTrip(ctx, rep, &call.Request, out)
 	sentAt = out.SentAt
 	if err != nil {
 		return nil, sentAt, !errors.Is(err, upstream.ErrNotSent), err
 	}
-	if f.notRun(response) {
-		// An error shows as the connection is given back.
-		_, _ = io.Copy(io.Discard, io.LimitReader(response, bufferedBytes))
+	if f.wasNotRun(response) {
+		// A read error surfaces when the connection is returned to the pool.
+		_, _ = io.Copy(io.Discard, io.LimitReader(response, maxBufferedBytes))
 		response.Close()
 		return nil, sentAt, false, errors.Wrapf(errPlainDeclined, "status %d", response.Status)
 	}
 	if response.Header.Get(f.Names.Signature) == "" {
 		response.Close()
-		return nil, sentAt, true, errors.Wrapf(errUnsound, "status %d without a signature", response.Status)
+		return nil, sentAt, true, errors.Wrapf(errInvalidAnswer, "status %d without a signature", response.Status)
 	}
 	answer, err = f.readAnswer(call, response)
 	if err == nil && answer.Rest != nil {
-		answer.Rest.ended = func(err error) {
-			f.noteEnd(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, mayHaveRun: true, err: err})
+		answer.Rest.onEnd = func(err error) {
+			f.recordEnd(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, mayHaveRun: true, err: err})
 		}
 	}
 	return answer, sentAt, true, err
 }
 
-// ask completes what is sent to a replica for a request, sends it, and returns the answer once
-// its head has come.
-func (f *Forwarder) ask(ctx context.Context, rep replica.Replica, req *Request, out *upstream.Request) (*upstream.Answer, error) {
+// roundTrip adds the replica's headers to out, sends it and returns the answer once its head has
+// been received.
+func (f *Forwarder) roundTrip(ctx context.Context, rep replica.Replica, req *Request, out *upstream.Request) (*upstream.Answer, error) {
 	out.Method, out.Target, out.Host, out.Body = req.Method, req.Target, req.Host, req.Body
 	out.Header[http.CanonicalHeaderKey(f.Names.ExpectReplica)] = []string{rep.ID}
-	out.EchoHeader, out.EchoValue, out.MaxOpen = f.Names.RequestID, req.RequestID, f.MaxOpen(rep)
+	out.EchoHeader, out.EchoValue, out.MaxOpen = f.Names.RequestID, req.RequestID, f.MaxConnections(rep)
 	answer, err := f.Pool.Exchange(ctx, rep.Address, out)
 	if err == nil {
-		f.noteLoad(rep, answer.Header)
+		f.recordLoad(rep, answer.Header)
 	}
 	return answer, err
 }
 
-// noteLoad notes what an answer tells of its replica's load.
-func (f *Forwarder) noteLoad(rep replica.Replica, header http.Header) {
+// recordLoad records the load and the slowdown that a replica reports in an answer.
+func (f *Forwarder) recordLoad(rep replica.Replica, header http.Header) {
 	if f.Names.DecodeLoad == nil {
 		return
 	}
@@ -184,17 +188,17 @@
 	}
 }
 
-// readAnswer reads an answer whole if it is short and there is room for it, else its
-// beginning. One that announces its length is read into one buffer of that size: growing
-// one costs twice the length.
+// readAnswer reads an answer completely if it is short and memory can be reserved for it; otherwise
+// it reads the beginning and leaves the rest in Answer.Rest. An announced length sizes the buffer
+// in advance, since growing a buffer needs twice the memory.
 func (f *Forwarder) readAnswer(call *Call, response *upstream.Answer) (*Answer, error) {
 	answer := &Answer{Status: response.Status, Header: response.Header}
 	announced := response.Length()
 	if call.Method == http.MethodHead {
-		announced = 0 // it tells the length of what does not come
+		announced = 0 // the announced length is that of a body that is not sent
 	}
-	body, whole, err := call.Account.Read(holding.Answers, response, announced, bufferedBytes,
-		func(n int64) bool { return call.Account.Take(holding.Answers, n) })
+	body, whole, err := call.Account.Read(holding.Answers, response, announced, maxBufferedBytes,
+		func(n int64) bool { return call.Account.Reserve(holding.Answers, n) })
 	if err != nil {
 		response.Close()
 		return nil, err
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -14,44 +14,43 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// errNoReplica: no replica of the call's services is listed, or each is passed over.
+// errNoReplica: no replica of the call's services is listed, or all are excluded.
 var errNoReplica = errors.New("forward: no replica")
 
-// lastWord is how long the attempts that the end of the context cuts have to say whether they
-// were sent. They end at once; a third of the time that ingress keeps back for a final answer
-// leaves the rest of it to the answer.
-const lastWord = 8 * time.Millisecond
+// cancelledAttemptTimeout is how long a call waits for the outcomes of attempts that were cancelled
+// with its context. It is a third of the time that ingress reserves for the final answer.
+const cancelledAttemptTimeout = 8 * time.Millisecond
 
-// attempts are those at one call. All but outcomes belongs to the goroutine of loop.
+// attempts holds the state of all attempts of one call. All fields but outcomes belong to the
+// goroutine of run.
 type attempts struct {
 	forwarder *Forwarder
 	call      *Call
-	// passedOver are the replicas that had an attempt, and those that may not run the content
-	// now.
-	passedOver map[string]bool
-	// asked are the replicas that had an attempt, each with what cuts it.
-	asked    map[string]context.CancelFunc
-	outcomes chan result
-	// mayHaveRun counts attempts that may have run, notRun those that did not,
-	// open those without an outcome yet.
+	// excluded holds the replicas that had an attempt, and those that may not run the content now.
+	excluded map[string]bool
+	// cancelByReplica holds the cancel function of each replica's attempt.
+	cancelByReplica map[string]context.CancelFunc
+	outcomes        chan result
+	// mayHaveRun counts attempts that may have run, notRun those that certainly did not, open those
+	// without an outcome yet.
 	mayHaveRun, notRun, open int
-	// declined counts those of notRun that their replica turned away.
+	// declined counts the attempts of notRun that were declined by their replica.
 	declined   int
 	lastReason string
-	// quarantined, if not nil, is why the content may not run now.
+	// quarantined is set if quarantine refuses to run the content now.
 	quarantined *QuarantinedError
-	// fallback is a replica's own failure, passed on if nothing better comes.
+	// fallback is a replica's own error answer, which is passed on if no better one comes.
 	fallback *Answer
 }
 
 func newAttempts(f *Forwarder, call *Call) *attempts {
-	call.complete()
-	return &attempts{forwarder: f, call: call, passedOver: map[string]bool{}, asked: map[string]context.CancelFunc{},
-		outcomes: make(chan result, call.MaxAttempts+extraAttempts+1)}
+	call.setDefaults()
+	return &attempts{forwarder: f, call: call, excluded: map[string]bool{}, cancelByReplica: map[string]context.CancelFunc{},
+		outcomes: make(chan result, call.MaxAttempts+maxExtraAttempts+1)}
 }
 
-// loop makes attempts until one has an answer to pass on, or none may be made any more.
-func (a *attempts) loop(ctx context.Context) (*Answer, error) {
+// run makes attempts until one has an answer to pass on or no further attempt is allowed.
+func (a *attempts) run(ctx context.Context) (*Answer, error) {
 	if ctx.Err() != nil {
 		return nil, a.failure(errTimeUp.Error())
 	}
@@ -61,8 +60,8 @@
 		select {
 		case res := <-a.outcomes:
 			a.open--
-			if answer := a.judge(res); answer != nil {
-				a.drain(answer.Replica)
+			if answer := a.handleResult(res); answer != nil {
+				a.cancelOthers(answer.Replica)
 				return answer, nil
 			}
 			if a.open == 0 && a.mayRetry(ctx) {
@@ -74,7 +73,7 @@
 				hedge.Reset(a.start(ctx))
 			}
 		case <-ctx.Done():
-			return a.timeUp()
+			return a.awaitCancelled()
 		}
 	}
 	if a.fallback != nil {
@@ -83,37 +82,37 @@
 	return nil, a.failure(a.lastReason)
 }
 
-// timeUp ends a call whose context has ended, which has cut its open attempts. Each of them
-// says whether it was sent: one whose connection was never made has not run, and an
-// answer that came whole with the end is still the answer.
-func (a *attempts) timeUp() (*Answer, error) {
-	late := time.NewTimer(lastWord)
-	defer late.Stop()
+// awaitCancelled collects the outcomes of the open attempts after the call's context has ended and
+// cancelled them. Attempts that were never sent have not run, and an answer that was received
+// completely at the last moment is still passed on.
+func (a *attempts) awaitCancelled() (*Answer, error) {
+	timeout := time.NewTimer(cancelledAttemptTimeout)
+	defer timeout.Stop()
 	for a.open > 0 {
 		select {
 		case res := <-a.outcomes:
 			a.open--
-			answer := a.judge(res)
+			answer := a.handleResult(res)
 			if answer != nil && answer.Rest == nil {
-				a.drain(answer.Replica)
+				a.cancelOthers(answer.Replica)
 				return answer, nil
 			}
 			if answer != nil {
 				answer.Close()
 			}
-		case <-late.C:
+		case <-timeout.C:
 			a.mayHaveRun += a.open
-			a.drain("")
+			a.cancelOthers("")
 			return nil, a.failure(errTimeUp.Error())
 		}
 	}
 	return nil, a.failure(errTimeUp.Error())
 }
 
-// drain cuts the attempts that are open, but for that to the kept replica, and
-// gives their connections back.
-func (a *attempts) drain(kept string) {
-	for id, cancel := range a.asked {
+// cancelOthers cancels the open attempts except that at the replica kept, and closes their answers
+// in the background.
+func (a *attempts) cancelOthers(kept string) {
+	for id, cancel := range a.cancelByReplica {
 		if id != kept {
 			cancel()
 		}
@@ -131,7 +130,7 @@
 	}()
 }
 
-// failure says why the call has no answer to pass on. It closes the fallback, if there is one.
+// failure returns the error of a call without an answer to pass on. It closes the fallback.
 func (a *attempts) failure(reason string) *Failure {
 	if a.fallback != nil {
 		a.fallback.Close()
@@ -144,59 +143,59 @@
 		reason = errNoReplica.Error()
 	}
 	return &Failure{Certainty: certainty, Reason: reason, Quarantined: a.quarantined, Attempts: a.mayHaveRun,
-		Asked: slices.Sorted(maps.Keys(a.asked)),
-		Full:  certainty == NotRun && a.declined > 0 && a.declined == a.notRun && a.quarantined == nil}
+		AskedReplicas: slices.Sorted(maps.Keys(a.cancelByReplica)),
+		AllDeclined:   certainty == NotRun && a.declined > 0 && a.declined == a.notRun && a.quarantined == nil}
 }
 
-// state is what has become of the call so far.
+// state returns the input of the retry rule.
 func (a *attempts) state() AttemptState {
 	return AttemptState{MayHaveRun: a.mayHaveRun, Open: a.open, NotRun: a.notRun, MaxAttempts: a.call.MaxAttempts,
-		Repeatable: a.call.Repeatable, Suspicion: a.suspicion(), Refused: a.quarantined != nil}
+		Repeatable: a.call.Repeatable, Suspicion: a.suspicion(), ContentRefused: a.quarantined != nil}
 }
 
-// mayRetry reports whether another replica is asked now. Nothing is begun for a caller
-// that has left: its end may come together with the outcome or the moment that woke the
-// loop.
+// mayRetry reports whether another replica may be asked now. It checks the context first, as the
+// caller may have left at the moment of the event that woke run.
 func (a *attempts) mayRetry(ctx context.Context) bool {
 	return ctx.Err() == nil && a.state().MayRetry() && a.call.MayRetry(a.mayHaveRun+a.notRun+a.open)
 }
 
-// start sends the call to the next replica, if there is one, and returns after
-// which time another should be asked as well.
+// start sends the call to the next replica, if there is one, and returns the delay after which a
+// hedge may be sent.
 func (a *attempts) start(ctx context.Context) time.Duration {
-	rep, release, ok := a.pick(ctx)
+	rep, release, ok := a.pickReplica(ctx)
 	if !ok {
-		return noHedge
+		return noHedgeDelay
 	}
-	a.passedOver[rep.ID] = true
+	a.excluded[rep.ID] = true
 	a.open++
 	attemptCtx, cancel := context.WithCancel(ctx)
-	a.asked[rep.ID] = cancel
+	a.cancelByReplica[rep.ID] = cancel
 	go func() {
 		a.outcomes <- a.forwarder.attempt(attemptCtx, func() { cancel(); release() }, a.call, rep)
 	}()
 	return hedgeDelay(a.call.HedgeAfter, rep.Latency)
 }
 
-// suspicion is what is held against the call's content.
+// suspicion returns the quarantine's current suspicion against the call's content.
 func (a *attempts) suspicion() quarantine.Suspicion {
 	return a.forwarder.Quarantine.Suspicion(a.call.content)
 }
 
-// pick picks a replica at which the call's content may run now. It waits while
-// another run of the content finds out whether it ends its replica.
-func (a *attempts) pick(ctx context.Context) (rep replica.Replica, release func(), ok bool) {
+// pickReplica picks a replica that may run the call's content now, and waits while another run of
+// the content shows whether it crashes its replica. The caller must call release when the run has
+// ended.
+func (a *attempts) pickReplica(ctx context.Context) (rep replica.Replica, release func(), ok bool) {
 	for ctx.Err() == nil {
-		if rep, ok = a.forwarder.Pick(a.call.Services, a.passedOver); !ok {
+		if rep, ok = a.forwarder.Pick(a.call.Services, a.excluded); !ok {
 			return replica.Replica{}, nil, false
 		}
-		release, err := a.forwarder.mayRun(a.call.RequestID, a.call.content, rep)
+		release, err := a.forwarder.admitContent(a.call.RequestID, a.call.content, rep)
 		switch {
 		case err == nil:
 			return rep, release, true
-		case err.Await(ctx):
-		case err.Elsewhere:
-			a.passedOver[rep.ID] = true
+		case err.AwaitDecision(ctx):
+		case err.TryElsewhere:
+			a.excluded[rep.ID] = true
 		default:
 			a.quarantined, a.lastReason = err, err.Error()
 			return replica.Replica{}, nil, false
@@ -206,9 +205,8 @@
 	return replica.Replica{}, nil, false
 }
 
-// judge takes an outcome into account and returns the answer to pass on, if
-// this is it.
-func (a *attempts) judge(res result) *Answer {
+// handleResult counts the result of an attempt and returns its answer if it is to be passed on.
+func (a *attempts) handleResult(res result) *Answer {
 	if res.err != nil {
 		a.lastReason = res.err.Error()
 		if res.mayHaveRun {
--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -12,86 +12,86 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// QuarantinedError says that a request was not sent, as replicas have ended under its
-// content. It promises that the request has not run.
+// QuarantinedError reports that a request was not sent because replicas have ended under its
+// content. It guarantees that the request has not run.
 type QuarantinedError struct {
-	// Ended is how many replicas have ended under the content, 0 if others decide.
-	Ended int
-	// RetryAfter is when the content may be asked for again with some hope.
+	// EndedReplicas is how many replicas have ended under the content; 0 if the refusal is due to
+	// other runs.
+	EndedReplicas int
+	// RetryAfter is the delay after which the content may be allowed to run.
 	RetryAfter time.Duration
-	// Final says that it stays refused until an operator lifts that.
+	// Final reports that the content stays refused until an operator lifts the quarantine.
 	Final bool
-	// Elsewhere says that another replica may take it now.
-	Elsewhere bool
-	// over, if not nil, is closed when the run of the content has ended that decides.
-	over <-chan struct{}
+	// TryElsewhere reports that another replica may run the content now.
+	TryElsewhere bool
+	// decided, if not nil, is closed when the run that decides on the content has ended.
+	decided <-chan struct{}
 }
 
 // Error implements error.
 func (e *QuarantinedError) Error() string {
 	switch {
-	case e.Elsewhere:
+	case e.TryElsewhere:
 		return "forward: another suspect runs at the replica"
-	case e.over != nil:
+	case e.decided != nil:
 		return "forward: a run of the content finds out whether it ends its replica"
 	case e.Final:
-		return "forward: " + strconv.Itoa(e.Ended) + " replicas ended while they ran this content; it is refused until an operator lifts that"
+		return "forward: " + strconv.Itoa(e.EndedReplicas) + " replicas ended while they ran this content; it is refused until an operator lifts that"
 	default:
-		return "forward: " + strconv.Itoa(e.Ended) + " replicas ended while they ran this content; it may run alone later"
+		return "forward: " + strconv.Itoa(e.EndedReplicas) + " replicas ended while they ran this content; it may run alone later"
 	}
 }
 
-// Await waits a little for the run that decides on the content, if there is one, and
-// reports whether the content may be asked for again.
-func (e *QuarantinedError) Await(ctx context.Context) bool {
-	if e.over == nil {
+// AwaitDecision waits up to decisionTimeout for the run that decides on the content, if there is
+// one. It reports whether that run has ended, so that the content may be tried again.
+func (e *QuarantinedError) AwaitDecision(ctx context.Context) bool {
+	if e.decided == nil {
 		return false
 	}
-	late := time.NewTimer(decisionWait)
-	defer late.Stop()
+	timeout := time.NewTimer(decisionTimeout)
+	defer timeout.Stop()
 	select {
-	case <-e.over:
+	case <-e.decided:
 		return true
-	case <-late.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	return false
 }
 
-// mayRun asks whether a request may be sent to a replica now, for its content's sake. If
-// so, release must be called when the run is over and what it showed is noted.
-func (f *Forwarder) mayRun(requestID string, content *quarantine.Content, rep replica.Replica) (release func(), refused *QuarantinedError) {
+// admitContent asks the quarantine whether a request's content may run at a replica now. If refused
+// is nil, the caller must call release after the run has ended and its result has been recorded.
+func (f *Forwarder) admitContent(requestID string, content *quarantine.Content, rep replica.Replica) (release func(), refused *QuarantinedError) {
 	if f.Quarantine.NoneSuspected() {
 		return func() {}, nil
 	}
-	switch verdict := f.Quarantine.Decide(content, string(rep.Incarnation()), func() []string { return f.others(rep) }).(type) {
+	switch verdict := f.Quarantine.Decide(content, string(rep.Incarnation()), func() []string { return f.otherIncarnations(rep) }).(type) {
 	case quarantine.Isolated:
 		release = verdict.End
 	case quarantine.Wait:
-		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, over: verdict.Over}
+		refused = &QuarantinedError{RetryAfter: refusal.OtherRunPending.RetryAfter, decided: verdict.Over}
 	case quarantine.OtherReplica:
-		refused = &QuarantinedError{RetryAfter: refusal.SuspectAwaited.RetryAfter, Elsewhere: true}
+		refused = &QuarantinedError{RetryAfter: refusal.OtherRunPending.RetryAfter, TryElsewhere: true}
 	case quarantine.Refused:
-		refused = &QuarantinedError{Ended: verdict.Ended, RetryAfter: verdict.RetryAfter, Final: verdict.Final}
+		refused = &QuarantinedError{EndedReplicas: verdict.Ended, RetryAfter: verdict.RetryAfter, Final: verdict.Final}
 	default: // quarantine.Free
 		return func() {}, nil
 	}
-	why := zap.Skip()
+	refusedField := zap.Skip()
 	if refused != nil {
-		why = zap.NamedError("refused", refused)
+		refusedField = zap.NamedError("refused", refused)
 	}
-	f.Logger.Info("suspect asked to run", zap.String("request", requestID), zap.String("content", content.Digest().Short()),
-		zap.String("replica", rep.ID), zap.String("service", rep.Service), zap.Bool("alone", refused == nil), why)
+	f.Logger.Info("suspect content checked", zap.String("request", requestID), zap.String("content", content.Digest().Short()),
+		zap.String("replica", rep.ID), zap.String("service", rep.Service), zap.Bool("alone", refused == nil), refusedField)
 	return release, refused
 }
 
-// decisionWait is how long a request waits for another run of its content to decide. Most
-// plain requests take a tenth of it; a text may take seconds, and who waits for one is told
-// after this to come back.
-const decisionWait = 300 * time.Millisecond
+// decisionTimeout is how long a request waits for another run of its content. It is well above the
+// duration of most plain requests; callers are told to retry if the run takes longer.
+const decisionTimeout = 300 * time.Millisecond
 
-// others returns the incarnations of the other replicas of a replica's service.
-func (f *Forwarder) others(rep replica.Replica) []string {
+// otherIncarnations returns the incarnations of the other replicas of a replica's service.
+func (f *Forwarder) otherIncarnations(rep replica.Replica) []string {
 	var others []string
 	for _, other := range f.Table.Replicas(rep.Service) {
 		if other.ID != rep.ID {
--- a/internal/requests/ingress/admission_test.go
+++ b/internal/requests/ingress/admission_test.go
@@ -40,14 +40,14 @@
 	table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 100})
 	clock := clocktest.New()
 	names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Signature: "Signature"}
-	cfg, err := route.New(route.Declared{Version: 1, Services: map[string]route.Service{"s": {Name: "s", Engine: engine}},
+	cfg, err := route.New(route.Definition{Version: 1, Services: map[string]route.Service{"s": {Name: "s", IsEngine: engine}},
 		Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	handler := newTestHandler(clock.Now)
 	handler.Names, handler.Configuration = names, func() *route.Configuration { return cfg }
-	setForwarder(handler, &forward.Forwarder{MaxOpen: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names,
+	setForwarder(handler, &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names,
 		Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
 	return handler, asked
 }
@@ -77,7 +77,7 @@
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), int32(maxAdmissions))
 	is.True(retryAfterOf(t, recorder.Header()) > 0)
-	is.True(retryAfterOf(t, recorder.Header()) < refusal.Within(time.Hour, 20*time.Second))
+	is.True(retryAfterOf(t, recorder.Header()) < refusal.CapRetryAfter(time.Hour, 20*time.Second))
 }
 
 // Engines queue requests themselves, so admission must not count their declines.
@@ -86,7 +86,7 @@
 	handler, r := newFullServiceTest(t, 1<<30, true)
 	is.Equal(sendWithDeadline(handler, "20000").Code, http.StatusServiceUnavailable)
 	is.Equal(r.Load(), int32(1))
-	is.Equal(handler.Admission.Count().Full, 0)
+	is.Equal(handler.Admission.Count().FullServices, 0)
 }
 
 // A request with less time than an answer takes must be refused before it is sent.
--- a/internal/requests/ingress/batches.go
+++ b/internal/requests/ingress/batches.go
@@ -49,9 +49,9 @@
 	case errors.Is(err, runner.ErrStopping):
 		r.refuse(refusal.Stopping, err.Error())
 	case errors.Is(err, runner.ErrNotDone):
-		r.refuse(refusal.StoreSilent, err.Error())
+		r.refuse(refusal.JournalTimeout, err.Error())
 	default:
-		r.refuse(refusal.BatchUnknown, err.Error())
+		r.refuse(refusal.BatchOutcomeUnknown, err.Error())
 	}
 }
 
@@ -75,7 +75,7 @@
 	page, err := r.handler.Results.Results(r.req.Context(),
 		results.Query{BatchID: call.BatchID, Tenant: r.tenantName(), After: call.After, Wait: wait})
 	if err != nil {
-		r.refuse(refusal.StoreSilent, err.Error())
+		r.refuse(refusal.JournalTimeout, err.Error())
 		return
 	}
 	if !page.Found {
@@ -84,7 +84,7 @@
 	}
 	encoded, err := r.handler.Codec.EncodeResults(page)
 	if err != nil {
-		r.refuse(refusal.PageUnreadable, err.Error())
+		r.refuse(refusal.PageNotEncoded, err.Error())
 		return
 	}
 	r.writePage(encoded)
@@ -94,7 +94,7 @@
 func (r *request) serveItem(call BatchCall) {
 	body, err := r.handler.Results.Item(r.req.Context(), results.ItemQuery{BatchID: call.BatchID, Tenant: r.tenantName(), ItemID: call.ItemID})
 	if err != nil {
-		r.refuse(refusal.StoreSilent, err.Error())
+		r.refuse(refusal.JournalTimeout, err.Error())
 		return
 	}
 	if !body.Found {
--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -36,10 +36,10 @@
 // reserveMemory opens the request's account in the memory budget. It refuses the request and
 // returns false if the budget has no memory for it.
 func (r *request) reserveMemory() bool {
-	account, ok := r.handler.MemoryBudget.Begin(requestOverheadBytes)
+	account, ok := r.handler.MemoryBudget.OpenAccount(requestOverheadBytes)
 	if !ok {
 		r.w.Header().Set("Connection", "close")
-		r.refuse(refusal.NoMemory, errNoMemory.Error())
+		r.refuse(refusal.MemoryLimitReached, errNoMemory.Error())
 		return false
 	}
 	r.account = account
@@ -48,7 +48,7 @@
 
 // releaseMemory closes the request's account. It is called after the answer has been written.
 func (r *request) releaseMemory() {
-	r.account.End()
+	r.account.ReleaseAll()
 	// The server flushes the last few KiB of the answer after the handler returns.
 	r.setWriteDeadline(r.handler.WriteTimeout)
 }
@@ -82,12 +82,12 @@
 		r.refuse(refusal.BodyTooLarge, "the body is longer than the limit")
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		r.w.Header().Set("Connection", "close")
-		r.refuse(refusal.BodyLate, "the body did not come in time")
+		r.refuse(refusal.BodyTimeout, "the body did not come in time")
 	case errors.Is(err, errNoMemory):
 		r.w.Header().Set("Connection", "close")
-		r.refuse(refusal.NoMemory, err.Error())
+		r.refuse(refusal.MemoryLimitReached, err.Error())
 	default:
-		r.refuse(refusal.BodyCutOff, "the body could not be read")
+		r.refuse(refusal.BodyIncomplete, "the body could not be read")
 	}
 }
 
@@ -100,7 +100,7 @@
 		_, err := io.Copy(io.Discard, body)
 		return nil, err
 	}
-	if !r.handler.MemoryBudget.MayEver(holding.Bodies, contentLength) {
+	if !r.handler.MemoryBudget.CanEverFit(holding.Bodies, contentLength) {
 		return nil, errors.Wrap(errNoMemory, "a body of that length")
 	}
 	read, whole, err := r.account.Read(holding.Bodies, body, contentLength, limit+1, func(n int64) bool { return r.waitForMemory(holding.Bodies, n) })
@@ -113,8 +113,8 @@
 // waitForMemory counts n more bytes in the request's account, and waits up to maxMemoryWait for
 // them to be available. It reports whether they were counted. Nothing is read from the peer
 // meanwhile.
-func (r *request) waitForMemory(share holding.Share, n int64) bool {
-	for waited := time.Duration(0); !r.account.Take(share, n); waited += memoryPollInterval {
+func (r *request) waitForMemory(share holding.Category, n int64) bool {
+	for waited := time.Duration(0); !r.account.Reserve(share, n); waited += memoryPollInterval {
 		if waited >= maxMemoryWait || r.req.Context().Err() != nil {
 			return false
 		}
--- a/internal/requests/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := route.New(route.Declared{Version: 1, Tenants: directory})
+	cfg, err := route.New(route.Definition{Version: 1, Tenants: directory})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/requests/ingress/memory_test.go
+++ b/internal/requests/ingress/memory_test.go
@@ -77,12 +77,12 @@
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 1000})
 	names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Signature: "Signature"}
-	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: kind, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
+	cfg, err := route.New(route.Definition{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: kind, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	is.New(t).NoErr(err)
 	s.handler = newTestHandler(time.Now)
 	s.handler.Names, s.handler.Observe, s.handler.Configuration = names, s.outcomes.observe, func() *route.Configuration { return cfg }
 	s.handler.MemoryBudget = holding.New(holding.LimitsOf(budget))
-	setForwarder(s.handler, &forward.Forwarder{MaxOpen: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: 10 * time.Second}), Table: table, Names: names,
+	setForwarder(s.handler, &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: 10 * time.Second}), Table: table, Names: names,
 		Quarantine: quarantine.New("m", time.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
 	s.daemon = serve(t, s.handler)
 	return s
@@ -139,7 +139,7 @@
 	const memory, clients, length = 64 << 20, 60, 900 * kib
 	big, small := uniqueText(length), uniqueText(800)
 	limits := holding.LimitsOf(memory * 35 / 100)
-	s := newSlowClientTest(t, route.Unsafe, limits.All, func(w http.ResponseWriter, r *http.Request) {
+	s := newSlowClientTest(t, route.Unsafe, limits.Total, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/big" {
 			_, _ = w.Write(big)
 			return
@@ -151,7 +151,7 @@
 		slow = append(slow, s.send("/big", ""))
 		<-s.started
 	}
-	for s.handler.MemoryBudget.Held(holding.Answers) < limits.Of[holding.Answers]-length {
+	for s.handler.MemoryBudget.Held(holding.Answers) < limits.PerCategory[holding.Answers]-length {
 		time.Sleep(time.Millisecond)
 	}
 	for range 50 {
@@ -166,9 +166,9 @@
 		is.Equal(status, http.StatusOK)
 		is.True(bytes.Equal(body, big))
 	}
-	_, most := s.handler.MemoryBudget.Sum()
-	is.True(most <= limits.All)
-	for now := int64(1); now > 0; now, _ = s.handler.MemoryBudget.Sum() {
+	_, most := s.handler.MemoryBudget.Usage()
+	is.True(most <= limits.Total)
+	for now := int64(1); now > 0; now, _ = s.handler.MemoryBudget.Usage() {
 		time.Sleep(time.Millisecond) // until the last handler has returned
 	}
 }
@@ -192,14 +192,14 @@
 	is := is.New(t)
 	s := newSlowClientTest(t, route.Unsafe, 100*kib, func(http.ResponseWriter, *http.Request) {})
 	for {
-		if _, ok := s.handler.MemoryBudget.Begin(kib); !ok {
+		if _, ok := s.handler.MemoryBudget.OpenAccount(kib); !ok {
 			break
 		}
 	}
 	status, header, _, err := s.send("/", "").readAnswer()
 	is.NoErr(err)
 	is.Equal(status, http.StatusServiceUnavailable)
-	is.Equal(retryAfterOf(t, header), refusal.NoMemory.RetryAfter)
+	is.Equal(retryAfterOf(t, header), refusal.MemoryLimitReached.RetryAfter)
 	is.Equal(len(s.started), 0)
 }
 
@@ -220,10 +220,10 @@
 				is := is.New(t)
 				r, recorder := newTestRequest(t.Context(), nil, route.Unsafe, time.Hour)
 				r.handler.MemoryBudget = holding.New(holding.LimitsOf(100 * kib))
-				other, _ := r.handler.MemoryBudget.Begin(0)
-				is.True(other.Take(holding.Bodies, 60*kib))
-				time.AfterFunc(c.releasedAfter, other.End)
-				r.account, _ = r.handler.MemoryBudget.Begin(0)
+				other, _ := r.handler.MemoryBudget.OpenAccount(0)
+				is.True(other.Reserve(holding.Bodies, 60*kib))
+				time.AfterFunc(c.releasedAfter, other.ReleaseAll)
+				r.account, _ = r.handler.MemoryBudget.OpenAccount(0)
 				text := uniqueText(c.length)
 				r.req.Body, r.req.ContentLength = io.NopCloser(bytes.NewReader(text)), int64(len(text))
 				began := time.Now()
@@ -266,7 +266,7 @@
 	s.handler.WriteTimeout = 100 * time.Millisecond
 	page := uniqueText(2 << 20)
 	s.daemon = serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		account, _ := s.handler.MemoryBudget.Begin(0)
+		account, _ := s.handler.MemoryBudget.OpenAccount(0)
 		asked := &request{handler: s.handler, w: w, req: r, logger: zap.NewNop(), arrived: time.Now(), account: account}
 		asked.writePage(page)
 	}))
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -34,10 +34,10 @@
 func (r *request) newCall(cfg *route.Configuration, body []byte) *forward.Call {
 	repeatable := r.route.Kind == route.Safe
 	return &forward.Call{
-		Request: r.outgoingRequest(cfg, body), Services: r.route.Order(r.id),
+		Request: r.outgoingRequest(cfg, body), Services: r.route.ServiceOrder(r.id),
 		Repeatable: repeatable, MaxAttempts: max(r.route.MaxAttempts, 1), Hedge: repeatable, HedgeAfter: r.route.HedgeAfter,
-		ConnectionUntil: time.Now().Add(r.route.ConnectionWait()),
-		Left:            r.timeLeft, Ran: r.reportRun, Account: r.account, MayRetry: r.policyMayRetry,
+		ConnectionDeadline: time.Now().Add(r.route.MaxConnectionWait()),
+		TimeLeft:           r.timeLeft, OnRun: r.reportRun, Account: r.account, MayRetry: r.policyMayRetry,
 	}
 }
 
@@ -50,7 +50,7 @@
 // admission: engines have queues of their own, which the batch runner fills deliberately.
 func (r *request) sendWhenAdmitted(ctx context.Context, cfg *route.Configuration, call *forward.Call) (*forward.Answer, error) {
 	h, service := r.handler, call.Services[0]
-	if cfg.Services[service].Engine {
+	if cfg.Services[service].IsEngine {
 		return h.Forwarder.Do(ctx, call)
 	}
 	for admissions := 1; ; admissions++ {
@@ -67,7 +67,7 @@
 			return answer, err
 		}
 		if admissions == maxAdmissions {
-			return nil, h.Admission.Full(r.admissionRequest(service))
+			return nil, h.Admission.RefuseDeclined(r.admissionRequest(service))
 		}
 	}
 }
@@ -75,7 +75,7 @@
 // admissionRequest returns the request's description for admission control.
 func (r *request) admissionRequest(service string) admission.Request {
 	return admission.Request{ID: r.id, Service: service, Tenant: r.tenantName(), Rank: r.tenant.Rank(r.route.Priority),
-		Left: r.timeLeft, Aim: r.route.TargetLatency, Held: r.elapsed()}
+		TimeLeft: r.timeLeft, TargetLatency: r.route.TargetLatency, Age: r.elapsed()}
 }
 
 // admissionOutcome converts the result of a call to its outcome for admission control.
@@ -84,8 +84,8 @@
 		return admission.Answered{Took: took}
 	}
 	var failure *forward.Failure
-	if errors.As(err, &failure) && failure.Full {
+	if errors.As(err, &failure) && failure.AllDeclined {
 		return admission.Declined{}
 	}
-	return admission.Lost{}
+	return admission.Unanswered{}
 }
--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -55,7 +55,7 @@
 		if len(a.chunks) == 0 {
 			return true
 		}
-		if len(a.chunks) < maxChunks && a.account.Take(holding.Answers, readChunkBytes) {
+		if len(a.chunks) < maxChunks && a.account.Reserve(holding.Answers, readChunkBytes) {
 			a.counted++
 			return true
 		}
@@ -97,7 +97,7 @@
 	a.chunks = a.chunks[1:]
 	if a.counted > 0 {
 		a.counted--
-		a.account.Give(holding.Answers, readChunkBytes)
+		a.account.Release(holding.Answers, readChunkBytes)
 	}
 	a.changed.Broadcast()
 }
@@ -135,6 +135,6 @@
 	if err == io.EOF {
 		return nil
 	}
-	answer.Rest.GiveUp()
+	answer.Rest.Abandon()
 	return err
 }
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := route.New(route.Declared{Version: 1, Tenants: directory})
+	cfg, err := route.New(route.Definition{Version: 1, Tenants: directory})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 			r.handler.ServeHTTP(r.w, r.req)
 		}, status: 503, retryAfter: "1.000", outcome: "refused", body: errNoMemory.Error(), closes: true},
 		"no memory for a page": {answer: func(r *request) {
-			r.account, _ = holding.New(holding.LimitsOf(64 << 10)).Begin(1)
+			r.account, _ = holding.New(holding.LimitsOf(64 << 10)).OpenAccount(1)
 			r.writePage(make([]byte, 1<<20))
 		}, status: 503, retryAfter: "1.000", outcome: "refused", body: errNoMemory.Error()},
 		"no memory for a body": {answer: func(r *request) {
@@ -119,12 +119,12 @@
 		"maybe run, stopping":   {answer: refuse(mayHaveRun), interrupted: true, status: 502, outcome: "interrupted", body: shutdown.ErrInterrupted.Error()},
 		"maybe run, time up":    {answer: func(r *request) { time.Sleep(left); r.refusePlain(mayHaveRun) }, status: 504, outcome: "timed out", body: "lost"},
 		"another error":         {answer: refuse(errors.New("odd")), status: 502, outcome: "failed", body: "odd"},
-		"full":                  {answer: refuse(&admission.Refused{Reason: admission.NoTime, ComeBack: 3 * time.Second}), status: 503, retryAfter: "3.000", outcome: "refused", body: "admission: no turn in time"},
-		"full, beyond a third":  {answer: refuse(&admission.Refused{Reason: admission.TooMany, ComeBack: 9 * time.Second}), status: 503, retryAfter: "8.000", outcome: "refused", body: "admission: too many wait"},
-		"full, stopping":        {answer: refuse(&admission.Refused{Reason: admission.Ended, ComeBack: 3 * time.Second}), interrupted: true, status: 503, retryAfter: "0.050", outcome: "refused", body: "admission: its wait has ended"},
-		"quarantined": {answer: refuse(quarantined(forward.QuarantinedError{Ended: 3, RetryAfter: time.Minute, Final: true})), status: 503, retryAfter: "60.000",
+		"full":                  {answer: refuse(&admission.RefusedError{Reason: admission.NoTurnInTime, RetryAfter: 3 * time.Second}), status: 503, retryAfter: "3.000", outcome: "refused", body: "admission: no turn in time"},
+		"full, beyond a third":  {answer: refuse(&admission.RefusedError{Reason: admission.QueueFull, RetryAfter: 9 * time.Second}), status: 503, retryAfter: "8.000", outcome: "refused", body: "admission: too many wait"},
+		"full, stopping":        {answer: refuse(&admission.RefusedError{Reason: admission.ContextEnded, RetryAfter: 3 * time.Second}), interrupted: true, status: 503, retryAfter: "0.050", outcome: "refused", body: "admission: its wait has ended"},
+		"quarantined": {answer: refuse(quarantined(forward.QuarantinedError{EndedReplicas: 3, RetryAfter: time.Minute, Final: true})), status: 503, retryAfter: "60.000",
 			outcome: "quarantined", body: "forward: 3 replicas ended while they ran this content; it is refused until an operator lifts that", quarantined: true},
-		"quarantined, stopping": {answer: refuse(quarantined(forward.QuarantinedError{RetryAfter: 100 * time.Millisecond, Elsewhere: true})), interrupted: true, status: 503,
+		"quarantined, stopping": {answer: refuse(quarantined(forward.QuarantinedError{RetryAfter: 100 * time.Millisecond, TryElsewhere: true})), interrupted: true, status: 503,
 			retryAfter: "0.100", outcome: "quarantined", body: "forward: another suspect runs at the replica", quarantined: true},
 		"stream: not sent":           {answer: func(r *request) { (&streamRelay{request: r}).giveUp() }, status: 503, retryAfter: "0.250", outcome: "refused", body: "no replica"},
 		"stream: not sent, stop":     {answer: func(r *request) { (&streamRelay{request: r}).giveUp() }, interrupted: true, status: 503, retryAfter: "0.050", outcome: "refused", body: "no replica"},
--- a/internal/requests/ingress/refuse.go
+++ b/internal/requests/ingress/refuse.go
@@ -16,8 +16,8 @@
 
 // refuse answers the request with an error, and with Retry-After if the reason allows a retry.
 func (r *request) refuse(reason refusal.Reason, text string) {
-	if reason.MayReturn() {
-		retryAfter := reason.ComeBack(r.timeLeft())
+	if reason.HasRetryAfter() {
+		retryAfter := reason.RetryDelay(r.timeLeft())
 		r.w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 		r.logger = r.logger.With(zap.Duration("come_back", retryAfter))
 	}
@@ -29,9 +29,9 @@
 // answer guarantees that this request has not run.
 func (r *request) refuseQuarantined(err *forward.QuarantinedError) {
 	if name := r.handler.Names.Quarantined; name != "" {
-		r.w.Header().Set(name, strconv.Itoa(err.Ended))
+		r.w.Header().Set(name, strconv.Itoa(err.EndedReplicas))
 	}
-	r.refuse(refusal.Quarantined.In(err.RetryAfter), err.Error())
+	r.refuse(refusal.Quarantined.WithRetryAfter(err.RetryAfter), err.Error())
 }
 
 // refusePlain gives the final answer to a plain request that has no answer from a replica.
@@ -40,9 +40,9 @@
 		r.observe(0, "client left", err.Error())
 		panic(http.ErrAbortHandler)
 	}
-	var refused *admission.Refused
+	var refused *admission.RefusedError
 	if errors.As(err, &refused) {
-		r.refuse(r.unlessStopping(refusal.ServiceFull.In(refused.ComeBack)), refused.Error())
+		r.refuse(r.unlessStopping(refusal.ServiceFull.WithRetryAfter(refused.RetryAfter)), refused.Error())
 		return
 	}
 	var failure *forward.Failure
@@ -50,7 +50,7 @@
 		r.refuse(refusal.Failed, err.Error())
 		return
 	}
-	r.attempts, r.replica = failure.Attempts, strings.Join(failure.Asked, ",")
+	r.attempts, r.replica = failure.Attempts, strings.Join(failure.AskedReplicas, ",")
 	r.refuseUnanswered(failure.Certainty == forward.NotRun, failure.Quarantined, failure.Reason)
 }
 
--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -62,7 +62,7 @@
 		status     int
 		retryAfter time.Duration
 	}{
-		"not done": {errors.Wrap(runner.ErrNotDone, "refused"), http.StatusServiceUnavailable, refusal.StoreSilent.RetryAfter},
+		"not done": {errors.Wrap(runner.ErrNotDone, "refused"), http.StatusServiceUnavailable, refusal.JournalTimeout.RetryAfter},
 		"stopping": {runner.ErrStopping, http.StatusServiceUnavailable, refusal.Stopping.RetryAfter},
 		"unknown":  {errors.Wrap(runner.ErrUnknown, "silent"), http.StatusGatewayTimeout, 0},
 	}
@@ -82,7 +82,7 @@
 // Guards against a body that never ends and occupies memory indefinitely.
 func TestReadingABodyIsBoundedByTheTimeout(t *testing.T) {
 	is := is.New(t)
-	cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{
+	cfg, err := route.New(route.Definition{Version: 1, Routes: []route.Route{{
 		Name: "r", Host: "h", PathPrefix: "/x/", Kind: route.Safe, Timeout: 100 * time.Millisecond, Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 	is.NoErr(err)
 	handler := newTestHandler(time.Now)
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -43,7 +43,7 @@
 	s := &streamRelay{request: r, excluded: map[string]bool{}, call: &forward.StreamRequest{Request: r.outgoingRequest(cfg, body)}}
 	if text := r.req.Header.Get(r.handler.Names.LastEventID); text != "" {
 		if after, err := strconv.ParseInt(text, 10, 64); err == nil {
-			s.call.After, s.call.HasAfter = after, true
+			s.call.LastEventID, s.call.HasLastEventID = after, true
 		}
 	}
 	s.run(ctx)
@@ -51,7 +51,7 @@
 
 func (s *streamRelay) run(ctx context.Context) {
 	for {
-		rep, ok := s.handler.Forwarder.Pick(s.route.Order(s.id), s.excluded)
+		rep, ok := s.handler.Forwarder.Pick(s.route.ServiceOrder(s.id), s.excluded)
 		if !ok {
 			break
 		}
@@ -92,12 +92,12 @@
 // tried again now, after a short wait if needed.
 func (s *streamRelay) mayRetryQuarantined(ctx context.Context, rep replica.Replica, err *forward.QuarantinedError) bool {
 	switch {
-	case s.mayHaveRun > 0 && !err.Elsewhere:
+	case s.mayHaveRun > 0 && !err.TryElsewhere:
 		// An earlier attempt of this stream may have ended its replica: it is not run again here.
-	case err.Elsewhere:
+	case err.TryElsewhere:
 		s.excluded[rep.ID] = true
 		return true
-	case err.Await(ctx):
+	case err.AwaitDecision(ctx):
 		return true
 	}
 	s.quarantined, s.lastErr = err, err
@@ -149,8 +149,8 @@
 		if err != nil {
 			return err
 		}
-		if event.HasID && s.call.HasAfter && event.ID <= s.call.After {
-			return errors.Errorf("event %d after %d", event.ID, s.call.After)
+		if event.HasID && s.call.HasLastEventID && event.ID <= s.call.LastEventID {
+			return errors.Errorf("event %d after %d", event.ID, s.call.LastEventID)
 		}
 		s.writeStreamHead(stream)
 		if err := s.writeEvent(event.Raw); err != nil {
@@ -158,7 +158,7 @@
 			return err
 		}
 		if event.HasID {
-			s.call.After, s.call.HasAfter = event.ID, true
+			s.call.LastEventID, s.call.HasLastEventID = event.ID, true
 		}
 	}
 }
--- a/internal/requests/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -59,12 +59,12 @@
 			table.Set(replica.Entry{ID: "a", Service: "s", Address: netip.MustParseAddrPort(server.Listener.Addr().String()), Slots: 1})
 			clock := clocktest.New()
 			names := headers.Names{RequestID: "Id", ExpectReplica: "Expect-Replica", NotExecuted: "Not-Executed", DeadlineMs: "Deadline", Signature: "Signature"}
-			cfg, err := route.New(route.Declared{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe,
+			cfg, err := route.New(route.Definition{Version: 1, Routes: []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Unsafe,
 				Shares: []route.Share{{Service: "s", Weight: 1}}}}})
 			is.NoErr(err)
 			handler := newTestHandler(clock.Now)
 			handler.Names, handler.Configuration = names, func() *route.Configuration { return cfg }
-			setForwarder(handler, &forward.Forwarder{MaxOpen: forward.Unbounded, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names,
+			setForwarder(handler, &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Pool: upstream.NewPool(upstream.Options{ConnectTimeout: time.Second}), Table: table, Names: names,
 				Quarantine: quarantine.New("m", clock.Now, zap.NewNop()), Logger: zap.NewNop(), Observe: func(string, string, time.Duration) {}})
 			r := httptest.NewRequest(http.MethodPost, "/x", &suspendingBody{strings.NewReader("body"), clock, c.sleep})
 			r.Host = "h"
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -81,8 +81,8 @@
 
 // writePage answers with a page of results, or refuses the request if there is no memory for it.
 func (r *request) writePage(encoded []byte) {
-	if !r.account.Take(holding.Pages, int64(len(encoded))) {
-		r.refuse(refusal.NoMemory, errNoMemory.Error())
+	if !r.account.Reserve(holding.Pages, int64(len(encoded))) {
+		r.refuse(refusal.MemoryLimitReached, errNoMemory.Error())
 		return
 	}
 	r.writeHead(http.StatusOK, len(encoded))
@@ -100,7 +100,7 @@
 		if !r.waitForMemory(holding.Answers, n) {
 			return errNoMemory
 		}
-		defer r.account.Give(holding.Answers, n)
+		defer r.account.Release(holding.Answers, n)
 	}
 	r.setWriteDeadline(r.handler.WriteTimeout)
 	if _, err := r.w.Write(raw); err != nil {
