--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -32,8 +32,8 @@
 	"woodworks/internal/requests/route"
 )
 
-// lookInterval is the time between two looks for changes that are due.
-const lookInterval = 100 * time.Millisecond
+// stepInterval is the time between two looks for changes that are due.
+const stepInterval = 100 * time.Millisecond
 
 // Parts are what a syncer works with.
 type Parts struct {
@@ -80,7 +80,7 @@
 func (s *Syncer) Run(ctx context.Context, follow func(context.Context)) {
 	stop := func() {}
 	following := false
-	periodic.Every(ctx, lookInterval, func(ctx context.Context) {
+	periodic.Every(ctx, stepInterval, func(ctx context.Context) {
 		held := s.Lease.Held()
 		switch {
 		case held && !following:
