--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -114,7 +114,7 @@
 		n.settings.Timing.ContactBound.Std(), n.logger)
 	n.lease = lease.New(log, journal.Partition{Topic: dutyTopic}, n.identity,
 		n.settings.Timing.LeaseQuiet.Std(), n.logger)
-	n.syncer = modelsync.New(modelsync.Parts{
+	n.syncer = modelsync.New(modelsync.Deps{
 		Holder: n.settings.Name, Lease: n.lease, Driver: drivers.Engines, Table: n.table, Configuration: n.operator.Configuration,
 		Named: n.operator.Named, Demands: n.demands, EventTime: n.occupancy.eventTimeOf,
 	}, n.logger)
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -35,8 +35,8 @@
 // stepInterval is the time between two looks for changes that are due.
 const stepInterval = 100 * time.Millisecond
 
-// Parts are what a syncer works with.
-type Parts struct {
+// Deps are what a syncer works with.
+type Deps struct {
 	// Holder is the name in which orders are given.
 	Holder        string
 	Lease         *lease.Lease
@@ -52,7 +52,7 @@
 
 // Syncer brings engines to the named versions. It is safe for concurrent use.
 type Syncer struct {
-	Parts
+	Deps
 	logger *zap.Logger
 	// Ordered counts the orders given.
 	Ordered atomic.Uint64
@@ -69,9 +69,9 @@
 }
 
 // New returns a syncer.
-func New(parts Parts, logger *zap.Logger) *Syncer {
+func New(parts Deps, logger *zap.Logger) *Syncer {
 	return &Syncer{
-		Parts: parts, logger: logger, notes: map[string]*note{}, allotments: map[string][]int{}, loadTime: initialLoadTime,
+		Deps: parts, logger: logger, notes: map[string]*note{}, allotments: map[string][]int{}, loadTime: initialLoadTime,
 	}
 }
 
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -180,7 +180,7 @@
 	encoded, err := cbor.Marshal(demand.Demand{MinVersion: 1, Named: 3, Work: 100, Items: 16})
 	is.NoErr(err)
 	demands.Apply(journal.KeyedRecord{Key: "m", Value: encoded})
-	syncer := New(Parts{Holder: "h", Demands: demands}, zap.NewNop())
+	syncer := New(Deps{Holder: "h", Demands: demands}, zap.NewNop())
 	replicas := replicasAt(make([]int64, 50)...)
 	deals := syncer.dealsOf("s", models, replicas)
 	is.Equal(len(deals[0]), enough(16, replicas[0].Slots))
@@ -198,7 +198,7 @@
 // outlives a short absence: an outage of the journal may empty the list.
 func TestEnginesThatAreLongGoneAreForgotten(t *testing.T) {
 	is := is.New(t)
-	syncer := New(Parts{Holder: "d", Table: replica.NewTable(time.Second, zap.NewNop()), Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
+	syncer := New(Deps{Holder: "d", Table: replica.NewTable(time.Second, zap.NewNop()), Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	start := time.Now()
 	syncer.noteListed(replicasAt(1, 1, 1), start)
 	syncer.notes["r00"].model, syncer.notes["r01"].loading = "m", true
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -42,7 +42,7 @@
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Set(startOf(0, 4))
 	driver := &reporting{t: t, report: engine.Report{Born: startOf(1, 0).Born, Versions: map[string]int64{"m": 1}}}
-	syncer := New(Parts{Holder: "d", Driver: driver, Table: table, Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
+	syncer := New(Deps{Holder: "d", Driver: driver, Table: table, Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
 	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errStartedAgain))
 	now := table.Replicas("s")[0]
@@ -60,7 +60,7 @@
 	is := is.New(t)
 	table := replica.NewTable(time.Second, zap.NewNop())
 	driver := &reporting{t: t, report: engine.Report{Born: startOf(1, 0).Born}}
-	syncer := New(Parts{Holder: "d", Driver: driver, Table: table, Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
+	syncer := New(Deps{Holder: "d", Driver: driver, Table: table, Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	now := time.Now()
 	table.Set(startOf(0, 4))
 	syncer.noteListed(table.Replicas("s"), now)
