--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -43,9 +43,9 @@
 	Driver        engine.Driver
 	Table         *replica.Table
 	Configuration func() *route.Configuration
-	// Named gives the newest version that was named of each model.
-	Named   func() map[string]int64
-	Demands *demand.State
+	// NewestVersions gives the newest version that was named of each model.
+	NewestVersions func() map[string]int64
+	Demands        *demand.State
 	// EventTime tells how fast engines are; those of which nothing is known count alike.
 	EventTime EventTime
 }
@@ -104,7 +104,7 @@
 	if configuration == nil {
 		return
 	}
-	named := s.Named()
+	named := s.NewestVersions()
 	for name, service := range configuration.Services {
 		if !service.Engine || len(service.Models) == 0 {
 			continue
