--- a/internal/daemon/node/metrics.go
+++ b/internal/daemon/node/metrics.go
@@ -24,7 +24,7 @@
 	metrics.Gauge(n.metrics, "lease_held", "1 while this daemon holds the lease for orders to engines.",
 		func() int { return oneIf(n.lease.Held()) })
 	metrics.Counter(n.metrics, "items_started_total", "Attempts at items sent to replicas.", n.runner.Started)
-	metrics.Counter(n.metrics, "engine_orders_total", "Orders given to engines.", n.syncer.Ordered.Load)
+	metrics.Counter(n.metrics, "engine_orders_total", "Orders given to engines.", n.syncer.OrdersSent.Load)
 }
 
 // registerJournalMetrics tells of the paths to the journal.
--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -148,7 +148,7 @@
 // order sends the order if the lease lets this daemon act until it has arrived.
 func (s *Syncer) order(ctx context.Context, c change, report engine.Report) error {
 	_, err := lease.Act(ctx, s.Lease, callTimeout, func(ctx context.Context, fence int64) error {
-		s.Ordered.Add(1)
+		s.OrdersSent.Add(1)
 		s.logger.Info("order", zap.String("replica", c.replica.ID), zap.String("model", c.model), zap.Int64("version", c.version),
 			zap.Int64("from", report.Versions[c.model]), zap.Int64("fence", fence), zap.Int64("after_orders", report.Orders))
 		return s.Driver.Give(ctx, c.replica, engine.Order{
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -54,8 +54,8 @@
 type Syncer struct {
 	Deps
 	logger *zap.Logger
-	// Ordered counts the orders given.
-	Ordered atomic.Uint64
+	// OrdersSent counts the orders given.
+	OrdersSent atomic.Uint64
 
 	mu sync.Mutex
 	// notes are what is remembered of each engine, by its id.
