--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -156,7 +156,7 @@
 func (s *Syncer) modelsDealt(replicas []replica.Replica) map[string]string {
 	models := make(map[string]string, len(replicas))
 	for _, rep := range replicas {
-		if n := s.notes[rep.ID]; n != nil && n.model != "" {
+		if n := s.engines[rep.ID]; n != nil && n.model != "" {
 			models[rep.ID] = n.model
 		}
 	}
--- a/internal/replicas/modelsync/enginestate.go
+++ b/internal/replicas/modelsync/enginestate.go
@@ -30,7 +30,7 @@
 func (s *Syncer) isLoading(replicaID string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.notes[replicaID]
+	n := s.engines[replicaID]
 	return n != nil && n.loading
 }
 
@@ -43,7 +43,7 @@
 		if n.start != rep.Incarnation() {
 			// The engine keeps the model that it was dealt to, and nothing else.
 			n = &note{start: rep.Incarnation(), model: n.model}
-			s.notes[rep.ID] = n
+			s.engines[rep.ID] = n
 		}
 		n.listedAt = now
 		if eventTime, age := s.EventTime(rep); eventTime > 0 && age <= maxEventTimeAge {
@@ -56,15 +56,15 @@
 func (s *Syncer) forget(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.notes, func(_ string, n *note) bool { return !n.loading && now.Sub(n.listedAt) > forgetAfter })
+	maps.DeleteFunc(s.engines, func(_ string, n *note) bool { return !n.loading && now.Sub(n.listedAt) > forgetAfter })
 }
 
 // noteOf returns the note of an engine. The mutex is held.
 func (s *Syncer) noteOf(id string) *note {
-	n := s.notes[id]
+	n := s.engines[id]
 	if n == nil {
 		n = &note{}
-		s.notes[id] = n
+		s.engines[id] = n
 	}
 	return n
 }
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -58,8 +58,8 @@
 	OrdersSent atomic.Uint64
 
 	mu sync.Mutex
-	// notes are what is remembered of each engine, by its id.
-	notes map[string]*note
+	// engines are what is remembered of each engine, by its id.
+	engines map[string]*note
 	// loading counts the engines with a change under way.
 	loading  int
 	loadTime time.Duration
@@ -71,7 +71,7 @@
 // New returns a syncer.
 func New(parts Deps, logger *zap.Logger) *Syncer {
 	return &Syncer{
-		Deps: parts, logger: logger, notes: map[string]*note{}, allotments: map[string][]int{}, loadTime: initialLoadTime,
+		Deps: parts, logger: logger, engines: map[string]*note{}, allotments: map[string][]int{}, loadTime: initialLoadTime,
 	}
 }
 
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -201,11 +201,11 @@
 	syncer := New(Deps{Holder: "d", Table: replica.NewTable(time.Second, zap.NewNop()), Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	start := time.Now()
 	syncer.noteListed(replicasAt(1, 1, 1), start)
-	syncer.notes["r00"].model, syncer.notes["r01"].loading = "m", true
+	syncer.engines["r00"].model, syncer.engines["r01"].loading = "m", true
 	syncer.forget(start.Add(forgetAfter))
-	is.Equal(len(syncer.notes), 3)
+	is.Equal(len(syncer.engines), 3)
 	is.Equal(syncer.modelsDealt(replicasAt(1)), map[string]string{"r00": "m"})
 	syncer.noteListed(replicasAt(1, 1, 1)[2:], start.Add(forgetAfter))
 	syncer.forget(start.Add(forgetAfter + time.Second))
-	is.Equal(len(syncer.notes), 2) // the listed one, and one with a change under way
+	is.Equal(len(syncer.engines), 2) // the listed one, and one with a change under way
 }
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -64,13 +64,13 @@
 	now := time.Now()
 	table.Set(startOf(0, 4))
 	syncer.noteListed(table.Replicas("s"), now)
-	before := syncer.notes["e"]
+	before := syncer.engines["e"]
 	before.model, before.loading = "m", true
 	before.rest.Failed(changePauses, now)
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
 	table.Set(startOf(1, 1))
 	syncer.noteListed(table.Replicas("s"), now)
-	n := syncer.notes["e"]
+	n := syncer.engines["e"]
 	is.True(!n.loading)
 	is.True(n.rest.Over(now))
 	is.Equal(n.model, "m")
