--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -51,7 +51,7 @@
 	err := s.changeWeights(ctx, c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loading--
+	s.loadsInProgress--
 	n.loading = false
 	if err == nil {
 		n.rest.Succeeded()
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -60,9 +60,9 @@
 	mu sync.Mutex
 	// engines are what is remembered of each engine, by its id.
 	engines map[string]*note
-	// loading counts the engines with a change under way.
-	loading  int
-	loadTime time.Duration
+	// loadsInProgress counts the engines with a change under way.
+	loadsInProgress int
+	loadTime        time.Duration
 	// allotments is how many replicas of a service are for each of its models.
 	allotments map[string][]int
 	width      width
@@ -124,7 +124,7 @@
 	defer s.mu.Unlock()
 	s.width.waiting = len(due)
 	for _, c := range due {
-		if s.loading >= s.width.places() {
+		if s.loadsInProgress >= s.width.places() {
 			return
 		}
 		n := s.noteOf(c.replica.ID)
@@ -132,7 +132,7 @@
 			continue
 		}
 		n.loading = true
-		s.loading++
+		s.loadsInProgress++
 		go s.carryOut(ctx, c, n)
 	}
 }
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -75,9 +75,9 @@
 	is.True(n.rest.Over(now))
 	is.Equal(n.model, "m")
 	n.loading = true
-	syncer.loading = 2
+	syncer.loadsInProgress = 2
 	syncer.carryOut(t.Context(), due, before)
 	is.True(n.loading)
 	is.True(!before.loading)
-	is.Equal(syncer.loading, 1)
+	is.Equal(syncer.loadsInProgress, 1)
 }
