--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -113,9 +113,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if most := s.width.unslowed(); most > 0 {
-		return min(s.loadTime, most)
+		return min(s.expectedLoadTime, most)
 	}
-	return s.loadTime
+	return s.expectedLoadTime
 }
 
 // noteLoadTime notes how long a change took. The guess stays a bit below, as looking
@@ -125,8 +125,8 @@
 	defer s.mu.Unlock()
 	took := now.Sub(ordered)
 	s.width.done(ordered, now)
-	s.loadTime += (took - s.loadTime) / 4
-	s.loadTime -= pollPause / 8
+	s.expectedLoadTime += (took - s.expectedLoadTime) / 4
+	s.expectedLoadTime -= pollPause / 8
 }
 
 func (s *Syncer) report(ctx context.Context, c change) (engine.Report, error) {
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -65,7 +65,7 @@
 // A guess that is far too long is not followed: only looks can find it wrong.
 func TestAChangeIsLookedAtAsSoonAsItMayBeDone(t *testing.T) {
 	is := is.New(t)
-	syncer := &Syncer{loadTime: initialLoadTime}
+	syncer := &Syncer{expectedLoadTime: initialLoadTime}
 	is.Equal(syncer.expectedTime(), initialLoadTime)
 	for range 4 {
 		syncer.noteLoadTime(testStart, testStart.Add(time.Second))
@@ -73,7 +73,7 @@
 	for range 8 {
 		syncer.noteLoadTime(testStart, testStart.Add(5*time.Second))
 	}
-	is.True(syncer.loadTime > 3*time.Second)
+	is.True(syncer.expectedLoadTime > 3*time.Second)
 	is.Equal(syncer.expectedTime(), time.Duration(slowedFactor*float64(time.Second)))
 }
 
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -61,8 +61,8 @@
 	// engines are what is remembered of each engine, by its id.
 	engines map[string]*note
 	// loadsInProgress counts the engines with a change under way.
-	loadsInProgress int
-	loadTime        time.Duration
+	loadsInProgress  int
+	expectedLoadTime time.Duration
 	// allotments is how many replicas of a service are for each of its models.
 	allotments map[string][]int
 	width      width
@@ -71,7 +71,7 @@
 // New returns a syncer.
 func New(parts Deps, logger *zap.Logger) *Syncer {
 	return &Syncer{
-		Deps: parts, logger: logger, engines: map[string]*note{}, allotments: map[string][]int{}, loadTime: initialLoadTime,
+		Deps: parts, logger: logger, engines: map[string]*note{}, allotments: map[string][]int{}, expectedLoadTime: initialLoadTime,
 	}
 }
 
