--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -112,7 +112,7 @@
 func (s *Syncer) expectedTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if most := s.width.unslowed(); most > 0 {
+	if most := s.limiter.unslowed(); most > 0 {
 		return min(s.expectedLoadTime, most)
 	}
 	return s.expectedLoadTime
@@ -124,7 +124,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	took := now.Sub(ordered)
-	s.width.done(ordered, now)
+	s.limiter.done(ordered, now)
 	s.expectedLoadTime += (took - s.expectedLoadTime) / 4
 	s.expectedLoadTime -= pollPause / 8
 }
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -65,7 +65,7 @@
 	expectedLoadTime time.Duration
 	// allotments is how many replicas of a service are for each of its models.
 	allotments map[string][]int
-	width      width
+	limiter    width
 }
 
 // New returns a syncer.
@@ -122,9 +122,9 @@
 func (s *Syncer) startDue(ctx context.Context, due []change, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.width.waiting = len(due)
+	s.limiter.waiting = len(due)
 	for _, c := range due {
-		if s.loadsInProgress >= s.width.places() {
+		if s.loadsInProgress >= s.limiter.places() {
 			return
 		}
 		n := s.noteOf(c.replica.ID)
