--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -112,7 +112,7 @@
 		replicas := s.Table.Replicas(name)
 		s.noteListed(replicas, now)
 		deals := s.dealsOf(name, service.Models, replicas)
-		due := changesDue(deals, service.Models, named, s.lagOf, mannerFor(configuration, name), s.isLoading)
+		due := changesDue(deals, service.Models, named, s.maxLag, mannerFor(configuration, name), s.isLoading)
 		s.startDue(ctx, due, now)
 	}
 	s.forget(now)
@@ -137,7 +137,7 @@
 	}
 }
 
-// lagOf is how many versions behind the newest the batches of a model allow.
-func (s *Syncer) lagOf(model string) int64 {
+// maxLag is how many versions behind the newest the batches of a model allow.
+func (s *Syncer) maxLag(model string) int64 {
 	return s.Demands.Of(model).Lag()
 }
