--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -113,13 +113,13 @@
 		s.noteListed(replicas, now)
 		deals := s.dealsOf(name, service.Models, replicas)
 		due := changesDue(deals, service.Models, named, s.maxLag, mannerFor(configuration, name), s.isLoading)
-		s.startDue(ctx, due, now)
+		s.startChanges(ctx, due, now)
 	}
 	s.forget(now)
 }
 
-// startDue starts the changes for which there is room.
-func (s *Syncer) startDue(ctx context.Context, due []change, now time.Time) {
+// startChanges starts the changes for which there is room.
+func (s *Syncer) startChanges(ctx context.Context, due []change, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limiter.waiting = len(due)
