--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -22,8 +22,8 @@
 	minEngines = 3
 )
 
-// enough returns how many engines a model needs for batches of so many items.
-func enough(items, slots int) int {
+// enginesNeeded returns how many engines a model needs for batches of so many items.
+func enginesNeeded(items, slots int) int {
 	if slots <= 0 {
 		slots = replica.DefaultSlots
 	}
@@ -36,7 +36,7 @@
 	for i, model := range models {
 		limited[i] = allotment[i]
 		if d := s.Demands.Of(model); d.Items > 0 {
-			limited[i] = min(allotment[i], enough(d.Items, slots))
+			limited[i] = min(allotment[i], enginesNeeded(d.Items, slots))
 		}
 	}
 	return limited
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -172,9 +172,9 @@
 // cost half of what the day was worth.
 func TestOnlyAsManyEnginesAreKeptAsBatchesNeed(t *testing.T) {
 	is := is.New(t)
-	is.Equal(enough(48, 8), 24)
-	is.Equal(enough(1, 8), minEngines)
-	is.Equal(enough(100, 0), 50)
+	is.Equal(enginesNeeded(48, 8), 24)
+	is.Equal(enginesNeeded(1, 8), minEngines)
+	is.Equal(enginesNeeded(100, 0), 50)
 	models := []string{"m"}
 	demands := demand.NewState(zap.NewNop())
 	encoded, err := cbor.Marshal(demand.Demand{MinVersion: 1, Named: 3, Work: 100, Items: 16})
@@ -183,7 +183,7 @@
 	syncer := New(Deps{Holder: "h", Demands: demands}, zap.NewNop())
 	replicas := replicasAt(make([]int64, 50)...)
 	deals := syncer.dealsOf("s", models, replicas)
-	is.Equal(len(deals[0]), enough(16, replicas[0].Slots))
+	is.Equal(len(deals[0]), enginesNeeded(16, replicas[0].Slots))
 	is.Equal(len(syncer.dealsOf("s", models, replicas[:3])[0]), 3)
 }
 
