--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -15,9 +15,9 @@
 const reallotThreshold = 0.75
 
 const (
-	// headroom is how many times the engines that run a whole batch at once are
+	// headroomFactor is how many times the engines that run a whole batch at once are
 	// kept at a model's versions: each costs orders and loads at every other one.
-	headroom = 4
+	headroomFactor = 4
 	// minEngines are kept for a model in any case, as some may fail.
 	minEngines = 3
 )
@@ -27,7 +27,7 @@
 	if slots <= 0 {
 		slots = replica.DefaultSlots
 	}
-	return max((headroom*items+slots-1)/slots, minEngines)
+	return max((headroomFactor*items+slots-1)/slots, minEngines)
 }
 
 // capped limits each model's allotment to what its batches need.
