--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -18,8 +18,8 @@
 	// headroomFactor is how many times the engines that run a whole batch at once are
 	// kept at a model's versions: each costs orders and loads at every other one.
 	headroomFactor = 4
-	// minEngines are kept for a model in any case, as some may fail.
-	minEngines = 3
+	// minEnginesPerModel are kept for a model in any case, as some may fail.
+	minEnginesPerModel = 3
 )
 
 // enginesNeeded returns how many engines a model needs for batches of so many items.
@@ -27,7 +27,7 @@
 	if slots <= 0 {
 		slots = replica.DefaultSlots
 	}
-	return max((headroomFactor*items+slots-1)/slots, minEngines)
+	return max((headroomFactor*items+slots-1)/slots, minEnginesPerModel)
 }
 
 // capped limits each model's allotment to what its batches need.
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -173,7 +173,7 @@
 func TestOnlyAsManyEnginesAreKeptAsBatchesNeed(t *testing.T) {
 	is := is.New(t)
 	is.Equal(enginesNeeded(48, 8), 24)
-	is.Equal(enginesNeeded(1, 8), minEngines)
+	is.Equal(enginesNeeded(1, 8), minEnginesPerModel)
 	is.Equal(enginesNeeded(100, 0), 50)
 	models := []string{"m"}
 	demands := demand.NewState(zap.NewNop())
