--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -30,8 +30,8 @@
 	return max((headroomFactor*items+slots-1)/slots, minEnginesPerModel)
 }
 
-// capped limits each model's allotment to what its batches need.
-func (s *Syncer) capped(allotment []int, models []string, slots int) []int {
+// limitToDemand limits each model's allotment to what its batches need.
+func (s *Syncer) limitToDemand(allotment []int, models []string, slots int) []int {
 	limited := make([]int, len(allotment))
 	for i, model := range models {
 		limited[i] = allotment[i]
@@ -136,7 +136,7 @@
 func (s *Syncer) dealsOf(service string, models []string, replicas []replica.Replica) [][]replica.Replica {
 	allotment := s.allotmentOf(service, models, len(replicas))
 	if len(replicas) > 0 {
-		allotment = s.capped(allotment, models, replicas[0].Slots)
+		allotment = s.limitToDemand(allotment, models, replicas[0].Slots)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
