--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -42,9 +42,9 @@
 	return limited
 }
 
-// allotmentOf returns how many replicas of a service are for each of its models:
+// updateAllotment returns how many replicas of a service are for each of its models:
 // parts by the work of their batches, kept while they are about right.
-func (s *Syncer) allotmentOf(service string, models []string, replicas int) []int {
+func (s *Syncer) updateAllotment(service string, models []string, replicas int) []int {
 	work := make([]float64, len(models))
 	for i, model := range models {
 		work[i] = float64(s.Demands.Of(model).Work)
@@ -134,7 +134,7 @@
 // replica keeps its model while the allotment leaves room, also when others come and
 // go: a change of model costs a load and what it has kept.
 func (s *Syncer) dealsOf(service string, models []string, replicas []replica.Replica) [][]replica.Replica {
-	allotment := s.allotmentOf(service, models, len(replicas))
+	allotment := s.updateAllotment(service, models, len(replicas))
 	if len(replicas) > 0 {
 		allotment = s.limitToDemand(allotment, models, replicas[0].Slots)
 	}
