--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -52,7 +52,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kept := s.allotments[service]
-	if len(kept) == len(models) && total(kept) == replicas && near(kept, work) {
+	if len(kept) == len(models) && total(kept) == replicas && isNearIdeal(kept, work) {
 		return kept
 	}
 	s.allotments[service] = allot(work, replicas)
@@ -67,8 +67,8 @@
 	return sum
 }
 
-// near reports whether each model's part is within reallotThreshold of what work asks for.
-func near(allotment []int, work []float64) bool {
+// isNearIdeal reports whether each model's part is within reallotThreshold of what work asks for.
+func isNearIdeal(allotment []int, work []float64) bool {
 	for i, ideal := range ideals(work, total(allotment)) {
 		if math.Abs(ideal-float64(allotment[i])) > reallotThreshold && (allotment[i] > 1 || ideal > 1) {
 			return false
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -69,8 +69,8 @@
 	is.Equal(allot([]float64{0, 0, 0}, 9), []int{3, 3, 3})
 	is.Equal(allot([]float64{1, 1000}, 4), []int{1, 3})
 	is.Equal(allot([]float64{1, 1, 1}, 2), []int{1, 1, 0})
-	is.True(near([]int{2, 3, 4}, []float64{15, 33, 38}))
-	is.True(!near([]int{3, 3, 3}, []float64{14, 34, 38}))
+	is.True(isNearIdeal([]int{2, 3, 4}, []float64{15, 33, 38}))
+	is.True(!isNearIdeal([]int{3, 3, 3}, []float64{14, 34, 38}))
 }
 
 func TestSharesDealAllReplicasOut(t *testing.T) {
