--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -69,7 +69,7 @@
 
 // isNearIdeal reports whether each model's part is within reallotThreshold of what work asks for.
 func isNearIdeal(allotment []int, work []float64) bool {
-	for i, ideal := range ideals(work, total(allotment)) {
+	for i, ideal := range computeIdeals(work, total(allotment)) {
 		if math.Abs(ideal-float64(allotment[i])) > reallotThreshold && (allotment[i] > 1 || ideal > 1) {
 			return false
 		}
@@ -77,9 +77,9 @@
 	return true
 }
 
-// ideals are the parts of the replicas that the work asks for, which need not be
+// computeIdeals are the parts of the replicas that the work asks for, which need not be
 // whole. Work that is not known counts as the mean of that which is.
-func ideals(work []float64, replicas int) []float64 {
+func computeIdeals(work []float64, replicas int) []float64 {
 	sum, known := 0.0, 0
 	for _, w := range work {
 		if w > 0 {
@@ -110,7 +110,7 @@
 // rest one by one to the model that has the least for its work.
 func allot(work []float64, replicas int) []int {
 	allotment := make([]int, len(work))
-	wanted := ideals(work, replicas)
+	wanted := computeIdeals(work, replicas)
 	left := replicas
 	for i := range allotment {
 		if left > 0 {
