--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -55,7 +55,7 @@
 	if len(kept) == len(models) && total(kept) == replicas && isNearIdeal(kept, work) {
 		return kept
 	}
-	s.allotments[service] = allot(work, replicas)
+	s.allotments[service] = computeAllotment(work, replicas)
 	return s.allotments[service]
 }
 
@@ -106,9 +106,9 @@
 	return parts
 }
 
-// allot deals whole replicas out: one to each model where there are enough, the
+// computeAllotment deals whole replicas out: one to each model where there are enough, the
 // rest one by one to the model that has the least for its work.
-func allot(work []float64, replicas int) []int {
+func computeAllotment(work []float64, replicas int) []int {
 	allotment := make([]int, len(work))
 	wanted := computeIdeals(work, replicas)
 	left := replicas
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -65,10 +65,10 @@
 
 func TestSharesFollowTheWork(t *testing.T) {
 	is := is.New(t)
-	is.Equal(allot([]float64{14, 34, 38}, 9), []int{2, 3, 4})
-	is.Equal(allot([]float64{0, 0, 0}, 9), []int{3, 3, 3})
-	is.Equal(allot([]float64{1, 1000}, 4), []int{1, 3})
-	is.Equal(allot([]float64{1, 1, 1}, 2), []int{1, 1, 0})
+	is.Equal(computeAllotment([]float64{14, 34, 38}, 9), []int{2, 3, 4})
+	is.Equal(computeAllotment([]float64{0, 0, 0}, 9), []int{3, 3, 3})
+	is.Equal(computeAllotment([]float64{1, 1000}, 4), []int{1, 3})
+	is.Equal(computeAllotment([]float64{1, 1, 1}, 2), []int{1, 1, 0})
 	is.True(isNearIdeal([]int{2, 3, 4}, []float64{15, 33, 38}))
 	is.True(!isNearIdeal([]int{3, 3, 3}, []float64{14, 34, 38}))
 }
@@ -77,7 +77,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		work := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 6).Draw(t, "work")
 		replicas := rapid.IntRange(0, 40).Draw(t, "replicas")
-		allotment := allot(work, replicas)
+		allotment := computeAllotment(work, replicas)
 		if total(allotment) != replicas {
 			t.Fatalf("%v of %d replicas", allotment, replicas)
 		}
@@ -93,7 +93,7 @@
 	is := is.New(t)
 	models := []string{"a", "b", "c"}
 	named := map[string]int64{"a": 2, "b": 2, "c": 2}
-	due := changesDue(deal(replicasAt(1, 1), models, allot(make([]float64, 3), 2), nil), models, named, func(string) int64 { return 0 }, engine.Continue, idle)
+	due := changesDue(deal(replicasAt(1, 1), models, computeAllotment(make([]float64, 3), 2), nil), models, named, func(string) int64 { return 0 }, engine.Continue, idle)
 	changed := map[string]bool{}
 	for _, c := range due {
 		changed[c.model] = true
@@ -129,12 +129,12 @@
 			}
 			return count
 		}
-		if record(deal(all, models, allot(work, len(all)), before)) != len(all) {
+		if record(deal(all, models, computeAllotment(work, len(all)), before)) != len(all) {
 			t.Fatal("a replica is for no model, or for two")
 		}
 		gone := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
 		rest := append(append([]replica.Replica{}, all[:gone]...), all[gone+1:]...)
-		allotment := allot(work, len(rest))
+		allotment := computeAllotment(work, len(rest))
 		old := map[string]string{}
 		for id, model := range before {
 			old[id] = model
--- a/internal/replicas/modelsync/speedclass_test.go
+++ b/internal/replicas/modelsync/speedclass_test.go
@@ -127,7 +127,7 @@
 		for i := range work {
 			work[i] = float64(rapid.IntRange(0, 9).Draw(t, "work"))
 		}
-		allotment := allot(work, rapid.IntRange(len(fourModels), len(replicas)).Draw(t, "kept"))
+		allotment := computeAllotment(work, rapid.IntRange(len(fourModels), len(replicas)).Draw(t, "kept"))
 		deals := dealEvenly(replicas, fourModels, allotment, before, func(id string) time.Duration { return paces[id] })
 		dealt := map[string]bool{}
 		for i, ofModel := range deals {
