--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -130,10 +130,10 @@
 	return allotment
 }
 
-// dealsOf returns the replicas of a service that are for each of its models. A
+// assignReplicas returns the replicas of a service that are for each of its models. A
 // replica keeps its model while the allotment leaves room, also when others come and
 // go: a change of model costs a load and what it has kept.
-func (s *Syncer) dealsOf(service string, models []string, replicas []replica.Replica) [][]replica.Replica {
+func (s *Syncer) assignReplicas(service string, models []string, replicas []replica.Replica) [][]replica.Replica {
 	allotment := s.updateAllotment(service, models, len(replicas))
 	if len(replicas) > 0 {
 		allotment = s.limitToDemand(allotment, models, replicas[0].Slots)
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -111,7 +111,7 @@
 		}
 		replicas := s.Table.Replicas(name)
 		s.noteListed(replicas, now)
-		deals := s.dealsOf(name, service.Models, replicas)
+		deals := s.assignReplicas(name, service.Models, replicas)
 		due := changesDue(deals, service.Models, named, s.maxLag, mannerFor(configuration, name), s.isLoading)
 		s.startChanges(ctx, due, now)
 	}
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -182,9 +182,9 @@
 	demands.Apply(journal.KeyedRecord{Key: "m", Value: encoded})
 	syncer := New(Deps{Holder: "h", Demands: demands}, zap.NewNop())
 	replicas := replicasAt(make([]int64, 50)...)
-	deals := syncer.dealsOf("s", models, replicas)
+	deals := syncer.assignReplicas("s", models, replicas)
 	is.Equal(len(deals[0]), enginesNeeded(16, replicas[0].Slots))
-	is.Equal(len(syncer.dealsOf("s", models, replicas[:3])[0]), 3)
+	is.Equal(len(syncer.assignReplicas("s", models, replicas[:3])[0]), 3)
 }
 
 func TestPausesGrowWithFailures(t *testing.T) {
