--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -140,7 +140,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	deals := dealEvenly(replicas, models, allotment, s.modelsDealt(replicas),
+	deals := dealEvenly(replicas, models, allotment, s.assignedModels(replicas),
 		func(id string) time.Duration { return s.noteOf(id).best.Value() })
 	for i, model := range models {
 		for _, rep := range deals[i] {
@@ -152,8 +152,8 @@
 	return deals
 }
 
-// modelsDealt returns the models that replicas were dealt to. The mutex is held.
-func (s *Syncer) modelsDealt(replicas []replica.Replica) map[string]string {
+// assignedModels returns the models that replicas were dealt to. The mutex is held.
+func (s *Syncer) assignedModels(replicas []replica.Replica) map[string]string {
 	models := make(map[string]string, len(replicas))
 	for _, rep := range replicas {
 		if n := s.engines[rep.ID]; n != nil && n.model != "" {
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -204,7 +204,7 @@
 	syncer.engines["r00"].model, syncer.engines["r01"].loading = "m", true
 	syncer.forget(start.Add(forgetAfter))
 	is.Equal(len(syncer.engines), 3)
-	is.Equal(syncer.modelsDealt(replicasAt(1)), map[string]string{"r00": "m"})
+	is.Equal(syncer.assignedModels(replicasAt(1)), map[string]string{"r00": "m"})
 	syncer.noteListed(replicasAt(1, 1, 1)[2:], start.Add(forgetAfter))
 	syncer.forget(start.Add(forgetAfter + time.Second))
 	is.Equal(len(syncer.engines), 2) // the listed one, and one with a change under way
