--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -163,11 +163,11 @@
 	return models
 }
 
-// deal gives each replica to a model: first to the one it had, then to the one
+// assignByID gives each replica to a model: first to the one it had, then to the one
 // whose newest version it holds, as a holder of the lease before may have dealt
 // it so. Replicas beyond the allotment are for none. Where there are fewer replicas than models,
 // a replica is there for several.
-func deal(replicas []replica.Replica, models []string, allotment []int, before map[string]string) [][]replica.Replica {
+func assignByID(replicas []replica.Replica, models []string, allotment []int, before map[string]string) [][]replica.Replica {
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b replica.Replica) int { return strings.Compare(a.ID, b.ID) })
 	if len(sorted) >= len(models) {
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -93,7 +93,7 @@
 	is := is.New(t)
 	models := []string{"a", "b", "c"}
 	named := map[string]int64{"a": 2, "b": 2, "c": 2}
-	due := changesDue(deal(replicasAt(1, 1), models, computeAllotment(make([]float64, 3), 2), nil), models, named, func(string) int64 { return 0 }, engine.Continue, idle)
+	due := changesDue(assignByID(replicasAt(1, 1), models, computeAllotment(make([]float64, 3), 2), nil), models, named, func(string) int64 { return 0 }, engine.Continue, idle)
 	changed := map[string]bool{}
 	for _, c := range due {
 		changed[c.model] = true
@@ -104,7 +104,7 @@
 func TestChangesComeFurthestBehindFirst(t *testing.T) {
 	is := is.New(t)
 	models := []string{"m"}
-	due := changesDue(deal(replicasAt(5, 3, 4, 6), models, []int{4}, nil), models, map[string]int64{"m": 6}, func(string) int64 { return 1 }, engine.Continue, idle)
+	due := changesDue(assignByID(replicasAt(5, 3, 4, 6), models, []int{4}, nil), models, map[string]int64{"m": 6}, func(string) int64 { return 1 }, engine.Continue, idle)
 	is.Equal(len(due), 3)
 	is.Equal(due[0].replica.ID, "r01")
 	is.Equal(due[1].replica.ID, "r02")
@@ -129,7 +129,7 @@
 			}
 			return count
 		}
-		if record(deal(all, models, computeAllotment(work, len(all)), before)) != len(all) {
+		if record(assignByID(all, models, computeAllotment(work, len(all)), before)) != len(all) {
 			t.Fatal("a replica is for no model, or for two")
 		}
 		gone := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
@@ -139,7 +139,7 @@
 		for id, model := range before {
 			old[id] = model
 		}
-		deals := deal(rest, models, allotment, before)
+		deals := assignByID(rest, models, allotment, before)
 		record(deals)
 		moved := 0
 		for _, rep := range rest {
@@ -161,7 +161,7 @@
 	for i, versions := range []map[string]int64{{"a": 2, "b": 7}, {"a": 8, "b": 1}, {"a": 1, "b": 6}, {"a": 7, "b": 2}} {
 		replicas[i].Versions = versions
 	}
-	deals := deal(replicas, models, []int{2, 2}, nil)
+	deals := assignByID(replicas, models, []int{2, 2}, nil)
 	is.Equal(deals[0][0].ID, "r01")
 	is.Equal(deals[0][1].ID, "r03")
 	is.Equal(deals[1][0].ID, "r00")
--- a/internal/replicas/modelsync/speedclass.go
+++ b/internal/replicas/modelsync/speedclass.go
@@ -68,7 +68,7 @@
 	eventTimeOf func(id string) time.Duration) [][]replica.Replica {
 	kinds := kindsOf(replicas, eventTimeOf)
 	if len(kinds) == 1 || len(replicas) < len(models) {
-		return deal(replicas, models, allotment, before)
+		return assignByID(replicas, models, allotment, before)
 	}
 	deals := make([][]replica.Replica, len(models))
 	given := make([]int, len(models))
--- a/internal/replicas/modelsync/speedclass_test.go
+++ b/internal/replicas/modelsync/speedclass_test.go
@@ -54,7 +54,7 @@
 	is := is.New(t)
 	replicas, eventTimeOf := unevenEngines()
 	allotment := []int{11, 6, 14, 14}
-	unaware := deal(replicas, fourModels, allotment, nil)
+	unaware := assignByID(replicas, fourModels, allotment, nil)
 	is.Equal(fastOf(unaware[3], eventTimeOf), 0) // the last model has none
 	before := recordDeals(fourModels, unaware)
 	deals := dealEvenly(replicas, fourModels, allotment, before, eventTimeOf)
@@ -83,7 +83,7 @@
 	is := is.New(t)
 	replicas, _ := unevenEngines()
 	allotment := []int{11, 6, 14, 14}
-	want := deal(replicas, fourModels, allotment, nil)
+	want := assignByID(replicas, fourModels, allotment, nil)
 	is.Equal(dealEvenly(replicas, fourModels, allotment, nil, func(string) time.Duration { return 0 }), want)
 	wide := func(id string) time.Duration {
 		return 50*time.Millisecond + time.Duration(id[2]-'0')*500*time.Microsecond
