--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -171,7 +171,7 @@
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b replica.Replica) int { return strings.Compare(a.ID, b.ID) })
 	if len(sorted) >= len(models) {
-		return dealAllotment(sorted, models, allotment, before)
+		return assignWithinAllotment(sorted, models, allotment, before)
 	}
 	deals := make([][]replica.Replica, len(models))
 	for i := range models {
@@ -182,8 +182,8 @@
 	return deals
 }
 
-// dealAllotment gives each replica to one model at most, in the order in which they come.
-func dealAllotment(sorted []replica.Replica, models []string, allotment []int,
+// assignWithinAllotment gives each replica to one model at most, in the order in which they come.
+func assignWithinAllotment(sorted []replica.Replica, models []string, allotment []int,
 	before map[string]string) [][]replica.Replica {
 	deals := make([][]replica.Replica, len(models))
 	var left []replica.Replica
--- a/internal/replicas/modelsync/speedclass.go
+++ b/internal/replicas/modelsync/speedclass.go
@@ -76,7 +76,7 @@
 	for _, kind := range kinds {
 		reached += len(kind)
 		parts := partsOf(kind, models, allotment, given, before, reached)
-		for i, dealt := range dealAllotment(kind, models, parts, before) {
+		for i, dealt := range assignWithinAllotment(kind, models, parts, before) {
 			deals[i] = append(deals[i], dealt...)
 			given[i] += len(dealt)
 		}
