--- a/internal/replicas/modelsync/speedclass.go
+++ b/internal/replicas/modelsync/speedclass.go
@@ -61,10 +61,10 @@
 	return kinds
 }
 
-// dealEvenly deals replicas to models so that each model has its part of every kind of
+// assignBySpeed deals replicas to models so that each model has its part of every kind of
 // engine, the fast ones first: a step ends with its longest text, which takes much longer
 // where its model holds no fast engine.
-func dealEvenly(replicas []replica.Replica, models []string, allotment []int, before map[string]string,
+func assignBySpeed(replicas []replica.Replica, models []string, allotment []int, before map[string]string,
 	eventTimeOf func(id string) time.Duration) [][]replica.Replica {
 	kinds := kindsOf(replicas, eventTimeOf)
 	if len(kinds) == 1 || len(replicas) < len(models) {
--- a/internal/replicas/modelsync/speedclass_test.go
+++ b/internal/replicas/modelsync/speedclass_test.go
@@ -57,21 +57,21 @@
 	unaware := assignByID(replicas, fourModels, allotment, nil)
 	is.Equal(fastOf(unaware[3], eventTimeOf), 0) // the last model has none
 	before := recordDeals(fourModels, unaware)
-	deals := dealEvenly(replicas, fourModels, allotment, before, eventTimeOf)
+	deals := assignBySpeed(replicas, fourModels, allotment, before, eventTimeOf)
 	for i, least := range []int{2, 1, 3, 3} {
 		is.Equal(len(deals[i]), allotment[i])
 		is.True(fastOf(deals[i], eventTimeOf) >= least)
 		is.True(fastOf(deals[i], eventTimeOf) <= least+1)
 	}
 	after := recordDeals(fourModels, deals)
-	is.Equal(recordDeals(fourModels, dealEvenly(replicas, fourModels, allotment, after, eventTimeOf)), after)
+	is.Equal(recordDeals(fourModels, assignBySpeed(replicas, fourModels, allotment, after, eventTimeOf)), after)
 }
 
 // Where fewer engines are kept than there are, those are the fast ones.
 func TestTheSlowestEnginesAreForNone(t *testing.T) {
 	is := is.New(t)
 	replicas, eventTimeOf := unevenEngines()
-	deals := dealEvenly(replicas, fourModels, []int{4, 4, 4, 4}, nil, eventTimeOf)
+	deals := assignBySpeed(replicas, fourModels, []int{4, 4, 4, 4}, nil, eventTimeOf)
 	for i := range deals {
 		is.Equal(len(deals[i]), 4)
 		is.Equal(fastOf(deals[i], eventTimeOf), 3)
@@ -84,11 +84,11 @@
 	replicas, _ := unevenEngines()
 	allotment := []int{11, 6, 14, 14}
 	want := assignByID(replicas, fourModels, allotment, nil)
-	is.Equal(dealEvenly(replicas, fourModels, allotment, nil, func(string) time.Duration { return 0 }), want)
+	is.Equal(assignBySpeed(replicas, fourModels, allotment, nil, func(string) time.Duration { return 0 }), want)
 	wide := func(id string) time.Duration {
 		return 50*time.Millisecond + time.Duration(id[2]-'0')*500*time.Microsecond
 	}
-	is.Equal(dealEvenly(replicas, fourModels, allotment, nil, wide), want)
+	is.Equal(assignBySpeed(replicas, fourModels, allotment, nil, wide), want)
 }
 
 // An engine that is slow for some seconds keeps its kind.
@@ -128,7 +128,7 @@
 			work[i] = float64(rapid.IntRange(0, 9).Draw(t, "work"))
 		}
 		allotment := computeAllotment(work, rapid.IntRange(len(fourModels), len(replicas)).Draw(t, "kept"))
-		deals := dealEvenly(replicas, fourModels, allotment, before, func(id string) time.Duration { return paces[id] })
+		deals := assignBySpeed(replicas, fourModels, allotment, before, func(id string) time.Duration { return paces[id] })
 		dealt := map[string]bool{}
 		for i, ofModel := range deals {
 			if len(ofModel) != allotment[i] {
