--- a/internal/replicas/modelsync/speedclass.go
+++ b/internal/replicas/modelsync/speedclass.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// bestSpan is over how long at least the best event time of an engine counts: an engine that is
+	// bestEventTimeWindow is over how long at least the best event time of an engine counts: an engine that is
 	// slow for some seconds is not worth the loads of dealing it anew.
-	bestSpan = 30 * time.Second
+	bestEventTimeWindow = 30 * time.Second
 	// kindGap is by which factor the event times of two engines must differ to be of two
 	// kinds: more than noise makes of engines of one kind.
 	kindGap = 1.15
