--- a/internal/replicas/modelsync/speedclass.go
+++ b/internal/replicas/modelsync/speedclass.go
@@ -13,9 +13,9 @@
 	// bestEventTimeWindow is over how long at least the best event time of an engine counts: an engine that is
 	// slow for some seconds is not worth the loads of dealing it anew.
 	bestEventTimeWindow = 30 * time.Second
-	// kindGap is by which factor the event times of two engines must differ to be of two
+	// minSpeedClassRatio is by which factor the event times of two engines must differ to be of two
 	// kinds: more than noise makes of engines of one kind.
-	kindGap = 1.15
+	minSpeedClassRatio = 1.15
 	// maxEventTimeAge is how old an event time may be that others have measured.
 	maxEventTimeAge = 5 * time.Second
 )
@@ -39,7 +39,7 @@
 		case eventTime == 0:
 			unknown = append(unknown, rep)
 			continue
-		case last == 0 || float64(eventTime) > kindGap*float64(last):
+		case last == 0 || float64(eventTime) > minSpeedClassRatio*float64(last):
 			kinds = append(kinds, nil)
 		}
 		last = eventTime
