--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -47,7 +47,7 @@
 	NewestVersions func() map[string]int64
 	Demands        *demand.State
 	// EventTime tells how fast engines are; those of which nothing is known count alike.
-	EventTime EventTime
+	EventTime EventTimeFunc
 }
 
 // Syncer brings engines to the named versions. It is safe for concurrent use.
--- a/internal/replicas/modelsync/speedclass.go
+++ b/internal/replicas/modelsync/speedclass.go
@@ -20,9 +20,9 @@
 	maxEventTimeAge = 5 * time.Second
 )
 
-// EventTime returns the time between two events of a text at an engine, and how long ago it was
+// EventTimeFunc returns the time between two events of a text at an engine, and how long ago it was
 // measured, or 0 if it is not known.
-type EventTime func(rep replica.Replica) (eventTime, age time.Duration)
+type EventTimeFunc func(rep replica.Replica) (eventTime, age time.Duration)
 
 // kindsOf parts engines by their speeds, the fastest first: where two event times next to
 // each other differ by kindGap a kind ends. Engines of which none is known count among the
