--- a/internal/replicas/modelsync/speedclass.go
+++ b/internal/replicas/modelsync/speedclass.go
@@ -24,10 +24,10 @@
 // measured, or 0 if it is not known.
 type EventTimeFunc func(rep replica.Replica) (eventTime, age time.Duration)
 
-// kindsOf parts engines by their speeds, the fastest first: where two event times next to
+// groupBySpeed parts engines by their speeds, the fastest first: where two event times next to
 // each other differ by kindGap a kind ends. Engines of which none is known count among the
 // kind of most. Each kind is in the order of ids.
-func kindsOf(replicas []replica.Replica, eventTimeOf func(id string) time.Duration) [][]replica.Replica {
+func groupBySpeed(replicas []replica.Replica, eventTimeOf func(id string) time.Duration) [][]replica.Replica {
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b replica.Replica) int { return cmp.Compare(eventTimeOf(a.ID), eventTimeOf(b.ID)) })
 	var kinds [][]replica.Replica
@@ -66,7 +66,7 @@
 // where its model holds no fast engine.
 func assignBySpeed(replicas []replica.Replica, models []string, allotment []int, before map[string]string,
 	eventTimeOf func(id string) time.Duration) [][]replica.Replica {
-	kinds := kindsOf(replicas, eventTimeOf)
+	kinds := groupBySpeed(replicas, eventTimeOf)
 	if len(kinds) == 1 || len(replicas) < len(models) {
 		return assignByID(replicas, models, allotment, before)
 	}
