--- a/internal/replicas/modelsync/speedclass.go
+++ b/internal/replicas/modelsync/speedclass.go
@@ -75,7 +75,7 @@
 	reached := 0
 	for _, kind := range kinds {
 		reached += len(kind)
-		parts := partsOf(kind, models, allotment, given, before, reached)
+		parts := computeClassShares(kind, models, allotment, given, before, reached)
 		for i, dealt := range assignWithinAllotment(kind, models, parts, before) {
 			deals[i] = append(deals[i], dealt...)
 			given[i] += len(dealt)
@@ -84,10 +84,10 @@
 	return deals
 }
 
-// partsOf returns how many engines of a kind each model gets, given what it has of the
+// computeClassShares returns how many engines of a kind each model gets, given what it has of the
 // faster ones, reached being how many engines there are up to this kind. What a model has
 // already of the kind it keeps within the rounding.
-func partsOf(kind []replica.Replica, models []string, allotment, given []int, before map[string]string,
+func computeClassShares(kind []replica.Replica, models []string, allotment, given []int, before map[string]string,
 	reached int) []int {
 	part := min(float64(reached)/float64(max(total(allotment), 1)), 1)
 	held := heldOf(kind, models, before)
