--- a/internal/replicas/modelsync/speedclass.go
+++ b/internal/replicas/modelsync/speedclass.go
@@ -90,7 +90,7 @@
 func computeClassShares(kind []replica.Replica, models []string, allotment, given []int, before map[string]string,
 	reached int) []int {
 	part := min(float64(reached)/float64(max(total(allotment), 1)), 1)
-	held := heldOf(kind, models, before)
+	held := countAssigned(kind, models, before)
 	parts, left := make([]int, len(models)), len(kind)
 	lacks := make([]float64, len(models))
 	for i := range models {
@@ -116,8 +116,8 @@
 	return parts
 }
 
-// heldOf returns how many engines of a kind were dealt to each model before.
-func heldOf(kind []replica.Replica, models []string, before map[string]string) []int {
+// countAssigned returns how many engines of a kind were dealt to each model before.
+func countAssigned(kind []replica.Replica, models []string, before map[string]string) []int {
 	held := make([]int, len(models))
 	for i, model := range models {
 		for _, rep := range kind {
