--- a/internal/replicas/modelsync/speedclass.go
+++ b/internal/replicas/modelsync/speedclass.go
@@ -101,12 +101,12 @@
 		left -= parts[i]
 	}
 	for ; left < 0; left++ {
-		i := extreme(lacks, func(i int) bool { return parts[i] > 0 }, -1)
+		i := extremeIndex(lacks, func(i int) bool { return parts[i] > 0 }, -1)
 		parts[i]--
 		lacks[i]++
 	}
 	for ; left > 0; left-- {
-		i := extreme(lacks, func(i int) bool { return parts[i] < allotment[i]-given[i] }, 1)
+		i := extremeIndex(lacks, func(i int) bool { return parts[i] < allotment[i]-given[i] }, 1)
 		if i < 0 {
 			break
 		}
@@ -129,9 +129,9 @@
 	return held
 }
 
-// extreme returns the index of the largest of some values, or of the smallest where sign is
+// extremeIndex returns the index of the largest of some values, or of the smallest where sign is
 // -1, among those that may be chosen; -1 if there is none.
-func extreme(values []float64, may func(i int) bool, sign float64) int {
+func extremeIndex(values []float64, may func(i int) bool, sign float64) int {
 	best := -1
 	for i, value := range values {
 		if may(i) && (best < 0 || sign*value > sign*values[best]) {
