--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -20,8 +20,8 @@
 	// initialLoadTime is how long a change of weights is expected to take
 	// before one was measured.
 	initialLoadTime = 800 * time.Millisecond
-	// pollPause is the time between two looks at an engine that loads.
-	pollPause = 200 * time.Millisecond
+	// pollInterval is the time between two looks at an engine that loads.
+	pollInterval = 200 * time.Millisecond
 	// loadTimeout is how long a change may take before it is ordered again.
 	loadTimeout = 8 * time.Second
 	// stallSlack is how much longer than asked for a wait may last in a process that runs:
@@ -101,7 +101,7 @@
 		if err == nil && !report.Busy && time.Since(ordered) > 2*s.expectedTime() {
 			return errIdle
 		}
-		waits.pause(ctx, pollPause)
+		waits.pause(ctx, pollInterval)
 	}
 	return errTooLong
 }
@@ -126,7 +126,7 @@
 	took := now.Sub(ordered)
 	s.limiter.done(ordered, now)
 	s.expectedLoadTime += (took - s.expectedLoadTime) / 4
-	s.expectedLoadTime -= pollPause / 8
+	s.expectedLoadTime -= pollInterval / 8
 }
 
 func (s *Syncer) report(ctx context.Context, c change) (engine.Report, error) {
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -102,12 +102,12 @@
 func TestAStallIsNoticed(t *testing.T) {
 	is := is.New(t)
 	for took, stalled := range map[time.Duration]bool{
-		pollPause: false, pollPause + stallSlack: false, pollPause + stallSlack + time.Millisecond: true, 0: false,
+		pollInterval: false, pollInterval + stallSlack: false, pollInterval + stallSlack + time.Millisecond: true, 0: false,
 	} {
 		watch := stopwatch{}
-		watch.note(pollPause, took)
+		watch.note(pollInterval, took)
 		is.Equal(watch.stalled, stalled)
-		watch.note(pollPause, pollPause) // what was noted stays
+		watch.note(pollInterval, pollInterval) // what was noted stays
 		is.Equal(watch.stalled, stalled)
 	}
 }
@@ -118,10 +118,10 @@
 		is := is.New(t)
 		clock := clocktest.New()
 		watch := stopwatch{now: clock.Now}
-		watch.pause(t.Context(), pollPause)
+		watch.pause(t.Context(), pollInterval)
 		is.True(!watch.stalled)
-		time.AfterFunc(pollPause/2, func() { clock.Suspend(4 * time.Second) })
-		watch.pause(t.Context(), pollPause)
+		time.AfterFunc(pollInterval/2, func() { clock.Suspend(4 * time.Second) })
+		watch.pause(t.Context(), pollInterval)
 		is.True(watch.stalled)
 	})
 }
