--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -24,9 +24,9 @@
 	pollInterval = 200 * time.Millisecond
 	// loadTimeout is how long a change may take before it is ordered again.
 	loadTimeout = 8 * time.Second
-	// stallSlack is how much longer than asked for a wait may last in a process that runs:
+	// maxWaitOverrun is how much longer than asked for a wait may last in a process that runs:
 	// timers of machines that are slowed five times are late by less.
-	stallSlack = 400 * time.Millisecond
+	maxWaitOverrun = 400 * time.Millisecond
 )
 
 // Errors of a change.
@@ -175,5 +175,5 @@
 
 // note takes a wait into account.
 func (s *stopwatch) note(wait, took time.Duration) {
-	s.stalled = s.stalled || took > wait+stallSlack
+	s.stalled = s.stalled || took > wait+maxWaitOverrun
 }
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -102,7 +102,7 @@
 func TestAStallIsNoticed(t *testing.T) {
 	is := is.New(t)
 	for took, stalled := range map[time.Duration]bool{
-		pollInterval: false, pollInterval + stallSlack: false, pollInterval + stallSlack + time.Millisecond: true, 0: false,
+		pollInterval: false, pollInterval + maxWaitOverrun: false, pollInterval + maxWaitOverrun + time.Millisecond: true, 0: false,
 	} {
 		watch := stopwatch{}
 		watch.note(pollInterval, took)
