--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -31,9 +31,9 @@
 
 // Errors of a change.
 var (
-	// errStartedAgain: the engine is not the incarnation that was to change. Its orders,
+	// errRestarted: the engine is not the incarnation that was to change. Its orders,
 	// counts and versions are others.
-	errStartedAgain = errors.New("modelsync: engine has started again")
+	errRestarted = errors.New("modelsync: engine has started again")
 	// errIdle: the engine neither has the version nor loads it.
 	errIdle = errors.New("modelsync: engine is idle without the version")
 	// errTooLong: the engine may still be loading it.
@@ -95,7 +95,7 @@
 			}
 			return nil
 		}
-		if errors.Is(err, errStartedAgain) {
+		if errors.Is(err, errRestarted) {
 			return err
 		}
 		if err == nil && !report.Busy && time.Since(ordered) > 2*s.expectedTime() {
@@ -137,7 +137,7 @@
 		return engine.Report{}, err
 	}
 	if !s.Table.Seen(c.replica, report.Born) {
-		return engine.Report{}, errStartedAgain
+		return engine.Report{}, errRestarted
 	}
 	for model, version := range report.Versions {
 		s.Table.HoldsVersion(c.replica.Incarnation(), model, version)
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -44,13 +44,13 @@
 	driver := &reporting{t: t, report: engine.Report{Born: startOf(1, 0).Born, Versions: map[string]int64{"m": 1}}}
 	syncer := New(Deps{Holder: "d", Driver: driver, Table: table, Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
-	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errStartedAgain))
+	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errRestarted))
 	now := table.Replicas("s")[0]
 	is.Equal(now.Incarnation(), startOf(1, 0).Incarnation())
 	is.Equal(now.Versions["m"], int64(0)) // to be changed, as nothing is known of it
 	driver.report = engine.Report{Born: startOf(0, 4).Born, Versions: map[string]int64{"m": 9}}
 	due.replica = now
-	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errStartedAgain)) // a late answer of before
+	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errRestarted)) // a late answer of before
 	is.Equal(table.Replicas("s")[0].Versions["m"], int64(0))
 }
 
