--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -36,8 +36,8 @@
 	errRestarted = errors.New("modelsync: engine has started again")
 	// errIdle: the engine neither has the version nor loads it.
 	errIdle = errors.New("modelsync: engine is idle without the version")
-	// errTooLong: the engine may still be loading it.
-	errTooLong = errors.New("modelsync: change took too long")
+	// errLoadTimeout: the engine may still be loading it.
+	errLoadTimeout = errors.New("modelsync: change took too long")
 )
 
 // changePauses are how long an engine is left alone after changes that failed: at first a look's
@@ -103,7 +103,7 @@
 		}
 		waits.pause(ctx, pollInterval)
 	}
-	return errTooLong
+	return errLoadTimeout
 }
 
 // expectedTime is how long a change is left alone before the first look at it. It is no
