--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -40,9 +40,9 @@
 	errLoadTimeout = errors.New("modelsync: change took too long")
 )
 
-// changePauses are how long an engine is left alone after changes that failed: at first a look's
+// changeBackoff are how long an engine is left alone after changes that failed: at first a look's
 // interval, longer with each one in a row, as engines that cannot be reached take the place of others.
-var changePauses = backoff.Bounds{First: 100 * time.Millisecond, Longest: 2 * time.Second}
+var changeBackoff = backoff.Bounds{First: 100 * time.Millisecond, Longest: 2 * time.Second}
 
 // carryOut brings one engine to a version and waits until it is there. N is the note of
 // the engine's incarnation, which another one may have replaced meanwhile.
@@ -56,7 +56,7 @@
 	if err == nil {
 		n.rest.Succeeded()
 	} else {
-		n.rest.Failed(changePauses, time.Now())
+		n.rest.Failed(changeBackoff, time.Now())
 	}
 	s.logger.Info("weights", zap.String("replica", c.replica.ID), zap.String("model", c.model),
 		zap.Int64("version", c.version), zap.Duration("took", time.Since(began)), zap.Error(err))
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -189,9 +189,9 @@
 
 func TestPausesGrowWithFailures(t *testing.T) {
 	is := is.New(t)
-	is.Equal(changePauses.After(1), changePauses.First)
-	is.Equal(changePauses.After(3), 4*changePauses.First)
-	is.Equal(changePauses.After(99), changePauses.Longest)
+	is.Equal(changeBackoff.After(1), changeBackoff.First)
+	is.Equal(changeBackoff.After(3), 4*changeBackoff.First)
+	is.Equal(changeBackoff.After(99), changeBackoff.Longest)
 }
 
 // What is remembered of engines goes with them, as most ids never come again, but
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -66,7 +66,7 @@
 	syncer.noteListed(table.Replicas("s"), now)
 	before := syncer.engines["e"]
 	before.model, before.loading = "m", true
-	before.rest.Failed(changePauses, now)
+	before.rest.Failed(changeBackoff, now)
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
 	table.Set(startOf(1, 1))
 	syncer.noteListed(table.Replicas("s"), now)
