--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -44,9 +44,9 @@
 // interval, longer with each one in a row, as engines that cannot be reached take the place of others.
 var changeBackoff = backoff.Bounds{First: 100 * time.Millisecond, Longest: 2 * time.Second}
 
-// carryOut brings one engine to a version and waits until it is there. N is the note of
+// runChange brings one engine to a version and waits until it is there. N is the note of
 // the engine's incarnation, which another one may have replaced meanwhile.
-func (s *Syncer) carryOut(ctx context.Context, c change, n *note) {
+func (s *Syncer) runChange(ctx context.Context, c change, n *note) {
 	began := time.Now()
 	err := s.changeWeights(ctx, c)
 	s.mu.Lock()
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -133,7 +133,7 @@
 		}
 		n.loading = true
 		s.loadsInProgress++
-		go s.carryOut(ctx, c, n)
+		go s.runChange(ctx, c, n)
 	}
 }
 
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -76,7 +76,7 @@
 	is.Equal(n.model, "m")
 	n.loading = true
 	syncer.loadsInProgress = 2
-	syncer.carryOut(t.Context(), due, before)
+	syncer.runChange(t.Context(), due, before)
 	is.True(n.loading)
 	is.True(!before.loading)
 	is.Equal(syncer.loadsInProgress, 1)
