--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -86,7 +86,7 @@
 func (s *Syncer) awaitChange(ctx context.Context, c change) error {
 	ordered := time.Now()
 	waits := stopwatch{now: bootclock.Now}
-	waits.pause(ctx, s.expectedTime())
+	waits.pause(ctx, s.estimateLoadTime())
 	for ctx.Err() == nil {
 		report, err := s.report(ctx, c)
 		if err == nil && report.Versions[c.model] >= c.version {
@@ -98,7 +98,7 @@
 		if errors.Is(err, errRestarted) {
 			return err
 		}
-		if err == nil && !report.Busy && time.Since(ordered) > 2*s.expectedTime() {
+		if err == nil && !report.Busy && time.Since(ordered) > 2*s.estimateLoadTime() {
 			return errIdle
 		}
 		waits.pause(ctx, pollInterval)
@@ -106,10 +106,10 @@
 	return errLoadTimeout
 }
 
-// expectedTime is how long a change is left alone before the first look at it. It is no
+// estimateLoadTime is how long a change is left alone before the first look at it. It is no
 // longer than a change that is not slowed may take: what a change took is only known by
 // looking, so that a guess that is far too long would never be found wrong.
-func (s *Syncer) expectedTime() time.Duration {
+func (s *Syncer) estimateLoadTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if most := s.limiter.unslowed(); most > 0 {
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -66,7 +66,7 @@
 func TestAChangeIsLookedAtAsSoonAsItMayBeDone(t *testing.T) {
 	is := is.New(t)
 	syncer := &Syncer{expectedLoadTime: initialLoadTime}
-	is.Equal(syncer.expectedTime(), initialLoadTime)
+	is.Equal(syncer.estimateLoadTime(), initialLoadTime)
 	for range 4 {
 		syncer.noteLoadTime(testStart, testStart.Add(time.Second))
 	}
@@ -74,7 +74,7 @@
 		syncer.noteLoadTime(testStart, testStart.Add(5*time.Second))
 	}
 	is.True(syncer.expectedLoadTime > 3*time.Second)
-	is.Equal(syncer.expectedTime(), time.Duration(slowedFactor*float64(time.Second)))
+	is.Equal(syncer.estimateLoadTime(), time.Duration(slowedFactor*float64(time.Second)))
 }
 
 // Changes that are found slow together are one sign.
