--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -91,7 +91,7 @@
 		report, err := s.report(ctx, c)
 		if err == nil && report.Versions[c.model] >= c.version {
 			if !waits.stalled {
-				s.noteLoadTime(ordered, time.Now())
+				s.recordLoadTime(ordered, time.Now())
 			}
 			return nil
 		}
@@ -118,9 +118,9 @@
 	return s.expectedLoadTime
 }
 
-// noteLoadTime notes how long a change took. The guess stays a bit below, as looking
+// recordLoadTime notes how long a change took. The guess stays a bit below, as looking
 // late costs time and looking early costs a call.
-func (s *Syncer) noteLoadTime(ordered, now time.Time) {
+func (s *Syncer) recordLoadTime(ordered, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	took := now.Sub(ordered)
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -68,10 +68,10 @@
 	syncer := &Syncer{expectedLoadTime: initialLoadTime}
 	is.Equal(syncer.estimateLoadTime(), initialLoadTime)
 	for range 4 {
-		syncer.noteLoadTime(testStart, testStart.Add(time.Second))
+		syncer.recordLoadTime(testStart, testStart.Add(time.Second))
 	}
 	for range 8 {
-		syncer.noteLoadTime(testStart, testStart.Add(5*time.Second))
+		syncer.recordLoadTime(testStart, testStart.Add(5*time.Second))
 	}
 	is.True(syncer.expectedLoadTime > 3*time.Second)
 	is.Equal(syncer.estimateLoadTime(), time.Duration(slowedFactor*float64(time.Second)))
