--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -66,7 +66,7 @@
 func (s *Syncer) changeWeights(ctx context.Context, c change) error {
 	bounded, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	report, err := s.report(bounded, c)
+	report, err := s.fetchReport(bounded, c)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 	waits := stopwatch{now: bootclock.Now}
 	waits.pause(ctx, s.estimateLoadTime())
 	for ctx.Err() == nil {
-		report, err := s.report(ctx, c)
+		report, err := s.fetchReport(ctx, c)
 		if err == nil && report.Versions[c.model] >= c.version {
 			if !waits.stalled {
 				s.recordLoadTime(ordered, time.Now())
@@ -129,7 +129,7 @@
 	s.expectedLoadTime -= pollInterval / 8
 }
 
-func (s *Syncer) report(ctx context.Context, c change) (engine.Report, error) {
+func (s *Syncer) fetchReport(ctx context.Context, c change) (engine.Report, error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	report, err := s.Driver.Report(bounded, c.replica)
