--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -76,7 +76,7 @@
 	if report.Busy {
 		return errors.Wrap(engine.ErrConflict, "busy")
 	}
-	if err := s.order(bounded, c, report); err != nil {
+	if err := s.sendOrder(bounded, c, report); err != nil {
 		return err
 	}
 	return s.awaitChange(bounded, c)
@@ -145,8 +145,8 @@
 	return report, nil
 }
 
-// order sends the order if the lease lets this daemon act until it has arrived.
-func (s *Syncer) order(ctx context.Context, c change, report engine.Report) error {
+// sendOrder sends the sendOrder if the lease lets this daemon act until it has arrived.
+func (s *Syncer) sendOrder(ctx context.Context, c change, report engine.Report) error {
 	_, err := lease.Act(ctx, s.Lease, callTimeout, func(ctx context.Context, fence int64) error {
 		s.OrdersSent.Add(1)
 		s.logger.Info("order", zap.String("replica", c.replica.ID), zap.String("model", c.model), zap.Int64("version", c.version),
