--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -85,7 +85,7 @@
 // awaitChange waits until an engine that has just taken an order has the version.
 func (s *Syncer) awaitChange(ctx context.Context, c change) error {
 	ordered := time.Now()
-	waits := stopwatch{now: bootclock.Now}
+	waits := stallDetector{now: bootclock.Now}
 	waits.pause(ctx, s.estimateLoadTime())
 	for ctx.Err() == nil {
 		report, err := s.fetchReport(ctx, c)
@@ -158,22 +158,22 @@
 	return err
 }
 
-// stopwatch notes whether the process stood still in one of its waits. What was timed
+// stallDetector notes whether the process stood still in one of its waits. What was timed
 // meanwhile says nothing of the engines: a holder that was frozen under some changes would
 // take all of them for slowed, and narrow the width.
-type stopwatch struct {
+type stallDetector struct {
 	// now also counts the time in which the machine is suspended.
 	now     bootclock.Clock
 	stalled bool
 }
 
-func (s *stopwatch) pause(ctx context.Context, wait time.Duration) {
+func (s *stallDetector) pause(ctx context.Context, wait time.Duration) {
 	began := s.now()
 	periodic.Pause(ctx, wait)
 	s.note(wait, s.now().Sub(began))
 }
 
 // note takes a wait into account.
-func (s *stopwatch) note(wait, took time.Duration) {
+func (s *stallDetector) note(wait, took time.Duration) {
 	s.stalled = s.stalled || took > wait+maxWaitOverrun
 }
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -104,7 +104,7 @@
 	for took, stalled := range map[time.Duration]bool{
 		pollInterval: false, pollInterval + maxWaitOverrun: false, pollInterval + maxWaitOverrun + time.Millisecond: true, 0: false,
 	} {
-		watch := stopwatch{}
+		watch := stallDetector{}
 		watch.note(pollInterval, took)
 		is.Equal(watch.stalled, stalled)
 		watch.note(pollInterval, pollInterval) // what was noted stays
@@ -117,7 +117,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := clocktest.New()
-		watch := stopwatch{now: clock.Now}
+		watch := stallDetector{now: clock.Now}
 		watch.pause(t.Context(), pollInterval)
 		is.True(!watch.stalled)
 		time.AfterFunc(pollInterval/2, func() { clock.Suspend(4 * time.Second) })
