--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -86,7 +86,7 @@
 func (s *Syncer) awaitChange(ctx context.Context, c change) error {
 	ordered := time.Now()
 	waits := stallDetector{now: bootclock.Now}
-	waits.pause(ctx, s.estimateLoadTime())
+	waits.wait(ctx, s.estimateLoadTime())
 	for ctx.Err() == nil {
 		report, err := s.fetchReport(ctx, c)
 		if err == nil && report.Versions[c.model] >= c.version {
@@ -101,7 +101,7 @@
 		if err == nil && !report.Busy && time.Since(ordered) > 2*s.estimateLoadTime() {
 			return errIdle
 		}
-		waits.pause(ctx, pollInterval)
+		waits.wait(ctx, pollInterval)
 	}
 	return errLoadTimeout
 }
@@ -167,7 +167,7 @@
 	stalled bool
 }
 
-func (s *stallDetector) pause(ctx context.Context, wait time.Duration) {
+func (s *stallDetector) wait(ctx context.Context, wait time.Duration) {
 	began := s.now()
 	periodic.Pause(ctx, wait)
 	s.note(wait, s.now().Sub(began))
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -118,10 +118,10 @@
 		is := is.New(t)
 		clock := clocktest.New()
 		watch := stallDetector{now: clock.Now}
-		watch.pause(t.Context(), pollInterval)
+		watch.wait(t.Context(), pollInterval)
 		is.True(!watch.stalled)
 		time.AfterFunc(pollInterval/2, func() { clock.Suspend(4 * time.Second) })
-		watch.pause(t.Context(), pollInterval)
+		watch.wait(t.Context(), pollInterval)
 		is.True(watch.stalled)
 	})
 }
