--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -170,10 +170,10 @@
 func (s *stallDetector) wait(ctx context.Context, wait time.Duration) {
 	began := s.now()
 	periodic.Pause(ctx, wait)
-	s.note(wait, s.now().Sub(began))
+	s.record(wait, s.now().Sub(began))
 }
 
-// note takes a wait into account.
-func (s *stallDetector) note(wait, took time.Duration) {
+// record takes a wait into account.
+func (s *stallDetector) record(wait, took time.Duration) {
 	s.stalled = s.stalled || took > wait+maxWaitOverrun
 }
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -105,9 +105,9 @@
 		pollInterval: false, pollInterval + maxWaitOverrun: false, pollInterval + maxWaitOverrun + time.Millisecond: true, 0: false,
 	} {
 		watch := stallDetector{}
-		watch.note(pollInterval, took)
+		watch.record(pollInterval, took)
 		is.Equal(watch.stalled, stalled)
-		watch.note(pollInterval, pollInterval) // what was noted stays
+		watch.record(pollInterval, pollInterval) // what was noted stays
 		is.Equal(watch.stalled, stalled)
 	}
 }
