--- a/internal/replicas/modelsync/due.go
+++ b/internal/replicas/modelsync/due.go
@@ -17,9 +17,9 @@
 	manner  engine.Manner
 }
 
-// mannerFor lets running texts go on under new weights unless a route of the
+// chooseManner lets running texts go on under new weights unless a route of the
 // service wants texts of one version.
-func mannerFor(configuration *route.Configuration, service string) engine.Manner {
+func chooseManner(configuration *route.Configuration, service string) engine.Manner {
 	for i := range configuration.Routes {
 		if rt := &configuration.Routes[i]; rt.SingleVersion && rt.Uses(service) {
 			return engine.Finish
