--- a/internal/replicas/modelsync/due.go
+++ b/internal/replicas/modelsync/due.go
@@ -28,10 +28,10 @@
 	return engine.Continue
 }
 
-// changesDue returns the changes that are due for the replicas of a service,
+// listDueChanges returns the changes that are due for the replicas of a service,
 // those under way among them, in the order in which they should start. Deals
 // says which replicas are for which model.
-func changesDue(deals [][]replica.Replica, models []string, named map[string]int64,
+func listDueChanges(deals [][]replica.Replica, models []string, named map[string]int64,
 	lagOf func(model string) int64, manner engine.Manner, loading func(replicaID string) bool) []change {
 	needs := make([]modelNeed, len(models))
 	for i, model := range models {
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -112,7 +112,7 @@
 		replicas := s.Table.Replicas(name)
 		s.noteListed(replicas, now)
 		deals := s.assignReplicas(name, service.Models, replicas)
-		due := changesDue(deals, service.Models, named, s.maxLag, chooseManner(configuration, name), s.isLoading)
+		due := listDueChanges(deals, service.Models, named, s.maxLag, chooseManner(configuration, name), s.isLoading)
 		s.startChanges(ctx, due, now)
 	}
 	s.forget(now)
