--- a/internal/replicas/modelsync/due.go
+++ b/internal/replicas/modelsync/due.go
@@ -36,7 +36,7 @@
 	needs := make([]modelNeed, len(models))
 	for i, model := range models {
 		version, lag := named[model], lagOf(model)
-		due := changesOfModel(deals[i], model, version, lag, manner)
+		due := listModelChanges(deals[i], model, version, lag, manner)
 		needs[i] = needOf(deals[i], model, version, lag, due, loading)
 	}
 	return inTurn(needs, lagOf)
@@ -45,11 +45,11 @@
 // behind is how many versions the engine is behind.
 func (c change) behind() int64 { return c.version - c.replica.Versions[c.model] }
 
-// changesOfModel returns which of a model's replicas to bring to the newest
+// listModelChanges returns which of a model's replicas to bring to the newest
 // version now. A replica may wait as long as its version is still allowed for
 // the next batch; an even part of the replicas is changed at each version, so
 // that they do not all become too old at once.
-func changesOfModel(replicas []replica.Replica, model string, version, lag int64, manner engine.Manner) []change {
+func listModelChanges(replicas []replica.Replica, model string, version, lag int64, manner engine.Manner) []change {
 	var behind []change
 	newest := 0
 	for _, rep := range replicas {
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -51,7 +51,7 @@
 					t.Fatalf("version %d when %d is named, lag %d", rep.Versions["m"], version, lag)
 				}
 			}
-			for _, c := range changesOfModel(replicas, "m", version, lag, engine.Continue) {
+			for _, c := range listModelChanges(replicas, "m", version, lag, engine.Continue) {
 				c.replica.Versions["m"] = version
 				changes++
 			}
