--- a/internal/replicas/modelsync/due.go
+++ b/internal/replicas/modelsync/due.go
@@ -42,8 +42,8 @@
 	return inTurn(needs, lagOf)
 }
 
-// behind is how many versions the engine is behind.
-func (c change) behind() int64 { return c.version - c.replica.Versions[c.model] }
+// versionsBehind is how many versions the engine is versionsBehind.
+func (c change) versionsBehind() int64 { return c.version - c.replica.Versions[c.model] }
 
 // listModelChanges returns which of a model's replicas to bring to the newest
 // version now. A replica may wait as long as its version is still allowed for
@@ -60,13 +60,13 @@
 		behind = append(behind, change{replica: rep, model: model, version: version, manner: manner})
 	}
 	slices.SortStableFunc(behind, func(a, b change) int {
-		return cmp.Or(cmp.Compare(b.behind(), a.behind()), cmp.Compare(a.replica.InFlight, b.replica.InFlight))
+		return cmp.Or(cmp.Compare(b.versionsBehind(), a.versionsBehind()), cmp.Compare(a.replica.InFlight, b.replica.InFlight))
 	})
 	parts := max(int(lag), 1)
 	wanted := (len(replicas)+parts-1)/parts - newest
 	due := behind[:0]
 	for i, c := range behind {
-		if c.behind() >= lag || i < wanted {
+		if c.versionsBehind() >= lag || i < wanted {
 			due = append(due, c)
 		}
 	}
--- a/internal/replicas/modelsync/priority.go
+++ b/internal/replicas/modelsync/priority.go
@@ -46,7 +46,7 @@
 	return cmp.Or(
 		cmp.Compare(a.usable*b.engines, b.usable*a.engines),
 		cmp.Compare(a.newest*b.engines, b.newest*a.engines),
-		cmp.Compare(b.due[0].behind(), a.due[0].behind()),
+		cmp.Compare(b.due[0].versionsBehind(), a.due[0].versionsBehind()),
 	)
 }
 
@@ -72,7 +72,7 @@
 		need := &needs[worst]
 		next := need.due[0]
 		need.due = need.due[1:]
-		if next.behind() > lagOf(next.model) {
+		if next.versionsBehind() > lagOf(next.model) {
 			need.usable++
 		}
 		need.newest++
