--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -46,7 +46,7 @@
 
 // runChange brings one engine to a version and waits until it is there. N is the note of
 // the engine's incarnation, which another one may have replaced meanwhile.
-func (s *Syncer) runChange(ctx context.Context, c change, n *note) {
+func (s *Syncer) runChange(ctx context.Context, c change, n *engineState) {
 	began := time.Now()
 	err := s.changeWeights(ctx, c)
 	s.mu.Lock()
--- a/internal/replicas/modelsync/enginestate.go
+++ b/internal/replicas/modelsync/enginestate.go
@@ -8,9 +8,9 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// note is what is remembered of one engine, or of one incarnation of it: a change and its
+// engineState is what is remembered of one engine, or of one incarnation of it: a change and its
 // rest belong to the incarnation that they were ordered of.
-type note struct {
+type engineState struct {
 	start replica.Incarnation
 	// model is the one that the engine was dealt to, "" for none.
 	model   string
@@ -42,7 +42,7 @@
 		n := s.noteOf(rep.ID)
 		if n.start != rep.Incarnation() {
 			// The engine keeps the model that it was dealt to, and nothing else.
-			n = &note{start: rep.Incarnation(), model: n.model}
+			n = &engineState{start: rep.Incarnation(), model: n.model}
 			s.engines[rep.ID] = n
 		}
 		n.listedAt = now
@@ -56,14 +56,14 @@
 func (s *Syncer) forget(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.engines, func(_ string, n *note) bool { return !n.loading && now.Sub(n.listedAt) > forgetAfter })
+	maps.DeleteFunc(s.engines, func(_ string, n *engineState) bool { return !n.loading && now.Sub(n.listedAt) > forgetAfter })
 }
 
 // noteOf returns the note of an engine. The mutex is held.
-func (s *Syncer) noteOf(id string) *note {
+func (s *Syncer) noteOf(id string) *engineState {
 	n := s.engines[id]
 	if n == nil {
-		n = &note{}
+		n = &engineState{}
 		s.engines[id] = n
 	}
 	return n
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -59,7 +59,7 @@
 
 	mu sync.Mutex
 	// engines are what is remembered of each engine, by its id.
-	engines map[string]*note
+	engines map[string]*engineState
 	// loadsInProgress counts the engines with a change under way.
 	loadsInProgress  int
 	expectedLoadTime time.Duration
@@ -71,7 +71,7 @@
 // New returns a syncer.
 func New(parts Deps, logger *zap.Logger) *Syncer {
 	return &Syncer{
-		Deps: parts, logger: logger, engines: map[string]*note{}, allotments: map[string][]int{}, expectedLoadTime: initialLoadTime,
+		Deps: parts, logger: logger, engines: map[string]*engineState{}, allotments: map[string][]int{}, expectedLoadTime: initialLoadTime,
 	}
 }
 
