--- a/internal/replicas/modelsync/enginestate.go
+++ b/internal/replicas/modelsync/enginestate.go
@@ -11,7 +11,7 @@
 // engineState is what is remembered of one engine, or of one incarnation of it: a change and its
 // rest belong to the incarnation that they were ordered of.
 type engineState struct {
-	start replica.Incarnation
+	incarnation replica.Incarnation
 	// model is the one that the engine was dealt to, "" for none.
 	model   string
 	loading bool
@@ -40,9 +40,9 @@
 	defer s.mu.Unlock()
 	for _, rep := range replicas {
 		n := s.noteOf(rep.ID)
-		if n.start != rep.Incarnation() {
+		if n.incarnation != rep.Incarnation() {
 			// The engine keeps the model that it was dealt to, and nothing else.
-			n = &engineState{start: rep.Incarnation(), model: n.model}
+			n = &engineState{incarnation: rep.Incarnation(), model: n.model}
 			s.engines[rep.ID] = n
 		}
 		n.listedAt = now
