--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -145,7 +145,7 @@
 	for i, model := range models {
 		for _, rep := range deals[i] {
 			if len(replicas) >= len(models) {
-				s.noteOf(rep.ID).model = model
+				s.noteOf(rep.ID).assignedModel = model
 			}
 		}
 	}
@@ -156,8 +156,8 @@
 func (s *Syncer) assignedModels(replicas []replica.Replica) map[string]string {
 	models := make(map[string]string, len(replicas))
 	for _, rep := range replicas {
-		if n := s.engines[rep.ID]; n != nil && n.model != "" {
-			models[rep.ID] = n.model
+		if n := s.engines[rep.ID]; n != nil && n.assignedModel != "" {
+			models[rep.ID] = n.assignedModel
 		}
 	}
 	return models
--- a/internal/replicas/modelsync/enginestate.go
+++ b/internal/replicas/modelsync/enginestate.go
@@ -12,9 +12,9 @@
 // rest belong to the incarnation that they were ordered of.
 type engineState struct {
 	incarnation replica.Incarnation
-	// model is the one that the engine was dealt to, "" for none.
-	model   string
-	loading bool
+	// assignedModel is the one that the engine was dealt to, "" for none.
+	assignedModel string
+	loading       bool
 	// rest is the pause after changes that failed.
 	rest     backoff.Rest
 	listedAt time.Time
@@ -42,7 +42,7 @@
 		n := s.noteOf(rep.ID)
 		if n.incarnation != rep.Incarnation() {
 			// The engine keeps the model that it was dealt to, and nothing else.
-			n = &engineState{incarnation: rep.Incarnation(), model: n.model}
+			n = &engineState{incarnation: rep.Incarnation(), assignedModel: n.assignedModel}
 			s.engines[rep.ID] = n
 		}
 		n.listedAt = now
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -201,7 +201,7 @@
 	syncer := New(Deps{Holder: "d", Table: replica.NewTable(time.Second, zap.NewNop()), Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	start := time.Now()
 	syncer.noteListed(replicasAt(1, 1, 1), start)
-	syncer.engines["r00"].model, syncer.engines["r01"].loading = "m", true
+	syncer.engines["r00"].assignedModel, syncer.engines["r01"].loading = "m", true
 	syncer.forget(start.Add(forgetAfter))
 	is.Equal(len(syncer.engines), 3)
 	is.Equal(syncer.assignedModels(replicasAt(1)), map[string]string{"r00": "m"})
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -65,7 +65,7 @@
 	table.Set(startOf(0, 4))
 	syncer.noteListed(table.Replicas("s"), now)
 	before := syncer.engines["e"]
-	before.model, before.loading = "m", true
+	before.assignedModel, before.loading = "m", true
 	before.rest.Failed(changeBackoff, now)
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
 	table.Set(startOf(1, 1))
@@ -73,7 +73,7 @@
 	n := syncer.engines["e"]
 	is.True(!n.loading)
 	is.True(n.rest.Over(now))
-	is.Equal(n.model, "m")
+	is.Equal(n.assignedModel, "m")
 	n.loading = true
 	syncer.loadsInProgress = 2
 	syncer.runChange(t.Context(), due, before)
