--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -54,9 +54,9 @@
 	s.loadsInProgress--
 	n.loading = false
 	if err == nil {
-		n.rest.Succeeded()
+		n.backoff.Succeeded()
 	} else {
-		n.rest.Failed(changeBackoff, time.Now())
+		n.backoff.Failed(changeBackoff, time.Now())
 	}
 	s.logger.Info("weights", zap.String("replica", c.replica.ID), zap.String("model", c.model),
 		zap.Int64("version", c.version), zap.Duration("took", time.Since(began)), zap.Error(err))
--- a/internal/replicas/modelsync/enginestate.go
+++ b/internal/replicas/modelsync/enginestate.go
@@ -15,8 +15,8 @@
 	// assignedModel is the one that the engine was dealt to, "" for none.
 	assignedModel string
 	loading       bool
-	// rest is the pause after changes that failed.
-	rest     backoff.Rest
+	// backoff is the pause after changes that failed.
+	backoff  backoff.Rest
 	listedAt time.Time
 	// best is the best event time of late.
 	best replica.BestTime
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -128,7 +128,7 @@
 			return
 		}
 		n := s.noteOf(c.replica.ID)
-		if n.loading || !n.rest.Over(now) {
+		if n.loading || !n.backoff.Over(now) {
 			continue
 		}
 		n.loading = true
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -66,13 +66,13 @@
 	syncer.noteListed(table.Replicas("s"), now)
 	before := syncer.engines["e"]
 	before.assignedModel, before.loading = "m", true
-	before.rest.Failed(changeBackoff, now)
+	before.backoff.Failed(changeBackoff, now)
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
 	table.Set(startOf(1, 1))
 	syncer.noteListed(table.Replicas("s"), now)
 	n := syncer.engines["e"]
 	is.True(!n.loading)
-	is.True(n.rest.Over(now))
+	is.True(n.backoff.Over(now))
 	is.Equal(n.assignedModel, "m")
 	n.loading = true
 	syncer.loadsInProgress = 2
