--- a/internal/replicas/modelsync/enginestate.go
+++ b/internal/replicas/modelsync/enginestate.go
@@ -18,8 +18,8 @@
 	// backoff is the pause after changes that failed.
 	backoff  backoff.Rest
 	listedAt time.Time
-	// best is the best event time of late.
-	best replica.BestTime
+	// bestEventTime is the bestEventTime event time of late.
+	bestEventTime replica.BestTime
 }
 
 // forgetAfter is how long a note outlives its engine's place in the list, from
@@ -47,7 +47,7 @@
 		}
 		n.listedAt = now
 		if eventTime, age := s.EventTime(rep); eventTime > 0 && age <= maxEventTimeAge {
-			n.best.Note(eventTime, bestEventTimeWindow, now)
+			n.bestEventTime.Note(eventTime, bestEventTimeWindow, now)
 		}
 	}
 }
