--- a/internal/replicas/modelsync/enginestate.go
+++ b/internal/replicas/modelsync/enginestate.go
@@ -16,8 +16,8 @@
 	assignedModel string
 	loading       bool
 	// backoff is the pause after changes that failed.
-	backoff  backoff.Rest
-	listedAt time.Time
+	backoff      backoff.Rest
+	lastListedAt time.Time
 	// bestEventTime is the bestEventTime event time of late.
 	bestEventTime replica.BestTime
 }
@@ -45,7 +45,7 @@
 			n = &engineState{incarnation: rep.Incarnation(), assignedModel: n.assignedModel}
 			s.engines[rep.ID] = n
 		}
-		n.listedAt = now
+		n.lastListedAt = now
 		if eventTime, age := s.EventTime(rep); eventTime > 0 && age <= maxEventTimeAge {
 			n.bestEventTime.Note(eventTime, bestEventTimeWindow, now)
 		}
@@ -56,7 +56,7 @@
 func (s *Syncer) forget(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.engines, func(_ string, n *engineState) bool { return !n.loading && now.Sub(n.listedAt) > forgetAfter })
+	maps.DeleteFunc(s.engines, func(_ string, n *engineState) bool { return !n.loading && now.Sub(n.lastListedAt) > forgetAfter })
 }
 
 // noteOf returns the note of an engine. The mutex is held.
