--- a/internal/replicas/modelsync/enginestate.go
+++ b/internal/replicas/modelsync/enginestate.go
@@ -22,9 +22,9 @@
 	bestEventTime replica.BestTime
 }
 
-// forgetAfter is how long a note outlives its engine's place in the list, from
+// unlistedStateTTL is how long a note outlives its engine's place in the list, from
 // which an outage of the journal may take all for a while.
-const forgetAfter = 30 * time.Second
+const unlistedStateTTL = 30 * time.Second
 
 // isLoading reports whether a change of an engine is under way.
 func (s *Syncer) isLoading(replicaID string) bool {
@@ -56,7 +56,7 @@
 func (s *Syncer) forget(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.engines, func(_ string, n *engineState) bool { return !n.loading && now.Sub(n.lastListedAt) > forgetAfter })
+	maps.DeleteFunc(s.engines, func(_ string, n *engineState) bool { return !n.loading && now.Sub(n.lastListedAt) > unlistedStateTTL })
 }
 
 // noteOf returns the note of an engine. The mutex is held.
