--- a/internal/replicas/modelsync/enginestate.go
+++ b/internal/replicas/modelsync/enginestate.go
@@ -34,8 +34,8 @@
 	return n != nil && n.loading
 }
 
-// noteListed keeps the notes of the engines that are listed, with their best event times.
-func (s *Syncer) noteListed(replicas []replica.Replica, now time.Time) {
+// updateListed keeps the notes of the engines that are listed, with their best event times.
+func (s *Syncer) updateListed(replicas []replica.Replica, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, rep := range replicas {
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -110,7 +110,7 @@
 			continue
 		}
 		replicas := s.Table.Replicas(name)
-		s.noteListed(replicas, now)
+		s.updateListed(replicas, now)
 		deals := s.assignReplicas(name, service.Models, replicas)
 		due := listDueChanges(deals, service.Models, named, s.maxLag, chooseManner(configuration, name), s.isLoading)
 		s.startChanges(ctx, due, now)
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -200,12 +200,12 @@
 	is := is.New(t)
 	syncer := New(Deps{Holder: "d", Table: replica.NewTable(time.Second, zap.NewNop()), Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	start := time.Now()
-	syncer.noteListed(replicasAt(1, 1, 1), start)
+	syncer.updateListed(replicasAt(1, 1, 1), start)
 	syncer.engines["r00"].assignedModel, syncer.engines["r01"].loading = "m", true
 	syncer.forget(start.Add(unlistedStateTTL))
 	is.Equal(len(syncer.engines), 3)
 	is.Equal(syncer.assignedModels(replicasAt(1)), map[string]string{"r00": "m"})
-	syncer.noteListed(replicasAt(1, 1, 1)[2:], start.Add(unlistedStateTTL))
+	syncer.updateListed(replicasAt(1, 1, 1)[2:], start.Add(unlistedStateTTL))
 	syncer.forget(start.Add(unlistedStateTTL + time.Second))
 	is.Equal(len(syncer.engines), 2) // the listed one, and one with a change under way
 }
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -63,13 +63,13 @@
 	syncer := New(Deps{Holder: "d", Driver: driver, Table: table, Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	now := time.Now()
 	table.Set(startOf(0, 4))
-	syncer.noteListed(table.Replicas("s"), now)
+	syncer.updateListed(table.Replicas("s"), now)
 	before := syncer.engines["e"]
 	before.assignedModel, before.loading = "m", true
 	before.backoff.Failed(changeBackoff, now)
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
 	table.Set(startOf(1, 1))
-	syncer.noteListed(table.Replicas("s"), now)
+	syncer.updateListed(table.Replicas("s"), now)
 	n := syncer.engines["e"]
 	is.True(!n.loading)
 	is.True(n.backoff.Over(now))
