--- a/internal/replicas/modelsync/enginestate.go
+++ b/internal/replicas/modelsync/enginestate.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// forget drops the notes of engines that are long gone.
-func (s *Syncer) forget(now time.Time) {
+// removeExpired drops the notes of engines that are long gone.
+func (s *Syncer) removeExpired(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	maps.DeleteFunc(s.engines, func(_ string, n *engineState) bool { return !n.loading && now.Sub(n.lastListedAt) > unlistedStateTTL })
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -115,7 +115,7 @@
 		due := listDueChanges(deals, service.Models, named, s.maxLag, chooseManner(configuration, name), s.isLoading)
 		s.startChanges(ctx, due, now)
 	}
-	s.forget(now)
+	s.removeExpired(now)
 }
 
 // startChanges starts the changes for which there is room.
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -202,10 +202,10 @@
 	start := time.Now()
 	syncer.updateListed(replicasAt(1, 1, 1), start)
 	syncer.engines["r00"].assignedModel, syncer.engines["r01"].loading = "m", true
-	syncer.forget(start.Add(unlistedStateTTL))
+	syncer.removeExpired(start.Add(unlistedStateTTL))
 	is.Equal(len(syncer.engines), 3)
 	is.Equal(syncer.assignedModels(replicasAt(1)), map[string]string{"r00": "m"})
 	syncer.updateListed(replicasAt(1, 1, 1)[2:], start.Add(unlistedStateTTL))
-	syncer.forget(start.Add(unlistedStateTTL + time.Second))
+	syncer.removeExpired(start.Add(unlistedStateTTL + time.Second))
 	is.Equal(len(syncer.engines), 2) // the listed one, and one with a change under way
 }
