--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -141,11 +141,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	deals := assignBySpeed(replicas, models, allotment, s.assignedModels(replicas),
-		func(id string) time.Duration { return s.noteOf(id).bestEventTime.Value() })
+		func(id string) time.Duration { return s.stateOf(id).bestEventTime.Value() })
 	for i, model := range models {
 		for _, rep := range deals[i] {
 			if len(replicas) >= len(models) {
-				s.noteOf(rep.ID).assignedModel = model
+				s.stateOf(rep.ID).assignedModel = model
 			}
 		}
 	}
--- a/internal/replicas/modelsync/enginestate.go
+++ b/internal/replicas/modelsync/enginestate.go
@@ -39,7 +39,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, rep := range replicas {
-		n := s.noteOf(rep.ID)
+		n := s.stateOf(rep.ID)
 		if n.incarnation != rep.Incarnation() {
 			// The engine keeps the model that it was dealt to, and nothing else.
 			n = &engineState{incarnation: rep.Incarnation(), assignedModel: n.assignedModel}
@@ -59,8 +59,8 @@
 	maps.DeleteFunc(s.engines, func(_ string, n *engineState) bool { return !n.loading && now.Sub(n.lastListedAt) > unlistedStateTTL })
 }
 
-// noteOf returns the note of an engine. The mutex is held.
-func (s *Syncer) noteOf(id string) *engineState {
+// stateOf returns the note of an engine. The mutex is held.
+func (s *Syncer) stateOf(id string) *engineState {
 	n := s.engines[id]
 	if n == nil {
 		n = &engineState{}
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -127,7 +127,7 @@
 		if s.loadsInProgress >= s.limiter.places() {
 			return
 		}
-		n := s.noteOf(c.replica.ID)
+		n := s.stateOf(c.replica.ID)
 		if n.loading || !n.backoff.Over(now) {
 			continue
 		}
