--- a/internal/replicas/modelsync/priority.go
+++ b/internal/replicas/modelsync/priority.go
@@ -12,8 +12,8 @@
 	engines int
 	// usable engines are within the lag that batches allow, newest ones hold the
 	// newest version.
-	usable, newest int
-	underWay, due  []change
+	usable, newest  int
+	inProgress, due []change
 }
 
 // needOf returns a model's need.
@@ -31,7 +31,7 @@
 	}
 	for _, c := range due {
 		if loading(c.replica.ID) {
-			need.underWay = append(need.underWay, c)
+			need.inProgress = append(need.inProgress, c)
 		} else {
 			need.due = append(need.due, c)
 		}
@@ -57,7 +57,7 @@
 func inTurn(needs []modelNeed, lagOf func(model string) int64) []change {
 	var merged []change
 	for i := range needs {
-		merged = append(merged, needs[i].underWay...)
+		merged = append(merged, needs[i].inProgress...)
 	}
 	for {
 		worst := -1
