--- a/internal/replicas/modelsync/due.go
+++ b/internal/replicas/modelsync/due.go
@@ -37,7 +37,7 @@
 	for i, model := range models {
 		version, lag := named[model], lagOf(model)
 		due := listModelChanges(deals[i], model, version, lag, manner)
-		needs[i] = needOf(deals[i], model, version, lag, due, loading)
+		needs[i] = computeNeed(deals[i], model, version, lag, due, loading)
 	}
 	return inTurn(needs, lagOf)
 }
--- a/internal/replicas/modelsync/priority.go
+++ b/internal/replicas/modelsync/priority.go
@@ -16,8 +16,8 @@
 	inProgress, due []change
 }
 
-// needOf returns a model's need.
-func needOf(replicas []replica.Replica, model string, version, lag int64, due []change,
+// computeNeed returns a model's need.
+func computeNeed(replicas []replica.Replica, model string, version, lag int64, due []change,
 	loading func(replicaID string) bool) modelNeed {
 	need := modelNeed{engines: len(replicas)}
 	for _, rep := range replicas {
