--- a/internal/replicas/modelsync/due.go
+++ b/internal/replicas/modelsync/due.go
@@ -39,7 +39,7 @@
 		due := listModelChanges(deals[i], model, version, lag, manner)
 		needs[i] = computeNeed(deals[i], model, version, lag, due, loading)
 	}
-	return inTurn(needs, lagOf)
+	return mergeByNeed(needs, lagOf)
 }
 
 // versionsBehind is how many versions the engine is versionsBehind.
--- a/internal/replicas/modelsync/priority.go
+++ b/internal/replicas/modelsync/priority.go
@@ -50,11 +50,11 @@
 	)
 }
 
-// inTurn merges the changes of several models: first those under way, then each
+// mergeByNeed merges the changes of several models: first those under way, then each
 // is the next one of the model that is worst off once those before it are done.
 // A model must not wait until all engines of another have changed, as its
 // batches would stand still.
-func inTurn(needs []modelNeed, lagOf func(model string) int64) []change {
+func mergeByNeed(needs []modelNeed, lagOf func(model string) int64) []change {
 	var merged []change
 	for i := range needs {
 		merged = append(merged, needs[i].inProgress...)
