--- a/internal/replicas/modelsync/loadlimiter.go
+++ b/internal/replicas/modelsync/loadlimiter.go
@@ -15,10 +15,10 @@
 	narrowFactor = 0.7
 )
 
-// width is how many engines change their weights at a time. What the weights
-// come from bears a number that nobody states: the width grows by one with each
+// loadLimiter is how many engines change their weights at a time. What the weights
+// come from bears a number that nobody states: the loadLimiter grows by one with each
 // change that was not slowed, and shrinks by a part with each that was.
-type width struct {
+type loadLimiter struct {
 	current  float64
 	shortest time.Duration
 	// narrowedAt is when it last shrank.
@@ -29,17 +29,17 @@
 
 // unslowed is the longest that a change may take without counting as slowed, 0 before one
 // was measured.
-func (w *width) unslowed() time.Duration {
+func (w *loadLimiter) unslowed() time.Duration {
 	return time.Duration(slowedFactor * float64(w.shortest))
 }
 
 // places returns the width in whole engines.
-func (w *width) places() int { return max(int(w.current), minWidth) }
+func (w *loadLimiter) places() int { return max(int(w.current), minWidth) }
 
 // done takes a finished change into account. Changes that are slowed at the same time are
 // one sign: the width shrinks once for those that were under way when it did. Otherwise
 // one cause, such as engines that crash, would narrow it many times over.
-func (w *width) done(began, now time.Time) {
+func (w *loadLimiter) done(began, now time.Time) {
 	took := now.Sub(began)
 	if w.shortest == 0 || took < w.shortest {
 		w.shortest = took
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -15,7 +15,7 @@
 
 // rounds plays changes, as many at a time as the width allows, against a source
 // that bears bears of them at a time, and returns the width at the end.
-func rounds(w *width, count, waiting, bears int) int {
+func rounds(w *loadLimiter, count, waiting, bears int) int {
 	now := testStart
 	if w.narrowedAt.After(now) {
 		now = w.narrowedAt
@@ -37,20 +37,20 @@
 
 func TestFewWaitingStayNarrow(t *testing.T) {
 	is := is.New(t)
-	is.Equal(rounds(&width{}, 20, 8, 100), minWidth)
+	is.Equal(rounds(&loadLimiter{}, 20, 8, 100), minWidth)
 }
 
 // Hundreds of engines are brought along within some rounds: two at a time
 // there were once 46 changes in all at 300 engines.
 func TestManyWaitingWiden(t *testing.T) {
 	is := is.New(t)
-	is.True(rounds(&width{}, 5, 300, 1000) >= 32)
+	is.True(rounds(&loadLimiter{}, 5, 300, 1000) >= 32)
 }
 
 func TestTheWidthStaysNearWhatTheSourceBears(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bears := rapid.IntRange(2, 50).Draw(t, "bears")
-		w := &width{}
+		w := &loadLimiter{}
 		rounds(w, 10, 1000, bears)
 		most := 0
 		for i := 0; i < 20; i++ {
@@ -80,7 +80,7 @@
 // Changes that are found slow together are one sign.
 func TestChangesSlowedTogetherNarrowOnce(t *testing.T) {
 	is := is.New(t)
-	w := &width{}
+	w := &loadLimiter{}
 	now := testStart
 	for range 8 {
 		w.waiting = 40
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -65,7 +65,7 @@
 	expectedLoadTime time.Duration
 	// allotments is how many replicas of a service are for each of its models.
 	allotments map[string][]int
-	limiter    width
+	limiter    loadLimiter
 }
 
 // New returns a syncer.
