--- a/internal/replicas/modelsync/loadlimiter.go
+++ b/internal/replicas/modelsync/loadlimiter.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// minWidth is how many engines change at a time where few wait.
-	minWidth = 2
+	// minConcurrentLoads is how many engines change at a time where few wait.
+	minConcurrentLoads = 2
 	// growBacklog is how many engines must wait for each place for the width to
 	// grow: where few wait, a wider load gains nothing.
 	growBacklog = 4
@@ -34,7 +34,7 @@
 }
 
 // places returns the width in whole engines.
-func (w *loadLimiter) places() int { return max(int(w.current), minWidth) }
+func (w *loadLimiter) places() int { return max(int(w.current), minConcurrentLoads) }
 
 // done takes a finished change into account. Changes that are slowed at the same time are
 // one sign: the width shrinks once for those that were under way when it did. Otherwise
@@ -44,11 +44,11 @@
 	if w.shortest == 0 || took < w.shortest {
 		w.shortest = took
 	}
-	w.current = max(w.current, minWidth)
+	w.current = max(w.current, minConcurrentLoads)
 	switch {
 	case took > w.unslowed():
 		if !began.Before(w.narrowedAt) {
-			w.current, w.narrowedAt = max(narrowFactor*w.current, minWidth), now
+			w.current, w.narrowedAt = max(narrowFactor*w.current, minConcurrentLoads), now
 		}
 	case float64(w.waiting) > growBacklog*w.current:
 		w.current++
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -37,7 +37,7 @@
 
 func TestFewWaitingStayNarrow(t *testing.T) {
 	is := is.New(t)
-	is.Equal(rounds(&loadLimiter{}, 20, 8, 100), minWidth)
+	is.Equal(rounds(&loadLimiter{}, 20, 8, 100), minConcurrentLoads)
 }
 
 // Hundreds of engines are brought along within some rounds: two at a time
