--- a/internal/replicas/modelsync/loadlimiter.go
+++ b/internal/replicas/modelsync/loadlimiter.go
@@ -5,9 +5,9 @@
 const (
 	// minConcurrentLoads is how many engines change at a time where few wait.
 	minConcurrentLoads = 2
-	// growBacklog is how many engines must wait for each place for the width to
+	// minBacklogRatio is how many engines must wait for each place for the width to
 	// grow: where few wait, a wider load gains nothing.
-	growBacklog = 4
+	minBacklogRatio = 4
 	// slowedFactor is how much longer than the shortest a change must take to count
 	// as slowed by the others.
 	slowedFactor = 1.5
@@ -50,7 +50,7 @@
 		if !began.Before(w.narrowedAt) {
 			w.current, w.narrowedAt = max(narrowFactor*w.current, minConcurrentLoads), now
 		}
-	case float64(w.waiting) > growBacklog*w.current:
+	case float64(w.waiting) > minBacklogRatio*w.current:
 		w.current++
 	}
 }
