--- a/internal/replicas/modelsync/loadlimiter.go
+++ b/internal/replicas/modelsync/loadlimiter.go
@@ -8,9 +8,9 @@
 	// minBacklogRatio is how many engines must wait for each place for the width to
 	// grow: where few wait, a wider load gains nothing.
 	minBacklogRatio = 4
-	// slowedFactor is how much longer than the shortest a change must take to count
+	// slowLoadRatio is how much longer than the shortest a change must take to count
 	// as slowed by the others.
-	slowedFactor = 1.5
+	slowLoadRatio = 1.5
 	// narrowFactor is the factor by which the width shrinks when changes are slowed.
 	narrowFactor = 0.7
 )
@@ -30,7 +30,7 @@
 // unslowed is the longest that a change may take without counting as slowed, 0 before one
 // was measured.
 func (w *loadLimiter) unslowed() time.Duration {
-	return time.Duration(slowedFactor * float64(w.shortest))
+	return time.Duration(slowLoadRatio * float64(w.shortest))
 }
 
 // places returns the width in whole engines.
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -74,7 +74,7 @@
 		syncer.recordLoadTime(testStart, testStart.Add(5*time.Second))
 	}
 	is.True(syncer.expectedLoadTime > 3*time.Second)
-	is.Equal(syncer.estimateLoadTime(), time.Duration(slowedFactor*float64(time.Second)))
+	is.Equal(syncer.estimateLoadTime(), time.Duration(slowLoadRatio*float64(time.Second)))
 }
 
 // Changes that are found slow together are one sign.
