--- a/internal/replicas/modelsync/loadlimiter.go
+++ b/internal/replicas/modelsync/loadlimiter.go
@@ -11,8 +11,8 @@
 	// slowLoadRatio is how much longer than the shortest a change must take to count
 	// as slowed by the others.
 	slowLoadRatio = 1.5
-	// narrowFactor is the factor by which the width shrinks when changes are slowed.
-	narrowFactor = 0.7
+	// decreaseFactor is the factor by which the width shrinks when changes are slowed.
+	decreaseFactor = 0.7
 )
 
 // loadLimiter is how many engines change their weights at a time. What the weights
@@ -48,7 +48,7 @@
 	switch {
 	case took > w.unslowed():
 		if !began.Before(w.narrowedAt) {
-			w.current, w.narrowedAt = max(narrowFactor*w.current, minConcurrentLoads), now
+			w.current, w.narrowedAt = max(decreaseFactor*w.current, minConcurrentLoads), now
 		}
 	case float64(w.waiting) > minBacklogRatio*w.current:
 		w.current++
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -92,10 +92,10 @@
 	for range before {
 		w.done(now, now.Add(5*time.Second))
 	}
-	is.Equal(w.places(), int(narrowFactor*float64(before)))
+	is.Equal(w.places(), int(decreaseFactor*float64(before)))
 	now = now.Add(5 * time.Second)
 	w.done(now, now.Add(5*time.Second)) // the next one is another
-	is.Equal(w.places(), int(narrowFactor*narrowFactor*float64(before)))
+	is.Equal(w.places(), int(decreaseFactor*decreaseFactor*float64(before)))
 }
 
 // A wait that lasted far longer than it should says that the process stood still.
