--- a/internal/replicas/modelsync/loadlimiter.go
+++ b/internal/replicas/modelsync/loadlimiter.go
@@ -19,7 +19,7 @@
 // come from bears a number that nobody states: the loadLimiter grows by one with each
 // change that was not slowed, and shrinks by a part with each that was.
 type loadLimiter struct {
-	current  float64
+	limit    float64
 	shortest time.Duration
 	// narrowedAt is when it last shrank.
 	narrowedAt time.Time
@@ -34,7 +34,7 @@
 }
 
 // places returns the width in whole engines.
-func (w *loadLimiter) places() int { return max(int(w.current), minConcurrentLoads) }
+func (w *loadLimiter) places() int { return max(int(w.limit), minConcurrentLoads) }
 
 // done takes a finished change into account. Changes that are slowed at the same time are
 // one sign: the width shrinks once for those that were under way when it did. Otherwise
@@ -44,13 +44,13 @@
 	if w.shortest == 0 || took < w.shortest {
 		w.shortest = took
 	}
-	w.current = max(w.current, minConcurrentLoads)
+	w.limit = max(w.limit, minConcurrentLoads)
 	switch {
 	case took > w.unslowed():
 		if !began.Before(w.narrowedAt) {
-			w.current, w.narrowedAt = max(decreaseFactor*w.current, minConcurrentLoads), now
+			w.limit, w.narrowedAt = max(decreaseFactor*w.limit, minConcurrentLoads), now
 		}
-	case float64(w.waiting) > minBacklogRatio*w.current:
-		w.current++
+	case float64(w.waiting) > minBacklogRatio*w.limit:
+		w.limit++
 	}
 }
