--- a/internal/replicas/modelsync/loadlimiter.go
+++ b/internal/replicas/modelsync/loadlimiter.go
@@ -19,8 +19,8 @@
 // come from bears a number that nobody states: the loadLimiter grows by one with each
 // change that was not slowed, and shrinks by a part with each that was.
 type loadLimiter struct {
-	limit    float64
-	shortest time.Duration
+	limit       float64
+	minLoadTime time.Duration
 	// narrowedAt is when it last shrank.
 	narrowedAt time.Time
 	// waiting is how many engines are due.
@@ -30,7 +30,7 @@
 // unslowed is the longest that a change may take without counting as slowed, 0 before one
 // was measured.
 func (w *loadLimiter) unslowed() time.Duration {
-	return time.Duration(slowLoadRatio * float64(w.shortest))
+	return time.Duration(slowLoadRatio * float64(w.minLoadTime))
 }
 
 // places returns the width in whole engines.
@@ -41,8 +41,8 @@
 // one cause, such as engines that crash, would narrow it many times over.
 func (w *loadLimiter) done(began, now time.Time) {
 	took := now.Sub(began)
-	if w.shortest == 0 || took < w.shortest {
-		w.shortest = took
+	if w.minLoadTime == 0 || took < w.minLoadTime {
+		w.minLoadTime = took
 	}
 	w.limit = max(w.limit, minConcurrentLoads)
 	switch {
