--- a/internal/replicas/modelsync/loadlimiter.go
+++ b/internal/replicas/modelsync/loadlimiter.go
@@ -21,8 +21,8 @@
 type loadLimiter struct {
 	limit       float64
 	minLoadTime time.Duration
-	// narrowedAt is when it last shrank.
-	narrowedAt time.Time
+	// decreasedAt is when it last shrank.
+	decreasedAt time.Time
 	// waiting is how many engines are due.
 	waiting int
 }
@@ -47,8 +47,8 @@
 	w.limit = max(w.limit, minConcurrentLoads)
 	switch {
 	case took > w.unslowed():
-		if !began.Before(w.narrowedAt) {
-			w.limit, w.narrowedAt = max(decreaseFactor*w.limit, minConcurrentLoads), now
+		if !began.Before(w.decreasedAt) {
+			w.limit, w.decreasedAt = max(decreaseFactor*w.limit, minConcurrentLoads), now
 		}
 	case float64(w.waiting) > minBacklogRatio*w.limit:
 		w.limit++
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -17,8 +17,8 @@
 // that bears bears of them at a time, and returns the width at the end.
 func rounds(w *loadLimiter, count, waiting, bears int) int {
 	now := testStart
-	if w.narrowedAt.After(now) {
-		now = w.narrowedAt
+	if w.decreasedAt.After(now) {
+		now = w.decreasedAt
 	}
 	for i := 0; i < count; i++ {
 		places := min(w.places(), waiting)
