--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -112,7 +112,7 @@
 func (s *Syncer) estimateLoadTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if most := s.limiter.unslowed(); most > 0 {
+	if most := s.limiter.maxNormalLoadTime(); most > 0 {
 		return min(s.expectedLoadTime, most)
 	}
 	return s.expectedLoadTime
--- a/internal/replicas/modelsync/loadlimiter.go
+++ b/internal/replicas/modelsync/loadlimiter.go
@@ -27,9 +27,9 @@
 	waiting int
 }
 
-// unslowed is the longest that a change may take without counting as slowed, 0 before one
+// maxNormalLoadTime is the longest that a change may take without counting as slowed, 0 before one
 // was measured.
-func (w *loadLimiter) unslowed() time.Duration {
+func (w *loadLimiter) maxNormalLoadTime() time.Duration {
 	return time.Duration(slowLoadRatio * float64(w.minLoadTime))
 }
 
@@ -46,7 +46,7 @@
 	}
 	w.limit = max(w.limit, minConcurrentLoads)
 	switch {
-	case took > w.unslowed():
+	case took > w.maxNormalLoadTime():
 		if !began.Before(w.decreasedAt) {
 			w.limit, w.decreasedAt = max(decreaseFactor*w.limit, minConcurrentLoads), now
 		}
