--- a/internal/replicas/modelsync/loadlimiter.go
+++ b/internal/replicas/modelsync/loadlimiter.go
@@ -33,8 +33,8 @@
 	return time.Duration(slowLoadRatio * float64(w.minLoadTime))
 }
 
-// places returns the width in whole engines.
-func (w *loadLimiter) places() int { return max(int(w.limit), minConcurrentLoads) }
+// maxLoads returns the width in whole engines.
+func (w *loadLimiter) maxLoads() int { return max(int(w.limit), minConcurrentLoads) }
 
 // done takes a finished change into account. Changes that are slowed at the same time are
 // one sign: the width shrinks once for those that were under way when it did. Otherwise
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -21,7 +21,7 @@
 		now = w.decreasedAt
 	}
 	for i := 0; i < count; i++ {
-		places := min(w.places(), waiting)
+		places := min(w.maxLoads(), waiting)
 		took := time.Second
 		if places > bears {
 			took = took * time.Duration(places) / time.Duration(bears)
@@ -32,7 +32,7 @@
 		}
 		now = now.Add(took)
 	}
-	return w.places()
+	return w.maxLoads()
 }
 
 func TestFewWaitingStayNarrow(t *testing.T) {
@@ -87,15 +87,15 @@
 		w.done(now, now.Add(time.Second))
 		now = now.Add(time.Second)
 	}
-	before := w.places()
+	before := w.maxLoads()
 	is.True(before >= 7)
 	for range before {
 		w.done(now, now.Add(5*time.Second))
 	}
-	is.Equal(w.places(), int(decreaseFactor*float64(before)))
+	is.Equal(w.maxLoads(), int(decreaseFactor*float64(before)))
 	now = now.Add(5 * time.Second)
 	w.done(now, now.Add(5*time.Second)) // the next one is another
-	is.Equal(w.places(), int(decreaseFactor*decreaseFactor*float64(before)))
+	is.Equal(w.maxLoads(), int(decreaseFactor*decreaseFactor*float64(before)))
 }
 
 // A wait that lasted far longer than it should says that the process stood still.
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -124,7 +124,7 @@
 	defer s.mu.Unlock()
 	s.limiter.waiting = len(due)
 	for _, c := range due {
-		if s.loadsInProgress >= s.limiter.places() {
+		if s.loadsInProgress >= s.limiter.maxLoads() {
 			return
 		}
 		n := s.stateOf(c.replica.ID)
