--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -124,7 +124,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	took := now.Sub(ordered)
-	s.limiter.done(ordered, now)
+	s.limiter.record(ordered, now)
 	s.expectedLoadTime += (took - s.expectedLoadTime) / 4
 	s.expectedLoadTime -= pollInterval / 8
 }
--- a/internal/replicas/modelsync/loadlimiter.go
+++ b/internal/replicas/modelsync/loadlimiter.go
@@ -36,10 +36,10 @@
 // maxLoads returns the width in whole engines.
 func (w *loadLimiter) maxLoads() int { return max(int(w.limit), minConcurrentLoads) }
 
-// done takes a finished change into account. Changes that are slowed at the same time are
+// record takes a finished change into account. Changes that are slowed at the same time are
 // one sign: the width shrinks once for those that were under way when it did. Otherwise
 // one cause, such as engines that crash, would narrow it many times over.
-func (w *loadLimiter) done(began, now time.Time) {
+func (w *loadLimiter) record(began, now time.Time) {
 	took := now.Sub(began)
 	if w.minLoadTime == 0 || took < w.minLoadTime {
 		w.minLoadTime = took
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -28,7 +28,7 @@
 		}
 		for j := 0; j < places; j++ {
 			w.waiting = waiting
-			w.done(now, now.Add(took))
+			w.record(now, now.Add(took))
 		}
 		now = now.Add(took)
 	}
@@ -84,17 +84,17 @@
 	now := testStart
 	for range 8 {
 		w.waiting = 40
-		w.done(now, now.Add(time.Second))
+		w.record(now, now.Add(time.Second))
 		now = now.Add(time.Second)
 	}
 	before := w.maxLoads()
 	is.True(before >= 7)
 	for range before {
-		w.done(now, now.Add(5*time.Second))
+		w.record(now, now.Add(5*time.Second))
 	}
 	is.Equal(w.maxLoads(), int(decreaseFactor*float64(before)))
 	now = now.Add(5 * time.Second)
-	w.done(now, now.Add(5*time.Second)) // the next one is another
+	w.record(now, now.Add(5*time.Second)) // the next one is another
 	is.Equal(w.maxLoads(), int(decreaseFactor*decreaseFactor*float64(before)))
 }
 
