--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -25,6 +25,8 @@
 	"content learned of":                    "content entry merged",
 	"content forgotten":                     "content entry removed",
 	"suspect runs alone":                    "isolated run started",
+	"order":                                 "weight change ordered",
+	"weights":                               "weight change ended",
 }
 
 // eventName returns the name that an event has today.
--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -9,20 +9,21 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// reallotThreshold is by how many replicas what a model is due must differ from what it has
-// for the allotment to change: a replica that changes its model loads
-// weights and loses what it has kept.
+// reallotThreshold is the difference, in replicas, between a model's ideal share and its
+// allotment above which the allotment is computed again. A replica that changes its model loads
+// weights and loses its caches.
 const reallotThreshold = 0.75
 
 const (
-	// headroomFactor is how many times the engines that run a whole batch at once are
-	// kept at a model's versions: each costs orders and loads at every other one.
+	// headroomFactor is the multiple of the engines filled by one batch that are kept at a
+	// model's newest versions. More engines cost orders and loads without a use.
 	headroomFactor = 4
-	// minEnginesPerModel are kept for a model in any case, as some may fail.
+	// minEnginesPerModel is the minimum kept for a model, so that single failures do not stop it.
 	minEnginesPerModel = 3
 )
 
-// enginesNeeded returns how many engines a model needs for batches of so many items.
+// enginesNeeded returns how many engines, of the given number of slots each, a model needs for
+// batches of the given number of items.
 func enginesNeeded(items, slots int) int {
 	if slots <= 0 {
 		slots = replica.DefaultSlots
@@ -30,7 +31,8 @@
 	return max((headroomFactor*items+slots-1)/slots, minEnginesPerModel)
 }
 
-// limitToDemand limits each model's allotment to what its batches need.
+// limitToDemand returns the allotment with each model limited to the engines that its batches
+// need. Models without known demand keep theirs.
 func (s *Syncer) limitToDemand(allotment []int, models []string, slots int) []int {
 	limited := make([]int, len(allotment))
 	for i, model := range models {
@@ -42,8 +44,9 @@
 	return limited
 }
 
-// updateAllotment returns how many replicas of a service are for each of its models:
-// parts by the work of their batches, kept while they are about right.
+// updateAllotment returns the number of replicas of a service for each of its models, in
+// proportion to the work of their batches. The stored allotment is reused while it is close to
+// the ideal one.
 func (s *Syncer) updateAllotment(service string, models []string, replicas int) []int {
 	work := make([]float64, len(models))
 	for i, model := range models {
@@ -51,9 +54,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	kept := s.allotments[service]
-	if len(kept) == len(models) && total(kept) == replicas && isNearIdeal(kept, work) {
-		return kept
+	stored := s.allotments[service]
+	if len(stored) == len(models) && total(stored) == replicas && isNearIdeal(stored, work) {
+		return stored
 	}
 	s.allotments[service] = computeAllotment(work, replicas)
 	return s.allotments[service]
@@ -67,7 +70,8 @@
 	return sum
 }
 
-// isNearIdeal reports whether each model's part is within reallotThreshold of what work asks for.
+// isNearIdeal reports whether each model's allotment is within reallotThreshold of its ideal
+// share. A model with at most one replica whose ideal share is at most one always is.
 func isNearIdeal(allotment []int, work []float64) bool {
 	for i, ideal := range computeIdeals(work, total(allotment)) {
 		if math.Abs(ideal-float64(allotment[i])) > reallotThreshold && (allotment[i] > 1 || ideal > 1) {
@@ -77,8 +81,8 @@
 	return true
 }
 
-// computeIdeals are the parts of the replicas that the work asks for, which need not be
-// whole. Work that is not known counts as the mean of that which is.
+// computeIdeals returns the fractional number of replicas for each model in proportion to its
+// work. Unknown work, given as 0, counts as the mean of the known.
 func computeIdeals(work []float64, replicas int) []float64 {
 	sum, known := 0.0, 0
 	for _, w := range work {
@@ -91,37 +95,37 @@
 	if known > 0 {
 		mean = sum / float64(known)
 	}
-	parts := make([]float64, len(work))
-	all := 0.0
+	shares := make([]float64, len(work))
+	sumOfShares := 0.0
 	for i, w := range work {
-		parts[i] = w
+		shares[i] = w
 		if w <= 0 {
-			parts[i] = mean
+			shares[i] = mean
 		}
-		all += parts[i]
+		sumOfShares += shares[i]
 	}
-	for i := range parts {
-		parts[i] *= float64(replicas) / all
+	for i := range shares {
+		shares[i] *= float64(replicas) / sumOfShares
 	}
-	return parts
+	return shares
 }
 
-// computeAllotment deals whole replicas out: one to each model where there are enough, the
-// rest one by one to the model that has the least for its work.
+// computeAllotment distributes whole replicas: one to each model where there are enough, then one
+// at a time to the model with the highest ratio of ideal share to allotment.
 func computeAllotment(work []float64, replicas int) []int {
 	allotment := make([]int, len(work))
-	wanted := computeIdeals(work, replicas)
-	left := replicas
+	ideals := computeIdeals(work, replicas)
+	remaining := replicas
 	for i := range allotment {
-		if left > 0 {
+		if remaining > 0 {
 			allotment[i] = 1
-			left--
+			remaining--
 		}
 	}
-	for ; left > 0; left-- {
+	for ; remaining > 0; remaining-- {
 		neediest := 0
 		for i := range allotment {
-			if wanted[i]/float64(allotment[i]) > wanted[neediest]/float64(allotment[neediest]) {
+			if ideals[i]/float64(allotment[i]) > ideals[neediest]/float64(allotment[neediest]) {
 				neediest = i
 			}
 		}
@@ -130,9 +134,9 @@
 	return allotment
 }
 
-// assignReplicas returns the replicas of a service that are for each of its models. A
-// replica keeps its model while the allotment leaves room, also when others come and
-// go: a change of model costs a load and what it has kept.
+// assignReplicas returns the replicas of a service that are assigned to each of its models. A
+// replica keeps its model while the allotment allows, also when other replicas come and go:
+// changing the model costs a load and its caches.
 func (s *Syncer) assignReplicas(service string, models []string, replicas []replica.Replica) [][]replica.Replica {
 	allotment := s.updateAllotment(service, models, len(replicas))
 	if len(replicas) > 0 {
@@ -140,71 +144,73 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	deals := assignBySpeed(replicas, models, allotment, s.assignedModels(replicas),
+	assignments := assignBySpeed(replicas, models, allotment, s.assignedModels(replicas),
 		func(id string) time.Duration { return s.stateOf(id).bestEventTime.Value() })
 	for i, model := range models {
-		for _, rep := range deals[i] {
+		for _, rep := range assignments[i] {
 			if len(replicas) >= len(models) {
 				s.stateOf(rep.ID).assignedModel = model
 			}
 		}
 	}
-	return deals
+	return assignments
 }
 
-// assignedModels returns the models that replicas were dealt to. The mutex is held.
+// assignedModels returns the model to which each replica is assigned, by the replica's id. The
+// mutex must be held.
 func (s *Syncer) assignedModels(replicas []replica.Replica) map[string]string {
 	models := make(map[string]string, len(replicas))
 	for _, rep := range replicas {
-		if n := s.engines[rep.ID]; n != nil && n.assignedModel != "" {
-			models[rep.ID] = n.assignedModel
+		if state := s.engines[rep.ID]; state != nil && state.assignedModel != "" {
+			models[rep.ID] = state.assignedModel
 		}
 	}
 	return models
 }
 
-// assignByID gives each replica to a model: first to the one it had, then to the one
-// whose newest version it holds, as a holder of the lease before may have dealt
-// it so. Replicas beyond the allotment are for none. Where there are fewer replicas than models,
-// a replica is there for several.
-func assignByID(replicas []replica.Replica, models []string, allotment []int, before map[string]string) [][]replica.Replica {
+// assignByID assigns each replica to a model: to its previous one, or else to the one of which it
+// holds the highest version, as an earlier holder of the lease may have assigned it so. Replicas
+// beyond the allotment are not assigned. Where there are fewer replicas than models, a replica
+// serves several models.
+func assignByID(replicas []replica.Replica, models []string, allotment []int, previous map[string]string) [][]replica.Replica {
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b replica.Replica) int { return strings.Compare(a.ID, b.ID) })
 	if len(sorted) >= len(models) {
-		return assignWithinAllotment(sorted, models, allotment, before)
+		return assignWithinAllotment(sorted, models, allotment, previous)
 	}
-	deals := make([][]replica.Replica, len(models))
+	assignments := make([][]replica.Replica, len(models))
 	for i := range models {
 		if len(sorted) > 0 {
-			deals[i] = sorted[i%len(sorted) : i%len(sorted)+1]
+			assignments[i] = sorted[i%len(sorted) : i%len(sorted)+1]
 		}
 	}
-	return deals
+	return assignments
 }
 
-// assignWithinAllotment gives each replica to one model at most, in the order in which they come.
+// assignWithinAllotment assigns each replica to at most one model, in the order of sorted, and
+// each model at most its allotment.
 func assignWithinAllotment(sorted []replica.Replica, models []string, allotment []int,
-	before map[string]string) [][]replica.Replica {
-	deals := make([][]replica.Replica, len(models))
-	var left []replica.Replica
+	previous map[string]string) [][]replica.Replica {
+	assignments := make([][]replica.Replica, len(models))
+	var unassigned []replica.Replica
 	for _, rep := range sorted {
-		kept := slices.Index(models, before[rep.ID])
-		if kept >= 0 && len(deals[kept]) < allotment[kept] {
-			deals[kept] = append(deals[kept], rep)
+		previousIndex := slices.Index(models, previous[rep.ID])
+		if previousIndex >= 0 && len(assignments[previousIndex]) < allotment[previousIndex] {
+			assignments[previousIndex] = append(assignments[previousIndex], rep)
 		} else {
-			left = append(left, rep)
+			unassigned = append(unassigned, rep)
 		}
 	}
-	for _, rep := range left {
-		chosen := -1
+	for _, rep := range unassigned {
+		best := -1
 		for i, model := range models {
-			if len(deals[i]) < allotment[i] && (chosen < 0 || rep.Versions[model] > rep.Versions[models[chosen]]) {
-				chosen = i
+			if len(assignments[i]) < allotment[i] && (best < 0 || rep.Versions[model] > rep.Versions[models[best]]) {
+				best = i
 			}
 		}
-		if chosen >= 0 {
-			deals[chosen] = append(deals[chosen], rep)
+		if best >= 0 {
+			assignments[best] = append(assignments[best], rep)
 		}
 	}
-	return deals
+	return assignments
 }
--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -17,52 +17,53 @@
 const (
 	// callTimeout bounds one call to an engine.
 	callTimeout = 400 * time.Millisecond
-	// initialLoadTime is how long a change of weights is expected to take
-	// before one was measured.
+	// initialLoadTime is the expected time of a change of weights before one has been measured.
 	initialLoadTime = 800 * time.Millisecond
-	// pollInterval is the time between two looks at an engine that loads.
+	// pollInterval is the time between two polls of an engine that is loading.
 	pollInterval = 200 * time.Millisecond
-	// loadTimeout is how long a change may take before it is ordered again.
+	// loadTimeout bounds a change. After it the change may be ordered again.
 	loadTimeout = 8 * time.Second
-	// maxWaitOverrun is how much longer than asked for a wait may last in a process that runs:
-	// timers of machines that are slowed five times are late by less.
+	// maxWaitOverrun is how much later than requested a wait may end before the process counts as
+	// stalled. Timers of an overloaded machine are late by less.
 	maxWaitOverrun = 400 * time.Millisecond
 )
 
 // Errors of a change.
 var (
-	// errRestarted: the engine is not the incarnation that was to change. Its orders,
-	// counts and versions are others.
-	errRestarted = errors.New("modelsync: engine has started again")
-	// errIdle: the engine neither has the version nor loads it.
-	errIdle = errors.New("modelsync: engine is idle without the version")
-	// errLoadTimeout: the engine may still be loading it.
-	errLoadTimeout = errors.New("modelsync: change took too long")
+	// errRestarted is returned if another incarnation of the engine answers than the one to be
+	// changed. Its versions and its count of orders are unrelated to the expected ones.
+	errRestarted = errors.New("modelsync: engine has restarted")
+	// errIdle is returned if the engine neither holds nor loads the version.
+	errIdle = errors.New("modelsync: engine neither holds nor loads the version")
+	// errLoadTimeout is returned if the engine does not hold the version in time. It may still be
+	// loading it.
+	errLoadTimeout = errors.New("modelsync: engine did not load the version in time")
 )
 
-// changeBackoff are how long an engine is left alone after changes that failed: at first a look's
-// interval, longer with each one in a row, as engines that cannot be reached take the place of others.
+// changeBackoff bounds the delay before an engine is changed again after a failure. It grows with
+// consecutive failures, as changes of unreachable engines take up the load limit.
 var changeBackoff = backoff.Bounds{First: 100 * time.Millisecond, Longest: 2 * time.Second}
 
-// runChange brings one engine to a version and waits until it is there. N is the note of
-// the engine's incarnation, which another one may have replaced meanwhile.
-func (s *Syncer) runChange(ctx context.Context, c change, n *engineState) {
+// runChange brings one engine to a version and waits until it holds it. The state is that of the
+// incarnation to be changed; s.engines may hold another one by the end.
+func (s *Syncer) runChange(ctx context.Context, c change, state *engineState) {
 	began := time.Now()
 	err := s.changeWeights(ctx, c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loadsInProgress--
-	n.loading = false
+	state.loading = false
 	if err == nil {
-		n.backoff.Succeeded()
+		state.backoff.Succeeded()
 	} else {
-		n.backoff.Failed(changeBackoff, time.Now())
+		state.backoff.Failed(changeBackoff, time.Now())
 	}
-	s.logger.Info("weights", zap.String("replica", c.replica.ID), zap.String("model", c.model),
+	s.logger.Info("weight change ended", zap.String("replica", c.replica.ID), zap.String("model", c.model),
 		zap.Int64("version", c.version), zap.Duration("took", time.Since(began)), zap.Error(err))
 }
 
-// changeWeights orders the change unless it has happened, and waits for it.
+// changeWeights sends an order unless the engine already holds the version, and waits until it
+// does.
 func (s *Syncer) changeWeights(ctx context.Context, c change) error {
 	bounded, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -74,7 +75,7 @@
 		return nil
 	}
 	if report.Busy {
-		return errors.Wrap(engine.ErrConflict, "busy")
+		return errors.Wrap(engine.ErrConflict, "engine is busy with another order")
 	}
 	if err := s.sendOrder(bounded, c, report); err != nil {
 		return err
@@ -82,15 +83,15 @@
 	return s.awaitChange(bounded, c)
 }
 
-// awaitChange waits until an engine that has just taken an order has the version.
+// awaitChange polls an engine that has accepted an order until it holds the version.
 func (s *Syncer) awaitChange(ctx context.Context, c change) error {
 	ordered := time.Now()
-	waits := stallDetector{now: bootclock.Now}
-	waits.wait(ctx, s.estimateLoadTime())
+	detector := stallDetector{now: bootclock.Now}
+	detector.wait(ctx, s.estimateLoadTime())
 	for ctx.Err() == nil {
 		report, err := s.fetchReport(ctx, c)
 		if err == nil && report.Versions[c.model] >= c.version {
-			if !waits.stalled {
+			if !detector.stalled {
 				s.recordLoadTime(ordered, time.Now())
 			}
 			return nil
@@ -101,25 +102,25 @@
 		if err == nil && !report.Busy && time.Since(ordered) > 2*s.estimateLoadTime() {
 			return errIdle
 		}
-		waits.wait(ctx, pollInterval)
+		detector.wait(ctx, pollInterval)
 	}
 	return errLoadTimeout
 }
 
-// estimateLoadTime is how long a change is left alone before the first look at it. It is no
-// longer than a change that is not slowed may take: what a change took is only known by
-// looking, so that a guess that is far too long would never be found wrong.
+// estimateLoadTime returns how long a change should take, which is the wait before the first
+// poll. It is limited to maxNormalLoadTime: no change is measured as shorter than this wait, so
+// an estimate that is too long would never be corrected.
 func (s *Syncer) estimateLoadTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if most := s.limiter.maxNormalLoadTime(); most > 0 {
-		return min(s.expectedLoadTime, most)
+	if limit := s.limiter.maxNormalLoadTime(); limit > 0 {
+		return min(s.expectedLoadTime, limit)
 	}
 	return s.expectedLoadTime
 }
 
-// recordLoadTime notes how long a change took. The guess stays a bit below, as looking
-// late costs time and looking early costs a call.
+// recordLoadTime updates the load limiter and the expected load time with a finished change. The
+// estimate is kept slightly low, as a late poll costs time and an early one only a call.
 func (s *Syncer) recordLoadTime(ordered, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,6 +130,8 @@
 	s.expectedLoadTime -= pollInterval / 8
 }
 
+// fetchReport returns an engine's report and records the reported versions in the table. It
+// returns errRestarted if another incarnation answers.
 func (s *Syncer) fetchReport(ctx context.Context, c change) (engine.Report, error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -145,11 +148,12 @@
 	return report, nil
 }
 
-// sendOrder sends the sendOrder if the lease lets this daemon act until it has arrived.
+// sendOrder sends the order under the fence of the lease, in a call that ends before the lease
+// does. It returns lease.ErrNotHeld if the lease does not allow the call.
 func (s *Syncer) sendOrder(ctx context.Context, c change, report engine.Report) error {
 	_, err := lease.Act(ctx, s.Lease, callTimeout, func(ctx context.Context, fence int64) error {
 		s.OrdersSent.Add(1)
-		s.logger.Info("order", zap.String("replica", c.replica.ID), zap.String("model", c.model), zap.Int64("version", c.version),
+		s.logger.Info("weight change ordered", zap.String("replica", c.replica.ID), zap.String("model", c.model), zap.Int64("version", c.version),
 			zap.Int64("from", report.Versions[c.model]), zap.Int64("fence", fence), zap.Int64("after_orders", report.Orders))
 		return s.Driver.Give(ctx, c.replica, engine.Order{
 			Model: c.model, Version: c.version, Manner: c.manner, Holder: s.Holder, Fence: fence, AfterOrders: report.Orders,
@@ -158,11 +162,10 @@
 	return err
 }
 
-// stallDetector notes whether the process stood still in one of its waits. What was timed
-// meanwhile says nothing of the engines: a holder that was frozen under some changes would
-// take all of them for slowed, and narrow the width.
+// stallDetector detects that the process was stopped during one of its waits. Times measured
+// across a stall must not be recorded: they would count as slow loads and lower the load limit.
 type stallDetector struct {
-	// now also counts the time in which the machine is suspended.
+	// now must include the time in which the machine is suspended.
 	now     bootclock.Clock
 	stalled bool
 }
@@ -173,7 +176,7 @@
 	s.record(wait, s.now().Sub(began))
 }
 
-// record takes a wait into account.
+// record marks a stall if a wait took much longer than requested.
 func (s *stallDetector) record(wait, took time.Duration) {
 	s.stalled = s.stalled || took > wait+maxWaitOverrun
 }
--- a/internal/replicas/modelsync/due.go
+++ b/internal/replicas/modelsync/due.go
@@ -9,7 +9,7 @@
 	"woodworks/internal/requests/route"
 )
 
-// change is one engine's step to another version.
+// change is the load of a newer version of a model by one engine.
 type change struct {
 	replica replica.Replica
 	model   string
@@ -17,8 +17,8 @@
 	manner  engine.Manner
 }
 
-// chooseManner lets running texts go on under new weights unless a route of the
-// service wants texts of one version.
+// chooseManner returns Finish if a route of the service requires a single version for each text,
+// and otherwise Continue, which lets running requests continue under the new weights.
 func chooseManner(configuration *route.Configuration, service string) engine.Manner {
 	for i := range configuration.Routes {
 		if rt := &configuration.Routes[i]; rt.SingleVersion && rt.Uses(service) {
@@ -28,44 +28,44 @@
 	return engine.Continue
 }
 
-// listDueChanges returns the changes that are due for the replicas of a service,
-// those under way among them, in the order in which they should start. Deals
-// says which replicas are for which model.
-func listDueChanges(deals [][]replica.Replica, models []string, named map[string]int64,
-	lagOf func(model string) int64, manner engine.Manner, loading func(replicaID string) bool) []change {
+// listDueChanges returns the due changes for the replicas of a service, including those in
+// progress, in the order in which they should start. assignments[i] holds the replicas of
+// models[i].
+func listDueChanges(assignments [][]replica.Replica, models []string, newestVersions map[string]int64,
+	maxLag func(model string) int64, manner engine.Manner, isLoading func(replicaID string) bool) []change {
 	needs := make([]modelNeed, len(models))
 	for i, model := range models {
-		version, lag := named[model], lagOf(model)
-		due := listModelChanges(deals[i], model, version, lag, manner)
-		needs[i] = computeNeed(deals[i], model, version, lag, due, loading)
+		version, lag := newestVersions[model], maxLag(model)
+		due := listModelChanges(assignments[i], model, version, lag, manner)
+		needs[i] = computeNeed(assignments[i], model, version, lag, due, isLoading)
 	}
-	return mergeByNeed(needs, lagOf)
+	return mergeByNeed(needs, maxLag)
 }
 
-// versionsBehind is how many versions the engine is versionsBehind.
+// versionsBehind returns how many versions the engine must advance.
 func (c change) versionsBehind() int64 { return c.version - c.replica.Versions[c.model] }
 
-// listModelChanges returns which of a model's replicas to bring to the newest
-// version now. A replica may wait as long as its version is still allowed for
-// the next batch; an even part of the replicas is changed at each version, so
-// that they do not all become too old at once.
+// listModelChanges returns the changes to the newest version that are due for the replicas of one
+// model. A change is due at the latest when the next version would make the replica too old for a
+// batch. In addition, an even fraction of the replicas is changed at each version, so that they
+// do not all become too old at once.
 func listModelChanges(replicas []replica.Replica, model string, version, lag int64, manner engine.Manner) []change {
-	var behind []change
+	var outdated []change
 	newest := 0
 	for _, rep := range replicas {
 		if rep.Versions[model] >= version {
 			newest++
 			continue
 		}
-		behind = append(behind, change{replica: rep, model: model, version: version, manner: manner})
+		outdated = append(outdated, change{replica: rep, model: model, version: version, manner: manner})
 	}
-	slices.SortStableFunc(behind, func(a, b change) int {
+	slices.SortStableFunc(outdated, func(a, b change) int {
 		return cmp.Or(cmp.Compare(b.versionsBehind(), a.versionsBehind()), cmp.Compare(a.replica.InFlight, b.replica.InFlight))
 	})
-	parts := max(int(lag), 1)
-	wanted := (len(replicas)+parts-1)/parts - newest
-	due := behind[:0]
-	for i, c := range behind {
+	versions := max(int(lag), 1)
+	wanted := (len(replicas)+versions-1)/versions - newest
+	due := outdated[:0]
+	for i, c := range outdated {
 		if c.versionsBehind() >= lag || i < wanted {
 			due = append(due, c)
 		}
--- a/internal/replicas/modelsync/enginestate.go
+++ b/internal/replicas/modelsync/enginestate.go
@@ -8,63 +8,67 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// engineState is what is remembered of one engine, or of one incarnation of it: a change and its
-// rest belong to the incarnation that they were ordered of.
+// engineState is the state of one incarnation of an engine. A change in progress and the backoff
+// belong to the incarnation for which the change was ordered.
 type engineState struct {
 	incarnation replica.Incarnation
-	// assignedModel is the one that the engine was dealt to, "" for none.
+	// assignedModel is the model to which the engine is assigned, "" for none.
 	assignedModel string
 	loading       bool
-	// backoff is the pause after changes that failed.
+	// backoff delays the next change after failed ones.
 	backoff      backoff.Rest
 	lastListedAt time.Time
-	// bestEventTime is the bestEventTime event time of late.
+	// bestEventTime is the shortest recent event time.
 	bestEventTime replica.BestTime
 }
 
-// unlistedStateTTL is how long a note outlives its engine's place in the list, from
-// which an outage of the journal may take all for a while.
+// unlistedStateTTL is how long the state is kept after the engine leaves the replica list, which
+// an outage of the journal may empty for a while.
 const unlistedStateTTL = 30 * time.Second
 
-// isLoading reports whether a change of an engine is under way.
+// isLoading reports whether a change of an engine is in progress.
 func (s *Syncer) isLoading(replicaID string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.engines[replicaID]
-	return n != nil && n.loading
+	state := s.engines[replicaID]
+	return state != nil && state.loading
 }
 
-// updateListed keeps the notes of the engines that are listed, with their best event times.
+// updateListed updates the states of the listed engines and their best event times. A new
+// incarnation of an engine gets a new state.
 func (s *Syncer) updateListed(replicas []replica.Replica, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, rep := range replicas {
-		n := s.stateOf(rep.ID)
-		if n.incarnation != rep.Incarnation() {
-			// The engine keeps the model that it was dealt to, and nothing else.
-			n = &engineState{incarnation: rep.Incarnation(), assignedModel: n.assignedModel}
-			s.engines[rep.ID] = n
+		state := s.stateOf(rep.ID)
+		if state.incarnation != rep.Incarnation() {
+			// Only the assigned model carries over to the new incarnation.
+			state = &engineState{incarnation: rep.Incarnation(), assignedModel: state.assignedModel}
+			s.engines[rep.ID] = state
 		}
-		n.lastListedAt = now
+		state.lastListedAt = now
 		if eventTime, age := s.EventTime(rep); eventTime > 0 && age <= maxEventTimeAge {
-			n.bestEventTime.Note(eventTime, bestEventTimeWindow, now)
+			state.bestEventTime.Note(eventTime, bestEventTimeWindow, now)
 		}
 	}
 }
 
-// removeExpired drops the notes of engines that are long gone.
+// removeExpired removes the states of engines that have been unlisted for longer than
+// unlistedStateTTL, except those with a change in progress.
 func (s *Syncer) removeExpired(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.engines, func(_ string, n *engineState) bool { return !n.loading && now.Sub(n.lastListedAt) > unlistedStateTTL })
+	maps.DeleteFunc(s.engines, func(_ string, state *engineState) bool {
+		return !state.loading && now.Sub(state.lastListedAt) > unlistedStateTTL
+	})
 }
 
-// stateOf returns the note of an engine. The mutex is held.
+// stateOf returns the state of an engine, which it adds if missing. The mutex must be held.
 func (s *Syncer) stateOf(id string) *engineState {
-	n := s.engines[id]
-	if n == nil {
-		n = &engineState{}
-		s.engines[id] = n
+	state := s.engines[id]
+	if state == nil {
+		state = &engineState{}
+		s.engines[id] = state
 	}
-	return n
+	return state
 }
--- a/internal/replicas/modelsync/loadlimiter.go
+++ b/internal/replicas/modelsync/loadlimiter.go
@@ -3,54 +3,54 @@
 import "time"
 
 const (
-	// minConcurrentLoads is how many engines change at a time where few wait.
+	// minConcurrentLoads is the lower bound of the limit.
 	minConcurrentLoads = 2
-	// minBacklogRatio is how many engines must wait for each place for the width to
-	// grow: where few wait, a wider load gains nothing.
+	// minBacklogRatio is the ratio of due engines to the limit above which the limit grows. With
+	// fewer, more concurrent loads gain nothing.
 	minBacklogRatio = 4
-	// slowLoadRatio is how much longer than the shortest a change must take to count
-	// as slowed by the others.
+	// slowLoadRatio is the ratio to the shortest load time above which a load counts as slowed
+	// down by concurrent ones.
 	slowLoadRatio = 1.5
-	// decreaseFactor is the factor by which the width shrinks when changes are slowed.
+	// decreaseFactor multiplies the limit when loads are slowed down.
 	decreaseFactor = 0.7
 )
 
-// loadLimiter is how many engines change their weights at a time. What the weights
-// come from bears a number that nobody states: the loadLimiter grows by one with each
-// change that was not slowed, and shrinks by a part with each that was.
+// loadLimiter limits how many engines load weights at a time, as the capacity of the weights'
+// source is unknown. While enough engines wait, the limit grows by one with each load at normal
+// speed; it shrinks by a factor when loads are slowed down. It isn't safe for concurrent use.
 type loadLimiter struct {
 	limit       float64
 	minLoadTime time.Duration
-	// decreasedAt is when it last shrank.
+	// decreasedAt is when the limit last shrank.
 	decreasedAt time.Time
-	// waiting is how many engines are due.
+	// waiting is the number of engines with a due change; the caller sets it.
 	waiting int
 }
 
-// maxNormalLoadTime is the longest that a change may take without counting as slowed, 0 before one
-// was measured.
-func (w *loadLimiter) maxNormalLoadTime() time.Duration {
-	return time.Duration(slowLoadRatio * float64(w.minLoadTime))
+// maxNormalLoadTime returns the longest load time that does not count as slow, or 0 before the
+// first measurement.
+func (l *loadLimiter) maxNormalLoadTime() time.Duration {
+	return time.Duration(slowLoadRatio * float64(l.minLoadTime))
 }
 
-// maxLoads returns the width in whole engines.
-func (w *loadLimiter) maxLoads() int { return max(int(w.limit), minConcurrentLoads) }
+// maxLoads returns the limit as a whole number.
+func (l *loadLimiter) maxLoads() int { return max(int(l.limit), minConcurrentLoads) }
 
-// record takes a finished change into account. Changes that are slowed at the same time are
-// one sign: the width shrinks once for those that were under way when it did. Otherwise
-// one cause, such as engines that crash, would narrow it many times over.
-func (w *loadLimiter) record(began, now time.Time) {
+// record updates the limit with a finished load. Loads that are slowed down at the same time have
+// one cause, such as a crash of engines: the limit shrinks once for all that were in progress
+// when it shrank.
+func (l *loadLimiter) record(began, now time.Time) {
 	took := now.Sub(began)
-	if w.minLoadTime == 0 || took < w.minLoadTime {
-		w.minLoadTime = took
+	if l.minLoadTime == 0 || took < l.minLoadTime {
+		l.minLoadTime = took
 	}
-	w.limit = max(w.limit, minConcurrentLoads)
+	l.limit = max(l.limit, minConcurrentLoads)
 	switch {
-	case took > w.maxNormalLoadTime():
-		if !began.Before(w.decreasedAt) {
-			w.limit, w.decreasedAt = max(decreaseFactor*w.limit, minConcurrentLoads), now
+	case took > l.maxNormalLoadTime():
+		if !began.Before(l.decreasedAt) {
+			l.limit, l.decreasedAt = max(decreaseFactor*l.limit, minConcurrentLoads), now
 		}
-	case float64(w.waiting) > minBacklogRatio*w.limit:
-		w.limit++
+	case float64(l.waiting) > minBacklogRatio*l.limit:
+		l.limit++
 	}
 }
--- a/internal/replicas/modelsync/loadlimiter_test.go
+++ b/internal/replicas/modelsync/loadlimiter_test.go
@@ -13,57 +13,57 @@
 
 var testStart = time.Unix(1_800_000_000, 0)
 
-// rounds plays changes, as many at a time as the width allows, against a source
-// that bears bears of them at a time, and returns the width at the end.
-func rounds(w *loadLimiter, count, waiting, bears int) int {
+// simulateLoads records loads from a source that carries the given number of them at full speed,
+// as many at a time as the limit allows, in count rounds. It returns the limit at the end.
+func simulateLoads(limiter *loadLimiter, count, waiting, capacity int) int {
 	now := testStart
-	if w.decreasedAt.After(now) {
-		now = w.decreasedAt
+	if limiter.decreasedAt.After(now) {
+		now = limiter.decreasedAt
 	}
 	for i := 0; i < count; i++ {
-		places := min(w.maxLoads(), waiting)
+		loads := min(limiter.maxLoads(), waiting)
 		took := time.Second
-		if places > bears {
-			took = took * time.Duration(places) / time.Duration(bears)
+		if loads > capacity {
+			took = took * time.Duration(loads) / time.Duration(capacity)
 		}
-		for j := 0; j < places; j++ {
-			w.waiting = waiting
-			w.record(now, now.Add(took))
+		for j := 0; j < loads; j++ {
+			limiter.waiting = waiting
+			limiter.record(now, now.Add(took))
 		}
 		now = now.Add(took)
 	}
-	return w.maxLoads()
+	return limiter.maxLoads()
 }
 
-func TestFewWaitingStayNarrow(t *testing.T) {
+func TestLimitStaysLowWithFewWaiting(t *testing.T) {
 	is := is.New(t)
-	is.Equal(rounds(&loadLimiter{}, 20, 8, 100), minConcurrentLoads)
+	is.Equal(simulateLoads(&loadLimiter{}, 20, 8, 100), minConcurrentLoads)
 }
 
-// Hundreds of engines are brought along within some rounds: two at a time
-// there were once 46 changes in all at 300 engines.
-func TestManyWaitingWiden(t *testing.T) {
+// Hundreds of engines must not be changed two at a time.
+func TestLimitGrowsWithManyWaiting(t *testing.T) {
 	is := is.New(t)
-	is.True(rounds(&loadLimiter{}, 5, 300, 1000) >= 32)
+	is.True(simulateLoads(&loadLimiter{}, 5, 300, 1000) >= 32)
 }
 
-func TestTheWidthStaysNearWhatTheSourceBears(t *testing.T) {
+func TestLimitStaysNearTheSourceCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bears := rapid.IntRange(2, 50).Draw(t, "bears")
-		w := &loadLimiter{}
-		rounds(w, 10, 1000, bears)
-		most := 0
+		capacity := rapid.IntRange(2, 50).Draw(t, "capacity")
+		limiter := &loadLimiter{}
+		simulateLoads(limiter, 10, 1000, capacity)
+		maxLoads := 0
 		for i := 0; i < 20; i++ {
-			most = max(most, rounds(w, 1, 1000, bears))
+			maxLoads = max(maxLoads, simulateLoads(limiter, 1, 1000, capacity))
 		}
-		if most > 4*bears+2 {
-			t.Fatalf("%d at a time, the source bears %d", most, bears)
+		if maxLoads > 4*capacity+2 {
+			t.Fatalf("limit is %d, source capacity is %d", maxLoads, capacity)
 		}
 	})
 }
 
-// A guess that is far too long is not followed: only looks can find it wrong.
-func TestAChangeIsLookedAtAsSoonAsItMayBeDone(t *testing.T) {
+// Without a bound, an overestimated load time would never be corrected, as only a poll can show
+// it.
+func TestLoadTimeEstimateIsBounded(t *testing.T) {
 	is := is.New(t)
 	syncer := &Syncer{expectedLoadTime: initialLoadTime}
 	is.Equal(syncer.estimateLoadTime(), initialLoadTime)
@@ -77,51 +77,51 @@
 	is.Equal(syncer.estimateLoadTime(), time.Duration(slowLoadRatio*float64(time.Second)))
 }
 
-// Changes that are found slow together are one sign.
-func TestChangesSlowedTogetherNarrowOnce(t *testing.T) {
+// Loads with one cause of slowness must not lower the limit several times.
+func TestLoadsSlowedTogetherLowerTheLimitOnce(t *testing.T) {
 	is := is.New(t)
-	w := &loadLimiter{}
+	limiter := &loadLimiter{}
 	now := testStart
 	for range 8 {
-		w.waiting = 40
-		w.record(now, now.Add(time.Second))
+		limiter.waiting = 40
+		limiter.record(now, now.Add(time.Second))
 		now = now.Add(time.Second)
 	}
-	before := w.maxLoads()
+	before := limiter.maxLoads()
 	is.True(before >= 7)
 	for range before {
-		w.record(now, now.Add(5*time.Second))
+		limiter.record(now, now.Add(5*time.Second))
 	}
-	is.Equal(w.maxLoads(), int(decreaseFactor*float64(before)))
+	is.Equal(limiter.maxLoads(), int(decreaseFactor*float64(before)))
 	now = now.Add(5 * time.Second)
-	w.record(now, now.Add(5*time.Second)) // the next one is another
-	is.Equal(w.maxLoads(), int(decreaseFactor*decreaseFactor*float64(before)))
+	limiter.record(now, now.Add(5*time.Second)) // a load begun after the decrease counts again
+	is.Equal(limiter.maxLoads(), int(decreaseFactor*decreaseFactor*float64(before)))
 }
 
-// A wait that lasted far longer than it should says that the process stood still.
-func TestAStallIsNoticed(t *testing.T) {
+// A wait that ends much too late means that the process was stalled.
+func TestStallIsDetected(t *testing.T) {
 	is := is.New(t)
 	for took, stalled := range map[time.Duration]bool{
 		pollInterval: false, pollInterval + maxWaitOverrun: false, pollInterval + maxWaitOverrun + time.Millisecond: true, 0: false,
 	} {
-		watch := stallDetector{}
-		watch.record(pollInterval, took)
-		is.Equal(watch.stalled, stalled)
-		watch.record(pollInterval, pollInterval) // what was noted stays
-		is.Equal(watch.stalled, stalled)
+		detector := stallDetector{}
+		detector.record(pollInterval, took)
+		is.Equal(detector.stalled, stalled)
+		detector.record(pollInterval, pollInterval) // a stall stays recorded
+		is.Equal(detector.stalled, stalled)
 	}
 }
 
-// A machine that was suspended in a wait stood still as well, though no timer saw it.
-func TestASuspensionIsNoticed(t *testing.T) {
+// A suspension of the machine during a wait is a stall, though timers do not see it.
+func TestSuspensionIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := clocktest.New()
-		watch := stallDetector{now: clock.Now}
-		watch.wait(t.Context(), pollInterval)
-		is.True(!watch.stalled)
+		detector := stallDetector{now: clock.Now}
+		detector.wait(t.Context(), pollInterval)
+		is.True(!detector.stalled)
 		time.AfterFunc(pollInterval/2, func() { clock.Suspend(4 * time.Second) })
-		watch.wait(t.Context(), pollInterval)
-		is.True(watch.stalled)
+		detector.wait(t.Context(), pollInterval)
+		is.True(detector.stalled)
 	})
 }
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -1,19 +1,20 @@
-// Package modelsync brings the engines to the versions of the weights that trainers name.
-// One daemon does it at a time: the holder of the lease.
+// Package modelsync loads the newest weight versions that trainers announce into the engines. One
+// daemon does so at a time: the holder of the lease.
 //
-// Each step asks which engines are for which model (allotment.go, kinds.go), which of a
-// model's engines are due for the newest version (due.go), in which order they come (order.go),
-// and how many may change at a time (width.go): these are the rules, all but pure. change.go
-// carries the changes out, notes.go remembers the engines between steps.
+// Each step assigns engines to models (allotment.go, speedclass.go), lists the engines of each
+// model that are due for the newest version (due.go), orders these changes by urgency
+// (priority.go), and limits how many run at a time (loadlimiter.go). These rules have no side
+// effects outside the syncer. change.go runs the changes, and enginestate.go keeps the state of
+// each engine between steps.
 //
-// The package owns what it remembers of the engines, in memory only: a successor finds out
-// from the engines themselves. It relies on the lease and its fence, on the demands of the
-// trainers' batches, and on the engines to refuse orders of a lower fence.
+// The state of the engines is kept in memory only; the next holder of the lease reads it from the
+// engines again. The package relies on the lease and its fence, on the demand of the trainers'
+// batches, and on engines that refuse orders with a lower fence.
 //
 // # Usage
 //
-//	syncer := modelsync.New(modelsync.Parts{Lease: held, Driver: engines, Table: table, ...}, logger)
-//	go syncer.Run(ctx, demandFollower.Run) // acts only while the lease is held
+//	syncer := modelsync.New(modelsync.Deps{Lease: held, Driver: engines, Table: table, ...}, logger)
+//	go syncer.Run(ctx, demandFollower.Run) // sends orders only while the lease is held
 package modelsync
 
 import (
@@ -32,51 +33,51 @@
 	"woodworks/internal/requests/route"
 )
 
-// stepInterval is the time between two looks for changes that are due.
+// stepInterval is the time between two checks for due changes.
 const stepInterval = 100 * time.Millisecond
 
-// Deps are what a syncer works with.
+// Deps are the dependencies of a Syncer.
 type Deps struct {
-	// Holder is the name in which orders are given.
+	// Holder is the name of this daemon in the orders that it sends.
 	Holder        string
 	Lease         *lease.Lease
 	Driver        engine.Driver
 	Table         *replica.Table
 	Configuration func() *route.Configuration
-	// NewestVersions gives the newest version that was named of each model.
+	// NewestVersions returns the newest announced version of each model.
 	NewestVersions func() map[string]int64
 	Demands        *demand.State
-	// EventTime tells how fast engines are; those of which nothing is known count alike.
+	// EventTime returns the event time of an engine. Engines without one count as equally fast.
 	EventTime EventTimeFunc
 }
 
-// Syncer brings engines to the named versions. It is safe for concurrent use.
+// Syncer loads the newest announced versions into the engines. It is safe for concurrent use.
 type Syncer struct {
 	Deps
 	logger *zap.Logger
-	// OrdersSent counts the orders given.
+	// OrdersSent counts the orders sent to engines.
 	OrdersSent atomic.Uint64
 
 	mu sync.Mutex
-	// engines are what is remembered of each engine, by its id.
+	// engines holds the state of each engine by its id.
 	engines map[string]*engineState
-	// loadsInProgress counts the engines with a change under way.
+	// loadsInProgress is the number of engines with a change in progress.
 	loadsInProgress  int
 	expectedLoadTime time.Duration
-	// allotments is how many replicas of a service are for each of its models.
+	// allotments holds, for each service, the number of replicas for each of its models.
 	allotments map[string][]int
 	limiter    loadLimiter
 }
 
-// New returns a syncer.
-func New(parts Deps, logger *zap.Logger) *Syncer {
+// New returns a Syncer without state. Run starts it.
+func New(deps Deps, logger *zap.Logger) *Syncer {
 	return &Syncer{
-		Deps: parts, logger: logger, engines: map[string]*engineState{}, allotments: map[string][]int{}, expectedLoadTime: initialLoadTime,
+		Deps: deps, logger: logger, engines: map[string]*engineState{}, allotments: map[string][]int{}, expectedLoadTime: initialLoadTime,
 	}
 }
 
-// Run looks for engines to change while the lease is held, until the context
-// ends. Demands are followed only meanwhile.
+// Run starts due changes while the lease is held, until the context ends. It calls follow, which
+// reads the demand, when the lease is gained, and cancels its context when the lease is lost.
 func (s *Syncer) Run(ctx context.Context, follow func(context.Context)) {
 	stop := func() {}
 	following := false
@@ -91,34 +92,36 @@
 			stop()
 		}
 		following = held
-		if _, _, may := s.Lease.Fence(); may {
+		if _, _, allowed := s.Lease.Fence(); allowed {
 			s.step(ctx, time.Now())
 		}
 	})
 	stop()
 }
 
-// step starts the changes that are due and for which there is room.
+// step assigns the replicas of each engine service to its models and starts the changes that are
+// due, as far as the load limit allows.
 func (s *Syncer) step(ctx context.Context, now time.Time) {
 	configuration := s.Configuration()
 	if configuration == nil {
 		return
 	}
-	named := s.NewestVersions()
+	newestVersions := s.NewestVersions()
 	for name, service := range configuration.Services {
 		if !service.Engine || len(service.Models) == 0 {
 			continue
 		}
 		replicas := s.Table.Replicas(name)
 		s.updateListed(replicas, now)
-		deals := s.assignReplicas(name, service.Models, replicas)
-		due := listDueChanges(deals, service.Models, named, s.maxLag, chooseManner(configuration, name), s.isLoading)
+		assignments := s.assignReplicas(name, service.Models, replicas)
+		due := listDueChanges(assignments, service.Models, newestVersions, s.maxLag, chooseManner(configuration, name), s.isLoading)
 		s.startChanges(ctx, due, now)
 	}
 	s.removeExpired(now)
 }
 
-// startChanges starts the changes for which there is room.
+// startChanges starts changes in the given order until the load limit is reached. Engines with a
+// change in progress or in backoff are skipped.
 func (s *Syncer) startChanges(ctx context.Context, due []change, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,17 +130,17 @@
 		if s.loadsInProgress >= s.limiter.maxLoads() {
 			return
 		}
-		n := s.stateOf(c.replica.ID)
-		if n.loading || !n.backoff.Over(now) {
+		state := s.stateOf(c.replica.ID)
+		if state.loading || !state.backoff.Over(now) {
 			continue
 		}
-		n.loading = true
+		state.loading = true
 		s.loadsInProgress++
-		go s.runChange(ctx, c, n)
+		go s.runChange(ctx, c, state)
 	}
 }
 
-// maxLag is how many versions behind the newest the batches of a model allow.
+// maxLag returns how many versions behind the newest one the newest batch of a model allows.
 func (s *Syncer) maxLag(model string) int64 {
 	return s.Demands.Of(model).Lag()
 }
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -17,24 +17,24 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// speedUnknown is the event time of engines of which nothing is known.
+// speedUnknown returns no event time for any engine.
 func speedUnknown(replica.Replica) (eventTime, age time.Duration) { return 0, 0 }
 
 func init() { testseed.Fix() }
 
-// idle says that no engine changes.
+// idle reports no engine as loading.
 func idle(string) bool { return false }
 
 func replicasAt(versions ...int64) []replica.Replica {
-	var made []replica.Replica
+	var replicas []replica.Replica
 	for i, version := range versions {
-		made = append(made, replica.Replica{Entry: replica.Entry{ID: fmt.Sprintf("r%02d", i), Service: "s", Slots: 4, Versions: map[string]int64{"m": version}}})
+		replicas = append(replicas, replica.Replica{Entry: replica.Entry{ID: fmt.Sprintf("r%02d", i), Service: "s", Slots: 4, Versions: map[string]int64{"m": version}}})
 	}
-	return made
+	return replicas
 }
 
-// Changed as soon as they are due, no replica is ever older than the batches of
-// the next version allow, and each changes once in as many versions as the lag.
+// No replica may be too old for the batches of the next version, and each is changed only once
+// per maximum lag.
 func TestReplicasStayWithinTheLagWithFewChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lag := rapid.Int64Range(0, 4).Draw(t, "lag")
@@ -48,7 +48,7 @@
 		for version := int64(2); version <= versions; version++ {
 			for _, rep := range replicas {
 				if behind := version - rep.Versions["m"]; behind > max(lag, 1) {
-					t.Fatalf("version %d when %d is named, lag %d", rep.Versions["m"], version, lag)
+					t.Fatalf("version %d when %d is the newest, lag %d", rep.Versions["m"], version, lag)
 				}
 			}
 			for _, c := range listModelChanges(replicas, "m", version, lag, engine.Continue) {
@@ -56,14 +56,14 @@
 				changes++
 			}
 		}
-		most := versions * (count/int(max(lag, 1)) + 1)
-		if changes > most {
-			t.Fatalf("%d changes of %d replicas in %d versions, lag %d", changes, count, versions, lag)
+		maxChanges := versions * (count/int(max(lag, 1)) + 1)
+		if changes > maxChanges {
+			t.Fatalf("%d changes of %d replicas in %d versions with lag %d", changes, count, versions, lag)
 		}
 	})
 }
 
-func TestSharesFollowTheWork(t *testing.T) {
+func TestAllotmentFollowsTheWork(t *testing.T) {
 	is := is.New(t)
 	is.Equal(computeAllotment([]float64{14, 34, 38}, 9), []int{2, 3, 4})
 	is.Equal(computeAllotment([]float64{0, 0, 0}, 9), []int{3, 3, 3})
@@ -73,27 +73,27 @@
 	is.True(!isNearIdeal([]int{3, 3, 3}, []float64{14, 34, 38}))
 }
 
-func TestSharesDealAllReplicasOut(t *testing.T) {
+func TestAllotmentCoversAllReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		work := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 6).Draw(t, "work")
 		replicas := rapid.IntRange(0, 40).Draw(t, "replicas")
 		allotment := computeAllotment(work, replicas)
 		if total(allotment) != replicas {
-			t.Fatalf("%v of %d replicas", allotment, replicas)
+			t.Fatalf("allotment %v does not add up to %d replicas", allotment, replicas)
 		}
 		for _, share := range allotment {
 			if share == 0 && replicas >= len(work) {
-				t.Fatalf("a model without a replica: %v", allotment)
+				t.Fatalf("allotment %v has a model without a replica", allotment)
 			}
 		}
 	})
 }
 
-func TestEachModelHasAReplicaThoughThereAreFewerReplicas(t *testing.T) {
+func TestEachModelHasAReplicaIfThereAreFewerReplicas(t *testing.T) {
 	is := is.New(t)
 	models := []string{"a", "b", "c"}
-	named := map[string]int64{"a": 2, "b": 2, "c": 2}
-	due := listDueChanges(assignByID(replicasAt(1, 1), models, computeAllotment(make([]float64, 3), 2), nil), models, named, func(string) int64 { return 0 }, engine.Continue, idle)
+	newestVersions := map[string]int64{"a": 2, "b": 2, "c": 2}
+	due := listDueChanges(assignByID(replicasAt(1, 1), models, computeAllotment(make([]float64, 3), 2), nil), models, newestVersions, func(string) int64 { return 0 }, engine.Continue, idle)
 	changed := map[string]bool{}
 	for _, c := range due {
 		changed[c.model] = true
@@ -101,7 +101,7 @@
 	is.Equal(len(changed), 3)
 }
 
-func TestChangesComeFurthestBehindFirst(t *testing.T) {
+func TestEnginesFurthestBehindChangeFirst(t *testing.T) {
 	is := is.New(t)
 	models := []string{"m"}
 	due := listDueChanges(assignByID(replicasAt(5, 3, 4, 6), models, []int{4}, nil), models, map[string]int64{"m": 6}, func(string) int64 { return 1 }, engine.Continue, idle)
@@ -110,67 +110,64 @@
 	is.Equal(due[1].replica.ID, "r02")
 }
 
-// Replicas that come and go leave the others' models as they are, as far as the
-// shares allow: after a crash, two replicas once changed their model twice within three
-// seconds.
+// Guards against replicas that change their model whenever another one comes or goes.
 func TestReplicasKeepTheirModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := []string{"a", "b", "c"}
 		work := rapid.SliceOfN(rapid.Float64Range(1, 100), 3, 3).Draw(t, "work")
 		all := replicasAt(make([]int64, rapid.IntRange(4, 12).Draw(t, "replicas"))...)
-		before := map[string]string{}
-		record := func(deals [][]replica.Replica) int {
+		assigned := map[string]string{}
+		recordAssignments := func(assignments [][]replica.Replica) int {
 			count := 0
 			for i, model := range models {
-				for _, rep := range deals[i] {
-					before[rep.ID] = model
+				for _, rep := range assignments[i] {
+					assigned[rep.ID] = model
 					count++
 				}
 			}
 			return count
 		}
-		if record(assignByID(all, models, computeAllotment(work, len(all)), before)) != len(all) {
-			t.Fatal("a replica is for no model, or for two")
+		if recordAssignments(assignByID(all, models, computeAllotment(work, len(all)), assigned)) != len(all) {
+			t.Fatal("a replica has no model or several")
 		}
-		gone := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
-		rest := append(append([]replica.Replica{}, all[:gone]...), all[gone+1:]...)
-		allotment := computeAllotment(work, len(rest))
-		old := map[string]string{}
-		for id, model := range before {
-			old[id] = model
+		removed := rapid.IntRange(0, len(all)-1).Draw(t, "removed")
+		remaining := append(append([]replica.Replica{}, all[:removed]...), all[removed+1:]...)
+		allotment := computeAllotment(work, len(remaining))
+		previous := map[string]string{}
+		for id, model := range assigned {
+			previous[id] = model
 		}
-		deals := assignByID(rest, models, allotment, before)
-		record(deals)
+		assignments := assignByID(remaining, models, allotment, assigned)
+		recordAssignments(assignments)
 		moved := 0
-		for _, rep := range rest {
-			if before[rep.ID] != old[rep.ID] {
+		for _, rep := range remaining {
+			if assigned[rep.ID] != previous[rep.ID] {
 				moved++
 			}
 		}
 		if moved > 1 {
-			t.Fatalf("%d replicas changed their model as one went", moved)
+			t.Fatalf("%d replicas changed their model when one was removed", moved)
 		}
 	})
 }
 
-// A new holder of the lease finds the deal of the one before in the versions.
-func TestANewHolderKeepsTheDeal(t *testing.T) {
+// A new holder of the lease must derive the assignment from the versions that replicas hold.
+func TestNewHolderKeepsTheAssignment(t *testing.T) {
 	is := is.New(t)
 	models := []string{"a", "b"}
 	replicas := replicasAt(0, 0, 0, 0)
 	for i, versions := range []map[string]int64{{"a": 2, "b": 7}, {"a": 8, "b": 1}, {"a": 1, "b": 6}, {"a": 7, "b": 2}} {
 		replicas[i].Versions = versions
 	}
-	deals := assignByID(replicas, models, []int{2, 2}, nil)
-	is.Equal(deals[0][0].ID, "r01")
-	is.Equal(deals[0][1].ID, "r03")
-	is.Equal(deals[1][0].ID, "r00")
+	assignments := assignByID(replicas, models, []int{2, 2}, nil)
+	is.Equal(assignments[0][0].ID, "r01")
+	is.Equal(assignments[0][1].ID, "r03")
+	is.Equal(assignments[1][0].ID, "r00")
 }
 
-// A deployment with far more engines than its batches fill keeps only some of
-// them at the newest versions: at 300 machines orders once
-// cost half of what the day was worth.
-func TestOnlyAsManyEnginesAreKeptAsBatchesNeed(t *testing.T) {
+// A deployment with many more engines than its batches fill must not load each version into all
+// of them.
+func TestBatchesLimitTheEnginesOfAModel(t *testing.T) {
 	is := is.New(t)
 	is.Equal(enginesNeeded(48, 8), 24)
 	is.Equal(enginesNeeded(1, 8), minEnginesPerModel)
@@ -182,21 +179,21 @@
 	demands.Apply(journal.KeyedRecord{Key: "m", Value: encoded})
 	syncer := New(Deps{Holder: "h", Demands: demands}, zap.NewNop())
 	replicas := replicasAt(make([]int64, 50)...)
-	deals := syncer.assignReplicas("s", models, replicas)
-	is.Equal(len(deals[0]), enginesNeeded(16, replicas[0].Slots))
+	assignments := syncer.assignReplicas("s", models, replicas)
+	is.Equal(len(assignments[0]), enginesNeeded(16, replicas[0].Slots))
 	is.Equal(len(syncer.assignReplicas("s", models, replicas[:3])[0]), 3)
 }
 
-func TestPausesGrowWithFailures(t *testing.T) {
+func TestBackoffGrowsWithFailures(t *testing.T) {
 	is := is.New(t)
 	is.Equal(changeBackoff.After(1), changeBackoff.First)
 	is.Equal(changeBackoff.After(3), 4*changeBackoff.First)
 	is.Equal(changeBackoff.After(99), changeBackoff.Longest)
 }
 
-// What is remembered of engines goes with them, as most ids never come again, but
-// outlives a short absence: an outage of the journal may empty the list.
-func TestEnginesThatAreLongGoneAreForgotten(t *testing.T) {
+// States of engines must not accumulate, as ids are rarely reused, but they must outlive a short
+// absence: an outage of the journal may empty the replica list.
+func TestStatesOfLongUnlistedEnginesAreRemoved(t *testing.T) {
 	is := is.New(t)
 	syncer := New(Deps{Holder: "d", Table: replica.NewTable(time.Second, zap.NewNop()), Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	start := time.Now()
@@ -207,5 +204,5 @@
 	is.Equal(syncer.assignedModels(replicasAt(1)), map[string]string{"r00": "m"})
 	syncer.updateListed(replicasAt(1, 1, 1)[2:], start.Add(unlistedStateTTL))
 	syncer.removeExpired(start.Add(unlistedStateTTL + time.Second))
-	is.Equal(len(syncer.engines), 2) // the listed one, and one with a change under way
+	is.Equal(len(syncer.engines), 2) // the listed one, and one with a change in progress
 }
--- a/internal/replicas/modelsync/priority.go
+++ b/internal/replicas/modelsync/priority.go
@@ -6,31 +6,31 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// modelNeed is what one model has of its engines, counting those that change,
-// and the changes that are due for it, the most urgent first.
+// modelNeed counts the engines of one model, where those with a change in progress count as
+// changed, and holds the changes that are due for it, the most urgent first.
 type modelNeed struct {
 	engines int
-	// usable engines are within the lag that batches allow, newest ones hold the
-	// newest version.
+	// usable engines are within the lag that batches allow; newest engines hold the newest
+	// version.
 	usable, newest  int
 	inProgress, due []change
 }
 
-// computeNeed returns a model's need.
+// computeNeed returns the need of a model with the given replicas and due changes.
 func computeNeed(replicas []replica.Replica, model string, version, lag int64, due []change,
-	loading func(replicaID string) bool) modelNeed {
+	isLoading func(replicaID string) bool) modelNeed {
 	need := modelNeed{engines: len(replicas)}
 	for _, rep := range replicas {
-		coming := loading(rep.ID)
-		if coming || rep.Versions[model] >= version-lag {
+		isChanging := isLoading(rep.ID)
+		if isChanging || rep.Versions[model] >= version-lag {
 			need.usable++
 		}
-		if coming || rep.Versions[model] >= version {
+		if isChanging || rep.Versions[model] >= version {
 			need.newest++
 		}
 	}
 	for _, c := range due {
-		if loading(c.replica.ID) {
+		if isLoading(c.replica.ID) {
 			need.inProgress = append(need.inProgress, c)
 		} else {
 			need.due = append(need.due, c)
@@ -39,9 +39,9 @@
 	return need
 }
 
-// compareNeeds orders by who is served first: the model with the smallest part
-// of its engines usable, then with the smallest part at the newest version, then
-// with the engine furthest behind.
+// compareNeeds orders models by urgency: first the smallest fraction of usable engines, then the
+// smallest fraction at the newest version, then the engine furthest behind. Both must have due
+// changes.
 func compareNeeds(a, b modelNeed) int {
 	return cmp.Or(
 		cmp.Compare(a.usable*b.engines, b.usable*a.engines),
@@ -50,29 +50,28 @@
 	)
 }
 
-// mergeByNeed merges the changes of several models: first those under way, then each
-// is the next one of the model that is worst off once those before it are done.
-// A model must not wait until all engines of another have changed, as its
-// batches would stand still.
-func mergeByNeed(needs []modelNeed, lagOf func(model string) int64) []change {
+// mergeByNeed merges the changes of several models: first those in progress, then repeatedly the
+// next change of the model in greatest need, counting the changes before it as done. So no model
+// has to wait, with its batches stopped, until all engines of another model have changed.
+func mergeByNeed(needs []modelNeed, maxLag func(model string) int64) []change {
 	var merged []change
 	for i := range needs {
 		merged = append(merged, needs[i].inProgress...)
 	}
 	for {
-		worst := -1
+		neediest := -1
 		for i := range needs {
-			if len(needs[i].due) > 0 && (worst < 0 || compareNeeds(needs[i], needs[worst]) < 0) {
-				worst = i
+			if len(needs[i].due) > 0 && (neediest < 0 || compareNeeds(needs[i], needs[neediest]) < 0) {
+				neediest = i
 			}
 		}
-		if worst < 0 {
+		if neediest < 0 {
 			return merged
 		}
-		need := &needs[worst]
+		need := &needs[neediest]
 		next := need.due[0]
 		need.due = need.due[1:]
-		if next.versionsBehind() > lagOf(next.model) {
+		if next.versionsBehind() > maxLag(next.model) {
 			need.usable++
 		}
 		need.newest++
--- a/internal/replicas/modelsync/priority_test.go
+++ b/internal/replicas/modelsync/priority_test.go
@@ -11,26 +11,24 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// enginesOf are engines that were dealt to a model, at the given versions.
+// enginesOf returns engines of a model that hold the given versions.
 func enginesOf(model string, versions ...int64) []replica.Replica {
-	var made []replica.Replica
+	var engines []replica.Replica
 	for i, version := range versions {
-		made = append(made, replica.Replica{Entry: replica.Entry{ID: fmt.Sprintf("%s-%d", model, i), Versions: map[string]int64{model: version}}})
+		engines = append(engines, replica.Replica{Entry: replica.Entry{ID: fmt.Sprintf("%s-%d", model, i), Versions: map[string]int64{model: version}}})
 	}
-	return made
+	return engines
 }
 
-func lagOfOne(string) int64 { return 1 }
+func maxLagOfOne(string) int64 { return 1 }
 
-// A model none of whose engines may run its batches comes before others that
-// have some, whatever its place in the list: two models once got all changes
-// for 12 s, and the third one's steps stood still.
-func TestAModelWithoutUsableEnginesComesFirst(t *testing.T) {
+// A model without usable engines must not wait for other models that have some.
+func TestModelWithoutUsableEnginesComesFirst(t *testing.T) {
 	is := is.New(t)
 	models := []string{"a", "b", "c"}
-	named := map[string]int64{"a": 4, "b": 4, "c": 3}
-	deals := [][]replica.Replica{enginesOf("a", 3, 3, 2), enginesOf("b", 3, 2, 2), enginesOf("c", 1, 1, 1)}
-	due := listDueChanges(deals, models, named, lagOfOne, engine.Continue, idle)
+	newestVersions := map[string]int64{"a": 4, "b": 4, "c": 3}
+	assignments := [][]replica.Replica{enginesOf("a", 3, 3, 2), enginesOf("b", 3, 2, 2), enginesOf("c", 1, 1, 1)}
+	due := listDueChanges(assignments, models, newestVersions, maxLagOfOne, engine.Continue, idle)
 	var order []string
 	for _, c := range due[:3] {
 		order = append(order, c.model)
@@ -38,68 +36,67 @@
 	is.Equal(order, []string{"c", "b", "c"})
 }
 
-// Where all may run their batches, the one with the fewest engines at its newest
-// version comes first.
-func TestTheModelWithFewestNewestEnginesComesFirst(t *testing.T) {
+// If all models have equally many usable engines, the one with the fewest at its newest version
+// comes first.
+func TestModelWithFewestNewestEnginesComesFirst(t *testing.T) {
 	is := is.New(t)
 	models := []string{"a", "b"}
-	named := map[string]int64{"a": 2, "b": 2}
-	deals := [][]replica.Replica{enginesOf("a", 2, 2, 1), enginesOf("b", 1, 1, 1)}
-	due := listDueChanges(deals, models, named, lagOfOne, engine.Continue, idle)
+	newestVersions := map[string]int64{"a": 2, "b": 2}
+	assignments := [][]replica.Replica{enginesOf("a", 2, 2, 1), enginesOf("b", 1, 1, 1)}
+	due := listDueChanges(assignments, models, newestVersions, maxLagOfOne, engine.Continue, idle)
 	is.Equal(due[0].model, "b")
 }
 
-// Whatever the engines hold and whichever of them change: each change is listed
-// once, those under way first, and the first that starts is for a model that is
-// no better off than any other for which one is due.
-func TestChangesStartWhereEnginesAreFewest(t *testing.T) {
+// Each change is listed once, those in progress come first, and the first to start is for a model
+// with no greater fraction of usable engines than any other that has a due change.
+func TestChangesStartForModelWithFewestUsableEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := []string{"a", "b", "c"}
-		named := map[string]int64{}
-		deals := make([][]replica.Replica, len(models))
+		newestVersions := map[string]int64{}
+		assignments := make([][]replica.Replica, len(models))
 		loading := map[string]bool{}
 		for i, model := range models {
-			named[model] = rapid.Int64Range(1, 6).Draw(t, "named")
-			versions := rapid.SliceOfN(rapid.Int64Range(1, named[model]), 1, 4).Draw(t, "versions")
-			deals[i] = enginesOf(model, versions...)
-			for _, rep := range deals[i] {
-				loading[rep.ID] = rep.Versions[model] < named[model] && rapid.IntRange(0, 3).Draw(t, "loading") == 0
+			newestVersions[model] = rapid.Int64Range(1, 6).Draw(t, "newest version")
+			versions := rapid.SliceOfN(rapid.Int64Range(1, newestVersions[model]), 1, 4).Draw(t, "versions")
+			assignments[i] = enginesOf(model, versions...)
+			for _, rep := range assignments[i] {
+				loading[rep.ID] = rep.Versions[model] < newestVersions[model] && rapid.IntRange(0, 3).Draw(t, "loading") == 0
 			}
 		}
-		due := listDueChanges(deals, models, named, lagOfOne, engine.Continue, func(id string) bool { return loading[id] })
+		due := listDueChanges(assignments, models, newestVersions, maxLagOfOne, engine.Continue, func(id string) bool { return loading[id] })
 		usable := func(model string) float64 {
-			all, ready := 0, 0
+			total, ready := 0, 0
 			for i := range models {
-				for _, rep := range deals[i] {
+				for _, rep := range assignments[i] {
 					if models[i] != model {
 						continue
 					}
-					all++
-					if loading[rep.ID] || rep.Versions[model] >= named[model]-1 {
+					total++
+					if loading[rep.ID] || rep.Versions[model] >= newestVersions[model]-1 {
 						ready++
 					}
 				}
 			}
-			return float64(ready) / float64(all)
+			return float64(ready) / float64(total)
 		}
 		seen := map[string]bool{}
-		started, first := false, ""
+		started, firstModel := false, ""
 		for _, c := range due {
 			if seen[c.replica.ID] {
-				t.Fatalf("%s twice", c.replica.ID)
+				t.Fatalf("%s is listed twice", c.replica.ID)
 			}
 			seen[c.replica.ID] = true
 			if loading[c.replica.ID] {
 				if started {
-					t.Fatalf("%s is under way and stands behind one that is not", c.replica.ID)
+					t.Fatalf("%s is in progress and listed after one that is not", c.replica.ID)
 				}
 				continue
 			}
 			if !started {
-				started, first = true, c.model
+				started, firstModel = true, c.model
 			}
-			if usable(first) > usable(c.model)+1e-9 {
-				t.Fatalf("%s comes first with %.2f usable, %s has %.2f", first, usable(first), c.model, usable(c.model))
+			if usable(firstModel) > usable(c.model)+1e-9 {
+				t.Fatalf("%s comes first with %.2f usable, %s has %.2f", firstModel, usable(firstModel), c.model, usable(c.model))
 			}
 		}
 	})
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -14,70 +14,70 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// reporting is an engine that says what it is told to, and fails the test at an order.
-type reporting struct {
+// fixedReporter is a driver that returns a fixed report and fails the test if it gets an order.
+type fixedReporter struct {
 	t      *testing.T
 	report engine.Report
 }
 
-func (r *reporting) Report(context.Context, replica.Replica) (engine.Report, error) {
+func (r *fixedReporter) Report(context.Context, replica.Replica) (engine.Report, error) {
 	return r.report, nil
 }
 
-func (r *reporting) Give(context.Context, replica.Replica, engine.Order) error {
-	r.t.Error("order given")
+func (r *fixedReporter) Give(context.Context, replica.Replica, engine.Order) error {
+	r.t.Error("unexpected order")
 	return nil
 }
 
-var firstBorn = time.UnixMilli(1_764_700_000_000)
+var firstStart = time.UnixMilli(1_764_700_000_000)
 
-func startOf(seconds int, version int64) replica.Entry {
-	return replica.Entry{ID: "e", Service: "s", Slots: 4, Born: firstBorn.Add(time.Duration(seconds) * time.Second), Versions: map[string]int64{"m": version}}
+func entryStartedAt(seconds int, version int64) replica.Entry {
+	return replica.Entry{ID: "e", Service: "s", Slots: 4, Born: firstStart.Add(time.Duration(seconds) * time.Second), Versions: map[string]int64{"m": version}}
 }
 
-// The versions and the count of orders that an engine reports were taken for those of the
-// start that was listed: one that had come back empty counted as changed.
-func TestAReportOfAnotherStartChangesNothing(t *testing.T) {
+// Versions and order counts reported by one incarnation must not be taken for those of another:
+// an engine that restarted empty counted as changed.
+func TestReportOfAnotherIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	table := replica.NewTable(time.Second, zap.NewNop())
-	table.Set(startOf(0, 4))
-	driver := &reporting{t: t, report: engine.Report{Born: startOf(1, 0).Born, Versions: map[string]int64{"m": 1}}}
+	table.Set(entryStartedAt(0, 4))
+	driver := &fixedReporter{t: t, report: engine.Report{Born: entryStartedAt(1, 0).Born, Versions: map[string]int64{"m": 1}}}
 	syncer := New(Deps{Holder: "d", Driver: driver, Table: table, Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
 	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errRestarted))
 	now := table.Replicas("s")[0]
-	is.Equal(now.Incarnation(), startOf(1, 0).Incarnation())
-	is.Equal(now.Versions["m"], int64(0)) // to be changed, as nothing is known of it
-	driver.report = engine.Report{Born: startOf(0, 4).Born, Versions: map[string]int64{"m": 9}}
+	is.Equal(now.Incarnation(), entryStartedAt(1, 0).Incarnation())
+	is.Equal(now.Versions["m"], int64(0)) // due again, as its versions are unknown
+	driver.report = engine.Report{Born: entryStartedAt(0, 4).Born, Versions: map[string]int64{"m": 9}}
 	due.replica = now
-	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errRestarted)) // a late answer of before
+	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errRestarted)) // a late answer of the earlier incarnation
 	is.Equal(table.Replicas("s")[0].Versions["m"], int64(0))
 }
 
-// A start that comes back is not left alone for the failures of the one before, and the
-// end of the change of that one ends none of its own.
-func TestNotesBelongToOneStart(t *testing.T) {
+// A new incarnation must not inherit the backoff of the earlier one, and the end of the earlier
+// one's change must not end its own.
+func TestStateBelongsToOneIncarnation(t *testing.T) {
 	is := is.New(t)
 	table := replica.NewTable(time.Second, zap.NewNop())
-	driver := &reporting{t: t, report: engine.Report{Born: startOf(1, 0).Born}}
+	driver := &fixedReporter{t: t, report: engine.Report{Born: entryStartedAt(1, 0).Born}}
 	syncer := New(Deps{Holder: "d", Driver: driver, Table: table, Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	now := time.Now()
-	table.Set(startOf(0, 4))
+	table.Set(entryStartedAt(0, 4))
 	syncer.updateListed(table.Replicas("s"), now)
-	before := syncer.engines["e"]
-	before.assignedModel, before.loading = "m", true
-	before.backoff.Failed(changeBackoff, now)
+	earlier := syncer.engines["e"]
+	earlier.assignedModel, earlier.loading = "m", true
+	earlier.backoff.Failed(changeBackoff, now)
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
-	table.Set(startOf(1, 1))
+	table.Set(entryStartedAt(1, 1))
 	syncer.updateListed(table.Replicas("s"), now)
-	n := syncer.engines["e"]
-	is.True(!n.loading)
-	is.True(n.backoff.Over(now))
-	is.Equal(n.assignedModel, "m")
-	n.loading = true
+	later := syncer.engines["e"]
+	is.True(!later.loading)
+	is.True(later.backoff.Over(now))
+	is.Equal(later.assignedModel, "m")
+	later.loading = true
 	syncer.loadsInProgress = 2
-	syncer.runChange(t.Context(), due, before)
-	is.True(n.loading)
-	is.True(!before.loading)
+	syncer.runChange(t.Context(), due, earlier)
+	is.True(later.loading)
+	is.True(!earlier.loading)
 	is.Equal(syncer.loadsInProgress, 1)
 }
