--- a/internal/api/standalone/decoder.go
+++ b/internal/api/standalone/decoder.go
@@ -51,28 +51,28 @@
 }
 
 // Operator implements catalog.Decoder.
-func (d *Decoder) Operator(key string, value []byte) (catalog.Record, error) {
+func (d *Decoder) Operator(key string, value []byte) (catalog.OperatorRecord, error) {
 	if key != operator.PoliciesKey {
 		var named operator.Version
 		if err := cbor.Unmarshal(value, &named); err != nil {
-			return catalog.Record{}, errors.Wrapf(err, "record %q", key)
+			return catalog.OperatorRecord{}, errors.Wrapf(err, "record %q", key)
 		}
-		return catalog.Record{Model: named.Model, ModelVersion: named.Version}, nil
+		return catalog.OperatorRecord{Model: named.Model, ModelVersion: named.Version}, nil
 	}
 	var policies operator.Policies
 	if err := cbor.Unmarshal(value, &policies); err != nil {
-		return catalog.Record{}, errors.Wrap(err, "policies")
+		return catalog.OperatorRecord{}, errors.Wrap(err, "policies")
 	}
 	set, err := policy.Compile(policies.Sources())
 	if err != nil {
-		return catalog.Record{}, errors.Wrapf(err, "policies of version %d", policies.Version)
+		return catalog.OperatorRecord{}, errors.Wrapf(err, "policies of version %d", policies.Version)
 	}
 	configuration, err := configurationOf(policies.Version, set)
 	if err != nil {
-		return catalog.Record{}, err
+		return catalog.OperatorRecord{}, err
 	}
 	d.keep(compiled{version: policies.Version, set: set})
-	return catalog.Record{Configuration: configuration}, nil
+	return catalog.OperatorRecord{Configuration: configuration}, nil
 }
 
 // keep keeps the newest sets: one that is older than those in force never comes
--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -29,9 +29,9 @@
 	"woodworks/internal/requests/route"
 )
 
-// Record is one record of the operator: a configuration, or the version named
+// OperatorRecord is one record of the operator: a configuration, or the version named
 // of a model, or neither if the record is of no concern here.
-type Record struct {
+type OperatorRecord struct {
 	Configuration *route.Configuration
 	Model         string
 	ModelVersion  int64
@@ -39,7 +39,7 @@
 
 // Decoder reads the records as the platform spells them.
 type Decoder interface {
-	Operator(key string, value []byte) (Record, error)
+	Operator(key string, value []byte) (OperatorRecord, error)
 	Replica(id string, value []byte) (replica.Entry, error)
 }
 
@@ -100,9 +100,9 @@
 	}
 }
 
-func (s *State) decode(record journal.KeyedRecord) (Record, error) {
+func (s *State) decode(record journal.KeyedRecord) (OperatorRecord, error) {
 	if record.Unreadable {
-		return Record{}, ErrUnreadable
+		return OperatorRecord{}, ErrUnreadable
 	}
 	return s.decoder.Operator(record.Key, record.Value)
 }
