--- a/internal/api/standalone/decoder.go
+++ b/internal/api/standalone/decoder.go
@@ -50,8 +50,8 @@
 	return nil, false
 }
 
-// Operator implements catalog.Decoder.
-func (d *Decoder) Operator(key string, value []byte) (catalog.OperatorRecord, error) {
+// DecodeOperatorRecord implements catalog.Decoder.
+func (d *Decoder) DecodeOperatorRecord(key string, value []byte) (catalog.OperatorRecord, error) {
 	if key != operator.PoliciesKey {
 		var named operator.Version
 		if err := cbor.Unmarshal(value, &named); err != nil {
--- a/internal/api/standalone/decoder_test.go
+++ b/internal/api/standalone/decoder_test.go
@@ -27,7 +27,7 @@
 	decoder := &Decoder{}
 	var newest *route.Configuration
 	for _, version := range []int64{3, 1, 2, 1} {
-		record, err := decoder.Operator(operator.PoliciesKey, policies(t, version))
+		record, err := decoder.DecodeOperatorRecord(operator.PoliciesKey, policies(t, version))
 		is.NoErr(err)
 		if version == 3 {
 			newest = record.Configuration
@@ -42,7 +42,7 @@
 func TestPoliciesBecomeRoutes(t *testing.T) {
 	is := is.New(t)
 	decoder := &Decoder{}
-	record, err := decoder.Operator(operator.PoliciesKey, policies(t, 1))
+	record, err := decoder.DecodeOperatorRecord(operator.PoliciesKey, policies(t, 1))
 	is.NoErr(err)
 	board, rt := record.Configuration.Find(ServiceHost("game-front"), OperationPath("board"))
 	is.True(rt)
@@ -54,7 +54,7 @@
 	is.True(move.Priority <= board.Priority)
 	_, rt = record.Configuration.Find(ServiceHost("nobody"), OperationPath("move"))
 	is.True(!rt)
-	_, err = decoder.Operator(operator.PoliciesKey, []byte("no cbor"))
+	_, err = decoder.DecodeOperatorRecord(operator.PoliciesKey, []byte("no cbor"))
 	is.True(err != nil)
 }
 
@@ -65,7 +65,7 @@
 	source := examples.QarmoudPolicy + "\ndef priority(trainer):\n    return 1 // 0\n"
 	encoded, err := cbor.Marshal(operator.Policies{Version: 1, Documents: map[string]operator.Document{"q": {Source: source}}})
 	is.NoErr(err)
-	record, err := decoder.Operator(operator.PoliciesKey, encoded)
+	record, err := decoder.DecodeOperatorRecord(operator.PoliciesKey, encoded)
 	is.NoErr(err)
 	is.True(hookFaults(decoder, record.Configuration) > 0)
 	is.Equal(hookFaults(decoder, nil), 0.0)
--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -39,7 +39,7 @@
 
 // Decoder reads the records as the platform spells them.
 type Decoder interface {
-	Operator(key string, value []byte) (OperatorRecord, error)
+	DecodeOperatorRecord(key string, value []byte) (OperatorRecord, error)
 	Replica(id string, value []byte) (replica.Entry, error)
 }
 
@@ -104,7 +104,7 @@
 	if record.Unreadable {
 		return OperatorRecord{}, ErrUnreadable
 	}
-	return s.decoder.Operator(record.Key, record.Value)
+	return s.decoder.DecodeOperatorRecord(record.Key, record.Value)
 }
 
 func (s *State) install(configuration *route.Configuration, offset int64) {
