--- a/internal/api/standalone/decoder.go
+++ b/internal/api/standalone/decoder.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// Replica implements catalog.Decoder.
-func (d *Decoder) Replica(id string, value []byte) (replica.Entry, error) {
+// DecodeReplicaEntry implements catalog.Decoder.
+func (d *Decoder) DecodeReplicaEntry(id string, value []byte) (replica.Entry, error) {
 	var machine operator.Machine
 	if err := cbor.Unmarshal(value, &machine); err != nil {
 		return replica.Entry{}, errors.Wrapf(err, "machine %q", id)
--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -40,7 +40,7 @@
 // Decoder reads the records as the platform spells them.
 type Decoder interface {
 	DecodeOperatorRecord(key string, value []byte) (OperatorRecord, error)
-	Replica(id string, value []byte) (replica.Entry, error)
+	DecodeReplicaEntry(id string, value []byte) (replica.Entry, error)
 }
 
 // State is what the operator has set last. Versions only rise while the process
--- a/internal/replicas/catalog/directory.go
+++ b/internal/replicas/catalog/directory.go
@@ -55,7 +55,7 @@
 	err := ErrUnreadable
 	entry := replica.Entry{}
 	if !record.Unreadable {
-		entry, err = d.decoder.Replica(record.Key, record.Value)
+		entry, err = d.decoder.DecodeReplicaEntry(record.Key, record.Value)
 	}
 	if err == nil {
 		d.refused.forget(record.Key)
