--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -74,8 +74,8 @@
 type Operator interface {
 	// Configuration returns the configuration in force, or nil.
 	Configuration() *route.Configuration
-	// Named returns the newest version named of each model.
-	Named() map[string]int64
+	// NewestVersions returns the newest version named of each model.
+	NewestVersions() map[string]int64
 }
 
 // Runner runs the batches of one daemon. It is safe for concurrent use.
@@ -166,7 +166,7 @@
 	}
 	if submission.Model != "" {
 		go r.demands.Publish(r.ctx, submission.Model, demand.Demand{
-			MinVersion: submission.MinVersion, Named: r.operator.Named()[submission.Model],
+			MinVersion: submission.MinVersion, Named: r.operator.NewestVersions()[submission.Model],
 			Work: r.expectedWork(submission), Items: len(submission.Items),
 		})
 	}
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -20,7 +20,7 @@
 type unaware struct{}
 
 func (unaware) Configuration() *route.Configuration { return nil }
-func (unaware) Named() map[string]int64             { return nil }
+func (unaware) NewestVersions() map[string]int64    { return nil }
 
 // dealtTo is a group that has dealt everything to one daemon.
 type dealtTo string
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -116,7 +116,7 @@
 		n.settings.Timing.LeaseQuiet.Std(), n.logger)
 	n.syncer = modelsync.New(modelsync.Deps{
 		Holder: n.settings.Name, Lease: n.lease, Driver: drivers.Engines, Table: n.table, Configuration: n.operator.Configuration,
-		NewestVersions: n.operator.Named, Demands: n.demands, EventTime: n.occupancy.eventTimeOf,
+		NewestVersions: n.operator.NewestVersions, Demands: n.demands, EventTime: n.occupancy.eventTimeOf,
 	}, n.logger)
 }
 
--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -71,8 +71,8 @@
 	return s.configuration
 }
 
-// Named returns the newest version named of each model.
-func (s *State) Named() map[string]int64 {
+// NewestVersions returns the newest version named of each model.
+func (s *State) NewestVersions() map[string]int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return maps.Clone(s.named)
