--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -99,7 +99,7 @@
 	Settings settings.Settings
 	Identity string
 	Journal  journal.Journal
-	Operator *catalog.State
+	Operator *catalog.OperatorState
 	Replicas *replica.Table
 	Results  *results.Reader
 	Runner   *runner.Runner
@@ -139,7 +139,7 @@
 	partitions int
 
 	// What the operator and the replicas have written.
-	operator         *catalog.State
+	operator         *catalog.OperatorState
 	operatorFollower *journal.KeyedFollower
 	table            *replica.Table
 	replicaFollower  *journal.KeyedFollower
--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -43,9 +43,9 @@
 	DecodeReplicaEntry(id string, value []byte) (replica.Entry, error)
 }
 
-// State is what the operator has set last. Versions only rise while the process
+// OperatorState is what the operator has set last. Versions only rise while the process
 // lives: a record older than the one in force changes nothing.
-type State struct {
+type OperatorState struct {
 	decoder Decoder
 	logger  *zap.Logger
 
@@ -60,26 +60,26 @@
 
 // NewState returns the state before any record. OnChange is called with each
 // configuration that comes into force.
-func NewState(decoder Decoder, onChange func(*route.Configuration), logger *zap.Logger) *State {
-	return &State{decoder: decoder, logger: logger, named: map[string]int64{}, onChange: onChange, refused: newRefusals()}
+func NewState(decoder Decoder, onChange func(*route.Configuration), logger *zap.Logger) *OperatorState {
+	return &OperatorState{decoder: decoder, logger: logger, named: map[string]int64{}, onChange: onChange, refused: newRefusals()}
 }
 
 // Configuration returns the configuration in force, or nil before the first.
-func (s *State) Configuration() *route.Configuration {
+func (s *OperatorState) Configuration() *route.Configuration {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.configuration
 }
 
 // NewestVersions returns the newest version named of each model.
-func (s *State) NewestVersions() map[string]int64 {
+func (s *OperatorState) NewestVersions() map[string]int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return maps.Clone(s.named)
 }
 
 // Apply implements journal.KeyedHandler. A key that is missing takes nothing back.
-func (s *State) Apply(record journal.KeyedRecord) {
+func (s *OperatorState) Apply(record journal.KeyedRecord) {
 	if removes(record) {
 		return
 	}
@@ -100,14 +100,14 @@
 	}
 }
 
-func (s *State) decode(record journal.KeyedRecord) (OperatorRecord, error) {
+func (s *OperatorState) decode(record journal.KeyedRecord) (OperatorRecord, error) {
 	if record.Unreadable {
 		return OperatorRecord{}, ErrUnreadable
 	}
 	return s.decoder.DecodeOperatorRecord(record.Key, record.Value)
 }
 
-func (s *State) install(configuration *route.Configuration, offset int64) {
+func (s *OperatorState) install(configuration *route.Configuration, offset int64) {
 	s.mu.Lock()
 	inForce := s.configuration
 	newer := inForce == nil || configuration.Version > inForce.Version
@@ -123,7 +123,7 @@
 	s.onChange(configuration)
 }
 
-func (s *State) name(model string, version, offset int64) {
+func (s *OperatorState) name(model string, version, offset int64) {
 	s.mu.Lock()
 	newer := version > s.named[model]
 	if newer {
