--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -58,9 +58,9 @@
 	onChange      func(*route.Configuration)
 }
 
-// NewState returns the state before any record. OnChange is called with each
+// NewOperatorState returns the state before any record. OnChange is called with each
 // configuration that comes into force.
-func NewState(decoder Decoder, onChange func(*route.Configuration), logger *zap.Logger) *OperatorState {
+func NewOperatorState(decoder Decoder, onChange func(*route.Configuration), logger *zap.Logger) *OperatorState {
 	return &OperatorState{decoder: decoder, logger: logger, named: map[string]int64{}, onChange: onChange, refused: newRefusals()}
 }
 
