--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -52,16 +52,16 @@
 	// refused is for the handler's methods only.
 	refused refusals
 
-	mu            sync.RWMutex
-	configuration *route.Configuration
-	named         map[string]int64
-	onChange      func(*route.Configuration)
+	mu             sync.RWMutex
+	configuration  *route.Configuration
+	newestVersions map[string]int64
+	onChange       func(*route.Configuration)
 }
 
 // NewOperatorState returns the state before any record. OnChange is called with each
 // configuration that comes into force.
 func NewOperatorState(decoder Decoder, onChange func(*route.Configuration), logger *zap.Logger) *OperatorState {
-	return &OperatorState{decoder: decoder, logger: logger, named: map[string]int64{}, onChange: onChange, refused: newRefusals()}
+	return &OperatorState{decoder: decoder, logger: logger, newestVersions: map[string]int64{}, onChange: onChange, refused: newRefusals()}
 }
 
 // Configuration returns the configuration in force, or nil before the first.
@@ -75,7 +75,7 @@
 func (s *OperatorState) NewestVersions() map[string]int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return maps.Clone(s.named)
+	return maps.Clone(s.newestVersions)
 }
 
 // Apply implements journal.KeyedHandler. A key that is missing takes nothing back.
@@ -125,9 +125,9 @@
 
 func (s *OperatorState) name(model string, version, offset int64) {
 	s.mu.Lock()
-	newer := version > s.named[model]
+	newer := version > s.newestVersions[model]
 	if newer {
-		s.named[model] = version
+		s.newestVersions[model] = version
 	}
 	s.mu.Unlock()
 	if newer {
