--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -49,8 +49,8 @@
 	decoder Decoder
 	logger  *zap.Logger
 
-	// refused is for the handler's methods only.
-	refused refusals
+	// rejected is for the handler's methods only.
+	rejected refusals
 
 	mu             sync.RWMutex
 	configuration  *route.Configuration
@@ -61,7 +61,7 @@
 // NewOperatorState returns the state before any record. OnChange is called with each
 // configuration that comes into force.
 func NewOperatorState(decoder Decoder, onChange func(*route.Configuration), logger *zap.Logger) *OperatorState {
-	return &OperatorState{decoder: decoder, logger: logger, newestVersions: map[string]int64{}, onChange: onChange, refused: newRefusals()}
+	return &OperatorState{decoder: decoder, logger: logger, newestVersions: map[string]int64{}, onChange: onChange, rejected: newRefusals()}
 }
 
 // Configuration returns the configuration in force, or nil before the first.
@@ -85,13 +85,13 @@
 	}
 	decoded, err := s.decode(record)
 	if err != nil {
-		if s.refused.isNew(record) {
+		if s.rejected.isNew(record) {
 			s.logger.Error("operator's record refused", zap.String("key", record.Key),
 				zap.Int64("offset", record.Offset), zap.Error(err))
 		}
 		return
 	}
-	s.refused.forget(record.Key)
+	s.rejected.forget(record.Key)
 	switch {
 	case decoded.Configuration != nil:
 		s.install(decoded.Configuration, record.Offset)
