--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -94,7 +94,7 @@
 	s.rejected.forget(record.Key)
 	switch {
 	case decoded.Configuration != nil:
-		s.install(decoded.Configuration, record.Offset)
+		s.installConfiguration(decoded.Configuration, record.Offset)
 	case decoded.Model != "":
 		s.name(decoded.Model, decoded.ModelVersion, record.Offset)
 	}
@@ -107,7 +107,7 @@
 	return s.decoder.DecodeOperatorRecord(record.Key, record.Value)
 }
 
-func (s *OperatorState) install(configuration *route.Configuration, offset int64) {
+func (s *OperatorState) installConfiguration(configuration *route.Configuration, offset int64) {
 	s.mu.Lock()
 	inForce := s.configuration
 	newer := inForce == nil || configuration.Version > inForce.Version
