--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -96,7 +96,7 @@
 	case decoded.Configuration != nil:
 		s.installConfiguration(decoded.Configuration, record.Offset)
 	case decoded.Model != "":
-		s.name(decoded.Model, decoded.ModelVersion, record.Offset)
+		s.updateNewestVersion(decoded.Model, decoded.ModelVersion, record.Offset)
 	}
 }
 
@@ -123,7 +123,7 @@
 	s.onChange(configuration)
 }
 
-func (s *OperatorState) name(model string, version, offset int64) {
+func (s *OperatorState) updateNewestVersion(model string, version, offset int64) {
 	s.mu.Lock()
 	newer := version > s.newestVersions[model]
 	if newer {
