--- a/internal/replicas/catalog/directory.go
+++ b/internal/replicas/catalog/directory.go
@@ -7,10 +7,10 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// Directory feeds the replicas' entries into a table. An entry that can't be understood
+// ReplicaDirectory feeds the replicas' entries into a table. An entry that can't be understood
 // names no replica to use; the others hold. It implements
 // journal.KeyedHandler and journal.KeyedResetter.
-type Directory struct {
+type ReplicaDirectory struct {
 	decoder Decoder
 	table   *replica.Table
 	logger  *zap.Logger
@@ -18,12 +18,12 @@
 }
 
 // NewDirectory returns a directory that feeds the table.
-func NewDirectory(decoder Decoder, table *replica.Table, logger *zap.Logger) *Directory {
-	return &Directory{decoder: decoder, table: table, logger: logger, refused: newRefusals()}
+func NewDirectory(decoder Decoder, table *replica.Table, logger *zap.Logger) *ReplicaDirectory {
+	return &ReplicaDirectory{decoder: decoder, table: table, logger: logger, refused: newRefusals()}
 }
 
 // Reset implements journal.KeyedResetter.
-func (d *Directory) Reset(records []journal.KeyedRecord) {
+func (d *ReplicaDirectory) Reset(records []journal.KeyedRecord) {
 	entries := make([]replica.Entry, 0, len(records))
 	listed := make(map[string]bool, len(records))
 	for _, record := range records {
@@ -38,7 +38,7 @@
 }
 
 // Apply implements journal.KeyedHandler.
-func (d *Directory) Apply(record journal.KeyedRecord) {
+func (d *ReplicaDirectory) Apply(record journal.KeyedRecord) {
 	if removes(record) {
 		d.refused.forget(record.Key)
 		d.table.Remove(record.Key)
@@ -51,7 +51,7 @@
 func removes(record journal.KeyedRecord) bool { return len(record.Value) == 0 && !record.Unreadable }
 
 // decode returns the entry of a record, an unusable one if it can't be understood.
-func (d *Directory) decode(record journal.KeyedRecord) replica.Entry {
+func (d *ReplicaDirectory) decode(record journal.KeyedRecord) replica.Entry {
 	err := ErrUnreadable
 	entry := replica.Entry{}
 	if !record.Unreadable {
