--- a/internal/replicas/catalog/directory.go
+++ b/internal/replicas/catalog/directory.go
@@ -17,8 +17,8 @@
 	refused refusals
 }
 
-// NewDirectory returns a directory that feeds the table.
-func NewDirectory(decoder Decoder, table *replica.Table, logger *zap.Logger) *ReplicaDirectory {
+// NewReplicaDirectory returns a directory that feeds the table.
+func NewReplicaDirectory(decoder Decoder, table *replica.Table, logger *zap.Logger) *ReplicaDirectory {
 	return &ReplicaDirectory{decoder: decoder, table: table, logger: logger, refused: newRefusals()}
 }
 
