--- a/internal/replicas/catalog/directory.go
+++ b/internal/replicas/catalog/directory.go
@@ -11,15 +11,15 @@
 // names no replica to use; the others hold. It implements
 // journal.KeyedHandler and journal.KeyedResetter.
 type ReplicaDirectory struct {
-	decoder Decoder
-	table   *replica.Table
-	logger  *zap.Logger
-	refused refusals
+	decoder  Decoder
+	table    *replica.Table
+	logger   *zap.Logger
+	rejected refusals
 }
 
 // NewReplicaDirectory returns a directory that feeds the table.
 func NewReplicaDirectory(decoder Decoder, table *replica.Table, logger *zap.Logger) *ReplicaDirectory {
-	return &ReplicaDirectory{decoder: decoder, table: table, logger: logger, refused: newRefusals()}
+	return &ReplicaDirectory{decoder: decoder, table: table, logger: logger, rejected: newRefusals()}
 }
 
 // Reset implements journal.KeyedResetter.
@@ -33,14 +33,14 @@
 		listed[record.Key] = true
 		entries = append(entries, d.decode(record))
 	}
-	d.refused.keep(listed)
+	d.rejected.keep(listed)
 	d.table.Replace(entries)
 }
 
 // Apply implements journal.KeyedHandler.
 func (d *ReplicaDirectory) Apply(record journal.KeyedRecord) {
 	if removes(record) {
-		d.refused.forget(record.Key)
+		d.rejected.forget(record.Key)
 		d.table.Remove(record.Key)
 		return
 	}
@@ -58,10 +58,10 @@
 		entry, err = d.decoder.DecodeReplicaEntry(record.Key, record.Value)
 	}
 	if err == nil {
-		d.refused.forget(record.Key)
+		d.rejected.forget(record.Key)
 		return entry
 	}
-	if d.refused.isNew(record) {
+	if d.rejected.isNew(record) {
 		d.logger.Error("replica's entry refused", zap.String("replica", record.Key), zap.Int64("offset", record.Offset),
 			zap.Int("bytes", len(record.Value)), zap.Error(err))
 	}
