--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -80,7 +80,7 @@
 
 // Apply implements journal.KeyedHandler. A key that is missing takes nothing back.
 func (s *OperatorState) Apply(record journal.KeyedRecord) {
-	if removes(record) {
+	if isRemoval(record) {
 		return
 	}
 	decoded, err := s.decode(record)
--- a/internal/replicas/catalog/directory.go
+++ b/internal/replicas/catalog/directory.go
@@ -27,7 +27,7 @@
 	entries := make([]replica.Entry, 0, len(records))
 	listed := make(map[string]bool, len(records))
 	for _, record := range records {
-		if removes(record) {
+		if isRemoval(record) {
 			continue
 		}
 		listed[record.Key] = true
@@ -39,7 +39,7 @@
 
 // Apply implements journal.KeyedHandler.
 func (d *ReplicaDirectory) Apply(record journal.KeyedRecord) {
-	if removes(record) {
+	if isRemoval(record) {
 		d.rejected.forget(record.Key)
 		d.table.Remove(record.Key)
 		return
@@ -47,8 +47,8 @@
 	d.table.Set(d.decode(record))
 }
 
-// removes reports whether a record takes an entry off the list.
-func removes(record journal.KeyedRecord) bool { return len(record.Value) == 0 && !record.Unreadable }
+// isRemoval reports whether a record takes an entry off the list.
+func isRemoval(record journal.KeyedRecord) bool { return len(record.Value) == 0 && !record.Unreadable }
 
 // decode returns the entry of a record, an unusable one if it can't be understood.
 func (d *ReplicaDirectory) decode(record journal.KeyedRecord) replica.Entry {
