--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -50,7 +50,7 @@
 	logger  *zap.Logger
 
 	// rejected is for the handler's methods only.
-	rejected refusals
+	rejected rejectedRecords
 
 	mu             sync.RWMutex
 	configuration  *route.Configuration
--- a/internal/replicas/catalog/directory.go
+++ b/internal/replicas/catalog/directory.go
@@ -14,7 +14,7 @@
 	decoder  Decoder
 	table    *replica.Table
 	logger   *zap.Logger
-	rejected refusals
+	rejected rejectedRecords
 }
 
 // NewReplicaDirectory returns a directory that feeds the table.
--- a/internal/replicas/catalog/rejected.go
+++ b/internal/replicas/catalog/rejected.go
@@ -12,20 +12,20 @@
 // ErrUnreadable: the bytes of a record are not those of a value.
 var ErrUnreadable = errors.New("catalog: record can't be read")
 
-// refusals are the records that could not be understood, by key and by a hash of their
+// rejectedRecords are the records that could not be understood, by key and by a hash of their
 // bytes: each is logged once, however often the partition is read. It is used by one
 // goroutine.
-type refusals struct {
+type rejectedRecords struct {
 	seed   maphash.Seed
 	hashes map[string]uint64
 }
 
-func newRefusals() refusals {
-	return refusals{seed: maphash.MakeSeed(), hashes: map[string]uint64{}}
+func newRefusals() rejectedRecords {
+	return rejectedRecords{seed: maphash.MakeSeed(), hashes: map[string]uint64{}}
 }
 
 // isNew reports whether the refusal of a record is to be logged, and notes that it was.
-func (r *refusals) isNew(record journal.KeyedRecord) bool {
+func (r *rejectedRecords) isNew(record journal.KeyedRecord) bool {
 	hash := maphash.Bytes(r.seed, record.Value)
 	if last, known := r.hashes[record.Key]; known && last == hash {
 		return false
@@ -35,9 +35,9 @@
 }
 
 // forget notes that the newest record of a key is understood, or gone.
-func (r *refusals) forget(key string) { delete(r.hashes, key) }
+func (r *rejectedRecords) forget(key string) { delete(r.hashes, key) }
 
 // keep forgets all keys but those that are listed.
-func (r *refusals) keep(listed map[string]bool) {
+func (r *rejectedRecords) keep(listed map[string]bool) {
 	maps.DeleteFunc(r.hashes, func(key string, _ uint64) bool { return !listed[key] })
 }
