--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -61,7 +61,7 @@
 // NewOperatorState returns the state before any record. OnChange is called with each
 // configuration that comes into force.
 func NewOperatorState(decoder Decoder, onChange func(*route.Configuration), logger *zap.Logger) *OperatorState {
-	return &OperatorState{decoder: decoder, logger: logger, newestVersions: map[string]int64{}, onChange: onChange, rejected: newRefusals()}
+	return &OperatorState{decoder: decoder, logger: logger, newestVersions: map[string]int64{}, onChange: onChange, rejected: newRejectedRecords()}
 }
 
 // Configuration returns the configuration in force, or nil before the first.
--- a/internal/replicas/catalog/directory.go
+++ b/internal/replicas/catalog/directory.go
@@ -19,7 +19,7 @@
 
 // NewReplicaDirectory returns a directory that feeds the table.
 func NewReplicaDirectory(decoder Decoder, table *replica.Table, logger *zap.Logger) *ReplicaDirectory {
-	return &ReplicaDirectory{decoder: decoder, table: table, logger: logger, rejected: newRefusals()}
+	return &ReplicaDirectory{decoder: decoder, table: table, logger: logger, rejected: newRejectedRecords()}
 }
 
 // Reset implements journal.KeyedResetter.
--- a/internal/replicas/catalog/rejected.go
+++ b/internal/replicas/catalog/rejected.go
@@ -20,7 +20,7 @@
 	hashes map[string]uint64
 }
 
-func newRefusals() rejectedRecords {
+func newRejectedRecords() rejectedRecords {
 	return rejectedRecords{seed: maphash.MakeSeed(), hashes: map[string]uint64{}}
 }
 
