--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -85,7 +85,7 @@
 	}
 	decoded, err := s.decode(record)
 	if err != nil {
-		if s.rejected.isNew(record) {
+		if s.rejected.add(record) {
 			s.logger.Error("operator's record refused", zap.String("key", record.Key),
 				zap.Int64("offset", record.Offset), zap.Error(err))
 		}
--- a/internal/replicas/catalog/directory.go
+++ b/internal/replicas/catalog/directory.go
@@ -61,7 +61,7 @@
 		d.rejected.forget(record.Key)
 		return entry
 	}
-	if d.rejected.isNew(record) {
+	if d.rejected.add(record) {
 		d.logger.Error("replica's entry refused", zap.String("replica", record.Key), zap.Int64("offset", record.Offset),
 			zap.Int("bytes", len(record.Value)), zap.Error(err))
 	}
--- a/internal/replicas/catalog/rejected.go
+++ b/internal/replicas/catalog/rejected.go
@@ -24,8 +24,8 @@
 	return rejectedRecords{seed: maphash.MakeSeed(), hashes: map[string]uint64{}}
 }
 
-// isNew reports whether the refusal of a record is to be logged, and notes that it was.
-func (r *rejectedRecords) isNew(record journal.KeyedRecord) bool {
+// add reports whether the refusal of a record is to be logged, and notes that it was.
+func (r *rejectedRecords) add(record journal.KeyedRecord) bool {
 	hash := maphash.Bytes(r.seed, record.Value)
 	if last, known := r.hashes[record.Key]; known && last == hash {
 		return false
