--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -91,7 +91,7 @@
 		}
 		return
 	}
-	s.rejected.forget(record.Key)
+	s.rejected.remove(record.Key)
 	switch {
 	case decoded.Configuration != nil:
 		s.installConfiguration(decoded.Configuration, record.Offset)
--- a/internal/replicas/catalog/directory.go
+++ b/internal/replicas/catalog/directory.go
@@ -40,7 +40,7 @@
 // Apply implements journal.KeyedHandler.
 func (d *ReplicaDirectory) Apply(record journal.KeyedRecord) {
 	if isRemoval(record) {
-		d.rejected.forget(record.Key)
+		d.rejected.remove(record.Key)
 		d.table.Remove(record.Key)
 		return
 	}
@@ -58,7 +58,7 @@
 		entry, err = d.decoder.DecodeReplicaEntry(record.Key, record.Value)
 	}
 	if err == nil {
-		d.rejected.forget(record.Key)
+		d.rejected.remove(record.Key)
 		return entry
 	}
 	if d.rejected.add(record) {
--- a/internal/replicas/catalog/rejected.go
+++ b/internal/replicas/catalog/rejected.go
@@ -34,8 +34,8 @@
 	return true
 }
 
-// forget notes that the newest record of a key is understood, or gone.
-func (r *rejectedRecords) forget(key string) { delete(r.hashes, key) }
+// remove notes that the newest record of a key is understood, or gone.
+func (r *rejectedRecords) remove(key string) { delete(r.hashes, key) }
 
 // keep forgets all keys but those that are listed.
 func (r *rejectedRecords) keep(listed map[string]bool) {
