--- a/internal/replicas/catalog/directory.go
+++ b/internal/replicas/catalog/directory.go
@@ -33,7 +33,7 @@
 		listed[record.Key] = true
 		entries = append(entries, d.decode(record))
 	}
-	d.rejected.keep(listed)
+	d.rejected.retain(listed)
 	d.table.Replace(entries)
 }
 
--- a/internal/replicas/catalog/rejected.go
+++ b/internal/replicas/catalog/rejected.go
@@ -37,7 +37,7 @@
 // remove notes that the newest record of a key is understood, or gone.
 func (r *rejectedRecords) remove(key string) { delete(r.hashes, key) }
 
-// keep forgets all keys but those that are listed.
-func (r *rejectedRecords) keep(listed map[string]bool) {
+// retain forgets all keys but those that are listed.
+func (r *rejectedRecords) retain(listed map[string]bool) {
 	maps.DeleteFunc(r.hashes, func(key string, _ uint64) bool { return !listed[key] })
 }
