--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -167,7 +167,7 @@
 	if submission.Model != "" {
 		go r.demands.Publish(r.ctx, submission.Model, demand.Demand{
 			MinVersion: submission.MinVersion, Named: r.operator.NewestVersions()[submission.Model],
-			Work: r.expectedWork(submission), Items: len(submission.Items),
+			Tokens: r.expectedWork(submission), Items: len(submission.Items),
 		})
 	}
 	if owner == r.self {
--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -44,8 +44,8 @@
 	MinVersion int64 `cbor:"1,keyasint"`
 	// Named is the newest version named when the batch was accepted.
 	Named int64 `cbor:"2,keyasint"`
-	// Work is how many tokens the batch should make.
-	Work int64 `cbor:"3,keyasint"`
+	// Tokens is how many tokens the batch should make.
+	Tokens int64 `cbor:"3,keyasint"`
 	// Items is how many items the batch has.
 	Items int `cbor:"4,keyasint"`
 }
@@ -129,8 +129,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if before, ok := s.demands[record.Key]; ok && before.Work > 0 {
-		demand.Work = before.Work + (demand.Work-before.Work)/workSmoothing
+	if before, ok := s.demands[record.Key]; ok && before.Tokens > 0 {
+		demand.Tokens = before.Tokens + (demand.Tokens-before.Tokens)/workSmoothing
 	}
 	s.demands[record.Key] = demand
 }
--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -50,7 +50,7 @@
 func (s *Syncer) updateAllotment(service string, models []string, replicas int) []int {
 	work := make([]float64, len(models))
 	for i, model := range models {
-		work[i] = float64(s.Demands.Of(model).Work)
+		work[i] = float64(s.Demands.Of(model).Tokens)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
