--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -166,7 +166,7 @@
 	}
 	if submission.Model != "" {
 		go r.demands.Publish(r.ctx, submission.Model, demand.Demand{
-			MinVersion: submission.MinVersion, Named: r.operator.NewestVersions()[submission.Model],
+			MinVersion: submission.MinVersion, NewestVersion: r.operator.NewestVersions()[submission.Model],
 			Tokens: r.expectedWork(submission), Items: len(submission.Items),
 		})
 	}
--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -42,8 +42,8 @@
 type Demand struct {
 	// MinVersion is the oldest version that may make the batch's samples.
 	MinVersion int64 `cbor:"1,keyasint"`
-	// Named is the newest version named when the batch was accepted.
-	Named int64 `cbor:"2,keyasint"`
+	// NewestVersion is the newest version named when the batch was accepted.
+	NewestVersion int64 `cbor:"2,keyasint"`
 	// Tokens is how many tokens the batch should make.
 	Tokens int64 `cbor:"3,keyasint"`
 	// Items is how many items the batch has.
@@ -56,7 +56,7 @@
 }
 
 // Lag is how many versions behind the newest the batch allowed.
-func (d Demand) Lag() int64 { return max(d.Named-d.MinVersion, 0) }
+func (d Demand) Lag() int64 { return max(d.NewestVersion-d.MinVersion, 0) }
 
 // Partition is where demands are kept.
 var Partition = journal.Partition{Topic: journal.KeyedTopic(topic)}
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -174,7 +174,7 @@
 	is.Equal(enginesNeeded(100, 0), 50)
 	models := []string{"m"}
 	demands := demand.NewState(zap.NewNop())
-	encoded, err := cbor.Marshal(demand.Demand{MinVersion: 1, Named: 3, Tokens: 100, Items: 16})
+	encoded, err := cbor.Marshal(demand.Demand{MinVersion: 1, NewestVersion: 3, Tokens: 100, Items: 16})
 	is.NoErr(err)
 	demands.Apply(journal.KeyedRecord{Key: "m", Value: encoded})
 	syncer := New(Deps{Holder: "h", Demands: demands}, zap.NewNop())
