--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -50,8 +50,8 @@
 	Items int `cbor:"4,keyasint"`
 }
 
-// measured is what an owner has measured of a batch of a model.
-type measured struct {
+// itemTimeRecord is what an owner has itemTimeRecord of a batch of a model.
+type itemTimeRecord struct {
 	ItemTimeMs int64 `cbor:"1,keyasint"`
 }
 
@@ -79,7 +79,7 @@
 
 // PublishTime writes how long an item of a model took a slot, in the mean of a batch.
 func (p *Publisher) PublishTime(ctx context.Context, model string, itemTime time.Duration) {
-	p.write(ctx, timeKeyPrefix+model, measured{ItemTimeMs: itemTime.Milliseconds()})
+	p.write(ctx, timeKeyPrefix+model, itemTimeRecord{ItemTimeMs: itemTime.Milliseconds()})
 }
 
 func (p *Publisher) write(ctx context.Context, key string, value any) {
@@ -150,7 +150,7 @@
 
 // applyTime takes what an owner has measured of a model.
 func (s *State) applyTime(model string, value []byte) {
-	var m measured
+	var m itemTimeRecord
 	if !s.decode(timeKeyPrefix+model, value, &m) || m.ItemTimeMs <= 0 {
 		return
 	}
--- a/internal/replicas/demand/golden_test.go
+++ b/internal/replicas/demand/golden_test.go
@@ -9,6 +9,6 @@
 
 func TestDemandsKeepTheirForm(t *testing.T) {
 	golden.CBOR[Demand](t, "demand")
-	golden.CBOR[measured](t, "measured")
+	golden.CBOR[itemTimeRecord](t, "measured")
 	golden.Text(t, "names.txt", fmt.Sprintln(Partition, timeKeyPrefix))
 }
