--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -31,8 +31,8 @@
 	topic = "woodworks.demand"
 	// writeTimeout bounds one append.
 	writeTimeout = time.Second
-	// timeKeyPrefix starts the keys of what owners have measured of a model.
-	timeKeyPrefix = "time/"
+	// itemTimeKeyPrefix starts the keys of what owners have measured of a model.
+	itemTimeKeyPrefix = "time/"
 	// initialItemTime is how long an item is expected to take a slot before one was
 	// measured: a text of twenty events, 40 ms each, and its prompt.
 	initialItemTime = time.Second
@@ -79,7 +79,7 @@
 
 // PublishTime writes how long an item of a model took a slot, in the mean of a batch.
 func (p *Publisher) PublishTime(ctx context.Context, model string, itemTime time.Duration) {
-	p.write(ctx, timeKeyPrefix+model, itemTimeRecord{ItemTimeMs: itemTime.Milliseconds()})
+	p.write(ctx, itemTimeKeyPrefix+model, itemTimeRecord{ItemTimeMs: itemTime.Milliseconds()})
 }
 
 func (p *Publisher) write(ctx context.Context, key string, value any) {
@@ -119,7 +119,7 @@
 
 // Apply implements journal.KeyedHandler.
 func (s *State) Apply(record journal.KeyedRecord) {
-	if model, isTime := strings.CutPrefix(record.Key, timeKeyPrefix); isTime {
+	if model, isTime := strings.CutPrefix(record.Key, itemTimeKeyPrefix); isTime {
 		s.applyTime(model, record.Value)
 		return
 	}
@@ -151,7 +151,7 @@
 // applyTime takes what an owner has measured of a model.
 func (s *State) applyTime(model string, value []byte) {
 	var m itemTimeRecord
-	if !s.decode(timeKeyPrefix+model, value, &m) || m.ItemTimeMs <= 0 {
+	if !s.decode(itemTimeKeyPrefix+model, value, &m) || m.ItemTimeMs <= 0 {
 		return
 	}
 	s.mu.Lock()
--- a/internal/replicas/demand/golden_test.go
+++ b/internal/replicas/demand/golden_test.go
@@ -10,5 +10,5 @@
 func TestDemandsKeepTheirForm(t *testing.T) {
 	golden.CBOR[Demand](t, "demand")
 	golden.CBOR[itemTimeRecord](t, "measured")
-	golden.Text(t, "names.txt", fmt.Sprintln(Partition, timeKeyPrefix))
+	golden.Text(t, "names.txt", fmt.Sprintln(Partition, itemTimeKeyPrefix))
 }
