--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -95,9 +95,9 @@
 }
 
 const (
-	// workSmoothing divides a new batch's difference in work: batches of a model differ, its
+	// tokensSmoothing divides a new batch's difference in work: batches of a model differ, its
 	// part of the engines should not.
-	workSmoothing = 4
+	tokensSmoothing = 4
 	// timeSmoothing divides a new batch's difference in the time of its items.
 	timeSmoothing = 2
 )
@@ -130,7 +130,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if before, ok := s.demands[record.Key]; ok && before.Tokens > 0 {
-		demand.Tokens = before.Tokens + (demand.Tokens-before.Tokens)/workSmoothing
+		demand.Tokens = before.Tokens + (demand.Tokens-before.Tokens)/tokensSmoothing
 	}
 	s.demands[record.Key] = demand
 }
