--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -98,8 +98,8 @@
 	// tokensSmoothing divides a new batch's difference in work: batches of a model differ, its
 	// part of the engines should not.
 	tokensSmoothing = 4
-	// timeSmoothing divides a new batch's difference in the time of its items.
-	timeSmoothing = 2
+	// itemTimeSmoothing divides a new batch's difference in the time of its items.
+	itemTimeSmoothing = 2
 )
 
 // State is the newest demand of each model, its work a running mean. It implements
@@ -158,7 +158,7 @@
 	defer s.mu.Unlock()
 	itemTime := time.Duration(m.ItemTimeMs) * time.Millisecond
 	if before, ok := s.itemTimes[model]; ok {
-		itemTime = before + (itemTime-before)/timeSmoothing
+		itemTime = before + (itemTime-before)/itemTimeSmoothing
 	}
 	s.itemTimes[model] = itemTime
 }
