--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -120,7 +120,7 @@
 // Apply implements journal.KeyedHandler.
 func (s *State) Apply(record journal.KeyedRecord) {
 	if model, isTime := strings.CutPrefix(record.Key, itemTimeKeyPrefix); isTime {
-		s.applyTime(model, record.Value)
+		s.applyItemTime(model, record.Value)
 		return
 	}
 	var demand Demand
@@ -148,8 +148,8 @@
 	return true
 }
 
-// applyTime takes what an owner has measured of a model.
-func (s *State) applyTime(model string, value []byte) {
+// applyItemTime takes what an owner has measured of a model.
+func (s *State) applyItemTime(model string, value []byte) {
 	var m itemTimeRecord
 	if !s.decode(itemTimeKeyPrefix+model, value, &m) || m.ItemTimeMs <= 0 {
 		return
