--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -55,8 +55,8 @@
 	ItemTimeMs int64 `cbor:"1,keyasint"`
 }
 
-// Lag is how many versions behind the newest the batch allowed.
-func (d Demand) Lag() int64 { return max(d.NewestVersion-d.MinVersion, 0) }
+// MaxLag is how many versions behind the newest the batch allowed.
+func (d Demand) MaxLag() int64 { return max(d.NewestVersion-d.MinVersion, 0) }
 
 // Partition is where demands are kept.
 var Partition = journal.Partition{Topic: journal.KeyedTopic(topic)}
