--- a/internal/batches/runner/timing.go
+++ b/internal/batches/runner/timing.go
@@ -73,7 +73,7 @@
 	for _, it := range listed {
 		sum += it.timing.spent[phasePrompt] + it.timing.spent[phaseGenerating]
 	}
-	go j.r.demands.PublishTime(j.r.ctx, j.submission.Model, sum/time.Duration(len(listed)))
+	go j.r.demands.PublishItemTime(j.r.ctx, j.submission.Model, sum/time.Duration(len(listed)))
 }
 
 // closeAccount logs where the time of a batch went, and has it observed: that of the item listed
--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -77,8 +77,8 @@
 	p.write(ctx, model, demand)
 }
 
-// PublishTime writes how long an item of a model took a slot, in the mean of a batch.
-func (p *Publisher) PublishTime(ctx context.Context, model string, itemTime time.Duration) {
+// PublishItemTime writes how long an item of a model took a slot, in the mean of a batch.
+func (p *Publisher) PublishItemTime(ctx context.Context, model string, itemTime time.Duration) {
 	p.write(ctx, itemTimeKeyPrefix+model, itemTimeRecord{ItemTimeMs: itemTime.Milliseconds()})
 }
 
