--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -173,8 +173,8 @@
 	return initialItemTime
 }
 
-// Of returns the newest demand of a model, the zero value if there is none.
-func (s *State) Of(model string) Demand {
+// Newest returns the newest demand of a model, the zero value if there is none.
+func (s *State) Newest(model string) Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.demands[model]
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -153,7 +153,7 @@
 	deadline := batchDeadline(configuration, service.Name)
 	var loads []Load
 	for _, model := range service.Models {
-		if d := m.Demands.Of(model); d.Items > 0 {
+		if d := m.Demands.Newest(model); d.Items > 0 {
 			loads = append(loads, Load{Items: d.Items, ItemTime: m.Demands.ItemTime(model), Deadline: deadline})
 		}
 	}
--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -37,7 +37,7 @@
 	limited := make([]int, len(allotment))
 	for i, model := range models {
 		limited[i] = allotment[i]
-		if d := s.Demands.Of(model); d.Items > 0 {
+		if d := s.Demands.Newest(model); d.Items > 0 {
 			limited[i] = min(allotment[i], enginesNeeded(d.Items, slots))
 		}
 	}
@@ -50,7 +50,7 @@
 func (s *Syncer) updateAllotment(service string, models []string, replicas int) []int {
 	work := make([]float64, len(models))
 	for i, model := range models {
-		work[i] = float64(s.Demands.Of(model).Tokens)
+		work[i] = float64(s.Demands.Newest(model).Tokens)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -142,5 +142,5 @@
 
 // maxLag returns how many versions behind the newest one the newest batch of a model allows.
 func (s *Syncer) maxLag(model string) int64 {
-	return s.Demands.Of(model).MaxLag()
+	return s.Demands.Newest(model).MaxLag()
 }
