--- a/internal/daemon/explain/explain.go
+++ b/internal/daemon/explain/explain.go
@@ -44,7 +44,7 @@
 		"items given back": true, "batch released unstarted": true, "release not recorded": true,
 		"heartbeat not recorded": true, "heartbeats recorded again": true, "silence of the owner not confirmed": true}
 	replicaEvents = map[string]bool{"replica listed": true, "replica state changed": true, "replica started again": true,
-		"replica's entry refused": true, "replica gone from the list": true, "replica failed": true, "weight change ordered": true, "weight change ended": true}
+		"replica entry rejected": true, "replica gone from the list": true, "replica failed": true, "weight change ordered": true, "weight change ended": true}
 	contentEvents = map[string]bool{"replica ended while running content": true, "content entry merged": true,
 		"content cleared": true, "isolated run started": true}
 	// contextEvents are told of each node that a line of the story comes from.
--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -27,6 +27,7 @@
 	"suspect runs alone":                    "isolated run started",
 	"order":                                 "weight change ordered",
 	"weights":                               "weight change ended",
+	"replica's entry refused":               "replica entry rejected",
 }
 
 // eventName returns the name that an event has today.
--- a/internal/daemon/logging/episodes_test.go
+++ b/internal/daemon/logging/episodes_test.go
@@ -99,7 +99,7 @@
 	{"request", "refused", nil}, {"request", "answered", nil}, {"no route", "", nil}, {"attempt failed", "broken", nil}, {"stream attempt failed", "", nil},
 	{"item finished", "done", nil}, {"item finished", "dead", nil}, {"item moved", "", nil}, {"item attempt failed", "", nil},
 	{"content entry merged", "", nil}, {"content cleared", "", nil}, {"replica listed", "", nil}, {"replica gone from the list", "", nil}, {"weight change ended", "", nil}, {"weight change ordered", "", nil},
-	{"version named", "", nil}, {"results not listed yet", "", nil}, {"dependency lost", "", nil}, {"dependency regained", "", nil},
+	{"version announced", "", nil}, {"results not listed yet", "", nil}, {"dependency lost", "", nil}, {"dependency regained", "", nil},
 }
 
 // One second of a flood of all kinds of lines at once was 200 of each, and 38,926 lines of
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -44,7 +44,7 @@
 }
 
 // eventTimeOf returns the event time of an engine as this daemon has measured it, or as others
-// have since. It is a modelsync.EventTime.
+// have since. It is a modelsync.EventTimeFunc.
 func (o *occupancyParts) eventTimeOf(e replica.Replica) (eventTime, age time.Duration) {
 	own := time.Since(e.EventAt)
 	if o == nil {
--- a/internal/replicas/catalog/catalog.go
+++ b/internal/replicas/catalog/catalog.go
@@ -1,20 +1,21 @@
-// Package catalog holds what the operator and the replicas have written on
-// the platform: the configuration in force, the versions named, the replicas.
+// Package catalog keeps the configuration in force, the newest announced version of each model,
+// and the list of replicas, as the operator and the replicas have written them to the platform's
+// journal.
 //
-// The partitions take records of any writer. One that can't be decoded is logged once a
-// change, and changes nothing but what is known of its own key.
+// Anyone may write to these partitions. A record that can't be decoded is logged once per content
+// and affects only its own key.
 //
-// The package owns the State (configuration in force, newest versions named) in memory only;
-// a Directory feeds the replica table. It relies on followers of the journal for the records,
-// and on a platform's Decoder for their form.
+// OperatorState holds the configuration and the versions in memory; ReplicaDirectory feeds the
+// replica table. Both get their records from followers of the journal, and decode them with the
+// platform's Decoder.
 //
 // # Usage
 //
-// Few records change often (hundreds of replicas that write their entries anew after an
-// outage, configurations in quick succession) and all are read by each daemon:
+// The partitions hold few records, which may change in bursts, such as when hundreds of replicas
+// rewrite their entries after an outage. Each daemon reads all of them.
 //
-//	state := catalog.NewState(decoder, installed, logger)
-//	directory := catalog.NewDirectory(decoder, table, logger)
+//	state := catalog.NewOperatorState(decoder, installed, logger)
+//	directory := catalog.NewReplicaDirectory(decoder, table, logger)
 //	go journal.NewKeyedFollower(log, records, state, contactBound, logger).Run(ctx)
 package catalog
 
@@ -29,27 +30,28 @@
 	"woodworks/internal/requests/route"
 )
 
-// OperatorRecord is one record of the operator: a configuration, or the version named
-// of a model, or neither if the record is of no concern here.
+// OperatorRecord is a decoded record of the operator: a configuration or the announced version of
+// a model. It is empty if the record is of another kind.
 type OperatorRecord struct {
 	Configuration *route.Configuration
 	Model         string
 	ModelVersion  int64
 }
 
-// Decoder reads the records as the platform spells them.
+// Decoder decodes records of the platform's encoding.
 type Decoder interface {
 	DecodeOperatorRecord(key string, value []byte) (OperatorRecord, error)
 	DecodeReplicaEntry(id string, value []byte) (replica.Entry, error)
 }
 
-// OperatorState is what the operator has set last. Versions only rise while the process
-// lives: a record older than the one in force changes nothing.
+// OperatorState holds the newest configuration and model versions that the operator has written.
+// Versions only increase during the life of the process: older records are ignored. It is safe
+// for concurrent use, except that Apply must be called by one goroutine.
 type OperatorState struct {
 	decoder Decoder
 	logger  *zap.Logger
 
-	// rejected is for the handler's methods only.
+	// rejected is used by Apply only.
 	rejected rejectedRecords
 
 	mu             sync.RWMutex
@@ -58,8 +60,8 @@
 	onChange       func(*route.Configuration)
 }
 
-// NewOperatorState returns the state before any record. OnChange is called with each
-// configuration that comes into force.
+// NewOperatorState returns an empty state. It calls onChange with each configuration that comes
+// into force.
 func NewOperatorState(decoder Decoder, onChange func(*route.Configuration), logger *zap.Logger) *OperatorState {
 	return &OperatorState{decoder: decoder, logger: logger, newestVersions: map[string]int64{}, onChange: onChange, rejected: newRejectedRecords()}
 }
@@ -71,14 +73,14 @@
 	return s.configuration
 }
 
-// NewestVersions returns the newest version named of each model.
+// NewestVersions returns a copy of the newest announced version of each model.
 func (s *OperatorState) NewestVersions() map[string]int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return maps.Clone(s.newestVersions)
 }
 
-// Apply implements journal.KeyedHandler. A key that is missing takes nothing back.
+// Apply implements journal.KeyedHandler. Removed keys and older versions are ignored.
 func (s *OperatorState) Apply(record journal.KeyedRecord) {
 	if isRemoval(record) {
 		return
@@ -86,7 +88,7 @@
 	decoded, err := s.decode(record)
 	if err != nil {
 		if s.rejected.add(record) {
-			s.logger.Error("operator's record refused", zap.String("key", record.Key),
+			s.logger.Error("operator record rejected", zap.String("key", record.Key),
 				zap.Int64("offset", record.Offset), zap.Error(err))
 		}
 		return
@@ -131,6 +133,6 @@
 	}
 	s.mu.Unlock()
 	if newer {
-		s.logger.Info("version named", zap.String("model", model), zap.Int64("version", version), zap.Int64("offset", offset))
+		s.logger.Info("version announced", zap.String("model", model), zap.Int64("version", version), zap.Int64("offset", offset))
 	}
 }
--- a/internal/replicas/catalog/directory.go
+++ b/internal/replicas/catalog/directory.go
@@ -7,9 +7,9 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// ReplicaDirectory feeds the replicas' entries into a table. An entry that can't be understood
-// names no replica to use; the others hold. It implements
-// journal.KeyedHandler and journal.KeyedResetter.
+// ReplicaDirectory feeds the replicas' entries into a table. An entry that can't be decoded makes
+// its replica unusable and leaves the others unchanged. It implements journal.KeyedHandler and
+// journal.KeyedResetter, whose methods must be called by one goroutine.
 type ReplicaDirectory struct {
 	decoder  Decoder
 	table    *replica.Table
@@ -22,7 +22,7 @@
 	return &ReplicaDirectory{decoder: decoder, table: table, logger: logger, rejected: newRejectedRecords()}
 }
 
-// Reset implements journal.KeyedResetter.
+// Reset implements journal.KeyedResetter. The entries replace all of the table.
 func (d *ReplicaDirectory) Reset(records []journal.KeyedRecord) {
 	entries := make([]replica.Entry, 0, len(records))
 	listed := make(map[string]bool, len(records))
@@ -37,7 +37,7 @@
 	d.table.Replace(entries)
 }
 
-// Apply implements journal.KeyedHandler.
+// Apply implements journal.KeyedHandler. It sets or removes one entry of the table.
 func (d *ReplicaDirectory) Apply(record journal.KeyedRecord) {
 	if isRemoval(record) {
 		d.rejected.remove(record.Key)
@@ -47,10 +47,10 @@
 	d.table.Set(d.decode(record))
 }
 
-// isRemoval reports whether a record takes an entry off the list.
+// isRemoval reports whether a record removes its key.
 func isRemoval(record journal.KeyedRecord) bool { return len(record.Value) == 0 && !record.Unreadable }
 
-// decode returns the entry of a record, an unusable one if it can't be understood.
+// decode returns the entry of a record, or an unusable entry if it can't be decoded.
 func (d *ReplicaDirectory) decode(record journal.KeyedRecord) replica.Entry {
 	err := ErrUnreadable
 	entry := replica.Entry{}
@@ -62,7 +62,7 @@
 		return entry
 	}
 	if d.rejected.add(record) {
-		d.logger.Error("replica's entry refused", zap.String("replica", record.Key), zap.Int64("offset", record.Offset),
+		d.logger.Error("replica entry rejected", zap.String("replica", record.Key), zap.Int64("offset", record.Offset),
 			zap.Int("bytes", len(record.Value)), zap.Error(err))
 	}
 	return replica.Entry{ID: record.Key, Unusable: true}
--- a/internal/replicas/catalog/rejected.go
+++ b/internal/replicas/catalog/rejected.go
@@ -9,12 +9,11 @@
 	"woodworks/internal/journal"
 )
 
-// ErrUnreadable: the bytes of a record are not those of a value.
-var ErrUnreadable = errors.New("catalog: record can't be read")
+// ErrUnreadable is the reason for rejecting a record whose value the journal can't read.
+var ErrUnreadable = errors.New("catalog: record is unreadable")
 
-// rejectedRecords are the records that could not be understood, by key and by a hash of their
-// bytes: each is logged once, however often the partition is read. It is used by one
-// goroutine.
+// rejectedRecords holds a hash of the newest rejected record of each key, so that each is logged
+// once, however often the partition is read. It isn't safe for concurrent use.
 type rejectedRecords struct {
 	seed   maphash.Seed
 	hashes map[string]uint64
@@ -24,7 +23,7 @@
 	return rejectedRecords{seed: maphash.MakeSeed(), hashes: map[string]uint64{}}
 }
 
-// add reports whether the refusal of a record is to be logged, and notes that it was.
+// add records a rejected record. It reports whether the record is new and must be logged.
 func (r *rejectedRecords) add(record journal.KeyedRecord) bool {
 	hash := maphash.Bytes(r.seed, record.Value)
 	if last, known := r.hashes[record.Key]; known && last == hash {
@@ -34,10 +33,10 @@
 	return true
 }
 
-// remove notes that the newest record of a key is understood, or gone.
+// remove removes a key whose newest record was decoded or is gone.
 func (r *rejectedRecords) remove(key string) { delete(r.hashes, key) }
 
-// retain forgets all keys but those that are listed.
+// retain removes all keys but the listed ones.
 func (r *rejectedRecords) retain(listed map[string]bool) {
 	maps.DeleteFunc(r.hashes, func(key string, _ uint64) bool { return !listed[key] })
 }
