--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -1,18 +1,19 @@
-// Package demand tells the daemon that changes weights which versions the trainers' batches
-// still allow, and how much work they bring. Daemons that accept a batch write it to a keyed
-// partition; only the daemon that needs it reads it.
+// Package demand publishes how old the weights may be that the trainers' batches accept, and how
+// much work the batches bring. The daemon that accepts a batch writes this to a keyed partition
+// of the journal; the holder of the lease, which loads weights into the engines and sizes the
+// fleet, reads it.
 //
-// The package owns the records of that partition. It relies on nothing else: a record that is
-// lost is made good by the next batch.
+// The package owns the records of that partition. A lost record needs no repair, as the next
+// batch writes a new one.
 //
 // # Usage
 //
 //	publisher := demand.NewPublisher(log, logger)
-//	publisher.Publish(ctx, "model", demand.Demand{MinVersion: 3, Named: 5, Work: 80_000, Items: 512})
+//	publisher.Publish(ctx, "model", demand.Demand{MinVersion: 3, NewestVersion: 5, Tokens: 80_000, Items: 512})
 //
 //	state := demand.NewState(logger)
 //	go journal.NewKeyedFollower(log, demand.Partition, state, contactBound, logger).Run(ctx)
-//	d := state.Of("model")
+//	d := state.Newest("model")
 package demand
 
 import (
@@ -31,34 +32,35 @@
 	topic = "woodworks.demand"
 	// writeTimeout bounds one append.
 	writeTimeout = time.Second
-	// itemTimeKeyPrefix starts the keys of what owners have measured of a model.
+	// itemTimeKeyPrefix starts the keys of measured item times; the model follows.
 	itemTimeKeyPrefix = "time/"
-	// initialItemTime is how long an item is expected to take a slot before one was
-	// measured: a text of twenty events, 40 ms each, and its prompt.
+	// initialItemTime is the expected time of an item in a slot before one has been measured:
+	// twenty events of 40 ms each, and the prompt.
 	initialItemTime = time.Second
 )
 
-// Demand is what the newest batch of a model allowed.
+// Demand describes the newest batch of a model.
 type Demand struct {
-	// MinVersion is the oldest version that may make the batch's samples.
+	// MinVersion is the oldest version that may generate the batch's samples.
 	MinVersion int64 `cbor:"1,keyasint"`
-	// NewestVersion is the newest version named when the batch was accepted.
+	// NewestVersion is the newest announced version when the batch was accepted.
 	NewestVersion int64 `cbor:"2,keyasint"`
-	// Tokens is how many tokens the batch should make.
+	// Tokens is the number of tokens that the batch is expected to generate.
 	Tokens int64 `cbor:"3,keyasint"`
-	// Items is how many items the batch has.
+	// Items is the number of items in the batch.
 	Items int `cbor:"4,keyasint"`
 }
 
-// itemTimeRecord is what an owner has itemTimeRecord of a batch of a model.
+// itemTimeRecord is the mean time that an item of a batch occupied a slot, as measured by the
+// batch's owner.
 type itemTimeRecord struct {
 	ItemTimeMs int64 `cbor:"1,keyasint"`
 }
 
-// MaxLag is how many versions behind the newest the batch allowed.
+// MaxLag returns how many versions behind the newest one the batch allows.
 func (d Demand) MaxLag() int64 { return max(d.NewestVersion-d.MinVersion, 0) }
 
-// Partition is where demands are kept.
+// Partition is the keyed partition of the journal that holds demands and item times.
 var Partition = journal.Partition{Topic: journal.KeyedTopic(topic)}
 
 // Publisher writes demands. It is safe for concurrent use.
@@ -67,17 +69,19 @@
 	logger  *zap.Logger
 }
 
-// NewPublisher returns a publisher.
+// NewPublisher returns a publisher that writes to the journal.
 func NewPublisher(log journal.Journal, logger *zap.Logger) *Publisher {
 	return &Publisher{journal: log, logger: logger}
 }
 
-// Publish writes a demand once. One that is lost is made good by the next.
+// Publish writes the demand of a model. It logs errors and doesn't retry, as the next batch
+// writes a new demand.
 func (p *Publisher) Publish(ctx context.Context, model string, demand Demand) {
 	p.write(ctx, model, demand)
 }
 
-// PublishItemTime writes how long an item of a model took a slot, in the mean of a batch.
+// PublishItemTime writes the mean time that an item of a batch of a model occupied a slot. It
+// logs errors and doesn't retry.
 func (p *Publisher) PublishItemTime(ctx context.Context, model string, itemTime time.Duration) {
 	p.write(ctx, itemTimeKeyPrefix+model, itemTimeRecord{ItemTimeMs: itemTime.Milliseconds()})
 }
@@ -95,15 +99,15 @@
 }
 
 const (
-	// tokensSmoothing divides a new batch's difference in work: batches of a model differ, its
-	// part of the engines should not.
+	// tokensSmoothing divides the change of the token count with a new batch. Batches of a model
+	// differ in size, but its allotment of engines should be stable.
 	tokensSmoothing = 4
-	// itemTimeSmoothing divides a new batch's difference in the time of its items.
+	// itemTimeSmoothing divides the change of the item time with a new batch.
 	itemTimeSmoothing = 2
 )
 
-// State is the newest demand of each model, its work a running mean. It implements
-// journal.KeyedHandler.
+// State holds the newest demand of each model, with a running mean of its tokens, and a running
+// mean of its item times. It implements journal.KeyedHandler and is safe for concurrent use.
 type State struct {
 	logger *zap.Logger
 
@@ -112,12 +116,13 @@
 	itemTimes map[string]time.Duration
 }
 
-// NewState returns the state before any record.
+// NewState returns an empty state.
 func NewState(logger *zap.Logger) *State {
 	return &State{logger: logger, demands: map[string]Demand{}, itemTimes: map[string]time.Duration{}}
 }
 
-// Apply implements journal.KeyedHandler.
+// Apply implements journal.KeyedHandler. Removed keys and records that can't be decoded are
+// ignored.
 func (s *State) Apply(record journal.KeyedRecord) {
 	if model, isTime := strings.CutPrefix(record.Key, itemTimeKeyPrefix); isTime {
 		s.applyItemTime(model, record.Value)
@@ -129,14 +134,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if before, ok := s.demands[record.Key]; ok && before.Tokens > 0 {
-		demand.Tokens = before.Tokens + (demand.Tokens-before.Tokens)/tokensSmoothing
+	if previous, ok := s.demands[record.Key]; ok && previous.Tokens > 0 {
+		demand.Tokens = previous.Tokens + (demand.Tokens-previous.Tokens)/tokensSmoothing
 	}
 	s.demands[record.Key] = demand
 }
 
-// decode reports whether a record has a value that can be decoded. What it would have said
-// stays as it was.
+// decode reports whether a value was decoded. Errors are logged; an empty value, which stands for
+// a removed key, is ignored.
 func (s *State) decode(key string, value []byte, into any) bool {
 	if len(value) == 0 {
 		return false
@@ -148,22 +153,23 @@
 	return true
 }
 
-// applyItemTime takes what an owner has measured of a model.
+// applyItemTime updates the mean item time of a model with a measured one.
 func (s *State) applyItemTime(model string, value []byte) {
-	var m itemTimeRecord
-	if !s.decode(itemTimeKeyPrefix+model, value, &m) || m.ItemTimeMs <= 0 {
+	var record itemTimeRecord
+	if !s.decode(itemTimeKeyPrefix+model, value, &record) || record.ItemTimeMs <= 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	itemTime := time.Duration(m.ItemTimeMs) * time.Millisecond
-	if before, ok := s.itemTimes[model]; ok {
-		itemTime = before + (itemTime-before)/itemTimeSmoothing
+	itemTime := time.Duration(record.ItemTimeMs) * time.Millisecond
+	if previous, ok := s.itemTimes[model]; ok {
+		itemTime = previous + (itemTime-previous)/itemTimeSmoothing
 	}
 	s.itemTimes[model] = itemTime
 }
 
-// ItemTime is how long an item of a model takes a slot, a running mean over batches.
+// ItemTime returns the running mean of the time that an item of a model occupies a slot, or
+// initialItemTime before the first measurement.
 func (s *State) ItemTime(model string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +179,8 @@
 	return initialItemTime
 }
 
-// Newest returns the newest demand of a model, the zero value if there is none.
+// Newest returns the newest demand of a model, with a running mean of its tokens, or the zero
+// value if there is none.
 func (s *State) Newest(model string) Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replicas/demand/golden_test.go
+++ b/internal/replicas/demand/golden_test.go
@@ -7,7 +7,7 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestDemandsKeepTheirForm(t *testing.T) {
+func TestStoredFormsAreStable(t *testing.T) {
 	golden.CBOR[Demand](t, "demand")
 	golden.CBOR[itemTimeRecord](t, "measured")
 	golden.Text(t, "names.txt", fmt.Sprintln(Partition, itemTimeKeyPrefix))
