--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -15,8 +15,8 @@
 const reallotThreshold = 0.75
 
 const (
-	// headroomFactor is the multiple of the engines filled by one batch that are kept at a
-	// model's newest versions. More engines cost orders and loads without a use.
+	// headroomFactor is the ratio of the engines kept at a model's newest versions to those that
+	// one batch fills. Any more would cost orders and loads without being used.
 	headroomFactor = 4
 	// minEnginesPerModel is the minimum kept for a model, so that single failures do not stop it.
 	minEnginesPerModel = 3
@@ -44,9 +44,9 @@
 	return limited
 }
 
-// updateAllotment returns the number of replicas of a service for each of its models, in
-// proportion to the work of their batches. The stored allotment is reused while it is close to
-// the ideal one.
+// updateAllotment returns the allotment of a service: the number of its replicas for each of its
+// models, in proportion to the work of their batches. The stored allotment is reused while it is
+// close to the ideal one.
 func (s *Syncer) updateAllotment(service string, models []string, replicas int) []int {
 	work := make([]float64, len(models))
 	for i, model := range models {
