--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -73,8 +73,10 @@
 type Operator interface {
 	// Configuration returns the configuration in force, or nil if there is none.
 	Configuration() *route.Configuration
-	// Named returns, by model, the newest version that the operator has named.
-	Named() map[string]int64
+
+	// NewestVersions returns, by model, the newest version that the operator has announced.
+
+	NewestVersions() map[string]int64
 }
 
 // Runner runs the batches of one daemon. It is safe for concurrent use.
@@ -165,8 +167,8 @@
 	}
 	if submission.Model != "" {
 		go r.demands.Publish(r.ctx, submission.Model, demand.Demand{
-			MinVersion: submission.MinVersion, Named: r.operator.Named()[submission.Model],
-			Work: r.expectedBatchTokens(submission), Items: len(submission.Items),
+			MinVersion: submission.MinVersion, NewestVersion: r.operator.NewestVersions()[submission.Model],
+			Tokens: r.expectedBatchTokens(submission), Items: len(submission.Items),
 		})
 	}
 	if owner == r.self {
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -20,7 +20,7 @@
 type emptyOperator struct{}
 
 func (emptyOperator) Configuration() *route.Configuration { return nil }
-func (emptyOperator) Named() map[string]int64             { return nil }
+func (emptyOperator) NewestVersions() map[string]int64    { return nil }
 
 // fixedWatcher is a group in which one daemon watches all partitions.
 type fixedWatcher string
--- a/internal/batches/runner/timing.go
+++ b/internal/batches/runner/timing.go
@@ -75,7 +75,7 @@
 	for _, it := range listed {
 		sum += it.timing.spent[phasePrompt] + it.timing.spent[phaseGenerating]
 	}
-	go j.r.demands.PublishTime(j.r.ctx, j.submission.Model, sum/time.Duration(len(listed)))
+	go j.r.demands.PublishItemTime(j.r.ctx, j.submission.Model, sum/time.Duration(len(listed)))
 }
 
 // logTimeBreakdown logs and observes the phases of the item whose result came last, since it
--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -38,6 +38,9 @@
 	"owners not judged":                     "suspect owners not checked",
 	"room left to other owners":             "starts held back for other owners",
 	"suspect asked to run":                  "suspect content checked",
+	"order":                                 "weight change ordered",
+	"weights":                               "weight change ended",
+	"replica's entry refused":               "replica entry rejected",
 }
 
 // eventName returns the name that an event has today.
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -77,10 +77,10 @@
 	log, contact := drivers.Journal, n.settings.Timing.ContactBound.Std()
 	n.table = replica.NewTable(n.settings.Timing.DrainBound.Std(), n.logger)
 	n.table.OnRestart(n.pool.CloseIdle)
-	n.operator = catalog.NewState(drivers.Decoder, n.public.configured, n.logger)
+	n.operator = catalog.NewOperatorState(drivers.Decoder, n.public.configured, n.logger)
 	n.operatorFollower = journal.NewKeyedFollower(log, drivers.OperatorRecords, n.operator, contact, n.logger)
 	n.operatorFollower.SetInterval(n.readInterval(operatorReadShare))
-	directory := catalog.NewDirectory(drivers.Decoder, n.table, n.logger)
+	directory := catalog.NewReplicaDirectory(drivers.Decoder, n.table, n.logger)
 	n.replicaFollower = journal.NewKeyedFollower(log, drivers.ReplicaRecords, directory, contact, n.logger)
 	n.replicaFollower.SetInterval(n.readInterval(replicaReadShare))
 }
@@ -114,9 +114,9 @@
 		n.settings.Timing.ContactBound.Std(), n.logger)
 	n.lease = lease.New(log, journal.Partition{Topic: dutyTopic}, n.identity,
 		n.settings.Timing.LeaseQuiet.Std(), n.logger)
-	n.syncer = modelsync.New(modelsync.Parts{
+	n.syncer = modelsync.New(modelsync.Deps{
 		Holder: n.settings.Name, Lease: n.lease, Driver: drivers.Engines, Table: n.table, Configuration: n.operator.Configuration,
-		Named: n.operator.Named, Demands: n.demands, EventTime: n.occupancy.eventTimeOf,
+		NewestVersions: n.operator.NewestVersions, Demands: n.demands, EventTime: n.occupancy.eventTimeOf,
 	}, n.logger)
 }
 
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -1,19 +1,20 @@
-// Package modelsync brings the engines to the versions of the weights that trainers name.
-// One daemon does it at a time: the holder of the lease.
+// Package modelsync loads the newest weight versions that trainers announce into the engines. One
+// daemon does so at a time: the holder of the lease.
 //
-// Each step asks which engines are for which model (allotment.go, kinds.go), which of a
-// model's engines are due for the newest version (due.go), in which order they come (order.go),
-// and how many may change at a time (width.go): these are the rules, all but pure. change.go
-// carries the changes out, notes.go remembers the engines between steps.
+// Each step assigns engines to models (allotment.go, speedclass.go), lists the engines of each
+// model that are due for the newest version (due.go), orders these changes by urgency
+// (priority.go), and limits how many run at a time (loadlimiter.go). These rules have no side
+// effects outside the syncer. change.go runs the changes, and enginestate.go keeps the state of
+// each engine between steps.
 //
-// The package owns what it remembers of the engines, in memory only: a successor finds out
-// from the engines themselves. It relies on the lease and its fence, on the demands of the
-// trainers' batches, and on the engines to refuse orders of a lower fence.
+// The state of the engines is kept in memory only; the next holder of the lease reads it from the
+// engines again. The package relies on the lease and its fence, on the demand of the trainers'
+// batches, and on engines that refuse orders with a lower fence.
 //
 // # Usage
 //
-//	syncer := modelsync.New(modelsync.Parts{Lease: held, Driver: engines, Table: table, ...}, logger)
-//	go syncer.Run(ctx, demandFollower.Run) // acts only while the lease is held
+//	syncer := modelsync.New(modelsync.Deps{Lease: held, Driver: engines, Table: table, ...}, logger)
+//	go syncer.Run(ctx, demandFollower.Run) // sends orders only while the lease is held
 package modelsync
 
 import (
@@ -32,55 +33,55 @@
 	"woodworks/internal/requests/route"
 )
 
-// lookInterval is the time between two looks for changes that are due.
-const lookInterval = 100 * time.Millisecond
+// stepInterval is the time between two checks for due changes.
+const stepInterval = 100 * time.Millisecond
 
-// Parts are what a syncer works with.
-type Parts struct {
-	// Holder is the name in which orders are given.
+// Deps are the dependencies of a Syncer.
+type Deps struct {
+	// Holder is the name of this daemon in the orders that it sends.
 	Holder        string
 	Lease         *lease.Lease
 	Driver        engine.Driver
 	Table         *replica.Table
 	Configuration func() *route.Configuration
-	// Named gives the newest version that was named of each model.
-	Named   func() map[string]int64
-	Demands *demand.State
-	// EventTime tells how fast engines are; those of which nothing is known count alike.
-	EventTime EventTime
+	// NewestVersions returns the newest announced version of each model.
+	NewestVersions func() map[string]int64
+	Demands        *demand.State
+	// EventTime returns the event time of an engine. Engines without one count as equally fast.
+	EventTime EventTimeFunc
 }
 
-// Syncer brings engines to the named versions. It is safe for concurrent use.
+// Syncer loads the newest announced versions into the engines. It is safe for concurrent use.
 type Syncer struct {
-	Parts
+	Deps
 	logger *zap.Logger
-	// Ordered counts the orders given.
-	Ordered atomic.Uint64
+	// OrdersSent counts the orders sent to engines.
+	OrdersSent atomic.Uint64
 
 	mu sync.Mutex
-	// notes are what is remembered of each engine, by its id.
-	notes map[string]*note
-	// loading counts the engines with a change under way.
-	loading  int
-	loadTime time.Duration
-	// allotments is how many replicas of a service are for each of its models.
+	// engines holds the state of each engine by its id.
+	engines map[string]*engineState
+	// loadsInProgress is the number of engines with a change in progress.
+	loadsInProgress  int
+	expectedLoadTime time.Duration
+	// allotments holds, for each service, the number of replicas for each of its models.
 	allotments map[string][]int
-	width      width
+	limiter    loadLimiter
 }
 
-// New returns a syncer.
-func New(parts Parts, logger *zap.Logger) *Syncer {
+// New returns a Syncer without state. Run starts it.
+func New(deps Deps, logger *zap.Logger) *Syncer {
 	return &Syncer{
-		Parts: parts, logger: logger, notes: map[string]*note{}, allotments: map[string][]int{}, loadTime: initialLoadTime,
+		Deps: deps, logger: logger, engines: map[string]*engineState{}, allotments: map[string][]int{}, expectedLoadTime: initialLoadTime,
 	}
 }
 
-// Run looks for engines to change while the lease is held, until the context
-// ends. Demands are followed only meanwhile.
+// Run starts due changes while the lease is held, until the context ends. It calls follow, which
+// reads the demand, when the lease is gained, and cancels its context when the lease is lost.
 func (s *Syncer) Run(ctx context.Context, follow func(context.Context)) {
 	stop := func() {}
 	following := false
-	periodic.Every(ctx, lookInterval, func(ctx context.Context) {
+	periodic.Every(ctx, stepInterval, func(ctx context.Context) {
 		held := s.Lease.Held()
 		switch {
 		case held && !following:
@@ -91,53 +92,55 @@
 			stop()
 		}
 		following = held
-		if _, _, may := s.Lease.Fence(); may {
+		if _, _, allowed := s.Lease.Fence(); allowed {
 			s.step(ctx, time.Now())
 		}
 	})
 	stop()
 }
 
-// step starts the changes that are due and for which there is room.
+// step assigns the replicas of each engine service to its models and starts the changes that are
+// due, as far as the load limit allows.
 func (s *Syncer) step(ctx context.Context, now time.Time) {
 	configuration := s.Configuration()
 	if configuration == nil {
 		return
 	}
-	named := s.Named()
+	newestVersions := s.NewestVersions()
 	for name, service := range configuration.Services {
 		if !service.IsEngine || len(service.Models) == 0 {
 			continue
 		}
 		replicas := s.Table.Replicas(name)
-		s.noteListed(replicas, now)
-		deals := s.dealsOf(name, service.Models, replicas)
-		due := changesDue(deals, service.Models, named, s.lagOf, mannerFor(configuration, name), s.isLoading)
-		s.startDue(ctx, due, now)
+		s.updateListed(replicas, now)
+		assignments := s.assignReplicas(name, service.Models, replicas)
+		due := listDueChanges(assignments, service.Models, newestVersions, s.maxLag, chooseManner(configuration, name), s.isLoading)
+		s.startChanges(ctx, due, now)
 	}
-	s.forget(now)
+	s.removeExpired(now)
 }
 
-// startDue starts the changes for which there is room.
-func (s *Syncer) startDue(ctx context.Context, due []change, now time.Time) {
+// startChanges starts changes in the given order until the load limit is reached. Engines with a
+// change in progress or in backoff are skipped.
+func (s *Syncer) startChanges(ctx context.Context, due []change, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.width.waiting = len(due)
+	s.limiter.waiting = len(due)
 	for _, c := range due {
-		if s.loading >= s.width.places() {
+		if s.loadsInProgress >= s.limiter.maxLoads() {
 			return
 		}
-		n := s.noteOf(c.replica.ID)
-		if n.loading || !n.rest.Over(now) {
+		state := s.stateOf(c.replica.ID)
+		if state.loading || !state.backoff.Over(now) {
 			continue
 		}
-		n.loading = true
-		s.loading++
-		go s.carryOut(ctx, c, n)
+		state.loading = true
+		s.loadsInProgress++
+		go s.runChange(ctx, c, state)
 	}
 }
 
-// lagOf is how many versions behind the newest the batches of a model allow.
-func (s *Syncer) lagOf(model string) int64 {
-	return s.Demands.Of(model).Lag()
+// maxLag returns how many versions behind the newest one the newest batch of a model allows.
+func (s *Syncer) maxLag(model string) int64 {
+	return s.Demands.Newest(model).MaxLag()
 }
