--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -73,9 +73,7 @@
 type Operator interface {
 	// Configuration returns the configuration in force, or nil if there is none.
 	Configuration() *route.Configuration
-
 	// NewestVersions returns, by model, the newest version that the operator has announced.
-
 	NewestVersions() map[string]int64
 }
 
