--- a/internal/replicas/replica/changes.go
+++ b/internal/replicas/replica/changes.go
@@ -7,12 +7,12 @@
 // after an outage.
 const maxLoggedSingly = 20
 
-// change is one of the list. Its before is nil for a replica that is new, its now for
+// entryChange is one of the list. Its before is nil for a replica that is new, its now for
 // one that is gone.
-type change struct{ before, now *Entry }
+type entryChange struct{ before, now *Entry }
 
 // logChanges logs changes of the list, one by one or in one line.
-func (t *Table) logChanges(changes []change) {
+func (t *Table) logChanges(changes []entryChange) {
 	if len(changes) <= maxLoggedSingly {
 		for _, c := range changes {
 			t.logChange(c)
@@ -34,7 +34,7 @@
 		zap.Strings("gone", gone), zap.Strings("state_changed", state))
 }
 
-func (t *Table) logChange(c change) {
+func (t *Table) logChange(c entryChange) {
 	switch {
 	case c.before == nil:
 		t.logger.Info("replica listed", zap.String("replica", c.now.ID), zap.String("service", c.now.Service),
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -129,7 +129,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	kept := make(map[string]bool, len(entries))
-	var changes []change
+	var changes []entryChange
 	for _, entry := range entries {
 		kept[entry.ID] = true
 		changes = t.set(entry, changes)
@@ -161,7 +161,7 @@
 
 // set changes or adds an entry. It returns the changes with this one, if it is one to
 // be logged. The mutex is held.
-func (t *Table) set(entry Entry, changes []change) []change {
+func (t *Table) set(entry Entry, changes []entryChange) []entryChange {
 	before := t.entries[entry.ID]
 	switch {
 	case entry.Unusable && before == nil:
@@ -188,16 +188,16 @@
 	}
 	switch {
 	case before == nil:
-		return append(changes, change{now: &entry})
+		return append(changes, entryChange{now: &entry})
 	case before.Draining != entry.Draining, before.Unusable != entry.Unusable:
-		return append(changes, change{before: &before.Entry, now: &entry})
+		return append(changes, entryChange{before: &before.Entry, now: &entry})
 	default:
 		return changes
 	}
 }
 
 // remove drops an entry. It returns the changes with this one. The mutex is held.
-func (t *Table) remove(id string, changes []change) []change {
+func (t *Table) remove(id string, changes []entryChange) []entryChange {
 	before := t.entries[id]
 	if before == nil {
 		return changes
@@ -205,7 +205,7 @@
 	delete(t.entries, id)
 	delete(t.services[before.Service], id)
 	before.learned.goneAt, before.learned.last = t.now(), before.Entry
-	return append(changes, change{before: &before.Entry})
+	return append(changes, entryChange{before: &before.Entry})
 }
 
 // notify wakes those who wait for a change. The mutex is held.
