--- a/internal/replicas/replica/changes.go
+++ b/internal/replicas/replica/changes.go
@@ -2,10 +2,10 @@
 
 import "go.uber.org/zap"
 
-// maxLoggedSingly is how many changes of one full list are logged a line each; more are
+// maxChangeLogLines is how many changes of one full list are logged a line each; more are
 // summed in one, as each of hundreds of daemons reads hundreds of replicas anew
 // after an outage.
-const maxLoggedSingly = 20
+const maxChangeLogLines = 20
 
 // entryChange is one of the list. Its before is nil for a replica that is new, its now for
 // one that is gone.
@@ -13,7 +13,7 @@
 
 // logChanges logs changes of the list, one by one or in one line.
 func (t *Table) logChanges(changes []entryChange) {
-	if len(changes) <= maxLoggedSingly {
+	if len(changes) <= maxChangeLogLines {
 		for _, c := range changes {
 			t.logChange(c)
 		}
