--- a/internal/replicas/replica/eventtime.go
+++ b/internal/replicas/replica/eventtime.go
@@ -12,9 +12,9 @@
 	eventWindow = 32
 	// minEvents is from how many events on the event time is known.
 	minEvents = 3
-	// eventTimeLifetime is how long an event time counts without new events: a replica
+	// eventTimeMaxAge is how long an event time counts without new events: a replica
 	// that was slow gets work again and shows how it is now.
-	eventTimeLifetime = 3 * time.Second
+	eventTimeMaxAge = 3 * time.Second
 	// bestSpan is over how long at least the best median is remembered.
 	bestSpan = 15 * time.Second
 )
@@ -33,7 +33,7 @@
 
 // note takes the time between two events into account.
 func (p *eventTimes) note(gap time.Duration, now time.Time) {
-	if now.Sub(p.at) > eventTimeLifetime {
+	if now.Sub(p.at) > eventTimeMaxAge {
 		p.events = 0
 	}
 	p.gaps[p.events%eventWindow] = gap
@@ -50,7 +50,7 @@
 
 // value returns the event time to reckon with, 0 if it is unknown.
 func (p *eventTimes) value(now time.Time) time.Duration {
-	if p.events >= minEvents && now.Sub(p.at) <= eventTimeLifetime {
+	if p.events >= minEvents && now.Sub(p.at) <= eventTimeMaxAge {
 		return p.median
 	}
 	return p.best.Value()
--- a/internal/replicas/replica/eventtime_test.go
+++ b/internal/replicas/replica/eventtime_test.go
@@ -32,7 +32,7 @@
 	run(eventWindow, 140*time.Millisecond)
 	is.True(p.value(now) > 90*time.Millisecond)
 	// Left alone, it is taken to be as good as it was: it gets work again.
-	now = now.Add(eventTimeLifetime + time.Millisecond)
+	now = now.Add(eventTimeMaxAge + time.Millisecond)
 	is.Equal(p.value(now), 40*time.Millisecond)
 	// After that its pace is measured anew.
 	run(minEvents, 60*time.Millisecond)
