--- a/internal/replicas/replica/eventtime.go
+++ b/internal/replicas/replica/eventtime.go
@@ -15,8 +15,8 @@
 	// eventTimeMaxAge is how long an event time counts without new events: a replica
 	// that was slow gets work again and shows how it is now.
 	eventTimeMaxAge = 3 * time.Second
-	// bestSpan is over how long at least the best median is remembered.
-	bestSpan = 15 * time.Second
+	// minEventTimeWindow is over how long at least the best median is remembered.
+	minEventTimeWindow = 15 * time.Second
 )
 
 // eventTimes is the time between two events of the texts that a replica makes: the median
@@ -44,7 +44,7 @@
 	slices.Sort(sorted[:n])
 	p.median = sorted[n/2]
 	if n == eventWindow {
-		p.best.Note(p.median, bestSpan, now)
+		p.best.Note(p.median, minEventTimeWindow, now)
 	}
 }
 
--- a/internal/replicas/replica/eventtime_test.go
+++ b/internal/replicas/replica/eventtime_test.go
@@ -40,7 +40,7 @@
 	// One that is always slower stays told apart while it has nothing to do.
 	for range 3 {
 		run(eventWindow, 60*time.Millisecond)
-		now = now.Add(bestSpan + time.Second)
+		now = now.Add(minEventTimeWindow + time.Second)
 	}
 	is.Equal(p.value(now), 60*time.Millisecond)
 }
