--- a/internal/replicas/replica/eventtime.go
+++ b/internal/replicas/replica/eventtime.go
@@ -19,10 +19,10 @@
 	minEventTimeWindow = 15 * time.Second
 )
 
-// eventTimes is the time between two events of the texts that a replica makes: the median
+// eventTimeEstimate is the time between two events of the texts that a replica makes: the median
 // of the last ones. A mean would not do: an engine that changes its weights holds all
 // its texts up once, for many times as long, and is as fast as before right after.
-type eventTimes struct {
+type eventTimeEstimate struct {
 	gaps   [eventWindow]time.Duration
 	events int
 	at     time.Time
@@ -32,7 +32,7 @@
 }
 
 // note takes the time between two events into account.
-func (p *eventTimes) note(gap time.Duration, now time.Time) {
+func (p *eventTimeEstimate) note(gap time.Duration, now time.Time) {
 	if now.Sub(p.at) > eventTimeMaxAge {
 		p.events = 0
 	}
@@ -49,7 +49,7 @@
 }
 
 // value returns the event time to reckon with, 0 if it is unknown.
-func (p *eventTimes) value(now time.Time) time.Duration {
+func (p *eventTimeEstimate) value(now time.Time) time.Duration {
 	if p.events >= minEvents && now.Sub(p.at) <= eventTimeMaxAge {
 		return p.median
 	}
--- a/internal/replicas/replica/eventtime_test.go
+++ b/internal/replicas/replica/eventtime_test.go
@@ -9,7 +9,7 @@
 
 func TestPace(t *testing.T) {
 	is := is.New(t)
-	var p eventTimes
+	var p eventTimeEstimate
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	run := func(events int, gap time.Duration) {
 		for range events {
--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -34,7 +34,7 @@
 	declines   int
 	probing    bool
 	latency    time.Duration
-	eventTimes eventTimes
+	eventTimes eventTimeEstimate
 	// reported is the load that an answer reported at reportedAt.
 	reported   int
 	reportedAt time.Time
