--- a/internal/replicas/replica/eventtime.go
+++ b/internal/replicas/replica/eventtime.go
@@ -24,7 +24,7 @@
 // its texts up once, for many times as long, and is as fast as before right after.
 type eventTimeEstimate struct {
 	gaps   [eventWindow]time.Duration
-	events int
+	count  int
 	at     time.Time
 	median time.Duration
 	// best tells replicas apart that get nothing to do for a while.
@@ -34,12 +34,12 @@
 // note takes the time between two events into account.
 func (p *eventTimeEstimate) note(gap time.Duration, now time.Time) {
 	if now.Sub(p.at) > eventTimeMaxAge {
-		p.events = 0
+		p.count = 0
 	}
-	p.gaps[p.events%eventWindow] = gap
-	p.events++
+	p.gaps[p.count%eventWindow] = gap
+	p.count++
 	p.at = now
-	n := min(p.events, eventWindow)
+	n := min(p.count, eventWindow)
 	sorted := p.gaps
 	slices.Sort(sorted[:n])
 	p.median = sorted[n/2]
@@ -50,7 +50,7 @@
 
 // value returns the event time to reckon with, 0 if it is unknown.
 func (p *eventTimeEstimate) value(now time.Time) time.Duration {
-	if p.events >= minEvents && now.Sub(p.at) <= eventTimeMaxAge {
+	if p.count >= minEvents && now.Sub(p.at) <= eventTimeMaxAge {
 		return p.median
 	}
 	return p.best.Value()
