--- a/internal/replicas/replica/eventtime.go
+++ b/internal/replicas/replica/eventtime.go
@@ -25,7 +25,7 @@
 type eventTimeEstimate struct {
 	gaps   [eventWindow]time.Duration
 	count  int
-	at     time.Time
+	lastAt time.Time
 	median time.Duration
 	// best tells replicas apart that get nothing to do for a while.
 	best BestTime
@@ -33,12 +33,12 @@
 
 // note takes the time between two events into account.
 func (p *eventTimeEstimate) note(gap time.Duration, now time.Time) {
-	if now.Sub(p.at) > eventTimeMaxAge {
+	if now.Sub(p.lastAt) > eventTimeMaxAge {
 		p.count = 0
 	}
 	p.gaps[p.count%eventWindow] = gap
 	p.count++
-	p.at = now
+	p.lastAt = now
 	n := min(p.count, eventWindow)
 	sorted := p.gaps
 	slices.Sort(sorted[:n])
@@ -50,7 +50,7 @@
 
 // value returns the event time to reckon with, 0 if it is unknown.
 func (p *eventTimeEstimate) value(now time.Time) time.Duration {
-	if p.count >= minEvents && now.Sub(p.at) <= eventTimeMaxAge {
+	if p.count >= minEvents && now.Sub(p.lastAt) <= eventTimeMaxAge {
 		return p.median
 	}
 	return p.best.Value()
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -285,7 +285,7 @@
 	e := l.learned
 	r := Replica{
 		Entry: l.Entry, InFlight: e.inFlight, AvoidUntil: e.avoidUntil, Declining: e.declines > 0, Probing: e.probing,
-		Latency: e.latency, EventTime: e.eventTimes.value(now), EventAt: e.eventTimes.at,
+		Latency: e.latency, EventTime: e.eventTimes.value(now), EventAt: e.eventTimes.lastAt,
 	}
 	if now.Sub(e.reportedAt) <= loadLifetime {
 		r.ReportedLoad = e.reported
