--- a/internal/replicas/replica/eventtime.go
+++ b/internal/replicas/replica/eventtime.go
@@ -27,8 +27,8 @@
 	count  int
 	lastAt time.Time
 	median time.Duration
-	// best tells replicas apart that get nothing to do for a while.
-	best BestTime
+	// minMedian tells replicas apart that get nothing to do for a while.
+	minMedian BestTime
 }
 
 // note takes the time between two events into account.
@@ -44,7 +44,7 @@
 	slices.Sort(sorted[:n])
 	p.median = sorted[n/2]
 	if n == eventWindow {
-		p.best.Note(p.median, minEventTimeWindow, now)
+		p.minMedian.Note(p.median, minEventTimeWindow, now)
 	}
 }
 
@@ -53,7 +53,7 @@
 	if p.count >= minEvents && now.Sub(p.lastAt) <= eventTimeMaxAge {
 		return p.median
 	}
-	return p.best.Value()
+	return p.minMedian.Value()
 }
 
 // BestTime is the best event time of the present span and of the one before. The zero value
