--- a/internal/replicas/replica/eventtime.go
+++ b/internal/replicas/replica/eventtime.go
@@ -31,8 +31,8 @@
 	minMedian BestTime
 }
 
-// note takes the time between two events into account.
-func (p *eventTimeEstimate) note(gap time.Duration, now time.Time) {
+// add takes the time between two events into account.
+func (p *eventTimeEstimate) add(gap time.Duration, now time.Time) {
 	if now.Sub(p.lastAt) > eventTimeMaxAge {
 		p.count = 0
 	}
--- a/internal/replicas/replica/eventtime_test.go
+++ b/internal/replicas/replica/eventtime_test.go
@@ -14,7 +14,7 @@
 	run := func(events int, gap time.Duration) {
 		for range events {
 			now = now.Add(gap)
-			p.note(gap, now)
+			p.add(gap, now)
 		}
 	}
 	is.Equal(p.value(now), time.Duration(0))
--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -108,7 +108,7 @@
 func (t *Table) ObserveEvent(i Incarnation, gap time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.experience(i).eventTimes.note(gap, time.Now())
+	t.experience(i).eventTimes.add(gap, time.Now())
 }
 
 func average(mean, value time.Duration) time.Duration {
