--- a/internal/replicas/modelsync/kinds_test.go
+++ b/internal/replicas/modelsync/kinds_test.go
@@ -94,7 +94,7 @@
 // An engine that is slow for some seconds keeps its kind.
 func TestASlowSpellIsNoSpeed(t *testing.T) {
 	is := is.New(t)
-	var b replica.BestTime
+	var b replica.RollingMin
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for at := time.Duration(0); at < 50*time.Second; at += time.Second {
 		pace := 50 * time.Millisecond
--- a/internal/replicas/modelsync/notes.go
+++ b/internal/replicas/modelsync/notes.go
@@ -19,7 +19,7 @@
 	rest     backoff.Rest
 	listedAt time.Time
 	// best is the best event time of late.
-	best replica.BestTime
+	best replica.RollingMin
 }
 
 // forgetAfter is how long a note outlives its engine's place in the list, from
--- a/internal/replicas/replica/eventtime.go
+++ b/internal/replicas/replica/eventtime.go
@@ -28,7 +28,7 @@
 	lastAt time.Time
 	median time.Duration
 	// minMedian tells replicas apart that get nothing to do for a while.
-	minMedian BestTime
+	minMedian RollingMin
 }
 
 // add takes the time between two events into account.
@@ -56,15 +56,15 @@
 	return p.minMedian.Value()
 }
 
-// BestTime is the best event time of the present span and of the one before. The zero value
+// RollingMin is the best event time of the present span and of the one before. The zero value
 // knows none.
-type BestTime struct {
+type RollingMin struct {
 	spans [2]time.Duration
 	since time.Time
 }
 
 // Note takes an event time into account. Span is over how long at least the best one counts.
-func (b *BestTime) Note(eventTime, span time.Duration, now time.Time) {
+func (b *RollingMin) Note(eventTime, span time.Duration, now time.Time) {
 	if b.spans[0] == 0 || now.Sub(b.since) > span {
 		b.spans, b.since = [2]time.Duration{eventTime, b.spans[0]}, now
 	}
@@ -72,7 +72,7 @@
 }
 
 // Value returns the best event time, 0 if none is known.
-func (b *BestTime) Value() time.Duration {
+func (b *RollingMin) Value() time.Duration {
 	if b.spans[1] > 0 {
 		return min(b.spans[0], b.spans[1])
 	}
