--- a/internal/replicas/modelsync/kinds_test.go
+++ b/internal/replicas/modelsync/kinds_test.go
@@ -101,11 +101,11 @@
 		if at > 25*time.Second && at < 40*time.Second {
 			pace *= 3
 		}
-		b.Note(pace, bestSpan, start.Add(at))
+		b.Observe(pace, bestSpan, start.Add(at))
 		is.Equal(b.Value(), 50*time.Millisecond)
 	}
 	for at := 50 * time.Second; at < 115*time.Second; at += time.Second {
-		b.Note(100*time.Millisecond, bestSpan, start.Add(at))
+		b.Observe(100*time.Millisecond, bestSpan, start.Add(at))
 	}
 	is.Equal(b.Value(), 100*time.Millisecond) // that is how it is now
 }
--- a/internal/replicas/modelsync/notes.go
+++ b/internal/replicas/modelsync/notes.go
@@ -47,7 +47,7 @@
 		}
 		n.listedAt = now
 		if eventTime, age := s.EventTime(rep); eventTime > 0 && age <= maxEventTimeAge {
-			n.best.Note(eventTime, bestSpan, now)
+			n.best.Observe(eventTime, bestSpan, now)
 		}
 	}
 }
--- a/internal/replicas/replica/eventtime.go
+++ b/internal/replicas/replica/eventtime.go
@@ -44,7 +44,7 @@
 	slices.Sort(sorted[:n])
 	p.median = sorted[n/2]
 	if n == eventWindow {
-		p.minMedian.Note(p.median, minEventTimeWindow, now)
+		p.minMedian.Observe(p.median, minEventTimeWindow, now)
 	}
 }
 
@@ -63,8 +63,8 @@
 	since time.Time
 }
 
-// Note takes an event time into account. Span is over how long at least the best one counts.
-func (b *RollingMin) Note(eventTime, span time.Duration, now time.Time) {
+// Observe takes an event time into account. Span is over how long at least the best one counts.
+func (b *RollingMin) Observe(eventTime, span time.Duration, now time.Time) {
 	if b.spans[0] == 0 || now.Sub(b.since) > span {
 		b.spans, b.since = [2]time.Duration{eventTime, b.spans[0]}, now
 	}
