--- a/internal/replicas/replica/eventtime.go
+++ b/internal/replicas/replica/eventtime.go
@@ -59,22 +59,22 @@
 // RollingMin is the best event time of the present span and of the one before. The zero value
 // knows none.
 type RollingMin struct {
-	spans [2]time.Duration
-	since time.Time
+	minima [2]time.Duration
+	since  time.Time
 }
 
 // Observe takes an event time into account. Span is over how long at least the best one counts.
 func (b *RollingMin) Observe(eventTime, span time.Duration, now time.Time) {
-	if b.spans[0] == 0 || now.Sub(b.since) > span {
-		b.spans, b.since = [2]time.Duration{eventTime, b.spans[0]}, now
+	if b.minima[0] == 0 || now.Sub(b.since) > span {
+		b.minima, b.since = [2]time.Duration{eventTime, b.minima[0]}, now
 	}
-	b.spans[0] = min(b.spans[0], eventTime)
+	b.minima[0] = min(b.minima[0], eventTime)
 }
 
 // Value returns the best event time, 0 if none is known.
 func (b *RollingMin) Value() time.Duration {
-	if b.spans[1] > 0 {
-		return min(b.spans[0], b.spans[1])
+	if b.minima[1] > 0 {
+		return min(b.minima[0], b.minima[1])
 	}
-	return b.spans[0]
+	return b.minima[0]
 }
