--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -24,8 +24,8 @@
 	forgetAfter = 30 * time.Second
 )
 
-// experience is what this daemon has learned of one incarnation of a replica by itself.
-type experience struct {
+// replicaStats is what this daemon has learned of one incarnation of a replica by itself.
+type replicaStats struct {
 	inFlight   int
 	failures   int
 	avoidUntil time.Time
@@ -48,16 +48,16 @@
 
 // experience returns what was learned of an incarnation. One that is not listed is forgotten like
 // one that is gone. The mutex is held.
-func (t *Table) experience(i Incarnation) *experience {
+func (t *Table) experience(i Incarnation) *replicaStats {
 	e := t.learned[i]
 	if e == nil {
-		e = &experience{versions: map[string]int64{}, goneAt: t.now()}
+		e = &replicaStats{versions: map[string]int64{}, goneAt: t.now()}
 		t.learned[i] = e
 	}
 	return e
 }
 
-func (e *experience) raise(model string, version int64) bool {
+func (e *replicaStats) raise(model string, version int64) bool {
 	if version <= e.versions[model] {
 		return false
 	}
@@ -177,7 +177,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	maps.DeleteFunc(t.learned, func(_ Incarnation, e *experience) bool {
+	maps.DeleteFunc(t.learned, func(_ Incarnation, e *replicaStats) bool {
 		return !e.goneAt.IsZero() && e.inFlight == 0 && now.Sub(e.goneAt) > forgetAfter
 	})
 	maps.DeleteFunc(t.newest, func(_ string, newest Entry) bool { return t.learned[newest.Incarnation()] == nil })
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -88,7 +88,7 @@
 // listed is an entry with what was learned of its replica.
 type listed struct {
 	Entry
-	learned *experience
+	learned *replicaStats
 }
 
 // Table is the daemon's view of all replicas. It is safe for concurrent use.
@@ -105,7 +105,7 @@
 	// services has the entries of each service, by id.
 	services map[string]map[string]*listed
 	// learned is by incarnation. That of an earlier one stays while requests are under way there.
-	learned map[Incarnation]*experience
+	learned map[Incarnation]*replicaStats
 	// newest has the newest incarnation of each id that was listed of late.
 	newest map[string]Entry
 	// restarted is called with addresses of replicas that have started again.
@@ -119,7 +119,7 @@
 	return &Table{
 		logger: logger, removedGrace: drainBound / 2, now: bootclock.Now,
 		entries: map[string]*listed{}, services: map[string]map[string]*listed{},
-		learned: map[Incarnation]*experience{}, newest: map[string]Entry{},
+		learned: map[Incarnation]*replicaStats{}, newest: map[string]Entry{},
 		restarted: func(netip.AddrPort) {}, changed: make(chan struct{}),
 	}
 }
