--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -46,9 +46,9 @@
 	last Entry
 }
 
-// experience returns what was learned of an incarnation. One that is not listed is forgotten like
+// statsOf returns what was learned of an incarnation. One that is not listed is forgotten like
 // one that is gone. The mutex is held.
-func (t *Table) experience(i Incarnation) *replicaStats {
+func (t *Table) statsOf(i Incarnation) *replicaStats {
 	e := t.learned[i]
 	if e == nil {
 		e = &replicaStats{versions: map[string]int64{}, goneAt: t.now()}
@@ -71,7 +71,7 @@
 func (t *Table) Started(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(i)
+	e := t.statsOf(i)
 	e.inFlight++
 	e.probing = e.declines > 0
 }
@@ -80,7 +80,7 @@
 func (t *Table) Ended(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(i)
+	e := t.statsOf(i)
 	e.inFlight--
 	e.probing = false
 	t.notify()
@@ -90,7 +90,7 @@
 func (t *Table) Succeeded(i Incarnation, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(i)
+	e := t.statsOf(i)
 	e.failures = 0
 	e.avoidUntil = time.Time{}
 	e.latency = average(e.latency, took)
@@ -100,7 +100,7 @@
 func (t *Table) ReportLoad(i Incarnation, requests int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(i)
+	e := t.statsOf(i)
 	e.reported, e.reportedAt = requests, time.Now()
 }
 
@@ -108,7 +108,7 @@
 func (t *Table) ObserveEvent(i Incarnation, gap time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.experience(i).eventTimes.add(gap, time.Now())
+	t.statsOf(i).eventTimes.add(gap, time.Now())
 }
 
 func average(mean, value time.Duration) time.Duration {
@@ -123,7 +123,7 @@
 func (t *Table) Failed(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(i)
+	e := t.statsOf(i)
 	e.failures++
 	avoid := minAvoid << min(e.failures-1, 6)
 	e.avoidUntil = time.Now().Add(min(avoid, maxAvoid))
@@ -134,7 +134,7 @@
 func (t *Table) Busy(i Incarnation, pause time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(i)
+	e := t.statsOf(i)
 	if until := time.Now().Add(pause); until.After(e.avoidUntil) {
 		e.avoidUntil = until
 	}
@@ -145,7 +145,7 @@
 func (t *Table) Declined(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(i)
+	e := t.statsOf(i)
 	now := time.Now()
 	if now.Before(e.avoidUntil) {
 		return
@@ -158,7 +158,7 @@
 func (t *Table) Accepted(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.experience(i)
+	e := t.statsOf(i)
 	e.declines, e.probing = 0, false
 }
 
@@ -167,7 +167,7 @@
 func (t *Table) HoldsVersion(i Incarnation, model string, version int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.experience(i).raise(model, version) {
+	if t.statsOf(i).raise(model, version) {
 		t.notify()
 	}
 }
--- a/internal/replicas/replica/slowdown.go
+++ b/internal/replicas/replica/slowdown.go
@@ -40,5 +40,5 @@
 func (t *Table) ReportSlowdown(i Incarnation, ratio float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.experience(i).slowdown = slowdown{reported: min(max(ratio, minSlowdown), maxSlowdown), at: time.Now()}
+	t.statsOf(i).slowdown = slowdown{reported: min(max(ratio, minSlowdown), maxSlowdown), at: time.Now()}
 }
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -175,7 +175,7 @@
 	if before != nil && before.Service != entry.Service {
 		delete(t.services[before.Service], entry.ID)
 	}
-	e := t.experience(entry.Incarnation())
+	e := t.statsOf(entry.Incarnation())
 	now := &listed{Entry: entry, learned: e}
 	t.entries[entry.ID] = now
 	if t.services[entry.Service] == nil {
