--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -8,11 +8,11 @@
 const (
 	// averageWeight is the weight of a new value in a running average.
 	averageWeight = 0.25
-	// minDeclinePause is how long a replica that declined a request is left alone; the
+	// minDeclineBackoff is how long a replica that declined a request is left alone; the
 	// time doubles with each decline in a row, up to maxDeclinePause. An engine
 	// declines for as long as it changes its weights.
-	minDeclinePause = 120 * time.Millisecond
-	maxDeclinePause = 300 * time.Millisecond
+	minDeclineBackoff = 120 * time.Millisecond
+	maxDeclinePause   = 300 * time.Millisecond
 	// minAvoid is how long others are preferred after a failure; it doubles with each one in
 	// a row, up to maxAvoid.
 	minAvoid = 200 * time.Millisecond
@@ -150,7 +150,7 @@
 	if now.Before(e.avoidUntil) {
 		return
 	}
-	e.avoidUntil = now.Add(min(minDeclinePause<<min(e.declines, 4), maxDeclinePause))
+	e.avoidUntil = now.Add(min(minDeclineBackoff<<min(e.declines, 4), maxDeclinePause))
 	e.declines++
 }
 
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -163,7 +163,7 @@
 		for range 6 {
 			decline()
 		}
-		for _, pause := range []time.Duration{minDeclinePause, 2 * minDeclinePause, maxDeclinePause, maxDeclinePause} {
+		for _, pause := range []time.Duration{minDeclineBackoff, 2 * minDeclineBackoff, maxDeclinePause, maxDeclinePause} {
 			is.Equal(time.Until(seen().AvoidUntil), pause)
 			time.Sleep(pause)
 			is.True(seen().Declining)
