--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -13,10 +13,10 @@
 	// declines for as long as it changes its weights.
 	minDeclineBackoff = 120 * time.Millisecond
 	maxDeclinePause   = 300 * time.Millisecond
-	// minAvoid is how long others are preferred after a failure; it doubles with each one in
+	// minFailureBackoff is how long others are preferred after a failure; it doubles with each one in
 	// a row, up to maxAvoid.
-	minAvoid = 200 * time.Millisecond
-	maxAvoid = 3 * time.Second
+	minFailureBackoff = 200 * time.Millisecond
+	maxAvoid          = 3 * time.Second
 	// loadLifetime is how long a load counts that an answer reported: requests to plain
 	// replicas take some tens of milliseconds.
 	loadLifetime = 100 * time.Millisecond
@@ -125,7 +125,7 @@
 	defer t.mu.Unlock()
 	e := t.statsOf(i)
 	e.failures++
-	avoid := minAvoid << min(e.failures-1, 6)
+	avoid := minFailureBackoff << min(e.failures-1, 6)
 	e.avoidUntil = time.Now().Add(min(avoid, maxAvoid))
 }
 
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -44,7 +44,7 @@
 		for range eventWindow {
 			table.ObserveEvent(before.Incarnation(), 50*time.Millisecond)
 		}
-		time.Sleep(minAvoid)
+		time.Sleep(minFailureBackoff)
 		table.Declined(before.Incarnation())
 		table.Set(started("a", 1, 2))
 		now := seen()
