--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -17,9 +17,9 @@
 	// a row, up to maxAvoid.
 	minFailureBackoff = 200 * time.Millisecond
 	maxAvoid          = 3 * time.Second
-	// loadLifetime is how long a load counts that an answer reported: requests to plain
+	// reportedLoadMaxAge is how long a load counts that an answer reported: requests to plain
 	// replicas take some tens of milliseconds.
-	loadLifetime = 100 * time.Millisecond
+	reportedLoadMaxAge = 100 * time.Millisecond
 	// forgetAfter is how long what was learned of a replica outlives its entry.
 	forgetAfter = 30 * time.Second
 )
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -287,7 +287,7 @@
 		Entry: l.Entry, InFlight: e.inFlight, AvoidUntil: e.avoidUntil, Declining: e.declines > 0, Probing: e.probing,
 		Latency: e.latency, EventTime: e.eventTimes.value(now), EventAt: e.eventTimes.lastAt,
 	}
-	if now.Sub(e.reportedAt) <= loadLifetime {
+	if now.Sub(e.reportedAt) <= reportedLoadMaxAge {
 		r.ReportedLoad = e.reported
 	}
 	r.Slowdown = e.slowdown.value(now)
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -199,7 +199,7 @@
 		for range 20 {
 			is.Equal(picked(), "b")
 		}
-		time.Sleep(loadLifetime + time.Millisecond)
+		time.Sleep(reportedLoadMaxAge + time.Millisecond)
 		seen := map[string]bool{}
 		for range 200 {
 			seen[picked()] = true
