--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -20,8 +20,8 @@
 	// reportedLoadMaxAge is how long a load counts that an answer reported: requests to plain
 	// replicas take some tens of milliseconds.
 	reportedLoadMaxAge = 100 * time.Millisecond
-	// forgetAfter is how long what was learned of a replica outlives its entry.
-	forgetAfter = 30 * time.Second
+	// statsTTL is how long what was learned of a replica outlives its entry.
+	statsTTL = 30 * time.Second
 )
 
 // replicaStats is what this daemon has learned of one incarnation of a replica by itself.
@@ -178,7 +178,7 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	maps.DeleteFunc(t.learned, func(_ Incarnation, e *replicaStats) bool {
-		return !e.goneAt.IsZero() && e.inFlight == 0 && now.Sub(e.goneAt) > forgetAfter
+		return !e.goneAt.IsZero() && e.inFlight == 0 && now.Sub(e.goneAt) > statsTTL
 	})
 	maps.DeleteFunc(t.newest, func(_ string, newest Entry) bool { return t.learned[newest.Incarnation()] == nil })
 }
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -66,7 +66,7 @@
 		is.True(seen().AvoidUntil.IsZero())
 		table.Ended(now.Incarnation())
 		is.Equal(seen().InFlight, 0)
-		time.Sleep(forgetAfter + time.Second)
+		time.Sleep(statsTTL + time.Second)
 		table.Sweep()
 		is.Equal(len(table.learned), 1)
 	})
