--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -35,10 +35,10 @@
 	probing    bool
 	latency    time.Duration
 	eventTimes eventTimeEstimate
-	// reported is the load that an answer reported at reportedAt.
-	reported   int
-	reportedAt time.Time
-	slowdown   slowdown
+	// reportedLoad is the load that an answer reportedLoad at reportedAt.
+	reportedLoad int
+	reportedAt   time.Time
+	slowdown     slowdown
 	// versions is never changed, only replaced: readers hold it.
 	versions map[string]int64
 	goneAt   time.Time
@@ -101,7 +101,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.statsOf(i)
-	e.reported, e.reportedAt = requests, time.Now()
+	e.reportedLoad, e.reportedAt = requests, time.Now()
 }
 
 // ObserveEvent notes the time between two events of a stream.
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -288,7 +288,7 @@
 		Latency: e.latency, EventTime: e.eventTimes.value(now), EventAt: e.eventTimes.lastAt,
 	}
 	if now.Sub(e.reportedAt) <= reportedLoadMaxAge {
-		r.ReportedLoad = e.reported
+		r.ReportedLoad = e.reportedLoad
 	}
 	r.Slowdown = e.slowdown.value(now)
 	r.Versions = e.versions
