--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -40,8 +40,8 @@
 	reportedAt   time.Time
 	slowdown     slowdown
 	// versions is never changed, only replaced: readers hold it.
-	versions map[string]int64
-	goneAt   time.Time
+	versions  map[string]int64
+	removedAt time.Time
 	// last is the entry that was removed at goneAt.
 	last Entry
 }
@@ -51,7 +51,7 @@
 func (t *Table) statsOf(i Incarnation) *replicaStats {
 	e := t.learned[i]
 	if e == nil {
-		e = &replicaStats{versions: map[string]int64{}, goneAt: t.now()}
+		e = &replicaStats{versions: map[string]int64{}, removedAt: t.now()}
 		t.learned[i] = e
 	}
 	return e
@@ -178,7 +178,7 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	maps.DeleteFunc(t.learned, func(_ Incarnation, e *replicaStats) bool {
-		return !e.goneAt.IsZero() && e.inFlight == 0 && now.Sub(e.goneAt) > statsTTL
+		return !e.removedAt.IsZero() && e.inFlight == 0 && now.Sub(e.removedAt) > statsTTL
 	})
 	maps.DeleteFunc(t.newest, func(_ string, newest Entry) bool { return t.learned[newest.Incarnation()] == nil })
 }
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -182,7 +182,7 @@
 		t.services[entry.Service] = map[string]*listed{}
 	}
 	t.services[entry.Service][entry.ID] = now
-	e.goneAt = time.Time{}
+	e.removedAt = time.Time{}
 	for model, version := range entry.Versions {
 		e.raise(model, version)
 	}
@@ -204,7 +204,7 @@
 	}
 	delete(t.entries, id)
 	delete(t.services[before.Service], id)
-	before.learned.goneAt, before.learned.last = t.now(), before.Entry
+	before.learned.removedAt, before.learned.last = t.now(), before.Entry
 	return append(changes, entryChange{before: &before.Entry})
 }
 
@@ -247,7 +247,7 @@
 	var found []Replica
 	now, awake := t.now(), time.Now()
 	for _, e := range t.learned {
-		if e.goneAt.IsZero() || now.Sub(e.goneAt) > t.removedGrace {
+		if e.removedAt.IsZero() || now.Sub(e.removedAt) > t.removedGrace {
 			continue
 		}
 		if e.last.Service == service && !e.last.Draining && !e.last.Unusable {
