--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -42,8 +42,8 @@
 	// versions is never changed, only replaced: readers hold it.
 	versions  map[string]int64
 	removedAt time.Time
-	// last is the entry that was removed at goneAt.
-	last Entry
+	// lastEntry is the entry that was removed at goneAt.
+	lastEntry Entry
 }
 
 // statsOf returns what was learned of an incarnation. One that is not listed is forgotten like
--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -110,7 +110,7 @@
 	inFlight := 0
 	if e := t.learned[before.Incarnation()]; e != nil {
 		inFlight = e.inFlight
-		e.removedAt, e.last = t.now(), Entry{}
+		e.removedAt, e.lastEntry = t.now(), Entry{}
 	}
 	t.logger.Info("replica started again", zap.String("replica", now.ID), zap.String("service", now.Service),
 		zap.Stringer("address", now.Address),
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -204,7 +204,7 @@
 	}
 	delete(t.entries, id)
 	delete(t.services[before.Service], id)
-	before.learned.removedAt, before.learned.last = t.now(), before.Entry
+	before.learned.removedAt, before.learned.lastEntry = t.now(), before.Entry
 	return append(changes, entryChange{before: &before.Entry})
 }
 
@@ -250,8 +250,8 @@
 		if e.removedAt.IsZero() || now.Sub(e.removedAt) > t.removedGrace {
 			continue
 		}
-		if e.last.Service == service && !e.last.Draining && !e.last.Unusable {
-			found = append(found, (&listed{Entry: e.last, learned: e}).view(awake))
+		if e.lastEntry.Service == service && !e.lastEntry.Draining && !e.lastEntry.Unusable {
+			found = append(found, (&listed{Entry: e.lastEntry, learned: e}).view(awake))
 		}
 	}
 	return found
