--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -57,7 +57,7 @@
 	return e
 }
 
-func (e *replicaStats) raise(model string, version int64) bool {
+func (e *replicaStats) raiseVersion(model string, version int64) bool {
 	if version <= e.versions[model] {
 		return false
 	}
@@ -167,7 +167,7 @@
 func (t *Table) HoldsVersion(i Incarnation, model string, version int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.statsOf(i).raise(model, version) {
+	if t.statsOf(i).raiseVersion(model, version) {
 		t.notify()
 	}
 }
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -184,7 +184,7 @@
 	t.services[entry.Service][entry.ID] = now
 	e.removedAt = time.Time{}
 	for model, version := range entry.Versions {
-		e.raise(model, version)
+		e.raiseVersion(model, version)
 	}
 	switch {
 	case before == nil:
