--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -93,7 +93,7 @@
 	e := t.statsOf(i)
 	e.failures = 0
 	e.avoidUntil = time.Time{}
-	e.latency = average(e.latency, took)
+	e.latency = movingAverage(e.latency, took)
 }
 
 // ReportLoad notes how many requests of all callers a replica has, as its answer reports.
@@ -111,7 +111,7 @@
 	t.statsOf(i).eventTimes.add(gap, time.Now())
 }
 
-func average(mean, value time.Duration) time.Duration {
+func movingAverage(mean, value time.Duration) time.Duration {
 	if mean == 0 {
 		return value
 	}
