--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -94,7 +94,7 @@
 
 // launch makes an attempt at a replica beside all else, as work that a stop waits for.
 func (r *Runner) launch(rep replica.Replica, attempt func()) {
-	r.table.Started(rep.Incarnation())
+	r.table.RequestStarted(rep.Incarnation())
 	r.started.Add(1)
 	r.work.Go(attempt)
 }
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -309,7 +309,7 @@
 	runner.self, runner.jobs = "d0/1", map[string]*job{"b": j}
 	runner.ShareEngines(occupancy.NewTable("d0/1", time.Now, zap.NewNop()), func() {})
 	runner.shared.demands["s"] = occupancy.Demand{Service: 1, Waiting: 3}
-	runner.table.Started("to")
+	runner.table.RequestStarted("to")
 	for range 5 {
 		runner.table.ObserveEvent("from", 30*time.Millisecond)
 	}
--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -67,8 +67,8 @@
 	return true
 }
 
-// Started counts a request on its way to a replica.
-func (t *Table) Started(i Incarnation) {
+// RequestStarted counts a request on its way to a replica.
+func (t *Table) RequestStarted(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.statsOf(i)
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -35,7 +35,7 @@
 		seen := func() Replica { return table.Replicas("s")[0] }
 		before := seen()
 		for range 3 {
-			table.Started(before.Incarnation())
+			table.RequestStarted(before.Incarnation())
 		}
 		table.Succeeded(before.Incarnation(), time.Second)
 		table.Failed(before.Incarnation())
@@ -55,7 +55,7 @@
 		is.Equal([]int{now.InFlight, now.ReportedLoad}, []int{0, 0})
 		is.Equal(now.Slowdown, 1.0)
 		// What the earlier start's requests still tell is of no concern to the next one.
-		table.Started(now.Incarnation())
+		table.RequestStarted(now.Incarnation())
 		for range 3 {
 			table.HoldsVersion(before.Incarnation(), "m", 9)
 			table.Failed(before.Incarnation())
@@ -179,7 +179,7 @@
 				listed = false
 			case 3:
 				if now, ok := table.Get("a"); ok {
-					table.Started(now.Incarnation())
+					table.RequestStarted(now.Incarnation())
 					underWay[now.Incarnation()]++
 				}
 			case 4:
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -150,7 +150,7 @@
 		table := NewTable(time.Second, zap.NewNop())
 		table.Set(Entry{ID: "e", Service: "s"})
 		seen := func() Replica { return table.Replicas("s")[0] }
-		attempt := func() { table.Started("e") }
+		attempt := func() { table.RequestStarted("e") }
 		decline := func() {
 			table.Declined("e")
 			table.Ended("e")
--- a/internal/requests/admission/service_test.go
+++ b/internal/requests/admission/service_test.go
@@ -102,7 +102,7 @@
 			break
 		}
 		tried[chosen.ID] = true
-		d.table.Started(chosen.Incarnation())
+		d.table.RequestStarted(chosen.Incarnation())
 		wait(ctx, time.Millisecond)
 		load, ran := d.service.replicas[chosen.ID].run(ctx, work)
 		d.table.Ended(chosen.Incarnation())
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -40,7 +40,7 @@
 
 // attempt sends the call to one replica; over is called when the exchange has ended.
 func (f *Forwarder) attempt(ctx context.Context, over func(), call *Call, rep replica.Replica) result {
-	f.Table.Started(rep.Incarnation())
+	f.Table.RequestStarted(rep.Incarnation())
 	end := func() {
 		over()
 		f.Table.Ended(rep.Incarnation())
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -114,7 +114,7 @@
 // mayHaveRun tells whether the replica may have run the request.
 func (s *streamRelay) attempt(ctx context.Context, rep replica.Replica) (mayHaveRun bool, err error) {
 	forwarder := s.handler.Forwarder
-	forwarder.Table.Started(rep.Incarnation())
+	forwarder.Table.RequestStarted(rep.Incarnation())
 	defer forwarder.Table.Ended(rep.Incarnation())
 	s.call.Deadline = s.timeLeft() + answerMargin
 	sentAt := s.handler.Clock()
