--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -58,7 +58,7 @@
 
 func (a *attempt) end(err error) {
 	j, it := a.job, a.item
-	j.r.table.Ended(a.replica.Incarnation())
+	j.r.table.RequestEnded(a.replica.Incarnation())
 	j.mu.Lock()
 	current := it.attempt == a.number
 	if current {
--- a/internal/batches/runner/handover.go
+++ b/internal/batches/runner/handover.go
@@ -80,7 +80,7 @@
 	if err == nil {
 		stream.Close()
 	}
-	a.job.r.table.Ended(a.replica.Incarnation())
+	a.job.r.table.RequestEnded(a.replica.Incarnation())
 	if a.job.ctx.Err() != nil {
 		// The batch ended meanwhile, which says nothing of the replica.
 		return
--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -76,8 +76,8 @@
 	e.probing = e.declines > 0
 }
 
-// Ended takes a request off the count.
-func (t *Table) Ended(i Incarnation) {
+// RequestEnded takes a request off the count.
+func (t *Table) RequestEnded(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.statsOf(i)
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -59,12 +59,12 @@
 		for range 3 {
 			table.HoldsVersion(before.Incarnation(), "m", 9)
 			table.Failed(before.Incarnation())
-			table.Ended(before.Incarnation())
+			table.RequestEnded(before.Incarnation())
 		}
 		is.Equal(seen().InFlight, 1)
 		is.Equal(seen().Versions, map[string]int64{"m": 2})
 		is.True(seen().AvoidUntil.IsZero())
-		table.Ended(now.Incarnation())
+		table.RequestEnded(now.Incarnation())
 		is.Equal(seen().InFlight, 0)
 		time.Sleep(statsTTL + time.Second)
 		table.Sweep()
@@ -185,7 +185,7 @@
 			case 4:
 				for i, count := range underWay {
 					if count > 0 {
-						table.Ended(i)
+						table.RequestEnded(i)
 						underWay[i]--
 						break
 					}
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -153,7 +153,7 @@
 		attempt := func() { table.RequestStarted("e") }
 		decline := func() {
 			table.Declined("e")
-			table.Ended("e")
+			table.RequestEnded("e")
 		}
 		// Six requests under way are declined together: that counts as one.
 		for range 6 {
--- a/internal/requests/admission/service_test.go
+++ b/internal/requests/admission/service_test.go
@@ -105,7 +105,7 @@
 		d.table.RequestStarted(chosen.Incarnation())
 		wait(ctx, time.Millisecond)
 		load, ran := d.service.replicas[chosen.ID].run(ctx, work)
-		d.table.Ended(chosen.Incarnation())
+		d.table.RequestEnded(chosen.Incarnation())
 		if ctx.Err() != nil {
 			return Lost{}
 		}
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -43,7 +43,7 @@
 	f.Table.RequestStarted(rep.Incarnation())
 	end := func() {
 		over()
-		f.Table.Ended(rep.Incarnation())
+		f.Table.RequestEnded(rep.Incarnation())
 	}
 	started := time.Now()
 	answer, sentAt, mayHaveRun, err := f.exchange(ctx, call, rep)
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -115,7 +115,7 @@
 func (s *streamRelay) attempt(ctx context.Context, rep replica.Replica) (mayHaveRun bool, err error) {
 	forwarder := s.handler.Forwarder
 	forwarder.Table.RequestStarted(rep.Incarnation())
-	defer forwarder.Table.Ended(rep.Incarnation())
+	defer forwarder.Table.RequestEnded(rep.Incarnation())
 	s.call.Deadline = s.timeLeft() + answerMargin
 	sentAt := s.handler.Clock()
 	stream, err := forwarder.OpenStream(ctx, s.call, rep)
