--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -86,8 +86,8 @@
 	t.notify()
 }
 
-// Succeeded notes an answer and how long it took.
-func (t *Table) Succeeded(i Incarnation, took time.Duration) {
+// RequestSucceeded notes an answer and how long it took.
+func (t *Table) RequestSucceeded(i Incarnation, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.statsOf(i)
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -37,7 +37,7 @@
 		for range 3 {
 			table.RequestStarted(before.Incarnation())
 		}
-		table.Succeeded(before.Incarnation(), time.Second)
+		table.RequestSucceeded(before.Incarnation(), time.Second)
 		table.Failed(before.Incarnation())
 		table.ReportLoad(before.Incarnation(), 7)
 		table.ReportSlowdown(before.Incarnation(), 3)
@@ -209,7 +209,7 @@
 		table := NewTable(drainBound, zap.NewNop())
 		table.Replace([]Entry{entry("a"), entry("b")})
 		for _, i := range []Incarnation{"a", "b"} {
-			table.Succeeded(i, 30*time.Millisecond)
+			table.RequestSucceeded(i, 30*time.Millisecond)
 		}
 		paceOf := func() float64 {
 			r, _ := table.Get("a")
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -63,7 +63,7 @@
 		}
 		return result{err: err, mayHaveRun: mayHaveRun}
 	}
-	f.Table.Succeeded(rep.Incarnation(), time.Since(started))
+	f.Table.RequestSucceeded(rep.Incarnation(), time.Since(started))
 	answer.Replica, answer.end = rep.ID, end
 	if answer.Rest == nil {
 		f.Quarantine.Answered(call.content)
