--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -212,6 +212,6 @@
 	case faultFull:
 		r.table.Busy(incarnation, failurePause)
 	case faultFailed:
-		r.table.Failed(incarnation)
+		r.table.RequestFailed(incarnation)
 	}
 }
--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -118,9 +118,9 @@
 	return mean + time.Duration(averageWeight*float64(value-mean))
 }
 
-// Failed notes an exchange that got no sound answer: others are preferred for
+// RequestFailed notes an exchange that got no sound answer: others are preferred for
 // a while that grows with each failure in a row.
-func (t *Table) Failed(i Incarnation) {
+func (t *Table) RequestFailed(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.statsOf(i)
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -38,7 +38,7 @@
 			table.RequestStarted(before.Incarnation())
 		}
 		table.RequestSucceeded(before.Incarnation(), time.Second)
-		table.Failed(before.Incarnation())
+		table.RequestFailed(before.Incarnation())
 		table.ReportLoad(before.Incarnation(), 7)
 		table.ReportSlowdown(before.Incarnation(), 3)
 		for range eventWindow {
@@ -58,7 +58,7 @@
 		table.RequestStarted(now.Incarnation())
 		for range 3 {
 			table.HoldsVersion(before.Incarnation(), "m", 9)
-			table.Failed(before.Incarnation())
+			table.RequestFailed(before.Incarnation())
 			table.RequestEnded(before.Incarnation())
 		}
 		is.Equal(seen().InFlight, 1)
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -108,7 +108,7 @@
 		f.Table.Busy(rep.Incarnation(), declinedPause)
 		return
 	}
-	f.Table.Failed(rep.Incarnation())
+	f.Table.RequestFailed(rep.Incarnation())
 	f.failures().Note(logging.Occurrence{Key: rep.ID}, zap.String("service", rep.Service), zap.Error(err))
 }
 
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -129,7 +129,7 @@
 	}
 	if err != nil {
 		if ctx.Err() == nil && !errors.Is(err, upstream.ErrFull) {
-			forwarder.Table.Failed(rep.Incarnation())
+			forwarder.Table.RequestFailed(rep.Incarnation())
 		}
 		return mayHaveRun, err
 	}
