--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -210,7 +210,7 @@
 	case faultDeclined:
 		r.table.Declined(incarnation)
 	case faultFull:
-		r.table.Busy(incarnation, failurePause)
+		r.table.AvoidFor(incarnation, failurePause)
 	case faultFailed:
 		r.table.RequestFailed(incarnation)
 	}
--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -129,9 +129,9 @@
 	e.avoidUntil = time.Now().Add(min(avoid, maxAvoid))
 }
 
-// Busy notes that a replica declined a short request: others are preferred for
+// AvoidFor notes that a replica declined a short request: others are preferred for
 // the given time.
-func (t *Table) Busy(i Incarnation, pause time.Duration) {
+func (t *Table) AvoidFor(i Incarnation, pause time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.statsOf(i)
--- a/internal/requests/admission/service_test.go
+++ b/internal/requests/admission/service_test.go
@@ -115,7 +115,7 @@
 			}
 			return Answered{Took: time.Since(began)}
 		}
-		d.table.Busy(chosen.Incarnation(), 60*time.Millisecond)
+		d.table.AvoidFor(chosen.Incarnation(), 60*time.Millisecond)
 	}
 	return Declined{}
 }
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -105,7 +105,7 @@
 
 func (f *Forwarder) learn(rep replica.Replica, err error) {
 	if errors.Is(err, errPlainDeclined) || errors.Is(err, upstream.ErrFull) {
-		f.Table.Busy(rep.Incarnation(), declinedPause)
+		f.Table.AvoidFor(rep.Incarnation(), declinedPause)
 		return
 	}
 	f.Table.RequestFailed(rep.Incarnation())
