--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -208,7 +208,7 @@
 	switch f {
 	case noFault:
 	case faultDeclined:
-		r.table.Declined(incarnation)
+		r.table.RequestDeclined(incarnation)
 	case faultFull:
 		r.table.AvoidFor(incarnation, failurePause)
 	case faultFailed:
--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -140,9 +140,9 @@
 	}
 }
 
-// Declined notes that a replica declined a request: others are preferred for a
+// RequestDeclined notes that a replica declined a request: others are preferred for a
 // while that grows with each further one.
-func (t *Table) Declined(i Incarnation) {
+func (t *Table) RequestDeclined(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.statsOf(i)
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -45,7 +45,7 @@
 			table.ObserveEvent(before.Incarnation(), 50*time.Millisecond)
 		}
 		time.Sleep(minFailureBackoff)
-		table.Declined(before.Incarnation())
+		table.RequestDeclined(before.Incarnation())
 		table.Set(started("a", 1, 2))
 		now := seen()
 		is.True(now.Incarnation() != before.Incarnation())
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -152,7 +152,7 @@
 		seen := func() Replica { return table.Replicas("s")[0] }
 		attempt := func() { table.RequestStarted("e") }
 		decline := func() {
-			table.Declined("e")
+			table.RequestDeclined("e")
 			table.RequestEnded("e")
 		}
 		// Six requests under way are declined together: that counts as one.
