--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -84,7 +84,7 @@
 // follow reads the events of an open stream until the text is whole.
 func (a *attempt) follow(cancel context.CancelFunc, stream *forward.Stream) error {
 	defer stream.Close()
-	a.job.r.table.Accepted(a.replica.Incarnation())
+	a.job.r.table.RequestAccepted(a.replica.Incarnation())
 	version := stream.Version
 	a.noteVersion(version)
 	timeout := eventTimeoutOf(a.replica.EventTime)
--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -154,8 +154,8 @@
 	e.declines++
 }
 
-// Accepted notes that a replica has begun to answer a request.
-func (t *Table) Accepted(i Incarnation) {
+// RequestAccepted notes that a replica has begun to answer a request.
+func (t *Table) RequestAccepted(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.statsOf(i)
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -175,7 +175,7 @@
 		}
 		time.Sleep(maxDeclinePause)
 		attempt()
-		table.Accepted("e")
+		table.RequestAccepted("e")
 		is.True(!seen().Probing)
 		is.True(!seen().Declining)
 		attempt()
