--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -114,7 +114,7 @@
 // noteVersion tells the table which version of the weights the replica holds, 0 if it did not say.
 func (a *attempt) noteVersion(version int64) {
 	if version > 0 {
-		a.job.r.table.HoldsVersion(a.replica.Incarnation(), a.job.submission.Model, version)
+		a.job.r.table.ObserveVersion(a.replica.Incarnation(), a.job.submission.Model, version)
 	}
 }
 
--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -140,7 +140,7 @@
 		return engine.Report{}, errStartedAgain
 	}
 	for model, version := range report.Versions {
-		s.Table.HoldsVersion(c.replica.Incarnation(), model, version)
+		s.Table.ObserveVersion(c.replica.Incarnation(), model, version)
 	}
 	return report, nil
 }
--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -162,9 +162,9 @@
 	e.declines, e.probing = 0, false
 }
 
-// HoldsVersion notes a version of a model that a replica was seen to hold.
+// ObserveVersion notes a version of a model that a replica was seen to hold.
 // Versions only rise.
-func (t *Table) HoldsVersion(i Incarnation, model string, version int64) {
+func (t *Table) ObserveVersion(i Incarnation, model string, version int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.statsOf(i).raiseVersion(model, version) {
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -57,7 +57,7 @@
 		// What the earlier start's requests still tell is of no concern to the next one.
 		table.RequestStarted(now.Incarnation())
 		for range 3 {
-			table.HoldsVersion(before.Incarnation(), "m", 9)
+			table.ObserveVersion(before.Incarnation(), "m", 9)
 			table.RequestFailed(before.Incarnation())
 			table.RequestEnded(before.Incarnation())
 		}
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -83,7 +83,7 @@
 				listed.Versions = map[string]int64{"m": version}
 				table.Set(listed)
 			} else {
-				table.HoldsVersion("a", "m", version)
+				table.ObserveVersion("a", "m", version)
 			}
 			highest = max(highest, version)
 		}
