--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -13,15 +13,15 @@
 // so. A replica that starts again under its id holds and knows nothing of before.
 type Incarnation string
 
-// bornSeparator stands between an id and the time of its start, in milliseconds.
-const bornSeparator = "@"
+// startSeparator stands between an id and the time of its start, in milliseconds.
+const startSeparator = "@"
 
 // Incarnation names the life of the process that the entry is of.
 func (e Entry) Incarnation() Incarnation {
 	if e.Born.IsZero() {
 		return Incarnation(e.ID)
 	}
-	return Incarnation(e.ID + bornSeparator + strconv.FormatInt(e.Born.UnixMilli(), 10))
+	return Incarnation(e.ID + startSeparator + strconv.FormatInt(e.Born.UnixMilli(), 10))
 }
 
 // EndsOnce reports whether the name tells two incarnations of a replica apart, so that its
@@ -39,7 +39,7 @@
 
 // split returns the id of a name, and whether the name says when the process started.
 func (i Incarnation) split() (id string, ok bool) {
-	at := strings.LastIndex(string(i), bornSeparator)
+	at := strings.LastIndex(string(i), startSeparator)
 	if at < 0 {
 		return string(i), false
 	}
