--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -24,9 +24,9 @@
 	return Incarnation(e.ID + startSeparator + strconv.FormatInt(e.Born.UnixMilli(), 10))
 }
 
-// EndsOnce reports whether the name tells two incarnations of a replica apart, so that its
+// HasStartTime reports whether the name tells two incarnations of a replica apart, so that its
 // process can end only once.
-func (i Incarnation) EndsOnce() bool {
+func (i Incarnation) HasStartTime() bool {
 	_, ok := i.split()
 	return ok
 }
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -150,7 +150,7 @@
 	is := is.New(t)
 	for name, id := range map[Incarnation]string{"a": "a", "a@5": "a", "a@b@5": "a@b", "a@b": "a@b", "a@": "a@"} {
 		is.Equal(name.ID(), id)
-		is.Equal(name.EndsOnce(), string(name) != id)
+		is.Equal(name.HasStartTime(), string(name) != id)
 	}
 	is.Equal(started("a", 0, 1).Incarnation(), Incarnation("a@1764700000000"))
 	is.Equal(entry("a").Incarnation(), Incarnation("a"))
--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -130,7 +130,7 @@
 // reported by another run of the content here or at another daemon.
 func (s *suspect) addEnd(name string, now time.Time) bool {
 	seen, before := s.endSeenAt[name]
-	if before && (replica.Incarnation(name).EndsOnce() || now.Sub(seen) < endDedupWindow) {
+	if before && (replica.Incarnation(name).HasStartTime() || now.Sub(seen) < endDedupWindow) {
 		return false
 	}
 	return s.raiseEnds(name, s.Ended[name]+1, now)
