--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -55,9 +55,9 @@
 // call the table. It is set before any other method is called.
 func (t *Table) OnRestart(restarted func(address netip.AddrPort)) { t.restarted = restarted }
 
-// Seen notes what a replica itself says of when it started. It reports whether that is
+// ObserveStart notes what a replica itself says of when it started. It reports whether that is
 // the incarnation that is meant. After a later one, what was known of the replica is forgotten.
-func (t *Table) Seen(meant Replica, born time.Time) bool {
+func (t *Table) ObserveStart(meant Replica, born time.Time) bool {
 	if born.IsZero() || meant.Born.IsZero() || born.Equal(meant.Born) {
 		return true
 	}
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -131,12 +131,12 @@
 	table := NewTable(drainBound, zap.NewNop())
 	table.Set(started("a", 1, 9))
 	meant, _ := table.Get("a")
-	is.True(table.Seen(meant, time.Time{}))
-	is.True(table.Seen(meant, meant.Born))
-	is.True(!table.Seen(meant, started("a", 0, 9).Born)) // its answer is late
+	is.True(table.ObserveStart(meant, time.Time{}))
+	is.True(table.ObserveStart(meant, meant.Born))
+	is.True(!table.ObserveStart(meant, started("a", 0, 9).Born)) // its answer is late
 	is.Equal(table.Replicas("s")[0].Incarnation(), meant.Incarnation())
 	later := started("a", 2, 1)
-	is.True(!table.Seen(meant, later.Born))
+	is.True(!table.ObserveStart(meant, later.Born))
 	now := table.Replicas("s")[0]
 	is.Equal(now.Incarnation(), later.Incarnation())
 	is.Equal(len(now.Versions), 0)
