--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -252,7 +252,7 @@
 		n.ledger.Sweep(now)
 		n.table.Sweep()
 		n.occupancy.sweep()
-		present := sync.OnceValue(n.table.Present) // read only if there is something to sweep
+		present := sync.OnceValue(n.table.ListedIncarnations) // read only if there is something to sweep
 		n.quarantine.table.Sweep(func(start string) bool { return present()[replica.Incarnation(start)] })
 		n.lease.SetCandidate(isCandidate(n.member.Partitions(), n.partitions))
 	})
--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -72,9 +72,9 @@
 	return false
 }
 
-// Present returns the incarnations that are listed, also of replicas that drain or can't be
+// ListedIncarnations returns the incarnations that are listed, also of replicas that drain or can't be
 // used.
-func (t *Table) Present() map[Incarnation]bool {
+func (t *Table) ListedIncarnations() map[Incarnation]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	present := make(map[Incarnation]bool, len(t.entries))
