--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -84,10 +84,10 @@
 	return present
 }
 
-// isNewest makes an entry one of the newest incarnation that is known, and reports whether it
+// acceptEntry makes an entry one of the newest incarnation that is known, and reports whether it
 // is. An entry of an earlier one was written late, or is left of a compaction. The mutex
 // is held.
-func (t *Table) isNewest(entry *Entry) bool {
+func (t *Table) acceptEntry(entry *Entry) bool {
 	newest, ok := t.newest[entry.ID]
 	switch {
 	case !ok:
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -169,7 +169,7 @@
 	case entry.Unusable:
 		entry = before.Entry
 		entry.Unusable = true
-	case !t.isNewest(&entry):
+	case !t.acceptEntry(&entry):
 		return changes
 	}
 	if before != nil && before.Service != entry.Service {
