--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -98,15 +98,15 @@
 			zap.Time("born", entry.Born), zap.Time("known", newest.Born))
 		return false
 	case entry.Born.After(newest.Born):
-		t.restart(newest, *entry)
+		t.handleRestart(newest, *entry)
 	}
 	t.newest[entry.ID] = *entry
 	return true
 }
 
-// restart forgets an incarnation that another one of the same id follows. What is under way
+// handleRestart forgets an incarnation that another one of the same id follows. What is under way
 // there is still counted, for that one. The mutex is held.
-func (t *Table) restart(before, now Entry) {
+func (t *Table) handleRestart(before, now Entry) {
 	inFlight := 0
 	if e := t.learned[before.Incarnation()]; e != nil {
 		inFlight = e.inFlight
