--- a/internal/batches/runner/dispatch_test.go
+++ b/internal/batches/runner/dispatch_test.go
@@ -37,8 +37,8 @@
 // An engine that has started again has read no prompt, whatever its id.
 func TestAGroupsEngineIsOneStart(t *testing.T) {
 	is := is.New(t)
-	before := replica.Replica{Entry: replica.Entry{ID: "a", Born: time.UnixMilli(1)}}
-	now := replica.Replica{Entry: replica.Entry{ID: "a", Born: time.UnixMilli(2)}}
+	before := replica.Replica{Entry: replica.Entry{ID: "a", StartedAt: time.UnixMilli(1)}}
+	now := replica.Replica{Entry: replica.Entry{ID: "a", StartedAt: time.UnixMilli(2)}}
 	other := replica.Replica{Entry: replica.Entry{ID: "b"}}
 	items := func() []scheduling.Item {
 		return []scheduling.Item{
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -46,7 +46,7 @@
 }
 
 // KeyOf names the incarnation of a replica to other owners.
-func KeyOf(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.Born) }
+func KeyOf(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.StartedAt) }
 
 // withReports adds to an engine what other owners report of it.
 func (s *sharing) withReports(
--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -18,10 +18,10 @@
 
 // Incarnation names the life of the process that the entry is of.
 func (e Entry) Incarnation() Incarnation {
-	if e.Born.IsZero() {
+	if e.StartedAt.IsZero() {
 		return Incarnation(e.ID)
 	}
-	return Incarnation(e.ID + startSeparator + strconv.FormatInt(e.Born.UnixMilli(), 10))
+	return Incarnation(e.ID + startSeparator + strconv.FormatInt(e.StartedAt.UnixMilli(), 10))
 }
 
 // HasStartTime reports whether the name tells two incarnations of a replica apart, so that its
@@ -58,14 +58,14 @@
 // ObserveStart notes what a replica itself says of when it started. It reports whether that is
 // the incarnation that is meant. After a later one, what was known of the replica is forgotten.
 func (t *Table) ObserveStart(meant Replica, born time.Time) bool {
-	if born.IsZero() || meant.Born.IsZero() || born.Equal(meant.Born) {
+	if born.IsZero() || meant.StartedAt.IsZero() || born.Equal(meant.StartedAt) {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if listed := t.entries[meant.ID]; listed != nil && born.After(listed.Born) {
+	if listed := t.entries[meant.ID]; listed != nil && born.After(listed.StartedAt) {
 		entry := listed.Entry
-		entry.Born, entry.Versions = born, nil
+		entry.StartedAt, entry.Versions = born, nil
 		t.logChanges(t.set(entry, nil))
 		t.notify()
 	}
@@ -91,13 +91,13 @@
 	newest, ok := t.newest[entry.ID]
 	switch {
 	case !ok:
-	case entry.Born.IsZero():
-		entry.Born = newest.Born
-	case entry.Born.Before(newest.Born):
+	case entry.StartedAt.IsZero():
+		entry.StartedAt = newest.StartedAt
+	case entry.StartedAt.Before(newest.StartedAt):
 		t.logger.Info("entry of an earlier start passed over", zap.String("replica", entry.ID),
-			zap.Time("born", entry.Born), zap.Time("known", newest.Born))
+			zap.Time("born", entry.StartedAt), zap.Time("known", newest.StartedAt))
 		return false
-	case entry.Born.After(newest.Born):
+	case entry.StartedAt.After(newest.StartedAt):
 		t.handleRestart(newest, *entry)
 	}
 	t.newest[entry.ID] = *entry
@@ -114,7 +114,7 @@
 	}
 	t.logger.Info("replica started again", zap.String("replica", now.ID), zap.String("service", now.Service),
 		zap.Stringer("address", now.Address),
-		zap.Time("born", now.Born), zap.Time("before", before.Born), zap.Int("in_flight_before", inFlight))
+		zap.Time("born", now.StartedAt), zap.Time("before", before.StartedAt), zap.Int("in_flight_before", inFlight))
 	t.restarted(before.Address)
 	if now.Address != before.Address {
 		t.restarted(now.Address)
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -19,7 +19,7 @@
 // started is an entry of the given start, which holds a version.
 func started(id string, start int, version int64) Entry {
 	e := entry(id)
-	e.Born = firstBorn.Add(time.Duration(start) * time.Second)
+	e.StartedAt = firstBorn.Add(time.Duration(start) * time.Second)
 	e.Versions = map[string]int64{"m": version}
 	return e
 }
@@ -132,11 +132,11 @@
 	table.Set(started("a", 1, 9))
 	meant, _ := table.Get("a")
 	is.True(table.ObserveStart(meant, time.Time{}))
-	is.True(table.ObserveStart(meant, meant.Born))
-	is.True(!table.ObserveStart(meant, started("a", 0, 9).Born)) // its answer is late
+	is.True(table.ObserveStart(meant, meant.StartedAt))
+	is.True(!table.ObserveStart(meant, started("a", 0, 9).StartedAt)) // its answer is late
 	is.Equal(table.Replicas("s")[0].Incarnation(), meant.Incarnation())
 	later := started("a", 2, 1)
-	is.True(!table.ObserveStart(meant, later.Born))
+	is.True(!table.ObserveStart(meant, later.StartedAt))
 	now := table.Replicas("s")[0]
 	is.Equal(now.Incarnation(), later.Incarnation())
 	is.Equal(len(now.Versions), 0)
@@ -168,7 +168,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				of := started("a", rapid.IntRange(0, 3).Draw(t, "start"), rapid.Int64Range(1, 9).Draw(t, "version"))
-				number := int(of.Born.Sub(firstBorn).Seconds())
+				number := int(of.StartedAt.Sub(firstBorn).Seconds())
 				table.Set(of)
 				if number >= newest {
 					newest, listed = number, true
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -50,9 +50,9 @@
 	// Unusable replicas get none either: their newest entry can't be understood, which says
 	// nothing of their process. Only ID counts of such an entry.
 	Unusable bool
-	// Born is when the process started, by its own clock in milliseconds; zero if it does
+	// StartedAt is when the process started, by its own clock in milliseconds; zero if it does
 	// not say.
-	Born time.Time
+	StartedAt time.Time
 	// Spot replicas may be taken away at any moment.
 	Spot bool
 	// Versions are the versions of the weights it holds, by model.
--- a/internal/requests/forward/load_test.go
+++ b/internal/requests/forward/load_test.go
@@ -21,7 +21,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := replica.NewTable(time.Second, zap.NewNop())
-		table.Replace([]replica.Entry{{ID: "a", Service: "s", Born: time.UnixMilli(1)}, {ID: "b", Service: "s"}})
+		table.Replace([]replica.Entry{{ID: "a", Service: "s", StartedAt: time.UnixMilli(1)}, {ID: "b", Service: "s"}})
 		loads := []headers.Load{{Running: 2, Waiting: 1, Slowdown: 2}, {Running: 4}}
 		f := &Forwarder{MaxOpen: Unbounded, Table: table}
 		for _, load := range loads {
--- a/internal/requests/quarantine/incarnation_test.go
+++ b/internal/requests/quarantine/incarnation_test.go
@@ -13,7 +13,7 @@
 func incarnations(count int) []string {
 	var names []string
 	for i := range count {
-		entry := replica.Entry{ID: "a", Born: time.UnixMilli(1_764_700_000_000 + int64(i)*1000)}
+		entry := replica.Entry{ID: "a", StartedAt: time.UnixMilli(1_764_700_000_000 + int64(i)*1000)}
 		names = append(names, string(entry.Incarnation()))
 	}
 	return names
