--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -58,7 +58,7 @@
 	key := KeyOf(rep)
 	engine.OthersInFlight = s.table.InFlight(key)
 	engine.Preference = occupancy.Preference(s.self, rep.ID)
-	if own := now.Sub(rep.EventAt); rep.EventTime == 0 || own > ownEventTimeMaxAge {
+	if own := now.Sub(rep.LastEventAt); rep.EventTime == 0 || own > ownEventTimeMaxAge {
 		if eventTime, age := s.table.EventTime(key); eventTime > 0 && (rep.EventTime == 0 || age < own) {
 			engine.EventTime = eventTime
 		}
@@ -146,7 +146,7 @@
 			inFlight := uint32(max(rep.InFlight, 0))
 			demand.InFlight += inFlight
 			report.Counts = append(report.Counts, occupancy.Count{Replica: KeyOf(rep), Requests: inFlight})
-			if age := now.Sub(rep.EventAt); rep.EventTime > 0 && age <= ownEventTimeMaxAge {
+			if age := now.Sub(rep.LastEventAt); rep.EventTime > 0 && age <= ownEventTimeMaxAge {
 				report.Measured = append(report.Measured, occupancy.NewMeasurement(KeyOf(rep), rep.EventTime, age))
 			}
 		}
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -285,7 +285,7 @@
 		})
 	}
 	eventTime := func(own, age time.Duration) time.Duration {
-		rep.EventTime, rep.EventAt = own, now.Add(-age)
+		rep.EventTime, rep.LastEventAt = own, now.Add(-age)
 		return s.withReports(scheduling.Engine{EventTime: own}, rep, now).EventTime
 	}
 	is.Equal(eventTime(0, time.Hour), time.Duration(0))
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -46,7 +46,7 @@
 // eventTimeOf returns the event time of an engine as this daemon has measured it, or as others
 // have since. It is a modelsync.EventTime.
 func (o *occupancyParts) eventTimeOf(e replica.Replica) (eventTime, age time.Duration) {
-	own := time.Since(e.EventAt)
+	own := time.Since(e.LastEventAt)
 	if o == nil {
 		return e.EventTime, own
 	}
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -78,8 +78,8 @@
 	Latency time.Duration
 	// EventTime is the median time between the events of recent streams, 0 if unknown.
 	EventTime time.Duration
-	// EventAt is when the last of these events came, zero if there were none.
-	EventAt time.Time
+	// LastEventAt is when the last of these events came, zero if there were none.
+	LastEventAt time.Time
 	// Slowdown is how much longer than usual work takes there at present, as a ratio, as the
 	// replica reported. The older that is, the nearer it is to 1; it is 1 if nothing is known.
 	Slowdown float64
@@ -285,7 +285,7 @@
 	e := l.learned
 	r := Replica{
 		Entry: l.Entry, InFlight: e.inFlight, AvoidUntil: e.avoidUntil, Declining: e.declines > 0, Probing: e.probing,
-		Latency: e.latency, EventTime: e.eventTimes.value(now), EventAt: e.eventTimes.lastAt,
+		Latency: e.latency, EventTime: e.eventTimes.value(now), LastEventAt: e.eventTimes.lastAt,
 	}
 	if now.Sub(e.reportedAt) <= reportedLoadMaxAge {
 		r.ReportedLoad = e.reportedLoad
