--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -85,8 +85,8 @@
 	Slowdown float64
 }
 
-// listed is an entry with what was learned of its replica.
-type listed struct {
+// listedReplica is an entry with what was learned of its replica.
+type listedReplica struct {
 	Entry
 	learned *replicaStats
 }
@@ -101,9 +101,9 @@
 	now bootclock.Clock
 
 	mu      sync.Mutex
-	entries map[string]*listed
+	entries map[string]*listedReplica
 	// services has the entries of each service, by id.
-	services map[string]map[string]*listed
+	services map[string]map[string]*listedReplica
 	// learned is by incarnation. That of an earlier one stays while requests are under way there.
 	learned map[Incarnation]*replicaStats
 	// newest has the newest incarnation of each id that was listed of late.
@@ -118,7 +118,7 @@
 func NewTable(drainBound time.Duration, logger *zap.Logger) *Table {
 	return &Table{
 		logger: logger, removedGrace: drainBound / 2, now: bootclock.Now,
-		entries: map[string]*listed{}, services: map[string]map[string]*listed{},
+		entries: map[string]*listedReplica{}, services: map[string]map[string]*listedReplica{},
 		learned: map[Incarnation]*replicaStats{}, newest: map[string]Entry{},
 		restarted: func(netip.AddrPort) {}, changed: make(chan struct{}),
 	}
@@ -176,10 +176,10 @@
 		delete(t.services[before.Service], entry.ID)
 	}
 	e := t.statsOf(entry.Incarnation())
-	now := &listed{Entry: entry, learned: e}
+	now := &listedReplica{Entry: entry, learned: e}
 	t.entries[entry.ID] = now
 	if t.services[entry.Service] == nil {
-		t.services[entry.Service] = map[string]*listed{}
+		t.services[entry.Service] = map[string]*listedReplica{}
 	}
 	t.services[entry.Service][entry.ID] = now
 	e.removedAt = time.Time{}
@@ -251,7 +251,7 @@
 			continue
 		}
 		if e.lastEntry.Service == service && !e.lastEntry.Draining && !e.lastEntry.Unusable {
-			found = append(found, (&listed{Entry: e.lastEntry, learned: e}).view(awake))
+			found = append(found, (&listedReplica{Entry: e.lastEntry, learned: e}).view(awake))
 		}
 	}
 	return found
@@ -281,7 +281,7 @@
 }
 
 // view is a replica as it is now.
-func (l *listed) view(now time.Time) Replica {
+func (l *listedReplica) view(now time.Time) Replica {
 	e := l.learned
 	r := Replica{
 		Entry: l.Entry, InFlight: e.inFlight, AvoidUntil: e.avoidUntil, Declining: e.declines > 0, Probing: e.probing,
