--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -88,7 +88,7 @@
 // listedReplica is an entry with what was learned of its replica.
 type listedReplica struct {
 	Entry
-	learned *replicaStats
+	stats *replicaStats
 }
 
 // Table is the daemon's view of all replicas. It is safe for concurrent use.
@@ -176,7 +176,7 @@
 		delete(t.services[before.Service], entry.ID)
 	}
 	e := t.statsOf(entry.Incarnation())
-	now := &listedReplica{Entry: entry, learned: e}
+	now := &listedReplica{Entry: entry, stats: e}
 	t.entries[entry.ID] = now
 	if t.services[entry.Service] == nil {
 		t.services[entry.Service] = map[string]*listedReplica{}
@@ -204,7 +204,7 @@
 	}
 	delete(t.entries, id)
 	delete(t.services[before.Service], id)
-	before.learned.removedAt, before.learned.lastEntry = t.now(), before.Entry
+	before.stats.removedAt, before.stats.lastEntry = t.now(), before.Entry
 	return append(changes, entryChange{before: &before.Entry})
 }
 
@@ -251,7 +251,7 @@
 			continue
 		}
 		if e.lastEntry.Service == service && !e.lastEntry.Draining && !e.lastEntry.Unusable {
-			found = append(found, (&listedReplica{Entry: e.lastEntry, learned: e}).view(awake))
+			found = append(found, (&listedReplica{Entry: e.lastEntry, stats: e}).view(awake))
 		}
 	}
 	return found
@@ -282,7 +282,7 @@
 
 // view is a replica as it is now.
 func (l *listedReplica) view(now time.Time) Replica {
-	e := l.learned
+	e := l.stats
 	r := Replica{
 		Entry: l.Entry, InFlight: e.inFlight, AvoidUntil: e.avoidUntil, Declining: e.declines > 0, Probing: e.probing,
 		Latency: e.latency, EventTime: e.eventTimes.value(now), LastEventAt: e.eventTimes.lastAt,
