--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -49,10 +49,10 @@
 // statsOf returns what was learned of an incarnation. One that is not listed is forgotten like
 // one that is gone. The mutex is held.
 func (t *Table) statsOf(i Incarnation) *replicaStats {
-	e := t.learned[i]
+	e := t.stats[i]
 	if e == nil {
 		e = &replicaStats{versions: map[string]int64{}, removedAt: t.now()}
-		t.learned[i] = e
+		t.stats[i] = e
 	}
 	return e
 }
@@ -177,8 +177,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	maps.DeleteFunc(t.learned, func(_ Incarnation, e *replicaStats) bool {
+	maps.DeleteFunc(t.stats, func(_ Incarnation, e *replicaStats) bool {
 		return !e.removedAt.IsZero() && e.inFlight == 0 && now.Sub(e.removedAt) > statsTTL
 	})
-	maps.DeleteFunc(t.newest, func(_ string, newest Entry) bool { return t.learned[newest.Incarnation()] == nil })
+	maps.DeleteFunc(t.newest, func(_ string, newest Entry) bool { return t.stats[newest.Incarnation()] == nil })
 }
--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -108,7 +108,7 @@
 // there is still counted, for that one. The mutex is held.
 func (t *Table) handleRestart(before, now Entry) {
 	inFlight := 0
-	if e := t.learned[before.Incarnation()]; e != nil {
+	if e := t.stats[before.Incarnation()]; e != nil {
 		inFlight = e.inFlight
 		e.removedAt, e.lastEntry = t.now(), Entry{}
 	}
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -68,7 +68,7 @@
 		is.Equal(seen().InFlight, 0)
 		time.Sleep(statsTTL + time.Second)
 		table.Sweep()
-		is.Equal(len(table.learned), 1)
+		is.Equal(len(table.stats), 1)
 	})
 }
 
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -104,8 +104,8 @@
 	entries map[string]*listedReplica
 	// services has the entries of each service, by id.
 	services map[string]map[string]*listedReplica
-	// learned is by incarnation. That of an earlier one stays while requests are under way there.
-	learned map[Incarnation]*replicaStats
+	// stats is by incarnation. That of an earlier one stays while requests are under way there.
+	stats map[Incarnation]*replicaStats
 	// newest has the newest incarnation of each id that was listed of late.
 	newest map[string]Entry
 	// restarted is called with addresses of replicas that have started again.
@@ -119,7 +119,7 @@
 	return &Table{
 		logger: logger, removedGrace: drainBound / 2, now: bootclock.Now,
 		entries: map[string]*listedReplica{}, services: map[string]map[string]*listedReplica{},
-		learned: map[Incarnation]*replicaStats{}, newest: map[string]Entry{},
+		stats: map[Incarnation]*replicaStats{}, newest: map[string]Entry{},
 		restarted: func(netip.AddrPort) {}, changed: make(chan struct{}),
 	}
 }
@@ -246,7 +246,7 @@
 func (t *Table) justRemoved(service string) []Replica {
 	var found []Replica
 	now, awake := t.now(), time.Now()
-	for _, e := range t.learned {
+	for _, e := range t.stats {
 		if e.removedAt.IsZero() || now.Sub(e.removedAt) > t.removedGrace {
 			continue
 		}
