--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -53,7 +53,7 @@
 // known to have started again, or under which it is listed since: connections that rest
 // there lead to a process that has ended. It is called with the table locked, and must not
 // call the table. It is set before any other method is called.
-func (t *Table) OnRestart(restarted func(address netip.AddrPort)) { t.restarted = restarted }
+func (t *Table) OnRestart(restarted func(address netip.AddrPort)) { t.onRestart = restarted }
 
 // ObserveStart notes what a replica itself says of when it started. It reports whether that is
 // the incarnation that is meant. After a later one, what was known of the replica is forgotten.
@@ -115,8 +115,8 @@
 	t.logger.Info("replica started again", zap.String("replica", now.ID), zap.String("service", now.Service),
 		zap.Stringer("address", now.Address),
 		zap.Time("born", now.StartedAt), zap.Time("before", before.StartedAt), zap.Int("in_flight_before", inFlight))
-	t.restarted(before.Address)
+	t.onRestart(before.Address)
 	if now.Address != before.Address {
-		t.restarted(now.Address)
+		t.onRestart(now.Address)
 	}
 }
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -108,8 +108,8 @@
 	stats map[Incarnation]*replicaStats
 	// newest has the newest incarnation of each id that was listed of late.
 	newest map[string]Entry
-	// restarted is called with addresses of replicas that have started again.
-	restarted func(address netip.AddrPort)
+	// onRestart is called with addresses of replicas that have started again.
+	onRestart func(address netip.AddrPort)
 	changed   chan struct{}
 }
 
@@ -120,7 +120,7 @@
 		logger: logger, removedGrace: drainBound / 2, now: bootclock.Now,
 		entries: map[string]*listedReplica{}, services: map[string]map[string]*listedReplica{},
 		stats: map[Incarnation]*replicaStats{}, newest: map[string]Entry{},
-		restarted: func(netip.AddrPort) {}, changed: make(chan struct{}),
+		onRestart: func(netip.AddrPort) {}, changed: make(chan struct{}),
 	}
 }
 
