--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -234,16 +234,16 @@
 		}
 	}
 	if len(found) == 0 {
-		return t.justRemoved(service)
+		return t.recentlyRemoved(service)
 	}
 	return found
 }
 
-// justRemoved returns the replicas of a service that left the list a moment
+// recentlyRemoved returns the replicas of a service that left the list a moment
 // ago without having said that they leave. After an outage of the platform all
 // entries may be missing until the replicas have written them again. The mutex
 // is held.
-func (t *Table) justRemoved(service string) []Replica {
+func (t *Table) recentlyRemoved(service string) []Replica {
 	var found []Replica
 	now, awake := t.now(), time.Now()
 	for _, e := range t.stats {
