--- a/internal/replicas/replica/pick.go
+++ b/internal/replicas/replica/pick.go
@@ -19,9 +19,9 @@
 	// under way at a replica of six slots. Making one takes the replica's time, and with
 	// hundreds of daemons that each ask seldom, every request would make one.
 	noConnPenalty = 0.2
-	// explorePart is the part of the picks for which connections do not count, so that a
+	// exploreFraction is the part of the picks for which connections do not count, so that a
 	// replica that is new or has recovered gets work from a daemon that asks seldom.
-	explorePart = 0.05
+	exploreFraction = 0.05
 )
 
 // Pick chooses the replica for a plain request: not yet tried, rather not one
@@ -35,7 +35,7 @@
 	best := -1
 	bestScore := 0.0
 	fastest := fastestOf(candidates)
-	exploring := rand.Float64() < explorePart
+	exploring := rand.Float64() < exploreFraction
 	for i := range candidates {
 		r := &candidates[i]
 		if tried[r.ID] {
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -222,7 +222,7 @@
 		count[r.ID]++
 	}
 	is.True(count["b"] > 0)
-	is.True(float64(count["b"]) < picks*explorePart)
+	is.True(float64(count["b"]) < picks*exploreFraction)
 	connected.InFlight = 2
 	r, _ := Pick([]Replica{connected, added}, nil, time.Now())
 	is.Equal(r.ID, "b")
