--- a/internal/replicas/replica/pick.go
+++ b/internal/replicas/replica/pick.go
@@ -13,8 +13,8 @@
 	// latencyUnit is by how much longer a replica's answers must take for it to count like
 	// one whose slots are all in use.
 	latencyUnit = 200 * time.Millisecond
-	// jitter bounds what chance adds, so that daemons do not all pick the same.
-	jitter = 0.05
+	// maxJitter bounds what chance adds, so that daemons do not all pick the same.
+	maxJitter = 0.05
 	// noConnPenalty is added where a connection must be made: a little more than one request
 	// under way at a replica of six slots. Making one takes the replica's time, and with
 	// hundreds of daemons that each ask seldom, every request would make one.
@@ -86,5 +86,5 @@
 	if now.Before(r.AvoidUntil) {
 		score += avoidPenalty + r.AvoidUntil.Sub(now).Seconds()
 	}
-	return score + rand.Float64()*jitter
+	return score + rand.Float64()*maxJitter
 }
