--- a/internal/replicas/replica/pick.go
+++ b/internal/replicas/replica/pick.go
@@ -34,7 +34,7 @@
 func Pick(candidates []Replica, tried map[string]bool, now time.Time) (Replica, bool) {
 	best := -1
 	bestScore := 0.0
-	fastest := fastestOf(candidates)
+	fastest := minLatency(candidates)
 	exploring := rand.Float64() < exploreFraction
 	for i := range candidates {
 		r := &candidates[i]
@@ -60,8 +60,8 @@
 	return r, true
 }
 
-// fastestOf returns the lowest latency known, or 0.
-func fastestOf(candidates []Replica) time.Duration {
+// minLatency returns the lowest latency known, or 0.
+func minLatency(candidates []Replica) time.Duration {
 	fastest := time.Duration(0)
 	for i := range candidates {
 		if latency := candidates[i].Latency; latency > 0 && (fastest == 0 || latency < fastest) {
