--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -232,7 +232,7 @@
 		is.Equal(shareOf(), 0.0)
 		time.Sleep(slowdownHalfLife)
 		is.Equal(paceOf(), 2.0)
-		time.Sleep(slowdownLifetime)
+		time.Sleep(slowdownMaxAge)
 		is.Equal(paceOf(), 1.0)
 		is.True(shareOf() > 0.3)
 		table.ReportSlowdown("a", 1e6)
--- a/internal/replicas/replica/slowdown.go
+++ b/internal/replicas/replica/slowdown.go
@@ -10,8 +10,8 @@
 	// runs on the replica's machine changes many times a second, so that an answer
 	// older than some of these says nothing of now.
 	slowdownHalfLife = 100 * time.Millisecond
-	// slowdownLifetime is after how long it counts no more.
-	slowdownLifetime = 5 * slowdownHalfLife
+	// slowdownMaxAge is after how long it counts no more.
+	slowdownMaxAge = 5 * slowdownHalfLife
 	// minSlowdown and maxSlowdown bound what counts: one answer must neither draw
 	// all requests to a replica nor keep all from it.
 	minSlowdown, maxSlowdown = 0.5, 4.0
@@ -28,7 +28,7 @@
 // none that counts.
 func (w slowdown) value(now time.Time) float64 {
 	age := now.Sub(w.at)
-	if w.reported <= 0 || age > slowdownLifetime {
+	if w.reported <= 0 || age > slowdownMaxAge {
 		return 1
 	}
 	weight := math.Exp2(-float64(age) / float64(slowdownHalfLife))
