--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -14,12 +14,12 @@
 	"woodworks/internal/daemon/bootclock/clocktest"
 )
 
-var firstBorn = time.UnixMilli(1_764_700_000_000)
+var firstStart = time.UnixMilli(1_764_700_000_000)
 
 // started is an entry of the given start, which holds a version.
 func started(id string, start int, version int64) Entry {
 	e := entry(id)
-	e.StartedAt = firstBorn.Add(time.Duration(start) * time.Second)
+	e.StartedAt = firstStart.Add(time.Duration(start) * time.Second)
 	e.Versions = map[string]int64{"m": version}
 	return e
 }
@@ -168,7 +168,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				of := started("a", rapid.IntRange(0, 3).Draw(t, "start"), rapid.Int64Range(1, 9).Draw(t, "version"))
-				number := int(of.StartedAt.Sub(firstBorn).Seconds())
+				number := int(of.StartedAt.Sub(firstStart).Seconds())
 				table.Set(of)
 				if number >= newest {
 					newest, listed = number, true
