--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -16,8 +16,8 @@
 
 var firstStart = time.UnixMilli(1_764_700_000_000)
 
-// started is an entry of the given start, which holds a version.
-func started(id string, start int, version int64) Entry {
+// startedEntry is an entry of the given start, which holds a version.
+func startedEntry(id string, start int, version int64) Entry {
 	e := entry(id)
 	e.StartedAt = firstStart.Add(time.Duration(start) * time.Second)
 	e.Versions = map[string]int64{"m": version}
@@ -31,7 +31,7 @@
 		is := is.New(t)
 		table := NewTable(drainBound, zap.NewNop())
 		table.now = clocktest.New().Now
-		table.Set(started("a", 0, 9))
+		table.Set(startedEntry("a", 0, 9))
 		seen := func() Replica { return table.Replicas("s")[0] }
 		before := seen()
 		for range 3 {
@@ -46,7 +46,7 @@
 		}
 		time.Sleep(minFailureBackoff)
 		table.RequestDeclined(before.Incarnation())
-		table.Set(started("a", 1, 2))
+		table.Set(startedEntry("a", 1, 2))
 		now := seen()
 		is.True(now.Incarnation() != before.Incarnation())
 		is.Equal(now.Versions, map[string]int64{"m": 2})
@@ -77,8 +77,8 @@
 	is := is.New(t)
 	core, logs := observer.New(zap.InfoLevel)
 	table := NewTable(drainBound, zap.New(core))
-	table.Set(started("a", 1, 2))
-	old := started("a", 0, 9)
+	table.Set(startedEntry("a", 1, 2))
+	old := startedEntry("a", 0, 9)
 	old.Draining = true
 	table.Set(old)
 	table.Replace([]Entry{old, entry("b")})
@@ -97,7 +97,7 @@
 func TestAnEntryWithoutAStart(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(drainBound, zap.NewNop())
-	table.Set(started("a", 1, 2))
+	table.Set(startedEntry("a", 1, 2))
 	i := table.Replicas("s")[0].Incarnation()
 	table.Set(entry("a"))
 	is.Equal(table.Replicas("s")[0].Incarnation(), i)
@@ -111,17 +111,17 @@
 	other := netip.MustParseAddrPort("10.0.0.2:80")
 	var told []netip.AddrPort
 	table.OnRestart(func(address netip.AddrPort) { told = append(told, address) })
-	table.Set(started("a", 0, 1))
-	table.Set(started("a", 0, 2))
+	table.Set(startedEntry("a", 0, 1))
+	table.Set(startedEntry("a", 0, 2))
 	is.Equal(len(told), 0)
-	table.Set(started("a", 1, 1))
+	table.Set(startedEntry("a", 1, 1))
 	is.Equal(told, []netip.AddrPort{address})
-	moved := started("a", 2, 1)
+	moved := startedEntry("a", 2, 1)
 	moved.Address = other
 	table.Set(moved)
 	is.Equal(told, []netip.AddrPort{address, address, other})
 	table.Remove("a")
-	table.Set(started("a", 3, 1))
+	table.Set(startedEntry("a", 3, 1))
 	is.Equal(told, []netip.AddrPort{address, address, other, other, address})
 }
 
@@ -129,18 +129,18 @@
 func TestAReplicaSaysThatItStartedAgain(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(drainBound, zap.NewNop())
-	table.Set(started("a", 1, 9))
+	table.Set(startedEntry("a", 1, 9))
 	meant, _ := table.Get("a")
 	is.True(table.ObserveStart(meant, time.Time{}))
 	is.True(table.ObserveStart(meant, meant.StartedAt))
-	is.True(!table.ObserveStart(meant, started("a", 0, 9).StartedAt)) // its answer is late
+	is.True(!table.ObserveStart(meant, startedEntry("a", 0, 9).StartedAt)) // its answer is late
 	is.Equal(table.Replicas("s")[0].Incarnation(), meant.Incarnation())
-	later := started("a", 2, 1)
+	later := startedEntry("a", 2, 1)
 	is.True(!table.ObserveStart(meant, later.StartedAt))
 	now := table.Replicas("s")[0]
 	is.Equal(now.Incarnation(), later.Incarnation())
 	is.Equal(len(now.Versions), 0)
-	table.Set(started("a", 1, 9)) // the entry of before
+	table.Set(startedEntry("a", 1, 9)) // the entry of before
 	is.Equal(table.Replicas("s")[0].Incarnation(), later.Incarnation())
 	table.Set(later)
 	is.Equal(table.Replicas("s")[0].Versions, map[string]int64{"m": 1})
@@ -152,7 +152,7 @@
 		is.Equal(name.ID(), id)
 		is.Equal(name.HasStartTime(), string(name) != id)
 	}
-	is.Equal(started("a", 0, 1).Incarnation(), Incarnation("a@1764700000000"))
+	is.Equal(startedEntry("a", 0, 1).Incarnation(), Incarnation("a@1764700000000"))
 	is.Equal(entry("a").Incarnation(), Incarnation("a"))
 }
 
@@ -167,7 +167,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				of := started("a", rapid.IntRange(0, 3).Draw(t, "start"), rapid.Int64Range(1, 9).Draw(t, "version"))
+				of := startedEntry("a", rapid.IntRange(0, 3).Draw(t, "start"), rapid.Int64Range(1, 9).Draw(t, "version"))
 				number := int(of.StartedAt.Sub(firstStart).Seconds())
 				table.Set(of)
 				if number >= newest {
@@ -195,7 +195,7 @@
 			if ok != listed {
 				t.Fatalf("listed %v, should be %v", ok, listed)
 			}
-			if ok && (now.Incarnation() != started("a", newest, 0).Incarnation() || now.InFlight != underWay[now.Incarnation()] || now.Versions["m"] != held[now.Incarnation()]) {
+			if ok && (now.Incarnation() != startedEntry("a", newest, 0).Incarnation() || now.InFlight != underWay[now.Incarnation()] || now.Versions["m"] != held[now.Incarnation()]) {
 				t.Fatalf("%s: %d under way, holds %d; should be %d, %d", now.Incarnation(), now.InFlight, now.Versions["m"], underWay[now.Incarnation()], held[now.Incarnation()])
 			}
 		}
@@ -256,7 +256,7 @@
 // Each event of a text is told to the table by its start.
 func BenchmarkPaced(b *testing.B) {
 	table := NewTable(drainBound, zap.NewNop())
-	table.Set(started("a", 0, 1))
+	table.Set(startedEntry("a", 0, 1))
 	r, _ := table.Get("a")
 	for b.Loop() {
 		table.ObserveEvent(r.Incarnation(), time.Millisecond)
@@ -264,7 +264,7 @@
 }
 
 func BenchmarkStart(b *testing.B) {
-	chosen := started("engine-0123456789", 0, 1)
+	chosen := startedEntry("engine-0123456789", 0, 1)
 	for b.Loop() {
 		_ = chosen.Incarnation()
 	}
