--- a/internal/replicas/replica/eventtime.go
+++ b/internal/replicas/replica/eventtime.go
@@ -59,14 +59,14 @@
 // RollingMin is the best event time of the present span and of the one before. The zero value
 // knows none.
 type RollingMin struct {
-	minima [2]time.Duration
-	since  time.Time
+	minima      [2]time.Duration
+	windowStart time.Time
 }
 
 // Observe takes an event time into account. Span is over how long at least the best one counts.
 func (b *RollingMin) Observe(eventTime, span time.Duration, now time.Time) {
-	if b.minima[0] == 0 || now.Sub(b.since) > span {
-		b.minima, b.since = [2]time.Duration{eventTime, b.minima[0]}, now
+	if b.minima[0] == 0 || now.Sub(b.windowStart) > span {
+		b.minima, b.windowStart = [2]time.Duration{eventTime, b.minima[0]}, now
 	}
 	b.minima[0] = min(b.minima[0], eventTime)
 }
