--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -12,7 +12,7 @@
 	// time doubles with each decline in a row, up to maxDeclinePause. An engine
 	// declines for as long as it changes its weights.
 	minDeclineBackoff = 120 * time.Millisecond
-	maxDeclinePause   = 300 * time.Millisecond
+	maxDeclineBackoff = 300 * time.Millisecond
 	// minFailureBackoff is how long others are preferred after a failure; it doubles with each one in
 	// a row, up to maxAvoid.
 	minFailureBackoff = 200 * time.Millisecond
@@ -150,7 +150,7 @@
 	if now.Before(e.avoidUntil) {
 		return
 	}
-	e.avoidUntil = now.Add(min(minDeclineBackoff<<min(e.declines, 4), maxDeclinePause))
+	e.avoidUntil = now.Add(min(minDeclineBackoff<<min(e.declines, 4), maxDeclineBackoff))
 	e.declines++
 }
 
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -163,7 +163,7 @@
 		for range 6 {
 			decline()
 		}
-		for _, pause := range []time.Duration{minDeclineBackoff, 2 * minDeclineBackoff, maxDeclinePause, maxDeclinePause} {
+		for _, pause := range []time.Duration{minDeclineBackoff, 2 * minDeclineBackoff, maxDeclineBackoff, maxDeclineBackoff} {
 			is.Equal(time.Until(seen().AvoidUntil), pause)
 			time.Sleep(pause)
 			is.True(seen().Declining)
@@ -173,7 +173,7 @@
 			decline()
 			is.True(!seen().Probing)
 		}
-		time.Sleep(maxDeclinePause)
+		time.Sleep(maxDeclineBackoff)
 		attempt()
 		table.RequestAccepted("e")
 		is.True(!seen().Probing)
