--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -16,7 +16,7 @@
 	// minFailureBackoff is how long others are preferred after a failure; it doubles with each one in
 	// a row, up to maxAvoid.
 	minFailureBackoff = 200 * time.Millisecond
-	maxAvoid          = 3 * time.Second
+	maxFailureBackoff = 3 * time.Second
 	// reportedLoadMaxAge is how long a load counts that an answer reported: requests to plain
 	// replicas take some tens of milliseconds.
 	reportedLoadMaxAge = 100 * time.Millisecond
@@ -126,7 +126,7 @@
 	e := t.statsOf(i)
 	e.failures++
 	avoid := minFailureBackoff << min(e.failures-1, 6)
-	e.avoidUntil = time.Now().Add(min(avoid, maxAvoid))
+	e.avoidUntil = time.Now().Add(min(avoid, maxFailureBackoff))
 }
 
 // AvoidFor notes that a replica declined a short request: others are preferred for
