--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -36,9 +36,9 @@
 	latency    time.Duration
 	eventTimes eventTimeEstimate
 	// reportedLoad is the load that an answer reportedLoad at reportedAt.
-	reportedLoad int
-	reportedAt   time.Time
-	slowdown     slowdown
+	reportedLoad   int
+	reportedLoadAt time.Time
+	slowdown       slowdown
 	// versions is never changed, only replaced: readers hold it.
 	versions  map[string]int64
 	removedAt time.Time
@@ -101,7 +101,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.statsOf(i)
-	e.reportedLoad, e.reportedAt = requests, time.Now()
+	e.reportedLoad, e.reportedLoadAt = requests, time.Now()
 }
 
 // ObserveEvent notes the time between two events of a stream.
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -287,7 +287,7 @@
 		Entry: l.Entry, InFlight: e.inFlight, AvoidUntil: e.avoidUntil, Declining: e.declines > 0, Probing: e.probing,
 		Latency: e.latency, EventTime: e.eventTimes.value(now), LastEventAt: e.eventTimes.lastAt,
 	}
-	if now.Sub(e.reportedAt) <= reportedLoadMaxAge {
+	if now.Sub(e.reportedLoadAt) <= reportedLoadMaxAge {
 		r.ReportedLoad = e.reportedLoad
 	}
 	r.Slowdown = e.slowdown.value(now)
