--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -28,7 +28,7 @@
 		return
 	}
 	if drivers.Duties.Duties().Fleet {
-		n.fleet = fleet.NewManager(fleet.Parts{
+		n.fleet = fleet.NewManager(fleet.Deps{
 			Journal: drivers.Journal, Lease: n.lease, Driver: drivers.Duties, Holder: n.settings.Name,
 			Table: n.table, List: n.replicaFollower, Configuration: n.operator.Configuration, Demands: n.demands,
 		}, n.logger)
--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -18,7 +18,7 @@
 // did just before it ended.
 func (s *stage) leaveOrders(ctx context.Context, is *is.I, clockError time.Duration) {
 	is.Helper()
-	m := NewManager(Parts{Journal: s.log, Lease: s, Driver: s}, zap.NewNop())
+	m := NewManager(Deps{Journal: s.log, Lease: s, Driver: s}, zap.NewNop())
 	for _, zone := range []string{"a", "b", "c"} {
 		is.NoErr(m.record(ctx, orderRecord{Service: "s", Zone: zone, Desired: 6, AtMs: time.Now().Add(clockError).UnixMilli()}))
 	}
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -44,8 +44,8 @@
 // interval, at last what a platform that takes orders again may wait for the next one.
 var orderPauses = backoff.Bounds{First: 300 * time.Millisecond, Longest: 5 * time.Second}
 
-// Parts are what a manager works with.
-type Parts struct {
+// Deps are what a manager works with.
+type Deps struct {
 	Journal journal.Journal
 	Lease   lease.Fencer
 	Driver  duty.Driver
@@ -62,7 +62,7 @@
 
 // Manager orders replicas while it may act.
 type Manager struct {
-	Parts
+	Deps
 	logger *zap.Logger
 
 	// ordered is what was ordered; it is read when this daemon begins to act.
@@ -84,9 +84,9 @@
 }
 
 // NewManager returns a manager.
-func NewManager(parts Parts, logger *zap.Logger) *Manager {
+func NewManager(parts Deps, logger *zap.Logger) *Manager {
 	return &Manager{
-		Parts: parts, logger: logger, newest: map[serviceZone]observedOrder{},
+		Deps: parts, logger: logger, newest: map[serviceZone]observedOrder{},
 		lowSince: map[string]time.Time{}, seen: map[serviceZone]seenCount{},
 	}
 }
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -103,7 +103,7 @@
 }
 
 func (s *stage) start(ctx context.Context, logger *zap.Logger) *Manager {
-	m := NewManager(Parts{Journal: s.log, Lease: s, Driver: s, Holder: "d", Table: s.table, List: s, Configuration: s.configuration, Demands: s.demands}, logger)
+	m := NewManager(Deps{Journal: s.log, Lease: s, Driver: s, Holder: "d", Table: s.table, List: s, Configuration: s.configuration, Demands: s.demands}, logger)
 	go m.Run(ctx)
 	return m
 }
