--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -44,7 +44,7 @@
 func TestASuccessorWaitsForWhatWasOrderedWhateverTheClock(t *testing.T) {
 	succeed(t, func(is *is.I, s *stage) {
 		is.Equal(Need(Input{Slots: 6, Loads: loadsOf(240)}), 18) // six in each zone
-		time.Sleep(s.boot() + bootMargin - lookInterval)
+		time.Sleep(s.boot() + bootMargin - planInterval)
 		is.Equal(s.taken(), []duty.Fleet(nil))
 	})
 }
@@ -53,7 +53,7 @@
 // the time of day of the daemon that ordered them.
 func TestASuccessorMissesWhatNeverComesWhateverTheClock(t *testing.T) {
 	succeed(t, func(is *is.I, s *stage) {
-		time.Sleep(s.boot() + bootMargin + renewInterval + lookInterval)
+		time.Sleep(s.boot() + bootMargin + renewInterval + planInterval)
 		is.True(len(s.taken()) > 0)
 	})
 }
@@ -62,15 +62,15 @@
 // do not become new by that.
 func TestOrdersDoNotBecomeNewWithEachReading(t *testing.T) {
 	succeed(t, func(is *is.I, s *stage) {
-		end := time.Now().Add(s.boot() + bootMargin + renewInterval + lookInterval)
+		end := time.Now().Add(s.boot() + bootMargin + renewInterval + planInterval)
 		for time.Now().Before(end) {
 			s.set(func() { s.held = true })
-			time.Sleep(4 * lookInterval)
+			time.Sleep(4 * planInterval)
 			s.set(func() { s.held = false })
-			time.Sleep(2 * lookInterval)
+			time.Sleep(2 * planInterval)
 		}
 		s.set(func() { s.held = true })
-		time.Sleep(2 * lookInterval)
+		time.Sleep(2 * planInterval)
 		is.True(len(s.taken()) > 0)
 	})
 }
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -34,8 +34,8 @@
 )
 
 const (
-	// lookInterval is the time between two looks for orders that are due.
-	lookInterval = 250 * time.Millisecond
+	// planInterval is the time between two looks for orders that are due.
+	planInterval = 250 * time.Millisecond
 	// callTimeout bounds one call to the platform.
 	callTimeout = 800 * time.Millisecond
 )
@@ -92,7 +92,7 @@
 }
 
 // Run orders replicas until the context ends.
-func (m *Manager) Run(ctx context.Context) { periodic.Every(ctx, lookInterval, m.step) }
+func (m *Manager) Run(ctx context.Context) { periodic.Every(ctx, planInterval, m.step) }
 
 // step makes the orders that are due, if the lease lets this daemon act.
 func (m *Manager) step(ctx context.Context) {
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -175,7 +175,7 @@
 			}
 		}
 		s.set(func() { s.contact, s.held = time.Time{}, true })
-		time.Sleep(settledAfter - 2*lookInterval)
+		time.Sleep(settledAfter - 2*planInterval)
 		is.Equal(len(s.taken()), 0)
 		time.Sleep(time.Second)
 		for _, each := range s.taken() {
@@ -197,7 +197,7 @@
 		s.set(func() { s.answer = nil })
 		// Shorter than a replica may take to start: none does here, and other zones would
 		// make up for it.
-		time.Sleep(orderPauses.Longest + 2*lookInterval)
+		time.Sleep(orderPauses.Longest + 2*planInterval)
 		is.Equal(sum(s.taken()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
 	})
 }
--- a/internal/replicas/fleet/plan_test.go
+++ b/internal/replicas/fleet/plan_test.go
@@ -125,7 +125,7 @@
 func (p *platform) run(loads []Load, from time.Time, length time.Duration) (enoughAfter time.Duration) {
 	enoughAfter = -1
 	lowSince := time.Time{}
-	for now := from; now.Before(from.Add(length)); now = now.Add(lookInterval) {
+	for now := from; now.Before(from.Add(length)); now = now.Add(planInterval) {
 		in := Input{Scaling: p.scaling, Slots: 6, Zones: p.zones, Loads: loads, Now: now, LowSince: lowSince}
 		switch {
 		case !Low(in):
@@ -160,11 +160,11 @@
 	p := &platform{scaling: scaling(24), zones: []Zone{{Name: "a", Present: 3}, {Name: "b", Present: 3}, {Name: "c", Present: 3}}}
 	need := func(items int) int { return Need(Input{Slots: 6, Loads: loadsOf(items)}) }
 	now := testStart
-	is.True(p.run(loadsOf(240), now, 30*time.Second) <= p.scaling.Boot+2*lookInterval)
+	is.True(p.run(loadsOf(240), now, 30*time.Second) <= p.scaling.Boot+2*planInterval)
 	is.Equal(p.present(), need(240))
 	is.Equal(p.orders, 2) // zones have different prices
 	now = now.Add(30 * time.Second)
-	is.True(p.run(loadsOf(480), now, 30*time.Second) <= p.scaling.Boot+2*lookInterval)
+	is.True(p.run(loadsOf(480), now, 30*time.Second) <= p.scaling.Boot+2*planInterval)
 	is.Equal(p.present(), need(480))
 	is.True(p.orders <= 6)
 	for _, z := range p.zones {
@@ -186,7 +186,7 @@
 	is := is.New(t)
 	zone := Zone{Name: "a", Present: 3, Seen: 3, Ordered: 24, OrderedAt: testStart}
 	orders := 0
-	for now := testStart; now.Before(testStart.Add(time.Minute)); now = now.Add(lookInterval) {
+	for now := testStart; now.Before(testStart.Add(time.Minute)); now = now.Add(planInterval) {
 		in := Input{Scaling: scaling(24), Slots: 6, Zones: []Zone{zone}, Loads: loadsOf(480), Now: now}
 		for _, order := range Plan(in) {
 			is.Equal(order.Desired, 24)
