--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -40,9 +40,9 @@
 	callTimeout = 800 * time.Millisecond
 )
 
-// orderPauses are the pauses after orders that failed: at first a little more than a look's
+// orderBackoff are the pauses after orders that failed: at first a little more than a look's
 // interval, at last what a platform that takes orders again may wait for the next one.
-var orderPauses = backoff.Bounds{First: 300 * time.Millisecond, Longest: 5 * time.Second}
+var orderBackoff = backoff.Bounds{First: 300 * time.Millisecond, Longest: 5 * time.Second}
 
 // Deps are what a manager works with.
 type Deps struct {
@@ -195,7 +195,7 @@
 		zap.Stringers("loads", in.Loads), zap.Int64("fence", fence), zap.Error(err))
 	if err != nil {
 		m.Failed.Add(1)
-		m.rest.Failed(orderPauses, time.Now())
+		m.rest.Failed(orderBackoff, time.Now())
 		// It has to be ordered again.
 		delete(m.ordered, key)
 		return false
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -197,7 +197,7 @@
 		s.set(func() { s.answer = nil })
 		// Shorter than a replica may take to start: none does here, and other zones would
 		// make up for it.
-		time.Sleep(orderPauses.Longest + 2*planInterval)
+		time.Sleep(orderBackoff.Longest + 2*planInterval)
 		is.Equal(sum(s.taken()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
 	})
 }
