--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -65,8 +65,8 @@
 	Deps
 	logger *zap.Logger
 
-	// ordered is what was ordered; it is read when this daemon begins to act.
-	ordered map[serviceZone]observedOrder
+	// lastOrders is what was lastOrders; it is read when this daemon begins to act.
+	lastOrders map[serviceZone]observedOrder
 	// newest are the newest orders that were ever seen. They outlive the lease, so that an
 	// order does not become new by being read again.
 	newest map[serviceZone]observedOrder
@@ -105,7 +105,7 @@
 	settled := m.settled(now)
 	present := m.presentOf(configuration, now)
 	if _, _, may := m.Lease.Fence(); !may {
-		m.ordered = nil
+		m.lastOrders = nil
 		return
 	}
 	if !settled || !m.rest.Over(now) || !m.read(ctx) {
@@ -132,7 +132,7 @@
 		if key.service != service.Name {
 			continue
 		}
-		last := m.ordered[key]
+		last := m.lastOrders[key]
 		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, Seen: m.seen[key].count,
 			Ordered: last.Desired, OrderedAt: last.at})
 	}
@@ -184,7 +184,7 @@
 	err := m.record(ctx, rec)
 	fence := int64(0)
 	if err == nil {
-		m.ordered[key] = m.observe(key, rec, in.Now)
+		m.lastOrders[key] = m.observe(key, rec, in.Now)
 		fence, err = lease.Act(ctx, m.Lease, callTimeout, func(ctx context.Context, fence int64) error {
 			return m.Driver.OrderFleet(ctx, duty.Authority{Holder: m.Holder, Fence: fence},
 				duty.Fleet{Service: service, Zone: order.Zone, Desired: order.Desired})
@@ -197,7 +197,7 @@
 		m.Failed.Add(1)
 		m.rest.Failed(orderBackoff, time.Now())
 		// It has to be ordered again.
-		delete(m.ordered, key)
+		delete(m.lastOrders, key)
 		return false
 	}
 	m.Ordered.Add(1)
--- a/internal/replicas/fleet/orders.go
+++ b/internal/replicas/fleet/orders.go
@@ -59,7 +59,7 @@
 
 // read learns what was ordered, when this daemon begins to act.
 func (m *Manager) read(ctx context.Context) bool {
-	if m.ordered != nil {
+	if m.lastOrders != nil {
 		return true
 	}
 	records, _, err := journal.ReadNewest(ctx, m.Journal, partition, journalTimeout)
@@ -67,7 +67,7 @@
 		m.logger.Info("orders for replicas not read", zap.Error(err))
 		return false
 	}
-	m.ordered = map[serviceZone]observedOrder{}
+	m.lastOrders = map[serviceZone]observedOrder{}
 	for _, r := range records {
 		var rec orderRecord
 		if err := cbor.Unmarshal(r.Value, &rec); err != nil {
@@ -75,7 +75,7 @@
 			continue
 		}
 		key := serviceZone{rec.Service, rec.Zone}
-		m.ordered[key] = m.observe(key, rec, time.Now())
+		m.lastOrders[key] = m.observe(key, rec, time.Now())
 	}
 	return true
 }
