--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -67,9 +67,9 @@
 
 	// lastOrders is what was lastOrders; it is read when this daemon begins to act.
 	lastOrders map[serviceZone]observedOrder
-	// newest are the newest orders that were ever seen. They outlive the lease, so that an
+	// newestOrders are the newestOrders orders that were ever seen. They outlive the lease, so that an
 	// order does not become new by being read again.
-	newest map[serviceZone]observedOrder
+	newestOrders map[serviceZone]observedOrder
 	// lowSince is since when each service has needed fewer replicas.
 	lowSince map[string]time.Time
 	// unsettledAt is when the list was last seen to be old.
@@ -86,7 +86,7 @@
 // NewManager returns a manager.
 func NewManager(parts Deps, logger *zap.Logger) *Manager {
 	return &Manager{
-		Deps: parts, logger: logger, newest: map[serviceZone]observedOrder{},
+		Deps: parts, logger: logger, newestOrders: map[serviceZone]observedOrder{},
 		lowSince: map[string]time.Time{}, seen: map[serviceZone]seenCount{},
 	}
 }
--- a/internal/replicas/fleet/orders.go
+++ b/internal/replicas/fleet/orders.go
@@ -51,10 +51,10 @@
 
 // observe returns an order with when it was first seen.
 func (m *Manager) observe(key serviceZone, rec orderRecord, now time.Time) observedOrder {
-	if m.newest[key].orderRecord != rec {
-		m.newest[key] = observedOrder{rec, now}
+	if m.newestOrders[key].orderRecord != rec {
+		m.newestOrders[key] = observedOrder{rec, now}
 	}
-	return m.newest[key]
+	return m.newestOrders[key]
 }
 
 // read learns what was ordered, when this daemon begins to act.
