--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -72,8 +72,8 @@
 	newestOrders map[serviceZone]observedOrder
 	// lowSince is since when each service has needed fewer replicas.
 	lowSince map[string]time.Time
-	// unsettledAt is when the list was last seen to be old.
-	unsettledAt time.Time
+	// listStaleAt is when the list was last seen to be old.
+	listStaleAt time.Time
 	// seen are the replicas listed of late.
 	seen map[serviceZone]seenCount
 	// rest is the pause after orders that failed.
--- a/internal/replicas/fleet/listed.go
+++ b/internal/replicas/fleet/listed.go
@@ -30,9 +30,9 @@
 // settled reports whether the list of replicas has been followed for a while.
 func (m *Manager) settled(now time.Time) bool {
 	if m.List.Silence() > maxListAge {
-		m.unsettledAt = now
+		m.listStaleAt = now
 	}
-	return now.Sub(m.unsettledAt) >= settledAfter
+	return now.Sub(m.listStaleAt) >= settledAfter
 }
 
 // presentOf counts the replicas listed of the services whose replicas may be ordered, and
