--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -74,8 +74,8 @@
 	lowSince map[string]time.Time
 	// listStaleAt is when the list was last seen to be old.
 	listStaleAt time.Time
-	// seen are the replicas listed of late.
-	seen map[serviceZone]seenCount
+	// recentMax are the replicas listed of late.
+	recentMax map[serviceZone]seenCount
 	// rest is the pause after orders that failed.
 	rest backoff.Rest
 
@@ -87,7 +87,7 @@
 func NewManager(parts Deps, logger *zap.Logger) *Manager {
 	return &Manager{
 		Deps: parts, logger: logger, newestOrders: map[serviceZone]observedOrder{},
-		lowSince: map[string]time.Time{}, seen: map[serviceZone]seenCount{},
+		lowSince: map[string]time.Time{}, recentMax: map[serviceZone]seenCount{},
 	}
 }
 
@@ -133,7 +133,7 @@
 			continue
 		}
 		last := m.lastOrders[key]
-		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, Seen: m.seen[key].count,
+		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, Seen: m.recentMax[key].count,
 			Ordered: last.Desired, OrderedAt: last.at})
 	}
 	// By name, so that plans do not depend on chance.
--- a/internal/replicas/fleet/listed.go
+++ b/internal/replicas/fleet/listed.go
@@ -53,8 +53,8 @@
 		}
 	}
 	for key, count := range present {
-		if last := m.seen[key]; count >= last.count || now.Sub(last.at) > seenSpan {
-			m.seen[key] = seenCount{count, now}
+		if last := m.recentMax[key]; count >= last.count || now.Sub(last.at) > seenSpan {
+			m.recentMax[key] = seenCount{count, now}
 		}
 	}
 	return present
