--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -76,8 +76,8 @@
 	listStaleAt time.Time
 	// recentMax are the replicas listed of late.
 	recentMax map[serviceZone]seenCount
-	// rest is the pause after orders that failed.
-	rest backoff.Rest
+	// backoff is the pause after orders that failed.
+	backoff backoff.Rest
 
 	// Ordered counts the orders that the platform took from this daemon, Failed those that failed.
 	Ordered, Failed atomic.Uint64
@@ -108,7 +108,7 @@
 		m.lastOrders = nil
 		return
 	}
-	if !settled || !m.rest.Over(now) || !m.read(ctx) {
+	if !settled || !m.backoff.Over(now) || !m.read(ctx) {
 		return
 	}
 	for _, service := range configuration.Services {
@@ -195,12 +195,12 @@
 		zap.Stringers("loads", in.Loads), zap.Int64("fence", fence), zap.Error(err))
 	if err != nil {
 		m.Failed.Add(1)
-		m.rest.Failed(orderBackoff, time.Now())
+		m.backoff.Failed(orderBackoff, time.Now())
 		// It has to be ordered again.
 		delete(m.lastOrders, key)
 		return false
 	}
 	m.Ordered.Add(1)
-	m.rest.Succeeded()
+	m.backoff.Succeeded()
 	return true
 }
