--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -79,8 +79,8 @@
 	// backoff is the pause after orders that failed.
 	backoff backoff.Rest
 
-	// Ordered counts the orders that the platform took from this daemon, Failed those that failed.
-	Ordered, Failed atomic.Uint64
+	// OrdersAccepted counts the orders that the platform took from this daemon, Failed those that failed.
+	OrdersAccepted, Failed atomic.Uint64
 }
 
 // NewManager returns a manager.
@@ -200,7 +200,7 @@
 		delete(m.lastOrders, key)
 		return false
 	}
-	m.Ordered.Add(1)
+	m.OrdersAccepted.Add(1)
 	m.backoff.Succeeded()
 	return true
 }
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -193,7 +193,7 @@
 		failed := len(s.taken())
 		is.True(failed >= 4)
 		is.True(failed <= 24) // backed off
-		is.Equal(m.Ordered.Load(), uint64(0))
+		is.Equal(m.OrdersAccepted.Load(), uint64(0))
 		s.set(func() { s.answer = nil })
 		// Shorter than a replica may take to start: none does here, and other zones would
 		// make up for it.
