--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -65,7 +65,7 @@
 	if n.fleet != nil {
 		metrics.Counter(n.metrics, "fleet_orders_total",
 			"Orders for replicas that the platform took from this daemon.", n.fleet.OrdersAccepted.Load)
-		metrics.Counter(n.metrics, "fleet_orders_failed_total", "Orders for replicas that failed.", n.fleet.Failed.Load)
+		metrics.Counter(n.metrics, "fleet_orders_failed_total", "Orders for replicas that failed.", n.fleet.OrdersFailed.Load)
 	}
 }
 
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -79,8 +79,8 @@
 	// backoff is the pause after orders that failed.
 	backoff backoff.Rest
 
-	// OrdersAccepted counts the orders that the platform took from this daemon, Failed those that failed.
-	OrdersAccepted, Failed atomic.Uint64
+	// OrdersAccepted counts the orders that the platform took from this daemon, OrdersFailed those that failed.
+	OrdersAccepted, OrdersFailed atomic.Uint64
 }
 
 // NewManager returns a manager.
@@ -194,7 +194,7 @@
 		zap.Int("desired", order.Desired), zap.Int("need", Need(in)), zap.Stringers("zones", in.Zones),
 		zap.Stringers("loads", in.Loads), zap.Int64("fence", fence), zap.Error(err))
 	if err != nil {
-		m.Failed.Add(1)
+		m.OrdersFailed.Add(1)
 		m.backoff.Failed(orderBackoff, time.Now())
 		// It has to be ordered again.
 		delete(m.lastOrders, key)
