--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -115,7 +115,7 @@
 		if service.Scaling == nil {
 			continue
 		}
-		in := m.input(configuration, service, present, now)
+		in := m.planInput(configuration, service, present, now)
 		for _, order := range Plan(in) {
 			if !m.order(ctx, service.Name, order, in) {
 				return
@@ -124,8 +124,8 @@
 	}
 }
 
-// input gathers what a plan for a service depends on.
-func (m *Manager) input(configuration *route.Configuration, service route.Service,
+// planInput gathers what a plan for a service depends on.
+func (m *Manager) planInput(configuration *route.Configuration, service route.Service,
 	present map[serviceZone]int, now time.Time) Input {
 	in := Input{Scaling: *service.Scaling, Slots: service.Slots, Now: now, Loads: m.loads(configuration, service)}
 	for key, count := range present {
