--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -117,7 +117,7 @@
 		}
 		in := m.planInput(configuration, service, present, now)
 		for _, order := range Plan(in) {
-			if !m.order(ctx, service.Name, order, in) {
+			if !m.placeOrder(ctx, service.Name, order, in) {
 				return
 			}
 		}
@@ -176,9 +176,9 @@
 	return shortest
 }
 
-// order asks the platform for replicas. What is asked for is recorded first, so that a
+// placeOrder asks the platform for replicas. What is asked for is recorded first, so that a
 // successor takes what may have been ordered for ordered.
-func (m *Manager) order(ctx context.Context, service string, order Order, in Input) bool {
+func (m *Manager) placeOrder(ctx context.Context, service string, order Order, in Input) bool {
 	key := serviceZone{service, order.Zone}
 	rec := orderRecord{Service: service, Zone: order.Zone, Desired: order.Desired, AtMs: in.Now.UnixMilli()}
 	err := m.record(ctx, rec)
