--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -154,7 +154,7 @@
 		before := len(s.taken())
 		is.True(before > 0)
 		s.start(ctx, zap.NewNop())
-		time.Sleep(settledAfter)
+		time.Sleep(listSettleTime)
 		is.Equal(len(s.taken()), before)
 	})
 }
@@ -175,7 +175,7 @@
 			}
 		}
 		s.set(func() { s.contact, s.held = time.Time{}, true })
-		time.Sleep(settledAfter - 2*planInterval)
+		time.Sleep(listSettleTime - 2*planInterval)
 		is.Equal(len(s.taken()), 0)
 		time.Sleep(time.Second)
 		for _, each := range s.taken() {
--- a/internal/replicas/fleet/listed.go
+++ b/internal/replicas/fleet/listed.go
@@ -10,9 +10,9 @@
 	// maxListAge is how old the list of replicas may be for an order: an outage of the
 	// journal lets entries lapse although their replicas live.
 	maxListAge = 1500 * time.Millisecond
-	// settledAfter is how long the list must have been followed without a gap: entries
+	// listSettleTime is how long the list must have been followed without a gap: entries
 	// that lapsed in an outage are back within two seconds of its end.
-	settledAfter = 3 * time.Second
+	listSettleTime = 3 * time.Second
 	// seenSpan is how long a larger number of replicas is remembered: those that are
 	// missing from the list for less may live.
 	seenSpan = 15 * time.Second
@@ -32,7 +32,7 @@
 	if m.List.Silence() > maxListAge {
 		m.listStaleAt = now
 	}
-	return now.Sub(m.listStaleAt) >= settledAfter
+	return now.Sub(m.listStaleAt) >= listSettleTime
 }
 
 // presentOf counts the replicas listed of the services whose replicas may be ordered, and
