--- a/internal/replicas/fleet/listed.go
+++ b/internal/replicas/fleet/listed.go
@@ -13,9 +13,9 @@
 	// listSettleTime is how long the list must have been followed without a gap: entries
 	// that lapsed in an outage are back within two seconds of its end.
 	listSettleTime = 3 * time.Second
-	// seenSpan is how long a larger number of replicas is remembered: those that are
+	// recentMaxWindow is how long a larger number of replicas is remembered: those that are
 	// missing from the list for less may live.
-	seenSpan = 15 * time.Second
+	recentMaxWindow = 15 * time.Second
 )
 
 // List tells how far the list of replicas can be relied upon.
@@ -53,7 +53,7 @@
 		}
 	}
 	for key, count := range present {
-		if last := m.recentMax[key]; count >= last.count || now.Sub(last.at) > seenSpan {
+		if last := m.recentMax[key]; count >= last.count || now.Sub(last.at) > recentMaxWindow {
 			m.recentMax[key] = seenCount{count, now}
 		}
 	}
