--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -52,7 +52,7 @@
 	// Holder is the name in which orders are made.
 	Holder        string
 	Table         *replica.Table
-	List          List
+	List          ListFreshness
 	Configuration func() *route.Configuration
 	Demands       *demand.State
 }
--- a/internal/replicas/fleet/listed.go
+++ b/internal/replicas/fleet/listed.go
@@ -18,8 +18,8 @@
 	recentMaxWindow = 15 * time.Second
 )
 
-// List tells how far the list of replicas can be relied upon.
-type List interface{ Silence() time.Duration }
+// ListFreshness tells how far the list of replicas can be relied upon.
+type ListFreshness interface{ Silence() time.Duration }
 
 // seenCount is the largest number of replicas that was listed within seenSpan.
 type seenCount struct {
