--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -75,7 +75,7 @@
 	// listStaleAt is when the list was last seen to be old.
 	listStaleAt time.Time
 	// recentMax are the replicas listed of late.
-	recentMax map[serviceZone]seenCount
+	recentMax map[serviceZone]observedMax
 	// backoff is the pause after orders that failed.
 	backoff backoff.Rest
 
@@ -87,7 +87,7 @@
 func NewManager(parts Deps, logger *zap.Logger) *Manager {
 	return &Manager{
 		Deps: parts, logger: logger, newestOrders: map[serviceZone]observedOrder{},
-		lowSince: map[string]time.Time{}, recentMax: map[serviceZone]seenCount{},
+		lowSince: map[string]time.Time{}, recentMax: map[serviceZone]observedMax{},
 	}
 }
 
--- a/internal/replicas/fleet/listed.go
+++ b/internal/replicas/fleet/listed.go
@@ -21,8 +21,8 @@
 // ListFreshness tells how far the list of replicas can be relied upon.
 type ListFreshness interface{ Silence() time.Duration }
 
-// seenCount is the largest number of replicas that was listed within seenSpan.
-type seenCount struct {
+// observedMax is the largest number of replicas that was listed within seenSpan.
+type observedMax struct {
 	count int
 	at    time.Time
 }
@@ -54,7 +54,7 @@
 	}
 	for key, count := range present {
 		if last := m.recentMax[key]; count >= last.count || now.Sub(last.at) > recentMaxWindow {
-			m.recentMax[key] = seenCount{count, now}
+			m.recentMax[key] = observedMax{count, now}
 		}
 	}
 	return present
