--- a/internal/replicas/fleet/listed.go
+++ b/internal/replicas/fleet/listed.go
@@ -27,8 +27,8 @@
 	at    time.Time
 }
 
-// settled reports whether the list of replicas has been followed for a while.
-func (m *Manager) settled(now time.Time) bool {
+// listSettled reports whether the list of replicas has been followed for a while.
+func (m *Manager) listSettled(now time.Time) bool {
 	if m.List.Silence() > maxListAge {
 		m.listStaleAt = now
 	}
