--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -103,7 +103,7 @@
 	// The list is watched without the lease too, as it says little of the past.
 	now := time.Now()
 	settled := m.listSettled(now)
-	present := m.presentOf(configuration, now)
+	present := m.countListed(configuration, now)
 	if _, _, may := m.Lease.Fence(); !may {
 		m.lastOrders = nil
 		return
--- a/internal/replicas/fleet/listed.go
+++ b/internal/replicas/fleet/listed.go
@@ -35,9 +35,9 @@
 	return now.Sub(m.listStaleAt) >= listSettleTime
 }
 
-// presentOf counts the replicas listed of the services whose replicas may be ordered, and
+// countListed counts the replicas listed of the services whose replicas may be ordered, and
 // notes the largest numbers of late.
-func (m *Manager) presentOf(configuration *route.Configuration, now time.Time) map[serviceZone]int {
+func (m *Manager) countListed(configuration *route.Configuration, now time.Time) map[serviceZone]int {
 	present := map[serviceZone]int{}
 	for _, service := range configuration.Services {
 		if service.Scaling == nil {
