--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -134,7 +134,7 @@
 		}
 		last := m.lastOrders[key]
 		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, Seen: m.recentMax[key].count,
-			Ordered: last.Desired, OrderedAt: last.at})
+			Ordered: last.Desired, OrderedAt: last.firstSeenAt})
 	}
 	// By name, so that plans do not depend on chance.
 	slices.SortFunc(in.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/replicas/fleet/orders.go
+++ b/internal/replicas/fleet/orders.go
@@ -35,7 +35,7 @@
 // order is at least that old.
 type observedOrder struct {
 	orderRecord
-	at time.Time
+	firstSeenAt time.Time
 }
 
 // record keeps an order in the journal.
