--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -20,7 +20,7 @@
 	is.Helper()
 	m := NewManager(Deps{Journal: s.log, Lease: s, Driver: s}, zap.NewNop())
 	for _, zone := range []string{"a", "b", "c"} {
-		is.NoErr(m.record(ctx, orderRecord{Service: "s", Zone: zone, Desired: 6, AtMs: time.Now().Add(clockError).UnixMilli()}))
+		is.NoErr(m.recordOrder(ctx, orderRecord{Service: "s", Zone: zone, Desired: 6, AtMs: time.Now().Add(clockError).UnixMilli()}))
 	}
 }
 
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -181,7 +181,7 @@
 func (m *Manager) placeOrder(ctx context.Context, service string, order Order, in Input) bool {
 	key := serviceZone{service, order.Zone}
 	rec := orderRecord{Service: service, Zone: order.Zone, Desired: order.Desired, AtMs: in.Now.UnixMilli()}
-	err := m.record(ctx, rec)
+	err := m.recordOrder(ctx, rec)
 	fence := int64(0)
 	if err == nil {
 		m.lastOrders[key] = m.observe(key, rec, in.Now)
--- a/internal/replicas/fleet/orders.go
+++ b/internal/replicas/fleet/orders.go
@@ -38,8 +38,8 @@
 	firstSeenAt time.Time
 }
 
-// record keeps an order in the journal.
-func (m *Manager) record(ctx context.Context, rec orderRecord) error {
+// recordOrder keeps an order in the journal.
+func (m *Manager) recordOrder(ctx context.Context, rec orderRecord) error {
 	encoded, err := cbor.Marshal(rec)
 	if err != nil {
 		return errors.Wrap(err, "fleet: encode")
