--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -108,7 +108,7 @@
 		m.lastOrders = nil
 		return
 	}
-	if !settled || !m.backoff.Over(now) || !m.read(ctx) {
+	if !settled || !m.backoff.Over(now) || !m.loadOrders(ctx) {
 		return
 	}
 	for _, service := range configuration.Services {
--- a/internal/replicas/fleet/orders.go
+++ b/internal/replicas/fleet/orders.go
@@ -57,8 +57,8 @@
 	return m.newestOrders[key]
 }
 
-// read learns what was ordered, when this daemon begins to act.
-func (m *Manager) read(ctx context.Context) bool {
+// loadOrders learns what was ordered, when this daemon begins to act.
+func (m *Manager) loadOrders(ctx context.Context) bool {
 	if m.lastOrders != nil {
 		return true
 	}
