--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// targetPart is the part of a batch's deadline in which its items should have run
+	// targetFraction is the part of a batch's deadline in which its items should have run
 	// if all were there at once: the rest is left for the longest texts, for changes of
 	// weights and for replicas that falter. A smaller part asks for more engines than can
 	// be kept at the newest weights.
-	targetPart = 0.3
+	targetFraction = 0.3
 	// maxZonePart bounds the part of the replicas that may be in one zone, as far as the
 	// others can take more: the loss of a zone must leave about a half.
 	maxZonePart = 0.5
@@ -107,7 +107,7 @@
 	slots := 0.0
 	for _, load := range in.Loads {
 		if load.Deadline > 0 {
-			slots += float64(load.Items) * load.ItemTime.Seconds() / (targetPart * load.Deadline.Seconds())
+			slots += float64(load.Items) * load.ItemTime.Seconds() / (targetFraction * load.Deadline.Seconds())
 		}
 	}
 	return int(math.Ceil(slots / float64(max(in.Slots, 1))))
