--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -16,9 +16,9 @@
 	// weights and for replicas that falter. A smaller part asks for more engines than can
 	// be kept at the newest weights.
 	targetFraction = 0.3
-	// maxZonePart bounds the part of the replicas that may be in one zone, as far as the
+	// maxZoneFraction bounds the part of the replicas that may be in one zone, as far as the
 	// others can take more: the loss of a zone must leave about a half.
-	maxZonePart = 0.5
+	maxZoneFraction = 0.5
 	// bootMargin is added to the time that a replica takes to start before one that was
 	// ordered counts as missing.
 	bootMargin = 2 * time.Second
@@ -159,7 +159,7 @@
 // grow adds replicas until there are as many as needed: to the cheapest zone that has not
 // more than its part, or, where all have, to the one with the fewest.
 func grow(in Input, counts []int, need int) {
-	most := int(math.Ceil(maxZonePart * float64(need)))
+	most := int(math.Ceil(maxZoneFraction * float64(need)))
 	for total(counts) < need {
 		best := -1
 		better := func(i, j int) bool {
