--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -24,11 +24,11 @@
 	bootMargin = 2 * time.Second
 	// renewInterval is the time between two orders for replicas that are missing.
 	renewInterval = 10 * time.Second
-	// shrinkBelow is the part of the replicas that the need must stay below for
+	// shrinkFraction is the part of the replicas that the need must stay below for
 	// shrinkAfter before replicas are given back, one a zone at a time: a replica that is
 	// missed costs late batches, one too many only its price.
-	shrinkBelow = 0.75
-	shrinkAfter = time.Minute
+	shrinkFraction = 0.75
+	shrinkAfter    = time.Minute
 )
 
 // Zone is what is known of a service's replicas in one zone.
@@ -119,7 +119,7 @@
 	for _, z := range in.Zones {
 		present += z.Present
 	}
-	return float64(Need(in)) < shrinkBelow*float64(present)
+	return float64(Need(in)) < shrinkFraction*float64(present)
 }
 
 // Plan returns the orders to make now. Without loads, which may only mean that nothing is
--- a/internal/replicas/fleet/plan_test.go
+++ b/internal/replicas/fleet/plan_test.go
@@ -175,7 +175,7 @@
 	is.Equal(p.present(), need(480)) // not yet
 	p.run(loadsOf(60), now, 10*time.Minute)
 	is.True(p.present() >= need(60))
-	is.True(float64(need(60)) >= shrinkBelow*float64(p.present()-1) || p.present() <= 3)
+	is.True(float64(need(60)) >= shrinkFraction*float64(p.present()-1) || p.present() <= 3)
 	before := p.orders
 	p.run(loadsOf(60), now, 10*time.Minute)
 	is.Equal(p.orders, before) // it rests
