--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -133,7 +133,7 @@
 			continue
 		}
 		last := m.lastOrders[key]
-		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, Seen: m.recentMax[key].count,
+		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, RecentMax: m.recentMax[key].count,
 			Ordered: last.Desired, OrderedAt: last.firstSeenAt})
 	}
 	// By name, so that plans do not depend on chance.
--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -36,9 +36,9 @@
 	Name string
 	// Present is how many replicas are listed and not leaving.
 	Present int
-	// Seen is how many were listed at most of late. Those that are missing may live, so
+	// RecentMax is how many were listed at most of late. Those that are missing may live, so
 	// that an order for fewer could end them.
-	Seen int
+	RecentMax int
 	// Ordered is how many were ordered last, 0 if none ever were, and OrderedAt when, or
 	// when that was first seen, by the clock of Input.Now.
 	Ordered   int
@@ -146,11 +146,11 @@
 		expected := z.expected(in.Scaling.Boot, in.Now)
 		switch {
 		case counts[i] > expected:
-			orders = append(orders, Order{z.Name, max(counts[i], min(z.Seen, in.Scaling.Max))})
+			orders = append(orders, Order{z.Name, max(counts[i], min(z.RecentMax, in.Scaling.Max))})
 		case counts[i] < expected:
 			orders = append(orders, Order{z.Name, counts[i]})
 		case need > total(counts) && z.Ordered > counts[i] && in.Now.Sub(z.OrderedAt) >= renewInterval:
-			orders = append(orders, Order{z.Name, max(z.Ordered, min(z.Seen, in.Scaling.Max))})
+			orders = append(orders, Order{z.Name, max(z.Ordered, min(z.RecentMax, in.Scaling.Max))})
 		}
 	}
 	return orders
@@ -194,7 +194,7 @@
 		return cmp.Compare(in.Scaling.Price(in.Zones[j].Name), in.Scaling.Price(in.Zones[i].Name))
 	})
 	for _, i := range order {
-		whole := in.Zones[i].Seen <= in.Zones[i].Present && counts[i] == in.Zones[i].Present
+		whole := in.Zones[i].RecentMax <= in.Zones[i].Present && counts[i] == in.Zones[i].Present
 		if whole && counts[i] > max(in.Scaling.Min, 1) && total(counts) > need {
 			counts[i]--
 		}
--- a/internal/replicas/fleet/plan_test.go
+++ b/internal/replicas/fleet/plan_test.go
@@ -23,7 +23,7 @@
 	in := Input{Scaling: scaling(rapid.IntRange(2, 24).Draw(t, "max")), Slots: rapid.IntRange(0, 8).Draw(t, "slots"), Now: testStart}
 	for _, name := range []string{"a", "b", "c"} {
 		zone := Zone{Name: name, Present: rapid.IntRange(0, in.Scaling.Max).Draw(t, "present")}
-		zone.Seen = rapid.IntRange(zone.Present, in.Scaling.Max).Draw(t, "seen")
+		zone.RecentMax = rapid.IntRange(zone.Present, in.Scaling.Max).Draw(t, "seen")
 		if rapid.Bool().Draw(t, "was ordered") {
 			zone.Ordered = rapid.IntRange(1, in.Scaling.Max).Draw(t, "ordered")
 			zone.OrderedAt = testStart.Add(-time.Duration(rapid.IntRange(0, 60).Draw(t, "seconds ago")) * time.Second)
@@ -63,10 +63,10 @@
 			if order.Desired < zone.Present && !mayShrink {
 				t.Fatalf("order for %d where %d are there", order.Desired, zone.Present)
 			}
-			if order.Desired > zone.Present && order.Desired < zone.Seen {
-				t.Fatalf("order for %d where %d may live", order.Desired, zone.Seen)
+			if order.Desired > zone.Present && order.Desired < zone.RecentMax {
+				t.Fatalf("order for %d where %d may live", order.Desired, zone.RecentMax)
 			}
-			if order.Desired > max(Need(in), zone.Seen, zone.Ordered) { // renewed orders too
+			if order.Desired > max(Need(in), zone.RecentMax, zone.Ordered) { // renewed orders too
 				t.Fatalf("order for %d, %d are needed", order.Desired, Need(in))
 			}
 		}
@@ -117,7 +117,7 @@
 		}
 	}
 	for i := range p.zones {
-		p.zones[i].Seen = p.zones[i].Present
+		p.zones[i].RecentMax = p.zones[i].Present
 	}
 }
 
@@ -184,7 +184,7 @@
 // Replicas that a platform does not bring up are ordered again now and then, not always.
 func TestMissingReplicasAreOrderedAgain(t *testing.T) {
 	is := is.New(t)
-	zone := Zone{Name: "a", Present: 3, Seen: 3, Ordered: 24, OrderedAt: testStart}
+	zone := Zone{Name: "a", Present: 3, RecentMax: 3, Ordered: 24, OrderedAt: testStart}
 	orders := 0
 	for now := testStart; now.Before(testStart.Add(time.Minute)); now = now.Add(planInterval) {
 		in := Input{Scaling: scaling(24), Slots: 6, Zones: []Zone{zone}, Loads: loadsOf(480), Now: now}
@@ -201,8 +201,8 @@
 // Where a zone does not bring up what was ordered, others make up for it.
 func TestOtherZonesMakeUpForOneThatBringsUpNothing(t *testing.T) {
 	is := is.New(t)
-	dry := Zone{Name: "a", Present: 3, Seen: 3, Ordered: 9, OrderedAt: testStart.Add(-7 * time.Second)}
-	in := Input{Scaling: scaling(24), Slots: 6, Zones: []Zone{dry, {Name: "b", Present: 3, Seen: 3}, {Name: "c", Present: 3, Seen: 3}}, Loads: loadsOf(240), Now: testStart}
+	dry := Zone{Name: "a", Present: 3, RecentMax: 3, Ordered: 9, OrderedAt: testStart.Add(-7 * time.Second)}
+	in := Input{Scaling: scaling(24), Slots: 6, Zones: []Zone{dry, {Name: "b", Present: 3, RecentMax: 3}, {Name: "c", Present: 3, RecentMax: 3}}, Loads: loadsOf(240), Now: testStart}
 	is.Equal(Need(in), 18)
 	is.Equal(Plan(in), []Order{{"b", 6}, {"c", 9}})
 }
@@ -211,6 +211,6 @@
 func TestNothingIsOrderedWithoutWork(t *testing.T) {
 	is := is.New(t)
 	in := Input{Scaling: scaling(24), Slots: 6, Now: testStart, LowSince: testStart.Add(-time.Hour),
-		Zones: []Zone{{Name: "a", Present: 3, Seen: 12}, {Name: "b"}}}
+		Zones: []Zone{{Name: "a", Present: 3, RecentMax: 12}, {Name: "b"}}}
 	is.Equal(len(Plan(in)), 0)
 }
