--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -61,9 +61,9 @@
 	return z.Present
 }
 
-// capacity is how many replicas the zone can be relied on for: one that has not brought up
+// maxReplicas is how many replicas the zone can be relied on for: one that has not brought up
 // what was ordered is left as it is.
-func (z Zone) capacity(in Input) int {
+func (z Zone) maxReplicas(in Input) int {
 	if z.Ordered > z.Present && !z.booting(in.Scaling.Boot, in.Now) {
 		return z.Present
 	}
@@ -172,7 +172,7 @@
 			) > 0
 		}
 		for i := range counts {
-			if counts[i] < in.Zones[i].capacity(in) && (best < 0 || better(i, best)) {
+			if counts[i] < in.Zones[i].maxReplicas(in) && (best < 0 || better(i, best)) {
 				best = i
 			}
 		}
