--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -139,7 +139,7 @@
 	// By name, so that plans do not depend on chance.
 	slices.SortFunc(in.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
 	switch {
-	case !Low(in):
+	case !NeedIsLow(in):
 		delete(m.lowSince, service.Name)
 	case m.lowSince[service.Name].IsZero():
 		m.lowSince[service.Name] = now
--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -113,8 +113,8 @@
 	return int(math.Ceil(slots / float64(max(in.Slots, 1))))
 }
 
-// Low reports whether the need is so low that replicas could be given back.
-func Low(in Input) bool {
+// NeedIsLow reports whether the need is so low that replicas could be given back.
+func NeedIsLow(in Input) bool {
 	present := 0
 	for _, z := range in.Zones {
 		present += z.Present
--- a/internal/replicas/fleet/plan_test.go
+++ b/internal/replicas/fleet/plan_test.go
@@ -128,7 +128,7 @@
 	for now := from; now.Before(from.Add(length)); now = now.Add(planInterval) {
 		in := Input{Scaling: p.scaling, Slots: 6, Zones: p.zones, Loads: loads, Now: now, LowSince: lowSince}
 		switch {
-		case !Low(in):
+		case !NeedIsLow(in):
 			lowSince = time.Time{}
 		case lowSince.IsZero():
 			lowSince = now
