--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -16,7 +16,7 @@
 
 // leaveOrders notes orders for six replicas a zone, as a predecessor whose clock is off
 // did just before it ended.
-func (s *stage) leaveOrders(ctx context.Context, is *is.I, clockError time.Duration) {
+func (s *fixture) leaveOrders(ctx context.Context, is *is.I, clockError time.Duration) {
 	is.Helper()
 	m := NewManager(Deps{Journal: s.log, Lease: s, Driver: s}, zap.NewNop())
 	for _, zone := range []string{"a", "b", "c"} {
@@ -25,7 +25,7 @@
 }
 
 // succeed plays what follows as a daemon succeeds such a predecessor, for each error of its clock.
-func succeed(t *testing.T, play func(is *is.I, s *stage)) {
+func succeed(t *testing.T, play func(is *is.I, s *fixture)) {
 	t.Helper()
 	for name, clockError := range clockErrors {
 		t.Run(name, func(t *testing.T) {
@@ -42,7 +42,7 @@
 // Replicas that a predecessor has just ordered are on their way, whatever its time of day:
 // no zone is asked for more, and none is taken for one that brings up nothing.
 func TestASuccessorWaitsForWhatWasOrderedWhateverTheClock(t *testing.T) {
-	succeed(t, func(is *is.I, s *stage) {
+	succeed(t, func(is *is.I, s *fixture) {
 		is.Equal(Need(Input{Slots: 6, Loads: loadsOf(240)}), 18) // six in each zone
 		time.Sleep(s.boot() + bootMargin - planInterval)
 		is.Equal(s.taken(), []duty.Fleet(nil))
@@ -52,7 +52,7 @@
 // Replicas that never come are missed after the time that they take to start, whatever
 // the time of day of the daemon that ordered them.
 func TestASuccessorMissesWhatNeverComesWhateverTheClock(t *testing.T) {
-	succeed(t, func(is *is.I, s *stage) {
+	succeed(t, func(is *is.I, s *fixture) {
 		time.Sleep(s.boot() + bootMargin + renewInterval + planInterval)
 		is.True(len(s.taken()) > 0)
 	})
@@ -61,7 +61,7 @@
 // A holder whose lease lapses again and again reads the same orders each time; they
 // do not become new by that.
 func TestOrdersDoNotBecomeNewWithEachReading(t *testing.T) {
-	succeed(t, func(is *is.I, s *stage) {
+	succeed(t, func(is *is.I, s *fixture) {
 		end := time.Now().Add(s.boot() + bootMargin + renewInterval + planInterval)
 		for time.Now().Before(end) {
 			s.set(func() { s.held = true })
@@ -75,4 +75,4 @@
 	})
 }
 
-func (s *stage) boot() time.Duration { return s.configuration().Services["s"].Scaling.Boot }
+func (s *fixture) boot() time.Duration { return s.configuration().Services["s"].Scaling.Boot }
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -21,8 +21,8 @@
 	"woodworks/internal/requests/route"
 )
 
-// stage is a manager with all that it looks at.
-type stage struct {
+// fixture is a manager with all that it looks at.
+type fixture struct {
 	log     *journaltest.Journal
 	table   *replica.Table
 	demands *demand.State
@@ -34,19 +34,19 @@
 	fence   int64
 }
 
-func (s *stage) Duties() duty.Duties { return duty.Duties{Fleet: true} }
-func (s *stage) ReportUsage(context.Context, duty.Authority, duty.Usage) error {
+func (s *fixture) Duties() duty.Duties { return duty.Duties{Fleet: true} }
+func (s *fixture) ReportUsage(context.Context, duty.Authority, duty.Usage) error {
 	return duty.ErrRefused
 }
 
-func (s *stage) OrderFleet(_ context.Context, _ duty.Authority, fleet duty.Fleet) error {
+func (s *fixture) OrderFleet(_ context.Context, _ duty.Authority, fleet duty.Fleet) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.orders = append(s.orders, fleet)
 	return s.answer
 }
 
-func (s *stage) Silence() time.Duration {
+func (s *fixture) Silence() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.contact.IsZero() {
@@ -55,27 +55,27 @@
 	return time.Since(s.contact)
 }
 
-func (s *stage) Fence() (int64, time.Duration, bool) {
+func (s *fixture) Fence() (int64, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fence, time.Second, s.held
 }
 
-func (s *stage) set(change func()) {
+func (s *fixture) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-func (s *stage) taken() []duty.Fleet {
+func (s *fixture) taken() []duty.Fleet {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]duty.Fleet(nil), s.orders...)
 }
 
 // newStage has nine replicas in three zones, and batches that need more.
-func newStage(items int) *stage {
-	s := &stage{log: journaltest.New(), table: replica.NewTable(time.Second, zap.NewNop()), demands: demand.NewState(zap.NewNop()), held: true, fence: 1}
+func newStage(items int) *fixture {
+	s := &fixture{log: journaltest.New(), table: replica.NewTable(time.Second, zap.NewNop()), demands: demand.NewState(zap.NewNop()), held: true, fence: 1}
 	for i := range 9 {
 		s.list(i)
 	}
@@ -87,11 +87,11 @@
 	return s
 }
 
-func (s *stage) list(i int) {
+func (s *fixture) list(i int) {
 	s.table.Set(replica.Entry{ID: fmt.Sprint("r", i), Service: "s", Zone: []string{"a", "b", "c"}[i%3], Slots: 6})
 }
 
-func (s *stage) configuration() *route.Configuration {
+func (s *fixture) configuration() *route.Configuration {
 	bounds := scaling(24)
 	made, err := route.New(route.Declared{Version: 1,
 		Routes:   []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Batch, BatchDeadline: 7500 * time.Millisecond, Shares: []route.Share{{Service: "s", Weight: 1}}}},
@@ -102,7 +102,7 @@
 	return made
 }
 
-func (s *stage) start(ctx context.Context, logger *zap.Logger) *Manager {
+func (s *fixture) start(ctx context.Context, logger *zap.Logger) *Manager {
 	m := NewManager(Deps{Journal: s.log, Lease: s, Driver: s, Holder: "d", Table: s.table, List: s, Configuration: s.configuration, Demands: s.demands}, logger)
 	go m.Run(ctx)
 	return m
