--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -30,7 +30,7 @@
 	for name, clockError := range clockErrors {
 		t.Run(name, func(t *testing.T) {
 			on(t, func(is *is.I, ctx context.Context) {
-				s := newStage(240)
+				s := newFixture(240)
 				s.leaveOrders(ctx, is, clockError)
 				s.start(ctx, zap.NewNop())
 				play(is, s)
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -73,8 +73,8 @@
 	return append([]duty.Fleet(nil), s.orders...)
 }
 
-// newStage has nine replicas in three zones, and batches that need more.
-func newStage(items int) *fixture {
+// newFixture has nine replicas in three zones, and batches that need more.
+func newFixture(items int) *fixture {
 	s := &fixture{log: journaltest.New(), table: replica.NewTable(time.Second, zap.NewNop()), demands: demand.NewState(zap.NewNop()), held: true, fence: 1}
 	for i := range 9 {
 		s.list(i)
@@ -131,7 +131,7 @@
 
 func TestReplicasAreOrderedAsBatchesNeedThem(t *testing.T) {
 	on(t, func(is *is.I, ctx context.Context) {
-		s := newStage(240)
+		s := newFixture(240)
 		core, logs := observer.New(zap.InfoLevel)
 		s.start(ctx, zap.New(core))
 		time.Sleep(5 * time.Second)
@@ -146,7 +146,7 @@
 // A successor goes on from what was ordered, whether or not it was carried out yet.
 func TestASuccessorDoesNotOrderAgain(t *testing.T) {
 	on(t, func(is *is.I, ctx context.Context) {
-		s := newStage(240)
+		s := newFixture(240)
 		first, stop := context.WithCancel(ctx)
 		s.start(first, zap.NewNop())
 		time.Sleep(time.Second)
@@ -163,7 +163,7 @@
 // is ordered until the list has been followed again, and never for fewer than may live.
 func TestAnOutageOfTheListOrdersNothing(t *testing.T) {
 	on(t, func(is *is.I, ctx context.Context) {
-		s := newStage(100) // needs no more than the nine
+		s := newFixture(100) // needs no more than the nine
 		s.start(ctx, zap.NewNop())
 		time.Sleep(10 * time.Second)
 		is.Equal(len(s.taken()), 0)
@@ -186,7 +186,7 @@
 
 func TestAnOrderThatFailsIsMadeAgainAfterAWhile(t *testing.T) {
 	on(t, func(is *is.I, ctx context.Context) {
-		s := newStage(240)
+		s := newFixture(240)
 		s.answer = duty.ErrThrottled
 		m := s.start(ctx, zap.NewNop())
 		time.Sleep(30 * time.Second)
@@ -204,7 +204,7 @@
 
 func TestNothingIsOrderedWithoutTheLease(t *testing.T) {
 	on(t, func(is *is.I, ctx context.Context) {
-		s := newStage(240)
+		s := newFixture(240)
 		s.held = false
 		s.start(ctx, zap.NewNop())
 		time.Sleep(20 * time.Second)
