--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -23,15 +23,15 @@
 
 // fixture is a manager with all that it looks at.
 type fixture struct {
-	log     *journaltest.Journal
-	table   *replica.Table
-	demands *demand.State
-	mu      sync.Mutex
-	orders  []duty.Fleet
-	answer  error
-	contact time.Time
-	held    bool
-	fence   int64
+	log      *journaltest.Journal
+	table    *replica.Table
+	demands  *demand.State
+	mu       sync.Mutex
+	orders   []duty.Fleet
+	orderErr error
+	contact  time.Time
+	held     bool
+	fence    int64
 }
 
 func (s *fixture) Duties() duty.Duties { return duty.Duties{Fleet: true} }
@@ -43,7 +43,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.orders = append(s.orders, fleet)
-	return s.answer
+	return s.orderErr
 }
 
 func (s *fixture) Silence() time.Duration {
@@ -187,14 +187,14 @@
 func TestAnOrderThatFailsIsMadeAgainAfterAWhile(t *testing.T) {
 	on(t, func(is *is.I, ctx context.Context) {
 		s := newFixture(240)
-		s.answer = duty.ErrThrottled
+		s.orderErr = duty.ErrThrottled
 		m := s.start(ctx, zap.NewNop())
 		time.Sleep(30 * time.Second)
 		failed := len(s.taken())
 		is.True(failed >= 4)
 		is.True(failed <= 24) // backed off
 		is.Equal(m.OrdersAccepted.Load(), uint64(0))
-		s.set(func() { s.answer = nil })
+		s.set(func() { s.orderErr = nil })
 		// Shorter than a replica may take to start: none does here, and other zones would
 		// make up for it.
 		time.Sleep(orderBackoff.Longest + 2*planInterval)
