--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -45,7 +45,7 @@
 	succeed(t, func(is *is.I, s *fixture) {
 		is.Equal(Need(Input{Slots: 6, Loads: loadsOf(240)}), 18) // six in each zone
 		time.Sleep(s.boot() + bootMargin - planInterval)
-		is.Equal(s.taken(), []duty.Fleet(nil))
+		is.Equal(s.placedOrders(), []duty.Fleet(nil))
 	})
 }
 
@@ -54,7 +54,7 @@
 func TestASuccessorMissesWhatNeverComesWhateverTheClock(t *testing.T) {
 	succeed(t, func(is *is.I, s *fixture) {
 		time.Sleep(s.boot() + bootMargin + renewInterval + planInterval)
-		is.True(len(s.taken()) > 0)
+		is.True(len(s.placedOrders()) > 0)
 	})
 }
 
@@ -71,7 +71,7 @@
 		}
 		s.set(func() { s.held = true })
 		time.Sleep(2 * planInterval)
-		is.True(len(s.taken()) > 0)
+		is.True(len(s.placedOrders()) > 0)
 	})
 }
 
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -67,7 +67,7 @@
 	change()
 }
 
-func (s *fixture) taken() []duty.Fleet {
+func (s *fixture) placedOrders() []duty.Fleet {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]duty.Fleet(nil), s.orders...)
@@ -135,11 +135,11 @@
 		core, logs := observer.New(zap.InfoLevel)
 		s.start(ctx, zap.New(core))
 		time.Sleep(5 * time.Second)
-		is.Equal(sum(s.taken()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
-		for _, each := range s.taken() {
+		is.Equal(sum(s.placedOrders()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
+		for _, each := range s.placedOrders() {
 			is.True(!each.Spot)
 		}
-		is.Equal(logs.FilterMessage("replicas ordered").Len(), len(s.taken())) // one line an order
+		is.Equal(logs.FilterMessage("replicas ordered").Len(), len(s.placedOrders())) // one line an order
 	})
 }
 
@@ -151,11 +151,11 @@
 		s.start(first, zap.NewNop())
 		time.Sleep(time.Second)
 		stop()
-		before := len(s.taken())
+		before := len(s.placedOrders())
 		is.True(before > 0)
 		s.start(ctx, zap.NewNop())
 		time.Sleep(listSettleTime)
-		is.Equal(len(s.taken()), before)
+		is.Equal(len(s.placedOrders()), before)
 	})
 }
 
@@ -166,7 +166,7 @@
 		s := newFixture(100) // needs no more than the nine
 		s.start(ctx, zap.NewNop())
 		time.Sleep(10 * time.Second)
-		is.Equal(len(s.taken()), 0)
+		is.Equal(len(s.placedOrders()), 0)
 		s.set(func() { s.contact, s.held = time.Now(), false })
 		time.Sleep(4 * time.Second)
 		for i := range 9 {
@@ -176,9 +176,9 @@
 		}
 		s.set(func() { s.contact, s.held = time.Time{}, true })
 		time.Sleep(listSettleTime - 2*planInterval)
-		is.Equal(len(s.taken()), 0)
+		is.Equal(len(s.placedOrders()), 0)
 		time.Sleep(time.Second)
-		for _, each := range s.taken() {
+		for _, each := range s.placedOrders() {
 			is.True(each.Desired >= 3) // those that are missing may live
 		}
 	})
@@ -190,7 +190,7 @@
 		s.orderErr = duty.ErrThrottled
 		m := s.start(ctx, zap.NewNop())
 		time.Sleep(30 * time.Second)
-		failed := len(s.taken())
+		failed := len(s.placedOrders())
 		is.True(failed >= 4)
 		is.True(failed <= 24) // backed off
 		is.Equal(m.OrdersAccepted.Load(), uint64(0))
@@ -198,7 +198,7 @@
 		// Shorter than a replica may take to start: none does here, and other zones would
 		// make up for it.
 		time.Sleep(orderBackoff.Longest + 2*planInterval)
-		is.Equal(sum(s.taken()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
+		is.Equal(sum(s.placedOrders()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
 	})
 }
 
@@ -208,6 +208,6 @@
 		s.held = false
 		s.start(ctx, zap.NewNop())
 		time.Sleep(20 * time.Second)
-		is.Equal(len(s.taken()), 0)
+		is.Equal(len(s.placedOrders()), 0)
 	})
 }
