--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -77,7 +77,7 @@
 func newFixture(items int) *fixture {
 	s := &fixture{log: journaltest.New(), table: replica.NewTable(time.Second, zap.NewNop()), demands: demand.NewState(zap.NewNop()), held: true, fence: 1}
 	for i := range 9 {
-		s.list(i)
+		s.listReplica(i)
 	}
 	encoded, err := cbor.Marshal(demand.Demand{Items: items})
 	if err != nil {
@@ -87,7 +87,7 @@
 	return s
 }
 
-func (s *fixture) list(i int) {
+func (s *fixture) listReplica(i int) {
 	s.table.Set(replica.Entry{ID: fmt.Sprint("r", i), Service: "s", Zone: []string{"a", "b", "c"}[i%3], Slots: 6})
 }
 
