--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	for name, clockError := range clockErrors {
 		t.Run(name, func(t *testing.T) {
-			on(t, func(is *is.I, ctx context.Context) {
+			runSynctest(t, func(is *is.I, ctx context.Context) {
 				s := newFixture(240)
 				s.leaveOrders(ctx, is, clockError)
 				s.start(ctx, zap.NewNop())
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -108,8 +108,8 @@
 	return m
 }
 
-// on plays a stage until the test is over.
-func on(t *testing.T, play func(is *is.I, ctx context.Context)) {
+// runSynctest plays a stage until the test is over.
+func runSynctest(t *testing.T, play func(is *is.I, ctx context.Context)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		play(is.New(t), t.Context())
@@ -130,7 +130,7 @@
 }
 
 func TestReplicasAreOrderedAsBatchesNeedThem(t *testing.T) {
-	on(t, func(is *is.I, ctx context.Context) {
+	runSynctest(t, func(is *is.I, ctx context.Context) {
 		s := newFixture(240)
 		core, logs := observer.New(zap.InfoLevel)
 		s.start(ctx, zap.New(core))
@@ -145,7 +145,7 @@
 
 // A successor goes on from what was ordered, whether or not it was carried out yet.
 func TestASuccessorDoesNotOrderAgain(t *testing.T) {
-	on(t, func(is *is.I, ctx context.Context) {
+	runSynctest(t, func(is *is.I, ctx context.Context) {
 		s := newFixture(240)
 		first, stop := context.WithCancel(ctx)
 		s.start(first, zap.NewNop())
@@ -162,7 +162,7 @@
 // Entries that lapse in an outage of the journal are not replicas that are gone: nothing
 // is ordered until the list has been followed again, and never for fewer than may live.
 func TestAnOutageOfTheListOrdersNothing(t *testing.T) {
-	on(t, func(is *is.I, ctx context.Context) {
+	runSynctest(t, func(is *is.I, ctx context.Context) {
 		s := newFixture(100) // needs no more than the nine
 		s.start(ctx, zap.NewNop())
 		time.Sleep(10 * time.Second)
@@ -185,7 +185,7 @@
 }
 
 func TestAnOrderThatFailsIsMadeAgainAfterAWhile(t *testing.T) {
-	on(t, func(is *is.I, ctx context.Context) {
+	runSynctest(t, func(is *is.I, ctx context.Context) {
 		s := newFixture(240)
 		s.orderErr = duty.ErrThrottled
 		m := s.start(ctx, zap.NewNop())
@@ -203,7 +203,7 @@
 }
 
 func TestNothingIsOrderedWithoutTheLease(t *testing.T) {
-	on(t, func(is *is.I, ctx context.Context) {
+	runSynctest(t, func(is *is.I, ctx context.Context) {
 		s := newFixture(240)
 		s.held = false
 		s.start(ctx, zap.NewNop())
