--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -116,8 +116,8 @@
 	})
 }
 
-// sum is how many replicas there should be after some orders.
-func sum(orders []duty.Fleet) int {
+// totalDesired is how many replicas there should be after some orders.
+func totalDesired(orders []duty.Fleet) int {
 	newest := map[string]int{"a": 3, "b": 3, "c": 3}
 	for _, each := range orders {
 		newest[each.Zone] = each.Desired
@@ -135,7 +135,7 @@
 		core, logs := observer.New(zap.InfoLevel)
 		s.start(ctx, zap.New(core))
 		time.Sleep(5 * time.Second)
-		is.Equal(sum(s.placedOrders()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
+		is.Equal(totalDesired(s.placedOrders()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
 		for _, each := range s.placedOrders() {
 			is.True(!each.Spot)
 		}
@@ -198,7 +198,7 @@
 		// Shorter than a replica may take to start: none does here, and other zones would
 		// make up for it.
 		time.Sleep(orderBackoff.Longest + 2*planInterval)
-		is.Equal(sum(s.placedOrders()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
+		is.Equal(totalDesired(s.placedOrders()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
 	})
 }
 
