--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -11,8 +11,8 @@
 	"woodworks/internal/membership/duty"
 )
 
-// clockErrors are by how much a predecessor's time of day is ahead of this daemon's.
-var clockErrors = map[string]time.Duration{"behind": -5 * time.Minute, "right": 0, "ahead": 5 * time.Minute}
+// clockOffsets are by how much a predecessor's time of day is ahead of this daemon's.
+var clockOffsets = map[string]time.Duration{"behind": -5 * time.Minute, "right": 0, "ahead": 5 * time.Minute}
 
 // leaveOrders notes orders for six replicas a zone, as a predecessor whose clock is off
 // did just before it ended.
@@ -27,7 +27,7 @@
 // succeed plays what follows as a daemon succeeds such a predecessor, for each error of its clock.
 func succeed(t *testing.T, play func(is *is.I, s *fixture)) {
 	t.Helper()
-	for name, clockError := range clockErrors {
+	for name, clockError := range clockOffsets {
 		t.Run(name, func(t *testing.T) {
 			runSynctest(t, func(is *is.I, ctx context.Context) {
 				s := newFixture(240)
