--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -14,9 +14,9 @@
 // clockOffsets are by how much a predecessor's time of day is ahead of this daemon's.
 var clockOffsets = map[string]time.Duration{"behind": -5 * time.Minute, "right": 0, "ahead": 5 * time.Minute}
 
-// leaveOrders notes orders for six replicas a zone, as a predecessor whose clock is off
+// recordPredecessorOrders notes orders for six replicas a zone, as a predecessor whose clock is off
 // did just before it ended.
-func (s *fixture) leaveOrders(ctx context.Context, is *is.I, clockError time.Duration) {
+func (s *fixture) recordPredecessorOrders(ctx context.Context, is *is.I, clockError time.Duration) {
 	is.Helper()
 	m := NewManager(Deps{Journal: s.log, Lease: s, Driver: s}, zap.NewNop())
 	for _, zone := range []string{"a", "b", "c"} {
@@ -31,7 +31,7 @@
 		t.Run(name, func(t *testing.T) {
 			runSynctest(t, func(is *is.I, ctx context.Context) {
 				s := newFixture(240)
-				s.leaveOrders(ctx, is, clockError)
+				s.recordPredecessorOrders(ctx, is, clockError)
 				s.start(ctx, zap.NewNop())
 				play(is, s)
 			})
