--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// succeed plays what follows as a daemon succeeds such a predecessor, for each error of its clock.
-func succeed(t *testing.T, play func(is *is.I, s *fixture)) {
+// withPredecessors plays what follows as a daemon succeeds such a predecessor, for each error of its clock.
+func withPredecessors(t *testing.T, play func(is *is.I, s *fixture)) {
 	t.Helper()
 	for name, clockError := range clockOffsets {
 		t.Run(name, func(t *testing.T) {
@@ -42,7 +42,7 @@
 // Replicas that a predecessor has just ordered are on their way, whatever its time of day:
 // no zone is asked for more, and none is taken for one that brings up nothing.
 func TestASuccessorWaitsForWhatWasOrderedWhateverTheClock(t *testing.T) {
-	succeed(t, func(is *is.I, s *fixture) {
+	withPredecessors(t, func(is *is.I, s *fixture) {
 		is.Equal(Need(Input{Slots: 6, Loads: loadsOf(240)}), 18) // six in each zone
 		time.Sleep(s.boot() + bootMargin - planInterval)
 		is.Equal(s.placedOrders(), []duty.Fleet(nil))
@@ -52,7 +52,7 @@
 // Replicas that never come are missed after the time that they take to start, whatever
 // the time of day of the daemon that ordered them.
 func TestASuccessorMissesWhatNeverComesWhateverTheClock(t *testing.T) {
-	succeed(t, func(is *is.I, s *fixture) {
+	withPredecessors(t, func(is *is.I, s *fixture) {
 		time.Sleep(s.boot() + bootMargin + renewInterval + planInterval)
 		is.True(len(s.placedOrders()) > 0)
 	})
@@ -61,7 +61,7 @@
 // A holder whose lease lapses again and again reads the same orders each time; they
 // do not become new by that.
 func TestOrdersDoNotBecomeNewWithEachReading(t *testing.T) {
-	succeed(t, func(is *is.I, s *fixture) {
+	withPredecessors(t, func(is *is.I, s *fixture) {
 		end := time.Now().Add(s.boot() + bootMargin + renewInterval + planInterval)
 		for time.Now().Before(end) {
 			s.set(func() { s.held = true })
