--- a/internal/replicas/fleet/plan_test.go
+++ b/internal/replicas/fleet/plan_test.go
@@ -73,8 +73,8 @@
 	})
 }
 
-// platform is replicas that start and end on order.
-type platform struct {
+// simulatedPlatform is replicas that start and end on order.
+type simulatedPlatform struct {
 	scaling route.Scaling
 	zones   []Zone
 	booting []boot
@@ -87,7 +87,7 @@
 }
 
 // pass lets time go by: replicas start, and orders are carried out.
-func (p *platform) pass(now time.Time, orders []Order) {
+func (p *simulatedPlatform) pass(now time.Time, orders []Order) {
 	left := p.booting[:0]
 	for _, each := range p.booting {
 		if now.Before(each.ready) {
@@ -122,7 +122,7 @@
 }
 
 // run plays a platform under a load and returns after which time there was enough.
-func (p *platform) run(loads []Load, from time.Time, length time.Duration) (enoughAfter time.Duration) {
+func (p *simulatedPlatform) run(loads []Load, from time.Time, length time.Duration) (enoughAfter time.Duration) {
 	enoughAfter = -1
 	lowSince := time.Time{}
 	for now := from; now.Before(from.Add(length)); now = now.Add(planInterval) {
@@ -142,7 +142,7 @@
 	return enoughAfter
 }
 
-func (p *platform) present() int {
+func (p *simulatedPlatform) present() int {
 	sum := 0
 	for _, z := range p.zones {
 		sum += z.Present
@@ -157,7 +157,7 @@
 // A fleet follows its work: soon up, slowly down, and it rests once it fits.
 func TestAFleetFollowsItsWork(t *testing.T) {
 	is := is.New(t)
-	p := &platform{scaling: scaling(24), zones: []Zone{{Name: "a", Present: 3}, {Name: "b", Present: 3}, {Name: "c", Present: 3}}}
+	p := &simulatedPlatform{scaling: scaling(24), zones: []Zone{{Name: "a", Present: 3}, {Name: "b", Present: 3}, {Name: "c", Present: 3}}}
 	need := func(items int) int { return Need(Input{Slots: 6, Loads: loadsOf(items)}) }
 	now := testStart
 	is.True(p.run(loadsOf(240), now, 30*time.Second) <= p.scaling.Boot+2*planInterval)
