--- a/internal/replicas/fleet/plan_test.go
+++ b/internal/replicas/fleet/plan_test.go
@@ -86,8 +86,8 @@
 	ready time.Time
 }
 
-// pass lets time go by: replicas start, and orders are carried out.
-func (p *simulatedPlatform) pass(now time.Time, orders []Order) {
+// advance lets time go by: replicas start, and orders are carried out.
+func (p *simulatedPlatform) advance(now time.Time, orders []Order) {
 	left := p.booting[:0]
 	for _, each := range p.booting {
 		if now.Before(each.ready) {
@@ -137,7 +137,7 @@
 		if p.present() >= Need(in) && enoughAfter < 0 {
 			enoughAfter = now.Sub(from)
 		}
-		p.pass(now, Plan(in))
+		p.advance(now, Plan(in))
 	}
 	return enoughAfter
 }
