--- a/internal/replicas/fleet/plan_test.go
+++ b/internal/replicas/fleet/plan_test.go
@@ -77,11 +77,11 @@
 type simulatedPlatform struct {
 	scaling route.Scaling
 	zones   []Zone
-	booting []boot
+	booting []pendingBoot
 	orders  int
 }
 
-type boot struct {
+type pendingBoot struct {
 	zone  int
 	ready time.Time
 }
@@ -111,7 +111,7 @@
 				}
 			}
 			for count := p.zones[i].Present + underWay; count < order.Desired; count++ {
-				p.booting = append(p.booting, boot{i, now.Add(p.scaling.Boot)})
+				p.booting = append(p.booting, pendingBoot{i, now.Add(p.scaling.Boot)})
 			}
 			p.zones[i].Present = min(p.zones[i].Present, order.Desired)
 		}
