--- a/internal/replicas/fleet/plan_test.go
+++ b/internal/replicas/fleet/plan_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// run plays a platform under a load and returns after which time there was enough.
-func (p *simulatedPlatform) run(loads []Load, from time.Time, length time.Duration) (enoughAfter time.Duration) {
+// simulate plays a platform under a load and returns after which time there was enough.
+func (p *simulatedPlatform) simulate(loads []Load, from time.Time, length time.Duration) (enoughAfter time.Duration) {
 	enoughAfter = -1
 	lowSince := time.Time{}
 	for now := from; now.Before(from.Add(length)); now = now.Add(planInterval) {
@@ -160,24 +160,24 @@
 	p := &simulatedPlatform{scaling: scaling(24), zones: []Zone{{Name: "a", Present: 3}, {Name: "b", Present: 3}, {Name: "c", Present: 3}}}
 	need := func(items int) int { return Need(Input{Slots: 6, Loads: loadsOf(items)}) }
 	now := testStart
-	is.True(p.run(loadsOf(240), now, 30*time.Second) <= p.scaling.Boot+2*planInterval)
+	is.True(p.simulate(loadsOf(240), now, 30*time.Second) <= p.scaling.Boot+2*planInterval)
 	is.Equal(p.present(), need(240))
 	is.Equal(p.orders, 2) // zones have different prices
 	now = now.Add(30 * time.Second)
-	is.True(p.run(loadsOf(480), now, 30*time.Second) <= p.scaling.Boot+2*planInterval)
+	is.True(p.simulate(loadsOf(480), now, 30*time.Second) <= p.scaling.Boot+2*planInterval)
 	is.Equal(p.present(), need(480))
 	is.True(p.orders <= 6)
 	for _, z := range p.zones {
 		is.True(z.Present <= (need(480)+1)/2) // no zone has more than a half
 	}
 	now = now.Add(30 * time.Second)
-	p.run(loadsOf(60), now, shrinkAfter-time.Second)
+	p.simulate(loadsOf(60), now, shrinkAfter-time.Second)
 	is.Equal(p.present(), need(480)) // not yet
-	p.run(loadsOf(60), now, 10*time.Minute)
+	p.simulate(loadsOf(60), now, 10*time.Minute)
 	is.True(p.present() >= need(60))
 	is.True(float64(need(60)) >= shrinkFraction*float64(p.present()-1) || p.present() <= 3)
 	before := p.orders
-	p.run(loadsOf(60), now, 10*time.Minute)
+	p.simulate(loadsOf(60), now, 10*time.Minute)
 	is.Equal(p.orders, before) // it rests
 }
 
