--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -28,7 +28,7 @@
 	// shrinkAfter before replicas are given back, one a zone at a time: a replica that is
 	// missed costs late batches, one too many only its price.
 	shrinkFraction = 0.75
-	shrinkAfter    = time.Minute
+	shrinkDelay    = time.Minute
 )
 
 // Zone is what is known of a service's replicas in one zone.
@@ -138,7 +138,7 @@
 	case len(in.Loads) == 0:
 	case need > total(counts):
 		grow(in, counts, need)
-	case !in.LowSince.IsZero() && in.Now.Sub(in.LowSince) >= shrinkAfter:
+	case !in.LowSince.IsZero() && in.Now.Sub(in.LowSince) >= shrinkDelay:
 		shrink(in, counts, need)
 	}
 	var orders []Order
--- a/internal/replicas/fleet/plan_test.go
+++ b/internal/replicas/fleet/plan_test.go
@@ -46,7 +46,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		seen := map[string]bool{}
-		mayShrink := !in.LowSince.IsZero() && in.Now.Sub(in.LowSince) >= shrinkAfter
+		mayShrink := !in.LowSince.IsZero() && in.Now.Sub(in.LowSince) >= shrinkDelay
 		zones := map[string]Zone{}
 		for _, z := range in.Zones {
 			zones[z.Name] = z
@@ -171,7 +171,7 @@
 		is.True(z.Present <= (need(480)+1)/2) // no zone has more than a half
 	}
 	now = now.Add(30 * time.Second)
-	p.simulate(loadsOf(60), now, shrinkAfter-time.Second)
+	p.simulate(loadsOf(60), now, shrinkDelay-time.Second)
 	is.Equal(p.present(), need(480)) // not yet
 	p.simulate(loadsOf(60), now, 10*time.Minute)
 	is.True(p.present() >= need(60))
