--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -23,15 +23,15 @@
 
 // fixture is a manager with all that it looks at.
 type fixture struct {
-	log      *journaltest.Journal
-	table    *replica.Table
-	demands  *demand.State
-	mu       sync.Mutex
-	orders   []duty.Fleet
-	orderErr error
-	contact  time.Time
-	held     bool
-	fence    int64
+	log         *journaltest.Journal
+	table       *replica.Table
+	demands     *demand.State
+	mu          sync.Mutex
+	orders      []duty.Fleet
+	orderErr    error
+	lastContact time.Time
+	held        bool
+	fence       int64
 }
 
 func (s *fixture) Duties() duty.Duties { return duty.Duties{Fleet: true} }
@@ -49,10 +49,10 @@
 func (s *fixture) Silence() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.contact.IsZero() {
+	if s.lastContact.IsZero() {
 		return 0
 	}
-	return time.Since(s.contact)
+	return time.Since(s.lastContact)
 }
 
 func (s *fixture) Fence() (int64, time.Duration, bool) {
@@ -167,14 +167,14 @@
 		s.start(ctx, zap.NewNop())
 		time.Sleep(10 * time.Second)
 		is.Equal(len(s.placedOrders()), 0)
-		s.set(func() { s.contact, s.held = time.Now(), false })
+		s.set(func() { s.lastContact, s.held = time.Now(), false })
 		time.Sleep(4 * time.Second)
 		for i := range 9 {
 			if i%3 == 2 || i < 3 {
 				s.table.Remove(fmt.Sprint("r", i))
 			}
 		}
-		s.set(func() { s.contact, s.held = time.Time{}, true })
+		s.set(func() { s.lastContact, s.held = time.Time{}, true })
 		time.Sleep(listSettleTime - 2*planInterval)
 		is.Equal(len(s.placedOrders()), 0)
 		time.Sleep(time.Second)
