--- a/internal/replicas/replica/changes.go
+++ b/internal/replicas/replica/changes.go
@@ -2,16 +2,17 @@
 
 import "go.uber.org/zap"
 
-// maxChangeLogLines is how many changes of one full list are logged a line each; more are
-// summed in one, as each of hundreds of daemons reads hundreds of replicas anew
-// after an outage.
+// maxChangeLogLines is the largest number of changes of one list update that are logged one per
+// line. A larger update is logged in one line, because after an outage every daemon reads the
+// entries of hundreds of replicas again.
 const maxChangeLogLines = 20
 
-// entryChange is one of the list. Its before is nil for a replica that is new, its now for
-// one that is gone.
+// entryChange is one change of the list of replicas. before is nil for an added replica, now for
+// a removed one.
 type entryChange struct{ before, now *Entry }
 
-// logChanges logs changes of the list, one by one or in one line.
+// logChanges logs the changes of one list update, one line each or, if there are more than
+// maxChangeLogLines, in one summary line. The mutex must be held.
 func (t *Table) logChanges(changes []entryChange) {
 	if len(changes) <= maxChangeLogLines {
 		for _, c := range changes {
@@ -30,10 +31,11 @@
 			state = append(state, c.now.ID)
 		}
 	}
-	t.logger.Info("replicas read", zap.Int("listed", len(t.entries)), zap.Strings("added", added),
+	t.logger.Info("replica list updated", zap.Int("listed", len(t.entries)), zap.Strings("added", added),
 		zap.Strings("gone", gone), zap.Strings("state_changed", state))
 }
 
+// logChange logs one change of the list.
 func (t *Table) logChange(c entryChange) {
 	switch {
 	case c.before == nil:
--- a/internal/replicas/replica/eventtime.go
+++ b/internal/replicas/replica/eventtime.go
@@ -6,75 +6,82 @@
 )
 
 const (
-	// eventWindow is over how many events the event time of an engine is taken: so many
-	// that the median is known to within a few hundredths, so few that an engine with some
-	// texts that turns slow shows within half a second.
+	// eventWindow is the number of events whose median is the event time: enough for a stable
+	// median, few enough that an engine with several streams that slows down is detected within
+	// half a second.
 	eventWindow = 32
-	// minEvents is from how many events on the event time is known.
+	// minEvents is the smallest number of events from which an event time is computed.
 	minEvents = 3
-	// eventTimeMaxAge is how long an event time counts without new events: a replica
-	// that was slow gets work again and shows how it is now.
+	// eventTimeMaxAge is how long an event time counts without new events. After that a replica
+	// that was slow gets work again, which shows its current event time.
 	eventTimeMaxAge = 3 * time.Second
-	// minEventTimeWindow is over how long at least the best median is remembered.
+	// minEventTimeWindow is the shortest time for which the lowest median is remembered.
 	minEventTimeWindow = 15 * time.Second
 )
 
-// eventTimeEstimate is the time between two events of the texts that a replica makes: the median
-// of the last ones. A mean would not do: an engine that changes its weights holds all
-// its texts up once, for many times as long, and is as fast as before right after.
+// eventTimeEstimate estimates the event time of a replica, the time between two events of a
+// stream, as the median of recent gaps. A mean would be distorted by an engine that changes its
+// weights, which delays all its streams once by a multiple of the event time.
 type eventTimeEstimate struct {
-	gaps   [eventWindow]time.Duration
-	count  int
+	// gaps is a ring buffer; count is how many gaps were added since it was last empty.
+	gaps  [eventWindow]time.Duration
+	count int
+	// lastAt is when the last gap was added.
 	lastAt time.Time
 	median time.Duration
-	// minMedian tells replicas apart that get nothing to do for a while.
+	// minMedian is the lowest recent median. It is the estimate for a replica that has had no
+	// events for eventTimeMaxAge.
 	minMedian RollingMin
 }
 
-// add takes the time between two events into account.
-func (p *eventTimeEstimate) add(gap time.Duration, now time.Time) {
-	if now.Sub(p.lastAt) > eventTimeMaxAge {
-		p.count = 0
+// add records the time between two events.
+func (e *eventTimeEstimate) add(gap time.Duration, now time.Time) {
+	if now.Sub(e.lastAt) > eventTimeMaxAge {
+		e.count = 0
 	}
-	p.gaps[p.count%eventWindow] = gap
-	p.count++
-	p.lastAt = now
-	n := min(p.count, eventWindow)
-	sorted := p.gaps
+	e.gaps[e.count%eventWindow] = gap
+	e.count++
+	e.lastAt = now
+	n := min(e.count, eventWindow)
+	sorted := e.gaps
 	slices.Sort(sorted[:n])
-	p.median = sorted[n/2]
+	e.median = sorted[n/2]
 	if n == eventWindow {
-		p.minMedian.Observe(p.median, minEventTimeWindow, now)
+		e.minMedian.Observe(e.median, minEventTimeWindow, now)
 	}
 }
 
-// value returns the event time to reckon with, 0 if it is unknown.
-func (p *eventTimeEstimate) value(now time.Time) time.Duration {
-	if p.count >= minEvents && now.Sub(p.lastAt) <= eventTimeMaxAge {
-		return p.median
+// value returns the median of recent gaps, or the lowest recent median if there were too few
+// gaps or none for eventTimeMaxAge. It returns 0 if the event time is unknown.
+func (e *eventTimeEstimate) value(now time.Time) time.Duration {
+	if e.count >= minEvents && now.Sub(e.lastAt) <= eventTimeMaxAge {
+		return e.median
 	}
-	return p.minMedian.Value()
+	return e.minMedian.Value()
 }
 
-// RollingMin is the best event time of the present span and of the one before. The zero value
-// knows none.
+// RollingMin tracks the minimum of the values observed in the current time window and in the one
+// before it. The zero value is empty and ready to use.
 type RollingMin struct {
+	// minima are those of the current window and of the previous one, 0 where it had no value.
 	minima      [2]time.Duration
 	windowStart time.Time
 }
 
-// Observe takes an event time into account. Span is over how long at least the best one counts.
-func (b *RollingMin) Observe(eventTime, span time.Duration, now time.Time) {
-	if b.minima[0] == 0 || now.Sub(b.windowStart) > span {
-		b.minima, b.windowStart = [2]time.Duration{eventTime, b.minima[0]}, now
+// Observe records a value, which must be positive. A new window starts with the first value that
+// is observed more than window after the start of the current one, so that a minimum counts for
+// at least that long after it was observed.
+func (m *RollingMin) Observe(value, window time.Duration, now time.Time) {
+	if m.minima[0] == 0 || now.Sub(m.windowStart) > window {
+		m.minima, m.windowStart = [2]time.Duration{value, m.minima[0]}, now
 	}
-	b.minima[0] = min(b.minima[0], eventTime)
+	m.minima[0] = min(m.minima[0], value)
 }
 
-// Value returns the best event time, 0 if none is known.
-func (b *RollingMin) Value() time.Duration {
-	if b.minima[1] > 0 {
-		return min(b.minima[0], b.minima[1])
+// Value returns the minimum of both windows, 0 if no value was observed.
+func (m *RollingMin) Value() time.Duration {
+	if m.minima[1] > 0 {
+		return min(m.minima[0], m.minima[1])
 	}
-	return b.minima[0]
+	return m.minima[0]
 }
--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -9,14 +9,15 @@
 	"go.uber.org/zap"
 )
 
-// Incarnation names one life of a replica's process: its id, with when it started if it says
-// so. A replica that starts again under its id holds and knows nothing of before.
+// Incarnation identifies one life of a replica's process: the id of the replica, followed by the
+// start time of the process if the replica reports one. A replica that restarts under its id has
+// none of the state of its earlier incarnation.
 type Incarnation string
 
-// startSeparator stands between an id and the time of its start, in milliseconds.
+// startSeparator separates the id from the start time, which is in Unix milliseconds.
 const startSeparator = "@"
 
-// Incarnation names the life of the process that the entry is of.
+// Incarnation returns the incarnation that the entry describes.
 func (e Entry) Incarnation() Incarnation {
 	if e.StartedAt.IsZero() {
 		return Incarnation(e.ID)
@@ -24,8 +25,9 @@
 	return Incarnation(e.ID + startSeparator + strconv.FormatInt(e.StartedAt.UnixMilli(), 10))
 }
 
-// HasStartTime reports whether the name tells two incarnations of a replica apart, so that its
-// process can end only once.
+// HasStartTime reports whether the start time is part of the name. Such a name identifies one
+// process, which can end only once; a name without it is shared by all incarnations of the
+// replica.
 func (i Incarnation) HasStartTime() bool {
 	_, ok := i.split()
 	return ok
@@ -37,7 +39,7 @@
 	return id
 }
 
-// split returns the id of a name, and whether the name says when the process started.
+// split returns the id, and whether a start time follows it.
 func (i Incarnation) split() (id string, ok bool) {
 	at := strings.LastIndex(string(i), startSeparator)
 	if at < 0 {
@@ -49,31 +51,33 @@
 	return string(i[:at]), true
 }
 
-// OnRestart sets what is called with the address at which a replica was listed when it is
-// known to have started again, or under which it is listed since: connections that rest
-// there lead to a process that has ended. It is called with the table locked, and must not
-// call the table. It is set before any other method is called.
+// OnRestart sets the function that is called when a replica has restarted, with its address
+// before the restart and, if it differs, with the address after it. Idle connections to these
+// addresses lead to a process that has ended. The function is called with the mutex held and
+// must not call the table. OnRestart must be called before any other method.
 func (t *Table) OnRestart(restarted func(address netip.AddrPort)) { t.onRestart = restarted }
 
-// ObserveStart notes what a replica itself says of when it started. It reports whether that is
-// the incarnation that is meant. After a later one, what was known of the replica is forgotten.
-func (t *Table) ObserveStart(meant Replica, born time.Time) bool {
-	if born.IsZero() || meant.StartedAt.IsZero() || born.Equal(meant.StartedAt) {
+// ObserveStart records the start time that a replica itself reported, and reports whether it is
+// that of the incarnation that the caller addressed. It returns true if either start time
+// is unknown. A start after the listed one replaces the listed incarnation before the replica's
+// new entry arrives.
+func (t *Table) ObserveStart(addressed Replica, startedAt time.Time) bool {
+	if startedAt.IsZero() || addressed.StartedAt.IsZero() || startedAt.Equal(addressed.StartedAt) {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if listed := t.entries[meant.ID]; listed != nil && born.After(listed.StartedAt) {
+	if listed := t.entries[addressed.ID]; listed != nil && startedAt.After(listed.StartedAt) {
 		entry := listed.Entry
-		entry.StartedAt, entry.Versions = born, nil
+		entry.StartedAt, entry.Versions = startedAt, nil
 		t.logChanges(t.set(entry, nil))
 		t.notify()
 	}
 	return false
 }
 
-// ListedIncarnations returns the incarnations that are listed, also of replicas that drain or can't be
-// used.
+// ListedIncarnations returns the incarnations in the list, including replicas that are draining
+// or unusable.
 func (t *Table) ListedIncarnations() map[Incarnation]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,9 +88,10 @@
 	return present
 }
 
-// acceptEntry makes an entry one of the newest incarnation that is known, and reports whether it
-// is. An entry of an earlier one was written late, or is left of a compaction. The mutex
-// is held.
+// acceptEntry reports whether the entry is of the newest known incarnation of its replica or of
+// a newer one, and records it as the newest. An entry of an earlier incarnation was written late
+// or has remained after a compaction. An entry without a start time is taken to be of the newest
+// known incarnation, whose start time it gets. The mutex must be held.
 func (t *Table) acceptEntry(entry *Entry) bool {
 	newest, ok := t.newest[entry.ID]
 	switch {
@@ -94,7 +99,7 @@
 	case entry.StartedAt.IsZero():
 		entry.StartedAt = newest.StartedAt
 	case entry.StartedAt.Before(newest.StartedAt):
-		t.logger.Info("entry of an earlier start passed over", zap.String("replica", entry.ID),
+		t.logger.Info("entry of an earlier incarnation ignored", zap.String("replica", entry.ID),
 			zap.Time("born", entry.StartedAt), zap.Time("known", newest.StartedAt))
 		return false
 	case entry.StartedAt.After(newest.StartedAt):
@@ -104,8 +109,9 @@
 	return true
 }
 
-// handleRestart forgets an incarnation that another one of the same id follows. What is under way
-// there is still counted, for that one. The mutex is held.
+// handleRestart expires the stats of an incarnation that was replaced by a newer one, and calls
+// onRestart. Requests in flight to the earlier one remain counted in its own stats. The mutex
+// must be held.
 func (t *Table) handleRestart(before, now Entry) {
 	inFlight := 0
 	if e := t.stats[before.Incarnation()]; e != nil {
--- a/internal/replicas/replica/incarnation_test.go
+++ b/internal/replicas/replica/incarnation_test.go
@@ -16,7 +16,8 @@
 
 var firstStart = time.UnixMilli(1_764_700_000_000)
 
-// startedEntry is an entry of the given start, which holds a version.
+// startedEntry returns an entry of a process that started start seconds after firstStart and
+// holds the given version.
 func startedEntry(id string, start int, version int64) Entry {
 	e := entry(id)
 	e.StartedAt = firstStart.Add(time.Duration(start) * time.Second)
@@ -24,9 +25,9 @@
 	return e
 }
 
-// What was learned of one start went on counting for the next under the same id: a replica
-// that came back was avoided, slow, busy and held versions of before.
-func TestExperienceBelongsToOneStart(t *testing.T) {
+// Stats of one incarnation must not count for the next one under the same id: it would be
+// avoided for failures, load and slowness of its predecessor, or asked for versions it lost.
+func TestStatsBelongToOneIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(drainBound, zap.NewNop())
@@ -54,7 +55,7 @@
 		is.True(!now.Declining && !now.Probing && now.AvoidUntil.IsZero())
 		is.Equal([]int{now.InFlight, now.ReportedLoad}, []int{0, 0})
 		is.Equal(now.Slowdown, 1.0)
-		// What the earlier start's requests still tell is of no concern to the next one.
+		// Late reports of requests to the earlier incarnation do not affect the next one.
 		table.RequestStarted(now.Incarnation())
 		for range 3 {
 			table.ObserveVersion(before.Incarnation(), "m", 9)
@@ -72,8 +73,9 @@
 	})
 }
 
-// An entry of an earlier start is left of a compaction, or was written late.
-func TestAnEntryOfAnEarlierStartIsPassedOver(t *testing.T) {
+// An entry of an earlier incarnation, written late or left after a compaction, must not replace
+// that of the newest.
+func TestEntryOfEarlierIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	core, logs := observer.New(zap.InfoLevel)
 	table := NewTable(drainBound, zap.New(core))
@@ -86,15 +88,15 @@
 	is.True(listed)
 	is.True(!r.Draining)
 	is.Equal(r.Versions, map[string]int64{"m": 2})
-	is.Equal(logs.FilterMessage("entry of an earlier start passed over").Len(), 2)
+	is.Equal(logs.FilterMessage("entry of an earlier incarnation ignored").Len(), 2)
 	table.Remove("a")
 	table.Set(old)
 	_, listed = table.Get("a")
-	is.True(!listed) // it left as the later start
+	is.True(!listed) // removed as the later incarnation
 }
 
-// An entry that tells no start is of the one that is known.
-func TestAnEntryWithoutAStart(t *testing.T) {
+// An entry without a start time must not be treated as a restart.
+func TestEntryWithoutStartTime(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(drainBound, zap.NewNop())
 	table.Set(startedEntry("a", 1, 2))
@@ -104,49 +106,49 @@
 	is.Equal(table.Replicas("s")[0].Versions, map[string]int64{"m": 2})
 }
 
-// Connections that rest lead to a process that is no more, at whatever address it was.
-func TestAnAddressIsToldWhenItsReplicaStartsAgain(t *testing.T) {
+// OnRestart must get every address whose idle connections lead to an ended process.
+func TestOnRestartGetsOldAndNewAddress(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(drainBound, zap.NewNop())
 	other := netip.MustParseAddrPort("10.0.0.2:80")
-	var told []netip.AddrPort
-	table.OnRestart(func(address netip.AddrPort) { told = append(told, address) })
+	var notified []netip.AddrPort
+	table.OnRestart(func(address netip.AddrPort) { notified = append(notified, address) })
 	table.Set(startedEntry("a", 0, 1))
 	table.Set(startedEntry("a", 0, 2))
-	is.Equal(len(told), 0)
+	is.Equal(len(notified), 0)
 	table.Set(startedEntry("a", 1, 1))
-	is.Equal(told, []netip.AddrPort{address})
+	is.Equal(notified, []netip.AddrPort{address})
 	moved := startedEntry("a", 2, 1)
 	moved.Address = other
 	table.Set(moved)
-	is.Equal(told, []netip.AddrPort{address, address, other})
+	is.Equal(notified, []netip.AddrPort{address, address, other})
 	table.Remove("a")
 	table.Set(startedEntry("a", 3, 1))
-	is.Equal(told, []netip.AddrPort{address, address, other, other, address})
+	is.Equal(notified, []netip.AddrPort{address, address, other, other, address})
 }
 
-// A replica's own word of a later start counts before its entry has come.
-func TestAReplicaSaysThatItStartedAgain(t *testing.T) {
+// A later start that the replica itself reports must count before its entry arrives.
+func TestReplicaReportsItsOwnRestart(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(drainBound, zap.NewNop())
 	table.Set(startedEntry("a", 1, 9))
-	meant, _ := table.Get("a")
-	is.True(table.ObserveStart(meant, time.Time{}))
-	is.True(table.ObserveStart(meant, meant.StartedAt))
-	is.True(!table.ObserveStart(meant, startedEntry("a", 0, 9).StartedAt)) // its answer is late
-	is.Equal(table.Replicas("s")[0].Incarnation(), meant.Incarnation())
+	addressed, _ := table.Get("a")
+	is.True(table.ObserveStart(addressed, time.Time{}))
+	is.True(table.ObserveStart(addressed, addressed.StartedAt))
+	is.True(!table.ObserveStart(addressed, startedEntry("a", 0, 9).StartedAt)) // a late answer of an earlier incarnation
+	is.Equal(table.Replicas("s")[0].Incarnation(), addressed.Incarnation())
 	later := startedEntry("a", 2, 1)
-	is.True(!table.ObserveStart(meant, later.StartedAt))
+	is.True(!table.ObserveStart(addressed, later.StartedAt))
 	now := table.Replicas("s")[0]
 	is.Equal(now.Incarnation(), later.Incarnation())
 	is.Equal(len(now.Versions), 0)
-	table.Set(startedEntry("a", 1, 9)) // the entry of before
+	table.Set(startedEntry("a", 1, 9)) // the earlier incarnation's entry
 	is.Equal(table.Replicas("s")[0].Incarnation(), later.Incarnation())
 	table.Set(later)
 	is.Equal(table.Replicas("s")[0].Versions, map[string]int64{"m": 1})
 }
 
-func TestNamesOfStarts(t *testing.T) {
+func TestIncarnationNames(t *testing.T) {
 	is := is.New(t)
 	for name, id := range map[Incarnation]string{"a": "a", "a@5": "a", "a@b@5": "a@b", "a@b": "a@b", "a@": "a@"} {
 		is.Equal(name.ID(), id)
@@ -156,13 +158,14 @@
 	is.Equal(entry("a").Incarnation(), Incarnation("a"))
 }
 
-// Whatever happens in whatever order, no count is below zero or counts another start's
-// requests, and a start holds only versions that its own entries and answers named.
-func TestStartsAreKeptApart(t *testing.T) {
+// After any sequence of events, the count of requests in flight must not be negative or include
+// requests of another incarnation, and an incarnation holds only versions that its own entries
+// named.
+func TestIncarnationsAreIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable(drainBound, zap.NewNop())
 		newest, listed := -1, false
-		underWay := map[Incarnation]int{}
+		inFlight := map[Incarnation]int{}
 		held := map[Incarnation]int64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
@@ -180,30 +183,30 @@
 			case 3:
 				if now, ok := table.Get("a"); ok {
 					table.RequestStarted(now.Incarnation())
-					underWay[now.Incarnation()]++
+					inFlight[now.Incarnation()]++
 				}
 			case 4:
-				for i, count := range underWay {
+				for i, count := range inFlight {
 					if count > 0 {
 						table.RequestEnded(i)
-						underWay[i]--
+						inFlight[i]--
 						break
 					}
 				}
 			}
 			now, ok := table.Get("a")
 			if ok != listed {
-				t.Fatalf("listed %v, should be %v", ok, listed)
+				t.Fatalf("listed: %v, want %v", ok, listed)
 			}
-			if ok && (now.Incarnation() != startedEntry("a", newest, 0).Incarnation() || now.InFlight != underWay[now.Incarnation()] || now.Versions["m"] != held[now.Incarnation()]) {
-				t.Fatalf("%s: %d under way, holds %d; should be %d, %d", now.Incarnation(), now.InFlight, now.Versions["m"], underWay[now.Incarnation()], held[now.Incarnation()])
+			if ok && (now.Incarnation() != startedEntry("a", newest, 0).Incarnation() || now.InFlight != inFlight[now.Incarnation()] || now.Versions["m"] != held[now.Incarnation()]) {
+				t.Fatalf("%s: %d requests in flight, holds version %d; want %d, %d", now.Incarnation(), now.InFlight, now.Versions["m"], inFlight[now.Incarnation()], held[now.Incarnation()])
 			}
 		}
 	})
 }
 
-// The pace of work that a replica told draws requests for some tenths of a second.
-func TestAToldWorkPaceCountsForAMoment(t *testing.T) {
+// A reported slowdown must lose its effect within tenths of a second.
+func TestReportedSlowdownDecays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(drainBound, zap.NewNop())
@@ -211,7 +214,7 @@
 		for _, i := range []Incarnation{"a", "b"} {
 			table.RequestSucceeded(i, 30*time.Millisecond)
 		}
-		paceOf := func() float64 {
+		slowdown := func() float64 {
 			r, _ := table.Get("a")
 			return r.Slowdown
 		}
@@ -226,25 +229,25 @@
 			}
 			return float64(toA) / picks
 		}
-		is.Equal(paceOf(), 1.0)
+		is.Equal(slowdown(), 1.0)
 		table.ReportSlowdown("a", 3)
-		is.Equal(paceOf(), 3.0)
+		is.Equal(slowdown(), 3.0)
 		is.Equal(shareOf(), 0.0)
 		time.Sleep(slowdownHalfLife)
-		is.Equal(paceOf(), 2.0)
+		is.Equal(slowdown(), 2.0)
 		time.Sleep(slowdownMaxAge)
-		is.Equal(paceOf(), 1.0)
+		is.Equal(slowdown(), 1.0)
 		is.True(shareOf() > 0.3)
 		table.ReportSlowdown("a", 1e6)
-		is.Equal(paceOf(), maxSlowdown)
+		is.Equal(slowdown(), maxSlowdown)
 		table.ReportSlowdown("a", 0.001)
-		is.Equal(paceOf(), minSlowdown)
+		is.Equal(slowdown(), minSlowdown)
 		is.Equal(shareOf(), 1.0)
 	})
 }
 
-// A replica that works slowly now is still taken before one that has much to do.
-func TestAWorkPaceAloneKeepsNoRequestAway(t *testing.T) {
+// A slow but idle replica must still be preferred to a busy one.
+func TestSlowdownAloneDoesNotExcludeReplica(t *testing.T) {
 	is := is.New(t)
 	slow, busy := Replica{Entry: entry("slow"), Slowdown: maxSlowdown, Latency: 20 * time.Millisecond}, Replica{Entry: entry("busy"), Slowdown: 1, InFlight: 4, Latency: 20 * time.Millisecond}
 	for range 100 {
@@ -253,8 +256,8 @@
 	}
 }
 
-// Each event of a text is told to the table by its start.
-func BenchmarkPaced(b *testing.B) {
+// ObserveEvent is called for each event of a stream.
+func BenchmarkObserveEvent(b *testing.B) {
 	table := NewTable(drainBound, zap.NewNop())
 	table.Set(startedEntry("a", 0, 1))
 	r, _ := table.Get("a")
@@ -263,7 +266,7 @@
 	}
 }
 
-func BenchmarkStart(b *testing.B) {
+func BenchmarkIncarnation(b *testing.B) {
 	chosen := startedEntry("engine-0123456789", 0, 1)
 	for b.Loop() {
 		_ = chosen.Incarnation()
--- a/internal/replicas/replica/pick.go
+++ b/internal/replicas/replica/pick.go
@@ -5,32 +5,31 @@
 	"time"
 )
 
-// What makes up a score, which is 1 for a replica whose slots are all in use.
+// Terms of a score. A replica that is fully loaded and differs in nothing else scores 1.
 const (
-	// avoidPenalty is added for a replica to be avoided: it is picked only if there is no
-	// other.
+	// avoidPenalty is added for a replica to avoid, which is chosen only if there is no other.
 	avoidPenalty = 1000.0
-	// latencyUnit is by how much longer a replica's answers must take for it to count like
-	// one whose slots are all in use.
+	// latencyUnit is the additional latency that counts as much as a full load.
 	latencyUnit = 200 * time.Millisecond
-	// maxJitter bounds what chance adds, so that daemons do not all pick the same.
+	// maxJitter bounds the random term, which keeps daemons from all choosing the same replica.
 	maxJitter = 0.05
-	// noConnPenalty is added where a connection must be made: a little more than one request
-	// under way at a replica of six slots. Making one takes the replica's time, and with
-	// hundreds of daemons that each ask seldom, every request would make one.
+	// noConnPenalty is added if a connection must be opened first, which costs the replica time.
+	// It is a little more than one request in flight to a replica of six slots, so that of
+	// hundreds of daemons with few requests each not every request opens one.
 	noConnPenalty = 0.2
-	// exploreFraction is the part of the picks for which connections do not count, so that a
-	// replica that is new or has recovered gets work from a daemon that asks seldom.
+	// exploreFraction is the fraction of the picks that ignore connections, so that a replica
+	// that is new or has recovered also gets work from a daemon with few requests.
 	exploreFraction = 0.05
 )
 
-// Pick chooses the replica for a plain request: not yet tried, rather not one
-// to be avoided, the least loaded for its slots (by our own requests there, or by what it
-// reported of all, both by its slowdown), rather one with an idle connection, and by chance
-// among equals.
-// The way to another zone counts as far as answers from there take longer; a replica
-// that was never asked counts as fast as the fastest. It returns false if every
-// candidate was tried.
+// Pick chooses the replica for a plain request among the candidates that are not in tried, by
+// the lowest score. A replica to avoid is chosen only if no other is left. The score is the load
+// per slot plus the latency, multiplied by the slowdown; the load is the larger of this daemon's
+// requests in flight and the reported load. A replica without an idle connection is penalised,
+// and a small random term decides between equals. Latency includes the network, so replicas of
+// other zones score worse as far as they answer later. A replica without a known latency is
+// taken to be as fast as the fastest candidate, also in the Replica that is returned. Pick
+// returns false if every candidate was tried.
 func Pick(candidates []Replica, tried map[string]bool, now time.Time) (Replica, bool) {
 	best := -1
 	bestScore := 0.0
@@ -60,7 +59,7 @@
 	return r, true
 }
 
-// minLatency returns the lowest latency known, or 0.
+// minLatency returns the lowest known latency of the candidates, 0 if none is known.
 func minLatency(candidates []Replica) time.Duration {
 	fastest := time.Duration(0)
 	for i := range candidates {
@@ -71,13 +70,13 @@
 	return fastest
 }
 
-// loadScore is lower for a better choice. Latency is what the candidate's is taken to be,
-// connected whether it counts as such.
+// loadScore returns the score of a replica; lower is better. latency replaces the replica's own,
+// which may be unknown, and connected says whether to omit the penalty for opening a connection.
 func loadScore(r *Replica, latency time.Duration, connected bool, now time.Time) float64 {
 	score := float64(max(r.InFlight, r.ReportedLoad)) / float64(max(r.Slots, 1))
 	score += float64(latency) / float64(latencyUnit)
 	if r.Slowdown > 0 {
-		// What runs there and what is sent take longer or shorter by the same.
+		// A slowdown affects running requests and the new one alike.
 		score *= r.Slowdown
 	}
 	if !connected {
--- a/internal/replicas/replica/slowdown.go
+++ b/internal/replicas/replica/slowdown.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	// slowdownHalfLife is in which time a reported slowdown counts half as much: what else
-	// runs on the replica's machine changes many times a second, so that an answer
-	// older than some of these says nothing of now.
+	// slowdownHalfLife is the time in which the difference of a reported slowdown from 1 halves.
+	// The load on a replica's machine changes many times a second, so an older report says
+	// little about the present.
 	slowdownHalfLife = 100 * time.Millisecond
-	// slowdownMaxAge is after how long it counts no more.
+	// slowdownMaxAge is the age from which a report is ignored.
 	slowdownMaxAge = 5 * slowdownHalfLife
-	// minSlowdown and maxSlowdown bound what counts: one answer must neither draw
-	// all requests to a replica nor keep all from it.
+	// minSlowdown and maxSlowdown bound a reported slowdown, so that one answer neither attracts
+	// all requests to a replica nor keeps all away from it.
 	minSlowdown, maxSlowdown = 0.5, 4.0
 )
 
-// slowdown is how much longer than usual work takes at a replica, as a ratio, as it reported
-// a moment ago.
+// slowdown is the ratio of the time that work currently takes at a replica to its usual time, as
+// the replica reported it.
 type slowdown struct {
 	reported float64
 	at       time.Time
 }
 
-// value returns the slowdown to reckon with, between what was reported and 1; 1 if there is
-// none that counts.
-func (w slowdown) value(now time.Time) float64 {
-	age := now.Sub(w.at)
-	if w.reported <= 0 || age > slowdownMaxAge {
+// value returns the current slowdown, which decays from the reported one towards 1. It is 1 if
+// there is no report or only one older than slowdownMaxAge.
+func (s slowdown) value(now time.Time) float64 {
+	age := now.Sub(s.at)
+	if s.reported <= 0 || age > slowdownMaxAge {
 		return 1
 	}
 	weight := math.Exp2(-float64(age) / float64(slowdownHalfLife))
-	return 1 + (w.reported-1)*weight
+	return 1 + (s.reported-1)*weight
 }
 
-// ReportSlowdown notes how long work takes at a replica at present, as its answer reports:
-// 1 is as usual there, 2 twice as long.
+// ReportSlowdown records the slowdown that an answer of a replica reports: 1 if work takes as
+// long as usual there, 2 if it takes twice as long.
 func (t *Table) ReportSlowdown(i Incarnation, ratio float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/replicas/replica/stats.go
+++ b/internal/replicas/replica/stats.go
@@ -6,48 +6,52 @@
 )
 
 const (
-	// averageWeight is the weight of a new value in a running average.
+	// averageWeight is the weight of a new value in a moving average.
 	averageWeight = 0.25
-	// minDeclineBackoff is how long a replica that declined a request is left alone; the
-	// time doubles with each decline in a row, up to maxDeclinePause. An engine
-	// declines for as long as it changes its weights.
+	// minDeclineBackoff is how long other replicas are preferred to one that declined a request.
+	// The time doubles with each consecutive decline, up to maxDeclineBackoff. An engine
+	// declines requests for as long as it changes its weights.
 	minDeclineBackoff = 120 * time.Millisecond
 	maxDeclineBackoff = 300 * time.Millisecond
-	// minFailureBackoff is how long others are preferred after a failure; it doubles with each one in
-	// a row, up to maxAvoid.
+	// minFailureBackoff is how long other replicas are preferred after a failed request. The
+	// time doubles with each consecutive failure, up to maxFailureBackoff.
 	minFailureBackoff = 200 * time.Millisecond
 	maxFailureBackoff = 3 * time.Second
-	// reportedLoadMaxAge is how long a load counts that an answer reported: requests to plain
-	// replicas take some tens of milliseconds.
+	// reportedLoadMaxAge is how long the load that an answer reported counts. It is of the order
+	// of the duration of a plain request.
 	reportedLoadMaxAge = 100 * time.Millisecond
-	// statsTTL is how long what was learned of a replica outlives its entry.
+	// statsTTL is how long the stats of an incarnation are kept after its entry was removed.
 	statsTTL = 30 * time.Second
 )
 
-// replicaStats is what this daemon has learned of one incarnation of a replica by itself.
+// replicaStats is what this daemon has measured, or was reported to it, of one incarnation of a
+// replica.
 type replicaStats struct {
 	inFlight   int
 	failures   int
 	avoidUntil time.Time
-	// declines counts the declined requests in a row, those within one pause as
-	// one. While there are any, one request at a time finds out (probing).
+	// declines counts consecutive declined requests; those within one backoff count as one.
+	// While it is above zero, probing is set as long as a request is in flight that tests
+	// whether the replica accepts requests again.
 	declines   int
 	probing    bool
 	latency    time.Duration
 	eventTimes eventTimeEstimate
-	// reportedLoad is the load that an answer reportedLoad at reportedAt.
+	// reportedLoad is the number of requests that an answer reported at reportedLoadAt.
 	reportedLoad   int
 	reportedLoadAt time.Time
 	slowdown       slowdown
-	// versions is never changed, only replaced: readers hold it.
-	versions  map[string]int64
+	// versions is the newest version held of each model. The map is never modified, only
+	// replaced, because callers read it without the mutex.
+	versions map[string]int64
+	// removedAt is when the entry was removed, zero while it is listed.
 	removedAt time.Time
-	// lastEntry is the entry that was removed at goneAt.
+	// lastEntry is the entry that was removed at removedAt.
 	lastEntry Entry
 }
 
-// statsOf returns what was learned of an incarnation. One that is not listed is forgotten like
-// one that is gone. The mutex is held.
+// statsOf returns the stats of an incarnation and creates them if there are none. Stats of an
+// incarnation that is not listed expire like those of a removed one. The mutex must be held.
 func (t *Table) statsOf(i Incarnation) *replicaStats {
 	e := t.stats[i]
 	if e == nil {
@@ -57,6 +61,8 @@
 	return e
 }
 
+// raiseVersion sets the version of a model if it is higher than the known one, and reports
+// whether it is. The mutex of the table must be held.
 func (e *replicaStats) raiseVersion(model string, version int64) bool {
 	if version <= e.versions[model] {
 		return false
@@ -67,7 +73,8 @@
 	return true
 }
 
-// RequestStarted counts a request on its way to a replica.
+// RequestStarted counts a request that is about to be sent to a replica. Each call must be
+// followed by one of RequestEnded.
 func (t *Table) RequestStarted(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,7 +83,7 @@
 	e.probing = e.declines > 0
 }
 
-// RequestEnded takes a request off the count.
+// RequestEnded removes a request from the count of those in flight.
 func (t *Table) RequestEnded(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,17 +93,18 @@
 	t.notify()
 }
 
-// RequestSucceeded notes an answer and how long it took.
-func (t *Table) RequestSucceeded(i Incarnation, took time.Duration) {
+// RequestSucceeded records a sound answer and its latency, and ends the backoff after failures.
+func (t *Table) RequestSucceeded(i Incarnation, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.statsOf(i)
 	e.failures = 0
 	e.avoidUntil = time.Time{}
-	e.latency = movingAverage(e.latency, took)
+	e.latency = movingAverage(e.latency, latency)
 }
 
-// ReportLoad notes how many requests of all callers a replica has, as its answer reports.
+// ReportLoad records the number of requests of all callers that a replica has, as reported by
+// its answer.
 func (t *Table) ReportLoad(i Incarnation, requests int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,13 +112,15 @@
 	e.reportedLoad, e.reportedLoadAt = requests, time.Now()
 }
 
-// ObserveEvent notes the time between two events of a stream.
+// ObserveEvent records the time between two events of a stream.
 func (t *Table) ObserveEvent(i Incarnation, gap time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.statsOf(i).eventTimes.add(gap, time.Now())
 }
 
+// movingAverage returns the exponential moving average after a new value; a mean of 0 stands for
+// no earlier value.
 func movingAverage(mean, value time.Duration) time.Duration {
 	if mean == 0 {
 		return value
@@ -118,8 +128,8 @@
 	return mean + time.Duration(averageWeight*float64(value-mean))
 }
 
-// RequestFailed notes an exchange that got no sound answer: others are preferred for
-// a while that grows with each failure in a row.
+// RequestFailed records a request that got no sound answer. Other replicas are preferred for a
+// time that doubles with each consecutive failure.
 func (t *Table) RequestFailed(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,19 +139,19 @@
 	e.avoidUntil = time.Now().Add(min(avoid, maxFailureBackoff))
 }
 
-// AvoidFor notes that a replica declined a short request: others are preferred for
-// the given time.
-func (t *Table) AvoidFor(i Incarnation, pause time.Duration) {
+// AvoidFor makes other replicas preferred for the given time from now. It never shortens a time
+// that was set before.
+func (t *Table) AvoidFor(i Incarnation, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.statsOf(i)
-	if until := time.Now().Add(pause); until.After(e.avoidUntil) {
+	if until := time.Now().Add(d); until.After(e.avoidUntil) {
 		e.avoidUntil = until
 	}
 }
 
-// RequestDeclined notes that a replica declined a request: others are preferred for a
-// while that grows with each further one.
+// RequestDeclined records a declined request. Other replicas are preferred for a time that
+// doubles with each consecutive decline; a decline within that time has no effect.
 func (t *Table) RequestDeclined(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,7 +164,8 @@
 	e.declines++
 }
 
-// RequestAccepted notes that a replica has begun to answer a request.
+// RequestAccepted records that a replica has begun to answer a request, which ends a series of
+// declines.
 func (t *Table) RequestAccepted(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,8 +173,8 @@
 	e.declines, e.probing = 0, false
 }
 
-// ObserveVersion notes a version of a model that a replica was seen to hold.
-// Versions only rise.
+// ObserveVersion records that a replica holds a version of a model. A lower version than the
+// known one is ignored.
 func (t *Table) ObserveVersion(i Incarnation, model string, version int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,7 +183,8 @@
 	}
 }
 
-// Sweep forgets replicas that have long left the list.
+// Sweep deletes the stats of incarnations that were removed more than statsTTL ago and have no
+// requests in flight. It must be called regularly.
 func (t *Table) Sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -1,28 +1,30 @@
-// Package replica holds what a daemon knows of the replicas: the platform's list of them,
-// and what this daemon's own exchanges with each have shown.
+// Package replica keeps what a daemon knows of the replicas: the list of them that the platform
+// publishes, and what the daemon has measured in its own requests.
 //
-// Replicas end and start again under their ids, hundreds at a time where their service is
-// replaced, and their entries may be written late. What was learned belongs to one
-// Incarnation: whoever has picked a replica reports to the table by the one that was picked,
-// which changes nothing once another one has followed.
+// Replicas restart under the same id, hundreds at a time when a service is replaced, and their
+// entries may arrive late. Statistics therefore belong to an Incarnation: a caller reports to
+// the table under the incarnation that it picked, and a report that arrives after a restart does
+// not affect the next incarnation.
 //
-// The package owns the Table, in memory only; the list in it is fed by package catalog. Pick
-// is the rule for plain requests; items of batches are placed by package scheduling over the
+// The package owns the Table, which is in memory only. Package catalog feeds the list into it.
+// Pick chooses the replica of a plain request; package scheduling places items of batches by the
 // same table.
 //
-// Invariants: the newest birth of an id counts; an incarnation's versions only rise; no
-// count of requests under way is below zero or has another incarnation's requests.
+// Invariants: of the entries of one id, the one with the latest start counts; the versions held
+// by an incarnation never decrease; the number of requests in flight is never negative and never
+// includes requests of another incarnation.
 //
 // # Usage
 //
-// Many requests from many daemons share replicas of uneven load and speed: each daemon knows
-// its own requests, and for a moment what answers report of all.
+// Many daemons send requests to the same replicas, which differ in load and speed. A daemon
+// counts its own requests; the load of other daemons is known for a short time after an answer
+// that reports it.
 //
 //	rep, ok := replica.Pick(table.Replicas(service), tried, now)
-//	table.Started(rep.Incarnation())
-//	defer table.Ended(rep.Incarnation())
+//	table.RequestStarted(rep.Incarnation())
+//	defer table.RequestEnded(rep.Incarnation())
 //	// after a sound answer:
-//	table.Succeeded(rep.Incarnation(), took)
+//	table.RequestSucceeded(rep.Incarnation(), took)
 package replica
 
 import (
@@ -35,10 +37,10 @@
 	"woodworks/internal/daemon/bootclock"
 )
 
-// DefaultSlots is assumed where an engine names no slots.
+// DefaultSlots is the number of slots assumed for an engine that reports none.
 const DefaultSlots = 8
 
-// Entry is one replica as the platform lists it.
+// Entry describes one replica as the platform lists it.
 type Entry struct {
 	ID      string
 	Service string
@@ -47,74 +49,81 @@
 	Slots   int
 	// Draining replicas get no new work.
 	Draining bool
-	// Unusable replicas get none either: their newest entry can't be understood, which says
-	// nothing of their process. Only ID counts of such an entry.
+	// Unusable replicas get no new work either: their newest entry could not be decoded, which
+	// does not mean that the process has ended. Only the ID of such an entry is used.
 	Unusable bool
-	// StartedAt is when the process started, by its own clock in milliseconds; zero if it does
-	// not say.
+	// StartedAt is when the process started, by its own clock and in whole milliseconds; zero if
+	// unknown.
 	StartedAt time.Time
-	// Spot replicas may be taken away at any moment.
+	// Spot replicas may be taken away by the platform at any moment.
 	Spot bool
-	// Versions are the versions of the weights it holds, by model.
+	// Versions are the versions of the weights that the replica holds, by model. The map must
+	// not be modified.
 	Versions map[string]int64
 }
 
-// Replica is an entry with this daemon's own view of it, as it was when read.
+// Replica is a snapshot of an entry and of this daemon's statistics of the replica.
 type Replica struct {
 	Entry
-	// InFlight is how many of this daemon's requests are under way there.
+	// InFlight is the number of this daemon's requests in flight to the replica.
 	InFlight int
-	// ReportedLoad is how many requests of all callers it had, running or waiting, by an
-	// answer of a moment ago; 0 if there was none.
+	// ReportedLoad is the number of requests of all callers, running or waiting, that a recent
+	// answer of the replica reported; 0 if there was none.
 	ReportedLoad int
-	// AvoidUntil is until when other replicas are to be preferred.
+	// AvoidUntil is the time until which other replicas are preferred.
 	AvoidUntil time.Time
-	// Declining says that the replica declined the last request, Probing that one
-	// is finding out whether it still does.
+	// Declining reports whether the replica declined the last request, Probing whether a request
+	// is in flight that tests whether it still does.
 	Declining, Probing bool
-	// Connected says that an idle connection to it is open here. Its user sets it.
+	// Connected reports whether this daemon has an idle connection to the replica. The table
+	// leaves it false; the caller sets it before Pick.
 	Connected bool
-	// Latency is the mean time of recent answers, 0 if there were none.
+	// Latency is the moving average of the latency of answers, 0 if there were none.
 	Latency time.Duration
 	// EventTime is the median time between the events of recent streams, 0 if unknown.
 	EventTime time.Duration
-	// LastEventAt is when the last of these events came, zero if there were none.
+	// LastEventAt is when the last of these events arrived, zero if there were none.
 	LastEventAt time.Time
-	// Slowdown is how much longer than usual work takes there at present, as a ratio, as the
-	// replica reported. The older that is, the nearer it is to 1; it is 1 if nothing is known.
+	// Slowdown is the ratio of the time that work currently takes at the replica to its usual
+	// time, as the replica reported it. It decays towards 1 as the report ages, and is 1 if
+	// nothing is known.
 	Slowdown float64
 }
 
-// listedReplica is an entry with what was learned of its replica.
+// listedReplica is an entry of the list with the stats of its incarnation.
 type listedReplica struct {
 	Entry
 	stats *replicaStats
 }
 
-// Table is the daemon's view of all replicas. It is safe for concurrent use.
+// Table is a daemon's view of all replicas. It is safe for concurrent use.
 type Table struct {
 	logger *zap.Logger
-	// removedGrace is how long a replica that left the list may still get work
-	// if its service has no other.
+	// removedGrace is how long a replica that was removed from the list may still get work if
+	// its service has no other.
 	removedGrace time.Duration
-	// now is the clock by which that grace ends.
+	// now is the clock that measures removedGrace and statsTTL; it continues while the machine
+	// is suspended.
 	now bootclock.Clock
 
 	mu      sync.Mutex
 	entries map[string]*listedReplica
-	// services has the entries of each service, by id.
+	// services holds the entries of each service, by id.
 	services map[string]map[string]*listedReplica
-	// stats is by incarnation. That of an earlier one stays while requests are under way there.
+	// stats also holds earlier incarnations of a replica while they have requests in flight, and
+	// for statsTTL.
 	stats map[Incarnation]*replicaStats
-	// newest has the newest incarnation of each id that was listed of late.
+	// newest is the entry of the newest known incarnation of each id. It is kept as long as the
+	// stats of that incarnation.
 	newest map[string]Entry
-	// onRestart is called with addresses of replicas that have started again.
+	// onRestart is the function set by OnRestart.
 	onRestart func(address netip.AddrPort)
-	changed   chan struct{}
+	// changed is closed and replaced at each change.
+	changed chan struct{}
 }
 
-// NewTable returns an empty table. DrainBound is how long after a replica has
-// left the list new work may still reach it.
+// NewTable returns an empty table. drainBound is how long after its removal from the list a
+// replica may still get new work; the table uses half of it.
 func NewTable(drainBound time.Duration, logger *zap.Logger) *Table {
 	return &Table{
 		logger: logger, removedGrace: drainBound / 2, now: bootclock.Now,
@@ -124,7 +133,7 @@
 	}
 }
 
-// Replace sets the whole list.
+// Replace replaces the whole list.
 func (t *Table) Replace(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -143,7 +152,8 @@
 	t.notify()
 }
 
-// Set changes or adds one entry.
+// Set adds or updates one entry. An entry of an earlier incarnation than the known one is
+// ignored, and an unusable one only marks a listed replica as unusable.
 func (t *Table) Set(entry Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,7 +161,7 @@
 	t.notify()
 }
 
-// Remove drops one entry.
+// Remove removes one entry.
 func (t *Table) Remove(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,8 +169,8 @@
 	t.notify()
 }
 
-// set changes or adds an entry. It returns the changes with this one, if it is one to
-// be logged. The mutex is held.
+// set adds or updates an entry. It appends the change to changes if it is to be logged, and
+// returns them. The mutex must be held.
 func (t *Table) set(entry Entry, changes []entryChange) []entryChange {
 	before := t.entries[entry.ID]
 	switch {
@@ -196,7 +206,8 @@
 	}
 }
 
-// remove drops an entry. It returns the changes with this one. The mutex is held.
+// remove removes an entry. It appends the change to changes and returns them. The mutex must be
+// held.
 func (t *Table) remove(id string, changes []entryChange) []entryChange {
 	before := t.entries[id]
 	if before == nil {
@@ -208,21 +219,22 @@
 	return append(changes, entryChange{before: &before.Entry})
 }
 
-// notify wakes those who wait for a change. The mutex is held.
+// notify closes the channel that Changed returned. The mutex must be held.
 func (t *Table) notify() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed at the next change of the list, of
-// a version, or of the room at a replica.
+// Changed returns a channel that is closed at the next change of the list or of a held version,
+// and at the next end of a request.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
 }
 
-// Replicas returns the replicas of a service that may get new work.
+// Replicas returns the replicas of a service that may get new work. If none is listed, these are
+// the ones that were removed recently.
 func (t *Table) Replicas(service string) []Replica {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -239,10 +251,9 @@
 	return found
 }
 
-// recentlyRemoved returns the replicas of a service that left the list a moment
-// ago without having said that they leave. After an outage of the platform all
-// entries may be missing until the replicas have written them again. The mutex
-// is held.
+// recentlyRemoved returns the replicas of a service that were removed within removedGrace
+// without having been listed as draining. After an outage of the platform all entries may be
+// missing until the replicas have written them again. The mutex must be held.
 func (t *Table) recentlyRemoved(service string) []Replica {
 	var found []Replica
 	now, awake := t.now(), time.Now()
@@ -257,7 +268,7 @@
 	return found
 }
 
-// All returns all replicas listed, also those that drain.
+// All returns all listed replicas, including those that are draining or unusable.
 func (t *Table) All() []Replica {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -269,7 +280,7 @@
 	return found
 }
 
-// Get returns one replica if it is listed.
+// Get returns a replica, and whether it is listed.
 func (t *Table) Get(id string) (Replica, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -280,7 +291,7 @@
 	return l.view(time.Now()), true
 }
 
-// view is a replica as it is now.
+// view returns a snapshot of the replica. The mutex of the table must be held.
 func (l *listedReplica) view(now time.Time) Replica {
 	e := l.stats
 	r := Replica{
--- a/internal/replicas/replica/table_test.go
+++ b/internal/replicas/replica/table_test.go
@@ -24,13 +24,12 @@
 	return Entry{ID: id, Service: "s", Address: address, Zone: "z", Slots: 4}
 }
 
-// address is where the replicas of these tests are listed; nobody dials it.
+// address is where the replicas of these tests are listed; no test connects to it.
 var address = netip.MustParseAddrPort("10.0.0.1:80")
 
-// After an outage of the platform the list may be empty until the replicas have
-// written their entries again: they go on getting work for half the drain
-// bound. Without that, requests found no replica after the store was back.
-func TestReplicasThatVanishTogetherGetWorkForAWhile(t *testing.T) {
+// After an outage of the platform the list may be empty until the replicas have written their
+// entries again; requests must still find a replica for half the drain bound.
+func TestReplicasRemovedTogetherKeepGettingWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := clocktest.New()
@@ -45,9 +44,9 @@
 	})
 }
 
-// The grace of replicas that vanished passes while the machine is suspended: by then their
-// addresses may be others'.
-func TestReplicasThatVanishedGetNothingAfterASuspension(t *testing.T) {
+// The grace time of removed replicas must include the time that the machine is suspended, after
+// which their addresses may belong to others.
+func TestRemovedReplicasGetNothingAfterSuspension(t *testing.T) {
 	is := is.New(t)
 	clock := clocktest.New()
 	table := NewTable(drainBound, zap.NewNop())
@@ -58,22 +57,22 @@
 	is.Equal(len(table.Replicas("s")), 0)
 }
 
-func TestARemovedReplicaGetsNothingWhileOthersAreThere(t *testing.T) {
+func TestRemovedReplicaGetsNothingWhileOthersAreListed(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(drainBound, zap.NewNop())
 	table.Replace([]Entry{entry("a"), entry("b")})
 	table.Remove("a")
 	is.Equal(len(table.Replicas("s")), 1)
-	leaving := entry("b")
-	leaving.Draining = true
-	table.Set(leaving)
+	draining := entry("b")
+	draining.Draining = true
+	table.Set(draining)
 	table.Remove("b")
 	for _, r := range table.Replicas("s") {
 		is.True(r.ID != "b")
 	}
 }
 
-func TestVersionsOnlyRise(t *testing.T) {
+func TestVersionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable(drainBound, zap.NewNop())
 		highest := int64(0)
@@ -90,13 +89,13 @@
 		table.Set(entry("a"))
 		r, _ := table.Get("a")
 		if r.Versions["m"] != highest {
-			t.Fatalf("version %d, highest seen %d", r.Versions["m"], highest)
+			t.Fatalf("version %d, want the highest seen, %d", r.Versions["m"], highest)
 		}
 	})
 }
 
-// A pick never takes a replica that was tried, takes one that need not be
-// avoided if there is one, and takes some if any is left.
+// Pick must never choose a replica that was tried, must choose one that need not be avoided if
+// there is one, and must choose one as long as any is left.
 func TestPick(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
@@ -118,11 +117,11 @@
 		r, ok := Pick(candidates, tried, now)
 		switch {
 		case ok != (len(candidates) > len(tried)):
-			t.Fatal("found none though some are left, or one though none is")
+			t.Fatal("returned no replica though some were not tried, or one though all were")
 		case ok && tried[r.ID]:
-			t.Fatal("took a replica that was tried")
+			t.Fatal("chose a replica that was tried")
 		case ok && sound > 0 && now.Before(r.AvoidUntil):
-			t.Fatal("took a replica to be avoided though others are there")
+			t.Fatal("chose a replica to avoid though others were available")
 		}
 	})
 }
@@ -141,10 +140,9 @@
 	}
 }
 
-// An engine that changes its weights declines for a second: it is asked by one
-// request at a time, less and less often, and by as many as it takes once it has
-// accepted one (1,090 of 5,534 requests were once declined).
-func TestADecliningReplicaIsProbedByOneRequestAtATime(t *testing.T) {
+// An engine that changes its weights must be probed by one request at a time with a growing
+// backoff, and get all requests again once it has accepted one.
+func TestDecliningReplicaIsProbedByOneRequestAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(time.Second, zap.NewNop())
@@ -155,7 +153,7 @@
 			table.RequestDeclined("e")
 			table.RequestEnded("e")
 		}
-		// Six requests under way are declined together: that counts as one.
+		// Six requests in flight that are declined together count as one decline.
 		for range 6 {
 			attempt()
 		}
@@ -163,9 +161,9 @@
 		for range 6 {
 			decline()
 		}
-		for _, pause := range []time.Duration{minDeclineBackoff, 2 * minDeclineBackoff, maxDeclineBackoff, maxDeclineBackoff} {
-			is.Equal(time.Until(seen().AvoidUntil), pause)
-			time.Sleep(pause)
+		for _, backoff := range []time.Duration{minDeclineBackoff, 2 * minDeclineBackoff, maxDeclineBackoff, maxDeclineBackoff} {
+			is.Equal(time.Until(seen().AvoidUntil), backoff)
+			time.Sleep(backoff)
 			is.True(seen().Declining)
 			is.True(!seen().Probing)
 			attempt()
@@ -183,9 +181,9 @@
 	})
 }
 
-// Each daemon knows its own requests only: what a replica tells of all of them keeps
-// daemons from meeting at one.
-func TestAReportedLoadCountsForAWhile(t *testing.T) {
+// A reported load must count for a limited time: it prevents daemons, which each know only their
+// own requests, from all choosing the same replica.
+func TestReportedLoadCountsForLimitedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(drainBound, zap.NewNop())
@@ -208,9 +206,9 @@
 	})
 }
 
-// A daemon that asks seldom rather uses the connection that it has, but not only: a
-// replica that was added gets work (our floor test of leaving replicas, in CI).
-func TestAConnectionCountsButIsNotAll(t *testing.T) {
+// A daemon with few requests must prefer the replica it has a connection to, but not always, so
+// that an added replica gets work.
+func TestConnectedReplicaIsPreferredButNotAlways(t *testing.T) {
 	is := is.New(t)
 	const picks = 2000
 	connected, added := Replica{Entry: entry("a"), Connected: true}, Replica{Entry: entry("b")}
@@ -228,9 +226,9 @@
 	is.Equal(r.ID, "b")
 }
 
-// A list of hundreds that is read anew leaves one line, which names all that changed;
-// single changes leave a line each.
-func TestALongListIsLoggedInOneLine(t *testing.T) {
+// A large list update must be logged in one line that names all changes, and single changes in
+// one line each.
+func TestLargeListUpdateIsLoggedInOneLine(t *testing.T) {
 	is := is.New(t)
 	core, logs := observer.New(zap.InfoLevel)
 	table := NewTable(time.Second, zap.New(core))
