--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -1,16 +1,16 @@
-// Package fleet orders as many model replicas as the trainers' batches need, where the
-// platform starts and ends them on order.
+// Package fleet orders as many model replicas as the trainers' batches need, on platforms that
+// start and end replicas on order.
 //
-// Plan is the rule, and pure (plan.go); Manager carries it out on the daemon that holds the lease
-// for duties. listed.go tells which replicas there are, orders.go keeps what was ordered. The
-// package owns the records of what was ordered, in a keyed partition of the journal, so that a
-// successor goes on from there and does not take replicas for surplus. It relies on the list of
-// replicas, on the demands of the trainers' batches, and on the platform to refuse orders of a
-// lower fence.
+// Plan computes the orders and is a pure function (plan.go). Manager carries them out on the
+// daemon that holds the lease for duties. list.go counts the listed replicas, orders.go records
+// the orders. The package owns these records, in a keyed partition of the journal, so that the
+// next lease holder knows them and does not treat ordered replicas as surplus. It relies on the
+// list of replicas, on the demand of the trainers' batches, and on the platform to refuse orders
+// with a lower fence.
 //
 // # Usage
 //
-//	manager := fleet.NewManager(fleet.Parts{Journal: log, Lease: held, Driver: duties, ...}, logger)
+//	manager := fleet.NewManager(fleet.Deps{Journal: log, Lease: held, Driver: duties, ...}, logger)
 //	go manager.Run(ctx) // acts only while the lease is held
 package fleet
 
@@ -34,22 +34,21 @@
 )
 
 const (
-	// planInterval is the time between two looks for orders that are due.
+	// planInterval is the time between two plans.
 	planInterval = 250 * time.Millisecond
 	// callTimeout bounds one call to the platform.
 	callTimeout = 800 * time.Millisecond
 )
 
-// orderBackoff are the pauses after orders that failed: at first a little more than a look's
-// interval, at last what a platform that takes orders again may wait for the next one.
+// orderBackoff is the wait after failed orders. It starts a little above planInterval.
 var orderBackoff = backoff.Bounds{First: 300 * time.Millisecond, Longest: 5 * time.Second}
 
-// Deps are what a manager works with.
+// Deps are the dependencies of a Manager.
 type Deps struct {
 	Journal journal.Journal
 	Lease   lease.Fencer
 	Driver  duty.Driver
-	// Holder is the name in which orders are made.
+	// Holder is the name of the lease holder that orders are made under.
 	Holder        string
 	Table         *replica.Table
 	List          ListFreshness
@@ -57,54 +56,58 @@
 	Demands       *demand.State
 }
 
-// serviceZone is a service in a zone.
+// serviceZone identifies the replicas of a service in one zone.
 type serviceZone struct{ service, zone string }
 
-// Manager orders replicas while it may act.
+// Manager orders replicas while this daemon holds the lease.
 type Manager struct {
 	Deps
 	logger *zap.Logger
 
-	// lastOrders is what was lastOrders; it is read when this daemon begins to act.
+	// lastOrders is the last order of each service and zone. It is read from the journal after
+	// the lease is acquired, and nil before.
 	lastOrders map[serviceZone]observedOrder
-	// newestOrders are the newestOrders orders that were ever seen. They outlive the lease, so that an
-	// order does not become new by being read again.
+	// newestOrders is the newest order ever seen of each service and zone. It is kept after the
+	// lease is lost, so that reading an order again does not reset the time when it was first
+	// seen.
 	newestOrders map[serviceZone]observedOrder
-	// lowSince is since when each service has needed fewer replicas.
+	// lowSince is since when the need of each service has been low; see NeedIsLow.
 	lowSince map[string]time.Time
-	// listStaleAt is when the list was last seen to be old.
+	// listStaleAt is when the list of replicas was last found to be stale.
 	listStaleAt time.Time
-	// recentMax are the replicas listed of late.
+	// recentMax is the largest number of listed replicas in recentMaxWindow.
 	recentMax map[serviceZone]observedMax
-	// backoff is the pause after orders that failed.
+	// backoff is the wait after failed orders.
 	backoff backoff.Rest
 
-	// OrdersAccepted counts the orders that the platform took from this daemon, OrdersFailed those that failed.
+	// OrdersAccepted counts the orders that the platform accepted, OrdersFailed those that
+	// failed.
 	OrdersAccepted, OrdersFailed atomic.Uint64
 }
 
-// NewManager returns a manager.
-func NewManager(parts Deps, logger *zap.Logger) *Manager {
+// NewManager returns a manager that does nothing until Run is called.
+func NewManager(deps Deps, logger *zap.Logger) *Manager {
 	return &Manager{
-		Deps: parts, logger: logger, newestOrders: map[serviceZone]observedOrder{},
+		Deps: deps, logger: logger, newestOrders: map[serviceZone]observedOrder{},
 		lowSince: map[string]time.Time{}, recentMax: map[serviceZone]observedMax{},
 	}
 }
 
-// Run orders replicas until the context ends.
+// Run plans and orders replicas until the context ends. It acts only while the lease is held.
 func (m *Manager) Run(ctx context.Context) { periodic.Every(ctx, planInterval, m.step) }
 
-// step makes the orders that are due, if the lease lets this daemon act.
+// step makes the orders that are due, if this daemon holds the lease and the list of replicas
+// can be relied on.
 func (m *Manager) step(ctx context.Context) {
 	configuration := m.Configuration()
 	if configuration == nil {
 		return
 	}
-	// The list is watched without the lease too, as it says little of the past.
+	// The list is observed even without the lease, because a plan needs its recent history.
 	now := time.Now()
 	settled := m.listSettled(now)
 	present := m.countListed(configuration, now)
-	if _, _, may := m.Lease.Fence(); !may {
+	if _, _, held := m.Lease.Fence(); !held {
 		m.lastOrders = nil
 		return
 	}
@@ -124,7 +127,7 @@
 	}
 }
 
-// planInput gathers what a plan for a service depends on.
+// planInput returns the input of a plan for a service, and updates lowSince.
 func (m *Manager) planInput(configuration *route.Configuration, service route.Service,
 	present map[serviceZone]int, now time.Time) Input {
 	in := Input{Scaling: *service.Scaling, Slots: service.Slots, Now: now, Loads: m.loads(configuration, service)}
@@ -136,7 +139,7 @@
 		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, RecentMax: m.recentMax[key].count,
 			Ordered: last.Desired, OrderedAt: last.firstSeenAt})
 	}
-	// By name, so that plans do not depend on chance.
+	// Sorted, so that a plan does not depend on the order of a map.
 	slices.SortFunc(in.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
 	switch {
 	case !NeedIsLow(in):
@@ -148,7 +151,8 @@
 	return in
 }
 
-// loads returns what the batches of a service's models ask of it.
+// loads returns the loads of the batches of a service's models. Models without demand are left
+// out.
 func (m *Manager) loads(configuration *route.Configuration, service route.Service) []Load {
 	deadline := batchDeadline(configuration, service.Name)
 	var loads []Load
@@ -160,8 +164,8 @@
 	return loads
 }
 
-// batchDeadline returns the shortest deadline of the batches that a service runs, 0 if
-// there are none.
+// batchDeadline returns the shortest deadline of the batch routes that use a service, 0 if there
+// are none.
 func batchDeadline(configuration *route.Configuration, service string) time.Duration {
 	shortest := time.Duration(0)
 	for i := range configuration.Routes {
@@ -176,8 +180,9 @@
 	return shortest
 }
 
-// placeOrder asks the platform for replicas. What is asked for is recorded first, so that a
-// successor takes what may have been ordered for ordered.
+// placeOrder orders replicas from the platform and reports whether it accepted. The order is
+// recorded before the call, so that the next lease holder treats an order whose outcome is
+// unknown as made.
 func (m *Manager) placeOrder(ctx context.Context, service string, order Order, in Input) bool {
 	key := serviceZone{service, order.Zone}
 	rec := orderRecord{Service: service, Zone: order.Zone, Desired: order.Desired, AtMs: in.Now.UnixMilli()}
@@ -196,7 +201,7 @@
 	if err != nil {
 		m.OrdersFailed.Add(1)
 		m.backoff.Failed(orderBackoff, time.Now())
-		// It has to be ordered again.
+		// Forgotten here, so that the next plan makes the order again.
 		delete(m.lastOrders, key)
 		return false
 	}
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -21,7 +21,7 @@
 	"woodworks/internal/requests/route"
 )
 
-// fixture is a manager with all that it looks at.
+// fixture implements the dependencies of a manager and records its orders.
 type fixture struct {
 	log         *journaltest.Journal
 	table       *replica.Table
@@ -73,7 +73,8 @@
 	return append([]duty.Fleet(nil), s.orders...)
 }
 
-// newFixture has nine replicas in three zones, and batches that need more.
+// newFixture returns a fixture with nine replicas in three zones and batches of the given number
+// of items.
 func newFixture(items int) *fixture {
 	s := &fixture{log: journaltest.New(), table: replica.NewTable(time.Second, zap.NewNop()), demands: demand.NewState(zap.NewNop()), held: true, fence: 1}
 	for i := range 9 {
@@ -93,13 +94,13 @@
 
 func (s *fixture) configuration() *route.Configuration {
 	bounds := scaling(24)
-	made, err := route.New(route.Declared{Version: 1,
+	configuration, err := route.New(route.Declared{Version: 1,
 		Routes:   []route.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: route.Batch, BatchDeadline: 7500 * time.Millisecond, Shares: []route.Share{{Service: "s", Weight: 1}}}},
 		Services: map[string]route.Service{"s": {Name: "s", Engine: true, Slots: 6, Models: []string{"m"}, Scaling: &bounds}}})
 	if err != nil {
 		panic(err)
 	}
-	return made
+	return configuration
 }
 
 func (s *fixture) start(ctx context.Context, logger *zap.Logger) *Manager {
@@ -108,43 +109,44 @@
 	return m
 }
 
-// runSynctest plays a stage until the test is over.
-func runSynctest(t *testing.T, play func(is *is.I, ctx context.Context)) {
+// runSynctest runs a test in a synctest bubble, with a context that ends with the test.
+func runSynctest(t *testing.T, run func(is *is.I, ctx context.Context)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		play(is.New(t), t.Context())
+		run(is.New(t), t.Context())
 	})
 }
 
-// totalDesired is how many replicas there should be after some orders.
+// totalDesired returns the number of replicas of all zones once the orders are carried out.
 func totalDesired(orders []duty.Fleet) int {
 	newest := map[string]int{"a": 3, "b": 3, "c": 3}
-	for _, each := range orders {
-		newest[each.Zone] = each.Desired
+	for _, order := range orders {
+		newest[order.Zone] = order.Desired
 	}
-	all := 0
+	total := 0
 	for _, desired := range newest {
-		all += desired
+		total += desired
 	}
-	return all
+	return total
 }
 
-func TestReplicasAreOrderedAsBatchesNeedThem(t *testing.T) {
+func TestReplicasAreOrderedForBatches(t *testing.T) {
 	runSynctest(t, func(is *is.I, ctx context.Context) {
 		s := newFixture(240)
 		core, logs := observer.New(zap.InfoLevel)
 		s.start(ctx, zap.New(core))
 		time.Sleep(5 * time.Second)
 		is.Equal(totalDesired(s.placedOrders()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
-		for _, each := range s.placedOrders() {
-			is.True(!each.Spot)
+		for _, order := range s.placedOrders() {
+			is.True(!order.Spot)
 		}
-		is.Equal(logs.FilterMessage("replicas ordered").Len(), len(s.placedOrders())) // one line an order
+		is.Equal(logs.FilterMessage("replicas ordered").Len(), len(s.placedOrders())) // one line per order
 	})
 }
 
-// A successor goes on from what was ordered, whether or not it was carried out yet.
-func TestASuccessorDoesNotOrderAgain(t *testing.T) {
+// A new lease holder must not repeat the orders of the previous one, whether or not they have
+// been carried out.
+func TestSuccessorDoesNotRepeatOrders(t *testing.T) {
 	runSynctest(t, func(is *is.I, ctx context.Context) {
 		s := newFixture(240)
 		first, stop := context.WithCancel(ctx)
@@ -159,11 +161,11 @@
 	})
 }
 
-// Entries that lapse in an outage of the journal are not replicas that are gone: nothing
-// is ordered until the list has been followed again, and never for fewer than may live.
-func TestAnOutageOfTheListOrdersNothing(t *testing.T) {
+// Entries that expire in an outage of the journal must not cause orders: none before the list
+// has settled, and none afterwards for fewer replicas than may be running.
+func TestListOutageCausesNoOrders(t *testing.T) {
 	runSynctest(t, func(is *is.I, ctx context.Context) {
-		s := newFixture(100) // needs no more than the nine
+		s := newFixture(100) // needs no more than the nine replicas
 		s.start(ctx, zap.NewNop())
 		time.Sleep(10 * time.Second)
 		is.Equal(len(s.placedOrders()), 0)
@@ -178,13 +180,13 @@
 		time.Sleep(listSettleTime - 2*planInterval)
 		is.Equal(len(s.placedOrders()), 0)
 		time.Sleep(time.Second)
-		for _, each := range s.placedOrders() {
-			is.True(each.Desired >= 3) // those that are missing may live
+		for _, order := range s.placedOrders() {
+			is.True(order.Desired >= 3) // the missing replicas may be running
 		}
 	})
 }
 
-func TestAnOrderThatFailsIsMadeAgainAfterAWhile(t *testing.T) {
+func TestFailedOrderIsRepeatedWithBackoff(t *testing.T) {
 	runSynctest(t, func(is *is.I, ctx context.Context) {
 		s := newFixture(240)
 		s.orderErr = duty.ErrThrottled
@@ -195,8 +197,8 @@
 		is.True(failed <= 24) // backed off
 		is.Equal(m.OrdersAccepted.Load(), uint64(0))
 		s.set(func() { s.orderErr = nil })
-		// Shorter than a replica may take to start: none does here, and other zones would
-		// make up for it.
+		// Shorter than the start time of a replica: no replica starts in this test, and after that
+		// time other zones would be asked.
 		time.Sleep(orderBackoff.Longest + 2*planInterval)
 		is.Equal(totalDesired(s.placedOrders()), Need(Input{Slots: 6, Loads: loadsOf(240)}))
 	})
--- a/internal/replicas/fleet/list.go
+++ b/internal/replicas/fleet/list.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// maxListAge is how old the list of replicas may be for an order: an outage of the
-	// journal lets entries lapse although their replicas live.
+	// maxListAge is how old the list of replicas may be for an order: in an outage of the
+	// journal entries expire although their replicas are running.
 	maxListAge = 1500 * time.Millisecond
-	// listSettleTime is how long the list must have been followed without a gap: entries
-	// that lapsed in an outage are back within two seconds of its end.
+	// listSettleTime is how long the list must have been current before it is relied on. Entries
+	// that expired in an outage are written again within two seconds of its end.
 	listSettleTime = 3 * time.Second
-	// recentMaxWindow is how long a larger number of replicas is remembered: those that are
-	// missing from the list for less may live.
+	// recentMaxWindow is how long a larger number of listed replicas is remembered. A replica
+	// that is missing from the list for a shorter time may be running.
 	recentMaxWindow = 15 * time.Second
 )
 
-// ListFreshness tells how far the list of replicas can be relied upon.
+// ListFreshness reports how long ago the list of replicas was last known to be current.
 type ListFreshness interface{ Silence() time.Duration }
 
-// observedMax is the largest number of replicas that was listed within seenSpan.
+// observedMax is the largest number of replicas listed within recentMaxWindow, and when it was
+// last observed.
 type observedMax struct {
 	count int
 	at    time.Time
 }
 
-// listSettled reports whether the list of replicas has been followed for a while.
+// listSettled reports whether the list of replicas has been current for listSettleTime.
 func (m *Manager) listSettled(now time.Time) bool {
 	if m.List.Silence() > maxListAge {
 		m.listStaleAt = now
@@ -35,8 +36,8 @@
 	return now.Sub(m.listStaleAt) >= listSettleTime
 }
 
-// countListed counts the replicas listed of the services whose replicas may be ordered, and
-// notes the largest numbers of late.
+// countListed returns the number of replicas that may get work, without spot replicas, for each
+// zone of the services whose replicas may be ordered. It also updates recentMax.
 func (m *Manager) countListed(configuration *route.Configuration, now time.Time) map[serviceZone]int {
 	present := map[serviceZone]int{}
 	for _, service := range configuration.Services {
--- a/internal/replicas/fleet/orders.go
+++ b/internal/replicas/fleet/orders.go
@@ -17,28 +17,27 @@
 	journalTimeout = 1200 * time.Millisecond
 )
 
-// partition is where orders are kept.
+// partition holds the orders, keyed by service and zone.
 var partition = journal.Partition{Topic: journal.KeyedTopic(topic)}
 
-// orderRecord is what was ordered last for a service in a zone. It is a record of the
-// journal.
+// orderRecord is the last order of a service's replicas in a zone, as stored in the journal.
 type orderRecord struct {
 	Service string `cbor:"1,keyasint"`
 	Zone    string `cbor:"2,keyasint"`
 	Desired int    `cbor:"3,keyasint"`
-	// AtMs is the ordering daemon's time of day, in milliseconds. It sets one order apart
-	// from another and no more: that clock may be off by any amount.
+	// AtMs is when the order was made, in Unix milliseconds by the clock of the ordering daemon.
+	// It only distinguishes orders from each other, because that clock may be wrong.
 	AtMs int64 `cbor:"4,keyasint"`
 }
 
-// observedOrder is an order with when this daemon first saw it, by its own steady clock: the
+// observedOrder is an order and when this daemon first saw it, by its own monotonic clock. The
 // order is at least that old.
 type observedOrder struct {
 	orderRecord
 	firstSeenAt time.Time
 }
 
-// recordOrder keeps an order in the journal.
+// recordOrder writes an order to the journal.
 func (m *Manager) recordOrder(ctx context.Context, rec orderRecord) error {
 	encoded, err := cbor.Marshal(rec)
 	if err != nil {
@@ -46,10 +45,11 @@
 	}
 	record := journal.EncodeKeyed(rec.Service+"/"+rec.Zone, encoded)
 	err = journal.AppendWithin(ctx, m.Journal, journalTimeout, partition, record)
-	return errors.Wrap(err, "fleet: order not noted")
+	return errors.Wrap(err, "fleet: order not recorded")
 }
 
-// observe returns an order with when it was first seen.
+// observe returns an order with the time when it was first seen, which is now for an order other
+// than the newest known one.
 func (m *Manager) observe(key serviceZone, rec orderRecord, now time.Time) observedOrder {
 	if m.newestOrders[key].orderRecord != rec {
 		m.newestOrders[key] = observedOrder{rec, now}
@@ -57,7 +57,8 @@
 	return m.newestOrders[key]
 }
 
-// loadOrders learns what was ordered, when this daemon begins to act.
+// loadOrders reads the last orders from the journal after the lease was acquired, and reports
+// whether they are known. An order that cannot be decoded is skipped.
 func (m *Manager) loadOrders(ctx context.Context) bool {
 	if m.lastOrders != nil {
 		return true
@@ -71,7 +72,7 @@
 	for _, r := range records {
 		var rec orderRecord
 		if err := cbor.Unmarshal(r.Value, &rec); err != nil {
-			m.logger.Error("order for replicas refused", zap.String("key", r.Key), zap.Error(err))
+			m.logger.Error("order for replicas not decoded", zap.String("key", r.Key), zap.Error(err))
 			continue
 		}
 		key := serviceZone{rec.Service, rec.Zone}
--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -11,49 +11,49 @@
 )
 
 const (
-	// targetFraction is the part of a batch's deadline in which its items should have run
-	// if all were there at once: the rest is left for the longest texts, for changes of
-	// weights and for replicas that falter. A smaller part asks for more engines than can
-	// be kept at the newest weights.
+	// targetFraction is the fraction of a batch's deadline in which its items should run if all
+	// were available at once. The rest covers the longest streams, changes of weights and
+	// failing replicas. A smaller fraction requires more engines than can be kept at the newest
+	// weights.
 	targetFraction = 0.3
-	// maxZoneFraction bounds the part of the replicas that may be in one zone, as far as the
-	// others can take more: the loss of a zone must leave about a half.
+	// maxZoneFraction bounds the fraction of the needed replicas in one zone, as far as the
+	// other zones have room, so that the loss of a zone leaves about half of them.
 	maxZoneFraction = 0.5
-	// bootMargin is added to the time that a replica takes to start before one that was
-	// ordered counts as missing.
+	// bootMargin is added to the start time of a replica before an ordered one counts as
+	// missing.
 	bootMargin = 2 * time.Second
-	// renewInterval is the time between two orders for replicas that are missing.
+	// renewInterval is the time between two orders for the same missing replicas.
 	renewInterval = 10 * time.Second
-	// shrinkFraction is the part of the replicas that the need must stay below for
-	// shrinkAfter before replicas are given back, one a zone at a time: a replica that is
-	// missed costs late batches, one too many only its price.
+	// shrinkFraction is the fraction of the present replicas that the need must stay below for
+	// shrinkDelay before replicas are released, one per zone at a time. The delay is long
+	// because a missing replica delays batches, while a surplus one only costs its price.
 	shrinkFraction = 0.75
 	shrinkDelay    = time.Minute
 )
 
-// Zone is what is known of a service's replicas in one zone.
+// Zone is the state of a service's replicas in one zone.
 type Zone struct {
 	Name string
-	// Present is how many replicas are listed and not leaving.
+	// Present is the number of replicas that are listed and not draining.
 	Present int
-	// RecentMax is how many were listed at most of late. Those that are missing may live, so
-	// that an order for fewer could end them.
+	// RecentMax is the recent maximum of Present. Replicas that have been missing since may be
+	// running, and an order for fewer could end them.
 	RecentMax int
-	// Ordered is how many were ordered last, 0 if none ever were, and OrderedAt when, or
-	// when that was first seen, by the clock of Input.Now.
+	// Ordered is the number of replicas in the last order, 0 if there was none. OrderedAt is
+	// when the order was made or first seen, by the clock of Input.Now.
 	Ordered   int
 	OrderedAt time.Time
 }
 
-// String is the zone in logs: present and ordered replicas.
+// String formats the zone for logs as name:present/ordered.
 func (z Zone) String() string { return fmt.Sprintf("%s:%d/%d", z.Name, z.Present, z.Ordered) }
 
-// booting reports whether replicas that were ordered may still come up.
+// booting reports whether replicas of the last order may still be starting.
 func (z Zone) booting(boot time.Duration, now time.Time) bool {
 	return now.Sub(z.OrderedAt) < boot+bootMargin
 }
 
-// expected is how many replicas there are or will be soon.
+// expected returns the number of replicas that are present or starting.
 func (z Zone) expected(boot time.Duration, now time.Time) int {
 	if z.booting(boot, now) {
 		return max(z.Present, z.Ordered)
@@ -61,8 +61,8 @@
 	return z.Present
 }
 
-// maxReplicas is how many replicas the zone can be relied on for: one that has not brought up
-// what was ordered is left as it is.
+// maxReplicas returns how many replicas the zone can be expected to provide: the maximum of the
+// scaling, or those present if the last order was not fulfilled in time.
 func (z Zone) maxReplicas(in Input) int {
 	if z.Ordered > z.Present && !z.booting(in.Scaling.Boot, in.Now) {
 		return z.Present
@@ -70,39 +70,38 @@
 	return in.Scaling.Max
 }
 
-// Load is what one model's batches ask of the replicas.
+// Load is the demand of one model's batches.
 type Load struct {
-	// Items is how many items a batch has, ItemTime how long one takes a slot.
+	// Items is the number of items of a batch, ItemTime how long one item occupies a slot.
 	Items    int
 	ItemTime time.Duration
-	// Deadline is within which a batch's results are due.
+	// Deadline is the time in which the results of a batch are due.
 	Deadline time.Duration
 }
 
-// String is the load in logs.
+// String formats the load for logs as items x item time / deadline.
 func (l Load) String() string { return fmt.Sprintf("%dx%v/%v", l.Items, l.ItemTime, l.Deadline) }
 
-// Input is all that a plan depends on.
+// Input is everything that a plan depends on.
 type Input struct {
 	Scaling route.Scaling
-	// Slots is how many items a replica runs at once.
+	// Slots is the number of items that a replica runs at once.
 	Slots int
 	Zones []Zone
 	Loads []Load
-	// LowSince is since when the need has been below shrinkBelow of the replicas, zero
-	// if it is not.
+	// LowSince is since when NeedIsLow has been true, zero if it is not.
 	LowSince time.Time
 	Now      time.Time
 }
 
-// Order asks for a number of replicas in a zone.
+// Order sets the number of replicas in a zone.
 type Order struct {
 	Zone    string
 	Desired int
 }
 
-// Need returns how many replicas the loads ask for: enough slots for the items of all
-// models' batches to run within the target part of their deadlines.
+// Need returns the number of replicas whose slots suffice to run the items of all models'
+// batches within targetFraction of their deadlines.
 func Need(in Input) int {
 	slots := 0.0
 	for _, load := range in.Loads {
@@ -113,7 +112,7 @@
 	return int(math.Ceil(slots / float64(max(in.Slots, 1))))
 }
 
-// NeedIsLow reports whether the need is so low that replicas could be given back.
+// NeedIsLow reports whether the need is below shrinkFraction of the present replicas.
 func NeedIsLow(in Input) bool {
 	present := 0
 	for _, z := range in.Zones {
@@ -122,12 +121,12 @@
 	return float64(Need(in)) < shrinkFraction*float64(present)
 }
 
-// Plan returns the orders to make now. Without loads, which may only mean that nothing is
-// known yet, it orders nothing.
+// Plan returns the orders to make now, at most one per zone. Without loads it returns none,
+// because the demand may not be known yet.
 //
-// Invariants: an order is within the bounds of the scaling; nothing is given back, be it by
-// an order that counts too few, unless the need has been low for shrinkAfter; what is
-// there or ordered is not ordered again.
+// Invariants: an order is within the bounds of the scaling; no order releases replicas, not even
+// through an incomplete count, unless the need has been low for shrinkDelay; replicas that are
+// present or starting are not ordered again.
 func Plan(in Input) []Order {
 	counts := make([]int, len(in.Zones))
 	for i, z := range in.Zones {
@@ -156,15 +155,16 @@
 	return orders
 }
 
-// grow adds replicas until there are as many as needed: to the cheapest zone that has not
-// more than its part, or, where all have, to the one with the fewest.
+// grow raises counts until they add up to need or no zone has room. It adds to the cheapest zone
+// below maxZoneFraction or, if there is none, to the cheapest zone with room; at equal prices to
+// the one with the fewest replicas.
 func grow(in Input, counts []int, need int) {
-	most := int(math.Ceil(maxZoneFraction * float64(need)))
+	maxPerZone := int(math.Ceil(maxZoneFraction * float64(need)))
 	for total(counts) < need {
 		best := -1
 		better := func(i, j int) bool {
-			if (counts[i] < most) != (counts[j] < most) {
-				return counts[i] < most
+			if (counts[i] < maxPerZone) != (counts[j] < maxPerZone) {
+				return counts[i] < maxPerZone
 			}
 			return cmp.Or(
 				cmp.Compare(in.Scaling.Price(in.Zones[j].Name), in.Scaling.Price(in.Zones[i].Name)),
@@ -183,8 +183,8 @@
 	}
 }
 
-// shrink takes one replica from each zone of which all is there, the dearest first, as
-// long as the rest is enough.
+// shrink lowers counts by one replica in each zone with no missing or starting replicas, the
+// most expensive first, as long as the total exceeds need.
 func shrink(in Input, counts []int, need int) {
 	order := make([]int, len(counts))
 	for i := range order {
@@ -194,8 +194,8 @@
 		return cmp.Compare(in.Scaling.Price(in.Zones[j].Name), in.Scaling.Price(in.Zones[i].Name))
 	})
 	for _, i := range order {
-		whole := in.Zones[i].RecentMax <= in.Zones[i].Present && counts[i] == in.Zones[i].Present
-		if whole && counts[i] > max(in.Scaling.Min, 1) && total(counts) > need {
+		complete := in.Zones[i].RecentMax <= in.Zones[i].Present && counts[i] == in.Zones[i].Present
+		if complete && counts[i] > max(in.Scaling.Min, 1) && total(counts) > need {
 			counts[i]--
 		}
 	}
--- a/internal/replicas/fleet/plan_test.go
+++ b/internal/replicas/fleet/plan_test.go
@@ -15,15 +15,15 @@
 
 var testStart = time.Unix(1_800_000_000, 0)
 
-func scaling(most int) route.Scaling {
-	return route.Scaling{Min: 1, Max: most, Boot: 4 * time.Second, ZonePrices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
+func scaling(maxReplicas int) route.Scaling {
+	return route.Scaling{Min: 1, Max: maxReplicas, Boot: 4 * time.Second, ZonePrices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
 }
 
 func drawInput(t *rapid.T) Input {
 	in := Input{Scaling: scaling(rapid.IntRange(2, 24).Draw(t, "max")), Slots: rapid.IntRange(0, 8).Draw(t, "slots"), Now: testStart}
 	for _, name := range []string{"a", "b", "c"} {
 		zone := Zone{Name: name, Present: rapid.IntRange(0, in.Scaling.Max).Draw(t, "present")}
-		zone.RecentMax = rapid.IntRange(zone.Present, in.Scaling.Max).Draw(t, "seen")
+		zone.RecentMax = rapid.IntRange(zone.Present, in.Scaling.Max).Draw(t, "recent max")
 		if rapid.Bool().Draw(t, "was ordered") {
 			zone.Ordered = rapid.IntRange(1, in.Scaling.Max).Draw(t, "ordered")
 			zone.OrderedAt = testStart.Add(-time.Duration(rapid.IntRange(0, 60).Draw(t, "seconds ago")) * time.Second)
@@ -40,9 +40,9 @@
 	return in
 }
 
-// Whatever is known: orders are within the bounds, one a zone, ask for no less than what
-// may live unless the need was low for long, and never for more than is needed or there.
-func TestPlansKeepTheirPromises(t *testing.T) {
+// Orders must be within the bounds, at most one per zone, for no fewer replicas than may be
+// running unless the need was low for long, and for no more than are needed, ordered or running.
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		seen := map[string]bool{}
@@ -58,22 +58,22 @@
 			}
 			seen[order.Zone] = true
 			if order.Desired < in.Scaling.Min || order.Desired > in.Scaling.Max {
-				t.Fatalf("order for %d", order.Desired)
+				t.Fatalf("order for %d replicas is out of bounds", order.Desired)
 			}
 			if order.Desired < zone.Present && !mayShrink {
-				t.Fatalf("order for %d where %d are there", order.Desired, zone.Present)
+				t.Fatalf("order for %d replicas, %d are present", order.Desired, zone.Present)
 			}
 			if order.Desired > zone.Present && order.Desired < zone.RecentMax {
-				t.Fatalf("order for %d where %d may live", order.Desired, zone.RecentMax)
+				t.Fatalf("order for %d replicas, %d may be running", order.Desired, zone.RecentMax)
 			}
-			if order.Desired > max(Need(in), zone.RecentMax, zone.Ordered) { // renewed orders too
-				t.Fatalf("order for %d, %d are needed", order.Desired, Need(in))
+			if order.Desired > max(Need(in), zone.RecentMax, zone.Ordered) { // also for repeated orders
+				t.Fatalf("order for %d replicas, %d are needed", order.Desired, Need(in))
 			}
 		}
 	})
 }
 
-// simulatedPlatform is replicas that start and end on order.
+// simulatedPlatform starts and ends replicas on order.
 type simulatedPlatform struct {
 	scaling route.Scaling
 	zones   []Zone
@@ -81,20 +81,21 @@
 	orders  int
 }
 
+// pendingBoot is a replica that is starting.
 type pendingBoot struct {
 	zone  int
 	ready time.Time
 }
 
-// advance lets time go by: replicas start, and orders are carried out.
+// advance moves the simulation to now: it makes starting replicas ready and carries out orders.
 func (p *simulatedPlatform) advance(now time.Time, orders []Order) {
 	left := p.booting[:0]
-	for _, each := range p.booting {
-		if now.Before(each.ready) {
-			left = append(left, each)
+	for _, b := range p.booting {
+		if now.Before(b.ready) {
+			left = append(left, b)
 			continue
 		}
-		p.zones[each.zone].Present++
+		p.zones[b.zone].Present++
 	}
 	p.booting = left
 	for _, order := range orders {
@@ -104,13 +105,13 @@
 				continue
 			}
 			p.zones[i].Ordered, p.zones[i].OrderedAt = order.Desired, now
-			underWay := 0
-			for _, each := range p.booting {
-				if each.zone == i {
-					underWay++
+			starting := 0
+			for _, b := range p.booting {
+				if b.zone == i {
+					starting++
 				}
 			}
-			for count := p.zones[i].Present + underWay; count < order.Desired; count++ {
+			for count := p.zones[i].Present + starting; count < order.Desired; count++ {
 				p.booting = append(p.booting, pendingBoot{i, now.Add(p.scaling.Boot)})
 			}
 			p.zones[i].Present = min(p.zones[i].Present, order.Desired)
@@ -121,7 +122,8 @@
 	}
 }
 
-// simulate plays a platform under a load and returns after which time there was enough.
+// simulate runs plans under the given loads for length, and returns after which time enough
+// replicas were present, -1 if there never were.
 func (p *simulatedPlatform) simulate(loads []Load, from time.Time, length time.Duration) (enoughAfter time.Duration) {
 	enoughAfter = -1
 	lowSince := time.Time{}
@@ -154,8 +156,8 @@
 	return []Load{{Items: items, ItemTime: time.Second, Deadline: 7500 * time.Millisecond}}
 }
 
-// A fleet follows its work: soon up, slowly down, and it rests once it fits.
-func TestAFleetFollowsItsWork(t *testing.T) {
+// The fleet must grow quickly, shrink slowly, and make no further orders once it fits the load.
+func TestFleetFollowsLoad(t *testing.T) {
 	is := is.New(t)
 	p := &simulatedPlatform{scaling: scaling(24), zones: []Zone{{Name: "a", Present: 3}, {Name: "b", Present: 3}, {Name: "c", Present: 3}}}
 	need := func(items int) int { return Need(Input{Slots: 6, Loads: loadsOf(items)}) }
@@ -178,11 +180,11 @@
 	is.True(float64(need(60)) >= shrinkFraction*float64(p.present()-1) || p.present() <= 3)
 	before := p.orders
 	p.simulate(loadsOf(60), now, 10*time.Minute)
-	is.Equal(p.orders, before) // it rests
+	is.Equal(p.orders, before) // no further orders
 }
 
-// Replicas that a platform does not bring up are ordered again now and then, not always.
-func TestMissingReplicasAreOrderedAgain(t *testing.T) {
+// Replicas that the platform does not start must be ordered again, but not in every plan.
+func TestMissingReplicasAreOrderedRepeatedly(t *testing.T) {
 	is := is.New(t)
 	zone := Zone{Name: "a", Present: 3, RecentMax: 3, Ordered: 24, OrderedAt: testStart}
 	orders := 0
@@ -198,17 +200,17 @@
 	is.True(orders <= 10)
 }
 
-// Where a zone does not bring up what was ordered, others make up for it.
-func TestOtherZonesMakeUpForOneThatBringsUpNothing(t *testing.T) {
+// Zones that work must compensate for one that does not start what was ordered.
+func TestOtherZonesCompensateForFailingZone(t *testing.T) {
 	is := is.New(t)
-	dry := Zone{Name: "a", Present: 3, RecentMax: 3, Ordered: 9, OrderedAt: testStart.Add(-7 * time.Second)}
-	in := Input{Scaling: scaling(24), Slots: 6, Zones: []Zone{dry, {Name: "b", Present: 3, RecentMax: 3}, {Name: "c", Present: 3, RecentMax: 3}}, Loads: loadsOf(240), Now: testStart}
+	failing := Zone{Name: "a", Present: 3, RecentMax: 3, Ordered: 9, OrderedAt: testStart.Add(-7 * time.Second)}
+	in := Input{Scaling: scaling(24), Slots: 6, Zones: []Zone{failing, {Name: "b", Present: 3, RecentMax: 3}, {Name: "c", Present: 3, RecentMax: 3}}, Loads: loadsOf(240), Now: testStart}
 	is.Equal(Need(in), 18)
 	is.Equal(Plan(in), []Order{{"b", 6}, {"c", 9}})
 }
 
-// Without any batch nothing is known of the need.
-func TestNothingIsOrderedWithoutWork(t *testing.T) {
+// Without batches the need is unknown, so nothing must be ordered or released.
+func TestNothingIsOrderedWithoutLoads(t *testing.T) {
 	is := is.New(t)
 	in := Input{Scaling: scaling(24), Slots: 6, Now: testStart, LowSince: testStart.Add(-time.Hour),
 		Zones: []Zone{{Name: "a", Present: 3, RecentMax: 12}, {Name: "b"}}}
