--- a/internal/api/standalone/engines.go
+++ b/internal/api/standalone/engines.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return errors.Wrap(engine.ErrUnknown, err.Error())
 	}
-	return engine.OutcomeOf(status, text)
+	return engine.ErrorForStatus(status, text)
 }
 
 func (e engines) call(ctx context.Context, target replica.Replica, method, path string, body []byte) (int, []byte, error) {
--- a/internal/replicas/engine/engine.go
+++ b/internal/replicas/engine/engine.go
@@ -34,9 +34,9 @@
 	ErrUnknown = errors.New("engine: outcome of order unknown")
 )
 
-// OutcomeOf is what the HTTP status of the answer to an order means, with the
+// ErrorForStatus is what the HTTP status of the answer to an order means, with the
 // answer's text. Both engine protocols that are spoken use the same statuses.
-func OutcomeOf(status int, text []byte) error {
+func ErrorForStatus(status int, text []byte) error {
 	switch status {
 	case http.StatusOK, http.StatusAccepted:
 		return nil
