--- a/internal/replicas/engine/engine.go
+++ b/internal/replicas/engine/engine.go
@@ -51,13 +51,13 @@
 	}
 }
 
-// Manner says what becomes of the requests that run when weights change.
-type Manner int
+// UpdateMode says what becomes of the requests that run when weights change.
+type UpdateMode int
 
 // Manners of a change of weights.
 const (
 	// Finish lets running requests end first.
-	Finish Manner = iota + 1
+	Finish UpdateMode = iota + 1
 	// Continue lets them go on under the new weights.
 	Continue
 	// Reset cuts them off.
@@ -82,7 +82,7 @@
 type Order struct {
 	Model   string
 	Version int64
-	Manner  Manner
+	Manner  UpdateMode
 	// Holder and Fence name the lease under which the order is given.
 	Holder string
 	Fence  int64
--- a/internal/replicas/modelsync/due.go
+++ b/internal/replicas/modelsync/due.go
@@ -14,12 +14,12 @@
 	replica replica.Replica
 	model   string
 	version int64
-	manner  engine.Manner
+	manner  engine.UpdateMode
 }
 
 // mannerFor lets running texts go on under new weights unless a route of the
 // service wants texts of one version.
-func mannerFor(configuration *route.Configuration, service string) engine.Manner {
+func mannerFor(configuration *route.Configuration, service string) engine.UpdateMode {
 	for i := range configuration.Routes {
 		if rt := &configuration.Routes[i]; rt.SingleVersion && rt.Uses(service) {
 			return engine.Finish
@@ -32,7 +32,7 @@
 // those under way among them, in the order in which they should start. Deals
 // says which replicas are for which model.
 func changesDue(deals [][]replica.Replica, models []string, named map[string]int64,
-	lagOf func(model string) int64, manner engine.Manner, loading func(replicaID string) bool) []change {
+	lagOf func(model string) int64, manner engine.UpdateMode, loading func(replicaID string) bool) []change {
 	needs := make([]modelNeed, len(models))
 	for i, model := range models {
 		version, lag := named[model], lagOf(model)
@@ -49,7 +49,7 @@
 // version now. A replica may wait as long as its version is still allowed for
 // the next batch; an even part of the replicas is changed at each version, so
 // that they do not all become too old at once.
-func changesOfModel(replicas []replica.Replica, model string, version, lag int64, manner engine.Manner) []change {
+func changesOfModel(replicas []replica.Replica, model string, version, lag int64, manner engine.UpdateMode) []change {
 	var behind []change
 	newest := 0
 	for _, rep := range replicas {
