--- a/internal/replicas/engine/engine.go
+++ b/internal/replicas/engine/engine.go
@@ -56,8 +56,8 @@
 
 // Manners of a change of weights.
 const (
-	// Finish lets running requests end first.
-	Finish UpdateMode = iota + 1
+	// FinishRunning lets running requests end first.
+	FinishRunning UpdateMode = iota + 1
 	// Continue lets them go on under the new weights.
 	Continue
 	// Reset cuts them off.
--- a/internal/replicas/modelsync/due.go
+++ b/internal/replicas/modelsync/due.go
@@ -22,7 +22,7 @@
 func mannerFor(configuration *route.Configuration, service string) engine.UpdateMode {
 	for i := range configuration.Routes {
 		if rt := &configuration.Routes[i]; rt.SingleVersion && rt.Uses(service) {
-			return engine.Finish
+			return engine.FinishRunning
 		}
 	}
 	return engine.Continue
