--- a/internal/replicas/engine/engine.go
+++ b/internal/replicas/engine/engine.go
@@ -58,8 +58,8 @@
 const (
 	// FinishRunning lets running requests end first.
 	FinishRunning UpdateMode = iota + 1
-	// Continue lets them go on under the new weights.
-	Continue
+	// ContinueRunning lets them go on under the new weights.
+	ContinueRunning
 	// Reset cuts them off.
 	Reset
 )
--- a/internal/replicas/modelsync/due.go
+++ b/internal/replicas/modelsync/due.go
@@ -25,7 +25,7 @@
 			return engine.FinishRunning
 		}
 	}
-	return engine.Continue
+	return engine.ContinueRunning
 }
 
 // changesDue returns the changes that are due for the replicas of a service,
--- a/internal/replicas/modelsync/modelsync_test.go
+++ b/internal/replicas/modelsync/modelsync_test.go
@@ -51,7 +51,7 @@
 					t.Fatalf("version %d when %d is named, lag %d", rep.Versions["m"], version, lag)
 				}
 			}
-			for _, c := range changesOfModel(replicas, "m", version, lag, engine.Continue) {
+			for _, c := range changesOfModel(replicas, "m", version, lag, engine.ContinueRunning) {
 				c.replica.Versions["m"] = version
 				changes++
 			}
@@ -93,7 +93,7 @@
 	is := is.New(t)
 	models := []string{"a", "b", "c"}
 	named := map[string]int64{"a": 2, "b": 2, "c": 2}
-	due := changesDue(deal(replicasAt(1, 1), models, allot(make([]float64, 3), 2), nil), models, named, func(string) int64 { return 0 }, engine.Continue, idle)
+	due := changesDue(deal(replicasAt(1, 1), models, allot(make([]float64, 3), 2), nil), models, named, func(string) int64 { return 0 }, engine.ContinueRunning, idle)
 	changed := map[string]bool{}
 	for _, c := range due {
 		changed[c.model] = true
@@ -104,7 +104,7 @@
 func TestChangesComeFurthestBehindFirst(t *testing.T) {
 	is := is.New(t)
 	models := []string{"m"}
-	due := changesDue(deal(replicasAt(5, 3, 4, 6), models, []int{4}, nil), models, map[string]int64{"m": 6}, func(string) int64 { return 1 }, engine.Continue, idle)
+	due := changesDue(deal(replicasAt(5, 3, 4, 6), models, []int{4}, nil), models, map[string]int64{"m": 6}, func(string) int64 { return 1 }, engine.ContinueRunning, idle)
 	is.Equal(len(due), 3)
 	is.Equal(due[0].replica.ID, "r01")
 	is.Equal(due[1].replica.ID, "r02")
--- a/internal/replicas/modelsync/order_test.go
+++ b/internal/replicas/modelsync/order_test.go
@@ -30,7 +30,7 @@
 	models := []string{"a", "b", "c"}
 	named := map[string]int64{"a": 4, "b": 4, "c": 3}
 	deals := [][]replica.Replica{enginesOf("a", 3, 3, 2), enginesOf("b", 3, 2, 2), enginesOf("c", 1, 1, 1)}
-	due := changesDue(deals, models, named, lagOfOne, engine.Continue, idle)
+	due := changesDue(deals, models, named, lagOfOne, engine.ContinueRunning, idle)
 	var order []string
 	for _, c := range due[:3] {
 		order = append(order, c.model)
@@ -45,7 +45,7 @@
 	models := []string{"a", "b"}
 	named := map[string]int64{"a": 2, "b": 2}
 	deals := [][]replica.Replica{enginesOf("a", 2, 2, 1), enginesOf("b", 1, 1, 1)}
-	due := changesDue(deals, models, named, lagOfOne, engine.Continue, idle)
+	due := changesDue(deals, models, named, lagOfOne, engine.ContinueRunning, idle)
 	is.Equal(due[0].model, "b")
 }
 
@@ -66,7 +66,7 @@
 				loading[rep.ID] = rep.Versions[model] < named[model] && rapid.IntRange(0, 3).Draw(t, "loading") == 0
 			}
 		}
-		due := changesDue(deals, models, named, lagOfOne, engine.Continue, func(id string) bool { return loading[id] })
+		due := changesDue(deals, models, named, lagOfOne, engine.ContinueRunning, func(id string) bool { return loading[id] })
 		usable := func(model string) float64 {
 			all, ready := 0, 0
 			for i := range models {
