--- a/internal/api/standalone/engines.go
+++ b/internal/api/standalone/engines.go
@@ -18,7 +18,7 @@
 
 var _ engine.Driver = engines{}
 
-var manners = map[engine.UpdateMode]string{engine.FinishRunning: MannerFinish, engine.ContinueRunning: MannerContinue, engine.Reset: MannerReset}
+var manners = map[engine.UpdateMode]string{engine.FinishRunning: MannerFinish, engine.ContinueRunning: MannerContinue, engine.AbortRunning: MannerReset}
 
 func (e engines) Report(ctx context.Context, target replica.Replica) (engine.Report, error) {
 	status, body, err := e.call(ctx, target, http.MethodGet, StatePath, nil)
--- a/internal/replicas/engine/engine.go
+++ b/internal/replicas/engine/engine.go
@@ -60,8 +60,8 @@
 	FinishRunning UpdateMode = iota + 1
 	// ContinueRunning lets them go on under the new weights.
 	ContinueRunning
-	// Reset cuts them off.
-	Reset
+	// AbortRunning cuts them off.
+	AbortRunning
 )
 
 // Report is an engine's state, as of a moment ago.
