--- a/internal/api/standalone/engines.go
+++ b/internal/api/standalone/engines.go
@@ -34,7 +34,7 @@
 
 func (e engines) Give(ctx context.Context, target replica.Replica, order engine.Order) error {
 	body, err := json.Marshal(EngineOrder{
-		Model: order.Model, Version: order.Version, Manner: manners[order.Manner],
+		Model: order.Model, Version: order.Version, Manner: manners[order.Mode],
 		Holder: order.Holder, Fence: order.Fence, AfterOrders: order.AfterOrders,
 	})
 	if err != nil {
--- a/internal/replicas/engine/engine.go
+++ b/internal/replicas/engine/engine.go
@@ -82,7 +82,7 @@
 type Order struct {
 	Model   string
 	Version int64
-	Manner  UpdateMode
+	Mode    UpdateMode
 	// Holder and Fence name the lease under which the order is given.
 	Holder string
 	Fence  int64
