--- a/internal/replicas/engine/engine.go
+++ b/internal/replicas/engine/engine.go
@@ -66,9 +66,9 @@
 
 // Report is an engine's state, as of a moment ago.
 type Report struct {
-	// Born is when the engine's process started, zero if it does not tell. Orders and
+	// StartedAt is when the engine's process started, zero if it does not tell. Orders and
 	// Versions are those of that start.
-	Born time.Time
+	StartedAt time.Time
 	// Busy says that an order is being carried out.
 	Busy bool
 	// Orders counts the orders taken since the engine's start.
--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return engine.Report{}, err
 	}
-	if !s.Table.ObserveStart(c.replica, report.Born) {
+	if !s.Table.ObserveStart(c.replica, report.StartedAt) {
 		return engine.Report{}, errStartedAgain
 	}
 	for model, version := range report.Versions {
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -41,14 +41,14 @@
 	is := is.New(t)
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Set(startOf(0, 4))
-	driver := &reporting{t: t, report: engine.Report{Born: startOf(1, 0).StartedAt, Versions: map[string]int64{"m": 1}}}
+	driver := &reporting{t: t, report: engine.Report{StartedAt: startOf(1, 0).StartedAt, Versions: map[string]int64{"m": 1}}}
 	syncer := New(Parts{Holder: "d", Driver: driver, Table: table, Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
 	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errStartedAgain))
 	now := table.Replicas("s")[0]
 	is.Equal(now.Incarnation(), startOf(1, 0).Incarnation())
 	is.Equal(now.Versions["m"], int64(0)) // to be changed, as nothing is known of it
-	driver.report = engine.Report{Born: startOf(0, 4).StartedAt, Versions: map[string]int64{"m": 9}}
+	driver.report = engine.Report{StartedAt: startOf(0, 4).StartedAt, Versions: map[string]int64{"m": 9}}
 	due.replica = now
 	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errStartedAgain)) // a late answer of before
 	is.Equal(table.Replicas("s")[0].Versions["m"], int64(0))
@@ -59,7 +59,7 @@
 func TestNotesBelongToOneStart(t *testing.T) {
 	is := is.New(t)
 	table := replica.NewTable(time.Second, zap.NewNop())
-	driver := &reporting{t: t, report: engine.Report{Born: startOf(1, 0).StartedAt}}
+	driver := &reporting{t: t, report: engine.Report{StartedAt: startOf(1, 0).StartedAt}}
 	syncer := New(Parts{Holder: "d", Driver: driver, Table: table, Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	now := time.Now()
 	table.Set(startOf(0, 4))
