--- a/internal/api/standalone/engines.go
+++ b/internal/api/standalone/engines.go
@@ -32,7 +32,7 @@
 	return engine.Report{Busy: state.Busy, Orders: state.Orders, Versions: state.Versions, Waiting: state.Waiting, Running: state.Running}, nil
 }
 
-func (e engines) Give(ctx context.Context, target replica.Replica, order engine.Order) error {
+func (e engines) SubmitOrder(ctx context.Context, target replica.Replica, order engine.Order) error {
 	body, err := json.Marshal(EngineOrder{
 		Model: order.Model, Version: order.Version, Manner: manners[order.Mode],
 		Holder: order.Holder, Fence: order.Fence, AfterOrders: order.AfterOrders,
--- a/internal/replicas/engine/engine.go
+++ b/internal/replicas/engine/engine.go
@@ -93,7 +93,7 @@
 // Driver speaks to engines. Implementations translate and do no more.
 type Driver interface {
 	Report(ctx context.Context, target replica.Replica) (Report, error)
-	// Give hands an order over. Nil means that it is under way or already in
+	// SubmitOrder hands an order over. Nil means that it is under way or already in
 	// effect.
-	Give(ctx context.Context, target replica.Replica, order Order) error
+	SubmitOrder(ctx context.Context, target replica.Replica, order Order) error
 }
--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -151,7 +151,7 @@
 		s.Ordered.Add(1)
 		s.logger.Info("order", zap.String("replica", c.replica.ID), zap.String("model", c.model), zap.Int64("version", c.version),
 			zap.Int64("from", report.Versions[c.model]), zap.Int64("fence", fence), zap.Int64("after_orders", report.Orders))
-		return s.Driver.Give(ctx, c.replica, engine.Order{
+		return s.Driver.SubmitOrder(ctx, c.replica, engine.Order{
 			Model: c.model, Version: c.version, Mode: c.manner, Holder: s.Holder, Fence: fence, AfterOrders: report.Orders,
 		})
 	})
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -24,7 +24,7 @@
 	return r.report, nil
 }
 
-func (r *reporting) Give(context.Context, replica.Replica, engine.Order) error {
+func (r *reporting) SubmitOrder(context.Context, replica.Replica, engine.Order) error {
 	r.t.Error("order given")
 	return nil
 }
