--- a/internal/replicas/engine/engine.go
+++ b/internal/replicas/engine/engine.go
@@ -1,13 +1,13 @@
-// Package engine names what woodworks asks of a model engine besides running
-// requests: its state, and orders to change the weights it serves.
+// Package engine defines the operations of a model engine that woodworks uses besides requests:
+// reading its state and changing the weights it serves.
 //
-// It owns no state. A platform implements Driver; package modelsync calls it in the name of
-// the lease, whose fence the engines check.
+// It has no state. A platform implements Driver; package modelsync calls it under a lease, whose
+// fence the engines check.
 //
 // # Usage
 //
 //	report, err := driver.Report(ctx, rep)
-//	err = driver.Give(ctx, rep, engine.Order{Model: "m", Version: 7, Manner: engine.Continue,
+//	err = driver.SubmitOrder(ctx, rep, engine.Order{Model: "m", Version: 7, Mode: engine.ContinueRunning,
 //		Holder: name, Fence: fence, AfterOrders: report.Orders})
 package engine
 
@@ -21,21 +21,23 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// Errors of an order.
+// Errors of a Driver, to be tested with errors.Is.
 var (
-	// ErrConflict: another order is under way, or the engine has taken orders
-	// since the state that the order was based on.
+	// ErrConflict means that another order is being carried out, or that the engine has accepted
+	// orders since the report that the order is based on.
 	ErrConflict = errors.New("engine: order conflicts")
-	// ErrFenced: the engine has seen a higher fence.
+	// ErrFenced means that the engine has seen a higher fence.
 	ErrFenced = errors.New("engine: order fenced off")
-	// ErrRefused: the engine does not take such an order, or is another one.
+	// ErrRefused means that the engine does not support the order, or that the address now
+	// belongs to another engine.
 	ErrRefused = errors.New("engine: order refused")
-	// ErrUnknown: the order got no answer; it may be carried out later.
+	// ErrUnknown means that no answer shows the outcome. The order may still be carried out
+	// later.
 	ErrUnknown = errors.New("engine: outcome of order unknown")
 )
 
-// ErrorForStatus is what the HTTP status of the answer to an order means, with the
-// answer's text. Both engine protocols that are spoken use the same statuses.
+// ErrorForStatus returns the error for the HTTP status and body of the answer to an order, nil
+// if the order was accepted. All engine protocols use the same statuses.
 func ErrorForStatus(status int, text []byte) error {
 	switch status {
 	case http.StatusOK, http.StatusAccepted:
@@ -51,31 +53,33 @@
 	}
 }
 
-// UpdateMode says what becomes of the requests that run when weights change.
+// UpdateMode is what happens to running requests when the weights change.
 type UpdateMode int
 
-// Manners of a change of weights.
+// The update modes.
 const (
-	// FinishRunning lets running requests end first.
+	// FinishRunning waits for running requests to end before the weights change.
 	FinishRunning UpdateMode = iota + 1
-	// ContinueRunning lets them go on under the new weights.
+	// ContinueRunning continues running requests with the new weights.
 	ContinueRunning
-	// AbortRunning cuts them off.
+	// AbortRunning aborts running requests.
 	AbortRunning
 )
 
-// Report is an engine's state, as of a moment ago.
+// Report is the recent state of an engine.
 type Report struct {
-	// StartedAt is when the engine's process started, zero if it does not tell. Orders and
-	// Versions are those of that start.
+	// StartedAt is when the engine's process started, zero if unknown. Orders and Versions are
+	// those of this incarnation.
 	StartedAt time.Time
-	// Busy says that an order is being carried out.
+	// Busy reports whether an order is being carried out.
 	Busy bool
-	// Orders counts the orders taken since the engine's start.
-	Orders   int64
+	// Orders is the number of orders accepted since the process started.
+	Orders int64
+	// Versions are the versions of the weights that the engine holds, by model.
 	Versions map[string]int64
-	Waiting  int
-	Running  int
+	// Waiting and Running are numbers of requests.
+	Waiting int
+	Running int
 }
 
 // Order asks an engine to serve another version of a model.
@@ -83,17 +87,21 @@
 	Model   string
 	Version int64
 	Mode    UpdateMode
-	// Holder and Fence name the lease under which the order is given.
+	// Holder and Fence are those of the lease under which the order is made.
 	Holder string
 	Fence  int64
-	// AfterOrders is how many orders the engine must have taken before.
+	// AfterOrders is the Report.Orders that the order is based on. The engine rejects the order
+	// if it has accepted others since.
 	AfterOrders int64
 }
 
-// Driver speaks to engines. Implementations translate and do no more.
+// Driver talks to engines in the protocol of a platform. An implementation only translates: it
+// neither retries nor keeps state.
 type Driver interface {
+	// Report returns the state of the engine, or an error that wraps ErrUnknown.
 	Report(ctx context.Context, target replica.Replica) (Report, error)
-	// SubmitOrder hands an order over. Nil means that it is under way or already in
-	// effect.
+	// SubmitOrder sends an order to the engine. It returns nil if the order has been accepted or
+	// is already in effect, and otherwise an error that wraps ErrConflict, ErrFenced, ErrRefused
+	// or ErrUnknown.
 	SubmitOrder(ctx context.Context, target replica.Replica, order Order) error
 }
