--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -114,9 +114,9 @@
 // must be held.
 func (t *Table) handleRestart(before, now Entry) {
 	inFlight := 0
-	if e := t.stats[before.Incarnation()]; e != nil {
-		inFlight = e.inFlight
-		e.removedAt, e.lastEntry = t.now(), Entry{}
+	if s := t.stats[before.Incarnation()]; s != nil {
+		inFlight = s.inFlight
+		s.removedAt, s.lastEntry = t.now(), Entry{}
 	}
 	t.logger.Info("replica started again", zap.String("replica", now.ID), zap.String("service", now.Service),
 		zap.Stringer("address", now.Address),
--- a/internal/replicas/replica/stats.go
+++ b/internal/replicas/replica/stats.go
@@ -41,10 +41,10 @@
 	reportedLoad   int
 	reportedLoadAt time.Time
 	slowdown       slowdown
-	// versions is the newest version held of each model. The map is never modified, only
+	// versions is the highest version held of each model. The map is never modified, only
 	// replaced, because callers read it without the mutex.
 	versions map[string]int64
-	// removedAt is when the entry was removed, zero while it is listed.
+	// removedAt is when the entry was removed, by the table's clock; zero while it is listed.
 	removedAt time.Time
 	// lastEntry is the entry that was removed at removedAt.
 	lastEntry Entry
@@ -53,23 +53,23 @@
 // statsOf returns the stats of an incarnation and creates them if there are none. Stats of an
 // incarnation that is not listed expire like those of a removed one. The mutex must be held.
 func (t *Table) statsOf(i Incarnation) *replicaStats {
-	e := t.stats[i]
-	if e == nil {
-		e = &replicaStats{versions: map[string]int64{}, removedAt: t.now()}
-		t.stats[i] = e
+	s := t.stats[i]
+	if s == nil {
+		s = &replicaStats{versions: map[string]int64{}, removedAt: t.now()}
+		t.stats[i] = s
 	}
-	return e
+	return s
 }
 
 // raiseVersion sets the version of a model if it is higher than the known one, and reports
 // whether it is. The mutex of the table must be held.
-func (e *replicaStats) raiseVersion(model string, version int64) bool {
-	if version <= e.versions[model] {
+func (s *replicaStats) raiseVersion(model string, version int64) bool {
+	if version <= s.versions[model] {
 		return false
 	}
-	versions := maps.Clone(e.versions)
+	versions := maps.Clone(s.versions)
 	versions[model] = version
-	e.versions = versions
+	s.versions = versions
 	return true
 }
 
@@ -78,29 +78,30 @@
 func (t *Table) RequestStarted(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.statsOf(i)
-	e.inFlight++
-	e.probing = e.declines > 0
+	s := t.statsOf(i)
+	s.inFlight++
+	s.probing = s.declines > 0
 }
 
 // RequestEnded removes a request from the count of those in flight.
 func (t *Table) RequestEnded(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.statsOf(i)
-	e.inFlight--
-	e.probing = false
+	s := t.statsOf(i)
+	s.inFlight--
+	s.probing = false
 	t.notify()
 }
 
-// RequestSucceeded records a sound answer and its latency, and ends the backoff after failures.
+// RequestSucceeded records a sound answer and its latency. It resets the failure count and ends
+// the time for which other replicas are preferred.
 func (t *Table) RequestSucceeded(i Incarnation, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.statsOf(i)
-	e.failures = 0
-	e.avoidUntil = time.Time{}
-	e.latency = movingAverage(e.latency, latency)
+	s := t.statsOf(i)
+	s.failures = 0
+	s.avoidUntil = time.Time{}
+	s.latency = movingAverage(s.latency, latency)
 }
 
 // ReportLoad records the number of requests of all callers that a replica has, as reported by
@@ -108,8 +109,8 @@
 func (t *Table) ReportLoad(i Incarnation, requests int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.statsOf(i)
-	e.reportedLoad, e.reportedLoadAt = requests, time.Now()
+	s := t.statsOf(i)
+	s.reportedLoad, s.reportedLoadAt = requests, time.Now()
 }
 
 // ObserveEvent records the time between two events of a stream.
@@ -133,10 +134,10 @@
 func (t *Table) RequestFailed(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.statsOf(i)
-	e.failures++
-	avoid := minFailureBackoff << min(e.failures-1, 6)
-	e.avoidUntil = time.Now().Add(min(avoid, maxFailureBackoff))
+	s := t.statsOf(i)
+	s.failures++
+	avoid := minFailureBackoff << min(s.failures-1, 6)
+	s.avoidUntil = time.Now().Add(min(avoid, maxFailureBackoff))
 }
 
 // AvoidFor makes other replicas preferred for the given time from now. It never shortens a time
@@ -144,9 +145,9 @@
 func (t *Table) AvoidFor(i Incarnation, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.statsOf(i)
-	if until := time.Now().Add(d); until.After(e.avoidUntil) {
-		e.avoidUntil = until
+	s := t.statsOf(i)
+	if until := time.Now().Add(d); until.After(s.avoidUntil) {
+		s.avoidUntil = until
 	}
 }
 
@@ -155,13 +156,13 @@
 func (t *Table) RequestDeclined(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.statsOf(i)
+	s := t.statsOf(i)
 	now := time.Now()
-	if now.Before(e.avoidUntil) {
+	if now.Before(s.avoidUntil) {
 		return
 	}
-	e.avoidUntil = now.Add(min(minDeclineBackoff<<min(e.declines, 4), maxDeclineBackoff))
-	e.declines++
+	s.avoidUntil = now.Add(min(minDeclineBackoff<<min(s.declines, 4), maxDeclineBackoff))
+	s.declines++
 }
 
 // RequestAccepted records that a replica has begun to answer a request, which ends a series of
@@ -169,8 +170,8 @@
 func (t *Table) RequestAccepted(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.statsOf(i)
-	e.declines, e.probing = 0, false
+	s := t.statsOf(i)
+	s.declines, s.probing = 0, false
 }
 
 // ObserveVersion records that a replica holds a version of a model. A lower version than the
@@ -189,8 +190,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	maps.DeleteFunc(t.stats, func(_ Incarnation, e *replicaStats) bool {
-		return !e.removedAt.IsZero() && e.inFlight == 0 && now.Sub(e.removedAt) > statsTTL
+	maps.DeleteFunc(t.stats, func(_ Incarnation, s *replicaStats) bool {
+		return !s.removedAt.IsZero() && s.inFlight == 0 && now.Sub(s.removedAt) > statsTTL
 	})
 	maps.DeleteFunc(t.newest, func(_ string, newest Entry) bool { return t.stats[newest.Incarnation()] == nil })
 }
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -24,7 +24,7 @@
 //	table.RequestStarted(rep.Incarnation())
 //	defer table.RequestEnded(rep.Incarnation())
 //	// after a sound answer:
-//	table.RequestSucceeded(rep.Incarnation(), took)
+//	table.RequestSucceeded(rep.Incarnation(), latency)
 package replica
 
 import (
@@ -133,7 +133,7 @@
 	}
 }
 
-// Replace replaces the whole list.
+// Replace replaces the whole list. Each entry is treated as by Set.
 func (t *Table) Replace(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -185,16 +185,16 @@
 	if before != nil && before.Service != entry.Service {
 		delete(t.services[before.Service], entry.ID)
 	}
-	e := t.statsOf(entry.Incarnation())
-	now := &listedReplica{Entry: entry, stats: e}
+	s := t.statsOf(entry.Incarnation())
+	now := &listedReplica{Entry: entry, stats: s}
 	t.entries[entry.ID] = now
 	if t.services[entry.Service] == nil {
 		t.services[entry.Service] = map[string]*listedReplica{}
 	}
 	t.services[entry.Service][entry.ID] = now
-	e.removedAt = time.Time{}
+	s.removedAt = time.Time{}
 	for model, version := range entry.Versions {
-		e.raiseVersion(model, version)
+		s.raiseVersion(model, version)
 	}
 	switch {
 	case before == nil:
@@ -251,18 +251,18 @@
 	return found
 }
 
-// recentlyRemoved returns the replicas of a service that were removed within removedGrace
-// without having been listed as draining. After an outage of the platform all entries may be
-// missing until the replicas have written them again. The mutex must be held.
+// recentlyRemoved returns the replicas of a service that were removed within removedGrace and
+// were neither draining nor unusable. After an outage of the platform all entries may be missing
+// until the replicas have written them again. The mutex must be held.
 func (t *Table) recentlyRemoved(service string) []Replica {
 	var found []Replica
-	now, awake := t.now(), time.Now()
-	for _, e := range t.stats {
-		if e.removedAt.IsZero() || now.Sub(e.removedAt) > t.removedGrace {
+	now, monotonic := t.now(), time.Now()
+	for _, s := range t.stats {
+		if s.removedAt.IsZero() || now.Sub(s.removedAt) > t.removedGrace {
 			continue
 		}
-		if e.lastEntry.Service == service && !e.lastEntry.Draining && !e.lastEntry.Unusable {
-			found = append(found, (&listedReplica{Entry: e.lastEntry, stats: e}).view(awake))
+		if s.lastEntry.Service == service && !s.lastEntry.Draining && !s.lastEntry.Unusable {
+			found = append(found, (&listedReplica{Entry: s.lastEntry, stats: s}).view(monotonic))
 		}
 	}
 	return found
@@ -293,15 +293,15 @@
 
 // view returns a snapshot of the replica. The mutex of the table must be held.
 func (l *listedReplica) view(now time.Time) Replica {
-	e := l.stats
+	s := l.stats
 	r := Replica{
-		Entry: l.Entry, InFlight: e.inFlight, AvoidUntil: e.avoidUntil, Declining: e.declines > 0, Probing: e.probing,
-		Latency: e.latency, EventTime: e.eventTimes.value(now), LastEventAt: e.eventTimes.lastAt,
+		Entry: l.Entry, InFlight: s.inFlight, AvoidUntil: s.avoidUntil, Declining: s.declines > 0, Probing: s.probing,
+		Latency: s.latency, EventTime: s.eventTimes.value(now), LastEventAt: s.eventTimes.lastAt,
 	}
-	if now.Sub(e.reportedLoadAt) <= reportedLoadMaxAge {
-		r.ReportedLoad = e.reportedLoad
+	if now.Sub(s.reportedLoadAt) <= reportedLoadMaxAge {
+		r.ReportedLoad = s.reportedLoad
 	}
-	r.Slowdown = e.slowdown.value(now)
-	r.Versions = e.versions
+	r.Slowdown = s.slowdown.value(now)
+	r.Versions = s.versions
 	return r
 }
