--- a/internal/api/standalone/engines.go
+++ b/internal/api/standalone/engines.go
@@ -18,7 +18,7 @@
 
 var _ engine.Driver = engines{}
 
-var manners = map[engine.Manner]string{engine.Finish: MannerFinish, engine.Continue: MannerContinue, engine.Reset: MannerReset}
+var manners = map[engine.UpdateMode]string{engine.FinishRunning: MannerFinish, engine.ContinueRunning: MannerContinue, engine.AbortRunning: MannerReset}
 
 func (e engines) Report(ctx context.Context, target replica.Replica) (engine.Report, error) {
 	status, body, err := e.call(ctx, target, http.MethodGet, StatePath, nil)
@@ -32,9 +32,9 @@
 	return engine.Report{Busy: state.Busy, Orders: state.Orders, Versions: state.Versions, Waiting: state.Waiting, Running: state.Running}, nil
 }
 
-func (e engines) Give(ctx context.Context, target replica.Replica, order engine.Order) error {
+func (e engines) SubmitOrder(ctx context.Context, target replica.Replica, order engine.Order) error {
 	body, err := json.Marshal(EngineOrder{
-		Model: order.Model, Version: order.Version, Manner: manners[order.Manner],
+		Model: order.Model, Version: order.Version, Manner: manners[order.Mode],
 		Holder: order.Holder, Fence: order.Fence, AfterOrders: order.AfterOrders,
 	})
 	if err != nil {
@@ -44,7 +44,7 @@
 	if err != nil {
 		return errors.Wrap(engine.ErrUnknown, err.Error())
 	}
-	return engine.OutcomeOf(status, text)
+	return engine.ErrorForStatus(status, text)
 }
 
 func (e engines) call(ctx context.Context, target replica.Replica, method, path string, body []byte) (int, []byte, error) {
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -62,7 +62,7 @@
 // again or given up. The item does not change if the attempt is no longer the current one.
 func (a *attempt) handleOutcome(err error) {
 	j, it := a.job, a.item
-	j.r.table.Ended(a.replica.Incarnation())
+	j.r.table.RequestEnded(a.replica.Incarnation())
 	j.mu.Lock()
 	current := it.attempt == a.number
 	if current {
@@ -88,7 +88,7 @@
 // follow reads the events of an open stream. It returns nil at the end of the text.
 func (a *attempt) follow(cancel context.CancelFunc, stream *forward.Stream) error {
 	defer stream.Close()
-	a.job.r.table.Accepted(a.replica.Incarnation())
+	a.job.r.table.RequestAccepted(a.replica.Incarnation())
 	version := stream.Version
 	a.recordVersion(version)
 	timeout := eventTimeoutOf(a.replica.EventTime)
@@ -119,7 +119,7 @@
 // version of 0, which means that the replica did not report one, is ignored.
 func (a *attempt) recordVersion(version int64) {
 	if version > 0 {
-		a.job.r.table.HoldsVersion(a.replica.Incarnation(), a.job.submission.Model, version)
+		a.job.r.table.ObserveVersion(a.replica.Incarnation(), a.job.submission.Model, version)
 	}
 }
 
@@ -215,10 +215,10 @@
 	switch f {
 	case noFault:
 	case faultDeclined:
-		r.table.Declined(incarnation)
+		r.table.RequestDeclined(incarnation)
 	case faultFull:
-		r.table.Busy(incarnation, retryDelay)
+		r.table.AvoidFor(incarnation, retryDelay)
 	case faultFailed:
-		r.table.Failed(incarnation)
+		r.table.RequestFailed(incarnation)
 	}
 }
--- a/internal/batches/runner/dispatch.go
+++ b/internal/batches/runner/dispatch.go
@@ -95,7 +95,7 @@
 
 // launch runs an attempt at a replica in a goroutine that Release waits for.
 func (r *Runner) launch(rep replica.Replica, attempt func()) {
-	r.table.Started(rep.Incarnation())
+	r.table.RequestStarted(rep.Incarnation())
 	r.started.Add(1)
 	r.work.Go(attempt)
 }
--- a/internal/batches/runner/dispatch_test.go
+++ b/internal/batches/runner/dispatch_test.go
@@ -36,8 +36,8 @@
 // A restarted engine has the same id but has not cached the group's prompt.
 func TestGroupEngineIsBoundToIncarnation(t *testing.T) {
 	is := is.New(t)
-	earlier := replica.Replica{Entry: replica.Entry{ID: "a", Born: time.UnixMilli(1)}}
-	restarted := replica.Replica{Entry: replica.Entry{ID: "a", Born: time.UnixMilli(2)}}
+	earlier := replica.Replica{Entry: replica.Entry{ID: "a", StartedAt: time.UnixMilli(1)}}
+	restarted := replica.Replica{Entry: replica.Entry{ID: "a", StartedAt: time.UnixMilli(2)}}
 	other := replica.Replica{Entry: replica.Entry{ID: "b"}}
 	items := func() []scheduling.Item {
 		return []scheduling.Item{
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -46,7 +46,7 @@
 }
 
 // ReplicaKey returns the key by which other owners know this incarnation of a replica.
-func ReplicaKey(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.Born) }
+func ReplicaKey(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.StartedAt) }
 
 // withReports returns the engine with this owner's preference for it and with what other owners
 // report: their requests in flight, and their event time if this daemon has none or only an old
@@ -60,7 +60,7 @@
 	key := ReplicaKey(rep)
 	engine.OthersInFlight = s.table.InFlight(key)
 	engine.Preference = occupancy.Preference(s.self, rep.ID)
-	if ownAge := now.Sub(rep.EventAt); rep.EventTime == 0 || ownAge > ownEventTimeMaxAge {
+	if ownAge := now.Sub(rep.LastEventAt); rep.EventTime == 0 || ownAge > ownEventTimeMaxAge {
 		if eventTime, age := s.table.EventTime(key); eventTime > 0 && (rep.EventTime == 0 || age < ownAge) {
 			engine.EventTime = eventTime
 		}
@@ -151,7 +151,7 @@
 			inFlight := uint32(max(rep.InFlight, 0))
 			demand.InFlight += inFlight
 			report.Counts = append(report.Counts, occupancy.RequestCount{Replica: ReplicaKey(rep), Requests: inFlight})
-			if age := now.Sub(rep.EventAt); rep.EventTime > 0 && age <= ownEventTimeMaxAge {
+			if age := now.Sub(rep.LastEventAt); rep.EventTime > 0 && age <= ownEventTimeMaxAge {
 				report.Measurements = append(report.Measurements, occupancy.NewMeasurement(ReplicaKey(rep), rep.EventTime, age))
 			}
 		}
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -286,7 +286,7 @@
 		})
 	}
 	eventTime := func(own, age time.Duration) time.Duration {
-		rep.EventTime, rep.EventAt = own, now.Add(-age)
+		rep.EventTime, rep.LastEventAt = own, now.Add(-age)
 		return s.withReports(scheduling.Engine{EventTime: own}, rep, now).EventTime
 	}
 	is.Equal(eventTime(0, time.Hour), time.Duration(0))
@@ -310,7 +310,7 @@
 	runner.self, runner.jobs = "d0/1", map[string]*job{"b": j}
 	runner.ShareEngines(occupancy.NewTable("d0/1", time.Now, zap.NewNop()), func() {})
 	runner.sharing.demands["s"] = occupancy.Demand{Service: 1, Waiting: 3}
-	runner.table.Started("to")
+	runner.table.RequestStarted("to")
 	for range 5 {
 		runner.table.ObserveEvent("from", 30*time.Millisecond)
 	}
--- a/internal/batches/runner/handover.go
+++ b/internal/batches/runner/handover.go
@@ -82,7 +82,7 @@
 	if err == nil {
 		stream.Close()
 	}
-	a.job.r.table.Ended(a.replica.Incarnation())
+	a.job.r.table.RequestEnded(a.replica.Incarnation())
 	if a.job.ctx.Err() != nil {
 		// The request was cancelled with its batch, which is no fault of the replica.
 		return
--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -28,7 +28,7 @@
 		return
 	}
 	if drivers.Duties.Duties().Fleet {
-		n.fleet = fleet.NewManager(fleet.Parts{
+		n.fleet = fleet.NewManager(fleet.Deps{
 			Journal: drivers.Journal, Lease: n.lease, Driver: drivers.Duties, Holder: n.settings.Name,
 			Table: n.table, List: n.replicaFollower, Configuration: n.operator.Configuration, Demands: n.demands,
 		}, n.logger)
@@ -64,8 +64,8 @@
 	}
 	if n.fleet != nil {
 		metrics.Counter(n.metrics, "fleet_orders_total",
-			"Orders for replicas that the platform took from this daemon.", n.fleet.Ordered.Load)
-		metrics.Counter(n.metrics, "fleet_orders_failed_total", "Orders for replicas that failed.", n.fleet.Failed.Load)
+			"Orders for replicas that the platform took from this daemon.", n.fleet.OrdersAccepted.Load)
+		metrics.Counter(n.metrics, "fleet_orders_failed_total", "Orders for replicas that failed.", n.fleet.OrdersFailed.Load)
 	}
 }
 
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -1,16 +1,16 @@
-// Package fleet orders as many model replicas as the trainers' batches need, where the
-// platform starts and ends them on order.
+// Package fleet orders as many model replicas as the trainers' batches need, on platforms that
+// start and end replicas on order.
 //
-// Plan is the rule, and pure (plan.go); Manager carries it out on the daemon that holds the lease
-// for duties. listed.go tells which replicas there are, orders.go keeps what was ordered. The
-// package owns the records of what was ordered, in a keyed partition of the journal, so that a
-// successor goes on from there and does not take replicas for surplus. It relies on the list of
-// replicas, on the demands of the trainers' batches, and on the platform to refuse orders of a
-// lower fence.
+// Plan computes the orders and is a pure function (plan.go). Manager carries them out on the
+// daemon that holds the lease for duties. list.go counts the listed replicas, orders.go records
+// the orders. The package owns these records, in a keyed partition of the journal, so that the
+// next lease holder knows them and does not treat ordered replicas as surplus. It relies on the
+// list of replicas, on the demand of the trainers' batches, and on the platform to refuse orders
+// with a lower fence.
 //
 // # Usage
 //
-//	manager := fleet.NewManager(fleet.Parts{Journal: log, Lease: held, Driver: duties, ...}, logger)
+//	manager := fleet.NewManager(fleet.Deps{Journal: log, Lease: held, Driver: duties, ...}, logger)
 //	go manager.Run(ctx) // acts only while the lease is held
 package fleet
 
@@ -34,112 +34,115 @@
 )
 
 const (
-	// lookInterval is the time between two looks for orders that are due.
-	lookInterval = 250 * time.Millisecond
+	// planInterval is the time between two plans.
+	planInterval = 250 * time.Millisecond
 	// callTimeout bounds one call to the platform.
 	callTimeout = 800 * time.Millisecond
 )
 
-// orderPauses are the pauses after orders that failed: at first a little more than a look's
-// interval, at last what a platform that takes orders again may wait for the next one.
-var orderPauses = backoff.Bounds{First: 300 * time.Millisecond, Longest: 5 * time.Second}
+// orderBackoff is the wait after failed orders. It starts a little above planInterval.
+var orderBackoff = backoff.Bounds{First: 300 * time.Millisecond, Longest: 5 * time.Second}
 
-// Parts are what a manager works with.
-type Parts struct {
+// Deps are the dependencies of a Manager.
+type Deps struct {
 	Journal journal.Journal
 	Lease   lease.Fencer
 	Driver  duty.Driver
-	// Holder is the name in which orders are made.
+	// Holder is the name of the lease holder that orders are made under.
 	Holder        string
 	Table         *replica.Table
-	List          List
+	List          ListFreshness
 	Configuration func() *route.Configuration
 	Demands       *demand.State
 }
 
-// serviceZone is a service in a zone.
+// serviceZone identifies the replicas of a service in one zone.
 type serviceZone struct{ service, zone string }
 
-// Manager orders replicas while it may act.
+// Manager orders replicas while this daemon holds the lease.
 type Manager struct {
-	Parts
+	Deps
 	logger *zap.Logger
 
-	// ordered is what was ordered; it is read when this daemon begins to act.
-	ordered map[serviceZone]observedOrder
-	// newest are the newest orders that were ever seen. They outlive the lease, so that an
-	// order does not become new by being read again.
-	newest map[serviceZone]observedOrder
-	// lowSince is since when each service has needed fewer replicas.
+	// lastOrders is the last order of each service and zone. It is read from the journal after
+	// the lease is acquired, and nil before.
+	lastOrders map[serviceZone]observedOrder
+	// newestOrders is the newest order ever seen of each service and zone. It is kept after the
+	// lease is lost, so that reading an order again does not reset the time when it was first
+	// seen.
+	newestOrders map[serviceZone]observedOrder
+	// lowSince is since when the need of each service has been low; see NeedIsLow.
 	lowSince map[string]time.Time
-	// unsettledAt is when the list was last seen to be old.
-	unsettledAt time.Time
-	// seen are the replicas listed of late.
-	seen map[serviceZone]seenCount
-	// rest is the pause after orders that failed.
-	rest backoff.Rest
-
-	// Ordered counts the orders that the platform took from this daemon, Failed those that failed.
-	Ordered, Failed atomic.Uint64
+	// listStaleAt is when the list of replicas was last found to be stale.
+	listStaleAt time.Time
+	// recentMax is the largest number of listed replicas in recentMaxWindow.
+	recentMax map[serviceZone]observedMax
+	// backoff is the wait after failed orders.
+	backoff backoff.Rest
+
+	// OrdersAccepted counts the orders that the platform accepted, OrdersFailed those that
+	// failed.
+	OrdersAccepted, OrdersFailed atomic.Uint64
 }
 
-// NewManager returns a manager.
-func NewManager(parts Parts, logger *zap.Logger) *Manager {
+// NewManager returns a manager that does nothing until Run is called.
+func NewManager(deps Deps, logger *zap.Logger) *Manager {
 	return &Manager{
-		Parts: parts, logger: logger, newest: map[serviceZone]observedOrder{},
-		lowSince: map[string]time.Time{}, seen: map[serviceZone]seenCount{},
+		Deps: deps, logger: logger, newestOrders: map[serviceZone]observedOrder{},
+		lowSince: map[string]time.Time{}, recentMax: map[serviceZone]observedMax{},
 	}
 }
 
-// Run orders replicas until the context ends.
-func (m *Manager) Run(ctx context.Context) { periodic.Every(ctx, lookInterval, m.step) }
+// Run plans and orders replicas until the context ends. It acts only while the lease is held.
+func (m *Manager) Run(ctx context.Context) { periodic.Every(ctx, planInterval, m.step) }
 
-// step makes the orders that are due, if the lease lets this daemon act.
+// step makes the orders that are due, if this daemon holds the lease and the list of replicas
+// can be relied on.
 func (m *Manager) step(ctx context.Context) {
 	configuration := m.Configuration()
 	if configuration == nil {
 		return
 	}
-	// The list is watched without the lease too, as it says little of the past.
+	// The list is observed even without the lease, because a plan needs its recent history.
 	now := time.Now()
-	settled := m.settled(now)
-	present := m.presentOf(configuration, now)
-	if _, _, may := m.Lease.Fence(); !may {
-		m.ordered = nil
+	settled := m.listSettled(now)
+	present := m.countListed(configuration, now)
+	if _, _, held := m.Lease.Fence(); !held {
+		m.lastOrders = nil
 		return
 	}
-	if !settled || !m.rest.Over(now) || !m.read(ctx) {
+	if !settled || !m.backoff.Over(now) || !m.loadOrders(ctx) {
 		return
 	}
 	for _, service := range configuration.Services {
 		if service.Scaling == nil {
 			continue
 		}
-		in := m.input(configuration, service, present, now)
+		in := m.planInput(configuration, service, present, now)
 		for _, order := range Plan(in) {
-			if !m.order(ctx, service.Name, order, in) {
+			if !m.placeOrder(ctx, service.Name, order, in) {
 				return
 			}
 		}
 	}
 }
 
-// input gathers what a plan for a service depends on.
-func (m *Manager) input(configuration *route.Configuration, service route.Service,
+// planInput returns the input of a plan for a service, and updates lowSince.
+func (m *Manager) planInput(configuration *route.Configuration, service route.Service,
 	present map[serviceZone]int, now time.Time) Input {
 	in := Input{Scaling: *service.Scaling, Slots: service.Slots, Now: now, Loads: m.loads(configuration, service)}
 	for key, count := range present {
 		if key.service != service.Name {
 			continue
 		}
-		last := m.ordered[key]
-		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, Seen: m.seen[key].count,
-			Ordered: last.Desired, OrderedAt: last.at})
+		last := m.lastOrders[key]
+		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, RecentMax: m.recentMax[key].count,
+			Ordered: last.Desired, OrderedAt: last.firstSeenAt})
 	}
-	// By name, so that plans do not depend on chance.
+	// Sorted, so that a plan does not depend on the order of a map.
 	slices.SortFunc(in.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
 	switch {
-	case !Low(in):
+	case !NeedIsLow(in):
 		delete(m.lowSince, service.Name)
 	case m.lowSince[service.Name].IsZero():
 		m.lowSince[service.Name] = now
@@ -148,7 +151,8 @@
 	return in
 }
 
-// loads returns what the batches of a service's models ask of it.
+// loads returns the loads of the batches of a service's models. Models without demand are left
+// out.
 func (m *Manager) loads(configuration *route.Configuration, service route.Service) []Load {
 	deadline := batchDeadline(configuration, service.Name)
 	var loads []Load
@@ -160,8 +164,8 @@
 	return loads
 }
 
-// batchDeadline returns the shortest deadline of the batches that a service runs, 0 if
-// there are none.
+// batchDeadline returns the shortest deadline of the batch routes that use a service, 0 if there
+// are none.
 func batchDeadline(configuration *route.Configuration, service string) time.Duration {
 	shortest := time.Duration(0)
 	for i := range configuration.Routes {
@@ -176,15 +180,16 @@
 	return shortest
 }
 
-// order asks the platform for replicas. What is asked for is recorded first, so that a
-// successor takes what may have been ordered for ordered.
-func (m *Manager) order(ctx context.Context, service string, order Order, in Input) bool {
+// placeOrder orders replicas from the platform and reports whether it accepted. The order is
+// recorded before the call, so that the next lease holder treats an order whose outcome is
+// unknown as made.
+func (m *Manager) placeOrder(ctx context.Context, service string, order Order, in Input) bool {
 	key := serviceZone{service, order.Zone}
 	rec := orderRecord{Service: service, Zone: order.Zone, Desired: order.Desired, AtMs: in.Now.UnixMilli()}
-	err := m.record(ctx, rec)
+	err := m.recordOrder(ctx, rec)
 	fence := int64(0)
 	if err == nil {
-		m.ordered[key] = m.observe(key, rec, in.Now)
+		m.lastOrders[key] = m.observe(key, rec, in.Now)
 		fence, err = lease.Act(ctx, m.Lease, callTimeout, func(ctx context.Context, fence int64) error {
 			return m.Driver.OrderFleet(ctx, duty.Authority{Holder: m.Holder, Fence: fence},
 				duty.Fleet{Service: service, Zone: order.Zone, Desired: order.Desired})
@@ -194,13 +199,13 @@
 		zap.Int("desired", order.Desired), zap.Int("need", Need(in)), zap.Stringers("zones", in.Zones),
 		zap.Stringers("loads", in.Loads), zap.Int64("fence", fence), zap.Error(err))
 	if err != nil {
-		m.Failed.Add(1)
-		m.rest.Failed(orderPauses, time.Now())
-		// It has to be ordered again.
-		delete(m.ordered, key)
+		m.OrdersFailed.Add(1)
+		m.backoff.Failed(orderBackoff, time.Now())
+		// Forgotten here, so that the next plan makes the order again.
+		delete(m.lastOrders, key)
 		return false
 	}
-	m.Ordered.Add(1)
-	m.rest.Succeeded()
+	m.OrdersAccepted.Add(1)
+	m.backoff.Succeeded()
 	return true
 }
--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -139,11 +139,11 @@
 	if err != nil {
 		return engine.Report{}, err
 	}
-	if !s.Table.Seen(c.replica, report.Born) {
+	if !s.Table.ObserveStart(c.replica, report.StartedAt) {
 		return engine.Report{}, errRestarted
 	}
 	for model, version := range report.Versions {
-		s.Table.HoldsVersion(c.replica.Incarnation(), model, version)
+		s.Table.ObserveVersion(c.replica.Incarnation(), model, version)
 	}
 	return report, nil
 }
@@ -155,8 +155,8 @@
 		s.OrdersSent.Add(1)
 		s.logger.Info("weight change ordered", zap.String("replica", c.replica.ID), zap.String("model", c.model), zap.Int64("version", c.version),
 			zap.Int64("from", report.Versions[c.model]), zap.Int64("fence", fence), zap.Int64("after_orders", report.Orders))
-		return s.Driver.Give(ctx, c.replica, engine.Order{
-			Model: c.model, Version: c.version, Manner: c.manner, Holder: s.Holder, Fence: fence, AfterOrders: report.Orders,
+		return s.Driver.SubmitOrder(ctx, c.replica, engine.Order{
+			Model: c.model, Version: c.version, Mode: c.manner, Holder: s.Holder, Fence: fence, AfterOrders: report.Orders,
 		})
 	})
 	return err
--- a/internal/replicas/modelsync/due.go
+++ b/internal/replicas/modelsync/due.go
@@ -14,25 +14,25 @@
 	replica replica.Replica
 	model   string
 	version int64
-	manner  engine.Manner
+	manner  engine.UpdateMode
 }
 
 // chooseManner returns Finish if a route of the service requires a single version for each text,
 // and otherwise Continue, which lets running requests continue under the new weights.
-func chooseManner(configuration *route.Configuration, service string) engine.Manner {
+func chooseManner(configuration *route.Configuration, service string) engine.UpdateMode {
 	for i := range configuration.Routes {
 		if rt := &configuration.Routes[i]; rt.SingleVersion && rt.Uses(service) {
-			return engine.Finish
+			return engine.FinishRunning
 		}
 	}
-	return engine.Continue
+	return engine.ContinueRunning
 }
 
 // listDueChanges returns the due changes for the replicas of a service, including those in
 // progress, in the order in which they should start. assignments[i] holds the replicas of
 // models[i].
 func listDueChanges(assignments [][]replica.Replica, models []string, newestVersions map[string]int64,
-	maxLag func(model string) int64, manner engine.Manner, isLoading func(replicaID string) bool) []change {
+	maxLag func(model string) int64, manner engine.UpdateMode, isLoading func(replicaID string) bool) []change {
 	needs := make([]modelNeed, len(models))
 	for i, model := range models {
 		version, lag := newestVersions[model], maxLag(model)
@@ -49,7 +49,7 @@
 // model. A change is due at the latest when the next version would make the replica too old for a
 // batch. In addition, an even fraction of the replicas is changed at each version, so that they
 // do not all become too old at once.
-func listModelChanges(replicas []replica.Replica, model string, version, lag int64, manner engine.Manner) []change {
+func listModelChanges(replicas []replica.Replica, model string, version, lag int64, manner engine.UpdateMode) []change {
 	var outdated []change
 	newest := 0
 	for _, rep := range replicas {
--- a/internal/replicas/modelsync/enginestate.go
+++ b/internal/replicas/modelsync/enginestate.go
@@ -19,7 +19,7 @@
 	backoff      backoff.Rest
 	lastListedAt time.Time
 	// bestEventTime is the shortest recent event time.
-	bestEventTime replica.BestTime
+	bestEventTime replica.RollingMin
 }
 
 // unlistedStateTTL is how long the state is kept after the engine leaves the replica list, which
@@ -48,7 +48,7 @@
 		}
 		state.lastListedAt = now
 		if eventTime, age := s.EventTime(rep); eventTime > 0 && age <= maxEventTimeAge {
-			state.bestEventTime.Note(eventTime, bestEventTimeWindow, now)
+			state.bestEventTime.Observe(eventTime, bestEventTimeWindow, now)
 		}
 	}
 }
--- a/internal/replicas/modelsync/priority_test.go
+++ b/internal/replicas/modelsync/priority_test.go
@@ -28,7 +28,7 @@
 	models := []string{"a", "b", "c"}
 	newestVersions := map[string]int64{"a": 4, "b": 4, "c": 3}
 	assignments := [][]replica.Replica{enginesOf("a", 3, 3, 2), enginesOf("b", 3, 2, 2), enginesOf("c", 1, 1, 1)}
-	due := listDueChanges(assignments, models, newestVersions, maxLagOfOne, engine.Continue, idle)
+	due := listDueChanges(assignments, models, newestVersions, maxLagOfOne, engine.ContinueRunning, idle)
 	var order []string
 	for _, c := range due[:3] {
 		order = append(order, c.model)
@@ -43,7 +43,7 @@
 	models := []string{"a", "b"}
 	newestVersions := map[string]int64{"a": 2, "b": 2}
 	assignments := [][]replica.Replica{enginesOf("a", 2, 2, 1), enginesOf("b", 1, 1, 1)}
-	due := listDueChanges(assignments, models, newestVersions, maxLagOfOne, engine.Continue, idle)
+	due := listDueChanges(assignments, models, newestVersions, maxLagOfOne, engine.ContinueRunning, idle)
 	is.Equal(due[0].model, "b")
 }
 
@@ -63,7 +63,7 @@
 				loading[rep.ID] = rep.Versions[model] < newestVersions[model] && rapid.IntRange(0, 3).Draw(t, "loading") == 0
 			}
 		}
-		due := listDueChanges(assignments, models, newestVersions, maxLagOfOne, engine.Continue, func(id string) bool { return loading[id] })
+		due := listDueChanges(assignments, models, newestVersions, maxLagOfOne, engine.ContinueRunning, func(id string) bool { return loading[id] })
 		usable := func(model string) float64 {
 			total, ready := 0, 0
 			for i := range models {
--- a/internal/replicas/modelsync/restart_test.go
+++ b/internal/replicas/modelsync/restart_test.go
@@ -24,7 +24,7 @@
 	return r.report, nil
 }
 
-func (r *fixedReporter) Give(context.Context, replica.Replica, engine.Order) error {
+func (r *fixedReporter) SubmitOrder(context.Context, replica.Replica, engine.Order) error {
 	r.t.Error("unexpected order")
 	return nil
 }
@@ -32,7 +32,7 @@
 var firstStart = time.UnixMilli(1_764_700_000_000)
 
 func entryStartedAt(seconds int, version int64) replica.Entry {
-	return replica.Entry{ID: "e", Service: "s", Slots: 4, Born: firstStart.Add(time.Duration(seconds) * time.Second), Versions: map[string]int64{"m": version}}
+	return replica.Entry{ID: "e", Service: "s", Slots: 4, StartedAt: firstStart.Add(time.Duration(seconds) * time.Second), Versions: map[string]int64{"m": version}}
 }
 
 // Versions and order counts reported by one incarnation must not be taken for those of another:
@@ -41,14 +41,14 @@
 	is := is.New(t)
 	table := replica.NewTable(time.Second, zap.NewNop())
 	table.Set(entryStartedAt(0, 4))
-	driver := &fixedReporter{t: t, report: engine.Report{Born: entryStartedAt(1, 0).Born, Versions: map[string]int64{"m": 1}}}
+	driver := &fixedReporter{t: t, report: engine.Report{StartedAt: entryStartedAt(1, 0).StartedAt, Versions: map[string]int64{"m": 1}}}
 	syncer := New(Deps{Holder: "d", Driver: driver, Table: table, Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	due := change{replica: table.Replicas("s")[0], model: "m", version: 5}
 	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errRestarted))
 	now := table.Replicas("s")[0]
 	is.Equal(now.Incarnation(), entryStartedAt(1, 0).Incarnation())
 	is.Equal(now.Versions["m"], int64(0)) // due again, as its versions are unknown
-	driver.report = engine.Report{Born: entryStartedAt(0, 4).Born, Versions: map[string]int64{"m": 9}}
+	driver.report = engine.Report{StartedAt: entryStartedAt(0, 4).StartedAt, Versions: map[string]int64{"m": 9}}
 	due.replica = now
 	is.True(errors.Is(syncer.changeWeights(t.Context(), due), errRestarted)) // a late answer of the earlier incarnation
 	is.Equal(table.Replicas("s")[0].Versions["m"], int64(0))
@@ -59,7 +59,7 @@
 func TestStateBelongsToOneIncarnation(t *testing.T) {
 	is := is.New(t)
 	table := replica.NewTable(time.Second, zap.NewNop())
-	driver := &fixedReporter{t: t, report: engine.Report{Born: entryStartedAt(1, 0).Born}}
+	driver := &fixedReporter{t: t, report: engine.Report{StartedAt: entryStartedAt(1, 0).StartedAt}}
 	syncer := New(Deps{Holder: "d", Driver: driver, Table: table, Demands: demand.NewState(zap.NewNop()), EventTime: speedUnknown}, zap.NewNop())
 	now := time.Now()
 	table.Set(entryStartedAt(0, 4))
--- a/internal/replicas/modelsync/speedclass_test.go
+++ b/internal/replicas/modelsync/speedclass_test.go
@@ -93,18 +93,18 @@
 // An engine that is slow for a short time must keep its speed class.
 func TestShortSlownessKeepsTheSpeedClass(t *testing.T) {
 	is := is.New(t)
-	var best replica.BestTime
+	var best replica.RollingMin
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for at := time.Duration(0); at < 50*time.Second; at += time.Second {
 		eventTime := 50 * time.Millisecond
 		if at > 25*time.Second && at < 40*time.Second {
 			eventTime *= 3
 		}
-		best.Note(eventTime, bestEventTimeWindow, start.Add(at))
+		best.Observe(eventTime, bestEventTimeWindow, start.Add(at))
 		is.Equal(best.Value(), 50*time.Millisecond)
 	}
 	for at := 50 * time.Second; at < 115*time.Second; at += time.Second {
-		best.Note(100*time.Millisecond, bestEventTimeWindow, start.Add(at))
+		best.Observe(100*time.Millisecond, bestEventTimeWindow, start.Add(at))
 	}
 	is.Equal(best.Value(), 100*time.Millisecond) // the earlier best has expired
 }
--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -9,24 +9,26 @@
 	"go.uber.org/zap"
 )
 
-// Incarnation names one life of a replica's process: its id, with when it started if it says
-// so. A replica that starts again under its id holds and knows nothing of before.
+// Incarnation identifies one life of a replica's process: the id of the replica, followed by the
+// start time of the process if the replica reports one. A replica that restarts under its id has
+// none of the state of its earlier incarnation.
 type Incarnation string
 
-// bornSeparator stands between an id and the time of its start, in milliseconds.
-const bornSeparator = "@"
+// startSeparator separates the id from the start time, which is in Unix milliseconds.
+const startSeparator = "@"
 
-// Incarnation names the life of the process that the entry is of.
+// Incarnation returns the incarnation that the entry describes.
 func (e Entry) Incarnation() Incarnation {
-	if e.Born.IsZero() {
+	if e.StartedAt.IsZero() {
 		return Incarnation(e.ID)
 	}
-	return Incarnation(e.ID + bornSeparator + strconv.FormatInt(e.Born.UnixMilli(), 10))
+	return Incarnation(e.ID + startSeparator + strconv.FormatInt(e.StartedAt.UnixMilli(), 10))
 }
 
-// EndsOnce reports whether the name tells two incarnations of a replica apart, so that its
-// process can end only once.
-func (i Incarnation) EndsOnce() bool {
+// HasStartTime reports whether the start time is part of the name. Such a name identifies one
+// process, which can end only once; a name without it is shared by all incarnations of the
+// replica.
+func (i Incarnation) HasStartTime() bool {
 	_, ok := i.split()
 	return ok
 }
@@ -37,9 +39,9 @@
 	return id
 }
 
-// split returns the id of a name, and whether the name says when the process started.
+// split returns the id, and whether a start time follows it.
 func (i Incarnation) split() (id string, ok bool) {
-	at := strings.LastIndex(string(i), bornSeparator)
+	at := strings.LastIndex(string(i), startSeparator)
 	if at < 0 {
 		return string(i), false
 	}
@@ -49,32 +51,34 @@
 	return string(i[:at]), true
 }
 
-// OnRestart sets what is called with the address at which a replica was listed when it is
-// known to have started again, or under which it is listed since: connections that rest
-// there lead to a process that has ended. It is called with the table locked, and must not
-// call the table. It is set before any other method is called.
-func (t *Table) OnRestart(restarted func(address netip.AddrPort)) { t.restarted = restarted }
+// OnRestart sets the function that is called when a replica has restarted, with its address
+// before the restart and, if it differs, with the address after it. Idle connections to these
+// addresses lead to a process that has ended. The function is called with the mutex held and
+// must not call the table. OnRestart must be called before any other method.
+func (t *Table) OnRestart(restarted func(address netip.AddrPort)) { t.onRestart = restarted }
 
-// Seen notes what a replica itself says of when it started. It reports whether that is
-// the incarnation that is meant. After a later one, what was known of the replica is forgotten.
-func (t *Table) Seen(meant Replica, born time.Time) bool {
-	if born.IsZero() || meant.Born.IsZero() || born.Equal(meant.Born) {
+// ObserveStart records the start time that a replica itself reported, and reports whether it is
+// that of the incarnation that the caller addressed. It returns true if either start time
+// is unknown. A start after the listed one replaces the listed incarnation before the replica's
+// new entry arrives.
+func (t *Table) ObserveStart(addressed Replica, startedAt time.Time) bool {
+	if startedAt.IsZero() || addressed.StartedAt.IsZero() || startedAt.Equal(addressed.StartedAt) {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if listed := t.entries[meant.ID]; listed != nil && born.After(listed.Born) {
+	if listed := t.entries[addressed.ID]; listed != nil && startedAt.After(listed.StartedAt) {
 		entry := listed.Entry
-		entry.Born, entry.Versions = born, nil
+		entry.StartedAt, entry.Versions = startedAt, nil
 		t.logChanges(t.set(entry, nil))
 		t.notify()
 	}
 	return false
 }
 
-// Present returns the incarnations that are listed, also of replicas that drain or can't be
-// used.
-func (t *Table) Present() map[Incarnation]bool {
+// ListedIncarnations returns the incarnations in the list, including replicas that are draining
+// or unusable.
+func (t *Table) ListedIncarnations() map[Incarnation]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	present := make(map[Incarnation]bool, len(t.entries))
@@ -84,39 +88,41 @@
 	return present
 }
 
-// isNewest makes an entry one of the newest incarnation that is known, and reports whether it
-// is. An entry of an earlier one was written late, or is left of a compaction. The mutex
-// is held.
-func (t *Table) isNewest(entry *Entry) bool {
+// acceptEntry reports whether the entry is of the newest known incarnation of its replica or of
+// a newer one, and records it as the newest. An entry of an earlier incarnation was written late
+// or has remained after a compaction. An entry without a start time is taken to be of the newest
+// known incarnation, whose start time it gets. The mutex must be held.
+func (t *Table) acceptEntry(entry *Entry) bool {
 	newest, ok := t.newest[entry.ID]
 	switch {
 	case !ok:
-	case entry.Born.IsZero():
-		entry.Born = newest.Born
-	case entry.Born.Before(newest.Born):
-		t.logger.Info("entry of an earlier start passed over", zap.String("replica", entry.ID),
-			zap.Time("born", entry.Born), zap.Time("known", newest.Born))
+	case entry.StartedAt.IsZero():
+		entry.StartedAt = newest.StartedAt
+	case entry.StartedAt.Before(newest.StartedAt):
+		t.logger.Info("entry of an earlier incarnation ignored", zap.String("replica", entry.ID),
+			zap.Time("born", entry.StartedAt), zap.Time("known", newest.StartedAt))
 		return false
-	case entry.Born.After(newest.Born):
-		t.restart(newest, *entry)
+	case entry.StartedAt.After(newest.StartedAt):
+		t.handleRestart(newest, *entry)
 	}
 	t.newest[entry.ID] = *entry
 	return true
 }
 
-// restart forgets an incarnation that another one of the same id follows. What is under way
-// there is still counted, for that one. The mutex is held.
-func (t *Table) restart(before, now Entry) {
+// handleRestart expires the stats of an incarnation that was replaced by a newer one, and calls
+// onRestart. Requests in flight to the earlier one remain counted in its own stats. The mutex
+// must be held.
+func (t *Table) handleRestart(before, now Entry) {
 	inFlight := 0
-	if e := t.learned[before.Incarnation()]; e != nil {
-		inFlight = e.inFlight
-		e.goneAt, e.last = t.now(), Entry{}
+	if s := t.stats[before.Incarnation()]; s != nil {
+		inFlight = s.inFlight
+		s.removedAt, s.lastEntry = t.now(), Entry{}
 	}
 	t.logger.Info("replica started again", zap.String("replica", now.ID), zap.String("service", now.Service),
 		zap.Stringer("address", now.Address),
-		zap.Time("born", now.Born), zap.Time("before", before.Born), zap.Int("in_flight_before", inFlight))
-	t.restarted(before.Address)
+		zap.Time("born", now.StartedAt), zap.Time("before", before.StartedAt), zap.Int("in_flight_before", inFlight))
+	t.onRestart(before.Address)
 	if now.Address != before.Address {
-		t.restarted(now.Address)
+		t.onRestart(now.Address)
 	}
 }
--- a/internal/requests/admission/service_test.go
+++ b/internal/requests/admission/service_test.go
@@ -102,10 +102,10 @@
 			break
 		}
 		tried[chosen.ID] = true
-		d.table.Started(chosen.Incarnation())
+		d.table.RequestStarted(chosen.Incarnation())
 		wait(ctx, time.Millisecond)
 		load, ran := d.service.replicas[chosen.ID].run(ctx, work)
-		d.table.Ended(chosen.Incarnation())
+		d.table.RequestEnded(chosen.Incarnation())
 		if ctx.Err() != nil {
 			return Unanswered{}
 		}
@@ -115,7 +115,7 @@
 			}
 			return Answered{Took: time.Since(began)}
 		}
-		d.table.Busy(chosen.Incarnation(), 60*time.Millisecond)
+		d.table.AvoidFor(chosen.Incarnation(), 60*time.Millisecond)
 	}
 	return Declined{}
 }
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -42,10 +42,10 @@
 // attempt sends the call to one replica. It calls onEnd when the exchange has ended; for an answer
 // with a Rest this is when the answer is closed.
 func (f *Forwarder) attempt(ctx context.Context, onEnd func(), call *Call, rep replica.Replica) result {
-	f.Table.Started(rep.Incarnation())
+	f.Table.RequestStarted(rep.Incarnation())
 	end := func() {
 		onEnd()
-		f.Table.Ended(rep.Incarnation())
+		f.Table.RequestEnded(rep.Incarnation())
 	}
 	started := time.Now()
 	answer, sentAt, mayHaveRun, err := f.exchange(ctx, call, rep)
@@ -66,7 +66,7 @@
 		}
 		return result{err: err, mayHaveRun: mayHaveRun}
 	}
-	f.Table.Succeeded(rep.Incarnation(), time.Since(started))
+	f.Table.RequestSucceeded(rep.Incarnation(), time.Since(started))
 	answer.Replica, answer.endAttempt = rep.ID, end
 	if answer.Rest == nil {
 		f.Quarantine.Answered(call.content)
@@ -108,10 +108,10 @@
 
 func (f *Forwarder) avoidReplica(rep replica.Replica, err error) {
 	if errors.Is(err, errPlainDeclined) || errors.Is(err, upstream.ErrFull) {
-		f.Table.Busy(rep.Incarnation(), declinedRetryDelay)
+		f.Table.AvoidFor(rep.Incarnation(), declinedRetryDelay)
 		return
 	}
-	f.Table.Failed(rep.Incarnation())
+	f.Table.RequestFailed(rep.Incarnation())
 	f.replicaFailures().Note(logging.Occurrence{Key: rep.ID}, zap.String("service", rep.Service), zap.Error(err))
 }
 
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -114,8 +114,8 @@
 // mayHaveRun tells whether the replica may have run the request.
 func (s *streamRelay) attempt(ctx context.Context, rep replica.Replica) (mayHaveRun bool, err error) {
 	forwarder := s.handler.Forwarder
-	forwarder.Table.Started(rep.Incarnation())
-	defer forwarder.Table.Ended(rep.Incarnation())
+	forwarder.Table.RequestStarted(rep.Incarnation())
+	defer forwarder.Table.RequestEnded(rep.Incarnation())
 	s.call.Deadline = s.timeLeft() + answerMargin
 	sentAt := s.handler.Clock()
 	stream, err := forwarder.OpenStream(ctx, s.call, rep)
@@ -129,7 +129,7 @@
 	}
 	if err != nil {
 		if ctx.Err() == nil && !errors.Is(err, upstream.ErrFull) {
-			forwarder.Table.Failed(rep.Incarnation())
+			forwarder.Table.RequestFailed(rep.Incarnation())
 		}
 		return mayHaveRun, err
 	}
