--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -95,7 +95,7 @@
 			return
 		}
 	}
-	one.jobs = append(one.jobs, &batch.Batch{Submission: *job, Listed: make([]bool, len(job.Items))})
+	one.jobs = append(one.jobs, &batch.Batch{Submission: *job, HasResult: make([]bool, len(job.Items))})
 }
 
 func (one *trainer) rounds() []rollout.Round {
@@ -129,7 +129,7 @@
 func (one *trainer) finish(t *rapid.T) {
 	job := one.jobs[rapid.IntRange(0, len(one.jobs)-1).Draw(t, "job")]
 	item := rapid.IntRange(0, len(job.Items)-1).Draw(t, "item")
-	if job.Listed[item] {
+	if job.HasResult[item] {
 		return
 	}
 	result := batch.Result{Item: item, Outcome: batch.Done}
@@ -140,7 +140,7 @@
 		result.Versions = []int64{made}
 		result.Text = fmt.Appendf(nil, `{"version":%d,"tokens":[%d]}`+"\n"+`{"version":%d,"tokens":[],"end":"stop"}`, made, item, made)
 	}
-	job.Listed[item] = true
+	job.HasResult[item] = true
 	job.Results = append(job.Results, result)
 }
 
@@ -193,9 +193,9 @@
 // finishAll lists all items that have no result yet.
 func (one *trainer) finishAll() {
 	for _, job := range one.jobs {
-		for item, listed := range job.Listed {
+		for item, listed := range job.HasResult {
 			if !listed {
-				job.Listed[item] = true
+				job.HasResult[item] = true
 				made := max(one.version, job.MinVersion)
 				job.Results = append(job.Results, batch.Result{Item: item, Outcome: batch.Done, Versions: []int64{made},
 					Text: fmt.Appendf(nil, `{"version":%d,"tokens":[1],"end":"stop"}`, made)})
--- a/internal/batches/batch/batch.go
+++ b/internal/batches/batch/batch.go
@@ -126,9 +126,9 @@
 	handedOffBy string
 	// Results in the order of their positions.
 	Results []Result
-	// Listed says of each item whether it has a position.
-	Listed []bool
-	Ended  bool
+	// HasResult says of each item whether it has a position.
+	HasResult []bool
+	Ended     bool
 	// Partials are the kept beginnings of items without a position.
 	Partials map[int]Partial
 	// Signs counts the records that show the owner alive.
@@ -143,7 +143,7 @@
 
 // Open reports whether the batch still has work: it is not ended and an item
 // has no position yet.
-func (b *Batch) Open() bool { return !b.Ended && len(b.Results) < len(b.Listed) }
+func (b *Batch) Open() bool { return !b.Ended && len(b.Results) < len(b.HasResult) }
 
 // Total is the number of items.
-func (b *Batch) Total() int { return len(b.Listed) }
+func (b *Batch) Total() int { return len(b.HasResult) }
--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -109,7 +109,7 @@
 		Submission: *rec.Submission,
 		Offset:     offset,
 		Owner:      rec.Owner,
-		Listed:     make([]bool, len(rec.Submission.Items)),
+		HasResult:  make([]bool, len(rec.Submission.Items)),
 	}
 }
 
@@ -227,14 +227,14 @@
 	if !valid || !b.waitsFor(result.Item) {
 		return
 	}
-	b.Listed[result.Item] = true
+	b.HasResult[result.Item] = true
 	delete(b.Partials, result.Item)
 	b.Results = append(b.Results, result)
 }
 
 // waitsFor reports whether the batch is open and an item of it has no position yet.
 func (b *Batch) waitsFor(item int) bool {
-	return !b.Ended && item >= 0 && item < len(b.Listed) && !b.Listed[item]
+	return !b.Ended && item >= 0 && item < len(b.HasResult) && !b.HasResult[item]
 }
 
 // versionsAllowed reports whether all versions are new enough for the batch.
--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -169,7 +169,7 @@
 // are new enough.
 func checkPartials(t *rapid.T, b *Batch) {
 	for i, partial := range b.Partials {
-		if b.Ended || b.Listed[i] {
+		if b.Ended || b.HasResult[i] {
 			t.Fatal("a beginning is kept of an item that has ended")
 		}
 		for n, event := range partial.Events {
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -65,7 +65,7 @@
 	j.placement.required, j.placement.lengths = r.history.recordBatch(&submission)
 	j.items = newItems(&submission, r)
 	for i, it := range j.items {
-		if b.Listed[i] {
+		if b.HasResult[i] {
 			it.state = itemListed
 		}
 		it.resumeFrom(b.Partials[i])
@@ -161,7 +161,7 @@
 // markListed marks the items whose results are in the ledger, and cancels their attempts. The mutex
 // is held.
 func (j *job) markListed(b *batch.Batch) {
-	for i, listed := range b.Listed {
+	for i, listed := range b.HasResult {
 		it := j.items[i]
 		if !listed || it.state == itemListed {
 			continue
