--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -118,7 +118,7 @@
 // list gives an item its result, of one version and with a text of a size.
 func (p *peered) list(t interface{ Fatal(...any) }, job *batch.Submission, item int, version int64, size int) {
 	text := fmt.Appendf(nil, `{"version":%d,"tokens":[%d],"end":"stop"}%s`, version, item, strings.Repeat(" ", size))
-	record := batch.Listed(job.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: text, Versions: []int64{version}}})
+	record := batch.ResultsAdded(job.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: text, Versions: []int64{version}}})
 	if err := p.folds.Of(job.ID).Append(context.Background(), record); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -101,7 +101,7 @@
 		job := rollout.First(request, header, 1, rollout.ItemHeaders{})
 		records := [][]byte{batch.Accepted(job, "gone/1")}
 		for item := range restartSamples {
-			records = append(records, batch.Listed(job.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: text, Versions: []int64{1}}}))
+			records = append(records, batch.ResultsAdded(job.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: text, Versions: []int64{1}}}))
 		}
 		if _, err := r.log.Append(ctx, journal.Append{Partition: jobs.Locate(job.ID), Records: records}); err != nil {
 			t.Fatal(err)
--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -59,7 +59,7 @@
 	case 0:
 		return Accepted(submission(id, 5, 2), owner.Draw(t, "owner"))
 	case 1:
-		return Listed(id, []Result{drawResult(t), drawResult(t)})
+		return ResultsAdded(id, []Result{drawResult(t), drawResult(t)})
 	case 2:
 		return TakenOver(id, owner.Draw(t, "from"), owner.Draw(t, "owner"))
 	case 3:
@@ -231,7 +231,7 @@
 
 func FuzzApply(f *testing.F) {
 	f.Add(Accepted(submission("a", 2, 0), "one"))
-	f.Add(Listed("a", []Result{{Item: 1, Outcome: Done, Text: []byte("x"), Versions: []int64{2}}}))
+	f.Add(ResultsAdded("a", []Result{{Item: 1, Outcome: Done, Text: []byte("x"), Versions: []int64{2}}}))
 	f.Fuzz(func(t *testing.T, encoded []byte) {
 		state := NewStateAt(0)
 		state.Apply(Accepted(submission("a", 2, 0), "one"))
@@ -246,7 +246,7 @@
 func BenchmarkApply(b *testing.B) {
 	records := [][]byte{Accepted(submission("a", 1000, 0), "one")}
 	for item := range 1000 {
-		records = append(records, Listed("a", []Result{
+		records = append(records, ResultsAdded("a", []Result{
 			{Item: item, Outcome: Done, Text: make([]byte, 10<<10), Versions: []int64{1}},
 		}))
 	}
@@ -279,7 +279,7 @@
 	is.Equal(signsAfter(Heartbeat("x", "a", 5), Heartbeat("x", "a", 1), Heartbeat("x", "a", 5),
 		Advanced("x", "a", 3, nil)), int64(1))
 	is.Equal(signsAfter(Heartbeat("x", "b", 9), Heartbeat("x", "a", 1)), int64(1))
-	listed := Listed("x", []Result{{Item: 0, Outcome: Done}})
+	listed := ResultsAdded("x", []Result{{Item: 0, Outcome: Done}})
 	is.Equal(signsAfter(listed, listed, listed), int64(1))
 	// Another owner counts from anew, and so does one that has the batch again.
 	is.Equal(signsAfter(Heartbeat("x", "a", 7), TakenOver("x", "a", "b"), Heartbeat("x", "b", 2),
--- a/internal/batches/batch/golden_test.go
+++ b/internal/batches/batch/golden_test.go
@@ -13,7 +13,7 @@
 	results, progress := golden.Filled[[]Result](), golden.Filled[[]Progress]()
 	records := map[string][]byte{
 		"accepted": Accepted(submission, "owner"),
-		"listed":   Listed("batch", *results),
+		"listed":   ResultsAdded("batch", *results),
 		"taken":    TakenOver("batch", "from", "owner"),
 		"released": Released("batch", "from", []int{1, 2}),
 		"returned": Returned("batch", "from", []int{1}),
--- a/internal/batches/batch/record.go
+++ b/internal/batches/batch/record.go
@@ -72,8 +72,8 @@
 	return encode(record{Kind: kindAccepted, BatchID: submission.ID, Submission: submission, Owner: owner})
 }
 
-// Listed is the record that gives results their positions.
-func Listed(batchID string, results []Result) []byte {
+// ResultsAdded is the record that gives results their positions.
+func ResultsAdded(batchID string, results []Result) []byte {
 	return encode(record{Kind: kindResults, BatchID: batchID, Results: results})
 }
 
--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -227,7 +227,7 @@
 					Text:    make([]byte, f.options.textBytes),
 				})
 			}
-			put(id, batch.Listed(id, listed))
+			put(id, batch.ResultsAdded(id, listed))
 		}
 	}
 }
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -112,7 +112,7 @@
 	}
 	put(batch.Accepted(submission, "owner"))
 	for i := range texts {
-		put(batch.Listed("b", []batch.Result{{Item: i, Outcome: batch.Done, Text: make([]byte, 100<<10)}}))
+		put(batch.ResultsAdded("b", []batch.Result{{Item: i, Outcome: batch.Done, Text: make([]byte, 100<<10)}}))
 	}
 	return log
 }
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -53,7 +53,7 @@
 		d.accept(t, id, results)
 		for item := range results {
 			text := make([]byte, restartBytes/results)
-			d.append(t, id, batch.Listed(id, []batch.Result{{Item: item, Outcome: batch.Done, Text: text}}))
+			d.append(t, id, batch.ResultsAdded(id, []batch.Result{{Item: item, Outcome: batch.Done, Text: text}}))
 		}
 	}
 	d.log.Limit(restartJournal)
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -142,7 +142,7 @@
 	withDaemons(t, 40, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.accept(t, "b", 3)
 		text := make([]byte, 100<<10)
-		d.append(t, "b", batch.Listed("b", []batch.Result{
+		d.append(t, "b", batch.ResultsAdded("b", []batch.Result{
 			{Item: 0, Outcome: batch.Done, Text: text},
 			{Item: 2, Outcome: batch.Done, Text: text},
 		}))
@@ -216,7 +216,7 @@
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.accept(t, "b", 2)
 		time.AfterFunc(400*time.Millisecond, func() {
-			d.append(t, "b", batch.Listed("b", []batch.Result{{Item: 1, Outcome: batch.Done}}))
+			d.append(t, "b", batch.ResultsAdded("b", []batch.Result{{Item: 1, Outcome: batch.Done}}))
 		})
 		began := time.Now()
 		page, err := d.readers[1].Results(ctx, Query{BatchID: "b", Wait: time.Second})
--- a/internal/batches/runner/adopt_test.go
+++ b/internal/batches/runner/adopt_test.go
@@ -17,7 +17,7 @@
 // start a batch again that the job has found closed.
 func TestClosedBatchIsNotAdoptedAgain(t *testing.T) {
 	for name, closing := range map[string][]byte{
-		"all listed": batch.Listed("x", []batch.Result{{Item: 0, Outcome: batch.Dead}, {Item: 1, Outcome: batch.Dead}}),
+		"all listed": batch.ResultsAdded("x", []batch.Result{{Item: 0, Outcome: batch.Dead}, {Item: 1, Outcome: batch.Dead}}),
 		"ended":      batch.Ended("x", ""),
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/batches/runner/listing.go
+++ b/internal/batches/runner/listing.go
@@ -73,7 +73,7 @@
 // appendResults appends results, retrying until they are certain to be in the ledger. It reports
 // false if the job ended first.
 func (j *job) appendResults(results []batch.Result) bool {
-	record := batch.Listed(j.submission.ID, results)
+	record := batch.ResultsAdded(j.submission.ID, results)
 	failures := 0
 	for j.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(j.ctx, listTimeout)
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -269,7 +269,7 @@
 		var listed [][]byte
 		for item := range items {
 			submission.Items = append(submission.Items, batch.Item{ID: fmt.Sprint("i", item)})
-			listed = append(listed, batch.Listed(submission.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: make([]byte, startBytes/items)}}))
+			listed = append(listed, batch.ResultsAdded(submission.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: make([]byte, startBytes/items)}}))
 		}
 		records := append([][]byte{batch.Accepted(submission, "gone/1")}, listed...)
 		all.put(ctx, t, batches.Locate(submission.ID), append(records, batch.Ended(submission.ID, ""))...)
