--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -67,7 +67,7 @@
 	case 4:
 		return Heartbeat(id, owner.Draw(t, "owner"), rapid.Int64Range(0, 9).Draw(t, "number"))
 	case 5:
-		return Advanced(id, owner.Draw(t, "owner"), rapid.Int64Range(0, 9).Draw(t, "number"), []Progress{drawProgress(t)})
+		return Checkpoint(id, owner.Draw(t, "owner"), rapid.Int64Range(0, 9).Draw(t, "number"), []Progress{drawProgress(t)})
 	case 6:
 		return Returned(id, owner.Draw(t, "from"), []int{1})
 	default:
@@ -277,7 +277,7 @@
 	is := is.New(t)
 	is.Equal(signsAfter(Heartbeat("x", "a", 1), Heartbeat("x", "a", 5)), int64(2))
 	is.Equal(signsAfter(Heartbeat("x", "a", 5), Heartbeat("x", "a", 1), Heartbeat("x", "a", 5),
-		Advanced("x", "a", 3, nil)), int64(1))
+		Checkpoint("x", "a", 3, nil)), int64(1))
 	is.Equal(signsAfter(Heartbeat("x", "b", 9), Heartbeat("x", "a", 1)), int64(1))
 	listed := ResultsAdded("x", []Result{{Item: 0, Outcome: Done}})
 	is.Equal(signsAfter(listed, listed, listed), int64(1))
--- a/internal/batches/batch/golden_test.go
+++ b/internal/batches/batch/golden_test.go
@@ -19,7 +19,7 @@
 		"returned": Returned("batch", "from", []int{1}),
 		"ended":    Ended("batch", "tenant"),
 		"beat":     Heartbeat("batch", "owner", 3),
-		"advanced": Advanced("batch", "owner", 4, *progress),
+		"advanced": Checkpoint("batch", "owner", 4, *progress),
 	}
 	for name, encoded := range records {
 		golden.Text(t, name+".cbor", encoded)
--- a/internal/batches/batch/record.go
+++ b/internal/batches/batch/record.go
@@ -106,9 +106,9 @@
 	return encode(record{Kind: kindHeartbeat, BatchID: batchID, Owner: owner, Number: number})
 }
 
-// Advanced is an owner's sign of life that keeps what it has of running items,
+// Checkpoint is an owner's sign of life that keeps what it has of running items,
 // so that another owner can go on with them.
-func Advanced(batchID, owner string, number int64, progress []Progress) []byte {
+func Checkpoint(batchID, owner string, number int64, progress []Progress) []byte {
 	return encode(record{Kind: kindProgress, BatchID: batchID, Owner: owner, Number: number, Progress: progress})
 }
 
--- a/internal/batches/runner/heartbeat.go
+++ b/internal/batches/runner/heartbeat.go
@@ -34,7 +34,7 @@
 	}
 	record := batch.Heartbeat(j.submission.ID, j.r.self, number)
 	if len(progress) > 0 {
-		record = batch.Advanced(j.submission.ID, j.r.self, number, progress)
+		record = batch.Checkpoint(j.submission.ID, j.r.self, number, progress)
 	}
 	ctx, cancel := context.WithTimeout(j.ctx, heartbeatInterval)
 	defer cancel()
