--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -69,7 +69,7 @@
 	case 5:
 		return Checkpoint(id, owner.Draw(t, "owner"), rapid.Int64Range(0, 9).Draw(t, "number"), []Progress{drawProgress(t)})
 	case 6:
-		return Returned(id, owner.Draw(t, "from"), []int{1})
+		return ItemsReturned(id, owner.Draw(t, "from"), []int{1})
 	default:
 		return Ended(id, "")
 	}
@@ -88,17 +88,17 @@
 	state.Apply(Accepted(submission("a", 5, 0), "one"))
 	state.Apply(Released("a", "one", []int{0, 1, 2}))
 	before := handed()
-	state.Apply(Returned("a", "two", []int{1}))
+	state.Apply(ItemsReturned("a", "two", []int{1}))
 	is.Equal(handed(), map[int]bool{0: true, 1: true, 2: true})
-	state.Apply(Returned("a", "one", []int{1, 4}))
+	state.Apply(ItemsReturned("a", "one", []int{1, 4}))
 	is.Equal(handed(), map[int]bool{0: true, 2: true})
 	is.Equal(len(before), 3) // readers may hold it
 	state.Apply(TakenOver("a", "", "two"))
-	state.Apply(Returned("a", "one", []int{0}))
+	state.Apply(ItemsReturned("a", "one", []int{0}))
 	is.Equal(handed(), map[int]bool{2: true})
 	state.Apply(TakenOver("a", "two", "three"))
 	is.Equal(len(handed()), 0)
-	state.Apply(Returned("a", "one", []int{2}))
+	state.Apply(ItemsReturned("a", "one", []int{2}))
 	is.Equal(len(handed()), 0)
 }
 
--- a/internal/batches/batch/golden_test.go
+++ b/internal/batches/batch/golden_test.go
@@ -16,7 +16,7 @@
 		"listed":   ResultsAdded("batch", *results),
 		"taken":    TakenOver("batch", "from", "owner"),
 		"released": Released("batch", "from", []int{1, 2}),
-		"returned": Returned("batch", "from", []int{1}),
+		"returned": ItemsReturned("batch", "from", []int{1}),
 		"ended":    Ended("batch", "tenant"),
 		"beat":     Heartbeat("batch", "owner", 3),
 		"advanced": Checkpoint("batch", "owner", 4, *progress),
--- a/internal/batches/batch/record.go
+++ b/internal/batches/batch/record.go
@@ -88,9 +88,9 @@
 	return encode(record{Kind: kindReleased, BatchID: batchID, From: from, HandedOff: handedOff})
 }
 
-// Returned is the record by which an owner that has released a batch gives back items
+// ItemsReturned is the record by which an owner that has released a batch gives back items
 // that it said it would still finish.
-func Returned(batchID, from string, items []int) []byte {
+func ItemsReturned(batchID, from string, items []int) []byte {
 	return encode(record{Kind: kindReturned, BatchID: batchID, From: from, HandedOff: items})
 }
 
--- a/internal/batches/runner/release.go
+++ b/internal/batches/runner/release.go
@@ -58,7 +58,7 @@
 	if len(items) == 0 {
 		return
 	}
-	err := j.r.appendWithRetry(ctx, j.partition, batch.Returned(j.submission.ID, j.r.self, items))
+	err := j.r.appendWithRetry(ctx, j.partition, batch.ItemsReturned(j.submission.ID, j.r.self, items))
 	j.logger.Info("items given back", zap.Ints("items", items), zap.Error(err))
 }
 
