--- a/internal/batches/batch/batch.go
+++ b/internal/batches/batch/batch.go
@@ -131,8 +131,8 @@
 	Ended     bool
 	// Partials are the kept beginnings of items without a position.
 	Partials map[int]Partial
-	// Signs counts the records that show the owner alive.
-	Signs int64
+	// LivenessSignals counts the records that show the owner alive.
+	LivenessSignals int64
 	// lastSign is the highest number of the owner's signs.
 	lastSign int64
 }
--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -155,7 +155,7 @@
 		b.HandedOff, b.handedOffBy = nil, ""
 	}
 	b.Owner, b.lastSign = rec.Owner, 0
-	b.Signs++
+	b.LivenessSignals++
 }
 
 // release leaves the batch without an owner. Its owner still finishes what it names.
@@ -184,7 +184,7 @@
 		return
 	}
 	b.lastSign = rec.Number
-	b.Signs++
+	b.LivenessSignals++
 }
 
 // keepProgress keeps a further part of an item's text. It counts only if it joins
@@ -216,7 +216,7 @@
 		b.list(result)
 	}
 	if len(b.Results) > before {
-		b.Signs++
+		b.LivenessSignals++
 	}
 }
 
--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -267,7 +267,7 @@
 		state.Apply(each)
 	}
 	b, _ := state.Get("x")
-	return b.Signs
+	return b.LivenessSignals
 }
 
 // Signs that reach the journal late, and doubles, do not show the owner alive: the
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -63,7 +63,7 @@
 
 // firstHeartbeat reports whether the owner of oneItem has shown a sign of life, and who owns it.
 func firstHeartbeat(partition *ledger.Partition) (seen bool, owner string) {
-	partition.ViewBatch("x", func(b *batch.Batch) { seen, owner = b.Signs > 0, b.Owner })
+	partition.ViewBatch("x", func(b *batch.Batch) { seen, owner = b.LivenessSignals > 0, b.Owner })
 	return seen, owner
 }
 
