--- a/internal/batches/batch/batch.go
+++ b/internal/batches/batch/batch.go
@@ -133,8 +133,8 @@
 	Partials map[int]Partial
 	// LivenessSignals counts the records that show the owner alive.
 	LivenessSignals int64
-	// lastSign is the highest number of the owner's signs.
-	lastSign int64
+	// lastHeartbeat is the highest number of the owner's signs.
+	lastHeartbeat int64
 }
 
 // BelongsTo reports whether a tenant's callers may read and end the batch. A batch
--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -154,13 +154,13 @@
 	if b.Owner != "" {
 		b.HandedOff, b.handedOffBy = nil, ""
 	}
-	b.Owner, b.lastSign = rec.Owner, 0
+	b.Owner, b.lastHeartbeat = rec.Owner, 0
 	b.LivenessSignals++
 }
 
 // release leaves the batch without an owner. Its owner still finishes what it names.
 func (b *Batch) release(rec record) {
-	b.Owner, b.lastSign, b.handedOffBy = "", 0, rec.From
+	b.Owner, b.lastHeartbeat, b.handedOffBy = "", 0, rec.From
 	b.HandedOff = make(map[int]bool, len(rec.HandedOff))
 	for _, item := range rec.HandedOff {
 		b.HandedOff[item] = true
@@ -180,10 +180,10 @@
 // a newer one, says nothing: its owner may have ended since. Records without a
 // number are those of earlier versions of this program.
 func (b *Batch) countSign(rec record) {
-	if rec.Owner != b.Owner || rec.Number != 0 && rec.Number <= b.lastSign {
+	if rec.Owner != b.Owner || rec.Number != 0 && rec.Number <= b.lastHeartbeat {
 		return
 	}
-	b.lastSign = rec.Number
+	b.lastHeartbeat = rec.Number
 	b.LivenessSignals++
 }
 
