--- a/internal/batches/batch/batch.go
+++ b/internal/batches/batch/batch.go
@@ -141,9 +141,9 @@
 // that was submitted without a tenant is anyone's.
 func (b *Batch) BelongsTo(tenant string) bool { return b.Tenant == "" || b.Tenant == tenant }
 
-// Open reports whether the batch still has work: it is not ended and an item
+// IsOpen reports whether the batch still has work: it is not ended and an item
 // has no position yet.
-func (b *Batch) Open() bool { return !b.Ended && len(b.Results) < len(b.HasResult) }
+func (b *Batch) IsOpen() bool { return !b.Ended && len(b.Results) < len(b.HasResult) }
 
 // Total is the number of items.
 func (b *Batch) Total() int { return len(b.HasResult) }
--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -68,7 +68,7 @@
 	}
 	var j *job
 	partition.ViewBatch(batchID, func(b *batch.Batch) {
-		if b.Open() && b.Owner == r.self {
+		if b.IsOpen() && b.Owner == r.self {
 			j = newJob(r, partition, b)
 		}
 	})
@@ -91,7 +91,7 @@
 // may be ahead of other folds, says that it is closed. The mutex is held.
 func (r *Runner) recordClosed(j *job) {
 	batchID, open := j.submission.ID, true
-	j.partition.ViewBatch(batchID, func(b *batch.Batch) { open = b.Open() })
+	j.partition.ViewBatch(batchID, func(b *batch.Batch) { open = b.IsOpen() })
 	if open {
 		return
 	}
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -149,7 +149,7 @@
 	switch {
 	case b.Ended:
 		return "ended"
-	case !b.Open():
+	case !b.IsOpen():
 		return "all listed"
 	case b.Owner != j.r.self && !j.release.begun:
 		return "owned by " + b.Owner
--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -47,7 +47,7 @@
 // unchanged reports whether the batch is still open, has the same owner and shows no new sign of
 // life since the observation.
 func (o observation) unchanged(b *batch.Batch) bool {
-	return b.Open() && b.Owner == o.owner && b.LivenessSignals == o.signs
+	return b.IsOpen() && b.Owner == o.owner && b.LivenessSignals == o.signs
 }
 
 // silentFor returns how long the owner is known to have been silent: up to the start of the
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -123,7 +123,7 @@
 	var own []string
 	partition.View(func(state *batch.State) {
 		state.All(func(b *batch.Batch) {
-			if !b.Open() {
+			if !b.IsOpen() {
 				delete(p.owners, b.ID)
 				return
 			}
