--- a/internal/batches/batch/batch.go
+++ b/internal/batches/batch/batch.go
@@ -145,5 +145,5 @@
 // has no position yet.
 func (b *Batch) IsOpen() bool { return !b.Ended && len(b.Results) < len(b.HasResult) }
 
-// Total is the number of items.
-func (b *Batch) Total() int { return len(b.HasResult) }
+// ItemCount is the number of items.
+func (b *Batch) ItemCount() int { return len(b.HasResult) }
--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -154,7 +154,7 @@
 			t.Fatalf("item %d has two positions", result.Item)
 		}
 		seen[result.Item] = true
-		if result.Item < 0 || result.Item >= b.Total() {
+		if result.Item < 0 || result.Item >= b.ItemCount() {
 			t.Fatalf("item %d is not of this batch", result.Item)
 		}
 		for _, version := range result.Versions {
--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -20,7 +20,7 @@
 			return
 		}
 		page.Found = true
-		page.Total = b.Total()
+		page.Total = b.ItemCount()
 		page.Next = query.After
 		page.Round = query.Samples.round(b)
 		size := 0
