--- a/internal/batches/batch/batch.go
+++ b/internal/batches/batch/batch.go
@@ -118,10 +118,10 @@
 	Offset int64
 	// Owner is the daemon that runs the batch, "" after a release.
 	Owner string
-	// HandedOff are the items that the owner before said it would still finish when it
+	// HandedOffItems are the items that the owner before said it would still finish when it
 	// released the batch, less those that it has given back since. It is replaced, never
 	// changed.
-	HandedOff map[int]bool
+	HandedOffItems map[int]bool
 	// handedOffBy is the owner that released the batch last, while HandedOff counts.
 	handedOffBy string
 	// Results in the order of their positions.
--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -152,7 +152,7 @@
 // one that replaces an owner that did not release the batch does not wait again.
 func (b *Batch) takeOver(rec record) {
 	if b.Owner != "" {
-		b.HandedOff, b.handedOffBy = nil, ""
+		b.HandedOffItems, b.handedOffBy = nil, ""
 	}
 	b.Owner, b.lastHeartbeat = rec.Owner, 0
 	b.LivenessSignals++
@@ -161,19 +161,19 @@
 // release leaves the batch without an owner. Its owner still finishes what it names.
 func (b *Batch) release(rec record) {
 	b.Owner, b.lastHeartbeat, b.handedOffBy = "", 0, rec.From
-	b.HandedOff = make(map[int]bool, len(rec.HandedOff))
+	b.HandedOffItems = make(map[int]bool, len(rec.HandedOff))
 	for _, item := range rec.HandedOff {
-		b.HandedOff[item] = true
+		b.HandedOffItems[item] = true
 	}
 }
 
 // returnItems takes items off those that the owner before still finishes.
 func (b *Batch) returnItems(items []int) {
-	left := maps.Clone(b.HandedOff)
+	left := maps.Clone(b.HandedOffItems)
 	for _, item := range items {
 		delete(left, item)
 	}
-	b.HandedOff = left
+	b.HandedOffItems = left
 }
 
 // countSign counts a sign of life of the owner. One that reached the journal late, after
--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -83,7 +83,7 @@
 	state := NewStateAt(0)
 	handed := func() map[int]bool {
 		b, _ := state.Get("a")
-		return b.HandedOff
+		return b.HandedOffItems
 	}
 	state.Apply(Accepted(submission("a", 5, 0), "one"))
 	state.Apply(Released("a", "one", []int{0, 1, 2}))
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -70,7 +70,7 @@
 		}
 		it.resumeFrom(b.Partials[i])
 		it.timing.since = j.adoptedAt
-		if b.HandedOff[i] {
+		if b.HandedOffItems[i] {
 			it.handedOff, it.notBefore = true, j.adoptedAt.Add(handOffTimeout)
 		}
 	}
--- a/internal/batches/runner/release.go
+++ b/internal/batches/runner/release.go
@@ -68,7 +68,7 @@
 		return
 	}
 	for i, it := range j.items {
-		if it.handedOff && !b.HandedOff[i] {
+		if it.handedOff && !b.HandedOffItems[i] {
 			it.handedOff, it.notBefore = false, time.Time{}
 			j.r.WakeDispatcher()
 		}
