--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -27,8 +27,8 @@
 	return &State{batches: map[string]*Batch{}, fragments: map[string]*fragments{}, next: offset}
 }
 
-// Next returns the offset of the first record that is not folded yet.
-func (s *State) Next() int64 { return s.next }
+// NextOffset returns the offset of the first record that is not folded yet.
+func (s *State) NextOffset() int64 { return s.next }
 
 // Skip passes over the records before an offset, which are gone.
 func (s *State) Skip(offset int64) { s.next = offset }
--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -132,12 +132,12 @@
 	switch {
 	case p.end == noEnd:
 		return 0, false
-	case p.state.Next() >= p.end:
+	case p.state.NextOffset() >= p.end:
 		return 0, true
 	case p.readRecords == 0:
 		return p.ledger.PageBytes(), true
 	default:
-		return int((p.end - p.state.Next()) * p.readBytes / p.readRecords), true
+		return int((p.end - p.state.NextOffset()) * p.readBytes / p.readRecords), true
 	}
 }
 
@@ -174,7 +174,7 @@
 	folded := false
 	for i, record := range records {
 		offset := from + int64(i)
-		if offset != p.state.Next() {
+		if offset != p.state.NextOffset() {
 			continue
 		}
 		if err := p.state.Apply(record); err != nil {
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -88,7 +88,7 @@
 func (p *Partition) next() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.state.Next()
+	return p.state.NextOffset()
 }
 
 // readOnce reads a page from the fold's offset on and folds what comes, also of an answer
@@ -119,7 +119,7 @@
 	}
 	p.readRecords += int64(len(read.Records))
 	p.end = max(p.end, read.End)
-	if whole && p.state.Next() >= read.End {
+	if whole && p.state.NextOffset() >= read.End {
 		p.lastRead = time.Now()
 	}
 }
@@ -137,7 +137,7 @@
 func (p *Partition) skipTrimmed(from, first int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.state.Next() == from && first > from {
+	if p.state.NextOffset() == from && first > from {
 		p.ledger.logger.Info("records trimmed before they were read", zap.Inline(p),
 			zap.Int64("offset", from), zap.Int64("first", first))
 		p.missed = true
