--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -30,8 +30,8 @@
 // NextOffset returns the offset of the first record that is not folded yet.
 func (s *State) NextOffset() int64 { return s.next }
 
-// Skip passes over the records before an offset, which are gone.
-func (s *State) Skip(offset int64) { s.next = offset }
+// SkipTo passes over the records before an offset, which are gone.
+func (s *State) SkipTo(offset int64) { s.next = offset }
 
 // Get returns a batch.
 func (s *State) Get(id string) (*Batch, bool) {
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -141,6 +141,6 @@
 		p.ledger.logger.Info("records trimmed before they were read", zap.Inline(p),
 			zap.Int64("offset", from), zap.Int64("first", first))
 		p.missed = true
-		p.state.Skip(first)
+		p.state.SkipTo(first)
 	}
 }
