--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -39,8 +39,8 @@
 	return b, ok
 }
 
-// All calls visit for each batch.
-func (s *State) All(visit func(*Batch)) {
+// ForEach calls visit for each batch.
+func (s *State) ForEach(visit func(*Batch)) {
 	for _, b := range s.batches {
 		visit(b)
 	}
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -122,7 +122,7 @@
 	var suspects []observation
 	var own []string
 	partition.View(func(state *batch.State) {
-		state.All(func(b *batch.Batch) {
+		state.ForEach(func(b *batch.Batch) {
 			if !b.IsOpen() {
 				delete(p.owners, b.ID)
 				return
