--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -63,7 +63,7 @@
 	}
 	switch rec.Kind {
 	case kindFragment:
-		if whole, begins := s.join(rec, offset); whole != nil {
+		if whole, begins := s.joinFragment(rec, offset); whole != nil {
 			return s.apply(whole, begins)
 		}
 	case kindAccepted:
@@ -76,9 +76,9 @@
 	return nil
 }
 
-// join adds a fragment and returns the whole record once it has all parts, with the offset
+// joinFragment adds a fragment and returns the whole record once it has all parts, with the offset
 // of the first one. Parts come in order, as one append is all or nothing and in one piece.
-func (s *State) join(rec record, offset int64) (whole []byte, begins int64) {
+func (s *State) joinFragment(rec record, offset int64) (whole []byte, begins int64) {
 	parts := s.fragments[rec.Key]
 	if parts == nil {
 		parts = &fragments{offset: offset}
