--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -117,10 +117,10 @@
 func (b *Batch) apply(rec record) {
 	switch rec.Kind {
 	case kindHeartbeat:
-		b.countSign(rec)
+		b.countLivenessSignal(rec)
 	case kindProgress:
 		if rec.Owner == b.Owner {
-			b.countSign(rec)
+			b.countLivenessSignal(rec)
 			for _, p := range rec.Progress {
 				b.keepProgress(p)
 			}
@@ -176,10 +176,10 @@
 	b.HandedOffItems = left
 }
 
-// countSign counts a sign of life of the owner. One that reached the journal late, after
+// countLivenessSignal counts a sign of life of the owner. One that reached the journal late, after
 // a newer one, says nothing: its owner may have ended since. Records without a
 // number are those of earlier versions of this program.
-func (b *Batch) countSign(rec record) {
+func (b *Batch) countLivenessSignal(rec record) {
 	if rec.Owner != b.Owner || rec.Number != 0 && rec.Number <= b.lastHeartbeat {
 		return
 	}
