--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -122,7 +122,7 @@
 		if rec.Owner == b.Owner {
 			b.countLivenessSignal(rec)
 			for _, p := range rec.Progress {
-				b.keepProgress(p)
+				b.addProgress(p)
 			}
 		}
 	case kindResults:
@@ -187,10 +187,10 @@
 	b.LivenessSignals++
 }
 
-// keepProgress keeps a further part of an item's text. It counts only if it joins
+// addProgress keeps a further part of an item's text. It counts only if it joins
 // what is kept: an owner's records may be doubled or late, but what they say of
 // one event is the same each time.
-func (b *Batch) keepProgress(progress Progress) {
+func (b *Batch) addProgress(progress Progress) {
 	if !b.waitsFor(progress.Item) || !b.versionsAllowed(progress.Versions) {
 		return
 	}
