--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -126,7 +126,7 @@
 			}
 		}
 	case kindResults:
-		b.listAll(rec.Results)
+		b.addResults(rec.Results)
 	case kindTakenOver:
 		// A takeover counts only against the owner it names, so that of two
 		// at the same time one wins for every reader.
@@ -209,8 +209,8 @@
 	}
 }
 
-// listAll lists results. Those that were not listed before show the owner alive.
-func (b *Batch) listAll(results []Result) {
+// addResults lists results. Those that were not listed before show the owner alive.
+func (b *Batch) addResults(results []Result) {
 	before := len(b.Results)
 	for _, result := range results {
 		b.list(result)
