--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -213,16 +213,16 @@
 func (b *Batch) addResults(results []Result) {
 	before := len(b.Results)
 	for _, result := range results {
-		b.list(result)
+		b.addResult(result)
 	}
 	if len(b.Results) > before {
 		b.LivenessSignals++
 	}
 }
 
-// list gives a result the next position if its item has none and the batch is
+// addResult gives a result the next position if its item has none and the batch is
 // open.
-func (b *Batch) list(result Result) {
+func (b *Batch) addResult(result Result) {
 	valid := result.Outcome == Dead || result.Outcome == Done && b.versionsAllowed(result.Versions)
 	if !valid || !b.waitsFor(result.Item) {
 		return
