--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -191,7 +191,7 @@
 // what is kept: an owner's records may be doubled or late, but what they say of
 // one event is the same each time.
 func (b *Batch) addProgress(progress Progress) {
-	if !b.waitsFor(progress.Item) || !b.versionsAllowed(progress.Versions) {
+	if !b.isUnfinished(progress.Item) || !b.versionsAllowed(progress.Versions) {
 		return
 	}
 	kept := b.Partials[progress.Item]
@@ -224,7 +224,7 @@
 // open.
 func (b *Batch) addResult(result Result) {
 	valid := result.Outcome == Dead || result.Outcome == Done && b.versionsAllowed(result.Versions)
-	if !valid || !b.waitsFor(result.Item) {
+	if !valid || !b.isUnfinished(result.Item) {
 		return
 	}
 	b.HasResult[result.Item] = true
@@ -232,8 +232,8 @@
 	b.Results = append(b.Results, result)
 }
 
-// waitsFor reports whether the batch is open and an item of it has no position yet.
-func (b *Batch) waitsFor(item int) bool {
+// isUnfinished reports whether the batch is open and an item of it has no position yet.
+func (b *Batch) isUnfinished(item int) bool {
 	return !b.Ended && item >= 0 && item < len(b.HasResult) && !b.HasResult[item]
 }
 
