--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -259,8 +259,8 @@
 	}
 }
 
-// signsAfter counts the signs of life that records add to a batch of owner a.
-func signsAfter(records ...[]byte) int64 {
+// livenessSignalsAfter counts the signs of life that records add to a batch of owner a.
+func livenessSignalsAfter(records ...[]byte) int64 {
 	state := NewStateAt(0)
 	state.Apply(Accepted(&Submission{ID: "x", Items: []Item{{ID: "i"}, {ID: "j"}}}, "a"))
 	for _, each := range records {
@@ -275,17 +275,17 @@
 // owners that were gone stayed with them for seconds).
 func TestLateSignsDoNotShowTheOwnerAlive(t *testing.T) {
 	is := is.New(t)
-	is.Equal(signsAfter(Heartbeat("x", "a", 1), Heartbeat("x", "a", 5)), int64(2))
-	is.Equal(signsAfter(Heartbeat("x", "a", 5), Heartbeat("x", "a", 1), Heartbeat("x", "a", 5),
+	is.Equal(livenessSignalsAfter(Heartbeat("x", "a", 1), Heartbeat("x", "a", 5)), int64(2))
+	is.Equal(livenessSignalsAfter(Heartbeat("x", "a", 5), Heartbeat("x", "a", 1), Heartbeat("x", "a", 5),
 		Checkpoint("x", "a", 3, nil)), int64(1))
-	is.Equal(signsAfter(Heartbeat("x", "b", 9), Heartbeat("x", "a", 1)), int64(1))
+	is.Equal(livenessSignalsAfter(Heartbeat("x", "b", 9), Heartbeat("x", "a", 1)), int64(1))
 	listed := ResultsAdded("x", []Result{{Item: 0, Outcome: Done}})
-	is.Equal(signsAfter(listed, listed, listed), int64(1))
+	is.Equal(livenessSignalsAfter(listed, listed, listed), int64(1))
 	// Another owner counts from anew, and so does one that has the batch again.
-	is.Equal(signsAfter(Heartbeat("x", "a", 7), TakenOver("x", "a", "b"), Heartbeat("x", "b", 2),
+	is.Equal(livenessSignalsAfter(Heartbeat("x", "a", 7), TakenOver("x", "a", "b"), Heartbeat("x", "b", 2),
 		Heartbeat("x", "a", 9)), int64(3))
-	is.Equal(signsAfter(Heartbeat("x", "a", 7), TakenOver("x", "a", "b"), TakenOver("x", "b", "a"),
+	is.Equal(livenessSignalsAfter(Heartbeat("x", "a", 7), TakenOver("x", "a", "b"), TakenOver("x", "b", "a"),
 		Heartbeat("x", "a", 8)), int64(4))
 	// Records of programs that did not number their signs count all.
-	is.Equal(signsAfter(Heartbeat("x", "a", 0), Heartbeat("x", "a", 0)), int64(2))
+	is.Equal(livenessSignalsAfter(Heartbeat("x", "a", 0), Heartbeat("x", "a", 0)), int64(2))
 }
