--- a/internal/batches/ledger/ledger.go
+++ b/internal/batches/ledger/ledger.go
@@ -42,16 +42,16 @@
 
 const (
 	topicPrefix = "woodworks.batches."
-	// Topics is how many topics hold batches. A partition then holds few
+	// TopicCount is how many topics hold batches. A partition then holds few
 	// batches at a time, and reading one batch reads little of others.
-	Topics = 4
+	TopicCount = 4
 	// dropAfter is how long an unused fold is kept.
 	dropAfter = 20 * time.Second
 )
 
 // TopicNames returns the topics that hold batches.
 func TopicNames() []string {
-	names := make([]string, Topics)
+	names := make([]string, TopicCount)
 	for i := range names {
 		names[i] = topicPrefix + strconv.Itoa(i)
 	}
@@ -78,7 +78,7 @@
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(batchID)) // It never fails.
 	perTopic := max(l.journal.PartitionsPerTopic(), 1)
-	index := int(hash.Sum32() % uint32(Topics*perTopic))
+	index := int(hash.Sum32() % uint32(TopicCount*perTopic))
 	return journal.Partition{Topic: topicPrefix + strconv.Itoa(index/perTopic), Number: index % perTopic}
 }
 
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -332,7 +332,7 @@
 			}
 		}
 	}
-	return read >= ledger.Topics*all.log.Partitions
+	return read >= ledger.TopicCount*all.log.Partitions
 }
 
 // awaitLearned returns after which time all partitions were learned, and false if they were
