--- a/internal/batches/ledger/ledger.go
+++ b/internal/batches/ledger/ledger.go
@@ -45,8 +45,8 @@
 	// TopicCount is how many topics hold batches. A partition then holds few
 	// batches at a time, and reading one batch reads little of others.
 	TopicCount = 4
-	// dropAfter is how long an unused fold is kept.
-	dropAfter = 20 * time.Second
+	// unusedFoldTTL is how long an unused fold is kept.
+	unusedFoldTTL = 20 * time.Second
 )
 
 // TopicNames returns the topics that hold batches.
@@ -115,7 +115,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, p := range l.partitions {
-		if now.Sub(p.usedAt) > dropAfter && p.idle() {
+		if now.Sub(p.usedAt) > unusedFoldTTL && p.idle() {
 			delete(l.partitions, name)
 		}
 	}
--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -266,14 +266,14 @@
 		release := batches.Of("a").Follow()
 		batches.Of("b")
 		synctest.Wait()
-		batches.Sweep(time.Now().Add(2 * dropAfter))
+		batches.Sweep(time.Now().Add(2 * unusedFoldTTL))
 		is.Equal(len(batches.Known()), 1)
 		release()
-		batches.Sweep(time.Now().Add(2 * dropAfter))
+		batches.Sweep(time.Now().Add(2 * unusedFoldTTL))
 		is.Equal(len(batches.Known()), 1) // It is being read.
 		time.Sleep(time.Second)
 		synctest.Wait()
-		batches.Sweep(time.Now().Add(2 * dropAfter))
+		batches.Sweep(time.Now().Add(2 * unusedFoldTTL))
 		is.Equal(len(batches.Known()), 0)
 	})
 }
