--- a/internal/batches/ledger/ledger.go
+++ b/internal/batches/ledger/ledger.go
@@ -82,8 +82,8 @@
 	return journal.Partition{Topic: topicPrefix + strconv.Itoa(index/perTopic), Number: index % perTopic}
 }
 
-// PageBytes is how many bytes a read of a partition brings at most.
-func (l *Ledger) PageBytes() int {
+// MaxPageBytes is how many bytes a read of a partition brings at most.
+func (l *Ledger) MaxPageBytes() int {
 	return max(pageBytes, pageRecords*l.journal.MaxRecordBytes())
 }
 
--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -135,7 +135,7 @@
 	case p.state.NextOffset() >= p.end:
 		return 0, true
 	case p.readRecords == 0:
-		return p.ledger.PageBytes(), true
+		return p.ledger.MaxPageBytes(), true
 	default:
 		return int((p.end - p.state.NextOffset()) * p.readBytes / p.readRecords), true
 	}
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -98,7 +98,7 @@
 	from := p.next()
 	bounded, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
-	req := journal.Read{Partition: p.name, From: from, Wait: wait, MaxBytes: p.ledger.PageBytes()}
+	req := journal.Read{Partition: p.name, From: from, Wait: wait, MaxBytes: p.ledger.MaxPageBytes()}
 	read, err := p.ledger.journal.Read(bounded, req)
 	var trimmed *journal.TrimmedError
 	if errors.As(err, &trimmed) {
--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -41,7 +41,7 @@
 	}
 	missing, ok := partition.Missing()
 	if !ok {
-		if !r.budget.takePage(r.ledger.PageBytes()) {
+		if !r.budget.takePage(r.ledger.MaxPageBytes()) {
 			return false
 		}
 		if err := r.readPage(ctx, partition); err != nil {
@@ -91,7 +91,7 @@
 // nextPage is what the next page of a partition brings at most, in bytes.
 func (r *Reader) nextPage(missing int, ok bool) int {
 	if !ok {
-		return r.ledger.PageBytes()
+		return r.ledger.MaxPageBytes()
 	}
-	return min(missing, r.ledger.PageBytes())
+	return min(missing, r.ledger.MaxPageBytes())
 }
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -132,7 +132,7 @@
 			restartBatches, took, read>>20, unasked)
 		is.True(took < restartAnswered)
 		// Such a question costs a page at once, as it may have no other answer.
-		own := float64(read - restartBatches*restartBytes - unasked*d.readers[0].ledger.PageBytes())
+		own := float64(read - restartBatches*restartBytes - unasked*d.readers[0].ledger.MaxPageBytes())
 		is.True(own < ownReadShare*restartJournal*took.Seconds())
 	})
 }
