--- a/internal/api/delivery/delivery_test.go
+++ b/internal/api/delivery/delivery_test.go
@@ -24,7 +24,7 @@
 }
 
 func (e endsWith) Accept(ctx context.Context, job *batch.Submission) error {
-	return e.jobs.Of(job.ID).Append(ctx, batch.Accepted(job, "owner"))
+	return e.jobs.PartitionOf(job.ID).Append(ctx, batch.Accepted(job, "owner"))
 }
 
 func (e endsWith) End(context.Context, string, string) error { return e.err }
--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -107,19 +107,19 @@
 		}
 	}
 	p.jobs = append(p.jobs, job)
-	return p.folds.Of(job.ID).Append(ctx, batch.Accepted(job, "owner/1"))
+	return p.folds.PartitionOf(job.ID).Append(ctx, batch.Accepted(job, "owner/1"))
 }
 
 // End implements Runner.
 func (p *peered) End(ctx context.Context, jobID, _ string) error {
-	return p.folds.Of(jobID).Append(ctx, batch.Ended(jobID, ""))
+	return p.folds.PartitionOf(jobID).Append(ctx, batch.Ended(jobID, ""))
 }
 
 // list gives an item its result, of one version and with a text of a size.
 func (p *peered) list(t interface{ Fatal(...any) }, job *batch.Submission, item int, version int64, size int) {
 	text := fmt.Appendf(nil, `{"version":%d,"tokens":[%d],"end":"stop"}%s`, version, item, strings.Repeat(" ", size))
 	record := batch.ResultsAdded(job.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: text, Versions: []int64{version}}})
-	if err := p.folds.Of(job.ID).Append(context.Background(), record); err != nil {
+	if err := p.folds.PartitionOf(job.ID).Append(context.Background(), record); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -262,7 +262,7 @@
 	is := is.New(t)
 	ctx := t.Context()
 	p := newPeered(ctx, 0)
-	further := p.folds.Of(rollout.JobID("t", "n", 1))
+	further := p.folds.PartitionOf(rollout.JobID("t", "n", 1))
 	is.NoErr(further.Append(ctx, batch.Ended("gone", "")))
 	p.log.Trim(further.Name(), 1)
 	reader := results.NewReader(ledger.New(ctx, p.log, zap.NewNop()), p, nil, journal.Grants{}, "late/1", zap.NewNop())
--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -29,7 +29,7 @@
 type idle struct{ batches *ledger.Ledger }
 
 func (i idle) Accept(ctx context.Context, job *batch.Submission) error {
-	return i.batches.Of(job.ID).Append(ctx, batch.Accepted(job, "nobody"))
+	return i.batches.PartitionOf(job.ID).Append(ctx, batch.Accepted(job, "nobody"))
 }
 
 func (idle) End(context.Context, string, string) error { return nil }
--- a/internal/batches/ledger/ledger.go
+++ b/internal/batches/ledger/ledger.go
@@ -87,8 +87,8 @@
 	return max(pageBytes, pageRecords*l.journal.MaxRecordBytes())
 }
 
-// Of returns the partition that holds a batch.
-func (l *Ledger) Of(batchID string) *Partition { return l.Partition(l.Locate(batchID)) }
+// PartitionOf returns the partition that holds a batch.
+func (l *Ledger) PartitionOf(batchID string) *Partition { return l.Partition(l.Locate(batchID)) }
 
 // Partition returns one partition.
 func (l *Ledger) Partition(name journal.Partition) *Partition {
--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -153,7 +153,7 @@
 // playClient accepts the batch once if it is the first client, and asks for it.
 func playClient(ctx context.Context, client int, batches *Ledger, pauses []int, seen *recorder) {
 	const id = "batch"
-	p := batches.Of(id)
+	p := batches.PartitionOf(id)
 	for i := client; i < len(pauses); i += 3 {
 		time.Sleep(time.Duration(pauses[i]) * time.Millisecond)
 		began := time.Now()
@@ -184,9 +184,9 @@
 	long := submission("long")
 	long.Items[0].Body = make([]byte, 10_000)
 	first, second := New(t.Context(), log, zap.NewNop()), New(t.Context(), log, zap.NewNop())
-	is.NoErr(first.Of("long").Append(t.Context(), batch.Accepted(long, "o")))
-	is.NoErr(second.Of("long").CatchUp(t.Context()))
-	is.True(exists(second.Of("long"), "long"))
+	is.NoErr(first.PartitionOf("long").Append(t.Context(), batch.Accepted(long, "o")))
+	is.NoErr(second.PartitionOf("long").CatchUp(t.Context()))
+	is.True(exists(second.PartitionOf("long"), "long"))
 }
 
 // A record longer than an append goes in several. Until the last part is there
@@ -209,14 +209,14 @@
 		}
 		return journaltest.None
 	}
-	is.True(errors.Is(batches.Of("long").Append(t.Context(), batch.Accepted(long, "one")), ErrNotDone))
+	is.True(errors.Is(batches.PartitionOf("long").Append(t.Context(), batch.Accepted(long, "one")), ErrNotDone))
 	reader := New(t.Context(), log, zap.NewNop())
-	is.NoErr(reader.Of("long").CatchUp(t.Context()))
-	is.True(!exists(reader.Of("long"), "long"))
-	is.NoErr(batches.Of("long").Append(t.Context(), batch.Accepted(long, "two")))
+	is.NoErr(reader.PartitionOf("long").CatchUp(t.Context()))
+	is.True(!exists(reader.PartitionOf("long"), "long"))
+	is.NoErr(batches.PartitionOf("long").Append(t.Context(), batch.Accepted(long, "two")))
 	is.True(calls > 6)
-	is.NoErr(reader.Of("long").CatchUp(t.Context()))
-	reader.Of("long").View(func(state *batch.State) {
+	is.NoErr(reader.PartitionOf("long").CatchUp(t.Context()))
+	reader.PartitionOf("long").View(func(state *batch.State) {
 		known, ok := state.Get("long")
 		is.True(ok)
 		is.Equal(known.Owner, "two")
@@ -229,7 +229,7 @@
 	is := is.New(t)
 	log := journaltest.New()
 	batches := New(t.Context(), log, zap.NewNop())
-	p := batches.Of("a")
+	p := batches.PartitionOf("a")
 	is.NoErr(p.Append(t.Context(), batch.Accepted(submission("a"), "o")))
 	late := New(t.Context(), log, zap.NewNop()).Partition(p.Name())
 	is.NoErr(p.Append(t.Context(), batch.Accepted(submission("b"), "o")))
@@ -263,8 +263,8 @@
 			return journaltest.None
 		})
 		batches := New(t.Context(), log, zap.NewNop())
-		release := batches.Of("a").Follow()
-		batches.Of("b")
+		release := batches.PartitionOf("a").Follow()
+		batches.PartitionOf("b")
 		synctest.Wait()
 		batches.Sweep(time.Now().Add(2 * unusedFoldTTL))
 		is.Equal(len(batches.Known()), 1)
@@ -282,7 +282,7 @@
 // once, and those after them are not skipped.
 func TestRecordsAreFoldedOnce(t *testing.T) {
 	is := is.New(t)
-	p := New(t.Context(), journaltest.New(), zap.NewNop()).Of("a")
+	p := New(t.Context(), journaltest.New(), zap.NewNop()).PartitionOf("a")
 	first, second := batch.Accepted(submission("a"), "o"), batch.Accepted(submission("b"), "o")
 	p.fold(0, [][]byte{first})
 	p.fold(0, [][]byte{first})
@@ -310,10 +310,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		log := paged{journaltest.New()}
-		writer := New(ctx, log, zap.NewNop()).Of("a")
+		writer := New(ctx, log, zap.NewNop()).PartitionOf("a")
 		is.NoErr(writer.Append(ctx, batch.Accepted(submission("a"), "one")))
 		is.NoErr(writer.Append(ctx, batch.Ended("a", "")))
-		reader := New(ctx, log, zap.NewNop()).Of("a")
+		reader := New(ctx, log, zap.NewNop()).PartitionOf("a")
 		_, err := reader.readOnce(ctx, 0)
 		is.NoErr(err)
 		is.True(exists(reader, "a"))
@@ -330,7 +330,7 @@
 	is := is.New(t)
 	ctx := t.Context()
 	core, lines := observer.New(zap.WarnLevel)
-	p := New(ctx, journaltest.New(), zap.New(core)).Of("a")
+	p := New(ctx, journaltest.New(), zap.New(core)).PartitionOf("a")
 	is.NoErr(p.Append(ctx, []byte("no record")))
 	is.NoErr(p.Append(ctx, batch.Accepted(submission("a"), "one")))
 	is.True(exists(p, "a"))
@@ -359,7 +359,7 @@
 			}
 			return journaltest.None
 		})
-		p := New(ctx, log, zap.NewNop()).Of("a")
+		p := New(ctx, log, zap.NewNop()).PartitionOf("a")
 		failed := make(chan error, 1)
 		go func() { failed <- p.CatchUp(ctx) }()
 		synctest.Wait()
--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -204,7 +204,7 @@
 // fill appends the batches.
 func (f *fleet) fill(t *testing.T, batches *ledger.Ledger) {
 	put := func(id string, record []byte) {
-		if err := batches.Of(id).Append(context.Background(), record); err != nil {
+		if err := batches.PartitionOf(id).Append(context.Background(), record); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -101,7 +101,7 @@
 	log.RecordBytes = 256 << 10
 	log.Granted = journal.Grants{ReadBytesPerSecond: 80e6}
 	put := func(record []byte) {
-		if err := ledger.New(ctx, log, zap.NewNop()).Of("b").Append(ctx, record); err != nil {
+		if err := ledger.New(ctx, log, zap.NewNop()).PartitionOf("b").Append(ctx, record); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -140,7 +140,7 @@
 		reader := slowReader(ctx, log, takes, peers)
 		time.Sleep(ownReadTime)
 		// The first page tells what there is, and a later question of one text comes upon it.
-		err := reader.ledger.Of("b").ReadPage(ctx)
+		err := reader.ledger.PartitionOf("b").ReadPage(ctx)
 		is.NoErr(err)
 		began := time.Now()
 		page, err := reader.Results(ctx, Query{BatchID: "b", After: 5})
@@ -182,7 +182,7 @@
 		t.Logf("total known: after %v, %v", time.Since(began), err)
 		began = time.Now()
 		submission := &batch.Submission{ID: "c", Items: []batch.Item{{ID: "i"}}}
-		is.NoErr(ledger.New(ctx, log, zap.NewNop()).Of("c").Append(ctx, batch.Accepted(submission, "owner")))
+		is.NoErr(ledger.New(ctx, log, zap.NewNop()).PartitionOf("c").Append(ctx, batch.Accepted(submission, "owner")))
 		page, err = reader.Results(ctx, Query{BatchID: "c", Wait: wait})
 		t.Logf("after %v: found %v, %v; watcher blamed: %v", time.Since(began), page.Found, err, blamed)
 		is.NoErr(err)
@@ -280,7 +280,7 @@
 		reader := slowReader(ctx, log, takesAtFirst(takes), peers)
 		reader.budget.adjust(time.Now())
 		time.Sleep(ownReadTime)
-		err := reader.ledger.Of("b").ReadPage(ctx)
+		err := reader.ledger.PartitionOf("b").ReadPage(ctx)
 		is.NoErr(err)
 		began := time.Now()
 		page, err := reader.Results(ctx, Query{BatchID: "b", After: 5})
--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -15,7 +15,7 @@
 // only after a read of the journal that was begun after the question came.
 func (r *Reader) resultsHere(ctx context.Context, query Query) (Page, error) {
 	began := time.Now()
-	partition := r.ledger.Of(query.BatchID)
+	partition := r.ledger.PartitionOf(query.BatchID)
 	page := lookUp(partition, query)
 	switch {
 	case len(page.Results) == 0:
@@ -48,7 +48,7 @@
 }
 
 func (r *Reader) itemHere(ctx context.Context, query ItemQuery) (Body, error) {
-	partition := r.ledger.Of(query.BatchID)
+	partition := r.ledger.PartitionOf(query.BatchID)
 	if body := itemBody(partition, query); body.Found {
 		return body, nil
 	}
@@ -61,7 +61,7 @@
 // itemsHere answers from the fold of this daemon, after a read of the journal that is begun
 // after the question came.
 func (r *Reader) itemsHere(ctx context.Context, query ItemsQuery) (Items, error) {
-	partition := r.ledger.Of(query.BatchID)
+	partition := r.ledger.PartitionOf(query.BatchID)
 	if err := readToDeny(ctx, partition, query.BatchID); err != nil {
 		return Items{}, err
 	}
@@ -69,7 +69,7 @@
 }
 
 func (r *Reader) beginningHere(ctx context.Context, query BeginningQuery) (Beginning, error) {
-	partition := r.ledger.Of(query.BatchID)
+	partition := r.ledger.PartitionOf(query.BatchID)
 	if beginning := beginningOf(partition, query.BatchID); beginning.Found {
 		return beginning, nil
 	}
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -139,7 +139,7 @@
 			return query
 		},
 		here:  r.resultsHere,
-		ready: func() bool { return len(lookUp(r.ledger.Of(query.BatchID), query).Results) > 0 },
+		ready: func() bool { return len(lookUp(r.ledger.PartitionOf(query.BatchID), query).Results) > 0 },
 	})
 }
 
@@ -149,7 +149,7 @@
 		method: methodItem,
 		query:  func(time.Duration) ItemQuery { return query },
 		here:   r.itemHere,
-		ready:  func() bool { return itemBody(r.ledger.Of(query.BatchID), query).Found },
+		ready:  func() bool { return itemBody(r.ledger.PartitionOf(query.BatchID), query).Found },
 	})
 }
 
@@ -173,7 +173,7 @@
 // the partition or this daemon's own fold knows it. The error wraps ErrBehind, also where
 // nobody knows of the batch.
 func (r *Reader) Beginning(ctx context.Context, batchID string) (int64, error) {
-	partition := r.ledger.Of(batchID)
+	partition := r.ledger.PartitionOf(batchID)
 	if beginning := beginningOf(partition, batchID); beginning.Found {
 		return beginning.Offset, nil
 	}
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -131,7 +131,7 @@
 }
 
 func (d *daemons) append(t interface{ Fatal(...any) }, id string, record []byte) {
-	if err := d.ledgers[0].Of(id).Append(context.Background(), record); err != nil {
+	if err := d.ledgers[0].PartitionOf(id).Append(context.Background(), record); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -146,7 +146,7 @@
 			{Item: 0, Outcome: batch.Done, Text: text},
 			{Item: 2, Outcome: batch.Done, Text: text},
 		}))
-		release := d.ledgers[0].Of("b").Follow()
+		release := d.ledgers[0].PartitionOf("b").Follow()
 		defer release()
 		time.Sleep(3 * time.Second)
 		d.log.ResetUsage()
@@ -182,7 +182,7 @@
 			is.Equal(budget.take(each.bytes), each.want)
 		}
 		d := newDaemons(t.Context(), 1)
-		partition := d.ledgers[0].Of("b")
+		partition := d.ledgers[0].PartitionOf("b")
 		is.True(NewReader(d.ledgers[0], d, d, journal.Grants{}, "self", zap.NewNop()).
 			affords(t.Context(), partition))
 		is.True(NewReader(d.ledgers[0], nil, nil, journal.Grants{ReadBytesPerSecond: 1}, "self", zap.NewNop()).
@@ -336,7 +336,7 @@
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.watch(1)
 		d.accept(t, "b", 1)
-		partition := d.ledgers[0].Of("b").Name()
+		partition := d.ledgers[0].PartitionOf("b").Name()
 		d.log.Trim(partition, 1)
 		for _, daemon := range []int{1, 0} {
 			_, err := d.readers[daemon].Results(ctx, Query{BatchID: "b"})
@@ -346,7 +346,7 @@
 		}
 		// Of a batch that it has read it denies what there is not.
 		var later string
-		for i := 0; later == "" || d.ledgers[0].Of(later).Name() != partition; i++ {
+		for i := 0; later == "" || d.ledgers[0].PartitionOf(later).Name() != partition; i++ {
 			later = fmt.Sprintf("later-%d", i)
 		}
 		d.append(t, later, batch.Accepted(&batch.Submission{
--- a/internal/batches/results/trace.go
+++ b/internal/batches/results/trace.go
@@ -50,7 +50,7 @@
 	t := &trace{
 		r:         r,
 		batchID:   batchID,
-		partition: r.ledger.Of(batchID),
+		partition: r.ledger.PartitionOf(batchID),
 		began:     time.Now(),
 		wait:      wait,
 		way:       wayFold,
--- a/internal/batches/runner/accept_test.go
+++ b/internal/batches/runner/accept_test.go
@@ -52,7 +52,7 @@
 			owner := newOwner(t.Context(), t, log, "a/1")
 			bounded, cancel := context.WithTimeout(t.Context(), 3*journalRetryDelay)
 			defer cancel()
-			err := owner.appendWithRetry(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
+			err := owner.appendWithRetry(bounded, owner.ledger.PartitionOf("x"), batch.Accepted(&twoItems, "a/1"))
 			is.True(errors.Is(err, ErrNotDone))
 			is.Equal(refusals, 3)
 		})
@@ -68,7 +68,7 @@
 		owner := newOwner(t.Context(), t, log, "a/1")
 		bounded, cancel := context.WithTimeout(t.Context(), journalRetryDelay)
 		defer cancel()
-		err := owner.appendWithRetry(bounded, owner.ledger.Of("x"), batch.Accepted(&twoItems, "a/1"))
+		err := owner.appendWithRetry(bounded, owner.ledger.PartitionOf("x"), batch.Accepted(&twoItems, "a/1"))
 		is.True(errors.Is(err, ErrUnknown))
 	})
 }
--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -18,7 +18,7 @@
 // AdoptAssigned starts a batch if, after its fold has caught up, this daemon owns it. It retries
 // while the journal can't be read.
 func (r *Runner) AdoptAssigned(batchID string) {
-	whole := r.ledger.Of(batchID)
+	whole := r.ledger.PartitionOf(batchID)
 	if !r.beginWork() {
 		// The daemon that assigned the batch did not know of the stop.
 		r.releaseUnstarted(whole, batchID)
@@ -44,7 +44,7 @@
 		return ErrStopping
 	}
 	defer r.work.Done()
-	whole := r.ledger.Of(batchID)
+	whole := r.ledger.PartitionOf(batchID)
 	defer r.releaseUnstarted(whole, batchID)
 	if err := whole.Append(ctx, batch.TakenOver(batchID, from, r.self)); err != nil {
 		return errors.Wrap(ErrUnknown, err.Error())
--- a/internal/batches/runner/adopt_test.go
+++ b/internal/batches/runner/adopt_test.go
@@ -25,9 +25,9 @@
 				is := is.New(t)
 				ctx := t.Context()
 				log := journaltest.New()
-				others := ledger.New(ctx, log, zap.NewNop()).Of("x")
+				others := ledger.New(ctx, log, zap.NewNop()).PartitionOf("x")
 				owner := newOwner(ctx, t, log, "a/1")
-				whole := owner.ledger.Of("x")
+				whole := owner.ledger.PartitionOf("x")
 				running := func() int {
 					batches, _ := owner.Load()
 					return batches
--- a/internal/batches/runner/fold.go
+++ b/internal/batches/runner/fold.go
@@ -23,7 +23,7 @@
 // other batches first would delay the first heartbeat until the accepting daemon takes the batch
 // over.
 func (r *Runner) foldOf(ctx context.Context, batchID string) *ledger.Partition {
-	whole := r.ledger.Of(batchID)
+	whole := r.ledger.PartitionOf(batchID)
 	if whole.Fresh() {
 		return whole
 	}
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -25,7 +25,7 @@
 	if h.Ledger == nil {
 		return 0, errors.New("no answer")
 	}
-	partition := h.Of(batchID)
+	partition := h.PartitionOf(batchID)
 	if err := partition.CatchUp(ctx); err != nil {
 		return 0, err
 	}
@@ -75,7 +75,7 @@
 ) (took time.Duration, owner string) {
 	log := journaltest.New()
 	whole := ledger.New(ctx, log, zap.NewNop())
-	partition := whole.Of("x")
+	partition := whole.PartitionOf("x")
 	defer partition.Follow()()
 	appendOtherBatches(ctx, t, log, partition.Name(), others)
 	if locator == nil {
@@ -131,7 +131,7 @@
 func TestSeparateFoldStartsAtFirstAcceptance(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		whole := ledger.New(ctx, log, zap.NewNop())
-		partition := whole.Of("x")
+		partition := whole.PartitionOf("x")
 		is.NoErr(partition.Append(ctx, batch.Accepted(&batch.Submission{ID: "before"}, "c/1")))
 		is.NoErr(partition.Append(ctx, batch.Accepted(&twoItems, "c/1")))
 		is.NoErr(partition.Append(ctx, batch.Ended("x", "")))
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -83,7 +83,7 @@
 	log.RecordBytes = 256 << 10
 	slow := delayedJournal{Journal: log, delay: takes}
 	watched := ledger.New(ctx, slow, logger)
-	partition := watched.Of("x")
+	partition := watched.PartitionOf("x")
 	appendOtherBatches(ctx, t, log, partition.Name(), others)
 	member := group.New(slow, watcher, ledger.TopicNames(), logger)
 	go member.Run(ctx)
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -144,7 +144,7 @@
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		stoppingOwnerOfTwo(ctx, t, log)
 		third := newOwner(ctx, t, log, "c/1")
-		is.NoErr(third.ledger.Of("x").Append(ctx, batch.TakenOver("x", "", "b/1")))
+		is.NoErr(third.ledger.PartitionOf("x").Append(ctx, batch.TakenOver("x", "", "b/1")))
 		time.Sleep(heartbeatTimeout)
 		is.NoErr(third.TakeOver(ctx, "x", "b/1"))
 		time.Sleep(100 * time.Millisecond)
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -153,7 +153,7 @@
 		// The caller has left: nobody waits for the outcome.
 		return errors.Wrap(ErrNotDone, ctx.Err().Error())
 	}
-	partition := r.ledger.Of(submission.ID)
+	partition := r.ledger.PartitionOf(submission.ID)
 	owner := r.assigner.ChooseOwner(ctx, submission)
 	began := time.Now()
 	if err := r.appendWithRetry(ctx, partition, batch.Accepted(submission, owner)); err != nil {
@@ -211,7 +211,7 @@
 // too, since its acceptance may still be on its way. A batch of another tenant is not changed, and
 // the caller can't tell it from an unknown one.
 func (r *Runner) End(ctx context.Context, batchID, tenant string) error {
-	return r.appendWithRetry(ctx, r.ledger.Of(batchID), batch.Ended(batchID, tenant))
+	return r.appendWithRetry(ctx, r.ledger.PartitionOf(batchID), batch.Ended(batchID, tenant))
 }
 
 func (r *Runner) jobList() []*job {
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -53,9 +53,9 @@
 		is := is.New(t)
 		ctx := t.Context()
 		accepter := accepterOfOne(ctx, t, journaltest.New(), "gone/1")
-		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "gone/1")
+		is.Equal(ownerOf(accepter.ledger.PartitionOf("x"), "x"), "gone/1")
 		time.Sleep(minStandByDelay + 20*time.Millisecond)
-		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "b/1")
+		is.Equal(ownerOf(accepter.ledger.PartitionOf("x"), "x"), "b/1")
 		batches, _ := accepter.Load()
 		is.Equal(batches, 1)
 	})
@@ -68,9 +68,9 @@
 		accepter := accepterOfOne(ctx, t, log, "a/1")
 		time.Sleep(minStandByDelay / 2)
 		owner := ledger.New(ctx, log, zap.NewNop())
-		is.NoErr(owner.Of("x").Append(ctx, batch.Heartbeat("x", "a/1", 1)))
+		is.NoErr(owner.PartitionOf("x").Append(ctx, batch.Heartbeat("x", "a/1", 1)))
 		time.Sleep(10 * minStandByDelay)
-		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "a/1")
+		is.Equal(ownerOf(accepter.ledger.PartitionOf("x"), "x"), "a/1")
 	})
 }
 
@@ -81,8 +81,8 @@
 		refuse(log, journaltest.Read)
 		time.Sleep(10 * minStandByDelay)
 		log.SetBefall(nil)
-		is.NoErr(accepter.ledger.Of("x").CatchUp(ctx))
-		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "a/1")
+		is.NoErr(accepter.ledger.PartitionOf("x").CatchUp(ctx))
+		is.Equal(ownerOf(accepter.ledger.PartitionOf("x"), "x"), "a/1")
 	})
 }
 
@@ -91,8 +91,8 @@
 func TestABatchThatIsReadAloneIsTakenBack(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		watcher := ledger.New(ctx, log, zap.NewNop())
-		defer watcher.Of("x").Follow()()
-		appendOtherBatches(ctx, t, log, watcher.Of("x").Name(), 64<<10)
+		defer watcher.PartitionOf("x").Follow()()
+		appendOtherBatches(ctx, t, log, watcher.PartitionOf("x").Name(), 64<<10)
 		accepter := newAccepter(ctx, log, "gone/1")
 		accepter.locator = ledgerLocator{watcher}
 		is.NoErr(accepter.Accept(ctx, &oneItem))
--- a/internal/batches/runner/stop_test.go
+++ b/internal/batches/runner/stop_test.go
@@ -20,7 +20,7 @@
 // ownerInJournal returns the current owner of a batch, read from the journal.
 func ownerInJournal(ctx context.Context, t *testing.T, log *journaltest.Journal, batchID string) string {
 	t.Helper()
-	partition := ledger.New(ctx, log, zap.NewNop()).Of(batchID)
+	partition := ledger.New(ctx, log, zap.NewNop()).PartitionOf(batchID)
 	is.New(t).NoErr(partition.CatchUp(ctx))
 	return ownerOf(partition, batchID)
 }
@@ -81,19 +81,19 @@
 	const delay = 300 * time.Millisecond
 	for name, acquire := range map[string]func(ctx context.Context, log *slowJournal, stopping *Runner) error{
 		"taken over, slow append": func(ctx context.Context, log *slowJournal, stopping *Runner) error {
-			err := acceptFor(ctx, stopping.ledger.Of("x"), "a/1")
+			err := acceptFor(ctx, stopping.ledger.PartitionOf("x"), "a/1")
 			log.appends.Store(int64(delay))
 			go func() { _ = stopping.TakeOver(ctx, "x", "") }() // the outcome is read from the journal below
 			return err
 		},
 		"taken over, slow read": func(ctx context.Context, log *slowJournal, stopping *Runner) error {
-			err := acceptFor(ctx, stopping.ledger.Of("x"), "a/1")
+			err := acceptFor(ctx, stopping.ledger.PartitionOf("x"), "a/1")
 			log.reads.Store(int64(delay))
 			go func() { _ = stopping.TakeOver(ctx, "x", "") }() // the outcome is read from the journal below
 			return err
 		},
 		"assigned, slow read": func(ctx context.Context, log *slowJournal, stopping *Runner) error {
-			err := acceptFor(ctx, stopping.ledger.Of("x"), "b/1")
+			err := acceptFor(ctx, stopping.ledger.PartitionOf("x"), "b/1")
 			log.reads.Store(int64(delay))
 			go stopping.AdoptAssigned("x")
 			return err
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -74,7 +74,7 @@
 	cancelled, cancel := context.WithCancel(ctx)
 	cancel() // batches taken over don't run
 	runner := &Runner{self: "b/1", ledger: jobs, locator: ledgerLocator{}, logger: zap.NewNop(), ctx: cancelled}
-	return NewWatcher(runner, group), jobs.Of("x")
+	return NewWatcher(runner, group), jobs.PartitionOf("x")
 }
 
 func ownerOf(partition *ledger.Partition, batchID string) string {
@@ -117,7 +117,7 @@
 		is.Equal(len(suspects), 1)
 		is.Equal(len(watcher.runner.confirmSilence(ctx, suspects)), 1)
 		other := ledger.New(ctx, log, zap.NewNop())
-		is.NoErr(other.Of("x").Append(ctx, batch.Heartbeat("x", "a/1", 1)))
+		is.NoErr(other.PartitionOf("x").Append(ctx, batch.Heartbeat("x", "a/1", 1)))
 		is.Equal(len(watcher.runner.confirmSilence(ctx, suspects)), 0)
 		log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
 		is.Equal(len(watcher.runner.confirmSilence(ctx, suspects)), 0)
@@ -134,7 +134,7 @@
 		log := journaltest.New()
 		watcher, partition := newTestWatcher(ctx, log, group)
 		accepter := ledger.New(ctx, log, zap.NewNop())
-		is.NoErr(accepter.Of("x").Append(ctx, batch.Accepted(&oneItem, "a/1")))
+		is.NoErr(accepter.PartitionOf("x").Append(ctx, batch.Accepted(&oneItem, "a/1")))
 		group.partitions, group.generation = map[journal.Partition]bool{partition.Name(): true}, 2
 		go watcher.Run(ctx)
 		time.Sleep(2*watchInterval + 20*time.Millisecond)
@@ -175,7 +175,7 @@
 					ctx := t.Context()
 					log := &slowJournal{Journal: journaltest.New()}
 					owner := newOwner(ctx, t, log, "b/1")
-					partition := owner.ledger.Of("x")
+					partition := owner.ledger.PartitionOf("x")
 					is.NoErr(partition.Append(ctx, batch.Accepted(&twoItems, "a/1")))
 					if released {
 						is.NoErr(partition.Append(ctx, batch.Released("x", "a/1", nil)))
