--- a/internal/batches/ledger/ledger.go
+++ b/internal/batches/ledger/ledger.go
@@ -103,10 +103,10 @@
 	return p
 }
 
-// From returns a fold of its own that begins at an offset of a partition. It knows all of
+// NewPartitionAt returns a fold of its own that begins at an offset of a partition. It knows all of
 // the batches that begin there or later, and nothing of those before, so that it is for who
 // runs one batch, and never for who tells callers what there is.
-func (l *Ledger) From(name journal.Partition, offset int64) *Partition {
+func (l *Ledger) NewPartitionAt(name journal.Partition, offset int64) *Partition {
 	return newPartition(l, name, offset)
 }
 
--- a/internal/batches/runner/adopt_test.go
+++ b/internal/batches/runner/adopt_test.go
@@ -34,7 +34,7 @@
 				}
 				is.NoErr(others.Append(ctx, batch.Accepted(&twoItems, "a/1")))
 				is.NoErr(whole.CatchUp(ctx))
-				alone := owner.ledger.From(whole.Name(), 0)
+				alone := owner.ledger.NewPartitionAt(whole.Name(), 0)
 				is.NoErr(alone.CatchUp(ctx))
 				owner.adopt(alone, "x")
 				is.Equal(running(), 1)
--- a/internal/batches/runner/fold.go
+++ b/internal/batches/runner/fold.go
@@ -35,5 +35,5 @@
 			zap.Error(err))
 		return whole
 	}
-	return r.ledger.From(whole.Name(), offset)
+	return r.ledger.NewPartitionAt(whole.Name(), offset)
 }
