--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// freshFor is how long after its last read a fold is fresh: little is missing of it,
+	// maxFreshAge is how long after its last read a fold is fresh: little is missing of it,
 	// while a partition that is followed is read every second.
-	freshFor = 2 * time.Second
+	maxFreshAge = 2 * time.Second
 	// noEnd is the end of a partition of which no read has told one.
 	noEnd = int64(-1)
 )
@@ -156,7 +156,7 @@
 }
 
 // Fresh reports whether the fold held all of the partition a moment ago.
-func (p *Partition) Fresh() bool { return time.Since(p.LastRead()) < freshFor }
+func (p *Partition) Fresh() bool { return time.Since(p.LastRead()) < maxFreshAge }
 
 // LastRead is when the journal last answered a read that brought the fold up to the
 // partition's end. A long partition takes several reads, and what was folded of it
