--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -16,8 +16,8 @@
 	// maxFreshAge is how long after its last read a fold is fresh: little is missing of it,
 	// while a partition that is followed is read every second.
 	maxFreshAge = 2 * time.Second
-	// noEnd is the end of a partition of which no read has told one.
-	noEnd = int64(-1)
+	// unknownEnd is the end of a partition of which no read has told one.
+	unknownEnd = int64(-1)
 )
 
 // Partition is the fold of one journal partition and the way to add to it.
@@ -63,7 +63,7 @@
 		name:    name,
 		state:   batch.NewStateAt(from),
 		changed: make(chan struct{}),
-		end:     noEnd,
+		end:     unknownEnd,
 	}
 }
 
@@ -130,7 +130,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case p.end == noEnd:
+	case p.end == unknownEnd:
 		return 0, false
 	case p.state.NextOffset() >= p.end:
 		return 0, true
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -70,15 +70,15 @@
 
 // readToEnd reads until the fold has reached the end that the first read told.
 func (p *Partition) readToEnd() error {
-	for target := noEnd; ; {
+	for target := unknownEnd; ; {
 		end, err := p.readOnce(p.ledger.ctx, 0)
 		if err != nil {
 			return err
 		}
-		if target == noEnd {
+		if target == unknownEnd {
 			target = end
 		}
-		if target != noEnd && p.next() >= target {
+		if target != unknownEnd && p.next() >= target {
 			return nil
 		}
 	}
@@ -103,7 +103,7 @@
 	var trimmed *journal.TrimmedError
 	if errors.As(err, &trimmed) {
 		p.skipTrimmed(from, trimmed.First)
-		return noEnd, nil
+		return unknownEnd, nil
 	}
 	p.fold(from, read.Records)
 	p.noteRead(read, err == nil)
