--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -33,7 +33,7 @@
 	// they were folded here, lastRead is when a read last brought it up to the partition's end.
 	state    *batch.State
 	changed  chan struct{}
-	missed   bool
+	hasGap   bool
 	lastRead time.Time
 
 	// What reads have told of the partition: its highest end, or noEnd, and how much they brought.
@@ -152,7 +152,7 @@
 func (p *Partition) Missed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.missed
+	return p.hasGap
 }
 
 // Fresh reports whether the fold held all of the partition a moment ago.
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -140,7 +140,7 @@
 	if p.state.NextOffset() == from && first > from {
 		p.ledger.logger.Info("records trimmed before they were read", zap.Inline(p),
 			zap.Int64("offset", from), zap.Int64("first", first))
-		p.missed = true
+		p.hasGap = true
 		p.state.SkipTo(first)
 	}
 }
