--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -147,9 +147,9 @@
 	return missing > 0 || !ok
 }
 
-// Missed reports whether records were removed from the journal before they were folded
+// HasGap reports whether records were removed from the journal before they were folded
 // here. Such a fold knows all that it tells, but a batch that it does not know may exist.
-func (p *Partition) Missed() bool {
+func (p *Partition) HasGap() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.hasGap
--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -84,7 +84,7 @@
 // mayDeny returns an error where the fold does not know a batch although it may exist:
 // its records may have been removed before this daemon read them, while others did.
 func mayDeny(partition *ledger.Partition, batchID string) error {
-	if !beginningOf(partition, batchID).Found && partition.Missed() {
+	if !beginningOf(partition, batchID).Found && partition.HasGap() {
 		return errors.Wrap(ErrBehind, "the partition's oldest records are gone")
 	}
 	return nil
