--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -31,10 +31,10 @@
 
 	// The fold. changed is closed when it changes, missed says that records were removed before
 	// they were folded here, lastRead is when a read last brought it up to the partition's end.
-	state    *batch.State
-	changed  chan struct{}
-	hasGap   bool
-	lastRead time.Time
+	state         *batch.State
+	changed       chan struct{}
+	hasGap        bool
+	lastReadToEnd time.Time
 
 	// What reads have told of the partition: its highest end, or noEnd, and how much they brought.
 	end                    int64
@@ -164,7 +164,7 @@
 func (p *Partition) LastRead() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lastRead
+	return p.lastReadToEnd
 }
 
 // fold applies records that begin at an offset, but for those already folded.
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -120,7 +120,7 @@
 	p.readRecords += int64(len(read.Records))
 	p.end = max(p.end, read.End)
 	if whole && p.state.NextOffset() >= read.End {
-		p.lastRead = time.Now()
+		p.lastReadToEnd = time.Now()
 	}
 }
 
