--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -317,10 +317,10 @@
 		_, err := reader.readOnce(ctx, 0)
 		is.NoErr(err)
 		is.True(exists(reader, "a"))
-		is.True(reader.LastRead().IsZero())
+		is.True(reader.LastReadToEnd().IsZero())
 		_, err = reader.readOnce(ctx, 0)
 		is.NoErr(err)
-		is.True(!reader.LastRead().IsZero())
+		is.True(!reader.LastReadToEnd().IsZero())
 	})
 }
 
--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -156,12 +156,12 @@
 }
 
 // Fresh reports whether the fold held all of the partition a moment ago.
-func (p *Partition) Fresh() bool { return time.Since(p.LastRead()) < maxFreshAge }
+func (p *Partition) Fresh() bool { return time.Since(p.LastReadToEnd()) < maxFreshAge }
 
-// LastRead is when the journal last answered a read that brought the fold up to the
+// LastReadToEnd is when the journal last answered a read that brought the fold up to the
 // partition's end. A long partition takes several reads, and what was folded of it
 // before the last of them may be long out of date.
-func (p *Partition) LastRead() time.Time {
+func (p *Partition) LastReadToEnd() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lastReadToEnd
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -91,7 +91,7 @@
 		return own.value, own.err
 	case <-timer.C:
 	}
-	if q.partition.LastRead().After(q.began) {
+	if q.partition.LastReadToEnd().After(q.began) {
 		<-own.done
 		return own.value, own.err
 	}
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -115,7 +115,7 @@
 	partition := w.runner.ledger.Partition(name)
 	// Silence counts only while the journal can be read: records written during an outage are read
 	// afterwards.
-	if now.Sub(partition.LastRead()) > heartbeatTimeout {
+	if now.Sub(partition.LastReadToEnd()) > heartbeatTimeout {
 		p.owners = map[string]observation{}
 		return nil
 	}
