--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -155,8 +155,8 @@
 	return p.hasGap
 }
 
-// Fresh reports whether the fold held all of the partition a moment ago.
-func (p *Partition) Fresh() bool { return time.Since(p.LastReadToEnd()) < maxFreshAge }
+// IsFresh reports whether the fold held all of the partition a moment ago.
+func (p *Partition) IsFresh() bool { return time.Since(p.LastReadToEnd()) < maxFreshAge }
 
 // LastReadToEnd is when the journal last answered a read that brought the fold up to the
 // partition's end. A long partition takes several reads, and what was folded of it
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -50,7 +50,7 @@
 // answer tries the ways to an answer in their order: the fold held here, an own read within the
 // budget, the partition's watcher beside it, a read at the rate of the budget.
 func (q *question[Q, T]) answer(ctx context.Context) (answer T, err error) {
-	if q.partition.Fresh() || q.r.budget == nil {
+	if q.partition.IsFresh() || q.r.budget == nil {
 		return q.here(ctx, q.query(q.wait))
 	}
 	q.way = wayBudget
--- a/internal/batches/runner/fold.go
+++ b/internal/batches/runner/fold.go
@@ -24,7 +24,7 @@
 // over.
 func (r *Runner) foldOf(ctx context.Context, batchID string) *ledger.Partition {
 	whole := r.ledger.PartitionOf(batchID)
-	if whole.Fresh() {
+	if whole.IsFresh() {
 		return whole
 	}
 	bounded, cancel := context.WithTimeout(ctx, locateTimeout)
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -327,7 +327,7 @@
 	read := 0
 	for _, e := range all.daemons {
 		for name := range e.member.Partitions() {
-			if name.Topic != runner.RunnersTopic && e.batches.Partition(name).Fresh() {
+			if name.Topic != runner.RunnersTopic && e.batches.Partition(name).IsFresh() {
 				read++
 			}
 		}
--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -200,7 +200,7 @@
 					time.Sleep(100 * time.Millisecond)
 					learned = 0
 					for _, fold := range folds {
-						if fold.Fresh() {
+						if fold.IsFresh() {
 							learned++
 						}
 					}
