--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// Missing returns how many bytes the fold lacks, by the mean of the records read so far, and
+// MissingBytes returns how many bytes the fold lacks, by the mean of the records read so far, and
 // false if nothing has been read yet.
-func (p *Partition) Missing() (bytes int, ok bool) {
+func (p *Partition) MissingBytes() (bytes int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -143,7 +143,7 @@
 
 // behind reports whether the fold is known to lack records, or has not been read at all.
 func (p *Partition) behind() bool {
-	missing, ok := p.Missing()
+	missing, ok := p.MissingBytes()
 	return missing > 0 || !ok
 }
 
--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -39,7 +39,7 @@
 	if r.budget == nil {
 		return true
 	}
-	missing, ok := partition.Missing()
+	missing, ok := partition.MissingBytes()
 	if !ok {
 		if !r.budget.takePage(r.ledger.MaxPageBytes()) {
 			return false
@@ -48,7 +48,7 @@
 			r.logger.Info("page not read, asking the watcher", zap.Inline(partition), zap.Error(err))
 			return false
 		}
-		missing, _ = partition.Missing()
+		missing, _ = partition.MissingBytes()
 	}
 	return missing == 0 || r.budget.take(missing)
 }
@@ -59,7 +59,7 @@
 // does. The error wraps ErrBehind.
 func (r *Reader) readPages(ctx context.Context, partition *ledger.Partition, ready func() bool) error {
 	for unpaced := !r.budget.reduced(); ; unpaced = false {
-		missing, ok := partition.Missing()
+		missing, ok := partition.MissingBytes()
 		if ok && missing == 0 || ready() {
 			return nil
 		}
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -128,7 +128,7 @@
 		return answer, err
 	}
 	defer func() { <-q.r.cold }()
-	missing, _ := q.partition.Missing()
+	missing, _ := q.partition.MissingBytes()
 	q.r.logger.Info("partition read for a question", zap.String("batch", q.batchID), zap.Inline(q.partition),
 		zap.String("watcher", q.call.watcher), zap.Int("missing", missing), zap.String("reason", cause.Error()))
 	if err := q.r.readPages(ctx, q.partition, q.ready); err != nil {
--- a/internal/batches/results/trace.go
+++ b/internal/batches/results/trace.go
@@ -55,7 +55,7 @@
 		wait:      wait,
 		way:       wayFold,
 	}
-	t.missing, t.missingKnown = t.partition.Missing()
+	t.missing, t.missingKnown = t.partition.MissingBytes()
 	r.open.Add(1)
 	return t
 }
@@ -71,7 +71,7 @@
 	if err == nil {
 		return
 	}
-	left, leftKnown := t.partition.Missing()
+	left, leftKnown := t.partition.MissingBytes()
 	t.r.logger.Info("question not answered", zap.String("batch", t.batchID), zap.Inline(t.partition),
 		zap.String("way", string(t.way)), zap.Duration("hold", t.wait), zap.Duration("took", took),
 		zap.Int("missing", t.missing), zap.Bool("missing_known", t.missingKnown),
