--- a/internal/batches/ledger/follow.go
+++ b/internal/batches/ledger/follow.go
@@ -44,7 +44,7 @@
 func (p *Partition) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		var err error
-		if p.behind() {
+		if p.isBehind() {
 			err = p.CatchUp(ctx)
 		} else {
 			_, err = p.readOnce(ctx, followWait)
--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// behind reports whether the fold is known to lack records, or has not been read at all.
-func (p *Partition) behind() bool {
+// isBehind reports whether the fold is known to lack records, or has not been read at all.
+func (p *Partition) isBehind() bool {
 	missing, ok := p.MissingBytes()
 	return missing > 0 || !ok
 }
