--- a/internal/batches/ledger/ledger.go
+++ b/internal/batches/ledger/ledger.go
@@ -115,7 +115,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, p := range l.partitions {
-		if now.Sub(p.usedAt) > unusedFoldTTL && p.idle() {
+		if now.Sub(p.usedAt) > unusedFoldTTL && p.isIdle() {
 			delete(l.partitions, name)
 		}
 	}
--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -77,8 +77,8 @@
 // Name returns the journal partition.
 func (p *Partition) Name() journal.Partition { return p.name }
 
-// idle reports whether nobody uses the fold.
-func (p *Partition) idle() bool {
+// isIdle reports whether nobody uses the fold.
+func (p *Partition) isIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.followers == 0 && len(p.pending) == 0 && !p.reading
