--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -25,7 +25,7 @@
 // call came. Calls at the same time share reads. The error wraps ErrBehind.
 func (p *Partition) CatchUp(ctx context.Context) error {
 	p.mu.Lock()
-	wanted := p.reads + 1
+	wanted := p.readsStarted + 1
 	for p.done < wanted {
 		if !p.reading {
 			p.startRead()
@@ -50,8 +50,8 @@
 
 // startRead begins a catch-up read. The mutex is held.
 func (p *Partition) startRead() {
-	p.reads++
-	number := p.reads
+	p.readsStarted++
+	number := p.readsStarted
 	p.reading = true
 	p.readEnded = make(chan struct{})
 	go func() {
