--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -40,13 +40,13 @@
 	end                    int64
 	readBytes, readRecords int64
 
-	// Catch-up readsStarted. readsStarted counts those begun; done is the newest that succeeded, failed the
+	// Catch-up readsStarted. readsStarted counts those begun; lastSucceededRead is the newest that succeeded, failed the
 	// newest that did not, with readErr. While reading, one is under way, and readEnded is closed
 	// at its end.
-	readsStarted, done, failed uint64
-	readErr                    error
-	reading                    bool
-	readEnded                  chan struct{}
+	readsStarted, lastSucceededRead, failed uint64
+	readErr                                 error
+	reading                                 bool
+	readEnded                               chan struct{}
 
 	// followers counts those who have the partition followed.
 	followers  int
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -26,7 +26,7 @@
 func (p *Partition) CatchUp(ctx context.Context) error {
 	p.mu.Lock()
 	wanted := p.readsStarted + 1
-	for p.done < wanted {
+	for p.lastSucceededRead < wanted {
 		if !p.reading {
 			p.startRead()
 		}
@@ -38,7 +38,7 @@
 		case <-ended:
 		}
 		p.mu.Lock()
-		if p.done < wanted && p.failed >= wanted {
+		if p.lastSucceededRead < wanted && p.failed >= wanted {
 			err := p.readErr
 			p.mu.Unlock()
 			return errors.Wrap(ErrBehind, err.Error())
@@ -60,7 +60,7 @@
 		defer p.mu.Unlock()
 		p.reading = false
 		if err == nil {
-			p.done = number
+			p.lastSucceededRead = number
 		} else {
 			p.failed, p.readErr = number, err
 		}
