--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -40,13 +40,13 @@
 	end                    int64
 	readBytes, readRecords int64
 
-	// Catch-up readsStarted. readsStarted counts those begun; lastSucceededRead is the newest that succeeded, failed the
+	// Catch-up readsStarted. readsStarted counts those begun; lastSucceededRead is the newest that succeeded, lastFailedRead the
 	// newest that did not, with readErr. While reading, one is under way, and readEnded is closed
 	// at its end.
-	readsStarted, lastSucceededRead, failed uint64
-	readErr                                 error
-	reading                                 bool
-	readEnded                               chan struct{}
+	readsStarted, lastSucceededRead, lastFailedRead uint64
+	readErr                                         error
+	reading                                         bool
+	readEnded                                       chan struct{}
 
 	// followers counts those who have the partition followed.
 	followers  int
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -38,7 +38,7 @@
 		case <-ended:
 		}
 		p.mu.Lock()
-		if p.lastSucceededRead < wanted && p.failed >= wanted {
+		if p.lastSucceededRead < wanted && p.lastFailedRead >= wanted {
 			err := p.readErr
 			p.mu.Unlock()
 			return errors.Wrap(ErrBehind, err.Error())
@@ -62,7 +62,7 @@
 		if err == nil {
 			p.lastSucceededRead = number
 		} else {
-			p.failed, p.readErr = number, err
+			p.lastFailedRead, p.readErr = number, err
 		}
 		close(p.readEnded)
 	}()
