--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -14,9 +14,9 @@
 const (
 	// readTimeout bounds a read beyond the time that it waits for records.
 	readTimeout = questiontime.Read
-	// pageBytes bounds the answer to a read: a link of 60 Mbit/s takes 35 ms for it. Each
+	// defaultPageBytes bounds the answer to a read: a link of 60 Mbit/s takes 35 ms for it. Each
 	// answer is folded, so that a read that fails costs no more than this.
-	pageBytes = 256 << 10
+	defaultPageBytes = 256 << 10
 	// pageRecords is how many of the longest records an answer has room for at least.
 	pageRecords = 2
 )
