--- a/internal/batches/ledger/ledger.go
+++ b/internal/batches/ledger/ledger.go
@@ -84,7 +84,7 @@
 
 // MaxPageBytes is how many bytes a read of a partition brings at most.
 func (l *Ledger) MaxPageBytes() int {
-	return max(defaultPageBytes, pageRecords*l.journal.MaxRecordBytes())
+	return max(defaultPageBytes, minPageRecords*l.journal.MaxRecordBytes())
 }
 
 // PartitionOf returns the partition that holds a batch.
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -17,8 +17,8 @@
 	// defaultPageBytes bounds the answer to a read: a link of 60 Mbit/s takes 35 ms for it. Each
 	// answer is folded, so that a read that fails costs no more than this.
 	defaultPageBytes = 256 << 10
-	// pageRecords is how many of the longest records an answer has room for at least.
-	pageRecords = 2
+	// minPageRecords is how many of the longest records an answer has room for at least.
+	minPageRecords = 2
 )
 
 // CatchUp returns once the fold holds all that was in the partition when the
