--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -106,12 +106,12 @@
 		return unknownEnd, nil
 	}
 	p.fold(from, read.Records)
-	p.noteRead(read, err == nil)
+	p.updateReadStats(read, err == nil)
 	return read.End, err
 }
 
-// noteRead counts what a read brought, whole or until it broke off.
-func (p *Partition) noteRead(read journal.Records, whole bool) {
+// updateReadStats counts what a read brought, whole or until it broke off.
+func (p *Partition) updateReadStats(read journal.Records, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, record := range read.Records {
