--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -290,7 +290,7 @@
 	is.True(!exists(p, "b"))
 	p.fold(0, [][]byte{first, second})
 	is.True(exists(p, "b"))
-	is.Equal(p.next(), int64(2))
+	is.Equal(p.nextOffset(), int64(2))
 }
 
 // paged is a journal whose reads bring one record at a time.
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -78,14 +78,14 @@
 		if target == unknownEnd {
 			target = end
 		}
-		if target != unknownEnd && p.next() >= target {
+		if target != unknownEnd && p.nextOffset() >= target {
 			return nil
 		}
 	}
 }
 
-// next returns the offset of the first record that is not folded yet.
-func (p *Partition) next() int64 {
+// nextOffset returns the offset of the first record that is not folded yet.
+func (p *Partition) nextOffset() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.state.NextOffset()
@@ -95,7 +95,7 @@
 // that broke off. At the partition's end the read waits for records. It returns the end that
 // was told, noEnd if none was.
 func (p *Partition) readOnce(ctx context.Context, wait time.Duration) (end int64, err error) {
-	from := p.next()
+	from := p.nextOffset()
 	bounded, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
 	req := journal.Read{Partition: p.name, From: from, Wait: wait, MaxBytes: p.ledger.MaxPageBytes()}
