--- a/internal/batches/ledger/follow.go
+++ b/internal/batches/ledger/follow.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// followWait is how long a read at the partition's end waits for records.
-	followWait = time.Second
+	// followPollTimeout is how long a read at the partition's end waits for records.
+	followPollTimeout = time.Second
 	// followPause is the pause after a failed read.
 	followPause = 200 * time.Millisecond
 )
@@ -47,7 +47,7 @@
 		if p.isBehind() {
 			err = p.CatchUp(ctx)
 		} else {
-			_, err = p.readOnce(ctx, followWait)
+			_, err = p.readOnce(ctx, followPollTimeout)
 		}
 		if err != nil {
 			// It is tried again; that the journal does not answer is logged by those who call it.
