--- a/internal/batches/ledger/follow.go
+++ b/internal/batches/ledger/follow.go
@@ -13,8 +13,8 @@
 const (
 	// followPollTimeout is how long a read at the partition's end waits for records.
 	followPollTimeout = time.Second
-	// followPause is the pause after a failed read.
-	followPause = 200 * time.Millisecond
+	// followRetryDelay is the pause after a failed read.
+	followRetryDelay = 200 * time.Millisecond
 )
 
 // Follow keeps the fold up to date until the returned function is called.
@@ -52,7 +52,7 @@
 		if err != nil {
 			// It is tried again; that the journal does not answer is logged by those who call it.
 			p.ledger.logger.Debug("partition not followed", zap.Inline(p), zap.Error(err))
-			periodic.Pause(ctx, followPause)
+			periodic.Pause(ctx, followRetryDelay)
 		}
 	}
 }
