--- a/internal/batches/ledger/append.go
+++ b/internal/batches/ledger/append.go
@@ -49,7 +49,7 @@
 	limit := p.ledger.journal.MaxAppendBytes()
 	current := &appendCall{done: make(chan error, 1)}
 	appends := []*appendCall{current}
-	for _, fragment := range batch.Fragment(record, p.ledger.journal.MaxRecordBytes(), newKey()) {
+	for _, fragment := range batch.Fragment(record, p.ledger.journal.MaxRecordBytes(), newFragmentKey()) {
 		size := len(fragment) + recordOverhead
 		if current.size > 0 && current.size+size > limit {
 			current = &appendCall{done: make(chan error, 1)}
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// newKey returns a name for the fragments of one record that no other has.
-func newKey() string {
+// newFragmentKey returns a name for the fragments of one record that no other has.
+func newFragmentKey() string {
 	var random [9]byte
 	_, _ = rand.Read(random[:]) // It never fails.
 	return hex.EncodeToString(random[:])
