--- a/internal/batches/ledger/append.go
+++ b/internal/batches/ledger/append.go
@@ -85,7 +85,7 @@
 		if len(calls) == 0 {
 			return
 		}
-		err := p.appendTogether(calls)
+		err := p.appendCalls(calls)
 		for _, call := range calls {
 			call.done <- err
 		}
@@ -114,8 +114,8 @@
 	return calls
 }
 
-// appendTogether makes one append for several calls, and folds its records.
-func (p *Partition) appendTogether(calls []*appendCall) error {
+// appendCalls makes one append for several calls, and folds its records.
+func (p *Partition) appendCalls(calls []*appendCall) error {
 	var records [][]byte
 	for _, call := range calls {
 		records = append(records, call.records...)
