--- a/internal/batches/ledger/append.go
+++ b/internal/batches/ledger/append.go
@@ -37,11 +37,11 @@
 	appends := p.splitAppends(record)
 	last := len(appends) - 1
 	for _, part := range appends[:last] {
-		if err := p.appendPart(ctx, part); err != nil {
+		if err := p.appendAndWait(ctx, part); err != nil {
 			return errors.Wrap(ErrNotDone, err.Error())
 		}
 	}
-	return p.appendPart(ctx, appends[last])
+	return p.appendAndWait(ctx, appends[last])
 }
 
 // splitAppends cuts a record into as many appends as the journal makes necessary.
@@ -61,8 +61,8 @@
 	return appends
 }
 
-// appendPart hands a call to the appends of the partition and waits for its outcome.
-func (p *Partition) appendPart(ctx context.Context, call *appendCall) error {
+// appendAndWait hands a call to the appends of the partition and waits for its outcome.
+func (p *Partition) appendAndWait(ctx context.Context, call *appendCall) error {
 	p.mu.Lock()
 	p.pending = append(p.pending, call)
 	if !p.appending {
