--- a/internal/batches/ledger/append.go
+++ b/internal/batches/ledger/append.go
@@ -15,8 +15,8 @@
 const (
 	// appendTimeout bounds one append.
 	appendTimeout = 1500 * time.Millisecond
-	// recordOverhead is what the journal adds to a record in an append, in bytes.
-	recordOverhead = 4
+	// recordOverheadBytes is what the journal adds to a record in an append, in bytes.
+	recordOverheadBytes = 4
 )
 
 // appendCall is a record, or a part of one, that waits for its append.
@@ -50,7 +50,7 @@
 	current := &appendCall{done: make(chan error, 1)}
 	appends := []*appendCall{current}
 	for _, fragment := range batch.Fragment(record, p.ledger.journal.MaxRecordBytes(), newFragmentKey()) {
-		size := len(fragment) + recordOverhead
+		size := len(fragment) + recordOverheadBytes
 		if current.size > 0 && current.size+size > limit {
 			current = &appendCall{done: make(chan error, 1)}
 			appends = append(appends, current)
