--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -241,8 +241,8 @@
 	is.True(exists(p, "a"))
 }
 
-// Known returns the partitions whose folds are held.
-func (l *Ledger) Known() []*Partition {
+// loadedPartitions returns the partitions whose folds are held.
+func (l *Ledger) loadedPartitions() []*Partition {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	partitions := make([]*Partition, 0, len(l.partitions))
@@ -267,14 +267,14 @@
 		batches.PartitionOf("b")
 		synctest.Wait()
 		batches.Sweep(time.Now().Add(2 * unusedFoldTTL))
-		is.Equal(len(batches.Known()), 1)
+		is.Equal(len(batches.loadedPartitions()), 1)
 		release()
 		batches.Sweep(time.Now().Add(2 * unusedFoldTTL))
-		is.Equal(len(batches.Known()), 1) // It is being read.
+		is.Equal(len(batches.loadedPartitions()), 1) // It is being read.
 		time.Sleep(time.Second)
 		synctest.Wait()
 		batches.Sweep(time.Now().Add(2 * unusedFoldTTL))
-		is.Equal(len(batches.Known()), 0)
+		is.Equal(len(batches.loadedPartitions()), 0)
 	})
 }
 
