--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -293,10 +293,10 @@
 	is.Equal(p.nextOffset(), int64(2))
 }
 
-// paged is a journal whose reads bring one record at a time.
-type paged struct{ *journaltest.Journal }
+// singleRecordJournal is a journal whose reads bring one record at a time.
+type singleRecordJournal struct{ *journaltest.Journal }
 
-func (p paged) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+func (p singleRecordJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	read, err := p.Journal.Read(ctx, request)
 	read.Records = read.Records[:min(len(read.Records), 1)]
 	return read, err
@@ -309,7 +309,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		log := paged{journaltest.New()}
+		log := singleRecordJournal{journaltest.New()}
 		writer := New(ctx, log, zap.NewNop()).PartitionOf("a")
 		is.NoErr(writer.Append(ctx, batch.Accepted(submission("a"), "one")))
 		is.NoErr(writer.Append(ctx, batch.Ended("a", "")))
