--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -64,7 +64,7 @@
 
 // Ask implements results.Peers.
 func (r *restarted) Ask(ctx context.Context, machine, method string, args, answer any) error {
-	at := slices.IndexFunc(r.Runs, func(run string) bool { return identity.Machine(run) == machine })
+	at := slices.IndexFunc(r.Incarnations, func(run string) bool { return identity.Machine(run) == machine })
 	if page, ok := answer.(*results.Page); ok && method == "Results.Samples" {
 		err := r.services[at].Samples(args.(results.Query), page)
 		return cmp.Or(err, r.send(ctx, at, page))
@@ -109,7 +109,7 @@
 	}
 	r.log.Limit(restartJournal)
 	r.Fleet = ledgertest.Start(ctx, r.log, restartDaemons, restartLink)
-	for i, run := range r.Runs {
+	for i, run := range r.Incarnations {
 		reader := results.NewReader(r.Ledgers[i], r, r, r.log.Grants(), run, zap.NewNop())
 		r.services, r.links = append(r.services, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
 		r.desks = append(r.desks, New(reader, endsWith{r.Ledgers[i], nil}, rollout.ItemHeaders{}, zap.NewNop()))
--- a/internal/batches/ledger/ledgertest/fleet.go
+++ b/internal/batches/ledger/ledgertest/fleet.go
@@ -23,9 +23,9 @@
 
 // Fleet is a number of daemons that have just started.
 type Fleet struct {
-	// Runs are the incarnations of the daemons, on machines m0, m1 and so on.
-	Runs    []string
-	Ledgers []*ledger.Ledger
+	// Incarnations are the incarnations of the daemons, on machines m0, m1 and so on.
+	Incarnations []string
+	Ledgers      []*ledger.Ledger
 	// Dealt has for each partition the index of the daemon that watches it.
 	Dealt map[journal.Partition]int
 
@@ -36,7 +36,7 @@
 func Start(ctx context.Context, log *journaltest.Journal, daemons int, link float64) *Fleet {
 	f := &Fleet{log: log, Dealt: map[journal.Partition]int{}}
 	for i := range daemons {
-		f.Runs = append(f.Runs, identity.New(fmt.Sprint("m", i), time.Now()))
+		f.Incarnations = append(f.Incarnations, identity.New(fmt.Sprint("m", i), time.Now()))
 		f.Ledgers = append(f.Ledgers, ledger.New(ctx, log.Behind(link), zap.NewNop()))
 	}
 	return f
@@ -47,7 +47,7 @@
 	for _, topic := range ledger.TopicNames() {
 		for number := range f.log.Partitions {
 			name := journal.Partition{Topic: topic, Number: number}
-			f.Dealt[name] = len(f.Dealt) % len(f.Runs)
+			f.Dealt[name] = len(f.Dealt) % len(f.Incarnations)
 			f.Ledgers[f.Dealt[name]].Partition(name).Follow()
 		}
 	}
@@ -59,8 +59,8 @@
 	if !ok {
 		return "", false
 	}
-	return f.Runs[at], true
+	return f.Incarnations[at], true
 }
 
 // Daemons is how many daemons there are.
-func (f *Fleet) Daemons() int { return len(f.Runs) }
+func (f *Fleet) Daemons() int { return len(f.Incarnations) }
