--- a/internal/batches/ledger/ledgertest/fleet.go
+++ b/internal/batches/ledger/ledgertest/fleet.go
@@ -26,15 +26,15 @@
 	// Incarnations are the incarnations of the daemons, on machines m0, m1 and so on.
 	Incarnations []string
 	Ledgers      []*ledger.Ledger
-	// Dealt has for each partition the index of the daemon that watches it.
-	Dealt map[journal.Partition]int
+	// WatcherIndex has for each partition the index of the daemon that watches it.
+	WatcherIndex map[journal.Partition]int
 
 	log *journaltest.Journal
 }
 
 // Start starts daemons before a journal, each behind a link that carries so many bytes a second.
 func Start(ctx context.Context, log *journaltest.Journal, daemons int, link float64) *Fleet {
-	f := &Fleet{log: log, Dealt: map[journal.Partition]int{}}
+	f := &Fleet{log: log, WatcherIndex: map[journal.Partition]int{}}
 	for i := range daemons {
 		f.Incarnations = append(f.Incarnations, identity.New(fmt.Sprint("m", i), time.Now()))
 		f.Ledgers = append(f.Ledgers, ledger.New(ctx, log.Behind(link), zap.NewNop()))
@@ -47,15 +47,15 @@
 	for _, topic := range ledger.TopicNames() {
 		for number := range f.log.Partitions {
 			name := journal.Partition{Topic: topic, Number: number}
-			f.Dealt[name] = len(f.Dealt) % len(f.Incarnations)
-			f.Ledgers[f.Dealt[name]].Partition(name).Follow()
+			f.WatcherIndex[name] = len(f.WatcherIndex) % len(f.Incarnations)
+			f.Ledgers[f.WatcherIndex[name]].Partition(name).Follow()
 		}
 	}
 }
 
 // WatcherOf returns the incarnation that watches a partition.
 func (f *Fleet) WatcherOf(_ context.Context, partition journal.Partition) (string, bool) {
-	at, ok := f.Dealt[partition]
+	at, ok := f.WatcherIndex[partition]
 	if !ok {
 		return "", false
 	}
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -58,7 +58,7 @@
 	}
 	d.log.Limit(restartJournal)
 	fleet := ledgertest.Start(ctx, d.log, restartDaemons, restartLink)
-	d.runs, d.ledgers, d.dealt = fleet.Incarnations, fleet.Ledgers, fleet.Dealt
+	d.runs, d.ledgers, d.dealt = fleet.Incarnations, fleet.Ledgers, fleet.WatcherIndex
 	for i, run := range d.runs {
 		d.readers = append(d.readers, NewReader(d.ledgers[i], d, d, d.log.Grants(), run, logger))
 	}
