--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -114,7 +114,7 @@
 		r.services, r.links = append(r.services, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
 		r.desks = append(r.desks, New(reader, endsWith{r.Ledgers[i], nil}, rollout.ItemHeaders{}, zap.NewNop()))
 	}
-	r.Deal()
+	r.AssignPartitions()
 	return r
 }
 
--- a/internal/batches/ledger/ledgertest/fleet.go
+++ b/internal/batches/ledger/ledgertest/fleet.go
@@ -42,8 +42,8 @@
 	return f
 }
 
-// Deal deals all partitions to the daemons in turn, and has them followed there.
-func (f *Fleet) Deal() {
+// AssignPartitions deals all partitions to the daemons in turn, and has them followed there.
+func (f *Fleet) AssignPartitions() {
 	for _, topic := range ledger.TopicNames() {
 		for number := range f.log.Partitions {
 			name := journal.Partition{Topic: topic, Number: number}
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -62,7 +62,7 @@
 	for i, run := range d.runs {
 		d.readers = append(d.readers, NewReader(d.ledgers[i], d, d, d.log.Grants(), run, logger))
 	}
-	fleet.Deal()
+	fleet.AssignPartitions()
 	return d
 }
 
