--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -5,49 +5,50 @@
 	"slices"
 )
 
-// State is the fold of one partition up to an offset.
+// State is the fold of one partition: the batches that result from its records up to an offset.
+// It is not safe for concurrent use.
 type State struct {
 	batches   map[string]*Batch
 	fragments map[string]*fragments
-	// next is the offset of the next record.
+	// next is the offset of the first record that is not applied yet.
 	next int64
 }
 
-// fragments are the parts of one long record seen so far.
+// fragments collects the fragments of one record, in order.
 type fragments struct {
-	// offset is that of the first part.
+	// offset is the partition offset of the first fragment.
 	offset int64
 	next   int
 	bytes  []byte
 }
 
-// NewStateAt returns a state that knows nothing of the records before an offset. Of a batch
-// it knows all if it begins no later than the batch does, see Batch.Offset.
+// NewStateAt returns an empty state whose first record will be the one at an offset. Its view of
+// a batch is complete if that offset is not after Batch.Offset.
 func NewStateAt(offset int64) *State {
 	return &State{batches: map[string]*Batch{}, fragments: map[string]*fragments{}, next: offset}
 }
 
-// NextOffset returns the offset of the first record that is not folded yet.
+// NextOffset returns the offset of the first record that is not applied yet.
 func (s *State) NextOffset() int64 { return s.next }
 
-// SkipTo passes over the records before an offset, which are gone.
+// SkipTo continues at a later offset, because the journal has trimmed the records before it.
 func (s *State) SkipTo(offset int64) { s.next = offset }
 
-// Get returns a batch.
+// Get returns the batch with an id, and whether there is one.
 func (s *State) Get(id string) (*Batch, bool) {
 	b, ok := s.batches[id]
 	return b, ok
 }
 
-// ForEach calls visit for each batch.
+// ForEach calls visit for each batch, in no particular order.
 func (s *State) ForEach(visit func(*Batch)) {
 	for _, b := range s.batches {
 		visit(b)
 	}
 }
 
-// Apply folds the next record. A record that is malformed or not valid in this
-// state changes nothing: the same holds for every reader. The error is that of a
+// Apply applies the next record. A record that is malformed, or not valid in this state, advances
+// the offset and changes nothing else, so that all readers agree. An error is returned only for a
 // malformed record.
 func (s *State) Apply(encoded []byte) error {
 	offset := s.next
@@ -55,7 +56,7 @@
 	return s.apply(encoded, offset)
 }
 
-// apply folds a record that begins at an offset.
+// apply applies a record that begins at an offset.
 func (s *State) apply(encoded []byte, offset int64) error {
 	rec, err := decode(encoded)
 	if err != nil {
@@ -76,8 +77,9 @@
 	return nil
 }
 
-// joinFragment adds a fragment and returns the whole record once it has all parts, with the offset
-// of the first one. Parts come in order, as one append is all or nothing and in one piece.
+// joinFragment adds a fragment. Once all fragments of a record are there it returns the record and
+// the offset of its first fragment. Fragments of one key arrive in order, as an append is atomic
+// and contiguous and those of one record follow one another. A fragment out of order is ignored.
 func (s *State) joinFragment(rec record, offset int64) (whole []byte, begins int64) {
 	parts := s.fragments[rec.Key]
 	if parts == nil {
@@ -96,8 +98,7 @@
 	return parts.bytes, parts.offset
 }
 
-// accept makes a batch exist. A second acceptance of the same id is a repeat
-// of the first one and changes nothing.
+// accept creates a batch. An id that exists already marks a repeated append, which is ignored.
 func (s *State) accept(rec record, offset int64) {
 	if rec.Submission == nil || rec.Submission.ID != rec.BatchID {
 		return
@@ -113,7 +114,7 @@
 	}
 }
 
-// apply folds a record about the batch.
+// apply applies a record of the batch.
 func (b *Batch) apply(rec record) {
 	switch rec.Kind {
 	case kindHeartbeat:
@@ -128,8 +129,8 @@
 	case kindResults:
 		b.addResults(rec.Results)
 	case kindTakenOver:
-		// A takeover counts only against the owner it names, so that of two
-		// at the same time one wins for every reader.
+		// A takeover takes effect only against the owner it names: of two concurrent ones
+		// the first wins, for every reader.
 		if rec.From == b.Owner && !b.Ended {
 			b.takeOver(rec)
 		}
@@ -148,8 +149,9 @@
 	}
 }
 
-// takeOver replaces the owner. What an owner before had handed off was left to it once:
-// one that replaces an owner that did not release the batch does not wait again.
+// takeOver replaces the owner. Items handed off by a release remain with the owner that released the
+// batch. A takeover from an owner that did not release the batch clears them, so that no later owner
+// waits for them again.
 func (b *Batch) takeOver(rec record) {
 	if b.Owner != "" {
 		b.HandedOffItems, b.handedOffBy = nil, ""
@@ -158,7 +160,7 @@
 	b.LivenessSignals++
 }
 
-// release leaves the batch without an owner. Its owner still finishes what it names.
+// release removes the owner, which still finishes the items that the record names.
 func (b *Batch) release(rec record) {
 	b.Owner, b.lastHeartbeat, b.handedOffBy = "", 0, rec.From
 	b.HandedOffItems = make(map[int]bool, len(rec.HandedOff))
@@ -167,7 +169,8 @@
 	}
 }
 
-// returnItems takes items off those that the owner before still finishes.
+// returnItems removes items from those that the previous owner still finishes. Readers may hold
+// the old map, so it is replaced.
 func (b *Batch) returnItems(items []int) {
 	left := maps.Clone(b.HandedOffItems)
 	for _, item := range items {
@@ -176,9 +179,9 @@
 	b.HandedOffItems = left
 }
 
-// countLivenessSignal counts a sign of life of the owner. One that reached the journal late, after
-// a newer one, says nothing: its owner may have ended since. Records without a
-// number are those of earlier versions of this program.
+// countLivenessSignal counts a heartbeat or a checkpoint of the owner. One that is appended after a
+// newer one is ignored, as its owner may have ended since. Records of earlier versions of this
+// program have no number and are always counted.
 func (b *Batch) countLivenessSignal(rec record) {
 	if rec.Owner != b.Owner || rec.Number != 0 && rec.Number <= b.lastHeartbeat {
 		return
@@ -187,9 +190,9 @@
 	b.LivenessSignals++
 }
 
-// addProgress keeps a further part of an item's text. It counts only if it joins
-// what is kept: an owner's records may be doubled or late, but what they say of
-// one event is the same each time.
+// addProgress appends events to an item's partial text. Events that overlap with the stored ones are
+// dropped, since an owner's records may be repeated or late but agree on each event. Progress that
+// would leave a gap is ignored.
 func (b *Batch) addProgress(progress Progress) {
 	if !b.isUnfinished(progress.Item) || !b.versionsAllowed(progress.Versions) {
 		return
@@ -203,13 +206,13 @@
 		b.Partials = map[int]Partial{}
 	}
 	b.Partials[progress.Item] = Partial{
-		Events:    slices.Concat(kept.Events, progress.Events[overlap:]), // readers may hold the slice before
+		Events:    slices.Concat(kept.Events, progress.Events[overlap:]), // readers may hold the old slice
 		LastEvent: progress.LastEvent,
 		Versions:  progress.Versions,
 	}
 }
 
-// addResults lists results. Those that were not listed before show the owner alive.
+// addResults adds results. New ones show that an owner is alive.
 func (b *Batch) addResults(results []Result) {
 	before := len(b.Results)
 	for _, result := range results {
@@ -220,8 +223,7 @@
 	}
 }
 
-// addResult gives a result the next position if its item has none and the batch is
-// open.
+// addResult appends a valid result unless its item already has one or the batch has ended.
 func (b *Batch) addResult(result Result) {
 	valid := result.Outcome == Dead || result.Outcome == Done && b.versionsAllowed(result.Versions)
 	if !valid || !b.isUnfinished(result.Item) {
@@ -232,18 +234,19 @@
 	b.Results = append(b.Results, result)
 }
 
-// isUnfinished reports whether the batch is open and an item of it has no position yet.
+// isUnfinished reports whether the batch has not ended and the item at an index exists and has no
+// result yet.
 func (b *Batch) isUnfinished(item int) bool {
 	return !b.Ended && item >= 0 && item < len(b.HasResult) && !b.HasResult[item]
 }
 
-// versionsAllowed reports whether all versions are new enough for the batch.
+// versionsAllowed reports whether no version is older than the batch's MinVersion.
 func (b *Batch) versionsAllowed(versions []int64) bool {
 	return !slices.ContainsFunc(versions, func(version int64) bool { return version < b.MinVersion })
 }
 
-// end closes the batch. Bodies are not needed any more and are dropped; the ids
-// stay, as results are returned under them.
+// end ends the batch and frees the requests of its items. The ids stay, since results are delivered
+// under them.
 func (b *Batch) end() {
 	if b.Ended {
 		return
--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// drawProgress draws a part of the text that each item has: event n is byte n.
+// drawProgress draws events of an item whose whole text is known: event n is the byte n.
 func drawProgress(t *rapid.T) Progress {
 	from := rapid.IntRange(-1, 6).Draw(t, "from")
 	p := Progress{
@@ -50,8 +50,7 @@
 	return p
 }
 
-// drawRecord draws any record that a daemon, also a stale or paused one, could
-// append.
+// drawRecord draws any record that a daemon may append, including a stale or paused one.
 func drawRecord(t *rapid.T) []byte {
 	id := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "batch")
 	owner := rapid.SampledFrom([]string{"", "one", "two", "three"})
@@ -75,10 +74,9 @@
 	}
 }
 
-// An owner that released a batch gives items back one by one, also after another has taken
-// it over. Only its own word counts, and only until an owner is replaced that had not
-// released the batch.
-func TestItemsHandedOverAreGivenBack(t *testing.T) {
+// Handed-off items stay reserved for the old owner unless that owner itself returns them, or the new
+// owner is replaced without a release.
+func TestHandedOffItemsAreReturned(t *testing.T) {
 	is := is.New(t)
 	state := NewStateAt(0)
 	handed := func() map[int]bool {
@@ -102,10 +100,9 @@
 	is.Equal(len(handed()), 0)
 }
 
-// Whatever daemons append, in whatever order: an accepted batch stays, a
-// position keeps its result, an item has one position, results fit the batch,
-// nothing is listed after the end, and the items keep their bodies until then.
-func TestFoldKeepsItsPromises(t *testing.T) {
+// Whatever daemons append, in any order: an accepted batch stays, results keep their positions and
+// are unique and valid, an ended batch gets none, and bodies are kept until the end.
+func TestFoldKeepsItsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := NewStateAt(0)
 		listed := map[string][]Result{}
@@ -128,34 +125,35 @@
 	})
 }
 
+// checkBatch checks the invariants of a batch against its results and end before the last record.
 func checkBatch(t *rapid.T, b *Batch, before []Result, ended bool) {
 	if len(b.Results) < len(before) ||
 		!reflect.DeepEqual(b.Results[:len(before)], append([]Result(nil), before...)) && len(before) > 0 {
-		t.Fatalf("positions changed: %v, then %v", before, b.Results)
+		t.Fatalf("positions changed from %v to %v", before, b.Results)
 	}
 	if ended && (len(b.Results) != len(before) || !b.Ended) {
-		t.Fatal("a batch went on after its end")
+		t.Fatal("the batch changed after its end")
 	}
 	checkResults(t, b)
 	checkPartials(t, b)
 	for i, it := range b.Items {
 		if !b.Ended && (len(it.Body) != 1 || it.Body[0] != byte(i)) {
-			t.Fatal("a body is gone before the end")
+			t.Fatal("a body was dropped before the end of the batch")
 		}
 	}
 }
 
-// checkResults checks that each result is of an item of the batch, the only one, and of versions
-// that are new enough.
+// checkResults checks that each item has at most one result, that the item exists, and that the
+// versions are allowed.
 func checkResults(t *rapid.T, b *Batch) {
 	seen := map[int]bool{}
 	for _, result := range b.Results {
 		if seen[result.Item] {
-			t.Fatalf("item %d has two positions", result.Item)
+			t.Fatalf("item %d has two results", result.Item)
 		}
 		seen[result.Item] = true
 		if result.Item < 0 || result.Item >= b.ItemCount() {
-			t.Fatalf("item %d is not of this batch", result.Item)
+			t.Fatalf("item %d is not in the batch", result.Item)
 		}
 		for _, version := range result.Versions {
 			if result.Outcome == Done && version < b.MinVersion {
@@ -165,32 +163,32 @@
 	}
 }
 
-// checkPartials checks that beginnings are kept whole, of items that are open and of versions that
-// are new enough.
+// checkPartials checks that partials are contiguous, belong to unfinished items and have allowed
+// versions.
 func checkPartials(t *rapid.T, b *Batch) {
 	for i, partial := range b.Partials {
 		if b.Ended || b.HasResult[i] {
-			t.Fatal("a beginning is kept of an item that has ended")
+			t.Fatal("a partial is kept for a finished item")
 		}
 		for n, event := range partial.Events {
 			if event[0] != byte(n) {
-				t.Fatalf("item %d: event %d stands where %d should", i, event[0], n)
+				t.Fatalf("item %d: got event %d, want %d", i, event[0], n)
 			}
 		}
 		if partial.LastEvent != int64(len(partial.Events)-1) {
-			t.Fatalf("item %d: last event %d of %d", i, partial.LastEvent, len(partial.Events))
+			t.Fatalf("item %d: last event is %d of %d events", i, partial.LastEvent, len(partial.Events))
 		}
 		for _, version := range partial.Versions {
 			if version < b.MinVersion {
-				t.Fatalf("a beginning of version %d is kept", version)
+				t.Fatalf("a partial of version %d is kept, which is too old", version)
 			}
 		}
 	}
 }
 
-// Two readers of the same records hold the same state, also when one of them
-// read some in a row and the other one by one, and long records in fragments.
-func TestReadersAgreeAndFragmentsChangeNothing(t *testing.T) {
+// Two readers of the same records must hold the same state, also when one of them reads the records
+// in fragments.
+func TestReadersAgreeWithAndWithoutFragments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole, cut := NewStateAt(0), NewStateAt(0)
 		for i, encoded := range rapid.SliceOfN(rapid.Custom(drawRecord), 1, 30).Draw(t, "records") {
@@ -203,12 +201,12 @@
 			t.Fatal("states differ")
 		}
 		if len(cut.fragments) > 0 {
-			t.Fatal("fragments are left over")
+			t.Fatal("fragments are left")
 		}
 	})
 }
 
-func TestOfTwoTakeoversOneCounts(t *testing.T) {
+func TestFirstOfTwoTakeoversWins(t *testing.T) {
 	is := is.New(t)
 	state := NewStateAt(0)
 	state.Apply(Accepted(submission("a", 2, 0), "one"))
@@ -229,6 +227,7 @@
 	})
 }
 
+// FuzzApply checks that no record, however malformed, panics or removes a batch.
 func FuzzApply(f *testing.F) {
 	f.Add(Accepted(submission("a", 2, 0), "one"))
 	f.Add(ResultsAdded("a", []Result{{Item: 1, Outcome: Done, Text: []byte("x"), Versions: []int64{2}}}))
@@ -242,7 +241,7 @@
 	})
 }
 
-// BenchmarkApply folds a step of 1,000 items with texts of 10 KB.
+// BenchmarkApply applies the records of a batch of 1,000 items with texts of 10 KB.
 func BenchmarkApply(b *testing.B) {
 	records := [][]byte{Accepted(submission("a", 1000, 0), "one")}
 	for item := range 1000 {
@@ -259,7 +258,7 @@
 	}
 }
 
-// livenessSignalsAfter counts the signs of life that records add to a batch of owner a.
+// livenessSignalsAfter returns the liveness signals of a batch accepted by owner a after the records.
 func livenessSignalsAfter(records ...[]byte) int64 {
 	state := NewStateAt(0)
 	state.Apply(Accepted(&Submission{ID: "x", Items: []Item{{ID: "i"}, {ID: "j"}}}, "a"))
@@ -270,10 +269,9 @@
 	return b.LivenessSignals
 }
 
-// Signs that reach the journal late, and doubles, do not show the owner alive: the
-// store may do seconds later what it did not answer (own day all-at-once: batches of
-// owners that were gone stayed with them for seconds).
-func TestLateSignsDoNotShowTheOwnerAlive(t *testing.T) {
+// A journal may append a heartbeat long after the call, when its owner is gone already. Late or
+// repeated records must not keep a batch with such an owner.
+func TestLateHeartbeatsAreNotLivenessSignals(t *testing.T) {
 	is := is.New(t)
 	is.Equal(livenessSignalsAfter(Heartbeat("x", "a", 1), Heartbeat("x", "a", 5)), int64(2))
 	is.Equal(livenessSignalsAfter(Heartbeat("x", "a", 5), Heartbeat("x", "a", 1), Heartbeat("x", "a", 5),
@@ -281,11 +279,11 @@
 	is.Equal(livenessSignalsAfter(Heartbeat("x", "b", 9), Heartbeat("x", "a", 1)), int64(1))
 	listed := ResultsAdded("x", []Result{{Item: 0, Outcome: Done}})
 	is.Equal(livenessSignalsAfter(listed, listed, listed), int64(1))
-	// Another owner counts from anew, and so does one that has the batch again.
+	// The numbers of a new owner start over, also if it owned the batch before.
 	is.Equal(livenessSignalsAfter(Heartbeat("x", "a", 7), TakenOver("x", "a", "b"), Heartbeat("x", "b", 2),
 		Heartbeat("x", "a", 9)), int64(3))
 	is.Equal(livenessSignalsAfter(Heartbeat("x", "a", 7), TakenOver("x", "a", "b"), TakenOver("x", "b", "a"),
 		Heartbeat("x", "a", 8)), int64(4))
-	// Records of programs that did not number their signs count all.
+	// Unnumbered records of earlier program versions are all counted.
 	is.Equal(livenessSignalsAfter(Heartbeat("x", "a", 0), Heartbeat("x", "a", 0)), int64(2))
 }
--- a/internal/batches/batch/golden_test.go
+++ b/internal/batches/batch/golden_test.go
@@ -7,7 +7,8 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestRecordsKeepTheirForm(t *testing.T) {
+// Stored records must stay readable: their encoding may not change.
+func TestRecordEncodingIsStable(t *testing.T) {
 	golden.CBOR[record](t, "record")
 	submission := golden.Filled[Submission]()
 	results, progress := golden.Filled[[]Result](), golden.Filled[[]Progress]()
--- a/internal/batches/batch/record.go
+++ b/internal/batches/batch/record.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// recordKind says what a record is.
+// recordKind is the type of a record. Its values are stored.
 type recordKind int
 
 const (
@@ -22,41 +22,44 @@
 	kindReturned
 )
 
-// record is one entry of a journal partition.
+// record is one entry of a journal partition. Which fields are set depends on Kind.
 type record struct {
 	Kind    recordKind `cbor:"1,keyasint"`
 	BatchID string     `cbor:"2,keyasint,omitempty"`
-	// Submission and Owner come with an acceptance.
+	// Submission is set in kindAccepted. Owner is the incarnation that owns the batch from this
+	// record on, or that sends a heartbeat or a checkpoint.
 	Submission *Submission `cbor:"3,keyasint,omitempty"`
 	Owner      string      `cbor:"4,keyasint,omitempty"`
 	Results    []Result    `cbor:"5,keyasint,omitempty"`
-	// From is the owner that a takeover or a release believes to replace.
+	// From is the owner that a takeover replaces, or that releases the batch or returns items.
+	// A takeover or release takes effect only if From is the owner at that point.
 	From string `cbor:"6,keyasint,omitempty"`
-	// HandedOff are the items that the releasing owner still finishes, or those of them
-	// that it gives back.
+	// HandedOff are the items that the releasing owner still finishes, or the items that it returns.
 	HandedOff []int `cbor:"7,keyasint,omitempty"`
-	// A fragment is a part of a record too long for the journal. Key is drawn
-	// anew for each append, so that parts of two appends are never joined.
+	// Key, Index, Count and Part are those of a fragment of a record that exceeds the journal's
+	// limit. Key is random and new for each append, so that fragments of two appends are never
+	// joined.
 	Key   string `cbor:"8,keyasint,omitempty"`
 	Index int    `cbor:"9,keyasint,omitempty"`
 	Count int    `cbor:"10,keyasint,omitempty"`
 	Part  []byte `cbor:"11,keyasint,omitempty"`
-	// Progress is what the owner has of items that run.
+	// Progress is set in kindProgress.
 	Progress []Progress `cbor:"12,keyasint,omitempty"`
-	// Number rises with each sign of life of one owner of a batch, from 1.
+	// Number increases with each heartbeat or checkpoint of one owner, starting at 1 or more. It is
+	// 0 in records of earlier versions of this program.
 	Number int64 `cbor:"13,keyasint,omitempty"`
-	// Tenant is whose caller ends the batch.
+	// Tenant is that of the caller that ends the batch.
 	Tenant string `cbor:"14,keyasint,omitempty"`
 }
 
-// fragmentOverhead is room for the fields around a fragment's bytes.
+// fragmentOverhead is reserved in each fragment for the fields other than Part, in bytes.
 const fragmentOverhead = 256
 
 func encode(rec record) []byte {
 	encoded, err := cbor.Marshal(rec)
 	if err != nil {
 		// All fields are plain values, which always encode.
-		panic(errors.Wrap(err, "batch: encode"))
+		panic(errors.Wrap(err, "batch: encode record"))
 	}
 	return encoded
 }
@@ -64,57 +67,57 @@
 func decode(encoded []byte) (record, error) {
 	var rec record
 	err := cbor.Unmarshal(encoded, &rec)
-	return rec, errors.Wrap(err, "batch: record")
+	return rec, errors.Wrap(err, "batch: decode record")
 }
 
-// Accepted is the record that makes a batch exist, owned by a daemon.
+// Accepted returns the encoded record that creates a batch with an owner.
 func Accepted(submission *Submission, owner string) []byte {
 	return encode(record{Kind: kindAccepted, BatchID: submission.ID, Submission: submission, Owner: owner})
 }
 
-// ResultsAdded is the record that gives results their positions.
+// ResultsAdded returns the encoded record that appends results to those of a batch.
 func ResultsAdded(batchID string, results []Result) []byte {
 	return encode(record{Kind: kindResults, BatchID: batchID, Results: results})
 }
 
-// TakenOver is the record that makes owner the owner in place of from.
+// TakenOver returns the encoded record that replaces one owner of a batch by another. The argument
+// from is "" for a batch that was released.
 func TakenOver(batchID, from, owner string) []byte {
 	return encode(record{Kind: kindTakenOver, BatchID: batchID, From: from, Owner: owner})
 }
 
-// Released is the record by which an owner releases a batch; the items in
-// handedOff it still finishes.
+// Released returns the encoded record that leaves a batch without an owner. The argument from is the
+// owner so far, which still finishes the items with the indexes in handedOff.
 func Released(batchID, from string, handedOff []int) []byte {
 	return encode(record{Kind: kindReleased, BatchID: batchID, From: from, HandedOff: handedOff})
 }
 
-// ItemsReturned is the record by which an owner that has released a batch gives back items
-// that it said it would still finish.
+// ItemsReturned returns the encoded record that leaves handed-off items to the next owner. The
+// argument from is the owner that released the batch and does not finish these items after all.
 func ItemsReturned(batchID, from string, items []int) []byte {
 	return encode(record{Kind: kindReturned, BatchID: batchID, From: from, HandedOff: items})
 }
 
-// Ended is the record after which nothing of the batch is run, if it belongs to the
-// tenant.
+// Ended returns the encoded record that ends a batch, provided that it belongs to the tenant.
 func Ended(batchID, tenant string) []byte {
 	return encode(record{Kind: kindEnded, BatchID: batchID, Tenant: tenant})
 }
 
-// Heartbeat is an owner's sign of life, the number-th of this owner. It changes nothing
-// else in the fold.
+// Heartbeat returns the encoded record that shows that an owner is alive. Its number must be higher
+// than those of the owner's earlier heartbeats and checkpoints.
 func Heartbeat(batchID, owner string, number int64) []byte {
 	return encode(record{Kind: kindHeartbeat, BatchID: batchID, Owner: owner, Number: number})
 }
 
-// Checkpoint is an owner's sign of life that keeps what it has of running items,
-// so that another owner can go on with them.
+// Checkpoint returns the encoded record of a heartbeat that also stores the progress of unfinished
+// items, so that another owner can continue them.
 func Checkpoint(batchID, owner string, number int64, progress []Progress) []byte {
 	return encode(record{Kind: kindProgress, BatchID: batchID, Owner: owner, Number: number, Progress: progress})
 }
 
-// Fragment cuts a record that is longer than limit into records that are not.
-// The fold takes the parts together as the record itself, at the offset of the
-// first part. Key must be unique to this append.
+// Fragment splits a record longer than limit bytes into records of at most limit bytes, and returns
+// a shorter one unchanged. The fold joins the fragments into the original record, at the offset of
+// the first one. The key must be unique to this append.
 func Fragment(encoded []byte, limit int, key string) [][]byte {
 	if len(encoded) <= limit {
 		return [][]byte{encoded}
--- a/internal/batches/batch/tenant_test.go
+++ b/internal/batches/batch/tenant_test.go
@@ -6,26 +6,25 @@
 	"github.com/matryer/is"
 )
 
-// A batch is ended by its tenant's callers alone. One that was submitted without a
-// tenant is anyone's.
-func TestOnlyItsTenantEndsABatch(t *testing.T) {
+// Callers of one tenant must not end a batch of another one. A batch without a tenant is open to all.
+func TestOnlyTheTenantEndsABatch(t *testing.T) {
 	is := is.New(t)
-	for _, one := range []struct {
+	for _, c := range []struct {
 		owner, caller string
 		ended         bool
 	}{{"a", "a", true}, {"a", "b", false}, {"a", "", false}, {"", "b", true}, {"", "", true}} {
 		state := NewStateAt(0)
 		sub := submission("x", 1, 1)
-		sub.Tenant = one.owner
+		sub.Tenant = c.owner
 		state.Apply(Accepted(sub, "owner"))
-		state.Apply(Ended("x", one.caller))
+		state.Apply(Ended("x", c.caller))
 		b, _ := state.Get("x")
-		is.Equal(b.Ended, one.ended)
-		is.Equal(b.Tenant, one.owner)
+		is.Equal(b.Ended, c.ended)
+		is.Equal(b.Tenant, c.owner)
 	}
 }
 
-// The first acceptance decides whose a batch is.
+// A repeated acceptance must not change the tenant of a batch.
 func TestABatchKeepsItsTenant(t *testing.T) {
 	is := is.New(t)
 	state := NewStateAt(0)
