--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -119,7 +119,7 @@
 	switch rec.Kind {
 	case kindHeartbeat:
 		b.countLivenessSignal(rec)
-	case kindProgress:
+	case kindCheckpoint:
 		if rec.Owner == b.Owner {
 			b.countLivenessSignal(rec)
 			for _, p := range rec.Progress {
--- a/internal/batches/batch/record.go
+++ b/internal/batches/batch/record.go
@@ -18,7 +18,7 @@
 	kindEnded
 	kindFragment
 	kindHeartbeat
-	kindProgress
+	kindCheckpoint
 	kindReturned
 )
 
@@ -112,7 +112,7 @@
 // Checkpoint returns the encoded record of a heartbeat that also stores the progress of unfinished
 // items, so that another owner can continue them.
 func Checkpoint(batchID, owner string, number int64, progress []Progress) []byte {
-	return encode(record{Kind: kindProgress, BatchID: batchID, Owner: owner, Number: number, Progress: progress})
+	return encode(record{Kind: kindCheckpoint, BatchID: batchID, Owner: owner, Number: number, Progress: progress})
 }
 
 // Fragment splits a record longer than limit bytes into records of at most limit bytes, and returns
