--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -126,7 +126,7 @@
 				b.addProgress(p)
 			}
 		}
-	case kindResults:
+	case kindResultsAdded:
 		b.addResults(rec.Results)
 	case kindTakenOver:
 		// A takeover takes effect only against the owner it names: of two concurrent ones
--- a/internal/batches/batch/record.go
+++ b/internal/batches/batch/record.go
@@ -12,7 +12,7 @@
 
 const (
 	kindAccepted recordKind = iota + 1
-	kindResults
+	kindResultsAdded
 	kindTakenOver
 	kindReleased
 	kindEnded
@@ -77,7 +77,7 @@
 
 // ResultsAdded returns the encoded record that appends results to those of a batch.
 func ResultsAdded(batchID string, results []Result) []byte {
-	return encode(record{Kind: kindResults, BatchID: batchID, Results: results})
+	return encode(record{Kind: kindResultsAdded, BatchID: batchID, Results: results})
 }
 
 // TakenOver returns the encoded record that replaces one owner of a batch by another. The argument
