--- a/internal/batches/batch/fold.go
+++ b/internal/batches/batch/fold.go
@@ -138,7 +138,7 @@
 		if rec.From == b.Owner && !b.Ended {
 			b.release(rec)
 		}
-	case kindReturned:
+	case kindItemsReturned:
 		if rec.From == b.handedOffBy {
 			b.returnItems(rec.HandedOff)
 		}
--- a/internal/batches/batch/record.go
+++ b/internal/batches/batch/record.go
@@ -19,7 +19,7 @@
 	kindFragment
 	kindHeartbeat
 	kindCheckpoint
-	kindReturned
+	kindItemsReturned
 )
 
 // record is one entry of a journal partition. Which fields are set depends on Kind.
@@ -95,7 +95,7 @@
 // ItemsReturned returns the encoded record that leaves handed-off items to the next owner. The
 // argument from is the owner that released the batch and does not finish these items after all.
 func ItemsReturned(batchID, from string, items []int) []byte {
-	return encode(record{Kind: kindReturned, BatchID: batchID, From: from, HandedOff: items})
+	return encode(record{Kind: kindItemsReturned, BatchID: batchID, From: from, HandedOff: items})
 }
 
 // Ended returns the encoded record that ends a batch, provided that it belongs to the tenant.
