--- a/internal/batches/batch/record.go
+++ b/internal/batches/batch/record.go
@@ -43,7 +43,7 @@
 	Index int    `cbor:"9,keyasint,omitempty"`
 	Count int    `cbor:"10,keyasint,omitempty"`
 	Part  []byte `cbor:"11,keyasint,omitempty"`
-	// Progress is set in kindProgress.
+	// Progress is set in kindCheckpoint.
 	Progress []Progress `cbor:"12,keyasint,omitempty"`
 	// Number increases with each heartbeat or checkpoint of one owner, starting at 1 or more. It is
 	// 0 in records of earlier versions of this program.
--- a/internal/batches/ledger/append.go
+++ b/internal/batches/ledger/append.go
@@ -13,26 +13,25 @@
 )
 
 const (
-	// appendTimeout bounds one append.
+	// appendTimeout bounds one append to the journal.
 	appendTimeout = 1500 * time.Millisecond
-	// recordOverheadBytes is what the journal adds to a record in an append, in bytes.
+	// recordOverheadBytes is what the journal adds to each record of an append.
 	recordOverheadBytes = 4
 )
 
-// appendCall is a record, or a part of one, that waits for its append.
+// appendCall holds records that must go into one append, and the channel for its outcome.
 type appendCall struct {
 	records [][]byte
 	size    int
 	done    chan error
 }
 
-// Append adds a record once. It returns nil when the journal has acknowledged
-// it, ErrNotDone if it is certain that it was not and will not be added, or
-// ErrUnknown. Records of calls at the same time go out in one append.
+// Append appends a record once. It returns nil once the journal has acknowledged the record,
+// ErrNotDone if the record certainly was not and will not be appended, and otherwise ErrUnknown.
+// Concurrent calls share appends.
 //
-// A record too long for one append goes in several, one after the other. It
-// counts when its last part is there, so that until this is sent nothing of it
-// is added, whatever became of the parts before.
+// A record too long for one append is split into several, made one after the other. The record takes
+// effect with its last fragment: if an earlier append fails, the outcome is certain (ErrNotDone).
 func (p *Partition) Append(ctx context.Context, record []byte) error {
 	appends := p.splitAppends(record)
 	last := len(appends) - 1
@@ -44,7 +43,7 @@
 	return p.appendAndWait(ctx, appends[last])
 }
 
-// splitAppends cuts a record into as many appends as the journal makes necessary.
+// splitAppends splits a record into as few appends as the journal's limits allow.
 func (p *Partition) splitAppends(record []byte) []*appendCall {
 	limit := p.ledger.journal.MaxAppendBytes()
 	current := &appendCall{done: make(chan error, 1)}
@@ -61,7 +60,8 @@
 	return appends
 }
 
-// appendAndWait hands a call to the appends of the partition and waits for its outcome.
+// appendAndWait queues a call, starts appendPending if it is not running, and returns the call's
+// outcome. If ctx ends first it returns ErrUnknown, and the call stays queued.
 func (p *Partition) appendAndWait(ctx context.Context, call *appendCall) error {
 	p.mu.Lock()
 	p.pending = append(p.pending, call)
@@ -78,7 +78,7 @@
 	}
 }
 
-// appendPending sends what waits, all that fits in one append at a time.
+// appendPending appends the queued calls, as many at a time as fit, until the queue is empty.
 func (p *Partition) appendPending() {
 	for {
 		calls := p.takePending()
@@ -92,7 +92,8 @@
 	}
 }
 
-// takePending takes the calls of the next append, or none and ends the sending.
+// takePending removes the calls of the next append from the queue. If there are none it marks
+// appendPending as ended, under the same lock, so that a later call starts it again.
 func (p *Partition) takePending() []*appendCall {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,7 +115,7 @@
 	return calls
 }
 
-// appendCalls makes one append for several calls, and folds its records.
+// appendCalls makes one append of several calls and applies its records to the fold.
 func (p *Partition) appendCalls(calls []*appendCall) error {
 	var records [][]byte
 	for _, call := range calls {
@@ -133,9 +134,9 @@
 	return nil
 }
 
-// newFragmentKey returns a name for the fragments of one record that no other has.
+// newFragmentKey returns a random key for the fragments of one record.
 func newFragmentKey() string {
 	var random [9]byte
-	_, _ = rand.Read(random[:]) // It never fails.
+	_, _ = rand.Read(random[:]) // never fails
 	return hex.EncodeToString(random[:])
 }
--- a/internal/batches/ledger/follow.go
+++ b/internal/batches/ledger/follow.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// followPollTimeout is how long a read at the partition's end waits for records.
+	// followPollTimeout is how long a read at the end of the partition waits for new records.
 	followPollTimeout = time.Second
-	// followRetryDelay is the pause after a failed read.
+	// followRetryDelay is the wait after a failed read.
 	followRetryDelay = 200 * time.Millisecond
 )
 
-// Follow keeps the fold up to date until the returned function is called.
+// Follow keeps the fold up to date in the background until unfollow is called, which may be called
+// more than once.
 func (p *Partition) Follow() (unfollow func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,8 +40,8 @@
 	}
 }
 
-// follow keeps a read waiting at the partition's end. As long as the fold lacks more it shares the
-// reads of those who catch up, so that nothing is read twice.
+// follow keeps a long poll open at the end of the partition. While the fold is behind it uses CatchUp
+// instead, which shares its reads with other callers, so that nothing is read twice.
 func (p *Partition) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		var err error
@@ -50,7 +51,7 @@
 			_, err = p.readOnce(ctx, followPollTimeout)
 		}
 		if err != nil {
-			// It is tried again; that the journal does not answer is logged by those who call it.
+			// Retried after the delay. Callers that depend on the journal log its failures.
 			p.ledger.logger.Debug("partition not followed", zap.Inline(p), zap.Error(err))
 			periodic.Pause(ctx, followRetryDelay)
 		}
--- a/internal/batches/ledger/golden_test.go
+++ b/internal/batches/ledger/golden_test.go
@@ -12,8 +12,8 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// A batch that was stored is found again.
-func TestBatchesKeepTheirPartitions(t *testing.T) {
+// Stored batches must stay in the partitions that their ids map to.
+func TestBatchPartitionsAreStable(t *testing.T) {
 	log := journaltest.New()
 	log.Partitions = 24
 	ledger := New(context.Background(), log, zap.NewNop())
--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -31,18 +31,17 @@
 	return p.ViewBatch(id, func(*batch.Batch) {})
 }
 
-// operation is one call of a history: an acceptance, or a question whether a
-// batch exists.
+// operation is one call of a history: an acceptance or a query whether the batch exists.
 type operation struct {
 	accept bool
-	// known says that the outcome of an acceptance is certain.
+	// known is set if the outcome of an acceptance is certain.
 	known bool
-	// found is the answer to a question.
+	// found is the answer to a query.
 	found bool
 }
 
-// existence is the model of one batch: it is not there, then it is for ever.
-// Only an acceptance brings it about.
+// existence models one batch: it does not exist until an acceptance creates it, and exists from then
+// on.
 var existence = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
@@ -55,7 +54,7 @@
 	Equal: func(first, second any) bool { return first == second },
 }
 
-// recorder collects a history.
+// recorder records a history.
 type recorder struct {
 	mutex   sync.Mutex
 	history []porcupine.Operation
@@ -67,7 +66,7 @@
 	defer r.mutex.Unlock()
 	end := time.Since(r.start).Nanoseconds()
 	if open {
-		// An outcome that is not known may come about at any later time.
+		// An append with an unknown outcome may take effect at any later time.
 		end = int64(1) << 62
 	}
 	r.history = append(r.history, porcupine.Operation{
@@ -79,10 +78,9 @@
 	})
 }
 
-// Daemons that accept and ask at the same time, while answers are lost, calls
-// hang and appends take effect late, tell one history: a batch that was
-// acknowledged or shown is never denied again.
-func TestWhatWasShownIsNeverDenied(t *testing.T) {
+// A batch that was acknowledged or found must never be reported as missing later, although daemons
+// accept and query concurrently while the journal loses answers, hangs or appends late.
+func TestReportedBatchesAreNeverDenied(t *testing.T) {
 	checked := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := rapid.SliceOfN(rapid.IntRange(0, 11), 60, 60).Draw(rt, "faults")
@@ -91,7 +89,7 @@
 		checked += len(history)
 		result := porcupine.CheckOperationsTimeout(existence, history, 10*time.Second)
 		if result == porcupine.Illegal {
-			rt.Fatalf("no order of these calls explains what was told: %+v", history)
+			rt.Fatalf("history is not linearizable: %+v", history)
 		}
 	})
 	if checked < 1000 {
@@ -99,8 +97,8 @@
 	}
 }
 
-// drawnFaults gives each call the next of some faults, 0 to 3, or none for a higher number; reads are
-// refused or hang only.
+// drawnFaults returns a function that gives each call the next of some faults, 0 to 3, or none for a
+// higher number. Reads are only refused or hang.
 func drawnFaults(faults []int) func(journaltest.Call) journaltest.Fault {
 	var mutex sync.Mutex
 	calls := 0
@@ -121,6 +119,7 @@
 	}
 }
 
+// recordHistory runs three daemons against a faulty journal and returns the history of their calls.
 func recordHistory(t *testing.T, faults, pauses []int) []porcupine.Operation {
 	seen := &recorder{}
 	synctest.Test(t, func(t *testing.T) {
@@ -150,7 +149,7 @@
 	return seen.history
 }
 
-// playClient accepts the batch once if it is the first client, and asks for it.
+// playClient queries the batch repeatedly. Client 0 also accepts it, in every other step.
 func playClient(ctx context.Context, client int, batches *Ledger, pauses []int, seen *recorder) {
 	const id = "batch"
 	p := batches.PartitionOf(id)
@@ -177,6 +176,7 @@
 	}
 }
 
+// A record longer than the journal's limit must be read back whole.
 func TestLongRecordsAreReadWhole(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
@@ -189,9 +189,9 @@
 	is.True(exists(second.PartitionOf("long"), "long"))
 }
 
-// A record longer than an append goes in several. Until the last part is there
-// the record is not, and a failure on the way is a refusal that is true.
-func TestRecordsLongerThanAnAppend(t *testing.T) {
+// A record split into several appends must not take effect before its last one, and a failure of an
+// earlier one must be reported as ErrNotDone.
+func TestRecordsSplitIntoSeveralAppends(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
 	log.RecordBytes, log.AppendBytes = 600, 2_000
@@ -224,8 +224,8 @@
 	})
 }
 
-// A fold goes on at the first record that is kept; what it knew, it knows still.
-func TestFoldsGoOnAfterATrim(t *testing.T) {
+// After a trim, a new fold must continue at the first record left, and an old one keep its batches.
+func TestFoldsContinueAfterTrim(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
 	batches := New(t.Context(), log, zap.NewNop())
@@ -241,7 +241,7 @@
 	is.True(exists(p, "a"))
 }
 
-// loadedPartitions returns the partitions whose folds are held.
+// loadedPartitions returns the partitions whose folds are cached.
 func (l *Ledger) loadedPartitions() []*Partition {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -252,8 +252,7 @@
 	return partitions
 }
 
-// A fold is dropped once nobody follows it and no read of it is under way any more. The
-// time is virtual: the read that following began is under way until it is answered.
+// Sweep must drop an unused fold, but none that is followed or being read.
 func TestUnusedFoldsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -270,7 +269,7 @@
 		is.Equal(len(batches.loadedPartitions()), 1)
 		release()
 		batches.Sweep(time.Now().Add(2 * unusedFoldTTL))
-		is.Equal(len(batches.loadedPartitions()), 1) // It is being read.
+		is.Equal(len(batches.loadedPartitions()), 1) // a read is in progress
 		time.Sleep(time.Second)
 		synctest.Wait()
 		batches.Sweep(time.Now().Add(2 * unusedFoldTTL))
@@ -278,9 +277,8 @@
 	})
 }
 
-// Records that come twice, by a read and by the answer to an append, are folded
-// once, and those after them are not skipped.
-func TestRecordsAreFoldedOnce(t *testing.T) {
+// Records that arrive both by a read and by an append must be applied once, without skipping others.
+func TestRecordsAreAppliedOnce(t *testing.T) {
 	is := is.New(t)
 	p := New(t.Context(), journaltest.New(), zap.NewNop()).PartitionOf("a")
 	first, second := batch.Accepted(submission("a"), "o"), batch.Accepted(submission("b"), "o")
@@ -293,7 +291,7 @@
 	is.Equal(p.nextOffset(), int64(2))
 }
 
-// singleRecordJournal is a journal whose reads bring one record at a time.
+// singleRecordJournal is a journal whose reads return one record at a time.
 type singleRecordJournal struct{ *journaltest.Journal }
 
 func (p singleRecordJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
@@ -302,9 +300,9 @@
 	return read, err
 }
 
-// A partition counts as read only once the fold holds all of it: a watcher that took
-// the first page for the present ran items of a batch 16.6 s after its end.
-func TestAPartitionCountsAsReadOnceTheFoldHoldsAll(t *testing.T) {
+// A fold that holds only the first pages of a partition must not count as read, or a watcher runs
+// items of batches that have ended.
+func TestPartialReadsDoNotCountAsReadToEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -324,9 +322,8 @@
 	})
 }
 
-// A record that could not be decoded was passed over without a word. It has a line that says
-// where it is, and what follows it counts.
-func TestAMalformedRecordHasALine(t *testing.T) {
+// A malformed record must be logged with its location, and the records after it must be applied.
+func TestMalformedRecordIsLogged(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
 	core, lines := observer.New(zap.WarnLevel)
@@ -342,14 +339,13 @@
 	is.Equal(line.ContextMap()["offset"], int64(0))
 }
 
-// Of two callers who came during a read that fails, one began the next read and the other was
-// told the failure of the first, although the read that answers it was under way.
-func TestAFailedReadIsOnlyThatOfWhoCameBeforeIt(t *testing.T) {
+// A failed read must not fail callers who came during it: they all wait for the next read.
+func TestFailedReadFailsOnlyEarlierCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
 		log := journaltest.New()
-		calls := 0 // the reads come one after the other
+		calls := 0 // not locked: reads are sequential
 		log.SetBefall(func(journaltest.Call) journaltest.Fault {
 			calls++
 			first := calls == 1
--- a/internal/batches/ledger/ledgertest/fleet.go
+++ b/internal/batches/ledger/ledgertest/fleet.go
@@ -1,10 +1,10 @@
-// Package ledgertest has fleets of daemons for tests: each with a ledger of its own before one
-// journal, and with partitions that it watches.
+// Package ledgertest provides fleets of daemons for tests: each daemon has a ledger of its own on a
+// shared journal and watches some of the partitions.
 //
 // # Usage
 //
 //	fleet := ledgertest.Start(ctx, log, 91, bytesPerSecond)
-//	fleet.Deal()
+//	fleet.AssignPartitions()
 //	watcher, ok := fleet.WatcherOf(ctx, partition)
 package ledgertest
 
@@ -21,28 +21,30 @@
 	"woodworks/internal/membership/identity"
 )
 
-// Fleet is a number of daemons that have just started.
+// Fleet is a set of daemons that share a journal.
 type Fleet struct {
-	// Incarnations are the incarnations of the daemons, on machines m0, m1 and so on.
+	// Incarnations has the incarnation of each daemon, on machines m0, m1 and so on. Ledgers has
+	// the ledger of each, at the same index.
 	Incarnations []string
 	Ledgers      []*ledger.Ledger
-	// WatcherIndex has for each partition the index of the daemon that watches it.
+	// WatcherIndex maps each assigned partition to the index of the daemon that watches it.
 	WatcherIndex map[journal.Partition]int
 
 	log *journaltest.Journal
 }
 
-// Start starts daemons before a journal, each behind a link that carries so many bytes a second.
-func Start(ctx context.Context, log *journaltest.Journal, daemons int, link float64) *Fleet {
+// Start returns a fleet whose daemons read the journal through links of linkBytesPerSecond each. No
+// partition is assigned yet.
+func Start(ctx context.Context, log *journaltest.Journal, daemons int, linkBytesPerSecond float64) *Fleet {
 	f := &Fleet{log: log, WatcherIndex: map[journal.Partition]int{}}
 	for i := range daemons {
 		f.Incarnations = append(f.Incarnations, identity.New(fmt.Sprint("m", i), time.Now()))
-		f.Ledgers = append(f.Ledgers, ledger.New(ctx, log.Behind(link), zap.NewNop()))
+		f.Ledgers = append(f.Ledgers, ledger.New(ctx, log.Behind(linkBytesPerSecond), zap.NewNop()))
 	}
 	return f
 }
 
-// AssignPartitions deals all partitions to the daemons in turn, and has them followed there.
+// AssignPartitions assigns all partitions to the daemons in turn. Each daemon follows its partitions.
 func (f *Fleet) AssignPartitions() {
 	for _, topic := range ledger.TopicNames() {
 		for number := range f.log.Partitions {
@@ -53,14 +55,14 @@
 	}
 }
 
-// WatcherOf returns the incarnation that watches a partition.
+// WatcherOf returns the incarnation that watches a partition, or false if it is not assigned.
 func (f *Fleet) WatcherOf(_ context.Context, partition journal.Partition) (string, bool) {
-	at, ok := f.WatcherIndex[partition]
+	index, ok := f.WatcherIndex[partition]
 	if !ok {
 		return "", false
 	}
-	return f.Incarnations[at], true
+	return f.Incarnations[index], true
 }
 
-// Daemons is how many daemons there are.
+// Daemons returns the number of daemons.
 func (f *Fleet) Daemons() int { return len(f.Incarnations) }
--- a/internal/batches/ledger/partition.go
+++ b/internal/batches/ledger/partition.go
@@ -13,46 +13,49 @@
 )
 
 const (
-	// maxFreshAge is how long after its last read a fold is fresh: little is missing of it,
-	// while a partition that is followed is read every second.
+	// maxFreshAge is the age of the last complete read up to which a fold is fresh. It exceeds
+	// followPollTimeout, so that a followed partition stays fresh.
 	maxFreshAge = 2 * time.Second
-	// unknownEnd is the end of a partition of which no read has told one.
+	// unknownEnd is the end of a partition before any read has reported it.
 	unknownEnd = int64(-1)
 )
 
-// Partition is the fold of one journal partition and the way to add to it.
-// It is safe for concurrent use.
+// Partition holds the fold of one journal partition, reads it and appends to it. It is safe for
+// concurrent use.
 type Partition struct {
 	ledger *Ledger
 	name   journal.Partition
 	usedAt time.Time // guarded by the ledger's mutex
 
+	// mu guards the fields below.
 	mu sync.Mutex
 
-	// The fold. changed is closed when it changes, missed says that records were removed before
-	// they were folded here, lastRead is when a read last brought it up to the partition's end.
+	// state is the fold; changed is closed and replaced whenever records are applied. hasGap is
+	// set if the journal trimmed records before they were applied. lastReadToEnd is when a read
+	// last brought the fold up to the end of the partition.
 	state         *batch.State
 	changed       chan struct{}
 	hasGap        bool
 	lastReadToEnd time.Time
 
-	// What reads have told of the partition: its highest end, or noEnd, and how much they brought.
+	// end is the highest end of the partition that a read has reported, or unknownEnd. readBytes
+	// and readRecords count all records returned by reads.
 	end                    int64
 	readBytes, readRecords int64
 
-	// Catch-up readsStarted. readsStarted counts those begun; lastSucceededRead is the newest that succeeded, lastFailedRead the
-	// newest that did not, with readErr. While reading, one is under way, and readEnded is closed
-	// at its end.
+	// CatchUp reads are numbered from 1. readsStarted is the number of the last one started, and
+	// readErr the error of lastFailedRead. reading is set while a read is in progress, and
+	// readEnded is closed at its end.
 	readsStarted, lastSucceededRead, lastFailedRead uint64
 	readErr                                         error
 	reading                                         bool
 	readEnded                                       chan struct{}
 
-	// followers counts those who have the partition followed.
+	// followers is the number of callers of Follow that have not called unfollow.
 	followers  int
 	stopFollow context.CancelFunc
 
-	// pending are the appends that wait, while appending says that one is under way.
+	// pending is the queue of appends. appending is set while appendPending runs.
 	pending   []*appendCall
 	appending bool
 }
@@ -67,49 +70,53 @@
 	}
 }
 
-// MarshalLogObject implements zapcore.ObjectMarshaler, for zap.Inline.
+// MarshalLogObject implements zapcore.ObjectMarshaler, for use with zap.Inline.
 func (p *Partition) MarshalLogObject(enc zapcore.ObjectEncoder) error {
 	enc.AddString("topic", p.name.Topic)
 	enc.AddInt64("partition", int64(p.name.Number))
 	return nil
 }
 
-// Name returns the journal partition.
+// Name returns the name of the journal partition.
 func (p *Partition) Name() journal.Partition { return p.name }
 
-// isIdle reports whether nobody uses the fold.
+// isIdle reports whether the partition has no followers, queued appends or reads in progress.
 func (p *Partition) isIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.followers == 0 && len(p.pending) == 0 && !p.reading
 }
 
-// View calls look with the fold while it cannot change.
-func (p *Partition) View(look func(*batch.State)) {
+// View calls visit with the fold while the mutex is held: visit must not block or call methods of the
+// partition, and the state may change once it has returned.
+func (p *Partition) View(visit func(*batch.State)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	look(p.state)
+	visit(p.state)
 }
 
-// ViewBatch calls look with a batch while it cannot change, and reports whether the fold knows it.
-func (p *Partition) ViewBatch(batchID string, look func(*batch.Batch)) (ok bool) {
+// ViewBatch is View for a single batch. It reports whether the fold has the batch, and calls visit
+// only if so.
+func (p *Partition) ViewBatch(batchID string, visit func(*batch.Batch)) (ok bool) {
 	p.View(func(state *batch.State) {
 		var b *batch.Batch
 		if b, ok = state.Get(batchID); ok {
-			look(b)
+			visit(b)
 		}
 	})
 	return ok
 }
 
-// Changed returns a channel that is closed when the fold changes.
+// Changed returns a channel that is closed at the next change of the fold. To miss no change, get
+// the channel before reading the fold.
 func (p *Partition) Changed() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.changed
 }
 
-// Await waits until ready is true of the fold, and reports whether it was before stop was closed.
+// Await calls ready, first at once and then after each change of the fold, until ready returns true
+// or stop is closed. It reports whether ready returned true. The mutex is not held.
 func (p *Partition) Await(stop <-chan struct{}, ready func() bool) bool {
 	for {
 		changed := p.Changed()
@@ -124,8 +131,8 @@
 	}
 }
 
-// MissingBytes returns how many bytes the fold lacks, by the mean of the records read so far, and
-// false if nothing has been read yet.
+// MissingBytes estimates how many bytes of records the fold lacks, from the mean size of the records
+// read so far. ok is false if no read has reported the end of the partition yet.
 func (p *Partition) MissingBytes() (bytes int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,33 +148,34 @@
 	}
 }
 
-// isBehind reports whether the fold is known to lack records, or has not been read at all.
+// isBehind reports whether the fold is known to lack records or has never been read.
 func (p *Partition) isBehind() bool {
 	missing, ok := p.MissingBytes()
 	return missing > 0 || !ok
 }
 
-// HasGap reports whether records were removed from the journal before they were folded
-// here. Such a fold knows all that it tells, but a batch that it does not know may exist.
+// HasGap reports whether the journal trimmed records before they were applied to this fold. The
+// batches in such a fold are valid, but a batch that it lacks may exist.
 func (p *Partition) HasGap() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.hasGap
 }
 
-// IsFresh reports whether the fold held all of the partition a moment ago.
+// IsFresh reports whether the fold reached the end of the partition within the last maxFreshAge.
 func (p *Partition) IsFresh() bool { return time.Since(p.LastReadToEnd()) < maxFreshAge }
 
-// LastReadToEnd is when the journal last answered a read that brought the fold up to the
-// partition's end. A long partition takes several reads, and what was folded of it
-// before the last of them may be long out of date.
+// LastReadToEnd returns when a read last brought the fold up to the end of the partition, or the zero
+// time. Reads of earlier pages do not count, as a fold in the middle of a partition may be long out
+// of date.
 func (p *Partition) LastReadToEnd() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lastReadToEnd
 }
 
-// fold applies records that begin at an offset, but for those already folded.
+// fold applies records, the first of which is at the offset from. Records that are already applied, or
+// that do not follow the last applied one, are skipped.
 func (p *Partition) fold(from int64, records [][]byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// readTimeout bounds a read beyond the time that it waits for records.
+	// readTimeout bounds a read, in addition to the time that it waits for records.
 	readTimeout = questiontime.Read
-	// defaultPageBytes bounds the answer to a read: a link of 60 Mbit/s takes 35 ms for it. Each
-	// answer is folded, so that a read that fails costs no more than this.
+	// defaultPageBytes is the limit for the records returned by one read, unless minPageRecords
+	// requires more. Each page is applied at once, so a failed read repeats no more than this.
 	defaultPageBytes = 256 << 10
-	// minPageRecords is how many of the longest records an answer has room for at least.
+	// minPageRecords is the number of records of maximum size that must fit in a page.
 	minPageRecords = 2
 )
 
-// CatchUp returns once the fold holds all that was in the partition when the
-// call came. Calls at the same time share reads. The error wraps ErrBehind.
+// CatchUp returns once the fold holds every record that was in the partition at the time of the call.
+// It waits for a read started after the call, which concurrent calls share. The error wraps
+// ErrBehind.
 func (p *Partition) CatchUp(ctx context.Context) error {
 	p.mu.Lock()
 	wanted := p.readsStarted + 1
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// startRead begins a catch-up read. The mutex is held.
+// startRead starts a CatchUp read in the background. The mutex is held.
 func (p *Partition) startRead() {
 	p.readsStarted++
 	number := p.readsStarted
@@ -68,7 +69,7 @@
 	}()
 }
 
-// readToEnd reads until the fold has reached the end that the first read told.
+// readToEnd reads until the fold has reached the end of the partition as reported by the first read.
 func (p *Partition) readToEnd() error {
 	for target := unknownEnd; ; {
 		end, err := p.readOnce(p.ledger.ctx, 0)
@@ -84,16 +85,16 @@
 	}
 }
 
-// nextOffset returns the offset of the first record that is not folded yet.
+// nextOffset returns the offset of the first record that is not applied yet.
 func (p *Partition) nextOffset() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.state.NextOffset()
 }
 
-// readOnce reads a page from the fold's offset on and folds what comes, also of an answer
-// that broke off. At the partition's end the read waits for records. It returns the end that
-// was told, noEnd if none was.
+// readOnce reads a page from nextOffset and applies its records, including those received before the
+// read failed. At the end of the partition it waits for new records, for at most the duration wait. It
+// returns the end of the partition as reported by the journal, or unknownEnd.
 func (p *Partition) readOnce(ctx context.Context, wait time.Duration) (end int64, err error) {
 	from := p.nextOffset()
 	bounded, cancel := context.WithTimeout(ctx, wait+readTimeout)
@@ -110,7 +111,8 @@
 	return read.End, err
 }
 
-// updateReadStats counts what a read brought, whole or until it broke off.
+// updateReadStats counts the records of a read and updates the known end of the partition. The
+// argument whole is false if the read failed, possibly after some of the records.
 func (p *Partition) updateReadStats(read journal.Records, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,7 +126,8 @@
 	}
 }
 
-// ReadPage reads the next page of the partition. The error wraps ErrBehind.
+// ReadPage reads the next page of the partition without waiting for new records. The error wraps
+// ErrBehind.
 func (p *Partition) ReadPage(ctx context.Context) error {
 	if _, err := p.readOnce(ctx, 0); err != nil {
 		return errors.Wrap(ErrBehind, err.Error())
@@ -132,8 +135,8 @@
 	return nil
 }
 
-// skipTrimmed moves the fold over records that are gone. The batches already
-// folded stay known; of those only in the trimmed records nothing is known.
+// skipTrimmed moves a fold that is still at the offset from to the first record that the journal has.
+// Batches already in the fold stay; those that have records only in the gap remain unknown.
 func (p *Partition) skipTrimmed(from, first int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
