--- a/internal/batches/batch/batch.go
+++ b/internal/batches/batch/batch.go
@@ -56,11 +56,11 @@
 	// Step and Model are the trainer's training step and model. MinVersion is the oldest version
 	// of the weights that may generate a token. Desired is the number of complete groups that the
 	// trainer waits for.
-	Step       int64  `cbor:"5,keyasint"`
-	Model      string `cbor:"6,keyasint"`
-	MinVersion int64  `cbor:"7,keyasint"`
-	Desired    int    `cbor:"8,keyasint"`
-	Items      []Item `cbor:"9,keyasint"`
+	Step          int64  `cbor:"5,keyasint"`
+	Model         string `cbor:"6,keyasint"`
+	MinVersion    int64  `cbor:"7,keyasint"`
+	DesiredGroups int    `cbor:"8,keyasint"`
+	Items         []Item `cbor:"9,keyasint"`
 	// Tenant owns the batch for its whole lifetime, even if the key used for the submission is
 	// revoked or reassigned. It is "" where there are no tenants.
 	Tenant string `cbor:"10,keyasint,omitempty"`
--- a/internal/batches/batch/fold_test.go
+++ b/internal/batches/batch/fold_test.go
@@ -14,7 +14,7 @@
 func init() { testseed.Fix() }
 
 func submission(id string, items int, minVersion int64) *Submission {
-	sub := &Submission{ID: id, Host: "host", Path: "/path/", MinVersion: minVersion, Desired: 1}
+	sub := &Submission{ID: id, Host: "host", Path: "/path/", MinVersion: minVersion, DesiredGroups: 1}
 	for i := 0; i < items; i++ {
 		sub.Items = append(sub.Items, Item{
 			ID:    fmt.Sprintf("%s-%d", id, i),
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -92,7 +92,7 @@
 	s := j.submission
 	j.logger.Info("batch owned", zap.Int("items", len(j.items)), zap.Int("listed", listed),
 		zap.Int("begun", started), zap.Int64("step", s.Step), zap.String("model", s.Model),
-		zap.Int64("min_version", s.MinVersion), zap.Int("desired", s.Desired), zap.Inline(j.partition))
+		zap.Int64("min_version", s.MinVersion), zap.Int("desired", s.DesiredGroups), zap.Inline(j.partition))
 }
 
 // run runs the job until its batch needs nothing more from this daemon.
