--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -133,7 +133,7 @@
 			clients.Add(1)
 			go func() {
 				defer clients.Done()
-				playClient(ctx, client, New(ctx, log, zap.NewNop()), pauses, seen)
+				runClient(ctx, client, New(ctx, log, zap.NewNop()), pauses, seen)
 			}()
 		}
 		go func() {
@@ -149,8 +149,8 @@
 	return seen.history
 }
 
-// playClient queries the batch repeatedly. Client 0 also accepts it, in every other step.
-func playClient(ctx context.Context, client int, batches *Ledger, pauses []int, seen *recorder) {
+// runClient queries the batch repeatedly. Client 0 also accepts it, in every other step.
+func runClient(ctx context.Context, client int, batches *Ledger, pauses []int, seen *recorder) {
 	const id = "batch"
 	p := batches.PartitionOf(id)
 	for i := client; i < len(pauses); i += 3 {
