--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -40,9 +40,9 @@
 	found bool
 }
 
-// existence models one batch: it does not exist until an acceptance creates it, and exists from then
+// existenceModel models one batch: it does not exist until an acceptance creates it, and exists from then
 // on.
-var existence = porcupine.Model{
+var existenceModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
 		called := input.(operation)
@@ -87,7 +87,7 @@
 		pauses := rapid.SliceOfN(rapid.IntRange(0, 900), 24, 24).Draw(rt, "pauses")
 		history := recordHistory(t, faults, pauses)
 		checked += len(history)
-		result := porcupine.CheckOperationsTimeout(existence, history, 10*time.Second)
+		result := porcupine.CheckOperationsTimeout(existenceModel, history, 10*time.Second)
 		if result == porcupine.Illegal {
 			rt.Fatalf("history is not linearizable: %+v", history)
 		}
