--- a/internal/batches/batch/batch.go
+++ b/internal/batches/batch/batch.go
@@ -54,8 +54,8 @@
 	// logs only: the clocks of daemons are not synchronized, so no decision may depend on it.
 	AcceptedAtMs int64 `cbor:"4,keyasint"`
 	// Step and Model are the trainer's training step and model. MinVersion is the oldest version
-	// of the weights that may generate a token. Desired is the number of complete groups that the
-	// trainer waits for.
+	// of the weights that may generate a token. DesiredGroups is the number of complete groups
+	// that the trainer waits for.
 	Step          int64  `cbor:"5,keyasint"`
 	Model         string `cbor:"6,keyasint"`
 	MinVersion    int64  `cbor:"7,keyasint"`
--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -40,8 +40,8 @@
 	found bool
 }
 
-// existenceModel models one batch: it does not exist until an acceptance creates it, and exists from then
-// on.
+// existenceModel models one batch: it does not exist until an acceptance creates it, and exists from
+// then on.
 var existenceModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
