--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -64,7 +64,7 @@
 
 // Ask implements results.Peers.
 func (r *restarted) Ask(ctx context.Context, machine, method string, args, answer any) error {
-	at := slices.IndexFunc(r.Runs, func(run string) bool { return identity.Machine(run) == machine })
+	at := slices.IndexFunc(r.Incarnations, func(run string) bool { return identity.Machine(run) == machine })
 	if page, ok := answer.(*results.Page); ok && method == "Results.Samples" {
 		err := r.services[at].Samples(args.(results.Query), page)
 		return cmp.Or(err, r.send(ctx, at, page))
@@ -101,7 +101,7 @@
 		job := rollout.First(request, header, 1, rollout.ItemHeaders{})
 		records := [][]byte{batch.Accepted(job, "gone/1")}
 		for item := range restartSamples {
-			records = append(records, batch.Listed(job.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: text, Versions: []int64{1}}}))
+			records = append(records, batch.ResultsAdded(job.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: text, Versions: []int64{1}}}))
 		}
 		if _, err := r.log.Append(ctx, journal.Append{Partition: jobs.Locate(job.ID), Records: records}); err != nil {
 			t.Fatal(err)
@@ -109,12 +109,12 @@
 	}
 	r.log.Limit(restartJournal)
 	r.Fleet = ledgertest.Start(ctx, r.log, restartDaemons, restartLink)
-	for i, run := range r.Runs {
+	for i, run := range r.Incarnations {
 		reader := results.NewReader(r.Ledgers[i], r, r, r.log.Grants(), run, zap.NewNop())
 		r.services, r.links = append(r.services, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
 		r.desks = append(r.desks, New(reader, endsWith{r.Ledgers[i], nil}, rollout.ItemHeaders{}, zap.NewNop()))
 	}
-	r.Deal()
+	r.AssignPartitions()
 	return r
 }
 
--- a/internal/batches/batch/golden_test.go
+++ b/internal/batches/batch/golden_test.go
@@ -7,19 +7,20 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestRecordsKeepTheirForm(t *testing.T) {
+// Stored records must stay readable: their encoding may not change.
+func TestRecordEncodingIsStable(t *testing.T) {
 	golden.CBOR[record](t, "record")
 	submission := golden.Filled[Submission]()
 	results, progress := golden.Filled[[]Result](), golden.Filled[[]Progress]()
 	records := map[string][]byte{
 		"accepted": Accepted(submission, "owner"),
-		"listed":   Listed("batch", *results),
+		"listed":   ResultsAdded("batch", *results),
 		"taken":    TakenOver("batch", "from", "owner"),
 		"released": Released("batch", "from", []int{1, 2}),
-		"returned": Returned("batch", "from", []int{1}),
+		"returned": ItemsReturned("batch", "from", []int{1}),
 		"ended":    Ended("batch", "tenant"),
 		"beat":     Heartbeat("batch", "owner", 3),
-		"advanced": Advanced("batch", "owner", 4, *progress),
+		"advanced": Checkpoint("batch", "owner", 4, *progress),
 	}
 	for name, encoded := range records {
 		golden.Text(t, name+".cbor", encoded)
--- a/internal/batches/ledger/append.go
+++ b/internal/batches/ledger/append.go
@@ -13,44 +13,43 @@
 )
 
 const (
-	// appendTimeout bounds one append.
+	// appendTimeout bounds one append to the journal.
 	appendTimeout = 1500 * time.Millisecond
-	// recordOverhead is what the journal adds to a record in an append, in bytes.
-	recordOverhead = 4
+	// recordOverheadBytes is what the journal adds to each record of an append.
+	recordOverheadBytes = 4
 )
 
-// appendCall is a record, or a part of one, that waits for its append.
+// appendCall holds records that must go into one append, and the channel for its outcome.
 type appendCall struct {
 	records [][]byte
 	size    int
 	done    chan error
 }
 
-// Append adds a record once. It returns nil when the journal has acknowledged
-// it, ErrNotDone if it is certain that it was not and will not be added, or
-// ErrUnknown. Records of calls at the same time go out in one append.
+// Append appends a record once. It returns nil once the journal has acknowledged the record,
+// ErrNotDone if the record certainly was not and will not be appended, and otherwise ErrUnknown.
+// Concurrent calls share appends.
 //
-// A record too long for one append goes in several, one after the other. It
-// counts when its last part is there, so that until this is sent nothing of it
-// is added, whatever became of the parts before.
+// A record too long for one append is split into several, made one after the other. The record takes
+// effect with its last fragment: if an earlier append fails, the outcome is certain (ErrNotDone).
 func (p *Partition) Append(ctx context.Context, record []byte) error {
 	appends := p.splitAppends(record)
 	last := len(appends) - 1
 	for _, part := range appends[:last] {
-		if err := p.appendPart(ctx, part); err != nil {
+		if err := p.appendAndWait(ctx, part); err != nil {
 			return errors.Wrap(ErrNotDone, err.Error())
 		}
 	}
-	return p.appendPart(ctx, appends[last])
+	return p.appendAndWait(ctx, appends[last])
 }
 
-// splitAppends cuts a record into as many appends as the journal makes necessary.
+// splitAppends splits a record into as few appends as the journal's limits allow.
 func (p *Partition) splitAppends(record []byte) []*appendCall {
 	limit := p.ledger.journal.MaxAppendBytes()
 	current := &appendCall{done: make(chan error, 1)}
 	appends := []*appendCall{current}
-	for _, fragment := range batch.Fragment(record, p.ledger.journal.MaxRecordBytes(), newKey()) {
-		size := len(fragment) + recordOverhead
+	for _, fragment := range batch.Fragment(record, p.ledger.journal.MaxRecordBytes(), newFragmentKey()) {
+		size := len(fragment) + recordOverheadBytes
 		if current.size > 0 && current.size+size > limit {
 			current = &appendCall{done: make(chan error, 1)}
 			appends = append(appends, current)
@@ -61,8 +60,9 @@
 	return appends
 }
 
-// appendPart hands a call to the appends of the partition and waits for its outcome.
-func (p *Partition) appendPart(ctx context.Context, call *appendCall) error {
+// appendAndWait queues a call, starts appendPending if it is not running, and returns the call's
+// outcome. If ctx ends first it returns ErrUnknown, and the call stays queued.
+func (p *Partition) appendAndWait(ctx context.Context, call *appendCall) error {
 	p.mu.Lock()
 	p.pending = append(p.pending, call)
 	if !p.appending {
@@ -78,21 +78,22 @@
 	}
 }
 
-// appendPending sends what waits, all that fits in one append at a time.
+// appendPending appends the queued calls, as many at a time as fit, until the queue is empty.
 func (p *Partition) appendPending() {
 	for {
 		calls := p.takePending()
 		if len(calls) == 0 {
 			return
 		}
-		err := p.appendTogether(calls)
+		err := p.appendCalls(calls)
 		for _, call := range calls {
 			call.done <- err
 		}
 	}
 }
 
-// takePending takes the calls of the next append, or none and ends the sending.
+// takePending removes the calls of the next append from the queue. If there are none it marks
+// appendPending as ended, under the same lock, so that a later call starts it again.
 func (p *Partition) takePending() []*appendCall {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,8 +115,8 @@
 	return calls
 }
 
-// appendTogether makes one append for several calls, and folds its records.
-func (p *Partition) appendTogether(calls []*appendCall) error {
+// appendCalls makes one append of several calls and applies its records to the fold.
+func (p *Partition) appendCalls(calls []*appendCall) error {
 	var records [][]byte
 	for _, call := range calls {
 		records = append(records, call.records...)
@@ -133,9 +134,9 @@
 	return nil
 }
 
-// newKey returns a name for the fragments of one record that no other has.
-func newKey() string {
+// newFragmentKey returns a random key for the fragments of one record.
+func newFragmentKey() string {
 	var random [9]byte
-	_, _ = rand.Read(random[:]) // It never fails.
+	_, _ = rand.Read(random[:]) // never fails
 	return hex.EncodeToString(random[:])
 }
--- a/internal/batches/ledger/follow.go
+++ b/internal/batches/ledger/follow.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// followWait is how long a read at the partition's end waits for records.
-	followWait = time.Second
-	// followPause is the pause after a failed read.
-	followPause = 200 * time.Millisecond
+	// followPollTimeout is how long a read at the end of the partition waits for new records.
+	followPollTimeout = time.Second
+	// followRetryDelay is the wait after a failed read.
+	followRetryDelay = 200 * time.Millisecond
 )
 
-// Follow keeps the fold up to date until the returned function is called.
+// Follow keeps the fold up to date in the background until unfollow is called, which may be called
+// more than once.
 func (p *Partition) Follow() (unfollow func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,20 +40,20 @@
 	}
 }
 
-// follow keeps a read waiting at the partition's end. As long as the fold lacks more it shares the
-// reads of those who catch up, so that nothing is read twice.
+// follow keeps a long poll open at the end of the partition. While the fold is behind it uses CatchUp
+// instead, which shares its reads with other callers, so that nothing is read twice.
 func (p *Partition) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		var err error
-		if p.behind() {
+		if p.isBehind() {
 			err = p.CatchUp(ctx)
 		} else {
-			_, err = p.readOnce(ctx, followWait)
+			_, err = p.readOnce(ctx, followPollTimeout)
 		}
 		if err != nil {
-			// It is tried again; that the journal does not answer is logged by those who call it.
+			// Retried after the delay. Callers that depend on the journal log its failures.
 			p.ledger.logger.Debug("partition not followed", zap.Inline(p), zap.Error(err))
-			periodic.Pause(ctx, followPause)
+			periodic.Pause(ctx, followRetryDelay)
 		}
 	}
 }
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// readTimeout bounds a read beyond the time that it waits for records.
+	// readTimeout bounds a read, in addition to the time that it waits for records.
 	readTimeout = questiontime.Read
-	// pageBytes bounds the answer to a read: a link of 60 Mbit/s takes 35 ms for it. Each
-	// answer is folded, so that a read that fails costs no more than this.
-	pageBytes = 256 << 10
-	// pageRecords is how many of the longest records an answer has room for at least.
-	pageRecords = 2
+	// defaultPageBytes is the limit for the records returned by one read, unless minPageRecords
+	// requires more. Each page is applied at once, so a failed read repeats no more than this.
+	defaultPageBytes = 256 << 10
+	// minPageRecords is the number of records of maximum size that must fit in a page.
+	minPageRecords = 2
 )
 
-// CatchUp returns once the fold holds all that was in the partition when the
-// call came. Calls at the same time share reads. The error wraps ErrBehind.
+// CatchUp returns once the fold holds every record that was in the partition at the time of the call.
+// It waits for a read started after the call, which concurrent calls share. The error wraps
+// ErrBehind.
 func (p *Partition) CatchUp(ctx context.Context) error {
 	p.mu.Lock()
-	wanted := p.reads + 1
-	for p.done < wanted {
+	wanted := p.readsStarted + 1
+	for p.lastSucceededRead < wanted {
 		if !p.reading {
 			p.startRead()
 		}
@@ -38,7 +39,7 @@
 		case <-ended:
 		}
 		p.mu.Lock()
-		if p.done < wanted && p.failed >= wanted {
+		if p.lastSucceededRead < wanted && p.lastFailedRead >= wanted {
 			err := p.readErr
 			p.mu.Unlock()
 			return errors.Wrap(ErrBehind, err.Error())
@@ -48,10 +49,10 @@
 	return nil
 }
 
-// startRead begins a catch-up read. The mutex is held.
+// startRead starts a CatchUp read in the background. The mutex is held.
 func (p *Partition) startRead() {
-	p.reads++
-	number := p.reads
+	p.readsStarted++
+	number := p.readsStarted
 	p.reading = true
 	p.readEnded = make(chan struct{})
 	go func() {
@@ -60,58 +61,59 @@
 		defer p.mu.Unlock()
 		p.reading = false
 		if err == nil {
-			p.done = number
+			p.lastSucceededRead = number
 		} else {
-			p.failed, p.readErr = number, err
+			p.lastFailedRead, p.readErr = number, err
 		}
 		close(p.readEnded)
 	}()
 }
 
-// readToEnd reads until the fold has reached the end that the first read told.
+// readToEnd reads until the fold has reached the end of the partition as reported by the first read.
 func (p *Partition) readToEnd() error {
-	for target := noEnd; ; {
+	for target := unknownEnd; ; {
 		end, err := p.readOnce(p.ledger.ctx, 0)
 		if err != nil {
 			return err
 		}
-		if target == noEnd {
+		if target == unknownEnd {
 			target = end
 		}
-		if target != noEnd && p.next() >= target {
+		if target != unknownEnd && p.nextOffset() >= target {
 			return nil
 		}
 	}
 }
 
-// next returns the offset of the first record that is not folded yet.
-func (p *Partition) next() int64 {
+// nextOffset returns the offset of the first record that is not applied yet.
+func (p *Partition) nextOffset() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.state.Next()
+	return p.state.NextOffset()
 }
 
-// readOnce reads a page from the fold's offset on and folds what comes, also of an answer
-// that broke off. At the partition's end the read waits for records. It returns the end that
-// was told, noEnd if none was.
+// readOnce reads a page from nextOffset and applies its records, including those received before the
+// read failed. At the end of the partition it waits for new records, for at most the duration wait. It
+// returns the end of the partition as reported by the journal, or unknownEnd.
 func (p *Partition) readOnce(ctx context.Context, wait time.Duration) (end int64, err error) {
-	from := p.next()
+	from := p.nextOffset()
 	bounded, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
-	req := journal.Read{Partition: p.name, From: from, Wait: wait, MaxBytes: p.ledger.PageBytes()}
+	req := journal.Read{Partition: p.name, From: from, Wait: wait, MaxBytes: p.ledger.MaxPageBytes()}
 	read, err := p.ledger.journal.Read(bounded, req)
 	var trimmed *journal.TrimmedError
 	if errors.As(err, &trimmed) {
 		p.skipTrimmed(from, trimmed.First)
-		return noEnd, nil
+		return unknownEnd, nil
 	}
 	p.fold(from, read.Records)
-	p.noteRead(read, err == nil)
+	p.updateReadStats(read, err == nil)
 	return read.End, err
 }
 
-// noteRead counts what a read brought, whole or until it broke off.
-func (p *Partition) noteRead(read journal.Records, whole bool) {
+// updateReadStats counts the records of a read and updates the known end of the partition. The
+// argument whole is false if the read failed, possibly after some of the records.
+func (p *Partition) updateReadStats(read journal.Records, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, record := range read.Records {
@@ -119,12 +121,13 @@
 	}
 	p.readRecords += int64(len(read.Records))
 	p.end = max(p.end, read.End)
-	if whole && p.state.Next() >= read.End {
-		p.lastRead = time.Now()
+	if whole && p.state.NextOffset() >= read.End {
+		p.lastReadToEnd = time.Now()
 	}
 }
 
-// ReadPage reads the next page of the partition. The error wraps ErrBehind.
+// ReadPage reads the next page of the partition without waiting for new records. The error wraps
+// ErrBehind.
 func (p *Partition) ReadPage(ctx context.Context) error {
 	if _, err := p.readOnce(ctx, 0); err != nil {
 		return errors.Wrap(ErrBehind, err.Error())
@@ -132,15 +135,15 @@
 	return nil
 }
 
-// skipTrimmed moves the fold over records that are gone. The batches already
-// folded stay known; of those only in the trimmed records nothing is known.
+// skipTrimmed moves a fold that is still at the offset from to the first record that the journal has.
+// Batches already in the fold stay; those that have records only in the gap remain unknown.
 func (p *Partition) skipTrimmed(from, first int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.state.Next() == from && first > from {
+	if p.state.NextOffset() == from && first > from {
 		p.ledger.logger.Info("records trimmed before they were read", zap.Inline(p),
 			zap.Int64("offset", from), zap.Int64("first", first))
-		p.missed = true
-		p.state.Skip(first)
+		p.hasGap = true
+		p.state.SkipTo(first)
 	}
 }
--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -204,7 +204,7 @@
 // fill appends the batches.
 func (f *fleet) fill(t *testing.T, batches *ledger.Ledger) {
 	put := func(id string, record []byte) {
-		if err := batches.Of(id).Append(context.Background(), record); err != nil {
+		if err := batches.PartitionOf(id).Append(context.Background(), record); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -227,7 +227,7 @@
 					Text:    make([]byte, f.options.textBytes),
 				})
 			}
-			put(id, batch.Listed(id, listed))
+			put(id, batch.ResultsAdded(id, listed))
 		}
 	}
 }
--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -39,16 +39,16 @@
 	if r.budget == nil {
 		return true
 	}
-	missing, ok := partition.Missing()
+	missing, ok := partition.MissingBytes()
 	if !ok {
-		if !r.budget.takePage(r.ledger.PageBytes()) {
+		if !r.budget.takePage(r.ledger.MaxPageBytes()) {
 			return false
 		}
 		if err := r.readPage(ctx, partition); err != nil {
 			r.logger.Info("page not read, asking the watcher", zap.Inline(partition), zap.Error(err))
 			return false
 		}
-		missing, _ = partition.Missing()
+		missing, _ = partition.MissingBytes()
 	}
 	return missing == 0 || r.budget.take(missing)
 }
@@ -59,7 +59,7 @@
 // does. The error wraps ErrBehind.
 func (r *Reader) readPages(ctx context.Context, partition *ledger.Partition, ready func() bool) error {
 	for unpaced := !r.budget.reduced(); ; unpaced = false {
-		missing, ok := partition.Missing()
+		missing, ok := partition.MissingBytes()
 		if ok && missing == 0 || ready() {
 			return nil
 		}
@@ -91,7 +91,7 @@
 // nextPage is what the next page of a partition brings at most, in bytes.
 func (r *Reader) nextPage(missing int, ok bool) int {
 	if !ok {
-		return r.ledger.PageBytes()
+		return r.ledger.MaxPageBytes()
 	}
-	return min(missing, r.ledger.PageBytes())
+	return min(missing, r.ledger.MaxPageBytes())
 }
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -50,7 +50,7 @@
 // answer tries the ways to an answer in their order: the fold held here, an own read within the
 // budget, the partition's watcher beside it, a read at the rate of the budget.
 func (q *question[Q, T]) answer(ctx context.Context) (answer T, err error) {
-	if q.partition.Fresh() || q.r.budget == nil {
+	if q.partition.IsFresh() || q.r.budget == nil {
 		return q.here(ctx, q.query(q.wait))
 	}
 	q.way = wayBudget
@@ -91,7 +91,7 @@
 		return own.value, own.err
 	case <-timer.C:
 	}
-	if q.partition.LastRead().After(q.began) {
+	if q.partition.LastReadToEnd().After(q.began) {
 		<-own.done
 		return own.value, own.err
 	}
@@ -128,7 +128,7 @@
 		return answer, err
 	}
 	defer func() { <-q.r.cold }()
-	missing, _ := q.partition.Missing()
+	missing, _ := q.partition.MissingBytes()
 	q.r.logger.Info("partition read for a question", zap.String("batch", q.batchID), zap.Inline(q.partition),
 		zap.String("watcher", q.call.watcher), zap.Int("missing", missing), zap.String("reason", cause.Error()))
 	if err := q.r.readPages(ctx, q.partition, q.ready); err != nil {
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -53,16 +53,16 @@
 		d.accept(t, id, results)
 		for item := range results {
 			text := make([]byte, restartBytes/results)
-			d.append(t, id, batch.Listed(id, []batch.Result{{Item: item, Outcome: batch.Done, Text: text}}))
+			d.append(t, id, batch.ResultsAdded(id, []batch.Result{{Item: item, Outcome: batch.Done, Text: text}}))
 		}
 	}
 	d.log.Limit(restartJournal)
 	fleet := ledgertest.Start(ctx, d.log, restartDaemons, restartLink)
-	d.runs, d.ledgers, d.dealt = fleet.Runs, fleet.Ledgers, fleet.Dealt
+	d.runs, d.ledgers, d.dealt = fleet.Incarnations, fleet.Ledgers, fleet.WatcherIndex
 	for i, run := range d.runs {
 		d.readers = append(d.readers, NewReader(d.ledgers[i], d, d, d.log.Grants(), run, logger))
 	}
-	fleet.Deal()
+	fleet.AssignPartitions()
 	return d
 }
 
@@ -132,7 +132,7 @@
 			restartBatches, took, read>>20, unasked)
 		is.True(took < restartAnswered)
 		// Such a question costs a page at once, as it may have no other answer.
-		own := float64(read - restartBatches*restartBytes - unasked*d.readers[0].ledger.PageBytes())
+		own := float64(read - restartBatches*restartBytes - unasked*d.readers[0].ledger.MaxPageBytes())
 		is.True(own < ownReadShare*restartJournal*took.Seconds())
 	})
 }
--- a/internal/batches/runner/adopt_test.go
+++ b/internal/batches/runner/adopt_test.go
@@ -17,7 +17,7 @@
 // start a batch again that the job has found closed.
 func TestClosedBatchIsNotAdoptedAgain(t *testing.T) {
 	for name, closing := range map[string][]byte{
-		"all listed": batch.Listed("x", []batch.Result{{Item: 0, Outcome: batch.Dead}, {Item: 1, Outcome: batch.Dead}}),
+		"all listed": batch.ResultsAdded("x", []batch.Result{{Item: 0, Outcome: batch.Dead}, {Item: 1, Outcome: batch.Dead}}),
 		"ended":      batch.Ended("x", ""),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -25,16 +25,16 @@
 				is := is.New(t)
 				ctx := t.Context()
 				log := journaltest.New()
-				others := ledger.New(ctx, log, zap.NewNop()).Of("x")
+				others := ledger.New(ctx, log, zap.NewNop()).PartitionOf("x")
 				owner := newOwner(ctx, t, log, "a/1")
-				whole := owner.ledger.Of("x")
+				whole := owner.ledger.PartitionOf("x")
 				running := func() int {
 					batches, _ := owner.Load()
 					return batches
 				}
 				is.NoErr(others.Append(ctx, batch.Accepted(&twoItems, "a/1")))
 				is.NoErr(whole.CatchUp(ctx))
-				alone := owner.ledger.From(whole.Name(), 0)
+				alone := owner.ledger.NewPartitionAt(whole.Name(), 0)
 				is.NoErr(alone.CatchUp(ctx))
 				owner.adopt(alone, "x")
 				is.Equal(running(), 1)
--- a/internal/batches/runner/fold.go
+++ b/internal/batches/runner/fold.go
@@ -23,8 +23,8 @@
 // other batches first would delay the first heartbeat until the accepting daemon takes the batch
 // over.
 func (r *Runner) foldOf(ctx context.Context, batchID string) *ledger.Partition {
-	whole := r.ledger.Of(batchID)
-	if whole.Fresh() {
+	whole := r.ledger.PartitionOf(batchID)
+	if whole.IsFresh() {
 		return whole
 	}
 	bounded, cancel := context.WithTimeout(ctx, locateTimeout)
@@ -35,5 +35,5 @@
 			zap.Error(err))
 		return whole
 	}
-	return r.ledger.From(whole.Name(), offset)
+	return r.ledger.NewPartitionAt(whole.Name(), offset)
 }
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -65,12 +65,12 @@
 	j.placement.required, j.placement.lengths = r.history.recordBatch(&submission)
 	j.items = newItems(&submission, r)
 	for i, it := range j.items {
-		if b.Listed[i] {
+		if b.HasResult[i] {
 			it.state = itemListed
 		}
 		it.resumeFrom(b.Partials[i])
 		it.timing.since = j.adoptedAt
-		if b.HandedOff[i] {
+		if b.HandedOffItems[i] {
 			it.handedOff, it.notBefore = true, j.adoptedAt.Add(handOffTimeout)
 		}
 	}
@@ -92,7 +92,7 @@
 	s := j.submission
 	j.logger.Info("batch owned", zap.Int("items", len(j.items)), zap.Int("listed", listed),
 		zap.Int("begun", started), zap.Int64("step", s.Step), zap.String("model", s.Model),
-		zap.Int64("min_version", s.MinVersion), zap.Int("desired", s.Desired), zap.Inline(j.partition))
+		zap.Int64("min_version", s.MinVersion), zap.Int("desired", s.DesiredGroups), zap.Inline(j.partition))
 }
 
 // run runs the job until its batch needs nothing more from this daemon.
@@ -149,7 +149,7 @@
 	switch {
 	case b.Ended:
 		return "ended"
-	case !b.Open():
+	case !b.IsOpen():
 		return "all listed"
 	case b.Owner != j.r.self && !j.release.begun:
 		return "owned by " + b.Owner
@@ -161,7 +161,7 @@
 // markListed marks the items whose results are in the ledger, and cancels their attempts. The mutex
 // is held.
 func (j *job) markListed(b *batch.Batch) {
-	for i, listed := range b.Listed {
+	for i, listed := range b.HasResult {
 		it := j.items[i]
 		if !listed || it.state == itemListed {
 			continue
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -115,15 +115,15 @@
 	partition := w.runner.ledger.Partition(name)
 	// Silence counts only while the journal can be read: records written during an outage are read
 	// afterwards.
-	if now.Sub(partition.LastRead()) > heartbeatTimeout {
+	if now.Sub(partition.LastReadToEnd()) > heartbeatTimeout {
 		p.owners = map[string]observation{}
 		return nil
 	}
 	var suspects []observation
 	var own []string
 	partition.View(func(state *batch.State) {
-		state.All(func(b *batch.Batch) {
-			if !b.Open() {
+		state.ForEach(func(b *batch.Batch) {
+			if !b.IsOpen() {
 				delete(p.owners, b.ID)
 				return
 			}
@@ -148,7 +148,7 @@
 	if ok && before.unchanged(b) {
 		return before
 	}
-	o := observation{partition: name, batch: b.ID, owner: b.Owner, signs: b.Signs, unchangedSince: now}
+	o := observation{partition: name, batch: b.ID, owner: b.Owner, signs: b.LivenessSignals, unchangedSince: now}
 	if before.owner == b.Owner {
 		o.checkedGeneration = before.checkedGeneration
 	}
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -269,7 +269,7 @@
 		var listed [][]byte
 		for item := range items {
 			submission.Items = append(submission.Items, batch.Item{ID: fmt.Sprint("i", item)})
-			listed = append(listed, batch.Listed(submission.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: make([]byte, startBytes/items)}}))
+			listed = append(listed, batch.ResultsAdded(submission.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: make([]byte, startBytes/items)}}))
 		}
 		records := append([][]byte{batch.Accepted(submission, "gone/1")}, listed...)
 		all.put(ctx, t, batches.Locate(submission.ID), append(records, batch.Ended(submission.ID, ""))...)
@@ -327,12 +327,12 @@
 	read := 0
 	for _, e := range all.daemons {
 		for name := range e.member.Partitions() {
-			if name.Topic != runner.RunnersTopic && e.batches.Partition(name).Fresh() {
+			if name.Topic != runner.RunnersTopic && e.batches.Partition(name).IsFresh() {
 				read++
 			}
 		}
 	}
-	return read >= ledger.Topics*all.log.Partitions
+	return read >= ledger.TopicCount*all.log.Partitions
 }
 
 // awaitLearned returns after which time all partitions were learned, and false if they were
