--- a/internal/journal/contact.go
+++ b/internal/journal/contact.go
@@ -8,8 +8,8 @@
 	"woodworks/internal/daemon/bootclock"
 )
 
-// neverHeard is the silence of what has never answered.
-const neverHeard = time.Duration(math.MaxInt64)
+// neverAnswered is the silence of what has never answered.
+const neverAnswered = time.Duration(math.MaxInt64)
 
 // Contact is when something last answered. It is safe for concurrent use.
 //
@@ -34,7 +34,7 @@
 func (c *Contact) Silence() time.Duration {
 	last := c.last.Load()
 	if last == nil {
-		return neverHeard
+		return neverAnswered
 	}
 	return c.now().Sub(*last)
 }
