--- a/internal/journal/contact.go
+++ b/internal/journal/contact.go
@@ -11,27 +11,27 @@
 // neverAnswered is the silence of what has never answered.
 const neverAnswered = time.Duration(math.MaxInt64)
 
-// Contact is when something last answered. It is safe for concurrent use.
+// LastContact is when something last answered. It is safe for concurrent use.
 //
 // It goes by a clock that the time of day doesn't move and that a suspended machine's
 // sleep does: after one, nothing is known to be as it was.
-type Contact struct {
+type LastContact struct {
 	now  bootclock.Clock
 	last atomic.Pointer[time.Time]
 }
 
 // NewContact returns a contact before the first answer.
-func NewContact(now bootclock.Clock) *Contact { return &Contact{now: now} }
+func NewContact(now bootclock.Clock) *LastContact { return &LastContact{now: now} }
 
 // Note notes an answer.
-func (c *Contact) Note() {
+func (c *LastContact) Note() {
 	now := c.now()
 	c.last.Store(&now)
 }
 
 // Silence returns how long ago the last answer was, longer than any bound if there was
 // none.
-func (c *Contact) Silence() time.Duration {
+func (c *LastContact) Silence() time.Duration {
 	last := c.last.Load()
 	if last == nil {
 		return neverAnswered
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -48,7 +48,7 @@
 	maxInterval time.Duration
 
 	synced      atomic.Bool
-	lastContact *Contact
+	lastContact *LastContact
 	failures    failureRow
 }
 
--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -56,7 +56,7 @@
 	// failedReads sums the reads of the list that failed: each question may begin one.
 	failedReads *logging.Episodes
 
-	lastContact *journal.Contact
+	lastContact *journal.LastContact
 	leaving     atomic.Bool
 	// lost says that the last call to stay in the group failed. Only Run uses it.
 	lost bool
