--- a/internal/journal/contact.go
+++ b/internal/journal/contact.go
@@ -20,8 +20,8 @@
 	last atomic.Pointer[time.Time]
 }
 
-// NewContact returns a contact before the first answer.
-func NewContact(now bootclock.Clock) *LastContact { return &LastContact{now: now} }
+// NewLastContact returns a contact before the first answer.
+func NewLastContact(now bootclock.Clock) *LastContact { return &LastContact{now: now} }
 
 // Note notes an answer.
 func (c *LastContact) Note() {
--- a/internal/journal/contact_test.go
+++ b/internal/journal/contact_test.go
@@ -46,7 +46,7 @@
 // The clock of a daemon is none that the time of day moves.
 func TestTheLastContactIsNotOfTheTimeOfDay(t *testing.T) {
 	is := is.New(t)
-	contact := journal.NewContact(bootclock.Now)
+	contact := journal.NewLastContact(bootclock.Now)
 	contact.Note()
 	is.True(contact.Silence() < time.Minute)
 	is.True(time.Until(bootclock.Now()).Abs() > 24*time.Hour) // by so much would it be off
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -67,7 +67,7 @@
 		logger:      logger.With(zap.String("topic", partition.Topic)),
 		interval:    noInterval,
 		maxInterval: part(maxIntervalShare),
-		lastContact: NewContact(bootclock.Now),
+		lastContact: NewLastContact(bootclock.Now),
 	}
 }
 
@@ -79,7 +79,7 @@
 func (f *KeyedFollower) Synced() bool { return f.synced.Load() }
 
 // SetClock sets the clock by which Silence goes. It is called before Run.
-func (f *KeyedFollower) SetClock(now bootclock.Clock) { f.lastContact = NewContact(now) }
+func (f *KeyedFollower) SetClock(now bootclock.Clock) { f.lastContact = NewLastContact(now) }
 
 // Silence is how long ago the last read was answered.
 func (f *KeyedFollower) Silence() time.Duration { return f.lastContact.Silence() }
--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -71,7 +71,7 @@
 
 // New returns the membership of the incarnation named self, which asks for a part of the topics' partitions.
 func New(log journal.Journal, self string, topics []string, logger *zap.Logger) *Member {
-	return &Member{journal: log, self: self, topics: topics, logger: logger, lastContact: journal.NewContact(bootclock.Now),
+	return &Member{journal: log, self: self, topics: topics, logger: logger, lastContact: journal.NewLastContact(bootclock.Now),
 		failedReads: logging.NewEpisodes(logger, "watchers of partitions not learned", "", "")}
 }
 
--- a/internal/membership/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -117,7 +117,7 @@
 	is := is.New(t)
 	clock := clocktest.New()
 	member := New(journaltest.New(), "a/1", topics, zap.NewNop())
-	member.lastContact = journal.NewContact(clock.Now)
+	member.lastContact = journal.NewLastContact(clock.Now)
 	is.True(member.Silence() > 24*time.Hour) // there was none
 	member.join(t.Context())
 	is.True(member.Silence() < time.Minute)
--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -166,7 +166,7 @@
 		log := journaltest.New()
 		start(ctx, log, "a/1")
 		asking := New(log, "b/1", topics, zap.NewNop())
-		asking.lastContact = journal.NewContact(time.Now)
+		asking.lastContact = journal.NewLastContact(time.Now)
 		go asking.Run(ctx)
 		time.Sleep(4 * time.Second) // the group is settled
 		partition := journal.Partition{Topic: "t"}
