--- a/internal/journal/contact.go
+++ b/internal/journal/contact.go
@@ -23,8 +23,8 @@
 // NewLastContact returns a contact before the first answer.
 func NewLastContact(now bootclock.Clock) *LastContact { return &LastContact{now: now} }
 
-// Note notes an answer.
-func (c *LastContact) Note() {
+// Record notes an answer.
+func (c *LastContact) Record() {
 	now := c.now()
 	c.last.Store(&now)
 }
--- a/internal/journal/contact_test.go
+++ b/internal/journal/contact_test.go
@@ -47,7 +47,7 @@
 func TestTheLastContactIsNotOfTheTimeOfDay(t *testing.T) {
 	is := is.New(t)
 	contact := journal.NewLastContact(bootclock.Now)
-	contact.Note()
+	contact.Record()
 	is.True(contact.Silence() < time.Minute)
 	is.True(time.Until(bootclock.Now()).Abs() > 24*time.Hour) // by so much would it be off
 }
--- a/internal/journal/failures.go
+++ b/internal/journal/failures.go
@@ -36,7 +36,7 @@
 
 // noteContact ends a row of failures, if there is one.
 func (f *KeyedFollower) noteContact() {
-	f.lastContact.Note()
+	f.lastContact.Record()
 	if f.failures.logged {
 		f.logger.Info("dependency regained", zap.Duration("after", time.Since(f.failures.since)),
 			zap.Int("failures", f.failures.count))
--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -136,7 +136,7 @@
 
 // noteContact notes that the group has answered.
 func (m *Member) noteContact() {
-	m.lastContact.Note()
+	m.lastContact.Record()
 	if m.lost {
 		m.lost = false
 		m.logger.Info("dependency regained", zap.String("dependency", "group"))
