--- a/internal/journal/failures.go
+++ b/internal/journal/failures.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// followPause is the pause after a failed read.
-	followPause = 150 * time.Millisecond
+	// readRetryDelay is the pause after a failed read.
+	readRetryDelay = 150 * time.Millisecond
 	// lostAfter is for how long reads must fail until a partition counts as
 	// disconnected: a single refusal says nothing of it.
 	lostAfter = 500 * time.Millisecond
@@ -68,7 +68,7 @@
 	var throttled *ThrottledError
 	if !errors.As(err, &throttled) {
 		f.failures.throttled = 0
-		return followPause
+		return readRetryDelay
 	}
 	pause := min(throttledPause<<min(f.failures.throttled, maxDoublings), f.maxInterval)
 	f.failures.throttled++
