--- a/internal/journal/failures.go
+++ b/internal/journal/failures.go
@@ -14,9 +14,9 @@
 const (
 	// readRetryDelay is the pause after a failed read.
 	readRetryDelay = 150 * time.Millisecond
-	// lostAfter is for how long reads must fail until a partition counts as
+	// lostThreshold is for how long reads must fail until a partition counts as
 	// disconnected: a single refusal says nothing of it.
-	lostAfter = 500 * time.Millisecond
+	lostThreshold = 500 * time.Millisecond
 	// throttledPause is the first pause after a read that was throttled. It doubles
 	// with each one in a row, up to maxIntervalShare of the contact bound.
 	throttledPause = 100 * time.Millisecond
@@ -55,7 +55,7 @@
 		row.since = began
 	}
 	row.count++
-	if !row.logged && time.Since(row.since) >= lostAfter {
+	if !row.logged && time.Since(row.since) >= lostThreshold {
 		row.logged = true
 		f.logger.Warn("dependency lost", zap.Int("failures", row.count),
 			zap.Duration("for", time.Since(row.since)), zap.Error(err))
