--- a/internal/journal/failures.go
+++ b/internal/journal/failures.go
@@ -17,9 +17,9 @@
 	// lostThreshold is for how long reads must fail until a partition counts as
 	// disconnected: a single refusal says nothing of it.
 	lostThreshold = 500 * time.Millisecond
-	// throttledPause is the first pause after a read that was throttled. It doubles
+	// throttledBackoff is the first pause after a read that was throttled. It doubles
 	// with each one in a row, up to maxIntervalShare of the contact bound.
-	throttledPause = 100 * time.Millisecond
+	throttledBackoff = 100 * time.Millisecond
 	// maxDoublings bounds the doublings of a pause.
 	maxDoublings = 6
 )
@@ -70,7 +70,7 @@
 		f.failures.throttled = 0
 		return readRetryDelay
 	}
-	pause := min(throttledPause<<min(f.failures.throttled, maxDoublings), f.maxInterval)
+	pause := min(throttledBackoff<<min(f.failures.throttled, maxDoublings), f.maxInterval)
 	f.failures.throttled++
 	// Between a half and one and a half of that, so that daemons that were refused at the same
 	// moment do not come back together.
