--- a/internal/journal/failures.go
+++ b/internal/journal/failures.go
@@ -20,8 +20,8 @@
 	// throttledBackoff is the first pause after a read that was throttled. It doubles
 	// with each one in a row, up to maxIntervalShare of the contact bound.
 	throttledBackoff = 100 * time.Millisecond
-	// maxDoublings bounds the doublings of a pause.
-	maxDoublings = 6
+	// maxBackoffDoublings bounds the doublings of a pause.
+	maxBackoffDoublings = 6
 )
 
 // failureRow is a row of failed reads.
@@ -70,7 +70,7 @@
 		f.failures.throttled = 0
 		return readRetryDelay
 	}
-	pause := min(throttledBackoff<<min(f.failures.throttled, maxDoublings), f.maxInterval)
+	pause := min(throttledBackoff<<min(f.failures.throttled, maxBackoffDoublings), f.maxInterval)
 	f.failures.throttled++
 	// Between a half and one and a half of that, so that daemons that were refused at the same
 	// moment do not come back together.
