--- a/internal/journal/failures.go
+++ b/internal/journal/failures.go
@@ -24,8 +24,8 @@
 	maxBackoffDoublings = 6
 )
 
-// failureRow is a row of failed reads.
-type failureRow struct {
+// failureStreak is a row of failed reads.
+type failureStreak struct {
 	since time.Time
 	count int
 	// throttled counts those at the end of the row that were refused for their rate.
@@ -41,7 +41,7 @@
 		f.logger.Info("dependency regained", zap.Duration("after", time.Since(f.failures.since)),
 			zap.Int("failures", f.failures.count))
 	}
-	f.failures = failureRow{}
+	f.failures = failureStreak{}
 }
 
 // noteFailure logs a row of failures once it is long enough, and pauses. Began is when
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -49,7 +49,7 @@
 
 	synced      atomic.Bool
 	lastContact *LastContact
-	failures    failureRow
+	failures    failureStreak
 }
 
 // NewKeyedFollower returns a follower; Run starts it. ContactBound is the time
