--- a/internal/journal/failures.go
+++ b/internal/journal/failures.go
@@ -34,8 +34,8 @@
 	logged bool
 }
 
-// noteContact ends a row of failures, if there is one.
-func (f *KeyedFollower) noteContact() {
+// recordSuccess ends a row of failures, if there is one.
+func (f *KeyedFollower) recordSuccess() {
 	f.lastContact.Record()
 	if f.failures.logged {
 		f.logger.Info("dependency regained", zap.Duration("after", time.Since(f.failures.since)),
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return 0, err
 	}
-	f.noteContact()
+	f.recordSuccess()
 	if resetter, ok := f.handler.(KeyedResetter); ok {
 		resetter.Reset(records)
 	} else {
@@ -129,7 +129,7 @@
 			f.noteFailure(ctx, began, err)
 			continue
 		}
-		f.noteContact()
+		f.recordSuccess()
 		if read.End < next {
 			f.logger.Warn("partition is shorter than was read, reading fully", zap.Int64("offset", next), zap.Int64("end", read.End))
 			return
