--- a/internal/journal/failures.go
+++ b/internal/journal/failures.go
@@ -44,9 +44,9 @@
 	f.failures = failureStreak{}
 }
 
-// noteFailure logs a row of failures once it is long enough, and pauses. Began is when
+// handleFailure logs a row of failures once it is long enough, and pauses. Began is when
 // the failed read did.
-func (f *KeyedFollower) noteFailure(ctx context.Context, began time.Time, err error) {
+func (f *KeyedFollower) handleFailure(ctx context.Context, began time.Time, err error) {
 	if ctx.Err() != nil {
 		return
 	}
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -90,7 +90,7 @@
 		began := time.Now()
 		next, err := f.readFully(ctx)
 		if err != nil {
-			f.noteFailure(ctx, began, err)
+			f.handleFailure(ctx, began, err)
 			continue
 		}
 		f.follow(ctx, next)
@@ -126,7 +126,7 @@
 			return
 		}
 		if err != nil {
-			f.noteFailure(ctx, began, err)
+			f.handleFailure(ctx, began, err)
 			continue
 		}
 		f.recordSuccess()
