--- a/internal/journal/failures.go
+++ b/internal/journal/failures.go
@@ -60,11 +60,11 @@
 		f.logger.Warn("dependency lost", zap.Int("failures", row.count),
 			zap.Duration("for", time.Since(row.since)), zap.Error(err))
 	}
-	periodic.Pause(ctx, f.pauseAfter(err))
+	periodic.Pause(ctx, f.retryDelay(err))
 }
 
-// pauseAfter returns how long to wait after a failed read.
-func (f *KeyedFollower) pauseAfter(err error) time.Duration {
+// retryDelay returns how long to wait after a failed read.
+func (f *KeyedFollower) retryDelay(err error) time.Duration {
 	var throttled *ThrottledError
 	if !errors.As(err, &throttled) {
 		f.failures.throttled = 0
