--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -66,7 +66,7 @@
 		slack:       part(slackShare),
 		logger:      logger.With(zap.String("topic", partition.Topic)),
 		interval:    noInterval,
-		maxInterval: part(maxIntervalShare),
+		maxInterval: part(maxIntervalFraction),
 		lastContact: NewLastContact(bootclock.Now),
 	}
 }
--- a/internal/journal/interval.go
+++ b/internal/journal/interval.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// maxIntervalShare bounds the time between two reads of a follower, as a part of the
+// maxIntervalFraction bounds the time between two reads of a follower, as a part of the
 // contact bound: what it follows must be known well within that bound.
-const maxIntervalShare = 0.1
+const maxIntervalFraction = 0.1
 
 // Interval is the least time between the beginnings of two reads of one follower.
 //
