--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// waitShare and slackShare are the parts of the contact bound that a read
+	// waitFraction and slackShare are the parts of the contact bound that a read
 	// may wait for records, and may take beyond that. A read that was lost in an outage
 	// is thus given up and repeated well before the bound has passed since the
 	// outage's end.
-	waitShare  = 0.30
-	slackShare = 0.30
+	waitFraction = 0.30
+	slackShare   = 0.30
 )
 
 // KeyedHandler takes the records of a keyed partition. Its methods are called
@@ -62,7 +62,7 @@
 		journal:     log,
 		partition:   partition,
 		handler:     handler,
-		wait:        part(waitShare),
+		wait:        part(waitFraction),
 		slack:       part(slackShare),
 		logger:      logger.With(zap.String("topic", partition.Topic)),
 		interval:    noInterval,
