--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -17,8 +17,8 @@
 	// may wait for records, and may take beyond that. A read that was lost in an outage
 	// is thus given up and repeated well before the bound has passed since the
 	// outage's end.
-	waitFraction = 0.30
-	slackShare   = 0.30
+	waitFraction  = 0.30
+	slackFraction = 0.30
 )
 
 // KeyedHandler takes the records of a keyed partition. Its methods are called
@@ -63,7 +63,7 @@
 		partition:   partition,
 		handler:     handler,
 		wait:        part(waitFraction),
-		slack:       part(slackShare),
+		slack:       part(slackFraction),
 		logger:      logger.With(zap.String("topic", partition.Topic)),
 		interval:    noInterval,
 		maxInterval: part(maxIntervalFraction),
