--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -48,7 +48,7 @@
 
 // append adds a record with one call.
 func (p *Permits) append(ctx context.Context, part *partition, r record) error {
-	return journal.AppendWithin(ctx, p.journal, callTimeout, part.name, r.encode())
+	return journal.AppendWithTimeout(ctx, p.journal, callTimeout, part.name, r.encode())
 }
 
 // catchUp reads a partition up to where it ended when the read began.
--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -83,7 +83,7 @@
 		a.logger.Error("assignment not encoded", zap.String("batch", submission.ID), zap.Error(err))
 		return
 	}
-	err = journal.AppendWithin(ctx, a.journal, assignTimeout, a.partitionOf(submission), encoded)
+	err = journal.AppendWithTimeout(ctx, a.journal, assignTimeout, a.partitionOf(submission), encoded)
 	a.logger.Info("batch assigned", zap.String("batch", submission.ID), zap.String("to", owner), zap.Error(err))
 }
 
--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -103,7 +103,7 @@
 	if encoded == nil {
 		return nil
 	}
-	if err := journal.AppendWithin(ctx, r.journal, appendTimeout, Partition, encoded); err != nil {
+	if err := journal.AppendWithTimeout(ctx, r.journal, appendTimeout, Partition, encoded); err != nil {
 		r.logger.Info("usage not written", zap.Int64("number", r.number),
 			zap.Bool("certain", errors.Is(err, journal.ErrNotDone)), zap.Error(err))
 		return errors.Wrap(err, "usage: counts not written")
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -136,7 +136,7 @@
 }
 
 func (r *Reporter) append(ctx context.Context, rec record) error {
-	err := journal.AppendWithin(ctx, r.journal, appendTimeout, Partition, encode(rec))
+	err := journal.AppendWithTimeout(ctx, r.journal, appendTimeout, Partition, encode(rec))
 	if err != nil {
 		r.failedAt = time.Now()
 	}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -176,8 +176,8 @@
 	Grants() Grants
 }
 
-// AppendWithin appends records to a partition, and waits for the answer until the timeout.
-func AppendWithin(ctx context.Context, log Journal, timeout time.Duration, partition Partition, records ...[]byte) error {
+// AppendWithTimeout appends records to a partition, and waits for the answer until the timeout.
+func AppendWithTimeout(ctx context.Context, log Journal, timeout time.Duration, partition Partition, records ...[]byte) error {
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	_, err := log.Append(bounded, Append{Partition: partition, Records: records})
--- a/internal/journal/relay/announce.go
+++ b/internal/journal/relay/announce.go
@@ -34,7 +34,7 @@
 	}
 	record := journal.EncodeKeyed(j.options.Name, encoded)
 	for ctx.Err() == nil {
-		err := journal.AppendWithin(ctx, j, announceTimeout, PeersPartition, record)
+		err := journal.AppendWithTimeout(ctx, j, announceTimeout, PeersPartition, record)
 		if err == nil {
 			return
 		}
--- a/internal/replicas/demand/demand.go
+++ b/internal/replicas/demand/demand.go
@@ -89,7 +89,7 @@
 		return
 	}
 	record := journal.EncodeKeyed(key, encoded)
-	if err := journal.AppendWithin(ctx, p.journal, writeTimeout, Partition, record); err != nil {
+	if err := journal.AppendWithTimeout(ctx, p.journal, writeTimeout, Partition, record); err != nil {
 		p.logger.Info("demand not written", zap.String("key", key), zap.Error(err))
 	}
 }
--- a/internal/replicas/fleet/orders.go
+++ b/internal/replicas/fleet/orders.go
@@ -45,7 +45,7 @@
 		return errors.Wrap(err, "fleet: encode")
 	}
 	record := journal.EncodeKeyed(rec.Service+"/"+rec.Zone, encoded)
-	err = journal.AppendWithin(ctx, m.Journal, journalTimeout, partition, record)
+	err = journal.AppendWithTimeout(ctx, m.Journal, journalTimeout, partition, record)
 	return errors.Wrap(err, "fleet: order not noted")
 }
 
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -140,7 +140,7 @@
 		}
 		records = append(records, journal.EncodeKeyed(entry.Digest.String(), value))
 	}
-	if err := journal.AppendWithin(ctx, r.journal, recordTimeout, Partition, records...); err != nil {
+	if err := journal.AppendWithTimeout(ctx, r.journal, recordTimeout, Partition, records...); err != nil {
 		return err
 	}
 	r.table.markWritten(entries)
