--- a/internal/api/operator/policies.go
+++ b/internal/api/operator/policies.go
@@ -110,7 +110,7 @@
 // History returns the configurations that the log still has, the oldest first.
 func (o *Operator) History(ctx context.Context) ([]Policies, error) {
 	var history []Policies
-	_, err := journal.ReadOn(ctx, o.journal, RecordsPartition, 0, callTimeout, func(_ int64, records [][]byte) {
+	_, err := journal.ReadToEnd(ctx, o.journal, RecordsPartition, 0, callTimeout, func(_ int64, records [][]byte) {
 		for _, record := range records {
 			if policies, ok := o.policiesIn(record); ok {
 				history = append(history, policies)
--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -59,7 +59,7 @@
 		return ctx.Err()
 	}
 	defer func() { <-part.reading }()
-	part.next, err = journal.ReadOn(ctx, p.journal, part.name, part.next, callTimeout,
+	part.next, err = journal.ReadToEnd(ctx, p.journal, part.name, part.next, callTimeout,
 		func(offset int64, records [][]byte) {
 			part.fold(offset, records, time.Now().Add(-p.retention-clockMargin))
 		})
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -184,10 +184,10 @@
 	return err
 }
 
-// ReadOn gives take the records of a partition from an offset on, up to where it ends, and returns
+// ReadToEnd gives take the records of a partition from an offset on, up to where it ends, and returns
 // the offset after them. Those that were trimmed are passed over. Each read is waited for until the
 // timeout.
-func ReadOn(
+func ReadToEnd(
 	ctx context.Context, log Journal, partition Partition, from int64, timeout time.Duration,
 	take func(offset int64, records [][]byte),
 ) (next int64, err error) {
