--- a/internal/daemon/settings/settings.go
+++ b/internal/daemon/settings/settings.go
@@ -121,11 +121,11 @@
 const megabyte = 1e6
 
 // Shape is what the log takes, and grants all daemons together.
-func (s Store) Shape() journal.Shape {
+func (s Store) Shape() journal.Limits {
 	granted := journal.Grants{
 		ReadsPerSecond: s.ReadsPerSecond, WritesPerSecond: s.WritesPerSecond, ReadBytesPerSecond: s.ReadMBPerSecond * megabyte,
 	}
-	return journal.Shape{Partitions: s.Partitions, RecordBytes: s.RecordBytes, AppendBytes: s.AppendBytes, Granted: granted}
+	return journal.Limits{Partitions: s.Partitions, RecordBytes: s.RecordBytes, AppendBytes: s.AppendBytes, Granted: granted}
 }
 
 // Timing holds the daemon's bounds in time.
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// Shape is what a journal takes and grants. It has the methods of a Journal that tell so.
-type Shape struct {
+// Limits is what a journal takes and grants. It has the methods of a Journal that tell so.
+type Limits struct {
 	// Partitions is how many partitions each topic has.
 	Partitions int
 	// RecordBytes and AppendBytes are the largest record and append.
@@ -221,16 +221,16 @@
 }
 
 // PartitionsPerTopic implements Journal.
-func (s Shape) PartitionsPerTopic() int { return s.Partitions }
+func (s Limits) PartitionsPerTopic() int { return s.Partitions }
 
 // MaxRecordBytes implements Journal.
-func (s Shape) MaxRecordBytes() int { return s.RecordBytes }
+func (s Limits) MaxRecordBytes() int { return s.RecordBytes }
 
 // MaxAppendBytes implements Journal.
-func (s Shape) MaxAppendBytes() int { return s.AppendBytes }
+func (s Limits) MaxAppendBytes() int { return s.AppendBytes }
 
 // Grants implements Journal.
-func (s Shape) Grants() Grants { return s.Granted }
+func (s Limits) Grants() Grants { return s.Granted }
 
 // Grants is what a journal grants all daemons together; 0 where that is not known.
 type Grants struct {
--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -25,7 +25,7 @@
 	Befall func(call Call) Fault
 	// Shape may be changed before the first call. Where it grants ReadsPerSecond, further reads
 	// within a second are throttled.
-	journal.Shape
+	journal.Limits
 
 	mu         sync.Mutex
 	logs       map[journal.Partition]*log
@@ -54,7 +54,7 @@
 
 // New returns an empty journal.
 func New() *Journal {
-	return &Journal{Shape: journal.Shape{Partitions: 2, RecordBytes: 1 << 16, AppendBytes: 1 << 20},
+	return &Journal{Limits: journal.Limits{Partitions: 2, RecordBytes: 1 << 16, AppendBytes: 1 << 20},
 		logs: map[journal.Partition]*log{}, changed: make(chan struct{}), members: map[string]time.Time{}}
 }
 
--- a/internal/journal/logservice/client.go
+++ b/internal/journal/logservice/client.go
@@ -21,7 +21,7 @@
 
 // Client is the service's client. It is safe for concurrent use.
 type Client struct {
-	journal.Shape
+	journal.Limits
 	pool *upstream.Pool
 	addr netip.AddrPort
 }
@@ -30,9 +30,9 @@
 
 // New returns a client of the service at addr. Its connections come from the IP
 // of local (IP:port), "" for any.
-func New(addr netip.AddrPort, local string, shape journal.Shape) *Client {
+func New(addr netip.AddrPort, local string, shape journal.Limits) *Client {
 	options := upstream.Options{LocalAddress: local, ConnectTimeout: connectTimeout, UnackedTimeout: unackedTimeout}
-	return &Client{Shape: shape, pool: upstream.NewPool(options), addr: addr}
+	return &Client{Limits: shape, pool: upstream.NewPool(options), addr: addr}
 }
 
 // call sends one call and decodes its answer.
--- a/internal/journal/logservice/logservice_test.go
+++ b/internal/journal/logservice/logservice_test.go
@@ -22,7 +22,7 @@
 	server := httptest.NewServer(Handler{Journal: log})
 	t.Cleanup(server.Close)
 	addr := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
-	return New(addr, "", journal.Shape{Partitions: 2, RecordBytes: 1 << 16, AppendBytes: 1 << 20}), log
+	return New(addr, "", journal.Limits{Partitions: 2, RecordBytes: 1 << 16, AppendBytes: 1 << 20}), log
 }
 
 func bounded(t *testing.T) context.Context {
@@ -123,7 +123,7 @@
 
 func TestAServiceThatIsNotThereTookNothing(t *testing.T) {
 	is := is.New(t)
-	client := New(netip.MustParseAddrPort("127.0.0.1:1"), "", journal.Shape{})
+	client := New(netip.MustParseAddrPort("127.0.0.1:1"), "", journal.Limits{})
 	_, err := client.Append(bounded(t), journal.Append{Partition: journal.Partition{Topic: "t"}})
 	is.True(errors.Is(err, journal.ErrNotDone))
 }
