--- a/internal/api/delivery/delivery_test.go
+++ b/internal/api/delivery/delivery_test.go
@@ -36,7 +36,7 @@
 	jobs := ledger.New(t.Context(), journaltest.New(), zap.NewNop())
 	request := rollout.Request{Trainer: "t", Name: "n", SamplesPerPrompt: 1, MaxTokens: 10, Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}}
 	ended := func(err error) error {
-		desk := New(results.NewReader(jobs, nil, nil, journal.Grants{}, "self/1", zap.NewNop()), endsWith{jobs, err}, rollout.ItemHeaders{}, zap.NewNop())
+		desk := New(results.NewReader(jobs, nil, nil, journal.RateLimits{}, "self/1", zap.NewNop()), endsWith{jobs, err}, rollout.ItemHeaders{}, zap.NewNop())
 		_, submitted := desk.Submit(t.Context(), Trainer{Name: "t"}, request)
 		is.NoErr(submitted)
 		return desk.End(t.Context(), "t", "n")
--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -47,7 +47,7 @@
 
 func newPeered(ctx context.Context, count int) *peered {
 	p := &peered{log: journaltest.New(), watcher: identity.New("holder", time.Now()), asked: map[string]int{}}
-	scarce := journal.Grants{ReadBytesPerSecond: 1}
+	scarce := journal.RateLimits{ReadBytesPerSecond: 1}
 	p.folds = ledger.New(ctx, p.log, zap.NewNop())
 	p.wire = serve(ctx, results.NewReader(p.folds, p, nil, scarce, p.watcher, zap.NewNop()).Service(ctx))
 	for i := range count {
@@ -265,7 +265,7 @@
 	further := p.folds.Of(rollout.JobID("t", "n", 1))
 	is.NoErr(further.Append(ctx, batch.Ended("gone", "")))
 	p.log.Trim(further.Name(), 1)
-	reader := results.NewReader(ledger.New(ctx, p.log, zap.NewNop()), p, nil, journal.Grants{}, "late/1", zap.NewNop())
+	reader := results.NewReader(ledger.New(ctx, p.log, zap.NewNop()), p, nil, journal.RateLimits{}, "late/1", zap.NewNop())
 	late := New(reader, p, rollout.ItemHeaders{}, zap.NewNop())
 	header, err := late.Submit(ctx, trains(3, 1), twoPrompts("n", 3))
 	is.NoErr(err)
--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -46,7 +46,7 @@
 	set := &policy.Set{Trainers: map[string]policy.Trainer{"t": {Name: "t"}}}
 	return New(Parts{
 		Configuration: func() (Configuration, bool) { return Configuration{Policies: set}, true },
-		Delivery:      delivery.New(results.NewReader(batches, nil, nil, journal.Grants{}, "self/1", zap.NewNop()), idle{batches}, rollout.ItemHeaders{}, zap.NewNop()),
+		Delivery:      delivery.New(results.NewReader(batches, nil, nil, journal.RateLimits{}, "self/1", zap.NewNop()), idle{batches}, rollout.ItemHeaders{}, zap.NewNop()),
 		Permits:       permit.New(log, 10*time.Minute, func() string { return "claimant" }, zap.NewNop()),
 		Metrics:       metrics.New(), Logger: zap.NewNop(), Stopping: stopping,
 	}, Limits{}), stop
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -99,7 +99,7 @@
 func bulky(ctx context.Context, t *testing.T, megabytes int) *journaltest.Journal {
 	log := journaltest.New()
 	log.RecordBytes = 256 << 10
-	log.Granted = journal.Grants{ReadBytesPerSecond: 80e6}
+	log.Granted = journal.RateLimits{ReadBytesPerSecond: 80e6}
 	put := func(record []byte) {
 		if err := ledger.New(ctx, log, zap.NewNop()).Of("b").Append(ctx, record); err != nil {
 			t.Fatal(err)
@@ -125,7 +125,7 @@
 
 // aloneReader is a reader that has nobody to ask.
 func aloneReader(batches *ledger.Ledger) *Reader {
-	return NewReader(batches, nil, nil, journal.Grants{}, "h", zap.NewNop())
+	return NewReader(batches, nil, nil, journal.RateLimits{}, "h", zap.NewNop())
 }
 
 // A question whose own read has an answer after 0.5 s is answered then, also where nobody can say
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -101,7 +101,7 @@
 // NewReader returns a reader of the batches for the incarnation named self. Without peers, nil,
 // it reads the journal itself, as it does where the journal's grants do not bound reads.
 func NewReader(
-	batches *ledger.Ledger, watchers Watchers, peers Peers, grants journal.Grants, self string,
+	batches *ledger.Ledger, watchers Watchers, peers Peers, grants journal.RateLimits, self string,
 	logger *zap.Logger,
 ) *Reader {
 	r := &Reader{
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -84,7 +84,7 @@
 func (d *daemons) Daemons() int { return len(d.runs) }
 
 // scarce is too little for any number of daemons to read partitions by themselves.
-var scarce = journal.Grants{ReadBytesPerSecond: 1}
+var scarce = journal.RateLimits{ReadBytesPerSecond: 1}
 
 // WatcherOf implements Watchers.
 func (d *daemons) WatcherOf(_ context.Context, partition journal.Partition) (string, bool) {
@@ -183,9 +183,9 @@
 		}
 		d := newDaemons(t.Context(), 1)
 		partition := d.ledgers[0].Of("b")
-		is.True(NewReader(d.ledgers[0], d, d, journal.Grants{}, "self", zap.NewNop()).
+		is.True(NewReader(d.ledgers[0], d, d, journal.RateLimits{}, "self", zap.NewNop()).
 			affords(t.Context(), partition))
-		is.True(NewReader(d.ledgers[0], nil, nil, journal.Grants{ReadBytesPerSecond: 1}, "self", zap.NewNop()).
+		is.True(NewReader(d.ledgers[0], nil, nil, journal.RateLimits{ReadBytesPerSecond: 1}, "self", zap.NewNop()).
 			affords(t.Context(), partition))
 	})
 }
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -95,7 +95,7 @@
 		if groupTells {
 			watchers = group.New(slow, self, ledger.TopicNames(), logger)
 		}
-		return results.NewReader(batches, watchers, peers, journal.Grants{ReadBytesPerSecond: 1}, self, logger)
+		return results.NewReader(batches, watchers, peers, journal.RateLimits{ReadBytesPerSecond: 1}, self, logger)
 	}
 	chosen := newOwner(ctx, t, slow, "a/1")
 	chosen.locator = locator("a/1", chosen.ledger)
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -121,7 +121,7 @@
 }
 
 // buildResults makes the reader of batches, which answers peers as well.
-func (n *Node) buildResults(grants journal.Grants) {
+func (n *Node) buildResults(grants journal.RateLimits) {
 	var peers results.Peers
 	if n.relay != nil {
 		peers = knownPeers{n.relay, n.peerFollower}
--- a/internal/daemon/settings/settings.go
+++ b/internal/daemon/settings/settings.go
@@ -122,7 +122,7 @@
 
 // Shape is what the log takes, and grants all daemons together.
 func (s Store) Shape() journal.Limits {
-	granted := journal.Grants{
+	granted := journal.RateLimits{
 		ReadsPerSecond: s.ReadsPerSecond, WritesPerSecond: s.WritesPerSecond, ReadBytesPerSecond: s.ReadMBPerSecond * megabyte,
 	}
 	return journal.Limits{Partitions: s.Partitions, RecordBytes: s.RecordBytes, AppendBytes: s.AppendBytes, Granted: granted}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -173,7 +173,7 @@
 	MaxRecordBytes() int
 	MaxAppendBytes() int
 	// Grants is what the journal grants all daemons together.
-	Grants() Grants
+	Grants() RateLimits
 }
 
 // AppendWithTimeout appends records to a partition, and waits for the answer until the timeout.
@@ -217,7 +217,7 @@
 	Partitions int
 	// RecordBytes and AppendBytes are the largest record and append.
 	RecordBytes, AppendBytes int
-	Granted                  Grants
+	Granted                  RateLimits
 }
 
 // PartitionsPerTopic implements Journal.
@@ -230,10 +230,10 @@
 func (s Limits) MaxAppendBytes() int { return s.AppendBytes }
 
 // Grants implements Journal.
-func (s Limits) Grants() Grants { return s.Granted }
+func (s Limits) Grants() RateLimits { return s.Granted }
 
-// Grants is what a journal grants all daemons together; 0 where that is not known.
-type Grants struct {
+// RateLimits is what a journal grants all daemons together; 0 where that is not known.
+type RateLimits struct {
 	// ReadsPerSecond is how many reads they may make in a second.
 	ReadsPerSecond float64
 	// WritesPerSecond is how many writes they may make in a second.
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -179,5 +179,5 @@
 func unreadableResults(ctx context.Context) *results.Reader {
 	log := journaltest.New()
 	log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
-	return results.NewReader(ledger.New(ctx, log, zap.NewNop()), nil, nil, journal.Grants{}, "self/1", zap.NewNop())
+	return results.NewReader(ledger.New(ctx, log, zap.NewNop()), nil, nil, journal.RateLimits{}, "self/1", zap.NewNop())
 }
