--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -110,7 +110,7 @@
 	r.log.Limit(restartJournal)
 	r.Fleet = ledgertest.Start(ctx, r.log, restartDaemons, restartLink)
 	for i, run := range r.Runs {
-		reader := results.NewReader(r.Ledgers[i], r, r, r.log.Grants(), run, zap.NewNop())
+		reader := results.NewReader(r.Ledgers[i], r, r, r.log.RateLimits(), run, zap.NewNop())
 		r.services, r.links = append(r.services, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
 		r.desks = append(r.desks, New(reader, endsWith{r.Ledgers[i], nil}, rollout.ItemHeaders{}, zap.NewNop()))
 	}
--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -251,7 +251,7 @@
 	}
 	n.ledger = ledger.New(ctx, log, zap.NewNop())
 	n.member = group.New(log, n.run, append(ledger.TopicNames(), "woodworks.runners"), zap.NewNop())
-	n.reader = NewReader(n.ledger, n.member, &neighbours{f, n}, log.Grants(), n.run, logger)
+	n.reader = NewReader(n.ledger, n.member, &neighbours{f, n}, log.RateLimits(), n.run, logger)
 	n.service = n.reader.Service(ctx)
 	go n.member.Run(ctx)
 	go n.watch(ctx)
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -60,7 +60,7 @@
 	fleet := ledgertest.Start(ctx, d.log, restartDaemons, restartLink)
 	d.runs, d.ledgers, d.dealt = fleet.Runs, fleet.Ledgers, fleet.Dealt
 	for i, run := range d.runs {
-		d.readers = append(d.readers, NewReader(d.ledgers[i], d, d, d.log.Grants(), run, logger))
+		d.readers = append(d.readers, NewReader(d.ledgers[i], d, d, d.log.RateLimits(), run, logger))
 	}
 	fleet.Deal()
 	return d
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -89,7 +89,7 @@
 	go member.Run(ctx)
 	defer partition.Follow()()
 	time.Sleep(10 * time.Second)
-	peers := watcherPeer{results.NewReader(watched, fixedWatcher(watcher), nil, log.Grants(), watcher, logger)}
+	peers := watcherPeer{results.NewReader(watched, fixedWatcher(watcher), nil, log.RateLimits(), watcher, logger)}
 	locator := func(self string, batches *ledger.Ledger) Locator {
 		var watchers results.Watchers = fixedWatcher(watcher)
 		if groupTells {
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -62,7 +62,7 @@
 
 // readInterval is that of a follower which uses a share of the reads that the journal grants.
 func (n *Node) readInterval(share float64) journal.Interval {
-	return journal.SharedInterval(n.journal.Grants().ReadsPerSecond*share, n.daemons)
+	return journal.SharedInterval(n.journal.RateLimits().ReadsPerSecond*share, n.daemons)
 }
 
 // buildListeners makes the listeners for clients; who answers them is known later.
@@ -97,7 +97,7 @@
 func (n *Node) buildBatches(log journal.Journal, forwarder *forward.Forwarder) {
 	n.ledger = ledger.New(n.context, log, n.logger)
 	n.member = group.New(log, n.identity, append(ledger.TopicNames(), runner.RunnersTopic), n.logger)
-	n.buildResults(log.Grants())
+	n.buildResults(log.RateLimits())
 	n.assigner = runner.NewAssigner(log, n.member, n.identity, n.logger)
 	n.runner = runner.New(n.context, n.identity, n.ledger, forwarder, n.operator, demand.NewPublisher(log, n.logger),
 		n.assigner, n.results, n.logger)
--- a/internal/journal/interval_test.go
+++ b/internal/journal/interval_test.go
@@ -35,7 +35,7 @@
 	for range daemons {
 		seen := &values{values: map[string]string{}}
 		follower := journal.NewKeyedFollower(f.log, followed, seen, fleetBound, zap.NewNop())
-		follower.SetInterval(journal.SharedInterval(f.log.Grants().ReadsPerSecond*fleetShare, func() int { return daemons }))
+		follower.SetInterval(journal.SharedInterval(f.log.RateLimits().ReadsPerSecond*fleetShare, func() int { return daemons }))
 		go follower.Run(ctx)
 		f.seen = append(f.seen, seen)
 	}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -172,8 +172,8 @@
 	// MaxRecordBytes and MaxAppendBytes bound a record and an append.
 	MaxRecordBytes() int
 	MaxAppendBytes() int
-	// Grants is what the journal grants all daemons together.
-	Grants() RateLimits
+	// RateLimits is what the journal grants all daemons together.
+	RateLimits() RateLimits
 }
 
 // AppendWithTimeout appends records to a partition, and waits for the answer until the timeout.
@@ -229,8 +229,8 @@
 // MaxAppendBytes implements Journal.
 func (s Limits) MaxAppendBytes() int { return s.AppendBytes }
 
-// Grants implements Journal.
-func (s Limits) Grants() RateLimits { return s.Granted }
+// RateLimits implements Journal.
+func (s Limits) RateLimits() RateLimits { return s.Granted }
 
 // RateLimits is what a journal grants all daemons together; 0 where that is not known.
 type RateLimits struct {
