--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -91,7 +91,7 @@
 func newRestarted(ctx context.Context, t *testing.T) *restarted {
 	r := &restarted{log: journaltest.New()}
 	r.log.Partitions, r.log.RecordBytes = 16, 256<<10
-	r.log.Granted = journal.RateLimits{ReadBytesPerSecond: restartJournal}
+	r.log.Rates = journal.RateLimits{ReadBytesPerSecond: restartJournal}
 	jobs := ledger.New(ctx, r.log, zap.NewNop())
 	text := frames(restartBytes / restartSamples)
 	for i := range restartBatches {
--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -192,7 +192,7 @@
 	f.readTakes.Store(int64(options.takes))
 	f.log.Partitions = options.partitions
 	f.log.RecordBytes = 256 << 10
-	f.log.Granted = journal.RateLimits{ReadBytesPerSecond: options.granted}
+	f.log.Rates = journal.RateLimits{ReadBytesPerSecond: options.granted}
 	f.fill(t, ledger.New(ctx, f.log, zap.NewNop()))
 	f.log.ResetUsage()
 	for i := range options.daemons {
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -99,7 +99,7 @@
 func bulky(ctx context.Context, t *testing.T, megabytes int) *journaltest.Journal {
 	log := journaltest.New()
 	log.RecordBytes = 256 << 10
-	log.Granted = journal.RateLimits{ReadBytesPerSecond: 80e6}
+	log.Rates = journal.RateLimits{ReadBytesPerSecond: 80e6}
 	put := func(record []byte) {
 		if err := ledger.New(ctx, log, zap.NewNop()).Of("b").Append(ctx, record); err != nil {
 			t.Fatal(err)
@@ -120,7 +120,7 @@
 // slowReader is a reader before a journal whose reads take a time.
 func slowReader(ctx context.Context, log *journaltest.Journal, takes *atomic.Int64, peers *alone) *Reader {
 	batches := ledger.New(ctx, slowJournal{log, takes}, zap.NewNop())
-	return NewReader(batches, peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
+	return NewReader(batches, peers, peers, log.Rates, identity.New("m0", time.Now()), zap.NewNop())
 }
 
 // aloneReader is a reader that has nobody to ask.
@@ -235,7 +235,7 @@
 		core, lines := observer.New(zap.InfoLevel)
 		peers := &alone{daemons: 84, watcher: ""}
 		batches := ledger.New(ctx, slowJournal{log, takes}, zap.NewNop())
-		reader := NewReader(batches, peers, peers, log.Granted, "m0", zap.New(core))
+		reader := NewReader(batches, peers, peers, log.Rates, "m0", zap.New(core))
 		time.Sleep(ownReadTime)
 		const questions = 20
 		for range questions {
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -44,7 +44,7 @@
 func newRestarted(ctx context.Context, t *testing.T, logger *zap.Logger) *daemons {
 	d := &daemons{log: journaltest.New(), dark: map[string]bool{}}
 	d.log.Partitions = 16
-	d.log.Granted = journal.RateLimits{ReadBytesPerSecond: restartJournal}
+	d.log.Rates = journal.RateLimits{ReadBytesPerSecond: restartJournal}
 	d.log.RecordBytes = 256 << 10
 	d.ledgers = []*ledger.Ledger{ledger.New(ctx, d.log, zap.NewNop())}
 	const results = 32
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -250,7 +250,7 @@
 func startAll(ctx context.Context, t *testing.T, given conditions) *allStarted {
 	all := &allStarted{log: journaltest.New(), out: &wire{ctx: ctx, bytesPerSecond: given.carries, turn: given.turn}, began: time.Now()}
 	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
-	all.log.Granted = journal.RateLimits{ReadBytesPerSecond: startGrant, ReadsPerSecond: startReads}
+	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: startGrant, ReadsPerSecond: startReads}
 	all.list(ctx, t)
 	all.configure(ctx, t, "first")
 	random := rand.New(rand.NewPCG(11, 0))
--- a/internal/daemon/settings/settings.go
+++ b/internal/daemon/settings/settings.go
@@ -125,7 +125,7 @@
 	granted := journal.RateLimits{
 		ReadsPerSecond: s.ReadsPerSecond, WritesPerSecond: s.WritesPerSecond, ReadBytesPerSecond: s.ReadMBPerSecond * megabyte,
 	}
-	return journal.Limits{Partitions: s.Partitions, RecordBytes: s.RecordBytes, AppendBytes: s.AppendBytes, Granted: granted}
+	return journal.Limits{Partitions: s.Partitions, RecordBytes: s.RecordBytes, AppendBytes: s.AppendBytes, Rates: granted}
 }
 
 // Timing holds the daemon's bounds in time.
--- a/internal/journal/interval_test.go
+++ b/internal/journal/interval_test.go
@@ -31,7 +31,7 @@
 
 func startFleet(ctx context.Context, daemons int, granted float64) *fleet {
 	f := &fleet{log: journaltest.New()}
-	f.log.Granted.ReadsPerSecond = granted
+	f.log.Rates.ReadsPerSecond = granted
 	for range daemons {
 		seen := &values{values: map[string]string{}}
 		follower := journal.NewKeyedFollower(f.log, followed, seen, fleetBound, zap.NewNop())
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -217,7 +217,7 @@
 	Partitions int
 	// RecordBytes and AppendBytes are the largest record and append.
 	RecordBytes, AppendBytes int
-	Granted                  RateLimits
+	Rates                    RateLimits
 }
 
 // PartitionsPerTopic implements Journal.
@@ -230,7 +230,7 @@
 func (s Limits) MaxAppendBytes() int { return s.AppendBytes }
 
 // RateLimits implements Journal.
-func (s Limits) RateLimits() RateLimits { return s.Granted }
+func (s Limits) RateLimits() RateLimits { return s.Rates }
 
 // RateLimits is what a journal grants all daemons together; 0 where that is not known.
 type RateLimits struct {
--- a/internal/journal/journaltest/usage.go
+++ b/internal/journal/journaltest/usage.go
@@ -37,7 +37,7 @@
 	}
 	j.inSecond++
 	j.usage.Reads++
-	if granted := j.Granted.ReadsPerSecond; granted > 0 && float64(j.inSecond) > granted {
+	if granted := j.Rates.ReadsPerSecond; granted > 0 && float64(j.inSecond) > granted {
 		j.usage.Throttled++
 		return &journal.ThrottledError{Reason: "too many reads"}
 	}
