--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// overduePatience is how long a call may be overdue when a later one has been
+	// maxOverdue is how long a call may be overdue when a later one has been
 	// answered.
-	overduePatience = 150 * time.Millisecond
+	maxOverdue = 150 * time.Millisecond
 	// readPatience is how long a read may be overdue when a call to another
 	// partition has been answered: it costs little to read again.
 	readPatience = questiontime.LostRead
@@ -138,7 +138,7 @@
 	outageEnded := now.Sub(r.backAt) < backTime && older.began.Before(r.backAt)
 	switch {
 	case outageEnded, older.partition == answered.partition:
-		return overduePatience, true
+		return maxOverdue, true
 	case (older.bulk || older.newest) && !answered.bulk:
 		// A short answer overtakes a long one on a link or in a journal that is busy.
 		return 0, false
