--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -16,9 +16,9 @@
 	// maxOverdue is how long a call may be overdue when a later one has been
 	// answered.
 	maxOverdue = 150 * time.Millisecond
-	// readPatience is how long a read may be overdue when a call to another
+	// maxReadOverdue is how long a read may be overdue when a call to another
 	// partition has been answered: it costs little to read again.
-	readPatience = questiontime.LostRead
+	maxReadOverdue = questiontime.LostRead
 	// slowness is how many times as long as the later call an overdue one may take.
 	slowness = 3
 	// silence is for how long no call was answered in an outage of the whole
@@ -143,7 +143,7 @@
 		// A short answer overtakes a long one on a link or in a journal that is busy.
 		return 0, false
 	case older.read:
-		return readPatience, true
+		return maxReadOverdue, true
 	}
 	return 0, false
 }
