--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -19,8 +19,8 @@
 	// maxReadOverdue is how long a read may be overdue when a call to another
 	// partition has been answered: it costs little to read again.
 	maxReadOverdue = questiontime.LostRead
-	// slowness is how many times as long as the later call an overdue one may take.
-	slowness = 3
+	// maxOverdueRatio is how many times as long as the later call an overdue one may take.
+	maxOverdueRatio = 3
 	// silence is for how long no call was answered in an outage of the whole
 	// journal; for backTime after it, an answer says something of all partitions.
 	silence  = 500 * time.Millisecond
@@ -152,7 +152,7 @@
 func (r *Revived) isLost(older, answered *pendingCall, now time.Time) bool {
 	patience, ok := r.patience(older, answered, now)
 	overdue := now.Sub(older.began) - older.wait
-	return ok && older.began.Before(answered.began) && overdue > max(patience, slowness*now.Sub(answered.began))
+	return ok && older.began.Before(answered.began) && overdue > max(patience, maxOverdueRatio*now.Sub(answered.began))
 }
 
 // Append implements Journal.
