--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -21,10 +21,10 @@
 	maxReadOverdue = questiontime.LostRead
 	// maxOverdueRatio is how many times as long as the later call an overdue one may take.
 	maxOverdueRatio = 3
-	// silence is for how long no call was answered in an outage of the whole
+	// minOutage is for how long no call was answered in an outage of the whole
 	// journal; for backTime after it, an answer says something of all partitions.
-	silence  = 500 * time.Millisecond
-	backTime = time.Second
+	minOutage = 500 * time.Millisecond
+	backTime  = time.Second
 )
 
 // Revived is a journal that gives up calls which an outage has swallowed, and tells an observer of
@@ -110,7 +110,7 @@
 		return
 	}
 	now := time.Now()
-	if now.Sub(r.answeredAt) > silence {
+	if now.Sub(r.answeredAt) > minOutage {
 		r.backAt = now
 	}
 	r.answeredAt = now
