--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -23,8 +23,8 @@
 	maxOverdueRatio = 3
 	// minOutage is for how long no call was answered in an outage of the whole
 	// journal; for backTime after it, an answer says something of all partitions.
-	minOutage = 500 * time.Millisecond
-	backTime  = time.Second
+	minOutage      = 500 * time.Millisecond
+	recoveryWindow = time.Second
 )
 
 // Revived is a journal that gives up calls which an outage has swallowed, and tells an observer of
@@ -135,7 +135,7 @@
 // patience returns how long a call may be overdue when another has been
 // answered, and false if the answer says nothing of it.
 func (r *Revived) patience(older, answered *pendingCall, now time.Time) (time.Duration, bool) {
-	outageEnded := now.Sub(r.backAt) < backTime && older.began.Before(r.backAt)
+	outageEnded := now.Sub(r.backAt) < recoveryWindow && older.began.Before(r.backAt)
 	switch {
 	case outageEnded, older.partition == answered.partition:
 		return maxOverdue, true
