--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -132,9 +132,9 @@
 		zap.String("topic", call.partition.Topic), zap.Int("partition", call.partition.Number), zap.Duration("took", took))
 }
 
-// patience returns how long a call may be overdue when another has been
+// overdueLimit returns how long a call may be overdue when another has been
 // answered, and false if the answer says nothing of it.
-func (r *Revived) patience(older, answered *pendingCall, now time.Time) (time.Duration, bool) {
+func (r *Revived) overdueLimit(older, answered *pendingCall, now time.Time) (time.Duration, bool) {
 	outageEnded := now.Sub(r.backAt) < recoveryWindow && older.began.Before(r.backAt)
 	switch {
 	case outageEnded, older.partition == answered.partition:
@@ -150,7 +150,7 @@
 
 // isLost reports whether a call must be lost when a later one has been answered.
 func (r *Revived) isLost(older, answered *pendingCall, now time.Time) bool {
-	patience, ok := r.patience(older, answered, now)
+	patience, ok := r.overdueLimit(older, answered, now)
 	overdue := now.Sub(older.began) - older.wait
 	return ok && older.began.Before(answered.began) && overdue > max(patience, maxOverdueRatio*now.Sub(answered.began))
 }
