--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -162,7 +162,7 @@
 	service  *Service
 	ledger   *ledger.Ledger
 	member   *group.Member
-	revived  *journal.Revived
+	revived  *journal.LostCallDetector
 	down, up *link
 
 	mu    sync.Mutex
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -132,7 +132,7 @@
 
 	// The ways to the journal. Relay and peerFollower are nil where the settings name no
 	// address for peers; so are the parts below that speak to peers.
-	journal      *journal.Revived
+	journal      *journal.LostCallDetector
 	relay        *relay.Journal
 	peerFollower *journal.KeyedFollower
 	// partitions is how many the journal has of each topic.
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -233,7 +233,7 @@
 	reader  *results.Reader
 	member  *group.Member
 	applied *applied
-	revived *journal.Revived
+	revived *journal.LostCallDetector
 }
 
 // allStarted are daemons that start at nearly the same time. It implements results.Peers.
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -27,7 +27,7 @@
 	recoveryWindow = time.Second
 )
 
-// Revived is a journal that gives up calls which an outage has swallowed, and tells an observer of
+// LostCallDetector is a journal that gives up calls which an outage has swallowed, and tells an observer of
 // all calls.
 //
 // A call whose answer is lost tells nothing until its timeout, and timeouts must
@@ -42,7 +42,7 @@
 // # Usage
 //
 //	log := journal.Revive(log, logger)
-type Revived struct {
+type LostCallDetector struct {
 	Journal
 	// answers sums the answers after which calls were given up: in an outage that takes
 	// part of all calls each of them is one.
@@ -74,8 +74,8 @@
 }
 
 // Revive wraps a journal.
-func Revive(log Journal, logger *zap.Logger) *Revived {
-	return &Revived{
+func Revive(log Journal, logger *zap.Logger) *LostCallDetector {
+	return &LostCallDetector{
 		Journal:    log,
 		answers:    logging.NewEpisodes(logger, "journal answers again", "", "topics"),
 		observe:    func(string, string, time.Duration) {},
@@ -85,9 +85,9 @@
 }
 
 // SetObserver sets who is told of calls. It is called before any call.
-func (r *Revived) SetObserver(observe Observer) { r.observe = observe }
+func (r *LostCallDetector) SetObserver(observe Observer) { r.observe = observe }
 
-func (r *Revived) begin(ctx context.Context, call pendingCall) (context.Context, *pendingCall) {
+func (r *LostCallDetector) begin(ctx context.Context, call pendingCall) (context.Context, *pendingCall) {
 	bounded, cancel := context.WithCancel(ctx)
 	call.began, call.cancel = time.Now(), cancel
 	r.mu.Lock()
@@ -98,7 +98,7 @@
 
 // end takes a call off the list. If it was answered, those that must be lost by
 // now are given up.
-func (r *Revived) end(call *pendingCall, err error) {
+func (r *LostCallDetector) end(call *pendingCall, err error) {
 	defer call.cancel()
 	if call.kind != "" {
 		r.observe(call.kind, outcomeOf(err), time.Since(call.began))
@@ -134,7 +134,7 @@
 
 // overdueLimit returns how long a call may be overdue when another has been
 // answered, and false if the answer says nothing of it.
-func (r *Revived) overdueLimit(older, answered *pendingCall, now time.Time) (time.Duration, bool) {
+func (r *LostCallDetector) overdueLimit(older, answered *pendingCall, now time.Time) (time.Duration, bool) {
 	outageEnded := now.Sub(r.backAt) < recoveryWindow && older.began.Before(r.backAt)
 	switch {
 	case outageEnded, older.partition == answered.partition:
@@ -149,21 +149,21 @@
 }
 
 // isLost reports whether a call must be lost when a later one has been answered.
-func (r *Revived) isLost(older, answered *pendingCall, now time.Time) bool {
+func (r *LostCallDetector) isLost(older, answered *pendingCall, now time.Time) bool {
 	patience, ok := r.overdueLimit(older, answered, now)
 	overdue := now.Sub(older.began) - older.wait
 	return ok && older.began.Before(answered.began) && overdue > max(patience, maxOverdueRatio*now.Sub(answered.began))
 }
 
 // Append implements Journal.
-func (r *Revived) Append(ctx context.Context, request Append) (appended Appended, err error) {
+func (r *LostCallDetector) Append(ctx context.Context, request Append) (appended Appended, err error) {
 	bounded, call := r.begin(ctx, pendingCall{kind: "append", partition: request.Partition})
 	defer func() { r.end(call, err) }()
 	return r.Journal.Append(bounded, request)
 }
 
 // Read implements Journal.
-func (r *Revived) Read(ctx context.Context, request Read) (read Records, err error) {
+func (r *LostCallDetector) Read(ctx context.Context, request Read) (read Records, err error) {
 	pending := pendingCall{kind: "read", partition: request.Partition, read: true, bulk: request.Wait == 0, wait: request.Wait}
 	if request.Wait > 0 {
 		pending.kind = "held read" // a kind of its own, as its time says nothing of the journal
@@ -174,28 +174,28 @@
 }
 
 // Newest implements Journal.
-func (r *Revived) Newest(ctx context.Context, partition Partition, afterKey string) (page KeyedPage, err error) {
+func (r *LostCallDetector) Newest(ctx context.Context, partition Partition, afterKey string) (page KeyedPage, err error) {
 	bounded, call := r.begin(ctx, pendingCall{kind: "newest", partition: partition, read: true, newest: true})
 	defer func() { r.end(call, err) }()
 	return r.Journal.Newest(bounded, partition, afterKey)
 }
 
 // Join implements Journal.
-func (r *Revived) Join(ctx context.Context, request Join) (assignment Assignment, err error) {
+func (r *LostCallDetector) Join(ctx context.Context, request Join) (assignment Assignment, err error) {
 	bounded, call := r.begin(ctx, pendingCall{kind: "join"})
 	defer func() { r.end(call, err) }()
 	return r.Journal.Join(bounded, request)
 }
 
 // Leave implements Journal.
-func (r *Revived) Leave(ctx context.Context, group, member string) (err error) {
+func (r *LostCallDetector) Leave(ctx context.Context, group, member string) (err error) {
 	bounded, call := r.begin(ctx, pendingCall{})
 	defer func() { r.end(call, err) }()
 	return r.Journal.Leave(bounded, group, member)
 }
 
 // Owners implements Journal.
-func (r *Revived) Owners(ctx context.Context, group string) (rows []Ownership, err error) {
+func (r *LostCallDetector) Owners(ctx context.Context, group string) (rows []Ownership, err error) {
 	bounded, call := r.begin(ctx, pendingCall{})
 	defer func() { r.end(call, err) }()
 	return r.Journal.Owners(bounded, group)
