--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -246,7 +246,7 @@
 	}
 	var log journal.Journal = distant{Journal: f.log, fleet: f, links: []*link{f.store, n.down}}
 	if f.options.revive {
-		n.revived = journal.Revive(log, zap.NewNop())
+		n.revived = journal.DetectLostCalls(log, zap.NewNop())
 		log = n.revived
 	}
 	n.ledger = ledger.New(ctx, log, zap.NewNop())
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -47,7 +47,7 @@
 // buildJournal returns the journal as the other parts use it: calls are counted, given up when
 // later ones are answered, and go through a peer while the daemon's own path is lost.
 func (n *Node) buildJournal(direct journal.Journal) journal.Journal {
-	n.journal = journal.Revive(direct, n.logger)
+	n.journal = journal.DetectLostCalls(direct, n.logger)
 	n.journal.SetObserver(n.metrics.JournalCall)
 	n.partitions = n.journal.PartitionsPerTopic()
 	address := n.settings.Listen.Peer
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -290,7 +290,7 @@
 	logger := zap.NewNop()
 	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
 	var own journal.Journal = reached{all.log, given.takes, all.out, &wire{ctx: ctx, bytesPerSecond: startLink, turn: given.turn}, &all.read}
-	b.revived = journal.Revive(own, logger)
+	b.revived = journal.DetectLostCalls(own, logger)
 	if given.revive {
 		own = b.revived
 	}
--- a/internal/journal/flood_test.go
+++ b/internal/journal/flood_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		core, logged := observer.New(zapcore.InfoLevel)
-		log := journal.Revive(&halfDeaf{}, zap.New(core))
+		log := journal.DetectLostCalls(&halfDeaf{}, zap.New(core))
 		for i := range 250 {
 			lost := journal.Read{Partition: journal.Partition{Topic: fmt.Sprint("t", i%4)}}
 			go func() { _, _ = log.Read(t.Context(), lost) }()
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -73,8 +73,8 @@
 	cancel context.CancelFunc
 }
 
-// Revive wraps a journal.
-func Revive(log Journal, logger *zap.Logger) *LostCallDetector {
+// DetectLostCalls wraps a journal.
+func DetectLostCalls(log Journal, logger *zap.Logger) *LostCallDetector {
 	return &LostCallDetector{
 		Journal:    log,
 		answers:    logging.NewEpisodes(logger, "journal answers again", "", "topics"),
--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -51,7 +51,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log, silent := newSilenceable()
-		revived := journal.Revive(log, zap.NewNop())
+		revived := journal.DetectLostCalls(log, zap.NewNop())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		part := journal.Partition{Topic: "t"}
@@ -84,7 +84,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log, silent := newSilenceable()
-		revived := journal.Revive(log, zap.NewNop())
+		revived := journal.DetectLostCalls(log, zap.NewNop())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		part := journal.Partition{Topic: "t"}
@@ -151,7 +151,7 @@
 func TestASlowJournalIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		revived := journal.Revive(slowly{journaltest.New(), time.Second, 400 * time.Millisecond}, zap.NewNop())
+		revived := journal.DetectLostCalls(slowly{journaltest.New(), time.Second, 400 * time.Millisecond}, zap.NewNop())
 		part := journal.Partition{Topic: "t"}
 		appended := background(func() error {
 			_, err := revived.Append(t.Context(), journal.Append{Partition: part, Records: [][]byte{{1}}})
@@ -171,7 +171,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log, silent := newSilenceable()
-		revived := journal.Revive(log, zap.NewNop())
+		revived := journal.DetectLostCalls(log, zap.NewNop())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		const wait, step = time.Second, 100 * time.Millisecond
@@ -221,7 +221,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				long, other := journal.Partition{Topic: "t"}, journal.Partition{Topic: "t", Number: 1}
-				revived := journal.Revive(slowRecords{journaltest.New(), long, 1200 * time.Millisecond}, zap.NewNop())
+				revived := journal.DetectLostCalls(slowRecords{journaltest.New(), long, 1200 * time.Millisecond}, zap.NewNop())
 				read := background(func() error {
 					_, err := revived.Read(t.Context(), journal.Read{Partition: long})
 					return err
@@ -265,7 +265,7 @@
 func TestAFullReadIsNotGivenUpForShortCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		revived := journal.Revive(slowNewest{journaltest.New(), 1200 * time.Millisecond}, zap.NewNop())
+		revived := journal.DetectLostCalls(slowNewest{journaltest.New(), 1200 * time.Millisecond}, zap.NewNop())
 		read := background(func() error {
 			_, err := revived.Newest(t.Context(), followed, "")
 			return err
--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -85,7 +85,7 @@
 		log := swallowing{journaltest.New(), lose}
 		start(ctx, log, "a/1")
 		time.Sleep(5 * time.Second)
-		asking := New(journal.Revive(log, zap.NewNop()), "b/1", topics, zap.NewNop())
+		asking := New(journal.DetectLostCalls(log, zap.NewNop()), "b/1", topics, zap.NewNop())
 		lose.Store(true)
 		began, ok := time.Now(), false
 		for !ok && time.Since(began) < 3*time.Second {
