--- a/internal/daemon/node/metrics.go
+++ b/internal/daemon/node/metrics.go
@@ -32,7 +32,7 @@
 	metrics.Gauge(n.metrics, "journal_silence_seconds", "Time since the journal last answered.",
 		func() float64 { return n.silence().Seconds() })
 	metrics.Counter(n.metrics, "journal_calls_given_up_total",
-		"Calls to the journal given up as later ones were answered.", n.journal.GivenUp.Load)
+		"Calls to the journal given up as later ones were answered.", n.journal.CallsGivenUp.Load)
 	if n.relay != nil {
 		metrics.Gauge(n.metrics, "journal_path_lost", "1 while this daemon's own path to the journal is lost.",
 			func() int { return oneIf(n.relay.Lost()) })
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -415,7 +415,7 @@
 // givenUp is how many calls were given up on the word of others.
 func (all *allStarted) givenUp() (calls uint64) {
 	for _, e := range all.daemons {
-		calls += e.revived.GivenUp.Load()
+		calls += e.revived.CallsGivenUp.Load()
 	}
 	return calls
 }
--- a/internal/journal/flood_test.go
+++ b/internal/journal/flood_test.go
@@ -29,10 +29,10 @@
 		}
 		time.Sleep(time.Minute)
 		lines := logged.FilterMessage("journal answers again").All()
-		is.True(log.GivenUp.Load() >= 200)
+		is.True(log.CallsGivenUp.Load() >= 200)
 		is.True(len(lines) <= 52)
 		last := lines[len(lines)-1].ContextMap()
-		is.Equal(last["times"], int64(log.GivenUp.Load()))
+		is.Equal(last["times"], int64(log.CallsGivenUp.Load()))
 		is.Equal(last["topics"], int64(4))
 	})
 }
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -48,8 +48,8 @@
 	// part of all calls each of them is one.
 	answers *logging.Episodes
 	observe Observer
-	// GivenUp counts the calls that were given up.
-	GivenUp atomic.Uint64
+	// CallsGivenUp counts the calls that were given up.
+	CallsGivenUp atomic.Uint64
 
 	mu      sync.Mutex
 	pending map[*pendingCall]struct{}
@@ -125,7 +125,7 @@
 	if givenUp == 0 {
 		return
 	}
-	r.GivenUp.Add(uint64(givenUp))
+	r.CallsGivenUp.Add(uint64(givenUp))
 	took := now.Sub(call.began)
 	r.answers.Note(logging.Occurrence{Subject: call.partition.Topic, Took: took, Times: givenUp},
 		zap.Int("calls_given_up", givenUp),
--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -74,7 +74,7 @@
 			is.True(errors.Is(outcome.err, journal.ErrUnknown))
 			is.Equal(outcome.at, back)
 		}
-		is.Equal(revived.GivenUp.Load(), uint64(2))
+		is.Equal(revived.CallsGivenUp.Load(), uint64(2))
 	})
 }
 
@@ -117,7 +117,7 @@
 		_, err = revived.Read(ctx, journal.Read{Partition: part})
 		is.NoErr(err)
 		is.True(errors.Is((<-young).err, journal.ErrUnknown))
-		is.Equal(revived.GivenUp.Load(), uint64(1))
+		is.Equal(revived.CallsGivenUp.Load(), uint64(1))
 	})
 }
 
@@ -161,7 +161,7 @@
 		_, err := revived.Read(t.Context(), journal.Read{Partition: part})
 		is.NoErr(err)
 		is.NoErr((<-appended).err)
-		is.Equal(revived.GivenUp.Load(), uint64(0))
+		is.Equal(revived.CallsGivenUp.Load(), uint64(0))
 	})
 }
 
@@ -276,6 +276,6 @@
 			is.NoErr(err)
 		}
 		is.NoErr((<-read).err)
-		is.Equal(revived.GivenUp.Load(), uint64(0))
+		is.Equal(revived.CallsGivenUp.Load(), uint64(0))
 	})
 }
