--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -44,10 +44,10 @@
 //	log := journal.Revive(log, logger)
 type LostCallDetector struct {
 	Journal
-	// answers sums the answers after which calls were given up: in an outage that takes
+	// recoveries sums the recoveries after which calls were given up: in an outage that takes
 	// part of all calls each of them is one.
-	answers *logging.Episodes
-	observe Observer
+	recoveries *logging.Episodes
+	observe    Observer
 	// CallsGivenUp counts the calls that were given up.
 	CallsGivenUp atomic.Uint64
 
@@ -77,7 +77,7 @@
 func DetectLostCalls(log Journal, logger *zap.Logger) *LostCallDetector {
 	return &LostCallDetector{
 		Journal:    log,
-		answers:    logging.NewEpisodes(logger, "journal answers again", "", "topics"),
+		recoveries: logging.NewEpisodes(logger, "journal answers again", "", "topics"),
 		observe:    func(string, string, time.Duration) {},
 		pending:    map[*pendingCall]struct{}{},
 		answeredAt: time.Now(),
@@ -127,7 +127,7 @@
 	}
 	r.CallsGivenUp.Add(uint64(givenUp))
 	took := now.Sub(call.began)
-	r.answers.Note(logging.Occurrence{Subject: call.partition.Topic, Took: took, Times: givenUp},
+	r.recoveries.Note(logging.Occurrence{Subject: call.partition.Topic, Took: took, Times: givenUp},
 		zap.Int("calls_given_up", givenUp),
 		zap.String("topic", call.partition.Topic), zap.Int("partition", call.partition.Number), zap.Duration("took", took))
 }
