--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -53,9 +53,9 @@
 
 	mu      sync.Mutex
 	pending map[*pendingCall]struct{}
-	// answeredAt is when a call was last answered, backAt when the last silence
+	// answeredAt is when a call was last answered, recoveredAt when the last silence
 	// of all calls ended.
-	answeredAt, backAt time.Time
+	answeredAt, recoveredAt time.Time
 }
 
 // pendingCall is a call that has no answer yet.
@@ -111,7 +111,7 @@
 	}
 	now := time.Now()
 	if now.Sub(r.answeredAt) > minOutage {
-		r.backAt = now
+		r.recoveredAt = now
 	}
 	r.answeredAt = now
 	givenUp := 0
@@ -135,7 +135,7 @@
 // overdueLimit returns how long a call may be overdue when another has been
 // answered, and false if the answer says nothing of it.
 func (r *LostCallDetector) overdueLimit(older, answered *pendingCall, now time.Time) (time.Duration, bool) {
-	outageEnded := now.Sub(r.backAt) < recoveryWindow && older.began.Before(r.backAt)
+	outageEnded := now.Sub(r.recoveredAt) < recoveryWindow && older.began.Before(r.recoveredAt)
 	switch {
 	case outageEnded, older.partition == answered.partition:
 		return maxOverdue, true
