--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -64,7 +64,7 @@
 	kind string
 	// partition is the one called, or zero for calls of a group.
 	partition Partition
-	began     time.Time
+	start     time.Time
 	// read says that the call changes nothing, bulk that its answer may be long, newest that it
 	// reads the newest records of all keys, which may be many or none.
 	read, bulk, newest bool
@@ -89,7 +89,7 @@
 
 func (r *LostCallDetector) begin(ctx context.Context, call pendingCall) (context.Context, *pendingCall) {
 	bounded, cancel := context.WithCancel(ctx)
-	call.began, call.cancel = time.Now(), cancel
+	call.start, call.cancel = time.Now(), cancel
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pending[&call] = struct{}{}
@@ -101,7 +101,7 @@
 func (r *LostCallDetector) end(call *pendingCall, err error) {
 	defer call.cancel()
 	if call.kind != "" {
-		r.observe(call.kind, outcomeOf(err), time.Since(call.began))
+		r.observe(call.kind, outcomeOf(err), time.Since(call.start))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,7 +126,7 @@
 		return
 	}
 	r.CallsGivenUp.Add(uint64(givenUp))
-	took := now.Sub(call.began)
+	took := now.Sub(call.start)
 	r.recoveries.Note(logging.Occurrence{Subject: call.partition.Topic, Took: took, Times: givenUp},
 		zap.Int("calls_given_up", givenUp),
 		zap.String("topic", call.partition.Topic), zap.Int("partition", call.partition.Number), zap.Duration("took", took))
@@ -135,7 +135,7 @@
 // overdueLimit returns how long a call may be overdue when another has been
 // answered, and false if the answer says nothing of it.
 func (r *LostCallDetector) overdueLimit(older, answered *pendingCall, now time.Time) (time.Duration, bool) {
-	outageEnded := now.Sub(r.recoveredAt) < recoveryWindow && older.began.Before(r.recoveredAt)
+	outageEnded := now.Sub(r.recoveredAt) < recoveryWindow && older.start.Before(r.recoveredAt)
 	switch {
 	case outageEnded, older.partition == answered.partition:
 		return maxOverdue, true
@@ -151,8 +151,8 @@
 // isLost reports whether a call must be lost when a later one has been answered.
 func (r *LostCallDetector) isLost(older, answered *pendingCall, now time.Time) bool {
 	patience, ok := r.overdueLimit(older, answered, now)
-	overdue := now.Sub(older.began) - older.wait
-	return ok && older.began.Before(answered.began) && overdue > max(patience, maxOverdueRatio*now.Sub(answered.began))
+	overdue := now.Sub(older.start) - older.wait
+	return ok && older.start.Before(answered.start) && overdue > max(patience, maxOverdueRatio*now.Sub(answered.start))
 }
 
 // Append implements Journal.
