--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -65,9 +65,9 @@
 	// partition is the one called, or zero for calls of a group.
 	partition Partition
 	start     time.Time
-	// read says that the call changes nothing, bulk that its answer may be long, newest that it
+	// isRead says that the call changes nothing, bulk that its answer may be long, newest that it
 	// reads the newest records of all keys, which may be many or none.
-	read, bulk, newest bool
+	isRead, bulk, newest bool
 	// wait is how long a read waits for records.
 	wait   time.Duration
 	cancel context.CancelFunc
@@ -142,7 +142,7 @@
 	case (older.bulk || older.newest) && !answered.bulk:
 		// A short answer overtakes a long one on a link or in a journal that is busy.
 		return 0, false
-	case older.read:
+	case older.isRead:
 		return maxReadOverdue, true
 	}
 	return 0, false
@@ -164,7 +164,7 @@
 
 // Read implements Journal.
 func (r *LostCallDetector) Read(ctx context.Context, request Read) (read Records, err error) {
-	pending := pendingCall{kind: "read", partition: request.Partition, read: true, bulk: request.Wait == 0, wait: request.Wait}
+	pending := pendingCall{kind: "read", partition: request.Partition, isRead: true, bulk: request.Wait == 0, wait: request.Wait}
 	if request.Wait > 0 {
 		pending.kind = "held read" // a kind of its own, as its time says nothing of the journal
 	}
@@ -175,7 +175,7 @@
 
 // Newest implements Journal.
 func (r *LostCallDetector) Newest(ctx context.Context, partition Partition, afterKey string) (page KeyedPage, err error) {
-	bounded, call := r.begin(ctx, pendingCall{kind: "newest", partition: partition, read: true, newest: true})
+	bounded, call := r.begin(ctx, pendingCall{kind: "newest", partition: partition, isRead: true, newest: true})
 	defer func() { r.end(call, err) }()
 	return r.Journal.Newest(bounded, partition, afterKey)
 }
