--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -65,9 +65,9 @@
 	// partition is the one called, or zero for calls of a group.
 	partition Partition
 	start     time.Time
-	// isRead says that the call changes nothing, bulk that its answer may be long, newest that it
+	// isRead says that the call changes nothing, isBulk that its answer may be long, newest that it
 	// reads the newest records of all keys, which may be many or none.
-	isRead, bulk, newest bool
+	isRead, isBulk, newest bool
 	// wait is how long a read waits for records.
 	wait   time.Duration
 	cancel context.CancelFunc
@@ -139,7 +139,7 @@
 	switch {
 	case outageEnded, older.partition == answered.partition:
 		return maxOverdue, true
-	case (older.bulk || older.newest) && !answered.bulk:
+	case (older.isBulk || older.newest) && !answered.isBulk:
 		// A short answer overtakes a long one on a link or in a journal that is busy.
 		return 0, false
 	case older.isRead:
@@ -164,7 +164,7 @@
 
 // Read implements Journal.
 func (r *LostCallDetector) Read(ctx context.Context, request Read) (read Records, err error) {
-	pending := pendingCall{kind: "read", partition: request.Partition, isRead: true, bulk: request.Wait == 0, wait: request.Wait}
+	pending := pendingCall{kind: "read", partition: request.Partition, isRead: true, isBulk: request.Wait == 0, wait: request.Wait}
 	if request.Wait > 0 {
 		pending.kind = "held read" // a kind of its own, as its time says nothing of the journal
 	}
