--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -65,9 +65,9 @@
 	// partition is the one called, or zero for calls of a group.
 	partition Partition
 	start     time.Time
-	// isRead says that the call changes nothing, isBulk that its answer may be long, newest that it
-	// reads the newest records of all keys, which may be many or none.
-	isRead, isBulk, newest bool
+	// isRead says that the call changes nothing, isBulk that its answer may be long, isNewest that it
+	// reads the isNewest records of all keys, which may be many or none.
+	isRead, isBulk, isNewest bool
 	// wait is how long a read waits for records.
 	wait   time.Duration
 	cancel context.CancelFunc
@@ -139,7 +139,7 @@
 	switch {
 	case outageEnded, older.partition == answered.partition:
 		return maxOverdue, true
-	case (older.isBulk || older.newest) && !answered.isBulk:
+	case (older.isBulk || older.isNewest) && !answered.isBulk:
 		// A short answer overtakes a long one on a link or in a journal that is busy.
 		return 0, false
 	case older.isRead:
@@ -175,7 +175,7 @@
 
 // Newest implements Journal.
 func (r *LostCallDetector) Newest(ctx context.Context, partition Partition, afterKey string) (page KeyedPage, err error) {
-	bounded, call := r.begin(ctx, pendingCall{kind: "newest", partition: partition, isRead: true, newest: true})
+	bounded, call := r.begin(ctx, pendingCall{kind: "newest", partition: partition, isRead: true, isNewest: true})
 	defer func() { r.end(call, err) }()
 	return r.Journal.Newest(bounded, partition, afterKey)
 }
