--- a/internal/journal/flood_test.go
+++ b/internal/journal/flood_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		core, logged := observer.New(zapcore.InfoLevel)
-		log := journal.DetectLostCalls(&halfDeaf{}, zap.New(core))
+		log := journal.DetectLostCalls(&hangingReads{}, zap.New(core))
 		for i := range 250 {
 			lost := journal.Read{Partition: journal.Partition{Topic: fmt.Sprint("t", i%4)}}
 			go func() { _, _ = log.Read(t.Context(), lost) }()
@@ -37,10 +37,10 @@
 	})
 }
 
-// halfDeaf is a journal that never answers reads from the beginning.
-type halfDeaf struct{ journal.Journal }
+// hangingReads is a journal that never answers reads from the beginning.
+type hangingReads struct{ journal.Journal }
 
-func (*halfDeaf) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+func (*hangingReads) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	if request.From == 0 {
 		<-ctx.Done()
 		return journal.Records{}, ctx.Err()
