--- a/internal/journal/interval_test.go
+++ b/internal/journal/interval_test.go
@@ -22,9 +22,9 @@
 }
 
 const (
-	// fleetShare is the part of the granted reads that the followers use.
-	fleetShare = 0.1
-	fleetBound = 5 * time.Second
+	// fleetFraction is the part of the granted reads that the followers use.
+	fleetFraction = 0.1
+	fleetBound    = 5 * time.Second
 	// changesPerSecond is how often 92 replicas write that do so each 1.2 s.
 	changesPerSecond = 77
 )
@@ -35,7 +35,7 @@
 	for range daemons {
 		seen := &values{values: map[string]string{}}
 		follower := journal.NewKeyedFollower(f.log, followed, seen, fleetBound, zap.NewNop())
-		follower.SetInterval(journal.SharedInterval(f.log.RateLimits().ReadsPerSecond*fleetShare, func() int { return daemons }))
+		follower.SetInterval(journal.SharedInterval(f.log.RateLimits().ReadsPerSecond*fleetFraction, func() int { return daemons }))
 		go follower.Run(ctx)
 		f.seen = append(f.seen, seen)
 	}
@@ -70,7 +70,7 @@
 				last := f.change(t, calm)
 				used := f.log.Usage()
 				is.Equal(used.Throttled, 0)
-				is.True(float64(used.Reads) <= granted*fleetShare*calm.Seconds()*1.05)
+				is.True(float64(used.Reads) <= granted*fleetFraction*calm.Seconds()*1.05)
 				time.Sleep(fleetBound / 10)
 				synctest.Wait()
 				for _, seen := range f.seen {
