--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -129,20 +129,20 @@
 	return nil
 }
 
-// slowly is a journal whose appends and reads take a time.
-type slowly struct {
+// slowJournal is a journal whose appends and reads take a time.
+type slowJournal struct {
 	*journaltest.Journal
 	appendTime, readTime time.Duration
 }
 
-func (s slowly) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
+func (s slowJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
 	if err := after(ctx, s.appendTime); err != nil {
 		return journal.Appended{}, err
 	}
 	return s.Journal.Append(ctx, request)
 }
 
-func (s slowly) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+func (s slowJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	time.Sleep(s.readTime)
 	return s.Journal.Read(ctx, request)
 }
@@ -151,7 +151,7 @@
 func TestASlowJournalIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		revived := journal.DetectLostCalls(slowly{journaltest.New(), time.Second, 400 * time.Millisecond}, zap.NewNop())
+		revived := journal.DetectLostCalls(slowJournal{journaltest.New(), time.Second, 400 * time.Millisecond}, zap.NewNop())
 		part := journal.Partition{Topic: "t"}
 		appended := background(func() error {
 			_, err := revived.Append(t.Context(), journal.Append{Partition: part, Records: [][]byte{{1}}})
