--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -121,8 +121,8 @@
 	})
 }
 
-// after waits for a while, or gives a call up of which the outcome is unknown.
-func after(ctx context.Context, wait time.Duration) error {
+// waitOrUnknown waits for a while, or gives a call up of which the outcome is unknown.
+func waitOrUnknown(ctx context.Context, wait time.Duration) error {
 	if periodic.Pause(ctx, wait); ctx.Err() != nil {
 		return errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
 	}
@@ -136,7 +136,7 @@
 }
 
 func (s slowJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
-	if err := after(ctx, s.appendTime); err != nil {
+	if err := waitOrUnknown(ctx, s.appendTime); err != nil {
 		return journal.Appended{}, err
 	}
 	return s.Journal.Append(ctx, request)
@@ -205,7 +205,7 @@
 
 func (s slowRecords) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	if request.Partition == s.partition {
-		if err := after(ctx, s.takes); err != nil {
+		if err := waitOrUnknown(ctx, s.takes); err != nil {
 			return journal.Records{}, err
 		}
 	}
@@ -252,7 +252,7 @@
 }
 
 func (s slowNewest) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
-	if err := after(ctx, s.takes); err != nil {
+	if err := waitOrUnknown(ctx, s.takes); err != nil {
 		return journal.KeyedPage{}, err
 	}
 	return s.Journal.Newest(ctx, partition, afterKey)
