--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -29,18 +29,18 @@
 	return log, silent
 }
 
-// ended is how a call ended, and when.
-type ended struct {
+// callResult is how a call callResult, and when.
+type callResult struct {
 	err error
 	at  time.Time
 }
 
 // background runs a call and tells how it ended.
-func background(call func() error) chan ended {
-	done := make(chan ended, 1)
+func background(call func() error) chan callResult {
+	done := make(chan callResult, 1)
 	go func() {
 		err := call()
-		done <- ended{err, time.Now()}
+		done <- callResult{err, time.Now()}
 	}()
 	return done
 }
@@ -69,7 +69,7 @@
 		back := time.Now()
 		_, err := revived.Owners(ctx, "g")
 		is.NoErr(err)
-		for _, each := range []chan ended{appended, held} {
+		for _, each := range []chan callResult{appended, held} {
 			outcome := <-each
 			is.True(errors.Is(outcome.err, journal.ErrUnknown))
 			is.Equal(outcome.at, back)
