--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -35,8 +35,8 @@
 	at  time.Time
 }
 
-// background runs a call and tells how it ended.
-func background(call func() error) chan callResult {
+// runInBackground runs a call and tells how it ended.
+func runInBackground(call func() error) chan callResult {
 	done := make(chan callResult, 1)
 	go func() {
 		err := call()
@@ -56,11 +56,11 @@
 		defer cancel()
 		part := journal.Partition{Topic: "t"}
 		silent.Store(true)
-		appended := background(func() error {
+		appended := runInBackground(func() error {
 			_, err := revived.Append(ctx, journal.Append{Partition: part, Records: [][]byte{{1}}})
 			return err
 		})
-		held := background(func() error {
+		held := runInBackground(func() error {
 			_, err := revived.Read(ctx, journal.Read{Partition: journal.Partition{Topic: "other"}, Wait: time.Second})
 			return err
 		})
@@ -88,7 +88,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		part := journal.Partition{Topic: "t"}
-		held := background(func() error {
+		held := runInBackground(func() error {
 			_, err := revived.Read(ctx, journal.Read{Partition: part, Wait: 10 * time.Second})
 			return err
 		})
@@ -101,7 +101,7 @@
 		is.NoErr(outcome.err)
 		// One partition alone may be silent: answers of others say nothing of it.
 		silent.Store(true)
-		young := background(func() error {
+		young := runInBackground(func() error {
 			_, err := revived.Append(ctx, journal.Append{Partition: part, Records: [][]byte{{2}}})
 			return err
 		})
@@ -153,7 +153,7 @@
 		is := is.New(t)
 		revived := journal.DetectLostCalls(slowJournal{journaltest.New(), time.Second, 400 * time.Millisecond}, zap.NewNop())
 		part := journal.Partition{Topic: "t"}
-		appended := background(func() error {
+		appended := runInBackground(func() error {
 			_, err := revived.Append(t.Context(), journal.Append{Partition: part, Records: [][]byte{{1}}})
 			return err
 		})
@@ -177,7 +177,7 @@
 		const wait, step = time.Second, 100 * time.Millisecond
 		silent.Store(true)
 		began := time.Now()
-		lost := background(func() error {
+		lost := runInBackground(func() error {
 			_, err := revived.Read(ctx, journal.Read{Partition: journal.Partition{Topic: "t"}, Wait: wait})
 			return err
 		})
@@ -222,7 +222,7 @@
 				is := is.New(t)
 				long, other := journal.Partition{Topic: "t"}, journal.Partition{Topic: "t", Number: 1}
 				revived := journal.DetectLostCalls(slowRecords{journaltest.New(), long, 1200 * time.Millisecond}, zap.NewNop())
-				read := background(func() error {
+				read := runInBackground(func() error {
 					_, err := revived.Read(t.Context(), journal.Read{Partition: long})
 					return err
 				})
@@ -266,7 +266,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		revived := journal.DetectLostCalls(slowNewest{journaltest.New(), 1200 * time.Millisecond}, zap.NewNop())
-		read := background(func() error {
+		read := runInBackground(func() error {
 			_, err := revived.Newest(t.Context(), followed, "")
 			return err
 		})
