--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -38,6 +38,11 @@
 	"owners not judged":                     "suspect owners not checked",
 	"room left to other owners":             "starts held back for other owners",
 	"suspect asked to run":                  "suspect content checked",
+
+	"journal answers again":                             "lost calls given up",
+	"malformed record passed over":                      "malformed record skipped",
+	"records trimmed, reading fully":                    "records trimmed, starting full read",
+	"partition is shorter than was read, reading fully": "partition ends before the next offset, starting full read",
 }
 
 // eventName returns the name that an event has today.
--- a/internal/journal/contact.go
+++ b/internal/journal/contact.go
@@ -8,29 +8,28 @@
 	"woodworks/internal/daemon/bootclock"
 )
 
-// neverAnswered is the silence of what has never answered.
+// neverAnswered is returned by Silence before the first answer.
 const neverAnswered = time.Duration(math.MaxInt64)
 
-// LastContact is when something last answered. It is safe for concurrent use.
+// LastContact records when the journal last answered. It is safe for concurrent use.
 //
-// It goes by a clock that the time of day doesn't move and that a suspended machine's
-// sleep does: after one, nothing is known to be as it was.
+// Times are taken from a clock that ignores changes of the wall clock and includes the time for
+// which the machine was suspended, so that contact from before a suspension counts as old.
 type LastContact struct {
 	now  bootclock.Clock
 	last atomic.Pointer[time.Time]
 }
 
-// NewLastContact returns a contact before the first answer.
+// NewLastContact returns a LastContact without an answer so far.
 func NewLastContact(now bootclock.Clock) *LastContact { return &LastContact{now: now} }
 
-// Record notes an answer.
+// Record stores the current time as that of the last answer.
 func (c *LastContact) Record() {
 	now := c.now()
 	c.last.Store(&now)
 }
 
-// Silence returns how long ago the last answer was, longer than any bound if there was
-// none.
+// Silence returns the time since the last answer, or the largest duration if there was none.
 func (c *LastContact) Silence() time.Duration {
 	last := c.last.Load()
 	if last == nil {
--- a/internal/journal/contact_test.go
+++ b/internal/journal/contact_test.go
@@ -15,13 +15,9 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// The last contact was kept as a time of day. A clock set ahead by 2 s made a daemon that
-// heard the journal all along call itself not ready, until the next answer; one set back
-// by a minute during an outage made a configuration look confirmed a minute longer, and
-// callers were denied what a newer one allowed. Then it was kept by the steady clock, which
-// stands still while a machine is suspended: one that slept for a minute took what it
-// had heard before for fresh. It goes by a clock of its own that no time of day moves.
-func TestASuspendedMachineHasHeardNothing(t *testing.T) {
+// Guards against a wall clock that is set ahead or back, and against a suspended machine that
+// takes old contact for recent.
+func TestSilenceIncludesTimeSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -29,25 +25,25 @@
 		clock := clocktest.New()
 		follower := journal.NewKeyedFollower(journaltest.New(), followed, &values{}, 3*time.Second, zap.NewNop())
 		follower.SetClock(clock.Now)
-		is.True(follower.Silence() > 24*time.Hour) // there was none
+		is.True(follower.Silence() > 24*time.Hour) // no answer yet
 		go follower.Run(ctx)
 		synctest.Wait()
 		is.True(follower.Synced())
 		is.Equal(follower.Silence(), time.Duration(0))
 		clock.Suspend(time.Minute)
 		is.Equal(follower.Silence(), time.Minute)
-		time.Sleep(time.Second) // in which the journal answers
+		time.Sleep(time.Second) // the journal answers meanwhile
 		is.True(follower.Silence() < time.Second)
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// The clock of a daemon is none that the time of day moves.
-func TestTheLastContactIsNotOfTheTimeOfDay(t *testing.T) {
+// Guards against a daemon clock that reads the wall clock.
+func TestLastContactIgnoresTheWallClock(t *testing.T) {
 	is := is.New(t)
 	contact := journal.NewLastContact(bootclock.Now)
 	contact.Record()
 	is.True(contact.Silence() < time.Minute)
-	is.True(time.Until(bootclock.Now()).Abs() > 24*time.Hour) // by so much would it be off
+	is.True(time.Until(bootclock.Now()).Abs() > 24*time.Hour) // bootclock.Now is not the time of day
 }
--- a/internal/journal/failures.go
+++ b/internal/journal/failures.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// readRetryDelay is the pause after a failed read.
+	// readRetryDelay is the delay before the next try after a failed read.
 	readRetryDelay = 150 * time.Millisecond
-	// lostThreshold is for how long reads must fail until a partition counts as
-	// disconnected: a single refusal says nothing of it.
+	// lostThreshold is how long reads must have failed before the partition is logged as lost, so
+	// that a single failed read is not.
 	lostThreshold = 500 * time.Millisecond
-	// throttledBackoff is the first pause after a read that was throttled. It doubles
-	// with each one in a row, up to maxIntervalShare of the contact bound.
+	// throttledBackoff is the delay after the first throttled read. It doubles with each further
+	// one in a row, up to maxIntervalFraction of the contact bound.
 	throttledBackoff = 100 * time.Millisecond
-	// maxBackoffDoublings bounds the doublings of a pause.
+	// maxBackoffDoublings limits how often throttledBackoff is doubled.
 	maxBackoffDoublings = 6
 )
 
-// failureStreak is a row of failed reads.
+// failureStreak describes the failed reads since the last successful one.
 type failureStreak struct {
+	// since is when the first failed read began.
 	since time.Time
 	count int
-	// throttled counts those at the end of the row that were refused for their rate.
+	// throttled counts the latest consecutive reads that failed with a ThrottledError.
 	throttled int
-	// logged says that the row has a line in the log.
+	// logged reports whether "dependency lost" has been logged for this streak.
 	logged bool
 }
 
-// recordSuccess ends a row of failures, if there is one.
+// recordSuccess records that the journal answered, and ends the current streak of failures.
 func (f *KeyedFollower) recordSuccess() {
 	f.lastContact.Record()
 	if f.failures.logged {
@@ -44,35 +45,36 @@
 	f.failures = failureStreak{}
 }
 
-// handleFailure logs a row of failures once it is long enough, and pauses. Began is when
-// the failed read did.
-func (f *KeyedFollower) handleFailure(ctx context.Context, began time.Time, err error) {
+// handleFailure counts a read that began at start and failed, logs the streak once it has lasted
+// for lostThreshold, and waits before the next try. It does nothing once ctx has ended.
+func (f *KeyedFollower) handleFailure(ctx context.Context, start time.Time, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	row := &f.failures
-	if row.count == 0 {
-		row.since = began
+	streak := &f.failures
+	if streak.count == 0 {
+		streak.since = start
 	}
-	row.count++
-	if !row.logged && time.Since(row.since) >= lostThreshold {
-		row.logged = true
-		f.logger.Warn("dependency lost", zap.Int("failures", row.count),
-			zap.Duration("for", time.Since(row.since)), zap.Error(err))
+	streak.count++
+	if !streak.logged && time.Since(streak.since) >= lostThreshold {
+		streak.logged = true
+		f.logger.Warn("dependency lost", zap.Int("failures", streak.count),
+			zap.Duration("for", time.Since(streak.since)), zap.Error(err))
 	}
 	periodic.Pause(ctx, f.retryDelay(err))
 }
 
-// retryDelay returns how long to wait after a failed read.
+// retryDelay returns how long to wait after a read failed with err, and updates the count of
+// throttled reads.
 func (f *KeyedFollower) retryDelay(err error) time.Duration {
 	var throttled *ThrottledError
 	if !errors.As(err, &throttled) {
 		f.failures.throttled = 0
 		return readRetryDelay
 	}
-	pause := min(throttledBackoff<<min(f.failures.throttled, maxBackoffDoublings), f.maxInterval)
+	backoff := min(throttledBackoff<<min(f.failures.throttled, maxBackoffDoublings), f.maxInterval)
 	f.failures.throttled++
-	// Between a half and one and a half of that, so that daemons that were refused at the same
-	// moment do not come back together.
-	return pause/2 + rand.N(pause+1)
+	// A random delay between 0.5 and 1.5 times the backoff, so that daemons that were throttled
+	// together do not retry together.
+	return backoff/2 + rand.N(backoff+1)
 }
--- a/internal/journal/flood_test.go
+++ b/internal/journal/flood_test.go
@@ -15,20 +15,20 @@
 	"woodworks/internal/journal"
 )
 
-// Answers that show others to be lost are summed likewise.
-func TestGivenUpCallsAreSummed(t *testing.T) {
+// Guards against one log line for each lost call in a long outage.
+func TestLostCallsAreLoggedAsOneEpisode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		core, logged := observer.New(zapcore.InfoLevel)
 		log := journal.DetectLostCalls(&hangingReads{}, zap.New(core))
 		for i := range 250 {
-			lost := journal.Read{Partition: journal.Partition{Topic: fmt.Sprint("t", i%4)}}
-			go func() { _, _ = log.Read(t.Context(), lost) }()
+			hanging := journal.Read{Partition: journal.Partition{Topic: fmt.Sprint("t", i%4)}}
+			go func() { _, _ = log.Read(t.Context(), hanging) }()
 			time.Sleep(200 * time.Millisecond)
-			_, _ = log.Read(t.Context(), journal.Read{Partition: lost.Partition, From: 1})
+			_, _ = log.Read(t.Context(), journal.Read{Partition: hanging.Partition, From: 1})
 		}
 		time.Sleep(time.Minute)
-		lines := logged.FilterMessage("journal answers again").All()
+		lines := logged.FilterMessage("lost calls given up").All()
 		is.True(log.CallsGivenUp.Load() >= 200)
 		is.True(len(lines) <= 52)
 		last := lines[len(lines)-1].ContextMap()
@@ -37,7 +37,7 @@
 	})
 }
 
-// hangingReads is a journal that never answers reads from the beginning.
+// hangingReads is a journal that never answers reads from offset 0.
 type hangingReads struct{ journal.Journal }
 
 func (*hangingReads) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -13,37 +13,38 @@
 )
 
 const (
-	// waitFraction and slackShare are the parts of the contact bound that a read
-	// may wait for records, and may take beyond that. A read that was lost in an outage
-	// is thus given up and repeated well before the bound has passed since the
-	// outage's end.
+	// waitFraction and slackFraction are fractions of the contact bound: how long a read may wait
+	// for records, and how much longer it may take. Together they are well below 1, so that a read
+	// lost in an outage times out and is repeated within the contact bound after the outage.
 	waitFraction  = 0.30
 	slackFraction = 0.30
 )
 
-// KeyedHandler takes the records of a keyed partition. Its methods are called
-// by one goroutine.
+// KeyedHandler receives the records of a keyed partition. All methods are called by one
+// goroutine.
 type KeyedHandler interface {
-	// Apply gives one record.
+	// Apply applies one record. An empty value means that the key was deleted.
 	Apply(record KeyedRecord)
 }
 
-// KeyedResetter is a KeyedHandler that has to know which keys are gone.
+// KeyedResetter is implemented by handlers that must learn which keys have been removed.
 type KeyedResetter interface {
-	// Reset gives all newest records at once; keys that are not among them are gone.
+	// Reset replaces all state by the newest record of each key. Keys without a record no longer
+	// exist.
 	Reset(records []KeyedRecord)
 }
 
-// KeyedFollower keeps a handler up to date with a keyed partition: a full read,
-// then each record as it comes. After a gap it reads fully again.
+// KeyedFollower keeps a handler up to date with a keyed partition. It reads the newest record of
+// each key, then each further record. When records have been trimmed before it read them, it
+// starts again with a full read.
 type KeyedFollower struct {
 	journal   Journal
 	partition Partition
 	handler   KeyedHandler
-	// wait is how long a read waits for records, slack how long it may take beyond that.
+	// wait is how long a read waits for records, slack how much longer it may take.
 	wait, slack time.Duration
 	logger      *zap.Logger
-	// interval is the least time between two reads; no more than maxInterval is kept to.
+	// interval is the minimum time between the starts of two reads, capped at maxInterval.
 	interval    Interval
 	maxInterval time.Duration
 
@@ -52,52 +53,53 @@
 	failures    failureStreak
 }
 
-// NewKeyedFollower returns a follower; Run starts it. ContactBound is the time
-// within which the handler must be up to date after an outage.
+// NewKeyedFollower returns a follower of partition; Run starts it. contactBound is the time after
+// an outage within which the handler must be up to date again.
 func NewKeyedFollower(
 	log Journal, partition Partition, handler KeyedHandler, contactBound time.Duration, logger *zap.Logger,
 ) *KeyedFollower {
-	part := func(share float64) time.Duration { return time.Duration(share * float64(contactBound)) }
+	scale := func(fraction float64) time.Duration { return time.Duration(fraction * float64(contactBound)) }
 	return &KeyedFollower{
 		journal:     log,
 		partition:   partition,
 		handler:     handler,
-		wait:        part(waitFraction),
-		slack:       part(slackFraction),
+		wait:        scale(waitFraction),
+		slack:       scale(slackFraction),
 		logger:      logger.With(zap.String("topic", partition.Topic)),
 		interval:    noInterval,
-		maxInterval: part(maxIntervalFraction),
+		maxInterval: scale(maxIntervalFraction),
 		lastContact: NewLastContact(bootclock.Now),
 	}
 }
 
-// SetInterval sets the least time between two reads; there is none before. It is called
+// SetInterval sets the minimum time between two reads; the default is none. It must be called
 // before Run.
 func (f *KeyedFollower) SetInterval(interval Interval) { f.interval = interval }
 
-// Synced reports whether a full read has ever succeeded.
+// Synced reports whether a full read has succeeded since the follower was created.
 func (f *KeyedFollower) Synced() bool { return f.synced.Load() }
 
-// SetClock sets the clock by which Silence goes. It is called before Run.
+// SetClock sets the clock that Silence uses. It must be called before Run.
 func (f *KeyedFollower) SetClock(now bootclock.Clock) { f.lastContact = NewLastContact(now) }
 
-// Silence is how long ago the last read was answered.
+// Silence returns the time since the journal last answered a read; see LastContact.Silence.
 func (f *KeyedFollower) Silence() time.Duration { return f.lastContact.Silence() }
 
-// Run follows the partition until the context ends.
+// Run follows the partition until ctx ends.
 func (f *KeyedFollower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		began := time.Now()
+		start := time.Now()
 		next, err := f.readFully(ctx)
 		if err != nil {
-			f.handleFailure(ctx, began, err)
+			f.handleFailure(ctx, start, err)
 			continue
 		}
 		f.follow(ctx, next)
 	}
 }
 
-// readFully gives the handler the newest record of each key, and returns the offset after them.
+// readFully passes the newest record of each key to the handler, and returns the offset from
+// which to continue.
 func (f *KeyedFollower) readFully(ctx context.Context) (int64, error) {
 	records, next, err := ReadNewest(ctx, f.journal, f.partition, f.wait+f.slack)
 	if err != nil {
@@ -116,38 +118,40 @@
 	return next, nil
 }
 
-// follow reads records from an offset on until they are trimmed.
+// follow reads records from offset next on. It returns when ctx ends or when a full read is
+// needed, because the partition was trimmed beyond next or ends before it.
 func (f *KeyedFollower) follow(ctx context.Context, next int64) {
 	for ctx.Err() == nil {
-		began := time.Now()
+		start := time.Now()
 		read, err := f.readOnce(ctx, next)
 		if errors.Is(err, ErrTrimmed) {
-			f.logger.Warn("records trimmed, reading fully", zap.Int64("offset", next))
+			f.logger.Warn("records trimmed, starting full read", zap.Int64("offset", next))
 			return
 		}
 		if err != nil {
-			f.handleFailure(ctx, began, err)
+			f.handleFailure(ctx, start, err)
 			continue
 		}
 		f.recordSuccess()
 		if read.End < next {
-			f.logger.Warn("partition is shorter than was read, reading fully", zap.Int64("offset", next), zap.Int64("end", read.End))
+			f.logger.Warn("partition ends before the next offset, starting full read", zap.Int64("offset", next), zap.Int64("end", read.End))
 			return
 		}
 		f.apply(next, read.Records)
 		next += int64(len(read.Records))
-		if rest := min(f.interval(), f.maxInterval) - time.Since(began); rest > 0 {
-			periodic.Pause(ctx, rest)
+		if remaining := min(f.interval(), f.maxInterval) - time.Since(start); remaining > 0 {
+			periodic.Pause(ctx, remaining)
 		}
 	}
 }
 
-// apply gives the handler records that begin at an offset.
+// apply decodes records, the first of which has the given offset, and passes them to the handler.
+// Malformed records are logged and skipped.
 func (f *KeyedFollower) apply(offset int64, records [][]byte) {
 	for i, record := range records {
 		keyed, err := DecodeKeyed(record)
 		if err != nil {
-			f.logger.Warn("malformed record passed over", zap.Int64("offset", offset+int64(i)), zap.Error(err))
+			f.logger.Warn("malformed record skipped", zap.Int64("offset", offset+int64(i)), zap.Error(err))
 			continue
 		}
 		keyed.Offset = offset + int64(i)
@@ -155,6 +159,7 @@
 	}
 }
 
+// readOnce reads the records from an offset on, with a timeout of wait plus slack.
 func (f *KeyedFollower) readOnce(ctx context.Context, from int64) (Records, error) {
 	bounded, cancel := context.WithTimeout(ctx, f.wait+f.slack)
 	defer cancel()
--- a/internal/journal/follow_test.go
+++ b/internal/journal/follow_test.go
@@ -17,7 +17,7 @@
 
 var followed = journal.Partition{Topic: "keyed.test"}
 
-// values keeps what a follower was told.
+// values is a handler that stores the records that it receives.
 type values struct {
 	mu     sync.Mutex
 	values map[string]string
@@ -62,7 +62,7 @@
 	return seen
 }
 
-func TestFollowerSeesEachChangeAtOnce(t *testing.T) {
+func TestFollowerAppliesChangesImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
@@ -83,9 +83,8 @@
 	})
 }
 
-// A read that was lost in a silent outage is given up and repeated within the
-// contact bound counted from the outage's end: one was
-// once waited for 3.5 s, and a configuration came into force too late.
+// Guards against a read lost in an outage that holds up the follower for longer than the contact
+// bound.
 func TestFollowerIsUpToDateWithinTheContactBoundAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -112,7 +111,8 @@
 	})
 }
 
-func TestFollowerReadsFullyAfterATrim(t *testing.T) {
+// Guards against keys that stay in the handler because the record that deletes them was trimmed.
+func TestFollowerReadsFullyAfterTrim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -8,8 +8,8 @@
 	"woodworks/internal/daemon/golden"
 )
 
-// Daemons pass these on to each other, and send them to the product's own log service.
-func TestCallsKeepTheirForm(t *testing.T) {
+// Guards against a changed encoding of the messages between daemons and to the log service.
+func TestMessageEncodingsAreStable(t *testing.T) {
 	golden.CBOR[Partition](t, "partition")
 	golden.CBOR[Append](t, "append")
 	golden.CBOR[Appended](t, "appended")
@@ -22,7 +22,8 @@
 	golden.CBOR[Ownership](t, "ownership")
 }
 
-func TestKeyedRecordsKeepTheirForm(t *testing.T) {
+// Guards against a changed encoding of stored keyed records.
+func TestKeyedRecordEncodingIsStable(t *testing.T) {
 	is := is.New(t)
 	encoded := EncodeKeyed("key", []byte("value"))
 	golden.Text(t, "keyed.bin", encoded)
--- a/internal/journal/interval_test.go
+++ b/internal/journal/interval_test.go
@@ -15,17 +15,17 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// fleet is a number of daemons that follow one partition at an interval.
+// fleet is a set of daemons that follow one partition with a shared interval.
 type fleet struct {
 	log  *journaltest.Journal
 	seen []*values
 }
 
 const (
-	// fleetFraction is the part of the granted reads that the followers use.
+	// fleetFraction is the fraction of the permitted reads that the followers may use.
 	fleetFraction = 0.1
 	fleetBound    = 5 * time.Second
-	// changesPerSecond is how often 92 replicas write that do so each 1.2 s.
+	// changesPerSecond is the rate of writes of 92 replicas that each write every 1.2 s.
 	changesPerSecond = 77
 )
 
@@ -42,7 +42,8 @@
 	return f
 }
 
-// change writes for a while at changesPerSecond, and returns the last value.
+// change writes changesPerSecond values per second for the given duration, and returns the last
+// one.
 func (f *fleet) change(t *testing.T, duration time.Duration) string {
 	last := ""
 	for began := time.Now(); time.Since(began) < duration; {
@@ -53,9 +54,8 @@
 	return last
 }
 
-// The reads of a fleet of followers stay within their share of what the journal
-// grants, however often the partition changes, and all see a change well within the
-// contact bound. Without an interval 300 followers make 23,100 reads a second here.
+// Guards against followers whose reads exceed their share of the read limit, and against an
+// interval that delays changes beyond the contact bound.
 func TestFollowersOfAFleetKeepToTheirShareOfReads(t *testing.T) {
 	for _, daemons := range []int{12, 60, 300} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Reads grow as the daemons, not as the daemons times the changes.
-func TestReadsOfFollowersDoNotGrowWithChanges(t *testing.T) {
+// Guards against a rate of reads that grows with the rate of changes.
+func TestReadRateDoesNotGrowWithChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -102,10 +102,9 @@
 	})
 }
 
-// Followers that are throttled come back one after the other: after an outage of the
-// whole journal all are up to date within the contact bound, though it grants a tenth
-// of what they would ask for at once.
-func TestAThrottledFleetIsUpToDateWithinTheContactBound(t *testing.T) {
+// Guards against followers that retry together after an outage, are throttled, and miss the
+// contact bound.
+func TestThrottledFleetRecoversWithinContactBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const daemons, granted = 300, 500
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,17 +1,18 @@
-// Package journal names what woodworks needs of the platform's log: the only
-// place where anything outlives a process.
+// Package journal defines the interface to the platform's log, the only durable storage that
+// woodworks uses.
 //
-// A log has topics, a topic has partitions, a partition is a list of records
-// with rising offsets that have no gaps. Records once acknowledged are neither
-// lost nor changed until they are trimmed.
+// A log has topics, a topic has partitions, and a partition is a sequence of records with
+// consecutive, increasing offsets. Acknowledged records are neither lost nor changed until they
+// are trimmed.
 //
-// The package owns no record. It has the followers, which keep a handler up to date with a keyed
-// partition (follow.go), and Revived, which gives up calls that an outage has swallowed. It relies
-// on the log alone, which package platform and package logservice speak to.
+// The package also provides KeyedFollower, which keeps a handler up to date with a keyed
+// partition, and LostCallDetector, which gives up calls whose answers were lost in an outage. The
+// log itself is accessed by the implementations of Journal in the packages platform and
+// logservice.
 //
 // # Usage
 //
-//	log := journal.Revive(direct, logger)
+//	log := journal.DetectLostCalls(direct, logger)
 //	appended, err := log.Append(ctx, journal.Append{Partition: p, Records: records})
 //	go journal.NewKeyedFollower(log, keyed, handler, contactBound, logger).Run(ctx)
 package journal
@@ -24,22 +25,23 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of a journal's calls. An error that is none of these, or that wraps
-// ErrUnknown, promises nothing: the call may have had its effect, or may have
-// it later.
+// Errors of a journal's calls. After ErrUnknown, or an error that wraps none of these, the call
+// may have taken effect, or may still do so later.
 var (
-	// ErrNotDone: the call had no effect and will have none.
+	// ErrNotDone means that the call had no effect and will have none.
 	ErrNotDone = errors.New("journal: not done")
-	// ErrUnknown: the call got no usable answer.
+	// ErrUnknown means that no usable answer arrived, so that the outcome is unknown.
 	ErrUnknown = errors.New("journal: outcome unknown")
-	// ErrPosition: a conditional append found another end; it had no effect.
+	// ErrPosition means that the partition does not end at Append.ExpectedEnd; the append had no
+	// effect.
 	ErrPosition = errors.New("journal: the partition ends elsewhere")
-	// ErrTrimmed: the offset asked for has been removed. The error wrapping it
-	// is a *TrimmedError.
+	// ErrTrimmed means that the requested offset has been trimmed. The error returned is a
+	// *TrimmedError, which wraps it.
 	ErrTrimmed = errors.New("journal: offset trimmed")
 )
 
-// TrimmedError says that the records before First are gone.
+// TrimmedError reports that the requested offset has been trimmed. First is the oldest offset
+// that still exists. It wraps ErrTrimmed.
 type TrimmedError struct{ First int64 }
 
 // Error implements error.
@@ -47,11 +49,11 @@
 	return "journal: offset trimmed, the first kept is " + strconv.FormatInt(e.First, 10)
 }
 
-// Unwrap makes the error an ErrTrimmed.
+// Unwrap returns ErrTrimmed.
 func (e *TrimmedError) Unwrap() error { return ErrTrimmed }
 
-// UnavailableError says that the journal could not be reached, or refused to serve this
-// caller: the call had no effect. It is an ErrNotDone.
+// UnavailableError reports that the journal could not be reached or refused to serve this caller.
+// The call had no effect; the error wraps ErrNotDone.
 type UnavailableError struct{ Reason string }
 
 // Error implements error.
@@ -59,12 +61,12 @@
 	return "journal: unavailable: " + e.Reason
 }
 
-// Unwrap makes the error an ErrNotDone.
+// Unwrap returns ErrNotDone.
 func (e *UnavailableError) Unwrap() error { return ErrNotDone }
 
-// ThrottledError says that the journal refused the call as more calls came than it
-// grants: the call had no effect, and the same call made again at once makes it worse.
-// It is an ErrNotDone.
+// ThrottledError reports that the call was refused because a rate limit of the journal was
+// exceeded. The call had no effect; the error wraps ErrNotDone. Callers must wait before they
+// retry.
 type ThrottledError struct{ Reason string }
 
 // Error implements error.
@@ -72,68 +74,72 @@
 	return "journal: throttled: " + e.Reason
 }
 
-// Unwrap makes the error an ErrNotDone.
+// Unwrap returns ErrNotDone.
 func (e *ThrottledError) Unwrap() error { return ErrNotDone }
 
-// Partition names one partition.
+// Partition identifies a partition by its topic and its number within the topic, counted from 0.
 type Partition struct {
 	Topic  string `cbor:"Topic"`
 	Number int    `cbor:"Number"`
 }
 
-// Append asks for records to be added to one partition, all or none.
+// Append is a request to append records to a partition. Either all of them are appended or none.
 type Append struct {
 	Partition Partition `cbor:"Partition"`
 	Records   [][]byte  `cbor:"Records"`
-	// ExpectedEnd, if not nil, is where the partition must end for the append
-	// to happen.
+	// ExpectedEnd, if not nil, is the offset at which the partition must end for the append to
+	// take effect; otherwise it fails with ErrPosition.
 	ExpectedEnd *int64 `cbor:"ExpectedEnd"`
 }
 
-// Appended tells where records were put.
+// Appended holds the offsets of appended records.
 type Appended struct {
-	// Offset is that of the first record, End the offset after the last.
+	// Offset is the offset of the first record, End the one after the last.
 	Offset int64 `cbor:"Offset"`
 	End    int64 `cbor:"End"`
 }
 
-// Read asks for the records of a partition from an offset on.
+// Read is a request for the records of a partition from offset From on.
 type Read struct {
 	Partition Partition `cbor:"Partition"`
 	From      int64     `cbor:"From"`
-	// Wait is how long the call may wait while there is no record.
+	// Wait makes the read a long poll: how long it waits for a record if there is none yet. With 0
+	// it returns immediately.
 	Wait time.Duration `cbor:"Wait"`
-	// MaxBytes, if not 0, bounds the records of the answer; there is at least one.
+	// MaxBytes, if not 0, limits the total size of the returned records. A first record that is
+	// larger is returned by itself.
 	MaxBytes int `cbor:"MaxBytes"`
 }
 
-// Records is a run of records, the first of them at the offset asked for.
+// Records is the answer to a Read: consecutive records from offset From on.
 type Records struct {
 	Records [][]byte `cbor:"Records"`
-	// End is the offset after the partition's last record, First the oldest kept.
+	// End is the offset after the last record of the partition, First that of the oldest one that
+	// still exists.
 	End   int64 `cbor:"End"`
 	First int64 `cbor:"First"`
 }
 
-// KeyedRecord is the newest record of a key. An empty value means that the key
-// was dropped.
+// KeyedRecord is a record with a key. An empty Value means that the key was deleted, unless
+// Unreadable is set.
 type KeyedRecord struct {
 	Key    string `cbor:"Key"`
 	Value  []byte `cbor:"Value"`
 	Offset int64  `cbor:"Offset"`
-	// Unreadable says that there is a value and that it can't be read; Value is empty.
+	// Unreadable reports that the key has a value that could not be read; Value is empty then.
 	Unreadable bool `cbor:"Unreadable"`
 }
 
-// KeyedPage is a part of a keyed partition's newest records.
+// KeyedPage is one page of the newest records of a keyed partition.
 type KeyedPage struct {
 	Records []KeyedRecord `cbor:"Records"`
-	// More says that keys after the last one of this page remain.
+	// More reports whether there are further keys after the last one of this page. End is the
+	// offset after the last record of the partition.
 	More bool  `cbor:"More"`
 	End  int64 `cbor:"End"`
 }
 
-// Join enters a group, or stays in it.
+// Join is a request to join a group, or to renew the membership for another Lifetime.
 type Join struct {
 	Group      string        `cbor:"Group"`
 	Member     string        `cbor:"Member"`
@@ -142,41 +148,46 @@
 	Generation int64         `cbor:"Generation"`
 }
 
-// Assignment is what a member of a group was given.
+// Assignment holds the partitions assigned to a member in a generation of its group.
 type Assignment struct {
 	Generation int64       `cbor:"Generation"`
 	Partitions []Partition `cbor:"Partitions"`
 }
 
-// Ownership is one row of who was given what.
+// Ownership is the assignment of one partition to a group member.
 type Ownership struct {
 	Partition Partition `cbor:"Partition"`
 	Member    string    `cbor:"Member"`
 }
 
-// Journal is the platform's log. Implementations translate and do no more:
-// they neither retry nor cache.
+// Journal is the interface to the platform's log. Implementations neither retry nor cache.
 type Journal interface {
+	// Append appends records to a partition.
 	Append(ctx context.Context, request Append) (Appended, error)
-	// Read returns records together with an error where an answer broke off after them:
-	// they count, so that a reader goes on behind them.
+	// Read returns the records of a partition from an offset on. If the answer broke off, it
+	// returns the complete records before the break together with the error; they are valid, and
+	// the caller may continue after them.
 	Read(ctx context.Context, request Read) (Records, error)
-	// Newest reads the newest record of each key of a keyed partition, from
-	// the key after afterKey on.
+	// Newest returns a page of the newest records of a keyed partition, with the keys after
+	// afterKey. An empty afterKey starts with the first key.
 	Newest(ctx context.Context, partition Partition, afterKey string) (KeyedPage, error)
+	// Join joins a group or renews a membership, and returns the partitions assigned to the
+	// member.
 	Join(ctx context.Context, request Join) (Assignment, error)
+	// Leave ends the membership of a member, so that its partitions are assigned to others.
 	Leave(ctx context.Context, group, member string) error
+	// Owners returns the current assignment of all partitions of a group.
 	Owners(ctx context.Context, group string) ([]Ownership, error)
-	// PartitionsPerTopic is how many partitions each topic has.
+	// PartitionsPerTopic returns the number of partitions of each topic.
 	PartitionsPerTopic() int
-	// MaxRecordBytes and MaxAppendBytes bound a record and an append.
+	// MaxRecordBytes and MaxAppendBytes return the maximum size of a record and of an append.
 	MaxRecordBytes() int
 	MaxAppendBytes() int
-	// RateLimits is what the journal grants all daemons together.
+	// RateLimits returns the limits that apply to all daemons together.
 	RateLimits() RateLimits
 }
 
-// AppendWithTimeout appends records to a partition, and waits for the answer until the timeout.
+// AppendWithTimeout appends records to a partition with a timeout for the call.
 func AppendWithTimeout(ctx context.Context, log Journal, timeout time.Duration, partition Partition, records ...[]byte) error {
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -184,12 +195,12 @@
 	return err
 }
 
-// ReadToEnd gives take the records of a partition from an offset on, up to where it ends, and returns
-// the offset after them. Those that were trimmed are passed over. Each read is waited for until the
-// timeout.
+// ReadToEnd reads a partition from an offset to its end, passes the records to handle, and
+// returns the offset after them. Trimmed records are skipped. The timeout applies to each read.
+// On an error, next is the offset after the records already passed to handle.
 func ReadToEnd(
 	ctx context.Context, log Journal, partition Partition, from int64, timeout time.Duration,
-	take func(offset int64, records [][]byte),
+	handle func(offset int64, records [][]byte),
 ) (next int64, err error) {
 	for next = from; ; {
 		bounded, cancel := context.WithTimeout(ctx, timeout)
@@ -203,7 +214,7 @@
 		if err != nil {
 			return next, err
 		}
-		take(next, read.Records)
+		handle(next, read.Records)
 		next += int64(len(read.Records))
 		if next >= read.End || len(read.Records) == 0 {
 			return next, nil
@@ -211,13 +222,15 @@
 	}
 }
 
-// Limits is what a journal takes and grants. It has the methods of a Journal that tell so.
+// Limits holds the sizes and limits of a journal. Implementations of Journal embed it for the
+// methods that return them.
 type Limits struct {
-	// Partitions is how many partitions each topic has.
+	// Partitions is the number of partitions of each topic.
 	Partitions int
-	// RecordBytes and AppendBytes are the largest record and append.
+	// RecordBytes and AppendBytes are the maximum sizes of a record and of an append.
 	RecordBytes, AppendBytes int
-	Rates                    RateLimits
+	// Rates holds the limits that apply to all daemons together.
+	Rates RateLimits
 }
 
 // PartitionsPerTopic implements Journal.
@@ -232,12 +245,13 @@
 // RateLimits implements Journal.
 func (s Limits) RateLimits() RateLimits { return s.Rates }
 
-// RateLimits is what a journal grants all daemons together; 0 where that is not known.
+// RateLimits holds the limits of a journal that apply to all daemons together. 0 means that a
+// limit is not known.
 type RateLimits struct {
-	// ReadsPerSecond is how many reads they may make in a second.
+	// ReadsPerSecond is the maximum number of reads per second.
 	ReadsPerSecond float64
-	// WritesPerSecond is how many writes they may make in a second.
+	// WritesPerSecond is the maximum number of writes per second.
 	WritesPerSecond float64
-	// ReadBytesPerSecond is how many bytes it reads out in a second.
+	// ReadBytesPerSecond is the maximum number of bytes that reads return per second.
 	ReadBytesPerSecond float64
 }
--- a/internal/journal/keyed.go
+++ b/internal/journal/keyed.go
@@ -8,21 +8,21 @@
 	"github.com/pkg/errors"
 )
 
-// keyedPrefix starts the names of topics whose records have keys.
+// keyedPrefix is the prefix of the names of topics with keyed records.
 const keyedPrefix = "keyed."
 
-// errShortKeyed is returned for bytes that are no record with a key.
+// errShortKeyed is returned for records that are shorter than their key requires.
 var errShortKeyed = errors.New("journal: keyed record too short")
 
-// EncodeKeyed makes a record of a key and a value: the length of the key in one
-// byte, the key, the value. An empty value drops the key.
+// EncodeKeyed encodes a keyed record: the length of the key in one byte, the key, the value. The
+// key must not be longer than 255 bytes. An empty value deletes the key.
 func EncodeKeyed(key string, value []byte) []byte {
 	joined := append([]byte{byte(len(key))}, key...)
 	return append(joined, value...)
 }
 
-// DecodeKeyed takes a record of EncodeKeyed apart. The value is a copy: it does not keep the
-// answer in memory that the record came in.
+// DecodeKeyed decodes a record that EncodeKeyed encoded; Offset is left 0. The value is a copy,
+// so that it does not keep the whole answer in memory.
 func DecodeKeyed(record []byte) (KeyedRecord, error) {
 	if len(record) == 0 || len(record) < 1+int(record[0]) {
 		return KeyedRecord{}, errShortKeyed
@@ -31,8 +31,9 @@
 	return KeyedRecord{Key: string(record[1:end]), Value: bytes.Clone(record[end:])}, nil
 }
 
-// ReadNewest returns the newest record of each key of a keyed partition, and the offset after the
-// records of its first page. Each page is waited for until the timeout.
+// ReadNewest returns the newest record of each key of a keyed partition, and the offset from
+// which to read on, which is the end of the partition as of the first page. The timeout applies
+// to each page.
 func ReadNewest(
 	ctx context.Context, log Journal, partition Partition, timeout time.Duration,
 ) (records []KeyedRecord, next int64, err error) {
@@ -54,5 +55,5 @@
 	}
 }
 
-// KeyedTopic returns the full name of a topic whose records have keys.
+// KeyedTopic returns the full name of the keyed topic with the given short name.
 func KeyedTopic(name string) string { return keyedPrefix + name }
--- a/internal/journal/observe.go
+++ b/internal/journal/observe.go
@@ -6,11 +6,11 @@
 	"github.com/pkg/errors"
 )
 
-// Observer is told of each call to a journal: its kind, how it ended and how
-// long it took.
+// Observer is called after each call to a journal with the kind of call, its outcome (see
+// outcomeOf) and its duration.
 type Observer func(call, outcome string, took time.Duration)
 
-// outcomeOf names what an error says of a call.
+// outcomeOf returns the name of a call's outcome, which is also a label value in metrics.
 func outcomeOf(err error) string {
 	var throttled *ThrottledError
 	switch {
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -13,134 +13,136 @@
 )
 
 const (
-	// maxOverdue is how long a call may be overdue when a later one has been
-	// answered.
+	// maxOverdue is how long a call may be overdue once a later call to the same partition, or any
+	// call just after an outage, has been answered.
 	maxOverdue = 150 * time.Millisecond
-	// maxReadOverdue is how long a read may be overdue when a call to another
-	// partition has been answered: it costs little to read again.
+	// maxReadOverdue is how long a read may be overdue once a call to another partition has been
+	// answered. Repeating a read is cheap.
 	maxReadOverdue = questiontime.LostRead
-	// maxOverdueRatio is how many times as long as the later call an overdue one may take.
+	// maxOverdueRatio is the maximum ratio of the time for which a call is overdue to the duration
+	// of the later call that was answered.
 	maxOverdueRatio = 3
-	// minOutage is for how long no call was answered in an outage of the whole
-	// journal; for backTime after it, an answer says something of all partitions.
+	// minOutage is the shortest time without any answer that counts as an outage of the whole
+	// journal. For recoveryWindow after it, an answer from one partition counts for all of them.
 	minOutage      = 500 * time.Millisecond
 	recoveryWindow = time.Second
 )
 
-// LostCallDetector is a journal that gives up calls which an outage has swallowed, and tells an observer of
-// all calls.
+// LostCallDetector is a Journal that gives up calls whose answers were lost in an outage, and
+// reports all calls to an observer.
 //
-// A call whose answer is lost tells nothing until its timeout, and timeouts must
-// be long enough for a slow journal. But when a call that began later has been
-// answered, by the same partition or at the end of an outage of all, an older one
-// that has been overdue for much longer than that took is lost with all
-// likelihood. It then ends with ErrUnknown, as at its timeout, and its caller asks
-// again: a second or two earlier, just when the journal is back.
+// Timeouts must be long enough for a slow journal, so that waiting for the timeout of a lost call
+// wastes time once the journal is back. The detector therefore cancels a pending call, which then
+// returns ErrUnknown, when a call that started later has been answered and the pending one is
+// overdue for much longer than that call took.
 //
-// Nothing rests on the guess: a call given up by mistake is an unknown one.
+// A call given up by mistake does no harm: its outcome is unknown, as after a timeout, and the
+// caller handles it in the same way.
 //
 // # Usage
 //
-//	log := journal.Revive(log, logger)
+//	log := journal.DetectLostCalls(log, logger)
 type LostCallDetector struct {
 	Journal
-	// recoveries sums the recoveries after which calls were given up: in an outage that takes
-	// part of all calls each of them is one.
+	// recoveries combines the log lines about lost calls into episodes, as in a partial outage
+	// each answer may reveal some.
 	recoveries *logging.Episodes
 	observe    Observer
-	// CallsGivenUp counts the calls that were given up.
+	// CallsGivenUp counts the calls given up as lost.
 	CallsGivenUp atomic.Uint64
 
 	mu      sync.Mutex
 	pending map[*pendingCall]struct{}
-	// answeredAt is when a call was last answered, recoveredAt when the last silence
-	// of all calls ended.
+	// answeredAt is when a call was last answered, recoveredAt when the last outage of the whole
+	// journal ended.
 	answeredAt, recoveredAt time.Time
 }
 
-// pendingCall is a call that has no answer yet.
+// pendingCall is a call that has not been answered yet.
 type pendingCall struct {
-	// kind is told to the observer; calls without one are not told.
+	// kind is the name reported to the observer; calls without one are not reported.
 	kind string
-	// partition is the one called, or zero for calls of a group.
+	// partition is the partition of the call, or the zero value for calls about a group.
 	partition Partition
 	start     time.Time
-	// isRead says that the call changes nothing, isBulk that its answer may be long, isNewest that it
-	// reads the isNewest records of all keys, which may be many or none.
+	// isRead reports that the call changes nothing, isBulk that its answer may be large, isNewest
+	// that it reads the newest records of all keys, whose answer may be large or small.
 	isRead, isBulk, isNewest bool
-	// wait is how long a read waits for records.
+	// wait is how long a read waits for records before it is overdue.
 	wait   time.Duration
 	cancel context.CancelFunc
 }
 
-// DetectLostCalls wraps a journal.
+// DetectLostCalls returns a LostCallDetector for log.
 func DetectLostCalls(log Journal, logger *zap.Logger) *LostCallDetector {
 	return &LostCallDetector{
 		Journal:    log,
-		recoveries: logging.NewEpisodes(logger, "journal answers again", "", "topics"),
+		recoveries: logging.NewEpisodes(logger, "lost calls given up", "", "topics"),
 		observe:    func(string, string, time.Duration) {},
 		pending:    map[*pendingCall]struct{}{},
 		answeredAt: time.Now(),
 	}
 }
 
-// SetObserver sets who is told of calls. It is called before any call.
-func (r *LostCallDetector) SetObserver(observe Observer) { r.observe = observe }
+// SetObserver sets the observer of calls. It must be called before any call.
+func (d *LostCallDetector) SetObserver(observe Observer) { d.observe = observe }
 
-func (r *LostCallDetector) begin(ctx context.Context, call pendingCall) (context.Context, *pendingCall) {
+// begin registers a pending call. The call must use the returned context, which is cancelled if
+// the call is given up.
+func (d *LostCallDetector) begin(ctx context.Context, call pendingCall) (context.Context, *pendingCall) {
 	bounded, cancel := context.WithCancel(ctx)
 	call.start, call.cancel = time.Now(), cancel
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.pending[&call] = struct{}{}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.pending[&call] = struct{}{}
 	return bounded, &call
 }
 
-// end takes a call off the list. If it was answered, those that must be lost by
-// now are given up.
-func (r *LostCallDetector) end(call *pendingCall, err error) {
+// end removes a call from the pending ones and reports it to the observer. If it was answered
+// without an error, older calls that must be lost are given up.
+func (d *LostCallDetector) end(call *pendingCall, err error) {
 	defer call.cancel()
 	if call.kind != "" {
-		r.observe(call.kind, outcomeOf(err), time.Since(call.start))
+		d.observe(call.kind, outcomeOf(err), time.Since(call.start))
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.pending, call)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.pending, call)
 	if err != nil {
 		return
 	}
 	now := time.Now()
-	if now.Sub(r.answeredAt) > minOutage {
-		r.recoveredAt = now
+	if now.Sub(d.answeredAt) > minOutage {
+		d.recoveredAt = now
 	}
-	r.answeredAt = now
+	d.answeredAt = now
 	givenUp := 0
-	for older := range r.pending {
-		if r.isLost(older, call, now) {
+	for older := range d.pending {
+		if d.isLost(older, call, now) {
 			older.cancel()
-			delete(r.pending, older)
+			delete(d.pending, older)
 			givenUp++
 		}
 	}
 	if givenUp == 0 {
 		return
 	}
-	r.CallsGivenUp.Add(uint64(givenUp))
+	d.CallsGivenUp.Add(uint64(givenUp))
 	took := now.Sub(call.start)
-	r.recoveries.Note(logging.Occurrence{Subject: call.partition.Topic, Took: took, Times: givenUp},
+	d.recoveries.Note(logging.Occurrence{Subject: call.partition.Topic, Took: took, Times: givenUp},
 		zap.Int("calls_given_up", givenUp),
 		zap.String("topic", call.partition.Topic), zap.Int("partition", call.partition.Number), zap.Duration("took", took))
 }
 
-// overdueLimit returns how long a call may be overdue when another has been
-// answered, and false if the answer says nothing of it.
-func (r *LostCallDetector) overdueLimit(older, answered *pendingCall, now time.Time) (time.Duration, bool) {
-	outageEnded := now.Sub(r.recoveredAt) < recoveryWindow && older.start.Before(r.recoveredAt)
+// overdueLimit returns how long older may be overdue, given that answered has been answered. It
+// returns false if that answer says nothing about older. The mutex must be held.
+func (d *LostCallDetector) overdueLimit(older, answered *pendingCall, now time.Time) (time.Duration, bool) {
+	outageEnded := now.Sub(d.recoveredAt) < recoveryWindow && older.start.Before(d.recoveredAt)
 	switch {
 	case outageEnded, older.partition == answered.partition:
 		return maxOverdue, true
 	case (older.isBulk || older.isNewest) && !answered.isBulk:
-		// A short answer overtakes a long one on a link or in a journal that is busy.
+		// On a busy link or journal, short answers overtake long ones.
 		return 0, false
 	case older.isRead:
 		return maxReadOverdue, true
@@ -148,55 +150,57 @@
 	return 0, false
 }
 
-// isLost reports whether a call must be lost when a later one has been answered.
-func (r *LostCallDetector) isLost(older, answered *pendingCall, now time.Time) bool {
-	patience, ok := r.overdueLimit(older, answered, now)
+// isLost reports whether older must be lost, given that answered has been answered. That holds
+// only for calls that started before answered did. A call is overdue from its start, a long poll
+// from the end of its wait. The mutex must be held.
+func (d *LostCallDetector) isLost(older, answered *pendingCall, now time.Time) bool {
+	limit, ok := d.overdueLimit(older, answered, now)
 	overdue := now.Sub(older.start) - older.wait
-	return ok && older.start.Before(answered.start) && overdue > max(patience, maxOverdueRatio*now.Sub(answered.start))
+	return ok && older.start.Before(answered.start) && overdue > max(limit, maxOverdueRatio*now.Sub(answered.start))
 }
 
 // Append implements Journal.
-func (r *LostCallDetector) Append(ctx context.Context, request Append) (appended Appended, err error) {
-	bounded, call := r.begin(ctx, pendingCall{kind: "append", partition: request.Partition})
-	defer func() { r.end(call, err) }()
-	return r.Journal.Append(bounded, request)
+func (d *LostCallDetector) Append(ctx context.Context, request Append) (appended Appended, err error) {
+	bounded, call := d.begin(ctx, pendingCall{kind: "append", partition: request.Partition})
+	defer func() { d.end(call, err) }()
+	return d.Journal.Append(bounded, request)
 }
 
 // Read implements Journal.
-func (r *LostCallDetector) Read(ctx context.Context, request Read) (read Records, err error) {
+func (d *LostCallDetector) Read(ctx context.Context, request Read) (read Records, err error) {
 	pending := pendingCall{kind: "read", partition: request.Partition, isRead: true, isBulk: request.Wait == 0, wait: request.Wait}
 	if request.Wait > 0 {
-		pending.kind = "held read" // a kind of its own, as its time says nothing of the journal
+		pending.kind = "held read" // separate kind: its duration depends on when records arrive
 	}
-	bounded, call := r.begin(ctx, pending)
-	defer func() { r.end(call, err) }()
-	return r.Journal.Read(bounded, request)
+	bounded, call := d.begin(ctx, pending)
+	defer func() { d.end(call, err) }()
+	return d.Journal.Read(bounded, request)
 }
 
 // Newest implements Journal.
-func (r *LostCallDetector) Newest(ctx context.Context, partition Partition, afterKey string) (page KeyedPage, err error) {
-	bounded, call := r.begin(ctx, pendingCall{kind: "newest", partition: partition, isRead: true, isNewest: true})
-	defer func() { r.end(call, err) }()
-	return r.Journal.Newest(bounded, partition, afterKey)
+func (d *LostCallDetector) Newest(ctx context.Context, partition Partition, afterKey string) (page KeyedPage, err error) {
+	bounded, call := d.begin(ctx, pendingCall{kind: "newest", partition: partition, isRead: true, isNewest: true})
+	defer func() { d.end(call, err) }()
+	return d.Journal.Newest(bounded, partition, afterKey)
 }
 
 // Join implements Journal.
-func (r *LostCallDetector) Join(ctx context.Context, request Join) (assignment Assignment, err error) {
-	bounded, call := r.begin(ctx, pendingCall{kind: "join"})
-	defer func() { r.end(call, err) }()
-	return r.Journal.Join(bounded, request)
+func (d *LostCallDetector) Join(ctx context.Context, request Join) (assignment Assignment, err error) {
+	bounded, call := d.begin(ctx, pendingCall{kind: "join"})
+	defer func() { d.end(call, err) }()
+	return d.Journal.Join(bounded, request)
 }
 
 // Leave implements Journal.
-func (r *LostCallDetector) Leave(ctx context.Context, group, member string) (err error) {
-	bounded, call := r.begin(ctx, pendingCall{})
-	defer func() { r.end(call, err) }()
-	return r.Journal.Leave(bounded, group, member)
+func (d *LostCallDetector) Leave(ctx context.Context, group, member string) (err error) {
+	bounded, call := d.begin(ctx, pendingCall{})
+	defer func() { d.end(call, err) }()
+	return d.Journal.Leave(bounded, group, member)
 }
 
 // Owners implements Journal.
-func (r *LostCallDetector) Owners(ctx context.Context, group string) (rows []Ownership, err error) {
-	bounded, call := r.begin(ctx, pendingCall{})
-	defer func() { r.end(call, err) }()
-	return r.Journal.Owners(bounded, group)
+func (d *LostCallDetector) Owners(ctx context.Context, group string) (rows []Ownership, err error) {
+	bounded, call := d.begin(ctx, pendingCall{})
+	defer func() { d.end(call, err) }()
+	return d.Journal.Owners(bounded, group)
 }
