--- a/internal/api/gateway/pull_test.go
+++ b/internal/api/gateway/pull_test.go
@@ -33,8 +33,8 @@
 			header, err := g.parts.Delivery.Submit(ctx, delivery.Trainer{Name: "t", Accepts: func(oldest, trained int64) bool { return oldest >= trained }},
 				rollout.Request{Trainer: "t", Name: "n", Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}, SamplesPerPrompt: 1, MaxTokens: 5})
 			is.NoErr(err)
-			log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
-			time.AfterFunc(outage, func() { log.SetBefall(nil) })
+			log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
+			time.AfterFunc(outage, func() { log.SetFault(nil) })
 			began := time.Now()
 			asked := httptest.NewRequestWithContext(ctx, http.MethodGet, "/v1/rollouts/t/n/samples?wait_ms=10000&cursor="+rollout.NewCursor(header).String(), nil)
 			answer := httptest.NewRecorder()
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -536,7 +536,7 @@
 func TestWithoutTheLogNothingIsTakenIn(t *testing.T) {
 	f := newFloor(t, 1)
 	is := is.New(t)
-	f.services.Log.SetBefall(func(call journaltest.Call) journaltest.Fault {
+	f.services.Log.SetFault(func(call journaltest.Call) journaltest.Fault {
 		if call == journaltest.Append {
 			return journaltest.Refuse
 		}
@@ -562,7 +562,7 @@
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusServiceUnavailable)
 	is.Equal(f.executions("away"), 0)
-	f.services.Log.SetBefall(nil)
+	f.services.Log.SetFault(nil)
 	_, err = f.client(0, "bots").Submit(ctx, wanted)
 	is.NoErr(err)
 }
--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -258,7 +258,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
-		log.SetBefall(func(journaltest.Call) journaltest.Fault {
+		log.SetFault(func(journaltest.Call) journaltest.Fault {
 			time.Sleep(time.Second)
 			return journaltest.None
 		})
@@ -350,7 +350,7 @@
 		ctx := t.Context()
 		log := journaltest.New()
 		calls := 0 // the reads come one after the other
-		log.SetBefall(func(journaltest.Call) journaltest.Fault {
+		log.SetFault(func(journaltest.Call) journaltest.Fault {
 			calls++
 			first := calls == 1
 			time.Sleep(100 * time.Millisecond)
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -233,7 +233,7 @@
 // While the journal is silent nothing is denied.
 func TestNothingIsDeniedWhileTheJournalIsSilent(t *testing.T) {
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
-		d.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
+		d.log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 		_, err := d.readers[1].Results(ctx, Query{BatchID: "b"})
 		is.True(errors.Is(err, ErrBehind))
 	})
@@ -379,7 +379,7 @@
 			d := newDaemons(ctx, 2)
 			d.accept(t, "b", 1)
 			d.dark[identity.Machine(d.runs[0])] = true
-			d.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
+			d.log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 			var asking sync.WaitGroup
 			for range 3 * coldReads {
 				asking.Go(func() {
@@ -413,7 +413,7 @@
 			ways = append(ways, fmt.Sprint(way, answered))
 		})
 		d.dark[identity.Machine(d.runs[0])] = true
-		d.log.SetBefall(func(call journaltest.Call) journaltest.Fault {
+		d.log.SetFault(func(call journaltest.Call) journaltest.Fault {
 			if call == journaltest.Read {
 				return journaltest.Hang
 			}
--- a/internal/batches/runner/accept_test.go
+++ b/internal/batches/runner/accept_test.go
@@ -45,7 +45,7 @@
 			is := is.New(t)
 			log := journaltest.New()
 			refusals := 0
-			log.SetBefall(func(journaltest.Call) journaltest.Fault {
+			log.SetFault(func(journaltest.Call) journaltest.Fault {
 				refusals++
 				return journaltest.Refuse
 			})
@@ -64,7 +64,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
-		log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
+		log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 		owner := newOwner(t.Context(), t, log, "a/1")
 		bounded, cancel := context.WithTimeout(t.Context(), journalRetryDelay)
 		defer cancel()
--- a/internal/batches/runner/release_test.go
+++ b/internal/batches/runner/release_test.go
@@ -108,13 +108,13 @@
 			released := markRunning(first, 2)
 			if early {
 				// The attempt fails before the release is recorded.
-				log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
+				log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
 			}
 			go first.Release(ctx)
 			synctest.Wait()
 			runningAttempt(released, 0).handleOutcome(errors.New("reset"))
 			time.Sleep(200 * time.Millisecond)
-			log.SetBefall(nil)
+			log.SetFault(nil)
 			time.Sleep(200 * time.Millisecond)
 			is.NoErr(second.TakeOver(ctx, "x", ""))
 			time.Sleep(200 * time.Millisecond)
--- a/internal/batches/runner/standby_test.go
+++ b/internal/batches/runner/standby_test.go
@@ -80,7 +80,7 @@
 		accepter := accepterOfOne(ctx, t, log, "a/1")
 		refuse(log, journaltest.Read)
 		time.Sleep(10 * minStandByDelay)
-		log.SetBefall(nil)
+		log.SetFault(nil)
 		is.NoErr(accepter.ledger.Of("x").CatchUp(ctx))
 		is.Equal(ownerOf(accepter.ledger.Of("x"), "x"), "a/1")
 	})
--- a/internal/batches/runner/stop_test.go
+++ b/internal/batches/runner/stop_test.go
@@ -27,7 +27,7 @@
 
 // refuse makes the journal refuse calls of one kind.
 func refuse(log *journaltest.Journal, refused journaltest.Call) {
-	log.SetBefall(func(call journaltest.Call) journaltest.Fault {
+	log.SetFault(func(call journaltest.Call) journaltest.Fault {
 		if call == refused {
 			return journaltest.Refuse
 		}
@@ -41,7 +41,7 @@
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		owner := newOwnerOfTwo(ctx, t, log)
 		refuse(log, journaltest.Append)
-		time.AfterFunc(4*time.Second, func() { log.SetBefall(nil) })
+		time.AfterFunc(4*time.Second, func() { log.SetFault(nil) })
 		bounded, cancel := context.WithTimeout(ctx, 8*time.Second)
 		defer cancel()
 		owner.Release(bounded)
--- a/internal/batches/runner/watcher_test.go
+++ b/internal/batches/runner/watcher_test.go
@@ -119,7 +119,7 @@
 		other := ledger.New(ctx, log, zap.NewNop())
 		is.NoErr(other.Of("x").Append(ctx, batch.Heartbeat("x", "a/1", 1)))
 		is.Equal(len(watcher.runner.confirmSilence(ctx, suspects)), 0)
-		log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
+		log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
 		is.Equal(len(watcher.runner.confirmSilence(ctx, suspects)), 0)
 	})
 }
--- a/internal/journal/journaltest/fault.go
+++ b/internal/journal/journaltest/fault.go
@@ -39,8 +39,8 @@
 	Owners Call = "owners"
 )
 
-// SetBefall sets Befall while calls may be under way.
-func (j *Journal) SetBefall(befall func(call Call) Fault) {
+// SetFault sets Befall while calls may be under way.
+func (j *Journal) SetFault(befall func(call Call) Fault) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.Befall = befall
--- a/internal/membership/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -92,7 +92,7 @@
 		kill()
 		synctest.Wait()
 		var refusals atomic.Int64
-		log.SetBefall(func(call journaltest.Call) journaltest.Fault {
+		log.SetFault(func(call journaltest.Call) journaltest.Fault {
 			if (call == journaltest.Leave || call == journaltest.Owners) && refusals.Add(1) <= 3 {
 				return journaltest.Refuse
 			}
@@ -100,7 +100,7 @@
 		})
 		second := start(ctx, log, "a/2")
 		time.Sleep(lifetime / 2)
-		log.SetBefall(nil)
+		log.SetFault(nil)
 		alive, err := other.Alive(ctx)
 		is.NoErr(err)
 		slices.Sort(alive)
--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -125,7 +125,7 @@
 		time.Sleep(time.Second)
 		var refuse atomic.Bool
 		refuse.Store(true)
-		log.SetBefall(func(call journaltest.Call) journaltest.Fault {
+		log.SetFault(func(call journaltest.Call) journaltest.Fault {
 			if call == journaltest.Owners && refuse.Load() {
 				return journaltest.Refuse
 			}
@@ -173,7 +173,7 @@
 		watcher, ok := asking.WatcherOf(ctx, partition)
 		is.True(ok)
 		hang := map[journaltest.Call]bool{journaltest.Owners: true}
-		log.SetBefall(func(call journaltest.Call) journaltest.Fault {
+		log.SetFault(func(call journaltest.Call) journaltest.Fault {
 			if hang[call] {
 				return journaltest.Hang
 			}
@@ -183,7 +183,7 @@
 		later, ok := asking.WatcherOf(ctx, partition)
 		is.True(ok)
 		is.Equal(later, watcher)
-		log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
+		log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 		time.Sleep(2 * lifetime)
 		_, ok = asking.WatcherOf(ctx, partition)
 		is.True(!ok)
--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -357,10 +357,10 @@
 		for outage := 3 * time.Second; outage < 8*time.Second; outage += 170 * time.Millisecond {
 			time.Sleep(2 * time.Second)
 			is.True(mayAct(holder))
-			log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
+			log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 			time.Sleep(outage)
 			is.True(!mayAct(holder))
-			log.SetBefall(nil)
+			log.SetFault(nil)
 			time.Sleep(callTimeout + renewInterval + 10*time.Millisecond)
 			is.True(mayAct(holder))
 		}
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -178,6 +178,6 @@
 // unreadableResults returns a results reader whose journal refuses every call.
 func unreadableResults(ctx context.Context) *results.Reader {
 	log := journaltest.New()
-	log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
+	log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
 	return results.NewReader(ledger.New(ctx, log, zap.NewNop()), nil, nil, journal.RateLimits{}, "self/1", zap.NewNop())
 }
--- a/internal/requests/quarantine/gossip_test.go
+++ b/internal/requests/quarantine/gossip_test.go
@@ -173,7 +173,7 @@
 				f := newFleet(ctx)
 				daemons := f.startAll(c.daemons, c.peers)
 				if c.outage {
-					f.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
+					f.log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
 				}
 				startedAt := time.Now()
 				endReplicas(daemons[0], daemons[c.daemons/2], daemons[c.daemons-1])
@@ -199,7 +199,7 @@
 		defer cancel()
 		f := newFleet(ctx)
 		daemons := f.startAll(6, true)
-		f.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
+		f.log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
 		daemons[2].cutOff(true)
 		endReplicas(daemons[0], daemons[1], daemons[3])
 		time.Sleep(maxPropagation)
@@ -207,7 +207,7 @@
 		daemons[2].cutOff(false)
 		time.Sleep(maxPropagation)
 		is.Equal(countRefusing(daemons), len(daemons))
-		f.log.SetBefall(nil)
+		f.log.SetFault(nil)
 		time.Sleep(maxPropagation)
 		for _, s := range daemons {
 			s.stop()
@@ -294,7 +294,7 @@
 		f := newFleet(ctx)
 		daemons := f.startAll(3, true)
 		var appends atomic.Int64
-		f.log.SetBefall(func(call journaltest.Call) journaltest.Fault {
+		f.log.SetFault(func(call journaltest.Call) journaltest.Fault {
 			if call == journaltest.Append {
 				appends.Add(1)
 			}
@@ -306,7 +306,7 @@
 		time.Sleep(10 * time.Second)
 		is.True(appends.Load() >= 10)
 		is.True(appends.Load() <= 3*11)
-		f.log.SetBefall(nil)
+		f.log.SetFault(nil)
 		time.Sleep(2 * writeRetryDelay)
 		is.True(len(f.log.Records(Partition)) > 0)
 		cancel()
