--- a/internal/api/operator/operator_test.go
+++ b/internal/api/operator/operator_test.go
@@ -86,7 +86,7 @@
 			log := journaltest.New()
 			var mu sync.Mutex
 			calls := 0
-			log.Befall = func(journaltest.Call) journaltest.Fault {
+			log.FaultFunc = func(journaltest.Call) journaltest.Fault {
 				mu.Lock()
 				n := calls
 				calls++
@@ -105,7 +105,7 @@
 			}
 			racing.Wait()
 			log.Settle()
-			log.Befall = nil
+			log.FaultFunc = nil
 			current, err := New(log, zap.NewNop()).Current(context.Background())
 			if err != nil {
 				panic(err)
--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -78,7 +78,7 @@
 func grants(calls []befalling, starts []int, release []bool) (granted, ran int) {
 	log := journaltest.New()
 	var mu sync.Mutex
-	log.Befall = func(journaltest.Call) journaltest.Fault {
+	log.FaultFunc = func(journaltest.Call) journaltest.Fault {
 		mu.Lock()
 		next := befalling{}
 		if len(calls) > 0 {
@@ -188,7 +188,7 @@
 	is := is.New(t)
 	log := journaltest.New()
 	permits := New(log, retention, counter(), zap.NewNop())
-	log.Befall = func(call journaltest.Call) journaltest.Fault {
+	log.FaultFunc = func(call journaltest.Call) journaltest.Fault {
 		if call == journaltest.Append {
 			return journaltest.Refuse
 		}
@@ -196,7 +196,7 @@
 	}
 	_, err := permits.Claim(context.Background(), "k", 1)
 	is.True(errors.Is(err, ErrNotClaimed))
-	log.Befall = nil
+	log.FaultFunc = nil
 	decision, err := permits.Claim(context.Background(), "k", 1)
 	is.NoErr(err)
 	_, ok := decision.(Granted)
--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -126,7 +126,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		seen.start = time.Now()
 		log := journaltest.New()
-		log.Befall = drawnFaults(faults)
+		log.FaultFunc = drawnFaults(faults)
 		ctx, cancel := context.WithCancel(t.Context())
 		var clients sync.WaitGroup
 		const daemons = 3
@@ -199,7 +199,7 @@
 	long.Items[0].Body = make([]byte, 10_000)
 	batches := New(t.Context(), log, zap.NewNop())
 	calls := 0
-	log.Befall = func(call journaltest.Call) journaltest.Fault {
+	log.FaultFunc = func(call journaltest.Call) journaltest.Fault {
 		if call != journaltest.Append {
 			return journaltest.None
 		}
--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -250,7 +250,7 @@
 			calls++
 			return faults[calls%len(faults)]
 		}
-		log.Befall = func(journaltest.Call) journaltest.Fault {
+		log.FaultFunc = func(journaltest.Call) journaltest.Fault {
 			return map[int]journaltest.Fault{0: journaltest.Refuse, 1: journaltest.Hang, 2: journaltest.LoseAnswer, 3: journaltest.Late}[draw()]
 		}
 		platform.befall = func() error {
@@ -366,7 +366,7 @@
 		log, platform := journaltest.New(), &cloud{}
 		var mu sync.Mutex
 		down := false
-		log.Befall = func(journaltest.Call) journaltest.Fault {
+		log.FaultFunc = func(journaltest.Call) journaltest.Fault {
 			mu.Lock()
 			defer mu.Unlock()
 			if down {
--- a/internal/journal/follow_test.go
+++ b/internal/journal/follow_test.go
@@ -91,7 +91,7 @@
 		const bound = 3 * time.Second
 		log := journaltest.New()
 		var silent atomic.Bool
-		log.Befall = func(call journaltest.Call) journaltest.Fault {
+		log.FaultFunc = func(call journaltest.Call) journaltest.Fault {
 			if silent.Load() && call != journaltest.Append {
 				return journaltest.Hang
 			}
@@ -118,7 +118,7 @@
 		log := journaltest.New()
 		put(t, log, "kept", "1")
 		var refused atomic.Bool
-		log.Befall = func(call journaltest.Call) journaltest.Fault {
+		log.FaultFunc = func(call journaltest.Call) journaltest.Fault {
 			if refused.Load() && call == journaltest.Read {
 				return journaltest.Refuse
 			}
--- a/internal/journal/journaltest/fault.go
+++ b/internal/journal/journaltest/fault.go
@@ -43,14 +43,14 @@
 func (j *Journal) SetFault(befall func(call Call) Fault) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.Befall = befall
+	j.FaultFunc = befall
 }
 
 // fault returns what befalls a call; hanging calls have already hung.
 func (j *Journal) fault(ctx context.Context, call Call) (Fault, error) {
 	fault := None
 	j.mu.Lock()
-	befall := j.Befall
+	befall := j.FaultFunc
 	j.mu.Unlock()
 	if befall != nil {
 		fault = befall(call)
--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -21,8 +21,8 @@
 
 // Journal is a journal in memory. It is safe for concurrent use.
 type Journal struct {
-	// Befall, if not nil, decides the fault of each call.
-	Befall func(call Call) Fault
+	// FaultFunc, if not nil, decides the fault of each call.
+	FaultFunc func(call Call) Fault
 	// Shape may be changed before the first call. Where it grants ReadsPerSecond, further reads
 	// within a second are throttled.
 	journal.Limits
--- a/internal/journal/logservice/logservice_test.go
+++ b/internal/journal/logservice/logservice_test.go
@@ -115,7 +115,7 @@
 	for _, one := range cases {
 		is := is.New(t)
 		client, log := serve(t)
-		log.Befall = func(journaltest.Call) journaltest.Fault { return one.fault }
+		log.FaultFunc = func(journaltest.Call) journaltest.Fault { return one.fault }
 		_, err := client.Append(bounded(t), journal.Append{Partition: journal.Partition{Topic: "t"}, Records: [][]byte{[]byte("a")}})
 		is.True(errors.Is(err, one.want))
 	}
--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -20,7 +20,7 @@
 func newSilenceable() (*journaltest.Journal, *atomic.Bool) {
 	log := journaltest.New()
 	silent := &atomic.Bool{}
-	log.Befall = func(journaltest.Call) journaltest.Fault {
+	log.FaultFunc = func(journaltest.Call) journaltest.Fault {
 		if silent.Load() {
 			return journaltest.Hang
 		}
--- a/internal/membership/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -31,7 +31,7 @@
 		is := is.New(t)
 		log := journaltest.New()
 		var refusals atomic.Int64
-		log.Befall = func(call journaltest.Call) journaltest.Fault {
+		log.FaultFunc = func(call journaltest.Call) journaltest.Fault {
 			if call == journaltest.Leave && refusals.Add(1) <= 2 {
 				return journaltest.Refuse
 			}
--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -126,7 +126,7 @@
 			log := journaltest.New()
 			var mu sync.Mutex
 			calls := 0
-			log.Befall = func(journaltest.Call) journaltest.Fault {
+			log.FaultFunc = func(journaltest.Call) journaltest.Fault {
 				mu.Lock()
 				defer mu.Unlock()
 				calls++
