--- a/internal/api/operator/operator_test.go
+++ b/internal/api/operator/operator_test.go
@@ -77,7 +77,7 @@
 // to be.
 func TestRacingOperatorsLoseNothingThatWasAccepted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		faults := rapid.SliceOfN(rapid.IntRange(int(journaltest.None), int(journaltest.Late)), 0, 30).Draw(t, "faults")
+		faults := rapid.SliceOfN(rapid.IntRange(int(journaltest.None), int(journaltest.Delay)), 0, 30).Draw(t, "faults")
 		delays := rapid.SliceOfN(rapid.IntRange(0, 30), 30, 30).Draw(t, "delays")
 		operators := rapid.IntRange(2, 5).Draw(t, "operators")
 		outcomes := make([]error, operators)
--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -49,7 +49,7 @@
 		drawn := rapid.Custom(func(t *rapid.T) befalling {
 			fault := journaltest.None
 			if rapid.IntRange(0, 3).Draw(t, "faulty") == 0 {
-				fault = journaltest.Fault(rapid.IntRange(int(journaltest.Refuse), int(journaltest.Late)).Draw(t, "fault"))
+				fault = journaltest.Fault(rapid.IntRange(int(journaltest.Refuse), int(journaltest.Delay)).Draw(t, "fault"))
 			}
 			return befalling{delay: time.Duration(rapid.IntRange(0, 20).Draw(t, "delay")) * time.Millisecond, fault: fault}
 		})
--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -116,7 +116,7 @@
 			0: journaltest.Refuse,
 			1: journaltest.Hang,
 			2: journaltest.LoseAnswer,
-			3: journaltest.Late,
+			3: journaltest.Delay,
 		}[drawn]
 	}
 }
--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -251,7 +251,7 @@
 			return faults[calls%len(faults)]
 		}
 		log.FaultFunc = func(journaltest.Call) journaltest.Fault {
-			return map[int]journaltest.Fault{0: journaltest.Refuse, 1: journaltest.Hang, 2: journaltest.LoseAnswer, 3: journaltest.Late}[draw()]
+			return map[int]journaltest.Fault{0: journaltest.Refuse, 1: journaltest.Hang, 2: journaltest.LoseAnswer, 3: journaltest.Delay}[draw()]
 		}
 		platform.befall = func() error {
 			return map[int]error{0: duty.ErrUnknown, 1: duty.ErrThrottled, 2: duty.ErrUnknown}[draw()]
--- a/internal/journal/journaltest/fault.go
+++ b/internal/journal/journaltest/fault.go
@@ -21,9 +21,9 @@
 	Hang
 	// LoseAnswer does what was asked and never answers.
 	LoseAnswer
-	// Late never answers, and does what was asked when Settle is called, if
+	// Delay never answers, and does what was asked when Settle is called, if
 	// its condition still holds then.
-	Late
+	Delay
 )
 
 // Call names a kind of call.
--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return journal.Appended{}, err
 	}
-	if fault == Late {
+	if fault == Delay {
 		j.mu.Lock()
 		j.late = append(j.late, request)
 		j.mu.Unlock()
--- a/internal/journal/logservice/logservice_test.go
+++ b/internal/journal/logservice/logservice_test.go
@@ -109,7 +109,7 @@
 	}{
 		{journaltest.Refuse, journal.ErrNotDone},
 		{journaltest.LoseAnswer, journal.ErrUnknown},
-		{journaltest.Late, journal.ErrUnknown},
+		{journaltest.Delay, journal.ErrUnknown},
 		{journaltest.Hang, journal.ErrUnknown},
 	}
 	for _, one := range cases {
--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -181,7 +181,7 @@
 	case 2, 3:
 		return journaltest.LoseAnswer
 	case 4:
-		return journaltest.Late
+		return journaltest.Delay
 	default:
 		return journaltest.None
 	}
