--- a/internal/api/operator/operator_test.go
+++ b/internal/api/operator/operator_test.go
@@ -104,7 +104,7 @@
 				})
 			}
 			racing.Wait()
-			log.Settle()
+			log.ApplyDelayed()
 			log.FaultFunc = nil
 			current, err := New(log, zap.NewNop()).Current(context.Background())
 			if err != nil {
--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -99,7 +99,7 @@
 			decision, err := daemons[i%len(daemons)].Claim(ctx, "k", 1)
 			permit, ok := decision.(Granted)
 			if !ok || err != nil {
-				log.Settle()
+				log.ApplyDelayed()
 				return
 			}
 			mu.Lock()
@@ -111,7 +111,7 @@
 			if release[i] {
 				_ = daemons[i%len(daemons)].Release(ctx, permit)
 			}
-			log.Settle()
+			log.ApplyDelayed()
 		})
 	}
 	tries.Wait()
--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -140,7 +140,7 @@
 		go func() {
 			for ctx.Err() == nil {
 				time.Sleep(1300 * time.Millisecond)
-				log.Settle()
+				log.ApplyDelayed()
 			}
 		}()
 		clients.Wait()
--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -271,7 +271,7 @@
 				daemons[machine].recorder.Ran(fmt.Sprint("t", step%5), time.Now().Add(-late))
 			}
 			time.Sleep(time.Duration(step) * 40 * time.Millisecond)
-			log.Settle()
+			log.ApplyDelayed()
 		}
 		cancel()
 		for _, each := range daemons {
--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -104,8 +104,8 @@
 	return journal.Appended{Offset: offset, End: target.end()}, nil
 }
 
-// Settle lets the late appends take effect now.
-func (j *Journal) Settle() {
+// ApplyDelayed lets the late appends take effect now.
+func (j *Journal) ApplyDelayed() {
 	j.mu.Lock()
 	late := j.late
 	j.late = nil
--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -149,7 +149,7 @@
 					runs[machine].lease.SetCandidate(step%2 == 0)
 				}
 				time.Sleep(time.Duration(step) * 60 * time.Millisecond)
-				log.Settle()
+				log.ApplyDelayed()
 			}
 			cancel()
 			for _, each := range runs {
