--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -30,7 +30,7 @@
 	mu         sync.Mutex
 	logs       map[journal.Partition]*log
 	changed    chan struct{}
-	late       []journal.Append
+	delayed    []journal.Append
 	generation int64
 	members    map[string]time.Time
 	topics     []string
@@ -76,7 +76,7 @@
 	}
 	if fault == Delay {
 		j.mu.Lock()
-		j.late = append(j.late, request)
+		j.delayed = append(j.delayed, request)
 		j.mu.Unlock()
 		<-ctx.Done()
 		return journal.Appended{}, errors.Wrap(journal.ErrUnknown, "late")
@@ -107,8 +107,8 @@
 // ApplyDelayed lets the late appends take effect now.
 func (j *Journal) ApplyDelayed() {
 	j.mu.Lock()
-	late := j.late
-	j.late = nil
+	late := j.delayed
+	j.delayed = nil
 	j.mu.Unlock()
 	for _, request := range late {
 		_, _ = j.put(request) // One whose condition fails has no effect, as it should.
