--- a/internal/journal/journaltest/fault.go
+++ b/internal/journal/journaltest/fault.go
@@ -46,8 +46,8 @@
 	j.FaultFunc = befall
 }
 
-// fault returns what befalls a call; hanging calls have already hung.
-func (j *Journal) fault(ctx context.Context, call Call) (Fault, error) {
+// injectFault returns what befalls a call; hanging calls have already hung.
+func (j *Journal) injectFault(ctx context.Context, call Call) (Fault, error) {
 	fault := None
 	j.mu.Lock()
 	befall := j.FaultFunc
--- a/internal/journal/journaltest/group.go
+++ b/internal/journal/journaltest/group.go
@@ -11,7 +11,7 @@
 
 // Join implements journal.Journal. Partitions are dealt evenly, in order.
 func (j *Journal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
-	if _, err := j.fault(ctx, Join); err != nil {
+	if _, err := j.injectFault(ctx, Join); err != nil {
 		return journal.Assignment{}, err
 	}
 	j.mu.Lock()
@@ -68,7 +68,7 @@
 
 // Leave implements journal.Journal.
 func (j *Journal) Leave(ctx context.Context, _, member string) error {
-	if _, err := j.fault(ctx, Leave); err != nil {
+	if _, err := j.injectFault(ctx, Leave); err != nil {
 		return err
 	}
 	j.mu.Lock()
@@ -80,7 +80,7 @@
 
 // Owners implements journal.Journal.
 func (j *Journal) Owners(ctx context.Context, _ string) ([]journal.Ownership, error) {
-	if _, err := j.fault(ctx, Owners); err != nil {
+	if _, err := j.injectFault(ctx, Owners); err != nil {
 		return nil, err
 	}
 	j.mu.Lock()
--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -70,7 +70,7 @@
 
 // Append implements journal.Journal.
 func (j *Journal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
-	fault, err := j.fault(ctx, Append)
+	fault, err := j.injectFault(ctx, Append)
 	if err != nil {
 		return journal.Appended{}, err
 	}
@@ -138,7 +138,7 @@
 	if err := j.countRead(); err != nil {
 		return journal.Records{}, err
 	}
-	if _, err := j.fault(ctx, Read); err != nil {
+	if _, err := j.injectFault(ctx, Read); err != nil {
 		return journal.Records{}, err
 	}
 	timer := time.NewTimer(request.Wait)
@@ -195,7 +195,7 @@
 	if err := j.countRead(); err != nil {
 		return journal.KeyedPage{}, err
 	}
-	if _, err := j.fault(ctx, Newest); err != nil {
+	if _, err := j.injectFault(ctx, Newest); err != nil {
 		return journal.KeyedPage{}, err
 	}
 	j.mu.Lock()
