--- a/internal/journal/journaltest/group.go
+++ b/internal/journal/journaltest/group.go
@@ -23,7 +23,7 @@
 	j.members[request.Member] = time.Now().Add(request.Lifetime)
 	j.topics = request.Topics
 	assignment := journal.Assignment{Generation: j.generation}
-	for _, row := range j.deal() {
+	for _, row := range j.assignments() {
 		if row.Member == request.Member {
 			assignment.Partitions = append(assignment.Partitions, row.Partition)
 		}
@@ -41,8 +41,8 @@
 	}
 }
 
-// deal gives each partition to a member. The mutex is held.
-func (j *Journal) deal() []journal.Ownership {
+// assignments gives each partition to a member. The mutex is held.
+func (j *Journal) assignments() []journal.Ownership {
 	members := slices.Sorted(maps.Keys(j.members))
 	if len(members) == 0 {
 		return nil
@@ -86,5 +86,5 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.expire()
-	return j.deal(), nil
+	return j.assignments(), nil
 }
