--- a/internal/journal/journaltest/group.go
+++ b/internal/journal/journaltest/group.go
@@ -58,8 +58,8 @@
 	return rows
 }
 
-// DealAnew gives all partitions to other members at once.
-func (j *Journal) DealAnew() {
+// Rebalance gives all partitions to other members at once.
+func (j *Journal) Rebalance() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.turn++
