--- a/internal/journal/journaltest/group.go
+++ b/internal/journal/journaltest/group.go
@@ -16,7 +16,7 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.expire()
+	j.removeExpired()
 	if _, ok := j.members[request.Member]; !ok {
 		j.generation++
 	}
@@ -31,8 +31,8 @@
 	return assignment, nil
 }
 
-// expire drops the members that have been silent. The mutex is held.
-func (j *Journal) expire() {
+// removeExpired drops the members that have been silent. The mutex is held.
+func (j *Journal) removeExpired() {
 	for member, until := range j.members {
 		if time.Now().After(until) {
 			delete(j.members, member)
@@ -85,6 +85,6 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.expire()
+	j.removeExpired()
 	return j.assignments(), nil
 }
