--- a/internal/journal/journaltest/group.go
+++ b/internal/journal/journaltest/group.go
@@ -51,7 +51,7 @@
 	for _, topic := range j.topics {
 		for number := 0; number < j.Partitions; number++ {
 			partition := journal.Partition{Topic: topic, Number: number}
-			member := members[(len(rows)+j.turn)%len(members)]
+			member := members[(len(rows)+j.rotation)%len(members)]
 			rows = append(rows, journal.Ownership{Partition: partition, Member: member})
 		}
 	}
@@ -62,7 +62,7 @@
 func (j *Journal) Rebalance() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.turn++
+	j.rotation++
 	j.generation++
 }
 
--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -34,7 +34,7 @@
 	generation int64
 	members    map[string]time.Time
 	topics     []string
-	turn       int
+	rotation   int
 	usage      Usage
 	// second is the one in which reads were counted last, inSecond how many.
 	second    int64
