--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -81,7 +81,7 @@
 		<-ctx.Done()
 		return journal.Appended{}, errors.Wrap(journal.ErrUnknown, "late")
 	}
-	appended, err := j.put(request)
+	appended, err := j.applyAppend(request)
 	if fault == LoseAnswer {
 		<-ctx.Done()
 		return journal.Appended{}, errors.Wrap(journal.ErrUnknown, "answer lost")
@@ -89,8 +89,8 @@
 	return appended, err
 }
 
-// put does what an append asks for.
-func (j *Journal) put(request journal.Append) (journal.Appended, error) {
+// applyAppend does what an append asks for.
+func (j *Journal) applyAppend(request journal.Append) (journal.Appended, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	target := j.log(request.Partition)
@@ -111,7 +111,7 @@
 	j.delayed = nil
 	j.mu.Unlock()
 	for _, request := range late {
-		_, _ = j.put(request) // One whose condition fails has no effect, as it should.
+		_, _ = j.applyAppend(request) // One whose condition fails has no effect, as it should.
 	}
 }
 
