--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -153,7 +153,7 @@
 			return journal.Records{}, &journal.TrimmedError{First: target.first}
 		}
 		if request.From < target.end() {
-			read.Records = append(read.Records, cut(target.records[request.From-target.first:], request.MaxBytes)...)
+			read.Records = append(read.Records, limitBytes(target.records[request.From-target.first:], request.MaxBytes)...)
 			j.countBytes(read.Records)
 		}
 		j.mu.Unlock()
@@ -173,8 +173,8 @@
 	}
 }
 
-// cut returns the first records that fit in a number of bytes, at least one; 0 is no bound.
-func cut(records [][]byte, maxBytes int) [][]byte {
+// limitBytes returns the first records that fit in a number of bytes, at least one; 0 is no bound.
+func limitBytes(records [][]byte, maxBytes int) [][]byte {
 	if maxBytes <= 0 {
 		return records
 	}
