--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -36,10 +36,10 @@
 	topics     []string
 	rotation   int
 	usage      Usage
-	// second is the one in which reads were counted last, inSecond how many.
-	second    int64
-	inSecond  int
-	bandwidth Bandwidth
+	// currentSecond is the one in which reads were counted last, inSecond how many.
+	currentSecond int64
+	inSecond      int
+	bandwidth     Bandwidth
 }
 
 // log is the records kept of a partition.
--- a/internal/journal/journaltest/usage.go
+++ b/internal/journal/journaltest/usage.go
@@ -32,8 +32,8 @@
 func (j *Journal) countRead() error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if second := time.Now().Unix(); second != j.second {
-		j.second, j.inSecond = second, 0
+	if second := time.Now().Unix(); second != j.currentSecond {
+		j.currentSecond, j.inSecond = second, 0
 	}
 	j.inSecond++
 	j.usage.Reads++
