--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -38,7 +38,7 @@
 	usage      Usage
 	// currentSecond is the one in which reads were counted last, inSecond how many.
 	currentSecond int64
-	inSecond      int
+	readsInSecond int
 	bandwidth     Bandwidth
 }
 
--- a/internal/journal/journaltest/usage.go
+++ b/internal/journal/journaltest/usage.go
@@ -33,11 +33,11 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if second := time.Now().Unix(); second != j.currentSecond {
-		j.currentSecond, j.inSecond = second, 0
+		j.currentSecond, j.readsInSecond = second, 0
 	}
-	j.inSecond++
+	j.readsInSecond++
 	j.usage.Reads++
-	if granted := j.Rates.ReadsPerSecond; granted > 0 && float64(j.inSecond) > granted {
+	if granted := j.Rates.ReadsPerSecond; granted > 0 && float64(j.readsInSecond) > granted {
 		j.usage.Throttled++
 		return &journal.ThrottledError{Reason: "too many reads"}
 	}
