--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -107,7 +107,7 @@
 			t.Fatal(err)
 		}
 	}
-	r.log.Limit(restartJournal)
+	r.log.LimitBandwidth(restartJournal)
 	r.Fleet = ledgertest.Start(ctx, r.log, restartDaemons, restartLink)
 	for i, run := range r.Runs {
 		reader := results.NewReader(r.Ledgers[i], r, r, r.log.RateLimits(), run, zap.NewNop())
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -56,7 +56,7 @@
 			d.append(t, id, batch.Listed(id, []batch.Result{{Item: item, Outcome: batch.Done, Text: text}}))
 		}
 	}
-	d.log.Limit(restartJournal)
+	d.log.LimitBandwidth(restartJournal)
 	fleet := ledgertest.Start(ctx, d.log, restartDaemons, restartLink)
 	d.runs, d.ledgers, d.dealt = fleet.Runs, fleet.Ledgers, fleet.Dealt
 	for i, run := range d.runs {
--- a/internal/journal/journaltest/link.go
+++ b/internal/journal/journaltest/link.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// Limit bounds what the journal sends to all its readers together, in bytes a second. It
+// LimitBandwidth bounds what the journal sends to all its readers together, in bytes a second. It
 // is called before any read.
-func (j *Journal) Limit(bytesPerSecond float64) { j.bandwidth.BytesPerSecond = bytesPerSecond }
+func (j *Journal) LimitBandwidth(bytesPerSecond float64) { j.bandwidth.BytesPerSecond = bytesPerSecond }
 
 // Link is a journal as one machine reaches it: answers to reads come over a link of its
 // own.
