--- a/internal/batches/ledger/ledgertest/fleet.go
+++ b/internal/batches/ledger/ledgertest/fleet.go
@@ -37,7 +37,7 @@
 	f := &Fleet{log: log, Dealt: map[journal.Partition]int{}}
 	for i := range daemons {
 		f.Runs = append(f.Runs, identity.New(fmt.Sprint("m", i), time.Now()))
-		f.Ledgers = append(f.Ledgers, ledger.New(ctx, log.Behind(link), zap.NewNop()))
+		f.Ledgers = append(f.Ledgers, ledger.New(ctx, log.OverLink(link), zap.NewNop()))
 	}
 	return f
 }
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -81,9 +81,9 @@
 	if locator == nil {
 		locator = ledgerLocator{whole}
 	}
-	chosen := newOwner(ctx, t, log.Behind(bytesPerSecond), "a/1")
+	chosen := newOwner(ctx, t, log.OverLink(bytesPerSecond), "a/1")
 	chosen.locator = locator
-	accepter := newAccepter(ctx, log.Behind(bytesPerSecond), "a/1")
+	accepter := newAccepter(ctx, log.OverLink(bytesPerSecond), "a/1")
 	accepter.locator = locator
 	began := time.Now()
 	if err := accepter.Accept(ctx, &oneItem); err != nil {
--- a/internal/journal/journaltest/link.go
+++ b/internal/journal/journaltest/link.go
@@ -52,8 +52,8 @@
 	bandwidth Bandwidth
 }
 
-// Behind returns the journal behind a link that carries some bytes a second.
-func (j *Journal) Behind(bytesPerSecond float64) *Link {
+// OverLink returns the journal behind a link that carries some bytes a second.
+func (j *Journal) OverLink(bytesPerSecond float64) *Link {
 	return &Link{Journal: j, bandwidth: Bandwidth{BytesPerSecond: bytesPerSecond}}
 }
 
