--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -39,7 +39,7 @@
 	// currentSecond is the one in which reads were counted last, inSecond how many.
 	currentSecond int64
 	readsInSecond int
-	bandwidth     Bandwidth
+	bandwidth     BandwidthLimiter
 }
 
 // log is the records kept of a partition.
--- a/internal/journal/journaltest/link.go
+++ b/internal/journal/journaltest/link.go
@@ -10,8 +10,8 @@
 	"woodworks/internal/journal"
 )
 
-// Bandwidth sends one answer after the other at a rate. The zero value sends at any rate.
-type Bandwidth struct {
+// BandwidthLimiter sends one answer after the other at a rate. The zero value sends at any rate.
+type BandwidthLimiter struct {
 	// BytesPerSecond is the rate, 0 for any. It is set before the first answer.
 	BytesPerSecond float64
 
@@ -21,7 +21,7 @@
 
 // Send returns when that many bytes have been sent, or with an error when the context
 // ends. Bytes that nobody awaits any more are sent all the same.
-func (b *Bandwidth) Send(ctx context.Context, bytes int) error {
+func (b *BandwidthLimiter) Send(ctx context.Context, bytes int) error {
 	if b.BytesPerSecond <= 0 || bytes == 0 {
 		return nil
 	}
@@ -49,12 +49,12 @@
 // own.
 type Link struct {
 	*Journal
-	bandwidth Bandwidth
+	bandwidth BandwidthLimiter
 }
 
 // OverLink returns the journal behind a link that carries some bytes a second.
 func (j *Journal) OverLink(bytesPerSecond float64) *Link {
-	return &Link{Journal: j, bandwidth: Bandwidth{BytesPerSecond: bytesPerSecond}}
+	return &Link{Journal: j, bandwidth: BandwidthLimiter{BytesPerSecond: bytesPerSecond}}
 }
 
 // Read implements journal.Journal.
