--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -158,7 +158,7 @@
 		}
 		j.mu.Unlock()
 		if len(read.Records) > 0 || request.Wait == 0 {
-			if err := j.bandwidth.Send(ctx, sizeOf(read.Records)); err != nil {
+			if err := j.bandwidth.Send(ctx, totalBytes(read.Records)); err != nil {
 				return journal.Records{}, err
 			}
 			return read, nil
--- a/internal/journal/journaltest/link.go
+++ b/internal/journal/journaltest/link.go
@@ -63,14 +63,14 @@
 	if err != nil {
 		return read, err
 	}
-	if err := l.bandwidth.Send(ctx, sizeOf(read.Records)); err != nil {
+	if err := l.bandwidth.Send(ctx, totalBytes(read.Records)); err != nil {
 		return journal.Records{}, err
 	}
 	return read, nil
 }
 
-// sizeOf is how many bytes records have.
-func sizeOf(records [][]byte) int {
+// totalBytes is how many bytes records have.
+func totalBytes(records [][]byte) int {
 	size := 0
 	for _, record := range records {
 		size += len(record)
--- a/internal/journal/journaltest/usage.go
+++ b/internal/journal/journaltest/usage.go
@@ -46,5 +46,5 @@
 
 // countBytes counts the bytes of records read. The mutex is held.
 func (j *Journal) countBytes(records [][]byte) {
-	j.usage.ReadBytes += sizeOf(records)
+	j.usage.ReadBytes += totalBytes(records)
 }
