--- a/internal/journal/logservice/client.go
+++ b/internal/journal/logservice/client.go
@@ -70,8 +70,8 @@
 	return answer, nil
 }
 
-// none is an empty answer.
-type none struct{}
+// emptyAnswer is an empty answer.
+type emptyAnswer struct{}
 
 // Append implements journal.Journal.
 func (c *Client) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
@@ -95,7 +95,7 @@
 
 // Leave implements journal.Journal.
 func (c *Client) Leave(ctx context.Context, group, member string) error {
-	_, err := call[none](ctx, c, callLeave, memberRequest{Group: group, Member: member})
+	_, err := call[emptyAnswer](ctx, c, callLeave, memberRequest{Group: group, Member: member})
 	return err
 }
 
--- a/internal/journal/logservice/handler.go
+++ b/internal/journal/logservice/handler.go
@@ -38,8 +38,8 @@
 	case callJoin:
 		answer(w, r, body, j.Join)
 	case callLeave:
-		answer(w, r, body, func(ctx context.Context, req memberRequest) (none, error) {
-			return none{}, j.Leave(ctx, req.Group, req.Member)
+		answer(w, r, body, func(ctx context.Context, req memberRequest) (emptyAnswer, error) {
+			return emptyAnswer{}, j.Leave(ctx, req.Group, req.Member)
 		})
 	case callOwners:
 		answer(w, r, body, func(ctx context.Context, req memberRequest) ([]journal.Ownership, error) {
