--- a/internal/journal/logservice/handler.go
+++ b/internal/journal/logservice/handler.go
@@ -28,21 +28,21 @@
 	j := h.Journal
 	switch name {
 	case callAppend:
-		answer(w, r, body, j.Append)
+		serveCall(w, r, body, j.Append)
 	case callRead:
-		answer(w, r, body, j.Read)
+		serveCall(w, r, body, j.Read)
 	case callNewest:
-		answer(w, r, body, func(ctx context.Context, req newestRequest) (journal.KeyedPage, error) {
+		serveCall(w, r, body, func(ctx context.Context, req newestRequest) (journal.KeyedPage, error) {
 			return j.Newest(ctx, req.Partition, req.AfterKey)
 		})
 	case callJoin:
-		answer(w, r, body, j.Join)
+		serveCall(w, r, body, j.Join)
 	case callLeave:
-		answer(w, r, body, func(ctx context.Context, req memberRequest) (emptyAnswer, error) {
+		serveCall(w, r, body, func(ctx context.Context, req memberRequest) (emptyAnswer, error) {
 			return emptyAnswer{}, j.Leave(ctx, req.Group, req.Member)
 		})
 	case callOwners:
-		answer(w, r, body, func(ctx context.Context, req memberRequest) ([]journal.Ownership, error) {
+		serveCall(w, r, body, func(ctx context.Context, req memberRequest) ([]journal.Ownership, error) {
 			return j.Owners(ctx, req.Group)
 		})
 	default:
@@ -50,9 +50,9 @@
 	}
 }
 
-// answer decodes a call, does it and writes what came of it. A call whose
-// outcome is unknown gets no answer: the connection is cut.
-func answer[Request, Answer any](w http.ResponseWriter, r *http.Request, body []byte,
+// serveCall decodes a call, does it and writes what came of it. A call whose
+// outcome is unknown gets no serveCall: the connection is cut.
+func serveCall[Request, Answer any](w http.ResponseWriter, r *http.Request, body []byte,
 	do func(context.Context, Request) (Answer, error)) {
 	var req Request
 	if err := cbor.Unmarshal(body, &req); err != nil {
