--- a/internal/journal/logservice/handler.go
+++ b/internal/journal/logservice/handler.go
@@ -56,23 +56,23 @@
 	do func(context.Context, Request) (Answer, error)) {
 	var req Request
 	if err := cbor.Unmarshal(body, &req); err != nil {
-		write(w, http.StatusBadRequest, refusal{Reason: reasonNotDone, Text: "body: " + err.Error()})
+		writeAnswer(w, http.StatusBadRequest, refusal{Reason: reasonNotDone, Text: "body: " + err.Error()})
 		return
 	}
 	done, err := do(r.Context(), req)
 	if err == nil {
-		write(w, http.StatusOK, done)
+		writeAnswer(w, http.StatusOK, done)
 		return
 	}
 	refused, certain := refusalOf(err)
 	if !certain {
 		panic(http.ErrAbortHandler)
 	}
-	write(w, http.StatusConflict, refused)
+	writeAnswer(w, http.StatusConflict, refused)
 }
 
-// write sends an answer.
-func write(w http.ResponseWriter, status int, value any) {
+// writeAnswer sends an answer.
+func writeAnswer(w http.ResponseWriter, status int, value any) {
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
 		panic(http.ErrAbortHandler)
