--- a/internal/journal/logservice/logservice_test.go
+++ b/internal/journal/logservice/logservice_test.go
@@ -15,8 +15,8 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// serve returns a client of a journal in memory behind a listener.
-func serve(t *testing.T) (*Client, *journaltest.Journal) {
+// startService returns a client of a journal in memory behind a listener.
+func startService(t *testing.T) (*Client, *journaltest.Journal) {
 	t.Helper()
 	log := journaltest.New()
 	server := httptest.NewServer(Handler{Journal: log})
@@ -34,7 +34,7 @@
 
 func TestRecordsComeBackAsTheyWereAppended(t *testing.T) {
 	is := is.New(t)
-	client, _ := serve(t)
+	client, _ := startService(t)
 	ctx := context.Background()
 	p := journal.Partition{Topic: "t", Number: 1}
 	appended, err := client.Append(ctx, journal.Append{Partition: p, Records: [][]byte{[]byte("a"), {}, []byte("c")}})
@@ -49,7 +49,7 @@
 
 func TestAConditionalAppendFindsAnotherEnd(t *testing.T) {
 	is := is.New(t)
-	client, log := serve(t)
+	client, log := startService(t)
 	p := journal.Partition{Topic: "t"}
 	end := int64(1)
 	_, err := client.Append(context.Background(), journal.Append{Partition: p, Records: [][]byte{[]byte("a")}, ExpectedEnd: &end})
@@ -59,7 +59,7 @@
 
 func TestTrimmedOffsetsNameTheFirstKept(t *testing.T) {
 	is := is.New(t)
-	client, log := serve(t)
+	client, log := startService(t)
 	p := journal.Partition{Topic: "t"}
 	_, err := client.Append(context.Background(), journal.Append{Partition: p, Records: [][]byte{[]byte("a"), []byte("b")}})
 	is.NoErr(err)
@@ -72,7 +72,7 @@
 
 func TestNewestValuesByKey(t *testing.T) {
 	is := is.New(t)
-	client, _ := serve(t)
+	client, _ := startService(t)
 	p := journal.Partition{Topic: journal.KeyedTopic("k")}
 	for _, value := range []string{"1", "2"} {
 		record := journal.EncodeKeyed("a", []byte(value))
@@ -88,7 +88,7 @@
 
 func TestMembersShareThePartitions(t *testing.T) {
 	is := is.New(t)
-	client, _ := serve(t)
+	client, _ := startService(t)
 	ctx := context.Background()
 	for _, member := range []string{"a", "b"} {
 		_, err := client.Join(ctx, journal.Join{Group: "g", Member: member, Topics: []string{"t"}, Lifetime: time.Minute})
@@ -114,7 +114,7 @@
 	}
 	for _, one := range cases {
 		is := is.New(t)
-		client, log := serve(t)
+		client, log := startService(t)
 		log.FaultFunc = func(journaltest.Call) journaltest.Fault { return one.fault }
 		_, err := client.Append(bounded(t), journal.Append{Partition: journal.Partition{Topic: "t"}, Records: [][]byte{[]byte("a")}})
 		is.True(errors.Is(err, one.want))
