--- a/internal/journal/logservice/logservice_test.go
+++ b/internal/journal/logservice/logservice_test.go
@@ -25,7 +25,7 @@
 	return New(addr, "", journal.Limits{Partitions: 2, RecordBytes: 1 << 16, AppendBytes: 1 << 20}), log
 }
 
-func bounded(t *testing.T) context.Context {
+func shortContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	t.Cleanup(cancel)
@@ -116,7 +116,7 @@
 		is := is.New(t)
 		client, log := startService(t)
 		log.FaultFunc = func(journaltest.Call) journaltest.Fault { return one.fault }
-		_, err := client.Append(bounded(t), journal.Append{Partition: journal.Partition{Topic: "t"}, Records: [][]byte{[]byte("a")}})
+		_, err := client.Append(shortContext(t), journal.Append{Partition: journal.Partition{Topic: "t"}, Records: [][]byte{[]byte("a")}})
 		is.True(errors.Is(err, one.want))
 	}
 }
@@ -124,7 +124,7 @@
 func TestAServiceThatIsNotThereTookNothing(t *testing.T) {
 	is := is.New(t)
 	client := New(netip.MustParseAddrPort("127.0.0.1:1"), "", journal.Limits{})
-	_, err := client.Append(bounded(t), journal.Append{Partition: journal.Partition{Topic: "t"}})
+	_, err := client.Append(shortContext(t), journal.Append{Partition: journal.Partition{Topic: "t"}})
 	is.True(errors.Is(err, journal.ErrNotDone))
 }
 
