--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -22,12 +22,12 @@
 
 // The caller's side.
 const (
-	// CallerPatience is how long a caller waits for an answer before it leaves.
-	CallerPatience = 1500 * time.Millisecond
+	// CallerTimeout is how long a caller waits for an answer before it leaves.
+	CallerTimeout = 1500 * time.Millisecond
 	// Return is what the answer needs to reach the caller.
 	Return = 200 * time.Millisecond
 	// Answer is the time within which a question has its answer.
-	Answer = CallerPatience - Return
+	Answer = CallerTimeout - Return
 )
 
 // Who answers.
@@ -55,7 +55,7 @@
 // Reads of the journal for a question.
 const (
 	// Read bounds a read: as long as anybody may wait for it.
-	Read = CallerPatience
+	Read = CallerTimeout
 	// LostRead is how long a read may be overdue, while calls to other partitions are answered,
 	// until it is given up as lost: a watcher has time to read again.
 	LostRead = 600 * time.Millisecond
