--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -24,10 +24,10 @@
 const (
 	// CallerTimeout is how long a caller waits for an answer before it leaves.
 	CallerTimeout = 1500 * time.Millisecond
-	// Return is what the answer needs to reach the caller.
-	Return = 200 * time.Millisecond
+	// ReturnMargin is what the answer needs to reach the caller.
+	ReturnMargin = 200 * time.Millisecond
 	// Answer is the time within which a question has its answer.
-	Answer = CallerTimeout - Return
+	Answer = CallerTimeout - ReturnMargin
 )
 
 // Who answers.
--- a/internal/journal/questiontime/questiontime_test.go
+++ b/internal/journal/questiontime/questiontime_test.go
@@ -10,7 +10,7 @@
 // The parts of the budget fit: nothing that a question waits for outlasts what it is a part of.
 func TestThePartsFit(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Answer+Return, CallerTimeout)       // The answer arrives before its caller leaves.
+	is.Equal(Answer+ReturnMargin, CallerTimeout) // The answer arrives before its caller leaves.
 	is.Equal(OwnRead+Watcher, Answer)            // A watcher that is asked late has its whole time.
 	is.True(OwnRead+Search+2*List <= Answer)     // One that is found late has time to tell what it holds.
 	is.True(ListRetry+List+SearchPause < Search) // A search outlasts a lost read of the list.
@@ -24,7 +24,7 @@
 func TestTheDurations(t *testing.T) {
 	for name, each := range map[string]struct{ got, want time.Duration }{
 		"caller patience": {CallerTimeout, 1500 * time.Millisecond},
-		"return":          {Return, 200 * time.Millisecond},
+		"return":          {ReturnMargin, 200 * time.Millisecond},
 		"answer":          {Answer, 1300 * time.Millisecond},
 		"watcher":         {Watcher, 900 * time.Millisecond},
 		"own read":        {OwnRead, 400 * time.Millisecond},
