--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -48,7 +48,7 @@
 	watcherWait     = questiontime.Search
 	watcherPause    = questiontime.SearchPause
 	watcherTimeout  = questiontime.Watcher
-	answerWithin    = questiontime.Answer
+	answerWithin    = questiontime.AnswerTimeout
 	askWatcherAfter = questiontime.OwnRead
 )
 
--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -26,8 +26,8 @@
 	CallerTimeout = 1500 * time.Millisecond
 	// ReturnMargin is what the answer needs to reach the caller.
 	ReturnMargin = 200 * time.Millisecond
-	// Answer is the time within which a question has its answer.
-	Answer = CallerTimeout - ReturnMargin
+	// AnswerTimeout is the time within which a question has its answer.
+	AnswerTimeout = CallerTimeout - ReturnMargin
 )
 
 // Who answers.
@@ -36,7 +36,7 @@
 	// link to read its partition after a start.
 	Watcher = 900 * time.Millisecond
 	// OwnRead is how long the daemon's own read is alone: as long as leaves the watcher its time.
-	OwnRead = Answer - Watcher
+	OwnRead = AnswerTimeout - Watcher
 )
 
 // How the watcher is found.
