--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -47,7 +47,7 @@
 	refreshTimeout  = questiontime.Refresh
 	watcherWait     = questiontime.Search
 	watcherPause    = questiontime.SearchPause
-	watcherTimeout  = questiontime.Watcher
+	watcherTimeout  = questiontime.WatcherTimeout
 	answerWithin    = questiontime.AnswerTimeout
 	askWatcherAfter = questiontime.OwnRead
 )
--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -32,11 +32,11 @@
 
 // Who answers.
 const (
-	// Watcher is how long the partition's watcher may take: twice what it takes one on a weak
+	// WatcherTimeout is how long the partition's watcher may take: twice what it takes one on a weak
 	// link to read its partition after a start.
-	Watcher = 900 * time.Millisecond
+	WatcherTimeout = 900 * time.Millisecond
 	// OwnRead is how long the daemon's own read is alone: as long as leaves the watcher its time.
-	OwnRead = AnswerTimeout - Watcher
+	OwnRead = AnswerTimeout - WatcherTimeout
 )
 
 // How the watcher is found.
