--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -49,7 +49,7 @@
 	watcherPause    = questiontime.SearchPause
 	watcherTimeout  = questiontime.WatcherTimeout
 	answerWithin    = questiontime.AnswerTimeout
-	askWatcherAfter = questiontime.OwnRead
+	askWatcherAfter = questiontime.WatcherDelay
 )
 
 const (
--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -35,8 +35,8 @@
 	// WatcherTimeout is how long the partition's watcher may take: twice what it takes one on a weak
 	// link to read its partition after a start.
 	WatcherTimeout = 900 * time.Millisecond
-	// OwnRead is how long the daemon's own read is alone: as long as leaves the watcher its time.
-	OwnRead = AnswerTimeout - WatcherTimeout
+	// WatcherDelay is how long the daemon's own read is alone: as long as leaves the watcher its time.
+	WatcherDelay = AnswerTimeout - WatcherTimeout
 )
 
 // How the watcher is found.
