--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -45,7 +45,7 @@
 	catchUpTimeout  = questiontime.Read
 	catchUpPause    = questiontime.RetryPause
 	refreshTimeout  = questiontime.Refresh
-	watcherWait     = questiontime.Search
+	watcherWait     = questiontime.SearchTimeout
 	watcherPause    = questiontime.SearchPause
 	watcherTimeout  = questiontime.WatcherTimeout
 	answerWithin    = questiontime.AnswerTimeout
--- a/internal/journal/questiontime/questiontime_test.go
+++ b/internal/journal/questiontime/questiontime_test.go
@@ -10,14 +10,14 @@
 // The parts of the budget fit: nothing that a question waits for outlasts what it is a part of.
 func TestThePartsFit(t *testing.T) {
 	is := is.New(t)
-	is.Equal(AnswerTimeout+ReturnMargin, CallerTimeout)  // The answer arrives before its caller leaves.
-	is.Equal(WatcherDelay+WatcherTimeout, AnswerTimeout) // A watcher that is asked late has its whole time.
-	is.True(WatcherDelay+Search+2*List <= AnswerTimeout) // One that is found late has time to tell what it holds.
-	is.True(ListRetry+List+SearchPause < Search)         // A search outlasts a lost read of the list.
-	is.True(LostRead+Refresh+List < WatcherTimeout)      // A watcher reads again after a lost read.
-	is.True(Relayed < WatcherTimeout)                    // A watcher may have lost its own path.
-	is.True(Refresh < WatcherDelay)                      // A look for more doesn't make a question late.
-	is.True(Read >= AnswerTimeout)                       // A read outlasts its question, so that it counts for the next.
+	is.Equal(AnswerTimeout+ReturnMargin, CallerTimeout)         // The answer arrives before its caller leaves.
+	is.Equal(WatcherDelay+WatcherTimeout, AnswerTimeout)        // A watcher that is asked late has its whole time.
+	is.True(WatcherDelay+SearchTimeout+2*List <= AnswerTimeout) // One that is found late has time to tell what it holds.
+	is.True(ListRetry+List+SearchPause < SearchTimeout)         // A search outlasts a lost read of the list.
+	is.True(LostRead+Refresh+List < WatcherTimeout)             // A watcher reads again after a lost read.
+	is.True(Relayed < WatcherTimeout)                           // A watcher may have lost its own path.
+	is.True(Refresh < WatcherDelay)                             // A look for more doesn't make a question late.
+	is.True(Read >= AnswerTimeout)                              // A read outlasts its question, so that it counts for the next.
 }
 
 // The durations are those that the software runs with: a change of one is a change of behaviour.
@@ -28,7 +28,7 @@
 		"answer":          {AnswerTimeout, 1300 * time.Millisecond},
 		"watcher":         {WatcherTimeout, 900 * time.Millisecond},
 		"own read":        {WatcherDelay, 400 * time.Millisecond},
-		"search":          {Search, 600 * time.Millisecond},
+		"search":          {SearchTimeout, 600 * time.Millisecond},
 		"search pause":    {SearchPause, 100 * time.Millisecond},
 		"list":            {List, 150 * time.Millisecond},
 		"list retry":      {ListRetry, 300 * time.Millisecond},
