--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -46,7 +46,7 @@
 	catchUpPause    = questiontime.RetryPause
 	refreshTimeout  = questiontime.Refresh
 	watcherWait     = questiontime.SearchTimeout
-	watcherPause    = questiontime.SearchPause
+	watcherPause    = questiontime.SearchInterval
 	watcherTimeout  = questiontime.WatcherTimeout
 	answerWithin    = questiontime.AnswerTimeout
 	askWatcherAfter = questiontime.WatcherDelay
--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -43,8 +43,8 @@
 const (
 	// SearchTimeout is how long a question looks for the watcher, which just after a start of all
 	// daemons is not known yet; SearchPause is the time between two looks.
-	SearchTimeout = 600 * time.Millisecond
-	SearchPause   = 100 * time.Millisecond
+	SearchTimeout  = 600 * time.Millisecond
+	SearchInterval = 100 * time.Millisecond
 	// List is how long one look waits for the group's list of watchers.
 	List = 150 * time.Millisecond
 	// ListRetry is after how long the list is read again beside a read that has no answer: one
--- a/internal/journal/questiontime/questiontime_test.go
+++ b/internal/journal/questiontime/questiontime_test.go
@@ -13,7 +13,7 @@
 	is.Equal(AnswerTimeout+ReturnMargin, CallerTimeout)         // The answer arrives before its caller leaves.
 	is.Equal(WatcherDelay+WatcherTimeout, AnswerTimeout)        // A watcher that is asked late has its whole time.
 	is.True(WatcherDelay+SearchTimeout+2*List <= AnswerTimeout) // One that is found late has time to tell what it holds.
-	is.True(ListRetry+List+SearchPause < SearchTimeout)         // A search outlasts a lost read of the list.
+	is.True(ListRetry+List+SearchInterval < SearchTimeout)      // A search outlasts a lost read of the list.
 	is.True(LostRead+Refresh+List < WatcherTimeout)             // A watcher reads again after a lost read.
 	is.True(Relayed < WatcherTimeout)                           // A watcher may have lost its own path.
 	is.True(Refresh < WatcherDelay)                             // A look for more doesn't make a question late.
@@ -29,7 +29,7 @@
 		"watcher":         {WatcherTimeout, 900 * time.Millisecond},
 		"own read":        {WatcherDelay, 400 * time.Millisecond},
 		"search":          {SearchTimeout, 600 * time.Millisecond},
-		"search pause":    {SearchPause, 100 * time.Millisecond},
+		"search pause":    {SearchInterval, 100 * time.Millisecond},
 		"list":            {List, 150 * time.Millisecond},
 		"list retry":      {ListRetry, 300 * time.Millisecond},
 		"read":            {Read, 1500 * time.Millisecond},
