--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -45,11 +45,11 @@
 	// daemons is not known yet; SearchPause is the time between two looks.
 	SearchTimeout  = 600 * time.Millisecond
 	SearchInterval = 100 * time.Millisecond
-	// List is how long one look waits for the group's list of watchers.
-	List = 150 * time.Millisecond
+	// ListTimeout is how long one look waits for the group's list of watchers.
+	ListTimeout = 150 * time.Millisecond
 	// ListRetry is after how long the list is read again beside a read that has no answer: one
 	// that was lost leaves a search time for the next.
-	ListRetry = 2 * List
+	ListRetry = 2 * ListTimeout
 )
 
 // Reads of the journal for a question.
--- a/internal/journal/questiontime/questiontime_test.go
+++ b/internal/journal/questiontime/questiontime_test.go
@@ -10,14 +10,14 @@
 // The parts of the budget fit: nothing that a question waits for outlasts what it is a part of.
 func TestThePartsFit(t *testing.T) {
 	is := is.New(t)
-	is.Equal(AnswerTimeout+ReturnMargin, CallerTimeout)         // The answer arrives before its caller leaves.
-	is.Equal(WatcherDelay+WatcherTimeout, AnswerTimeout)        // A watcher that is asked late has its whole time.
-	is.True(WatcherDelay+SearchTimeout+2*List <= AnswerTimeout) // One that is found late has time to tell what it holds.
-	is.True(ListRetry+List+SearchInterval < SearchTimeout)      // A search outlasts a lost read of the list.
-	is.True(LostRead+Refresh+List < WatcherTimeout)             // A watcher reads again after a lost read.
-	is.True(Relayed < WatcherTimeout)                           // A watcher may have lost its own path.
-	is.True(Refresh < WatcherDelay)                             // A look for more doesn't make a question late.
-	is.True(Read >= AnswerTimeout)                              // A read outlasts its question, so that it counts for the next.
+	is.Equal(AnswerTimeout+ReturnMargin, CallerTimeout)                // The answer arrives before its caller leaves.
+	is.Equal(WatcherDelay+WatcherTimeout, AnswerTimeout)               // A watcher that is asked late has its whole time.
+	is.True(WatcherDelay+SearchTimeout+2*ListTimeout <= AnswerTimeout) // One that is found late has time to tell what it holds.
+	is.True(ListRetry+ListTimeout+SearchInterval < SearchTimeout)      // A search outlasts a lost read of the list.
+	is.True(LostRead+Refresh+ListTimeout < WatcherTimeout)             // A watcher reads again after a lost read.
+	is.True(Relayed < WatcherTimeout)                                  // A watcher may have lost its own path.
+	is.True(Refresh < WatcherDelay)                                    // A look for more doesn't make a question late.
+	is.True(Read >= AnswerTimeout)                                     // A read outlasts its question, so that it counts for the next.
 }
 
 // The durations are those that the software runs with: a change of one is a change of behaviour.
@@ -30,7 +30,7 @@
 		"own read":        {WatcherDelay, 400 * time.Millisecond},
 		"search":          {SearchTimeout, 600 * time.Millisecond},
 		"search pause":    {SearchInterval, 100 * time.Millisecond},
-		"list":            {List, 150 * time.Millisecond},
+		"list":            {ListTimeout, 150 * time.Millisecond},
 		"list retry":      {ListRetry, 300 * time.Millisecond},
 		"read":            {Read, 1500 * time.Millisecond},
 		"lost read":       {LostRead, 600 * time.Millisecond},
--- a/internal/membership/group/watchers.go
+++ b/internal/membership/group/watchers.go
@@ -15,7 +15,7 @@
 	// listHold is how long the list of watchers is believed within a generation.
 	listHold = 2 * time.Second
 	// listTimeout is how long a caller waits for the list.
-	listTimeout = questiontime.List
+	listTimeout = questiontime.ListTimeout
 	// listReadTimeout bounds a read of the list, which goes on for the callers to come.
 	listReadTimeout = joinTimeout
 	// listReadRest is after how long another read is begun beside one that has no answer yet:
