--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -47,9 +47,9 @@
 	SearchInterval = 100 * time.Millisecond
 	// ListTimeout is how long one look waits for the group's list of watchers.
 	ListTimeout = 150 * time.Millisecond
-	// ListRetry is after how long the list is read again beside a read that has no answer: one
+	// ListRetryDelay is after how long the list is read again beside a read that has no answer: one
 	// that was lost leaves a search time for the next.
-	ListRetry = 2 * ListTimeout
+	ListRetryDelay = 2 * ListTimeout
 )
 
 // Reads of the journal for a question.
--- a/internal/journal/questiontime/questiontime_test.go
+++ b/internal/journal/questiontime/questiontime_test.go
@@ -13,7 +13,7 @@
 	is.Equal(AnswerTimeout+ReturnMargin, CallerTimeout)                // The answer arrives before its caller leaves.
 	is.Equal(WatcherDelay+WatcherTimeout, AnswerTimeout)               // A watcher that is asked late has its whole time.
 	is.True(WatcherDelay+SearchTimeout+2*ListTimeout <= AnswerTimeout) // One that is found late has time to tell what it holds.
-	is.True(ListRetry+ListTimeout+SearchInterval < SearchTimeout)      // A search outlasts a lost read of the list.
+	is.True(ListRetryDelay+ListTimeout+SearchInterval < SearchTimeout) // A search outlasts a lost read of the list.
 	is.True(LostRead+Refresh+ListTimeout < WatcherTimeout)             // A watcher reads again after a lost read.
 	is.True(Relayed < WatcherTimeout)                                  // A watcher may have lost its own path.
 	is.True(Refresh < WatcherDelay)                                    // A look for more doesn't make a question late.
@@ -31,7 +31,7 @@
 		"search":          {SearchTimeout, 600 * time.Millisecond},
 		"search pause":    {SearchInterval, 100 * time.Millisecond},
 		"list":            {ListTimeout, 150 * time.Millisecond},
-		"list retry":      {ListRetry, 300 * time.Millisecond},
+		"list retry":      {ListRetryDelay, 300 * time.Millisecond},
 		"read":            {Read, 1500 * time.Millisecond},
 		"lost read":       {LostRead, 600 * time.Millisecond},
 		"relayed":         {Relayed, 700 * time.Millisecond},
--- a/internal/membership/group/watchers.go
+++ b/internal/membership/group/watchers.go
@@ -20,7 +20,7 @@
 	listReadTimeout = joinTimeout
 	// listReadRest is after how long another read is begun beside one that has no answer yet:
 	// one that was lost leaves a question time for the next.
-	listReadRest = questiontime.ListRetry
+	listReadRest = questiontime.ListRetryDelay
 )
 
 // watcherList is who had which partition a moment ago.
