--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -18,7 +18,7 @@
 	// maxRounds bounds how often samples of a batch are made again.
 	maxRounds = 64
 	// againTimeout bounds one try to have samples made again.
-	againTimeout = questiontime.Read
+	againTimeout = questiontime.ReadTimeout
 	// lookInterval bounds the time between two looks for results.
 	lookInterval = 500 * time.Millisecond
 	// lookPause is the time between two looks where the journal could not be read.
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -13,7 +13,7 @@
 
 const (
 	// readTimeout bounds a read beyond the time that it waits for records.
-	readTimeout = questiontime.Read
+	readTimeout = questiontime.ReadTimeout
 	// pageBytes bounds the answer to a read: a link of 60 Mbit/s takes 35 ms for it. Each
 	// answer is folded, so that a read that fails costs no more than this.
 	pageBytes = 256 << 10
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -42,7 +42,7 @@
 
 // The parts of a question's time that are spent here.
 const (
-	catchUpTimeout  = questiontime.Read
+	catchUpTimeout  = questiontime.ReadTimeout
 	catchUpPause    = questiontime.RetryPause
 	refreshTimeout  = questiontime.Refresh
 	watcherWait     = questiontime.SearchTimeout
--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -54,8 +54,8 @@
 
 // Reads of the journal for a question.
 const (
-	// Read bounds a read: as long as anybody may wait for it.
-	Read = CallerTimeout
+	// ReadTimeout bounds a read: as long as anybody may wait for it.
+	ReadTimeout = CallerTimeout
 	// LostRead is how long a read may be overdue, while calls to other partitions are answered,
 	// until it is given up as lost: a watcher has time to read again.
 	LostRead = 600 * time.Millisecond
--- a/internal/journal/questiontime/questiontime_test.go
+++ b/internal/journal/questiontime/questiontime_test.go
@@ -17,7 +17,7 @@
 	is.True(LostRead+Refresh+ListTimeout < WatcherTimeout)             // A watcher reads again after a lost read.
 	is.True(Relayed < WatcherTimeout)                                  // A watcher may have lost its own path.
 	is.True(Refresh < WatcherDelay)                                    // A look for more doesn't make a question late.
-	is.True(Read >= AnswerTimeout)                                     // A read outlasts its question, so that it counts for the next.
+	is.True(ReadTimeout >= AnswerTimeout)                              // A read outlasts its question, so that it counts for the next.
 }
 
 // The durations are those that the software runs with: a change of one is a change of behaviour.
@@ -32,7 +32,7 @@
 		"search pause":    {SearchInterval, 100 * time.Millisecond},
 		"list":            {ListTimeout, 150 * time.Millisecond},
 		"list retry":      {ListRetryDelay, 300 * time.Millisecond},
-		"read":            {Read, 1500 * time.Millisecond},
+		"read":            {ReadTimeout, 1500 * time.Millisecond},
 		"lost read":       {LostRead, 600 * time.Millisecond},
 		"relayed":         {Relayed, 700 * time.Millisecond},
 		"refresh":         {Refresh, 100 * time.Millisecond},
