--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -56,9 +56,9 @@
 const (
 	// ReadTimeout bounds a read: as long as anybody may wait for it.
 	ReadTimeout = CallerTimeout
-	// LostRead is how long a read may be overdue, while calls to other partitions are answered,
+	// LostReadTimeout is how long a read may be overdue, while calls to other partitions are answered,
 	// until it is given up as lost: a watcher has time to read again.
-	LostRead = 600 * time.Millisecond
+	LostReadTimeout = 600 * time.Millisecond
 	// Relayed is how long a peer may take for a call that it makes for a daemon whose own path
 	// to the journal is lost.
 	Relayed = 700 * time.Millisecond
--- a/internal/journal/questiontime/questiontime_test.go
+++ b/internal/journal/questiontime/questiontime_test.go
@@ -14,7 +14,7 @@
 	is.Equal(WatcherDelay+WatcherTimeout, AnswerTimeout)               // A watcher that is asked late has its whole time.
 	is.True(WatcherDelay+SearchTimeout+2*ListTimeout <= AnswerTimeout) // One that is found late has time to tell what it holds.
 	is.True(ListRetryDelay+ListTimeout+SearchInterval < SearchTimeout) // A search outlasts a lost read of the list.
-	is.True(LostRead+Refresh+ListTimeout < WatcherTimeout)             // A watcher reads again after a lost read.
+	is.True(LostReadTimeout+Refresh+ListTimeout < WatcherTimeout)      // A watcher reads again after a lost read.
 	is.True(Relayed < WatcherTimeout)                                  // A watcher may have lost its own path.
 	is.True(Refresh < WatcherDelay)                                    // A look for more doesn't make a question late.
 	is.True(ReadTimeout >= AnswerTimeout)                              // A read outlasts its question, so that it counts for the next.
@@ -33,7 +33,7 @@
 		"list":            {ListTimeout, 150 * time.Millisecond},
 		"list retry":      {ListRetryDelay, 300 * time.Millisecond},
 		"read":            {ReadTimeout, 1500 * time.Millisecond},
-		"lost read":       {LostRead, 600 * time.Millisecond},
+		"lost read":       {LostReadTimeout, 600 * time.Millisecond},
 		"relayed":         {Relayed, 700 * time.Millisecond},
 		"refresh":         {Refresh, 100 * time.Millisecond},
 		"retry pause":     {RetryPause, 100 * time.Millisecond},
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -18,7 +18,7 @@
 	maxOverdue = 150 * time.Millisecond
 	// maxReadOverdue is how long a read may be overdue once a call to another partition has been
 	// answered. Repeating a read is cheap.
-	maxReadOverdue = questiontime.LostRead
+	maxReadOverdue = questiontime.LostReadTimeout
 	// maxOverdueRatio is the maximum ratio of the time for which a call is overdue to the duration
 	// of the later call that was answered.
 	maxOverdueRatio = 3
