--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -59,9 +59,9 @@
 	// LostReadTimeout is how long a read may be overdue, while calls to other partitions are answered,
 	// until it is given up as lost: a watcher has time to read again.
 	LostReadTimeout = 600 * time.Millisecond
-	// Relayed is how long a peer may take for a call that it makes for a daemon whose own path
+	// RelayTimeout is how long a peer may take for a call that it makes for a daemon whose own path
 	// to the journal is lost.
-	Relayed = 700 * time.Millisecond
+	RelayTimeout = 700 * time.Millisecond
 	// Refresh bounds the look for more where a part of the answer is known.
 	Refresh = 100 * time.Millisecond
 	// RetryPause is the time between two reads for a caller that waits anyway.
--- a/internal/journal/questiontime/questiontime_test.go
+++ b/internal/journal/questiontime/questiontime_test.go
@@ -15,7 +15,7 @@
 	is.True(WatcherDelay+SearchTimeout+2*ListTimeout <= AnswerTimeout) // One that is found late has time to tell what it holds.
 	is.True(ListRetryDelay+ListTimeout+SearchInterval < SearchTimeout) // A search outlasts a lost read of the list.
 	is.True(LostReadTimeout+Refresh+ListTimeout < WatcherTimeout)      // A watcher reads again after a lost read.
-	is.True(Relayed < WatcherTimeout)                                  // A watcher may have lost its own path.
+	is.True(RelayTimeout < WatcherTimeout)                             // A watcher may have lost its own path.
 	is.True(Refresh < WatcherDelay)                                    // A look for more doesn't make a question late.
 	is.True(ReadTimeout >= AnswerTimeout)                              // A read outlasts its question, so that it counts for the next.
 }
@@ -34,7 +34,7 @@
 		"list retry":      {ListRetryDelay, 300 * time.Millisecond},
 		"read":            {ReadTimeout, 1500 * time.Millisecond},
 		"lost read":       {LostReadTimeout, 600 * time.Millisecond},
-		"relayed":         {Relayed, 700 * time.Millisecond},
+		"relayed":         {RelayTimeout, 700 * time.Millisecond},
 		"refresh":         {Refresh, 100 * time.Millisecond},
 		"retry pause":     {RetryPause, 100 * time.Millisecond},
 	} {
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -24,7 +24,7 @@
 const (
 	// peerTimeout is how long a peer may take beyond the time that a read waits
 	// for records.
-	peerTimeout = questiontime.Relayed
+	peerTimeout = questiontime.RelayTimeout
 	// peersTried is how many peers are asked to make one call at most.
 	peersTried = 3
 	// brokenRest, silentRest and lostRest are how long a peer is left alone that could
