--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -44,7 +44,7 @@
 const (
 	catchUpTimeout  = questiontime.ReadTimeout
 	catchUpPause    = questiontime.RetryPause
-	refreshTimeout  = questiontime.Refresh
+	refreshTimeout  = questiontime.RefreshTimeout
 	watcherWait     = questiontime.SearchTimeout
 	watcherPause    = questiontime.SearchInterval
 	watcherTimeout  = questiontime.WatcherTimeout
--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -62,8 +62,8 @@
 	// RelayTimeout is how long a peer may take for a call that it makes for a daemon whose own path
 	// to the journal is lost.
 	RelayTimeout = 700 * time.Millisecond
-	// Refresh bounds the look for more where a part of the answer is known.
-	Refresh = 100 * time.Millisecond
+	// RefreshTimeout bounds the look for more where a part of the answer is known.
+	RefreshTimeout = 100 * time.Millisecond
 	// RetryPause is the time between two reads for a caller that waits anyway.
 	RetryPause = 100 * time.Millisecond
 )
--- a/internal/journal/questiontime/questiontime_test.go
+++ b/internal/journal/questiontime/questiontime_test.go
@@ -10,14 +10,14 @@
 // The parts of the budget fit: nothing that a question waits for outlasts what it is a part of.
 func TestThePartsFit(t *testing.T) {
 	is := is.New(t)
-	is.Equal(AnswerTimeout+ReturnMargin, CallerTimeout)                // The answer arrives before its caller leaves.
-	is.Equal(WatcherDelay+WatcherTimeout, AnswerTimeout)               // A watcher that is asked late has its whole time.
-	is.True(WatcherDelay+SearchTimeout+2*ListTimeout <= AnswerTimeout) // One that is found late has time to tell what it holds.
-	is.True(ListRetryDelay+ListTimeout+SearchInterval < SearchTimeout) // A search outlasts a lost read of the list.
-	is.True(LostReadTimeout+Refresh+ListTimeout < WatcherTimeout)      // A watcher reads again after a lost read.
-	is.True(RelayTimeout < WatcherTimeout)                             // A watcher may have lost its own path.
-	is.True(Refresh < WatcherDelay)                                    // A look for more doesn't make a question late.
-	is.True(ReadTimeout >= AnswerTimeout)                              // A read outlasts its question, so that it counts for the next.
+	is.Equal(AnswerTimeout+ReturnMargin, CallerTimeout)                  // The answer arrives before its caller leaves.
+	is.Equal(WatcherDelay+WatcherTimeout, AnswerTimeout)                 // A watcher that is asked late has its whole time.
+	is.True(WatcherDelay+SearchTimeout+2*ListTimeout <= AnswerTimeout)   // One that is found late has time to tell what it holds.
+	is.True(ListRetryDelay+ListTimeout+SearchInterval < SearchTimeout)   // A search outlasts a lost read of the list.
+	is.True(LostReadTimeout+RefreshTimeout+ListTimeout < WatcherTimeout) // A watcher reads again after a lost read.
+	is.True(RelayTimeout < WatcherTimeout)                               // A watcher may have lost its own path.
+	is.True(RefreshTimeout < WatcherDelay)                               // A look for more doesn't make a question late.
+	is.True(ReadTimeout >= AnswerTimeout)                                // A read outlasts its question, so that it counts for the next.
 }
 
 // The durations are those that the software runs with: a change of one is a change of behaviour.
@@ -35,7 +35,7 @@
 		"read":            {ReadTimeout, 1500 * time.Millisecond},
 		"lost read":       {LostReadTimeout, 600 * time.Millisecond},
 		"relayed":         {RelayTimeout, 700 * time.Millisecond},
-		"refresh":         {Refresh, 100 * time.Millisecond},
+		"refresh":         {RefreshTimeout, 100 * time.Millisecond},
 		"retry pause":     {RetryPause, 100 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(each.got, each.want) })
