--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -43,7 +43,7 @@
 // The parts of a question's time that are spent here.
 const (
 	catchUpTimeout  = questiontime.ReadTimeout
-	catchUpPause    = questiontime.RetryPause
+	catchUpPause    = questiontime.RetryDelay
 	refreshTimeout  = questiontime.RefreshTimeout
 	watcherWait     = questiontime.SearchTimeout
 	watcherPause    = questiontime.SearchInterval
--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -64,6 +64,6 @@
 	RelayTimeout = 700 * time.Millisecond
 	// RefreshTimeout bounds the look for more where a part of the answer is known.
 	RefreshTimeout = 100 * time.Millisecond
-	// RetryPause is the time between two reads for a caller that waits anyway.
-	RetryPause = 100 * time.Millisecond
+	// RetryDelay is the time between two reads for a caller that waits anyway.
+	RetryDelay = 100 * time.Millisecond
 )
--- a/internal/journal/questiontime/questiontime_test.go
+++ b/internal/journal/questiontime/questiontime_test.go
@@ -36,7 +36,7 @@
 		"lost read":       {LostReadTimeout, 600 * time.Millisecond},
 		"relayed":         {RelayTimeout, 700 * time.Millisecond},
 		"refresh":         {RefreshTimeout, 100 * time.Millisecond},
-		"retry pause":     {RetryPause, 100 * time.Millisecond},
+		"retry pause":     {RetryDelay, 100 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(each.got, each.want) })
 	}
