--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -35,8 +35,8 @@
 }
 
 // KeyedFollower keeps a handler up to date with a keyed partition. It reads the newest record of
-// each key, then each further record. When records have been trimmed before it read them, it
-// starts again with a full read.
+// each key, then each further record. It starts again with a full read when records were trimmed
+// before it read them, or when the partition ends before the last record that it read.
 type KeyedFollower struct {
 	journal   Journal
 	partition Partition
--- a/internal/journal/interval.go
+++ b/internal/journal/interval.go
@@ -6,7 +6,8 @@
 // contact bound.
 const maxIntervalFraction = 0.1
 
-// Interval returns the minimum time between the starts of two reads of one follower.
+// Interval returns the minimum time between the starts of two reads of one follower, or of
+// two other repeated calls of one daemon.
 //
 // Each change ends the long polls of all daemons, which then read again, so that without an
 // interval the rate of reads is the number of daemons times the rate of changes. With one, a read
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -234,16 +234,16 @@
 }
 
 // PartitionsPerTopic implements Journal.
-func (s Limits) PartitionsPerTopic() int { return s.Partitions }
+func (l Limits) PartitionsPerTopic() int { return l.Partitions }
 
 // MaxRecordBytes implements Journal.
-func (s Limits) MaxRecordBytes() int { return s.RecordBytes }
+func (l Limits) MaxRecordBytes() int { return l.RecordBytes }
 
 // MaxAppendBytes implements Journal.
-func (s Limits) MaxAppendBytes() int { return s.AppendBytes }
+func (l Limits) MaxAppendBytes() int { return l.AppendBytes }
 
 // RateLimits implements Journal.
-func (s Limits) RateLimits() RateLimits { return s.Rates }
+func (l Limits) RateLimits() RateLimits { return l.Rates }
 
 // RateLimits holds the limits of a journal that apply to all daemons together. 0 means that a
 // limit is not known.
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -34,7 +34,9 @@
 // Timeouts must be long enough for a slow journal, so that waiting for the timeout of a lost call
 // wastes time once the journal is back. The detector therefore cancels a pending call, which then
 // returns ErrUnknown, when a call that started later has been answered and the pending one is
-// overdue for much longer than that call took.
+// overdue for much longer than that call took. A call is overdue from its start, a long poll from
+// the end of its wait. Which answers count depends on the partition and the kind of call; see
+// overdueLimit.
 //
 // A call given up by mistake does no harm: its outcome is unknown, as after a timeout, and the
 // caller handles it in the same way.
@@ -151,8 +153,7 @@
 }
 
 // isLost reports whether older must be lost, given that answered has been answered. That holds
-// only for calls that started before answered did. A call is overdue from its start, a long poll
-// from the end of its wait. The mutex must be held.
+// only for calls that started before answered did. The mutex must be held.
 func (d *LostCallDetector) isLost(older, answered *pendingCall, now time.Time) bool {
 	limit, ok := d.overdueLimit(older, answered, now)
 	overdue := now.Sub(older.start) - older.wait
