--- a/internal/journal/journaltest/fault.go
+++ b/internal/journal/journaltest/fault.go
@@ -8,28 +8,28 @@
 	"woodworks/internal/journal"
 )
 
-// Fault is what befalls one call.
+// Fault is a failure injected into a call.
 type Fault int
 
-// Faults of a call.
+// Faults that can be injected.
 const (
-	// None lets the call through.
+	// None lets the call succeed.
 	None Fault = iota
-	// Refuse answers that nothing was done.
+	// Refuse fails the call with ErrNotDone; it has no effect.
 	Refuse
-	// Hang never answers; nothing is done.
+	// Hang blocks the call until its context ends; it has no effect.
 	Hang
-	// LoseAnswer does what was asked and never answers.
+	// LoseAnswer applies an append but blocks until its context ends. Other calls ignore it.
 	LoseAnswer
-	// Delay never answers, and does what was asked when Settle is called, if
-	// its condition still holds then.
+	// Delay blocks an append until its context ends, and applies it at the next ApplyDelayed if
+	// its condition still holds then. Other calls ignore it.
 	Delay
 )
 
-// Call names a kind of call.
+// Call is the kind of a call.
 type Call string
 
-// Calls that faults may befall.
+// Calls into which faults can be injected.
 const (
 	Append Call = "append"
 	Read   Call = "read"
@@ -39,21 +39,23 @@
 	Owners Call = "owners"
 )
 
-// SetFault sets Befall while calls may be under way.
-func (j *Journal) SetFault(befall func(call Call) Fault) {
+// SetFault sets FaultFunc. Unlike an assignment to the field, it may be called while calls are in
+// progress.
+func (j *Journal) SetFault(faultFunc func(call Call) Fault) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.FaultFunc = befall
+	j.FaultFunc = faultFunc
 }
 
-// injectFault returns what befalls a call; hanging calls have already hung.
+// injectFault chooses the fault of a call. It handles None, Refuse and Hang completely, and
+// returns an error for the latter two; the caller handles the others.
 func (j *Journal) injectFault(ctx context.Context, call Call) (Fault, error) {
 	fault := None
 	j.mu.Lock()
-	befall := j.FaultFunc
+	faultFunc := j.FaultFunc
 	j.mu.Unlock()
-	if befall != nil {
-		fault = befall(call)
+	if faultFunc != nil {
+		fault = faultFunc(call)
 	}
 	switch fault {
 	case Refuse:
--- a/internal/journal/journaltest/group.go
+++ b/internal/journal/journaltest/group.go
@@ -9,7 +9,7 @@
 	"woodworks/internal/journal"
 )
 
-// Join implements journal.Journal. Partitions are dealt evenly, in order.
+// Join implements journal.Journal. It assigns partitions to members in turn.
 func (j *Journal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
 	if _, err := j.injectFault(ctx, Join); err != nil {
 		return journal.Assignment{}, err
@@ -31,7 +31,8 @@
 	return assignment, nil
 }
 
-// removeExpired drops the members that have been silent. The mutex is held.
+// removeExpired removes members that have not renewed their membership in time. The mutex must be
+// held.
 func (j *Journal) removeExpired() {
 	for member, until := range j.members {
 		if time.Now().After(until) {
@@ -41,7 +42,8 @@
 	}
 }
 
-// assignments gives each partition to a member. The mutex is held.
+// assignments returns the assignment of all partitions to the members in turn. The mutex must be
+// held.
 func (j *Journal) assignments() []journal.Ownership {
 	members := slices.Sorted(maps.Keys(j.members))
 	if len(members) == 0 {
@@ -58,7 +60,7 @@
 	return rows
 }
 
-// Rebalance gives all partitions to other members at once.
+// Rebalance assigns each partition to the next member at once, and starts a new generation.
 func (j *Journal) Rebalance() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/journal/journaltest/journaltest.go
+++ b/internal/journal/journaltest/journaltest.go
@@ -1,11 +1,11 @@
-// Package journaltest is a journal in memory for tests. It behaves as the
-// platform's log may at its worst: answers are lost, appends take effect late,
-// calls hang or are refused, partitions are dealt anew and records are trimmed.
+// Package journaltest provides an in-memory journal for tests. It can inject the failures of a
+// real log: lost answers, delayed appends, hanging and refused calls, rebalanced groups and
+// trimmed partitions.
 //
 // # Usage
 //
 //	log := journaltest.New()
-//	log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
+//	log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 package journaltest
 
 import (
@@ -19,12 +19,13 @@
 	"woodworks/internal/journal"
 )
 
-// Journal is a journal in memory. It is safe for concurrent use.
+// Journal is an in-memory journal. It is safe for concurrent use.
 type Journal struct {
-	// FaultFunc, if not nil, decides the fault of each call.
+	// FaultFunc, if not nil, chooses the fault of each call. It must not be assigned while calls
+	// are in progress; see SetFault.
 	FaultFunc func(call Call) Fault
-	// Shape may be changed before the first call. Where it grants ReadsPerSecond, further reads
-	// within a second are throttled.
+	// Limits may be changed before the first call. If Rates.ReadsPerSecond is set, further reads
+	// within the same second are throttled.
 	journal.Limits
 
 	mu         sync.Mutex
@@ -36,13 +37,14 @@
 	topics     []string
 	rotation   int
 	usage      Usage
-	// currentSecond is the one in which reads were counted last, inSecond how many.
+	// currentSecond is the Unix time of the last read, readsInSecond the number of reads in that
+	// second.
 	currentSecond int64
 	readsInSecond int
 	bandwidth     BandwidthLimiter
 }
 
-// log is the records kept of a partition.
+// log holds the records of a partition, the first of which has offset first.
 type log struct {
 	first   int64
 	records [][]byte
@@ -58,7 +60,7 @@
 		logs: map[journal.Partition]*log{}, changed: make(chan struct{}), members: map[string]time.Time{}}
 }
 
-// log returns a partition's records. The mutex is held.
+// log returns the records of a partition, which is created if needed. The mutex must be held.
 func (j *Journal) log(partition journal.Partition) *log {
 	l := j.logs[partition]
 	if l == nil {
@@ -79,7 +81,7 @@
 		j.delayed = append(j.delayed, request)
 		j.mu.Unlock()
 		<-ctx.Done()
-		return journal.Appended{}, errors.Wrap(journal.ErrUnknown, "late")
+		return journal.Appended{}, errors.Wrap(journal.ErrUnknown, "append delayed")
 	}
 	appended, err := j.applyAppend(request)
 	if fault == LoseAnswer {
@@ -89,7 +91,7 @@
 	return appended, err
 }
 
-// applyAppend does what an append asks for.
+// applyAppend performs an append, unless its condition fails.
 func (j *Journal) applyAppend(request journal.Append) (journal.Appended, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -104,18 +106,18 @@
 	return journal.Appended{Offset: offset, End: target.end()}, nil
 }
 
-// ApplyDelayed lets the late appends take effect now.
+// ApplyDelayed applies all delayed appends.
 func (j *Journal) ApplyDelayed() {
 	j.mu.Lock()
-	late := j.delayed
+	delayed := j.delayed
 	j.delayed = nil
 	j.mu.Unlock()
-	for _, request := range late {
-		_, _ = j.applyAppend(request) // One whose condition fails has no effect, as it should.
+	for _, request := range delayed {
+		_, _ = j.applyAppend(request) // Appends whose condition fails are dropped.
 	}
 }
 
-// Trim removes the records before an offset.
+// Trim removes the records of a partition before an offset.
 func (j *Journal) Trim(partition journal.Partition, before int64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -126,7 +128,7 @@
 	}
 }
 
-// Records returns all records kept of a partition.
+// Records returns all records of a partition that have not been trimmed.
 func (j *Journal) Records(partition journal.Partition) [][]byte {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -173,7 +175,8 @@
 	}
 }
 
-// limitBytes returns the first records that fit in a number of bytes, at least one; 0 is no bound.
+// limitBytes returns the first records whose total size is at most maxBytes, and at least one
+// record. 0 means no limit.
 func limitBytes(records [][]byte, maxBytes int) [][]byte {
 	if maxBytes <= 0 {
 		return records
@@ -205,7 +208,7 @@
 	for i, record := range target.records {
 		keyed, err := journal.DecodeKeyed(record)
 		if err != nil {
-			continue // A record without a key is the newest of none.
+			continue // Skip records that are not keyed.
 		}
 		keyed.Offset = target.first + int64(i)
 		newest[keyed.Key] = keyed
--- a/internal/journal/journaltest/link.go
+++ b/internal/journal/journaltest/link.go
@@ -10,17 +10,18 @@
 	"woodworks/internal/journal"
 )
 
-// BandwidthLimiter sends one answer after the other at a rate. The zero value sends at any rate.
+// BandwidthLimiter simulates a link that sends one answer after another at a limited rate. The
+// zero value does not limit the rate. It is safe for concurrent use.
 type BandwidthLimiter struct {
-	// BytesPerSecond is the rate, 0 for any. It is set before the first answer.
+	// BytesPerSecond is the rate; 0 means no limit. It must be set before the first Send.
 	BytesPerSecond float64
 
 	mu        sync.Mutex
 	busyUntil time.Time
 }
 
-// Send returns when that many bytes have been sent, or with an error when the context
-// ends. Bytes that nobody awaits any more are sent all the same.
+// Send waits until the given number of bytes has been sent, or returns ErrUnknown when ctx ends.
+// The bytes occupy the link even if ctx has ended.
 func (b *BandwidthLimiter) Send(ctx context.Context, bytes int) error {
 	if b.BytesPerSecond <= 0 || bytes == 0 {
 		return nil
@@ -41,18 +42,17 @@
 	}
 }
 
-// LimitBandwidth bounds what the journal sends to all its readers together, in bytes a second. It
-// is called before any read.
+// LimitBandwidth limits the rate of the answers to all readers together. It must be called before
+// any read.
 func (j *Journal) LimitBandwidth(bytesPerSecond float64) { j.bandwidth.BytesPerSecond = bytesPerSecond }
 
-// Link is a journal as one machine reaches it: answers to reads come over a link of its
-// own.
+// Link is a Journal reached over a link of its own, which limits the rate of answers to reads.
 type Link struct {
 	*Journal
 	bandwidth BandwidthLimiter
 }
 
-// OverLink returns the journal behind a link that carries some bytes a second.
+// OverLink returns the journal as reached over a new link with the given bandwidth.
 func (j *Journal) OverLink(bytesPerSecond float64) *Link {
 	return &Link{Journal: j, bandwidth: BandwidthLimiter{BytesPerSecond: bytesPerSecond}}
 }
@@ -69,7 +69,7 @@
 	return read, nil
 }
 
-// totalBytes is how many bytes records have.
+// totalBytes returns the total size of the records.
 func totalBytes(records [][]byte) int {
 	size := 0
 	for _, record := range records {
--- a/internal/journal/journaltest/usage.go
+++ b/internal/journal/journaltest/usage.go
@@ -6,29 +6,29 @@
 	"woodworks/internal/journal"
 )
 
-// Usage is what a journal's callers used of it.
+// Usage counts the reads of a journal.
 type Usage struct {
-	// Reads counts the reads of all kinds, Throttled those of them that were refused.
+	// Reads counts reads of all kinds, Throttled those among them that were throttled.
 	Reads, Throttled int
-	// ReadBytes counts the bytes of the records read.
+	// ReadBytes is the total size of the records returned by Read.
 	ReadBytes int
 }
 
-// Usage returns what was used since the journal was made or ResetUsage was called.
+// Usage returns the usage since the journal was created or ResetUsage was called.
 func (j *Journal) Usage() Usage {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.usage
 }
 
-// ResetUsage begins to count anew.
+// ResetUsage sets all counters to 0.
 func (j *Journal) ResetUsage() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.usage = Usage{}
 }
 
-// countRead counts a read, and refuses it if more come in a second than are granted.
+// countRead counts a read, and returns a ThrottledError if it exceeds Rates.ReadsPerSecond.
 func (j *Journal) countRead() error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -37,14 +37,14 @@
 	}
 	j.readsInSecond++
 	j.usage.Reads++
-	if granted := j.Rates.ReadsPerSecond; granted > 0 && float64(j.readsInSecond) > granted {
+	if limit := j.Rates.ReadsPerSecond; limit > 0 && float64(j.readsInSecond) > limit {
 		j.usage.Throttled++
 		return &journal.ThrottledError{Reason: "too many reads"}
 	}
 	return nil
 }
 
-// countBytes counts the bytes of records read. The mutex is held.
+// countBytes adds the size of returned records to the usage. The mutex must be held.
 func (j *Journal) countBytes(records [][]byte) {
 	j.usage.ReadBytes += totalBytes(records)
 }
