--- a/internal/journal/logservice/client.go
+++ b/internal/journal/logservice/client.go
@@ -15,11 +15,14 @@
 )
 
 const (
+	// connectTimeout bounds the time to open a connection, unackedTimeout the time for which sent
+	// data may stay unacknowledged by the peer.
 	connectTimeout = time.Second
 	unackedTimeout = 1500 * time.Millisecond
 )
 
-// Client is the service's client. It is safe for concurrent use.
+// Client is a client of the log service that implements journal.Journal. It is safe for
+// concurrent use.
 type Client struct {
 	journal.Limits
 	pool *upstream.Pool
@@ -28,14 +31,16 @@
 
 var _ journal.Journal = (*Client)(nil)
 
-// New returns a client of the service at addr. Its connections come from the IP
-// of local (IP:port), "" for any.
-func New(addr netip.AddrPort, local string, shape journal.Limits) *Client {
+// New returns a client of the service at addr. local is the local address (IP:port) whose IP
+// connections are made from; with "" the system chooses one. limits must be those of the service.
+func New(addr netip.AddrPort, local string, limits journal.Limits) *Client {
 	options := upstream.Options{LocalAddress: local, ConnectTimeout: connectTimeout, UnackedTimeout: unackedTimeout}
-	return &Client{Limits: shape, pool: upstream.NewPool(options), addr: addr}
+	return &Client{Limits: limits, pool: upstream.NewPool(options), addr: addr}
 }
 
-// call sends one call and decodes its answer.
+// call performs the call name with a CBOR-encoded request, and decodes its answer. Errors that
+// prove that the request was not sent wrap ErrNotDone, refusals are returned as the journal's
+// error, and all others wrap ErrUnknown.
 func call[Answer any](ctx context.Context, c *Client, name string, request any) (Answer, error) {
 	var answer Answer
 	body, err := cbor.Marshal(request)
@@ -70,7 +75,7 @@
 	return answer, nil
 }
 
-// emptyAnswer is an empty answer.
+// emptyAnswer is the answer of calls that return no value.
 type emptyAnswer struct{}
 
 // Append implements journal.Journal.
--- a/internal/journal/logservice/golden_test.go
+++ b/internal/journal/logservice/golden_test.go
@@ -7,7 +7,8 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestCallsKeepTheirForm(t *testing.T) {
+// Guards against changes of the messages and names of the protocol.
+func TestProtocolEncodingIsStable(t *testing.T) {
 	golden.CBOR[newestRequest](t, "newest")
 	golden.CBOR[memberRequest](t, "member")
 	golden.CBOR[refusal](t, "refusal")
--- a/internal/journal/logservice/handler.go
+++ b/internal/journal/logservice/handler.go
@@ -11,13 +11,13 @@
 	"woodworks/internal/journal"
 )
 
-// Handler serves a journal under the protocol of this package.
+// Handler serves a journal.Journal over the protocol of this package.
 type Handler struct{ Journal journal.Journal }
 
 // ServeHTTP implements http.Handler.
 func (h Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	name, ours := strings.CutPrefix(r.URL.Path, pathPrefix)
-	if !ours || r.Method != http.MethodPost {
+	name, ok := strings.CutPrefix(r.URL.Path, pathPrefix)
+	if !ok || r.Method != http.MethodPost {
 		http.NotFound(w, r)
 		return
 	}
@@ -50,8 +50,9 @@
 	}
 }
 
-// serveCall decodes a call, does it and writes what came of it. A call whose
-// outcome is unknown gets no serveCall: the connection is cut.
+// serveCall decodes a request, performs the call and writes its answer. If the outcome of the
+// call is unknown, the connection is aborted without an answer, so that the client reports
+// ErrUnknown.
 func serveCall[Request, Answer any](w http.ResponseWriter, r *http.Request, body []byte,
 	do func(context.Context, Request) (Answer, error)) {
 	var req Request
@@ -71,7 +72,7 @@
 	writeAnswer(w, http.StatusConflict, refused)
 }
 
-// writeAnswer sends an answer.
+// writeAnswer writes value CBOR-encoded with the given status.
 func writeAnswer(w http.ResponseWriter, status int, value any) {
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
@@ -79,5 +80,5 @@
 	}
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
-	_, _ = w.Write(encoded) // The caller is gone: there is nobody to tell.
+	_, _ = w.Write(encoded) // An error means that the client has disconnected.
 }
--- a/internal/journal/logservice/logservice.go
+++ b/internal/journal/logservice/logservice.go
@@ -1,23 +1,22 @@
-// Package logservice is the product's own log service over HTTP: a partitioned
-// log with conditional appends, newest values by key, and groups.
+// Package logservice implements the client and the HTTP handler of the woodworks log service: a
+// partitioned log with conditional appends, newest records by key, and groups.
 //
-// Client speaks to the service and is a journal.Journal. Handler serves any
-// journal under the same protocol, so that the stand-in of the service is a
-// journal in memory behind a listener.
+// Client is a journal.Journal that calls the service. Handler serves any journal.Journal over the
+// same protocol; tests use it with an in-memory journal.
 //
-// Its errors are those of package journal, which a journal promises: what a refusal says was
-// certainly not done, and the outcome of a call without an answer is unknown.
+// Errors are those of package journal. A refusal states that the call had no effect; the outcome
+// of a call without an answer is unknown.
 //
 // # Usage
 //
-//	log := logservice.New(address, localAddress, journal.Shape{Partitions: 8})
+//	log := logservice.New(address, localAddress, journal.Limits{Partitions: 8})
 //	appended, err := log.Append(ctx, journal.Append{Partition: p, Records: records})
 //
 // # Protocol
 //
-// Each call is a POST of one CBOR value to /v1/log/NAME, where NAME is append,
-// read, newest, join, leave or owners. The answer is 200 with a CBOR value. Any
-// other status carries a [refusal].
+// Each call is a POST of one CBOR value to /v1/log/NAME, where NAME is append, read, newest,
+// join, leave or owners. A successful call is answered with status 200 and a CBOR value, any
+// other with another status and a [refusal].
 package logservice
 
 import (
@@ -28,7 +27,7 @@
 
 const pathPrefix = "/v1/log/"
 
-// The calls of the protocol.
+// Names of the calls in the protocol.
 const (
 	callAppend = "append"
 	callRead   = "read"
@@ -40,19 +39,20 @@
 
 const contentType = "application/cbor"
 
-// newestRequest asks for the newest records of a keyed partition.
+// newestRequest is the request of callNewest: a page of newest records with the keys after
+// AfterKey.
 type newestRequest struct {
 	Partition journal.Partition `cbor:"Partition"`
 	AfterKey  string            `cbor:"AfterKey"`
 }
 
-// memberRequest names a member of a group, or only the group.
+// memberRequest is the request of callLeave, and without Member that of callOwners.
 type memberRequest struct {
 	Group  string `cbor:"Group"`
 	Member string `cbor:"Member"`
 }
 
-// reason says why a call was refused.
+// reason is the machine-readable reason of a refusal.
 type reason string
 
 const (
@@ -61,16 +61,16 @@
 	reasonTrimmed  reason = "trimmed"
 )
 
-// refusal is the body of every answer that is not a success.
+// refusal is the body of answers with a status other than 200.
 type refusal struct {
 	Reason reason `cbor:"Reason"`
-	// First is the oldest offset kept, for reasonTrimmed.
+	// First is the oldest offset that still exists, if Reason is reasonTrimmed.
 	First int64  `cbor:"First"`
 	Text  string `cbor:"Text"`
 }
 
-// refusalOf turns an error of a journal into a refusal. It reports false for an
-// error that promises nothing: such a call must get no answer.
+// refusalOf converts an error of a journal to a refusal. It returns false if the error leaves the
+// outcome unknown; such a call must not be answered.
 func refusalOf(err error) (refusal, bool) {
 	var trimmed *journal.TrimmedError
 	switch {
@@ -85,7 +85,7 @@
 	}
 }
 
-// error is the journal's error for a refusal.
+// error converts a refusal back to the journal's error.
 func (r refusal) error() error {
 	switch r.Reason {
 	case reasonTrimmed:
--- a/internal/journal/logservice/logservice_test.go
+++ b/internal/journal/logservice/logservice_test.go
@@ -15,7 +15,7 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// startService returns a client of a journal in memory behind a listener.
+// startService starts a service with an in-memory journal, and returns a client and that journal.
 func startService(t *testing.T) (*Client, *journaltest.Journal) {
 	t.Helper()
 	log := journaltest.New()
@@ -25,6 +25,7 @@
 	return New(addr, "", journal.Limits{Partitions: 2, RecordBytes: 1 << 16, AppendBytes: 1 << 20}), log
 }
 
+// shortContext returns a context that ends after 300 ms.
 func shortContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -32,7 +33,7 @@
 	return ctx
 }
 
-func TestRecordsComeBackAsTheyWereAppended(t *testing.T) {
+func TestAppendedRecordsAreReadBack(t *testing.T) {
 	is := is.New(t)
 	client, _ := startService(t)
 	ctx := context.Background()
@@ -47,7 +48,7 @@
 	is.Equal(string(read.Records[1]), "c")
 }
 
-func TestAConditionalAppendFindsAnotherEnd(t *testing.T) {
+func TestConditionalAppendFailsAtAnotherEnd(t *testing.T) {
 	is := is.New(t)
 	client, log := startService(t)
 	p := journal.Partition{Topic: "t"}
@@ -57,7 +58,7 @@
 	is.Equal(len(log.Records(p)), 0)
 }
 
-func TestTrimmedOffsetsNameTheFirstKept(t *testing.T) {
+func TestTrimmedErrorHasTheOldestOffset(t *testing.T) {
 	is := is.New(t)
 	client, log := startService(t)
 	p := journal.Partition{Topic: "t"}
@@ -70,7 +71,7 @@
 	is.Equal(trimmed.First, int64(1))
 }
 
-func TestNewestValuesByKey(t *testing.T) {
+func TestNewestReturnsTheLastValueOfAKey(t *testing.T) {
 	is := is.New(t)
 	client, _ := startService(t)
 	p := journal.Partition{Topic: journal.KeyedTopic("k")}
@@ -86,7 +87,7 @@
 	is.Equal(page.Records[0].Offset, int64(1))
 }
 
-func TestMembersShareThePartitions(t *testing.T) {
+func TestPartitionsAreSharedBetweenMembers(t *testing.T) {
 	is := is.New(t)
 	client, _ := startService(t)
 	ctx := context.Background()
@@ -101,8 +102,9 @@
 	is.NoErr(client.Leave(ctx, "g", "a"))
 }
 
-// What a call without an answer did is not known; a refused one did nothing.
-func TestErrorsSayWhatIsCertain(t *testing.T) {
+// Guards against ErrNotDone for a call that may have taken effect, and against ErrUnknown for a
+// refused one.
+func TestErrorsTellNotDoneFromUnknown(t *testing.T) {
 	cases := []struct {
 		fault journaltest.Fault
 		want  error
@@ -112,16 +114,16 @@
 		{journaltest.Delay, journal.ErrUnknown},
 		{journaltest.Hang, journal.ErrUnknown},
 	}
-	for _, one := range cases {
+	for _, tc := range cases {
 		is := is.New(t)
 		client, log := startService(t)
-		log.FaultFunc = func(journaltest.Call) journaltest.Fault { return one.fault }
+		log.FaultFunc = func(journaltest.Call) journaltest.Fault { return tc.fault }
 		_, err := client.Append(shortContext(t), journal.Append{Partition: journal.Partition{Topic: "t"}, Records: [][]byte{[]byte("a")}})
-		is.True(errors.Is(err, one.want))
+		is.True(errors.Is(err, tc.want))
 	}
 }
 
-func TestAServiceThatIsNotThereTookNothing(t *testing.T) {
+func TestUnreachableServiceIsNotDone(t *testing.T) {
 	is := is.New(t)
 	client := New(netip.MustParseAddrPort("127.0.0.1:1"), "", journal.Limits{})
 	_, err := client.Append(shortContext(t), journal.Append{Partition: journal.Partition{Topic: "t"}})
