--- a/internal/journal/questiontime/questiontime.go
+++ b/internal/journal/questiontime/questiontime.go
@@ -1,69 +1,69 @@
-// Package questiontime is the time budget of a question: a caller's request for what the
-// journal says of a batch. Every timeout on the way of a question is a part of this budget and
-// stands here; the packages on the way give the parts their local names.
+// Package questiontime defines the timeouts of a question: a caller's request for the state of a
+// batch in the journal. All timeouts on the path of a question are parts of one budget and are
+// defined here; the packages on that path refer to them by local names.
 //
-//	a question's own time                                        Answer    1.3 s
-//	|- the daemon's own read of the partition                    OwnRead   0.4 s
-//	|- then beside it the partition's watcher                    Watcher   0.9 s
-//	   |- the watcher is looked up in the group's list           Search    0.6 s at most
-//	   |  |- one look, and the next read of a list that is late  List, ListRetry
-//	   |- the watcher reads on, itself or through a peer         LostRead, Relayed, Refresh
-//	the answer's way back to the caller                          Return    0.2 s
+//	total                                                     AnswerTimeout   1.3 s
+//	|- own read of the partition, alone                       WatcherDelay    0.4 s
+//	|- in addition, a question to the partition's watcher     WatcherTimeout  0.9 s
+//	   |- finding the watcher in the group's list             SearchTimeout   at most 0.6 s
+//	   |  |- one read of the list, and its repetition         ListTimeout, ListRetryDelay
+//	   |- the watcher reads, itself or through a peer         LostReadTimeout, RelayTimeout, RefreshTimeout
+//	return of the answer to the caller                        ReturnMargin    0.2 s
 //
-// A question that is kept open until there is news (a long poll) has these times beyond the one
-// for which the caller asked it to be kept open. The package has only constants.
+// For a long poll, these times are added to the one for which the caller lets the question wait
+// for news. The package has only constants.
 //
 // # Usage
 //
-//	ctx, cancel := context.WithTimeout(ctx, wait+questiontime.Answer)
+//	ctx, cancel := context.WithTimeout(ctx, wait+questiontime.AnswerTimeout)
 package questiontime
 
 import "time"
 
-// The caller's side.
+// Time between a caller and the daemon.
 const (
-	// CallerTimeout is how long a caller waits for an answer before it leaves.
+	// CallerTimeout is how long a caller waits for an answer before it disconnects.
 	CallerTimeout = 1500 * time.Millisecond
-	// ReturnMargin is what the answer needs to reach the caller.
+	// ReturnMargin is the time reserved for sending the answer back to the caller.
 	ReturnMargin = 200 * time.Millisecond
-	// AnswerTimeout is the time within which a question has its answer.
+	// AnswerTimeout is the time within which a daemon must have the answer to a question.
 	AnswerTimeout = CallerTimeout - ReturnMargin
 )
 
-// Who answers.
+// Times of the daemon's own read and of the question to the watcher.
 const (
-	// WatcherTimeout is how long the partition's watcher may take: twice what it takes one on a weak
-	// link to read its partition after a start.
+	// WatcherTimeout bounds a question to the partition's watcher. It is twice the time in which a
+	// watcher on a slow link reads its partition after a start.
 	WatcherTimeout = 900 * time.Millisecond
-	// WatcherDelay is how long the daemon's own read is alone: as long as leaves the watcher its time.
+	// WatcherDelay is how long the daemon reads the journal alone before it also asks the watcher.
 	WatcherDelay = AnswerTimeout - WatcherTimeout
 )
 
-// How the watcher is found.
+// Times of the search for the watcher.
 const (
-	// SearchTimeout is how long a question looks for the watcher, which just after a start of all
-	// daemons is not known yet; SearchPause is the time between two looks.
+	// SearchTimeout bounds the search for the watcher, which may be unknown just after all daemons
+	// have started. SearchInterval is the time between two tries.
 	SearchTimeout  = 600 * time.Millisecond
 	SearchInterval = 100 * time.Millisecond
-	// ListTimeout is how long one look waits for the group's list of watchers.
+	// ListTimeout bounds how long one try waits for the group's list of watchers.
 	ListTimeout = 150 * time.Millisecond
-	// ListRetryDelay is after how long the list is read again beside a read that has no answer: one
-	// that was lost leaves a search time for the next.
+	// ListRetryDelay is the time after which a second read of the list is started beside one
+	// without an answer, early enough for it to finish within SearchTimeout.
 	ListRetryDelay = 2 * ListTimeout
 )
 
-// Reads of the journal for a question.
+// Times of reads of the journal for a question.
 const (
-	// ReadTimeout bounds a read: as long as anybody may wait for it.
+	// ReadTimeout bounds a read. It is the longest time for which a caller may wait for it.
 	ReadTimeout = CallerTimeout
-	// LostReadTimeout is how long a read may be overdue, while calls to other partitions are answered,
-	// until it is given up as lost: a watcher has time to read again.
+	// LostReadTimeout is how long a read may be overdue, while calls to other partitions are
+	// answered, before it is given up as lost. It leaves a watcher time to read again.
 	LostReadTimeout = 600 * time.Millisecond
-	// RelayTimeout is how long a peer may take for a call that it makes for a daemon whose own path
-	// to the journal is lost.
+	// RelayTimeout bounds a call that a peer makes for a daemon that cannot reach the journal
+	// itself.
 	RelayTimeout = 700 * time.Millisecond
-	// RefreshTimeout bounds the look for more where a part of the answer is known.
+	// RefreshTimeout bounds a read for newer records when part of the answer is already known.
 	RefreshTimeout = 100 * time.Millisecond
-	// RetryDelay is the time between two reads for a caller that waits anyway.
+	// RetryDelay is the delay between two reads for a caller that is waiting for news.
 	RetryDelay = 100 * time.Millisecond
 )
--- a/internal/journal/questiontime/questiontime_test.go
+++ b/internal/journal/questiontime/questiontime_test.go
@@ -7,36 +7,36 @@
 	"github.com/matryer/is"
 )
 
-// The parts of the budget fit: nothing that a question waits for outlasts what it is a part of.
-func TestThePartsFit(t *testing.T) {
+// Guards against a timeout that exceeds the part of the budget that contains it.
+func TestTimeoutsFitTheBudget(t *testing.T) {
 	is := is.New(t)
-	is.Equal(AnswerTimeout+ReturnMargin, CallerTimeout)                  // The answer arrives before its caller leaves.
-	is.Equal(WatcherDelay+WatcherTimeout, AnswerTimeout)                 // A watcher that is asked late has its whole time.
-	is.True(WatcherDelay+SearchTimeout+2*ListTimeout <= AnswerTimeout)   // One that is found late has time to tell what it holds.
-	is.True(ListRetryDelay+ListTimeout+SearchInterval < SearchTimeout)   // A search outlasts a lost read of the list.
-	is.True(LostReadTimeout+RefreshTimeout+ListTimeout < WatcherTimeout) // A watcher reads again after a lost read.
-	is.True(RelayTimeout < WatcherTimeout)                               // A watcher may have lost its own path.
-	is.True(RefreshTimeout < WatcherDelay)                               // A look for more doesn't make a question late.
-	is.True(ReadTimeout >= AnswerTimeout)                                // A read outlasts its question, so that it counts for the next.
+	is.Equal(AnswerTimeout+ReturnMargin, CallerTimeout)                  // The answer arrives before the caller disconnects.
+	is.Equal(WatcherDelay+WatcherTimeout, AnswerTimeout)                 // The watcher has its whole timeout when it is asked after the delay.
+	is.True(WatcherDelay+SearchTimeout+2*ListTimeout <= AnswerTimeout)   // A watcher found late has time to answer from memory.
+	is.True(ListRetryDelay+ListTimeout+SearchInterval < SearchTimeout)   // One lost read of the list does not end the search.
+	is.True(LostReadTimeout+RefreshTimeout+ListTimeout < WatcherTimeout) // The watcher can read again after a lost read.
+	is.True(RelayTimeout < WatcherTimeout)                               // The watcher can read through a peer.
+	is.True(RefreshTimeout < WatcherDelay)                               // A refresh does not delay the question to the watcher.
+	is.True(ReadTimeout >= AnswerTimeout)                                // A read may outlast its question, and then serves the next one.
 }
 
-// The durations are those that the software runs with: a change of one is a change of behaviour.
-func TestTheDurations(t *testing.T) {
+// Guards against an unintended change of a timeout.
+func TestTimeoutValues(t *testing.T) {
 	for name, each := range map[string]struct{ got, want time.Duration }{
-		"caller patience": {CallerTimeout, 1500 * time.Millisecond},
-		"return":          {ReturnMargin, 200 * time.Millisecond},
-		"answer":          {AnswerTimeout, 1300 * time.Millisecond},
-		"watcher":         {WatcherTimeout, 900 * time.Millisecond},
-		"own read":        {WatcherDelay, 400 * time.Millisecond},
-		"search":          {SearchTimeout, 600 * time.Millisecond},
-		"search pause":    {SearchInterval, 100 * time.Millisecond},
-		"list":            {ListTimeout, 150 * time.Millisecond},
-		"list retry":      {ListRetryDelay, 300 * time.Millisecond},
-		"read":            {ReadTimeout, 1500 * time.Millisecond},
-		"lost read":       {LostReadTimeout, 600 * time.Millisecond},
-		"relayed":         {RelayTimeout, 700 * time.Millisecond},
-		"refresh":         {RefreshTimeout, 100 * time.Millisecond},
-		"retry pause":     {RetryDelay, 100 * time.Millisecond},
+		"caller timeout":    {CallerTimeout, 1500 * time.Millisecond},
+		"return margin":     {ReturnMargin, 200 * time.Millisecond},
+		"answer timeout":    {AnswerTimeout, 1300 * time.Millisecond},
+		"watcher timeout":   {WatcherTimeout, 900 * time.Millisecond},
+		"watcher delay":     {WatcherDelay, 400 * time.Millisecond},
+		"search timeout":    {SearchTimeout, 600 * time.Millisecond},
+		"search interval":   {SearchInterval, 100 * time.Millisecond},
+		"list timeout":      {ListTimeout, 150 * time.Millisecond},
+		"list retry delay":  {ListRetryDelay, 300 * time.Millisecond},
+		"read timeout":      {ReadTimeout, 1500 * time.Millisecond},
+		"lost read timeout": {LostReadTimeout, 600 * time.Millisecond},
+		"relay timeout":     {RelayTimeout, 700 * time.Millisecond},
+		"refresh timeout":   {RefreshTimeout, 100 * time.Millisecond},
+		"retry delay":       {RetryDelay, 100 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(each.got, each.want) })
 	}
