--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -139,7 +139,8 @@
 	End  int64 `cbor:"End"`
 }
 
-// Join is a request to join a group, or to renew the membership for another Lifetime.
+// Join is a request to join a group, or to renew the membership for another Lifetime. Generation is
+// the last generation of the group that the member knows.
 type Join struct {
 	Group      string        `cbor:"Group"`
 	Member     string        `cbor:"Member"`
