--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -91,7 +91,7 @@
 func newRestarted(ctx context.Context, t *testing.T) *restarted {
 	r := &restarted{log: journaltest.New()}
 	r.log.Partitions, r.log.RecordBytes = 16, 256<<10
-	r.log.Granted = journal.Grants{ReadBytesPerSecond: restartJournal}
+	r.log.Rates = journal.RateLimits{ReadBytesPerSecond: restartJournal}
 	jobs := ledger.New(ctx, r.log, zap.NewNop())
 	text := frames(restartBytes / restartSamples)
 	for i := range restartBatches {
@@ -107,10 +107,10 @@
 			t.Fatal(err)
 		}
 	}
-	r.log.Limit(restartJournal)
+	r.log.LimitBandwidth(restartJournal)
 	r.Fleet = ledgertest.Start(ctx, r.log, restartDaemons, restartLink)
 	for i, run := range r.Incarnations {
-		reader := results.NewReader(r.Ledgers[i], r, r, r.log.Grants(), run, zap.NewNop())
+		reader := results.NewReader(r.Ledgers[i], r, r, r.log.RateLimits(), run, zap.NewNop())
 		r.services, r.links = append(r.services, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
 		r.desks = append(r.desks, New(reader, endsWith{r.Ledgers[i], nil}, rollout.ItemHeaders{}, zap.NewNop()))
 	}
--- a/internal/api/operator/operator_test.go
+++ b/internal/api/operator/operator_test.go
@@ -77,7 +77,7 @@
 // to be.
 func TestRacingOperatorsLoseNothingThatWasAccepted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		faults := rapid.SliceOfN(rapid.IntRange(int(journaltest.None), int(journaltest.Late)), 0, 30).Draw(t, "faults")
+		faults := rapid.SliceOfN(rapid.IntRange(int(journaltest.None), int(journaltest.Delay)), 0, 30).Draw(t, "faults")
 		delays := rapid.SliceOfN(rapid.IntRange(0, 30), 30, 30).Draw(t, "delays")
 		operators := rapid.IntRange(2, 5).Draw(t, "operators")
 		outcomes := make([]error, operators)
@@ -86,7 +86,7 @@
 			log := journaltest.New()
 			var mu sync.Mutex
 			calls := 0
-			log.Befall = func(journaltest.Call) journaltest.Fault {
+			log.FaultFunc = func(journaltest.Call) journaltest.Fault {
 				mu.Lock()
 				n := calls
 				calls++
@@ -104,8 +104,8 @@
 				})
 			}
 			racing.Wait()
-			log.Settle()
-			log.Befall = nil
+			log.ApplyDelayed()
+			log.FaultFunc = nil
 			current, err := New(log, zap.NewNop()).Current(context.Background())
 			if err != nil {
 				panic(err)
--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -48,7 +48,7 @@
 
 // append adds a record with one call.
 func (p *Permits) append(ctx context.Context, part *partition, r record) error {
-	return journal.AppendWithin(ctx, p.journal, callTimeout, part.name, r.encode())
+	return journal.AppendWithTimeout(ctx, p.journal, callTimeout, part.name, r.encode())
 }
 
 // catchUp reads a partition up to where it ended when the read began.
@@ -59,7 +59,7 @@
 		return ctx.Err()
 	}
 	defer func() { <-part.reading }()
-	part.next, err = journal.ReadOn(ctx, p.journal, part.name, part.next, callTimeout,
+	part.next, err = journal.ReadToEnd(ctx, p.journal, part.name, part.next, callTimeout,
 		func(offset int64, records [][]byte) {
 			part.fold(offset, records, time.Now().Add(-p.retention-clockMargin))
 		})
--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -49,7 +49,7 @@
 		drawn := rapid.Custom(func(t *rapid.T) befalling {
 			fault := journaltest.None
 			if rapid.IntRange(0, 3).Draw(t, "faulty") == 0 {
-				fault = journaltest.Fault(rapid.IntRange(int(journaltest.Refuse), int(journaltest.Late)).Draw(t, "fault"))
+				fault = journaltest.Fault(rapid.IntRange(int(journaltest.Refuse), int(journaltest.Delay)).Draw(t, "fault"))
 			}
 			return befalling{delay: time.Duration(rapid.IntRange(0, 20).Draw(t, "delay")) * time.Millisecond, fault: fault}
 		})
@@ -78,7 +78,7 @@
 func grants(calls []befalling, starts []int, release []bool) (granted, ran int) {
 	log := journaltest.New()
 	var mu sync.Mutex
-	log.Befall = func(journaltest.Call) journaltest.Fault {
+	log.FaultFunc = func(journaltest.Call) journaltest.Fault {
 		mu.Lock()
 		next := befalling{}
 		if len(calls) > 0 {
@@ -99,7 +99,7 @@
 			decision, err := daemons[i%len(daemons)].Claim(ctx, "k", 1)
 			permit, ok := decision.(Granted)
 			if !ok || err != nil {
-				log.Settle()
+				log.ApplyDelayed()
 				return
 			}
 			mu.Lock()
@@ -111,7 +111,7 @@
 			if release[i] {
 				_ = daemons[i%len(daemons)].Release(ctx, permit)
 			}
-			log.Settle()
+			log.ApplyDelayed()
 		})
 	}
 	tries.Wait()
@@ -188,7 +188,7 @@
 	is := is.New(t)
 	log := journaltest.New()
 	permits := New(log, retention, counter(), zap.NewNop())
-	log.Befall = func(call journaltest.Call) journaltest.Fault {
+	log.FaultFunc = func(call journaltest.Call) journaltest.Fault {
 		if call == journaltest.Append {
 			return journaltest.Refuse
 		}
@@ -196,7 +196,7 @@
 	}
 	_, err := permits.Claim(context.Background(), "k", 1)
 	is.True(errors.Is(err, ErrNotClaimed))
-	log.Befall = nil
+	log.FaultFunc = nil
 	decision, err := permits.Claim(context.Background(), "k", 1)
 	is.NoErr(err)
 	_, ok := decision.(Granted)
--- a/internal/batches/ledger/ledger_test.go
+++ b/internal/batches/ledger/ledger_test.go
@@ -114,7 +114,7 @@
 			0: journaltest.Refuse,
 			1: journaltest.Hang,
 			2: journaltest.LoseAnswer,
-			3: journaltest.Late,
+			3: journaltest.Delay,
 		}[drawn]
 	}
 }
@@ -125,7 +125,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		seen.start = time.Now()
 		log := journaltest.New()
-		log.Befall = drawnFaults(faults)
+		log.FaultFunc = drawnFaults(faults)
 		ctx, cancel := context.WithCancel(t.Context())
 		var clients sync.WaitGroup
 		const daemons = 3
@@ -139,7 +139,7 @@
 		go func() {
 			for ctx.Err() == nil {
 				time.Sleep(1300 * time.Millisecond)
-				log.Settle()
+				log.ApplyDelayed()
 			}
 		}()
 		clients.Wait()
@@ -199,7 +199,7 @@
 	long.Items[0].Body = make([]byte, 10_000)
 	batches := New(t.Context(), log, zap.NewNop())
 	calls := 0
-	log.Befall = func(call journaltest.Call) journaltest.Fault {
+	log.FaultFunc = func(call journaltest.Call) journaltest.Fault {
 		if call != journaltest.Append {
 			return journaltest.None
 		}
@@ -257,7 +257,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
-		log.SetBefall(func(journaltest.Call) journaltest.Fault {
+		log.SetFault(func(journaltest.Call) journaltest.Fault {
 			time.Sleep(time.Second)
 			return journaltest.None
 		})
@@ -346,7 +346,7 @@
 		ctx := t.Context()
 		log := journaltest.New()
 		calls := 0 // not locked: reads are sequential
-		log.SetBefall(func(journaltest.Call) journaltest.Fault {
+		log.SetFault(func(journaltest.Call) journaltest.Fault {
 			calls++
 			first := calls == 1
 			time.Sleep(100 * time.Millisecond)
--- a/internal/batches/ledger/ledgertest/fleet.go
+++ b/internal/batches/ledger/ledgertest/fleet.go
@@ -39,7 +39,7 @@
 	f := &Fleet{log: log, WatcherIndex: map[journal.Partition]int{}}
 	for i := range daemons {
 		f.Incarnations = append(f.Incarnations, identity.New(fmt.Sprint("m", i), time.Now()))
-		f.Ledgers = append(f.Ledgers, ledger.New(ctx, log.Behind(linkBytesPerSecond), zap.NewNop()))
+		f.Ledgers = append(f.Ledgers, ledger.New(ctx, log.OverLink(linkBytesPerSecond), zap.NewNop()))
 	}
 	return f
 }
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -13,7 +13,7 @@
 
 const (
 	// readTimeout bounds a read, in addition to the time that it waits for records.
-	readTimeout = questiontime.Read
+	readTimeout = questiontime.ReadTimeout
 	// defaultPageBytes is the limit for the records returned by one read, unless minPageRecords
 	// requires more. Each page is applied at once, so a failed read repeats no more than this.
 	defaultPageBytes = 256 << 10
--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -162,7 +162,7 @@
 	service  *Service
 	ledger   *ledger.Ledger
 	member   *group.Member
-	revived  *journal.Revived
+	revived  *journal.LostCallDetector
 	down, up *link
 
 	mu    sync.Mutex
@@ -192,7 +192,7 @@
 	f.readTakes.Store(int64(options.takes))
 	f.log.Partitions = options.partitions
 	f.log.RecordBytes = 256 << 10
-	f.log.Granted = journal.Grants{ReadBytesPerSecond: options.granted}
+	f.log.Rates = journal.RateLimits{ReadBytesPerSecond: options.granted}
 	f.fill(t, ledger.New(ctx, f.log, zap.NewNop()))
 	f.log.ResetUsage()
 	for i := range options.daemons {
@@ -246,12 +246,12 @@
 	}
 	var log journal.Journal = distant{Journal: f.log, fleet: f, links: []*link{f.store, n.down}}
 	if f.options.revive {
-		n.revived = journal.Revive(log, zap.NewNop())
+		n.revived = journal.DetectLostCalls(log, zap.NewNop())
 		log = n.revived
 	}
 	n.ledger = ledger.New(ctx, log, zap.NewNop())
 	n.member = group.New(log, n.run, append(ledger.TopicNames(), "woodworks.runners"), zap.NewNop())
-	n.reader = NewReader(n.ledger, n.member, &neighbours{f, n}, log.Grants(), n.run, logger)
+	n.reader = NewReader(n.ledger, n.member, &neighbours{f, n}, log.RateLimits(), n.run, logger)
 	n.service = n.reader.Service(ctx)
 	go n.member.Run(ctx)
 	go n.watch(ctx)
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -44,7 +44,7 @@
 func newRestarted(ctx context.Context, t *testing.T, logger *zap.Logger) *daemons {
 	d := &daemons{log: journaltest.New(), dark: map[string]bool{}}
 	d.log.Partitions = 16
-	d.log.Granted = journal.Grants{ReadBytesPerSecond: restartJournal}
+	d.log.Rates = journal.RateLimits{ReadBytesPerSecond: restartJournal}
 	d.log.RecordBytes = 256 << 10
 	d.ledgers = []*ledger.Ledger{ledger.New(ctx, d.log, zap.NewNop())}
 	const results = 32
@@ -56,11 +56,11 @@
 			d.append(t, id, batch.ResultsAdded(id, []batch.Result{{Item: item, Outcome: batch.Done, Text: text}}))
 		}
 	}
-	d.log.Limit(restartJournal)
+	d.log.LimitBandwidth(restartJournal)
 	fleet := ledgertest.Start(ctx, d.log, restartDaemons, restartLink)
 	d.runs, d.ledgers, d.dealt = fleet.Incarnations, fleet.Ledgers, fleet.WatcherIndex
 	for i, run := range d.runs {
-		d.readers = append(d.readers, NewReader(d.ledgers[i], d, d, d.log.Grants(), run, logger))
+		d.readers = append(d.readers, NewReader(d.ledgers[i], d, d, d.log.RateLimits(), run, logger))
 	}
 	fleet.AssignPartitions()
 	return d
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -42,14 +42,14 @@
 
 // The parts of a question's time that are spent here.
 const (
-	catchUpTimeout  = questiontime.Read
-	catchUpPause    = questiontime.RetryPause
-	refreshTimeout  = questiontime.Refresh
-	watcherWait     = questiontime.Search
-	watcherPause    = questiontime.SearchPause
-	watcherTimeout  = questiontime.Watcher
-	answerWithin    = questiontime.Answer
-	askWatcherAfter = questiontime.OwnRead
+	catchUpTimeout  = questiontime.ReadTimeout
+	catchUpPause    = questiontime.RetryDelay
+	refreshTimeout  = questiontime.RefreshTimeout
+	watcherWait     = questiontime.SearchTimeout
+	watcherPause    = questiontime.SearchInterval
+	watcherTimeout  = questiontime.WatcherTimeout
+	answerWithin    = questiontime.AnswerTimeout
+	askWatcherAfter = questiontime.WatcherDelay
 )
 
 const (
@@ -101,7 +101,7 @@
 // NewReader returns a reader of the batches for the incarnation named self. Without peers, nil,
 // it reads the journal itself, as it does where the journal's grants do not bound reads.
 func NewReader(
-	batches *ledger.Ledger, watchers Watchers, peers Peers, grants journal.Grants, self string,
+	batches *ledger.Ledger, watchers Watchers, peers Peers, grants journal.RateLimits, self string,
 	logger *zap.Logger,
 ) *Reader {
 	r := &Reader{
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -84,7 +84,7 @@
 func (d *daemons) Daemons() int { return len(d.runs) }
 
 // scarce is too little for any number of daemons to read partitions by themselves.
-var scarce = journal.Grants{ReadBytesPerSecond: 1}
+var scarce = journal.RateLimits{ReadBytesPerSecond: 1}
 
 // WatcherOf implements Watchers.
 func (d *daemons) WatcherOf(_ context.Context, partition journal.Partition) (string, bool) {
@@ -183,9 +183,9 @@
 		}
 		d := newDaemons(t.Context(), 1)
 		partition := d.ledgers[0].PartitionOf("b")
-		is.True(NewReader(d.ledgers[0], d, d, journal.Grants{}, "self", zap.NewNop()).
+		is.True(NewReader(d.ledgers[0], d, d, journal.RateLimits{}, "self", zap.NewNop()).
 			affords(t.Context(), partition))
-		is.True(NewReader(d.ledgers[0], nil, nil, journal.Grants{ReadBytesPerSecond: 1}, "self", zap.NewNop()).
+		is.True(NewReader(d.ledgers[0], nil, nil, journal.RateLimits{ReadBytesPerSecond: 1}, "self", zap.NewNop()).
 			affords(t.Context(), partition))
 	})
 }
@@ -233,7 +233,7 @@
 // While the journal is silent nothing is denied.
 func TestNothingIsDeniedWhileTheJournalIsSilent(t *testing.T) {
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
-		d.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
+		d.log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 		_, err := d.readers[1].Results(ctx, Query{BatchID: "b"})
 		is.True(errors.Is(err, ErrBehind))
 	})
@@ -379,7 +379,7 @@
 			d := newDaemons(ctx, 2)
 			d.accept(t, "b", 1)
 			d.dark[identity.Machine(d.runs[0])] = true
-			d.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
+			d.log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 			var asking sync.WaitGroup
 			for range 3 * coldReads {
 				asking.Go(func() {
@@ -413,7 +413,7 @@
 			ways = append(ways, fmt.Sprint(way, answered))
 		})
 		d.dark[identity.Machine(d.runs[0])] = true
-		d.log.SetBefall(func(call journaltest.Call) journaltest.Fault {
+		d.log.SetFault(func(call journaltest.Call) journaltest.Fault {
 			if call == journaltest.Read {
 				return journaltest.Hang
 			}
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -89,13 +89,13 @@
 	go member.Run(ctx)
 	defer partition.Follow()()
 	time.Sleep(10 * time.Second)
-	peers := watcherPeer{results.NewReader(watched, fixedWatcher(watcher), nil, log.Grants(), watcher, logger)}
+	peers := watcherPeer{results.NewReader(watched, fixedWatcher(watcher), nil, log.RateLimits(), watcher, logger)}
 	locator := func(self string, batches *ledger.Ledger) Locator {
 		var watchers results.Watchers = fixedWatcher(watcher)
 		if groupTells {
 			watchers = group.New(slow, self, ledger.TopicNames(), logger)
 		}
-		return results.NewReader(batches, watchers, peers, journal.Grants{ReadBytesPerSecond: 1}, self, logger)
+		return results.NewReader(batches, watchers, peers, journal.RateLimits{ReadBytesPerSecond: 1}, self, logger)
 	}
 	chosen := newOwner(ctx, t, slow, "a/1")
 	chosen.locator = locator("a/1", chosen.ledger)
--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -250,8 +250,8 @@
 			calls++
 			return faults[calls%len(faults)]
 		}
-		log.Befall = func(journaltest.Call) journaltest.Fault {
-			return map[int]journaltest.Fault{0: journaltest.Refuse, 1: journaltest.Hang, 2: journaltest.LoseAnswer, 3: journaltest.Late}[draw()]
+		log.FaultFunc = func(journaltest.Call) journaltest.Fault {
+			return map[int]journaltest.Fault{0: journaltest.Refuse, 1: journaltest.Hang, 2: journaltest.LoseAnswer, 3: journaltest.Delay}[draw()]
 		}
 		platform.befall = func() error {
 			return map[int]error{0: duty.ErrUnknown, 1: duty.ErrThrottled, 2: duty.ErrUnknown}[draw()]
@@ -271,7 +271,7 @@
 				daemons[machine].recorder.Ran(fmt.Sprint("t", step%5), time.Now().Add(-late))
 			}
 			time.Sleep(time.Duration(step) * 40 * time.Millisecond)
-			log.Settle()
+			log.ApplyDelayed()
 		}
 		cancel()
 		for _, each := range daemons {
@@ -366,7 +366,7 @@
 		log, platform := journaltest.New(), &cloud{}
 		var mu sync.Mutex
 		down := false
-		log.Befall = func(journaltest.Call) journaltest.Fault {
+		log.FaultFunc = func(journaltest.Call) journaltest.Fault {
 			mu.Lock()
 			defer mu.Unlock()
 			if down {
--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -41,6 +41,11 @@
 	"order":                                 "weight change ordered",
 	"weights":                               "weight change ended",
 	"replica's entry refused":               "replica entry rejected",
+
+	"journal answers again":                             "lost calls given up",
+	"malformed record passed over":                      "malformed record skipped",
+	"records trimmed, reading fully":                    "records trimmed, starting full read",
+	"partition is shorter than was read, reading fully": "partition ends before the next offset, starting full read",
 }
 
 // eventName returns the name that an event has today.
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -47,7 +47,7 @@
 // buildJournal returns the journal as the other parts use it: calls are counted, given up when
 // later ones are answered, and go through a peer while the daemon's own path is lost.
 func (n *Node) buildJournal(direct journal.Journal) journal.Journal {
-	n.journal = journal.Revive(direct, n.logger)
+	n.journal = journal.DetectLostCalls(direct, n.logger)
 	n.journal.SetObserver(n.metrics.JournalCall)
 	n.partitions = n.journal.PartitionsPerTopic()
 	address := n.settings.Listen.Peer
@@ -62,7 +62,7 @@
 
 // readInterval is that of a follower which uses a share of the reads that the journal grants.
 func (n *Node) readInterval(share float64) journal.Interval {
-	return journal.SharedInterval(n.journal.Grants().ReadsPerSecond*share, n.daemons)
+	return journal.SharedInterval(n.journal.RateLimits().ReadsPerSecond*share, n.daemons)
 }
 
 // buildListeners makes the listeners for clients; who answers them is known later.
@@ -97,7 +97,7 @@
 func (n *Node) buildBatches(log journal.Journal, forwarder *forward.Forwarder) {
 	n.ledger = ledger.New(n.context, log, n.logger)
 	n.member = group.New(log, n.identity, append(ledger.TopicNames(), runner.RunnersTopic), n.logger)
-	n.buildResults(log.Grants())
+	n.buildResults(log.RateLimits())
 	n.assigner = runner.NewAssigner(log, n.member, n.identity, n.logger)
 	n.runner = runner.New(n.context, n.identity, n.ledger, forwarder, n.operator, demand.NewPublisher(log, n.logger),
 		n.assigner, n.results, n.logger)
@@ -121,7 +121,7 @@
 }
 
 // buildResults makes the reader of batches, which answers peers as well.
-func (n *Node) buildResults(grants journal.Grants) {
+func (n *Node) buildResults(grants journal.RateLimits) {
 	var peers results.Peers
 	if n.relay != nil {
 		peers = knownPeers{n.relay, n.peerFollower}
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -233,7 +233,7 @@
 	reader  *results.Reader
 	member  *group.Member
 	applied *applied
-	revived *journal.Revived
+	revived *journal.LostCallDetector
 }
 
 // allStarted are daemons that start at nearly the same time. It implements results.Peers.
@@ -250,7 +250,7 @@
 func startAll(ctx context.Context, t *testing.T, given conditions) *allStarted {
 	all := &allStarted{log: journaltest.New(), out: &wire{ctx: ctx, bytesPerSecond: given.carries, turn: given.turn}, began: time.Now()}
 	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
-	all.log.Granted = journal.Grants{ReadBytesPerSecond: startGrant, ReadsPerSecond: startReads}
+	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: startGrant, ReadsPerSecond: startReads}
 	all.list(ctx, t)
 	all.configure(ctx, t, "first")
 	random := rand.New(rand.NewPCG(11, 0))
@@ -290,15 +290,15 @@
 	logger := zap.NewNop()
 	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
 	var own journal.Journal = reached{all.log, given.takes, all.out, &wire{ctx: ctx, bytesPerSecond: startLink, turn: given.turn}, &all.read}
-	b.revived = journal.Revive(own, logger)
+	b.revived = journal.DetectLostCalls(own, logger)
 	if given.revive {
 		own = b.revived
 	}
 	b.batches = ledger.New(ctx, own, logger)
 	b.member = group.New(own, b.run, append(ledger.TopicNames(), runner.RunnersTopic), logger)
-	b.reader = results.NewReader(b.batches, b.member, all, own.Grants(), b.run, logger)
+	b.reader = results.NewReader(b.batches, b.member, all, own.RateLimits(), b.run, logger)
 	follower := journal.NewKeyedFollower(own, startTopic, b.applied, settings.Defaults().Timing.ContactBound.Std(), logger)
-	follower.SetInterval(journal.SharedInterval(own.Grants().ReadsPerSecond*operatorReadShare, all.Daemons))
+	follower.SetInterval(journal.SharedInterval(own.RateLimits().ReadsPerSecond*operatorReadShare, all.Daemons))
 	forwarder := &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Names: headers.Names{}, Quarantine: quarantine.New(b.run, time.Now, logger), Table: replica.NewTable(time.Second, logger), Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
 	jobs := runner.New(ctx, b.run, b.batches, forwarder, nil, nil, runner.NewAssigner(own, b.member, b.run, logger), b.reader, logger)
 	time.AfterFunc(after, func() {
@@ -415,7 +415,7 @@
 // givenUp is how many calls were given up on the word of others.
 func (all *allStarted) givenUp() (calls uint64) {
 	for _, e := range all.daemons {
-		calls += e.revived.GivenUp.Load()
+		calls += e.revived.CallsGivenUp.Load()
 	}
 	return calls
 }
--- a/internal/journal/contact.go
+++ b/internal/journal/contact.go
@@ -8,33 +8,32 @@
 	"woodworks/internal/daemon/bootclock"
 )
 
-// neverHeard is the silence of what has never answered.
-const neverHeard = time.Duration(math.MaxInt64)
+// neverAnswered is returned by Silence before the first answer.
+const neverAnswered = time.Duration(math.MaxInt64)
 
-// Contact is when something last answered. It is safe for concurrent use.
+// LastContact records when the journal last answered. It is safe for concurrent use.
 //
-// It goes by a clock that the time of day doesn't move and that a suspended machine's
-// sleep does: after one, nothing is known to be as it was.
-type Contact struct {
+// Times are taken from a clock that ignores changes of the wall clock and includes the time for
+// which the machine was suspended, so that contact from before a suspension counts as old.
+type LastContact struct {
 	now  bootclock.Clock
 	last atomic.Pointer[time.Time]
 }
 
-// NewContact returns a contact before the first answer.
-func NewContact(now bootclock.Clock) *Contact { return &Contact{now: now} }
+// NewLastContact returns a LastContact without an answer so far.
+func NewLastContact(now bootclock.Clock) *LastContact { return &LastContact{now: now} }
 
-// Note notes an answer.
-func (c *Contact) Note() {
+// Record stores the current time as that of the last answer.
+func (c *LastContact) Record() {
 	now := c.now()
 	c.last.Store(&now)
 }
 
-// Silence returns how long ago the last answer was, longer than any bound if there was
-// none.
-func (c *Contact) Silence() time.Duration {
+// Silence returns the time since the last answer, or the largest duration if there was none.
+func (c *LastContact) Silence() time.Duration {
 	last := c.last.Load()
 	if last == nil {
-		return neverHeard
+		return neverAnswered
 	}
 	return c.now().Sub(*last)
 }
--- a/internal/journal/interval_test.go
+++ b/internal/journal/interval_test.go
@@ -15,34 +15,35 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// fleet is a number of daemons that follow one partition at an interval.
+// fleet is a set of daemons that follow one partition with a shared interval.
 type fleet struct {
 	log  *journaltest.Journal
 	seen []*values
 }
 
 const (
-	// fleetShare is the part of the granted reads that the followers use.
-	fleetShare = 0.1
-	fleetBound = 5 * time.Second
-	// changesPerSecond is how often 92 replicas write that do so each 1.2 s.
+	// fleetFraction is the fraction of the permitted reads that the followers may use.
+	fleetFraction = 0.1
+	fleetBound    = 5 * time.Second
+	// changesPerSecond is the rate of writes of 92 replicas that each write every 1.2 s.
 	changesPerSecond = 77
 )
 
 func startFleet(ctx context.Context, daemons int, granted float64) *fleet {
 	f := &fleet{log: journaltest.New()}
-	f.log.Granted.ReadsPerSecond = granted
+	f.log.Rates.ReadsPerSecond = granted
 	for range daemons {
 		seen := &values{values: map[string]string{}}
 		follower := journal.NewKeyedFollower(f.log, followed, seen, fleetBound, zap.NewNop())
-		follower.SetInterval(journal.SharedInterval(f.log.Grants().ReadsPerSecond*fleetShare, func() int { return daemons }))
+		follower.SetInterval(journal.SharedInterval(f.log.RateLimits().ReadsPerSecond*fleetFraction, func() int { return daemons }))
 		go follower.Run(ctx)
 		f.seen = append(f.seen, seen)
 	}
 	return f
 }
 
-// change writes for a while at changesPerSecond, and returns the last value.
+// change writes changesPerSecond values per second for the given duration, and returns the last
+// one.
 func (f *fleet) change(t *testing.T, duration time.Duration) string {
 	last := ""
 	for began := time.Now(); time.Since(began) < duration; {
@@ -53,9 +54,8 @@
 	return last
 }
 
-// The reads of a fleet of followers stay within their share of what the journal
-// grants, however often the partition changes, and all see a change well within the
-// contact bound. Without an interval 300 followers make 23,100 reads a second here.
+// Guards against followers whose reads exceed their share of the read limit, and against an
+// interval that delays changes beyond the contact bound.
 func TestFollowersOfAFleetKeepToTheirShareOfReads(t *testing.T) {
 	for _, daemons := range []int{12, 60, 300} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
@@ -70,7 +70,7 @@
 				last := f.change(t, calm)
 				used := f.log.Usage()
 				is.Equal(used.Throttled, 0)
-				is.True(float64(used.Reads) <= granted*fleetShare*calm.Seconds()*1.05)
+				is.True(float64(used.Reads) <= granted*fleetFraction*calm.Seconds()*1.05)
 				time.Sleep(fleetBound / 10)
 				synctest.Wait()
 				for _, seen := range f.seen {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Reads grow as the daemons, not as the daemons times the changes.
-func TestReadsOfFollowersDoNotGrowWithChanges(t *testing.T) {
+// Guards against a rate of reads that grows with the rate of changes.
+func TestReadRateDoesNotGrowWithChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -102,10 +102,9 @@
 	})
 }
 
-// Followers that are throttled come back one after the other: after an outage of the
-// whole journal all are up to date within the contact bound, though it grants a tenth
-// of what they would ask for at once.
-func TestAThrottledFleetIsUpToDateWithinTheContactBound(t *testing.T) {
+// Guards against followers that retry together after an outage, are throttled, and miss the
+// contact bound.
+func TestThrottledFleetRecoversWithinContactBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const daemons, granted = 300, 500
@@ -113,9 +112,9 @@
 		defer cancel()
 		f := startFleet(ctx, daemons, granted)
 		time.Sleep(2 * fleetBound)
-		f.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
+		f.log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
 		time.Sleep(3 * time.Second)
-		f.log.SetBefall(nil)
+		f.log.SetFault(nil)
 		put(t, f.log, "key", "back")
 		time.Sleep(fleetBound)
 		synctest.Wait()
--- a/internal/journal/journaltest/group.go
+++ b/internal/journal/journaltest/group.go
@@ -9,21 +9,21 @@
 	"woodworks/internal/journal"
 )
 
-// Join implements journal.Journal. Partitions are dealt evenly, in order.
+// Join implements journal.Journal. It assigns partitions to members in turn.
 func (j *Journal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
-	if _, err := j.fault(ctx, Join); err != nil {
+	if _, err := j.injectFault(ctx, Join); err != nil {
 		return journal.Assignment{}, err
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.expire()
+	j.removeExpired()
 	if _, ok := j.members[request.Member]; !ok {
 		j.generation++
 	}
 	j.members[request.Member] = time.Now().Add(request.Lifetime)
 	j.topics = request.Topics
 	assignment := journal.Assignment{Generation: j.generation}
-	for _, row := range j.deal() {
+	for _, row := range j.assignments() {
 		if row.Member == request.Member {
 			assignment.Partitions = append(assignment.Partitions, row.Partition)
 		}
@@ -31,8 +31,9 @@
 	return assignment, nil
 }
 
-// expire drops the members that have been silent. The mutex is held.
-func (j *Journal) expire() {
+// removeExpired removes members that have not renewed their membership in time. The mutex must be
+// held.
+func (j *Journal) removeExpired() {
 	for member, until := range j.members {
 		if time.Now().After(until) {
 			delete(j.members, member)
@@ -41,8 +42,9 @@
 	}
 }
 
-// deal gives each partition to a member. The mutex is held.
-func (j *Journal) deal() []journal.Ownership {
+// assignments returns the assignment of all partitions to the members in turn. The mutex must be
+// held.
+func (j *Journal) assignments() []journal.Ownership {
 	members := slices.Sorted(maps.Keys(j.members))
 	if len(members) == 0 {
 		return nil
@@ -51,24 +53,24 @@
 	for _, topic := range j.topics {
 		for number := 0; number < j.Partitions; number++ {
 			partition := journal.Partition{Topic: topic, Number: number}
-			member := members[(len(rows)+j.turn)%len(members)]
+			member := members[(len(rows)+j.rotation)%len(members)]
 			rows = append(rows, journal.Ownership{Partition: partition, Member: member})
 		}
 	}
 	return rows
 }
 
-// DealAnew gives all partitions to other members at once.
-func (j *Journal) DealAnew() {
+// Rebalance assigns each partition to the next member at once, and starts a new generation.
+func (j *Journal) Rebalance() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.turn++
+	j.rotation++
 	j.generation++
 }
 
 // Leave implements journal.Journal.
 func (j *Journal) Leave(ctx context.Context, _, member string) error {
-	if _, err := j.fault(ctx, Leave); err != nil {
+	if _, err := j.injectFault(ctx, Leave); err != nil {
 		return err
 	}
 	j.mu.Lock()
@@ -80,11 +82,11 @@
 
 // Owners implements journal.Journal.
 func (j *Journal) Owners(ctx context.Context, _ string) ([]journal.Ownership, error) {
-	if _, err := j.fault(ctx, Owners); err != nil {
+	if _, err := j.injectFault(ctx, Owners); err != nil {
 		return nil, err
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.expire()
-	return j.deal(), nil
+	j.removeExpired()
+	return j.assignments(), nil
 }
--- a/internal/journal/logservice/handler.go
+++ b/internal/journal/logservice/handler.go
@@ -11,13 +11,13 @@
 	"woodworks/internal/journal"
 )
 
-// Handler serves a journal under the protocol of this package.
+// Handler serves a journal.Journal over the protocol of this package.
 type Handler struct{ Journal journal.Journal }
 
 // ServeHTTP implements http.Handler.
 func (h Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	name, ours := strings.CutPrefix(r.URL.Path, pathPrefix)
-	if !ours || r.Method != http.MethodPost {
+	name, ok := strings.CutPrefix(r.URL.Path, pathPrefix)
+	if !ok || r.Method != http.MethodPost {
 		http.NotFound(w, r)
 		return
 	}
@@ -28,21 +28,21 @@
 	j := h.Journal
 	switch name {
 	case callAppend:
-		answer(w, r, body, j.Append)
+		serveCall(w, r, body, j.Append)
 	case callRead:
-		answer(w, r, body, j.Read)
+		serveCall(w, r, body, j.Read)
 	case callNewest:
-		answer(w, r, body, func(ctx context.Context, req newestRequest) (journal.KeyedPage, error) {
+		serveCall(w, r, body, func(ctx context.Context, req newestRequest) (journal.KeyedPage, error) {
 			return j.Newest(ctx, req.Partition, req.AfterKey)
 		})
 	case callJoin:
-		answer(w, r, body, j.Join)
+		serveCall(w, r, body, j.Join)
 	case callLeave:
-		answer(w, r, body, func(ctx context.Context, req memberRequest) (none, error) {
-			return none{}, j.Leave(ctx, req.Group, req.Member)
+		serveCall(w, r, body, func(ctx context.Context, req memberRequest) (emptyAnswer, error) {
+			return emptyAnswer{}, j.Leave(ctx, req.Group, req.Member)
 		})
 	case callOwners:
-		answer(w, r, body, func(ctx context.Context, req memberRequest) ([]journal.Ownership, error) {
+		serveCall(w, r, body, func(ctx context.Context, req memberRequest) ([]journal.Ownership, error) {
 			return j.Owners(ctx, req.Group)
 		})
 	default:
@@ -50,34 +50,35 @@
 	}
 }
 
-// answer decodes a call, does it and writes what came of it. A call whose
-// outcome is unknown gets no answer: the connection is cut.
-func answer[Request, Answer any](w http.ResponseWriter, r *http.Request, body []byte,
+// serveCall decodes a request, performs the call and writes its answer. If the outcome of the
+// call is unknown, the connection is aborted without an answer, so that the client reports
+// ErrUnknown.
+func serveCall[Request, Answer any](w http.ResponseWriter, r *http.Request, body []byte,
 	do func(context.Context, Request) (Answer, error)) {
 	var req Request
 	if err := cbor.Unmarshal(body, &req); err != nil {
-		write(w, http.StatusBadRequest, refusal{Reason: reasonNotDone, Text: "body: " + err.Error()})
+		writeAnswer(w, http.StatusBadRequest, refusal{Reason: reasonNotDone, Text: "body: " + err.Error()})
 		return
 	}
 	done, err := do(r.Context(), req)
 	if err == nil {
-		write(w, http.StatusOK, done)
+		writeAnswer(w, http.StatusOK, done)
 		return
 	}
 	refused, certain := refusalOf(err)
 	if !certain {
 		panic(http.ErrAbortHandler)
 	}
-	write(w, http.StatusConflict, refused)
+	writeAnswer(w, http.StatusConflict, refused)
 }
 
-// write sends an answer.
-func write(w http.ResponseWriter, status int, value any) {
+// writeAnswer writes value CBOR-encoded with the given status.
+func writeAnswer(w http.ResponseWriter, status int, value any) {
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
-	_, _ = w.Write(encoded) // The caller is gone: there is nobody to tell.
+	_, _ = w.Write(encoded) // An error means that the client has disconnected.
 }
--- a/internal/journal/logservice/logservice_test.go
+++ b/internal/journal/logservice/logservice_test.go
@@ -15,26 +15,27 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// serve returns a client of a journal in memory behind a listener.
-func serve(t *testing.T) (*Client, *journaltest.Journal) {
+// startService starts a service with an in-memory journal, and returns a client and that journal.
+func startService(t *testing.T) (*Client, *journaltest.Journal) {
 	t.Helper()
 	log := journaltest.New()
 	server := httptest.NewServer(Handler{Journal: log})
 	t.Cleanup(server.Close)
 	addr := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
-	return New(addr, "", journal.Shape{Partitions: 2, RecordBytes: 1 << 16, AppendBytes: 1 << 20}), log
+	return New(addr, "", journal.Limits{Partitions: 2, RecordBytes: 1 << 16, AppendBytes: 1 << 20}), log
 }
 
-func bounded(t *testing.T) context.Context {
+// shortContext returns a context that ends after 300 ms.
+func shortContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func TestRecordsComeBackAsTheyWereAppended(t *testing.T) {
+func TestAppendedRecordsAreReadBack(t *testing.T) {
 	is := is.New(t)
-	client, _ := serve(t)
+	client, _ := startService(t)
 	ctx := context.Background()
 	p := journal.Partition{Topic: "t", Number: 1}
 	appended, err := client.Append(ctx, journal.Append{Partition: p, Records: [][]byte{[]byte("a"), {}, []byte("c")}})
@@ -47,9 +48,9 @@
 	is.Equal(string(read.Records[1]), "c")
 }
 
-func TestAConditionalAppendFindsAnotherEnd(t *testing.T) {
+func TestConditionalAppendFailsAtAnotherEnd(t *testing.T) {
 	is := is.New(t)
-	client, log := serve(t)
+	client, log := startService(t)
 	p := journal.Partition{Topic: "t"}
 	end := int64(1)
 	_, err := client.Append(context.Background(), journal.Append{Partition: p, Records: [][]byte{[]byte("a")}, ExpectedEnd: &end})
@@ -57,9 +58,9 @@
 	is.Equal(len(log.Records(p)), 0)
 }
 
-func TestTrimmedOffsetsNameTheFirstKept(t *testing.T) {
+func TestTrimmedErrorHasTheOldestOffset(t *testing.T) {
 	is := is.New(t)
-	client, log := serve(t)
+	client, log := startService(t)
 	p := journal.Partition{Topic: "t"}
 	_, err := client.Append(context.Background(), journal.Append{Partition: p, Records: [][]byte{[]byte("a"), []byte("b")}})
 	is.NoErr(err)
@@ -70,9 +71,9 @@
 	is.Equal(trimmed.First, int64(1))
 }
 
-func TestNewestValuesByKey(t *testing.T) {
+func TestNewestReturnsTheLastValueOfAKey(t *testing.T) {
 	is := is.New(t)
-	client, _ := serve(t)
+	client, _ := startService(t)
 	p := journal.Partition{Topic: journal.KeyedTopic("k")}
 	for _, value := range []string{"1", "2"} {
 		record := journal.EncodeKeyed("a", []byte(value))
@@ -86,9 +87,9 @@
 	is.Equal(page.Records[0].Offset, int64(1))
 }
 
-func TestMembersShareThePartitions(t *testing.T) {
+func TestPartitionsAreSharedBetweenMembers(t *testing.T) {
 	is := is.New(t)
-	client, _ := serve(t)
+	client, _ := startService(t)
 	ctx := context.Background()
 	for _, member := range []string{"a", "b"} {
 		_, err := client.Join(ctx, journal.Join{Group: "g", Member: member, Topics: []string{"t"}, Lifetime: time.Minute})
@@ -101,30 +102,31 @@
 	is.NoErr(client.Leave(ctx, "g", "a"))
 }
 
-// What a call without an answer did is not known; a refused one did nothing.
-func TestErrorsSayWhatIsCertain(t *testing.T) {
+// Guards against ErrNotDone for a call that may have taken effect, and against ErrUnknown for a
+// refused one.
+func TestErrorsTellNotDoneFromUnknown(t *testing.T) {
 	cases := []struct {
 		fault journaltest.Fault
 		want  error
 	}{
 		{journaltest.Refuse, journal.ErrNotDone},
 		{journaltest.LoseAnswer, journal.ErrUnknown},
-		{journaltest.Late, journal.ErrUnknown},
+		{journaltest.Delay, journal.ErrUnknown},
 		{journaltest.Hang, journal.ErrUnknown},
 	}
-	for _, one := range cases {
+	for _, tc := range cases {
 		is := is.New(t)
-		client, log := serve(t)
-		log.Befall = func(journaltest.Call) journaltest.Fault { return one.fault }
-		_, err := client.Append(bounded(t), journal.Append{Partition: journal.Partition{Topic: "t"}, Records: [][]byte{[]byte("a")}})
-		is.True(errors.Is(err, one.want))
+		client, log := startService(t)
+		log.FaultFunc = func(journaltest.Call) journaltest.Fault { return tc.fault }
+		_, err := client.Append(shortContext(t), journal.Append{Partition: journal.Partition{Topic: "t"}, Records: [][]byte{[]byte("a")}})
+		is.True(errors.Is(err, tc.want))
 	}
 }
 
-func TestAServiceThatIsNotThereTookNothing(t *testing.T) {
+func TestUnreachableServiceIsNotDone(t *testing.T) {
 	is := is.New(t)
-	client := New(netip.MustParseAddrPort("127.0.0.1:1"), "", journal.Shape{})
-	_, err := client.Append(bounded(t), journal.Append{Partition: journal.Partition{Topic: "t"}})
+	client := New(netip.MustParseAddrPort("127.0.0.1:1"), "", journal.Limits{})
+	_, err := client.Append(shortContext(t), journal.Append{Partition: journal.Partition{Topic: "t"}})
 	is.True(errors.Is(err, journal.ErrNotDone))
 }
 
--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -56,7 +56,7 @@
 	// failedReads sums the reads of the list that failed: each question may begin one.
 	failedReads *logging.Episodes
 
-	lastContact *journal.Contact
+	lastContact *journal.LastContact
 	leaving     atomic.Bool
 	// lost says that the last call to stay in the group failed. Only Run uses it.
 	lost bool
@@ -71,7 +71,7 @@
 
 // New returns the membership of the incarnation named self, which asks for a part of the topics' partitions.
 func New(log journal.Journal, self string, topics []string, logger *zap.Logger) *Member {
-	return &Member{journal: log, self: self, topics: topics, logger: logger, lastContact: journal.NewContact(bootclock.Now),
+	return &Member{journal: log, self: self, topics: topics, logger: logger, lastContact: journal.NewLastContact(bootclock.Now),
 		failedReads: logging.NewEpisodes(logger, "watchers of partitions not learned", "", "")}
 }
 
@@ -136,7 +136,7 @@
 
 // noteContact notes that the group has answered.
 func (m *Member) noteContact() {
-	m.lastContact.Note()
+	m.lastContact.Record()
 	if m.lost {
 		m.lost = false
 		m.logger.Info("dependency regained", zap.String("dependency", "group"))
--- a/internal/membership/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -31,7 +31,7 @@
 		is := is.New(t)
 		log := journaltest.New()
 		var refusals atomic.Int64
-		log.Befall = func(call journaltest.Call) journaltest.Fault {
+		log.FaultFunc = func(call journaltest.Call) journaltest.Fault {
 			if call == journaltest.Leave && refusals.Add(1) <= 2 {
 				return journaltest.Refuse
 			}
@@ -92,7 +92,7 @@
 		kill()
 		synctest.Wait()
 		var refusals atomic.Int64
-		log.SetBefall(func(call journaltest.Call) journaltest.Fault {
+		log.SetFault(func(call journaltest.Call) journaltest.Fault {
 			if (call == journaltest.Leave || call == journaltest.Owners) && refusals.Add(1) <= 3 {
 				return journaltest.Refuse
 			}
@@ -100,7 +100,7 @@
 		})
 		second := start(ctx, log, "a/2")
 		time.Sleep(lifetime / 2)
-		log.SetBefall(nil)
+		log.SetFault(nil)
 		alive, err := other.Alive(ctx)
 		is.NoErr(err)
 		slices.Sort(alive)
@@ -117,7 +117,7 @@
 	is := is.New(t)
 	clock := clocktest.New()
 	member := New(journaltest.New(), "a/1", topics, zap.NewNop())
-	member.lastContact = journal.NewContact(clock.Now)
+	member.lastContact = journal.NewLastContact(clock.Now)
 	is.True(member.Silence() > 24*time.Hour) // there was none
 	member.join(t.Context())
 	is.True(member.Silence() < time.Minute)
--- a/internal/membership/group/watchers.go
+++ b/internal/membership/group/watchers.go
@@ -15,12 +15,12 @@
 	// listHold is how long the list of watchers is believed within a generation.
 	listHold = 2 * time.Second
 	// listTimeout is how long a caller waits for the list.
-	listTimeout = questiontime.List
+	listTimeout = questiontime.ListTimeout
 	// listReadTimeout bounds a read of the list, which goes on for the callers to come.
 	listReadTimeout = joinTimeout
 	// listReadRest is after how long another read is begun beside one that has no answer yet:
 	// one that was lost leaves a question time for the next.
-	listReadRest = questiontime.ListRetry
+	listReadRest = questiontime.ListRetryDelay
 )
 
 // watcherList is who had which partition a moment ago.
--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -85,7 +85,7 @@
 		log := swallowing{journaltest.New(), lose}
 		start(ctx, log, "a/1")
 		time.Sleep(5 * time.Second)
-		asking := New(journal.Revive(log, zap.NewNop()), "b/1", topics, zap.NewNop())
+		asking := New(journal.DetectLostCalls(log, zap.NewNop()), "b/1", topics, zap.NewNop())
 		lose.Store(true)
 		began, ok := time.Now(), false
 		for !ok && time.Since(began) < 3*time.Second {
@@ -125,7 +125,7 @@
 		time.Sleep(time.Second)
 		var refuse atomic.Bool
 		refuse.Store(true)
-		log.SetBefall(func(call journaltest.Call) journaltest.Fault {
+		log.SetFault(func(call journaltest.Call) journaltest.Fault {
 			if call == journaltest.Owners && refuse.Load() {
 				return journaltest.Refuse
 			}
@@ -166,14 +166,14 @@
 		log := journaltest.New()
 		start(ctx, log, "a/1")
 		asking := New(log, "b/1", topics, zap.NewNop())
-		asking.lastContact = journal.NewContact(time.Now)
+		asking.lastContact = journal.NewLastContact(time.Now)
 		go asking.Run(ctx)
 		time.Sleep(4 * time.Second) // the group is settled
 		partition := journal.Partition{Topic: "t"}
 		watcher, ok := asking.WatcherOf(ctx, partition)
 		is.True(ok)
 		hang := map[journaltest.Call]bool{journaltest.Owners: true}
-		log.SetBefall(func(call journaltest.Call) journaltest.Fault {
+		log.SetFault(func(call journaltest.Call) journaltest.Fault {
 			if hang[call] {
 				return journaltest.Hang
 			}
@@ -183,7 +183,7 @@
 		later, ok := asking.WatcherOf(ctx, partition)
 		is.True(ok)
 		is.Equal(later, watcher)
-		log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
+		log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 		time.Sleep(2 * lifetime)
 		_, ok = asking.WatcherOf(ctx, partition)
 		is.True(!ok)
--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -126,7 +126,7 @@
 			log := journaltest.New()
 			var mu sync.Mutex
 			calls := 0
-			log.Befall = func(journaltest.Call) journaltest.Fault {
+			log.FaultFunc = func(journaltest.Call) journaltest.Fault {
 				mu.Lock()
 				defer mu.Unlock()
 				calls++
@@ -149,7 +149,7 @@
 					runs[machine].lease.SetCandidate(step%2 == 0)
 				}
 				time.Sleep(time.Duration(step) * 60 * time.Millisecond)
-				log.Settle()
+				log.ApplyDelayed()
 			}
 			cancel()
 			for _, each := range runs {
@@ -181,7 +181,7 @@
 	case 2, 3:
 		return journaltest.LoseAnswer
 	case 4:
-		return journaltest.Late
+		return journaltest.Delay
 	default:
 		return journaltest.None
 	}
@@ -357,10 +357,10 @@
 		for outage := 3 * time.Second; outage < 8*time.Second; outage += 170 * time.Millisecond {
 			time.Sleep(2 * time.Second)
 			is.True(mayAct(holder))
-			log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
+			log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 			time.Sleep(outage)
 			is.True(!mayAct(holder))
-			log.SetBefall(nil)
+			log.SetFault(nil)
 			time.Sleep(callTimeout + renewInterval + 10*time.Millisecond)
 			is.True(mayAct(holder))
 		}
