--- a/internal/journal/relay/announce.go
+++ b/internal/journal/relay/announce.go
@@ -15,8 +15,8 @@
 	// topic is where daemons announce themselves.
 	topic = "woodworks.peers"
 	// announceTimeout bounds one try to tell the others of this daemon.
-	announceTimeout = time.Second
-	announcePause   = 200 * time.Millisecond
+	announceTimeout    = time.Second
+	announceRetryDelay = 200 * time.Millisecond
 )
 
 // PeersPartition is where daemons announce themselves.
@@ -40,6 +40,6 @@
 		}
 		// It is tried again at once; that the journal does not answer is logged by Run.
 		j.logger.Debug("relay not announced yet", zap.Error(err))
-		periodic.Pause(ctx, announcePause)
+		periodic.Pause(ctx, announceRetryDelay)
 	}
 }
