--- a/internal/journal/relay/announce.go
+++ b/internal/journal/relay/announce.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// topic is where daemons announce themselves.
-	topic = "woodworks.peers"
+	// peersTopic is where daemons announce themselves.
+	peersTopic = "woodworks.peers"
 	// announceTimeout bounds one try to tell the others of this daemon.
 	announceTimeout    = time.Second
 	announceRetryDelay = 200 * time.Millisecond
 )
 
 // PeersPartition is where daemons announce themselves.
-var PeersPartition = journal.Partition{Topic: journal.KeyedTopic(topic)}
+var PeersPartition = journal.Partition{Topic: journal.KeyedTopic(peersTopic)}
 
 // Peers returns the handler of the partition where daemons announce themselves.
 func (j *Journal) Peers() journal.KeyedHandler { return j.peers }
--- a/internal/journal/relay/golden_test.go
+++ b/internal/journal/relay/golden_test.go
@@ -15,7 +15,7 @@
 	golden.CBOR[operation](t, "operation")
 	golden.CBOR[reply](t, "reply")
 	golden.CBOR[peer](t, "peer")
-	golden.Text(t, "names.txt", fmt.Sprintln(methodName, topic))
+	golden.Text(t, "names.txt", fmt.Sprintln(methodName, peersTopic))
 }
 
 func TestOutcomesKeepTheirNumbers(t *testing.T) {
