--- a/internal/daemon/node/metrics.go
+++ b/internal/daemon/node/metrics.go
@@ -35,7 +35,7 @@
 		"Calls to the journal given up as later ones were answered.", n.journal.GivenUp.Load)
 	if n.relay != nil {
 		metrics.Gauge(n.metrics, "journal_path_lost", "1 while this daemon's own path to the journal is lost.",
-			func() int { return oneIf(n.relay.Lost()) })
+			func() int { return oneIf(n.relay.PathLost()) })
 		metrics.Counter(n.metrics, "journal_calls_relayed_total", "Calls to the journal answered through a peer.",
 			n.relay.Relayed.Load)
 	}
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -105,8 +105,8 @@
 	})
 }
 
-// Lost reports whether the own path is lost.
-func (j *Journal) Lost() bool {
+// PathLost reports whether the own path is lost.
+func (j *Journal) PathLost() bool {
 	lost, _ := j.path.state()
 	return lost
 }
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -157,7 +157,7 @@
 
 // untilLost appends until a daemon's own path counts as lost.
 func untilLost(ctx context.Context, relayed *Journal) {
-	for !relayed.Lost() {
+	for !relayed.PathLost() {
 		_ = appendOne(ctx, relayed, beforeLoss, 300*time.Millisecond) // its outcome is not the point
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -190,8 +190,8 @@
 			is.NoErr(appendOne(ctx, d.relays[1], "b", 200*time.Millisecond))
 			d.ways[0].fault.Store(open)
 			time.Sleep(2 * probeInterval)
-			is.True(!d.relays[0].Lost())
-			is.True(d.relays[1].Lost())
+			is.True(!d.relays[0].PathLost())
+			is.True(d.relays[1].PathLost())
 			done := d.relays[0].Relayed.Load()
 			is.NoErr(appendOne(ctx, d.relays[0], "own way", 200*time.Millisecond))
 			is.Equal(d.relays[0].Relayed.Load(), done)
--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -91,7 +91,7 @@
 		return reply{Outcome: outcomeLost, Reason: "the peer stops"}
 	}
 	defer s.own.gate.calls.Done()
-	if s.own.Lost() {
+	if s.own.PathLost() {
 		return reply{Outcome: outcomeLost, Reason: "the peer has lost its own path"}
 	}
 	if !op.known() {
