--- a/internal/journal/relay/call.go
+++ b/internal/journal/relay/call.go
@@ -76,7 +76,7 @@
 	case err == nil:
 		j.Relayed.Add(1)
 	case !errors.Is(err, errNoPeer):
-		j.RelayFailed.Add(1)
+		j.FailedRelayedCalls.Add(1)
 	}
 	return answer, err
 }
