--- a/internal/daemon/node/metrics.go
+++ b/internal/daemon/node/metrics.go
@@ -37,7 +37,7 @@
 		metrics.Gauge(n.metrics, "journal_path_lost", "1 while this daemon's own path to the journal is lost.",
 			func() int { return oneIf(n.relay.PathLost()) })
 		metrics.Counter(n.metrics, "journal_calls_relayed_total", "Calls to the journal answered through a peer.",
-			n.relay.Relayed.Load)
+			n.relay.RelayedCalls.Load)
 	}
 }
 
--- a/internal/journal/relay/call.go
+++ b/internal/journal/relay/call.go
@@ -74,7 +74,7 @@
 	answer, err := j.peers.relay(ctx, op)
 	switch {
 	case err == nil:
-		j.Relayed.Add(1)
+		j.RelayedCalls.Add(1)
 	case !errors.Is(err, errNoPeer):
 		j.FailedRelayedCalls.Add(1)
 	}
--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -208,7 +208,7 @@
 				took := time.Since(began)
 				done, failed := uint64(0), uint64(0)
 				for _, relayed := range d.relays {
-					done, failed = done+relayed.Relayed.Load(), failed+relayed.FailedRelayedCalls.Load()
+					done, failed = done+relayed.RelayedCalls.Load(), failed+relayed.FailedRelayedCalls.Load()
 				}
 				t.Logf("%d of %d partitions learned after %v, %d MB read of %d, %d of %d relayed calls failed", learned, zone, took, store.Usage().ReadBytes>>20, zone*each>>20, failed, done+failed)
 				is.Equal(learned, zone)
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -61,8 +61,8 @@
 	path    *path
 	peers   *peers
 	gate    gate
-	// Relayed counts the calls that a peer has made, FailedRelayedCalls those through one that failed.
-	Relayed, FailedRelayedCalls atomic.Uint64
+	// RelayedCalls counts the calls that a peer has made, FailedRelayedCalls those through one that failed.
+	RelayedCalls, FailedRelayedCalls atomic.Uint64
 	// receivers answer the other calls of peers, by name.
 	receivers map[string]any
 }
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -192,9 +192,9 @@
 			time.Sleep(2 * probeInterval)
 			is.True(!d.relays[0].PathLost())
 			is.True(d.relays[1].PathLost())
-			done := d.relays[0].Relayed.Load()
+			done := d.relays[0].RelayedCalls.Load()
 			is.NoErr(appendOne(ctx, d.relays[0], "own way", 200*time.Millisecond))
-			is.Equal(d.relays[0].Relayed.Load(), done)
+			is.Equal(d.relays[0].RelayedCalls.Load(), done)
 		})
 	}
 }
