--- a/internal/batches/occupancy/rpc_test.go
+++ b/internal/batches/occupancy/rpc_test.go
@@ -38,7 +38,7 @@
 	}
 	go relayed.Run(ctx)
 	const interval = 3 * time.Second
-	go journal.NewKeyedFollower(relayed, relay.PeersPartition, relayed.Peers(), interval, zap.NewNop()).Run(ctx)
+	go journal.NewKeyedFollower(relayed, relay.PeersPartition, relayed.PeersHandler(), interval, zap.NewNop()).Run(ctx)
 	go publisher.Run(ctx)
 	return table
 }
--- a/internal/journal/relay/announce.go
+++ b/internal/journal/relay/announce.go
@@ -22,8 +22,8 @@
 // PeersPartition is where daemons announce themselves.
 var PeersPartition = journal.Partition{Topic: journal.KeyedTopic(peersTopic)}
 
-// Peers returns the handler of the partition where daemons announce themselves.
-func (j *Journal) Peers() journal.KeyedHandler { return j.peers }
+// PeersHandler returns the handler of the partition where daemons announce themselves.
+func (j *Journal) PeersHandler() journal.KeyedHandler { return j.peers }
 
 // announce tells the others where this daemon's relay is, until that is certain.
 func (j *Journal) announce(ctx context.Context) {
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -126,7 +126,7 @@
 	}
 	for _, relayed := range d.relays {
 		go relayed.Run(ctx)
-		go journal.NewKeyedFollower(relayed, PeersPartition, relayed.Peers(), 3*time.Second, zap.NewNop()).Run(ctx)
+		go journal.NewKeyedFollower(relayed, PeersPartition, relayed.PeersHandler(), 3*time.Second, zap.NewNop()).Run(ctx)
 	}
 	time.Sleep(2 * time.Second)
 	return d
