--- a/internal/journal/relay/call.go
+++ b/internal/journal/relay/call.go
@@ -9,8 +9,8 @@
 	"woodworks/internal/journal"
 )
 
-// onOwnPath makes a call on the own path and learns from its outcome.
-func (j *Journal) onOwnPath(ctx context.Context, op operation) (reply, error) {
+// callOnOwnPath makes a call on the own path and learns from its outcome.
+func (j *Journal) callOnOwnPath(ctx context.Context, op operation) (reply, error) {
 	expected := j.path.begin(time.Now(), op.wait())
 	answer, err := op.call(ctx, j.Journal)
 	if j.path.finish(expected, err, time.Now()) {
@@ -29,7 +29,7 @@
 	}
 	answer, err := j.throughPeer(ctx, op)
 	if errors.Is(err, errNoPeer) {
-		return j.onOwnPath(ctx, op)
+		return j.callOnOwnPath(ctx, op)
 	}
 	return answer, err
 }
@@ -45,7 +45,7 @@
 	defer cancel()
 	done := make(chan outcome, 1)
 	go func() {
-		answer, err := j.onOwnPath(bounded, op)
+		answer, err := j.callOnOwnPath(bounded, op)
 		done <- outcome{answer, err}
 	}()
 	select {
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -101,7 +101,7 @@
 		bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
 		// What it tells is what onOwnPath learns from its outcome.
-		_, _ = j.onOwnPath(bounded, operation{Newest: &newestCall{Partition: PeersPartition, After: lastKey}})
+		_, _ = j.callOnOwnPath(bounded, operation{Newest: &newestCall{Partition: PeersPartition, After: lastKey}})
 	})
 }
 
--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, min(op.Within, longestWithin))
 	defer cancel()
-	answer, err := s.own.onOwnPath(ctx, op)
+	answer, err := s.own.callOnOwnPath(ctx, op)
 	if err != nil {
 		return failedReply(err)
 	}
