--- a/internal/journal/relay/call.go
+++ b/internal/journal/relay/call.go
@@ -25,7 +25,7 @@
 func (j *Journal) perform(ctx context.Context, op operation) (reply, error) {
 	lost, lostCh := j.path.state()
 	if !lost {
-		return j.performUntil(ctx, op, lostCh)
+		return j.callUntilPathLost(ctx, op, lostCh)
 	}
 	answer, err := j.throughPeer(ctx, op)
 	if errors.Is(err, errNoPeer) {
@@ -34,9 +34,9 @@
 	return answer, err
 }
 
-// performUntil makes a call on the own path. If that is lost meanwhile, the call is
+// callUntilPathLost makes a call on the own path. If that is lost meanwhile, the call is
 // repeated through a peer if it is repeatable, and of unknown outcome otherwise.
-func (j *Journal) performUntil(ctx context.Context, op operation, lostCh <-chan struct{}) (reply, error) {
+func (j *Journal) callUntilPathLost(ctx context.Context, op operation, lostCh <-chan struct{}) (reply, error) {
 	type outcome struct {
 		answer reply
 		err    error
