--- a/internal/journal/relay/call.go
+++ b/internal/journal/relay/call.go
@@ -19,10 +19,10 @@
 	return answer, err
 }
 
-// perform makes a call on the own path while that stands, and through a peer while it
+// callWithFallback makes a call on the own path while that stands, and through a peer while it
 // does not. With no peer that helps, the own path is tried all the same: in an outage
 // of the whole store it is as good as any.
-func (j *Journal) perform(ctx context.Context, op operation) (reply, error) {
+func (j *Journal) callWithFallback(ctx context.Context, op operation) (reply, error) {
 	lost, lostCh := j.path.state()
 	if !lost {
 		return j.callUntilPathLost(ctx, op, lostCh)
@@ -83,36 +83,36 @@
 
 // Append implements journal.Journal.
 func (j *Journal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
-	answer, err := j.perform(ctx, operation{Append: &request})
+	answer, err := j.callWithFallback(ctx, operation{Append: &request})
 	return answer.Appended, err
 }
 
 // Read implements journal.Journal.
 func (j *Journal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
-	answer, err := j.perform(ctx, operation{Read: &request})
+	answer, err := j.callWithFallback(ctx, operation{Read: &request})
 	return answer.Records, err
 }
 
 // Newest implements journal.Journal.
 func (j *Journal) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
-	answer, err := j.perform(ctx, operation{Newest: &newestCall{Partition: partition, After: afterKey}})
+	answer, err := j.callWithFallback(ctx, operation{Newest: &newestCall{Partition: partition, After: afterKey}})
 	return answer.Page, err
 }
 
 // Join implements journal.Journal.
 func (j *Journal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
-	answer, err := j.perform(ctx, operation{Join: &request})
+	answer, err := j.callWithFallback(ctx, operation{Join: &request})
 	return answer.Assignment, err
 }
 
 // Leave implements journal.Journal.
 func (j *Journal) Leave(ctx context.Context, group, member string) error {
-	_, err := j.perform(ctx, operation{Leave: &leaveCall{Group: group, Member: member}})
+	_, err := j.callWithFallback(ctx, operation{Leave: &leaveCall{Group: group, Member: member}})
 	return err
 }
 
 // Owners implements journal.Journal. The group's rows tell the watchers of partitions.
 func (j *Journal) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
-	answer, err := j.perform(ctx, operation{Owners: &ownersCall{Group: group}})
+	answer, err := j.callWithFallback(ctx, operation{Owners: &ownersCall{Group: group}})
 	return answer.Owners, err
 }
