--- a/internal/journal/relay/call.go
+++ b/internal/journal/relay/call.go
@@ -27,7 +27,7 @@
 	if !lost {
 		return j.callUntilPathLost(ctx, op, lostCh)
 	}
-	answer, err := j.throughPeer(ctx, op)
+	answer, err := j.callThroughPeer(ctx, op)
 	if errors.Is(err, errNoPeer) {
 		return j.callOnOwnPath(ctx, op)
 	}
@@ -61,16 +61,16 @@
 	if !op.repeatable() {
 		return reply{}, errors.Wrap(journal.ErrUnknown, "relay: the path was lost")
 	}
-	answer, err := j.throughPeer(ctx, op)
+	answer, err := j.callThroughPeer(ctx, op)
 	if errors.Is(err, errNoPeer) {
 		return reply{}, errors.Wrap(journal.ErrUnknown, err.Error())
 	}
 	return answer, err
 }
 
-// throughPeer makes a call through a peer. An error that wraps errNoPeer says that no
+// callThroughPeer makes a call through a peer. An error that wraps errNoPeer says that no
 // peer has made it.
-func (j *Journal) throughPeer(ctx context.Context, op operation) (reply, error) {
+func (j *Journal) callThroughPeer(ctx context.Context, op operation) (reply, error) {
 	answer, err := j.peers.relay(ctx, op)
 	switch {
 	case err == nil:
