--- a/internal/journal/relay/drain.go
+++ b/internal/journal/relay/drain.go
@@ -5,16 +5,16 @@
 	"sync"
 )
 
-// gate counts the calls that are made for peers, and lets no more in once it is closed.
+// callTracker counts the calls that are made for peers, and lets no more in once it is closed.
 // The zero value is open.
-type gate struct {
+type callTracker struct {
 	mu     sync.Mutex
 	closed bool
 	calls  sync.WaitGroup
 }
 
 // enter counts a call, which ends with calls.Done, or refuses it.
-func (g *gate) enter() bool {
+func (g *callTracker) enter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
@@ -24,7 +24,7 @@
 	return true
 }
 
-func (g *gate) close() {
+func (g *callTracker) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -60,7 +60,7 @@
 	logger  *zap.Logger
 	path    *path
 	peers   *peers
-	gate    gate
+	gate    callTracker
 	// RelayedCalls counts the calls that a peer has made, FailedRelayedCalls those through one that failed.
 	RelayedCalls, FailedRelayedCalls atomic.Uint64
 	// receivers answer the other calls of peers, by name.
