--- a/internal/journal/relay/drain.go
+++ b/internal/journal/relay/drain.go
@@ -35,10 +35,10 @@
 // of unknown outcome to its peer. It is called before the context of Serve ends. Questions
 // to registered receivers are answered on.
 func (j *Journal) Drain(ctx context.Context) {
-	j.gate.close()
+	j.peerCalls.close()
 	done := make(chan struct{})
 	go func() {
-		j.gate.calls.Wait()
+		j.peerCalls.calls.Wait()
 		close(done)
 	}()
 	select {
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -56,11 +56,11 @@
 // implements journal.Journal and is safe for concurrent use.
 type Journal struct {
 	journal.Journal
-	options Options
-	logger  *zap.Logger
-	path    *path
-	peers   *peers
-	gate    callTracker
+	options   Options
+	logger    *zap.Logger
+	path      *path
+	peers     *peers
+	peerCalls callTracker
 	// RelayedCalls counts the calls that a peer has made, FailedRelayedCalls those through one that failed.
 	RelayedCalls, FailedRelayedCalls atomic.Uint64
 	// receivers answer the other calls of peers, by name.
--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -87,10 +87,10 @@
 // answer makes the call on the own path, or says that this is lost, as it soon is for a
 // daemon that stops.
 func (s *Service) answer(op operation) reply {
-	if !s.own.gate.enter() {
+	if !s.own.peerCalls.enter() {
 		return reply{Outcome: outcomeLost, Reason: "the peer stops"}
 	}
-	defer s.own.gate.calls.Done()
+	defer s.own.peerCalls.calls.Done()
 	if s.own.PathLost() {
 		return reply{Outcome: outcomeLost, Reason: "the peer has lost its own path"}
 	}
