--- a/internal/journal/relay/drain.go
+++ b/internal/journal/relay/drain.go
@@ -10,7 +10,7 @@
 type callTracker struct {
 	mu     sync.Mutex
 	closed bool
-	calls  sync.WaitGroup
+	active sync.WaitGroup
 }
 
 // enter counts a call, which ends with calls.Done, or refuses it.
@@ -20,7 +20,7 @@
 	if g.closed {
 		return false
 	}
-	g.calls.Add(1)
+	g.active.Add(1)
 	return true
 }
 
@@ -38,7 +38,7 @@
 	j.peerCalls.close()
 	done := make(chan struct{})
 	go func() {
-		j.peerCalls.calls.Wait()
+		j.peerCalls.active.Wait()
 		close(done)
 	}()
 	select {
--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -90,7 +90,7 @@
 	if !s.own.peerCalls.enter() {
 		return reply{Outcome: outcomeLost, Reason: "the peer stops"}
 	}
-	defer s.own.peerCalls.calls.Done()
+	defer s.own.peerCalls.active.Done()
 	if s.own.PathLost() {
 		return reply{Outcome: outcomeLost, Reason: "the peer has lost its own path"}
 	}
