--- a/internal/journal/relay/drain.go
+++ b/internal/journal/relay/drain.go
@@ -13,8 +13,8 @@
 	active sync.WaitGroup
 }
 
-// enter counts a call, which ends with calls.Done, or refuses it.
-func (g *callTracker) enter() bool {
+// tryAdd counts a call, which ends with calls.Done, or refuses it.
+func (g *callTracker) tryAdd() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -87,7 +87,7 @@
 // answer makes the call on the own path, or says that this is lost, as it soon is for a
 // daemon that stops.
 func (s *Service) answer(op operation) reply {
-	if !s.own.peerCalls.enter() {
+	if !s.own.peerCalls.tryAdd() {
 		return reply{Outcome: outcomeLost, Reason: "the peer stops"}
 	}
 	defer s.own.peerCalls.active.Done()
