--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// overdueAfter is how long an answer may be overdue, with no other one since,
+	// maxOverdue is how long an answer may be overdue, with no other one since,
 	// for the path to count as lost: twice what a store takes that is sixty times
 	// slower than usual.
-	overdueAfter = 500 * time.Millisecond
+	maxOverdue = 500 * time.Millisecond
 	// refusalsToLose: so many refusals in a row, the first refusedAfter ago or more, and the
 	// path counts as lost. A store that is full refuses some calls and answers others.
 	refusalsToLose = 3
@@ -120,11 +120,11 @@
 // overdue reports whether a call has been without an answer for too long. The mutex
 // is held.
 func (p *path) overdue(now time.Time) bool {
-	if now.Sub(p.answered) <= overdueAfter {
+	if now.Sub(p.answered) <= maxOverdue {
 		return false
 	}
 	for call := range p.expected {
-		if now.Sub(call.by) > overdueAfter {
+		if now.Sub(call.by) > maxOverdue {
 			return true
 		}
 	}
