--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -314,7 +314,7 @@
 					t.Fatal("callers are not told of a loss")
 				}
 			}
-			if lost && now.Sub(answered) <= maxOverdue && refusals < refusalsToLose {
+			if lost && now.Sub(answered) <= maxOverdue && refusals < minRefusals {
 				t.Fatalf("lost %v after an answer, with %d refusals", now.Sub(answered), refusals)
 			}
 		}
