--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -16,8 +16,8 @@
 	maxOverdue = 500 * time.Millisecond
 	// minRefusals: so many refusals in a row, the first refusedAfter ago or more, and the
 	// path counts as lost. A store that is full refuses some calls and answers others.
-	minRefusals  = 3
-	refusedAfter = 250 * time.Millisecond
+	minRefusals    = 3
+	minRefusedTime = 250 * time.Millisecond
 	// throttlesToLose: so many in a row with some for the rate, the first throttledAfter ago
 	// or more, and it does too. A store whose rate is exceeded serves most calls all the
 	// same; one that throttles a single machine serves none of its calls.
@@ -103,7 +103,7 @@
 		return false, ""
 	}
 	switch {
-	case p.refusals-p.throttles >= minRefusals && now.Sub(p.refusedAt) >= refusedAfter:
+	case p.refusals-p.throttles >= minRefusals && now.Sub(p.refusedAt) >= minRefusedTime:
 		reason = "refused"
 	case p.refusals >= throttlesToLose && now.Sub(p.refusedAt) >= throttledAfter:
 		reason = "throttled"
