--- a/internal/journal/relay/path_test.go
+++ b/internal/journal/relay/path_test.go
@@ -25,8 +25,8 @@
 		lost, _ := p.judge(now)
 		is.True(!lost)
 	}
-	for range throttlesToLose {
-		now = now.Add(throttledAfter / throttlesToLose)
+	for range minThrottles {
+		now = now.Add(throttledAfter / minThrottles)
 		p.finish(p.begin(now, 0), &journal.ThrottledError{Reason: "this machine"}, now)
 	}
 	lost, reason := p.judge(now.Add(throttledAfter))
