--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -21,8 +21,8 @@
 	// minThrottles: so many in a row with some for the rate, the first throttledAfter ago
 	// or more, and it does too. A store whose rate is exceeded serves most calls all the
 	// same; one that throttles a single machine serves none of its calls.
-	minThrottles   = 6
-	throttledAfter = 500 * time.Millisecond
+	minThrottles     = 6
+	minThrottledTime = 500 * time.Millisecond
 )
 
 // path is what is believed of this daemon's own path to the journal. It is safe for
@@ -105,7 +105,7 @@
 	switch {
 	case p.refusals-p.throttles >= minRefusals && now.Sub(p.refusedAt) >= minRefusedTime:
 		reason = "refused"
-	case p.refusals >= minThrottles && now.Sub(p.refusedAt) >= throttledAfter:
+	case p.refusals >= minThrottles && now.Sub(p.refusedAt) >= minThrottledTime:
 		reason = "throttled"
 	case p.overdue(now):
 		reason = "no answer"
--- a/internal/journal/relay/path_test.go
+++ b/internal/journal/relay/path_test.go
@@ -26,10 +26,10 @@
 		is.True(!lost)
 	}
 	for range minThrottles {
-		now = now.Add(throttledAfter / minThrottles)
+		now = now.Add(minThrottledTime / minThrottles)
 		p.finish(p.begin(now, 0), &journal.ThrottledError{Reason: "this machine"}, now)
 	}
-	lost, reason := p.judge(now.Add(throttledAfter))
+	lost, reason := p.judge(now.Add(minThrottledTime))
 	is.True(lost)
 	is.Equal(reason, "throttled")
 }
