--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -31,7 +31,7 @@
 	mu sync.Mutex
 	// expected has the calls without an answer, with the time by which each should
 	// have had one.
-	expected map[*pending]struct{}
+	expected map[*pendingCall]struct{}
 	answered time.Time
 	// refusals counts the refusals since the last answer, the first at refusedAt;
 	// throttles are those of them for the rate.
@@ -42,16 +42,16 @@
 	lostCh chan struct{}
 }
 
-// pending is a call that should have an answer by a time.
-type pending struct{ by time.Time }
+// pendingCall is a call that should have an answer by a time.
+type pendingCall struct{ by time.Time }
 
 func newPath(now time.Time) *path {
-	return &path{expected: map[*pending]struct{}{}, answered: now, lostCh: make(chan struct{})}
+	return &path{expected: map[*pendingCall]struct{}{}, answered: now, lostCh: make(chan struct{})}
 }
 
 // begin notes a call that waits for records so long.
-func (p *path) begin(now time.Time, wait time.Duration) *pending {
-	call := &pending{by: now.Add(wait)}
+func (p *path) begin(now time.Time, wait time.Duration) *pendingCall {
+	call := &pendingCall{by: now.Add(wait)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expected[call] = struct{}{}
@@ -61,7 +61,7 @@
 // finish takes the outcome of a call into account. It returns true if the path is back
 // with it. An unknown outcome is no answer: the call stays expected, so that the path can
 // become overdue.
-func (p *path) finish(call *pending, err error, now time.Time) (back bool) {
+func (p *path) finish(call *pendingCall, err error, now time.Time) (back bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var unavailable *journal.UnavailableError
@@ -86,7 +86,7 @@
 }
 
 // refuse notes a refused call. The mutex is held.
-func (p *path) refuse(call *pending, now time.Time) {
+func (p *path) refuse(call *pendingCall, now time.Time) {
 	delete(p.expected, call)
 	if p.refusals == 0 {
 		p.refusedAt = now
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -284,7 +284,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		p := newPath(now)
-		var open []*pending
+		var open []*pendingCall
 		answered, refusals := now, 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
