--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -29,10 +29,10 @@
 // concurrent use.
 type path struct {
 	mu sync.Mutex
-	// expected has the calls without an answer, with the time by which each should
+	// unanswered has the calls without an answer, with the time by which each should
 	// have had one.
-	expected map[*pendingCall]struct{}
-	answered time.Time
+	unanswered map[*pendingCall]struct{}
+	answered   time.Time
 	// refusals counts the refusals since the last answer, the first at refusedAt;
 	// throttles are those of them for the rate.
 	refusals, throttles int
@@ -46,7 +46,7 @@
 type pendingCall struct{ by time.Time }
 
 func newPath(now time.Time) *path {
-	return &path{expected: map[*pendingCall]struct{}{}, answered: now, lostCh: make(chan struct{})}
+	return &path{unanswered: map[*pendingCall]struct{}{}, answered: now, lostCh: make(chan struct{})}
 }
 
 // begin notes a call that waits for records so long.
@@ -54,7 +54,7 @@
 	call := &pendingCall{by: now.Add(wait)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expected[call] = struct{}{}
+	p.unanswered[call] = struct{}{}
 	return call
 }
 
@@ -80,14 +80,14 @@
 			p.lostCh = make(chan struct{})
 		}
 		p.answered, p.refusals, p.throttles = now, 0, 0
-		clear(p.expected)
+		clear(p.unanswered)
 	}
 	return back
 }
 
 // refuse notes a refused call. The mutex is held.
 func (p *path) refuse(call *pendingCall, now time.Time) {
-	delete(p.expected, call)
+	delete(p.unanswered, call)
 	if p.refusals == 0 {
 		p.refusedAt = now
 	}
@@ -123,7 +123,7 @@
 	if now.Sub(p.answered) <= maxOverdue {
 		return false
 	}
-	for call := range p.expected {
+	for call := range p.unanswered {
 		if now.Sub(call.by) > maxOverdue {
 			return true
 		}
