--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -32,7 +32,7 @@
 	// unanswered has the calls without an answer, with the time by which each should
 	// have had one.
 	unanswered map[*pendingCall]struct{}
-	answered   time.Time
+	lastAnswer time.Time
 	// refusals counts the refusals since the last answer, the first at refusedAt;
 	// throttles are those of them for the rate.
 	refusals, throttles int
@@ -46,7 +46,7 @@
 type pendingCall struct{ by time.Time }
 
 func newPath(now time.Time) *path {
-	return &path{unanswered: map[*pendingCall]struct{}{}, answered: now, lostCh: make(chan struct{})}
+	return &path{unanswered: map[*pendingCall]struct{}{}, lastAnswer: now, lostCh: make(chan struct{})}
 }
 
 // begin notes a call that waits for records so long.
@@ -79,7 +79,7 @@
 		if back {
 			p.lostCh = make(chan struct{})
 		}
-		p.answered, p.refusals, p.throttles = now, 0, 0
+		p.lastAnswer, p.refusals, p.throttles = now, 0, 0
 		clear(p.unanswered)
 	}
 	return back
@@ -120,7 +120,7 @@
 // overdue reports whether a call has been without an answer for too long. The mutex
 // is held.
 func (p *path) overdue(now time.Time) bool {
-	if now.Sub(p.answered) <= maxOverdue {
+	if now.Sub(p.lastAnswer) <= maxOverdue {
 		return false
 	}
 	for call := range p.unanswered {
@@ -142,5 +142,5 @@
 func (p *path) silence(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.answered)
+	return now.Sub(p.lastAnswer)
 }
