--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -36,7 +36,7 @@
 	// refusals counts the refusals since the last answer, the first at refusedAt;
 	// throttles are those of them for the rate.
 	refusals, throttles int
-	refusedAt           time.Time
+	firstRefusal        time.Time
 	lost                bool
 	// lostCh is closed when the path is lost, and made anew when it is back.
 	lostCh chan struct{}
@@ -89,7 +89,7 @@
 func (p *path) refuse(call *pendingCall, now time.Time) {
 	delete(p.unanswered, call)
 	if p.refusals == 0 {
-		p.refusedAt = now
+		p.firstRefusal = now
 	}
 	p.refusals++
 }
@@ -103,9 +103,9 @@
 		return false, ""
 	}
 	switch {
-	case p.refusals-p.throttles >= minRefusals && now.Sub(p.refusedAt) >= minRefusedTime:
+	case p.refusals-p.throttles >= minRefusals && now.Sub(p.firstRefusal) >= minRefusedTime:
 		reason = "refused"
-	case p.refusals >= minThrottles && now.Sub(p.refusedAt) >= minThrottledTime:
+	case p.refusals >= minThrottles && now.Sub(p.firstRefusal) >= minThrottledTime:
 		reason = "throttled"
 	case p.overdue(now):
 		reason = "no answer"
