--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -43,7 +43,7 @@
 }
 
 // pendingCall is a call that should have an answer by a time.
-type pendingCall struct{ by time.Time }
+type pendingCall struct{ due time.Time }
 
 func newPath(now time.Time) *path {
 	return &path{unanswered: map[*pendingCall]struct{}{}, lastAnswer: now, lostCh: make(chan struct{})}
@@ -51,7 +51,7 @@
 
 // begin notes a call that waits for records so long.
 func (p *path) begin(now time.Time, wait time.Duration) *pendingCall {
-	call := &pendingCall{by: now.Add(wait)}
+	call := &pendingCall{due: now.Add(wait)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unanswered[call] = struct{}{}
@@ -124,7 +124,7 @@
 		return false
 	}
 	for call := range p.unanswered {
-		if now.Sub(call.by) > maxOverdue {
+		if now.Sub(call.due) > maxOverdue {
 			return true
 		}
 	}
