--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -94,9 +94,9 @@
 	p.refusals++
 }
 
-// judge decides whether the path counts as lost. It returns true, with the reason, if it does from
+// detectLoss decides whether the path counts as lost. It returns true, with the reason, if it does from
 // now on, and tells who waits on lostCh.
-func (p *path) judge(now time.Time) (lost bool, reason string) {
+func (p *path) detectLoss(now time.Time) (lost bool, reason string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.lost {
--- a/internal/journal/relay/path_test.go
+++ b/internal/journal/relay/path_test.go
@@ -22,14 +22,14 @@
 			err = nil
 		}
 		p.finish(p.begin(now, 0), err, now)
-		lost, _ := p.judge(now)
+		lost, _ := p.detectLoss(now)
 		is.True(!lost)
 	}
 	for range minThrottles {
 		now = now.Add(minThrottledTime / minThrottles)
 		p.finish(p.begin(now, 0), &journal.ThrottledError{Reason: "this machine"}, now)
 	}
-	lost, reason := p.judge(now.Add(minThrottledTime))
+	lost, reason := p.detectLoss(now.Add(minThrottledTime))
 	is.True(lost)
 	is.Equal(reason, "throttled")
 }
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -84,7 +84,7 @@
 	go j.announce(ctx)
 	go j.probe(ctx)
 	periodic.Every(ctx, judgeInterval, func(context.Context) {
-		if lost, reason := j.path.judge(time.Now()); lost {
+		if lost, reason := j.path.detectLoss(time.Now()); lost {
 			j.logger.Warn("own path to the journal lost", zap.String("reason", reason),
 				zap.Duration("silent", j.path.silence(time.Now())), zap.Int("peers", j.peers.count()))
 		}
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -302,7 +302,7 @@
 				p.finish(open[0], journal.ErrUnknown, now)
 				open = open[1:]
 			}
-			p.judge(now)
+			p.detectLoss(now)
 			lost, lostCh := p.state()
 			select {
 			case <-lostCh:
