--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -34,8 +34,8 @@
 )
 
 const (
-	// judgeInterval is the time between two judgements of the path.
-	judgeInterval = 100 * time.Millisecond
+	// lossCheckInterval is the time between two judgements of the path.
+	lossCheckInterval = 100 * time.Millisecond
 	// probeInterval is the time between two tries of a lost path, probeTimeout how
 	// long each may take.
 	probeInterval = 400 * time.Millisecond
@@ -83,7 +83,7 @@
 func (j *Journal) Run(ctx context.Context) {
 	go j.announce(ctx)
 	go j.probe(ctx)
-	periodic.Every(ctx, judgeInterval, func(context.Context) {
+	periodic.Every(ctx, lossCheckInterval, func(context.Context) {
 		if lost, reason := j.path.detectLoss(time.Now()); lost {
 			j.logger.Warn("own path to the journal lost", zap.String("reason", reason),
 				zap.Duration("silent", j.path.silence(time.Now())), zap.Int("peers", j.peers.count()))
