--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -68,9 +68,9 @@
 	var throttled *journal.ThrottledError
 	switch {
 	case errors.As(err, &unavailable):
-		p.refuse(call, now)
+		p.countRefusal(call, now)
 	case errors.As(err, &throttled):
-		p.refuse(call, now)
+		p.countRefusal(call, now)
 		p.throttles++
 	case err == nil, !errors.Is(err, journal.ErrUnknown):
 		// Any answer shows that the path stands, and that older calls without
@@ -85,8 +85,8 @@
 	return back
 }
 
-// refuse notes a refused call. The mutex is held.
-func (p *path) refuse(call *pendingCall, now time.Time) {
+// countRefusal notes a refused call. The mutex is held.
+func (p *path) countRefusal(call *pendingCall, now time.Time) {
 	delete(p.unanswered, call)
 	if p.refusals == 0 {
 		p.firstRefusal = now
