--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -107,7 +107,7 @@
 		reason = "refused"
 	case p.refusals >= minThrottles && now.Sub(p.firstRefusal) >= minThrottledTime:
 		reason = "throttled"
-	case p.overdue(now):
+	case p.hasOverdueCall(now):
 		reason = "no answer"
 	default:
 		return false, ""
@@ -117,9 +117,9 @@
 	return true, reason
 }
 
-// overdue reports whether a call has been without an answer for too long. The mutex
+// hasOverdueCall reports whether a call has been without an answer for too long. The mutex
 // is held.
-func (p *path) overdue(now time.Time) bool {
+func (p *path) hasOverdueCall(now time.Time) bool {
 	if now.Sub(p.lastAnswer) <= maxOverdue {
 		return false
 	}
