--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -138,8 +138,8 @@
 	return p.lost, p.lostCh
 }
 
-// silence is for how long there was no answer.
-func (p *path) silence(now time.Time) time.Duration {
+// timeSinceAnswer is for how long there was no answer.
+func (p *path) timeSinceAnswer(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Sub(p.lastAnswer)
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -86,7 +86,7 @@
 	periodic.Every(ctx, lossCheckInterval, func(context.Context) {
 		if lost, reason := j.path.detectLoss(time.Now()); lost {
 			j.logger.Warn("own path to the journal lost", zap.String("reason", reason),
-				zap.Duration("silent", j.path.silence(time.Now())), zap.Int("peers", j.peers.count()))
+				zap.Duration("silent", j.path.timeSinceAnswer(time.Now())), zap.Int("peers", j.peers.count()))
 		}
 	})
 	j.peers.close()
