--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -40,8 +40,8 @@
 	// long each may take.
 	probeInterval = 400 * time.Millisecond
 	probeTimeout  = 300 * time.Millisecond
-	// lastKey is after the names of all daemons: a page from there on is empty.
-	lastKey = "~"
+	// keyAfterAll is after the names of all daemons: a page from there on is empty.
+	keyAfterAll = "~"
 )
 
 // Options say who this daemon is.
@@ -101,7 +101,7 @@
 		bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
 		// What it tells is what onOwnPath learns from its outcome.
-		_, _ = j.callOnOwnPath(bounded, operation{Newest: &newestCall{Partition: PeersPartition, After: lastKey}})
+		_, _ = j.callOnOwnPath(bounded, operation{Newest: &newestCall{Partition: PeersPartition, After: keyAfterAll}})
 	})
 }
 
