--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -12,8 +12,8 @@
 	"woodworks/internal/journal"
 )
 
-// longestWithin bounds how long a peer's call may take here.
-const longestWithin = 30 * time.Second
+// maxCallTimeout bounds how long a peer's call may take here.
+const maxCallTimeout = 30 * time.Second
 
 // Service makes calls to the journal for peers that have lost their own path. Its
 // exported method is that of net/rpc.
@@ -97,7 +97,7 @@
 	if !op.known() {
 		return failedReply(errors.Wrap(journal.ErrNotDone, "relay: an operation of a later version"))
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, min(op.Within, longestWithin))
+	ctx, cancel := context.WithTimeout(s.ctx, min(op.Within, maxCallTimeout))
 	defer cancel()
 	answer, err := s.own.callOnOwnPath(ctx, op)
 	if err != nil {
