--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -60,15 +60,15 @@
 		}
 		if err != nil {
 			j.logger.Warn("peer not accepted", zap.Error(err))
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		go server.ServeConn(conn)
 	}
 }
 
-// acceptPause is the pause after an error of accept, as from too many descriptors.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the pause after an error of accept, as from too many descriptors.
+const acceptRetryDelay = 20 * time.Millisecond
 
 // Call makes one call to the journal. It is exported for net/rpc.
 func (s *Service) Call(msg Message, answer *Message) error {
