--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -18,8 +18,8 @@
 // Service makes calls to the journal for peers that have lost their own path. Its
 // exported method is that of net/rpc.
 type Service struct {
-	ctx context.Context
-	own *Journal
+	ctx   context.Context
+	relay *Journal
 }
 
 // Serve answers peers at the address of the options until the context ends. It
@@ -49,7 +49,7 @@
 			return nil, err
 		}
 	}
-	return server, server.RegisterName(serviceName, &Service{ctx: ctx, own: j})
+	return server, server.RegisterName(serviceName, &Service{ctx: ctx, relay: j})
 }
 
 func (j *Journal) accept(ctx context.Context, listener net.Listener, server *rpc.Server) {
@@ -87,11 +87,11 @@
 // answer makes the call on the own path, or says that this is lost, as it soon is for a
 // daemon that stops.
 func (s *Service) answer(op operation) reply {
-	if !s.own.peerCalls.tryAdd() {
+	if !s.relay.peerCalls.tryAdd() {
 		return reply{Outcome: outcomeLost, Reason: "the peer stops"}
 	}
-	defer s.own.peerCalls.active.Done()
-	if s.own.PathLost() {
+	defer s.relay.peerCalls.active.Done()
+	if s.relay.PathLost() {
 		return reply{Outcome: outcomeLost, Reason: "the peer has lost its own path"}
 	}
 	if !op.known() {
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, min(op.Within, maxCallTimeout))
 	defer cancel()
-	answer, err := s.own.callOnOwnPath(ctx, op)
+	answer, err := s.relay.callOnOwnPath(ctx, op)
 	if err != nil {
 		return failedReply(err)
 	}
