--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -170,15 +170,15 @@
 // relay asks one peer after the other to make a call until one has. An error that
 // wraps errNoPeer says that none has; after any other the call may have been made.
 func (p *peers) relay(ctx context.Context, op operation) (reply, error) {
-	op.Within = op.wait() + peerTimeout
+	op.Timeout = op.wait() + peerTimeout
 	if deadline, bounded := ctx.Deadline(); bounded {
-		op.Within = min(op.Within, time.Until(deadline))
+		op.Timeout = min(op.Timeout, time.Until(deadline))
 	}
 	msg, err := encode(op)
 	if err != nil {
 		return reply{}, errors.Wrap(errNoPeer, err.Error())
 	}
-	bounded, cancel := context.WithTimeout(ctx, op.Within)
+	bounded, cancel := context.WithTimeout(ctx, op.Timeout)
 	defer cancel()
 	for _, name := range p.candidates(time.Now()) {
 		var encoded Message
--- a/internal/journal/relay/protocol.go
+++ b/internal/journal/relay/protocol.go
@@ -22,14 +22,14 @@
 
 // operation is one call of a journal: one of its fields is set.
 type operation struct {
-	// Within is how long the answer is waited for.
-	Within time.Duration   `cbor:"1,keyasint"`
-	Append *journal.Append `cbor:"2,keyasint,omitempty"`
-	Read   *journal.Read   `cbor:"3,keyasint,omitempty"`
-	Newest *newestCall     `cbor:"4,keyasint,omitempty"`
-	Join   *journal.Join   `cbor:"5,keyasint,omitempty"`
-	Leave  *leaveCall      `cbor:"6,keyasint,omitempty"`
-	Owners *ownersCall     `cbor:"7,keyasint,omitempty"`
+	// Timeout is how long the answer is waited for.
+	Timeout time.Duration   `cbor:"1,keyasint"`
+	Append  *journal.Append `cbor:"2,keyasint,omitempty"`
+	Read    *journal.Read   `cbor:"3,keyasint,omitempty"`
+	Newest  *newestCall     `cbor:"4,keyasint,omitempty"`
+	Join    *journal.Join   `cbor:"5,keyasint,omitempty"`
+	Leave   *leaveCall      `cbor:"6,keyasint,omitempty"`
+	Owners  *ownersCall     `cbor:"7,keyasint,omitempty"`
 }
 
 type newestCall struct {
@@ -48,7 +48,7 @@
 
 // known reports whether the operation is one of this version.
 func (o operation) known() bool {
-	return o != operation{Within: o.Within}
+	return o != operation{Timeout: o.Timeout}
 }
 
 // wait is how long the journal may hold the answer back for records to come.
--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -97,7 +97,7 @@
 	if !op.known() {
 		return failedReply(errors.Wrap(journal.ErrNotDone, "relay: an operation of a later version"))
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, min(op.Within, maxCallTimeout))
+	ctx, cancel := context.WithTimeout(s.ctx, min(op.Timeout, maxCallTimeout))
 	defer cancel()
 	answer, err := s.relay.callOnOwnPath(ctx, op)
 	if err != nil {
