--- a/internal/journal/relay/protocol.go
+++ b/internal/journal/relay/protocol.go
@@ -46,8 +46,8 @@
 	Group string `cbor:"Group"`
 }
 
-// known reports whether the operation is one of this version.
-func (o operation) known() bool {
+// isKnown reports whether the operation is one of this version.
+func (o operation) isKnown() bool {
 	return o != operation{Timeout: o.Timeout}
 }
 
--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -94,7 +94,7 @@
 	if s.relay.PathLost() {
 		return reply{Outcome: outcomeLost, Reason: "the peer has lost its own path"}
 	}
-	if !op.known() {
+	if !op.isKnown() {
 		return failedReply(errors.Wrap(journal.ErrNotDone, "relay: an operation of a later version"))
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, min(op.Timeout, maxCallTimeout))
