--- a/internal/journal/relay/call.go
+++ b/internal/journal/relay/call.go
@@ -58,7 +58,7 @@
 		return out.answer, out.err
 	}
 	cancel()
-	if !op.repeatable() {
+	if !op.isIdempotent() {
 		return reply{}, errors.Wrap(journal.ErrUnknown, "relay: the path was lost")
 	}
 	answer, err := j.callThroughPeer(ctx, op)
--- a/internal/journal/relay/protocol.go
+++ b/internal/journal/relay/protocol.go
@@ -59,9 +59,9 @@
 	return o.Read.Wait
 }
 
-// repeatable operations change nothing, or nothing more when made again: a member that
+// isIdempotent operations change nothing, or nothing more when made again: a member that
 // joins or leaves twice has done so once.
-func (o operation) repeatable() bool { return o.Append == nil }
+func (o operation) isIdempotent() bool { return o.Append == nil }
 
 // call makes the call to a journal. The operation must be known.
 func (o operation) call(ctx context.Context, log journal.Journal) (answer reply, err error) {
