--- a/internal/journal/relay/golden_test.go
+++ b/internal/journal/relay/golden_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestOutcomesKeepTheirNumbers(t *testing.T) {
-	golden.Text(t, "outcomes.txt", fmt.Sprint(int(outcomeDone), int(outcomeLost), int(outcomeNotDone), int(outcomeUnavailable),
+	golden.Text(t, "outcomes.txt", fmt.Sprint(int(outcomeDone), int(outcomePathLost), int(outcomeNotDone), int(outcomeUnavailable),
 		int(outcomePosition), int(outcomeTrimmed), int(outcomeUnknown), int(outcomeThrottled)))
 	told := ""
 	for _, err := range []error{
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -193,7 +193,7 @@
 		if err != nil {
 			return reply{}, errors.Wrap(journal.ErrUnknown, err.Error())
 		}
-		if answer.Outcome == outcomeLost {
+		if answer.Outcome == outcomePathLost {
 			p.rest(name, lostRest, "has lost the journal as well", nil)
 			continue
 		}
--- a/internal/journal/relay/protocol.go
+++ b/internal/journal/relay/protocol.go
@@ -87,8 +87,8 @@
 
 const (
 	outcomeDone outcome = iota
-	// outcomeLost: the peer has lost its own path, and did nothing.
-	outcomeLost
+	// outcomePathLost: the peer has lost its own path, and did nothing.
+	outcomePathLost
 	outcomeNotDone
 	outcomeUnavailable
 	outcomePosition
--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -88,11 +88,11 @@
 // daemon that stops.
 func (s *Service) answer(op operation) reply {
 	if !s.relay.peerCalls.tryAdd() {
-		return reply{Outcome: outcomeLost, Reason: "the peer stops"}
+		return reply{Outcome: outcomePathLost, Reason: "the peer stops"}
 	}
 	defer s.relay.peerCalls.active.Done()
 	if s.relay.PathLost() {
-		return reply{Outcome: outcomeLost, Reason: "the peer has lost its own path"}
+		return reply{Outcome: outcomePathLost, Reason: "the peer has lost its own path"}
 	}
 	if !op.isKnown() {
 		return failedReply(errors.Wrap(journal.ErrNotDone, "relay: an operation of a later version"))
