--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -25,8 +25,8 @@
 	// peerTimeout is how long a peer may take beyond the time that a read waits
 	// for records.
 	peerTimeout = questiontime.Relayed
-	// peersTried is how many peers are asked to make one call at most.
-	peersTried = 3
+	// maxPeersTried is how many peers are asked to make one call at most.
+	maxPeersTried = 3
 	// brokenRest, silentRest and lostRest are how long a peer is left alone that could
 	// not be reached, did not answer, or has lost the path itself.
 	brokenRest = 3 * time.Second
@@ -127,7 +127,7 @@
 		}
 	}
 	sort.Slice(names, func(i, j int) bool { return rank[names[i]] < rank[names[j]] })
-	return names[:min(len(names), peersTried)]
+	return names[:min(len(names), maxPeersTried)]
 }
 
 // available returns a peer that may be asked now, or nil.
