--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -77,7 +77,7 @@
 		reachable = true
 		is.True(errors.Is(d.relays[0].Ask(ctx, "b", "Echo.Say", "x", &answer), ErrNotReached))
 		is.Equal(dials, 2)
-		time.Sleep(brokenRest)
+		time.Sleep(unreachableRetryDelay)
 		is.NoErr(d.relays[0].Ask(ctx, "b", "Echo.Say", "back", &answer))
 	})
 }
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -27,11 +27,11 @@
 	peerTimeout = questiontime.Relayed
 	// maxPeersTried is how many peers are asked to make one call at most.
 	maxPeersTried = 3
-	// brokenRest, silentRest and lostRest are how long a peer is left alone that could
+	// unreachableRetryDelay, silentRest and lostRest are how long a peer is left alone that could
 	// not be reached, did not answer, or has lost the path itself.
-	brokenRest = 3 * time.Second
-	silentRest = time.Second
-	lostRest   = 500 * time.Millisecond
+	unreachableRetryDelay = 3 * time.Second
+	silentRest            = time.Second
+	lostRest              = 500 * time.Millisecond
 )
 
 // errNoPeer: no peer could make the call, and none has.
@@ -159,7 +159,7 @@
 		// The caller has lost interest, which says nothing of the peer.
 		return errors.Wrap(ErrNoAnswer, ctx.Err().Error())
 	case errors.Is(err, ErrNotReached):
-		p.rest(name, brokenRest, "not reached", err)
+		p.rest(name, unreachableRetryDelay, "not reached", err)
 		return err
 	default:
 		p.rest(name, silentRest, "no answer", err)
