--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -43,9 +43,9 @@
 	options Options
 	dial    dial
 	logger  *zap.Logger
-	// leftAlone sums the rests of peers: where a store is busy, each call to each of them
+	// suspensions sums the rests of peers: where a store is busy, each call to each of them
 	// ends in one.
-	leftAlone *logging.Episodes
+	suspensions *logging.Episodes
 
 	mu    sync.Mutex
 	known map[string]*peer
@@ -63,9 +63,9 @@
 		dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp4", address)
 		},
-		logger:    logger,
-		leftAlone: logging.NewEpisodes(logger, "peer left alone", "reason", "peers"),
-		known:     map[string]*peer{},
+		logger:      logger,
+		suspensions: logging.NewEpisodes(logger, "peer left alone", "reason", "peers"),
+		known:       map[string]*peer{},
 	}
 }
 
@@ -217,7 +217,7 @@
 		p.current = ""
 	}
 	p.mu.Unlock()
-	p.leftAlone.Note(logging.Occurrence{Key: reason, Subject: name, Took: length},
+	p.suspensions.Note(logging.Occurrence{Key: reason, Subject: name, Took: length},
 		zap.String("peer", name), zap.Duration("rest", length), zap.Error(cause))
 }
 
