--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -159,10 +159,10 @@
 		// The caller has lost interest, which says nothing of the peer.
 		return errors.Wrap(ErrNoAnswer, ctx.Err().Error())
 	case errors.Is(err, ErrNotReached):
-		p.rest(name, unreachableRetryDelay, "not reached", err)
+		p.suspend(name, unreachableRetryDelay, "not reached", err)
 		return err
 	default:
-		p.rest(name, silentRest, "no answer", err)
+		p.suspend(name, silentRest, "no answer", err)
 		return errors.Wrap(ErrNoAnswer, err.Error())
 	}
 }
@@ -194,7 +194,7 @@
 			return reply{}, errors.Wrap(journal.ErrUnknown, err.Error())
 		}
 		if answer.Outcome == outcomePathLost {
-			p.rest(name, lostRest, "has lost the journal as well", nil)
+			p.suspend(name, lostRest, "has lost the journal as well", nil)
 			continue
 		}
 		p.mu.Lock()
@@ -205,8 +205,8 @@
 	return reply{}, errors.Wrap(errNoPeer, "none left to ask")
 }
 
-// rest leaves a peer alone for a while.
-func (p *peers) rest(name string, length time.Duration, reason string, cause error) {
+// suspend leaves a peer alone for a while.
+func (p *peers) suspend(name string, length time.Duration, reason string, cause error) {
 	other := p.get(name)
 	if other == nil {
 		return
