--- a/internal/journal/relay/peer.go
+++ b/internal/journal/relay/peer.go
@@ -48,8 +48,8 @@
 	return now.Before(p.restUntil)
 }
 
-// rest leaves the peer alone until a time.
-func (p *peer) rest(until time.Time) {
+// suspend leaves the peer alone until a time.
+func (p *peer) suspend(until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.restUntil = until
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -211,7 +211,7 @@
 	if other == nil {
 		return
 	}
-	other.rest(time.Now().Add(length))
+	other.suspend(time.Now().Add(length))
 	p.mu.Lock()
 	if p.current == name {
 		p.current = ""
