--- a/internal/journal/relay/peer.go
+++ b/internal/journal/relay/peer.go
@@ -29,8 +29,8 @@
 	client *peerClient
 	// closed peers are connected to no more: the daemon ends.
 	closed bool
-	// restUntil is the time before which others are asked.
-	restUntil time.Time
+	// suspendedUntil is the time before which others are asked.
+	suspendedUntil time.Time
 }
 
 // peerClient is a connection to a peer. It is ended by closing conn, never by the
@@ -45,14 +45,14 @@
 func (p *peer) resting(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Before(p.restUntil)
+	return now.Before(p.suspendedUntil)
 }
 
 // suspend leaves the peer alone until a time.
 func (p *peer) suspend(until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.restUntil = until
+	p.suspendedUntil = until
 }
 
 // ask calls a method of the peer and waits for the answer. An error that wraps
