--- a/internal/journal/relay/peer.go
+++ b/internal/journal/relay/peer.go
@@ -41,8 +41,8 @@
 	conn net.Conn
 }
 
-// resting reports whether the peer is left alone.
-func (p *peer) resting(now time.Time) bool {
+// isSuspended reports whether the peer is left alone.
+func (p *peer) isSuspended(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Before(p.suspendedUntil)
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -114,7 +114,7 @@
 	var names []string
 	rank := map[string]float64{}
 	for name, other := range p.known {
-		if other.resting(now) {
+		if other.isSuspended(now) {
 			continue
 		}
 		names = append(names, name)
@@ -133,7 +133,7 @@
 // available returns a peer that may be asked now, or nil.
 func (p *peers) available(name string) *peer {
 	other := p.get(name)
-	if other == nil || other.resting(time.Now()) {
+	if other == nil || other.isSuspended(time.Now()) {
 		return nil
 	}
 	return other
