--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -202,7 +202,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPeers(Options{Name: "a"}, zap.NewNop())
-		p.known["b"], p.known["c"] = &peer{Address: "b"}, &peer{Address: "c"}
+		p.byName["b"], p.byName["c"] = &peer{Address: "b"}, &peer{Address: "c"}
 		p.dial = func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -157,7 +157,7 @@
 	for i, relayed := range d.relays {
 		for _, other := range d.relays {
 			if other != relayed {
-				relayed.peers.known[other.options.Name] = &peer{Address: other.options.Address, Zone: other.options.Zone}
+				relayed.peers.byName[other.options.Name] = &peer{Address: other.options.Address, Zone: other.options.Zone}
 			}
 		}
 		go relayed.Run(ctx)
--- a/internal/journal/relay/flood_test.go
+++ b/internal/journal/relay/flood_test.go
@@ -19,7 +19,7 @@
 		core, logged := observer.New(zapcore.InfoLevel)
 		p := newPeers(Options{Name: "self"}, zap.New(core))
 		for i := range 90 {
-			p.known[daemonName(i)] = &peer{}
+			p.byName[daemonName(i)] = &peer{}
 		}
 		const seconds, aSecond = 10, 140
 		for i := range seconds * aSecond {
--- a/internal/journal/relay/neighbours_test.go
+++ b/internal/journal/relay/neighbours_test.go
@@ -16,10 +16,10 @@
 	for _, count := range []int{1, 2, 3, 7, 12, 100, 770} {
 		next := map[string][]string{}
 		for i := range count {
-			p := &peers{known: map[string]*peer{}}
+			p := &peers{byName: map[string]*peer{}}
 			for other := range count {
 				if other != i {
-					p.known[daemonName(other)] = &peer{}
+					p.byName[daemonName(other)] = &peer{}
 				}
 			}
 			j := &Journal{options: Options{Name: daemonName(i)}, peers: p, logger: zap.NewNop()}
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -47,8 +47,8 @@
 	// ends in one.
 	suspensions *logging.Episodes
 
-	mu    sync.Mutex
-	known map[string]*peer
+	mu     sync.Mutex
+	byName map[string]*peer
 	// closed says that the daemon ends.
 	closed bool
 	// current is the peer that answered last, "" if none did.
@@ -65,7 +65,7 @@
 		},
 		logger:      logger,
 		suspensions: logging.NewEpisodes(logger, "peer left alone", "reason", "peers"),
-		known:       map[string]*peer{},
+		byName:      map[string]*peer{},
 	}
 }
 
@@ -82,22 +82,22 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if before := p.known[record.Key]; before == nil || before.Address != other.Address {
-		p.known[record.Key] = other
+	if before := p.byName[record.Key]; before == nil || before.Address != other.Address {
+		p.byName[record.Key] = other
 	}
 }
 
 func (p *peers) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.known)
+	return len(p.byName)
 }
 
 // names returns the names of all peers, in order.
 func (p *peers) names() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Sorted(maps.Keys(p.known))
+	return slices.Sorted(maps.Keys(p.byName))
 }
 
 // any reports whether there is a peer that may be asked now.
@@ -113,7 +113,7 @@
 	}
 	var names []string
 	rank := map[string]float64{}
-	for name, other := range p.known {
+	for name, other := range p.byName {
 		if other.isSuspended(now) {
 			continue
 		}
@@ -142,7 +142,7 @@
 func (p *peers) get(name string) *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.known[name]
+	return p.byName[name]
 }
 
 // ask calls a method of a peer and waits for the answer until the context ends. A peer that could
@@ -226,7 +226,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, other := range p.known {
+	for _, other := range p.byName {
 		other.close()
 	}
 }
