--- a/internal/journal/relay/drain_test.go
+++ b/internal/journal/relay/drain_test.go
@@ -23,7 +23,7 @@
 		untilLost(ctx, asker)
 		d.ways[1].lag.Store(int64(300 * time.Millisecond))
 		asker.peers.mu.Lock()
-		asker.peers.current = "b"
+		asker.peers.preferred = "b"
 		asker.peers.mu.Unlock()
 		under := make(chan error, 1)
 		go func() { under <- appendOne(ctx, asker, "under way", time.Second) }()
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -51,8 +51,8 @@
 	byName map[string]*peer
 	// closed says that the daemon ends.
 	closed bool
-	// current is the peer that answered last, "" if none did.
-	current string
+	// preferred is the peer that answered last, "" if none did.
+	preferred string
 }
 
 func newPeers(options Options, logger *zap.Logger) *peers {
@@ -122,7 +122,7 @@
 		if other.Zone != p.options.Zone {
 			rank[name]++
 		}
-		if name == p.current {
+		if name == p.preferred {
 			rank[name] = -1
 		}
 	}
@@ -198,7 +198,7 @@
 			continue
 		}
 		p.mu.Lock()
-		p.current = name
+		p.preferred = name
 		p.mu.Unlock()
 		return answer, answer.err()
 	}
@@ -213,8 +213,8 @@
 	}
 	other.suspend(time.Now().Add(length))
 	p.mu.Lock()
-	if p.current == name {
-		p.current = ""
+	if p.preferred == name {
+		p.preferred = ""
 	}
 	p.mu.Unlock()
 	p.suspensions.Note(logging.Occurrence{Key: reason, Subject: name, Took: length},
