--- a/internal/journal/relay/call.go
+++ b/internal/journal/relay/call.go
@@ -53,7 +53,7 @@
 		return out.answer, out.err
 	case <-lostCh:
 	}
-	if !j.peers.any() {
+	if !j.peers.hasAvailable() {
 		out := <-done
 		return out.answer, out.err
 	}
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -100,8 +100,8 @@
 	return slices.Sorted(maps.Keys(p.byName))
 }
 
-// any reports whether there is a peer that may be asked now.
-func (p *peers) any() bool { return len(p.candidates(time.Now())) > 0 }
+// hasAvailable reports whether there is a peer that may be asked now.
+func (p *peers) hasAvailable() bool { return len(p.candidates(time.Now())) > 0 }
 
 // candidates returns the peers to ask, in order: the one that answered last, those
 // of the own zone, the others.
