--- a/internal/journal/relay/ask.go
+++ b/internal/journal/relay/ask.go
@@ -42,7 +42,7 @@
 // The error wraps ErrNotReached, ErrNoAnswer or ErrRefused. After one the answer must not be read,
 // as a late one may still be written to it.
 func (j *Journal) Ask(ctx context.Context, machine, method string, args, answer any) error {
-	if j.peers.available(machine) == nil {
+	if j.peers.getAvailable(machine) == nil {
 		return errors.Wrapf(ErrNotReached, "%q is not known, or did not answer a moment ago", machine)
 	}
 	return j.peers.ask(ctx, machine, method, args, answer)
--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -210,8 +210,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(50*time.Millisecond, cancel)
 		_, err := p.relay(ctx, operation{Owners: &ownersCall{Group: "g"}})
-		is.True(p.available("b") != nil)
-		is.True(p.available("c") != nil)
+		is.True(p.getAvailable("b") != nil)
+		is.True(p.getAvailable("c") != nil)
 		is.True(errors.Is(err, journal.ErrUnknown))
 	})
 }
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -130,8 +130,8 @@
 	return names[:min(len(names), maxPeersTried)]
 }
 
-// available returns a peer that may be asked now, or nil.
-func (p *peers) available(name string) *peer {
+// getAvailable returns a peer that may be asked now, or nil.
+func (p *peers) getAvailable(name string) *peer {
 	other := p.get(name)
 	if other == nil || other.isSuspended(time.Now()) {
 		return nil
