--- a/internal/journal/relay/peer.go
+++ b/internal/journal/relay/peer.go
@@ -17,8 +17,8 @@
 	unackedTimeout = 600 * time.Millisecond
 )
 
-// dial makes a connection to a peer.
-type dial func(ctx context.Context, address string) (net.Conn, error)
+// dialFunc makes a connection to a peer.
+type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
 // peer is another daemon.
 type peer struct {
@@ -57,7 +57,7 @@
 
 // ask calls a method of the peer and waits for the answer. An error that wraps
 // ErrNotReached says that the call was not sent.
-func (p *peer) ask(ctx context.Context, dial dial, method string, args, answer any) error {
+func (p *peer) ask(ctx context.Context, dial dialFunc, method string, args, answer any) error {
 	err := p.askOnce(ctx, dial, method, args, answer)
 	if errors.Is(err, rpc.ErrShutdown) {
 		// The connection had ended before the call, as at a peer's restart: the peer may
@@ -72,7 +72,7 @@
 
 // askOnce calls a method on the connection that there is, or on a new one. ErrShutdown
 // says that the call was not sent.
-func (p *peer) askOnce(ctx context.Context, dial dial, method string, args, answer any) error {
+func (p *peer) askOnce(ctx context.Context, dial dialFunc, method string, args, answer any) error {
 	client, err := p.connect(ctx, dial)
 	if err != nil {
 		return errors.Wrap(ErrNotReached, err.Error())
@@ -92,7 +92,7 @@
 }
 
 // connect returns the connection to the peer, made if there is none.
-func (p *peer) connect(ctx context.Context, dial dial) (*peerClient, error) {
+func (p *peer) connect(ctx context.Context, dial dialFunc) (*peerClient, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -41,7 +41,7 @@
 // journal.KeyedHandler and is safe for concurrent use.
 type peers struct {
 	options Options
-	dial    dial
+	dial    dialFunc
 	logger  *zap.Logger
 	// suspensions sums the rests of peers: where a store is busy, each call to each of them
 	// ends in one.
