--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -144,14 +144,14 @@
 		asked := &peer{Address: "b"}
 		before, err := asked.connect(t.Context(), remote.dial)
 		is.NoErr(err)
-		asked.giveUp(before)
+		asked.discard(before)
 		later, err := asked.connect(t.Context(), remote.dial)
 		is.NoErr(err)
-		asked.giveUp(before)
+		asked.discard(before)
 		again, err := asked.connect(t.Context(), remote.dial)
 		is.NoErr(err)
 		is.True(again == later)
-		asked.giveUp(later)
+		asked.discard(later)
 	})
 }
 
--- a/internal/journal/relay/peer.go
+++ b/internal/journal/relay/peer.go
@@ -86,7 +86,7 @@
 	var refused rpc.ServerError
 	if call.Error != nil && !errors.As(call.Error, &refused) {
 		// One that has answered with an error has a sound connection.
-		p.giveUp(client)
+		p.discard(client)
 	}
 	return call.Error
 }
@@ -109,9 +109,9 @@
 	return p.client, nil
 }
 
-// giveUp ends a connection to the peer that is broken. A late caller may give up an old
+// discard ends a connection to the peer that is broken. A late caller may give up an old
 // connection when a new one is in use: only the old one is closed.
-func (p *peer) giveUp(client *peerClient) {
+func (p *peer) discard(client *peerClient) {
 	p.mu.Lock()
 	if p.client == client {
 		p.client = nil
@@ -126,7 +126,7 @@
 	client := p.client
 	p.mu.Unlock()
 	if client != nil {
-		p.giveUp(client)
+		p.discard(client)
 	}
 }
 
