--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -72,7 +72,7 @@
 		is.Equal(dials, 1)
 		is.True(errors.Is(d.relays[0].Ask(ctx, "nobody", "Echo.Say", "x", &answer), ErrNotReached))
 		reachable = false
-		d.relays[0].peers.get("b").drop()
+		d.relays[0].peers.get("b").disconnect()
 		is.True(errors.Is(d.relays[0].Ask(ctx, "b", "Echo.Say", "x", &answer), ErrNotReached))
 		reachable = true
 		is.True(errors.Is(d.relays[0].Ask(ctx, "b", "Echo.Say", "x", &answer), ErrNotReached))
@@ -177,7 +177,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		asked, dials := &peer{Address: "b"}, 0
-		defer asked.drop()
+		defer asked.disconnect()
 		dial := func(context.Context, string) (net.Conn, error) {
 			dials++
 			near, far := net.Pipe()
@@ -188,7 +188,7 @@
 		answer := ""
 		go func() { failed <- asked.ask(ctx, dial, "Echo.Say", "x", &answer) }()
 		synctest.Wait()
-		asked.drop()
+		asked.disconnect()
 		err := <-failed
 		is.True(err != nil)
 		is.True(!errors.Is(err, ErrNotReached))
--- a/internal/journal/relay/peer.go
+++ b/internal/journal/relay/peer.go
@@ -120,8 +120,8 @@
 	_ = client.conn.Close() // It is broken: there is nobody to tell.
 }
 
-// drop ends the connection to the peer.
-func (p *peer) drop() {
+// disconnect ends the connection to the peer.
+func (p *peer) disconnect() {
 	p.mu.Lock()
 	client := p.client
 	p.mu.Unlock()
@@ -135,5 +135,5 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.drop()
+	p.disconnect()
 }
