--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -77,14 +77,14 @@
 
 // far is a daemon's own path to the journal, over the line that comes in.
 type far struct {
-	*cut
+	*faultyJournal
 	// ctx ends with the test.
 	ctx context.Context
 	in  *line
 }
 
 func (f far) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
-	read, err := f.cut.Read(ctx, request)
+	read, err := f.faultyJournal.Read(ctx, request)
 	bytes := 0
 	for _, record := range read.Records {
 		bytes += len(record)
@@ -108,7 +108,7 @@
 	d, reached := &daemons{store: store}, pipes{}
 	for i := range 2 * zone {
 		name := fmt.Sprintf("%c%02d", 'a'+i/zone, i%zone)
-		way := &cut{Journal: d.store}
+		way := &faultyJournal{Journal: d.store}
 		if i < refusedOf {
 			way.fault.Store(refused)
 		}
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -24,8 +24,8 @@
 
 var records = journal.Partition{Topic: "records"}
 
-// cut is one daemon's own path to a journal, which may be cut while it stands for others.
-type cut struct {
+// faultyJournal is one daemon's own path to a journal, which may be faultyJournal while it stands for others.
+type faultyJournal struct {
 	journal.Journal
 	fault atomic.Int32
 	// lag is how long appends take, in nanoseconds.
@@ -40,7 +40,7 @@
 )
 
 // meet lets the way's fault befall a call.
-func (c *cut) meet(ctx context.Context) error {
+func (c *faultyJournal) meet(ctx context.Context) error {
 	switch c.fault.Load() {
 	case silent:
 		<-ctx.Done()
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (c *cut) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
+func (c *faultyJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
 	if err := c.meet(ctx); err != nil {
 		return journal.Appended{}, err
 	}
@@ -64,7 +64,7 @@
 	return appended, either(err, c.meet(ctx))
 }
 
-func (c *cut) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+func (c *faultyJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	if err := c.meet(ctx); err != nil {
 		return journal.Records{}, err
 	}
@@ -72,7 +72,7 @@
 	return read, either(err, c.meet(ctx))
 }
 
-func (c *cut) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
+func (c *faultyJournal) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
 	if err := c.meet(ctx); err != nil {
 		return journal.KeyedPage{}, err
 	}
@@ -93,7 +93,7 @@
 // journal.
 type daemons struct {
 	store  *journaltest.Journal
-	ways   []*cut
+	ways   []*faultyJournal
 	relays []*Journal
 }
 
@@ -119,7 +119,7 @@
 	d, reached := &daemons{store: journaltest.New()}, pipes{}
 	for i := range count {
 		name := string(rune('a' + i))
-		way := &cut{Journal: d.store}
+		way := &faultyJournal{Journal: d.store}
 		relayed := New(way, Options{Name: name, Zone: "z", Address: name}, zap.NewNop())
 		reached.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return conn })
 		d.ways, d.relays = append(d.ways, way), append(d.relays, relayed)
