--- a/internal/journal/relay/drain_test.go
+++ b/internal/journal/relay/drain_test.go
@@ -21,7 +21,7 @@
 		asker, stopping := d.relays[0], d.relays[1]
 		d.ways[0].fault.Store(silent)
 		untilLost(ctx, asker)
-		d.ways[1].lag.Store(int64(300 * time.Millisecond))
+		d.ways[1].appendDelay.Store(int64(300 * time.Millisecond))
 		asker.peers.mu.Lock()
 		asker.peers.preferred = "b"
 		asker.peers.mu.Unlock()
@@ -56,7 +56,7 @@
 		d := newDaemons(ctx, t, 2)
 		d.ways[0].fault.Store(silent)
 		untilLost(ctx, d.relays[0])
-		d.ways[1].lag.Store(int64(time.Minute))
+		d.ways[1].appendDelay.Store(int64(time.Minute))
 		go func() { _ = appendOne(ctx, d.relays[0], "never", time.Second) }() // it is given up
 		time.Sleep(100 * time.Millisecond)
 		bounded, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -28,8 +28,8 @@
 type faultyJournal struct {
 	journal.Journal
 	fault atomic.Int32
-	// lag is how long appends take, in nanoseconds.
-	lag atomic.Int64
+	// appendDelay is how long appends take, in nanoseconds.
+	appendDelay atomic.Int64
 }
 
 const (
@@ -57,7 +57,7 @@
 	if err := c.meet(ctx); err != nil {
 		return journal.Appended{}, err
 	}
-	if periodic.Pause(ctx, time.Duration(c.lag.Load())); ctx.Err() != nil {
+	if periodic.Pause(ctx, time.Duration(c.appendDelay.Load())); ctx.Err() != nil {
 		return journal.Appended{}, errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
 	}
 	appended, err := c.Journal.Append(ctx, request)
