--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -33,7 +33,7 @@
 }
 
 const (
-	open int32 = iota
+	faultNone int32 = iota
 	silent
 	refused
 	throttled
@@ -188,7 +188,7 @@
 			untilLost(ctx, d.relays[1])
 			is.NoErr(appendOne(ctx, d.relays[0], "a", 200*time.Millisecond))
 			is.NoErr(appendOne(ctx, d.relays[1], "b", 200*time.Millisecond))
-			d.ways[0].fault.Store(open)
+			d.ways[0].fault.Store(faultNone)
 			time.Sleep(2 * probeInterval)
 			is.True(!d.relays[0].PathLost())
 			is.True(d.relays[1].PathLost())
@@ -218,7 +218,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		for _, way := range d.ways {
-			way.fault.Store(open)
+			way.fault.Store(faultNone)
 		}
 		is.NoErr(appendOne(ctx, d.relays[0], "back", 50*time.Millisecond))
 		stored, err := texts(ctx, d.relays[1])
