--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -34,7 +34,7 @@
 
 const (
 	faultNone int32 = iota
-	silent
+	faultSilent
 	refused
 	throttled
 )
@@ -42,7 +42,7 @@
 // meet lets the way's fault befall a call.
 func (c *faultyJournal) meet(ctx context.Context) error {
 	switch c.fault.Load() {
-	case silent:
+	case faultSilent:
 		<-ctx.Done()
 		return errors.Wrap(journal.ErrUnknown, "silent")
 	case refused:
@@ -169,7 +169,7 @@
 // they owned stood still. A store may throttle a single machine for seconds as well, so that
 // results of a batch were not listed; one whose rate is exceeded serves most calls.
 func TestADaemonThatIsCutOffGoesOnThroughAnother(t *testing.T) {
-	for _, fault := range []int32{silent, refused, throttled} {
+	for _, fault := range []int32{faultSilent, refused, throttled} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			ctx, cancel := context.WithCancel(t.Context())
