--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -110,7 +110,7 @@
 		name := fmt.Sprintf("%c%02d", 'a'+i/zone, i%zone)
 		way := &faultyJournal{Journal: d.store}
 		if i < refusedOf {
-			way.fault.Store(refused)
+			way.fault.Store(faultRefused)
 		}
 		in, out := &line{bytesPerSecond: bytesPerSecond}, &line{bytesPerSecond: bytesPerSecond}
 		relayed := New(journal.Revive(far{way, ctx, in}, zap.NewNop()), Options{Name: name, Zone: name[:1], Address: name}, zap.NewNop())
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -35,7 +35,7 @@
 const (
 	faultNone int32 = iota
 	faultSilent
-	refused
+	faultRefused
 	throttled
 )
 
@@ -45,7 +45,7 @@
 	case faultSilent:
 		<-ctx.Done()
 		return errors.Wrap(journal.ErrUnknown, "silent")
-	case refused:
+	case faultRefused:
 		return &journal.UnavailableError{Reason: "refused"}
 	case throttled:
 		return &journal.ThrottledError{Reason: "throttled"}
@@ -169,7 +169,7 @@
 // they owned stood still. A store may throttle a single machine for seconds as well, so that
 // results of a batch were not listed; one whose rate is exceeded serves most calls.
 func TestADaemonThatIsCutOffGoesOnThroughAnother(t *testing.T) {
-	for _, fault := range []int32{faultSilent, refused, throttled} {
+	for _, fault := range []int32{faultSilent, faultRefused, throttled} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			ctx, cancel := context.WithCancel(t.Context())
@@ -208,7 +208,7 @@
 		defer cancel()
 		d := newDaemons(ctx, t, 3)
 		for _, way := range d.ways {
-			way.fault.Store(refused)
+			way.fault.Store(faultRefused)
 		}
 		for range 20 {
 			for _, relayed := range d.relays {
@@ -235,7 +235,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		d := newDaemons(ctx, t, 2)
-		d.ways[0].fault.Store(refused)
+		d.ways[0].fault.Store(faultRefused)
 		untilLost(ctx, d.relays[0])
 		start := int64(0)
 		empty := journal.Partition{Topic: "empty"}
