--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -36,7 +36,7 @@
 	faultNone int32 = iota
 	faultSilent
 	faultRefused
-	throttled
+	faultThrottled
 )
 
 // meet lets the way's fault befall a call.
@@ -47,7 +47,7 @@
 		return errors.Wrap(journal.ErrUnknown, "silent")
 	case faultRefused:
 		return &journal.UnavailableError{Reason: "refused"}
-	case throttled:
+	case faultThrottled:
 		return &journal.ThrottledError{Reason: "throttled"}
 	}
 	return nil
@@ -169,7 +169,7 @@
 // they owned stood still. A store may throttle a single machine for seconds as well, so that
 // results of a batch were not listed; one whose rate is exceeded serves most calls.
 func TestADaemonThatIsCutOffGoesOnThroughAnother(t *testing.T) {
-	for _, fault := range []int32{faultSilent, faultRefused, throttled} {
+	for _, fault := range []int32{faultSilent, faultRefused, faultThrottled} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			ctx, cancel := context.WithCancel(t.Context())
