--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -39,8 +39,8 @@
 	faultThrottled
 )
 
-// meet lets the way's fault befall a call.
-func (c *faultyJournal) meet(ctx context.Context) error {
+// applyFault lets the way's fault befall a call.
+func (c *faultyJournal) applyFault(ctx context.Context) error {
 	switch c.fault.Load() {
 	case faultSilent:
 		<-ctx.Done()
@@ -54,30 +54,30 @@
 }
 
 func (c *faultyJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
-	if err := c.meet(ctx); err != nil {
+	if err := c.applyFault(ctx); err != nil {
 		return journal.Appended{}, err
 	}
 	if periodic.Pause(ctx, time.Duration(c.appendDelay.Load())); ctx.Err() != nil {
 		return journal.Appended{}, errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
 	}
 	appended, err := c.Journal.Append(ctx, request)
-	return appended, either(err, c.meet(ctx))
+	return appended, either(err, c.applyFault(ctx))
 }
 
 func (c *faultyJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
-	if err := c.meet(ctx); err != nil {
+	if err := c.applyFault(ctx); err != nil {
 		return journal.Records{}, err
 	}
 	read, err := c.Journal.Read(ctx, request)
-	return read, either(err, c.meet(ctx))
+	return read, either(err, c.applyFault(ctx))
 }
 
 func (c *faultyJournal) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
-	if err := c.meet(ctx); err != nil {
+	if err := c.applyFault(ctx); err != nil {
 		return journal.KeyedPage{}, err
 	}
 	page, err := c.Journal.Newest(ctx, partition, afterKey)
-	return page, either(err, c.meet(ctx))
+	return page, either(err, c.applyFault(ctx))
 }
 
 // either returns the first of two errors: a call that was under way when the way was
