--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -61,7 +61,7 @@
 		return journal.Appended{}, errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
 	}
 	appended, err := c.Journal.Append(ctx, request)
-	return appended, either(err, c.applyFault(ctx))
+	return appended, firstError(err, c.applyFault(ctx))
 }
 
 func (c *faultyJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
@@ -69,7 +69,7 @@
 		return journal.Records{}, err
 	}
 	read, err := c.Journal.Read(ctx, request)
-	return read, either(err, c.applyFault(ctx))
+	return read, firstError(err, c.applyFault(ctx))
 }
 
 func (c *faultyJournal) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
@@ -77,12 +77,12 @@
 		return journal.KeyedPage{}, err
 	}
 	page, err := c.Journal.Newest(ctx, partition, afterKey)
-	return page, either(err, c.applyFault(ctx))
+	return page, firstError(err, c.applyFault(ctx))
 }
 
-// either returns the first of two errors: a call that was under way when the way was
-// cut gets no answer either.
-func either(first, second error) error {
+// firstError returns the first of two errors: a call that was under way when the way was
+// cut gets no answer firstError.
+func firstError(first, second error) error {
 	if first != nil {
 		return first
 	}
