--- a/internal/journal/relay/drain_test.go
+++ b/internal/journal/relay/drain_test.go
@@ -19,9 +19,9 @@
 		defer cancel()
 		d := newDaemons(ctx, t, 3)
 		asker, stopping := d.relays[0], d.relays[1]
-		d.ways[0].fault.Store(faultSilent)
+		d.ownPaths[0].fault.Store(faultSilent)
 		untilLost(ctx, asker)
-		d.ways[1].appendDelay.Store(int64(300 * time.Millisecond))
+		d.ownPaths[1].appendDelay.Store(int64(300 * time.Millisecond))
 		asker.peers.mu.Lock()
 		asker.peers.preferred = "b"
 		asker.peers.mu.Unlock()
@@ -54,9 +54,9 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		d := newDaemons(ctx, t, 2)
-		d.ways[0].fault.Store(faultSilent)
+		d.ownPaths[0].fault.Store(faultSilent)
 		untilLost(ctx, d.relays[0])
-		d.ways[1].appendDelay.Store(int64(time.Minute))
+		d.ownPaths[1].appendDelay.Store(int64(time.Minute))
 		go func() { _ = appendOne(ctx, d.relays[0], "never", time.Second) }() // it is given up
 		time.Sleep(100 * time.Millisecond)
 		bounded, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -115,7 +115,7 @@
 		in, out := &line{bytesPerSecond: bytesPerSecond}, &line{bytesPerSecond: bytesPerSecond}
 		relayed := New(journal.Revive(far{way, ctx, in}, zap.NewNop()), Options{Name: name, Zone: name[:1], Address: name}, zap.NewNop())
 		reached.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return newLinedConn(ctx, conn, out) })
-		d.ways, d.relays = append(d.ways, way), append(d.relays, relayed)
+		d.ownPaths, d.relays = append(d.ownPaths, way), append(d.relays, relayed)
 	}
 	return d
 }
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -92,9 +92,9 @@
 // daemons are some that reach each other over pipes, each with its own way to one
 // journal.
 type daemons struct {
-	store  *journaltest.Journal
-	ways   []*faultyJournal
-	relays []*Journal
+	store    *journaltest.Journal
+	ownPaths []*faultyJournal
+	relays   []*Journal
 }
 
 // pipes are the servers of daemons that reach each other over pipes, by name.
@@ -122,7 +122,7 @@
 		way := &faultyJournal{Journal: d.store}
 		relayed := New(way, Options{Name: name, Zone: "z", Address: name}, zap.NewNop())
 		reached.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return conn })
-		d.ways, d.relays = append(d.ways, way), append(d.relays, relayed)
+		d.ownPaths, d.relays = append(d.ownPaths, way), append(d.relays, relayed)
 	}
 	for _, relayed := range d.relays {
 		go relayed.Run(ctx)
@@ -176,7 +176,7 @@
 			defer cancel()
 			d := newDaemons(ctx, t, 3)
 			is.NoErr(appendOne(ctx, d.relays[0], "before", time.Second))
-			d.ways[0].fault.Store(fault)
+			d.ownPaths[0].fault.Store(fault)
 			// The loss shows within a second, whatever the daemon does meanwhile.
 			untilLost(ctx, d.relays[0])
 			is.NoErr(appendOne(ctx, d.relays[0], "through another", 200*time.Millisecond))
@@ -184,11 +184,11 @@
 			is.NoErr(err)
 			is.Equal(stored, []string{"before", "through another"})
 			// Two that are cut off tell each other so, and both go through the third.
-			d.ways[1].fault.Store(fault)
+			d.ownPaths[1].fault.Store(fault)
 			untilLost(ctx, d.relays[1])
 			is.NoErr(appendOne(ctx, d.relays[0], "a", 200*time.Millisecond))
 			is.NoErr(appendOne(ctx, d.relays[1], "b", 200*time.Millisecond))
-			d.ways[0].fault.Store(faultNone)
+			d.ownPaths[0].fault.Store(faultNone)
 			time.Sleep(2 * probeInterval)
 			is.True(!d.relays[0].PathLost())
 			is.True(d.relays[1].PathLost())
@@ -207,7 +207,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		d := newDaemons(ctx, t, 3)
-		for _, way := range d.ways {
+		for _, way := range d.ownPaths {
 			way.fault.Store(faultRefused)
 		}
 		for range 20 {
@@ -217,7 +217,7 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		for _, way := range d.ways {
+		for _, way := range d.ownPaths {
 			way.fault.Store(faultNone)
 		}
 		is.NoErr(appendOne(ctx, d.relays[0], "back", 50*time.Millisecond))
@@ -235,7 +235,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		d := newDaemons(ctx, t, 2)
-		d.ways[0].fault.Store(faultRefused)
+		d.ownPaths[0].fault.Store(faultRefused)
 		untilLost(ctx, d.relays[0])
 		start := int64(0)
 		empty := journal.Partition{Topic: "empty"}
