--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -105,7 +105,7 @@
 // newLined returns daemons of two zones behind links, of which the first in the first zone
 // have lost their own path.
 func newLined(ctx context.Context, t *testing.T, store *journaltest.Journal, zone, refusedOf int, bytesPerSecond float64) *daemons {
-	d, reached := &daemons{store: store}, pipes{}
+	d, reached := &daemons{store: store}, pipeNetwork{}
 	for i := range 2 * zone {
 		name := fmt.Sprintf("%c%02d", 'a'+i/zone, i%zone)
 		way := &faultyJournal{Journal: d.store}
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -97,11 +97,11 @@
 	relays   []*Journal
 }
 
-// pipes are the servers of daemons that reach each other over pipes, by name.
-type pipes map[string]func(net.Conn)
+// pipeNetwork are the servers of daemons that reach each other over pipeNetwork, by name.
+type pipeNetwork map[string]func(net.Conn)
 
 // add has a daemon reach the others, and they it; wrap gives its own end of a connection to it.
-func (p pipes) add(ctx context.Context, t *testing.T, relayed *Journal, wrap func(net.Conn) net.Conn) {
+func (p pipeNetwork) add(ctx context.Context, t *testing.T, relayed *Journal, wrap func(net.Conn) net.Conn) {
 	t.Helper()
 	server, err := relayed.server(ctx)
 	if err != nil {
@@ -116,7 +116,7 @@
 }
 
 func newDaemons(ctx context.Context, t *testing.T, count int) *daemons {
-	d, reached := &daemons{store: journaltest.New()}, pipes{}
+	d, reached := &daemons{store: journaltest.New()}, pipeNetwork{}
 	for i := range count {
 		name := string(rune('a' + i))
 		way := &faultyJournal{Journal: d.store}
