--- a/internal/journal/relay/drain_test.go
+++ b/internal/journal/relay/drain_test.go
@@ -41,7 +41,7 @@
 		took := (<-drained).Sub(began)
 		is.True(took >= 200*time.Millisecond) // the append's rest
 		is.True(took <= time.Second)          // that of a read which is held for the peer
-		stored, err := texts(ctx, d.relays[2])
+		stored, err := storedTexts(ctx, d.relays[2])
 		is.NoErr(err)
 		is.Equal(stored, []string{"meanwhile", "under way"})
 	})
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -143,8 +143,8 @@
 // of them may go through a peer already.
 const beforeLoss = "before the loss shows"
 
-// texts returns the records, but for those appended until a loss had shown.
-func texts(ctx context.Context, log journal.Journal) ([]string, error) {
+// storedTexts returns the records, but for those appended until a loss had shown.
+func storedTexts(ctx context.Context, log journal.Journal) ([]string, error) {
 	read, err := log.Read(ctx, journal.Read{Partition: records})
 	var stored []string
 	for _, record := range read.Records {
@@ -180,7 +180,7 @@
 			// The loss shows within a second, whatever the daemon does meanwhile.
 			untilLost(ctx, d.relays[0])
 			is.NoErr(appendOne(ctx, d.relays[0], "through another", 200*time.Millisecond))
-			stored, err := texts(ctx, d.relays[0])
+			stored, err := storedTexts(ctx, d.relays[0])
 			is.NoErr(err)
 			is.Equal(stored, []string{"before", "through another"})
 			// Two that are cut off tell each other so, and both go through the third.
@@ -221,7 +221,7 @@
 			way.fault.Store(faultNone)
 		}
 		is.NoErr(appendOne(ctx, d.relays[0], "back", 50*time.Millisecond))
-		stored, err := texts(ctx, d.relays[1])
+		stored, err := storedTexts(ctx, d.relays[1])
 		is.NoErr(err)
 		is.Equal(stored, []string{"back"})
 	})
