--- a/internal/journal/relay/drain_test.go
+++ b/internal/journal/relay/drain_test.go
@@ -20,7 +20,7 @@
 		d := newDaemons(ctx, t, 3)
 		asker, stopping := d.relays[0], d.relays[1]
 		d.ownPaths[0].fault.Store(faultSilent)
-		untilLost(ctx, asker)
+		waitForLoss(ctx, asker)
 		d.ownPaths[1].appendDelay.Store(int64(300 * time.Millisecond))
 		asker.peers.mu.Lock()
 		asker.peers.preferred = "b"
@@ -55,7 +55,7 @@
 		defer cancel()
 		d := newDaemons(ctx, t, 2)
 		d.ownPaths[0].fault.Store(faultSilent)
-		untilLost(ctx, d.relays[0])
+		waitForLoss(ctx, d.relays[0])
 		d.ownPaths[1].appendDelay.Store(int64(time.Minute))
 		go func() { _ = appendOne(ctx, d.relays[0], "never", time.Second) }() // it is given up
 		time.Sleep(100 * time.Millisecond)
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -155,8 +155,8 @@
 	return stored, err
 }
 
-// untilLost appends until a daemon's own path counts as lost.
-func untilLost(ctx context.Context, relayed *Journal) {
+// waitForLoss appends until a daemon's own path counts as lost.
+func waitForLoss(ctx context.Context, relayed *Journal) {
 	for !relayed.PathLost() {
 		_ = appendOne(ctx, relayed, beforeLoss, 300*time.Millisecond) // its outcome is not the point
 		time.Sleep(50 * time.Millisecond)
@@ -178,14 +178,14 @@
 			is.NoErr(appendOne(ctx, d.relays[0], "before", time.Second))
 			d.ownPaths[0].fault.Store(fault)
 			// The loss shows within a second, whatever the daemon does meanwhile.
-			untilLost(ctx, d.relays[0])
+			waitForLoss(ctx, d.relays[0])
 			is.NoErr(appendOne(ctx, d.relays[0], "through another", 200*time.Millisecond))
 			stored, err := storedTexts(ctx, d.relays[0])
 			is.NoErr(err)
 			is.Equal(stored, []string{"before", "through another"})
 			// Two that are cut off tell each other so, and both go through the third.
 			d.ownPaths[1].fault.Store(fault)
-			untilLost(ctx, d.relays[1])
+			waitForLoss(ctx, d.relays[1])
 			is.NoErr(appendOne(ctx, d.relays[0], "a", 200*time.Millisecond))
 			is.NoErr(appendOne(ctx, d.relays[1], "b", 200*time.Millisecond))
 			d.ownPaths[0].fault.Store(faultNone)
@@ -236,7 +236,7 @@
 		defer cancel()
 		d := newDaemons(ctx, t, 2)
 		d.ownPaths[0].fault.Store(faultRefused)
-		untilLost(ctx, d.relays[0])
+		waitForLoss(ctx, d.relays[0])
 		start := int64(0)
 		empty := journal.Partition{Topic: "empty"}
 		conditional := journal.Append{Partition: empty, Records: [][]byte{[]byte("x")}, ExpectedEnd: &start}
