--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -139,16 +139,16 @@
 	return err
 }
 
-// beforeLoss is the text of records that are appended until the loss has shown. The last
+// lossProbeText is the text of records that are appended until the loss has shown. The last
 // of them may go through a peer already.
-const beforeLoss = "before the loss shows"
+const lossProbeText = "before the loss shows"
 
 // storedTexts returns the records, but for those appended until a loss had shown.
 func storedTexts(ctx context.Context, log journal.Journal) ([]string, error) {
 	read, err := log.Read(ctx, journal.Read{Partition: records})
 	var stored []string
 	for _, record := range read.Records {
-		if text := string(record); text != beforeLoss {
+		if text := string(record); text != lossProbeText {
 			stored = append(stored, text)
 		}
 	}
@@ -158,7 +158,7 @@
 // waitForLoss appends until a daemon's own path counts as lost.
 func waitForLoss(ctx context.Context, relayed *Journal) {
 	for !relayed.PathLost() {
-		_ = appendOne(ctx, relayed, beforeLoss, 300*time.Millisecond) // its outcome is not the point
+		_ = appendOne(ctx, relayed, lossProbeText, 300*time.Millisecond) // its outcome is not the point
 		time.Sleep(50 * time.Millisecond)
 	}
 }
@@ -212,7 +212,7 @@
 		}
 		for range 20 {
 			for _, relayed := range d.relays {
-				err := appendOne(ctx, relayed, beforeLoss, 300*time.Millisecond)
+				err := appendOne(ctx, relayed, lossProbeText, 300*time.Millisecond)
 				is.True(errors.Is(err, journal.ErrNotDone) || errors.Is(err, journal.ErrUnknown))
 			}
 			time.Sleep(50 * time.Millisecond)
