--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -168,7 +168,7 @@
 // daemons were once answered 504 after 1.57 s, each of the trainer's tries, and batches that
 // they owned stood still. A store may throttle a single machine for seconds as well, so that
 // results of a batch were not listed; one whose rate is exceeded serves most calls.
-func TestADaemonThatIsCutOffGoesOnThroughAnother(t *testing.T) {
+func TestADaemonThatLostItsPathCallsThroughAPeer(t *testing.T) {
 	for _, fault := range []int32{faultSilent, faultRefused, faultThrottled} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
