--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -201,7 +201,7 @@
 
 // In an outage of the whole store nobody helps: calls take the own way, and so go
 // through as soon as the store is back.
-func TestAnOutageOfTheWholeStoreIsWaitedFor(t *testing.T) {
+func TestCallsSucceedWhenAStoreOutageEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
