--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -229,7 +229,7 @@
 
 // A conditional append keeps its condition on the way, also one on offset 0, and what
 // it meets is told as by the journal itself.
-func TestAnswersAreToldAsTheyAre(t *testing.T) {
+func TestRelayedAnswersEqualDirectOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
