--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -259,7 +259,7 @@
 }
 
 // Errors come out of a reply as they went in.
-func TestErrorsSurviveTheWay(t *testing.T) {
+func TestErrorsSurviveEncoding(t *testing.T) {
 	is := is.New(t)
 	for _, cause := range []error{
 		&journal.TrimmedError{First: 7}, &journal.UnavailableError{Reason: "x"},
