--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -280,7 +280,7 @@
 
 // A path is lost only after overdueAfter without any answer, or refusals in a row, and
 // any answer brings it back, in whatever order calls begin and end.
-func TestThePathIsLostOnlyAfterSilence(t *testing.T) {
+func TestThePathIsLostOnlyAfterSilenceOrRefusals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		p := newPath(now)
