--- a/internal/journal/relay/path_test.go
+++ b/internal/journal/relay/path_test.go
@@ -11,7 +11,7 @@
 
 // A store whose rate is exceeded throttles some calls of every daemon: the path stands
 // as long as others are answered, since a peer's calls would be throttled no less.
-func TestAStoreThatIsBusyIsNoLostPath(t *testing.T) {
+func TestSomeThrottledCallsDoNotLoseThePath(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	p := newPath(now)
