--- a/internal/journal/relay/flood_test.go
+++ b/internal/journal/relay/flood_test.go
@@ -13,7 +13,7 @@
 
 // Where the store is busy, each call to each peer ended in a line: 143 a second of one
 // daemon, and more than half of all lines of a day.
-func TestTurnsFromManyPeersAreSummed(t *testing.T) {
+func TestSuspensionsAreLoggedAsSummaries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		core, logged := observer.New(zapcore.InfoLevel)
