--- a/internal/journal/relay/drain_test.go
+++ b/internal/journal/relay/drain_test.go
@@ -12,7 +12,7 @@
 // A daemon that stopped as planned ended the calls that it was making for a peer: the
 // peer's appends were of unknown outcome, and a keyed request that had claimed its key by
 // one could not be sent. Those under way are finished, and new ones are sent elsewhere.
-func TestAPlannedStopFinishesTheCallsOfPeers(t *testing.T) {
+func TestDrainFinishesTheCallsOfPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
