--- a/internal/journal/relay/drain_test.go
+++ b/internal/journal/relay/drain_test.go
@@ -48,7 +48,7 @@
 }
 
 // A drain ends with its context, whatever is under way.
-func TestADrainIsBounded(t *testing.T) {
+func TestDrainEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
