--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -50,7 +50,7 @@
 
 // One daemon is asked by name; one that can't be reached is left alone for a while, one
 // that refuses is not.
-func TestAPeerIsAskedByName(t *testing.T) {
+func TestAskSuspendsOnlyUnreachablePeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
