--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -114,7 +114,7 @@
 // for 3 s. In a restart of all daemons in turn each of them did so with each other one,
 // and questions about batches went to the journal, two at a time. A call that was not
 // sent as its connection had ended is sent on a new one.
-func TestAPeerThatWasRestartedIsAskedAtOnce(t *testing.T) {
+func TestAskReconnectsToARestartedPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
