--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -135,7 +135,7 @@
 // Two calls were under way when their connection broke. The first one to notice gave it
 // up and made another; the second one then gave up that one, with the calls on it. A call
 // gives up the connection that it was made on.
-func TestABrokenCallLeavesALaterConnectionAlone(t *testing.T) {
+func TestDiscardKeepsANewerConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		server := rpc.NewServer()
