--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -171,7 +171,7 @@
 // closed it as well. net/rpc then tells the calls under way the same as one that was never
 // sent: an append that a peer was making counted as not made, which callers hear as a
 // promise that their batch will not run. A call that was sent is of unknown outcome.
-func TestACallUnderWayIsNeverToldAsNotSent(t *testing.T) {
+func TestASentCallNeverFailsWithErrNotReached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
