--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -198,7 +198,7 @@
 
 // A caller gave a call up while a connection to a peer was being made. Each peer that was due then
 // counted as not reached and was left alone for 3 s, although nothing was known against it.
-func TestACancelledCallLeavesItsPeersInUse(t *testing.T) {
+func TestACancelledCallDoesNotSuspendPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPeers(Options{Name: "a"}, zap.NewNop())
