--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -155,11 +155,11 @@
 	})
 }
 
-// ending is a connection whose reads end with io.EOF also where this side closes it, as
+// eofConn is a connection whose reads end with io.EOF also where this side closes it, as
 // they do where the other side does so at the same moment.
-type ending struct{ net.Conn }
+type eofConn struct{ net.Conn }
 
-func (e ending) Read(into []byte) (int, error) {
+func (e eofConn) Read(into []byte) (int, error) {
 	n, err := e.Conn.Read(into)
 	if err != nil {
 		err = io.EOF
@@ -182,7 +182,7 @@
 			dials++
 			near, far := net.Pipe()
 			go func() { _, _ = io.Copy(io.Discard, far) }() // it takes the call and says nothing
-			return ending{near}, nil
+			return eofConn{near}, nil
 		}
 		failed := make(chan error, 1)
 		answer := ""
