--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -82,15 +82,15 @@
 	})
 }
 
-// restartable is a peer whose process ends and starts again at the same address.
-type restartable struct {
+// restartablePeer is a peer whose process ends and starts again at the same address.
+type restartablePeer struct {
 	server *rpc.Server
 	mu     sync.Mutex
 	conns  []net.Conn
 	dials  int
 }
 
-func (r *restartable) dial(context.Context, string) (net.Conn, error) {
+func (r *restartablePeer) dial(context.Context, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,7 +100,7 @@
 }
 
 // restart ends the connections, as the end of a process does.
-func (r *restartable) restart() {
+func (r *restartablePeer) restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, conn := range r.conns {
@@ -120,7 +120,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		d, server := newEcho(ctx, t)
-		peer := &restartable{server: server}
+		peer := &restartablePeer{server: server}
 		d.relays[0].peers.dial = peer.dial
 		answer := ""
 		is.NoErr(d.relays[0].Ask(ctx, "b", "Echo.Say", "hello", &answer))
@@ -140,7 +140,7 @@
 		is := is.New(t)
 		server := rpc.NewServer()
 		is.NoErr(server.RegisterName("Echo", Echo{}))
-		remote := &restartable{server: server}
+		remote := &restartablePeer{server: server}
 		asked := &peer{Address: "b"}
 		before, err := asked.connect(t.Context(), remote.dial)
 		is.NoErr(err)
