--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// newEcho returns two daemons, and a server of the second that has Echo.
-func newEcho(ctx context.Context, t *testing.T) (*daemons, *rpc.Server) {
+// newEchoDaemons returns two daemons, and a server of the second that has Echo.
+func newEchoDaemons(ctx context.Context, t *testing.T) (*daemons, *rpc.Server) {
 	t.Helper()
 	d := newDaemons(ctx, t, 2)
 	d.relays[1].Register("Echo", Echo{})
@@ -55,7 +55,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		d, server := newEcho(ctx, t)
+		d, server := newEchoDaemons(ctx, t)
 		dials, reachable := 0, true
 		d.relays[0].peers.dial = func(context.Context, string) (net.Conn, error) {
 			dials++
@@ -119,7 +119,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		d, server := newEcho(ctx, t)
+		d, server := newEchoDaemons(ctx, t)
 		peer := &restartablePeer{server: server}
 		d.relays[0].peers.dial = peer.dial
 		answer := ""
--- a/internal/journal/relay/lostpeer_test.go
+++ b/internal/journal/relay/lostpeer_test.go
@@ -17,7 +17,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		d, server := newEcho(ctx, t)
+		d, server := newEchoDaemons(ctx, t)
 		d.relays[0].peers.dial = func(context.Context, string) (net.Conn, error) { return pipeTo(server), nil }
 		d.relays[0].peers.suspend("b", lostRest, "has lost the journal as well", nil)
 		answer := ""
