--- a/internal/journal/relay/neighbours_test.go
+++ b/internal/journal/relay/neighbours_test.go
@@ -32,7 +32,7 @@
 				wanted--
 			}
 			if wanted > 0 {
-				is.Equal(reached(next, daemonName(0), gone), wanted)
+				is.Equal(countReached(next, daemonName(0), gone), wanted)
 			}
 		}
 	}
@@ -40,8 +40,8 @@
 
 func daemonName(i int) string { return fmt.Sprintf("d%04d", i) }
 
-// reached counts the daemons that learn what the first tells.
-func reached(next map[string][]string, first, gone string) int {
+// countReached counts the daemons that learn what the first tells.
+func countReached(next map[string][]string, first, gone string) int {
 	if first == gone {
 		return 0
 	}
