--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -19,8 +19,8 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// line is one direction of a machine's link: those who send over it have their turn part by part.
-type line struct {
+// link is one direction of a machine's link: those who send over it have their turn part by part.
+type link struct {
 	bytesPerSecond float64
 
 	mu        sync.Mutex
@@ -30,7 +30,7 @@
 // part is how much is sent in one turn.
 const part = 16 << 10
 
-func (l *line) take(bytes int) time.Duration {
+func (l *link) take(bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now := time.Now(); l.busyUntil.Before(now) {
@@ -41,7 +41,7 @@
 }
 
 // carry returns when bytes have been sent, whoever still awaits them, or when the test ends.
-func (l *line) carry(ctx context.Context, bytes int) {
+func (l *link) carry(ctx context.Context, bytes int) {
 	for ; bytes > 0 && ctx.Err() == nil; bytes -= part {
 		periodic.Pause(ctx, l.take(min(bytes, part)))
 	}
@@ -54,7 +54,7 @@
 	writes chan []byte
 }
 
-func newLinedConn(ctx context.Context, conn net.Conn, out *line) lined {
+func newLinedConn(ctx context.Context, conn net.Conn, out *link) lined {
 	l := lined{conn, make(chan []byte, 1<<16)}
 	go func() {
 		for {
@@ -80,7 +80,7 @@
 	*faultyJournal
 	// ctx ends with the test.
 	ctx context.Context
-	in  *line
+	in  *link
 }
 
 func (f far) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
@@ -112,7 +112,7 @@
 		if i < refusedOf {
 			way.fault.Store(faultRefused)
 		}
-		in, out := &line{bytesPerSecond: bytesPerSecond}, &line{bytesPerSecond: bytesPerSecond}
+		in, out := &link{bytesPerSecond: bytesPerSecond}, &link{bytesPerSecond: bytesPerSecond}
 		relayed := New(journal.Revive(far{way, ctx, in}, zap.NewNop()), Options{Name: name, Zone: name[:1], Address: name}, zap.NewNop())
 		reached.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return newLinedConn(ctx, conn, out) })
 		d.ownPaths, d.relays = append(d.ownPaths, way), append(d.relays, relayed)
