--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -27,8 +27,8 @@
 	busyUntil time.Time
 }
 
-// part is how much is sent in one turn.
-const part = 16 << 10
+// chunkBytes is how much is sent in one turn.
+const chunkBytes = 16 << 10
 
 func (l *link) take(bytes int) time.Duration {
 	l.mu.Lock()
@@ -42,8 +42,8 @@
 
 // carry returns when bytes have been sent, whoever still awaits them, or when the test ends.
 func (l *link) carry(ctx context.Context, bytes int) {
-	for ; bytes > 0 && ctx.Err() == nil; bytes -= part {
-		periodic.Pause(ctx, l.take(min(bytes, part)))
+	for ; bytes > 0 && ctx.Err() == nil; bytes -= chunkBytes {
+		periodic.Pause(ctx, l.take(min(bytes, chunkBytes)))
 	}
 }
 
