--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -30,7 +30,7 @@
 // chunkBytes is how much is sent in one turn.
 const chunkBytes = 16 << 10
 
-func (l *link) take(bytes int) time.Duration {
+func (l *link) reserve(bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now := time.Now(); l.busyUntil.Before(now) {
@@ -43,7 +43,7 @@
 // carry returns when bytes have been sent, whoever still awaits them, or when the test ends.
 func (l *link) carry(ctx context.Context, bytes int) {
 	for ; bytes > 0 && ctx.Err() == nil; bytes -= chunkBytes {
-		periodic.Pause(ctx, l.take(min(bytes, chunkBytes)))
+		periodic.Pause(ctx, l.reserve(min(bytes, chunkBytes)))
 	}
 }
 
