--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -40,8 +40,8 @@
 	return time.Until(l.busyUntil)
 }
 
-// carry returns when bytes have been sent, whoever still awaits them, or when the test ends.
-func (l *link) carry(ctx context.Context, bytes int) {
+// transmit returns when bytes have been sent, whoever still awaits them, or when the test ends.
+func (l *link) transmit(ctx context.Context, bytes int) {
 	for ; bytes > 0 && ctx.Err() == nil; bytes -= chunkBytes {
 		periodic.Pause(ctx, l.reserve(min(bytes, chunkBytes)))
 	}
@@ -60,7 +60,7 @@
 		for {
 			select {
 			case content := <-l.writes:
-				out.carry(ctx, len(content))
+				out.transmit(ctx, len(content))
 				_, _ = conn.Write(content) // Who reads sees that the connection has ended.
 			case <-ctx.Done():
 				return
@@ -91,7 +91,7 @@
 	}
 	sent := make(chan struct{})
 	go func() {
-		f.in.carry(f.ctx, bytes)
+		f.in.transmit(f.ctx, bytes)
 		close(sent)
 	}()
 	select {
