--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -47,15 +47,15 @@
 	}
 }
 
-// lined is a connection whose writes go over a line, one after the other. They return at once:
+// linkConn is a connection whose writes go over a line, one after the other. They return at once:
 // net/rpc holds a lock meanwhile, on which virtual time doesn't pass.
-type lined struct {
+type linkConn struct {
 	net.Conn
 	writes chan []byte
 }
 
-func newLinedConn(ctx context.Context, conn net.Conn, out *link) lined {
-	l := lined{conn, make(chan []byte, 1<<16)}
+func newLinedConn(ctx context.Context, conn net.Conn, out *link) linkConn {
+	l := linkConn{conn, make(chan []byte, 1<<16)}
 	go func() {
 		for {
 			select {
@@ -70,7 +70,7 @@
 	return l
 }
 
-func (l lined) Write(content []byte) (int, error) {
+func (l linkConn) Write(content []byte) (int, error) {
 	l.writes <- append([]byte(nil), content...)
 	return len(content), nil
 }
