--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -54,7 +54,7 @@
 	writes chan []byte
 }
 
-func newLinedConn(ctx context.Context, conn net.Conn, out *link) linkConn {
+func newLinkConn(ctx context.Context, conn net.Conn, out *link) linkConn {
 	l := linkConn{conn, make(chan []byte, 1<<16)}
 	go func() {
 		for {
@@ -114,7 +114,7 @@
 		}
 		in, out := &link{bytesPerSecond: bytesPerSecond}, &link{bytesPerSecond: bytesPerSecond}
 		relayed := New(journal.Revive(far{way, ctx, in}, zap.NewNop()), Options{Name: name, Zone: name[:1], Address: name}, zap.NewNop())
-		reached.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return newLinedConn(ctx, conn, out) })
+		reached.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return newLinkConn(ctx, conn, out) })
 		d.ownPaths, d.relays = append(d.ownPaths, way), append(d.relays, relayed)
 	}
 	return d
