--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -75,15 +75,15 @@
 	return len(content), nil
 }
 
-// far is a daemon's own path to the journal, over the line that comes in.
-type far struct {
+// linkedJournal is a daemon's own path to the journal, over the line that comes in.
+type linkedJournal struct {
 	*faultyJournal
 	// ctx ends with the test.
 	ctx context.Context
 	in  *link
 }
 
-func (f far) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+func (f linkedJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	read, err := f.faultyJournal.Read(ctx, request)
 	bytes := 0
 	for _, record := range read.Records {
@@ -113,7 +113,7 @@
 			way.fault.Store(faultRefused)
 		}
 		in, out := &link{bytesPerSecond: bytesPerSecond}, &link{bytesPerSecond: bytesPerSecond}
-		relayed := New(journal.Revive(far{way, ctx, in}, zap.NewNop()), Options{Name: name, Zone: name[:1], Address: name}, zap.NewNop())
+		relayed := New(journal.Revive(linkedJournal{way, ctx, in}, zap.NewNop()), Options{Name: name, Zone: name[:1], Address: name}, zap.NewNop())
 		reached.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return newLinkConn(ctx, conn, out) })
 		d.ownPaths, d.relays = append(d.ownPaths, way), append(d.relays, relayed)
 	}
