--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -79,8 +79,8 @@
 type linkedJournal struct {
 	*faultyJournal
 	// ctx ends with the test.
-	ctx context.Context
-	in  *link
+	ctx      context.Context
+	downlink *link
 }
 
 func (f linkedJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
@@ -91,7 +91,7 @@
 	}
 	sent := make(chan struct{})
 	go func() {
-		f.in.transmit(f.ctx, bytes)
+		f.downlink.transmit(f.ctx, bytes)
 		close(sent)
 	}()
 	select {
