--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// newLined returns daemons of two zones behind links, of which the first in the first zone
+// newLinkedDaemons returns daemons of two zones behind links, of which the first in the first zone
 // have lost their own path.
-func newLined(ctx context.Context, t *testing.T, store *journaltest.Journal, zone, refusedOf int, bytesPerSecond float64) *daemons {
+func newLinkedDaemons(ctx context.Context, t *testing.T, store *journaltest.Journal, zone, refusedOf int, bytesPerSecond float64) *daemons {
 	d, reached := &daemons{store: store}, pipeNetwork{}
 	for i := range 2 * zone {
 		name := fmt.Sprintf("%c%02d", 'a'+i/zone, i%zone)
@@ -192,7 +192,7 @@
 				store := journaltest.New()
 				store.RecordBytes = 256 << 10
 				fill(ctx, t, store, zone, each)
-				d := newLined(ctx, t, store, zone, zone-left, bytesPerSecond)
+				d := newLinkedDaemons(ctx, t, store, zone, zone-left, bytesPerSecond)
 				folds := d.follow(ctx, zone)
 				go configure(ctx, store)
 				began, learned := time.Now(), 0
