--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -120,8 +120,8 @@
 	return d
 }
 
-// fill puts batches of others into partitions, so many bytes each.
-func fill(ctx context.Context, t *testing.T, store *journaltest.Journal, partitions, bytes int) {
+// fillPartitions puts batches of others into partitions, so many bytes each.
+func fillPartitions(ctx context.Context, t *testing.T, store *journaltest.Journal, partitions, bytes int) {
 	const size = 64 << 10
 	var records [][]byte
 	for i := range bytes / size {
@@ -191,7 +191,7 @@
 				defer cancel()
 				store := journaltest.New()
 				store.RecordBytes = 256 << 10
-				fill(ctx, t, store, zone, each)
+				fillPartitions(ctx, t, store, zone, each)
 				d := newLinkedDaemons(ctx, t, store, zone, zone-left, bytesPerSecond)
 				folds := d.follow(ctx, zone)
 				go configure(ctx, store)
