--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// configurations is where one is written each second.
-var configurations = journal.Partition{Topic: journal.KeyedTopic("configurations")}
+// configurationPartition is where one is written each second.
+var configurationPartition = journal.Partition{Topic: journal.KeyedTopic("configurations")}
 
 // unheeded takes records and does nothing with them.
 type unheeded struct{}
@@ -147,7 +147,7 @@
 func configure(ctx context.Context, store *journaltest.Journal) {
 	periodic.Every(ctx, time.Second, func(ctx context.Context) {
 		record := journal.EncodeKeyed("c", make([]byte, 4096))
-		_, _ = store.Append(ctx, journal.Append{Partition: configurations, Records: [][]byte{record}}) // It never fails here.
+		_, _ = store.Append(ctx, journal.Append{Partition: configurationPartition, Records: [][]byte{record}}) // It never fails here.
 	})
 }
 
@@ -161,7 +161,7 @@
 			}
 		}
 		go relayed.Run(ctx)
-		go journal.NewKeyedFollower(relayed, configurations, unheeded{}, 3*time.Second, zap.NewNop()).Run(ctx)
+		go journal.NewKeyedFollower(relayed, configurationPartition, unheeded{}, 3*time.Second, zap.NewNop()).Run(ctx)
 		if i < zone {
 			fold := ledger.New(ctx, relayed, zap.NewNop()).Partition(journal.Partition{Topic: "p", Number: i})
 			fold.Follow()
