--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -137,11 +137,11 @@
 // configurationPartition is where one is written each second.
 var configurationPartition = journal.Partition{Topic: journal.KeyedTopic("configurations")}
 
-// unheeded takes records and does nothing with them.
-type unheeded struct{}
+// discardHandler takes records and does nothing with them.
+type discardHandler struct{}
 
-func (unheeded) Reset([]journal.KeyedRecord) {}
-func (unheeded) Apply(journal.KeyedRecord)   {}
+func (discardHandler) Reset([]journal.KeyedRecord) {}
+func (discardHandler) Apply(journal.KeyedRecord)   {}
 
 // configure writes a configuration each second.
 func configure(ctx context.Context, store *journaltest.Journal) {
@@ -161,7 +161,7 @@
 			}
 		}
 		go relayed.Run(ctx)
-		go journal.NewKeyedFollower(relayed, configurationPartition, unheeded{}, 3*time.Second, zap.NewNop()).Run(ctx)
+		go journal.NewKeyedFollower(relayed, configurationPartition, discardHandler{}, 3*time.Second, zap.NewNop()).Run(ctx)
 		if i < zone {
 			fold := ledger.New(ctx, relayed, zap.NewNop()).Partition(journal.Partition{Topic: "p", Number: i})
 			fold.Follow()
