--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -143,8 +143,8 @@
 func (discardHandler) Reset([]journal.KeyedRecord) {}
 func (discardHandler) Apply(journal.KeyedRecord)   {}
 
-// configure writes a configuration each second.
-func configure(ctx context.Context, store *journaltest.Journal) {
+// writeConfigurations writes a configuration each second.
+func writeConfigurations(ctx context.Context, store *journaltest.Journal) {
 	periodic.Every(ctx, time.Second, func(ctx context.Context) {
 		record := journal.EncodeKeyed("c", make([]byte, 4096))
 		_, _ = store.Append(ctx, journal.Append{Partition: configurationPartition, Records: [][]byte{record}}) // It never fails here.
@@ -194,7 +194,7 @@
 				fillPartitions(ctx, t, store, zone, each)
 				d := newLinkedDaemons(ctx, t, store, zone, zone-left, bytesPerSecond)
 				folds := d.follow(ctx, zone)
-				go configure(ctx, store)
+				go writeConfigurations(ctx, store)
 				began, learned := time.Now(), 0
 				for learned < zone && time.Since(began) < servesAgain {
 					time.Sleep(100 * time.Millisecond)
