--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -151,9 +151,9 @@
 	})
 }
 
-// follow has each daemon know all others and follow the configurations, and those of the first
-// zone follow a partition each.
-func (d *daemons) follow(ctx context.Context, zone int) (folds []*ledger.Partition) {
+// startFollowers has each daemon know all others and startFollowers the configurations, and those of the first
+// zone startFollowers a partition each.
+func (d *daemons) startFollowers(ctx context.Context, zone int) (folds []*ledger.Partition) {
 	for i, relayed := range d.relays {
 		for _, other := range d.relays {
 			if other != relayed {
@@ -193,7 +193,7 @@
 				store.RecordBytes = 256 << 10
 				fillPartitions(ctx, t, store, zone, each)
 				d := newLinkedDaemons(ctx, t, store, zone, zone-left, bytesPerSecond)
-				folds := d.follow(ctx, zone)
+				folds := d.startFollowers(ctx, zone)
 				go writeConfigurations(ctx, store)
 				began, learned := time.Now(), 0
 				for learned < zone && time.Since(began) < servesAgain {
