--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -30,7 +30,7 @@
 	// unreachableRetryDelay, silentRest and lostRest are how long a peer is left alone that could
 	// not be reached, did not answer, or has lost the path itself.
 	unreachableRetryDelay = 3 * time.Second
-	silentRest            = time.Second
+	noAnswerRetryDelay    = time.Second
 	lostRest              = 500 * time.Millisecond
 )
 
@@ -162,7 +162,7 @@
 		p.suspend(name, unreachableRetryDelay, "not reached", err)
 		return err
 	default:
-		p.suspend(name, silentRest, "no answer", err)
+		p.suspend(name, noAnswerRetryDelay, "no answer", err)
 		return errors.Wrap(ErrNoAnswer, err.Error())
 	}
 }
