--- a/internal/journal/relay/flood_test.go
+++ b/internal/journal/relay/flood_test.go
@@ -23,7 +23,7 @@
 		}
 		const seconds, aSecond = 10, 140
 		for i := range seconds * aSecond {
-			p.suspend(daemonName(i%90), lostRest, "has lost the journal as well", nil)
+			p.suspend(daemonName(i%90), pathLostRetryDelay, "has lost the journal as well", nil)
 			time.Sleep(time.Second / aSecond)
 		}
 		time.Sleep(time.Minute)
--- a/internal/journal/relay/lostpeer_test.go
+++ b/internal/journal/relay/lostpeer_test.go
@@ -19,7 +19,7 @@
 		defer cancel()
 		d, server := newEchoDaemons(ctx, t)
 		d.relays[0].peers.dial = func(context.Context, string) (net.Conn, error) { return pipeTo(server), nil }
-		d.relays[0].peers.suspend("b", lostRest, "has lost the journal as well", nil)
+		d.relays[0].peers.suspend("b", pathLostRetryDelay, "has lost the journal as well", nil)
 		answer := ""
 		is.NoErr(d.relays[0].Ask(ctx, "b", "Echo.Say", "hello", &answer))
 	})
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -31,7 +31,7 @@
 	// not be reached, did not answer, or has lost the path itself.
 	unreachableRetryDelay = 3 * time.Second
 	noAnswerRetryDelay    = time.Second
-	lostRest              = 500 * time.Millisecond
+	pathLostRetryDelay    = 500 * time.Millisecond
 )
 
 // errNoPeer: no peer could make the call, and none has.
@@ -194,7 +194,7 @@
 			return reply{}, errors.Wrap(journal.ErrUnknown, err.Error())
 		}
 		if answer.Outcome == outcomePathLost {
-			p.suspend(name, lostRest, "has lost the journal as well", nil)
+			p.suspend(name, pathLostRetryDelay, "has lost the journal as well", nil)
 			continue
 		}
 		p.mu.Lock()
