--- a/internal/journal/relay/announce.go
+++ b/internal/journal/relay/announce.go
@@ -12,24 +12,28 @@
 )
 
 const (
-	// peersTopic is where daemons announce themselves.
+	// peersTopic is the keyed topic in which daemons publish the addresses of their relays.
 	peersTopic = "woodworks.peers"
-	// announceTimeout bounds one try to tell the others of this daemon.
-	announceTimeout    = time.Second
+	// announceTimeout bounds one attempt to publish this daemon's address.
+	announceTimeout = time.Second
+	// announceRetryDelay is the wait after a failed attempt.
 	announceRetryDelay = 200 * time.Millisecond
 )
 
-// PeersPartition is where daemons announce themselves.
+// PeersPartition holds the relay address and the zone of every daemon, keyed by the daemon's
+// name.
 var PeersPartition = journal.Partition{Topic: journal.KeyedTopic(peersTopic)}
 
-// PeersHandler returns the handler of the partition where daemons announce themselves.
+// PeersHandler returns the handler that maintains the list of peers. The caller must have a
+// follower of PeersPartition pass the records to it.
 func (j *Journal) PeersHandler() journal.KeyedHandler { return j.peers }
 
-// announce tells the others where this daemon's relay is, until that is certain.
+// announce publishes this daemon's address and zone in PeersPartition. It retries until the
+// append succeeds or the context ends.
 func (j *Journal) announce(ctx context.Context) {
 	encoded, err := cbor.Marshal(&peer{Address: j.options.Address, Zone: j.options.Zone})
 	if err != nil {
-		j.logger.Error("relay not announced", zap.Error(err))
+		j.logger.Error("failed to encode relay address", zap.Error(err))
 		return
 	}
 	record := journal.EncodeKeyed(j.options.Name, encoded)
@@ -38,8 +42,8 @@
 		if err == nil {
 			return
 		}
-		// It is tried again at once; that the journal does not answer is logged by Run.
-		j.logger.Debug("relay not announced yet", zap.Error(err))
+		// Debug level, because Run already logs the loss of the journal.
+		j.logger.Debug("failed to announce relay address, retrying", zap.Error(err))
 		periodic.Pause(ctx, announceRetryDelay)
 	}
 }
--- a/internal/journal/relay/ask.go
+++ b/internal/journal/relay/ask.go
@@ -7,40 +7,42 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of a call to one peer.
+// Errors of a call to a peer, for use with errors.Is.
 var (
-	// ErrNotReached: the call was not sent.
+	// ErrNotReached means that the call was not sent.
 	ErrNotReached = errors.New("relay: peer not reached")
-	// ErrNoAnswer: the call got no answer in time, or its connection broke; it may have run.
+	// ErrNoAnswer means that no answer came in time or that the connection broke. The peer may
+	// have executed the call.
 	ErrNoAnswer = errors.New("relay: no answer from the peer")
-	// ErrRefused: the peer answered with an error of its own.
+	// ErrRefused means that the peer answered with an error of its own.
 	ErrRefused = errors.New("relay: refused by the peer")
 )
 
-// Neighbours returns the machines to which this daemon passes on what all should learn:
-// in the ring of all names those 1, 2, 4, 8 and so on places ahead. If each daemon passes
-// news on to its own, all have it after as many steps as the number of daemons has binary
-// digits, and each keeps as many connections; a daemon that is gone is gone round.
+// Neighbours returns the names of the daemons to which this one forwards gossip: in the sorted
+// ring of all n daemons, those 1, 2, 4, 8 and so on places ahead. If every daemon forwards to its
+// neighbours, gossip reaches all daemons in as many steps as n has binary digits, and each daemon
+// needs at most as many connections. Gossip also reaches all others if one daemon has ended.
 func (j *Journal) Neighbours() []string {
 	names := j.peers.names()
-	own, _ := slices.BinarySearch(names, j.options.Name)
+	index, _ := slices.BinarySearch(names, j.options.Name)
 	var chosen []string
 	for ahead := 1; ahead <= len(names); ahead *= 2 {
-		// Names has all but this daemon, so that the next one stands in its place.
-		chosen = append(chosen, names[(own+ahead-1)%len(names)])
+		// names omits this daemon, so the next daemon in the ring has this daemon's index.
+		chosen = append(chosen, names[(index+ahead-1)%len(names)])
 	}
 	return chosen
 }
 
-// Register lets peers call the methods of a receiver, which are those of net/rpc, under
-// a name. It is called before Serve.
+// Register makes the exported methods of receiver, which must have the form that net/rpc
+// requires, callable by peers as name.Method. It must be called before Serve.
 func (j *Journal) Register(name string, receiver any) { j.receivers[name] = receiver }
 
-// Ask calls a method that another daemon has registered, named by its machine, and waits
-// for the answer until the context ends. A peer that could not be reached or did not
-// answer is left alone for a while: until then calls to it fail with ErrNotReached at once.
-// The error wraps ErrNotReached, ErrNoAnswer or ErrRefused. After one the answer must not be read,
-// as a late one may still be written to it.
+// Ask calls a method that the named daemon has registered and waits for the answer until the
+// context ends. A peer that cannot be reached or does not answer is suspended: further calls to
+// it fail with ErrNotReached at once until the suspension ends.
+//
+// The error wraps ErrNotReached, ErrNoAnswer or ErrRefused. After an error the caller must not
+// read answer, because a late answer may still be written to it.
 func (j *Journal) Ask(ctx context.Context, machine, method string, args, answer any) error {
 	if j.peers.getAvailable(machine) == nil {
 		return errors.Wrapf(ErrNotReached, "%q is not known, or did not answer a moment ago", machine)
--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -17,19 +17,20 @@
 	"woodworks/internal/journal"
 )
 
-// Echo is a service of a peer.
+// Echo is a receiver that a peer registers.
 type Echo struct{}
 
-// Say answers with the text, or refuses an empty one.
+// Say answers with the text, or with an error if the text is empty.
 func (Echo) Say(text string, answer *string) error {
 	if text == "" {
-		return errors.New("nothing to say")
+		return errors.New("empty text")
 	}
 	*answer = text
 	return nil
 }
 
-// newEchoDaemons returns two daemons, and a server of the second that has Echo.
+// newEchoDaemons returns two daemons and the RPC server of the second, on which Echo is
+// registered.
 func newEchoDaemons(ctx context.Context, t *testing.T) (*daemons, *rpc.Server) {
 	t.Helper()
 	d := newDaemons(ctx, t, 2)
@@ -41,15 +42,14 @@
 	return d, server
 }
 
-// pipeTo returns a connection to a server.
+// pipeTo returns a connection to the server.
 func pipeTo(server *rpc.Server) net.Conn {
 	near, far := net.Pipe()
 	go server.ServeConn(far)
 	return near
 }
 
-// One daemon is asked by name; one that can't be reached is left alone for a while, one
-// that refuses is not.
+// A peer that cannot be reached is suspended. A peer that refuses a call is not.
 func TestAskSuspendsOnlyUnreachablePeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -82,7 +82,7 @@
 	})
 }
 
-// restartablePeer is a peer whose process ends and starts again at the same address.
+// restartablePeer is a peer whose process can restart at the same address.
 type restartablePeer struct {
 	server *rpc.Server
 	mu     sync.Mutex
@@ -99,21 +99,18 @@
 	return near, nil
 }
 
-// restart ends the connections, as the end of a process does.
+// restart closes all connections, as the end of a process does.
 func (r *restartablePeer) restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, conn := range r.conns {
-		_ = conn.Close() // nobody reads what it says
+		_ = conn.Close() // the error does not matter
 	}
 	r.conns = nil
 }
 
-// A peer that had been restarted as planned was there again, yet the first call to it met
-// the connection to the run before, counted as not reached, and the peer was left alone
-// for 3 s. In a restart of all daemons in turn each of them did so with each other one,
-// and questions about batches went to the journal, two at a time. A call that was not
-// sent as its connection had ended is sent on a new one.
+// A call that fails because the connection ended with the peer's previous process is sent on a
+// new connection. Otherwise, a rolling restart would suspend every peer.
 func TestAskReconnectsToARestartedPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -132,9 +129,8 @@
 	})
 }
 
-// Two calls were under way when their connection broke. The first one to notice gave it
-// up and made another; the second one then gave up that one, with the calls on it. A call
-// gives up the connection that it was made on.
+// When several calls fail on one connection, the later ones must not close the connection that
+// replaced it.
 func TestDiscardKeepsANewerConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -155,8 +151,8 @@
 	})
 }
 
-// eofConn is a connection whose reads end with io.EOF also where this side closes it, as
-// they do where the other side does so at the same moment.
+// eofConn is a connection whose reads end with io.EOF also if this side closes it, as happens if
+// both sides close at the same time.
 type eofConn struct{ net.Conn }
 
 func (e eofConn) Read(into []byte) (int, error) {
@@ -167,10 +163,8 @@
 	return n, err
 }
 
-// A daemon that ended gave up its connection to a peer at the moment at which the peer
-// closed it as well. net/rpc then tells the calls under way the same as one that was never
-// sent: an append that a peer was making counted as not made, which callers hear as a
-// promise that their batch will not run. A call that was sent is of unknown outcome.
+// Closing a connection while the peer closes it makes net/rpc fail sent calls like unsent ones.
+// An append that a peer may have made must not be reported as not made.
 func TestASentCallNeverFailsWithErrNotReached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -181,7 +175,7 @@
 		dial := func(context.Context, string) (net.Conn, error) {
 			dials++
 			near, far := net.Pipe()
-			go func() { _, _ = io.Copy(io.Discard, far) }() // it takes the call and says nothing
+			go func() { _, _ = io.Copy(io.Discard, far) }() // accepts the call, never answers
 			return eofConn{near}, nil
 		}
 		failed := make(chan error, 1)
@@ -192,12 +186,12 @@
 		err := <-failed
 		is.True(err != nil)
 		is.True(!errors.Is(err, ErrNotReached))
-		is.Equal(dials, 1) // and it is not sent again
+		is.Equal(dials, 1) // the call is not repeated
 	})
 }
 
-// A caller gave a call up while a connection to a peer was being made. Each peer that was due then
-// counted as not reached and was left alone for 3 s, although nothing was known against it.
+// A caller that cancels its call while a connection is being opened must not cause the peers to
+// be suspended.
 func TestACancelledCallDoesNotSuspendPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/journal/relay/call.go
+++ b/internal/journal/relay/call.go
@@ -9,19 +9,20 @@
 	"woodworks/internal/journal"
 )
 
-// callOnOwnPath makes a call on the own path and learns from its outcome.
+// callOnOwnPath calls the journal directly and updates the state of the own path from the
+// outcome.
 func (j *Journal) callOnOwnPath(ctx context.Context, op operation) (reply, error) {
-	expected := j.path.begin(time.Now(), op.wait())
+	pending := j.path.begin(time.Now(), op.wait())
 	answer, err := op.call(ctx, j.Journal)
-	if j.path.finish(expected, err, time.Now()) {
-		j.logger.Info("own path to the journal is back")
+	if j.path.finish(pending, err, time.Now()) {
+		j.logger.Info("own path to the journal restored")
 	}
 	return answer, err
 }
 
-// callWithFallback makes a call on the own path while that stands, and through a peer while it
-// does not. With no peer that helps, the own path is tried all the same: in an outage
-// of the whole store it is as good as any.
+// callWithFallback calls the journal on the own path, or through a peer while that path is lost.
+// If no peer can make the call, it uses the own path after all: in an outage of the whole store
+// no path is better.
 func (j *Journal) callWithFallback(ctx context.Context, op operation) (reply, error) {
 	lost, lostCh := j.path.state()
 	if !lost {
@@ -34,8 +35,10 @@
 	return answer, err
 }
 
-// callUntilPathLost makes a call on the own path. If that is lost meanwhile, the call is
-// repeated through a peer if it is repeatable, and of unknown outcome otherwise.
+// callUntilPathLost calls the journal on the own path. If lostCh is closed before the answer
+// arrives and a peer is available, the call is cancelled: an idempotent one is repeated through a
+// peer, any other fails with journal.ErrUnknown, because it may have been executed. If no peer is
+// available, it keeps waiting for the own path.
 func (j *Journal) callUntilPathLost(ctx context.Context, op operation, lostCh <-chan struct{}) (reply, error) {
 	type outcome struct {
 		answer reply
@@ -68,8 +71,8 @@
 	return answer, err
 }
 
-// callThroughPeer makes a call through a peer. An error that wraps errNoPeer says that no
-// peer has made it.
+// callThroughPeer calls the journal through a peer and counts the outcome. If the error wraps
+// errNoPeer, no peer has made the call.
 func (j *Journal) callThroughPeer(ctx context.Context, op operation) (reply, error) {
 	answer, err := j.peers.relay(ctx, op)
 	switch {
@@ -111,7 +114,7 @@
 	return err
 }
 
-// Owners implements journal.Journal. The group's rows tell the watchers of partitions.
+// Owners implements journal.Journal. The rows also name the watchers of partitions.
 func (j *Journal) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
 	answer, err := j.callWithFallback(ctx, operation{Owners: &ownersCall{Group: group}})
 	return answer.Owners, err
--- a/internal/journal/relay/drain.go
+++ b/internal/journal/relay/drain.go
@@ -5,35 +5,37 @@
 	"sync"
 )
 
-// callTracker counts the calls that are made for peers, and lets no more in once it is closed.
-// The zero value is open.
+// callTracker counts the calls in progress for peers and accepts no more once it is closed. The
+// zero value is open.
 type callTracker struct {
 	mu     sync.Mutex
 	closed bool
 	active sync.WaitGroup
 }
 
-// tryAdd counts a call, which ends with calls.Done, or refuses it.
-func (g *callTracker) tryAdd() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.closed {
+// tryAdd counts a call and returns true, or returns false if the tracker is closed. The caller
+// must call active.Done when a counted call ends.
+func (t *callTracker) tryAdd() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.closed {
 		return false
 	}
-	g.active.Add(1)
+	t.active.Add(1)
 	return true
 }
 
-func (g *callTracker) close() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.closed = true
+// close makes all later calls of tryAdd return false.
+func (t *callTracker) close() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.closed = true
 }
 
-// Drain makes no more calls to the journal for peers, which turn to others, and returns
-// when those under way have ended or the context has: a call that a planned stop cuts is
-// of unknown outcome to its peer. It is called before the context of Serve ends. Questions
-// to registered receivers are answered on.
+// Drain stops making journal calls for peers, which then turn to other daemons. It returns when
+// the calls in progress have ended or the context ends. It must be called before the context of
+// Serve ends, because a call that a shutdown interrupts has an unknown outcome for the peer.
+// Calls to registered receivers are still answered.
 func (j *Journal) Drain(ctx context.Context) {
 	j.peerCalls.close()
 	done := make(chan struct{})
--- a/internal/journal/relay/drain_test.go
+++ b/internal/journal/relay/drain_test.go
@@ -9,9 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// A daemon that stopped as planned ended the calls that it was making for a peer: the
-// peer's appends were of unknown outcome, and a keyed request that had claimed its key by
-// one could not be sent. Those under way are finished, and new ones are sent elsewhere.
+// A planned stop must not interrupt calls made for peers, as their appends would have an unknown
+// outcome. New calls go to another peer.
 func TestDrainFinishesTheCallsOfPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -25,8 +24,8 @@
 		asker.peers.mu.Lock()
 		asker.peers.preferred = "b"
 		asker.peers.mu.Unlock()
-		under := make(chan error, 1)
-		go func() { under <- appendOne(ctx, asker, "under way", time.Second) }()
+		appended := make(chan error, 1)
+		go func() { appended <- appendOne(ctx, asker, "under way", time.Second) }()
 		time.Sleep(100 * time.Millisecond)
 		drained := make(chan time.Time, 1)
 		go func() {
@@ -36,18 +35,18 @@
 		synctest.Wait()
 		began := time.Now()
 		is.NoErr(appendOne(ctx, asker, "meanwhile", time.Second))
-		is.True(time.Since(began) < 100*time.Millisecond) // through the other peer
-		is.NoErr(<-under)
+		is.True(time.Since(began) < 100*time.Millisecond) // relayed by the other peer
+		is.NoErr(<-appended)
 		took := (<-drained).Sub(began)
-		is.True(took >= 200*time.Millisecond) // the append's rest
-		is.True(took <= time.Second)          // that of a read which is held for the peer
+		is.True(took >= 200*time.Millisecond) // the remaining time of the append
+		is.True(took <= time.Second)          // at most that of a read that is held open for the peer
 		stored, err := storedTexts(ctx, d.relays[2])
 		is.NoErr(err)
 		is.Equal(stored, []string{"meanwhile", "under way"})
 	})
 }
 
-// A drain ends with its context, whatever is under way.
+// A call that does not end must not keep Drain from returning when its context ends.
 func TestDrainEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -57,7 +56,7 @@
 		d.ownPaths[0].fault.Store(faultSilent)
 		waitForLoss(ctx, d.relays[0])
 		d.ownPaths[1].appendDelay.Store(int64(time.Minute))
-		go func() { _ = appendOne(ctx, d.relays[0], "never", time.Second) }() // it is given up
+		go func() { _ = appendOne(ctx, d.relays[0], "never", time.Second) }() // times out
 		time.Sleep(100 * time.Millisecond)
 		bounded, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 		defer cancel()
--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -19,7 +19,8 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// link is one direction of a machine's link: those who send over it have their turn part by part.
+// link is one direction of a machine's network link. Concurrent senders share its bandwidth by
+// taking turns, one chunk each.
 type link struct {
 	bytesPerSecond float64
 
@@ -27,9 +28,10 @@
 	busyUntil time.Time
 }
 
-// chunkBytes is how much is sent in one turn.
+// chunkBytes is the number of bytes that are sent in one turn.
 const chunkBytes = 16 << 10
 
+// reserve adds bytes to the link's queue and returns the time until they have been sent.
 func (l *link) reserve(bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,20 +42,23 @@
 	return time.Until(l.busyUntil)
 }
 
-// transmit returns when bytes have been sent, whoever still awaits them, or when the test ends.
+// transmit returns when bytes have been sent or the test ends. Bytes that nobody waits for any
+// more are sent as well.
 func (l *link) transmit(ctx context.Context, bytes int) {
 	for ; bytes > 0 && ctx.Err() == nil; bytes -= chunkBytes {
 		periodic.Pause(ctx, l.reserve(min(bytes, chunkBytes)))
 	}
 }
 
-// linkConn is a connection whose writes go over a line, one after the other. They return at once:
-// net/rpc holds a lock meanwhile, on which virtual time doesn't pass.
+// linkConn is a connection whose writes go over a link, one after the other. They return at once,
+// because net/rpc holds a mutex during a write, and synctest's time does not advance while a
+// goroutine waits for a mutex.
 type linkConn struct {
 	net.Conn
 	writes chan []byte
 }
 
+// newLinkConn returns conn with its writes sent over the link out until ctx ends.
 func newLinkConn(ctx context.Context, conn net.Conn, out *link) linkConn {
 	l := linkConn{conn, make(chan []byte, 1<<16)}
 	go func() {
@@ -61,7 +66,7 @@
 			select {
 			case content := <-l.writes:
 				out.transmit(ctx, len(content))
-				_, _ = conn.Write(content) // Who reads sees that the connection has ended.
+				_, _ = conn.Write(content) // The reader notices the end of the connection.
 			case <-ctx.Done():
 				return
 			}
@@ -75,7 +80,7 @@
 	return len(content), nil
 }
 
-// linkedJournal is a daemon's own path to the journal, over the line that comes in.
+// linkedJournal is a daemon's own path to the journal, with reads limited by its downlink.
 type linkedJournal struct {
 	*faultyJournal
 	// ctx ends with the test.
@@ -83,15 +88,15 @@
 	downlink *link
 }
 
-func (f linkedJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
-	read, err := f.faultyJournal.Read(ctx, request)
+func (l linkedJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+	read, err := l.faultyJournal.Read(ctx, request)
 	bytes := 0
 	for _, record := range read.Records {
 		bytes += len(record)
 	}
 	sent := make(chan struct{})
 	go func() {
-		f.downlink.transmit(f.ctx, bytes)
+		l.downlink.transmit(l.ctx, bytes)
 		close(sent)
 	}()
 	select {
@@ -102,25 +107,26 @@
 	}
 }
 
-// newLinkedDaemons returns daemons of two zones behind links, of which the first in the first zone
-// have lost their own path.
-func newLinkedDaemons(ctx context.Context, t *testing.T, store *journaltest.Journal, zone, refusedOf int, bytesPerSecond float64) *daemons {
-	d, reached := &daemons{store: store}, pipeNetwork{}
-	for i := range 2 * zone {
-		name := fmt.Sprintf("%c%02d", 'a'+i/zone, i%zone)
-		way := &faultyJournal{Journal: d.store}
-		if i < refusedOf {
-			way.fault.Store(faultRefused)
+// newLinkedDaemons returns the daemons, behind links, of two zones with zoneSize daemons each. The
+// store refuses the calls of the first refusedCount daemons of the first zone.
+func newLinkedDaemons(ctx context.Context, t *testing.T, store *journaltest.Journal, zoneSize, refusedCount int, bytesPerSecond float64) *daemons {
+	d, network := &daemons{store: store}, pipeNetwork{}
+	for i := range 2 * zoneSize {
+		name := fmt.Sprintf("%c%02d", 'a'+i/zoneSize, i%zoneSize)
+		ownPath := &faultyJournal{Journal: d.store}
+		if i < refusedCount {
+			ownPath.fault.Store(faultRefused)
 		}
 		in, out := &link{bytesPerSecond: bytesPerSecond}, &link{bytesPerSecond: bytesPerSecond}
-		relayed := New(journal.Revive(linkedJournal{way, ctx, in}, zap.NewNop()), Options{Name: name, Zone: name[:1], Address: name}, zap.NewNop())
-		reached.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return newLinkConn(ctx, conn, out) })
-		d.ownPaths, d.relays = append(d.ownPaths, way), append(d.relays, relayed)
+		relayed := New(journal.Revive(linkedJournal{ownPath, ctx, in}, zap.NewNop()), Options{Name: name, Zone: name[:1], Address: name}, zap.NewNop())
+		network.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return newLinkConn(ctx, conn, out) })
+		d.ownPaths, d.relays = append(d.ownPaths, ownPath), append(d.relays, relayed)
 	}
 	return d
 }
 
-// fillPartitions puts batches of others into partitions, so many bytes each.
+// fillPartitions appends batches of another owner to partitions, the given number of bytes to
+// each.
 func fillPartitions(ctx context.Context, t *testing.T, store *journaltest.Journal, partitions, bytes int) {
 	const size = 64 << 10
 	var records [][]byte
@@ -134,26 +140,26 @@
 	}
 }
 
-// configurationPartition is where one is written each second.
+// configurationPartition receives a new configuration each second.
 var configurationPartition = journal.Partition{Topic: journal.KeyedTopic("configurations")}
 
-// discardHandler takes records and does nothing with them.
+// discardHandler is a journal.KeyedHandler that ignores all records.
 type discardHandler struct{}
 
 func (discardHandler) Reset([]journal.KeyedRecord) {}
 func (discardHandler) Apply(journal.KeyedRecord)   {}
 
-// writeConfigurations writes a configuration each second.
+// writeConfigurations writes a configuration each second until ctx ends.
 func writeConfigurations(ctx context.Context, store *journaltest.Journal) {
 	periodic.Every(ctx, time.Second, func(ctx context.Context) {
 		record := journal.EncodeKeyed("c", make([]byte, 4096))
-		_, _ = store.Append(ctx, journal.Append{Partition: configurationPartition, Records: [][]byte{record}}) // It never fails here.
+		_, _ = store.Append(ctx, journal.Append{Partition: configurationPartition, Records: [][]byte{record}}) // The store of this test never fails.
 	})
 }
 
-// startFollowers has each daemon know all others and startFollowers the configurations, and those of the first
-// zone startFollowers a partition each.
-func (d *daemons) startFollowers(ctx context.Context, zone int) (folds []*ledger.Partition) {
+// startFollowers makes all daemons know each other and follow the configurations. Each of the
+// first zoneSize daemons also follows a partition of its own, whose fold is returned.
+func (d *daemons) startFollowers(ctx context.Context, zoneSize int) (folds []*ledger.Partition) {
 	for i, relayed := range d.relays {
 		for _, other := range d.relays {
 			if other != relayed {
@@ -162,7 +168,7 @@
 		}
 		go relayed.Run(ctx)
 		go journal.NewKeyedFollower(relayed, configurationPartition, discardHandler{}, 3*time.Second, zap.NewNop()).Run(ctx)
-		if i < zone {
+		if i < zoneSize {
 			fold := ledger.New(ctx, relayed, zap.NewNop()).Partition(journal.Partition{Topic: "p", Number: i})
 			fold.Follow()
 			folds = append(folds, fold)
@@ -171,17 +177,15 @@
 	return folds
 }
 
-// The store refused all machines of a zone but one. All of them went on through that one, as the
-// nearest, whose link was too narrow for a page to each within the 0.7 s that a peer has for any
-// answer; it was left alone for a second and then was the first to be asked again, while
-// those of the other zone had nothing to do. Its link was full of pages that nobody awaited any
-// more, 96 to 120 MB for 56, and in 15 s none but its own partition was read to its end.
+// If the store refuses most machines of a zone, the remaining ones must not be overloaded by
+// relayed reads: their links would fill with late pages, and no partition would be read to its
+// end.
 func TestAPeerDoesNotDrownInReadsOfItsZone(t *testing.T) {
 	const (
-		zone, each     = 28, 2 << 20
-		bytesPerSecond = 60e6 / 8
-		// servesAgain is within which time machines serve again.
-		servesAgain = 15 * time.Second
+		zone, partitionBytes = 28, 2 << 20
+		bytesPerSecond       = 60e6 / 8
+		// recoveryTimeout bounds the time until all partitions have been read.
+		recoveryTimeout = 15 * time.Second
 	)
 	for _, left := range []int{1, 2, 4, 14} {
 		t.Run(fmt.Sprint(left, " of ", zone, " left"), func(t *testing.T) {
@@ -191,17 +195,17 @@
 				defer cancel()
 				store := journaltest.New()
 				store.RecordBytes = 256 << 10
-				fillPartitions(ctx, t, store, zone, each)
+				fillPartitions(ctx, t, store, zone, partitionBytes)
 				d := newLinkedDaemons(ctx, t, store, zone, zone-left, bytesPerSecond)
 				folds := d.startFollowers(ctx, zone)
 				go writeConfigurations(ctx, store)
-				began, learned := time.Now(), 0
-				for learned < zone && time.Since(began) < servesAgain {
+				began, read := time.Now(), 0
+				for read < zone && time.Since(began) < recoveryTimeout {
 					time.Sleep(100 * time.Millisecond)
-					learned = 0
+					read = 0
 					for _, fold := range folds {
 						if fold.Fresh() {
-							learned++
+							read++
 						}
 					}
 				}
@@ -210,8 +214,8 @@
 				for _, relayed := range d.relays {
 					done, failed = done+relayed.RelayedCalls.Load(), failed+relayed.FailedRelayedCalls.Load()
 				}
-				t.Logf("%d of %d partitions learned after %v, %d MB read of %d, %d of %d relayed calls failed", learned, zone, took, store.Usage().ReadBytes>>20, zone*each>>20, failed, done+failed)
-				is.Equal(learned, zone)
+				t.Logf("%d of %d partitions read after %v, %d MB read of %d, %d of %d relayed calls failed", read, zone, took, store.Usage().ReadBytes>>20, zone*partitionBytes>>20, failed, done+failed)
+				is.Equal(read, zone)
 			})
 		})
 	}
--- a/internal/journal/relay/flood_test.go
+++ b/internal/journal/relay/flood_test.go
@@ -11,8 +11,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// Where the store is busy, each call to each peer ended in a line: 143 a second of one
-// daemon, and more than half of all lines of a day.
+// A busy store makes calls to all peers end in suspensions. They must not cause a log line each.
 func TestSuspensionsAreLoggedAsSummaries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -21,17 +20,17 @@
 		for i := range 90 {
 			p.byName[daemonName(i)] = &peer{}
 		}
-		const seconds, aSecond = 10, 140
-		for i := range seconds * aSecond {
+		const seconds, perSecond = 10, 140
+		for i := range seconds * perSecond {
 			p.suspend(daemonName(i%90), pathLostRetryDelay, "has lost the journal as well", nil)
-			time.Sleep(time.Second / aSecond)
+			time.Sleep(time.Second / perSecond)
 		}
 		time.Sleep(time.Minute)
-		lines := logged.FilterMessage("peer left alone").All()
+		lines := logged.FilterMessage("peer suspended").All()
 		is.True(len(lines) <= seconds+2)
 		is.Equal(lines[0].ContextMap()["peer"], daemonName(0))
 		last := lines[len(lines)-1].ContextMap()
-		is.Equal(last["times"], int64(seconds*aSecond))
+		is.Equal(last["times"], int64(seconds*perSecond))
 		is.Equal(last["peers"], int64(90))
 	})
 }
--- a/internal/journal/relay/golden_test.go
+++ b/internal/journal/relay/golden_test.go
@@ -21,13 +21,13 @@
 func TestOutcomesKeepTheirNumbers(t *testing.T) {
 	golden.Text(t, "outcomes.txt", fmt.Sprint(int(outcomeDone), int(outcomePathLost), int(outcomeNotDone), int(outcomeUnavailable),
 		int(outcomePosition), int(outcomeTrimmed), int(outcomeUnknown), int(outcomeThrottled)))
-	told := ""
+	lines := ""
 	for _, err := range []error{
 		&journal.ThrottledError{Reason: "why"}, &journal.TrimmedError{First: 7}, journal.ErrPosition,
 		&journal.UnavailableError{Reason: "why"}, journal.ErrNotDone, journal.ErrUnknown, errors.New("other"),
 	} {
 		message, encodeErr := encode(failedReply(err))
-		told += fmt.Sprintf("%x %v\n", message.Body, encodeErr)
+		lines += fmt.Sprintf("%x %v\n", message.Body, encodeErr)
 	}
-	golden.Text(t, "failures.txt", told)
+	golden.Text(t, "failures.txt", lines)
 }
--- a/internal/journal/relay/lostpeer_test.go
+++ b/internal/journal/relay/lostpeer_test.go
@@ -9,9 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// With the store away for all, daemons learned from each other 13 and 27 s late which content
-// is refused: a peer that can't pass calls to the journal on is left alone for lostRest, again
-// and again, and calls that need no journal were not sent to it either.
+// A peer that has lost its own path to the journal is not asked to relay calls for a time. Calls
+// that need no journal must still be sent to it.
 func TestAPeerWithoutTheJournalIsAskedWhatNeedsNone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/journal/relay/neighbours_test.go
+++ b/internal/journal/relay/neighbours_test.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 )
 
-// What each daemon passes on to its neighbours reaches all in as many steps as their
-// number has binary digits, also if one of them is gone.
+// Gossip forwarded to the neighbours must reach all daemons, also if one has ended, while each
+// daemon has no more neighbours than their number has binary digits.
 func TestNeighboursReachAll(t *testing.T) {
 	is := is.New(t)
 	for _, count := range []int{1, 2, 3, 7, 12, 100, 770} {
@@ -40,7 +40,8 @@
 
 func daemonName(i int) string { return fmt.Sprintf("d%04d", i) }
 
-// countReached counts the daemons that learn what the first tells.
+// countReached counts the daemons that receive gossip which starts at first, while gone forwards
+// nothing.
 func countReached(next map[string][]string, first, gone string) int {
 	if first == gone {
 		return 0
--- a/internal/journal/relay/path.go
+++ b/internal/journal/relay/path.go
@@ -10,46 +10,48 @@
 )
 
 const (
-	// maxOverdue is how long an answer may be overdue, with no other one since,
-	// for the path to count as lost: twice what a store takes that is sixty times
-	// slower than usual.
+	// maxOverdue is how long an answer may be overdue, with no other answer since, before the
+	// path counts as lost. It allows for a store that is much slower than usual.
 	maxOverdue = 500 * time.Millisecond
-	// minRefusals: so many refusals in a row, the first refusedAfter ago or more, and the
-	// path counts as lost. A store that is full refuses some calls and answers others.
+	// The path counts as lost after minRefusals refusals other than throttled calls, with no
+	// answer between them, if the first refusal was at least minRefusedTime ago. A store that is
+	// full refuses some calls and answers others.
 	minRefusals    = 3
 	minRefusedTime = 250 * time.Millisecond
-	// minThrottles: so many in a row with some for the rate, the first throttledAfter ago
-	// or more, and it does too. A store whose rate is exceeded serves most calls all the
-	// same; one that throttles a single machine serves none of its calls.
+	// The path also counts as lost after minThrottles refusals of any kind, throttled calls
+	// included, with no answer between them, if the first was at least minThrottledTime ago. A
+	// store over its rate limit still serves most calls, whereas one that throttles a single
+	// machine serves none of its calls.
 	minThrottles     = 6
 	minThrottledTime = 500 * time.Millisecond
 )
 
-// path is what is believed of this daemon's own path to the journal. It is safe for
-// concurrent use.
+// path is the state of this daemon's own path to the journal, that is, whether its direct calls
+// are answered. It is safe for concurrent use.
 type path struct {
 	mu sync.Mutex
-	// unanswered has the calls without an answer, with the time by which each should
-	// have had one.
+	// unanswered holds the calls without an answer. An answer to any call removes all of them.
 	unanswered map[*pendingCall]struct{}
+	// lastAnswer is the time of the last answer to any call, or of newPath.
 	lastAnswer time.Time
-	// refusals counts the refusals since the last answer, the first at refusedAt;
-	// throttles are those of them for the rate.
+	// refusals counts the refusals since the last answer, throttles those of them that were due
+	// to a rate limit. firstRefusal is the time of the first refusal.
 	refusals, throttles int
 	firstRefusal        time.Time
 	lost                bool
-	// lostCh is closed when the path is lost, and made anew when it is back.
+	// lostCh is closed when the path is lost, and replaced when it is restored.
 	lostCh chan struct{}
 }
 
-// pendingCall is a call that should have an answer by a time.
+// pendingCall is a call that should have an answer by the time due.
 type pendingCall struct{ due time.Time }
 
 func newPath(now time.Time) *path {
 	return &path{unanswered: map[*pendingCall]struct{}{}, lastAnswer: now, lostCh: make(chan struct{})}
 }
 
-// begin notes a call that waits for records so long.
+// begin records the start of a call that the journal may hold open for wait until records arrive.
+// The caller must pass the result to finish.
 func (p *path) begin(now time.Time, wait time.Duration) *pendingCall {
 	call := &pendingCall{due: now.Add(wait)}
 	p.mu.Lock()
@@ -58,10 +60,10 @@
 	return call
 }
 
-// finish takes the outcome of a call into account. It returns true if the path is back
-// with it. An unknown outcome is no answer: the call stays expected, so that the path can
-// become overdue.
-func (p *path) finish(call *pendingCall, err error, now time.Time) (back bool) {
+// finish records the outcome of a call and reports whether it restores the path.
+// journal.ErrUnknown is no answer: the call stays in unanswered, so that the path can become
+// overdue.
+func (p *path) finish(call *pendingCall, err error, now time.Time) (restored bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var unavailable *journal.UnavailableError
@@ -73,19 +75,19 @@
 		p.countRefusal(call, now)
 		p.throttles++
 	case err == nil, !errors.Is(err, journal.ErrUnknown):
-		// Any answer shows that the path stands, and that older calls without
-		// one say nothing any more.
-		back, p.lost = p.lost, false
-		if back {
+		// Any answer shows that the path works, so older calls without an answer no longer count
+		// against it.
+		restored, p.lost = p.lost, false
+		if restored {
 			p.lostCh = make(chan struct{})
 		}
 		p.lastAnswer, p.refusals, p.throttles = now, 0, 0
 		clear(p.unanswered)
 	}
-	return back
+	return restored
 }
 
-// countRefusal notes a refused call. The mutex is held.
+// countRefusal records that a call was refused. p.mu must be held.
 func (p *path) countRefusal(call *pendingCall, now time.Time) {
 	delete(p.unanswered, call)
 	if p.refusals == 0 {
@@ -94,8 +96,9 @@
 	p.refusals++
 }
 
-// detectLoss decides whether the path counts as lost. It returns true, with the reason, if it does from
-// now on, and tells who waits on lostCh.
+// detectLoss checks whether the path has to count as lost. If it was not lost before, it marks it
+// as lost, closes lostCh and returns true and the reason. For a path that is already lost it
+// returns false.
 func (p *path) detectLoss(now time.Time) (lost bool, reason string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,8 +120,8 @@
 	return true, reason
 }
 
-// hasOverdueCall reports whether a call has been without an answer for too long. The mutex
-// is held.
+// hasOverdueCall reports whether there has been no answer for more than maxOverdue while some
+// call is overdue by more than that. p.mu must be held.
 func (p *path) hasOverdueCall(now time.Time) bool {
 	if now.Sub(p.lastAnswer) <= maxOverdue {
 		return false
@@ -131,14 +134,14 @@
 	return false
 }
 
-// state returns whether the path is lost, and a channel that is closed when it is.
+// state reports whether the path is lost, and returns a channel that is closed once it is.
 func (p *path) state() (lost bool, lostCh <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lost, p.lostCh
 }
 
-// timeSinceAnswer is for how long there was no answer.
+// timeSinceAnswer returns the time since the last answer to any call.
 func (p *path) timeSinceAnswer(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/journal/relay/path_test.go
+++ b/internal/journal/relay/path_test.go
@@ -9,8 +9,8 @@
 	"woodworks/internal/journal"
 )
 
-// A store whose rate is exceeded throttles some calls of every daemon: the path stands
-// as long as others are answered, since a peer's calls would be throttled no less.
+// A store over its rate limit throttles some calls of every daemon. The path must not count as
+// lost while other calls are answered, as peers are throttled no less.
 func TestSomeThrottledCallsDoNotLoseThePath(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/internal/journal/relay/peer.go
+++ b/internal/journal/relay/peer.go
@@ -11,57 +11,59 @@
 )
 
 const (
-	// dialTimeout bounds the making of a connection to a peer.
+	// dialTimeout bounds the dialling of a connection to a peer.
 	dialTimeout = 250 * time.Millisecond
-	// unackedTimeout is how long sent bytes may stay unacknowledged by a peer.
+	// unackedTimeout is how long sent bytes may stay unacknowledged before the connection is
+	// considered broken.
 	unackedTimeout = 600 * time.Millisecond
 )
 
-// dialFunc makes a connection to a peer.
+// dialFunc opens a connection to the relay at an address.
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// peer is another daemon.
+// peer is another daemon and the connection to it. Its tagged fields are stored in
+// PeersPartition.
 type peer struct {
 	Address string `cbor:"1,keyasint"`
 	Zone    string `cbor:"2,keyasint"`
 
 	mu     sync.Mutex
 	client *peerClient
-	// closed peers are connected to no more: the daemon ends.
+	// closed is set when this daemon stops: no connection is opened from then on.
 	closed bool
-	// suspendedUntil is the time before which others are asked.
+	// suspendedUntil is the time until which the peer is not called.
 	suspendedUntil time.Time
 }
 
-// peerClient is a connection to a peer. It is ended by closing conn, never by the
-// client's Close: after that net/rpc may end calls under way with ErrShutdown, which here
-// says that a call was not sent.
+// peerClient is a connection to a peer. It must be ended by closing conn, never by Client.Close:
+// after Close, net/rpc may end calls in progress with ErrShutdown, which in this package means
+// that a call was not sent.
 type peerClient struct {
 	*rpc.Client
 	conn net.Conn
 }
 
-// isSuspended reports whether the peer is left alone.
+// isSuspended reports whether the peer must not be called at the time now.
 func (p *peer) isSuspended(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Before(p.suspendedUntil)
 }
 
-// suspend leaves the peer alone until a time.
+// suspend makes callers avoid the peer until the given time.
 func (p *peer) suspend(until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.suspendedUntil = until
 }
 
-// ask calls a method of the peer and waits for the answer. An error that wraps
-// ErrNotReached says that the call was not sent.
+// ask calls a method of the peer and waits for the answer until the context ends. If the error
+// wraps ErrNotReached, the call was not sent.
 func (p *peer) ask(ctx context.Context, dial dialFunc, method string, args, answer any) error {
 	err := p.askOnce(ctx, dial, method, args, answer)
 	if errors.Is(err, rpc.ErrShutdown) {
-		// The connection had ended before the call, as at a peer's restart: the peer may
-		// be there all the same.
+		// The connection ended before the call, for example as the peer restarted, and a new
+		// one may succeed.
 		err = p.askOnce(ctx, dial, method, args, answer)
 	}
 	if errors.Is(err, rpc.ErrShutdown) {
@@ -70,8 +72,8 @@
 	return err
 }
 
-// askOnce calls a method on the connection that there is, or on a new one. ErrShutdown
-// says that the call was not sent.
+// askOnce calls a method on the open connection, or on a new one if there is none. If the error
+// wraps ErrNotReached or is rpc.ErrShutdown, the call was not sent.
 func (p *peer) askOnce(ctx context.Context, dial dialFunc, method string, args, answer any) error {
 	client, err := p.connect(ctx, dial)
 	if err != nil {
@@ -84,14 +86,15 @@
 	case <-call.Done:
 	}
 	var refused rpc.ServerError
+	// A server error is an answer of the peer: its connection works and is kept.
 	if call.Error != nil && !errors.As(call.Error, &refused) {
-		// One that has answered with an error has a sound connection.
 		p.discard(client)
 	}
 	return call.Error
 }
 
-// connect returns the connection to the peer, made if there is none.
+// connect returns the open connection to the peer, or dials a new one. It fails once the peer is
+// closed.
 func (p *peer) connect(ctx context.Context, dial dialFunc) (*peerClient, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,18 +112,18 @@
 	return p.client, nil
 }
 
-// discard ends a connection to the peer that is broken. A late caller may give up an old
-// connection when a new one is in use: only the old one is closed.
+// discard closes a broken connection. If the peer has a newer connection, that one stays in use:
+// several calls may fail on one connection and discard it one after the other.
 func (p *peer) discard(client *peerClient) {
 	p.mu.Lock()
 	if p.client == client {
 		p.client = nil
 	}
 	p.mu.Unlock()
-	_ = client.conn.Close() // It is broken: there is nobody to tell.
+	_ = client.conn.Close() // The connection is broken already.
 }
 
-// disconnect ends the connection to the peer.
+// disconnect closes the connection to the peer, if there is one. A later call opens a new one.
 func (p *peer) disconnect() {
 	p.mu.Lock()
 	client := p.client
@@ -130,7 +133,7 @@
 	}
 }
 
-// close ends the connection to the peer, which gets no other.
+// close closes the connection to the peer and prevents new ones.
 func (p *peer) close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -22,36 +22,36 @@
 )
 
 const (
-	// peerTimeout is how long a peer may take beyond the time that a read waits
-	// for records.
+	// peerTimeout bounds a call through a peer, beyond the time that a read waits for records.
 	peerTimeout = questiontime.Relayed
-	// maxPeersTried is how many peers are asked to make one call at most.
+	// maxPeersTried is the maximum number of peers asked to make one call.
 	maxPeersTried = 3
-	// unreachableRetryDelay, silentRest and lostRest are how long a peer is left alone that could
-	// not be reached, did not answer, or has lost the path itself.
+	// unreachableRetryDelay, noAnswerRetryDelay and pathLostRetryDelay are how long a peer is
+	// suspended that could not be reached, did not answer, or has lost its own path.
 	unreachableRetryDelay = 3 * time.Second
 	noAnswerRetryDelay    = time.Second
 	pathLostRetryDelay    = 500 * time.Millisecond
 )
 
-// errNoPeer: no peer could make the call, and none has.
+// errNoPeer means that no peer has made the call.
 var errNoPeer = errors.New("relay: no peer reaches the journal")
 
-// peers are the other daemons, as they announced themselves. It implements
+// peers holds the other daemons, as they announced themselves in PeersPartition. It implements
 // journal.KeyedHandler and is safe for concurrent use.
 type peers struct {
 	options Options
 	dial    dialFunc
 	logger  *zap.Logger
-	// suspensions sums the rests of peers: where a store is busy, each call to each of them
-	// ends in one.
+	// suspensions logs the suspensions of peers as summaries: while the store is overloaded, each
+	// call to each peer may end in one.
 	suspensions *logging.Episodes
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// byName maps the names of the peers to their state.
 	byName map[string]*peer
-	// closed says that the daemon ends.
+	// closed is set when this daemon stops.
 	closed bool
-	// preferred is the peer that answered last, "" if none did.
+	// preferred is the peer that last made a call, "" if there is none. It is asked first.
 	preferred string
 }
 
@@ -64,20 +64,20 @@
 			return dialer.DialContext(ctx, "tcp4", address)
 		},
 		logger:      logger,
-		suspensions: logging.NewEpisodes(logger, "peer left alone", "reason", "peers"),
+		suspensions: logging.NewEpisodes(logger, "peer suspended", "reason", "peers"),
 		byName:      map[string]*peer{},
 	}
 }
 
-// Apply implements journal.KeyedHandler. A daemon that started anew at the same
-// address keeps its place.
+// Apply implements journal.KeyedHandler. A peer that announces an unchanged address keeps its
+// connection and its suspension.
 func (p *peers) Apply(record journal.KeyedRecord) {
 	other := &peer{}
 	if record.Key == p.options.Name || len(record.Value) == 0 {
 		return
 	}
 	if err := cbor.Unmarshal(record.Value, other); err != nil {
-		p.logger.Warn("peer not understood", zap.String("peer", record.Key), zap.Error(err))
+		p.logger.Warn("failed to decode peer entry", zap.String("peer", record.Key), zap.Error(err))
 		return
 	}
 	p.mu.Lock()
@@ -93,18 +93,19 @@
 	return len(p.byName)
 }
 
-// names returns the names of all peers, in order.
+// names returns the sorted names of all peers.
 func (p *peers) names() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Sorted(maps.Keys(p.byName))
 }
 
-// hasAvailable reports whether there is a peer that may be asked now.
+// hasAvailable reports whether there is a peer that may be called now.
 func (p *peers) hasAvailable() bool { return len(p.candidates(time.Now())) > 0 }
 
-// candidates returns the peers to ask, in order: the one that answered last, those
-// of the own zone, the others.
+// candidates returns the names of at most maxPeersTried peers that are not suspended, in the
+// order in which to ask them: the preferred peer, those of this daemon's zone, the others. The
+// order within a zone is random. It returns none after close.
 func (p *peers) candidates(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +131,7 @@
 	return names[:min(len(names), maxPeersTried)]
 }
 
-// getAvailable returns a peer that may be asked now, or nil.
+// getAvailable returns the named peer, or nil if it is unknown or suspended.
 func (p *peers) getAvailable(name string) *peer {
 	other := p.get(name)
 	if other == nil || other.isSuspended(time.Now()) {
@@ -139,14 +140,16 @@
 	return other
 }
 
+// get returns the named peer, or nil if it is unknown.
 func (p *peers) get(name string) *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.byName[name]
 }
 
-// ask calls a method of a peer and waits for the answer until the context ends. A peer that could
-// not be reached or did not answer is left alone for a while.
+// ask calls a method of a known peer and waits for the answer until the context ends. A peer that
+// cannot be reached or does not answer is suspended, unless the caller cancelled the call. The
+// error wraps ErrNotReached, ErrNoAnswer or ErrRefused.
 func (p *peers) ask(ctx context.Context, name, method string, args, answer any) error {
 	err := p.get(name).ask(ctx, p.dial, method, args, answer)
 	var refused rpc.ServerError
@@ -156,7 +159,7 @@
 	case errors.As(err, &refused):
 		return errors.Wrap(ErrRefused, err.Error())
 	case errors.Is(ctx.Err(), context.Canceled):
-		// The caller has lost interest, which says nothing of the peer.
+		// The caller cancelled the call, which does not mean that the peer failed.
 		return errors.Wrap(ErrNoAnswer, ctx.Err().Error())
 	case errors.Is(err, ErrNotReached):
 		p.suspend(name, unreachableRetryDelay, "not reached", err)
@@ -167,8 +170,9 @@
 	}
 }
 
-// relay asks one peer after the other to make a call until one has. An error that
-// wraps errNoPeer says that none has; after any other the call may have been made.
+// relay asks one candidate after the other until one makes the call. If the error wraps
+// errNoPeer, none has made it; any other error is the journal's answer, or journal.ErrUnknown if
+// the call may have been made.
 func (p *peers) relay(ctx context.Context, op operation) (reply, error) {
 	op.Timeout = op.wait() + peerTimeout
 	if deadline, bounded := ctx.Deadline(); bounded {
@@ -205,23 +209,23 @@
 	return reply{}, errors.Wrap(errNoPeer, "none left to ask")
 }
 
-// suspend leaves a peer alone for a while.
-func (p *peers) suspend(name string, length time.Duration, reason string, cause error) {
+// suspend makes callers avoid a peer for the given time and logs the reason.
+func (p *peers) suspend(name string, duration time.Duration, reason string, cause error) {
 	other := p.get(name)
 	if other == nil {
 		return
 	}
-	other.suspend(time.Now().Add(length))
+	other.suspend(time.Now().Add(duration))
 	p.mu.Lock()
 	if p.preferred == name {
 		p.preferred = ""
 	}
 	p.mu.Unlock()
-	p.suspensions.Note(logging.Occurrence{Key: reason, Subject: name, Took: length},
-		zap.String("peer", name), zap.Duration("rest", length), zap.Error(cause))
+	p.suspensions.Note(logging.Occurrence{Key: reason, Subject: name, Took: duration},
+		zap.String("peer", name), zap.Duration("rest", duration), zap.Error(cause))
 }
 
-// close ends the connections to peers.
+// close closes the connections to all peers and prevents new ones.
 func (p *peers) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/journal/relay/protocol.go
+++ b/internal/journal/relay/protocol.go
@@ -10,19 +10,19 @@
 	"woodworks/internal/journal"
 )
 
-// serviceName and methodName name the call of net/rpc between daemons.
+// serviceName and methodName identify the calls to the journal in net/rpc.
 const (
 	serviceName = "Journal"
 	methodName  = serviceName + ".Call"
 )
 
-// Message is what net/rpc carries: an operation or a reply in CBOR. Its own codec
-// leaves zero values out, so that a condition on offset 0 would be lost.
+// Message carries an operation or a reply through net/rpc, encoded in CBOR. The codec of net/rpc
+// omits zero values, so that a condition on offset 0 would be lost.
 type Message struct{ Body []byte }
 
-// operation is one call of a journal: one of its fields is set.
+// operation is one call of a journal's method. Exactly one of its pointers is set.
 type operation struct {
-	// Timeout is how long the answer is waited for.
+	// Timeout is how long the caller waits for the answer.
 	Timeout time.Duration   `cbor:"1,keyasint"`
 	Append  *journal.Append `cbor:"2,keyasint,omitempty"`
 	Read    *journal.Read   `cbor:"3,keyasint,omitempty"`
@@ -46,12 +46,13 @@
 	Group string `cbor:"Group"`
 }
 
-// isKnown reports whether the operation is one of this version.
+// isKnown reports whether this version implements the operation. One of a later version decodes
+// to an operation with no pointer set.
 func (o operation) isKnown() bool {
 	return o != operation{Timeout: o.Timeout}
 }
 
-// wait is how long the journal may hold the answer back for records to come.
+// wait returns how long the journal may hold the call open until records arrive.
 func (o operation) wait() time.Duration {
 	if o.Read == nil {
 		return 0
@@ -59,35 +60,37 @@
 	return o.Read.Wait
 }
 
-// isIdempotent operations change nothing, or nothing more when made again: a member that
-// joins or leaves twice has done so once.
+// isIdempotent reports whether the operation may be repeated. All but appends may: reads change
+// nothing, and joining or leaving twice has the effect of doing so once.
 func (o operation) isIdempotent() bool { return o.Append == nil }
 
-// call makes the call to a journal. The operation must be known.
-func (o operation) call(ctx context.Context, log journal.Journal) (answer reply, err error) {
+// call executes the operation on a journal. isKnown must be true.
+func (o operation) call(ctx context.Context, target journal.Journal) (answer reply, err error) {
 	switch {
 	case o.Append != nil:
-		answer.Appended, err = log.Append(ctx, *o.Append)
+		answer.Appended, err = target.Append(ctx, *o.Append)
 	case o.Read != nil:
-		answer.Records, err = log.Read(ctx, *o.Read)
+		answer.Records, err = target.Read(ctx, *o.Read)
 	case o.Newest != nil:
-		answer.Page, err = log.Newest(ctx, o.Newest.Partition, o.Newest.After)
+		answer.Page, err = target.Newest(ctx, o.Newest.Partition, o.Newest.After)
 	case o.Join != nil:
-		answer.Assignment, err = log.Join(ctx, *o.Join)
+		answer.Assignment, err = target.Join(ctx, *o.Join)
 	case o.Leave != nil:
-		err = log.Leave(ctx, o.Leave.Group, o.Leave.Member)
+		err = target.Leave(ctx, o.Leave.Group, o.Leave.Member)
 	case o.Owners != nil:
-		answer.Owners, err = log.Owners(ctx, o.Owners.Group)
+		answer.Owners, err = target.Owners(ctx, o.Owners.Group)
 	}
 	return answer, err
 }
 
-// outcome says how a relayed call ended.
+// outcome is how a relayed call ended. Except for outcomeDone and outcomePathLost, each value
+// stands for an error of package journal. Peers exchange the numbers, so they must not change.
 type outcome int
 
 const (
 	outcomeDone outcome = iota
-	// outcomePathLost: the peer has lost its own path, and did nothing.
+	// outcomePathLost means that the peer did not make the call, as it is stopping or has lost
+	// its own path.
 	outcomePathLost
 	outcomeNotDone
 	outcomeUnavailable
@@ -97,11 +100,12 @@
 	outcomeThrottled
 )
 
-// reply is the answer to an operation.
+// reply is the answer to an operation: an outcome with the result of the called method.
 type reply struct {
 	Outcome outcome `cbor:"1,keyasint"`
-	// Reason is the error's text.
-	Reason     string              `cbor:"2,keyasint,omitempty"`
+	// Reason is the text of the error.
+	Reason string `cbor:"2,keyasint,omitempty"`
+	// First is the first offset that is still stored, for outcomeTrimmed.
 	First      int64               `cbor:"3,keyasint,omitempty"`
 	Appended   journal.Appended    `cbor:"4,keyasint"`
 	Records    journal.Records     `cbor:"5,keyasint"`
@@ -110,7 +114,7 @@
 	Owners     []journal.Ownership `cbor:"8,keyasint,omitempty"`
 }
 
-// failedReply makes the reply to a call that failed.
+// failedReply returns the reply to a call that failed with err.
 func failedReply(err error) reply {
 	answer := reply{Outcome: outcomeUnknown, Reason: err.Error()}
 	var trimmed *journal.TrimmedError
@@ -131,7 +135,7 @@
 	return answer
 }
 
-// err is the error that a reply stands for, or nil.
+// err returns the error that the reply represents, or nil if the call succeeded.
 func (r reply) err() error {
 	switch r.Outcome {
 	case outcomeDone:
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -1,20 +1,20 @@
-// Package relay lets a daemon that has lost its own path to the journal go on through
+// Package relay lets a daemon that cannot reach the journal's store make its calls through
 // another daemon, and carries all calls between daemons.
 //
-// A machine may be cut off from the platform's store, or be refused by it, while the
-// store serves all others. Callers still reach that machine: its batches could not
-// be accepted, its results not be listed. Its calls therefore go to a peer that
-// reaches the store, until its own path is back.
+// A machine may be cut off from the store, or refused by it, while the store serves all others.
+// Its callers still reach it, but without the journal it can neither accept batches nor list
+// results. While its own path is lost, that is, while its direct calls fail, its calls therefore
+// go through a peer that reaches the store.
 //
-// Nothing rests on which path a call takes: the journal's answers are what they are,
-// and a call whose answer is lost on either path has an unknown outcome. Calls that change
-// nothing when made again are repeated here; an append that may have happened is reported as
-// unknown. A peer never passes a call on again: one that has lost the path as well says so.
+// Correctness does not depend on the path of a call: the answers are those of the journal, and a
+// call whose answer is lost on either path has an unknown outcome. Idempotent calls are repeated
+// here; an append that may have happened is reported as unknown. A peer never relays a call
+// further: if it has lost its own path as well, it refuses the call.
 //
-// The package owns what is believed of the own path (path.go), the connections to other daemons
-// (peer.go) and the service that answers them (service.go). All that daemons say to each other goes over these
-// connections: calls to the journal, and what results, occupancy and quarantine register. It
-// relies on the journal for the list of daemons.
+// The package contains the state of the own path (path.go), the connections to other daemons
+// (peer.go, peers.go) and the service that answers them (service.go). Daemons communicate over these
+// connections only. Besides calls to the journal, they carry the calls that the packages results,
+// occupancy and quarantine register. The list of daemons is kept in the journal.
 //
 // # Usage
 //
@@ -34,25 +34,25 @@
 )
 
 const (
-	// lossCheckInterval is the time between two judgements of the path.
+	// lossCheckInterval is the time between two checks whether the own path is lost.
 	lossCheckInterval = 100 * time.Millisecond
-	// probeInterval is the time between two tries of a lost path, probeTimeout how
-	// long each may take.
+	// probeInterval is the time between two calls that probe a lost path, probeTimeout the bound
+	// of each.
 	probeInterval = 400 * time.Millisecond
 	probeTimeout  = 300 * time.Millisecond
-	// keyAfterAll is after the names of all daemons: a page from there on is empty.
+	// keyAfterAll sorts after the names of all daemons: a page from there on is empty.
 	keyAfterAll = "~"
 )
 
-// Options say who this daemon is.
+// Options identifies this daemon.
 type Options struct {
-	// Name is the machine's, Zone where it is.
+	// Name is the name of the machine, Zone the zone in which it runs.
 	Name, Zone string
-	// Address is where peers reach this daemon's relay, IP:port.
+	// Address is the IP:port at which peers reach this daemon's relay.
 	Address string
 }
 
-// Journal is a journal with two paths to it, the own one and one through a peer. It
+// Journal calls a journal on this daemon's own path or, while that is lost, through a peer. It
 // implements journal.Journal and is safe for concurrent use.
 type Journal struct {
 	journal.Journal
@@ -61,13 +61,15 @@
 	path      *path
 	peers     *peers
 	peerCalls callTracker
-	// RelayedCalls counts the calls that a peer has made, FailedRelayedCalls those through one that failed.
+	// RelayedCalls counts the calls that succeeded through a peer, FailedRelayedCalls those that
+	// failed there.
 	RelayedCalls, FailedRelayedCalls atomic.Uint64
-	// receivers answer the other calls of peers, by name.
+	// receivers holds the receivers whose methods peers may call besides those of the journal, by
+	// service name.
 	receivers map[string]any
 }
 
-// New wraps a journal. Without Run, all calls go straight to it.
+// New wraps a journal. Until Run is called, all calls use the own path.
 func New(direct journal.Journal, options Options, logger *zap.Logger) *Journal {
 	return &Journal{
 		Journal:   direct,
@@ -79,7 +81,8 @@
 	}
 }
 
-// Run keeps the beliefs about the path up to date until the context ends.
+// Run announces this daemon to the others and detects the loss and the return of the own path. It
+// blocks until the context ends, and then closes the connections to peers.
 func (j *Journal) Run(ctx context.Context) {
 	go j.announce(ctx)
 	go j.probe(ctx)
@@ -92,7 +95,7 @@
 	j.peers.close()
 }
 
-// probe tries the own path while it is lost.
+// probe calls the journal on the own path at intervals while that path is lost.
 func (j *Journal) probe(ctx context.Context) {
 	periodic.Every(ctx, probeInterval, func(ctx context.Context) {
 		if lost, _ := j.path.state(); !lost {
@@ -100,17 +103,17 @@
 		}
 		bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
-		// What it tells is what onOwnPath learns from its outcome.
+		// callOnOwnPath updates the state of the path, so the outcome is not needed here.
 		_, _ = j.callOnOwnPath(bounded, operation{Newest: &newestCall{Partition: PeersPartition, After: keyAfterAll}})
 	})
 }
 
-// PathLost reports whether the own path is lost.
+// PathLost reports whether this daemon's own path to the journal is lost.
 func (j *Journal) PathLost() bool {
 	lost, _ := j.path.state()
 	return lost
 }
 
-// Daemons returns how many daemons have announced themselves, this one included.
-// Those that are gone for good are among them.
+// Daemons returns how many daemons have announced themselves, including this one and those that
+// no longer exist.
 func (j *Journal) Daemons() int { return j.peers.count() + 1 }
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -24,7 +24,7 @@
 
 var records = journal.Partition{Topic: "records"}
 
-// faultyJournal is one daemon's own path to a journal, which may be faultyJournal while it stands for others.
+// faultyJournal is one daemon's own path to a journal, with faults that other daemons don't have.
 type faultyJournal struct {
 	journal.Journal
 	fault atomic.Int32
@@ -39,9 +39,9 @@
 	faultThrottled
 )
 
-// applyFault lets the way's fault befall a call.
-func (c *faultyJournal) applyFault(ctx context.Context) error {
-	switch c.fault.Load() {
+// applyFault makes a call fail as the current fault requires: at the end of ctx or at once.
+func (f *faultyJournal) applyFault(ctx context.Context) error {
+	switch f.fault.Load() {
 	case faultSilent:
 		<-ctx.Done()
 		return errors.Wrap(journal.ErrUnknown, "silent")
@@ -53,35 +53,35 @@
 	return nil
 }
 
-func (c *faultyJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
-	if err := c.applyFault(ctx); err != nil {
+func (f *faultyJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
+	if err := f.applyFault(ctx); err != nil {
 		return journal.Appended{}, err
 	}
-	if periodic.Pause(ctx, time.Duration(c.appendDelay.Load())); ctx.Err() != nil {
+	if periodic.Pause(ctx, time.Duration(f.appendDelay.Load())); ctx.Err() != nil {
 		return journal.Appended{}, errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
 	}
-	appended, err := c.Journal.Append(ctx, request)
-	return appended, firstError(err, c.applyFault(ctx))
+	appended, err := f.Journal.Append(ctx, request)
+	return appended, firstError(err, f.applyFault(ctx))
 }
 
-func (c *faultyJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
-	if err := c.applyFault(ctx); err != nil {
+func (f *faultyJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+	if err := f.applyFault(ctx); err != nil {
 		return journal.Records{}, err
 	}
-	read, err := c.Journal.Read(ctx, request)
-	return read, firstError(err, c.applyFault(ctx))
+	read, err := f.Journal.Read(ctx, request)
+	return read, firstError(err, f.applyFault(ctx))
 }
 
-func (c *faultyJournal) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
-	if err := c.applyFault(ctx); err != nil {
+func (f *faultyJournal) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
+	if err := f.applyFault(ctx); err != nil {
 		return journal.KeyedPage{}, err
 	}
-	page, err := c.Journal.Newest(ctx, partition, afterKey)
-	return page, firstError(err, c.applyFault(ctx))
+	page, err := f.Journal.Newest(ctx, partition, afterKey)
+	return page, firstError(err, f.applyFault(ctx))
 }
 
-// firstError returns the first of two errors: a call that was under way when the way was
-// cut gets no answer firstError.
+// firstError returns the first error that is not nil. Faults are applied before and after a call,
+// so that a call in progress when a fault begins gets no answer either.
 func firstError(first, second error) error {
 	if first != nil {
 		return first
@@ -89,18 +89,19 @@
 	return second
 }
 
-// daemons are some that reach each other over pipes, each with its own way to one
-// journal.
+// daemons is a group of daemons that are connected by pipes. Each has its own path to the store.
 type daemons struct {
 	store    *journaltest.Journal
 	ownPaths []*faultyJournal
 	relays   []*Journal
 }
 
-// pipeNetwork are the servers of daemons that reach each other over pipeNetwork, by name.
+// pipeNetwork connects daemons by pipes: it has a function for each daemon's name that serves a
+// connection.
 type pipeNetwork map[string]func(net.Conn)
 
-// add has a daemon reach the others, and they it; wrap gives its own end of a connection to it.
+// add connects a daemon to the others in both directions. wrap is applied to its end of the
+// connections that others open.
 func (p pipeNetwork) add(ctx context.Context, t *testing.T, relayed *Journal, wrap func(net.Conn) net.Conn) {
 	t.Helper()
 	server, err := relayed.server(ctx)
@@ -115,14 +116,15 @@
 	}
 }
 
+// newDaemons starts daemons of one zone and waits until they know each other.
 func newDaemons(ctx context.Context, t *testing.T, count int) *daemons {
-	d, reached := &daemons{store: journaltest.New()}, pipeNetwork{}
+	d, network := &daemons{store: journaltest.New()}, pipeNetwork{}
 	for i := range count {
 		name := string(rune('a' + i))
-		way := &faultyJournal{Journal: d.store}
-		relayed := New(way, Options{Name: name, Zone: "z", Address: name}, zap.NewNop())
-		reached.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return conn })
-		d.ownPaths, d.relays = append(d.ownPaths, way), append(d.relays, relayed)
+		ownPath := &faultyJournal{Journal: d.store}
+		relayed := New(ownPath, Options{Name: name, Zone: "z", Address: name}, zap.NewNop())
+		network.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return conn })
+		d.ownPaths, d.relays = append(d.ownPaths, ownPath), append(d.relays, relayed)
 	}
 	for _, relayed := range d.relays {
 		go relayed.Run(ctx)
@@ -139,11 +141,11 @@
 	return err
 }
 
-// lossProbeText is the text of records that are appended until the loss has shown. The last
-// of them may go through a peer already.
+// lossProbeText is the text of the records that waitForLoss appends. The last of them may be
+// appended through a peer.
 const lossProbeText = "before the loss shows"
 
-// storedTexts returns the records, but for those appended until a loss had shown.
+// storedTexts returns the texts of the stored records except lossProbeText.
 func storedTexts(ctx context.Context, log journal.Journal) ([]string, error) {
 	read, err := log.Read(ctx, journal.Read{Partition: records})
 	var stored []string
@@ -155,19 +157,16 @@
 	return stored, err
 }
 
-// waitForLoss appends until a daemon's own path counts as lost.
+// waitForLoss appends records until the daemon's own path counts as lost.
 func waitForLoss(ctx context.Context, relayed *Journal) {
 	for !relayed.PathLost() {
-		_ = appendOne(ctx, relayed, lossProbeText, 300*time.Millisecond) // its outcome is not the point
+		_ = appendOne(ctx, relayed, lossProbeText, 300*time.Millisecond) // the outcome does not matter
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// A daemon that is cut off from the store, silently or by refusals, goes on through
-// another one, and on its own path again once that is back. Submissions at such
-// daemons were once answered 504 after 1.57 s, each of the trainer's tries, and batches that
-// they owned stood still. A store may throttle a single machine for seconds as well, so that
-// results of a batch were not listed; one whose rate is exceeded serves most calls.
+// A daemon that cannot reach the store, or whose calls are refused or throttled, must make its
+// calls through a peer, and on its own path again once that is restored.
 func TestADaemonThatLostItsPathCallsThroughAPeer(t *testing.T) {
 	for _, fault := range []int32{faultSilent, faultRefused, faultThrottled} {
 		synctest.Test(t, func(t *testing.T) {
@@ -177,13 +176,13 @@
 			d := newDaemons(ctx, t, 3)
 			is.NoErr(appendOne(ctx, d.relays[0], "before", time.Second))
 			d.ownPaths[0].fault.Store(fault)
-			// The loss shows within a second, whatever the daemon does meanwhile.
+			// The loss must be detected whatever the fault is.
 			waitForLoss(ctx, d.relays[0])
 			is.NoErr(appendOne(ctx, d.relays[0], "through another", 200*time.Millisecond))
 			stored, err := storedTexts(ctx, d.relays[0])
 			is.NoErr(err)
 			is.Equal(stored, []string{"before", "through another"})
-			// Two that are cut off tell each other so, and both go through the third.
+			// Two daemons without a path refuse each other's calls, and both use the third.
 			d.ownPaths[1].fault.Store(fault)
 			waitForLoss(ctx, d.relays[1])
 			is.NoErr(appendOne(ctx, d.relays[0], "a", 200*time.Millisecond))
@@ -199,16 +198,16 @@
 	}
 }
 
-// In an outage of the whole store nobody helps: calls take the own way, and so go
-// through as soon as the store is back.
+// In an outage of the whole store no peer can help. Calls use the own path, so that they succeed
+// as soon as the store is available again.
 func TestCallsSucceedWhenAStoreOutageEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		d := newDaemons(ctx, t, 3)
-		for _, way := range d.ownPaths {
-			way.fault.Store(faultRefused)
+		for _, ownPath := range d.ownPaths {
+			ownPath.fault.Store(faultRefused)
 		}
 		for range 20 {
 			for _, relayed := range d.relays {
@@ -217,8 +216,8 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		for _, way := range d.ownPaths {
-			way.fault.Store(faultNone)
+		for _, ownPath := range d.ownPaths {
+			ownPath.fault.Store(faultNone)
 		}
 		is.NoErr(appendOne(ctx, d.relays[0], "back", 50*time.Millisecond))
 		stored, err := storedTexts(ctx, d.relays[1])
@@ -227,8 +226,8 @@
 	})
 }
 
-// A conditional append keeps its condition on the way, also one on offset 0, and what
-// it meets is told as by the journal itself.
+// Relaying must keep an append's condition, also one on offset 0, and return the journal's own
+// results and errors.
 func TestRelayedAnswersEqualDirectOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -258,7 +257,7 @@
 	})
 }
 
-// Errors come out of a reply as they went in.
+// An error must have the same kind after it was sent in a reply.
 func TestErrorsSurviveEncoding(t *testing.T) {
 	is := is.New(t)
 	for _, cause := range []error{
@@ -278,8 +277,8 @@
 	}
 }
 
-// A path is lost only after overdueAfter without any answer, or refusals in a row, and
-// any answer brings it back, in whatever order calls begin and end.
+// The path is lost only after more than maxOverdue without an answer or after refusals in a row,
+// and any answer restores it, in whichever order calls begin and end.
 func TestThePathIsLostOnlyAfterSilenceOrRefusals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -307,15 +306,15 @@
 			select {
 			case <-lostCh:
 				if !lost {
-					t.Fatal("callers are told of a loss that is over")
+					t.Fatal("lostCh is closed, but the path is not lost")
 				}
 			default:
 				if lost {
-					t.Fatal("callers are not told of a loss")
+					t.Fatal("the path is lost, but lostCh is not closed")
 				}
 			}
 			if lost && now.Sub(answered) <= maxOverdue && refusals < minRefusals {
-				t.Fatalf("lost %v after an answer, with %d refusals", now.Sub(answered), refusals)
+				t.Fatalf("path lost %v after an answer and after %d refusals", now.Sub(answered), refusals)
 			}
 		}
 	})
--- a/internal/journal/relay/service.go
+++ b/internal/journal/relay/service.go
@@ -12,18 +12,19 @@
 	"woodworks/internal/journal"
 )
 
-// maxCallTimeout bounds how long a peer's call may take here.
+// maxCallTimeout bounds a call for a peer, whichever timeout the peer requests.
 const maxCallTimeout = 30 * time.Second
 
-// Service makes calls to the journal for peers that have lost their own path. Its
-// exported method is that of net/rpc.
+// Service makes calls to the journal for peers that have lost their own path. Its exported method
+// is called through net/rpc.
 type Service struct {
 	ctx   context.Context
 	relay *Journal
 }
 
-// Serve answers peers at the address of the options until the context ends. It
-// returns once the listener stands.
+// Serve listens on the address of the options and answers peers until the context ends. It
+// returns once the listener is open. It fails if the address cannot be listened on or net/rpc
+// rejects a registered receiver.
 func (j *Journal) Serve(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", j.options.Address)
 	if err != nil {
@@ -31,17 +32,17 @@
 	}
 	server, err := j.server(ctx)
 	if err != nil {
-		return errors.Wrap(err, "relay")
+		return errors.Wrap(err, "relay: register receivers")
 	}
 	go func() {
 		<-ctx.Done()
-		_ = listener.Close() // The daemon ends: there is nobody to tell.
+		_ = listener.Close() // The daemon is stopping.
 	}()
 	go j.accept(ctx, listener, server)
 	return nil
 }
 
-// server returns what answers on the connections of peers.
+// server returns an RPC server with the journal service and all registered receivers.
 func (j *Journal) server(ctx context.Context) (*rpc.Server, error) {
 	server := rpc.NewServer()
 	for name, receiver := range j.receivers {
@@ -52,6 +53,7 @@
 	return server, server.RegisterName(serviceName, &Service{ctx: ctx, relay: j})
 }
 
+// accept serves each connection of the listener until the context ends.
 func (j *Journal) accept(ctx context.Context, listener net.Listener, server *rpc.Server) {
 	for {
 		conn, err := listener.Accept()
@@ -59,7 +61,7 @@
 			return
 		}
 		if err != nil {
-			j.logger.Warn("peer not accepted", zap.Error(err))
+			j.logger.Warn("failed to accept a peer's connection", zap.Error(err))
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -67,10 +69,11 @@
 	}
 }
 
-// acceptRetryDelay is the pause after an error of accept, as from too many descriptors.
+// acceptRetryDelay is the wait after a failed accept, for example for lack of file descriptors.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// Call makes one call to the journal. It is exported for net/rpc.
+// Call makes one call to the journal for a peer. msg holds an operation and answer receives a
+// reply; the error of the call itself is part of the reply.
 func (s *Service) Call(msg Message, answer *Message) error {
 	var op operation
 	if err := msg.decode(&op); err != nil {
@@ -84,8 +87,8 @@
 	return nil
 }
 
-// answer makes the call on the own path, or says that this is lost, as it soon is for a
-// daemon that stops.
+// answer makes the call on the own path. If that path is lost or this daemon is draining, it
+// makes no call and returns outcomePathLost.
 func (s *Service) answer(op operation) reply {
 	if !s.relay.peerCalls.tryAdd() {
 		return reply{Outcome: outcomePathLost, Reason: "the peer stops"}
