--- a/internal/journal/relay/ask_test.go
+++ b/internal/journal/relay/ask_test.go
@@ -17,20 +17,21 @@
 	"woodworks/internal/journal"
 )
 
-// Echo is a service of a peer.
+// Echo is a receiver that a peer registers.
 type Echo struct{}
 
-// Say answers with the text, or refuses an empty one.
+// Say answers with the text, or with an error if the text is empty.
 func (Echo) Say(text string, answer *string) error {
 	if text == "" {
-		return errors.New("nothing to say")
+		return errors.New("empty text")
 	}
 	*answer = text
 	return nil
 }
 
-// newEcho returns two daemons, and a server of the second that has Echo.
-func newEcho(ctx context.Context, t *testing.T) (*daemons, *rpc.Server) {
+// newEchoDaemons returns two daemons and the RPC server of the second, on which Echo is
+// registered.
+func newEchoDaemons(ctx context.Context, t *testing.T) (*daemons, *rpc.Server) {
 	t.Helper()
 	d := newDaemons(ctx, t, 2)
 	d.relays[1].Register("Echo", Echo{})
@@ -41,21 +42,20 @@
 	return d, server
 }
 
-// pipeTo returns a connection to a server.
+// pipeTo returns a connection to the server.
 func pipeTo(server *rpc.Server) net.Conn {
 	near, far := net.Pipe()
 	go server.ServeConn(far)
 	return near
 }
 
-// One daemon is asked by name; one that can't be reached is left alone for a while, one
-// that refuses is not.
-func TestAPeerIsAskedByName(t *testing.T) {
+// A peer that cannot be reached is suspended. A peer that refuses a call is not.
+func TestAskSuspendsOnlyUnreachablePeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		d, server := newEcho(ctx, t)
+		d, server := newEchoDaemons(ctx, t)
 		dials, reachable := 0, true
 		d.relays[0].peers.dial = func(context.Context, string) (net.Conn, error) {
 			dials++
@@ -72,25 +72,25 @@
 		is.Equal(dials, 1)
 		is.True(errors.Is(d.relays[0].Ask(ctx, "nobody", "Echo.Say", "x", &answer), ErrNotReached))
 		reachable = false
-		d.relays[0].peers.get("b").drop()
+		d.relays[0].peers.get("b").disconnect()
 		is.True(errors.Is(d.relays[0].Ask(ctx, "b", "Echo.Say", "x", &answer), ErrNotReached))
 		reachable = true
 		is.True(errors.Is(d.relays[0].Ask(ctx, "b", "Echo.Say", "x", &answer), ErrNotReached))
 		is.Equal(dials, 2)
-		time.Sleep(brokenRest)
+		time.Sleep(unreachableRetryDelay)
 		is.NoErr(d.relays[0].Ask(ctx, "b", "Echo.Say", "back", &answer))
 	})
 }
 
-// restartable is a peer whose process ends and starts again at the same address.
-type restartable struct {
+// restartablePeer is a peer whose process can restart at the same address.
+type restartablePeer struct {
 	server *rpc.Server
 	mu     sync.Mutex
 	conns  []net.Conn
 	dials  int
 }
 
-func (r *restartable) dial(context.Context, string) (net.Conn, error) {
+func (r *restartablePeer) dial(context.Context, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,28 +99,25 @@
 	return near, nil
 }
 
-// restart ends the connections, as the end of a process does.
-func (r *restartable) restart() {
+// restart closes all connections, as the end of a process does.
+func (r *restartablePeer) restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, conn := range r.conns {
-		_ = conn.Close() // nobody reads what it says
+		_ = conn.Close() // the error does not matter
 	}
 	r.conns = nil
 }
 
-// A peer that had been restarted as planned was there again, yet the first call to it met
-// the connection to the run before, counted as not reached, and the peer was left alone
-// for 3 s. In a restart of all daemons in turn each of them did so with each other one,
-// and questions about batches went to the journal, two at a time. A call that was not
-// sent as its connection had ended is sent on a new one.
-func TestAPeerThatWasRestartedIsAskedAtOnce(t *testing.T) {
+// A call that fails because the connection ended with the peer's previous process is sent on a
+// new connection. Otherwise, a rolling restart would suspend every peer.
+func TestAskReconnectsToARestartedPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		d, server := newEcho(ctx, t)
-		peer := &restartable{server: server}
+		d, server := newEchoDaemons(ctx, t)
+		peer := &restartablePeer{server: server}
 		d.relays[0].peers.dial = peer.dial
 		answer := ""
 		is.NoErr(d.relays[0].Ask(ctx, "b", "Echo.Say", "hello", &answer))
@@ -132,34 +129,33 @@
 	})
 }
 
-// Two calls were under way when their connection broke. The first one to notice gave it
-// up and made another; the second one then gave up that one, with the calls on it. A call
-// gives up the connection that it was made on.
-func TestABrokenCallLeavesALaterConnectionAlone(t *testing.T) {
+// When several calls fail on one connection, the later ones must not close the connection that
+// replaced it.
+func TestDiscardKeepsANewerConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		server := rpc.NewServer()
 		is.NoErr(server.RegisterName("Echo", Echo{}))
-		remote := &restartable{server: server}
+		remote := &restartablePeer{server: server}
 		asked := &peer{Address: "b"}
 		before, err := asked.connect(t.Context(), remote.dial)
 		is.NoErr(err)
-		asked.giveUp(before)
+		asked.discard(before)
 		later, err := asked.connect(t.Context(), remote.dial)
 		is.NoErr(err)
-		asked.giveUp(before)
+		asked.discard(before)
 		again, err := asked.connect(t.Context(), remote.dial)
 		is.NoErr(err)
 		is.True(again == later)
-		asked.giveUp(later)
+		asked.discard(later)
 	})
 }
 
-// ending is a connection whose reads end with io.EOF also where this side closes it, as
-// they do where the other side does so at the same moment.
-type ending struct{ net.Conn }
+// eofConn is a connection whose reads end with io.EOF also if this side closes it, as happens if
+// both sides close at the same time.
+type eofConn struct{ net.Conn }
 
-func (e ending) Read(into []byte) (int, error) {
+func (e eofConn) Read(into []byte) (int, error) {
 	n, err := e.Conn.Read(into)
 	if err != nil {
 		err = io.EOF
@@ -167,42 +163,40 @@
 	return n, err
 }
 
-// A daemon that ended gave up its connection to a peer at the moment at which the peer
-// closed it as well. net/rpc then tells the calls under way the same as one that was never
-// sent: an append that a peer was making counted as not made, which callers hear as a
-// promise that their batch will not run. A call that was sent is of unknown outcome.
-func TestACallUnderWayIsNeverToldAsNotSent(t *testing.T) {
+// Closing a connection while the peer closes it makes net/rpc fail sent calls like unsent ones.
+// An append that a peer may have made must not be reported as not made.
+func TestASentCallNeverFailsWithErrNotReached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		asked, dials := &peer{Address: "b"}, 0
-		defer asked.drop()
+		defer asked.disconnect()
 		dial := func(context.Context, string) (net.Conn, error) {
 			dials++
 			near, far := net.Pipe()
-			go func() { _, _ = io.Copy(io.Discard, far) }() // it takes the call and says nothing
-			return ending{near}, nil
+			go func() { _, _ = io.Copy(io.Discard, far) }() // accepts the call, never answers
+			return eofConn{near}, nil
 		}
 		failed := make(chan error, 1)
 		answer := ""
 		go func() { failed <- asked.ask(ctx, dial, "Echo.Say", "x", &answer) }()
 		synctest.Wait()
-		asked.drop()
+		asked.disconnect()
 		err := <-failed
 		is.True(err != nil)
 		is.True(!errors.Is(err, ErrNotReached))
-		is.Equal(dials, 1) // and it is not sent again
+		is.Equal(dials, 1) // the call is not repeated
 	})
 }
 
-// A caller gave a call up while a connection to a peer was being made. Each peer that was due then
-// counted as not reached and was left alone for 3 s, although nothing was known against it.
-func TestACancelledCallLeavesItsPeersInUse(t *testing.T) {
+// A caller that cancels its call while a connection is being opened must not cause the peers to
+// be suspended.
+func TestACancelledCallDoesNotSuspendPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPeers(Options{Name: "a"}, zap.NewNop())
-		p.known["b"], p.known["c"] = &peer{Address: "b"}, &peer{Address: "c"}
+		p.byName["b"], p.byName["c"] = &peer{Address: "b"}, &peer{Address: "c"}
 		p.dial = func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -210,8 +204,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(50*time.Millisecond, cancel)
 		_, err := p.relay(ctx, operation{Owners: &ownersCall{Group: "g"}})
-		is.True(p.available("b") != nil)
-		is.True(p.available("c") != nil)
+		is.True(p.getAvailable("b") != nil)
+		is.True(p.getAvailable("c") != nil)
 		is.True(errors.Is(err, journal.ErrUnknown))
 	})
 }
--- a/internal/journal/relay/drown_test.go
+++ b/internal/journal/relay/drown_test.go
@@ -19,18 +19,20 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// line is one direction of a machine's link: those who send over it have their turn part by part.
-type line struct {
+// link is one direction of a machine's network link. Concurrent senders share its bandwidth by
+// taking turns, one chunk each.
+type link struct {
 	bytesPerSecond float64
 
 	mu        sync.Mutex
 	busyUntil time.Time
 }
 
-// part is how much is sent in one turn.
-const part = 16 << 10
+// chunkBytes is the number of bytes that are sent in one turn.
+const chunkBytes = 16 << 10
 
-func (l *line) take(bytes int) time.Duration {
+// reserve adds bytes to the link's queue and returns the time until they have been sent.
+func (l *link) reserve(bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now := time.Now(); l.busyUntil.Before(now) {
@@ -40,28 +42,31 @@
 	return time.Until(l.busyUntil)
 }
 
-// carry returns when bytes have been sent, whoever still awaits them, or when the test ends.
-func (l *line) carry(ctx context.Context, bytes int) {
-	for ; bytes > 0 && ctx.Err() == nil; bytes -= part {
-		periodic.Pause(ctx, l.take(min(bytes, part)))
+// transmit returns when bytes have been sent or the test ends. Bytes that nobody waits for any
+// more are sent as well.
+func (l *link) transmit(ctx context.Context, bytes int) {
+	for ; bytes > 0 && ctx.Err() == nil; bytes -= chunkBytes {
+		periodic.Pause(ctx, l.reserve(min(bytes, chunkBytes)))
 	}
 }
 
-// lined is a connection whose writes go over a line, one after the other. They return at once:
-// net/rpc holds a lock meanwhile, on which virtual time doesn't pass.
-type lined struct {
+// linkConn is a connection whose writes go over a link, one after the other. They return at once,
+// because net/rpc holds a mutex during a write, and synctest's time does not advance while a
+// goroutine waits for a mutex.
+type linkConn struct {
 	net.Conn
 	writes chan []byte
 }
 
-func newLinedConn(ctx context.Context, conn net.Conn, out *line) lined {
-	l := lined{conn, make(chan []byte, 1<<16)}
+// newLinkConn returns conn with its writes sent over the link out until ctx ends.
+func newLinkConn(ctx context.Context, conn net.Conn, out *link) linkConn {
+	l := linkConn{conn, make(chan []byte, 1<<16)}
 	go func() {
 		for {
 			select {
 			case content := <-l.writes:
-				out.carry(ctx, len(content))
-				_, _ = conn.Write(content) // Who reads sees that the connection has ended.
+				out.transmit(ctx, len(content))
+				_, _ = conn.Write(content) // The reader notices the end of the connection.
 			case <-ctx.Done():
 				return
 			}
@@ -70,28 +75,28 @@
 	return l
 }
 
-func (l lined) Write(content []byte) (int, error) {
+func (l linkConn) Write(content []byte) (int, error) {
 	l.writes <- append([]byte(nil), content...)
 	return len(content), nil
 }
 
-// far is a daemon's own path to the journal, over the line that comes in.
-type far struct {
-	*cut
+// linkedJournal is a daemon's own path to the journal, with reads limited by its downlink.
+type linkedJournal struct {
+	*faultyJournal
 	// ctx ends with the test.
-	ctx context.Context
-	in  *line
+	ctx      context.Context
+	downlink *link
 }
 
-func (f far) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
-	read, err := f.cut.Read(ctx, request)
+func (l linkedJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+	read, err := l.faultyJournal.Read(ctx, request)
 	bytes := 0
 	for _, record := range read.Records {
 		bytes += len(record)
 	}
 	sent := make(chan struct{})
 	go func() {
-		f.in.carry(f.ctx, bytes)
+		l.downlink.transmit(l.ctx, bytes)
 		close(sent)
 	}()
 	select {
@@ -102,26 +107,27 @@
 	}
 }
 
-// newLined returns daemons of two zones behind links, of which the first in the first zone
-// have lost their own path.
-func newLined(ctx context.Context, t *testing.T, store *journaltest.Journal, zone, refusedOf int, bytesPerSecond float64) *daemons {
-	d, reached := &daemons{store: store}, pipes{}
-	for i := range 2 * zone {
-		name := fmt.Sprintf("%c%02d", 'a'+i/zone, i%zone)
-		way := &cut{Journal: d.store}
-		if i < refusedOf {
-			way.fault.Store(refused)
+// newLinkedDaemons returns the daemons, behind links, of two zones with zoneSize daemons each. The
+// store refuses the calls of the first refusedCount daemons of the first zone.
+func newLinkedDaemons(ctx context.Context, t *testing.T, store *journaltest.Journal, zoneSize, refusedCount int, bytesPerSecond float64) *daemons {
+	d, network := &daemons{store: store}, pipeNetwork{}
+	for i := range 2 * zoneSize {
+		name := fmt.Sprintf("%c%02d", 'a'+i/zoneSize, i%zoneSize)
+		ownPath := &faultyJournal{Journal: d.store}
+		if i < refusedCount {
+			ownPath.fault.Store(faultRefused)
 		}
-		in, out := &line{bytesPerSecond: bytesPerSecond}, &line{bytesPerSecond: bytesPerSecond}
-		relayed := New(journal.DetectLostCalls(far{way, ctx, in}, zap.NewNop()), Options{Name: name, Zone: name[:1], Address: name}, zap.NewNop())
-		reached.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return newLinedConn(ctx, conn, out) })
-		d.ways, d.relays = append(d.ways, way), append(d.relays, relayed)
+		in, out := &link{bytesPerSecond: bytesPerSecond}, &link{bytesPerSecond: bytesPerSecond}
+		relayed := New(journal.DetectLostCalls(linkedJournal{ownPath, ctx, in}, zap.NewNop()), Options{Name: name, Zone: name[:1], Address: name}, zap.NewNop())
+		network.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return newLinkConn(ctx, conn, out) })
+		d.ownPaths, d.relays = append(d.ownPaths, ownPath), append(d.relays, relayed)
 	}
 	return d
 }
 
-// fill puts batches of others into partitions, so many bytes each.
-func fill(ctx context.Context, t *testing.T, store *journaltest.Journal, partitions, bytes int) {
+// fillPartitions appends batches of another owner to partitions, the given number of bytes to
+// each.
+func fillPartitions(ctx context.Context, t *testing.T, store *journaltest.Journal, partitions, bytes int) {
 	const size = 64 << 10
 	var records [][]byte
 	for i := range bytes / size {
@@ -134,35 +140,35 @@
 	}
 }
 
-// configurations is where one is written each second.
-var configurations = journal.Partition{Topic: journal.KeyedTopic("configurations")}
+// configurationPartition receives a new configuration each second.
+var configurationPartition = journal.Partition{Topic: journal.KeyedTopic("configurations")}
 
-// unheeded takes records and does nothing with them.
-type unheeded struct{}
+// discardHandler is a journal.KeyedHandler that ignores all records.
+type discardHandler struct{}
 
-func (unheeded) Reset([]journal.KeyedRecord) {}
-func (unheeded) Apply(journal.KeyedRecord)   {}
+func (discardHandler) Reset([]journal.KeyedRecord) {}
+func (discardHandler) Apply(journal.KeyedRecord)   {}
 
-// configure writes a configuration each second.
-func configure(ctx context.Context, store *journaltest.Journal) {
+// writeConfigurations writes a configuration each second until ctx ends.
+func writeConfigurations(ctx context.Context, store *journaltest.Journal) {
 	periodic.Every(ctx, time.Second, func(ctx context.Context) {
 		record := journal.EncodeKeyed("c", make([]byte, 4096))
-		_, _ = store.Append(ctx, journal.Append{Partition: configurations, Records: [][]byte{record}}) // It never fails here.
+		_, _ = store.Append(ctx, journal.Append{Partition: configurationPartition, Records: [][]byte{record}}) // The store of this test never fails.
 	})
 }
 
-// follow has each daemon know all others and follow the configurations, and those of the first
-// zone follow a partition each.
-func (d *daemons) follow(ctx context.Context, zone int) (folds []*ledger.Partition) {
+// startFollowers makes all daemons know each other and follow the configurations. Each of the
+// first zoneSize daemons also follows a partition of its own, whose fold is returned.
+func (d *daemons) startFollowers(ctx context.Context, zoneSize int) (folds []*ledger.Partition) {
 	for i, relayed := range d.relays {
 		for _, other := range d.relays {
 			if other != relayed {
-				relayed.peers.known[other.options.Name] = &peer{Address: other.options.Address, Zone: other.options.Zone}
+				relayed.peers.byName[other.options.Name] = &peer{Address: other.options.Address, Zone: other.options.Zone}
 			}
 		}
 		go relayed.Run(ctx)
-		go journal.NewKeyedFollower(relayed, configurations, unheeded{}, 3*time.Second, zap.NewNop()).Run(ctx)
-		if i < zone {
+		go journal.NewKeyedFollower(relayed, configurationPartition, discardHandler{}, 3*time.Second, zap.NewNop()).Run(ctx)
+		if i < zoneSize {
 			fold := ledger.New(ctx, relayed, zap.NewNop()).Partition(journal.Partition{Topic: "p", Number: i})
 			fold.Follow()
 			folds = append(folds, fold)
@@ -171,17 +177,15 @@
 	return folds
 }
 
-// The store refused all machines of a zone but one. All of them went on through that one, as the
-// nearest, whose link was too narrow for a page to each within the 0.7 s that a peer has for any
-// answer; it was left alone for a second and then was the first to be asked again, while
-// those of the other zone had nothing to do. Its link was full of pages that nobody awaited any
-// more, 96 to 120 MB for 56, and in 15 s none but its own partition was read to its end.
+// If the store refuses most machines of a zone, the remaining ones must not be overloaded by
+// relayed reads: their links would fill with late pages, and no partition would be read to its
+// end.
 func TestAPeerDoesNotDrownInReadsOfItsZone(t *testing.T) {
 	const (
-		zone, each     = 28, 2 << 20
-		bytesPerSecond = 60e6 / 8
-		// servesAgain is within which time machines serve again.
-		servesAgain = 15 * time.Second
+		zone, partitionBytes = 28, 2 << 20
+		bytesPerSecond       = 60e6 / 8
+		// recoveryTimeout bounds the time until all partitions have been read.
+		recoveryTimeout = 15 * time.Second
 	)
 	for _, left := range []int{1, 2, 4, 14} {
 		t.Run(fmt.Sprint(left, " of ", zone, " left"), func(t *testing.T) {
@@ -191,27 +195,27 @@
 				defer cancel()
 				store := journaltest.New()
 				store.RecordBytes = 256 << 10
-				fill(ctx, t, store, zone, each)
-				d := newLined(ctx, t, store, zone, zone-left, bytesPerSecond)
-				folds := d.follow(ctx, zone)
-				go configure(ctx, store)
-				began, learned := time.Now(), 0
-				for learned < zone && time.Since(began) < servesAgain {
+				fillPartitions(ctx, t, store, zone, partitionBytes)
+				d := newLinkedDaemons(ctx, t, store, zone, zone-left, bytesPerSecond)
+				folds := d.startFollowers(ctx, zone)
+				go writeConfigurations(ctx, store)
+				began, read := time.Now(), 0
+				for read < zone && time.Since(began) < recoveryTimeout {
 					time.Sleep(100 * time.Millisecond)
-					learned = 0
+					read = 0
 					for _, fold := range folds {
 						if fold.IsFresh() {
-							learned++
+							read++
 						}
 					}
 				}
 				took := time.Since(began)
 				done, failed := uint64(0), uint64(0)
 				for _, relayed := range d.relays {
-					done, failed = done+relayed.Relayed.Load(), failed+relayed.RelayFailed.Load()
+					done, failed = done+relayed.RelayedCalls.Load(), failed+relayed.FailedRelayedCalls.Load()
 				}
-				t.Logf("%d of %d partitions learned after %v, %d MB read of %d, %d of %d relayed calls failed", learned, zone, took, store.Usage().ReadBytes>>20, zone*each>>20, failed, done+failed)
-				is.Equal(learned, zone)
+				t.Logf("%d of %d partitions read after %v, %d MB read of %d, %d of %d relayed calls failed", read, zone, took, store.Usage().ReadBytes>>20, zone*partitionBytes>>20, failed, done+failed)
+				is.Equal(read, zone)
 			})
 		})
 	}
--- a/internal/journal/relay/golden_test.go
+++ b/internal/journal/relay/golden_test.go
@@ -15,19 +15,19 @@
 	golden.CBOR[operation](t, "operation")
 	golden.CBOR[reply](t, "reply")
 	golden.CBOR[peer](t, "peer")
-	golden.Text(t, "names.txt", fmt.Sprintln(methodName, topic))
+	golden.Text(t, "names.txt", fmt.Sprintln(methodName, peersTopic))
 }
 
 func TestOutcomesKeepTheirNumbers(t *testing.T) {
-	golden.Text(t, "outcomes.txt", fmt.Sprint(int(outcomeDone), int(outcomeLost), int(outcomeNotDone), int(outcomeUnavailable),
+	golden.Text(t, "outcomes.txt", fmt.Sprint(int(outcomeDone), int(outcomePathLost), int(outcomeNotDone), int(outcomeUnavailable),
 		int(outcomePosition), int(outcomeTrimmed), int(outcomeUnknown), int(outcomeThrottled)))
-	told := ""
+	lines := ""
 	for _, err := range []error{
 		&journal.ThrottledError{Reason: "why"}, &journal.TrimmedError{First: 7}, journal.ErrPosition,
 		&journal.UnavailableError{Reason: "why"}, journal.ErrNotDone, journal.ErrUnknown, errors.New("other"),
 	} {
 		message, encodeErr := encode(failedReply(err))
-		told += fmt.Sprintf("%x %v\n", message.Body, encodeErr)
+		lines += fmt.Sprintf("%x %v\n", message.Body, encodeErr)
 	}
-	golden.Text(t, "failures.txt", told)
+	golden.Text(t, "failures.txt", lines)
 }
--- a/internal/journal/relay/neighbours_test.go
+++ b/internal/journal/relay/neighbours_test.go
@@ -9,17 +9,17 @@
 	"go.uber.org/zap"
 )
 
-// What each daemon passes on to its neighbours reaches all in as many steps as their
-// number has binary digits, also if one of them is gone.
+// Gossip forwarded to the neighbours must reach all daemons, also if one has ended, while each
+// daemon has no more neighbours than their number has binary digits.
 func TestNeighboursReachAll(t *testing.T) {
 	is := is.New(t)
 	for _, count := range []int{1, 2, 3, 7, 12, 100, 770} {
 		next := map[string][]string{}
 		for i := range count {
-			p := &peers{known: map[string]*peer{}}
+			p := &peers{byName: map[string]*peer{}}
 			for other := range count {
 				if other != i {
-					p.known[daemonName(other)] = &peer{}
+					p.byName[daemonName(other)] = &peer{}
 				}
 			}
 			j := &Journal{options: Options{Name: daemonName(i)}, peers: p, logger: zap.NewNop()}
@@ -32,7 +32,7 @@
 				wanted--
 			}
 			if wanted > 0 {
-				is.Equal(reached(next, daemonName(0), gone), wanted)
+				is.Equal(countReached(next, daemonName(0), gone), wanted)
 			}
 		}
 	}
@@ -40,8 +40,9 @@
 
 func daemonName(i int) string { return fmt.Sprintf("d%04d", i) }
 
-// reached counts the daemons that learn what the first tells.
-func reached(next map[string][]string, first, gone string) int {
+// countReached counts the daemons that receive gossip which starts at first, while gone forwards
+// nothing.
+func countReached(next map[string][]string, first, gone string) int {
 	if first == gone {
 		return 0
 	}
--- a/internal/journal/relay/path_test.go
+++ b/internal/journal/relay/path_test.go
@@ -9,9 +9,9 @@
 	"woodworks/internal/journal"
 )
 
-// A store whose rate is exceeded throttles some calls of every daemon: the path stands
-// as long as others are answered, since a peer's calls would be throttled no less.
-func TestAStoreThatIsBusyIsNoLostPath(t *testing.T) {
+// A store over its rate limit throttles some calls of every daemon. The path must not count as
+// lost while other calls are answered, as peers are throttled no less.
+func TestSomeThrottledCallsDoNotLoseThePath(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	p := newPath(now)
@@ -22,14 +22,14 @@
 			err = nil
 		}
 		p.finish(p.begin(now, 0), err, now)
-		lost, _ := p.judge(now)
+		lost, _ := p.detectLoss(now)
 		is.True(!lost)
 	}
-	for range throttlesToLose {
-		now = now.Add(throttledAfter / throttlesToLose)
+	for range minThrottles {
+		now = now.Add(minThrottledTime / minThrottles)
 		p.finish(p.begin(now, 0), &journal.ThrottledError{Reason: "this machine"}, now)
 	}
-	lost, reason := p.judge(now.Add(throttledAfter))
+	lost, reason := p.detectLoss(now.Add(minThrottledTime))
 	is.True(lost)
 	is.Equal(reason, "throttled")
 }
--- a/internal/journal/relay/relay_test.go
+++ b/internal/journal/relay/relay_test.go
@@ -24,84 +24,85 @@
 
 var records = journal.Partition{Topic: "records"}
 
-// cut is one daemon's own path to a journal, which may be cut while it stands for others.
-type cut struct {
+// faultyJournal is one daemon's own path to a journal, with faults that other daemons don't have.
+type faultyJournal struct {
 	journal.Journal
 	fault atomic.Int32
-	// lag is how long appends take, in nanoseconds.
-	lag atomic.Int64
+	// appendDelay is how long appends take, in nanoseconds.
+	appendDelay atomic.Int64
 }
 
 const (
-	open int32 = iota
-	silent
-	refused
-	throttled
+	faultNone int32 = iota
+	faultSilent
+	faultRefused
+	faultThrottled
 )
 
-// meet lets the way's fault befall a call.
-func (c *cut) meet(ctx context.Context) error {
-	switch c.fault.Load() {
-	case silent:
+// applyFault makes a call fail as the current fault requires: at the end of ctx or at once.
+func (f *faultyJournal) applyFault(ctx context.Context) error {
+	switch f.fault.Load() {
+	case faultSilent:
 		<-ctx.Done()
 		return errors.Wrap(journal.ErrUnknown, "silent")
-	case refused:
+	case faultRefused:
 		return &journal.UnavailableError{Reason: "refused"}
-	case throttled:
+	case faultThrottled:
 		return &journal.ThrottledError{Reason: "throttled"}
 	}
 	return nil
 }
 
-func (c *cut) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
-	if err := c.meet(ctx); err != nil {
+func (f *faultyJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
+	if err := f.applyFault(ctx); err != nil {
 		return journal.Appended{}, err
 	}
-	if periodic.Pause(ctx, time.Duration(c.lag.Load())); ctx.Err() != nil {
+	if periodic.Pause(ctx, time.Duration(f.appendDelay.Load())); ctx.Err() != nil {
 		return journal.Appended{}, errors.Wrap(journal.ErrUnknown, ctx.Err().Error())
 	}
-	appended, err := c.Journal.Append(ctx, request)
-	return appended, either(err, c.meet(ctx))
+	appended, err := f.Journal.Append(ctx, request)
+	return appended, firstError(err, f.applyFault(ctx))
 }
 
-func (c *cut) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
-	if err := c.meet(ctx); err != nil {
+func (f *faultyJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+	if err := f.applyFault(ctx); err != nil {
 		return journal.Records{}, err
 	}
-	read, err := c.Journal.Read(ctx, request)
-	return read, either(err, c.meet(ctx))
+	read, err := f.Journal.Read(ctx, request)
+	return read, firstError(err, f.applyFault(ctx))
 }
 
-func (c *cut) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
-	if err := c.meet(ctx); err != nil {
+func (f *faultyJournal) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
+	if err := f.applyFault(ctx); err != nil {
 		return journal.KeyedPage{}, err
 	}
-	page, err := c.Journal.Newest(ctx, partition, afterKey)
-	return page, either(err, c.meet(ctx))
+	page, err := f.Journal.Newest(ctx, partition, afterKey)
+	return page, firstError(err, f.applyFault(ctx))
 }
 
-// either returns the first of two errors: a call that was under way when the way was
-// cut gets no answer either.
-func either(first, second error) error {
+// firstError returns the first error that is not nil. Faults are applied before and after a call,
+// so that a call in progress when a fault begins gets no answer either.
+func firstError(first, second error) error {
 	if first != nil {
 		return first
 	}
 	return second
 }
 
-// daemons are some that reach each other over pipes, each with its own way to one
-// journal.
+// daemons is a group of daemons that are connected by pipes. Each has its own path to the store.
 type daemons struct {
-	store  *journaltest.Journal
-	ways   []*cut
-	relays []*Journal
+	store    *journaltest.Journal
+	ownPaths []*faultyJournal
+	relays   []*Journal
 }
 
-// pipes are the servers of daemons that reach each other over pipes, by name.
-type pipes map[string]func(net.Conn)
+// pipeNetwork connects daemons by pipes: it has a function for each daemon's name that serves a
+// connection.
+type pipeNetwork map[string]func(net.Conn)
 
-// add has a daemon reach the others, and they it; wrap gives its own end of a connection to it.
-func (p pipes) add(ctx context.Context, t *testing.T, relayed *Journal, wrap func(net.Conn) net.Conn) {
+// add connects a daemon to the others in both directions. wrap is applied to its end of the
+// connections that others open.
+func (p pipeNetwork) add(ctx context.Context, t *testing.T, relayed *Journal, wrap func(net.Conn) net.Conn) {
 	t.Helper()
 	server, err := relayed.server(ctx)
 	if err != nil {
@@ -115,18 +116,19 @@
 	}
 }
 
+// newDaemons starts daemons of one zone and waits until they know each other.
 func newDaemons(ctx context.Context, t *testing.T, count int) *daemons {
-	d, reached := &daemons{store: journaltest.New()}, pipes{}
+	d, network := &daemons{store: journaltest.New()}, pipeNetwork{}
 	for i := range count {
 		name := string(rune('a' + i))
-		way := &cut{Journal: d.store}
-		relayed := New(way, Options{Name: name, Zone: "z", Address: name}, zap.NewNop())
-		reached.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return conn })
-		d.ways, d.relays = append(d.ways, way), append(d.relays, relayed)
+		ownPath := &faultyJournal{Journal: d.store}
+		relayed := New(ownPath, Options{Name: name, Zone: "z", Address: name}, zap.NewNop())
+		network.add(ctx, t, relayed, func(conn net.Conn) net.Conn { return conn })
+		d.ownPaths, d.relays = append(d.ownPaths, ownPath), append(d.relays, relayed)
 	}
 	for _, relayed := range d.relays {
 		go relayed.Run(ctx)
-		go journal.NewKeyedFollower(relayed, PeersPartition, relayed.Peers(), 3*time.Second, zap.NewNop()).Run(ctx)
+		go journal.NewKeyedFollower(relayed, PeersPartition, relayed.PeersHandler(), 3*time.Second, zap.NewNop()).Run(ctx)
 	}
 	time.Sleep(2 * time.Second)
 	return d
@@ -139,104 +141,101 @@
 	return err
 }
 
-// beforeLoss is the text of records that are appended until the loss has shown. The last
-// of them may go through a peer already.
-const beforeLoss = "before the loss shows"
+// lossProbeText is the text of the records that waitForLoss appends. The last of them may be
+// appended through a peer.
+const lossProbeText = "before the loss shows"
 
-// texts returns the records, but for those appended until a loss had shown.
-func texts(ctx context.Context, log journal.Journal) ([]string, error) {
+// storedTexts returns the texts of the stored records except lossProbeText.
+func storedTexts(ctx context.Context, log journal.Journal) ([]string, error) {
 	read, err := log.Read(ctx, journal.Read{Partition: records})
 	var stored []string
 	for _, record := range read.Records {
-		if text := string(record); text != beforeLoss {
+		if text := string(record); text != lossProbeText {
 			stored = append(stored, text)
 		}
 	}
 	return stored, err
 }
 
-// untilLost appends until a daemon's own path counts as lost.
-func untilLost(ctx context.Context, relayed *Journal) {
-	for !relayed.Lost() {
-		_ = appendOne(ctx, relayed, beforeLoss, 300*time.Millisecond) // its outcome is not the point
+// waitForLoss appends records until the daemon's own path counts as lost.
+func waitForLoss(ctx context.Context, relayed *Journal) {
+	for !relayed.PathLost() {
+		_ = appendOne(ctx, relayed, lossProbeText, 300*time.Millisecond) // the outcome does not matter
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// A daemon that is cut off from the store, silently or by refusals, goes on through
-// another one, and on its own path again once that is back. Submissions at such
-// daemons were once answered 504 after 1.57 s, each of the trainer's tries, and batches that
-// they owned stood still. A store may throttle a single machine for seconds as well, so that
-// results of a batch were not listed; one whose rate is exceeded serves most calls.
-func TestADaemonThatIsCutOffGoesOnThroughAnother(t *testing.T) {
-	for _, fault := range []int32{silent, refused, throttled} {
+// A daemon that cannot reach the store, or whose calls are refused or throttled, must make its
+// calls through a peer, and on its own path again once that is restored.
+func TestADaemonThatLostItsPathCallsThroughAPeer(t *testing.T) {
+	for _, fault := range []int32{faultSilent, faultRefused, faultThrottled} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			d := newDaemons(ctx, t, 3)
 			is.NoErr(appendOne(ctx, d.relays[0], "before", time.Second))
-			d.ways[0].fault.Store(fault)
-			// The loss shows within a second, whatever the daemon does meanwhile.
-			untilLost(ctx, d.relays[0])
+			d.ownPaths[0].fault.Store(fault)
+			// The loss must be detected whatever the fault is.
+			waitForLoss(ctx, d.relays[0])
 			is.NoErr(appendOne(ctx, d.relays[0], "through another", 200*time.Millisecond))
-			stored, err := texts(ctx, d.relays[0])
+			stored, err := storedTexts(ctx, d.relays[0])
 			is.NoErr(err)
 			is.Equal(stored, []string{"before", "through another"})
-			// Two that are cut off tell each other so, and both go through the third.
-			d.ways[1].fault.Store(fault)
-			untilLost(ctx, d.relays[1])
+			// Two daemons without a path refuse each other's calls, and both use the third.
+			d.ownPaths[1].fault.Store(fault)
+			waitForLoss(ctx, d.relays[1])
 			is.NoErr(appendOne(ctx, d.relays[0], "a", 200*time.Millisecond))
 			is.NoErr(appendOne(ctx, d.relays[1], "b", 200*time.Millisecond))
-			d.ways[0].fault.Store(open)
+			d.ownPaths[0].fault.Store(faultNone)
 			time.Sleep(2 * probeInterval)
-			is.True(!d.relays[0].Lost())
-			is.True(d.relays[1].Lost())
-			done := d.relays[0].Relayed.Load()
+			is.True(!d.relays[0].PathLost())
+			is.True(d.relays[1].PathLost())
+			done := d.relays[0].RelayedCalls.Load()
 			is.NoErr(appendOne(ctx, d.relays[0], "own way", 200*time.Millisecond))
-			is.Equal(d.relays[0].Relayed.Load(), done)
+			is.Equal(d.relays[0].RelayedCalls.Load(), done)
 		})
 	}
 }
 
-// In an outage of the whole store nobody helps: calls take the own way, and so go
-// through as soon as the store is back.
-func TestAnOutageOfTheWholeStoreIsWaitedFor(t *testing.T) {
+// In an outage of the whole store no peer can help. Calls use the own path, so that they succeed
+// as soon as the store is available again.
+func TestCallsSucceedWhenAStoreOutageEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		d := newDaemons(ctx, t, 3)
-		for _, way := range d.ways {
-			way.fault.Store(refused)
+		for _, ownPath := range d.ownPaths {
+			ownPath.fault.Store(faultRefused)
 		}
 		for range 20 {
 			for _, relayed := range d.relays {
-				err := appendOne(ctx, relayed, beforeLoss, 300*time.Millisecond)
+				err := appendOne(ctx, relayed, lossProbeText, 300*time.Millisecond)
 				is.True(errors.Is(err, journal.ErrNotDone) || errors.Is(err, journal.ErrUnknown))
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		for _, way := range d.ways {
-			way.fault.Store(open)
+		for _, ownPath := range d.ownPaths {
+			ownPath.fault.Store(faultNone)
 		}
 		is.NoErr(appendOne(ctx, d.relays[0], "back", 50*time.Millisecond))
-		stored, err := texts(ctx, d.relays[1])
+		stored, err := storedTexts(ctx, d.relays[1])
 		is.NoErr(err)
 		is.Equal(stored, []string{"back"})
 	})
 }
 
-// A conditional append keeps its condition on the way, also one on offset 0, and what
-// it meets is told as by the journal itself.
-func TestAnswersAreToldAsTheyAre(t *testing.T) {
+// Relaying must keep an append's condition, also one on offset 0, and return the journal's own
+// results and errors.
+func TestRelayedAnswersEqualDirectOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		d := newDaemons(ctx, t, 2)
-		d.ways[0].fault.Store(refused)
-		untilLost(ctx, d.relays[0])
+		d.ownPaths[0].fault.Store(faultRefused)
+		waitForLoss(ctx, d.relays[0])
 		start := int64(0)
 		empty := journal.Partition{Topic: "empty"}
 		conditional := journal.Append{Partition: empty, Records: [][]byte{[]byte("x")}, ExpectedEnd: &start}
@@ -258,8 +257,8 @@
 	})
 }
 
-// Errors come out of a reply as they went in.
-func TestErrorsSurviveTheWay(t *testing.T) {
+// An error must have the same kind after it was sent in a reply.
+func TestErrorsSurviveEncoding(t *testing.T) {
 	is := is.New(t)
 	for _, cause := range []error{
 		&journal.TrimmedError{First: 7}, &journal.UnavailableError{Reason: "x"},
@@ -278,13 +277,13 @@
 	}
 }
 
-// A path is lost only after overdueAfter without any answer, or refusals in a row, and
-// any answer brings it back, in whatever order calls begin and end.
-func TestThePathIsLostOnlyAfterSilence(t *testing.T) {
+// The path is lost only after more than maxOverdue without an answer or after refusals in a row,
+// and any answer restores it, in whichever order calls begin and end.
+func TestThePathIsLostOnlyAfterSilenceOrRefusals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		p := newPath(now)
-		var open []*pending
+		var open []*pendingCall
 		answered, refusals := now, 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
@@ -302,20 +301,20 @@
 				p.finish(open[0], journal.ErrUnknown, now)
 				open = open[1:]
 			}
-			p.judge(now)
+			p.detectLoss(now)
 			lost, lostCh := p.state()
 			select {
 			case <-lostCh:
 				if !lost {
-					t.Fatal("callers are told of a loss that is over")
+					t.Fatal("lostCh is closed, but the path is not lost")
 				}
 			default:
 				if lost {
-					t.Fatal("callers are not told of a loss")
+					t.Fatal("the path is lost, but lostCh is not closed")
 				}
 			}
-			if lost && now.Sub(answered) <= overdueAfter && refusals < refusalsToLose {
-				t.Fatalf("lost %v after an answer, with %d refusals", now.Sub(answered), refusals)
+			if lost && now.Sub(answered) <= maxOverdue && refusals < minRefusals {
+				t.Fatalf("path lost %v after an answer and after %d refusals", now.Sub(answered), refusals)
 			}
 		}
 	})
