--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -104,10 +104,10 @@
 	until := time.Now().Add(wait)
 	for {
 		err := catchUp(ctx, partition)
-		if err == nil || ctx.Err() != nil || time.Now().Add(catchUpPause).After(until) {
+		if err == nil || ctx.Err() != nil || time.Now().Add(catchUpRetryDelay).After(until) {
 			return err
 		}
-		periodic.Pause(ctx, catchUpPause)
+		periodic.Pause(ctx, catchUpRetryDelay)
 	}
 }
 
