--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -47,7 +47,7 @@
 func (r *Reader) awaitWatcher(ctx context.Context, name journal.Partition) (string, bool) {
 	for began := time.Now(); ; {
 		watcher, ok := r.watchers.WatcherOf(ctx, name)
-		if ok || time.Since(began) > watcherWait {
+		if ok || time.Since(began) > watcherSearchTimeout {
 			return watcher, ok
 		}
 		periodic.Pause(ctx, watcherPause)
