--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -42,14 +42,14 @@
 
 // The parts of a question's time that are spent here.
 const (
-	catchUpTimeout       = questiontime.Read
-	catchUpRetryDelay    = questiontime.RetryPause
-	refreshTimeout       = questiontime.Refresh
-	watcherSearchTimeout = questiontime.Search
-	watcherPause         = questiontime.SearchPause
-	watcherTimeout       = questiontime.Watcher
-	answerWithin         = questiontime.Answer
-	askWatcherAfter      = questiontime.OwnRead
+	catchUpTimeout        = questiontime.Read
+	catchUpRetryDelay     = questiontime.RetryPause
+	refreshTimeout        = questiontime.Refresh
+	watcherSearchTimeout  = questiontime.Search
+	watcherSearchInterval = questiontime.SearchPause
+	watcherTimeout        = questiontime.Watcher
+	answerWithin          = questiontime.Answer
+	askWatcherAfter       = questiontime.OwnRead
 )
 
 const (
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -202,7 +202,7 @@
 				page, err := d.readers[2].Results(ctx, Query{BatchID: "b"})
 				is.NoErr(err)
 				is.True(page.Found)
-				is.True(time.Since(began) <= watcherTimeout+watcherPause)
+				is.True(time.Since(began) <= watcherTimeout+watcherSearchInterval)
 				page, err = d.readers[2].Results(ctx, Query{BatchID: "other"})
 				is.NoErr(err)
 				is.True(!page.Found)
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -50,7 +50,7 @@
 		if ok || time.Since(began) > watcherSearchTimeout {
 			return watcher, ok
 		}
-		periodic.Pause(ctx, watcherPause)
+		periodic.Pause(ctx, watcherSearchInterval)
 		if ctx.Err() != nil {
 			return "", false
 		}
