--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -5,7 +5,7 @@
 const (
 	// lateRest is the least time between two halvings of a share: reads that are late at the
 	// same time are late for one reason, and a question's reads end within answerWithin.
-	lateRest = answerWithin
+	lateRest = answerTimeout
 	// recoverTime is how long a share takes to come back from nothing: twice the 15 s
 	// within which daemons serve again after a start of all, when the journal has most to send.
 	recoverTime = 30 * time.Second
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -188,7 +188,7 @@
 		is.NoErr(err)
 		is.True(page.Found)
 		is.True(!blamed)
-		is.True(time.Since(began) <= wait+answerWithin)
+		is.True(time.Since(began) <= wait+answerTimeout)
 	})
 }
 
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -40,7 +40,7 @@
 func read[Q, T any](
 	ctx context.Context, r *Reader, batchID string, wait time.Duration, k kind[Q, T],
 ) (answer T, err error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+answerWithin)
+	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
 	q := question[Q, T]{trace: r.startTrace(batchID, wait), kind: k}
 	defer func() { q.end(err) }()
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -48,7 +48,7 @@
 	watcherSearchTimeout  = questiontime.Search
 	watcherSearchInterval = questiontime.SearchPause
 	watcherTimeout        = questiontime.Watcher
-	answerWithin          = questiontime.Answer
+	answerTimeout         = questiontime.Answer
 	askWatcherAfter       = questiontime.OwnRead
 )
 
