--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -84,7 +84,7 @@
 // await returns the outcome of the own read, or errLate once the question has waited for the
 // journal for askWatcherAfter. A long poll waits on.
 func (q *question[Q, T]) await(own *future[T]) (answer T, err error) {
-	timer := time.NewTimer(askWatcherAfter)
+	timer := time.NewTimer(askWatcherDelay)
 	defer timer.Stop()
 	select {
 	case <-own.done:
@@ -95,7 +95,7 @@
 		<-own.done
 		return own.value, own.err
 	}
-	late := logging.Occurrence{Subject: q.partition.Name().Topic, Took: askWatcherAfter}
+	late := logging.Occurrence{Subject: q.partition.Name().Topic, Took: askWatcherDelay}
 	q.r.lateReads.Note(late, zap.String("batch", q.batchID), zap.Inline(q.partition))
 	return answer, errLate
 }
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -49,7 +49,7 @@
 	watcherSearchInterval = questiontime.SearchPause
 	watcherTimeout        = questiontime.Watcher
 	answerTimeout         = questiontime.Answer
-	askWatcherAfter       = questiontime.OwnRead
+	askWatcherDelay       = questiontime.OwnRead
 )
 
 const (
