--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -26,7 +26,7 @@
 			return Page{}, err
 		}
 		page = lookUp(partition, query)
-	case page.Next < page.Total && time.Since(partition.LastRead()) > staleAfter:
+	case page.Next < page.Total && time.Since(partition.LastRead()) > maxFoldAge:
 		r.refresh(ctx, partition)
 		page = lookUp(partition, query)
 	}
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -53,9 +53,9 @@
 )
 
 const (
-	// staleAfter is how old a fold may be to tell a part of the results without a look
+	// maxFoldAge is how old a fold may be to tell a part of the results without a look
 	// for more.
-	staleAfter = 150 * time.Millisecond
+	maxFoldAge = 150 * time.Millisecond
 	// pageBytes bounds the texts of one page of results, in bytes.
 	pageBytes = 900 << 10
 	// coldReads is how many questions at a time may make this daemon read partitions
