--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -14,7 +14,7 @@
 // lookUp returns what the fold says of a batch now.
 func lookUp(partition *ledger.Partition, query Query) Page {
 	var page Page
-	most := cmp.Or(query.most, pageBytes)
+	most := cmp.Or(query.most, maxPageBytes)
 	partition.ViewBatch(query.BatchID, func(b *batch.Batch) {
 		if !b.BelongsTo(query.Tenant) {
 			return
@@ -66,7 +66,7 @@
 				return
 			}
 			size += len(b.Items[place].Body)
-			if len(items.Items) > 0 && size > cmp.Or(query.most, pageBytes) {
+			if len(items.Items) > 0 && size > cmp.Or(query.most, maxPageBytes) {
 				return
 			}
 			items.Items = append(items.Items, b.Items[place])
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -56,8 +56,8 @@
 	// maxFoldAge is how old a fold may be to tell a part of the results without a look
 	// for more.
 	maxFoldAge = 150 * time.Millisecond
-	// pageBytes bounds the texts of one page of results, in bytes.
-	pageBytes = 900 << 10
+	// maxPageBytes bounds the texts of one page of results, in bytes.
+	maxPageBytes = 900 << 10
 	// coldReads is how many questions at a time may make this daemon read partitions
 	// from their beginning; others wait for a place as long as for a read.
 	coldReads = 2
--- a/internal/batches/results/service.go
+++ b/internal/batches/results/service.go
@@ -20,7 +20,7 @@
 // peerPageBytes bounds the texts of one page for a peer, in bytes. It shares this daemon's link with
 // all that peers ask for meanwhile, and a page must arrive beside some others within the time that a
 // peer waits for it.
-const peerPageBytes = pageBytes / 4
+const peerPageBytes = maxPageBytes / 4
 
 // Service answers the questions of peers from the folds held here. Its exported methods
 // are those of net/rpc: their names, and those of the fields that they take, stay. It never asks
