--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -58,9 +58,9 @@
 	maxFoldAge = 150 * time.Millisecond
 	// maxPageBytes bounds the texts of one page of results, in bytes.
 	maxPageBytes = 900 << 10
-	// coldReads is how many questions at a time may make this daemon read partitions
+	// maxColdReads is how many questions at a time may make this daemon read partitions
 	// from their beginning; others wait for a place as long as for a read.
-	coldReads = 2
+	maxColdReads = 2
 )
 
 // Watchers tells which incarnation of a daemon watches a partition.
@@ -110,7 +110,7 @@
 		peers:     peers,
 		self:      self,
 		logger:    logger,
-		cold:      make(chan struct{}, coldReads),
+		cold:      make(chan struct{}, maxColdReads),
 		observe:   func(string, bool, time.Duration) {},
 		lateReads: logging.NewEpisodes(logger, "own read is late, asking the watcher", "", "topics"),
 	}
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -381,7 +381,7 @@
 			d.dark[identity.Machine(d.runs[0])] = true
 			d.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 			var asking sync.WaitGroup
-			for range 3 * coldReads {
+			for range 3 * maxColdReads {
 				asking.Go(func() {
 					began := time.Now()
 					_, err := d.readers[1].Results(ctx, Query{BatchID: "b", Wait: wait})
