--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -16,7 +16,7 @@
 	timer := time.NewTimer(catchUpTimeout)
 	defer timer.Stop()
 	select {
-	case r.cold <- struct{}{}:
+	case r.coldReads <- struct{}{}:
 		return nil
 	case <-timer.C:
 		return errors.Wrap(ErrNotCaughtUp, "other partitions are being read")
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -127,7 +127,7 @@
 	if err := q.r.enterCold(ctx); err != nil {
 		return answer, err
 	}
-	defer func() { <-q.r.cold }()
+	defer func() { <-q.r.coldReads }()
 	missing, _ := q.partition.Missing()
 	q.r.logger.Info("partition read for a question", zap.String("batch", q.batchID), zap.Inline(q.partition),
 		zap.String("watcher", q.call.watcher), zap.Int("missing", missing), zap.String("reason", cause.Error()))
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -88,8 +88,8 @@
 	// self is this daemon's incarnation.
 	self   string
 	logger *zap.Logger
-	// cold has a place for each question that may read a partition from its beginning.
-	cold chan struct{}
+	// coldReads has a place for each question that may read a partition from its beginning.
+	coldReads chan struct{}
 	// open counts the questions of this daemon's callers that are being answered.
 	open atomic.Int64
 	// observe is called with each of them.
@@ -110,7 +110,7 @@
 		peers:     peers,
 		self:      self,
 		logger:    logger,
-		cold:      make(chan struct{}, maxColdReads),
+		coldReads: make(chan struct{}, maxColdReads),
 		observe:   func(string, bool, time.Duration) {},
 		lateReads: logging.NewEpisodes(logger, "own read is late, asking the watcher", "", "topics"),
 	}
