--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -90,8 +90,8 @@
 	logger *zap.Logger
 	// coldReads has a place for each question that may read a partition from its beginning.
 	coldReads chan struct{}
-	// open counts the questions of this daemon's callers that are being answered.
-	open atomic.Int64
+	// openQueries counts the questions of this daemon's callers that are being answered.
+	openQueries atomic.Int64
 	// observe is called with each of them.
 	observe Observer
 	// lateReads sums the own reads that were late: in an outage each question has one.
--- a/internal/batches/results/trace.go
+++ b/internal/batches/results/trace.go
@@ -56,7 +56,7 @@
 		way:       wayFold,
 	}
 	t.missing, t.missingKnown = t.partition.Missing()
-	r.open.Add(1)
+	r.openQueries.Add(1)
 	return t
 }
 
@@ -65,7 +65,7 @@
 
 // end closes the trace. A question that was not answered has a line.
 func (t *trace) end(err error) {
-	open := t.r.open.Add(-1)
+	open := t.r.openQueries.Add(-1)
 	took := time.Since(t.began)
 	t.r.observe(string(t.way), err == nil, max(took-t.wait, 0))
 	if err == nil {
