--- a/internal/batches/results/service.go
+++ b/internal/batches/results/service.go
@@ -17,10 +17,10 @@
 	methodBeginning = ServiceName + ".Beginning"
 )
 
-// peerPageBytes bounds the texts of one page for a peer, in bytes. It shares this daemon's link with
+// maxPeerPageBytes bounds the texts of one page for a peer, in bytes. It shares this daemon's link with
 // all that peers ask for meanwhile, and a page must arrive beside some others within the time that a
 // peer waits for it.
-const peerPageBytes = maxPageBytes / 4
+const maxPeerPageBytes = maxPageBytes / 4
 
 // Service answers the questions of peers from the folds held here. Its exported methods
 // are those of net/rpc: their names, and those of the fields that they take, stay. It never asks
@@ -35,7 +35,7 @@
 
 // Results answers a query. It is exported for net/rpc.
 func (s *Service) Results(query Query, page *Page) (err error) {
-	query.most = peerPageBytes
+	query.most = maxPeerPageBytes
 	*page, err = answer(s, query.Wait, query, s.reader.resultsHere)
 	return err
 }
@@ -57,7 +57,7 @@
 
 // Items answers with items. It is exported for net/rpc.
 func (s *Service) Items(query ItemsQuery, items *Items) (err error) {
-	query.most = peerPageBytes
+	query.most = maxPeerPageBytes
 	*items, err = answer(s, 0, query, s.reader.itemsHere)
 	return err
 }
