--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -11,8 +11,8 @@
 )
 
 var (
-	// errUnaffordable: the budget does not allow this daemon to read what it lacks.
-	errUnaffordable = errors.Wrap(ErrNotCaughtUp, "more to read than the budget allows")
+	// errOverBudget: the budget does not allow this daemon to read what it lacks.
+	errOverBudget = errors.Wrap(ErrNotCaughtUp, "more to read than the budget allows")
 	// errSelf: this daemon watches the partition.
 	errSelf = errors.Wrap(ErrNotCaughtUp, "the watcher is this daemon")
 	// errLate: the own read has not ended, and the watcher is to be asked meanwhile.
@@ -76,7 +76,7 @@
 // allows that.
 func (q *question[Q, T]) readWithinBudget(ctx context.Context) (answer T, err error) {
 	if !q.r.affords(ctx, q.partition) {
-		return answer, errUnaffordable
+		return answer, errOverBudget
 	}
 	return q.here(ctx, q.query(q.wait))
 }
