--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -13,8 +13,8 @@
 var (
 	// errOverBudget: the budget does not allow this daemon to read what it lacks.
 	errOverBudget = errors.Wrap(ErrNotCaughtUp, "more to read than the budget allows")
-	// errSelf: this daemon watches the partition.
-	errSelf = errors.Wrap(ErrNotCaughtUp, "the watcher is this daemon")
+	// errWatcherIsSelf: this daemon watches the partition.
+	errWatcherIsSelf = errors.Wrap(ErrNotCaughtUp, "the watcher is this daemon")
 	// errLate: the own read has not ended, and the watcher is to be asked meanwhile.
 	errLate = errors.Wrap(ErrNotCaughtUp, "the own read is late")
 )
@@ -63,7 +63,7 @@
 	switch {
 	case err == nil:
 		return answer, nil
-	case errors.Is(err, errSelf):
+	case errors.Is(err, errWatcherIsSelf):
 		q.way = wayFold
 		return q.here(ctx, q.query(q.waitLeft()))
 	case ctx.Err() != nil:
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -33,7 +33,7 @@
 	watcher, ok := q.r.awaitWatcher(ctx, q.partition.Name())
 	reply.watcher, reply.soughtFor = watcher, time.Since(began)
 	if ok && watcher == q.r.self {
-		return reply, errSelf
+		return reply, errWatcherIsSelf
 	}
 	began = time.Now()
 	wait := q.waitLeft()
