--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -15,8 +15,8 @@
 	errOverBudget = errors.Wrap(ErrNotCaughtUp, "more to read than the budget allows")
 	// errWatcherIsSelf: this daemon watches the partition.
 	errWatcherIsSelf = errors.Wrap(ErrNotCaughtUp, "the watcher is this daemon")
-	// errLate: the own read has not ended, and the watcher is to be asked meanwhile.
-	errLate = errors.Wrap(ErrNotCaughtUp, "the own read is late")
+	// errOwnReadLate: the own read has not ended, and the watcher is to be asked meanwhile.
+	errOwnReadLate = errors.Wrap(ErrNotCaughtUp, "the own read is late")
 )
 
 // question is a question on its way to an answer.
@@ -97,7 +97,7 @@
 	}
 	late := logging.Occurrence{Subject: q.partition.Name().Topic, Took: askWatcherDelay}
 	q.r.lateReads.Note(late, zap.String("batch", q.batchID), zap.Inline(q.partition))
-	return answer, errLate
+	return answer, errOwnReadLate
 }
 
 // askWatcherBeside asks the partition's watcher beside the own read, which may have ended, and
