--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -19,8 +19,8 @@
 	errOwnReadLate = errors.Wrap(ErrNotCaughtUp, "the own read is late")
 )
 
-// question is a question on its way to an answer.
-type question[Q, T any] struct {
+// pendingQuery is a pendingQuery on its way to an answer.
+type pendingQuery[Q, T any] struct {
 	*trace
 	kind[Q, T]
 }
@@ -42,14 +42,14 @@
 ) (answer T, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
-	q := question[Q, T]{trace: r.startTrace(batchID, wait), kind: k}
+	q := pendingQuery[Q, T]{trace: r.startTrace(batchID, wait), kind: k}
 	defer func() { q.end(err) }()
 	return q.answer(ctx)
 }
 
 // answer tries the ways to an answer in their order: the fold held here, an own read within the
 // budget, the partition's watcher beside it, a read at the rate of the budget.
-func (q *question[Q, T]) answer(ctx context.Context) (answer T, err error) {
+func (q *pendingQuery[Q, T]) answer(ctx context.Context) (answer T, err error) {
 	if q.partition.Fresh() || q.r.budget == nil {
 		return q.here(ctx, q.query(q.wait))
 	}
@@ -74,7 +74,7 @@
 
 // readWithinBudget answers from this daemon's fold, after a read of what it lacks if the budget
 // allows that.
-func (q *question[Q, T]) readWithinBudget(ctx context.Context) (answer T, err error) {
+func (q *pendingQuery[Q, T]) readWithinBudget(ctx context.Context) (answer T, err error) {
 	if !q.r.affords(ctx, q.partition) {
 		return answer, errOverBudget
 	}
@@ -83,7 +83,7 @@
 
 // await returns the outcome of the own read, or errLate once the question has waited for the
 // journal for askWatcherAfter. A long poll waits on.
-func (q *question[Q, T]) await(own *future[T]) (answer T, err error) {
+func (q *pendingQuery[Q, T]) await(own *future[T]) (answer T, err error) {
 	timer := time.NewTimer(askWatcherDelay)
 	defer timer.Stop()
 	select {
@@ -102,7 +102,7 @@
 
 // askWatcherBeside asks the partition's watcher beside the own read, which may have ended, and
 // returns the first answer of the two.
-func (q *question[Q, T]) askWatcherBeside(ctx context.Context, own *future[T]) (answer T, err error) {
+func (q *pendingQuery[Q, T]) askWatcherBeside(ctx context.Context, own *future[T]) (answer T, err error) {
 	q.way = wayWatcher
 	watcher := async(func() (watcherReply[T], error) { return q.askWatcher(ctx) })
 	awaitEither(own, watcher)
@@ -122,7 +122,7 @@
 }
 
 // readAtRate reads the partition at the rate of the budget, as its watcher could not be asked.
-func (q *question[Q, T]) readAtRate(ctx context.Context, cause error) (answer T, err error) {
+func (q *pendingQuery[Q, T]) readAtRate(ctx context.Context, cause error) (answer T, err error) {
 	q.way = wayPaced
 	if err := q.r.enterCold(ctx); err != nil {
 		return answer, err
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -28,7 +28,7 @@
 
 // askWatcher looks for the partition's watcher and has it answer the question. The error is errSelf
 // if that is this daemon.
-func (q *question[Q, T]) askWatcher(ctx context.Context) (reply watcherReply[T], err error) {
+func (q *pendingQuery[Q, T]) askWatcher(ctx context.Context) (reply watcherReply[T], err error) {
 	began := time.Now()
 	watcher, ok := q.r.awaitWatcher(ctx, q.partition.Name())
 	reply.watcher, reply.soughtFor = watcher, time.Since(began)
