--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -22,11 +22,11 @@
 // pendingQuery is a pendingQuery on its way to an answer.
 type pendingQuery[Q, T any] struct {
 	*trace
-	kind[Q, T]
+	queryKind[Q, T]
 }
 
-// kind is how one kind of questions is answered: a query of type Q by an answer of type T.
-type kind[Q, T any] struct {
+// queryKind is how one queryKind of questions is answered: a query of type Q by an answer of type T.
+type queryKind[Q, T any] struct {
 	// method is what the watcher is called with.
 	method string
 	// query returns the query that may be kept open for wait.
@@ -38,11 +38,11 @@
 
 // read answers a question that may be kept open for wait.
 func read[Q, T any](
-	ctx context.Context, r *Reader, batchID string, wait time.Duration, k kind[Q, T],
+	ctx context.Context, r *Reader, batchID string, wait time.Duration, k queryKind[Q, T],
 ) (answer T, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
-	q := pendingQuery[Q, T]{trace: r.startTrace(batchID, wait), kind: k}
+	q := pendingQuery[Q, T]{trace: r.startTrace(batchID, wait), queryKind: k}
 	defer func() { q.end(err) }()
 	return q.answer(ctx)
 }
