--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -133,7 +133,7 @@
 func (r *Reader) page(ctx context.Context, method string, query Query) (Page, error) {
 	return read(ctx, r, query.BatchID, query.Wait, queryKind[Query, Page]{
 		method: method,
-		query: func(wait time.Duration) Query {
+		withWait: func(wait time.Duration) Query {
 			query := query
 			query.Wait = wait
 			return query
@@ -146,10 +146,10 @@
 // Item returns the body of an item. The error wraps ErrBehind.
 func (r *Reader) Item(ctx context.Context, query ItemQuery) (Body, error) {
 	return read(ctx, r, query.BatchID, 0, queryKind[ItemQuery, Body]{
-		method: methodItem,
-		query:  func(time.Duration) ItemQuery { return query },
-		here:   r.itemHere,
-		ready:  func() bool { return itemBody(r.ledger.Of(query.BatchID), query).Found },
+		method:   methodItem,
+		withWait: func(time.Duration) ItemQuery { return query },
+		here:     r.itemHere,
+		ready:    func() bool { return itemBody(r.ledger.Of(query.BatchID), query).Found },
 	})
 }
 
@@ -162,10 +162,10 @@
 // Items returns items of a batch as of now. The error wraps ErrBehind.
 func (r *Reader) Items(ctx context.Context, query ItemsQuery) (Items, error) {
 	return read(ctx, r, query.BatchID, 0, queryKind[ItemsQuery, Items]{
-		method: methodItems,
-		query:  func(time.Duration) ItemsQuery { return query },
-		here:   r.itemsHere,
-		ready:  func() bool { return false },
+		method:   methodItems,
+		withWait: func(time.Duration) ItemsQuery { return query },
+		here:     r.itemsHere,
+		ready:    func() bool { return false },
 	})
 }
 
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -37,7 +37,7 @@
 	}
 	began = time.Now()
 	wait := q.waitLeft()
-	reply.answer, reply.err = callWatcher[T](ctx, q.r, watcher, q.method, q.query(wait), wait)
+	reply.answer, reply.err = callWatcher[T](ctx, q.r, watcher, q.method, q.withWait(wait), wait)
 	reply.askedFor = time.Since(began)
 	return reply, reply.err
 }
