--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -31,9 +31,9 @@
 	method string
 	// withWait returns the withWait that may be kept open for wait.
 	withWait func(wait time.Duration) Q
-	// here answers from this daemon's fold; ready reports whether that has the answer already.
-	here  func(ctx context.Context, query Q) (T, error)
-	ready func() bool
+	// fromFold answers from this daemon's fold; ready reports whether that has the answer already.
+	fromFold func(ctx context.Context, query Q) (T, error)
+	ready    func() bool
 }
 
 // read answers a question that may be kept open for wait.
@@ -51,7 +51,7 @@
 // budget, the partition's watcher beside it, a read at the rate of the budget.
 func (q *pendingQuery[Q, T]) answer(ctx context.Context) (answer T, err error) {
 	if q.partition.Fresh() || q.r.budget == nil {
-		return q.here(ctx, q.withWait(q.wait))
+		return q.fromFold(ctx, q.withWait(q.wait))
 	}
 	q.way = wayBudget
 	own := async(func() (T, error) { return q.readWithinBudget(ctx) })
@@ -65,7 +65,7 @@
 		return answer, nil
 	case errors.Is(err, errWatcherIsSelf):
 		q.way = wayFold
-		return q.here(ctx, q.withWait(q.waitLeft()))
+		return q.fromFold(ctx, q.withWait(q.waitLeft()))
 	case ctx.Err() != nil:
 		return answer, err
 	}
@@ -78,7 +78,7 @@
 	if !q.r.affords(ctx, q.partition) {
 		return answer, errOverBudget
 	}
-	return q.here(ctx, q.withWait(q.wait))
+	return q.fromFold(ctx, q.withWait(q.wait))
 }
 
 // await returns the outcome of the own read, or errLate once the question has waited for the
@@ -134,5 +134,5 @@
 	if err := q.r.readPages(ctx, q.partition, q.ready); err != nil {
 		return answer, err
 	}
-	return q.here(ctx, q.withWait(q.waitLeft()))
+	return q.fromFold(ctx, q.withWait(q.waitLeft()))
 }
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -138,8 +138,8 @@
 			query.Wait = wait
 			return query
 		},
-		here:  r.resultsHere,
-		ready: func() bool { return len(lookUp(r.ledger.Of(query.BatchID), query).Results) > 0 },
+		fromFold: r.resultsHere,
+		ready:    func() bool { return len(lookUp(r.ledger.Of(query.BatchID), query).Results) > 0 },
 	})
 }
 
@@ -148,7 +148,7 @@
 	return read(ctx, r, query.BatchID, 0, queryKind[ItemQuery, Body]{
 		method:   methodItem,
 		withWait: func(time.Duration) ItemQuery { return query },
-		here:     r.itemHere,
+		fromFold: r.itemHere,
 		ready:    func() bool { return itemBody(r.ledger.Of(query.BatchID), query).Found },
 	})
 }
@@ -164,7 +164,7 @@
 	return read(ctx, r, query.BatchID, 0, queryKind[ItemsQuery, Items]{
 		method:   methodItems,
 		withWait: func(time.Duration) ItemsQuery { return query },
-		here:     r.itemsHere,
+		fromFold: r.itemsHere,
 		ready:    func() bool { return false },
 	})
 }
