--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -36,8 +36,8 @@
 	ready    func() bool
 }
 
-// read answers a question that may be kept open for wait.
-func read[Q, T any](
+// answerQuery answers a question that may be kept open for wait.
+func answerQuery[Q, T any](
 	ctx context.Context, r *Reader, batchID string, wait time.Duration, k queryKind[Q, T],
 ) (answer T, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -131,7 +131,7 @@
 
 // page answers a query here or by a method of the watcher.
 func (r *Reader) page(ctx context.Context, method string, query Query) (Page, error) {
-	return read(ctx, r, query.BatchID, query.Wait, queryKind[Query, Page]{
+	return answerQuery(ctx, r, query.BatchID, query.Wait, queryKind[Query, Page]{
 		method: method,
 		withWait: func(wait time.Duration) Query {
 			query := query
@@ -145,7 +145,7 @@
 
 // Item returns the body of an item. The error wraps ErrBehind.
 func (r *Reader) Item(ctx context.Context, query ItemQuery) (Body, error) {
-	return read(ctx, r, query.BatchID, 0, queryKind[ItemQuery, Body]{
+	return answerQuery(ctx, r, query.BatchID, 0, queryKind[ItemQuery, Body]{
 		method:   methodItem,
 		withWait: func(time.Duration) ItemQuery { return query },
 		fromFold: r.itemHere,
@@ -161,7 +161,7 @@
 
 // Items returns items of a batch as of now. The error wraps ErrBehind.
 func (r *Reader) Items(ctx context.Context, query ItemsQuery) (Items, error) {
-	return read(ctx, r, query.BatchID, 0, queryKind[ItemsQuery, Items]{
+	return answerQuery(ctx, r, query.BatchID, 0, queryKind[ItemsQuery, Items]{
 		method:   methodItems,
 		withWait: func(time.Duration) ItemsQuery { return query },
 		fromFold: r.itemsHere,
