--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -55,7 +55,7 @@
 	}
 	q.way = wayBudget
 	own := async(func() (T, error) { return q.readWithinBudget(ctx) })
-	answer, err = q.await(own)
+	answer, err = q.awaitOwnRead(own)
 	if err == nil || ctx.Err() != nil {
 		return answer, err
 	}
@@ -81,9 +81,9 @@
 	return q.fromFold(ctx, q.withWait(q.wait))
 }
 
-// await returns the outcome of the own read, or errLate once the question has waited for the
+// awaitOwnRead returns the outcome of the own read, or errLate once the question has waited for the
 // journal for askWatcherAfter. A long poll waits on.
-func (q *pendingQuery[Q, T]) await(own *future[T]) (answer T, err error) {
+func (q *pendingQuery[Q, T]) awaitOwnRead(own *future[T]) (answer T, err error) {
 	timer := time.NewTimer(askWatcherDelay)
 	defer timer.Stop()
 	select {
