--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -59,7 +59,7 @@
 	if err == nil || ctx.Err() != nil {
 		return answer, err
 	}
-	answer, err = q.askWatcherBeside(ctx, own)
+	answer, err = q.raceWatcher(ctx, own)
 	switch {
 	case err == nil:
 		return answer, nil
@@ -100,9 +100,9 @@
 	return answer, errOwnReadLate
 }
 
-// askWatcherBeside asks the partition's watcher beside the own read, which may have ended, and
+// raceWatcher asks the partition's watcher beside the own read, which may have ended, and
 // returns the first answer of the two.
-func (q *pendingQuery[Q, T]) askWatcherBeside(ctx context.Context, own *future[T]) (answer T, err error) {
+func (q *pendingQuery[Q, T]) raceWatcher(ctx context.Context, own *future[T]) (answer T, err error) {
 	q.way = wayWatcher
 	watcher := async(func() (watcherReply[T], error) { return q.askWatcher(ctx) })
 	awaitEither(own, watcher)
