--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -69,7 +69,7 @@
 	case ctx.Err() != nil:
 		return answer, err
 	}
-	return q.readAtRate(ctx, err)
+	return q.readPaced(ctx, err)
 }
 
 // readWithinBudget answers from this daemon's fold, after a read of what it lacks if the budget
@@ -121,8 +121,8 @@
 	return watcher.value.answer, nil
 }
 
-// readAtRate reads the partition at the rate of the budget, as its watcher could not be asked.
-func (q *pendingQuery[Q, T]) readAtRate(ctx context.Context, cause error) (answer T, err error) {
+// readPaced reads the partition at the rate of the budget, as its watcher could not be asked.
+func (q *pendingQuery[Q, T]) readPaced(ctx context.Context, cause error) (answer T, err error) {
 	q.way = wayPaced
 	if err := q.r.enterCold(ctx); err != nil {
 		return answer, err
