--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -11,9 +11,9 @@
 	"woodworks/internal/daemon/periodic"
 )
 
-// resultsHere answers from the fold of this daemon. That there are no results is said
+// resultsFromFold answers from the fold of this daemon. That there are no results is said
 // only after a read of the journal that was begun after the question came.
-func (r *Reader) resultsHere(ctx context.Context, query Query) (Page, error) {
+func (r *Reader) resultsFromFold(ctx context.Context, query Query) (Page, error) {
 	began := time.Now()
 	partition := r.ledger.Of(query.BatchID)
 	page := lookUp(partition, query)
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -138,7 +138,7 @@
 			query.Wait = wait
 			return query
 		},
-		fromFold: r.resultsHere,
+		fromFold: r.resultsFromFold,
 		ready:    func() bool { return len(lookUp(r.ledger.Of(query.BatchID), query).Results) > 0 },
 	})
 }
