--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func (r *Reader) itemHere(ctx context.Context, query ItemQuery) (Body, error) {
+func (r *Reader) itemFromFold(ctx context.Context, query ItemQuery) (Body, error) {
 	partition := r.ledger.Of(query.BatchID)
 	if body := itemBody(partition, query); body.Found {
 		return body, nil
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -148,7 +148,7 @@
 	return answerQuery(ctx, r, query.BatchID, 0, queryKind[ItemQuery, Body]{
 		method:   methodItem,
 		withWait: func(time.Duration) ItemQuery { return query },
-		fromFold: r.itemHere,
+		fromFold: r.itemFromFold,
 		ready:    func() bool { return itemBody(r.ledger.Of(query.BatchID), query).Found },
 	})
 }
--- a/internal/batches/results/service.go
+++ b/internal/batches/results/service.go
@@ -42,7 +42,7 @@
 
 // Item answers with the body of an item. It is exported for net/rpc.
 func (s *Service) Item(query ItemQuery, body *Body) (err error) {
-	*body, err = answer(s, 0, query, s.reader.itemHere)
+	*body, err = answer(s, 0, query, s.reader.itemFromFold)
 	return err
 }
 
