--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -58,9 +58,9 @@
 	return itemBody(partition, query), nil
 }
 
-// itemsHere answers from the fold of this daemon, after a read of the journal that is begun
+// itemsFromFold answers from the fold of this daemon, after a read of the journal that is begun
 // after the question came.
-func (r *Reader) itemsHere(ctx context.Context, query ItemsQuery) (Items, error) {
+func (r *Reader) itemsFromFold(ctx context.Context, query ItemsQuery) (Items, error) {
 	partition := r.ledger.Of(query.BatchID)
 	if err := readToDeny(ctx, partition, query.BatchID); err != nil {
 		return Items{}, err
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -164,7 +164,7 @@
 	return answerQuery(ctx, r, query.BatchID, 0, queryKind[ItemsQuery, Items]{
 		method:   methodItems,
 		withWait: func(time.Duration) ItemsQuery { return query },
-		fromFold: r.itemsHere,
+		fromFold: r.itemsFromFold,
 		ready:    func() bool { return false },
 	})
 }
