--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -68,7 +68,7 @@
 	return itemsOf(partition, query), nil
 }
 
-func (r *Reader) beginningHere(ctx context.Context, query BeginningQuery) (Beginning, error) {
+func (r *Reader) beginningFromFold(ctx context.Context, query BeginningQuery) (Beginning, error) {
 	partition := r.ledger.Of(query.BatchID)
 	if beginning := beginningOf(partition, query.BatchID); beginning.Found {
 		return beginning, nil
--- a/internal/batches/results/service.go
+++ b/internal/batches/results/service.go
@@ -48,7 +48,7 @@
 
 // Beginning answers where a batch begins. It is exported for net/rpc.
 func (s *Service) Beginning(query BeginningQuery, beginning *Beginning) (err error) {
-	*beginning, err = answer(s, 0, query, s.reader.beginningHere)
+	*beginning, err = answer(s, 0, query, s.reader.beginningFromFold)
 	return err
 }
 
