--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -52,7 +52,7 @@
 	if body := itemBody(partition, query); body.Found {
 		return body, nil
 	}
-	if err := readToDeny(ctx, partition, query.BatchID); err != nil {
+	if err := catchUpAndCheckCoverage(ctx, partition, query.BatchID); err != nil {
 		return Body{}, err
 	}
 	return itemBody(partition, query), nil
@@ -62,7 +62,7 @@
 // after the question came.
 func (r *Reader) itemsFromFold(ctx context.Context, query ItemsQuery) (Items, error) {
 	partition := r.ledger.Of(query.BatchID)
-	if err := readToDeny(ctx, partition, query.BatchID); err != nil {
+	if err := catchUpAndCheckCoverage(ctx, partition, query.BatchID); err != nil {
 		return Items{}, err
 	}
 	return itemsOf(partition, query), nil
@@ -79,8 +79,8 @@
 	return beginningOf(partition, query.BatchID), nil
 }
 
-// readToDeny reads the journal up to now, after which the fold may deny what it lacks of a batch.
-func readToDeny(ctx context.Context, partition *ledger.Partition, batchID string) error {
+// catchUpAndCheckCoverage reads the journal up to now, after which the fold may deny what it lacks of a batch.
+func catchUpAndCheckCoverage(ctx context.Context, partition *ledger.Partition, batchID string) error {
 	if err := catchUp(ctx, partition); err != nil {
 		return err
 	}
