--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -97,10 +97,10 @@
 	return nil
 }
 
-// catchUpWithin reads the journal up to now, again and again for as long as the caller
+// catchUpWithRetries reads the journal up to now, again and again for as long as the caller
 // waits anyway: one that is sent away in an outage comes back after its end, one that waits
 // has its answer at the end.
-func catchUpWithin(ctx context.Context, partition *ledger.Partition, wait time.Duration) error {
+func catchUpWithRetries(ctx context.Context, partition *ledger.Partition, wait time.Duration) error {
 	until := time.Now().Add(wait)
 	for {
 		err := catchUp(ctx, partition)
@@ -116,7 +116,7 @@
 func awaitFold(ctx context.Context, partition *ledger.Partition, query Query) (page Page, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	read := async(func() (any, error) { return nil, catchUpWithin(ctx, partition, query.Wait) })
+	read := async(func() (any, error) { return nil, catchUpWithRetries(ctx, partition, query.Wait) })
 	if page, ok := awaitLookUp(partition, query, read.done); ok {
 		return page, nil
 	}
