--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -19,7 +19,7 @@
 	page := lookUp(partition, query)
 	switch {
 	case len(page.Results) == 0:
-		if page, err := awaitFold(ctx, partition, query); len(page.Results) > 0 || err != nil {
+		if page, err := catchUpUntilResults(ctx, partition, query); len(page.Results) > 0 || err != nil {
 			return page, err
 		}
 		if err := mayDeny(partition, query.BatchID); err != nil && !query.Samples.further() {
@@ -111,9 +111,9 @@
 	}
 }
 
-// awaitFold reads the journal up to now, or until the fold has results: of a long partition
+// catchUpUntilResults reads the journal up to now, or until the fold has results: of a long partition
 // they may be there seconds before its end.
-func awaitFold(ctx context.Context, partition *ledger.Partition, query Query) (page Page, err error) {
+func catchUpUntilResults(ctx context.Context, partition *ledger.Partition, query Query) (page Page, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	read := async(func() (any, error) { return nil, catchUpWithRetries(ctx, partition, query.Wait) })
