--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -117,7 +117,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	read := async(func() (any, error) { return nil, catchUpWithRetries(ctx, partition, query.Wait) })
-	if page, ok := awaitLookUp(partition, query, read.done); ok {
+	if page, ok := awaitPage(partition, query, read.done); ok {
 		return page, nil
 	}
 	return Page{}, read.err
@@ -128,12 +128,12 @@
 	defer partition.Follow()()
 	bounded, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	page, _ := awaitLookUp(partition, query, bounded.Done())
+	page, _ := awaitPage(partition, query, bounded.Done())
 	return page
 }
 
-// awaitLookUp looks until the fold has results, and reports whether it had before stop was closed.
-func awaitLookUp(partition *ledger.Partition, query Query, stop <-chan struct{}) (page Page, ok bool) {
+// awaitPage looks until the fold has results, and reports whether it had before stop was closed.
+func awaitPage(partition *ledger.Partition, query Query, stop <-chan struct{}) (page Page, ok bool) {
 	ok = partition.Await(stop, func() bool {
 		page = lookUp(partition, query)
 		return len(page.Results) > 0
