--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -11,8 +11,8 @@
 
 // What a fold says as it is now, without a read of the journal.
 
-// lookUp returns what the fold says of a batch now.
-func lookUp(partition *ledger.Partition, query Query) Page {
+// pageOf returns what the fold says of a batch now.
+func pageOf(partition *ledger.Partition, query Query) Page {
 	var page Page
 	most := cmp.Or(query.most, maxPageBytes)
 	partition.ViewBatch(query.BatchID, func(b *batch.Batch) {
--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -16,7 +16,7 @@
 func (r *Reader) resultsFromFold(ctx context.Context, query Query) (Page, error) {
 	began := time.Now()
 	partition := r.ledger.Of(query.BatchID)
-	page := lookUp(partition, query)
+	page := pageOf(partition, query)
 	switch {
 	case len(page.Results) == 0:
 		if page, err := catchUpUntilResults(ctx, partition, query); len(page.Results) > 0 || err != nil {
@@ -25,10 +25,10 @@
 		if err := mayDeny(partition, query.BatchID); err != nil && !query.Samples.further() {
 			return Page{}, err
 		}
-		page = lookUp(partition, query)
+		page = pageOf(partition, query)
 	case page.Next < page.Total && time.Since(partition.LastRead()) > maxFoldAge:
 		r.refresh(ctx, partition)
-		page = lookUp(partition, query)
+		page = pageOf(partition, query)
 	}
 	left := query.Wait - time.Since(began)
 	if page.Found && len(page.Results) == 0 && left > 0 && query.After < page.Total {
@@ -135,7 +135,7 @@
 // awaitPage looks until the fold has results, and reports whether it had before stop was closed.
 func awaitPage(partition *ledger.Partition, query Query, stop <-chan struct{}) (page Page, ok bool) {
 	ok = partition.Await(stop, func() bool {
-		page = lookUp(partition, query)
+		page = pageOf(partition, query)
 		return len(page.Results) > 0
 	})
 	return page, ok
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -139,7 +139,7 @@
 			return query
 		},
 		fromFold: r.resultsFromFold,
-		ready:    func() bool { return len(lookUp(r.ledger.Of(query.BatchID), query).Results) > 0 },
+		ready:    func() bool { return len(pageOf(r.ledger.Of(query.BatchID), query).Results) > 0 },
 	})
 }
 
