--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -81,9 +81,9 @@
 	return beginning
 }
 
-// mayDeny returns an error where the fold does not know a batch although it may exist:
+// checkCoverage returns an error where the fold does not know a batch although it may exist:
 // its records may have been removed before this daemon read them, while others did.
-func mayDeny(partition *ledger.Partition, batchID string) error {
+func checkCoverage(partition *ledger.Partition, batchID string) error {
 	if !beginningOf(partition, batchID).Found && partition.Missed() {
 		return errors.Wrap(ErrNotCaughtUp, "the partition's oldest records are gone")
 	}
--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -22,7 +22,7 @@
 		if page, err := catchUpUntilResults(ctx, partition, query); len(page.Results) > 0 || err != nil {
 			return page, err
 		}
-		if err := mayDeny(partition, query.BatchID); err != nil && !query.Samples.further() {
+		if err := checkCoverage(partition, query.BatchID); err != nil && !query.Samples.further() {
 			return Page{}, err
 		}
 		page = pageOf(partition, query)
@@ -84,7 +84,7 @@
 	if err := catchUp(ctx, partition); err != nil {
 		return err
 	}
-	return mayDeny(partition, batchID)
+	return checkCoverage(partition, batchID)
 }
 
 // catchUp reads the journal up to now.
