--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -14,7 +14,7 @@
 // pageOf returns what the fold says of a batch now.
 func pageOf(partition *ledger.Partition, query Query) Page {
 	var page Page
-	most := cmp.Or(query.most, maxPageBytes)
+	most := cmp.Or(query.maxBytes, maxPageBytes)
 	partition.ViewBatch(query.BatchID, func(b *batch.Batch) {
 		if !b.BelongsTo(query.Tenant) {
 			return
--- a/internal/batches/results/query.go
+++ b/internal/batches/results/query.go
@@ -21,8 +21,8 @@
 	Wait time.Duration
 	// Samples, if not nil, narrows the query to samples of a round.
 	Samples *Samples
-	// most bounds the texts of the page, in bytes; 0 is pageBytes.
-	most int
+	// maxBytes bounds the texts of the page, in bytes; 0 is pageBytes.
+	maxBytes int
 }
 
 // Page is a part of a batch's results.
--- a/internal/batches/results/service.go
+++ b/internal/batches/results/service.go
@@ -35,7 +35,7 @@
 
 // Results answers a query. It is exported for net/rpc.
 func (s *Service) Results(query Query, page *Page) (err error) {
-	query.most = maxPeerPageBytes
+	query.maxBytes = maxPeerPageBytes
 	*page, err = answer(s, query.Wait, query, s.reader.resultsFromFold)
 	return err
 }
