--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -66,7 +66,7 @@
 				return
 			}
 			size += len(b.Items[place].Body)
-			if len(items.Items) > 0 && size > cmp.Or(query.most, maxPageBytes) {
+			if len(items.Items) > 0 && size > cmp.Or(query.maxBytes, maxPageBytes) {
 				return
 			}
 			items.Items = append(items.Items, b.Items[place])
--- a/internal/batches/results/query.go
+++ b/internal/batches/results/query.go
@@ -62,8 +62,8 @@
 type ItemsQuery struct {
 	BatchID string
 	Places  []int
-	// most bounds the bodies of the answer, in bytes; 0 is pageBytes.
-	most int
+	// maxBytes bounds the bodies of the answer, in bytes; 0 is pageBytes.
+	maxBytes int
 }
 
 // Items are the first of the items asked for, at least one of a batch that is open.
--- a/internal/batches/results/service.go
+++ b/internal/batches/results/service.go
@@ -57,7 +57,7 @@
 
 // Items answers with items. It is exported for net/rpc.
 func (s *Service) Items(query ItemsQuery, items *Items) (err error) {
-	query.most = maxPeerPageBytes
+	query.maxBytes = maxPeerPageBytes
 	*items, err = answer(s, 0, query, s.reader.itemsFromFold)
 	return err
 }
