--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -22,7 +22,7 @@
 		if page, err := catchUpUntilResults(ctx, partition, query); len(page.Results) > 0 || err != nil {
 			return page, err
 		}
-		if err := checkCoverage(partition, query.BatchID); err != nil && !query.Samples.further() {
+		if err := checkCoverage(partition, query.BatchID); err != nil && !query.Samples.isFurther() {
 			return Page{}, err
 		}
 		page = pageOf(partition, query)
--- a/internal/batches/results/samples.go
+++ b/internal/batches/results/samples.go
@@ -26,7 +26,7 @@
 	Makes []int
 }
 
-func (s *Samples) further() bool { return s != nil && s.Further }
+func (s *Samples) isFurther() bool { return s != nil && s.Further }
 
 // full reports whether a page with so many results has as many as are wanted.
 func (s *Samples) full(results int) bool { return s != nil && s.Limit > 0 && results >= s.Limit }
