--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -28,7 +28,7 @@
 			result, item := b.Results[position], &b.Items[b.Results[position].Item]
 			if query.Samples.want(item.ID) {
 				size += len(result.Text)
-				if len(page.Results) > 0 && (size > most || query.Samples.full(len(page.Results))) {
+				if len(page.Results) > 0 && (size > most || query.Samples.isFull(len(page.Results))) {
 					break
 				}
 				page.Results = append(page.Results, query.Samples.result(item, result))
--- a/internal/batches/results/samples.go
+++ b/internal/batches/results/samples.go
@@ -28,8 +28,8 @@
 
 func (s *Samples) isFurther() bool { return s != nil && s.Further }
 
-// full reports whether a page with so many results has as many as are wanted.
-func (s *Samples) full(results int) bool { return s != nil && s.Limit > 0 && results >= s.Limit }
+// isFull reports whether a page with so many results has as many as are wanted.
+func (s *Samples) isFull(results int) bool { return s != nil && s.Limit > 0 && results >= s.Limit }
 
 func (s *Samples) want(itemID string) bool {
 	if s == nil {
