--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -26,7 +26,7 @@
 		size := 0
 		for position := query.After; position < len(b.Results); position++ {
 			result, item := b.Results[position], &b.Items[b.Results[position].Item]
-			if query.Samples.want(item.ID) {
+			if query.Samples.wants(item.ID) {
 				size += len(result.Text)
 				if len(page.Results) > 0 && (size > most || query.Samples.isFull(len(page.Results))) {
 					break
--- a/internal/batches/results/samples.go
+++ b/internal/batches/results/samples.go
@@ -31,7 +31,7 @@
 // isFull reports whether a page with so many results has as many as are wanted.
 func (s *Samples) isFull(results int) bool { return s != nil && s.Limit > 0 && results >= s.Limit }
 
-func (s *Samples) want(itemID string) bool {
+func (s *Samples) wants(itemID string) bool {
 	if s == nil {
 		return true
 	}
