--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -31,7 +31,7 @@
 				if len(page.Results) > 0 && (size > most || query.Samples.isFull(len(page.Results))) {
 					break
 				}
-				page.Results = append(page.Results, query.Samples.result(item, result))
+				page.Results = append(page.Results, query.Samples.resultOf(item, result))
 			}
 			page.Next = position + 1
 		}
--- a/internal/batches/results/samples.go
+++ b/internal/batches/results/samples.go
@@ -56,8 +56,8 @@
 	return round
 }
 
-// result returns what a query learns of a result.
-func (s *Samples) result(item *batch.Item, result batch.Result) Result {
+// resultOf returns what a query learns of a resultOf.
+func (s *Samples) resultOf(item *batch.Item, result batch.Result) Result {
 	res := Result{ItemID: item.ID, Result: result}
 	if s != nil {
 		res.Group, res.body = item.Group, item.Body
