--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -21,7 +21,7 @@
 
 // pendingQuery is a pendingQuery on its way to an answer.
 type pendingQuery[Q, T any] struct {
-	*trace
+	*queryTrace
 	queryKind[Q, T]
 }
 
@@ -42,7 +42,7 @@
 ) (answer T, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
-	q := pendingQuery[Q, T]{trace: r.startTrace(batchID, wait), queryKind: k}
+	q := pendingQuery[Q, T]{queryTrace: r.startTrace(batchID, wait), queryKind: k}
 	defer func() { q.end(err) }()
 	return q.answer(ctx)
 }
--- a/internal/batches/results/trace.go
+++ b/internal/batches/results/trace.go
@@ -28,8 +28,8 @@
 // took beyond the time for which it was kept open.
 type Observer func(way string, answered bool, took time.Duration)
 
-// trace is one question with what happened to it, for its log line and the observer.
-type trace struct {
+// queryTrace is one question with what happened to it, for its log line and the observer.
+type queryTrace struct {
 	r         *Reader
 	batchID   string
 	partition *ledger.Partition
@@ -46,8 +46,8 @@
 	call watcherCall
 }
 
-func (r *Reader) startTrace(batchID string, wait time.Duration) *trace {
-	t := &trace{
+func (r *Reader) startTrace(batchID string, wait time.Duration) *queryTrace {
+	t := &queryTrace{
 		r:         r,
 		batchID:   batchID,
 		partition: r.ledger.Of(batchID),
@@ -61,10 +61,10 @@
 }
 
 // waitLeft is how long the question may still be kept open.
-func (t *trace) waitLeft() time.Duration { return max(t.wait-time.Since(t.began), 0) }
+func (t *queryTrace) waitLeft() time.Duration { return max(t.wait-time.Since(t.began), 0) }
 
 // end closes the trace. A question that was not answered has a line.
-func (t *trace) end(err error) {
+func (t *queryTrace) end(err error) {
 	open := t.r.openQueries.Add(-1)
 	took := time.Since(t.began)
 	t.r.observe(string(t.way), err == nil, max(took-t.wait, 0))
