--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -50,7 +50,7 @@
 // answer tries the ways to an answer in their order: the fold held here, an own read within the
 // budget, the partition's watcher beside it, a read at the rate of the budget.
 func (q *pendingQuery[Q, T]) answer(ctx context.Context) (answer T, err error) {
-	if q.partition.Fresh() || q.r.budget == nil {
+	if q.partition.Fresh() || q.reader.budget == nil {
 		return q.fromFold(ctx, q.withWait(q.wait))
 	}
 	q.way = wayBudget
@@ -75,7 +75,7 @@
 // readWithinBudget answers from this daemon's fold, after a read of what it lacks if the budget
 // allows that.
 func (q *pendingQuery[Q, T]) readWithinBudget(ctx context.Context) (answer T, err error) {
-	if !q.r.affords(ctx, q.partition) {
+	if !q.reader.affords(ctx, q.partition) {
 		return answer, errOverBudget
 	}
 	return q.fromFold(ctx, q.withWait(q.wait))
@@ -96,7 +96,7 @@
 		return own.value, own.err
 	}
 	late := logging.Occurrence{Subject: q.partition.Name().Topic, Took: askWatcherDelay}
-	q.r.lateReads.Note(late, zap.String("batch", q.batchID), zap.Inline(q.partition))
+	q.reader.lateReads.Note(late, zap.String("batch", q.batchID), zap.Inline(q.partition))
 	return answer, errOwnReadLate
 }
 
@@ -116,7 +116,7 @@
 	}
 	if !own.ended() {
 		// The journal sends less than this daemon took to be its share.
-		q.r.budget.late()
+		q.reader.budget.late()
 	}
 	return watcher.value.answer, nil
 }
@@ -124,14 +124,14 @@
 // readPaced reads the partition at the rate of the budget, as its watcher could not be asked.
 func (q *pendingQuery[Q, T]) readPaced(ctx context.Context, cause error) (answer T, err error) {
 	q.way = wayPaced
-	if err := q.r.enterCold(ctx); err != nil {
+	if err := q.reader.enterCold(ctx); err != nil {
 		return answer, err
 	}
-	defer func() { <-q.r.coldReads }()
+	defer func() { <-q.reader.coldReads }()
 	missing, _ := q.partition.Missing()
-	q.r.logger.Info("partition read for a question", zap.String("batch", q.batchID), zap.Inline(q.partition),
+	q.reader.logger.Info("partition read for a question", zap.String("batch", q.batchID), zap.Inline(q.partition),
 		zap.String("watcher", q.call.watcher), zap.Int("missing", missing), zap.String("reason", cause.Error()))
-	if err := q.r.readPages(ctx, q.partition, q.ready); err != nil {
+	if err := q.reader.readPages(ctx, q.partition, q.ready); err != nil {
 		return answer, err
 	}
 	return q.fromFold(ctx, q.withWait(q.waitLeft()))
--- a/internal/batches/results/trace.go
+++ b/internal/batches/results/trace.go
@@ -30,7 +30,7 @@
 
 // queryTrace is one question with what happened to it, for its log line and the observer.
 type queryTrace struct {
-	r         *Reader
+	reader    *Reader
 	batchID   string
 	partition *ledger.Partition
 	began     time.Time
@@ -48,7 +48,7 @@
 
 func (r *Reader) startTrace(batchID string, wait time.Duration) *queryTrace {
 	t := &queryTrace{
-		r:         r,
+		reader:    r,
 		batchID:   batchID,
 		partition: r.ledger.Of(batchID),
 		began:     time.Now(),
@@ -65,18 +65,18 @@
 
 // end closes the trace. A question that was not answered has a line.
 func (t *queryTrace) end(err error) {
-	open := t.r.openQueries.Add(-1)
+	open := t.reader.openQueries.Add(-1)
 	took := time.Since(t.began)
-	t.r.observe(string(t.way), err == nil, max(took-t.wait, 0))
+	t.reader.observe(string(t.way), err == nil, max(took-t.wait, 0))
 	if err == nil {
 		return
 	}
 	left, leftKnown := t.partition.Missing()
-	t.r.logger.Info("question not answered", zap.String("batch", t.batchID), zap.Inline(t.partition),
+	t.reader.logger.Info("question not answered", zap.String("batch", t.batchID), zap.Inline(t.partition),
 		zap.String("way", string(t.way)), zap.Duration("hold", t.wait), zap.Duration("took", took),
 		zap.Int("missing", t.missing), zap.Bool("missing_known", t.missingKnown),
 		zap.Int("missing_left", left), zap.Bool("missing_left_known", leftKnown),
 		zap.String("watcher", t.call.watcher), zap.Duration("watcher_sought", t.call.soughtFor),
 		zap.Duration("watcher_asked", t.call.askedFor), zap.NamedError("watcher_error", t.call.err),
-		zap.Int64("questions_open", open), zap.Int("budget", t.r.budgetLeft()), zap.Error(err))
+		zap.Int64("questions_open", open), zap.Int("budget", t.reader.budgetLeft()), zap.Error(err))
 }
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -30,14 +30,14 @@
 // if that is this daemon.
 func (q *pendingQuery[Q, T]) askWatcher(ctx context.Context) (reply watcherReply[T], err error) {
 	began := time.Now()
-	watcher, ok := q.r.awaitWatcher(ctx, q.partition.Name())
+	watcher, ok := q.reader.awaitWatcher(ctx, q.partition.Name())
 	reply.watcher, reply.soughtFor = watcher, time.Since(began)
-	if ok && watcher == q.r.self {
+	if ok && watcher == q.reader.self {
 		return reply, errWatcherIsSelf
 	}
 	began = time.Now()
 	wait := q.waitLeft()
-	reply.answer, reply.err = callWatcher[T](ctx, q.r, watcher, q.method, q.withWait(wait), wait)
+	reply.answer, reply.err = callWatcher[T](ctx, q.reader, watcher, q.method, q.withWait(wait), wait)
 	reply.askedFor = time.Since(began)
 	return reply, reply.err
 }
