--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -21,9 +21,9 @@
 type watcherCall struct {
 	// watcher is the incarnation that was asked, "" if it was not known, soughtFor how long it
 	// took to learn of it, and askedFor how long it was waited for.
-	watcher             string
-	soughtFor, askedFor time.Duration
-	err                 error
+	watcher              string
+	searchTook, askedFor time.Duration
+	err                  error
 }
 
 // askWatcher looks for the partition's watcher and has it answer the question. The error is errSelf
@@ -31,7 +31,7 @@
 func (q *pendingQuery[Q, T]) askWatcher(ctx context.Context) (reply watcherReply[T], err error) {
 	began := time.Now()
 	watcher, ok := q.reader.awaitWatcher(ctx, q.partition.Name())
-	reply.watcher, reply.soughtFor = watcher, time.Since(began)
+	reply.watcher, reply.searchTook = watcher, time.Since(began)
 	if ok && watcher == q.reader.self {
 		return reply, errWatcherIsSelf
 	}
