--- a/internal/batches/results/trace.go
+++ b/internal/batches/results/trace.go
@@ -77,6 +77,6 @@
 		zap.Int("missing", t.missing), zap.Bool("missing_known", t.missingKnown),
 		zap.Int("missing_left", left), zap.Bool("missing_left_known", leftKnown),
 		zap.String("watcher", t.call.watcher), zap.Duration("watcher_sought", t.call.searchTook),
-		zap.Duration("watcher_asked", t.call.askedFor), zap.NamedError("watcher_error", t.call.err),
+		zap.Duration("watcher_asked", t.call.callTook), zap.NamedError("watcher_error", t.call.err),
 		zap.Int64("questions_open", open), zap.Int("budget", t.reader.budgetLeft()), zap.Error(err))
 }
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -22,7 +22,7 @@
 	// watcher is the incarnation that was asked, "" if it was not known, soughtFor how long it
 	// took to learn of it, and askedFor how long it was waited for.
 	watcher              string
-	searchTook, askedFor time.Duration
+	searchTook, callTook time.Duration
 	err                  error
 }
 
@@ -38,7 +38,7 @@
 	began = time.Now()
 	wait := q.waitLeft()
 	reply.answer, reply.err = callWatcher[T](ctx, q.reader, watcher, q.method, q.withWait(wait), wait)
-	reply.askedFor = time.Since(began)
+	reply.callTook = time.Since(began)
 	return reply, reply.err
 }
 
