--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -10,9 +10,9 @@
 	"woodworks/internal/batches/ledger"
 )
 
-// enterCold takes a place in cold for a question that may read a partition from its beginning.
+// acquireColdRead takes a place in cold for a question that may read a partition from its beginning.
 // The error wraps ErrBehind.
-func (r *Reader) enterCold(ctx context.Context) error {
+func (r *Reader) acquireColdRead(ctx context.Context) error {
 	timer := time.NewTimer(catchUpTimeout)
 	defer timer.Stop()
 	select {
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -124,7 +124,7 @@
 // readPaced reads the partition at the rate of the budget, as its watcher could not be asked.
 func (q *pendingQuery[Q, T]) readPaced(ctx context.Context, cause error) (answer T, err error) {
 	q.way = wayPaced
-	if err := q.reader.enterCold(ctx); err != nil {
+	if err := q.reader.acquireColdRead(ctx); err != nil {
 		return answer, err
 	}
 	defer func() { <-q.reader.coldReads }()
