--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -33,9 +33,9 @@
 	return r.budget.left()
 }
 
-// affords reports whether the budget allows this daemon to read what it lacks of a partition, and
+// reserveMissing reports whether the budget allows this daemon to read what it lacks of a partition, and
 // takes that off it. How much it is shows with the first page, which is read for that.
-func (r *Reader) affords(ctx context.Context, partition *ledger.Partition) bool {
+func (r *Reader) reserveMissing(ctx context.Context, partition *ledger.Partition) bool {
 	if r.budget == nil {
 		return true
 	}
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -75,7 +75,7 @@
 // readWithinBudget answers from this daemon's fold, after a read of what it lacks if the budget
 // allows that.
 func (q *pendingQuery[Q, T]) readWithinBudget(ctx context.Context) (answer T, err error) {
-	if !q.reader.affords(ctx, q.partition) {
+	if !q.reader.reserveMissing(ctx, q.partition) {
 		return answer, errOverBudget
 	}
 	return q.fromFold(ctx, q.withWait(q.wait))
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -184,9 +184,9 @@
 		d := newDaemons(t.Context(), 1)
 		partition := d.ledgers[0].Of("b")
 		is.True(NewReader(d.ledgers[0], d, d, journal.Grants{}, "self", zap.NewNop()).
-			affords(t.Context(), partition))
+			reserveMissing(t.Context(), partition))
 		is.True(NewReader(d.ledgers[0], nil, nil, journal.Grants{ReadBytesPerSecond: 1}, "self", zap.NewNop()).
-			affords(t.Context(), partition))
+			reserveMissing(t.Context(), partition))
 	})
 }
 
