--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -64,7 +64,7 @@
 			return nil
 		}
 		if !unpaced {
-			if err := r.budget.await(ctx, r.nextPage(missing, ok)); err != nil {
+			if err := r.budget.await(ctx, r.nextPageBytes(missing, ok)); err != nil {
 				return errors.Wrap(ErrNotCaughtUp, err.Error())
 			}
 		}
@@ -88,8 +88,8 @@
 	return errors.Wrap(ErrNotCaughtUp, err.Error())
 }
 
-// nextPage is what the next page of a partition brings at most, in bytes.
-func (r *Reader) nextPage(missing int, ok bool) int {
+// nextPageBytes is what the next page of a partition brings at most, in bytes.
+func (r *Reader) nextPageBytes(missing int, ok bool) int {
 	if !ok {
 		return r.ledger.PageBytes()
 	}
