--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// ownReadShare is the part of the journal's bandwidth that all daemons together use
+	// ownReadFraction is the part of the journal's bandwidth that all daemons together use
 	// to read partitions for questions. The other half is left to those who must read: the
 	// watchers of partitions, and the followers of configurations and replicas.
-	ownReadShare = 0.5
+	ownReadFraction = 0.5
 	// ownReadTime is for how long a daemon saves up what it does not read: the questions of
 	// one caller about one batch are some seconds apart.
 	ownReadTime = 4 * time.Second
@@ -53,7 +53,7 @@
 	defer b.mu.Unlock()
 	daemons, bytes := b.daemons(), 0.0
 	if daemons > 0 {
-		bytes = b.bytesPerSecond * ownReadShare * b.share.now(now) / float64(daemons)
+		bytes = b.bytesPerSecond * ownReadFraction * b.share.now(now) / float64(daemons)
 	}
 	if b.limiter.Limit() != rate.Limit(bytes) {
 		b.limiter.SetLimitAt(now, rate.Limit(bytes))
--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -133,6 +133,6 @@
 		is.True(took < restartAnswered)
 		// Such a question costs a page at once, as it may have no other answer.
 		own := float64(read - restartBatches*restartBytes - unasked*d.readers[0].ledger.PageBytes())
-		is.True(own < ownReadShare*restartJournal*took.Seconds())
+		is.True(own < ownReadFraction*restartJournal*took.Seconds())
 	})
 }
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -39,7 +39,7 @@
 				options.daemons, options.partitions, options.batches = 3, 1, 12
 				// Each daemon may save up what all partitions hold.
 				bytes := options.daemons * options.batches * options.texts * options.textBytes
-				options.granted = 2 * float64(bytes) / ownReadShare / ownReadTime.Seconds()
+				options.granted = 2 * float64(bytes) / ownReadFraction / ownReadTime.Seconds()
 				f := newFleet(ctx, t, options, zap.NewNop())
 				time.Sleep(recovered)
 				worse(f)
@@ -154,6 +154,6 @@
 		for budget.take(piece) {
 			taken += piece
 		}
-		is.True(float64(daemons*taken) <= bytesPerSecond*ownReadShare*time.Since(began).Seconds())
+		is.True(float64(daemons*taken) <= bytesPerSecond*ownReadFraction*time.Since(began).Seconds())
 	})
 }
