--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -45,5 +45,5 @@
 
 // wasLate reports whether a read was late a moment ago.
 func (s *bandwidthShare) wasLate(now time.Time) bool {
-	return !s.halved.IsZero() && now.Sub(s.halved) < ownReadTime
+	return !s.halved.IsZero() && now.Sub(s.halved) < budgetBurstTime
 }
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -13,9 +13,9 @@
 	// to read partitions for questions. The other half is left to those who must read: the
 	// watchers of partitions, and the followers of configurations and replicas.
 	ownReadFraction = 0.5
-	// ownReadTime is for how long a daemon saves up what it does not read: the questions of
+	// budgetBurstTime is for how long a daemon saves up what it does not read: the questions of
 	// one caller about one batch are some seconds apart.
-	ownReadTime = 4 * time.Second
+	budgetBurstTime = 4 * time.Second
 )
 
 // readBudget is what this daemon may read for questions: its part of a share of the
@@ -57,7 +57,7 @@
 	}
 	if b.limiter.Limit() != rate.Limit(bytes) {
 		b.limiter.SetLimitAt(now, rate.Limit(bytes))
-		b.limiter.SetBurstAt(now, max(int(bytes*ownReadTime.Seconds()), 1))
+		b.limiter.SetBurstAt(now, max(int(bytes*budgetBurstTime.Seconds()), 1))
 	}
 	if daemons > b.daemonsSeen {
 		// What was saved up while fewer were known is the others' too.
--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -90,7 +90,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		budget := newReadBudget(80e6, func() int { return 84 })
-		time.Sleep(ownReadTime)
+		time.Sleep(budgetBurstTime)
 		whole := budget.left()
 		is.True(whole > 0)
 		budget.late()
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -138,7 +138,7 @@
 		log := bulky(ctx, t, 1)
 		peers := &alone{daemons: 4, learn: 150 * time.Millisecond}
 		reader := slowReader(ctx, log, takes, peers)
-		time.Sleep(ownReadTime)
+		time.Sleep(budgetBurstTime)
 		// The first page tells what there is, and a later question of one text comes upon it.
 		err := reader.ledger.Of("b").ReadPage(ctx)
 		is.NoErr(err)
@@ -205,7 +205,7 @@
 				peers := &alone{daemons: 84, watcher: identity.New("h", time.Now())}
 				peers.answer = func(context.Context, any, any) error { return errDark }
 				reader := slowReader(ctx, log, takes, peers)
-				time.Sleep(ownReadTime)
+				time.Sleep(budgetBurstTime)
 				began, refused := time.Now(), 0
 				for after := 0; after < 30 && time.Since(began) < time.Minute; {
 					page, err := reader.Results(ctx, Query{BatchID: "b", After: after})
@@ -236,7 +236,7 @@
 		peers := &alone{daemons: 84, watcher: ""}
 		batches := ledger.New(ctx, slowJournal{log, takes}, zap.NewNop())
 		reader := NewReader(batches, peers, peers, log.Granted, "m0", zap.New(core))
-		time.Sleep(ownReadTime)
+		time.Sleep(budgetBurstTime)
 		const questions = 20
 		for range questions {
 			_, _ = reader.Results(ctx, Query{BatchID: "b"})
@@ -279,7 +279,7 @@
 		peers.answer = func(context.Context, any, any) error { return errDark }
 		reader := slowReader(ctx, log, takesAtFirst(takes), peers)
 		reader.budget.adjust(time.Now())
-		time.Sleep(ownReadTime)
+		time.Sleep(budgetBurstTime)
 		err := reader.ledger.Of("b").ReadPage(ctx)
 		is.NoErr(err)
 		began := time.Now()
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -178,7 +178,7 @@
 		} {
 			budget := newReadBudget(80e6, func() int { return each.daemons })
 			is.True(!budget.take(each.bytes))
-			time.Sleep(ownReadTime)
+			time.Sleep(budgetBurstTime)
 			is.Equal(budget.take(each.bytes), each.want)
 		}
 		d := newDaemons(t.Context(), 1)
