--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -23,7 +23,7 @@
 // start of all daemons at once the bandwidth belongs to the watchers of partitions.
 type readBudget struct {
 	bytesPerSecond float64
-	daemons        func() int
+	daemonCount    func() int
 	limiter        *rate.Limiter
 
 	mu    sync.Mutex
@@ -38,7 +38,7 @@
 	now := time.Now()
 	b := &readBudget{
 		bytesPerSecond: bytesPerSecond,
-		daemons:        daemons,
+		daemonCount:    daemons,
 		limiter:        rate.NewLimiter(0, 1),
 		share:          newBandwidthShare(now),
 	}
@@ -51,7 +51,7 @@
 func (b *readBudget) adjust(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	daemons, bytes := b.daemons(), 0.0
+	daemons, bytes := b.daemonCount(), 0.0
 	if daemons > 0 {
 		bytes = b.bytesPerSecond * ownReadFraction * b.share.now(now) / float64(daemons)
 	}
