--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -26,8 +26,8 @@
 	daemonCount    func() int
 	limiter        *rate.Limiter
 
-	mu    sync.Mutex
-	share *bandwidthShare
+	mu        sync.Mutex
+	bandwidth *bandwidthShare
 	// daemonsSeen is how many daemons there were at the last look.
 	daemonsSeen int
 }
@@ -40,7 +40,7 @@
 		bytesPerSecond: bytesPerSecond,
 		daemonCount:    daemons,
 		limiter:        rate.NewLimiter(0, 1),
-		share:          newBandwidthShare(now),
+		bandwidth:      newBandwidthShare(now),
 	}
 	b.adjust(now)
 	b.empty(now)
@@ -53,7 +53,7 @@
 	defer b.mu.Unlock()
 	daemons, bytes := b.daemonCount(), 0.0
 	if daemons > 0 {
-		bytes = b.bytesPerSecond * ownReadFraction * b.share.now(now) / float64(daemons)
+		bytes = b.bytesPerSecond * ownReadFraction * b.bandwidth.now(now) / float64(daemons)
 	}
 	if b.limiter.Limit() != rate.Limit(bytes) {
 		b.limiter.SetLimitAt(now, rate.Limit(bytes))
@@ -80,7 +80,7 @@
 func (b *readBudget) late() {
 	now := time.Now()
 	b.mu.Lock()
-	b.share.late(now)
+	b.bandwidth.late(now)
 	b.mu.Unlock()
 	b.adjust(now)
 }
@@ -89,7 +89,7 @@
 func (b *readBudget) reduced() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.share.wasLate(time.Now())
+	return b.bandwidth.wasLate(time.Now())
 }
 
 func (b *readBudget) left() int {
