--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -28,8 +28,8 @@
 
 	mu        sync.Mutex
 	bandwidth *bandwidthShare
-	// daemonsSeen is how many daemons there were at the last look.
-	daemonsSeen int
+	// lastDaemonCount is how many daemons there were at the last look.
+	lastDaemonCount int
 }
 
 // newReadBudget returns the budget of one of some daemons before a journal that sends so
@@ -59,11 +59,11 @@
 		b.limiter.SetLimitAt(now, rate.Limit(bytes))
 		b.limiter.SetBurstAt(now, max(int(bytes*budgetBurstTime.Seconds()), 1))
 	}
-	if daemons > b.daemonsSeen {
+	if daemons > b.lastDaemonCount {
 		// What was saved up while fewer were known is the others' too.
 		b.empty(now)
 	}
-	b.daemonsSeen = daemons
+	b.lastDaemonCount = daemons
 }
 
 // empty takes all that was saved up.
