--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -43,7 +43,7 @@
 		bandwidth:      newBandwidthShare(now),
 	}
 	b.adjust(now)
-	b.empty(now)
+	b.discardTokens(now)
 	return b
 }
 
@@ -61,13 +61,15 @@
 	}
 	if daemons > b.lastDaemonCount {
 		// What was saved up while fewer were known is the others' too.
-		b.empty(now)
+		b.discardTokens(now)
 	}
 	b.lastDaemonCount = daemons
 }
 
-// empty takes all that was saved up.
-func (b *readBudget) empty(now time.Time) { b.limiter.AllowN(now, int(b.limiter.TokensAt(now))) }
+// discardTokens takes all that was saved up.
+func (b *readBudget) discardTokens(now time.Time) {
+	b.limiter.AllowN(now, int(b.limiter.TokensAt(now)))
+}
 
 // take takes bytes off the budget if it has that many.
 func (b *readBudget) take(bytes int) bool {
