--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -78,8 +78,8 @@
 	return b.limiter.AllowN(now, bytes)
 }
 
-// late tells the budget that a read was given up as late: its share is less from now on.
-func (b *readBudget) late() {
+// noteLate tells the budget that a read was given up as noteLate: its share is less from now on.
+func (b *readBudget) noteLate() {
 	now := time.Now()
 	b.mu.Lock()
 	b.bandwidth.late(now)
--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -93,7 +93,7 @@
 		time.Sleep(budgetBurstTime)
 		whole := budget.left()
 		is.True(whole > 0)
-		budget.late()
+		budget.noteLate()
 		is.True(budget.reduced())
 		is.True(!budget.take(whole * 3 / 4))
 		is.True(budget.take(whole / 4))
--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -83,7 +83,7 @@
 		return nil
 	}
 	if time.Since(began) >= watcherTimeout {
-		r.budget.late()
+		r.budget.noteLate()
 	}
 	return errors.Wrap(ErrNotCaughtUp, err.Error())
 }
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -116,7 +116,7 @@
 	}
 	if !own.ended() {
 		// The journal sends less than this daemon took to be its share.
-		q.reader.budget.late()
+		q.reader.budget.noteLate()
 	}
 	return watcher.value.answer, nil
 }
