--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -87,8 +87,8 @@
 	b.adjust(now)
 }
 
-// reduced reports whether the journal was late lately, so that less than the whole share is used.
-func (b *readBudget) reduced() bool {
+// recentlyLate reports whether the journal was late lately, so that less than the whole share is used.
+func (b *readBudget) recentlyLate() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.bandwidth.wasLate(time.Now())
--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -94,7 +94,7 @@
 		whole := budget.left()
 		is.True(whole > 0)
 		budget.noteLate()
-		is.True(budget.reduced())
+		is.True(budget.recentlyLate())
 		is.True(!budget.take(whole * 3 / 4))
 		is.True(budget.take(whole / 4))
 	})
--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -58,7 +58,7 @@
 // answer. What was read counts at the next question, also where the context ends before the partition
 // does. The error wraps ErrBehind.
 func (r *Reader) readPages(ctx context.Context, partition *ledger.Partition, ready func() bool) error {
-	for unpaced := !r.budget.reduced(); ; unpaced = false {
+	for unpaced := !r.budget.recentlyLate(); ; unpaced = false {
 		missing, ok := partition.Missing()
 		if ok && missing == 0 || ready() {
 			return nil
