--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -94,7 +94,7 @@
 	return b.bandwidth.wasLate(time.Now())
 }
 
-func (b *readBudget) left() int {
+func (b *readBudget) available() int {
 	return max(int(b.limiter.Tokens()), 0)
 }
 
--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -42,10 +42,10 @@
 	var mu sync.Mutex
 	for range 8 {
 		looking.Go(func() {
-			before := budget.left()
+			before := budget.available()
 			for until := time.Now().Add(2 * time.Second); time.Now().Before(until); time.Sleep(50 * time.Microsecond) {
 				budget.adjust(time.Now())
-				left := budget.left()
+				left := budget.available()
 				mu.Lock()
 				if left < before/2 && before > 10000 {
 					drained++
@@ -56,7 +56,7 @@
 		})
 	}
 	looking.Wait()
-	t.Logf("all saved up was thrown away at %d looks, %d bytes left, of some %d", drained, budget.left(), 428571)
+	t.Logf("all saved up was thrown away at %d looks, %d bytes left, of some %d", drained, budget.available(), 428571)
 	if drained > 0 {
 		t.Fail()
 	}
@@ -91,7 +91,7 @@
 		is := is.New(t)
 		budget := newReadBudget(80e6, func() int { return 84 })
 		time.Sleep(budgetBurstTime)
-		whole := budget.left()
+		whole := budget.available()
 		is.True(whole > 0)
 		budget.noteLate()
 		is.True(budget.recentlyLate())
--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -30,7 +30,7 @@
 	if r.budget == nil {
 		return 0
 	}
-	return r.budget.left()
+	return r.budget.available()
 }
 
 // reserveMissing reports whether the budget allows this daemon to read what it lacks of a partition, and
