--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// lateRest is the least time between two halvings of a share: reads that are late at the
+	// minHalvingInterval is the least time between two halvings of a share: reads that are late at the
 	// same time are late for one reason, and a question's reads end within answerWithin.
-	lateRest = answerTimeout
+	minHalvingInterval = answerTimeout
 	// recoverTime is how long a share takes to come back from nothing: twice the 15 s
 	// within which daemons serve again after a start of all, when the journal has most to send.
 	recoverTime = 30 * time.Second
@@ -37,7 +37,7 @@
 // late halves the part as a read is late.
 func (s *bandwidthShare) late(now time.Time) {
 	s.now(now)
-	if now.Sub(s.halved) < lateRest {
+	if now.Sub(s.halved) < minHalvingInterval {
 		return
 	}
 	s.part, s.halved = s.part/2, now
--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -75,10 +75,10 @@
 		is.Equal(s.now(time.Now()), 0.5)
 		is.True(s.wasLate(time.Now()))
 		for range 20 {
-			time.Sleep(lateRest)
+			time.Sleep(minHalvingInterval)
 			s.late(time.Now())
 		}
-		is.True(s.now(time.Now()) < 3*lateRest.Seconds()/recoverTime.Seconds())
+		is.True(s.now(time.Now()) < 3*minHalvingInterval.Seconds()/recoverTime.Seconds())
 		time.Sleep(recoverTime)
 		is.Equal(s.now(time.Now()), 1.0)
 		is.True(!s.wasLate(time.Now()))
