--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -6,9 +6,9 @@
 	// minHalvingInterval is the least time between two halvings of a share: reads that are late at the
 	// same time are late for one reason, and a question's reads end within answerWithin.
 	minHalvingInterval = answerTimeout
-	// recoverTime is how long a share takes to come back from nothing: twice the 15 s
+	// recoveryTime is how long a share takes to come back from nothing: twice the 15 s
 	// within which daemons serve again after a start of all, when the journal has most to send.
-	recoverTime = 30 * time.Second
+	recoveryTime = 30 * time.Second
 )
 
 // bandwidthShare is the part of what a journal grants that it is seen to send: halved when a read is
@@ -28,7 +28,7 @@
 // now returns the part, up to 1. What it regains between two halvings keeps it above 0.
 func (s *bandwidthShare) now(now time.Time) float64 {
 	if now.After(s.at) {
-		s.part = min(s.part+now.Sub(s.at).Seconds()/recoverTime.Seconds(), 1)
+		s.part = min(s.part+now.Sub(s.at).Seconds()/recoveryTime.Seconds(), 1)
 		s.at = now
 	}
 	return s.part
--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -78,8 +78,8 @@
 			time.Sleep(minHalvingInterval)
 			s.late(time.Now())
 		}
-		is.True(s.now(time.Now()) < 3*minHalvingInterval.Seconds()/recoverTime.Seconds())
-		time.Sleep(recoverTime)
+		is.True(s.now(time.Now()) < 3*minHalvingInterval.Seconds()/recoveryTime.Seconds())
+		time.Sleep(recoveryTime)
 		is.Equal(s.now(time.Now()), 1.0)
 		is.True(!s.wasLate(time.Now()))
 	})
