--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -11,22 +11,22 @@
 	recoveryTime = 30 * time.Second
 )
 
-// bandwidthShare is the part of what a journal grants that it is seen to send: halved when a read is
+// bandwidthFraction is the part of what a journal grants that it is seen to send: halved when a read is
 // late, and rising steadily otherwise.
 //
 // A journal may send less than it grants, to some or to all, for seconds or for good. Daemons
 // that rely on the grant then ask for more than arrives, each read is given up before its end, and
 // no question is answered however long they ask.
-type bandwidthShare struct {
+type bandwidthFraction struct {
 	part   float64
 	at     time.Time
 	halved time.Time
 }
 
-func newBandwidthShare(now time.Time) *bandwidthShare { return &bandwidthShare{part: 1, at: now} }
+func newBandwidthShare(now time.Time) *bandwidthFraction { return &bandwidthFraction{part: 1, at: now} }
 
 // now returns the part, up to 1. What it regains between two halvings keeps it above 0.
-func (s *bandwidthShare) now(now time.Time) float64 {
+func (s *bandwidthFraction) now(now time.Time) float64 {
 	if now.After(s.at) {
 		s.part = min(s.part+now.Sub(s.at).Seconds()/recoveryTime.Seconds(), 1)
 		s.at = now
@@ -35,7 +35,7 @@
 }
 
 // late halves the part as a read is late.
-func (s *bandwidthShare) late(now time.Time) {
+func (s *bandwidthFraction) late(now time.Time) {
 	s.now(now)
 	if now.Sub(s.halved) < minHalvingInterval {
 		return
@@ -44,6 +44,6 @@
 }
 
 // wasLate reports whether a read was late a moment ago.
-func (s *bandwidthShare) wasLate(now time.Time) bool {
+func (s *bandwidthFraction) wasLate(now time.Time) bool {
 	return !s.halved.IsZero() && now.Sub(s.halved) < budgetBurstTime
 }
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -27,7 +27,7 @@
 	limiter        *rate.Limiter
 
 	mu        sync.Mutex
-	bandwidth *bandwidthShare
+	bandwidth *bandwidthFraction
 	// lastDaemonCount is how many daemons there were at the last look.
 	lastDaemonCount int
 }
