--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -23,7 +23,9 @@
 	halved time.Time
 }
 
-func newBandwidthShare(now time.Time) *bandwidthFraction { return &bandwidthFraction{part: 1, at: now} }
+func newBandwidthFraction(now time.Time) *bandwidthFraction {
+	return &bandwidthFraction{part: 1, at: now}
+}
 
 // now returns the part, up to 1. What it regains between two halvings keeps it above 0.
 func (s *bandwidthFraction) now(now time.Time) float64 {
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -40,7 +40,7 @@
 		bytesPerSecond: bytesPerSecond,
 		daemonCount:    daemons,
 		limiter:        rate.NewLimiter(0, 1),
-		bandwidth:      newBandwidthShare(now),
+		bandwidth:      newBandwidthFraction(now),
 	}
 	b.adjust(now)
 	b.discardTokens(now)
--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -67,7 +67,7 @@
 func TestALateReadHalvesTheShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newBandwidthShare(time.Now())
+		s := newBandwidthFraction(time.Now())
 		is.Equal(s.now(time.Now()), 1.0)
 		is.True(!s.wasLate(time.Now()))
 		s.late(time.Now())
