--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -18,22 +18,22 @@
 // that rely on the grant then ask for more than arrives, each read is given up before its end, and
 // no question is answered however long they ask.
 type bandwidthFraction struct {
-	part   float64
-	at     time.Time
-	halved time.Time
+	fraction float64
+	at       time.Time
+	halved   time.Time
 }
 
 func newBandwidthFraction(now time.Time) *bandwidthFraction {
-	return &bandwidthFraction{part: 1, at: now}
+	return &bandwidthFraction{fraction: 1, at: now}
 }
 
 // now returns the part, up to 1. What it regains between two halvings keeps it above 0.
 func (s *bandwidthFraction) now(now time.Time) float64 {
 	if now.After(s.at) {
-		s.part = min(s.part+now.Sub(s.at).Seconds()/recoveryTime.Seconds(), 1)
+		s.fraction = min(s.fraction+now.Sub(s.at).Seconds()/recoveryTime.Seconds(), 1)
 		s.at = now
 	}
-	return s.part
+	return s.fraction
 }
 
 // late halves the part as a read is late.
@@ -42,7 +42,7 @@
 	if now.Sub(s.halved) < minHalvingInterval {
 		return
 	}
-	s.part, s.halved = s.part/2, now
+	s.fraction, s.halved = s.fraction/2, now
 }
 
 // wasLate reports whether a read was late a moment ago.
--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -17,7 +17,7 @@
 	budget := newReadBudget(80e6, func() int { return 84 })
 	now := time.Now()
 	budget.mu.Lock()
-	budget.bandwidth.part = 0.5
+	budget.bandwidth.fraction = 0.5
 	budget.mu.Unlock()
 	budget.adjust(now)
 	budget.adjust(now.Add(4 * time.Second))
@@ -33,7 +33,7 @@
 func TestConcurrentLooksKeepWhatWasSaved(t *testing.T) {
 	budget := newReadBudget(80e6, func() int { return 84 })
 	budget.mu.Lock()
-	budget.bandwidth.part = 0.25
+	budget.bandwidth.fraction = 0.25
 	budget.mu.Unlock()
 	budget.adjust(time.Now())
 	time.Sleep(time.Second)
