--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -18,20 +18,20 @@
 // that rely on the grant then ask for more than arrives, each read is given up before its end, and
 // no question is answered however long they ask.
 type bandwidthFraction struct {
-	fraction float64
-	at       time.Time
-	halved   time.Time
+	fraction  float64
+	updatedAt time.Time
+	halved    time.Time
 }
 
 func newBandwidthFraction(now time.Time) *bandwidthFraction {
-	return &bandwidthFraction{fraction: 1, at: now}
+	return &bandwidthFraction{fraction: 1, updatedAt: now}
 }
 
 // now returns the part, up to 1. What it regains between two halvings keeps it above 0.
 func (s *bandwidthFraction) now(now time.Time) float64 {
-	if now.After(s.at) {
-		s.fraction = min(s.fraction+now.Sub(s.at).Seconds()/recoveryTime.Seconds(), 1)
-		s.at = now
+	if now.After(s.updatedAt) {
+		s.fraction = min(s.fraction+now.Sub(s.updatedAt).Seconds()/recoveryTime.Seconds(), 1)
+		s.updatedAt = now
 	}
 	return s.fraction
 }
