--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -20,7 +20,7 @@
 type bandwidthFraction struct {
 	fraction  float64
 	updatedAt time.Time
-	halved    time.Time
+	halvedAt  time.Time
 }
 
 func newBandwidthFraction(now time.Time) *bandwidthFraction {
@@ -39,13 +39,13 @@
 // late halves the part as a read is late.
 func (s *bandwidthFraction) late(now time.Time) {
 	s.now(now)
-	if now.Sub(s.halved) < minHalvingInterval {
+	if now.Sub(s.halvedAt) < minHalvingInterval {
 		return
 	}
-	s.fraction, s.halved = s.fraction/2, now
+	s.fraction, s.halvedAt = s.fraction/2, now
 }
 
 // wasLate reports whether a read was late a moment ago.
 func (s *bandwidthFraction) wasLate(now time.Time) bool {
-	return !s.halved.IsZero() && now.Sub(s.halved) < budgetBurstTime
+	return !s.halvedAt.IsZero() && now.Sub(s.halvedAt) < budgetBurstTime
 }
