--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -27,8 +27,8 @@
 	return &bandwidthFraction{fraction: 1, updatedAt: now}
 }
 
-// now returns the part, up to 1. What it regains between two halvings keeps it above 0.
-func (s *bandwidthFraction) now(now time.Time) float64 {
+// current returns the part, up to 1. What it regains between two halvings keeps it above 0.
+func (s *bandwidthFraction) current(now time.Time) float64 {
 	if now.After(s.updatedAt) {
 		s.fraction = min(s.fraction+now.Sub(s.updatedAt).Seconds()/recoveryTime.Seconds(), 1)
 		s.updatedAt = now
@@ -38,7 +38,7 @@
 
 // late halves the part as a read is late.
 func (s *bandwidthFraction) late(now time.Time) {
-	s.now(now)
+	s.current(now)
 	if now.Sub(s.halvedAt) < minHalvingInterval {
 		return
 	}
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -53,7 +53,7 @@
 	defer b.mu.Unlock()
 	daemons, bytes := b.daemonCount(), 0.0
 	if daemons > 0 {
-		bytes = b.bytesPerSecond * ownReadFraction * b.bandwidth.now(now) / float64(daemons)
+		bytes = b.bytesPerSecond * ownReadFraction * b.bandwidth.current(now) / float64(daemons)
 	}
 	if b.limiter.Limit() != rate.Limit(bytes) {
 		b.limiter.SetLimitAt(now, rate.Limit(bytes))
--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -68,19 +68,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newBandwidthFraction(time.Now())
-		is.Equal(s.now(time.Now()), 1.0)
+		is.Equal(s.current(time.Now()), 1.0)
 		is.True(!s.wasLate(time.Now()))
 		s.late(time.Now())
 		s.late(time.Now())
-		is.Equal(s.now(time.Now()), 0.5)
+		is.Equal(s.current(time.Now()), 0.5)
 		is.True(s.wasLate(time.Now()))
 		for range 20 {
 			time.Sleep(minHalvingInterval)
 			s.late(time.Now())
 		}
-		is.True(s.now(time.Now()) < 3*minHalvingInterval.Seconds()/recoveryTime.Seconds())
+		is.True(s.current(time.Now()) < 3*minHalvingInterval.Seconds()/recoveryTime.Seconds())
 		time.Sleep(recoveryTime)
-		is.Equal(s.now(time.Now()), 1.0)
+		is.Equal(s.current(time.Now()), 1.0)
 		is.True(!s.wasLate(time.Now()))
 	})
 }
