--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -36,8 +36,8 @@
 	return s.fraction
 }
 
-// late halves the part as a read is late.
-func (s *bandwidthFraction) late(now time.Time) {
+// noteLate halves the part as a read is noteLate.
+func (s *bandwidthFraction) noteLate(now time.Time) {
 	s.current(now)
 	if now.Sub(s.halvedAt) < minHalvingInterval {
 		return
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -82,7 +82,7 @@
 func (b *readBudget) noteLate() {
 	now := time.Now()
 	b.mu.Lock()
-	b.bandwidth.late(now)
+	b.bandwidth.noteLate(now)
 	b.mu.Unlock()
 	b.adjust(now)
 }
--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -70,13 +70,13 @@
 		s := newBandwidthFraction(time.Now())
 		is.Equal(s.current(time.Now()), 1.0)
 		is.True(!s.wasLate(time.Now()))
-		s.late(time.Now())
-		s.late(time.Now())
+		s.noteLate(time.Now())
+		s.noteLate(time.Now())
 		is.Equal(s.current(time.Now()), 0.5)
 		is.True(s.wasLate(time.Now()))
 		for range 20 {
 			time.Sleep(minHalvingInterval)
-			s.late(time.Now())
+			s.noteLate(time.Now())
 		}
 		is.True(s.current(time.Now()) < 3*minHalvingInterval.Seconds()/recoveryTime.Seconds())
 		time.Sleep(recoveryTime)
