--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -45,7 +45,7 @@
 	s.fraction, s.halvedAt = s.fraction/2, now
 }
 
-// wasLate reports whether a read was late a moment ago.
-func (s *bandwidthFraction) wasLate(now time.Time) bool {
+// recentlyLate reports whether a read was late a moment ago.
+func (s *bandwidthFraction) recentlyLate(now time.Time) bool {
 	return !s.halvedAt.IsZero() && now.Sub(s.halvedAt) < budgetBurstTime
 }
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -91,7 +91,7 @@
 func (b *readBudget) recentlyLate() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.bandwidth.wasLate(time.Now())
+	return b.bandwidth.recentlyLate(time.Now())
 }
 
 func (b *readBudget) available() int {
--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -69,11 +69,11 @@
 		is := is.New(t)
 		s := newBandwidthFraction(time.Now())
 		is.Equal(s.current(time.Now()), 1.0)
-		is.True(!s.wasLate(time.Now()))
+		is.True(!s.recentlyLate(time.Now()))
 		s.noteLate(time.Now())
 		s.noteLate(time.Now())
 		is.Equal(s.current(time.Now()), 0.5)
-		is.True(s.wasLate(time.Now()))
+		is.True(s.recentlyLate(time.Now()))
 		for range 20 {
 			time.Sleep(minHalvingInterval)
 			s.noteLate(time.Now())
@@ -81,7 +81,7 @@
 		is.True(s.current(time.Now()) < 3*minHalvingInterval.Seconds()/recoveryTime.Seconds())
 		time.Sleep(recoveryTime)
 		is.Equal(s.current(time.Now()), 1.0)
-		is.True(!s.wasLate(time.Now()))
+		is.True(!s.recentlyLate(time.Now()))
 	})
 }
 
