--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -12,7 +12,7 @@
 // A share that rises gives nothing up of what was saved, also where several questions bring the
 // budget up to date at the same time: one whose moment is a little older than the last one's
 // takes the rise for a fall, and throws all away.
-func TestARisingShareKeepsWhatWasSaved(t *testing.T) {
+func TestRisingFractionKeepsSavedTokens(t *testing.T) {
 	is := is.New(t)
 	budget := newReadBudget(80e6, func() int { return 84 })
 	now := time.Now()
