--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -30,7 +30,7 @@
 }
 
 // The same with real questions: many at a time look whether the budget allows their read.
-func TestConcurrentLooksKeepWhatWasSaved(t *testing.T) {
+func TestConcurrentAdjustKeepsSavedTokens(t *testing.T) {
 	budget := newReadBudget(80e6, func() int { return 84 })
 	budget.mu.Lock()
 	budget.bandwidth.fraction = 0.25
