--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -64,7 +64,7 @@
 
 // A read that was given up as late halves what a daemon reads for questions, once for all that are
 // late at the same time, and it comes back steadily.
-func TestALateReadHalvesTheShare(t *testing.T) {
+func TestLateReadHalvesFraction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newBandwidthFraction(time.Now())
