--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -86,7 +86,7 @@
 }
 
 // A daemon whose reads are late reads less for questions than its part of the grant.
-func TestABudgetGoesByWhatTheJournalSends(t *testing.T) {
+func TestLateReadReducesBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		budget := newReadBudget(80e6, func() int { return 84 })
