--- a/internal/batches/results/golden_test.go
+++ b/internal/batches/results/golden_test.go
@@ -7,7 +7,7 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestMessagesKeepTheirForm(t *testing.T) {
+func TestMessageEncoding(t *testing.T) {
 	golden.Service(t, ServiceName, &Service{})
 	golden.Gob[Query](t, "query")
 	golden.Gob[Page](t, "page")
