--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -23,7 +23,7 @@
 
 // A daemon whose list of peers has not been read yet waited for its budget in a loop without a
 // pause, as its limiter has room for nothing, so that a wait for no bytes ends at once.
-func TestAWaitForTheBudgetRestsWhereTheOthersAreNotKnown(t *testing.T) {
+func TestBudgetAwaitDoesNotSpinWithUnknownDaemonCount(t *testing.T) {
 	is := is.New(t)
 	budget := newReadBudget(1e6, func() int { return 0 })
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
