--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -45,7 +45,7 @@
 }
 
 // Nothing may be read as long as the number of daemons is not known, not even a page.
-func TestNoPageIsReadWhereTheOthersAreNotKnown(t *testing.T) {
+func TestNoPageIsReadWithUnknownDaemonCount(t *testing.T) {
 	is := is.New(t)
 	budget := newReadBudget(1e6, func() int { return 0 })
 	is.True(!budget.takePage(1000))
