--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -130,7 +130,7 @@
 
 // A question whose own read has an answer after 0.5 s is answered then, also where nobody can say
 // who holds the partition.
-func TestAnOwnAnswerDoesNotWaitForTheSearchOfTheWatcher(t *testing.T) {
+func TestOwnReadDoesNotWaitForWatcherSearch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
