--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -152,7 +152,7 @@
 
 // A question that is held, with nothing to tell, ends with an empty page at the end of its hold
 // where the watcher was learned of after 0.55 s.
-func TestAHeldQuestionEndsInTimeWhereTheWatcherIsLearnedLate(t *testing.T) {
+func TestLongPollEndsInTimeWithSlowWatcherSearch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
