--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -194,7 +194,7 @@
 
 // Where the watcher cannot be asked, a daemon makes its way through the partition from question to
 // question, also if each read takes a little longer than a question waits before it asks the watcher.
-func TestADaemonComesForwardWhereReadsAreLateAndTheWatcherIsDark(t *testing.T) {
+func TestLateReadsMakeProgressWithoutWatcher(t *testing.T) {
 	for name, once := range map[string]bool{"always late": false, "late once": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
