--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -227,7 +227,7 @@
 }
 
 // In an outage of the journal a question leaves a few lines at most: three.
-func TestLinesOfAQuestionInAnOutage(t *testing.T) {
+func TestLogLinesPerQueryInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		takes := takesAtFirst(time.Hour)
