--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -253,7 +253,7 @@
 
 // A batch at the beginning of a long partition is told with the first page, though the rest of
 // the partition takes longer to read than a question has.
-func TestResultsAreToldAsSoonAsTheFoldHasThem(t *testing.T) {
+func TestResultsAreReturnedBeforeCatchUpEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
