--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -269,7 +269,7 @@
 }
 
 // Where the watcher fails at once, the own read that is late goes on, and its answer counts.
-func TestAnOwnAnswerCountsWhereTheWatcherFails(t *testing.T) {
+func TestOwnReadAnswersWhenWatcherFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
