--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -105,7 +105,7 @@
 // as long as clients asked. What daemons read for questions stays within half of what the
 // journal sends, whatever there is to read, and the rest is left to those who hold a
 // partition for all; a question whose watcher does not answer costs a page beyond that.
-func TestAllBatchesAreToldSoonAfterAllDaemonsStarted(t *testing.T) {
+func TestAllBatchesAreReadableAfterFleetRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
