--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -138,7 +138,7 @@
 
 // A question costs what its batch is worth: with the fold held by one daemon, no other
 // reads the partition from its beginning.
-func TestQuestionsGoToTheDaemonThatHoldsTheFold(t *testing.T) {
+func TestQueriesAreForwardedToWatcher(t *testing.T) {
 	withDaemons(t, 40, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.accept(t, "b", 3)
 		text := make([]byte, 100<<10)
