--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -166,7 +166,7 @@
 
 // Daemons read by themselves what their share of the journal's bandwidth allows, and
 // nothing just after a start.
-func TestDaemonsReadByThemselvesWhereBandwidthIsEnough(t *testing.T) {
+func TestOwnReadsStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		for _, each := range []struct {
