--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -191,7 +191,7 @@
 }
 
 // With the watcher dark or not known, a question is answered from the journal.
-func TestQuestionsAreAnsweredWithoutTheWatcher(t *testing.T) {
+func TestQueriesAreAnsweredWithoutWatcher(t *testing.T) {
 	for name, watcher := range map[string]int{"dark": 1, "not known": -1} {
 		t.Run(name, func(t *testing.T) {
 			withDaemons(t, 3, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
