--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -212,7 +212,7 @@
 }
 
 // A question that is held is answered when a result comes, through the watcher too.
-func TestAHeldQuestionEndsWithTheResult(t *testing.T) {
+func TestLongPollEndsWithResult(t *testing.T) {
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.accept(t, "b", 2)
 		time.AfterFunc(400*time.Millisecond, func() {
