--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -231,7 +231,7 @@
 }
 
 // While the journal is silent nothing is denied.
-func TestNothingIsDeniedWhileTheJournalIsSilent(t *testing.T) {
+func TestAbsenceIsNotReportedWhileJournalHangs(t *testing.T) {
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 		_, err := d.readers[1].Results(ctx, Query{BatchID: "b"})
