--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -271,7 +271,7 @@
 
 // Whoever is asked, while the partition changes hands and watchers go dark: what one
 // daemon has told, none denies.
-func TestAllDaemonsTellOneHistory(t *testing.T) {
+func TestAnswersAreLinearizable(t *testing.T) {
 	asked := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawStep), 10, 30).Draw(rt, "steps")
