--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -332,7 +332,7 @@
 // A daemon that started after the journal had removed the oldest records of a partition
 // answered 404 for the batches in them, which those that had read them served on. What a
 // daemon has not read it does not deny: that is an answer only to who has read all.
-func TestNothingIsDeniedWhoseRecordsAreGone(t *testing.T) {
+func TestAbsenceIsNotReportedForRemovedRecords(t *testing.T) {
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.watch(1)
 		d.accept(t, "b", 1)
