--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -370,7 +370,7 @@
 // those that read the journal themselves or for the journal (1.5 s each): a question that
 // was not to be held was answered after 2.4 s. Callers leave 1.5 s beyond the time that
 // they allow, and have no answer then. They hear in time that nothing can be said yet.
-func TestAQuestionIsAnsweredBeforeItsCallerLeaves(t *testing.T) {
+func TestQueryEndsBeforeCallerTimeout(t *testing.T) {
 	const callerLeaves = 1500 * time.Millisecond
 	for _, wait := range []time.Duration{0, time.Second} {
 		synctest.Test(t, func(t *testing.T) {
