--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -403,7 +403,7 @@
 
 // A question that is refused has a line that tells its way: what was missing here, whom this
 // daemon asked, and why that did not help.
-func TestARefusedQuestionTellsItsWay(t *testing.T) {
+func TestFailedQueryIsLogged(t *testing.T) {
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.accept(t, "b", 1)
 		core, logs := observer.New(zap.InfoLevel)
