--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -26,7 +26,7 @@
 // of the journal's bandwidth, or as each page waited for the one before. The watcher, which
 // had the answer in memory all the while, was not asked. With the journal at half of what it
 // grants, 84 daemons refused 125 of 333 questions, 22 s after their start.
-func TestAQuestionIsAnsweredByTheHolderWhereTheOwnReadTakesLong(t *testing.T) {
+func TestWatcherAnswersWhenOwnReadIsSlow(t *testing.T) {
 	for name, worse := range map[string]func(f *fleet){
 		"a busy journal":          func(f *fleet) { f.store.set(400e3) },
 		"answers that take 0.3 s": func(f *fleet) { f.readTakes.Store(int64(300 * time.Millisecond)) },
