--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -59,7 +59,7 @@
 // for each batch made them read 151 MB at once, which takes the journal longer than a question
 // has. Where the journal carries a half of what it grants, 125 of 333 questions were refused, and
 // at a quarter of it batches were still not told after 18 s.
-func TestNothingIsRefusedOnceAFleetHasRecovered(t *testing.T) {
+func TestNoQueryFailsAfterFleetRecovery(t *testing.T) {
 	for name, set := range map[string]func(options *fleetOptions){
 		"the journal carries what it grants": func(*fleetOptions) {},
 		"it carries a half":                  func(options *fleetOptions) { options.carries /= 2 },
