--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -81,7 +81,7 @@
 // Asked for all batches 0.1 s after their start, 84 daemons refused 82 of 290 questions and told
 // the last batch after 4.3 s, as the daemons' budgets of reads were full (see below) and what
 // they read for questions kept the watchers from reading their partitions.
-func TestAFleetTellsAllSoonAfterItsStart(t *testing.T) {
+func TestFleetServesAllBatchesAfterStart(t *testing.T) {
 	tellAllSoon(t, 1)
 }
 
