--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -87,7 +87,7 @@
 
 // Where the journal carries a half of what it grants, the same fleet told the last batch after
 // 15.5 s. The budgets begin by the grant, and are halved only once reads are late.
-func TestAFleetTellsAllSoonAfterItsStartBeforeHalfAJournal(t *testing.T) {
+func TestFleetServesAllBatchesAtHalfJournalRate(t *testing.T) {
 	tellAllSoon(t, 0.5)
 }
 
