--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -140,7 +140,7 @@
 // the budget, which is to begin empty, was full at the first question of each of 84 daemons.
 // Asked for all batches 0.1 s after a start, they read 306 MB in place of 138, and the last
 // batch was told after 4.4 s in place of 2.9.
-func TestTheBudgetBeginsEmptyWhereTheOthersAreNotKnownYet(t *testing.T) {
+func TestBudgetStartsEmptyWhenDaemonCountRises(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const bytesPerSecond, daemons = 80e6, 84
