--- a/internal/batches/results/watcher_test.go
+++ b/internal/batches/results/watcher_test.go
@@ -16,7 +16,7 @@
 
 // A watcher's reply that comes after its time is still written by net/rpc: reading it then was a
 // data race, which -race shows.
-func TestALateReplyIsNotRead(t *testing.T) {
+func TestLateReplyIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
