--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -377,7 +377,7 @@
 		*page = told
 		return nil
 	}
-	return errDark
+	return errUnreachable
 }
 
 // wave is what came of asking for all batches at one time.
--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -203,7 +203,7 @@
 				takes := takesAtFirst(450 * time.Millisecond)
 				log := bulky(ctx, t, 3)
 				peers := &alone{daemons: 84, watcher: identity.New("h", time.Now())}
-				peers.answer = func(context.Context, any, any) error { return errDark }
+				peers.answer = func(context.Context, any, any) error { return errUnreachable }
 				reader := slowReader(ctx, log, takes, peers)
 				time.Sleep(budgetBurstTime)
 				began, refused := time.Now(), 0
@@ -276,7 +276,7 @@
 		const takes = 800 * time.Millisecond
 		log := bulky(ctx, t, 1)
 		peers := &alone{daemons: 4, watcher: identity.New("h", time.Now())}
-		peers.answer = func(context.Context, any, any) error { return errDark }
+		peers.answer = func(context.Context, any, any) error { return errUnreachable }
 		reader := slowReader(ctx, log, takesAtFirst(takes), peers)
 		reader.budget.adjust(time.Now())
 		time.Sleep(budgetBurstTime)
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -25,7 +25,7 @@
 
 func init() { testseed.Fix() }
 
-var errDark = errors.New("no answer")
+var errUnreachable = errors.New("no answer")
 
 // pause lets a time pass, or ends with the context.
 func pause(ctx context.Context, length time.Duration) error {
@@ -107,7 +107,7 @@
 	d.mu.Unlock()
 	if dark {
 		<-ctx.Done()
-		return errDark
+		return errUnreachable
 	}
 	for i, run := range d.runs {
 		if identity.Machine(run) != machine {
@@ -119,7 +119,7 @@
 		}
 		return service.Results(args.(Query), reply.(*Page))
 	}
-	return errDark
+	return errUnreachable
 }
 
 func (d *daemons) accept(t interface{ Fatal(...any) }, id string, items int) {
