--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -58,8 +58,8 @@
 	}
 	d.log.Limit(restartJournal)
 	fleet := ledgertest.Start(ctx, d.log, restartDaemons, restartLink)
-	d.runs, d.ledgers, d.dealt = fleet.Runs, fleet.Ledgers, fleet.Dealt
-	for i, run := range d.runs {
+	d.incarnations, d.ledgers, d.dealt = fleet.Runs, fleet.Ledgers, fleet.Dealt
+	for i, run := range d.incarnations {
 		d.readers = append(d.readers, NewReader(d.ledgers[i], d, d, d.log.Grants(), run, logger))
 	}
 	fleet.Deal()
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -41,10 +41,10 @@
 
 // daemons are some readers over one journal. They implement Watchers and Peers.
 type daemons struct {
-	log     *journaltest.Journal
-	runs    []string
-	ledgers []*ledger.Ledger
-	readers []*Reader
+	log          *journaltest.Journal
+	incarnations []string
+	ledgers      []*ledger.Ledger
+	readers      []*Reader
 
 	mu      sync.Mutex
 	watcher int
@@ -59,7 +59,7 @@
 	for i := range count {
 		run := identity.New(fmt.Sprintf("m%d", i), time.Now())
 		batches := ledger.New(ctx, d.log, zap.NewNop())
-		d.runs = append(d.runs, run)
+		d.incarnations = append(d.incarnations, run)
 		d.ledgers = append(d.ledgers, batches)
 		d.readers = append(d.readers, NewReader(batches, d, d, scarce, run, zap.NewNop()))
 	}
@@ -81,7 +81,7 @@
 }
 
 // Daemons implements Peers.
-func (d *daemons) Daemons() int { return len(d.runs) }
+func (d *daemons) Daemons() int { return len(d.incarnations) }
 
 // scarce is too little for any number of daemons to read partitions by themselves.
 var scarce = journal.Grants{ReadBytesPerSecond: 1}
@@ -91,12 +91,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.dealt != nil {
-		return d.runs[d.dealt[partition]], true
+		return d.incarnations[d.dealt[partition]], true
 	}
 	if d.watcher < 0 {
 		return "", false
 	}
-	return d.runs[d.watcher], true
+	return d.incarnations[d.watcher], true
 }
 
 // Ask implements Peers.
@@ -109,7 +109,7 @@
 		<-ctx.Done()
 		return errUnreachable
 	}
-	for i, run := range d.runs {
+	for i, run := range d.incarnations {
 		if identity.Machine(run) != machine {
 			continue
 		}
@@ -309,7 +309,7 @@
 			d.watch(each.daemon)
 		case 1:
 			d.mu.Lock()
-			machine := identity.Machine(d.runs[each.daemon])
+			machine := identity.Machine(d.incarnations[each.daemon])
 			d.dark[machine] = !d.dark[machine]
 			d.mu.Unlock()
 		case 2:
@@ -378,7 +378,7 @@
 			ctx := t.Context()
 			d := newDaemons(ctx, 2)
 			d.accept(t, "b", 1)
-			d.dark[identity.Machine(d.runs[0])] = true
+			d.dark[identity.Machine(d.incarnations[0])] = true
 			d.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 			var asking sync.WaitGroup
 			for range 3 * maxColdReads {
@@ -407,12 +407,12 @@
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.accept(t, "b", 1)
 		core, logs := observer.New(zap.InfoLevel)
-		reader := NewReader(ledger.New(ctx, d.log, zap.NewNop()), d, d, scarce, d.runs[1], zap.New(core))
+		reader := NewReader(ledger.New(ctx, d.log, zap.NewNop()), d, d, scarce, d.incarnations[1], zap.New(core))
 		var ways []string
 		reader.SetObserver(func(way string, answered bool, _ time.Duration) {
 			ways = append(ways, fmt.Sprint(way, answered))
 		})
-		d.dark[identity.Machine(d.runs[0])] = true
+		d.dark[identity.Machine(d.incarnations[0])] = true
 		d.log.SetBefall(func(call journaltest.Call) journaltest.Fault {
 			if call == journaltest.Read {
 				return journaltest.Hang
@@ -426,7 +426,7 @@
 		told := lines[0].ContextMap()
 		is.Equal(told["batch"], "b")
 		is.Equal(told["way"], "paced")
-		is.Equal(told["watcher"], d.runs[0])
+		is.Equal(told["watcher"], d.incarnations[0])
 		is.Equal(told["watcher_asked"], watcherTimeout)
 		is.Equal(told["missing_known"], false)
 		is.Equal(ways, []string{"pacedfalse"})
