--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -58,7 +58,7 @@
 	}
 	d.log.Limit(restartJournal)
 	fleet := ledgertest.Start(ctx, d.log, restartDaemons, restartLink)
-	d.incarnations, d.ledgers, d.dealt = fleet.Runs, fleet.Ledgers, fleet.Dealt
+	d.incarnations, d.ledgers, d.assigned = fleet.Runs, fleet.Ledgers, fleet.Dealt
 	for i, run := range d.incarnations {
 		d.readers = append(d.readers, NewReader(d.ledgers[i], d, d, d.log.Grants(), run, logger))
 	}
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -48,10 +48,10 @@
 
 	mu      sync.Mutex
 	watcher int
-	// dealt, if not nil, names the watcher of each partition in place of watcher.
-	dealt map[journal.Partition]int
-	dark  map[string]bool
-	asked int
+	// assigned, if not nil, names the watcher of each partition in place of watcher.
+	assigned map[journal.Partition]int
+	dark     map[string]bool
+	asked    int
 }
 
 func newDaemons(ctx context.Context, count int) *daemons {
@@ -90,8 +90,8 @@
 func (d *daemons) WatcherOf(_ context.Context, partition journal.Partition) (string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.dealt != nil {
-		return d.incarnations[d.dealt[partition]], true
+	if d.assigned != nil {
+		return d.incarnations[d.assigned[partition]], true
 	}
 	if d.watcher < 0 {
 		return "", false
