--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -42,7 +42,7 @@
 // newRestarted returns daemons that have just started before a journal that holds
 // batches of long texts, each of them behind a weak link.
 func newRestarted(ctx context.Context, t *testing.T, logger *zap.Logger) *daemons {
-	d := &daemons{log: journaltest.New(), dark: map[string]bool{}}
+	d := &daemons{log: journaltest.New(), unreachable: map[string]bool{}}
 	d.log.Partitions = 16
 	d.log.Granted = journal.Grants{ReadBytesPerSecond: restartJournal}
 	d.log.RecordBytes = 256 << 10
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -49,13 +49,13 @@
 	mu      sync.Mutex
 	watcher int
 	// assigned, if not nil, names the watcher of each partition in place of watcher.
-	assigned map[journal.Partition]int
-	dark     map[string]bool
-	asked    int
+	assigned    map[journal.Partition]int
+	unreachable map[string]bool
+	asked       int
 }
 
 func newDaemons(ctx context.Context, count int) *daemons {
-	d := &daemons{log: journaltest.New(), dark: map[string]bool{}}
+	d := &daemons{log: journaltest.New(), unreachable: map[string]bool{}}
 	for i := range count {
 		run := identity.New(fmt.Sprintf("m%d", i), time.Now())
 		batches := ledger.New(ctx, d.log, zap.NewNop())
@@ -103,7 +103,7 @@
 func (d *daemons) Ask(ctx context.Context, machine, method string, args, reply any) error {
 	d.mu.Lock()
 	d.asked++
-	dark := d.dark[machine]
+	dark := d.unreachable[machine]
 	d.mu.Unlock()
 	if dark {
 		<-ctx.Done()
@@ -197,7 +197,7 @@
 			withDaemons(t, 3, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 				d.accept(t, "b", 2)
 				d.watch(watcher)
-				d.dark["m1"] = true
+				d.unreachable["m1"] = true
 				began := time.Now()
 				page, err := d.readers[2].Results(ctx, Query{BatchID: "b"})
 				is.NoErr(err)
@@ -310,7 +310,7 @@
 		case 1:
 			d.mu.Lock()
 			machine := identity.Machine(d.incarnations[each.daemon])
-			d.dark[machine] = !d.dark[machine]
+			d.unreachable[machine] = !d.unreachable[machine]
 			d.mu.Unlock()
 		case 2:
 			running.Go(func() {
@@ -378,7 +378,7 @@
 			ctx := t.Context()
 			d := newDaemons(ctx, 2)
 			d.accept(t, "b", 1)
-			d.dark[identity.Machine(d.incarnations[0])] = true
+			d.unreachable[identity.Machine(d.incarnations[0])] = true
 			d.log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 			var asking sync.WaitGroup
 			for range 3 * maxColdReads {
@@ -412,7 +412,7 @@
 		reader.SetObserver(func(way string, answered bool, _ time.Duration) {
 			ways = append(ways, fmt.Sprint(way, answered))
 		})
-		d.dark[identity.Machine(d.incarnations[0])] = true
+		d.unreachable[identity.Machine(d.incarnations[0])] = true
 		d.log.SetBefall(func(call journaltest.Call) journaltest.Fault {
 			if call == journaltest.Read {
 				return journaltest.Hang
