--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -174,7 +174,7 @@
 			}
 		}
 		batches := ledger.New(ctx, log, zap.NewNop())
-		reader := NewReader(batches, peers, peers, scarce, identity.New("m0", time.Now()), zap.NewNop())
+		reader := NewReader(batches, peers, peers, scarceGrants, identity.New("m0", time.Now()), zap.NewNop())
 		const wait = 2 * time.Second
 		began := time.Now()
 		page, err := reader.Results(ctx, Query{BatchID: "b", After: 10, Wait: wait})
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -61,7 +61,7 @@
 		batches := ledger.New(ctx, d.log, zap.NewNop())
 		d.incarnations = append(d.incarnations, run)
 		d.ledgers = append(d.ledgers, batches)
-		d.readers = append(d.readers, NewReader(batches, d, d, scarce, run, zap.NewNop()))
+		d.readers = append(d.readers, NewReader(batches, d, d, scarceGrants, run, zap.NewNop()))
 	}
 	return d
 }
@@ -83,8 +83,8 @@
 // Daemons implements Peers.
 func (d *daemons) Daemons() int { return len(d.incarnations) }
 
-// scarce is too little for any number of daemons to read partitions by themselves.
-var scarce = journal.Grants{ReadBytesPerSecond: 1}
+// scarceGrants is too little for any number of daemons to read partitions by themselves.
+var scarceGrants = journal.Grants{ReadBytesPerSecond: 1}
 
 // WatcherOf implements Watchers.
 func (d *daemons) WatcherOf(_ context.Context, partition journal.Partition) (string, bool) {
@@ -407,7 +407,7 @@
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.accept(t, "b", 1)
 		core, logs := observer.New(zap.InfoLevel)
-		reader := NewReader(ledger.New(ctx, d.log, zap.NewNop()), d, d, scarce, d.incarnations[1], zap.New(core))
+		reader := NewReader(ledger.New(ctx, d.log, zap.NewNop()), d, d, scarceGrants, d.incarnations[1], zap.New(core))
 		var ways []string
 		reader.SetObserver(func(way string, answered bool, _ time.Duration) {
 			ways = append(ways, fmt.Sprint(way, answered))
--- a/internal/batches/results/watcher_test.go
+++ b/internal/batches/results/watcher_test.go
@@ -27,7 +27,7 @@
 			late.Go(func() { *reply.(*Beginning) = Beginning{Found: true, Offset: 7} })
 			return ctx.Err()
 		}
-		reader := NewReader(ledger.New(t.Context(), log, zap.NewNop()), peers, peers, scarce, "m0/1", zap.NewNop())
+		reader := NewReader(ledger.New(t.Context(), log, zap.NewNop()), peers, peers, scarceGrants, "m0/1", zap.NewNop())
 		offset, err := reader.Beginning(t.Context(), "b")
 		is.True(errors.Is(err, ErrNotCaughtUp))
 		is.Equal(offset, int64(0))
