--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -239,17 +239,17 @@
 	})
 }
 
-// asking is one call of a history: an acceptance, or a question whether a batch exists.
-type asking struct{ accept, found bool }
+// operation is one call of a history: an acceptance, or a question whether a batch exists.
+type operation struct{ accept, found bool }
 
 // existence is the model of one batch: it is not there, then it is for ever.
 var existence = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
-		if input.(asking).accept {
+		if input.(operation).accept {
 			return true, true
 		}
-		return output.(asking).found == state.(bool), state
+		return output.(operation).found == state.(bool), state
 	},
 	Equal: func(first, second any) bool { return first == second },
 }
@@ -295,7 +295,7 @@
 	var history []porcupine.Operation
 	var running sync.WaitGroup
 	start := time.Now()
-	note := func(client int, began time.Time, done asking) {
+	note := func(client int, began time.Time, done operation) {
 		mu.Lock()
 		defer mu.Unlock()
 		history = append(history, porcupine.Operation{ClientId: client, Input: done, Output: done,
@@ -315,12 +315,12 @@
 		case 2:
 			running.Go(func() {
 				d.accept(t, "b", 1)
-				note(client, began, asking{accept: true, found: true})
+				note(client, began, operation{accept: true, found: true})
 			})
 		default:
 			running.Go(func() {
 				if page, err := d.readers[each.daemon].Results(ctx, Query{BatchID: "b"}); err == nil {
-					note(client, began, asking{found: page.Found})
+					note(client, began, operation{found: page.Found})
 				}
 			})
 		}
