--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -242,8 +242,8 @@
 // operation is one call of a history: an acceptance, or a question whether a batch exists.
 type operation struct{ accept, found bool }
 
-// existence is the model of one batch: it is not there, then it is for ever.
-var existence = porcupine.Model{
+// existenceModel is the model of one batch: it is not there, then it is for ever.
+var existenceModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
 		if input.(operation).accept {
@@ -278,7 +278,7 @@
 		var history []porcupine.Operation
 		synctest.Test(t, func(t *testing.T) { history = play(t, steps) })
 		asked += len(history)
-		if !porcupine.CheckOperations(existence, history) {
+		if !porcupine.CheckOperations(existenceModel, history) {
 			rt.Fatalf("the answers are no single history: %+v", history)
 		}
 	})
