--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -276,7 +276,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawStep), 10, 30).Draw(rt, "steps")
 		var history []porcupine.Operation
-		synctest.Test(t, func(t *testing.T) { history = play(t, steps) })
+		synctest.Test(t, func(t *testing.T) { history = runSteps(t, steps) })
 		asked += len(history)
 		if !porcupine.CheckOperations(existenceModel, history) {
 			rt.Fatalf("the answers are no single history: %+v", history)
@@ -287,8 +287,8 @@
 	}
 }
 
-// play carries the steps out and returns the calls made.
-func play(t *testing.T, steps []step) []porcupine.Operation {
+// runSteps carries the steps out and returns the calls made.
+func runSteps(t *testing.T, steps []step) []porcupine.Operation {
 	ctx := t.Context()
 	d := newDaemons(ctx, 4)
 	var mu sync.Mutex
