--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -51,8 +51,8 @@
 	is.True(!budget.takePage(1000))
 }
 
-// takesAtFirst is how long each read of a slowJournal takes, until that is changed.
-func takesAtFirst(takes time.Duration) *atomic.Int64 {
+// newReadDelay is how long each read of a slowJournal takes, until that is changed.
+func newReadDelay(takes time.Duration) *atomic.Int64 {
 	made := &atomic.Int64{}
 	made.Store(int64(takes))
 	return made
@@ -134,7 +134,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
-		takes := takesAtFirst(500 * time.Millisecond)
+		takes := newReadDelay(500 * time.Millisecond)
 		log := bulky(ctx, t, 1)
 		peers := &alone{daemons: 4, learn: 150 * time.Millisecond}
 		reader := slowReader(ctx, log, takes, peers)
@@ -200,7 +200,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx := t.Context()
-				takes := takesAtFirst(450 * time.Millisecond)
+				takes := newReadDelay(450 * time.Millisecond)
 				log := bulky(ctx, t, 3)
 				peers := &alone{daemons: 84, watcher: identity.New("h", time.Now())}
 				peers.answer = func(context.Context, any, any) error { return errUnreachable }
@@ -230,7 +230,7 @@
 func TestLogLinesPerQueryInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
-		takes := takesAtFirst(time.Hour)
+		takes := newReadDelay(time.Hour)
 		log := bulky(ctx, t, 1)
 		core, lines := observer.New(zap.InfoLevel)
 		peers := &alone{daemons: 84, watcher: ""}
@@ -259,7 +259,7 @@
 		ctx := t.Context()
 		const takes = 300 * time.Millisecond
 		log := bulky(ctx, t, 8)
-		reader := aloneReader(ledger.New(ctx, slowJournal{log, takesAtFirst(takes)}, zap.NewNop()))
+		reader := aloneReader(ledger.New(ctx, slowJournal{log, newReadDelay(takes)}, zap.NewNop()))
 		began := time.Now()
 		page, err := reader.Results(ctx, Query{BatchID: "b"})
 		is.NoErr(err)
@@ -277,7 +277,7 @@
 		log := bulky(ctx, t, 1)
 		peers := &alone{daemons: 4, watcher: identity.New("h", time.Now())}
 		peers.answer = func(context.Context, any, any) error { return errUnreachable }
-		reader := slowReader(ctx, log, takesAtFirst(takes), peers)
+		reader := slowReader(ctx, log, newReadDelay(takes), peers)
 		reader.budget.adjust(time.Now())
 		time.Sleep(budgetBurstTime)
 		err := reader.ledger.Of("b").ReadPage(ctx)
