--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -61,11 +61,11 @@
 // slowJournal is a journal whose reads take a time.
 type slowJournal struct {
 	*journaltest.Journal
-	takes *atomic.Int64 // a time.Duration
+	delay *atomic.Int64 // a time.Duration
 }
 
 func (j slowJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
-	if err := pause(ctx, time.Duration(j.takes.Load())); err != nil {
+	if err := pause(ctx, time.Duration(j.delay.Load())); err != nil {
 		return journal.Records{}, journal.ErrUnknown
 	}
 	return j.Journal.Read(ctx, request)
