--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -71,23 +71,23 @@
 	return j.Journal.Read(ctx, request)
 }
 
-// alone are the watchers and peers of one daemon: the watcher is told after a time, and does what
+// stubPeers are the watchers and peers of one daemon: the watcher is told after a time, and does what
 // the test says.
-type alone struct {
+type stubPeers struct {
 	watcher string
 	learn   time.Duration
 	daemons int
 	answer  func(ctx context.Context, args, reply any) error
 }
 
-func (a *alone) WatcherOf(ctx context.Context, _ journal.Partition) (string, bool) {
+func (a *stubPeers) WatcherOf(ctx context.Context, _ journal.Partition) (string, bool) {
 	_ = pause(ctx, a.learn)
 	return a.watcher, a.watcher != ""
 }
 
-func (a *alone) Daemons() int { return a.daemons }
+func (a *stubPeers) Daemons() int { return a.daemons }
 
-func (a *alone) Ask(ctx context.Context, _, _ string, args, reply any) error {
+func (a *stubPeers) Ask(ctx context.Context, _, _ string, args, reply any) error {
 	if a.answer == nil {
 		<-ctx.Done()
 		return ctx.Err()
@@ -118,7 +118,7 @@
 }
 
 // slowReader is a reader before a journal whose reads take a time.
-func slowReader(ctx context.Context, log *journaltest.Journal, takes *atomic.Int64, peers *alone) *Reader {
+func slowReader(ctx context.Context, log *journaltest.Journal, takes *atomic.Int64, peers *stubPeers) *Reader {
 	batches := ledger.New(ctx, slowJournal{log, takes}, zap.NewNop())
 	return NewReader(batches, peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
 }
@@ -136,7 +136,7 @@
 		ctx := t.Context()
 		takes := newReadDelay(500 * time.Millisecond)
 		log := bulky(ctx, t, 1)
-		peers := &alone{daemons: 4, learn: 150 * time.Millisecond}
+		peers := &stubPeers{daemons: 4, learn: 150 * time.Millisecond}
 		reader := slowReader(ctx, log, takes, peers)
 		time.Sleep(budgetBurstTime)
 		// The first page tells what there is, and a later question of one text comes upon it.
@@ -159,7 +159,7 @@
 		log := bulky(ctx, t, 1)
 		watcher := aloneReader(ledger.New(ctx, log, zap.NewNop())).Service(ctx)
 		blamed := false
-		peers := &alone{daemons: 4, learn: 550 * time.Millisecond, watcher: identity.New("h", time.Now())}
+		peers := &stubPeers{daemons: 4, learn: 550 * time.Millisecond, watcher: identity.New("h", time.Now())}
 		peers.answer = func(ctx context.Context, args, reply any) error {
 			done := make(chan error, 1)
 			var page Page
@@ -202,7 +202,7 @@
 				ctx := t.Context()
 				takes := newReadDelay(450 * time.Millisecond)
 				log := bulky(ctx, t, 3)
-				peers := &alone{daemons: 84, watcher: identity.New("h", time.Now())}
+				peers := &stubPeers{daemons: 84, watcher: identity.New("h", time.Now())}
 				peers.answer = func(context.Context, any, any) error { return errUnreachable }
 				reader := slowReader(ctx, log, takes, peers)
 				time.Sleep(budgetBurstTime)
@@ -233,7 +233,7 @@
 		takes := newReadDelay(time.Hour)
 		log := bulky(ctx, t, 1)
 		core, lines := observer.New(zap.InfoLevel)
-		peers := &alone{daemons: 84, watcher: ""}
+		peers := &stubPeers{daemons: 84, watcher: ""}
 		batches := ledger.New(ctx, slowJournal{log, takes}, zap.NewNop())
 		reader := NewReader(batches, peers, peers, log.Granted, "m0", zap.New(core))
 		time.Sleep(budgetBurstTime)
@@ -275,7 +275,7 @@
 		ctx := t.Context()
 		const takes = 800 * time.Millisecond
 		log := bulky(ctx, t, 1)
-		peers := &alone{daemons: 4, watcher: identity.New("h", time.Now())}
+		peers := &stubPeers{daemons: 4, watcher: identity.New("h", time.Now())}
 		peers.answer = func(context.Context, any, any) error { return errUnreachable }
 		reader := slowReader(ctx, log, newReadDelay(takes), peers)
 		reader.budget.adjust(time.Now())
--- a/internal/batches/results/watcher_test.go
+++ b/internal/batches/results/watcher_test.go
@@ -21,7 +21,7 @@
 		is := is.New(t)
 		log := journaltest.New()
 		var late sync.WaitGroup
-		peers := &alone{daemons: 2, watcher: "h/1"}
+		peers := &stubPeers{daemons: 2, watcher: "h/1"}
 		peers.answer = func(ctx context.Context, _, reply any) error {
 			<-ctx.Done()
 			late.Go(func() { *reply.(*Beginning) = Beginning{Found: true, Offset: 7} })
