--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -74,14 +74,14 @@
 // stubPeers are the watchers and peers of one daemon: the watcher is told after a time, and does what
 // the test says.
 type stubPeers struct {
-	watcher string
-	learn   time.Duration
-	daemons int
-	answer  func(ctx context.Context, args, reply any) error
+	watcher     string
+	lookupDelay time.Duration
+	daemons     int
+	answer      func(ctx context.Context, args, reply any) error
 }
 
 func (a *stubPeers) WatcherOf(ctx context.Context, _ journal.Partition) (string, bool) {
-	_ = pause(ctx, a.learn)
+	_ = pause(ctx, a.lookupDelay)
 	return a.watcher, a.watcher != ""
 }
 
@@ -136,7 +136,7 @@
 		ctx := t.Context()
 		takes := newReadDelay(500 * time.Millisecond)
 		log := bulky(ctx, t, 1)
-		peers := &stubPeers{daemons: 4, learn: 150 * time.Millisecond}
+		peers := &stubPeers{daemons: 4, lookupDelay: 150 * time.Millisecond}
 		reader := slowReader(ctx, log, takes, peers)
 		time.Sleep(budgetBurstTime)
 		// The first page tells what there is, and a later question of one text comes upon it.
@@ -159,7 +159,7 @@
 		log := bulky(ctx, t, 1)
 		watcher := aloneReader(ledger.New(ctx, log, zap.NewNop())).Service(ctx)
 		blamed := false
-		peers := &stubPeers{daemons: 4, learn: 550 * time.Millisecond, watcher: identity.New("h", time.Now())}
+		peers := &stubPeers{daemons: 4, lookupDelay: 550 * time.Millisecond, watcher: identity.New("h", time.Now())}
 		peers.answer = func(ctx context.Context, args, reply any) error {
 			done := make(chan error, 1)
 			var page Page
