--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -95,8 +95,8 @@
 	return a.answer(ctx, args, reply)
 }
 
-// bulky is a journal with a batch of so many megabytes, in records of 100 KiB.
-func bulky(ctx context.Context, t *testing.T, megabytes int) *journaltest.Journal {
+// newLargeJournal is a journal with a batch of so many megabytes, in records of 100 KiB.
+func newLargeJournal(ctx context.Context, t *testing.T, megabytes int) *journaltest.Journal {
 	log := journaltest.New()
 	log.RecordBytes = 256 << 10
 	log.Granted = journal.Grants{ReadBytesPerSecond: 80e6}
@@ -135,7 +135,7 @@
 		is := is.New(t)
 		ctx := t.Context()
 		takes := newReadDelay(500 * time.Millisecond)
-		log := bulky(ctx, t, 1)
+		log := newLargeJournal(ctx, t, 1)
 		peers := &stubPeers{daemons: 4, lookupDelay: 150 * time.Millisecond}
 		reader := slowReader(ctx, log, takes, peers)
 		time.Sleep(budgetBurstTime)
@@ -156,7 +156,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
-		log := bulky(ctx, t, 1)
+		log := newLargeJournal(ctx, t, 1)
 		watcher := aloneReader(ledger.New(ctx, log, zap.NewNop())).Service(ctx)
 		blamed := false
 		peers := &stubPeers{daemons: 4, lookupDelay: 550 * time.Millisecond, watcher: identity.New("h", time.Now())}
@@ -201,7 +201,7 @@
 				is := is.New(t)
 				ctx := t.Context()
 				takes := newReadDelay(450 * time.Millisecond)
-				log := bulky(ctx, t, 3)
+				log := newLargeJournal(ctx, t, 3)
 				peers := &stubPeers{daemons: 84, watcher: identity.New("h", time.Now())}
 				peers.answer = func(context.Context, any, any) error { return errUnreachable }
 				reader := slowReader(ctx, log, takes, peers)
@@ -231,7 +231,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		takes := newReadDelay(time.Hour)
-		log := bulky(ctx, t, 1)
+		log := newLargeJournal(ctx, t, 1)
 		core, lines := observer.New(zap.InfoLevel)
 		peers := &stubPeers{daemons: 84, watcher: ""}
 		batches := ledger.New(ctx, slowJournal{log, takes}, zap.NewNop())
@@ -258,7 +258,7 @@
 		is := is.New(t)
 		ctx := t.Context()
 		const takes = 300 * time.Millisecond
-		log := bulky(ctx, t, 8)
+		log := newLargeJournal(ctx, t, 8)
 		reader := aloneReader(ledger.New(ctx, slowJournal{log, newReadDelay(takes)}, zap.NewNop()))
 		began := time.Now()
 		page, err := reader.Results(ctx, Query{BatchID: "b"})
@@ -274,7 +274,7 @@
 		is := is.New(t)
 		ctx := t.Context()
 		const takes = 800 * time.Millisecond
-		log := bulky(ctx, t, 1)
+		log := newLargeJournal(ctx, t, 1)
 		peers := &stubPeers{daemons: 4, watcher: identity.New("h", time.Now())}
 		peers.answer = func(context.Context, any, any) error { return errUnreachable }
 		reader := slowReader(ctx, log, newReadDelay(takes), peers)
