--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -117,8 +117,8 @@
 	return log
 }
 
-// slowReader is a reader before a journal whose reads take a time.
-func slowReader(ctx context.Context, log *journaltest.Journal, takes *atomic.Int64, peers *stubPeers) *Reader {
+// newSlowReader is a reader before a journal whose reads take a time.
+func newSlowReader(ctx context.Context, log *journaltest.Journal, takes *atomic.Int64, peers *stubPeers) *Reader {
 	batches := ledger.New(ctx, slowJournal{log, takes}, zap.NewNop())
 	return NewReader(batches, peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
 }
@@ -137,7 +137,7 @@
 		takes := newReadDelay(500 * time.Millisecond)
 		log := newLargeJournal(ctx, t, 1)
 		peers := &stubPeers{daemons: 4, lookupDelay: 150 * time.Millisecond}
-		reader := slowReader(ctx, log, takes, peers)
+		reader := newSlowReader(ctx, log, takes, peers)
 		time.Sleep(budgetBurstTime)
 		// The first page tells what there is, and a later question of one text comes upon it.
 		err := reader.ledger.Of("b").ReadPage(ctx)
@@ -204,7 +204,7 @@
 				log := newLargeJournal(ctx, t, 3)
 				peers := &stubPeers{daemons: 84, watcher: identity.New("h", time.Now())}
 				peers.answer = func(context.Context, any, any) error { return errUnreachable }
-				reader := slowReader(ctx, log, takes, peers)
+				reader := newSlowReader(ctx, log, takes, peers)
 				time.Sleep(budgetBurstTime)
 				began, refused := time.Now(), 0
 				for after := 0; after < 30 && time.Since(began) < time.Minute; {
@@ -277,7 +277,7 @@
 		log := newLargeJournal(ctx, t, 1)
 		peers := &stubPeers{daemons: 4, watcher: identity.New("h", time.Now())}
 		peers.answer = func(context.Context, any, any) error { return errUnreachable }
-		reader := slowReader(ctx, log, newReadDelay(takes), peers)
+		reader := newSlowReader(ctx, log, newReadDelay(takes), peers)
 		reader.budget.adjust(time.Now())
 		time.Sleep(budgetBurstTime)
 		err := reader.ledger.Of("b").ReadPage(ctx)
