--- a/internal/batches/results/hedge_test.go
+++ b/internal/batches/results/hedge_test.go
@@ -123,8 +123,8 @@
 	return NewReader(batches, peers, peers, log.Granted, identity.New("m0", time.Now()), zap.NewNop())
 }
 
-// aloneReader is a reader that has nobody to ask.
-func aloneReader(batches *ledger.Ledger) *Reader {
+// newLocalReader is a reader that has nobody to ask.
+func newLocalReader(batches *ledger.Ledger) *Reader {
 	return NewReader(batches, nil, nil, journal.Grants{}, "h", zap.NewNop())
 }
 
@@ -157,7 +157,7 @@
 		is := is.New(t)
 		ctx := t.Context()
 		log := newLargeJournal(ctx, t, 1)
-		watcher := aloneReader(ledger.New(ctx, log, zap.NewNop())).Service(ctx)
+		watcher := newLocalReader(ledger.New(ctx, log, zap.NewNop())).Service(ctx)
 		blamed := false
 		peers := &stubPeers{daemons: 4, lookupDelay: 550 * time.Millisecond, watcher: identity.New("h", time.Now())}
 		peers.answer = func(ctx context.Context, args, reply any) error {
@@ -259,7 +259,7 @@
 		ctx := t.Context()
 		const takes = 300 * time.Millisecond
 		log := newLargeJournal(ctx, t, 8)
-		reader := aloneReader(ledger.New(ctx, slowJournal{log, newReadDelay(takes)}, zap.NewNop()))
+		reader := newLocalReader(ledger.New(ctx, slowJournal{log, newReadDelay(takes)}, zap.NewNop()))
 		began := time.Now()
 		page, err := reader.Results(ctx, Query{BatchID: "b"})
 		is.NoErr(err)
