--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -31,9 +31,9 @@
 	// carry, in bytes a second.
 	restartJournal = 80e6
 	restartLink    = 45e6 / 8
-	// restartAnswered is within which time every batch must have been told, which leaves
+	// restartTimeout is within which time every batch must have been told, which leaves
 	// clients the rest of their 7.5 s for a step.
-	restartAnswered = 4 * time.Second
+	restartTimeout = 4 * time.Second
 	// restartPrompt is within which time a short read, as of a configuration, must be
 	// answered all the while: it must be in force within 3 s.
 	restartPrompt = time.Second
@@ -112,7 +112,7 @@
 		core, logs := observer.New(zap.InfoLevel)
 		d := newRestarted(ctx, t, zap.New(core))
 		d.log.ResetUsage()
-		asking, stop := context.WithTimeout(ctx, 2*restartAnswered)
+		asking, stop := context.WithTimeout(ctx, 2*restartTimeout)
 		defer stop()
 		began := time.Now()
 		var clients, prompt sync.WaitGroup
@@ -130,7 +130,7 @@
 		unasked := logs.FilterMessage("partition read for a question").Len()
 		t.Logf("%d batches told after %v, %d MB read, %d questions whose watcher did not answer",
 			restartBatches, took, read>>20, unasked)
-		is.True(took < restartAnswered)
+		is.True(took < restartTimeout)
 		// Such a question costs a page at once, as it may have no other answer.
 		own := float64(read - restartBatches*restartBytes - unasked*d.readers[0].ledger.PageBytes())
 		is.True(own < ownReadFraction*restartJournal*took.Seconds())
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -97,7 +97,7 @@
 	options := reported()
 	options.carries *= part
 	told := tellAll(t, options, 100*time.Millisecond)
-	if told.unfinished > 0 || told.took > restartAnswered {
+	if told.unfinished > 0 || told.took > restartTimeout {
 		t.Errorf("told after %v, with %d readers who had not all; %d of %d questions were refused",
 			told.took, told.unfinished, told.refused, told.questions)
 	}
