--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -34,9 +34,9 @@
 	// restartTimeout is within which time every batch must have been told, which leaves
 	// clients the rest of their 7.5 s for a step.
 	restartTimeout = 4 * time.Second
-	// restartPrompt is within which time a short read, as of a configuration, must be
+	// maxShortReadTime is within which time a short read, as of a configuration, must be
 	// answered all the while: it must be in force within 3 s.
-	restartPrompt = time.Second
+	maxShortReadTime = time.Second
 )
 
 // newRestarted returns daemons that have just started before a journal that holds
@@ -92,7 +92,7 @@
 			t.Error(err)
 		}
 		_, err = d.log.Read(asking, journal.Read{Partition: configuration, From: appended.Offset})
-		if took := time.Since(before); took > restartPrompt || err != nil && asking.Err() == nil {
+		if took := time.Since(before); took > maxShortReadTime || err != nil && asking.Err() == nil {
 			t.Errorf("a short read took %v: %v", took, err)
 		}
 		time.Sleep(200 * time.Millisecond)
