--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -25,8 +25,8 @@
 	restartDaemons = 91
 	// restartBatches and restartBytes are the batches of the last minute, and the texts of
 	// each: four trainers with some 150 texts every 4 s.
-	restartBatches = 36
-	restartBytes   = 2 << 20
+	restartBatches    = 36
+	restartBatchBytes = 2 << 20
 	// restartJournal and restartLink are what the journal and the weakest machines' links
 	// carry, in bytes a second.
 	restartJournal = 80e6
@@ -52,7 +52,7 @@
 		id := fmt.Sprintf("b%d", i)
 		d.accept(t, id, results)
 		for item := range results {
-			text := make([]byte, restartBytes/results)
+			text := make([]byte, restartBatchBytes/results)
 			d.append(t, id, batch.Listed(id, []batch.Result{{Item: item, Outcome: batch.Done, Text: text}}))
 		}
 	}
@@ -132,7 +132,7 @@
 			restartBatches, took, read>>20, unasked)
 		is.True(took < restartTimeout)
 		// Such a question costs a page at once, as it may have no other answer.
-		own := float64(read - restartBatches*restartBytes - unasked*d.readers[0].ledger.PageBytes())
+		own := float64(read - restartBatches*restartBatchBytes - unasked*d.readers[0].ledger.PageBytes())
 		is.True(own < ownReadFraction*restartJournal*took.Seconds())
 	})
 }
