--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -27,10 +27,10 @@
 	// each: four trainers with some 150 texts every 4 s.
 	restartBatches    = 36
 	restartBatchBytes = 2 << 20
-	// restartJournal and restartLink are what the journal and the weakest machines' links
+	// restartJournalRate and restartLink are what the journal and the weakest machines' links
 	// carry, in bytes a second.
-	restartJournal = 80e6
-	restartLink    = 45e6 / 8
+	restartJournalRate = 80e6
+	restartLink        = 45e6 / 8
 	// restartTimeout is within which time every batch must have been told, which leaves
 	// clients the rest of their 7.5 s for a step.
 	restartTimeout = 4 * time.Second
@@ -44,7 +44,7 @@
 func newRestarted(ctx context.Context, t *testing.T, logger *zap.Logger) *daemons {
 	d := &daemons{log: journaltest.New(), unreachable: map[string]bool{}}
 	d.log.Partitions = 16
-	d.log.Granted = journal.Grants{ReadBytesPerSecond: restartJournal}
+	d.log.Granted = journal.Grants{ReadBytesPerSecond: restartJournalRate}
 	d.log.RecordBytes = 256 << 10
 	d.ledgers = []*ledger.Ledger{ledger.New(ctx, d.log, zap.NewNop())}
 	const results = 32
@@ -56,7 +56,7 @@
 			d.append(t, id, batch.Listed(id, []batch.Result{{Item: item, Outcome: batch.Done, Text: text}}))
 		}
 	}
-	d.log.Limit(restartJournal)
+	d.log.Limit(restartJournalRate)
 	fleet := ledgertest.Start(ctx, d.log, restartDaemons, restartLink)
 	d.incarnations, d.ledgers, d.assigned = fleet.Runs, fleet.Ledgers, fleet.Dealt
 	for i, run := range d.incarnations {
@@ -133,6 +133,6 @@
 		is.True(took < restartTimeout)
 		// Such a question costs a page at once, as it may have no other answer.
 		own := float64(read - restartBatches*restartBatchBytes - unasked*d.readers[0].ledger.PageBytes())
-		is.True(own < ownReadFraction*restartJournal*took.Seconds())
+		is.True(own < ownReadFraction*restartJournalRate*took.Seconds())
 	})
 }
