--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -30,7 +30,7 @@
 	// restartJournalRate and restartLink are what the journal and the weakest machines' links
 	// carry, in bytes a second.
 	restartJournalRate = 80e6
-	restartLink        = 45e6 / 8
+	restartLinkRate    = 45e6 / 8
 	// restartTimeout is within which time every batch must have been told, which leaves
 	// clients the rest of their 7.5 s for a step.
 	restartTimeout = 4 * time.Second
@@ -57,7 +57,7 @@
 		}
 	}
 	d.log.Limit(restartJournalRate)
-	fleet := ledgertest.Start(ctx, d.log, restartDaemons, restartLink)
+	fleet := ledgertest.Start(ctx, d.log, restartDaemons, restartLinkRate)
 	d.incarnations, d.ledgers, d.assigned = fleet.Runs, fleet.Ledgers, fleet.Dealt
 	for i, run := range d.incarnations {
 		d.readers = append(d.readers, NewReader(d.ledgers[i], d, d, d.log.Grants(), run, logger))
