--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -39,9 +39,9 @@
 	maxShortReadTime = time.Second
 )
 
-// newRestarted returns daemons that have just started before a journal that holds
+// newRestartedDaemons returns daemons that have just started before a journal that holds
 // batches of long texts, each of them behind a weak link.
-func newRestarted(ctx context.Context, t *testing.T, logger *zap.Logger) *daemons {
+func newRestartedDaemons(ctx context.Context, t *testing.T, logger *zap.Logger) *daemons {
 	d := &daemons{log: journaltest.New(), unreachable: map[string]bool{}}
 	d.log.Partitions = 16
 	d.log.Granted = journal.Grants{ReadBytesPerSecond: restartJournalRate}
@@ -110,7 +110,7 @@
 		is := is.New(t)
 		ctx := t.Context()
 		core, logs := observer.New(zap.InfoLevel)
-		d := newRestarted(ctx, t, zap.New(core))
+		d := newRestartedDaemons(ctx, t, zap.New(core))
 		d.log.ResetUsage()
 		asking, stop := context.WithTimeout(ctx, 2*restartTimeout)
 		defer stop()
