--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// readPromptly checks short reads, as of a configuration, for as long as daemons are asked.
-func (d *daemons) readPromptly(ctx, asking context.Context, t *testing.T) {
+// checkShortReads checks short reads, as of a configuration, for as long as daemons are asked.
+func (d *daemons) checkShortReads(ctx, asking context.Context, t *testing.T) {
 	configuration := journal.Partition{Topic: "configuration"}
 	for asking.Err() == nil {
 		before := time.Now()
@@ -116,7 +116,7 @@
 		defer stop()
 		began := time.Now()
 		var clients, prompt sync.WaitGroup
-		prompt.Go(func() { d.readPromptly(ctx, asking, t) })
+		prompt.Go(func() { d.checkShortReads(ctx, asking, t) })
 		for i := range 2 * restartBatches {
 			clients.Go(func() {
 				d.readWhole(asking, fmt.Sprintf("b%d", i%restartBatches), rand.New(rand.NewPCG(7, uint64(i))))
