--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	// callerLeaves is how long a caller waits beyond the time that it allows a question to
+	// callerTimeout is how long a caller waits beyond the time that it allows a question to
 	// be held, callerReturns when it asks another daemon after that.
-	callerLeaves  = 1500 * time.Millisecond
+	callerTimeout = 1500 * time.Millisecond
 	callerReturns = 500 * time.Millisecond
 	// chunkBytes is what a link carries of one answer before the next one has its turn.
 	chunkBytes = 256 << 10
@@ -434,7 +434,7 @@
 
 // question asks a daemon, and has the answer come over the daemon's link.
 func (f *fleet) question(ctx context.Context, at *node, query Query) (Page, error) {
-	bounded, cancel := context.WithTimeout(ctx, query.Wait+callerLeaves)
+	bounded, cancel := context.WithTimeout(ctx, query.Wait+callerTimeout)
 	defer cancel()
 	page, err := at.reader.Results(bounded, query)
 	if err == nil && !page.Found {
