--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -28,8 +28,8 @@
 const (
 	// callerTimeout is how long a caller waits beyond the time that it allows a question to
 	// be held, callerReturns when it asks another daemon after that.
-	callerTimeout = 1500 * time.Millisecond
-	callerReturns = 500 * time.Millisecond
+	callerTimeout    = 1500 * time.Millisecond
+	callerRetryDelay = 500 * time.Millisecond
 	// chunkBytes is what a link carries of one answer before the next one has its turn.
 	chunkBytes = 256 << 10
 	// silentRest is how long a peer is left alone that did not answer.
@@ -425,7 +425,7 @@
 		}
 		w.note(err, tries)
 		if err != nil {
-			_ = pause(ctx, callerReturns)
+			_ = pause(ctx, callerRetryDelay)
 			continue
 		}
 		query.After, total, tries = page.Next, page.Total, 0
