--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -32,8 +32,8 @@
 	callerRetryDelay = 500 * time.Millisecond
 	// chunkBytes is what a link carries of one answer before the next one has its turn.
 	chunkBytes = 256 << 10
-	// silentRest is how long a peer is left alone that did not answer.
-	silentRest = time.Second
+	// peerBackoff is how long a peer is left alone that did not answer.
+	peerBackoff = time.Second
 )
 
 // link carries bytes at a rate, in turns among those who send.
@@ -337,7 +337,7 @@
 	err := n.await(ctx, machine, args.(Query), reply.(*Page))
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		n.from.mu.Lock()
-		n.from.rests[machine] = time.Now().Add(silentRest)
+		n.from.rests[machine] = time.Now().Add(peerBackoff)
 		n.from.mu.Unlock()
 	}
 	return err
