--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -39,9 +39,9 @@
 // link carries bytes at a rate, in turns among those who send.
 type link struct {
 	bytesPerSecond float64
-	// whole links carry one answer after the other, and to its end also where nobody
+	// wholeAnswers links carry one answer after the other, and to its end also where nobody
 	// awaits it any more.
-	whole bool
+	wholeAnswers bool
 
 	mu        sync.Mutex
 	busyUntil time.Time
@@ -71,7 +71,7 @@
 // carry is passed on at once; the slowest sets the pace.
 func carryOver(ctx context.Context, bytes int, links ...*link) error {
 	part := chunkBytes
-	if links[0].whole {
+	if links[0].wholeAnswers {
 		part = bytes
 	}
 	for ; bytes > 0; bytes -= part {
@@ -186,7 +186,7 @@
 	f := &fleet{
 		options: options,
 		log:     journaltest.New(),
-		store:   &link{bytesPerSecond: options.carries, whole: options.whole},
+		store:   &link{bytesPerSecond: options.carries, wholeAnswers: options.whole},
 		began:   time.Now(),
 	}
 	f.readTakes.Store(int64(options.takes))
@@ -240,8 +240,8 @@
 	}
 	n := &node{
 		run:   identity.New(fmt.Sprintf("m%d", number), time.Now()),
-		down:  &link{bytesPerSecond: rate, whole: f.options.whole},
-		up:    &link{bytesPerSecond: rate, whole: f.options.whole},
+		down:  &link{bytesPerSecond: rate, wholeAnswers: f.options.whole},
+		up:    &link{bytesPerSecond: rate, wholeAnswers: f.options.whole},
 		rests: map[string]time.Time{},
 	}
 	var log journal.Journal = distant{Journal: f.log, fleet: f, links: []*link{f.store, n.down}}
