--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -48,8 +48,8 @@
 	carried   atomic.Int64
 }
 
-// set changes the link's rate.
-func (l *link) set(bytesPerSecond float64) {
+// setRate changes the link's rate.
+func (l *link) setRate(bytesPerSecond float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.bytesPerSecond = bytesPerSecond
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -28,7 +28,7 @@
 // grants, 84 daemons refused 125 of 333 questions, 22 s after their start.
 func TestWatcherAnswersWhenOwnReadIsSlow(t *testing.T) {
 	for name, worse := range map[string]func(f *fleet){
-		"a busy journal":          func(f *fleet) { f.store.set(400e3) },
+		"a busy journal":          func(f *fleet) { f.store.setRate(400e3) },
 		"answers that take 0.3 s": func(f *fleet) { f.readTakes.Store(int64(300 * time.Millisecond)) },
 	} {
 		t.Run(name, func(t *testing.T) {
