--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -55,8 +55,8 @@
 	l.bytesPerSecond = bytesPerSecond
 }
 
-// take takes the link for so many bytes, and returns how long it takes until it has carried them.
-func (l *link) take(bytes int) time.Duration {
+// reserve takes the link for so many bytes, and returns how long it takes until it has carried them.
+func (l *link) reserve(bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now := time.Now(); l.busyUntil.Before(now) {
@@ -77,7 +77,7 @@
 	for ; bytes > 0; bytes -= part {
 		var takes time.Duration
 		for _, each := range links {
-			takes = max(takes, each.take(min(part, bytes)))
+			takes = max(takes, each.reserve(min(part, bytes)))
 		}
 		if err := pause(ctx, takes); err != nil {
 			return err
