--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -67,9 +67,9 @@
 	return time.Until(l.busyUntil)
 }
 
-// carryOver sends an answer over links that follow each other. A part that one link has begun to
+// transfer sends an answer over links that follow each other. A part that one link has begun to
 // carry is passed on at once; the slowest sets the pace.
-func carryOver(ctx context.Context, bytes int, links ...*link) error {
+func transfer(ctx context.Context, bytes int, links ...*link) error {
 	part := chunkBytes
 	if links[0].wholeAnswers {
 		part = bytes
@@ -103,7 +103,7 @@
 		return read, err
 	}
 	for i, record := range read.Records {
-		if err := carryOver(ctx, len(record), d.links...); err != nil {
+		if err := transfer(ctx, len(record), d.links...); err != nil {
 			// Those that came whole are of use, as to a client of the platform.
 			read.Records = read.Records[:i]
 			return read, errors.Wrap(journal.ErrUnknown, err.Error())
@@ -371,7 +371,7 @@
 		}
 		bytes := told.bytes()
 		n.fleet.told.Add(int64(bytes))
-		if err := carryOver(ctx, bytes, each.up, n.from.down); err != nil {
+		if err := transfer(ctx, bytes, each.up, n.from.down); err != nil {
 			return err
 		}
 		*page = told
@@ -441,7 +441,7 @@
 		err = errors.New("not found")
 	}
 	if err == nil {
-		err = carryOver(bounded, page.bytes(), at.up)
+		err = transfer(bounded, page.bytes(), at.up)
 	}
 	if bounded.Err() != nil {
 		return page, errLeft
