--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -86,15 +86,15 @@
 	return nil
 }
 
-// distant is a journal as one machine reaches it: each answer takes a time, and records
+// remoteJournal is a journal as one machine reaches it: each answer takes a time, and records
 // come over the links of the journal and of the machine.
-type distant struct {
+type remoteJournal struct {
 	*journaltest.Journal
 	fleet *fleet
 	links []*link
 }
 
-func (d distant) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+func (d remoteJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	if err := pause(ctx, time.Duration(d.fleet.readTakes.Load())); err != nil {
 		return journal.Records{}, errors.Wrap(journal.ErrUnknown, err.Error())
 	}
@@ -112,14 +112,14 @@
 	return read, nil
 }
 
-func (d distant) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
+func (d remoteJournal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
 	if err := pause(ctx, d.fleet.options.takes); err != nil {
 		return journal.Assignment{}, errors.Wrap(journal.ErrUnknown, err.Error())
 	}
 	return d.Journal.Join(ctx, request)
 }
 
-func (d distant) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
+func (d remoteJournal) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
 	if err := pause(ctx, d.fleet.options.takes); err != nil {
 		return nil, errors.Wrap(journal.ErrUnknown, err.Error())
 	}
@@ -244,7 +244,7 @@
 		up:    &link{bytesPerSecond: rate, wholeAnswers: f.options.whole},
 		rests: map[string]time.Time{},
 	}
-	var log journal.Journal = distant{Journal: f.log, fleet: f, links: []*link{f.store, n.down}}
+	var log journal.Journal = remoteJournal{Journal: f.log, fleet: f, links: []*link{f.store, n.down}}
 	if f.options.revive {
 		n.revived = journal.Revive(log, zap.NewNop())
 		log = n.revived
