--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -132,10 +132,10 @@
 	// texts is how many texts a batch has, of textBytes each, and perRecord how many of
 	// them a record lists.
 	texts, textBytes, perRecord int
-	// slowLinkRate and strong are the rates of the machines' links, in bytes a second; every
-	// strongEach-th machine has a strong one.
-	slowLinkRate, strong float64
-	strongEach           int
+	// slowLinkRate and fastLinkRate are the rates of the machines' links, in bytes a second; every
+	// strongEach-th machine has a fastLinkRate one.
+	slowLinkRate, fastLinkRate float64
+	strongEach                 int
 	// granted and carries are what the journal grants and sends, in bytes a second.
 	granted, carries float64
 	// takes is the time of an answer of the journal, peerTakes of one of a peer.
@@ -150,7 +150,7 @@
 // texts, the batches of a day, most machines behind weak links.
 func reported() fleetOptions {
 	return fleetOptions{daemons: 84, partitions: 24, batches: 52, texts: 148, textBytes: 6500, perRecord: 37,
-		slowLinkRate: 60e6 / 8, strong: 600e6 / 8, strongEach: 4, granted: 80e6, carries: 80e6,
+		slowLinkRate: 60e6 / 8, fastLinkRate: 600e6 / 8, strongEach: 4, granted: 80e6, carries: 80e6,
 		takes: 4 * time.Millisecond, peerTakes: 4 * time.Millisecond,
 		knowPeers: 500 * time.Millisecond, revive: true}
 }
@@ -236,7 +236,7 @@
 func (f *fleet) start(ctx context.Context, number int, logger *zap.Logger) *node {
 	rate := f.options.slowLinkRate
 	if number%f.options.strongEach == 0 {
-		rate = f.options.strong
+		rate = f.options.fastLinkRate
 	}
 	n := &node{
 		run:   identity.New(fmt.Sprintf("m%d", number), time.Now()),
