--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -135,7 +135,7 @@
 	// slowLinkRate and fastLinkRate are the rates of the machines' links, in bytes a second; every
 	// strongEach-th machine has a fastLinkRate one.
 	slowLinkRate, fastLinkRate float64
-	strongEach                 int
+	fastLinkEach               int
 	// granted and carries are what the journal grants and sends, in bytes a second.
 	granted, carries float64
 	// takes is the time of an answer of the journal, peerTakes of one of a peer.
@@ -150,7 +150,7 @@
 // texts, the batches of a day, most machines behind weak links.
 func reported() fleetOptions {
 	return fleetOptions{daemons: 84, partitions: 24, batches: 52, texts: 148, textBytes: 6500, perRecord: 37,
-		slowLinkRate: 60e6 / 8, fastLinkRate: 600e6 / 8, strongEach: 4, granted: 80e6, carries: 80e6,
+		slowLinkRate: 60e6 / 8, fastLinkRate: 600e6 / 8, fastLinkEach: 4, granted: 80e6, carries: 80e6,
 		takes: 4 * time.Millisecond, peerTakes: 4 * time.Millisecond,
 		knowPeers: 500 * time.Millisecond, revive: true}
 }
@@ -235,7 +235,7 @@
 // start starts a daemon.
 func (f *fleet) start(ctx context.Context, number int, logger *zap.Logger) *node {
 	rate := f.options.slowLinkRate
-	if number%f.options.strongEach == 0 {
+	if number%f.options.fastLinkEach == 0 {
 		rate = f.options.fastLinkRate
 	}
 	n := &node{
