--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -39,7 +39,7 @@
 				options.daemons, options.partitions, options.batches = 3, 1, 12
 				// Each daemon may save up what all partitions hold.
 				bytes := options.daemons * options.batches * options.texts * options.textBytes
-				options.granted = 2 * float64(bytes) / ownReadFraction / budgetBurstTime.Seconds()
+				options.grantedRate = 2 * float64(bytes) / ownReadFraction / budgetBurstTime.Seconds()
 				f := newFleet(ctx, t, options, zap.NewNop())
 				time.Sleep(recovered)
 				worse(f)
