--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -136,8 +136,8 @@
 	// strongEach-th machine has a fastLinkRate one.
 	slowLinkRate, fastLinkRate float64
 	fastLinkEach               int
-	// grantedRate and carries are what the journal grants and sends, in bytes a second.
-	grantedRate, carries float64
+	// grantedRate and journalRate are what the journal grants and sends, in bytes a second.
+	grantedRate, journalRate float64
 	// takes is the time of an answer of the journal, peerTakes of one of a peer.
 	takes, peerTakes time.Duration
 	// knowPeers is how long after a start a daemon knows of the others.
@@ -150,7 +150,7 @@
 // texts, the batches of a day, most machines behind weak links.
 func reported() fleetOptions {
 	return fleetOptions{daemons: 84, partitions: 24, batches: 52, texts: 148, textBytes: 6500, perRecord: 37,
-		slowLinkRate: 60e6 / 8, fastLinkRate: 600e6 / 8, fastLinkEach: 4, grantedRate: 80e6, carries: 80e6,
+		slowLinkRate: 60e6 / 8, fastLinkRate: 600e6 / 8, fastLinkEach: 4, grantedRate: 80e6, journalRate: 80e6,
 		takes: 4 * time.Millisecond, peerTakes: 4 * time.Millisecond,
 		knowPeers: 500 * time.Millisecond, revive: true}
 }
@@ -186,7 +186,7 @@
 	f := &fleet{
 		options: options,
 		log:     journaltest.New(),
-		store:   &link{bytesPerSecond: options.carries, wholeAnswers: options.whole},
+		store:   &link{bytesPerSecond: options.journalRate, wholeAnswers: options.whole},
 		began:   time.Now(),
 	}
 	f.readTakes.Store(int64(options.takes))
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -62,8 +62,8 @@
 func TestNoQueryFailsAfterFleetRecovery(t *testing.T) {
 	for name, set := range map[string]func(options *fleetOptions){
 		"the journal carries what it grants": func(*fleetOptions) {},
-		"it carries a half":                  func(options *fleetOptions) { options.carries /= 2 },
-		"it carries a quarter":               func(options *fleetOptions) { options.carries /= 4 },
+		"it carries a half":                  func(options *fleetOptions) { options.journalRate /= 2 },
+		"it carries a quarter":               func(options *fleetOptions) { options.journalRate /= 4 },
 		"its answers take 0.3 s":             func(options *fleetOptions) { options.takes = 300 * time.Millisecond },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -95,7 +95,7 @@
 // carries of its grant.
 func tellAllSoon(t *testing.T, part float64) {
 	options := reported()
-	options.carries *= part
+	options.journalRate *= part
 	told := tellAll(t, options, 100*time.Millisecond)
 	if told.unfinished > 0 || told.took > restartTimeout {
 		t.Errorf("told after %v, with %d readers who had not all; %d of %d questions were refused",
