--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -113,14 +113,14 @@
 }
 
 func (d remoteJournal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
-	if err := pause(ctx, d.fleet.options.takes); err != nil {
+	if err := pause(ctx, d.fleet.options.journalLatency); err != nil {
 		return journal.Assignment{}, errors.Wrap(journal.ErrUnknown, err.Error())
 	}
 	return d.Journal.Join(ctx, request)
 }
 
 func (d remoteJournal) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
-	if err := pause(ctx, d.fleet.options.takes); err != nil {
+	if err := pause(ctx, d.fleet.options.journalLatency); err != nil {
 		return nil, errors.Wrap(journal.ErrUnknown, err.Error())
 	}
 	return d.Journal.Owners(ctx, group)
@@ -138,8 +138,8 @@
 	fastLinkEach               int
 	// grantedRate and journalRate are what the journal grants and sends, in bytes a second.
 	grantedRate, journalRate float64
-	// takes is the time of an answer of the journal, peerTakes of one of a peer.
-	takes, peerTakes time.Duration
+	// journalLatency is the time of an answer of the journal, peerTakes of one of a peer.
+	journalLatency, peerTakes time.Duration
 	// knowPeers is how long after a start a daemon knows of the others.
 	knowPeers time.Duration
 	whole     bool
@@ -151,7 +151,7 @@
 func reported() fleetOptions {
 	return fleetOptions{daemons: 84, partitions: 24, batches: 52, texts: 148, textBytes: 6500, perRecord: 37,
 		slowLinkRate: 60e6 / 8, fastLinkRate: 600e6 / 8, fastLinkEach: 4, grantedRate: 80e6, journalRate: 80e6,
-		takes: 4 * time.Millisecond, peerTakes: 4 * time.Millisecond,
+		journalLatency: 4 * time.Millisecond, peerTakes: 4 * time.Millisecond,
 		knowPeers: 500 * time.Millisecond, revive: true}
 }
 
@@ -189,7 +189,7 @@
 		store:   &link{bytesPerSecond: options.journalRate, wholeAnswers: options.whole},
 		began:   time.Now(),
 	}
-	f.readTakes.Store(int64(options.takes))
+	f.readTakes.Store(int64(options.journalLatency))
 	f.log.Partitions = options.partitions
 	f.log.RecordBytes = 256 << 10
 	f.log.Granted = journal.Grants{ReadBytesPerSecond: options.grantedRate}
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -64,7 +64,7 @@
 		"the journal carries what it grants": func(*fleetOptions) {},
 		"it carries a half":                  func(options *fleetOptions) { options.journalRate /= 2 },
 		"it carries a quarter":               func(options *fleetOptions) { options.journalRate /= 4 },
-		"its answers take 0.3 s":             func(options *fleetOptions) { options.takes = 300 * time.Millisecond },
+		"its answers take 0.3 s":             func(options *fleetOptions) { options.journalLatency = 300 * time.Millisecond },
 	} {
 		t.Run(name, func(t *testing.T) {
 			options := reported()
