--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -138,8 +138,8 @@
 	fastLinkEach               int
 	// grantedRate and journalRate are what the journal grants and sends, in bytes a second.
 	grantedRate, journalRate float64
-	// journalLatency is the time of an answer of the journal, peerTakes of one of a peer.
-	journalLatency, peerTakes time.Duration
+	// journalLatency is the time of an answer of the journal, peerLatency of one of a peer.
+	journalLatency, peerLatency time.Duration
 	// knowPeers is how long after a start a daemon knows of the others.
 	knowPeers time.Duration
 	whole     bool
@@ -151,7 +151,7 @@
 func reported() fleetOptions {
 	return fleetOptions{daemons: 84, partitions: 24, batches: 52, texts: 148, textBytes: 6500, perRecord: 37,
 		slowLinkRate: 60e6 / 8, fastLinkRate: 600e6 / 8, fastLinkEach: 4, grantedRate: 80e6, journalRate: 80e6,
-		journalLatency: 4 * time.Millisecond, peerTakes: 4 * time.Millisecond,
+		journalLatency: 4 * time.Millisecond, peerLatency: 4 * time.Millisecond,
 		knowPeers: 500 * time.Millisecond, revive: true}
 }
 
@@ -358,7 +358,7 @@
 }
 
 func (n *neighbours) call(ctx context.Context, machine string, query Query, page *Page) error {
-	if err := pause(ctx, n.fleet.options.peerTakes); err != nil {
+	if err := pause(ctx, n.fleet.options.peerLatency); err != nil {
 		return err
 	}
 	for _, each := range n.fleet.nodes {
