--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -140,10 +140,10 @@
 	grantedRate, journalRate float64
 	// journalLatency is the time of an answer of the journal, peerLatency of one of a peer.
 	journalLatency, peerLatency time.Duration
-	// knowPeers is how long after a start a daemon knows of the others.
-	knowPeers time.Duration
-	whole     bool
-	revive    bool
+	// peersKnownDelay is how long after a start a daemon knows of the others.
+	peersKnownDelay time.Duration
+	whole           bool
+	revive          bool
 }
 
 // reported are the options of a fleet as users run it: four trainers with steps of some 150
@@ -152,7 +152,7 @@
 	return fleetOptions{daemons: 84, partitions: 24, batches: 52, texts: 148, textBytes: 6500, perRecord: 37,
 		slowLinkRate: 60e6 / 8, fastLinkRate: 600e6 / 8, fastLinkEach: 4, grantedRate: 80e6, journalRate: 80e6,
 		journalLatency: 4 * time.Millisecond, peerLatency: 4 * time.Millisecond,
-		knowPeers: 500 * time.Millisecond, revive: true}
+		peersKnownDelay: 500 * time.Millisecond, revive: true}
 }
 
 // node is one daemon of a fleet.
@@ -256,7 +256,7 @@
 	go n.member.Run(ctx)
 	go n.watch(ctx)
 	// Daemons that are asked now and then save up all along.
-	time.AfterFunc(f.options.knowPeers, func() { n.reader.budget.adjust(time.Now()) })
+	time.AfterFunc(f.options.peersKnownDelay, func() { n.reader.budget.adjust(time.Now()) })
 	for i, held := range []time.Duration{
 		1200 * time.Millisecond, 1200 * time.Millisecond, 9 * time.Second, 9 * time.Second,
 	} {
@@ -317,7 +317,7 @@
 
 // Daemons implements Peers; their number is told as 0 until it is known.
 func (n *neighbours) Daemons() int {
-	if time.Since(n.fleet.began) < n.fleet.options.knowPeers {
+	if time.Since(n.fleet.began) < n.fleet.options.peersKnownDelay {
 		return 0
 	}
 	return n.fleet.options.daemons
