--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -142,7 +142,7 @@
 	journalLatency, peerLatency time.Duration
 	// peersKnownDelay is how long after a start a daemon knows of the others.
 	peersKnownDelay time.Duration
-	whole           bool
+	wholeAnswers    bool
 	revive          bool
 }
 
@@ -186,7 +186,7 @@
 	f := &fleet{
 		options: options,
 		log:     journaltest.New(),
-		store:   &link{bytesPerSecond: options.journalRate, wholeAnswers: options.whole},
+		store:   &link{bytesPerSecond: options.journalRate, wholeAnswers: options.wholeAnswers},
 		began:   time.Now(),
 	}
 	f.readTakes.Store(int64(options.journalLatency))
@@ -240,8 +240,8 @@
 	}
 	n := &node{
 		run:   identity.New(fmt.Sprintf("m%d", number), time.Now()),
-		down:  &link{bytesPerSecond: rate, wholeAnswers: f.options.whole},
-		up:    &link{bytesPerSecond: rate, wholeAnswers: f.options.whole},
+		down:  &link{bytesPerSecond: rate, wholeAnswers: f.options.wholeAnswers},
+		up:    &link{bytesPerSecond: rate, wholeAnswers: f.options.wholeAnswers},
 		rests: map[string]time.Time{},
 	}
 	var log journal.Journal = remoteJournal{Journal: f.log, fleet: f, links: []*link{f.store, n.down}}
