--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -146,9 +146,9 @@
 	revive          bool
 }
 
-// reported are the options of a fleet as users run it: four trainers with steps of some 150
+// reportedFleet are the options of a fleet as users run it: four trainers with steps of some 150
 // texts, the batches of a day, most machines behind weak links.
-func reported() fleetOptions {
+func reportedFleet() fleetOptions {
 	return fleetOptions{daemons: 84, partitions: 24, batches: 52, texts: 148, textBytes: 6500, perRecord: 37,
 		slowLinkRate: 60e6 / 8, fastLinkRate: 600e6 / 8, fastLinkEach: 4, grantedRate: 80e6, journalRate: 80e6,
 		journalLatency: 4 * time.Millisecond, peerLatency: 4 * time.Millisecond,
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -35,7 +35,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx := t.Context()
-				options := reported()
+				options := reportedFleet()
 				options.daemons, options.partitions, options.batches = 3, 1, 12
 				// Each daemon may save up what all partitions hold.
 				bytes := options.daemons * options.batches * options.texts * options.textBytes
@@ -67,7 +67,7 @@
 		"its answers take 0.3 s":             func(options *fleetOptions) { options.journalLatency = 300 * time.Millisecond },
 	} {
 		t.Run(name, func(t *testing.T) {
-			options := reported()
+			options := reportedFleet()
 			set(&options)
 			told := tellAll(t, options, recovered)
 			if told.refused+told.left > 0 {
@@ -94,7 +94,7 @@
 // tellAllSoon asks a fleet that has just started for all batches. Part is what the journal
 // carries of its grant.
 func tellAllSoon(t *testing.T, part float64) {
-	options := reported()
+	options := reportedFleet()
 	options.journalRate *= part
 	told := tellAll(t, options, 100*time.Millisecond)
 	if told.unfinished > 0 || told.took > restartTimeout {
