--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -157,13 +157,13 @@
 
 // node is one daemon of a fleet.
 type node struct {
-	run      string
-	reader   *Reader
-	service  *Service
-	ledger   *ledger.Ledger
-	member   *group.Member
-	revived  *journal.Revived
-	down, up *link
+	incarnation string
+	reader      *Reader
+	service     *Service
+	ledger      *ledger.Ledger
+	member      *group.Member
+	revived     *journal.Revived
+	down, up    *link
 
 	mu    sync.Mutex
 	rests map[string]time.Time
@@ -239,10 +239,10 @@
 		rate = f.options.fastLinkRate
 	}
 	n := &node{
-		run:   identity.New(fmt.Sprintf("m%d", number), time.Now()),
-		down:  &link{bytesPerSecond: rate, wholeAnswers: f.options.wholeAnswers},
-		up:    &link{bytesPerSecond: rate, wholeAnswers: f.options.wholeAnswers},
-		rests: map[string]time.Time{},
+		incarnation: identity.New(fmt.Sprintf("m%d", number), time.Now()),
+		down:        &link{bytesPerSecond: rate, wholeAnswers: f.options.wholeAnswers},
+		up:          &link{bytesPerSecond: rate, wholeAnswers: f.options.wholeAnswers},
+		rests:       map[string]time.Time{},
 	}
 	var log journal.Journal = remoteJournal{Journal: f.log, fleet: f, links: []*link{f.store, n.down}}
 	if f.options.revive {
@@ -250,8 +250,8 @@
 		log = n.revived
 	}
 	n.ledger = ledger.New(ctx, log, zap.NewNop())
-	n.member = group.New(log, n.run, append(ledger.TopicNames(), "woodworks.runners"), zap.NewNop())
-	n.reader = NewReader(n.ledger, n.member, &neighbours{f, n}, log.Grants(), n.run, logger)
+	n.member = group.New(log, n.incarnation, append(ledger.TopicNames(), "woodworks.runners"), zap.NewNop())
+	n.reader = NewReader(n.ledger, n.member, &neighbours{f, n}, log.Grants(), n.incarnation, logger)
 	n.service = n.reader.Service(ctx)
 	go n.member.Run(ctx)
 	go n.watch(ctx)
@@ -362,7 +362,7 @@
 		return err
 	}
 	for _, each := range n.fleet.nodes {
-		if identity.Machine(each.run) != machine {
+		if identity.Machine(each.incarnation) != machine {
 			continue
 		}
 		var told Page
