--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -165,8 +165,8 @@
 	revived     *journal.Revived
 	down, up    *link
 
-	mu    sync.Mutex
-	rests map[string]time.Time
+	mu           sync.Mutex
+	backoffUntil map[string]time.Time
 }
 
 // fleet are daemons that have just started, before a journal that holds ended batches.
@@ -239,10 +239,10 @@
 		rate = f.options.fastLinkRate
 	}
 	n := &node{
-		incarnation: identity.New(fmt.Sprintf("m%d", number), time.Now()),
-		down:        &link{bytesPerSecond: rate, wholeAnswers: f.options.wholeAnswers},
-		up:          &link{bytesPerSecond: rate, wholeAnswers: f.options.wholeAnswers},
-		rests:       map[string]time.Time{},
+		incarnation:  identity.New(fmt.Sprintf("m%d", number), time.Now()),
+		down:         &link{bytesPerSecond: rate, wholeAnswers: f.options.wholeAnswers},
+		up:           &link{bytesPerSecond: rate, wholeAnswers: f.options.wholeAnswers},
+		backoffUntil: map[string]time.Time{},
 	}
 	var log journal.Journal = remoteJournal{Journal: f.log, fleet: f, links: []*link{f.store, n.down}}
 	if f.options.revive {
@@ -328,7 +328,7 @@
 // Ask implements Peers.
 func (n *neighbours) Ask(ctx context.Context, machine, method string, args, reply any) error {
 	n.from.mu.Lock()
-	resting := time.Now().Before(n.from.rests[machine])
+	resting := time.Now().Before(n.from.backoffUntil[machine])
 	n.from.mu.Unlock()
 	if resting {
 		return errResting
@@ -337,7 +337,7 @@
 	err := n.await(ctx, machine, args.(Query), reply.(*Page))
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		n.from.mu.Lock()
-		n.from.rests[machine] = time.Now().Add(peerBackoff)
+		n.from.backoffUntil[machine] = time.Now().Add(peerBackoff)
 		n.from.mu.Unlock()
 	}
 	return err
