--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -171,11 +171,11 @@
 
 // fleet are daemons that have just started, before a journal that holds ended batches.
 type fleet struct {
-	options fleetOptions
-	log     *journaltest.Journal
-	store   *link
-	nodes   []*node
-	began   time.Time
+	options     fleetOptions
+	log         *journaltest.Journal
+	journalLink *link
+	nodes       []*node
+	began       time.Time
 	// readTakes is the time of an answer to a read, a time.Duration.
 	readTakes atomic.Int64
 	// told is what daemons sent each other, in bytes.
@@ -184,10 +184,10 @@
 
 func newFleet(ctx context.Context, t *testing.T, options fleetOptions, logger *zap.Logger) *fleet {
 	f := &fleet{
-		options: options,
-		log:     journaltest.New(),
-		store:   &link{bytesPerSecond: options.journalRate, wholeAnswers: options.wholeAnswers},
-		began:   time.Now(),
+		options:     options,
+		log:         journaltest.New(),
+		journalLink: &link{bytesPerSecond: options.journalRate, wholeAnswers: options.wholeAnswers},
+		began:       time.Now(),
 	}
 	f.readTakes.Store(int64(options.journalLatency))
 	f.log.Partitions = options.partitions
@@ -244,7 +244,7 @@
 		up:           &link{bytesPerSecond: rate, wholeAnswers: f.options.wholeAnswers},
 		backoffUntil: map[string]time.Time{},
 	}
-	var log journal.Journal = remoteJournal{Journal: f.log, fleet: f, links: []*link{f.store, n.down}}
+	var log journal.Journal = remoteJournal{Journal: f.log, fleet: f, links: []*link{f.journalLink, n.down}}
 	if f.options.revive {
 		n.revived = journal.Revive(log, zap.NewNop())
 		log = n.revived
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -28,7 +28,7 @@
 // grants, 84 daemons refused 125 of 333 questions, 22 s after their start.
 func TestWatcherAnswersWhenOwnReadIsSlow(t *testing.T) {
 	for name, worse := range map[string]func(f *fleet){
-		"a busy journal":          func(f *fleet) { f.store.setRate(400e3) },
+		"a busy journal":          func(f *fleet) { f.journalLink.setRate(400e3) },
 		"answers that take 0.3 s": func(f *fleet) { f.readTakes.Store(int64(300 * time.Millisecond)) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -110,14 +110,14 @@
 		ctx := t.Context()
 		f := newFleet(ctx, t, options, zap.NewNop())
 		time.Sleep(after)
-		before := f.store.carried.Load()
+		before := f.journalLink.carried.Load()
 		asking, stop := context.WithTimeout(ctx, giveUp)
 		defer stop()
 		told = f.ask(asking, 7, 3)
 		t.Logf("%d questions, %d refused, %d left, at most %d tries, told after %v, "+
 			"%d MB read, %d MB from watchers",
 			told.questions, told.refused, told.left, told.most, told.took,
-			(f.store.carried.Load()-before)>>20, f.told.Load()>>20)
+			(f.journalLink.carried.Load()-before)>>20, f.told.Load()>>20)
 	})
 	return told
 }
