--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -95,7 +95,7 @@
 }
 
 func (d remoteJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
-	if err := pause(ctx, time.Duration(d.fleet.readTakes.Load())); err != nil {
+	if err := pause(ctx, time.Duration(d.fleet.readLatency.Load())); err != nil {
 		return journal.Records{}, errors.Wrap(journal.ErrUnknown, err.Error())
 	}
 	read, err := d.Journal.Read(ctx, request)
@@ -176,8 +176,8 @@
 	journalLink *link
 	nodes       []*node
 	began       time.Time
-	// readTakes is the time of an answer to a read, a time.Duration.
-	readTakes atomic.Int64
+	// readLatency is the time of an answer to a read, a time.Duration.
+	readLatency atomic.Int64
 	// told is what daemons sent each other, in bytes.
 	told, asked atomic.Int64
 }
@@ -189,7 +189,7 @@
 		journalLink: &link{bytesPerSecond: options.journalRate, wholeAnswers: options.wholeAnswers},
 		began:       time.Now(),
 	}
-	f.readTakes.Store(int64(options.journalLatency))
+	f.readLatency.Store(int64(options.journalLatency))
 	f.log.Partitions = options.partitions
 	f.log.RecordBytes = 256 << 10
 	f.log.Granted = journal.Grants{ReadBytesPerSecond: options.grantedRate}
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -29,7 +29,7 @@
 func TestWatcherAnswersWhenOwnReadIsSlow(t *testing.T) {
 	for name, worse := range map[string]func(f *fleet){
 		"a busy journal":          func(f *fleet) { f.journalLink.setRate(400e3) },
-		"answers that take 0.3 s": func(f *fleet) { f.readTakes.Store(int64(300 * time.Millisecond)) },
+		"answers that take 0.3 s": func(f *fleet) { f.readLatency.Store(int64(300 * time.Millisecond)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
