--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -178,8 +178,8 @@
 	began       time.Time
 	// readLatency is the time of an answer to a read, a time.Duration.
 	readLatency atomic.Int64
-	// told is what daemons sent each other, in bytes.
-	told, asked atomic.Int64
+	// sentBytes is what daemons sent each other, in bytes.
+	sentBytes, asked atomic.Int64
 }
 
 func newFleet(ctx context.Context, t *testing.T, options fleetOptions, logger *zap.Logger) *fleet {
@@ -370,7 +370,7 @@
 			return err
 		}
 		bytes := told.bytes()
-		n.fleet.told.Add(int64(bytes))
+		n.fleet.sentBytes.Add(int64(bytes))
 		if err := transfer(ctx, bytes, each.up, n.from.down); err != nil {
 			return err
 		}
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -117,7 +117,7 @@
 		t.Logf("%d questions, %d refused, %d left, at most %d tries, told after %v, "+
 			"%d MB read, %d MB from watchers",
 			told.questions, told.refused, told.left, told.most, told.took,
-			(f.journalLink.carried.Load()-before)>>20, f.told.Load()>>20)
+			(f.journalLink.carried.Load()-before)>>20, f.sentBytes.Load()>>20)
 	})
 	return told
 }
