--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -179,7 +179,7 @@
 	// readLatency is the time of an answer to a read, a time.Duration.
 	readLatency atomic.Int64
 	// sentBytes is what daemons sent each other, in bytes.
-	sentBytes, asked atomic.Int64
+	sentBytes, peerCalls atomic.Int64
 }
 
 func newFleet(ctx context.Context, t *testing.T, options fleetOptions, logger *zap.Logger) *fleet {
@@ -333,7 +333,7 @@
 	if resting {
 		return errResting
 	}
-	n.fleet.asked.Add(1)
+	n.fleet.peerCalls.Add(1)
 	err := n.await(ctx, machine, args.(Query), reply.(*Page))
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		n.from.mu.Lock()
