--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -251,7 +251,7 @@
 	}
 	n.ledger = ledger.New(ctx, log, zap.NewNop())
 	n.member = group.New(log, n.incarnation, append(ledger.TopicNames(), "woodworks.runners"), zap.NewNop())
-	n.reader = NewReader(n.ledger, n.member, &neighbours{f, n}, log.Grants(), n.incarnation, logger)
+	n.reader = NewReader(n.ledger, n.member, &fleetPeers{f, n}, log.Grants(), n.incarnation, logger)
 	n.service = n.reader.Service(ctx)
 	go n.member.Run(ctx)
 	go n.watch(ctx)
@@ -309,14 +309,14 @@
 	}
 }
 
-// neighbours is the rest of the fleet, as one daemon reaches it. It implements Peers.
-type neighbours struct {
+// fleetPeers is the rest of the fleet, as one daemon reaches it. It implements Peers.
+type fleetPeers struct {
 	fleet *fleet
 	from  *node
 }
 
 // Daemons implements Peers; their number is told as 0 until it is known.
-func (n *neighbours) Daemons() int {
+func (n *fleetPeers) Daemons() int {
 	if time.Since(n.fleet.began) < n.fleet.options.peersKnownDelay {
 		return 0
 	}
@@ -326,7 +326,7 @@
 var errResting = errors.New("did not answer a moment ago")
 
 // Ask implements Peers.
-func (n *neighbours) Ask(ctx context.Context, machine, method string, args, reply any) error {
+func (n *fleetPeers) Ask(ctx context.Context, machine, method string, args, reply any) error {
 	n.from.mu.Lock()
 	resting := time.Now().Before(n.from.backoffUntil[machine])
 	n.from.mu.Unlock()
@@ -344,7 +344,7 @@
 }
 
 // await makes a call and waits for its answer as long as the caller does.
-func (n *neighbours) await(ctx context.Context, machine string, query Query, page *Page) error {
+func (n *fleetPeers) await(ctx context.Context, machine string, query Query, page *Page) error {
 	var told Page
 	done := make(chan error, 1)
 	go func() { done <- n.call(ctx, machine, query, &told) }()
@@ -357,7 +357,7 @@
 	}
 }
 
-func (n *neighbours) call(ctx context.Context, machine string, query Query, page *Page) error {
+func (n *fleetPeers) call(ctx context.Context, machine string, query Query, page *Page) error {
 	if err := pause(ctx, n.fleet.options.peerLatency); err != nil {
 		return err
 	}
