--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -323,7 +323,7 @@
 	return n.fleet.options.daemons
 }
 
-var errResting = errors.New("did not answer a moment ago")
+var errBackingOff = errors.New("did not answer a moment ago")
 
 // Ask implements Peers.
 func (n *fleetPeers) Ask(ctx context.Context, machine, method string, args, reply any) error {
@@ -331,7 +331,7 @@
 	resting := time.Now().Before(n.from.backoffUntil[machine])
 	n.from.mu.Unlock()
 	if resting {
-		return errResting
+		return errBackingOff
 	}
 	n.fleet.peerCalls.Add(1)
 	err := n.await(ctx, machine, args.(Query), reply.(*Page))
