--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -380,8 +380,8 @@
 	return errUnreachable
 }
 
-// wave is what came of asking for all batches at one time.
-type wave struct {
+// queryStats is what came of asking for all batches at one time.
+type queryStats struct {
 	mu sync.Mutex
 	// refused questions had an error, left ones no answer before their caller left.
 	refused, left, questions, unfinished int
@@ -393,8 +393,8 @@
 
 // ask asks for every batch at once, each by so many readers, until all is told or the context
 // ends. Every third reader has its questions held.
-func (f *fleet) ask(ctx context.Context, seed uint64, readers int) *wave {
-	w := &wave{why: map[string]int{}}
+func (f *fleet) ask(ctx context.Context, seed uint64, readers int) *queryStats {
+	w := &queryStats{why: map[string]int{}}
 	began := time.Now()
 	var asking sync.WaitGroup
 	for i := range f.options.batches {
@@ -414,7 +414,7 @@
 }
 
 // readAll reads a batch page by page, each at a random daemon.
-func (f *fleet) readAll(ctx context.Context, w *wave, query Query, random *rand.Rand) {
+func (f *fleet) readAll(ctx context.Context, w *queryStats, query Query, random *rand.Rand) {
 	for total, tries := 1, 1; query.After < total; tries++ {
 		page, err := f.question(ctx, f.nodes[random.IntN(len(f.nodes))], query)
 		if ctx.Err() != nil {
@@ -451,7 +451,7 @@
 
 var errLeft = errors.New("the caller left")
 
-func (w *wave) note(err error, tries int) {
+func (w *queryStats) note(err error, tries int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.questions++
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -104,7 +104,7 @@
 }
 
 // tellAll asks for all batches some time after a start, and logs what it cost.
-func tellAll(t *testing.T, options fleetOptions, after time.Duration) (told *wave) {
+func tellAll(t *testing.T, options fleetOptions, after time.Duration) (told *queryStats) {
 	const giveUp = 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
