--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -383,8 +383,8 @@
 // queryStats is what came of asking for all batches at one time.
 type queryStats struct {
 	mu sync.Mutex
-	// failed questions had an error, left ones no answer before their caller left.
-	failed, left, questions, unfinished int
+	// failed questions had an error, timedOut ones no answer before their caller timedOut.
+	failed, timedOut, questions, unfinished int
 	// most is the largest number of tries for one page.
 	most int
 	took time.Duration
@@ -458,7 +458,7 @@
 	w.most = max(w.most, tries)
 	switch {
 	case err == errLeft:
-		w.left++
+		w.timedOut++
 	case err != nil:
 		w.failed++
 		w.why[err.Error()]++
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -70,9 +70,9 @@
 			options := reportedFleet()
 			set(&options)
 			told := tellAll(t, options, recovered)
-			if told.failed+told.left > 0 {
+			if told.failed+told.timedOut > 0 {
 				t.Errorf("of %d questions %d were refused, and %d without an answer as their caller left",
-					told.questions, told.failed, told.left)
+					told.questions, told.failed, told.timedOut)
 			}
 		})
 	}
@@ -116,7 +116,7 @@
 		told = f.ask(asking, 7, 3)
 		t.Logf("%d questions, %d refused, %d left, at most %d tries, told after %v, "+
 			"%d MB read, %d MB from watchers",
-			told.questions, told.failed, told.left, told.most, told.took,
+			told.questions, told.failed, told.timedOut, told.most, told.took,
 			(f.journalLink.carried.Load()-before)>>20, f.sentBytes.Load()>>20)
 	})
 	return told
