--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -383,8 +383,8 @@
 // queryStats is what came of asking for all batches at one time.
 type queryStats struct {
 	mu sync.Mutex
-	// failed questions had an error, timedOut ones no answer before their caller timedOut.
-	failed, timedOut, questions, unfinished int
+	// failed queries had an error, timedOut ones no answer before their caller timedOut.
+	failed, timedOut, queries, unfinished int
 	// most is the largest number of tries for one page.
 	most int
 	took time.Duration
@@ -454,7 +454,7 @@
 func (w *queryStats) note(err error, tries int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.questions++
+	w.queries++
 	w.most = max(w.most, tries)
 	switch {
 	case err == errLeft:
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -72,7 +72,7 @@
 			told := tellAll(t, options, recovered)
 			if told.failed+told.timedOut > 0 {
 				t.Errorf("of %d questions %d were refused, and %d without an answer as their caller left",
-					told.questions, told.failed, told.timedOut)
+					told.queries, told.failed, told.timedOut)
 			}
 		})
 	}
@@ -99,7 +99,7 @@
 	told := tellAll(t, options, 100*time.Millisecond)
 	if told.unfinished > 0 || told.took > restartTimeout {
 		t.Errorf("told after %v, with %d readers who had not all; %d of %d questions were refused",
-			told.took, told.unfinished, told.failed, told.questions)
+			told.took, told.unfinished, told.failed, told.queries)
 	}
 }
 
@@ -116,7 +116,7 @@
 		told = f.ask(asking, 7, 3)
 		t.Logf("%d questions, %d refused, %d left, at most %d tries, told after %v, "+
 			"%d MB read, %d MB from watchers",
-			told.questions, told.failed, told.timedOut, told.most, told.took,
+			told.queries, told.failed, told.timedOut, told.most, told.took,
 			(f.journalLink.carried.Load()-before)>>20, f.sentBytes.Load()>>20)
 	})
 	return told
