--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -385,10 +385,10 @@
 	mu sync.Mutex
 	// failed queries had an error, timedOut ones no answer before their caller timedOut.
 	failed, timedOut, queries, unfinished int
-	// most is the largest number of tries for one page.
-	most int
-	took time.Duration
-	why  map[string]int
+	// maxTries is the largest number of tries for one page.
+	maxTries int
+	took     time.Duration
+	why      map[string]int
 }
 
 // ask asks for every batch at once, each by so many readers, until all is told or the context
@@ -455,7 +455,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.queries++
-	w.most = max(w.most, tries)
+	w.maxTries = max(w.maxTries, tries)
 	switch {
 	case err == errLeft:
 		w.timedOut++
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -116,7 +116,7 @@
 		told = f.ask(asking, 7, 3)
 		t.Logf("%d questions, %d refused, %d left, at most %d tries, told after %v, "+
 			"%d MB read, %d MB from watchers",
-			told.queries, told.failed, told.timedOut, told.most, told.took,
+			told.queries, told.failed, told.timedOut, told.maxTries, told.took,
 			(f.journalLink.carried.Load()-before)>>20, f.sentBytes.Load()>>20)
 	})
 	return told
