--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -386,15 +386,15 @@
 	// failed queries had an error, timedOut ones no answer before their caller timedOut.
 	failed, timedOut, queries, unfinished int
 	// maxTries is the largest number of tries for one page.
-	maxTries int
-	took     time.Duration
-	why      map[string]int
+	maxTries    int
+	took        time.Duration
+	errorCounts map[string]int
 }
 
 // ask asks for every batch at once, each by so many readers, until all is told or the context
 // ends. Every third reader has its questions held.
 func (f *fleet) ask(ctx context.Context, seed uint64, readers int) *queryStats {
-	w := &queryStats{why: map[string]int{}}
+	w := &queryStats{errorCounts: map[string]int{}}
 	began := time.Now()
 	var asking sync.WaitGroup
 	for i := range f.options.batches {
@@ -461,7 +461,7 @@
 		w.timedOut++
 	case err != nil:
 		w.failed++
-		w.why[err.Error()]++
+		w.errorCounts[err.Error()]++
 	}
 }
 
