--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -416,7 +416,7 @@
 // readAll reads a batch page by page, each at a random daemon.
 func (f *fleet) readAll(ctx context.Context, w *queryStats, query Query, random *rand.Rand) {
 	for total, tries := 1, 1; query.After < total; tries++ {
-		page, err := f.question(ctx, f.nodes[random.IntN(len(f.nodes))], query)
+		page, err := f.query(ctx, f.nodes[random.IntN(len(f.nodes))], query)
 		if ctx.Err() != nil {
 			w.mu.Lock()
 			w.unfinished++
@@ -432,8 +432,8 @@
 	}
 }
 
-// question asks a daemon, and has the answer come over the daemon's link.
-func (f *fleet) question(ctx context.Context, at *node, query Query) (Page, error) {
+// query asks a daemon, and has the answer come over the daemon's link.
+func (f *fleet) query(ctx context.Context, at *node, query Query) (Page, error) {
 	bounded, cancel := context.WithTimeout(ctx, query.Wait+callerTimeout)
 	defer cancel()
 	page, err := at.reader.Results(bounded, query)
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -45,7 +45,7 @@
 				worse(f)
 				id := f.newest()
 				for _, at := range f.nodes {
-					page, err := f.question(ctx, at, Query{BatchID: id})
+					page, err := f.query(ctx, at, Query{BatchID: id})
 					is.NoErr(err)
 					is.True(len(page.Results) > 0)
 				}
