--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -444,12 +444,12 @@
 		err = transfer(bounded, page.bytes(), at.up)
 	}
 	if bounded.Err() != nil {
-		return page, errLeft
+		return page, errCallerTimeout
 	}
 	return page, err
 }
 
-var errLeft = errors.New("the caller left")
+var errCallerTimeout = errors.New("the caller left")
 
 func (w *queryStats) note(err error, tries int) {
 	w.mu.Lock()
@@ -457,7 +457,7 @@
 	w.queries++
 	w.maxTries = max(w.maxTries, tries)
 	switch {
-	case err == errLeft:
+	case err == errCallerTimeout:
 		w.timedOut++
 	case err != nil:
 		w.failed++
