--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -18,8 +18,8 @@
 	"woodworks/internal/journal"
 )
 
-// recovered is within which time after a start of all a daemon must serve again.
-const recovered = 15 * time.Second
+// recoveryTimeout is within which time after a start of all a daemon must serve again.
+const recoveryTimeout = 15 * time.Second
 
 // After a start of all, a question was refused at a daemon that read the partition by
 // itself, as it had saved up for that, and was not through after 1.3 s: with what others left
@@ -41,7 +41,7 @@
 				bytes := options.daemons * options.batches * options.texts * options.textBytes
 				options.grantedRate = 2 * float64(bytes) / ownReadFraction / budgetBurstTime.Seconds()
 				f := newFleet(ctx, t, options, zap.NewNop())
-				time.Sleep(recovered)
+				time.Sleep(recoveryTimeout)
 				worse(f)
 				id := f.newest()
 				for _, at := range f.nodes {
@@ -69,7 +69,7 @@
 		t.Run(name, func(t *testing.T) {
 			options := reportedFleet()
 			set(&options)
-			told := tellAll(t, options, recovered)
+			told := tellAll(t, options, recoveryTimeout)
 			if told.failed+told.timedOut > 0 {
 				t.Errorf("of %d questions %d were refused, and %d without an answer as their caller left",
 					told.queries, told.failed, told.timedOut)
