--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -82,18 +82,18 @@
 // the last batch after 4.3 s, as the daemons' budgets of reads were full (see below) and what
 // they read for questions kept the watchers from reading their partitions.
 func TestFleetServesAllBatchesAfterStart(t *testing.T) {
-	tellAllSoon(t, 1)
+	checkServesAllSoon(t, 1)
 }
 
 // Where the journal carries a half of what it grants, the same fleet told the last batch after
 // 15.5 s. The budgets begin by the grant, and are halved only once reads are late.
 func TestFleetServesAllBatchesAtHalfJournalRate(t *testing.T) {
-	tellAllSoon(t, 0.5)
+	checkServesAllSoon(t, 0.5)
 }
 
-// tellAllSoon asks a fleet that has just started for all batches. Part is what the journal
+// checkServesAllSoon asks a fleet that has just started for all batches. Part is what the journal
 // carries of its grant.
-func tellAllSoon(t *testing.T, part float64) {
+func checkServesAllSoon(t *testing.T, part float64) {
 	options := reportedFleet()
 	options.journalRate *= part
 	told := tellAll(t, options, 100*time.Millisecond)
