--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -69,7 +69,7 @@
 		t.Run(name, func(t *testing.T) {
 			options := reportedFleet()
 			set(&options)
-			told := tellAll(t, options, recoveryTimeout)
+			told := askAllAfter(t, options, recoveryTimeout)
 			if told.failed+told.timedOut > 0 {
 				t.Errorf("of %d questions %d were refused, and %d without an answer as their caller left",
 					told.queries, told.failed, told.timedOut)
@@ -96,15 +96,15 @@
 func checkServesAllSoon(t *testing.T, part float64) {
 	options := reportedFleet()
 	options.journalRate *= part
-	told := tellAll(t, options, 100*time.Millisecond)
+	told := askAllAfter(t, options, 100*time.Millisecond)
 	if told.unfinished > 0 || told.took > restartTimeout {
 		t.Errorf("told after %v, with %d readers who had not all; %d of %d questions were refused",
 			told.took, told.unfinished, told.failed, told.queries)
 	}
 }
 
-// tellAll asks for all batches some time after a start, and logs what it cost.
-func tellAll(t *testing.T, options fleetOptions, after time.Duration) (told *queryStats) {
+// askAllAfter asks for all batches some time after a start, and logs what it cost.
+func askAllAfter(t *testing.T, options fleetOptions, after time.Duration) (told *queryStats) {
 	const giveUp = 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
