--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -43,7 +43,7 @@
 				f := newFleet(ctx, t, options, zap.NewNop())
 				time.Sleep(recoveryTimeout)
 				worse(f)
-				id := f.newest()
+				id := f.lastOfLargestPartition()
 				for _, at := range f.nodes {
 					page, err := f.query(ctx, at, Query{BatchID: id})
 					is.NoErr(err)
@@ -122,8 +122,8 @@
 	return told
 }
 
-// newest returns the last batch of the partition that holds most batches.
-func (f *fleet) newest() (id string) {
+// lastOfLargestPartition returns the last batch of the partition that holds most batches.
+func (f *fleet) lastOfLargestPartition() (id string) {
 	held, most := map[journal.Partition]int{}, 0
 	for i := range f.options.batches {
 		name := f.nodes[0].ledger.Locate(fmt.Sprintf("b%d", i))
