--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -146,9 +146,9 @@
 	revive          bool
 }
 
-// reportedFleet returns the parameters of a typical fleet: four trainers with steps of about 150
+// typicalFleet returns the parameters of a typical fleet: four trainers with steps of about 150
 // texts, the batches of a day, and most machines behind slow links.
-func reportedFleet() fleetOptions {
+func typicalFleet() fleetOptions {
 	return fleetOptions{daemons: 84, partitions: 24, batches: 52, texts: 148, textBytes: 6500, perRecord: 37,
 		slowLinkRate: 60e6 / 8, fastLinkRate: 600e6 / 8, fastLinkEach: 4, grantedRate: 80e6, journalRate: 80e6,
 		journalLatency: 4 * time.Millisecond, peerLatency: 4 * time.Millisecond,
--- a/internal/batches/results/slow_test.go
+++ b/internal/batches/results/slow_test.go
@@ -32,7 +32,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx := t.Context()
-				options := reportedFleet()
+				options := typicalFleet()
 				options.daemons, options.partitions, options.batches = 3, 1, 12
 				// The budget of each daemon may cover the contents of all partitions.
 				bytes := options.daemons * options.batches * options.texts * options.textBytes
@@ -61,7 +61,7 @@
 		"the journal takes 0.3 s to answer": func(options *fleetOptions) { options.journalLatency = 300 * time.Millisecond },
 	} {
 		t.Run(name, func(t *testing.T) {
-			options := reportedFleet()
+			options := typicalFleet()
 			set(&options)
 			stats := askAllAfter(t, options, recoveryTimeout)
 			if stats.failed+stats.timedOut > 0 {
@@ -86,7 +86,7 @@
 // checkServesAllSoon reads all batches from a fleet that has just started, with a journal that
 // delivers the given fraction of its grant.
 func checkServesAllSoon(t *testing.T, fraction float64) {
-	options := reportedFleet()
+	options := typicalFleet()
 	options.journalRate *= fraction
 	stats := askAllAfter(t, options, 100*time.Millisecond)
 	if stats.unfinished > 0 || stats.took > restartTimeout {
