--- a/internal/batches/results/restart_test.go
+++ b/internal/batches/results/restart_test.go
@@ -58,8 +58,8 @@
 	d.log.Limit(restartJournalRate)
 	fleet := ledgertest.Start(ctx, d.log, restartDaemons, restartLinkRate)
 	d.incarnations, d.ledgers, d.assigned = fleet.Runs, fleet.Ledgers, fleet.Dealt
-	for i, run := range d.incarnations {
-		d.readers = append(d.readers, NewReader(d.ledgers[i], d, d, d.log.Grants(), run, logger))
+	for i, incarnation := range d.incarnations {
+		d.readers = append(d.readers, NewReader(d.ledgers[i], d, d, d.log.Grants(), incarnation, logger))
 	}
 	fleet.Deal()
 	return d
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -57,11 +57,11 @@
 func newDaemons(ctx context.Context, count int) *daemons {
 	d := &daemons{log: journaltest.New(), unreachable: map[string]bool{}}
 	for i := range count {
-		run := identity.New(fmt.Sprintf("m%d", i), time.Now())
+		incarnation := identity.New(fmt.Sprintf("m%d", i), time.Now())
 		batches := ledger.New(ctx, d.log, zap.NewNop())
-		d.incarnations = append(d.incarnations, run)
+		d.incarnations = append(d.incarnations, incarnation)
 		d.ledgers = append(d.ledgers, batches)
-		d.readers = append(d.readers, NewReader(batches, d, d, scarceGrants, run, zap.NewNop()))
+		d.readers = append(d.readers, NewReader(batches, d, d, scarceGrants, incarnation, zap.NewNop()))
 	}
 	return d
 }
