--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -9,100 +9,111 @@
 )
 
 const (
-	// ownReadShare is the part of the journal's bandwidth that all daemons together use
-	// to read partitions for questions. The other half is left to those who must read: the
-	// watchers of partitions, and the followers of configurations and replicas.
-	ownReadShare = 0.5
-	// ownReadTime is for how long a daemon saves up what it does not read: the questions of
-	// one caller about one batch are some seconds apart.
-	ownReadTime = 4 * time.Second
+	// ownReadFraction is the fraction of the journal's bandwidth that all daemons together use to
+	// read partitions for queries. The rest is left to watchers of partitions and to followers of
+	// configurations and replicas.
+	ownReadFraction = 0.5
+	// budgetBurstTime is the time over which unused budget accumulates. A caller's queries about
+	// one batch are some seconds apart.
+	budgetBurstTime = 4 * time.Second
 )
 
-// readBudget is what this daemon may read for questions: its part of a share of the
-// journal's bandwidth, by what the journal is seen to send. It begins empty, so that after a
-// start of all daemons at once the bandwidth belongs to the watchers of partitions.
+// readBudget bounds what this daemon reads for queries, as a token bucket of bytes: the daemon's
+// part of ownReadFraction of the bandwidth that the journal is seen to deliver. It starts empty, so
+// that just after a start of all daemons the bandwidth is left to the watchers. It is safe for
+// concurrent use.
 type readBudget struct {
+	// bytesPerSecond is the read bandwidth that the journal grants to all daemons.
 	bytesPerSecond float64
-	daemons        func() int
-	limiter        *rate.Limiter
+	// daemonCount returns the number of daemons, 0 while it is not known.
+	daemonCount func() int
+	limiter     *rate.Limiter
 
-	mu    sync.Mutex
-	share *bandwidthShare
-	// daemonsSeen is how many daemons there were at the last look.
-	daemonsSeen int
+	// mu guards the fields below and makes adjust atomic.
+	mu        sync.Mutex
+	bandwidth *bandwidthFraction
+	// lastDaemonCount is the number of daemons at the last adjust.
+	lastDaemonCount int
 }
 
-// newReadBudget returns the budget of one of some daemons before a journal that sends so
-// many bytes a second. Nothing may be read as long as their number is 0.
+// newReadBudget returns an empty budget for one of daemonCount() daemons that share a journal of
+// bytesPerSecond. Nothing may be read while the number of daemons is 0.
 func newReadBudget(bytesPerSecond float64, daemons func() int) *readBudget {
 	now := time.Now()
 	b := &readBudget{
 		bytesPerSecond: bytesPerSecond,
-		daemons:        daemons,
+		daemonCount:    daemons,
 		limiter:        rate.NewLimiter(0, 1),
-		share:          newBandwidthShare(now),
+		bandwidth:      newBandwidthFraction(now),
 	}
 	b.adjust(now)
-	b.empty(now)
+	b.discardTokens(now)
 	return b
 }
 
-// adjust brings the budget up to date with the number of daemons and with the share.
+// adjust updates the rate and the burst to the number of daemons and the usable bandwidth. It
+// discards the accumulated budget when the number of daemons rises.
 func (b *readBudget) adjust(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	daemons, bytes := b.daemons(), 0.0
+	daemons, bytes := b.daemonCount(), 0.0
 	if daemons > 0 {
-		bytes = b.bytesPerSecond * ownReadShare * b.share.now(now) / float64(daemons)
+		bytes = b.bytesPerSecond * ownReadFraction * b.bandwidth.current(now) / float64(daemons)
 	}
 	if b.limiter.Limit() != rate.Limit(bytes) {
 		b.limiter.SetLimitAt(now, rate.Limit(bytes))
-		b.limiter.SetBurstAt(now, max(int(bytes*ownReadTime.Seconds()), 1))
+		b.limiter.SetBurstAt(now, max(int(bytes*budgetBurstTime.Seconds()), 1))
 	}
-	if daemons > b.daemonsSeen {
-		// What was saved up while fewer were known is the others' too.
-		b.empty(now)
+	if daemons > b.lastDaemonCount {
+		// What accumulated while fewer daemons were known belongs to the others as well.
+		b.discardTokens(now)
 	}
-	b.daemonsSeen = daemons
+	b.lastDaemonCount = daemons
 }
 
-// empty takes all that was saved up.
-func (b *readBudget) empty(now time.Time) { b.limiter.AllowN(now, int(b.limiter.TokensAt(now))) }
+// discardTokens empties the bucket.
+func (b *readBudget) discardTokens(now time.Time) {
+	b.limiter.AllowN(now, int(b.limiter.TokensAt(now)))
+}
 
-// take takes bytes off the budget if it has that many.
+// take takes bytes off the budget and reports whether it had that many. It takes nothing otherwise.
 func (b *readBudget) take(bytes int) bool {
 	now := time.Now()
 	b.adjust(now)
 	return b.limiter.AllowN(now, bytes)
 }
 
-// late tells the budget that a read was given up as late: its share is less from now on.
-func (b *readBudget) late() {
+// noteLate records that a read was late, and reduces the rate.
+func (b *readBudget) noteLate() {
 	now := time.Now()
 	b.mu.Lock()
-	b.share.late(now)
+	b.bandwidth.noteLate(now)
 	b.mu.Unlock()
 	b.adjust(now)
 }
 
-// reduced reports whether the journal was late lately, so that less than the whole share is used.
-func (b *readBudget) reduced() bool {
+// recentlyLate reports whether the rate was reduced for a late read within the last
+// budgetBurstTime.
+func (b *readBudget) recentlyLate() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.share.wasLate(time.Now())
+	return b.bandwidth.recentlyLate(time.Now())
 }
 
-func (b *readBudget) left() int {
+// available returns how many bytes may be read now.
+func (b *readBudget) available() int {
 	return max(int(b.limiter.Tokens()), 0)
 }
 
-// takePage takes a page off the budget, or all that it may save up where that is less.
+// takePage takes a page of the given size off the budget, or a full bucket if the page is larger
+// than that. It reports whether the budget had as much.
 func (b *readBudget) takePage(bytes int) bool {
 	b.adjust(time.Now())
 	return b.take(min(bytes, b.limiter.Burst()))
 }
 
-// await waits until the budget has had so many bytes more, or until the context ends.
+// await takes bytes off the budget as they become available. It returns an error if the context
+// ends before that.
 func (b *readBudget) await(ctx context.Context, bytes int) error {
 	for bytes > 0 {
 		b.adjust(time.Now())
@@ -114,7 +125,7 @@
 		case part <= b.limiter.Burst():
 			return err
 		}
-		// Else the number of daemons has risen since, and with it fell what fits.
+		// Otherwise the burst has shrunk below part meanwhile, so a smaller part is tried.
 	}
 	return nil
 }
--- a/internal/batches/results/budget_test.go
+++ b/internal/batches/results/budget_test.go
@@ -9,93 +9,91 @@
 	"github.com/matryer/is"
 )
 
-// A share that rises gives nothing up of what was saved, also where several questions bring the
-// budget up to date at the same time: one whose moment is a little older than the last one's
-// takes the rise for a fall, and throws all away.
-func TestARisingShareKeepsWhatWasSaved(t *testing.T) {
+// Guards against a rising fraction discarding the accumulated budget when adjust is called with a
+// slightly older time than before.
+func TestRisingFractionKeepsSavedTokens(t *testing.T) {
 	is := is.New(t)
 	budget := newReadBudget(80e6, func() int { return 84 })
 	now := time.Now()
 	budget.mu.Lock()
-	budget.share.part = 0.5
+	budget.bandwidth.fraction = 0.5
 	budget.mu.Unlock()
 	budget.adjust(now)
 	budget.adjust(now.Add(4 * time.Second))
 	saved := budget.limiter.TokensAt(now.Add(4 * time.Second))
 	is.True(saved > 500e3)
-	budget.adjust(now.Add(4*time.Second - time.Microsecond)) // a question that looked at its clock before
+	budget.adjust(now.Add(4*time.Second - time.Microsecond)) // a query that read its clock earlier
 	left := budget.limiter.TokensAt(now.Add(4 * time.Second))
 	t.Logf("saved %.0f bytes, left %.0f", saved, left)
 	is.True(left > saved/2)
 }
 
-// The same with real questions: many at a time look whether the budget allows their read.
-func TestConcurrentLooksKeepWhatWasSaved(t *testing.T) {
+// Guards against concurrent queries discarding the accumulated budget while the fraction rises.
+func TestConcurrentAdjustKeepsSavedTokens(t *testing.T) {
 	budget := newReadBudget(80e6, func() int { return 84 })
 	budget.mu.Lock()
-	budget.share.part = 0.25
+	budget.bandwidth.fraction = 0.25
 	budget.mu.Unlock()
 	budget.adjust(time.Now())
 	time.Sleep(time.Second)
-	drained := 0
-	var looking sync.WaitGroup
+	discards := 0
+	var adjusting sync.WaitGroup
 	var mu sync.Mutex
 	for range 8 {
-		looking.Go(func() {
-			before := budget.left()
+		adjusting.Go(func() {
+			before := budget.available()
 			for until := time.Now().Add(2 * time.Second); time.Now().Before(until); time.Sleep(50 * time.Microsecond) {
 				budget.adjust(time.Now())
-				left := budget.left()
+				left := budget.available()
 				mu.Lock()
 				if left < before/2 && before > 10000 {
-					drained++
+					discards++
 				}
 				mu.Unlock()
 				before = left
 			}
 		})
 	}
-	looking.Wait()
-	t.Logf("all saved up was thrown away at %d looks, %d bytes left, of some %d", drained, budget.left(), 428571)
-	if drained > 0 {
+	adjusting.Wait()
+	t.Logf("accumulated budget discarded %d times, %d bytes left of about %d", discards, budget.available(), 428571)
+	if discards > 0 {
 		t.Fail()
 	}
 }
 
-// A read that was given up as late halves what a daemon reads for questions, once for all that are
-// late at the same time, and it comes back steadily.
-func TestALateReadHalvesTheShare(t *testing.T) {
+// Several reads that are late at the same time halve the fraction once, and it recovers steadily.
+func TestLateReadHalvesFraction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newBandwidthShare(time.Now())
-		is.Equal(s.now(time.Now()), 1.0)
-		is.True(!s.wasLate(time.Now()))
-		s.late(time.Now())
-		s.late(time.Now())
-		is.Equal(s.now(time.Now()), 0.5)
-		is.True(s.wasLate(time.Now()))
+		s := newBandwidthFraction(time.Now())
+		is.Equal(s.current(time.Now()), 1.0)
+		is.True(!s.recentlyLate(time.Now()))
+		s.noteLate(time.Now())
+		s.noteLate(time.Now())
+		is.Equal(s.current(time.Now()), 0.5)
+		is.True(s.recentlyLate(time.Now()))
 		for range 20 {
-			time.Sleep(lateRest)
-			s.late(time.Now())
+			time.Sleep(minHalvingInterval)
+			s.noteLate(time.Now())
 		}
-		is.True(s.now(time.Now()) < 3*lateRest.Seconds()/recoverTime.Seconds())
-		time.Sleep(recoverTime)
-		is.Equal(s.now(time.Now()), 1.0)
-		is.True(!s.wasLate(time.Now()))
+		is.True(s.current(time.Now()) < 3*minHalvingInterval.Seconds()/recoveryTime.Seconds())
+		time.Sleep(recoveryTime)
+		is.Equal(s.current(time.Now()), 1.0)
+		is.True(!s.recentlyLate(time.Now()))
 	})
 }
 
-// A daemon whose reads are late reads less for questions than its part of the grant.
-func TestABudgetGoesByWhatTheJournalSends(t *testing.T) {
+// A late read reduces a daemon's budget below its part of the grant.
+func TestLateReadReducesBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		budget := newReadBudget(80e6, func() int { return 84 })
-		time.Sleep(ownReadTime)
-		whole := budget.left()
-		is.True(whole > 0)
-		budget.late()
-		is.True(budget.reduced())
-		is.True(!budget.take(whole * 3 / 4))
-		is.True(budget.take(whole / 4))
+		time.Sleep(budgetBurstTime)
+		full := budget.available()
+		is.True(full > 0)
+		budget.noteLate()
+		is.True(budget.recentlyLate())
+		is.True(!budget.take(full * 3 / 4))
+		is.True(budget.take(full / 4))
 	})
 }
--- a/internal/batches/results/fleet_test.go
+++ b/internal/batches/results/fleet_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
-// With the race detector these bubbles of 84 daemons and millions of timers end in a SIGSEGV of its
-// runtime, once in three runs; they run without it.
+// The race detector's runtime crashes with SIGSEGV in about one of three runs of these tests, which
+// have 84 daemons and millions of timers in a synctest bubble.
 
 package results
 
@@ -26,37 +26,37 @@
 )
 
 const (
-	// callerLeaves is how long a caller waits beyond the time that it allows a question to
-	// be held, callerReturns when it asks another daemon after that.
-	callerLeaves  = 1500 * time.Millisecond
-	callerReturns = 500 * time.Millisecond
-	// chunkBytes is what a link carries of one answer before the next one has its turn.
+	// callerTimeout is how long a caller waits beyond the wait of its query, callerRetryDelay when
+	// it then asks another daemon.
+	callerTimeout    = 1500 * time.Millisecond
+	callerRetryDelay = 500 * time.Millisecond
+	// chunkBytes is what a link carries of one answer before another has its turn.
 	chunkBytes = 256 << 10
-	// silentRest is how long a peer is left alone that did not answer.
-	silentRest = time.Second
+	// peerBackoff is how long a peer that did not answer is not called.
+	peerBackoff = time.Second
 )
 
-// link carries bytes at a rate, in turns among those who send.
+// link is a network link of a given rate that its senders share in turns.
 type link struct {
 	bytesPerSecond float64
-	// whole links carry one answer after the other, and to its end also where nobody
-	// awaits it any more.
-	whole bool
+	// wholeAnswers links carry an answer to its end before the next, even if its receiver has given
+	// up.
+	wholeAnswers bool
 
 	mu        sync.Mutex
 	busyUntil time.Time
 	carried   atomic.Int64
 }
 
-// set changes the link's rate.
-func (l *link) set(bytesPerSecond float64) {
+// setRate changes the rate of the link.
+func (l *link) setRate(bytesPerSecond float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.bytesPerSecond = bytesPerSecond
 }
 
-// take takes the link for so many bytes, and returns how long it takes until it has carried them.
-func (l *link) take(bytes int) time.Duration {
+// reserve occupies the link for a number of bytes, and returns the time until it has carried them.
+func (l *link) reserve(bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now := time.Now(); l.busyUntil.Before(now) {
@@ -67,35 +67,35 @@
 	return time.Until(l.busyUntil)
 }
 
-// carryOver sends an answer over links that follow each other. A part that one link has begun to
-// carry is passed on at once; the slowest sets the pace.
-func carryOver(ctx context.Context, bytes int, links ...*link) error {
-	part := chunkBytes
-	if links[0].whole {
-		part = bytes
+// transfer sends an answer over a chain of links, chunk by chunk. All links carry a chunk at the
+// same time, and the slowest determines the rate.
+func transfer(ctx context.Context, bytes int, links ...*link) error {
+	chunk := chunkBytes
+	if links[0].wholeAnswers {
+		chunk = bytes
 	}
-	for ; bytes > 0; bytes -= part {
-		var takes time.Duration
+	for ; bytes > 0; bytes -= chunk {
+		var duration time.Duration
 		for _, each := range links {
-			takes = max(takes, each.take(min(part, bytes)))
+			duration = max(duration, each.reserve(min(chunk, bytes)))
 		}
-		if err := pause(ctx, takes); err != nil {
+		if err := pause(ctx, duration); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// distant is a journal as one machine reaches it: each answer takes a time, and records
-// come over the links of the journal and of the machine.
-type distant struct {
+// remoteJournal is the journal as one machine reaches it: each answer has a latency, and records
+// pass the links of the journal and of the machine.
+type remoteJournal struct {
 	*journaltest.Journal
 	fleet *fleet
 	links []*link
 }
 
-func (d distant) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
-	if err := pause(ctx, time.Duration(d.fleet.readTakes.Load())); err != nil {
+func (d remoteJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+	if err := pause(ctx, time.Duration(d.fleet.readLatency.Load())); err != nil {
 		return journal.Records{}, errors.Wrap(journal.ErrUnknown, err.Error())
 	}
 	read, err := d.Journal.Read(ctx, request)
@@ -103,8 +103,8 @@
 		return read, err
 	}
 	for i, record := range read.Records {
-		if err := carryOver(ctx, len(record), d.links...); err != nil {
-			// Those that came whole are of use, as to a client of the platform.
+		if err := transfer(ctx, len(record), d.links...); err != nil {
+			// Records that arrived whole are returned, as by a client of the platform.
 			read.Records = read.Records[:i]
 			return read, errors.Wrap(journal.ErrUnknown, err.Error())
 		}
@@ -112,87 +112,87 @@
 	return read, nil
 }
 
-func (d distant) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
-	if err := pause(ctx, d.fleet.options.takes); err != nil {
+func (d remoteJournal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
+	if err := pause(ctx, d.fleet.options.journalLatency); err != nil {
 		return journal.Assignment{}, errors.Wrap(journal.ErrUnknown, err.Error())
 	}
 	return d.Journal.Join(ctx, request)
 }
 
-func (d distant) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
-	if err := pause(ctx, d.fleet.options.takes); err != nil {
+func (d remoteJournal) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
+	if err := pause(ctx, d.fleet.options.journalLatency); err != nil {
 		return nil, errors.Wrap(journal.ErrUnknown, err.Error())
 	}
 	return d.Journal.Owners(ctx, group)
 }
 
-// fleetOptions say what a fleet is like.
+// fleetOptions are the parameters of a fleet.
 type fleetOptions struct {
 	daemons, partitions, batches int
-	// texts is how many texts a batch has, of textBytes each, and perRecord how many of
-	// them a record lists.
+	// texts is the number of texts of a batch, of textBytes each; a record lists perRecord of them.
 	texts, textBytes, perRecord int
-	// weak and strong are the rates of the machines' links, in bytes a second; every
-	// strongEach-th machine has a strong one.
-	weak, strong float64
-	strongEach   int
-	// granted and carries are what the journal grants and sends, in bytes a second.
-	granted, carries float64
-	// takes is the time of an answer of the journal, peerTakes of one of a peer.
-	takes, peerTakes time.Duration
-	// knowPeers is how long after a start a daemon knows of the others.
-	knowPeers time.Duration
-	whole     bool
-	revive    bool
+	// slowLinkRate and fastLinkRate are the rates of the machines' links, in bytes per second.
+	// Every fastLinkEach-th machine has a fast one.
+	slowLinkRate, fastLinkRate float64
+	fastLinkEach               int
+	// grantedRate and journalRate are the rates that the journal grants and delivers, in bytes per
+	// second.
+	grantedRate, journalRate float64
+	// journalLatency and peerLatency are the times of an answer of the journal and of a peer.
+	journalLatency, peerLatency time.Duration
+	// peersKnownDelay is how long after its start a daemon knows of the others.
+	peersKnownDelay time.Duration
+	wholeAnswers    bool
+	revive          bool
 }
 
-// reported are the options of a fleet as users run it: four trainers with steps of some 150
-// texts, the batches of a day, most machines behind weak links.
-func reported() fleetOptions {
+// typicalFleet returns the parameters of a typical fleet: four trainers with steps of about 150
+// texts, the batches of a day, and most machines behind slow links.
+func typicalFleet() fleetOptions {
 	return fleetOptions{daemons: 84, partitions: 24, batches: 52, texts: 148, textBytes: 6500, perRecord: 37,
-		weak: 60e6 / 8, strong: 600e6 / 8, strongEach: 4, granted: 80e6, carries: 80e6,
-		takes: 4 * time.Millisecond, peerTakes: 4 * time.Millisecond,
-		knowPeers: 500 * time.Millisecond, revive: true}
+		slowLinkRate: 60e6 / 8, fastLinkRate: 600e6 / 8, fastLinkEach: 4, grantedRate: 80e6, journalRate: 80e6,
+		journalLatency: 4 * time.Millisecond, peerLatency: 4 * time.Millisecond,
+		peersKnownDelay: 500 * time.Millisecond, revive: true}
 }
 
 // node is one daemon of a fleet.
 type node struct {
-	run      string
-	reader   *Reader
-	service  *Service
-	ledger   *ledger.Ledger
-	member   *group.Member
-	revived  *journal.LostCallDetector
-	down, up *link
-
-	mu    sync.Mutex
-	rests map[string]time.Time
+	incarnation string
+	reader      *Reader
+	service     *Service
+	ledger      *ledger.Ledger
+	member      *group.Member
+	revived     *journal.LostCallDetector
+	down, up    *link
+
+	mu           sync.Mutex
+	backoffUntil map[string]time.Time
 }
 
-// fleet are daemons that have just started, before a journal that holds ended batches.
+// fleet is a set of daemons that have just started, with a journal that holds listed batches.
 type fleet struct {
-	options fleetOptions
-	log     *journaltest.Journal
-	store   *link
-	nodes   []*node
-	began   time.Time
-	// readTakes is the time of an answer to a read, a time.Duration.
-	readTakes atomic.Int64
-	// told is what daemons sent each other, in bytes.
-	told, asked atomic.Int64
+	options     fleetOptions
+	log         *journaltest.Journal
+	journalLink *link
+	nodes       []*node
+	began       time.Time
+	// readLatency is the time of an answer to a read, a time.Duration.
+	readLatency atomic.Int64
+	// sentBytes is the size of the answers to peers, peerCalls the number of calls.
+	sentBytes, peerCalls atomic.Int64
 }
 
 func newFleet(ctx context.Context, t *testing.T, options fleetOptions, logger *zap.Logger) *fleet {
 	f := &fleet{
-		options: options,
-		log:     journaltest.New(),
-		store:   &link{bytesPerSecond: options.carries, whole: options.whole},
-		began:   time.Now(),
+		options:     options,
+		log:         journaltest.New(),
+		journalLink: &link{bytesPerSecond: options.journalRate, wholeAnswers: options.wholeAnswers},
+		began:       time.Now(),
 	}
-	f.readTakes.Store(int64(options.takes))
+	f.readLatency.Store(int64(options.journalLatency))
 	f.log.Partitions = options.partitions
 	f.log.RecordBytes = 256 << 10
-	f.log.Rates = journal.RateLimits{ReadBytesPerSecond: options.granted}
+	f.log.Rates = journal.RateLimits{ReadBytesPerSecond: options.grantedRate}
 	f.fill(t, ledger.New(ctx, f.log, zap.NewNop()))
 	f.log.ResetUsage()
 	for i := range options.daemons {
@@ -201,7 +201,7 @@
 	return f
 }
 
-// fill appends the batches.
+// fill appends the batches to the journal.
 func (f *fleet) fill(t *testing.T, batches *ledger.Ledger) {
 	put := func(id string, record []byte) {
 		if err := batches.PartitionOf(id).Append(context.Background(), record); err != nil {
@@ -232,52 +232,52 @@
 	}
 }
 
-// start starts a daemon.
+// start starts the daemon of a given number.
 func (f *fleet) start(ctx context.Context, number int, logger *zap.Logger) *node {
-	rate := f.options.weak
-	if number%f.options.strongEach == 0 {
-		rate = f.options.strong
+	rate := f.options.slowLinkRate
+	if number%f.options.fastLinkEach == 0 {
+		rate = f.options.fastLinkRate
 	}
 	n := &node{
-		run:   identity.New(fmt.Sprintf("m%d", number), time.Now()),
-		down:  &link{bytesPerSecond: rate, whole: f.options.whole},
-		up:    &link{bytesPerSecond: rate, whole: f.options.whole},
-		rests: map[string]time.Time{},
+		incarnation:  identity.New(fmt.Sprintf("m%d", number), time.Now()),
+		down:         &link{bytesPerSecond: rate, wholeAnswers: f.options.wholeAnswers},
+		up:           &link{bytesPerSecond: rate, wholeAnswers: f.options.wholeAnswers},
+		backoffUntil: map[string]time.Time{},
 	}
-	var log journal.Journal = distant{Journal: f.log, fleet: f, links: []*link{f.store, n.down}}
+	var log journal.Journal = remoteJournal{Journal: f.log, fleet: f, links: []*link{f.journalLink, n.down}}
 	if f.options.revive {
 		n.revived = journal.DetectLostCalls(log, zap.NewNop())
 		log = n.revived
 	}
 	n.ledger = ledger.New(ctx, log, zap.NewNop())
-	n.member = group.New(log, n.run, append(ledger.TopicNames(), "woodworks.runners"), zap.NewNop())
-	n.reader = NewReader(n.ledger, n.member, &neighbours{f, n}, log.RateLimits(), n.run, logger)
+	n.member = group.New(log, n.incarnation, append(ledger.TopicNames(), "woodworks.runners"), zap.NewNop())
+	n.reader = NewReader(n.ledger, n.member, &fleetPeers{f, n}, log.RateLimits(), n.incarnation, logger)
 	n.service = n.reader.Service(ctx)
 	go n.member.Run(ctx)
 	go n.watch(ctx)
-	// Daemons that are asked now and then save up all along.
-	time.AfterFunc(f.options.knowPeers, func() { n.reader.budget.adjust(time.Now()) })
-	for i, held := range []time.Duration{
+	// The budget accumulates from here on, as if queries had updated it.
+	time.AfterFunc(f.options.peersKnownDelay, func() { n.reader.budget.adjust(time.Now()) })
+	for i, wait := range []time.Duration{
 		1200 * time.Millisecond, 1200 * time.Millisecond, 9 * time.Second, 9 * time.Second,
 	} {
-		go follow(ctx, log, journal.Partition{Topic: fmt.Sprintf("keyed.%d", i)}, held)
+		go follow(ctx, log, journal.Partition{Topic: fmt.Sprintf("keyed.%d", i)}, wait)
 	}
 	return n
 }
 
-// follow holds reads of a short partition, as those of configurations are.
-func follow(ctx context.Context, log journal.Journal, name journal.Partition, held time.Duration) {
+// follow repeats long polls of a short partition, as followers of configurations do.
+func follow(ctx context.Context, log journal.Journal, name journal.Partition, wait time.Duration) {
 	for ctx.Err() == nil {
-		bounded, cancel := context.WithTimeout(ctx, held+1500*time.Millisecond)
-		if _, err := log.Read(bounded, journal.Read{Partition: name, Wait: held}); err != nil {
+		bounded, cancel := context.WithTimeout(ctx, wait+1500*time.Millisecond)
+		if _, err := log.Read(bounded, journal.Read{Partition: name, Wait: wait}); err != nil {
 			_ = pause(ctx, 200*time.Millisecond)
 		}
 		cancel()
 	}
 }
 
-// watch follows the partitions dealt to the daemon once the group has settled, and drops folds that
-// nobody uses.
+// watch follows the partitions that the group assigns to the daemon, once the group is stable, and
+// drops unused folds.
 func (n *node) watch(ctx context.Context) {
 	type followed struct {
 		release func()
@@ -286,17 +286,17 @@
 	watched := map[journal.Partition]*followed{}
 	last := int64(0)
 	for pause(ctx, 200*time.Millisecond) == nil {
-		dealt, generation := n.member.Partitions(), n.member.Generation()
+		assigned, generation := n.member.Partitions(), n.member.Generation()
 		settled := generation == last
 		last = generation
-		for name := range dealt {
+		for name := range assigned {
 			if settled && watched[name] == nil && name.Topic != "woodworks.runners" {
 				watched[name] = &followed{release: n.ledger.Partition(name).Follow()}
 			}
 		}
 		for name, each := range watched {
 			switch {
-			case dealt[name]:
+			case assigned[name]:
 				each.dropped = time.Time{}
 			case each.dropped.IsZero():
 				each.dropped = time.Now()
@@ -309,92 +309,93 @@
 	}
 }
 
-// neighbours is the rest of the fleet, as one daemon reaches it. It implements Peers.
-type neighbours struct {
+// fleetPeers are the other daemons as one daemon reaches them. It implements Peers.
+type fleetPeers struct {
 	fleet *fleet
 	from  *node
 }
 
-// Daemons implements Peers; their number is told as 0 until it is known.
-func (n *neighbours) Daemons() int {
-	if time.Since(n.fleet.began) < n.fleet.options.knowPeers {
+// Daemons implements Peers. It returns 0 until the others are known.
+func (n *fleetPeers) Daemons() int {
+	if time.Since(n.fleet.began) < n.fleet.options.peersKnownDelay {
 		return 0
 	}
 	return n.fleet.options.daemons
 }
 
-var errResting = errors.New("did not answer a moment ago")
+var errBackingOff = errors.New("peer did not answer recently")
 
 // Ask implements Peers.
-func (n *neighbours) Ask(ctx context.Context, machine, method string, args, reply any) error {
+func (n *fleetPeers) Ask(ctx context.Context, machine, method string, args, reply any) error {
 	n.from.mu.Lock()
-	resting := time.Now().Before(n.from.rests[machine])
+	backingOff := time.Now().Before(n.from.backoffUntil[machine])
 	n.from.mu.Unlock()
-	if resting {
-		return errResting
+	if backingOff {
+		return errBackingOff
 	}
-	n.fleet.asked.Add(1)
+	n.fleet.peerCalls.Add(1)
 	err := n.await(ctx, machine, args.(Query), reply.(*Page))
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		n.from.mu.Lock()
-		n.from.rests[machine] = time.Now().Add(silentRest)
+		n.from.backoffUntil[machine] = time.Now().Add(peerBackoff)
 		n.from.mu.Unlock()
 	}
 	return err
 }
 
-// await makes a call and waits for its answer as long as the caller does.
-func (n *neighbours) await(ctx context.Context, machine string, query Query, page *Page) error {
-	var told Page
+// await makes a call and waits for its answer until the context ends.
+func (n *fleetPeers) await(ctx context.Context, machine string, query Query, page *Page) error {
+	var answer Page
 	done := make(chan error, 1)
-	go func() { done <- n.call(ctx, machine, query, &told) }()
+	go func() { done <- n.call(ctx, machine, query, &answer) }()
 	select {
 	case err := <-done:
-		*page = told
+		*page = answer
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (n *neighbours) call(ctx context.Context, machine string, query Query, page *Page) error {
-	if err := pause(ctx, n.fleet.options.peerTakes); err != nil {
+func (n *fleetPeers) call(ctx context.Context, machine string, query Query, page *Page) error {
+	if err := pause(ctx, n.fleet.options.peerLatency); err != nil {
 		return err
 	}
 	for _, each := range n.fleet.nodes {
-		if identity.Machine(each.run) != machine {
+		if identity.Machine(each.incarnation) != machine {
 			continue
 		}
-		var told Page
-		if err := each.service.Results(query, &told); err != nil {
+		var answer Page
+		if err := each.service.Results(query, &answer); err != nil {
 			return err
 		}
-		bytes := told.bytes()
-		n.fleet.told.Add(int64(bytes))
-		if err := carryOver(ctx, bytes, each.up, n.from.down); err != nil {
+		bytes := answer.bytes()
+		n.fleet.sentBytes.Add(int64(bytes))
+		if err := transfer(ctx, bytes, each.up, n.from.down); err != nil {
 			return err
 		}
-		*page = told
+		*page = answer
 		return nil
 	}
-	return errDark
+	return errUnreachable
 }
 
-// wave is what came of asking for all batches at one time.
-type wave struct {
+// queryStats counts the outcomes of queries.
+type queryStats struct {
 	mu sync.Mutex
-	// refused questions had an error, left ones no answer before their caller left.
-	refused, left, questions, unfinished int
-	// most is the largest number of tries for one page.
-	most int
-	took time.Duration
-	why  map[string]int
+	// failed queries returned an error, timedOut ones had no answer within callerTimeout.
+	// unfinished is the number of readers that did not get all results.
+	failed, timedOut, queries, unfinished int
+	// maxTries is the largest number of tries for one page.
+	maxTries    int
+	took        time.Duration
+	errorCounts map[string]int
 }
 
-// ask asks for every batch at once, each by so many readers, until all is told or the context
-// ends. Every third reader has its questions held.
-func (f *fleet) ask(ctx context.Context, seed uint64, readers int) *wave {
-	w := &wave{why: map[string]int{}}
+// ask reads every batch at once, each by up to the given number of readers, until all are read or
+// the context ends. Every third reader uses long polls.
+func (f *fleet) ask(ctx context.Context, seed uint64, readers int) *queryStats {
+	w := &queryStats{errorCounts: map[string]int{}}
 	began := time.Now()
 	var asking sync.WaitGroup
 	for i := range f.options.batches {
@@ -413,10 +414,10 @@
 	return w
 }
 
-// readAll reads a batch page by page, each at a random daemon.
-func (f *fleet) readAll(ctx context.Context, w *wave, query Query, random *rand.Rand) {
+// readAll reads a batch page by page, each page at a random daemon.
+func (f *fleet) readAll(ctx context.Context, w *queryStats, query Query, random *rand.Rand) {
 	for total, tries := 1, 1; query.After < total; tries++ {
-		page, err := f.question(ctx, f.nodes[random.IntN(len(f.nodes))], query)
+		page, err := f.query(ctx, f.nodes[random.IntN(len(f.nodes))], query)
 		if ctx.Err() != nil {
 			w.mu.Lock()
 			w.unfinished++
@@ -425,43 +426,43 @@
 		}
 		w.note(err, tries)
 		if err != nil {
-			_ = pause(ctx, callerReturns)
+			_ = pause(ctx, callerRetryDelay)
 			continue
 		}
 		query.After, total, tries = page.Next, page.Total, 0
 	}
 }
 
-// question asks a daemon, and has the answer come over the daemon's link.
-func (f *fleet) question(ctx context.Context, at *node, query Query) (Page, error) {
-	bounded, cancel := context.WithTimeout(ctx, query.Wait+callerLeaves)
+// query asks a daemon and transfers the answer over the daemon's link.
+func (f *fleet) query(ctx context.Context, at *node, query Query) (Page, error) {
+	bounded, cancel := context.WithTimeout(ctx, query.Wait+callerTimeout)
 	defer cancel()
 	page, err := at.reader.Results(bounded, query)
 	if err == nil && !page.Found {
 		err = errors.New("not found")
 	}
 	if err == nil {
-		err = carryOver(bounded, page.bytes(), at.up)
+		err = transfer(bounded, page.bytes(), at.up)
 	}
 	if bounded.Err() != nil {
-		return page, errLeft
+		return page, errCallerTimeout
 	}
 	return page, err
 }
 
-var errLeft = errors.New("the caller left")
+var errCallerTimeout = errors.New("the caller timed out")
 
-func (w *wave) note(err error, tries int) {
+func (w *queryStats) note(err error, tries int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.questions++
-	w.most = max(w.most, tries)
+	w.queries++
+	w.maxTries = max(w.maxTries, tries)
 	switch {
-	case err == errLeft:
-		w.left++
+	case err == errCallerTimeout:
+		w.timedOut++
 	case err != nil:
-		w.refused++
-		w.why[err.Error()]++
+		w.failed++
+		w.errorCounts[err.Error()]++
 	}
 }
 
--- a/internal/batches/results/golden_test.go
+++ b/internal/batches/results/golden_test.go
@@ -7,7 +7,8 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestMessagesKeepTheirForm(t *testing.T) {
+// Guards against changes of the RPC protocol between daemons of different versions.
+func TestMessageEncoding(t *testing.T) {
 	golden.Service(t, ServiceName, &Service{})
 	golden.Gob[Query](t, "query")
 	golden.Gob[Page](t, "page")
--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -11,24 +11,25 @@
 	"woodworks/internal/daemon/periodic"
 )
 
-// resultsHere answers from the fold of this daemon. That there are no results is said
-// only after a read of the journal that was begun after the question came.
-func (r *Reader) resultsHere(ctx context.Context, query Query) (Page, error) {
+// resultsFromFold answers with a page of results from this daemon's fold. The page is empty, or
+// denies the batch, only after a read of the journal that began after the call. If the batch has no
+// result at the position yet, it waits for one up to query.Wait.
+func (r *Reader) resultsFromFold(ctx context.Context, query Query) (Page, error) {
 	began := time.Now()
 	partition := r.ledger.PartitionOf(query.BatchID)
-	page := lookUp(partition, query)
+	page := pageOf(partition, query)
 	switch {
 	case len(page.Results) == 0:
-		if page, err := awaitFold(ctx, partition, query); len(page.Results) > 0 || err != nil {
+		if page, err := catchUpUntilResults(ctx, partition, query); len(page.Results) > 0 || err != nil {
 			return page, err
 		}
-		if err := mayDeny(partition, query.BatchID); err != nil && !query.Samples.further() {
+		if err := checkCoverage(partition, query.BatchID); err != nil && !query.Samples.isFurther() {
 			return Page{}, err
 		}
-		page = lookUp(partition, query)
-	case page.Next < page.Total && time.Since(partition.LastReadToEnd()) > staleAfter:
+		page = pageOf(partition, query)
+	case page.Next < page.Total && time.Since(partition.LastReadToEnd()) > maxFoldAge:
 		r.refresh(ctx, partition)
-		page = lookUp(partition, query)
+		page = pageOf(partition, query)
 	}
 	left := query.Wait - time.Since(began)
 	if page.Found && len(page.Results) == 0 && left > 0 && query.After < page.Total {
@@ -37,8 +38,8 @@
 	return page, nil
 }
 
-// refresh reads the journal up to now if it answers soon. There may be more results by
-// now, but those known are true all the same.
+// refresh reads the journal up to now, for at most refreshTimeout. An error is only logged: the
+// results that the fold holds stay true, though more may exist.
 func (r *Reader) refresh(ctx context.Context, partition *ledger.Partition) {
 	bounded, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
@@ -47,28 +48,32 @@
 	}
 }
 
-func (r *Reader) itemHere(ctx context.Context, query ItemQuery) (Body, error) {
+// itemFromFold answers with the body of an item from this daemon's fold. It reads the journal up to
+// now before it denies the item.
+func (r *Reader) itemFromFold(ctx context.Context, query ItemQuery) (Body, error) {
 	partition := r.ledger.PartitionOf(query.BatchID)
 	if body := itemBody(partition, query); body.Found {
 		return body, nil
 	}
-	if err := readToDeny(ctx, partition, query.BatchID); err != nil {
+	if err := catchUpAndCheckCoverage(ctx, partition, query.BatchID); err != nil {
 		return Body{}, err
 	}
 	return itemBody(partition, query), nil
 }
 
-// itemsHere answers from the fold of this daemon, after a read of the journal that is begun
-// after the question came.
-func (r *Reader) itemsHere(ctx context.Context, query ItemsQuery) (Items, error) {
+// itemsFromFold answers with items of a batch from this daemon's fold, always after a read of the
+// journal that began after the call: the batch may have ended meanwhile.
+func (r *Reader) itemsFromFold(ctx context.Context, query ItemsQuery) (Items, error) {
 	partition := r.ledger.PartitionOf(query.BatchID)
-	if err := readToDeny(ctx, partition, query.BatchID); err != nil {
+	if err := catchUpAndCheckCoverage(ctx, partition, query.BatchID); err != nil {
 		return Items{}, err
 	}
 	return itemsOf(partition, query), nil
 }
 
-func (r *Reader) beginningHere(ctx context.Context, query BeginningQuery) (Beginning, error) {
+// beginningFromFold answers with the offset of a batch from this daemon's fold. It reads the
+// journal up to now if the fold does not hold the batch.
+func (r *Reader) beginningFromFold(ctx context.Context, query BeginningQuery) (Beginning, error) {
 	partition := r.ledger.PartitionOf(query.BatchID)
 	if beginning := beginningOf(partition, query.BatchID); beginning.Found {
 		return beginning, nil
@@ -79,63 +84,66 @@
 	return beginningOf(partition, query.BatchID), nil
 }
 
-// readToDeny reads the journal up to now, after which the fold may deny what it lacks of a batch.
-func readToDeny(ctx context.Context, partition *ledger.Partition, batchID string) error {
+// catchUpAndCheckCoverage reads the journal up to now. Without an error, what the fold still lacks
+// of a batch does not exist. The error wraps ErrNotCaughtUp.
+func catchUpAndCheckCoverage(ctx context.Context, partition *ledger.Partition, batchID string) error {
 	if err := catchUp(ctx, partition); err != nil {
 		return err
 	}
-	return mayDeny(partition, batchID)
+	return checkCoverage(partition, batchID)
 }
 
-// catchUp reads the journal up to now.
+// catchUp reads the journal up to now, for at most catchUpTimeout. The error wraps ErrNotCaughtUp.
 func catchUp(ctx context.Context, partition *ledger.Partition) error {
 	bounded, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	if err := partition.CatchUp(bounded); err != nil {
-		return errors.Wrap(ErrBehind, err.Error())
+		return errors.Wrap(ErrNotCaughtUp, err.Error())
 	}
 	return nil
 }
 
-// catchUpWithin reads the journal up to now, again and again for as long as the caller
-// waits anyway: one that is sent away in an outage comes back after its end, one that waits
-// has its answer at the end.
-func catchUpWithin(ctx context.Context, partition *ledger.Partition, wait time.Duration) error {
+// catchUpWithRetries reads the journal up to now, and repeats a failed read for as long as the
+// query may be kept open: a long poll during an outage is answered when the outage ends.
+func catchUpWithRetries(ctx context.Context, partition *ledger.Partition, wait time.Duration) error {
 	until := time.Now().Add(wait)
 	for {
 		err := catchUp(ctx, partition)
-		if err == nil || ctx.Err() != nil || time.Now().Add(catchUpPause).After(until) {
+		if err == nil || ctx.Err() != nil || time.Now().Add(catchUpRetryDelay).After(until) {
 			return err
 		}
-		periodic.Pause(ctx, catchUpPause)
+		periodic.Pause(ctx, catchUpRetryDelay)
 	}
 }
 
-// awaitFold reads the journal up to now, or until the fold has results: of a long partition
-// they may be there seconds before its end.
-func awaitFold(ctx context.Context, partition *ledger.Partition, query Query) (page Page, err error) {
+// catchUpUntilResults reads the journal up to now and returns early with a page once the fold has
+// results for it, as the rest of a long partition may take seconds. The page is empty if there are
+// none; the error is that of the read.
+func catchUpUntilResults(ctx context.Context, partition *ledger.Partition, query Query) (page Page, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	read := async(func() (any, error) { return nil, catchUpWithin(ctx, partition, query.Wait) })
-	if page, ok := awaitLookUp(partition, query, read.done); ok {
+	read := async(func() (any, error) { return nil, catchUpWithRetries(ctx, partition, query.Wait) })
+	if page, ok := awaitPage(partition, query, read.done); ok {
 		return page, nil
 	}
 	return Page{}, read.err
 }
 
-// awaitResults follows the partition until there is a result or the time is up.
+// awaitResults follows the partition until the fold has results for the query, for at most left. It
+// returns the page as it is then, which may be empty.
 func awaitResults(ctx context.Context, partition *ledger.Partition, query Query, left time.Duration) Page {
 	defer partition.Follow()()
 	bounded, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	page, _ := awaitLookUp(partition, query, bounded.Done())
+	page, _ := awaitPage(partition, query, bounded.Done())
 	return page
 }
 
-// awaitLookUp looks until the fold has results, and reports whether it had before stop was closed.
-func awaitLookUp(partition *ledger.Partition, query Query, stop <-chan struct{}) (page Page, ok bool) {
+// awaitPage waits until the fold has results for the query, and reports whether it had any before
+// stop was closed.
+func awaitPage(partition *ledger.Partition, query Query, stop <-chan struct{}) (page Page, ok bool) {
 	ok = partition.Await(stop, func() bool {
-		page = lookUp(partition, query)
+		page = pageOf(partition, query)
 		return len(page.Results) > 0
 	})
 	return page, ok
--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -10,32 +10,33 @@
 	"woodworks/internal/batches/ledger"
 )
 
-// enterCold takes a place in cold for a question that may read a partition from its beginning.
-// The error wraps ErrBehind.
-func (r *Reader) enterCold(ctx context.Context) error {
+// acquireColdRead takes a slot of coldReads, which the caller must give back. It waits at most
+// catchUpTimeout. The error wraps ErrNotCaughtUp.
+func (r *Reader) acquireColdRead(ctx context.Context) error {
 	timer := time.NewTimer(catchUpTimeout)
 	defer timer.Stop()
 	select {
-	case r.cold <- struct{}{}:
+	case r.coldReads <- struct{}{}:
 		return nil
 	case <-timer.C:
-		return errors.Wrap(ErrBehind, "other partitions are being read")
+		return errors.Wrap(ErrNotCaughtUp, "other partitions are being read")
 	case <-ctx.Done():
-		return errors.Wrap(ErrBehind, ctx.Err().Error())
+		return errors.Wrap(ErrNotCaughtUp, ctx.Err().Error())
 	}
 }
 
-// budgetLeft is how many bytes this daemon may read for questions now, 0 where it has no budget.
+// budgetLeft returns how many bytes this daemon may read for queries now, 0 if it has no budget.
 func (r *Reader) budgetLeft() int {
 	if r.budget == nil {
 		return 0
 	}
-	return r.budget.left()
+	return r.budget.available()
 }
 
-// affords reports whether the budget allows this daemon to read what it lacks of a partition, and
-// takes that off it. How much it is shows with the first page, which is read for that.
-func (r *Reader) affords(ctx context.Context, partition *ledger.Partition) bool {
+// reserveMissing takes the bytes that the fold lacks of a partition off the budget, and reports
+// whether the budget covered them. If nothing of the partition has been read, it first reads one
+// page within the budget to learn the size.
+func (r *Reader) reserveMissing(ctx context.Context, partition *ledger.Partition) bool {
 	if r.budget == nil {
 		return true
 	}
@@ -53,19 +54,19 @@
 	return missing == 0 || r.budget.take(missing)
 }
 
-// readPages reads a partition whose watcher cannot be asked, page by page at the rate of the budget;
-// the first page at once, unless the journal has been late; and no more once the fold is ready to
-// answer. What was read counts at the next question, also where the context ends before the partition
-// does. The error wraps ErrBehind.
+// readPages reads a partition page by page at the rate of the budget, until the fold is complete or
+// ready reports true. The first page is read at once, unless the journal was late recently. Pages
+// that were read stay in the fold, so that a query that times out helps the next one. The error
+// wraps ErrNotCaughtUp.
 func (r *Reader) readPages(ctx context.Context, partition *ledger.Partition, ready func() bool) error {
-	for unpaced := !r.budget.reduced(); ; unpaced = false {
+	for unpaced := !r.budget.recentlyLate(); ; unpaced = false {
 		missing, ok := partition.MissingBytes()
 		if ok && missing == 0 || ready() {
 			return nil
 		}
 		if !unpaced {
-			if err := r.budget.await(ctx, r.nextPage(missing, ok)); err != nil {
-				return errors.Wrap(ErrBehind, err.Error())
+			if err := r.budget.await(ctx, r.nextPageBytes(missing, ok)); err != nil {
+				return errors.Wrap(ErrNotCaughtUp, err.Error())
 			}
 		}
 		if err := r.readPage(ctx, partition); err != nil {
@@ -74,8 +75,8 @@
 	}
 }
 
-// readPage reads a page, and tells the budget if the journal was late with it: if it did not come
-// in the time that the watcher would have had.
+// readPage reads a page. A read that fails after watcherTimeout or more counts as late and reduces
+// the budget. The error wraps ErrNotCaughtUp.
 func (r *Reader) readPage(ctx context.Context, partition *ledger.Partition) error {
 	began := time.Now()
 	err := partition.ReadPage(ctx)
@@ -83,13 +84,14 @@
 		return nil
 	}
 	if time.Since(began) >= watcherTimeout {
-		r.budget.late()
+		r.budget.noteLate()
 	}
-	return errors.Wrap(ErrBehind, err.Error())
+	return errors.Wrap(ErrNotCaughtUp, err.Error())
 }
 
-// nextPage is what the next page of a partition brings at most, in bytes.
-func (r *Reader) nextPage(missing int, ok bool) int {
+// nextPageBytes returns the maximum size of the next page of a partition, given what
+// Partition.Missing returned.
+func (r *Reader) nextPageBytes(missing int, ok bool) int {
 	if !ok {
 		return r.ledger.MaxPageBytes()
 	}
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -11,80 +11,83 @@
 )
 
 var (
-	// errUnaffordable: the budget does not allow this daemon to read what it lacks.
-	errUnaffordable = errors.Wrap(ErrBehind, "more to read than the budget allows")
-	// errSelf: this daemon watches the partition.
-	errSelf = errors.Wrap(ErrBehind, "the watcher is this daemon")
-	// errLate: the own read has not ended, and the watcher is to be asked meanwhile.
-	errLate = errors.Wrap(ErrBehind, "the own read is late")
+	// errOverBudget says that the fold lacks more than the budget allows this daemon to read.
+	errOverBudget = errors.Wrap(ErrNotCaughtUp, "more to read than the budget allows")
+	// errWatcherIsSelf says that this daemon watches the partition, so that there is no other to
+	// ask.
+	errWatcherIsSelf = errors.Wrap(ErrNotCaughtUp, "the watcher is this daemon")
+	// errOwnReadLate says that the own read continues, but the watcher must be asked as well.
+	errOwnReadLate = errors.Wrap(ErrNotCaughtUp, "the own read is late")
 )
 
-// question is a question on its way to an answer.
-type question[Q, T any] struct {
-	*trace
-	kind[Q, T]
+// pendingQuery is a query that is being answered.
+type pendingQuery[Q, T any] struct {
+	*queryTrace
+	queryKind[Q, T]
 }
 
-// kind is how one kind of questions is answered: a query of type Q by an answer of type T.
-type kind[Q, T any] struct {
-	// method is what the watcher is called with.
+// queryKind says how queries of type Q are answered, with an answer of type T.
+type queryKind[Q, T any] struct {
+	// method is the RPC method of the watcher.
 	method string
-	// query returns the query that may be kept open for wait.
-	query func(wait time.Duration) Q
-	// here answers from this daemon's fold; ready reports whether that has the answer already.
-	here  func(ctx context.Context, query Q) (T, error)
-	ready func() bool
+	// withWait returns the query with the time for which it may be kept open.
+	withWait func(wait time.Duration) Q
+	// fromFold answers from this daemon's fold, after reads of the journal where needed; ready
+	// reports whether the fold holds an answer without a read.
+	fromFold func(ctx context.Context, query Q) (T, error)
+	ready    func() bool
 }
 
-// read answers a question that may be kept open for wait.
-func read[Q, T any](
-	ctx context.Context, r *Reader, batchID string, wait time.Duration, k kind[Q, T],
+// answerQuery answers a query that may be kept open for wait, within answerTimeout beyond that.
+func answerQuery[Q, T any](
+	ctx context.Context, r *Reader, batchID string, wait time.Duration, k queryKind[Q, T],
 ) (answer T, err error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+answerWithin)
+	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
-	q := question[Q, T]{trace: r.startTrace(batchID, wait), kind: k}
+	q := pendingQuery[Q, T]{queryTrace: r.startTrace(batchID, wait), queryKind: k}
 	defer func() { q.end(err) }()
 	return q.answer(ctx)
 }
 
-// answer tries the ways to an answer in their order: the fold held here, an own read within the
-// budget, the partition's watcher beside it, a read at the rate of the budget.
-func (q *question[Q, T]) answer(ctx context.Context) (answer T, err error) {
-	if q.partition.IsFresh() || q.r.budget == nil {
-		return q.here(ctx, q.query(q.wait))
+// answer tries the ways to an answer in order: a fresh fold, an own read within the budget, the
+// partition's watcher beside that read, and a read at the rate of the budget.
+func (q *pendingQuery[Q, T]) answer(ctx context.Context) (answer T, err error) {
+	if q.partition.IsFresh() || q.reader.budget == nil {
+		return q.fromFold(ctx, q.withWait(q.wait))
 	}
 	q.way = wayBudget
 	own := async(func() (T, error) { return q.readWithinBudget(ctx) })
-	answer, err = q.await(own)
+	answer, err = q.awaitOwnRead(own)
 	if err == nil || ctx.Err() != nil {
 		return answer, err
 	}
-	answer, err = q.askWatcherBeside(ctx, own)
+	answer, err = q.raceWatcher(ctx, own)
 	switch {
 	case err == nil:
 		return answer, nil
-	case errors.Is(err, errSelf):
+	case errors.Is(err, errWatcherIsSelf):
 		q.way = wayFold
-		return q.here(ctx, q.query(q.waitLeft()))
+		return q.fromFold(ctx, q.withWait(q.waitLeft()))
 	case ctx.Err() != nil:
 		return answer, err
 	}
-	return q.readAtRate(ctx, err)
+	return q.readPaced(ctx, err)
 }
 
-// readWithinBudget answers from this daemon's fold, after a read of what it lacks if the budget
-// allows that.
-func (q *question[Q, T]) readWithinBudget(ctx context.Context) (answer T, err error) {
-	if !q.r.affords(ctx, q.partition) {
-		return answer, errUnaffordable
+// readWithinBudget answers from this daemon's fold if the budget covers what the fold lacks; else
+// it returns errOverBudget.
+func (q *pendingQuery[Q, T]) readWithinBudget(ctx context.Context) (answer T, err error) {
+	if !q.reader.reserveMissing(ctx, q.partition) {
+		return answer, errOverBudget
 	}
-	return q.here(ctx, q.query(q.wait))
+	return q.fromFold(ctx, q.withWait(q.wait))
 }
 
-// await returns the outcome of the own read, or errLate once the question has waited for the
-// journal for askWatcherAfter. A long poll waits on.
-func (q *question[Q, T]) await(own *future[T]) (answer T, err error) {
-	timer := time.NewTimer(askWatcherAfter)
+// awaitOwnRead returns the outcome of the own read, or errOwnReadLate if the journal has not
+// answered within askWatcherDelay. A long poll whose read has reached the end of the partition is
+// awaited further.
+func (q *pendingQuery[Q, T]) awaitOwnRead(own *future[T]) (answer T, err error) {
+	timer := time.NewTimer(askWatcherDelay)
 	defer timer.Stop()
 	select {
 	case <-own.done:
@@ -95,14 +98,14 @@
 		<-own.done
 		return own.value, own.err
 	}
-	late := logging.Occurrence{Subject: q.partition.Name().Topic, Took: askWatcherAfter}
-	q.r.lateReads.Note(late, zap.String("batch", q.batchID), zap.Inline(q.partition))
-	return answer, errLate
+	late := logging.Occurrence{Subject: q.partition.Name().Topic, Took: askWatcherDelay}
+	q.reader.lateReads.Note(late, zap.String("batch", q.batchID), zap.Inline(q.partition))
+	return answer, errOwnReadLate
 }
 
-// askWatcherBeside asks the partition's watcher beside the own read, which may have ended, and
-// returns the first answer of the two.
-func (q *question[Q, T]) askWatcherBeside(ctx context.Context, own *future[T]) (answer T, err error) {
+// raceWatcher asks the partition's watcher while the own read continues, if that has not failed,
+// and returns the first answer of the two.
+func (q *pendingQuery[Q, T]) raceWatcher(ctx context.Context, own *future[T]) (answer T, err error) {
 	q.way = wayWatcher
 	watcher := async(func() (watcherReply[T], error) { return q.askWatcher(ctx) })
 	awaitEither(own, watcher)
@@ -115,24 +118,25 @@
 		return answer, watcher.err
 	}
 	if !own.ended() {
-		// The journal sends less than this daemon took to be its share.
-		q.r.budget.late()
+		// The journal sends less than this daemon's budget assumes.
+		q.reader.budget.noteLate()
 	}
 	return watcher.value.answer, nil
 }
 
-// readAtRate reads the partition at the rate of the budget, as its watcher could not be asked.
-func (q *question[Q, T]) readAtRate(ctx context.Context, cause error) (answer T, err error) {
+// readPaced answers after reading the partition at the rate of the budget. The cause, why the
+// watcher gave no answer, is logged.
+func (q *pendingQuery[Q, T]) readPaced(ctx context.Context, cause error) (answer T, err error) {
 	q.way = wayPaced
-	if err := q.r.enterCold(ctx); err != nil {
+	if err := q.reader.acquireColdRead(ctx); err != nil {
 		return answer, err
 	}
-	defer func() { <-q.r.cold }()
+	defer func() { <-q.reader.coldReads }()
 	missing, _ := q.partition.MissingBytes()
-	q.r.logger.Info("partition read for a question", zap.String("batch", q.batchID), zap.Inline(q.partition),
+	q.reader.logger.Info("partition read for a query", zap.String("batch", q.batchID), zap.Inline(q.partition),
 		zap.String("watcher", q.call.watcher), zap.Int("missing", missing), zap.String("reason", cause.Error()))
-	if err := q.r.readPages(ctx, q.partition, q.ready); err != nil {
+	if err := q.reader.readPages(ctx, q.partition, q.ready); err != nil {
 		return answer, err
 	}
-	return q.here(ctx, q.query(q.waitLeft()))
+	return q.fromFold(ctx, q.withWait(q.waitLeft()))
 }
--- a/internal/batches/results/results_test.go
+++ b/internal/batches/results/results_test.go
@@ -25,9 +25,9 @@
 
 func init() { testseed.Fix() }
 
-var errDark = errors.New("no answer")
+var errUnreachable = errors.New("daemon unreachable")
 
-// pause lets a time pass, or ends with the context.
+// pause waits for a duration, or returns an error when the context ends.
 func pause(ctx context.Context, length time.Duration) error {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
@@ -39,34 +39,34 @@
 	}
 }
 
-// daemons are some readers over one journal. They implement Watchers and Peers.
+// daemons are readers of one journal. They implement Watchers and Peers.
 type daemons struct {
-	log     *journaltest.Journal
-	runs    []string
-	ledgers []*ledger.Ledger
-	readers []*Reader
+	log          *journaltest.Journal
+	incarnations []string
+	ledgers      []*ledger.Ledger
+	readers      []*Reader
 
 	mu      sync.Mutex
 	watcher int
-	// dealt, if not nil, names the watcher of each partition in place of watcher.
-	dealt map[journal.Partition]int
-	dark  map[string]bool
-	asked int
+	// assigned, if not nil, is the index of the watcher of each partition, in place of watcher.
+	assigned    map[journal.Partition]int
+	unreachable map[string]bool
+	asked       int
 }
 
 func newDaemons(ctx context.Context, count int) *daemons {
-	d := &daemons{log: journaltest.New(), dark: map[string]bool{}}
+	d := &daemons{log: journaltest.New(), unreachable: map[string]bool{}}
 	for i := range count {
-		run := identity.New(fmt.Sprintf("m%d", i), time.Now())
+		incarnation := identity.New(fmt.Sprintf("m%d", i), time.Now())
 		batches := ledger.New(ctx, d.log, zap.NewNop())
-		d.runs = append(d.runs, run)
+		d.incarnations = append(d.incarnations, incarnation)
 		d.ledgers = append(d.ledgers, batches)
-		d.readers = append(d.readers, NewReader(batches, d, d, scarce, run, zap.NewNop()))
+		d.readers = append(d.readers, NewReader(batches, d, d, scarceGrants, incarnation, zap.NewNop()))
 	}
 	return d
 }
 
-// withDaemons runs a test in a bubble of synctest, with some daemons.
+// withDaemons runs a test in a synctest bubble, with count daemons.
 func withDaemons(
 	t *testing.T, count int, test func(ctx context.Context, t *testing.T, is *is.I, d *daemons),
 ) {
@@ -74,6 +74,7 @@
 	synctest.Test(t, func(t *testing.T) { test(t.Context(), t, is.New(t), newDaemons(t.Context(), count)) })
 }
 
+// watch makes a daemon the watcher of all partitions; -1 is for an unknown watcher.
 func (d *daemons) watch(daemon int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,36 +82,36 @@
 }
 
 // Daemons implements Peers.
-func (d *daemons) Daemons() int { return len(d.runs) }
+func (d *daemons) Daemons() int { return len(d.incarnations) }
 
-// scarce is too little for any number of daemons to read partitions by themselves.
-var scarce = journal.RateLimits{ReadBytesPerSecond: 1}
+// scarceGrants grants too little for own reads, whatever the number of daemons.
+var scarceGrants = journal.RateLimits{ReadBytesPerSecond: 1}
 
 // WatcherOf implements Watchers.
 func (d *daemons) WatcherOf(_ context.Context, partition journal.Partition) (string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.dealt != nil {
-		return d.runs[d.dealt[partition]], true
+	if d.assigned != nil {
+		return d.incarnations[d.assigned[partition]], true
 	}
 	if d.watcher < 0 {
 		return "", false
 	}
-	return d.runs[d.watcher], true
+	return d.incarnations[d.watcher], true
 }
 
 // Ask implements Peers.
 func (d *daemons) Ask(ctx context.Context, machine, method string, args, reply any) error {
 	d.mu.Lock()
 	d.asked++
-	dark := d.dark[machine]
+	unreachable := d.unreachable[machine]
 	d.mu.Unlock()
-	if dark {
+	if unreachable {
 		<-ctx.Done()
-		return errDark
+		return errUnreachable
 	}
-	for i, run := range d.runs {
-		if identity.Machine(run) != machine {
+	for i, incarnation := range d.incarnations {
+		if identity.Machine(incarnation) != machine {
 			continue
 		}
 		service := d.readers[i].Service(ctx)
@@ -119,7 +120,7 @@
 		}
 		return service.Results(args.(Query), reply.(*Page))
 	}
-	return errDark
+	return errUnreachable
 }
 
 func (d *daemons) accept(t interface{ Fatal(...any) }, id string, items int) {
@@ -136,9 +137,8 @@
 	}
 }
 
-// A question costs what its batch is worth: with the fold held by one daemon, no other
-// reads the partition from its beginning.
-func TestQuestionsGoToTheDaemonThatHoldsTheFold(t *testing.T) {
+// Guards against daemons reading a whole partition for a query that the watcher can answer.
+func TestQueriesAreForwardedToWatcher(t *testing.T) {
 	withDaemons(t, 40, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.accept(t, "b", 3)
 		text := make([]byte, 100<<10)
@@ -164,9 +164,8 @@
 	})
 }
 
-// Daemons read by themselves what their share of the journal's bandwidth allows, and
-// nothing just after a start.
-func TestDaemonsReadByThemselvesWhereBandwidthIsEnough(t *testing.T) {
+// Own reads are limited to this daemon's part of the bandwidth, and to nothing just after a start.
+func TestOwnReadsStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		for _, each := range []struct {
@@ -178,31 +177,31 @@
 		} {
 			budget := newReadBudget(80e6, func() int { return each.daemons })
 			is.True(!budget.take(each.bytes))
-			time.Sleep(ownReadTime)
+			time.Sleep(budgetBurstTime)
 			is.Equal(budget.take(each.bytes), each.want)
 		}
 		d := newDaemons(t.Context(), 1)
 		partition := d.ledgers[0].PartitionOf("b")
 		is.True(NewReader(d.ledgers[0], d, d, journal.RateLimits{}, "self", zap.NewNop()).
-			affords(t.Context(), partition))
+			reserveMissing(t.Context(), partition))
 		is.True(NewReader(d.ledgers[0], nil, nil, journal.RateLimits{ReadBytesPerSecond: 1}, "self", zap.NewNop()).
-			affords(t.Context(), partition))
+			reserveMissing(t.Context(), partition))
 	})
 }
 
-// With the watcher dark or not known, a question is answered from the journal.
-func TestQuestionsAreAnsweredWithoutTheWatcher(t *testing.T) {
-	for name, watcher := range map[string]int{"dark": 1, "not known": -1} {
+// Guards against failed queries when the watcher is unreachable or not known.
+func TestQueriesAreAnsweredWithoutWatcher(t *testing.T) {
+	for name, watcher := range map[string]int{"unreachable": 1, "not known": -1} {
 		t.Run(name, func(t *testing.T) {
 			withDaemons(t, 3, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 				d.accept(t, "b", 2)
 				d.watch(watcher)
-				d.dark["m1"] = true
+				d.unreachable["m1"] = true
 				began := time.Now()
 				page, err := d.readers[2].Results(ctx, Query{BatchID: "b"})
 				is.NoErr(err)
 				is.True(page.Found)
-				is.True(time.Since(began) <= watcherTimeout+watcherPause)
+				is.True(time.Since(began) <= watcherTimeout+watcherSearchInterval)
 				page, err = d.readers[2].Results(ctx, Query{BatchID: "other"})
 				is.NoErr(err)
 				is.True(!page.Found)
@@ -211,8 +210,8 @@
 	}
 }
 
-// A question that is held is answered when a result comes, through the watcher too.
-func TestAHeldQuestionEndsWithTheResult(t *testing.T) {
+// Guards against a long poll that misses a result when it is forwarded to the watcher.
+func TestLongPollEndsWithResult(t *testing.T) {
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.accept(t, "b", 2)
 		time.AfterFunc(400*time.Millisecond, func() {
@@ -230,31 +229,31 @@
 	})
 }
 
-// While the journal is silent nothing is denied.
-func TestNothingIsDeniedWhileTheJournalIsSilent(t *testing.T) {
+// Guards against denying a batch without a read of the journal.
+func TestAbsenceIsNotReportedWhileJournalHangs(t *testing.T) {
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
 		_, err := d.readers[1].Results(ctx, Query{BatchID: "b"})
-		is.True(errors.Is(err, ErrBehind))
+		is.True(errors.Is(err, ErrNotCaughtUp))
 	})
 }
 
-// asking is one call of a history: an acceptance, or a question whether a batch exists.
-type asking struct{ accept, found bool }
+// operation is one call of a history: the acceptance of a batch, or a query whether it exists.
+type operation struct{ accept, found bool }
 
-// existence is the model of one batch: it is not there, then it is for ever.
-var existence = porcupine.Model{
+// existenceModel is the sequential model of one batch, which exists from its acceptance on.
+var existenceModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
-		if input.(asking).accept {
+		if input.(operation).accept {
 			return true, true
 		}
-		return output.(asking).found == state.(bool), state
+		return output.(operation).found == state.(bool), state
 	},
 	Equal: func(first, second any) bool { return first == second },
 }
 
-// step is what befalls some daemons after a pause.
+// step is a change or a call at one daemon after a pause.
 type step struct {
 	pause  time.Duration
 	daemon int
@@ -269,33 +268,33 @@
 	}
 }
 
-// Whoever is asked, while the partition changes hands and watchers go dark: what one
-// daemon has told, none denies.
-func TestAllDaemonsTellOneHistory(t *testing.T) {
-	asked := 0
+// Guards against one daemon denying a batch that another has reported, while watchers change and
+// become unreachable.
+func TestAnswersAreLinearizable(t *testing.T) {
+	calls := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawStep), 10, 30).Draw(rt, "steps")
 		var history []porcupine.Operation
-		synctest.Test(t, func(t *testing.T) { history = play(t, steps) })
-		asked += len(history)
-		if !porcupine.CheckOperations(existence, history) {
-			rt.Fatalf("the answers are no single history: %+v", history)
+		synctest.Test(t, func(t *testing.T) { history = runSteps(t, steps) })
+		calls += len(history)
+		if !porcupine.CheckOperations(existenceModel, history) {
+			rt.Fatalf("the answers are not linearizable: %+v", history)
 		}
 	})
-	if asked < 500 {
-		t.Fatalf("only %d calls were checked", asked)
+	if calls < 500 {
+		t.Fatalf("only %d calls were checked", calls)
 	}
 }
 
-// play carries the steps out and returns the calls made.
-func play(t *testing.T, steps []step) []porcupine.Operation {
+// runSteps executes the steps and returns the history of calls.
+func runSteps(t *testing.T, steps []step) []porcupine.Operation {
 	ctx := t.Context()
 	d := newDaemons(ctx, 4)
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	var running sync.WaitGroup
 	start := time.Now()
-	note := func(client int, began time.Time, done asking) {
+	note := func(client int, began time.Time, done operation) {
 		mu.Lock()
 		defer mu.Unlock()
 		history = append(history, porcupine.Operation{ClientId: client, Input: done, Output: done,
@@ -309,18 +308,18 @@
 			d.watch(each.daemon)
 		case 1:
 			d.mu.Lock()
-			machine := identity.Machine(d.runs[each.daemon])
-			d.dark[machine] = !d.dark[machine]
+			machine := identity.Machine(d.incarnations[each.daemon])
+			d.unreachable[machine] = !d.unreachable[machine]
 			d.mu.Unlock()
 		case 2:
 			running.Go(func() {
 				d.accept(t, "b", 1)
-				note(client, began, asking{accept: true, found: true})
+				note(client, began, operation{accept: true, found: true})
 			})
 		default:
 			running.Go(func() {
 				if page, err := d.readers[each.daemon].Results(ctx, Query{BatchID: "b"}); err == nil {
-					note(client, began, asking{found: page.Found})
+					note(client, began, operation{found: page.Found})
 				}
 			})
 		}
@@ -329,10 +328,9 @@
 	return history
 }
 
-// A daemon that started after the journal had removed the oldest records of a partition
-// answered 404 for the batches in them, which those that had read them served on. What a
-// daemon has not read it does not deny: that is an answer only to who has read all.
-func TestNothingIsDeniedWhoseRecordsAreGone(t *testing.T) {
+// Guards against denying a batch whose records the journal removed before this daemon read them,
+// while other daemons still serve it.
+func TestAbsenceIsNotReportedForRemovedRecords(t *testing.T) {
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.watch(1)
 		d.accept(t, "b", 1)
@@ -340,11 +338,12 @@
 		d.log.Trim(partition, 1)
 		for _, daemon := range []int{1, 0} {
 			_, err := d.readers[daemon].Results(ctx, Query{BatchID: "b"})
-			is.Equal(errors.Is(err, ErrBehind), daemon == 1) // the other one has the fold
+			is.Equal(errors.Is(err, ErrNotCaughtUp), daemon == 1) // daemon 0 has the fold
 			_, err = d.readers[daemon].Item(ctx, ItemQuery{BatchID: "b", ItemID: "b-0"})
-			is.Equal(errors.Is(err, ErrBehind), daemon == 1)
+			is.Equal(errors.Is(err, ErrNotCaughtUp), daemon == 1)
 		}
-		// Of a batch that it has read it denies what there is not.
+		// A batch that the daemon has read completely can be denied to other tenants, and its
+		// missing items as well.
 		var later string
 		for i := 0; later == "" || d.ledgers[0].PartitionOf(later).Name() != partition; i++ {
 			later = fmt.Sprintf("later-%d", i)
@@ -366,53 +365,51 @@
 	})
 }
 
-// A question whose watcher said nothing waited for that one (0.9 s), then for a place among
-// those that read the journal themselves or for the journal (1.5 s each): a question that
-// was not to be held was answered after 2.4 s. Callers leave 1.5 s beyond the time that
-// they allow, and have no answer then. They hear in time that nothing can be said yet.
-func TestAQuestionIsAnsweredBeforeItsCallerLeaves(t *testing.T) {
-	const callerLeaves = 1500 * time.Millisecond
+// Guards against waits for the watcher, a read slot and the journal that add up to more than
+// callers wait.
+func TestQueryEndsBeforeCallerTimeout(t *testing.T) {
+	const callerTimeout = 1500 * time.Millisecond
 	for _, wait := range []time.Duration{0, time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.NewRelaxed(t) // used by several goroutines
 			ctx := t.Context()
 			d := newDaemons(ctx, 2)
 			d.accept(t, "b", 1)
-			d.dark[identity.Machine(d.runs[0])] = true
+			d.unreachable[identity.Machine(d.incarnations[0])] = true
 			d.log.SetFault(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
-			var asking sync.WaitGroup
-			for range 3 * coldReads {
-				asking.Go(func() {
+			var queries sync.WaitGroup
+			for range 3 * maxColdReads {
+				queries.Go(func() {
 					began := time.Now()
 					_, err := d.readers[1].Results(ctx, Query{BatchID: "b", Wait: wait})
-					is.True(errors.Is(err, ErrBehind))
-					is.True(time.Since(began) < wait+callerLeaves)
+					is.True(errors.Is(err, ErrNotCaughtUp))
+					is.True(time.Since(began) < wait+callerTimeout)
 					if wait > 0 {
 						return
 					}
 					began = time.Now()
 					_, err = d.readers[1].Item(ctx, ItemQuery{BatchID: "b", ItemID: "b-0"})
-					is.True(errors.Is(err, ErrBehind))
-					is.True(time.Since(began) < callerLeaves)
+					is.True(errors.Is(err, ErrNotCaughtUp))
+					is.True(time.Since(began) < callerTimeout)
 				})
 			}
-			asking.Wait()
+			queries.Wait()
 		})
 	}
 }
 
-// A question that is refused has a line that tells its way: what was missing here, whom this
-// daemon asked, and why that did not help.
-func TestARefusedQuestionTellsItsWay(t *testing.T) {
+// The log line of a failed query says what the fold lacked, which watcher was asked, and for how
+// long.
+func TestFailedQueryIsLogged(t *testing.T) {
 	withDaemons(t, 2, func(ctx context.Context, t *testing.T, is *is.I, d *daemons) {
 		d.accept(t, "b", 1)
 		core, logs := observer.New(zap.InfoLevel)
-		reader := NewReader(ledger.New(ctx, d.log, zap.NewNop()), d, d, scarce, d.runs[1], zap.New(core))
+		reader := NewReader(ledger.New(ctx, d.log, zap.NewNop()), d, d, scarceGrants, d.incarnations[1], zap.New(core))
 		var ways []string
 		reader.SetObserver(func(way string, answered bool, _ time.Duration) {
 			ways = append(ways, fmt.Sprint(way, answered))
 		})
-		d.dark[identity.Machine(d.runs[0])] = true
+		d.unreachable[identity.Machine(d.incarnations[0])] = true
 		d.log.SetFault(func(call journaltest.Call) journaltest.Fault {
 			if call == journaltest.Read {
 				return journaltest.Hang
@@ -420,15 +417,15 @@
 			return journaltest.None
 		})
 		_, err := reader.Results(ctx, Query{BatchID: "b"})
-		is.True(errors.Is(err, ErrBehind))
-		lines := logs.FilterMessage("question not answered").All()
+		is.True(errors.Is(err, ErrNotCaughtUp))
+		lines := logs.FilterMessage("query not answered").All()
 		is.Equal(len(lines), 1)
-		told := lines[0].ContextMap()
-		is.Equal(told["batch"], "b")
-		is.Equal(told["way"], "paced")
-		is.Equal(told["watcher"], d.runs[0])
-		is.Equal(told["watcher_asked"], watcherTimeout)
-		is.Equal(told["missing_known"], false)
+		fields := lines[0].ContextMap()
+		is.Equal(fields["batch"], "b")
+		is.Equal(fields["way"], "paced")
+		is.Equal(fields["watcher"], d.incarnations[0])
+		is.Equal(fields["watcher_asked"], watcherTimeout)
+		is.Equal(fields["missing_known"], false)
 		is.Equal(ways, []string{"pacedfalse"})
 	})
 }
--- a/internal/batches/results/watcher_test.go
+++ b/internal/batches/results/watcher_test.go
@@ -14,22 +14,22 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// A watcher's reply that comes after its time is still written by net/rpc: reading it then was a
-// data race, which -race shows.
-func TestALateReplyIsNotRead(t *testing.T) {
+// Guards against a data race with net/rpc, which may still write a watcher's reply after the call
+// timed out.
+func TestLateReplyIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
 		var late sync.WaitGroup
-		peers := &alone{daemons: 2, watcher: "h/1"}
+		peers := &stubPeers{daemons: 2, watcher: "h/1"}
 		peers.answer = func(ctx context.Context, _, reply any) error {
 			<-ctx.Done()
 			late.Go(func() { *reply.(*Beginning) = Beginning{Found: true, Offset: 7} })
 			return ctx.Err()
 		}
-		reader := NewReader(ledger.New(t.Context(), log, zap.NewNop()), peers, peers, scarce, "m0/1", zap.NewNop())
+		reader := NewReader(ledger.New(t.Context(), log, zap.NewNop()), peers, peers, scarceGrants, "m0/1", zap.NewNop())
 		offset, err := reader.Beginning(t.Context(), "b")
-		is.True(errors.Is(err, ErrBehind))
+		is.True(errors.Is(err, ErrNotCaughtUp))
 		is.Equal(offset, int64(0))
 		late.Wait()
 	})
