--- a/internal/membership/lease/act.go
+++ b/internal/membership/lease/act.go
@@ -10,9 +10,9 @@
 // ErrNotHeld: the lease does not let this daemon act now, or not for long enough.
 var ErrNotHeld = errors.New("lease: not held")
 
-// actMargin is how much of the lease must be left for an act to be begun. The act ends
+// minRemaining is how much of the lease must be left for an act to be begun. The act ends
 // half of it before the lease does, as it must have arrived by then.
-const actMargin = 250 * time.Millisecond
+const minRemaining = 250 * time.Millisecond
 
 // Fencer tells under which fence its daemon may act. A Lease is one.
 type Fencer interface {
@@ -27,10 +27,10 @@
 	ctx context.Context, l Fencer, timeout time.Duration, call func(ctx context.Context, fence int64) error,
 ) (fence int64, err error) {
 	fence, left, may := l.Fence()
-	if !may || left < actMargin {
+	if !may || left < minRemaining {
 		return 0, ErrNotHeld
 	}
-	bounded, cancel := context.WithTimeout(ctx, min(timeout, left-actMargin/2))
+	bounded, cancel := context.WithTimeout(ctx, min(timeout, left-minRemaining/2))
 	defer cancel()
 	return fence, call(bounded, fence)
 }
