--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -192,7 +192,7 @@
 // reportOne makes one call and reports whether the platform took it.
 func (r *Reporter) reportOne(ctx context.Context, window int64) bool {
 	requests := r.state.decided[window]
-	fence, err := lease.Act(ctx, r.lease, callTimeout, func(ctx context.Context, fence int64) error {
+	fence, err := lease.Do(ctx, r.lease, callTimeout, func(ctx context.Context, fence int64) error {
 		authority := duty.Authority{Holder: r.holder, Fence: fence}
 		return r.driver.ReportUsage(ctx, authority, duty.Usage{Window: window, Requests: requests})
 	})
--- a/internal/membership/lease/act.go
+++ b/internal/membership/lease/act.go
@@ -20,10 +20,10 @@
 	Fence() (fence int64, left time.Duration, may bool)
 }
 
-// Act makes one call in the name of a lease: it ends within the timeout, and well before
+// Do makes one call in the name of a lease: it ends within the timeout, and well before
 // the lease does. It returns the fence of the call, or ErrNotHeld without a call if the lease
 // does not allow one.
-func Act(
+func Do(
 	ctx context.Context, l Fencer, timeout time.Duration, call func(ctx context.Context, fence int64) error,
 ) (fence int64, err error) {
 	fence, left, may := l.Fence()
--- a/internal/membership/lease/suspend_test.go
+++ b/internal/membership/lease/suspend_test.go
@@ -49,7 +49,7 @@
 		write(t, log, claimed)
 		holder.clock.Suspend(Duration + margin + quiet)
 		is.True(!mayAct(holder))
-		_, err := Act(ctx, holder.lease, time.Second, func(context.Context, int64) error { return nil })
+		_, err := Do(ctx, holder.lease, time.Second, func(context.Context, int64) error { return nil })
 		is.True(errors.Is(err, ErrNotHeld))
 		time.Sleep(Duration)
 		is.True(!holder.lease.Held())
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -190,7 +190,7 @@
 	fence := int64(0)
 	if err == nil {
 		m.lastOrders[key] = m.observe(key, rec, in.Now)
-		fence, err = lease.Act(ctx, m.Lease, callTimeout, func(ctx context.Context, fence int64) error {
+		fence, err = lease.Do(ctx, m.Lease, callTimeout, func(ctx context.Context, fence int64) error {
 			return m.Driver.OrderFleet(ctx, duty.Authority{Holder: m.Holder, Fence: fence},
 				duty.Fleet{Service: service, Zone: order.Zone, Desired: order.Desired})
 		})
--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -151,7 +151,7 @@
 // sendOrder sends the order under the fence of the lease, in a call that ends before the lease
 // does. It returns lease.ErrNotHeld if the lease does not allow the call.
 func (s *Syncer) sendOrder(ctx context.Context, c change, report engine.Report) error {
-	_, err := lease.Act(ctx, s.Lease, callTimeout, func(ctx context.Context, fence int64) error {
+	_, err := lease.Do(ctx, s.Lease, callTimeout, func(ctx context.Context, fence int64) error {
 		s.OrdersSent.Add(1)
 		s.logger.Info("weight change ordered", zap.String("replica", c.replica.ID), zap.String("model", c.model), zap.Int64("version", c.version),
 			zap.Int64("from", report.Versions[c.model]), zap.Int64("fence", fence), zap.Int64("after_orders", report.Orders))
