--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// margin is added to each wait for another's lease to be over.
-	margin = 300 * time.Millisecond
+	// safetyMargin is added to each wait for another's lease to be over.
+	safetyMargin = 300 * time.Millisecond
 	// claimLead is how long before it may act a successor claims the lease.
 	claimLead = 300 * time.Millisecond
 	// longestWait bounds the wait of a read for a record: one that was lost in an outage is
@@ -88,7 +88,7 @@
 // freeAt is when the lease should be claimed: just before the new holder may act. An
 // earlier claim would only take it from a holder that comes back. The mutex is held.
 func (l *Lease) freeAt() time.Time {
-	waiting := margin + max(l.quiet-claimLead, 0)
+	waiting := safetyMargin + max(l.quiet-claimLead, 0)
 	switch {
 	case l.next == 0 || l.newest.Machine == l.machine:
 		return l.newestAt
@@ -105,9 +105,9 @@
 	case l.next == 0 || l.newest.Machine == l.machine && l.newest.Active:
 		return l.now()
 	case l.newest.Kind == resigned && l.newest.Machine != l.machine:
-		return l.newestAt.Add(l.quiet + margin)
+		return l.newestAt.Add(l.quiet + safetyMargin)
 	}
-	return l.newestAt.Add(Duration + margin + l.quiet)
+	return l.newestAt.Add(Duration + safetyMargin + l.quiet)
 }
 
 // claim appends a claim on condition that nothing was written since.
