--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -14,9 +14,9 @@
 	safetyMargin = 300 * time.Millisecond
 	// claimLead is how long before it may act a successor claims the lease.
 	claimLead = 300 * time.Millisecond
-	// longestWait bounds the wait of a read for a record: one that was lost in an outage is
+	// maxReadWait bounds the wait of a read for a record: one that was lost in an outage is
 	// given up soon.
-	longestWait = time.Second
+	maxReadWait = time.Second
 )
 
 // reclaim takes the lease back if the machine's last incarnation held it last.
@@ -46,7 +46,7 @@
 	from, seen := l.next, l.looked
 	wait := time.Duration(0)
 	if seen {
-		wait = min(max(l.freeAt().Sub(l.now()), 0), longestWait)
+		wait = min(max(l.freeAt().Sub(l.now()), 0), maxReadWait)
 	}
 	l.mu.Unlock()
 	began := l.now()
