--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// forget drops what was read, as it is not kept up to date.
-func (l *Lease) forget() {
+// invalidate drops what was read, as it is not kept up to date.
+func (l *Lease) invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.looked, l.newestAt = false, time.Time{}
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -130,7 +130,7 @@
 		case candidate:
 			l.watch(ctx)
 		default:
-			l.forget()
+			l.invalidate()
 			periodic.Pause(ctx, renewInterval)
 		}
 	}
