--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -46,7 +46,7 @@
 	from, seen := l.next, l.looked
 	wait := time.Duration(0)
 	if seen {
-		wait = min(max(l.freeAt().Sub(l.now()), 0), maxReadWait)
+		wait = min(max(l.claimAt().Sub(l.now()), 0), maxReadWait)
 	}
 	l.mu.Unlock()
 	began := l.now()
@@ -68,7 +68,7 @@
 		return
 	}
 	// The read was begun after the lease must have been over, or is repeated.
-	free := !began.Before(l.freeAt())
+	free := !began.Before(l.claimAt())
 	l.mu.Unlock()
 	if free {
 		l.claim(ctx)
@@ -85,9 +85,9 @@
 	}
 }
 
-// freeAt is when the lease should be claimed: just before the new holder may act. An
+// claimAt is when the lease should be claimed: just before the new holder may act. An
 // earlier claim would only take it from a holder that comes back. The mutex is held.
-func (l *Lease) freeAt() time.Time {
+func (l *Lease) claimAt() time.Time {
 	waiting := safetyMargin + max(l.quiet-claimLead, 0)
 	switch {
 	case l.next == 0 || l.newest.Machine == l.machine:
