--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -98,9 +98,9 @@
 	return l.newestAt.Add(Duration + waiting)
 }
 
-// claimActsFrom is when a claim made now lets this daemon act: once all acts of the holder
+// claimValidFrom is when a claim made now lets this daemon act: once all acts of the holder
 // before it must be over. The mutex is held.
-func (l *Lease) claimActsFrom() time.Time {
+func (l *Lease) claimValidFrom() time.Time {
 	switch {
 	case l.next == 0 || l.newest.Machine == l.machine && l.newest.Active:
 		return l.now()
@@ -114,7 +114,7 @@
 func (l *Lease) claim(ctx context.Context) {
 	l.mu.Lock()
 	end, before := l.next, l.newest.Holder
-	actFrom := l.claimActsFrom()
+	actFrom := l.claimValidFrom()
 	l.actFrom = actFrom
 	l.mu.Unlock()
 	sent := l.now()
