--- a/internal/membership/lease/holder.go
+++ b/internal/membership/lease/holder.go
@@ -26,7 +26,7 @@
 	// A renewal without an answer is sent again on the same condition, so that
 	// one of the two counts; where the condition fails, the journal tells why.
 	if errors.Is(err, journal.ErrPosition) {
-		l.settle(ctx)
+		l.resolveConflict(ctx)
 		return
 	}
 	if ctx.Err() == nil {
@@ -34,9 +34,9 @@
 	}
 }
 
-// settle reads what stands where a renewal should: an earlier one of this
+// resolveConflict reads what stands where a renewal should: an earlier one of this
 // holder, or another's claim, by which the lease is lost.
-func (l *Lease) settle(ctx context.Context) {
+func (l *Lease) resolveConflict(ctx context.Context) {
 	l.mu.Lock()
 	from := l.next
 	l.mu.Unlock()
@@ -96,6 +96,6 @@
 		if !again || !errors.Is(err, journal.ErrPosition) {
 			return err
 		}
-		l.settle(ctx)
+		l.resolveConflict(ctx)
 	}
 }
