--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		l.logger.Debug("lease not read", zap.Error(err))
 		l.lostContact()
-		periodic.Pause(ctx, retryPause)
+		periodic.Pause(ctx, retryDelay)
 		return
 	}
 	l.mu.Lock()
@@ -121,7 +121,7 @@
 	appended, err := l.append(ctx, claimed, end)
 	if err != nil {
 		l.logger.Info("lease not claimed", zap.String("from", before), zap.Error(err))
-		periodic.Pause(ctx, retryPause)
+		periodic.Pause(ctx, retryDelay)
 		return
 	}
 	l.mu.Lock()
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -38,7 +38,7 @@
 	// renewInterval is the time between two renewals, retryPause that after a failed call
 	// of a candidate.
 	renewInterval = 400 * time.Millisecond
-	retryPause    = 150 * time.Millisecond
+	retryDelay    = 150 * time.Millisecond
 )
 
 // Lease is one daemon's part in the election. It is safe for concurrent use.
