--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -88,7 +88,7 @@
 // claimAt is when the lease should be claimed: just before the new holder may act. An
 // earlier claim would only take it from a holder that comes back. The mutex is held.
 func (l *Lease) claimAt() time.Time {
-	waiting := safetyMargin + max(l.quiet-claimLead, 0)
+	waiting := safetyMargin + max(l.quietPeriod-claimLead, 0)
 	switch {
 	case l.next == 0 || l.newest.Machine == l.machine:
 		return l.newestAt
@@ -105,9 +105,9 @@
 	case l.next == 0 || l.newest.Machine == l.machine && l.newest.Active:
 		return l.now()
 	case l.newest.Kind == resigned && l.newest.Machine != l.machine:
-		return l.newestAt.Add(l.quiet + safetyMargin)
+		return l.newestAt.Add(l.quietPeriod + safetyMargin)
 	}
-	return l.newestAt.Add(Duration + safetyMargin + l.quiet)
+	return l.newestAt.Add(Duration + safetyMargin + l.quietPeriod)
 }
 
 // claim appends a claim on condition that nothing was written since.
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -47,11 +47,11 @@
 	partition journal.Partition
 	// self is this daemon's incarnation on the machine.
 	self, machine string
-	// quiet is how long after another holder's last possible act this daemon
+	// quietPeriod is how long after another holder's last possible act this daemon
 	// must wait before its first.
-	quiet  time.Duration
-	now    bootclock.Clock
-	logger *zap.Logger
+	quietPeriod time.Duration
+	now         bootclock.Clock
+	logger      *zap.Logger
 
 	mu sync.Mutex
 	// next is the offset after the last record read or written.
@@ -76,14 +76,14 @@
 // New returns a lease on the partition for the incarnation of a daemon named self.
 func New(log journal.Journal, partition journal.Partition, self string, quiet time.Duration, logger *zap.Logger) *Lease {
 	return &Lease{
-		journal:    log,
-		partition:  partition,
-		self:       self,
-		machine:    identity.Machine(self),
-		quiet:      quiet,
-		now:        bootclock.Now,
-		logger:     logger,
-		reclaiming: true,
+		journal:     log,
+		partition:   partition,
+		self:        self,
+		machine:     identity.Machine(self),
+		quietPeriod: quiet,
+		now:         bootclock.Now,
+		logger:      logger,
+		reclaiming:  true,
 	}
 }
 
