--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -24,7 +24,7 @@
 	l.watch(ctx)
 	l.mu.Lock()
 	looked := l.looked
-	own := looked && l.next > 0 && l.newest.Machine == l.machine
+	own := looked && l.nextOffset > 0 && l.newest.Machine == l.machine
 	l.reclaiming = !looked
 	l.mu.Unlock()
 	if own {
@@ -43,7 +43,7 @@
 // be free.
 func (l *Lease) watch(ctx context.Context) {
 	l.mu.Lock()
-	from, seen := l.next, l.looked
+	from, seen := l.nextOffset, l.looked
 	wait := time.Duration(0)
 	if seen {
 		wait = min(max(l.claimAt().Sub(l.now()), 0), maxReadWait)
@@ -59,7 +59,7 @@
 	}
 	l.mu.Lock()
 	if len(records) > 0 || !l.looked {
-		l.next = from + int64(len(records))
+		l.nextOffset = from + int64(len(records))
 		if len(records) > 0 {
 			l.newest = records[len(records)-1]
 		}
@@ -90,7 +90,7 @@
 func (l *Lease) claimAt() time.Time {
 	waiting := safetyMargin + max(l.quietPeriod-claimLead, 0)
 	switch {
-	case l.next == 0 || l.newest.Machine == l.machine:
+	case l.nextOffset == 0 || l.newest.Machine == l.machine:
 		return l.newestAt
 	case l.newest.Kind == resigned:
 		return l.newestAt.Add(waiting)
@@ -102,7 +102,7 @@
 // before it must be over. The mutex is held.
 func (l *Lease) claimValidFrom() time.Time {
 	switch {
-	case l.next == 0 || l.newest.Machine == l.machine && l.newest.Active:
+	case l.nextOffset == 0 || l.newest.Machine == l.machine && l.newest.Active:
 		return l.now()
 	case l.newest.Kind == resigned && l.newest.Machine != l.machine:
 		return l.newestAt.Add(l.quietPeriod + safetyMargin)
@@ -113,7 +113,7 @@
 // claim appends a claim on condition that nothing was written since.
 func (l *Lease) claim(ctx context.Context) {
 	l.mu.Lock()
-	end, before := l.next, l.newest.Holder
+	end, before := l.nextOffset, l.newest.Holder
 	actFrom := l.claimValidFrom()
 	l.actFrom = actFrom
 	l.mu.Unlock()
@@ -126,7 +126,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held, l.fence, l.next = true, appended.Offset+1, appended.End
+	l.held, l.fence, l.nextOffset = true, appended.Offset+1, appended.End
 	l.newest, l.newestAt = record{Kind: claimed, Holder: l.self, Machine: l.machine}, l.now()
 	l.actUntil = sent.Add(Duration)
 	l.logger.Info("lease claimed", zap.Int64("fence", l.fence), zap.String("from", before),
--- a/internal/membership/lease/holder.go
+++ b/internal/membership/lease/holder.go
@@ -12,13 +12,13 @@
 // renew appends a renewal. Only an acknowledged one moves the end of the lease.
 func (l *Lease) renew(ctx context.Context) {
 	l.mu.Lock()
-	end := l.next
+	end := l.nextOffset
 	l.mu.Unlock()
 	sent := l.now()
 	appended, err := l.append(ctx, renewed, end)
 	if err == nil {
 		l.mu.Lock()
-		l.next = appended.End
+		l.nextOffset = appended.End
 		l.actUntil = sent.Add(Duration)
 		l.mu.Unlock()
 		return
@@ -38,7 +38,7 @@
 // holder, or another's claim, by which the lease is lost.
 func (l *Lease) resolveConflict(ctx context.Context) {
 	l.mu.Lock()
-	from := l.next
+	from := l.nextOffset
 	l.mu.Unlock()
 	records, err := l.read(ctx, from, 0)
 	if err != nil {
@@ -49,7 +49,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range records {
-		l.next++
+		l.nextOffset++
 		l.newest, l.newestAt, l.looked = r, l.now(), true
 		if r.Holder != l.self && l.held {
 			l.held = false
@@ -90,7 +90,7 @@
 func (l *Lease) appendResignation(ctx context.Context) error {
 	for again := true; ; again = false {
 		l.mu.Lock()
-		end := l.next
+		end := l.nextOffset
 		l.mu.Unlock()
 		_, err := l.append(ctx, resigned, end)
 		if !again || !errors.Is(err, journal.ErrPosition) {
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -54,8 +54,8 @@
 	logger      *zap.Logger
 
 	mu sync.Mutex
-	// next is the offset after the last record read or written.
-	next int64
+	// nextOffset is the offset after the last record read or written.
+	nextOffset int64
 	// newest is the newest record and newestAt when it was read; looked says that the partition
 	// has been read and is kept up to date.
 	newest   record
--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -319,7 +319,7 @@
 		// Between two renewals, so that the one made here meets none of the holder's.
 		time.Sleep(time.Second + renewInterval/2)
 		first.lease.mu.Lock()
-		end := first.lease.next
+		end := first.lease.nextOffset
 		first.lease.mu.Unlock()
 		_, err := first.lease.append(ctx, renewed, end)
 		is.NoErr(err)
--- a/internal/membership/lease/record.go
+++ b/internal/membership/lease/record.go
@@ -56,7 +56,7 @@
 	var trimmed *journal.TrimmedError
 	if errors.As(err, &trimmed) {
 		l.mu.Lock()
-		l.next = trimmed.First
+		l.nextOffset = trimmed.First
 		l.mu.Unlock()
 		return nil, err
 	}
