--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -24,7 +24,7 @@
 	l.watch(ctx)
 	l.mu.Lock()
 	looked := l.looked
-	own := looked && l.nextOffset > 0 && l.newest.Machine == l.machine
+	own := looked && l.nextOffset > 0 && l.lastRecord.Machine == l.machine
 	l.reclaiming = !looked
 	l.mu.Unlock()
 	if own {
@@ -61,7 +61,7 @@
 	if len(records) > 0 || !l.looked {
 		l.nextOffset = from + int64(len(records))
 		if len(records) > 0 {
-			l.newest = records[len(records)-1]
+			l.lastRecord = records[len(records)-1]
 		}
 		l.newestAt, l.looked = l.now(), true
 		l.mu.Unlock()
@@ -90,9 +90,9 @@
 func (l *Lease) claimAt() time.Time {
 	waiting := safetyMargin + max(l.quietPeriod-claimLead, 0)
 	switch {
-	case l.nextOffset == 0 || l.newest.Machine == l.machine:
+	case l.nextOffset == 0 || l.lastRecord.Machine == l.machine:
 		return l.newestAt
-	case l.newest.Kind == resigned:
+	case l.lastRecord.Kind == resigned:
 		return l.newestAt.Add(waiting)
 	}
 	return l.newestAt.Add(Duration + waiting)
@@ -102,9 +102,9 @@
 // before it must be over. The mutex is held.
 func (l *Lease) claimValidFrom() time.Time {
 	switch {
-	case l.nextOffset == 0 || l.newest.Machine == l.machine && l.newest.Active:
+	case l.nextOffset == 0 || l.lastRecord.Machine == l.machine && l.lastRecord.Active:
 		return l.now()
-	case l.newest.Kind == resigned && l.newest.Machine != l.machine:
+	case l.lastRecord.Kind == resigned && l.lastRecord.Machine != l.machine:
 		return l.newestAt.Add(l.quietPeriod + safetyMargin)
 	}
 	return l.newestAt.Add(Duration + safetyMargin + l.quietPeriod)
@@ -113,7 +113,7 @@
 // claim appends a claim on condition that nothing was written since.
 func (l *Lease) claim(ctx context.Context) {
 	l.mu.Lock()
-	end, before := l.nextOffset, l.newest.Holder
+	end, before := l.nextOffset, l.lastRecord.Holder
 	actFrom := l.claimValidFrom()
 	l.actFrom = actFrom
 	l.mu.Unlock()
@@ -127,7 +127,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.held, l.fence, l.nextOffset = true, appended.Offset+1, appended.End
-	l.newest, l.newestAt = record{Kind: claimed, Holder: l.self, Machine: l.machine}, l.now()
+	l.lastRecord, l.newestAt = record{Kind: claimed, Holder: l.self, Machine: l.machine}, l.now()
 	l.actUntil = sent.Add(Duration)
 	l.logger.Info("lease claimed", zap.Int64("fence", l.fence), zap.String("from", before),
 		zap.Duration("act_in", actFrom.Sub(l.now())))
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -56,11 +56,11 @@
 	mu sync.Mutex
 	// nextOffset is the offset after the last record read or written.
 	nextOffset int64
-	// newest is the newest record and newestAt when it was read; looked says that the partition
+	// lastRecord is the lastRecord record and newestAt when it was read; looked says that the partition
 	// has been read and is kept up to date.
-	newest   record
-	newestAt time.Time
-	looked   bool
+	lastRecord record
+	newestAt   time.Time
+	looked     bool
 	// held says that this daemon holds the lease, with fence; it may act from actFrom on until
 	// actUntil.
 	held              bool
