--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -36,7 +36,7 @@
 func (l *Lease) invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.looked, l.newestAt = false, time.Time{}
+	l.looked, l.lastRecordAt = false, time.Time{}
 }
 
 // watch reads the partition as a candidate and claims the lease once it must
@@ -63,7 +63,7 @@
 		if len(records) > 0 {
 			l.lastRecord = records[len(records)-1]
 		}
-		l.newestAt, l.looked = l.now(), true
+		l.lastRecordAt, l.looked = l.now(), true
 		l.mu.Unlock()
 		return
 	}
@@ -81,7 +81,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.looked {
-		l.newestAt = l.now()
+		l.lastRecordAt = l.now()
 	}
 }
 
@@ -91,11 +91,11 @@
 	waiting := safetyMargin + max(l.quietPeriod-claimLead, 0)
 	switch {
 	case l.nextOffset == 0 || l.lastRecord.Machine == l.machine:
-		return l.newestAt
+		return l.lastRecordAt
 	case l.lastRecord.Kind == resigned:
-		return l.newestAt.Add(waiting)
+		return l.lastRecordAt.Add(waiting)
 	}
-	return l.newestAt.Add(Duration + waiting)
+	return l.lastRecordAt.Add(Duration + waiting)
 }
 
 // claimValidFrom is when a claim made now lets this daemon act: once all acts of the holder
@@ -105,9 +105,9 @@
 	case l.nextOffset == 0 || l.lastRecord.Machine == l.machine && l.lastRecord.Active:
 		return l.now()
 	case l.lastRecord.Kind == resigned && l.lastRecord.Machine != l.machine:
-		return l.newestAt.Add(l.quietPeriod + safetyMargin)
+		return l.lastRecordAt.Add(l.quietPeriod + safetyMargin)
 	}
-	return l.newestAt.Add(Duration + safetyMargin + l.quietPeriod)
+	return l.lastRecordAt.Add(Duration + safetyMargin + l.quietPeriod)
 }
 
 // claim appends a claim on condition that nothing was written since.
@@ -127,7 +127,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.held, l.fence, l.nextOffset = true, appended.Offset+1, appended.End
-	l.lastRecord, l.newestAt = record{Kind: claimed, Holder: l.self, Machine: l.machine}, l.now()
+	l.lastRecord, l.lastRecordAt = record{Kind: claimed, Holder: l.self, Machine: l.machine}, l.now()
 	l.actUntil = sent.Add(Duration)
 	l.logger.Info("lease claimed", zap.Int64("fence", l.fence), zap.String("from", before),
 		zap.Duration("act_in", actFrom.Sub(l.now())))
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -58,9 +58,9 @@
 	nextOffset int64
 	// lastRecord is the lastRecord record and newestAt when it was read; looked says that the partition
 	// has been read and is kept up to date.
-	lastRecord record
-	newestAt   time.Time
-	looked     bool
+	lastRecord   record
+	lastRecordAt time.Time
+	looked       bool
 	// held says that this daemon holds the lease, with fence; it may act from actFrom on until
 	// actUntil.
 	held              bool
