--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -23,7 +23,7 @@
 func (l *Lease) reclaim(ctx context.Context) {
 	l.watch(ctx)
 	l.mu.Lock()
-	looked := l.looked
+	looked := l.synced
 	own := looked && l.nextOffset > 0 && l.lastRecord.Machine == l.machine
 	l.reclaiming = !looked
 	l.mu.Unlock()
@@ -36,14 +36,14 @@
 func (l *Lease) invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.looked, l.lastRecordAt = false, time.Time{}
+	l.synced, l.lastRecordAt = false, time.Time{}
 }
 
 // watch reads the partition as a candidate and claims the lease once it must
 // be free.
 func (l *Lease) watch(ctx context.Context) {
 	l.mu.Lock()
-	from, seen := l.nextOffset, l.looked
+	from, seen := l.nextOffset, l.synced
 	wait := time.Duration(0)
 	if seen {
 		wait = min(max(l.claimAt().Sub(l.now()), 0), maxReadWait)
@@ -58,12 +58,12 @@
 		return
 	}
 	l.mu.Lock()
-	if len(records) > 0 || !l.looked {
+	if len(records) > 0 || !l.synced {
 		l.nextOffset = from + int64(len(records))
 		if len(records) > 0 {
 			l.lastRecord = records[len(records)-1]
 		}
-		l.lastRecordAt, l.looked = l.now(), true
+		l.lastRecordAt, l.synced = l.now(), true
 		l.mu.Unlock()
 		return
 	}
@@ -80,7 +80,7 @@
 func (l *Lease) lostContact() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.looked {
+	if l.synced {
 		l.lastRecordAt = l.now()
 	}
 }
--- a/internal/membership/lease/holder.go
+++ b/internal/membership/lease/holder.go
@@ -50,7 +50,7 @@
 	defer l.mu.Unlock()
 	for _, r := range records {
 		l.nextOffset++
-		l.lastRecord, l.lastRecordAt, l.looked = r, l.now(), true
+		l.lastRecord, l.lastRecordAt, l.synced = r, l.now(), true
 		if r.Holder != l.self && l.held {
 			l.held = false
 			l.logger.Info("lease lost", zap.Int64("fence", l.fence), zap.String("to", r.Holder))
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -60,7 +60,7 @@
 	// has been read and is kept up to date.
 	lastRecord   record
 	lastRecordAt time.Time
-	looked       bool
+	synced       bool
 	// held says that this daemon holds the lease, with fence; it may act from actFrom on until
 	// actUntil.
 	held              bool
