--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -115,7 +115,7 @@
 	l.mu.Lock()
 	end, before := l.nextOffset, l.lastRecord.Holder
 	actFrom := l.claimValidFrom()
-	l.actFrom = actFrom
+	l.validFrom = actFrom
 	l.mu.Unlock()
 	sent := l.now()
 	appended, err := l.append(ctx, claimed, end)
--- a/internal/membership/lease/holder.go
+++ b/internal/membership/lease/holder.go
@@ -64,7 +64,7 @@
 func (l *Lease) Withdraw(ctx context.Context) {
 	l.mu.Lock()
 	l.resigning, l.candidate = true, false
-	idle := l.held && l.now().Before(l.actFrom)
+	idle := l.held && l.now().Before(l.validFrom)
 	l.mu.Unlock()
 	if idle {
 		l.Resign(ctx)
--- a/internal/membership/lease/record.go
+++ b/internal/membership/lease/record.go
@@ -37,7 +37,7 @@
 // append appends a record of this holder on condition that the partition ends at end.
 func (l *Lease) append(ctx context.Context, kind recordKind, end int64) (journal.Appended, error) {
 	l.mu.Lock()
-	active := !l.now().Before(l.actFrom)
+	active := !l.now().Before(l.validFrom)
 	l.mu.Unlock()
 	encoded, err := cbor.Marshal(record{Kind: kind, Holder: l.self, Machine: l.machine, Active: active})
 	if err != nil {
