--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -128,7 +128,7 @@
 	defer l.mu.Unlock()
 	l.held, l.fence, l.nextOffset = true, appended.Offset+1, appended.End
 	l.lastRecord, l.lastRecordAt = record{Kind: claimed, Holder: l.self, Machine: l.machine}, l.now()
-	l.actUntil = sent.Add(Duration)
+	l.validUntil = sent.Add(Duration)
 	l.logger.Info("lease claimed", zap.Int64("fence", l.fence), zap.String("from", before),
 		zap.Duration("act_in", actFrom.Sub(l.now())))
 }
--- a/internal/membership/lease/holder.go
+++ b/internal/membership/lease/holder.go
@@ -19,7 +19,7 @@
 	if err == nil {
 		l.mu.Lock()
 		l.nextOffset = appended.End
-		l.actUntil = sent.Add(Duration)
+		l.validUntil = sent.Add(Duration)
 		l.mu.Unlock()
 		return
 	}
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -63,9 +63,9 @@
 	synced       bool
 	// held says that this daemon holds the lease, with fence; it may act from actFrom on until
 	// actUntil.
-	held                bool
-	fence               int64
-	validFrom, actUntil time.Time
+	held                  bool
+	fence                 int64
+	validFrom, validUntil time.Time
 	// candidate daemons claim a free lease; one that is resigning claims none.
 	candidate, resigning bool
 	// reclaiming lasts from the start until the first look: a lease that the
@@ -102,10 +102,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	if !l.held || now.Before(l.validFrom) || !now.Before(l.actUntil) {
+	if !l.held || now.Before(l.validFrom) || !now.Before(l.validUntil) {
 		return 0, 0, false
 	}
-	return l.fence, l.actUntil.Sub(now), true
+	return l.fence, l.validUntil.Sub(now), true
 }
 
 // Held reports whether this daemon holds the lease, even if it may not act yet.
