--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -21,7 +21,7 @@
 func init() { testseed.Fix() }
 
 const (
-	quiet = 3 * time.Second
+	quietPeriod = 3 * time.Second
 	// actEvery is how often a holder acts in these tests.
 	actEvery = 70 * time.Millisecond
 )
@@ -63,7 +63,7 @@
 		if r.fence < before.fence {
 			return fmt.Errorf("fence %d of %s after %d of %s", r.fence, r.machine, before.fence, before.machine)
 		}
-		if before.machine != r.machine && r.at.Sub(before.at) < quiet {
+		if before.machine != r.machine && r.at.Sub(before.at) < quietPeriod {
 			return fmt.Errorf("%s acted %v after %s", r.machine, r.at.Sub(before.at), before.machine)
 		}
 	}
@@ -86,7 +86,7 @@
 // becomes a candidate while it runs begins to watch up to renewInterval later.
 func startAs(ctx context.Context, log journal.Journal, machine string, number int, acts *history, candidate bool) *run {
 	bounded, cancel := context.WithCancel(ctx)
-	started := &run{lease: New(log, duty, fmt.Sprintf("%s/%d", machine, number), quiet, zap.NewNop()), stop: cancel, clock: clocktest.New()}
+	started := &run{lease: New(log, duty, fmt.Sprintf("%s/%d", machine, number), quietPeriod, zap.NewNop()), stop: cancel, clock: clocktest.New()}
 	started.lease.SetClock(started.clock.Now)
 	started.lease.SetCandidate(candidate)
 	started.done.Add(2)
@@ -217,7 +217,7 @@
 		is.True(mayAct(again))
 		is.True(!mayAct(other))
 		again.kill()
-		time.Sleep(Duration + safetyMargin + quiet + time.Second)
+		time.Sleep(Duration + safetyMargin + quietPeriod + time.Second)
 		is.True(mayAct(other))
 		other.kill()
 	})
@@ -234,7 +234,7 @@
 		other := startAs(ctx, log, "b", 1, acts, true)
 		time.Sleep(time.Second)
 		first.kill()
-		time.Sleep(Duration + safetyMargin + quiet/2)
+		time.Sleep(Duration + safetyMargin + quietPeriod/2)
 		again := start(ctx, log, "a", 2, acts)
 		time.Sleep(200 * time.Millisecond)
 		is.True(mayAct(again))
@@ -257,7 +257,7 @@
 		}
 		is.True(mayAct(gone))
 		gone.kill()
-		time.Sleep(Duration + safetyMargin + quiet + 50*time.Millisecond)
+		time.Sleep(Duration + safetyMargin + quietPeriod + 50*time.Millisecond)
 		is.True(mayAct(standby))
 		standby.kill()
 	})
@@ -272,14 +272,14 @@
 		time.Sleep(time.Second)
 		first.kill()
 		second := startAs(ctx, log, "b", 1, acts, true)
-		time.Sleep(Duration + safetyMargin + quiet - claimLead/2)
+		time.Sleep(Duration + safetyMargin + quietPeriod - claimLead/2)
 		is.True(second.lease.Held())
 		is.True(!mayAct(second))
 		second.kill()
 		third := start(ctx, log, "b", 2, acts)
 		time.Sleep(time.Second)
 		is.True(!mayAct(third))
-		time.Sleep(Duration + safetyMargin + quiet)
+		time.Sleep(Duration + safetyMargin + quietPeriod)
 		is.True(mayAct(third))
 		third.kill()
 	})
@@ -325,7 +325,7 @@
 		is.NoErr(err)
 		first.lease.Resign(ctx)
 		first.kill()
-		time.Sleep(quiet + safetyMargin - actEvery)
+		time.Sleep(quietPeriod + safetyMargin - actEvery)
 		is.True(!mayAct(other))
 		time.Sleep(2 * actEvery)
 		is.True(mayAct(other))
@@ -340,7 +340,7 @@
 		time.Sleep(time.Second)
 		first.kill()
 		second := startAs(ctx, log, "b", 1, acts, true)
-		time.Sleep(Duration + safetyMargin + quiet - claimLead/2)
+		time.Sleep(Duration + safetyMargin + quietPeriod - claimLead/2)
 		is.True(second.lease.Held())
 		second.lease.Withdraw(ctx)
 		is.True(!second.lease.Held())
--- a/internal/membership/lease/suspend_test.go
+++ b/internal/membership/lease/suspend_test.go
@@ -47,7 +47,7 @@
 		is.True(mayAct(holder))
 		acted := acts.count()
 		write(t, log, claimed)
-		holder.clock.Suspend(Duration + safetyMargin + quiet)
+		holder.clock.Suspend(Duration + safetyMargin + quietPeriod)
 		is.True(!mayAct(holder))
 		_, err := Do(ctx, holder.lease, time.Second, func(context.Context, int64) error { return nil })
 		is.True(errors.Is(err, ErrNotHeld))
@@ -71,7 +71,7 @@
 		for range 20 {
 			time.Sleep(renewInterval)
 			write(t, log, renewed)
-			candidate.clock.Suspend(Duration + safetyMargin + quiet)
+			candidate.clock.Suspend(Duration + safetyMargin + quietPeriod)
 		}
 		is.Equal(acts.count(), 0)
 		is.True(!candidate.lease.Held())
