--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -22,8 +22,8 @@
 
 const (
 	quietPeriod = 3 * time.Second
-	// actEvery is how often a holder acts in these tests.
-	actEvery = 70 * time.Millisecond
+	// actInterval is how often a holder acts in these tests.
+	actInterval = 70 * time.Millisecond
 )
 
 var duty = journal.Partition{Topic: "duty"}
@@ -100,7 +100,7 @@
 			if fence, _, may := started.lease.Fence(); may {
 				acts.add(act{machine: machine, fence: fence, at: time.Now()})
 			}
-			time.Sleep(actEvery)
+			time.Sleep(actInterval)
 		}
 	}()
 	return started
@@ -325,9 +325,9 @@
 		is.NoErr(err)
 		first.lease.Resign(ctx)
 		first.kill()
-		time.Sleep(quietPeriod + safetyMargin - actEvery)
+		time.Sleep(quietPeriod + safetyMargin - actInterval)
 		is.True(!mayAct(other))
-		time.Sleep(2 * actEvery)
+		time.Sleep(2 * actInterval)
 		is.True(mayAct(other))
 		other.kill()
 	})
