--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -163,13 +163,13 @@
 		}
 		totalActs += acted
 	})
-	if totalActs < minimumActs {
+	if totalActs < minActs {
 		t.Fatalf("only %d acts were checked", totalActs)
 	}
 }
 
-// minimumActs keeps the test from passing because nobody ever acted.
-const minimumActs = 1000
+// minActs keeps the test from passing because nobody ever acted.
+const minActs = 1000
 
 // faultOf makes a quarter of the calls fail, in each of the ways.
 func faultOf(drawn int) journaltest.Fault {
