--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -26,7 +26,7 @@
 	actInterval = 70 * time.Millisecond
 )
 
-var duty = journal.Partition{Topic: "duty"}
+var dutyPartition = journal.Partition{Topic: "duty"}
 
 // act is one act under the lease.
 type act struct {
@@ -86,7 +86,7 @@
 // becomes a candidate while it runs begins to watch up to renewInterval later.
 func startAs(ctx context.Context, log journal.Journal, machine string, number int, acts *history, candidate bool) *run {
 	bounded, cancel := context.WithCancel(ctx)
-	started := &run{lease: New(log, duty, fmt.Sprintf("%s/%d", machine, number), quietPeriod, zap.NewNop()), stop: cancel, clock: clocktest.New()}
+	started := &run{lease: New(log, dutyPartition, fmt.Sprintf("%s/%d", machine, number), quietPeriod, zap.NewNop()), stop: cancel, clock: clocktest.New()}
 	started.lease.SetClock(started.clock.Now)
 	started.lease.SetCandidate(candidate)
 	started.done.Add(2)
--- a/internal/membership/lease/suspend_test.go
+++ b/internal/membership/lease/suspend_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := log.Append(t.Context(), journal.Append{Partition: duty, Records: [][]byte{encoded}}); err != nil {
+	if _, err := log.Append(t.Context(), journal.Append{Partition: dutyPartition, Records: [][]byte{encoded}}); err != nil {
 		t.Fatal(err)
 	}
 }
