--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -70,23 +70,23 @@
 	return nil
 }
 
-// run is one run of a daemon that acts whenever it may.
-type run struct {
+// daemon is one daemon of a daemon that acts whenever it may.
+type daemon struct {
 	lease *Lease
 	clock *clocktest.Clock
 	stop  context.CancelFunc
 	done  sync.WaitGroup
 }
 
-func start(ctx context.Context, log journal.Journal, machine string, number int, acts *history) *run {
+func start(ctx context.Context, log journal.Journal, machine string, number int, acts *history) *daemon {
 	return startAs(ctx, log, machine, number, acts, false)
 }
 
 // startAs starts a run that is a candidate from its beginning, or is not. One that
 // becomes a candidate while it runs begins to watch up to renewInterval later.
-func startAs(ctx context.Context, log journal.Journal, machine string, number int, acts *history, candidate bool) *run {
+func startAs(ctx context.Context, log journal.Journal, machine string, number int, acts *history, candidate bool) *daemon {
 	bounded, cancel := context.WithCancel(ctx)
-	started := &run{lease: New(log, dutyPartition, fmt.Sprintf("%s/%d", machine, number), quietPeriod, zap.NewNop()), stop: cancel, clock: clocktest.New()}
+	started := &daemon{lease: New(log, dutyPartition, fmt.Sprintf("%s/%d", machine, number), quietPeriod, zap.NewNop()), stop: cancel, clock: clocktest.New()}
 	started.lease.SetClock(started.clock.Now)
 	started.lease.SetCandidate(candidate)
 	started.done.Add(2)
@@ -106,7 +106,7 @@
 	return started
 }
 
-func (r *run) kill() {
+func (r *daemon) kill() {
 	r.stop()
 	r.done.Wait()
 }
@@ -133,7 +133,7 @@
 				return faultOf(faults[calls%len(faults)])
 			}
 			ctx, cancel := context.WithCancel(t.Context())
-			runs := map[string]*run{}
+			runs := map[string]*daemon{}
 			for i, step := range steps {
 				machine := string(rune('a' + step%3))
 				switch {
@@ -187,7 +187,7 @@
 	}
 }
 
-func mayAct(r *run) bool {
+func mayAct(r *daemon) bool {
 	_, _, may := r.lease.Fence()
 	return may
 }
