--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -192,8 +192,8 @@
 	return may
 }
 
-// elect runs a test of daemons over one journal, and checks their acts.
-func elect(t *testing.T, test func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history)) {
+// runElection runs a test of daemons over one journal, and checks their acts.
+func runElection(t *testing.T, test func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -206,7 +206,7 @@
 }
 
 func TestFirstHolderActsAtOnceAndItsMachineTakesTheLeaseBack(t *testing.T) {
-	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
+	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		is.True(mayAct(first))
@@ -227,7 +227,7 @@
 // time of a successor goes on at once: nobody has taken its lease, as nobody
 // could have acted on it yet.
 func TestAHolderThatIsBackSoonKeepsTheLease(t *testing.T) {
-	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
+	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		is.True(mayAct(first))
@@ -247,7 +247,7 @@
 // A candidate that has watched acts as soon as it may after the last renewal:
 // that it claims late costs nothing.
 func TestAStandbyActsAsSoonAsItMay(t *testing.T) {
-	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
+	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		other := startAs(ctx, log, "b", 1, acts, true)
 		time.Sleep(2 * time.Second)
@@ -267,7 +267,7 @@
 // after another holder must wait for the rest of it, although the last record
 // is its own.
 func TestReclaimWithinTheQuietTimeWaits(t *testing.T) {
-	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
+	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		first.kill()
@@ -289,7 +289,7 @@
 // successor could not have acted before, and orders would have been missing for
 // the quiet time (none came for 4.5 s).
 func TestAMachineTakesBackTheLeaseThatItResigned(t *testing.T) {
-	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
+	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		other := startAs(ctx, log, "b", 1, acts, true)
@@ -312,7 +312,7 @@
 // A successor acts as soon as the quiet time after a resignation is over, also
 // where a renewal crossed the resignation.
 func TestASuccessorActsAfterAResignation(t *testing.T) {
-	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
+	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		other := startAs(ctx, log, "b", 1, acts, true)
@@ -335,7 +335,7 @@
 
 // A holder that cannot act before it ends gives the lease up at once.
 func TestAHolderThatMayNotActYetResignsAsItWithdraws(t *testing.T) {
-	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
+	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startAs(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		first.kill()
@@ -352,7 +352,7 @@
 // next renewal is through: it once spent up to 3.6 s on calls that the outage had
 // swallowed, and gave its first order 2.2 s after the store was back.
 func TestAHolderActsSoonAfterASilentOutage(t *testing.T) {
-	elect(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
+	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		holder := startAs(ctx, log, "a", 1, acts, true)
 		for outage := 3 * time.Second; outage < 8*time.Second; outage += 170 * time.Millisecond {
 			time.Sleep(2 * time.Second)
