--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -79,12 +79,12 @@
 }
 
 func start(ctx context.Context, log journal.Journal, machine string, number int, acts *history) *daemon {
-	return startAs(ctx, log, machine, number, acts, false)
+	return startDaemon(ctx, log, machine, number, acts, false)
 }
 
-// startAs starts a run that is a candidate from its beginning, or is not. One that
+// startDaemon starts a run that is a candidate from its beginning, or is not. One that
 // becomes a candidate while it runs begins to watch up to renewInterval later.
-func startAs(ctx context.Context, log journal.Journal, machine string, number int, acts *history, candidate bool) *daemon {
+func startDaemon(ctx context.Context, log journal.Journal, machine string, number int, acts *history, candidate bool) *daemon {
 	bounded, cancel := context.WithCancel(ctx)
 	started := &daemon{lease: New(log, dutyPartition, fmt.Sprintf("%s/%d", machine, number), quietPeriod, zap.NewNop()), stop: cancel, clock: clocktest.New()}
 	started.lease.SetClock(started.clock.Now)
@@ -207,11 +207,11 @@
 
 func TestFirstHolderActsAtOnceAndItsMachineTakesTheLeaseBack(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
-		first := startAs(ctx, log, "a", 1, acts, true)
+		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		is.True(mayAct(first))
 		first.kill()
-		other := startAs(ctx, log, "b", 1, acts, true)
+		other := startDaemon(ctx, log, "b", 1, acts, true)
 		again := start(ctx, log, "a", 2, acts)
 		time.Sleep(time.Second)
 		is.True(mayAct(again))
@@ -228,10 +228,10 @@
 // could have acted on it yet.
 func TestAHolderThatIsBackSoonKeepsTheLease(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
-		first := startAs(ctx, log, "a", 1, acts, true)
+		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		is.True(mayAct(first))
-		other := startAs(ctx, log, "b", 1, acts, true)
+		other := startDaemon(ctx, log, "b", 1, acts, true)
 		time.Sleep(time.Second)
 		first.kill()
 		time.Sleep(Duration + safetyMargin + quietPeriod/2)
@@ -248,8 +248,8 @@
 // that it claims late costs nothing.
 func TestAStandbyActsAsSoonAsItMay(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
-		first := startAs(ctx, log, "a", 1, acts, true)
-		other := startAs(ctx, log, "b", 1, acts, true)
+		first := startDaemon(ctx, log, "a", 1, acts, true)
+		other := startDaemon(ctx, log, "b", 1, acts, true)
 		time.Sleep(2 * time.Second)
 		gone, standby := first, other
 		if mayAct(other) {
@@ -268,10 +268,10 @@
 // is its own.
 func TestReclaimWithinTheQuietTimeWaits(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
-		first := startAs(ctx, log, "a", 1, acts, true)
+		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		first.kill()
-		second := startAs(ctx, log, "b", 1, acts, true)
+		second := startDaemon(ctx, log, "b", 1, acts, true)
 		time.Sleep(Duration + safetyMargin + quietPeriod - claimLead/2)
 		is.True(second.lease.Held())
 		is.True(!mayAct(second))
@@ -290,9 +290,9 @@
 // the quiet time (none came for 4.5 s).
 func TestAMachineTakesBackTheLeaseThatItResigned(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
-		first := startAs(ctx, log, "a", 1, acts, true)
+		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
-		other := startAs(ctx, log, "b", 1, acts, true)
+		other := startDaemon(ctx, log, "b", 1, acts, true)
 		first.lease.Withdraw(ctx)
 		time.Sleep(3 * time.Second)
 		is.True(mayAct(first)) // until it resigns
@@ -313,9 +313,9 @@
 // where a renewal crossed the resignation.
 func TestASuccessorActsAfterAResignation(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
-		first := startAs(ctx, log, "a", 1, acts, true)
+		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
-		other := startAs(ctx, log, "b", 1, acts, true)
+		other := startDaemon(ctx, log, "b", 1, acts, true)
 		// Between two renewals, so that the one made here meets none of the holder's.
 		time.Sleep(time.Second + renewInterval/2)
 		first.lease.mu.Lock()
@@ -336,10 +336,10 @@
 // A holder that cannot act before it ends gives the lease up at once.
 func TestAHolderThatMayNotActYetResignsAsItWithdraws(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
-		first := startAs(ctx, log, "a", 1, acts, true)
+		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		first.kill()
-		second := startAs(ctx, log, "b", 1, acts, true)
+		second := startDaemon(ctx, log, "b", 1, acts, true)
 		time.Sleep(Duration + safetyMargin + quietPeriod - claimLead/2)
 		is.True(second.lease.Held())
 		second.lease.Withdraw(ctx)
@@ -353,7 +353,7 @@
 // swallowed, and gave its first order 2.2 s after the store was back.
 func TestAHolderActsSoonAfterASilentOutage(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
-		holder := startAs(ctx, log, "a", 1, acts, true)
+		holder := startDaemon(ctx, log, "a", 1, acts, true)
 		for outage := 3 * time.Second; outage < 8*time.Second; outage += 170 * time.Millisecond {
 			time.Sleep(2 * time.Second)
 			is.True(mayAct(holder))
--- a/internal/membership/lease/suspend_test.go
+++ b/internal/membership/lease/suspend_test.go
@@ -42,7 +42,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		log, acts := journaltest.New(), &history{}
-		holder := startAs(ctx, log, "a", 1, acts, true)
+		holder := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(2 * time.Second)
 		is.True(mayAct(holder))
 		acted := acts.count()
@@ -67,7 +67,7 @@
 		defer cancel()
 		log, acts := journaltest.New(), &history{}
 		write(t, log, claimed)
-		candidate := startAs(ctx, log, "a", 1, acts, true)
+		candidate := startDaemon(ctx, log, "a", 1, acts, true)
 		for range 20 {
 			time.Sleep(renewInterval)
 			write(t, log, renewed)
