--- a/internal/membership/lease/golden_test.go
+++ b/internal/membership/lease/golden_test.go
@@ -7,7 +7,7 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestClaimsKeepTheirForm(t *testing.T) {
+func TestRecordEncodingIsStable(t *testing.T) {
 	golden.CBOR[record](t, "claim")
 	golden.Text(t, "kinds.txt", fmt.Sprint(int(claimed), int(renewed), int(resigned)))
 }
