--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -114,7 +114,7 @@
 // Whatever happens to the calls and to the daemons: kills, restarts, calls that
 // hang, are refused, lose their answer or take effect late, and candidates that
 // come and go.
-func TestHoldersNeverActTogether(t *testing.T) {
+func TestHoldersNeverActConcurrently(t *testing.T) {
 	totalActs := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 99), 10, 30).Draw(rt, "steps")
