--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -205,7 +205,7 @@
 	})
 }
 
-func TestFirstHolderActsAtOnceAndItsMachineTakesTheLeaseBack(t *testing.T) {
+func TestFirstHolderActsAtOnceAndItsMachineReclaims(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
