--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -226,7 +226,7 @@
 // A holder that is killed, or parted from the journal, for less than the quiet
 // time of a successor goes on at once: nobody has taken its lease, as nobody
 // could have acted on it yet.
-func TestAHolderThatIsBackSoonKeepsTheLease(t *testing.T) {
+func TestHolderThatRestartsSoonKeepsLease(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
