--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -246,7 +246,7 @@
 
 // A candidate that has watched acts as soon as it may after the last renewal:
 // that it claims late costs nothing.
-func TestAStandbyActsAsSoonAsItMay(t *testing.T) {
+func TestStandbyActsOnceQuietPeriodEnds(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
 		other := startDaemon(ctx, log, "b", 1, acts, true)
