--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -266,7 +266,7 @@
 // A machine whose run claimed the lease and was killed within the quiet time
 // after another holder must wait for the rest of it, although the last record
 // is its own.
-func TestReclaimWithinTheQuietTimeWaits(t *testing.T) {
+func TestReclaimWaitsForQuietPeriod(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
