--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -288,7 +288,7 @@
 // A daemon that is stopped and started again has its lease back at once: its
 // successor could not have acted before, and orders would have been missing for
 // the quiet time (none came for 4.5 s).
-func TestAMachineTakesBackTheLeaseThatItResigned(t *testing.T) {
+func TestMachineReclaimsLeaseItResigned(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
