--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -311,7 +311,7 @@
 
 // A successor acts as soon as the quiet time after a resignation is over, also
 // where a renewal crossed the resignation.
-func TestASuccessorActsAfterAResignation(t *testing.T) {
+func TestSuccessorActsAfterResignation(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
