--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -334,7 +334,7 @@
 }
 
 // A holder that cannot act before it ends gives the lease up at once.
-func TestAHolderThatMayNotActYetResignsAsItWithdraws(t *testing.T) {
+func TestHolderInQuietPeriodResignsOnWithdraw(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
