--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -351,7 +351,7 @@
 // After an outage in which calls got no answer, the holder acts again once its
 // next renewal is through: it once spent up to 3.6 s on calls that the outage had
 // swallowed, and gave its first order 2.2 s after the store was back.
-func TestAHolderActsSoonAfterASilentOutage(t *testing.T) {
+func TestHolderActsSoonAfterSilentOutage(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		holder := startDaemon(ctx, log, "a", 1, acts, true)
 		for outage := 3 * time.Second; outage < 8*time.Second; outage += 170 * time.Millisecond {
