--- a/internal/membership/lease/suspend_test.go
+++ b/internal/membership/lease/suspend_test.go
@@ -36,7 +36,7 @@
 // A holder's machine is suspended for longer than its lease. Others have waited for its
 // end, claimed it and acted. By a clock that stands still meanwhile the lease looked valid
 // for another second to the one that woke, and two gave orders at a time.
-func TestAHolderThatWasSuspendedActsNoMore(t *testing.T) {
+func TestSuspendedHolderStopsActing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
