--- a/internal/membership/lease/suspend_test.go
+++ b/internal/membership/lease/suspend_test.go
@@ -60,7 +60,7 @@
 
 // A candidate that was suspended takes the last record that it read for old. The holder has
 // renewed its lease all along: the candidate reads on before it claims.
-func TestACandidateThatWasSuspendedReadsOnFirst(t *testing.T) {
+func TestSuspendedCandidateReadsBeforeClaiming(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
