--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -35,9 +35,9 @@
 const (
 	// groupName is the group's on the platform.
 	groupName = "woodworks"
-	// lifetime is how long a silent member keeps its partitions; joinInterval is the time
+	// memberTTL is how long a silent member keeps its partitions; joinInterval is the time
 	// between two calls by which a member stays, joinTimeout bounds each.
-	lifetime     = 1500 * time.Millisecond
+	memberTTL    = 1500 * time.Millisecond
 	joinInterval = 450 * time.Millisecond
 	joinTimeout  = time.Second
 	// settleTime is how long after its start a member joins at settleInterval:
@@ -115,7 +115,7 @@
 func (m *Member) join(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	request := journal.Join{Group: groupName, Member: m.self, Topics: m.topics, Lifetime: lifetime, Generation: m.Generation()}
+	request := journal.Join{Group: groupName, Member: m.self, Topics: m.topics, Lifetime: memberTTL, Generation: m.Generation()}
 	assignment, err := m.journal.Join(bounded, request)
 	if err != nil {
 		m.noteLost(ctx, err)
--- a/internal/membership/group/watchers.go
+++ b/internal/membership/group/watchers.go
@@ -71,7 +71,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	inTouch := m.Silence() < lifetime
+	inTouch := m.Silence() < memberTTL
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.listFresh() && !(inTouch && m.watchers.generation == m.generation) {
--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -184,7 +184,7 @@
 		is.True(ok)
 		is.Equal(later, watcher)
 		log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Hang })
-		time.Sleep(2 * lifetime)
+		time.Sleep(2 * memberTTL)
 		_, ok = asking.WatcherOf(ctx, partition)
 		is.True(!ok)
 	})
