--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -58,8 +58,8 @@
 
 	lastContact *journal.Contact
 	leaving     atomic.Bool
-	// lost says that the last call to stay in the group failed. Only Run uses it.
-	lost bool
+	// joinFailed says that the last call to stay in the group failed. Only Run uses it.
+	joinFailed bool
 
 	mu sync.Mutex
 	// runCtx is Run's context, nil before.
@@ -127,18 +127,18 @@
 
 // noteLost logs the first failure in a row, unless the context has ended.
 func (m *Member) noteLost(ctx context.Context, err error) {
-	if m.lost || ctx.Err() != nil {
+	if m.joinFailed || ctx.Err() != nil {
 		return
 	}
-	m.lost = true
+	m.joinFailed = true
 	m.logger.Warn("dependency lost", zap.String("dependency", "group"), zap.Error(err))
 }
 
 // noteContact notes that the group has answered.
 func (m *Member) noteContact() {
 	m.lastContact.Note()
-	if m.lost {
-		m.lost = false
+	if m.joinFailed {
+		m.joinFailed = false
 		m.logger.Info("dependency regained", zap.String("dependency", "group"))
 	}
 }
