--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -118,15 +118,15 @@
 	request := journal.Join{Group: groupName, Member: m.self, Topics: m.topics, Lifetime: memberTTL, Generation: m.Generation()}
 	assignment, err := m.journal.Join(bounded, request)
 	if err != nil {
-		m.noteLost(ctx, err)
+		m.logFirstFailure(ctx, err)
 		return
 	}
 	m.noteContact()
 	m.take(assignment)
 }
 
-// noteLost logs the first failure in a row, unless the context has ended.
-func (m *Member) noteLost(ctx context.Context, err error) {
+// logFirstFailure logs the first failure in a row, unless the context has ended.
+func (m *Member) logFirstFailure(ctx context.Context, err error) {
 	if m.joinFailed || ctx.Err() != nil {
 		return
 	}
