--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -122,7 +122,7 @@
 		return
 	}
 	m.noteContact()
-	m.take(assignment)
+	m.applyAssignment(assignment)
 }
 
 // logFirstFailure logs the first failure in a row, unless the context has ended.
@@ -143,8 +143,8 @@
 	}
 }
 
-// take takes what the group has dealt to this daemon, unless it is leaving.
-func (m *Member) take(assignment journal.Assignment) {
+// applyAssignment takes what the group has dealt to this daemon, unless it is leaving.
+func (m *Member) applyAssignment(assignment journal.Assignment) {
 	partitions := make(map[journal.Partition]bool, len(assignment.Partitions))
 	for _, partition := range assignment.Partitions {
 		partitions[partition] = true
