--- a/internal/membership/group/leave.go
+++ b/internal/membership/group/leave.go
@@ -13,8 +13,8 @@
 
 const (
 	// leaveTimeout bounds one try to leave, leavePause is the time between two.
-	leaveTimeout = 500 * time.Millisecond
-	leavePause   = 100 * time.Millisecond
+	leaveTimeout    = 500 * time.Millisecond
+	leaveRetryDelay = 100 * time.Millisecond
 )
 
 // Leave gives this daemon's partitions to others at once. It is repeated until
@@ -31,7 +31,7 @@
 			m.logger.Info("group left", zap.Int("tries", tries), zap.Error(err))
 			return
 		}
-		periodic.Pause(ctx, leavePause)
+		periodic.Pause(ctx, leaveRetryDelay)
 	}
 }
 
@@ -53,7 +53,7 @@
 		if m.retireOnce(ctx) == nil {
 			return
 		}
-		periodic.Pause(ctx, leavePause)
+		periodic.Pause(ctx, leaveRetryDelay)
 	}
 }
 
