--- a/internal/membership/group/watchers.go
+++ b/internal/membership/group/watchers.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// listHold is how long the list of watchers is believed within a generation.
-	listHold = 2 * time.Second
+	// listMaxAge is how long the list of watchers is believed within a generation.
+	listMaxAge = 2 * time.Second
 	// listTimeout is how long a caller waits for the list.
 	listTimeout = questiontime.List
 	// listReadTimeout bounds a read of the list, which goes on for the callers to come.
@@ -106,7 +106,7 @@
 
 // listFresh reports whether the list is believed. The mutex is held.
 func (m *Member) listFresh() bool {
-	return m.watchers.rows != nil && m.watchers.generation == m.generation && time.Since(m.watchers.at) < listHold
+	return m.watchers.rows != nil && m.watchers.generation == m.generation && time.Since(m.watchers.at) < listMaxAge
 }
 
 // readList reads the list in a generation: what was dealt after the read began may not be in it.
--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -179,7 +179,7 @@
 			}
 			return journaltest.None
 		})
-		time.Sleep(2 * listHold)
+		time.Sleep(2 * listMaxAge)
 		later, ok := asking.WatcherOf(ctx, partition)
 		is.True(ok)
 		is.Equal(later, watcher)
