--- a/internal/membership/group/watchers.go
+++ b/internal/membership/group/watchers.go
@@ -18,9 +18,9 @@
 	listTimeout = questiontime.List
 	// listReadTimeout bounds a read of the list, which goes on for the callers to come.
 	listReadTimeout = joinTimeout
-	// listReadRest is after how long another read is begun beside one that has no answer yet:
+	// listReadRetryDelay is after how long another read is begun beside one that has no answer yet:
 	// one that was lost leaves a question time for the next.
-	listReadRest = questiontime.ListRetry
+	listReadRetryDelay = questiontime.ListRetry
 )
 
 // watcherList is who had which partition a moment ago.
@@ -88,7 +88,7 @@
 	if m.listFresh() {
 		return m.watchers.rows, nil
 	}
-	if m.watchers.reading == nil || time.Since(m.watchers.readingAt) >= listReadRest {
+	if m.watchers.reading == nil || time.Since(m.watchers.readingAt) >= listReadRetryDelay {
 		m.watchers.reading, m.watchers.readingAt = make(chan struct{}), time.Now()
 		go m.readList(m.readContext(ctx), m.generation, m.watchers.reading)
 	}
