--- a/internal/membership/group/watchers.go
+++ b/internal/membership/group/watchers.go
@@ -25,8 +25,8 @@
 
 // watcherList is who had which partition a moment ago.
 type watcherList struct {
-	// rows is never changed once it is here; nil until a read has been answered.
-	rows map[journal.Partition]string
+	// byPartition is never changed once it is here; nil until a read has been answered.
+	byPartition map[journal.Partition]string
 	// generation is the one in which the read began, at when.
 	generation int64
 	at         time.Time
@@ -77,7 +77,7 @@
 	if !m.listFresh() && !(inTouch && m.watchers.generation == m.generation) {
 		return nil
 	}
-	return m.watchers.rows
+	return m.watchers.byPartition
 }
 
 // freshWatchers returns the list if it is fresh, else what is closed when the read of a newer one
@@ -86,7 +86,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.listFresh() {
-		return m.watchers.rows, nil
+		return m.watchers.byPartition, nil
 	}
 	if m.watchers.reading == nil || time.Since(m.watchers.readingAt) >= listReadRetryDelay {
 		m.watchers.reading, m.watchers.readingAt = make(chan struct{}), time.Now()
@@ -106,7 +106,7 @@
 
 // listFresh reports whether the list is believed. The mutex is held.
 func (m *Member) listFresh() bool {
-	return m.watchers.rows != nil && m.watchers.generation == m.generation && time.Since(m.watchers.at) < listMaxAge
+	return m.watchers.byPartition != nil && m.watchers.generation == m.generation && time.Since(m.watchers.at) < listMaxAge
 }
 
 // readList reads the list in a generation: what was dealt after the read began may not be in it.
@@ -129,9 +129,9 @@
 	if began.Before(m.watchers.at) {
 		return // A later read was answered sooner.
 	}
-	m.watchers.rows = make(map[journal.Partition]string, len(rows))
+	m.watchers.byPartition = make(map[journal.Partition]string, len(rows))
 	for _, row := range rows {
-		m.watchers.rows[row.Partition] = row.Member
+		m.watchers.byPartition[row.Partition] = row.Member
 	}
 	m.watchers.generation, m.watchers.at = generation, began
 }
