--- a/internal/membership/group/watchers.go
+++ b/internal/membership/group/watchers.go
@@ -29,7 +29,7 @@
 	byPartition map[journal.Partition]string
 	// generation is the one in which the read began, at when.
 	generation int64
-	at         time.Time
+	readAt     time.Time
 	// reading is closed when the newest read ends, nil if that has ended; it began at readingAt.
 	reading   chan struct{}
 	readingAt time.Time
@@ -106,7 +106,7 @@
 
 // listFresh reports whether the list is believed. The mutex is held.
 func (m *Member) listFresh() bool {
-	return m.watchers.byPartition != nil && m.watchers.generation == m.generation && time.Since(m.watchers.at) < listMaxAge
+	return m.watchers.byPartition != nil && m.watchers.generation == m.generation && time.Since(m.watchers.readAt) < listMaxAge
 }
 
 // readList reads the list in a generation: what was dealt after the read began may not be in it.
@@ -126,12 +126,12 @@
 		m.failedReads.Note(logging.Occurrence{Took: time.Since(began)}, zap.Error(err))
 		return
 	}
-	if began.Before(m.watchers.at) {
+	if began.Before(m.watchers.readAt) {
 		return // A later read was answered sooner.
 	}
 	m.watchers.byPartition = make(map[journal.Partition]string, len(rows))
 	for _, row := range rows {
 		m.watchers.byPartition[row.Partition] = row.Member
 	}
-	m.watchers.generation, m.watchers.at = generation, began
+	m.watchers.generation, m.watchers.readAt = generation, began
 }
