--- a/internal/membership/group/watchers.go
+++ b/internal/membership/group/watchers.go
@@ -30,8 +30,8 @@
 	// generation is the one in which the read began, at when.
 	generation int64
 	readAt     time.Time
-	// reading is closed when the newest read ends, nil if that has ended; it began at readingAt.
-	reading   chan struct{}
+	// readDone is closed when the newest read ends, nil if that has ended; it began at readingAt.
+	readDone  chan struct{}
 	readingAt time.Time
 }
 
@@ -88,11 +88,11 @@
 	if m.listFresh() {
 		return m.watchers.byPartition, nil
 	}
-	if m.watchers.reading == nil || time.Since(m.watchers.readingAt) >= listReadRetryDelay {
-		m.watchers.reading, m.watchers.readingAt = make(chan struct{}), time.Now()
-		go m.readList(m.readContext(ctx), m.generation, m.watchers.reading)
+	if m.watchers.readDone == nil || time.Since(m.watchers.readingAt) >= listReadRetryDelay {
+		m.watchers.readDone, m.watchers.readingAt = make(chan struct{}), time.Now()
+		go m.readList(m.readContext(ctx), m.generation, m.watchers.readDone)
 	}
-	return nil, m.watchers.reading
+	return nil, m.watchers.readDone
 }
 
 // readContext returns the context of a read that a caller begins: Run's, so that it goes on when
@@ -119,8 +119,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	close(ended)
-	if m.watchers.reading == ended {
-		m.watchers.reading = nil
+	if m.watchers.readDone == ended {
+		m.watchers.readDone = nil
 	}
 	if err != nil {
 		m.failedReads.Note(logging.Occurrence{Took: time.Since(began)}, zap.Error(err))
