--- a/internal/membership/group/watchers.go
+++ b/internal/membership/group/watchers.go
@@ -31,8 +31,8 @@
 	generation int64
 	readAt     time.Time
 	// readDone is closed when the newest read ends, nil if that has ended; it began at readingAt.
-	readDone  chan struct{}
-	readingAt time.Time
+	readDone      chan struct{}
+	readStartedAt time.Time
 }
 
 // WatcherOf returns the member that has a partition, as of a moment ago.
@@ -88,8 +88,8 @@
 	if m.listFresh() {
 		return m.watchers.byPartition, nil
 	}
-	if m.watchers.readDone == nil || time.Since(m.watchers.readingAt) >= listReadRetryDelay {
-		m.watchers.readDone, m.watchers.readingAt = make(chan struct{}), time.Now()
+	if m.watchers.readDone == nil || time.Since(m.watchers.readStartedAt) >= listReadRetryDelay {
+		m.watchers.readDone, m.watchers.readStartedAt = make(chan struct{}), time.Now()
 		go m.readList(m.readContext(ctx), m.generation, m.watchers.readDone)
 	}
 	return nil, m.watchers.readDone
