--- a/internal/membership/group/watchers.go
+++ b/internal/membership/group/watchers.go
@@ -74,7 +74,7 @@
 	inTouch := m.Silence() < memberTTL
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.listFresh() && !(inTouch && m.watchers.generation == m.generation) {
+	if !m.isListFresh() && !(inTouch && m.watchers.generation == m.generation) {
 		return nil
 	}
 	return m.watchers.byPartition
@@ -85,7 +85,7 @@
 func (m *Member) freshWatchers(ctx context.Context) (fresh map[journal.Partition]string, reading <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.listFresh() {
+	if m.isListFresh() {
 		return m.watchers.byPartition, nil
 	}
 	if m.watchers.readDone == nil || time.Since(m.watchers.readStartedAt) >= listReadRetryDelay {
@@ -104,8 +104,8 @@
 	return m.runCtx
 }
 
-// listFresh reports whether the list is believed. The mutex is held.
-func (m *Member) listFresh() bool {
+// isListFresh reports whether the list is believed. The mutex is held.
+func (m *Member) isListFresh() bool {
 	return m.watchers.byPartition != nil && m.watchers.generation == m.generation && time.Since(m.watchers.readAt) < listMaxAge
 }
 
