--- a/internal/membership/group/late_test.go
+++ b/internal/membership/group/late_test.go
@@ -13,9 +13,9 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// asksWithin is within which time a question must have learned whom to ask: its caller
+// lookupTimeout is within which time a question must have learned whom to ask: its caller
 // leaves after 1.5 s.
-const asksWithin = 1500 * time.Millisecond
+const lookupTimeout = 1500 * time.Millisecond
 
 // late is a journal that answers each call of a group after a time.
 type late struct {
@@ -64,7 +64,7 @@
 				asking := New(log, "b/1", topics, zap.NewNop())
 				time.Sleep(3 * takes)
 				began, tries, ok := time.Now(), 0, false
-				for !ok && time.Since(began) < asksWithin {
+				for !ok && time.Since(began) < lookupTimeout {
 					tries++
 					_, ok = asking.WatcherOf(ctx, journal.Partition{Topic: "t"})
 					time.Sleep(time.Millisecond)
