--- a/internal/membership/group/late_test.go
+++ b/internal/membership/group/late_test.go
@@ -17,14 +17,14 @@
 // leaves after 1.5 s.
 const lookupTimeout = 1500 * time.Millisecond
 
-// late is a journal that answers each call of a group after a time.
-type late struct {
+// slowJournal is a journal that answers each call of a group after a time.
+type slowJournal struct {
 	*journaltest.Journal
 	takes time.Duration
 }
 
 // pass lets the time pass that an answer takes, or reports false if the caller leaves.
-func (l late) pass(ctx context.Context) bool {
+func (l slowJournal) pass(ctx context.Context) bool {
 	select {
 	case <-time.After(l.takes):
 		return true
@@ -33,14 +33,14 @@
 	}
 }
 
-func (l late) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
+func (l slowJournal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
 	if !l.pass(ctx) {
 		return journal.Assignment{}, journal.ErrUnknown
 	}
 	return l.Journal.Join(ctx, request)
 }
 
-func (l late) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
+func (l slowJournal) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
 	if !l.pass(ctx) {
 		return nil, journal.ErrUnknown
 	}
@@ -59,7 +59,7 @@
 				is := is.New(t)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				log := late{journaltest.New(), takes}
+				log := slowJournal{journaltest.New(), takes}
 				start(ctx, log, "a/1")
 				asking := New(log, "b/1", topics, zap.NewNop())
 				time.Sleep(3 * takes)
--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -131,7 +131,7 @@
 			}
 			return journaltest.None
 		})
-		asking := start(ctx, late{log, 250 * time.Millisecond}, "b/1")
+		asking := start(ctx, slowJournal{log, 250 * time.Millisecond}, "b/1")
 		time.Sleep(4 * time.Second) // the group is settled
 		partition := journal.Partition{Topic: "t"}
 		began := time.Now()
