--- a/internal/membership/group/late_test.go
+++ b/internal/membership/group/late_test.go
@@ -20,13 +20,13 @@
 // slowJournal is a journal that answers each call of a group after a time.
 type slowJournal struct {
 	*journaltest.Journal
-	takes time.Duration
+	delay time.Duration
 }
 
 // pass lets the time pass that an answer takes, or reports false if the caller leaves.
 func (l slowJournal) pass(ctx context.Context) bool {
 	select {
-	case <-time.After(l.takes):
+	case <-time.After(l.delay):
 		return true
 	case <-ctx.Done():
 		return false
