--- a/internal/membership/group/late_test.go
+++ b/internal/membership/group/late_test.go
@@ -23,8 +23,8 @@
 	delay time.Duration
 }
 
-// pass lets the time pass that an answer takes, or reports false if the caller leaves.
-func (l slowJournal) pass(ctx context.Context) bool {
+// wait lets the time wait that an answer takes, or reports false if the caller leaves.
+func (l slowJournal) wait(ctx context.Context) bool {
 	select {
 	case <-time.After(l.delay):
 		return true
@@ -34,14 +34,14 @@
 }
 
 func (l slowJournal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
-	if !l.pass(ctx) {
+	if !l.wait(ctx) {
 		return journal.Assignment{}, journal.ErrUnknown
 	}
 	return l.Journal.Join(ctx, request)
 }
 
 func (l slowJournal) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
-	if !l.pass(ctx) {
+	if !l.wait(ctx) {
 		return nil, journal.ErrUnknown
 	}
 	return l.Journal.Owners(ctx, group)
