--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -14,14 +14,14 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// underway is a journal whose answers about owners take their time on the way back: they tell
+// staleOwners is a journal whose answers about owners take their time on the way back: they tell
 // what was when the call came.
-type underway struct {
+type staleOwners struct {
 	*journaltest.Journal
 	takes time.Duration
 }
 
-func (u underway) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
+func (u staleOwners) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
 	rows, err := u.Journal.Owners(ctx, group)
 	select {
 	case <-time.After(u.takes):
@@ -37,7 +37,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		log := underway{journaltest.New(), 600 * time.Millisecond}
+		log := staleOwners{journaltest.New(), 600 * time.Millisecond}
 		first := start(ctx, log.Journal, "a/1")
 		asking := start(ctx, log, "b/1")
 		time.Sleep(5 * time.Second)
