--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -18,13 +18,13 @@
 // what was when the call came.
 type staleOwners struct {
 	*journaltest.Journal
-	takes time.Duration
+	delay time.Duration
 }
 
 func (u staleOwners) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
 	rows, err := u.Journal.Owners(ctx, group)
 	select {
-	case <-time.After(u.takes):
+	case <-time.After(u.delay):
 		return rows, err
 	case <-ctx.Done():
 		return nil, journal.ErrUnknown
