--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -60,13 +60,13 @@
 	})
 }
 
-// swallowing loses one call for the owners.
-type swallowing struct {
+// lossyOwners loses one call for the owners.
+type lossyOwners struct {
 	*journaltest.Journal
 	lose *atomic.Bool
 }
 
-func (s swallowing) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
+func (s lossyOwners) Owners(ctx context.Context, group string) ([]journal.Ownership, error) {
 	if s.lose.CompareAndSwap(true, false) {
 		<-ctx.Done()
 		return nil, journal.ErrUnknown
@@ -82,7 +82,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		lose := &atomic.Bool{}
-		log := swallowing{journaltest.New(), lose}
+		log := lossyOwners{journaltest.New(), lose}
 		start(ctx, log, "a/1")
 		time.Sleep(5 * time.Second)
 		asking := New(journal.Revive(log, zap.NewNop()), "b/1", topics, zap.NewNop())
