--- a/internal/membership/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -26,7 +26,7 @@
 
 // A member that leaves drops its partitions at once and repeats its leaving
 // until it is done: they once lay idle for its whole lifetime after one refusal.
-func TestLeavingIsRepeated(t *testing.T) {
+func TestLeaveIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
