--- a/internal/membership/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestASilentMembersPartitionsPassOn(t *testing.T) {
+func TestPartitionsOfSilentMemberAreReassigned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
