--- a/internal/membership/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -79,7 +79,7 @@
 // A machine that comes back takes its last run out of the group: the partitions
 // of that run once lay idle until its lifetime was over, and new batches were
 // given to it (1.5 s of a step's 7.5).
-func TestANewRunTakesItsPredecessorOut(t *testing.T) {
+func TestNewIncarnationRemovesPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
