--- a/internal/membership/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -113,7 +113,7 @@
 // The last contact was kept as a time of day: a clock set ahead by 2 s made a daemon that
 // stayed in the group all along call itself not ready. By the steady clock, one that had
 // been suspended for a minute called itself ready.
-func TestASuspendedMemberHasHeardNothing(t *testing.T) {
+func TestSilenceIncludesSuspendedTime(t *testing.T) {
 	is := is.New(t)
 	clock := clocktest.New()
 	member := New(journaltest.New(), "a/1", topics, zap.NewNop())
