--- a/internal/membership/group/late_test.go
+++ b/internal/membership/group/late_test.go
@@ -52,7 +52,7 @@
 // question. So each daemon read partitions from their beginning for its questions, and the journal
 // answered later still. In 1.5 s, which is all that a question has, ten reads of the list ended at
 // their time-out and no owner was known; with 0.1 s an answer it was known after 101 ms.
-func TestTheOwnerIsKnownWhereTheJournalIsLate(t *testing.T) {
+func TestWatcherIsKnownWithSlowJournal(t *testing.T) {
 	for _, takes := range []time.Duration{4 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond} {
 		t.Run(takes.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
