--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -32,7 +32,7 @@
 }
 
 // A list that was read before the partitions were dealt anew is not believed in the new generation.
-func TestAListOfAnEarlierGenerationIsNotBelieved(t *testing.T) {
+func TestListOfEarlierGenerationIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
