--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -76,7 +76,7 @@
 
 // A question looks for the holder for 0.6 s. One call of the list that was swallowed must not
 // take that from it.
-func TestASwallowedReadOfTheOwnersIsRepeatedWithinAQuestion(t *testing.T) {
+func TestLostOwnersReadIsRetriedWithinOneQuestion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
