--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -99,7 +99,7 @@
 }
 
 // After the end of Run the list is read all the same.
-func TestOwnersAreReadAfterTheEndOfRun(t *testing.T) {
+func TestWatchersAreReadAfterRunEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		log := journaltest.New()
