--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -115,7 +115,7 @@
 
 // A read of the list that failed is followed by another one, and one whose caller has left
 // ends with an answer for the next.
-func TestTheOwnersAreReadOnAfterAFailureAndForTheNextCaller(t *testing.T) {
+func TestListIsReadAgainAfterFailureAndForNextCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
