--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -158,7 +158,7 @@
 // questions found no holder though nothing had been dealt since: 13 of 40 refused questions of a
 // fleet whose journal carried half of its grant. It counts on as long as the group is heard of, and
 // no longer.
-func TestOwnersOfThisGenerationCountOnWhileTheirReadIsLate(t *testing.T) {
+func TestListOfSameGenerationIsUsedWhileReadIsSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
