--- a/internal/membership/duty/duty.go
+++ b/internal/membership/duty/duty.go
@@ -24,8 +24,8 @@
 	ErrUnknown = errors.New("duty: outcome unknown")
 	// ErrThrottled: more calls came than the platform takes; this one had no effect.
 	ErrThrottled = errors.New("duty: throttled")
-	// ErrNoneToBeHad: the platform has no such replicas at present.
-	ErrNoneToBeHad = errors.New("duty: none to be had")
+	// ErrNoCapacity: the platform has no such replicas at present.
+	ErrNoCapacity = errors.New("duty: none to be had")
 	// ErrFenced: the platform has seen a higher fence.
 	ErrFenced = errors.New("duty: fenced off")
 	// ErrRefused: the platform does not take such a call.
@@ -80,7 +80,7 @@
 	case http.StatusTooManyRequests:
 		return ErrThrottled
 	case http.StatusConflict:
-		return ErrNoneToBeHad
+		return ErrNoCapacity
 	case http.StatusPreconditionFailed:
 		return ErrFenced
 	case http.StatusBadRequest, http.StatusForbidden, http.StatusNotFound, http.StatusUnprocessableEntity:
