--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -91,7 +91,7 @@
 func (r *Recorder) Flush(ctx context.Context) error {
 	err := r.flush(ctx)
 	if err == nil {
-		r.logWritten(r.clock.Now().Add(r.windows.Length))
+		r.logWritten(r.clock.Now().Add(r.windows.WindowLength))
 	}
 	return err
 }
--- a/internal/callers/usage/usage.go
+++ b/internal/callers/usage/usage.go
@@ -37,10 +37,10 @@
 
 // windowOf returns the number of the window that a time of day lies in.
 func windowOf(at time.Time, windows duty.Windows) int64 {
-	return at.UnixMilli() / windows.Length.Milliseconds()
+	return at.UnixMilli() / windows.WindowLength.Milliseconds()
 }
 
 // endOf returns when a window ends.
 func endOf(window int64, windows duty.Windows) time.Time {
-	return time.UnixMilli((window + 1) * windows.Length.Milliseconds())
+	return time.UnixMilli((window + 1) * windows.WindowLength.Milliseconds())
 }
--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -26,7 +26,7 @@
 
 func init() { testseed.Fix() }
 
-var windows = duty.Windows{Length: 5 * time.Second, Due: 10 * time.Second}
+var windows = duty.Windows{WindowLength: 5 * time.Second, Due: 10 * time.Second}
 
 // countedRecord has one request of a tenant in a window.
 func countedRecord(run string, number, window int64, tenant string) []byte {
@@ -227,7 +227,7 @@
 		recorder := NewRecorder(journaltest.New(), "a/1", windows, func() time.Duration { return 0 }, wallclock.New(time.Now), zap.NewNop())
 		sentAt := time.Now()
 		window := windowOf(sentAt, windows)
-		time.Sleep(windows.Length + time.Second)
+		time.Sleep(windows.WindowLength + time.Second)
 		recorder.Ran("x", sentAt)
 		recorder.Ran("", time.Now()) // not a tenant's
 		is.Equal(recorder.counts, map[int64]map[string]int64{window: {"x": 1}})
--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -33,8 +33,8 @@
 			Table: n.table, List: n.replicaFollower, Configuration: n.operator.Configuration, Demands: n.demands,
 		}, n.logger)
 	}
-	windows := duty.Windows{Length: n.settings.Timing.UsageWindow.Std(), Due: n.settings.Timing.UsageDue.Std()}
-	if !drivers.Duties.Duties().Usage || windows.Length <= 0 {
+	windows := duty.Windows{WindowLength: n.settings.Timing.UsageWindow.Std(), Due: n.settings.Timing.UsageDue.Std()}
+	if !drivers.Duties.Duties().Usage || windows.WindowLength <= 0 {
 		return
 	}
 	clock := wallclock.New(bootclock.Now)
