--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -109,7 +109,7 @@
 }
 
 func (r *Reporter) partOfDue(part float64) time.Duration {
-	return time.Duration(part * float64(r.windows.Due))
+	return time.Duration(part * float64(r.windows.DueAfter))
 }
 
 // decide settles the next window if it is time. It does one at a time, so that reports
--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -26,7 +26,7 @@
 
 func init() { testseed.Fix() }
 
-var windows = duty.Windows{WindowLength: 5 * time.Second, Due: 10 * time.Second}
+var windows = duty.Windows{WindowLength: 5 * time.Second, DueAfter: 10 * time.Second}
 
 // countedRecord has one request of a tenant in a window.
 func countedRecord(run string, number, window int64, tenant string) []byte {
@@ -210,7 +210,7 @@
 		for _, each := range platform.calls {
 			is.True(!seen[each.usage.Window]) // once
 			seen[each.usage.Window] = true
-			is.True(each.at.Before(endOf(each.usage.Window, windows).Add(windows.Due)))
+			is.True(each.at.Before(endOf(each.usage.Window, windows).Add(windows.DueAfter)))
 			is.Equal(total(each.usage.Requests), total(want[each.usage.Window]))
 			is.True(maps.Equal(each.usage.Requests, want[each.usage.Window]) || len(want[each.usage.Window]) == 0)
 			delete(want, each.usage.Window)
@@ -397,7 +397,7 @@
 			if each.usage.Window == window {
 				found = true
 				is.Equal(each.usage.Requests, map[string]int64{"x": 2})
-				is.True(each.at.Before(endOf(window, windows).Add(windows.Due)))
+				is.True(each.at.Before(endOf(window, windows).Add(windows.DueAfter)))
 			}
 		}
 		is.True(found)
--- a/internal/membership/duty/duty.go
+++ b/internal/membership/duty/duty.go
@@ -68,8 +68,8 @@
 
 // Windows says how usage is to be reported.
 type Windows struct {
-	// WindowLength is that of one window, Due how long after its end the report must be there.
-	WindowLength, Due time.Duration
+	// WindowLength is that of one window, DueAfter how long after its end the report must be there.
+	WindowLength, DueAfter time.Duration
 }
 
 // OutcomeOf is what the HTTP status of the answer to a call means.
