--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -30,7 +30,7 @@
 type Recorder struct {
 	journal     journal.Journal
 	self        string
-	windows     duty.Windows
+	windows     duty.UsageSchedule
 	minInterval journal.Interval
 	clock       *wallclock.Clock
 	logger      *zap.Logger
@@ -50,7 +50,7 @@
 
 // NewRecorder returns a recorder for an incarnation of a daemon. MinInterval is the least
 // time between two appends that the journal's grants allow.
-func NewRecorder(log journal.Journal, self string, windows duty.Windows, minInterval journal.Interval,
+func NewRecorder(log journal.Journal, self string, windows duty.UsageSchedule, minInterval journal.Interval,
 	clock *wallclock.Clock, logger *zap.Logger) *Recorder {
 	return &Recorder{
 		journal: log, self: self, windows: windows, minInterval: minInterval, clock: clock, logger: logger,
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -47,7 +47,7 @@
 	lease   lease.Fencer
 	driver  duty.Driver
 	holder  string
-	windows duty.Windows
+	windows duty.UsageSchedule
 	clock   *wallclock.Clock
 	logger  *zap.Logger
 
@@ -64,7 +64,7 @@
 
 // NewReporter returns a reporter that acts in the name of holder.
 func NewReporter(log journal.Journal, l lease.Fencer, driver duty.Driver, holder string,
-	windows duty.Windows, clock *wallclock.Clock, logger *zap.Logger) *Reporter {
+	windows duty.UsageSchedule, clock *wallclock.Clock, logger *zap.Logger) *Reporter {
 	return &Reporter{
 		journal: log, lease: l, driver: driver, holder: holder, windows: windows, clock: clock, logger: logger,
 		state: newState(),
--- a/internal/callers/usage/usage.go
+++ b/internal/callers/usage/usage.go
@@ -36,11 +36,11 @@
 var Partition = journal.Partition{Topic: "woodworks.usage"}
 
 // windowOf returns the number of the window that a time of day lies in.
-func windowOf(at time.Time, windows duty.Windows) int64 {
+func windowOf(at time.Time, windows duty.UsageSchedule) int64 {
 	return at.UnixMilli() / windows.WindowLength.Milliseconds()
 }
 
 // endOf returns when a window ends.
-func endOf(window int64, windows duty.Windows) time.Time {
+func endOf(window int64, windows duty.UsageSchedule) time.Time {
 	return time.UnixMilli((window + 1) * windows.WindowLength.Milliseconds())
 }
--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -26,7 +26,7 @@
 
 func init() { testseed.Fix() }
 
-var windows = duty.Windows{WindowLength: 5 * time.Second, DueAfter: 10 * time.Second}
+var windows = duty.UsageSchedule{WindowLength: 5 * time.Second, DueAfter: 10 * time.Second}
 
 // countedRecord has one request of a tenant in a window.
 func countedRecord(run string, number, window int64, tenant string) []byte {
--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -33,7 +33,7 @@
 			Table: n.table, List: n.replicaFollower, Configuration: n.operator.Configuration, Demands: n.demands,
 		}, n.logger)
 	}
-	windows := duty.Windows{WindowLength: n.settings.Timing.UsageWindow.Std(), DueAfter: n.settings.Timing.UsageDue.Std()}
+	windows := duty.UsageSchedule{WindowLength: n.settings.Timing.UsageWindow.Std(), DueAfter: n.settings.Timing.UsageDue.Std()}
 	if !drivers.Duties.Duties().Usage || windows.WindowLength <= 0 {
 		return
 	}
--- a/internal/membership/duty/duty.go
+++ b/internal/membership/duty/duty.go
@@ -66,8 +66,8 @@
 // Duties says which calls a platform expects.
 type Duties struct{ Usage, Fleet bool }
 
-// Windows says how usage is to be reported.
-type Windows struct {
+// UsageSchedule says how usage is to be reported.
+type UsageSchedule struct {
 	// WindowLength is that of one window, DueAfter how long after its end the report must be there.
 	WindowLength, DueAfter time.Duration
 }
