--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -110,7 +110,7 @@
 
 func (c *cloud) Duties() duty.Duties { return duty.Duties{Usage: true} }
 
-func (c *cloud) OrderFleet(context.Context, duty.Authority, duty.Fleet) error {
+func (c *cloud) OrderFleet(context.Context, duty.Authority, duty.FleetOrder) error {
 	return duty.ErrRefused
 }
 
--- a/internal/daemon/node/golden_test.go
+++ b/internal/daemon/node/golden_test.go
@@ -24,7 +24,7 @@
 
 func (allDuties) ReportUsage(context.Context, duty.Authority, duty.Usage) error { return nil }
 
-func (allDuties) OrderFleet(context.Context, duty.Authority, duty.Fleet) error { return nil }
+func (allDuties) OrderFleet(context.Context, duty.Authority, duty.FleetOrder) error { return nil }
 
 // Dashboards and alerts name the metrics of a daemon, their labels, and texts of labels.
 func TestMetricsKeepTheirNames(t *testing.T) {
--- a/internal/membership/duty/duty.go
+++ b/internal/membership/duty/duty.go
@@ -46,8 +46,8 @@
 	Requests map[string]int64
 }
 
-// Fleet orders replicas of one service in one zone.
-type Fleet struct {
+// FleetOrder orders replicas of one service in one zone.
+type FleetOrder struct {
 	Service string
 	Zone    string
 	Desired int
@@ -60,7 +60,7 @@
 	// Duties tells which calls the platform expects.
 	Duties() Duties
 	ReportUsage(ctx context.Context, authority Authority, usage Usage) error
-	OrderFleet(ctx context.Context, authority Authority, fleet Fleet) error
+	OrderFleet(ctx context.Context, authority Authority, fleet FleetOrder) error
 }
 
 // Duties says which calls a platform expects.
--- a/internal/replicas/fleet/clock_test.go
+++ b/internal/replicas/fleet/clock_test.go
@@ -45,7 +45,7 @@
 	withPredecessors(t, func(is *is.I, s *fixture) {
 		is.Equal(Need(Input{Slots: 6, Loads: loadsOf(240)}), 18) // six in each zone
 		time.Sleep(s.boot() + bootMargin - planInterval)
-		is.Equal(s.placedOrders(), []duty.Fleet(nil))
+		is.Equal(s.placedOrders(), []duty.FleetOrder(nil))
 	})
 }
 
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -192,7 +192,7 @@
 		m.lastOrders[key] = m.observe(key, rec, in.Now)
 		fence, err = lease.Do(ctx, m.Lease, callTimeout, func(ctx context.Context, fence int64) error {
 			return m.Driver.OrderFleet(ctx, duty.Authority{Holder: m.Holder, Fence: fence},
-				duty.Fleet{Service: service, Zone: order.Zone, Desired: order.Desired})
+				duty.FleetOrder{Service: service, Zone: order.Zone, Desired: order.Desired})
 		})
 	}
 	m.logger.Info("replicas ordered", zap.String("service", service), zap.String("zone", order.Zone),
--- a/internal/replicas/fleet/fleet_test.go
+++ b/internal/replicas/fleet/fleet_test.go
@@ -27,7 +27,7 @@
 	table       *replica.Table
 	demands     *demand.State
 	mu          sync.Mutex
-	orders      []duty.Fleet
+	orders      []duty.FleetOrder
 	orderErr    error
 	lastContact time.Time
 	held        bool
@@ -39,7 +39,7 @@
 	return duty.ErrRefused
 }
 
-func (s *fixture) OrderFleet(_ context.Context, _ duty.Authority, fleet duty.Fleet) error {
+func (s *fixture) OrderFleet(_ context.Context, _ duty.Authority, fleet duty.FleetOrder) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.orders = append(s.orders, fleet)
@@ -67,10 +67,10 @@
 	change()
 }
 
-func (s *fixture) placedOrders() []duty.Fleet {
+func (s *fixture) placedOrders() []duty.FleetOrder {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]duty.Fleet(nil), s.orders...)
+	return append([]duty.FleetOrder(nil), s.orders...)
 }
 
 // newFixture returns a fixture with nine replicas in three zones and batches of the given number
@@ -118,7 +118,7 @@
 }
 
 // totalDesired returns the number of replicas of all zones once the orders are carried out.
-func totalDesired(orders []duty.Fleet) int {
+func totalDesired(orders []duty.FleetOrder) int {
 	newest := map[string]int{"a": 3, "b": 3, "c": 3}
 	for _, order := range orders {
 		newest[order.Zone] = order.Desired
