--- a/internal/membership/duty/duty.go
+++ b/internal/membership/duty/duty.go
@@ -72,8 +72,8 @@
 	WindowLength, DueAfter time.Duration
 }
 
-// OutcomeOf is what the HTTP status of the answer to a call means.
-func OutcomeOf(status int) error {
+// StatusError is what the HTTP status of the answer to a call means.
+func StatusError(status int) error {
 	switch status {
 	case http.StatusOK, http.StatusAccepted, http.StatusNoContent:
 		return nil
