--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -84,7 +84,7 @@
 		// Start times of incarnations come from the machine's wall clock, which may have been
 		// set back. The order is enforced only while the later incarnation is known to be
 		// alive.
-		if d.current && identity.Started(report.Sender) < identity.Started(d.report.Sender) {
+		if d.current && identity.StartNanos(report.Sender) < identity.StartNanos(d.report.Sender) {
 			return nil
 		}
 		t.removeCounts(d)
--- a/internal/membership/identity/identity.go
+++ b/internal/membership/identity/identity.go
@@ -34,10 +34,10 @@
 		slices.ContainsFunc(alive, func(other string) bool { return Machine(other) == Machine(incarnation) })
 }
 
-// Started returns when an incarnation began by its machine's time of day, in nanoseconds since 1970,
+// StartNanos returns when an incarnation began by its machine's time of day, in nanoseconds since 1970,
 // or 0 if its name doesn't say. It orders the incarnations of one machine unless that time was put
 // back between them.
-func Started(incarnation string) int64 {
+func StartNanos(incarnation string) int64 {
 	_, start, _ := strings.Cut(incarnation, separator)
 	parsed, err := strconv.ParseInt(start, 36, 64)
 	if err != nil {
