--- a/internal/membership/identity/golden_test.go
+++ b/internal/membership/identity/golden_test.go
@@ -7,6 +7,6 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestNamesOfRunsKeepTheirForm(t *testing.T) {
+func TestIncarnationNameFormatIsStable(t *testing.T) {
 	golden.Text(t, "run.txt", New("machine", time.UnixMilli(1_700_000_000_123)))
 }
