--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -41,6 +41,11 @@
 	"order":                                 "weight change ordered",
 	"weights":                               "weight change ended",
 	"replica's entry refused":               "replica entry rejected",
+	"lease not read":                        "failed to read lease",
+	"lease not claimed":                     "failed to claim lease",
+	"lease not renewed":                     "failed to renew lease",
+	"lease not settled":                     "failed to read conflicting lease records",
+	"lease record not understood":           "failed to decode lease record",
 }
 
 // eventName returns the name that an event has today.
--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -10,49 +10,51 @@
 )
 
 const (
-	// safetyMargin is added to each wait for another's lease to be over.
+	// safetyMargin is added to each wait for the end of another holder's lease.
 	safetyMargin = 300 * time.Millisecond
 	// claimLead is how long before it may act a successor claims the lease.
 	claimLead = 300 * time.Millisecond
-	// maxReadWait bounds the wait of a read for a record: one that was lost in an outage is
-	// given up soon.
+	// maxReadWait bounds how long a read waits for a new record, so that a read lost in an
+	// outage is given up soon.
 	maxReadWait = time.Second
 )
 
-// reclaim takes the lease back if the machine's last incarnation held it last.
+// reclaim takes the lease back if the last record is of this machine, that is of an earlier
+// incarnation of this daemon.
 func (l *Lease) reclaim(ctx context.Context) {
 	l.watch(ctx)
 	l.mu.Lock()
-	looked := l.synced
-	own := looked && l.nextOffset > 0 && l.lastRecord.Machine == l.machine
-	l.reclaiming = !looked
+	synced := l.synced
+	own := synced && l.nextOffset > 0 && l.lastRecord.Machine == l.machine
+	l.reclaiming = !synced
 	l.mu.Unlock()
 	if own {
 		l.claim(ctx)
 	}
 }
 
-// invalidate drops what was read, as it is not kept up to date.
+// invalidate marks the state read from the partition as outdated. A daemon that is no candidate
+// doesn't keep it up to date.
 func (l *Lease) invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.synced, l.lastRecordAt = false, time.Time{}
 }
 
-// watch reads the partition as a candidate and claims the lease once it must
-// be free.
+// watch makes one read of the partition as a candidate, which waits for new records until the
+// lease may be claimed. It claims the lease if there is no new record by then.
 func (l *Lease) watch(ctx context.Context) {
 	l.mu.Lock()
-	from, seen := l.nextOffset, l.synced
+	from, synced := l.nextOffset, l.synced
 	wait := time.Duration(0)
-	if seen {
+	if synced {
 		wait = min(max(l.claimAt().Sub(l.now()), 0), maxReadWait)
 	}
 	l.mu.Unlock()
 	began := l.now()
 	records, err := l.read(ctx, from, wait)
 	if err != nil {
-		l.logger.Debug("lease not read", zap.Error(err))
+		l.logger.Debug("failed to read lease", zap.Error(err))
 		l.lostContact()
 		periodic.Pause(ctx, retryDelay)
 		return
@@ -67,7 +69,8 @@
 		l.mu.Unlock()
 		return
 	}
-	// The read was begun after the lease must have been over, or is repeated.
+	// Only a read that began at claimAt or later shows that no renewal came in time. After an
+	// earlier one the caller reads again.
 	free := !began.Before(l.claimAt())
 	l.mu.Unlock()
 	if free {
@@ -75,8 +78,8 @@
 	}
 }
 
-// lostContact restarts the wait for the end of another's lease: what was
-// written meanwhile is not known.
+// lostContact restarts the wait for the end of another holder's lease, as the holder may have
+// renewed it since the last successful read.
 func (l *Lease) lostContact() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,8 +88,9 @@
 	}
 }
 
-// claimAt is when the lease should be claimed: just before the new holder may act. An
-// earlier claim would only take it from a holder that comes back. The mutex is held.
+// claimAt returns when to claim the lease: claimLead before this daemon may act. An earlier claim
+// would not let it act sooner, and would take the lease from a holder that recovers in time. The
+// mutex is held.
 func (l *Lease) claimAt() time.Time {
 	waiting := safetyMargin + max(l.quietPeriod-claimLead, 0)
 	switch {
@@ -98,8 +102,8 @@
 	return l.lastRecordAt.Add(Duration + waiting)
 }
 
-// claimValidFrom is when a claim made now lets this daemon act: once all acts of the holder
-// before it must be over. The mutex is held.
+// claimValidFrom returns from when on a claim made now lets this daemon act: when the calls of
+// the previous holder must have ended and the quiet period after them is over. The mutex is held.
 func (l *Lease) claimValidFrom() time.Time {
 	switch {
 	case l.nextOffset == 0 || l.lastRecord.Machine == l.machine && l.lastRecord.Active:
@@ -110,17 +114,17 @@
 	return l.lastRecordAt.Add(Duration + safetyMargin + l.quietPeriod)
 }
 
-// claim appends a claim on condition that nothing was written since.
+// claim appends a claim, on condition that no record was appended since the last read.
 func (l *Lease) claim(ctx context.Context) {
 	l.mu.Lock()
 	end, before := l.nextOffset, l.lastRecord.Holder
-	actFrom := l.claimValidFrom()
-	l.validFrom = actFrom
+	validFrom := l.claimValidFrom()
+	l.validFrom = validFrom
 	l.mu.Unlock()
 	sent := l.now()
 	appended, err := l.append(ctx, claimed, end)
 	if err != nil {
-		l.logger.Info("lease not claimed", zap.String("from", before), zap.Error(err))
+		l.logger.Info("failed to claim lease", zap.String("from", before), zap.Error(err))
 		periodic.Pause(ctx, retryDelay)
 		return
 	}
@@ -130,5 +134,5 @@
 	l.lastRecord, l.lastRecordAt = record{Kind: claimed, Holder: l.self, Machine: l.machine}, l.now()
 	l.validUntil = sent.Add(Duration)
 	l.logger.Info("lease claimed", zap.Int64("fence", l.fence), zap.String("from", before),
-		zap.Duration("act_in", actFrom.Sub(l.now())))
+		zap.Duration("act_in", validFrom.Sub(l.now())))
 }
--- a/internal/membership/lease/holder.go
+++ b/internal/membership/lease/holder.go
@@ -9,7 +9,8 @@
 	"woodworks/internal/journal"
 )
 
-// renew appends a renewal. Only an acknowledged one moves the end of the lease.
+// renew appends a renewal. The end of the lease moves only if the append is acknowledged, and
+// counts from when it was sent.
 func (l *Lease) renew(ctx context.Context) {
 	l.mu.Lock()
 	end := l.nextOffset
@@ -23,27 +24,28 @@
 		l.mu.Unlock()
 		return
 	}
-	// A renewal without an answer is sent again on the same condition, so that
-	// one of the two counts; where the condition fails, the journal tells why.
+	// After a renewal whose outcome is unknown the next one has the same condition, so that at
+	// most one of them is appended. If the condition fails, the partition shows why.
 	if errors.Is(err, journal.ErrPosition) {
 		l.resolveConflict(ctx)
 		return
 	}
 	if ctx.Err() == nil {
-		l.logger.Info("lease not renewed", zap.Int64("fence", l.fence), zap.Error(err))
+		l.logger.Info("failed to renew lease", zap.Int64("fence", l.fence), zap.Error(err))
 	}
 }
 
-// resolveConflict reads what stands where a renewal should: an earlier one of this
-// holder, or another's claim, by which the lease is lost.
+// resolveConflict reads the records that made the condition of an append fail. They are earlier
+// records of this holder that were not acknowledged, or the claim of another, by which the lease
+// is lost.
 func (l *Lease) resolveConflict(ctx context.Context) {
 	l.mu.Lock()
 	from := l.nextOffset
 	l.mu.Unlock()
 	records, err := l.read(ctx, from, 0)
 	if err != nil {
-		// The next renewal fails on the same condition, and comes here again.
-		l.logger.Info("lease not settled", zap.Int64("fence", l.fence), zap.Error(err))
+		// The next renewal fails on the same condition, and the read is repeated.
+		l.logger.Info("failed to read conflicting lease records", zap.Int64("fence", l.fence), zap.Error(err))
 		return
 	}
 	l.mu.Lock()
@@ -58,9 +60,10 @@
 	}
 }
 
-// Withdraw says that this daemon is about to end: it claims the lease no more.
-// If it may act it goes on until it resigns, as a successor could not act for
-// the quiet time, and its machine's next incarnation can at once.
+// Withdraw announces that this daemon is about to stop. From now on it doesn't claim the lease.
+// If it may act already, it keeps the lease until Resign: a successor would have to wait for the
+// quiet period, while the next incarnation on this machine can act at once. If it holds the lease
+// but may not act yet, it resigns.
 func (l *Lease) Withdraw(ctx context.Context) {
 	l.mu.Lock()
 	l.resigning, l.candidate = true, false
@@ -71,8 +74,8 @@
 	}
 }
 
-// Resign gives the lease up, if it is held, so that a successor need not wait
-// for its end. This daemon acts no more from the call on.
+// Resign gives up the lease if it is held, so that a successor need not wait until it expires.
+// From the call on this daemon neither acts nor claims the lease.
 func (l *Lease) Resign(ctx context.Context) {
 	l.mu.Lock()
 	held, fence := l.held, l.fence
@@ -85,8 +88,8 @@
 	l.logger.Info("lease resigned", zap.Int64("fence", fence), zap.Error(err))
 }
 
-// appendResignation appends the resignation, once more if a renewal that was
-// under way came between.
+// appendResignation appends the resignation. It tries a second time if another record, such as a
+// renewal sent before, made the condition of the first append fail.
 func (l *Lease) appendResignation(ctx context.Context) error {
 	for again := true; ; again = false {
 		l.mu.Lock()
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -1,22 +1,24 @@
-// Package lease elects one holder for a duty by claims in a journal partition.
+// Package lease elects one holder of a duty among the daemons by claims in a journal partition.
 //
-// A claim's fence is one more than its offset: it is unique and only rises. A holder acts
-// only until its lease is over by its own clock, counted from when it sent its
-// last acknowledged renewal. A successor acts only once that time and
-// the quiet time must be over, counted from when it read the last record. It
-// claims the lease just before that: until then the holder may come back.
-// Neither relies on the time of day. The clock counts the time in which the machine
-// is suspended: to a holder that slept, a lease that others saw run out would look valid.
+// The fence of a claim is its offset plus one, so that fences are unique and increase with each
+// claim. A holder acts only until its lease expires by its own clock, counted from when it sent
+// its last acknowledged renewal. A successor acts only when that time and a quiet period are over,
+// counted from when it read the last record. It claims the lease shortly before that, so that a
+// holder that recovers in the meantime keeps the lease.
 //
-// The package owns this daemon's part in the election. It relies on the journal for the order of
-// claims, and on the group for who is a candidate.
+// Neither relies on the time of day. The clock includes the time in which the machine is
+// suspended. With a clock that stops meanwhile, a resumed holder would take a lease for valid that
+// has expired for the others.
+//
+// The package relies on the journal for the order of claims. Its caller decides which daemons are
+// candidates.
 //
 // # Usage
 //
-//	l := lease.New(log, partition, identity.New(machine, time.Now()), quiet, logger)
+//	l := lease.New(log, partition, identity.New(machine, time.Now()), quietPeriod, logger)
 //	go l.Run(ctx)
 //	l.SetCandidate(true)
-//	fence, err := lease.Act(ctx, l, timeout, func(ctx context.Context, fence int64) error { ... })
+//	fence, err := lease.Do(ctx, l, timeout, func(ctx context.Context, fence int64) error { ... })
 package lease
 
 import (
@@ -33,72 +35,73 @@
 )
 
 const (
-	// Duration is how long a renewal lets its holder act.
+	// Duration is how long after a claim or renewal was sent the lease expires.
 	Duration = 1500 * time.Millisecond
-	// renewInterval is the time between two renewals, retryPause that after a failed call
-	// of a candidate.
+	// renewInterval is the time between two renewals.
 	renewInterval = 400 * time.Millisecond
-	retryDelay    = 150 * time.Millisecond
+	// retryDelay is the wait of a candidate after a failed call to the journal.
+	retryDelay = 150 * time.Millisecond
 )
 
-// Lease is one daemon's part in the election. It is safe for concurrent use.
+// Lease takes part in the election for one daemon. It is safe for concurrent use.
 type Lease struct {
 	journal   journal.Journal
 	partition journal.Partition
-	// self is this daemon's incarnation on the machine.
+	// self is this daemon's incarnation, machine the machine in its name.
 	self, machine string
-	// quietPeriod is how long after another holder's last possible act this daemon
-	// must wait before its first.
+	// quietPeriod is how long after the last possible call of another holder this daemon waits
+	// before its first.
 	quietPeriod time.Duration
 	now         bootclock.Clock
 	logger      *zap.Logger
 
 	mu sync.Mutex
-	// nextOffset is the offset after the last record read or written.
+	// nextOffset is the offset after the last record read or appended.
 	nextOffset int64
-	// lastRecord is the lastRecord record and newestAt when it was read; looked says that the partition
-	// has been read and is kept up to date.
+	// lastRecord is the newest record that was read or claimed, lastRecordAt the time of that or
+	// of a later failed read. synced is true once the partition has been read, and as long as it
+	// is kept up to date.
 	lastRecord   record
 	lastRecordAt time.Time
 	synced       bool
-	// held says that this daemon holds the lease, with fence; it may act from actFrom on until
-	// actUntil.
+	// held is true if this daemon holds the lease, under fence. It may act from validFrom until
+	// validUntil.
 	held                  bool
 	fence                 int64
 	validFrom, validUntil time.Time
-	// candidate daemons claim a free lease; one that is resigning claims none.
+	// A candidate claims the lease when it is free. A daemon that is resigning never does.
 	candidate, resigning bool
-	// reclaiming lasts from the start until the first look: a lease that the
-	// machine's last incarnation held is taken back at once.
+	// reclaiming is true from the start until the first successful read, after which a lease
+	// last held by an earlier incarnation on this machine is claimed at once.
 	reclaiming bool
 }
 
-// New returns a lease on the partition for the incarnation of a daemon named self.
-func New(log journal.Journal, partition journal.Partition, self string, quiet time.Duration, logger *zap.Logger) *Lease {
+// New returns the lease on a partition for the incarnation of a daemon named self.
+func New(log journal.Journal, partition journal.Partition, self string, quietPeriod time.Duration, logger *zap.Logger) *Lease {
 	return &Lease{
 		journal:     log,
 		partition:   partition,
 		self:        self,
 		machine:     identity.Machine(self),
-		quietPeriod: quiet,
+		quietPeriod: quietPeriod,
 		now:         bootclock.Now,
 		logger:      logger,
 		reclaiming:  true,
 	}
 }
 
-// SetClock sets the clock by which the lease runs out. It is called before Run.
+// SetClock replaces the clock by which the lease expires. It must be called before Run.
 func (l *Lease) SetClock(now bootclock.Clock) { l.now = now }
 
-// SetCandidate says whether this daemon should claim the lease when it is free.
+// SetCandidate sets whether this daemon claims the lease when it is free.
 func (l *Lease) SetCandidate(candidate bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.candidate = candidate
 }
 
-// Fence returns the fence under which this daemon may act now, and for how long.
-func (l *Lease) Fence() (fence int64, left time.Duration, may bool) {
+// Fence implements Fencer.
+func (l *Lease) Fence() (fence int64, left time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -115,7 +118,8 @@
 	return l.held
 }
 
-// Run takes part until the context ends.
+// Run takes part in the election until the context ends: it renews a lease that is held, and
+// watches and claims it as a candidate.
 func (l *Lease) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -22,55 +22,55 @@
 
 const (
 	quietPeriod = 3 * time.Second
-	// actInterval is how often a holder acts in these tests.
+	// actInterval is the time between two acts of a holder in these tests.
 	actInterval = 70 * time.Millisecond
 )
 
 var dutyPartition = journal.Partition{Topic: "duty"}
 
-// act is one act under the lease.
+// act is one call that a daemon made under the lease.
 type act struct {
 	machine string
 	fence   int64
 	at      time.Time
 }
 
-// history collects the acts of all runs.
+// history collects the acts of all daemons in the order of time.
 type history struct {
 	mu   sync.Mutex
 	acts []act
 }
 
-func (h *history) add(r act) {
+func (h *history) add(a act) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.acts = append(h.acts, r)
+	h.acts = append(h.acts, a)
 }
 
-// check holds an act against all before it: fences never fall, belong to one
-// machine each, and another machine has been quiet.
+// check returns an error unless fences never decrease, each is used by one machine only, and an
+// act comes at least the quiet period after the last one of another machine.
 func (h *history) check() error {
 	holders := map[int64]string{}
-	for i, r := range h.acts {
-		if holder, used := holders[r.fence]; used && holder != r.machine {
-			return fmt.Errorf("fence %d was used by %s and %s", r.fence, holder, r.machine)
+	for i, a := range h.acts {
+		if holder, used := holders[a.fence]; used && holder != a.machine {
+			return fmt.Errorf("fence %d was used by %s and %s", a.fence, holder, a.machine)
 		}
-		holders[r.fence] = r.machine
+		holders[a.fence] = a.machine
 		if i == 0 {
 			continue
 		}
 		before := h.acts[i-1]
-		if r.fence < before.fence {
-			return fmt.Errorf("fence %d of %s after %d of %s", r.fence, r.machine, before.fence, before.machine)
+		if a.fence < before.fence {
+			return fmt.Errorf("fence %d of %s used after fence %d of %s", a.fence, a.machine, before.fence, before.machine)
 		}
-		if before.machine != r.machine && r.at.Sub(before.at) < quietPeriod {
-			return fmt.Errorf("%s acted %v after %s", r.machine, r.at.Sub(before.at), before.machine)
+		if before.machine != a.machine && a.at.Sub(before.at) < quietPeriod {
+			return fmt.Errorf("%s acted only %v after %s", a.machine, a.at.Sub(before.at), before.machine)
 		}
 	}
 	return nil
 }
 
-// daemon is one daemon of a daemon that acts whenever it may.
+// daemon is one incarnation of a daemon. It acts every actInterval while the lease allows it.
 type daemon struct {
 	lease *Lease
 	clock *clocktest.Clock
@@ -78,12 +78,13 @@
 	done  sync.WaitGroup
 }
 
+// start starts a daemon that is no candidate.
 func start(ctx context.Context, log journal.Journal, machine string, number int, acts *history) *daemon {
 	return startDaemon(ctx, log, machine, number, acts, false)
 }
 
-// startDaemon starts a run that is a candidate from its beginning, or is not. One that
-// becomes a candidate while it runs begins to watch up to renewInterval later.
+// startDaemon starts a daemon, as a candidate or not. A daemon that becomes a candidate later
+// starts to watch the partition up to renewInterval after that.
 func startDaemon(ctx context.Context, log journal.Journal, machine string, number int, acts *history, candidate bool) *daemon {
 	bounded, cancel := context.WithCancel(ctx)
 	started := &daemon{lease: New(log, dutyPartition, fmt.Sprintf("%s/%d", machine, number), quietPeriod, zap.NewNop()), stop: cancel, clock: clocktest.New()}
@@ -97,7 +98,7 @@
 	go func() {
 		defer started.done.Done()
 		for bounded.Err() == nil {
-			if fence, _, may := started.lease.Fence(); may {
+			if fence, _, ok := started.lease.Fence(); ok {
 				acts.add(act{machine: machine, fence: fence, at: time.Now()})
 			}
 			time.Sleep(actInterval)
@@ -106,14 +107,14 @@
 	return started
 }
 
-func (r *daemon) kill() {
-	r.stop()
-	r.done.Wait()
+// kill stops the daemon without a resignation and waits for its end.
+func (d *daemon) kill() {
+	d.stop()
+	d.done.Wait()
 }
 
-// Whatever happens to the calls and to the daemons: kills, restarts, calls that
-// hang, are refused, lose their answer or take effect late, and candidates that
-// come and go.
+// Two holders must not act within the quiet period, whatever the faults: kills, restarts, changing
+// candidates, and journal calls that hang, are refused, lose their answer or take effect late.
 func TestHoldersNeverActConcurrently(t *testing.T) {
 	totalActs := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -133,27 +134,27 @@
 				return faultOf(faults[calls%len(faults)])
 			}
 			ctx, cancel := context.WithCancel(t.Context())
-			runs := map[string]*daemon{}
+			daemons := map[string]*daemon{}
 			for i, step := range steps {
 				machine := string(rune('a' + step%3))
 				switch {
-				case runs[machine] == nil:
-					runs[machine] = start(ctx, log, machine, i, acts)
-					runs[machine].lease.SetCandidate(step%2 == 0)
+				case daemons[machine] == nil:
+					daemons[machine] = start(ctx, log, machine, i, acts)
+					daemons[machine].lease.SetCandidate(step%2 == 0)
 				case step < 30:
-					runs[machine].kill()
-					delete(runs, machine)
+					daemons[machine].kill()
+					delete(daemons, machine)
 				case step < 40:
-					runs[machine].lease.Resign(ctx)
+					daemons[machine].lease.Resign(ctx)
 				case step < 70:
-					runs[machine].lease.SetCandidate(step%2 == 0)
+					daemons[machine].lease.SetCandidate(step%2 == 0)
 				}
 				time.Sleep(time.Duration(step) * 60 * time.Millisecond)
 				log.Settle()
 			}
 			cancel()
-			for _, each := range runs {
-				each.done.Wait()
+			for _, d := range daemons {
+				d.done.Wait()
 			}
 			failure = acts.check()
 			acted = len(acts.acts)
@@ -168,10 +169,10 @@
 	}
 }
 
-// minActs keeps the test from passing because nobody ever acted.
+// minActs is the least number of acts over all sequences, so that the test can't pass without any.
 const minActs = 1000
 
-// faultOf makes a quarter of the calls fail, in each of the ways.
+// faultOf maps a number from 0 to 19 to a fault, so that a quarter of the calls fail.
 func faultOf(drawn int) journaltest.Fault {
 	switch drawn {
 	case 0:
@@ -187,12 +188,12 @@
 	}
 }
 
-func mayAct(r *daemon) bool {
-	_, _, may := r.lease.Fence()
-	return may
+func mayAct(d *daemon) bool {
+	_, _, ok := d.lease.Fence()
+	return ok
 }
 
-// runElection runs a test of daemons over one journal, and checks their acts.
+// runElection runs a test of daemons that share a journal, and checks their acts at the end.
 func runElection(t *testing.T, test func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -223,9 +224,8 @@
 	})
 }
 
-// A holder that is killed, or parted from the journal, for less than the quiet
-// time of a successor goes on at once: nobody has taken its lease, as nobody
-// could have acted on it yet.
+// A successor must not claim the lease of a holder that is back before the quiet period ends: it
+// could not have acted yet, and the holder would have to wait.
 func TestHolderThatRestartsSoonKeepsLease(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
@@ -244,8 +244,8 @@
 	})
 }
 
-// A candidate that has watched acts as soon as it may after the last renewal:
-// that it claims late costs nothing.
+// A candidate that watches the partition acts as soon as the lease has expired and the quiet
+// period is over. Claiming late must not delay it.
 func TestStandbyActsOnceQuietPeriodEnds(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
@@ -263,9 +263,8 @@
 	})
 }
 
-// A machine whose run claimed the lease and was killed within the quiet time
-// after another holder must wait for the rest of it, although the last record
-// is its own.
+// An incarnation that claims the lease and is killed within the quiet period after another holder
+// must not let the next one on its machine act early, although the last record is its own.
 func TestReclaimWaitsForQuietPeriod(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
@@ -285,9 +284,8 @@
 	})
 }
 
-// A daemon that is stopped and started again has its lease back at once: its
-// successor could not have acted before, and orders would have been missing for
-// the quiet time (none came for 4.5 s).
+// A restarted daemon must have its lease back at once. If a successor took it, no daemon could act
+// for the quiet period.
 func TestMachineReclaimsLeaseItResigned(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
@@ -295,7 +293,7 @@
 		other := startDaemon(ctx, log, "b", 1, acts, true)
 		first.lease.Withdraw(ctx)
 		time.Sleep(3 * time.Second)
-		is.True(mayAct(first)) // until it resigns
+		is.True(mayAct(first)) // a withdrawn holder acts until it resigns
 		first.lease.Resign(ctx)
 		is.True(!mayAct(first))
 		first.kill()
@@ -309,14 +307,15 @@
 	})
 }
 
-// A successor acts as soon as the quiet time after a resignation is over, also
-// where a renewal crossed the resignation.
+// A successor acts as soon as the quiet period after a resignation is over, even if a renewal with
+// a lost answer made the first resignation fail.
 func TestSuccessorActsAfterResignation(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		other := startDaemon(ctx, log, "b", 1, acts, true)
-		// Between two renewals, so that the one made here meets none of the holder's.
+		// Halfway between two renewals of the holder, so that the one appended here doesn't
+		// conflict with them.
 		time.Sleep(time.Second + renewInterval/2)
 		first.lease.mu.Lock()
 		end := first.lease.nextOffset
@@ -333,7 +332,8 @@
 	})
 }
 
-// A holder that cannot act before it ends gives the lease up at once.
+// A holder that may not act yet must give up the lease when it withdraws, as it would only delay
+// a successor.
 func TestHolderInQuietPeriodResignsOnWithdraw(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
@@ -348,9 +348,8 @@
 	})
 }
 
-// After an outage in which calls got no answer, the holder acts again once its
-// next renewal is through: it once spent up to 3.6 s on calls that the outage had
-// swallowed, and gave its first order 2.2 s after the store was back.
+// Calls that got no answer in an outage must not delay the first renewal after it by more than one
+// call's timeout and a renewal interval.
 func TestHolderActsSoonAfterSilentOutage(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		holder := startDaemon(ctx, log, "a", 1, acts, true)
--- a/internal/membership/lease/record.go
+++ b/internal/membership/lease/record.go
@@ -11,11 +11,11 @@
 	"woodworks/internal/journal"
 )
 
-// callTimeout bounds one call to the journal, beyond the time that a read waits for a record.
-// A call that was lost in an outage delays the next by as much.
+// callTimeout bounds a call to the journal, beyond the time for which a read waits for a record.
+// A call that is lost in an outage delays the next one by this.
 const callTimeout = 800 * time.Millisecond
 
-// recordKind is what a record says of its holder.
+// recordKind is the kind of a record in the partition. Its values are stored.
 type recordKind int
 
 const (
@@ -24,31 +24,35 @@
 	resigned
 )
 
-// record is one record of the partition.
+// record is one record of the partition: a claim, renewal or resignation by Holder, an
+// incarnation of the daemon on Machine.
 type record struct {
 	Kind    recordKind `cbor:"1,keyasint"`
 	Holder  string     `cbor:"2,keyasint"`
 	Machine string     `cbor:"3,keyasint"`
-	// Active says that the holder might act when it wrote this: the quiet time
-	// after the holder before it was over.
+	// Active is true if the holder might act already when it wrote the record, that is if the
+	// quiet period after the previous holder was over.
 	Active bool `cbor:"4,keyasint"`
 }
 
-// append appends a record of this holder on condition that the partition ends at end.
+// append appends a record of this daemon on condition that the partition ends at end. The error
+// wraps journal.ErrPosition if it doesn't.
 func (l *Lease) append(ctx context.Context, kind recordKind, end int64) (journal.Appended, error) {
 	l.mu.Lock()
 	active := !l.now().Before(l.validFrom)
 	l.mu.Unlock()
 	encoded, err := cbor.Marshal(record{Kind: kind, Holder: l.self, Machine: l.machine, Active: active})
 	if err != nil {
-		return journal.Appended{}, errors.Wrap(err, "lease: encode")
+		return journal.Appended{}, errors.Wrap(err, "lease: encode record")
 	}
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return l.journal.Append(bounded, journal.Append{Partition: l.partition, Records: [][]byte{encoded}, ExpectedEnd: &end})
 }
 
-// read returns the records from an offset on.
+// read returns the records from an offset on. If there are none it waits for one, for wait at
+// most. If the records at the offset were trimmed it returns an error, and the next read starts
+// at the first record that is left.
 func (l *Lease) read(ctx context.Context, from int64, wait time.Duration) ([]record, error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout+wait)
 	defer cancel()
@@ -66,8 +70,9 @@
 	records := make([]record, len(read.Records))
 	for i, encoded := range read.Records {
 		if err := cbor.Unmarshal(encoded, &records[i]); err != nil {
-			// It counts as one of an unknown holder, as it may be a claim.
-			l.logger.Warn("lease record not understood", zap.Int64("offset", from+int64(i)), zap.Error(err))
+			// A record that can't be decoded may be a claim, so that it counts as one of an
+			// unknown holder.
+			l.logger.Warn("failed to decode lease record", zap.Int64("offset", from+int64(i)), zap.Error(err))
 		}
 	}
 	return records, nil
--- a/internal/membership/lease/suspend_test.go
+++ b/internal/membership/lease/suspend_test.go
@@ -14,7 +14,7 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// write appends a record of another machine.
+// write appends a record by a holder on another machine.
 func write(t *testing.T, log journal.Journal, kind recordKind) {
 	t.Helper()
 	encoded, err := cbor.Marshal(record{Kind: kind, Holder: "other/1", Machine: "other", Active: true})
@@ -26,16 +26,15 @@
 	}
 }
 
-// count is how many acts there were.
+// count returns the number of acts.
 func (h *history) count() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.acts)
 }
 
-// A holder's machine is suspended for longer than its lease. Others have waited for its
-// end, claimed it and acted. By a clock that stands still meanwhile the lease looked valid
-// for another second to the one that woke, and two gave orders at a time.
+// A holder whose machine was suspended for longer than its lease must not act after it resumes,
+// as a successor may act by then.
 func TestSuspendedHolderStopsActing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -53,13 +52,13 @@
 		is.True(errors.Is(err, ErrNotHeld))
 		time.Sleep(Duration)
 		is.True(!holder.lease.Held())
-		is.True(acts.count() <= acted+1) // the act that was due as the machine fell asleep
+		is.True(acts.count() <= acted+1) // one act may have been due when the machine was suspended
 		holder.kill()
 	})
 }
 
-// A candidate that was suspended takes the last record that it read for old. The holder has
-// renewed its lease all along: the candidate reads on before it claims.
+// A candidate whose machine was suspended must read the partition again before it claims the
+// lease, as the holder may have renewed it meanwhile.
 func TestSuspendedCandidateReadsBeforeClaiming(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
