--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -46,6 +46,8 @@
 	"lease not renewed":                     "failed to renew lease",
 	"lease not settled":                     "failed to read conflicting lease records",
 	"lease record not understood":           "failed to decode lease record",
+	"partitions dealt":                      "partitions assigned",
+	"predecessors not learned":              "failed to list predecessors",
 }
 
 // eventName returns the name that an event has today.
--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -1,9 +1,9 @@
-// Package group keeps this daemon in the platform's consumer group, which deals partitions out:
-// the member that has a partition is its watcher. The group decides only who does work; no
-// promise rests on it.
+// Package group keeps this daemon in the platform's consumer group, which assigns each partition
+// to one member, its watcher. The group only distributes work: no guarantee may depend on a
+// partition having exactly one watcher.
 //
-// The package owns this daemon's membership, and a list of who watches what that is seconds old
-// at most. It relies on the journal for the group itself.
+// The package keeps up this daemon's membership, and a list of the watchers that may be seconds
+// out of date. It relies on the journal for the group itself.
 //
 // # Usage
 //
@@ -29,19 +29,20 @@
 	"woodworks/internal/journal"
 )
 
-// ErrUnavailable: the journal did not tell what was asked of the group.
+// ErrUnavailable means that a call to the journal about the group failed or got no answer.
 var ErrUnavailable = errors.New("group: the journal did not answer")
 
 const (
-	// groupName is the group's on the platform.
+	// groupName is the name of the consumer group on the platform.
 	groupName = "woodworks"
-	// memberTTL is how long a silent member keeps its partitions; joinInterval is the time
-	// between two calls by which a member stays, joinTimeout bounds each.
-	memberTTL    = 1500 * time.Millisecond
+	// memberTTL is how long the group keeps the partitions of a member that no longer joins.
+	memberTTL = 1500 * time.Millisecond
+	// joinInterval is the time between two calls by which a member stays in the group.
 	joinInterval = 450 * time.Millisecond
-	joinTimeout  = time.Second
-	// settleTime is how long after its start a member joins at settleInterval:
-	// when many start at once, partitions are dealt again with each of them.
+	// joinTimeout bounds each of these calls.
+	joinTimeout = time.Second
+	// settleTime is how long after its start a member joins at settleInterval. When many daemons
+	// start at once, the assignment changes with each of them.
 	settleTime     = 2 * time.Second
 	settleInterval = 150 * time.Millisecond
 )
@@ -53,47 +54,49 @@
 	self   string
 	topics []string
 	logger *zap.Logger
-	// failedReads sums the reads of the list that failed: each question may begin one.
+	// failedReads logs failed reads of the list in summary, as each lookup may start one.
 	failedReads *logging.Episodes
 
 	lastContact *journal.Contact
 	leaving     atomic.Bool
-	// joinFailed says that the last call to stay in the group failed. Only Run uses it.
+	// joinFailed is true if the last call to join failed. Only Run uses it.
 	joinFailed bool
 
 	mu sync.Mutex
-	// runCtx is Run's context, nil before.
+	// runCtx is the context of Run, nil before Run is called.
 	runCtx     context.Context
 	generation int64
 	partitions map[journal.Partition]bool
 	watchers   watcherList
 }
 
-// New returns the membership of the incarnation named self, which asks for a part of the topics' partitions.
+// New returns the membership of the incarnation named self, which asks for a share of the
+// partitions of the topics. It joins the group in Run.
 func New(log journal.Journal, self string, topics []string, logger *zap.Logger) *Member {
 	return &Member{journal: log, self: self, topics: topics, logger: logger, lastContact: journal.NewContact(bootclock.Now),
 		failedReads: logging.NewEpisodes(logger, "watchers of partitions not learned", "", "")}
 }
 
-// Partitions returns the partitions dealt to this daemon.
+// Partitions returns the partitions assigned to this daemon. The caller must not change the map.
 func (m *Member) Partitions() map[journal.Partition]bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.partitions
 }
 
-// Generation returns the group's generation as last heard.
+// Generation returns the generation of the last assignment that this daemon received. The group
+// starts a new generation when it assigns partitions anew.
 func (m *Member) Generation() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.generation
 }
 
-// Silence is how long ago the journal last answered.
+// Silence returns the time since a call to join last succeeded, longer than any bound if none did.
 func (m *Member) Silence() time.Duration { return m.lastContact.Silence() }
 
-// Run stays in the group until the context ends or Leave is called. It takes
-// the last incarnation of this machine out of the group first, as that one is over.
+// Run joins the group and stays in it until the context ends or Leave is called. It also removes
+// earlier incarnations of this machine from the group.
 func (m *Member) Run(ctx context.Context) {
 	began := time.Now()
 	m.mu.Lock()
@@ -111,7 +114,7 @@
 	})
 }
 
-// join calls the group once to enter it or to stay in it.
+// join calls the group once to enter it or to stay in it, and applies the assignment returned.
 func (m *Member) join(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -125,7 +128,7 @@
 	m.applyAssignment(assignment)
 }
 
-// logFirstFailure logs the first failure in a row, unless the context has ended.
+// logFirstFailure logs a failed join, unless the one before failed too or the context has ended.
 func (m *Member) logFirstFailure(ctx context.Context, err error) {
 	if m.joinFailed || ctx.Err() != nil {
 		return
@@ -134,7 +137,7 @@
 	m.logger.Warn("dependency lost", zap.String("dependency", "group"), zap.Error(err))
 }
 
-// noteContact notes that the group has answered.
+// noteContact records the time of a successful join, and logs it after a failure.
 func (m *Member) noteContact() {
 	m.lastContact.Note()
 	if m.joinFailed {
@@ -143,7 +146,8 @@
 	}
 }
 
-// applyAssignment takes what the group has dealt to this daemon, unless it is leaving.
+// applyAssignment stores the generation and partitions of an assignment, unless this daemon is
+// leaving. It stores a new map, so that one returned by Partitions never changes.
 func (m *Member) applyAssignment(assignment journal.Assignment) {
 	partitions := make(map[journal.Partition]bool, len(assignment.Partitions))
 	for _, partition := range assignment.Partitions {
@@ -155,13 +159,14 @@
 		return
 	}
 	if assignment.Generation != m.generation {
-		m.logger.Info("partitions dealt", zap.Int64("generation", assignment.Generation), zap.Int("partitions", len(partitions)))
+		m.logger.Info("partitions assigned", zap.Int64("generation", assignment.Generation), zap.Int("partitions", len(partitions)))
 	}
 	m.generation = assignment.Generation
 	m.partitions = partitions
 }
 
-// Alive returns the members that have partitions now. The error wraps ErrUnavailable.
+// Alive returns the members that have partitions, read from the journal now. The error wraps
+// ErrUnavailable.
 func (m *Member) Alive(ctx context.Context) ([]string, error) {
 	bounded, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
--- a/internal/membership/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -24,8 +24,8 @@
 	return member
 }
 
-// A member that leaves drops its partitions at once and repeats its leaving
-// until it is done: they once lay idle for its whole lifetime after one refusal.
+// A member that leaves drops its partitions at once and retries until the group lets it go.
+// Otherwise they would have no watcher until memberTTL is over.
 func TestLeaveIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -54,6 +54,7 @@
 	})
 }
 
+// The partitions of a member that has stopped must go to the others after memberTTL.
 func TestPartitionsOfSilentMemberAreReassigned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -76,9 +77,8 @@
 	})
 }
 
-// A machine that comes back takes its last run out of the group: the partitions
-// of that run once lay idle until its lifetime was over, and new batches were
-// given to it (1.5 s of a step's 7.5).
+// A new incarnation takes the last one on its machine out of the group, also after failed calls.
+// Otherwise new batches would go to a process that has ended, until memberTTL is over.
 func TestNewIncarnationRemovesPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -110,15 +110,14 @@
 	})
 }
 
-// The last contact was kept as a time of day: a clock set ahead by 2 s made a daemon that
-// stayed in the group all along call itself not ready. By the steady clock, one that had
-// been suspended for a minute called itself ready.
+// The silence must include the time in which the machine was suspended, as a daemon that resumes
+// would otherwise report itself ready.
 func TestSilenceIncludesSuspendedTime(t *testing.T) {
 	is := is.New(t)
 	clock := clocktest.New()
 	member := New(journaltest.New(), "a/1", topics, zap.NewNop())
 	member.lastContact = journal.NewContact(clock.Now)
-	is.True(member.Silence() > 24*time.Hour) // there was none
+	is.True(member.Silence() > 24*time.Hour) // no join has succeeded yet
 	member.join(t.Context())
 	is.True(member.Silence() < time.Minute)
 	clock.Suspend(time.Hour)
--- a/internal/membership/group/late_test.go
+++ b/internal/membership/group/late_test.go
@@ -13,17 +13,16 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// lookupTimeout is within which time a question must have learned whom to ask: its caller
-// leaves after 1.5 s.
+// lookupTimeout bounds how long a question may take to learn the watcher.
 const lookupTimeout = 1500 * time.Millisecond
 
-// slowJournal is a journal that answers each call of a group after a time.
+// slowJournal is a journal that delays each call of a group, and handles it after the delay.
 type slowJournal struct {
 	*journaltest.Journal
 	delay time.Duration
 }
 
-// wait lets the time wait that an answer takes, or reports false if the caller leaves.
+// wait waits for the delay. It returns false if the context ends first.
 func (l slowJournal) wait(ctx context.Context) bool {
 	select {
 	case <-time.After(l.delay):
@@ -47,11 +46,8 @@
 	return l.Journal.Owners(ctx, group)
 }
 
-// Where the journal takes 0.25 s an answer, no daemon learned who watches any partition: the list
-// of owners was given up after 0.15 s, its answer thrown away, and asked for anew at the next
-// question. So each daemon read partitions from their beginning for its questions, and the journal
-// answered later still. In 1.5 s, which is all that a question has, ten reads of the list ended at
-// their time-out and no owner was known; with 0.1 s an answer it was known after 101 ms.
+// A read of the list must continue after the caller's timeout. Otherwise no daemon would learn a
+// watcher from a journal that takes longer to answer than a caller waits.
 func TestWatcherIsKnownWithSlowJournal(t *testing.T) {
 	for _, takes := range []time.Duration{4 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond} {
 		t.Run(takes.String(), func(t *testing.T) {
@@ -69,7 +65,7 @@
 					_, ok = asking.WatcherOf(ctx, journal.Partition{Topic: "t"})
 					time.Sleep(time.Millisecond)
 				}
-				t.Logf("known %v after %v, asked for %d times", ok, time.Since(began), tries)
+				t.Logf("watcher known: %v, after %v and %d lookups", ok, time.Since(began), tries)
 				is.True(ok)
 			})
 		})
--- a/internal/membership/group/leave.go
+++ b/internal/membership/group/leave.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// leaveTimeout bounds one try to leave, leavePause is the time between two.
-	leaveTimeout    = 500 * time.Millisecond
+	// leaveTimeout bounds one call to leave the group.
+	leaveTimeout = 500 * time.Millisecond
+	// leaveRetryDelay is the wait before the next try to leave or to list the members.
 	leaveRetryDelay = 100 * time.Millisecond
 )
 
-// Leave gives this daemon's partitions to others at once. It is repeated until
-// it is done or the context ends: the partitions of a member that did not leave
-// lie idle until its lifetime is over.
+// Leave takes this daemon out of the group, so that its partitions are assigned to others at once.
+// It retries until it succeeds or the context ends: the partitions of a member that didn't leave
+// have no watcher until its memberTTL is over. Run doesn't join again after Leave.
 func (m *Member) Leave(ctx context.Context) {
 	m.leaving.Store(true)
 	m.mu.Lock()
@@ -35,7 +36,8 @@
 	}
 }
 
-// leaveOnce takes an incarnation of this machine out of the group. The error wraps ErrUnavailable.
+// leaveOnce makes one call that takes a member, an incarnation of this machine, out of the group.
+// The error wraps ErrUnavailable.
 func (m *Member) leaveOnce(ctx context.Context, member string) error {
 	bounded, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -45,9 +47,9 @@
 	return nil
 }
 
-// retirePredecessors makes earlier incarnations of this machine leave, if any still
-// have partitions: these would lie idle for the lifetime. It is repeated until
-// the members could be read; one that is not found by then had none.
+// retirePredecessors takes earlier incarnations of this machine out of the group, as their
+// partitions would have no watcher until memberTTL is over. It retries until it succeeds once or
+// the context ends. An incarnation that isn't listed by then has no partitions.
 func (m *Member) retirePredecessors(ctx context.Context) {
 	for ctx.Err() == nil {
 		if m.retireOnce(ctx) == nil {
@@ -57,11 +59,13 @@
 	}
 }
 
+// retireOnce lists the members and takes earlier incarnations of this machine out of the group. It
+// stops at the first error, which wraps ErrUnavailable.
 func (m *Member) retireOnce(ctx context.Context) error {
 	alive, err := m.Alive(ctx)
 	if err != nil {
-		// The next try follows at once; that the group does not answer is logged by join.
-		m.logger.Debug("predecessors not learned", zap.Error(err))
+		// Only at debug level, as it is retried soon and join logs that the group is unavailable.
+		m.logger.Debug("failed to list predecessors", zap.Error(err))
 		return err
 	}
 	for _, member := range alive {
--- a/internal/membership/group/watchers.go
+++ b/internal/membership/group/watchers.go
@@ -12,37 +12,43 @@
 )
 
 const (
-	// listMaxAge is how long the list of watchers is believed within a generation.
+	// listMaxAge is how long the list of watchers counts as fresh within a generation.
 	listMaxAge = 2 * time.Second
-	// listTimeout is how long a caller waits for the list.
+	// listTimeout is how long a caller waits for a read of the list.
 	listTimeout = questiontime.List
-	// listReadTimeout bounds a read of the list, which goes on for the callers to come.
+	// listReadTimeout bounds a read of the list. It is longer than listTimeout, as the result
+	// also serves later callers.
 	listReadTimeout = joinTimeout
-	// listReadRetryDelay is after how long another read is begun beside one that has no answer yet:
-	// one that was lost leaves a question time for the next.
+	// listReadRetryDelay is how long a read may be without an answer until a caller starts
+	// another beside it. A question has time for a second read if the first was lost.
 	listReadRetryDelay = questiontime.ListRetry
 )
 
-// watcherList is who had which partition a moment ago.
+// watcherList holds the watcher of each partition as last read from the journal. The mutex of the
+// Member guards it.
 type watcherList struct {
-	// byPartition is never changed once it is here; nil until a read has been answered.
+	// byPartition is replaced and never changed, so that it may be read without the mutex. It is
+	// nil until a read has succeeded.
 	byPartition map[journal.Partition]string
-	// generation is the one in which the read began, at when.
+	// generation is the generation in which the read of the list began, readAt the time of that.
 	generation int64
 	readAt     time.Time
-	// readDone is closed when the newest read ends, nil if that has ended; it began at readingAt.
+	// readDone is closed when the newest read ends, and nil if no read is pending.
+	// readStartedAt is when the newest read began.
 	readDone      chan struct{}
 	readStartedAt time.Time
 }
 
-// WatcherOf returns the member that has a partition, as of a moment ago.
+// WatcherOf returns the watcher of a partition, by a list that may be seconds out of date. It
+// waits up to listTimeout for a newer list, and returns false if the watcher is not known.
 func (m *Member) WatcherOf(ctx context.Context, partition journal.Partition) (string, bool) {
 	watcher, ok := m.recentWatchers(ctx)[partition]
 	return watcher, ok
 }
 
-// WatchersOf returns the members that have partitions of a topic, as of a moment ago. A
-// member is listed once for each partition that it has.
+// WatchersOf returns the watchers of a topic's partitions, by a list that may be seconds out of
+// date. A member is listed once for each partition that it has. The result is empty if no list
+// can be read within listTimeout.
 func (m *Member) WatchersOf(ctx context.Context, topic string) (watchers []string) {
 	for partition, watcher := range m.recentWatchers(ctx) {
 		if partition.Topic == topic {
@@ -52,22 +58,22 @@
 	return watchers
 }
 
-// recentWatchers returns who had which partition a moment ago, nil if that can't be learned
-// within listTimeout. The map is never changed. Watchers change with the generation only, so that
-// a list of this one counts on while a newer read is late, as long as the group is heard of.
+// recentWatchers returns the watcher of each partition, or nil if no usable list is read within
+// listTimeout. The map returned is never changed. Watchers change only with the generation, so
+// that an older list of the current generation is used while a newer read is slow, provided that
+// a join has succeeded within memberTTL.
 //
-// A read outlasts the callers who wait for it: given up with each of them, it never ended
-// where the journal takes longer to answer than they wait, and no watcher was known to
-// anybody.
+// A read continues after the callers that wait for it have left. Otherwise no read would ever
+// succeed if the journal takes longer to answer than a caller waits.
 func (m *Member) recentWatchers(ctx context.Context) map[journal.Partition]string {
-	fresh, reading := m.freshWatchers(ctx)
-	if reading == nil {
+	fresh, readDone := m.freshWatchers(ctx)
+	if readDone == nil {
 		return fresh
 	}
 	timer := time.NewTimer(listTimeout)
 	defer timer.Stop()
 	select {
-	case <-reading:
+	case <-readDone:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -80,9 +86,10 @@
 	return m.watchers.byPartition
 }
 
-// freshWatchers returns the list if it is fresh, else what is closed when the read of a newer one
-// ends; it begins that read unless one is under way.
-func (m *Member) freshWatchers(ctx context.Context) (fresh map[journal.Partition]string, reading <-chan struct{}) {
+// freshWatchers returns the list if it is fresh. Otherwise it returns a channel that is closed
+// when the newest read ends, and starts a read unless one started within listReadRetryDelay is
+// pending.
+func (m *Member) freshWatchers(ctx context.Context) (fresh map[journal.Partition]string, readDone <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.isListFresh() {
@@ -95,8 +102,9 @@
 	return nil, m.watchers.readDone
 }
 
-// readContext returns the context of a read that a caller begins: Run's, so that it goes on when
-// the caller has left, and the caller's where Run has not begun or has ended. The mutex is held.
+// readContext returns the context for a read started by a caller with ctx. It is the context of
+// Run, so that the read continues when the caller leaves, or ctx if Run has not begun or its
+// context has ended. The mutex is held.
 func (m *Member) readContext(ctx context.Context) context.Context {
 	if m.runCtx == nil || m.runCtx.Err() != nil {
 		return ctx
@@ -104,22 +112,23 @@
 	return m.runCtx
 }
 
-// isListFresh reports whether the list is believed. The mutex is held.
+// isListFresh reports whether the list is of the current generation and newer than listMaxAge.
+// The mutex is held.
 func (m *Member) isListFresh() bool {
 	return m.watchers.byPartition != nil && m.watchers.generation == m.generation && time.Since(m.watchers.readAt) < listMaxAge
 }
 
-// readList reads the list in a generation: what was dealt after the read began may not be in it.
-// Ended is closed at the end.
-func (m *Member) readList(ctx context.Context, generation int64, ended chan struct{}) {
+// readList reads the list and stores it under the generation in which the read began, as it may
+// miss later assignments. It closes done at its end.
+func (m *Member) readList(ctx context.Context, generation int64, done chan struct{}) {
 	bounded, cancel := context.WithTimeout(ctx, listReadTimeout)
 	defer cancel()
 	began := time.Now()
 	rows, err := m.journal.Owners(bounded, groupName)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	close(ended)
-	if m.watchers.readDone == ended {
+	close(done)
+	if m.watchers.readDone == done {
 		m.watchers.readDone = nil
 	}
 	if err != nil {
@@ -127,7 +136,7 @@
 		return
 	}
 	if began.Before(m.watchers.readAt) {
-		return // A later read was answered sooner.
+		return // A read that began later was answered first.
 	}
 	m.watchers.byPartition = make(map[journal.Partition]string, len(rows))
 	for _, row := range rows {
--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -14,8 +14,7 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// staleOwners is a journal whose answers about owners take their time on the way back: they tell
-// what was when the call came.
+// staleOwners is a journal that reads the owners at once, but delays the answer.
 type staleOwners struct {
 	*journaltest.Journal
 	delay time.Duration
@@ -31,7 +30,7 @@
 	}
 }
 
-// A list that was read before the partitions were dealt anew is not believed in the new generation.
+// A list whose read began before a new assignment must not be used in the new generation.
 func TestListOfEarlierGenerationIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -41,13 +40,13 @@
 		first := start(ctx, log.Journal, "a/1")
 		asking := start(ctx, log, "b/1")
 		time.Sleep(5 * time.Second)
-		asking.WatcherOf(ctx, journal.Partition{Topic: "t"}) // begins a read
-		first.Leave(ctx)                                     // the partitions are dealt anew
+		asking.WatcherOf(ctx, journal.Partition{Topic: "t"}) // starts a read
+		first.Leave(ctx)                                     // the partitions are assigned anew
 		left := time.Now()
-		time.Sleep(joinInterval + 200*time.Millisecond) // b hears of it
+		time.Sleep(joinInterval + 200*time.Millisecond) // b/1 receives its new assignment
 		is.Equal(len(asking.Partitions()), 2)
 		watcher, ok := asking.WatcherOf(ctx, journal.Partition{Topic: "t"})
-		t.Logf("%v after all partitions were dealt to b/1, b/1 takes %q for the owner, known %v", time.Since(left), watcher, ok)
+		t.Logf("%v after all partitions were assigned to b/1, it returns watcher %q, known: %v", time.Since(left), watcher, ok)
 		stale := time.Duration(0)
 		for time.Since(left) < 4*time.Second {
 			if watcher, ok := asking.WatcherOf(ctx, journal.Partition{Topic: "t"}); ok && watcher != "b/1" {
@@ -55,12 +54,12 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Logf("last told of the member that had left: %v after it", stale)
+		t.Logf("the member that left was last returned %v after it left", stale)
 		is.True(!ok || watcher == "b/1")
 	})
 }
 
-// lossyOwners loses one call for the owners.
+// lossyOwners is a journal that loses one call for the owners if lose is set.
 type lossyOwners struct {
 	*journaltest.Journal
 	lose *atomic.Bool
@@ -74,8 +73,8 @@
 	return s.Journal.Owners(ctx, group)
 }
 
-// A question looks for the holder for 0.6 s. One call of the list that was swallowed must not
-// take that from it.
+// A question waits up to 0.6 s for the watcher. One lost read of the list must not use up that
+// time.
 func TestLostOwnersReadIsRetriedWithinOneQuestion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -93,12 +92,12 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
-		t.Logf("known after %v", time.Since(began))
+		t.Logf("watcher known after %v", time.Since(began))
 		is.True(time.Since(began) <= 600*time.Millisecond)
 	})
 }
 
-// After the end of Run the list is read all the same.
+// After the end of Run, whose context reads of the list use, callers must still get a list.
 func TestWatchersAreReadAfterRunEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -113,8 +112,8 @@
 	})
 }
 
-// A read of the list that failed is followed by another one, and one whose caller has left
-// ends with an answer for the next.
+// A failed read of the list must be followed by another, and a read must continue for the next
+// caller when the one that started it leaves.
 func TestListIsReadAgainAfterFailureAndForNextCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -132,7 +131,7 @@
 			return journaltest.None
 		})
 		asking := start(ctx, slowJournal{log, 250 * time.Millisecond}, "b/1")
-		time.Sleep(4 * time.Second) // the group is settled
+		time.Sleep(4 * time.Second) // the assignment is stable
 		partition := journal.Partition{Topic: "t"}
 		began := time.Now()
 		_, ok := asking.WatcherOf(ctx, partition)
@@ -145,19 +144,17 @@
 		began = time.Now()
 		_, ok = asking.WatcherOf(leaving, partition)
 		is.True(!ok)
-		is.Equal(time.Since(began), 50*time.Millisecond) // it waits no longer than its caller
+		is.Equal(time.Since(began), 50*time.Millisecond) // the call ends with its context
 		time.Sleep(210 * time.Millisecond)
 		watcher, ok := asking.WatcherOf(ctx, partition)
 		is.True(ok)
 		is.Equal(watcher, "a/1")
-		is.Equal(time.Since(began), 260*time.Millisecond) // by the read that was begun for the one who left
+		is.Equal(time.Since(began), 260*time.Millisecond) // answered by the read that the last caller started
 	})
 }
 
-// While a journal is busy the list was forgotten after 2 s, as the read of a newer one was late, and
-// questions found no holder though nothing had been dealt since: 13 of 40 refused questions of a
-// fleet whose journal carried half of its grant. It counts on as long as the group is heard of, and
-// no longer.
+// An older list of the current generation must be used while a newer read is slow, but only as
+// long as the daemon can join the group.
 func TestListOfSameGenerationIsUsedWhileReadIsSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -168,7 +165,7 @@
 		asking := New(log, "b/1", topics, zap.NewNop())
 		asking.lastContact = journal.NewContact(time.Now)
 		go asking.Run(ctx)
-		time.Sleep(4 * time.Second) // the group is settled
+		time.Sleep(4 * time.Second) // the assignment is stable
 		partition := journal.Partition{Topic: "t"}
 		watcher, ok := asking.WatcherOf(ctx, partition)
 		is.True(ok)
