--- a/internal/membership/duty/duty.go
+++ b/internal/membership/duty/duty.go
@@ -1,13 +1,13 @@
-// Package duty names the calls that a platform expects of the system as a whole: one
-// daemon at a time makes them, in the name of the lease that it holds.
+// Package duty defines the calls that a platform expects from the system as a whole: usage
+// reports and fleet orders. One daemon at a time makes them, under its lease.
 //
 // # Usage
 //
-//	fence, left, may := held.Fence()
+//	fence, left, ok := held.Fence()
 //	err := driver.ReportUsage(ctx, duty.Authority{Holder: name, Fence: fence}, report)
 //
-// A driver translates and does no more; who calls it sees to the lease, to the order of
-// calls and to their repetition.
+// A driver only translates calls to the platform's protocol. Its caller must hold the lease, keep
+// the order of calls and repeat those that failed.
 package duty
 
 import (
@@ -18,61 +18,67 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of a call. One that is none of these promises nothing.
+// Errors of a call. After any other error the call may have had its effect or not.
 var (
-	// ErrUnknown: the call got no usable answer; it may have had its effect.
+	// ErrUnknown means that the call got no usable answer. It may have had its effect.
 	ErrUnknown = errors.New("duty: outcome unknown")
-	// ErrThrottled: more calls came than the platform takes; this one had no effect.
+	// ErrThrottled means that the platform limits the rate of calls. The call had no effect.
 	ErrThrottled = errors.New("duty: throttled")
-	// ErrNoCapacity: the platform has no such replicas at present.
-	ErrNoCapacity = errors.New("duty: none to be had")
-	// ErrFenced: the platform has seen a higher fence.
+	// ErrNoCapacity means that the platform has no such replicas at present.
+	ErrNoCapacity = errors.New("duty: no such replicas available")
+	// ErrFenced means that the platform has seen a higher fence.
 	ErrFenced = errors.New("duty: fenced off")
-	// ErrRefused: the platform does not take such a call.
+	// ErrRefused means that the platform doesn't accept the call.
 	ErrRefused = errors.New("duty: refused")
 )
 
-// Authority is the lease in whose name a call is made.
+// Authority names the lease under which a call is made. The platform refuses calls with a lower
+// fence than the highest that it has seen.
 type Authority struct {
 	Holder string
 	Fence  int64
 }
 
-// Usage is what the tenants used in one window of the time of day.
+// Usage holds the requests of all tenants in one usage window.
 type Usage struct {
-	// Window counts the windows since the epoch of Unix time.
+	// Window is the number of the window, counted in window lengths since the Unix epoch.
 	Window int64
-	// Requests are the requests of each tenant that began to run in the window.
+	// Requests is the number of requests per tenant that started to run in the window.
 	Requests map[string]int64
 }
 
-// FleetOrder orders replicas of one service in one zone.
+// FleetOrder sets the number of replicas of one service in one zone.
 type FleetOrder struct {
 	Service string
 	Zone    string
+	// Desired is the total number of replicas, not a change of it.
 	Desired int
-	// Spot replicas are cheaper, and the platform may take all of a zone away at once.
+	// Spot asks for cheaper replicas. The platform may take away all those of a zone at once.
 	Spot bool
 }
 
-// Driver makes the calls.
+// Driver makes the calls to a platform. Where an error of this package applies, the result wraps it.
 type Driver interface {
-	// Duties tells which calls the platform expects.
+	// Duties returns which calls the platform expects.
 	Duties() Duties
+	// ReportUsage reports the usage of one window.
 	ReportUsage(ctx context.Context, authority Authority, usage Usage) error
-	OrderFleet(ctx context.Context, authority Authority, fleet FleetOrder) error
+	// OrderFleet orders the number of replicas of one service in one zone.
+	OrderFleet(ctx context.Context, authority Authority, order FleetOrder) error
 }
 
-// Duties says which calls a platform expects.
+// Duties states for each kind of call whether the platform expects it.
 type Duties struct{ Usage, Fleet bool }
 
-// UsageSchedule says how usage is to be reported.
+// UsageSchedule states when usage must be reported.
 type UsageSchedule struct {
-	// WindowLength is that of one window, DueAfter how long after its end the report must be there.
+	// WindowLength is the length of a usage window. The report of a window must arrive within
+	// DueAfter from its end.
 	WindowLength, DueAfter time.Duration
 }
 
-// StatusError is what the HTTP status of the answer to a call means.
+// StatusError returns the error for the HTTP status of the answer to a call, nil if the call
+// succeeded.
 func StatusError(status int) error {
 	switch status {
 	case http.StatusOK, http.StatusAccepted, http.StatusNoContent:
