--- a/internal/membership/identity/identity.go
+++ b/internal/membership/identity/identity.go
@@ -1,5 +1,5 @@
-// Package identity names the incarnations of daemons: a machine's name with the start of the
-// process, so that no two incarnations share a name.
+// Package identity names the incarnations of daemons. The name consists of the machine's name and
+// the start time of the process, so that no two incarnations have the same name.
 //
 // # Usage
 //
@@ -16,27 +16,27 @@
 
 const separator = "/"
 
-// New returns the name of the incarnation that starts at a time on a machine.
+// New returns the name of the incarnation that was started on a machine at a time.
 func New(machine string, start time.Time) string {
 	return machine + separator + strconv.FormatInt(start.UnixNano(), 36)
 }
 
-// Machine returns the machine of an incarnation.
+// Machine returns the machine's name in the name of an incarnation.
 func Machine(incarnation string) string {
 	machine, _, _ := strings.Cut(incarnation, separator)
 	return machine
 }
 
-// Replaced reports whether an incarnation is over for certain: another one of its machine is
-// among those alive, and it is not. A machine has one at a time.
+// Replaced reports whether an incarnation has certainly ended: it isn't in alive, but another of
+// its machine is. A machine runs one incarnation at a time.
 func Replaced(incarnation string, alive []string) bool {
 	return !slices.Contains(alive, incarnation) &&
 		slices.ContainsFunc(alive, func(other string) bool { return Machine(other) == Machine(incarnation) })
 }
 
-// StartNanos returns when an incarnation began by its machine's time of day, in nanoseconds since 1970,
-// or 0 if its name doesn't say. It orders the incarnations of one machine unless that time was put
-// back between them.
+// StartNanos returns the start time of an incarnation by its machine's wall clock, in nanoseconds
+// since the Unix epoch, or 0 if its name contains none. It orders the incarnations of one machine,
+// unless that clock was set back between their starts.
 func StartNanos(incarnation string) int64 {
 	_, start, _ := strings.Cut(incarnation, separator)
 	parsed, err := strconv.ParseInt(start, 36, 64)
