--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -2,7 +2,7 @@
 // to one member, its watcher. The group only distributes work: no guarantee may depend on a
 // partition having exactly one watcher.
 //
-// The package keeps up this daemon's membership, and a list of the watchers that may be seconds
+// The package maintains this daemon's membership, and a list of the watchers that may be seconds
 // out of date. It relies on the journal for the group itself.
 //
 // # Usage
@@ -54,7 +54,7 @@
 	self   string
 	topics []string
 	logger *zap.Logger
-	// failedReads logs failed reads of the list in summary, as each lookup may start one.
+	// failedReads summarizes failed reads of the list in the log, as each lookup may start one.
 	failedReads *logging.Episodes
 
 	lastContact *journal.Contact
