--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -47,7 +47,7 @@
 	lease   lease.Fencer
 	driver  duty.Driver
 	holder  string
-	windows duty.Windows
+	windows duty.UsageSchedule
 	clock   *wallclock.Clock
 	logger  *zap.Logger
 
@@ -64,7 +64,7 @@
 
 // NewReporter returns a reporter that acts in the name of holder.
 func NewReporter(log journal.Journal, l lease.Fencer, driver duty.Driver, holder string,
-	windows duty.Windows, clock *wallclock.Clock, logger *zap.Logger) *Reporter {
+	windows duty.UsageSchedule, clock *wallclock.Clock, logger *zap.Logger) *Reporter {
 	return &Reporter{
 		journal: log, lease: l, driver: driver, holder: holder, windows: windows, clock: clock, logger: logger,
 		state: newState(),
@@ -109,7 +109,7 @@
 }
 
 func (r *Reporter) partOfDue(part float64) time.Duration {
-	return time.Duration(part * float64(r.windows.Due))
+	return time.Duration(part * float64(r.windows.DueAfter))
 }
 
 // decide settles the next window if it is time. It does one at a time, so that reports
@@ -192,7 +192,7 @@
 // reportOne makes one call and reports whether the platform took it.
 func (r *Reporter) reportOne(ctx context.Context, window int64) bool {
 	requests := r.state.decided[window]
-	fence, err := lease.Act(ctx, r.lease, callTimeout, func(ctx context.Context, fence int64) error {
+	fence, err := lease.Do(ctx, r.lease, callTimeout, func(ctx context.Context, fence int64) error {
 		authority := duty.Authority{Holder: r.holder, Fence: fence}
 		return r.driver.ReportUsage(ctx, authority, duty.Usage{Window: window, Requests: requests})
 	})
--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -48,6 +48,13 @@
 	"malformed record passed over":                      "malformed record skipped",
 	"records trimmed, reading fully":                    "records trimmed, starting full read",
 	"partition is shorter than was read, reading fully": "partition ends before the next offset, starting full read",
+	"lease not read":                                    "failed to read lease",
+	"lease not claimed":                                 "failed to claim lease",
+	"lease not renewed":                                 "failed to renew lease",
+	"lease not settled":                                 "failed to read conflicting lease records",
+	"lease record not understood":                       "failed to decode lease record",
+	"partitions dealt":                                  "partitions assigned",
+	"predecessors not learned":                          "failed to list predecessors",
 }
 
 // eventName returns the name that an event has today.
--- a/internal/membership/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -24,9 +24,9 @@
 	return member
 }
 
-// A member that leaves drops its partitions at once and repeats its leaving
-// until it is done: they once lay idle for its whole lifetime after one refusal.
-func TestLeavingIsRepeated(t *testing.T) {
+// A member that leaves drops its partitions at once and retries until the group lets it go.
+// Otherwise they would have no watcher until memberTTL is over.
+func TestLeaveIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
@@ -46,7 +46,7 @@
 		began := time.Now()
 		first.Leave(ctx)
 		is.Equal(len(first.Partitions()), 0)
-		is.True(time.Since(began) < lifetime/2)
+		is.True(time.Since(began) < memberTTL/2)
 		time.Sleep(joinInterval)
 		is.Equal(len(second.Partitions()), 2)
 		time.Sleep(5 * joinInterval)
@@ -54,7 +54,8 @@
 	})
 }
 
-func TestASilentMembersPartitionsPassOn(t *testing.T) {
+// The partitions of a member that has stopped must go to the others after memberTTL.
+func TestPartitionsOfSilentMemberAreReassigned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
@@ -65,7 +66,7 @@
 		second := start(ctx, log, "b/1")
 		time.Sleep(2 * joinInterval)
 		kill()
-		time.Sleep(lifetime + 2*joinInterval)
+		time.Sleep(memberTTL + 2*joinInterval)
 		is.Equal(len(second.Partitions()), 2)
 		alive, err := second.Alive(ctx)
 		is.NoErr(err)
@@ -76,10 +77,9 @@
 	})
 }
 
-// A machine that comes back takes its last run out of the group: the partitions
-// of that run once lay idle until its lifetime was over, and new batches were
-// given to it (1.5 s of a step's 7.5).
-func TestANewRunTakesItsPredecessorOut(t *testing.T) {
+// A new incarnation takes the last one on its machine out of the group, also after failed calls.
+// Otherwise new batches would go to a process that has ended, until memberTTL is over.
+func TestNewIncarnationRemovesPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
@@ -99,7 +99,7 @@
 			return journaltest.None
 		})
 		second := start(ctx, log, "a/2")
-		time.Sleep(lifetime / 2)
+		time.Sleep(memberTTL / 2)
 		log.SetFault(nil)
 		alive, err := other.Alive(ctx)
 		is.NoErr(err)
@@ -110,15 +110,14 @@
 	})
 }
 
-// The last contact was kept as a time of day: a clock set ahead by 2 s made a daemon that
-// stayed in the group all along call itself not ready. By the steady clock, one that had
-// been suspended for a minute called itself ready.
-func TestASuspendedMemberHasHeardNothing(t *testing.T) {
+// The silence must include the time in which the machine was suspended, as a daemon that resumes
+// would otherwise report itself ready.
+func TestSilenceIncludesSuspendedTime(t *testing.T) {
 	is := is.New(t)
 	clock := clocktest.New()
 	member := New(journaltest.New(), "a/1", topics, zap.NewNop())
 	member.lastContact = journal.NewLastContact(clock.Now)
-	is.True(member.Silence() > 24*time.Hour) // there was none
+	is.True(member.Silence() > 24*time.Hour) // no join has succeeded yet
 	member.join(t.Context())
 	is.True(member.Silence() < time.Minute)
 	clock.Suspend(time.Hour)
--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -10,125 +10,129 @@
 )
 
 const (
-	// margin is added to each wait for another's lease to be over.
-	margin = 300 * time.Millisecond
+	// safetyMargin is added to each wait for the end of another holder's lease.
+	safetyMargin = 300 * time.Millisecond
 	// claimLead is how long before it may act a successor claims the lease.
 	claimLead = 300 * time.Millisecond
-	// longestWait bounds the wait of a read for a record: one that was lost in an outage is
-	// given up soon.
-	longestWait = time.Second
+	// maxReadWait bounds how long a read waits for a new record, so that a read lost in an
+	// outage is given up soon.
+	maxReadWait = time.Second
 )
 
-// reclaim takes the lease back if the machine's last incarnation held it last.
+// reclaim takes the lease back if the last record is of this machine, that is of an earlier
+// incarnation of this daemon.
 func (l *Lease) reclaim(ctx context.Context) {
 	l.watch(ctx)
 	l.mu.Lock()
-	looked := l.looked
-	own := looked && l.next > 0 && l.newest.Machine == l.machine
-	l.reclaiming = !looked
+	synced := l.synced
+	own := synced && l.nextOffset > 0 && l.lastRecord.Machine == l.machine
+	l.reclaiming = !synced
 	l.mu.Unlock()
 	if own {
 		l.claim(ctx)
 	}
 }
 
-// forget drops what was read, as it is not kept up to date.
-func (l *Lease) forget() {
+// invalidate marks the state read from the partition as outdated. A daemon that is no candidate
+// doesn't keep it up to date.
+func (l *Lease) invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.looked, l.newestAt = false, time.Time{}
+	l.synced, l.lastRecordAt = false, time.Time{}
 }
 
-// watch reads the partition as a candidate and claims the lease once it must
-// be free.
+// watch makes one read of the partition as a candidate, which waits for new records until the
+// lease may be claimed. It claims the lease if there is no new record by then.
 func (l *Lease) watch(ctx context.Context) {
 	l.mu.Lock()
-	from, seen := l.next, l.looked
+	from, synced := l.nextOffset, l.synced
 	wait := time.Duration(0)
-	if seen {
-		wait = min(max(l.freeAt().Sub(l.now()), 0), longestWait)
+	if synced {
+		wait = min(max(l.claimAt().Sub(l.now()), 0), maxReadWait)
 	}
 	l.mu.Unlock()
 	began := l.now()
 	records, err := l.read(ctx, from, wait)
 	if err != nil {
-		l.logger.Debug("lease not read", zap.Error(err))
+		l.logger.Debug("failed to read lease", zap.Error(err))
 		l.lostContact()
-		periodic.Pause(ctx, retryPause)
+		periodic.Pause(ctx, retryDelay)
 		return
 	}
 	l.mu.Lock()
-	if len(records) > 0 || !l.looked {
-		l.next = from + int64(len(records))
+	if len(records) > 0 || !l.synced {
+		l.nextOffset = from + int64(len(records))
 		if len(records) > 0 {
-			l.newest = records[len(records)-1]
+			l.lastRecord = records[len(records)-1]
 		}
-		l.newestAt, l.looked = l.now(), true
+		l.lastRecordAt, l.synced = l.now(), true
 		l.mu.Unlock()
 		return
 	}
-	// The read was begun after the lease must have been over, or is repeated.
-	free := !began.Before(l.freeAt())
+	// Only a read that began at claimAt or later shows that no renewal came in time. After an
+	// earlier one the caller reads again.
+	free := !began.Before(l.claimAt())
 	l.mu.Unlock()
 	if free {
 		l.claim(ctx)
 	}
 }
 
-// lostContact restarts the wait for the end of another's lease: what was
-// written meanwhile is not known.
+// lostContact restarts the wait for the end of another holder's lease, as the holder may have
+// renewed it since the last successful read.
 func (l *Lease) lostContact() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.looked {
-		l.newestAt = l.now()
+	if l.synced {
+		l.lastRecordAt = l.now()
 	}
 }
 
-// freeAt is when the lease should be claimed: just before the new holder may act. An
-// earlier claim would only take it from a holder that comes back. The mutex is held.
-func (l *Lease) freeAt() time.Time {
-	waiting := margin + max(l.quiet-claimLead, 0)
+// claimAt returns when to claim the lease: claimLead before this daemon may act. An earlier claim
+// would not let it act sooner, and would take the lease from a holder that recovers in time. The
+// mutex is held.
+func (l *Lease) claimAt() time.Time {
+	waiting := safetyMargin + max(l.quietPeriod-claimLead, 0)
 	switch {
-	case l.next == 0 || l.newest.Machine == l.machine:
-		return l.newestAt
-	case l.newest.Kind == resigned:
-		return l.newestAt.Add(waiting)
+	case l.nextOffset == 0 || l.lastRecord.Machine == l.machine:
+		return l.lastRecordAt
+	case l.lastRecord.Kind == resigned:
+		return l.lastRecordAt.Add(waiting)
 	}
-	return l.newestAt.Add(Duration + waiting)
+	return l.lastRecordAt.Add(Duration + waiting)
 }
 
-// claimActsFrom is when a claim made now lets this daemon act: once all acts of the holder
-// before it must be over. The mutex is held.
-func (l *Lease) claimActsFrom() time.Time {
+// claimValidFrom returns from when on a claim made now lets this daemon act: when the calls of
+// the previous holder must have ended and the quiet period after them is over. The mutex is held.
+func (l *Lease) claimValidFrom() time.Time {
 	switch {
-	case l.next == 0 || l.newest.Machine == l.machine && l.newest.Active:
+	case l.nextOffset == 0 || l.lastRecord.Machine == l.machine && l.lastRecord.Active:
 		return l.now()
-	case l.newest.Kind == resigned && l.newest.Machine != l.machine:
-		return l.newestAt.Add(l.quiet + margin)
+	case l.lastRecord.Kind == resigned && l.lastRecord.Machine != l.machine:
+		return l.lastRecordAt.Add(l.quietPeriod + safetyMargin)
 	}
-	return l.newestAt.Add(Duration + margin + l.quiet)
+	return l.lastRecordAt.Add(Duration + safetyMargin + l.quietPeriod)
 }
 
-// claim appends a claim on condition that nothing was written since.
+// claim appends a claim, on condition that no record was appended since the last read.
 func (l *Lease) claim(ctx context.Context) {
 	l.mu.Lock()
-	end, before := l.next, l.newest.Holder
-	actFrom := l.claimActsFrom()
-	l.actFrom = actFrom
+	end, before := l.nextOffset, l.lastRecord.Holder
+	validFrom := l.claimValidFrom()
+	l.validFrom = validFrom
 	l.mu.Unlock()
 	sent := l.now()
 	appended, err := l.append(ctx, claimed, end)
 	if err != nil {
-		l.logger.Info("lease not claimed", zap.String("from", before), zap.Error(err))
-		periodic.Pause(ctx, retryPause)
+		l.logger.Info("failed to claim lease", zap.String("from", before), zap.Error(err))
+		periodic.Pause(ctx, retryDelay)
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held, l.fence, l.next = true, appended.Offset+1, appended.End
-	l.newest, l.newestAt = record{Kind: claimed, Holder: l.self, Machine: l.machine}, l.now()
-	l.actUntil = sent.Add(Duration)
+	l.held, l.fence, l.nextOffset = true, appended.Offset+1, appended.End
+	l.lastRecord, l.lastRecordAt = record{Kind: claimed, Holder: l.self, Machine: l.machine}, l.now()
+	l.validUntil = sent.Add(Duration)
 	l.logger.Info("lease claimed", zap.Int64("fence", l.fence), zap.String("from", before),
-		zap.Duration("act_in", actFrom.Sub(l.now())))
+		zap.Duration("act_in", validFrom.Sub(l.now())))
 }
--- a/internal/membership/lease/golden_test.go
+++ b/internal/membership/lease/golden_test.go
@@ -7,7 +7,8 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestClaimsKeepTheirForm(t *testing.T) {
+// Records and kinds are stored in the journal, so that their encoding must not change.
+func TestRecordEncodingIsStable(t *testing.T) {
 	golden.CBOR[record](t, "claim")
 	golden.Text(t, "kinds.txt", fmt.Sprint(int(claimed), int(renewed), int(resigned)))
 }
