--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -53,8 +53,8 @@
 	Age time.Duration
 }
 
-// Parts are what the gateway relies on. All are required.
-type Parts struct {
+// Deps are what the gateway relies on. All are required.
+type Deps struct {
 	// Configuration returns what is in force, or false before the first.
 	Configuration func() (Configuration, bool)
 	Delivery      *delivery.Service
@@ -79,13 +79,13 @@
 
 // Gateway serves both listeners.
 type Gateway struct {
-	parts   Parts
+	parts   Deps
 	limits  Limits
 	flights inFlight
 }
 
 // New returns a gateway.
-func New(parts Parts, limits Limits) *Gateway {
+func New(parts Deps, limits Limits) *Gateway {
 	return &Gateway{parts: parts, limits: limits, flights: inFlight{counts: map[string]int64{}}}
 }
 
--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -44,7 +44,7 @@
 	batches := ledger.New(ctx, log, zap.NewNop())
 	stopping, stop := context.WithCancel(context.Background())
 	set := &policy.Set{Trainers: map[string]policy.Trainer{"t": {Name: "t"}}}
-	return New(Parts{
+	return New(Deps{
 		Configuration: func() (Configuration, bool) { return Configuration{Policies: set}, true },
 		Delivery:      delivery.New(results.NewReader(batches, nil, nil, journal.Grants{}, "self/1", zap.NewNop()), idle{batches}, rollout.ItemHeaders{}, zap.NewNop()),
 		Permits:       permit.New(log, 10*time.Minute, func() string { return "claimant" }, zap.NewNop()),
--- a/internal/api/standalone/standalone.go
+++ b/internal/api/standalone/standalone.go
@@ -55,7 +55,7 @@
 	metrics.Counter(parts.Metrics, "policy_hook_faults_total", "Hooks of the policies in force that failed and fell back.", func() float64 {
 		return hookFaults(decoder, parts.Operator.Configuration())
 	})
-	gw := gateway.New(gateway.Parts{
+	gw := gateway.New(gateway.Deps{
 		Configuration: func() (gateway.Configuration, bool) {
 			inForce := parts.Operator.Configuration()
 			set, ok := decoder.SetOf(inForce)
