--- a/internal/api/gateway/authenticate.go
+++ b/internal/api/gateway/authenticate.go
@@ -17,7 +17,7 @@
 // audience and bound, and, for new work, a confirmed configuration.
 func (g *Gateway) checked(audience policy.Audience, newWork bool, next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if _, ok := g.parts.Configuration(); !ok && audience == policy.Public {
+		if _, ok := g.deps.Configuration(); !ok && audience == policy.Public {
 			refuse(w, refusal.V1NoConfiguration, "this daemon knows no policies yet")
 			return
 		}
@@ -49,7 +49,7 @@
 	if !sent {
 		return policy.Caller{}, false
 	}
-	if configuration, ok := g.parts.Configuration(); ok {
+	if configuration, ok := g.deps.Configuration(); ok {
 		if caller, ok := configuration.Policies.CallerOf(key); ok {
 			return caller, true
 		}
@@ -85,7 +85,7 @@
 		refuse(w, refusal.V1Stopping, "this daemon is being stopped; use another")
 		return false
 	}
-	configuration, ok := g.parts.Configuration()
+	configuration, ok := g.deps.Configuration()
 	if !ok || configuration.Age > g.limits.ConfirmBound {
 		refuse(w, refusal.V1ConfigurationNotConfirmed, "this daemon cannot confirm that its configuration is the newest")
 		return false
--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -79,17 +79,17 @@
 
 // Gateway serves both listeners.
 type Gateway struct {
-	parts   Deps
+	deps    Deps
 	limits  Limits
 	flights inFlight
 }
 
 // New returns a gateway.
 func New(parts Deps, limits Limits) *Gateway {
-	return &Gateway{parts: parts, limits: limits, flights: inFlight{counts: map[string]int64{}}}
+	return &Gateway{deps: parts, limits: limits, flights: inFlight{counts: map[string]int64{}}}
 }
 
-func (g *Gateway) stopping() bool { return g.parts.Stopping.Err() != nil }
+func (g *Gateway) stopping() bool { return g.deps.Stopping.Err() != nil }
 
 // Handler returns the interface of one listener. Operators' paths exist on the
 // internal listener only.
@@ -113,7 +113,7 @@
 	add(http.MethodPost, "/v1/trainers/:trainer/versions", g.checked(audience, false, g.ofTrainer(g.announceVersion)))
 	add(http.MethodPost, "/v1/services/:service/:operation", g.checked(audience, true, g.callService(audience)))
 	if audience == policy.Internal {
-		add(http.MethodGet, "/metrics", g.parts.Metrics.Handler().ServeHTTP)
+		add(http.MethodGet, "/metrics", g.deps.Metrics.Handler().ServeHTTP)
 		add(http.MethodGet, "/v1/status", g.checked(audience, false, g.operatorOnly(g.status)))
 		add(http.MethodGet, "/v1/policies", g.checked(audience, false, g.operatorOnly(g.policies)))
 		add(http.MethodPost, "/v1/policies", g.checked(audience, false, g.operatorOnly(g.publishPolicy)))
@@ -149,7 +149,7 @@
 		began := time.Now()
 		rec := &recorder{ResponseWriter: w, status: http.StatusOK, keyed: r.Header.Get(KeyHeader) != ""}
 		next(rec, r)
-		g.parts.Metrics.Request(path, strconv.Itoa(rec.status), w.Header().Get(OutcomeHeader), time.Since(began))
+		g.deps.Metrics.Request(path, strconv.Itoa(rec.status), w.Header().Get(OutcomeHeader), time.Since(began))
 	})
 }
 
@@ -166,8 +166,8 @@
 
 func (g *Gateway) ready(w http.ResponseWriter, _ *http.Request) {
 	// The version is read first: it can only be older than the status.
-	configuration, _ := g.parts.Configuration()
-	ready, reason := g.parts.Ready()
+	configuration, _ := g.deps.Configuration()
+	ready, reason := g.deps.Ready()
 	status := statusWord{Status: "ready", Reason: reason, ConfigurationVersion: configuration.Version}
 	if !ready {
 		status.Status = "not_ready"
--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -42,13 +42,13 @@
 }
 
 func (g *Gateway) status(w http.ResponseWriter, _ *http.Request, _ policy.Caller) {
-	configuration, _ := g.parts.Configuration()
-	ready, reason := g.parts.Ready()
+	configuration, _ := g.deps.Configuration()
+	ready, reason := g.deps.Ready()
 	status := Status{
-		Daemon: g.parts.Identity, Ready: ready, Reason: reason, Named: configuration.Named, Replicas: []replicaStatus{},
+		Daemon: g.deps.Identity, Ready: ready, Reason: reason, Named: configuration.Named, Replicas: []replicaStatus{},
 		ConfigurationVersion: configuration.Version, ConfigurationAgeMs: configuration.Age.Milliseconds(),
 	}
-	for _, v := range g.parts.Replicas.All() {
+	for _, v := range g.deps.Replicas.All() {
 		status.Replicas = append(status.Replicas, replicaStatus{
 			ID: v.ID, Service: v.Service, Address: v.Address.String(), Zone: v.Zone,
 			Draining: v.Draining, InFlight: v.InFlight, Versions: v.Versions,
@@ -81,12 +81,12 @@
 }
 
 func (g *Gateway) policies(w http.ResponseWriter, r *http.Request, _ policy.Caller) {
-	current, err := g.parts.Operator.Current(r.Context())
+	current, err := g.deps.Operator.Current(r.Context())
 	if err != nil {
 		refuse(w, refusal.V1LogUnavailable, err.Error())
 		return
 	}
-	history, err := g.parts.Operator.History(r.Context())
+	history, err := g.deps.Operator.History(r.Context())
 	if err != nil {
 		refuse(w, refusal.V1LogUnavailable, err.Error())
 		return
@@ -120,7 +120,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), publishTimeout)
 	defer cancel()
-	published, err := g.parts.Operator.Publish(ctx, operator.Change{Name: req.Name, Author: caller.Name, Source: req.Source,
+	published, err := g.deps.Operator.Publish(ctx, operator.Change{Name: req.Name, Author: caller.Name, Source: req.Source,
 		Replaces: req.Replaces})
 	switch {
 	case errors.Is(err, operator.ErrInvalid):
@@ -143,7 +143,7 @@
 // awaitInForce waits until a configuration, or a newer one, is in force here.
 func (g *Gateway) awaitInForce(ctx context.Context, version int64) bool {
 	for {
-		if configuration, ok := g.parts.Configuration(); ok && configuration.Version >= version {
+		if configuration, ok := g.deps.Configuration(); ok && configuration.Version >= version {
 			return true
 		}
 		select {
@@ -171,7 +171,7 @@
 	if !decodeJSON(w, r, &req) {
 		return
 	}
-	err := g.parts.Operator.Drain(r.Context(), req.Machine, !req.Undo)
+	err := g.deps.Operator.Drain(r.Context(), req.Machine, !req.Undo)
 	switch {
 	case err == nil:
 		writeDone(w, http.StatusOK, drainAnswer{Machine: req.Machine, Draining: !req.Undo})
--- a/internal/api/gateway/pull.go
+++ b/internal/api/gateway/pull.go
@@ -37,7 +37,7 @@
 		return
 	}
 	// A pull may be held for longer than the grace of a stop, which would cut it.
-	pull.Stopping = g.parts.Stopping
+	pull.Stopping = g.deps.Stopping
 	if pull.Cursor, ok = g.cursorOf(w, r, trainer.Name, name); !ok {
 		return
 	}
@@ -45,12 +45,12 @@
 		g.followSamples(w, r, trainer, pull)
 		return
 	}
-	delivered, err := g.parts.Delivery.Deliver(r.Context(), trainer, pull)
+	delivered, err := g.deps.Delivery.Deliver(r.Context(), trainer, pull)
 	if err != nil {
 		writeProblem(w, deliveryProblem(err))
 		return
 	}
-	g.parts.Metrics.Delivered(trainer.Name, len(delivered.Samples))
+	g.deps.Metrics.Delivered(trainer.Name, len(delivered.Samples))
 	writeDone(w, http.StatusOK, pulled(delivered))
 }
 
@@ -75,13 +75,13 @@
 			return
 		}
 		pull.Wait = followWait
-		delivered, err := g.parts.Delivery.Deliver(r.Context(), trainer, pull)
+		delivered, err := g.deps.Delivery.Deliver(r.Context(), trainer, pull)
 		if err != nil {
 			lines.write(problemBody{Error: deliveryProblem(err)})
 			return
 		}
 		if len(delivered.Samples) > 0 || delivered.Open == 0 {
-			g.parts.Metrics.Delivered(trainer.Name, len(delivered.Samples))
+			g.deps.Metrics.Delivered(trainer.Name, len(delivered.Samples))
 			if !lines.write(pulled(delivered)) {
 				return
 			}
@@ -137,7 +137,7 @@
 func (g *Gateway) cursorOf(w http.ResponseWriter, r *http.Request, trainer, name string) (rollout.Cursor, bool) {
 	text := r.URL.Query().Get("cursor")
 	if text == "" {
-		header, err := g.parts.Delivery.Find(r.Context(), trainer, name)
+		header, err := g.deps.Delivery.Find(r.Context(), trainer, name)
 		if err != nil {
 			writeProblem(w, deliveryProblem(err))
 			return rollout.Cursor{}, false
--- a/internal/api/gateway/pull_test.go
+++ b/internal/api/gateway/pull_test.go
@@ -30,7 +30,7 @@
 			defer cancel()
 			log := journaltest.New()
 			g, _ := stoppableOn(ctx, log)
-			header, err := g.parts.Delivery.Submit(ctx, delivery.Trainer{Name: "t", Accepts: func(oldest, trained int64) bool { return oldest >= trained }},
+			header, err := g.deps.Delivery.Submit(ctx, delivery.Trainer{Name: "t", Accepts: func(oldest, trained int64) bool { return oldest >= trained }},
 				rollout.Request{Trainer: "t", Name: "n", Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}, SamplesPerPrompt: 1, MaxTokens: 5})
 			is.NoErr(err)
 			log.SetBefall(func(journaltest.Call) journaltest.Fault { return journaltest.Refuse })
@@ -60,7 +60,7 @@
 		defer cancel()
 		log := journaltest.New()
 		before, _ := stoppableOn(ctx, log)
-		header, err := before.parts.Delivery.Submit(ctx, delivery.Trainer{Name: "t", Accepts: func(oldest, trained int64) bool { return oldest >= trained }},
+		header, err := before.deps.Delivery.Submit(ctx, delivery.Trainer{Name: "t", Accepts: func(oldest, trained int64) bool { return oldest >= trained }},
 			rollout.Request{Trainer: "t", Name: "n", Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}, SamplesPerPrompt: 1, MaxTokens: 5})
 		is.NoErr(err)
 		for _, topic := range ledger.TopicNames() {
--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -35,23 +35,23 @@
 		inHeader string
 	}{
 		"no configuration": {answer: func(g *Gateway, w http.ResponseWriter) {
-			g.parts.Configuration = func() (Configuration, bool) { return Configuration{}, false }
+			g.deps.Configuration = func() (Configuration, bool) { return Configuration{}, false }
 			g.checked(policy.Public, false, nil)(w, httptest.NewRequest(http.MethodGet, "/v1/", nil))
 		}, status: 503, problem: Problem{Code: "no_configuration", Message: "this daemon knows no policies yet", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"no configuration for a trainer": {answer: func(g *Gateway, w http.ResponseWriter) {
-			g.parts.Configuration = func() (Configuration, bool) { return Configuration{}, false }
+			g.deps.Configuration = func() (Configuration, bool) { return Configuration{}, false }
 			g.trainerOf(w, policy.Caller{Trainer: "t"}, "t")
 		}, status: 503, problem: Problem{Code: "no_configuration", Message: "this daemon knows no policies yet", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"stopping": {answer: func(g *Gateway, w http.ResponseWriter) {
-			g.parts.Stopping = stopped(t)
+			g.deps.Stopping = stopped(t)
 			g.mayTakeWork(w)
 		}, status: 503, problem: Problem{Code: "stopping", Message: "this daemon is being stopped; use another", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"not confirmed": {answer: func(g *Gateway, w http.ResponseWriter) {
-			g.parts.Configuration = func() (Configuration, bool) { return Configuration{Age: time.Hour}, true }
+			g.deps.Configuration = func() (Configuration, bool) { return Configuration{Age: time.Hour}, true }
 			g.mayTakeWork(w)
 		}, status: 503, problem: Problem{Code: "configuration_not_confirmed", Message: "this daemon cannot confirm that its configuration is the newest", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"not confirmed, with a key": {answer: func(g *Gateway, w http.ResponseWriter) {
-			g.parts.Configuration = func() (Configuration, bool) { return Configuration{Age: time.Hour}, true }
+			g.deps.Configuration = func() (Configuration, bool) { return Configuration{Age: time.Hour}, true }
 			g.mayTakeWork(w)
 		}, keyed: true, status: 503, problem: Problem{Code: "configuration_not_confirmed", Message: "this daemon cannot confirm that its configuration is the newest",
 			Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -42,7 +42,7 @@
 			Message: "trainer: caller " + strconv.Quote(caller.Name) + " may not act for trainer " + strconv.Quote(name)})
 		return delivery.Trainer{}, false
 	}
-	configuration, ok := g.parts.Configuration()
+	configuration, ok := g.deps.Configuration()
 	if !ok {
 		refuse(w, refusal.V1NoConfiguration, "this daemon knows no policies yet")
 		return delivery.Trainer{}, false
@@ -72,7 +72,7 @@
 	if !ok {
 		return
 	}
-	header, err := g.parts.Delivery.Submit(r.Context(), trainer, req)
+	header, err := g.deps.Delivery.Submit(r.Context(), trainer, req)
 	switch {
 	case err == nil:
 		writeDone(w, http.StatusAccepted, submitted(rollout.NewCursor(header)))
@@ -113,7 +113,7 @@
 
 // endRollout gives a batch up: no more of its samples are made.
 func (g *Gateway) endRollout(w http.ResponseWriter, r *http.Request, trainer delivery.Trainer, name string) {
-	err := g.parts.Delivery.End(r.Context(), trainer.Name, name)
+	err := g.deps.Delivery.End(r.Context(), trainer.Name, name)
 	switch {
 	case err == nil:
 		writeDone(w, http.StatusOK, statusWord{Status: "ended"})
@@ -150,7 +150,7 @@
 		badField(w, "artifact", "is required")
 		return
 	}
-	newest, err := g.parts.Operator.Announce(r.Context(), operator.Version{Model: trainer.Name, Version: req.Version, Artifact: req.Artifact})
+	newest, err := g.deps.Operator.Announce(r.Context(), operator.Version{Model: trainer.Name, Version: req.Version, Artifact: req.Artifact})
 	switch {
 	case err == nil:
 		writeDone(w, http.StatusOK, announceAnswer{Trainer: trainer.Name, Version: newest})
--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -65,7 +65,7 @@
 	if _, ok := g.trainerOf(w, caller, req.Trainer); !ok {
 		return
 	}
-	configuration, _ := g.parts.Configuration()
+	configuration, _ := g.deps.Configuration()
 	class := configuration.Policies.Classes[configuration.Policies.Trainers[req.Trainer].Class]
 	if !g.enterClass(w, class) {
 		return
@@ -80,9 +80,9 @@
 	if req.TimeoutMillis > 0 {
 		timeout = time.Duration(req.TimeoutMillis) * time.Millisecond
 	}
-	lines := &sampleWriter{w: w, header: http.Header{}, names: g.parts.Headers}
-	g.parts.Ingress.ServeHTTP(lines, g.request(r.Context(), ingressCall{
-		host: g.parts.SamplesHost(req.Trainer), path: rollout.GeneratePath, kind: "application/json", body: body, timeout: timeout,
+	lines := &sampleWriter{w: w, header: http.Header{}, names: g.deps.Headers}
+	g.deps.Ingress.ServeHTTP(lines, g.request(r.Context(), ingressCall{
+		host: g.deps.SamplesHost(req.Trainer), path: rollout.GeneratePath, kind: "application/json", body: body, timeout: timeout,
 	}))
 	lines.finish()
 }
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -34,7 +34,7 @@
 func (g *Gateway) callService(audience policy.Audience) handler {
 	return func(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
 		variables := pathvar.Vars(r)
-		configuration, _ := g.parts.Configuration()
+		configuration, _ := g.deps.Configuration()
 		service, ok := configuration.Policies.Services[variables["service"]]
 		hidden := ok && audience == policy.Public && service.Audience == policy.Internal
 		if !ok || hidden || service.Kind != policy.PlainService {
@@ -58,7 +58,7 @@
 		}
 		defer g.flights.leave(classCounter(class.Name))
 		call := ingressCall{
-			host: g.parts.ServiceHost(service.Name), path: g.parts.OperationPath(operation.Name),
+			host: g.deps.ServiceHost(service.Name), path: g.deps.OperationPath(operation.Name),
 			kind: r.Header.Get("Content-Type"), body: body, timeout: operation.Timeout,
 		}
 		key := r.Header.Get(KeyHeader)
@@ -72,7 +72,7 @@
 
 // answerCall gives a caller the reply of the ingress.
 func (g *Gateway) answerCall(w http.ResponseWriter, reply *ingressReply) {
-	if !reply.whole(g.parts.Headers.Signature) {
+	if !reply.whole(g.deps.Headers.Signature) {
 		writeProblem(w, reply.problem())
 		return
 	}
@@ -95,7 +95,7 @@
 func (g *Gateway) callOnce(w http.ResponseWriter, r *http.Request, caller policy.Caller, text string, call ingressCall) {
 	key, err := permit.ParseKey(text)
 	if err == nil {
-		err = g.parts.Permits.Check(key, time.Now())
+		err = g.deps.Permits.Check(key, time.Now())
 	}
 	if err != nil {
 		badField(w, KeyHeader, err.Error())
@@ -105,8 +105,8 @@
 	name := caller.Name + "/" + key.Text
 	ctx, cancel := context.WithTimeout(r.Context(), call.timeout)
 	defer cancel()
-	decision, err := g.parts.Permits.Claim(ctx, name, digestOf(call))
-	g.parts.Logger.Info("key claimed", zap.String("key", name), zap.String("decision", decisionName(decision)), zap.Error(err))
+	decision, err := g.deps.Permits.Claim(ctx, name, digestOf(call))
+	g.deps.Logger.Info("key claimed", zap.String("key", name), zap.String("decision", decisionName(decision)), zap.Error(err))
 	switch d := decision.(type) {
 	case permit.Granted:
 		g.runOnce(w, r.Context(), d, call)
@@ -145,7 +145,7 @@
 // caller comes back with the same key.
 func (g *Gateway) runOnce(w http.ResponseWriter, ctx context.Context, granted permit.Granted, call ingressCall) {
 	reply := g.ask(ctx, call)
-	if !reply.whole(g.parts.Headers.Signature) {
+	if !reply.whole(g.deps.Headers.Signature) {
 		problem := reply.problem()
 		if problem.Outcome == NotExecuted {
 			g.giveBack(ctx, granted)
@@ -157,8 +157,8 @@
 	if len(outcome.Body) <= maxOutcomeBytes {
 		settling, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 		defer cancel()
-		if err := g.parts.Permits.Settle(settling, granted, outcome); err != nil {
-			g.parts.Logger.Warn("outcome of a key not recorded", zap.Error(err))
+		if err := g.deps.Permits.Settle(settling, granted, outcome); err != nil {
+			g.deps.Logger.Warn("outcome of a key not recorded", zap.Error(err))
 		}
 	}
 	writeAnswer(w, outcome)
@@ -173,8 +173,8 @@
 	go func() {
 		defer cancel()
 		defer close(done)
-		err := g.parts.Permits.Release(releasing, granted)
-		g.parts.Logger.Info("key released", zap.String("key", granted.Key()), zap.Error(err))
+		err := g.deps.Permits.Release(releasing, granted)
+		g.deps.Logger.Info("key released", zap.String("key", granted.Key()), zap.Error(err))
 	}()
 	select {
 	case <-done:
@@ -187,8 +187,8 @@
 func (g *Gateway) answerTaken(ctx context.Context, w http.ResponseWriter, name string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(g.parts.Stopping, cancel)()
-	if outcome, ok := g.parts.Permits.Await(ctx, name); ok {
+	defer context.AfterFunc(g.deps.Stopping, cancel)()
+	if outcome, ok := g.deps.Permits.Await(ctx, name); ok {
 		writeAnswer(w, outcome)
 		return
 	}
--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -62,7 +62,7 @@
 		defer cancel()
 		g, stop := stoppable(ctx)
 		caller := policy.Caller{Name: "c", Trainer: "t"}
-		header, err := g.parts.Delivery.Submit(ctx, delivery.Trainer{Name: "t", Accepts: func(oldest, trained int64) bool { return oldest >= trained }},
+		header, err := g.deps.Delivery.Submit(ctx, delivery.Trainer{Name: "t", Accepts: func(oldest, trained int64) bool { return oldest >= trained }},
 			rollout.Request{Trainer: "t", Name: "n", Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}, SamplesPerPrompt: 1, MaxTokens: 5})
 		is.NoErr(err)
 		began := time.Now()
@@ -90,7 +90,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		g, stop := stoppable(ctx)
-		_, err := g.parts.Permits.Claim(ctx, "c/k", 1)
+		_, err := g.deps.Permits.Claim(ctx, "c/k", 1)
 		is.NoErr(err)
 		began := time.Now()
 		time.AfterFunc(1300*time.Millisecond, stop)
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -32,11 +32,11 @@
 // headers but the content type.
 func (g *Gateway) request(ctx context.Context, a ingressCall) *http.Request {
 	header := http.Header{}
-	header.Set(g.parts.Headers.RequestID, g.parts.NewID())
+	header.Set(g.deps.Headers.RequestID, g.deps.NewID())
 	if a.kind != "" {
 		header.Set("Content-Type", a.kind)
 	}
-	header.Set(g.parts.Headers.DeadlineMs, strconv.FormatInt(a.timeout.Milliseconds(), 10))
+	header.Set(g.deps.Headers.DeadlineMs, strconv.FormatInt(a.timeout.Milliseconds(), 10))
 	r := &http.Request{
 		Method: http.MethodPost, Host: a.host, RequestURI: a.path, URL: &url.URL{Path: a.path}, Header: header,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Body: io.NopCloser(bytes.NewReader(a.body)), ContentLength: int64(len(a.body)),
@@ -80,7 +80,7 @@
 			panic(aborted)
 		}
 	}()
-	g.parts.Ingress.ServeHTTP(reply, g.request(ctx, a))
+	g.deps.Ingress.ServeHTTP(reply, g.request(ctx, a))
 	return reply
 }
 
