--- a/internal/api/gateway/authenticate.go
+++ b/internal/api/gateway/authenticate.go
@@ -86,7 +86,7 @@
 		return false
 	}
 	configuration, ok := g.deps.Configuration()
-	if !ok || configuration.Age > g.limits.ConfirmBound {
+	if !ok || configuration.Age > g.limits.MaxConfirmationAge {
 		refuse(w, refusal.V1ConfigurationNotConfirmed, "this daemon cannot confirm that its configuration is the newest")
 		return false
 	}
--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -36,9 +36,9 @@
 // Limits bounds what the gateway takes in.
 type Limits struct {
 	MaxBodyBytes int64
-	// ConfirmBound is how old the last confirmation of the policies may be
+	// MaxConfirmationAge is how old the last confirmation of the policies may be
 	// before new work is refused.
-	ConfirmBound time.Duration
+	MaxConfirmationAge time.Duration
 	// Operators are those of the settings.
 	Operators []settings.OperatorKey
 }
--- a/internal/api/standalone/standalone.go
+++ b/internal/api/standalone/standalone.go
@@ -73,7 +73,7 @@
 		Headers: names, SamplesHost: SamplesHost, ServiceHost: ServiceHost, OperationPath: OperationPath,
 		Metrics: parts.Metrics, Logger: parts.Logger, NewID: newID, Identity: parts.Identity,
 	}, gateway.Limits{
-		MaxBodyBytes: parts.Settings.Limits.MaxBodyBytes, ConfirmBound: parts.Settings.Timing.ConfirmBound.Std(),
+		MaxBodyBytes: parts.Settings.Limits.MaxBodyBytes, MaxConfirmationAge: parts.Settings.Timing.ConfirmBound.Std(),
 		Operators: parts.Settings.Operators,
 	})
 	return node.Interface{Public: gw.Handler(policy.Public), Internal: gw.Handler(policy.Internal)}
