--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -47,8 +47,8 @@
 type Configuration struct {
 	Version  int64
 	Policies *policy.Set
-	// Named is the newest version named of each model.
-	Named map[string]int64
+	// NewestVersions is the newest version named of each model.
+	NewestVersions map[string]int64
 	// Age is how long ago it was last confirmed.
 	Age time.Duration
 }
--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -45,7 +45,7 @@
 	configuration, _ := g.deps.Configuration()
 	ready, reason := g.deps.Ready()
 	status := Status{
-		Daemon: g.deps.Identity, Ready: ready, Reason: reason, Named: configuration.Named, Replicas: []replicaStatus{},
+		Daemon: g.deps.Identity, Ready: ready, Reason: reason, Named: configuration.NewestVersions, Replicas: []replicaStatus{},
 		ConfigurationVersion: configuration.Version, ConfigurationAgeMs: configuration.Age.Milliseconds(),
 	}
 	for _, v := range g.deps.Replicas.All() {
--- a/internal/api/standalone/standalone.go
+++ b/internal/api/standalone/standalone.go
@@ -62,7 +62,7 @@
 			if !ok {
 				return gateway.Configuration{}, false
 			}
-			return gateway.Configuration{Version: inForce.Version, Policies: set, Named: parts.Operator.NewestVersions(), Age: parts.ConfigurationAge()}, true
+			return gateway.Configuration{Version: inForce.Version, Policies: set, NewestVersions: parts.Operator.NewestVersions(), Age: parts.ConfigurationAge()}, true
 		},
 		Delivery: delivery.New(parts.Results, parts.Runner,
 			rollout.ItemHeaders{TokenUsage: names.TokenUsage, LengthHint: names.LengthHint}, parts.Logger),
