--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -37,7 +37,7 @@
 	Reason               string           `json:"reason,omitempty"`
 	ConfigurationVersion int64            `json:"configuration_version"`
 	ConfigurationAgeMs   int64            `json:"configuration_age_ms"`
-	Named                map[string]int64 `json:"named"`
+	NewestVersions       map[string]int64 `json:"named"`
 	Replicas             []replicaStatus  `json:"replicas"`
 }
 
@@ -45,7 +45,7 @@
 	configuration, _ := g.deps.Configuration()
 	ready, reason := g.deps.Ready()
 	status := Status{
-		Daemon: g.deps.Identity, Ready: ready, Reason: reason, Named: configuration.NewestVersions, Replicas: []replicaStatus{},
+		Daemon: g.deps.Identity, Ready: ready, Reason: reason, NewestVersions: configuration.NewestVersions, Replicas: []replicaStatus{},
 		ConfigurationVersion: configuration.Version, ConfigurationAgeMs: configuration.Age.Milliseconds(),
 	}
 	for _, v := range g.deps.Replicas.All() {
--- a/internal/daemon/cli/status.go
+++ b/internal/daemon/cli/status.go
@@ -25,8 +25,8 @@
 	fmt.Fprintf(table, "daemon\t%s\tready=%t\t%s\n", status.Daemon, status.Ready, status.Reason)
 	age := time.Duration(status.ConfigurationAgeMs) * time.Millisecond
 	fmt.Fprintf(table, "configuration\tversion %d\tconfirmed %s ago\t\n", status.ConfigurationVersion, age)
-	for _, model := range slices.Sorted(maps.Keys(status.Named)) {
-		fmt.Fprintf(table, "weights\t%s\tversion %d\t\n", model, status.Named[model])
+	for _, model := range slices.Sorted(maps.Keys(status.NewestVersions)) {
+		fmt.Fprintf(table, "weights\t%s\tversion %d\t\n", model, status.NewestVersions[model])
 	}
 	for _, entry := range status.Replicas {
 		fmt.Fprintf(table, "replica\t%s\t%s\tdraining=%t in_flight=%d versions=%v\n",
