--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -81,12 +81,12 @@
 type Gateway struct {
 	deps    Deps
 	limits  Limits
-	flights inFlight
+	flights inFlightCounter
 }
 
 // New returns a gateway.
 func New(parts Deps, limits Limits) *Gateway {
-	return &Gateway{deps: parts, limits: limits, flights: inFlight{counts: map[string]int64{}}}
+	return &Gateway{deps: parts, limits: limits, flights: inFlightCounter{counts: map[string]int64{}}}
 }
 
 func (g *Gateway) stopping() bool { return g.deps.Stopping.Err() != nil }
--- a/internal/api/gateway/limits.go
+++ b/internal/api/gateway/limits.go
@@ -9,14 +9,14 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// inFlight counts each caller's requests in this daemon.
-type inFlight struct {
+// inFlightCounter counts each caller's requests in this daemon.
+type inFlightCounter struct {
 	mu     sync.Mutex
 	counts map[string]int64
 }
 
 // enter counts a request in, unless the bound is reached; a bound of 0 is none.
-func (f *inFlight) enter(name string, bound int64) bool {
+func (f *inFlightCounter) enter(name string, bound int64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if bound > 0 && f.counts[name] >= bound {
@@ -26,7 +26,7 @@
 	return true
 }
 
-func (f *inFlight) leave(name string) {
+func (f *inFlightCounter) leave(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.counts[name]--
