--- a/internal/api/gateway/authenticate.go
+++ b/internal/api/gateway/authenticate.go
@@ -31,12 +31,12 @@
 		if newWork && !g.mayTakeWork(w) {
 			return
 		}
-		if !g.flights.enter(caller.Name, caller.MaxInFlight) {
+		if !g.inFlight.enter(caller.Name, caller.MaxInFlight) {
 			refuse(w, refusal.V1TooManyInFlight,
 				fmt.Sprintf("caller %q has %d requests in flight, its bound", caller.Name, caller.MaxInFlight))
 			return
 		}
-		defer g.flights.leave(caller.Name)
+		defer g.inFlight.leave(caller.Name)
 		r.Body = http.MaxBytesReader(w, r.Body, g.limits.MaxBodyBytes)
 		next(w, r, caller)
 	}
--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -79,14 +79,14 @@
 
 // Gateway serves both listeners.
 type Gateway struct {
-	deps    Deps
-	limits  Limits
-	flights inFlightCounter
+	deps     Deps
+	limits   Limits
+	inFlight inFlightCounter
 }
 
 // New returns a gateway.
 func New(parts Deps, limits Limits) *Gateway {
-	return &Gateway{deps: parts, limits: limits, flights: inFlightCounter{counts: map[string]int64{}}}
+	return &Gateway{deps: parts, limits: limits, inFlight: inFlightCounter{counts: map[string]int64{}}}
 }
 
 func (g *Gateway) stopping() bool { return g.deps.Stopping.Err() != nil }
--- a/internal/api/gateway/limits.go
+++ b/internal/api/gateway/limits.go
@@ -40,7 +40,7 @@
 
 // enterClass counts a request into its traffic class, or refuses it.
 func (g *Gateway) enterClass(w http.ResponseWriter, class policy.Class) bool {
-	if g.flights.enter(classCounter(class.Name), class.QueueLimit) {
+	if g.inFlight.enter(classCounter(class.Name), class.QueueLimit) {
 		return true
 	}
 	refuse(w, refusal.V1QueueFull,
