--- a/internal/api/gateway/authenticate.go
+++ b/internal/api/gateway/authenticate.go
@@ -31,7 +31,7 @@
 		if newWork && !g.mayTakeWork(w) {
 			return
 		}
-		if !g.inFlight.enter(caller.Name, caller.MaxInFlight) {
+		if !g.inFlight.acquire(caller.Name, caller.MaxInFlight) {
 			refuse(w, refusal.V1TooManyInFlight,
 				fmt.Sprintf("caller %q has %d requests in flight, its bound", caller.Name, caller.MaxInFlight))
 			return
--- a/internal/api/gateway/limits.go
+++ b/internal/api/gateway/limits.go
@@ -15,8 +15,8 @@
 	counts map[string]int64
 }
 
-// enter counts a request in, unless the bound is reached; a bound of 0 is none.
-func (f *inFlightCounter) enter(name string, bound int64) bool {
+// acquire counts a request in, unless the bound is reached; a bound of 0 is none.
+func (f *inFlightCounter) acquire(name string, bound int64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if bound > 0 && f.counts[name] >= bound {
@@ -40,7 +40,7 @@
 
 // enterClass counts a request into its traffic class, or refuses it.
 func (g *Gateway) enterClass(w http.ResponseWriter, class policy.Class) bool {
-	if g.inFlight.enter(classCounter(class.Name), class.QueueLimit) {
+	if g.inFlight.acquire(classCounter(class.Name), class.QueueLimit) {
 		return true
 	}
 	refuse(w, refusal.V1QueueFull,
