--- a/internal/api/gateway/authenticate.go
+++ b/internal/api/gateway/authenticate.go
@@ -36,7 +36,7 @@
 				fmt.Sprintf("caller %q has %d requests in flight, its bound", caller.Name, caller.MaxInFlight))
 			return
 		}
-		defer g.inFlight.leave(caller.Name)
+		defer g.inFlight.release(caller.Name)
 		r.Body = http.MaxBytesReader(w, r.Body, g.limits.MaxBodyBytes)
 		next(w, r, caller)
 	}
--- a/internal/api/gateway/limits.go
+++ b/internal/api/gateway/limits.go
@@ -26,7 +26,7 @@
 	return true
 }
 
-func (f *inFlightCounter) leave(name string) {
+func (f *inFlightCounter) release(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.counts[name]--
