--- a/internal/api/gateway/limits.go
+++ b/internal/api/gateway/limits.go
@@ -35,12 +35,12 @@
 	}
 }
 
-// classCounter names the count of a traffic class, apart from those of callers.
-func classCounter(class string) string { return "class " + class }
+// classKey names the count of a traffic class, apart from those of callers.
+func classKey(class string) string { return "class " + class }
 
 // enterClass counts a request into its traffic class, or refuses it.
 func (g *Gateway) enterClass(w http.ResponseWriter, class policy.Class) bool {
-	if g.inFlight.acquire(classCounter(class.Name), class.QueueLimit) {
+	if g.inFlight.acquire(classKey(class.Name), class.QueueLimit) {
 		return true
 	}
 	refuse(w, refusal.V1QueueFull,
--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -70,7 +70,7 @@
 	if !g.enterClass(w, class) {
 		return
 	}
-	defer g.inFlight.release(classCounter(class.Name))
+	defer g.inFlight.release(classKey(class.Name))
 	body, err := json.Marshal(rollout.Generate{Model: req.Trainer, Prompt: req.Prompt, Seed: req.Seed, MaxTokens: req.MaxTokens})
 	if err != nil {
 		badField(w, "prompt", err.Error())
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -56,7 +56,7 @@
 		if !g.enterClass(w, class) {
 			return
 		}
-		defer g.inFlight.release(classCounter(class.Name))
+		defer g.inFlight.release(classKey(class.Name))
 		call := ingressCall{
 			host: g.deps.ServiceHost(service.Name), path: g.deps.OperationPath(operation.Name),
 			kind: r.Header.Get("Content-Type"), body: body, timeout: operation.Timeout,
