--- a/internal/api/gateway/limits.go
+++ b/internal/api/gateway/limits.go
@@ -38,8 +38,8 @@
 // classKey names the count of a traffic class, apart from those of callers.
 func classKey(class string) string { return "class " + class }
 
-// enterClass counts a request into its traffic class, or refuses it.
-func (g *Gateway) enterClass(w http.ResponseWriter, class policy.Class) bool {
+// acquireClass counts a request into its traffic class, or refuses it.
+func (g *Gateway) acquireClass(w http.ResponseWriter, class policy.Class) bool {
 	if g.inFlight.acquire(classKey(class.Name), class.QueueLimit) {
 		return true
 	}
--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -67,7 +67,7 @@
 	}
 	configuration, _ := g.deps.Configuration()
 	class := configuration.Policies.Classes[configuration.Policies.Trainers[req.Trainer].Class]
-	if !g.enterClass(w, class) {
+	if !g.acquireClass(w, class) {
 		return
 	}
 	defer g.inFlight.release(classKey(class.Name))
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -53,7 +53,7 @@
 			return
 		}
 		class := configuration.Policies.Classes[operation.Class]
-		if !g.enterClass(w, class) {
+		if !g.acquireClass(w, class) {
 			return
 		}
 		defer g.inFlight.release(classKey(class.Name))
