--- a/internal/api/gateway/authenticate.go
+++ b/internal/api/gateway/authenticate.go
@@ -13,9 +13,9 @@
 // handler is a request handler that knows its caller.
 type handler func(w http.ResponseWriter, r *http.Request, caller policy.Caller)
 
-// checked wraps a handler with what every request passes: the key, the caller's
+// withChecks wraps a handler with what every request passes: the key, the caller's
 // audience and bound, and, for new work, a confirmed configuration.
-func (g *Gateway) checked(audience policy.Audience, newWork bool, next handler) http.HandlerFunc {
+func (g *Gateway) withChecks(audience policy.Audience, newWork bool, next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if _, ok := g.deps.Configuration(); !ok && audience == policy.Public {
 			refuse(w, refusal.V1NoConfiguration, "this daemon knows no policies yet")
--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -105,19 +105,19 @@
 	}
 	add(http.MethodGet, "/healthz", g.health)
 	add(http.MethodGet, "/readyz", g.ready)
-	add(http.MethodPost, "/v1/rollouts", g.checked(audience, true, g.submitRollout))
-	add(http.MethodGet, "/v1/rollouts/:trainer/:name", g.checked(audience, false, g.ofTrainer(g.rolloutStatus)))
-	add(http.MethodDelete, "/v1/rollouts/:trainer/:name", g.checked(audience, false, g.ofTrainer(g.endRollout)))
-	add(http.MethodGet, "/v1/rollouts/:trainer/:name/samples", g.checked(audience, false, g.ofTrainer(g.pullSamples)))
-	add(http.MethodPost, "/v1/samples", g.checked(audience, true, g.streamSample))
-	add(http.MethodPost, "/v1/trainers/:trainer/versions", g.checked(audience, false, g.ofTrainer(g.announceVersion)))
-	add(http.MethodPost, "/v1/services/:service/:operation", g.checked(audience, true, g.callService(audience)))
+	add(http.MethodPost, "/v1/rollouts", g.withChecks(audience, true, g.submitRollout))
+	add(http.MethodGet, "/v1/rollouts/:trainer/:name", g.withChecks(audience, false, g.ofTrainer(g.rolloutStatus)))
+	add(http.MethodDelete, "/v1/rollouts/:trainer/:name", g.withChecks(audience, false, g.ofTrainer(g.endRollout)))
+	add(http.MethodGet, "/v1/rollouts/:trainer/:name/samples", g.withChecks(audience, false, g.ofTrainer(g.pullSamples)))
+	add(http.MethodPost, "/v1/samples", g.withChecks(audience, true, g.streamSample))
+	add(http.MethodPost, "/v1/trainers/:trainer/versions", g.withChecks(audience, false, g.ofTrainer(g.announceVersion)))
+	add(http.MethodPost, "/v1/services/:service/:operation", g.withChecks(audience, true, g.callService(audience)))
 	if audience == policy.Internal {
 		add(http.MethodGet, "/metrics", g.deps.Metrics.Handler().ServeHTTP)
-		add(http.MethodGet, "/v1/status", g.checked(audience, false, g.operatorOnly(g.status)))
-		add(http.MethodGet, "/v1/policies", g.checked(audience, false, g.operatorOnly(g.policies)))
-		add(http.MethodPost, "/v1/policies", g.checked(audience, false, g.operatorOnly(g.publishPolicy)))
-		add(http.MethodPost, "/v1/drains", g.checked(audience, true, g.operatorOnly(g.drain)))
+		add(http.MethodGet, "/v1/status", g.withChecks(audience, false, g.operatorOnly(g.status)))
+		add(http.MethodGet, "/v1/policies", g.withChecks(audience, false, g.operatorOnly(g.policies)))
+		add(http.MethodPost, "/v1/policies", g.withChecks(audience, false, g.operatorOnly(g.publishPolicy)))
+		add(http.MethodPost, "/v1/drains", g.withChecks(audience, true, g.operatorOnly(g.drain)))
 	}
 	return r
 }
--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -36,7 +36,7 @@
 	}{
 		"no configuration": {answer: func(g *Gateway, w http.ResponseWriter) {
 			g.deps.Configuration = func() (Configuration, bool) { return Configuration{}, false }
-			g.checked(policy.Public, false, nil)(w, httptest.NewRequest(http.MethodGet, "/v1/", nil))
+			g.withChecks(policy.Public, false, nil)(w, httptest.NewRequest(http.MethodGet, "/v1/", nil))
 		}, status: 503, problem: Problem{Code: "no_configuration", Message: "this daemon knows no policies yet", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"no configuration for a trainer": {answer: func(g *Gateway, w http.ResponseWriter) {
 			g.deps.Configuration = func() (Configuration, bool) { return Configuration{}, false }
