--- a/internal/api/gateway/authenticate.go
+++ b/internal/api/gateway/authenticate.go
@@ -28,7 +28,7 @@
 				Code: "unauthorized", Message: "a valid bearer key is required"})
 			return
 		}
-		if newWork && !g.mayTakeWork(w) {
+		if newWork && !g.admitNewWork(w) {
 			return
 		}
 		if !g.inFlight.acquire(caller.Name, caller.MaxInFlight) {
@@ -78,9 +78,9 @@
 	}
 }
 
-// mayTakeWork refuses new work while this daemon stops, or cannot confirm that
+// admitNewWork refuses new work while this daemon stops, or cannot confirm that
 // its configuration is the newest.
-func (g *Gateway) mayTakeWork(w http.ResponseWriter) bool {
+func (g *Gateway) admitNewWork(w http.ResponseWriter) bool {
 	if g.stopping() {
 		refuse(w, refusal.V1Stopping, "this daemon is being stopped; use another")
 		return false
--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -44,15 +44,15 @@
 		}, status: 503, problem: Problem{Code: "no_configuration", Message: "this daemon knows no policies yet", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"stopping": {answer: func(g *Gateway, w http.ResponseWriter) {
 			g.deps.Stopping = stopped(t)
-			g.mayTakeWork(w)
+			g.admitNewWork(w)
 		}, status: 503, problem: Problem{Code: "stopping", Message: "this daemon is being stopped; use another", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"not confirmed": {answer: func(g *Gateway, w http.ResponseWriter) {
 			g.deps.Configuration = func() (Configuration, bool) { return Configuration{Age: time.Hour}, true }
-			g.mayTakeWork(w)
+			g.admitNewWork(w)
 		}, status: 503, problem: Problem{Code: "configuration_not_confirmed", Message: "this daemon cannot confirm that its configuration is the newest", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"not confirmed, with a key": {answer: func(g *Gateway, w http.ResponseWriter) {
 			g.deps.Configuration = func() (Configuration, bool) { return Configuration{Age: time.Hour}, true }
-			g.mayTakeWork(w)
+			g.admitNewWork(w)
 		}, keyed: true, status: 503, problem: Problem{Code: "configuration_not_confirmed", Message: "this daemon cannot confirm that its configuration is the newest",
 			Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
 		"class full": {answer: func(g *Gateway, w http.ResponseWriter) {
