--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -95,8 +95,8 @@
 // internal listener only.
 func (g *Gateway) Handler(audience policy.Audience) http.Handler {
 	r := router.NewRouter()
-	r.SetNotFoundHandler(always(Problem{status: http.StatusNotFound, Code: "not_found", Message: "no such path"}))
-	r.SetNotAllowedHandler(always(Problem{status: http.StatusMethodNotAllowed, Code: "method_not_allowed",
+	r.SetNotFoundHandler(problemHandler(Problem{status: http.StatusNotFound, Code: "not_found", Message: "no such path"}))
+	r.SetNotAllowedHandler(problemHandler(Problem{status: http.StatusMethodNotAllowed, Code: "method_not_allowed",
 		Message: "the path does not take this method"}))
 	add := func(method, path string, next http.HandlerFunc) {
 		if err := r.Handle(method, path, g.observed(method+" "+path, next)); err != nil {
@@ -122,8 +122,8 @@
 	return r
 }
 
-// always answers every request with a problem.
-func always(problem Problem) http.Handler {
+// problemHandler answers every request with a problem.
+func problemHandler(problem Problem) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { writeProblem(w, problem) })
 }
 
