--- a/internal/api/gateway/errors.go
+++ b/internal/api/gateway/errors.go
@@ -55,7 +55,7 @@
 func writeProblem(w http.ResponseWriter, problem Problem) {
 	if problem.Outcome == "" {
 		problem.Outcome = NotExecuted
-		if rec, ok := w.(*recorder); ok && rec.keyed {
+		if rec, ok := w.(*recorder); ok && rec.hasKey {
 			problem.Outcome = Unknown
 			problem.ThisTry = notSent
 		}
--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -132,7 +132,7 @@
 type recorder struct {
 	http.ResponseWriter
 	status int
-	keyed  bool
+	hasKey bool
 }
 
 func (rec *recorder) WriteHeader(status int) {
@@ -147,7 +147,7 @@
 func (g *Gateway) observed(path string, next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		began := time.Now()
-		rec := &recorder{ResponseWriter: w, status: http.StatusOK, keyed: r.Header.Get(KeyHeader) != ""}
+		rec := &recorder{ResponseWriter: w, status: http.StatusOK, hasKey: r.Header.Get(KeyHeader) != ""}
 		next(rec, r)
 		g.deps.Metrics.Request(path, strconv.Itoa(rec.status), w.Header().Get(OutcomeHeader), time.Since(began))
 	})
--- a/internal/api/gateway/golden_test.go
+++ b/internal/api/gateway/golden_test.go
@@ -32,7 +32,7 @@
 	answers := strings.Builder{}
 	tell := func(keyed bool, write func(rec *recorder)) {
 		answer := httptest.NewRecorder()
-		write(&recorder{ResponseWriter: answer, keyed: keyed})
+		write(&recorder{ResponseWriter: answer, hasKey: keyed})
 		header, _ := json.Marshal(answer.Header())
 		fmt.Fprintln(&answers, answer.Code, string(header))
 		fmt.Fprint(&answers, answer.Body)
--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -82,7 +82,7 @@
 			is := is.New(t)
 			g, _ := stoppable(t.Context())
 			recorded := httptest.NewRecorder()
-			one.answer(g, &recorder{ResponseWriter: recorded, keyed: one.keyed})
+			one.answer(g, &recorder{ResponseWriter: recorded, hasKey: one.keyed})
 			is.Equal(recorded.Code, one.status)
 			is.Equal(recorded.Header().Get(OutcomeHeader), string(one.problem.Outcome))
 			var reply problemBody
