--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -99,7 +99,7 @@
 	r.SetNotAllowedHandler(problemHandler(Problem{status: http.StatusMethodNotAllowed, Code: "method_not_allowed",
 		Message: "the path does not take this method"}))
 	add := func(method, path string, next http.HandlerFunc) {
-		if err := r.Handle(method, path, g.observed(method+" "+path, next)); err != nil {
+		if err := r.Handle(method, path, g.withMetrics(method+" "+path, next)); err != nil {
 			panic(err) // the paths are fixed
 		}
 	}
@@ -143,8 +143,8 @@
 // Unwrap lets http.ResponseController reach the real writer.
 func (rec *recorder) Unwrap() http.ResponseWriter { return rec.ResponseWriter }
 
-// observed counts the answers of a path.
-func (g *Gateway) observed(path string, next http.HandlerFunc) http.Handler {
+// withMetrics counts the answers of a path.
+func (g *Gateway) withMetrics(path string, next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		began := time.Now()
 		rec := &recorder{ResponseWriter: w, status: http.StatusOK, hasKey: r.Header.Get(KeyHeader) != ""}
