--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -154,10 +154,10 @@
 }
 
 func (g *Gateway) health(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, statusWord{Status: "alive"})
+	writeJSON(w, http.StatusOK, statusResponse{Status: "alive"})
 }
 
-type statusWord struct {
+type statusResponse struct {
 	Status string `json:"status"`
 	Reason string `json:"reason,omitempty"`
 	// ConfigurationVersion is the configuration in force when that was so.
@@ -168,7 +168,7 @@
 	// The version is read first: it can only be older than the status.
 	configuration, _ := g.deps.Configuration()
 	ready, reason := g.deps.Ready()
-	status := statusWord{Status: "ready", Reason: reason, ConfigurationVersion: configuration.Version}
+	status := statusResponse{Status: "ready", Reason: reason, ConfigurationVersion: configuration.Version}
 	if !ready {
 		status.Status = "not_ready"
 		writeJSON(w, http.StatusServiceUnavailable, status)
--- a/internal/api/gateway/golden_test.go
+++ b/internal/api/gateway/golden_test.go
@@ -12,7 +12,7 @@
 
 func TestBodiesKeepTheirForm(t *testing.T) {
 	golden.JSON[problemBody](t, "problem")
-	golden.JSON[statusWord](t, "status-word")
+	golden.JSON[statusResponse](t, "status-word")
 	golden.JSON[Status](t, "status")
 	golden.JSON[PolicyList](t, "policies")
 	golden.JSON[PublishRequest](t, "publish")
@@ -45,7 +45,7 @@
 		tell(keyed, func(rec *recorder) {
 			writeProblem(rec, Problem{status: 503, Code: "code", Message: "message", Outcome: Unknown, RetryAfterMillis: 20})
 		})
-		tell(keyed, func(rec *recorder) { writeDone(rec, 201, statusWord{Status: "ok"}) })
+		tell(keyed, func(rec *recorder) { writeDone(rec, 201, statusResponse{Status: "ok"}) })
 	}
 	golden.Text(t, "problems.txt", answers.String())
 }
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -116,7 +116,7 @@
 	err := g.deps.Delivery.End(r.Context(), trainer.Name, name)
 	switch {
 	case err == nil:
-		writeDone(w, http.StatusOK, statusWord{Status: "ended"})
+		writeDone(w, http.StatusOK, statusResponse{Status: "ended"})
 	case errors.Is(err, delivery.ErrUnsure):
 		refuse(w, refusal.V1EndOutcomeUnknown, err.Error()+"; end it again")
 	default:
