--- a/internal/api/gateway/decode.go
+++ b/internal/api/gateway/decode.go
@@ -51,7 +51,7 @@
 	decoder.DisallowUnknownFields()
 	err = decoder.Decode(target)
 	if err != nil {
-		return fieldOf(err)
+		return describeDecodeError(err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return "body", errors.New("holds more than one JSON value")
@@ -59,8 +59,8 @@
 	return "", nil
 }
 
-// fieldOf finds the field in a decoding error.
-func fieldOf(err error) (string, error) {
+// describeDecodeError finds the field in a decoding error.
+func describeDecodeError(err error) (string, error) {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
 		return wrongType.Field, errors.Errorf("is a JSON %s, want %s", wrongType.Value, wrongType.Type)
