--- a/internal/api/gateway/errors.go
+++ b/internal/api/gateway/errors.go
@@ -36,9 +36,9 @@
 	// Outcome is not_executed or unknown. It speaks of the request: for one
 	// with a key, of all tries with that key.
 	Outcome Outcome `json:"outcome"`
-	// ThisTry is "not_sent" where the outcome of a request with a key is
+	// ThisAttempt is "not_sent" where the outcome of a request with a key is
 	// unknown only because an earlier try with the key may have run.
-	ThisTry string `json:"this_try,omitempty"`
+	ThisAttempt string `json:"this_try,omitempty"`
 	// RetryAfterMillis is when to come back, 0 where it would not help.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
@@ -57,7 +57,7 @@
 		problem.Outcome = NotExecuted
 		if rec, ok := w.(*recorder); ok && rec.hasKey {
 			problem.Outcome = Unknown
-			problem.ThisTry = notSent
+			problem.ThisAttempt = notSent
 		}
 	}
 	if problem.RetryAfterMillis > 0 {
--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -54,13 +54,13 @@
 			g.deps.Configuration = func() (Configuration, bool) { return Configuration{Age: time.Hour}, true }
 			g.admitNewWork(w)
 		}, keyed: true, status: 503, problem: Problem{Code: "configuration_not_confirmed", Message: "this daemon cannot confirm that its configuration is the newest",
-			Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
+			Outcome: Unknown, ThisAttempt: notSent, RetryAfterMillis: 1000}},
 		"class full": {answer: func(g *Gateway, w http.ResponseWriter) {
 			g.acquireClass(w, policy.Class{Name: "c", QueueLimit: 1})
 			g.acquireClass(w, policy.Class{Name: "c", QueueLimit: 1})
 		}, status: 429, problem: Problem{Code: "queue_full", Message: `traffic class "c" has 1 requests at this daemon, its bound`, Outcome: NotExecuted, RetryAfterMillis: 1000}},
-		"no permit":         {answer: func(g *Gateway, w http.ResponseWriter) { g.refuseClaim(w, permit.ErrNotClaimed) }, keyed: true, status: 503, problem: Problem{Code: "log_unavailable", Message: "no permit for the key", Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
-		"permit unsure":     {answer: func(g *Gateway, w http.ResponseWriter) { g.refuseClaim(w, permit.ErrUnknown) }, keyed: true, status: 503, problem: Problem{Code: "permit_unsure", Message: "no permit for the key", Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
+		"no permit":         {answer: func(g *Gateway, w http.ResponseWriter) { g.refuseClaim(w, permit.ErrNotClaimed) }, keyed: true, status: 503, problem: Problem{Code: "log_unavailable", Message: "no permit for the key", Outcome: Unknown, ThisAttempt: notSent, RetryAfterMillis: 1000}},
+		"permit unsure":     {answer: func(g *Gateway, w http.ResponseWriter) { g.refuseClaim(w, permit.ErrUnknown) }, keyed: true, status: 503, problem: Problem{Code: "permit_unsure", Message: "no permit for the key", Outcome: Unknown, ThisAttempt: notSent, RetryAfterMillis: 1000}},
 		"pull failed":       {answer: pullFailed(errors.New("late")), keyed: true, status: 503, problem: Problem{Code: "delivery_failed", Message: "late", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"pull of no batch":  {answer: pullFailed(delivery.ErrUnknownBatch), status: 404, problem: Problem{Code: "unknown_batch", Message: delivery.ErrUnknownBatch.Error(), Outcome: NotExecuted}},
 		"samples unusable":  {answer: pullFailed(delivery.ErrTooManyRounds), status: 502, problem: Problem{Code: "samples_unusable", Message: delivery.ErrTooManyRounds.Error(), Outcome: NotExecuted}},
@@ -75,7 +75,7 @@
 			writeProblem(w, (&ingressReply{cut: true}).problem())
 		}, status: 502, problem: Problem{Code: "answer_cut_off", Message: "the back end's answer did not come whole", Outcome: Unknown}},
 		"a bad field":   {answer: func(_ *Gateway, w http.ResponseWriter) { badField(w, "f", "is odd") }, status: 400, problem: Problem{Code: "bad_request", Field: "f", Message: "f: is odd", Outcome: NotExecuted}},
-		"a lost answer": {answer: func(g *Gateway, w http.ResponseWriter) { g.answerTaken(stopped(t), w, "c/k") }, status: 409, problem: Problem{Code: "earlier_try_lost", Message: "an earlier try with this key may have run, and its outcome is not known", Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
+		"a lost answer": {answer: func(g *Gateway, w http.ResponseWriter) { g.answerTaken(stopped(t), w, "c/k") }, status: 409, problem: Problem{Code: "earlier_try_lost", Message: "an earlier try with this key may have run, and its outcome is not known", Outcome: Unknown, ThisAttempt: notSent, RetryAfterMillis: 1000}},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -193,7 +193,7 @@
 		return
 	}
 	problem := problemFor(refusal.V1EarlierAttemptUnknown, "an earlier try with this key may have run, and its outcome is not known")
-	problem.ThisTry = notSent
+	problem.ThisAttempt = notSent
 	writeProblem(w, problem)
 }
 
