--- a/internal/api/gateway/errors.go
+++ b/internal/api/gateway/errors.go
@@ -81,7 +81,7 @@
 	_, _ = w.Write(append(encoded, '\n'))
 }
 
-func writeDone(w http.ResponseWriter, status int, body any) {
+func writeCompleted(w http.ResponseWriter, status int, body any) {
 	w.Header().Set(OutcomeHeader, string(Completed))
 	writeJSON(w, status, body)
 }
--- a/internal/api/gateway/golden_test.go
+++ b/internal/api/gateway/golden_test.go
@@ -45,7 +45,7 @@
 		tell(keyed, func(rec *recorder) {
 			writeProblem(rec, Problem{status: 503, Code: "code", Message: "message", Outcome: Unknown, RetryAfterMillis: 20})
 		})
-		tell(keyed, func(rec *recorder) { writeDone(rec, 201, statusResponse{Status: "ok"}) })
+		tell(keyed, func(rec *recorder) { writeCompleted(rec, 201, statusResponse{Status: "ok"}) })
 	}
 	golden.Text(t, "problems.txt", answers.String())
 }
--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -136,7 +136,7 @@
 	case !g.awaitInForce(ctx, published.Version):
 		refuse(w, refusal.V1PolicyPending, "the policy is in the log but not yet in force at this daemon")
 	default:
-		writeDone(w, http.StatusOK, published)
+		writeCompleted(w, http.StatusOK, published)
 	}
 }
 
@@ -174,7 +174,7 @@
 	err := g.deps.Operator.Drain(r.Context(), req.Machine, !req.Undo)
 	switch {
 	case err == nil:
-		writeDone(w, http.StatusOK, drainAnswer{Machine: req.Machine, Draining: !req.Undo})
+		writeCompleted(w, http.StatusOK, drainAnswer{Machine: req.Machine, Draining: !req.Undo})
 	case errors.Is(err, operator.ErrNoMachine):
 		writeProblem(w, Problem{status: http.StatusNotFound, Code: "unknown_machine", Field: "machine",
 			Message: "machine: " + err.Error()})
--- a/internal/api/gateway/pull.go
+++ b/internal/api/gateway/pull.go
@@ -51,7 +51,7 @@
 		return
 	}
 	g.deps.Metrics.Delivered(trainer.Name, len(delivered.Samples))
-	writeDone(w, http.StatusOK, pulled(delivered))
+	writeCompleted(w, http.StatusOK, pulled(delivered))
 }
 
 func pulled(delivered delivery.Delivery) Pulled {
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -75,7 +75,7 @@
 	header, err := g.deps.Delivery.Submit(r.Context(), trainer, req)
 	switch {
 	case err == nil:
-		writeDone(w, http.StatusAccepted, submitted(rollout.NewCursor(header)))
+		writeCompleted(w, http.StatusAccepted, submitted(rollout.NewCursor(header)))
 	case errors.Is(err, delivery.ErrConflict):
 		writeProblem(w, Problem{status: http.StatusConflict, Code: "name_taken", Field: "name",
 			Message: "name: another batch of this trainer has this name and other content"})
@@ -116,7 +116,7 @@
 	err := g.deps.Delivery.End(r.Context(), trainer.Name, name)
 	switch {
 	case err == nil:
-		writeDone(w, http.StatusOK, statusResponse{Status: "ended"})
+		writeCompleted(w, http.StatusOK, statusResponse{Status: "ended"})
 	case errors.Is(err, delivery.ErrUnsure):
 		refuse(w, refusal.V1EndOutcomeUnknown, err.Error()+"; end it again")
 	default:
@@ -153,7 +153,7 @@
 	newest, err := g.deps.Operator.Announce(r.Context(), operator.Version{Model: trainer.Name, Version: req.Version, Artifact: req.Artifact})
 	switch {
 	case err == nil:
-		writeDone(w, http.StatusOK, announceAnswer{Trainer: trainer.Name, Version: newest})
+		writeCompleted(w, http.StatusOK, announceAnswer{Trainer: trainer.Name, Version: newest})
 	case errors.Is(err, operator.ErrUnknown):
 		refuse(w, refusal.V1LogOutcomeUnknown, err.Error())
 	default:
