--- a/internal/api/gateway/decode.go
+++ b/internal/api/gateway/decode.go
@@ -21,7 +21,7 @@
 	}
 	field, err := decodeStrict(body, target)
 	if err != nil {
-		badField(w, field, err.Error())
+		writeFieldError(w, field, err.Error())
 		return false
 	}
 	return true
@@ -41,7 +41,7 @@
 		})
 		return nil, false
 	}
-	badField(w, "body", "could not be read whole: "+err.Error())
+	writeFieldError(w, "body", "could not be read whole: "+err.Error())
 	return nil, false
 }
 
--- a/internal/api/gateway/errors.go
+++ b/internal/api/gateway/errors.go
@@ -86,7 +86,7 @@
 	writeJSON(w, status, body)
 }
 
-func badField(w http.ResponseWriter, field, message string) {
+func writeFieldError(w http.ResponseWriter, field, message string) {
 	writeProblem(w, Problem{status: http.StatusBadRequest, Code: "bad_request", Message: field + ": " + message, Field: field})
 }
 
--- a/internal/api/gateway/golden_test.go
+++ b/internal/api/gateway/golden_test.go
@@ -38,7 +38,7 @@
 		fmt.Fprint(&answers, answer.Body)
 	}
 	for _, keyed := range []bool{false, true} {
-		tell(keyed, func(rec *recorder) { badField(rec, "field", "is wrong") })
+		tell(keyed, func(rec *recorder) { writeFieldError(rec, "field", "is wrong") })
 		tell(keyed, func(rec *recorder) {
 			writeProblem(rec, Problem{status: 503, Code: "code", Message: "message", RetryAfterMillis: 1500})
 		})
--- a/internal/api/gateway/pull.go
+++ b/internal/api/gateway/pull.go
@@ -127,7 +127,7 @@
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n < lowest || n > highest {
-		badField(w, name, strconv.Quote(text)+" is not a whole number from "+strconv.FormatInt(lowest, 10)+" to "+strconv.FormatInt(highest, 10))
+		writeFieldError(w, name, strconv.Quote(text)+" is not a whole number from "+strconv.FormatInt(lowest, 10)+" to "+strconv.FormatInt(highest, 10))
 		return 0, false
 	}
 	return n, true
@@ -146,11 +146,11 @@
 	}
 	cursor, err := rollout.ParseCursor(text)
 	if err != nil {
-		badField(w, "cursor", err.Error())
+		writeFieldError(w, "cursor", err.Error())
 		return rollout.Cursor{}, false
 	}
 	if cursor.Header.Trainer != trainer || cursor.Header.Name != name {
-		badField(w, "cursor", "belongs to another batch")
+		writeFieldError(w, "cursor", "belongs to another batch")
 		return rollout.Cursor{}, false
 	}
 	return cursor, true
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -65,7 +65,7 @@
 	}
 	var fault *rollout.FieldError
 	if errors.As(req.Check(), &fault) {
-		badField(w, fault.Field, fault.Reason)
+		writeFieldError(w, fault.Field, fault.Reason)
 		return
 	}
 	trainer, ok := g.trainerOf(w, caller, req.Trainer)
@@ -143,11 +143,11 @@
 		return
 	}
 	if req.Version < 1 {
-		badField(w, "version", "must be at least 1")
+		writeFieldError(w, "version", "must be at least 1")
 		return
 	}
 	if req.Artifact == "" {
-		badField(w, "artifact", "is required")
+		writeFieldError(w, "artifact", "is required")
 		return
 	}
 	newest, err := g.deps.Operator.Announce(r.Context(), operator.Version{Model: trainer.Name, Version: req.Version, Artifact: req.Artifact})
--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -59,7 +59,7 @@
 		return
 	}
 	if field, reason := req.check(); field != "" {
-		badField(w, field, reason)
+		writeFieldError(w, field, reason)
 		return
 	}
 	if _, ok := g.trainerOf(w, caller, req.Trainer); !ok {
@@ -73,7 +73,7 @@
 	defer g.inFlight.release(classKey(class.Name))
 	body, err := json.Marshal(rollout.Generate{Model: req.Trainer, Prompt: req.Prompt, Seed: req.Seed, MaxTokens: req.MaxTokens})
 	if err != nil {
-		badField(w, "prompt", err.Error())
+		writeFieldError(w, "prompt", err.Error())
 		return
 	}
 	timeout := defaultSampleTimeout
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -98,7 +98,7 @@
 		err = g.deps.Permits.Check(key, time.Now())
 	}
 	if err != nil {
-		badField(w, KeyHeader, err.Error())
+		writeFieldError(w, KeyHeader, err.Error())
 		return
 	}
 	// Keys of different callers never meet.
