--- a/internal/api/gateway/errors.go
+++ b/internal/api/gateway/errors.go
@@ -92,12 +92,12 @@
 
 // refuse answers with a reason of the list.
 func refuse(w http.ResponseWriter, reason refusal.Reason, message string) {
-	writeProblem(w, problemFor(reason, message))
+	writeProblem(w, refusalProblem(reason, message))
 }
 
-// problemFor is the problem that tells a reason. Its outcome is left to writeProblem if the
+// refusalProblem is the problem that tells a reason. Its outcome is left to writeProblem if the
 // request has not run.
-func problemFor(reason refusal.Reason, message string) Problem {
+func refusalProblem(reason refusal.Reason, message string) Problem {
 	problem := Problem{status: reason.Status, Code: reason.Name, Message: message,
 		RetryAfterMillis: reason.RetryAfter.Milliseconds()}
 	if reason.MayHaveRun {
--- a/internal/api/gateway/pull.go
+++ b/internal/api/gateway/pull.go
@@ -70,7 +70,7 @@
 	lines := lineWriter{encoder: json.NewEncoder(w), controller: http.NewResponseController(w)}
 	for r.Context().Err() == nil {
 		if g.stopping() {
-			lines.write(problemBody{Error: problemFor(refusal.V1StreamStopped,
+			lines.write(problemBody{Error: refusalProblem(refusal.V1StreamStopped,
 				"this daemon is being stopped; follow at another with the last cursor")})
 			return
 		}
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -94,7 +94,7 @@
 // deliveryProblem is the answer to a pull that failed. Nothing was handed over:
 // the same cursor may be used again.
 func deliveryProblem(err error) Problem {
-	problem := problemFor(refusal.V1DeliveryFailed, err.Error())
+	problem := refusalProblem(refusal.V1DeliveryFailed, err.Error())
 	switch {
 	case errors.Is(err, delivery.ErrUnknownBatch):
 		problem = Problem{status: http.StatusNotFound, Code: "unknown_batch", Message: err.Error()}
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -192,7 +192,7 @@
 		writeAnswer(w, outcome)
 		return
 	}
-	problem := problemFor(refusal.V1EarlierAttemptUnknown, "an earlier try with this key may have run, and its outcome is not known")
+	problem := refusalProblem(refusal.V1EarlierAttemptUnknown, "an earlier try with this key may have run, and its outcome is not known")
 	problem.ThisAttempt = notSent
 	writeProblem(w, problem)
 }
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -90,7 +90,7 @@
 // problem is what to tell a caller of a reply that is no back end's answer.
 func (r *ingressReply) problem() Problem {
 	if r.cut {
-		return problemFor(refusal.V1AnswerIncomplete, "the back end's answer did not come whole")
+		return refusalProblem(refusal.V1AnswerIncomplete, "the back end's answer did not come whole")
 	}
 	return problemOf(r.status, r.header)
 }
@@ -108,9 +108,9 @@
 func problemOf(status int, header http.Header) Problem {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		problem := problemFor(comeBackOf(refusal.V1NoReplica, header), "no replica of the service took the request")
+		problem := refusalProblem(comeBackOf(refusal.V1NoReplica, header), "no replica of the service took the request")
 		if ended := header.Get(QuarantinedHeader); ended != "" {
-			problem = problemFor(comeBackOf(refusal.V1Quarantined, header),
+			problem = refusalProblem(comeBackOf(refusal.V1Quarantined, header),
 				ended+" replicas of the service ended while they ran this content")
 		}
 		problem.status, problem.Outcome = status, NotExecuted
@@ -119,8 +119,8 @@
 		return Problem{status: status, Code: "unknown_service", Message: "the configuration in force has no such service",
 			Outcome: NotExecuted}
 	case http.StatusGatewayTimeout:
-		return problemFor(refusal.V1TimedOut, "no whole answer came in time")
+		return refusalProblem(refusal.V1TimedOut, "no whole answer came in time")
 	default:
-		return problemFor(refusal.V1BackEndFailed, "no replica gave a whole answer")
+		return refusalProblem(refusal.V1BackEndFailed, "no replica gave a whole answer")
 	}
 }
