--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -15,8 +15,8 @@
 
 const (
 	// publishTimeout bounds a publication until it is in force at this daemon.
-	publishTimeout = 15 * time.Second
-	forcePause     = 20 * time.Millisecond
+	publishTimeout      = 15 * time.Second
+	inForcePollInterval = 20 * time.Millisecond
 )
 
 // replicaStatus is what this daemon believes of a back end.
@@ -149,7 +149,7 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(forcePause):
+		case <-time.After(inForcePollInterval):
 		}
 	}
 }
