--- a/internal/api/gateway/golden_test.go
+++ b/internal/api/gateway/golden_test.go
@@ -17,7 +17,7 @@
 	golden.JSON[PolicyList](t, "policies")
 	golden.JSON[PublishRequest](t, "publish")
 	golden.JSON[DrainRequest](t, "drain")
-	golden.JSON[drainAnswer](t, "drained")
+	golden.JSON[drainResponse](t, "drained")
 	golden.JSON[Submitted](t, "submitted")
 	golden.JSON[Pulled](t, "pulled")
 	golden.JSON[AnnounceRequest](t, "announce")
--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -161,7 +161,7 @@
 	Undo bool `json:"undo,omitempty"`
 }
 
-type drainAnswer struct {
+type drainResponse struct {
 	Machine  string `json:"machine"`
 	Draining bool   `json:"draining"`
 }
@@ -174,7 +174,7 @@
 	err := g.deps.Operator.Drain(r.Context(), req.Machine, !req.Undo)
 	switch {
 	case err == nil:
-		writeCompleted(w, http.StatusOK, drainAnswer{Machine: req.Machine, Draining: !req.Undo})
+		writeCompleted(w, http.StatusOK, drainResponse{Machine: req.Machine, Draining: !req.Undo})
 	case errors.Is(err, operator.ErrNoMachine):
 		writeProblem(w, Problem{status: http.StatusNotFound, Code: "unknown_machine", Field: "machine",
 			Message: "machine: " + err.Error()})
