--- a/internal/api/gateway/pull.go
+++ b/internal/api/gateway/pull.go
@@ -16,8 +16,8 @@
 	maxPullLimit     = 1024
 	defaultPullWait  = 10 * time.Second
 	maxPullWait      = 60 * time.Second
-	// followWait is the longest wait of one turn while a batch is followed.
-	followWait = 2 * time.Second
+	// followPollTimeout is the longest wait of one turn while a batch is followed.
+	followPollTimeout = 2 * time.Second
 	// streamType is the content type of answers of one JSON object a line.
 	streamType = "application/x-ndjson"
 )
@@ -74,7 +74,7 @@
 				"this daemon is being stopped; follow at another with the last cursor")})
 			return
 		}
-		pull.Wait = followWait
+		pull.Wait = followPollTimeout
 		delivered, err := g.deps.Delivery.Deliver(r.Context(), trainer, pull)
 		if err != nil {
 			lines.write(problemBody{Error: deliveryProblem(err)})
