--- a/internal/api/gateway/pull.go
+++ b/internal/api/gateway/pull.go
@@ -18,8 +18,8 @@
 	maxPullWait      = 60 * time.Second
 	// followPollTimeout is the longest wait of one turn while a batch is followed.
 	followPollTimeout = 2 * time.Second
-	// streamType is the content type of answers of one JSON object a line.
-	streamType = "application/x-ndjson"
+	// ndjsonContentType is the content type of answers of one JSON object a line.
+	ndjsonContentType = "application/x-ndjson"
 )
 
 // Pulled is the answer to a pull. The samples and the cursor belong together:
@@ -41,7 +41,7 @@
 	if pull.Cursor, ok = g.cursorOf(w, r, trainer.Name, name); !ok {
 		return
 	}
-	if r.Header.Get("Accept") == streamType {
+	if r.Header.Get("Accept") == ndjsonContentType {
 		g.followSamples(w, r, trainer, pull)
 		return
 	}
@@ -66,7 +66,7 @@
 // is cut off goes on with the cursor of the last whole line. A planned stop
 // ends the stream with its final answer, not by a cut.
 func (g *Gateway) followSamples(w http.ResponseWriter, r *http.Request, trainer delivery.Trainer, pull delivery.Pull) {
-	w.Header().Set("Content-Type", streamType)
+	w.Header().Set("Content-Type", ndjsonContentType)
 	lines := lineWriter{encoder: json.NewEncoder(w), controller: http.NewResponseController(w)}
 	for r.Context().Err() == nil {
 		if g.stopping() {
--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -108,7 +108,7 @@
 	if !s.fromEngine() {
 		return
 	}
-	s.w.Header().Set("Content-Type", streamType)
+	s.w.Header().Set("Content-Type", ndjsonContentType)
 	s.w.Header().Set(OutcomeHeader, string(Completed))
 	s.w.WriteHeader(status)
 }
