--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -144,7 +144,7 @@
 // Pull asks for samples after a cursor.
 func (c *Client) Pull(
 	ctx context.Context, trainer, name, cursor string, version uint64, limit int, wait time.Duration,
-) (answer gateway.Pulled, err error) {
+) (answer gateway.PullResponse, err error) {
 	query := url.Values{
 		"cursor": {cursor}, "training_version": {strconv.FormatUint(version, 10)},
 		"max": {strconv.Itoa(limit)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
--- a/internal/api/gateway/golden_test.go
+++ b/internal/api/gateway/golden_test.go
@@ -19,7 +19,7 @@
 	golden.JSON[DrainRequest](t, "drain")
 	golden.JSON[drainResponse](t, "drained")
 	golden.JSON[Submitted](t, "submitted")
-	golden.JSON[Pulled](t, "pulled")
+	golden.JSON[PullResponse](t, "pulled")
 	golden.JSON[AnnounceRequest](t, "announce")
 	golden.JSON[announceAnswer](t, "announced")
 	golden.JSON[sampleRequest](t, "sample-request")
--- a/internal/api/gateway/pull.go
+++ b/internal/api/gateway/pull.go
@@ -22,9 +22,9 @@
 	ndjsonContentType = "application/x-ndjson"
 )
 
-// Pulled is the answer to a pull. The samples and the cursor belong together:
+// PullResponse is the answer to a pull. The samples and the cursor belong together:
 // whoever takes the samples must go on with the cursor.
-type Pulled struct {
+type PullResponse struct {
 	Samples []rollout.Result `json:"samples"`
 	Cursor  string           `json:"cursor"`
 	Open    int              `json:"open"`
@@ -54,12 +54,12 @@
 	writeCompleted(w, http.StatusOK, pulled(delivered))
 }
 
-func pulled(delivered delivery.Delivery) Pulled {
+func pulled(delivered delivery.Delivery) PullResponse {
 	samples := delivered.Samples
 	if samples == nil {
 		samples = []rollout.Result{}
 	}
-	return Pulled{Samples: samples, Cursor: delivered.Cursor.String(), Open: delivered.Open, Done: delivered.Open == 0}
+	return PullResponse{Samples: samples, Cursor: delivered.Cursor.String(), Open: delivered.Open, Done: delivered.Open == 0}
 }
 
 // followSamples sends an answer a line until the batch is delivered. Whoever
--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -72,7 +72,7 @@
 			answer := httptest.NewRecorder()
 			g.ofTrainer(g.pullSamples)(answer, pathvar.WithVars(asked, map[string]string{"trainer": "t", "name": "n"}), caller)
 			is.Equal(answer.Code, http.StatusOK)
-			var reply Pulled
+			var reply PullResponse
 			is.NoErr(json.Unmarshal(answer.Body.Bytes(), &reply))
 			is.Equal(reply.Open, 1)
 			is.Equal(reply.Cursor, rollout.NewCursor(header).String())
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -183,7 +183,7 @@
 }
 
 // pull asks for samples of a batch of the trainer "bots".
-func (f *floor) pull(daemon int, name, cursor string, version uint64, limit int, wait time.Duration) (pulled gateway.Pulled, err error) {
+func (f *floor) pull(daemon int, name, cursor string, version uint64, limit int, wait time.Duration) (pulled gateway.PullResponse, err error) {
 	err = f.comesBack(func() error {
 		pulled, err = f.client(daemon, "bots").Pull(f.ctx(), "bots", name, cursor, version, limit, wait)
 		return err
--- a/internal/demo/trainer.go
+++ b/internal/demo/trainer.go
@@ -99,7 +99,7 @@
 	}
 	taken := map[int]bool{}
 	for {
-		var pulled gateway.Pulled
+		var pulled gateway.PullResponse
 		if !t.until(ctx, func(ctx context.Context, c *client.Client) (err error) {
 			pulled, err = c.Pull(ctx, trainerKey, req.Name, cursor, t.version, mostPulled, pullWait)
 			return err
