--- a/internal/api/gateway/pull.go
+++ b/internal/api/gateway/pull.go
@@ -51,10 +51,10 @@
 		return
 	}
 	g.deps.Metrics.Delivered(trainer.Name, len(delivered.Samples))
-	writeCompleted(w, http.StatusOK, pulled(delivered))
+	writeCompleted(w, http.StatusOK, newPullResponse(delivered))
 }
 
-func pulled(delivered delivery.Delivery) PullResponse {
+func newPullResponse(delivered delivery.Delivery) PullResponse {
 	samples := delivered.Samples
 	if samples == nil {
 		samples = []rollout.Result{}
@@ -82,7 +82,7 @@
 		}
 		if len(delivered.Samples) > 0 || delivered.Open == 0 {
 			g.deps.Metrics.Delivered(trainer.Name, len(delivered.Samples))
-			if !lines.write(pulled(delivered)) {
+			if !lines.write(newPullResponse(delivered)) {
 				return
 			}
 		}
