--- a/internal/api/gateway/pull.go
+++ b/internal/api/gateway/pull.go
@@ -38,7 +38,7 @@
 	}
 	// A pull may be held for longer than the grace of a stop, which would cut it.
 	pull.Stopping = g.deps.Stopping
-	if pull.Cursor, ok = g.cursorOf(w, r, trainer.Name, name); !ok {
+	if pull.Cursor, ok = g.resolveCursor(w, r, trainer.Name, name); !ok {
 		return
 	}
 	if r.Header.Get("Accept") == ndjsonContentType {
@@ -133,8 +133,8 @@
 	return n, true
 }
 
-// cursorOf reads the cursor of a pull; without one, the batch's start.
-func (g *Gateway) cursorOf(w http.ResponseWriter, r *http.Request, trainer, name string) (rollout.Cursor, bool) {
+// resolveCursor reads the cursor of a pull; without one, the batch's start.
+func (g *Gateway) resolveCursor(w http.ResponseWriter, r *http.Request, trainer, name string) (rollout.Cursor, bool) {
 	text := r.URL.Query().Get("cursor")
 	if text == "" {
 		header, err := g.deps.Delivery.Find(r.Context(), trainer, name)
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -106,7 +106,7 @@
 }
 
 func (g *Gateway) rolloutStatus(w http.ResponseWriter, r *http.Request, trainer delivery.Trainer, name string) {
-	if cursor, ok := g.cursorOf(w, r, trainer.Name, name); ok {
+	if cursor, ok := g.resolveCursor(w, r, trainer.Name, name); ok {
 		writeJSON(w, http.StatusOK, submitted(cursor))
 	}
 }
