--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -135,8 +135,8 @@
 }
 
 // Submit submits a batch.
-func (c *Client) Submit(ctx context.Context, request rollout.Request) (gateway.Submitted, error) {
-	var answer gateway.Submitted
+func (c *Client) Submit(ctx context.Context, request rollout.Request) (gateway.RolloutInfo, error) {
+	var answer gateway.RolloutInfo
 	err := c.JSON(ctx, http.MethodPost, "/v1/rollouts", request, &answer)
 	return answer, err
 }
--- a/internal/api/gateway/golden_test.go
+++ b/internal/api/gateway/golden_test.go
@@ -18,7 +18,7 @@
 	golden.JSON[PublishRequest](t, "publish")
 	golden.JSON[DrainRequest](t, "drain")
 	golden.JSON[drainResponse](t, "drained")
-	golden.JSON[Submitted](t, "submitted")
+	golden.JSON[RolloutInfo](t, "submitted")
 	golden.JSON[PullResponse](t, "pulled")
 	golden.JSON[AnnounceRequest](t, "announce")
 	golden.JSON[announceAnswer](t, "announced")
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -14,8 +14,8 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// Submitted is the answer to a submitted batch.
-type Submitted struct {
+// RolloutInfo is the answer to a submitted batch.
+type RolloutInfo struct {
 	Trainer string `json:"trainer"`
 	Name    string `json:"name"`
 	Samples int    `json:"samples"`
@@ -86,9 +86,9 @@
 	}
 }
 
-func submitted(cursor rollout.Cursor) Submitted {
+func submitted(cursor rollout.Cursor) RolloutInfo {
 	header := cursor.Header
-	return Submitted{Trainer: header.Trainer, Name: header.Name, Samples: header.Samples, Cursor: cursor.String()}
+	return RolloutInfo{Trainer: header.Trainer, Name: header.Name, Samples: header.Samples, Cursor: cursor.String()}
 }
 
 // deliveryProblem is the answer to a pull that failed. Nothing was handed over:
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -169,7 +169,7 @@
 }
 
 // submit submits a batch of the trainer "bots".
-func (f *floor) submit(daemon int, wanted rollout.Request) (submitted gateway.Submitted, err error) {
+func (f *floor) submit(daemon int, wanted rollout.Request) (submitted gateway.RolloutInfo, err error) {
 	err = f.comesBack(func() error {
 		submitted, err = f.client(daemon, "bots").Submit(f.ctx(), wanted)
 		return err
