--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -75,7 +75,7 @@
 	header, err := g.deps.Delivery.Submit(r.Context(), trainer, req)
 	switch {
 	case err == nil:
-		writeCompleted(w, http.StatusAccepted, submitted(rollout.NewCursor(header)))
+		writeCompleted(w, http.StatusAccepted, newRolloutInfo(rollout.NewCursor(header)))
 	case errors.Is(err, delivery.ErrConflict):
 		writeProblem(w, Problem{status: http.StatusConflict, Code: "name_taken", Field: "name",
 			Message: "name: another batch of this trainer has this name and other content"})
@@ -86,7 +86,7 @@
 	}
 }
 
-func submitted(cursor rollout.Cursor) RolloutInfo {
+func newRolloutInfo(cursor rollout.Cursor) RolloutInfo {
 	header := cursor.Header
 	return RolloutInfo{Trainer: header.Trainer, Name: header.Name, Samples: header.Samples, Cursor: cursor.String()}
 }
@@ -107,7 +107,7 @@
 
 func (g *Gateway) rolloutStatus(w http.ResponseWriter, r *http.Request, trainer delivery.Trainer, name string) {
 	if cursor, ok := g.resolveCursor(w, r, trainer.Name, name); ok {
-		writeJSON(w, http.StatusOK, submitted(cursor))
+		writeJSON(w, http.StatusOK, newRolloutInfo(cursor))
 	}
 }
 
