--- a/internal/api/gateway/pull_test.go
+++ b/internal/api/gateway/pull_test.go
@@ -38,7 +38,7 @@
 			began := time.Now()
 			asked := httptest.NewRequestWithContext(ctx, http.MethodGet, "/v1/rollouts/t/n/samples?wait_ms=10000&cursor="+rollout.NewCursor(header).String(), nil)
 			answer := httptest.NewRecorder()
-			g.ofTrainer(g.pullSamples)(answer, pathvar.WithVars(asked, map[string]string{"trainer": "t", "name": "n"}), policy.Caller{Name: "c", Trainer: "t"})
+			g.withTrainer(g.pullSamples)(answer, pathvar.WithVars(asked, map[string]string{"trainer": "t", "name": "n"}), policy.Caller{Name: "c", Trainer: "t"})
 			if outage < 10*time.Second {
 				is.Equal(answer.Code, http.StatusOK)
 			} else {
@@ -73,7 +73,7 @@
 			for _, cursor := range []string{"", "&cursor=" + rollout.NewCursor(header).String()} {
 				asked := httptest.NewRequestWithContext(ctx, http.MethodGet, "/v1/rollouts/t/n/samples?wait_ms=0"+cursor, nil)
 				answer := httptest.NewRecorder()
-				g.ofTrainer(g.pullSamples)(answer, pathvar.WithVars(asked, map[string]string{"trainer": "t", "name": "n"}), policy.Caller{Name: "c", Trainer: "t"})
+				g.withTrainer(g.pullSamples)(answer, pathvar.WithVars(asked, map[string]string{"trainer": "t", "name": "n"}), policy.Caller{Name: "c", Trainer: "t"})
 				is.Equal(answer.Code, status)
 			}
 		}
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -23,8 +23,8 @@
 	Cursor string `json:"cursor"`
 }
 
-// ofTrainer wraps the handler of a path that names a trainer, and perhaps one of its batches.
-func (g *Gateway) ofTrainer(next func(w http.ResponseWriter, r *http.Request, trainer delivery.Trainer, name string)) handler {
+// withTrainer wraps the handler of a path that names a trainer, and perhaps one of its batches.
+func (g *Gateway) withTrainer(next func(w http.ResponseWriter, r *http.Request, trainer delivery.Trainer, name string)) handler {
 	return func(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
 		variables := pathvar.Vars(r)
 		if trainer, ok := g.trainerOf(w, caller, variables["trainer"]); ok {
--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -70,7 +70,7 @@
 		for range 2 { // also one that comes after the stop has begun
 			asked := httptest.NewRequestWithContext(ctx, http.MethodGet, "/v1/rollouts/t/n/samples?wait_ms=60000", nil)
 			answer := httptest.NewRecorder()
-			g.ofTrainer(g.pullSamples)(answer, pathvar.WithVars(asked, map[string]string{"trainer": "t", "name": "n"}), caller)
+			g.withTrainer(g.pullSamples)(answer, pathvar.WithVars(asked, map[string]string{"trainer": "t", "name": "n"}), caller)
 			is.Equal(answer.Code, http.StatusOK)
 			var reply PullResponse
 			is.NoErr(json.Unmarshal(answer.Body.Bytes(), &reply))
