--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -40,7 +40,7 @@
 		}, status: 503, problem: Problem{Code: "no_configuration", Message: "this daemon knows no policies yet", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"no configuration for a trainer": {answer: func(g *Gateway, w http.ResponseWriter) {
 			g.deps.Configuration = func() (Configuration, bool) { return Configuration{}, false }
-			g.trainerOf(w, policy.Caller{Trainer: "t"}, "t")
+			g.resolveTrainer(w, policy.Caller{Trainer: "t"}, "t")
 		}, status: 503, problem: Problem{Code: "no_configuration", Message: "this daemon knows no policies yet", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"stopping": {answer: func(g *Gateway, w http.ResponseWriter) {
 			g.deps.Stopping = stopped(t)
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -27,16 +27,16 @@
 func (g *Gateway) withTrainer(next func(w http.ResponseWriter, r *http.Request, trainer delivery.Trainer, name string)) handler {
 	return func(w http.ResponseWriter, r *http.Request, caller policy.Caller) {
 		variables := pathvar.Vars(r)
-		if trainer, ok := g.trainerOf(w, caller, variables["trainer"]); ok {
+		if trainer, ok := g.resolveTrainer(w, caller, variables["trainer"]); ok {
 			next(w, r, trainer, variables["name"])
 		}
 	}
 }
 
-// trainerOf returns what is in force for the trainer that a caller may act for.
+// resolveTrainer returns what is in force for the trainer that a caller may act for.
 // Another trainer is told apart from an unknown one only to callers that may
 // act for it.
-func (g *Gateway) trainerOf(w http.ResponseWriter, caller policy.Caller, name string) (delivery.Trainer, bool) {
+func (g *Gateway) resolveTrainer(w http.ResponseWriter, caller policy.Caller, name string) (delivery.Trainer, bool) {
 	if caller.Trainer != name && !caller.Operator {
 		writeProblem(w, Problem{status: http.StatusForbidden, Code: "not_your_trainer", Field: "trainer",
 			Message: "trainer: caller " + strconv.Quote(caller.Name) + " may not act for trainer " + strconv.Quote(name)})
@@ -68,7 +68,7 @@
 		writeFieldError(w, fault.Field, fault.Reason)
 		return
 	}
-	trainer, ok := g.trainerOf(w, caller, req.Trainer)
+	trainer, ok := g.resolveTrainer(w, caller, req.Trainer)
 	if !ok {
 		return
 	}
--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -62,7 +62,7 @@
 		writeFieldError(w, field, reason)
 		return
 	}
-	if _, ok := g.trainerOf(w, caller, req.Trainer); !ok {
+	if _, ok := g.resolveTrainer(w, caller, req.Trainer); !ok {
 		return
 	}
 	configuration, _ := g.deps.Configuration()
