--- a/internal/api/gateway/golden_test.go
+++ b/internal/api/gateway/golden_test.go
@@ -21,7 +21,7 @@
 	golden.JSON[RolloutInfo](t, "submitted")
 	golden.JSON[PullResponse](t, "pulled")
 	golden.JSON[AnnounceRequest](t, "announce")
-	golden.JSON[announceAnswer](t, "announced")
+	golden.JSON[announceResponse](t, "announced")
 	golden.JSON[sampleRequest](t, "sample-request")
 	golden.JSON[SampleLine](t, "sample-line")
 	golden.Literals(t, "texts.literals")
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -130,7 +130,7 @@
 	Artifact string `json:"artifact"`
 }
 
-type announceAnswer struct {
+type announceResponse struct {
 	Trainer string `json:"trainer"`
 	Version int64  `json:"version"`
 }
@@ -153,7 +153,7 @@
 	newest, err := g.deps.Operator.Announce(r.Context(), operator.Version{Model: trainer.Name, Version: req.Version, Artifact: req.Artifact})
 	switch {
 	case err == nil:
-		writeCompleted(w, http.StatusOK, announceAnswer{Trainer: trainer.Name, Version: newest})
+		writeCompleted(w, http.StatusOK, announceResponse{Trainer: trainer.Name, Version: newest})
 	case errors.Is(err, operator.ErrUnknown):
 		refuse(w, refusal.V1LogOutcomeUnknown, err.Error())
 	default:
