--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -166,7 +166,7 @@
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
 	if requestKey != "" {
-		header.Set(gateway.KeyHeader, requestKey)
+		header.Set(gateway.RequestKeyHeader, requestKey)
 	}
 	path := "/v1/services/" + url.PathEscape(service) + "/" + url.PathEscape(operation)
 	answer, err := c.Do(ctx, http.MethodPost, path, header, body)
--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -147,7 +147,7 @@
 func (g *Gateway) withMetrics(path string, next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		began := time.Now()
-		rec := &recorder{ResponseWriter: w, status: http.StatusOK, hasKey: r.Header.Get(KeyHeader) != ""}
+		rec := &recorder{ResponseWriter: w, status: http.StatusOK, hasKey: r.Header.Get(RequestKeyHeader) != ""}
 		next(rec, r)
 		g.deps.Metrics.Request(path, strconv.Itoa(rec.status), w.Header().Get(OutcomeHeader), time.Since(began))
 	})
--- a/internal/api/gateway/golden_test.go
+++ b/internal/api/gateway/golden_test.go
@@ -25,7 +25,7 @@
 	golden.JSON[sampleRequest](t, "sample-request")
 	golden.JSON[SampleLine](t, "sample-line")
 	golden.Literals(t, "texts.literals")
-	golden.Text(t, "names.txt", fmt.Sprintln(OutcomeHeader, KeyHeader, QuarantinedHeader, Completed, NotExecuted, Unknown, notSent))
+	golden.Text(t, "names.txt", fmt.Sprintln(OutcomeHeader, RequestKeyHeader, QuarantinedHeader, Completed, NotExecuted, Unknown, notSent))
 }
 
 func TestProblemsKeepTheirForm(t *testing.T) {
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -16,9 +16,9 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// KeyHeader carries a caller's key for a non-repeatable request. Its name is
+// RequestKeyHeader carries a caller's key for a non-repeatable request. Its name is
 // not one on which net/http replays a request.
-const KeyHeader = "Woodworks-Request-Key"
+const RequestKeyHeader = "Woodworks-Request-Key"
 
 const (
 	// settleTimeout bounds the recording of an outcome after the answer came.
@@ -61,7 +61,7 @@
 			host: g.deps.ServiceHost(service.Name), path: g.deps.OperationPath(operation.Name),
 			kind: r.Header.Get("Content-Type"), body: body, timeout: operation.Timeout,
 		}
-		key := r.Header.Get(KeyHeader)
+		key := r.Header.Get(RequestKeyHeader)
 		if key == "" || operation.Repeatable {
 			g.answerCall(w, g.ask(r.Context(), call))
 			return
@@ -98,7 +98,7 @@
 		err = g.deps.Permits.Check(key, time.Now())
 	}
 	if err != nil {
-		writeFieldError(w, KeyHeader, err.Error())
+		writeFieldError(w, RequestKeyHeader, err.Error())
 		return
 	}
 	// Keys of different callers never meet.
@@ -113,8 +113,8 @@
 	case permit.Taken:
 		g.answerTaken(ctx, w, name)
 	case permit.OtherContent:
-		writeProblem(w, Problem{status: http.StatusConflict, Code: "key_reused_with_other_content", Field: KeyHeader,
-			Message: KeyHeader + ": names a request of other content"})
+		writeProblem(w, Problem{status: http.StatusConflict, Code: "key_reused_with_other_content", Field: RequestKeyHeader,
+			Message: RequestKeyHeader + ": names a request of other content"})
 	default:
 		g.refuseClaim(w, err)
 	}
