--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -23,8 +23,8 @@
 const (
 	// settleTimeout bounds the recording of an outcome after the answer came.
 	settleTimeout = 2 * time.Second
-	// giveBackWait is how long an answer waits for a key to be given back.
-	giveBackWait = 200 * time.Millisecond
+	// maxReleaseWait is how long an answer waits for a key to be given back.
+	maxReleaseWait = 200 * time.Millisecond
 	// maxOutcomeBytes is the longest answer that is kept for later tries.
 	maxOutcomeBytes = 32 << 10
 )
@@ -178,7 +178,7 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(giveBackWait):
+	case <-time.After(maxReleaseWait):
 	}
 }
 
