--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -148,7 +148,7 @@
 	if !reply.whole(g.deps.Headers.Signature) {
 		problem := reply.problem()
 		if problem.Outcome == NotExecuted {
-			g.giveBack(ctx, granted)
+			g.releasePermit(ctx, granted)
 		}
 		writeProblem(w, problem)
 		return
@@ -164,10 +164,10 @@
 	writeAnswer(w, outcome)
 }
 
-// giveBack lets a later try with the key run. The caller's answer is due, so that
+// releasePermit lets a later try with the key run. The caller's answer is due, so that
 // it is waited for only a little; if it takes longer, a try that comes meanwhile
 // hears that an earlier one may have run.
-func (g *Gateway) giveBack(ctx context.Context, granted permit.Granted) {
+func (g *Gateway) releasePermit(ctx context.Context, granted permit.Granted) {
 	releasing, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	done := make(chan struct{})
 	go func() {
