--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -63,15 +63,15 @@
 		}
 		key := r.Header.Get(RequestKeyHeader)
 		if key == "" || operation.Repeatable {
-			g.answerCall(w, g.ask(r.Context(), call))
+			g.writeReply(w, g.ask(r.Context(), call))
 			return
 		}
 		g.callOnce(w, r, caller, key, call)
 	}
 }
 
-// answerCall gives a caller the reply of the ingress.
-func (g *Gateway) answerCall(w http.ResponseWriter, reply *ingressReply) {
+// writeReply gives a caller the reply of the ingress.
+func (g *Gateway) writeReply(w http.ResponseWriter, reply *ingressReply) {
 	if !reply.whole(g.deps.Headers.Signature) {
 		writeProblem(w, reply.problem())
 		return
