--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -76,10 +76,10 @@
 		writeProblem(w, reply.problem())
 		return
 	}
-	writeAnswer(w, permit.Outcome{Status: reply.status, ContentType: reply.header.Get("Content-Type"), Body: reply.body.Bytes()})
+	writeOutcome(w, permit.Outcome{Status: reply.status, ContentType: reply.header.Get("Content-Type"), Body: reply.body.Bytes()})
 }
 
-func writeAnswer(w http.ResponseWriter, outcome permit.Outcome) {
+func writeOutcome(w http.ResponseWriter, outcome permit.Outcome) {
 	header := w.Header()
 	header.Set(OutcomeHeader, string(Completed))
 	if outcome.ContentType != "" {
@@ -161,7 +161,7 @@
 			g.deps.Logger.Warn("outcome of a key not recorded", zap.Error(err))
 		}
 	}
-	writeAnswer(w, outcome)
+	writeOutcome(w, outcome)
 }
 
 // releasePermit lets a later try with the key run. The caller's answer is due, so that
@@ -189,7 +189,7 @@
 	defer cancel()
 	defer context.AfterFunc(g.deps.Stopping, cancel)()
 	if outcome, ok := g.deps.Permits.Await(ctx, name); ok {
-		writeAnswer(w, outcome)
+		writeOutcome(w, outcome)
 		return
 	}
 	problem := refusalProblem(refusal.V1EarlierAttemptUnknown, "an earlier try with this key may have run, and its outcome is not known")
