--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -75,7 +75,7 @@
 			writeProblem(w, (&ingressReply{cut: true}).problem())
 		}, status: 502, problem: Problem{Code: "answer_cut_off", Message: "the back end's answer did not come whole", Outcome: Unknown}},
 		"a bad field":   {answer: func(_ *Gateway, w http.ResponseWriter) { writeFieldError(w, "f", "is odd") }, status: 400, problem: Problem{Code: "bad_request", Field: "f", Message: "f: is odd", Outcome: NotExecuted}},
-		"a lost answer": {answer: func(g *Gateway, w http.ResponseWriter) { g.answerTaken(stopped(t), w, "c/k") }, status: 409, problem: Problem{Code: "earlier_try_lost", Message: "an earlier try with this key may have run, and its outcome is not known", Outcome: Unknown, ThisAttempt: notSent, RetryAfterMillis: 1000}},
+		"a lost answer": {answer: func(g *Gateway, w http.ResponseWriter) { g.answerEarlierAttempt(stopped(t), w, "c/k") }, status: 409, problem: Problem{Code: "earlier_try_lost", Message: "an earlier try with this key may have run, and its outcome is not known", Outcome: Unknown, ThisAttempt: notSent, RetryAfterMillis: 1000}},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -111,7 +111,7 @@
 	case permit.Granted:
 		g.runOnce(w, r.Context(), d, call)
 	case permit.Taken:
-		g.answerTaken(ctx, w, name)
+		g.answerEarlierAttempt(ctx, w, name)
 	case permit.OtherContent:
 		writeProblem(w, Problem{status: http.StatusConflict, Code: "key_reused_with_other_content", Field: RequestKeyHeader,
 			Message: RequestKeyHeader + ": names a request of other content"})
@@ -182,9 +182,9 @@
 	}
 }
 
-// answerTaken answers a try whose request an earlier one may have run.
+// answerEarlierAttempt answers a try whose request an earlier one may have run.
 // A planned stop ends the wait for that one's outcome, which may be longer than its grace.
-func (g *Gateway) answerTaken(ctx context.Context, w http.ResponseWriter, name string) {
+func (g *Gateway) answerEarlierAttempt(ctx context.Context, w http.ResponseWriter, name string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(g.deps.Stopping, cancel)()
--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -97,7 +97,7 @@
 		bounded, cancel := context.WithTimeout(ctx, 30*time.Second)
 		defer cancel()
 		answer := httptest.NewRecorder()
-		g.answerTaken(bounded, answer, "c/k")
+		g.answerEarlierAttempt(bounded, answer, "c/k")
 		is.Equal(answer.Code, http.StatusConflict)
 		is.Equal(time.Since(began), 1300*time.Millisecond)
 	})
