--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -105,7 +105,7 @@
 	name := caller.Name + "/" + key.Text
 	ctx, cancel := context.WithTimeout(r.Context(), call.timeout)
 	defer cancel()
-	decision, err := g.deps.Permits.Claim(ctx, name, digestOf(call))
+	decision, err := g.deps.Permits.Claim(ctx, name, callDigest(call))
 	g.deps.Logger.Info("key claimed", zap.String("key", name), zap.String("decision", decisionName(decision)), zap.Error(err))
 	switch d := decision.(type) {
 	case permit.Granted:
@@ -133,7 +133,7 @@
 	}
 }
 
-func digestOf(call ingressCall) uint64 {
+func callDigest(call ingressCall) uint64 {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(call.host + "\x00" + call.path + "\x00" + call.kind + "\x00")
 	_, _ = hash.Write(call.body)
