--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -82,7 +82,7 @@
 	}
 	lines := &sampleWriter{w: w, header: http.Header{}, names: g.deps.Headers}
 	g.deps.Ingress.ServeHTTP(lines, g.request(r.Context(), ingressCall{
-		host: g.deps.SamplesHost(req.Trainer), path: rollout.GeneratePath, kind: "application/json", body: body, timeout: timeout,
+		host: g.deps.SamplesHost(req.Trainer), path: rollout.GeneratePath, contentType: "application/json", body: body, timeout: timeout,
 	}))
 	lines.finish()
 }
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -59,7 +59,7 @@
 		defer g.inFlight.release(classKey(class.Name))
 		call := ingressCall{
 			host: g.deps.ServiceHost(service.Name), path: g.deps.OperationPath(operation.Name),
-			kind: r.Header.Get("Content-Type"), body: body, timeout: operation.Timeout,
+			contentType: r.Header.Get("Content-Type"), body: body, timeout: operation.Timeout,
 		}
 		key := r.Header.Get(RequestKeyHeader)
 		if key == "" || operation.Repeatable {
@@ -135,7 +135,7 @@
 
 func callDigest(call ingressCall) uint64 {
 	hash := xxhash.New()
-	_, _ = hash.WriteString(call.host + "\x00" + call.path + "\x00" + call.kind + "\x00")
+	_, _ = hash.WriteString(call.host + "\x00" + call.path + "\x00" + call.contentType + "\x00")
 	_, _ = hash.Write(call.body)
 	return hash.Sum64()
 }
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -21,11 +21,11 @@
 
 // ingressCall is a request to the ingress.
 type ingressCall struct {
-	host    string
-	path    string
-	kind    string
-	body    []byte
-	timeout time.Duration
+	host        string
+	path        string
+	contentType string
+	body        []byte
+	timeout     time.Duration
 }
 
 // request makes the ingress' request. It carries nothing of the caller's
@@ -33,8 +33,8 @@
 func (g *Gateway) request(ctx context.Context, a ingressCall) *http.Request {
 	header := http.Header{}
 	header.Set(g.deps.Headers.RequestID, g.deps.NewID())
-	if a.kind != "" {
-		header.Set("Content-Type", a.kind)
+	if a.contentType != "" {
+		header.Set("Content-Type", a.contentType)
 	}
 	header.Set(g.deps.Headers.DeadlineMs, strconv.FormatInt(a.timeout.Milliseconds(), 10))
 	r := &http.Request{
