--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -81,7 +81,7 @@
 		timeout = time.Duration(req.TimeoutMillis) * time.Millisecond
 	}
 	lines := &sampleWriter{w: w, header: http.Header{}, names: g.deps.Headers}
-	g.deps.Ingress.ServeHTTP(lines, g.request(r.Context(), ingressCall{
+	g.deps.Ingress.ServeHTTP(lines, g.newIngressRequest(r.Context(), ingressCall{
 		host: g.deps.SamplesHost(req.Trainer), path: rollout.GeneratePath, contentType: "application/json", body: body, timeout: timeout,
 	}))
 	lines.finish()
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -28,9 +28,9 @@
 	timeout     time.Duration
 }
 
-// request makes the ingress' request. It carries nothing of the caller's
+// newIngressRequest makes the ingress' newIngressRequest. It carries nothing of the caller's
 // headers but the content type.
-func (g *Gateway) request(ctx context.Context, a ingressCall) *http.Request {
+func (g *Gateway) newIngressRequest(ctx context.Context, a ingressCall) *http.Request {
 	header := http.Header{}
 	header.Set(g.deps.Headers.RequestID, g.deps.NewID())
 	if a.contentType != "" {
@@ -80,7 +80,7 @@
 			panic(aborted)
 		}
 	}()
-	g.deps.Ingress.ServeHTTP(reply, g.request(ctx, a))
+	g.deps.Ingress.ServeHTTP(reply, g.newIngressRequest(ctx, a))
 	return reply
 }
 
