--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -63,7 +63,7 @@
 		}
 		key := r.Header.Get(RequestKeyHeader)
 		if key == "" || operation.Repeatable {
-			g.writeReply(w, g.ask(r.Context(), call))
+			g.writeReply(w, g.callIngress(r.Context(), call))
 			return
 		}
 		g.callOnce(w, r, caller, key, call)
@@ -144,7 +144,7 @@
 // that has certainly not run gives the permit back before it is answered so: the
 // caller comes back with the same key.
 func (g *Gateway) runOnce(w http.ResponseWriter, ctx context.Context, granted permit.Granted, call ingressCall) {
-	reply := g.ask(ctx, call)
+	reply := g.callIngress(ctx, call)
 	if !reply.whole(g.deps.Headers.Signature) {
 		problem := reply.problem()
 		if problem.Outcome == NotExecuted {
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -68,8 +68,8 @@
 	return r.body.Write(content)
 }
 
-// ask sends a request to the ingress and takes the whole answer.
-func (g *Gateway) ask(ctx context.Context, a ingressCall) (reply *ingressReply) {
+// callIngress sends a request to the ingress and takes the whole answer.
+func (g *Gateway) callIngress(ctx context.Context, a ingressCall) (reply *ingressReply) {
 	reply = &ingressReply{header: http.Header{}}
 	defer func() {
 		switch aborted := recover(); aborted {
