--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -72,7 +72,7 @@
 		"timed out":  {answer: fromIngress(504, nil), status: 504, problem: Problem{Code: "timed_out", Message: "no whole answer came in time", Outcome: Unknown}},
 		"failed":     {answer: fromIngress(502, nil), status: 502, problem: Problem{Code: "back_end_failed", Message: "no replica gave a whole answer", Outcome: Unknown}},
 		"cut": {answer: func(_ *Gateway, w http.ResponseWriter) {
-			writeProblem(w, (&ingressReply{cut: true}).problem())
+			writeProblem(w, (&ingressReply{truncated: true}).problem())
 		}, status: 502, problem: Problem{Code: "answer_cut_off", Message: "the back end's answer did not come whole", Outcome: Unknown}},
 		"a bad field":   {answer: func(_ *Gateway, w http.ResponseWriter) { writeFieldError(w, "f", "is odd") }, status: 400, problem: Problem{Code: "bad_request", Field: "f", Message: "f: is odd", Outcome: NotExecuted}},
 		"a lost answer": {answer: func(g *Gateway, w http.ResponseWriter) { g.answerEarlierAttempt(stopped(t), w, "c/k") }, status: 409, problem: Problem{Code: "earlier_try_lost", Message: "an earlier try with this key may have run, and its outcome is not known", Outcome: Unknown, ThisAttempt: notSent, RetryAfterMillis: 1000}},
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -50,8 +50,8 @@
 	header http.Header
 	status int
 	body   bytes.Buffer
-	// cut says that the answer broke off, or was longer than the bound.
-	cut bool
+	// truncated says that the answer broke off, or was longer than the bound.
+	truncated bool
 }
 
 func (r *ingressReply) Header() http.Header    { return r.header }
@@ -62,7 +62,7 @@
 		r.status = http.StatusOK
 	}
 	if r.body.Len()+len(content) > maxAnswerBytes {
-		r.cut = true
+		r.truncated = true
 		return 0, io.ErrShortWrite
 	}
 	return r.body.Write(content)
@@ -75,7 +75,7 @@
 		switch aborted := recover(); aborted {
 		case nil:
 		case http.ErrAbortHandler:
-			reply.cut = true
+			reply.truncated = true
 		default:
 			panic(aborted)
 		}
@@ -85,11 +85,11 @@
 }
 
 // whole reports whether the reply is a back end's whole answer.
-func (r *ingressReply) whole(stamp string) bool { return !r.cut && r.header.Get(stamp) != "" }
+func (r *ingressReply) whole(stamp string) bool { return !r.truncated && r.header.Get(stamp) != "" }
 
 // problem is what to tell a caller of a reply that is no back end's answer.
 func (r *ingressReply) problem() Problem {
-	if r.cut {
+	if r.truncated {
 		return refusalProblem(refusal.V1AnswerIncomplete, "the back end's answer did not come whole")
 	}
 	return problemOf(r.status, r.header)
