--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -72,7 +72,7 @@
 
 // writeReply gives a caller the reply of the ingress.
 func (g *Gateway) writeReply(w http.ResponseWriter, reply *ingressReply) {
-	if !reply.whole(g.deps.Headers.Signature) {
+	if !reply.isComplete(g.deps.Headers.Signature) {
 		writeProblem(w, reply.problem())
 		return
 	}
@@ -145,7 +145,7 @@
 // caller comes back with the same key.
 func (g *Gateway) runOnce(w http.ResponseWriter, ctx context.Context, granted permit.Granted, call ingressCall) {
 	reply := g.callIngress(ctx, call)
-	if !reply.whole(g.deps.Headers.Signature) {
+	if !reply.isComplete(g.deps.Headers.Signature) {
 		problem := reply.problem()
 		if problem.Outcome == NotExecuted {
 			g.releasePermit(ctx, granted)
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -84,8 +84,10 @@
 	return reply
 }
 
-// whole reports whether the reply is a back end's whole answer.
-func (r *ingressReply) whole(stamp string) bool { return !r.truncated && r.header.Get(stamp) != "" }
+// isComplete reports whether the reply is a back end's isComplete answer.
+func (r *ingressReply) isComplete(stamp string) bool {
+	return !r.truncated && r.header.Get(stamp) != ""
+}
 
 // problem is what to tell a caller of a reply that is no back end's answer.
 func (r *ingressReply) problem() Problem {
