--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -97,8 +97,8 @@
 	return problemOf(r.status, r.header)
 }
 
-// comeBackOf is a refusal of the ingress with the time to return that it told the caller.
-func comeBackOf(reason refusal.Reason, header http.Header) refusal.Reason {
+// withRetryAfter is a refusal of the ingress with the time to return that it told the caller.
+func withRetryAfter(reason refusal.Reason, header http.Header) refusal.Reason {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil {
 		return reason
@@ -110,9 +110,9 @@
 func problemOf(status int, header http.Header) Problem {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		problem := refusalProblem(comeBackOf(refusal.V1NoReplica, header), "no replica of the service took the request")
+		problem := refusalProblem(withRetryAfter(refusal.V1NoReplica, header), "no replica of the service took the request")
 		if ended := header.Get(QuarantinedHeader); ended != "" {
-			problem = refusalProblem(comeBackOf(refusal.V1Quarantined, header),
+			problem = refusalProblem(withRetryAfter(refusal.V1Quarantined, header),
 				ended+" replicas of the service ended while they ran this content")
 		}
 		problem.status, problem.Outcome = status, NotExecuted
