--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -21,7 +21,7 @@
 func TestEachProblemTellsWhatIsCertainAndWhenToReturn(t *testing.T) {
 	fromIngress := func(status int, header http.Header) func(*Gateway, http.ResponseWriter) {
 		return func(_ *Gateway, w http.ResponseWriter) {
-			writeProblem(w, problemOf(status, header))
+			writeProblem(w, ingressProblem(status, header))
 		}
 	}
 	pullFailed := func(err error) func(*Gateway, http.ResponseWriter) {
--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -143,7 +143,7 @@
 // finish writes the last line, or the problem if there is no sample.
 func (s *sampleWriter) finish() {
 	if !s.fromEngine() {
-		writeProblem(s.w, problemOf(s.status, s.header))
+		writeProblem(s.w, ingressProblem(s.status, s.header))
 		return
 	}
 	if s.broken || s.sample.End == "" {
--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -94,7 +94,7 @@
 	if r.truncated {
 		return refusalProblem(refusal.V1AnswerIncomplete, "the back end's answer did not come whole")
 	}
-	return problemOf(r.status, r.header)
+	return ingressProblem(r.status, r.header)
 }
 
 // withRetryAfter is a refusal of the ingress with the time to return that it told the caller.
@@ -106,8 +106,8 @@
 	return reason.WithRetryAfter(time.Duration(seconds * float64(time.Second)))
 }
 
-// problemOf turns a final answer of the ingress into a problem.
-func problemOf(status int, header http.Header) Problem {
+// ingressProblem turns a final answer of the ingress into a problem.
+func ingressProblem(status int, header http.Header) Problem {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		problem := refusalProblem(withRetryAfter(refusal.V1NoReplica, header), "no replica of the service took the request")
