--- a/internal/api/gateway/upstream.go
+++ b/internal/api/gateway/upstream.go
@@ -12,8 +12,8 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// maxAnswerBytes bounds a back end's answer, in bytes.
-const maxAnswerBytes = 8 << 20
+// maxReplyBytes bounds a back end's answer, in bytes.
+const maxReplyBytes = 8 << 20
 
 // QuarantinedHeader is how the ingress says that a request was refused for its content's
 // sake, and how many replicas have ended under it.
@@ -61,7 +61,7 @@
 	if r.status == 0 {
 		r.status = http.StatusOK
 	}
-	if r.body.Len()+len(content) > maxAnswerBytes {
+	if r.body.Len()+len(content) > maxReplyBytes {
 		r.truncated = true
 		return 0, io.ErrShortWrite
 	}
