--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -90,12 +90,12 @@
 // sampleWriter is an http.ResponseWriter that turns the events of the ingress into lines. If
 // the ingress ends with a panic the answer stays without its last line.
 type sampleWriter struct {
-	w      http.ResponseWriter
-	header http.Header
-	names  headers.Names
-	status int
-	sample rollout.Result
-	broken bool
+	w         http.ResponseWriter
+	header    http.Header
+	names     headers.Names
+	status    int
+	sample    rollout.Result
+	malformed bool
 }
 
 func (s *sampleWriter) Header() http.Header { return s.header }
@@ -123,12 +123,12 @@
 	}
 	read, err := eventstream.NewReader(bytes.NewReader(event), s.names.WeightsVersion).Next()
 	if err != nil {
-		s.broken = true
+		s.malformed = true
 		return 0, err
 	}
 	var frame rollout.Frame
 	if err := json.Unmarshal(read.Data, &frame); err != nil {
-		s.broken = true
+		s.malformed = true
 		return 0, err
 	}
 	s.sample.Add(frame)
@@ -146,7 +146,7 @@
 		writeProblem(s.w, ingressProblem(s.status, s.header))
 		return
 	}
-	if s.broken || s.sample.End == "" {
+	if s.malformed || s.sample.End == "" {
 		panic(http.ErrAbortHandler)
 	}
 	// Without this line the caller knows the sample to be incomplete.
