--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -25,14 +25,14 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// idle takes batches in and runs none of them.
-type idle struct{ batches *ledger.Ledger }
+// acceptOnlyRunner takes batches in and runs none of them.
+type acceptOnlyRunner struct{ batches *ledger.Ledger }
 
-func (i idle) Accept(ctx context.Context, job *batch.Submission) error {
+func (i acceptOnlyRunner) Accept(ctx context.Context, job *batch.Submission) error {
 	return i.batches.PartitionOf(job.ID).Append(ctx, batch.Accepted(job, "nobody"))
 }
 
-func (idle) End(context.Context, string, string) error { return nil }
+func (acceptOnlyRunner) End(context.Context, string, string) error { return nil }
 
 // stoppable is a gateway with one trainer, "t", and what begins its stop.
 func stoppable(ctx context.Context) (*Gateway, context.CancelFunc) {
@@ -46,7 +46,7 @@
 	set := &policy.Set{Trainers: map[string]policy.Trainer{"t": {Name: "t"}}}
 	return New(Deps{
 		Configuration: func() (Configuration, bool) { return Configuration{Policies: set}, true },
-		Delivery:      delivery.New(results.NewReader(batches, nil, nil, journal.Grants{}, "self/1", zap.NewNop()), idle{batches}, rollout.ItemHeaders{}, zap.NewNop()),
+		Delivery:      delivery.New(results.NewReader(batches, nil, nil, journal.Grants{}, "self/1", zap.NewNop()), acceptOnlyRunner{batches}, rollout.ItemHeaders{}, zap.NewNop()),
 		Permits:       permit.New(log, 10*time.Minute, func() string { return "claimant" }, zap.NewNop()),
 		Metrics:       metrics.New(), Logger: zap.NewNop(), Stopping: stopping,
 	}, Limits{}), stop
