--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -80,7 +80,7 @@
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g, _ := stoppable(t.Context())
+			g, _ := newTestGateway(t.Context())
 			recorded := httptest.NewRecorder()
 			one.answer(g, &recorder{ResponseWriter: recorded, hasKey: one.keyed})
 			is.Equal(recorded.Code, one.status)
--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -34,8 +34,8 @@
 
 func (acceptOnlyRunner) End(context.Context, string, string) error { return nil }
 
-// stoppable is a gateway with one trainer, "t", and what begins its stop.
-func stoppable(ctx context.Context) (*Gateway, context.CancelFunc) {
+// newTestGateway is a gateway with one trainer, "t", and what begins its stop.
+func newTestGateway(ctx context.Context) (*Gateway, context.CancelFunc) {
 	return stoppableOn(ctx, journaltest.New())
 }
 
@@ -60,7 +60,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		g, stop := stoppable(ctx)
+		g, stop := newTestGateway(ctx)
 		caller := policy.Caller{Name: "c", Trainer: "t"}
 		header, err := g.deps.Delivery.Submit(ctx, delivery.Trainer{Name: "t", Accepts: func(oldest, trained int64) bool { return oldest >= trained }},
 			rollout.Request{Trainer: "t", Name: "n", Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}, SamplesPerPrompt: 1, MaxTokens: 5})
@@ -89,7 +89,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		g, stop := stoppable(ctx)
+		g, stop := newTestGateway(ctx)
 		_, err := g.deps.Permits.Claim(ctx, "c/k", 1)
 		is.NoErr(err)
 		began := time.Now()
