--- a/internal/api/gateway/pull_test.go
+++ b/internal/api/gateway/pull_test.go
@@ -29,7 +29,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			log := journaltest.New()
-			g, _ := stoppableOn(ctx, log)
+			g, _ := newTestGatewayOn(ctx, log)
 			header, err := g.deps.Delivery.Submit(ctx, delivery.Trainer{Name: "t", Accepts: func(oldest, trained int64) bool { return oldest >= trained }},
 				rollout.Request{Trainer: "t", Name: "n", Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}, SamplesPerPrompt: 1, MaxTokens: 5})
 			is.NoErr(err)
@@ -59,7 +59,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		log := journaltest.New()
-		before, _ := stoppableOn(ctx, log)
+		before, _ := newTestGatewayOn(ctx, log)
 		header, err := before.deps.Delivery.Submit(ctx, delivery.Trainer{Name: "t", Accepts: func(oldest, trained int64) bool { return oldest >= trained }},
 			rollout.Request{Trainer: "t", Name: "n", Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}, SamplesPerPrompt: 1, MaxTokens: 5})
 		is.NoErr(err)
@@ -68,7 +68,7 @@
 				log.Trim(journal.Partition{Topic: topic, Number: number}, 1)
 			}
 		}
-		late, _ := stoppableOn(ctx, log)
+		late, _ := newTestGatewayOn(ctx, log)
 		for g, status := range map[*Gateway]int{before: http.StatusOK, late: http.StatusServiceUnavailable} {
 			for _, cursor := range []string{"", "&cursor=" + rollout.NewCursor(header).String()} {
 				asked := httptest.NewRequestWithContext(ctx, http.MethodGet, "/v1/rollouts/t/n/samples?wait_ms=0"+cursor, nil)
--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -36,11 +36,11 @@
 
 // newTestGateway is a gateway with one trainer, "t", and what begins its stop.
 func newTestGateway(ctx context.Context) (*Gateway, context.CancelFunc) {
-	return stoppableOn(ctx, journaltest.New())
+	return newTestGatewayOn(ctx, journaltest.New())
 }
 
-// stoppableOn is a stoppable gateway over a journal.
-func stoppableOn(ctx context.Context, log *journaltest.Journal) (*Gateway, context.CancelFunc) {
+// newTestGatewayOn is a stoppable gateway over a journal.
+func newTestGatewayOn(ctx context.Context, log *journaltest.Journal) (*Gateway, context.CancelFunc) {
 	batches := ledger.New(ctx, log, zap.NewNop())
 	stopping, stop := context.WithCancel(context.Background())
 	set := &policy.Set{Trainers: map[string]policy.Trainer{"t": {Name: "t"}}}
