--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -43,7 +43,7 @@
 			g.resolveTrainer(w, policy.Caller{Trainer: "t"}, "t")
 		}, status: 503, problem: Problem{Code: "no_configuration", Message: "this daemon knows no policies yet", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"stopping": {answer: func(g *Gateway, w http.ResponseWriter) {
-			g.deps.Stopping = stopped(t)
+			g.deps.Stopping = cancelledContext(t)
 			g.admitNewWork(w)
 		}, status: 503, problem: Problem{Code: "stopping", Message: "this daemon is being stopped; use another", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"not confirmed": {answer: func(g *Gateway, w http.ResponseWriter) {
@@ -75,7 +75,7 @@
 			writeProblem(w, (&ingressReply{truncated: true}).problem())
 		}, status: 502, problem: Problem{Code: "answer_cut_off", Message: "the back end's answer did not come whole", Outcome: Unknown}},
 		"a bad field":   {answer: func(_ *Gateway, w http.ResponseWriter) { writeFieldError(w, "f", "is odd") }, status: 400, problem: Problem{Code: "bad_request", Field: "f", Message: "f: is odd", Outcome: NotExecuted}},
-		"a lost answer": {answer: func(g *Gateway, w http.ResponseWriter) { g.answerEarlierAttempt(stopped(t), w, "c/k") }, status: 409, problem: Problem{Code: "earlier_try_lost", Message: "an earlier try with this key may have run, and its outcome is not known", Outcome: Unknown, ThisAttempt: notSent, RetryAfterMillis: 1000}},
+		"a lost answer": {answer: func(g *Gateway, w http.ResponseWriter) { g.answerEarlierAttempt(cancelledContext(t), w, "c/k") }, status: 409, problem: Problem{Code: "earlier_try_lost", Message: "an earlier try with this key may have run, and its outcome is not known", Outcome: Unknown, ThisAttempt: notSent, RetryAfterMillis: 1000}},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -97,8 +97,8 @@
 	}
 }
 
-// stopped is a context that has ended.
-func stopped(t *testing.T) context.Context {
+// cancelledContext is a context that has ended.
+func cancelledContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	return ctx
