--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -18,7 +18,7 @@
 
 // Each reason for which /v1/ asks a caller to come back has one status, one code, one outcome
 // and one time to return.
-func TestEachProblemTellsWhatIsCertainAndWhenToReturn(t *testing.T) {
+func TestProblemStatusCodeOutcomeAndRetryAfter(t *testing.T) {
 	fromIngress := func(status int, header http.Header) func(*Gateway, http.ResponseWriter) {
 		return func(_ *Gateway, w http.ResponseWriter) {
 			writeProblem(w, ingressProblem(status, header))
