--- a/internal/api/gateway/golden_test.go
+++ b/internal/api/gateway/golden_test.go
@@ -10,7 +10,7 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestBodiesKeepTheirForm(t *testing.T) {
+func TestBodyEncodingIsStable(t *testing.T) {
 	golden.JSON[problemBody](t, "problem")
 	golden.JSON[statusResponse](t, "status-word")
 	golden.JSON[Status](t, "status")
