--- a/internal/api/gateway/golden_test.go
+++ b/internal/api/gateway/golden_test.go
@@ -28,7 +28,7 @@
 	golden.Text(t, "names.txt", fmt.Sprintln(OutcomeHeader, RequestKeyHeader, QuarantinedHeader, Completed, NotExecuted, Unknown, notSent))
 }
 
-func TestProblemsKeepTheirForm(t *testing.T) {
+func TestProblemEncodingIsStable(t *testing.T) {
 	answers := strings.Builder{}
 	tell := func(keyed bool, write func(rec *recorder)) {
 		answer := httptest.NewRecorder()
