--- a/internal/api/gateway/pull_test.go
+++ b/internal/api/gateway/pull_test.go
@@ -53,7 +53,7 @@
 // A daemon that started after the journal had removed a partition's oldest records told
 // trainers that their batch does not exist, while other daemons handed its samples over.
 // It can't be sure, and says so.
-func TestABatchWhoseRecordsAreGoneIsNotDenied(t *testing.T) {
+func TestTrimmedBatchIsNotReportedAsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
