--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -55,7 +55,7 @@
 // A pull may be held for a minute, and a stop has a grace of seconds: it was cut at the
 // grace's end, without an answer. A pull that is held as the stop begins is answered with
 // what there is, and its cursor.
-func TestAStopEndsHeldPulls(t *testing.T) {
+func TestStopEndsHeldPulls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
