--- a/internal/api/gateway/stop_test.go
+++ b/internal/api/gateway/stop_test.go
@@ -84,7 +84,7 @@
 // A try with a key that another one holds waits for that one's outcome for as long as the
 // call may take, half a minute by default, and was cut by a stop before. It is told that
 // the outcome is not known here as the stop begins, so that the next try asks elsewhere.
-func TestAStopEndsTheWaitForAnEarlierTry(t *testing.T) {
+func TestStopEndsWaitForEarlierAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
