--- a/internal/api/gateway/decode_test.go
+++ b/internal/api/gateway/decode_test.go
@@ -9,7 +9,7 @@
 	"woodworks/internal/api/rollout"
 )
 
-func TestDecodingNamesTheField(t *testing.T) {
+func TestDecodeErrorNamesField(t *testing.T) {
 	cases := map[string]struct{ body, field, reason string }{
 		"empty":         {"", "body", "not valid JSON"},
 		"nested type":   {`{"prompts":[{"id":5}]}`, "prompts.id", "number"},
