--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -37,8 +37,8 @@
 	ErrUnknownBatch = errors.New("delivery: no such batch")
 	// ErrUnavailable: the journal did not answer; nothing was changed.
 	ErrUnavailable = errors.New("delivery: the journal did not answer")
-	// ErrUnsure: the batch may have been taken in, or ended.
-	ErrUnsure = errors.New("delivery: it may have been done")
+	// ErrOutcomeUnknown: the batch may have been taken in, or ended.
+	ErrOutcomeUnknown = errors.New("delivery: it may have been done")
 	// ErrTooManyRounds: samples became too old, or failed, in every round.
 	ErrTooManyRounds = errors.New("delivery: samples were not usable in any round")
 )
@@ -99,12 +99,12 @@
 	case errors.Is(err, runner.ErrNotDone):
 		return header, errors.Wrap(ErrUnavailable, err.Error())
 	case err != nil:
-		return header, errors.Wrap(ErrUnsure, err.Error())
+		return header, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	stored, err := s.Find(ctx, header.Trainer, header.Name)
 	switch {
 	case errors.Is(err, ErrUnavailable):
-		return header, errors.Wrap(ErrUnsure, err.Error())
+		return header, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	case err != nil:
 		return header, err
 	case stored.Digest != header.Digest:
@@ -154,7 +154,7 @@
 		case round == 0 && errors.Is(err, runner.ErrNotDone):
 			return errors.Wrap(ErrUnavailable, err.Error())
 		default:
-			return errors.Wrap(ErrUnsure, err.Error())
+			return errors.Wrap(ErrOutcomeUnknown, err.Error())
 		}
 	}
 	return nil
--- a/internal/api/delivery/delivery_test.go
+++ b/internal/api/delivery/delivery_test.go
@@ -43,5 +43,5 @@
 	}
 	is.NoErr(ended(nil))
 	is.True(errors.Is(ended(errors.Wrap(runner.ErrNotDone, "refused")), ErrUnavailable))
-	is.True(errors.Is(ended(errors.Wrap(runner.ErrUnknown, "silent")), ErrUnsure))
+	is.True(errors.Is(ended(errors.Wrap(runner.ErrUnknown, "silent")), ErrOutcomeUnknown))
 }
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -117,7 +117,7 @@
 	switch {
 	case err == nil:
 		writeDone(w, http.StatusOK, statusWord{Status: "ended"})
-	case errors.Is(err, delivery.ErrUnsure):
+	case errors.Is(err, delivery.ErrOutcomeUnknown):
 		refuse(w, refusal.V1EndOutcomeUnknown, err.Error()+"; end it again")
 	default:
 		writeProblem(w, deliveryProblem(err))
