--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -46,8 +46,8 @@
 // Trainer is what the policy in force says of one trainer.
 type Trainer struct {
 	Name string
-	// Newest is the newest version that is named of the trainer's model.
-	Newest int64
+	// NewestVersion is the newest version that is named of the trainer's model.
+	NewestVersion int64
 	// Accepts judges a sample by its oldest version while a version is trained.
 	Accepts func(oldest, trained int64) bool
 }
@@ -89,7 +89,7 @@
 // Submit takes a checked batch in. The same batch may be submitted again.
 func (s *Service) Submit(ctx context.Context, t Trainer, request rollout.Request) (rollout.Header, error) {
 	header := rollout.HeaderOf(request)
-	minVersion := max(t.lowest(t.Newest), int64(request.MinVersion))
+	minVersion := max(t.lowest(t.NewestVersion), int64(request.MinVersion))
 	job := rollout.First(request, header, minVersion, s.names)
 	job.AcceptedAtMs = time.Now().UnixMilli()
 	bounded, cancel := context.WithTimeout(ctx, runner.SubmitTimeout)
--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -126,7 +126,7 @@
 
 // trains is a trainer that accepts samples of so many versions before the one that it trains.
 func trains(newest, bound int64) Trainer {
-	return Trainer{Name: "t", Newest: newest, Accepts: func(oldest, trained int64) bool { return trained-oldest <= bound }}
+	return Trainer{Name: "t", NewestVersion: newest, Accepts: func(oldest, trained int64) bool { return trained-oldest <= bound }}
 }
 
 func twoPrompts(name string, samples int) rollout.Request {
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -57,7 +57,7 @@
 		pull.Stopping = context.Background()
 	}
 	end := time.Now().Add(pull.Wait)
-	trained := max(pull.Version, t.Newest, 1)
+	trained := max(pull.Version, t.NewestVersion, 1)
 	accepts := func(oldest int64) bool { return t.Accepts(oldest, trained) }
 	seen := observation{service: s, pull: pull, accepts: accepts, prompts: map[int]prompt{}}
 	for {
--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -121,7 +121,7 @@
 // take pulls the samples of a batch, each time at another daemon, and returns how many
 // pulls were refused.
 func (r *restarted) take(ctx context.Context, header rollout.Header, random *rand.Rand) (refused int) {
-	trainer := Trainer{Name: "t", Newest: 1, Accepts: func(int64, int64) bool { return true }}
+	trainer := Trainer{Name: "t", NewestVersion: 1, Accepts: func(int64, int64) bool { return true }}
 	cursor := rollout.NewCursor(header)
 	for countOf(cursor) < header.Samples && ctx.Err() == nil {
 		delivered, err := r.desks[random.IntN(len(r.desks))].Deliver(ctx, trainer, Pull{Cursor: cursor, Limit: restartPull})
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -53,7 +53,7 @@
 			Message: "trainer: no policy declares trainer " + strconv.Quote(name)})
 		return delivery.Trainer{}, false
 	}
-	return delivery.Trainer{Name: name, Newest: configuration.Named[name], Accepts: func(oldest, trained int64) bool {
+	return delivery.Trainer{Name: name, NewestVersion: configuration.Named[name], Accepts: func(oldest, trained int64) bool {
 		return configuration.Policies.Accepts(declared, uint64(oldest), uint64(trained))
 	}}, true
 }
