--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -52,8 +52,8 @@
 	Accepts func(oldest, trained int64) bool
 }
 
-// lowest is the oldest version that the trainer accepts while it trains one.
-func (t Trainer) lowest(trained int64) int64 {
+// oldestAccepted is the oldest version that the trainer accepts while it trains one.
+func (t Trainer) oldestAccepted(trained int64) int64 {
 	lowest := trained
 	for lowest > 1 && t.Accepts(lowest-1, trained) {
 		lowest--
@@ -89,7 +89,7 @@
 // Submit takes a checked batch in. The same batch may be submitted again.
 func (s *Service) Submit(ctx context.Context, t Trainer, request rollout.Request) (rollout.Header, error) {
 	header := rollout.HeaderOf(request)
-	minVersion := max(t.lowest(t.NewestVersion), int64(request.MinVersion))
+	minVersion := max(t.oldestAccepted(t.NewestVersion), int64(request.MinVersion))
 	job := rollout.First(request, header, minVersion, s.names)
 	job.AcceptedAtMs = time.Now().UnixMilli()
 	bounded, cancel := context.WithTimeout(ctx, runner.SubmitTimeout)
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	job := rollout.Next(first, header, round, samples, t.lowest(trained))
+	job := rollout.Next(first, header, round, samples, t.oldestAccepted(trained))
 	job.AcceptedAtMs = time.Now().UnixMilli()
 	bounded, cancel := context.WithTimeout(ctx, againTimeout)
 	defer cancel()
