--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -75,22 +75,22 @@
 
 // Service is where trainers submit batches and pull samples. It is safe for concurrent use.
 type Service struct {
-	reader Reader
-	runner Runner
-	names  rollout.ItemHeaders
-	logger *zap.Logger
+	reader      Reader
+	runner      Runner
+	itemHeaders rollout.ItemHeaders
+	logger      *zap.Logger
 }
 
 // New returns a service.
 func New(reader Reader, run Runner, names rollout.ItemHeaders, logger *zap.Logger) *Service {
-	return &Service{reader: reader, runner: run, names: names, logger: logger}
+	return &Service{reader: reader, runner: run, itemHeaders: names, logger: logger}
 }
 
 // Submit takes a checked batch in. The same batch may be submitted again.
 func (s *Service) Submit(ctx context.Context, t Trainer, request rollout.Request) (rollout.Header, error) {
 	header := rollout.HeaderOf(request)
 	minVersion := max(t.oldestAccepted(t.NewestVersion), int64(request.MinVersion))
-	job := rollout.First(request, header, minVersion, s.names)
+	job := rollout.First(request, header, minVersion, s.itemHeaders)
 	job.AcceptedAtMs = time.Now().UnixMilli()
 	bounded, cancel := context.WithTimeout(ctx, runner.SubmitTimeout)
 	defer cancel()
