--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -116,7 +116,7 @@
 
 // Find returns the header of a batch.
 func (s *Service) Find(ctx context.Context, trainer, name string) (rollout.Header, error) {
-	first, err := s.exists(ctx, trainer, name, 0)
+	first, err := s.findRound(ctx, trainer, name, 0)
 	if err != nil {
 		return rollout.Header{}, err
 	}
@@ -128,8 +128,8 @@
 	return rollout.Header{Trainer: trainer, Name: name, Digest: digest, Samples: first.Total}, nil
 }
 
-// exists asks for a round of a batch, and for none of its samples.
-func (s *Service) exists(ctx context.Context, trainer, name string, round int) (results.Page, error) {
+// findRound asks for a round of a batch, and for none of its samples.
+func (s *Service) findRound(ctx context.Context, trainer, name string, round int) (results.Page, error) {
 	page, err := s.reader.Samples(ctx, results.Query{
 		BatchID: rollout.JobID(trainer, name, round), After: rollout.MaxSamples, Samples: &results.Samples{Further: round > 0},
 	})
@@ -163,7 +163,7 @@
 // count returns how many rounds a batch has.
 func (s *Service) count(ctx context.Context, trainer, name string) (int, error) {
 	for rounds := 0; ; rounds++ {
-		page, err := s.exists(ctx, trainer, name, rounds)
+		page, err := s.findRound(ctx, trainer, name, rounds)
 		switch {
 		case err != nil:
 			return 0, err
