--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -141,7 +141,7 @@
 
 // End ends all rounds of a batch: no more samples are made.
 func (s *Service) End(ctx context.Context, trainer, name string) error {
-	rounds, err := s.count(ctx, trainer, name)
+	rounds, err := s.countRounds(ctx, trainer, name)
 	if err != nil {
 		return err
 	}
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// count returns how many rounds a batch has.
-func (s *Service) count(ctx context.Context, trainer, name string) (int, error) {
+// countRounds returns how many rounds a batch has.
+func (s *Service) countRounds(ctx context.Context, trainer, name string) (int, error) {
 	for rounds := 0; ; rounds++ {
 		page, err := s.findRound(ctx, trainer, name, rounds)
 		switch {
