--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -12,9 +12,9 @@
 	"woodworks/internal/daemon/periodic"
 )
 
-// observation is a batch as one pull has seen it. Positions of results never change, so that each
+// batchView is a batch as one pull has seen it. Positions of results never change, so that each
 // look goes on where the one before ended.
-type observation struct {
+type batchView struct {
 	service *Service
 	pull    Pull
 	accepts func(oldest int64) bool
@@ -43,7 +43,7 @@
 
 // look brings the observation up to date until samples are ready, or all that is listed is seen. A
 // further round is asked for only if samples of those before must be made again.
-func (o *observation) look(ctx context.Context) error {
+func (o *batchView) look(ctx context.Context) error {
 	o.last = false
 	for {
 		o.plan = rollout.Plan(o.pull.Cursor, o.samples(), o.accepts, o.pull.Limit)
@@ -64,7 +64,7 @@
 }
 
 // samples returns the samples of the rounds seen.
-func (o *observation) samples() []rollout.Round {
+func (o *batchView) samples() []rollout.Round {
 	samples := make([]rollout.Round, len(o.rounds))
 	for i, r := range o.rounds {
 		samples[i] = r.samples
@@ -73,7 +73,7 @@
 }
 
 // unread returns a round that has results which are not seen, nil for none.
-func (o *observation) unread() *round {
+func (o *batchView) unread() *round {
 	for _, r := range o.rounds {
 		if r.more {
 			return r
@@ -83,7 +83,7 @@
 }
 
 // nextRound looks for the round after those seen.
-func (o *observation) nextRound(ctx context.Context) error {
+func (o *batchView) nextRound(ctx context.Context) error {
 	next := &round{number: len(o.rounds), samples: rollout.Round{}}
 	page, err := o.ask(ctx, next, 0)
 	header := o.pull.Cursor.Header
@@ -108,7 +108,7 @@
 }
 
 // readRound asks for what follows of a round. The question may be kept open for wait.
-func (o *observation) readRound(ctx context.Context, of *round, wait time.Duration) error {
+func (o *batchView) readRound(ctx context.Context, of *round, wait time.Duration) error {
 	page, err := o.ask(ctx, of, wait)
 	if err != nil {
 		return err
@@ -121,7 +121,7 @@
 }
 
 // ask asks for the samples of a round from the first position on that is not seen.
-func (o *observation) ask(ctx context.Context, of *round, wait time.Duration) (results.Page, error) {
+func (o *batchView) ask(ctx context.Context, of *round, wait time.Duration) (results.Page, error) {
 	header := o.pull.Cursor.Header
 	page, err := o.service.reader.Samples(ctx, results.Query{
 		BatchID: rollout.JobID(header.Trainer, header.Name, of.number), After: of.next, Wait: wait,
@@ -134,7 +134,7 @@
 }
 
 // add takes a page in.
-func (o *observation) add(to *round, page results.Page) {
+func (o *batchView) add(to *round, page results.Page) {
 	for i := range page.Results {
 		result := &page.Results[i]
 		if sample, ours := rollout.SampleOf(result.ItemID); ours {
@@ -148,7 +148,7 @@
 
 // wait returns when the newest round has changed, after a while, or when a stop begins. The
 // next look finds out what could not be read.
-func (o *observation) wait(ctx context.Context, length time.Duration) {
+func (o *batchView) wait(ctx context.Context, length time.Duration) {
 	polling, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(o.pull.Stopping, cancel)()
@@ -168,7 +168,7 @@
 }
 
 // deliver returns the samples that are ready.
-func (o *observation) deliver() Delivery {
+func (o *batchView) deliver() Delivery {
 	indices := make([]int, len(o.plan.Ready))
 	for i := range o.plan.Ready {
 		ready := &o.plan.Ready[i]
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -59,7 +59,7 @@
 	end := time.Now().Add(pull.Wait)
 	trained := max(pull.Version, t.NewestVersion, 1)
 	accepts := func(oldest int64) bool { return t.Accepts(oldest, trained) }
-	seen := observation{service: s, pull: pull, accepts: accepts, prompts: map[int]prompt{}}
+	seen := batchView{service: s, pull: pull, accepts: accepts, prompts: map[int]prompt{}}
 	for {
 		err := seen.look(ctx)
 		if errors.Is(err, ErrUnavailable) && ctx.Err() == nil && pull.mayWait(end) {
@@ -85,7 +85,7 @@
 
 // makeAgain asks for a further round. That another daemon asked first, or that
 // the journal did not answer, is seen at the next look.
-func (s *Service) makeAgain(ctx context.Context, t Trainer, seen *observation, trained int64) error {
+func (s *Service) makeAgain(ctx context.Context, t Trainer, seen *batchView, trained int64) error {
 	samples := seen.plan.Again
 	if len(samples) == 0 {
 		return nil
