--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -19,10 +19,10 @@
 	pull    Pull
 	accepts func(oldest int64) bool
 	rounds  []*round
-	// last says that no round follows those seen, as of this look.
-	last    bool
-	prompts map[int]prompt
-	plan    rollout.Planned
+	// noMoreRounds says that no round follows those seen, as of this look.
+	noMoreRounds bool
+	prompts      map[int]prompt
+	plan         rollout.Planned
 }
 
 // prompt is what a sample repeats of its request.
@@ -44,13 +44,13 @@
 // look brings the observation up to date until samples are ready, or all that is listed is seen. A
 // further round is asked for only if samples of those before must be made again.
 func (o *batchView) look(ctx context.Context) error {
-	o.last = false
+	o.noMoreRounds = false
 	for {
 		o.plan = rollout.Plan(o.pull.Cursor, o.samples(), o.accepts, o.pull.Limit)
 		unread := o.unread()
 		var err error
 		switch {
-		case len(o.rounds) == 0 || len(o.plan.Again) > 0 && !o.last:
+		case len(o.rounds) == 0 || len(o.plan.Again) > 0 && !o.noMoreRounds:
 			err = o.nextRound(ctx)
 		case len(o.plan.Ready) == 0 && unread != nil:
 			err = o.readRound(ctx, unread, 0)
@@ -91,7 +91,7 @@
 	case err != nil:
 		return err
 	case !page.Found && next.number > 0:
-		o.last = true
+		o.noMoreRounds = true
 		return nil
 	case !page.Found:
 		return ErrUnknownBatch
