--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -34,7 +34,7 @@
 // round is what was seen of one round.
 type round struct {
 	number  int
-	samples rollout.Round
+	results rollout.Round
 	// next is the first position that is not seen, total how many there will be.
 	next, total int
 	// more says that results may be listed that are not seen, as of this look.
@@ -67,7 +67,7 @@
 func (o *batchView) samples() []rollout.Round {
 	samples := make([]rollout.Round, len(o.rounds))
 	for i, r := range o.rounds {
-		samples[i] = r.samples
+		samples[i] = r.results
 	}
 	return samples
 }
@@ -84,7 +84,7 @@
 
 // nextRound looks for the round after those seen.
 func (o *batchView) nextRound(ctx context.Context) error {
-	next := &round{number: len(o.rounds), samples: rollout.Round{}}
+	next := &round{number: len(o.rounds), results: rollout.Round{}}
 	page, err := o.ask(ctx, next, 0)
 	header := o.pull.Cursor.Header
 	switch {
@@ -100,7 +100,7 @@
 		return ErrUnknownBatch
 	}
 	for _, sample := range page.Round.Makes {
-		next.samples[sample] = nil
+		next.results[sample] = nil
 	}
 	o.rounds = append(o.rounds, next)
 	o.add(next, page)
@@ -138,7 +138,7 @@
 	for i := range page.Results {
 		result := &page.Results[i]
 		if sample, ours := rollout.SampleOf(result.ItemID); ours {
-			to.samples[sample] = &result.Result
+			to.results[sample] = &result.Result
 			o.prompts[sample] = prompt{result.Group, result.Seed}
 		}
 	}
