--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -37,8 +37,8 @@
 	results rollout.Round
 	// next is the first position that is not seen, total how many there will be.
 	next, total int
-	// more says that results may be listed that are not seen, as of this look.
-	more bool
+	// hasUnread says that results may be listed that are not seen, as of this look.
+	hasUnread bool
 }
 
 // look brings the observation up to date until samples are ready, or all that is listed is seen. A
@@ -75,7 +75,7 @@
 // unread returns a round that has results which are not seen, nil for none.
 func (o *batchView) unread() *round {
 	for _, r := range o.rounds {
-		if r.more {
+		if r.hasUnread {
 			return r
 		}
 	}
@@ -143,7 +143,7 @@
 		}
 	}
 	to.next, to.total = page.Next, page.Total
-	to.more = len(page.Results) > 0 && page.Next < page.Total
+	to.hasUnread = len(page.Results) > 0 && page.Next < page.Total
 }
 
 // wait returns when the newest round has changed, after a while, or when a stop begins. The
@@ -153,7 +153,7 @@
 	defer cancel()
 	defer context.AfterFunc(o.pull.Stopping, cancel)()
 	for _, r := range o.rounds {
-		r.more = r.next < r.total
+		r.hasUnread = r.next < r.total
 	}
 	newest := o.rounds[len(o.rounds)-1]
 	if newest.next >= newest.total {
