--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -41,9 +41,9 @@
 	hasUnread bool
 }
 
-// look brings the observation up to date until samples are ready, or all that is listed is seen. A
+// update brings the observation up to date until samples are ready, or all that is listed is seen. A
 // further round is asked for only if samples of those before must be made again.
-func (o *batchView) look(ctx context.Context) error {
+func (o *batchView) update(ctx context.Context) error {
 	o.noMoreRounds = false
 	for {
 		o.plan = rollout.Plan(o.pull.Cursor, o.samples(), o.accepts, o.pull.Limit)
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -61,7 +61,7 @@
 	accepts := func(oldest int64) bool { return t.Accepts(oldest, trained) }
 	seen := batchView{service: s, pull: pull, accepts: accepts, prompts: map[int]prompt{}}
 	for {
-		err := seen.look(ctx)
+		err := seen.update(ctx)
 		if errors.Is(err, ErrUnavailable) && ctx.Err() == nil && pull.mayWait(end) {
 			// Who waits anyway need not be sent away for a read that failed.
 			periodic.Pause(ctx, lookPause)
