--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -46,7 +46,7 @@
 func (o *batchView) update(ctx context.Context) error {
 	o.noMoreRounds = false
 	for {
-		o.plan = rollout.Plan(o.pull.Cursor, o.samples(), o.accepts, o.pull.Limit)
+		o.plan = rollout.Plan(o.pull.Cursor, o.roundResults(), o.accepts, o.pull.Limit)
 		unread := o.unread()
 		var err error
 		switch {
@@ -63,8 +63,8 @@
 	}
 }
 
-// samples returns the samples of the rounds seen.
-func (o *batchView) samples() []rollout.Round {
+// roundResults returns the roundResults of the rounds seen.
+func (o *batchView) roundResults() []rollout.Round {
 	samples := make([]rollout.Round, len(o.rounds))
 	for i, r := range o.rounds {
 		samples[i] = r.results
