--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -47,7 +47,7 @@
 	o.noMoreRounds = false
 	for {
 		o.plan = rollout.Plan(o.pull.Cursor, o.roundResults(), o.accepts, o.pull.Limit)
-		unread := o.unread()
+		unread := o.unreadRound()
 		var err error
 		switch {
 		case len(o.rounds) == 0 || len(o.plan.Again) > 0 && !o.noMoreRounds:
@@ -72,8 +72,8 @@
 	return samples
 }
 
-// unread returns a round that has results which are not seen, nil for none.
-func (o *batchView) unread() *round {
+// unreadRound returns a round that has results which are not seen, nil for none.
+func (o *batchView) unreadRound() *round {
 	for _, r := range o.rounds {
 		if r.hasUnread {
 			return r
