--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -51,7 +51,7 @@
 		var err error
 		switch {
 		case len(o.rounds) == 0 || len(o.plan.Again) > 0 && !o.noMoreRounds:
-			err = o.nextRound(ctx)
+			err = o.findNextRound(ctx)
 		case len(o.plan.Ready) == 0 && unread != nil:
 			err = o.readRound(ctx, unread, 0)
 		default:
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// nextRound looks for the round after those seen.
-func (o *batchView) nextRound(ctx context.Context) error {
+// findNextRound looks for the round after those seen.
+func (o *batchView) findNextRound(ctx context.Context) error {
 	next := &round{number: len(o.rounds), results: rollout.Round{}}
 	page, err := o.ask(ctx, next, 0)
 	header := o.pull.Cursor.Header
