--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -85,7 +85,7 @@
 // findNextRound looks for the round after those seen.
 func (o *batchView) findNextRound(ctx context.Context) error {
 	next := &round{number: len(o.rounds), results: rollout.Round{}}
-	page, err := o.ask(ctx, next, 0)
+	page, err := o.fetchPage(ctx, next, 0)
 	header := o.pull.Cursor.Header
 	switch {
 	case err != nil:
@@ -109,7 +109,7 @@
 
 // readRound asks for what follows of a round. The question may be kept open for wait.
 func (o *batchView) readRound(ctx context.Context, of *round, wait time.Duration) error {
-	page, err := o.ask(ctx, of, wait)
+	page, err := o.fetchPage(ctx, of, wait)
 	if err != nil {
 		return err
 	}
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// ask asks for the samples of a round from the first position on that is not seen.
-func (o *batchView) ask(ctx context.Context, of *round, wait time.Duration) (results.Page, error) {
+// fetchPage asks for the samples of a round from the first position on that is not seen.
+func (o *batchView) fetchPage(ctx context.Context, of *round, wait time.Duration) (results.Page, error) {
 	header := o.pull.Cursor.Header
 	page, err := o.service.reader.Samples(ctx, results.Query{
 		BatchID: rollout.JobID(header.Trainer, header.Name, of.number), After: of.next, Wait: wait,
