--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -103,7 +103,7 @@
 		next.results[sample] = nil
 	}
 	o.rounds = append(o.rounds, next)
-	o.add(next, page)
+	o.addPage(next, page)
 	return nil
 }
 
@@ -116,7 +116,7 @@
 	if !page.Found {
 		return errors.Wrap(ErrUnavailable, "a round that was seen is not known")
 	}
-	o.add(of, page)
+	o.addPage(of, page)
 	return nil
 }
 
@@ -133,8 +133,8 @@
 	return page, nil
 }
 
-// add takes a page in.
-func (o *batchView) add(to *round, page results.Page) {
+// addPage takes a page in.
+func (o *batchView) addPage(to *round, page results.Page) {
 	for i := range page.Results {
 		result := &page.Results[i]
 		if sample, ours := rollout.SampleOf(result.ItemID); ours {
