--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -146,9 +146,9 @@
 	to.hasUnread = len(page.Results) > 0 && page.Next < page.Total
 }
 
-// wait returns when the newest round has changed, after a while, or when a stop begins. The
+// waitForResults returns when the newest round has changed, after a while, or when a stop begins. The
 // next look finds out what could not be read.
-func (o *batchView) wait(ctx context.Context, length time.Duration) {
+func (o *batchView) waitForResults(ctx context.Context, length time.Duration) {
 	polling, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(o.pull.Stopping, cancel)()
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -76,7 +76,7 @@
 		if len(seen.plan.Ready) > 0 || seen.plan.Open == 0 || !pull.mayWait(end) {
 			return seen.deliver(), nil
 		}
-		seen.wait(ctx, min(time.Until(end), lookInterval))
+		seen.waitForResults(ctx, min(time.Until(end), lookInterval))
 		if ctx.Err() != nil {
 			return Delivery{}, errors.Wrap(ErrUnavailable, ctx.Err().Error())
 		}
