--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// deliver returns the samples that are ready.
-func (o *batchView) deliver() Delivery {
+// newDelivery returns the samples that are ready.
+func (o *batchView) newDelivery() Delivery {
 	indices := make([]int, len(o.plan.Ready))
 	for i := range o.plan.Ready {
 		ready := &o.plan.Ready[i]
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -74,7 +74,7 @@
 			return Delivery{}, err
 		}
 		if len(seen.plan.Ready) > 0 || seen.plan.Open == 0 || !pull.mayWait(end) {
-			return seen.deliver(), nil
+			return seen.newDelivery(), nil
 		}
 		seen.waitForResults(ctx, min(time.Until(end), lookInterval))
 		if ctx.Err() != nil {
