--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -17,8 +17,8 @@
 const (
 	// maxRounds bounds how often samples of a batch are made again.
 	maxRounds = 64
-	// againTimeout bounds one try to have samples made again.
-	againTimeout = questiontime.ReadTimeout
+	// regenerateTimeout bounds one try to have samples made again.
+	regenerateTimeout = questiontime.ReadTimeout
 	// lookInterval bounds the time between two looks for results.
 	lookInterval = 500 * time.Millisecond
 	// lookPause is the time between two looks where the journal could not be read.
@@ -104,7 +104,7 @@
 	}
 	job := rollout.Next(first, header, round, samples, t.oldestAccepted(trained))
 	job.AcceptedAtMs = time.Now().UnixMilli()
-	bounded, cancel := context.WithTimeout(ctx, againTimeout)
+	bounded, cancel := context.WithTimeout(ctx, regenerateTimeout)
 	defer cancel()
 	err = s.runner.Accept(bounded, job)
 	s.logger.Info("samples requested again", zap.String("batch", job.ID), zap.Int("samples", len(samples)),
