--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -227,7 +227,7 @@
 		is.Equal(time.Since(began), comes)
 		is.Equal(len(got.Samples), 1)
 		is.Equal(got.Open, 5)
-		is.True(p.count("Samples") > int(comes/lookInterval)) // a look after the submission, and all of those since
+		is.True(p.count("Samples") > int(comes/maxPollInterval)) // a look after the submission, and all of those since
 
 		stopping, stop := context.WithCancel(ctx)
 		began = time.Now()
@@ -319,7 +319,7 @@
 		time.AfterFunc(comes, func() { p.list(t, first, 3, 5, 0) })
 		got, err = desk.Deliver(ctx, trainer, Pull{Cursor: got.Cursor, Limit: 1, Wait: 10 * time.Second})
 		is.NoErr(err)
-		is.True(time.Since(began) <= comes+lookInterval)
+		is.True(time.Since(began) <= comes+maxPollInterval)
 		is.Equal(len(got.Samples), 1)
 		is.Equal(got.Samples[0].Index, 3)
 		is.Equal(len(p.jobs), 2)
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -19,8 +19,8 @@
 	maxRounds = 64
 	// regenerateTimeout bounds one try to have samples made again.
 	regenerateTimeout = questiontime.ReadTimeout
-	// lookInterval bounds the time between two looks for results.
-	lookInterval = 500 * time.Millisecond
+	// maxPollInterval bounds the time between two looks for results.
+	maxPollInterval = 500 * time.Millisecond
 	// lookPause is the time between two looks where the journal could not be read.
 	lookPause = 100 * time.Millisecond
 )
@@ -76,7 +76,7 @@
 		if len(seen.plan.Ready) > 0 || seen.plan.Open == 0 || !pull.mayWait(end) {
 			return seen.newDelivery(), nil
 		}
-		seen.waitForResults(ctx, min(time.Until(end), lookInterval))
+		seen.waitForResults(ctx, min(time.Until(end), maxPollInterval))
 		if ctx.Err() != nil {
 			return Delivery{}, errors.Wrap(ErrUnavailable, ctx.Err().Error())
 		}
