--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -157,7 +157,7 @@
 	}
 	newest := o.rounds[len(o.rounds)-1]
 	if newest.next >= newest.total {
-		periodic.Pause(polling, min(length, lookPause))
+		periodic.Pause(polling, min(length, pollRetryDelay))
 		return
 	}
 	if err := o.readRound(polling, newest, length); err != nil && polling.Err() == nil {
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -21,8 +21,8 @@
 	regenerateTimeout = questiontime.ReadTimeout
 	// maxPollInterval bounds the time between two looks for results.
 	maxPollInterval = 500 * time.Millisecond
-	// lookPause is the time between two looks where the journal could not be read.
-	lookPause = 100 * time.Millisecond
+	// pollRetryDelay is the time between two looks where the journal could not be read.
+	pollRetryDelay = 100 * time.Millisecond
 )
 
 // Pull asks for samples after a cursor.
@@ -64,7 +64,7 @@
 		err := seen.update(ctx)
 		if errors.Is(err, ErrUnavailable) && ctx.Err() == nil && pull.mayWait(end) {
 			// Who waits anyway need not be sent away for a read that failed.
-			periodic.Pause(ctx, lookPause)
+			periodic.Pause(ctx, pollRetryDelay)
 			continue
 		}
 		if err != nil {
