--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -70,7 +70,7 @@
 		if err != nil {
 			return Delivery{}, err
 		}
-		if err := s.makeAgain(ctx, t, &seen, trained); err != nil {
+		if err := s.startNextRound(ctx, t, &seen, trained); err != nil {
 			return Delivery{}, err
 		}
 		if len(seen.plan.Ready) > 0 || seen.plan.Open == 0 || !pull.mayWait(end) {
@@ -83,9 +83,9 @@
 	}
 }
 
-// makeAgain asks for a further round. That another daemon asked first, or that
+// startNextRound asks for a further round. That another daemon asked first, or that
 // the journal did not answer, is seen at the next look.
-func (s *Service) makeAgain(ctx context.Context, t Trainer, seen *batchView, trained int64) error {
+func (s *Service) startNextRound(ctx context.Context, t Trainer, seen *batchView, trained int64) error {
 	samples := seen.plan.Again
 	if len(samples) == 0 {
 		return nil
