--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -94,7 +94,7 @@
 	if round > maxRounds {
 		return ErrTooManyRounds
 	}
-	first, err := s.itemsOf(ctx, header, samples)
+	first, err := s.firstRoundItems(ctx, header, samples)
 	if errors.Is(err, ErrUnavailable) {
 		s.logger.Info("samples not requested again", zap.String("batch", rollout.JobID(header.Trainer, header.Name, round)), zap.Error(err))
 		return nil
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// itemsOf returns the job of a batch's first round with the items of some samples.
-func (s *Service) itemsOf(ctx context.Context, header rollout.Header, samples []int) (*batch.Submission, error) {
+// firstRoundItems returns the job of a batch's first round with the items of some samples.
+func (s *Service) firstRoundItems(ctx context.Context, header rollout.Header, samples []int) (*batch.Submission, error) {
 	first := &batch.Submission{Items: make([]batch.Item, header.Samples)}
 	for len(samples) > 0 {
 		items, err := s.reader.Items(ctx, results.ItemsQuery{BatchID: rollout.JobID(header.Trainer, header.Name, 0), Places: samples})
