--- a/internal/api/delivery/delivery_test.go
+++ b/internal/api/delivery/delivery_test.go
@@ -17,17 +17,17 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// endsWith is a runner whose ends fail in a way.
-type endsWith struct {
+// endErrorRunner is a runner whose ends fail in a way.
+type endErrorRunner struct {
 	jobs *ledger.Ledger
 	err  error
 }
 
-func (e endsWith) Accept(ctx context.Context, job *batch.Submission) error {
+func (e endErrorRunner) Accept(ctx context.Context, job *batch.Submission) error {
 	return e.jobs.PartitionOf(job.ID).Append(ctx, batch.Accepted(job, "owner"))
 }
 
-func (e endsWith) End(context.Context, string, string) error { return e.err }
+func (e endErrorRunner) End(context.Context, string, string) error { return e.err }
 
 // The end of a batch whose record may be in the journal was told as not executed, which
 // promises that the batch goes on.
@@ -36,7 +36,7 @@
 	jobs := ledger.New(t.Context(), journaltest.New(), zap.NewNop())
 	request := rollout.Request{Trainer: "t", Name: "n", SamplesPerPrompt: 1, MaxTokens: 10, Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}}
 	ended := func(err error) error {
-		desk := New(results.NewReader(jobs, nil, nil, journal.RateLimits{}, "self/1", zap.NewNop()), endsWith{jobs, err}, rollout.ItemHeaders{}, zap.NewNop())
+		desk := New(results.NewReader(jobs, nil, nil, journal.RateLimits{}, "self/1", zap.NewNop()), endErrorRunner{jobs, err}, rollout.ItemHeaders{}, zap.NewNop())
 		_, submitted := desk.Submit(t.Context(), Trainer{Name: "t"}, request)
 		is.NoErr(submitted)
 		return desk.End(t.Context(), "t", "n")
--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -112,7 +112,7 @@
 	for i, run := range r.Incarnations {
 		reader := results.NewReader(r.Ledgers[i], r, r, r.log.RateLimits(), run, zap.NewNop())
 		r.services, r.links = append(r.services, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
-		r.desks = append(r.desks, New(reader, endsWith{r.Ledgers[i], nil}, rollout.ItemHeaders{}, zap.NewNop()))
+		r.desks = append(r.desks, New(reader, endErrorRunner{r.Ledgers[i], nil}, rollout.ItemHeaders{}, zap.NewNop()))
 	}
 	r.AssignPartitions()
 	return r
