--- a/internal/api/delivery/delivery_test.go
+++ b/internal/api/delivery/delivery_test.go
@@ -31,7 +31,7 @@
 
 // The end of a batch whose record may be in the journal was told as not executed, which
 // promises that the batch goes on.
-func TestAnEndOfUnknownOutcomeIsNotToldAsNotDone(t *testing.T) {
+func TestUnknownOutcomeOfEndIsNotReportedAsNotDone(t *testing.T) {
 	is := is.New(t)
 	jobs := ledger.New(t.Context(), journaltest.New(), zap.NewNop())
 	request := rollout.Request{Trainer: "t", Name: "n", SamplesPerPrompt: 1, MaxTokens: 10, Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}}
