--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -29,9 +29,9 @@
 
 func init() { testseed.Fix() }
 
-// peered are desks whose questions go to the one daemon that watches all partitions: what
+// testCluster are desks whose questions go to the one daemon that watches all partitions: what
 // they may read is nothing to speak of. It implements results.Watchers, results.Peers and Runner.
-type peered struct {
+type testCluster struct {
 	log     *journaltest.Journal
 	watcher string
 	folds   *ledger.Ledger
@@ -45,8 +45,8 @@
 	asked map[string]int
 }
 
-func newPeered(ctx context.Context, count int) *peered {
-	p := &peered{log: journaltest.New(), watcher: identity.New("holder", time.Now()), asked: map[string]int{}}
+func newPeered(ctx context.Context, count int) *testCluster {
+	p := &testCluster{log: journaltest.New(), watcher: identity.New("holder", time.Now()), asked: map[string]int{}}
 	scarce := journal.RateLimits{ReadBytesPerSecond: 1}
 	p.folds = ledger.New(ctx, p.log, zap.NewNop())
 	p.wire = serve(ctx, results.NewReader(p.folds, p, nil, scarce, p.watcher, zap.NewNop()).Service(ctx))
@@ -58,20 +58,22 @@
 }
 
 // count is how many questions of a method were asked.
-func (p *peered) count(method string) int {
+func (p *testCluster) count(method string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.asked[results.ServiceName+"."+method]
 }
 
 // WatcherOf implements results.Watchers.
-func (p *peered) WatcherOf(context.Context, journal.Partition) (string, bool) { return p.watcher, true }
+func (p *testCluster) WatcherOf(context.Context, journal.Partition) (string, bool) {
+	return p.watcher, true
+}
 
 // Daemons implements results.Peers.
-func (p *peered) Daemons() int { return len(p.desks) + 1 }
+func (p *testCluster) Daemons() int { return len(p.desks) + 1 }
 
 // Ask implements results.Peers, by a call as daemons make it.
-func (p *peered) Ask(ctx context.Context, _, method string, args, answer any) error {
+func (p *testCluster) Ask(ctx context.Context, _, method string, args, answer any) error {
 	p.mu.Lock()
 	p.asked[method]++
 	p.mu.Unlock()
@@ -100,7 +102,7 @@
 }
 
 // Accept implements Runner.
-func (p *peered) Accept(ctx context.Context, job *batch.Submission) error {
+func (p *testCluster) Accept(ctx context.Context, job *batch.Submission) error {
 	for _, known := range p.jobs {
 		if known.ID == job.ID {
 			return nil
@@ -111,12 +113,12 @@
 }
 
 // End implements Runner.
-func (p *peered) End(ctx context.Context, jobID, _ string) error {
+func (p *testCluster) End(ctx context.Context, jobID, _ string) error {
 	return p.folds.PartitionOf(jobID).Append(ctx, batch.Ended(jobID, ""))
 }
 
 // list gives an item its result, of one version and with a text of a size.
-func (p *peered) list(t interface{ Fatal(...any) }, job *batch.Submission, item int, version int64, size int) {
+func (p *testCluster) list(t interface{ Fatal(...any) }, job *batch.Submission, item int, version int64, size int) {
 	text := fmt.Appendf(nil, `{"version":%d,"tokens":[%d],"end":"stop"}%s`, version, item, strings.Repeat(" ", size))
 	record := batch.ResultsAdded(job.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: text, Versions: []int64{version}}})
 	if err := p.folds.PartitionOf(job.ID).Append(context.Background(), record); err != nil {
