--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -36,8 +36,8 @@
 	watcher string
 	folds   *ledger.Ledger
 	// wire leads to the watcher.
-	wire  *rpc.Client
-	desks []*Service
+	wire     *rpc.Client
+	services []*Service
 	// jobs were accepted, in order.
 	jobs []*batch.Submission
 
@@ -52,7 +52,7 @@
 	p.wire = serve(ctx, results.NewReader(p.folds, p, nil, scarce, p.watcher, zap.NewNop()).Service(ctx))
 	for i := range count {
 		reader := results.NewReader(ledger.New(ctx, p.log, zap.NewNop()), p, p, scarce, identity.New(fmt.Sprint("m", i), time.Now()), zap.NewNop())
-		p.desks = append(p.desks, New(reader, p, rollout.ItemHeaders{TokenUsage: "usage"}, zap.NewNop()))
+		p.services = append(p.services, New(reader, p, rollout.ItemHeaders{TokenUsage: "usage"}, zap.NewNop()))
 	}
 	return p
 }
@@ -70,7 +70,7 @@
 }
 
 // Daemons implements results.Peers.
-func (p *testCluster) Daemons() int { return len(p.desks) + 1 }
+func (p *testCluster) Daemons() int { return len(p.services) + 1 }
 
 // Ask implements results.Peers, by a call as daemons make it.
 func (p *testCluster) Ask(ctx context.Context, _, method string, args, answer any) error {
@@ -146,13 +146,13 @@
 		const bound = 1
 		version := int64(3)
 		wanted := twoPrompts("n", 3)
-		header, err := p.desks[0].Submit(ctx, trains(version, bound), wanted)
+		header, err := p.services[0].Submit(ctx, trains(version, bound), wanted)
 		if err != nil {
 			t.Fatal(err)
 		}
 		cursor, taken := rollout.NewCursor(header), map[int]bool{}
 		pull := func(limit int) int {
-			desk := p.desks[rapid.IntRange(0, len(p.desks)-1).Draw(t, "desk")]
+			desk := p.services[rapid.IntRange(0, len(p.services)-1).Draw(t, "desk")]
 			got, err := desk.Deliver(ctx, trains(version, bound), Pull{Cursor: cursor, Limit: limit})
 			if err != nil || len(got.Samples) > limit {
 				t.Fatalf("%d samples of %d, %v", len(got.Samples), limit, err)
@@ -218,8 +218,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		p := newPeered(ctx, 2)
-		desk := p.desks[1]
-		header, err := p.desks[0].Submit(ctx, trains(3, 1), twoPrompts("n", 3))
+		desk := p.services[1]
+		header, err := p.services[0].Submit(ctx, trains(3, 1), twoPrompts("n", 3))
 		is.NoErr(err)
 		began := time.Now()
 		const comes = 3300 * time.Millisecond
@@ -295,14 +295,14 @@
 		for i := range wanted.Prompts {
 			wanted.Prompts[i].Text = strings.Repeat("x", 300<<10)
 		}
-		header, err := p.desks[0].Submit(ctx, trains(3, 1), wanted)
+		header, err := p.services[0].Submit(ctx, trains(3, 1), wanted)
 		is.NoErr(err)
 		first := p.jobs[0]
 		for _, item := range []int{0, 2, 5} {
 			p.list(t, first, item, 3, 0)
 		}
 		p.list(t, first, 1, 5, 0)
-		desk, trainer := p.desks[1], trains(5, 1)
+		desk, trainer := p.services[1], trains(5, 1)
 		got, err := desk.Deliver(ctx, trainer, Pull{Cursor: rollout.NewCursor(header), Limit: 1})
 		is.NoErr(err)
 		is.Equal(len(got.Samples), 1)
