--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -35,9 +35,9 @@
 	log     *journaltest.Journal
 	watcher string
 	folds   *ledger.Ledger
-	// wire leads to the watcher.
-	wire     *rpc.Client
-	services []*Service
+	// watcherClient leads to the watcher.
+	watcherClient *rpc.Client
+	services      []*Service
 	// jobs were accepted, in order.
 	jobs []*batch.Submission
 
@@ -49,7 +49,7 @@
 	p := &testCluster{log: journaltest.New(), watcher: identity.New("holder", time.Now()), asked: map[string]int{}}
 	scarce := journal.RateLimits{ReadBytesPerSecond: 1}
 	p.folds = ledger.New(ctx, p.log, zap.NewNop())
-	p.wire = serve(ctx, results.NewReader(p.folds, p, nil, scarce, p.watcher, zap.NewNop()).Service(ctx))
+	p.watcherClient = serve(ctx, results.NewReader(p.folds, p, nil, scarce, p.watcher, zap.NewNop()).Service(ctx))
 	for i := range count {
 		reader := results.NewReader(ledger.New(ctx, p.log, zap.NewNop()), p, p, scarce, identity.New(fmt.Sprint("m", i), time.Now()), zap.NewNop())
 		p.services = append(p.services, New(reader, p, rollout.ItemHeaders{TokenUsage: "usage"}, zap.NewNop()))
@@ -78,7 +78,7 @@
 	p.asked[method]++
 	p.mu.Unlock()
 	reply := reflect.New(reflect.TypeOf(answer).Elem())
-	call := p.wire.Go(method, args, reply.Interface(), make(chan *rpc.Call, 1))
+	call := p.watcherClient.Go(method, args, reply.Interface(), make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
 		reflect.ValueOf(answer).Elem().Set(reply.Elem())
