--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -49,7 +49,7 @@
 	p := &testCluster{log: journaltest.New(), watcher: identity.New("holder", time.Now()), asked: map[string]int{}}
 	scarce := journal.RateLimits{ReadBytesPerSecond: 1}
 	p.folds = ledger.New(ctx, p.log, zap.NewNop())
-	p.watcherClient = serve(ctx, results.NewReader(p.folds, p, nil, scarce, p.watcher, zap.NewNop()).Service(ctx))
+	p.watcherClient = serveWatcher(ctx, results.NewReader(p.folds, p, nil, scarce, p.watcher, zap.NewNop()).Service(ctx))
 	for i := range count {
 		reader := results.NewReader(ledger.New(ctx, p.log, zap.NewNop()), p, p, scarce, identity.New(fmt.Sprint("m", i), time.Now()), zap.NewNop())
 		p.services = append(p.services, New(reader, p, rollout.ItemHeaders{TokenUsage: "usage"}, zap.NewNop()))
@@ -88,8 +88,8 @@
 	}
 }
 
-// serve has the watcher answer over a connection, and returns the other end of it.
-func serve(ctx context.Context, watcher *results.Service) *rpc.Client {
+// serveWatcher has the watcher answer over a connection, and returns the other end of it.
+func serveWatcher(ctx context.Context, watcher *results.Service) *rpc.Client {
 	server := rpc.NewServer()
 	if err := server.RegisterName(results.ServiceName, watcher); err != nil {
 		panic(err)
