--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -41,12 +41,12 @@
 	// jobs were accepted, in order.
 	jobs []*batch.Submission
 
-	mu    sync.Mutex
-	asked map[string]int
+	mu        sync.Mutex
+	questions map[string]int
 }
 
 func newPeered(ctx context.Context, count int) *testCluster {
-	p := &testCluster{log: journaltest.New(), watcher: identity.New("holder", time.Now()), asked: map[string]int{}}
+	p := &testCluster{log: journaltest.New(), watcher: identity.New("holder", time.Now()), questions: map[string]int{}}
 	scarce := journal.RateLimits{ReadBytesPerSecond: 1}
 	p.folds = ledger.New(ctx, p.log, zap.NewNop())
 	p.watcherClient = serveWatcher(ctx, results.NewReader(p.folds, p, nil, scarce, p.watcher, zap.NewNop()).Service(ctx))
@@ -61,7 +61,7 @@
 func (p *testCluster) count(method string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.asked[results.ServiceName+"."+method]
+	return p.questions[results.ServiceName+"."+method]
 }
 
 // WatcherOf implements results.Watchers.
@@ -75,7 +75,7 @@
 // Ask implements results.Peers, by a call as daemons make it.
 func (p *testCluster) Ask(ctx context.Context, _, method string, args, answer any) error {
 	p.mu.Lock()
-	p.asked[method]++
+	p.questions[method]++
 	p.mu.Unlock()
 	reply := reflect.New(reflect.TypeOf(answer).Elem())
 	call := p.watcherClient.Go(method, args, reply.Interface(), make(chan *rpc.Call, 1))
