--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// trains is a trainer that accepts samples of so many versions before the one that it trains.
-func trains(newest, bound int64) Trainer {
+// trainerAt is a trainer that accepts samples of so many versions before the one that it trainerAt.
+func trainerAt(newest, bound int64) Trainer {
 	return Trainer{Name: "t", NewestVersion: newest, Accepts: func(oldest, trained int64) bool { return trained-oldest <= bound }}
 }
 
@@ -146,14 +146,14 @@
 		const bound = 1
 		version := int64(3)
 		wanted := twoPrompts("n", 3)
-		header, err := p.services[0].Submit(ctx, trains(version, bound), wanted)
+		header, err := p.services[0].Submit(ctx, trainerAt(version, bound), wanted)
 		if err != nil {
 			t.Fatal(err)
 		}
 		cursor, taken := rollout.NewCursor(header), map[int]bool{}
 		pull := func(limit int) int {
 			desk := p.services[rapid.IntRange(0, len(p.services)-1).Draw(t, "desk")]
-			got, err := desk.Deliver(ctx, trains(version, bound), Pull{Cursor: cursor, Limit: limit})
+			got, err := desk.Deliver(ctx, trainerAt(version, bound), Pull{Cursor: cursor, Limit: limit})
 			if err != nil || len(got.Samples) > limit {
 				t.Fatalf("%d samples of %d, %v", len(got.Samples), limit, err)
 			}
@@ -219,12 +219,12 @@
 		defer cancel()
 		p := newPeered(ctx, 2)
 		desk := p.services[1]
-		header, err := p.services[0].Submit(ctx, trains(3, 1), twoPrompts("n", 3))
+		header, err := p.services[0].Submit(ctx, trainerAt(3, 1), twoPrompts("n", 3))
 		is.NoErr(err)
 		began := time.Now()
 		const comes = 3300 * time.Millisecond
 		time.AfterFunc(comes, func() { p.list(t, p.jobs[0], 4, 3, 0) })
-		got, err := desk.Deliver(ctx, trains(3, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4, Wait: 10 * time.Second})
+		got, err := desk.Deliver(ctx, trainerAt(3, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4, Wait: 10 * time.Second})
 		is.NoErr(err)
 		is.Equal(time.Since(began), comes)
 		is.Equal(len(got.Samples), 1)
@@ -234,7 +234,7 @@
 		stopping, stop := context.WithCancel(ctx)
 		began = time.Now()
 		time.AfterFunc(comes, stop)
-		got, err = desk.Deliver(ctx, trains(3, 1), Pull{Cursor: got.Cursor, Limit: 4, Wait: 10 * time.Second, Stopping: stopping})
+		got, err = desk.Deliver(ctx, trainerAt(3, 1), Pull{Cursor: got.Cursor, Limit: 4, Wait: 10 * time.Second, Stopping: stopping})
 		is.NoErr(err)
 		is.Equal(time.Since(began), comes)
 		is.Equal(got.Open, 5)
@@ -242,17 +242,17 @@
 		other := header
 		other.Digest++
 		for _, unknown := range []rollout.Header{other, {Trainer: "t", Name: "none", Digest: 1, Samples: 1}} {
-			_, err = desk.Deliver(ctx, trains(3, 1), Pull{Cursor: rollout.NewCursor(unknown), Limit: 4})
+			_, err = desk.Deliver(ctx, trainerAt(3, 1), Pull{Cursor: rollout.NewCursor(unknown), Limit: 4})
 			is.True(errors.Is(err, ErrUnknownBatch))
 		}
 		_, err = desk.Find(ctx, "t", "none")
 		is.True(errors.Is(err, ErrUnknownBatch))
-		_, err = desk.Submit(ctx, trains(3, 1), twoPrompts("n", 2))
+		_, err = desk.Submit(ctx, trainerAt(3, 1), twoPrompts("n", 2))
 		is.True(errors.Is(err, ErrConflict))
 
 		p.list(t, p.jobs[0], 5, 3, 0)
 		is.NoErr(desk.End(ctx, "t", "n"))
-		_, err = desk.Deliver(ctx, trains(9, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4})
+		_, err = desk.Deliver(ctx, trainerAt(9, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4})
 		is.True(errors.Is(err, ErrUnknownBatch)) // both are too old, and cannot be made again
 	})
 }
@@ -269,15 +269,15 @@
 	p.log.Trim(further.Name(), 1)
 	reader := results.NewReader(ledger.New(ctx, p.log, zap.NewNop()), p, nil, journal.RateLimits{}, "late/1", zap.NewNop())
 	late := New(reader, p, rollout.ItemHeaders{}, zap.NewNop())
-	header, err := late.Submit(ctx, trains(3, 1), twoPrompts("n", 3))
+	header, err := late.Submit(ctx, trainerAt(3, 1), twoPrompts("n", 3))
 	is.NoErr(err)
 	p.list(t, p.jobs[0], 2, 3, 0)
-	got, err := late.Deliver(ctx, trains(5, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4})
+	got, err := late.Deliver(ctx, trainerAt(5, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4})
 	is.NoErr(err)
 	is.Equal(got.Open, 6)
 	is.Equal(len(p.jobs), 2)
 	p.list(t, p.jobs[1], 0, 4, 0)
-	got, err = late.Deliver(ctx, trains(5, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4})
+	got, err = late.Deliver(ctx, trainerAt(5, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4})
 	is.NoErr(err)
 	is.Equal(len(got.Samples), 1)
 	is.Equal(got.Samples[0].Index, 2)
@@ -295,14 +295,14 @@
 		for i := range wanted.Prompts {
 			wanted.Prompts[i].Text = strings.Repeat("x", 300<<10)
 		}
-		header, err := p.services[0].Submit(ctx, trains(3, 1), wanted)
+		header, err := p.services[0].Submit(ctx, trainerAt(3, 1), wanted)
 		is.NoErr(err)
 		first := p.jobs[0]
 		for _, item := range []int{0, 2, 5} {
 			p.list(t, first, item, 3, 0)
 		}
 		p.list(t, first, 1, 5, 0)
-		desk, trainer := p.services[1], trains(5, 1)
+		desk, trainer := p.services[1], trainerAt(5, 1)
 		got, err := desk.Deliver(ctx, trainer, Pull{Cursor: rollout.NewCursor(header), Limit: 1})
 		is.NoErr(err)
 		is.Equal(len(got.Samples), 1)
