--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -117,8 +117,8 @@
 	return p.folds.PartitionOf(jobID).Append(ctx, batch.Ended(jobID, ""))
 }
 
-// list gives an item its result, of one version and with a text of a size.
-func (p *testCluster) list(t interface{ Fatal(...any) }, job *batch.Submission, item int, version int64, size int) {
+// addResult gives an item its result, of one version and with a text of a size.
+func (p *testCluster) addResult(t interface{ Fatal(...any) }, job *batch.Submission, item int, version int64, size int) {
 	text := fmt.Appendf(nil, `{"version":%d,"tokens":[%d],"end":"stop"}%s`, version, item, strings.Repeat(" ", size))
 	record := batch.ResultsAdded(job.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: text, Versions: []int64{version}}})
 	if err := p.folds.PartitionOf(job.ID).Append(context.Background(), record); err != nil {
@@ -174,7 +174,7 @@
 			if id := job.Items[item].ID; !listed[id] {
 				listed[id] = true
 				size := rapid.SampledFrom([]int{0, 150 << 10}).Draw(t, "size")
-				p.list(t, job, item, rapid.Int64Range(job.MinVersion, max(version, job.MinVersion)).Draw(t, "made by"), size)
+				p.addResult(t, job, item, rapid.Int64Range(job.MinVersion, max(version, job.MinVersion)).Draw(t, "made by"), size)
 			}
 		}
 		for range rapid.IntRange(5, 25).Draw(t, "steps") {
@@ -223,7 +223,7 @@
 		is.NoErr(err)
 		began := time.Now()
 		const comes = 3300 * time.Millisecond
-		time.AfterFunc(comes, func() { p.list(t, p.jobs[0], 4, 3, 0) })
+		time.AfterFunc(comes, func() { p.addResult(t, p.jobs[0], 4, 3, 0) })
 		got, err := desk.Deliver(ctx, trainerAt(3, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4, Wait: 10 * time.Second})
 		is.NoErr(err)
 		is.Equal(time.Since(began), comes)
@@ -250,7 +250,7 @@
 		_, err = desk.Submit(ctx, trainerAt(3, 1), twoPrompts("n", 2))
 		is.True(errors.Is(err, ErrConflict))
 
-		p.list(t, p.jobs[0], 5, 3, 0)
+		p.addResult(t, p.jobs[0], 5, 3, 0)
 		is.NoErr(desk.End(ctx, "t", "n"))
 		_, err = desk.Deliver(ctx, trainerAt(9, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4})
 		is.True(errors.Is(err, ErrUnknownBatch)) // both are too old, and cannot be made again
@@ -271,12 +271,12 @@
 	late := New(reader, p, rollout.ItemHeaders{}, zap.NewNop())
 	header, err := late.Submit(ctx, trainerAt(3, 1), twoPrompts("n", 3))
 	is.NoErr(err)
-	p.list(t, p.jobs[0], 2, 3, 0)
+	p.addResult(t, p.jobs[0], 2, 3, 0)
 	got, err := late.Deliver(ctx, trainerAt(5, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4})
 	is.NoErr(err)
 	is.Equal(got.Open, 6)
 	is.Equal(len(p.jobs), 2)
-	p.list(t, p.jobs[1], 0, 4, 0)
+	p.addResult(t, p.jobs[1], 0, 4, 0)
 	got, err = late.Deliver(ctx, trainerAt(5, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4})
 	is.NoErr(err)
 	is.Equal(len(got.Samples), 1)
@@ -299,9 +299,9 @@
 		is.NoErr(err)
 		first := p.jobs[0]
 		for _, item := range []int{0, 2, 5} {
-			p.list(t, first, item, 3, 0)
+			p.addResult(t, first, item, 3, 0)
 		}
-		p.list(t, first, 1, 5, 0)
+		p.addResult(t, first, 1, 5, 0)
 		desk, trainer := p.services[1], trainerAt(5, 1)
 		got, err := desk.Deliver(ctx, trainer, Pull{Cursor: rollout.NewCursor(header), Limit: 1})
 		is.NoErr(err)
@@ -318,7 +318,7 @@
 
 		began := time.Now()
 		const comes = 3300 * time.Millisecond
-		time.AfterFunc(comes, func() { p.list(t, first, 3, 5, 0) })
+		time.AfterFunc(comes, func() { p.addResult(t, first, 3, 5, 0) })
 		got, err = desk.Deliver(ctx, trainer, Pull{Cursor: got.Cursor, Limit: 1, Wait: 10 * time.Second})
 		is.NoErr(err)
 		is.True(time.Since(began) <= comes+maxPollInterval)
