--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -212,7 +212,7 @@
 // A pull is held at the daemon that watches the partition, and has the sample as it comes; a
 // batch that does not exist, was ended, or is of another content is not known, wherever that is
 // asked.
-func TestAHeldPullIsAnsweredThroughTheWatcher(t *testing.T) {
+func TestLongPollIsAnsweredThroughTheWatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
