--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -260,7 +260,7 @@
 // A daemon that started after records were removed from a partition can't deny a batch of that
 // partition that it does not know. A further round is younger than its first one: where that is
 // known, samples are made again all the same.
-func TestSamplesAreMadeAgainWhereOlderRecordsAreGone(t *testing.T) {
+func TestSamplesAreRegeneratedAfterTheJournalWasTrimmed(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
 	p := newPeered(ctx, 0)
