--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -285,7 +285,7 @@
 
 // Samples that are too old don't hide those listed after them, are made again once, from items
 // however long, and don't keep a held pull from those that are still to come of their round.
-func TestSamplesTooOldDoNotHideOthers(t *testing.T) {
+func TestOutdatedSamplesDoNotHideOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
