--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -31,13 +31,13 @@
 // The fleet of the test below, as it is after a start of all daemons: that of the test of
 // questions in package results, and pulls of a few samples each, as they become ready.
 const (
-	restartDaemons = 91
-	restartBatches = 36
-	restartSamples = 32
-	restartBytes   = 2 << 20
-	restartPull    = 4
-	restartJournal = 80e6
-	restartLink    = 45e6 / 8
+	restartDaemons    = 91
+	restartBatches    = 36
+	restartSamples    = 32
+	restartBatchBytes = 2 << 20
+	restartPull       = 4
+	restartJournal    = 80e6
+	restartLink       = 45e6 / 8
 	// stepTime is how long a trainer waits for the samples of a step.
 	stepTime = 7500 * time.Millisecond
 	// comeBack is when a refused caller is told to come back.
@@ -93,7 +93,7 @@
 	r.log.Partitions, r.log.RecordBytes = 16, 256<<10
 	r.log.Rates = journal.RateLimits{ReadBytesPerSecond: restartJournal}
 	jobs := ledger.New(ctx, r.log, zap.NewNop())
-	text := frames(restartBytes / restartSamples)
+	text := frames(restartBatchBytes / restartSamples)
 	for i := range restartBatches {
 		request := rollout.Request{Trainer: "t", Name: fmt.Sprint("n", i), SamplesPerPrompt: restartSamples, MaxTokens: 10, Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}}
 		header := rollout.HeaderOf(request)
@@ -173,7 +173,7 @@
 		}
 		trainers.Wait()
 		t.Logf("%d of %d batches later than %v, the last after %v, %d pulls refused, %d MB read of %d",
-			late, restartBatches, stepTime, time.Since(began), refused, r.log.Usage().ReadBytes>>20, restartBatches*restartBytes>>20)
+			late, restartBatches, stepTime, time.Since(began), refused, r.log.Usage().ReadBytes>>20, restartBatches*restartBatchBytes>>20)
 		is.Equal(late, 0)
 	})
 }
