--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -35,7 +35,7 @@
 	restartBatches    = 36
 	restartSamples    = 32
 	restartBatchBytes = 2 << 20
-	restartPull       = 4
+	restartPullLimit  = 4
 	restartJournal    = 80e6
 	restartLink       = 45e6 / 8
 	// stepTime is how long a trainer waits for the samples of a step.
@@ -124,7 +124,7 @@
 	trainer := Trainer{Name: "t", NewestVersion: 1, Accepts: func(int64, int64) bool { return true }}
 	cursor := rollout.NewCursor(header)
 	for countOf(cursor) < header.Samples && ctx.Err() == nil {
-		delivered, err := r.desks[random.IntN(len(r.desks))].Deliver(ctx, trainer, Pull{Cursor: cursor, Limit: restartPull})
+		delivered, err := r.desks[random.IntN(len(r.desks))].Deliver(ctx, trainer, Pull{Cursor: cursor, Limit: restartPullLimit})
 		if errors.Is(err, ErrUnavailable) {
 			refused++
 			time.Sleep(comeBack)
