--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -31,13 +31,13 @@
 // The fleet of the test below, as it is after a start of all daemons: that of the test of
 // questions in package results, and pulls of a few samples each, as they become ready.
 const (
-	restartDaemons    = 91
-	restartBatches    = 36
-	restartSamples    = 32
-	restartBatchBytes = 2 << 20
-	restartPullLimit  = 4
-	restartJournal    = 80e6
-	restartLink       = 45e6 / 8
+	restartDaemons     = 91
+	restartBatches     = 36
+	restartSamples     = 32
+	restartBatchBytes  = 2 << 20
+	restartPullLimit   = 4
+	restartJournalRate = 80e6
+	restartLink        = 45e6 / 8
 	// stepTime is how long a trainer waits for the samples of a step.
 	stepTime = 7500 * time.Millisecond
 	// comeBack is when a refused caller is told to come back.
@@ -91,7 +91,7 @@
 func newRestarted(ctx context.Context, t *testing.T) *restarted {
 	r := &restarted{log: journaltest.New()}
 	r.log.Partitions, r.log.RecordBytes = 16, 256<<10
-	r.log.Rates = journal.RateLimits{ReadBytesPerSecond: restartJournal}
+	r.log.Rates = journal.RateLimits{ReadBytesPerSecond: restartJournalRate}
 	jobs := ledger.New(ctx, r.log, zap.NewNop())
 	text := frames(restartBatchBytes / restartSamples)
 	for i := range restartBatches {
@@ -107,7 +107,7 @@
 			t.Fatal(err)
 		}
 	}
-	r.log.LimitBandwidth(restartJournal)
+	r.log.LimitBandwidth(restartJournalRate)
 	r.Fleet = ledgertest.Start(ctx, r.log, restartDaemons, restartLink)
 	for i, run := range r.Incarnations {
 		reader := results.NewReader(r.Ledgers[i], r, r, r.log.RateLimits(), run, zap.NewNop())
