--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -37,7 +37,7 @@
 	restartBatchBytes  = 2 << 20
 	restartPullLimit   = 4
 	restartJournalRate = 80e6
-	restartLink        = 45e6 / 8
+	restartLinkRate    = 45e6 / 8
 	// stepTime is how long a trainer waits for the samples of a step.
 	stepTime = 7500 * time.Millisecond
 	// comeBack is when a refused caller is told to come back.
@@ -84,7 +84,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	periodic.Pause(ctx, time.Duration(float64(bytes)/restartLink*float64(time.Second)))
+	periodic.Pause(ctx, time.Duration(float64(bytes)/restartLinkRate*float64(time.Second)))
 	return ctx.Err()
 }
 
@@ -108,7 +108,7 @@
 		}
 	}
 	r.log.LimitBandwidth(restartJournalRate)
-	r.Fleet = ledgertest.Start(ctx, r.log, restartDaemons, restartLink)
+	r.Fleet = ledgertest.Start(ctx, r.log, restartDaemons, restartLinkRate)
 	for i, run := range r.Incarnations {
 		reader := results.NewReader(r.Ledgers[i], r, r, r.log.RateLimits(), run, zap.NewNop())
 		r.services, r.links = append(r.services, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
