--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -38,8 +38,8 @@
 	restartPullLimit   = 4
 	restartJournalRate = 80e6
 	restartLinkRate    = 45e6 / 8
-	// stepTime is how long a trainer waits for the samples of a step.
-	stepTime = 7500 * time.Millisecond
+	// maxStepWait is how long a trainer waits for the samples of a step.
+	maxStepWait = 7500 * time.Millisecond
 	// comeBack is when a refused caller is told to come back.
 	comeBack = time.Second
 )
@@ -154,7 +154,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		r := newRestarted(ctx, t)
-		pulling, stop := context.WithTimeout(ctx, 4*stepTime)
+		pulling, stop := context.WithTimeout(ctx, 4*maxStepWait)
 		defer stop()
 		began := time.Now()
 		var trainers sync.WaitGroup
@@ -166,14 +166,14 @@
 				mu.Lock()
 				defer mu.Unlock()
 				refused += times
-				if time.Since(began) > stepTime {
+				if time.Since(began) > maxStepWait {
 					late++
 				}
 			})
 		}
 		trainers.Wait()
 		t.Logf("%d of %d batches later than %v, the last after %v, %d pulls refused, %d MB read of %d",
-			late, restartBatches, stepTime, time.Since(began), refused, r.log.Usage().ReadBytes>>20, restartBatches*restartBatchBytes>>20)
+			late, restartBatches, maxStepWait, time.Since(began), refused, r.log.Usage().ReadBytes>>20, restartBatches*restartBatchBytes>>20)
 		is.Equal(late, 0)
 	})
 }
