--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -40,8 +40,8 @@
 	restartLinkRate    = 45e6 / 8
 	// maxStepWait is how long a trainer waits for the samples of a step.
 	maxStepWait = 7500 * time.Millisecond
-	// comeBack is when a refused caller is told to come back.
-	comeBack = time.Second
+	// refusedPullDelay is when a refused caller is told to come back.
+	refusedPullDelay = time.Second
 )
 
 // frames is a text of one frame with so many bytes.
@@ -127,7 +127,7 @@
 		delivered, err := r.desks[random.IntN(len(r.desks))].Deliver(ctx, trainer, Pull{Cursor: cursor, Limit: restartPullLimit})
 		if errors.Is(err, ErrUnavailable) {
 			refused++
-			time.Sleep(comeBack)
+			time.Sleep(refusedPullDelay)
 			continue
 		}
 		cursor = delivered.Cursor
