--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -44,8 +44,8 @@
 	refusedPullDelay = time.Second
 )
 
-// frames is a text of one frame with so many bytes.
-func frames(size int) []byte {
+// paddedFrame is a text of one frame with so many bytes.
+func paddedFrame(size int) []byte {
 	text := []byte(`{"version":1,"tokens":[1],"end":"stop"}`)
 	return append(text, bytes.Repeat([]byte(" "), size-len(text))...)
 }
@@ -93,7 +93,7 @@
 	r.log.Partitions, r.log.RecordBytes = 16, 256<<10
 	r.log.Rates = journal.RateLimits{ReadBytesPerSecond: restartJournalRate}
 	jobs := ledger.New(ctx, r.log, zap.NewNop())
-	text := frames(restartBatchBytes / restartSamples)
+	text := paddedFrame(restartBatchBytes / restartSamples)
 	for i := range restartBatches {
 		request := rollout.Request{Trainer: "t", Name: fmt.Sprint("n", i), SamplesPerPrompt: restartSamples, MaxTokens: 10, Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}}
 		header := rollout.HeaderOf(request)
