--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -50,9 +50,9 @@
 	return append(text, bytes.Repeat([]byte(" "), size-len(text))...)
 }
 
-// restarted are desks that have just started before a journal of whole batches.
+// restartedFleet are desks that have just started before a journal of whole batches.
 // It implements results.Watchers and results.Peers.
-type restarted struct {
+type restartedFleet struct {
 	*ledgertest.Fleet
 	log     *journaltest.Journal
 	desks   []*Service
@@ -63,7 +63,7 @@
 }
 
 // Ask implements results.Peers.
-func (r *restarted) Ask(ctx context.Context, machine, method string, args, answer any) error {
+func (r *restartedFleet) Ask(ctx context.Context, machine, method string, args, answer any) error {
 	at := slices.IndexFunc(r.Incarnations, func(run string) bool { return identity.Machine(run) == machine })
 	if page, ok := answer.(*results.Page); ok && method == "Results.Samples" {
 		err := r.services[at].Samples(args.(results.Query), page)
@@ -73,7 +73,7 @@
 }
 
 // send has a page cross the link of the daemon that told it.
-func (r *restarted) send(ctx context.Context, at int, page *results.Page) error {
+func (r *restartedFleet) send(ctx context.Context, at int, page *results.Page) error {
 	bytes := 0
 	for i := range page.Results {
 		bytes += len(page.Results[i].Text)
@@ -88,8 +88,8 @@
 	return ctx.Err()
 }
 
-func newRestarted(ctx context.Context, t *testing.T) *restarted {
-	r := &restarted{log: journaltest.New()}
+func newRestarted(ctx context.Context, t *testing.T) *restartedFleet {
+	r := &restartedFleet{log: journaltest.New()}
 	r.log.Partitions, r.log.RecordBytes = 16, 256<<10
 	r.log.Rates = journal.RateLimits{ReadBytesPerSecond: restartJournalRate}
 	jobs := ledger.New(ctx, r.log, zap.NewNop())
@@ -120,7 +120,7 @@
 
 // take pulls the samples of a batch, each time at another daemon, and returns how many
 // pulls were refused.
-func (r *restarted) take(ctx context.Context, header rollout.Header, random *rand.Rand) (refused int) {
+func (r *restartedFleet) take(ctx context.Context, header rollout.Header, random *rand.Rand) (refused int) {
 	trainer := Trainer{Name: "t", NewestVersion: 1, Accepts: func(int64, int64) bool { return true }}
 	cursor := rollout.NewCursor(header)
 	for countOf(cursor) < header.Samples && ctx.Err() == nil {
