--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -67,13 +67,13 @@
 	at := slices.IndexFunc(r.Incarnations, func(run string) bool { return identity.Machine(run) == machine })
 	if page, ok := answer.(*results.Page); ok && method == "Results.Samples" {
 		err := r.services[at].Samples(args.(results.Query), page)
-		return cmp.Or(err, r.send(ctx, at, page))
+		return cmp.Or(err, r.sendPage(ctx, at, page))
 	}
 	return errors.Errorf("no method %s", method)
 }
 
-// send has a page cross the link of the daemon that told it.
-func (r *restartedFleet) send(ctx context.Context, at int, page *results.Page) error {
+// sendPage has a page cross the link of the daemon that told it.
+func (r *restartedFleet) sendPage(ctx context.Context, at int, page *results.Page) error {
 	bytes := 0
 	for i := range page.Results {
 		bytes += len(page.Results[i].Text)
