--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -118,9 +118,9 @@
 	return r
 }
 
-// take pulls the samples of a batch, each time at another daemon, and returns how many
+// pullBatch pulls the samples of a batch, each time at another daemon, and returns how many
 // pulls were refused.
-func (r *restartedFleet) take(ctx context.Context, header rollout.Header, random *rand.Rand) (refused int) {
+func (r *restartedFleet) pullBatch(ctx context.Context, header rollout.Header, random *rand.Rand) (refused int) {
 	trainer := Trainer{Name: "t", NewestVersion: 1, Accepts: func(int64, int64) bool { return true }}
 	cursor := rollout.NewCursor(header)
 	for countOf(cursor) < header.Samples && ctx.Err() == nil {
@@ -162,7 +162,7 @@
 		refused, late := 0, 0
 		for i, header := range r.headers {
 			trainers.Go(func() {
-				times := r.take(pulling, header, rand.New(rand.NewPCG(7, uint64(i))))
+				times := r.pullBatch(pulling, header, rand.New(rand.NewPCG(7, uint64(i))))
 				mu.Lock()
 				defer mu.Unlock()
 				refused += times
