--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -123,7 +123,7 @@
 func (r *restartedFleet) pullBatch(ctx context.Context, header rollout.Header, random *rand.Rand) (refused int) {
 	trainer := Trainer{Name: "t", NewestVersion: 1, Accepts: func(int64, int64) bool { return true }}
 	cursor := rollout.NewCursor(header)
-	for countOf(cursor) < header.Samples && ctx.Err() == nil {
+	for countTaken(cursor) < header.Samples && ctx.Err() == nil {
 		delivered, err := r.desks[random.IntN(len(r.desks))].Deliver(ctx, trainer, Pull{Cursor: cursor, Limit: restartPullLimit})
 		if errors.Is(err, ErrUnavailable) {
 			refused++
@@ -135,8 +135,8 @@
 	return refused
 }
 
-// countOf returns how many samples are taken.
-func countOf(cursor rollout.Cursor) (count int) {
+// countTaken returns how many samples are taken.
+func countTaken(cursor rollout.Cursor) (count int) {
 	for _, byte := range cursor.Bits() {
 		count += bits.OnesCount8(byte)
 	}
