--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -57,8 +57,8 @@
 	log     *journaltest.Journal
 	desks   []*Service
 	headers []rollout.Header
-	// services answer peers, each over a link that carries one answer at a time.
-	services []*results.Service
+	// watchers answer peers, each over a link that carries one answer at a time.
+	watchers []*results.Service
 	links    []chan struct{}
 }
 
@@ -66,7 +66,7 @@
 func (r *restartedFleet) Ask(ctx context.Context, machine, method string, args, answer any) error {
 	at := slices.IndexFunc(r.Incarnations, func(run string) bool { return identity.Machine(run) == machine })
 	if page, ok := answer.(*results.Page); ok && method == "Results.Samples" {
-		err := r.services[at].Samples(args.(results.Query), page)
+		err := r.watchers[at].Samples(args.(results.Query), page)
 		return cmp.Or(err, r.sendPage(ctx, at, page))
 	}
 	return errors.Errorf("no method %s", method)
@@ -111,7 +111,7 @@
 	r.Fleet = ledgertest.Start(ctx, r.log, restartDaemons, restartLinkRate)
 	for i, run := range r.Incarnations {
 		reader := results.NewReader(r.Ledgers[i], r, r, r.log.RateLimits(), run, zap.NewNop())
-		r.services, r.links = append(r.services, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
+		r.watchers, r.links = append(r.watchers, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
 		r.desks = append(r.desks, New(reader, endErrorRunner{r.Ledgers[i], nil}, rollout.ItemHeaders{}, zap.NewNop()))
 	}
 	r.AssignPartitions()
