--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -54,9 +54,9 @@
 // It implements results.Watchers and results.Peers.
 type restartedFleet struct {
 	*ledgertest.Fleet
-	log     *journaltest.Journal
-	desks   []*Service
-	headers []rollout.Header
+	log      *journaltest.Journal
+	services []*Service
+	headers  []rollout.Header
 	// watchers answer peers, each over a link that carries one answer at a time.
 	watchers []*results.Service
 	links    []chan struct{}
@@ -112,7 +112,7 @@
 	for i, run := range r.Incarnations {
 		reader := results.NewReader(r.Ledgers[i], r, r, r.log.RateLimits(), run, zap.NewNop())
 		r.watchers, r.links = append(r.watchers, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
-		r.desks = append(r.desks, New(reader, endErrorRunner{r.Ledgers[i], nil}, rollout.ItemHeaders{}, zap.NewNop()))
+		r.services = append(r.services, New(reader, endErrorRunner{r.Ledgers[i], nil}, rollout.ItemHeaders{}, zap.NewNop()))
 	}
 	r.AssignPartitions()
 	return r
@@ -124,7 +124,7 @@
 	trainer := Trainer{Name: "t", NewestVersion: 1, Accepts: func(int64, int64) bool { return true }}
 	cursor := rollout.NewCursor(header)
 	for countTaken(cursor) < header.Samples && ctx.Err() == nil {
-		delivered, err := r.desks[random.IntN(len(r.desks))].Deliver(ctx, trainer, Pull{Cursor: cursor, Limit: restartPullLimit})
+		delivered, err := r.services[random.IntN(len(r.services))].Deliver(ctx, trainer, Pull{Cursor: cursor, Limit: restartPullLimit})
 		if errors.Is(err, ErrUnavailable) {
 			refused++
 			time.Sleep(refusedPullDelay)
