--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -1,19 +1,20 @@
-// Package delivery takes trainers' batches in and hands their samples over:
-// each once, none over the trainer's bound.
+// Package delivery accepts trainers' batches and delivers their samples: each sample once, and none
+// that is older than the trainer accepts.
 //
-// A batch is a batch job of the ledger. What was handed over stands in the
-// trainer's own cursor, so that no daemon needs to remember it. A sample that
-// is too old when it is asked for is made again by a further job, a round; of
-// two daemons that ask for the same round the first counts.
+// A batch is stored as a batch job of the ledger. The trainer's cursor records which samples were
+// delivered, so no daemon has to remember it. A sample that is too old when it is pulled is made
+// again by a further batch job, called a round. If two daemons submit the same round, the first one
+// counts.
 //
-// A service owns nothing that lasts and holds no fold. It relies on a reader of results, which knows
-// when to read a partition and when to ask its watcher, and on the runner for new batch jobs.
+// A Service stores nothing and holds no fold. It reads through a Reader, which decides whether to
+// read a partition itself or to ask the partition's watcher, and submits batch jobs through a
+// Runner.
 //
 // # Usage
 //
-//	service := delivery.New(reader, runner, names, logger)
+//	service := delivery.New(reader, runner, itemHeaders, logger)
 //	header, err := service.Submit(ctx, trainer, request)
-//	delivered, err := service.Deliver(ctx, trainer, delivery.Pull{Cursor: rollout.NewCursor(header), Version: 7})
+//	delivered, err := service.Deliver(ctx, trainer, delivery.Pull{Cursor: rollout.NewCursor(header), Version: 7, Limit: 100})
 package delivery
 
 import (
@@ -29,51 +30,56 @@
 	"woodworks/internal/batches/runner"
 )
 
-// Errors of this layer. Callers read their texts, in the body of a refusal.
+// Errors of this package. Their texts are part of the answers to callers.
 var (
-	// ErrConflict: the name is that of a batch of other content.
+	// ErrConflict is returned if another batch with different content has the name.
 	ErrConflict = errors.New("delivery: another batch has this name")
-	// ErrUnknownBatch: there is no such batch.
+	// ErrUnknownBatch is returned if the batch does not exist, or was ended and some of its samples
+	// would have to be made again.
 	ErrUnknownBatch = errors.New("delivery: no such batch")
-	// ErrUnavailable: the journal did not answer; nothing was changed.
+	// ErrUnavailable is returned if the journal did not answer. Nothing was changed.
 	ErrUnavailable = errors.New("delivery: the journal did not answer")
-	// ErrOutcomeUnknown: the batch may have been taken in, or ended.
+	// ErrOutcomeUnknown is returned if the batch may or may not have been accepted or ended.
 	ErrOutcomeUnknown = errors.New("delivery: it may have been done")
-	// ErrTooManyRounds: samples became too old, or failed, in every round.
+	// ErrTooManyRounds is returned if samples are still too old or failed after the last allowed
+	// round.
 	ErrTooManyRounds = errors.New("delivery: samples were not usable in any round")
 )
 
-// Trainer is what the policy in force says of one trainer.
+// Trainer holds the settings of one trainer in the policy in force.
 type Trainer struct {
 	Name string
-	// NewestVersion is the newest version that is named of the trainer's model.
+	// NewestVersion is the newest announced version of the trainer's model.
 	NewestVersion int64
-	// Accepts judges a sample by its oldest version while a version is trained.
+	// Accepts reports whether a sample whose oldest weight version is oldest may be used to train
+	// the version trained.
 	Accepts func(oldest, trained int64) bool
 }
 
-// oldestAccepted is the oldest version that the trainer accepts while it trains one.
+// oldestAccepted returns the oldest version that the trainer accepts while it trains a version, at
+// least 1.
 func (t Trainer) oldestAccepted(trained int64) int64 {
-	lowest := trained
-	for lowest > 1 && t.Accepts(lowest-1, trained) {
-		lowest--
+	oldest := trained
+	for oldest > 1 && t.Accepts(oldest-1, trained) {
+		oldest--
 	}
-	return max(lowest, 1)
+	return max(oldest, 1)
 }
 
-// Runner makes batch jobs exist.
+// Runner submits and ends batch jobs, as runner.Runner does: Accept leaves a job with the same ID
+// unchanged, and an error that is runner.ErrNotDone means that the call had no effect.
 type Runner interface {
 	Accept(ctx context.Context, job *batch.Submission) error
 	End(ctx context.Context, jobID, tenant string) error
 }
 
-// Reader answers questions about batch jobs, as any daemon knows them.
+// Reader reads the state of batch jobs, whichever daemon owns them.
 type Reader interface {
 	Samples(ctx context.Context, query results.Query) (results.Page, error)
 	Items(ctx context.Context, query results.ItemsQuery) (results.Items, error)
 }
 
-// Service is where trainers submit batches and pull samples. It is safe for concurrent use.
+// Service accepts batches and delivers their samples. It is safe for concurrent use.
 type Service struct {
 	reader      Reader
 	runner      Runner
@@ -81,12 +87,15 @@
 	logger      *zap.Logger
 }
 
-// New returns a service.
-func New(reader Reader, run Runner, names rollout.ItemHeaders, logger *zap.Logger) *Service {
-	return &Service{reader: reader, runner: run, itemHeaders: names, logger: logger}
+// New returns a service that reads through reader and submits batch jobs to run. The headers of
+// their items are named by itemHeaders.
+func New(reader Reader, run Runner, itemHeaders rollout.ItemHeaders, logger *zap.Logger) *Service {
+	return &Service{reader: reader, runner: run, itemHeaders: itemHeaders, logger: logger}
 }
 
-// Submit takes a checked batch in. The same batch may be submitted again.
+// Submit accepts a batch whose request has passed Check. Submitting the same batch again is
+// harmless. The error wraps ErrUnavailable if nothing was changed, ErrOutcomeUnknown, ErrConflict,
+// or ErrUnknownBatch if the batch is gone already.
 func (s *Service) Submit(ctx context.Context, t Trainer, request rollout.Request) (rollout.Header, error) {
 	header := rollout.HeaderOf(request)
 	minVersion := max(t.oldestAccepted(t.NewestVersion), int64(request.MinVersion))
@@ -114,7 +123,7 @@
 	return header, nil
 }
 
-// Find returns the header of a batch.
+// Find returns the header of a batch. The error wraps ErrUnavailable or ErrUnknownBatch.
 func (s *Service) Find(ctx context.Context, trainer, name string) (rollout.Header, error) {
 	first, err := s.findRound(ctx, trainer, name, 0)
 	if err != nil {
@@ -123,12 +132,12 @@
 	if !first.Found {
 		return rollout.Header{}, ErrUnknownBatch
 	}
-	// A job that is no round of a batch has no digest, which is another than any caller's.
+	// A job that is not a round of a batch has no digest. The 0 then returned matches no request.
 	digest, _ := rollout.DigestOf(first.Round.Path)
 	return rollout.Header{Trainer: trainer, Name: name, Digest: digest, Samples: first.Total}, nil
 }
 
-// findRound asks for a round of a batch, and for none of its samples.
+// findRound reads whether a round of a batch exists, and its totals, without any samples.
 func (s *Service) findRound(ctx context.Context, trainer, name string, round int) (results.Page, error) {
 	page, err := s.reader.Samples(ctx, results.Query{
 		BatchID: rollout.JobID(trainer, name, round), After: rollout.MaxSamples, Samples: &results.Samples{Further: round > 0},
@@ -139,7 +148,8 @@
 	return page, nil
 }
 
-// End ends all rounds of a batch: no more samples are made.
+// End ends all rounds of a batch, so that no more samples are made. The error wraps ErrUnavailable
+// if nothing was changed, ErrOutcomeUnknown, or ErrUnknownBatch.
 func (s *Service) End(ctx context.Context, trainer, name string) error {
 	rounds, err := s.countRounds(ctx, trainer, name)
 	if err != nil {
@@ -160,7 +170,7 @@
 	return nil
 }
 
-// countRounds returns how many rounds a batch has.
+// countRounds returns the number of rounds of a batch, or ErrUnknownBatch if there is none.
 func (s *Service) countRounds(ctx context.Context, trainer, name string) (int, error) {
 	for rounds := 0; ; rounds++ {
 		page, err := s.findRound(ctx, trainer, name, rounds)
--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -12,48 +12,50 @@
 	"woodworks/internal/daemon/periodic"
 )
 
-// batchView is a batch as one pull has seen it. Positions of results never change, so that each
-// look goes on where the one before ended.
+// batchView is the part of a batch that one pull has read. The positions of results never change,
+// so each update continues where the one before ended.
 type batchView struct {
 	service *Service
 	pull    Pull
 	accepts func(oldest int64) bool
 	rounds  []*round
-	// noMoreRounds says that no round follows those seen, as of this look.
+	// noMoreRounds reports whether the last update found no round after those in rounds.
 	noMoreRounds bool
 	prompts      map[int]prompt
 	plan         rollout.Planned
 }
 
-// prompt is what a sample repeats of its request.
+// prompt holds the fields of a request that are repeated in each of its samples.
 type prompt struct {
 	id   string
 	seed uint64
 }
 
-// round is what was seen of one round.
+// round is the part of one round that was read.
 type round struct {
 	number  int
 	results rollout.Round
-	// next is the first position that is not seen, total how many there will be.
+	// next is the position of the first result that was not read, total the number of results that
+	// the round will have.
 	next, total int
-	// hasUnread says that results may be listed that are not seen, as of this look.
+	// hasUnread reports whether results that were not read may be listed already.
 	hasUnread bool
 }
 
-// update brings the observation up to date until samples are ready, or all that is listed is seen. A
-// further round is asked for only if samples of those before must be made again.
-func (o *batchView) update(ctx context.Context) error {
-	o.noMoreRounds = false
+// update reads until samples are ready or all listed results were read. It looks for a further
+// round only if samples of the known rounds must be made again. The error wraps ErrUnavailable or
+// ErrUnknownBatch.
+func (v *batchView) update(ctx context.Context) error {
+	v.noMoreRounds = false
 	for {
-		o.plan = rollout.Plan(o.pull.Cursor, o.roundResults(), o.accepts, o.pull.Limit)
-		unread := o.unreadRound()
+		v.plan = rollout.Plan(v.pull.Cursor, v.roundResults(), v.accepts, v.pull.Limit)
+		unread := v.unreadRound()
 		var err error
 		switch {
-		case len(o.rounds) == 0 || len(o.plan.Again) > 0 && !o.noMoreRounds:
-			err = o.findNextRound(ctx)
-		case len(o.plan.Ready) == 0 && unread != nil:
-			err = o.readRound(ctx, unread, 0)
+		case len(v.rounds) == 0 || len(v.plan.Again) > 0 && !v.noMoreRounds:
+			err = v.findNextRound(ctx)
+		case len(v.plan.Ready) == 0 && unread != nil:
+			err = v.readRound(ctx, unread, 0)
 		default:
 			return nil
 		}
@@ -63,18 +65,18 @@
 	}
 }
 
-// roundResults returns the roundResults of the rounds seen.
-func (o *batchView) roundResults() []rollout.Round {
-	samples := make([]rollout.Round, len(o.rounds))
-	for i, r := range o.rounds {
+// roundResults returns the results of each round that was read, in the order of the rounds.
+func (v *batchView) roundResults() []rollout.Round {
+	samples := make([]rollout.Round, len(v.rounds))
+	for i, r := range v.rounds {
 		samples[i] = r.results
 	}
 	return samples
 }
 
-// unreadRound returns a round that has results which are not seen, nil for none.
-func (o *batchView) unreadRound() *round {
-	for _, r := range o.rounds {
+// unreadRound returns the first round with unread results, or nil.
+func (v *batchView) unreadRound() *round {
+	for _, r := range v.rounds {
 		if r.hasUnread {
 			return r
 		}
@@ -82,16 +84,18 @@
 	return nil
 }
 
-// findNextRound looks for the round after those seen.
-func (o *batchView) findNextRound(ctx context.Context) error {
-	next := &round{number: len(o.rounds), results: rollout.Round{}}
-	page, err := o.fetchPage(ctx, next, 0)
-	header := o.pull.Cursor.Header
+// findNextRound reads the first page of the round after the known ones, and sets noMoreRounds if
+// there is none. It returns ErrUnknownBatch if the first round does not exist or does not match the
+// cursor's header.
+func (v *batchView) findNextRound(ctx context.Context) error {
+	next := &round{number: len(v.rounds), results: rollout.Round{}}
+	page, err := v.fetchPage(ctx, next, 0)
+	header := v.pull.Cursor.Header
 	switch {
 	case err != nil:
 		return err
 	case !page.Found && next.number > 0:
-		o.noMoreRounds = true
+		v.noMoreRounds = true
 		return nil
 	case !page.Found:
 		return ErrUnknownBatch
@@ -102,30 +106,32 @@
 	for _, sample := range page.Round.Makes {
 		next.results[sample] = nil
 	}
-	o.rounds = append(o.rounds, next)
-	o.addPage(next, page)
+	v.rounds = append(v.rounds, next)
+	v.addPage(next, page)
 	return nil
 }
 
-// readRound asks for what follows of a round. The question may be kept open for wait.
-func (o *batchView) readRound(ctx context.Context, of *round, wait time.Duration) error {
-	page, err := o.fetchPage(ctx, of, wait)
+// readRound reads the next page of a round. The reader may hold the query open for wait until there
+// is a result.
+func (v *batchView) readRound(ctx context.Context, r *round, wait time.Duration) error {
+	page, err := v.fetchPage(ctx, r, wait)
 	if err != nil {
 		return err
 	}
 	if !page.Found {
 		return errors.Wrap(ErrUnavailable, "a round that was seen is not known")
 	}
-	o.addPage(of, page)
+	v.addPage(r, page)
 	return nil
 }
 
-// fetchPage asks for the samples of a round from the first position on that is not seen.
-func (o *batchView) fetchPage(ctx context.Context, of *round, wait time.Duration) (results.Page, error) {
-	header := o.pull.Cursor.Header
-	page, err := o.service.reader.Samples(ctx, results.Query{
-		BatchID: rollout.JobID(header.Trainer, header.Name, of.number), After: of.next, Wait: wait,
-		Samples: &results.Samples{Taken: o.pull.Cursor.Bits(), Limit: o.pull.Limit, Further: of.number > 0},
+// fetchPage queries the samples of a round that the trainer has not taken, from the first unread
+// position on.
+func (v *batchView) fetchPage(ctx context.Context, r *round, wait time.Duration) (results.Page, error) {
+	header := v.pull.Cursor.Header
+	page, err := v.service.reader.Samples(ctx, results.Query{
+		BatchID: rollout.JobID(header.Trainer, header.Name, r.number), After: r.next, Wait: wait,
+		Samples: &results.Samples{Taken: v.pull.Cursor.Bits(), Limit: v.pull.Limit, Further: r.number > 0},
 	})
 	if err != nil {
 		return results.Page{}, errors.Wrap(ErrUnavailable, err.Error())
@@ -133,47 +139,47 @@
 	return page, nil
 }
 
-// addPage takes a page in.
-func (o *batchView) addPage(to *round, page results.Page) {
+// addPage adds the results of a page to a round.
+func (v *batchView) addPage(r *round, page results.Page) {
 	for i := range page.Results {
 		result := &page.Results[i]
 		if sample, ours := rollout.SampleOf(result.ItemID); ours {
-			to.results[sample] = &result.Result
-			o.prompts[sample] = prompt{result.Group, result.Seed}
+			r.results[sample] = &result.Result
+			v.prompts[sample] = prompt{result.Group, result.Seed}
 		}
 	}
-	to.next, to.total = page.Next, page.Total
-	to.hasUnread = len(page.Results) > 0 && page.Next < page.Total
+	r.next, r.total = page.Next, page.Total
+	r.hasUnread = len(page.Results) > 0 && page.Next < page.Total
 }
 
-// waitForResults returns when the newest round has changed, after a while, or when a stop begins. The
-// next look finds out what could not be read.
-func (o *batchView) waitForResults(ctx context.Context, length time.Duration) {
-	polling, cancel := context.WithCancel(ctx)
+// waitForResults returns when the newest round has a new result, after at most the given time, or
+// when a planned stop begins. A failed read is only logged, since the next update repeats it.
+func (v *batchView) waitForResults(ctx context.Context, maxWait time.Duration) {
+	waiting, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(o.pull.Stopping, cancel)()
-	for _, r := range o.rounds {
+	defer context.AfterFunc(v.pull.Stopping, cancel)()
+	for _, r := range v.rounds {
 		r.hasUnread = r.next < r.total
 	}
-	newest := o.rounds[len(o.rounds)-1]
+	newest := v.rounds[len(v.rounds)-1]
 	if newest.next >= newest.total {
-		periodic.Pause(polling, min(length, pollRetryDelay))
+		periodic.Pause(waiting, min(maxWait, pollRetryDelay))
 		return
 	}
-	if err := o.readRound(polling, newest, length); err != nil && polling.Err() == nil {
-		header := o.pull.Cursor.Header
-		o.service.logger.Debug("samples not awaited",
+	if err := v.readRound(waiting, newest, maxWait); err != nil && waiting.Err() == nil {
+		header := v.pull.Cursor.Header
+		v.service.logger.Debug("failed to wait for samples",
 			zap.String("batch", rollout.JobID(header.Trainer, header.Name, newest.number)), zap.Error(err))
 	}
 }
 
-// newDelivery returns the samples that are ready.
-func (o *batchView) newDelivery() Delivery {
-	indices := make([]int, len(o.plan.Ready))
-	for i := range o.plan.Ready {
-		ready := &o.plan.Ready[i]
-		ready.PromptID, ready.Seed = o.prompts[ready.Index].id, o.prompts[ready.Index].seed
+// newDelivery returns the samples that are ready, with the cursor after them.
+func (v *batchView) newDelivery() Delivery {
+	indices := make([]int, len(v.plan.Ready))
+	for i := range v.plan.Ready {
+		ready := &v.plan.Ready[i]
+		ready.PromptID, ready.Seed = v.prompts[ready.Index].id, v.prompts[ready.Index].seed
 		indices[i] = ready.Index
 	}
-	return Delivery{Samples: o.plan.Ready, Cursor: o.pull.Cursor.Take(indices...), Open: o.plan.Open}
+	return Delivery{Samples: v.plan.Ready, Cursor: v.pull.Cursor.Take(indices...), Open: v.plan.Open}
 }
--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -29,16 +29,16 @@
 
 func init() { testseed.Fix() }
 
-// testCluster are desks whose questions go to the one daemon that watches all partitions: what
-// they may read is nothing to speak of. It implements results.Watchers, results.Peers and Runner.
+// testCluster is a set of services whose reads go to the one daemon that watches all partitions, as
+// their own read rate is close to zero. It implements results.Watchers, results.Peers and Runner.
 type testCluster struct {
 	log     *journaltest.Journal
 	watcher string
 	folds   *ledger.Ledger
-	// watcherClient leads to the watcher.
+	// watcherClient is connected to the watcher.
 	watcherClient *rpc.Client
 	services      []*Service
-	// jobs were accepted, in order.
+	// jobs are the accepted batch jobs in order.
 	jobs []*batch.Submission
 
 	mu        sync.Mutex
@@ -47,17 +47,17 @@
 
 func newPeered(ctx context.Context, count int) *testCluster {
 	p := &testCluster{log: journaltest.New(), watcher: identity.New("holder", time.Now()), questions: map[string]int{}}
-	scarce := journal.RateLimits{ReadBytesPerSecond: 1}
+	minimalRate := journal.RateLimits{ReadBytesPerSecond: 1}
 	p.folds = ledger.New(ctx, p.log, zap.NewNop())
-	p.watcherClient = serveWatcher(ctx, results.NewReader(p.folds, p, nil, scarce, p.watcher, zap.NewNop()).Service(ctx))
+	p.watcherClient = serveWatcher(ctx, results.NewReader(p.folds, p, nil, minimalRate, p.watcher, zap.NewNop()).Service(ctx))
 	for i := range count {
-		reader := results.NewReader(ledger.New(ctx, p.log, zap.NewNop()), p, p, scarce, identity.New(fmt.Sprint("m", i), time.Now()), zap.NewNop())
+		reader := results.NewReader(ledger.New(ctx, p.log, zap.NewNop()), p, p, minimalRate, identity.New(fmt.Sprint("m", i), time.Now()), zap.NewNop())
 		p.services = append(p.services, New(reader, p, rollout.ItemHeaders{TokenUsage: "usage"}, zap.NewNop()))
 	}
 	return p
 }
 
-// count is how many questions of a method were asked.
+// count returns the number of queries of a method.
 func (p *testCluster) count(method string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +72,7 @@
 // Daemons implements results.Peers.
 func (p *testCluster) Daemons() int { return len(p.services) + 1 }
 
-// Ask implements results.Peers, by a call as daemons make it.
+// Ask implements results.Peers by a call over net/rpc.
 func (p *testCluster) Ask(ctx context.Context, _, method string, args, answer any) error {
 	p.mu.Lock()
 	p.questions[method]++
@@ -88,7 +88,7 @@
 	}
 }
 
-// serveWatcher has the watcher answer over a connection, and returns the other end of it.
+// serveWatcher serves the watcher's RPC methods over a connection and returns a client for it.
 func serveWatcher(ctx context.Context, watcher *results.Service) *rpc.Client {
 	server := rpc.NewServer()
 	if err := server.RegisterName(results.ServiceName, watcher); err != nil {
@@ -117,7 +117,7 @@
 	return p.folds.PartitionOf(jobID).Append(ctx, batch.Ended(jobID, ""))
 }
 
-// addResult gives an item its result, of one version and with a text of a size.
+// addResult appends a result for an item, made by one version, with size bytes of padding.
 func (p *testCluster) addResult(t interface{ Fatal(...any) }, job *batch.Submission, item int, version int64, size int) {
 	text := fmt.Appendf(nil, `{"version":%d,"tokens":[%d],"end":"stop"}%s`, version, item, strings.Repeat(" ", size))
 	record := batch.ResultsAdded(job.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: text, Versions: []int64{version}}})
@@ -126,7 +126,8 @@
 	}
 }
 
-// trainerAt is a trainer that accepts samples of so many versions before the one that it trainerAt.
+// trainerAt returns a trainer that accepts samples at most bound versions older than the one it
+// trains.
 func trainerAt(newest, bound int64) Trainer {
 	return Trainer{Name: "t", NewestVersion: newest, Accepts: func(oldest, trained int64) bool { return trained-oldest <= bound }}
 }
@@ -135,10 +136,11 @@
 	return rollout.Request{Trainer: "t", Name: name, SamplesPerPrompt: samples, MaxTokens: 10, Seed: 5, Prompts: []rollout.Prompt{{ID: "p", Text: "x"}, {ID: "q", Text: "y"}}}
 }
 
-// Whatever the order of results, versions and pulls at daemons without a fold, each sample of a
-// batch is delivered once, with its prompt and seed, within its bound and at last.
+// For any order of results, new versions and pulls at daemons without a fold, each sample is
+// delivered once, with its own prompt and seed and within its bound, and in the end all are
+// delivered.
 func TestSamplesAreDeliveredOnceThroughDaemonsWithoutFolds(t *testing.T) {
-	again, longest := 0, 0
+	itemQueries, maxJobs := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -152,8 +154,8 @@
 		}
 		cursor, taken := rollout.NewCursor(header), map[int]bool{}
 		pull := func(limit int) int {
-			desk := p.services[rapid.IntRange(0, len(p.services)-1).Draw(t, "desk")]
-			got, err := desk.Deliver(ctx, trainerAt(version, bound), Pull{Cursor: cursor, Limit: limit})
+			service := p.services[rapid.IntRange(0, len(p.services)-1).Draw(t, "service")]
+			got, err := service.Deliver(ctx, trainerAt(version, bound), Pull{Cursor: cursor, Limit: limit})
 			if err != nil || len(got.Samples) > limit {
 				t.Fatalf("%d samples of %d, %v", len(got.Samples), limit, err)
 			}
@@ -162,7 +164,7 @@
 					t.Fatalf("sample %+v at version %d, taken before: %v", sample, version, taken[sample.Index])
 				}
 				if sample.Seed != rollout.SampleSeed(wanted.Seed, sample.Index) || sample.PromptID != wanted.Prompts[sample.Index/wanted.SamplesPerPrompt].ID {
-					t.Fatalf("sample %+v has another's prompt or seed", sample)
+					t.Fatalf("sample %+v has the prompt or seed of another sample", sample)
 				}
 				taken[sample.Index] = true
 			}
@@ -195,71 +197,70 @@
 				}
 			}
 			if pulls > 100 {
-				t.Fatalf("%d of %d samples are not delivered", header.Samples-len(taken), header.Samples)
+				t.Fatalf("%d of %d samples were not delivered", header.Samples-len(taken), header.Samples)
 			}
 		}
 		if len(taken) != header.Samples {
 			t.Fatalf("%d of %d samples were delivered", len(taken), header.Samples)
 		}
-		again += p.count("Items")
-		longest = max(longest, len(p.jobs))
+		itemQueries += p.count("Items")
+		maxJobs = max(maxJobs, len(p.jobs))
 	})
-	if again == 0 || longest < 3 {
-		t.Errorf("samples were made again %d times, in %d rounds at most", again, longest)
+	if itemQueries == 0 || maxJobs < 3 {
+		t.Errorf("items were queried %d times, want more than 0; a batch had at most %d jobs, want at least 3", itemQueries, maxJobs)
 	}
 }
 
-// A pull is held at the daemon that watches the partition, and has the sample as it comes; a
-// batch that does not exist, was ended, or is of another content is not known, wherever that is
-// asked.
+// A long poll through the watcher returns as soon as there is a sample or a stop begins. A batch
+// that does not exist, was ended or has other content is unknown at each daemon.
 func TestLongPollIsAnsweredThroughTheWatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		p := newPeered(ctx, 2)
-		desk := p.services[1]
+		service := p.services[1]
 		header, err := p.services[0].Submit(ctx, trainerAt(3, 1), twoPrompts("n", 3))
 		is.NoErr(err)
 		began := time.Now()
-		const comes = 3300 * time.Millisecond
-		time.AfterFunc(comes, func() { p.addResult(t, p.jobs[0], 4, 3, 0) })
-		got, err := desk.Deliver(ctx, trainerAt(3, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4, Wait: 10 * time.Second})
+		const resultDelay = 3300 * time.Millisecond
+		time.AfterFunc(resultDelay, func() { p.addResult(t, p.jobs[0], 4, 3, 0) })
+		got, err := service.Deliver(ctx, trainerAt(3, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4, Wait: 10 * time.Second})
 		is.NoErr(err)
-		is.Equal(time.Since(began), comes)
+		is.Equal(time.Since(began), resultDelay)
 		is.Equal(len(got.Samples), 1)
 		is.Equal(got.Open, 5)
-		is.True(p.count("Samples") > int(comes/maxPollInterval)) // a look after the submission, and all of those since
+		is.True(p.count("Samples") > int(resultDelay/maxPollInterval)) // one read after the submission and one per interval
 
 		stopping, stop := context.WithCancel(ctx)
 		began = time.Now()
-		time.AfterFunc(comes, stop)
-		got, err = desk.Deliver(ctx, trainerAt(3, 1), Pull{Cursor: got.Cursor, Limit: 4, Wait: 10 * time.Second, Stopping: stopping})
+		time.AfterFunc(resultDelay, stop)
+		got, err = service.Deliver(ctx, trainerAt(3, 1), Pull{Cursor: got.Cursor, Limit: 4, Wait: 10 * time.Second, Stopping: stopping})
 		is.NoErr(err)
-		is.Equal(time.Since(began), comes)
+		is.Equal(time.Since(began), resultDelay)
 		is.Equal(got.Open, 5)
 
 		other := header
 		other.Digest++
 		for _, unknown := range []rollout.Header{other, {Trainer: "t", Name: "none", Digest: 1, Samples: 1}} {
-			_, err = desk.Deliver(ctx, trainerAt(3, 1), Pull{Cursor: rollout.NewCursor(unknown), Limit: 4})
+			_, err = service.Deliver(ctx, trainerAt(3, 1), Pull{Cursor: rollout.NewCursor(unknown), Limit: 4})
 			is.True(errors.Is(err, ErrUnknownBatch))
 		}
-		_, err = desk.Find(ctx, "t", "none")
+		_, err = service.Find(ctx, "t", "none")
 		is.True(errors.Is(err, ErrUnknownBatch))
-		_, err = desk.Submit(ctx, trainerAt(3, 1), twoPrompts("n", 2))
+		_, err = service.Submit(ctx, trainerAt(3, 1), twoPrompts("n", 2))
 		is.True(errors.Is(err, ErrConflict))
 
 		p.addResult(t, p.jobs[0], 5, 3, 0)
-		is.NoErr(desk.End(ctx, "t", "n"))
-		_, err = desk.Deliver(ctx, trainerAt(9, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4})
-		is.True(errors.Is(err, ErrUnknownBatch)) // both are too old, and cannot be made again
+		is.NoErr(service.End(ctx, "t", "n"))
+		_, err = service.Deliver(ctx, trainerAt(9, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4})
+		is.True(errors.Is(err, ErrUnknownBatch)) // the samples are too old, and an ended batch makes no further round
 	})
 }
 
-// A daemon that started after records were removed from a partition can't deny a batch of that
-// partition that it does not know. A further round is younger than its first one: where that is
-// known, samples are made again all the same.
+// A daemon that started after a trim cannot tell that an unknown batch of the partition does not
+// exist. A further round is younger than its known first round, so its absence is certain and
+// samples are made again.
 func TestSamplesAreRegeneratedAfterTheJournalWasTrimmed(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
@@ -283,8 +284,8 @@
 	is.Equal(got.Samples[0].Index, 2)
 }
 
-// Samples that are too old don't hide those listed after them, are made again once, from items
-// however long, and don't keep a held pull from those that are still to come of their round.
+// Guards against outdated samples that hide results listed after them, are made again twice or with
+// other items, or keep a long poll from results of their own round.
 func TestOutdatedSamplesDoNotHideOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -302,8 +303,8 @@
 			p.addResult(t, first, item, 3, 0)
 		}
 		p.addResult(t, first, 1, 5, 0)
-		desk, trainer := p.services[1], trainerAt(5, 1)
-		got, err := desk.Deliver(ctx, trainer, Pull{Cursor: rollout.NewCursor(header), Limit: 1})
+		service, trainer := p.services[1], trainerAt(5, 1)
+		got, err := service.Deliver(ctx, trainer, Pull{Cursor: rollout.NewCursor(header), Limit: 1})
 		is.NoErr(err)
 		is.Equal(len(got.Samples), 1)
 		is.Equal(got.Samples[0].Index, 1)
@@ -317,11 +318,11 @@
 		}
 
 		began := time.Now()
-		const comes = 3300 * time.Millisecond
-		time.AfterFunc(comes, func() { p.addResult(t, first, 3, 5, 0) })
-		got, err = desk.Deliver(ctx, trainer, Pull{Cursor: got.Cursor, Limit: 1, Wait: 10 * time.Second})
+		const resultDelay = 3300 * time.Millisecond
+		time.AfterFunc(resultDelay, func() { p.addResult(t, first, 3, 5, 0) })
+		got, err = service.Deliver(ctx, trainer, Pull{Cursor: got.Cursor, Limit: 1, Wait: 10 * time.Second})
 		is.NoErr(err)
-		is.True(time.Since(began) <= comes+maxPollInterval)
+		is.True(time.Since(began) <= resultDelay+maxPollInterval)
 		is.Equal(len(got.Samples), 1)
 		is.Equal(got.Samples[0].Index, 3)
 		is.Equal(len(p.jobs), 2)
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -15,43 +15,46 @@
 )
 
 const (
-	// maxRounds bounds how often samples of a batch are made again.
+	// maxRounds bounds the further rounds of a batch.
 	maxRounds = 64
-	// regenerateTimeout bounds one try to have samples made again.
+	// regenerateTimeout bounds the submission of a further round.
 	regenerateTimeout = questiontime.ReadTimeout
-	// maxPollInterval bounds the time between two looks for results.
+	// maxPollInterval bounds how long one read of results is held open while a pull waits.
 	maxPollInterval = 500 * time.Millisecond
-	// pollRetryDelay is the time between two looks where the journal could not be read.
+	// pollRetryDelay is the wait before results are read again after a failed read, or while the
+	// newest round has no unread results.
 	pollRetryDelay = 100 * time.Millisecond
 )
 
-// Pull asks for samples after a cursor.
+// Pull requests samples that the cursor does not have yet.
 type Pull struct {
 	Cursor rollout.Cursor
-	// Version is the version that the trainer now trains, 0 for the newest named.
+	// Version is the version that the trainer is training, 0 for the newest announced one.
 	Version int64
-	// Limit is how many samples are wanted at most.
+	// Limit bounds the number of samples in the delivery.
 	Limit int
-	// Wait is how long the pull may be kept open until there is a sample.
+	// Wait is how long the pull may be held open until a sample is ready.
 	Wait time.Duration
-	// Stopping, if not nil, ends when a planned stop begins: a pull is not kept open then.
+	// Stopping, if not nil, is done once a planned stop begins. A pull is not held open after that.
 	Stopping context.Context
 }
 
-// mayWait reports whether the pull may be kept open until a time.
+// mayWait reports whether the pull may still be held open, given the end of its wait.
 func (p Pull) mayWait(end time.Time) bool { return p.Stopping.Err() == nil && time.Now().Before(end) }
 
-// Delivery is what a pull got. The samples and the cursor belong together.
+// Delivery is the answer to a pull. Cursor has all Samples marked as taken, so the trainer must
+// keep both or neither.
 type Delivery struct {
 	Samples []rollout.Result
 	Cursor  rollout.Cursor
-	// Open counts the samples that are still to come.
+	// Open is the number of samples of the batch that are not delivered yet.
 	Open int
 }
 
-// Deliver hands over samples, and waits for the first as long as the pull says.
-// Samples that became too old are made again. The error wraps ErrUnavailable, ErrUnknownBatch or
-// ErrTooManyRounds.
+// Deliver returns samples that the trainer accepts, at most pull.Limit, and waits up to pull.Wait
+// for the first one. Samples that are too old or failed are made again in a further round. The
+// error wraps ErrUnavailable, ErrUnknownBatch or ErrTooManyRounds; no samples were delivered then,
+// and the cursor may be used again.
 func (s *Service) Deliver(ctx context.Context, t Trainer, pull Pull) (Delivery, error) {
 	if pull.Stopping == nil {
 		pull.Stopping = context.Background()
@@ -59,38 +62,38 @@
 	end := time.Now().Add(pull.Wait)
 	trained := max(pull.Version, t.NewestVersion, 1)
 	accepts := func(oldest int64) bool { return t.Accepts(oldest, trained) }
-	seen := batchView{service: s, pull: pull, accepts: accepts, prompts: map[int]prompt{}}
+	view := batchView{service: s, pull: pull, accepts: accepts, prompts: map[int]prompt{}}
 	for {
-		err := seen.update(ctx)
+		err := view.update(ctx)
 		if errors.Is(err, ErrUnavailable) && ctx.Err() == nil && pull.mayWait(end) {
-			// Who waits anyway need not be sent away for a read that failed.
+			// The pull may be held open, so a failed read is repeated instead of returned.
 			periodic.Pause(ctx, pollRetryDelay)
 			continue
 		}
 		if err != nil {
 			return Delivery{}, err
 		}
-		if err := s.startNextRound(ctx, t, &seen, trained); err != nil {
+		if err := s.startNextRound(ctx, t, &view, trained); err != nil {
 			return Delivery{}, err
 		}
-		if len(seen.plan.Ready) > 0 || seen.plan.Open == 0 || !pull.mayWait(end) {
-			return seen.newDelivery(), nil
+		if len(view.plan.Ready) > 0 || view.plan.Open == 0 || !pull.mayWait(end) {
+			return view.newDelivery(), nil
 		}
-		seen.waitForResults(ctx, min(time.Until(end), maxPollInterval))
+		view.waitForResults(ctx, min(time.Until(end), maxPollInterval))
 		if ctx.Err() != nil {
 			return Delivery{}, errors.Wrap(ErrUnavailable, ctx.Err().Error())
 		}
 	}
 }
 
-// startNextRound asks for a further round. That another daemon asked first, or that
-// the journal did not answer, is seen at the next look.
-func (s *Service) startNextRound(ctx context.Context, t Trainer, seen *batchView, trained int64) error {
-	samples := seen.plan.Again
+// startNextRound submits a round for the samples that must be made again. It returns nil if the
+// submission fails or another daemon was first: the next update shows whether the round exists.
+func (s *Service) startNextRound(ctx context.Context, t Trainer, view *batchView, trained int64) error {
+	samples := view.plan.Again
 	if len(samples) == 0 {
 		return nil
 	}
-	round, header := len(seen.rounds), seen.pull.Cursor.Header
+	round, header := len(view.rounds), view.pull.Cursor.Header
 	if round > maxRounds {
 		return ErrTooManyRounds
 	}
@@ -112,7 +115,8 @@
 	return nil
 }
 
-// firstRoundItems returns the job of a batch's first round with the items of some samples.
+// firstRoundItems returns the batch job of the first round, with only the items of the given
+// samples filled in. The error wraps ErrUnavailable, or ErrUnknownBatch if the batch was ended.
 func (s *Service) firstRoundItems(ctx context.Context, header rollout.Header, samples []int) (*batch.Submission, error) {
 	first := &batch.Submission{Items: make([]batch.Item, header.Samples)}
 	for len(samples) > 0 {
--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -28,8 +28,8 @@
 	"woodworks/internal/membership/identity"
 )
 
-// The fleet of the test below, as it is after a start of all daemons: that of the test of
-// questions in package results, and pulls of a few samples each, as they become ready.
+// The fleet and load of TestSamplesAreDeliveredSoonAfterAllDaemonsStarted, as in the tests of
+// package results. Rates are in bytes per second.
 const (
 	restartDaemons     = 91
 	restartBatches     = 36
@@ -38,26 +38,26 @@
 	restartPullLimit   = 4
 	restartJournalRate = 80e6
 	restartLinkRate    = 45e6 / 8
-	// maxStepWait is how long a trainer waits for the samples of a step.
+	// maxStepWait bounds the time until a trainer has all samples of a batch.
 	maxStepWait = 7500 * time.Millisecond
-	// refusedPullDelay is when a refused caller is told to come back.
+	// refusedPullDelay is the wait before a refused pull is repeated.
 	refusedPullDelay = time.Second
 )
 
-// paddedFrame is a text of one frame with so many bytes.
+// paddedFrame returns one frame padded to size bytes.
 func paddedFrame(size int) []byte {
 	text := []byte(`{"version":1,"tokens":[1],"end":"stop"}`)
 	return append(text, bytes.Repeat([]byte(" "), size-len(text))...)
 }
 
-// restartedFleet are desks that have just started before a journal of whole batches.
-// It implements results.Watchers and results.Peers.
+// restartedFleet is a fleet of services that have just started, with all batches in the journal. It
+// implements results.Watchers and results.Peers.
 type restartedFleet struct {
 	*ledgertest.Fleet
 	log      *journaltest.Journal
 	services []*Service
 	headers  []rollout.Header
-	// watchers answer peers, each over a link that carries one answer at a time.
+	// watchers answer queries of peers, each over a link that carries one page at a time.
 	watchers []*results.Service
 	links    []chan struct{}
 }
@@ -72,7 +72,7 @@
 	return errors.Errorf("no method %s", method)
 }
 
-// sendPage has a page cross the link of the daemon that told it.
+// sendPage waits for the time that a page takes on the link of the daemon that answers.
 func (r *restartedFleet) sendPage(ctx context.Context, at int, page *results.Page) error {
 	bytes := 0
 	for i := range page.Results {
@@ -118,8 +118,8 @@
 	return r
 }
 
-// pullBatch pulls the samples of a batch, each time at another daemon, and returns how many
-// pulls were refused.
+// pullBatch pulls all samples of a batch, each time from a random daemon, and returns the number of
+// refused pulls.
 func (r *restartedFleet) pullBatch(ctx context.Context, header rollout.Header, random *rand.Rand) (refused int) {
 	trainer := Trainer{Name: "t", NewestVersion: 1, Accepts: func(int64, int64) bool { return true }}
 	cursor := rollout.NewCursor(header)
@@ -135,7 +135,7 @@
 	return refused
 }
 
-// countTaken returns how many samples are taken.
+// countTaken returns the number of samples that the cursor has taken.
 func countTaken(cursor rollout.Cursor) (count int) {
 	for _, byte := range cursor.Bits() {
 		count += bits.OnesCount8(byte)
@@ -143,11 +143,9 @@
 	return count
 }
 
-// After a start of all daemons each pull made the daemon that it came to read its batch's
-// partition from the beginning, and the one that a further round would be in, however many
-// daemons did so already: the sum of these reads grows as pulls times bytes, until every daemon
-// has read everything. A desk asks a reader, which has a budget of reads and asks the watcher of
-// the fold.
+// Guards against pulls that make each daemon read whole partitions after a start of all daemons, so
+// that the bytes read grow with pulls times bytes and trainers wait. Reads are limited and go to
+// the watcher of the partition.
 func TestSamplesAreDeliveredSoonAfterAllDaemonsStarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -26,6 +26,7 @@
 	"operator not answered":                 "answer to operator not written",
 	"samples made again":                    "samples requested again",
 	"samples not made again":                "samples not requested again",
+	"samples not awaited":                   "failed to wait for samples",
 	"offer failed":                          "attempt failed",
 	"owners of partitions not learned":      "watchers of partitions not learned",
 	"replica ended under a content":         "replica ended while running content",
