--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -45,7 +45,7 @@
 	questions map[string]int
 }
 
-func newPeered(ctx context.Context, count int) *testCluster {
+func newTestCluster(ctx context.Context, count int) *testCluster {
 	p := &testCluster{log: journaltest.New(), watcher: identity.New("holder", time.Now()), questions: map[string]int{}}
 	minimalRate := journal.RateLimits{ReadBytesPerSecond: 1}
 	p.folds = ledger.New(ctx, p.log, zap.NewNop())
@@ -144,7 +144,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		p := newPeered(ctx, 3)
+		p := newTestCluster(ctx, 3)
 		const bound = 1
 		version := int64(3)
 		wanted := twoPrompts("n", 3)
@@ -218,7 +218,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		p := newPeered(ctx, 2)
+		p := newTestCluster(ctx, 2)
 		service := p.services[1]
 		header, err := p.services[0].Submit(ctx, trainerAt(3, 1), twoPrompts("n", 3))
 		is.NoErr(err)
@@ -264,7 +264,7 @@
 func TestSamplesAreRegeneratedAfterTheJournalWasTrimmed(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
-	p := newPeered(ctx, 0)
+	p := newTestCluster(ctx, 0)
 	further := p.folds.PartitionOf(rollout.JobID("t", "n", 1))
 	is.NoErr(further.Append(ctx, batch.Ended("gone", "")))
 	p.log.Trim(further.Name(), 1)
@@ -291,7 +291,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		p := newPeered(ctx, 2)
+		p := newTestCluster(ctx, 2)
 		wanted := twoPrompts("n", 3)
 		for i := range wanted.Prompts {
 			wanted.Prompts[i].Text = strings.Repeat("x", 300<<10)
