--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -88,7 +88,7 @@
 	return ctx.Err()
 }
 
-func newRestarted(ctx context.Context, t *testing.T) *restartedFleet {
+func newRestartedFleet(ctx context.Context, t *testing.T) *restartedFleet {
 	r := &restartedFleet{log: journaltest.New()}
 	r.log.Partitions, r.log.RecordBytes = 16, 256<<10
 	r.log.Rates = journal.RateLimits{ReadBytesPerSecond: restartJournalRate}
@@ -151,7 +151,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		r := newRestarted(ctx, t)
+		r := newRestartedFleet(ctx, t)
 		pulling, stop := context.WithTimeout(ctx, 4*maxStepWait)
 		defer stop()
 		began := time.Now()
