--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -132,7 +132,7 @@
 	return Trainer{Name: "t", NewestVersion: newest, Accepts: func(oldest, trained int64) bool { return trained-oldest <= bound }}
 }
 
-func twoPrompts(name string, samples int) rollout.Request {
+func requestOfTwoPrompts(name string, samples int) rollout.Request {
 	return rollout.Request{Trainer: "t", Name: name, SamplesPerPrompt: samples, MaxTokens: 10, Seed: 5, Prompts: []rollout.Prompt{{ID: "p", Text: "x"}, {ID: "q", Text: "y"}}}
 }
 
@@ -147,7 +147,7 @@
 		p := newTestCluster(ctx, 3)
 		const bound = 1
 		version := int64(3)
-		wanted := twoPrompts("n", 3)
+		wanted := requestOfTwoPrompts("n", 3)
 		header, err := p.services[0].Submit(ctx, trainerAt(version, bound), wanted)
 		if err != nil {
 			t.Fatal(err)
@@ -220,7 +220,7 @@
 		defer cancel()
 		p := newTestCluster(ctx, 2)
 		service := p.services[1]
-		header, err := p.services[0].Submit(ctx, trainerAt(3, 1), twoPrompts("n", 3))
+		header, err := p.services[0].Submit(ctx, trainerAt(3, 1), requestOfTwoPrompts("n", 3))
 		is.NoErr(err)
 		began := time.Now()
 		const resultDelay = 3300 * time.Millisecond
@@ -248,7 +248,7 @@
 		}
 		_, err = service.Find(ctx, "t", "none")
 		is.True(errors.Is(err, ErrUnknownBatch))
-		_, err = service.Submit(ctx, trainerAt(3, 1), twoPrompts("n", 2))
+		_, err = service.Submit(ctx, trainerAt(3, 1), requestOfTwoPrompts("n", 2))
 		is.True(errors.Is(err, ErrConflict))
 
 		p.addResult(t, p.jobs[0], 5, 3, 0)
@@ -270,7 +270,7 @@
 	p.log.Trim(further.Name(), 1)
 	reader := results.NewReader(ledger.New(ctx, p.log, zap.NewNop()), p, nil, journal.RateLimits{}, "late/1", zap.NewNop())
 	late := New(reader, p, rollout.ItemHeaders{}, zap.NewNop())
-	header, err := late.Submit(ctx, trainerAt(3, 1), twoPrompts("n", 3))
+	header, err := late.Submit(ctx, trainerAt(3, 1), requestOfTwoPrompts("n", 3))
 	is.NoErr(err)
 	p.addResult(t, p.jobs[0], 2, 3, 0)
 	got, err := late.Deliver(ctx, trainerAt(5, 1), Pull{Cursor: rollout.NewCursor(header), Limit: 4})
@@ -292,7 +292,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		p := newTestCluster(ctx, 2)
-		wanted := twoPrompts("n", 3)
+		wanted := requestOfTwoPrompts("n", 3)
 		for i := range wanted.Prompts {
 			wanted.Prompts[i].Text = strings.Repeat("x", 300<<10)
 		}
