--- a/internal/api/rollout/cursor.go
+++ b/internal/api/rollout/cursor.go
@@ -20,8 +20,8 @@
 	taken  []byte
 }
 
-// ErrCursor is returned for a text that is not a cursor of this service.
-var ErrCursor = errors.New("cursor: not a cursor of this service, or damaged")
+// ErrInvalidCursor is returned for a text that is not a cursor of this service.
+var ErrInvalidCursor = errors.New("cursor: not a cursor of this service, or damaged")
 
 const cursorFormat = 2
 
@@ -67,11 +67,11 @@
 func ParseCursor(text string) (Cursor, error) {
 	data, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil || len(data) < 1+8 {
-		return Cursor{}, ErrCursor
+		return Cursor{}, ErrInvalidCursor
 	}
 	body, sum := data[:len(data)-8], data[len(data)-8:]
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(sum) || body[0] != cursorFormat {
-		return Cursor{}, ErrCursor
+		return Cursor{}, ErrInvalidCursor
 	}
 	r := bytes.NewReader(body[1:])
 	var digest uint64
@@ -81,7 +81,7 @@
 	samples, errSamples := binary.ReadUvarint(r)
 	taken := body[len(body)-r.Len():]
 	if cmp.Or(errTrainer, errName, errDigest, errSamples) != nil || samples < 1 || samples > MaxSamples || len(taken) != int(samples+7)/8 {
-		return Cursor{}, ErrCursor
+		return Cursor{}, ErrInvalidCursor
 	}
 	return Cursor{Header: Header{Trainer: trainer, Name: name, Digest: digest, Samples: int(samples)}, taken: taken}, nil
 }
@@ -89,7 +89,7 @@
 func readText(r *bytes.Reader) (string, error) {
 	n, err := binary.ReadUvarint(r)
 	if err != nil || n > uint64(r.Len()) {
-		return "", ErrCursor
+		return "", ErrInvalidCursor
 	}
 	text := make([]byte, n)
 	_, err = io.ReadFull(r, text)
