--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -131,7 +131,7 @@
 	header := v.pull.Cursor.Header
 	page, err := v.service.reader.Samples(ctx, results.Query{
 		BatchID: rollout.JobID(header.Trainer, header.Name, r.number), After: r.next, Wait: wait,
-		Samples: &results.Samples{Taken: v.pull.Cursor.Bits(), Limit: v.pull.Limit, Further: r.number > 0},
+		Samples: &results.Samples{Taken: v.pull.Cursor.TakenBits(), Limit: v.pull.Limit, Further: r.number > 0},
 	})
 	if err != nil {
 		return results.Page{}, errors.Wrap(ErrUnavailable, err.Error())
--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -137,7 +137,7 @@
 
 // countTaken returns the number of samples that the cursor has taken.
 func countTaken(cursor rollout.Cursor) (count int) {
-	for _, byte := range cursor.Bits() {
+	for _, byte := range cursor.TakenBits() {
 		count += bits.OnesCount8(byte)
 	}
 	return count
--- a/internal/api/rollout/cursor.go
+++ b/internal/api/rollout/cursor.go
@@ -33,9 +33,9 @@
 // Taken reports whether the trainer has a sample.
 func (c Cursor) Taken(index int) bool { return c.taken[index/8]&(1<<(index%8)) != 0 }
 
-// Bits are the samples that the trainer has, a bit each, the lowest of the first byte first.
+// TakenBits are the samples that the trainer has, a bit each, the lowest of the first byte first.
 // They must not be changed.
-func (c Cursor) Bits() []byte { return c.taken }
+func (c Cursor) TakenBits() []byte { return c.taken }
 
 // Take returns a cursor in which the samples are taken too.
 func (c Cursor) Take(indices ...int) Cursor {
