--- a/internal/api/rollout/cursor.go
+++ b/internal/api/rollout/cursor.go
@@ -49,8 +49,8 @@
 // String encodes the cursor as URL-safe text.
 func (c Cursor) String() string {
 	data := []byte{cursorFormat}
-	data = appendText(data, c.Header.Trainer)
-	data = appendText(data, c.Header.Name)
+	data = appendString(data, c.Header.Trainer)
+	data = appendString(data, c.Header.Name)
 	data = binary.BigEndian.AppendUint64(data, c.Header.Digest)
 	data = binary.AppendUvarint(data, uint64(c.Header.Samples))
 	data = append(data, c.taken...)
@@ -58,7 +58,7 @@
 	return base64.RawURLEncoding.EncodeToString(data)
 }
 
-func appendText(data []byte, text string) []byte {
+func appendString(data []byte, text string) []byte {
 	data = binary.AppendUvarint(data, uint64(len(text)))
 	return append(data, text...)
 }
