--- a/internal/api/rollout/cursor.go
+++ b/internal/api/rollout/cursor.go
@@ -75,8 +75,8 @@
 	}
 	r := bytes.NewReader(body[1:])
 	var digest uint64
-	trainer, errTrainer := readText(r)
-	name, errName := readText(r)
+	trainer, errTrainer := readString(r)
+	name, errName := readString(r)
 	errDigest := binary.Read(r, binary.BigEndian, &digest)
 	samples, errSamples := binary.ReadUvarint(r)
 	taken := body[len(body)-r.Len():]
@@ -86,7 +86,7 @@
 	return Cursor{Header: Header{Trainer: trainer, Name: name, Digest: digest, Samples: int(samples)}, taken: taken}, nil
 }
 
-func readText(r *bytes.Reader) (string, error) {
+func readString(r *bytes.Reader) (string, error) {
 	n, err := binary.ReadUvarint(r)
 	if err != nil || n > uint64(r.Len()) {
 		return "", ErrInvalidCursor
