--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -33,8 +33,8 @@
 		return "trainer", "is required"
 	case s.Prompt == "":
 		return "prompt", "is required"
-	case s.MaxTokens < 1 || s.MaxTokens > rollout.MaxTokensLimit:
-		return "max_tokens", strconv.Itoa(s.MaxTokens) + " is not between 1 and " + strconv.Itoa(rollout.MaxTokensLimit)
+	case s.MaxTokens < 1 || s.MaxTokens > rollout.MaxSampleTokens:
+		return "max_tokens", strconv.Itoa(s.MaxTokens) + " is not between 1 and " + strconv.Itoa(rollout.MaxSampleTokens)
 	case s.TimeoutMillis < 0 || s.TimeoutMillis > maxSampleTimeout.Milliseconds():
 		return "timeout_ms", "is not between 0 and " + strconv.FormatInt(maxSampleTimeout.Milliseconds(), 10)
 	}
--- a/internal/api/rollout/rollout.go
+++ b/internal/api/rollout/rollout.go
@@ -24,8 +24,8 @@
 	MaxSamples = 65_536
 	// MaxPromptBytes bounds one prompt.
 	MaxPromptBytes = 1 << 20
-	// MaxTokensLimit bounds the tokens of one sample.
-	MaxTokensLimit = 1 << 20
+	// MaxSampleTokens bounds the tokens of one sample.
+	MaxSampleTokens = 1 << 20
 	// maxNameBytes bounds a batch's name.
 	maxNameBytes = 128
 )
@@ -79,8 +79,8 @@
 		return fieldError("samples_per_prompt", "%d is below 1", r.SamplesPerPrompt)
 	case r.SamplesPerPrompt > MaxSamples || len(r.Prompts) > MaxSamples/r.SamplesPerPrompt:
 		return fieldError("samples_per_prompt", "the batch has more than %d samples", MaxSamples)
-	case r.MaxTokens < 1 || r.MaxTokens > MaxTokensLimit:
-		return fieldError("max_tokens", "%d is not between 1 and %d", r.MaxTokens, MaxTokensLimit)
+	case r.MaxTokens < 1 || r.MaxTokens > MaxSampleTokens:
+		return fieldError("max_tokens", "%d is not between 1 and %d", r.MaxTokens, MaxSampleTokens)
 	}
 	for _, character := range r.Name {
 		if character < '!' || character > '~' || character == '/' {
