--- a/internal/api/rollout/rollout.go
+++ b/internal/api/rollout/rollout.go
@@ -39,7 +39,7 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-func fieldError(field, format string, arguments ...any) error {
+func newFieldError(field, format string, arguments ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, arguments...)}
 }
 
@@ -68,23 +68,23 @@
 func (r Request) Check() error {
 	switch {
 	case r.Trainer == "":
-		return fieldError("trainer", "is required")
+		return newFieldError("trainer", "is required")
 	case r.Name == "":
-		return fieldError("name", "is required")
+		return newFieldError("name", "is required")
 	case len(r.Name) > maxNameBytes:
-		return fieldError("name", "has %d bytes, over the limit of %d", len(r.Name), maxNameBytes)
+		return newFieldError("name", "has %d bytes, over the limit of %d", len(r.Name), maxNameBytes)
 	case len(r.Prompts) == 0:
-		return fieldError("prompts", "at least one is required")
+		return newFieldError("prompts", "at least one is required")
 	case r.SamplesPerPrompt < 1:
-		return fieldError("samples_per_prompt", "%d is below 1", r.SamplesPerPrompt)
+		return newFieldError("samples_per_prompt", "%d is below 1", r.SamplesPerPrompt)
 	case r.SamplesPerPrompt > MaxSamples || len(r.Prompts) > MaxSamples/r.SamplesPerPrompt:
-		return fieldError("samples_per_prompt", "the batch has more than %d samples", MaxSamples)
+		return newFieldError("samples_per_prompt", "the batch has more than %d samples", MaxSamples)
 	case r.MaxTokens < 1 || r.MaxTokens > MaxSampleTokens:
-		return fieldError("max_tokens", "%d is not between 1 and %d", r.MaxTokens, MaxSampleTokens)
+		return newFieldError("max_tokens", "%d is not between 1 and %d", r.MaxTokens, MaxSampleTokens)
 	}
 	for _, character := range r.Name {
 		if character < '!' || character > '~' || character == '/' {
-			return fieldError("name", "must be printable ASCII without spaces and /")
+			return newFieldError("name", "must be printable ASCII without spaces and /")
 		}
 	}
 	return checkPrompts(r.Prompts)
@@ -96,15 +96,15 @@
 		field := fmt.Sprintf("prompts[%d]", i)
 		switch {
 		case prompt.ID == "":
-			return fieldError(field+".id", "is required")
+			return newFieldError(field+".id", "is required")
 		case seen[prompt.ID]:
-			return fieldError(field+".id", "%q stands twice", prompt.ID)
+			return newFieldError(field+".id", "%q stands twice", prompt.ID)
 		case prompt.Text == "":
-			return fieldError(field+".text", "is required")
+			return newFieldError(field+".text", "is required")
 		case len(prompt.Text) > MaxPromptBytes:
-			return fieldError(field+".text", "has %d bytes, over the limit of %d", len(prompt.Text), MaxPromptBytes)
+			return newFieldError(field+".text", "has %d bytes, over the limit of %d", len(prompt.Text), MaxPromptBytes)
 		case prompt.ExpectedTokens < 0:
-			return fieldError(field+".expected_tokens", "%d is negative", prompt.ExpectedTokens)
+			return newFieldError(field+".expected_tokens", "%d is negative", prompt.ExpectedTokens)
 		}
 		seen[prompt.ID] = true
 	}
