--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -34,7 +34,7 @@
 // round is the part of one round that was read.
 type round struct {
 	number  int
-	results rollout.Round
+	results rollout.RoundResults
 	// next is the position of the first result that was not read, total the number of results that
 	// the round will have.
 	next, total int
@@ -66,8 +66,8 @@
 }
 
 // roundResults returns the results of each round that was read, in the order of the rounds.
-func (v *batchView) roundResults() []rollout.Round {
-	samples := make([]rollout.Round, len(v.rounds))
+func (v *batchView) roundResults() []rollout.RoundResults {
+	samples := make([]rollout.RoundResults, len(v.rounds))
 	for i, r := range v.rounds {
 		samples[i] = r.results
 	}
@@ -88,7 +88,7 @@
 // there is none. It returns ErrUnknownBatch if the first round does not exist or does not match the
 // cursor's header.
 func (v *batchView) findNextRound(ctx context.Context) error {
-	next := &round{number: len(v.rounds), results: rollout.Round{}}
+	next := &round{number: len(v.rounds), results: rollout.RoundResults{}}
 	page, err := v.fetchPage(ctx, next, 0)
 	header := v.pull.Cursor.Header
 	switch {
--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -98,8 +98,8 @@
 	one.jobs = append(one.jobs, &batch.Batch{Submission: *job, HasResult: make([]bool, len(job.Items))})
 }
 
-func (one *trainer) rounds() []rollout.Round {
-	var rounds []rollout.Round
+func (one *trainer) rounds() []rollout.RoundResults {
+	var rounds []rollout.RoundResults
 	for _, job := range one.jobs {
 		rounds = append(rounds, roundOf(job))
 	}
@@ -107,8 +107,8 @@
 }
 
 // roundOf reads a round off a batch job.
-func roundOf(job *batch.Batch) rollout.Round {
-	round := rollout.Round{}
+func roundOf(job *batch.Batch) rollout.RoundResults {
+	round := rollout.RoundResults{}
 	for i := range job.Items {
 		if sample, ours := rollout.SampleOf(job.Items[i].ID); ours {
 			round[sample] = nil
@@ -208,8 +208,8 @@
 func TestTextsOfOtherVersionsAreMadeAgain(t *testing.T) {
 	is := is.New(t)
 	header := rollout.HeaderOf(request(1, 1))
-	round := rollout.Round{0: {Outcome: batch.Done, Versions: []int64{2}, Text: []byte(`{"version":3,"tokens":[1],"end":"stop"}`)}}
-	plan := rollout.Plan(rollout.NewCursor(header), []rollout.Round{round}, func(int64) bool { return true }, 1)
+	round := rollout.RoundResults{0: {Outcome: batch.Done, Versions: []int64{2}, Text: []byte(`{"version":3,"tokens":[1],"end":"stop"}`)}}
+	plan := rollout.Plan(rollout.NewCursor(header), []rollout.RoundResults{round}, func(int64) bool { return true }, 1)
 	is.Equal(len(plan.Ready), 0)
 	is.Equal(plan.Again, []int{0})
 }
--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -97,9 +97,9 @@
 	return digest, err == nil
 }
 
-// Round is one round as it stands: the newest result of each of its samples,
+// RoundResults is one round as it stands: the newest result of each of its samples,
 // nil for one that has none yet.
-type Round map[int]*batch.Result
+type RoundResults map[int]*batch.Result
 
 // Planned is what a delivery should do.
 type Planned struct {
@@ -113,7 +113,7 @@
 
 // Plan decides on the samples that the cursor has not taken. Accepts judges the
 // oldest version of a sample. Of the rounds that make a sample the last counts.
-func Plan(cursor Cursor, rounds []Round, accepts func(oldest int64) bool, limit int) Planned {
+func Plan(cursor Cursor, rounds []RoundResults, accepts func(oldest int64) bool, limit int) Planned {
 	var plan Planned
 	for sample := range cursor.Header.Samples {
 		if cursor.Taken(sample) {
@@ -143,7 +143,7 @@
 
 // newestOf returns the result of the last round that makes a sample, or nil if
 // it has none yet.
-func newestOf(rounds []Round, sample int) *batch.Result {
+func newestOf(rounds []RoundResults, sample int) *batch.Result {
 	for i := len(rounds) - 1; i >= 0; i-- {
 		if res, ok := rounds[i][sample]; ok {
 			return res
