--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -22,7 +22,7 @@
 	// noMoreRounds reports whether the last update found no round after those in rounds.
 	noMoreRounds bool
 	prompts      map[int]prompt
-	plan         rollout.Planned
+	plan         rollout.DeliveryPlan
 }
 
 // prompt holds the fields of a request that are repeated in each of its samples.
--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -101,8 +101,8 @@
 // nil for one that has none yet.
 type RoundResults map[int]*batch.Result
 
-// Planned is what a delivery should do.
-type Planned struct {
+// DeliveryPlan is what a delivery should do.
+type DeliveryPlan struct {
 	// Ready are samples to hand over.
 	Ready []Result
 	// Again are samples that must be made again in a further round.
@@ -113,8 +113,8 @@
 
 // Plan decides on the samples that the cursor has not taken. Accepts judges the
 // oldest version of a sample. Of the rounds that make a sample the last counts.
-func Plan(cursor Cursor, rounds []RoundResults, accepts func(oldest int64) bool, limit int) Planned {
-	var plan Planned
+func Plan(cursor Cursor, rounds []RoundResults, accepts func(oldest int64) bool, limit int) DeliveryPlan {
+	var plan DeliveryPlan
 	for sample := range cursor.Header.Samples {
 		if cursor.Taken(sample) {
 			continue
