--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -52,7 +52,7 @@
 		unread := v.unreadRound()
 		var err error
 		switch {
-		case len(v.rounds) == 0 || len(v.plan.Again) > 0 && !v.noMoreRounds:
+		case len(v.rounds) == 0 || len(v.plan.Regenerate) > 0 && !v.noMoreRounds:
 			err = v.findNextRound(ctx)
 		case len(v.plan.Ready) == 0 && unread != nil:
 			err = v.readRound(ctx, unread, 0)
--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -89,7 +89,7 @@
 // startNextRound submits a round for the samples that must be made again. It returns nil if the
 // submission fails or another daemon was first: the next update shows whether the round exists.
 func (s *Service) startNextRound(ctx context.Context, t Trainer, view *batchView, trained int64) error {
-	samples := view.plan.Again
+	samples := view.plan.Regenerate
 	if len(samples) == 0 {
 		return nil
 	}
--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -159,8 +159,8 @@
 		one.taken[ready.Index] = true
 		one.cursor = one.cursor.Take(ready.Index)
 	}
-	if len(plan.Again) > 0 {
-		one.exist(rollout.Next(&one.jobs[0].Submission, one.header, len(seen), plan.Again, one.version-one.bound))
+	if len(plan.Regenerate) > 0 {
+		one.exist(rollout.Next(&one.jobs[0].Submission, one.header, len(seen), plan.Regenerate, one.version-one.bound))
 	}
 }
 
@@ -183,8 +183,8 @@
 			for _, ready := range plan.Ready {
 				one.cursor = one.cursor.Take(ready.Index)
 			}
-			if len(plan.Again) > 0 {
-				one.exist(rollout.Next(&one.jobs[0].Submission, one.header, len(one.jobs), plan.Again, one.version-one.bound))
+			if len(plan.Regenerate) > 0 {
+				one.exist(rollout.Next(&one.jobs[0].Submission, one.header, len(one.jobs), plan.Regenerate, one.version-one.bound))
 			}
 		}
 	})
@@ -211,7 +211,7 @@
 	round := rollout.RoundResults{0: {Outcome: batch.Done, Versions: []int64{2}, Text: []byte(`{"version":3,"tokens":[1],"end":"stop"}`)}}
 	plan := rollout.Plan(rollout.NewCursor(header), []rollout.RoundResults{round}, func(int64) bool { return true }, 1)
 	is.Equal(len(plan.Ready), 0)
-	is.Equal(plan.Again, []int{0})
+	is.Equal(plan.Regenerate, []int{0})
 }
 
 func TestSegmentsAreRunsOfOneVersion(t *testing.T) {
--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -105,8 +105,8 @@
 type DeliveryPlan struct {
 	// Ready are samples to hand over.
 	Ready []Result
-	// Again are samples that must be made again in a further round.
-	Again []int
+	// Regenerate are samples that must be made again in a further round.
+	Regenerate []int
 	// Open counts the samples that are neither taken nor ready.
 	Open int
 }
@@ -125,14 +125,14 @@
 			plan.Open++
 		case res.Outcome != batch.Done || !accepts(oldest(res)):
 			plan.Open++
-			plan.Again = append(plan.Again, sample)
+			plan.Regenerate = append(plan.Regenerate, sample)
 		case len(plan.Ready) >= limit:
 			plan.Open++
 		default:
 			ready := Result{Index: sample}
 			if ready.readText(res) != nil {
 				plan.Open++
-				plan.Again = append(plan.Again, sample)
+				plan.Regenerate = append(plan.Regenerate, sample)
 				continue
 			}
 			plan.Ready = append(plan.Ready, ready)
