--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -119,7 +119,7 @@
 		if cursor.Taken(sample) {
 			continue
 		}
-		res := newestOf(rounds, sample)
+		res := newestResult(rounds, sample)
 		switch {
 		case res == nil:
 			plan.Open++
@@ -141,9 +141,9 @@
 	return plan
 }
 
-// newestOf returns the result of the last round that makes a sample, or nil if
+// newestResult returns the result of the last round that makes a sample, or nil if
 // it has none yet.
-func newestOf(rounds []RoundResults, sample int) *batch.Result {
+func newestResult(rounds []RoundResults, sample int) *batch.Result {
 	for i := len(rounds) - 1; i >= 0; i-- {
 		if res, ok := rounds[i][sample]; ok {
 			return res
