--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// SeedOf returns the seed that the body of an item asks for, 0 where it names none.
-func SeedOf(body []byte) uint64 {
+// ParseSeed returns the seed that the body of an item asks for, 0 where it names none.
+func ParseSeed(body []byte) uint64 {
 	var g Generate
 	if json.Unmarshal(body, &g) != nil {
 		return 0
--- a/internal/batches/results/samples.go
+++ b/internal/batches/results/samples.go
@@ -69,7 +69,7 @@
 func (page *Page) readSeeds() {
 	for i := range page.Results {
 		if page.Results[i].body != nil {
-			page.Results[i].Seed = rollout.SeedOf(page.Results[i].body)
+			page.Results[i].Seed = rollout.ParseSeed(page.Results[i].body)
 		}
 	}
 }
