--- a/internal/api/gateway/samples.go
+++ b/internal/api/gateway/samples.go
@@ -71,7 +71,7 @@
 		return
 	}
 	defer g.flights.leave(classCounter(class.Name))
-	body, err := json.Marshal(rollout.Generate{Model: req.Trainer, Prompt: req.Prompt, Seed: req.Seed, MaxTokens: req.MaxTokens})
+	body, err := json.Marshal(rollout.GenerateRequest{Model: req.Trainer, Prompt: req.Prompt, Seed: req.Seed, MaxTokens: req.MaxTokens})
 	if err != nil {
 		badField(w, "prompt", err.Error())
 		return
--- a/internal/api/rollout/golden_test.go
+++ b/internal/api/rollout/golden_test.go
@@ -11,7 +11,7 @@
 
 func TestRequestsKeepTheirForm(t *testing.T) {
 	golden.JSON[Request](t, "request")
-	golden.JSON[Generate](t, "generate")
+	golden.JSON[GenerateRequest](t, "generate")
 	golden.JSON[Frame](t, "frame")
 	golden.JSON[Result](t, "result")
 }
--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -52,7 +52,7 @@
 }
 
 func firstItem(job string, sample int, prompt Prompt, seed uint64, request Request, names ItemHeaders) batch.Item {
-	body, err := json.Marshal(Generate{Model: request.Trainer, Prompt: prompt.Text, Seed: seed, MaxTokens: request.MaxTokens})
+	body, err := json.Marshal(GenerateRequest{Model: request.Trainer, Prompt: prompt.Text, Seed: seed, MaxTokens: request.MaxTokens})
 	if err != nil {
 		panic(err) // texts and numbers are always encodable
 	}
@@ -154,7 +154,7 @@
 
 // ParseSeed returns the seed that the body of an item asks for, 0 where it names none.
 func ParseSeed(body []byte) uint64 {
-	var g Generate
+	var g GenerateRequest
 	if json.Unmarshal(body, &g) != nil {
 		return 0
 	}
--- a/internal/api/rollout/sample.go
+++ b/internal/api/rollout/sample.go
@@ -10,8 +10,8 @@
 	"woodworks/internal/batches/batch"
 )
 
-// Generate is what an engine is asked for: the body of an item.
-type Generate struct {
+// GenerateRequest is what an engine is asked for: the body of an item.
+type GenerateRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	Seed      uint64 `json:"seed"`
--- a/internal/demo/fakeengine/fakeengine.go
+++ b/internal/demo/fakeengine/fakeengine.go
@@ -191,7 +191,7 @@
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
 	names := standalone.HeaderNames()
 	body, err := io.ReadAll(r.Body)
-	var req rollout.Generate
+	var req rollout.GenerateRequest
 	if err != nil || json.Unmarshal(body, &req) != nil || req.MaxTokens < 1 {
 		w.WriteHeader(http.StatusUnprocessableEntity)
 		return
@@ -217,7 +217,7 @@
 	e.stream(w, r, req, after, breaks)
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, req rollout.Generate, after int64, breaks bool) {
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, req rollout.GenerateRequest, after int64, breaks bool) {
 	total := min(Length(req.Prompt, req.Seed, e.shape.MedianTokens), req.MaxTokens)
 	flusher := http.NewResponseController(w)
 	events := int64((total + e.shape.TokensPerEvent - 1) / e.shape.TokensPerEvent)
@@ -237,7 +237,7 @@
 	}
 }
 
-func (e *Engine) writeEvent(w io.Writer, req rollout.Generate, number int64, first, count int, last bool) {
+func (e *Engine) writeEvent(w io.Writer, req rollout.GenerateRequest, number int64, first, count int, last bool) {
 	frame := rollout.Frame{Version: e.versionOf(req.Model)}
 	for position := first; position < first+count; position++ {
 		token := Token(req.Model, req.Prompt, req.Seed, uint64(frame.Version), position)
