--- a/internal/api/rollout/sample.go
+++ b/internal/api/rollout/sample.go
@@ -43,8 +43,8 @@
 	End      string    `json:"end"`
 }
 
-// ErrText is returned for a text that is not made of an engine's frames.
-var ErrText = errors.New("rollout: the text is not made of frames")
+// ErrInvalidText is returned for a text that is not made of an engine's frames.
+var ErrInvalidText = errors.New("rollout: the text is not made of frames")
 
 // Add takes a frame in.
 func (r *Result) Add(frame Frame) {
@@ -69,13 +69,13 @@
 	for _, line := range bytes.Split(res.Text, []byte("\n")) {
 		var frame Frame
 		if err := json.Unmarshal(line, &frame); err != nil {
-			return errors.Wrap(ErrText, err.Error())
+			return errors.Wrap(ErrInvalidText, err.Error())
 		}
 		r.Add(frame)
 	}
 	for _, segment := range r.Segments {
 		if !slices.Contains(res.Versions, int64(segment.Version)) {
-			return errors.Wrapf(ErrText, "version %d is not one that made it", segment.Version)
+			return errors.Wrapf(ErrInvalidText, "version %d is not one that made it", segment.Version)
 		}
 	}
 	return nil
