--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -130,7 +130,7 @@
 			plan.Open++
 		default:
 			ready := Result{Index: sample}
-			if ready.readText(res) != nil {
+			if ready.parseText(res) != nil {
 				plan.Open++
 				plan.Regenerate = append(plan.Regenerate, sample)
 				continue
--- a/internal/api/rollout/sample.go
+++ b/internal/api/rollout/sample.go
@@ -63,9 +63,9 @@
 	r.Segments = append(r.Segments, Segment{Version: uint64(frame.Version), Tokens: len(frame.Tokens)})
 }
 
-// readText fills a result from the text of an item. Each version that a frame
+// parseText fills a result from the text of an item. Each version that a frame
 // names must be among those that the item was made by.
-func (r *Result) readText(res *batch.Result) error {
+func (r *Result) parseText(res *batch.Result) error {
 	for _, line := range bytes.Split(res.Text, []byte("\n")) {
 		var frame Frame
 		if err := json.Unmarshal(line, &frame); err != nil {
