--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -123,7 +123,7 @@
 		switch {
 		case res == nil:
 			plan.Open++
-		case res.Outcome != batch.Done || !accepts(oldest(res)):
+		case res.Outcome != batch.Done || !accepts(oldestVersion(res)):
 			plan.Open++
 			plan.Regenerate = append(plan.Regenerate, sample)
 		case len(plan.Ready) >= limit:
--- a/internal/api/rollout/sample.go
+++ b/internal/api/rollout/sample.go
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// oldest returns the lowest version that made a part of an item.
-func oldest(res *batch.Result) int64 {
+// oldestVersion returns the lowest version that made a part of an item.
+func oldestVersion(res *batch.Result) int64 {
 	lowest := int64(0)
 	for _, version := range res.Versions {
 		if lowest == 0 || version < lowest {
