--- a/internal/api/rollout/golden_test.go
+++ b/internal/api/rollout/golden_test.go
@@ -9,7 +9,7 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestRequestsKeepTheirForm(t *testing.T) {
+func TestEncodingOfMessagesIsUnchanged(t *testing.T) {
 	golden.JSON[Request](t, "request")
 	golden.JSON[GenerateRequest](t, "generate")
 	golden.JSON[Frame](t, "frame")
