--- a/internal/api/rollout/golden_test.go
+++ b/internal/api/rollout/golden_test.go
@@ -16,7 +16,7 @@
 	golden.JSON[Result](t, "result")
 }
 
-func TestCursorsKeepTheirForm(t *testing.T) {
+func TestEncodingOfCursorIsUnchanged(t *testing.T) {
 	is := is.New(t)
 	cursor := NewCursor(Header{Trainer: "trainer", Name: "name", Digest: 1 << 60, Samples: 12}).Take(1, 9)
 	golden.Text(t, "cursor.txt", cursor.String())
