--- a/internal/api/rollout/golden_test.go
+++ b/internal/api/rollout/golden_test.go
@@ -26,7 +26,7 @@
 }
 
 // A daemon may make a further round of a batch whose first one another daemon has made.
-func TestRoundsKeepTheirForm(t *testing.T) {
+func TestEncodingOfRoundsIsUnchanged(t *testing.T) {
 	request := Request{
 		Trainer: "trainer", Name: "name", SamplesPerPrompt: 2, MaxTokens: 64, Seed: 7,
 		Prompts: []Prompt{{ID: "p1", Text: "one", ExpectedTokens: 20}, {ID: "p2", Text: "two"}},
