--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -22,7 +22,7 @@
 	return wanted
 }
 
-func TestCursorKeepsItsState(t *testing.T) {
+func TestParsedCursorEqualsTheEncodedOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		header := rollout.HeaderOf(request(rapid.IntRange(1, 60).Draw(t, "prompts"), 3))
 		cursor := rollout.NewCursor(header)
