--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestDamagedCursorsAreRefused(t *testing.T) {
+func TestDamagedCursorsAreRejected(t *testing.T) {
 	is := is.New(t)
 	text := rollout.NewCursor(rollout.HeaderOf(request(4, 4))).String()
 	for i := range text {
