--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -205,7 +205,7 @@
 }
 
 // A text that names a version that did not make it is not handed over.
-func TestTextsOfOtherVersionsAreMadeAgain(t *testing.T) {
+func TestSampleThatNamesAnUnreportedVersionIsRegenerated(t *testing.T) {
 	is := is.New(t)
 	header := rollout.HeaderOf(request(1, 1))
 	round := rollout.RoundResults{0: {Outcome: batch.Done, Versions: []int64{2}, Text: []byte(`{"version":3,"tokens":[1],"end":"stop"}`)}}
