--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -214,7 +214,7 @@
 	is.Equal(plan.Regenerate, []int{0})
 }
 
-func TestSegmentsAreRunsOfOneVersion(t *testing.T) {
+func TestAddMergesTokensOfOneVersionIntoASegment(t *testing.T) {
 	is := is.New(t)
 	var result rollout.Result
 	for _, frame := range []rollout.Frame{{Version: 1, Tokens: []uint32{5}}, {Version: 1, Tokens: []uint32{6}}, {Version: 2, Tokens: []uint32{7}}, {Version: 2, End: "stop"}} {
