--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -224,7 +224,7 @@
 	is.Equal(result.End, "stop")
 }
 
-func TestRequestsNameTheFaultyField(t *testing.T) {
+func TestCheckNamesTheInvalidField(t *testing.T) {
 	is := is.New(t)
 	wanted := request(2, 1)
 	is.NoErr(wanted.Check())
