--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -69,9 +69,9 @@
 
 var names = rollout.ItemHeaders{TokenUsage: "Usage", LengthHint: "Hint"}
 
-// trainer is a model of one trainer with its batch: the jobs that exist, what
+// trainerModel is a model of one trainerModel with its batch: the jobs that exist, what
 // was handed over, and the version trained.
-type trainer struct {
+type trainerModel struct {
 	header  rollout.Header
 	jobs    []*batch.Batch
 	cursor  rollout.Cursor
@@ -80,16 +80,16 @@
 	taken   map[int]bool
 }
 
-func newTrainer(t *rapid.T) *trainer {
+func newTrainer(t *rapid.T) *trainerModel {
 	wanted := request(rapid.IntRange(1, 4).Draw(t, "prompts"), rapid.IntRange(1, 3).Draw(t, "samples"))
 	header := rollout.HeaderOf(wanted)
-	one := &trainer{header: header, cursor: rollout.NewCursor(header), version: 3, bound: 1, taken: map[int]bool{}}
+	one := &trainerModel{header: header, cursor: rollout.NewCursor(header), version: 3, bound: 1, taken: map[int]bool{}}
 	one.exist(rollout.First(wanted, header, one.version-one.bound, names))
 	return one
 }
 
 // exist makes a job exist, as the first acceptance of its id does.
-func (one *trainer) exist(job *batch.Submission) {
+func (one *trainerModel) exist(job *batch.Submission) {
 	for _, known := range one.jobs {
 		if known.ID == job.ID {
 			return
@@ -98,7 +98,7 @@
 	one.jobs = append(one.jobs, &batch.Batch{Submission: *job, HasResult: make([]bool, len(job.Items))})
 }
 
-func (one *trainer) rounds() []rollout.RoundResults {
+func (one *trainerModel) rounds() []rollout.RoundResults {
 	var rounds []rollout.RoundResults
 	for _, job := range one.jobs {
 		rounds = append(rounds, roundOf(job))
@@ -123,10 +123,10 @@
 	return round
 }
 
-func (one *trainer) accepts(oldest int64) bool { return one.version-oldest <= one.bound }
+func (one *trainerModel) accepts(oldest int64) bool { return one.version-oldest <= one.bound }
 
 // finish lists an item of a job, as a run under some versions would.
-func (one *trainer) finish(t *rapid.T) {
+func (one *trainerModel) finish(t *rapid.T) {
 	job := one.jobs[rapid.IntRange(0, len(one.jobs)-1).Draw(t, "job")]
 	item := rapid.IntRange(0, len(job.Items)-1).Draw(t, "item")
 	if job.HasResult[item] {
@@ -145,7 +145,7 @@
 }
 
 // deliver does what a daemon does on a pull; another daemon may have seen less.
-func (one *trainer) deliver(t *rapid.T) {
+func (one *trainerModel) deliver(t *rapid.T) {
 	rounds := one.rounds()
 	seen := rounds[:rapid.IntRange(1, len(rounds)).Draw(t, "rounds seen")]
 	plan := rollout.Plan(one.cursor, seen, one.accepts, rapid.IntRange(1, 5).Draw(t, "limit"))
@@ -191,7 +191,7 @@
 }
 
 // finishAll lists all items that have no result yet.
-func (one *trainer) finishAll() {
+func (one *trainerModel) finishAll() {
 	for _, job := range one.jobs {
 		for item, listed := range job.HasResult {
 			if !listed {
