--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -84,12 +84,12 @@
 	wanted := request(rapid.IntRange(1, 4).Draw(t, "prompts"), rapid.IntRange(1, 3).Draw(t, "samples"))
 	header := rollout.HeaderOf(wanted)
 	one := &trainerModel{header: header, cursor: rollout.NewCursor(header), version: 3, bound: 1, taken: map[int]bool{}}
-	one.exist(rollout.First(wanted, header, one.version-one.bound, names))
+	one.submit(rollout.First(wanted, header, one.version-one.bound, names))
 	return one
 }
 
-// exist makes a job exist, as the first acceptance of its id does.
-func (one *trainerModel) exist(job *batch.Submission) {
+// submit makes a job submit, as the first acceptance of its id does.
+func (one *trainerModel) submit(job *batch.Submission) {
 	for _, known := range one.jobs {
 		if known.ID == job.ID {
 			return
@@ -160,7 +160,7 @@
 		one.cursor = one.cursor.Take(ready.Index)
 	}
 	if len(plan.Regenerate) > 0 {
-		one.exist(rollout.Next(&one.jobs[0].Submission, one.header, len(seen), plan.Regenerate, one.version-one.bound))
+		one.submit(rollout.Next(&one.jobs[0].Submission, one.header, len(seen), plan.Regenerate, one.version-one.bound))
 	}
 }
 
@@ -184,7 +184,7 @@
 				one.cursor = one.cursor.Take(ready.Index)
 			}
 			if len(plan.Regenerate) > 0 {
-				one.exist(rollout.Next(&one.jobs[0].Submission, one.header, len(one.jobs), plan.Regenerate, one.version-one.bound))
+				one.submit(rollout.Next(&one.jobs[0].Submission, one.header, len(one.jobs), plan.Regenerate, one.version-one.bound))
 			}
 		}
 	})
