--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -101,13 +101,13 @@
 func (one *trainerModel) rounds() []rollout.RoundResults {
 	var rounds []rollout.RoundResults
 	for _, job := range one.jobs {
-		rounds = append(rounds, roundOf(job))
+		rounds = append(rounds, resultsOf(job))
 	}
 	return rounds
 }
 
-// roundOf reads a round off a batch job.
-func roundOf(job *batch.Batch) rollout.RoundResults {
+// resultsOf reads a round off a batch job.
+func resultsOf(job *batch.Batch) rollout.RoundResults {
 	round := rollout.RoundResults{}
 	for i := range job.Items {
 		if sample, ours := rollout.SampleOf(job.Items[i].ID); ours {
