--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -33,7 +33,7 @@
 			taken[index] = true
 		}
 		read, err := rollout.ParseCursor(cursor.String())
-		if err != nil || read.Header != header || countOf(read) != len(taken) {
+		if err != nil || read.Header != header || countTaken(read) != len(taken) {
 			t.Fatalf("read %+v, %v", read, err)
 		}
 		for index := range header.Samples {
@@ -61,8 +61,8 @@
 	f.Add("")
 	f.Fuzz(func(t *testing.T, text string) {
 		cursor, err := rollout.ParseCursor(text)
-		if err == nil && countOf(cursor) > cursor.Header.Samples {
-			t.Fatalf("%d of %d samples taken", countOf(cursor), cursor.Header.Samples)
+		if err == nil && countTaken(cursor) > cursor.Header.Samples {
+			t.Fatalf("%d of %d samples taken", countTaken(cursor), cursor.Header.Samples)
 		}
 	})
 }
@@ -174,9 +174,9 @@
 			"deliver": one.deliver,
 			"version": func(*rapid.T) { one.version++ },
 		})
-		for turn := 0; countOf(one.cursor) < one.header.Samples; turn++ {
+		for turn := 0; countTaken(one.cursor) < one.header.Samples; turn++ {
 			if turn > 100 {
-				t.Fatalf("%d of %d samples after all were made", countOf(one.cursor), one.header.Samples)
+				t.Fatalf("%d of %d samples after all were made", countTaken(one.cursor), one.header.Samples)
 			}
 			one.finishAll()
 			plan := rollout.Plan(one.cursor, one.rounds(), one.accepts, one.header.Samples)
@@ -234,8 +234,8 @@
 	is.Equal(fault.Field, "prompts[1].id")
 }
 
-// countOf returns how many samples are taken.
-func countOf(cursor rollout.Cursor) int {
+// countTaken returns how many samples are taken.
+func countTaken(cursor rollout.Cursor) int {
 	count := 0
 	for index := range cursor.Header.Samples {
 		if cursor.Taken(index) {
