--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -99,7 +99,7 @@
 func (s *Service) Submit(ctx context.Context, t Trainer, request rollout.Request) (rollout.Header, error) {
 	header := rollout.HeaderOf(request)
 	minVersion := max(t.oldestAccepted(t.NewestVersion), int64(request.MinVersion))
-	job := rollout.First(request, header, minVersion, s.itemHeaders)
+	job := rollout.FirstRound(request, header, minVersion, s.itemHeaders)
 	job.AcceptedAtMs = time.Now().UnixMilli()
 	bounded, cancel := context.WithTimeout(ctx, runner.SubmitTimeout)
 	defer cancel()
--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -98,7 +98,7 @@
 		request := rollout.Request{Trainer: "t", Name: fmt.Sprint("n", i), SamplesPerPrompt: restartSamples, MaxTokens: 10, Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}}
 		header := rollout.HeaderOf(request)
 		r.headers = append(r.headers, header)
-		job := rollout.First(request, header, 1, rollout.ItemHeaders{})
+		job := rollout.FirstRound(request, header, 1, rollout.ItemHeaders{})
 		records := [][]byte{batch.Accepted(job, "gone/1")}
 		for item := range restartSamples {
 			records = append(records, batch.ResultsAdded(job.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: text, Versions: []int64{1}}}))
--- a/internal/api/rollout/golden_test.go
+++ b/internal/api/rollout/golden_test.go
@@ -32,7 +32,7 @@
 		Prompts: []Prompt{{ID: "p1", Text: "one", ExpectedTokens: 20}, {ID: "p2", Text: "two"}},
 	}
 	header := HeaderOf(request)
-	first := First(request, header, 3, ItemHeaders{TokenUsage: "Usage", LengthHint: "Hint"})
+	first := FirstRound(request, header, 3, ItemHeaders{TokenUsage: "Usage", LengthHint: "Hint"})
 	golden.Text(t, "first.cbor", batch.Accepted(first, "owner"))
 	golden.Text(t, "next.cbor", batch.Accepted(Next(first, header, 2, []int{1, 3}, 4), "owner"))
 }
--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -84,7 +84,7 @@
 	wanted := request(rapid.IntRange(1, 4).Draw(t, "prompts"), rapid.IntRange(1, 3).Draw(t, "samples"))
 	header := rollout.HeaderOf(wanted)
 	one := &trainerModel{header: header, cursor: rollout.NewCursor(header), version: 3, bound: 1, taken: map[int]bool{}}
-	one.submit(rollout.First(wanted, header, one.version-one.bound, names))
+	one.submit(rollout.FirstRound(wanted, header, one.version-one.bound, names))
 	return one
 }
 
--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -32,8 +32,8 @@
 	return fmt.Sprintf("%s/%s/%d", trainer, name, round)
 }
 
-// First returns the batch job that makes all samples of a request.
-func First(request Request, header Header, minVersion int64, names ItemHeaders) *batch.Submission {
+// FirstRound returns the batch job that makes all samples of a request.
+func FirstRound(request Request, header Header, minVersion int64, names ItemHeaders) *batch.Submission {
 	job := newJob(header, 0, minVersion)
 	for sample := range header.Samples {
 		prompt := request.Prompts[sample/request.SamplesPerPrompt]
