--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -143,7 +143,7 @@
 func (v *batchView) addPage(r *round, page results.Page) {
 	for i := range page.Results {
 		result := &page.Results[i]
-		if sample, ours := rollout.SampleOf(result.ItemID); ours {
+		if sample, ours := rollout.SampleIndex(result.ItemID); ours {
 			r.results[sample] = &result.Result
 			v.prompts[sample] = prompt{result.Group, result.Seed}
 		}
--- a/internal/api/delivery/peers_test.go
+++ b/internal/api/delivery/peers_test.go
@@ -312,7 +312,7 @@
 		is.Equal(len(p.jobs), 2)
 		is.Equal(len(p.jobs[1].Items), 3)
 		for i, sample := range []int{0, 2, 5} {
-			samples, ours := rollout.SampleOf(p.jobs[1].Items[i].ID)
+			samples, ours := rollout.SampleIndex(p.jobs[1].Items[i].ID)
 			is.True(ours && samples == sample)
 			is.Equal(string(p.jobs[1].Items[i].Body), string(first.Items[sample].Body))
 		}
--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -110,13 +110,13 @@
 func resultsOf(job *batch.Batch) rollout.RoundResults {
 	round := rollout.RoundResults{}
 	for i := range job.Items {
-		if sample, ours := rollout.SampleOf(job.Items[i].ID); ours {
+		if sample, ours := rollout.SampleIndex(job.Items[i].ID); ours {
 			round[sample] = nil
 		}
 	}
 	for i := range job.Results {
 		result := job.Results[i]
-		if sample, ours := rollout.SampleOf(job.Items[result.Item].ID); ours {
+		if sample, ours := rollout.SampleIndex(job.Items[result.Item].ID); ours {
 			round[sample] = &result
 		}
 	}
--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -70,8 +70,8 @@
 // itemID names a sample in a job. Its last part is the sample's index.
 func itemID(job string, sample int) string { return fmt.Sprintf("%s/s%d", job, sample) }
 
-// SampleOf returns the index of the sample that the item of an id makes.
-func SampleOf(id string) (int, bool) {
+// SampleIndex returns the index of the sample that the item of an id makes.
+func SampleIndex(id string) (int, bool) {
 	slash := strings.LastIndex(id, "/s")
 	if slash < 0 {
 		return 0, false
--- a/internal/batches/results/samples.go
+++ b/internal/batches/results/samples.go
@@ -35,7 +35,7 @@
 	if s == nil {
 		return true
 	}
-	sample, ours := rollout.SampleOf(itemID)
+	sample, ours := rollout.SampleIndex(itemID)
 	return ours && sample >= 0 && (sample/8 >= len(s.Taken) || s.Taken[sample/8]&(1<<(sample%8)) == 0)
 }
 
@@ -49,7 +49,7 @@
 		return round
 	}
 	for i := range job.Items {
-		if sample, ours := rollout.SampleOf(job.Items[i].ID); ours {
+		if sample, ours := rollout.SampleIndex(job.Items[i].ID); ours {
 			round.Makes = append(round.Makes, sample)
 		}
 	}
