--- a/internal/api/delivery/pull.go
+++ b/internal/api/delivery/pull.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	job := rollout.Next(first, header, round, samples, t.oldestAccepted(trained))
+	job := rollout.FurtherRound(first, header, round, samples, t.oldestAccepted(trained))
 	job.AcceptedAtMs = time.Now().UnixMilli()
 	bounded, cancel := context.WithTimeout(ctx, regenerateTimeout)
 	defer cancel()
--- a/internal/api/rollout/golden_test.go
+++ b/internal/api/rollout/golden_test.go
@@ -34,5 +34,5 @@
 	header := HeaderOf(request)
 	first := FirstRound(request, header, 3, ItemHeaders{TokenUsage: "Usage", LengthHint: "Hint"})
 	golden.Text(t, "first.cbor", batch.Accepted(first, "owner"))
-	golden.Text(t, "next.cbor", batch.Accepted(Next(first, header, 2, []int{1, 3}, 4), "owner"))
+	golden.Text(t, "next.cbor", batch.Accepted(FurtherRound(first, header, 2, []int{1, 3}, 4), "owner"))
 }
--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -160,7 +160,7 @@
 		one.cursor = one.cursor.Take(ready.Index)
 	}
 	if len(plan.Regenerate) > 0 {
-		one.submit(rollout.Next(&one.jobs[0].Submission, one.header, len(seen), plan.Regenerate, one.version-one.bound))
+		one.submit(rollout.FurtherRound(&one.jobs[0].Submission, one.header, len(seen), plan.Regenerate, one.version-one.bound))
 	}
 }
 
@@ -184,7 +184,7 @@
 				one.cursor = one.cursor.Take(ready.Index)
 			}
 			if len(plan.Regenerate) > 0 {
-				one.submit(rollout.Next(&one.jobs[0].Submission, one.header, len(one.jobs), plan.Regenerate, one.version-one.bound))
+				one.submit(rollout.FurtherRound(&one.jobs[0].Submission, one.header, len(one.jobs), plan.Regenerate, one.version-one.bound))
 			}
 		}
 	})
--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -80,8 +80,8 @@
 	return sample, err == nil
 }
 
-// Next returns the batch job that makes some samples again.
-func Next(first *batch.Submission, header Header, round int, samples []int, minVersion int64) *batch.Submission {
+// FurtherRound returns the batch job that makes some samples again.
+func FurtherRound(first *batch.Submission, header Header, round int, samples []int, minVersion int64) *batch.Submission {
 	job := newJob(header, round, minVersion)
 	for _, sample := range samples {
 		item := first.Items[sample]
