--- a/internal/api/delivery/delivery.go
+++ b/internal/api/delivery/delivery.go
@@ -133,7 +133,7 @@
 		return rollout.Header{}, ErrUnknownBatch
 	}
 	// A job that is not a round of a batch has no digest. The 0 then returned matches no request.
-	digest, _ := rollout.DigestOf(first.Round.Path)
+	digest, _ := rollout.ParseDigest(first.Round.Path)
 	return rollout.Header{Trainer: trainer, Name: name, Digest: digest, Samples: first.Total}, nil
 }
 
--- a/internal/api/delivery/observation.go
+++ b/internal/api/delivery/observation.go
@@ -100,7 +100,7 @@
 	case !page.Found:
 		return ErrUnknownBatch
 	}
-	if digest, ok := rollout.DigestOf(page.Round.Path); next.number == 0 && (!ok || digest != header.Digest || page.Total != header.Samples) {
+	if digest, ok := rollout.ParseDigest(page.Round.Path); next.number == 0 && (!ok || digest != header.Digest || page.Total != header.Samples) {
 		return ErrUnknownBatch
 	}
 	for _, sample := range page.Round.Makes {
--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -91,8 +91,8 @@
 	return job
 }
 
-// DigestOf returns the digest of the request that a job with a path was made from.
-func DigestOf(path string) (uint64, bool) {
+// ParseDigest returns the digest of the request that a job with a path was made from.
+func ParseDigest(path string) (uint64, bool) {
 	digest, err := strconv.ParseUint(path[strings.LastIndex(path, "/")+1:], 16, 64)
 	return digest, err == nil
 }
