--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -80,7 +80,7 @@
 	taken   map[int]bool
 }
 
-func newTrainer(t *rapid.T) *trainerModel {
+func newTrainerModel(t *rapid.T) *trainerModel {
 	wanted := request(rapid.IntRange(1, 4).Draw(t, "prompts"), rapid.IntRange(1, 3).Draw(t, "samples"))
 	header := rollout.HeaderOf(wanted)
 	one := &trainerModel{header: header, cursor: rollout.NewCursor(header), version: 3, bound: 1, taken: map[int]bool{}}
@@ -168,7 +168,7 @@
 // sample is delivered once, never over the bound, and in the end all are.
 func TestSamplesAreDeliveredOnceWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one := newTrainer(t)
+		one := newTrainerModel(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"finish":  one.finish,
 			"deliver": one.deliver,
