--- a/internal/api/rollout/cursor.go
+++ b/internal/api/rollout/cursor.go
@@ -11,33 +11,34 @@
 	"github.com/pkg/errors"
 )
 
-// Cursor is the state of a delivery: which samples of which batch the trainer
-// has taken. The trainer keeps it, so no daemon needs to remember what was
-// delivered, and none can forget it: the samples in an answer and the cursor
-// in the same answer are taken together or not at all.
+// Cursor records which samples of a batch a trainer has taken. The trainer stores it, so no daemon
+// has to remember what was delivered: samples and the cursor of the same answer take effect
+// together or not at all.
 type Cursor struct {
 	Header Header
 	taken  []byte
 }
 
-// ErrInvalidCursor is returned for a text that is not a cursor of this service.
+// ErrInvalidCursor is returned by ParseCursor for a text that is damaged or was not made by String.
 var ErrInvalidCursor = errors.New("cursor: not a cursor of this service, or damaged")
 
+// cursorFormat is the first byte of an encoded cursor.
 const cursorFormat = 2
 
-// NewCursor returns the cursor before the first sample.
+// NewCursor returns a cursor of a batch with no sample taken.
 func NewCursor(header Header) Cursor {
 	return Cursor{Header: header, taken: make([]byte, (header.Samples+7)/8)}
 }
 
-// Taken reports whether the trainer has a sample.
+// Taken reports whether the trainer has taken the sample at index, which must be below
+// Header.Samples.
 func (c Cursor) Taken(index int) bool { return c.taken[index/8]&(1<<(index%8)) != 0 }
 
-// TakenBits are the samples that the trainer has, a bit each, the lowest of the first byte first.
-// They must not be changed.
+// TakenBits returns one bit per sample, set if it is taken: sample i is bit i%8 of byte i/8. The
+// caller must not change them.
 func (c Cursor) TakenBits() []byte { return c.taken }
 
-// Take returns a cursor in which the samples are taken too.
+// Take returns a copy of the cursor in which the samples at indices are taken too.
 func (c Cursor) Take(indices ...int) Cursor {
 	next := Cursor{Header: c.Header, taken: append([]byte{}, c.taken...)}
 	for _, index := range indices {
@@ -46,7 +47,7 @@
 	return next
 }
 
-// String encodes the cursor as URL-safe text.
+// String encodes the cursor as URL-safe text with a checksum. ParseCursor decodes it.
 func (c Cursor) String() string {
 	data := []byte{cursorFormat}
 	data = appendString(data, c.Header.Trainer)
@@ -63,7 +64,7 @@
 	return append(data, text...)
 }
 
-// ParseCursor decodes a cursor's text.
+// ParseCursor decodes a cursor encoded by String. The error is ErrInvalidCursor.
 func ParseCursor(text string) (Cursor, error) {
 	data, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil || len(data) < 1+8 {
--- a/internal/api/rollout/golden_test.go
+++ b/internal/api/rollout/golden_test.go
@@ -25,7 +25,8 @@
 	is.Equal(parsed, cursor)
 }
 
-// A daemon may make a further round of a batch whose first one another daemon has made.
+// Guards against rounds that differ between daemons: one may make a further round of a batch whose
+// first round another made.
 func TestEncodingOfRoundsIsUnchanged(t *testing.T) {
 	request := Request{
 		Trainer: "trainer", Name: "name", SamplesPerPrompt: 2, MaxTokens: 64, Seed: 7,
--- a/internal/api/rollout/rollout.go
+++ b/internal/api/rollout/rollout.go
@@ -1,14 +1,14 @@
-// Package rollout holds batches of samples as trainers ask for them: the
-// request, the rounds of batch jobs that make its samples, and the cursor by
-// which each sample is delivered exactly once.
+// Package rollout defines batches of samples as trainers request them: the request, the rounds of
+// batch jobs that make the samples, and the cursor that makes the delivery of each sample exactly
+// once.
 //
-// Everything here is pure; package delivery moves it.
+// The package performs no I/O; package delivery does.
 //
 // # Usage
 //
 //	header := rollout.HeaderOf(request)
-//	first := rollout.First(request, header, minVersion)  // a batch job
-//	plan := rollout.Plan(cursor, rounds, accepts, limit) // what to hand over, what to make again
+//	first := rollout.FirstRound(request, header, minVersion, itemHeaders) // a batch job
+//	plan := rollout.Plan(cursor, rounds, accepts, limit)                  // samples to deliver and to make again
 package rollout
 
 import (
@@ -22,15 +22,15 @@
 const (
 	// MaxSamples bounds the samples of one batch.
 	MaxSamples = 65_536
-	// MaxPromptBytes bounds one prompt.
+	// MaxPromptBytes bounds the text of one prompt.
 	MaxPromptBytes = 1 << 20
-	// MaxSampleTokens bounds the tokens of one sample.
+	// MaxSampleTokens bounds Request.MaxTokens.
 	MaxSampleTokens = 1 << 20
-	// maxNameBytes bounds a batch's name.
+	// maxNameBytes bounds the name of a batch.
 	maxNameBytes = 128
 )
 
-// FieldError is a fault in one field of a request.
+// FieldError describes an invalid field of a request. Field is its path, such as prompts[1].id.
 type FieldError struct {
 	Field  string
 	Reason string
@@ -39,20 +39,21 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-func newFieldError(field, format string, arguments ...any) error {
-	return &FieldError{Field: field, Reason: fmt.Sprintf(format, arguments...)}
+func newFieldError(field, format string, args ...any) error {
+	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Prompt is one prompt of a batch.
+// Prompt is one prompt of a batch. Its ID is unique in the batch.
 type Prompt struct {
 	ID   string `json:"id"`
 	Text string `json:"text"`
-	// ExpectedTokens is the caller's guess of a sample's length, 0 for none.
-	// Prompts that are expected to run longest start first.
+	// ExpectedTokens is the caller's estimate of the length of a sample, 0 for none. Prompts with
+	// the longest estimates start first.
 	ExpectedTokens int `json:"expected_tokens,omitempty"`
 }
 
-// Request is what a trainer asks for.
+// Request is a trainer's request for a batch of SamplesPerPrompt samples of each prompt. Its JSON
+// encoding determines the digest of the batch.
 type Request struct {
 	Trainer          string   `json:"trainer"`
 	Name             string   `json:"name"`
@@ -60,11 +61,11 @@
 	SamplesPerPrompt int      `json:"samples_per_prompt"`
 	MaxTokens        int      `json:"max_tokens"`
 	Seed             uint64   `json:"seed"`
-	// MinVersion is the oldest weight version accepted at all, 0 for any.
+	// MinVersion is the oldest weight version that may make a sample, 0 for any.
 	MinVersion uint64 `json:"min_version,omitempty"`
 }
 
-// Check returns a *FieldError for the first fault.
+// Check returns a *FieldError for the first invalid field, or nil.
 func (r Request) Check() error {
 	switch {
 	case r.Trainer == "":
@@ -82,8 +83,8 @@
 	case r.MaxTokens < 1 || r.MaxTokens > MaxSampleTokens:
 		return newFieldError("max_tokens", "%d is not between 1 and %d", r.MaxTokens, MaxSampleTokens)
 	}
-	for _, character := range r.Name {
-		if character < '!' || character > '~' || character == '/' {
+	for _, char := range r.Name {
+		if char < '!' || char > '~' || char == '/' {
 			return newFieldError("name", "must be printable ASCII without spaces and /")
 		}
 	}
@@ -111,18 +112,18 @@
 	return nil
 }
 
-// Header describes a batch without its prompts. It travels in the cursor, so
-// that any daemon can go on with a delivery.
+// Header describes a batch without its prompts. The cursor contains it, so any daemon can continue
+// a delivery.
 type Header struct {
 	Trainer string
 	Name    string
-	// Digest is a hash of the request: another content under the same name has
-	// another digest.
+	// Digest is a hash of the request. It tells apart batches with the same name and different
+	// content.
 	Digest  uint64
 	Samples int
 }
 
-// HeaderOf returns the header of a checked request.
+// HeaderOf returns the header of a request, which must have passed Check.
 func HeaderOf(request Request) Header {
 	return Header{
 		Trainer: request.Trainer,
@@ -135,12 +136,12 @@
 func digestOf(request Request) uint64 {
 	encoded, err := json.Marshal(request)
 	if err != nil {
-		panic(errors.Wrap(err, "rollout: a request is always encodable"))
+		panic(errors.Wrap(err, "rollout: encode request"))
 	}
 	return xxhash.Sum64(encoded)
 }
 
-// SampleSeed derives a sample's seed from the batch's.
+// SampleSeed returns the seed of the sample at index, derived from the seed of the batch.
 func SampleSeed(seed uint64, index int) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%d/%d", seed, index))
 }
--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -69,8 +69,8 @@
 
 var names = rollout.ItemHeaders{TokenUsage: "Usage", LengthHint: "Hint"}
 
-// trainerModel is a model of one trainerModel with its batch: the jobs that exist, what
-// was handed over, and the version trained.
+// trainerModel is the state of one trainer with its batch: the submitted jobs, the taken samples
+// and the version being trained.
 type trainerModel struct {
 	header  rollout.Header
 	jobs    []*batch.Batch
@@ -83,30 +83,30 @@
 func newTrainerModel(t *rapid.T) *trainerModel {
 	wanted := request(rapid.IntRange(1, 4).Draw(t, "prompts"), rapid.IntRange(1, 3).Draw(t, "samples"))
 	header := rollout.HeaderOf(wanted)
-	one := &trainerModel{header: header, cursor: rollout.NewCursor(header), version: 3, bound: 1, taken: map[int]bool{}}
-	one.submit(rollout.FirstRound(wanted, header, one.version-one.bound, names))
-	return one
+	m := &trainerModel{header: header, cursor: rollout.NewCursor(header), version: 3, bound: 1, taken: map[int]bool{}}
+	m.submit(rollout.FirstRound(wanted, header, m.version-m.bound, names))
+	return m
 }
 
-// submit makes a job submit, as the first acceptance of its id does.
-func (one *trainerModel) submit(job *batch.Submission) {
-	for _, known := range one.jobs {
+// submit adds a job. As in the ledger, only the first job with an ID counts.
+func (m *trainerModel) submit(job *batch.Submission) {
+	for _, known := range m.jobs {
 		if known.ID == job.ID {
 			return
 		}
 	}
-	one.jobs = append(one.jobs, &batch.Batch{Submission: *job, HasResult: make([]bool, len(job.Items))})
+	m.jobs = append(m.jobs, &batch.Batch{Submission: *job, HasResult: make([]bool, len(job.Items))})
 }
 
-func (one *trainerModel) rounds() []rollout.RoundResults {
+func (m *trainerModel) rounds() []rollout.RoundResults {
 	var rounds []rollout.RoundResults
-	for _, job := range one.jobs {
+	for _, job := range m.jobs {
 		rounds = append(rounds, resultsOf(job))
 	}
 	return rounds
 }
 
-// resultsOf reads a round off a batch job.
+// resultsOf returns the results of a batch job by sample.
 func resultsOf(job *batch.Batch) rollout.RoundResults {
 	round := rollout.RoundResults{}
 	for i := range job.Items {
@@ -123,11 +123,11 @@
 	return round
 }
 
-func (one *trainerModel) accepts(oldest int64) bool { return one.version-oldest <= one.bound }
+func (m *trainerModel) accepts(oldest int64) bool { return m.version-oldest <= m.bound }
 
-// finish lists an item of a job, as a run under some versions would.
-func (one *trainerModel) finish(t *rapid.T) {
-	job := one.jobs[rapid.IntRange(0, len(one.jobs)-1).Draw(t, "job")]
+// finish adds a result of a random item of a random job, if it has none yet.
+func (m *trainerModel) finish(t *rapid.T) {
+	job := m.jobs[rapid.IntRange(0, len(m.jobs)-1).Draw(t, "job")]
 	item := rapid.IntRange(0, len(job.Items)-1).Draw(t, "item")
 	if job.HasResult[item] {
 		return
@@ -136,7 +136,7 @@
 	if rapid.IntRange(0, 5).Draw(t, "dies") == 0 {
 		result.Outcome = batch.Dead
 	} else {
-		made := rapid.Int64Range(job.MinVersion, max(one.version, job.MinVersion)).Draw(t, "version")
+		made := rapid.Int64Range(job.MinVersion, max(m.version, job.MinVersion)).Draw(t, "version")
 		result.Versions = []int64{made}
 		result.Text = fmt.Appendf(nil, `{"version":%d,"tokens":[%d]}`+"\n"+`{"version":%d,"tokens":[],"end":"stop"}`, made, item, made)
 	}
@@ -144,59 +144,59 @@
 	job.Results = append(job.Results, result)
 }
 
-// deliver does what a daemon does on a pull; another daemon may have seen less.
-func (one *trainerModel) deliver(t *rapid.T) {
-	rounds := one.rounds()
+// deliver serves a pull as a daemon does that may not know the latest rounds.
+func (m *trainerModel) deliver(t *rapid.T) {
+	rounds := m.rounds()
 	seen := rounds[:rapid.IntRange(1, len(rounds)).Draw(t, "rounds seen")]
-	plan := rollout.Plan(one.cursor, seen, one.accepts, rapid.IntRange(1, 5).Draw(t, "limit"))
+	plan := rollout.Plan(m.cursor, seen, m.accepts, rapid.IntRange(1, 5).Draw(t, "limit"))
 	for _, ready := range plan.Ready {
-		if one.taken[ready.Index] {
+		if m.taken[ready.Index] {
 			t.Fatalf("sample %d was delivered twice", ready.Index)
 		}
-		if len(ready.Segments) == 0 || !one.accepts(int64(ready.Segments[0].Version)) {
-			t.Fatalf("sample %d of %+v is over the bound at version %d", ready.Index, ready.Segments, one.version)
+		if len(ready.Segments) == 0 || !m.accepts(int64(ready.Segments[0].Version)) {
+			t.Fatalf("sample %d with segments %+v exceeds the bound at version %d", ready.Index, ready.Segments, m.version)
 		}
-		one.taken[ready.Index] = true
-		one.cursor = one.cursor.Take(ready.Index)
+		m.taken[ready.Index] = true
+		m.cursor = m.cursor.Take(ready.Index)
 	}
 	if len(plan.Regenerate) > 0 {
-		one.submit(rollout.FurtherRound(&one.jobs[0].Submission, one.header, len(seen), plan.Regenerate, one.version-one.bound))
+		m.submit(rollout.FurtherRound(&m.jobs[0].Submission, m.header, len(seen), plan.Regenerate, m.version-m.bound))
 	}
 }
 
-// Whatever the order of results, pulls, races of daemons and new versions, each
-// sample is delivered once, never over the bound, and in the end all are.
+// For any order of results, pulls at different daemons and new versions, each sample is delivered
+// once and within the bound, and in the end all are delivered.
 func TestSamplesAreDeliveredOnceWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one := newTrainerModel(t)
+		m := newTrainerModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"finish":  one.finish,
-			"deliver": one.deliver,
-			"version": func(*rapid.T) { one.version++ },
+			"finish":  m.finish,
+			"deliver": m.deliver,
+			"version": func(*rapid.T) { m.version++ },
 		})
-		for turn := 0; countTaken(one.cursor) < one.header.Samples; turn++ {
+		for turn := 0; countTaken(m.cursor) < m.header.Samples; turn++ {
 			if turn > 100 {
-				t.Fatalf("%d of %d samples after all were made", countTaken(one.cursor), one.header.Samples)
+				t.Fatalf("%d of %d samples were delivered after all results were added", countTaken(m.cursor), m.header.Samples)
 			}
-			one.finishAll()
-			plan := rollout.Plan(one.cursor, one.rounds(), one.accepts, one.header.Samples)
+			m.finishAll()
+			plan := rollout.Plan(m.cursor, m.rounds(), m.accepts, m.header.Samples)
 			for _, ready := range plan.Ready {
-				one.cursor = one.cursor.Take(ready.Index)
+				m.cursor = m.cursor.Take(ready.Index)
 			}
 			if len(plan.Regenerate) > 0 {
-				one.submit(rollout.FurtherRound(&one.jobs[0].Submission, one.header, len(one.jobs), plan.Regenerate, one.version-one.bound))
+				m.submit(rollout.FurtherRound(&m.jobs[0].Submission, m.header, len(m.jobs), plan.Regenerate, m.version-m.bound))
 			}
 		}
 	})
 }
 
-// finishAll lists all items that have no result yet.
-func (one *trainerModel) finishAll() {
-	for _, job := range one.jobs {
+// finishAll adds a result of each item that has none yet.
+func (m *trainerModel) finishAll() {
+	for _, job := range m.jobs {
 		for item, listed := range job.HasResult {
 			if !listed {
 				job.HasResult[item] = true
-				made := max(one.version, job.MinVersion)
+				made := max(m.version, job.MinVersion)
 				job.Results = append(job.Results, batch.Result{Item: item, Outcome: batch.Done, Versions: []int64{made},
 					Text: fmt.Appendf(nil, `{"version":%d,"tokens":[1],"end":"stop"}`, made)})
 			}
@@ -204,7 +204,7 @@
 	}
 }
 
-// A text that names a version that did not make it is not handed over.
+// Guards against delivering a sample whose text names a version that did not make it.
 func TestSampleThatNamesAnUnreportedVersionIsRegenerated(t *testing.T) {
 	is := is.New(t)
 	header := rollout.HeaderOf(request(1, 1))
@@ -234,7 +234,7 @@
 	is.Equal(fault.Field, "prompts[1].id")
 }
 
-// countTaken returns how many samples are taken.
+// countTaken returns the number of samples that the cursor has taken.
 func countTaken(cursor rollout.Cursor) int {
 	count := 0
 	for index := range cursor.Header.Samples {
--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -9,22 +9,23 @@
 	"woodworks/internal/batches/batch"
 )
 
-// RouteHost is the host of the routes of batch jobs; each trainer has a prefix
-// of its own there.
+// RouteHost is the host in the routes of rollout batch jobs. Each trainer has its own path prefix
+// there.
 const RouteHost = "rollouts"
 
-// GeneratePath is where engines take requests.
+// GeneratePath is the path of generation requests to engines.
 const GeneratePath = "/generate"
 
-// RoutePrefix is the path prefix of a trainer's route.
+// RoutePrefix returns the path prefix of a trainer's route.
 func RoutePrefix(trainer string) string { return "/" + trainer + "/" }
 
-// ItemHeaders are the names of the headers that an item tells its size in.
+// ItemHeaders are the names of the request headers that carry the token usage and the expected
+// length of an item.
 type ItemHeaders struct{ TokenUsage, LengthHint string }
 
-// JobID names the batch job of one round. The first round makes all samples;
-// each further one makes those again that were too old to be handed over. Names
-// of batches have no slash, so no two jobs share an id.
+// JobID returns the ID of the batch job of one round. Round 0 makes all samples; each further round
+// makes again those that were too old or failed. Names of batches contain no slash, so IDs are
+// unique.
 func JobID(trainer, name string, round int) string {
 	if round == 0 {
 		return trainer + "/" + name
@@ -32,13 +33,14 @@
 	return fmt.Sprintf("%s/%s/%d", trainer, name, round)
 }
 
-// FirstRound returns the batch job that makes all samples of a request.
-func FirstRound(request Request, header Header, minVersion int64, names ItemHeaders) *batch.Submission {
+// FirstRound returns the batch job that makes all samples of a request, by weights of minVersion or
+// newer.
+func FirstRound(request Request, header Header, minVersion int64, itemHeaders ItemHeaders) *batch.Submission {
 	job := newJob(header, 0, minVersion)
 	for sample := range header.Samples {
 		prompt := request.Prompts[sample/request.SamplesPerPrompt]
 		seed := SampleSeed(request.Seed, sample)
-		job.Items = append(job.Items, firstItem(job.ID, sample, prompt, seed, request, names))
+		job.Items = append(job.Items, firstItem(job.ID, sample, prompt, seed, request, itemHeaders))
 	}
 	return job
 }
@@ -51,26 +53,27 @@
 	}
 }
 
-func firstItem(job string, sample int, prompt Prompt, seed uint64, request Request, names ItemHeaders) batch.Item {
+func firstItem(jobID string, sample int, prompt Prompt, seed uint64, request Request, itemHeaders ItemHeaders) batch.Item {
 	body, err := json.Marshal(GenerateRequest{Model: request.Trainer, Prompt: prompt.Text, Seed: seed, MaxTokens: request.MaxTokens})
 	if err != nil {
-		panic(err) // texts and numbers are always encodable
+		panic(err) // strings and numbers are always encodable
 	}
 	item := batch.Item{
-		ID: itemID(job, sample), Path: GeneratePath, Body: body, Group: prompt.ID,
+		ID: itemID(jobID, sample), Path: GeneratePath, Body: body, Group: prompt.ID,
 		Tokens:  int64(len(prompt.Text) + request.MaxTokens),
-		Headers: []batch.Header{{Name: names.TokenUsage, Value: fmt.Sprintf("%d,%d", len(prompt.Text), request.MaxTokens)}},
+		Headers: []batch.Header{{Name: itemHeaders.TokenUsage, Value: fmt.Sprintf("%d,%d", len(prompt.Text), request.MaxTokens)}},
 	}
 	if prompt.ExpectedTokens > 0 {
-		item.Headers = append(item.Headers, batch.Header{Name: names.LengthHint, Value: strconv.Itoa(prompt.ExpectedTokens)})
+		item.Headers = append(item.Headers, batch.Header{Name: itemHeaders.LengthHint, Value: strconv.Itoa(prompt.ExpectedTokens)})
 	}
 	return item
 }
 
-// itemID names a sample in a job. Its last part is the sample's index.
-func itemID(job string, sample int) string { return fmt.Sprintf("%s/s%d", job, sample) }
+// itemID returns the ID of the item that makes a sample. SampleIndex parses it.
+func itemID(jobID string, sample int) string { return fmt.Sprintf("%s/s%d", jobID, sample) }
 
-// SampleIndex returns the index of the sample that the item of an id makes.
+// SampleIndex returns the index of the sample that an item makes, given the item's ID. It reports
+// false for an ID that itemID did not make.
 func SampleIndex(id string) (int, bool) {
 	slash := strings.LastIndex(id, "/s")
 	if slash < 0 {
@@ -80,7 +83,8 @@
 	return sample, err == nil
 }
 
-// FurtherRound returns the batch job that makes some samples again.
+// FurtherRound returns the batch job that makes the given samples again, with the items of the
+// first round.
 func FurtherRound(first *batch.Submission, header Header, round int, samples []int, minVersion int64) *batch.Submission {
 	job := newJob(header, round, minVersion)
 	for _, sample := range samples {
@@ -91,28 +95,30 @@
 	return job
 }
 
-// ParseDigest returns the digest of the request that a job with a path was made from.
+// ParseDigest returns the digest of the request from the path of one of its batch jobs. It reports
+// false for another path.
 func ParseDigest(path string) (uint64, bool) {
 	digest, err := strconv.ParseUint(path[strings.LastIndex(path, "/")+1:], 16, 64)
 	return digest, err == nil
 }
 
-// RoundResults is one round as it stands: the newest result of each of its samples,
-// nil for one that has none yet.
+// RoundResults holds the latest result of each sample that a round makes, nil for a sample without
+// a result.
 type RoundResults map[int]*batch.Result
 
-// DeliveryPlan is what a delivery should do.
+// DeliveryPlan is the result of Plan.
 type DeliveryPlan struct {
-	// Ready are samples to hand over.
+	// Ready are the samples to deliver.
 	Ready []Result
-	// Regenerate are samples that must be made again in a further round.
+	// Regenerate are the indices of the samples that must be made again in a further round.
 	Regenerate []int
-	// Open counts the samples that are neither taken nor ready.
+	// Open is the number of samples that are neither taken nor in Ready.
 	Open int
 }
 
-// Plan decides on the samples that the cursor has not taken. Accepts judges the
-// oldest version of a sample. Of the rounds that make a sample the last counts.
+// Plan decides what to do with each sample that the cursor has not taken, and returns at most limit
+// samples as ready. accepts reports whether a sample may be delivered, given its oldest weight
+// version. If several rounds make a sample, the last one counts.
 func Plan(cursor Cursor, rounds []RoundResults, accepts func(oldest int64) bool, limit int) DeliveryPlan {
 	var plan DeliveryPlan
 	for sample := range cursor.Header.Samples {
@@ -141,8 +147,8 @@
 	return plan
 }
 
-// newestResult returns the result of the last round that makes a sample, or nil if
-// it has none yet.
+// newestResult returns the result of a sample in the last round that makes it, or nil if there is
+// none yet.
 func newestResult(rounds []RoundResults, sample int) *batch.Result {
 	for i := len(rounds) - 1; i >= 0; i-- {
 		if res, ok := rounds[i][sample]; ok {
@@ -152,7 +158,7 @@
 	return nil
 }
 
-// ParseSeed returns the seed that the body of an item asks for, 0 where it names none.
+// ParseSeed returns the seed in the body of an item, 0 if there is none.
 func ParseSeed(body []byte) uint64 {
 	var g GenerateRequest
 	if json.Unmarshal(body, &g) != nil {
--- a/internal/api/rollout/sample.go
+++ b/internal/api/rollout/sample.go
@@ -10,7 +10,7 @@
 	"woodworks/internal/batches/batch"
 )
 
-// GenerateRequest is what an engine is asked for: the body of an item.
+// GenerateRequest is the body of an item: the request to an engine.
 type GenerateRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -18,16 +18,16 @@
 	MaxTokens int    `json:"max_tokens"`
 }
 
-// Frame is the data of one event of an engine's answer.
+// Frame is the data of one event in an engine's response stream.
 type Frame struct {
 	// Version is the version of the weights that made the tokens.
 	Version int64    `json:"version"`
 	Tokens  []uint32 `json:"tokens"`
-	// End says why the sample ended, in its last frame.
+	// End is the reason why the sample ended, set in its last frame only.
 	End string `json:"end,omitempty"`
 }
 
-// Segment is a run of tokens of one weight version.
+// Segment is a run of consecutive tokens made by the same weight version.
 type Segment struct {
 	Version uint64 `json:"version"`
 	Tokens  int    `json:"tokens"`
@@ -43,10 +43,11 @@
 	End      string    `json:"end"`
 }
 
-// ErrInvalidText is returned for a text that is not made of an engine's frames.
-var ErrInvalidText = errors.New("rollout: the text is not made of frames")
+// ErrInvalidText is returned for an item's text that is not a sequence of frames, or that names a
+// version which the item's result does not list.
+var ErrInvalidText = errors.New("rollout: invalid text of an item")
 
-// Add takes a frame in.
+// Add appends the tokens of a frame.
 func (r *Result) Add(frame Frame) {
 	r.Tokens = append(r.Tokens, frame.Tokens...)
 	if frame.End != "" {
@@ -63,8 +64,8 @@
 	r.Segments = append(r.Segments, Segment{Version: uint64(frame.Version), Tokens: len(frame.Tokens)})
 }
 
-// parseText fills a result from the text of an item. Each version that a frame
-// names must be among those that the item was made by.
+// parseText adds the frames in the text of an item. Each version in them must be in the Versions of
+// the item's result. The error wraps ErrInvalidText.
 func (r *Result) parseText(res *batch.Result) error {
 	for _, line := range bytes.Split(res.Text, []byte("\n")) {
 		var frame Frame
@@ -75,13 +76,13 @@
 	}
 	for _, segment := range r.Segments {
 		if !slices.Contains(res.Versions, int64(segment.Version)) {
-			return errors.Wrapf(ErrInvalidText, "version %d is not one that made it", segment.Version)
+			return errors.Wrapf(ErrInvalidText, "version %d is not among the versions that made the item", segment.Version)
 		}
 	}
 	return nil
 }
 
-// oldestVersion returns the lowest version that made a part of an item.
+// oldestVersion returns the lowest of the weight versions that made an item, 0 if there are none.
 func oldestVersion(res *batch.Result) int64 {
 	lowest := int64(0)
 	for _, version := range res.Versions {
