--- a/internal/api/permit/fold.go
+++ b/internal/api/permit/fold.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// errNameless: a record names no key or no claimant.
-var errNameless = errors.New("permit: record without a key or a claimant")
+// errIncompleteRecord: a record names no key or no claimant.
+var errIncompleteRecord = errors.New("permit: record without a key or a claimant")
 
 // kind says what a record tells.
 type kind int
@@ -71,7 +71,7 @@
 		return err
 	}
 	if r.Key == "" || r.Claimant == "" {
-		return errNameless
+		return errIncompleteRecord
 	}
 	c := s[r.Key]
 	switch r.Kind {
