--- a/internal/api/permit/fold.go
+++ b/internal/api/permit/fold.go
@@ -10,20 +10,20 @@
 // errIncompleteRecord: a record names no key or no claimant.
 var errIncompleteRecord = errors.New("permit: record without a key or a claimant")
 
-// kind says what a record tells.
-type kind int
+// recordKind says what a record tells.
+type recordKind int
 
 const (
-	kindClaim kind = iota + 1
+	kindClaim recordKind = iota + 1
 	kindOutcome
 	kindRelease
 )
 
 // record is one record of a permit partition.
 type record struct {
-	Kind     kind   `cbor:"1,keyasint"`
-	Key      string `cbor:"2,keyasint"`
-	Claimant string `cbor:"3,keyasint"`
+	Kind     recordKind `cbor:"1,keyasint"`
+	Key      string     `cbor:"2,keyasint"`
+	Claimant string     `cbor:"3,keyasint"`
 	// Digest is that of the request's content, for a claim.
 	Digest uint64 `cbor:"4,keyasint,omitempty"`
 	// AtMs is the claimant's time of day, in milliseconds.
