--- a/internal/api/permit/fold.go
+++ b/internal/api/permit/fold.go
@@ -52,10 +52,10 @@
 type claim struct {
 	claimant string
 	digest   uint64
-	// at is the claimant's time of day at the claim, foldedAt when the claim was read
+	// claimedAt is the claimant's time of day claimedAt the claim, foldedAt when the claim was read
 	// here, by the steady clock.
-	at, foldedAt time.Time
-	outcome      *Outcome
+	claimedAt, foldedAt time.Time
+	outcome             *Outcome
 }
 
 // state is the fold of one partition: of the claims of a key the first counts,
@@ -77,7 +77,7 @@
 	switch r.Kind {
 	case kindClaim:
 		if c == nil {
-			s[r.Key] = &claim{claimant: r.Claimant, digest: r.Digest, at: time.UnixMilli(r.AtMs), foldedAt: time.Now()}
+			s[r.Key] = &claim{claimant: r.Claimant, digest: r.Digest, claimedAt: time.UnixMilli(r.AtMs), foldedAt: time.Now()}
 		}
 	case kindOutcome:
 		if c != nil && c.claimant == r.Claimant && c.outcome == nil {
@@ -97,7 +97,7 @@
 // for good, as the use of keys is bounded by the same clock.
 func (s state) forget(before time.Time, kept time.Duration) {
 	for key, c := range s {
-		if c.at.Before(before) && time.Since(c.foldedAt) > kept {
+		if c.claimedAt.Before(before) && time.Since(c.foldedAt) > kept {
 			delete(s, key)
 		}
 	}
