--- a/internal/api/permit/fold.go
+++ b/internal/api/permit/fold.go
@@ -91,11 +91,11 @@
 	return nil
 }
 
-// forget drops the keys that were claimed before a time of day, and were read here a span
+// removeExpired drops the keys that were claimed before a time of day, and were read here a span
 // ago at least: the time of day may be set ahead, and back again, and a claim that is
 // forgotten is not read again. The time of day alone does for daemons whose clocks differ
 // for good, as the use of keys is bounded by the same clock.
-func (s state) forget(before time.Time, kept time.Duration) {
+func (s state) removeExpired(before time.Time, kept time.Duration) {
 	for key, c := range s {
 		if c.claimedAt.Before(before) && time.Since(c.foldedAt) > kept {
 			delete(s, key)
--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -77,7 +77,7 @@
 				zap.Int64("offset", offset+int64(i)), zap.Error(err))
 		}
 	}
-	p.keys.forget(before, p.kept)
+	p.keys.removeExpired(before, p.kept)
 }
 
 // lookUp returns a copy of what is known of a key, or nil.
