--- a/internal/api/permit/key.go
+++ b/internal/api/permit/key.go
@@ -19,8 +19,8 @@
 
 // Errors of a key.
 var (
-	// ErrKey is returned for a text that is not a request key.
-	ErrKey = errors.New(`must be a 13-digit Unix time in milliseconds, "-", and 8 to 64 letters, digits, "_" or "."`)
+	// ErrInvalidKey is returned for a text that is not a request key.
+	ErrInvalidKey = errors.New(`must be a 13-digit Unix time in milliseconds, "-", and 8 to 64 letters, digits, "_" or "."`)
 	// ErrExpired is returned for a key that may have been forgotten.
 	ErrExpired = errors.New("is older than keys are remembered")
 	// ErrEarly is returned for a key made in the future.
@@ -32,11 +32,11 @@
 func ParseKey(text string) (Key, error) {
 	match := keyPattern.FindStringSubmatch(text)
 	if match == nil {
-		return Key{}, ErrKey
+		return Key{}, ErrInvalidKey
 	}
 	ms, err := strconv.ParseInt(match[1], 10, 64)
 	if err != nil {
-		return Key{}, ErrKey
+		return Key{}, ErrInvalidKey
 	}
 	return Key{Text: text, IssuedAt: time.UnixMilli(ms)}, nil
 }
--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -206,7 +206,7 @@
 func TestKeys(t *testing.T) {
 	is := is.New(t)
 	_, err := ParseKey("no-key")
-	is.True(errors.Is(err, ErrKey))
+	is.True(errors.Is(err, ErrInvalidKey))
 	now := time.UnixMilli(1_700_000_000_000)
 	key, err := ParseKey("1700000000000-abcdefgh")
 	is.NoErr(err)
