--- a/internal/api/permit/key.go
+++ b/internal/api/permit/key.go
@@ -23,8 +23,8 @@
 	ErrInvalidKey = errors.New(`must be a 13-digit Unix time in milliseconds, "-", and 8 to 64 letters, digits, "_" or "."`)
 	// ErrExpired is returned for a key that may have been forgotten.
 	ErrExpired = errors.New("is older than keys are remembered")
-	// ErrEarly is returned for a key made in the future.
-	ErrEarly = errors.New("was made in the future")
+	// ErrFutureKey is returned for a key made in the future.
+	ErrFutureKey = errors.New("was made in the future")
 )
 
 // ParseKey reads a request key. The time in it tells every daemon alike when
@@ -47,7 +47,7 @@
 	case age > p.retention-clockMargin:
 		return ErrExpired
 	case age < -clockMargin:
-		return ErrEarly
+		return ErrFutureKey
 	}
 	return nil
 }
--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -213,7 +213,7 @@
 	permits := New(journaltest.New(), retention, counter(), zap.NewNop())
 	is.NoErr(permits.Check(key, now))
 	is.True(errors.Is(permits.Check(key, now.Add(retention)), ErrExpired))
-	is.True(errors.Is(permits.Check(key, now.Add(-time.Minute)), ErrEarly))
+	is.True(errors.Is(permits.Check(key, now.Add(-time.Minute)), ErrFutureKey))
 }
 
 // A clock that was set ahead by more than the retention and back again made a daemon
