--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -14,9 +14,9 @@
 // partition is one partition as far as it has been read.
 type partition struct {
 	name journal.Partition
-	// reading has room for the one who reads; next is that one's.
-	reading chan struct{}
-	next    int64
+	// readLock has room for the one who reads; next is that one's.
+	readLock chan struct{}
+	next     int64
 	// kept is how long a key is remembered at least after its claim was read.
 	kept   time.Duration
 	logger *zap.Logger
@@ -35,11 +35,11 @@
 	part := p.parts[n]
 	if part == nil {
 		part = &partition{
-			name:    journal.Partition{Topic: topic, Number: n},
-			reading: make(chan struct{}, 1),
-			kept:    p.retention + clockMargin,
-			logger:  p.logger,
-			keys:    state{},
+			name:     journal.Partition{Topic: topic, Number: n},
+			readLock: make(chan struct{}, 1),
+			kept:     p.retention + clockMargin,
+			logger:   p.logger,
+			keys:     state{},
 		}
 		p.parts[n] = part
 	}
@@ -54,11 +54,11 @@
 // catchUp reads a partition up to where it ended when the read began.
 func (p *Permits) catchUp(ctx context.Context, part *partition) (err error) {
 	select {
-	case part.reading <- struct{}{}:
+	case part.readLock <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-part.reading }()
+	defer func() { <-part.readLock }()
 	part.next, err = journal.ReadToEnd(ctx, p.journal, part.name, part.next, callTimeout,
 		func(offset int64, records [][]byte) {
 			part.fold(offset, records, time.Now().Add(-p.retention-clockMargin))
