--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -17,9 +17,9 @@
 	// readLock has room for the one who reads; next is that one's.
 	readLock chan struct{}
 	next     int64
-	// kept is how long a key is remembered at least after its claim was read.
-	kept   time.Duration
-	logger *zap.Logger
+	// minRetention is how long a key is remembered at least after its claim was read.
+	minRetention time.Duration
+	logger       *zap.Logger
 
 	mu   sync.Mutex
 	keys state
@@ -35,11 +35,11 @@
 	part := p.parts[n]
 	if part == nil {
 		part = &partition{
-			name:     journal.Partition{Topic: topic, Number: n},
-			readLock: make(chan struct{}, 1),
-			kept:     p.retention + clockMargin,
-			logger:   p.logger,
-			keys:     state{},
+			name:         journal.Partition{Topic: topic, Number: n},
+			readLock:     make(chan struct{}, 1),
+			minRetention: p.retention + clockMargin,
+			logger:       p.logger,
+			keys:         state{},
 		}
 		p.parts[n] = part
 	}
@@ -77,7 +77,7 @@
 				zap.Int64("offset", offset+int64(i)), zap.Error(err))
 		}
 	}
-	p.keys.removeExpired(before, p.kept)
+	p.keys.removeExpired(before, p.minRetention)
 }
 
 // lookUp returns a copy of what is known of a key, or nil.
