--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -21,8 +21,8 @@
 	minRetention time.Duration
 	logger       *zap.Logger
 
-	mu   sync.Mutex
-	keys state
+	mu     sync.Mutex
+	claims state
 }
 
 // of returns the partition of a key.
@@ -39,7 +39,7 @@
 			readLock:     make(chan struct{}, 1),
 			minRetention: p.retention + clockMargin,
 			logger:       p.logger,
-			keys:         state{},
+			claims:       state{},
 		}
 		p.parts[n] = part
 	}
@@ -72,19 +72,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, encoded := range records {
-		if err := p.keys.apply(encoded); err != nil {
+		if err := p.claims.apply(encoded); err != nil {
 			p.logger.Warn("permit record passed over", zap.Int("partition", p.name.Number),
 				zap.Int64("offset", offset+int64(i)), zap.Error(err))
 		}
 	}
-	p.keys.removeExpired(before, p.minRetention)
+	p.claims.removeExpired(before, p.minRetention)
 }
 
 // lookUp returns a copy of what is known of a key, or nil.
 func (p *partition) lookUp(key string) *claim {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.keys[key]
+	c := p.claims[key]
 	if c == nil {
 		return nil
 	}
