--- a/internal/api/permit/golden_test.go
+++ b/internal/api/permit/golden_test.go
@@ -21,7 +21,7 @@
 	var places strings.Builder
 	for i := range 8 {
 		key := fmt.Sprint("1700000000000-key-", i)
-		fmt.Fprintln(&places, key, permits.of(key).name)
+		fmt.Fprintln(&places, key, permits.partitionOf(key).name)
 	}
 	golden.Text(t, "partitions.txt", places.String())
 }
--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -25,8 +25,8 @@
 	claims state
 }
 
-// of returns the partition of a key.
-func (p *Permits) of(key string) *partition {
+// partitionOf returns the partition partitionOf a key.
+func (p *Permits) partitionOf(key string) *partition {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(key)) // It never fails.
 	n := int(hash.Sum32() % uint32(max(p.journal.PartitionsPerTopic(), 1)))
--- a/internal/api/permit/permit.go
+++ b/internal/api/permit/permit.go
@@ -97,7 +97,7 @@
 
 // Claim asks for the permit of a key. The error wraps ErrNotClaimed or ErrUnknown.
 func (p *Permits) Claim(ctx context.Context, key string, digest uint64) (Decision, error) {
-	part := p.of(key)
+	part := p.partitionOf(key)
 	if err := p.catchUp(ctx, part); err != nil {
 		return nil, errors.Wrap(ErrNotClaimed, err.Error())
 	}
@@ -138,20 +138,20 @@
 // the request may have run, which is true as well.
 func (p *Permits) Settle(ctx context.Context, granted Granted, outcome Outcome) error {
 	rec := record{Kind: kindOutcome, Key: granted.key, Claimant: granted.claimant, AtMs: time.Now().UnixMilli(), Outcome: outcome}
-	return p.append(ctx, p.of(granted.key), rec)
+	return p.append(ctx, p.partitionOf(granted.key), rec)
 }
 
 // Release gives the permit back: the granted request has certainly not run and
 // will not, so that a later try may. Without it the key stays spent.
 func (p *Permits) Release(ctx context.Context, granted Granted) error {
 	rec := record{Kind: kindRelease, Key: granted.key, Claimant: granted.claimant, AtMs: time.Now().UnixMilli()}
-	return p.append(ctx, p.of(granted.key), rec)
+	return p.append(ctx, p.partitionOf(granted.key), rec)
 }
 
 // Await returns the outcome of a key's run, once it is recorded. It reports
 // false if the context ends before; a read of the journal that fails is repeated until then.
 func (p *Permits) Await(ctx context.Context, key string) (Outcome, bool) {
-	part := p.of(key)
+	part := p.partitionOf(key)
 	for {
 		if p.catchUp(ctx, part) == nil {
 			if c := part.lookUp(key); c != nil && c.outcome != nil {
--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -225,7 +225,7 @@
 		is := is.New(t)
 		const retention = 10 * time.Minute
 		permits := New(journaltest.New(), retention, func() string { return "second" }, zap.NewNop())
-		part := permits.of("k")
+		part := permits.partitionOf("k")
 		dropsBefore := func(clock time.Time) time.Time { return clock.Add(-retention - clockMargin) }
 		rec := record{Kind: kindClaim, Key: "k", Claimant: "first", Digest: 1, AtMs: time.Now().UnixMilli()}
 		part.fold(0, [][]byte{rec.encode()}, dropsBefore(time.Now()))
