--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -46,8 +46,8 @@
 	return part
 }
 
-// append adds a record with one call.
-func (p *Permits) append(ctx context.Context, part *partition, r record) error {
+// appendRecord adds a record with one call.
+func (p *Permits) appendRecord(ctx context.Context, part *partition, r record) error {
 	return journal.AppendWithTimeout(ctx, p.journal, callTimeout, part.name, r.encode())
 }
 
--- a/internal/api/permit/permit.go
+++ b/internal/api/permit/permit.go
@@ -106,7 +106,7 @@
 	}
 	claimant := p.newID()
 	rec := record{Kind: kindClaim, Key: key, Claimant: claimant, Digest: digest, AtMs: time.Now().UnixMilli()}
-	if err := p.append(ctx, part, rec); err != nil {
+	if err := p.appendRecord(ctx, part, rec); err != nil {
 		if errors.Is(err, journal.ErrNotDone) {
 			return nil, errors.Wrap(ErrNotClaimed, err.Error())
 		}
@@ -138,14 +138,14 @@
 // the request may have run, which is true as well.
 func (p *Permits) Settle(ctx context.Context, granted Granted, outcome Outcome) error {
 	rec := record{Kind: kindOutcome, Key: granted.key, Claimant: granted.claimant, AtMs: time.Now().UnixMilli(), Outcome: outcome}
-	return p.append(ctx, p.partitionOf(granted.key), rec)
+	return p.appendRecord(ctx, p.partitionOf(granted.key), rec)
 }
 
 // Release gives the permit back: the granted request has certainly not run and
 // will not, so that a later try may. Without it the key stays spent.
 func (p *Permits) Release(ctx context.Context, granted Granted) error {
 	rec := record{Kind: kindRelease, Key: granted.key, Claimant: granted.claimant, AtMs: time.Now().UnixMilli()}
-	return p.append(ctx, p.partitionOf(granted.key), rec)
+	return p.appendRecord(ctx, p.partitionOf(granted.key), rec)
 }
 
 // Await returns the outcome of a key's run, once it is recorded. It reports
