--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -60,7 +60,7 @@
 			g.enterClass(w, policy.Class{Name: "c", QueueLimit: 1})
 		}, status: 429, problem: Problem{Code: "queue_full", Message: `traffic class "c" has 1 requests at this daemon, its bound`, Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"no permit":         {answer: func(g *Gateway, w http.ResponseWriter) { g.refuseClaim(w, permit.ErrNotClaimed) }, keyed: true, status: 503, problem: Problem{Code: "log_unavailable", Message: "no permit for the key", Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
-		"permit unsure":     {answer: func(g *Gateway, w http.ResponseWriter) { g.refuseClaim(w, permit.ErrUnknown) }, keyed: true, status: 503, problem: Problem{Code: "permit_unsure", Message: "no permit for the key", Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
+		"permit unsure":     {answer: func(g *Gateway, w http.ResponseWriter) { g.refuseClaim(w, permit.ErrOutcomeUnknown) }, keyed: true, status: 503, problem: Problem{Code: "permit_unsure", Message: "no permit for the key", Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
 		"pull failed":       {answer: pullFailed(errors.New("late")), keyed: true, status: 503, problem: Problem{Code: "delivery_failed", Message: "late", Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"pull of no batch":  {answer: pullFailed(delivery.ErrUnknownBatch), status: 404, problem: Problem{Code: "unknown_batch", Message: delivery.ErrUnknownBatch.Error(), Outcome: NotExecuted}},
 		"samples unusable":  {answer: pullFailed(delivery.ErrTooManyRounds), status: 502, problem: Problem{Code: "samples_unusable", Message: delivery.ErrTooManyRounds.Error(), Outcome: NotExecuted}},
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -200,7 +200,7 @@
 // refuseClaim answers a try that got no permit. It was not sent.
 func (g *Gateway) refuseClaim(w http.ResponseWriter, err error) {
 	reason := refusal.V1LogUnavailable
-	if errors.Is(err, permit.ErrUnknown) {
+	if errors.Is(err, permit.ErrOutcomeUnknown) {
 		reason = refusal.V1PermitUnknown
 	}
 	refuse(w, reason, "no permit for the key")
--- a/internal/api/permit/permit.go
+++ b/internal/api/permit/permit.go
@@ -45,8 +45,8 @@
 var (
 	// ErrNotClaimed: this try has no permit, and its claim is not in the journal.
 	ErrNotClaimed = errors.New("permit: not claimed")
-	// ErrUnknown: this try has no permit, but its claim may take the key later.
-	ErrUnknown = errors.New("permit: outcome of claim unknown")
+	// ErrOutcomeUnknown: this try has no permit, but its claim may take the key later.
+	ErrOutcomeUnknown = errors.New("permit: outcome of claim unknown")
 )
 
 const (
@@ -110,14 +110,14 @@
 		if errors.Is(err, journal.ErrNotDone) {
 			return nil, errors.Wrap(ErrNotClaimed, err.Error())
 		}
-		return nil, errors.Wrap(ErrUnknown, err.Error())
+		return nil, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	if err := p.catchUp(ctx, part); err != nil {
-		return nil, errors.Wrap(ErrUnknown, err.Error())
+		return nil, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	c := part.lookUp(key)
 	if c == nil {
-		return nil, errors.Wrap(ErrUnknown, "the claim is not in the journal any more")
+		return nil, errors.Wrap(ErrOutcomeUnknown, "the claim is not in the journal any more")
 	}
 	return judge(c, key, claimant, digest), nil
 }
