--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -48,7 +48,7 @@
 
 // appendRecord adds a record with one call.
 func (p *Permits) appendRecord(ctx context.Context, part *partition, r record) error {
-	return journal.AppendWithTimeout(ctx, p.journal, callTimeout, part.name, r.encode())
+	return journal.AppendWithTimeout(ctx, p.journal, journalTimeout, part.name, r.encode())
 }
 
 // catchUp reads a partition up to where it ended when the read began.
@@ -59,7 +59,7 @@
 		return ctx.Err()
 	}
 	defer func() { <-part.readLock }()
-	part.next, err = journal.ReadToEnd(ctx, p.journal, part.name, part.next, callTimeout,
+	part.next, err = journal.ReadToEnd(ctx, p.journal, part.name, part.next, journalTimeout,
 		func(offset int64, records [][]byte) {
 			part.fold(offset, records, time.Now().Add(-p.retention-clockMargin))
 		})
--- a/internal/api/permit/permit.go
+++ b/internal/api/permit/permit.go
@@ -50,8 +50,8 @@
 )
 
 const (
-	// callTimeout bounds one call to the journal.
-	callTimeout = 1500 * time.Millisecond
+	// journalTimeout bounds one call to the journal.
+	journalTimeout = 1500 * time.Millisecond
 	// awaitPause is the time between two looks for an outcome.
 	awaitPause = 100 * time.Millisecond
 	// clockMargin is taken for the difference between two daemons' clocks.
