--- a/internal/api/permit/permit.go
+++ b/internal/api/permit/permit.go
@@ -52,8 +52,8 @@
 const (
 	// journalTimeout bounds one call to the journal.
 	journalTimeout = 1500 * time.Millisecond
-	// awaitPause is the time between two looks for an outcome.
-	awaitPause = 100 * time.Millisecond
+	// awaitInterval is the time between two looks for an outcome.
+	awaitInterval = 100 * time.Millisecond
 	// clockMargin is taken for the difference between two daemons' clocks.
 	clockMargin = 30 * time.Second
 )
@@ -161,7 +161,7 @@
 		select {
 		case <-ctx.Done():
 			return Outcome{}, false
-		case <-time.After(awaitPause):
+		case <-time.After(awaitInterval):
 		}
 	}
 }
