--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -32,7 +32,7 @@
 	n := int(hash.Sum32() % uint32(max(p.journal.PartitionsPerTopic(), 1)))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	part := p.parts[n]
+	part := p.partitions[n]
 	if part == nil {
 		part = &partition{
 			name:         journal.Partition{Topic: topic, Number: n},
@@ -41,7 +41,7 @@
 			logger:       p.logger,
 			claims:       state{},
 		}
-		p.parts[n] = part
+		p.partitions[n] = part
 	}
 	return part
 }
--- a/internal/api/permit/permit.go
+++ b/internal/api/permit/permit.go
@@ -84,15 +84,15 @@
 	newID     func() string
 	logger    *zap.Logger
 
-	mu    sync.Mutex
-	parts map[int]*partition
+	mu         sync.Mutex
+	partitions map[int]*partition
 }
 
 // New returns permits whose keys are remembered for retention, which must not
 // be longer than the journal keeps records. Each call of newID must return
 // another text, on all daemons together.
 func New(log journal.Journal, retention time.Duration, newID func() string, logger *zap.Logger) *Permits {
-	return &Permits{journal: log, retention: retention, newID: newID, logger: logger, parts: map[int]*partition{}}
+	return &Permits{journal: log, retention: retention, newID: newID, logger: logger, partitions: map[int]*partition{}}
 }
 
 // Claim asks for the permit of a key. The error wraps ErrNotClaimed or ErrUnknown.
