--- a/internal/api/permit/permit.go
+++ b/internal/api/permit/permit.go
@@ -102,7 +102,7 @@
 		return nil, errors.Wrap(ErrNotClaimed, err.Error())
 	}
 	if c := part.lookUp(key); c != nil {
-		return judge(c, key, "", digest), nil
+		return decide(c, key, "", digest), nil
 	}
 	claimant := p.newID()
 	rec := record{Kind: kindClaim, Key: key, Claimant: claimant, Digest: digest, AtMs: time.Now().UnixMilli()}
@@ -119,11 +119,11 @@
 	if c == nil {
 		return nil, errors.Wrap(ErrOutcomeUnknown, "the claim is not in the journal any more")
 	}
-	return judge(c, key, claimant, digest), nil
+	return decide(c, key, claimant, digest), nil
 }
 
-// judge decides on a try of a claimant, "" for one that has made no claim, by the claim that counts.
-func judge(c *claim, key, claimant string, digest uint64) Decision {
+// decide decides on a try of a claimant, "" for one that has made no claim, by the claim that counts.
+func decide(c *claim, key, claimant string, digest uint64) Decision {
 	switch {
 	case c.claimant == claimant:
 		return Granted{key: key, claimant: claimant}
