--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -157,7 +157,7 @@
 	if len(outcome.Body) <= maxOutcomeBytes {
 		settling, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 		defer cancel()
-		if err := g.parts.Permits.Settle(settling, granted, outcome); err != nil {
+		if err := g.parts.Permits.RecordOutcome(settling, granted, outcome); err != nil {
 			g.parts.Logger.Warn("outcome of a key not recorded", zap.Error(err))
 		}
 	}
--- a/internal/api/permit/permit.go
+++ b/internal/api/permit/permit.go
@@ -134,9 +134,9 @@
 	}
 }
 
-// Settle records what the granted run came to. Without it later tries hear that
+// RecordOutcome records what the granted run came to. Without it later tries hear that
 // the request may have run, which is true as well.
-func (p *Permits) Settle(ctx context.Context, granted Granted, outcome Outcome) error {
+func (p *Permits) RecordOutcome(ctx context.Context, granted Granted, outcome Outcome) error {
 	rec := record{Kind: kindOutcome, Key: granted.key, Claimant: granted.claimant, AtMs: time.Now().UnixMilli(), Outcome: outcome}
 	return p.appendRecord(ctx, p.partitionOf(granted.key), rec)
 }
--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -136,7 +136,7 @@
 	is.True(ok)
 	// The first one's release must not free what is no longer its own.
 	is.NoErr(first.Release(ctx, given))
-	is.NoErr(second.Settle(ctx, granted, Outcome{Status: 200}))
+	is.NoErr(second.RecordOutcome(ctx, granted, Outcome{Status: 200}))
 	is.NoErr(second.Release(ctx, granted))
 	decision, err = first.Claim(ctx, "k", 1)
 	is.NoErr(err)
@@ -153,7 +153,7 @@
 	is.NoErr(err)
 	granted, ok := decision.(Granted)
 	is.True(ok)
-	is.NoErr(first.Settle(ctx, granted, Outcome{Status: 200, Body: []byte("done")}))
+	is.NoErr(first.RecordOutcome(ctx, granted, Outcome{Status: 200, Body: []byte("done")}))
 	decision, err = second.Claim(ctx, "k", 1)
 	is.NoErr(err)
 	is.Equal(decision, Taken{})
