--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -34,8 +34,8 @@
 
 const retention = 10 * time.Minute
 
-// befalling is what happens to one call: a delay, then a fault.
-type befalling struct {
+// callFault is what happens to one call: a delay, then a fault.
+type callFault struct {
 	delay time.Duration
 	fault journaltest.Fault
 }
@@ -46,12 +46,12 @@
 func TestAtMostOneTryRuns(t *testing.T) {
 	again := 0
 	rapid.Check(t, func(t *rapid.T) {
-		drawn := rapid.Custom(func(t *rapid.T) befalling {
+		drawn := rapid.Custom(func(t *rapid.T) callFault {
 			fault := journaltest.None
 			if rapid.IntRange(0, 3).Draw(t, "faulty") == 0 {
 				fault = journaltest.Fault(rapid.IntRange(int(journaltest.Refuse), int(journaltest.Delay)).Draw(t, "fault"))
 			}
-			return befalling{delay: time.Duration(rapid.IntRange(0, 20).Draw(t, "delay")) * time.Millisecond, fault: fault}
+			return callFault{delay: time.Duration(rapid.IntRange(0, 20).Draw(t, "delay")) * time.Millisecond, fault: fault}
 		})
 		calls := rapid.SliceOfN(drawn, 0, 40).Draw(t, "calls")
 		starts := rapid.SliceOfN(rapid.IntRange(0, 40), 2, 8).Draw(t, "starts")
@@ -75,12 +75,12 @@
 
 // grants counts the granted tries and those that ran. Each starts at a time in
 // milliseconds at one of three daemons, and runs unless it gives the key back.
-func grants(calls []befalling, starts []int, release []bool) (granted, ran int) {
+func grants(calls []callFault, starts []int, release []bool) (granted, ran int) {
 	log := journaltest.New()
 	var mu sync.Mutex
 	log.FaultFunc = func(journaltest.Call) journaltest.Fault {
 		mu.Lock()
-		next := befalling{}
+		next := callFault{}
 		if len(calls) > 0 {
 			next, calls = calls[0], calls[1:]
 		}
