--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -20,8 +20,8 @@
 
 func init() { testseed.Fix() }
 
-// counter returns a function that returns another text each time.
-func counter() func() string {
+// newIDs returns a function that returns another text each time.
+func newIDs() func() string {
 	var mu sync.Mutex
 	n := 0
 	return func() string {
@@ -88,7 +88,7 @@
 		time.Sleep(next.delay)
 		return next.fault
 	}
-	ids := counter()
+	ids := newIDs()
 	daemons := []*Permits{New(log, retention, ids, zap.NewNop()), New(log, retention, ids, zap.NewNop()), New(log, retention, ids, zap.NewNop())}
 	var tries sync.WaitGroup
 	for i, start := range starts {
@@ -123,7 +123,7 @@
 func TestAKeyThatWasGivenBackIsFree(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
-	ids := counter()
+	ids := newIDs()
 	first, second := New(log, retention, ids, zap.NewNop()), New(log, retention, ids, zap.NewNop())
 	ctx := context.Background()
 	decision, err := first.Claim(ctx, "k", 1)
@@ -146,7 +146,7 @@
 func TestLaterTriesHearTheOutcome(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
-	ids := counter()
+	ids := newIDs()
 	first, second := New(log, retention, ids, zap.NewNop()), New(log, retention, ids, zap.NewNop())
 	ctx := context.Background()
 	decision, err := first.Claim(ctx, "k", 1)
@@ -170,7 +170,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
-		ids := counter()
+		ids := newIDs()
 		_, err := New(log, retention, ids, zap.NewNop()).Claim(context.Background(), "k", 1)
 		is.NoErr(err)
 		other := New(log, retention, ids, zap.NewNop())
@@ -187,7 +187,7 @@
 func TestARefusedClaimIsNotInTheJournal(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
-	permits := New(log, retention, counter(), zap.NewNop())
+	permits := New(log, retention, newIDs(), zap.NewNop())
 	log.FaultFunc = func(call journaltest.Call) journaltest.Fault {
 		if call == journaltest.Append {
 			return journaltest.Refuse
@@ -210,7 +210,7 @@
 	now := time.UnixMilli(1_700_000_000_000)
 	key, err := ParseKey("1700000000000-abcdefgh")
 	is.NoErr(err)
-	permits := New(journaltest.New(), retention, counter(), zap.NewNop())
+	permits := New(journaltest.New(), retention, newIDs(), zap.NewNop())
 	is.NoErr(permits.Check(key, now))
 	is.True(errors.Is(permits.Check(key, now.Add(retention)), ErrExpired))
 	is.True(errors.Is(permits.Check(key, now.Add(-time.Minute)), ErrFutureKey))
