--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -57,7 +57,7 @@
 		starts := rapid.SliceOfN(rapid.IntRange(0, 40), 2, 8).Draw(t, "starts")
 		release := rapid.SliceOfN(rapid.Bool(), len(starts), len(starts)).Draw(t, "release")
 		granted, ran := 0, 0
-		synctest.Test(&testing.T{}, func(*testing.T) { granted, ran = grants(calls, starts, release) })
+		synctest.Test(&testing.T{}, func(*testing.T) { granted, ran = countGrants(calls, starts, release) })
 		if ran > 1 {
 			t.Fatalf("%d tries ran", ran)
 		}
@@ -73,9 +73,9 @@
 	}
 }
 
-// grants counts the granted tries and those that ran. Each starts at a time in
+// countGrants counts the granted tries and those that ran. Each starts at a time in
 // milliseconds at one of three daemons, and runs unless it gives the key back.
-func grants(calls []callFault, starts []int, release []bool) (granted, ran int) {
+func countGrants(calls []callFault, starts []int, release []bool) (granted, ran int) {
 	log := journaltest.New()
 	var mu sync.Mutex
 	log.FaultFunc = func(journaltest.Call) journaltest.Fault {
