--- a/internal/api/permit/golden_test.go
+++ b/internal/api/permit/golden_test.go
@@ -12,7 +12,7 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-func TestClaimsKeepTheirForm(t *testing.T) {
+func TestEncodingOfRecordsIsUnchanged(t *testing.T) {
 	golden.CBOR[record](t, "record")
 	golden.Text(t, "kinds.txt", fmt.Sprint(int(kindClaim), int(kindOutcome), int(kindRelease)))
 	log := journaltest.New()
