--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -120,7 +120,7 @@
 
 // A key that was given back is granted to the next try, of the same content or
 // another; one that was settled stays taken.
-func TestAKeyThatWasGivenBackIsFree(t *testing.T) {
+func TestReleasedKeyIsGrantedAgain(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
 	ids := newIDs()
