--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -143,7 +143,7 @@
 	is.Equal(decision, Taken{})
 }
 
-func TestLaterTriesHearTheOutcome(t *testing.T) {
+func TestLaterTriesReceiveTheOutcome(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
 	ids := newIDs()
