--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -166,7 +166,7 @@
 }
 
 // A claimant that died leaves a key that nobody may run again.
-func TestAnUnsettledKeyStaysTaken(t *testing.T) {
+func TestKeyWithoutOutcomeStaysTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
