--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -184,7 +184,7 @@
 	})
 }
 
-func TestARefusedClaimIsNotInTheJournal(t *testing.T) {
+func TestFailedAppendLeavesNoClaim(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
 	permits := New(log, retention, newIDs(), zap.NewNop())
