--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -203,7 +203,7 @@
 	is.True(ok)
 }
 
-func TestKeys(t *testing.T) {
+func TestParseAndCheckKey(t *testing.T) {
 	is := is.New(t)
 	_, err := ParseKey("no-key")
 	is.True(errors.Is(err, ErrInvalidKey))
