--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -220,7 +220,7 @@
 // forget every claim that it had read. It had gone past their records, so that the next
 // claim of such a key was the first one that it saw, and its request was sent twice. A key
 // is kept for as long as it may be used, by the steady clock too.
-func TestAClockSetAheadForgetsNoClaim(t *testing.T) {
+func TestClockJumpRemovesNoClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const retention = 10 * time.Minute
