--- a/internal/api/permit/fold.go
+++ b/internal/api/permit/fold.go
@@ -7,10 +7,10 @@
 	"github.com/pkg/errors"
 )
 
-// errIncompleteRecord: a record names no key or no claimant.
+// errIncompleteRecord is returned for a record without a key or a claimant.
 var errIncompleteRecord = errors.New("permit: record without a key or a claimant")
 
-// recordKind says what a record tells.
+// recordKind is the type of a record. The values are stored.
 type recordKind int
 
 const (
@@ -21,12 +21,13 @@
 
 // record is one record of a permit partition.
 type record struct {
-	Kind     recordKind `cbor:"1,keyasint"`
-	Key      string     `cbor:"2,keyasint"`
-	Claimant string     `cbor:"3,keyasint"`
-	// Digest is that of the request's content, for a claim.
+	Kind recordKind `cbor:"1,keyasint"`
+	Key  string     `cbor:"2,keyasint"`
+	// Claimant is the ID of the try that wrote the record.
+	Claimant string `cbor:"3,keyasint"`
+	// Digest is the hash of the request's content, in a claim.
 	Digest uint64 `cbor:"4,keyasint,omitempty"`
-	// AtMs is the claimant's time of day, in milliseconds.
+	// AtMs is the wall-clock time at the claimant, in Unix milliseconds.
 	AtMs    int64   `cbor:"5,keyasint"`
 	Outcome Outcome `cbor:"6,keyasint,omitempty"`
 }
@@ -34,12 +35,12 @@
 func (r record) encode() []byte {
 	encoded, err := cbor.Marshal(r)
 	if err != nil {
-		panic(err) // a record is always encodable
+		panic(err) // records are always encodable
 	}
 	return encoded
 }
 
-// Outcome is what the request's one run came to.
+// Outcome is the response to the one run of a request.
 type Outcome struct {
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint"`
@@ -48,23 +49,23 @@
 	Replica string `cbor:"4,keyasint"`
 }
 
-// claim is the claim of a key that counts, with what came of it.
+// claim is the valid claim of a key, with the outcome of its request.
 type claim struct {
 	claimant string
 	digest   uint64
-	// claimedAt is the claimant's time of day claimedAt the claim, foldedAt when the claim was read
-	// here, by the steady clock.
+	// claimedAt is the claimant's wall-clock time at the claim. foldedAt is when this daemon read
+	// the claim; intervals since then are measured by the monotonic clock.
 	claimedAt, foldedAt time.Time
 	outcome             *Outcome
 }
 
-// state is the fold of one partition: of the claims of a key the first counts,
-// of the outcomes the first that its claimant gave. After the claimant has given
-// the key back, the next claim counts.
+// state is the fold of one partition: the valid claim of each key. The first claim of a key is
+// valid until its claimant releases the key, then the next one. The first outcome from the claimant
+// counts.
 type state map[string]*claim
 
-// apply folds the next record. One that comes too late changes nothing, for every reader
-// alike; nor does one that is malformed, which is an error.
+// apply folds the next record. A record that has no effect because an earlier one won is skipped by
+// every reader alike. A malformed record is skipped too, and returned as an error.
 func (s state) apply(encoded []byte) error {
 	var r record
 	if err := cbor.Unmarshal(encoded, &r); err != nil {
@@ -91,13 +92,13 @@
 	return nil
 }
 
-// removeExpired drops the keys that were claimed before a time of day, and were read here a span
-// ago at least: the time of day may be set ahead, and back again, and a claim that is
-// forgotten is not read again. The time of day alone does for daemons whose clocks differ
-// for good, as the use of keys is bounded by the same clock.
-func (s state) removeExpired(before time.Time, kept time.Duration) {
+// removeExpired removes the keys that were claimed before a wall-clock time and were read here more
+// than minAge ago. The second condition keeps claims while the wall clock is set ahead, since a
+// removed claim is never read again. The first one alone suffices between daemons whose clocks
+// differ permanently, because Check compares keys with the same clock.
+func (s state) removeExpired(before time.Time, minAge time.Duration) {
 	for key, c := range s {
-		if c.claimedAt.Before(before) && time.Since(c.foldedAt) > kept {
+		if c.claimedAt.Before(before) && time.Since(c.foldedAt) > minAge {
 			delete(s, key)
 		}
 	}
--- a/internal/api/permit/partition.go
+++ b/internal/api/permit/partition.go
@@ -11,24 +11,25 @@
 	"woodworks/internal/journal"
 )
 
-// partition is one partition as far as it has been read.
+// partition is the fold of one partition of the topic, as far as this daemon has read it.
 type partition struct {
 	name journal.Partition
-	// readLock has room for the one who reads; next is that one's.
+	// readLock is held by sending to it. It guards next, the offset of the first record not read.
 	readLock chan struct{}
 	next     int64
-	// minRetention is how long a key is remembered at least after its claim was read.
+	// minRetention is the minimum time that a claim is kept after it was read.
 	minRetention time.Duration
 	logger       *zap.Logger
 
+	// mu guards claims.
 	mu     sync.Mutex
 	claims state
 }
 
-// partitionOf returns the partition partitionOf a key.
+// partitionOf returns the partition of a key, and creates its fold at the first call.
 func (p *Permits) partitionOf(key string) *partition {
 	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(key)) // It never fails.
+	_, _ = hash.Write([]byte(key)) // hash.Hash never returns an error
 	n := int(hash.Sum32() % uint32(max(p.journal.PartitionsPerTopic(), 1)))
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,12 +47,13 @@
 	return part
 }
 
-// appendRecord adds a record with one call.
+// appendRecord appends a record with one call to the journal, bounded by journalTimeout.
 func (p *Permits) appendRecord(ctx context.Context, part *partition, r record) error {
 	return journal.AppendWithTimeout(ctx, p.journal, journalTimeout, part.name, r.encode())
 }
 
-// catchUp reads a partition up to where it ended when the read began.
+// catchUp folds all records that were in the partition when the read began. It waits while another
+// call reads the partition.
 func (p *Permits) catchUp(ctx context.Context, part *partition) (err error) {
 	select {
 	case part.readLock <- struct{}{}:
@@ -66,21 +68,21 @@
 	return err
 }
 
-// fold takes records in that begin at an offset, and drops the keys that were claimed before a
-// time.
+// fold applies records that begin at offset, and removes the keys that were claimed before a
+// wall-clock time.
 func (p *partition) fold(offset int64, records [][]byte, before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, encoded := range records {
 		if err := p.claims.apply(encoded); err != nil {
-			p.logger.Warn("permit record passed over", zap.Int("partition", p.name.Number),
+			p.logger.Warn("invalid permit record skipped", zap.Int("partition", p.name.Number),
 				zap.Int64("offset", offset+int64(i)), zap.Error(err))
 		}
 	}
 	p.claims.removeExpired(before, p.minRetention)
 }
 
-// lookUp returns a copy of what is known of a key, or nil.
+// lookUp returns a copy of the valid claim of a key, or nil if there is none.
 func (p *partition) lookUp(key string) *claim {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -20,7 +20,7 @@
 
 func init() { testseed.Fix() }
 
-// newIDs returns a function that returns another text each time.
+// newIDs returns a function that returns a new ID at each call.
 func newIDs() func() string {
 	var mu sync.Mutex
 	n := 0
@@ -34,26 +34,25 @@
 
 const retention = 10 * time.Minute
 
-// callFault is what happens to one call: a delay, then a fault.
+// callFault delays a call to the journal and then fails it.
 type callFault struct {
 	delay time.Duration
 	fault journaltest.Fault
 }
 
-// Whatever befalls the journal's calls, of all tries with a key that come to
-// any daemons at any time at most one runs; a granted one that does not run gives
-// the key back, and may not run later.
+// For any faults and delays of the journal, at most one of the tries with a key runs, whichever
+// daemons they come to. A granted try that does not run releases the key and must not run later.
 func TestAtMostOneTryRuns(t *testing.T) {
 	again := 0
 	rapid.Check(t, func(t *rapid.T) {
-		drawn := rapid.Custom(func(t *rapid.T) callFault {
+		drawnFault := rapid.Custom(func(t *rapid.T) callFault {
 			fault := journaltest.None
 			if rapid.IntRange(0, 3).Draw(t, "faulty") == 0 {
 				fault = journaltest.Fault(rapid.IntRange(int(journaltest.Refuse), int(journaltest.Delay)).Draw(t, "fault"))
 			}
 			return callFault{delay: time.Duration(rapid.IntRange(0, 20).Draw(t, "delay")) * time.Millisecond, fault: fault}
 		})
-		calls := rapid.SliceOfN(drawn, 0, 40).Draw(t, "calls")
+		calls := rapid.SliceOfN(drawnFault, 0, 40).Draw(t, "calls")
 		starts := rapid.SliceOfN(rapid.IntRange(0, 40), 2, 8).Draw(t, "starts")
 		release := rapid.SliceOfN(rapid.Bool(), len(starts), len(starts)).Draw(t, "release")
 		granted, ran := 0, 0
@@ -69,12 +68,13 @@
 		}
 	})
 	if again == 0 {
-		t.Fatal("no key was granted again after it was given back")
+		t.Fatal("no key was granted again after its release")
 	}
 }
 
-// countGrants counts the granted tries and those that ran. Each starts at a time in
-// milliseconds at one of three daemons, and runs unless it gives the key back.
+// countGrants returns how many tries were granted the key and how many ran. Try i starts after
+// starts[i] milliseconds at one of three daemons; if granted, it releases the key if release[i] is
+// set, and runs otherwise.
 func countGrants(calls []callFault, starts []int, release []bool) (granted, ran int) {
 	log := journaltest.New()
 	var mu sync.Mutex
@@ -118,8 +118,7 @@
 	return granted, ran
 }
 
-// A key that was given back is granted to the next try, of the same content or
-// another; one that was settled stays taken.
+// A released key is granted to the next try, for any content; a key with an outcome stays taken.
 func TestReleasedKeyIsGrantedAgain(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
@@ -134,7 +133,7 @@
 	is.NoErr(err)
 	granted, ok := decision.(Granted)
 	is.True(ok)
-	// The first one's release must not free what is no longer its own.
+	// A repeated release by the first claimant must not release the claim of the second.
 	is.NoErr(first.Release(ctx, given))
 	is.NoErr(second.RecordOutcome(ctx, granted, Outcome{Status: 200}))
 	is.NoErr(second.Release(ctx, granted))
@@ -165,7 +164,7 @@
 	is.Equal(decision, OtherContent{})
 }
 
-// A claimant that died leaves a key that nobody may run again.
+// Guards against running a request again whose claimant ended without recording an outcome.
 func TestKeyWithoutOutcomeStaysTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -216,23 +215,21 @@
 	is.True(errors.Is(permits.Check(key, now.Add(-time.Minute)), ErrFutureKey))
 }
 
-// A clock that was set ahead by more than the retention and back again made a daemon
-// forget every claim that it had read. It had gone past their records, so that the next
-// claim of such a key was the first one that it saw, and its request was sent twice. A key
-// is kept for as long as it may be used, by the steady clock too.
+// Guards against a wall clock that is set ahead and back: a claim removed meanwhile is never read
+// again, so its request would run twice.
 func TestClockJumpRemovesNoClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const retention = 10 * time.Minute
 		permits := New(journaltest.New(), retention, func() string { return "second" }, zap.NewNop())
 		part := permits.partitionOf("k")
-		dropsBefore := func(clock time.Time) time.Time { return clock.Add(-retention - clockMargin) }
+		expiryLimit := func(clock time.Time) time.Time { return clock.Add(-retention - clockMargin) }
 		rec := record{Kind: kindClaim, Key: "k", Claimant: "first", Digest: 1, AtMs: time.Now().UnixMilli()}
-		part.fold(0, [][]byte{rec.encode()}, dropsBefore(time.Now()))
-		part.fold(0, nil, dropsBefore(time.Now().Add(time.Hour)))
+		part.fold(0, [][]byte{rec.encode()}, expiryLimit(time.Now()))
+		part.fold(0, nil, expiryLimit(time.Now().Add(time.Hour)))
 		is.True(part.lookUp("k") != nil)
 		time.Sleep(retention + clockMargin + time.Millisecond)
-		part.fold(0, nil, dropsBefore(time.Now()))
+		part.fold(0, nil, expiryLimit(time.Now()))
 		is.True(part.lookUp("k") == nil)
 	})
 }
--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -45,6 +45,7 @@
 
 	"journal answers again":                             "lost calls given up",
 	"malformed record passed over":                      "malformed record skipped",
+	"permit record passed over":                         "invalid permit record skipped",
 	"records trimmed, reading fully":                    "records trimmed, starting full read",
 	"partition is shorter than was read, reading fully": "partition ends before the next offset, starting full read",
 }
