--- a/internal/api/permit/permit.go
+++ b/internal/api/permit/permit.go
@@ -3,9 +3,9 @@
 //
 // A try claims the key by a record in the journal. The first claim of a key wins, for every reader
 // alike, so at most one try may run the request. The winner records the outcome, and later tries
-// receive it. This does not depend on clocks or on assumptions about other daemons: if a claimant ends
-// without recording an outcome, the request may have run, and later tries receive Taken without an
-// outcome.
+// receive it. This does not depend on clocks or on assumptions about other daemons: if a claimant
+// ends without recording an outcome, the request may have run, and later tries receive Taken without
+// an outcome.
 //
 // # Usage
 //
--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -136,9 +136,9 @@
 	if rapid.IntRange(0, 5).Draw(t, "dies") == 0 {
 		result.Outcome = batch.Dead
 	} else {
-		made := rapid.Int64Range(job.MinVersion, max(m.version, job.MinVersion)).Draw(t, "version")
-		result.Versions = []int64{made}
-		result.Text = fmt.Appendf(nil, `{"version":%d,"tokens":[%d]}`+"\n"+`{"version":%d,"tokens":[],"end":"stop"}`, made, item, made)
+		version := rapid.Int64Range(job.MinVersion, max(m.version, job.MinVersion)).Draw(t, "version")
+		result.Versions = []int64{version}
+		result.Text = fmt.Appendf(nil, `{"version":%d,"tokens":[%d]}`+"\n"+`{"version":%d,"tokens":[],"end":"stop"}`, version, item, version)
 	}
 	job.HasResult[item] = true
 	job.Results = append(job.Results, result)
@@ -196,9 +196,9 @@
 		for item, listed := range job.HasResult {
 			if !listed {
 				job.HasResult[item] = true
-				made := max(m.version, job.MinVersion)
-				job.Results = append(job.Results, batch.Result{Item: item, Outcome: batch.Done, Versions: []int64{made},
-					Text: fmt.Appendf(nil, `{"version":%d,"tokens":[1],"end":"stop"}`, made)})
+				version := max(m.version, job.MinVersion)
+				job.Results = append(job.Results, batch.Result{Item: item, Outcome: batch.Done, Versions: []int64{version},
+					Text: fmt.Appendf(nil, `{"version":%d,"tokens":[1],"end":"stop"}`, version)})
 			}
 		}
 	}
