--- a/internal/api/delivery/restart_test.go
+++ b/internal/api/delivery/restart_test.go
@@ -28,52 +28,52 @@
 	"woodworks/internal/membership/identity"
 )
 
-// The fleet of the test below, as it is after a start of all daemons: that of the test of
-// questions in package results, and pulls of a few samples each, as they become ready.
+// The fleet and load of TestSamplesAreDeliveredSoonAfterAllDaemonsStarted, as in the tests of
+// package results. Rates are in bytes per second.
 const (
-	restartDaemons = 91
-	restartBatches = 36
-	restartSamples = 32
-	restartBytes   = 2 << 20
-	restartPull    = 4
-	restartJournal = 80e6
-	restartLink    = 45e6 / 8
-	// stepTime is how long a trainer waits for the samples of a step.
-	stepTime = 7500 * time.Millisecond
-	// comeBack is when a refused caller is told to come back.
-	comeBack = time.Second
+	restartDaemons     = 91
+	restartBatches     = 36
+	restartSamples     = 32
+	restartBatchBytes  = 2 << 20
+	restartPullLimit   = 4
+	restartJournalRate = 80e6
+	restartLinkRate    = 45e6 / 8
+	// maxStepWait bounds the time until a trainer has all samples of a batch.
+	maxStepWait = 7500 * time.Millisecond
+	// refusedPullDelay is the wait before a refused pull is repeated.
+	refusedPullDelay = time.Second
 )
 
-// frames is a text of one frame with so many bytes.
-func frames(size int) []byte {
+// paddedFrame returns one frame padded to size bytes.
+func paddedFrame(size int) []byte {
 	text := []byte(`{"version":1,"tokens":[1],"end":"stop"}`)
 	return append(text, bytes.Repeat([]byte(" "), size-len(text))...)
 }
 
-// restarted are desks that have just started before a journal of whole batches.
-// It implements results.Watchers and results.Peers.
-type restarted struct {
+// restartedFleet is a fleet of services that have just started, with all batches in the journal. It
+// implements results.Watchers and results.Peers.
+type restartedFleet struct {
 	*ledgertest.Fleet
-	log     *journaltest.Journal
-	desks   []*Service
-	headers []rollout.Header
-	// services answer peers, each over a link that carries one answer at a time.
-	services []*results.Service
+	log      *journaltest.Journal
+	services []*Service
+	headers  []rollout.Header
+	// watchers answer queries of peers, each over a link that carries one page at a time.
+	watchers []*results.Service
 	links    []chan struct{}
 }
 
 // Ask implements results.Peers.
-func (r *restarted) Ask(ctx context.Context, machine, method string, args, answer any) error {
+func (r *restartedFleet) Ask(ctx context.Context, machine, method string, args, answer any) error {
 	at := slices.IndexFunc(r.Incarnations, func(run string) bool { return identity.Machine(run) == machine })
 	if page, ok := answer.(*results.Page); ok && method == "Results.Samples" {
-		err := r.services[at].Samples(args.(results.Query), page)
-		return cmp.Or(err, r.send(ctx, at, page))
+		err := r.watchers[at].Samples(args.(results.Query), page)
+		return cmp.Or(err, r.sendPage(ctx, at, page))
 	}
 	return errors.Errorf("no method %s", method)
 }
 
-// send has a page cross the link of the daemon that told it.
-func (r *restarted) send(ctx context.Context, at int, page *results.Page) error {
+// sendPage waits for the time that a page takes on the link of the daemon that answers.
+func (r *restartedFleet) sendPage(ctx context.Context, at int, page *results.Page) error {
 	bytes := 0
 	for i := range page.Results {
 		bytes += len(page.Results[i].Text)
@@ -84,21 +84,21 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	periodic.Pause(ctx, time.Duration(float64(bytes)/restartLink*float64(time.Second)))
+	periodic.Pause(ctx, time.Duration(float64(bytes)/restartLinkRate*float64(time.Second)))
 	return ctx.Err()
 }
 
-func newRestarted(ctx context.Context, t *testing.T) *restarted {
-	r := &restarted{log: journaltest.New()}
+func newRestartedFleet(ctx context.Context, t *testing.T) *restartedFleet {
+	r := &restartedFleet{log: journaltest.New()}
 	r.log.Partitions, r.log.RecordBytes = 16, 256<<10
-	r.log.Rates = journal.RateLimits{ReadBytesPerSecond: restartJournal}
+	r.log.Rates = journal.RateLimits{ReadBytesPerSecond: restartJournalRate}
 	jobs := ledger.New(ctx, r.log, zap.NewNop())
-	text := frames(restartBytes / restartSamples)
+	text := paddedFrame(restartBatchBytes / restartSamples)
 	for i := range restartBatches {
 		request := rollout.Request{Trainer: "t", Name: fmt.Sprint("n", i), SamplesPerPrompt: restartSamples, MaxTokens: 10, Prompts: []rollout.Prompt{{ID: "p", Text: "x"}}}
 		header := rollout.HeaderOf(request)
 		r.headers = append(r.headers, header)
-		job := rollout.First(request, header, 1, rollout.ItemHeaders{})
+		job := rollout.FirstRound(request, header, 1, rollout.ItemHeaders{})
 		records := [][]byte{batch.Accepted(job, "gone/1")}
 		for item := range restartSamples {
 			records = append(records, batch.ResultsAdded(job.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: text, Versions: []int64{1}}}))
@@ -107,27 +107,27 @@
 			t.Fatal(err)
 		}
 	}
-	r.log.LimitBandwidth(restartJournal)
-	r.Fleet = ledgertest.Start(ctx, r.log, restartDaemons, restartLink)
+	r.log.LimitBandwidth(restartJournalRate)
+	r.Fleet = ledgertest.Start(ctx, r.log, restartDaemons, restartLinkRate)
 	for i, run := range r.Incarnations {
 		reader := results.NewReader(r.Ledgers[i], r, r, r.log.RateLimits(), run, zap.NewNop())
-		r.services, r.links = append(r.services, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
-		r.desks = append(r.desks, New(reader, endsWith{r.Ledgers[i], nil}, rollout.ItemHeaders{}, zap.NewNop()))
+		r.watchers, r.links = append(r.watchers, reader.Service(ctx)), append(r.links, make(chan struct{}, 1))
+		r.services = append(r.services, New(reader, endErrorRunner{r.Ledgers[i], nil}, rollout.ItemHeaders{}, zap.NewNop()))
 	}
 	r.AssignPartitions()
 	return r
 }
 
-// take pulls the samples of a batch, each time at another daemon, and returns how many
-// pulls were refused.
-func (r *restarted) take(ctx context.Context, header rollout.Header, random *rand.Rand) (refused int) {
-	trainer := Trainer{Name: "t", Newest: 1, Accepts: func(int64, int64) bool { return true }}
+// pullBatch pulls all samples of a batch, each time from a random daemon, and returns the number of
+// refused pulls.
+func (r *restartedFleet) pullBatch(ctx context.Context, header rollout.Header, random *rand.Rand) (refused int) {
+	trainer := Trainer{Name: "t", NewestVersion: 1, Accepts: func(int64, int64) bool { return true }}
 	cursor := rollout.NewCursor(header)
-	for countOf(cursor) < header.Samples && ctx.Err() == nil {
-		delivered, err := r.desks[random.IntN(len(r.desks))].Deliver(ctx, trainer, Pull{Cursor: cursor, Limit: restartPull})
+	for countTaken(cursor) < header.Samples && ctx.Err() == nil {
+		delivered, err := r.services[random.IntN(len(r.services))].Deliver(ctx, trainer, Pull{Cursor: cursor, Limit: restartPullLimit})
 		if errors.Is(err, ErrUnavailable) {
 			refused++
-			time.Sleep(comeBack)
+			time.Sleep(refusedPullDelay)
 			continue
 		}
 		cursor = delivered.Cursor
@@ -135,26 +135,24 @@
 	return refused
 }
 
-// countOf returns how many samples are taken.
-func countOf(cursor rollout.Cursor) (count int) {
-	for _, byte := range cursor.Bits() {
+// countTaken returns the number of samples that the cursor has taken.
+func countTaken(cursor rollout.Cursor) (count int) {
+	for _, byte := range cursor.TakenBits() {
 		count += bits.OnesCount8(byte)
 	}
 	return count
 }
 
-// After a start of all daemons each pull made the daemon that it came to read its batch's
-// partition from the beginning, and the one that a further round would be in, however many
-// daemons did so already: the sum of these reads grows as pulls times bytes, until every daemon
-// has read everything. A desk asks a reader, which has a budget of reads and asks the watcher of
-// the fold.
+// Guards against pulls that make each daemon read whole partitions after a start of all daemons, so
+// that the bytes read grow with pulls times bytes and trainers wait. Reads are limited and go to
+// the watcher of the partition.
 func TestSamplesAreDeliveredSoonAfterAllDaemonsStarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		r := newRestarted(ctx, t)
-		pulling, stop := context.WithTimeout(ctx, 4*stepTime)
+		r := newRestartedFleet(ctx, t)
+		pulling, stop := context.WithTimeout(ctx, 4*maxStepWait)
 		defer stop()
 		began := time.Now()
 		var trainers sync.WaitGroup
@@ -162,18 +160,18 @@
 		refused, late := 0, 0
 		for i, header := range r.headers {
 			trainers.Go(func() {
-				times := r.take(pulling, header, rand.New(rand.NewPCG(7, uint64(i))))
+				times := r.pullBatch(pulling, header, rand.New(rand.NewPCG(7, uint64(i))))
 				mu.Lock()
 				defer mu.Unlock()
 				refused += times
-				if time.Since(began) > stepTime {
+				if time.Since(began) > maxStepWait {
 					late++
 				}
 			})
 		}
 		trainers.Wait()
 		t.Logf("%d of %d batches later than %v, the last after %v, %d pulls refused, %d MB read of %d",
-			late, restartBatches, stepTime, time.Since(began), refused, r.log.Usage().ReadBytes>>20, restartBatches*restartBytes>>20)
+			late, restartBatches, maxStepWait, time.Since(began), refused, r.log.Usage().ReadBytes>>20, restartBatches*restartBatchBytes>>20)
 		is.Equal(late, 0)
 	})
 }
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -54,7 +54,7 @@
 			Message: "trainer: no policy declares trainer " + strconv.Quote(name)})
 		return delivery.Trainer{}, false
 	}
-	return delivery.Trainer{Name: name, Newest: configuration.NewestVersions[name], Accepts: func(oldest, trained int64) bool {
+	return delivery.Trainer{Name: name, NewestVersion: configuration.NewestVersions[name], Accepts: func(oldest, trained int64) bool {
 		return configuration.Policies.Accepts(declared, uint64(oldest), uint64(trained))
 	}}, true
 }
@@ -118,7 +118,7 @@
 	switch {
 	case err == nil:
 		writeCompleted(w, http.StatusOK, statusResponse{Status: "ended"})
-	case errors.Is(err, delivery.ErrUnsure):
+	case errors.Is(err, delivery.ErrOutcomeUnknown):
 		refuse(w, refusal.V1EndOutcomeUnknown, err.Error()+"; end it again")
 	default:
 		writeProblem(w, deliveryProblem(err))
--- a/internal/api/gateway/services.go
+++ b/internal/api/gateway/services.go
@@ -164,7 +164,7 @@
 	if len(outcome.Body) <= maxOutcomeBytes {
 		settling, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 		defer cancel()
-		if err := g.deps.Permits.Settle(settling, granted, outcome); err != nil {
+		if err := g.deps.Permits.RecordOutcome(settling, granted, outcome); err != nil {
 			g.deps.Logger.Warn("outcome of a key not recorded", zap.Error(err))
 		}
 	}
@@ -208,7 +208,7 @@
 // refuseClaim refuses an attempt that got no permit. The attempt was not sent.
 func (g *Gateway) refuseClaim(w http.ResponseWriter, err error) {
 	reason := refusal.V1LogUnavailable
-	if errors.Is(err, permit.ErrUnknown) {
+	if errors.Is(err, permit.ErrOutcomeUnknown) {
 		reason = refusal.V1PermitUnknown
 	}
 	refuse(w, reason, "no permit for the key")
--- a/internal/api/rollout/golden_test.go
+++ b/internal/api/rollout/golden_test.go
@@ -9,14 +9,14 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestRequestsKeepTheirForm(t *testing.T) {
+func TestEncodingOfMessagesIsUnchanged(t *testing.T) {
 	golden.JSON[Request](t, "request")
-	golden.JSON[Generate](t, "generate")
+	golden.JSON[GenerateRequest](t, "generate")
 	golden.JSON[Frame](t, "frame")
 	golden.JSON[Result](t, "result")
 }
 
-func TestCursorsKeepTheirForm(t *testing.T) {
+func TestEncodingOfCursorIsUnchanged(t *testing.T) {
 	is := is.New(t)
 	cursor := NewCursor(Header{Trainer: "trainer", Name: "name", Digest: 1 << 60, Samples: 12}).Take(1, 9)
 	golden.Text(t, "cursor.txt", cursor.String())
@@ -25,14 +25,15 @@
 	is.Equal(parsed, cursor)
 }
 
-// A daemon may make a further round of a batch whose first one another daemon has made.
-func TestRoundsKeepTheirForm(t *testing.T) {
+// Guards against rounds that differ between daemons: one may make a further round of a batch whose
+// first round another made.
+func TestEncodingOfRoundsIsUnchanged(t *testing.T) {
 	request := Request{
 		Trainer: "trainer", Name: "name", SamplesPerPrompt: 2, MaxTokens: 64, Seed: 7,
 		Prompts: []Prompt{{ID: "p1", Text: "one", ExpectedTokens: 20}, {ID: "p2", Text: "two"}},
 	}
 	header := HeaderOf(request)
-	first := First(request, header, 3, ItemHeaders{TokenUsage: "Usage", LengthHint: "Hint"})
+	first := FirstRound(request, header, 3, ItemHeaders{TokenUsage: "Usage", LengthHint: "Hint"})
 	golden.Text(t, "first.cbor", batch.Accepted(first, "owner"))
-	golden.Text(t, "next.cbor", batch.Accepted(Next(first, header, 2, []int{1, 3}, 4), "owner"))
+	golden.Text(t, "next.cbor", batch.Accepted(FurtherRound(first, header, 2, []int{1, 3}, 4), "owner"))
 }
--- a/internal/api/rollout/rollout_test.go
+++ b/internal/api/rollout/rollout_test.go
@@ -22,7 +22,7 @@
 	return wanted
 }
 
-func TestCursorKeepsItsState(t *testing.T) {
+func TestParsedCursorEqualsTheEncodedOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		header := rollout.HeaderOf(request(rapid.IntRange(1, 60).Draw(t, "prompts"), 3))
 		cursor := rollout.NewCursor(header)
@@ -33,7 +33,7 @@
 			taken[index] = true
 		}
 		read, err := rollout.ParseCursor(cursor.String())
-		if err != nil || read.Header != header || countOf(read) != len(taken) {
+		if err != nil || read.Header != header || countTaken(read) != len(taken) {
 			t.Fatalf("read %+v, %v", read, err)
 		}
 		for index := range header.Samples {
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestDamagedCursorsAreRefused(t *testing.T) {
+func TestDamagedCursorsAreRejected(t *testing.T) {
 	is := is.New(t)
 	text := rollout.NewCursor(rollout.HeaderOf(request(4, 4))).String()
 	for i := range text {
@@ -61,17 +61,17 @@
 	f.Add("")
 	f.Fuzz(func(t *testing.T, text string) {
 		cursor, err := rollout.ParseCursor(text)
-		if err == nil && countOf(cursor) > cursor.Header.Samples {
-			t.Fatalf("%d of %d samples taken", countOf(cursor), cursor.Header.Samples)
+		if err == nil && countTaken(cursor) > cursor.Header.Samples {
+			t.Fatalf("%d of %d samples taken", countTaken(cursor), cursor.Header.Samples)
 		}
 	})
 }
 
 var names = rollout.ItemHeaders{TokenUsage: "Usage", LengthHint: "Hint"}
 
-// trainer is a model of one trainer with its batch: the jobs that exist, what
-// was handed over, and the version trained.
-type trainer struct {
+// trainerModel is the state of one trainer with its batch: the submitted jobs, the taken samples
+// and the version being trained.
+type trainerModel struct {
 	header  rollout.Header
 	jobs    []*batch.Batch
 	cursor  rollout.Cursor
@@ -80,54 +80,54 @@
 	taken   map[int]bool
 }
 
-func newTrainer(t *rapid.T) *trainer {
+func newTrainerModel(t *rapid.T) *trainerModel {
 	wanted := request(rapid.IntRange(1, 4).Draw(t, "prompts"), rapid.IntRange(1, 3).Draw(t, "samples"))
 	header := rollout.HeaderOf(wanted)
-	one := &trainer{header: header, cursor: rollout.NewCursor(header), version: 3, bound: 1, taken: map[int]bool{}}
-	one.exist(rollout.First(wanted, header, one.version-one.bound, names))
-	return one
+	m := &trainerModel{header: header, cursor: rollout.NewCursor(header), version: 3, bound: 1, taken: map[int]bool{}}
+	m.submit(rollout.FirstRound(wanted, header, m.version-m.bound, names))
+	return m
 }
 
-// exist makes a job exist, as the first acceptance of its id does.
-func (one *trainer) exist(job *batch.Submission) {
-	for _, known := range one.jobs {
+// submit adds a job. As in the ledger, only the first job with an ID counts.
+func (m *trainerModel) submit(job *batch.Submission) {
+	for _, known := range m.jobs {
 		if known.ID == job.ID {
 			return
 		}
 	}
-	one.jobs = append(one.jobs, &batch.Batch{Submission: *job, HasResult: make([]bool, len(job.Items))})
+	m.jobs = append(m.jobs, &batch.Batch{Submission: *job, HasResult: make([]bool, len(job.Items))})
 }
 
-func (one *trainer) rounds() []rollout.Round {
-	var rounds []rollout.Round
-	for _, job := range one.jobs {
-		rounds = append(rounds, roundOf(job))
+func (m *trainerModel) rounds() []rollout.RoundResults {
+	var rounds []rollout.RoundResults
+	for _, job := range m.jobs {
+		rounds = append(rounds, resultsOf(job))
 	}
 	return rounds
 }
 
-// roundOf reads a round off a batch job.
-func roundOf(job *batch.Batch) rollout.Round {
-	round := rollout.Round{}
+// resultsOf returns the results of a batch job by sample.
+func resultsOf(job *batch.Batch) rollout.RoundResults {
+	round := rollout.RoundResults{}
 	for i := range job.Items {
-		if sample, ours := rollout.SampleOf(job.Items[i].ID); ours {
+		if sample, ours := rollout.SampleIndex(job.Items[i].ID); ours {
 			round[sample] = nil
 		}
 	}
 	for i := range job.Results {
 		result := job.Results[i]
-		if sample, ours := rollout.SampleOf(job.Items[result.Item].ID); ours {
+		if sample, ours := rollout.SampleIndex(job.Items[result.Item].ID); ours {
 			round[sample] = &result
 		}
 	}
 	return round
 }
 
-func (one *trainer) accepts(oldest int64) bool { return one.version-oldest <= one.bound }
+func (m *trainerModel) accepts(oldest int64) bool { return m.version-oldest <= m.bound }
 
-// finish lists an item of a job, as a run under some versions would.
-func (one *trainer) finish(t *rapid.T) {
-	job := one.jobs[rapid.IntRange(0, len(one.jobs)-1).Draw(t, "job")]
+// finish adds a result of a random item of a random job, if it has none yet.
+func (m *trainerModel) finish(t *rapid.T) {
+	job := m.jobs[rapid.IntRange(0, len(m.jobs)-1).Draw(t, "job")]
 	item := rapid.IntRange(0, len(job.Items)-1).Draw(t, "item")
 	if job.HasResult[item] {
 		return
@@ -136,85 +136,85 @@
 	if rapid.IntRange(0, 5).Draw(t, "dies") == 0 {
 		result.Outcome = batch.Dead
 	} else {
-		made := rapid.Int64Range(job.MinVersion, max(one.version, job.MinVersion)).Draw(t, "version")
-		result.Versions = []int64{made}
-		result.Text = fmt.Appendf(nil, `{"version":%d,"tokens":[%d]}`+"\n"+`{"version":%d,"tokens":[],"end":"stop"}`, made, item, made)
+		version := rapid.Int64Range(job.MinVersion, max(m.version, job.MinVersion)).Draw(t, "version")
+		result.Versions = []int64{version}
+		result.Text = fmt.Appendf(nil, `{"version":%d,"tokens":[%d]}`+"\n"+`{"version":%d,"tokens":[],"end":"stop"}`, version, item, version)
 	}
 	job.HasResult[item] = true
 	job.Results = append(job.Results, result)
 }
 
-// deliver does what a daemon does on a pull; another daemon may have seen less.
-func (one *trainer) deliver(t *rapid.T) {
-	rounds := one.rounds()
+// deliver serves a pull as a daemon does that may not know the latest rounds.
+func (m *trainerModel) deliver(t *rapid.T) {
+	rounds := m.rounds()
 	seen := rounds[:rapid.IntRange(1, len(rounds)).Draw(t, "rounds seen")]
-	plan := rollout.Plan(one.cursor, seen, one.accepts, rapid.IntRange(1, 5).Draw(t, "limit"))
+	plan := rollout.Plan(m.cursor, seen, m.accepts, rapid.IntRange(1, 5).Draw(t, "limit"))
 	for _, ready := range plan.Ready {
-		if one.taken[ready.Index] {
+		if m.taken[ready.Index] {
 			t.Fatalf("sample %d was delivered twice", ready.Index)
 		}
-		if len(ready.Segments) == 0 || !one.accepts(int64(ready.Segments[0].Version)) {
-			t.Fatalf("sample %d of %+v is over the bound at version %d", ready.Index, ready.Segments, one.version)
+		if len(ready.Segments) == 0 || !m.accepts(int64(ready.Segments[0].Version)) {
+			t.Fatalf("sample %d with segments %+v exceeds the bound at version %d", ready.Index, ready.Segments, m.version)
 		}
-		one.taken[ready.Index] = true
-		one.cursor = one.cursor.Take(ready.Index)
+		m.taken[ready.Index] = true
+		m.cursor = m.cursor.Take(ready.Index)
 	}
-	if len(plan.Again) > 0 {
-		one.exist(rollout.Next(&one.jobs[0].Submission, one.header, len(seen), plan.Again, one.version-one.bound))
+	if len(plan.Regenerate) > 0 {
+		m.submit(rollout.FurtherRound(&m.jobs[0].Submission, m.header, len(seen), plan.Regenerate, m.version-m.bound))
 	}
 }
 
-// Whatever the order of results, pulls, races of daemons and new versions, each
-// sample is delivered once, never over the bound, and in the end all are.
+// For any order of results, pulls at different daemons and new versions, each sample is delivered
+// once and within the bound, and in the end all are delivered.
 func TestSamplesAreDeliveredOnceWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one := newTrainer(t)
+		m := newTrainerModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"finish":  one.finish,
-			"deliver": one.deliver,
-			"version": func(*rapid.T) { one.version++ },
+			"finish":  m.finish,
+			"deliver": m.deliver,
+			"version": func(*rapid.T) { m.version++ },
 		})
-		for turn := 0; countOf(one.cursor) < one.header.Samples; turn++ {
+		for turn := 0; countTaken(m.cursor) < m.header.Samples; turn++ {
 			if turn > 100 {
-				t.Fatalf("%d of %d samples after all were made", countOf(one.cursor), one.header.Samples)
+				t.Fatalf("%d of %d samples were delivered after all results were added", countTaken(m.cursor), m.header.Samples)
 			}
-			one.finishAll()
-			plan := rollout.Plan(one.cursor, one.rounds(), one.accepts, one.header.Samples)
+			m.finishAll()
+			plan := rollout.Plan(m.cursor, m.rounds(), m.accepts, m.header.Samples)
 			for _, ready := range plan.Ready {
-				one.cursor = one.cursor.Take(ready.Index)
+				m.cursor = m.cursor.Take(ready.Index)
 			}
-			if len(plan.Again) > 0 {
-				one.exist(rollout.Next(&one.jobs[0].Submission, one.header, len(one.jobs), plan.Again, one.version-one.bound))
+			if len(plan.Regenerate) > 0 {
+				m.submit(rollout.FurtherRound(&m.jobs[0].Submission, m.header, len(m.jobs), plan.Regenerate, m.version-m.bound))
 			}
 		}
 	})
 }
 
-// finishAll lists all items that have no result yet.
-func (one *trainer) finishAll() {
-	for _, job := range one.jobs {
+// finishAll adds a result of each item that has none yet.
+func (m *trainerModel) finishAll() {
+	for _, job := range m.jobs {
 		for item, listed := range job.HasResult {
 			if !listed {
 				job.HasResult[item] = true
-				made := max(one.version, job.MinVersion)
-				job.Results = append(job.Results, batch.Result{Item: item, Outcome: batch.Done, Versions: []int64{made},
-					Text: fmt.Appendf(nil, `{"version":%d,"tokens":[1],"end":"stop"}`, made)})
+				version := max(m.version, job.MinVersion)
+				job.Results = append(job.Results, batch.Result{Item: item, Outcome: batch.Done, Versions: []int64{version},
+					Text: fmt.Appendf(nil, `{"version":%d,"tokens":[1],"end":"stop"}`, version)})
 			}
 		}
 	}
 }
 
-// A text that names a version that did not make it is not handed over.
-func TestTextsOfOtherVersionsAreMadeAgain(t *testing.T) {
+// Guards against delivering a sample whose text names a version that did not make it.
+func TestSampleThatNamesAnUnreportedVersionIsRegenerated(t *testing.T) {
 	is := is.New(t)
 	header := rollout.HeaderOf(request(1, 1))
-	round := rollout.Round{0: {Outcome: batch.Done, Versions: []int64{2}, Text: []byte(`{"version":3,"tokens":[1],"end":"stop"}`)}}
-	plan := rollout.Plan(rollout.NewCursor(header), []rollout.Round{round}, func(int64) bool { return true }, 1)
+	round := rollout.RoundResults{0: {Outcome: batch.Done, Versions: []int64{2}, Text: []byte(`{"version":3,"tokens":[1],"end":"stop"}`)}}
+	plan := rollout.Plan(rollout.NewCursor(header), []rollout.RoundResults{round}, func(int64) bool { return true }, 1)
 	is.Equal(len(plan.Ready), 0)
-	is.Equal(plan.Again, []int{0})
+	is.Equal(plan.Regenerate, []int{0})
 }
 
-func TestSegmentsAreRunsOfOneVersion(t *testing.T) {
+func TestAddMergesTokensOfOneVersionIntoASegment(t *testing.T) {
 	is := is.New(t)
 	var result rollout.Result
 	for _, frame := range []rollout.Frame{{Version: 1, Tokens: []uint32{5}}, {Version: 1, Tokens: []uint32{6}}, {Version: 2, Tokens: []uint32{7}}, {Version: 2, End: "stop"}} {
@@ -224,7 +224,7 @@
 	is.Equal(result.End, "stop")
 }
 
-func TestRequestsNameTheFaultyField(t *testing.T) {
+func TestCheckNamesTheInvalidField(t *testing.T) {
 	is := is.New(t)
 	wanted := request(2, 1)
 	is.NoErr(wanted.Check())
@@ -234,8 +234,8 @@
 	is.Equal(fault.Field, "prompts[1].id")
 }
 
-// countOf returns how many samples are taken.
-func countOf(cursor rollout.Cursor) int {
+// countTaken returns the number of samples that the cursor has taken.
+func countTaken(cursor rollout.Cursor) int {
 	count := 0
 	for index := range cursor.Header.Samples {
 		if cursor.Taken(index) {
--- a/internal/daemon/explain/renamed.go
+++ b/internal/daemon/explain/renamed.go
@@ -28,6 +28,7 @@
 	"operator not answered":                 "answer to operator not written",
 	"samples made again":                    "samples requested again",
 	"samples not made again":                "samples not requested again",
+	"samples not awaited":                   "failed to wait for samples",
 	"offer failed":                          "attempt failed",
 	"owners of partitions not learned":      "watchers of partitions not learned",
 	"replica ended under a content":         "replica ended while running content",
@@ -46,6 +47,7 @@
 
 	"journal answers again":                             "lost calls given up",
 	"malformed record passed over":                      "malformed record skipped",
+	"permit record passed over":                         "invalid permit record skipped",
 	"records trimmed, reading fully":                    "records trimmed, starting full read",
 	"partition is shorter than was read, reading fully": "partition ends before the next offset, starting full read",
 	"lease not read":                                    "failed to read lease",
