--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -2,7 +2,7 @@
 // start and end replicas on order.
 //
 // Plan computes the orders and is a pure function (plan.go). Manager carries them out on the
-// daemon that holds the lease for duties. list.go counts the listed replicas, orders.go records
+// daemon that holds the lease for duties. listed.go counts the listed replicas, orders.go records
 // the orders. The package owns these records, in a keyed partition of the journal, so that the
 // next lease holder knows them and does not treat ordered replicas as surplus. It relies on the
 // list of replicas, on the demand of the trainers' batches, and on the platform to refuse orders
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -1,11 +1,10 @@
 // Package modelsync loads the newest weight versions that trainers announce into the engines. One
 // daemon does so at a time: the holder of the lease.
 //
-// Each step assigns engines to models (allotment.go, speedclass.go), lists the engines of each
-// model that are due for the newest version (due.go), orders these changes by urgency
-// (priority.go), and limits how many run at a time (loadlimiter.go). These rules have no side
-// effects outside the syncer. change.go runs the changes, and enginestate.go keeps the state of
-// each engine between steps.
+// Each step assigns engines to models (allotment.go, kinds.go), lists the engines of each model
+// that are due for the newest version (due.go), orders these changes by urgency (order.go), and
+// limits how many run at a time (width.go). These rules have no side effects outside the syncer.
+// change.go runs the changes, and notes.go keeps the state of each engine between steps.
 //
 // The state of the engines is kept in memory only; the next holder of the lease reads it from the
 // engines again. The package relies on the lease and its fence, on the demand of the trainers'
