--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -163,7 +163,7 @@
 	case s.refused() && since < retryDelay:
 		refused.RetryAfter = retryDelay - since
 	case s.isolatedRun == nil && since < recentEndMaxAge && !s.anyAvailable(others(), now):
-		refused.RetryAfter = min(refusal.LoneRunPending.RetryAfter, recentEndMaxAge-since)
+		refused.RetryAfter = min(refusal.IsolatedRunPending.RetryAfter, recentEndMaxAge-since)
 	default:
 		return Refused{}, false
 	}
--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -32,8 +32,8 @@
 	// cases of quarantine the delay is that of LoneRunPending or OtherRunPending, or the time until
 	// a refused content may run once more.
 	Quarantined = Reason{Name: "quarantined", Status: http.StatusServiceUnavailable, RetryAfter: time.Minute, AllDaemons: true}
-	// LoneRunPending: the content may run alone, within this delay.
-	LoneRunPending = Quarantined.WithRetryAfter(time.Second)
+	// IsolatedRunPending: the content may run alone, within this delay.
+	IsolatedRunPending = Quarantined.WithRetryAfter(time.Second)
 	// OtherRunPending: the content waits for other runs of it, or of another suspect. Most requests
 	// to plain services end within this delay.
 	OtherRunPending = Quarantined.WithRetryAfter(100 * time.Millisecond)
