--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -194,7 +194,7 @@
 		case err == nil:
 			return rep, release, true
 		case err.AwaitDecision(ctx):
-		case err.TryElsewhere:
+		case err.TryOtherReplica:
 			a.excluded[rep.ID] = true
 		default:
 			a.quarantined, a.lastReason = err, err.Error()
--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -22,8 +22,8 @@
 	RetryAfter time.Duration
 	// Final reports that the content stays refused until an operator lifts the quarantine.
 	Final bool
-	// TryElsewhere reports that another replica may run the content now.
-	TryElsewhere bool
+	// TryOtherReplica reports that another replica may run the content now.
+	TryOtherReplica bool
 	// decided, if not nil, is closed when the run that decides on the content has ended.
 	decided <-chan struct{}
 }
@@ -31,7 +31,7 @@
 // Error implements error.
 func (e *QuarantinedError) Error() string {
 	switch {
-	case e.TryElsewhere:
+	case e.TryOtherReplica:
 		return "forward: another suspect runs at the replica"
 	case e.decided != nil:
 		return "forward: a run of the content finds out whether it ends its replica"
@@ -71,7 +71,7 @@
 	case quarantine.Wait:
 		refused = &QuarantinedError{RetryAfter: refusal.OtherRunPending.RetryAfter, decided: verdict.Over}
 	case quarantine.OtherReplica:
-		refused = &QuarantinedError{RetryAfter: refusal.OtherRunPending.RetryAfter, TryElsewhere: true}
+		refused = &QuarantinedError{RetryAfter: refusal.OtherRunPending.RetryAfter, TryOtherReplica: true}
 	case quarantine.Refused:
 		refused = &QuarantinedError{EndedReplicas: verdict.Ended, RetryAfter: verdict.RetryAfter, Final: verdict.Final}
 	default: // quarantine.Free
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -124,7 +124,7 @@
 		"full, stopping":        {answer: refuse(&admission.RefusedError{Reason: admission.ContextEnded, RetryAfter: 3 * time.Second}), interrupted: true, status: 503, retryAfter: "0.050", outcome: "refused", body: "admission: its wait has ended"},
 		"quarantined": {answer: refuse(quarantined(forward.QuarantinedError{EndedReplicas: 3, RetryAfter: time.Minute, Final: true})), status: 503, retryAfter: "60.000",
 			outcome: "quarantined", body: "forward: 3 replicas ended while they ran this content; it is refused until an operator lifts that", quarantined: true},
-		"quarantined, stopping": {answer: refuse(quarantined(forward.QuarantinedError{RetryAfter: 100 * time.Millisecond, TryElsewhere: true})), interrupted: true, status: 503,
+		"quarantined, stopping": {answer: refuse(quarantined(forward.QuarantinedError{RetryAfter: 100 * time.Millisecond, TryOtherReplica: true})), interrupted: true, status: 503,
 			retryAfter: "0.100", outcome: "quarantined", body: "forward: another suspect runs at the replica", quarantined: true},
 		"stream: not sent":           {answer: func(r *request) { (&streamRelay{request: r}).giveUp() }, status: 503, retryAfter: "0.250", outcome: "refused", body: "no replica"},
 		"stream: not sent, stop":     {answer: func(r *request) { (&streamRelay{request: r}).giveUp() }, interrupted: true, status: 503, retryAfter: "0.050", outcome: "refused", body: "no replica"},
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -92,9 +92,9 @@
 // tried again now, after a short wait if needed.
 func (s *streamRelay) mayRetryQuarantined(ctx context.Context, rep replica.Replica, err *forward.QuarantinedError) bool {
 	switch {
-	case s.mayHaveRun > 0 && !err.TryElsewhere:
+	case s.mayHaveRun > 0 && !err.TryOtherReplica:
 		// An earlier attempt of this stream may have ended its replica: it is not run again here.
-	case err.TryElsewhere:
+	case err.TryOtherReplica:
 		s.excluded[rep.ID] = true
 		return true
 	case err.AwaitDecision(ctx):
