--- a/internal/membership/duty/duty.go
+++ b/internal/membership/duty/duty.go
@@ -77,9 +77,9 @@
 	WindowLength, DueAfter time.Duration
 }
 
-// StatusError returns the error for the HTTP status of the answer to a call, nil if the call
+// ErrorForStatus returns the error for the HTTP status of the answer to a call, nil if the call
 // succeeded.
-func StatusError(status int) error {
+func ErrorForStatus(status int) error {
 	switch status {
 	case http.StatusOK, http.StatusAccepted, http.StatusNoContent:
 		return nil
