--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -63,7 +63,7 @@
 		return retryDecision{delay: quarantined.RetryAfter}
 	case errors.Is(cause, forward.ErrDeclined), errors.Is(cause, errTooOld):
 		return retryDecision{fault: faultDeclined, delay: retryDelay}
-	case errors.Is(cause, upstream.ErrFull):
+	case errors.Is(cause, upstream.ErrPoolExhausted):
 		return retryDecision{fault: faultFull, delay: retryDelay}
 	case errors.As(cause, &status):
 		return decideRetryForStatus(status.Status, failures, maxAttempts)
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -82,7 +82,7 @@
 	is.Equal(decideRetry(&forward.QuarantinedError{RetryAfter: time.Minute}, 9, 3), retryDecision{delay: time.Minute})
 	is.Equal(decideRetry(forward.ErrDeclined, 9, 3), retried(faultDeclined))
 	is.Equal(decideRetry(errTooOld, 9, 3), retried(faultDeclined))
-	is.Equal(decideRetry(upstream.ErrFull, 9, 3), retried(faultFull))
+	is.Equal(decideRetry(upstream.ErrPoolExhausted, 9, 3), retried(faultFull))
 	is.Equal(decideRetry(context.Canceled, 9, 3), retried(faultFailed))
 	is.Equal(decideRetry(&forward.StatusError{Status: 503}, 9, 3), retried(noFault))
 	is.Equal(decideRetry(&forward.StatusError{Status: 422}, 0, 3), retryDecision{deadReason: "rejected as unprocessable"})
@@ -107,5 +107,5 @@
 // mark the replica as failed: other batches would avoid it for seconds.
 func TestAFullPoolIsNoFailureOfTheReplicaAsked(t *testing.T) {
 	is := is.New(t)
-	is.Equal(handOverFault(upstream.ErrFull), faultFull)
+	is.Equal(handOverFault(upstream.ErrPoolExhausted), faultFull)
 }
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -95,7 +95,7 @@
 		return outcomeDeclined
 	case ctx.Err() != nil:
 		return outcomeCancelled
-	case errors.Is(err, upstream.ErrFull):
+	case errors.Is(err, upstream.ErrPoolExhausted):
 		return outcomeNoConnection
 	case errors.Is(err, upstream.ErrNotSent):
 		return outcomeNotSent
@@ -107,7 +107,7 @@
 }
 
 func (f *Forwarder) avoidReplica(rep replica.Replica, err error) {
-	if errors.Is(err, errPlainDeclined) || errors.Is(err, upstream.ErrFull) {
+	if errors.Is(err, errPlainDeclined) || errors.Is(err, upstream.ErrPoolExhausted) {
 		f.Table.AvoidFor(rep.Incarnation(), declinedRetryDelay)
 		return
 	}
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -128,7 +128,7 @@
 		s.reportRun(sentAt)
 	}
 	if err != nil {
-		if ctx.Err() == nil && !errors.Is(err, upstream.ErrFull) {
+		if ctx.Err() == nil && !errors.Is(err, upstream.ErrPoolExhausted) {
 			forwarder.Table.RequestFailed(rep.Incarnation())
 		}
 		return mayHaveRun, err
--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -8,9 +8,9 @@
 	"github.com/pkg/errors"
 )
 
-// ErrFull means that all connections that this daemon may have to the peer are in use. It wraps
+// ErrPoolExhausted means that all connections that this daemon may have to the peer are in use. It wraps
 // ErrNotSent.
-var ErrFull = errors.WithMessage(ErrNotSent, "upstream: no connection is free")
+var ErrPoolExhausted = errors.WithMessage(ErrNotSent, "upstream: no connection is free")
 
 // reserveDivisor sets the reserve of a peer's limit, limit/reserveDivisor. It is left for probes,
 // for connections of ended daemons that the peer still counts, and for daemons that have just
@@ -79,7 +79,7 @@
 		case <-freed:
 		case <-timer.C:
 			p.Exhausted.Add(1)
-			return nil, ErrFull
+			return nil, ErrPoolExhausted
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -73,7 +73,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	err := exchangeWithLimit(t, p, address, 1, 0)
-	is.True(errors.Is(err, ErrFull))
+	is.True(errors.Is(err, ErrPoolExhausted))
 	is.True(errors.Is(err, ErrNotSent))
 	is.Equal(p.Exhausted.Load(), uint64(1))
 	go func() { second <- exchangeWithLimit(t, p, address, 1, time.Hour) }()
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -203,7 +203,7 @@
 		return nil, errors.Wrap(ErrNotSent, ctx.Err().Error())
 	}
 	conn, err := p.acquire(ctx, address, req)
-	if errors.Is(err, ErrFull) {
+	if errors.Is(err, ErrPoolExhausted) {
 		return nil, err
 	}
 	if err != nil {
