--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -208,6 +208,6 @@
 		response.Close()
 		return answer, nil
 	}
-	answer.Rest = &Rest{Answer: response}
+	answer.Rest = &Remainder{Answer: response}
 	return answer, nil
 }
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -94,13 +94,13 @@
 	Replica string
 	// Body is the complete body if Rest is nil, otherwise its beginning.
 	Body []byte
-	Rest *Rest
+	Rest *Remainder
 	// endAttempt ends the attempt; it is called by Close if there is a Rest.
 	endAttempt func()
 }
 
-// Rest is the unread remainder of a long answer.
-type Rest struct {
+// Remainder is the unread remainder of a long answer.
+type Remainder struct {
 	*upstream.Answer
 	// onEnd is called with the result of the reading, nil if the answer is complete.
 	onEnd func(err error)
@@ -111,13 +111,13 @@
 
 // Abandon ends a Read in progress and all later ones with an error. It may be called at any time,
 // from any goroutine. Close must still be called once no Read is in progress.
-func (r *Rest) Abandon() {
+func (r *Remainder) Abandon() {
 	r.abandoned.Store(true)
 	r.Answer.Abort()
 }
 
 // Read implements io.Reader.
-func (r *Rest) Read(p []byte) (int, error) {
+func (r *Remainder) Read(p []byte) (int, error) {
 	n, err := r.Answer.Read(p)
 	switch {
 	case err == io.EOF:
