--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -68,7 +68,7 @@
 	}
 	f.Table.RequestSucceeded(rep.Incarnation(), time.Since(started))
 	answer.Replica, answer.endAttempt = rep.ID, end
-	if answer.Rest == nil {
+	if answer.Remainder == nil {
 		f.Quarantine.Answered(call.content)
 		end()
 	}
@@ -152,8 +152,8 @@
 		return nil, sentAt, true, errors.Wrapf(errInvalidAnswer, "status %d without a signature", response.Status)
 	}
 	answer, err = f.readAnswer(call, response)
-	if err == nil && answer.Rest != nil {
-		answer.Rest.onEnd = func(err error) {
+	if err == nil && answer.Remainder != nil {
+		answer.Remainder.onEnd = func(err error) {
 			f.recordEnd(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, mayHaveRun: true, err: err})
 		}
 	}
@@ -208,6 +208,6 @@
 		response.Close()
 		return answer, nil
 	}
-	answer.Rest = &Remainder{Answer: response}
+	answer.Remainder = &Remainder{Answer: response}
 	return answer, nil
 }
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -93,7 +93,7 @@
 		case res := <-a.outcomes:
 			a.open--
 			answer := a.handleResult(res)
-			if answer != nil && answer.Rest == nil {
+			if answer != nil && answer.Remainder == nil {
 				a.cancelOthers(answer.Replica)
 				return answer, nil
 			}
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -93,8 +93,8 @@
 	Header  http.Header
 	Replica string
 	// Body is the complete body if Rest is nil, otherwise its beginning.
-	Body []byte
-	Rest *Remainder
+	Body      []byte
+	Remainder *Remainder
 	// endAttempt ends the attempt; it is called by Close if there is a Rest.
 	endAttempt func()
 }
@@ -130,8 +130,8 @@
 
 // Close releases the connection and ends the attempt of an answer with a Rest.
 func (a *Answer) Close() {
-	if a.Rest != nil {
-		a.Rest.Close()
+	if a.Remainder != nil {
+		a.Remainder.Close()
 		a.endAttempt()
 	}
 }
--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -112,14 +112,14 @@
 
 // writeAnswerBody writes the body of an answer to the client while it reads the rest ahead.
 func (r *request) writeAnswerBody(answer *forward.Answer) error {
-	if answer.Rest == nil {
+	if answer.Remainder == nil {
 		_, err := r.w.Write(answer.Body)
 		return err
 	}
 	a := &readAhead{account: r.account}
 	a.changed.L = &a.mu
 	var reading sync.WaitGroup
-	reading.Go(func() { a.read(answer.Rest) })
+	reading.Go(func() { a.read(answer.Remainder) })
 	defer reading.Wait()
 	defer a.cancel()
 	_, err := r.w.Write(answer.Body)
@@ -135,6 +135,6 @@
 	if err == io.EOF {
 		return nil
 	}
-	answer.Rest.Abandon()
+	answer.Remainder.Abandon()
 	return err
 }
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -22,8 +22,8 @@
 func (r *request) relayAnswer(answer *forward.Answer) {
 	maps.Copy(r.w.Header(), headers.CopyEndToEnd(answer.Header))
 	length := int64(len(answer.Body))
-	if answer.Rest != nil {
-		length = answer.Rest.Length()
+	if answer.Remainder != nil {
+		length = answer.Remainder.Length()
 	}
 	if length >= 0 && r.req.Method != http.MethodHead {
 		r.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
