--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -104,15 +104,15 @@
 	*upstream.Answer
 	// onEnd is called with the result of the reading, nil if the answer is complete.
 	onEnd func(err error)
-	// abandoned reports that the reader gave up, so that a read error is not a failure of the
+	// aborted reports that the reader gave up, so that a read error is not a failure of the
 	// replica.
-	abandoned atomic.Bool
+	aborted atomic.Bool
 }
 
 // Abandon ends a Read in progress and all later ones with an error. It may be called at any time,
 // from any goroutine. Close must still be called once no Read is in progress.
 func (r *Remainder) Abandon() {
-	r.abandoned.Store(true)
+	r.aborted.Store(true)
 	r.Answer.Abort()
 }
 
@@ -122,7 +122,7 @@
 	switch {
 	case err == io.EOF:
 		r.onEnd(nil)
-	case err != nil && !r.abandoned.Load():
+	case err != nil && !r.aborted.Load():
 		r.onEnd(err)
 	}
 	return n, err
