--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -109,9 +109,9 @@
 	aborted atomic.Bool
 }
 
-// Abandon ends a Read in progress and all later ones with an error. It may be called at any time,
+// Abort ends a Read in progress and all later ones with an error. It may be called at any time,
 // from any goroutine. Close must still be called once no Read is in progress.
-func (r *Remainder) Abandon() {
+func (r *Remainder) Abort() {
 	r.aborted.Store(true)
 	r.Answer.Abort()
 }
--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -135,6 +135,6 @@
 	if err == io.EOF {
 		return nil
 	}
-	answer.Remainder.Abandon()
+	answer.Remainder.Abort()
 	return err
 }
