--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -32,9 +32,9 @@
 	partition journal.Partition
 	batch     string
 	owner     string
-	// signs is the number of records, over all owners, that showed the owner of the batch alive
+	// livenessSignals is the number of records, over all owners, that showed the owner of the batch alive
 	// (batch.Batch.Signs).
-	signs int64
+	livenessSignals int64
 	// unchangedSince is the time since which nothing new was observed.
 	unchangedSince time.Time
 	// checkedGeneration is the generation of the group in which the owner was last checked against
@@ -47,7 +47,7 @@
 // unchanged reports whether the batch is still open, has the same owner and shows no new sign of
 // life since the observation.
 func (o observation) unchanged(b *batch.Batch) bool {
-	return b.IsOpen() && b.Owner == o.owner && b.LivenessSignals == o.signs
+	return b.IsOpen() && b.Owner == o.owner && b.LivenessSignals == o.livenessSignals
 }
 
 // silentFor returns how long the owner is known to have been silent: up to the start of the
@@ -70,7 +70,7 @@
 		return "released"
 	case identity.Replaced(o.owner, alive):
 		return "owner replaced"
-	case o.signs == 0 && o.silentFor() > firstHeartbeatTimeout:
+	case o.livenessSignals == 0 && o.silentFor() > firstHeartbeatTimeout:
 		return "no first heartbeat"
 	case o.silentFor() > heartbeatTimeout:
 		return "owner silent"
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -148,7 +148,7 @@
 	if ok && before.unchanged(b) {
 		return before
 	}
-	o := observation{partition: name, batch: b.ID, owner: b.Owner, signs: b.LivenessSignals, unchangedSince: now}
+	o := observation{partition: name, batch: b.ID, owner: b.Owner, livenessSignals: b.LivenessSignals, unchangedSince: now}
 	if before.owner == b.Owner {
 		o.checkedGeneration = before.checkedGeneration
 	}
