--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -27,14 +27,14 @@
 	mu sync.Mutex
 	// demands holds, by service, what the last dispatch left waiting; turns holds whether starts
 	// are being held back for other owners.
-	demands map[string]occupancy.Demand
-	turns   map[string]occupancy.StartLimiter
+	demands       map[string]occupancy.Demand
+	startLimiters map[string]occupancy.StartLimiter
 }
 
 func newEngineSharing(self string, table *occupancy.Table, changed func(), logger *zap.Logger) *engineSharing {
 	return &engineSharing{
 		self: self, table: table, onChange: changed, logger: logger,
-		demands: map[string]occupancy.Demand{}, turns: map[string]occupancy.StartLimiter{},
+		demands: map[string]occupancy.Demand{}, startLimiters: map[string]occupancy.StartLimiter{},
 	}
 }
 
@@ -82,10 +82,10 @@
 	own, _ := demandOf(key, snap, nil)
 	started, _ := startsOf(decisions)
 	due := len(started)
-	turn, others := s.turns[service], s.table.Demands(key)
+	turn, others := s.startLimiters[service], s.table.Demands(key)
 	heldBack := turn.IsYielding()
 	allowed := turn.Allow(now, occupancy.Allowance(capacityOf(snap), own, others), due)
-	s.turns[service] = turn
+	s.startLimiters[service] = turn
 	if turn.IsYielding() && !heldBack {
 		s.logger.Info("starts held back for other owners", zap.String("service", service),
 			zap.Int("starts", due), zap.Int("allowed", allowed), zap.Uint32("in_flight", own.InFlight),
@@ -109,7 +109,7 @@
 	}
 	s.mu.Lock()
 	maps.DeleteFunc(s.demands, func(service string, _ occupancy.Demand) bool { return views[service] == nil })
-	maps.DeleteFunc(s.turns, func(service string, _ occupancy.StartLimiter) bool { return views[service] == nil })
+	maps.DeleteFunc(s.startLimiters, func(service string, _ occupancy.StartLimiter) bool { return views[service] == nil })
 	s.mu.Unlock()
 	s.onChange()
 }
@@ -138,7 +138,7 @@
 	defer s.mu.Unlock()
 	if r.idle() {
 		clear(s.demands)
-		clear(s.turns)
+		clear(s.startLimiters)
 		return report
 	}
 	now := time.Now()
