--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -159,7 +159,7 @@
 		return
 	}
 	a.item.hasFirstEvent = true
-	a.job.r.firstEvents.Observe(serviceOf(a.route, a.item), time.Since(a.item.startedAt))
+	a.job.r.firstEventLatency.Observe(serviceOf(a.route, a.item), time.Since(a.item.startedAt))
 }
 
 // handleFailure schedules another attempt at the item or gives the item up.
--- a/internal/batches/runner/handover.go
+++ b/internal/batches/runner/handover.go
@@ -25,7 +25,7 @@
 	if !it.hasFirstEvent {
 		// A first event that has not arrived yet counts as well, so that the expected time grows
 		// when all engines become slow.
-		j.r.firstEvents.Observe(serviceOf(routed.route, it), time.Since(it.startedAt))
+		j.r.firstEventLatency.Observe(serviceOf(routed.route, it), time.Since(it.startedAt))
 	}
 	from := it.attempt
 	req := j.streamRequest(it)
--- a/internal/batches/runner/placement_test.go
+++ b/internal/batches/runner/placement_test.go
@@ -24,9 +24,9 @@
 		j := markRunning(owner, 1)
 		j.items[0].startedAt = time.Now()
 		for range 100 {
-			owner.firstEvents.Observe("s", 20*time.Millisecond)
+			owner.firstEventLatency.Observe("s", 20*time.Millisecond)
 		}
-		expected := owner.firstEvents.OverdueAfter("s")
+		expected := owner.firstEventLatency.OverdueAfter("s")
 		is.True(expected < scheduling.MaxFirstEventTimeout)
 		time.Sleep(expected)
 		is.Equal(scheduledItems(owner)[0].Overdue, time.Duration(0))
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -95,9 +95,9 @@
 	// sharing is nil if no address for peers is configured: nothing is known of other owners then.
 	sharing *engineSharing
 
-	history       *history
-	firstEvents   scheduling.FirstEventLatency
-	confirmations confirmations
+	history           *history
+	firstEventLatency scheduling.FirstEventLatency
+	confirmations     confirmations
 	// lastMoveRound is the time of the last pass in which items could be moved. Only the dispatcher
 	// uses it.
 	lastMoveRound time.Time
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -95,7 +95,7 @@
 		}
 		described := j.describe(it, rt, priority, now)
 		if running && !it.hasFirstEvent {
-			described.Overdue = max(described.RunTime-j.r.firstEvents.OverdueAfter(service), 0)
+			described.Overdue = max(described.RunTime-j.r.firstEventLatency.OverdueAfter(service), 0)
 		}
 		v.Items = append(v.Items, described)
 		v.routed = append(v.routed, routedItem{job: j, item: it, route: rt})
