--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -10,12 +10,12 @@
 	// others at an engine. slowdownPerEvent adds to it for each event of its output, as
 	// decoding a token reads the whole context.
 	loadFactorPerRequest = 0.005
-	slowdownPerEvent     = 0.0001
+	loadFactorPerEvent   = 0.0001
 )
 
 // slowdownBy returns the relative slowdown that a request with the given number of events
 // causes.
-func slowdownBy(events float64) float64 { return loadFactorPerRequest + slowdownPerEvent*events }
+func slowdownBy(events float64) float64 { return loadFactorPerRequest + loadFactorPerEvent*events }
 
 // planner holds the state of one planning round, including the room taken by the decisions so
 // far.
