--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -64,7 +64,7 @@
 		}
 		slowdowns := map[string]float64{}
 		for _, t := range l.items {
-			slowdowns[t.Engine] += slowdownBy(t.generated)
+			slowdowns[t.Engine] += loadFactorOf(t.generated)
 		}
 		for _, t := range l.items {
 			if t.Engine == "" || now < t.ready {
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -13,9 +13,9 @@
 	loadFactorPerEvent   = 0.0001
 )
 
-// slowdownBy returns the relative slowdown that a request with the given number of events
+// loadFactorOf returns the relative slowdown that a request with the given number of events
 // causes.
-func slowdownBy(events float64) float64 { return loadFactorPerRequest + loadFactorPerEvent*events }
+func loadFactorOf(events float64) float64 { return loadFactorPerRequest + loadFactorPerEvent*events }
 
 // planner holds the state of one planning round, including the room taken by the decisions so
 // far.
@@ -90,14 +90,14 @@
 			Engine:    e,
 			inFlight:  inFlight,
 			idleConns: e.IdleConns,
-			slowdown:  float64(inFlight) * slowdownBy(0),
+			slowdown:  float64(inFlight) * loadFactorOf(0),
 		}
 		p.byID[e.ID] = i
 	}
 	for i := range snapshot.Items {
 		it := &snapshot.Items[i]
 		if engine, ok := p.byID[it.Engine]; ok {
-			p.engines[engine].slowdown += slowdownBy(it.TotalEvents()) - slowdownBy(0)
+			p.engines[engine].slowdown += loadFactorOf(it.TotalEvents()) - loadFactorOf(0)
 			p.engines[engine].overdue = p.engines[engine].overdue || it.Overdue > 0
 		}
 	}
@@ -155,5 +155,5 @@
 	e := &p.engines[engine]
 	e.inFlight++
 	e.idleConns = max(e.idleConns-1, 0)
-	e.slowdown += slowdownBy(it.TotalEvents())
+	e.slowdown += loadFactorOf(it.TotalEvents())
 }
