--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -62,8 +62,8 @@
 	// inFlight is the number of requests of all owners at the engine, idleConns the number of
 	// idle connections left.
 	inFlight, idleConns int
-	// slowdown is the relative slowdown that one more request would see there.
-	slowdown float64
+	// loadFactor is the relative loadFactor that one more request would see there.
+	loadFactor float64
 	// unloadedRatio is the engine's event time without load relative to the median one.
 	unloadedRatio float64
 	// overdue is set if the first event of an item there is overdue.
@@ -87,17 +87,17 @@
 		e := &snapshot.Engines[i]
 		inFlight := e.InFlight + e.OthersInFlight
 		p.engines[i] = engineState{
-			Engine:    e,
-			inFlight:  inFlight,
-			idleConns: e.IdleConns,
-			slowdown:  float64(inFlight) * loadFactorOf(0),
+			Engine:     e,
+			inFlight:   inFlight,
+			idleConns:  e.IdleConns,
+			loadFactor: float64(inFlight) * loadFactorOf(0),
 		}
 		p.byID[e.ID] = i
 	}
 	for i := range snapshot.Items {
 		it := &snapshot.Items[i]
 		if engine, ok := p.byID[it.Engine]; ok {
-			p.engines[engine].slowdown += loadFactorOf(it.TotalEvents()) - loadFactorOf(0)
+			p.engines[engine].loadFactor += loadFactorOf(it.TotalEvents()) - loadFactorOf(0)
 			p.engines[engine].overdue = p.engines[engine].overdue || it.Overdue > 0
 		}
 	}
@@ -125,13 +125,13 @@
 		if e.EventTime > 0 {
 			e.unloadedRatio = float64(e.EventTime) / float64(p.medianEventTime)
 		}
-		e.unloadedRatio /= 1 + e.slowdown
+		e.unloadedRatio /= 1 + e.loadFactor
 	}
 }
 
 // relativeEventTime returns the expected event time of one more request at an engine, relative
 // to the median one.
-func (e *engineState) relativeEventTime() float64 { return e.unloadedRatio * (1 + e.slowdown) }
+func (e *engineState) relativeEventTime() float64 { return e.unloadedRatio * (1 + e.loadFactor) }
 
 // eventTime returns the expected event time of one more request at an engine, in nanoseconds.
 func (p *planner) eventTime(engine int) float64 {
@@ -155,5 +155,5 @@
 	e := &p.engines[engine]
 	e.inFlight++
 	e.idleConns = max(e.idleConns-1, 0)
-	e.slowdown += loadFactorOf(it.TotalEvents())
+	e.loadFactor += loadFactorOf(it.TotalEvents())
 }
