--- a/internal/api/standalone/retries.go
+++ b/internal/api/standalone/retries.go
@@ -10,7 +10,7 @@
 )
 
 // retries lets the policies in force and the retry budget decide on attempts at
-// further replicas, beyond forward.AttemptState. It implements ingress.Retries.
+// further replicas, beyond forward.AttemptState. It implements ingress.RetryPolicy.
 type retries struct {
 	decoder       *Decoder
 	configuration func() *route.Configuration
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -23,7 +23,7 @@
 
 // CatchUp returns once the fold holds every record that was in the partition at the time of the call.
 // It waits for a read started after the call, which concurrent calls share. The error wraps
-// ErrBehind.
+// ErrNotCaughtUp.
 func (p *Partition) CatchUp(ctx context.Context) error {
 	p.mu.Lock()
 	wanted := p.readsStarted + 1
@@ -127,7 +127,7 @@
 }
 
 // ReadPage reads the next page of the partition without waiting for new records. The error wraps
-// ErrBehind.
+// ErrNotCaughtUp.
 func (p *Partition) ReadPage(ctx context.Context) error {
 	if _, err := p.readOnce(ctx, 0); err != nil {
 		return errors.Wrap(ErrNotCaughtUp, err.Error())
--- a/internal/batches/occupancy/allowance.go
+++ b/internal/batches/occupancy/allowance.go
@@ -68,22 +68,22 @@
 
 // Allow returns how many of the due starts may be made now, given the result of Allowance.
 // Once the owner has left slots to others for maxYieldTime, it allows all due starts.
-func (t *StartLimiter) Allow(now time.Time, allowance, due int) int {
+func (l *StartLimiter) Allow(now time.Time, allowance, due int) int {
 	switch {
 	case due <= allowance:
-		t.yieldingSince = time.Time{}
+		l.yieldingSince = time.Time{}
 		return due
-	case t.yieldingSince.IsZero():
-		t.yieldingSince = now
-	case now.Sub(t.yieldingSince) >= maxYieldTime:
-		t.yieldingSince = time.Time{}
+	case l.yieldingSince.IsZero():
+		l.yieldingSince = now
+	case now.Sub(l.yieldingSince) >= maxYieldTime:
+		l.yieldingSince = time.Time{}
 		return due
 	}
 	return allowance
 }
 
 // IsYielding reports whether the owner is leaving slots to others.
-func (t *StartLimiter) IsYielding() bool { return !t.yieldingSince.IsZero() }
+func (l *StartLimiter) IsYielding() bool { return !l.yieldingSince.IsZero() }
 
 // Preference returns a value in [0, 1) that breaks ties between equally good replicas. It
 // depends on the owner, so that owners which start at the same instant, before any can see the
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -20,7 +20,7 @@
 //
 //	table := occupancy.NewTable(self, bootclock.Now, logger)
 //	publisher := occupancy.NewPublisher(table, peers, source, candidates, logger)
-//	peers.Register(occupancy.ServiceName, occupancy.NewService(table, publisher, dispatcher.Kick))
+//	peers.Register(occupancy.ServiceName, occupancy.NewService(table, publisher, runner.ReportReceived))
 //	go publisher.Run(ctx)
 //	publisher.Wake() // whenever the daemon's own requests have changed
 //	engine.OthersInFlight = table.InFlight(occupancy.KeyOf(id, born))
--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -90,7 +90,7 @@
 }
 
 // nextPageBytes returns the maximum size of the next page of a partition, given what
-// Partition.Missing returned.
+// Partition.MissingBytes returned.
 func (r *Reader) nextPageBytes(missing int, ok bool) int {
 	if !ok {
 		return r.ledger.MaxPageBytes()
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -21,7 +21,7 @@
 //
 // # Usage
 //
-//	reader := results.NewReader(batches, member, peers, log.Grants(), self, logger)
+//	reader := results.NewReader(batches, member, peers, log.RateLimits(), self, logger)
 //	peers.Register(results.ServiceName, reader.Service(ctx))
 //	page, err := reader.Results(ctx, results.Query{BatchID: id, After: 12, Wait: time.Second})
 package results
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -25,8 +25,8 @@
 	logger   *zap.Logger
 
 	mu sync.Mutex
-	// demands holds, by service, what the last dispatch left waiting; turns holds whether starts
-	// are being held back for other owners.
+	// demands holds, by service, what the last dispatch left waiting; startLimiters limit the
+	// starts while other owners wait for slots.
 	demands       map[string]occupancy.Demand
 	startLimiters map[string]occupancy.StartLimiter
 }
@@ -82,11 +82,11 @@
 	own, _ := demandOf(key, snap, nil)
 	started, _ := startsOf(decisions)
 	due := len(started)
-	turn, others := s.startLimiters[service], s.table.Demands(key)
-	heldBack := turn.IsYielding()
-	allowed := turn.Allow(now, occupancy.Allowance(capacityOf(snap), own, others), due)
-	s.startLimiters[service] = turn
-	if turn.IsYielding() && !heldBack {
+	limiter, others := s.startLimiters[service], s.table.Demands(key)
+	heldBack := limiter.IsYielding()
+	allowed := limiter.Allow(now, occupancy.Allowance(capacityOf(snap), own, others), due)
+	s.startLimiters[service] = limiter
+	if limiter.IsYielding() && !heldBack {
 		s.logger.Info("starts held back for other owners", zap.String("service", service),
 			zap.Int("starts", due), zap.Int("allowed", allowed), zap.Uint32("in_flight", own.InFlight),
 			zap.Uint32("waiting", own.Waiting), zap.Int("owners", len(others)))
@@ -109,7 +109,9 @@
 	}
 	s.mu.Lock()
 	maps.DeleteFunc(s.demands, func(service string, _ occupancy.Demand) bool { return views[service] == nil })
-	maps.DeleteFunc(s.startLimiters, func(service string, _ occupancy.StartLimiter) bool { return views[service] == nil })
+	maps.DeleteFunc(s.startLimiters, func(service string, _ occupancy.StartLimiter) bool {
+		return views[service] == nil
+	})
 	s.mu.Unlock()
 	s.onChange()
 }
--- a/internal/batches/runner/owner.go
+++ b/internal/batches/runner/owner.go
@@ -32,8 +32,8 @@
 	partition journal.Partition
 	batch     string
 	owner     string
-	// livenessSignals is the number of records, over all owners, that showed the owner of the batch alive
-	// (batch.Batch.Signs).
+	// livenessSignals is the batch's count of records that show an owner alive
+	// (batch.Batch.LivenessSignals).
 	livenessSignals int64
 	// unchangedSince is the time since which nothing new was observed.
 	unchangedSince time.Time
--- a/internal/batches/runner/owner_test.go
+++ b/internal/batches/runner/owner_test.go
@@ -11,8 +11,8 @@
 func TestReasonToReplaceOwner(t *testing.T) {
 	is := is.New(t)
 	lastSeen := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	reason := func(owner string, signs int64, silent time.Duration, alive ...string) string {
-		return observation{owner: owner, livenessSignals: signs, unchangedSince: lastSeen, confirmStart: lastSeen.Add(silent)}.reasonToReplace(alive)
+	reason := func(owner string, livenessSignals int64, silent time.Duration, alive ...string) string {
+		return observation{owner: owner, livenessSignals: livenessSignals, unchangedSince: lastSeen, confirmStart: lastSeen.Add(silent)}.reasonToReplace(alive)
 	}
 	is.Equal(reason("", 1, 0), "released")
 	is.Equal(reason("a/1", 1, 0, "a/2"), "owner replaced")
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// A hand-over that fails because this daemon has no free connection (upstream.ErrFull) must not
-// mark the replica as failed: other batches would avoid it for seconds.
+// A hand-over that fails because this daemon has no free connection (upstream.ErrPoolExhausted)
+// must not mark the replica as failed: other batches would avoid it for seconds.
 func TestAFullPoolIsNoFailureOfTheReplicaAsked(t *testing.T) {
 	is := is.New(t)
 	is.Equal(handOverFault(upstream.ErrPoolExhausted), faultFull)
--- a/internal/batches/scheduling/load_test.go
+++ b/internal/batches/scheduling/load_test.go
@@ -62,16 +62,16 @@
 		for _, owner := range []string{"0", "1"} {
 			l.plan(owner, now)
 		}
-		slowdowns := map[string]float64{}
+		loadFactors := map[string]float64{}
 		for _, t := range l.items {
-			slowdowns[t.Engine] += loadFactorOf(t.generated)
+			loadFactors[t.Engine] += loadFactorOf(t.generated)
 		}
 		for _, t := range l.items {
 			if t.Engine == "" || now < t.ready {
 				continue
 			}
 			at := slices.IndexFunc(l.engines, func(engine Engine) bool { return engine.ID == t.Engine })
-			t.generated += float64(tick) / (float64(l.engines[at].EventTime) * (1 + slowdowns[t.Engine]))
+			t.generated += float64(tick) / (float64(l.engines[at].EventTime) * (1 + loadFactors[t.Engine]))
 			if t.generated >= t.length {
 				l.idleConns[t.Model+t.Engine] = append(l.idleConns[t.Model+t.Engine], now+1100*time.Millisecond)
 				t.done, t.Engine = now+tick, ""
--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -11,8 +11,8 @@
 	// sharedPromptBonus lowers the score of the engine that last processed the shared prompt
 	// of the item's group, as processing it elsewhere takes time.
 	sharedPromptBonus = 0.02
-	// otherZonePenalty reflects the cost of traffic between zones, about as much as the
-	// slowdown by one short item.
+	// otherZonePenalty reflects the cost of traffic between zones, about as much as the load
+	// of one short item.
 	otherZonePenalty = 0.008
 	// noConnPenalty applies to an engine without an idle connection if the item can wait for
 	// one, as connecting takes time of the engine.
@@ -71,8 +71,9 @@
 }
 
 // selectEngine returns the engine that should run an item, or -1 if the item has to wait.
-// Items that need no fast engine go to one only if no other engine has room. Of these, items
-// that may be deferred wait while the items that need a fast engine take all room there.
+// An item that does not need a fast engine gets one only if no other engine has room. If the
+// items that need a fast engine would fill all fast ones, it waits instead, provided that it
+// may be deferred.
 func (p *planner) selectEngine(it *Item) int {
 	filter := p.filterFor(it)
 	engine := p.bestEngine(it, filter)
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// loadFactorPerRequest is the relative slowdown that one running request causes to the
-	// others at an engine. slowdownPerEvent adds to it for each event of its output, as
-	// decoding a token reads the whole context.
+	// loadFactorPerRequest is the fraction by which one running request lengthens the event
+	// times of the others at an engine. loadFactorPerEvent adds to it for each event of the
+	// request's output, as decoding a token reads the whole context.
 	loadFactorPerRequest = 0.005
 	loadFactorPerEvent   = 0.0001
 )
 
-// loadFactorOf returns the relative slowdown that a request with the given number of events
-// causes.
+// loadFactorOf returns the fraction by which a request with the given number of events lengthens
+// the event times of the others at its engine.
 func loadFactorOf(events float64) float64 { return loadFactorPerRequest + loadFactorPerEvent*events }
 
 // planner holds the state of one planning round, including the room taken by the decisions so
@@ -62,7 +62,8 @@
 	// inFlight is the number of requests of all owners at the engine, idleConns the number of
 	// idle connections left.
 	inFlight, idleConns int
-	// loadFactor is the relative loadFactor that one more request would see there.
+	// loadFactor is the fraction by which the requests there lengthen the event time of one
+	// more: the sum of their loadFactorOf.
 	loadFactor float64
 	// unloadedRatio is the engine's event time without load relative to the median one.
 	unloadedRatio float64
@@ -78,8 +79,8 @@
 
 func classOf(it *Item) class { return class{model: it.Model, minVersion: it.MinVersion} }
 
-// newPlanner returns a planner with all derived state of the snapshot: slowdowns, normalized
-// event times and forecasts of the steps.
+// newPlanner returns a planner with all derived state of the snapshot: load factors,
+// normalized event times and forecasts of the steps.
 func newPlanner(snapshot Snapshot) *planner {
 	count := len(snapshot.Engines)
 	p := &planner{Snapshot: snapshot, engines: make([]engineState, count), byID: make(map[string]int, count)}
--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -40,7 +40,7 @@
 }
 
 // attempt sends the call to one replica. It calls onEnd when the exchange has ended; for an answer
-// with a Rest this is when the answer is closed.
+// with a Remainder this is when the answer is closed.
 func (f *Forwarder) attempt(ctx context.Context, onEnd func(), call *Call, rep replica.Replica) result {
 	f.Table.RequestStarted(rep.Incarnation())
 	end := func() {
@@ -189,8 +189,8 @@
 }
 
 // readAnswer reads an answer completely if it is short and memory can be reserved for it; otherwise
-// it reads the beginning and leaves the rest in Answer.Rest. An announced length sizes the buffer
-// in advance, since growing a buffer needs twice the memory.
+// it reads the beginning and leaves the rest in Answer.Remainder. An announced length sizes the
+// buffer in advance, since growing a buffer needs twice the memory.
 func (f *Forwarder) readAnswer(call *Call, response *upstream.Answer) (*Answer, error) {
 	answer := &Answer{Status: response.Status, Header: response.Header}
 	announced := response.Length()
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -87,24 +87,25 @@
 	}
 }
 
-// Answer is a replica's answer: either complete, or its beginning and a Rest to be read.
+// Answer is a replica's answer: either complete, or its beginning and a Remainder to be
+// read.
 type Answer struct {
 	Status  int
 	Header  http.Header
 	Replica string
-	// Body is the complete body if Rest is nil, otherwise its beginning.
+	// Body is the complete body if Remainder is nil, otherwise its beginning.
 	Body      []byte
 	Remainder *Remainder
-	// endAttempt ends the attempt; it is called by Close if there is a Rest.
+	// endAttempt ends the attempt; it is called by Close if there is a Remainder.
 	endAttempt func()
 }
 
-// Remainder is the unread remainder of a long answer.
+// Remainder is the part of a long answer that has not been read yet.
 type Remainder struct {
 	*upstream.Answer
 	// onEnd is called with the result of the reading, nil if the answer is complete.
 	onEnd func(err error)
-	// aborted reports that the reader gave up, so that a read error is not a failure of the
+	// aborted reports that Abort was called, so that a read error is not a failure of the
 	// replica.
 	aborted atomic.Bool
 }
@@ -128,7 +129,7 @@
 	return n, err
 }
 
-// Close releases the connection and ends the attempt of an answer with a Rest.
+// Close releases the connection and ends the attempt of an answer with a Remainder.
 func (a *Answer) Close() {
 	if a.Remainder != nil {
 		a.Remainder.Close()
--- a/internal/requests/forward/failed_test.go
+++ b/internal/requests/forward/failed_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A suspect runs alone only if other replicas remain, so a replica must not count itself.
+// A suspect gets an isolated run only if other replicas remain, so a replica must not count itself.
 func TestOtherIncarnationsExcludeReplica(t *testing.T) {
 	is := is.New(t)
 	f := newTestService(t, 2)
--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -65,16 +65,16 @@
 	if f.Quarantine.NoneSuspected() {
 		return func() {}, nil
 	}
-	switch verdict := f.Quarantine.Decide(content, string(rep.Incarnation()), func() []string { return f.otherIncarnations(rep) }).(type) {
+	switch decision := f.Quarantine.Decide(content, string(rep.Incarnation()), func() []string { return f.otherIncarnations(rep) }).(type) {
 	case quarantine.Isolated:
-		release = verdict.End
+		release = decision.End
 	case quarantine.Wait:
-		refused = &QuarantinedError{RetryAfter: refusal.OtherRunPending.RetryAfter, decided: verdict.Over}
+		refused = &QuarantinedError{RetryAfter: refusal.OtherRunPending.RetryAfter, decided: decision.Over}
 	case quarantine.OtherReplica:
 		refused = &QuarantinedError{RetryAfter: refusal.OtherRunPending.RetryAfter, TryOtherReplica: true}
 	case quarantine.Refused:
-		refused = &QuarantinedError{EndedReplicas: verdict.Ended, RetryAfter: verdict.RetryAfter, Final: verdict.Final}
-	default: // quarantine.Free
+		refused = &QuarantinedError{EndedReplicas: decision.Ended, RetryAfter: decision.RetryAfter, Final: decision.Final}
+	default: // quarantine.Allowed
 		return func() {}, nil
 	}
 	refusedField := zap.Skip()
--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -15,8 +15,8 @@
 //     last. It covers the policies in force with their retry budget (standalone) and, while the
 //     service is full, the budget of further attempts (admission.Ticket.MayRetry).
 //
-// Within one turn, no replica gets a request twice. A plain request that every replica declined
-// waits for another turn at its service (ingress, mostTurns).
+// Within one admission, no replica gets a request twice. A plain request that every replica
+// declined waits to be admitted again (ingress, maxAdmissions).
 
 const (
 	// maxExtraAttempts is the number of attempts, beyond MaxAttempts, that may be made because
@@ -56,7 +56,7 @@
 		return true
 	default:
 		// A content under which replicas have just ended, as observed here or by another daemon,
-		// may only run alone from then on.
+		// may only have isolated runs from then on.
 		return s.Repeatable && s.Suspicion < quarantine.IsolatedOnly
 	}
 }
--- a/internal/requests/forward/retry_test.go
+++ b/internal/requests/forward/retry_test.go
@@ -16,18 +16,18 @@
 		state AttemptState
 		want  bool
 	}{
-		"no attempt yet":                       {AttemptState{}, true},
-		"declined, not repeatable":             {AttemptState{NotRun: maxExtraAttempts}, true},
-		"declined too often":                   {AttemptState{NotRun: maxExtraAttempts + 1, Repeatable: true, MaxAttempts: 9}, false},
-		"may have run, not repeatable":         {AttemptState{MayHaveRun: 1, MaxAttempts: 3}, false},
-		"open, not repeatable":                 {AttemptState{Open: 1, MaxAttempts: 3}, false},
-		"may have run":                         {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true}, true},
-		"attempts used up":                     {AttemptState{MayHaveRun: 1, Open: 1, MaxAttempts: 2, Repeatable: true}, false},
-		"MaxAttempts not set":                  {AttemptState{MayHaveRun: 1, Repeatable: true}, false},
-		"suspected":                            {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.Suspected}, true},
-		"content may only run alone":           {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.IsolatedOnly}, false},
-		"declined, content may only run alone": {AttemptState{NotRun: 1, MaxAttempts: 2, Suspicion: quarantine.IsolatedOnly}, true},
-		"refused":                              {AttemptState{ContentRefused: true, MaxAttempts: 2, Repeatable: true}, false},
+		"no attempt yet":               {AttemptState{}, true},
+		"declined, not repeatable":     {AttemptState{NotRun: maxExtraAttempts}, true},
+		"declined too often":           {AttemptState{NotRun: maxExtraAttempts + 1, Repeatable: true, MaxAttempts: 9}, false},
+		"may have run, not repeatable": {AttemptState{MayHaveRun: 1, MaxAttempts: 3}, false},
+		"open, not repeatable":         {AttemptState{Open: 1, MaxAttempts: 3}, false},
+		"may have run":                 {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true}, true},
+		"attempts used up":             {AttemptState{MayHaveRun: 1, Open: 1, MaxAttempts: 2, Repeatable: true}, false},
+		"MaxAttempts not set":          {AttemptState{MayHaveRun: 1, Repeatable: true}, false},
+		"suspected":                    {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.Suspected}, true},
+		"isolated runs only":           {AttemptState{MayHaveRun: 1, MaxAttempts: 2, Repeatable: true, Suspicion: quarantine.IsolatedOnly}, false},
+		"declined, isolated runs only": {AttemptState{NotRun: 1, MaxAttempts: 2, Suspicion: quarantine.IsolatedOnly}, true},
+		"refused":                      {AttemptState{ContentRefused: true, MaxAttempts: 2, Repeatable: true}, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(tc.state.MayRetry(), tc.want) })
--- a/internal/requests/refusal/client.go
+++ b/internal/requests/refusal/client.go
@@ -29,10 +29,10 @@
 	ServiceFull = Reason{Name: outcomeRefused, Status: http.StatusServiceUnavailable}
 	// Quarantined: replicas ended under the request's content, and an operator must lift the
 	// quarantine. The delay does not promise success; it limits how often a caller asks. In other
-	// cases of quarantine the delay is that of LoneRunPending or OtherRunPending, or the time until
-	// a refused content may run once more.
+	// cases of quarantine the delay is that of IsolatedRunPending or OtherRunPending, or the time
+	// until a refused content may run once more.
 	Quarantined = Reason{Name: "quarantined", Status: http.StatusServiceUnavailable, RetryAfter: time.Minute, AllDaemons: true}
-	// IsolatedRunPending: the content may run alone, within this delay.
+	// IsolatedRunPending: the content may get an isolated run within this delay.
 	IsolatedRunPending = Quarantined.WithRetryAfter(time.Second)
 	// OtherRunPending: the content waits for other runs of it, or of another suspect. Most requests
 	// to plain services end within this delay.
--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrPoolExhausted means that all connections that this daemon may have to the peer are in use. It wraps
-// ErrNotSent.
+// ErrPoolExhausted means that all connections that this daemon may have to the peer are in use. It
+// wraps ErrNotSent.
 var ErrPoolExhausted = errors.WithMessage(ErrNotSent, "upstream: no connection is free")
 
 // reserveDivisor sets the reserve of a peer's limit, limit/reserveDivisor. It is left for probes,
@@ -60,7 +60,7 @@
 }
 
 // acquire returns a usable idle connection or a new one. At the limit it waits for one until the
-// request's ConnectionDeadline, and then returns ErrFull.
+// request's ConnectionDeadline, and then returns ErrPoolExhausted.
 func (p *Pool) acquire(ctx context.Context, address netip.AddrPort, req *Request) (*connection, error) {
 	timer := time.NewTimer(time.Until(req.ConnectionDeadline))
 	defer timer.Stop()
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -61,8 +61,8 @@
 	return err
 }
 
-// At the limit a request waits for another one's connection, and fails with ErrFull if none is
-// returned in time.
+// At the limit a request waits for another one's connection, and fails with ErrPoolExhausted if
+// none is returned in time.
 func TestARequestWaitsForAConnectionAtTheLimit(t *testing.T) {
 	is := is.New(t)
 	signal := make(chan struct{})
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -74,7 +74,8 @@
 	Repeatable bool
 	// MaxOpen is the limit of open connections to the peer, or 0 for none.
 	MaxOpen int
-	// ConnectionDeadline is until when the request waits for a connection at the limit.
+	// ConnectionDeadline is when the request stops waiting for a connection, if MaxOpen
+	// connections are in use.
 	ConnectionDeadline time.Time
 	// SentAt is set by Exchange to the time, by bootclock, at which it began to write the
 	// request. It is zero if there was no connection to write to.
@@ -107,7 +108,8 @@
 	// a connection becomes idle or is closed.
 	freed map[netip.AddrPort]chan struct{}
 
-	// Dials counts the connections made, and Exhausted the requests that failed with ErrFull.
+	// Dials counts the connections made, and Exhausted the requests that failed with
+	// ErrPoolExhausted.
 	Dials, Exhausted atomic.Uint64
 }
 
@@ -196,7 +198,7 @@
 }
 
 // Exchange sends a request and returns its answer once the head has been read. The caller must
-// Close the answer. When ctx ends before that, the connection is closed.
+// Close the answer. If ctx ends before Close, the connection is closed.
 func (p *Pool) Exchange(ctx context.Context, address netip.AddrPort, req *Request) (*Answer, error) {
 	if ctx.Err() != nil {
 		// An idle connection would send the request before the end of ctx closes it.
