--- a/internal/batches/ledger/append.go
+++ b/internal/batches/ledger/append.go
@@ -115,7 +115,8 @@
 	return calls
 }
 
-// appendCalls makes one append of several calls and applies its records to the fold.
+// appendCalls appends the records of several calls in one call to the journal, and then applies
+// them to the fold.
 func (p *Partition) appendCalls(calls []*appendCall) error {
 	var records [][]byte
 	for _, call := range calls {
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -18,10 +18,10 @@
 	budgetBurstTime = 4 * time.Second
 )
 
-// readBudget bounds what this daemon reads for queries, as a token bucket of bytes: the daemon's
-// part of ownReadFraction of the bandwidth that the journal is seen to deliver. It starts empty, so
-// that just after a start of all daemons the bandwidth is left to the watchers. It is safe for
-// concurrent use.
+// readBudget bounds what this daemon reads for queries. It is a token bucket of bytes that fills at
+// this daemon's equal share of ownReadFraction of the journal's bandwidth, and more slowly while
+// reads are late. It starts empty, so that just after a start of all daemons the bandwidth is left
+// to the watchers. It is safe for concurrent use.
 type readBudget struct {
 	// bytesPerSecond is the read bandwidth that the journal grants to all daemons.
 	bytesPerSecond float64
--- a/internal/batches/results/query.go
+++ b/internal/batches/results/query.go
@@ -31,7 +31,7 @@
 	Found bool
 	// Total is the number of items of the batch.
 	Total int
-	// Next is the position with which a query for the next page begins.
+	// Next is the After of a query for the next page.
 	Next    int
 	Results []Result
 	// Round describes the round, in the answer to a query for samples.
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -57,8 +57,9 @@
 	}
 }
 
-// callWatcher calls an RPC method of a partition's watcher, which is "" if not known. The call may
-// be kept open for wait and ends within watcherTimeout beyond that. The error wraps ErrNotCaughtUp.
+// callWatcher calls an RPC method of a partition's watcher; watcher is "" if it is not known. The
+// watcher may hold the call open for wait, so the timeout is wait plus watcherTimeout. The error
+// wraps ErrNotCaughtUp.
 func callWatcher[T any](
 	ctx context.Context, r *Reader, watcher, method string, args any, wait time.Duration,
 ) (answer T, err error) {
--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -35,7 +35,7 @@
 	err   error
 }
 
-// begin returns the read of a partition that is in progress, or starts one.
+// begin returns the confirming read of a partition. It starts one if none is in progress.
 func (c *confirmations) begin(ctx context.Context, partition *ledger.Partition) *confirmation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -75,7 +75,8 @@
 	cancel context.CancelFunc
 }
 
-// DetectLostCalls returns a LostCallDetector for log.
+// DetectLostCalls returns a Journal that makes its calls on log and gives up the lost ones. Its calls
+// are not observed until SetObserver is called.
 func DetectLostCalls(log Journal, logger *zap.Logger) *LostCallDetector {
 	return &LostCallDetector{
 		Journal:    log,
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -1,14 +1,14 @@
 // Package lease elects one holder of a duty among the daemons by claims in a journal partition.
 //
 // The fence of a claim is its offset plus one, so that fences are unique and increase with each
-// claim. A holder acts only until its lease expires by its own clock, counted from when it sent
-// its last acknowledged renewal. A successor acts only when that time and a quiet period are over,
-// counted from when it read the last record. It claims the lease shortly before that, so that a
+// claim. A holder acts only until its lease expires: Duration after it sent its last acknowledged
+// renewal. A successor waits for Duration and a quiet period, counted from when it read the last
+// record, before it acts. It appends its claim shortly before the end of this wait, so that a
 // holder that recovers in the meantime keeps the lease.
 //
-// Neither relies on the time of day. The clock includes the time in which the machine is
-// suspended. With a clock that stops meanwhile, a resumed holder would take a lease for valid that
-// has expired for the others.
+// Both measure these times by a clock that continues while the machine is suspended, not by the
+// time of day. With a clock that stops during suspension, a resumed holder would act under a lease
+// that has already expired for the others.
 //
 // The package relies on the journal for the order of claims. Its caller decides which daemons are
 // candidates.
--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -71,7 +71,7 @@
 	// lease is lost, so that reading an order again does not reset the time when it was first
 	// seen.
 	newestOrders map[serviceZone]observedOrder
-	// lowSince is since when the need of each service has been low; see NeedIsLow.
+	// lowSince holds when the need of each service became low; see NeedIsLow.
 	lowSince map[string]time.Time
 	// listStaleAt is when the list of replicas was last found to be stale.
 	listStaleAt time.Time
@@ -139,7 +139,7 @@
 		in.Zones = append(in.Zones, Zone{Name: key.zone, Present: count, RecentMax: m.recentMax[key].count,
 			Ordered: last.Desired, OrderedAt: last.firstSeenAt})
 	}
-	// Sorted, so that a plan does not depend on the order of a map.
+	// The zones are sorted so that a plan does not depend on the order of a map.
 	slices.SortFunc(in.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
 	switch {
 	case !NeedIsLow(in):
--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -15,11 +15,11 @@
 // KeyPolicy bounds the age of the configuration, counted from when it was last confirmed, at
 // which it decides on API keys. A bound of zero means none.
 type KeyPolicy struct {
-	// AcceptMaxAge is the greatest age at which a key in the configuration is accepted.
-	// Beyond it the key may have been withdrawn.
+	// AcceptMaxAge is the greatest age at which a key in the configuration is accepted. In a
+	// newer configuration the key may have been withdrawn.
 	AcceptMaxAge time.Duration
 	// RejectMaxAge is the greatest age at which a key that is not in the configuration is
-	// rejected as invalid. Beyond it the key may have been added.
+	// rejected as invalid. A newer configuration may contain it.
 	RejectMaxAge time.Duration
 }
 
--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -157,7 +157,7 @@
 }
 
 // takeBatch removes and returns the next contents to send to a neighbour. If none are left or
-// giveUp is set, it ends the neighbour's sending and returns done.
+// giveUp is set, it ends the sending to that neighbour and returns done.
 func (s *Gossiper) takeBatch(machine string, giveUp bool) (batch []Digest, done bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -32,8 +32,8 @@
 	address netip.AddrPort
 	raw     net.Conn
 	reader  *bufio.Reader
-	// reusableUntil and repeatableUntil are until when the connection may be reused: for any
-	// request, and for requests that may be repeated.
+	// reusableUntil is the time until which any request may reuse the connection. A Repeatable
+	// request may do so until repeatableUntil, which is never earlier.
 	reusableUntil, repeatableUntil time.Time
 	closeOnce                      sync.Once
 	// bodyWritten is closed once the request's body has been written. It is nil if the body was
