--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -40,7 +40,7 @@
 }
 
 // attempt sends the call to one replica. It calls onEnd when the exchange has ended; for an answer
-// with a Rest this is when the answer is closed.
+// with a Remainder this is when the answer is closed.
 func (f *Forwarder) attempt(ctx context.Context, onEnd func(), call *Call, rep replica.Replica) result {
 	f.Table.RequestStarted(rep.Incarnation())
 	end := func() {
@@ -68,7 +68,7 @@
 	}
 	f.Table.RequestSucceeded(rep.Incarnation(), time.Since(started))
 	answer.Replica, answer.endAttempt = rep.ID, end
-	if answer.Rest == nil {
+	if answer.Remainder == nil {
 		f.Quarantine.Answered(call.content)
 		end()
 	}
@@ -95,7 +95,7 @@
 		return outcomeDeclined
 	case ctx.Err() != nil:
 		return outcomeCancelled
-	case errors.Is(err, upstream.ErrFull):
+	case errors.Is(err, upstream.ErrPoolExhausted):
 		return outcomeNoConnection
 	case errors.Is(err, upstream.ErrNotSent):
 		return outcomeNotSent
@@ -107,7 +107,7 @@
 }
 
 func (f *Forwarder) avoidReplica(rep replica.Replica, err error) {
-	if errors.Is(err, errPlainDeclined) || errors.Is(err, upstream.ErrFull) {
+	if errors.Is(err, errPlainDeclined) || errors.Is(err, upstream.ErrPoolExhausted) {
 		f.Table.AvoidFor(rep.Incarnation(), declinedRetryDelay)
 		return
 	}
@@ -152,8 +152,8 @@
 		return nil, sentAt, true, errors.Wrapf(errInvalidAnswer, "status %d without a signature", response.Status)
 	}
 	answer, err = f.readAnswer(call, response)
-	if err == nil && answer.Rest != nil {
-		answer.Rest.onEnd = func(err error) {
+	if err == nil && answer.Remainder != nil {
+		answer.Remainder.onEnd = func(err error) {
 			f.recordEnd(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep, mayHaveRun: true, err: err})
 		}
 	}
@@ -189,8 +189,8 @@
 }
 
 // readAnswer reads an answer completely if it is short and memory can be reserved for it; otherwise
-// it reads the beginning and leaves the rest in Answer.Rest. An announced length sizes the buffer
-// in advance, since growing a buffer needs twice the memory.
+// it reads the beginning and leaves the rest in Answer.Remainder. An announced length sizes the
+// buffer in advance, since growing a buffer needs twice the memory.
 func (f *Forwarder) readAnswer(call *Call, response *upstream.Answer) (*Answer, error) {
 	answer := &Answer{Status: response.Status, Header: response.Header}
 	announced := response.Length()
@@ -208,6 +208,6 @@
 		response.Close()
 		return answer, nil
 	}
-	answer.Rest = &Rest{Answer: response}
+	answer.Remainder = &Remainder{Answer: response}
 	return answer, nil
 }
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -93,7 +93,7 @@
 		case res := <-a.outcomes:
 			a.open--
 			answer := a.handleResult(res)
-			if answer != nil && answer.Rest == nil {
+			if answer != nil && answer.Remainder == nil {
 				a.cancelOthers(answer.Replica)
 				return answer, nil
 			}
@@ -194,7 +194,7 @@
 		case err == nil:
 			return rep, release, true
 		case err.AwaitDecision(ctx):
-		case err.TryElsewhere:
+		case err.TryOtherReplica:
 			a.excluded[rep.ID] = true
 		default:
 			a.quarantined, a.lastReason = err, err.Error()
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -87,51 +87,52 @@
 	}
 }
 
-// Answer is a replica's answer: either complete, or its beginning and a Rest to be read.
+// Answer is a replica's answer: either complete, or its beginning and a Remainder to be
+// read.
 type Answer struct {
 	Status  int
 	Header  http.Header
 	Replica string
-	// Body is the complete body if Rest is nil, otherwise its beginning.
-	Body []byte
-	Rest *Rest
-	// endAttempt ends the attempt; it is called by Close if there is a Rest.
+	// Body is the complete body if Remainder is nil, otherwise its beginning.
+	Body      []byte
+	Remainder *Remainder
+	// endAttempt ends the attempt; it is called by Close if there is a Remainder.
 	endAttempt func()
 }
 
-// Rest is the unread remainder of a long answer.
-type Rest struct {
+// Remainder is the part of a long answer that has not been read yet.
+type Remainder struct {
 	*upstream.Answer
 	// onEnd is called with the result of the reading, nil if the answer is complete.
 	onEnd func(err error)
-	// abandoned reports that the reader gave up, so that a read error is not a failure of the
+	// aborted reports that Abort was called, so that a read error is not a failure of the
 	// replica.
-	abandoned atomic.Bool
+	aborted atomic.Bool
 }
 
-// Abandon ends a Read in progress and all later ones with an error. It may be called at any time,
+// Abort ends a Read in progress and all later ones with an error. It may be called at any time,
 // from any goroutine. Close must still be called once no Read is in progress.
-func (r *Rest) Abandon() {
-	r.abandoned.Store(true)
+func (r *Remainder) Abort() {
+	r.aborted.Store(true)
 	r.Answer.Abort()
 }
 
 // Read implements io.Reader.
-func (r *Rest) Read(p []byte) (int, error) {
+func (r *Remainder) Read(p []byte) (int, error) {
 	n, err := r.Answer.Read(p)
 	switch {
 	case err == io.EOF:
 		r.onEnd(nil)
-	case err != nil && !r.abandoned.Load():
+	case err != nil && !r.aborted.Load():
 		r.onEnd(err)
 	}
 	return n, err
 }
 
-// Close releases the connection and ends the attempt of an answer with a Rest.
+// Close releases the connection and ends the attempt of an answer with a Remainder.
 func (a *Answer) Close() {
-	if a.Rest != nil {
-		a.Rest.Close()
+	if a.Remainder != nil {
+		a.Remainder.Close()
 		a.endAttempt()
 	}
 }
--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -8,9 +8,9 @@
 	"github.com/pkg/errors"
 )
 
-// ErrFull means that all connections that this daemon may have to the peer are in use. It wraps
-// ErrNotSent.
-var ErrFull = errors.WithMessage(ErrNotSent, "upstream: no connection is free")
+// ErrPoolExhausted means that all connections that this daemon may have to the peer are in use. It
+// wraps ErrNotSent.
+var ErrPoolExhausted = errors.WithMessage(ErrNotSent, "upstream: no connection is free")
 
 // reserveDivisor sets the reserve of a peer's limit, limit/reserveDivisor. It is left for probes,
 // for connections of ended daemons that the peer still counts, and for daemons that have just
@@ -60,7 +60,7 @@
 }
 
 // acquire returns a usable idle connection or a new one. At the limit it waits for one until the
-// request's ConnectionDeadline, and then returns ErrFull.
+// request's ConnectionDeadline, and then returns ErrPoolExhausted.
 func (p *Pool) acquire(ctx context.Context, address netip.AddrPort, req *Request) (*connection, error) {
 	timer := time.NewTimer(time.Until(req.ConnectionDeadline))
 	defer timer.Stop()
@@ -79,7 +79,7 @@
 		case <-freed:
 		case <-timer.C:
 			p.Exhausted.Add(1)
-			return nil, ErrFull
+			return nil, ErrPoolExhausted
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -61,8 +61,8 @@
 	return err
 }
 
-// At the limit a request waits for another one's connection, and fails with ErrFull if none is
-// returned in time.
+// At the limit a request waits for another one's connection, and fails with ErrPoolExhausted if
+// none is returned in time.
 func TestARequestWaitsForAConnectionAtTheLimit(t *testing.T) {
 	is := is.New(t)
 	signal := make(chan struct{})
@@ -73,7 +73,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	err := exchangeWithLimit(t, p, address, 1, 0)
-	is.True(errors.Is(err, ErrFull))
+	is.True(errors.Is(err, ErrPoolExhausted))
 	is.True(errors.Is(err, ErrNotSent))
 	is.Equal(p.Exhausted.Load(), uint64(1))
 	go func() { second <- exchangeWithLimit(t, p, address, 1, time.Hour) }()
