--- a/internal/api/policy/policy_test.go
+++ b/internal/api/policy/policy_test.go
@@ -55,7 +55,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			err := policy.Validate(map[string]string{"doc": one.source})
-			var fault *policy.Fault
+			var fault *policy.DocumentError
 			is.True(errors.As(err, &fault))
 			is.Equal(fault.Document, "doc")
 			is.Equal(fault.Line, one.line)
--- a/internal/api/policy/program.go
+++ b/internal/api/policy/program.go
@@ -18,8 +18,8 @@
 	maxSourceBytes = 256 << 10
 )
 
-// Fault is an error in a policy document.
-type Fault struct {
+// DocumentError is an error in a policy document.
+type DocumentError struct {
 	Document string
 	// Line is 1-based, 0 where the fault belongs to no single line.
 	Line   int32
@@ -27,7 +27,7 @@
 }
 
 // Error implements error as "document:line: reason".
-func (f *Fault) Error() string {
+func (f *DocumentError) Error() string {
 	if f.Line == 0 {
 		return fmt.Sprintf("%s: %s", f.Document, f.Reason)
 	}
@@ -35,7 +35,7 @@
 }
 
 func faultf(document string, line int32, format string, args ...any) error {
-	return &Fault{Document: document, Line: line, Reason: fmt.Sprintf(format, args...)}
+	return &DocumentError{Document: document, Line: line, Reason: fmt.Sprintf(format, args...)}
 }
 
 // program is one loaded document: frozen globals and what it declared.
@@ -71,7 +71,7 @@
 // asFault turns the errors of the Starlark library into a Fault.
 func asFault(document string, err error) error {
 	var (
-		fault         *Fault
+		fault         *DocumentError
 		syntaxError   syntax.Error
 		resolveErrors resolve.ErrorList
 		evalError     *starlark.EvalError
