--- a/internal/api/policy/program.go
+++ b/internal/api/policy/program.go
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("%s:%d: %s", f.Document, f.Line, f.Reason)
 }
 
-func faultf(document string, line int32, format string, args ...any) error {
+func documentErrorf(document string, line int32, format string, args ...any) error {
 	return &DocumentError{Document: document, Line: line, Reason: fmt.Sprintf(format, args...)}
 }
 
@@ -49,7 +49,7 @@
 
 func loadProgram(document, source string) (*program, error) {
 	if len(source) > maxSourceBytes {
-		return nil, faultf(document, 0, "source has %d bytes, over the limit of %d", len(source), maxSourceBytes)
+		return nil, documentErrorf(document, 0, "source has %d bytes, over the limit of %d", len(source), maxSourceBytes)
 	}
 	p := &program{document: document}
 	thread := newThread(document, loadStepLimit)
@@ -80,13 +80,13 @@
 	case errors.As(err, &fault):
 		return fault
 	case errors.As(err, &syntaxError):
-		return faultf(document, syntaxError.Pos.Line, "%s", syntaxError.Msg)
+		return documentErrorf(document, syntaxError.Pos.Line, "%s", syntaxError.Msg)
 	case errors.As(err, &resolveErrors) && len(resolveErrors) > 0:
-		return faultf(document, resolveErrors[0].Pos.Line, "%s", resolveErrors[0].Msg)
+		return documentErrorf(document, resolveErrors[0].Pos.Line, "%s", resolveErrors[0].Msg)
 	case errors.As(err, &evalError):
-		return faultf(document, lineOf(evalError.CallStack), "%s", evalError.Msg)
+		return documentErrorf(document, lineOf(evalError.CallStack), "%s", evalError.Msg)
 	default:
-		return faultf(document, 0, "%s", err.Error())
+		return documentErrorf(document, 0, "%s", err.Error())
 	}
 }
 
--- a/internal/api/policy/set.go
+++ b/internal/api/policy/set.go
@@ -106,30 +106,30 @@
 
 // twice is the fault of a name that was declared before.
 func (o origin) twice(kind, name string, before origin) error {
-	return faultf(o.document, o.line, "%s %q is already declared in document %q", kind, name, before.document)
+	return documentErrorf(o.document, o.line, "%s %q is already declared in document %q", kind, name, before.document)
 }
 
 // checkReferences refuses names that no document declares.
 func (s *Set) checkReferences() error {
 	for _, t := range s.Trainers {
 		if s.Services[t.Service].Kind != EngineService {
-			return faultf(t.document, 0, "trainer %q: service %q is not a declared engine service", t.Name, t.Service)
+			return documentErrorf(t.document, 0, "trainer %q: service %q is not a declared engine service", t.Name, t.Service)
 		}
 		if _, ok := s.Classes[t.Class]; !ok {
-			return faultf(t.document, 0, "trainer %q: traffic_class %q is not declared", t.Name, t.Class)
+			return documentErrorf(t.document, 0, "trainer %q: traffic_class %q is not declared", t.Name, t.Class)
 		}
 	}
 	for _, service := range s.Services {
 		for _, operation := range service.Operations {
 			if _, ok := s.Classes[operation.Class]; !ok {
-				return faultf(service.document, 0, "service %q operation %q: traffic_class %q is not declared",
+				return documentErrorf(service.document, 0, "service %q operation %q: traffic_class %q is not declared",
 					service.Name, operation.Name, operation.Class)
 			}
 		}
 	}
 	for _, c := range s.callers {
 		if _, ok := s.Trainers[c.Trainer]; c.Trainer != "" && !ok {
-			return faultf(c.document, 0, "caller %q: trainer %q is not declared", c.Name, c.Trainer)
+			return documentErrorf(c.document, 0, "caller %q: trainer %q is not declared", c.Name, c.Trainer)
 		}
 	}
 	return nil
