--- a/internal/api/policy/program.go
+++ b/internal/api/policy/program.go
@@ -55,7 +55,7 @@
 	thread := newThread(document, loadStepLimit)
 	globals, err := starlark.ExecFileOptions(fileOptions, thread, document, source, p.declared.builtins(document))
 	if err != nil {
-		return nil, asFault(document, err)
+		return nil, asDocumentError(document, err)
 	}
 	globals.Freeze()
 	p.globals = globals
@@ -68,8 +68,8 @@
 	return thread
 }
 
-// asFault turns the errors of the Starlark library into a Fault.
-func asFault(document string, err error) error {
+// asDocumentError turns the errors of the Starlark library into a Fault.
+func asDocumentError(document string, err error) error {
 	var (
 		fault         *DocumentError
 		syntaxError   syntax.Error
@@ -108,7 +108,7 @@
 	}
 	answer, err := starlark.Call(newThread(hook, hookStepLimit), function, args, nil)
 	if err != nil {
-		return nil, false, asFault(p.document, err)
+		return nil, false, asDocumentError(p.document, err)
 	}
 	return answer, true, nil
 }
