--- a/internal/api/policy/program.go
+++ b/internal/api/policy/program.go
@@ -84,14 +84,14 @@
 	case errors.As(err, &resolveErrors) && len(resolveErrors) > 0:
 		return documentErrorf(document, resolveErrors[0].Pos.Line, "%s", resolveErrors[0].Msg)
 	case errors.As(err, &evalError):
-		return documentErrorf(document, lineOf(evalError.CallStack), "%s", evalError.Msg)
+		return documentErrorf(document, innermostLine(evalError.CallStack), "%s", evalError.Msg)
 	default:
 		return documentErrorf(document, 0, "%s", err.Error())
 	}
 }
 
-// lineOf returns the line of the innermost frame that is in the document.
-func lineOf(stack starlark.CallStack) int32 {
+// innermostLine returns the line of the innermost frame that is in the document.
+func innermostLine(stack starlark.CallStack) int32 {
 	for i := len(stack) - 1; i >= 0; i-- {
 		if stack[i].Pos.Line > 0 {
 			return stack[i].Pos.Line
