--- a/internal/api/policy/hooks.go
+++ b/internal/api/policy/hooks.go
@@ -86,8 +86,8 @@
 	return answer, ok
 }
 
-// HookFaults returns how often each hook failed since the set was compiled.
-func (s *Set) HookFaults() map[string]uint64 {
+// HookFailures returns how often each hook failed since the set was compiled.
+func (s *Set) HookFailures() map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.faults)
--- a/internal/api/policy/policy_test.go
+++ b/internal/api/policy/policy_test.go
@@ -102,7 +102,7 @@
 	is.True(set.Accepts(set.Trainers["t"], 6, 7))
 	is.Equal(set.OnFailure("lm", "x", 1), policy.ActionRetry)
 	is.Equal(set.Priority(set.Trainers["t"]), int64(2))
-	is.Equal(set.HookFaults(), map[string]uint64{"accepts": 1, "on_failure": 1, "priority": 1})
+	is.Equal(set.HookFailures(), map[string]uint64{"accepts": 1, "on_failure": 1, "priority": 1})
 }
 
 func TestCallersAreFoundByKey(t *testing.T) {
--- a/internal/api/standalone/standalone.go
+++ b/internal/api/standalone/standalone.go
@@ -86,7 +86,7 @@
 		return 0
 	}
 	faults := uint64(0)
-	for _, count := range set.HookFaults() {
+	for _, count := range set.HookFailures() {
 		faults += count
 	}
 	return float64(faults)
