--- a/internal/api/policy/hooks.go
+++ b/internal/api/policy/hooks.go
@@ -32,7 +32,7 @@
 	}
 	verdict, ok := answer.(starlark.Bool)
 	if !ok {
-		s.fault("accepts")
+		s.countHookFailure("accepts")
 		return true
 	}
 	return bool(verdict)
@@ -49,7 +49,7 @@
 	text, _ := starlark.AsString(answer) // "" is no action
 	action := FailureAction(text)
 	if action != ActionRetry && action != ActionRefuse {
-		s.fault("on_failure")
+		s.countHookFailure("on_failure")
 		return ActionRetry
 	}
 	return action
@@ -68,7 +68,7 @@
 			return value
 		}
 	}
-	s.fault("priority")
+	s.countHookFailure("priority")
 	return fallback
 }
 
@@ -81,7 +81,7 @@
 	}
 	answer, ok, err := p.call(hook, args)
 	if err != nil {
-		s.fault(hook)
+		s.countHookFailure(hook)
 	}
 	return answer, ok
 }
@@ -93,8 +93,8 @@
 	return maps.Clone(s.faults)
 }
 
-// fault counts a fault of a hook.
-func (s *Set) fault(hook string) {
+// countHookFailure counts a countHookFailure of a hook.
+func (s *Set) countHookFailure(hook string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults[hook]++
