--- a/internal/api/policy/hooks.go
+++ b/internal/api/policy/hooks.go
@@ -90,12 +90,12 @@
 func (s *Set) HookFailures() map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.faults)
+	return maps.Clone(s.hookFailures)
 }
 
 // countHookFailure counts a countHookFailure of a hook.
 func (s *Set) countHookFailure(hook string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults[hook]++
+	s.hookFailures[hook]++
 }
--- a/internal/api/policy/set.go
+++ b/internal/api/policy/set.go
@@ -20,8 +20,8 @@
 	programs map[string]*program
 
 	mu sync.Mutex
-	// faults counts those of hooks, by hook.
-	faults map[string]uint64
+	// hookFailures counts those of hooks, by hook.
+	hookFailures map[string]uint64
 }
 
 const (
@@ -38,12 +38,12 @@
 // is a *Fault with document, line and reason.
 func Compile(sources map[string]string) (*Set, error) {
 	s := &Set{
-		Trainers: map[string]Trainer{},
-		Services: map[string]Service{},
-		Classes:  map[string]Class{},
-		callers:  apikey.Ring[Caller]{},
-		programs: map[string]*program{},
-		faults:   map[string]uint64{},
+		Trainers:     map[string]Trainer{},
+		Services:     map[string]Service{},
+		Classes:      map[string]Class{},
+		callers:      apikey.Ring[Caller]{},
+		programs:     map[string]*program{},
+		hookFailures: map[string]uint64{},
 	}
 	for _, name := range slices.Sorted(maps.Keys(sources)) {
 		p, err := loadProgram(name, sources[name])
