--- a/internal/api/policy/set.go
+++ b/internal/api/policy/set.go
@@ -74,38 +74,38 @@
 func (s *Set) merge(d declarations) error {
 	for _, t := range d.trainers {
 		if held, ok := s.Trainers[t.Name]; ok {
-			return t.twice("trainer", t.Name, held.origin)
+			return t.duplicateError("trainer", t.Name, held.origin)
 		}
 		s.Trainers[t.Name] = t
 	}
 	for _, service := range d.services {
 		if held, ok := s.Services[service.Name]; ok {
-			return service.twice("service", service.Name, held.origin)
+			return service.duplicateError("service", service.Name, held.origin)
 		}
 		s.Services[service.Name] = service
 	}
 	for _, class := range d.classes {
 		if held, ok := s.Classes[class.Name]; ok {
-			return class.twice("traffic_class", class.Name, held.origin)
+			return class.duplicateError("traffic_class", class.Name, held.origin)
 		}
 		s.Classes[class.Name] = class
 	}
 	for _, c := range d.callers {
 		if !s.callers.Add(c.KeyDigest, c) {
-			return c.twice("caller key", c.Name, s.callers[c.KeyDigest].origin)
+			return c.duplicateError("caller key", c.Name, s.callers[c.KeyDigest].origin)
 		}
 	}
 	for _, budget := range d.retryBudgets {
 		if s.Retry != (RetryBudget{}) {
-			return budget.twice("retry_budget", "", s.Retry.origin)
+			return budget.duplicateError("retry_budget", "", s.Retry.origin)
 		}
 		s.Retry = budget
 	}
 	return nil
 }
 
-// twice is the fault of a name that was declared before.
-func (o origin) twice(kind, name string, before origin) error {
+// duplicateError is the fault of a name that was declared before.
+func (o origin) duplicateError(kind, name string, before origin) error {
 	return documentErrorf(o.document, o.line, "%s %q is already declared in document %q", kind, name, before.document)
 }
 
