--- a/internal/api/policy/declare.go
+++ b/internal/api/policy/declare.go
@@ -20,8 +20,8 @@
 	retryBudgets []RetryBudget
 }
 
-// declare takes in one call of a built-in function by which a document declares something.
-type declare func(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error
+// declareFunc takes in one call of a built-in function by which a document declares something.
+type declareFunc func(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error
 
 // builtins are the functions that a document may call beside those of Starlark.
 func (d *declarations) builtins(document string) starlark.StringDict {
@@ -29,7 +29,7 @@
 		"operation": starlark.NewBuiltin("operation", makeOperation),
 		"expect":    starlark.NewBuiltin("expect", expect),
 	}
-	for name, take := range map[string]declare{
+	for name, take := range map[string]declareFunc{
 		"trainer": d.trainer, "service": d.service, "caller": d.caller, "traffic_class": d.class, "retry_budget": d.retryBudget,
 	} {
 		dict[name] = starlark.NewBuiltin(name, func(
