--- a/internal/api/policy/cases.go
+++ b/internal/api/policy/cases.go
@@ -7,8 +7,8 @@
 	"go.starlark.net/starlark"
 )
 
-// casePrefix starts the name of a test function in a document.
-const casePrefix = "test_"
+// testPrefix starts the name of a test function in a document.
+const testPrefix = "test_"
 
 // CaseResult is the outcome of one test function of a document.
 type CaseResult struct {
@@ -25,7 +25,7 @@
 	}
 	var results []CaseResult
 	for _, name := range p.globals.Keys() { // they come in order
-		if !strings.HasPrefix(name, casePrefix) {
+		if !strings.HasPrefix(name, testPrefix) {
 			continue
 		}
 		result := CaseResult{Name: name}
