--- a/internal/api/policy/cases.go
+++ b/internal/api/policy/cases.go
@@ -10,25 +10,25 @@
 // testPrefix starts the name of a test function in a document.
 const testPrefix = "test_"
 
-// CaseResult is the outcome of one test function of a document.
-type CaseResult struct {
+// TestResult is the outcome of one test function of a document.
+type TestResult struct {
 	Name string `json:"name"`
 	// Fault is empty for a case that passed.
 	Fault string `json:"fault,omitempty"`
 }
 
 // RunCases runs every function test_* of one document, in order of name.
-func RunCases(document, source string) ([]CaseResult, error) {
+func RunCases(document, source string) ([]TestResult, error) {
 	p, err := loadProgram(document, source)
 	if err != nil {
 		return nil, err
 	}
-	var results []CaseResult
+	var results []TestResult
 	for _, name := range p.globals.Keys() { // they come in order
 		if !strings.HasPrefix(name, testPrefix) {
 			continue
 		}
-		result := CaseResult{Name: name}
+		result := TestResult{Name: name}
 		if _, _, err := p.call(name, nil); err != nil {
 			result.Fault = err.Error()
 		}
--- a/internal/api/policy/golden_test.go
+++ b/internal/api/policy/golden_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestResultsOfCasesKeepTheirForm(t *testing.T) {
-	golden.JSON[CaseResult](t, "case-result")
+	golden.JSON[TestResult](t, "case-result")
 }
