--- a/internal/api/policy/cases.go
+++ b/internal/api/policy/cases.go
@@ -17,8 +17,8 @@
 	Fault string `json:"fault,omitempty"`
 }
 
-// RunCases runs every function test_* of one document, in order of name.
-func RunCases(document, source string) ([]TestResult, error) {
+// RunTests runs every function test_* of one document, in order of name.
+func RunTests(document, source string) ([]TestResult, error) {
 	p, err := loadProgram(document, source)
 	if err != nil {
 		return nil, err
--- a/internal/api/policy/policy_test.go
+++ b/internal/api/policy/policy_test.go
@@ -15,7 +15,7 @@
 	is := is.New(t)
 	for name, source := range map[string]string{"operator": examples.OperatorPolicy, "qarmoud": examples.QarmoudPolicy} {
 		is.NoErr(policy.Validate(map[string]string{name: source}))
-		results, err := policy.RunCases(name, source)
+		results, err := policy.RunTests(name, source)
 		is.NoErr(err)
 		is.True(len(results) > 0)
 		for _, result := range results {
--- a/internal/daemon/cli/policy.go
+++ b/internal/daemon/cli/policy.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	results, err := policy.RunCases(o.nameOfDocument(), source)
+	results, err := policy.RunTests(o.nameOfDocument(), source)
 	if err != nil {
 		return withCode(ExitUsage, err)
 	}
