--- a/internal/api/policy/cases.go
+++ b/internal/api/policy/cases.go
@@ -13,8 +13,8 @@
 // TestResult is the outcome of one test function of a document.
 type TestResult struct {
 	Name string `json:"name"`
-	// Fault is empty for a case that passed.
-	Fault string `json:"fault,omitempty"`
+	// Failure is empty for a case that passed.
+	Failure string `json:"fault,omitempty"`
 }
 
 // RunTests runs every function test_* of one document, in order of name.
@@ -30,7 +30,7 @@
 		}
 		result := TestResult{Name: name}
 		if _, _, err := p.call(name, nil); err != nil {
-			result.Fault = err.Error()
+			result.Failure = err.Error()
 		}
 		results = append(results, result)
 	}
--- a/internal/api/policy/policy_test.go
+++ b/internal/api/policy/policy_test.go
@@ -19,7 +19,7 @@
 		is.NoErr(err)
 		is.True(len(results) > 0)
 		for _, result := range results {
-			is.Equal(result.Fault, "")
+			is.Equal(result.Failure, "")
 		}
 	}
 }
--- a/internal/daemon/cli/policy.go
+++ b/internal/daemon/cli/policy.go
@@ -55,16 +55,16 @@
 	}
 	failed := 0
 	for _, result := range results {
-		if result.Fault != "" {
+		if result.Failure != "" {
 			failed++
 		}
 	}
 	if err := o.print(results, func(w io.Writer) {
 		for _, result := range results {
-			if result.Fault == "" {
+			if result.Failure == "" {
 				fmt.Fprintf(w, "ok   %s\n", result.Name)
 			} else {
-				fmt.Fprintf(w, "FAIL %s: %s\n", result.Name, result.Fault)
+				fmt.Fprintf(w, "FAIL %s: %s\n", result.Name, result.Failure)
 			}
 		}
 		fmt.Fprintf(w, "%d passed, %d failed\n", len(results)-failed, failed)
