--- a/internal/api/gateway/limits.go
+++ b/internal/api/gateway/limits.go
@@ -39,7 +39,7 @@
 func classCounter(class string) string { return "class " + class }
 
 // enterClass counts a request into its traffic class, or refuses it.
-func (g *Gateway) enterClass(w http.ResponseWriter, class policy.Class) bool {
+func (g *Gateway) enterClass(w http.ResponseWriter, class policy.TrafficClass) bool {
 	if g.flights.enter(classCounter(class.Name), class.QueueLimit) {
 		return true
 	}
--- a/internal/api/gateway/refusals_test.go
+++ b/internal/api/gateway/refusals_test.go
@@ -56,8 +56,8 @@
 		}, keyed: true, status: 503, problem: Problem{Code: "configuration_not_confirmed", Message: "this daemon cannot confirm that its configuration is the newest",
 			Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
 		"class full": {answer: func(g *Gateway, w http.ResponseWriter) {
-			g.enterClass(w, policy.Class{Name: "c", QueueLimit: 1})
-			g.enterClass(w, policy.Class{Name: "c", QueueLimit: 1})
+			g.enterClass(w, policy.TrafficClass{Name: "c", QueueLimit: 1})
+			g.enterClass(w, policy.TrafficClass{Name: "c", QueueLimit: 1})
 		}, status: 429, problem: Problem{Code: "queue_full", Message: `traffic class "c" has 1 requests at this daemon, its bound`, Outcome: NotExecuted, RetryAfterMillis: 1000}},
 		"no permit":         {answer: func(g *Gateway, w http.ResponseWriter) { g.refuseClaim(w, permit.ErrNotClaimed) }, keyed: true, status: 503, problem: Problem{Code: "log_unavailable", Message: "no permit for the key", Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
 		"permit unsure":     {answer: func(g *Gateway, w http.ResponseWriter) { g.refuseClaim(w, permit.ErrUnknown) }, keyed: true, status: 503, problem: Problem{Code: "permit_unsure", Message: "no permit for the key", Outcome: Unknown, ThisTry: notSent, RetryAfterMillis: 1000}},
--- a/internal/api/policy/declare.go
+++ b/internal/api/policy/declare.go
@@ -16,7 +16,7 @@
 	trainers     []Trainer
 	services     []Service
 	callers      []Caller
-	classes      []Class
+	classes      []TrafficClass
 	retryBudgets []RetryBudget
 }
 
@@ -146,7 +146,7 @@
 }
 
 func (d *declarations) class(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error {
-	class := Class{QueueLimit: defaultQueueLimit, origin: at}
+	class := TrafficClass{QueueLimit: defaultQueueLimit, origin: at}
 	err := unpack("traffic_class", args, kwargs, &class.Name, "weight", &class.Weight, "queue_limit?", &class.QueueLimit)
 	if err != nil {
 		return err
--- a/internal/api/policy/policy.go
+++ b/internal/api/policy/policy.go
@@ -97,8 +97,8 @@
 	origin
 }
 
-// Class is a traffic class.
-type Class struct {
+// TrafficClass is a traffic class.
+type TrafficClass struct {
 	Name string
 	// Weight is the share of capacity while classes compete, and the worth of
 	// one answered request in the service measure.
--- a/internal/api/policy/set.go
+++ b/internal/api/policy/set.go
@@ -14,7 +14,7 @@
 type Set struct {
 	Trainers map[string]Trainer
 	Services map[string]Service
-	Classes  map[string]Class
+	Classes  map[string]TrafficClass
 	Retry    RetryBudget
 	callers  apikey.Ring[Caller]
 	programs map[string]*program
@@ -40,7 +40,7 @@
 	s := &Set{
 		Trainers:     map[string]Trainer{},
 		Services:     map[string]Service{},
-		Classes:      map[string]Class{},
+		Classes:      map[string]TrafficClass{},
 		callers:      apikey.Ring[Caller]{},
 		programs:     map[string]*program{},
 		hookFailures: map[string]uint64{},
@@ -59,7 +59,7 @@
 		s.Retry = defaultRetryBudget
 	}
 	if _, ok := s.Classes[defaultClass]; !ok {
-		s.Classes[defaultClass] = Class{Name: defaultClass, Weight: 1, QueueLimit: defaultQueueLimit}
+		s.Classes[defaultClass] = TrafficClass{Name: defaultClass, Weight: 1, QueueLimit: defaultQueueLimit}
 	}
 	return s, s.checkReferences()
 }
