--- a/internal/api/policy/declare.go
+++ b/internal/api/policy/declare.go
@@ -211,6 +211,6 @@
 		return nil, errors.Errorf("operation %q: hedge_ms needs repeatable = True", operation.Name)
 	}
 	operation.Timeout = time.Duration(timeout) * time.Millisecond
-	operation.Hedge = time.Duration(hedge) * time.Millisecond
+	operation.HedgeDelay = time.Duration(hedge) * time.Millisecond
 	return operationValue{operation}, nil
 }
--- a/internal/api/policy/policy.go
+++ b/internal/api/policy/policy.go
@@ -57,9 +57,9 @@
 	Class      string
 	// Timeout bounds the whole request, waiting included.
 	Timeout time.Duration
-	// Hedge is after how long a second try of a repeatable operation is
+	// HedgeDelay is after how long a second try of a repeatable operation is
 	// started beside the first; 0 for never.
-	Hedge time.Duration
+	HedgeDelay time.Duration
 }
 
 // Service is a group of like back ends.
--- a/internal/api/standalone/routes.go
+++ b/internal/api/standalone/routes.go
@@ -59,7 +59,7 @@
 	m := route.Route{
 		Name: service.Name + "." + operation.Name, Host: ServiceHost(service.Name), PathPrefix: OperationPath(operation.Name),
 		Kind: route.Unsafe, Shares: []route.Share{{Service: service.Name, Weight: 1}}, Timeout: operation.Timeout,
-		MaxAttempts: 1, Priority: rankOf(set, set.Classes[operation.Class].Weight), HedgeAfter: operation.Hedge,
+		MaxAttempts: 1, Priority: rankOf(set, set.Classes[operation.Class].Weight), HedgeAfter: operation.HedgeDelay,
 	}
 	if operation.Repeatable {
 		m.Kind, m.MaxAttempts = route.Safe, maxAttempts
