--- a/internal/api/policy/declare.go
+++ b/internal/api/policy/declare.go
@@ -164,15 +164,15 @@
 func (d *declarations) retryBudget(args starlark.Tuple, kwargs []starlark.Tuple, at origin) error {
 	budget := RetryBudget{origin: at}
 	err := starlark.UnpackArgs("retry_budget", args, kwargs,
-		"percent", &budget.Percent, "minimum_per_second", &budget.Minimum)
+		"percent", &budget.Percent, "minimum_per_second", &budget.MinPerSecond)
 	if err != nil {
 		return err
 	}
 	if budget.Percent < 0 || budget.Percent > 100 {
 		return errors.Errorf("retry_budget: percent %d is not between 0 and 100", budget.Percent)
 	}
-	if budget.Minimum < 0 {
-		return errors.Errorf("retry_budget: minimum_per_second %d is negative", budget.Minimum)
+	if budget.MinPerSecond < 0 {
+		return errors.Errorf("retry_budget: minimum_per_second %d is negative", budget.MinPerSecond)
 	}
 	d.retryBudgets = append(d.retryBudgets, budget)
 	return nil
--- a/internal/api/policy/policy.go
+++ b/internal/api/policy/policy.go
@@ -112,7 +112,7 @@
 type RetryBudget struct {
 	// Percent is how many retries each hundred first tries allow.
 	Percent int64
-	// Minimum is how many retries a second are allowed at low load.
-	Minimum int64
+	// MinPerSecond is how many retries a second are allowed at low load.
+	MinPerSecond int64
 	origin
 }
--- a/internal/api/policy/set.go
+++ b/internal/api/policy/set.go
@@ -32,7 +32,7 @@
 )
 
 // defaultRetryBudget is used where no document declares one.
-var defaultRetryBudget = RetryBudget{Percent: 20, Minimum: 10}
+var defaultRetryBudget = RetryBudget{Percent: 20, MinPerSecond: 10}
 
 // Compile loads every document and merges them. The error of a faulty document
 // is a *Fault with document, line and reason.
--- a/internal/api/standalone/retries.go
+++ b/internal/api/standalone/retries.go
@@ -34,7 +34,7 @@
 	if set.OnFailure(service, operation, attempts) != policy.ActionRetry {
 		return false
 	}
-	return r.budget.TryRetry(time.Now(), set.Retry.Minimum)
+	return r.budget.TryRetry(time.Now(), set.Retry.MinPerSecond)
 }
 
 // operationOf returns the service and the operation of a route.
