--- a/internal/api/policy/set.go
+++ b/internal/api/policy/set.go
@@ -12,12 +12,12 @@
 // Set is every document compiled and merged. It is immutable, but for the count of faults,
 // and safe for concurrent use.
 type Set struct {
-	Trainers map[string]Trainer
-	Services map[string]Service
-	Classes  map[string]TrafficClass
-	Retry    RetryBudget
-	callers  apikey.Ring[Caller]
-	programs map[string]*program
+	Trainers    map[string]Trainer
+	Services    map[string]Service
+	Classes     map[string]TrafficClass
+	RetryBudget RetryBudget
+	callers     apikey.Ring[Caller]
+	programs    map[string]*program
 
 	mu sync.Mutex
 	// hookFailures counts those of hooks, by hook.
@@ -55,8 +55,8 @@
 			return nil, err
 		}
 	}
-	if s.Retry == (RetryBudget{}) {
-		s.Retry = defaultRetryBudget
+	if s.RetryBudget == (RetryBudget{}) {
+		s.RetryBudget = defaultRetryBudget
 	}
 	if _, ok := s.Classes[defaultClass]; !ok {
 		s.Classes[defaultClass] = TrafficClass{Name: defaultClass, Weight: 1, QueueLimit: defaultQueueLimit}
@@ -96,10 +96,10 @@
 		}
 	}
 	for _, budget := range d.retryBudgets {
-		if s.Retry != (RetryBudget{}) {
-			return budget.duplicateError("retry_budget", "", s.Retry.origin)
+		if s.RetryBudget != (RetryBudget{}) {
+			return budget.duplicateError("retry_budget", "", s.RetryBudget.origin)
 		}
-		s.Retry = budget
+		s.RetryBudget = budget
 	}
 	return nil
 }
--- a/internal/api/standalone/retries.go
+++ b/internal/api/standalone/retries.go
@@ -21,7 +21,7 @@
 
 func (r *retries) RequestStarted(*route.Route) {
 	if set, ok := r.decoder.SetOf(r.configuration()); ok {
-		r.budget.RecordFirstAttempt(set.Retry.Percent)
+		r.budget.RecordFirstAttempt(set.RetryBudget.Percent)
 	}
 }
 
@@ -34,7 +34,7 @@
 	if set.OnFailure(service, operation, attempts) != policy.ActionRetry {
 		return false
 	}
-	return r.budget.TryRetry(time.Now(), set.Retry.MinPerSecond)
+	return r.budget.TryRetry(time.Now(), set.RetryBudget.MinPerSecond)
 }
 
 // operationOf returns the service and the operation of a route.
