--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -59,7 +59,7 @@
 	Configuration func() (Configuration, bool)
 	Delivery      *delivery.Service
 	Permits       *permit.Permits
-	Operator      *operator.Operator
+	Operator      *operator.Store
 	Replicas      *replica.Table
 	// Ingress takes the requests that go to one replica, under these headers, hosts and paths.
 	Ingress       http.Handler
--- a/internal/api/operator/operator.go
+++ b/internal/api/operator/operator.go
@@ -68,20 +68,20 @@
 	Models  map[string]int64 `cbor:"6,keyasint"`
 }
 
-// Operator is safe for concurrent use.
-type Operator struct {
+// Store is safe for concurrent use.
+type Store struct {
 	journal journal.Journal
 	logger  *zap.Logger
 }
 
 // New returns an operator.
-func New(log journal.Journal, logger *zap.Logger) *Operator {
-	return &Operator{journal: log, logger: logger}
+func New(log journal.Journal, logger *zap.Logger) *Store {
+	return &Store{journal: log, logger: logger}
 }
 
 // Announce names a version of a model. Versions only rise: the newest known is
 // returned, which may be a newer one.
-func (o *Operator) Announce(ctx context.Context, named Version) (int64, error) {
+func (o *Store) Announce(ctx context.Context, named Version) (int64, error) {
 	newest := named.Version
 	key := versionKeyPrefix + named.Model
 	_, err := o.update(ctx, RecordsPartition, key, func(value []byte) ([]byte, error) {
@@ -96,7 +96,7 @@
 }
 
 // Drain orders that a back end gets no new work, or takes the order back.
-func (o *Operator) Drain(ctx context.Context, machine string, leaving bool) error {
+func (o *Store) Drain(ctx context.Context, machine string, leaving bool) error {
 	return o.changeMachine(ctx, machine, func(m *Machine) bool {
 		m.Leaving = leaving
 		return true
@@ -106,7 +106,7 @@
 // Hold notes in an engine's entry that it holds a version of a model. The engine
 // or an agent beside it does so: daemons learn from the list which engines may
 // run a batch. An order to drain that was given meanwhile stays.
-func (o *Operator) Hold(ctx context.Context, machine, model string, version int64) error {
+func (o *Store) Hold(ctx context.Context, machine, model string, version int64) error {
 	return o.changeMachine(ctx, machine, func(m *Machine) bool {
 		if m.Models == nil {
 			m.Models = map[string]int64{}
@@ -119,7 +119,7 @@
 
 // changeMachine changes the entry of a listed back end, unless change reports that nothing
 // is to be written.
-func (o *Operator) changeMachine(ctx context.Context, machine string, change func(m *Machine) bool) error {
+func (o *Store) changeMachine(ctx context.Context, machine string, change func(m *Machine) bool) error {
 	_, err := o.update(ctx, MachinesPartition, machine, func(value []byte) ([]byte, error) {
 		var m Machine
 		if len(value) == 0 || !o.decode(machine, value, &m) {
@@ -134,7 +134,7 @@
 }
 
 // List puts a back end into the list, or takes it out if entry is nil.
-func (o *Operator) List(ctx context.Context, machine string, entry *Machine) error {
+func (o *Store) List(ctx context.Context, machine string, entry *Machine) error {
 	_, err := o.update(ctx, MachinesPartition, machine, func([]byte) ([]byte, error) {
 		if entry == nil {
 			return []byte{}, nil
@@ -145,7 +145,7 @@
 }
 
 // decode reads the value of a key. One that is malformed is logged and counts as none.
-func (o *Operator) decode(key string, value []byte, into any) bool {
+func (o *Store) decode(key string, value []byte, into any) bool {
 	err := cbor.Unmarshal(value, into)
 	if err != nil {
 		o.logger.Warn("operators' record not decoded", zap.String("key", key), zap.Error(err))
--- a/internal/api/operator/policies.go
+++ b/internal/api/operator/policies.go
@@ -55,7 +55,7 @@
 }
 
 // Publish publishes a policy document. Nil means that it is in the log.
-func (o *Operator) Publish(ctx context.Context, change Change) (Publication, error) {
+func (o *Store) Publish(ctx context.Context, change Change) (Publication, error) {
 	if err := policy.CheckName(change.Name); err != nil {
 		return Publication{}, errors.Wrap(ErrInvalid, err.Error())
 	}
@@ -95,7 +95,7 @@
 }
 
 // Current returns the configuration that the log holds now.
-func (o *Operator) Current(ctx context.Context) (Policies, error) {
+func (o *Store) Current(ctx context.Context) (Policies, error) {
 	var current Policies
 	value, _, err := o.read(ctx, RecordsPartition, PoliciesKey)
 	if err != nil {
@@ -108,7 +108,7 @@
 }
 
 // History returns the configurations that the log still has, the oldest first.
-func (o *Operator) History(ctx context.Context) ([]Policies, error) {
+func (o *Store) History(ctx context.Context) ([]Policies, error) {
 	var history []Policies
 	_, err := journal.ReadToEnd(ctx, o.journal, RecordsPartition, 0, callTimeout, func(_ int64, records [][]byte) {
 		for _, record := range records {
@@ -124,7 +124,7 @@
 }
 
 // policiesIn returns the configuration in a record, if it has one.
-func (o *Operator) policiesIn(record []byte) (policies Policies, ok bool) {
+func (o *Store) policiesIn(record []byte) (policies Policies, ok bool) {
 	keyed, err := journal.DecodeKeyed(record)
 	if err != nil {
 		o.logger.Warn("operators' record not decoded", zap.Error(err))
--- a/internal/api/operator/update.go
+++ b/internal/api/operator/update.go
@@ -21,7 +21,7 @@
 // the partition has not changed meanwhile, and returns the record's offset. A nil
 // value changes nothing. An append without an answer is settled by reading what
 // the key holds.
-func (o *Operator) update(
+func (o *Store) update(
 	ctx context.Context, p journal.Partition, key string, next func(value []byte) ([]byte, error),
 ) (offset int64, err error) {
 	for range tries {
@@ -51,7 +51,7 @@
 // settle finds out what became of an append without an answer. Its record can
 // only stand where the partition ended; once another stands there, the
 // condition cannot hold any more.
-func (o *Operator) settle(ctx context.Context, p journal.Partition, end int64, record []byte, cause error) (offset int64, err error) {
+func (o *Store) settle(ctx context.Context, p journal.Partition, end int64, record []byte, cause error) (offset int64, err error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	read, err := o.journal.Read(bounded, journal.Read{Partition: p, From: end})
@@ -64,7 +64,7 @@
 	return end, nil
 }
 
-func (o *Operator) append(ctx context.Context, a journal.Append) (int64, error) {
+func (o *Store) append(ctx context.Context, a journal.Append) (int64, error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	appended, err := o.journal.Append(bounded, a)
@@ -74,7 +74,7 @@
 // read returns a key's value and the end of the partition that it holds at. As
 // pages form no snapshot, the end is that of the first page: a change after it
 // fails the condition of the append.
-func (o *Operator) read(ctx context.Context, p journal.Partition, key string) ([]byte, int64, error) {
+func (o *Store) read(ctx context.Context, p journal.Partition, key string) ([]byte, int64, error) {
 	end, after := int64(-1), ""
 	for {
 		bounded, cancel := context.WithTimeout(ctx, callTimeout)
--- a/internal/demo/services/services.go
+++ b/internal/demo/services/services.go
@@ -85,7 +85,7 @@
 type Services struct {
 	// Log holds what lasts; tests may let faults befall it.
 	Log      *journaltest.Journal
-	Operator *operator.Operator
+	Operator *operator.Store
 	Engines  []*Engine
 	Plains   []*Plain
 
