--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -178,7 +178,7 @@
 	case errors.Is(err, operator.ErrNoMachine):
 		writeProblem(w, Problem{status: http.StatusNotFound, Code: "unknown_machine", Field: "machine",
 			Message: "machine: " + err.Error()})
-	case errors.Is(err, operator.ErrUnknown):
+	case errors.Is(err, operator.ErrOutcomeUnknown):
 		refuse(w, refusal.V1LogOutcomeUnknown, err.Error())
 	default:
 		refuse(w, refusal.V1LogUnavailable, err.Error())
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -154,7 +154,7 @@
 	switch {
 	case err == nil:
 		writeDone(w, http.StatusOK, announceAnswer{Trainer: trainer.Name, Version: newest})
-	case errors.Is(err, operator.ErrUnknown):
+	case errors.Is(err, operator.ErrOutcomeUnknown):
 		refuse(w, refusal.V1LogOutcomeUnknown, err.Error())
 	default:
 		refuse(w, refusal.V1LogUnavailable, err.Error())
--- a/internal/api/operator/operator.go
+++ b/internal/api/operator/operator.go
@@ -32,8 +32,8 @@
 	ErrConflict = errors.New("operator: another change came first")
 	// ErrNotDone: the log did not answer and nothing was changed.
 	ErrNotDone = errors.New("operator: not done")
-	// ErrUnknown: the change may be in force, or come into force.
-	ErrUnknown = errors.New("operator: outcome unknown")
+	// ErrOutcomeUnknown: the change may be in force, or come into force.
+	ErrOutcomeUnknown = errors.New("operator: outcome unknown")
 	// ErrNoMachine: the list has no such back end.
 	ErrNoMachine = errors.New("operator: no such back end is listed")
 )
--- a/internal/api/operator/operator_test.go
+++ b/internal/api/operator/operator_test.go
@@ -117,7 +117,7 @@
 			switch {
 			case err == nil && !there:
 				t.Fatalf("change %d was accepted and is not there", i)
-			case err != nil && !errors.Is(err, ErrUnknown) && there:
+			case err != nil && !errors.Is(err, ErrOutcomeUnknown) && there:
 				t.Fatalf("change %d is there though its operator heard %v", i, err)
 			}
 		}
--- a/internal/api/operator/update.go
+++ b/internal/api/operator/update.go
@@ -56,7 +56,7 @@
 	defer cancel()
 	read, err := o.journal.Read(bounded, journal.Read{Partition: p, From: end})
 	if err != nil || len(read.Records) == 0 {
-		return 0, errors.Wrap(ErrUnknown, cause.Error())
+		return 0, errors.Wrap(ErrOutcomeUnknown, cause.Error())
 	}
 	if !bytes.Equal(read.Records[0], record) {
 		return 0, ErrConflict
