--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -175,7 +175,7 @@
 	switch {
 	case err == nil:
 		writeDone(w, http.StatusOK, drainAnswer{Machine: req.Machine, Draining: !req.Undo})
-	case errors.Is(err, operator.ErrNoMachine):
+	case errors.Is(err, operator.ErrMachineNotListed):
 		writeProblem(w, Problem{status: http.StatusNotFound, Code: "unknown_machine", Field: "machine",
 			Message: "machine: " + err.Error()})
 	case errors.Is(err, operator.ErrOutcomeUnknown):
--- a/internal/api/operator/operator.go
+++ b/internal/api/operator/operator.go
@@ -34,8 +34,8 @@
 	ErrNotDone = errors.New("operator: not done")
 	// ErrOutcomeUnknown: the change may be in force, or come into force.
 	ErrOutcomeUnknown = errors.New("operator: outcome unknown")
-	// ErrNoMachine: the list has no such back end.
-	ErrNoMachine = errors.New("operator: no such back end is listed")
+	// ErrMachineNotListed: the list has no such back end.
+	ErrMachineNotListed = errors.New("operator: no such back end is listed")
 )
 
 // Keys of the records in the operators' partition.
@@ -123,7 +123,7 @@
 	_, err := o.update(ctx, MachinesPartition, machine, func(value []byte) ([]byte, error) {
 		var m Machine
 		if len(value) == 0 || !o.decode(machine, value, &m) {
-			return nil, ErrNoMachine
+			return nil, ErrMachineNotListed
 		}
 		if !change(&m) {
 			return nil, nil
