--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -150,7 +150,7 @@
 		badField(w, "artifact", "is required")
 		return
 	}
-	newest, err := g.parts.Operator.Announce(r.Context(), operator.Version{Model: trainer.Name, Version: req.Version, Artifact: req.Artifact})
+	newest, err := g.parts.Operator.AnnounceVersion(r.Context(), operator.Version{Model: trainer.Name, Version: req.Version, Artifact: req.Artifact})
 	switch {
 	case err == nil:
 		writeDone(w, http.StatusOK, announceAnswer{Trainer: trainer.Name, Version: newest})
--- a/internal/api/operator/operator.go
+++ b/internal/api/operator/operator.go
@@ -79,9 +79,9 @@
 	return &Store{journal: log, logger: logger}
 }
 
-// Announce names a version of a model. Versions only rise: the newest known is
+// AnnounceVersion names a version of a model. Versions only rise: the newest known is
 // returned, which may be a newer one.
-func (o *Store) Announce(ctx context.Context, named Version) (int64, error) {
+func (o *Store) AnnounceVersion(ctx context.Context, named Version) (int64, error) {
 	newest := named.Version
 	key := versionKeyPrefix + named.Model
 	_, err := o.update(ctx, RecordsPartition, key, func(value []byte) ([]byte, error) {
--- a/internal/api/operator/operator_test.go
+++ b/internal/api/operator/operator_test.go
@@ -55,7 +55,7 @@
 	ctx := context.Background()
 	one := New(journaltest.New(), zap.NewNop())
 	for _, step := range []struct{ named, newest int64 }{{3, 3}, {2, 3}, {4, 4}} {
-		newest, err := one.Announce(ctx, Version{Model: "m", Version: step.named})
+		newest, err := one.AnnounceVersion(ctx, Version{Model: "m", Version: step.named})
 		is.NoErr(err)
 		is.Equal(newest, step.newest)
 	}
