--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -171,7 +171,7 @@
 	if !decodeJSON(w, r, &req) {
 		return
 	}
-	err := g.parts.Operator.Drain(r.Context(), req.Machine, !req.Undo)
+	err := g.parts.Operator.SetDraining(r.Context(), req.Machine, !req.Undo)
 	switch {
 	case err == nil:
 		writeDone(w, http.StatusOK, drainAnswer{Machine: req.Machine, Draining: !req.Undo})
--- a/internal/api/operator/operator.go
+++ b/internal/api/operator/operator.go
@@ -95,8 +95,8 @@
 	return newest, err
 }
 
-// Drain orders that a back end gets no new work, or takes the order back.
-func (o *Store) Drain(ctx context.Context, machine string, leaving bool) error {
+// SetDraining orders that a back end gets no new work, or takes the order back.
+func (o *Store) SetDraining(ctx context.Context, machine string, leaving bool) error {
 	return o.changeMachine(ctx, machine, func(m *Machine) bool {
 		m.Leaving = leaving
 		return true
--- a/internal/api/operator/operator_test.go
+++ b/internal/api/operator/operator_test.go
@@ -65,11 +65,11 @@
 	is := is.New(t)
 	ctx := context.Background()
 	one := New(journaltest.New(), zap.NewNop())
-	is.True(errors.Is(one.Drain(ctx, "e1", true), ErrMachineNotListed))
+	is.True(errors.Is(one.SetDraining(ctx, "e1", true), ErrMachineNotListed))
 	is.NoErr(one.List(ctx, "e1", &Machine{Service: "s", Address: "127.0.0.1:1"}))
-	is.NoErr(one.Drain(ctx, "e1", true))
+	is.NoErr(one.SetDraining(ctx, "e1", true))
 	is.NoErr(one.List(ctx, "e1", nil))
-	is.True(errors.Is(one.Drain(ctx, "e1", true), ErrMachineNotListed))
+	is.True(errors.Is(one.SetDraining(ctx, "e1", true), ErrMachineNotListed))
 }
 
 // Operators race while the log loses answers and does things late. Each change
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -177,7 +177,7 @@
 // it got none once the grace was over.
 func (r *run) drainEngine(ctx context.Context, engine *services.Engine) (check func()) {
 	r.Note("draining engine %s", engine.ID)
-	if err := r.services.Operator.Drain(ctx, engine.ID, true); err != nil {
+	if err := r.services.Operator.SetDraining(ctx, engine.ID, true); err != nil {
 		r.Note("drain: %v", err)
 		return func() {}
 	}
