--- a/internal/api/operator/operator.go
+++ b/internal/api/operator/operator.go
@@ -103,10 +103,10 @@
 	})
 }
 
-// Hold notes in an engine's entry that it holds a version of a model. The engine
+// RecordHeldVersion notes in an engine's entry that it holds a version of a model. The engine
 // or an agent beside it does so: daemons learn from the list which engines may
 // run a batch. An order to drain that was given meanwhile stays.
-func (o *Store) Hold(ctx context.Context, machine, model string, version int64) error {
+func (o *Store) RecordHeldVersion(ctx context.Context, machine, model string, version int64) error {
 	return o.changeMachine(ctx, machine, func(m *Machine) bool {
 		if m.Models == nil {
 			m.Models = map[string]int64{}
--- a/internal/demo/services/services.go
+++ b/internal/demo/services/services.go
@@ -150,7 +150,7 @@
 func (s *Services) hold(engine, model string, version int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), holdTimeout)
 	defer cancel()
-	for ctx.Err() == nil && s.Operator.Hold(ctx, engine, model, version) != nil {
+	for ctx.Err() == nil && s.Operator.RecordHeldVersion(ctx, engine, model, version) != nil {
 		time.Sleep(holdPause)
 	}
 }
