--- a/internal/api/operator/operator.go
+++ b/internal/api/operator/operator.go
@@ -97,7 +97,7 @@
 
 // SetDraining orders that a back end gets no new work, or takes the order back.
 func (o *Store) SetDraining(ctx context.Context, machine string, leaving bool) error {
-	return o.changeMachine(ctx, machine, func(m *Machine) bool {
+	return o.updateMachine(ctx, machine, func(m *Machine) bool {
 		m.Leaving = leaving
 		return true
 	})
@@ -107,7 +107,7 @@
 // or an agent beside it does so: daemons learn from the list which engines may
 // run a batch. An order to drain that was given meanwhile stays.
 func (o *Store) RecordHeldVersion(ctx context.Context, machine, model string, version int64) error {
-	return o.changeMachine(ctx, machine, func(m *Machine) bool {
+	return o.updateMachine(ctx, machine, func(m *Machine) bool {
 		if m.Models == nil {
 			m.Models = map[string]int64{}
 		}
@@ -117,9 +117,9 @@
 	})
 }
 
-// changeMachine changes the entry of a listed back end, unless change reports that nothing
+// updateMachine changes the entry of a listed back end, unless change reports that nothing
 // is to be written.
-func (o *Store) changeMachine(ctx context.Context, machine string, change func(m *Machine) bool) error {
+func (o *Store) updateMachine(ctx context.Context, machine string, change func(m *Machine) bool) error {
 	_, err := o.update(ctx, MachinesPartition, machine, func(value []byte) ([]byte, error) {
 		var m Machine
 		if len(value) == 0 || !o.decode(machine, value, &m) {
