--- a/internal/api/operator/policies.go
+++ b/internal/api/operator/policies.go
@@ -61,7 +61,7 @@
 	}
 	var version int64
 	offset, err := o.update(ctx, RecordsPartition, PoliciesKey, func(value []byte) ([]byte, error) {
-		next, err := changed(value, change)
+		next, err := applyChange(value, change)
 		if err != nil {
 			return nil, err
 		}
@@ -73,8 +73,8 @@
 	return Publication{Version: version, Offset: offset}, err
 }
 
-// changed returns the configuration after a change.
-func changed(value []byte, change Change) (Policies, error) {
+// applyChange returns the configuration after a change.
+func applyChange(value []byte, change Change) (Policies, error) {
 	var current Policies
 	if len(value) > 0 {
 		if err := cbor.Unmarshal(value, &current); err != nil {
