--- a/internal/api/operator/policies.go
+++ b/internal/api/operator/policies.go
@@ -112,7 +112,7 @@
 	var history []Policies
 	_, err := journal.ReadToEnd(ctx, o.journal, RecordsPartition, 0, callTimeout, func(_ int64, records [][]byte) {
 		for _, record := range records {
-			if policies, ok := o.policiesIn(record); ok {
+			if policies, ok := o.decodePolicies(record); ok {
 				history = append(history, policies)
 			}
 		}
@@ -123,8 +123,8 @@
 	return history, nil
 }
 
-// policiesIn returns the configuration in a record, if it has one.
-func (o *Store) policiesIn(record []byte) (policies Policies, ok bool) {
+// decodePolicies returns the configuration in a record, if it has one.
+func (o *Store) decodePolicies(record []byte) (policies Policies, ok bool) {
 	keyed, err := journal.DecodeKeyed(record)
 	if err != nil {
 		o.logger.Warn("operators' record not decoded", zap.Error(err))
