--- a/internal/api/operator/update.go
+++ b/internal/api/operator/update.go
@@ -12,9 +12,9 @@
 
 const (
 	callTimeout = 1500 * time.Millisecond
-	// tries bounds how often a change is made again after the partition's end
+	// maxAttempts bounds how often a change is made again after the partition's end
 	// has moved, for example by another model's version.
-	tries = 8
+	maxAttempts = 8
 )
 
 // update replaces a key's value by what next makes of it, on the condition that
@@ -24,7 +24,7 @@
 func (o *Store) update(
 	ctx context.Context, p journal.Partition, key string, next func(value []byte) ([]byte, error),
 ) (offset int64, err error) {
-	for range tries {
+	for range maxAttempts {
 		value, end, err := o.read(ctx, p, key)
 		if err != nil {
 			return 0, errors.Wrap(ErrNotDone, err.Error())
