--- a/internal/api/operator/update.go
+++ b/internal/api/operator/update.go
@@ -43,15 +43,15 @@
 		case errors.Is(err, journal.ErrNotDone):
 			return 0, errors.Wrap(ErrNotDone, err.Error())
 		}
-		return o.settle(ctx, p, end, record, err)
+		return o.resolveOutcome(ctx, p, end, record, err)
 	}
 	return 0, errors.Wrap(ErrConflict, "the log changed at every try")
 }
 
-// settle finds out what became of an append without an answer. Its record can
+// resolveOutcome finds out what became of an append without an answer. Its record can
 // only stand where the partition ended; once another stands there, the
 // condition cannot hold any more.
-func (o *Store) settle(ctx context.Context, p journal.Partition, end int64, record []byte, cause error) (offset int64, err error) {
+func (o *Store) resolveOutcome(ctx context.Context, p journal.Partition, end int64, record []byte, cause error) (offset int64, err error) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	read, err := o.journal.Read(bounded, journal.Read{Partition: p, From: end})
