--- a/internal/api/operator/operator.go
+++ b/internal/api/operator/operator.go
@@ -133,8 +133,8 @@
 	return err
 }
 
-// SetListed puts a back end into the list, or takes it out if entry is nil.
-func (o *Store) SetListed(ctx context.Context, machine string, entry *Machine) error {
+// SetMachine puts a back end into the list, or takes it out if entry is nil.
+func (o *Store) SetMachine(ctx context.Context, machine string, entry *Machine) error {
 	_, err := o.update(ctx, MachinesPartition, machine, func([]byte) ([]byte, error) {
 		if entry == nil {
 			return []byte{}, nil
--- a/internal/api/operator/operator_test.go
+++ b/internal/api/operator/operator_test.go
@@ -66,9 +66,9 @@
 	ctx := context.Background()
 	one := New(journaltest.New(), zap.NewNop())
 	is.True(errors.Is(one.SetDraining(ctx, "e1", true), ErrMachineNotListed))
-	is.NoErr(one.SetListed(ctx, "e1", &Machine{Service: "s", Address: "127.0.0.1:1"}))
+	is.NoErr(one.SetMachine(ctx, "e1", &Machine{Service: "s", Address: "127.0.0.1:1"}))
 	is.NoErr(one.SetDraining(ctx, "e1", true))
-	is.NoErr(one.SetListed(ctx, "e1", nil))
+	is.NoErr(one.SetMachine(ctx, "e1", nil))
 	is.True(errors.Is(one.SetDraining(ctx, "e1", true), ErrMachineNotListed))
 }
 
--- a/internal/demo/services/services.go
+++ b/internal/demo/services/services.go
@@ -170,7 +170,7 @@
 		return Machine{}, err
 	}
 	entry := operator.Machine{Service: service, Address: addr.String(), Zone: s.zones[i%len(s.zones)], Slots: slots}
-	return Machine{id, addr, server}, s.Operator.SetListed(context.Background(), id, &entry)
+	return Machine{id, addr, server}, s.Operator.SetMachine(context.Background(), id, &entry)
 }
 
 // serve serves a handler on a free address.
