--- a/internal/api/operator/golden_test.go
+++ b/internal/api/operator/golden_test.go
@@ -7,7 +7,7 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestRecordsKeepTheirForm(t *testing.T) {
+func TestRecordEncodingIsStable(t *testing.T) {
 	golden.CBOR[Policies](t, "policies")
 	golden.CBOR[Version](t, "version")
 	golden.CBOR[Machine](t, "machine")
--- a/internal/api/operator/operator_test.go
+++ b/internal/api/operator/operator_test.go
@@ -19,63 +19,63 @@
 
 func init() { testseed.Fix() }
 
-const valid = `traffic_class(name = "%s", weight = 1, queue_limit = 1)`
+const validSource = `traffic_class(name = "%s", weight = 1, queue_limit = 1)`
 
-func TestADocumentComesIntoForceAndIsReplaced(t *testing.T) {
+func TestPublishReplacesOnlyTheExpectedVersion(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	one := New(journaltest.New(), zap.NewNop())
-	first, err := one.Publish(ctx, Change{Name: "a", Source: fmt.Sprintf(valid, "x")})
+	store := New(journaltest.New(), zap.NewNop())
+	first, err := store.Publish(ctx, Change{Name: "a", Source: fmt.Sprintf(validSource, "x")})
 	is.NoErr(err)
 	is.Equal(first.Version, int64(1))
 	stale := int64(0)
-	_, err = one.Publish(ctx, Change{Name: "a", Source: fmt.Sprintf(valid, "y"), Replaces: &stale})
+	_, err = store.Publish(ctx, Change{Name: "a", Source: fmt.Sprintf(validSource, "y"), Replaces: &stale})
 	is.True(errors.Is(err, ErrConflict))
-	second, err := one.Publish(ctx, Change{Name: "a", Source: fmt.Sprintf(valid, "y"), Replaces: &first.Version})
+	second, err := store.Publish(ctx, Change{Name: "a", Source: fmt.Sprintf(validSource, "y"), Replaces: &first.Version})
 	is.NoErr(err)
 	is.Equal(second.Version, int64(2))
-	current, err := one.Current(ctx)
+	current, err := store.Current(ctx)
 	is.NoErr(err)
 	is.Equal(current.Documents["a"].Version, int64(2))
 }
 
-func TestWrongPoliciesChangeNothing(t *testing.T) {
+func TestInvalidPoliciesWriteNothing(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
-	one := New(log, zap.NewNop())
-	_, err := one.Publish(context.Background(), Change{Name: "a", Source: "traffic_class("})
+	store := New(log, zap.NewNop())
+	_, err := store.Publish(context.Background(), Change{Name: "a", Source: "traffic_class("})
 	is.True(errors.Is(err, ErrInvalid))
-	_, err = one.Publish(context.Background(), Change{Name: "a b", Source: fmt.Sprintf(valid, "x")})
+	_, err = store.Publish(context.Background(), Change{Name: "a b", Source: fmt.Sprintf(validSource, "x")})
 	is.True(errors.Is(err, ErrInvalid))
 	is.Equal(len(log.Records(RecordsPartition)), 0)
 }
 
-func TestVersionsOnlyRise(t *testing.T) {
+func TestAnnouncedVersionsNeverDecrease(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	one := New(journaltest.New(), zap.NewNop())
+	store := New(journaltest.New(), zap.NewNop())
 	for _, step := range []struct{ named, newest int64 }{{3, 3}, {2, 3}, {4, 4}} {
-		newest, err := one.AnnounceVersion(ctx, Version{Model: "m", Version: step.named})
+		newest, err := store.AnnounceVersion(ctx, Version{Model: "m", Version: step.named})
 		is.NoErr(err)
 		is.Equal(newest, step.newest)
 	}
 }
 
-func TestDrainsNameAListedBackEnd(t *testing.T) {
+func TestOnlyListedBackEndsDrain(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	one := New(journaltest.New(), zap.NewNop())
-	is.True(errors.Is(one.SetDraining(ctx, "e1", true), ErrMachineNotListed))
-	is.NoErr(one.SetMachine(ctx, "e1", &Machine{Service: "s", Address: "127.0.0.1:1"}))
-	is.NoErr(one.SetDraining(ctx, "e1", true))
-	is.NoErr(one.SetMachine(ctx, "e1", nil))
-	is.True(errors.Is(one.SetDraining(ctx, "e1", true), ErrMachineNotListed))
+	store := New(journaltest.New(), zap.NewNop())
+	is.True(errors.Is(store.SetDraining(ctx, "e1", true), ErrMachineNotListed))
+	is.NoErr(store.SetMachine(ctx, "e1", &Machine{Service: "s", Address: "127.0.0.1:1"}))
+	is.NoErr(store.SetDraining(ctx, "e1", true))
+	is.NoErr(store.SetMachine(ctx, "e1", nil))
+	is.True(errors.Is(store.SetDraining(ctx, "e1", true), ErrMachineNotListed))
 }
 
-// Operators race while the log loses answers and does things late. Each change
-// that was said to be done is in the configuration, and none that was said not
-// to be.
-func TestRacingOperatorsLoseNothingThatWasAccepted(t *testing.T) {
+// Operators publish concurrently while the journal loses answers and applies appends late.
+// Guards against a change that is reported as made and is lost, or reported as not made and is
+// in the configuration.
+func TestConcurrentPublishOutcomesMatchTheJournal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		faults := rapid.SliceOfN(rapid.IntRange(int(journaltest.None), int(journaltest.Delay)), 0, 30).Draw(t, "faults")
 		delays := rapid.SliceOfN(rapid.IntRange(0, 30), 30, 30).Draw(t, "delays")
@@ -97,13 +97,13 @@
 				}
 				return journaltest.None
 			}
-			var racing sync.WaitGroup
+			var publishers sync.WaitGroup
 			for i := range operators {
-				racing.Go(func() {
-					_, outcomes[i] = New(log, zap.NewNop()).Publish(context.Background(), Change{Name: fmt.Sprint("d", i), Source: fmt.Sprintf(valid, fmt.Sprint("c", i))})
+				publishers.Go(func() {
+					_, outcomes[i] = New(log, zap.NewNop()).Publish(context.Background(), Change{Name: fmt.Sprint("d", i), Source: fmt.Sprintf(validSource, fmt.Sprint("c", i))})
 				})
 			}
-			racing.Wait()
+			publishers.Wait()
 			log.ApplyDelayed()
 			log.FaultFunc = nil
 			current, err := New(log, zap.NewNop()).Current(context.Background())
@@ -113,12 +113,12 @@
 			documents = current.Documents
 		})
 		for i, err := range outcomes {
-			_, there := documents[fmt.Sprint("d", i)]
+			_, published := documents[fmt.Sprint("d", i)]
 			switch {
-			case err == nil && !there:
-				t.Fatalf("change %d was accepted and is not there", i)
-			case err != nil && !errors.Is(err, ErrOutcomeUnknown) && there:
-				t.Fatalf("change %d is there though its operator heard %v", i, err)
+			case err == nil && !published:
+				t.Fatalf("change %d succeeded and is not in the configuration", i)
+			case err != nil && !errors.Is(err, ErrOutcomeUnknown) && published:
+				t.Fatalf("change %d is in the configuration although Publish returned %v", i, err)
 			}
 		}
 	})
--- a/internal/api/operator/policies.go
+++ b/internal/api/operator/policies.go
@@ -12,24 +12,24 @@
 	"woodworks/internal/journal"
 )
 
-// Document is one policy document in force.
+// Document is a policy document with its author and its version.
 type Document struct {
 	Source string `cbor:"1,keyasint"`
 	Author string `cbor:"2,keyasint"`
-	// Version is the configuration by which the document came into force.
+	// Version is the version of the configuration that last changed the document.
 	Version int64 `cbor:"3,keyasint"`
 }
 
-// Policies is the whole configuration.
+// Policies is the record of the whole configuration: all policy documents, by name.
 type Policies struct {
-	// Version rises with each change.
+	// Version increases by one with each change.
 	Version   int64               `cbor:"1,keyasint"`
 	Documents map[string]Document `cbor:"2,keyasint"`
-	// Changed names the document that this version changed.
+	// Changed is the name of the document that this version changed.
 	Changed string `cbor:"3,keyasint"`
 }
 
-// Sources returns the documents' texts by name.
+// Sources returns the source texts of the documents by name, as policy.Compile takes them.
 func (p Policies) Sources() map[string]string {
 	sources := make(map[string]string, len(p.Documents))
 	for name, document := range p.Documents {
@@ -43,24 +43,26 @@
 	Name   string
 	Author string
 	Source string
-	// Replaces is the version of the document that the author saw, nil for the
-	// one in force, 0 for none.
+	// Replaces is the version of the document that the change is based on: 0 for a new
+	// document, nil to replace any version. Another current version is an ErrConflict.
 	Replaces *int64
 }
 
-// Publication is what became of a change.
+// Publication is the version of the configuration that a change made and the offset of its
+// record.
 type Publication struct {
 	Version int64 `json:"version"`
 	Offset  int64 `json:"offset"`
 }
 
-// Publish publishes a policy document. Nil means that it is in the log.
-func (o *Store) Publish(ctx context.Context, change Change) (Publication, error) {
+// Publish adds or replaces a policy document. It is durable in the journal if the error is nil;
+// otherwise the error is one of ErrInvalid, ErrConflict, ErrNotDone and ErrOutcomeUnknown.
+func (s *Store) Publish(ctx context.Context, change Change) (Publication, error) {
 	if err := policy.CheckName(change.Name); err != nil {
 		return Publication{}, errors.Wrap(ErrInvalid, err.Error())
 	}
 	var version int64
-	offset, err := o.update(ctx, RecordsPartition, PoliciesKey, func(value []byte) ([]byte, error) {
+	offset, err := s.update(ctx, RecordsPartition, PoliciesKey, func(value []byte) ([]byte, error) {
 		next, err := applyChange(value, change)
 		if err != nil {
 			return nil, err
@@ -68,12 +70,13 @@
 		version = next.Version
 		return cbor.Marshal(next)
 	})
-	o.logger.Info("policy published", zap.String("document", change.Name), zap.String("author", change.Author),
+	s.logger.Info("policy published", zap.String("document", change.Name), zap.String("author", change.Author),
 		zap.Int64("version", version), zap.Int64("offset", offset), zap.Error(err))
 	return Publication{Version: version, Offset: offset}, err
 }
 
-// applyChange returns the configuration after a change.
+// applyChange returns the configuration that follows the encoded one (empty for none) by a change.
+// The error is ErrInvalid or ErrConflict.
 func applyChange(value []byte, change Change) (Policies, error) {
 	var current Policies
 	if len(value) > 0 {
@@ -81,9 +84,9 @@
 			return Policies{}, errors.Wrap(ErrInvalid, err.Error())
 		}
 	}
-	inForce := current.Documents[change.Name].Version
-	if change.Replaces != nil && *change.Replaces != inForce {
-		return Policies{}, errors.Wrapf(ErrConflict, "document %q is at version %d, not %d", change.Name, inForce, *change.Replaces)
+	currentVersion := current.Documents[change.Name].Version
+	if change.Replaces != nil && *change.Replaces != currentVersion {
+		return Policies{}, errors.Wrapf(ErrConflict, "document %q is at version %d, not %d", change.Name, currentVersion, *change.Replaces)
 	}
 	next := Policies{Version: current.Version + 1, Documents: map[string]Document{}, Changed: change.Name}
 	maps.Copy(next.Documents, current.Documents)
@@ -94,10 +97,10 @@
 	return next, nil
 }
 
-// Current returns the configuration that the log holds now.
-func (o *Store) Current(ctx context.Context) (Policies, error) {
+// Current returns the newest configuration in the journal, the zero value if there is none.
+func (s *Store) Current(ctx context.Context) (Policies, error) {
 	var current Policies
-	value, _, err := o.read(ctx, RecordsPartition, PoliciesKey)
+	value, _, err := s.read(ctx, RecordsPartition, PoliciesKey)
 	if err != nil {
 		return current, errors.Wrap(ErrNotDone, err.Error())
 	}
@@ -107,12 +110,13 @@
 	return current, errors.Wrap(cbor.Unmarshal(value, &current), "operator: policies")
 }
 
-// History returns the configurations that the log still has, the oldest first.
-func (o *Store) History(ctx context.Context) ([]Policies, error) {
+// History returns the configurations that the journal still holds, oldest first. Malformed
+// records are logged and left out.
+func (s *Store) History(ctx context.Context) ([]Policies, error) {
 	var history []Policies
-	_, err := journal.ReadToEnd(ctx, o.journal, RecordsPartition, 0, callTimeout, func(_ int64, records [][]byte) {
+	_, err := journal.ReadToEnd(ctx, s.journal, RecordsPartition, 0, callTimeout, func(_ int64, records [][]byte) {
 		for _, record := range records {
-			if policies, ok := o.decodePolicies(record); ok {
+			if policies, ok := s.decodePolicies(record); ok {
 				history = append(history, policies)
 			}
 		}
@@ -123,12 +127,13 @@
 	return history, nil
 }
 
-// decodePolicies returns the configuration in a record, if it has one.
-func (o *Store) decodePolicies(record []byte) (policies Policies, ok bool) {
+// decodePolicies decodes the configuration in a keyed record. It returns false if the record has
+// another key or is malformed.
+func (s *Store) decodePolicies(record []byte) (policies Policies, ok bool) {
 	keyed, err := journal.DecodeKeyed(record)
 	if err != nil {
-		o.logger.Warn("operators' record not decoded", zap.Error(err))
+		s.logger.Warn("malformed operators' record ignored", zap.Error(err))
 		return policies, false
 	}
-	return policies, keyed.Key == PoliciesKey && o.decode(keyed.Key, keyed.Value, &policies)
+	return policies, keyed.Key == PoliciesKey && s.decode(keyed.Key, keyed.Value, &policies)
 }
