--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -61,8 +61,8 @@
 	return &Client{base: base, key: key, service: httpc.NewServiceWithClient(serviceName, httpClient)}
 }
 
-// Answer is one whole HTTP answer.
-type Answer struct {
+// Response is one whole HTTP answer.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -70,10 +70,10 @@
 
 // Do sends a request and reads the whole answer. It returns ErrNoAnswer if
 // none came, and the answer whatever its status otherwise.
-func (c *Client) Do(ctx context.Context, method, path string, header http.Header, body []byte) (Answer, error) {
+func (c *Client) Do(ctx context.Context, method, path string, header http.Header, body []byte) (Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "client")
+		return Response{}, errors.Wrap(err, "client")
 	}
 	// A body that cannot be rewound keeps net/http from replaying a request.
 	request.GetBody = nil
@@ -81,14 +81,14 @@
 	request.Header.Set("Authorization", "Bearer "+c.key)
 	response, err := c.service.DoRequest(request)
 	if err != nil {
-		return Answer{}, errors.Wrap(ErrNoAnswer, err.Error())
+		return Response{}, errors.Wrap(ErrNoAnswer, err.Error())
 	}
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Answer{}, errors.Wrap(ErrNoAnswer, err.Error())
+		return Response{}, errors.Wrap(ErrNoAnswer, err.Error())
 	}
-	return Answer{Status: response.StatusCode, Header: response.Header, Body: content}, nil
+	return Response{Status: response.StatusCode, Header: response.Header, Body: content}, nil
 }
 
 // JSON sends a JSON body (nil for none) and decodes a 2xx answer. Any other
@@ -116,7 +116,7 @@
 	return errors.Wrap(json.Unmarshal(received.Body, answer), "client: decode")
 }
 
-func problemOf(received Answer) error {
+func problemOf(received Response) error {
 	var body struct {
 		Error gateway.Problem `json:"error"`
 	}
@@ -162,7 +162,7 @@
 
 // Call calls an operation of a plain service. The result says what became of
 // it; with ErrNoAnswer that is not known.
-func (c *Client) Call(ctx context.Context, service, operation, requestKey string, body []byte) (Answer, gateway.Outcome, error) {
+func (c *Client) Call(ctx context.Context, service, operation, requestKey string, body []byte) (Response, gateway.Outcome, error) {
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
 	if requestKey != "" {
@@ -171,7 +171,7 @@
 	path := "/v1/services/" + url.PathEscape(service) + "/" + url.PathEscape(operation)
 	answer, err := c.Do(ctx, http.MethodPost, path, header, body)
 	if err != nil {
-		return Answer{}, gateway.Unknown, err
+		return Response{}, gateway.Unknown, err
 	}
 	return answer, gateway.Outcome(answer.Header.Get(gateway.OutcomeHeader)), nil
 }
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -319,7 +319,7 @@
 	key := fmt.Sprintf("%d-abcdefgh", time.Now().UnixMilli())
 	var tries sync.WaitGroup
 	var unsure atomic.Bool
-	answers := make([]client.Answer, 6)
+	answers := make([]client.Response, 6)
 	for i := range answers {
 		tries.Go(func() {
 			for end := time.Now().Add(patience); time.Now().Before(end); {
