--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -33,8 +33,8 @@
 // that is away would make calls to the others fail.
 func init() { breaker.NoBreakerFor(serviceName) }
 
-// ErrNoAnswer means that no whole answer came. The request may have run.
-var ErrNoAnswer = errors.New("client: no whole answer")
+// ErrNoResponse means that no whole answer came. The request may have run.
+var ErrNoResponse = errors.New("client: no whole answer")
 
 // ProblemError is a daemon's final answer that is not a success.
 type ProblemError struct {
@@ -81,12 +81,12 @@
 	request.Header.Set("Authorization", "Bearer "+c.key)
 	response, err := c.service.DoRequest(request)
 	if err != nil {
-		return Response{}, errors.Wrap(ErrNoAnswer, err.Error())
+		return Response{}, errors.Wrap(ErrNoResponse, err.Error())
 	}
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Response{}, errors.Wrap(ErrNoAnswer, err.Error())
+		return Response{}, errors.Wrap(ErrNoResponse, err.Error())
 	}
 	return Response{Status: response.StatusCode, Header: response.Header, Body: content}, nil
 }
--- a/internal/daemon/cli/exit.go
+++ b/internal/daemon/cli/exit.go
@@ -65,7 +65,7 @@
 	if problem, found := client.AsProblem(err); found {
 		return codeOf(problem)
 	}
-	if errors.Is(err, client.ErrNoAnswer) {
+	if errors.Is(err, client.ErrNoResponse) {
 		return ExitUnknown
 	}
 	return ExitFailed
