--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -91,9 +91,9 @@
 	return Response{Status: response.StatusCode, Header: response.Header, Body: content}, nil
 }
 
-// JSON sends a JSON body (nil for none) and decodes a 2xx answer. Any other
+// DoJSON sends a DoJSON body (nil for none) and decodes a 2xx answer. Any other
 // answer is a *ProblemError.
-func (c *Client) JSON(ctx context.Context, method, path string, body, answer any) error {
+func (c *Client) DoJSON(ctx context.Context, method, path string, body, answer any) error {
 	var encoded []byte
 	header := http.Header{}
 	if body != nil {
@@ -137,7 +137,7 @@
 // Submit submits a batch.
 func (c *Client) Submit(ctx context.Context, request rollout.Request) (gateway.Submitted, error) {
 	var answer gateway.Submitted
-	err := c.JSON(ctx, http.MethodPost, "/v1/rollouts", request, &answer)
+	err := c.DoJSON(ctx, http.MethodPost, "/v1/rollouts", request, &answer)
 	return answer, err
 }
 
@@ -150,14 +150,14 @@
 		"max": {strconv.Itoa(limit)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
 	path := "/v1/rollouts/" + url.PathEscape(trainer) + "/" + url.PathEscape(name) + "/samples?" + query.Encode()
-	err = c.JSON(ctx, http.MethodGet, path, nil, &answer)
+	err = c.DoJSON(ctx, http.MethodGet, path, nil, &answer)
 	return answer, err
 }
 
 // Announce tells of a new weight version.
 func (c *Client) Announce(ctx context.Context, trainer string, version uint64, artifact string) error {
 	body := gateway.AnnounceRequest{Version: int64(version), Artifact: artifact}
-	return c.JSON(ctx, http.MethodPost, "/v1/trainers/"+url.PathEscape(trainer)+"/versions", body, nil)
+	return c.DoJSON(ctx, http.MethodPost, "/v1/trainers/"+url.PathEscape(trainer)+"/versions", body, nil)
 }
 
 // Call calls an operation of a plain service. The result says what became of
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -445,13 +445,13 @@
 	is := is.New(t)
 	publish := func(daemon int, source string, replaces int64) error {
 		body := map[string]any{"name": "qarmoud", "source": source, "replaces": replaces}
-		return f.operator(daemon).JSON(f.ctx(), http.MethodPost, "/v1/policies", body, nil)
+		return f.operator(daemon).DoJSON(f.ctx(), http.MethodPost, "/v1/policies", body, nil)
 	}
 	changed := strings.Replace(examples.QarmoudPolicy, `"lobby"`, `"hall"`, 1)
 	is.NoErr(publish(0, strings.ReplaceAll(changed, `"lobby"`, `"hall"`), 1))
 	f.until("the policy is in force at the other daemon", func() bool {
 		var status gateway.Status
-		return f.operator(1).JSON(f.ctx(), http.MethodGet, "/v1/status", nil, &status) == nil && status.ConfigurationVersion == 2
+		return f.operator(1).DoJSON(f.ctx(), http.MethodGet, "/v1/status", nil, &status) == nil && status.ConfigurationVersion == 2
 	})
 	problem, ok := client.AsProblem(publish(1, examples.QarmoudPolicy, 1))
 	is.True(ok)
@@ -460,7 +460,7 @@
 	is.True(ok)
 	is.Equal(problem.Status, http.StatusUnprocessableEntity)
 	var list gateway.PolicyList
-	is.NoErr(f.operator(1).JSON(f.ctx(), http.MethodGet, "/v1/policies", nil, &list))
+	is.NoErr(f.operator(1).DoJSON(f.ctx(), http.MethodGet, "/v1/policies", nil, &list))
 	is.Equal(len(list.History), 2)
 }
 
@@ -468,12 +468,12 @@
 	f := newFloor(t, 2)
 	is := is.New(t)
 	is.NoErr(f.comesBack(func() error {
-		return f.operator(0).JSON(f.ctx(), http.MethodPost, "/v1/drains", map[string]any{"machine": "plain-0"}, nil)
+		return f.operator(0).DoJSON(f.ctx(), http.MethodPost, "/v1/drains", map[string]any{"machine": "plain-0"}, nil)
 	}))
 	f.until("both daemons know", func() bool {
 		for i := range 2 {
 			var status gateway.Status
-			if f.operator(i).JSON(f.ctx(), http.MethodGet, "/v1/status", nil, &status) != nil {
+			if f.operator(i).DoJSON(f.ctx(), http.MethodGet, "/v1/status", nil, &status) != nil {
 				return false
 			}
 			for _, c := range status.Replicas {
@@ -491,7 +491,7 @@
 		is.Equal(outcome, gateway.Completed)
 	}
 	is.Equal(len(f.services.Plains[0].Executed()), before)
-	problem, ok := client.AsProblem(f.operator(0).JSON(f.ctx(), http.MethodPost, "/v1/drains", map[string]any{"machine": "nobody"}, nil))
+	problem, ok := client.AsProblem(f.operator(0).DoJSON(f.ctx(), http.MethodPost, "/v1/drains", map[string]any{"machine": "nobody"}, nil))
 	is.True(ok)
 	is.Equal(problem.Status, http.StatusNotFound)
 }
@@ -585,7 +585,7 @@
 		if one.body != "" {
 			body = rawJSON(one.body)
 		}
-		problem, ok := client.AsProblem(f.client(0, "bots").JSON(f.ctx(), one.method, one.path, body, nil))
+		problem, ok := client.AsProblem(f.client(0, "bots").DoJSON(f.ctx(), one.method, one.path, body, nil))
 		is.True(ok)
 		is.Equal(problem.Problem.Field, one.field)
 		is.Equal(problem.Problem.Outcome, gateway.NotExecuted)
@@ -595,7 +595,7 @@
 	is.True(ok)
 	is.Equal(problem.Problem.Code, "unknown_batch")
 	var status gateway.Status
-	problem, ok = client.AsProblem(f.client(0, "nobody").JSON(f.ctx(), http.MethodGet, "/v1/rollouts/bots/n", nil, &status))
+	problem, ok = client.AsProblem(f.client(0, "nobody").DoJSON(f.ctx(), http.MethodGet, "/v1/rollouts/bots/n", nil, &status))
 	is.True(ok)
 	is.Equal(problem.Status, http.StatusUnauthorized)
 }
@@ -612,7 +612,7 @@
 	wanted := batchOf("ended", 8, 8)
 	_, err := f.submit(0, wanted)
 	is.NoErr(err)
-	is.NoErr(f.client(0, "bots").JSON(f.ctx(), http.MethodDelete, "/v1/rollouts/bots/ended", nil, nil))
+	is.NoErr(f.client(0, "bots").DoJSON(f.ctx(), http.MethodDelete, "/v1/rollouts/bots/ended", nil, nil))
 	starts := func() int {
 		count := 0
 		for _, engine := range f.services.Engines {
--- a/internal/daemon/cli/cli.go
+++ b/internal/daemon/cli/cli.go
@@ -152,7 +152,7 @@
 func (o *options) call(method, path string, body, answer any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
 	defer cancel()
-	return o.client().JSON(ctx, method, path, body, answer)
+	return o.client().DoJSON(ctx, method, path, body, answer)
 }
 
 // print writes a value as JSON, or as text by the given function.
