--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -108,7 +108,7 @@
 		return err
 	}
 	if received.Status/100 != 2 {
-		return problemOf(received)
+		return newProblemError(received)
 	}
 	if answer == nil {
 		return nil
@@ -116,7 +116,7 @@
 	return errors.Wrap(json.Unmarshal(received.Body, answer), "client: decode")
 }
 
-func problemOf(received Response) error {
+func newProblemError(received Response) error {
 	var body struct {
 		Error gateway.Problem `json:"error"`
 	}
