--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -154,8 +154,8 @@
 	return answer, err
 }
 
-// Announce tells of a new weight version.
-func (c *Client) Announce(ctx context.Context, trainer string, version uint64, artifact string) error {
+// AnnounceVersion tells of a new weight version.
+func (c *Client) AnnounceVersion(ctx context.Context, trainer string, version uint64, artifact string) error {
 	body := gateway.AnnounceRequest{Version: int64(version), Artifact: artifact}
 	return c.DoJSON(ctx, http.MethodPost, "/v1/trainers/"+url.PathEscape(trainer)+"/versions", body, nil)
 }
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -179,7 +179,7 @@
 
 // announce tells a daemon of a version of the trainer "bots".
 func (f *floor) announce(daemon int, version uint64) error {
-	return f.comesBack(func() error { return f.client(daemon, "bots").Announce(f.ctx(), "bots", version, "artifact") })
+	return f.comesBack(func() error { return f.client(daemon, "bots").AnnounceVersion(f.ctx(), "bots", version, "artifact") })
 }
 
 // pull asks for samples of a batch of the trainer "bots".
--- a/internal/demo/trainer.go
+++ b/internal/demo/trainer.go
@@ -53,7 +53,7 @@
 		time.Sleep(trainTime)
 		t.version++
 		t.until(ctx, func(ctx context.Context, c *client.Client) error {
-			return c.Announce(ctx, trainerKey, t.version, fmt.Sprint("weights-", t.version))
+			return c.AnnounceVersion(ctx, trainerKey, t.version, fmt.Sprint("weights-", t.version))
 		})
 	}
 }
