--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -141,8 +141,8 @@
 	return answer, err
 }
 
-// Pull asks for samples after a cursor.
-func (c *Client) Pull(
+// PullSamples asks for samples after a cursor.
+func (c *Client) PullSamples(
 	ctx context.Context, trainer, name, cursor string, version uint64, limit int, wait time.Duration,
 ) (answer gateway.Pulled, err error) {
 	query := url.Values{
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -185,7 +185,7 @@
 // pull asks for samples of a batch of the trainer "bots".
 func (f *floor) pull(daemon int, name, cursor string, version uint64, limit int, wait time.Duration) (pulled gateway.Pulled, err error) {
 	err = f.comesBack(func() error {
-		pulled, err = f.client(daemon, "bots").Pull(f.ctx(), "bots", name, cursor, version, limit, wait)
+		pulled, err = f.client(daemon, "bots").PullSamples(f.ctx(), "bots", name, cursor, version, limit, wait)
 		return err
 	})
 	return pulled, err
@@ -590,7 +590,7 @@
 		is.Equal(problem.Problem.Field, one.field)
 		is.Equal(problem.Problem.Outcome, gateway.NotExecuted)
 	}
-	_, err := f.client(0, "bots").Pull(f.ctx(), "bots", "nothing", "", 0, 1, 0)
+	_, err := f.client(0, "bots").PullSamples(f.ctx(), "bots", "nothing", "", 0, 1, 0)
 	problem, ok := client.AsProblem(err)
 	is.True(ok)
 	is.Equal(problem.Problem.Code, "unknown_batch")
--- a/internal/daemon/cli/rollout.go
+++ b/internal/daemon/cli/rollout.go
@@ -49,7 +49,7 @@
 	failures := 0
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), followWait+remoteTimeout)
-		pulled, err := o.client().Pull(ctx, o.trainer, o.batch, cursor, o.version, followLimit, followWait)
+		pulled, err := o.client().PullSamples(ctx, o.trainer, o.batch, cursor, o.version, followLimit, followWait)
 		cancel()
 		problem, answered := client.AsProblem(err)
 		switch {
--- a/internal/demo/trainer.go
+++ b/internal/demo/trainer.go
@@ -101,7 +101,7 @@
 	for {
 		var pulled gateway.Pulled
 		if !t.until(ctx, func(ctx context.Context, c *client.Client) (err error) {
-			pulled, err = c.Pull(ctx, trainerKey, req.Name, cursor, t.version, mostPulled, pullWait)
+			pulled, err = c.PullSamples(ctx, trainerKey, req.Name, cursor, t.version, mostPulled, pullWait)
 			return err
 		}) {
 			return false
