--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -134,8 +134,8 @@
 	return problem, ok
 }
 
-// Submit submits a batch.
-func (c *Client) Submit(ctx context.Context, request rollout.Request) (gateway.Submitted, error) {
+// SubmitBatch submits a batch.
+func (c *Client) SubmitBatch(ctx context.Context, request rollout.Request) (gateway.Submitted, error) {
 	var answer gateway.Submitted
 	err := c.DoJSON(ctx, http.MethodPost, "/v1/rollouts", request, &answer)
 	return answer, err
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -171,7 +171,7 @@
 // submit submits a batch of the trainer "bots".
 func (f *floor) submit(daemon int, wanted rollout.Request) (submitted gateway.Submitted, err error) {
 	err = f.comesBack(func() error {
-		submitted, err = f.client(daemon, "bots").Submit(f.ctx(), wanted)
+		submitted, err = f.client(daemon, "bots").SubmitBatch(f.ctx(), wanted)
 		return err
 	})
 	return submitted, err
@@ -546,7 +546,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	f.until("a refusal is certain", func() bool {
-		_, err := f.client(0, "bots").Submit(ctx, wanted)
+		_, err := f.client(0, "bots").SubmitBatch(ctx, wanted)
 		problem, ok := client.AsProblem(err)
 		is.True(ok)
 		is.Equal(problem.Status, http.StatusServiceUnavailable)
@@ -563,7 +563,7 @@
 	is.Equal(answer.Status, http.StatusServiceUnavailable)
 	is.Equal(f.executions("away"), 0)
 	f.services.Log.SetFault(nil)
-	_, err = f.client(0, "bots").Submit(ctx, wanted)
+	_, err = f.client(0, "bots").SubmitBatch(ctx, wanted)
 	is.NoErr(err)
 }
 
--- a/internal/daemon/cli/rollout.go
+++ b/internal/daemon/cli/rollout.go
@@ -33,7 +33,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
 	defer cancel()
-	submitted, err := o.client().Submit(ctx, request)
+	submitted, err := o.client().SubmitBatch(ctx, request)
 	if err != nil {
 		return err
 	}
--- a/internal/demo/trainer.go
+++ b/internal/demo/trainer.go
@@ -91,7 +91,7 @@
 func (t *trainer) batch(ctx context.Context, req rollout.Request) bool {
 	cursor := ""
 	if !t.until(ctx, func(ctx context.Context, c *client.Client) error {
-		submitted, err := c.Submit(ctx, req)
+		submitted, err := c.SubmitBatch(ctx, req)
 		cursor = submitted.Cursor
 		return err
 	}) {
