--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -160,9 +160,9 @@
 	return c.DoJSON(ctx, http.MethodPost, "/v1/trainers/"+url.PathEscape(trainer)+"/versions", body, nil)
 }
 
-// Call calls an operation of a plain service. The result says what became of
+// CallOperation calls an operation of a plain service. The result says what became of
 // it; with ErrNoAnswer that is not known.
-func (c *Client) Call(ctx context.Context, service, operation, requestKey string, body []byte) (Response, gateway.Outcome, error) {
+func (c *Client) CallOperation(ctx context.Context, service, operation, requestKey string, body []byte) (Response, gateway.Outcome, error) {
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
 	if requestKey != "" {
--- a/internal/api/standalone/crash_test.go
+++ b/internal/api/standalone/crash_test.go
@@ -85,7 +85,7 @@
 				if keyed {
 					operation, key = "move", fmt.Sprintf("%d-crashing%02d", time.Now().UnixMilli(), try)
 				}
-				answer, outcome, err := f.client(try%2, "players").Call(f.ctx(), "game-front", operation, key, []byte(body))
+				answer, outcome, err := f.client(try%2, "players").CallOperation(f.ctx(), "game-front", operation, key, []byte(body))
 				is.NoErr(err)
 				if strings.Contains(string(answer.Body), `"quarantined"`) {
 					refused++
@@ -96,7 +96,7 @@
 			is.True(refused > tries/2)
 			is.True(crashes.Count() <= mostCrashes)
 			f.until("others are served", func() bool {
-				answer, _, err := f.client(0, "players").Call(f.ctx(), "game-front", "board", "", []byte("show"))
+				answer, _, err := f.client(0, "players").CallOperation(f.ctx(), "game-front", "board", "", []byte("show"))
 				return err == nil && answer.Status == http.StatusOK
 			})
 		})
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -323,7 +323,7 @@
 	for i := range answers {
 		tries.Go(func() {
 			for end := time.Now().Add(patience); time.Now().Before(end); {
-				answers[i], _, _ = f.client(i%2, "players").Call(f.ctx(), "game-front", "move", key, []byte("e4"))
+				answers[i], _, _ = f.client(i%2, "players").CallOperation(f.ctx(), "game-front", "move", key, []byte("e4"))
 				mayCount := bytes.Contains(answers[i].Body, []byte(refusal.V1PermitUnknown.Name))
 				if !mayCount && !bytes.Contains(answers[i].Body, []byte(refusal.V1LogUnavailable.Name)) {
 					return
@@ -344,7 +344,7 @@
 		is.Equal(string(answer.Body), string(answers[0].Body))
 	}
 	is.Equal(f.executions("e4"), executions)
-	answer, outcome, err := f.client(0, "players").Call(f.ctx(), "game-front", "move", key, []byte("d4"))
+	answer, outcome, err := f.client(0, "players").CallOperation(f.ctx(), "game-front", "move", key, []byte("d4"))
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusConflict)
 	is.Equal(outcome, gateway.Unknown)
@@ -372,7 +372,7 @@
 			plain.Befall(fault)
 		}
 		body := fmt.Sprint("move ", fault)
-		answer, outcome, err := f.client(0, "players").Call(f.ctx(), "game-front", "move", "", []byte(body))
+		answer, outcome, err := f.client(0, "players").CallOperation(f.ctx(), "game-front", "move", "", []byte(body))
 		is.NoErr(err)
 		is.Equal(answer.Status, http.StatusBadGateway)
 		is.Equal(outcome, gateway.Unknown)
@@ -385,7 +385,7 @@
 	is := is.New(t)
 	f.services.Plains[0].Befall(fakebackend.Cut, fakebackend.Cut)
 	for range 4 {
-		answer, outcome, err := f.client(0, "players").Call(f.ctx(), "game-front", "board", "", []byte("show"))
+		answer, outcome, err := f.client(0, "players").CallOperation(f.ctx(), "game-front", "board", "", []byte("show"))
 		is.NoErr(err)
 		is.Equal(answer.Status, http.StatusOK)
 		is.Equal(outcome, gateway.Completed)
@@ -395,10 +395,10 @@
 func TestServicesOfTheInternalListenerAreHidden(t *testing.T) {
 	f := newFloor(t, 1)
 	is := is.New(t)
-	answer, _, err := f.client(0, "players").Call(f.ctx(), "lobby", "fetch", "", nil)
+	answer, _, err := f.client(0, "players").CallOperation(f.ctx(), "lobby", "fetch", "", nil)
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusNotFound)
-	answer, _, err = f.client(0, "arena").Call(f.ctx(), "lobby", "fetch", "", nil)
+	answer, _, err = f.client(0, "arena").CallOperation(f.ctx(), "lobby", "fetch", "", nil)
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusUnauthorized) // an internal caller on the public listener
 }
@@ -486,7 +486,7 @@
 	})
 	before := len(f.services.Plains[0].Executed())
 	for i := range 20 {
-		_, outcome, err := f.client(i%2, "players").Call(f.ctx(), "game-front", "move", "", []byte("after"))
+		_, outcome, err := f.client(i%2, "players").CallOperation(f.ctx(), "game-front", "move", "", []byte("after"))
 		is.NoErr(err)
 		is.Equal(outcome, gateway.Completed)
 	}
@@ -558,7 +558,7 @@
 		return false
 	})
 	key := fmt.Sprintf("%d-abcdefgh", time.Now().UnixMilli())
-	answer, _, err := f.client(0, "players").Call(ctx, "game-front", "move", key, []byte("away"))
+	answer, _, err := f.client(0, "players").CallOperation(ctx, "game-front", "move", key, []byte("away"))
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusServiceUnavailable)
 	is.Equal(f.executions("away"), 0)
@@ -640,7 +640,7 @@
 	for _, plain := range f.services.Plains {
 		plain.Befall(declines...)
 	}
-	answer, outcome, err := f.client(0, "players").Call(f.ctx(), "game-front", "move", key, []byte("e4"))
+	answer, outcome, err := f.client(0, "players").CallOperation(f.ctx(), "game-front", "move", key, []byte("e4"))
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusServiceUnavailable)
 	is.Equal(outcome, gateway.NotExecuted)
@@ -649,11 +649,11 @@
 		plain.Befall()
 	}
 	f.until("the move runs", func() bool {
-		answer, _, err := f.client(1, "players").Call(f.ctx(), "game-front", "move", key, []byte("e4"))
+		answer, _, err := f.client(1, "players").CallOperation(f.ctx(), "game-front", "move", key, []byte("e4"))
 		return err == nil && answer.Status == http.StatusOK
 	})
 	is.Equal(f.executions("e4"), 1)
-	answer, _, err = f.client(0, "players").Call(f.ctx(), "game-front", "move", key, []byte("e4"))
+	answer, _, err = f.client(0, "players").CallOperation(f.ctx(), "game-front", "move", key, []byte("e4"))
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusOK)
 	is.Equal(f.executions("e4"), 1)
--- a/internal/demo/players.go
+++ b/internal/demo/players.go
@@ -80,7 +80,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	c := p.clients[daemon%len(p.clients)]
-	answer, outcome, err := c.Call(ctx, "game-front", "move", key, []byte(body))
+	answer, outcome, err := c.CallOperation(ctx, "game-front", "move", key, []byte(body))
 	if err != nil {
 		return reply{outcome: gateway.Unknown}
 	}
