--- a/internal/api/client/client.go
+++ b/internal/api/client/client.go
@@ -1,10 +1,10 @@
-// Package client speaks to a daemon's HTTP interface, for the command line and the demo. It
-// owns its connections, and relies on gateway for the forms of answers.
+// Package client is a client of a daemon's HTTP API, for the command line and the demo. It
+// owns its connections and relies on package gateway for the types of response bodies.
 //
 // # Usage
 //
-//	submitted, err := client.New("http://127.0.0.1:7070", key).Submit(ctx, request)
-//	if problem, ok := client.AsProblem(err); ok { ... } // the daemon's own answer
+//	submitted, err := client.New("http://127.0.0.1:7070", key).SubmitBatch(ctx, request)
+//	if problem, ok := client.AsProblem(err); ok { ... } // the daemon answered with an error
 package client
 
 import (
@@ -26,56 +26,57 @@
 	"woodworks/internal/api/rollout"
 )
 
-// serviceName is the name under which httpc knows all our clients.
+// serviceName is the name of all clients of this package in httpc.
 const serviceName = "woodworks"
 
-// httpc's circuit breaker keeps state by name and refuses by chance: a daemon
-// that is away would make calls to the others fail.
+// Disables httpc's circuit breaker. It has one state for all clients of a name and, after
+// failures, refuses calls at random: a daemon that is down would make calls to the others fail.
 func init() { breaker.NoBreakerFor(serviceName) }
 
-// ErrNoResponse means that no whole answer came. The request may have run.
-var ErrNoResponse = errors.New("client: no whole answer")
+// ErrNoResponse means that no complete response was received. The request may have run.
+var ErrNoResponse = errors.New("client: no complete response")
 
-// ProblemError is a daemon's final answer that is not a success.
+// ProblemError is a response with a status other than 2xx.
 type ProblemError struct {
 	Status  int
 	Problem gateway.Problem
 }
 
-// Error implements error.
+// Error returns the code and the message of the problem.
 func (e *ProblemError) Error() string {
 	return e.Problem.Code + ": " + e.Problem.Message
 }
 
-// Client speaks to one listener of one daemon as one caller.
+// Client sends requests to one listener of one daemon with the key of one caller. It is safe
+// for concurrent use.
 type Client struct {
 	base    string
 	key     string
 	service httpc.Service
 }
 
-// New returns a client for a base URL with a bearer key.
+// New returns a client for a base URL, without a slash at the end, and a bearer key.
 func New(base, key string) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}
 	httpClient := &http.Client{Transport: transport}
 	return &Client{base: base, key: key, service: httpc.NewServiceWithClient(serviceName, httpClient)}
 }
 
-// Response is one whole HTTP answer.
+// Response is an HTTP response with its complete body.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Do sends a request and reads the whole answer. It returns ErrNoAnswer if
-// none came, and the answer whatever its status otherwise.
+// Do sends a request once and returns the response, whatever its status. The error wraps
+// ErrNoResponse if no complete response was received.
 func (c *Client) Do(ctx context.Context, method, path string, header http.Header, body []byte) (Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return Response{}, errors.Wrap(err, "client")
 	}
-	// A body that cannot be rewound keeps net/http from replaying a request.
+	// Without GetBody, net/http can't rewind the body and so doesn't send the request again.
 	request.GetBody = nil
 	maps.Copy(request.Header, header)
 	request.Header.Set("Authorization", "Bearer "+c.key)
@@ -91,8 +92,8 @@
 	return Response{Status: response.StatusCode, Header: response.Header, Body: content}, nil
 }
 
-// DoJSON sends a DoJSON body (nil for none) and decodes a 2xx answer. Any other
-// answer is a *ProblemError.
+// DoJSON sends body as JSON (nil for no body) and decodes a 2xx response into answer, unless that
+// is nil. A response with another status is returned as a *ProblemError.
 func (c *Client) DoJSON(ctx context.Context, method, path string, body, answer any) error {
 	var encoded []byte
 	header := http.Header{}
@@ -116,6 +117,8 @@
 	return errors.Wrap(json.Unmarshal(received.Body, answer), "client: decode")
 }
 
+// newProblemError returns the problem in the body of a response. If the body isn't a problem, the
+// code is http_ and the status, and the message is the body.
 func newProblemError(received Response) error {
 	var body struct {
 		Error gateway.Problem `json:"error"`
@@ -127,21 +130,22 @@
 	return &ProblemError{Status: received.Status, Problem: body.Error}
 }
 
-// AsProblem returns the daemon's problem in an error, if there is one.
+// AsProblem returns the *ProblemError that err wraps, and whether there is one.
 func AsProblem(err error) (*ProblemError, bool) {
 	var problem *ProblemError
 	ok := errors.As(err, &problem)
 	return problem, ok
 }
 
-// SubmitBatch submits a batch.
+// SubmitBatch submits a batch of prompts. Errors are those of DoJSON.
 func (c *Client) SubmitBatch(ctx context.Context, request rollout.Request) (gateway.Submitted, error) {
 	var answer gateway.Submitted
 	err := c.DoJSON(ctx, http.MethodPost, "/v1/rollouts", request, &answer)
 	return answer, err
 }
 
-// PullSamples asks for samples after a cursor.
+// PullSamples returns up to limit samples of a batch after a cursor, for a trainer that trains
+// version. If there are none yet, the daemon waits for them, at most wait.
 func (c *Client) PullSamples(
 	ctx context.Context, trainer, name, cursor string, version uint64, limit int, wait time.Duration,
 ) (answer gateway.Pulled, err error) {
@@ -154,14 +158,15 @@
 	return answer, err
 }
 
-// AnnounceVersion tells of a new weight version.
+// AnnounceVersion reports a new version of a trainer's weights and the artifact that has it.
 func (c *Client) AnnounceVersion(ctx context.Context, trainer string, version uint64, artifact string) error {
 	body := gateway.AnnounceRequest{Version: int64(version), Artifact: artifact}
 	return c.DoJSON(ctx, http.MethodPost, "/v1/trainers/"+url.PathEscape(trainer)+"/versions", body, nil)
 }
 
-// CallOperation calls an operation of a plain service. The result says what became of
-// it; with ErrNoAnswer that is not known.
+// CallOperation calls an operation of a plain service. Unless requestKey is empty, it is sent as the
+// key of the request. The outcome is the one that the daemon reports, or gateway.Unknown with an
+// error.
 func (c *Client) CallOperation(ctx context.Context, service, operation, requestKey string, body []byte) (Response, gateway.Outcome, error) {
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
