--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// lookInterval is the time between two looks for windows that are due.
-	lookInterval = 200 * time.Millisecond
+	// stepInterval is the time between two looks for windows that are due.
+	stepInterval = 200 * time.Millisecond
 	// settlePart is the part of the time until a report is due after which a window is
 	// decided: counts of requests that took long, or of daemons that had lost the
 	// journal, come by then, and a successor can still act in time.
@@ -72,7 +72,7 @@
 }
 
 // Run settles and reports until the context ends.
-func (r *Reporter) Run(ctx context.Context) { periodic.Every(ctx, lookInterval, r.step) }
+func (r *Reporter) Run(ctx context.Context) { periodic.Every(ctx, stepInterval, r.step) }
 
 // step does what is due now, if the lease lets this daemon act.
 func (r *Reporter) step(ctx context.Context) {
