--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -19,10 +19,10 @@
 const (
 	// stepInterval is the time between two looks for windows that are due.
 	stepInterval = 200 * time.Millisecond
-	// settlePart is the part of the time until a report is due after which a window is
+	// decideFraction is the part of the time until a report is due after which a window is
 	// decided: counts of requests that took long, or of daemons that had lost the
 	// journal, come by then, and a successor can still act in time.
-	settlePart = 0.4
+	decideFraction = 0.4
 	// steadyAfter is how long the journal must have answered for a window to be decided:
 	// just after an outage the daemons have still to write their counts.
 	steadyAfter = 1500 * time.Millisecond
@@ -84,7 +84,7 @@
 	}
 	// The counts are worth a look as long as nothing was read, or once a window has ended long
 	// enough ago.
-	if (r.next == 0 || r.sinceEnd() >= r.partOfDue(settlePart)) && r.catchUp(ctx) {
+	if (r.next == 0 || r.sinceEnd() >= r.partOfDue(decideFraction)) && r.catchUp(ctx) {
 		r.decide(ctx, time.Now())
 	}
 	r.report(ctx)
@@ -117,7 +117,7 @@
 func (r *Reporter) decide(ctx context.Context, now time.Time) {
 	since := r.sinceEnd()
 	steady := now.Sub(r.failedAt) >= steadyAfter
-	if since < r.partOfDue(settlePart) || !steady && since < r.partOfDue(forcedPart) {
+	if since < r.partOfDue(decideFraction) || !steady && since < r.partOfDue(forcedPart) {
 		return
 	}
 	window := r.nextWindow()
