--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -26,9 +26,9 @@
 	// steadyAfter is how long the journal must have answered for a window to be decided:
 	// just after an outage the daemons have still to write their counts.
 	steadyAfter = 1500 * time.Millisecond
-	// forcedPart is the part of the time until a report is due after which a window is
+	// forceFraction is the part of the time until a report is due after which a window is
 	// decided in any case.
-	forcedPart = 0.85
+	forceFraction = 0.85
 	// readTimeout bounds one read of the partition, readBytes its answer.
 	readTimeout = 1200 * time.Millisecond
 	readBytes   = 256 << 10
@@ -117,7 +117,7 @@
 func (r *Reporter) decide(ctx context.Context, now time.Time) {
 	since := r.sinceEnd()
 	steady := now.Sub(r.failedAt) >= steadyAfter
-	if since < r.partOfDue(decideFraction) || !steady && since < r.partOfDue(forcedPart) {
+	if since < r.partOfDue(decideFraction) || !steady && since < r.partOfDue(forceFraction) {
 		return
 	}
 	window := r.nextWindow()
