--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -23,9 +23,9 @@
 	// decided: counts of requests that took long, or of daemons that had lost the
 	// journal, come by then, and a successor can still act in time.
 	decideFraction = 0.4
-	// steadyAfter is how long the journal must have answered for a window to be decided:
+	// minSteadyTime is how long the journal must have answered for a window to be decided:
 	// just after an outage the daemons have still to write their counts.
-	steadyAfter = 1500 * time.Millisecond
+	minSteadyTime = 1500 * time.Millisecond
 	// forceFraction is the part of the time until a report is due after which a window is
 	// decided in any case.
 	forceFraction = 0.85
@@ -116,7 +116,7 @@
 // are not held up by many.
 func (r *Reporter) decide(ctx context.Context, now time.Time) {
 	since := r.sinceEnd()
-	steady := now.Sub(r.failedAt) >= steadyAfter
+	steady := now.Sub(r.failedAt) >= minSteadyTime
 	if since < r.partOfDue(decideFraction) || !steady && since < r.partOfDue(forceFraction) {
 		return
 	}
