--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -30,8 +30,8 @@
 	// decided in any case.
 	forceFraction = 0.85
 	// readTimeout bounds one read of the partition, readBytes its answer.
-	readTimeout = 1200 * time.Millisecond
-	readBytes   = 256 << 10
+	readTimeout  = 1200 * time.Millisecond
+	minReadBytes = 256 << 10
 	// callTimeout bounds one call to the platform.
 	callTimeout = 800 * time.Millisecond
 )
@@ -167,7 +167,7 @@
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	read, err := r.journal.Read(bounded, journal.Read{Partition: Partition, From: r.next,
-		MaxBytes: max(readBytes, r.journal.MaxRecordBytes())})
+		MaxBytes: max(minReadBytes, r.journal.MaxRecordBytes())})
 	if err != nil {
 		return 0, err
 	}
