--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -36,10 +36,10 @@
 	callTimeout = 800 * time.Millisecond
 )
 
-// callPauses are the pauses after calls that failed: at first a look's interval, at last so long that
+// retryDelays are the pauses after calls that failed: at first a look's interval, at last so long that
 // some tries are left between a decision and when the report is due (6 s where that is 10 s after
 // the window).
-var callPauses = backoff.Bounds{First: 200 * time.Millisecond, Longest: 2 * time.Second}
+var retryDelays = backoff.Bounds{First: 200 * time.Millisecond, Longest: 2 * time.Second}
 
 // Reporter settles and reports the usage of windows while it may act.
 type Reporter struct {
@@ -209,7 +209,7 @@
 	}
 	// A call that was refused would be refused again: its window is done with.
 	if err != nil && !errors.Is(err, duty.ErrRefused) {
-		r.rest.Failed(callPauses, time.Now())
+		r.rest.Failed(retryDelays, time.Now())
 		return false
 	}
 	r.rest.Succeeded()
