--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -55,8 +55,8 @@
 	next  int64
 	// failedAt is when the journal last did not answer, or this daemon could not act.
 	failedAt time.Time
-	// rest is the pause after calls that failed.
-	rest backoff.Rest
+	// retryBackoff is the pause after calls that failed.
+	retryBackoff backoff.Rest
 	// Reported counts the reports that the platform took from this daemon, Failed the calls to
 	// report that failed.
 	Reported, Failed atomic.Uint64
@@ -183,7 +183,7 @@
 // report calls the platform for the windows that are decided, the oldest first.
 func (r *Reporter) report(ctx context.Context) {
 	for _, window := range r.state.unreported() {
-		if !r.rest.Over(time.Now()) || !r.reportOne(ctx, window) {
+		if !r.retryBackoff.Over(time.Now()) || !r.reportOne(ctx, window) {
 			return
 		}
 	}
@@ -201,7 +201,7 @@
 	}
 	r.logger.Info("usage reported", zap.Int64("window", window), zap.Int64("fence", fence),
 		zap.Int64("requests", total(requests)), zap.Duration("after", r.clock.Now().Sub(endOf(window, r.windows))),
-		zap.Int("failures_before", r.rest.Failures()), zap.Error(err))
+		zap.Int("failures_before", r.retryBackoff.Failures()), zap.Error(err))
 	if err == nil {
 		r.Reported.Add(1)
 	} else {
@@ -209,10 +209,10 @@
 	}
 	// A call that was refused would be refused again: its window is done with.
 	if err != nil && !errors.Is(err, duty.ErrRefused) {
-		r.rest.Failed(retryDelays, time.Now())
+		r.retryBackoff.Failed(retryDelays, time.Now())
 		return false
 	}
-	r.rest.Succeeded()
+	r.retryBackoff.Succeeded()
 	r.state.reported[window] = true
 	if err := r.append(ctx, record{Kind: kindReported, Window: window}); err != nil {
 		r.logger.Info("report not noted, a successor may repeat it", zap.Int64("window", window), zap.Error(err))
