--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -51,8 +51,8 @@
 	clock   *wallclock.Clock
 	logger  *zap.Logger
 
-	state *state
-	next  int64
+	state      *state
+	nextOffset int64
 	// failedAt is when the journal last did not answer, or this daemon could not act.
 	failedAt time.Time
 	// retryBackoff is the pause after calls that failed.
@@ -84,7 +84,7 @@
 	}
 	// The counts are worth a look as long as nothing was read, or once a window has ended long
 	// enough ago.
-	if (r.next == 0 || r.sinceEnd() >= r.partOfDue(decideFraction)) && r.catchUp(ctx) {
+	if (r.nextOffset == 0 || r.sinceEnd() >= r.partOfDue(decideFraction)) && r.catchUp(ctx) {
 		r.decide(ctx, time.Now())
 	}
 	r.report(ctx)
@@ -150,13 +150,13 @@
 		var trimmed *journal.TrimmedError
 		switch {
 		case errors.As(err, &trimmed):
-			r.logger.Info("usage trimmed before it was read", zap.Int64("offset", r.next), zap.Int64("first", trimmed.First))
-			r.next = trimmed.First
+			r.logger.Info("usage trimmed before it was read", zap.Int64("offset", r.nextOffset), zap.Int64("first", trimmed.First))
+			r.nextOffset = trimmed.First
 		case err != nil:
 			r.failedAt = time.Now()
-			r.logger.Info("usage not read", zap.Int64("offset", r.next), zap.Error(err))
+			r.logger.Info("usage not read", zap.Int64("offset", r.nextOffset), zap.Error(err))
 			return false
-		case r.next >= end:
+		case r.nextOffset >= end:
 			return true
 		}
 	}
@@ -166,16 +166,16 @@
 func (r *Reporter) readOnce(ctx context.Context) (end int64, err error) {
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	read, err := r.journal.Read(bounded, journal.Read{Partition: Partition, From: r.next,
+	read, err := r.journal.Read(bounded, journal.Read{Partition: Partition, From: r.nextOffset,
 		MaxBytes: max(minReadBytes, r.journal.MaxRecordBytes())})
 	if err != nil {
 		return 0, err
 	}
 	for _, encoded := range read.Records {
 		if err := r.state.apply(encoded); err != nil {
-			r.logger.Warn("usage record passed over", zap.Int64("offset", r.next), zap.Error(err))
+			r.logger.Warn("usage record passed over", zap.Int64("offset", r.nextOffset), zap.Error(err))
 		}
-		r.next++
+		r.nextOffset++
 	}
 	return read.End, nil
 }
