--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -53,8 +53,8 @@
 
 	state      *state
 	nextOffset int64
-	// failedAt is when the journal last did not answer, or this daemon could not act.
-	failedAt time.Time
+	// lastFailure is when the journal last did not answer, or this daemon could not act.
+	lastFailure time.Time
 	// retryBackoff is the pause after calls that failed.
 	retryBackoff backoff.Rest
 	// Reported counts the reports that the platform took from this daemon, Failed the calls to
@@ -79,7 +79,7 @@
 	if _, _, may := r.lease.Fence(); !may {
 		// The lease lapses in an outage of the journal, in which nothing may be asked
 		// of it here.
-		r.failedAt = time.Now()
+		r.lastFailure = time.Now()
 		return
 	}
 	// The counts are worth a look as long as nothing was read, or once a window has ended long
@@ -116,7 +116,7 @@
 // are not held up by many.
 func (r *Reporter) decide(ctx context.Context, now time.Time) {
 	since := r.sinceEnd()
-	steady := now.Sub(r.failedAt) >= minSteadyTime
+	steady := now.Sub(r.lastFailure) >= minSteadyTime
 	if since < r.partOfDue(decideFraction) || !steady && since < r.partOfDue(forceFraction) {
 		return
 	}
@@ -138,7 +138,7 @@
 func (r *Reporter) append(ctx context.Context, rec record) error {
 	err := journal.AppendWithTimeout(ctx, r.journal, appendTimeout, Partition, encode(rec))
 	if err != nil {
-		r.failedAt = time.Now()
+		r.lastFailure = time.Now()
 	}
 	return err
 }
@@ -153,7 +153,7 @@
 			r.logger.Info("usage trimmed before it was read", zap.Int64("offset", r.nextOffset), zap.Int64("first", trimmed.First))
 			r.nextOffset = trimmed.First
 		case err != nil:
-			r.failedAt = time.Now()
+			r.lastFailure = time.Now()
 			r.logger.Info("usage not read", zap.Int64("offset", r.nextOffset), zap.Error(err))
 			return false
 		case r.nextOffset >= end:
