--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -84,7 +84,7 @@
 	}
 	// The counts are worth a look as long as nothing was read, or once a window has ended long
 	// enough ago.
-	if (r.nextOffset == 0 || r.sinceEnd() >= r.partOfDue(decideFraction)) && r.catchUp(ctx) {
+	if (r.nextOffset == 0 || r.timeSinceEnd() >= r.partOfDue(decideFraction)) && r.catchUp(ctx) {
 		r.decide(ctx, time.Now())
 	}
 	r.report(ctx)
@@ -103,8 +103,8 @@
 	return first
 }
 
-// sinceEnd returns how long ago the next window ended.
-func (r *Reporter) sinceEnd() time.Duration {
+// timeSinceEnd returns how long ago the next window ended.
+func (r *Reporter) timeSinceEnd() time.Duration {
 	return r.clock.Now().Sub(endOf(r.nextWindow(), r.windows))
 }
 
@@ -115,7 +115,7 @@
 // decide settles the next window if it is time. It does one at a time, so that reports
 // are not held up by many.
 func (r *Reporter) decide(ctx context.Context, now time.Time) {
-	since := r.sinceEnd()
+	since := r.timeSinceEnd()
 	steady := now.Sub(r.lastFailure) >= minSteadyTime
 	if since < r.partOfDue(decideFraction) || !steady && since < r.partOfDue(forceFraction) {
 		return
