--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -84,7 +84,7 @@
 	}
 	// The counts are worth a look as long as nothing was read, or once a window has ended long
 	// enough ago.
-	if (r.nextOffset == 0 || r.timeSinceEnd() >= r.partOfDue(decideFraction)) && r.catchUp(ctx) {
+	if (r.nextOffset == 0 || r.timeSinceEnd() >= r.fractionOfDue(decideFraction)) && r.catchUp(ctx) {
 		r.decide(ctx, time.Now())
 	}
 	r.report(ctx)
@@ -108,7 +108,7 @@
 	return r.clock.Now().Sub(endOf(r.nextWindow(), r.windows))
 }
 
-func (r *Reporter) partOfDue(part float64) time.Duration {
+func (r *Reporter) fractionOfDue(part float64) time.Duration {
 	return time.Duration(part * float64(r.windows.Due))
 }
 
@@ -117,7 +117,7 @@
 func (r *Reporter) decide(ctx context.Context, now time.Time) {
 	since := r.timeSinceEnd()
 	steady := now.Sub(r.lastFailure) >= minSteadyTime
-	if since < r.partOfDue(decideFraction) || !steady && since < r.partOfDue(forceFraction) {
+	if since < r.fractionOfDue(decideFraction) || !steady && since < r.fractionOfDue(forceFraction) {
 		return
 	}
 	window := r.nextWindow()
