--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -84,7 +84,7 @@
 	}
 	// The counts are worth a look as long as nothing was read, or once a window has ended long
 	// enough ago.
-	if (r.nextOffset == 0 || r.timeSinceEnd() >= r.fractionOfDue(decideFraction)) && r.catchUp(ctx) {
+	if (r.nextOffset == 0 || r.timeSinceEnd() >= r.fractionOfDue(decideFraction)) && r.readToEnd(ctx) {
 		r.decide(ctx, time.Now())
 	}
 	r.report(ctx)
@@ -131,7 +131,7 @@
 		zap.Int64("counted_late", r.state.late), zap.Duration("after", since), zap.Bool("steady", steady), zap.Error(err))
 	if err == nil {
 		// What the journal holds decides: another daemon may have been first.
-		r.catchUp(ctx)
+		r.readToEnd(ctx)
 	}
 }
 
@@ -143,8 +143,8 @@
 	return err
 }
 
-// catchUp folds all that the partition holds now, and reports whether it could.
-func (r *Reporter) catchUp(ctx context.Context) bool {
+// readToEnd folds all that the partition holds now, and reports whether it could.
+func (r *Reporter) readToEnd(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		end, err := r.readOnce(ctx)
 		var trimmed *journal.TrimmedError
