--- a/internal/callers/usage/logging.go
+++ b/internal/callers/usage/logging.go
@@ -44,7 +44,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, window := range slices.Sorted(maps.Keys(r.unlogged)) {
-		if endOf(window, r.windows).After(at) {
+		if windowEnd(window, r.windows).After(at) {
 			continue
 		}
 		requests := r.unlogged[window]
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -105,7 +105,7 @@
 
 // timeSinceEnd returns how long ago the next window ended.
 func (r *Reporter) timeSinceEnd() time.Duration {
-	return r.clock.Now().Sub(endOf(r.nextWindow(), r.windows))
+	return r.clock.Now().Sub(windowEnd(r.nextWindow(), r.windows))
 }
 
 func (r *Reporter) fractionOfDue(part float64) time.Duration {
@@ -200,7 +200,7 @@
 		return false
 	}
 	r.logger.Info("usage reported", zap.Int64("window", window), zap.Int64("fence", fence),
-		zap.Int64("requests", total(requests)), zap.Duration("after", r.clock.Now().Sub(endOf(window, r.windows))),
+		zap.Int64("requests", total(requests)), zap.Duration("after", r.clock.Now().Sub(windowEnd(window, r.windows))),
 		zap.Int("failures_before", r.retryBackoff.Failures()), zap.Error(err))
 	if err == nil {
 		r.Reported.Add(1)
--- a/internal/callers/usage/usage.go
+++ b/internal/callers/usage/usage.go
@@ -40,7 +40,7 @@
 	return at.UnixMilli() / windows.Length.Milliseconds()
 }
 
-// endOf returns when a window ends.
-func endOf(window int64, windows duty.Windows) time.Time {
+// windowEnd returns when a window ends.
+func windowEnd(window int64, windows duty.Windows) time.Time {
 	return time.UnixMilli((window + 1) * windows.Length.Milliseconds())
 }
--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -210,7 +210,7 @@
 		for _, each := range platform.calls {
 			is.True(!seen[each.usage.Window]) // once
 			seen[each.usage.Window] = true
-			is.True(each.at.Before(endOf(each.usage.Window, windows).Add(windows.Due)))
+			is.True(each.at.Before(windowEnd(each.usage.Window, windows).Add(windows.Due)))
 			is.Equal(total(each.usage.Requests), total(want[each.usage.Window]))
 			is.True(maps.Equal(each.usage.Requests, want[each.usage.Window]) || len(want[each.usage.Window]) == 0)
 			delete(want, each.usage.Window)
@@ -385,7 +385,7 @@
 		set(true)
 		a.recorder.Ran("x", time.Now())
 		b.recorder.Ran("x", time.Now())
-		time.Sleep(time.Until(endOf(window, windows)) + 4*time.Second)
+		time.Sleep(time.Until(windowEnd(window, windows)) + 4*time.Second)
 		set(false)
 		time.Sleep(20 * time.Second)
 		cancel()
@@ -397,7 +397,7 @@
 			if each.usage.Window == window {
 				found = true
 				is.Equal(each.usage.Requests, map[string]int64{"x": 2})
-				is.True(each.at.Before(endOf(window, windows).Add(windows.Due)))
+				is.True(each.at.Before(windowEnd(window, windows).Add(windows.Due)))
 			}
 		}
 		is.True(found)
