--- a/internal/callers/usage/logging_test.go
+++ b/internal/callers/usage/logging_test.go
@@ -27,7 +27,7 @@
 		go recorder.Run(ctx)
 		const requests = 40
 		for i := range requests {
-			recorder.Ran([]string{"x", "y"}[i%2], time.Now())
+			recorder.CountRequest([]string{"x", "y"}[i%2], time.Now())
 			time.Sleep(300 * time.Millisecond)
 		}
 		is.NoErr(recorder.Flush(ctx))
--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// Ran counts a request of a tenant that was sent to a replica at a moment of the
+// CountRequest counts a request of a tenant that was sent to a replica at a moment of the
 // steady clock.
-func (r *Recorder) Ran(tenant string, at time.Time) {
+func (r *Recorder) CountRequest(tenant string, at time.Time) {
 	if tenant == "" {
 		return
 	}
--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -198,7 +198,7 @@
 			time.Sleep(time.Duration(draw.IntN(200)) * time.Millisecond)
 			tenant := fmt.Sprint("t", draw.IntN(20))
 			addTo(want, windowOf(time.Now(), windows), map[string]int64{tenant: 1})
-			daemons[draw.IntN(3)].recorder.Ran(tenant, time.Now())
+			daemons[draw.IntN(3)].recorder.CountRequest(tenant, time.Now())
 		}
 		time.Sleep(20 * time.Second)
 		cancel()
@@ -228,8 +228,8 @@
 		sentAt := time.Now()
 		window := windowOf(sentAt, windows)
 		time.Sleep(windows.Length + time.Second)
-		recorder.Ran("x", sentAt)
-		recorder.Ran("", time.Now()) // not a tenant's
+		recorder.CountRequest("x", sentAt)
+		recorder.CountRequest("", time.Now()) // not a tenant's
 		is.Equal(recorder.counts, map[int64]map[string]int64{window: {"x": 1}})
 	})
 }
@@ -268,7 +268,7 @@
 			default:
 				// Some are told of only after their window was decided.
 				late := time.Duration(step%4) * 3 * time.Second
-				daemons[machine].recorder.Ran(fmt.Sprint("t", step%5), time.Now().Add(-late))
+				daemons[machine].recorder.CountRequest(fmt.Sprint("t", step%5), time.Now().Add(-late))
 			}
 			time.Sleep(time.Duration(step) * 40 * time.Millisecond)
 			log.ApplyDelayed()
@@ -383,8 +383,8 @@
 		time.Sleep(12 * time.Second)
 		window := windowOf(time.Now(), windows)
 		set(true)
-		a.recorder.Ran("x", time.Now())
-		b.recorder.Ran("x", time.Now())
+		a.recorder.CountRequest("x", time.Now())
+		b.recorder.CountRequest("x", time.Now())
 		time.Sleep(time.Until(windowEnd(window, windows)) + 4*time.Second)
 		set(false)
 		time.Sleep(20 * time.Second)
--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -40,7 +40,7 @@
 	clock := wallclock.New(bootclock.Now)
 	interval := journal.SharedInterval(n.journal.RateLimits().WritesPerSecond*usageWriteShare, n.daemons)
 	n.usage = usage.NewRecorder(drivers.Journal, n.identity, windows, interval, clock, n.logger)
-	n.handler.OnRun = n.usage.Ran
+	n.handler.OnRun = n.usage.CountRequest
 	n.reporter = usage.NewReporter(drivers.Journal, n.lease, drivers.Duties, n.settings.Name, windows, clock, n.logger)
 }
 
