--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -42,8 +42,8 @@
 	// counts once.
 	number  int64
 	sending []byte
-	// inSending are the counts of sending, unlogged those that were written and not logged.
-	inSending, unlogged map[int64]map[string]int64
+	// pendingCounts are the counts of sending, unlogged those that were written and not logged.
+	pendingCounts, unlogged map[int64]map[string]int64
 	// flushing is held by the one who sends.
 	flushing sync.Mutex
 }
@@ -110,10 +110,10 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for window, requests := range r.inSending {
+	for window, requests := range r.pendingCounts {
 		addTo(r.unlogged, window, requests)
 	}
-	r.sending, r.inSending = nil, nil
+	r.sending, r.pendingCounts = nil, nil
 	return nil
 }
 
@@ -129,6 +129,6 @@
 	}
 	r.number++
 	r.sending = encode(record{Kind: kindCounted, Sender: r.self, Number: r.number, Counts: r.counts})
-	r.inSending, r.counts = r.counts, map[int64]map[string]int64{}
+	r.pendingCounts, r.counts = r.counts, map[int64]map[string]int64{}
 	return r.sending
 }
