--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -40,8 +40,8 @@
 	// number is that of the last record that was made. sending, if not nil, is that
 	// record while its outcome is not known: it is sent again as it is, so that it
 	// counts once.
-	number  int64
-	sending []byte
+	number        int64
+	pendingRecord []byte
 	// pendingCounts are the counts of sending, unlogged those that were written and not logged.
 	pendingCounts, unlogged map[int64]map[string]int64
 	// flushing is held by the one who sends.
@@ -113,7 +113,7 @@
 	for window, requests := range r.pendingCounts {
 		addTo(r.unlogged, window, requests)
 	}
-	r.sending, r.pendingCounts = nil, nil
+	r.pendingRecord, r.pendingCounts = nil, nil
 	return nil
 }
 
@@ -121,14 +121,14 @@
 func (r *Recorder) take() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.sending != nil {
-		return r.sending
+	if r.pendingRecord != nil {
+		return r.pendingRecord
 	}
 	if len(r.counts) == 0 {
 		return nil
 	}
 	r.number++
-	r.sending = encode(record{Kind: kindCounted, Sender: r.self, Number: r.number, Counts: r.counts})
+	r.pendingRecord = encode(record{Kind: kindCounted, Sender: r.self, Number: r.number, Counts: r.counts})
 	r.pendingCounts, r.counts = r.counts, map[int64]map[string]int64{}
-	return r.sending
+	return r.pendingRecord
 }
