--- a/internal/callers/usage/logging.go
+++ b/internal/callers/usage/logging.go
@@ -51,6 +51,6 @@
 		delete(r.unlogged, window)
 		r.logger.Info("usage counted", zap.Int64("window", window), zap.String("run", r.self),
 			zap.Int64("requests", total(requests)),
-			zap.Int("tenants", len(requests)), zap.Stringer("counts", byTenant(requests)), zap.Int64("number", r.number))
+			zap.Int("tenants", len(requests)), zap.Stringer("counts", byTenant(requests)), zap.Int64("number", r.lastNumber))
 	}
 }
--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -37,10 +37,10 @@
 
 	mu     sync.Mutex
 	counts map[int64]map[string]int64
-	// number is that of the last record that was made. sending, if not nil, is that
+	// lastNumber is that of the last record that was made. sending, if not nil, is that
 	// record while its outcome is not known: it is sent again as it is, so that it
 	// counts once.
-	number        int64
+	lastNumber    int64
 	pendingRecord []byte
 	// pendingCounts are the counts of sending, unlogged those that were written and not logged.
 	pendingCounts, unlogged map[int64]map[string]int64
@@ -104,7 +104,7 @@
 		return nil
 	}
 	if err := journal.AppendWithTimeout(ctx, r.journal, appendTimeout, Partition, encoded); err != nil {
-		r.logger.Info("usage not written", zap.Int64("number", r.number),
+		r.logger.Info("usage not written", zap.Int64("number", r.lastNumber),
 			zap.Bool("certain", errors.Is(err, journal.ErrNotDone)), zap.Error(err))
 		return errors.Wrap(err, "usage: counts not written")
 	}
@@ -127,8 +127,8 @@
 	if len(r.counts) == 0 {
 		return nil
 	}
-	r.number++
-	r.pendingRecord = encode(record{Kind: kindCounted, Sender: r.self, Number: r.number, Counts: r.counts})
+	r.lastNumber++
+	r.pendingRecord = encode(record{Kind: kindCounted, Sender: r.self, Number: r.lastNumber, Counts: r.counts})
 	r.pendingCounts, r.counts = r.counts, map[int64]map[string]int64{}
 	return r.pendingRecord
 }
