--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -44,8 +44,8 @@
 	pendingRecord []byte
 	// pendingCounts are the counts of sending, unlogged those that were written and not logged.
 	pendingCounts, unlogged map[int64]map[string]int64
-	// flushing is held by the one who sends.
-	flushing sync.Mutex
+	// flushMu is held by the one who sends.
+	flushMu sync.Mutex
 }
 
 // NewRecorder returns a recorder for an incarnation of a daemon. MinInterval is the least
@@ -97,8 +97,8 @@
 }
 
 func (r *Recorder) flush(ctx context.Context) error {
-	r.flushing.Lock()
-	defer r.flushing.Unlock()
+	r.flushMu.Lock()
+	defer r.flushMu.Unlock()
 	encoded := r.take()
 	if encoded == nil {
 		return nil
