--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -99,7 +99,7 @@
 func (r *Recorder) flush(ctx context.Context) error {
 	r.flushMu.Lock()
 	defer r.flushMu.Unlock()
-	encoded := r.take()
+	encoded := r.recordToSend()
 	if encoded == nil {
 		return nil
 	}
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// take returns the record to send, nil if nothing was counted.
-func (r *Recorder) take() []byte {
+// recordToSend returns the record to send, nil if nothing was counted.
+func (r *Recorder) recordToSend() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.pendingRecord != nil {
