--- a/internal/callers/usage/logging.go
+++ b/internal/callers/usage/logging.go
@@ -38,9 +38,9 @@
 	return strings.Join(parts, ",")
 }
 
-// logWritten logs what this incarnation has counted in the windows that had ended at a time of day: a
+// logEndedWindows logs what this incarnation has counted in the windows that had ended at a time of day: a
 // line a window, and another one for what was written of it later.
-func (r *Recorder) logWritten(at time.Time) {
+func (r *Recorder) logEndedWindows(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, window := range slices.Sorted(maps.Keys(r.unlogged)) {
--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -75,7 +75,7 @@
 	pause := minFlushInterval
 	periodic.Repeat(ctx, func(ctx context.Context) time.Duration {
 		err := r.flush(ctx)
-		r.logWritten(r.clock.Now())
+		r.logEndedWindows(r.clock.Now())
 		if err == nil {
 			pause = minFlushInterval
 		} else {
@@ -91,7 +91,7 @@
 func (r *Recorder) Flush(ctx context.Context) error {
 	err := r.flush(ctx)
 	if err == nil {
-		r.logWritten(r.clock.Now().Add(r.windows.Length))
+		r.logEndedWindows(r.clock.Now().Add(r.windows.Length))
 	}
 	return err
 }
