--- a/internal/callers/usage/logging.go
+++ b/internal/callers/usage/logging.go
@@ -15,11 +15,11 @@
 // a line stays below a kilobyte or two whatever the number of tenants.
 const maxLoggedTenants = 40
 
-// byTenant is the counts of tenants as logs show them.
-type byTenant map[string]int64
+// tenantCounts is the counts of tenants as logs show them.
+type tenantCounts map[string]int64
 
 // String names the tenants with the most requests, and counts the others' requests.
-func (b byTenant) String() string {
+func (b tenantCounts) String() string {
 	tenants := slices.SortedFunc(maps.Keys(b), func(x, y string) int {
 		return cmp.Or(cmp.Compare(b[y], b[x]), cmp.Compare(x, y))
 	})
@@ -51,6 +51,6 @@
 		delete(r.unlogged, window)
 		r.logger.Info("usage counted", zap.Int64("window", window), zap.String("run", r.self),
 			zap.Int64("requests", total(requests)),
-			zap.Int("tenants", len(requests)), zap.Stringer("counts", byTenant(requests)), zap.Int64("number", r.lastNumber))
+			zap.Int("tenants", len(requests)), zap.Stringer("counts", tenantCounts(requests)), zap.Int64("number", r.lastNumber))
 	}
 }
--- a/internal/callers/usage/logging_test.go
+++ b/internal/callers/usage/logging_test.go
@@ -52,8 +52,8 @@
 
 func TestLinesNameTheTenantsWithTheMostRequests(t *testing.T) {
 	is := is.New(t)
-	is.Equal(byTenant{"b": 2, "a": 2, "c": 7}.String(), "c:7,a:2,b:2")
-	many := byTenant{}
+	is.Equal(tenantCounts{"b": 2, "a": 2, "c": 7}.String(), "c:7,a:2,b:2")
+	many := tenantCounts{}
 	for i := range 3 * maxLoggedTenants {
 		many[fmt.Sprintf("t%03d", i)] = 1
 	}
