--- a/internal/callers/usage/record.go
+++ b/internal/callers/usage/record.go
@@ -59,9 +59,9 @@
 	// decided are the figures of decided windows, reported those taken by the platform.
 	decided  map[int64]map[string]int64
 	reported map[int64]bool
-	// last is the newest decided window; anyDecided says that there is one.
-	last       int64
-	anyDecided bool
+	// lastDecided is the newest decided window; anyDecided says that there is one.
+	lastDecided int64
+	anyDecided  bool
 	// late counts requests whose record came after their window was decided.
 	late int64
 }
@@ -115,29 +115,29 @@
 
 // isDecided reports whether a window's figures are settled. Windows are decided in
 // ascending order.
-func (s *state) isDecided(window int64) bool { return s.anyDecided && window <= s.last }
+func (s *state) isDecided(window int64) bool { return s.anyDecided && window <= s.lastDecided }
 
 func (s *state) decide(rec record) {
 	if s.isDecided(rec.Window) {
 		return
 	}
 	s.decided[rec.Window] = rec.Requests
-	s.last, s.anyDecided = rec.Window, true
+	s.lastDecided, s.anyDecided = rec.Window, true
 	maps.DeleteFunc(s.counts, func(window int64, _ map[string]int64) bool { return s.isDecided(window) })
 	for window := range s.decided {
-		if window <= s.last-rememberedWindows {
+		if window <= s.lastDecided-rememberedWindows {
 			delete(s.decided, window)
 			delete(s.reported, window)
 		}
 	}
-	maps.DeleteFunc(s.senders, func(_ string, seen senderState) bool { return seen.window <= s.last-rememberedWindows })
+	maps.DeleteFunc(s.senders, func(_ string, seen senderState) bool { return seen.window <= s.lastDecided-rememberedWindows })
 }
 
 // unreported returns the decided windows that the platform has not taken, as far as is
 // known, in ascending order.
 func (s *state) unreported() []int64 {
 	var windows []int64
-	for window := s.last - rememberedWindows + 1; window <= s.last; window++ {
+	for window := s.lastDecided - rememberedWindows + 1; window <= s.lastDecided; window++ {
 		if _, decided := s.decided[window]; decided && !s.reported[window] {
 			windows = append(windows, window)
 		}
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -94,7 +94,7 @@
 // that something was counted in, or the present one.
 func (r *Reporter) nextWindow() int64 {
 	if r.state.anyDecided {
-		return r.state.last + 1
+		return r.state.lastDecided + 1
 	}
 	first := windowOf(r.clock.Now(), r.windows)
 	for window := range r.state.counts {
