--- a/internal/callers/usage/record.go
+++ b/internal/callers/usage/record.go
@@ -62,8 +62,8 @@
 	// lastDecided is the newest decided window; anyDecided says that there is one.
 	lastDecided int64
 	anyDecided  bool
-	// late counts requests whose record came after their window was decided.
-	late int64
+	// lateRequests counts requests whose record came after their window was decided.
+	lateRequests int64
 }
 
 // senderState is what is remembered of a sender: the number of its last record, and the newest
@@ -106,7 +106,7 @@
 	s.senders[rec.Sender] = seen
 	for window, requests := range rec.Counts {
 		if s.isDecided(window) {
-			s.late += total(requests)
+			s.lateRequests += total(requests)
 			continue
 		}
 		addTo(s.counts, window, requests)
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -128,7 +128,7 @@
 	err := r.append(ctx, record{Kind: kindDecided, Window: window, Requests: requests})
 	r.logger.Info("usage decided", zap.Int64("window", window), zap.Int64("requests", total(requests)),
 		zap.Int("tenants", len(requests)), zap.Stringer("counts", tenantCounts(requests)), zap.Int("runs", len(r.state.senders)),
-		zap.Int64("counted_late", r.state.late), zap.Duration("after", since), zap.Bool("steady", steady), zap.Error(err))
+		zap.Int64("counted_late", r.state.lateRequests), zap.Duration("after", since), zap.Bool("steady", steady), zap.Error(err))
 	if err == nil {
 		// What the journal holds decides: another daemon may have been first.
 		r.readToEnd(ctx)
