--- a/internal/callers/usage/record.go
+++ b/internal/callers/usage/record.go
@@ -41,10 +41,10 @@
 	return encoded
 }
 
-// rememberedWindows is how many decided windows the fold remembers, and for how many it
+// retainedWindows is how many decided windows the fold remembers, and for how many it
 // remembers a sender: far longer than a record may be under way. A late record of an older
 // one changes nothing, as the windows below the first remembered count as decided.
-const rememberedWindows = 64
+const retainedWindows = 64
 
 // state is the fold of the partition. The same records in the same order give the same
 // state to every reader.
@@ -125,19 +125,19 @@
 	s.lastDecided, s.anyDecided = rec.Window, true
 	maps.DeleteFunc(s.counts, func(window int64, _ map[string]int64) bool { return s.isDecided(window) })
 	for window := range s.decided {
-		if window <= s.lastDecided-rememberedWindows {
+		if window <= s.lastDecided-retainedWindows {
 			delete(s.decided, window)
 			delete(s.reported, window)
 		}
 	}
-	maps.DeleteFunc(s.senders, func(_ string, seen senderState) bool { return seen.window <= s.lastDecided-rememberedWindows })
+	maps.DeleteFunc(s.senders, func(_ string, seen senderState) bool { return seen.window <= s.lastDecided-retainedWindows })
 }
 
 // unreported returns the decided windows that the platform has not taken, as far as is
 // known, in ascending order.
 func (s *state) unreported() []int64 {
 	var windows []int64
-	for window := s.lastDecided - rememberedWindows + 1; window <= s.lastDecided; window++ {
+	for window := s.lastDecided - retainedWindows + 1; window <= s.lastDecided; window++ {
 		if _, decided := s.decided[window]; decided && !s.reported[window] {
 			windows = append(windows, window)
 		}
--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -82,13 +82,13 @@
 func TestTheFoldForgetsWhatIsLongPast(t *testing.T) {
 	is := is.New(t)
 	s := newState()
-	for window := int64(1000); window < 1000+3*rememberedWindows; window++ {
+	for window := int64(1000); window < 1000+3*retainedWindows; window++ {
 		s.apply(countedRecord(fmt.Sprint("run/", window), 1, window, "x"))
 		s.apply(encode(record{Kind: kindDecided, Window: window, Requests: s.counts[window]}))
 		s.apply(encode(record{Kind: kindReported, Window: window}))
-		is.True(len(s.senders) <= rememberedWindows)
-		is.True(len(s.decided) <= rememberedWindows)
-		is.True(len(s.reported) <= rememberedWindows)
+		is.True(len(s.senders) <= retainedWindows)
+		is.True(len(s.decided) <= retainedWindows)
+		is.True(len(s.reported) <= retainedWindows)
 		is.Equal(len(s.counts), 0)
 	}
 }
