--- a/internal/callers/usage/logging.go
+++ b/internal/callers/usage/logging.go
@@ -50,7 +50,7 @@
 		requests := r.unlogged[window]
 		delete(r.unlogged, window)
 		r.logger.Info("usage counted", zap.Int64("window", window), zap.String("run", r.self),
-			zap.Int64("requests", total(requests)),
+			zap.Int64("requests", totalRequests(requests)),
 			zap.Int("tenants", len(requests)), zap.Stringer("counts", tenantCounts(requests)), zap.Int64("number", r.lastNumber))
 	}
 }
--- a/internal/callers/usage/record.go
+++ b/internal/callers/usage/record.go
@@ -106,7 +106,7 @@
 	s.senders[rec.Sender] = seen
 	for window, requests := range rec.Counts {
 		if s.isDecided(window) {
-			s.lateRequests += total(requests)
+			s.lateRequests += totalRequests(requests)
 			continue
 		}
 		addTo(s.counts, window, requests)
@@ -154,7 +154,7 @@
 	}
 }
 
-func total(requests map[string]int64) int64 {
+func totalRequests(requests map[string]int64) int64 {
 	sum := int64(0)
 	for _, count := range requests {
 		sum += count
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -126,7 +126,7 @@
 		requests = map[string]int64{}
 	}
 	err := r.append(ctx, record{Kind: kindDecided, Window: window, Requests: requests})
-	r.logger.Info("usage decided", zap.Int64("window", window), zap.Int64("requests", total(requests)),
+	r.logger.Info("usage decided", zap.Int64("window", window), zap.Int64("requests", totalRequests(requests)),
 		zap.Int("tenants", len(requests)), zap.Stringer("counts", tenantCounts(requests)), zap.Int("runs", len(r.state.senders)),
 		zap.Int64("counted_late", r.state.lateRequests), zap.Duration("after", since), zap.Bool("steady", steady), zap.Error(err))
 	if err == nil {
@@ -200,7 +200,7 @@
 		return false
 	}
 	r.logger.Info("usage reported", zap.Int64("window", window), zap.Int64("fence", fence),
-		zap.Int64("requests", total(requests)), zap.Duration("after", r.clock.Now().Sub(windowEnd(window, r.windows))),
+		zap.Int64("requests", totalRequests(requests)), zap.Duration("after", r.clock.Now().Sub(windowEnd(window, r.windows))),
 		zap.Int("failures_before", r.retryBackoff.Failures()), zap.Error(err))
 	if err == nil {
 		r.Reported.Add(1)
--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -211,7 +211,7 @@
 			is.True(!seen[each.usage.Window]) // once
 			seen[each.usage.Window] = true
 			is.True(each.at.Before(windowEnd(each.usage.Window, windows).Add(windows.Due)))
-			is.Equal(total(each.usage.Requests), total(want[each.usage.Window]))
+			is.Equal(totalRequests(each.usage.Requests), totalRequests(want[each.usage.Window]))
 			is.True(maps.Equal(each.usage.Requests, want[each.usage.Window]) || len(want[each.usage.Window]) == 0)
 			delete(want, each.usage.Window)
 		}
