--- a/internal/callers/usage/golden_test.go
+++ b/internal/callers/usage/golden_test.go
@@ -7,7 +7,7 @@
 	"woodworks/internal/daemon/golden"
 )
 
-func TestRecordsKeepTheirForm(t *testing.T) {
+func TestRecordEncodingIsStable(t *testing.T) {
 	golden.CBOR[record](t, "record")
 	golden.Text(t, "names.txt", fmt.Sprintln(Partition, int(kindCounted), int(kindDecided), int(kindReported)))
 }
--- a/internal/callers/usage/logging.go
+++ b/internal/callers/usage/logging.go
@@ -11,35 +11,36 @@
 	"go.uber.org/zap"
 )
 
-// maxLoggedTenants bounds the tenants that one log line names, those with the most requests:
-// a line stays below a kilobyte or two whatever the number of tenants.
+// maxLoggedTenants bounds the tenants that one log line names, so that its length stays bounded
+// with any number of tenants.
 const maxLoggedTenants = 40
 
-// tenantCounts is the counts of tenants as logs show them.
+// tenantCounts has the number of requests by tenant, formatted for log lines.
 type tenantCounts map[string]int64
 
-// String names the tenants with the most requests, and counts the others' requests.
+// String lists the tenants with the most requests, in descending order, and the sum of the
+// others: "a:7,b:2,others:5".
 func (b tenantCounts) String() string {
 	tenants := slices.SortedFunc(maps.Keys(b), func(x, y string) int {
 		return cmp.Or(cmp.Compare(b[y], b[x]), cmp.Compare(x, y))
 	})
 	var parts []string
-	rest := int64(0)
+	others := int64(0)
 	for i, tenant := range tenants {
 		if i < maxLoggedTenants {
 			parts = append(parts, tenant+":"+strconv.FormatInt(b[tenant], 10))
 		} else {
-			rest += b[tenant]
+			others += b[tenant]
 		}
 	}
-	if rest > 0 {
-		parts = append(parts, "others:"+strconv.FormatInt(rest, 10))
+	if others > 0 {
+		parts = append(parts, "others:"+strconv.FormatInt(others, 10))
 	}
 	return strings.Join(parts, ",")
 }
 
-// logEndedWindows logs what this incarnation has counted in the windows that had ended at a time of day: a
-// line a window, and another one for what was written of it later.
+// logEndedWindows logs the written counts of this incarnation in windows that ended before or at a
+// time of day, one line for each window. Counts that are written later get a further line.
 func (r *Recorder) logEndedWindows(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/callers/usage/logging_test.go
+++ b/internal/callers/usage/logging_test.go
@@ -16,9 +16,9 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// Each request that was written is in one line of its window: at the window's end, or at
-// the end of the daemon.
-func TestWhatWasCountedIsTold(t *testing.T) {
+// Guards against written counts that are missing in the log or logged twice, at the end of a window
+// or of the daemon.
+func TestWrittenCountsAreLoggedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		core, logs := observer.New(zap.InfoLevel)
@@ -31,26 +31,26 @@
 			time.Sleep(300 * time.Millisecond)
 		}
 		is.NoErr(recorder.Flush(ctx))
-		is.NoErr(recorder.Flush(ctx)) // nothing is told twice
+		is.NoErr(recorder.Flush(ctx)) // logs nothing again
 		cancel()
 		synctest.Wait()
 		logged := int64(0)
-		windowsTold := map[int64]bool{}
+		loggedWindows := map[int64]bool{}
 		for _, entry := range logs.FilterMessage("usage counted").All() {
 			fields := entry.ContextMap()
 			window := fields["window"].(int64)
-			is.True(!windowsTold[window])
-			windowsTold[window] = true
+			is.True(!loggedWindows[window])
+			loggedWindows[window] = true
 			logged += fields["requests"].(int64)
 			is.Equal(fields["run"], "a/1")
 			is.True(strings.Contains(fields["counts"].(string), "x:"))
 		}
 		is.Equal(logged, int64(requests))
-		is.True(len(windowsTold) >= 3) // 12 s of windows of five
+		is.True(len(loggedWindows) >= 3) // 12 s in windows of 5 s
 	})
 }
 
-func TestLinesNameTheTenantsWithTheMostRequests(t *testing.T) {
+func TestTenantCountsListsTheLargest(t *testing.T) {
 	is := is.New(t)
 	is.Equal(tenantCounts{"b": 2, "a": 2, "c": 7}.String(), "c:7,a:2,b:2")
 	many := tenantCounts{}
--- a/internal/callers/usage/record.go
+++ b/internal/callers/usage/record.go
@@ -7,27 +7,28 @@
 	"github.com/pkg/errors"
 )
 
+// recordKind is the kind of a record. The values are stored and must not change.
 type recordKind int
 
 const (
-	// kindCounted adds a daemon's counts.
+	// kindCounted adds the counts of a daemon.
 	kindCounted recordKind = iota + 1
-	// kindDecided settles the figures of a window.
+	// kindDecided fixes the counts of a window: the first such record of a window applies.
 	kindDecided
-	// kindReported says that the platform has taken the figures of a window.
+	// kindReported means that the reporting of a window is finished.
 	kindReported
 )
 
-// record is one entry of the partition.
+// record is a record in Partition. Kind determines which other fields are set.
 type record struct {
 	Kind recordKind `cbor:"1,keyasint"`
-	// Sender is the incarnation of a daemon that counted; Number rises by one with each of its
-	// records.
+	// Sender is the incarnation of the daemon that counted; Number increases by one with each
+	// of its records.
 	Sender string `cbor:"2,keyasint,omitempty"`
 	Number int64  `cbor:"3,keyasint,omitempty"`
-	// Counts are by window and tenant.
+	// Counts has the number of requests by window and tenant.
 	Counts map[int64]map[string]int64 `cbor:"4,keyasint,omitempty"`
-	// Window and Requests are those of a decision, Window that of a report.
+	// Window is the window that is decided or reported, Requests the decided counts by tenant.
 	Window   int64            `cbor:"5,keyasint,omitempty"`
 	Requests map[string]int64 `cbor:"6,keyasint,omitempty"`
 }
@@ -35,39 +36,42 @@
 func encode(rec record) []byte {
 	encoded, err := cbor.Marshal(rec)
 	if err != nil {
-		// All fields are plain values, which always encode.
+		// Cannot happen: values of these field types always encode.
 		panic(errors.Wrap(err, "usage: encode"))
 	}
 	return encoded
 }
 
-// retainedWindows is how many decided windows the fold remembers, and for how many it
-// remembers a sender: far longer than a record may be under way. A late record of an older
-// one changes nothing, as the windows below the first remembered count as decided.
+// retainedWindows is the number of decided windows that the fold retains, and the number of
+// windows after which it removes a sender that no longer counts: far more than a record can be
+// delayed. A record of an older window is still not counted, as all windows up to the last
+// decided one count as decided.
 const retainedWindows = 64
 
-// state is the fold of the partition. The same records in the same order give the same
-// state to every reader.
+// state is the fold of the partition. Every reader that applies the same records in the same
+// order has the same state.
 //
-// Invariant: a window is decided once; its figures never change after that.
+// Invariant: a window is decided once; its decided counts never change after that.
 type state struct {
-	// counts are by window and tenant, of windows that are not decided.
+	// counts has the number of requests by window and tenant, for windows that are not decided.
 	counts map[int64]map[string]int64
-	// senders are the daemons' incarnations that have counted, so that a record of theirs that is
-	// there twice counts once.
+	// senders has the incarnations of daemons that counted, so that a record that was appended
+	// twice counts once.
 	senders map[string]senderState
-	// decided are the figures of decided windows, reported those taken by the platform.
+	// decided has the counts of decided windows by tenant, reported the windows whose reporting
+	// is finished.
 	decided  map[int64]map[string]int64
 	reported map[int64]bool
-	// lastDecided is the newest decided window; anyDecided says that there is one.
+	// lastDecided is the newest decided window, valid if anyDecided.
 	lastDecided int64
 	anyDecided  bool
-	// lateRequests counts requests whose record came after their window was decided.
+	// lateRequests counts requests in records that follow the decision of their window. They are
+	// not reported.
 	lateRequests int64
 }
 
-// senderState is what is remembered of a sender: the number of its last record, and the newest
-// window that it counted in.
+// senderState has the number of a sender's last record and the newest window with counts in that
+// record.
 type senderState struct{ number, window int64 }
 
 func newState() *state {
@@ -77,8 +81,8 @@
 	}
 }
 
-// apply folds the next record. One that cannot be decoded or contradicts an earlier one
-// changes nothing.
+// apply applies the next record. A record that repeats or contradicts an earlier one changes
+// nothing. An error means that the record can't be decoded and changed nothing.
 func (s *state) apply(encoded []byte) error {
 	var rec record
 	if err := cbor.Unmarshal(encoded, &rec); err != nil {
@@ -99,11 +103,11 @@
 	if rec.Number <= s.senders[rec.Sender].number {
 		return
 	}
-	seen := senderState{number: rec.Number}
+	sender := senderState{number: rec.Number}
 	for window := range rec.Counts {
-		seen.window = max(seen.window, window)
+		sender.window = max(sender.window, window)
 	}
-	s.senders[rec.Sender] = seen
+	s.senders[rec.Sender] = sender
 	for window, requests := range rec.Counts {
 		if s.isDecided(window) {
 			s.lateRequests += totalRequests(requests)
@@ -113,8 +117,8 @@
 	}
 }
 
-// isDecided reports whether a window's figures are settled. Windows are decided in
-// ascending order.
+// isDecided reports whether a window is decided. Windows are decided in ascending order, so all
+// windows up to lastDecided are.
 func (s *state) isDecided(window int64) bool { return s.anyDecided && window <= s.lastDecided }
 
 func (s *state) decide(rec record) {
@@ -130,11 +134,11 @@
 			delete(s.reported, window)
 		}
 	}
-	maps.DeleteFunc(s.senders, func(_ string, seen senderState) bool { return seen.window <= s.lastDecided-retainedWindows })
+	maps.DeleteFunc(s.senders, func(_ string, sender senderState) bool { return sender.window <= s.lastDecided-retainedWindows })
 }
 
-// unreported returns the decided windows that the platform has not taken, as far as is
-// known, in ascending order.
+// unreported returns the retained windows that are decided and whose reporting isn't known to be
+// finished, in ascending order.
 func (s *state) unreported() []int64 {
 	var windows []int64
 	for window := s.lastDecided - retainedWindows + 1; window <= s.lastDecided; window++ {
--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// minFlushInterval is the least time between two appends of a daemon's counts: what a
-	// killed daemon loses, against the journal's writes.
+	// minFlushInterval is the minimum time between appends of a daemon's counts. A killed daemon
+	// loses the counts of about this time; a shorter one costs the journal more writes.
 	minFlushInterval = 200 * time.Millisecond
-	// maxFlushInterval bounds the time between two appends that fail, which doubles with each
-	// one in a row: the journal that comes back gets the counts within it.
+	// maxFlushInterval bounds the time between appends, which doubles with each consecutive
+	// failure. After an outage of the journal the counts are appended within this time.
 	maxFlushInterval = time.Second
 	// appendTimeout bounds one append.
 	appendTimeout = 1200 * time.Millisecond
 )
 
-// Recorder counts the requests that one daemon sends to replicas. It is safe for
-// concurrent use.
+// Recorder counts the requests that one daemon sends to replicas and appends the counts to
+// Partition. It is safe for concurrent use.
 type Recorder struct {
 	journal     journal.Journal
 	self        string
@@ -35,21 +35,23 @@
 	clock       *wallclock.Clock
 	logger      *zap.Logger
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// counts has the requests by window and tenant that are in no record yet.
 	counts map[int64]map[string]int64
-	// lastNumber is that of the last record that was made. sending, if not nil, is that
-	// record while its outcome is not known: it is sent again as it is, so that it
-	// counts once.
+	// lastNumber is the number of the last record that was created. pendingRecord is that record
+	// until its append succeeds, otherwise nil. After an append whose outcome is not known it is
+	// appended again unchanged, so that the fold counts it once.
 	lastNumber    int64
 	pendingRecord []byte
-	// pendingCounts are the counts of sending, unlogged those that were written and not logged.
+	// pendingCounts has the counts of pendingRecord, unlogged the counts that were written but not
+	// logged yet, both by window and tenant.
 	pendingCounts, unlogged map[int64]map[string]int64
-	// flushMu is held by the one who sends.
+	// flushMu is held during an append, so that there is one at a time. It is locked before mu.
 	flushMu sync.Mutex
 }
 
-// NewRecorder returns a recorder for an incarnation of a daemon. MinInterval is the least
-// time between two appends that the journal's grants allow.
+// NewRecorder returns a recorder for the incarnation self of a daemon. The function minInterval
+// returns the minimum time between appends that the journal's grants allow.
 func NewRecorder(log journal.Journal, self string, windows duty.Windows, minInterval journal.Interval,
 	clock *wallclock.Clock, logger *zap.Logger) *Recorder {
 	return &Recorder{
@@ -58,8 +60,8 @@
 	}
 }
 
-// CountRequest counts a request of a tenant that was sent to a replica at a moment of the
-// steady clock.
+// CountRequest counts a request of a tenant in the window in which it was sent to a replica. The
+// time at must have a monotonic clock reading. Nothing is counted if tenant is empty.
 func (r *Recorder) CountRequest(tenant string, at time.Time) {
 	if tenant == "" {
 		return
@@ -70,24 +72,24 @@
 	addTo(r.counts, window, map[string]int64{tenant: 1})
 }
 
-// Run appends what was counted until the context ends.
+// Run appends and logs the counts at intervals until the context ends.
 func (r *Recorder) Run(ctx context.Context) {
-	pause := minFlushInterval
+	interval := minFlushInterval
 	periodic.Repeat(ctx, func(ctx context.Context) time.Duration {
 		err := r.flush(ctx)
 		r.logEndedWindows(r.clock.Now())
 		if err == nil {
-			pause = minFlushInterval
+			interval = minFlushInterval
 		} else {
-			pause = min(2*pause, maxFlushInterval)
+			interval = min(2*interval, maxFlushInterval)
 		}
-		return max(r.minInterval(), pause)
+		return max(r.minInterval(), interval)
 	})
 }
 
-// Flush appends what was counted so far and logs all that was written: it is for the end
-// of a daemon. After an error the counts may not be in the journal; the next call sends them
-// again.
+// Flush appends all counts and logs those that were written, including windows that haven't
+// ended. It is for the shutdown of a daemon. After an error the counts may or may not be in the
+// journal; the next call appends the same record again.
 func (r *Recorder) Flush(ctx context.Context) error {
 	err := r.flush(ctx)
 	if err == nil {
@@ -96,6 +98,7 @@
 	return err
 }
 
+// flush appends the pending record or, if there is none, a new one with all counts.
 func (r *Recorder) flush(ctx context.Context) error {
 	r.flushMu.Lock()
 	defer r.flushMu.Unlock()
@@ -104,7 +107,7 @@
 		return nil
 	}
 	if err := journal.AppendWithTimeout(ctx, r.journal, appendTimeout, Partition, encoded); err != nil {
-		r.logger.Info("usage not written", zap.Int64("number", r.lastNumber),
+		r.logger.Info("failed to write usage counts", zap.Int64("number", r.lastNumber),
 			zap.Bool("certain", errors.Is(err, journal.ErrNotDone)), zap.Error(err))
 		return errors.Wrap(err, "usage: counts not written")
 	}
@@ -117,7 +120,8 @@
 	return nil
 }
 
-// recordToSend returns the record to send, nil if nothing was counted.
+// recordToSend returns the encoded record to append: the pending one, or a new one that becomes
+// pending. It returns nil if there are no counts.
 func (r *Recorder) recordToSend() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -17,31 +17,32 @@
 )
 
 const (
-	// stepInterval is the time between two looks for windows that are due.
+	// stepInterval is the time between checks for windows to decide or report.
 	stepInterval = 200 * time.Millisecond
-	// decideFraction is the part of the time until a report is due after which a window is
-	// decided: counts of requests that took long, or of daemons that had lost the
-	// journal, come by then, and a successor can still act in time.
+	// decideFraction is the fraction of Windows.Due after which a window is decided. Counts of
+	// long requests, or of daemons that lost the journal, can arrive until then, and another
+	// daemon that takes over the lease can still report in time.
 	decideFraction = 0.4
-	// minSteadyTime is how long the journal must have answered for a window to be decided:
-	// just after an outage the daemons have still to write their counts.
+	// minSteadyTime is the time since the last failure after which a window is decided: right
+	// after an outage of the journal the daemons have yet to write their counts.
 	minSteadyTime = 1500 * time.Millisecond
-	// forceFraction is the part of the time until a report is due after which a window is
-	// decided in any case.
+	// forceFraction is the fraction of Windows.Due after which a window is decided even if the
+	// last failure is more recent than minSteadyTime.
 	forceFraction = 0.85
-	// readTimeout bounds one read of the partition, readBytes its answer.
+	// readTimeout bounds one read of the partition. minReadBytes is the size limit of its answer,
+	// unless a single record can be larger.
 	readTimeout  = 1200 * time.Millisecond
 	minReadBytes = 256 << 10
 	// callTimeout bounds one call to the platform.
 	callTimeout = 800 * time.Millisecond
 )
 
-// retryDelays are the pauses after calls that failed: at first a look's interval, at last so long that
-// some tries are left between a decision and when the report is due (6 s where that is 10 s after
-// the window).
+// retryDelays bound the delay after failed calls to the platform: short enough for several
+// attempts between a decision and the time when the report is due.
 var retryDelays = backoff.Bounds{First: 200 * time.Millisecond, Longest: 2 * time.Second}
 
-// Reporter settles and reports the usage of windows while it may act.
+// Reporter decides the usage of windows and reports it to the platform while this daemon holds the
+// lease. Its methods must not be called concurrently.
 type Reporter struct {
 	journal journal.Journal
 	lease   lease.Fencer
@@ -51,18 +52,20 @@
 	clock   *wallclock.Clock
 	logger  *zap.Logger
 
-	state      *state
+	state *state
+	// nextOffset is the offset of the next record to read.
 	nextOffset int64
-	// lastFailure is when the journal last did not answer, or this daemon could not act.
+	// lastFailure is the last time that a call to the journal failed or this daemon didn't hold
+	// the lease.
 	lastFailure time.Time
-	// retryBackoff is the pause after calls that failed.
+	// retryBackoff delays calls to the platform after failures.
 	retryBackoff backoff.Rest
-	// Reported counts the reports that the platform took from this daemon, Failed the calls to
-	// report that failed.
+	// Reported counts the reports of this daemon that the platform accepted, Failed the calls
+	// that failed. Both may be read concurrently.
 	Reported, Failed atomic.Uint64
 }
 
-// NewReporter returns a reporter that acts in the name of holder.
+// NewReporter returns a reporter that reports to driver with the lease l, under the name holder.
 func NewReporter(log journal.Journal, l lease.Fencer, driver duty.Driver, holder string,
 	windows duty.Windows, clock *wallclock.Clock, logger *zap.Logger) *Reporter {
 	return &Reporter{
@@ -71,27 +74,26 @@
 	}
 }
 
-// Run settles and reports until the context ends.
+// Run decides and reports windows until the context ends.
 func (r *Reporter) Run(ctx context.Context) { periodic.Every(ctx, stepInterval, r.step) }
 
-// step does what is due now, if the lease lets this daemon act.
+// step decides and reports the windows that are due, if this daemon holds the lease.
 func (r *Reporter) step(ctx context.Context) {
-	if _, _, may := r.lease.Fence(); !may {
-		// The lease lapses in an outage of the journal, in which nothing may be asked
-		// of it here.
+	if _, _, held := r.lease.Fence(); !held {
+		// The lease also expires in an outage of the journal, which this reporter may not
+		// notice by itself, as it makes no calls meanwhile.
 		r.lastFailure = time.Now()
 		return
 	}
-	// The counts are worth a look as long as nothing was read, or once a window has ended long
-	// enough ago.
+	// A read is needed only until the first one succeeds and when the next window can be decided.
 	if (r.nextOffset == 0 || r.timeSinceEnd() >= r.fractionOfDue(decideFraction)) && r.readToEnd(ctx) {
 		r.decide(ctx, time.Now())
 	}
 	r.report(ctx)
 }
 
-// nextWindow returns the window to decide next. Before any was decided it is the oldest
-// that something was counted in, or the present one.
+// nextWindow returns the window to decide next. If none was decided, it is the oldest one with
+// counts, at most the current one.
 func (r *Reporter) nextWindow() int64 {
 	if r.state.anyDecided {
 		return r.state.lastDecided + 1
@@ -103,17 +105,18 @@
 	return first
 }
 
-// timeSinceEnd returns how long ago the next window ended.
+// timeSinceEnd returns the time since the end of the next window to decide, negative before it.
 func (r *Reporter) timeSinceEnd() time.Duration {
 	return r.clock.Now().Sub(windowEnd(r.nextWindow(), r.windows))
 }
 
-func (r *Reporter) fractionOfDue(part float64) time.Duration {
-	return time.Duration(part * float64(r.windows.Due))
+// fractionOfDue returns a fraction of the time from a window's end until its report is due.
+func (r *Reporter) fractionOfDue(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(r.windows.Due))
 }
 
-// decide settles the next window if it is time. It does one at a time, so that reports
-// are not held up by many.
+// decide appends the decision of the next window if it is time for it, and reads it back. It
+// decides at most one window, so that many windows don't delay the reports.
 func (r *Reporter) decide(ctx context.Context, now time.Time) {
 	since := r.timeSinceEnd()
 	steady := now.Sub(r.lastFailure) >= minSteadyTime
@@ -130,7 +133,8 @@
 		zap.Int("tenants", len(requests)), zap.Stringer("counts", tenantCounts(requests)), zap.Int("runs", len(r.state.senders)),
 		zap.Int64("counted_late", r.state.lateRequests), zap.Duration("after", since), zap.Bool("steady", steady), zap.Error(err))
 	if err == nil {
-		// What the journal holds decides: another daemon may have been first.
+		// Another daemon may have decided the window first: the first decision in the
+		// journal applies.
 		r.readToEnd(ctx)
 	}
 }
@@ -143,18 +147,19 @@
 	return err
 }
 
-// readToEnd folds all that the partition holds now, and reports whether it could.
+// readToEnd applies the records up to the partition's current end, and reports whether it got
+// there.
 func (r *Reporter) readToEnd(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		end, err := r.readOnce(ctx)
 		var trimmed *journal.TrimmedError
 		switch {
 		case errors.As(err, &trimmed):
-			r.logger.Info("usage trimmed before it was read", zap.Int64("offset", r.nextOffset), zap.Int64("first", trimmed.First))
+			r.logger.Info("usage records trimmed before they were read", zap.Int64("offset", r.nextOffset), zap.Int64("first", trimmed.First))
 			r.nextOffset = trimmed.First
 		case err != nil:
 			r.lastFailure = time.Now()
-			r.logger.Info("usage not read", zap.Int64("offset", r.nextOffset), zap.Error(err))
+			r.logger.Info("failed to read usage", zap.Int64("offset", r.nextOffset), zap.Error(err))
 			return false
 		case r.nextOffset >= end:
 			return true
@@ -173,14 +178,14 @@
 	}
 	for _, encoded := range read.Records {
 		if err := r.state.apply(encoded); err != nil {
-			r.logger.Warn("usage record passed over", zap.Int64("offset", r.nextOffset), zap.Error(err))
+			r.logger.Warn("malformed usage record skipped", zap.Int64("offset", r.nextOffset), zap.Error(err))
 		}
 		r.nextOffset++
 	}
 	return read.End, nil
 }
 
-// report calls the platform for the windows that are decided, the oldest first.
+// report reports the decided windows to the platform, oldest first, until a call fails.
 func (r *Reporter) report(ctx context.Context) {
 	for _, window := range r.state.unreported() {
 		if !r.retryBackoff.Over(time.Now()) || !r.reportOne(ctx, window) {
@@ -189,7 +194,8 @@
 	}
 }
 
-// reportOne makes one call and reports whether the platform took it.
+// reportOne reports one window, and returns whether its reporting is finished: the platform
+// accepted or refused the report.
 func (r *Reporter) reportOne(ctx context.Context, window int64) bool {
 	requests := r.state.decided[window]
 	fence, err := lease.Act(ctx, r.lease, callTimeout, func(ctx context.Context, fence int64) error {
@@ -207,7 +213,7 @@
 	} else {
 		r.Failed.Add(1)
 	}
-	// A call that was refused would be refused again: its window is done with.
+	// A refused report would be refused again, so its window counts as reported.
 	if err != nil && !errors.Is(err, duty.ErrRefused) {
 		r.retryBackoff.Failed(retryDelays, time.Now())
 		return false
@@ -215,7 +221,7 @@
 	r.retryBackoff.Succeeded()
 	r.state.reported[window] = true
 	if err := r.append(ctx, record{Kind: kindReported, Window: window}); err != nil {
-		r.logger.Info("report not noted, a successor may repeat it", zap.Int64("window", window), zap.Error(err))
+		r.logger.Info("failed to record the report, it may be repeated", zap.Int64("window", window), zap.Error(err))
 	}
 	return true
 }
--- a/internal/callers/usage/usage_test.go
+++ b/internal/callers/usage/usage_test.go
@@ -28,14 +28,14 @@
 
 var windows = duty.Windows{Length: 5 * time.Second, Due: 10 * time.Second}
 
-// countedRecord has one request of a tenant in a window.
+// countedRecord returns an encoded record with one request of a tenant in a window.
 func countedRecord(run string, number, window int64, tenant string) []byte {
 	return encode(record{Kind: kindCounted, Sender: run, Number: number, Counts: map[int64]map[string]int64{window: {tenant: 1}}})
 }
 
-// In whatever order counts and decisions come, doubled or late: a window is decided once
-// and keeps its figures, and these hold each count before it exactly once.
-func TestFoldKeepsItsPromises(t *testing.T) {
+// Guards against a window whose decided counts change or don't contain each earlier count exactly
+// once, with counts and decisions in any order, repeated or late.
+func TestFoldDecidesEachWindowOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newState()
 		numbers := map[string]int64{}
@@ -64,14 +64,14 @@
 				s.apply(encode(record{Kind: kindDecided, Window: window, Requests: requests}))
 				if fresh {
 					if !maps.Equal(requests, want[window]) {
-						t.Fatalf("window %d: %v counted, %v wanted", window, requests, want[window])
+						t.Fatalf("window %d: got counts %v, want %v", window, requests, want[window])
 					}
 					decided[window] = requests
 				}
 			}
 			for window, requests := range decided {
 				if kept, there := s.decided[window]; there && !maps.Equal(kept, requests) {
-					t.Fatalf("window %d was decided as %v and is %v", window, requests, kept)
+					t.Fatalf("window %d: decided counts changed from %v to %v", window, requests, kept)
 				}
 			}
 			s.apply([]byte{0xff, 1})
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestTheFoldForgetsWhatIsLongPast(t *testing.T) {
+func TestFoldRetainsBoundedState(t *testing.T) {
 	is := is.New(t)
 	s := newState()
 	for window := int64(1000); window < 1000+3*retainedWindows; window++ {
@@ -93,63 +93,63 @@
 	}
 }
 
-// call is one report that a platform got.
-type call struct {
+// reportCall is a call of ReportUsage that the platform received.
+type reportCall struct {
 	authority duty.Authority
 	usage     duty.Usage
 	at        time.Time
 }
 
-// cloud is a platform that takes reports, some of them badly.
-type cloud struct {
+// fakePlatform records reports and can answer them with errors.
+type fakePlatform struct {
 	mu    sync.Mutex
-	calls []call
-	// befall, if not nil, is the error that a call gets although it was seen.
-	befall func() error
+	calls []reportCall
+	// reportError, if not nil, returns the result of a call, which is recorded in any case.
+	reportError func() error
 }
 
-func (c *cloud) Duties() duty.Duties { return duty.Duties{Usage: true} }
+func (c *fakePlatform) Duties() duty.Duties { return duty.Duties{Usage: true} }
 
-func (c *cloud) OrderFleet(context.Context, duty.Authority, duty.Fleet) error {
+func (c *fakePlatform) OrderFleet(context.Context, duty.Authority, duty.Fleet) error {
 	return duty.ErrRefused
 }
 
-func (c *cloud) ReportUsage(ctx context.Context, authority duty.Authority, usage duty.Usage) error {
+func (c *fakePlatform) ReportUsage(ctx context.Context, authority duty.Authority, usage duty.Usage) error {
 	c.mu.Lock()
-	c.calls = append(c.calls, call{authority, usage, time.Now()})
-	befall := c.befall
+	c.calls = append(c.calls, reportCall{authority, usage, time.Now()})
+	reportError := c.reportError
 	c.mu.Unlock()
-	if befall == nil {
+	if reportError == nil {
 		return nil
 	}
-	return befall()
+	return reportError()
 }
 
-// check holds the calls against what a platform demands: reports of one window are
-// alike, fences never fall, and one fence has one holder.
-func check(calls []call) error {
+// checkReports returns an error unless all reports of a window are equal, fences never decrease and
+// each fence has one holder.
+func checkReports(calls []reportCall) error {
 	reports := map[int64]map[string]int64{}
 	holders := map[int64]string{}
 	fence := int64(0)
 	for _, each := range calls {
 		window := each.usage.Window
 		if before, known := reports[window]; known && !maps.Equal(before, each.usage.Requests) {
-			return errors.Errorf("window %d was reported as %v and as %v", window, before, each.usage.Requests)
+			return errors.Errorf("window %d was reported with counts %v and %v", window, before, each.usage.Requests)
 		}
 		reports[window] = each.usage.Requests
 		if each.authority.Fence < fence {
-			return errors.Errorf("fence %d after %d", each.authority.Fence, fence)
+			return errors.Errorf("fence decreased to %d from %d", each.authority.Fence, fence)
 		}
 		fence = each.authority.Fence
 		if holder, used := holders[fence]; used && holder != each.authority.Holder {
-			return errors.Errorf("fence %d of %s and of %s", fence, holder, each.authority.Holder)
+			return errors.Errorf("fence %d has holders %s and %s", fence, holder, each.authority.Holder)
 		}
 		holders[fence] = each.authority.Holder
 	}
 	return nil
 }
 
-// daemon is one daemon that counts, and reports while it holds the lease.
+// daemon is a daemon with a recorder and, while it holds the lease, an active reporter.
 type daemon struct {
 	recorder *Recorder
 	lease    *lease.Lease
@@ -157,6 +157,7 @@
 	done     sync.WaitGroup
 }
 
+// startDaemon starts a daemon whose recorder and lease use log and whose reporter uses read.
 func startDaemon(ctx context.Context, log, read journal.Journal, driver duty.Driver, machine string, start int) *daemon {
 	bounded, cancel := context.WithCancel(ctx)
 	run := fmt.Sprintf("%s/%d", machine, start)
@@ -167,27 +168,28 @@
 	started.lease.SetCandidate(true)
 	started.recorder = NewRecorder(log, run, windows, func() time.Duration { return 0 }, clock, zap.NewNop())
 	reporter := NewReporter(read, started.lease, driver, machine, windows, clock, zap.NewNop())
-	for _, part := range []func(context.Context){started.lease.Run, started.recorder.Run, reporter.Run} {
+	for _, loop := range []func(context.Context){started.lease.Run, started.recorder.Run, reporter.Run} {
 		started.done.Add(1)
 		go func() {
 			defer started.done.Done()
-			part(bounded)
+			loop(bounded)
 		}()
 	}
 	return started
 }
 
+// kill stops the daemon without a flush.
 func (d *daemon) kill() {
 	d.stop()
 	d.done.Wait()
 }
 
-// On a calm day each window is reported once, in time, and exactly.
-func TestCalmWindowsAreReportedExactlyAndInTime(t *testing.T) {
+// Guards against a window that is reported late, twice or with wrong counts although nothing fails.
+func TestWindowsAreReportedExactlyOnceInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		log, platform := journaltest.New(), &cloud{}
+		log, platform := journaltest.New(), &fakePlatform{}
 		var daemons []*daemon
 		for _, machine := range []string{"a", "b", "c"} {
 			daemons = append(daemons, startDaemon(ctx, log, log, platform, machine, 1))
@@ -205,7 +207,7 @@
 		for _, each := range daemons {
 			each.kill()
 		}
-		is.NoErr(check(platform.calls))
+		is.NoErr(checkReports(platform.calls))
 		seen := map[int64]bool{}
 		for _, each := range platform.calls {
 			is.True(!seen[each.usage.Window]) // once
@@ -219,9 +221,9 @@
 	})
 }
 
-// A request that was sent just before the end of a window and is told of after it counts
-// in the window in which it was sent.
-func TestARequestCountsWhereItBegan(t *testing.T) {
+// Guards against counting a request in the window in which it ends instead of the one in which it
+// was sent.
+func TestRequestCountsInWindowOfItsStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		recorder := NewRecorder(journaltest.New(), "a/1", windows, func() time.Duration { return 0 }, wallclock.New(time.Now), zap.NewNop())
@@ -229,16 +231,16 @@
 		window := windowOf(sentAt, windows)
 		time.Sleep(windows.Length + time.Second)
 		recorder.CountRequest("x", sentAt)
-		recorder.CountRequest("", time.Now()) // not a tenant's
+		recorder.CountRequest("", time.Now()) // without a tenant, not counted
 		is.Equal(recorder.counts, map[int64]map[string]int64{window: {"x": 1}})
 	})
 }
 
-// chaos runs daemons that are killed and started while calls to the journal and to the
-// platform fail in all ways, and returns what the platform saw. Readers see the journal
-// through read.
-func chaos(t *testing.T, steps, faults []int, read func(journal.Journal, string) journal.Journal) []call {
-	platform := &cloud{}
+// runWithFaults starts and kills daemons while calls to the journal and to the platform fail in
+// different ways, and returns the calls that the platform received. Reporters use the journal
+// that read returns.
+func runWithFaults(t *testing.T, steps, faults []int, read func(journal.Journal, string) journal.Journal) []reportCall {
+	platform := &fakePlatform{}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		log := journaltest.New()
@@ -253,7 +255,7 @@
 		log.FaultFunc = func(journaltest.Call) journaltest.Fault {
 			return map[int]journaltest.Fault{0: journaltest.Refuse, 1: journaltest.Hang, 2: journaltest.LoseAnswer, 3: journaltest.Delay}[draw()]
 		}
-		platform.befall = func() error {
+		platform.reportError = func() error {
 			return map[int]error{0: duty.ErrUnknown, 1: duty.ErrThrottled, 2: duty.ErrUnknown}[draw()]
 		}
 		daemons := map[string]*daemon{}
@@ -266,7 +268,7 @@
 				daemons[machine].kill()
 				delete(daemons, machine)
 			default:
-				// Some are told of only after their window was decided.
+				// Some requests are counted only after their window was decided.
 				late := time.Duration(step%4) * 3 * time.Second
 				daemons[machine].recorder.CountRequest(fmt.Sprint("t", step%5), time.Now().Add(-late))
 			}
@@ -281,37 +283,38 @@
 	return platform.calls
 }
 
-func honest(log journal.Journal, _ string) journal.Journal { return log }
+// sameJournal is the read function of reporters without a planted fault.
+func sameJournal(log journal.Journal, _ string) journal.Journal { return log }
 
-// minimumCalls keeps the checks from passing because nothing was ever reported.
-const minimumCalls = 300
+// minCalls is the number of reports below which the test would checkReports too little.
+const minCalls = 300
 
-// Whatever happens to the calls and to the daemons, no two reports of a window differ.
+// Guards against different reports of a window after faults of calls and restarts of daemons.
 func TestReportsOfAWindowNeverDiffer(t *testing.T) {
 	calls := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 99), 30, 60).Draw(rt, "steps")
 		faults := rapid.SliceOfN(rapid.IntRange(0, 24), 200, 200).Draw(rt, "faults")
-		seen := chaos(t, steps, faults, honest)
+		seen := runWithFaults(t, steps, faults, sameJournal)
 		calls += len(seen)
-		if err := check(seen); err != nil {
+		if err := checkReports(seen); err != nil {
 			rt.Fatal(err)
 		}
 	})
-	if calls < minimumCalls {
+	if calls < minCalls {
 		t.Fatalf("only %d reports were checked", calls)
 	}
 }
 
-// forgetful hides what others have decided: who reads through it reports its own figures.
-// It is a planted fault.
-type forgetful struct {
+// ownDecisionsJournal is a planted fault: its reader doesn't see the decisions of other daemons and
+// so reports its own.
+type ownDecisionsJournal struct {
 	journal.Journal
 	mu  sync.Mutex
 	own map[string]bool
 }
 
-func (f *forgetful) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
+func (f *ownDecisionsJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
 	f.mu.Lock()
 	for _, each := range request.Records {
 		f.own[string(each)] = true
@@ -320,7 +323,7 @@
 	return f.Journal.Append(ctx, request)
 }
 
-func (f *forgetful) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+func (f *ownDecisionsJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	read, err := f.Journal.Read(ctx, request)
 	kept := read
 	kept.Records = nil
@@ -336,8 +339,8 @@
 	return kept, err
 }
 
-// The check finds a daemon that reports figures that are not the settled ones.
-func TestTheCheckFindsReportsThatDiffer(t *testing.T) {
+// Guards against a checkReports that misses a daemon that reports other counts than the decided ones.
+func TestCheckReportsDetectsDifferentReports(t *testing.T) {
 	draw := rand.New(rand.NewPCG(3, 4))
 	numbers := func(n, below int) []int {
 		drawn := make([]int, n)
@@ -347,23 +350,23 @@
 		return drawn
 	}
 	for range 60 {
-		seen := chaos(t, numbers(60, 100), numbers(200, 25), func(log journal.Journal, _ string) journal.Journal {
-			return &forgetful{Journal: log, own: map[string]bool{}}
+		seen := runWithFaults(t, numbers(60, 100), numbers(200, 25), func(log journal.Journal, _ string) journal.Journal {
+			return &ownDecisionsJournal{Journal: log, own: map[string]bool{}}
 		})
-		if check(seen) != nil {
+		if checkReports(seen) != nil {
 			return
 		}
 	}
-	t.Fatal("the planted fault was not found")
+	t.Fatal("checkReports missed the planted fault")
 }
 
-// Counts that an outage held up are waited for as long as the report can still be in
-// time.
-func TestAWindowWaitsForAnOutageToEnd(t *testing.T) {
+// Guards against deciding a window without the counts that an outage of the journal delayed, while
+// there is still time until the report is due.
+func TestDecisionWaitsForCountsAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		log, platform := journaltest.New(), &cloud{}
+		log, platform := journaltest.New(), &fakePlatform{}
 		var mu sync.Mutex
 		down := false
 		log.FaultFunc = func(journaltest.Call) journaltest.Fault {
@@ -391,7 +394,7 @@
 		cancel()
 		a.kill()
 		b.kill()
-		is.NoErr(check(platform.calls))
+		is.NoErr(checkReports(platform.calls))
 		found := false
 		for _, each := range platform.calls {
 			if each.usage.Window == window {
