--- a/internal/callers/tenant/tenant.go
+++ b/internal/callers/tenant/tenant.go
@@ -24,9 +24,9 @@
 	Priority *int
 }
 
-// Rank returns the priority of the tenant's requests on a route of the given priority.
+// EffectivePriority returns the priority of the tenant's requests on a route of the given priority.
 // A nil tenant, that of requests without a key, has none of its own.
-func (t *Tenant) Rank(ofRoute int) int {
+func (t *Tenant) EffectivePriority(ofRoute int) int {
 	if t == nil || t.Priority == nil {
 		return ofRoute
 	}
--- a/internal/callers/tenant/tenant_test.go
+++ b/internal/callers/tenant/tenant_test.go
@@ -22,9 +22,9 @@
 	is.True(!ok)
 	_, ok = d.Of("")
 	is.True(!ok)
-	is.Equal(d.Named("a").Rank(2), 0) // its own goes first
-	is.Equal(d.Named("b").Rank(2), 2)
-	is.Equal(d.Named("nobody").Rank(2), 2)
+	is.Equal(d.Named("a").EffectivePriority(2), 0) // its own goes first
+	is.Equal(d.Named("b").EffectivePriority(2), 2)
+	is.Equal(d.Named("nobody").EffectivePriority(2), 2)
 	is.Equal(len(d.byName), 3)
 	is.Equal(len(d.byKey), 3)
 }
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -74,7 +74,7 @@
 
 // admissionRequest returns the request's description for admission control.
 func (r *request) admissionRequest(service string) admission.Request {
-	return admission.Request{ID: r.id, Service: service, Tenant: r.tenantName(), Rank: r.tenant.Rank(r.route.Priority),
+	return admission.Request{ID: r.id, Service: service, Tenant: r.tenantName(), Rank: r.tenant.EffectivePriority(r.route.Priority),
 		TimeLeft: r.timeLeft, TargetLatency: r.route.TargetLatency, Age: r.elapsed()}
 }
 
