--- a/internal/callers/tenant/tenant.go
+++ b/internal/callers/tenant/tenant.go
@@ -33,8 +33,8 @@
 	return *t.Priority
 }
 
-// Declared is a tenant as a configuration declares it.
-type Declared struct {
+// Declaration is a tenant as a configuration declares it.
+type Declaration struct {
 	Name     string
 	Keys     []string
 	Priority *int
@@ -47,7 +47,7 @@
 }
 
 // NewDirectory checks the declared tenants. The error names the wrong field, never a key.
-func NewDirectory(declared []Declared) (*Directory, error) {
+func NewDirectory(declared []Declaration) (*Directory, error) {
 	d := &Directory{byKey: apikey.Ring[*Tenant]{}, byName: make(map[string]*Tenant, len(declared))}
 	for i, decl := range declared {
 		if err := d.add(decl); err != nil {
@@ -57,7 +57,7 @@
 	return d, nil
 }
 
-func (d *Directory) add(declared Declared) error {
+func (d *Directory) add(declared Declaration) error {
 	if declared.Name == "" {
 		return errors.New("name: is empty")
 	}
--- a/internal/callers/tenant/tenant_test.go
+++ b/internal/callers/tenant/tenant_test.go
@@ -11,7 +11,7 @@
 
 func TestTenantsAreFoundByKey(t *testing.T) {
 	is := is.New(t)
-	d, err := NewDirectory([]Declared{{Name: "a", Keys: []string{"k1", "k2"}, Priority: rank(0)}, {Name: "b", Keys: []string{"k3"}}, {Name: "c"}})
+	d, err := NewDirectory([]Declaration{{Name: "a", Keys: []string{"k1", "k2"}, Priority: rank(0)}, {Name: "b", Keys: []string{"k3"}}, {Name: "c"}})
 	is.NoErr(err)
 	for key, want := range map[string]string{"k1": "a", "k2": "a", "k3": "b"} {
 		found, ok := d.Of(key)
@@ -32,14 +32,14 @@
 // A wrong declaration is refused with the field's name, and no error shows a key.
 func TestWrongDeclarations(t *testing.T) {
 	cases := map[string]struct {
-		declared []Declared
+		declared []Declaration
 		field    string
 	}{
-		"no name":            {[]Declared{{Keys: []string{"secret"}}}, "tenants[0]: name"},
-		"a name twice":       {[]Declared{{Name: "a"}, {Name: "a"}}, "tenants[1]: name"},
-		"an empty key":       {[]Declared{{Name: "a", Keys: []string{"secret", ""}}}, "tenants[0]: keys[1]"},
-		"a key of two":       {[]Declared{{Name: "a", Keys: []string{"secret"}}, {Name: "b", Keys: []string{"secret"}}}, "tenants[1]: keys[0]"},
-		"a key of one twice": {[]Declared{{Name: "a", Keys: []string{"secret", "secret"}}}, "tenants[0]: keys[1]"},
+		"no name":            {[]Declaration{{Keys: []string{"secret"}}}, "tenants[0]: name"},
+		"a name twice":       {[]Declaration{{Name: "a"}, {Name: "a"}}, "tenants[1]: name"},
+		"an empty key":       {[]Declaration{{Name: "a", Keys: []string{"secret", ""}}}, "tenants[0]: keys[1]"},
+		"a key of two":       {[]Declaration{{Name: "a", Keys: []string{"secret"}}, {Name: "b", Keys: []string{"secret"}}}, "tenants[1]: keys[0]"},
+		"a key of one twice": {[]Declaration{{Name: "a", Keys: []string{"secret", "secret"}}}, "tenants[0]: keys[1]"},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/requests/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -35,7 +35,7 @@
 func authenticateKey(t *testing.T, authorization string, age time.Duration, policy KeyPolicy) (*request, int, *observer.ObservedLogs) {
 	t.Helper()
 	core, logs := observer.New(zap.InfoLevel)
-	directory, err := tenant.NewDirectory([]tenant.Declared{{Name: "a", Keys: []string{"valid-key"}}})
+	directory, err := tenant.NewDirectory([]tenant.Declaration{{Name: "a", Keys: []string{"valid-key"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -30,7 +30,7 @@
 // tenantConfiguration returns a configuration without routes and with one tenant and key.
 func tenantConfiguration(t *testing.T) *route.Configuration {
 	t.Helper()
-	directory, err := tenant.NewDirectory([]tenant.Declared{{Name: "a", Keys: []string{"valid-key"}}})
+	directory, err := tenant.NewDirectory([]tenant.Declaration{{Name: "a", Keys: []string{"valid-key"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
