--- a/internal/callers/tenant/tenant.go
+++ b/internal/callers/tenant/tenant.go
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Of returns the tenant that holds a key.
-func (d *Directory) Of(key string) (*Tenant, bool) { return d.byKey.HolderOf(key) }
+// ByKey returns the tenant that holds a key.
+func (d *Directory) ByKey(key string) (*Tenant, bool) { return d.byKey.HolderOf(key) }
 
 // Named returns a tenant by its name, nil if there is none.
 func (d *Directory) Named(name string) *Tenant {
--- a/internal/callers/tenant/tenant_test.go
+++ b/internal/callers/tenant/tenant_test.go
@@ -14,13 +14,13 @@
 	d, err := NewDirectory([]Declaration{{Name: "a", Keys: []string{"k1", "k2"}, Priority: rank(0)}, {Name: "b", Keys: []string{"k3"}}, {Name: "c"}})
 	is.NoErr(err)
 	for key, want := range map[string]string{"k1": "a", "k2": "a", "k3": "b"} {
-		found, ok := d.Of(key)
+		found, ok := d.ByKey(key)
 		is.True(ok)
 		is.Equal(found.Name, want)
 	}
-	_, ok := d.Of("k4")
+	_, ok := d.ByKey("k4")
 	is.True(!ok)
-	_, ok = d.Of("")
+	_, ok = d.ByKey("")
 	is.True(!ok)
 	is.Equal(d.Named("a").EffectivePriority(2), 0) // its own goes first
 	is.Equal(d.Named("b").EffectivePriority(2), 2)
@@ -56,7 +56,7 @@
 	is := is.New(t)
 	d, err := NewDirectory(nil)
 	is.NoErr(err)
-	_, ok := d.Of("k")
+	_, ok := d.ByKey("k")
 	is.True(!ok)
 	var none *Directory
 	is.True(none.Named("a") == nil)
--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -34,7 +34,7 @@
 		return true
 	}
 	key, _ := apikey.FromHeader(r.req.Header)
-	t, ok := cfg.Tenants.Of(key)
+	t, ok := cfg.Tenants.ByKey(key)
 	age := r.handler.ConfigurationAge()
 	policy := r.handler.Keys
 	unconfirmed := ""
