--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -106,7 +106,7 @@
 // route.
 func (j *job) priority(rt *route.Route) int {
 	configuration := j.r.operator.Configuration()
-	return configuration.Tenants.Named(j.submission.Tenant).EffectivePriority(rt.Priority)
+	return configuration.Tenants.ByName(j.submission.Tenant).EffectivePriority(rt.Priority)
 }
 
 // describe returns an item in the form that the scheduler uses. The mutex is held.
--- a/internal/callers/tenant/tenant.go
+++ b/internal/callers/tenant/tenant.go
@@ -81,8 +81,8 @@
 // ByKey returns the tenant that holds a key.
 func (d *Directory) ByKey(key string) (*Tenant, bool) { return d.byKey.HolderOf(key) }
 
-// Named returns a tenant by its name, nil if there is none.
-func (d *Directory) Named(name string) *Tenant {
+// ByName returns a tenant by its name, nil if there is none.
+func (d *Directory) ByName(name string) *Tenant {
 	if d == nil {
 		return nil
 	}
--- a/internal/callers/tenant/tenant_test.go
+++ b/internal/callers/tenant/tenant_test.go
@@ -22,9 +22,9 @@
 	is.True(!ok)
 	_, ok = d.ByKey("")
 	is.True(!ok)
-	is.Equal(d.Named("a").EffectivePriority(2), 0) // its own goes first
-	is.Equal(d.Named("b").EffectivePriority(2), 2)
-	is.Equal(d.Named("nobody").EffectivePriority(2), 2)
+	is.Equal(d.ByName("a").EffectivePriority(2), 0) // its own goes first
+	is.Equal(d.ByName("b").EffectivePriority(2), 2)
+	is.Equal(d.ByName("nobody").EffectivePriority(2), 2)
 	is.Equal(len(d.byName), 3)
 	is.Equal(len(d.byKey), 3)
 }
@@ -59,5 +59,5 @@
 	_, ok := d.ByKey("k")
 	is.True(!ok)
 	var none *Directory
-	is.True(none.Named("a") == nil)
+	is.True(none.ByName("a") == nil)
 }
