--- a/internal/callers/tenant/tenant_test.go
+++ b/internal/callers/tenant/tenant_test.go
@@ -7,11 +7,11 @@
 	"github.com/matryer/is"
 )
 
-func rank(value int) *int { return &value }
+func priority(value int) *int { return &value }
 
-func TestTenantsAreFoundByKey(t *testing.T) {
+func TestDirectory(t *testing.T) {
 	is := is.New(t)
-	d, err := NewDirectory([]Declaration{{Name: "a", Keys: []string{"k1", "k2"}, Priority: rank(0)}, {Name: "b", Keys: []string{"k3"}}, {Name: "c"}})
+	d, err := NewDirectory([]Declaration{{Name: "a", Keys: []string{"k1", "k2"}, Priority: priority(0)}, {Name: "b", Keys: []string{"k3"}}, {Name: "c"}})
 	is.NoErr(err)
 	for key, want := range map[string]string{"k1": "a", "k2": "a", "k3": "b"} {
 		found, ok := d.ByKey(key)
@@ -22,37 +22,37 @@
 	is.True(!ok)
 	_, ok = d.ByKey("")
 	is.True(!ok)
-	is.Equal(d.ByName("a").EffectivePriority(2), 0) // its own goes first
+	is.Equal(d.ByName("a").EffectivePriority(2), 0) // the tenant's own priority
 	is.Equal(d.ByName("b").EffectivePriority(2), 2)
 	is.Equal(d.ByName("nobody").EffectivePriority(2), 2)
 	is.Equal(len(d.byName), 3)
 	is.Equal(len(d.byKey), 3)
 }
 
-// A wrong declaration is refused with the field's name, and no error shows a key.
-func TestWrongDeclarations(t *testing.T) {
+// Guards against errors that don't name the wrong field, or that contain a key.
+func TestInvalidDeclarations(t *testing.T) {
 	cases := map[string]struct {
 		declared []Declaration
 		field    string
 	}{
-		"no name":            {[]Declaration{{Keys: []string{"secret"}}}, "tenants[0]: name"},
-		"a name twice":       {[]Declaration{{Name: "a"}, {Name: "a"}}, "tenants[1]: name"},
-		"an empty key":       {[]Declaration{{Name: "a", Keys: []string{"secret", ""}}}, "tenants[0]: keys[1]"},
-		"a key of two":       {[]Declaration{{Name: "a", Keys: []string{"secret"}}, {Name: "b", Keys: []string{"secret"}}}, "tenants[1]: keys[0]"},
-		"a key of one twice": {[]Declaration{{Name: "a", Keys: []string{"secret", "secret"}}}, "tenants[0]: keys[1]"},
+		"empty name":                 {[]Declaration{{Keys: []string{"secret"}}}, "tenants[0]: name"},
+		"duplicate name":             {[]Declaration{{Name: "a"}, {Name: "a"}}, "tenants[1]: name"},
+		"empty key":                  {[]Declaration{{Name: "a", Keys: []string{"secret", ""}}}, "tenants[0]: keys[1]"},
+		"same key in two tenants":    {[]Declaration{{Name: "a", Keys: []string{"secret"}}, {Name: "b", Keys: []string{"secret"}}}, "tenants[1]: keys[0]"},
+		"same key twice in a tenant": {[]Declaration{{Name: "a", Keys: []string{"secret", "secret"}}}, "tenants[0]: keys[1]"},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := NewDirectory(one.declared)
+			_, err := NewDirectory(test.declared)
 			is.True(err != nil)
-			is.True(strings.HasPrefix(err.Error(), one.field))
+			is.True(strings.HasPrefix(err.Error(), test.field))
 			is.True(!strings.Contains(err.Error(), "secret"))
 		})
 	}
 }
 
-func TestADirectoryOfNoneKnowsNobody(t *testing.T) {
+func TestEmptyAndNilDirectory(t *testing.T) {
 	is := is.New(t)
 	d, err := NewDirectory(nil)
 	is.NoErr(err)
