--- a/internal/api/policy/set.go
+++ b/internal/api/policy/set.go
@@ -16,7 +16,7 @@
 	Services    map[string]Service
 	Classes     map[string]TrafficClass
 	RetryBudget RetryBudget
-	callers     apikey.Ring[Caller]
+	callers     apikey.Holders[Caller]
 	programs    map[string]*program
 
 	mu sync.Mutex
@@ -41,7 +41,7 @@
 		Trainers:     map[string]Trainer{},
 		Services:     map[string]Service{},
 		Classes:      map[string]TrafficClass{},
-		callers:      apikey.Ring[Caller]{},
+		callers:      apikey.Holders[Caller]{},
 		programs:     map[string]*program{},
 		hookFailures: map[string]uint64{},
 	}
--- a/internal/callers/apikey/apikey.go
+++ b/internal/callers/apikey/apikey.go
@@ -69,11 +69,11 @@
 // Strip removes the key from a header that goes to somebody else.
 func Strip(header http.Header) { delete(header, authorization) }
 
-// Ring holds keys, each with its holder.
-type Ring[T any] map[Digest]T
+// Holders holds keys, each with its holder.
+type Holders[T any] map[Digest]T
 
 // Add gives a key to a holder. It returns false if the key is held already.
-func (r Ring[T]) Add(digest Digest, holder T) bool {
+func (r Holders[T]) Add(digest Digest, holder T) bool {
 	if _, held := r[digest]; held {
 		return false
 	}
@@ -82,7 +82,7 @@
 }
 
 // HolderOf returns who holds a key.
-func (r Ring[T]) HolderOf(key string) (T, bool) {
+func (r Holders[T]) HolderOf(key string) (T, bool) {
 	holder, ok := r[DigestOf(key)]
 	return holder, ok
 }
--- a/internal/callers/apikey/apikey_test.go
+++ b/internal/callers/apikey/apikey_test.go
@@ -9,7 +9,7 @@
 
 func TestARingKnowsItsKeysOnly(t *testing.T) {
 	is := is.New(t)
-	ring := Ring[string]{}
+	ring := Holders[string]{}
 	is.True(ring.Add(DigestOf("one"), "a"))
 	is.True(ring.Add(DigestOf("two"), "a"))
 	is.True(!ring.Add(DigestOf("one"), "b")) // the first holder keeps it
@@ -36,7 +36,7 @@
 
 // A look-up costs the same with 5 keys as with 50,000.
 func BenchmarkHolderOf(b *testing.B) {
-	ring := Ring[int]{}
+	ring := Holders[int]{}
 	for i := range 50_000 {
 		ring.Add(DigestOf(string(rune(i))+"key"), i)
 	}
--- a/internal/callers/tenant/tenant.go
+++ b/internal/callers/tenant/tenant.go
@@ -44,14 +44,14 @@
 // Directory finds the tenants of a configuration by key and by name. It is immutable and safe for
 // concurrent use.
 type Directory struct {
-	byKey  apikey.Ring[*Tenant]
+	byKey  apikey.Holders[*Tenant]
 	byName map[string]*Tenant
 }
 
 // NewDirectory returns a directory of the declared tenants. It returns an error if a name or a key
 // is empty or declared twice; the error names the field and never contains a key.
 func NewDirectory(declared []Declaration) (*Directory, error) {
-	d := &Directory{byKey: apikey.Ring[*Tenant]{}, byName: make(map[string]*Tenant, len(declared))}
+	d := &Directory{byKey: apikey.Holders[*Tenant]{}, byName: make(map[string]*Tenant, len(declared))}
 	for i, declaration := range declared {
 		if err := d.add(declaration); err != nil {
 			return nil, errors.Wrapf(err, "tenants[%d]", i)
