--- a/internal/callers/apikey/apikey.go
+++ b/internal/callers/apikey/apikey.go
@@ -21,10 +21,10 @@
 	"github.com/pkg/errors"
 )
 
-// authorization is the header that carries a key, after the scheme.
+// authorizationHeader is the header that carries a key, after the scheme.
 const (
-	authorization = "Authorization"
-	scheme        = "Bearer "
+	authorizationHeader = "Authorization"
+	scheme              = "Bearer "
 )
 
 // errDigest is returned for a text that is no digest.
@@ -59,7 +59,7 @@
 
 // FromHeader returns the key that a request carries.
 func FromHeader(header http.Header) (key string, sent bool) {
-	text := header.Get(authorization)
+	text := header.Get(authorizationHeader)
 	if len(text) <= len(scheme) || !strings.EqualFold(text[:len(scheme)], scheme) {
 		return "", false
 	}
@@ -67,7 +67,7 @@
 }
 
 // Strip removes the key from a header that goes to somebody else.
-func Strip(header http.Header) { delete(header, authorization) }
+func Strip(header http.Header) { delete(header, authorizationHeader) }
 
 // Holders holds keys, each with its holder.
 type Holders[T any] map[Digest]T
