--- a/internal/callers/apikey/apikey.go
+++ b/internal/callers/apikey/apikey.go
@@ -21,10 +21,10 @@
 	"github.com/pkg/errors"
 )
 
-// authorizationHeader is the header that carries a key, after the scheme.
+// authorizationHeader is the header that carries a key, after the bearerPrefix.
 const (
 	authorizationHeader = "Authorization"
-	scheme              = "Bearer "
+	bearerPrefix        = "Bearer "
 )
 
 // errDigest is returned for a text that is no digest.
@@ -60,10 +60,10 @@
 // FromHeader returns the key that a request carries.
 func FromHeader(header http.Header) (key string, sent bool) {
 	text := header.Get(authorizationHeader)
-	if len(text) <= len(scheme) || !strings.EqualFold(text[:len(scheme)], scheme) {
+	if len(text) <= len(bearerPrefix) || !strings.EqualFold(text[:len(bearerPrefix)], bearerPrefix) {
 		return "", false
 	}
-	return text[len(scheme):], true
+	return text[len(bearerPrefix):], true
 }
 
 // Strip removes the key from a header that goes to somebody else.
