--- a/internal/callers/apikey/apikey.go
+++ b/internal/callers/apikey/apikey.go
@@ -30,9 +30,9 @@
 // errDigest is returned for a text that is no digest.
 var errDigest = errors.New("not 64 lower-case hexadecimal digits")
 
-// shortDigest is how many hexadecimal digits of a digest are logged: enough to tell the
+// shortDigestLength is how many hexadecimal digits of a digest are logged: enough to tell the
 // keys of one deployment apart.
-const shortDigest = 8
+const shortDigestLength = 8
 
 // Digest stands for a key.
 type Digest [sha256.Size]byte
@@ -55,7 +55,7 @@
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
 // Short returns the beginning of the digest, for logs.
-func (d Digest) Short() string { return d.String()[:shortDigest] }
+func (d Digest) Short() string { return d.String()[:shortDigestLength] }
 
 // FromHeader returns the key that a request carries.
 func FromHeader(header http.Header) (key string, sent bool) {
--- a/internal/callers/apikey/apikey_test.go
+++ b/internal/callers/apikey/apikey_test.go
@@ -47,7 +47,7 @@
 
 func TestShortDigestsTellKeysApart(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(DigestOf("a").Short()), shortDigest)
+	is.Equal(len(DigestOf("a").Short()), shortDigestLength)
 	is.True(DigestOf("a").Short() != DigestOf("b").Short())
-	is.Equal(DigestOf("a").String()[:shortDigest], DigestOf("a").Short())
+	is.Equal(DigestOf("a").String()[:shortDigestLength], DigestOf("a").Short())
 }
