--- a/internal/callers/apikey/apikey.go
+++ b/internal/callers/apikey/apikey.go
@@ -27,8 +27,8 @@
 	bearerPrefix        = "Bearer "
 )
 
-// errDigest is returned for a text that is no digest.
-var errDigest = errors.New("not 64 lower-case hexadecimal digits")
+// errInvalidDigest is returned for a text that is no digest.
+var errInvalidDigest = errors.New("not 64 lower-case hexadecimal digits")
 
 // shortDigestLength is how many hexadecimal digits of a digest are logged: enough to tell the
 // keys of one deployment apart.
@@ -45,7 +45,7 @@
 	var parsed Digest
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != len(parsed) || hex.EncodeToString(decoded) != text {
-		return Digest{}, errDigest
+		return Digest{}, errInvalidDigest
 	}
 	copy(parsed[:], decoded)
 	return parsed, nil
