--- a/internal/callers/apikey/apikey.go
+++ b/internal/callers/apikey/apikey.go
@@ -66,8 +66,8 @@
 	return text[len(bearerPrefix):], true
 }
 
-// Strip removes the key from a header that goes to somebody else.
-func Strip(header http.Header) { delete(header, authorizationHeader) }
+// RemoveFromHeader removes the key from a header that goes to somebody else.
+func RemoveFromHeader(header http.Header) { delete(header, authorizationHeader) }
 
 // Holders holds keys, each with its holder.
 type Holders[T any] map[Digest]T
--- a/internal/callers/apikey/apikey_test.go
+++ b/internal/callers/apikey/apikey_test.go
@@ -30,7 +30,7 @@
 		is.Equal(sent, want != "")
 	}
 	header := http.Header{"Authorization": {"Bearer k"}, "Other": {"x"}}
-	Strip(header)
+	RemoveFromHeader(header)
 	is.Equal(header, http.Header{"Other": {"x"}})
 }
 
--- a/internal/requests/headers/headers.go
+++ b/internal/requests/headers/headers.go
@@ -54,7 +54,7 @@
 	if names.Tenant == "" {
 		return
 	}
-	apikey.Strip(header)
+	apikey.RemoveFromHeader(header)
 	delete(header, http.CanonicalHeaderKey(names.Tenant))
 	if tenant != "" {
 		header[http.CanonicalHeaderKey(names.Tenant)] = []string{tenant}
