--- a/internal/callers/apikey/apikey.go
+++ b/internal/callers/apikey/apikey.go
@@ -1,15 +1,15 @@
-// Package apikey finds who holds an API key.
+// Package apikey maps API keys to their holders.
 //
-// Keys are secrets: they are kept and looked up as SHA-256 digests only. A look-up
-// takes the same time however many keys there are, and its timing tells nothing about
-// the keys that are held, as who guesses cannot choose the digest of a guess.
+// Keys are secrets: only their SHA-256 digests are stored and compared. The time of a lookup
+// doesn't depend on the number of keys, and it reveals nothing useful about the stored keys,
+// as an attacker can't choose the digest of a guess.
 //
 // # Usage
 //
-//	ring := apikey.Ring[string]{}
-//	if !ring.Add(apikey.DigestOf(key), "operator") { ... } // the key is held already
+//	holders := apikey.Holders[string]{}
+//	if !holders.Add(apikey.DigestOf(key), "operator") { ... } // the key already has a holder
 //	key, sent := apikey.FromHeader(r.Header)
-//	holder, known := ring.HolderOf(key)
+//	holder, known := holders.HolderOf(key)
 package apikey
 
 import (
@@ -21,26 +21,27 @@
 	"github.com/pkg/errors"
 )
 
-// authorizationHeader is the header that carries a key, after the bearerPrefix.
+// The key follows the prefix in the header, as in "Authorization: Bearer KEY".
 const (
 	authorizationHeader = "Authorization"
 	bearerPrefix        = "Bearer "
 )
 
-// errInvalidDigest is returned for a text that is no digest.
+// errInvalidDigest is the error of ParseDigest.
 var errInvalidDigest = errors.New("not 64 lower-case hexadecimal digits")
 
-// shortDigestLength is how many hexadecimal digits of a digest are logged: enough to tell the
-// keys of one deployment apart.
+// shortDigestLength is the number of hexadecimal digits of a shortened digest: enough to
+// distinguish the keys of one deployment.
 const shortDigestLength = 8
 
-// Digest stands for a key.
+// Digest is the SHA-256 digest of a key.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// ParseDigest reads a digest as String writes it.
+// ParseDigest parses a digest in the form that String returns. It accepts no other form, such as
+// upper-case digits.
 func ParseDigest(text string) (Digest, error) {
 	var parsed Digest
 	decoded, err := hex.DecodeString(text)
@@ -51,13 +52,14 @@
 	return parsed, nil
 }
 
-// String returns the whole digest as lower-case hexadecimal digits.
+// String returns the digest as 64 lower-case hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Short returns the beginning of the digest, for logs.
+// Short returns the first digits of String, to identify a key in logs and errors.
 func (d Digest) Short() string { return d.String()[:shortDigestLength] }
 
-// FromHeader returns the key that a request carries.
+// FromHeader returns the bearer key in the Authorization header of a request. The result sent is
+// false if there is none; the scheme isn't case-sensitive.
 func FromHeader(header http.Header) (key string, sent bool) {
 	text := header.Get(authorizationHeader)
 	if len(text) <= len(bearerPrefix) || !strings.EqualFold(text[:len(bearerPrefix)], bearerPrefix) {
@@ -66,23 +68,25 @@
 	return text[len(bearerPrefix):], true
 }
 
-// RemoveFromHeader removes the key from a header that goes to somebody else.
+// RemoveFromHeader removes the key from a request's header, before the request is forwarded.
 func RemoveFromHeader(header http.Header) { delete(header, authorizationHeader) }
 
-// Holders holds keys, each with its holder.
+// Holders maps the digests of keys to the holders of the keys. It is not safe for concurrent use
+// with Add.
 type Holders[T any] map[Digest]T
 
-// Add gives a key to a holder. It returns false if the key is held already.
-func (r Holders[T]) Add(digest Digest, holder T) bool {
-	if _, held := r[digest]; held {
+// Add registers a key for a holder. It returns false and changes nothing if the key already has a
+// holder.
+func (h Holders[T]) Add(digest Digest, holder T) bool {
+	if _, exists := h[digest]; exists {
 		return false
 	}
-	r[digest] = holder
+	h[digest] = holder
 	return true
 }
 
-// HolderOf returns who holds a key.
-func (r Holders[T]) HolderOf(key string) (T, bool) {
-	holder, ok := r[DigestOf(key)]
+// HolderOf returns the holder of a key, and whether it has one.
+func (h Holders[T]) HolderOf(key string) (T, bool) {
+	holder, ok := h[DigestOf(key)]
 	return holder, ok
 }
--- a/internal/callers/apikey/apikey_test.go
+++ b/internal/callers/apikey/apikey_test.go
@@ -7,22 +7,22 @@
 	"github.com/matryer/is"
 )
 
-func TestARingKnowsItsKeysOnly(t *testing.T) {
+func TestHolders(t *testing.T) {
 	is := is.New(t)
-	ring := Holders[string]{}
-	is.True(ring.Add(DigestOf("one"), "a"))
-	is.True(ring.Add(DigestOf("two"), "a"))
-	is.True(!ring.Add(DigestOf("one"), "b")) // the first holder keeps it
-	holder, ok := ring.HolderOf("one")
+	holders := Holders[string]{}
+	is.True(holders.Add(DigestOf("one"), "a"))
+	is.True(holders.Add(DigestOf("two"), "a"))
+	is.True(!holders.Add(DigestOf("one"), "b")) // the key keeps its first holder
+	holder, ok := holders.HolderOf("one")
 	is.True(ok)
 	is.Equal(holder, "a")
-	_, ok = ring.HolderOf("three")
+	_, ok = holders.HolderOf("three")
 	is.True(!ok)
-	_, ok = ring.HolderOf("")
+	_, ok = holders.HolderOf("")
 	is.True(!ok)
 }
 
-func TestTheKeyOfARequest(t *testing.T) {
+func TestKeyInHeader(t *testing.T) {
 	is := is.New(t)
 	for text, want := range map[string]string{"Bearer k": "k", "bearer k": "k", "Bearer ": "", "Basic k": "", "": "", "k": ""} {
 		key, sent := FromHeader(http.Header{"Authorization": {text}})
@@ -34,18 +34,18 @@
 	is.Equal(header, http.Header{"Other": {"x"}})
 }
 
-// A look-up costs the same with 5 keys as with 50,000.
+// Measures a lookup among many keys, whose time must not depend on their number.
 func BenchmarkHolderOf(b *testing.B) {
-	ring := Holders[int]{}
+	holders := Holders[int]{}
 	for i := range 50_000 {
-		ring.Add(DigestOf(string(rune(i))+"key"), i)
+		holders.Add(DigestOf(string(rune(i))+"key"), i)
 	}
 	for b.Loop() {
-		ring.HolderOf("key of nobody")
+		holders.HolderOf("key of nobody")
 	}
 }
 
-func TestShortDigestsTellKeysApart(t *testing.T) {
+func TestShortDigest(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(DigestOf("a").Short()), shortDigestLength)
 	is.True(DigestOf("a").Short() != DigestOf("b").Short())
