--- a/internal/api/policy/policy.go
+++ b/internal/api/policy/policy.go
@@ -24,11 +24,11 @@
 	"woodworks/internal/callers/apikey"
 )
 
-// Audience is the listener that serves a service or a caller.
+// Audience determines which listeners serve a service or a caller.
 type Audience string
 
-// The audiences. A public service is reachable on both listeners, an internal
-// one only on the internal listener.
+// The audiences. Public services and callers are served on both listeners, internal ones only on
+// the internal listener.
 const (
 	Public   Audience = "public"
 	Internal Audience = "internal"
