--- a/internal/api/standalone/standalone.go
+++ b/internal/api/standalone/standalone.go
@@ -43,12 +43,12 @@
 	return node.Drivers{
 		Journal: log, Decoder: decoder, Engines: engines{replicas}, Codec: codec{}, Headers: HeaderNames(),
 		OperatorRecords: operator.RecordsPartition, ReplicaRecords: operator.MachinesPartition,
-		Interface: func(parts node.Parts) node.Interface { return interfaceOf(parts, decoder) },
+		Interface: func(parts node.Deps) node.Interface { return interfaceOf(parts, decoder) },
 	}, nil
 }
 
 // interfaceOf makes the /v1/ interface of a daemon.
-func interfaceOf(parts node.Parts, decoder *Decoder) node.Interface {
+func interfaceOf(parts node.Deps, decoder *Decoder) node.Interface {
 	names := HeaderNames()
 	parts.Ingress.Retries = &retries{decoder: decoder, configuration: parts.Operator.Configuration}
 	newID := idsOf(parts.Identity)
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -153,7 +153,7 @@
 	if drivers.Interface == nil {
 		return
 	}
-	handlers := drivers.Interface(Parts{
+	handlers := drivers.Interface(Deps{
 		Settings: n.settings, Identity: n.identity, Journal: drivers.Journal, Operator: n.operator, Replicas: n.table,
 		Results: n.results, Runner: n.runner, Ingress: n.handler, Metrics: n.metrics, Logger: n.logger, Ready: n.ready,
 		ConfigurationAge: n.configurationAge, Stopping: n.shutdown.Begun(),
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -91,11 +91,11 @@
 	Duties duty.Driver
 	// Interface, if not nil, makes the handlers for callers from the parts of
 	// the daemon. Without it clients speak to the ingress as it is.
-	Interface func(parts Parts) Interface
+	Interface func(parts Deps) Interface
 }
 
-// Parts are what an interface for callers is made of.
-type Parts struct {
+// Deps are what an interface for callers is made of.
+type Deps struct {
 	Settings settings.Settings
 	Identity string
 	Journal  journal.Journal
