--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -124,7 +124,7 @@
 func (n *Node) buildResults(grants journal.RateLimits) {
 	var peers results.Peers
 	if n.relay != nil {
-		peers = knownPeers{n.relay, n.peerFollower}
+		peers = syncedPeers{n.relay, n.peerFollower}
 	}
 	n.results = results.NewReader(n.ledger, n.member, peers, grants, n.identity, n.logger)
 	n.results.SetObserver(n.metrics.Question)
@@ -169,16 +169,16 @@
 	}
 }
 
-// knownPeers are the peers, whose number is told as 0 until their list has been read: a daemon
+// syncedPeers are the peers, whose number is told as 0 until their list has been read: a daemon
 // that has just started would take itself for the only one, and all that the journal sends for its
 // own.
-type knownPeers struct {
+type syncedPeers struct {
 	*relay.Journal
 	list *journal.KeyedFollower
 }
 
 // Daemons implements results.Peers.
-func (k knownPeers) Daemons() int {
+func (k syncedPeers) Daemons() int {
 	if !k.list.Synced() {
 		return 0
 	}
