--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -57,9 +57,9 @@
 const (
 	// sweepInterval is the time between two clean-ups of what is not used.
 	sweepInterval = time.Second
-	// contactLimit is how long the journal may be silent before this daemon
+	// maxJournalSilence is how long the journal may be silent before this daemon
 	// calls itself not ready.
-	contactLimit = 1500 * time.Millisecond
+	maxJournalSilence = 1500 * time.Millisecond
 	// peerContact is within which time the list of peers is up to date after an
 	// outage. It changes only as machines come, so that its reads are held for long:
 	// each daemon makes them.
--- a/internal/daemon/node/ready.go
+++ b/internal/daemon/node/ready.go
@@ -11,7 +11,7 @@
 		return false, "no configuration is known"
 	case !n.replicaFollower.Synced():
 		return false, "the list of replicas has not been read"
-	case n.silence() > contactLimit:
+	case n.silence() > maxJournalSilence:
 		return false, "the journal is silent"
 	}
 	return true, ""
