--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -79,7 +79,7 @@
 	n.table.OnRestart(n.pool.CloseIdle)
 	n.operator = catalog.NewOperatorState(drivers.Decoder, n.public.configured, n.logger)
 	n.operatorFollower = journal.NewKeyedFollower(log, drivers.OperatorRecords, n.operator, contact, n.logger)
-	n.operatorFollower.SetInterval(n.readInterval(operatorReadShare))
+	n.operatorFollower.SetInterval(n.readInterval(operatorReadFraction))
 	directory := catalog.NewReplicaDirectory(drivers.Decoder, n.table, n.logger)
 	n.replicaFollower = journal.NewKeyedFollower(log, drivers.ReplicaRecords, directory, contact, n.logger)
 	n.replicaFollower.SetInterval(n.readInterval(replicaReadShare))
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -64,13 +64,13 @@
 	// outage. It changes only as machines come, so that its reads are held for long:
 	// each daemon makes them.
 	peerListMaxAge = 30 * time.Second
-	// operatorReadShare, replicaReadShare and peerReadShare are the parts of the reads
+	// operatorReadFraction, replicaReadShare and peerReadShare are the parts of the reads
 	// that the journal grants which all daemons together use to follow the operator's
 	// records, the replicas' and the peers'. Half of the reads and more are left for
 	// batches.
-	operatorReadShare = 0.1
-	replicaReadShare  = 0.1
-	peerReadShare     = 0.02
+	operatorReadFraction = 0.1
+	replicaReadShare     = 0.1
+	peerReadShare        = 0.02
 	// connectTimeout bounds the making of a connection to a replica.
 	connectTimeout = 400 * time.Millisecond
 	// unackedTimeout is how long sent bytes may lack an acknowledgement before a connection
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -298,7 +298,7 @@
 	b.member = group.New(own, b.run, append(ledger.TopicNames(), runner.RunnersTopic), logger)
 	b.reader = results.NewReader(b.batches, b.member, all, own.RateLimits(), b.run, logger)
 	follower := journal.NewKeyedFollower(own, startTopic, b.applied, settings.Defaults().Timing.ContactBound.Std(), logger)
-	follower.SetInterval(journal.SharedInterval(own.RateLimits().ReadsPerSecond*operatorReadShare, all.Daemons))
+	follower.SetInterval(journal.SharedInterval(own.RateLimits().ReadsPerSecond*operatorReadFraction, all.Daemons))
 	forwarder := &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Names: headers.Names{}, Quarantine: quarantine.New(b.run, time.Now, logger), Table: replica.NewTable(time.Second, logger), Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
 	jobs := runner.New(ctx, b.run, b.batches, forwarder, nil, nil, runner.NewAssigner(own, b.member, b.run, logger), b.reader, logger)
 	time.AfterFunc(after, func() {
