--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -82,7 +82,7 @@
 	n.operatorFollower.SetInterval(n.readInterval(operatorReadFraction))
 	directory := catalog.NewReplicaDirectory(drivers.Decoder, n.table, n.logger)
 	n.replicaFollower = journal.NewKeyedFollower(log, drivers.ReplicaRecords, directory, contact, n.logger)
-	n.replicaFollower.SetInterval(n.readInterval(replicaReadShare))
+	n.replicaFollower.SetInterval(n.readInterval(replicaReadFraction))
 }
 
 // newForwarder returns what sends requests to replicas.
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -69,7 +69,7 @@
 	// records, the replicas' and the peers'. Half of the reads and more are left for
 	// batches.
 	operatorReadFraction = 0.1
-	replicaReadShare     = 0.1
+	replicaReadFraction  = 0.1
 	peerReadShare        = 0.02
 	// connectTimeout bounds the making of a connection to a replica.
 	connectTimeout = 400 * time.Millisecond
