--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -70,7 +70,7 @@
 	// batches.
 	operatorReadFraction = 0.1
 	replicaReadFraction  = 0.1
-	peerReadShare        = 0.02
+	peerReadFraction     = 0.02
 	// connectTimeout bounds the making of a connection to a replica.
 	connectTimeout = 400 * time.Millisecond
 	// unackedTimeout is how long sent bytes may lack an acknowledgement before a connection
--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -30,7 +30,7 @@
 		n.relay.Register(quarantine.ServiceName, quarantine.NewService(table))
 	}
 	parts.follower = journal.NewKeyedFollower(log, quarantine.Partition, parts.recorder, contact, n.logger)
-	parts.follower.SetInterval(n.readInterval(peerReadShare))
+	parts.follower.SetInterval(n.readInterval(peerReadFraction))
 	return parts
 }
 
