--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// usageWriteShare is the part of the writes that the journal grants which all
+	// usageWriteFraction is the part of the writes that the journal grants which all
 	// daemons together use to tell what tenants used.
-	usageWriteShare = 0.2
+	usageWriteFraction = 0.2
 	// flushPause is the time between two tries to write the last counts of usage.
 	flushPause = 200 * time.Millisecond
 )
@@ -38,7 +38,7 @@
 		return
 	}
 	clock := wallclock.New(bootclock.Now)
-	interval := journal.SharedInterval(n.journal.RateLimits().WritesPerSecond*usageWriteShare, n.daemons)
+	interval := journal.SharedInterval(n.journal.RateLimits().WritesPerSecond*usageWriteFraction, n.daemons)
 	n.usage = usage.NewRecorder(drivers.Journal, n.identity, windows, interval, clock, n.logger)
 	n.handler.OnRun = n.usage.Ran
 	n.reporter = usage.NewReporter(drivers.Journal, n.lease, drivers.Duties, n.settings.Name, windows, clock, n.logger)
