--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -18,8 +18,8 @@
 	// usageWriteFraction is the part of the writes that the journal grants which all
 	// daemons together use to tell what tenants used.
 	usageWriteFraction = 0.2
-	// flushPause is the time between two tries to write the last counts of usage.
-	flushPause = 200 * time.Millisecond
+	// flushRetryDelay is the time between two tries to write the last counts of usage.
+	flushRetryDelay = 200 * time.Millisecond
 )
 
 // buildDuties makes what the platform expects of one daemon at a time.
@@ -73,6 +73,6 @@
 // context ends: with this daemon it would be lost.
 func (n *Node) flushUsage(ctx context.Context) {
 	for n.usage != nil && ctx.Err() == nil && n.usage.Flush(ctx) != nil {
-		periodic.Pause(ctx, flushPause)
+		periodic.Pause(ctx, flushRetryDelay)
 	}
 }
