--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -14,9 +14,9 @@
 	longestKeep = 5 * time.Second
 	// leastKeep is the least that an answer can tell, which it does in whole seconds.
 	leastKeep = time.Second
-	// keepShare is the part of the idle limit after which clients take up no connection:
+	// keepAliveFraction is the part of the idle limit after which clients take up no connection:
 	// the rest is for a request on its way.
-	keepShare = 0.8
+	keepAliveFraction = 0.8
 	// lateTime is how much later than it was told to a client's request may arrive:
 	// its way, and a client or a daemon that is slow to run.
 	lateTime = time.Second
@@ -83,7 +83,7 @@
 		header.Set("Connection", "close")
 		return
 	}
-	kept := min(keep, time.Duration(keepShare*float64(l.conns.limits.Load().idle)))
+	kept := min(keep, time.Duration(keepAliveFraction*float64(l.conns.limits.Load().idle)))
 	if seconds := int(kept / time.Second); seconds > 0 {
 		header.Set("Keep-Alive", "timeout="+strconv.Itoa(seconds))
 	}
