--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// longestKeep is the longest that an answer tells a client to keep its connection
+	// maxKeepAlive is the longest that an answer tells a client to keep its connection
 	// for another request. A planned stop waits for that long, so that it costs a stop
 	// time; a client that comes more seldom makes a connection for each request, a round
 	// trip. Five seconds are also what Node.js keeps connections for.
-	longestKeep = 5 * time.Second
+	maxKeepAlive = 5 * time.Second
 	// leastKeep is the least that an answer can tell, which it does in whole seconds.
 	leastKeep = time.Second
 	// keepAliveFraction is the part of the idle limit after which clients take up no connection:
@@ -26,7 +26,7 @@
 // connections that they keep can be closed before, when the last request may have come. It
 // is 0 where the grace is too short to keep any.
 func keepFor(interrupt time.Duration) time.Duration {
-	keep := min(longestKeep, interrupt-lateTime)
+	keep := min(maxKeepAlive, interrupt-lateTime)
 	if keep < leastKeep {
 		return 0
 	}
--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -56,7 +56,7 @@
 
 func newClientListener(planned *shutdown.Stop, logger *zap.Logger) *clientListener {
 	l := &clientListener{logger: logger, conns: newClientConns(), planned: planned}
-	l.keep.Store(int64(longestKeep))
+	l.keep.Store(int64(maxKeepAlive))
 	return l
 }
 
--- a/internal/daemon/node/stop_test.go
+++ b/internal/daemon/node/stop_test.go
@@ -36,7 +36,7 @@
 	is.True(b.handler.Stop == b.shutdown)
 	is.True(b.public.planned == b.shutdown)
 	is.True(b.private.planned == b.shutdown)
-	is.Equal(b.public.longestKept(), longestKeep)
+	is.Equal(b.public.longestKept(), maxKeepAlive)
 	b.SetStopGrace(4 * time.Second)
 	is.Equal(b.public.longestKept(), 2*time.Second)
 	is.Equal(b.private.longestKept(), 2*time.Second)
