--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -12,8 +12,8 @@
 	// time; a client that comes more seldom makes a connection for each request, a round
 	// trip. Five seconds are also what Node.js keeps connections for.
 	maxKeepAlive = 5 * time.Second
-	// leastKeep is the least that an answer can tell, which it does in whole seconds.
-	leastKeep = time.Second
+	// minKeepAlive is the least that an answer can tell, which it does in whole seconds.
+	minKeepAlive = time.Second
 	// keepAliveFraction is the part of the idle limit after which clients take up no connection:
 	// the rest is for a request on its way.
 	keepAliveFraction = 0.8
@@ -27,10 +27,10 @@
 // is 0 where the grace is too short to keep any.
 func keepFor(interrupt time.Duration) time.Duration {
 	keep := min(maxKeepAlive, interrupt-lateTime)
-	if keep < leastKeep {
+	if keep < minKeepAlive {
 		return 0
 	}
-	return keep.Truncate(leastKeep)
+	return keep.Truncate(minKeepAlive)
 }
 
 // answer is the answer to a request. What it tells of its connection is decided when its
