--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -17,16 +17,16 @@
 	// keepAliveFraction is the part of the idle limit after which clients take up no connection:
 	// the rest is for a request on its way.
 	keepAliveFraction = 0.8
-	// lateTime is how much later than it was told to a client's request may arrive:
+	// requestDelayMargin is how much later than it was told to a client's request may arrive:
 	// its way, and a client or a daemon that is slow to run.
-	lateTime = time.Second
+	requestDelayMargin = time.Second
 )
 
 // keepFor is what answers tell clients where a stop interrupts requests after a while: all
 // connections that they keep can be closed before, when the last request may have come. It
 // is 0 where the grace is too short to keep any.
 func keepFor(interrupt time.Duration) time.Duration {
-	keep := min(maxKeepAlive, interrupt-lateTime)
+	keep := min(maxKeepAlive, interrupt-requestDelayMargin)
 	if keep < minKeepAlive {
 		return 0
 	}
