--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -22,10 +22,10 @@
 	requestDelayMargin = time.Second
 )
 
-// keepFor is what answers tell clients where a stop interrupts requests after a while: all
+// keepAliveForStop is what answers tell clients where a stop interrupts requests after a while: all
 // connections that they keep can be closed before, when the last request may have come. It
 // is 0 where the grace is too short to keep any.
-func keepFor(interrupt time.Duration) time.Duration {
+func keepAliveForStop(interrupt time.Duration) time.Duration {
 	keep := min(maxKeepAlive, interrupt-requestDelayMargin)
 	if keep < minKeepAlive {
 		return 0
--- a/internal/daemon/node/keepalive_test.go
+++ b/internal/daemon/node/keepalive_test.go
@@ -33,7 +33,7 @@
 	for grace, keep := range map[time.Duration]time.Duration{
 		2 * time.Minute: 5 * time.Second, 8 * time.Second: 5 * time.Second, 5 * time.Second: 3 * time.Second, 2 * time.Second: 0,
 	} {
-		is.Equal(keepFor(shutdown.PlanOf(grace).Interrupt), keep)
+		is.Equal(keepAliveForStop(shutdown.PlanOf(grace).Interrupt), keep)
 	}
 }
 
--- a/internal/daemon/node/stop.go
+++ b/internal/daemon/node/stop.go
@@ -13,7 +13,7 @@
 // SetStopGrace sets how long a planned stop may take, for one that has not begun.
 func (n *Node) SetStopGrace(grace time.Duration) {
 	n.grace.Store(int64(grace))
-	keep := int64(keepFor(shutdown.PlanOf(grace).Interrupt))
+	keep := int64(keepAliveForStop(shutdown.PlanOf(grace).Interrupt))
 	n.public.keep.Store(keep)
 	n.private.keep.Store(keep)
 }
