--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -74,11 +74,11 @@
 // Unwrap lets http.ResponseController reach the real writer.
 func (a *answer) Unwrap() http.ResponseWriter { return a.ResponseWriter }
 
-func (l *clientListener) longestKept() time.Duration { return time.Duration(l.keep.Load()) }
+func (l *clientListener) keepAliveLimit() time.Duration { return time.Duration(l.keep.Load()) }
 
 // tellConnection says in an answer's head what becomes of its connection.
 func (l *clientListener) tellConnection(header http.Header) {
-	keep := l.longestKept()
+	keep := l.keepAliveLimit()
 	if l.draining.Load() || keep == 0 {
 		header.Set("Connection", "close")
 		return
--- a/internal/daemon/node/listenerstop.go
+++ b/internal/daemon/node/listenerstop.go
@@ -54,7 +54,7 @@
 // closeUnused closes connections once their clients can't have kept them, until none is
 // open or the context ends.
 func (l *clientListener) closeUnused(ctx context.Context) {
-	unused := l.longestKept() + requestDelayMargin
+	unused := l.keepAliveLimit() + requestDelayMargin
 	for l.conns.closeQuiet(time.Now().Add(-unused)) > 0 && ctx.Err() == nil {
 		l.conns.closeStalled(time.Now())
 		periodic.Pause(ctx, closePause)
