--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -48,7 +48,7 @@
 		return
 	}
 	a.begun = true
-	a.listener.tellConnection(a.Header())
+	a.listener.setConnectionHeader(a.Header())
 }
 
 // WriteHeader implements http.ResponseWriter.
@@ -76,8 +76,8 @@
 
 func (l *clientListener) keepAliveLimit() time.Duration { return time.Duration(l.keep.Load()) }
 
-// tellConnection says in an answer's head what becomes of its connection.
-func (l *clientListener) tellConnection(header http.Header) {
+// setConnectionHeader says in an answer's head what becomes of its connection.
+func (l *clientListener) setConnectionHeader(header http.Header) {
 	keep := l.keepAliveLimit()
 	if l.draining.Load() || keep == 0 {
 		header.Set("Connection", "close")
