--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -42,8 +42,8 @@
 	begun    bool
 }
 
-// begin completes the head if it is not written yet.
-func (a *answer) begin() {
+// prepareHeader completes the head if it is not written yet.
+func (a *answer) prepareHeader() {
 	if a.begun {
 		return
 	}
@@ -54,20 +54,20 @@
 // WriteHeader implements http.ResponseWriter.
 func (a *answer) WriteHeader(status int) {
 	if status >= http.StatusOK {
-		a.begin()
+		a.prepareHeader()
 	}
 	a.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
 func (a *answer) Write(p []byte) (int, error) {
-	a.begin()
+	a.prepareHeader()
 	return a.ResponseWriter.Write(p)
 }
 
 // FlushError lets http.ResponseController flush.
 func (a *answer) FlushError() error {
-	a.begin()
+	a.prepareHeader()
 	return http.NewResponseController(a.ResponseWriter).Flush()
 }
 
--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -73,7 +73,7 @@
 	defer release()
 	a := &answer{ResponseWriter: w, listener: l}
 	l.handler.ServeHTTP(a, r.WithContext(ctx))
-	a.begin()
+	a.prepareHeader()
 }
 
 // listen binds the address and serves it.
