--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -38,16 +38,16 @@
 // which would otherwise rest and have to be closed under its client.
 type answer struct {
 	http.ResponseWriter
-	listener *clientListener
-	begun    bool
+	listener       *clientListener
+	headerPrepared bool
 }
 
 // prepareHeader completes the head if it is not written yet.
 func (a *answer) prepareHeader() {
-	if a.begun {
+	if a.headerPrepared {
 		return
 	}
-	a.begun = true
+	a.headerPrepared = true
 	a.listener.setConnectionHeader(a.Header())
 }
 
