--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -33,17 +33,17 @@
 	return keep.Truncate(minKeepAlive)
 }
 
-// answer is the answer to a request. What it tells of its connection is decided when its
+// responseWriter is the responseWriter to a request. What it tells of its connection is decided when its
 // head is written: a request that was under way when a stop began ends its connection,
 // which would otherwise rest and have to be closed under its client.
-type answer struct {
+type responseWriter struct {
 	http.ResponseWriter
 	listener       *clientListener
 	headerPrepared bool
 }
 
 // prepareHeader completes the head if it is not written yet.
-func (a *answer) prepareHeader() {
+func (a *responseWriter) prepareHeader() {
 	if a.headerPrepared {
 		return
 	}
@@ -52,7 +52,7 @@
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (a *answer) WriteHeader(status int) {
+func (a *responseWriter) WriteHeader(status int) {
 	if status >= http.StatusOK {
 		a.prepareHeader()
 	}
@@ -60,19 +60,19 @@
 }
 
 // Write implements http.ResponseWriter.
-func (a *answer) Write(p []byte) (int, error) {
+func (a *responseWriter) Write(p []byte) (int, error) {
 	a.prepareHeader()
 	return a.ResponseWriter.Write(p)
 }
 
 // FlushError lets http.ResponseController flush.
-func (a *answer) FlushError() error {
+func (a *responseWriter) FlushError() error {
 	a.prepareHeader()
 	return http.NewResponseController(a.ResponseWriter).Flush()
 }
 
 // Unwrap lets http.ResponseController reach the real writer.
-func (a *answer) Unwrap() http.ResponseWriter { return a.ResponseWriter }
+func (a *responseWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
 
 func (l *clientListener) keepAliveLimit() time.Duration { return time.Duration(l.keep.Load()) }
 
--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -71,7 +71,7 @@
 	}
 	ctx, release := l.planned.Bound(r.Context())
 	defer release()
-	a := &answer{ResponseWriter: w, listener: l}
+	a := &responseWriter{ResponseWriter: w, listener: l}
 	l.handler.ServeHTTP(a, r.WithContext(ctx))
 	a.prepareHeader()
 }
