--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -21,9 +21,9 @@
 	defaultHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout   = 30 * time.Second
 	defaultHeaderBytes   = 32 << 10
-	// acceptPause is the time between two tries to accept where the first has failed, as
+	// acceptRetryDelay is the time between two tries to accept where the first has failed, as
 	// for lack of descriptors.
-	acceptPause = 20 * time.Millisecond
+	acceptRetryDelay = 20 * time.Millisecond
 )
 
 // clientListener is the listener for clients. It stands on net/http's server and
@@ -104,7 +104,7 @@
 				return
 			}
 			l.logger.Warn("connection of a client not accepted", zap.Error(err))
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		l.take(conn)
