--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -37,8 +37,8 @@
 	handler http.Handler
 	logger  *zap.Logger
 	conns   *clientConns
-	// planned is the planned stop of the daemon, which interrupts requests at its end.
-	planned *shutdown.Stop
+	// plannedStop is the plannedStop stop of the daemon, which interrupts requests at its end.
+	plannedStop *shutdown.Stop
 	// draining makes each answer the last one of its connection.
 	draining atomic.Bool
 	// keep is the longest that an answer tells a client to keep its connection, a time.Duration.
@@ -55,7 +55,7 @@
 }
 
 func newClientListener(planned *shutdown.Stop, logger *zap.Logger) *clientListener {
-	l := &clientListener{logger: logger, conns: newClientConns(), planned: planned}
+	l := &clientListener{logger: logger, conns: newClientConns(), plannedStop: planned}
 	l.keep.Store(int64(maxKeepAlive))
 	return l
 }
@@ -69,7 +69,7 @@
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Time{}); err != nil {
 		l.logger.Debug("writes to the client's connection keep their bound", zap.Error(err))
 	}
-	ctx, release := l.planned.Bound(r.Context())
+	ctx, release := l.plannedStop.Bound(r.Context())
 	defer release()
 	a := &responseWriter{ResponseWriter: w, listener: l}
 	l.handler.ServeHTTP(a, r.WithContext(ctx))
--- a/internal/daemon/node/listenerstop.go
+++ b/internal/daemon/node/listenerstop.go
@@ -27,7 +27,7 @@
 // body ended late in it.
 func (l *clientListener) stop(ctx context.Context) {
 	l.drain()
-	periodic.Pause(ctx, l.planned.Plan().Drain)
+	periodic.Pause(ctx, l.plannedStop.Plan().Drain)
 	l.closeUnused(ctx)
 	l.shutdown(ctx)
 }
@@ -83,8 +83,8 @@
 // time: its client is sending a request, which is turned away.
 func (l *clientListener) interrupt() {
 	under := len(l.conns.all())
-	l.planned.Interrupt()
-	within := l.planned.Plan().Answer
+	l.plannedStop.Interrupt()
+	within := l.plannedStop.Plan().Answer
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	for l.conns.closeQuiet(time.Now().Add(-within/2)) > 0 && ctx.Err() == nil {
