--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -74,7 +74,7 @@
 // Unwrap lets http.ResponseController reach the real writer.
 func (a *responseWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
 
-func (l *clientListener) keepAliveLimit() time.Duration { return time.Duration(l.keep.Load()) }
+func (l *clientListener) keepAliveLimit() time.Duration { return time.Duration(l.keepAlive.Load()) }
 
 // setConnectionHeader says in an answer's head what becomes of its connection.
 func (l *clientListener) setConnectionHeader(header http.Header) {
--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -41,8 +41,8 @@
 	plannedStop *shutdown.Stop
 	// draining makes each answer the last one of its connection.
 	draining atomic.Bool
-	// keep is the longest that an answer tells a client to keep its connection, a time.Duration.
-	keep atomic.Int64
+	// keepAlive is the longest that an answer tells a client to keepAlive its connection, a time.Duration.
+	keepAlive atomic.Int64
 
 	mu       sync.Mutex
 	limits   route.Limits
@@ -56,7 +56,7 @@
 
 func newClientListener(planned *shutdown.Stop, logger *zap.Logger) *clientListener {
 	l := &clientListener{logger: logger, conns: newClientConns(), plannedStop: planned}
-	l.keep.Store(int64(maxKeepAlive))
+	l.keepAlive.Store(int64(maxKeepAlive))
 	return l
 }
 
--- a/internal/daemon/node/stop.go
+++ b/internal/daemon/node/stop.go
@@ -14,8 +14,8 @@
 func (n *Node) SetStopGrace(grace time.Duration) {
 	n.grace.Store(int64(grace))
 	keep := int64(keepAliveForStop(shutdown.PlanOf(grace).Interrupt))
-	n.public.keep.Store(keep)
-	n.private.keep.Store(keep)
+	n.public.keepAlive.Store(keep)
+	n.private.keepAlive.Store(keep)
 }
 
 // Stop takes no more work, hands batches over, finishes what is under way and
