--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -107,12 +107,12 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		l.take(conn)
+		l.enqueue(conn)
 	}
 }
 
-// take gives a connection to the server in force.
-func (l *clientListener) take(conn net.Conn) {
+// enqueue gives a connection to the server in force.
+func (l *clientListener) enqueue(conn net.Conn) {
 	l.mu.Lock()
 	target := l.queue
 	l.mu.Unlock()
--- a/internal/daemon/node/listenerstop.go
+++ b/internal/daemon/node/listenerstop.go
@@ -71,7 +71,7 @@
 	}
 	waiting, err := stopListening(bound)
 	for _, conn := range waiting {
-		l.take(conn)
+		l.enqueue(conn)
 	}
 	_ = bound.Close() // it takes no more connections, whatever this says
 	l.accepting.Wait()
