--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -77,7 +77,7 @@
 	log, contact := drivers.Journal, n.settings.Timing.ContactBound.Std()
 	n.table = replica.NewTable(n.settings.Timing.DrainBound.Std(), n.logger)
 	n.table.OnRestart(n.pool.CloseIdle)
-	n.operator = catalog.NewOperatorState(drivers.Decoder, n.public.configured, n.logger)
+	n.operator = catalog.NewOperatorState(drivers.Decoder, n.public.applyConfiguration, n.logger)
 	n.operatorFollower = journal.NewKeyedFollower(log, drivers.OperatorRecords, n.operator, contact, n.logger)
 	n.operatorFollower.SetInterval(n.readInterval(operatorReadFraction))
 	directory := catalog.NewReplicaDirectory(drivers.Decoder, n.table, n.logger)
--- a/internal/daemon/node/clientconn_test.go
+++ b/internal/daemon/node/clientconn_test.go
@@ -27,7 +27,7 @@
 		is := is.New(t)
 		d := newDialled(http.HandlerFunc(answerSlowly))
 		defer d.end()
-		d.configured(idleLimit(1, 2*time.Second))
+		d.applyConfiguration(idleLimit(1, 2*time.Second))
 		client := d.dial()
 		go func() {
 			_, _ = io.WriteString(client, "GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /slow HTTP/1.1\r\nHost: h\r\n\r\n")
--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -119,8 +119,8 @@
 	target.give(l.conns.add(conn, time.Now()))
 }
 
-// configured takes the limits of a new configuration over.
-func (l *clientListener) configured(configuration *route.Configuration) {
+// applyConfiguration takes the limits of a new configuration over.
+func (l *clientListener) applyConfiguration(configuration *route.Configuration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.limits == configuration.Limits {
--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -35,7 +35,7 @@
 // request under way.
 func TestShutdownEndsWithoutRequests(t *testing.T) {
 	l, _ := startFront(t, http.NotFoundHandler())
-	l.configured(&route.Configuration{Definition: route.Definition{Limits: route.Limits{MaxHeaderBytes: 8192}}})
+	l.applyConfiguration(&route.Configuration{Definition: route.Definition{Limits: route.Limits{MaxHeaderBytes: 8192}}})
 	done := make(chan struct{})
 	go func() {
 		l.shutdown(context.Background())
