--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -159,11 +159,11 @@
 	l.current = server
 	l.servers = append(l.servers, server)
 	l.queue = &connQueue{connections: make(chan net.Conn), closed: make(chan struct{})}
-	go l.run(server, l.queue)
+	go l.serveQueue(server, l.queue)
 }
 
-// run serves the connections of a queue until the server is closed.
-func (l *clientListener) run(server *http.Server, queue *connQueue) {
+// serveQueue serves the connections of a queue until the server is closed.
+func (l *clientListener) serveQueue(server *http.Server, queue *connQueue) {
 	err := server.Serve(queue)
 	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 		l.logger.Error("listener for clients ended", zap.Error(err))
