--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -116,7 +116,7 @@
 	l.mu.Lock()
 	target := l.queue
 	l.mu.Unlock()
-	target.give(l.conns.add(conn, time.Now()))
+	target.push(l.conns.add(conn, time.Now()))
 }
 
 // applyConfiguration takes the limits of a new configuration over.
@@ -188,8 +188,8 @@
 	once   sync.Once
 }
 
-// give hands a connection to the server, or closes it if the server has stopped.
-func (q *connQueue) give(conn net.Conn) {
+// push hands a connection to the server, or closes it if the server has stopped.
+func (q *connQueue) push(conn net.Conn) {
 	select {
 	case q.connections <- conn:
 	case <-q.closed:
