--- a/internal/daemon/node/listenerstop.go
+++ b/internal/daemon/node/listenerstop.go
@@ -13,8 +13,8 @@
 	"woodworks/internal/daemon/periodic"
 )
 
-// closePause is the time between two looks for connections to close.
-const closePause = 20 * time.Millisecond
+// closeInterval is the time between two looks for connections to close.
+const closeInterval = 20 * time.Millisecond
 
 // stop ends the listener by plan. For a while requests are taken as ever, each answer
 // being the last of its connection. Then connections are closed that no client takes up
@@ -57,7 +57,7 @@
 	unused := l.keepAliveLimit() + requestDelayMargin
 	for l.conns.closeQuiet(time.Now().Add(-unused)) > 0 && ctx.Err() == nil {
 		l.conns.closeStalled(time.Now())
-		periodic.Pause(ctx, closePause)
+		periodic.Pause(ctx, closeInterval)
 	}
 }
 
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	for l.conns.closeQuiet(time.Now().Add(-within/2)) > 0 && ctx.Err() == nil {
-		periodic.Pause(ctx, closePause)
+		periodic.Pause(ctx, closeInterval)
 	}
 	left := len(l.conns.all())
 	l.logger.Info("requests interrupted by the stop", zap.Int("connections", under), zap.Int("cut_off", left))
