--- a/internal/daemon/node/listenerstop.go
+++ b/internal/daemon/node/listenerstop.go
@@ -113,7 +113,7 @@
 	var failed error
 	err = raw.Control(func(fd uintptr) {
 		for failed == nil {
-			conn, err := acceptNow(int(fd))
+			conn, err := acceptPending(int(fd))
 			switch {
 			case errors.Is(err, syscall.ECONNABORTED):
 				// Its client has gone; others may wait behind it.
@@ -133,8 +133,8 @@
 	return waiting, failed
 }
 
-// acceptNow accepts a connection that waits, or fails with EAGAIN.
-func acceptNow(listener int) (net.Conn, error) {
+// acceptPending accepts a connection that waits, or fails with EAGAIN.
+func acceptPending(listener int) (net.Conn, error) {
 	accepted, _, err := syscall.Accept4(listener, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	if err != nil {
 		return nil, err
