--- a/internal/daemon/node/candidate.go
+++ b/internal/daemon/node/candidate.go
@@ -13,12 +13,12 @@
 // in turn or in runs, these are two or three daemons; one alone might be the
 // holder that has been lost.
 func isCandidate(dealt map[journal.Partition]bool, partitionsPerTopic int) bool {
-	return slices.ContainsFunc(candidacies(partitionsPerTopic),
+	return slices.ContainsFunc(candidatePartitions(partitionsPerTopic),
 		func(partition journal.Partition) bool { return dealt[partition] })
 }
 
-// candidacies are the partitions whose members claim the lease.
-func candidacies(partitionsPerTopic int) []journal.Partition {
+// candidatePartitions are the partitions whose members claim the lease.
+func candidatePartitions(partitionsPerTopic int) []journal.Partition {
 	topics := ledger.TopicNames()
 	first, last := topics[0], topics[len(topics)-1]
 	return []journal.Partition{{Topic: first}, {Topic: first, Number: 1}, {Topic: last, Number: partitionsPerTopic - 1}}
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -35,7 +35,7 @@
 // for orders to engines.
 func (n *Node) dealtEngines(ctx context.Context) []string {
 	dealt := n.member.WatchersOf(ctx, runner.RunnersTopic)
-	for _, partition := range candidacies(n.partitions) {
+	for _, partition := range candidatePartitions(n.partitions) {
 		if owner, known := n.member.WatcherOf(ctx, partition); known && !slices.Contains(dealt, owner) {
 			dealt = append(dealt, owner)
 		}
