--- a/internal/daemon/node/clientconn.go
+++ b/internal/daemon/node/clientconn.go
@@ -29,10 +29,10 @@
 	mu sync.Mutex
 	// handling: a request is being answered.
 	handling bool
-	// begunAt is when the first byte of a request was read that is not handled yet, or
+	// requestBeganAt is when the first byte of a request was read that is not handled yet, or
 	// zero.
-	begunAt time.Time
-	closed  bool
+	requestBeganAt time.Time
+	closed         bool
 	// quietSince is when it was accepted or last became idle, idleLimit the limit that
 	// was in force then.
 	quietSince time.Time
@@ -53,8 +53,8 @@
 	if c.closed {
 		return 0, net.ErrClosed
 	}
-	if n > 0 && c.begunAt.IsZero() {
-		c.begunAt = time.Now()
+	if n > 0 && c.requestBeganAt.IsZero() {
+		c.requestBeganAt = time.Now()
 	}
 	return n, err
 }
@@ -89,7 +89,7 @@
 func (c *clientConn) answered(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handling, c.begunAt = false, time.Time{}
+	c.handling, c.requestBeganAt = false, time.Time{}
 	c.quietSince, c.idleLimit = now, c.set.limits.Load().idle
 }
 
@@ -98,14 +98,14 @@
 // is read.
 func (c *clientConn) closeIfQuiet(since time.Time) {
 	c.closeIf(func() bool {
-		return !c.handling && c.begunAt.IsZero() && !c.quietSince.After(since) && recvbuf.Look(c.Conn) != recvbuf.Waiting
+		return !c.handling && c.requestBeganAt.IsZero() && !c.quietSince.After(since) && recvbuf.Look(c.Conn) != recvbuf.Waiting
 	})
 }
 
 // closeIfStalled closes the connection if a request has begun on it and its head has not
 // come for longer than the limit: net/http bounds that only from the fourth byte on.
 func (c *clientConn) closeIfStalled(now time.Time, limit time.Duration) {
-	c.closeIf(func() bool { return !c.handling && !c.begunAt.IsZero() && now.Sub(c.begunAt) > limit })
+	c.closeIf(func() bool { return !c.handling && !c.requestBeganAt.IsZero() && now.Sub(c.requestBeganAt) > limit })
 }
 
 // closeIf closes the connection if a condition holds, which is asked with the mutex held: nothing is
