--- a/internal/daemon/node/clientconn.go
+++ b/internal/daemon/node/clientconn.go
@@ -33,10 +33,10 @@
 	// zero.
 	requestBeganAt time.Time
 	closed         bool
-	// quietSince is when it was accepted or last became idle, idleLimit the limit that
+	// idleSince is when it was accepted or last became idle, idleLimit the limit that
 	// was in force then.
-	quietSince time.Time
-	idleLimit  time.Duration
+	idleSince time.Time
+	idleLimit time.Duration
 }
 
 // Read implements net.Conn. A deadline that passed while the process stood still hides
@@ -90,7 +90,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handling, c.requestBeganAt = false, time.Time{}
-	c.quietSince, c.idleLimit = now, c.set.limits.Load().idle
+	c.idleSince, c.idleLimit = now, c.set.limits.Load().idle
 }
 
 // closeIfQuiet closes the connection if it has been idle since the given time and no
@@ -98,7 +98,7 @@
 // is read.
 func (c *clientConn) closeIfQuiet(since time.Time) {
 	c.closeIf(func() bool {
-		return !c.handling && c.requestBeganAt.IsZero() && !c.quietSince.After(since) && recvbuf.Look(c.Conn) != recvbuf.Waiting
+		return !c.handling && c.requestBeganAt.IsZero() && !c.idleSince.After(since) && recvbuf.Look(c.Conn) != recvbuf.Waiting
 	})
 }
 
@@ -156,7 +156,7 @@
 
 // add takes an accepted connection over.
 func (s *clientConns) add(conn net.Conn, now time.Time) *clientConn {
-	c := &clientConn{Conn: conn, set: s, quietSince: now, idleLimit: s.limits.Load().idle}
+	c := &clientConn{Conn: conn, set: s, idleSince: now, idleLimit: s.limits.Load().idle}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open[c] = struct{}{}
