--- a/internal/daemon/node/clientconn.go
+++ b/internal/daemon/node/clientconn.go
@@ -68,9 +68,9 @@
 	return nil
 }
 
-// handled notes that the head of a request has been read. The request may have come with
+// markHandling notes that the head of a request has been read. The request may have come with
 // the one before it, without a further read of the connection.
-func (c *clientConn) handled() {
+func (c *clientConn) markHandling() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handling = true
--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -63,7 +63,7 @@
 // ServeHTTP implements http.Handler.
 func (l *clientListener) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok {
-		c.handled()
+		c.markHandling()
 	}
 	// What bounded the writes of the request before does not bound those of this one.
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Time{}); err != nil {
