--- a/internal/daemon/node/clientconn.go
+++ b/internal/daemon/node/clientconn.go
@@ -85,8 +85,8 @@
 	return c.Conn.Close()
 }
 
-// answered notes that no request is under way.
-func (c *clientConn) answered(now time.Time) {
+// markIdle notes that no request is under way.
+func (c *clientConn) markIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handling, c.requestBeganAt = false, time.Time{}
@@ -172,7 +172,7 @@
 // stateChanged is the ConnState hook of an http.Server.
 func (s *clientConns) stateChanged(conn net.Conn, state http.ConnState) {
 	if c, ok := conn.(*clientConn); ok && state == http.StateIdle {
-		c.answered(time.Now())
+		c.markIdle(time.Now())
 	}
 }
 
--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -197,7 +197,7 @@
 	is.True(n > 0)
 	is.Equal(conns.closeQuiet(accepted.Add(time.Hour)), 1)
 	answered := accepted.Add(time.Minute)
-	c.answered(answered)
+	c.markIdle(answered)
 	is.Equal(conns.closeQuiet(answered.Add(-time.Millisecond)), 1)
 	is.Equal(conns.closeQuiet(answered), 0)
 }
