--- a/internal/daemon/node/clientconn.go
+++ b/internal/daemon/node/clientconn.go
@@ -93,10 +93,10 @@
 	c.idleSince, c.idleLimit = now, c.set.limits.Load().idle
 }
 
-// closeIfQuiet closes the connection if it has been idle since the given time and no
+// closeIfIdleSince closes the connection if it has been idle since the given time and no
 // request lies in its buffer: on a busy machine one may lie there for a while before it
 // is read.
-func (c *clientConn) closeIfQuiet(since time.Time) {
+func (c *clientConn) closeIfIdleSince(since time.Time) {
 	c.closeIf(func() bool {
 		return !c.handling && c.requestBeganAt.IsZero() && !c.idleSince.After(since) && recvbuf.Look(c.Conn) != recvbuf.Waiting
 	})
@@ -126,7 +126,7 @@
 	c.mu.Lock()
 	limit = max(limit, c.idleLimit)
 	c.mu.Unlock()
-	c.closeIfQuiet(now.Add(-limit))
+	c.closeIfIdleSince(now.Add(-limit))
 }
 
 // connLimits are the limits of connections without a request under way.
@@ -180,7 +180,7 @@
 // and returns how many stay open.
 func (s *clientConns) closeQuiet(since time.Time) int {
 	for _, c := range s.all() {
-		c.closeIfQuiet(since)
+		c.closeIfIdleSince(since)
 	}
 	return len(s.all())
 }
