--- a/internal/daemon/node/clientconn.go
+++ b/internal/daemon/node/clientconn.go
@@ -176,9 +176,9 @@
 	}
 }
 
-// closeQuiet closes the connections that have been idle since the given time,
+// closeIdleSince closes the connections that have been idle since the given time,
 // and returns how many stay open.
-func (s *clientConns) closeQuiet(since time.Time) int {
+func (s *clientConns) closeIdleSince(since time.Time) int {
 	for _, c := range s.all() {
 		c.closeIfIdleSince(since)
 	}
--- a/internal/daemon/node/clientconn_test.go
+++ b/internal/daemon/node/clientconn_test.go
@@ -44,7 +44,7 @@
 		for range 4 {
 			time.Sleep(time.Second)
 			d.conns.closeExpired(time.Now())
-			d.conns.closeQuiet(time.Now())
+			d.conns.closeIdleSince(time.Now())
 		}
 		is.NoErr(<-answered)
 	})
--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -148,7 +148,7 @@
 	c := conns.add(far, accepted)
 	_, err := io.WriteString(near, "GET / HTTP/1.1\r\n")
 	is.NoErr(err)
-	is.Equal(conns.closeQuiet(accepted.Add(time.Hour)), 1)
+	is.Equal(conns.closeIdleSince(accepted.Add(time.Hour)), 1)
 	n, err := c.Read(make([]byte, 64))
 	is.NoErr(err)
 	is.Equal(n, 16)
--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -178,7 +178,7 @@
 		n, _ := c.Read(make([]byte, 64))
 		read <- n
 	}()
-	is.Equal(conns.closeQuiet(accepted), 0)
+	is.Equal(conns.closeIdleSince(accepted), 0)
 	close(gated.arrived)
 	is.Equal(<-read, 0)
 }
@@ -195,9 +195,9 @@
 	n, err := c.Read(make([]byte, 64))
 	is.NoErr(err)
 	is.True(n > 0)
-	is.Equal(conns.closeQuiet(accepted.Add(time.Hour)), 1)
+	is.Equal(conns.closeIdleSince(accepted.Add(time.Hour)), 1)
 	answered := accepted.Add(time.Minute)
 	c.markIdle(answered)
-	is.Equal(conns.closeQuiet(answered.Add(-time.Millisecond)), 1)
-	is.Equal(conns.closeQuiet(answered), 0)
+	is.Equal(conns.closeIdleSince(answered.Add(-time.Millisecond)), 1)
+	is.Equal(conns.closeIdleSince(answered), 0)
 }
--- a/internal/daemon/node/listenerstop.go
+++ b/internal/daemon/node/listenerstop.go
@@ -55,7 +55,7 @@
 // open or the context ends.
 func (l *clientListener) closeUnused(ctx context.Context) {
 	unused := l.keepAliveLimit() + requestDelayMargin
-	for l.conns.closeQuiet(time.Now().Add(-unused)) > 0 && ctx.Err() == nil {
+	for l.conns.closeIdleSince(time.Now().Add(-unused)) > 0 && ctx.Err() == nil {
 		l.conns.closeStalled(time.Now())
 		periodic.Pause(ctx, closeInterval)
 	}
@@ -87,7 +87,7 @@
 	within := l.plannedStop.Plan().Answer
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	for l.conns.closeQuiet(time.Now().Add(-within/2)) > 0 && ctx.Err() == nil {
+	for l.conns.closeIdleSince(time.Now().Add(-within/2)) > 0 && ctx.Err() == nil {
 		periodic.Pause(ctx, closeInterval)
 	}
 	left := len(l.conns.all())
