--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -89,7 +89,7 @@
 func (n *Node) newForwarder(names headers.Names) *forward.Forwarder {
 	return &forward.Forwarder{
 		Pool: n.pool, Table: n.table, Names: names, Zone: n.settings.Zone, Quarantine: n.quarantine.table,
-		Logger: n.logger, Observe: n.metrics.Attempt, MaxConnections: n.maxOpen,
+		Logger: n.logger, Observe: n.metrics.Attempt, MaxConnections: n.maxConnections,
 	}
 }
 
--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -7,11 +7,11 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// maxOpen is how many connections to a replica this daemon may have of those that it takes
+// maxConnections is how many connections to a replica this daemon may have of those that it takes
 // from all, 0 without bound. Where daemons don't know each other nothing is shared. Engines
 // run as many requests at once as they have slots, whoever sends them, and owners of batches
 // are few: an owner may use as many connections, which others leave idle.
-func (n *Node) maxOpen(chosen replica.Replica) int {
+func (n *Node) maxConnections(chosen replica.Replica) int {
 	configuration := n.operator.Configuration()
 	if n.relay == nil || configuration == nil {
 		return forward.UnboundedConnections(chosen)
@@ -44,7 +44,7 @@
 	}
 	for service := range configuration.Services {
 		for _, rep := range n.table.Replicas(service) {
-			if part := n.maxOpen(rep); part > 0 {
+			if part := n.maxConnections(rep); part > 0 {
 				most = max(most, float64(n.pool.OpenConnections(rep.Address))/float64(part))
 			}
 		}
