--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -33,11 +33,11 @@
 		n.pool.Exhausted.Load)
 	metrics.Gauge(n.metrics, "replica_connections_used_ratio",
 		"Connections to a replica against this daemon's part of what it takes, at the replica where that is highest.",
-		n.connectionsUsed)
+		n.maxConnectionsUsedRatio)
 }
 
-// connectionsUsed is the highest part of the connections allowed to one replica that there is.
-func (n *Node) connectionsUsed() float64 {
+// maxConnectionsUsedRatio is the highest part of the connections allowed to one replica that there is.
+func (n *Node) maxConnectionsUsedRatio() float64 {
 	configuration, most := n.operator.Configuration(), 0.0
 	if configuration == nil {
 		return 0
