--- a/internal/daemon/node/health.go
+++ b/internal/daemon/node/health.go
@@ -11,8 +11,8 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// healthTimeout is how long the head of a request for health or metrics may take.
-const healthTimeout = 5 * time.Second
+// healthHeaderTimeout is how long the head of a request for health or metrics may take.
+const healthHeaderTimeout = 5 * time.Second
 
 // healthServer tells whether clients should come here, and the metrics.
 type healthServer struct {
@@ -62,7 +62,7 @@
 	if err != nil {
 		return errors.Wrap(err, "health")
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: healthTimeout}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: healthHeaderTimeout}
 	go func() {
 		logger.Error("listener for health ended", zap.String("address", address), zap.Error(server.Serve(listener)))
 	}()
