--- a/internal/daemon/node/health.go
+++ b/internal/daemon/node/health.go
@@ -42,14 +42,14 @@
 		return nil
 	}
 	// Without metrics a daemon still serves.
-	if err := serveHealth(metricsAddress, h.operators(), h.logger); err != nil {
+	if err := serveHealth(metricsAddress, h.operatorHandler(), h.logger); err != nil {
 		h.logger.Error("metrics not served", zap.String("address", metricsAddress), zap.Error(err))
 	}
 	return nil
 }
 
-// operators returns the handler of the address that only operators reach.
-func (h *healthServer) operators() http.Handler {
+// operatorHandler returns the handler of the address that only operatorHandler reach.
+func (h *healthServer) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(quarantine.Path, h.quarantine)
 	mux.Handle(quarantine.Path+"/", h.quarantine)
