--- a/internal/daemon/cli/serve.go
+++ b/internal/daemon/cli/serve.go
@@ -133,7 +133,7 @@
 		return err
 	}
 	taken.TakeUser()
-	l := &live{inForce: loaded, setStopGrace: running.SetStopGrace, setHeld: running.SetHeld, logger: logger}
+	l := &live{inForce: loaded, setStopGrace: running.SetStopGrace, setHeld: running.SetHoldingLimits, logger: logger}
 	return untilStopped(running, taken, newReloader(func() (settings.Settings, error) { return loadSettings(o) }), l)
 }
 
--- a/internal/daemon/node/holding.go
+++ b/internal/daemon/node/holding.go
@@ -5,9 +5,9 @@
 	"woodworks/internal/requests/holding"
 )
 
-// SetHeld changes what the daemon may hold on behalf of clients. It may be called at any
+// SetHoldingLimits changes what the daemon may hold on behalf of clients. It may be called at any
 // time; what is held beyond that stays held.
-func (n *Node) SetHeld(limits holding.Limits) { n.holding.SetLimits(limits) }
+func (n *Node) SetHoldingLimits(limits holding.Limits) { n.holding.SetLimits(limits) }
 
 func (n *Node) registerHoldingMetrics() {
 	for _, share := range holding.Categories() {
