--- a/internal/daemon/node/metrics.go
+++ b/internal/daemon/node/metrics.go
@@ -22,7 +22,7 @@
 	metrics.Gauge(n.metrics, "items_waiting", "Items that wait for a replica.",
 		func() int { _, waiting := n.runner.Load(); return waiting })
 	metrics.Gauge(n.metrics, "lease_held", "1 while this daemon holds the lease for orders to engines.",
-		func() int { return oneIf(n.lease.Held()) })
+		func() int { return boolGauge(n.lease.Held()) })
 	metrics.Counter(n.metrics, "items_started_total", "Attempts at items sent to replicas.", n.runner.ItemsStarted)
 	metrics.Counter(n.metrics, "engine_orders_total", "Orders given to engines.", n.syncer.OrdersSent.Load)
 }
@@ -35,14 +35,14 @@
 		"Calls to the journal given up as later ones were answered.", n.journal.CallsGivenUp.Load)
 	if n.relay != nil {
 		metrics.Gauge(n.metrics, "journal_path_lost", "1 while this daemon's own path to the journal is lost.",
-			func() int { return oneIf(n.relay.PathLost()) })
+			func() int { return boolGauge(n.relay.PathLost()) })
 		metrics.Counter(n.metrics, "journal_calls_relayed_total", "Calls to the journal answered through a peer.",
 			n.relay.RelayedCalls.Load)
 	}
 }
 
-// oneIf is how a condition is shown by a gauge.
-func oneIf(condition bool) int {
+// boolGauge is how a condition is shown by a gauge.
+func boolGauge(condition bool) int {
 	if condition {
 		return 1
 	}
