--- a/internal/api/standalone/standalone.go
+++ b/internal/api/standalone/standalone.go
@@ -43,12 +43,12 @@
 	return node.Drivers{
 		Journal: log, Decoder: decoder, Engines: engines{replicas}, Codec: codec{}, Headers: HeaderNames(),
 		OperatorRecords: operator.RecordsPartition, ReplicaRecords: operator.MachinesPartition,
-		Interface: func(parts node.Deps) node.Interface { return interfaceOf(parts, decoder) },
+		Interface: func(parts node.Deps) node.Handlers { return interfaceOf(parts, decoder) },
 	}, nil
 }
 
 // interfaceOf makes the /v1/ interface of a daemon.
-func interfaceOf(parts node.Deps, decoder *Decoder) node.Interface {
+func interfaceOf(parts node.Deps, decoder *Decoder) node.Handlers {
 	names := HeaderNames()
 	parts.Ingress.Retries = &retries{decoder: decoder, configuration: parts.Operator.Configuration}
 	newID := idsOf(parts.Identity)
@@ -76,7 +76,7 @@
 		MaxBodyBytes: parts.Settings.Limits.MaxBodyBytes, ConfirmBound: parts.Settings.Timing.ConfirmBound.Std(),
 		Operators: parts.Settings.Operators,
 	})
-	return node.Interface{Public: gw.Handler(policy.Public), Internal: gw.Handler(policy.Internal)}
+	return node.Handlers{Public: gw.Handler(policy.Public), Internal: gw.Handler(policy.Internal)}
 }
 
 // hookFaults counts the faults of the hooks of a configuration's policies.
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -91,7 +91,7 @@
 	Duties duty.Driver
 	// Interface, if not nil, makes the handlers for callers from the parts of
 	// the daemon. Without it clients speak to the ingress as it is.
-	Interface func(parts Deps) Interface
+	Interface func(parts Deps) Handlers
 }
 
 // Deps are what an interface for callers is made of.
@@ -114,8 +114,8 @@
 	Stopping context.Context
 }
 
-// Interface are the handlers of the daemon's listeners for callers.
-type Interface struct{ Public, Internal http.Handler }
+// Handlers are the handlers of the daemon's listeners for callers.
+type Handlers struct{ Public, Internal http.Handler }
 
 // Connect makes the drivers of a platform from the settings.
 type Connect func(loaded settings.Settings, replicas *upstream.Pool) (Drivers, error)
