--- a/internal/api/standalone/standalone.go
+++ b/internal/api/standalone/standalone.go
@@ -43,7 +43,7 @@
 	return node.Drivers{
 		Journal: log, Decoder: decoder, Engines: engines{replicas}, Codec: codec{}, Headers: HeaderNames(),
 		OperatorRecords: operator.RecordsPartition, ReplicaRecords: operator.MachinesPartition,
-		Interface: func(parts node.Deps) node.Handlers { return interfaceOf(parts, decoder) },
+		NewHandlers: func(parts node.Deps) node.Handlers { return interfaceOf(parts, decoder) },
 	}, nil
 }
 
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -150,10 +150,10 @@
 
 // buildInterface puts a platform's own interface for callers before the handler.
 func (n *Node) buildInterface(drivers Drivers) {
-	if drivers.Interface == nil {
+	if drivers.NewHandlers == nil {
 		return
 	}
-	handlers := drivers.Interface(Deps{
+	handlers := drivers.NewHandlers(Deps{
 		Settings: n.settings, Identity: n.identity, Journal: drivers.Journal, Operator: n.operator, Replicas: n.table,
 		Results: n.results, Runner: n.runner, Ingress: n.handler, Metrics: n.metrics, Logger: n.logger, Ready: n.ready,
 		ConfigurationAge: n.configurationAge, Stopping: n.shutdown.Begun(),
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -89,9 +89,9 @@
 	ReplicaRecords  journal.Partition
 	// Duties is nil where the platform expects no calls of the system as a whole.
 	Duties duty.Driver
-	// Interface, if not nil, makes the handlers for callers from the parts of
+	// NewHandlers, if not nil, makes the handlers for callers from the parts of
 	// the daemon. Without it clients speak to the ingress as it is.
-	Interface func(parts Deps) Handlers
+	NewHandlers func(parts Deps) Handlers
 }
 
 // Deps are what an interface for callers is made of.
