--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -39,7 +39,7 @@
 	n.buildWeights(drivers)
 	n.buildHandler(drivers, forwarder)
 	n.buildDuties(drivers)
-	n.buildInterface(drivers)
+	n.buildPlatformHandlers(drivers)
 	n.buildHealth()
 	n.registerMetrics()
 }
@@ -148,8 +148,8 @@
 	n.public.handler = n.handler
 }
 
-// buildInterface puts a platform's own interface for callers before the handler.
-func (n *Node) buildInterface(drivers Drivers) {
+// buildPlatformHandlers puts a platform's own interface for callers before the handler.
+func (n *Node) buildPlatformHandlers(drivers Drivers) {
 	if drivers.NewHandlers == nil {
 		return
 	}
