--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -68,7 +68,7 @@
 // buildListeners makes the listeners for clients; who answers them is known later.
 func (n *Node) buildListeners() {
 	n.public = newClientListener(n.shutdown, n.logger)
-	n.private = newClientListener(n.shutdown, n.logger)
+	n.internal = newClientListener(n.shutdown, n.logger)
 	n.SetStopGrace(n.settings.Timing.StopGrace.Std())
 }
 
@@ -158,7 +158,7 @@
 		Results: n.results, Runner: n.runner, Ingress: n.handler, Metrics: n.metrics, Logger: n.logger, Ready: n.ready,
 		ConfigurationAge: n.configurationAge, Stopping: n.shutdown.Begun(),
 	})
-	n.public.handler, n.private.handler = handlers.Public, handlers.Internal
+	n.public.handler, n.internal.handler = handlers.Public, handlers.Internal
 }
 
 // buildHealth makes the handlers for health, metrics and operators.
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -146,7 +146,7 @@
 
 	// Requests of clients.
 	public     *clientListener
-	private    *clientListener
+	internal   *clientListener
 	handler    *ingress.Handler
 	holding    *holding.Budget
 	pool       *upstream.Pool
@@ -208,8 +208,8 @@
 	if err := n.public.listen(n.settings.Listen.Public); err != nil {
 		return errors.Wrap(err, "node")
 	}
-	if n.private.handler != nil {
-		if err := n.private.listen(n.settings.Listen.Internal); err != nil {
+	if n.internal.handler != nil {
+		if err := n.internal.listen(n.settings.Listen.Internal); err != nil {
 			return errors.Wrap(err, "node")
 		}
 	}
@@ -261,5 +261,5 @@
 // closeExpired closes clients' connections that have rested for longer than they may.
 func (n *Node) closeExpired(now time.Time) {
 	n.public.conns.closeExpired(now)
-	n.private.conns.closeExpired(now)
+	n.internal.conns.closeExpired(now)
 }
--- a/internal/daemon/node/stop.go
+++ b/internal/daemon/node/stop.go
@@ -15,7 +15,7 @@
 	n.grace.Store(int64(grace))
 	keep := int64(keepAliveForStop(shutdown.PlanOf(grace).Interrupt))
 	n.public.keepAlive.Store(keep)
-	n.private.keepAlive.Store(keep)
+	n.internal.keepAlive.Store(keep)
 }
 
 // Stop takes no more work, hands batches over, finishes what is under way and
@@ -44,7 +44,7 @@
 	if n.relay != nil {
 		draining.Go(func() { n.relay.Drain(ctx) })
 	}
-	for _, l := range []*clientListener{n.public, n.private} {
+	for _, l := range []*clientListener{n.public, n.internal} {
 		draining.Go(func() { l.stop(ctx) })
 	}
 	draining.Wait()
--- a/internal/daemon/node/stop_test.go
+++ b/internal/daemon/node/stop_test.go
@@ -35,11 +35,11 @@
 	b := builtNode(t, 8*time.Second)
 	is.True(b.handler.Stop == b.shutdown)
 	is.True(b.public.plannedStop == b.shutdown)
-	is.True(b.private.plannedStop == b.shutdown)
+	is.True(b.internal.plannedStop == b.shutdown)
 	is.Equal(b.public.keepAliveLimit(), maxKeepAlive)
 	b.SetStopGrace(4 * time.Second)
 	is.Equal(b.public.keepAliveLimit(), 2*time.Second)
-	is.Equal(b.private.keepAliveLimit(), 2*time.Second)
+	is.Equal(b.internal.keepAliveLimit(), 2*time.Second)
 	b.shutdown.Begin(time.Duration(b.grace.Load()))
 	is.Equal(b.public.plannedStop.Plan().Drain, 1500*time.Millisecond)
 	ready, reason := b.ready()
@@ -51,13 +51,13 @@
 func TestADaemonClosesExpiredConnections(t *testing.T) {
 	is := is.New(t)
 	b := builtNode(t, 8*time.Second)
-	for _, l := range []*clientListener{b.public, b.private} {
+	for _, l := range []*clientListener{b.public, b.internal} {
 		near, far := net.Pipe()
 		defer func() { _ = near.Close() }()
 		l.conns.add(far, time.Now())
 	}
 	b.closeExpired(time.Now().Add(defaultIdleTimeout - time.Second))
-	is.Equal(len(b.public.conns.all())+len(b.private.conns.all()), 2)
+	is.Equal(len(b.public.conns.all())+len(b.internal.conns.all()), 2)
 	b.closeExpired(time.Now().Add(defaultIdleTimeout + time.Second))
-	is.Equal(len(b.public.conns.all())+len(b.private.conns.all()), 0)
+	is.Equal(len(b.public.conns.all())+len(b.internal.conns.all()), 0)
 }
