--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -150,7 +150,7 @@
 	handler    *ingress.Handler
 	holding    *holding.Budget
 	pool       *upstream.Pool
-	quarantine *quarantineParts
+	quarantine *quarantineDeps
 
 	// Batches.
 	ledger    *ledger.Ledger
--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -9,8 +9,8 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// quarantineParts are the parts that keep contents under which replicas end from further ones.
-type quarantineParts struct {
+// quarantineDeps are the parts that keep contents under which replicas end from further ones.
+type quarantineDeps struct {
 	table    *quarantine.Table
 	recorder *quarantine.Recorder
 	follower *journal.KeyedFollower
@@ -19,9 +19,9 @@
 }
 
 // newQuarantine makes the parts. The relay is there already, if there is one.
-func (n *Node) newQuarantine(log journal.Journal) *quarantineParts {
+func (n *Node) newQuarantine(log journal.Journal) *quarantineDeps {
 	table := quarantine.New(n.settings.Name, bootclock.Now, n.logger)
-	parts := &quarantineParts{table: table, recorder: quarantine.NewRecorder(table, log, n.relay != nil, n.logger)}
+	parts := &quarantineDeps{table: table, recorder: quarantine.NewRecorder(table, log, n.relay != nil, n.logger)}
 	contact := n.settings.Timing.ContactBound.Std()
 	if n.relay != nil {
 		// Peers tell what is new; the journal is for what this daemon has missed.
@@ -35,7 +35,7 @@
 }
 
 // run keeps the table up to date until the context ends.
-func (q *quarantineParts) run(ctx context.Context) {
+func (q *quarantineDeps) run(ctx context.Context) {
 	if q.spreader != nil {
 		go q.spreader.Run(ctx)
 	}
