--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -159,7 +159,7 @@
 	assigner  *runner.Assigner
 	runner    *runner.Runner
 	watcher   *runner.Watcher
-	occupancy *occupancyParts
+	occupancy *occupancyDeps
 
 	// Duties of one daemon: the holder of the lease.
 	lease          *lease.Lease
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -12,15 +12,15 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// occupancyParts let the owners of batches know of each other's requests. They are nil where
+// occupancyDeps let the owners of batches know of each other's requests. They are nil where
 // the settings name no address for peers.
-type occupancyParts struct {
+type occupancyDeps struct {
 	table     *occupancy.Table
 	publisher *occupancy.Publisher
 }
 
 // newOccupancy makes the parts and has the runner use them.
-func (n *Node) newOccupancy() *occupancyParts {
+func (n *Node) newOccupancy() *occupancyDeps {
 	if n.relay == nil {
 		return nil
 	}
@@ -28,7 +28,7 @@
 	publisher := occupancy.NewPublisher(table, n.relay, n.runner.OccupancyReport, n.dealtEngines, n.logger)
 	n.runner.ShareEngines(table, publisher.Wake)
 	n.relay.Register(occupancy.ServiceName, occupancy.NewService(table, publisher, n.runner.ReportReceived))
-	return &occupancyParts{table: table, publisher: publisher}
+	return &occupancyDeps{table: table, publisher: publisher}
 }
 
 // dealtEngines returns the identities of the daemons that may be given batches, or the lease
@@ -45,7 +45,7 @@
 
 // eventTimeOf returns the event time of an engine as this daemon has measured it, or as others
 // have since. It is a modelsync.EventTimeFunc.
-func (o *occupancyParts) eventTimeOf(e replica.Replica) (eventTime, age time.Duration) {
+func (o *occupancyDeps) eventTimeOf(e replica.Replica) (eventTime, age time.Duration) {
 	own := time.Since(e.LastEventAt)
 	if o == nil {
 		return e.EventTime, own
@@ -57,13 +57,13 @@
 	return e.EventTime, own
 }
 
-func (o *occupancyParts) run(ctx context.Context) {
+func (o *occupancyDeps) run(ctx context.Context) {
 	if o != nil {
 		o.publisher.Run(ctx)
 	}
 }
 
-func (o *occupancyParts) sweep() {
+func (o *occupancyDeps) sweep() {
 	if o != nil {
 		o.table.Sweep()
 	}
