--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -14,8 +14,8 @@
 	table    *quarantine.Table
 	recorder *quarantine.Recorder
 	follower *journal.KeyedFollower
-	// spreader is nil where the settings name no address for peers.
-	spreader *quarantine.Gossiper
+	// gossiper is nil where the settings name no address for peers.
+	gossiper *quarantine.Gossiper
 }
 
 // newQuarantine makes the parts. The relay is there already, if there is one.
@@ -26,7 +26,7 @@
 	if n.relay != nil {
 		// Peers tell what is new; the journal is for what this daemon has missed.
 		contact = peerListMaxAge
-		parts.spreader = quarantine.NewGossiper(table, n.relay, n.logger)
+		parts.gossiper = quarantine.NewGossiper(table, n.relay, n.logger)
 		n.relay.Register(quarantine.ServiceName, quarantine.NewService(table))
 	}
 	parts.follower = journal.NewKeyedFollower(log, quarantine.Partition, parts.recorder, contact, n.logger)
@@ -36,8 +36,8 @@
 
 // run keeps the table up to date until the context ends.
 func (q *quarantineDeps) run(ctx context.Context) {
-	if q.spreader != nil {
-		go q.spreader.Run(ctx)
+	if q.gossiper != nil {
+		go q.gossiper.Run(ctx)
 	}
 	go q.recorder.Run(ctx)
 	q.follower.Run(ctx)
