--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -25,15 +25,15 @@
 		return nil
 	}
 	table := occupancy.NewTable(n.identity, bootclock.Now, n.logger)
-	publisher := occupancy.NewPublisher(table, n.relay, n.runner.OccupancyReport, n.dealtEngines, n.logger)
+	publisher := occupancy.NewPublisher(table, n.relay, n.runner.OccupancyReport, n.possibleOwners, n.logger)
 	n.runner.ShareEngines(table, publisher.Wake)
 	n.relay.Register(occupancy.ServiceName, occupancy.NewService(table, publisher, n.runner.ReportReceived))
 	return &occupancyDeps{table: table, publisher: publisher}
 }
 
-// dealtEngines returns the identities of the daemons that may be given batches, or the lease
+// possibleOwners returns the identities of the daemons that may be given batches, or the lease
 // for orders to engines.
-func (n *Node) dealtEngines(ctx context.Context) []string {
+func (n *Node) possibleOwners(ctx context.Context) []string {
 	dealt := n.member.WatchersOf(ctx, runner.RunnersTopic)
 	for _, partition := range candidatePartitions(n.partitions) {
 		if owner, known := n.member.WatcherOf(ctx, partition); known && !slices.Contains(dealt, owner) {
