--- a/internal/daemon/node/metrics.go
+++ b/internal/daemon/node/metrics.go
@@ -30,7 +30,7 @@
 // registerJournalMetrics tells of the paths to the journal.
 func (n *Node) registerJournalMetrics() {
 	metrics.Gauge(n.metrics, "journal_silence_seconds", "Time since the journal last answered.",
-		func() float64 { return n.silence().Seconds() })
+		func() float64 { return n.journalSilence().Seconds() })
 	metrics.Counter(n.metrics, "journal_calls_given_up_total",
 		"Calls to the journal given up as later ones were answered.", n.journal.CallsGivenUp.Load)
 	if n.relay != nil {
--- a/internal/daemon/node/ready.go
+++ b/internal/daemon/node/ready.go
@@ -11,14 +11,14 @@
 		return false, "no configuration is known"
 	case !n.replicaFollower.Synced():
 		return false, "the list of replicas has not been read"
-	case n.silence() > maxJournalSilence:
+	case n.journalSilence() > maxJournalSilence:
 		return false, "the journal is silent"
 	}
 	return true, ""
 }
 
-// silence is how long ago the journal last answered.
-func (n *Node) silence() time.Duration {
+// journalSilence is how long ago the journal last answered.
+func (n *Node) journalSilence() time.Duration {
 	return min(n.member.Silence(), n.operatorFollower.Silence(), n.replicaFollower.Silence())
 }
 
