--- a/internal/daemon/node/admission.go
+++ b/internal/daemon/node/admission.go
@@ -9,7 +9,7 @@
 // newAdmission makes the part that decides which plain requests wait while a service is full.
 func (n *Node) newAdmission() *admission.Controller {
 	return admission.New(admission.Options{
-		Replicas: n.table.Replicas, Daemons: n.daemons, Clock: bootclock.Now,
+		Replicas: n.table.Replicas, Daemons: n.daemonCount, Clock: bootclock.Now,
 		Observe: n.metrics.Admission, Logger: n.logger,
 	})
 }
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -62,7 +62,7 @@
 
 // readInterval is that of a follower which uses a share of the reads that the journal grants.
 func (n *Node) readInterval(share float64) journal.Interval {
-	return journal.SharedInterval(n.journal.RateLimits().ReadsPerSecond*share, n.daemons)
+	return journal.SharedInterval(n.journal.RateLimits().ReadsPerSecond*share, n.daemonCount)
 }
 
 // buildListeners makes the listeners for clients; who answers them is known later.
--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -17,7 +17,7 @@
 		return forward.UnboundedConnections(chosen)
 	}
 	service := configuration.Services[chosen.Service]
-	daemons := n.daemons()
+	daemons := n.daemonCount()
 	if !n.peerFollower.Synced() {
 		// Any number of others may be there.
 		daemons = max(service.MaxConnections, 1)
--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -38,7 +38,7 @@
 		return
 	}
 	clock := wallclock.New(bootclock.Now)
-	interval := journal.SharedInterval(n.journal.RateLimits().WritesPerSecond*usageWriteFraction, n.daemons)
+	interval := journal.SharedInterval(n.journal.RateLimits().WritesPerSecond*usageWriteFraction, n.daemonCount)
 	n.usage = usage.NewRecorder(drivers.Journal, n.identity, windows, interval, clock, n.logger)
 	n.handler.OnRun = n.usage.Ran
 	n.reporter = usage.NewReporter(drivers.Journal, n.lease, drivers.Duties, n.settings.Name, windows, clock, n.logger)
--- a/internal/daemon/node/ready.go
+++ b/internal/daemon/node/ready.go
@@ -28,8 +28,8 @@
 	return n.operatorFollower.Silence()
 }
 
-// daemons returns how many daemons share the journal, as far as is known.
-func (n *Node) daemons() int {
+// daemonCount returns how many daemonCount share the journal, as far as is known.
+func (n *Node) daemonCount() int {
 	if n.relay == nil {
 		return 1
 	}
