--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -118,9 +118,9 @@
 // comes over the journal's wire and then over the machine's own.
 type reached struct {
 	journal.Journal
-	takes     time.Duration
-	out, link *wire
-	read      *atomic.Int64
+	takes            time.Duration
+	out, machineLink *wire
+	read             *atomic.Int64
 }
 
 func (r reached) bring(ctx context.Context, bytes int) error {
@@ -128,7 +128,7 @@
 	if err := r.out.send(ctx, bytes); err != nil {
 		return err
 	}
-	return r.link.send(ctx, bytes)
+	return r.machineLink.send(ctx, bytes)
 }
 
 func (r reached) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
