--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -118,14 +118,14 @@
 // comes over the journal's wire and then over the machine's own.
 type reached struct {
 	journal.Journal
-	takes            time.Duration
-	out, machineLink *wire
-	read             *atomic.Int64
+	takes                  time.Duration
+	storeLink, machineLink *wire
+	read                   *atomic.Int64
 }
 
 func (r reached) bring(ctx context.Context, bytes int) error {
 	r.read.Add(int64(bytes))
-	if err := r.out.send(ctx, bytes); err != nil {
+	if err := r.storeLink.send(ctx, bytes); err != nil {
 		return err
 	}
 	return r.machineLink.send(ctx, bytes)
