--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -238,17 +238,17 @@
 
 // allStarted are daemons that start at nearly the same time. It implements results.Peers.
 type allStarted struct {
-	log     *journaltest.Journal
-	out     *wire
-	read    atomic.Int64
-	daemons []*started
-	began   time.Time
+	log       *journaltest.Journal
+	storeLink *wire
+	read      atomic.Int64
+	daemons   []*started
+	began     time.Time
 }
 
 var startTopic = journal.Partition{Topic: journal.KeyedTopic("configuration")}
 
 func startAll(ctx context.Context, t *testing.T, given conditions) *allStarted {
-	all := &allStarted{log: journaltest.New(), out: &wire{ctx: ctx, bytesPerSecond: given.carries, turn: given.turn}, began: time.Now()}
+	all := &allStarted{log: journaltest.New(), storeLink: &wire{ctx: ctx, bytesPerSecond: given.carries, turn: given.turn}, began: time.Now()}
 	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
 	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: startGrant, ReadsPerSecond: startReads}
 	all.list(ctx, t)
@@ -289,7 +289,7 @@
 func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *started {
 	logger := zap.NewNop()
 	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
-	var own journal.Journal = reached{all.log, given.takes, all.out, &wire{ctx: ctx, bytesPerSecond: startLink, turn: given.turn}, &all.read}
+	var own journal.Journal = reached{all.log, given.takes, all.storeLink, &wire{ctx: ctx, bytesPerSecond: startLink, turn: given.turn}, &all.read}
 	b.revived = journal.DetectLostCalls(own, logger)
 	if given.revive {
 		own = b.revived
