--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -60,9 +60,9 @@
 	turnBytes = 16 << 10
 )
 
-// wire sends answers at a rate. Bytes of an answer that nobody awaits any more are sent all
+// link sends answers at a rate. Bytes of an answer that nobody awaits any more are sent all
 // the same.
-type wire struct {
+type link struct {
 	// ctx ends with the test.
 	ctx            context.Context
 	bytesPerSecond float64
@@ -74,7 +74,7 @@
 }
 
 // take takes the wire for some bytes, and returns how long it takes until they have been sent.
-func (w *wire) take(bytes int) time.Duration {
+func (w *link) take(bytes int) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if now := time.Now(); w.busyUntil.Before(now) {
@@ -85,7 +85,7 @@
 }
 
 // send returns when an answer has been sent, or when the context ends.
-func (w *wire) send(ctx context.Context, bytes int) error {
+func (w *link) send(ctx context.Context, bytes int) error {
 	for bytes > 0 {
 		part := bytes
 		if w.turn > 0 {
@@ -119,7 +119,7 @@
 type reached struct {
 	journal.Journal
 	takes                  time.Duration
-	storeLink, machineLink *wire
+	storeLink, machineLink *link
 	read                   *atomic.Int64
 }
 
@@ -239,7 +239,7 @@
 // allStarted are daemons that start at nearly the same time. It implements results.Peers.
 type allStarted struct {
 	log       *journaltest.Journal
-	storeLink *wire
+	storeLink *link
 	read      atomic.Int64
 	daemons   []*started
 	began     time.Time
@@ -248,7 +248,7 @@
 var startTopic = journal.Partition{Topic: journal.KeyedTopic("configuration")}
 
 func startAll(ctx context.Context, t *testing.T, given conditions) *allStarted {
-	all := &allStarted{log: journaltest.New(), storeLink: &wire{ctx: ctx, bytesPerSecond: given.carries, turn: given.turn}, began: time.Now()}
+	all := &allStarted{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.carries, turn: given.turn}, began: time.Now()}
 	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
 	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: startGrant, ReadsPerSecond: startReads}
 	all.list(ctx, t)
@@ -289,7 +289,7 @@
 func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *started {
 	logger := zap.NewNop()
 	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
-	var own journal.Journal = reached{all.log, given.takes, all.storeLink, &wire{ctx: ctx, bytesPerSecond: startLink, turn: given.turn}, &all.read}
+	var own journal.Journal = reached{all.log, given.takes, all.storeLink, &link{ctx: ctx, bytesPerSecond: startLink, turn: given.turn}, &all.read}
 	b.revived = journal.DetectLostCalls(own, logger)
 	if given.revive {
 		own = b.revived
