--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -73,8 +73,8 @@
 	busyUntil time.Time
 }
 
-// take takes the wire for some bytes, and returns how long it takes until they have been sent.
-func (w *link) take(bytes int) time.Duration {
+// reserve takes the wire for some bytes, and returns how long it takes until they have been sent.
+func (w *link) reserve(bytes int) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if now := time.Now(); w.busyUntil.Before(now) {
@@ -92,7 +92,7 @@
 			part = min(part, w.turn)
 		}
 		bytes -= part
-		if err := pass(ctx, w.take(part)); err != nil {
+		if err := pass(ctx, w.reserve(part)); err != nil {
 			if w.ctx.Err() == nil {
 				go func() { _ = w.send(w.ctx, bytes) }() // It ends with the test at the latest.
 			}
