--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -84,8 +84,8 @@
 	return time.Until(w.busyUntil)
 }
 
-// send returns when an answer has been sent, or when the context ends.
-func (w *link) send(ctx context.Context, bytes int) error {
+// transmit returns when an answer has been sent, or when the context ends.
+func (w *link) transmit(ctx context.Context, bytes int) error {
 	for bytes > 0 {
 		part := bytes
 		if w.turn > 0 {
@@ -94,7 +94,7 @@
 		bytes -= part
 		if err := pass(ctx, w.reserve(part)); err != nil {
 			if w.ctx.Err() == nil {
-				go func() { _ = w.send(w.ctx, bytes) }() // It ends with the test at the latest.
+				go func() { _ = w.transmit(w.ctx, bytes) }() // It ends with the test at the latest.
 			}
 			return err
 		}
@@ -125,10 +125,10 @@
 
 func (r reached) bring(ctx context.Context, bytes int) error {
 	r.read.Add(int64(bytes))
-	if err := r.storeLink.send(ctx, bytes); err != nil {
+	if err := r.storeLink.transmit(ctx, bytes); err != nil {
 		return err
 	}
-	return r.machineLink.send(ctx, bytes)
+	return r.machineLink.transmit(ctx, bytes)
 }
 
 func (r reached) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
