--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -66,8 +66,8 @@
 	// ctx ends with the test.
 	ctx            context.Context
 	bytesPerSecond float64
-	// turn is how much of an answer is sent in one turn, 0 for all of it.
-	turn int
+	// chunkBytes is how much of an answer is sent in one chunkBytes, 0 for all of it.
+	chunkBytes int
 
 	mu        sync.Mutex
 	busyUntil time.Time
@@ -88,8 +88,8 @@
 func (w *link) transmit(ctx context.Context, bytes int) error {
 	for bytes > 0 {
 		part := bytes
-		if w.turn > 0 {
-			part = min(part, w.turn)
+		if w.chunkBytes > 0 {
+			part = min(part, w.chunkBytes)
 		}
 		bytes -= part
 		if err := pass(ctx, w.reserve(part)); err != nil {
@@ -248,7 +248,7 @@
 var startTopic = journal.Partition{Topic: journal.KeyedTopic("configuration")}
 
 func startAll(ctx context.Context, t *testing.T, given conditions) *allStarted {
-	all := &allStarted{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.carries, turn: given.turn}, began: time.Now()}
+	all := &allStarted{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.carries, chunkBytes: given.turn}, began: time.Now()}
 	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
 	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: startGrant, ReadsPerSecond: startReads}
 	all.list(ctx, t)
@@ -289,7 +289,7 @@
 func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *started {
 	logger := zap.NewNop()
 	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
-	var own journal.Journal = reached{all.log, given.takes, all.storeLink, &link{ctx: ctx, bytesPerSecond: startLink, turn: given.turn}, &all.read}
+	var own journal.Journal = reached{all.log, given.takes, all.storeLink, &link{ctx: ctx, bytesPerSecond: startLink, chunkBytes: given.turn}, &all.read}
 	b.revived = journal.DetectLostCalls(own, logger)
 	if given.revive {
 		own = b.revived
