--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -218,8 +218,8 @@
 	takes time.Duration
 	// carries is what the journal really sends, in bytes a second.
 	carries float64
-	// turn is as in wire.
-	turn int
+	// chunkBytes is as in wire.
+	chunkBytes int
 	// revive says that calls are given up on the word of others.
 	revive bool
 	// asked says that each batch is asked for by two callers.
@@ -248,7 +248,7 @@
 var startTopic = journal.Partition{Topic: journal.KeyedTopic("configuration")}
 
 func startAll(ctx context.Context, t *testing.T, given conditions) *allStarted {
-	all := &allStarted{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.carries, chunkBytes: given.turn}, began: time.Now()}
+	all := &allStarted{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.carries, chunkBytes: given.chunkBytes}, began: time.Now()}
 	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
 	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: startGrant, ReadsPerSecond: startReads}
 	all.list(ctx, t)
@@ -289,7 +289,7 @@
 func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *started {
 	logger := zap.NewNop()
 	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
-	var own journal.Journal = reached{all.log, given.takes, all.storeLink, &link{ctx: ctx, bytesPerSecond: startLink, chunkBytes: given.turn}, &all.read}
+	var own journal.Journal = reached{all.log, given.takes, all.storeLink, &link{ctx: ctx, bytesPerSecond: startLink, chunkBytes: given.chunkBytes}, &all.read}
 	b.revived = journal.DetectLostCalls(own, logger)
 	if given.revive {
 		own = b.revived
