--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -55,9 +55,9 @@
 	// prompt and late are what the journal takes for an answer of no length.
 	prompt = 4 * time.Millisecond
 	late   = 250 * time.Millisecond
-	// turnBytes is how much of an answer is sent before others that are under way have
+	// linkChunkBytes is how much of an answer is sent before others that are under way have
 	// their turn.
-	turnBytes = 16 << 10
+	linkChunkBytes = 16 << 10
 )
 
 // link sends answers at a rate. Bytes of an answer that nobody awaits any more are sent all
@@ -438,8 +438,8 @@
 // watched it before.
 func TestPartitionsAreLearnedAfterAllDaemonsStarted(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"as granted": {prompt, startGrant, turnBytes, true, false}, "a quarter": {prompt, startGrant / 4, turnBytes, true, false},
-		"late": {late, startGrant, turnBytes, true, false}, "late, a quarter": {late, startGrant / 4, turnBytes, true, false},
+		"as granted": {prompt, startGrant, linkChunkBytes, true, false}, "a quarter": {prompt, startGrant / 4, linkChunkBytes, true, false},
+		"late": {late, startGrant, linkChunkBytes, true, false}, "late, a quarter": {late, startGrant / 4, linkChunkBytes, true, false},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
 			bounded, stop := context.WithTimeout(ctx, servesAgain)
@@ -458,8 +458,8 @@
 func TestAConfigurationIsInForceWhileQuestionsPress(t *testing.T) {
 	for name, given := range map[string]conditions{
 		"in a row": {prompt, startGrant, 0, true, true}, "in a row, waited for": {prompt, startGrant, 0, false, true},
-		"in turns": {prompt, startGrant, turnBytes, true, true}, "in turns, waited for": {prompt, startGrant, turnBytes, false, true},
-		"in turns, a quarter": {prompt, startGrant / 4, turnBytes, true, true}, "in turns, a quarter, waited for": {prompt, startGrant / 4, turnBytes, false, true},
+		"in turns": {prompt, startGrant, linkChunkBytes, true, true}, "in turns, waited for": {prompt, startGrant, linkChunkBytes, false, true},
+		"in turns, a quarter": {prompt, startGrant / 4, linkChunkBytes, true, true}, "in turns, a quarter, waited for": {prompt, startGrant / 4, linkChunkBytes, false, true},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
 			bounded, stop := context.WithTimeout(ctx, servesAgain)
@@ -478,8 +478,8 @@
 // With one that carries what it grants and takes 0.25 s an answer, no holder was known.
 func TestBatchesAreToldWithinTheTimeToServeAgain(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"as granted": {prompt, startGrant, turnBytes, true, true}, "a quarter": {prompt, startGrant / 4, turnBytes, true, true},
-		"late": {late, startGrant, turnBytes, true, true}, "late, a quarter": {late, startGrant / 4, turnBytes, true, true},
+		"as granted": {prompt, startGrant, linkChunkBytes, true, true}, "a quarter": {prompt, startGrant / 4, linkChunkBytes, true, true},
+		"late": {late, startGrant, linkChunkBytes, true, true}, "late, a quarter": {late, startGrant / 4, linkChunkBytes, true, true},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
 			bounded, stop := context.WithTimeout(ctx, servesAgain)
