--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -92,7 +92,7 @@
 			part = min(part, w.chunkBytes)
 		}
 		bytes -= part
-		if err := pass(ctx, w.reserve(part)); err != nil {
+		if err := sleep(ctx, w.reserve(part)); err != nil {
 			if w.ctx.Err() == nil {
 				go func() { _ = w.transmit(w.ctx, bytes) }() // It ends with the test at the latest.
 			}
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// pass lets a time pass, or ends with the context.
-func pass(ctx context.Context, takes time.Duration) error {
+// sleep lets a time sleep, or ends with the context.
+func sleep(ctx context.Context, takes time.Duration) error {
 	timer := time.NewTimer(takes)
 	defer timer.Stop()
 	select {
@@ -132,7 +132,7 @@
 }
 
 func (r reached) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
-	if err := pass(ctx, r.takes); err != nil {
+	if err := sleep(ctx, r.takes); err != nil {
 		return journal.Appended{}, err
 	}
 	return r.Journal.Append(ctx, request)
@@ -151,7 +151,7 @@
 			return read, err
 		}
 	}
-	return read, pass(ctx, r.takes)
+	return read, sleep(ctx, r.takes)
 }
 
 func (r reached) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
@@ -163,21 +163,21 @@
 	if err := r.bring(ctx, bytes); err != nil {
 		return journal.KeyedPage{}, err
 	}
-	if err := pass(ctx, r.takes); err != nil {
+	if err := sleep(ctx, r.takes); err != nil {
 		return journal.KeyedPage{}, err
 	}
 	return page, err
 }
 
 func (r reached) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
-	if err := pass(ctx, r.takes); err != nil {
+	if err := sleep(ctx, r.takes); err != nil {
 		return journal.Assignment{}, err
 	}
 	return r.Journal.Join(ctx, request)
 }
 
 func (r reached) Owners(ctx context.Context, name string) ([]journal.Ownership, error) {
-	if err := pass(ctx, r.takes); err != nil {
+	if err := sleep(ctx, r.takes); err != nil {
 		return nil, err
 	}
 	return r.Journal.Owners(ctx, name)
@@ -339,7 +339,7 @@
 // not when the context ended.
 func (all *allStarted) awaitLearned(ctx context.Context) (after time.Duration, learned bool) {
 	for !all.learned() {
-		if pass(ctx, 50*time.Millisecond) != nil {
+		if sleep(ctx, 50*time.Millisecond) != nil {
 			return time.Since(all.began), false
 		}
 	}
@@ -357,7 +357,7 @@
 		page, err := all.daemons[random.IntN(startDaemons)].reader.Results(ctx, results.Query{BatchID: id, After: after})
 		if err != nil || !page.Found {
 			refused++
-			_ = pass(ctx, comeBack)
+			_ = sleep(ctx, comeBack)
 			continue
 		}
 		after, total = page.Next, page.Total
