--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -114,16 +114,16 @@
 	}
 }
 
-// reached is a journal as one machine reaches it: each call takes a time, and what is read
+// linkedJournal is a journal as one machine reaches it: each call takes a time, and what is read
 // comes over the journal's wire and then over the machine's own.
-type reached struct {
+type linkedJournal struct {
 	journal.Journal
 	takes                  time.Duration
 	storeLink, machineLink *link
 	read                   *atomic.Int64
 }
 
-func (r reached) bring(ctx context.Context, bytes int) error {
+func (r linkedJournal) bring(ctx context.Context, bytes int) error {
 	r.read.Add(int64(bytes))
 	if err := r.storeLink.transmit(ctx, bytes); err != nil {
 		return err
@@ -131,7 +131,7 @@
 	return r.machineLink.transmit(ctx, bytes)
 }
 
-func (r reached) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
+func (r linkedJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
 	if err := sleep(ctx, r.takes); err != nil {
 		return journal.Appended{}, err
 	}
@@ -140,7 +140,7 @@
 
 // Read brings one record after the other. Those that came whole before the context ended are
 // returned beside the error, as a client of the platform returns them.
-func (r reached) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+func (r linkedJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	read, err := r.Journal.Read(ctx, request)
 	if err != nil {
 		return read, err
@@ -154,7 +154,7 @@
 	return read, sleep(ctx, r.takes)
 }
 
-func (r reached) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
+func (r linkedJournal) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
 	page, err := r.Journal.Newest(ctx, partition, afterKey)
 	bytes := 0
 	for _, record := range page.Records {
@@ -169,14 +169,14 @@
 	return page, err
 }
 
-func (r reached) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
+func (r linkedJournal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
 	if err := sleep(ctx, r.takes); err != nil {
 		return journal.Assignment{}, err
 	}
 	return r.Journal.Join(ctx, request)
 }
 
-func (r reached) Owners(ctx context.Context, name string) ([]journal.Ownership, error) {
+func (r linkedJournal) Owners(ctx context.Context, name string) ([]journal.Ownership, error) {
 	if err := sleep(ctx, r.takes); err != nil {
 		return nil, err
 	}
@@ -289,7 +289,7 @@
 func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *started {
 	logger := zap.NewNop()
 	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
-	var own journal.Journal = reached{all.log, given.takes, all.storeLink, &link{ctx: ctx, bytesPerSecond: startLink, chunkBytes: given.chunkBytes}, &all.read}
+	var own journal.Journal = linkedJournal{all.log, given.takes, all.storeLink, &link{ctx: ctx, bytesPerSecond: startLink, chunkBytes: given.chunkBytes}, &all.read}
 	b.revived = journal.DetectLostCalls(own, logger)
 	if given.revive {
 		own = b.revived
