--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -123,7 +123,7 @@
 	read                   *atomic.Int64
 }
 
-func (r linkedJournal) bring(ctx context.Context, bytes int) error {
+func (r linkedJournal) download(ctx context.Context, bytes int) error {
 	r.read.Add(int64(bytes))
 	if err := r.storeLink.transmit(ctx, bytes); err != nil {
 		return err
@@ -146,7 +146,7 @@
 		return read, err
 	}
 	for i, record := range read.Records {
-		if err := r.bring(ctx, len(record)); err != nil {
+		if err := r.download(ctx, len(record)); err != nil {
 			read.Records = read.Records[:i]
 			return read, err
 		}
@@ -160,7 +160,7 @@
 	for _, record := range page.Records {
 		bytes += len(record.Value)
 	}
-	if err := r.bring(ctx, bytes); err != nil {
+	if err := r.download(ctx, bytes); err != nil {
 		return journal.KeyedPage{}, err
 	}
 	if err := sleep(ctx, r.takes); err != nil {
