--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -118,7 +118,7 @@
 // comes over the journal's wire and then over the machine's own.
 type linkedJournal struct {
 	journal.Journal
-	takes                  time.Duration
+	latency                time.Duration
 	storeLink, machineLink *link
 	read                   *atomic.Int64
 }
@@ -132,7 +132,7 @@
 }
 
 func (r linkedJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
-	if err := sleep(ctx, r.takes); err != nil {
+	if err := sleep(ctx, r.latency); err != nil {
 		return journal.Appended{}, err
 	}
 	return r.Journal.Append(ctx, request)
@@ -151,7 +151,7 @@
 			return read, err
 		}
 	}
-	return read, sleep(ctx, r.takes)
+	return read, sleep(ctx, r.latency)
 }
 
 func (r linkedJournal) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
@@ -163,21 +163,21 @@
 	if err := r.download(ctx, bytes); err != nil {
 		return journal.KeyedPage{}, err
 	}
-	if err := sleep(ctx, r.takes); err != nil {
+	if err := sleep(ctx, r.latency); err != nil {
 		return journal.KeyedPage{}, err
 	}
 	return page, err
 }
 
 func (r linkedJournal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
-	if err := sleep(ctx, r.takes); err != nil {
+	if err := sleep(ctx, r.latency); err != nil {
 		return journal.Assignment{}, err
 	}
 	return r.Journal.Join(ctx, request)
 }
 
 func (r linkedJournal) Owners(ctx context.Context, name string) ([]journal.Ownership, error) {
-	if err := sleep(ctx, r.takes); err != nil {
+	if err := sleep(ctx, r.latency); err != nil {
 		return nil, err
 	}
 	return r.Journal.Owners(ctx, name)
