--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -215,7 +215,7 @@
 
 // conditions say under what all daemons start.
 type conditions struct {
-	takes time.Duration
+	latency time.Duration
 	// carries is what the journal really sends, in bytes a second.
 	carries float64
 	// chunkBytes is as in wire.
@@ -289,7 +289,7 @@
 func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *started {
 	logger := zap.NewNop()
 	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
-	var own journal.Journal = linkedJournal{all.log, given.takes, all.storeLink, &link{ctx: ctx, bytesPerSecond: startLink, chunkBytes: given.chunkBytes}, &all.read}
+	var own journal.Journal = linkedJournal{all.log, given.latency, all.storeLink, &link{ctx: ctx, bytesPerSecond: startLink, chunkBytes: given.chunkBytes}, &all.read}
 	b.revived = journal.DetectLostCalls(own, logger)
 	if given.revive {
 		own = b.revived
