--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -216,8 +216,8 @@
 // conditions say under what all daemons start.
 type conditions struct {
 	latency time.Duration
-	// carries is what the journal really sends, in bytes a second.
-	carries float64
+	// bytesPerSecond is what the journal really sends, in bytes a second.
+	bytesPerSecond float64
 	// chunkBytes is as in wire.
 	chunkBytes int
 	// revive says that calls are given up on the word of others.
@@ -248,7 +248,7 @@
 var startTopic = journal.Partition{Topic: journal.KeyedTopic("configuration")}
 
 func startAll(ctx context.Context, t *testing.T, given conditions) *allStarted {
-	all := &allStarted{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.carries, chunkBytes: given.chunkBytes}, began: time.Now()}
+	all := &allStarted{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.bytesPerSecond, chunkBytes: given.chunkBytes}, began: time.Now()}
 	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
 	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: startGrant, ReadsPerSecond: startReads}
 	all.list(ctx, t)
