--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -220,8 +220,8 @@
 	bytesPerSecond float64
 	// chunkBytes is as in wire.
 	chunkBytes int
-	// revive says that calls are given up on the word of others.
-	revive bool
+	// detectLostCalls says that calls are given up on the word of others.
+	detectLostCalls bool
 	// asked says that each batch is asked for by two callers.
 	asked bool
 }
@@ -291,7 +291,7 @@
 	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
 	var own journal.Journal = linkedJournal{all.log, given.latency, all.storeLink, &link{ctx: ctx, bytesPerSecond: startLink, chunkBytes: given.chunkBytes}, &all.read}
 	b.revived = journal.DetectLostCalls(own, logger)
-	if given.revive {
+	if given.detectLostCalls {
 		own = b.revived
 	}
 	b.batches = ledger.New(ctx, own, logger)
