--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -222,8 +222,8 @@
 	chunkBytes int
 	// detectLostCalls says that calls are given up on the word of others.
 	detectLostCalls bool
-	// asked says that each batch is asked for by two callers.
-	asked bool
+	// queried says that each batch is queried for by two callers.
+	queried bool
 }
 
 // started is a daemon with those of its parts that read the journal.
