--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -32,8 +32,8 @@
 
 // What is aimed at after a start of all daemons.
 const (
-	// servesAgain is within which time machines serve again.
-	servesAgain = 15 * time.Second
+	// maxRecoveryTime is within which time machines serve again.
+	maxRecoveryTime = 15 * time.Second
 	// inForce is within which time a configuration is in force everywhere.
 	inForce = 3 * time.Second
 )
@@ -392,13 +392,13 @@
 // last daemon has started.
 func (all *allStarted) configureAll(ctx context.Context, t *testing.T) (late, of int, slowest time.Duration) {
 	written := map[string]time.Time{"first": all.began.Add(startSpread)}
-	for i := 0; time.Since(all.began) < servesAgain-inForce-time.Second; i++ {
+	for i := 0; time.Since(all.began) < maxRecoveryTime-inForce-time.Second; i++ {
 		time.Sleep(time.Second)
 		key := fmt.Sprint("change", i)
 		written[key] = time.Now()
 		all.configure(ctx, t, key)
 	}
-	time.Sleep(time.Until(all.began.Add(servesAgain)))
+	time.Sleep(time.Until(all.began.Add(maxRecoveryTime)))
 	for _, e := range all.daemons {
 		for key, at := range written {
 			took := e.applied.after(key, at)
@@ -442,7 +442,7 @@
 		"late": {late, startGrant, linkChunkBytes, true, false}, "late, a quarter": {late, startGrant / 4, linkChunkBytes, true, false},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
-			bounded, stop := context.WithTimeout(ctx, servesAgain)
+			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			after, learned := all.awaitLearned(bounded)
 			t.Logf("learned %v after %v, %d MB read of %d, %d calls given up", learned, after, all.read.Load()>>20, startBatches*startBytes>>20, all.givenUp())
@@ -462,7 +462,7 @@
 		"in turns, a quarter": {prompt, startGrant / 4, linkChunkBytes, true, true}, "in turns, a quarter, waited for": {prompt, startGrant / 4, linkChunkBytes, false, true},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
-			bounded, stop := context.WithTimeout(ctx, servesAgain)
+			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			go all.askAll(bounded)
 			late, of, slowest := all.configureAll(ctx, t)
@@ -482,10 +482,10 @@
 		"late": {late, startGrant, linkChunkBytes, true, true}, "late, a quarter": {late, startGrant / 4, linkChunkBytes, true, true},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
-			bounded, stop := context.WithTimeout(ctx, servesAgain)
+			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			untold, refused, last := all.askAll(bounded)
-			t.Logf("%d of %d callers not told all in %v, the last of the others after %v, %d questions refused, %d MB read", untold, 2*startBatches, servesAgain, last, refused, all.read.Load()>>20)
+			t.Logf("%d of %d callers not told all in %v, the last of the others after %v, %d questions refused, %d MB read", untold, 2*startBatches, maxRecoveryTime, last, refused, all.read.Load()>>20)
 			is.Equal(untold, 0)
 		})
 	}
