--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -34,8 +34,8 @@
 const (
 	// maxRecoveryTime is within which time machines serve again.
 	maxRecoveryTime = 15 * time.Second
-	// inForce is within which time a configuration is in force everywhere.
-	inForce = 3 * time.Second
+	// maxConfigurationDelay is within which time a configuration is in force everywhere.
+	maxConfigurationDelay = 3 * time.Second
 )
 
 // The fleet that starts, each daemon behind a link of its own, and what its journal holds.
@@ -392,7 +392,7 @@
 // last daemon has started.
 func (all *allStarted) configureAll(ctx context.Context, t *testing.T) (late, of int, slowest time.Duration) {
 	written := map[string]time.Time{"first": all.began.Add(startSpread)}
-	for i := 0; time.Since(all.began) < maxRecoveryTime-inForce-time.Second; i++ {
+	for i := 0; time.Since(all.began) < maxRecoveryTime-maxConfigurationDelay-time.Second; i++ {
 		time.Sleep(time.Second)
 		key := fmt.Sprint("change", i)
 		written[key] = time.Now()
@@ -404,7 +404,7 @@
 			took := e.applied.after(key, at)
 			of++
 			slowest = max(slowest, took)
-			if took > inForce {
+			if took > maxConfigurationDelay {
 				late++
 			}
 		}
@@ -466,7 +466,7 @@
 			defer stop()
 			go all.askAll(bounded)
 			late, of, slowest := all.configureAll(ctx, t)
-			t.Logf("%d of %d later than %v, the slowest after %v, %d MB read, %d calls given up", late, of, inForce, slowest, all.read.Load()>>20, all.givenUp())
+			t.Logf("%d of %d later than %v, the slowest after %v, %d MB read, %d calls given up", late, of, maxConfigurationDelay, slowest, all.read.Load()>>20, all.givenUp())
 			is.Equal(late, 0)
 		})
 	}
