--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -40,7 +40,7 @@
 
 // The fleet that starts, each daemon behind a link of its own, and what its journal holds.
 const (
-	startDaemons = 84
+	fleetSize = 84
 	// startLink and startGrant are bytes a second.
 	startLink  = 60e6 / 8
 	startGrant = 80e6
@@ -254,7 +254,7 @@
 	all.list(ctx, t)
 	all.configure(ctx, t, "first")
 	random := rand.New(rand.NewPCG(11, 0))
-	for i := range startDaemons {
+	for i := range fleetSize {
 		all.daemons = append(all.daemons, all.build(ctx, given, i, time.Duration(random.Int64N(int64(startSpread)))))
 	}
 	return all
@@ -310,7 +310,7 @@
 }
 
 // Daemons implements results.Peers.
-func (all *allStarted) Daemons() int { return startDaemons }
+func (all *allStarted) Daemons() int { return fleetSize }
 
 // Ask implements results.Peers.
 func (all *allStarted) Ask(ctx context.Context, machine, _ string, asked, answer any) error {
@@ -354,7 +354,7 @@
 		if ctx.Err() != nil {
 			return refused, false
 		}
-		page, err := all.daemons[random.IntN(startDaemons)].reader.Results(ctx, results.Query{BatchID: id, After: after})
+		page, err := all.daemons[random.IntN(fleetSize)].reader.Results(ctx, results.Query{BatchID: id, After: after})
 		if err != nil || !page.Found {
 			refused++
 			_ = sleep(ctx, comeBack)
