--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -41,10 +41,10 @@
 // The fleet that starts, each daemon behind a link of its own, and what its journal holds.
 const (
 	fleetSize = 84
-	// startLink and startGrant are bytes a second.
-	startLink  = 60e6 / 8
-	startGrant = 80e6
-	startReads = 6000
+	// linkBytesPerSecond and startGrant are bytes a second.
+	linkBytesPerSecond = 60e6 / 8
+	startGrant         = 80e6
+	startReads         = 6000
 	// startBatches of startBytes each have been listed.
 	startBatches = 36
 	startBytes   = 2 << 20
@@ -289,7 +289,7 @@
 func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *started {
 	logger := zap.NewNop()
 	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
-	var own journal.Journal = linkedJournal{all.log, given.latency, all.storeLink, &link{ctx: ctx, bytesPerSecond: startLink, chunkBytes: given.chunkBytes}, &all.read}
+	var own journal.Journal = linkedJournal{all.log, given.latency, all.storeLink, &link{ctx: ctx, bytesPerSecond: linkBytesPerSecond, chunkBytes: given.chunkBytes}, &all.read}
 	b.revived = journal.DetectLostCalls(own, logger)
 	if given.detectLostCalls {
 		own = b.revived
