--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -42,9 +42,9 @@
 const (
 	fleetSize = 84
 	// linkBytesPerSecond and startGrant are bytes a second.
-	linkBytesPerSecond = 60e6 / 8
-	startGrant         = 80e6
-	startReads         = 6000
+	linkBytesPerSecond    = 60e6 / 8
+	grantedBytesPerSecond = 80e6
+	startReads            = 6000
 	// startBatches of startBytes each have been listed.
 	startBatches = 36
 	startBytes   = 2 << 20
@@ -250,7 +250,7 @@
 func startAll(ctx context.Context, t *testing.T, given conditions) *allStarted {
 	all := &allStarted{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.bytesPerSecond, chunkBytes: given.chunkBytes}, began: time.Now()}
 	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
-	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: startGrant, ReadsPerSecond: startReads}
+	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: grantedBytesPerSecond, ReadsPerSecond: startReads}
 	all.list(ctx, t)
 	all.configure(ctx, t, "first")
 	random := rand.New(rand.NewPCG(11, 0))
@@ -438,8 +438,8 @@
 // watched it before.
 func TestPartitionsAreLearnedAfterAllDaemonsStarted(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"as granted": {prompt, startGrant, linkChunkBytes, true, false}, "a quarter": {prompt, startGrant / 4, linkChunkBytes, true, false},
-		"late": {late, startGrant, linkChunkBytes, true, false}, "late, a quarter": {late, startGrant / 4, linkChunkBytes, true, false},
+		"as granted": {prompt, grantedBytesPerSecond, linkChunkBytes, true, false}, "a quarter": {prompt, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
+		"late": {late, grantedBytesPerSecond, linkChunkBytes, true, false}, "late, a quarter": {late, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
@@ -457,9 +457,9 @@
 // others.
 func TestAConfigurationIsInForceWhileQuestionsPress(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"in a row": {prompt, startGrant, 0, true, true}, "in a row, waited for": {prompt, startGrant, 0, false, true},
-		"in turns": {prompt, startGrant, linkChunkBytes, true, true}, "in turns, waited for": {prompt, startGrant, linkChunkBytes, false, true},
-		"in turns, a quarter": {prompt, startGrant / 4, linkChunkBytes, true, true}, "in turns, a quarter, waited for": {prompt, startGrant / 4, linkChunkBytes, false, true},
+		"in a row": {prompt, grantedBytesPerSecond, 0, true, true}, "in a row, waited for": {prompt, grantedBytesPerSecond, 0, false, true},
+		"in turns": {prompt, grantedBytesPerSecond, linkChunkBytes, true, true}, "in turns, waited for": {prompt, grantedBytesPerSecond, linkChunkBytes, false, true},
+		"in turns, a quarter": {prompt, grantedBytesPerSecond / 4, linkChunkBytes, true, true}, "in turns, a quarter, waited for": {prompt, grantedBytesPerSecond / 4, linkChunkBytes, false, true},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
@@ -478,8 +478,8 @@
 // With one that carries what it grants and takes 0.25 s an answer, no holder was known.
 func TestBatchesAreToldWithinTheTimeToServeAgain(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"as granted": {prompt, startGrant, linkChunkBytes, true, true}, "a quarter": {prompt, startGrant / 4, linkChunkBytes, true, true},
-		"late": {late, startGrant, linkChunkBytes, true, true}, "late, a quarter": {late, startGrant / 4, linkChunkBytes, true, true},
+		"as granted": {prompt, grantedBytesPerSecond, linkChunkBytes, true, true}, "a quarter": {prompt, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
+		"late": {late, grantedBytesPerSecond, linkChunkBytes, true, true}, "late, a quarter": {late, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
