--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -44,7 +44,7 @@
 	// linkBytesPerSecond and startGrant are bytes a second.
 	linkBytesPerSecond    = 60e6 / 8
 	grantedBytesPerSecond = 80e6
-	startReads            = 6000
+	grantedReadsPerSecond = 6000
 	// startBatches of startBytes each have been listed.
 	startBatches = 36
 	startBytes   = 2 << 20
@@ -250,7 +250,7 @@
 func startAll(ctx context.Context, t *testing.T, given conditions) *allStarted {
 	all := &allStarted{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.bytesPerSecond, chunkBytes: given.chunkBytes}, began: time.Now()}
 	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
-	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: grantedBytesPerSecond, ReadsPerSecond: startReads}
+	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: grantedBytesPerSecond, ReadsPerSecond: grantedReadsPerSecond}
 	all.list(ctx, t)
 	all.configure(ctx, t, "first")
 	random := rand.New(rand.NewPCG(11, 0))
