--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -45,9 +45,9 @@
 	linkBytesPerSecond    = 60e6 / 8
 	grantedBytesPerSecond = 80e6
 	grantedReadsPerSecond = 6000
-	// startBatches of startBytes each have been listed.
-	startBatches = 36
-	startBytes   = 2 << 20
+	// batchCount of startBytes each have been listed.
+	batchCount = 36
+	startBytes = 2 << 20
 	// startSpread is within which time all have started.
 	startSpread = 700 * time.Millisecond
 	// startRecord is the size of a configuration, which is written anew each second.
@@ -264,7 +264,7 @@
 func (all *allStarted) list(ctx context.Context, t *testing.T) {
 	const items = 32
 	batches := ledger.New(ctx, all.log, zap.NewNop())
-	for i := range startBatches {
+	for i := range batchCount {
 		submission := &batch.Submission{ID: fmt.Sprint("b", i)}
 		var listed [][]byte
 		for item := range items {
@@ -370,9 +370,9 @@
 func (all *allStarted) askAll(ctx context.Context) (untold, refused int, last time.Duration) {
 	var callers sync.WaitGroup
 	var mu sync.Mutex
-	for i := range 2 * startBatches {
+	for i := range 2 * batchCount {
 		callers.Go(func() {
-			times, a := all.ask(ctx, fmt.Sprint("b", i%startBatches), rand.New(rand.NewPCG(7, uint64(i))))
+			times, a := all.ask(ctx, fmt.Sprint("b", i%batchCount), rand.New(rand.NewPCG(7, uint64(i))))
 			mu.Lock()
 			defer mu.Unlock()
 			refused += times
@@ -445,9 +445,9 @@
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			after, learned := all.awaitLearned(bounded)
-			t.Logf("learned %v after %v, %d MB read of %d, %d calls given up", learned, after, all.read.Load()>>20, startBatches*startBytes>>20, all.givenUp())
+			t.Logf("learned %v after %v, %d MB read of %d, %d calls given up", learned, after, all.read.Load()>>20, batchCount*startBytes>>20, all.givenUp())
 			is.True(learned)
-			is.True(all.read.Load() <= 2*startBatches*startBytes)
+			is.True(all.read.Load() <= 2*batchCount*startBytes)
 		})
 	}
 }
@@ -485,7 +485,7 @@
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			untold, refused, last := all.askAll(bounded)
-			t.Logf("%d of %d callers not told all in %v, the last of the others after %v, %d questions refused, %d MB read", untold, 2*startBatches, maxRecoveryTime, last, refused, all.read.Load()>>20)
+			t.Logf("%d of %d callers not told all in %v, the last of the others after %v, %d questions refused, %d MB read", untold, 2*batchCount, maxRecoveryTime, last, refused, all.read.Load()>>20)
 			is.Equal(untold, 0)
 		})
 	}
