--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -47,7 +47,7 @@
 	grantedReadsPerSecond = 6000
 	// batchCount of startBytes each have been listed.
 	batchCount = 36
-	startBytes = 2 << 20
+	batchBytes = 2 << 20
 	// startSpread is within which time all have started.
 	startSpread = 700 * time.Millisecond
 	// startRecord is the size of a configuration, which is written anew each second.
@@ -269,7 +269,7 @@
 		var listed [][]byte
 		for item := range items {
 			submission.Items = append(submission.Items, batch.Item{ID: fmt.Sprint("i", item)})
-			listed = append(listed, batch.ResultsAdded(submission.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: make([]byte, startBytes/items)}}))
+			listed = append(listed, batch.ResultsAdded(submission.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: make([]byte, batchBytes/items)}}))
 		}
 		records := append([][]byte{batch.Accepted(submission, "gone/1")}, listed...)
 		all.put(ctx, t, batches.Locate(submission.ID), append(records, batch.Ended(submission.ID, ""))...)
@@ -445,9 +445,9 @@
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			after, learned := all.awaitLearned(bounded)
-			t.Logf("learned %v after %v, %d MB read of %d, %d calls given up", learned, after, all.read.Load()>>20, batchCount*startBytes>>20, all.givenUp())
+			t.Logf("learned %v after %v, %d MB read of %d, %d calls given up", learned, after, all.read.Load()>>20, batchCount*batchBytes>>20, all.givenUp())
 			is.True(learned)
-			is.True(all.read.Load() <= 2*batchCount*startBytes)
+			is.True(all.read.Load() <= 2*batchCount*batchBytes)
 		})
 	}
 }
