--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -48,8 +48,8 @@
 	// batchCount of startBytes each have been listed.
 	batchCount = 36
 	batchBytes = 2 << 20
-	// startSpread is within which time all have started.
-	startSpread = 700 * time.Millisecond
+	// maxStartDelay is within which time all have started.
+	maxStartDelay = 700 * time.Millisecond
 	// startRecord is the size of a configuration, which is written anew each second.
 	startRecord = 16 << 10
 	// prompt and late are what the journal takes for an answer of no length.
@@ -255,7 +255,7 @@
 	all.configure(ctx, t, "first")
 	random := rand.New(rand.NewPCG(11, 0))
 	for i := range fleetSize {
-		all.daemons = append(all.daemons, all.build(ctx, given, i, time.Duration(random.Int64N(int64(startSpread)))))
+		all.daemons = append(all.daemons, all.build(ctx, given, i, time.Duration(random.Int64N(int64(maxStartDelay)))))
 	}
 	return all
 }
@@ -391,7 +391,7 @@
 // came into force late, and the time that the slowest took. The first counts from when the
 // last daemon has started.
 func (all *allStarted) configureAll(ctx context.Context, t *testing.T) (late, of int, slowest time.Duration) {
-	written := map[string]time.Time{"first": all.began.Add(startSpread)}
+	written := map[string]time.Time{"first": all.began.Add(maxStartDelay)}
 	for i := 0; time.Since(all.began) < maxRecoveryTime-maxConfigurationDelay-time.Second; i++ {
 		time.Sleep(time.Second)
 		key := fmt.Sprint("change", i)
