--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -50,8 +50,8 @@
 	batchBytes = 2 << 20
 	// maxStartDelay is within which time all have started.
 	maxStartDelay = 700 * time.Millisecond
-	// startRecord is the size of a configuration, which is written anew each second.
-	startRecord = 16 << 10
+	// configurationBytes is the size of a configuration, which is written anew each second.
+	configurationBytes = 16 << 10
 	// prompt and late are what the journal takes for an answer of no length.
 	prompt = 4 * time.Millisecond
 	late   = 250 * time.Millisecond
@@ -283,7 +283,7 @@
 }
 
 func (all *allStarted) configure(ctx context.Context, t *testing.T, key string) {
-	all.put(ctx, t, startTopic, journal.EncodeKeyed(key, make([]byte, startRecord)))
+	all.put(ctx, t, startTopic, journal.EncodeKeyed(key, make([]byte, configurationBytes)))
 }
 
 func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *started {
