--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -52,9 +52,9 @@
 	maxStartDelay = 700 * time.Millisecond
 	// configurationBytes is the size of a configuration, which is written anew each second.
 	configurationBytes = 16 << 10
-	// prompt and late are what the journal takes for an answer of no length.
-	prompt = 4 * time.Millisecond
-	late   = 250 * time.Millisecond
+	// shortLatency and late are what the journal takes for an answer of no length.
+	shortLatency = 4 * time.Millisecond
+	late         = 250 * time.Millisecond
 	// linkChunkBytes is how much of an answer is sent before others that are under way have
 	// their turn.
 	linkChunkBytes = 16 << 10
@@ -438,7 +438,7 @@
 // watched it before.
 func TestPartitionsAreLearnedAfterAllDaemonsStarted(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"as granted": {prompt, grantedBytesPerSecond, linkChunkBytes, true, false}, "a quarter": {prompt, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
+		"as granted": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, false}, "a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
 		"late": {late, grantedBytesPerSecond, linkChunkBytes, true, false}, "late, a quarter": {late, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
@@ -457,9 +457,9 @@
 // others.
 func TestAConfigurationIsInForceWhileQuestionsPress(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"in a row": {prompt, grantedBytesPerSecond, 0, true, true}, "in a row, waited for": {prompt, grantedBytesPerSecond, 0, false, true},
-		"in turns": {prompt, grantedBytesPerSecond, linkChunkBytes, true, true}, "in turns, waited for": {prompt, grantedBytesPerSecond, linkChunkBytes, false, true},
-		"in turns, a quarter": {prompt, grantedBytesPerSecond / 4, linkChunkBytes, true, true}, "in turns, a quarter, waited for": {prompt, grantedBytesPerSecond / 4, linkChunkBytes, false, true},
+		"in a row": {shortLatency, grantedBytesPerSecond, 0, true, true}, "in a row, waited for": {shortLatency, grantedBytesPerSecond, 0, false, true},
+		"in turns": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "in turns, waited for": {shortLatency, grantedBytesPerSecond, linkChunkBytes, false, true},
+		"in turns, a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true}, "in turns, a quarter, waited for": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, false, true},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
@@ -478,7 +478,7 @@
 // With one that carries what it grants and takes 0.25 s an answer, no holder was known.
 func TestBatchesAreToldWithinTheTimeToServeAgain(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"as granted": {prompt, grantedBytesPerSecond, linkChunkBytes, true, true}, "a quarter": {prompt, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
+		"as granted": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
 		"late": {late, grantedBytesPerSecond, linkChunkBytes, true, true}, "late, a quarter": {late, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
