--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -54,7 +54,7 @@
 	configurationBytes = 16 << 10
 	// shortLatency and late are what the journal takes for an answer of no length.
 	shortLatency = 4 * time.Millisecond
-	late         = 250 * time.Millisecond
+	longLatency  = 250 * time.Millisecond
 	// linkChunkBytes is how much of an answer is sent before others that are under way have
 	// their turn.
 	linkChunkBytes = 16 << 10
@@ -439,7 +439,7 @@
 func TestPartitionsAreLearnedAfterAllDaemonsStarted(t *testing.T) {
 	for name, given := range map[string]conditions{
 		"as granted": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, false}, "a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
-		"late": {late, grantedBytesPerSecond, linkChunkBytes, true, false}, "late, a quarter": {late, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
+		"late": {longLatency, grantedBytesPerSecond, linkChunkBytes, true, false}, "late, a quarter": {longLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
@@ -479,7 +479,7 @@
 func TestBatchesAreToldWithinTheTimeToServeAgain(t *testing.T) {
 	for name, given := range map[string]conditions{
 		"as granted": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
-		"late": {late, grantedBytesPerSecond, linkChunkBytes, true, true}, "late, a quarter": {late, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
+		"late": {longLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "late, a quarter": {longLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
 	} {
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
