--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -183,19 +183,19 @@
 	return r.Journal.Owners(ctx, name)
 }
 
-// applied notes when each key of a partition was first applied.
-type applied struct {
+// applyTimes notes when each key of a partition was first applyTimes.
+type applyTimes struct {
 	mu sync.Mutex
 	at map[string]time.Time
 }
 
-func (a *applied) Reset(records []journal.KeyedRecord) {
+func (a *applyTimes) Reset(records []journal.KeyedRecord) {
 	for _, record := range records {
 		a.Apply(record)
 	}
 }
 
-func (a *applied) Apply(record journal.KeyedRecord) {
+func (a *applyTimes) Apply(record journal.KeyedRecord) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if _, known := a.at[record.Key]; !known {
@@ -204,7 +204,7 @@
 }
 
 // after is how long after a moment a key was applied, or until now if it was not.
-func (a *applied) after(key string, since time.Time) time.Duration {
+func (a *applyTimes) after(key string, since time.Time) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if at, known := a.at[key]; known {
@@ -232,7 +232,7 @@
 	batches *ledger.Ledger
 	reader  *results.Reader
 	member  *group.Member
-	applied *applied
+	applied *applyTimes
 	revived *journal.LostCallDetector
 }
 
@@ -288,7 +288,7 @@
 
 func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *started {
 	logger := zap.NewNop()
-	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
+	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applyTimes{at: map[string]time.Time{}}}
 	var own journal.Journal = linkedJournal{all.log, given.latency, all.storeLink, &link{ctx: ctx, bytesPerSecond: linkBytesPerSecond, chunkBytes: given.chunkBytes}, &all.read}
 	b.revived = journal.DetectLostCalls(own, logger)
 	if given.detectLostCalls {
