--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -228,12 +228,12 @@
 
 // started is a daemon with those of its parts that read the journal.
 type started struct {
-	run     string
-	batches *ledger.Ledger
-	reader  *results.Reader
-	member  *group.Member
-	applied *applyTimes
-	revived *journal.LostCallDetector
+	run       string
+	batches   *ledger.Ledger
+	reader    *results.Reader
+	member    *group.Member
+	applied   *applyTimes
+	lostCalls *journal.LostCallDetector
 }
 
 // allStarted are daemons that start at nearly the same time. It implements results.Peers.
@@ -290,9 +290,9 @@
 	logger := zap.NewNop()
 	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applyTimes{at: map[string]time.Time{}}}
 	var own journal.Journal = linkedJournal{all.log, given.latency, all.storeLink, &link{ctx: ctx, bytesPerSecond: linkBytesPerSecond, chunkBytes: given.chunkBytes}, &all.read}
-	b.revived = journal.DetectLostCalls(own, logger)
+	b.lostCalls = journal.DetectLostCalls(own, logger)
 	if given.detectLostCalls {
-		own = b.revived
+		own = b.lostCalls
 	}
 	b.batches = ledger.New(ctx, own, logger)
 	b.member = group.New(own, b.run, append(ledger.TopicNames(), runner.RunnersTopic), logger)
@@ -415,7 +415,7 @@
 // givenUp is how many calls were given up on the word of others.
 func (all *allStarted) givenUp() (calls uint64) {
 	for _, e := range all.daemons {
-		calls += e.revived.CallsGivenUp.Load()
+		calls += e.lostCalls.CallsGivenUp.Load()
 	}
 	return calls
 }
