--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -228,12 +228,12 @@
 
 // started is a daemon with those of its parts that read the journal.
 type started struct {
-	run       string
-	batches   *ledger.Ledger
-	reader    *results.Reader
-	member    *group.Member
-	applied   *applyTimes
-	lostCalls *journal.LostCallDetector
+	incarnation string
+	batches     *ledger.Ledger
+	reader      *results.Reader
+	member      *group.Member
+	applied     *applyTimes
+	lostCalls   *journal.LostCallDetector
 }
 
 // allStarted are daemons that start at nearly the same time. It implements results.Peers.
@@ -288,19 +288,19 @@
 
 func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *started {
 	logger := zap.NewNop()
-	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applyTimes{at: map[string]time.Time{}}}
+	b := &started{incarnation: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applyTimes{at: map[string]time.Time{}}}
 	var own journal.Journal = linkedJournal{all.log, given.latency, all.storeLink, &link{ctx: ctx, bytesPerSecond: linkBytesPerSecond, chunkBytes: given.chunkBytes}, &all.read}
 	b.lostCalls = journal.DetectLostCalls(own, logger)
 	if given.detectLostCalls {
 		own = b.lostCalls
 	}
 	b.batches = ledger.New(ctx, own, logger)
-	b.member = group.New(own, b.run, append(ledger.TopicNames(), runner.RunnersTopic), logger)
-	b.reader = results.NewReader(b.batches, b.member, all, own.RateLimits(), b.run, logger)
+	b.member = group.New(own, b.incarnation, append(ledger.TopicNames(), runner.RunnersTopic), logger)
+	b.reader = results.NewReader(b.batches, b.member, all, own.RateLimits(), b.incarnation, logger)
 	follower := journal.NewKeyedFollower(own, startTopic, b.applied, settings.Defaults().Timing.ContactBound.Std(), logger)
 	follower.SetInterval(journal.SharedInterval(own.RateLimits().ReadsPerSecond*operatorReadFraction, all.Daemons))
-	forwarder := &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Names: headers.Names{}, Quarantine: quarantine.New(b.run, time.Now, logger), Table: replica.NewTable(time.Second, logger), Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
-	jobs := runner.New(ctx, b.run, b.batches, forwarder, nil, nil, runner.NewAssigner(own, b.member, b.run, logger), b.reader, logger)
+	forwarder := &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Names: headers.Names{}, Quarantine: quarantine.New(b.incarnation, time.Now, logger), Table: replica.NewTable(time.Second, logger), Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
+	jobs := runner.New(ctx, b.incarnation, b.batches, forwarder, nil, nil, runner.NewAssigner(own, b.member, b.incarnation, logger), b.reader, logger)
 	time.AfterFunc(after, func() {
 		for _, run := range []func(context.Context){follower.Run, b.member.Run, runner.NewWatcher(jobs, b.member).Run} {
 			go run(ctx)
@@ -315,7 +315,7 @@
 // Ask implements results.Peers.
 func (all *allStarted) Ask(ctx context.Context, machine, _ string, asked, answer any) error {
 	for _, e := range all.daemons {
-		if identity.Machine(e.run) == machine {
+		if identity.Machine(e.incarnation) == machine {
 			return e.reader.Service(ctx).Results(asked.(results.Query), answer.(*results.Page))
 		}
 	}
