--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -226,8 +226,8 @@
 	queried bool
 }
 
-// started is a daemon with those of its parts that read the journal.
-type started struct {
+// testDaemon is a daemon with those of its parts that read the journal.
+type testDaemon struct {
 	incarnation string
 	batches     *ledger.Ledger
 	reader      *results.Reader
@@ -241,7 +241,7 @@
 	log       *journaltest.Journal
 	storeLink *link
 	read      atomic.Int64
-	daemons   []*started
+	daemons   []*testDaemon
 	began     time.Time
 }
 
@@ -286,9 +286,9 @@
 	all.put(ctx, t, startTopic, journal.EncodeKeyed(key, make([]byte, configurationBytes)))
 }
 
-func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *started {
+func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *testDaemon {
 	logger := zap.NewNop()
-	b := &started{incarnation: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applyTimes{at: map[string]time.Time{}}}
+	b := &testDaemon{incarnation: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applyTimes{at: map[string]time.Time{}}}
 	var own journal.Journal = linkedJournal{all.log, given.latency, all.storeLink, &link{ctx: ctx, bytesPerSecond: linkBytesPerSecond, chunkBytes: given.chunkBytes}, &all.read}
 	b.lostCalls = journal.DetectLostCalls(own, logger)
 	if given.detectLostCalls {
