--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -236,8 +236,8 @@
 	lostCalls   *journal.LostCallDetector
 }
 
-// allStarted are daemons that start at nearly the same time. It implements results.Peers.
-type allStarted struct {
+// testFleet are daemons that start at nearly the same time. It implements results.Peers.
+type testFleet struct {
 	log       *journaltest.Journal
 	storeLink *link
 	read      atomic.Int64
@@ -247,8 +247,8 @@
 
 var startTopic = journal.Partition{Topic: journal.KeyedTopic("configuration")}
 
-func startAll(ctx context.Context, t *testing.T, given conditions) *allStarted {
-	all := &allStarted{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.bytesPerSecond, chunkBytes: given.chunkBytes}, began: time.Now()}
+func startAll(ctx context.Context, t *testing.T, given conditions) *testFleet {
+	all := &testFleet{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.bytesPerSecond, chunkBytes: given.chunkBytes}, began: time.Now()}
 	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
 	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: grantedBytesPerSecond, ReadsPerSecond: grantedReadsPerSecond}
 	all.list(ctx, t)
@@ -261,7 +261,7 @@
 }
 
 // list puts the batches into the journal. They have ended, so that nobody runs them.
-func (all *allStarted) list(ctx context.Context, t *testing.T) {
+func (all *testFleet) list(ctx context.Context, t *testing.T) {
 	const items = 32
 	batches := ledger.New(ctx, all.log, zap.NewNop())
 	for i := range batchCount {
@@ -276,17 +276,17 @@
 	}
 }
 
-func (all *allStarted) put(ctx context.Context, t *testing.T, partition journal.Partition, records ...[]byte) {
+func (all *testFleet) put(ctx context.Context, t *testing.T, partition journal.Partition, records ...[]byte) {
 	if _, err := all.log.Append(ctx, journal.Append{Partition: partition, Records: records}); err != nil {
 		t.Error(err)
 	}
 }
 
-func (all *allStarted) configure(ctx context.Context, t *testing.T, key string) {
+func (all *testFleet) configure(ctx context.Context, t *testing.T, key string) {
 	all.put(ctx, t, startTopic, journal.EncodeKeyed(key, make([]byte, configurationBytes)))
 }
 
-func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *testDaemon {
+func (all *testFleet) build(ctx context.Context, given conditions, number int, after time.Duration) *testDaemon {
 	logger := zap.NewNop()
 	b := &testDaemon{incarnation: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applyTimes{at: map[string]time.Time{}}}
 	var own journal.Journal = linkedJournal{all.log, given.latency, all.storeLink, &link{ctx: ctx, bytesPerSecond: linkBytesPerSecond, chunkBytes: given.chunkBytes}, &all.read}
@@ -310,10 +310,10 @@
 }
 
 // Daemons implements results.Peers.
-func (all *allStarted) Daemons() int { return fleetSize }
+func (all *testFleet) Daemons() int { return fleetSize }
 
 // Ask implements results.Peers.
-func (all *allStarted) Ask(ctx context.Context, machine, _ string, asked, answer any) error {
+func (all *testFleet) Ask(ctx context.Context, machine, _ string, asked, answer any) error {
 	for _, e := range all.daemons {
 		if identity.Machine(e.incarnation) == machine {
 			return e.reader.Service(ctx).Results(asked.(results.Query), answer.(*results.Page))
@@ -323,7 +323,7 @@
 }
 
 // learned reports whether each partition has been read by the member that it is dealt to.
-func (all *allStarted) learned() bool {
+func (all *testFleet) learned() bool {
 	read := 0
 	for _, e := range all.daemons {
 		for name := range e.member.Partitions() {
@@ -337,7 +337,7 @@
 
 // awaitLearned returns after which time all partitions were learned, and false if they were
 // not when the context ended.
-func (all *allStarted) awaitLearned(ctx context.Context) (after time.Duration, learned bool) {
+func (all *testFleet) awaitLearned(ctx context.Context) (after time.Duration, learned bool) {
 	for !all.learned() {
 		if sleep(ctx, 50*time.Millisecond) != nil {
 			return time.Since(all.began), false
@@ -348,7 +348,7 @@
 
 // ask asks for a batch page by page, each time at another daemon, until all its results have
 // been told, and returns how often it was refused.
-func (all *allStarted) ask(ctx context.Context, id string, random *rand.Rand) (refused int, a bool) {
+func (all *testFleet) ask(ctx context.Context, id string, random *rand.Rand) (refused int, a bool) {
 	const comeBack = 400 * time.Millisecond // as callers are told by the ingress
 	for after, total := 0, 1; after < total; {
 		if ctx.Err() != nil {
@@ -367,7 +367,7 @@
 
 // askAll has each batch asked for by two callers, and returns how many were not told all,
 // how many questions were refused, and when the last was told.
-func (all *allStarted) askAll(ctx context.Context) (untold, refused int, last time.Duration) {
+func (all *testFleet) askAll(ctx context.Context) (untold, refused int, last time.Duration) {
 	var callers sync.WaitGroup
 	var mu sync.Mutex
 	for i := range 2 * batchCount {
@@ -390,7 +390,7 @@
 // configureAll writes a configuration each second, and returns how many of all daemons'
 // came into force late, and the time that the slowest took. The first counts from when the
 // last daemon has started.
-func (all *allStarted) configureAll(ctx context.Context, t *testing.T) (late, of int, slowest time.Duration) {
+func (all *testFleet) configureAll(ctx context.Context, t *testing.T) (late, of int, slowest time.Duration) {
 	written := map[string]time.Time{"first": all.began.Add(maxStartDelay)}
 	for i := 0; time.Since(all.began) < maxRecoveryTime-maxConfigurationDelay-time.Second; i++ {
 		time.Sleep(time.Second)
@@ -413,7 +413,7 @@
 }
 
 // givenUp is how many calls were given up on the word of others.
-func (all *allStarted) givenUp() (calls uint64) {
+func (all *testFleet) givenUp() (calls uint64) {
 	for _, e := range all.daemons {
 		calls += e.lostCalls.CallsGivenUp.Load()
 	}
@@ -421,7 +421,7 @@
 }
 
 // under runs a test of daemons that all start.
-func under(t *testing.T, name string, given conditions, check func(is *is.I, ctx context.Context, t *testing.T, all *allStarted)) {
+func under(t *testing.T, name string, given conditions, check func(is *is.I, ctx context.Context, t *testing.T, all *testFleet)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -441,7 +441,7 @@
 		"as granted": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, false}, "a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
 		"late": {longLatency, grantedBytesPerSecond, linkChunkBytes, true, false}, "late, a quarter": {longLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
 	} {
-		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
+		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			after, learned := all.awaitLearned(bounded)
@@ -461,7 +461,7 @@
 		"in turns": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "in turns, waited for": {shortLatency, grantedBytesPerSecond, linkChunkBytes, false, true},
 		"in turns, a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true}, "in turns, a quarter, waited for": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, false, true},
 	} {
-		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
+		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			go all.askAll(bounded)
@@ -481,7 +481,7 @@
 		"as granted": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
 		"late": {longLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "late, a quarter": {longLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
 	} {
-		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
+		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			untold, refused, last := all.askAll(bounded)
