--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -247,7 +247,7 @@
 
 var startTopic = journal.Partition{Topic: journal.KeyedTopic("configuration")}
 
-func startAll(ctx context.Context, t *testing.T, given conditions) *testFleet {
+func startFleet(ctx context.Context, t *testing.T, given conditions) *testFleet {
 	all := &testFleet{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.bytesPerSecond, chunkBytes: given.chunkBytes}, began: time.Now()}
 	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
 	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: grantedBytesPerSecond, ReadsPerSecond: grantedReadsPerSecond}
@@ -426,7 +426,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			check(is.New(t), ctx, t, startAll(ctx, t, given))
+			check(is.New(t), ctx, t, startFleet(ctx, t, given))
 		})
 	})
 }
