--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -245,7 +245,7 @@
 	began     time.Time
 }
 
-var startTopic = journal.Partition{Topic: journal.KeyedTopic("configuration")}
+var configurationPartition = journal.Partition{Topic: journal.KeyedTopic("configuration")}
 
 func startFleet(ctx context.Context, t *testing.T, given conditions) *testFleet {
 	all := &testFleet{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.bytesPerSecond, chunkBytes: given.chunkBytes}, began: time.Now()}
@@ -283,7 +283,7 @@
 }
 
 func (all *testFleet) configure(ctx context.Context, t *testing.T, key string) {
-	all.put(ctx, t, startTopic, journal.EncodeKeyed(key, make([]byte, configurationBytes)))
+	all.put(ctx, t, configurationPartition, journal.EncodeKeyed(key, make([]byte, configurationBytes)))
 }
 
 func (all *testFleet) build(ctx context.Context, given conditions, number int, after time.Duration) *testDaemon {
@@ -297,7 +297,7 @@
 	b.batches = ledger.New(ctx, own, logger)
 	b.member = group.New(own, b.incarnation, append(ledger.TopicNames(), runner.RunnersTopic), logger)
 	b.reader = results.NewReader(b.batches, b.member, all, own.RateLimits(), b.incarnation, logger)
-	follower := journal.NewKeyedFollower(own, startTopic, b.applied, settings.Defaults().Timing.ContactBound.Std(), logger)
+	follower := journal.NewKeyedFollower(own, configurationPartition, b.applied, settings.Defaults().Timing.ContactBound.Std(), logger)
 	follower.SetInterval(journal.SharedInterval(own.RateLimits().ReadsPerSecond*operatorReadFraction, all.Daemons))
 	forwarder := &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Names: headers.Names{}, Quarantine: quarantine.New(b.incarnation, time.Now, logger), Table: replica.NewTable(time.Second, logger), Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
 	jobs := runner.New(ctx, b.incarnation, b.batches, forwarder, nil, nil, runner.NewAssigner(own, b.member, b.incarnation, logger), b.reader, logger)
