--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -251,7 +251,7 @@
 	all := &testFleet{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.bytesPerSecond, chunkBytes: given.chunkBytes}, began: time.Now()}
 	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
 	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: grantedBytesPerSecond, ReadsPerSecond: grantedReadsPerSecond}
-	all.list(ctx, t)
+	all.writeBatches(ctx, t)
 	all.configure(ctx, t, "first")
 	random := rand.New(rand.NewPCG(11, 0))
 	for i := range fleetSize {
@@ -260,8 +260,8 @@
 	return all
 }
 
-// list puts the batches into the journal. They have ended, so that nobody runs them.
-func (all *testFleet) list(ctx context.Context, t *testing.T) {
+// writeBatches puts the batches into the journal. They have ended, so that nobody runs them.
+func (all *testFleet) writeBatches(ctx context.Context, t *testing.T) {
 	const items = 32
 	batches := ledger.New(ctx, all.log, zap.NewNop())
 	for i := range batchCount {
