--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -252,7 +252,7 @@
 	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
 	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: grantedBytesPerSecond, ReadsPerSecond: grantedReadsPerSecond}
 	all.writeBatches(ctx, t)
-	all.configure(ctx, t, "first")
+	all.writeConfiguration(ctx, t, "first")
 	random := rand.New(rand.NewPCG(11, 0))
 	for i := range fleetSize {
 		all.daemons = append(all.daemons, all.build(ctx, given, i, time.Duration(random.Int64N(int64(maxStartDelay)))))
@@ -282,7 +282,7 @@
 	}
 }
 
-func (all *testFleet) configure(ctx context.Context, t *testing.T, key string) {
+func (all *testFleet) writeConfiguration(ctx context.Context, t *testing.T, key string) {
 	all.put(ctx, t, configurationPartition, journal.EncodeKeyed(key, make([]byte, configurationBytes)))
 }
 
@@ -396,7 +396,7 @@
 		time.Sleep(time.Second)
 		key := fmt.Sprint("change", i)
 		written[key] = time.Now()
-		all.configure(ctx, t, key)
+		all.writeConfiguration(ctx, t, key)
 	}
 	time.Sleep(time.Until(all.began.Add(maxRecoveryTime)))
 	for _, e := range all.daemons {
