--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -255,7 +255,7 @@
 	all.writeConfiguration(ctx, t, "first")
 	random := rand.New(rand.NewPCG(11, 0))
 	for i := range fleetSize {
-		all.daemons = append(all.daemons, all.build(ctx, given, i, time.Duration(random.Int64N(int64(maxStartDelay)))))
+		all.daemons = append(all.daemons, all.addDaemon(ctx, given, i, time.Duration(random.Int64N(int64(maxStartDelay)))))
 	}
 	return all
 }
@@ -286,7 +286,7 @@
 	all.put(ctx, t, configurationPartition, journal.EncodeKeyed(key, make([]byte, configurationBytes)))
 }
 
-func (all *testFleet) build(ctx context.Context, given conditions, number int, after time.Duration) *testDaemon {
+func (all *testFleet) addDaemon(ctx context.Context, given conditions, number int, after time.Duration) *testDaemon {
 	logger := zap.NewNop()
 	b := &testDaemon{incarnation: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applyTimes{at: map[string]time.Time{}}}
 	var own journal.Journal = linkedJournal{all.log, given.latency, all.storeLink, &link{ctx: ctx, bytesPerSecond: linkBytesPerSecond, chunkBytes: given.chunkBytes}, &all.read}
