--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -322,8 +322,8 @@
 	return errors.New("no such daemon")
 }
 
-// learned reports whether each partition has been read by the member that it is dealt to.
-func (all *testFleet) learned() bool {
+// allLearned reports whether each partition has been read by the member that it is dealt to.
+func (all *testFleet) allLearned() bool {
 	read := 0
 	for _, e := range all.daemons {
 		for name := range e.member.Partitions() {
@@ -338,7 +338,7 @@
 // awaitLearned returns after which time all partitions were learned, and false if they were
 // not when the context ended.
 func (all *testFleet) awaitLearned(ctx context.Context) (after time.Duration, learned bool) {
-	for !all.learned() {
+	for !all.allLearned() {
 		if sleep(ctx, 50*time.Millisecond) != nil {
 			return time.Since(all.began), false
 		}
