--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -346,9 +346,9 @@
 	return time.Since(all.began), true
 }
 
-// ask asks for a batch page by page, each time at another daemon, until all its results have
+// fetchBatch asks for a batch page by page, each time at another daemon, until all its results have
 // been told, and returns how often it was refused.
-func (all *testFleet) ask(ctx context.Context, id string, random *rand.Rand) (refused int, a bool) {
+func (all *testFleet) fetchBatch(ctx context.Context, id string, random *rand.Rand) (refused int, a bool) {
 	const comeBack = 400 * time.Millisecond // as callers are told by the ingress
 	for after, total := 0, 1; after < total; {
 		if ctx.Err() != nil {
@@ -372,7 +372,7 @@
 	var mu sync.Mutex
 	for i := range 2 * batchCount {
 		callers.Go(func() {
-			times, a := all.ask(ctx, fmt.Sprint("b", i%batchCount), rand.New(rand.NewPCG(7, uint64(i))))
+			times, a := all.fetchBatch(ctx, fmt.Sprint("b", i%batchCount), rand.New(rand.NewPCG(7, uint64(i))))
 			mu.Lock()
 			defer mu.Unlock()
 			refused += times
