--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -365,9 +365,9 @@
 	return refused, true
 }
 
-// askAll has each batch asked for by two callers, and returns how many were not told all,
+// fetchAllBatches has each batch asked for by two callers, and returns how many were not told all,
 // how many questions were refused, and when the last was told.
-func (all *testFleet) askAll(ctx context.Context) (untold, refused int, last time.Duration) {
+func (all *testFleet) fetchAllBatches(ctx context.Context) (untold, refused int, last time.Duration) {
 	var callers sync.WaitGroup
 	var mu sync.Mutex
 	for i := range 2 * batchCount {
@@ -464,7 +464,7 @@
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
-			go all.askAll(bounded)
+			go all.fetchAllBatches(bounded)
 			late, of, slowest := all.configureAll(ctx, t)
 			t.Logf("%d of %d later than %v, the slowest after %v, %d MB read, %d calls given up", late, of, maxConfigurationDelay, slowest, all.read.Load()>>20, all.givenUp())
 			is.Equal(late, 0)
@@ -484,7 +484,7 @@
 		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
-			untold, refused, last := all.askAll(bounded)
+			untold, refused, last := all.fetchAllBatches(bounded)
 			t.Logf("%d of %d callers not told all in %v, the last of the others after %v, %d questions refused, %d MB read", untold, 2*batchCount, maxRecoveryTime, last, refused, all.read.Load()>>20)
 			is.Equal(untold, 0)
 		})
