--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -387,10 +387,10 @@
 	return untold, refused, last
 }
 
-// configureAll writes a configuration each second, and returns how many of all daemons'
+// measureConfigurations writes a configuration each second, and returns how many of all daemons'
 // came into force late, and the time that the slowest took. The first counts from when the
 // last daemon has started.
-func (all *testFleet) configureAll(ctx context.Context, t *testing.T) (late, of int, slowest time.Duration) {
+func (all *testFleet) measureConfigurations(ctx context.Context, t *testing.T) (late, of int, slowest time.Duration) {
 	written := map[string]time.Time{"first": all.began.Add(maxStartDelay)}
 	for i := 0; time.Since(all.began) < maxRecoveryTime-maxConfigurationDelay-time.Second; i++ {
 		time.Sleep(time.Second)
@@ -465,7 +465,7 @@
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			go all.fetchAllBatches(bounded)
-			late, of, slowest := all.configureAll(ctx, t)
+			late, of, slowest := all.measureConfigurations(ctx, t)
 			t.Logf("%d of %d later than %v, the slowest after %v, %d MB read, %d calls given up", late, of, maxConfigurationDelay, slowest, all.read.Load()>>20, all.givenUp())
 			is.Equal(late, 0)
 		})
