--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -412,8 +412,8 @@
 	return late, of, slowest
 }
 
-// givenUp is how many calls were given up on the word of others.
-func (all *testFleet) givenUp() (calls uint64) {
+// callsGivenUp is how many calls were given up on the word of others.
+func (all *testFleet) callsGivenUp() (calls uint64) {
 	for _, e := range all.daemons {
 		calls += e.lostCalls.CallsGivenUp.Load()
 	}
@@ -445,7 +445,7 @@
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			after, learned := all.awaitLearned(bounded)
-			t.Logf("learned %v after %v, %d MB read of %d, %d calls given up", learned, after, all.read.Load()>>20, batchCount*batchBytes>>20, all.givenUp())
+			t.Logf("learned %v after %v, %d MB read of %d, %d calls given up", learned, after, all.read.Load()>>20, batchCount*batchBytes>>20, all.callsGivenUp())
 			is.True(learned)
 			is.True(all.read.Load() <= 2*batchCount*batchBytes)
 		})
@@ -466,7 +466,7 @@
 			defer stop()
 			go all.fetchAllBatches(bounded)
 			late, of, slowest := all.measureConfigurations(ctx, t)
-			t.Logf("%d of %d later than %v, the slowest after %v, %d MB read, %d calls given up", late, of, maxConfigurationDelay, slowest, all.read.Load()>>20, all.givenUp())
+			t.Logf("%d of %d later than %v, the slowest after %v, %d MB read, %d calls given up", late, of, maxConfigurationDelay, slowest, all.read.Load()>>20, all.callsGivenUp())
 			is.Equal(late, 0)
 		})
 	}
