--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -420,8 +420,8 @@
 	return calls
 }
 
-// under runs a test of daemons that all start.
-func under(t *testing.T, name string, given conditions, check func(is *is.I, ctx context.Context, t *testing.T, all *testFleet)) {
+// runFleetTest runs a test of daemons that all start.
+func runFleetTest(t *testing.T, name string, given conditions, check func(is *is.I, ctx context.Context, t *testing.T, all *testFleet)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -441,7 +441,7 @@
 		"as granted": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, false}, "a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
 		"late": {longLatency, grantedBytesPerSecond, linkChunkBytes, true, false}, "late, a quarter": {longLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
 	} {
-		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
+		runFleetTest(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			after, learned := all.awaitLearned(bounded)
@@ -461,7 +461,7 @@
 		"in turns": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "in turns, waited for": {shortLatency, grantedBytesPerSecond, linkChunkBytes, false, true},
 		"in turns, a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true}, "in turns, a quarter, waited for": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, false, true},
 	} {
-		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
+		runFleetTest(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			go all.fetchAllBatches(bounded)
@@ -481,7 +481,7 @@
 		"as granted": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
 		"late": {longLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "late, a quarter": {longLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
 	} {
-		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
+		runFleetTest(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
 			untold, refused, last := all.fetchAllBatches(bounded)
