--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -455,7 +455,7 @@
 // Questions press just after a start of all, and long answers hold up short ones. A
 // configuration is in force in its time all the same, also where calls are given up on the word of
 // others.
-func TestAConfigurationIsInForceWhileQuestionsPress(t *testing.T) {
+func TestConfigurationAppliesUnderQueryLoad(t *testing.T) {
 	for name, given := range map[string]conditions{
 		"in a row": {shortLatency, grantedBytesPerSecond, 0, true, true}, "in a row, waited for": {shortLatency, grantedBytesPerSecond, 0, false, true},
 		"in turns": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "in turns, waited for": {shortLatency, grantedBytesPerSecond, linkChunkBytes, false, true},
