--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -476,7 +476,7 @@
 // a journal that carries a quarter, their reads alone are twice what it sends, the holders of
 // partitions have nothing left to read them with, and no caller was told anything in 15 s.
 // With one that carries what it grants and takes 0.25 s an answer, no holder was known.
-func TestBatchesAreToldWithinTheTimeToServeAgain(t *testing.T) {
+func TestBatchesAreReadWithinRecoveryTime(t *testing.T) {
 	for name, given := range map[string]conditions{
 		"as granted": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
 		"late": {longLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "late, a quarter": {longLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
