--- a/internal/daemon/node/candidate_test.go
+++ b/internal/daemon/node/candidate_test.go
@@ -12,7 +12,7 @@
 // itself: a second one must have watched the lease all along, or its wait begins
 // only when partitions are dealt anew (once 2.7 s later than needed).
 // The platform does not say how it deals: in turn or in runs.
-func TestSomeDaemonsStandByForTheLease(t *testing.T) {
+func TestTwoOrThreeDaemonsAreLeaseCandidates(t *testing.T) {
 	const partitions = 8
 	var all []journal.Partition
 	for _, topic := range append(ledger.TopicNames(), runner.RunnersTopic) {
