--- a/internal/daemon/node/clientconn_test.go
+++ b/internal/daemon/node/clientconn_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// answerSlowly takes five seconds for the path /slow.
-func answerSlowly(w http.ResponseWriter, r *http.Request) {
+// slowHandler takes five seconds for the path /slow.
+func slowHandler(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/slow" {
 		time.Sleep(5 * time.Second)
 	}
@@ -25,7 +25,7 @@
 func TestARequestThatCameWithTheOneBeforeIsNoIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDialled(http.HandlerFunc(answerSlowly))
+		d := newDialled(http.HandlerFunc(slowHandler))
 		defer d.end()
 		d.applyConfiguration(idleLimit(1, 2*time.Second))
 		client := d.dial()
