--- a/internal/daemon/node/clientconn_test.go
+++ b/internal/daemon/node/clientconn_test.go
@@ -16,7 +16,7 @@
 	if r.URL.Path == "/slow" {
 		time.Sleep(5 * time.Second)
 	}
-	answerWhole(w, r)
+	wholeHandler(w, r)
 }
 
 // Two requests may come in one segment: the second is then answered without a further
@@ -56,7 +56,7 @@
 func TestAConnectionWhoseRequestDoesNotComeEnds(t *testing.T) {
 	stray := func(t *testing.T) *dialled {
 		is := is.New(t)
-		d := newDialled(http.HandlerFunc(answerWhole))
+		d := newDialled(http.HandlerFunc(wholeHandler))
 		client := d.dial()
 		_, err := client.ask("/")
 		is.NoErr(err)
--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -55,8 +55,8 @@
 	d.shutdown(ended)
 }
 
-// answerWhole answers at once.
-func answerWhole(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
+// wholeHandler answers at once.
+func wholeHandler(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
 
 // A planned stop closed each connection that had been quiet for a second, three seconds
 // after SIGTERM, with five of its eight seconds of grace unused. Callers that keep
@@ -80,7 +80,7 @@
 // into it.
 func takeUpDuringStop(t *testing.T, rest time.Duration) {
 	is := is.New(t)
-	d := newDialled(http.HandlerFunc(answerWhole))
+	d := newDialled(http.HandlerFunc(wholeHandler))
 	defer d.end()
 	client := d.dial()
 	first, err := client.ask("/first")
@@ -160,7 +160,7 @@
 	d := newDialled(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		w.WriteHeader(http.StatusServiceUnavailable)
-		answerWhole(w, r)
+		wholeHandler(w, r)
 	}))
 	defer d.end()
 	client := d.dial()
@@ -192,7 +192,7 @@
 			if r.URL.Path == "/held" {
 				<-r.Context().Done()
 			}
-			answerWhole(w, r)
+			wholeHandler(w, r)
 		}))
 		defer d.end()
 		ctx, cancel := context.WithTimeout(context.Background(), testGrace)
@@ -223,7 +223,7 @@
 	t.Run("a longer idle limit holds for open connections", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			d := newDialled(http.HandlerFunc(answerWhole))
+			d := newDialled(http.HandlerFunc(wholeHandler))
 			defer d.end()
 			d.applyConfiguration(idleLimit(1, 2*time.Second))
 			client := d.dial()
--- a/internal/daemon/node/keepalive_test.go
+++ b/internal/daemon/node/keepalive_test.go
@@ -21,7 +21,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			d := newDialled(http.HandlerFunc(answerWhole))
+			d := newDialled(http.HandlerFunc(wholeHandler))
 			defer d.end()
 			d.applyConfiguration(idleLimit(1, idle))
 			answer, err := d.dial().ask("/")
@@ -55,7 +55,7 @@
 func TestIdleConnectionsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDialled(http.HandlerFunc(answerWhole))
+		d := newDialled(http.HandlerFunc(wholeHandler))
 		defer d.end()
 		d.applyConfiguration(idleLimit(1, 10*time.Second))
 		_, err := d.dial().ask("/")
@@ -78,7 +78,7 @@
 	bound, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	l := newClientListener(shutdown.New(), zap.NewNop())
-	l.handler = http.HandlerFunc(answerWhole)
+	l.handler = http.HandlerFunc(wholeHandler)
 	l.mu.Lock()
 	l.listener = bound
 	l.startServer()
