--- a/internal/daemon/node/clientconn_test.go
+++ b/internal/daemon/node/clientconn_test.go
@@ -22,7 +22,7 @@
 // Two requests may come in one segment: the second is then answered without a further
 // read of the connection. It counted as idle, and once the handler took longer than the
 // idle limit (5 s, 2 s) the connection was closed under it ("unexpected EOF").
-func TestARequestThatCameWithTheOneBeforeIsNoIdleConnection(t *testing.T) {
+func TestPipelinedRequestIsNotClosedAsIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDialled(http.HandlerFunc(slowHandler))
