--- a/internal/daemon/node/clientconn_test.go
+++ b/internal/daemon/node/clientconn_test.go
@@ -53,7 +53,7 @@
 // One to three bytes after an answer, as a line end that some clients send behind a body,
 // are no request: net/http waits for the fourth without a limit. Such a connection was
 // kept for ever (one was open after an hour of sweeps), and held up a stop until its end.
-func TestAConnectionWhoseRequestDoesNotComeEnds(t *testing.T) {
+func TestConnectionWithIncompleteRequestIsClosed(t *testing.T) {
 	stray := func(t *testing.T) *dialled {
 		is := is.New(t)
 		d := newDialled(http.HandlerFunc(wholeHandler))
