--- a/internal/daemon/node/clientconn_test.go
+++ b/internal/daemon/node/clientconn_test.go
@@ -54,7 +54,7 @@
 // are no request: net/http waits for the fourth without a limit. Such a connection was
 // kept for ever (one was open after an hour of sweeps), and held up a stop until its end.
 func TestConnectionWithIncompleteRequestIsClosed(t *testing.T) {
-	stray := func(t *testing.T) *dialled {
+	stray := func(t *testing.T) *pipeListener {
 		is := is.New(t)
 		d := newDialled(http.HandlerFunc(wholeHandler))
 		client := d.dial()
--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -23,22 +23,22 @@
 // testGrace is the grace of the platform in these tests.
 const testGrace = 8 * time.Second
 
-// dialled is a front server on connections in memory, under virtual time.
-type dialled struct {
+// pipeListener is a front server on connections in memory, under virtual time.
+type pipeListener struct {
 	*clientListener
 	listener *connQueue
 }
 
-func newDialled(handler http.Handler) *dialled {
+func newDialled(handler http.Handler) *pipeListener {
 	l := newClientListener(shutdown.New(), zap.NewNop())
 	l.handler = handler
 	listener := &connQueue{connections: make(chan net.Conn), closed: make(chan struct{})}
 	l.serve(listener)
-	return &dialled{l, listener}
+	return &pipeListener{l, listener}
 }
 
 // dial returns a connection of a caller, or nil if the listener takes none.
-func (d *dialled) dial() *kept {
+func (d *pipeListener) dial() *kept {
 	near, far := net.Pipe()
 	select {
 	case d.listener.connections <- far:
@@ -49,7 +49,7 @@
 }
 
 // end stops the server at once.
-func (d *dialled) end() {
+func (d *pipeListener) end() {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	d.shutdown(ended)
