--- a/internal/daemon/node/clientconn_test.go
+++ b/internal/daemon/node/clientconn_test.go
@@ -25,7 +25,7 @@
 func TestPipelinedRequestIsNotClosedAsIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDialled(http.HandlerFunc(slowHandler))
+		d := newPipeListener(http.HandlerFunc(slowHandler))
 		defer d.end()
 		d.applyConfiguration(idleLimit(1, 2*time.Second))
 		client := d.dial()
@@ -56,7 +56,7 @@
 func TestConnectionWithIncompleteRequestIsClosed(t *testing.T) {
 	stray := func(t *testing.T) *pipeListener {
 		is := is.New(t)
-		d := newDialled(http.HandlerFunc(wholeHandler))
+		d := newPipeListener(http.HandlerFunc(wholeHandler))
 		client := d.dial()
 		_, err := client.ask("/")
 		is.NoErr(err)
--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -29,7 +29,7 @@
 	listener *connQueue
 }
 
-func newDialled(handler http.Handler) *pipeListener {
+func newPipeListener(handler http.Handler) *pipeListener {
 	l := newClientListener(shutdown.New(), zap.NewNop())
 	l.handler = handler
 	listener := &connQueue{connections: make(chan net.Conn), closed: make(chan struct{})}
@@ -80,7 +80,7 @@
 // into it.
 func takeUpDuringStop(t *testing.T, rest time.Duration) {
 	is := is.New(t)
-	d := newDialled(http.HandlerFunc(wholeHandler))
+	d := newPipeListener(http.HandlerFunc(wholeHandler))
 	defer d.end()
 	client := d.dial()
 	first, err := client.ask("/first")
@@ -157,7 +157,7 @@
 // requestOutlastsGrace has a handler wait for something that does not come in time.
 func requestOutlastsGrace(t *testing.T) {
 	is := is.New(t)
-	d := newDialled(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	d := newPipeListener(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		wholeHandler(w, r)
@@ -188,7 +188,7 @@
 func TestAConnectionThatComesAtTheEndOfTheGraceIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDialled(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		d := newPipeListener(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/held" {
 				<-r.Context().Done()
 			}
@@ -223,7 +223,7 @@
 	t.Run("a longer idle limit holds for open connections", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			d := newDialled(http.HandlerFunc(wholeHandler))
+			d := newPipeListener(http.HandlerFunc(wholeHandler))
 			defer d.end()
 			d.applyConfiguration(idleLimit(1, 2*time.Second))
 			client := d.dial()
--- a/internal/daemon/node/keepalive_test.go
+++ b/internal/daemon/node/keepalive_test.go
@@ -21,7 +21,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			d := newDialled(http.HandlerFunc(wholeHandler))
+			d := newPipeListener(http.HandlerFunc(wholeHandler))
 			defer d.end()
 			d.applyConfiguration(idleLimit(1, idle))
 			answer, err := d.dial().ask("/")
@@ -42,7 +42,7 @@
 func TestAnEmptyAnswerDuringAStopIsTheLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDialled(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+		d := newPipeListener(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 		defer d.end()
 		d.drain()
 		answer, err := d.dial().ask("/")
@@ -55,7 +55,7 @@
 func TestIdleConnectionsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDialled(http.HandlerFunc(wholeHandler))
+		d := newPipeListener(http.HandlerFunc(wholeHandler))
 		defer d.end()
 		d.applyConfiguration(idleLimit(1, 10*time.Second))
 		_, err := d.dial().ask("/")
