--- a/internal/daemon/node/clientconn_test.go
+++ b/internal/daemon/node/clientconn_test.go
@@ -26,7 +26,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newPipeListener(http.HandlerFunc(slowHandler))
-		defer d.end()
+		defer d.closeNow()
 		d.applyConfiguration(idleLimit(1, 2*time.Second))
 		client := d.dial()
 		go func() {
@@ -70,7 +70,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			d := stray(t)
-			defer d.end()
+			defer d.closeNow()
 			time.Sleep(defaultHeaderTimeout)
 			d.conns.closeExpired(time.Now())
 			is.Equal(len(d.conns.all()), 1)
@@ -83,7 +83,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			d := stray(t)
-			defer d.end()
+			defer d.closeNow()
 			ctx, cancel := context.WithTimeout(context.Background(), testGrace)
 			defer cancel()
 			d.stop(ctx)
--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// end stops the server at once.
-func (d *pipeListener) end() {
+// closeNow stops the server at once.
+func (d *pipeListener) closeNow() {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	d.shutdown(ended)
@@ -81,7 +81,7 @@
 func takeUpDuringStop(t *testing.T, rest time.Duration) {
 	is := is.New(t)
 	d := newPipeListener(http.HandlerFunc(wholeHandler))
-	defer d.end()
+	defer d.closeNow()
 	client := d.dial()
 	first, err := client.ask("/first")
 	is.NoErr(err)
@@ -162,7 +162,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		wholeHandler(w, r)
 	}))
-	defer d.end()
+	defer d.closeNow()
 	client := d.dial()
 	type told struct {
 		answer *http.Response
@@ -194,7 +194,7 @@
 			}
 			wholeHandler(w, r)
 		}))
-		defer d.end()
+		defer d.closeNow()
 		ctx, cancel := context.WithTimeout(context.Background(), testGrace)
 		defer cancel()
 		held := d.dial()
@@ -224,7 +224,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			d := newPipeListener(http.HandlerFunc(wholeHandler))
-			defer d.end()
+			defer d.closeNow()
 			d.applyConfiguration(idleLimit(1, 2*time.Second))
 			client := d.dial()
 			_, err := client.ask("/")
--- a/internal/daemon/node/keepalive_test.go
+++ b/internal/daemon/node/keepalive_test.go
@@ -22,7 +22,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			d := newPipeListener(http.HandlerFunc(wholeHandler))
-			defer d.end()
+			defer d.closeNow()
 			d.applyConfiguration(idleLimit(1, idle))
 			answer, err := d.dial().ask("/")
 			is.NoErr(err)
@@ -43,7 +43,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newPipeListener(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-		defer d.end()
+		defer d.closeNow()
 		d.drain()
 		answer, err := d.dial().ask("/")
 		is.NoErr(err)
@@ -56,7 +56,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newPipeListener(http.HandlerFunc(wholeHandler))
-		defer d.end()
+		defer d.closeNow()
 		d.applyConfiguration(idleLimit(1, 10*time.Second))
 		_, err := d.dial().ask("/")
 		is.NoErr(err)
