--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -38,11 +38,11 @@
 }
 
 // dial returns a connection of a caller, or nil if the listener takes none.
-func (d *pipeListener) dial() *kept {
+func (d *pipeListener) dial() *persistentConn {
 	near, far := net.Pipe()
 	select {
 	case d.listener.connections <- far:
-		return &kept{Conn: near, r: bufio.NewReader(near)}
+		return &persistentConn{Conn: near, r: bufio.NewReader(near)}
 	case <-d.listener.closed:
 		return nil
 	}
--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -94,23 +94,23 @@
 	is.True(health.listen(taken.Addr().String(), "") != nil)
 }
 
-// kept is a connection of a client that stays open between requests.
-type kept struct {
+// persistentConn is a connection of a client that stays open between requests.
+type persistentConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func keepOne(t *testing.T, address string) *kept {
+func keepOne(t *testing.T, address string) *persistentConn {
 	t.Helper()
 	conn, err := net.Dial("tcp4", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return &kept{Conn: conn, r: bufio.NewReader(conn)}
+	return &persistentConn{Conn: conn, r: bufio.NewReader(conn)}
 }
 
-func (k *kept) ask(path string) (*http.Response, error) {
+func (k *persistentConn) ask(path string) (*http.Response, error) {
 	if _, err := io.WriteString(k, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		return nil, err
 	}
