--- a/internal/daemon/node/keepalive_test.go
+++ b/internal/daemon/node/keepalive_test.go
@@ -83,7 +83,7 @@
 	l.listener = bound
 	l.startServer()
 	l.mu.Unlock()
-	client := keepOne(t, bound.Addr().String())
+	client := dialPersistent(t, bound.Addr().String())
 	_, err = io.WriteString(client, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	is.NoErr(err)
 	l.drain()
--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -100,7 +100,7 @@
 	r *bufio.Reader
 }
 
-func keepOne(t *testing.T, address string) *persistentConn {
+func dialPersistent(t *testing.T, address string) *persistentConn {
 	t.Helper()
 	conn, err := net.Dial("tcp4", address)
 	if err != nil {
@@ -129,7 +129,7 @@
 func TestAKeptConnectionIsAnsweredOnceMoreAfterAStopBegan(t *testing.T) {
 	is := is.New(t)
 	l, address := startFront(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
-	client := keepOne(t, address)
+	client := dialPersistent(t, address)
 	first, err := client.ask("/first")
 	is.NoErr(err)
 	is.True(!first.Close)
@@ -143,7 +143,7 @@
 func TestShutdownClosesConnectionsAtRest(t *testing.T) {
 	is := is.New(t)
 	l, address := startFront(t, http.NotFoundHandler())
-	client := keepOne(t, address)
+	client := dialPersistent(t, address)
 	_, err := client.ask("/")
 	is.NoErr(err)
 	l.drain()
