--- a/internal/daemon/node/clientconn_test.go
+++ b/internal/daemon/node/clientconn_test.go
@@ -58,7 +58,7 @@
 		is := is.New(t)
 		d := newPipeListener(http.HandlerFunc(wholeHandler))
 		client := d.dial()
-		_, err := client.ask("/")
+		_, err := client.get("/")
 		is.NoErr(err)
 		synctest.Wait()
 		_, err = io.WriteString(client, "\r\n")
--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -83,7 +83,7 @@
 	d := newPipeListener(http.HandlerFunc(wholeHandler))
 	defer d.closeNow()
 	client := d.dial()
-	first, err := client.ask("/first")
+	first, err := client.get("/first")
 	is.NoErr(err)
 	is.True(!first.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), testGrace)
@@ -101,7 +101,7 @@
 		<-done
 		return
 	}
-	second, err := client.ask("/second")
+	second, err := client.get("/second")
 	is.NoErr(err)
 	is.True(second.Close)
 	<-done
@@ -170,7 +170,7 @@
 	}
 	answered := make(chan told, 1)
 	go func() {
-		answer, err := client.ask("/")
+		answer, err := client.get("/")
 		answered <- told{answer, err}
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), testGrace)
@@ -198,7 +198,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), testGrace)
 		defer cancel()
 		held := d.dial()
-		go func() { _, _ = held.ask("/held") }() // It keeps the stop from ending.
+		go func() { _, _ = held.get("/held") }() // It keeps the stop from ending.
 		done := make(chan struct{})
 		go func() {
 			d.stop(ctx)
@@ -207,7 +207,7 @@
 		time.Sleep(testGrace - 20*time.Millisecond)
 		client := d.dial()
 		time.Sleep(70 * time.Millisecond)
-		answer, err := client.ask("/")
+		answer, err := client.get("/")
 		is.NoErr(err)
 		is.True(answer.Close)
 		<-done
@@ -227,11 +227,11 @@
 			defer d.closeNow()
 			d.applyConfiguration(idleLimit(1, 2*time.Second))
 			client := d.dial()
-			_, err := client.ask("/")
+			_, err := client.get("/")
 			is.NoErr(err)
 			d.applyConfiguration(idleLimit(2, 20*time.Second))
 			time.Sleep(5 * time.Second)
-			_, err = client.ask("/")
+			_, err = client.get("/")
 			is.NoErr(err)
 		})
 	})
--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -110,7 +110,7 @@
 	return &persistentConn{Conn: conn, r: bufio.NewReader(conn)}
 }
 
-func (k *persistentConn) ask(path string) (*http.Response, error) {
+func (k *persistentConn) get(path string) (*http.Response, error) {
 	if _, err := io.WriteString(k, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		return nil, err
 	}
@@ -130,11 +130,11 @@
 	is := is.New(t)
 	l, address := startFront(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
 	client := dialPersistent(t, address)
-	first, err := client.ask("/first")
+	first, err := client.get("/first")
 	is.NoErr(err)
 	is.True(!first.Close)
 	l.drain()
-	second, err := client.ask("/second")
+	second, err := client.get("/second")
 	is.NoErr(err)
 	is.True(second.Close)
 }
@@ -144,7 +144,7 @@
 	is := is.New(t)
 	l, address := startFront(t, http.NotFoundHandler())
 	client := dialPersistent(t, address)
-	_, err := client.ask("/")
+	_, err := client.get("/")
 	is.NoErr(err)
 	l.drain()
 	l.shutdown(context.Background())
