--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -16,7 +16,7 @@
 	"woodworks/internal/requests/route"
 )
 
-func startFront(t *testing.T, handler http.Handler) (*clientListener, string) {
+func startListener(t *testing.T, handler http.Handler) (*clientListener, string) {
 	t.Helper()
 	is := is.New(t)
 	l := newClientListener(shutdown.New(), zap.NewNop())
@@ -34,7 +34,7 @@
 // the accepting loop, which never ended, until the process was killed with a
 // request under way.
 func TestShutdownEndsWithoutRequests(t *testing.T) {
-	l, _ := startFront(t, http.NotFoundHandler())
+	l, _ := startListener(t, http.NotFoundHandler())
 	l.applyConfiguration(&route.Configuration{Definition: route.Definition{Limits: route.Limits{MaxHeaderBytes: 8192}}})
 	done := make(chan struct{})
 	go func() {
@@ -49,7 +49,7 @@
 func TestShutdownFinishesRequestUnderWay(t *testing.T) {
 	is := is.New(t)
 	entered, leave := make(chan struct{}), make(chan struct{})
-	l, address := startFront(t, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+	l, address := startListener(t, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		close(entered)
 		<-leave
 		_, _ = writer.Write([]byte("whole"))
@@ -128,7 +128,7 @@
 // the last one.
 func TestAKeptConnectionIsAnsweredOnceMoreAfterAStopBegan(t *testing.T) {
 	is := is.New(t)
-	l, address := startFront(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
+	l, address := startListener(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
 	client := dialPersistent(t, address)
 	first, err := client.get("/first")
 	is.NoErr(err)
@@ -142,7 +142,7 @@
 // A connection at rest ends with the stop, so that the stop ends.
 func TestShutdownClosesConnectionsAtRest(t *testing.T) {
 	is := is.New(t)
-	l, address := startFront(t, http.NotFoundHandler())
+	l, address := startListener(t, http.NotFoundHandler())
 	client := dialPersistent(t, address)
 	_, err := client.get("/")
 	is.NoErr(err)
