--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -69,16 +69,16 @@
 	for tenths := 0; tenths <= 70; tenths += 5 {
 		rest := time.Duration(tenths) * 100 * time.Millisecond
 		t.Run(fmt.Sprintf("a connection is taken up %v into the stop", rest), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { takeUpDuringStop(t, rest) })
+			synctest.Test(t, func(t *testing.T) { requestDuringStop(t, rest) })
 		})
 	}
 	t.Run("a request lies in the buffer", requestInBuffer)
 	t.Run("a request outlasts the grace", func(t *testing.T) { synctest.Test(t, requestOutlastsGrace) })
 }
 
-// takeUpDuringStop has a caller use a connection just before a stop and again some time
+// requestDuringStop has a caller use a connection just before a stop and again some time
 // into it.
-func takeUpDuringStop(t *testing.T, rest time.Duration) {
+func requestDuringStop(t *testing.T, rest time.Duration) {
 	is := is.New(t)
 	d := newPipeListener(http.HandlerFunc(wholeHandler))
 	defer d.closeNow()
