--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -95,7 +95,7 @@
 	}()
 	synctest.Wait() // The stop has begun.
 	time.Sleep(rest)
-	if kept, named := keptFor(first); named && rest > kept {
+	if kept, named := keepAliveTimeout(first); named && rest > kept {
 		// The caller was told not to take it up any more.
 		_ = client.Close()
 		<-done
@@ -107,8 +107,8 @@
 	<-done
 }
 
-// keptFor is how long an answer says that its connection is kept.
-func keptFor(answer *http.Response) (time.Duration, bool) {
+// keepAliveTimeout is how long an answer says that its connection is kept.
+func keepAliveTimeout(answer *http.Response) (time.Duration, bool) {
 	seconds := 0
 	if _, err := fmt.Sscanf(answer.Header.Get("Keep-Alive"), "timeout=%d", &seconds); err != nil {
 		return 0, false
