--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -72,7 +72,7 @@
 			synctest.Test(t, func(t *testing.T) { requestDuringStop(t, rest) })
 		})
 	}
-	t.Run("a request lies in the buffer", requestInBuffer)
+	t.Run("a request lies in the buffer", bufferedRequestSurvivesClose)
 	t.Run("a request outlasts the grace", func(t *testing.T) { synctest.Test(t, requestOutlastsGrace) })
 }
 
@@ -139,8 +139,8 @@
 	return near, far
 }
 
-// requestInBuffer has a request reach the machine whose process has not read it yet.
-func requestInBuffer(t *testing.T) {
+// bufferedRequestSurvivesClose has a request reach the machine whose process has not read it yet.
+func bufferedRequestSurvivesClose(t *testing.T) {
 	is := is.New(t)
 	near, far := tcpPair(t)
 	conns := newClientConns()
