--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -73,7 +73,7 @@
 		})
 	}
 	t.Run("a request lies in the buffer", bufferedRequestSurvivesClose)
-	t.Run("a request outlasts the grace", func(t *testing.T) { synctest.Test(t, requestOutlastsGrace) })
+	t.Run("a request outlasts the grace", func(t *testing.T) { synctest.Test(t, interruptedRequestIsAnswered) })
 }
 
 // requestDuringStop has a caller use a connection just before a stop and again some time
@@ -154,8 +154,8 @@
 	is.Equal(n, 16)
 }
 
-// requestOutlastsGrace has a handler wait for something that does not come in time.
-func requestOutlastsGrace(t *testing.T) {
+// interruptedRequestIsAnswered has a handler wait for something that does not come in time.
+func interruptedRequestIsAnswered(t *testing.T) {
 	is := is.New(t)
 	d := newPipeListener(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
