--- a/internal/daemon/node/clientconn_test.go
+++ b/internal/daemon/node/clientconn_test.go
@@ -27,7 +27,7 @@
 		is := is.New(t)
 		d := newPipeListener(http.HandlerFunc(slowHandler))
 		defer d.closeNow()
-		d.applyConfiguration(idleLimit(1, 2*time.Second))
+		d.applyConfiguration(idleTimeoutConfiguration(1, 2*time.Second))
 		client := d.dial()
 		go func() {
 			_, _ = io.WriteString(client, "GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /slow HTTP/1.1\r\nHost: h\r\n\r\n")
--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -225,11 +225,11 @@
 			is := is.New(t)
 			d := newPipeListener(http.HandlerFunc(wholeHandler))
 			defer d.closeNow()
-			d.applyConfiguration(idleLimit(1, 2*time.Second))
+			d.applyConfiguration(idleTimeoutConfiguration(1, 2*time.Second))
 			client := d.dial()
 			_, err := client.get("/")
 			is.NoErr(err)
-			d.applyConfiguration(idleLimit(2, 20*time.Second))
+			d.applyConfiguration(idleTimeoutConfiguration(2, 20*time.Second))
 			time.Sleep(5 * time.Second)
 			_, err = client.get("/")
 			is.NoErr(err)
@@ -250,6 +250,6 @@
 	})
 }
 
-func idleLimit(version int64, idle time.Duration) *route.Configuration {
+func idleTimeoutConfiguration(version int64, idle time.Duration) *route.Configuration {
 	return &route.Configuration{Definition: route.Definition{Version: version, Limits: route.Limits{IdleTimeout: idle}}}
 }
