--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -185,7 +185,7 @@
 // Clients that find no other daemon come until the end of the grace. A connection that was
 // accepted at its end was closed before its request had come: two requests were cut in one
 // of two runs, 53 ms after the interruption and in the moment in which they were sent.
-func TestAConnectionThatComesAtTheEndOfTheGraceIsAnswered(t *testing.T) {
+func TestConnectionAcceptedAtTheEndOfTheGraceIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newPipeListener(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
