--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -219,7 +219,7 @@
 // connection that had rested for 5 s was closed under its caller. And a deadline that
 // passed while the process stood still closed a connection although a whole request lay
 // in its buffer.
-func TestAConnectionKeepsToTheLimitsThatItsCallerKnows(t *testing.T) {
+func TestOpenConnectionsFollowTheCurrentIdleLimit(t *testing.T) {
 	t.Run("a longer idle limit holds for open connections", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
