--- a/internal/daemon/node/golden_test.go
+++ b/internal/daemon/node/golden_test.go
@@ -46,12 +46,12 @@
 	node.metrics.Question("way", false, time.Second)
 	node.metrics.BatchPart("part", time.Second)
 	node.metrics.Delivered("trainer", 1)
-	golden.Text(t, "metrics.txt", namesOf(t, node))
+	golden.Text(t, "metrics.txt", metricNames(t, node))
 	golden.Literals(t, "labels.literals")
 }
 
-// namesOf returns the daemon's metrics as they are scraped: name, type, labels and bounds.
-func namesOf(t *testing.T, node *Node) string {
+// metricNames returns the daemon's metrics as they are scraped: name, type, labels and bounds.
+func metricNames(t *testing.T, node *Node) string {
 	answer := httptest.NewRecorder()
 	node.metrics.Handler().ServeHTTP(answer, httptest.NewRequest("GET", "/metrics", nil))
 	var lines []string
