--- a/internal/daemon/node/keepalive_test.go
+++ b/internal/daemon/node/keepalive_test.go
@@ -15,7 +15,7 @@
 )
 
 // Clients are told less than the idle limit and than what a stop can wait for.
-func TestAnswersTellHowLongTheirConnectionIsKept(t *testing.T) {
+func TestAnswersStateTheKeepAliveTimeout(t *testing.T) {
 	for idle, a := range map[time.Duration]string{
 		0: "timeout=5", time.Minute: "timeout=5", 4 * time.Second: "timeout=3", 1500 * time.Millisecond: "timeout=1", time.Second: "",
 	} {
