--- a/internal/daemon/node/keepalive_test.go
+++ b/internal/daemon/node/keepalive_test.go
@@ -39,7 +39,7 @@
 
 // A handler that writes nothing has an answer all the same, and it ends its connection
 // during a stop.
-func TestAnEmptyAnswerDuringAStopIsTheLast(t *testing.T) {
+func TestEmptyAnswerDuringAStopClosesItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newPipeListener(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
