--- a/internal/daemon/node/keepalive_test.go
+++ b/internal/daemon/node/keepalive_test.go
@@ -73,7 +73,7 @@
 
 // The kernel accepts connections before the process does. A listener that was closed
 // reset them with the requests in their buffers.
-func TestConnectionsThatWaitToBeAcceptedAreServed(t *testing.T) {
+func TestPendingConnectionsAreServed(t *testing.T) {
 	is := is.New(t)
 	bound, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
