--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -126,7 +126,7 @@
 // off requests that crossed the close (platform.TestAPlannedStopLosesNothing
 // failed in CI: "EOF"). The next answer on such a connection says that it is
 // the last one.
-func TestAKeptConnectionIsAnsweredOnceMoreAfterAStopBegan(t *testing.T) {
+func TestDrainAnswersOnceMoreOnOpenConnections(t *testing.T) {
 	is := is.New(t)
 	l, address := startListener(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
 	client := dialPersistent(t, address)
