--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -140,7 +140,7 @@
 }
 
 // A connection at rest ends with the stop, so that the stop ends.
-func TestShutdownClosesConnectionsAtRest(t *testing.T) {
+func TestShutdownClosesIdleConnections(t *testing.T) {
 	is := is.New(t)
 	l, address := startListener(t, http.NotFoundHandler())
 	client := dialPersistent(t, address)
