--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -185,7 +185,7 @@
 
 // A connection on which a request has begun is not closed, and one that has
 // been quiet for a short time only isn't either.
-func TestABusyConnectionIsNotClosedAsQuiet(t *testing.T) {
+func TestBusyConnectionIsNotClosedAsIdle(t *testing.T) {
 	is := is.New(t)
 	conns := newClientConns()
 	gated := gatedConn{arrived: make(chan struct{})}
