--- a/internal/daemon/node/settings_test.go
+++ b/internal/daemon/node/settings_test.go
@@ -13,7 +13,7 @@
 )
 
 // A settings file that asks for what is gone is accepted, and its daemon says so.
-func TestASettingWithoutEffectIsSaid(t *testing.T) {
+func TestSettingWithoutEffectIsLogged(t *testing.T) {
 	is := is.New(t)
 	core, logs := observer.New(zap.InfoLevel)
 	loaded := settings.Defaults()
