--- a/internal/daemon/node/stop_test.go
+++ b/internal/daemon/node/stop_test.go
@@ -30,7 +30,7 @@
 
 // All parts of a daemon go by one stop: where one did not, its requests were cut at the
 // end of the grace, or taken without the time that they need.
-func TestAllPartsGoByOneStop(t *testing.T) {
+func TestAllComponentsShareOneStop(t *testing.T) {
 	is := is.New(t)
 	b := builtNode(t, 8*time.Second)
 	is.True(b.handler.Stop == b.shutdown)
