--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -55,7 +55,7 @@
 		return n.journal
 	}
 	n.relay = relay.New(n.journal, relay.Options{Name: n.settings.Name, Zone: n.settings.Zone, Address: address}, n.logger)
-	n.peerFollower = journal.NewKeyedFollower(n.relay, relay.PeersPartition, n.relay.PeersHandler(), peerListMaxAge, n.logger)
+	n.peerFollower = journal.NewKeyedFollower(n.relay, relay.PeersPartition, n.relay.PeersHandler(), peerContactBound, n.logger)
 	n.peerFollower.SetInterval(n.readInterval(peerReadFraction))
 	return n.relay
 }
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -60,10 +60,10 @@
 	// maxJournalSilence is how long the journal may be silent before this daemon
 	// calls itself not ready.
 	maxJournalSilence = 1500 * time.Millisecond
-	// peerListMaxAge is within which time the list of peers is up to date after an
+	// peerContactBound is within which time the list of peers is up to date after an
 	// outage. It changes only as machines come, so that its reads are held for long:
 	// each daemon makes them.
-	peerListMaxAge = 30 * time.Second
+	peerContactBound = 30 * time.Second
 	// operatorReadFraction, replicaReadShare and peerReadShare are the parts of the reads
 	// that the journal grants which all daemons together use to follow the operator's
 	// records, the replicas' and the peers'. Half of the reads and more are left for
--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -25,7 +25,7 @@
 	contact := n.settings.Timing.ContactBound.Std()
 	if n.relay != nil {
 		// Peers tell what is new; the journal is for what this daemon has missed.
-		contact = peerListMaxAge
+		contact = peerContactBound
 		parts.gossiper = quarantine.NewGossiper(table, n.relay, n.logger)
 		n.relay.Register(quarantine.ServiceName, quarantine.NewService(table))
 	}
