--- a/internal/daemon/node/admission.go
+++ b/internal/daemon/node/admission.go
@@ -6,7 +6,8 @@
 	"woodworks/internal/requests/admission"
 )
 
-// newAdmission makes the part that decides which plain requests wait while a service is full.
+// newAdmission returns the controller that decides which plain requests wait while a service is
+// full.
 func (n *Node) newAdmission() *admission.Controller {
 	return admission.New(admission.Options{
 		Replicas: n.table.Replicas, Daemons: n.daemonCount, Clock: bootclock.Now,
--- a/internal/daemon/node/build.go
+++ b/internal/daemon/node/build.go
@@ -24,7 +24,7 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// build makes the parts of the daemon; each depends only on those made before it.
+// build creates the components of the daemon, each after those that it depends on.
 func (n *Node) build(drivers Drivers) {
 	if n.settings.Handoff.Enabled {
 		n.logger.Warn("setting has no effect", zap.String("setting", "handoff.enabled"))
@@ -44,8 +44,9 @@
 	n.registerMetrics()
 }
 
-// buildJournal returns the journal as the other parts use it: calls are counted, given up when
-// later ones are answered, and go through a peer while the daemon's own path is lost.
+// buildJournal returns the journal for the other components. It counts calls and gives up a call
+// once later ones have been answered. With a peer address in the settings, calls go through a peer
+// while this daemon's own path to the journal is lost.
 func (n *Node) buildJournal(direct journal.Journal) journal.Journal {
 	n.journal = journal.DetectLostCalls(direct, n.logger)
 	n.journal.SetObserver(n.metrics.JournalCall)
@@ -60,19 +61,20 @@
 	return n.relay
 }
 
-// readInterval is that of a follower which uses a share of the reads that the journal grants.
-func (n *Node) readInterval(share float64) journal.Interval {
-	return journal.SharedInterval(n.journal.RateLimits().ReadsPerSecond*share, n.daemonCount)
+// readInterval returns the interval of a follower whose reads may use, on all daemons together, the
+// given fraction of the journal's read rate limit.
+func (n *Node) readInterval(fraction float64) journal.Interval {
+	return journal.SharedInterval(n.journal.RateLimits().ReadsPerSecond*fraction, n.daemonCount)
 }
 
-// buildListeners makes the listeners for clients; who answers them is known later.
+// buildListeners creates the listeners for clients. Their handlers are set later.
 func (n *Node) buildListeners() {
 	n.public = newClientListener(n.shutdown, n.logger)
 	n.internal = newClientListener(n.shutdown, n.logger)
 	n.SetStopGrace(n.settings.Timing.StopGrace.Std())
 }
 
-// buildCatalog makes what follows the records of the operator and of the replicas.
+// buildCatalog creates the followers of the operator's and the replicas' records.
 func (n *Node) buildCatalog(drivers Drivers) {
 	log, contact := drivers.Journal, n.settings.Timing.ContactBound.Std()
 	n.table = replica.NewTable(n.settings.Timing.DrainBound.Std(), n.logger)
@@ -85,7 +87,7 @@
 	n.replicaFollower.SetInterval(n.readInterval(replicaReadFraction))
 }
 
-// newForwarder returns what sends requests to replicas.
+// newForwarder returns the forwarder, which sends requests to replicas.
 func (n *Node) newForwarder(names headers.Names) *forward.Forwarder {
 	return &forward.Forwarder{
 		Pool: n.pool, Table: n.table, Names: names, Zone: n.settings.Zone, Quarantine: n.quarantine.table,
@@ -93,7 +95,7 @@
 	}
 }
 
-// buildBatches makes what keeps, reads, watches and runs batches.
+// buildBatches creates the components that store, read, watch and run batches.
 func (n *Node) buildBatches(log journal.Journal, forwarder *forward.Forwarder) {
 	n.ledger = ledger.New(n.context, log, n.logger)
 	n.member = group.New(log, n.identity, append(ledger.TopicNames(), runner.RunnersTopic), n.logger)
@@ -105,8 +107,8 @@
 	n.watcher = runner.NewWatcher(n.runner, n.member)
 }
 
-// buildWeights makes what brings the engines to the versions that batches allow, on the
-// daemon that holds the lease.
+// buildWeights creates the syncer, which brings engines to the model versions that batches allow
+// while this daemon holds the lease, and what the syncer depends on.
 func (n *Node) buildWeights(drivers Drivers) {
 	log := drivers.Journal
 	n.demands = demand.NewState(n.logger)
@@ -120,20 +122,20 @@
 	}, n.logger)
 }
 
-// buildResults makes the reader of batches, which answers peers as well.
-func (n *Node) buildResults(grants journal.RateLimits) {
+// buildResults creates the reader of batch results and registers it for calls from peers.
+func (n *Node) buildResults(limits journal.RateLimits) {
 	var peers results.Peers
 	if n.relay != nil {
 		peers = syncedPeers{n.relay, n.peerFollower}
 	}
-	n.results = results.NewReader(n.ledger, n.member, peers, grants, n.identity, n.logger)
+	n.results = results.NewReader(n.ledger, n.member, peers, limits, n.identity, n.logger)
 	n.results.SetObserver(n.metrics.Question)
 	if n.relay != nil {
 		n.relay.Register(results.ServiceName, n.results.Service(n.context))
 	}
 }
 
-// buildHandler makes what answers clients.
+// buildHandler creates the handler of client requests.
 func (n *Node) buildHandler(drivers Drivers, forwarder *forward.Forwarder) {
 	timing := n.settings.Timing
 	n.holding = holding.New(n.settings.Limits.Held())
@@ -148,7 +150,8 @@
 	n.public.handler = n.handler
 }
 
-// buildPlatformHandlers puts a platform's own interface for callers before the handler.
+// buildPlatformHandlers replaces the handlers of the client listeners by those of the platform, if
+// it has any.
 func (n *Node) buildPlatformHandlers(drivers Drivers) {
 	if drivers.NewHandlers == nil {
 		return
@@ -161,7 +164,7 @@
 	n.public.handler, n.internal.handler = handlers.Public, handlers.Internal
 }
 
-// buildHealth makes the handlers for health, metrics and operators.
+// buildHealth creates the handlers for readiness, metrics and operators.
 func (n *Node) buildHealth() {
 	n.health = &healthServer{
 		ready: n.ready, metrics: n.metrics.Handler(),
@@ -169,9 +172,9 @@
 	}
 }
 
-// syncedPeers are the peers, whose number is told as 0 until their list has been read: a daemon
-// that has just started would take itself for the only one, and all that the journal sends for its
-// own.
+// syncedPeers are the peers of the relay. It reports 0 daemons until the list of peers has been
+// read: a daemon that has just started would otherwise count itself alone and claim the journal's
+// whole bandwidth.
 type syncedPeers struct {
 	*relay.Journal
 	list *journal.KeyedFollower
--- a/internal/daemon/node/candidate.go
+++ b/internal/daemon/node/candidate.go
@@ -7,17 +7,16 @@
 	"woodworks/internal/journal"
 )
 
-// isCandidate reports whether the partitions dealt to a daemon make it one that
-// claims the lease for orders when it is free: the first two partitions of the
-// first topic of batches and the last of the last. Whether partitions are dealt
-// in turn or in runs, these are two or three daemons; one alone might be the
-// holder that has been lost.
-func isCandidate(dealt map[journal.Partition]bool, partitionsPerTopic int) bool {
+// isCandidate reports whether a daemon with these assigned partitions claims the lease for engine
+// orders when it is free. Candidates are the owners of the first two partitions of the first batch
+// topic and of the last partition of the last one. Under round-robin and contiguous assignment
+// alike these are two or three daemons; a single candidate could be the lost holder itself.
+func isCandidate(assigned map[journal.Partition]bool, partitionsPerTopic int) bool {
 	return slices.ContainsFunc(candidatePartitions(partitionsPerTopic),
-		func(partition journal.Partition) bool { return dealt[partition] })
+		func(partition journal.Partition) bool { return assigned[partition] })
 }
 
-// candidatePartitions are the partitions whose members claim the lease.
+// candidatePartitions returns the partitions whose owners claim the lease.
 func candidatePartitions(partitionsPerTopic int) []journal.Partition {
 	topics := ledger.TopicNames()
 	first, last := topics[0], topics[len(topics)-1]
--- a/internal/daemon/node/candidate_test.go
+++ b/internal/daemon/node/candidate_test.go
@@ -8,10 +8,8 @@
 	"woodworks/internal/journal"
 )
 
-// A holder of the lease that is parted from the journal may be the candidate
-// itself: a second one must have watched the lease all along, or its wait begins
-// only when partitions are dealt anew (once 2.7 s later than needed).
-// The platform does not say how it deals: in turn or in runs.
+// A lost lease holder may be a candidate itself, so another candidate must already be watching the
+// lease, whether partitions are assigned round robin or in contiguous runs.
 func TestTwoOrThreeDaemonsAreLeaseCandidates(t *testing.T) {
 	const partitions = 8
 	var all []journal.Partition
@@ -20,22 +18,22 @@
 			all = append(all, journal.Partition{Topic: topic, Number: number})
 		}
 	}
-	dealings := map[string]func(row, daemons int) int{
-		"in turn": func(row, daemons int) int { return row % daemons },
-		"in runs": func(row, daemons int) int { return row * daemons / len(all) },
+	assignments := map[string]func(row, daemons int) int{
+		"round robin": func(row, daemons int) int { return row % daemons },
+		"contiguous":  func(row, daemons int) int { return row * daemons / len(all) },
 	}
-	for name, dealtTo := range dealings {
+	for name, assignedTo := range assignments {
 		for daemons := 2; daemons <= 50; daemons++ {
-			dealt := make([]map[journal.Partition]bool, daemons)
+			assigned := make([]map[journal.Partition]bool, daemons)
 			for row, partition := range all {
-				to := dealtTo(row, daemons)
-				if dealt[to] == nil {
-					dealt[to] = map[journal.Partition]bool{}
+				to := assignedTo(row, daemons)
+				if assigned[to] == nil {
+					assigned[to] = map[journal.Partition]bool{}
 				}
-				dealt[to][partition] = true
+				assigned[to][partition] = true
 			}
 			candidates := 0
-			for _, e := range dealt {
+			for _, e := range assigned {
 				if isCandidate(e, partitions) {
 					candidates++
 				}
--- a/internal/daemon/node/clientconn.go
+++ b/internal/daemon/node/clientconn.go
@@ -15,32 +15,30 @@
 	"woodworks/internal/daemon/recvbuf"
 )
 
-// clientConn is a client's connection that can be closed between two requests
-// without cutting one off.
+// clientConn is a client's connection that can be closed between two requests without cutting one
+// off.
 //
-// Invariant: once it is closed, nothing more is read from it. A request that
-// crosses the close is therefore never passed on to a replica: net/http alone
-// may run its handler, as it marks a connection busy only when the whole head of
-// a request has been read.
+// Invariant: once it is closed, Read returns no more data. A request that arrives during the close
+// is therefore never forwarded to a replica. net/http does not ensure this: it marks a connection
+// active only after the whole head of a request has been read, so that the handler could still run.
 type clientConn struct {
 	net.Conn
 	set *clientConns
 
 	mu sync.Mutex
-	// handling: a request is being answered.
+	// handling is true while a request is being answered.
 	handling bool
-	// requestBeganAt is when the first byte of a request was read that is not handled yet, or
-	// zero.
+	// requestBeganAt is when the first byte of a request was read that is not handled yet, or zero.
 	requestBeganAt time.Time
 	closed         bool
-	// idleSince is when it was accepted or last became idle, idleLimit the limit that
-	// was in force then.
+	// idleSince is when the connection was accepted or last became idle; idleLimit is the limit
+	// that was in force then.
 	idleSince time.Time
 	idleLimit time.Duration
 }
 
-// Read implements net.Conn. A deadline that passed while the process stood still hides
-// no bytes that have arrived meanwhile: the client has sent them in time.
+// Read implements net.Conn. Data that has arrived is returned even if the read deadline has passed:
+// the process may have been suspended while the client sent in time.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
@@ -59,8 +57,9 @@
 	return n, err
 }
 
-// CloseWrite lets the server end its side first where it does not read a request to its
-// end: a close at once would reset the answer.
+// CloseWrite closes the sending side, if the connection supports it. net/http calls it before it
+// closes a connection whose request was not read to its end: closing at once could reset the
+// connection before the client has read the answer.
 func (c *clientConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -68,8 +67,8 @@
 	return nil
 }
 
-// markHandling notes that the head of a request has been read. The request may have come with
-// the one before it, without a further read of the connection.
+// markHandling records that the head of a request has been read. Read may not have noticed the
+// request: a pipelined one can arrive in the same segment as its predecessor.
 func (c *clientConn) markHandling() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,7 +84,7 @@
 	return c.Conn.Close()
 }
 
-// markIdle notes that no request is under way.
+// markIdle records that no request is in progress.
 func (c *clientConn) markIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,35 +92,36 @@
 	c.idleSince, c.idleLimit = now, c.set.limits.Load().idle
 }
 
-// closeIfIdleSince closes the connection if it has been idle since the given time and no
-// request lies in its buffer: on a busy machine one may lie there for a while before it
-// is read.
+// closeIfIdleSince closes the connection if it has been idle since the given time and its receive
+// buffer is empty. On a busy machine a request may stay in the buffer for a while before it is
+// read.
 func (c *clientConn) closeIfIdleSince(since time.Time) {
 	c.closeIf(func() bool {
 		return !c.handling && c.requestBeganAt.IsZero() && !c.idleSince.After(since) && recvbuf.Look(c.Conn) != recvbuf.Waiting
 	})
 }
 
-// closeIfStalled closes the connection if a request has begun on it and its head has not
-// come for longer than the limit: net/http bounds that only from the fourth byte on.
+// closeIfStalled closes the connection if a request has begun and its head has been incomplete for
+// longer than limit. On a reused connection net/http enforces its header timeout only from the
+// fourth byte on.
 func (c *clientConn) closeIfStalled(now time.Time, limit time.Duration) {
 	c.closeIf(func() bool { return !c.handling && !c.requestBeganAt.IsZero() && now.Sub(c.requestBeganAt) > limit })
 }
 
-// closeIf closes the connection if a condition holds, which is asked with the mutex held: nothing is
-// read from then on.
-func (c *clientConn) closeIf(holds func() bool) {
+// closeIf closes the connection if condition returns true. The condition is evaluated with the
+// mutex held; if it is true, no data is read afterwards.
+func (c *clientConn) closeIf(condition func() bool) {
 	c.mu.Lock()
-	closing := holds()
+	closing := condition()
 	c.closed = c.closed || closing
 	c.mu.Unlock()
 	if closing {
-		_ = c.Close() // its client has nothing under way on it
+		_ = c.Close() // no request is in progress on it
 	}
 }
 
-// closeIfExpired closes the connection if it has been idle for longer than the limit in
-// force and than the one that was in force as it became idle: its client may know either.
+// closeIfExpired closes the connection if it has been idle for longer than limit and than the limit
+// that was in force when it became idle: its client may know either.
 func (c *clientConn) closeIfExpired(now time.Time, limit time.Duration) {
 	c.mu.Lock()
 	limit = max(limit, c.idleLimit)
@@ -129,15 +129,15 @@
 	c.closeIfIdleSince(now.Add(-limit))
 }
 
-// connLimits are the limits of connections without a request under way.
+// connLimits are the limits of connections without a request in progress.
 type connLimits struct {
-	// idle is how long a connection may rest, head how long the head of a request may
+	// idle is how long a connection may be idle, head how long reading the head of a request may
 	// take.
 	idle, head time.Duration
 }
 
-// clientConns are the open connections of a listener. It is safe for concurrent
-// use; its lock is taken after that of no connection.
+// clientConns is the set of open connections of a listener. It is safe for concurrent use. Its lock
+// is never acquired while a connection's lock is held.
 type clientConns struct {
 	limits atomic.Pointer[connLimits]
 
@@ -151,10 +151,10 @@
 	return s
 }
 
-// setLimits brings limits into force for all connections.
+// setLimits sets the limits of all connections, open ones included.
 func (s *clientConns) setLimits(limits connLimits) { s.limits.Store(&limits) }
 
-// add takes an accepted connection over.
+// add wraps an accepted connection and adds it to the set.
 func (s *clientConns) add(conn net.Conn, now time.Time) *clientConn {
 	c := &clientConn{Conn: conn, set: s, idleSince: now, idleLimit: s.limits.Load().idle}
 	s.mu.Lock()
@@ -176,8 +176,8 @@
 	}
 }
 
-// closeIdleSince closes the connections that have been idle since the given time,
-// and returns how many stay open.
+// closeIdleSince closes the connections that have been idle since the given time and returns how
+// many connections remain open.
 func (s *clientConns) closeIdleSince(since time.Time) int {
 	for _, c := range s.all() {
 		c.closeIfIdleSince(since)
@@ -185,8 +185,8 @@
 	return len(s.all())
 }
 
-// closeExpired closes the connections that have been idle for longer than they may, and
-// those whose request does not come.
+// closeExpired closes the connections that exceed the idle limit or the limit for reading the head
+// of a request.
 func (s *clientConns) closeExpired(now time.Time) {
 	limit := s.limits.Load().idle
 	for _, c := range s.all() {
@@ -195,7 +195,7 @@
 	s.closeStalled(now)
 }
 
-// closeStalled closes the connections whose request does not come.
+// closeStalled closes the connections that exceed the limit for reading the head of a request.
 func (s *clientConns) closeStalled(now time.Time) {
 	limit := s.limits.Load().head
 	for _, c := range s.all() {
--- a/internal/daemon/node/clientconn_test.go
+++ b/internal/daemon/node/clientconn_test.go
@@ -19,9 +19,8 @@
 	wholeHandler(w, r)
 }
 
-// Two requests may come in one segment: the second is then answered without a further
-// read of the connection. It counted as idle, and once the handler took longer than the
-// idle limit (5 s, 2 s) the connection was closed under it ("unexpected EOF").
+// A pipelined request arrives in the same segment as its predecessor and is answered without
+// another read; its connection must not be closed as idle meanwhile.
 func TestPipelinedRequestIsNotClosedAsIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -50,11 +49,11 @@
 	})
 }
 
-// One to three bytes after an answer, as a line end that some clients send behind a body,
-// are no request: net/http waits for the fourth without a limit. Such a connection was
-// kept for ever (one was open after an hour of sweeps), and held up a stop until its end.
+// One to three stray bytes after an answer, such as a line end that some clients send after a body,
+// must not keep a connection open for ever or delay a stop: net/http sets no deadline before the
+// fourth byte.
 func TestConnectionWithIncompleteRequestIsClosed(t *testing.T) {
-	stray := func(t *testing.T) *pipeListener {
+	withStrayBytes := func(t *testing.T) *pipeListener {
 		is := is.New(t)
 		d := newPipeListener(http.HandlerFunc(wholeHandler))
 		client := d.dial()
@@ -69,7 +68,7 @@
 	t.Run("while the daemon runs", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			d := stray(t)
+			d := withStrayBytes(t)
 			defer d.closeNow()
 			time.Sleep(defaultHeaderTimeout)
 			d.conns.closeExpired(time.Now())
@@ -82,7 +81,7 @@
 	t.Run("during a stop", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			d := stray(t)
+			d := withStrayBytes(t)
 			defer d.closeNow()
 			ctx, cancel := context.WithTimeout(context.Background(), testGrace)
 			defer cancel()
--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -7,10 +7,11 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// maxConnections is how many connections to a replica this daemon may have of those that it takes
-// from all, 0 without bound. Where daemons don't know each other nothing is shared. Engines
-// run as many requests at once as they have slots, whoever sends them, and owners of batches
-// are few: an owner may use as many connections, which others leave idle.
+// maxConnections returns how many connections this daemon may have to a replica, or 0 for no bound.
+// Daemons share the replica's limit; without a relay they don't know each other, and there is no
+// bound. Engines run as many requests at once as they have slots, whoever sends them, and few
+// daemons own batches: for an engine the daemon may have up to one connection per slot, which the
+// others leave unused.
 func (n *Node) maxConnections(chosen replica.Replica) int {
 	configuration := n.operator.Configuration()
 	if n.relay == nil || configuration == nil {
@@ -19,13 +20,13 @@
 	service := configuration.Services[chosen.Service]
 	daemons := n.daemonCount()
 	if !n.peerFollower.Synced() {
-		// Any number of others may be there.
+		// The number of daemons is not known yet: assume the most.
 		daemons = max(service.MaxConnections, 1)
 	}
 	return upstream.ConnectionShare(service.MaxConnections, daemons, max(service.Slots, chosen.Slots), service.IsEngine)
 }
 
-// registerConnectionMetrics tells of connections to replicas.
+// registerConnectionMetrics registers the metrics of connections to replicas.
 func (n *Node) registerConnectionMetrics() {
 	metrics.Counter(n.metrics, "replica_connections_total", "Connections made to replicas.", n.pool.Dials.Load)
 	metrics.Counter(n.metrics, "replica_connections_lacking_total",
@@ -36,18 +37,19 @@
 		n.maxConnectionsUsedRatio)
 }
 
-// maxConnectionsUsedRatio is the highest part of the connections allowed to one replica that there is.
+// maxConnectionsUsedRatio returns the highest ratio of open to allowed connections of all replicas,
+// or 0 if none has a bound.
 func (n *Node) maxConnectionsUsedRatio() float64 {
-	configuration, most := n.operator.Configuration(), 0.0
+	configuration, highest := n.operator.Configuration(), 0.0
 	if configuration == nil {
 		return 0
 	}
 	for service := range configuration.Services {
 		for _, rep := range n.table.Replicas(service) {
-			if part := n.maxConnections(rep); part > 0 {
-				most = max(most, float64(n.pool.OpenConnections(rep.Address))/float64(part))
+			if allowed := n.maxConnections(rep); allowed > 0 {
+				highest = max(highest, float64(n.pool.OpenConnections(rep.Address))/float64(allowed))
 			}
 		}
 	}
-	return most
+	return highest
 }
--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -20,10 +20,10 @@
 	"woodworks/internal/requests/route"
 )
 
-// testGrace is the grace of the platform in these tests.
+// testGrace is the grace of a planned stop in these tests.
 const testGrace = 8 * time.Second
 
-// pipeListener is a front server on connections in memory, under virtual time.
+// pipeListener is a client listener on in-memory connections, under virtual time.
 type pipeListener struct {
 	*clientListener
 	listener *connQueue
@@ -37,7 +37,7 @@
 	return &pipeListener{l, listener}
 }
 
-// dial returns a connection of a caller, or nil if the listener takes none.
+// dial returns a new client connection, or nil if the listener is closed.
 func (d *pipeListener) dial() *persistentConn {
 	near, far := net.Pipe()
 	select {
@@ -48,7 +48,7 @@
 	}
 }
 
-// closeNow stops the server at once.
+// closeNow stops the listener without waiting for requests.
 func (d *pipeListener) closeNow() {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -58,26 +58,21 @@
 // wholeHandler answers at once.
 func wholeHandler(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
 
-// A planned stop closed each connection that had been quiet for a second, three seconds
-// after SIGTERM, with five of its eight seconds of grace unused. Callers that keep
-// connections for longer than that took them up in the same moment: real daemons under
-// planned stops cut two requests in each of two runs of 70 s, one on a connection that had
-// rested for 3.1 s and three on new ones, 3.000 to 3.026 s after SIGTERM ("connection reset
-// by peer", 53,783 requests, no daemon's log has them). A request that had begun
-// to wait for a replica or for news was cut at the end of the grace instead of answered.
+// A planned stop must not close a connection that its client may still use, nor cut off a request
+// that runs until the end of the grace.
 func TestAStopCutsOffNoRequest(t *testing.T) {
 	for tenths := 0; tenths <= 70; tenths += 5 {
 		rest := time.Duration(tenths) * 100 * time.Millisecond
-		t.Run(fmt.Sprintf("a connection is taken up %v into the stop", rest), func(t *testing.T) {
+		t.Run(fmt.Sprintf("connection reused %v into the stop", rest), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { requestDuringStop(t, rest) })
 		})
 	}
-	t.Run("a request lies in the buffer", bufferedRequestSurvivesClose)
-	t.Run("a request outlasts the grace", func(t *testing.T) { synctest.Test(t, interruptedRequestIsAnswered) })
+	t.Run("request in the receive buffer", bufferedRequestSurvivesClose)
+	t.Run("request longer than the grace", func(t *testing.T) { synctest.Test(t, interruptedRequestIsAnswered) })
 }
 
-// requestDuringStop has a caller use a connection just before a stop and again some time
-// into it.
+// requestDuringStop sends a request on a connection just before a stop, and another on the same
+// connection after it has been idle for rest.
 func requestDuringStop(t *testing.T, rest time.Duration) {
 	is := is.New(t)
 	d := newPipeListener(http.HandlerFunc(wholeHandler))
@@ -95,8 +90,8 @@
 	}()
 	synctest.Wait() // The stop has begun.
 	time.Sleep(rest)
-	if kept, named := keepAliveTimeout(first); named && rest > kept {
-		// The caller was told not to take it up any more.
+	if timeout, found := keepAliveTimeout(first); found && rest > timeout {
+		// The Keep-Alive timeout has passed, so the client opens a new connection.
 		_ = client.Close()
 		<-done
 		return
@@ -107,7 +102,7 @@
 	<-done
 }
 
-// keepAliveTimeout is how long an answer says that its connection is kept.
+// keepAliveTimeout returns the timeout in an answer's Keep-Alive header, and false if it has none.
 func keepAliveTimeout(answer *http.Response) (time.Duration, bool) {
 	seconds := 0
 	if _, err := fmt.Sscanf(answer.Header.Get("Keep-Alive"), "timeout=%d", &seconds); err != nil {
@@ -116,7 +111,7 @@
 	return time.Duration(seconds) * time.Second, true
 }
 
-// tcpPair is a connection with its two ends.
+// tcpPair returns both ends of a TCP connection over loopback.
 func tcpPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -139,7 +134,8 @@
 	return near, far
 }
 
-// bufferedRequestSurvivesClose has a request reach the machine whose process has not read it yet.
+// bufferedRequestSurvivesClose checks that a connection with unread data in its receive buffer is
+// not closed as idle.
 func bufferedRequestSurvivesClose(t *testing.T) {
 	is := is.New(t)
 	near, far := tcpPair(t)
@@ -154,7 +150,8 @@
 	is.Equal(n, 16)
 }
 
-// interruptedRequestIsAnswered has a handler wait for something that does not come in time.
+// interruptedRequestIsAnswered checks that a handler that still waits at the end of the grace is
+// interrupted and its answer sent.
 func interruptedRequestIsAnswered(t *testing.T) {
 	is := is.New(t)
 	d := newPipeListener(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -164,14 +161,14 @@
 	}))
 	defer d.closeNow()
 	client := d.dial()
-	type told struct {
+	type result struct {
 		answer *http.Response
 		err    error
 	}
-	answered := make(chan told, 1)
+	answered := make(chan result, 1)
 	go func() {
 		answer, err := client.get("/")
-		answered <- told{answer, err}
+		answered <- result{answer, err}
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), testGrace)
 	defer cancel()
@@ -182,9 +179,8 @@
 	is.True(got.answer.Close)
 }
 
-// Clients that find no other daemon come until the end of the grace. A connection that was
-// accepted at its end was closed before its request had come: two requests were cut in one
-// of two runs, 53 ms after the interruption and in the moment in which they were sent.
+// A connection that is accepted at the end of the grace must not be closed before its request has
+// arrived.
 func TestConnectionAcceptedAtTheEndOfTheGraceIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -214,13 +210,11 @@
 	})
 }
 
-// A connection kept the limits that were in force when it was accepted, while its caller
-// knows those in force now: after the idle limit had been raised from 2 to 20 s, a
-// connection that had rested for 5 s was closed under its caller. And a deadline that
-// passed while the process stood still closed a connection although a whole request lay
-// in its buffer.
+// Clients rely on the idle limit now in force, so it must apply to connections that were accepted
+// before it was raised; and a whole request in the receive buffer must be read although the read
+// deadline has passed.
 func TestOpenConnectionsFollowTheCurrentIdleLimit(t *testing.T) {
-	t.Run("a longer idle limit holds for open connections", func(t *testing.T) {
+	t.Run("open connections use a raised idle limit", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			d := newPipeListener(http.HandlerFunc(wholeHandler))
@@ -235,7 +229,7 @@
 			is.NoErr(err)
 		})
 	})
-	t.Run("a deadline that passed does not hide what has arrived", func(t *testing.T) {
+	t.Run("data that arrived is read after the deadline", func(t *testing.T) {
 		is := is.New(t)
 		near, far := tcpPair(t)
 		c := newClientConns().add(far, time.Now())
--- a/internal/daemon/node/duties.go
+++ b/internal/daemon/node/duties.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// usageWriteFraction is the part of the writes that the journal grants which all
-	// daemons together use to tell what tenants used.
+	// usageWriteFraction is the fraction of the journal's write rate limit that all daemons
+	// together use to record the usage of tenants.
 	usageWriteFraction = 0.2
-	// flushRetryDelay is the time between two tries to write the last counts of usage.
+	// flushRetryDelay is the delay after a failed write of the last usage counts.
 	flushRetryDelay = 200 * time.Millisecond
 )
 
-// buildDuties makes what the platform expects of one daemon at a time.
+// buildDuties creates the components for the duties that one daemon at a time performs for the
+// platform: reports of usage and orders for replicas.
 func (n *Node) buildDuties(drivers Drivers) {
 	if drivers.Duties == nil {
 		return
@@ -44,7 +45,7 @@
 	n.reporter = usage.NewReporter(drivers.Journal, n.lease, drivers.Duties, n.settings.Name, windows, clock, n.logger)
 }
 
-// startDuties runs what the platform expects of one daemon at a time.
+// startDuties runs the components that buildDuties created.
 func (n *Node) startDuties() {
 	if n.usage != nil {
 		go n.usage.Run(n.context)
@@ -55,7 +56,7 @@
 	}
 }
 
-// registerDutyMetrics tells what this daemon did while it held the lease for duties.
+// registerDutyMetrics registers the metrics of usage reports and of orders for replicas.
 func (n *Node) registerDutyMetrics() {
 	if n.reporter != nil {
 		metrics.Counter(n.metrics, "usage_reports_total",
@@ -69,8 +70,8 @@
 	}
 }
 
-// flushUsage writes what was counted of tenants' requests, again until it is done or the
-// context ends: with this daemon it would be lost.
+// flushUsage writes the usage counts that are not written yet, and retries until it succeeds or the
+// context ends: counts only held by this daemon would be lost.
 func (n *Node) flushUsage(ctx context.Context) {
 	for n.usage != nil && ctx.Err() == nil && n.usage.Flush(ctx) != nil {
 		periodic.Pause(ctx, flushRetryDelay)
--- a/internal/daemon/node/golden_test.go
+++ b/internal/daemon/node/golden_test.go
@@ -17,7 +17,7 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// allDuties expects each duty, and takes every call.
+// allDuties is a duty driver that wants every duty and accepts every call.
 type allDuties struct{}
 
 func (allDuties) Duties() duty.Duties { return duty.Duties{Usage: true, Fleet: true} }
@@ -26,7 +26,7 @@
 
 func (allDuties) OrderFleet(context.Context, duty.Authority, duty.Fleet) error { return nil }
 
-// Dashboards and alerts name the metrics of a daemon, their labels, and texts of labels.
+// Dashboards and alerts refer to metrics by name, label and label value.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	loaded := *golden.Filled[settings.Settings]()
 	loaded.Timing.UsageWindow = settings.Duration(time.Minute)
@@ -50,7 +50,8 @@
 	golden.Literals(t, "labels.literals")
 }
 
-// metricNames returns the daemon's metrics as they are scraped: name, type, labels and bounds.
+// metricNames returns the scraped metrics without help texts and values: names, types, labels and
+// bucket bounds.
 func metricNames(t *testing.T, node *Node) string {
 	answer := httptest.NewRecorder()
 	node.metrics.Handler().ServeHTTP(answer, httptest.NewRequest("GET", "/metrics", nil))
--- a/internal/daemon/node/health.go
+++ b/internal/daemon/node/health.go
@@ -11,14 +11,14 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// healthHeaderTimeout is how long the head of a request for health or metrics may take.
+// healthHeaderTimeout bounds reading the head of a request for health or metrics.
 const healthHeaderTimeout = 5 * time.Second
 
-// healthServer tells whether clients should come here, and the metrics.
+// healthServer serves readiness, metrics and the operators' view of the quarantine.
 type healthServer struct {
 	ready   func() (bool, string)
 	metrics http.Handler
-	// quarantine shows operators the contents that are held back.
+	// quarantine lists and clears quarantined contents for operators.
 	quarantine http.Handler
 	logger     *zap.Logger
 }
@@ -30,7 +30,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		if _, err := w.Write([]byte(reason)); err != nil {
-			h.logger.Debug("answer about readiness not taken", zap.Error(err)) // whoever asked has left
+			h.logger.Debug("failed to write readiness response", zap.Error(err)) // the prober has disconnected
 		}
 	})
 	if readyAddress != "" {
@@ -41,14 +41,14 @@
 	if metricsAddress == "" {
 		return nil
 	}
-	// Without metrics a daemon still serves.
+	// A daemon without a metrics listener still serves clients.
 	if err := serveHealth(metricsAddress, h.operatorHandler(), h.logger); err != nil {
-		h.logger.Error("metrics not served", zap.String("address", metricsAddress), zap.Error(err))
+		h.logger.Error("failed to listen for metrics", zap.String("address", metricsAddress), zap.Error(err))
 	}
 	return nil
 }
 
-// operatorHandler returns the handler of the address that only operatorHandler reach.
+// operatorHandler returns the handler of the metrics address, which only operators can reach.
 func (h *healthServer) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(quarantine.Path, h.quarantine)
@@ -64,7 +64,7 @@
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: healthHeaderTimeout}
 	go func() {
-		logger.Error("listener for health ended", zap.String("address", address), zap.Error(server.Serve(listener)))
+		logger.Error("health listener ended", zap.String("address", address), zap.Error(server.Serve(listener)))
 	}()
 	return nil
 }
--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -7,24 +7,22 @@
 )
 
 const (
-	// maxKeepAlive is the longest that an answer tells a client to keep its connection
-	// for another request. A planned stop waits for that long, so that it costs a stop
-	// time; a client that comes more seldom makes a connection for each request, a round
-	// trip. Five seconds are also what Node.js keeps connections for.
+	// maxKeepAlive is the longest Keep-Alive timeout in an answer. A planned stop waits this long
+	// for idle connections; clients that pause for longer open a connection for each request.
 	maxKeepAlive = 5 * time.Second
-	// minKeepAlive is the least that an answer can tell, which it does in whole seconds.
+	// minKeepAlive is the shortest Keep-Alive timeout and its unit: the header has whole seconds.
 	minKeepAlive = time.Second
-	// keepAliveFraction is the part of the idle limit after which clients take up no connection:
-	// the rest is for a request on its way.
+	// keepAliveFraction is the fraction of the idle limit that is announced to clients; the rest is
+	// for a request in transit.
 	keepAliveFraction = 0.8
-	// requestDelayMargin is how much later than it was told to a client's request may arrive:
-	// its way, and a client or a daemon that is slow to run.
+	// requestDelayMargin is how long after the announced timeout a request may still arrive,
+	// delayed by the network or by a slow client or daemon.
 	requestDelayMargin = time.Second
 )
 
-// keepAliveForStop is what answers tell clients where a stop interrupts requests after a while: all
-// connections that they keep can be closed before, when the last request may have come. It
-// is 0 where the grace is too short to keep any.
+// keepAliveForStop returns the longest Keep-Alive timeout for a stop that interrupts requests after
+// the given time, so that the last request on an idle connection can arrive before that. It is in
+// whole seconds, and 0 if the time is too short for any.
 func keepAliveForStop(interrupt time.Duration) time.Duration {
 	keep := min(maxKeepAlive, interrupt-requestDelayMargin)
 	if keep < minKeepAlive {
@@ -33,16 +31,17 @@
 	return keep.Truncate(minKeepAlive)
 }
 
-// responseWriter is the responseWriter to a request. What it tells of its connection is decided when its
-// head is written: a request that was under way when a stop began ends its connection,
-// which would otherwise rest and have to be closed under its client.
+// responseWriter sets the header fields about the connection when the head of an answer is written,
+// not when its request begins: if a stop began in between, the answer closes the connection. An
+// idle connection would have to be closed during the stop while its client may be sending a
+// request.
 type responseWriter struct {
 	http.ResponseWriter
 	listener       *clientListener
 	headerPrepared bool
 }
 
-// prepareHeader completes the head if it is not written yet.
+// prepareHeader sets the header fields about the connection, once.
 func (a *responseWriter) prepareHeader() {
 	if a.headerPrepared {
 		return
@@ -65,18 +64,21 @@
 	return a.ResponseWriter.Write(p)
 }
 
-// FlushError lets http.ResponseController flush.
+// FlushError implements flushing for http.ResponseController.
 func (a *responseWriter) FlushError() error {
 	a.prepareHeader()
 	return http.NewResponseController(a.ResponseWriter).Flush()
 }
 
-// Unwrap lets http.ResponseController reach the real writer.
+// Unwrap returns the underlying writer for http.ResponseController.
 func (a *responseWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
 
+// keepAliveLimit returns the longest Keep-Alive timeout in an answer, or 0 if connections are not
+// kept.
 func (l *clientListener) keepAliveLimit() time.Duration { return time.Duration(l.keepAlive.Load()) }
 
-// setConnectionHeader says in an answer's head what becomes of its connection.
+// setConnectionHeader tells the client to close the connection, or else how long the connection is
+// kept. The timeout is left out if it is below a second.
 func (l *clientListener) setConnectionHeader(header http.Header) {
 	keep := l.keepAliveLimit()
 	if l.draining.Load() || keep == 0 {
--- a/internal/daemon/node/keepalive_test.go
+++ b/internal/daemon/node/keepalive_test.go
@@ -14,9 +14,9 @@
 	"woodworks/internal/daemon/shutdown"
 )
 
-// Clients are told less than the idle limit and than what a stop can wait for.
+// The announced timeout must be shorter than the idle limit and than what a stop can wait for.
 func TestAnswersStateTheKeepAliveTimeout(t *testing.T) {
-	for idle, a := range map[time.Duration]string{
+	for idle, header := range map[time.Duration]string{
 		0: "timeout=5", time.Minute: "timeout=5", 4 * time.Second: "timeout=3", 1500 * time.Millisecond: "timeout=1", time.Second: "",
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -26,19 +26,18 @@
 			d.applyConfiguration(idleTimeoutConfiguration(1, idle))
 			answer, err := d.dial().get("/")
 			is.NoErr(err)
-			is.Equal(answer.Header.Get("Keep-Alive"), a)
+			is.Equal(answer.Header.Get("Keep-Alive"), header)
 		})
 	}
 	is := is.New(t)
-	for grace, keep := range map[time.Duration]time.Duration{
+	for grace, keepAlive := range map[time.Duration]time.Duration{
 		2 * time.Minute: 5 * time.Second, 8 * time.Second: 5 * time.Second, 5 * time.Second: 3 * time.Second, 2 * time.Second: 0,
 	} {
-		is.Equal(keepAliveForStop(shutdown.PlanOf(grace).Interrupt), keep)
+		is.Equal(keepAliveForStop(shutdown.PlanOf(grace).Interrupt), keepAlive)
 	}
 }
 
-// A handler that writes nothing has an answer all the same, and it ends its connection
-// during a stop.
+// An answer of a handler that writes nothing must close its connection during a stop as well.
 func TestEmptyAnswerDuringAStopClosesItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -51,7 +50,7 @@
 	})
 }
 
-// Idle connections end once they have rested for as long as they may, and not before.
+// An idle connection is closed when the idle limit has passed, and not before.
 func TestIdleConnectionsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -64,15 +63,15 @@
 		d.applyConfiguration(idleTimeoutConfiguration(2, 2*time.Second))
 		time.Sleep(9 * time.Second)
 		d.conns.closeExpired(time.Now())
-		is.Equal(len(d.conns.all()), 1) // Its client may know the limit that it began with.
+		is.Equal(len(d.conns.all()), 1) // Its client may know the limit in force when it became idle.
 		time.Sleep(time.Second)
 		d.conns.closeExpired(time.Now())
 		is.Equal(len(d.conns.all()), 0)
 	})
 }
 
-// The kernel accepts connections before the process does. A listener that was closed
-// reset them with the requests in their buffers.
+// Closing a listener resets the connections that the kernel has accepted and the process has not;
+// they must be served first.
 func TestPendingConnectionsAreServed(t *testing.T) {
 	is := is.New(t)
 	bound, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/daemon/node/listener.go
+++ b/internal/daemon/node/listener.go
@@ -16,32 +16,31 @@
 )
 
 const (
-	// defaultHeaderTimeout, defaultIdleTimeout and defaultHeaderBytes hold until a
-	// configuration sets limits of its own.
+	// defaultHeaderTimeout, defaultIdleTimeout and defaultHeaderBytes apply unless a configuration
+	// sets a limit.
 	defaultHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout   = 30 * time.Second
 	defaultHeaderBytes   = 32 << 10
-	// acceptRetryDelay is the time between two tries to accept where the first has failed, as
-	// for lack of descriptors.
+	// acceptRetryDelay is the delay after a failed accept, for example for lack of file
+	// descriptors.
 	acceptRetryDelay = 20 * time.Millisecond
 )
 
-// clientListener is the listener for clients. It stands on net/http's server and
-// not on go-zero's rest, whose router cleans paths and answers odd ones itself:
-// requests must reach replicas unaltered.
+// clientListener is a listener for clients. It uses net/http's server and not go-zero's rest, whose
+// router cleans paths and answers some requests itself: requests must reach replicas unaltered.
 //
-// The limits of a request's head are those in force when its connection was accepted: a
-// change of them makes a new http.Server, and the old one keeps its connections. How long
-// a connection may be idle is up to clientConns, for all connections alike.
+// The limits of a request's head are those in force when its connection was accepted: a change of
+// them creates a new http.Server, and existing connections stay with the old one. The idle limit is
+// enforced by clientConns and applies to all connections.
 type clientListener struct {
 	handler http.Handler
 	logger  *zap.Logger
 	conns   *clientConns
-	// plannedStop is the plannedStop stop of the daemon, which interrupts requests at its end.
+	// plannedStop is the planned stop of the daemon, which interrupts requests at its end.
 	plannedStop *shutdown.Stop
-	// draining makes each answer the last one of its connection.
+	// draining makes each answer close its connection.
 	draining atomic.Bool
-	// keepAlive is the longest that an answer tells a client to keepAlive its connection, a time.Duration.
+	// keepAlive is the longest Keep-Alive timeout in an answer, a time.Duration.
 	keepAlive atomic.Int64
 
 	mu       sync.Mutex
@@ -50,7 +49,7 @@
 	listener net.Listener
 	queue    *connQueue
 	servers  []*http.Server
-	// accepting ends with the loop that takes connections.
+	// accepting waits for the goroutine that accepts connections.
 	accepting sync.WaitGroup
 }
 
@@ -65,9 +64,9 @@
 	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok {
 		c.markHandling()
 	}
-	// What bounded the writes of the request before does not bound those of this one.
+	// A write deadline set for the previous request must not apply to this one.
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Time{}); err != nil {
-		l.logger.Debug("writes to the client's connection keep their bound", zap.Error(err))
+		l.logger.Debug("failed to clear the write deadline of a client connection", zap.Error(err))
 	}
 	ctx, release := l.plannedStop.Bound(r.Context())
 	defer release()
@@ -76,7 +75,7 @@
 	a.prepareHeader()
 }
 
-// listen binds the address and serves it.
+// listen binds the address and serves it in the background.
 func (l *clientListener) listen(address string) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -86,7 +85,7 @@
 	return nil
 }
 
-// serve takes the connections of a listener over.
+// serve accepts and serves the connections of listener in the background.
 func (l *clientListener) serve(listener net.Listener) {
 	l.mu.Lock()
 	l.listener = listener
@@ -95,7 +94,7 @@
 	l.accepting.Go(func() { l.accept(listener) })
 }
 
-// accept gives each new connection to the server in force.
+// accept passes each new connection to the current server until the listener is closed.
 func (l *clientListener) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -103,7 +102,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			l.logger.Warn("connection of a client not accepted", zap.Error(err))
+			l.logger.Warn("failed to accept a client connection", zap.Error(err))
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -111,7 +110,7 @@
 	}
 }
 
-// enqueue gives a connection to the server in force.
+// enqueue passes a connection to the current server.
 func (l *clientListener) enqueue(conn net.Conn) {
 	l.mu.Lock()
 	target := l.queue
@@ -119,7 +118,7 @@
 	target.push(l.conns.add(conn, time.Now()))
 }
 
-// applyConfiguration takes the limits of a new configuration over.
+// applyConfiguration applies the limits of a new configuration.
 func (l *clientListener) applyConfiguration(configuration *route.Configuration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,7 +130,7 @@
 		idle: orDefault(l.limits.IdleTimeout, defaultIdleTimeout),
 		head: orDefault(l.limits.HeaderTimeout, defaultHeaderTimeout),
 	})
-	l.logger.Info("limits in force", zap.Int("header_bytes", l.limits.MaxHeaderBytes),
+	l.logger.Info("limits applied", zap.Int("header_bytes", l.limits.MaxHeaderBytes),
 		zap.Int64("body_bytes", l.limits.MaxBodyBytes),
 		zap.Duration("header_timeout", l.limits.HeaderTimeout), zap.Duration("idle_timeout", l.limits.IdleTimeout))
 	if l.current != nil {
@@ -139,9 +138,9 @@
 	}
 }
 
-// startServer makes a server with the limits in force. It closes no idle connections:
-// its limit would be that of the time when a connection became idle, while the client
-// goes by the one in force. The mutex is held.
+// startServer starts a server with the current limits. It sets no IdleTimeout: net/http would apply
+// the limit from when a connection became idle, while its client knows the current one. The mutex
+// must be held.
 func (l *clientListener) startServer() {
 	server := &http.Server{
 		Handler:   l,
@@ -166,29 +165,29 @@
 func (l *clientListener) serveQueue(server *http.Server, queue *connQueue) {
 	err := server.Serve(queue)
 	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-		l.logger.Error("listener for clients ended", zap.Error(err))
+		l.logger.Error("client listener ended", zap.Error(err))
 	}
 }
 
-func orDefault(value, otherwise time.Duration) time.Duration {
+func orDefault(value, fallback time.Duration) time.Duration {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// connQueue is a listener whose connections come from another one.
+// connQueue is a net.Listener that accepts the connections passed to push.
 type connQueue struct {
 	connections chan net.Conn
-	// closed is closed, once, when no more connections are taken.
+	// closed is closed, once, when no more connections are accepted.
 	closed chan struct{}
 	once   sync.Once
 }
 
-// push hands a connection to the server, or closes it if the server has stopped.
+// push passes a connection to the server, or closes it if the server has stopped.
 func (q *connQueue) push(conn net.Conn) {
 	select {
 	case q.connections <- conn:
--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -30,9 +30,7 @@
 	return l, l.listener.Addr().String()
 }
 
-// A stop must end although a connection could still come: it once waited for
-// the accepting loop, which never ended, until the process was killed with a
-// request under way.
+// Shutdown must close the listener, or the accept loop that it waits for never ends.
 func TestShutdownEndsWithoutRequests(t *testing.T) {
 	l, _ := startListener(t, http.NotFoundHandler())
 	l.applyConfiguration(&route.Configuration{Definition: route.Definition{Limits: route.Limits{MaxHeaderBytes: 8192}}})
@@ -44,8 +42,8 @@
 	<-done
 }
 
-// A request that is under way when the stop begins is answered whole, and
-// later connections are not taken.
+// A request in progress when the stop begins is answered in full, and later connections are
+// refused.
 func TestShutdownFinishesRequestUnderWay(t *testing.T) {
 	is := is.New(t)
 	entered, leave := make(chan struct{}), make(chan struct{})
@@ -83,7 +81,7 @@
 	<-done
 }
 
-// An address for metrics that is taken does not keep a daemon from serving.
+// A metrics address that is in use must not prevent a daemon from serving clients.
 func TestAMetricsAddressInUseIsNotFatal(t *testing.T) {
 	is := is.New(t)
 	taken, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -94,7 +92,7 @@
 	is.True(health.listen(taken.Addr().String(), "") != nil)
 }
 
-// persistentConn is a connection of a client that stays open between requests.
+// persistentConn is a client connection that is used for several requests.
 type persistentConn struct {
 	net.Conn
 	r *bufio.Reader
@@ -122,10 +120,8 @@
 	return response, err
 }
 
-// A stop once closed the connections that were at rest as it began, and cut
-// off requests that crossed the close (platform.TestAPlannedStopLosesNothing
-// failed in CI: "EOF"). The next answer on such a connection says that it is
-// the last one.
+// A stop must not close an idle connection at once, as its client may be sending a request: the
+// next answer on it closes it.
 func TestDrainAnswersOnceMoreOnOpenConnections(t *testing.T) {
 	is := is.New(t)
 	l, address := startListener(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
@@ -139,7 +135,7 @@
 	is.True(second.Close)
 }
 
-// A connection at rest ends with the stop, so that the stop ends.
+// Shutdown must close idle connections, or it would wait for their clients.
 func TestShutdownClosesIdleConnections(t *testing.T) {
 	is := is.New(t)
 	l, address := startListener(t, http.NotFoundHandler())
@@ -152,7 +148,7 @@
 	is.Equal(err, io.EOF)
 }
 
-// gatedConn gives its bytes to the reader when told to.
+// gatedConn blocks each Read until arrived is closed.
 type gatedConn struct {
 	net.Conn
 	arrived chan struct{}
@@ -165,8 +161,8 @@
 
 func (g gatedConn) Close() error { return nil }
 
-// A request whose bytes arrive as its connection is closed must not reach the
-// server: it would be passed on, and its answer could not be.
+// A request whose bytes arrive while its connection is being closed must not reach the server: it
+// would be forwarded, but could not be answered.
 func TestNothingIsReadFromAClosedConnection(t *testing.T) {
 	is := is.New(t)
 	conns := newClientConns()
@@ -183,8 +179,8 @@
 	is.Equal(<-read, 0)
 }
 
-// A connection on which a request has begun is not closed, and one that has
-// been quiet for a short time only isn't either.
+// A connection with a request in progress, or one that has been idle only for a short time, must
+// not be closed as idle.
 func TestBusyConnectionIsNotClosedAsIdle(t *testing.T) {
 	is := is.New(t)
 	conns := newClientConns()
--- a/internal/daemon/node/listenerstop.go
+++ b/internal/daemon/node/listenerstop.go
@@ -13,18 +13,17 @@
 	"woodworks/internal/daemon/periodic"
 )
 
-// closeInterval is the time between two looks for connections to close.
+// closeInterval is the time between two searches for connections to close.
 const closeInterval = 20 * time.Millisecond
 
-// stop ends the listener by plan. For a while requests are taken as ever, each answer
-// being the last of its connection. Then connections are closed that no client takes up
-// any more, and the listener is closed once none is open. When the context ends, what is
-// still under way is answered as it stands.
+// stop ends the listener according to the plan of the stop. Until the plan's Drain time, requests
+// are accepted as usual, and each answer closes its connection. Then connections that their clients
+// no longer use are closed, and finally the listener itself. When the context ends, requests still
+// in progress are interrupted, which makes their handlers answer with what they have.
 //
-// A connection is closed under a request only in the moment in which the request is on its
-// way, and only if its client takes the connection up later than it was told to, or if the
-// end of the grace comes before: an answer whose head was written before the stop and whose
-// body ended late in it.
+// A connection is closed under a request only if the request is in transit at that moment, and only
+// if its client sent it after the announced Keep-Alive timeout, or if the grace ends before that
+// timeout: when the head of an answer was written before the stop and its body ended late in it.
 func (l *clientListener) stop(ctx context.Context) {
 	l.drain()
 	periodic.Pause(ctx, l.plannedStop.Plan().Drain)
@@ -32,11 +31,11 @@
 	l.shutdown(ctx)
 }
 
-// drain makes each further answer the last one of its connection. Idle connections stay
-// open: clients may still take them up.
+// drain makes each further answer close its connection. Idle connections stay open, as clients may
+// still use them.
 func (l *clientListener) drain() { l.draining.Store(true) }
 
-// shutdown takes no more connections and waits until none is open or the context ends.
+// shutdown accepts no more connections and waits until none is open or the context ends.
 func (l *clientListener) shutdown(ctx context.Context) {
 	l.closeListener()
 	l.closeUnused(ctx)
@@ -47,12 +46,12 @@
 	servers := l.servers
 	l.mu.Unlock()
 	for _, server := range servers {
-		_ = server.Close() // its listener is a queue, whose close never fails
+		_ = server.Close() // its listener is a connQueue, whose Close never fails
 	}
 }
 
-// closeUnused closes connections once their clients can't have kept them, until none is
-// open or the context ends.
+// closeUnused closes connections whose Keep-Alive timeout has passed, until none is open or the
+// context ends.
 func (l *clientListener) closeUnused(ctx context.Context) {
 	unused := l.keepAliveLimit() + requestDelayMargin
 	for l.conns.closeIdleSince(time.Now().Add(-unused)) > 0 && ctx.Err() == nil {
@@ -61,7 +60,7 @@
 	}
 }
 
-// closeListener serves the connections that wait to be accepted and takes no more.
+// closeListener serves the connections that are pending in the kernel and accepts no more.
 func (l *clientListener) closeListener() {
 	l.mu.Lock()
 	bound := l.listener
@@ -69,20 +68,21 @@
 	if bound == nil {
 		return
 	}
-	waiting, err := stopListening(bound)
-	for _, conn := range waiting {
+	pending, err := stopListening(bound)
+	for _, conn := range pending {
 		l.enqueue(conn)
 	}
-	_ = bound.Close() // it takes no more connections, whatever this says
+	_ = bound.Close() // it accepts no more connections even if closing fails
 	l.accepting.Wait()
-	l.logger.Info("listener closed", zap.Int("waiting", len(waiting)), zap.Error(err))
+	l.logger.Info("listener closed", zap.Int("waiting", len(pending)), zap.Error(err))
 }
 
-// interrupt has all requests under way answered as they stand, and closes the
-// connections without one. A connection that has only just come is left the half of the
-// time: its client is sending a request, which is turned away.
+// interrupt cancels all requests in progress, which makes their handlers answer with what they
+// have, and closes connections without a request. A connection that became idle less than half the
+// plan's Answer time ago stays open a little longer: its client may be sending a request, which is
+// then refused.
 func (l *clientListener) interrupt() {
-	under := len(l.conns.all())
+	open := len(l.conns.all())
 	l.plannedStop.Interrupt()
 	within := l.plannedStop.Plan().Answer
 	ctx, cancel := context.WithTimeout(context.Background(), within)
@@ -90,18 +90,18 @@
 	for l.conns.closeIdleSince(time.Now().Add(-within/2)) > 0 && ctx.Err() == nil {
 		periodic.Pause(ctx, closeInterval)
 	}
-	left := len(l.conns.all())
-	l.logger.Info("requests interrupted by the stop", zap.Int("connections", under), zap.Int("cut_off", left))
+	remaining := len(l.conns.all())
+	l.logger.Info("requests interrupted by the stop", zap.Int("connections", open), zap.Int("cut_off", remaining))
 }
 
-// stopListening ends a listener and returns the connections that the kernel has accepted
-// and this process has not: closing the listener would reset them, with the requests that
-// their clients have sent. A process with a fraction of a core finds them there for a tenth
-// of a second.
+// stopListening stops a listener and returns the connections that are still pending in the kernel:
+// closing the listener would reset them and lose the requests already sent. On a machine short of
+// CPU, connections stay pending for a noticeable time.
 //
-// The socket is shut down in the moment in which none waits: to close it takes longer, as
-// another goroutine stands in Accept, and connections that come meanwhile would be cut.
-func stopListening(listener net.Listener) (waiting []net.Conn, err error) {
+// The socket is shut down as soon as no connection is pending. Closing it instead would have to
+// wait for the goroutine that blocks in Accept, and connections that arrive meanwhile would be
+// reset.
+func stopListening(listener net.Listener) (pending []net.Conn, err error) {
 	withDescriptor, ok := listener.(syscall.Conn)
 	if !ok {
 		return nil, nil
@@ -116,30 +116,31 @@
 			conn, err := acceptPending(int(fd))
 			switch {
 			case errors.Is(err, syscall.ECONNABORTED):
-				// Its client has gone; others may wait behind it.
+				// The client has disconnected; other connections may be pending behind it.
 			case errors.Is(err, syscall.EAGAIN):
 				failed = errors.Wrap(syscall.Shutdown(int(fd), syscall.SHUT_RDWR), "listener")
 				return
 			case err != nil:
 				failed = errors.Wrap(err, "listener")
 			default:
-				waiting = append(waiting, conn)
+				pending = append(pending, conn)
 			}
 		}
 	})
 	if err != nil {
-		return waiting, errors.Wrap(err, "listener")
+		return pending, errors.Wrap(err, "listener")
 	}
-	return waiting, failed
+	return pending, failed
 }
 
-// acceptPending accepts a connection that waits, or fails with EAGAIN.
+// acceptPending accepts a pending connection without blocking. The error is EAGAIN if there is
+// none.
 func acceptPending(listener int) (net.Conn, error) {
 	accepted, _, err := syscall.Accept4(listener, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	if err != nil {
 		return nil, err
 	}
 	file := os.NewFile(uintptr(accepted), "accepted")
-	defer func() { _ = file.Close() }() // The connection has a descriptor of its own.
+	defer func() { _ = file.Close() }() // net.FileConn duplicates the descriptor.
 	return net.FileConn(file)
 }
--- a/internal/daemon/node/metrics.go
+++ b/internal/daemon/node/metrics.go
@@ -2,7 +2,7 @@
 
 import "woodworks/internal/daemon/metrics"
 
-// registerMetrics has the metrics of all parts shown at the metrics address.
+// registerMetrics registers the metrics of all components.
 func (n *Node) registerMetrics() {
 	n.registerBatchMetrics()
 	n.registerJournalMetrics()
@@ -14,7 +14,7 @@
 	n.registerAdmissionMetrics()
 }
 
-// registerBatchMetrics tells of requests, batches and the engines that run them.
+// registerBatchMetrics registers the metrics of requests, batches and orders to engines.
 func (n *Node) registerBatchMetrics() {
 	metrics.Gauge(n.metrics, "requests_in_flight", "Requests of clients being answered.", n.handler.InFlight)
 	metrics.Gauge(n.metrics, "batches_owned", "Batches that this daemon runs.",
@@ -27,7 +27,7 @@
 	metrics.Counter(n.metrics, "engine_orders_total", "Orders given to engines.", n.syncer.OrdersSent.Load)
 }
 
-// registerJournalMetrics tells of the paths to the journal.
+// registerJournalMetrics registers the metrics of the paths to the journal.
 func (n *Node) registerJournalMetrics() {
 	metrics.Gauge(n.metrics, "journal_silence_seconds", "Time since the journal last answered.",
 		func() float64 { return n.journalSilence().Seconds() })
@@ -41,7 +41,7 @@
 	}
 }
 
-// boolGauge is how a condition is shown by a gauge.
+// boolGauge returns the value of a gauge for a condition: 1 if true, else 0.
 func boolGauge(condition bool) int {
 	if condition {
 		return 1
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -1,12 +1,11 @@
-// Package node is one woodworks daemon: it builds the parts from the settings, runs them, and
-// stops without cutting off a request.
+// Package node implements one woodworks daemon: it builds the components from the settings, runs
+// them, and stops without cutting off a request.
 //
-// It owns the listeners (clients, health and metrics), the order in which parts are made,
-// started and stopped, and whether the daemon calls itself ready. It decides nothing about
-// requests or batches, and keeps nothing: what must last is in the journal that the platform's
-// drivers bring.
+// It owns the listeners (clients, health and metrics), the order in which components are created,
+// started and stopped, and the daemon's readiness. It makes no decisions about requests or batches
+// and has no persistent state: that is in the journal, which the platform's drivers provide.
 //
-// Start reading at build, which is the list of the parts; Start runs them, Stop ends them.
+// Start reading at build, which lists the components; Start runs them, Stop ends them.
 //
 // # Usage
 //
@@ -51,34 +50,32 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// dutyTopic holds the claims of the lease. Its name is stored.
+// dutyTopic is the topic of lease claims. The name is stored and must not change.
 const dutyTopic = "woodworks.duty"
 
 const (
-	// sweepInterval is the time between two clean-ups of what is not used.
+	// sweepInterval is the time between two removals of expired connections and state.
 	sweepInterval = time.Second
-	// maxJournalSilence is how long the journal may be silent before this daemon
-	// calls itself not ready.
+	// maxJournalSilence is how long the journal may leave this daemon without an answer before the
+	// daemon is not ready.
 	maxJournalSilence = 1500 * time.Millisecond
-	// peerContactBound is within which time the list of peers is up to date after an
-	// outage. It changes only as machines come, so that its reads are held for long:
-	// each daemon makes them.
+	// peerContactBound is how soon after an outage the list of peers must be up to date again. It
+	// is long as each daemon makes these reads, and the list changes only with the machines.
 	peerContactBound = 30 * time.Second
-	// operatorReadFraction, replicaReadShare and peerReadShare are the parts of the reads
-	// that the journal grants which all daemons together use to follow the operator's
-	// records, the replicas' and the peers'. Half of the reads and more are left for
-	// batches.
+	// operatorReadFraction, replicaReadFraction and peerReadFraction are the fractions of the
+	// journal's read rate limit that all daemons together use to follow the records of the
+	// operator, the replicas and the peers. More than half of the reads is left for batches.
 	operatorReadFraction = 0.1
 	replicaReadFraction  = 0.1
 	peerReadFraction     = 0.02
-	// connectTimeout bounds the making of a connection to a replica.
+	// connectTimeout bounds the dial of a connection to a replica.
 	connectTimeout = 400 * time.Millisecond
-	// unackedTimeout is how long sent bytes may lack an acknowledgement before a connection
-	// to a replica is given up.
+	// unackedTimeout is how long sent data may stay unacknowledged before a connection to a replica
+	// is closed.
 	unackedTimeout = 1200 * time.Millisecond
 )
 
-// Drivers are the platform's side of a daemon.
+// Drivers are the platform's implementations of the interfaces that a daemon depends on.
 type Drivers struct {
 	Journal         journal.Journal
 	Decoder         catalog.Decoder
@@ -87,14 +84,14 @@
 	Headers         headers.Names
 	OperatorRecords journal.Partition
 	ReplicaRecords  journal.Partition
-	// Duties is nil where the platform expects no calls of the system as a whole.
+	// Duties is nil if the platform has no duties for one daemon at a time.
 	Duties duty.Driver
-	// NewHandlers, if not nil, makes the handlers for callers from the parts of
-	// the daemon. Without it clients speak to the ingress as it is.
+	// NewHandlers makes the platform's handlers for clients. If it is nil, the ingress handler
+	// answers clients directly.
 	NewHandlers func(parts Deps) Handlers
 }
 
-// Deps are what an interface for callers is made of.
+// Deps are the components of the daemon that the platform's handlers may use.
 type Deps struct {
 	Settings settings.Settings
 	Identity string
@@ -106,18 +103,20 @@
 	Ingress  *ingress.Handler
 	Metrics  *metrics.Metrics
 	Logger   *zap.Logger
-	// Ready reports whether clients should come here, and why not.
+	// Ready reports whether clients should use this daemon, and the reason if not.
 	Ready func() (bool, string)
-	// ConfigurationAge is how long ago the configuration was last confirmed.
+	// ConfigurationAge returns how long ago the configuration was last known to be the newest.
 	ConfigurationAge func() time.Duration
 	// Stopping ends when a planned stop begins.
 	Stopping context.Context
 }
 
-// Handlers are the handlers of the daemon's listeners for callers.
+// Handlers are the handlers of the daemon's two listeners for clients. Without an Internal handler
+// that listener isn't opened.
 type Handlers struct{ Public, Internal http.Handler }
 
-// Connect makes the drivers of a platform from the settings.
+// Connect makes the drivers of a platform from the settings. Drivers that call replicas use the
+// given pool.
 type Connect func(loaded settings.Settings, replicas *upstream.Pool) (Drivers, error)
 
 // Node is one running daemon.
@@ -130,21 +129,21 @@
 	context context.Context
 	cancel  context.CancelFunc
 
-	// The ways to the journal. Relay and peerFollower are nil where the settings name no
-	// address for peers; so are the parts below that speak to peers.
+	// Access to the journal. relay and peerFollower are nil if the settings have no peer address,
+	// and so are the components below that call peers.
 	journal      *journal.LostCallDetector
 	relay        *relay.Journal
 	peerFollower *journal.KeyedFollower
-	// partitions is how many the journal has of each topic.
+	// partitions is the number of partitions per topic in the journal.
 	partitions int
 
-	// What the operator and the replicas have written.
+	// State from the records of the operator and the replicas.
 	operator         *catalog.OperatorState
 	operatorFollower *journal.KeyedFollower
 	table            *replica.Table
 	replicaFollower  *journal.KeyedFollower
 
-	// Requests of clients.
+	// Client requests.
 	public     *clientListener
 	internal   *clientListener
 	handler    *ingress.Handler
@@ -161,27 +160,27 @@
 	watcher   *runner.Watcher
 	occupancy *occupancyDeps
 
-	// Duties of one daemon: the holder of the lease.
+	// Duties that only the lease holder performs.
 	lease          *lease.Lease
 	syncer         *modelsync.Syncer
 	demands        *demand.State
 	demandFollower *journal.KeyedFollower
-	// usage and reporter are nil where the platform wants no reports of usage.
+	// usage and reporter are nil if the platform wants no usage reports.
 	usage    *usage.Recorder
 	reporter *usage.Reporter
-	// fleet is nil where the platform starts no replicas on order.
+	// fleet is nil if the platform takes no orders for replicas.
 	fleet *fleet.Manager
 
 	health *healthServer
 
-	// The planned stop. Grace is how long it may take, a time.Duration.
+	// The planned stop. grace is the most time it may take, a time.Duration.
 	shutdown *shutdown.Stop
 	grace    atomic.Int64
 	stopOnce sync.Once
 }
 
-// New builds a daemon. Its identity is its name with the time of this start, so that no two
-// incarnations share one. The error is that of connecting to the platform.
+// New builds a daemon without starting it. Its identity includes the time of this call, so that no
+// two incarnations share one. The error is that of connect.
 func New(loaded settings.Settings, connect Connect, logger *zap.Logger) (*Node, error) {
 	pool := upstream.NewPool(upstream.Options{
 		LocalAddress: loaded.Listen.Public, ConnectTimeout: connectTimeout, UnackedTimeout: unackedTimeout,
@@ -200,7 +199,8 @@
 	return node, nil
 }
 
-// Start opens the listeners and runs the parts.
+// Start opens the listeners and runs the components in the background. The error is that of a
+// listener that cannot be opened; metrics are not required.
 func (n *Node) Start() error {
 	if err := n.health.listen(n.settings.Listen.Health, n.settings.Listen.Metrics); err != nil {
 		return errors.Wrap(err, "node")
@@ -230,7 +230,8 @@
 	return nil
 }
 
-// startRelay lets peers reach the journal through this daemon, and it through them.
+// startRelay accepts calls from peers and starts following the list of peers. It does nothing
+// without a relay.
 func (n *Node) startRelay() error {
 	if n.relay == nil {
 		return nil
@@ -243,7 +244,8 @@
 	return nil
 }
 
-// sweep drops what is not used and keeps the candidacy for the lease up to date.
+// sweep regularly removes expired connections and state, and updates whether this daemon is a
+// candidate for the lease, until the context ends.
 func (n *Node) sweep(ctx context.Context) {
 	periodic.Every(ctx, sweepInterval, func(context.Context) {
 		now := time.Now()
@@ -252,13 +254,13 @@
 		n.ledger.Sweep(now)
 		n.table.Sweep()
 		n.occupancy.sweep()
-		present := sync.OnceValue(n.table.ListedIncarnations) // read only if there is something to sweep
+		present := sync.OnceValue(n.table.ListedIncarnations) // called at most once, and only if there is an entry to check
 		n.quarantine.table.Sweep(func(start string) bool { return present()[replica.Incarnation(start)] })
 		n.lease.SetCandidate(isCandidate(n.member.Partitions(), n.partitions))
 	})
 }
 
-// closeExpired closes clients' connections that have rested for longer than they may.
+// closeExpired closes the client connections that exceed their limits.
 func (n *Node) closeExpired(now time.Time) {
 	n.public.conns.closeExpired(now)
 	n.internal.conns.closeExpired(now)
--- a/internal/daemon/node/occupancy.go
+++ b/internal/daemon/node/occupancy.go
@@ -12,14 +12,15 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// occupancyDeps let the owners of batches know of each other's requests. They are nil where
-// the settings name no address for peers.
+// occupancyDeps are the components that exchange reports of requests in progress between owners of
+// batches. The pointer is nil if the settings have no peer address.
 type occupancyDeps struct {
 	table     *occupancy.Table
 	publisher *occupancy.Publisher
 }
 
-// newOccupancy makes the parts and has the runner use them.
+// newOccupancy creates the components and connects them to the runner. It returns nil without a
+// relay.
 func (n *Node) newOccupancy() *occupancyDeps {
 	if n.relay == nil {
 		return nil
@@ -31,20 +32,21 @@
 	return &occupancyDeps{table: table, publisher: publisher}
 }
 
-// possibleOwners returns the identities of the daemons that may be given batches, or the lease
-// for orders to engines.
+// possibleOwners returns the identities of the daemons that may become owners of batches or holder
+// of the lease for engine orders.
 func (n *Node) possibleOwners(ctx context.Context) []string {
-	dealt := n.member.WatchersOf(ctx, runner.RunnersTopic)
+	owners := n.member.WatchersOf(ctx, runner.RunnersTopic)
 	for _, partition := range candidatePartitions(n.partitions) {
-		if owner, known := n.member.WatcherOf(ctx, partition); known && !slices.Contains(dealt, owner) {
-			dealt = append(dealt, owner)
+		if owner, known := n.member.WatcherOf(ctx, partition); known && !slices.Contains(owners, owner) {
+			owners = append(owners, owner)
 		}
 	}
-	return dealt
+	return owners
 }
 
-// eventTimeOf returns the event time of an engine as this daemon has measured it, or as others
-// have since. It is a modelsync.EventTimeFunc.
+// eventTimeOf returns the event time of an engine and the age of that measurement. It prefers the
+// newer one of this daemon's and its peers'. It is a modelsync.EventTimeFunc and may be called on a
+// nil receiver.
 func (o *occupancyDeps) eventTimeOf(e replica.Replica) (eventTime, age time.Duration) {
 	own := time.Since(e.LastEventAt)
 	if o == nil {
--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -9,29 +9,31 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// quarantineDeps are the parts that keep contents under which replicas end from further ones.
+// quarantineDeps are the components that maintain the quarantine, which keeps contents that
+// replicas ended under from running on further ones.
 type quarantineDeps struct {
 	table    *quarantine.Table
 	recorder *quarantine.Recorder
 	follower *journal.KeyedFollower
-	// gossiper is nil where the settings name no address for peers.
+	// gossiper is nil if the settings have no peer address.
 	gossiper *quarantine.Gossiper
 }
 
-// newQuarantine makes the parts. The relay is there already, if there is one.
+// newQuarantine creates the components. The relay, if any, must have been created before.
 func (n *Node) newQuarantine(log journal.Journal) *quarantineDeps {
 	table := quarantine.New(n.settings.Name, bootclock.Now, n.logger)
-	parts := &quarantineDeps{table: table, recorder: quarantine.NewRecorder(table, log, n.relay != nil, n.logger)}
+	deps := &quarantineDeps{table: table, recorder: quarantine.NewRecorder(table, log, n.relay != nil, n.logger)}
 	contact := n.settings.Timing.ContactBound.Std()
 	if n.relay != nil {
-		// Peers tell what is new; the journal is for what this daemon has missed.
+		// New entries arrive by gossip; the journal only supplies those that this daemon has
+		// missed.
 		contact = peerContactBound
-		parts.gossiper = quarantine.NewGossiper(table, n.relay, n.logger)
+		deps.gossiper = quarantine.NewGossiper(table, n.relay, n.logger)
 		n.relay.Register(quarantine.ServiceName, quarantine.NewService(table))
 	}
-	parts.follower = journal.NewKeyedFollower(log, quarantine.Partition, parts.recorder, contact, n.logger)
-	parts.follower.SetInterval(n.readInterval(peerReadFraction))
-	return parts
+	deps.follower = journal.NewKeyedFollower(log, quarantine.Partition, deps.recorder, contact, n.logger)
+	deps.follower.SetInterval(n.readInterval(peerReadFraction))
+	return deps
 }
 
 // run keeps the table up to date until the context ends.
--- a/internal/daemon/node/ready.go
+++ b/internal/daemon/node/ready.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ready reports whether clients should come here, and why not.
+// ready reports whether clients should use this daemon, and the reason if not.
 func (n *Node) ready() (bool, string) {
 	switch {
 	case n.shutdown.Begun().Err() != nil:
@@ -17,18 +17,17 @@
 	return true, ""
 }
 
-// journalSilence is how long ago the journal last answered.
+// journalSilence returns the time since the journal last answered.
 func (n *Node) journalSilence() time.Duration {
 	return min(n.member.Silence(), n.operatorFollower.Silence(), n.replicaFollower.Silence())
 }
 
-// configurationAge is how long ago it was last confirmed that the configuration is the
-// newest.
+// configurationAge returns how long ago the configuration was last known to be the newest.
 func (n *Node) configurationAge() time.Duration {
 	return n.operatorFollower.Silence()
 }
 
-// daemonCount returns how many daemonCount share the journal, as far as is known.
+// daemonCount returns how many daemons are known to share the journal, at least 1.
 func (n *Node) daemonCount() int {
 	if n.relay == nil {
 		return 1
--- a/internal/daemon/node/settings_test.go
+++ b/internal/daemon/node/settings_test.go
@@ -12,7 +12,7 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// A settings file that asks for what is gone is accepted, and its daemon says so.
+// A settings file with a removed setting is accepted, and the daemon logs a warning.
 func TestSettingWithoutEffectIsLogged(t *testing.T) {
 	is := is.New(t)
 	core, logs := observer.New(zap.InfoLevel)
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -30,50 +30,48 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// What is aimed at after a start of all daemons.
+// Bounds after all daemons have started at once.
 const (
-	// maxRecoveryTime is within which time machines serve again.
+	// maxRecoveryTime is how soon the fleet must serve again.
 	maxRecoveryTime = 15 * time.Second
-	// maxConfigurationDelay is within which time a configuration is in force everywhere.
+	// maxConfigurationDelay is how soon a configuration must be applied by every daemon.
 	maxConfigurationDelay = 3 * time.Second
 )
 
-// The fleet that starts, each daemon behind a link of its own, and what its journal holds.
+// The fleet, in which each daemon has a link of its own, and the contents of the journal.
 const (
 	fleetSize = 84
-	// linkBytesPerSecond and startGrant are bytes a second.
+	// Rate limits of a daemon's link and of the journal.
 	linkBytesPerSecond    = 60e6 / 8
 	grantedBytesPerSecond = 80e6
 	grantedReadsPerSecond = 6000
-	// batchCount of startBytes each have been listed.
+	// The journal holds batchCount batches with batchBytes of results each.
 	batchCount = 36
 	batchBytes = 2 << 20
-	// maxStartDelay is within which time all have started.
+	// Each daemon starts after a random delay of up to maxStartDelay.
 	maxStartDelay = 700 * time.Millisecond
-	// configurationBytes is the size of a configuration, which is written anew each second.
+	// configurationBytes is the size of a configuration record.
 	configurationBytes = 16 << 10
-	// shortLatency and late are what the journal takes for an answer of no length.
+	// shortLatency and longLatency are latencies of journal calls without data.
 	shortLatency = 4 * time.Millisecond
 	longLatency  = 250 * time.Millisecond
-	// linkChunkBytes is how much of an answer is sent before others that are under way have
-	// their turn.
+	// linkChunkBytes is the size of the chunks in which concurrent answers share a link.
 	linkChunkBytes = 16 << 10
 )
 
-// link sends answers at a rate. Bytes of an answer that nobody awaits any more are sent all
-// the same.
+// link transmits data at a limited rate. Data of a cancelled call is transmitted all the same.
 type link struct {
 	// ctx ends with the test.
 	ctx            context.Context
 	bytesPerSecond float64
-	// chunkBytes is how much of an answer is sent in one chunkBytes, 0 for all of it.
+	// chunkBytes is how much one sender transmits before the next one, or 0 for whole answers.
 	chunkBytes int
 
 	mu        sync.Mutex
 	busyUntil time.Time
 }
 
-// reserve takes the wire for some bytes, and returns how long it takes until they have been sent.
+// reserve reserves the link for a number of bytes and returns the time until they have been sent.
 func (w *link) reserve(bytes int) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,7 +82,7 @@
 	return time.Until(w.busyUntil)
 }
 
-// transmit returns when an answer has been sent, or when the context ends.
+// transmit returns when the bytes have been sent, or when the context ends.
 func (w *link) transmit(ctx context.Context, bytes int) error {
 	for bytes > 0 {
 		part := bytes
@@ -102,9 +100,9 @@
 	return nil
 }
 
-// sleep lets a time sleep, or ends with the context.
-func sleep(ctx context.Context, takes time.Duration) error {
-	timer := time.NewTimer(takes)
+// sleep waits for a duration. It fails with journal.ErrUnknown if the context ends before.
+func sleep(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -114,8 +112,8 @@
 	}
 }
 
-// linkedJournal is a journal as one machine reaches it: each call takes a time, and what is read
-// comes over the journal's wire and then over the machine's own.
+// linkedJournal is the journal as seen from one machine: each call has a latency, and data passes
+// the link of the store and then that of the machine.
 type linkedJournal struct {
 	journal.Journal
 	latency                time.Duration
@@ -138,8 +136,8 @@
 	return r.Journal.Append(ctx, request)
 }
 
-// Read brings one record after the other. Those that came whole before the context ended are
-// returned beside the error, as a client of the platform returns them.
+// Read transmits record by record. If the context ends, it returns the complete records with the
+// error, as a client of the platform does.
 func (r linkedJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	read, err := r.Journal.Read(ctx, request)
 	if err != nil {
@@ -183,7 +181,7 @@
 	return r.Journal.Owners(ctx, name)
 }
 
-// applyTimes notes when each key of a partition was first applyTimes.
+// applyTimes records when each key of a partition was first applied.
 type applyTimes struct {
 	mu sync.Mutex
 	at map[string]time.Time
@@ -203,7 +201,7 @@
 	}
 }
 
-// after is how long after a moment a key was applied, or until now if it was not.
+// after returns the time from since until the key was applied, or until now if it was not.
 func (a *applyTimes) after(key string, since time.Time) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -213,20 +211,20 @@
 	return time.Since(since)
 }
 
-// conditions say under what all daemons start.
+// conditions are the circumstances under which the fleet starts.
 type conditions struct {
 	latency time.Duration
-	// bytesPerSecond is what the journal really sends, in bytes a second.
+	// bytesPerSecond is the rate that the journal can really send.
 	bytesPerSecond float64
-	// chunkBytes is as in wire.
+	// chunkBytes is that of the links.
 	chunkBytes int
-	// detectLostCalls says that calls are given up on the word of others.
+	// detectLostCalls makes daemons give up calls to the journal once later ones were answered.
 	detectLostCalls bool
-	// queried says that each batch is queried for by two callers.
+	// queried says that each batch is queried by two clients.
 	queried bool
 }
 
-// testDaemon is a daemon with those of its parts that read the journal.
+// testDaemon is a daemon with the components that read the journal.
 type testDaemon struct {
 	incarnation string
 	batches     *ledger.Ledger
@@ -236,7 +234,7 @@
 	lostCalls   *journal.LostCallDetector
 }
 
-// testFleet are daemons that start at nearly the same time. It implements results.Peers.
+// testFleet is a set of daemons that start at nearly the same time. It implements results.Peers.
 type testFleet struct {
 	log       *journaltest.Journal
 	storeLink *link
@@ -248,22 +246,22 @@
 var configurationPartition = journal.Partition{Topic: journal.KeyedTopic("configuration")}
 
 func startFleet(ctx context.Context, t *testing.T, given conditions) *testFleet {
-	all := &testFleet{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.bytesPerSecond, chunkBytes: given.chunkBytes}, began: time.Now()}
-	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
-	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: grantedBytesPerSecond, ReadsPerSecond: grantedReadsPerSecond}
-	all.writeBatches(ctx, t)
-	all.writeConfiguration(ctx, t, "first")
+	fleet := &testFleet{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.bytesPerSecond, chunkBytes: given.chunkBytes}, began: time.Now()}
+	fleet.log.Partitions, fleet.log.RecordBytes = 24, 256<<10
+	fleet.log.Rates = journal.RateLimits{ReadBytesPerSecond: grantedBytesPerSecond, ReadsPerSecond: grantedReadsPerSecond}
+	fleet.writeBatches(ctx, t)
+	fleet.writeConfiguration(ctx, t, "first")
 	random := rand.New(rand.NewPCG(11, 0))
 	for i := range fleetSize {
-		all.daemons = append(all.daemons, all.addDaemon(ctx, given, i, time.Duration(random.Int64N(int64(maxStartDelay)))))
+		fleet.daemons = append(fleet.daemons, fleet.addDaemon(ctx, given, i, time.Duration(random.Int64N(int64(maxStartDelay)))))
 	}
-	return all
+	return fleet
 }
 
-// writeBatches puts the batches into the journal. They have ended, so that nobody runs them.
-func (all *testFleet) writeBatches(ctx context.Context, t *testing.T) {
+// writeBatches writes batches that have ended, so that no daemon runs them.
+func (fleet *testFleet) writeBatches(ctx context.Context, t *testing.T) {
 	const items = 32
-	batches := ledger.New(ctx, all.log, zap.NewNop())
+	batches := ledger.New(ctx, fleet.log, zap.NewNop())
 	for i := range batchCount {
 		submission := &batch.Submission{ID: fmt.Sprint("b", i)}
 		var listed [][]byte
@@ -272,33 +270,33 @@
 			listed = append(listed, batch.ResultsAdded(submission.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: make([]byte, batchBytes/items)}}))
 		}
 		records := append([][]byte{batch.Accepted(submission, "gone/1")}, listed...)
-		all.put(ctx, t, batches.Locate(submission.ID), append(records, batch.Ended(submission.ID, ""))...)
+		fleet.put(ctx, t, batches.Locate(submission.ID), append(records, batch.Ended(submission.ID, ""))...)
 	}
 }
 
-func (all *testFleet) put(ctx context.Context, t *testing.T, partition journal.Partition, records ...[]byte) {
-	if _, err := all.log.Append(ctx, journal.Append{Partition: partition, Records: records}); err != nil {
+func (fleet *testFleet) put(ctx context.Context, t *testing.T, partition journal.Partition, records ...[]byte) {
+	if _, err := fleet.log.Append(ctx, journal.Append{Partition: partition, Records: records}); err != nil {
 		t.Error(err)
 	}
 }
 
-func (all *testFleet) writeConfiguration(ctx context.Context, t *testing.T, key string) {
-	all.put(ctx, t, configurationPartition, journal.EncodeKeyed(key, make([]byte, configurationBytes)))
+func (fleet *testFleet) writeConfiguration(ctx context.Context, t *testing.T, key string) {
+	fleet.put(ctx, t, configurationPartition, journal.EncodeKeyed(key, make([]byte, configurationBytes)))
 }
 
-func (all *testFleet) addDaemon(ctx context.Context, given conditions, number int, after time.Duration) *testDaemon {
+func (fleet *testFleet) addDaemon(ctx context.Context, given conditions, number int, after time.Duration) *testDaemon {
 	logger := zap.NewNop()
 	b := &testDaemon{incarnation: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applyTimes{at: map[string]time.Time{}}}
-	var own journal.Journal = linkedJournal{all.log, given.latency, all.storeLink, &link{ctx: ctx, bytesPerSecond: linkBytesPerSecond, chunkBytes: given.chunkBytes}, &all.read}
+	var own journal.Journal = linkedJournal{fleet.log, given.latency, fleet.storeLink, &link{ctx: ctx, bytesPerSecond: linkBytesPerSecond, chunkBytes: given.chunkBytes}, &fleet.read}
 	b.lostCalls = journal.DetectLostCalls(own, logger)
 	if given.detectLostCalls {
 		own = b.lostCalls
 	}
 	b.batches = ledger.New(ctx, own, logger)
 	b.member = group.New(own, b.incarnation, append(ledger.TopicNames(), runner.RunnersTopic), logger)
-	b.reader = results.NewReader(b.batches, b.member, all, own.RateLimits(), b.incarnation, logger)
+	b.reader = results.NewReader(b.batches, b.member, fleet, own.RateLimits(), b.incarnation, logger)
 	follower := journal.NewKeyedFollower(own, configurationPartition, b.applied, settings.Defaults().Timing.ContactBound.Std(), logger)
-	follower.SetInterval(journal.SharedInterval(own.RateLimits().ReadsPerSecond*operatorReadFraction, all.Daemons))
+	follower.SetInterval(journal.SharedInterval(own.RateLimits().ReadsPerSecond*operatorReadFraction, fleet.Daemons))
 	forwarder := &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Names: headers.Names{}, Quarantine: quarantine.New(b.incarnation, time.Now, logger), Table: replica.NewTable(time.Second, logger), Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
 	jobs := runner.New(ctx, b.incarnation, b.batches, forwarder, nil, nil, runner.NewAssigner(own, b.member, b.incarnation, logger), b.reader, logger)
 	time.AfterFunc(after, func() {
@@ -310,118 +308,118 @@
 }
 
 // Daemons implements results.Peers.
-func (all *testFleet) Daemons() int { return fleetSize }
+func (fleet *testFleet) Daemons() int { return fleetSize }
 
 // Ask implements results.Peers.
-func (all *testFleet) Ask(ctx context.Context, machine, _ string, asked, answer any) error {
-	for _, e := range all.daemons {
+func (fleet *testFleet) Ask(ctx context.Context, machine, _ string, query, answer any) error {
+	for _, e := range fleet.daemons {
 		if identity.Machine(e.incarnation) == machine {
-			return e.reader.Service(ctx).Results(asked.(results.Query), answer.(*results.Page))
+			return e.reader.Service(ctx).Results(query.(results.Query), answer.(*results.Page))
 		}
 	}
 	return errors.New("no such daemon")
 }
 
-// allLearned reports whether each partition has been read by the member that it is dealt to.
-func (all *testFleet) allLearned() bool {
+// allLearned reports whether each partition has been read by the daemon that it is assigned to.
+func (fleet *testFleet) allLearned() bool {
 	read := 0
-	for _, e := range all.daemons {
+	for _, e := range fleet.daemons {
 		for name := range e.member.Partitions() {
 			if name.Topic != runner.RunnersTopic && e.batches.Partition(name).IsFresh() {
 				read++
 			}
 		}
 	}
-	return read >= ledger.TopicCount*all.log.Partitions
+	return read >= ledger.TopicCount*fleet.log.Partitions
 }
 
-// awaitLearned returns after which time all partitions were learned, and false if they were
-// not when the context ended.
-func (all *testFleet) awaitLearned(ctx context.Context) (after time.Duration, learned bool) {
-	for !all.allLearned() {
+// awaitLearned waits until all partitions are learned. It returns the time since the start, and
+// false if the context ended first.
+func (fleet *testFleet) awaitLearned(ctx context.Context) (after time.Duration, learned bool) {
+	for !fleet.allLearned() {
 		if sleep(ctx, 50*time.Millisecond) != nil {
-			return time.Since(all.began), false
+			return time.Since(fleet.began), false
 		}
 	}
-	return time.Since(all.began), true
+	return time.Since(fleet.began), true
 }
 
-// fetchBatch asks for a batch page by page, each time at another daemon, until all its results have
-// been told, and returns how often it was refused.
-func (all *testFleet) fetchBatch(ctx context.Context, id string, random *rand.Rand) (refused int, a bool) {
-	const comeBack = 400 * time.Millisecond // as callers are told by the ingress
+// fetchBatch reads a batch page by page, each page from a random daemon, until it has all results.
+// It returns the number of failed queries, and false if the context ended first.
+func (fleet *testFleet) fetchBatch(ctx context.Context, id string, random *rand.Rand) (failed int, complete bool) {
+	const retryDelay = 400 * time.Millisecond // the delay that the ingress asks of clients
 	for after, total := 0, 1; after < total; {
 		if ctx.Err() != nil {
-			return refused, false
+			return failed, false
 		}
-		page, err := all.daemons[random.IntN(fleetSize)].reader.Results(ctx, results.Query{BatchID: id, After: after})
+		page, err := fleet.daemons[random.IntN(fleetSize)].reader.Results(ctx, results.Query{BatchID: id, After: after})
 		if err != nil || !page.Found {
-			refused++
-			_ = sleep(ctx, comeBack)
+			failed++
+			_ = sleep(ctx, retryDelay)
 			continue
 		}
 		after, total = page.Next, page.Total
 	}
-	return refused, true
+	return failed, true
 }
 
-// fetchAllBatches has each batch asked for by two callers, and returns how many were not told all,
-// how many questions were refused, and when the last was told.
-func (all *testFleet) fetchAllBatches(ctx context.Context) (untold, refused int, last time.Duration) {
+// fetchAllBatches has two clients read each batch. It returns how many clients did not get all
+// results, how many queries failed, and when the last complete client was done.
+func (fleet *testFleet) fetchAllBatches(ctx context.Context) (incomplete, failed int, last time.Duration) {
 	var callers sync.WaitGroup
 	var mu sync.Mutex
 	for i := range 2 * batchCount {
 		callers.Go(func() {
-			times, a := all.fetchBatch(ctx, fmt.Sprint("b", i%batchCount), rand.New(rand.NewPCG(7, uint64(i))))
+			failures, complete := fleet.fetchBatch(ctx, fmt.Sprint("b", i%batchCount), rand.New(rand.NewPCG(7, uint64(i))))
 			mu.Lock()
 			defer mu.Unlock()
-			refused += times
-			if a {
-				last = max(last, time.Since(all.began))
+			failed += failures
+			if complete {
+				last = max(last, time.Since(fleet.began))
 			} else {
-				untold++
+				incomplete++
 			}
 		})
 	}
 	callers.Wait()
-	return untold, refused, last
+	return incomplete, failed, last
 }
 
-// measureConfigurations writes a configuration each second, and returns how many of all daemons'
-// came into force late, and the time that the slowest took. The first counts from when the
-// last daemon has started.
-func (all *testFleet) measureConfigurations(ctx context.Context, t *testing.T) (late, of int, slowest time.Duration) {
-	written := map[string]time.Time{"first": all.began.Add(maxStartDelay)}
-	for i := 0; time.Since(all.began) < maxRecoveryTime-maxConfigurationDelay-time.Second; i++ {
+// measureConfigurations writes a configuration each second. It returns how many of the applications
+// on all daemons took longer than maxConfigurationDelay, their total, and the slowest. The delay of
+// the first configuration counts from when all daemons have started.
+func (fleet *testFleet) measureConfigurations(ctx context.Context, t *testing.T) (late, total int, slowest time.Duration) {
+	written := map[string]time.Time{"first": fleet.began.Add(maxStartDelay)}
+	for i := 0; time.Since(fleet.began) < maxRecoveryTime-maxConfigurationDelay-time.Second; i++ {
 		time.Sleep(time.Second)
 		key := fmt.Sprint("change", i)
 		written[key] = time.Now()
-		all.writeConfiguration(ctx, t, key)
+		fleet.writeConfiguration(ctx, t, key)
 	}
-	time.Sleep(time.Until(all.began.Add(maxRecoveryTime)))
-	for _, e := range all.daemons {
+	time.Sleep(time.Until(fleet.began.Add(maxRecoveryTime)))
+	for _, e := range fleet.daemons {
 		for key, at := range written {
 			took := e.applied.after(key, at)
-			of++
+			total++
 			slowest = max(slowest, took)
 			if took > maxConfigurationDelay {
 				late++
 			}
 		}
 	}
-	return late, of, slowest
+	return late, total, slowest
 }
 
-// callsGivenUp is how many calls were given up on the word of others.
-func (all *testFleet) callsGivenUp() (calls uint64) {
-	for _, e := range all.daemons {
+// callsGivenUp returns how many journal calls the lost-call detectors gave up.
+func (fleet *testFleet) callsGivenUp() (calls uint64) {
+	for _, e := range fleet.daemons {
 		calls += e.lostCalls.CallsGivenUp.Load()
 	}
 	return calls
 }
 
-// runFleetTest runs a test of daemons that all start.
-func runFleetTest(t *testing.T, name string, given conditions, check func(is *is.I, ctx context.Context, t *testing.T, all *testFleet)) {
+// runFleetTest runs check on a fleet that starts under the given conditions.
+func runFleetTest(t *testing.T, name string, given conditions, check func(is *is.I, ctx context.Context, t *testing.T, fleet *testFleet)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -431,62 +429,57 @@
 	})
 }
 
-// While daemons start one after the other, the group deals all partitions anew with each of
-// them, and each read at once whatever it had at that moment, only to lose it again. With nobody
-// asking anything, 72 MB were read as 128 to 396 MB, the more the later the journal answers, just
-// when all depends on it. A partition is for the one daemon that watches it, and for one that
-// watched it before.
+// While daemons start one by one, partitions are reassigned with each join. Daemons must not read
+// whole partitions that they are about to lose, or the journal sends a multiple of its data.
 func TestPartitionsAreLearnedAfterAllDaemonsStarted(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"as granted": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, false}, "a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
-		"late": {longLatency, grantedBytesPerSecond, linkChunkBytes, true, false}, "late, a quarter": {longLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
+		"full rate": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, false}, "quarter rate": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
+		"high latency": {longLatency, grantedBytesPerSecond, linkChunkBytes, true, false}, "high latency, quarter rate": {longLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
 	} {
-		runFleetTest(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
+		runFleetTest(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, fleet *testFleet) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
-			after, learned := all.awaitLearned(bounded)
-			t.Logf("learned %v after %v, %d MB read of %d, %d calls given up", learned, after, all.read.Load()>>20, batchCount*batchBytes>>20, all.callsGivenUp())
+			after, learned := fleet.awaitLearned(bounded)
+			t.Logf("learned %v after %v, %d MB read of %d, %d calls given up", learned, after, fleet.read.Load()>>20, batchCount*batchBytes>>20, fleet.callsGivenUp())
 			is.True(learned)
-			is.True(all.read.Load() <= 2*batchCount*batchBytes)
+			is.True(fleet.read.Load() <= 2*batchCount*batchBytes)
 		})
 	}
 }
 
-// Questions press just after a start of all, and long answers hold up short ones. A
-// configuration is in force in its time all the same, also where calls are given up on the word of
-// others.
+// Many queries just after a start of all daemons must not delay configurations, whether or not lost
+// calls are given up.
 func TestConfigurationAppliesUnderQueryLoad(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"in a row": {shortLatency, grantedBytesPerSecond, 0, true, true}, "in a row, waited for": {shortLatency, grantedBytesPerSecond, 0, false, true},
-		"in turns": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "in turns, waited for": {shortLatency, grantedBytesPerSecond, linkChunkBytes, false, true},
-		"in turns, a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true}, "in turns, a quarter, waited for": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, false, true},
+		"sequential": {shortLatency, grantedBytesPerSecond, 0, true, true}, "sequential, lost calls kept": {shortLatency, grantedBytesPerSecond, 0, false, true},
+		"interleaved": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "interleaved, lost calls kept": {shortLatency, grantedBytesPerSecond, linkChunkBytes, false, true},
+		"interleaved, quarter rate": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true}, "interleaved, quarter rate, lost calls kept": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, false, true},
 	} {
-		runFleetTest(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
+		runFleetTest(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, fleet *testFleet) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
-			go all.fetchAllBatches(bounded)
-			late, of, slowest := all.measureConfigurations(ctx, t)
-			t.Logf("%d of %d later than %v, the slowest after %v, %d MB read, %d calls given up", late, of, maxConfigurationDelay, slowest, all.read.Load()>>20, all.callsGivenUp())
+			go fleet.fetchAllBatches(bounded)
+			late, total, slowest := fleet.measureConfigurations(ctx, t)
+			t.Logf("%d of %d later than %v, slowest after %v, %d MB read, %d calls given up", late, total, maxConfigurationDelay, slowest, fleet.read.Load()>>20, fleet.callsGivenUp())
 			is.Equal(late, 0)
 		})
 	}
 }
 
-// Readers take their share of what the journal grants, not of what it is seen to carry. With
-// a journal that carries a quarter, their reads alone are twice what it sends, the holders of
-// partitions have nothing left to read them with, and no caller was told anything in 15 s.
-// With one that carries what it grants and takes 0.25 s an answer, no holder was known.
+// Readers must limit themselves to a share of the granted rate. Otherwise their reads alone exceed
+// what a slower journal can send, the watchers of partitions cannot read them, and no client gets
+// results in time.
 func TestBatchesAreReadWithinRecoveryTime(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"as granted": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "a quarter": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
-		"late": {longLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "late, a quarter": {longLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
+		"full rate": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "quarter rate": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
+		"high latency": {longLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "high latency, quarter rate": {longLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
 	} {
-		runFleetTest(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *testFleet) {
+		runFleetTest(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, fleet *testFleet) {
 			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
-			untold, refused, last := all.fetchAllBatches(bounded)
-			t.Logf("%d of %d callers not told all in %v, the last of the others after %v, %d questions refused, %d MB read", untold, 2*batchCount, maxRecoveryTime, last, refused, all.read.Load()>>20)
-			is.Equal(untold, 0)
+			incomplete, failed, last := fleet.fetchAllBatches(bounded)
+			t.Logf("%d of %d clients incomplete after %v, the last of the others done after %v, %d queries failed, %d MB read", incomplete, 2*batchCount, maxRecoveryTime, last, failed, fleet.read.Load()>>20)
+			is.Equal(incomplete, 0)
 		})
 	}
 }
--- a/internal/daemon/node/stop.go
+++ b/internal/daemon/node/stop.go
@@ -10,7 +10,7 @@
 	"woodworks/internal/daemon/shutdown"
 )
 
-// SetStopGrace sets how long a planned stop may take, for one that has not begun.
+// SetStopGrace sets how long a planned stop may take. It has no effect on one that has begun.
 func (n *Node) SetStopGrace(grace time.Duration) {
 	n.grace.Store(int64(grace))
 	keep := int64(keepAliveForStop(shutdown.PlanOf(grace).Interrupt))
@@ -18,8 +18,8 @@
 	n.internal.keepAlive.Store(keep)
 }
 
-// Stop takes no more work, hands batches over, finishes what is under way and
-// ends the daemon within the grace. A second call waits for the first.
+// Stop accepts no more work, hands over the batches of this daemon, finishes requests in progress
+// and ends the daemon, all within the grace. Further calls wait for the first.
 func (n *Node) Stop() {
 	n.stopOnce.Do(n.stop)
 }
@@ -58,7 +58,7 @@
 	n.logger.Info("stopped", zap.Duration("took", time.Since(began)), zap.Int64("in_flight", n.handler.InFlight()))
 }
 
-// resign gives the lease up last: orders go on while the daemon stops.
+// resign gives up the lease. It is the last step, so that engines still get orders during the stop.
 func (n *Node) resign(within time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
--- a/internal/daemon/node/stop_test.go
+++ b/internal/daemon/node/stop_test.go
@@ -13,7 +13,7 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// builtNode is a daemon that is not started, on a journal in memory.
+// builtNode returns a daemon on an in-memory journal that has not been started.
 func builtNode(t *testing.T, grace time.Duration) *Node {
 	t.Helper()
 	loaded := settings.Defaults()
@@ -28,8 +28,8 @@
 	return b
 }
 
-// All parts of a daemon go by one stop: where one did not, its requests were cut at the
-// end of the grace, or taken without the time that they need.
+// All components must share one shutdown.Stop, or requests are cut off at the end of the grace or
+// accepted without enough time left.
 func TestAllComponentsShareOneStop(t *testing.T) {
 	is := is.New(t)
 	b := builtNode(t, 8*time.Second)
@@ -47,7 +47,7 @@
 	is.Equal(reason, "stopping")
 }
 
-// A daemon closes connections that rest for too long, on both listeners.
+// A daemon must close expired idle connections on both client listeners.
 func TestADaemonClosesExpiredConnections(t *testing.T) {
 	is := is.New(t)
 	b := builtNode(t, 8*time.Second)
