--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -253,7 +253,7 @@
 	fleet.writeConfiguration(ctx, t, "first")
 	random := rand.New(rand.NewPCG(11, 0))
 	for i := range fleetSize {
-		fleet.daemons = append(fleet.daemons, fleet.addDaemon(ctx, given, i, time.Duration(random.Int64N(int64(maxStartDelay)))))
+		fleet.daemons = append(fleet.daemons, fleet.newDaemon(ctx, given, i, time.Duration(random.Int64N(int64(maxStartDelay)))))
 	}
 	return fleet
 }
@@ -284,7 +284,7 @@
 	fleet.put(ctx, t, configurationPartition, journal.EncodeKeyed(key, make([]byte, configurationBytes)))
 }
 
-func (fleet *testFleet) addDaemon(ctx context.Context, given conditions, number int, after time.Duration) *testDaemon {
+func (fleet *testFleet) newDaemon(ctx context.Context, given conditions, number int, after time.Duration) *testDaemon {
 	logger := zap.NewNop()
 	b := &testDaemon{incarnation: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applyTimes{at: map[string]time.Time{}}}
 	var own journal.Journal = linkedJournal{fleet.log, given.latency, fleet.storeLink, &link{ctx: ctx, bytesPerSecond: linkBytesPerSecond, chunkBytes: given.chunkBytes}, &fleet.read}
