--- a/internal/daemon/node/candidate.go
+++ b/internal/daemon/node/candidate.go
@@ -8,7 +8,7 @@
 )
 
 // isCandidate reports whether a daemon with these assigned partitions claims the lease for engine
-// orders when it is free. Candidates are the owners of the first two partitions of the first batch
+// orders when it is free. Candidates are the watchers of the first two partitions of the first batch
 // topic and of the last partition of the last one. Under round-robin and contiguous assignment
 // alike these are two or three daemons; a single candidate could be the lost holder itself.
 func isCandidate(assigned map[journal.Partition]bool, partitionsPerTopic int) bool {
@@ -16,7 +16,7 @@
 		func(partition journal.Partition) bool { return assigned[partition] })
 }
 
-// candidatePartitions returns the partitions whose owners claim the lease.
+// candidatePartitions returns the partitions whose watchers claim the lease.
 func candidatePartitions(partitionsPerTopic int) []journal.Partition {
 	topics := ledger.TopicNames()
 	first, last := topics[0], topics[len(topics)-1]
--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -62,9 +62,9 @@
 // that runs until the end of the grace.
 func TestAStopCutsOffNoRequest(t *testing.T) {
 	for tenths := 0; tenths <= 70; tenths += 5 {
-		rest := time.Duration(tenths) * 100 * time.Millisecond
-		t.Run(fmt.Sprintf("connection reused %v into the stop", rest), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { requestDuringStop(t, rest) })
+		idleTime := time.Duration(tenths) * 100 * time.Millisecond
+		t.Run(fmt.Sprintf("connection reused %v into the stop", idleTime), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { requestDuringStop(t, idleTime) })
 		})
 	}
 	t.Run("request in the receive buffer", bufferedRequestSurvivesClose)
@@ -72,8 +72,8 @@
 }
 
 // requestDuringStop sends a request on a connection just before a stop, and another on the same
-// connection after it has been idle for rest.
-func requestDuringStop(t *testing.T, rest time.Duration) {
+// connection after it has been idle for idleTime.
+func requestDuringStop(t *testing.T, idleTime time.Duration) {
 	is := is.New(t)
 	d := newPipeListener(http.HandlerFunc(wholeHandler))
 	defer d.closeNow()
@@ -89,8 +89,8 @@
 		close(done)
 	}()
 	synctest.Wait() // The stop has begun.
-	time.Sleep(rest)
-	if timeout, found := keepAliveTimeout(first); found && rest > timeout {
+	time.Sleep(idleTime)
+	if timeout, found := keepAliveTimeout(first); found && idleTime > timeout {
 		// The Keep-Alive timeout has passed, so the client opens a new connection.
 		_ = client.Close()
 		<-done
--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -32,9 +32,9 @@
 }
 
 // responseWriter sets the header fields about the connection when the head of an answer is written,
-// not when its request begins: if a stop began in between, the answer closes the connection. An
-// idle connection would have to be closed during the stop while its client may be sending a
-// request.
+// not when its request begins: if a stop began in between, the answer closes the connection.
+// Otherwise the connection would stay idle, and the stop would have to close it although its client
+// may be sending a request.
 type responseWriter struct {
 	http.ResponseWriter
 	listener       *clientListener
--- a/internal/daemon/node/node.go
+++ b/internal/daemon/node/node.go
@@ -59,8 +59,8 @@
 	// maxJournalSilence is how long the journal may leave this daemon without an answer before the
 	// daemon is not ready.
 	maxJournalSilence = 1500 * time.Millisecond
-	// peerContactBound is how soon after an outage the list of peers must be up to date again. It
-	// is long as each daemon makes these reads, and the list changes only with the machines.
+	// peerContactBound is how soon after an outage the list of peers and the quarantine must be up
+	// to date again. Both change rarely and every daemon follows them, so long polls save reads.
 	peerContactBound = 30 * time.Second
 	// operatorReadFraction, replicaReadFraction and peerReadFraction are the fractions of the
 	// journal's read rate limit that all daemons together use to follow the records of the
@@ -88,7 +88,7 @@
 	Duties duty.Driver
 	// NewHandlers makes the platform's handlers for clients. If it is nil, the ingress handler
 	// answers clients directly.
-	NewHandlers func(parts Deps) Handlers
+	NewHandlers func(deps Deps) Handlers
 }
 
 // Deps are the components of the daemon that the platform's handlers may use.
--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -9,8 +9,8 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// quarantineDeps are the components that maintain the quarantine, which keeps contents that
-// replicas ended under from running on further ones.
+// quarantineDeps are the components of the quarantine, which stops requests whose content ended
+// replicas from reaching further replicas.
 type quarantineDeps struct {
 	table    *quarantine.Table
 	recorder *quarantine.Recorder
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -30,7 +30,7 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// Bounds after all daemons have started at once.
+// Bounds after a start of all daemons.
 const (
 	// maxRecoveryTime is how soon the fleet must serve again.
 	maxRecoveryTime = 15 * time.Second
@@ -85,12 +85,12 @@
 // transmit returns when the bytes have been sent, or when the context ends.
 func (w *link) transmit(ctx context.Context, bytes int) error {
 	for bytes > 0 {
-		part := bytes
+		chunk := bytes
 		if w.chunkBytes > 0 {
-			part = min(part, w.chunkBytes)
+			chunk = min(chunk, w.chunkBytes)
 		}
-		bytes -= part
-		if err := sleep(ctx, w.reserve(part)); err != nil {
+		bytes -= chunk
+		if err := sleep(ctx, w.reserve(chunk)); err != nil {
 			if w.ctx.Err() == nil {
 				go func() { _ = w.transmit(w.ctx, bytes) }() // It ends with the test at the latest.
 			}
