--- a/internal/daemon/node/connections.go
+++ b/internal/daemon/node/connections.go
@@ -7,25 +7,26 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// maxOpen is how many connections to a replica this daemon may have of those that it takes
-// from all, 0 without bound. Where daemons don't know each other nothing is shared. Engines
-// run as many requests at once as they have slots, whoever sends them, and owners of batches
-// are few: an owner may use as many connections, which others leave idle.
-func (n *Node) maxOpen(chosen replica.Replica) int {
+// maxConnections returns how many connections this daemon may have to a replica, or 0 for no bound.
+// Daemons share the replica's limit; without a relay they don't know each other, and there is no
+// bound. Engines run as many requests at once as they have slots, whoever sends them, and few
+// daemons own batches: for an engine the daemon may have up to one connection per slot, which the
+// others leave unused.
+func (n *Node) maxConnections(chosen replica.Replica) int {
 	configuration := n.operator.Configuration()
 	if n.relay == nil || configuration == nil {
 		return forward.UnboundedConnections(chosen)
 	}
 	service := configuration.Services[chosen.Service]
-	daemons := n.daemons()
+	daemons := n.daemonCount()
 	if !n.peerFollower.Synced() {
-		// Any number of others may be there.
+		// The number of daemons is not known yet: assume the most.
 		daemons = max(service.MaxConnections, 1)
 	}
 	return upstream.ConnectionShare(service.MaxConnections, daemons, max(service.Slots, chosen.Slots), service.IsEngine)
 }
 
-// registerConnectionMetrics tells of connections to replicas.
+// registerConnectionMetrics registers the metrics of connections to replicas.
 func (n *Node) registerConnectionMetrics() {
 	metrics.Counter(n.metrics, "replica_connections_total", "Connections made to replicas.", n.pool.Dials.Load)
 	metrics.Counter(n.metrics, "replica_connections_lacking_total",
@@ -33,21 +34,22 @@
 		n.pool.Exhausted.Load)
 	metrics.Gauge(n.metrics, "replica_connections_used_ratio",
 		"Connections to a replica against this daemon's part of what it takes, at the replica where that is highest.",
-		n.connectionsUsed)
+		n.maxConnectionsUsedRatio)
 }
 
-// connectionsUsed is the highest part of the connections allowed to one replica that there is.
-func (n *Node) connectionsUsed() float64 {
-	configuration, most := n.operator.Configuration(), 0.0
+// maxConnectionsUsedRatio returns the highest ratio of open to allowed connections of all replicas,
+// or 0 if none has a bound.
+func (n *Node) maxConnectionsUsedRatio() float64 {
+	configuration, highest := n.operator.Configuration(), 0.0
 	if configuration == nil {
 		return 0
 	}
 	for service := range configuration.Services {
 		for _, rep := range n.table.Replicas(service) {
-			if part := n.maxOpen(rep); part > 0 {
-				most = max(most, float64(n.pool.OpenConnections(rep.Address))/float64(part))
+			if allowed := n.maxConnections(rep); allowed > 0 {
+				highest = max(highest, float64(n.pool.OpenConnections(rep.Address))/float64(allowed))
 			}
 		}
 	}
-	return most
+	return highest
 }
--- a/internal/daemon/node/cut_test.go
+++ b/internal/daemon/node/cut_test.go
@@ -20,70 +20,65 @@
 	"woodworks/internal/requests/route"
 )
 
-// testGrace is the grace of the platform in these tests.
+// testGrace is the grace of a planned stop in these tests.
 const testGrace = 8 * time.Second
 
-// dialled is a front server on connections in memory, under virtual time.
-type dialled struct {
+// pipeListener is a client listener on in-memory connections, under virtual time.
+type pipeListener struct {
 	*clientListener
 	listener *connQueue
 }
 
-func newDialled(handler http.Handler) *dialled {
+func newPipeListener(handler http.Handler) *pipeListener {
 	l := newClientListener(shutdown.New(), zap.NewNop())
 	l.handler = handler
 	listener := &connQueue{connections: make(chan net.Conn), closed: make(chan struct{})}
 	l.serve(listener)
-	return &dialled{l, listener}
+	return &pipeListener{l, listener}
 }
 
-// dial returns a connection of a caller, or nil if the listener takes none.
-func (d *dialled) dial() *kept {
+// dial returns a new client connection, or nil if the listener is closed.
+func (d *pipeListener) dial() *persistentConn {
 	near, far := net.Pipe()
 	select {
 	case d.listener.connections <- far:
-		return &kept{Conn: near, r: bufio.NewReader(near)}
+		return &persistentConn{Conn: near, r: bufio.NewReader(near)}
 	case <-d.listener.closed:
 		return nil
 	}
 }
 
-// end stops the server at once.
-func (d *dialled) end() {
+// closeNow stops the listener without waiting for requests.
+func (d *pipeListener) closeNow() {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	d.shutdown(ended)
 }
 
-// answerWhole answers at once.
-func answerWhole(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
+// wholeHandler answers at once.
+func wholeHandler(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
 
-// A planned stop closed each connection that had been quiet for a second, three seconds
-// after SIGTERM, with five of its eight seconds of grace unused. Callers that keep
-// connections for longer than that took them up in the same moment: real daemons under
-// planned stops cut two requests in each of two runs of 70 s, one on a connection that had
-// rested for 3.1 s and three on new ones, 3.000 to 3.026 s after SIGTERM ("connection reset
-// by peer", 53,783 requests, no daemon's log has them). A request that had begun
-// to wait for a replica or for news was cut at the end of the grace instead of answered.
+// A planned stop must not close a connection that its client may still use, nor cut off a request
+// that runs until the end of the grace.
 func TestAStopCutsOffNoRequest(t *testing.T) {
 	for tenths := 0; tenths <= 70; tenths += 5 {
-		rest := time.Duration(tenths) * 100 * time.Millisecond
-		t.Run(fmt.Sprintf("a connection is taken up %v into the stop", rest), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { takeUpDuringStop(t, rest) })
+		idleTime := time.Duration(tenths) * 100 * time.Millisecond
+		t.Run(fmt.Sprintf("connection reused %v into the stop", idleTime), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { requestDuringStop(t, idleTime) })
 		})
 	}
-	t.Run("a request lies in the buffer", requestInBuffer)
-	t.Run("a request outlasts the grace", func(t *testing.T) { synctest.Test(t, requestOutlastsGrace) })
+	t.Run("request in the receive buffer", bufferedRequestSurvivesClose)
+	t.Run("request longer than the grace", func(t *testing.T) { synctest.Test(t, interruptedRequestIsAnswered) })
 }
 
-// takeUpDuringStop has a caller use a connection just before a stop and again some time
-// into it.
-func takeUpDuringStop(t *testing.T, rest time.Duration) {
+// requestDuringStop sends a request on a connection just before a stop, and another on the same
+// connection after it has been idle for idleTime.
+func requestDuringStop(t *testing.T, idleTime time.Duration) {
 	is := is.New(t)
-	d := newDialled(http.HandlerFunc(answerWhole))
-	defer d.end()
+	d := newPipeListener(http.HandlerFunc(wholeHandler))
+	defer d.closeNow()
 	client := d.dial()
-	first, err := client.ask("/first")
+	first, err := client.get("/first")
 	is.NoErr(err)
 	is.True(!first.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), testGrace)
@@ -94,21 +89,21 @@
 		close(done)
 	}()
 	synctest.Wait() // The stop has begun.
-	time.Sleep(rest)
-	if kept, named := keptFor(first); named && rest > kept {
-		// The caller was told not to take it up any more.
+	time.Sleep(idleTime)
+	if timeout, found := keepAliveTimeout(first); found && idleTime > timeout {
+		// The Keep-Alive timeout has passed, so the client opens a new connection.
 		_ = client.Close()
 		<-done
 		return
 	}
-	second, err := client.ask("/second")
+	second, err := client.get("/second")
 	is.NoErr(err)
 	is.True(second.Close)
 	<-done
 }
 
-// keptFor is how long an answer says that its connection is kept.
-func keptFor(answer *http.Response) (time.Duration, bool) {
+// keepAliveTimeout returns the timeout in an answer's Keep-Alive header, and false if it has none.
+func keepAliveTimeout(answer *http.Response) (time.Duration, bool) {
 	seconds := 0
 	if _, err := fmt.Sscanf(answer.Header.Get("Keep-Alive"), "timeout=%d", &seconds); err != nil {
 		return 0, false
@@ -116,7 +111,7 @@
 	return time.Duration(seconds) * time.Second, true
 }
 
-// tcpPair is a connection with its two ends.
+// tcpPair returns both ends of a TCP connection over loopback.
 func tcpPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -139,8 +134,9 @@
 	return near, far
 }
 
-// requestInBuffer has a request reach the machine whose process has not read it yet.
-func requestInBuffer(t *testing.T) {
+// bufferedRequestSurvivesClose checks that a connection with unread data in its receive buffer is
+// not closed as idle.
+func bufferedRequestSurvivesClose(t *testing.T) {
 	is := is.New(t)
 	near, far := tcpPair(t)
 	conns := newClientConns()
@@ -148,30 +144,31 @@
 	c := conns.add(far, accepted)
 	_, err := io.WriteString(near, "GET / HTTP/1.1\r\n")
 	is.NoErr(err)
-	is.Equal(conns.closeQuiet(accepted.Add(time.Hour)), 1)
+	is.Equal(conns.closeIdleSince(accepted.Add(time.Hour)), 1)
 	n, err := c.Read(make([]byte, 64))
 	is.NoErr(err)
 	is.Equal(n, 16)
 }
 
-// requestOutlastsGrace has a handler wait for something that does not come in time.
-func requestOutlastsGrace(t *testing.T) {
+// interruptedRequestIsAnswered checks that a handler that still waits at the end of the grace is
+// interrupted and its answer sent.
+func interruptedRequestIsAnswered(t *testing.T) {
 	is := is.New(t)
-	d := newDialled(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	d := newPipeListener(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		w.WriteHeader(http.StatusServiceUnavailable)
-		answerWhole(w, r)
+		wholeHandler(w, r)
 	}))
-	defer d.end()
+	defer d.closeNow()
 	client := d.dial()
-	type told struct {
+	type result struct {
 		answer *http.Response
 		err    error
 	}
-	answered := make(chan told, 1)
+	answered := make(chan result, 1)
 	go func() {
-		answer, err := client.ask("/")
-		answered <- told{answer, err}
+		answer, err := client.get("/")
+		answered <- result{answer, err}
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), testGrace)
 	defer cancel()
@@ -182,23 +179,22 @@
 	is.True(got.answer.Close)
 }
 
-// Clients that find no other daemon come until the end of the grace. A connection that was
-// accepted at its end was closed before its request had come: two requests were cut in one
-// of two runs, 53 ms after the interruption and in the moment in which they were sent.
-func TestAConnectionThatComesAtTheEndOfTheGraceIsAnswered(t *testing.T) {
+// A connection that is accepted at the end of the grace must not be closed before its request has
+// arrived.
+func TestConnectionAcceptedAtTheEndOfTheGraceIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDialled(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		d := newPipeListener(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/held" {
 				<-r.Context().Done()
 			}
-			answerWhole(w, r)
+			wholeHandler(w, r)
 		}))
-		defer d.end()
+		defer d.closeNow()
 		ctx, cancel := context.WithTimeout(context.Background(), testGrace)
 		defer cancel()
 		held := d.dial()
-		go func() { _, _ = held.ask("/held") }() // It keeps the stop from ending.
+		go func() { _, _ = held.get("/held") }() // It keeps the stop from ending.
 		done := make(chan struct{})
 		go func() {
 			d.stop(ctx)
@@ -207,35 +203,33 @@
 		time.Sleep(testGrace - 20*time.Millisecond)
 		client := d.dial()
 		time.Sleep(70 * time.Millisecond)
-		answer, err := client.ask("/")
+		answer, err := client.get("/")
 		is.NoErr(err)
 		is.True(answer.Close)
 		<-done
 	})
 }
 
-// A connection kept the limits that were in force when it was accepted, while its caller
-// knows those in force now: after the idle limit had been raised from 2 to 20 s, a
-// connection that had rested for 5 s was closed under its caller. And a deadline that
-// passed while the process stood still closed a connection although a whole request lay
-// in its buffer.
-func TestAConnectionKeepsToTheLimitsThatItsCallerKnows(t *testing.T) {
-	t.Run("a longer idle limit holds for open connections", func(t *testing.T) {
+// Clients rely on the idle limit now in force, so it must apply to connections that were accepted
+// before it was raised; and a whole request in the receive buffer must be read although the read
+// deadline has passed.
+func TestOpenConnectionsFollowTheCurrentIdleLimit(t *testing.T) {
+	t.Run("open connections use a raised idle limit", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			d := newDialled(http.HandlerFunc(answerWhole))
-			defer d.end()
-			d.configured(idleLimit(1, 2*time.Second))
+			d := newPipeListener(http.HandlerFunc(wholeHandler))
+			defer d.closeNow()
+			d.applyConfiguration(idleTimeoutConfiguration(1, 2*time.Second))
 			client := d.dial()
-			_, err := client.ask("/")
+			_, err := client.get("/")
 			is.NoErr(err)
-			d.configured(idleLimit(2, 20*time.Second))
+			d.applyConfiguration(idleTimeoutConfiguration(2, 20*time.Second))
 			time.Sleep(5 * time.Second)
-			_, err = client.ask("/")
+			_, err = client.get("/")
 			is.NoErr(err)
 		})
 	})
-	t.Run("a deadline that passed does not hide what has arrived", func(t *testing.T) {
+	t.Run("data that arrived is read after the deadline", func(t *testing.T) {
 		is := is.New(t)
 		near, far := tcpPair(t)
 		c := newClientConns().add(far, time.Now())
@@ -250,6 +244,6 @@
 	})
 }
 
-func idleLimit(version int64, idle time.Duration) *route.Configuration {
+func idleTimeoutConfiguration(version int64, idle time.Duration) *route.Configuration {
 	return &route.Configuration{Definition: route.Definition{Version: version, Limits: route.Limits{IdleTimeout: idle}}}
 }
--- a/internal/daemon/node/metrics.go
+++ b/internal/daemon/node/metrics.go
@@ -2,7 +2,7 @@
 
 import "woodworks/internal/daemon/metrics"
 
-// registerMetrics has the metrics of all parts shown at the metrics address.
+// registerMetrics registers the metrics of all components.
 func (n *Node) registerMetrics() {
 	n.registerBatchMetrics()
 	n.registerJournalMetrics()
@@ -14,7 +14,7 @@
 	n.registerAdmissionMetrics()
 }
 
-// registerBatchMetrics tells of requests, batches and the engines that run them.
+// registerBatchMetrics registers the metrics of requests, batches and orders to engines.
 func (n *Node) registerBatchMetrics() {
 	metrics.Gauge(n.metrics, "requests_in_flight", "Requests of clients being answered.", n.handler.InFlight)
 	metrics.Gauge(n.metrics, "batches_owned", "Batches that this daemon runs.",
@@ -22,27 +22,27 @@
 	metrics.Gauge(n.metrics, "items_waiting", "Items that wait for a replica.",
 		func() int { _, waiting := n.runner.Load(); return waiting })
 	metrics.Gauge(n.metrics, "lease_held", "1 while this daemon holds the lease for orders to engines.",
-		func() int { return oneIf(n.lease.Held()) })
+		func() int { return boolGauge(n.lease.Held()) })
 	metrics.Counter(n.metrics, "items_started_total", "Attempts at items sent to replicas.", n.runner.ItemsStarted)
 	metrics.Counter(n.metrics, "engine_orders_total", "Orders given to engines.", n.syncer.OrdersSent.Load)
 }
 
-// registerJournalMetrics tells of the paths to the journal.
+// registerJournalMetrics registers the metrics of the paths to the journal.
 func (n *Node) registerJournalMetrics() {
 	metrics.Gauge(n.metrics, "journal_silence_seconds", "Time since the journal last answered.",
-		func() float64 { return n.silence().Seconds() })
+		func() float64 { return n.journalSilence().Seconds() })
 	metrics.Counter(n.metrics, "journal_calls_given_up_total",
 		"Calls to the journal given up as later ones were answered.", n.journal.CallsGivenUp.Load)
 	if n.relay != nil {
 		metrics.Gauge(n.metrics, "journal_path_lost", "1 while this daemon's own path to the journal is lost.",
-			func() int { return oneIf(n.relay.PathLost()) })
+			func() int { return boolGauge(n.relay.PathLost()) })
 		metrics.Counter(n.metrics, "journal_calls_relayed_total", "Calls to the journal answered through a peer.",
 			n.relay.RelayedCalls.Load)
 	}
 }
 
-// oneIf is how a condition is shown by a gauge.
-func oneIf(condition bool) int {
+// boolGauge returns the value of a gauge for a condition: 1 if true, else 0.
+func boolGauge(condition bool) int {
 	if condition {
 		return 1
 	}
--- a/internal/daemon/node/settings_test.go
+++ b/internal/daemon/node/settings_test.go
@@ -12,8 +12,8 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// A settings file that asks for what is gone is accepted, and its daemon says so.
-func TestASettingWithoutEffectIsSaid(t *testing.T) {
+// A settings file with a removed setting is accepted, and the daemon logs a warning.
+func TestSettingWithoutEffectIsLogged(t *testing.T) {
 	is := is.New(t)
 	core, logs := observer.New(zap.InfoLevel)
 	loaded := settings.Defaults()
--- a/internal/daemon/node/startall_test.go
+++ b/internal/daemon/node/startall_test.go
@@ -30,51 +30,49 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// What is aimed at after a start of all daemons.
+// Bounds after a start of all daemons.
 const (
-	// servesAgain is within which time machines serve again.
-	servesAgain = 15 * time.Second
-	// inForce is within which time a configuration is in force everywhere.
-	inForce = 3 * time.Second
+	// maxRecoveryTime is how soon the fleet must serve again.
+	maxRecoveryTime = 15 * time.Second
+	// maxConfigurationDelay is how soon a configuration must be applied by every daemon.
+	maxConfigurationDelay = 3 * time.Second
 )
 
-// The fleet that starts, each daemon behind a link of its own, and what its journal holds.
+// The fleet, in which each daemon has a link of its own, and the contents of the journal.
 const (
-	startDaemons = 84
-	// startLink and startGrant are bytes a second.
-	startLink  = 60e6 / 8
-	startGrant = 80e6
-	startReads = 6000
-	// startBatches of startBytes each have been listed.
-	startBatches = 36
-	startBytes   = 2 << 20
-	// startSpread is within which time all have started.
-	startSpread = 700 * time.Millisecond
-	// startRecord is the size of a configuration, which is written anew each second.
-	startRecord = 16 << 10
-	// prompt and late are what the journal takes for an answer of no length.
-	prompt = 4 * time.Millisecond
-	late   = 250 * time.Millisecond
-	// turnBytes is how much of an answer is sent before others that are under way have
-	// their turn.
-	turnBytes = 16 << 10
+	fleetSize = 84
+	// Rate limits of a daemon's link and of the journal.
+	linkBytesPerSecond    = 60e6 / 8
+	grantedBytesPerSecond = 80e6
+	grantedReadsPerSecond = 6000
+	// The journal holds batchCount batches with batchBytes of results each.
+	batchCount = 36
+	batchBytes = 2 << 20
+	// Each daemon starts after a random delay of up to maxStartDelay.
+	maxStartDelay = 700 * time.Millisecond
+	// configurationBytes is the size of a configuration record.
+	configurationBytes = 16 << 10
+	// shortLatency and longLatency are latencies of journal calls without data.
+	shortLatency = 4 * time.Millisecond
+	longLatency  = 250 * time.Millisecond
+	// linkChunkBytes is the size of the chunks in which concurrent answers share a link.
+	linkChunkBytes = 16 << 10
 )
 
-// wire sends answers at a rate. Bytes of an answer that nobody awaits any more are sent all
-// the same.
-type wire struct {
+// link transmits data at a limited rate. Data of a cancelled call is transmitted all the same.
+type link struct {
 	// ctx ends with the test.
 	ctx            context.Context
 	bytesPerSecond float64
-	// turn is how much of an answer is sent in one turn, 0 for all of it.
-	turn int
+	// chunkBytes is how much one sender transmits before the next one, or 0 for whole answers.
+	chunkBytes int
 
 	mu        sync.Mutex
 	busyUntil time.Time
 }
 
-// take takes the wire for some bytes, and returns how long it takes until they have been sent.
-func (w *wire) take(bytes int) time.Duration {
+// reserve reserves the link for a number of bytes and returns the time until they have been sent.
+func (w *link) reserve(bytes int) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if now := time.Now(); w.busyUntil.Before(now) {
@@ -84,17 +82,17 @@
 	return time.Until(w.busyUntil)
 }
 
-// send returns when an answer has been sent, or when the context ends.
-func (w *wire) send(ctx context.Context, bytes int) error {
+// transmit returns when the bytes have been sent, or when the context ends.
+func (w *link) transmit(ctx context.Context, bytes int) error {
 	for bytes > 0 {
-		part := bytes
-		if w.turn > 0 {
-			part = min(part, w.turn)
+		chunk := bytes
+		if w.chunkBytes > 0 {
+			chunk = min(chunk, w.chunkBytes)
 		}
-		bytes -= part
-		if err := pass(ctx, w.take(part)); err != nil {
+		bytes -= chunk
+		if err := sleep(ctx, w.reserve(chunk)); err != nil {
 			if w.ctx.Err() == nil {
-				go func() { _ = w.send(w.ctx, bytes) }() // It ends with the test at the latest.
+				go func() { _ = w.transmit(w.ctx, bytes) }() // It ends with the test at the latest.
 			}
 			return err
 		}
@@ -102,9 +100,9 @@
 	return nil
 }
 
-// pass lets a time pass, or ends with the context.
-func pass(ctx context.Context, takes time.Duration) error {
-	timer := time.NewTimer(takes)
+// sleep waits for a duration. It fails with journal.ErrUnknown if the context ends before.
+func sleep(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -114,88 +112,88 @@
 	}
 }
 
-// reached is a journal as one machine reaches it: each call takes a time, and what is read
-// comes over the journal's wire and then over the machine's own.
-type reached struct {
+// linkedJournal is the journal as seen from one machine: each call has a latency, and data passes
+// the link of the store and then that of the machine.
+type linkedJournal struct {
 	journal.Journal
-	takes     time.Duration
-	out, link *wire
-	read      *atomic.Int64
+	latency                time.Duration
+	storeLink, machineLink *link
+	read                   *atomic.Int64
 }
 
-func (r reached) bring(ctx context.Context, bytes int) error {
+func (r linkedJournal) download(ctx context.Context, bytes int) error {
 	r.read.Add(int64(bytes))
-	if err := r.out.send(ctx, bytes); err != nil {
+	if err := r.storeLink.transmit(ctx, bytes); err != nil {
 		return err
 	}
-	return r.link.send(ctx, bytes)
+	return r.machineLink.transmit(ctx, bytes)
 }
 
-func (r reached) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
-	if err := pass(ctx, r.takes); err != nil {
+func (r linkedJournal) Append(ctx context.Context, request journal.Append) (journal.Appended, error) {
+	if err := sleep(ctx, r.latency); err != nil {
 		return journal.Appended{}, err
 	}
 	return r.Journal.Append(ctx, request)
 }
 
-// Read brings one record after the other. Those that came whole before the context ended are
-// returned beside the error, as a client of the platform returns them.
-func (r reached) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
+// Read transmits record by record. If the context ends, it returns the complete records with the
+// error, as a client of the platform does.
+func (r linkedJournal) Read(ctx context.Context, request journal.Read) (journal.Records, error) {
 	read, err := r.Journal.Read(ctx, request)
 	if err != nil {
 		return read, err
 	}
 	for i, record := range read.Records {
-		if err := r.bring(ctx, len(record)); err != nil {
+		if err := r.download(ctx, len(record)); err != nil {
 			read.Records = read.Records[:i]
 			return read, err
 		}
 	}
-	return read, pass(ctx, r.takes)
+	return read, sleep(ctx, r.latency)
 }
 
-func (r reached) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
+func (r linkedJournal) Newest(ctx context.Context, partition journal.Partition, afterKey string) (journal.KeyedPage, error) {
 	page, err := r.Journal.Newest(ctx, partition, afterKey)
 	bytes := 0
 	for _, record := range page.Records {
 		bytes += len(record.Value)
 	}
-	if err := r.bring(ctx, bytes); err != nil {
+	if err := r.download(ctx, bytes); err != nil {
 		return journal.KeyedPage{}, err
 	}
-	if err := pass(ctx, r.takes); err != nil {
+	if err := sleep(ctx, r.latency); err != nil {
 		return journal.KeyedPage{}, err
 	}
 	return page, err
 }
 
-func (r reached) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
-	if err := pass(ctx, r.takes); err != nil {
+func (r linkedJournal) Join(ctx context.Context, request journal.Join) (journal.Assignment, error) {
+	if err := sleep(ctx, r.latency); err != nil {
 		return journal.Assignment{}, err
 	}
 	return r.Journal.Join(ctx, request)
 }
 
-func (r reached) Owners(ctx context.Context, name string) ([]journal.Ownership, error) {
-	if err := pass(ctx, r.takes); err != nil {
+func (r linkedJournal) Owners(ctx context.Context, name string) ([]journal.Ownership, error) {
+	if err := sleep(ctx, r.latency); err != nil {
 		return nil, err
 	}
 	return r.Journal.Owners(ctx, name)
 }
 
-// applied notes when each key of a partition was first applied.
-type applied struct {
+// applyTimes records when each key of a partition was first applied.
+type applyTimes struct {
 	mu sync.Mutex
 	at map[string]time.Time
 }
 
-func (a *applied) Reset(records []journal.KeyedRecord) {
+func (a *applyTimes) Reset(records []journal.KeyedRecord) {
 	for _, record := range records {
 		a.Apply(record)
 	}
 }
 
-func (a *applied) Apply(record journal.KeyedRecord) {
+func (a *applyTimes) Apply(record journal.KeyedRecord) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if _, known := a.at[record.Key]; !known {
@@ -203,8 +201,8 @@
 	}
 }
 
-// after is how long after a moment a key was applied, or until now if it was not.
-func (a *applied) after(key string, since time.Time) time.Duration {
+// after returns the time from since until the key was applied, or until now if it was not.
+func (a *applyTimes) after(key string, since time.Time) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if at, known := a.at[key]; known {
@@ -213,94 +211,94 @@
 	return time.Since(since)
 }
 
-// conditions say under what all daemons start.
+// conditions are the circumstances under which the fleet starts.
 type conditions struct {
-	takes time.Duration
-	// carries is what the journal really sends, in bytes a second.
-	carries float64
-	// turn is as in wire.
-	turn int
-	// revive says that calls are given up on the word of others.
-	revive bool
-	// asked says that each batch is asked for by two callers.
-	asked bool
-}
-
-// started is a daemon with those of its parts that read the journal.
-type started struct {
-	run     string
-	batches *ledger.Ledger
-	reader  *results.Reader
-	member  *group.Member
-	applied *applied
-	revived *journal.LostCallDetector
-}
-
-// allStarted are daemons that start at nearly the same time. It implements results.Peers.
-type allStarted struct {
-	log     *journaltest.Journal
-	out     *wire
-	read    atomic.Int64
-	daemons []*started
-	began   time.Time
-}
-
-var startTopic = journal.Partition{Topic: journal.KeyedTopic("configuration")}
-
-func startAll(ctx context.Context, t *testing.T, given conditions) *allStarted {
-	all := &allStarted{log: journaltest.New(), out: &wire{ctx: ctx, bytesPerSecond: given.carries, turn: given.turn}, began: time.Now()}
-	all.log.Partitions, all.log.RecordBytes = 24, 256<<10
-	all.log.Rates = journal.RateLimits{ReadBytesPerSecond: startGrant, ReadsPerSecond: startReads}
-	all.list(ctx, t)
-	all.configure(ctx, t, "first")
+	latency time.Duration
+	// bytesPerSecond is the rate that the journal can really send.
+	bytesPerSecond float64
+	// chunkBytes is that of the links.
+	chunkBytes int
+	// detectLostCalls makes daemons give up calls to the journal once later ones were answered.
+	detectLostCalls bool
+	// queried says that each batch is queried by two clients.
+	queried bool
+}
+
+// testDaemon is a daemon with the components that read the journal.
+type testDaemon struct {
+	incarnation string
+	batches     *ledger.Ledger
+	reader      *results.Reader
+	member      *group.Member
+	applied     *applyTimes
+	lostCalls   *journal.LostCallDetector
+}
+
+// testFleet is a set of daemons that start at nearly the same time. It implements results.Peers.
+type testFleet struct {
+	log       *journaltest.Journal
+	storeLink *link
+	read      atomic.Int64
+	daemons   []*testDaemon
+	began     time.Time
+}
+
+var configurationPartition = journal.Partition{Topic: journal.KeyedTopic("configuration")}
+
+func startFleet(ctx context.Context, t *testing.T, given conditions) *testFleet {
+	fleet := &testFleet{log: journaltest.New(), storeLink: &link{ctx: ctx, bytesPerSecond: given.bytesPerSecond, chunkBytes: given.chunkBytes}, began: time.Now()}
+	fleet.log.Partitions, fleet.log.RecordBytes = 24, 256<<10
+	fleet.log.Rates = journal.RateLimits{ReadBytesPerSecond: grantedBytesPerSecond, ReadsPerSecond: grantedReadsPerSecond}
+	fleet.writeBatches(ctx, t)
+	fleet.writeConfiguration(ctx, t, "first")
 	random := rand.New(rand.NewPCG(11, 0))
-	for i := range startDaemons {
-		all.daemons = append(all.daemons, all.build(ctx, given, i, time.Duration(random.Int64N(int64(startSpread)))))
+	for i := range fleetSize {
+		fleet.daemons = append(fleet.daemons, fleet.newDaemon(ctx, given, i, time.Duration(random.Int64N(int64(maxStartDelay)))))
 	}
-	return all
+	return fleet
 }
 
-// list puts the batches into the journal. They have ended, so that nobody runs them.
-func (all *allStarted) list(ctx context.Context, t *testing.T) {
+// writeBatches writes batches that have ended, so that no daemon runs them.
+func (fleet *testFleet) writeBatches(ctx context.Context, t *testing.T) {
 	const items = 32
-	batches := ledger.New(ctx, all.log, zap.NewNop())
-	for i := range startBatches {
+	batches := ledger.New(ctx, fleet.log, zap.NewNop())
+	for i := range batchCount {
 		submission := &batch.Submission{ID: fmt.Sprint("b", i)}
 		var listed [][]byte
 		for item := range items {
 			submission.Items = append(submission.Items, batch.Item{ID: fmt.Sprint("i", item)})
-			listed = append(listed, batch.ResultsAdded(submission.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: make([]byte, startBytes/items)}}))
+			listed = append(listed, batch.ResultsAdded(submission.ID, []batch.Result{{Item: item, Outcome: batch.Done, Text: make([]byte, batchBytes/items)}}))
 		}
 		records := append([][]byte{batch.Accepted(submission, "gone/1")}, listed...)
-		all.put(ctx, t, batches.Locate(submission.ID), append(records, batch.Ended(submission.ID, ""))...)
+		fleet.put(ctx, t, batches.Locate(submission.ID), append(records, batch.Ended(submission.ID, ""))...)
 	}
 }
 
-func (all *allStarted) put(ctx context.Context, t *testing.T, partition journal.Partition, records ...[]byte) {
-	if _, err := all.log.Append(ctx, journal.Append{Partition: partition, Records: records}); err != nil {
+func (fleet *testFleet) put(ctx context.Context, t *testing.T, partition journal.Partition, records ...[]byte) {
+	if _, err := fleet.log.Append(ctx, journal.Append{Partition: partition, Records: records}); err != nil {
 		t.Error(err)
 	}
 }
 
-func (all *allStarted) configure(ctx context.Context, t *testing.T, key string) {
-	all.put(ctx, t, startTopic, journal.EncodeKeyed(key, make([]byte, startRecord)))
+func (fleet *testFleet) writeConfiguration(ctx context.Context, t *testing.T, key string) {
+	fleet.put(ctx, t, configurationPartition, journal.EncodeKeyed(key, make([]byte, configurationBytes)))
 }
 
-func (all *allStarted) build(ctx context.Context, given conditions, number int, after time.Duration) *started {
+func (fleet *testFleet) newDaemon(ctx context.Context, given conditions, number int, after time.Duration) *testDaemon {
 	logger := zap.NewNop()
-	b := &started{run: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applied{at: map[string]time.Time{}}}
-	var own journal.Journal = reached{all.log, given.takes, all.out, &wire{ctx: ctx, bytesPerSecond: startLink, turn: given.turn}, &all.read}
-	b.revived = journal.DetectLostCalls(own, logger)
-	if given.revive {
-		own = b.revived
+	b := &testDaemon{incarnation: identity.New(fmt.Sprint("m", number), time.Now()), applied: &applyTimes{at: map[string]time.Time{}}}
+	var own journal.Journal = linkedJournal{fleet.log, given.latency, fleet.storeLink, &link{ctx: ctx, bytesPerSecond: linkBytesPerSecond, chunkBytes: given.chunkBytes}, &fleet.read}
+	b.lostCalls = journal.DetectLostCalls(own, logger)
+	if given.detectLostCalls {
+		own = b.lostCalls
 	}
 	b.batches = ledger.New(ctx, own, logger)
-	b.member = group.New(own, b.run, append(ledger.TopicNames(), runner.RunnersTopic), logger)
-	b.reader = results.NewReader(b.batches, b.member, all, own.RateLimits(), b.run, logger)
-	follower := journal.NewKeyedFollower(own, startTopic, b.applied, settings.Defaults().Timing.ContactBound.Std(), logger)
-	follower.SetInterval(journal.SharedInterval(own.RateLimits().ReadsPerSecond*operatorReadShare, all.Daemons))
-	forwarder := &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Names: headers.Names{}, Quarantine: quarantine.New(b.run, time.Now, logger), Table: replica.NewTable(time.Second, logger), Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
-	jobs := runner.New(ctx, b.run, b.batches, forwarder, nil, nil, runner.NewAssigner(own, b.member, b.run, logger), b.reader, logger)
+	b.member = group.New(own, b.incarnation, append(ledger.TopicNames(), runner.RunnersTopic), logger)
+	b.reader = results.NewReader(b.batches, b.member, fleet, own.RateLimits(), b.incarnation, logger)
+	follower := journal.NewKeyedFollower(own, configurationPartition, b.applied, settings.Defaults().Timing.ContactBound.Std(), logger)
+	follower.SetInterval(journal.SharedInterval(own.RateLimits().ReadsPerSecond*operatorReadFraction, fleet.Daemons))
+	forwarder := &forward.Forwarder{MaxConnections: forward.UnboundedConnections, Names: headers.Names{}, Quarantine: quarantine.New(b.incarnation, time.Now, logger), Table: replica.NewTable(time.Second, logger), Pool: upstream.NewPool(upstream.Options{}), Logger: logger}
+	jobs := runner.New(ctx, b.incarnation, b.batches, forwarder, nil, nil, runner.NewAssigner(own, b.member, b.incarnation, logger), b.reader, logger)
 	time.AfterFunc(after, func() {
 		for _, run := range []func(context.Context){follower.Run, b.member.Run, runner.NewWatcher(jobs, b.member).Run} {
 			go run(ctx)
@@ -310,183 +308,178 @@
 }
 
 // Daemons implements results.Peers.
-func (all *allStarted) Daemons() int { return startDaemons }
+func (fleet *testFleet) Daemons() int { return fleetSize }
 
 // Ask implements results.Peers.
-func (all *allStarted) Ask(ctx context.Context, machine, _ string, asked, answer any) error {
-	for _, e := range all.daemons {
-		if identity.Machine(e.run) == machine {
-			return e.reader.Service(ctx).Results(asked.(results.Query), answer.(*results.Page))
+func (fleet *testFleet) Ask(ctx context.Context, machine, _ string, query, answer any) error {
+	for _, e := range fleet.daemons {
+		if identity.Machine(e.incarnation) == machine {
+			return e.reader.Service(ctx).Results(query.(results.Query), answer.(*results.Page))
 		}
 	}
 	return errors.New("no such daemon")
 }
 
-// learned reports whether each partition has been read by the member that it is dealt to.
-func (all *allStarted) learned() bool {
+// allLearned reports whether each partition has been read by the daemon that it is assigned to.
+func (fleet *testFleet) allLearned() bool {
 	read := 0
-	for _, e := range all.daemons {
+	for _, e := range fleet.daemons {
 		for name := range e.member.Partitions() {
 			if name.Topic != runner.RunnersTopic && e.batches.Partition(name).IsFresh() {
 				read++
 			}
 		}
 	}
-	return read >= ledger.TopicCount*all.log.Partitions
+	return read >= ledger.TopicCount*fleet.log.Partitions
 }
 
-// awaitLearned returns after which time all partitions were learned, and false if they were
-// not when the context ended.
-func (all *allStarted) awaitLearned(ctx context.Context) (after time.Duration, learned bool) {
-	for !all.learned() {
-		if pass(ctx, 50*time.Millisecond) != nil {
-			return time.Since(all.began), false
+// awaitLearned waits until all partitions are learned. It returns the time since the start, and
+// false if the context ended first.
+func (fleet *testFleet) awaitLearned(ctx context.Context) (after time.Duration, learned bool) {
+	for !fleet.allLearned() {
+		if sleep(ctx, 50*time.Millisecond) != nil {
+			return time.Since(fleet.began), false
 		}
 	}
-	return time.Since(all.began), true
+	return time.Since(fleet.began), true
 }
 
-// ask asks for a batch page by page, each time at another daemon, until all its results have
-// been told, and returns how often it was refused.
-func (all *allStarted) ask(ctx context.Context, id string, random *rand.Rand) (refused int, a bool) {
-	const comeBack = 400 * time.Millisecond // as callers are told by the ingress
+// fetchBatch reads a batch page by page, each page from a random daemon, until it has all results.
+// It returns the number of failed queries, and false if the context ended first.
+func (fleet *testFleet) fetchBatch(ctx context.Context, id string, random *rand.Rand) (failed int, complete bool) {
+	const retryDelay = 400 * time.Millisecond // the delay that the ingress asks of clients
 	for after, total := 0, 1; after < total; {
 		if ctx.Err() != nil {
-			return refused, false
+			return failed, false
 		}
-		page, err := all.daemons[random.IntN(startDaemons)].reader.Results(ctx, results.Query{BatchID: id, After: after})
+		page, err := fleet.daemons[random.IntN(fleetSize)].reader.Results(ctx, results.Query{BatchID: id, After: after})
 		if err != nil || !page.Found {
-			refused++
-			_ = pass(ctx, comeBack)
+			failed++
+			_ = sleep(ctx, retryDelay)
 			continue
 		}
 		after, total = page.Next, page.Total
 	}
-	return refused, true
+	return failed, true
 }
 
-// askAll has each batch asked for by two callers, and returns how many were not told all,
-// how many questions were refused, and when the last was told.
-func (all *allStarted) askAll(ctx context.Context) (untold, refused int, last time.Duration) {
+// fetchAllBatches has two clients read each batch. It returns how many clients did not get all
+// results, how many queries failed, and when the last complete client was done.
+func (fleet *testFleet) fetchAllBatches(ctx context.Context) (incomplete, failed int, last time.Duration) {
 	var callers sync.WaitGroup
 	var mu sync.Mutex
-	for i := range 2 * startBatches {
+	for i := range 2 * batchCount {
 		callers.Go(func() {
-			times, a := all.ask(ctx, fmt.Sprint("b", i%startBatches), rand.New(rand.NewPCG(7, uint64(i))))
+			failures, complete := fleet.fetchBatch(ctx, fmt.Sprint("b", i%batchCount), rand.New(rand.NewPCG(7, uint64(i))))
 			mu.Lock()
 			defer mu.Unlock()
-			refused += times
-			if a {
-				last = max(last, time.Since(all.began))
+			failed += failures
+			if complete {
+				last = max(last, time.Since(fleet.began))
 			} else {
-				untold++
+				incomplete++
 			}
 		})
 	}
 	callers.Wait()
-	return untold, refused, last
+	return incomplete, failed, last
 }
 
-// configureAll writes a configuration each second, and returns how many of all daemons'
-// came into force late, and the time that the slowest took. The first counts from when the
-// last daemon has started.
-func (all *allStarted) configureAll(ctx context.Context, t *testing.T) (late, of int, slowest time.Duration) {
-	written := map[string]time.Time{"first": all.began.Add(startSpread)}
-	for i := 0; time.Since(all.began) < servesAgain-inForce-time.Second; i++ {
+// measureConfigurations writes a configuration each second. It returns how many of the applications
+// on all daemons took longer than maxConfigurationDelay, their total, and the slowest. The delay of
+// the first configuration counts from when all daemons have started.
+func (fleet *testFleet) measureConfigurations(ctx context.Context, t *testing.T) (late, total int, slowest time.Duration) {
+	written := map[string]time.Time{"first": fleet.began.Add(maxStartDelay)}
+	for i := 0; time.Since(fleet.began) < maxRecoveryTime-maxConfigurationDelay-time.Second; i++ {
 		time.Sleep(time.Second)
 		key := fmt.Sprint("change", i)
 		written[key] = time.Now()
-		all.configure(ctx, t, key)
+		fleet.writeConfiguration(ctx, t, key)
 	}
-	time.Sleep(time.Until(all.began.Add(servesAgain)))
-	for _, e := range all.daemons {
+	time.Sleep(time.Until(fleet.began.Add(maxRecoveryTime)))
+	for _, e := range fleet.daemons {
 		for key, at := range written {
 			took := e.applied.after(key, at)
-			of++
+			total++
 			slowest = max(slowest, took)
-			if took > inForce {
+			if took > maxConfigurationDelay {
 				late++
 			}
 		}
 	}
-	return late, of, slowest
+	return late, total, slowest
 }
 
-// givenUp is how many calls were given up on the word of others.
-func (all *allStarted) givenUp() (calls uint64) {
-	for _, e := range all.daemons {
-		calls += e.revived.CallsGivenUp.Load()
+// callsGivenUp returns how many journal calls the lost-call detectors gave up.
+func (fleet *testFleet) callsGivenUp() (calls uint64) {
+	for _, e := range fleet.daemons {
+		calls += e.lostCalls.CallsGivenUp.Load()
 	}
 	return calls
 }
 
-// under runs a test of daemons that all start.
-func under(t *testing.T, name string, given conditions, check func(is *is.I, ctx context.Context, t *testing.T, all *allStarted)) {
+// runFleetTest runs check on a fleet that starts under the given conditions.
+func runFleetTest(t *testing.T, name string, given conditions, check func(is *is.I, ctx context.Context, t *testing.T, fleet *testFleet)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			check(is.New(t), ctx, t, startAll(ctx, t, given))
+			check(is.New(t), ctx, t, startFleet(ctx, t, given))
 		})
 	})
 }
 
-// While daemons start one after the other, the group deals all partitions anew with each of
-// them, and each read at once whatever it had at that moment, only to lose it again. With nobody
-// asking anything, 72 MB were read as 128 to 396 MB, the more the later the journal answers, just
-// when all depends on it. A partition is for the one daemon that watches it, and for one that
-// watched it before.
+// While daemons start one by one, partitions are reassigned with each join. Daemons must not read
+// whole partitions that they are about to lose, or the journal sends a multiple of its data.
 func TestPartitionsAreLearnedAfterAllDaemonsStarted(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"as granted": {prompt, startGrant, turnBytes, true, false}, "a quarter": {prompt, startGrant / 4, turnBytes, true, false},
-		"late": {late, startGrant, turnBytes, true, false}, "late, a quarter": {late, startGrant / 4, turnBytes, true, false},
+		"full rate": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, false}, "quarter rate": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
+		"high latency": {longLatency, grantedBytesPerSecond, linkChunkBytes, true, false}, "high latency, quarter rate": {longLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, false},
 	} {
-		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
-			bounded, stop := context.WithTimeout(ctx, servesAgain)
+		runFleetTest(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, fleet *testFleet) {
+			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
-			after, learned := all.awaitLearned(bounded)
-			t.Logf("learned %v after %v, %d MB read of %d, %d calls given up", learned, after, all.read.Load()>>20, startBatches*startBytes>>20, all.givenUp())
+			after, learned := fleet.awaitLearned(bounded)
+			t.Logf("learned %v after %v, %d MB read of %d, %d calls given up", learned, after, fleet.read.Load()>>20, batchCount*batchBytes>>20, fleet.callsGivenUp())
 			is.True(learned)
-			is.True(all.read.Load() <= 2*startBatches*startBytes)
+			is.True(fleet.read.Load() <= 2*batchCount*batchBytes)
 		})
 	}
 }
 
-// Questions press just after a start of all, and long answers hold up short ones. A
-// configuration is in force in its time all the same, also where calls are given up on the word of
-// others.
-func TestAConfigurationIsInForceWhileQuestionsPress(t *testing.T) {
+// Many queries just after a start of all daemons must not delay configurations, whether or not lost
+// calls are given up.
+func TestConfigurationAppliesUnderQueryLoad(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"in a row": {prompt, startGrant, 0, true, true}, "in a row, waited for": {prompt, startGrant, 0, false, true},
-		"in turns": {prompt, startGrant, turnBytes, true, true}, "in turns, waited for": {prompt, startGrant, turnBytes, false, true},
-		"in turns, a quarter": {prompt, startGrant / 4, turnBytes, true, true}, "in turns, a quarter, waited for": {prompt, startGrant / 4, turnBytes, false, true},
+		"sequential": {shortLatency, grantedBytesPerSecond, 0, true, true}, "sequential, lost calls kept": {shortLatency, grantedBytesPerSecond, 0, false, true},
+		"interleaved": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "interleaved, lost calls kept": {shortLatency, grantedBytesPerSecond, linkChunkBytes, false, true},
+		"interleaved, quarter rate": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true}, "interleaved, quarter rate, lost calls kept": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, false, true},
 	} {
-		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
-			bounded, stop := context.WithTimeout(ctx, servesAgain)
+		runFleetTest(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, fleet *testFleet) {
+			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
-			go all.askAll(bounded)
-			late, of, slowest := all.configureAll(ctx, t)
-			t.Logf("%d of %d later than %v, the slowest after %v, %d MB read, %d calls given up", late, of, inForce, slowest, all.read.Load()>>20, all.givenUp())
+			go fleet.fetchAllBatches(bounded)
+			late, total, slowest := fleet.measureConfigurations(ctx, t)
+			t.Logf("%d of %d later than %v, slowest after %v, %d MB read, %d calls given up", late, total, maxConfigurationDelay, slowest, fleet.read.Load()>>20, fleet.callsGivenUp())
 			is.Equal(late, 0)
 		})
 	}
 }
 
-// Readers take their share of what the journal grants, not of what it is seen to carry. With
-// a journal that carries a quarter, their reads alone are twice what it sends, the holders of
-// partitions have nothing left to read them with, and no caller was told anything in 15 s.
-// With one that carries what it grants and takes 0.25 s an answer, no holder was known.
-func TestBatchesAreToldWithinTheTimeToServeAgain(t *testing.T) {
+// Readers must limit themselves to a share of the granted rate. Otherwise their reads alone exceed
+// what a slower journal can send, the watchers of partitions cannot read them, and no client gets
+// results in time.
+func TestBatchesAreReadWithinRecoveryTime(t *testing.T) {
 	for name, given := range map[string]conditions{
-		"as granted": {prompt, startGrant, turnBytes, true, true}, "a quarter": {prompt, startGrant / 4, turnBytes, true, true},
-		"late": {late, startGrant, turnBytes, true, true}, "late, a quarter": {late, startGrant / 4, turnBytes, true, true},
+		"full rate": {shortLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "quarter rate": {shortLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
+		"high latency": {longLatency, grantedBytesPerSecond, linkChunkBytes, true, true}, "high latency, quarter rate": {longLatency, grantedBytesPerSecond / 4, linkChunkBytes, true, true},
 	} {
-		under(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, all *allStarted) {
-			bounded, stop := context.WithTimeout(ctx, servesAgain)
+		runFleetTest(t, name, given, func(is *is.I, ctx context.Context, t *testing.T, fleet *testFleet) {
+			bounded, stop := context.WithTimeout(ctx, maxRecoveryTime)
 			defer stop()
-			untold, refused, last := all.askAll(bounded)
-			t.Logf("%d of %d callers not told all in %v, the last of the others after %v, %d questions refused, %d MB read", untold, 2*startBatches, servesAgain, last, refused, all.read.Load()>>20)
-			is.Equal(untold, 0)
+			incomplete, failed, last := fleet.fetchAllBatches(bounded)
+			t.Logf("%d of %d clients incomplete after %v, the last of the others done after %v, %d queries failed, %d MB read", incomplete, 2*batchCount, maxRecoveryTime, last, failed, fleet.read.Load()>>20)
+			is.Equal(incomplete, 0)
 		})
 	}
 }
