--- a/internal/callers/usage/reporter.go
+++ b/internal/callers/usage/reporter.go
@@ -19,14 +19,14 @@
 const (
 	// stepInterval is the time between checks for windows to decide or report.
 	stepInterval = 200 * time.Millisecond
-	// decideFraction is the fraction of Windows.Due after which a window is decided. Counts of
+	// decideFraction is the fraction of UsageSchedule.DueAfter after which a window is decided. Counts of
 	// long requests, or of daemons that lost the journal, can arrive until then, and another
 	// daemon that takes over the lease can still report in time.
 	decideFraction = 0.4
 	// minSteadyTime is the time since the last failure after which a window is decided: right
 	// after an outage of the journal the daemons have yet to write their counts.
 	minSteadyTime = 1500 * time.Millisecond
-	// forceFraction is the fraction of Windows.Due after which a window is decided even if the
+	// forceFraction is the fraction of UsageSchedule.DueAfter after which a window is decided even if the
 	// last failure is more recent than minSteadyTime.
 	forceFraction = 0.85
 	// readTimeout bounds one read of the partition. minReadBytes is the size limit of its answer,
