--- a/internal/batches/runner/adopt.go
+++ b/internal/batches/runner/adopt.go
@@ -11,16 +11,18 @@
 	"woodworks/internal/daemon/periodic"
 )
 
-// closedBatchTTL is how long a batch that was found closed is not adopted again. It exceeds the
-// maximum age of the watcher's fold, which may lack the record that closed the batch.
+// closedBatchTTL is the time for which a daemon that found a batch closed does not adopt it again.
+// It exceeds the maximum age of the watcher's fold, which may lack the record that closed the
+// batch.
 const closedBatchTTL = 2 * heartbeatTimeout
 
-// AdoptAssigned starts a batch if, after its fold has caught up, this daemon owns it. It retries
-// while the journal can't be read.
+// AdoptAssigned starts a batch if this daemon owns it according to the batch's fold, after reading
+// the fold's partition to its end. It retries while the journal can't be read. If the runner is
+// stopping, AdoptAssigned releases the batch instead.
 func (r *Runner) AdoptAssigned(batchID string) {
 	whole := r.ledger.PartitionOf(batchID)
 	if !r.beginWork() {
-		// The daemon that assigned the batch did not know of the stop.
+		// The daemon that assigned the batch did not know that this one is stopping.
 		r.releaseUnstarted(whole, batchID)
 		return
 	}
@@ -37,8 +39,9 @@
 	}
 }
 
-// TakeOver makes this daemon the owner in place of from ("" for a released batch) and starts the
-// batch. It has no effect if from is no longer the owner. The error is ErrStopping or ErrUnknown.
+// TakeOver makes this daemon the owner of a batch in place of the daemon from, or of a released
+// batch if from is "", and starts the batch. If from is no longer the owner, TakeOver has no
+// effect and returns nil. The error is ErrStopping or wraps ErrUnknown.
 func (r *Runner) TakeOver(ctx context.Context, batchID, from string) error {
 	if !r.beginWork() {
 		return ErrStopping
@@ -57,9 +60,9 @@
 	return nil
 }
 
-// adopt starts a batch if the fold says that it is open and owned by this daemon, and it neither
-// runs here nor was recently closed here. The job follows the batch by that fold; Release waits for
-// the job.
+// adopt starts a batch if the fold says that it is open and owned by this daemon, unless the batch
+// runs here or was recently closed here. The job follows the batch by the same fold, and Release
+// waits for the job.
 func (r *Runner) adopt(partition *ledger.Partition, batchID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/batches/runner/adopt_test.go
+++ b/internal/batches/runner/adopt_test.go
@@ -44,7 +44,7 @@
 				watcher := NewWatcher(owner, &fakeGroup{})
 				watcher.inspect(whole.Name(), &watchedPartition{owners: map[string]observation{}}, 0, time.Now())
 				is.Equal(running(), 0)
-				// The entry expires, and the watcher's stale fold with it.
+				// The entry in closedBatches expires, and so does the watcher's stale fold.
 				time.Sleep(closedBatchTTL + time.Millisecond)
 				watcher.inspect(whole.Name(), &watchedPartition{owners: map[string]observation{}}, 0, time.Now())
 				is.Equal(running(), 0)
--- a/internal/batches/runner/assign.go
+++ b/internal/batches/runner/assign.go
@@ -65,8 +65,8 @@
 	return journal.Partition{Topic: RunnersTopic, Number: int(hash.Sum32() % uint32(partitions))}
 }
 
-// ChooseOwner returns the daemon that should own a batch: the watcher of its model's partition, or
-// this daemon if the watcher is unknown.
+// ChooseOwner returns the daemon that should own a batch: the watcher of the model's partition of
+// RunnersTopic, or this daemon if that watcher is unknown.
 func (a *Assigner) ChooseOwner(ctx context.Context, submission *batch.Submission) string {
 	owner, ok := a.group.WatcherOf(ctx, a.partitionOf(submission))
 	if !ok {
@@ -112,8 +112,8 @@
 	}
 }
 
-// follow reads the assignments of one partition from its beginning. Old ones do no harm: adopt
-// ignores batches that have ended or belong to another daemon.
+// follow reads the assignments of one partition from its beginning. Old assignments do no harm:
+// adopt ignores batches that have ended or belong to another daemon.
 func (a *Assigner) follow(ctx context.Context, name journal.Partition, adopt func(batchID string)) {
 	next := int64(0)
 	for ctx.Err() == nil {
--- a/internal/batches/runner/attempt.go
+++ b/internal/batches/runner/attempt.go
@@ -25,8 +25,8 @@
 	errHandedOver = errors.New("runner: item handed over to another replica")
 )
 
-// attempt is one attempt at running an item at a replica. It is the current one until the item has
-// a newer one; only the current attempt changes the item.
+// attempt is one attempt at running an item at a replica. The current attempt is the one whose
+// number equals the item's attempt; only the current attempt changes the item.
 type attempt struct {
 	routedItem
 	number  int
@@ -48,8 +48,8 @@
 	a.handleOutcome(err)
 }
 
-// open requests the item's event stream from the replica and cancels the attempt if it gets no
-// answer within the timeout.
+// open requests the item's event stream from the replica. If the replica does not answer within
+// the timeout, open cancels the attempt.
 func (a *attempt) open(
 	ctx context.Context, cancel context.CancelFunc, req *forward.StreamRequest, timeout time.Duration,
 ) (*forward.Stream, error) {
@@ -58,8 +58,9 @@
 	return a.job.r.forwarder.OpenStream(ctx, req, a.replica)
 }
 
-// handleOutcome handles the end of an attempt, successful if err is nil: the item is scored, tried
-// again or given up. The item does not change if the attempt is no longer the current one.
+// handleOutcome handles the end of an attempt; a nil err means that the text is complete. The item
+// is scored, tried again or given up. It does not change if the attempt is no longer the current
+// one, the item's result is in the ledger or the job has ended.
 func (a *attempt) handleOutcome(err error) {
 	j, it := a.job, a.item
 	j.r.table.RequestEnded(a.replica.Incarnation())
@@ -123,8 +124,8 @@
 	}
 }
 
-// recordEventTime records the time between the last event and this one, or the time to the first
-// event if last is zero. It returns the current time.
+// recordEventTime records the time since the attempt's previous event, which arrived at last, or
+// the time to the first event if last is zero. It returns the current time.
 func (a *attempt) recordEventTime(last time.Time) time.Time {
 	now := time.Now()
 	if last.IsZero() {
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -16,8 +16,8 @@
 // one that others report.
 const ownEventTimeMaxAge = 3 * time.Second
 
-// engineSharing divides the room at engines between this daemon and other owners. A nil one ignores
-// other owners.
+// engineSharing divides the room at engines between this daemon and other owners. A nil
+// *engineSharing ignores other owners.
 type engineSharing struct {
 	self     string
 	table    *occupancy.Table
@@ -48,9 +48,9 @@
 // ReplicaKey returns the key by which other owners know this incarnation of a replica.
 func ReplicaKey(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.StartedAt) }
 
-// withReports returns the engine with this owner's preference for it and with what other owners
-// report: their requests in flight, and their event time if this daemon has none or only an old
-// one.
+// withReports returns the engine with this owner's preference for it and with the requests in
+// flight that other owners report. If this daemon's event time of the engine is unknown or older
+// than ownEventTimeMaxAge, a newer one that others report replaces it.
 func (s *engineSharing) withReports(
 	engine scheduling.Engine, rep replica.Replica, now time.Time,
 ) scheduling.Engine {
@@ -94,7 +94,8 @@
 	kept := limitStarts(decisions, allowed)
 	demand, room := demandOf(key, snap, kept)
 	if allowed == due && room {
-		// Items that wait although there is room wait for something else, such as newer weights.
+		// An engine has room and recent enough weights for the most urgent item left, so the items
+		// do not wait for room.
 		demand.Waiting = 0
 	}
 	s.demands[service] = demand
@@ -116,8 +117,8 @@
 	s.onChange()
 }
 
-// ReportReceived triggers a pass of the dispatcher if items wait for room: a new report may show
-// that there is some. It never blocks. ShareEngines must have been called.
+// ReportReceived triggers a pass of the dispatcher if items wait for room, since a new report may
+// show that an engine has room. It never blocks. ShareEngines must have been called.
 func (r *Runner) ReportReceived() {
 	s := r.sharing
 	s.mu.Lock()
--- a/internal/batches/runner/engineshare_test.go
+++ b/internal/batches/runner/engineshare_test.go
@@ -231,7 +231,7 @@
 	is.True(with <= 4)
 }
 
-// An owner with a long queue must leave slots to one whose burst starts later.
+// An owner with a long queue must leave slots to an owner whose burst starts later.
 func TestLaterOwnerGetsItsShare(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(true, 5, [2]int{0, 800}, [2]int{200, 100})
@@ -274,7 +274,7 @@
 	is.Equal(s.demands["s"].InFlight, uint32(1))
 }
 
-// A reported event time is used if this daemon has none or an older one.
+// A reported event time is used if this daemon has none of the replica or only an older one.
 func TestReportedEventTimeReplacesMissingOrStaleOne(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(true, 1, [2]int{0, 1}).owners[0].sharing
--- a/internal/batches/runner/fold_test.go
+++ b/internal/batches/runner/fold_test.go
@@ -17,7 +17,7 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// ledgerLocator locates batches in a ledger; with a nil one it always fails.
+// ledgerLocator locates batches in a ledger. If the ledger is nil, every call fails.
 type ledgerLocator struct{ *ledger.Ledger }
 
 // Beginning implements Locator.
@@ -61,15 +61,16 @@
 	}
 }
 
-// firstHeartbeat reports whether the owner of oneItem has shown a sign of life, and who owns it.
+// firstHeartbeat reports whether the owner of oneItem has shown a sign of life, and returns the
+// owner.
 func firstHeartbeat(partition *ledger.Partition) (seen bool, owner string) {
 	partition.ViewBatch("x", func(b *batch.Batch) { seen, owner = b.LivenessSignals > 0, b.Owner })
 	return seen, owner
 }
 
 // timeToFirstHeartbeat returns the time from the acceptance of oneItem to its owner's first
-// heartbeat, and that owner. The partition holds the given bytes of other batches, and the owner is
-// behind a slow link.
+// heartbeat, and the name of that owner. The partition holds the given bytes of other batches, and
+// the owner is behind a slow link.
 func timeToFirstHeartbeat(
 	ctx context.Context, t *testing.T, others int, bytesPerSecond float64, locator Locator,
 ) (took time.Duration, owner string) {
--- a/internal/batches/runner/handover.go
+++ b/internal/batches/runner/handover.go
@@ -12,8 +12,9 @@
 
 // handOver moves a running item to another replica. The current attempt is cancelled only once the
 // other replica has accepted the item, since a replica that is changing its weights declines.
-// Events that arrive meanwhile are buffered: they are dropped if the other replica accepts, which
-// generates them too, and added to the text if it declines.
+// Until then, events of the current attempt are buffered. If the other replica accepts, the
+// buffered events are dropped, since that replica generates this part of the text too; if it
+// declines, they are added to the text.
 func (j *job) handOver(routed routedItem, to replica.Replica, gain time.Duration) {
 	it := routed.item
 	j.mu.Lock()
@@ -23,8 +24,8 @@
 	}
 	it.buffering = true
 	if !it.hasFirstEvent {
-		// A first event that has not arrived yet counts as well, so that the expected time grows
-		// when all engines become slow.
+		// The time waited so far counts as a latency although no event has arrived, so that the
+		// expected latency grows when all engines become slow.
 		j.r.firstEventLatency.Observe(serviceOf(routed.route, it), time.Since(it.startedAt))
 	}
 	from := it.attempt
--- a/internal/batches/runner/handover_test.go
+++ b/internal/batches/runner/handover_test.go
@@ -33,7 +33,7 @@
 	return j, it
 }
 
-// event returns the event with an id.
+// event returns the event with the given id.
 func event(id int64) eventstream.Event {
 	return eventstream.Event{ID: id, HasID: true, Data: []byte{byte('a' + id)}}
 }
--- a/internal/batches/runner/heartbeat.go
+++ b/internal/batches/runner/heartbeat.go
@@ -22,7 +22,7 @@
 )
 
 // heartbeat appends a heartbeat that includes the new events of items that have run for
-// minCheckpointAge. A released batch gets none.
+// minCheckpointAge. It appends nothing once the release of the batch has begun.
 func (j *job) heartbeat() {
 	j.mu.Lock()
 	released := j.release.begun
@@ -96,8 +96,9 @@
 	return progress
 }
 
-// heartbeatNumber returns the number of a heartbeat. It increases over all batches of this
-// incarnation, so that a batch that returns to this daemon is not taken for silent.
+// heartbeatNumber returns the number of a heartbeat, which is based on the milliseconds since the
+// runner's start. It increases over all batches of this incarnation, so that the owner of a batch
+// that returns to this daemon is not taken for silent.
 func (r *Runner) heartbeatNumber(now time.Time) int64 {
 	return now.Sub(r.startedAt).Milliseconds() + 1
 }
--- a/internal/batches/runner/history.go
+++ b/internal/batches/runner/history.go
@@ -8,8 +8,8 @@
 	"woodworks/internal/batches/scheduling"
 )
 
-// maxRememberedBatches is the number of batches remembered per model. Trainers keep a few open at a
-// time, and an incomplete group is repeated in one of the next.
+// maxRememberedBatches is the number of batches remembered per model. A trainer keeps a few
+// batches open at a time and repeats an incomplete group in one of the batches that follow.
 const maxRememberedBatches = 4
 
 // history holds the groups and text lengths of the recent batches of each model. It is safe for
@@ -61,7 +61,7 @@
 	return repeated, m.lengths
 }
 
-// repeatedGroups returns the groups of a batch that another recorded batch contains.
+// repeatedGroups returns the groups of a batch that another recorded batch contains too.
 func (m *modelHistory) repeatedGroups(b rememberedBatch) map[string]bool {
 	repeated := map[string]bool{}
 	for _, before := range m.batches {
--- a/internal/batches/runner/item.go
+++ b/internal/batches/runner/item.go
@@ -30,7 +30,7 @@
 	header http.Header
 	// content identifies the request for the quarantine. It is nil until contentOf is first called.
 	content *quarantine.Content
-	// expectedTokens is the expected length of the answer.
+	// expectedTokens is the expected length of the answer in tokens.
 	expectedTokens int64
 
 	state itemState
@@ -45,8 +45,8 @@
 	// attempt is the number, from 1, of the current attempt. Events of attempts with another number
 	// are ignored.
 	attempt int
-	// failures counts the answers of replicas that report a failure of the item, rewardFailures
-	// those of its reward call.
+	// failures counts the answers of replicas that report a failure of the item; rewardFailures
+	// counts those that report a failure of the item's reward call.
 	failures       int
 	rewardFailures int
 	// lastReplica is the replica of the current or last attempt.
@@ -56,8 +56,8 @@
 	hasFirstEvent bool
 	// cancel, if not nil, cancels the current attempt.
 	cancel func()
-	// buffering says that events are kept in buffered during a hand-over: another replica is asked
-	// to continue after the last event before them.
+	// buffering says that a hand-over is in progress: another replica is asked to continue the
+	// text after lastEvent. Meanwhile the events of the current attempt are kept in buffered.
 	buffering bool
 	buffered  []receivedEvent
 
@@ -74,7 +74,7 @@
 	return items
 }
 
-// itemHeader returns an item's header list as an http.Header, with room for a few more.
+// itemHeader returns an item's header list as an http.Header with capacity for a few more names.
 func itemHeader(list []batch.Header) http.Header {
 	header := make(http.Header, len(list)+4)
 	for _, h := range list {
@@ -107,7 +107,8 @@
 	return sum
 }
 
-// beginAttempt makes a new attempt the current one and returns its number. The job's mutex is held.
+// beginAttempt makes a new attempt the current one and returns its number. Buffered events are
+// dropped. The job's mutex is held.
 func (it *item) beginAttempt(replicaID string, now time.Time) int {
 	it.attempt++
 	it.lastReplica, it.startedAt = replicaID, now
--- a/internal/batches/runner/job.go
+++ b/internal/batches/runner/job.go
@@ -19,8 +19,8 @@
 type job struct {
 	r          *Runner
 	submission *batch.Submission
-	// partition is the fold by which the job follows its batch: that of the whole partition or one
-	// that starts at the batch.
+	// partition is the fold by which the job follows its batch: the fold of the whole partition,
+	// or one that starts at the batch.
 	partition *ledger.Partition
 	adoptedAt time.Time
 	logger    *zap.Logger
@@ -40,10 +40,12 @@
 
 // placement holds what the scheduler needs to know of a job besides its items.
 type placement struct {
-	// groups maps a group to the incarnation of the replica that last started one of its items. A
-	// later incarnation has not cached the group's prompt.
+	// groups maps a group to the incarnation of the replica that last started one of its items and
+	// therefore has the group's prompt cached. A later incarnation of the replica does not have
+	// it.
 	groups map[string]replica.Incarnation
-	// required are the groups that an earlier batch contained too: the trainer waits for them.
+	// required holds the groups that an earlier batch contained too: the trainer waits for these
+	// groups to be complete.
 	required map[string]bool
 	// lengths estimates the lengths of the texts of the batch's model.
 	lengths *scheduling.LengthEstimator
--- a/internal/batches/runner/late_test.go
+++ b/internal/batches/runner/late_test.go
@@ -72,8 +72,8 @@
 }
 
 // timeToFirstHeartbeatDelayed returns the time from the acceptance of a new batch to its owner's
-// first heartbeat, and that owner, behind a delayed journal. The partition holds the given bytes of
-// other batches.
+// first heartbeat, and the name of that owner. Calls to the journal are delayed, and the partition
+// holds the given bytes of other batches.
 func timeToFirstHeartbeatDelayed(
 	ctx context.Context, t *testing.T, others int, takes time.Duration, groupTells bool,
 ) (took time.Duration, owner string) {
--- a/internal/batches/runner/listing.go
+++ b/internal/batches/runner/listing.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// listDelay is how long a result waits for others, to be appended in one record.
+	// listDelay is how long a result waits for further results, so that they are appended in one
+	// record.
 	listDelay = 10 * time.Millisecond
 	// listTimeout bounds one attempt to append results.
 	listTimeout = 2 * time.Second
--- a/internal/batches/runner/owner_test.go
+++ b/internal/batches/runner/owner_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// An owner is replaced if its batch was released, a newer incarnation is alive or it was silent.
+// An owner is replaced if its batch was released, a newer incarnation of the owner is alive, or
+// the owner was silent.
 func TestReasonToReplaceOwner(t *testing.T) {
 	is := is.New(t)
 	lastSeen := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/internal/batches/runner/release.go
+++ b/internal/batches/runner/release.go
@@ -13,7 +13,8 @@
 // handOffTimeout is how long a new owner leaves an item to the owner that released the batch.
 const handOffTimeout = 5 * time.Second
 
-// releaseState is the progress of a job's release: begun, and recorded in the journal.
+// releaseState says whether the release of a job's batch has begun, and whether it is recorded in
+// the journal.
 type releaseState struct{ begun, recorded bool }
 
 // startRelease releases the batch: no more items start, and those in progress continue. It returns
@@ -42,9 +43,9 @@
 	j.returnItems(ctx)
 }
 
-// returnItems informs the next owner of handed-off items that failed here, which it would otherwise
-// not start until handOffTimeout has passed. It does nothing before the release is recorded, as the
-// fold would ignore the record.
+// returnItems tells the next owner which handed-off items have failed here, so that the next owner
+// does not wait for handOffTimeout before it starts them. It does nothing before the release is
+// recorded, since the fold would ignore the record of the returned items.
 func (j *job) returnItems(ctx context.Context) {
 	j.mu.Lock()
 	var items []int
@@ -62,7 +63,8 @@
 	j.logger.Info("items given back", zap.Ints("items", items), zap.Error(err))
 }
 
-// markReturned allows the items to start that the releasing owner has returned. The mutex is held.
+// markReturned lets the job start the items that the releasing owner has returned. The mutex is
+// held.
 func (j *job) markReturned(b *batch.Batch) {
 	if j.release.begun {
 		return
--- a/internal/batches/runner/retry.go
+++ b/internal/batches/runner/retry.go
@@ -14,11 +14,11 @@
 // The rules that decide whether an item is tried again or given up.
 
 const (
-	// retryDelay is the delay before the next attempt at an item, and how long a replica is avoided
-	// to which this daemon has no free connection.
+	// retryDelay is the delay before the next attempt at an item. It is also how long a replica is
+	// avoided if this daemon has no free connection to the replica.
 	retryDelay = 20 * time.Millisecond
-	// firstEventTimeout bounds the wait for a replica's first response at the first attempt. It
-	// doubles with each attempt up to maxFirstEventTimeout.
+	// firstEventTimeout bounds the wait for a replica's first response at the first attempt. The
+	// timeout doubles with each attempt up to maxFirstEventTimeout.
 	firstEventTimeout    = scheduling.MaxFirstEventTimeout
 	maxFirstEventTimeout = 10 * time.Second
 	// minEventTimeout is the minimum timeout for a further event; eventTimeoutFactor times the
@@ -27,7 +27,7 @@
 	eventTimeoutFactor = 4
 )
 
-// fault is the fault of a replica that a failed attempt shows.
+// fault says what a failed attempt shows about its replica.
 type fault int
 
 const (
@@ -52,9 +52,10 @@
 	deadReason string
 }
 
-// decideRetry decides what follows a failed attempt. Only answers of replicas count as failures of
-// the item, up to maxAttempts; after any other cause the item is tried again until it expires.
-// failures is the number of failures before this one.
+// decideRetry decides what follows a failed attempt at an item. Only answers of replicas count as
+// failures of the item, which is given up after maxAttempts failures, or at once if it is
+// unprocessable. After any other cause the item is tried again until it expires. failures is the
+// number of failures before this attempt.
 func decideRetry(cause error, failures, maxAttempts int) retryDecision {
 	var status *forward.StatusError
 	var quarantined *forward.QuarantinedError
@@ -84,8 +85,8 @@
 	}
 }
 
-// handOverFault returns the fault of the replica that was asked in a failed hand-over. The item
-// continues at its current replica.
+// handOverFault returns what a failed hand-over shows about the replica that was asked to continue
+// the item. The item continues at its current replica.
 func handOverFault(cause error) fault {
 	var quarantined *forward.QuarantinedError
 	switch {
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -51,8 +51,9 @@
 	return j
 }
 
-// The age of a batch must be measured by the owner's monotonic clock. By the wall clocks, items
-// would expire at once, or never, if those of accepting daemon and owner differ.
+// The age of a batch must be measured by the owner's monotonic clock. Measured by wall clocks,
+// items would expire at once, or never, if the clocks of the accepting daemon and of the owner
+// differ.
 func TestExpiryUsesMonotonicClock(t *testing.T) {
 	const maxQueue = time.Minute
 	for _, behind := range []time.Duration{-time.Hour, -time.Minute, 0, 3 * time.Minute, time.Hour} {
--- a/internal/batches/runner/reward.go
+++ b/internal/batches/runner/reward.go
@@ -80,8 +80,9 @@
 	}, true
 }
 
-// reward sends an item's reward call until it succeeds, which returns the score, or has failed as
-// often as its route allows.
+// reward sends an item's reward call until it succeeds and returns the score. The error is
+// errRewardFailed if replicas reported as many failures as the call's route allows, or the error
+// of the job's context.
 func (j *job) reward(it *item) (string, error) {
 	backoff := rewardBackoff
 	for j.ctx.Err() == nil {
@@ -115,8 +116,8 @@
 	return float64(inFlight) < max(rewardSlotFraction*float64(slots), 1)
 }
 
-// attemptReward makes one attempt at the reward call. It reports done if no further attempt is to
-// follow.
+// attemptReward makes one attempt at the reward call. If done is true, no further attempt follows,
+// and score and err are the outcome of the call.
 func (j *job) attemptReward(it *item, rt *route.Route) (score string, done bool, err error) {
 	timeout := rewardTimeout
 	if rt.Timeout > 0 {
--- a/internal/batches/runner/runner.go
+++ b/internal/batches/runner/runner.go
@@ -92,7 +92,8 @@
 	assigner  *Assigner
 	locator   Locator
 	observe   PhaseObserver
-	// sharing is nil if no address for peers is configured: nothing is known of other owners then.
+	// sharing is nil if no address for calls between daemons is configured; the runner then
+	// ignores the requests of other owners.
 	sharing *engineSharing
 
 	history           *history
@@ -113,11 +114,12 @@
 	mu       sync.Mutex
 	jobs     map[string]*job
 	stopping atomic.Bool
-	// closedBatches holds batches that a job of this daemon has found closed within closedBatchTTL.
+	// closedBatches holds the ids of the batches that a job of this daemon found closed less than
+	// closedBatchTTL ago. adopt ignores these batches.
 	closedBatches map[string]bool
 }
 
-// New returns a runner whose owner name is self. All its work ends with ctx.
+// New returns a runner whose owner name is self. The runner's work ends when ctx ends.
 func New(
 	ctx context.Context, self string, batches *ledger.Ledger, forwarder *forward.Forwarder, operator Operator,
 	demands *demand.Publisher, assigner *Assigner, locator Locator, logger *zap.Logger,
--- a/internal/batches/runner/snapshot.go
+++ b/internal/batches/runner/snapshot.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// priority returns the rank of the job's items: that of the tenant if it has one, else that of the
-// route.
+// priority returns the rank of the job's items, 0 being the most urgent: the tenant's rank if it
+// has one, else the route's.
 func (j *job) priority(rt *route.Route) int {
 	configuration := j.r.operator.Configuration()
 	return configuration.Tenants.ByName(j.submission.Tenant).EffectivePriority(rt.Priority)
@@ -119,7 +119,8 @@
 		GroupEngine: string(j.placement.groups[it.Group]), // resolveGroupEngines replaces the incarnation by the engine's id
 	}
 	if it.attempt == 0 || it.state == itemRunning {
-		// Without MaxRemaining an item is never deferred; one whose attempt failed must not be.
+		// The scheduler never defers an item without MaxRemainingEvents. An item whose attempt
+		// failed must not be deferred.
 		described.MaxRemainingEvents = lengths.MaxRemaining(it.expectedTokens, events)
 	}
 	if it.state == itemRunning {
@@ -130,8 +131,8 @@
 	return described
 }
 
-// serviceOf returns the service that runs an item. It is drawn per item, not per batch, so that a
-// few large batches follow the weights of a split route too.
+// serviceOf returns the service that runs an item. The service is chosen by the item's id, not per
+// batch, so that the items of a few large batches are spread by the weights of a split route too.
 func serviceOf(rt *route.Route, it *item) string { return rt.ServiceOrder(it.ID)[0] }
 
 // blocked reports whether the quarantine forbids to run the item's content now. The mutex is held.
--- a/internal/batches/runner/standby.go
+++ b/internal/batches/runner/standby.go
@@ -10,8 +10,8 @@
 )
 
 // standBy takes over a batch that this daemon accepted for another owner if that owner sends no
-// first heartbeat: it may have ended before the group noticed. The watcher of the partition would
-// take the batch over too, but later.
+// first heartbeat, as the owner may have ended before the group noticed. The watcher of the
+// partition would take the batch over too, but later. accepting is how long the acceptance took.
 func (r *Runner) standBy(batchID, owner string, accepting time.Duration) {
 	if !r.beginWork() {
 		return
--- a/internal/batches/runner/stop_test.go
+++ b/internal/batches/runner/stop_test.go
@@ -36,7 +36,8 @@
 }
 
 // Release must wait for the records of batches without items in progress. If the daemon ended
-// before, those batches would stay idle until their owner was found silent.
+// before these records are written, the batches would stay idle until their owner was found
+// silent.
 func TestReleaseWaitsForItsRecords(t *testing.T) {
 	withJournal(t, func(ctx context.Context, t *testing.T, is *is.I, log *journaltest.Journal) {
 		owner := newOwnerOfTwo(ctx, t, log)
--- a/internal/batches/runner/takeover.go
+++ b/internal/batches/runner/takeover.go
@@ -56,8 +56,8 @@
 	return read
 }
 
-// take reports whether the read of a partition has ended, and removes it if so: the next check
-// starts another one.
+// take reports whether the read of a partition has ended. A read that has ended is removed, so
+// that the next check starts another one.
 func (c *confirmations) take(name journal.Partition, read *confirmation) bool {
 	select {
 	case <-read.ended:
@@ -109,7 +109,8 @@
 	return confirmed
 }
 
-// stillSilent reports whether the fold of the partition shows nothing new of a suspect owner.
+// stillSilent reports whether the partition's fold shows no change of the suspect's batch or owner
+// since the observation.
 func (r *Runner) stillSilent(suspect observation) (still bool) {
 	partition := r.ledger.Partition(suspect.partition)
 	partition.ViewBatch(suspect.batch, func(b *batch.Batch) { still = suspect.unchanged(b) })
--- a/internal/batches/runner/text.go
+++ b/internal/batches/runner/text.go
@@ -30,8 +30,9 @@
 	singleVersion bool
 }
 
-// append adds an event. It returns an error if the event leaves a gap, or if its version is older
-// than minVersion or differs from that of a single-version text, which starts over then.
+// append adds an event. It returns an error if the event's id does not follow the last one or its
+// version is older than minVersion. If the version of a single-version text changes, append clears
+// the text, which then starts over, and returns an error.
 func (t *text) append(e receivedEvent, minVersion int64) error {
 	event, version := e.event, e.version
 	if !event.HasID || (t.hasEvent && event.ID != t.lastEvent+1) {
--- a/internal/batches/runner/timing.go
+++ b/internal/batches/runner/timing.go
@@ -45,8 +45,9 @@
 	t.phase, t.since = next, now
 }
 
-// PhaseObserver receives the name of a phase and how long an item spent in it. After the last item
-// it also receives "until left", the time until the job ended.
+// PhaseObserver receives the name of a phase and how long an item spent in the phase. After the
+// phases of a batch's last item it also receives "until left", the time from that item's result to
+// the end of the job.
 type PhaseObserver func(phase string, took time.Duration)
 
 // SetPhaseObserver sets the observer of the phases of each batch's last item. It is called before
--- a/internal/batches/runner/timing_test.go
+++ b/internal/batches/runner/timing_test.go
@@ -12,7 +12,8 @@
 	"woodworks/internal/batches/batch"
 )
 
-// The breakdown is that of the item whose result came last, and its phases add up to the total.
+// The time breakdown describes the item whose result came last, and its phases add up to the
+// total.
 func TestTimeBreakdownIsOfItemListedLast(t *testing.T) {
 	is := is.New(t)
 	core, lines := observer.New(zapcore.InfoLevel)
--- a/internal/batches/runner/watcher.go
+++ b/internal/batches/runner/watcher.go
@@ -14,8 +14,9 @@
 const (
 	// watchInterval is the time between two checks of the owners and of the assigned partitions.
 	watchInterval = 200 * time.Millisecond
-	// unwatchDelay is how long a partition stays watched after it was assigned to another member,
-	// which learns of that only at the second join from then.
+	// unwatchDelay is how long this daemon continues to watch a partition that was assigned to
+	// another member. That member learns of the assignment only at the second join after the
+	// assignment.
 	unwatchDelay = 1500 * time.Millisecond
 )
 
@@ -25,7 +26,7 @@
 	Partitions() map[journal.Partition]bool
 	// Alive returns the daemons that are alive, by owner name.
 	Alive(ctx context.Context) ([]string, error)
-	// Generation increases whenever a daemon joins or leaves.
+	// Generation returns a number that increases whenever a daemon joins or leaves.
 	Generation() int64
 }
 
@@ -42,11 +43,13 @@
 	aliveUnknown bool
 }
 
-// watchedPartition is a partition with the last observation of each owner, by batch.
+// watchedPartition is a partition that the watcher follows. owners holds the last observation of
+// each batch's owner, by batch id.
 type watchedPartition struct {
 	unfollow func()
 	owners   map[string]observation
-	// reassignedAt is when the partition was first seen assigned to another member, or zero.
+	// reassignedAt is when the partition was first seen assigned to another member, or zero while
+	// it is assigned to this daemon.
 	reassignedAt time.Time
 }
 
@@ -109,8 +112,8 @@
 	return w.generation == before
 }
 
-// inspect returns the batches of a partition whose owner is suspect, and adopts those that this
-// daemon owns.
+// inspect returns the observations of the partition's owners that are to be checked, and adopts
+// the batches that this daemon owns.
 func (w *Watcher) inspect(name journal.Partition, p *watchedPartition, generation int64, now time.Time) []observation {
 	partition := w.runner.ledger.Partition(name)
 	// Silence counts only while the journal can be read: records written during an outage are read
@@ -156,7 +159,8 @@
 	return o
 }
 
-// recordChecked records the generation in which owners were checked.
+// recordChecked records that the owners in suspects were checked in the given generation. A batch
+// whose owner has changed meanwhile is left out.
 func (w *Watcher) recordChecked(suspects []observation, generation int64) {
 	for _, suspect := range suspects {
 		p := w.watched[suspect.partition]
@@ -167,8 +171,8 @@
 	}
 }
 
-// replaceLostOwners takes over the batches of the suspects that have ended. It reports false if it
-// could not find out which daemons are alive.
+// replaceLostOwners starts a takeover, in a goroutine of its own, of each suspect's batch whose
+// owner is to be replaced. It reports false if the group could not tell which daemons are alive.
 func (w *Watcher) replaceLostOwners(ctx context.Context, suspects []observation) bool {
 	if len(suspects) == 0 {
 		return true
