--- a/internal/batches/scheduling/firstevent.go
+++ b/internal/batches/scheduling/firstevent.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// MaxFirstEventTimeout bounds the wait for the first event of an attempt. It applies until
-	// enough latencies of a service are known; an engine that loads new weights can hold
-	// responses back for about a second.
+	// MaxFirstEventTimeout bounds the wait for the first event of an attempt: an engine that loads
+	// new weights can hold responses back for about a second. OverdueAfter never exceeds it, and
+	// returns it until enough latencies of a service are known.
 	MaxFirstEventTimeout = 1500 * time.Millisecond
-	// minFirstEventTimeout covers the prefill of a long prompt behind several others.
+	// minFirstEventTimeout is the least time after which a first event is overdue. It covers the
+	// prefill of a long prompt behind several others.
 	minFirstEventTimeout = 300 * time.Millisecond
-	// firstEventWindow is the number of latencies kept for each service. Below
-	// minFirstEventSamples of them MaxFirstEventTimeout applies.
+	// firstEventWindow is the number of latencies kept for each service. With fewer than
+	// minFirstEventSamples of them, MaxFirstEventTimeout applies.
 	firstEventWindow     = 128
 	minFirstEventSamples = 16
-	// referenceQuantile and overdueFactor determine when a first event is overdue: after
-	// overdueFactor times that quantile of the recorded latencies.
+	// A first event is overdue after overdueFactor times the referenceQuantile of the recorded
+	// latencies.
 	referenceQuantile = 0.9
 	overdueFactor     = 2.5
 )
--- a/internal/batches/scheduling/length.go
+++ b/internal/batches/scheduling/length.go
@@ -12,7 +12,7 @@
 	// defaultDeviation is the standard deviation of log(events / hinted tokens) assumed before
 	// any observation.
 	defaultDeviation = 0.5
-	// priorWeight is the number of observations that the defaults count as.
+	// priorWeight is the number of observations that the default distribution counts as.
 	priorWeight = 8
 	// maxWeight limits how many past observations the running means reflect.
 	maxWeight = 1000
@@ -23,8 +23,9 @@
 	minDeviation = 0.05
 	// exceedingFraction is the fraction of outputs that exceed the result of MaxRemaining.
 	exceedingFraction = 0.05
-	// minTailFraction is the tail probability below which an output counts as longer than any
-	// estimate.
+	// minTailFraction is the smallest tail probability for which an estimate is made. If a smaller
+	// fraction of outputs is expected to exceed an output's present length, the output counts as
+	// longer than any estimate.
 	minTailFraction = 1e-9
 	// overrunFraction is the expected remaining length of an output that is longer than any
 	// estimate, as a fraction of its present length.
@@ -38,23 +39,23 @@
 type LengthEstimator struct {
 	mu sync.Mutex
 	// weight is the number of observations that the running means count as, at most maxWeight.
-	// mean and variance are those of log(events / hinted tokens).
+	// mean and variance are the mean and the variance of log(events / hinted tokens).
 	weight, mean, variance float64
-	// hintMean and hintVariance are those of log(hinted tokens); covariance is that of the two
-	// logarithms.
+	// hintMean and hintVariance are the mean and the variance of log(hinted tokens); covariance is
+	// the covariance of log(hinted tokens) and log(events / hinted tokens).
 	hintMean, hintVariance, covariance float64
 	// longest is the length of the longest recent output, in events. It decays slowly.
 	longest float64
 }
 
-// NewLengthEstimator returns an estimator that has only the default distribution.
+// NewLengthEstimator returns an estimator whose estimates start from the default distribution.
 func NewLengthEstimator() *LengthEstimator {
 	mean := -math.Log(defaultTokensPerEvent)
 	return &LengthEstimator{weight: priorWeight, mean: mean, variance: defaultDeviation * defaultDeviation}
 }
 
-// Observe records a complete output: its hinted tokens and its number of events. It ignores
-// values that are not positive.
+// Observe records a complete output: the number of tokens that the caller hinted and the number of
+// events. It ignores outputs for which either number is not positive.
 func (l *LengthEstimator) Observe(hint int64, events int) {
 	if hint <= 0 || events <= 0 {
 		return
@@ -76,9 +77,9 @@
 	l.longest = max(float64(events), l.longest*(1-1/float64(maxWeight)))
 }
 
-// forecast returns the median and the standard deviation of the logarithm of an output's
-// length, and the bound on lengths in events, which is infinite until enough outputs were
-// observed.
+// forecast returns the median and the standard deviation of the logarithm of an output's length in
+// events. longest is the upper bound on lengths in events; it is infinite until
+// minSamplesForLongest outputs were observed.
 func (l *LengthEstimator) forecast(hint int64) (median, deviation, longest float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,20 +94,22 @@
 	return min(median, math.Log(longest)), max(math.Sqrt(max(variance, 0)), minDeviation), longest
 }
 
-// Remaining returns the expected number of events still to come of an output with a hint, in
-// tokens, that has produced some events: the median over outputs that reach that length.
+// Remaining returns the expected number of events still to come of an output that has produced the
+// given number of events. hint is the hinted length in tokens. The result is the median over the
+// outputs that reach the present length.
 func (l *LengthEstimator) Remaining(hint int64, events int) float64 {
 	return l.remainingQuantile(hint, events, 0.5)
 }
 
-// MaxRemaining returns an upper estimate of the number of remaining events: of the outputs
-// that reach the present length, only exceedingFraction have more.
+// MaxRemaining returns an upper estimate of the number of events still to come: of the outputs
+// that reach the present length, only exceedingFraction produce more. The arguments are those of
+// Remaining.
 func (l *LengthEstimator) MaxRemaining(hint int64, events int) float64 {
 	return l.remainingQuantile(hint, events, exceedingFraction)
 }
 
-// remainingQuantile estimates the number of remaining events that the given fraction of
-// outputs exceeds, among those that reach the present length.
+// remainingQuantile estimates the number of events still to come that only the given fraction of
+// outputs exceeds, among the outputs that reach the present length.
 func (l *LengthEstimator) remainingQuantile(hint int64, events int, fraction float64) float64 {
 	median, deviation, longest := l.forecast(hint)
 	if events <= 0 {
--- a/internal/batches/scheduling/move.go
+++ b/internal/batches/scheduling/move.go
@@ -16,28 +16,30 @@
 	moveCost = 60 * time.Millisecond
 	// minMoveGain is the least time that a move must save.
 	minMoveGain = 150 * time.Millisecond
-	// maxMoveRatio bounds the remaining time at the target engine relative to that at the
-	// present one. It leaves out gains within the error of measured event times.
+	// maxMoveRatio is the maximum ratio of an item's remaining time at the target engine to its
+	// remaining time at the present engine. It excludes gains that are within the error of
+	// measured event times.
 	maxMoveRatio = 0.92
 	// maxOverdueMoves limits, per planning round and engine, the moves of items whose first
 	// event is overdue. Rounds are frequent enough to empty an unresponsive engine, while an
 	// engine that is only loading weights loses few items.
 	maxOverdueMoves = 2
-	// stepDelayFraction is the fraction of the time to its step's end from which an item's
-	// remaining time delays the step. The margin allows for estimation errors.
+	// stepDelayFraction is the fraction of the time to a step's end above which the remaining time
+	// of an item counts as delaying the step. The margin allows for estimation errors.
 	stepDelayFraction = 0.6
 )
 
-// candidate is a running item that may be moved. item and engine are indices of the snapshot.
+// candidate is a running item that may be moved. item and engine are the indices of the item and
+// of its present engine in the snapshot.
 type candidate struct {
 	item, engine int
 	// timeLeft is the expected remaining time at the present engine, in nanoseconds.
 	timeLeft float64
 }
 
-// planMoves returns the moves of running items that delay their step and would finish sooner
-// at an engine with room. A move's cost counts against it, so that items are not moved back
-// and forth.
+// planMoves returns the moves of running items that delay their step and would finish sooner at an
+// engine with room, and of items whose first event is overdue. The cost of a move is subtracted
+// from its gain, so that items are not moved back and forth.
 func (p *planner) planMoves() []Decision {
 	if p.NoMoves {
 		return nil
@@ -69,8 +71,8 @@
 }
 
 // candidates returns the items that may be moved: required ones first, then by descending
-// remaining time. At most maxOverdueMoves overdue items leave an engine at a time, as it may
-// only be loading new weights.
+// remaining time. At most maxOverdueMoves overdue items leave an engine in one round, as the
+// engine may only be loading new weights.
 func (p *planner) candidates() []candidate {
 	var candidates []candidate
 	for i := range p.Items {
@@ -108,14 +110,14 @@
 	return toDuration(present-target)-moveCost >= minMoveGain && target <= maxMoveRatio*present
 }
 
-// delaysStep reports whether an item with the given remaining time, in nanoseconds, may finish
-// after the rest of its step, or has an overdue first event.
+// delaysStep reports whether an item delays its step: its remaining time, in nanoseconds, exceeds
+// stepDelayFraction of the time to the step's end, or its first event is overdue.
 func (p *planner) delaysStep(it *Item, timeLeft float64) bool {
 	return it.Overdue > 0 || timeLeft > stepDelayFraction*p.step(it).timeToEnd
 }
 
-// moveTarget returns the best engine for an item, or -1 if that is its present one. An overdue
-// item gets the best other engine.
+// moveTarget returns the index of the best engine for an item that runs at engine from, or -1 if
+// from is the best or no engine has room. For an overdue item, from is left out of the choice.
 func (p *planner) moveTarget(it *Item, from int) int {
 	best := p.pool(it, anyEngine).best()
 	if best != from {
--- a/internal/batches/scheduling/place.go
+++ b/internal/batches/scheduling/place.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Adjustments of an engine's score. The score is the expected event time relative to the
-// median; 1 is a median engine without load.
+// Adjustments of an engine's score. The score is the expected event time of one more request at
+// the engine relative to the median event time, so a median engine without load scores 1.
 const (
 	// sharedPromptBonus lowers the score of the engine that last processed the shared prompt
 	// of the item's group, as processing it elsewhere takes time.
@@ -14,8 +14,8 @@
 	// otherZonePenalty reflects the cost of traffic between zones, about as much as the load
 	// of one short item.
 	otherZonePenalty = 0.008
-	// noConnPenalty applies to an engine without an idle connection if the item can wait for
-	// one, as connecting takes time of the engine.
+	// noConnPenalty applies to an engine without an idle connection if the item can wait for one,
+	// since opening a connection takes time of the engine.
 	noConnPenalty = 0.3
 	// overduePenalty applies to an engine with an overdue first event, so that it gets new
 	// items only if no other engine has a better score.
@@ -30,7 +30,8 @@
 	anyEngine engineFilter = iota
 	// slowEngine admits all but the fast engines.
 	slowEngine
-	// slowEngineConnected is slowEngine with a preference for engines with an idle connection.
+	// slowEngineConnected admits the same engines as slowEngine and prefers those with an idle
+	// connection.
 	slowEngineConnected
 )
 
@@ -46,9 +47,9 @@
 	return waiting
 }
 
-// compareWaiting orders waiting items by priority, by age of the batch, required ones first,
-// and then by descending length, as the longest items determine when the last group is
-// complete.
+// compareWaiting orders waiting items by priority, then by age of the batch, oldest first. Within
+// a batch, required items come first, and then items with more remaining events, as the longest
+// items determine when the last group is complete.
 func compareWaiting(a, b *Item) int {
 	return cmp.Or(
 		cmp.Compare(a.Priority, b.Priority),
@@ -70,10 +71,10 @@
 	}
 }
 
-// selectEngine returns the engine that should run an item, or -1 if the item has to wait.
-// An item that does not need a fast engine gets one only if no other engine has room. If the
-// items that need a fast engine would fill all fast ones, it waits instead, provided that it
-// may be deferred.
+// selectEngine returns the index of the engine that should run an item, or -1 if the item has to
+// wait. An item that does not need a fast engine gets one only if no other engine has room. If the
+// items that need a fast engine would take all room of the fast engines, an item that does not
+// need one waits instead, provided that it may be deferred.
 func (p *planner) selectEngine(it *Item) int {
 	filter := p.filterFor(it)
 	engine := p.bestEngine(it, filter)
@@ -86,7 +87,7 @@
 	return p.bestEngine(it, anyEngine)
 }
 
-// filterFor returns which engines an item should go to at first.
+// filterFor returns the filter of the engines that an item tries first.
 func (p *planner) filterFor(it *Item) engineFilter {
 	switch {
 	case p.isShort(it):
@@ -98,9 +99,10 @@
 	}
 }
 
-// bestEngine returns the matching engine with room that has the lowest score, or -1. Ties go
-// to the higher preference. The engine that last processed the prompt of the item's group wins
-// unless its score is worse by more than sharedPromptBonus.
+// bestEngine returns the index of the engine with the lowest score among those that match, or -1
+// if none does. Of engines with equal scores, the one with the higher Preference is returned. The
+// engine that last processed the prompt of the item's group is preferred unless its score is worse
+// by at least sharedPromptBonus.
 func (p *planner) bestEngine(it *Item, filter engineFilter) int {
 	best := p.pool(it, filter).best()
 	if best < 0 || it.GroupEngine == "" || it.GroupEngine == p.Engines[best].ID {
@@ -122,7 +124,7 @@
 	return p.canRun(engine, it) && (filter == anyEngine || !p.tier(it).isFast[engine])
 }
 
-// score returns the score of an engine; lower is better.
+// score returns the score of an engine under the filter; lower is better.
 func (p *planner) score(engine int, filter engineFilter) float64 {
 	e := &p.engines[engine]
 	score := e.relativeEventTime()
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// loadFactorPerRequest is the fraction by which one running request lengthens the event
-	// times of the others at an engine. loadFactorPerEvent adds to it for each event of the
-	// request's output, as decoding a token reads the whole context.
+	// loadFactorPerRequest is the fraction by which one running request lengthens the event times
+	// of the others at an engine. Each event of the request's output adds loadFactorPerEvent to
+	// that fraction, as decoding a token reads the whole context.
 	loadFactorPerRequest = 0.005
 	loadFactorPerEvent   = 0.0001
 )
@@ -59,19 +59,22 @@
 // engineState is an engine with the decisions so far applied.
 type engineState struct {
 	*Engine
-	// inFlight is the number of requests of all owners at the engine, idleConns the number of
-	// idle connections left.
+	// inFlight is the number of requests of all owners at the engine, including those that this
+	// round has assigned. idleConns is the number of idle connections that this round has not
+	// used.
 	inFlight, idleConns int
-	// loadFactor is the fraction by which the requests there lengthen the event time of one
-	// more: the sum of their loadFactorOf.
+	// loadFactor is the fraction by which the requests at the engine lengthen the event time of
+	// one more request: the sum of loadFactorOf over these requests.
 	loadFactor float64
-	// unloadedRatio is the engine's event time without load relative to the median one.
+	// unloadedRatio is the event time that the engine would have without load, relative to the
+	// median event time.
 	unloadedRatio float64
-	// overdue is set if the first event of an item there is overdue.
+	// overdue is set if the first event of an item that runs at the engine is overdue.
 	overdue bool
 }
 
-// class is what items require of an engine's weights.
+// class is what an item requires of an engine's weights. Items of the same class can run at the
+// same engines.
 type class struct {
 	model      string
 	minVersion int64
@@ -107,8 +110,8 @@
 	return p
 }
 
-// normalizeEventTimes sets the median event time and each engine's unloaded ratio to it.
-// Engines of unknown event time count as median ones.
+// normalizeEventTimes sets the median event time and the unloadedRatio of each engine. An engine
+// whose event time is unknown is assumed to have the median event time.
 func (p *planner) normalizeEventTimes() {
 	var times []time.Duration
 	for i := range p.Engines {
@@ -130,8 +133,8 @@
 	}
 }
 
-// relativeEventTime returns the expected event time of one more request at an engine, relative
-// to the median one.
+// relativeEventTime returns the expected event time of one more request at an engine, relative to
+// the median event time.
 func (e *engineState) relativeEventTime() float64 { return e.unloadedRatio * (1 + e.loadFactor) }
 
 // eventTime returns the expected event time of one more request at an engine, in nanoseconds.
@@ -151,7 +154,8 @@
 	return p.engines[engine].hasRoom() && p.engines[engine].HasWeightsFor(it)
 }
 
-// reserve accounts for an item that was assigned to an engine.
+// reserve adds an item that was assigned to an engine to the engine's requests and load, and takes
+// one of its idle connections.
 func (p *planner) reserve(engine int, it *Item) {
 	e := &p.engines[engine]
 	e.inFlight++
--- a/internal/batches/scheduling/pool.go
+++ b/internal/batches/scheduling/pool.go
@@ -36,7 +36,8 @@
 	return pl
 }
 
-// best returns the best engine with room, or -1. It removes full engines from the heap.
+// best returns the index of the engine with the lowest score that has room, or -1 if none has. It
+// removes full engines from the heap.
 func (pl *pool) best() int {
 	for len(pl.engines) > 0 {
 		engine := pl.engines[0]
--- a/internal/batches/scheduling/step.go
+++ b/internal/batches/scheduling/step.go
@@ -6,15 +6,15 @@
 	// maxDeferralAge is the batch age from which items are no longer deferred. It bounds the
 	// delay caused by a wrong estimate of the step's end.
 	maxDeferralAge = 2 * time.Second
-	// shortItemsFraction is the fraction of the time to a step's end in which its short items
-	// should finish. The rest is a margin for items that exceed their estimates.
+	// shortItemsFraction is the fraction of the time to a step's end in which the step's short
+	// items should finish. The rest is a margin for items that exceed their estimates.
 	shortItemsFraction = 0.5
-	// latestStartFraction is the greatest fraction of the time to its step's end that a
-	// deferred item may take.
+	// latestStartFraction bounds the run time of a deferred item at a slow engine, as a fraction
+	// of the time to its step's end.
 	latestStartFraction = 0.6
 )
 
-// stepKey identifies the step of a batch's items of one class.
+// stepKey identifies a step: the items of one class in the batch that was adopted at adoptedAt.
 type stepKey struct {
 	class
 	adoptedAt time.Time
@@ -22,8 +22,8 @@
 
 // step aggregates the items of one batch and class.
 type step struct {
-	// timeToEnd is the time after which the longest item could finish at the best engine, in
-	// nanoseconds.
+	// timeToEnd is the time, in nanoseconds, that the step's longest item would still take at the
+	// best engine.
 	timeToEnd float64
 	// shortRunning is the number of running short items. shortWork is the total time that all
 	// unfinished short items take at a slow engine, in nanoseconds.
@@ -31,13 +31,13 @@
 	shortWork    float64
 }
 
-// step returns the step of an item.
+// step returns the step of an item, and creates it if needed.
 func (p *planner) step(it *Item) *step {
 	return p.steps.get(stepKey{class: classOf(it), adoptedAt: it.BatchAdoptedAt}, func() *step { return &step{} })
 }
 
-// forecastSteps estimates when each step could end, which items are long enough to need a fast
-// engine, and how much work the short items are.
+// forecastSteps estimates when each step could end, how many remaining events make an item need a
+// fast engine, and how much work the short items are.
 func (p *planner) forecastSteps() {
 	remaining := map[*engineTiers][]float64{}
 	for i := range p.Items {
@@ -54,7 +54,7 @@
 	}
 }
 
-// countItem adds an item to the counts of its step and tiers.
+// countItem adds an item to the counts of its step and of its class's engine tiers.
 func (p *planner) countItem(it *Item) {
 	step, tier := p.step(it), p.tier(it)
 	engine, runs := p.byID[it.Engine]
@@ -69,17 +69,19 @@
 	}
 }
 
-// isShort reports whether an item almost certainly finishes before its step, even at a slow
-// engine.
+// isShort reports whether an item almost certainly finishes before the end of its step, even at a
+// slow engine. Required items, and those without MaxRemainingEvents, are never short.
 func (p *planner) isShort(it *Item) bool {
 	eventTime := p.tier(it).slowEventTime
 	return it.MaxRemainingEvents > 0 && !it.Required && eventTime > 0 &&
 		it.MaxRemainingEvents*eventTime <= p.step(it).timeToEnd
 }
 
-// canDefer reports whether the start of an item may be deferred: enough short items of its
-// step are running to finish all of them well before the step's end. Deferred items later
-// reuse the connections and slots of finished ones.
+// canDefer reports whether the start of an item may be deferred: its batch is younger than
+// maxDeferralAge, the item is short enough to finish in time after a later start
+// (latestStartFraction), and enough short items of its step are running to finish all short ones
+// well before the step's end. A deferred item later reuses the connection and the slot of a
+// finished one.
 func (p *planner) canDefer(it *Item) bool {
 	if it.BatchAge >= maxDeferralAge || !p.isShort(it) {
 		return false
--- a/internal/batches/scheduling/tier.go
+++ b/internal/batches/scheduling/tier.go
@@ -15,8 +15,8 @@
 	// bestEventTime is the event time of the best engine and slowEventTime the upper quartile
 	// of all, in nanoseconds; 0 if too few event times are known.
 	bestEventTime, slowEventTime float64
-	// minFastEvents is the number of remaining events from which an item needs a fast engine.
-	// It is chosen so that as many items reach it as the fast engines have slots.
+	// minFastEvents is the number of remaining events from which an item needs a fast engine. It
+	// is chosen so that about as many items reach minFastEvents as the fast engines have slots.
 	minFastEvents float64
 	// fastDemand is the number of items that need a fast engine and are not at one.
 	fastDemand int
@@ -27,8 +27,8 @@
 	return p.tiers.get(classOf(it), func() *engineTiers { return p.newTiers(it) })
 }
 
-// newTiers divides the engines for an item's class by speed. No engine counts as fast unless
-// the event times of at least half of them are known.
+// newTiers divides the engines that can run the items of an item's class into fast and slow ones.
+// No engine counts as fast unless the event times of at least half of the engines are known.
 func (p *planner) newTiers(it *Item) *engineTiers {
 	t := &engineTiers{isFast: make([]bool, len(p.Engines))}
 	var times []float64
@@ -56,8 +56,8 @@
 	return t
 }
 
-// isReserved reports whether the items that need a fast engine take all room that the fast
-// ones have.
+// isReserved reports whether the items that need a fast engine would take all the room that the
+// fast engines have.
 func (t *engineTiers) isReserved(p *planner) bool {
 	room := 0
 	for _, i := range t.fastEngines {
@@ -77,8 +77,8 @@
 	return slots
 }
 
-// needsFastEngine reports whether an item is one of the longest, which fast engines are kept
-// for, and would be placed at one or moved to one if that had room.
+// needsFastEngine reports whether an item is one of the longest, for which fast engines are kept
+// free, and would be started at a fast engine or moved to one if a fast engine had room.
 func (p *planner) needsFastEngine(it *Item) bool {
 	tier := p.tier(it)
 	if p.isShort(it) || it.RemainingEvents < tier.minFastEvents {
