--- a/internal/batches/occupancy/allowance.go
+++ b/internal/batches/occupancy/allowance.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// Unbounded is the allowance of an owner while no other owner waits for slots.
+// Unbounded is the allowance of an owner while no other owner of the same or a more urgent rank
+// waits for slots.
 const Unbounded = math.MaxInt
 
-// maxYieldTime bounds how long an owner leaves free slots to waiting owners, which learn of
-// them within a few hundred milliseconds. Slots still free after that may not be the ones that
-// these wait for, so the owner takes them.
+// maxYieldTime bounds how long an owner leaves free slots to waiting owners, which learn of the
+// slots within a few hundred milliseconds. Slots that are still free after that may not be ones
+// that the waiting owners can use, so the owner takes them.
 const maxYieldTime = 300 * time.Millisecond
 
 // Allowance returns how many more requests an owner may start at engines with the given total
-// number of slots, so that the slots are shared fairly. Demand of a more urgent rank comes
-// first; owners of the same rank get max-min fair shares. The result is Unbounded if no owner
-// of the same or a more urgent rank waits for slots.
+// number of slots, so that the slots are shared fairly. Demand of a more urgent rank comes first;
+// owners of the same rank get max-min fair shares. The result is Unbounded if no owner of the same
+// or a more urgent rank waits for slots.
 //
-// Without it, an owner whose requests fill all engines would take every slot that becomes free
-// before others learn of it, and starve them.
+// Without an allowance, an owner whose requests fill all engines would take every slot that
+// becomes free before other owners learn of it, and starve them.
 func Allowance(slots int, own Demand, others []Demand) int {
 	var equalDemands []int
 	contended := false
@@ -45,8 +46,9 @@
 	return max(share-int(own.InFlight), 0)
 }
 
-// fairShare returns one owner's max-min fair share of some slots: an equal part, plus what
-// others leave of theirs. It sorts others.
+// fairShare returns the max-min fair share of the slots for an owner that wants the given number:
+// an equal part, plus what other owners leave of their parts, but no more than wanted. others
+// holds the number that each other owner wants; fairShare sorts it.
 func fairShare(slots, wanted int, others []int) int {
 	slices.Sort(others)
 	for i, other := range others {
--- a/internal/batches/occupancy/merge.go
+++ b/internal/batches/occupancy/merge.go
@@ -51,8 +51,8 @@
 	return Refused
 }
 
-// Adopt merges a snapshot of another daemon where it is newer than the table. It returns the
-// number of reports that were accepted.
+// Adopt merges those reports and measurements of another daemon's snapshot that are newer than the
+// table's. It returns the number of reports that were accepted.
 func (t *Table) Adopt(o Snapshot) (reports int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,8 +68,8 @@
 	return reports
 }
 
-// daemonFor returns the state that a report may be merged into, after creating it if
-// necessary, or nil if the report must be refused. The mutex is held.
+// daemonFor returns the state of the report's sender, created if needed, or nil if the report must
+// be refused. The mutex is held.
 func (t *Table) daemonFor(report *Report, now time.Time) *daemonState {
 	machine := identity.Machine(report.Sender)
 	if machine == "" || machine == identity.Machine(t.self) {
@@ -98,8 +98,8 @@
 	return d
 }
 
-// excessDelay updates the minimal clock offset and returns how much longer than the fastest
-// report a report took to arrive.
+// excessDelay returns how much longer the report took to arrive than the fastest report of its
+// incarnation, and updates minOffset.
 func (d *daemonState) excessDelay(report *Report, now time.Time) time.Duration {
 	offset := now.Sub(time.UnixMilli(report.SentMillis))
 	if !d.minOffsetAt.IsZero() {
@@ -112,8 +112,9 @@
 	return offset - d.minOffset
 }
 
-// acceptIntroduction records that a daemon is an owner, and its measurements. The current
-// report of the daemon stays. The mutex is held.
+// acceptIntroduction records that a daemon is an owner, and stores the measurements of the
+// introduction, which was sent at the local time at. The current report of the daemon stays. The
+// mutex is held.
 func (t *Table) acceptIntroduction(d *daemonState, report *Report, at time.Time) {
 	t.stats.Received++
 	d.ownerSeenAt = at
@@ -155,15 +156,16 @@
 	return true
 }
 
-// updateNextExpiry takes the expiry of a daemon's report into account. The mutex is held.
+// updateNextExpiry sets nextExpiry to the expiry of a daemon's report if nextExpiry is later or
+// zero. The mutex is held.
 func (t *Table) updateNextExpiry(d *daemonState) {
 	if expiry := d.expiresAt(); t.nextExpiry.IsZero() || expiry.Before(t.nextExpiry) {
 		t.nextExpiry = expiry
 	}
 }
 
-// removeCounts subtracts a daemon's current report from the sums, after which it is not
-// current. The mutex is held.
+// removeCounts subtracts the counts of a daemon's current report from the sums, and marks the
+// report as no longer current. The mutex is held.
 func (t *Table) removeCounts(d *daemonState) {
 	if !d.current {
 		return
@@ -177,8 +179,8 @@
 	}
 }
 
-// addMeasurements stores event times reported at a given time where they are newer than the
-// known ones. New replicas beyond maxEventTimes are ignored. The mutex is held.
+// addMeasurements stores the event times that were reported at the local time at, unless a newer
+// one of the replica is known. New replicas beyond maxEventTimes are ignored. The mutex is held.
 func (t *Table) addMeasurements(measurements []Measurement, at time.Time) {
 	for _, m := range measurements {
 		measured := at.Add(-time.Duration(m.Age) * ageUnit)
@@ -224,7 +226,9 @@
 	return oldest != ""
 }
 
-// Sweep removes daemons and event times that are no longer needed. It is called periodically.
+// Sweep removes daemons that have no current report and whose last report and last introduction
+// are older than daemonTTL. It also removes event times older than eventTimeMaxAge. It is called
+// periodically.
 func (t *Table) Sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/batches/occupancy/occupancy.go
+++ b/internal/batches/occupancy/occupancy.go
@@ -45,8 +45,8 @@
 // short. On a collision the requests of both replicas count at each of them.
 type Key uint32
 
-// KeyOf returns the key of the incarnation of a replica that started at born. A zero born
-// means that the start is unknown, or that id names a service.
+// KeyOf returns the key of the incarnation of replica id that started at born. A zero born means
+// that the start is unknown, or that id names a service.
 func KeyOf(id string, born time.Time) Key {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id)) // never fails
@@ -67,16 +67,17 @@
 type Measurement struct {
 	_       struct{} `cbor:",toarray"`
 	Replica Key
-	// EventTime is the time between two events of an output, in units of eventTimeUnit. Age is
-	// the time since the last of these events, in milliseconds.
+	// EventTime is the time between two events of an output, in units of eventTimeUnit. Age is the
+	// time since the replica's last event, in milliseconds.
 	EventTime, Age uint32
 }
 
-// Demand is a daemon's use of a service's engines, and how much more it wants.
+// Demand is the number of requests that a daemon has at a service's engines, and how many more it
+// would start if there were room.
 type Demand struct {
 	_       struct{} `cbor:",toarray"`
 	Service Key
-	// Rank is the rank of the most urgent waiting item, 0 being the most urgent.
+	// Rank is the priority of the most urgent waiting item, 0 being the most urgent.
 	Rank int32
 	// InFlight is the number of running requests, Waiting the number of items that wait only
 	// for room.
@@ -93,8 +94,8 @@
 	// SentMillis is the time of sending by the sender's clock, in milliseconds. Only
 	// differences between reports of one incarnation are meaningful.
 	SentMillis int64 `cbor:"3,keyasint"`
-	// Counts are sorted by replica. If BaseNumber is set, they are a delta to the report of
-	// that number, with 0 for replicas without requests.
+	// Counts are sorted by replica. If BaseNumber is set, they are a delta to the report of that
+	// number: the counts that differ, with 0 for replicas that no longer have requests.
 	Counts       []RequestCount `cbor:"4,keyasint,omitempty"`
 	Measurements []Measurement  `cbor:"5,keyasint,omitempty"`
 	Demands      []Demand       `cbor:"6,keyasint,omitempty"`
@@ -114,7 +115,8 @@
 	r.Demands = r.Demands[:min(len(r.Demands), maxEntries)]
 }
 
-// diffCounts returns the delta between two lists of counts sorted by replica.
+// diffCounts returns the delta from before to now: the counts in now that differ, and 0 for
+// replicas that are only in before. Both lists must be sorted by replica.
 func diffCounts(before, now []RequestCount) (diff []RequestCount) {
 	for len(before)+len(now) > 0 {
 		switch {
@@ -134,7 +136,8 @@
 	return diff
 }
 
-// applyDiff returns counts with a delta applied. Both must be sorted by replica.
+// applyDiff returns the counts in before with the delta changes applied. Both must be sorted by
+// replica.
 func applyDiff(before, changes []RequestCount) (counts []RequestCount) {
 	for len(before)+len(changes) > 0 {
 		if len(changes) == 0 || len(before) > 0 && before[0].Replica < changes[0].Replica {
@@ -153,13 +156,15 @@
 	return counts
 }
 
-// RelayedReport is a report of a third daemon with its age in milliseconds.
+// RelayedReport is a report in a snapshot. Age is the time since the report was sent, in
+// milliseconds.
 type RelayedReport struct {
 	Report Report `cbor:"1,keyasint"`
 	Age    uint32 `cbor:"2,keyasint"`
 }
 
-// Snapshot is everything that a daemon knows, including its own state.
+// Snapshot is everything that a daemon knows: the current reports and the event times, including
+// its own.
 type Snapshot struct {
 	Reports      []RelayedReport `cbor:"1,keyasint,omitempty"`
 	Measurements []Measurement   `cbor:"2,keyasint,omitempty"`
--- a/internal/batches/occupancy/publish.go
+++ b/internal/batches/occupancy/publish.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// reportInterval is the minimal time between two reports. It is shorter than the shortest
-	// items take.
+	// reportInterval is the minimal time between two reports. It is shorter than the run time of
+	// the shortest items.
 	reportInterval = 100 * time.Millisecond
-	// repeatInterval is the time after which an unchanged report is sent again. It is short
-	// enough for one repetition to be lost before the report expires.
+	// repeatInterval is the time after which an unchanged report is sent again. It is so short
+	// that a report does not expire if one repetition is lost.
 	repeatInterval = reportTTL / 3
 	// maxBytesPerSecond limits the traffic that a daemon sends, and thus its calls to about 40
 	// per second. With more than about 40 owners some reports expire before they are repeated,
@@ -30,22 +30,22 @@
 	// lingerTime is how long others continue to report to a daemon after its last request
 	// ended. A trainer's next step usually follows within seconds and starts with a burst.
 	lingerTime = 10 * time.Second
-	// callTimeout bounds each call. It equals the bound of other calls between daemons, as a
-	// peer that exceeds it is avoided by all of them.
+	// callTimeout bounds each call. It equals the timeout of other calls between daemons, as a
+	// peer that exceeds it is avoided by all of these calls.
 	callTimeout = 700 * time.Millisecond
 	// maxSnapshotCalls limits how many peers are asked, one after the other, for a snapshot.
 	maxSnapshotCalls = 3
-	// eventTimeRepeatInterval is the time after which an event time is sent again. It is sent
-	// earlier if it has changed by at least minEventTimeChangeFraction; smaller changes are
-	// within measurement error.
+	// eventTimeRepeatInterval is the time after which an unchanged event time is sent again. An
+	// event time that has changed by at least minEventTimeChangeFraction is sent earlier; smaller
+	// changes are within measurement error.
 	eventTimeRepeatInterval    = 2 * time.Second
 	minEventTimeChangeFraction = 0.08
 )
 
 // Peers calls other daemons.
 type Peers interface {
-	// Ask calls a method registered by another daemon. Calls to a peer that did not respond
-	// fail at once for a while.
+	// Ask calls a method registered by another daemon. After a peer did not respond, calls to that
+	// peer fail at once for a while. After an error, the reply must not be read.
 	Ask(ctx context.Context, machine, method string, args, reply any) error
 }
 
@@ -57,15 +57,15 @@
 // as long as a call to the journal.
 type Candidates func(ctx context.Context) []string
 
-// sentEventTime is an event time that was last sent, in units of eventTimeUnit, with the time
-// of sending.
+// sentEventTime is the last event time that was sent for a replica, in units of eventTimeUnit, and
+// the time of sending.
 type sentEventTime struct {
 	eventTime uint32
 	at        time.Time
 }
 
-// Publisher sends reports of this daemon's requests to other owners while it has any. It is
-// safe for concurrent use.
+// Publisher sends reports of this daemon's requests to other owners while the daemon has requests
+// or waiting items. It is safe for concurrent use.
 type Publisher struct {
 	table      *Table
 	peers      Peers
@@ -76,8 +76,9 @@
 
 	mu sync.Mutex
 
-	// Recipients of reports, by machine. machines may be given batches; machinesAt is when the
-	// list was last requested, and refreshing is set while a request runs.
+	// recipients holds the recipients of reports, by machine. machines lists the machines that may
+	// be given batches; machinesAt is when that list was last requested, and refreshing is set
+	// while a request for it runs.
 	recipients map[string]*recipient
 	machines   []string
 	machinesAt time.Time
@@ -148,8 +149,9 @@
 	return p.wake
 }
 
-// publishIfDue sends a report if there is a change or a repetition is due, and returns the
-// time after which to call it again.
+// publishIfDue sends a report if the daemon's state has changed or a repetition is due, and
+// returns the time after which to call it again. In a period of reporting, two reports are at
+// least sendInterval apart.
 func (p *Publisher) publishIfDue(ctx context.Context, now time.Time) time.Duration {
 	own := p.currentState()
 	p.mu.Lock()
--- a/internal/batches/occupancy/recipients.go
+++ b/internal/batches/occupancy/recipients.go
@@ -20,8 +20,9 @@
 	acknowledged Report
 }
 
-// refreshMachines starts to request the list of machines that may be given batches, if it is
-// due. The mutex is held.
+// refreshMachines requests, in a goroutine, the list of machines that may be given batches. It
+// does nothing if a request is running or the last one began within introduceInterval. The mutex
+// is held.
 func (p *Publisher) refreshMachines(ctx context.Context, now time.Time) {
 	if p.refreshing || !p.machinesAt.IsZero() && now.Sub(p.machinesAt) < introduceInterval {
 		return
@@ -49,10 +50,10 @@
 	return slices.Compact(machines)
 }
 
-// dueMachines returns the machines to send a report to now, and whether each is an owner.
-// Owners always get reports; other machines that may be given batches get an introduction
-// every introduceInterval, except for the last report. Machines with a running call are left
-// out. The mutex is held.
+// dueMachines returns the machines to send a report to now, and whether each is an owner. Owners
+// always get reports. Other machines that may be given batches get an introduction every
+// introduceInterval, but not with the last report of a period. Machines with a running call are
+// left out. The mutex is held.
 func (p *Publisher) dueMachines(now time.Time, last bool) map[string]bool {
 	due := map[string]bool{}
 	for _, machine := range p.machines {
--- a/internal/batches/occupancy/send.go
+++ b/internal/batches/occupancy/send.go
@@ -11,7 +11,7 @@
 )
 
 // sendReports sends a report to all machines that are due, without waiting for replies, and
-// returns the number of bytes. The mutex is held.
+// returns the number of bytes of the calls. The mutex is held.
 func (p *Publisher) sendReports(ctx context.Context, own Report, now time.Time) (bytes int) {
 	due := p.dueMachines(now, own.isEmpty())
 	if len(due) == 0 {
@@ -44,7 +44,8 @@
 	return bytes
 }
 
-// deltaFrom returns a report as a delta to an earlier one, if that is shorter.
+// deltaFrom returns own as a delta to the acknowledged report before if the delta has fewer
+// entries or own has none, else own as it is.
 func deltaFrom(before, own Report) Report {
 	if before.Number == 0 {
 		return own
@@ -71,8 +72,8 @@
 	return due
 }
 
-// sendTo sends a message to a machine and updates its state. state is the base for the next
-// delta if the machine accepts the message.
+// sendTo sends a message to a machine and updates the state of the recipient. state is the base
+// for the next delta if the machine accepts the message.
 func (p *Publisher) sendTo(ctx context.Context, machine string, to *recipient, state Report, msg Message) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/batches/occupancy/service.go
+++ b/internal/batches/occupancy/service.go
@@ -40,7 +40,7 @@
 	return &Service{table: table, publisher: publisher, onReport: onReport}
 }
 
-// Tell merges a report. It implements a net/rpc method.
+// Tell merges a report from another daemon into the table. It implements a net/rpc method.
 func (s *Service) Tell(msg Message, reply *Heard) error {
 	var report Report
 	if err := decode(msg, &report); err != nil {
--- a/internal/batches/occupancy/table.go
+++ b/internal/batches/occupancy/table.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// reportTTL is how long a report counts. It spans three repetitions, so that one may be
-	// lost or late. It also bounds how long an item waits for slots that a vanished owner no
-	// longer uses.
+	// reportTTL is how long a report counts after it was sent. It spans three repetitions, so that
+	// one may be lost or late. It also bounds how long an item waits for slots that a vanished
+	// owner no longer uses.
 	reportTTL = 1200 * time.Millisecond
 	// eventTimeMaxAge is the age at which a reported event time expires. An engine's speed
 	// rarely changes.
@@ -35,18 +35,19 @@
 
 // daemonState is what is known of the daemon on one machine.
 type daemonState struct {
-	// report is the latest one, expanded if it was a delta.
+	// report is the latest report of the daemon. A delta is stored with its base applied.
 	report Report
 	// sentAt is when the report was sent, by the local clock.
 	sentAt time.Time
-	// current is set while the report counts.
+	// current is set while the report counts, that is, until it expires. An empty report never
+	// counts.
 	current bool
 	// ownerSeenAt is when the daemon last reported to be an owner.
 	ownerSeenAt time.Time
-	// minOffset is the smallest difference seen between the local time of arrival and the
-	// sender's time of sending, over the reports of this incarnation. A larger difference
-	// means that a report was delayed, or that a machine was suspended. minOffsetAt is when it
-	// was last updated, or zero.
+	// minOffset is the smallest difference seen between the local time of arrival and the sender's
+	// time of sending, over the reports of this incarnation. A larger difference means that a
+	// report was delayed, or that a machine was suspended. minOffsetAt is when minOffset was last
+	// updated, or zero.
 	minOffset   time.Duration
 	minOffsetAt time.Time
 }
@@ -79,7 +80,7 @@
 	stats      TableStats
 }
 
-// TableStats has counters since the start, and OthersInFlight, which is a present value.
+// TableStats holds counters since the start, and the present value OthersInFlight.
 type TableStats struct {
 	// Received counts accepted reports, Refused those that were too old, out of order or
 	// beyond a limit, Expired those that were not followed by another in time.
@@ -108,8 +109,8 @@
 	return t.inFlight[replica]
 }
 
-// EventTime returns the latest event time that another daemon measured at a replica, and its
-// age; 0 if none is known.
+// EventTime returns the latest event time that another daemon measured at a replica, and its age.
+// Both are 0 if no event time is known.
 func (t *Table) EventTime(replica Key) (eventTime, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,7 +152,7 @@
 	return machines
 }
 
-// Owners returns the machines that recently reported to be owners, the latest first.
+// Owners returns the machines that reported within ownerTTL to be owners, the latest first.
 func (t *Table) Owners() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
