--- a/internal/batches/results/bandwidth.go
+++ b/internal/batches/results/bandwidth.go
@@ -12,12 +12,12 @@
 )
 
 // bandwidthFraction estimates which fraction of its granted bandwidth a journal delivers, by
-// additive increase and multiplicative decrease: a late read halves it, otherwise it rises steadily
-// to 1.
+// additive increase and multiplicative decrease: a late read halves the estimate, and between late
+// reads the estimate rises steadily to 1.
 //
-// A journal may deliver less than it grants, to some daemons or to all, for seconds or permanently.
-// If daemons relied on the grant then, they would request more than arrives, every read would be
-// abandoned before its end, and no query would ever be answered.
+// A journal may deliver less than it grants, to some daemons or to all, for seconds or
+// permanently. If daemons still relied on the grant, they would request more than arrives, every
+// read would be abandoned before its end, and no query would ever be answered.
 //
 // The caller must synchronize calls.
 type bandwidthFraction struct {
@@ -30,8 +30,8 @@
 	return &bandwidthFraction{fraction: 1, updatedAt: now}
 }
 
-// current returns the fraction at a time, in (0, 1]: the increase between two halvings keeps it
-// above 0. For a time before that of the last call it returns the last value.
+// current returns the fraction at the time now, in (0, 1]: the increase between two halvings keeps
+// it above 0. If now is before the time of the last call, the fraction does not change.
 func (s *bandwidthFraction) current(now time.Time) float64 {
 	if now.After(s.updatedAt) {
 		s.fraction = min(s.fraction+now.Sub(s.updatedAt).Seconds()/recoveryTime.Seconds(), 1)
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -36,8 +36,8 @@
 	lastDaemonCount int
 }
 
-// newReadBudget returns an empty budget for one of daemonCount() daemons that share a journal of
-// bytesPerSecond. Nothing may be read while the number of daemons is 0.
+// newReadBudget returns an empty budget for one of the daemons that share a journal of
+// bytesPerSecond. daemons returns their number; nothing may be read while it returns 0.
 func newReadBudget(bytesPerSecond float64, daemons func() int) *readBudget {
 	now := time.Now()
 	b := &readBudget{
@@ -76,7 +76,8 @@
 	b.limiter.AllowN(now, int(b.limiter.TokensAt(now)))
 }
 
-// take takes bytes off the budget and reports whether it had that many. It takes nothing otherwise.
+// take takes the given number of bytes off the budget if the budget has that many, and reports
+// whether it did.
 func (b *readBudget) take(bytes int) bool {
 	now := time.Now()
 	b.adjust(now)
@@ -105,15 +106,15 @@
 	return max(int(b.limiter.Tokens()), 0)
 }
 
-// takePage takes a page of the given size off the budget, or a full bucket if the page is larger
-// than that. It reports whether the budget had as much.
+// takePage takes the bytes of a page off the budget, but at most a full bucket, and reports
+// whether the budget had that many.
 func (b *readBudget) takePage(bytes int) bool {
 	b.adjust(time.Now())
 	return b.take(min(bytes, b.limiter.Burst()))
 }
 
-// await takes bytes off the budget as they become available. It returns an error if the context
-// ends before that.
+// await takes the given number of bytes off the budget as they become available. It returns an
+// error if the context ends first.
 func (b *readBudget) await(ctx context.Context, bytes int) error {
 	for bytes > 0 {
 		b.adjust(time.Now())
--- a/internal/batches/results/fold.go
+++ b/internal/batches/results/fold.go
@@ -9,7 +9,7 @@
 	"woodworks/internal/batches/ledger"
 )
 
-// The functions of this file look up a fold as it is, without a read of the journal.
+// The functions of this file answer from the fold as it is, without a read of the journal.
 
 // pageOf returns the page of results that the fold holds for the query, at most query.maxBytes of
 // texts but at least one result if there is any, and at most query.Samples.Limit results. A batch
@@ -85,9 +85,9 @@
 	return beginning
 }
 
-// checkCoverage returns an error if the fold does not hold a batch that may exist: the journal may
-// have removed its records before this daemon read them, while other daemons still hold it. The
-// error wraps ErrNotCaughtUp.
+// checkCoverage returns an error if the fold does not hold the batch although the batch may exist:
+// the journal may have removed the batch's records before this daemon read them, while other
+// daemons still hold the batch. The error wraps ErrNotCaughtUp.
 func checkCoverage(partition *ledger.Partition, batchID string) error {
 	if !beginningOf(partition, batchID).Found && partition.HasGap() {
 		return errors.Wrap(ErrNotCaughtUp, "the partition's oldest records are gone")
--- a/internal/batches/results/here.go
+++ b/internal/batches/results/here.go
@@ -84,8 +84,8 @@
 	return beginningOf(partition, query.BatchID), nil
 }
 
-// catchUpAndCheckCoverage reads the journal up to now. Without an error, what the fold still lacks
-// of a batch does not exist. The error wraps ErrNotCaughtUp.
+// catchUpAndCheckCoverage reads the journal up to now. If it returns nil, anything of the batch
+// that the fold does not hold does not exist. The error wraps ErrNotCaughtUp.
 func catchUpAndCheckCoverage(ctx context.Context, partition *ledger.Partition, batchID string) error {
 	if err := catchUp(ctx, partition); err != nil {
 		return err
@@ -103,8 +103,9 @@
 	return nil
 }
 
-// catchUpWithRetries reads the journal up to now, and repeats a failed read for as long as the
-// query may be kept open: a long poll during an outage is answered when the outage ends.
+// catchUpWithRetries reads the journal up to now. It repeats a failed read for up to wait, the
+// time for which the query may be kept open, so that a long poll during an outage is answered when
+// the outage ends.
 func catchUpWithRetries(ctx context.Context, partition *ledger.Partition, wait time.Duration) error {
 	until := time.Now().Add(wait)
 	for {
@@ -116,9 +117,9 @@
 	}
 }
 
-// catchUpUntilResults reads the journal up to now and returns early with a page once the fold has
-// results for it, as the rest of a long partition may take seconds. The page is empty if there are
-// none; the error is that of the read.
+// catchUpUntilResults reads the journal up to now. It returns a page as soon as the fold has
+// results for the query, as reading the rest of a long partition may take seconds. If the read
+// ends without results, the page is empty and the error is that of the read.
 func catchUpUntilResults(ctx context.Context, partition *ledger.Partition, query Query) (page Page, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -129,8 +130,8 @@
 	return Page{}, read.err
 }
 
-// awaitResults follows the partition until the fold has results for the query, for at most left. It
-// returns the page as it is then, which may be empty.
+// awaitResults follows the partition until the fold has results for the query, for at most left.
+// It returns the page that the fold holds at the end of the wait, which may be empty.
 func awaitResults(ctx context.Context, partition *ledger.Partition, query Query, left time.Duration) Page {
 	defer partition.Follow()()
 	bounded, cancel := context.WithTimeout(ctx, left)
@@ -139,8 +140,8 @@
 	return page
 }
 
-// awaitPage waits until the fold has results for the query, and reports whether it had any before
-// stop was closed.
+// awaitPage waits until the fold has results for the query or stop is closed. It returns the page,
+// and reports whether it has results.
 func awaitPage(partition *ledger.Partition, query Query, stop <-chan struct{}) (page Page, ok bool) {
 	ok = partition.Await(stop, func() bool {
 		page = pageOf(partition, query)
--- a/internal/batches/results/ownread.go
+++ b/internal/batches/results/ownread.go
@@ -10,8 +10,8 @@
 	"woodworks/internal/batches/ledger"
 )
 
-// acquireColdRead takes a slot of coldReads, which the caller must give back. It waits at most
-// catchUpTimeout. The error wraps ErrNotCaughtUp.
+// acquireColdRead takes a slot of coldReads, waiting for it at most catchUpTimeout. After a nil
+// error, the caller must give the slot back. An error wraps ErrNotCaughtUp.
 func (r *Reader) acquireColdRead(ctx context.Context) error {
 	timer := time.NewTimer(catchUpTimeout)
 	defer timer.Stop()
@@ -33,9 +33,9 @@
 	return r.budget.available()
 }
 
-// reserveMissing takes the bytes that the fold lacks of a partition off the budget, and reports
-// whether the budget covered them. If nothing of the partition has been read, it first reads one
-// page within the budget to learn the size.
+// reserveMissing takes the bytes of a partition that the fold lacks off the budget, and reports
+// whether the budget covered them. If nothing of the partition has been read, reserveMissing first
+// reads one page within the budget to learn how much is missing.
 func (r *Reader) reserveMissing(ctx context.Context, partition *ledger.Partition) bool {
 	if r.budget == nil {
 		return true
--- a/internal/batches/results/query.go
+++ b/internal/batches/results/query.go
@@ -27,7 +27,7 @@
 
 // Page is a range of a batch's results.
 type Page struct {
-	// Found reports whether the batch exists.
+	// Found reports whether the batch exists for the tenant of the query.
 	Found bool
 	// Total is the number of items of the batch.
 	Total int
@@ -38,7 +38,7 @@
 	Round Round
 }
 
-// Result is the result of an item with the id of the item.
+// Result is an item's result together with the item's id.
 type Result struct {
 	ItemID string
 	batch.Result
@@ -66,8 +66,9 @@
 	maxBytes int
 }
 
-// Items are the first of the items asked for, at least one if the batch is open and has it. Found
-// reports whether the batch exists.
+// Items holds the items that an ItemsQuery asks for, from the first on, as many as fit in an
+// answer. It has at least one item if the batch is open and has the first one. Found reports
+// whether the batch exists.
 type Items struct {
 	Found bool
 	// Ended reports that the batch has ended, so that its items are no longer available.
--- a/internal/batches/results/read.go
+++ b/internal/batches/results/read.go
@@ -11,12 +11,14 @@
 )
 
 var (
-	// errOverBudget says that the fold lacks more than the budget allows this daemon to read.
+	// errOverBudget says that the fold lacks more bytes than the budget allows this daemon to
+	// read.
 	errOverBudget = errors.Wrap(ErrNotCaughtUp, "more to read than the budget allows")
 	// errWatcherIsSelf says that this daemon watches the partition, so that there is no other to
 	// ask.
 	errWatcherIsSelf = errors.Wrap(ErrNotCaughtUp, "the watcher is this daemon")
-	// errOwnReadLate says that the own read continues, but the watcher must be asked as well.
+	// errOwnReadLate says that this daemon's own read of the partition is late. The read
+	// continues, but the watcher must be asked as well.
 	errOwnReadLate = errors.Wrap(ErrNotCaughtUp, "the own read is late")
 )
 
@@ -30,7 +32,7 @@
 type queryKind[Q, T any] struct {
 	// method is the RPC method of the watcher.
 	method string
-	// withWait returns the query with the time for which it may be kept open.
+	// withWait returns the query with wait as the time for which it may be kept open.
 	withWait func(wait time.Duration) Q
 	// fromFold answers from this daemon's fold, after reads of the journal where needed; ready
 	// reports whether the fold holds an answer without a read.
@@ -38,7 +40,8 @@
 	ready    func() bool
 }
 
-// answerQuery answers a query that may be kept open for wait, within answerTimeout beyond that.
+// answerQuery answers a query that may be kept open for wait. It returns at most answerTimeout
+// after that time.
 func answerQuery[Q, T any](
 	ctx context.Context, r *Reader, batchID string, wait time.Duration, k queryKind[Q, T],
 ) (answer T, err error) {
@@ -50,7 +53,7 @@
 }
 
 // answer tries the ways to an answer in order: a fresh fold, an own read within the budget, the
-// partition's watcher beside that read, and a read at the rate of the budget.
+// partition's watcher while that read continues, and a read at the rate of the budget.
 func (q *pendingQuery[Q, T]) answer(ctx context.Context) (answer T, err error) {
 	if q.partition.IsFresh() || q.reader.budget == nil {
 		return q.fromFold(ctx, q.withWait(q.wait))
@@ -103,8 +106,8 @@
 	return answer, errOwnReadLate
 }
 
-// raceWatcher asks the partition's watcher while the own read continues, if that has not failed,
-// and returns the first answer of the two.
+// raceWatcher asks the partition's watcher while the own read continues, unless that read has
+// failed, and returns the first answer of the two.
 func (q *pendingQuery[Q, T]) raceWatcher(ctx context.Context, own *future[T]) (answer T, err error) {
 	q.way = wayWatcher
 	watcher := async(func() (watcherReply[T], error) { return q.askWatcher(ctx) })
@@ -124,8 +127,8 @@
 	return watcher.value.answer, nil
 }
 
-// readPaced answers after reading the partition at the rate of the budget. The cause, why the
-// watcher gave no answer, is logged.
+// readPaced answers after reading the partition at the rate of the budget. cause says why the
+// watcher gave no answer; it is only logged.
 func (q *pendingQuery[Q, T]) readPaced(ctx context.Context, cause error) (answer T, err error) {
 	q.way = wayPaced
 	if err := q.reader.acquireColdRead(ctx); err != nil {
--- a/internal/batches/results/results.go
+++ b/internal/batches/results/results.go
@@ -5,8 +5,10 @@
 // ways that succeeds:
 //
 //   - from its own fold, if that is fresh;
-//   - from its own fold after reading what that lacks, if its budget of journal bandwidth allows it;
-//   - by a call to the partition's watcher, if the budget does not allow the read or the read is late;
+//   - from its own fold after its own read of the records that the fold lacks, if its budget of
+//     journal bandwidth allows that read;
+//   - by a call to the partition's watcher, if the budget does not allow the own read or that read
+//     is late;
 //   - by reading the partition at the rate of the budget, if the watcher cannot be asked.
 //
 // The budget keeps these reads, each of which may cover a whole partition, from using up the
@@ -57,8 +59,8 @@
 )
 
 const (
-	// maxFoldAge is the age from which a fold is refreshed before it answers with only a part of
-	// the results.
+	// maxFoldAge is the time since a fold was last read to the end of its partition above which
+	// the fold is refreshed before it answers with only a part of a batch's results.
 	maxFoldAge = 150 * time.Millisecond
 	// maxPageBytes bounds the texts of one page of results. A page holds at least one result,
 	// however long.
@@ -99,9 +101,10 @@
 	coldReads chan struct{}
 	// openQueries counts the queries of this daemon's callers that are being answered.
 	openQueries atomic.Int64
-	// observe is called at the end of each of them.
+	// observe is called at the end of each query of this daemon's callers.
 	observe Observer
-	// lateReads merges the log lines of late own reads: in an outage every query has one.
+	// lateReads merges the log lines of queries whose own read is late, since in an outage every
+	// query has such a read.
 	lateReads *logging.Episodes
 }
 
@@ -151,7 +154,8 @@
 	})
 }
 
-// Item returns the body of an item of a batch that has not ended. The error wraps ErrNotCaughtUp.
+// Item returns the body of an item of a batch that has not ended; Body.Found tells whether there
+// is such an item. The error wraps ErrNotCaughtUp.
 func (r *Reader) Item(ctx context.Context, query ItemQuery) (Body, error) {
 	return answerQuery(ctx, r, query.BatchID, 0, queryKind[ItemQuery, Body]{
 		method:   methodItem,
@@ -179,8 +183,8 @@
 }
 
 // Beginning returns the offset of a batch's first record in its partition, from this daemon's own
-// fold or else from the partition's watcher. The error wraps ErrNotCaughtUp, also if neither knows
-// the batch.
+// fold or else from the partition's watcher. The error wraps ErrNotCaughtUp; it is also returned
+// if neither of them knows the batch.
 func (r *Reader) Beginning(ctx context.Context, batchID string) (int64, error) {
 	partition := r.ledger.PartitionOf(batchID)
 	if beginning := beginningOf(partition, batchID); beginning.Found {
--- a/internal/batches/results/samples.go
+++ b/internal/batches/results/samples.go
@@ -13,9 +13,9 @@
 	Taken []byte
 	// Limit is the maximum number of results; 0 means no limit.
 	Limit int
-	// Further says that the round follows one that is known to exist. Its records are younger than
-	// any that the journal has removed, so that a round that the fold does not hold after a read
-	// does not exist.
+	// Further says that the round follows one that is known to exist. The records of such a round
+	// are younger than any that the journal has removed, so a round that the fold does not hold
+	// after a read does not exist.
 	Further bool
 }
 
@@ -36,7 +36,8 @@
 // on nil.
 func (s *Samples) isFull(results int) bool { return s != nil && s.Limit > 0 && results >= s.Limit }
 
-// wants reports whether the trainer lacks the sample of an item. It is true for every item on nil.
+// wants reports whether the trainer lacks the sample of an item. It may be called on nil, for
+// which it is true for every item.
 func (s *Samples) wants(itemID string) bool {
 	if s == nil {
 		return true
@@ -45,7 +46,8 @@
 	return ok && sample >= 0 && (sample/8 >= len(s.Taken) || s.Taken[sample/8]&(1<<(sample%8)) == 0)
 }
 
-// round returns the description of a round whose batch job is given, the zero value on nil.
+// round returns the description of the round whose batch job is given. It may be called on nil,
+// for which it returns the zero value.
 func (s *Samples) round(job *batch.Batch) Round {
 	if s == nil {
 		return Round{}
@@ -62,8 +64,8 @@
 	return round
 }
 
-// resultOf returns the result of an item as a page has it. On nil it omits what only queries for
-// samples need.
+// resultOf returns the result of an item in the form of a page. It may be called on nil, for which
+// it leaves out the group and the body, which only queries for samples need.
 func (s *Samples) resultOf(item *batch.Item, result batch.Result) Result {
 	res := Result{ItemID: item.ID, Result: result}
 	if s != nil {
--- a/internal/batches/results/service.go
+++ b/internal/batches/results/service.go
@@ -22,8 +22,8 @@
 const maxPeerPageBytes = maxPageBytes / 4
 
 // Service answers queries of peers over net/rpc from the folds of this daemon. The names of its
-// exported methods and of the fields of their arguments are part of the protocol and stay. It never
-// calls another daemon, so that a query is forwarded at most once.
+// exported methods and of the fields of their arguments are part of the protocol and must not
+// change. A Service never calls another daemon, so that a query is forwarded at most once.
 type Service struct {
 	ctx    context.Context
 	reader *Reader
@@ -61,8 +61,8 @@
 	return err
 }
 
-// answer calls fromFold with a timeout of catchUpTimeout beyond wait, the time for which the query
-// may be kept open.
+// answer calls fromFold with a timeout of wait plus catchUpTimeout. wait is how long the query may
+// be kept open.
 func answer[Q, A any](
 	s *Service, wait time.Duration, query Q, fromFold func(context.Context, Q) (A, error),
 ) (A, error) {
--- a/internal/batches/results/trace.go
+++ b/internal/batches/results/trace.go
@@ -13,9 +13,9 @@
 type way string
 
 const (
-	// wayFold is an answer from this daemon's fold, after a read of its newest records at most.
+	// wayFold is an answer from this daemon's fold, after a read of at most the newest records.
 	wayFold way = "fold"
-	// wayBudget is an answer after reading what this daemon lacked, within its budget.
+	// wayBudget is an answer after an own read of what the fold lacked, within the budget.
 	wayBudget way = "budget"
 	// wayWatcher is an answer of the partition's watcher.
 	wayWatcher way = "holder"
@@ -24,8 +24,8 @@
 	wayPaced way = "paced"
 )
 
-// Observer is called at the end of each query with its way, whether it was answered, and the time
-// that it took beyond the time for which it was to be kept open.
+// Observer is called at the end of each query with the way in which the query was answered,
+// whether it was answered, and the time that the answer took beyond the query's wait.
 type Observer func(way string, answered bool, took time.Duration)
 
 // queryTrace records the course of one query, for the log line of a failed one and for the
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -42,8 +42,9 @@
 	return reply, reply.err
 }
 
-// awaitWatcher returns the incarnation that watches a partition. While it is not known, as just
-// after a start, the lookup is repeated for up to watcherSearchTimeout; the result is then false.
+// awaitWatcher returns the incarnation that watches a partition. While the watcher is not known,
+// as just after a start, the lookup is repeated for up to watcherSearchTimeout. The result is
+// false if the watcher is still not known then.
 func (r *Reader) awaitWatcher(ctx context.Context, name journal.Partition) (string, bool) {
 	for began := time.Now(); ; {
 		watcher, ok := r.watchers.WatcherOf(ctx, name)
