--- a/internal/replicas/fleet/fleet.go
+++ b/internal/replicas/fleet/fleet.go
@@ -40,7 +40,8 @@
 	callTimeout = 800 * time.Millisecond
 )
 
-// orderBackoff is the wait after failed orders. It starts a little above planInterval.
+// orderBackoff bounds the wait after failed orders. Its first wait is a little longer than
+// planInterval.
 var orderBackoff = backoff.Bounds{First: 300 * time.Millisecond, Longest: 5 * time.Second}
 
 // Deps are the dependencies of a Manager.
@@ -48,7 +49,7 @@
 	Journal journal.Journal
 	Lease   lease.Fencer
 	Driver  duty.Driver
-	// Holder is the name of the lease holder that orders are made under.
+	// Holder is the name under which this daemon holds the lease. Each order carries it.
 	Holder        string
 	Table         *replica.Table
 	List          ListFreshness
@@ -64,8 +65,8 @@
 	Deps
 	logger *zap.Logger
 
-	// lastOrders is the last order of each service and zone. It is read from the journal after
-	// the lease is acquired, and nil before.
+	// lastOrders is the last order of each service and zone. It is read from the journal after the
+	// lease is acquired, and is nil while the lease is not held.
 	lastOrders map[serviceZone]observedOrder
 	// newestOrders is the newest order ever seen of each service and zone. It is kept after the
 	// lease is lost, so that reading an order again does not reset the time when it was first
@@ -77,7 +78,7 @@
 	listStaleAt time.Time
 	// recentMax is the largest number of listed replicas in recentMaxWindow.
 	recentMax map[serviceZone]observedMax
-	// backoff is the wait after failed orders.
+	// backoff delays the next orders after a failed one.
 	backoff backoff.Rest
 
 	// OrdersAccepted counts the orders that the platform accepted, OrdersFailed those that
@@ -127,7 +128,8 @@
 	}
 }
 
-// planInput returns the input of a plan for a service, and updates lowSince.
+// planInput returns the input of a plan for a service, with the last orders of its zones, and
+// updates lowSince.
 func (m *Manager) planInput(configuration *route.Configuration, service route.Service,
 	present map[serviceZone]int, now time.Time) Input {
 	in := Input{Scaling: *service.Scaling, Slots: service.Slots, Now: now, Loads: m.loads(configuration, service)}
@@ -180,9 +182,9 @@
 	return shortest
 }
 
-// placeOrder orders replicas from the platform and reports whether it accepted. The order is
-// recorded before the call, so that the next lease holder treats an order whose outcome is
-// unknown as made.
+// placeOrder orders replicas from the platform and reports whether the platform accepted the
+// order. The order is recorded in the journal before the call, so that the next lease holder
+// treats an order whose outcome is unknown as made.
 func (m *Manager) placeOrder(ctx context.Context, service string, order Order, in Input) bool {
 	key := serviceZone{service, order.Zone}
 	rec := orderRecord{Service: service, Zone: order.Zone, Desired: order.Desired, AtMs: in.Now.UnixMilli()}
@@ -201,7 +203,7 @@
 	if err != nil {
 		m.OrdersFailed.Add(1)
 		m.backoff.Failed(orderBackoff, time.Now())
-		// Forgotten here, so that the next plan makes the order again.
+		// The order is removed from lastOrders, so that the next plan makes it again.
 		delete(m.lastOrders, key)
 		return false
 	}
--- a/internal/replicas/fleet/listed.go
+++ b/internal/replicas/fleet/listed.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// maxListAge is how old the list of replicas may be for an order: in an outage of the
-	// journal entries expire although their replicas are running.
+	// maxListAge is the age above which the list of replicas is not relied on for orders: in an
+	// outage of the journal, entries expire although their replicas are running.
 	maxListAge = 1500 * time.Millisecond
 	// listSettleTime is how long the list must have been current before it is relied on. Entries
 	// that expired in an outage are written again within two seconds of its end.
 	listSettleTime = 3 * time.Second
-	// recentMaxWindow is how long a larger number of listed replicas is remembered. A replica
-	// that is missing from the list for a shorter time may be running.
+	// recentMaxWindow is how long the largest number of listed replicas is remembered. A replica
+	// that has been missing from the list for less than that may still be running.
 	recentMaxWindow = 15 * time.Second
 )
 
@@ -36,8 +36,8 @@
 	return now.Sub(m.listStaleAt) >= listSettleTime
 }
 
-// countListed returns the number of replicas that may get work, without spot replicas, for each
-// zone of the services whose replicas may be ordered. It also updates recentMax.
+// countListed returns the number of listed replicas that may get work, for each zone of the
+// services that have a Scaling. Spot replicas are not counted. It also updates recentMax.
 func (m *Manager) countListed(configuration *route.Configuration, now time.Time) map[serviceZone]int {
 	present := map[serviceZone]int{}
 	for _, service := range configuration.Services {
--- a/internal/replicas/fleet/orders.go
+++ b/internal/replicas/fleet/orders.go
@@ -48,8 +48,8 @@
 	return errors.Wrap(err, "fleet: order not recorded")
 }
 
-// observe returns an order with the time when it was first seen, which is now for an order other
-// than the newest known one.
+// observe returns an order with the time when this daemon first saw it. That time is now unless
+// the order equals the newest known one of its service and zone.
 func (m *Manager) observe(key serviceZone, rec orderRecord, now time.Time) observedOrder {
 	if m.newestOrders[key].orderRecord != rec {
 		m.newestOrders[key] = observedOrder{rec, now}
@@ -57,8 +57,8 @@
 	return m.newestOrders[key]
 }
 
-// loadOrders reads the last orders from the journal after the lease was acquired, and reports
-// whether they are known. An order that cannot be decoded is skipped.
+// loadOrders reads the last orders from the journal, once after the lease was acquired, and
+// reports whether they are known. An order that cannot be decoded is skipped.
 func (m *Manager) loadOrders(ctx context.Context) bool {
 	if m.lastOrders != nil {
 		return true
--- a/internal/replicas/fleet/plan.go
+++ b/internal/replicas/fleet/plan.go
@@ -12,21 +12,21 @@
 
 const (
 	// targetFraction is the fraction of a batch's deadline in which its items should run if all
-	// were available at once. The rest covers the longest streams, changes of weights and
-	// failing replicas. A smaller fraction requires more engines than can be kept at the newest
-	// weights.
+	// were available at once. The rest of the deadline covers the longest streams, changes of
+	// weights and failing replicas. A smaller fraction requires more engines than can be kept at
+	// the newest weights.
 	targetFraction = 0.3
 	// maxZoneFraction bounds the fraction of the needed replicas in one zone, as far as the
 	// other zones have room, so that the loss of a zone leaves about half of them.
 	maxZoneFraction = 0.5
-	// bootMargin is added to the start time of a replica before an ordered one counts as
-	// missing.
+	// bootMargin is added to the startup time of a replica. An ordered replica that is not listed
+	// after that sum counts as missing.
 	bootMargin = 2 * time.Second
 	// renewInterval is the time between two orders for the same missing replicas.
 	renewInterval = 10 * time.Second
-	// shrinkFraction is the fraction of the present replicas that the need must stay below for
-	// shrinkDelay before replicas are released, one per zone at a time. The delay is long
-	// because a missing replica delays batches, while a surplus one only costs its price.
+	// Replicas are released, one per zone at a time, once the need has been below shrinkFraction
+	// of the present replicas for shrinkDelay. The delay is long because a missing replica delays
+	// batches, while a surplus one only costs its price.
 	shrinkFraction = 0.75
 	shrinkDelay    = time.Minute
 )
@@ -36,8 +36,8 @@
 	Name string
 	// Present is the number of replicas that are listed and not draining.
 	Present int
-	// RecentMax is the recent maximum of Present. Replicas that have been missing since may be
-	// running, and an order for fewer could end them.
+	// RecentMax is the largest value of Present within recentMaxWindow. Replicas that are no
+	// longer listed may still be running, and an order for fewer than RecentMax could end them.
 	RecentMax int
 	// Ordered is the number of replicas in the last order, 0 if there was none. OrderedAt is
 	// when the order was made or first seen, by the clock of Input.Now.
@@ -72,7 +72,7 @@
 
 // Load is the demand of one model's batches.
 type Load struct {
-	// Items is the number of items of a batch, ItemTime how long one item occupies a slot.
+	// Items is the number of items of a batch. ItemTime is how long one item occupies a slot.
 	Items    int
 	ItemTime time.Duration
 	// Deadline is the time in which the results of a batch are due.
@@ -89,7 +89,7 @@
 	Slots int
 	Zones []Zone
 	Loads []Load
-	// LowSince is since when NeedIsLow has been true, zero if it is not.
+	// LowSince is when NeedIsLow became true, or zero while it is false.
 	LowSince time.Time
 	Now      time.Time
 }
@@ -100,8 +100,8 @@
 	Desired int
 }
 
-// Need returns the number of replicas whose slots suffice to run the items of all models'
-// batches within targetFraction of their deadlines.
+// Need returns the number of replicas whose slots suffice to run the items of all models' batches
+// within targetFraction of the batches' deadlines. Loads without a deadline don't count.
 func Need(in Input) int {
 	slots := 0.0
 	for _, load := range in.Loads {
@@ -183,8 +183,9 @@
 	}
 }
 
-// shrink lowers counts by one replica in each zone with no missing or starting replicas, the
-// most expensive first, as long as the total exceeds need.
+// shrink lowers counts by one replica in each zone with no missing or starting replicas, the most
+// expensive zone first, as long as the total exceeds need. No zone falls below the minimum of the
+// scaling or below one replica.
 func shrink(in Input, counts []int, need int) {
 	order := make([]int, len(counts))
 	for i := range order {
