--- a/internal/replicas/modelsync/allotment.go
+++ b/internal/replicas/modelsync/allotment.go
@@ -9,16 +9,18 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// reallotThreshold is the difference, in replicas, between a model's ideal share and its
-// allotment above which the allotment is computed again. A replica that changes its model loads
-// weights and loses its caches.
+// reallotThreshold is the difference, in replicas, between a model's ideal share and its allotment
+// above which the allotment is computed again. It is not lower because a replica that changes its
+// model must load weights and loses its caches.
 const reallotThreshold = 0.75
 
 const (
-	// headroomFactor is the ratio of the engines kept at a model's newest versions to those that
-	// one batch fills. Any more would cost orders and loads without being used.
+	// headroomFactor is the ratio of the engines kept at a model's newest versions to the engines
+	// that one batch fills. A higher ratio would cost orders and loads for engines that are not
+	// used.
 	headroomFactor = 4
-	// minEnginesPerModel is the minimum kept for a model, so that single failures do not stop it.
+	// minEnginesPerModel is the minimum number of engines kept for a model, so that the failure of
+	// a single engine does not stop the model's batches.
 	minEnginesPerModel = 3
 )
 
@@ -32,7 +34,7 @@
 }
 
 // limitToDemand returns the allotment with each model limited to the engines that its batches
-// need. Models without known demand keep theirs.
+// need. A model without known demand keeps its allotment.
 func (s *Syncer) limitToDemand(allotment []int, models []string, slots int) []int {
 	limited := make([]int, len(allotment))
 	for i, model := range models {
@@ -45,8 +47,8 @@
 }
 
 // updateAllotment returns the allotment of a service: the number of its replicas for each of its
-// models, in proportion to the work of their batches. The stored allotment is reused while it is
-// close to the ideal one.
+// models, in proportion to the tokens of their batches. The stored allotment is reused while it is
+// close to the ideal shares.
 func (s *Syncer) updateAllotment(service string, models []string, replicas int) []int {
 	work := make([]float64, len(models))
 	for i, model := range models {
@@ -71,7 +73,8 @@
 }
 
 // isNearIdeal reports whether each model's allotment is within reallotThreshold of its ideal
-// share. A model with at most one replica whose ideal share is at most one always is.
+// share. For a model whose allotment and ideal share are both at most one, any difference is
+// accepted.
 func isNearIdeal(allotment []int, work []float64) bool {
 	for i, ideal := range computeIdeals(work, total(allotment)) {
 		if math.Abs(ideal-float64(allotment[i])) > reallotThreshold && (allotment[i] > 1 || ideal > 1) {
@@ -81,8 +84,8 @@
 	return true
 }
 
-// computeIdeals returns the fractional number of replicas for each model in proportion to its
-// work. Unknown work, given as 0, counts as the mean of the known.
+// computeIdeals returns the ideal share of each model: the fractional number of replicas in
+// proportion to the model's work. Unknown work, given as 0, counts as the mean of the known work.
 func computeIdeals(work []float64, replicas int) []float64 {
 	sum, known := 0.0, 0
 	for _, w := range work {
@@ -134,9 +137,9 @@
 	return allotment
 }
 
-// assignReplicas returns the replicas of a service that are assigned to each of its models. A
-// replica keeps its model while the allotment allows, also when other replicas come and go:
-// changing the model costs a load and its caches.
+// assignReplicas returns the replicas of a service that are assigned to each of its models, in the
+// order of models. A replica keeps its model while the allotment allows, also when other replicas
+// come and go, because a replica that changes its model must load weights and loses its caches.
 func (s *Syncer) assignReplicas(service string, models []string, replicas []replica.Replica) [][]replica.Replica {
 	allotment := s.updateAllotment(service, models, len(replicas))
 	if len(replicas) > 0 {
@@ -168,10 +171,10 @@
 	return models
 }
 
-// assignByID assigns each replica to a model: to its previous one, or else to the one of which it
-// holds the highest version, as an earlier holder of the lease may have assigned it so. Replicas
-// beyond the allotment are not assigned. Where there are fewer replicas than models, a replica
-// serves several models.
+// assignByID assigns each replica to a model: to its previous model, or else to the model of which
+// it holds the highest version, as an earlier holder of the lease may have made that assignment.
+// Replicas beyond the allotment are not assigned. If there are fewer replicas than models, a
+// replica serves several models.
 func assignByID(replicas []replica.Replica, models []string, allotment []int, previous map[string]string) [][]replica.Replica {
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b replica.Replica) int { return strings.Compare(a.ID, b.ID) })
@@ -187,8 +190,8 @@
 	return assignments
 }
 
-// assignWithinAllotment assigns each replica to at most one model, in the order of sorted, and
-// each model at most its allotment.
+// assignWithinAllotment assigns each replica to at most one model, in the order of sorted, and to
+// each model at most as many replicas as its allotment.
 func assignWithinAllotment(sorted []replica.Replica, models []string, allotment []int,
 	previous map[string]string) [][]replica.Replica {
 	assignments := make([][]replica.Replica, len(models))
--- a/internal/replicas/modelsync/change.go
+++ b/internal/replicas/modelsync/change.go
@@ -21,7 +21,8 @@
 	initialLoadTime = 800 * time.Millisecond
 	// pollInterval is the time between two polls of an engine that is loading.
 	pollInterval = 200 * time.Millisecond
-	// loadTimeout bounds a change. After it the change may be ordered again.
+	// loadTimeout bounds a change. A change that takes longer ends with an error and may be
+	// ordered again.
 	loadTimeout = 8 * time.Second
 	// maxWaitOverrun is how much later than requested a wait may end before the process counts as
 	// stalled. Timers of an overloaded machine are late by less.
@@ -30,22 +31,23 @@
 
 // Errors of a change.
 var (
-	// errRestarted is returned if another incarnation of the engine answers than the one to be
-	// changed. Its versions and its count of orders are unrelated to the expected ones.
+	// errRestarted is returned if the engine that answers is a different incarnation than the one
+	// to be changed. Its versions and its count of orders are unrelated to the expected ones.
 	errRestarted = errors.New("modelsync: engine has restarted")
 	// errIdle is returned if the engine neither holds nor loads the version.
 	errIdle = errors.New("modelsync: engine neither holds nor loads the version")
-	// errLoadTimeout is returned if the engine does not hold the version in time. It may still be
-	// loading it.
+	// errLoadTimeout is returned if the engine does not hold the version in time. The engine may
+	// still be loading the version.
 	errLoadTimeout = errors.New("modelsync: engine did not load the version in time")
 )
 
-// changeBackoff bounds the delay before an engine is changed again after a failure. It grows with
-// consecutive failures, as changes of unreachable engines take up the load limit.
+// changeBackoff bounds the delay before an engine is changed again after a failure. The delay
+// grows with consecutive failures, as changes of unreachable engines count against the load limit.
 var changeBackoff = backoff.Bounds{First: 100 * time.Millisecond, Longest: 2 * time.Second}
 
-// runChange brings one engine to a version and waits until it holds it. The state is that of the
-// incarnation to be changed; s.engines may hold another one by the end.
+// runChange brings one engine to a version and waits until the engine holds it. state is the state
+// of the incarnation to be changed; by the end of the change, s.engines may hold the state of
+// another incarnation.
 func (s *Syncer) runChange(ctx context.Context, c change, state *engineState) {
 	began := time.Now()
 	err := s.changeWeights(ctx, c)
@@ -62,8 +64,8 @@
 		zap.Int64("version", c.version), zap.Duration("took", time.Since(began)), zap.Error(err))
 }
 
-// changeWeights sends an order unless the engine already holds the version, and waits until it
-// does.
+// changeWeights orders the version from the engine, unless the engine already holds it, and waits
+// until the engine holds it.
 func (s *Syncer) changeWeights(ctx context.Context, c change) error {
 	bounded, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -107,9 +109,9 @@
 	return errLoadTimeout
 }
 
-// estimateLoadTime returns how long a change should take, which is the wait before the first
-// poll. It is limited to maxNormalLoadTime: no change is measured as shorter than this wait, so
-// an estimate that is too long would never be corrected.
+// estimateLoadTime returns how long a change should take, which is the wait before the first poll.
+// It is at most maxNormalLoadTime: no change is measured as shorter than this wait, and without
+// the limit an estimate that is too long would never be corrected.
 func (s *Syncer) estimateLoadTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,8 +121,9 @@
 	return s.expectedLoadTime
 }
 
-// recordLoadTime updates the load limiter and the expected load time with a finished change. The
-// estimate is kept slightly low, as a late poll costs time and an early one only a call.
+// recordLoadTime updates the load limiter and the expected load time with a change that took from
+// ordered to now. The expected load time is kept slightly low, as a late poll costs time and an
+// early one only a call.
 func (s *Syncer) recordLoadTime(ordered, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +152,7 @@
 }
 
 // sendOrder sends the order under the fence of the lease, in a call that ends before the lease
-// does. It returns lease.ErrNotHeld if the lease does not allow the call.
+// ends. It returns lease.ErrNotHeld if the lease does not allow the call.
 func (s *Syncer) sendOrder(ctx context.Context, c change, report engine.Report) error {
 	_, err := lease.Do(ctx, s.Lease, callTimeout, func(ctx context.Context, fence int64) error {
 		s.OrdersSent.Add(1)
@@ -162,7 +165,7 @@
 	return err
 }
 
-// stallDetector detects that the process was stopped during one of its waits. Times measured
+// stallDetector detects that the process was stopped during one of its waits. Load times measured
 // across a stall must not be recorded: they would count as slow loads and lower the load limit.
 type stallDetector struct {
 	// now must include the time in which the machine is suspended.
--- a/internal/replicas/modelsync/due.go
+++ b/internal/replicas/modelsync/due.go
@@ -17,8 +17,9 @@
 	manner  engine.UpdateMode
 }
 
-// chooseManner returns Finish if a route of the service requires a single version for each text,
-// and otherwise Continue, which lets running requests continue under the new weights.
+// chooseManner returns engine.FinishRunning if a route of the service requires a single version
+// for each text, and otherwise engine.ContinueRunning, which lets running requests continue under
+// the new weights.
 func chooseManner(configuration *route.Configuration, service string) engine.UpdateMode {
 	for i := range configuration.Routes {
 		if rt := &configuration.Routes[i]; rt.SingleVersion && rt.Uses(service) {
@@ -42,13 +43,14 @@
 	return mergeByNeed(needs, maxLag)
 }
 
-// versionsBehind returns how many versions the engine must advance.
+// versionsBehind returns how many versions the replica is behind the version of the change.
 func (c change) versionsBehind() int64 { return c.version - c.replica.Versions[c.model] }
 
 // listModelChanges returns the changes to the newest version that are due for the replicas of one
-// model. A change is due at the latest when the next version would make the replica too old for a
-// batch. In addition, an even fraction of the replicas is changed at each version, so that they
-// do not all become too old at once.
+// model. lag is how many versions behind the newest one a batch allows. A change is due at the
+// latest when the next version would make the replica too old for a batch. In addition, an even
+// fraction of the replicas is changed at each version, so that the replicas do not all become too
+// old at once.
 func listModelChanges(replicas []replica.Replica, model string, version, lag int64, manner engine.UpdateMode) []change {
 	var outdated []change
 	newest := 0
--- a/internal/replicas/modelsync/kinds.go
+++ b/internal/replicas/modelsync/kinds.go
@@ -11,7 +11,7 @@
 
 const (
 	// bestEventTimeWindow is the minimum time for which an engine's best event time counts, so
-	// that an engine that is slow for some seconds is not assigned anew.
+	// that an engine that is slow for some seconds keeps its speed class.
 	bestEventTimeWindow = 30 * time.Second
 	// minSpeedClassRatio is the ratio between two event times above which a new speed class
 	// begins. It is greater than the noise within a class.
@@ -24,8 +24,8 @@
 // measurement. The event time is 0 if it is not known.
 type EventTimeFunc func(rep replica.Replica) (eventTime, age time.Duration)
 
-// groupBySpeed groups engines into speed classes, the fastest first. A class ends where two
-// consecutive event times differ by more than minSpeedClassRatio. Engines without an event time
+// groupBySpeed groups engines into speed classes, the fastest first. A new class begins where the
+// ratio of two consecutive event times exceeds minSpeedClassRatio. Engines without an event time
 // are added to the largest class. Each class is sorted by id.
 func groupBySpeed(replicas []replica.Replica, eventTimeOf func(id string) time.Duration) [][]replica.Replica {
 	sorted := slices.Clone(replicas)
@@ -84,10 +84,10 @@
 	return assignments
 }
 
-// computeClassShares returns how many engines of a speed class each model gets. The parameter
-// assigned counts what each model has of the faster classes, and reached the engines in all
-// classes up to this one. Within rounding, a model keeps the engines of the class that it already
-// has.
+// computeClassShares returns how many engines of a speed class each model gets. assigned is the
+// number of engines of faster classes that each model has, and reached the number of engines in
+// all classes up to this one. Within rounding, a model keeps the engines of the class that it was
+// previously assigned.
 func computeClassShares(class []replica.Replica, models []string, allotment, assigned []int, previous map[string]string,
 	reached int) []int {
 	fraction := min(float64(reached)/float64(max(total(allotment), 1)), 1)
@@ -131,7 +131,7 @@
 }
 
 // extremeIndex returns the index of the largest eligible value, or of the smallest one if sign is
-// -1. It returns -1 if none is eligible.
+// -1. It returns -1 if no value is eligible.
 func extremeIndex(values []float64, eligible func(i int) bool, sign float64) int {
 	best := -1
 	for i, value := range values {
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -46,7 +46,8 @@
 	// NewestVersions returns the newest announced version of each model.
 	NewestVersions func() map[string]int64
 	Demands        *demand.State
-	// EventTime returns the event time of an engine. Engines without one count as equally fast.
+	// EventTime returns the event time of an engine. Engines without an event time count as
+	// members of the largest speed class.
 	EventTime EventTimeFunc
 }
 
@@ -75,8 +76,9 @@
 	}
 }
 
-// Run starts due changes while the lease is held, until the context ends. It calls follow, which
-// reads the demand, when the lease is gained, and cancels its context when the lease is lost.
+// Run starts due changes while the lease is held, until the context ends. When the lease is
+// gained, Run calls follow, which reads the demand, in a goroutine; when the lease is lost, it
+// cancels the context that it passed to follow.
 func (s *Syncer) Run(ctx context.Context, follow func(context.Context)) {
 	stop := func() {}
 	following := false
@@ -139,7 +141,8 @@
 	}
 }
 
-// maxLag returns how many versions behind the newest one the newest batch of a model allows.
+// maxLag returns how many versions an engine may be behind the newest one and still run the
+// model's newest batch.
 func (s *Syncer) maxLag(model string) int64 {
 	return s.Demands.Newest(model).MaxLag()
 }
--- a/internal/replicas/modelsync/notes.go
+++ b/internal/replicas/modelsync/notes.go
@@ -18,12 +18,12 @@
 	// backoff delays the next change after failed ones.
 	backoff      backoff.Rest
 	lastListedAt time.Time
-	// bestEventTime is the shortest recent event time.
+	// bestEventTime is the shortest event time observed recently; see bestEventTimeWindow.
 	bestEventTime replica.RollingMin
 }
 
-// unlistedStateTTL is how long the state is kept after the engine leaves the replica list, which
-// an outage of the journal may empty for a while.
+// unlistedStateTTL is how long the state of an engine is kept after the engine leaves the replica
+// list, since an outage of the journal may empty the list for a while.
 const unlistedStateTTL = 30 * time.Second
 
 // isLoading reports whether a change of an engine is in progress.
@@ -63,7 +63,8 @@
 	})
 }
 
-// stateOf returns the state of an engine, which it adds if missing. The mutex must be held.
+// stateOf returns the state of an engine, and adds an empty one if there is none. The mutex must
+// be held.
 func (s *Syncer) stateOf(id string) *engineState {
 	state := s.engines[id]
 	if state == nil {
--- a/internal/replicas/modelsync/order.go
+++ b/internal/replicas/modelsync/order.go
@@ -6,8 +6,8 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// modelNeed counts the engines of one model, where those with a change in progress count as
-// changed, and holds the changes that are due for it, the most urgent first.
+// modelNeed counts the engines of one model and holds the changes that are due for the model, the
+// most urgent first. An engine with a change in progress counts as changed.
 type modelNeed struct {
 	engines int
 	// usable engines are within the lag that batches allow; newest engines hold the newest
@@ -40,8 +40,8 @@
 }
 
 // compareNeeds orders models by urgency: first the smallest fraction of usable engines, then the
-// smallest fraction at the newest version, then the engine furthest behind. Both must have due
-// changes.
+// smallest fraction of engines at the newest version, then the engine furthest behind. Both needs
+// must have due changes.
 func compareNeeds(a, b modelNeed) int {
 	return cmp.Or(
 		cmp.Compare(a.usable*b.engines, b.usable*a.engines),
@@ -51,8 +51,8 @@
 }
 
 // mergeByNeed merges the changes of several models: first those in progress, then repeatedly the
-// next change of the model in greatest need, counting the changes before it as done. So no model
-// has to wait, with its batches stopped, until all engines of another model have changed.
+// next change of the model in greatest need, where changes already merged count as done. So no
+// model has to wait, with its batches stopped, until all engines of another model have changed.
 func mergeByNeed(needs []modelNeed, maxLag func(model string) int64) []change {
 	var merged []change
 	for i := range needs {
--- a/internal/replicas/modelsync/width.go
+++ b/internal/replicas/modelsync/width.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// minConcurrentLoads is the lower bound of the limit.
+	// minConcurrentLoads is the number of concurrent loads that loadLimiter always allows.
 	minConcurrentLoads = 2
 	// minBacklogRatio is the ratio of due engines to the limit above which the limit grows. With
-	// fewer, more concurrent loads gain nothing.
+	// fewer due engines, more concurrent loads gain nothing.
 	minBacklogRatio = 4
-	// slowLoadRatio is the ratio to the shortest load time above which a load counts as slowed
-	// down by concurrent ones.
+	// slowLoadRatio is the ratio of a load time to the shortest load time above which the load
+	// counts as slowed down by concurrent loads.
 	slowLoadRatio = 1.5
 	// decreaseFactor multiplies the limit when loads are slowed down.
 	decreaseFactor = 0.7
@@ -17,7 +17,8 @@
 
 // loadLimiter limits how many engines load weights at a time, as the capacity of the weights'
 // source is unknown. While enough engines wait, the limit grows by one with each load at normal
-// speed; it shrinks by a factor when loads are slowed down. It isn't safe for concurrent use.
+// speed; the limit is multiplied by decreaseFactor when loads are slowed down. It isn't safe for
+// concurrent use.
 type loadLimiter struct {
 	limit       float64
 	minLoadTime time.Duration
@@ -36,9 +37,9 @@
 // maxLoads returns the limit as a whole number.
 func (l *loadLimiter) maxLoads() int { return max(int(l.limit), minConcurrentLoads) }
 
-// record updates the limit with a finished load. Loads that are slowed down at the same time have
-// one cause, such as a crash of engines: the limit shrinks once for all that were in progress
-// when it shrank.
+// record updates the limit with a load that ran from began to now. Loads that are slowed down at
+// the same time have one cause, such as a crash of engines: the limit shrinks only for a load that
+// began after it last shrank.
 func (l *loadLimiter) record(began, now time.Time) {
 	took := now.Sub(began)
 	if l.minLoadTime == 0 || took < l.minLoadTime {
