--- a/internal/replicas/replica/changes.go
+++ b/internal/replicas/replica/changes.go
@@ -2,13 +2,13 @@
 
 import "go.uber.org/zap"
 
-// maxChangeLogLines is the largest number of changes of one list update that are logged one per
-// line. A larger update is logged in one line, because after an outage every daemon reads the
+// maxChangeLogLines is the largest number of changes of one list update that are logged in a line
+// each. A larger update is logged in a single line, because after an outage every daemon reads the
 // entries of hundreds of replicas again.
 const maxChangeLogLines = 20
 
-// entryChange is one change of the list of replicas. before is nil for an added replica, now for
-// a removed one.
+// entryChange is one change of the list of replicas. before is nil for an added replica; now is
+// nil for a removed one.
 type entryChange struct{ before, now *Entry }
 
 // logChanges logs the changes of one list update, one line each or, if there are more than
--- a/internal/replicas/replica/experience.go
+++ b/internal/replicas/replica/experience.go
@@ -17,22 +17,22 @@
 	// time doubles with each consecutive failure, up to maxFailureBackoff.
 	minFailureBackoff = 200 * time.Millisecond
 	maxFailureBackoff = 3 * time.Second
-	// reportedLoadMaxAge is how long the load that an answer reported counts. It is of the order
-	// of the duration of a plain request.
+	// reportedLoadMaxAge is how long the load that a replica's answer reported counts. It is of
+	// the order of the duration of a plain request.
 	reportedLoadMaxAge = 100 * time.Millisecond
 	// statsTTL is how long the stats of an incarnation are kept after its entry was removed.
 	statsTTL = 30 * time.Second
 )
 
-// replicaStats is what this daemon has measured, or was reported to it, of one incarnation of a
-// replica.
+// replicaStats holds what this daemon has measured of one incarnation of a replica, and what the
+// incarnation's answers have reported.
 type replicaStats struct {
 	inFlight   int
 	failures   int
 	avoidUntil time.Time
 	// declines counts consecutive declined requests; those within one backoff count as one.
-	// While it is above zero, probing is set as long as a request is in flight that tests
-	// whether the replica accepts requests again.
+	// probing is set while declines is above zero and a request is in flight that tests whether
+	// the replica accepts requests again.
 	declines   int
 	probing    bool
 	latency    time.Duration
@@ -41,10 +41,11 @@
 	reportedLoad   int
 	reportedLoadAt time.Time
 	slowdown       slowdown
-	// versions is the highest version held of each model. The map is never modified, only
-	// replaced, because callers read it without the mutex.
+	// versions is the highest version that the incarnation holds of each model. The map is never
+	// modified, only replaced, because callers read it without the mutex.
 	versions map[string]int64
-	// removedAt is when the entry was removed, by the table's clock; zero while it is listed.
+	// removedAt is when the entry of the incarnation was removed, by the table's clock; zero while
+	// the entry is listed.
 	removedAt time.Time
 	// lastEntry is the entry that was removed at removedAt.
 	lastEntry Entry
@@ -61,8 +62,8 @@
 	return s
 }
 
-// raiseVersion sets the version of a model if it is higher than the known one, and reports
-// whether it is. The mutex of the table must be held.
+// raiseVersion sets the version of a model if it is higher than the known one, and reports whether
+// it was set. The mutex of the table must be held.
 func (s *replicaStats) raiseVersion(model string, version int64) bool {
 	if version <= s.versions[model] {
 		return false
@@ -93,8 +94,8 @@
 	t.notify()
 }
 
-// RequestSucceeded records a sound answer and its latency. It resets the failure count and ends
-// the time for which other replicas are preferred.
+// RequestSucceeded records a sound answer and its latency. It resets the failure count, and the
+// replica is no longer avoided.
 func (t *Table) RequestSucceeded(i Incarnation, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,8 +121,8 @@
 	t.statsOf(i).eventTimes.add(gap, time.Now())
 }
 
-// movingAverage returns the exponential moving average after a new value; a mean of 0 stands for
-// no earlier value.
+// movingAverage returns the exponential moving average of mean and a new value. A mean of 0 says
+// that there was no earlier value.
 func movingAverage(mean, value time.Duration) time.Duration {
 	if mean == 0 {
 		return value
@@ -130,7 +131,8 @@
 }
 
 // RequestFailed records a request that got no sound answer. Other replicas are preferred for a
-// time that doubles with each consecutive failure.
+// time that starts at minFailureBackoff and doubles with each consecutive failure, up to
+// maxFailureBackoff.
 func (t *Table) RequestFailed(i Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,8 +142,8 @@
 	s.avoidUntil = time.Now().Add(min(avoid, maxFailureBackoff))
 }
 
-// AvoidFor makes other replicas preferred for the given time from now. It never shortens a time
-// that was set before.
+// AvoidFor makes other replicas preferred to this one for the duration d from now. If they are
+// already preferred for a longer time, that time does not change.
 func (t *Table) AvoidFor(i Incarnation, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/replicas/replica/incarnation.go
+++ b/internal/replicas/replica/incarnation.go
@@ -10,8 +10,8 @@
 )
 
 // Incarnation identifies one life of a replica's process: the id of the replica, followed by the
-// start time of the process if the replica reports one. A replica that restarts under its id has
-// none of the state of its earlier incarnation.
+// start time of the process if the replica reports one. A replica that restarts under the same id
+// has none of the state of its earlier incarnation.
 type Incarnation string
 
 // startSeparator separates the id from the start time, which is in Unix milliseconds.
@@ -25,9 +25,9 @@
 	return Incarnation(e.ID + startSeparator + strconv.FormatInt(e.StartedAt.UnixMilli(), 10))
 }
 
-// HasStartTime reports whether the start time is part of the name. Such a name identifies one
-// process, which can end only once; a name without it is shared by all incarnations of the
-// replica.
+// HasStartTime reports whether the incarnation contains a start time. An Incarnation with a start
+// time identifies one process, which can end only once; one without is shared by all processes of
+// the replica.
 func (i Incarnation) HasStartTime() bool {
 	_, ok := i.split()
 	return ok
@@ -57,10 +57,10 @@
 // must not call the table. OnRestart must be called before any other method.
 func (t *Table) OnRestart(restarted func(address netip.AddrPort)) { t.onRestart = restarted }
 
-// ObserveStart records the start time that a replica itself reported, and reports whether it is
-// that of the incarnation that the caller addressed. It returns true if either start time
-// is unknown. A start after the listed one replaces the listed incarnation before the replica's
-// new entry arrives.
+// ObserveStart records the start time that a replica itself reported. It reports whether this is
+// the start time of the incarnation that the caller addressed, and returns true if either start
+// time is unknown. If the reported start is after that of the listed incarnation, the new
+// incarnation replaces the listed one before the replica's new entry arrives.
 func (t *Table) ObserveStart(addressed Replica, startedAt time.Time) bool {
 	if startedAt.IsZero() || addressed.StartedAt.IsZero() || startedAt.Equal(addressed.StartedAt) {
 		return true
@@ -88,10 +88,11 @@
 	return present
 }
 
-// acceptEntry reports whether the entry is of the newest known incarnation of its replica or of
-// a newer one, and records it as the newest. An entry of an earlier incarnation was written late
-// or has remained after a compaction. An entry without a start time is taken to be of the newest
-// known incarnation, whose start time it gets. The mutex must be held.
+// acceptEntry reports whether the entry is of the newest known incarnation of its replica or of a
+// newer one, and if so records the entry as the newest. An entry of an earlier incarnation was
+// written late or has remained after a compaction. An entry without a start time is taken to be of
+// the newest known incarnation and gets the start time of that incarnation. The mutex must be
+// held.
 func (t *Table) acceptEntry(entry *Entry) bool {
 	newest, ok := t.newest[entry.ID]
 	switch {
@@ -109,9 +110,9 @@
 	return true
 }
 
-// handleRestart expires the stats of an incarnation that was replaced by a newer one, and calls
-// onRestart. Requests in flight to the earlier one remain counted in its own stats. The mutex
-// must be held.
+// handleRestart marks the stats of an incarnation that was replaced by a newer one as removed, so
+// that they expire, and calls onRestart. Requests in flight to the earlier incarnation remain
+// counted in the stats of that incarnation. The mutex must be held.
 func (t *Table) handleRestart(before, now Entry) {
 	inFlight := 0
 	if s := t.stats[before.Incarnation()]; s != nil {
--- a/internal/replicas/replica/pick.go
+++ b/internal/replicas/replica/pick.go
@@ -5,19 +5,21 @@
 	"time"
 )
 
-// Terms of a score. A replica that is fully loaded and differs in nothing else scores 1.
+// Terms of the score by which Pick chooses. A replica that is fully loaded and differs in nothing
+// else scores 1.
 const (
-	// avoidPenalty is added for a replica to avoid, which is chosen only if there is no other.
+	// avoidPenalty is added to the score of a replica to avoid, which is chosen only if there is
+	// no other.
 	avoidPenalty = 1000.0
 	// latencyUnit is the additional latency that counts as much as a full load.
 	latencyUnit = 200 * time.Millisecond
 	// maxJitter bounds the random term, which keeps daemons from all choosing the same replica.
 	maxJitter = 0.05
 	// noConnPenalty is added if a connection must be opened first, which costs the replica time.
-	// It is a little more than one request in flight to a replica of six slots, so that of
-	// hundreds of daemons with few requests each not every request opens one.
+	// It is a little more than the score of one request in flight to a replica of six slots, so
+	// that when hundreds of daemons have few requests each, not every request opens a connection.
 	noConnPenalty = 0.2
-	// exploreFraction is the fraction of the picks that ignore connections, so that a replica
+	// exploreFraction is the fraction of the picks that leave out noConnPenalty, so that a replica
 	// that is new or has recovered also gets work from a daemon with few requests.
 	exploreFraction = 0.05
 )
@@ -70,8 +72,8 @@
 	return fastest
 }
 
-// loadScore returns the score of a replica; lower is better. latency replaces the replica's own,
-// which may be unknown, and connected says whether to omit the penalty for opening a connection.
+// loadScore returns the score of a replica; lower is better. latency is used instead of r.Latency,
+// which may be unknown. connected says whether to leave out the penalty for opening a connection.
 func loadScore(r *Replica, latency time.Duration, connected bool, now time.Time) float64 {
 	score := float64(max(r.InFlight, r.ReportedLoad)) / float64(max(r.Slots, 1))
 	score += float64(latency) / float64(latencyUnit)
--- a/internal/replicas/replica/table.go
+++ b/internal/replicas/replica/table.go
@@ -49,8 +49,8 @@
 	Slots   int
 	// Draining replicas get no new work.
 	Draining bool
-	// Unusable replicas get no new work either: their newest entry could not be decoded, which
-	// does not mean that the process has ended. Only the ID of such an entry is used.
+	// Unusable replicas get no new work either: the newest entry of such a replica could not be
+	// decoded, which does not mean that its process has ended. Only the ID of that entry is used.
 	Unusable bool
 	// StartedAt is when the process started, by its own clock and in whole milliseconds; zero if
 	// unknown.
@@ -72,17 +72,17 @@
 	ReportedLoad int
 	// AvoidUntil is the time until which other replicas are preferred.
 	AvoidUntil time.Time
-	// Declining reports whether the replica declined the last request, Probing whether a request
-	// is in flight that tests whether it still does.
+	// Declining reports whether the replica declined the last request. Probing reports whether a
+	// request is in flight that tests whether the replica still declines.
 	Declining, Probing bool
 	// Connected reports whether this daemon has an idle connection to the replica. The table
 	// leaves it false; the caller sets it before Pick.
 	Connected bool
-	// Latency is the moving average of the latency of answers, 0 if there were none.
+	// Latency is the moving average of the latency of sound answers, 0 if there were none.
 	Latency time.Duration
 	// EventTime is the median time between the events of recent streams, 0 if unknown.
 	EventTime time.Duration
-	// LastEventAt is when the last of these events arrived, zero if there were none.
+	// LastEventAt is when the last event counted in EventTime arrived, zero if there was none.
 	LastEventAt time.Time
 	// Slowdown is the ratio of the time that work currently takes at the replica to its usual
 	// time, as the replica reported it. It decays towards 1 as the report ages, and is 1 if
@@ -110,11 +110,11 @@
 	entries map[string]*listedReplica
 	// services holds the entries of each service, by id.
 	services map[string]map[string]*listedReplica
-	// stats also holds earlier incarnations of a replica while they have requests in flight, and
-	// for statsTTL.
+	// stats holds the stats of listed incarnations. Stats of incarnations that are no longer
+	// listed are kept while they have requests in flight, and for statsTTL.
 	stats map[Incarnation]*replicaStats
 	// newest is the entry of the newest known incarnation of each id. It is kept as long as the
-	// stats of that incarnation.
+	// stats of the same incarnation.
 	newest map[string]Entry
 	// onRestart is the function set by OnRestart.
 	onRestart func(address netip.AddrPort)
@@ -122,8 +122,8 @@
 	changed chan struct{}
 }
 
-// NewTable returns an empty table. drainBound is how long after its removal from the list a
-// replica may still get new work; the table uses half of it.
+// NewTable returns an empty table. drainBound is how long a replica may still get new work after
+// its removal from the list; the table uses half of that time.
 func NewTable(drainBound time.Duration, logger *zap.Logger) *Table {
 	return &Table{
 		logger: logger, removedGrace: drainBound / 2, now: bootclock.Now,
@@ -133,7 +133,7 @@
 	}
 }
 
-// Replace replaces the whole list. Each entry is treated as by Set.
+// Replace replaces the whole list of entries. Each entry is treated as by Set.
 func (t *Table) Replace(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -152,8 +152,8 @@
 	t.notify()
 }
 
-// Set adds or updates one entry. An entry of an earlier incarnation than the known one is
-// ignored, and an unusable one only marks a listed replica as unusable.
+// Set adds or updates one entry. An entry of an earlier incarnation than the newest known one is
+// ignored. An unusable entry only marks a listed replica as unusable.
 func (t *Table) Set(entry Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,8 +169,8 @@
 	t.notify()
 }
 
-// set adds or updates an entry. It appends the change to changes if it is to be logged, and
-// returns them. The mutex must be held.
+// set adds or updates an entry. It returns changes, with the change appended if it is to be
+// logged. The mutex must be held.
 func (t *Table) set(entry Entry, changes []entryChange) []entryChange {
 	before := t.entries[entry.ID]
 	switch {
@@ -206,8 +206,8 @@
 	}
 }
 
-// remove removes an entry. It appends the change to changes and returns them. The mutex must be
-// held.
+// remove removes an entry if it is listed. It returns changes, with the removal appended. The
+// mutex must be held.
 func (t *Table) remove(id string, changes []entryChange) []entryChange {
 	before := t.entries[id]
 	if before == nil {
@@ -219,22 +219,22 @@
 	return append(changes, entryChange{before: &before.Entry})
 }
 
-// notify closes the channel that Changed returned. The mutex must be held.
+// notify closes the channel that Changed returned, and replaces it. The mutex must be held.
 func (t *Table) notify() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed at the next change of the list or of a held version,
-// and at the next end of a request.
+// Changed returns a channel that is closed at the next change of the list or of a version that a
+// replica holds, and at the next end of a request.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
 }
 
-// Replicas returns the replicas of a service that may get new work. If none is listed, these are
-// the ones that were removed recently.
+// Replicas returns the replicas of a service that may get new work. If no such replica is listed,
+// it returns those that were removed within half of the table's drainBound.
 func (t *Table) Replicas(service string) []Replica {
 	t.mu.Lock()
 	defer t.mu.Unlock()
