--- a/internal/requests/upstream/connection.go
+++ b/internal/requests/upstream/connection.go
@@ -20,9 +20,9 @@
 
 const (
 	readBufferBytes = 4 << 10
-	// maxForeignAnswers bounds the skipped answers to earlier requests.
+	// maxForeignAnswers is how many answers to earlier requests readHead skips at most.
 	maxForeignAnswers = 2
-	// maxInformational bounds the skipped 1xx answers.
+	// maxInformational is how many 1xx answers readHead skips at most.
 	maxInformational = 4
 )
 
@@ -39,7 +39,7 @@
 	// bodyWritten is closed once the request's body has been written. It is nil if the body was
 	// written together with the head.
 	bodyWritten chan struct{}
-	// writeErr means that the body could not be written whole.
+	// writeErr is set if the request's body could not be written whole.
 	writeErr atomic.Bool
 	// tainted means that an answer to an earlier request was received: answers may be out of
 	// step with requests, so the connection is not reused.
@@ -65,8 +65,8 @@
 	return now.Before(c.reusableUntil)
 }
 
-// isClean reports whether an idle connection is open and has no unread bytes, which would
-// belong to no request of this pool.
+// isClean reports whether an idle connection is open and has no unread bytes. Unread bytes would
+// be taken for the answer to the next request.
 func (c *connection) isClean() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -77,8 +77,8 @@
 	return recvbuf.Look(c.raw) == recvbuf.Empty
 }
 
-// exchange sends a request and returns the answer as soon as its head has been read. The
-// connection is closed if that fails or when ctx ends before Answer.Close.
+// exchange sends a request and returns the answer as soon as its head has been read. On an error
+// the connection is closed; it is also closed if ctx ends before Answer.Close is called.
 func (c *connection) exchange(ctx context.Context, req *Request) (*Answer, error) {
 	stop := context.AfterFunc(ctx, c.close)
 	response, err := c.roundTrip(req)
@@ -117,7 +117,8 @@
 	return nil
 }
 
-// writeBody writes a long body in the background, as a peer may answer before it has read it.
+// writeBody writes a long body in the background, as a peer may send its answer before it has
+// read the whole body.
 func (c *connection) writeBody(body []byte) {
 	done := make(chan struct{})
 	c.bodyWritten = done
@@ -129,8 +130,8 @@
 	}()
 }
 
-// readHead reads the head of the answer. It skips 1xx answers, and late answers to earlier
-// requests.
+// readHead reads the head of the answer to req. It skips 1xx answers and late answers to earlier
+// requests. Its errors wrap ErrNoAnswer or are ErrForeignAnswer.
 func (c *connection) readHead(req *Request) (*http.Response, error) {
 	sent := &http.Request{Method: req.Method}
 	informational := 0
@@ -192,13 +193,14 @@
 	response *http.Response
 	conn     *connection
 	stop     func() bool
-	// bodyEndAt is when the end of the body was read, or zero.
+	// bodyEndAt is the time by the pool's clock at which Read reached the end of the body. It is
+	// zero until then.
 	bodyEndAt time.Time
 	failed    bool
 }
 
-// Read reads the body. Any error except io.EOF means that the body is incomplete, and wraps
-// ErrNoAnswer.
+// Read reads the next part of the answer's body into buf. Any error except io.EOF means that the
+// body is incomplete, and wraps ErrNoAnswer.
 func (a *Answer) Read(buf []byte) (int, error) {
 	count, err := a.response.Body.Read(buf)
 	switch {
@@ -216,13 +218,14 @@
 // Length returns the length of the body in bytes, or -1 if the peer has not announced it.
 func (a *Answer) Length() int64 { return a.response.ContentLength }
 
-// Abort closes the exchange's connection, so that a concurrent Read fails. It may be called at
-// any time, from any goroutine; Close must still be called.
+// Abort closes the connection of the exchange, so that a concurrent Read fails. Abort may be
+// called at any time, from any goroutine. Close must still be called.
 func (a *Answer) Abort() { a.conn.close() }
 
 // Close ends the exchange. The connection is returned to the pool if the body was read to its
-// end and the connection is fit for another request. Its idle time counts from the end of the
-// body, as it does at the peer, however late Close is called.
+// end and the connection is fit for another request; otherwise the connection is closed. The
+// idle timeout of a returned connection counts from the end of the body, as it does at the peer,
+// however late Close is called.
 func (a *Answer) Close() {
 	active := a.stop()
 	if !active || a.bodyEndAt.IsZero() || !a.reusable() {
--- a/internal/requests/upstream/limit.go
+++ b/internal/requests/upstream/limit.go
@@ -12,15 +12,16 @@
 // wraps ErrNotSent.
 var ErrPoolExhausted = errors.WithMessage(ErrNotSent, "upstream: no connection is free")
 
-// reserveDivisor sets the reserve of a peer's limit, limit/reserveDivisor. It is left for probes,
-// for connections of ended daemons that the peer still counts, and for daemons that have just
-// started.
+// reserveDivisor sets how much of a peer's connection limit ConnectionShare leaves unassigned:
+// limit/reserveDivisor connections. They are left for probes, for connections of ended daemons
+// that the peer still counts, and for daemons that have just started.
 const reserveDivisor = 10
 
-// ConnectionShare returns how many connections a daemon may have to one peer, if all daemons
-// share the peer's limit evenly. It is at least 1, and 0 without a limit. With mayBorrow the daemon
-// may use connections that others leave unused: the share is then at least slots, the number of
-// requests that the peer runs at once, up to the limit.
+// ConnectionShare returns how many connections a daemon may have to one peer if all daemons
+// share the peer's limit evenly. The share is at least 1; a result of 0 means no limit, as a
+// limit of 0 does. With mayBorrow the daemon may also use connections that other daemons leave
+// unused: the share is then at least slots, the number of requests that the peer runs at once,
+// but not more than limit.
 func ConnectionShare(limit, daemons, slots int, mayBorrow bool) int {
 	if limit <= 0 {
 		return 0
@@ -32,9 +33,9 @@
 	return share
 }
 
-// tryAcquire returns an idle connection, which may have expired, or a channel that is closed
-// when a connection may have become available. If it returns neither, the caller may dial a new
-// connection, which is already counted as open.
+// tryAcquire returns an idle connection, which may have expired, or, at the limit, a channel
+// that is closed when a connection may have become available. If both results are nil, the
+// caller must dial a new connection, which tryAcquire has already counted as open.
 func (p *Pool) tryAcquire(address netip.AddrPort, req *Request) (conn *connection, freed <-chan struct{}) {
 	now := p.now()
 	p.mu.Lock()
@@ -59,8 +60,9 @@
 	return nil, p.freed[address]
 }
 
-// acquire returns a usable idle connection or a new one. At the limit it waits for one until the
-// request's ConnectionDeadline, and then returns ErrPoolExhausted.
+// acquire returns a usable idle connection or dials a new one. If req.MaxOpen connections are
+// open and none is idle, it waits until req.ConnectionDeadline for a connection to become
+// available, and then returns ErrPoolExhausted.
 func (p *Pool) acquire(ctx context.Context, address netip.AddrPort, req *Request) (*connection, error) {
 	timer := time.NewTimer(time.Until(req.ConnectionDeadline))
 	defer timer.Stop()
--- a/internal/requests/upstream/probe.go
+++ b/internal/requests/upstream/probe.go
@@ -40,8 +40,8 @@
 const probeTimeout = 150 * time.Millisecond
 
 // Probe dials an address to find out whether a process still listens there, for instance after a
-// connection to it broke. If so, the new connection is added to the pool. The probe is not
-// subject to Request.MaxOpen.
+// connection to it broke. If the dial succeeds, the new connection is added to the pool as idle.
+// Request.MaxOpen does not apply to the probe's connection.
 func (p *Pool) Probe(ctx context.Context, address netip.AddrPort) Liveness {
 	timeoutCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -49,10 +49,12 @@
 	// defaultIdleTimeout is how long a connection stays idle if the peer announces no timeout.
 	defaultIdleTimeout = 20 * time.Second
 	// idleMargin is subtracted from the announced idle timeout for requests that must not be
-	// repeated: one that arrives while the peer closes the connection may have run or not.
+	// repeated. If such a request arrives while the peer closes the connection, the sender
+	// cannot tell whether it has run.
 	idleMargin = 400 * time.Millisecond
-	// repeatableMarginDivisor sets the margin for requests that may be repeated, as a fraction
-	// of the announced timeout. minIdleMargin is its minimum, one round trip between regions.
+	// repeatableMarginDivisor sets the margin that is subtracted for requests that may be
+	// repeated: the announced timeout divided by it, but at least minIdleMargin, about one round
+	// trip between regions, and at most idleMargin.
 	repeatableMarginDivisor = 10
 	minIdleMargin           = 100 * time.Millisecond
 	// tcpUserTimeout is the number of Linux's TCP_USER_TIMEOUT option.
@@ -67,18 +69,20 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// EchoHeader, if not "", is a header of the answer. An answer that has it with a value
-	// other than EchoValue belongs to another request.
+	// EchoHeader, if not "", names the header in which the peer returns the request's EchoValue.
+	// An answer that has this header with another value belongs to another request; an answer
+	// without the header is accepted.
 	EchoHeader, EchoValue string
 	// Repeatable allows the use of an idle connection that the peer may be about to close.
 	Repeatable bool
-	// MaxOpen is the limit of open connections to the peer, or 0 for none.
+	// MaxOpen is the most connections that may be open to the peer, or 0 for no limit.
 	MaxOpen int
-	// ConnectionDeadline is when the request stops waiting for a connection, if MaxOpen
-	// connections are in use.
+	// ConnectionDeadline is until when the request waits for a connection if MaxOpen connections
+	// are already open.
 	ConnectionDeadline time.Time
-	// SentAt is set by Exchange to the time, by bootclock, at which it began to write the
-	// request. It is zero if there was no connection to write to.
+	// SentAt is set by Exchange to the time, by bootclock, at which the first byte of the
+	// request was about to be written. Exchange leaves it unchanged if no connection was
+	// available.
 	SentAt time.Time
 }
 
@@ -104,8 +108,8 @@
 	idle map[netip.AddrPort][]*connection
 	// open counts the connections to each peer, including those being dialled.
 	open map[netip.AddrPort]int
-	// freed has a channel for each peer for whose connections requests wait. It is closed when
-	// a connection becomes idle or is closed.
+	// freed has a channel for each peer to which requests wait for a connection. The channel is
+	// closed when a connection to the peer becomes idle or is closed.
 	freed map[netip.AddrPort]chan struct{}
 
 	// Dials counts the connections made, and Exhausted the requests that failed with
@@ -160,7 +164,7 @@
 	return count
 }
 
-// CloseExpired closes the connections whose idle timeout is over.
+// CloseExpired closes the idle connections that no request may reuse any more.
 func (p *Pool) CloseExpired() {
 	now := p.now()
 	var expired []*connection
@@ -197,11 +201,13 @@
 	}
 }
 
-// Exchange sends a request and returns its answer once the head has been read. The caller must
-// Close the answer. If ctx ends before Close, the connection is closed.
+// Exchange sends a request and returns its answer once the head of the answer has been read. The
+// caller must Close the answer. If ctx ends before Close, the connection is closed. Errors wrap
+// ErrNotSent or ErrNoAnswer, or are ErrForeignAnswer.
 func (p *Pool) Exchange(ctx context.Context, address netip.AddrPort, req *Request) (*Answer, error) {
 	if ctx.Err() != nil {
-		// An idle connection would send the request before the end of ctx closes it.
+		// Without this check, a request could be sent on an idle connection before the end of
+		// ctx closes it.
 		return nil, errors.Wrap(ErrNotSent, ctx.Err().Error())
 	}
 	conn, err := p.acquire(ctx, address, req)
@@ -214,7 +220,8 @@
 	return conn.exchange(ctx, req)
 }
 
-// dial makes a connection, which the caller has already counted as open.
+// dial makes a connection that the caller has already counted as open. If dialling fails, dial
+// counts the connection as closed.
 func (p *Pool) dial(ctx context.Context, address netip.AddrPort) (*connection, error) {
 	raw, err := p.dialer.DialContext(ctx, "tcp4", address.String())
 	if err != nil {
@@ -225,8 +232,8 @@
 	return newConnection(p, address, raw), nil
 }
 
-// put adds an idle connection to the pool. Any request may use it before reusableUntil, a
-// repeatable one before repeatableUntil.
+// put adds an idle connection to the pool. Any request may use the connection before
+// reusableUntil, and a repeatable request before repeatableUntil.
 func (p *Pool) put(conn *connection, reusableUntil, repeatableUntil time.Time) {
 	conn.reusableUntil, conn.repeatableUntil = reusableUntil, repeatableUntil
 	p.mu.Lock()
@@ -245,10 +252,10 @@
 	}
 }
 
-// idleTimeouts returns how long a connection may be reused after an answer: for any request, and
-// for a repeatable one. A peer closes the connection when the timeout that it announced has
-// passed since it sent the answer, and a request that it has not read by then is lost. A
-// repeatable request is merely sent again, so its margin is smaller.
+// idleTimeouts returns for how long after an answer its connection may be reused by any request,
+// and by a repeatable one. A peer closes a connection when the idle timeout that it announced
+// has passed since it sent the answer; a request that it has not read by then is lost. A lost
+// request that is repeatable is sent again, so its margin is smaller.
 func idleTimeouts(header http.Header) (forAny, forRepeatable time.Duration) {
 	for _, param := range strings.Split(header.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(param), "timeout=")
