--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -11,9 +11,9 @@
 // unanswered; a stream after each failed attempt. The conditions are:
 //
 //  1. The caller still waits, and AttemptState.MayRetry allows it.
-//  2. For plain requests, Call.MayRetry allows it. It may spend from a budget and is therefore asked
-//     last. It covers the policies in force with their retry budget (standalone) and, while the
-//     service is full, the budget of further attempts (admission.Ticket.MayRetry).
+//  2. For plain requests, Call.MayRetry allows it. Call.MayRetry is asked last, as it may spend from
+//     a budget. It applies the policies in force with their retry budget (package standalone) and,
+//     while the service is full, the budget of further attempts (admission.Ticket.MayRetry).
 //
 // Within one admission, no replica gets a request twice. A plain request that every replica
 // declined waits to be admitted again (ingress, maxAdmissions).
--- a/internal/requests/ingress/batches.go
+++ b/internal/requests/ingress/batches.go
@@ -68,8 +68,9 @@
 	}
 }
 
-// serveResults answers with the results from the requested position on. It waits up to the
-// call's Wait, less the time that the request has already taken, for the first of them.
+// serveResults answers with the results from the requested position on. If there is none yet, it
+// waits for the first one for at most call.Wait, less the time that the request has already
+// taken.
 func (r *request) serveResults(call BatchCall) {
 	wait := max(call.Wait-r.elapsed(), 0)
 	page, err := r.handler.Results.Results(r.req.Context(),
@@ -110,7 +111,8 @@
 	r.observe(http.StatusOK, "item", "")
 }
 
-// serveEnd ends a batch and answers once the journal has acknowledged the record.
+// serveEnd ends a batch. It answers 200 only after the journal has acknowledged the record of
+// the end.
 func (r *request) serveEnd(call BatchCall) {
 	ctx, cancel := context.WithTimeout(r.req.Context(), min(r.timeLeft(), runner.SubmitTimeout))
 	defer cancel()
--- a/internal/requests/ingress/body.go
+++ b/internal/requests/ingress/body.go
@@ -22,13 +22,13 @@
 	requestOverheadBytes = 16 << 10
 	// defaultMaxBodyBytes is the longest accepted body if the configuration sets no limit.
 	defaultMaxBodyBytes = 32 << 20
-	// bodyTimeoutGrace is added to the request's timeout when a body is read. It keeps the read
-	// deadline from interrupting the server's background read that detects a closed client
-	// connection, which starts once a body has been read whole. Requests must end within 250 ms
-	// of their route's timeout, so it is shorter than that.
+	// bodyTimeoutGrace is added to the request's timeout when its body is read. Once the body
+	// has been read whole, the server starts a background read that detects a closed client
+	// connection; the grace keeps the body's read deadline from interrupting that read. The
+	// grace must be below 250 ms, as a request must end within 250 ms of its route's timeout.
 	bodyTimeoutGrace = 200 * time.Millisecond
-	// maxMemoryWait is how long reading pauses for memory before the request is refused, and
-	// memoryPollInterval is how often the budget is polled meanwhile.
+	// maxMemoryWait is how long a request waits for free memory before it is refused. During the
+	// wait the memory budget is polled every memoryPollInterval.
 	maxMemoryWait      = 300 * time.Millisecond
 	memoryPollInterval = 10 * time.Millisecond
 )
@@ -46,15 +46,17 @@
 	return true
 }
 
-// releaseMemory closes the request's account. It is called after the answer has been written.
+// releaseMemory closes the request's account. It must be called after the answer has been
+// written.
 func (r *request) releaseMemory() {
 	r.account.ReleaseAll()
 	// The server flushes the last few KiB of the answer after the handler returns.
 	r.setWriteDeadline(r.handler.WriteTimeout)
 }
 
-// readBody reads the whole body, or refuses the request and returns false. Reading is bounded
-// by the request's timeout, so that a stalled client does not occupy memory indefinitely.
+// readBody reads the whole body, or refuses the request and returns false. A limit of 0 means
+// defaultMaxBodyBytes. Reading is bounded by the request's timeout, so that a stalled client
+// does not occupy memory indefinitely.
 func (r *request) readBody(limit int64) ([]byte, bool) {
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
@@ -73,8 +75,8 @@
 	return body, true
 }
 
-// refuseBody answers a request whose body was not read whole. Where more of the body may follow
-// it closes the connection, as the rest must not be parsed as the next request.
+// refuseBody answers a request whose body was not read whole. If more of the body may follow,
+// the connection is closed, as the rest must not be parsed as the next request.
 func (r *request) refuseBody(err error) {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -91,12 +93,14 @@
 	}
 }
 
-// bufferBody reads a body of at most limit bytes into memory that is counted in the request's
-// account while it is read.
+// bufferBody reads a body of at most limit bytes into memory. The memory is counted in the
+// request's account as the body is read. The error is errNoMemory if the memory is not
+// available.
 func (r *request) bufferBody(body io.Reader, limit int64) ([]byte, error) {
 	contentLength := r.req.ContentLength
 	if contentLength > limit {
-		// Read up to the limit, as the client may not read an answer before it has sent that much.
+		// Read the body up to the limit before it is refused: the client may not read an answer
+		// before it has sent that much.
 		_, err := io.Copy(io.Discard, body)
 		return nil, err
 	}
@@ -110,9 +114,9 @@
 	return read, err
 }
 
-// waitForMemory counts n more bytes in the request's account, and waits up to maxMemoryWait for
-// them to be available. It reports whether they were counted. Nothing is read from the peer
-// meanwhile.
+// waitForMemory counts n more bytes in the request's account, and waits up to maxMemoryWait
+// until that much memory is free. It reports whether the bytes were counted. The caller reads
+// nothing from the connection during the wait.
 func (r *request) waitForMemory(share holding.Category, n int64) bool {
 	for waited := time.Duration(0); !r.account.Reserve(share, n); waited += memoryPollInterval {
 		if waited >= maxMemoryWait || r.req.Context().Err() != nil {
@@ -123,8 +127,9 @@
 	return true
 }
 
-// setReadDeadline sets the deadline for reads of the client's connection. It must be cleared
-// once the body is read, as the server keeps reading to detect a closed connection.
+// setReadDeadline sets the deadline for reads of the client's connection. The deadline must be
+// cleared by a zero time once the body is read, as the server keeps reading to detect a closed
+// connection.
 func (r *request) setReadDeadline(until time.Time) {
 	if err := http.NewResponseController(r.w).SetReadDeadline(until); err != nil {
 		r.logger.Debug("read deadline of the client's connection not set", zap.Error(err))
--- a/internal/requests/ingress/codec.go
+++ b/internal/requests/ingress/codec.go
@@ -35,10 +35,12 @@
 
 // Codec parses calls and encodes answers in the platform's wire format.
 type Codec interface {
-	// ParseCall parses a call about a batch. It returns recognised as false if the request is
-	// not such a call, and an error that names the invalid field if it is an invalid one.
+	// ParseCall parses a call about a batch. If the request is not such a call, recognised is
+	// false. If it is one, but an invalid one, recognised is true and the error names the
+	// invalid field.
 	ParseCall(request *http.Request) (call BatchCall, recognised bool, err error)
-	// DecodeSubmission decodes a batch. The error names the invalid field.
+	// DecodeSubmission decodes the body of a request that submits a batch. The error names the
+	// invalid field.
 	DecodeSubmission(body []byte) (*batch.Submission, error)
 	// EncodeResults encodes the answer to ReadResults.
 	EncodeResults(page results.Page) ([]byte, error)
--- a/internal/requests/ingress/ingress.go
+++ b/internal/requests/ingress/ingress.go
@@ -33,12 +33,12 @@
 	"woodworks/internal/requests/route"
 )
 
-// RetryPolicy decides on attempts at further replicas, in addition to forward.AttemptState.
+// RetryPolicy can forbid further attempts of plain requests that forward.AttemptState allows.
 type RetryPolicy interface {
 	// RequestStarted is called once for each plain request, before its first attempt.
 	RequestStarted(rt *route.Route)
-	// MayRetry reports whether a request may have another attempt after this many. It may
-	// consume a retry budget.
+	// MayRetry reports whether a request that has had the given number of attempts may have
+	// another one. It may consume a retry budget.
 	MayRetry(rt *route.Route, attempts int) bool
 }
 
@@ -55,7 +55,8 @@
 type Handler struct {
 	Names headers.Names
 	Codec Codec
-	// Configuration returns the configuration in force, or nil before the first one is read.
+	// Configuration returns the configuration in force, or nil before the first configuration is
+	// read.
 	Configuration func() *route.Configuration
 	// ConfigurationAge returns the time since the configuration was last confirmed to be
 	// the newest.
@@ -69,10 +70,12 @@
 	// OnRun is called for each attempt of a tenant's request that ran or may have run at a
 	// replica, with the time at which it was sent.
 	OnRun func(tenant string, sentAt time.Time)
-	// Observe is called with each final answer and the time it took.
+	// Observe is called with each final answer and the time from the request's arrival to its
+	// answer. The status is "0" if the client left or a stream was broken off.
 	Observe func(route, status, outcome string, took time.Duration)
 	Logger  *zap.Logger
-	// Clock measures the time that clients have waited, including time suspended.
+	// Clock measures the time that clients have waited. It must advance while the machine is
+	// suspended.
 	Clock bootclock.Clock
 	// Retries decides on attempts at further replicas.
 	Retries RetryPolicy
@@ -83,8 +86,8 @@
 	Stop *shutdown.Stop
 	// MemoryBudget bounds the memory held for clients.
 	MemoryBudget *holding.Budget
-	// WriteTimeout is how long a client may take to read each written chunk. A few seconds
-	// tolerate a paused client or lost packets.
+	// WriteTimeout is how long a client may take to read each chunk that is written to it. A
+	// timeout of a few seconds tolerates a paused client or lost packets.
 	WriteTimeout time.Duration
 
 	inFlight atomic.Int64
--- a/internal/requests/ingress/keys.go
+++ b/internal/requests/ingress/keys.go
@@ -12,8 +12,9 @@
 	"woodworks/internal/requests/route"
 )
 
-// KeyPolicy bounds the age of the configuration, counted from when it was last confirmed, at
-// which it decides on API keys. A bound of zero means none.
+// KeyPolicy bounds the age at which a configuration is used to accept or reject API keys. The
+// age is the time since the configuration was last confirmed to be the newest. A bound of 0
+// means no bound.
 type KeyPolicy struct {
 	// AcceptMaxAge is the greatest age at which a key in the configuration is accepted. In a
 	// newer configuration the key may have been withdrawn.
@@ -27,8 +28,9 @@
 func exceeded(age, bound time.Duration) bool { return bound > 0 && age > bound }
 
 // authenticate sets the request's tenant by its API key, or refuses the request and returns
-// false. It answers 401 if the key is certainly invalid, and 503 if the configuration is too old
-// to decide, so that the caller tries another daemon.
+// false. The answer is 401 if the key is certainly invalid, and 503 if the configuration is too
+// old to decide, so that the client tries another daemon. Without tenants in the configuration,
+// authenticate accepts every request.
 func (r *request) authenticate(cfg *route.Configuration) bool {
 	if cfg.Tenants == nil {
 		return true
@@ -58,7 +60,7 @@
 }
 
 // authenticateCall authenticates a call about a batch. No key is needed if the host accepts
-// batches without one; a key that is sent is checked all the same, as a host may have batches
+// batches without one. A key that is sent is checked nevertheless, as a host may have batches
 // with and without tenants.
 func (r *request) authenticateCall(cfg *route.Configuration) bool {
 	_, sent := apikey.FromHeader(r.req.Header)
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -11,8 +11,8 @@
 	"woodworks/internal/requests/route"
 )
 
-// maxAdmissions bounds how often a request is admitted after every replica has declined it. It
-// waits for admission again each time, so that it does not delay other requests.
+// maxAdmissions is how often a request is admitted at most. A request that every replica has
+// declined waits for admission again, so that it does not delay other requests.
 const maxAdmissions = 3
 
 // servePlain sends a request to a replica and relays the answer.
--- a/internal/requests/ingress/readahead.go
+++ b/internal/requests/ingress/readahead.go
@@ -9,11 +9,12 @@
 	"woodworks/internal/requests/holding"
 )
 
-// readChunkBytes is the size of a chunk that is read ahead. The first chunk of an answer needs
-// no free memory and is not counted.
+// readChunkBytes is the size of a chunk that is read ahead. A chunk that is read while no other
+// is buffered needs no free memory and is not counted.
 const readChunkBytes = 32 << 10
 
-// maxChunks bounds the chunks read ahead of one answer (16 MiB), also without a memory budget.
+// maxChunks bounds the chunks that are read ahead of one answer (16 MiB), whether or not there
+// is a memory budget.
 const maxChunks = 512
 
 // readAhead buffers the part of an answer that has been read from the replica and not yet
@@ -29,13 +30,13 @@
 	chunks  [][]byte
 	// counted is the number of chunks that are counted in the account.
 	counted int
-	// ended means that the source has no more chunks, and err is the error that it ended with.
-	// cancelled means that the writer wants no more chunks.
+	// ended means that the source has no more chunks; err is then the error that ended it,
+	// io.EOF if the source is complete. cancelled means that the writer wants no more chunks.
 	ended, cancelled bool
 	err              error
 }
 
-// read reads the source to its end or until cancel is called.
+// read reads the source until it ends or cancel is called.
 func (a *readAhead) read(source io.Reader) {
 	for a.waitForSpace() {
 		chunk := make([]byte, readChunkBytes)
@@ -47,7 +48,8 @@
 	}
 }
 
-// waitForSpace waits until another chunk may be read. It returns false if none is wanted.
+// waitForSpace waits until another chunk may be read. It returns false if reading was cancelled
+// or the source has ended.
 func (a *readAhead) waitForSpace() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,7 +66,8 @@
 	return false
 }
 
-// put appends a chunk, and records err as the end of the source if it is not nil.
+// put appends a chunk unless it is empty. If err is not nil, put records it as the end of the
+// source.
 func (a *readAhead) put(chunk []byte, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -75,8 +78,8 @@
 	a.changed.Broadcast()
 }
 
-// next waits for the first chunk and returns it, or the error that the source ended with. The
-// chunk stays buffered until dropFirst.
+// next waits for the first buffered chunk and returns it. If no chunk is left, next returns the
+// error that ended the source. The chunk stays buffered until dropFirst is called.
 func (a *readAhead) next() ([]byte, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -102,7 +105,8 @@
 	a.changed.Broadcast()
 }
 
-// cancel stops the reading ahead. A read that is under way continues.
+// cancel makes read return before its next chunk. It does not interrupt a Read of the source in
+// progress.
 func (a *readAhead) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -110,7 +114,8 @@
 	a.changed.Broadcast()
 }
 
-// writeAnswerBody writes the body of an answer to the client while it reads the rest ahead.
+// writeAnswerBody writes the body of an answer to the client. Meanwhile the rest of the answer
+// is read ahead from the replica. If a write fails, the replica's answer is aborted.
 func (r *request) writeAnswerBody(answer *forward.Answer) error {
 	if answer.Remainder == nil {
 		_, err := r.w.Write(answer.Body)
--- a/internal/requests/ingress/refuse.go
+++ b/internal/requests/ingress/refuse.go
@@ -34,7 +34,8 @@
 	r.refuse(refusal.Quarantined.WithRetryAfter(err.RetryAfter), err.Error())
 }
 
-// refusePlain gives the final answer to a plain request that has no answer from a replica.
+// refusePlain gives the final answer to a plain request that has no answer from a replica. If
+// the client has closed its connection, refusePlain panics with http.ErrAbortHandler.
 func (r *request) refusePlain(err error) {
 	if r.clientGone() {
 		r.observe(0, "client left", err.Error())
@@ -54,8 +55,9 @@
 	r.refuseUnanswered(failure.Certainty == forward.NotRun, failure.Quarantined, failure.Reason)
 }
 
-// refuseUnanswered answers a request that got no whole answer from a replica. The status tells
-// whether it may have run. If quarantined is not nil, it is why the request was not sent.
+// refuseUnanswered refuses a request that got no whole answer from a replica. The status tells
+// whether the request may have run. quarantined is not nil if quarantine kept the request from
+// being sent.
 func (r *request) refuseUnanswered(notRun bool, quarantined *forward.QuarantinedError, reason string) {
 	switch {
 	case notRun && quarantined != nil:
@@ -71,8 +73,9 @@
 	}
 }
 
-// unlessStopping returns the reason to refuse a request that has not run: Stopping if the end of
-// a planned stop interrupted it, as another daemon can take it at once, else the given reason.
+// unlessStopping returns the reason to refuse a request that has not run. This is
+// refusal.Stopping if the end of a planned stop interrupted the request, as another daemon can
+// then serve it at once; otherwise it is the given reason.
 func (r *request) unlessStopping(reason refusal.Reason) refusal.Reason {
 	if r.interrupted() {
 		return refusal.Stopping
--- a/internal/requests/ingress/request.go
+++ b/internal/requests/ingress/request.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// answerMargin is how long before its deadline a request gets its final answer.
+	// answerMargin is reserved for the final answer: attempts end this long before the request's
+	// deadline.
 	answerMargin = 25 * time.Millisecond
 	// defaultTimeout applies to requests without a deadline, even if their route's timeout is
 	// longer.
@@ -28,7 +29,7 @@
 	req     *http.Request
 	id      string
 	arrived time.Time
-	// route is nil until it is found, and for calls about batches.
+	// route is nil before the route is found, and for calls about batches.
 	route *route.Route
 	// tenant is nil if the configuration has no tenants, and on anonymous routes.
 	tenant   *tenant.Tenant
@@ -47,7 +48,8 @@
 // elapsed returns the time since the request arrived.
 func (r *request) elapsed() time.Duration { return r.handler.Clock().Sub(r.arrived) }
 
-// clientTimeout returns how long the client waits for its answer, counted from its arrival.
+// clientTimeout returns how long the client waits for its answer, counted from the request's
+// arrival.
 func (r *request) clientTimeout() time.Duration {
 	if text := r.req.Header.Get(r.handler.Names.DeadlineMs); text != "" {
 		if value, err := strconv.ParseFloat(text, 64); err == nil {
@@ -57,7 +59,7 @@
 	return defaultTimeout
 }
 
-// timeLeft returns how long the request may still take, less answerMargin.
+// timeLeft returns how long the request may still take, less answerMargin. It may be negative.
 func (r *request) timeLeft() time.Duration {
 	left := r.clientTimeout()
 	if r.route != nil && r.route.Kind != route.Batch && r.route.Timeout > 0 {
@@ -66,7 +68,7 @@
 	return left - r.elapsed() - answerMargin
 }
 
-// timeoutContext returns a context that ends with the request's time.
+// timeoutContext returns a context that ends when timeLeft has passed.
 func (r *request) timeoutContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(r.req.Context(), r.timeLeft())
 }
--- a/internal/requests/ingress/stop.go
+++ b/internal/requests/ingress/stop.go
@@ -11,8 +11,8 @@
 	"woodworks/internal/requests/route"
 )
 
-// fitsBeforeStop reports whether the request is sure to end before a planned stop does. If not,
-// it refuses the request at once, so that the client tries another daemon.
+// fitsBeforeStop reports whether the request is sure to end before the end of a planned stop. If
+// not, fitsBeforeStop refuses the request at once, so that the client tries another daemon.
 func (r *request) fitsBeforeStop() bool {
 	left, bounded := r.handler.Stop.Left()
 	needed := r.maxDuration()
@@ -32,8 +32,8 @@
 	return r.timeLeft()
 }
 
-// interrupted reports whether the end of a planned stop interrupted the request. Its client is
-// still connected and must be answered.
+// interrupted reports whether the end of a planned stop interrupted the request. The client of
+// an interrupted request is still connected and must be answered.
 func (r *request) interrupted() bool { return shutdown.Interrupted(r.req.Context()) }
 
 // clientGone reports whether the client has closed its connection.
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -23,7 +23,8 @@
 	*request
 	call     *forward.StreamRequest
 	excluded map[string]bool
-	// mayHaveRun counts the failed attempts that ran or may have, notRun those that did not.
+	// mayHaveRun counts the failed attempts that ran or may have run, notRun those that did not
+	// run.
 	mayHaveRun, notRun int
 	headWritten        bool
 	// clientStalled means that an event could not be written, so trying another replica is
@@ -31,12 +32,12 @@
 	clientStalled bool
 	// lastErr is the error of the last attempt.
 	lastErr error
-	// quarantined, if not nil, is why the stream may not run now.
+	// quarantined is not nil if quarantine refuses to run the stream now.
 	quarantined *forward.QuarantinedError
 }
 
-// serveStream serves a stream. Unless its route is resumable, a stream is only retried while it
-// has certainly not run.
+// serveStream serves a stream. Unless the stream's route is resumable, another replica is tried
+// only if the stream has certainly not run.
 func (r *request) serveStream(cfg *route.Configuration, body []byte) {
 	ctx, cancel := r.timeoutContext()
 	defer cancel()
@@ -76,7 +77,7 @@
 	s.giveUp()
 }
 
-// recordFailure records a failed attempt and excludes its replica from further ones.
+// recordFailure records a failed attempt and excludes its replica from further attempts.
 func (s *streamRelay) recordFailure(rep replica.Replica, mayHaveRun bool, err error) {
 	s.excluded[rep.ID] = true
 	s.replica, s.lastErr = rep.ID, err
@@ -88,12 +89,13 @@
 	}
 }
 
-// mayRetryQuarantined reports whether a stream that was not sent because of quarantine may be
-// tried again now, after a short wait if needed.
+// mayRetryQuarantined reports whether a stream that quarantine kept from being sent may be tried
+// again now. If another run of the content decides on it, the function first waits for that run.
 func (s *streamRelay) mayRetryQuarantined(ctx context.Context, rep replica.Replica, err *forward.QuarantinedError) bool {
 	switch {
 	case s.mayHaveRun > 0 && !err.TryOtherReplica:
-		// An earlier attempt of this stream may have ended its replica: it is not run again here.
+		// An earlier attempt of this stream may have crashed its replica, so the stream is not
+		// run again.
 	case err.TryOtherReplica:
 		s.excluded[rep.ID] = true
 		return true
@@ -110,8 +112,8 @@
 	return ctx.Err() == nil && !s.clientStalled && state.MayRetry()
 }
 
-// attempt relays the stream from one replica until its regular end, or returns an error.
-// mayHaveRun tells whether the replica may have run the request.
+// attempt relays the stream from one replica. The error is nil if the stream came to its regular
+// end. mayHaveRun tells whether the replica may have run the request.
 func (s *streamRelay) attempt(ctx context.Context, rep replica.Replica) (mayHaveRun bool, err error) {
 	forwarder := s.handler.Forwarder
 	forwarder.Table.RequestStarted(rep.Incarnation())
@@ -163,7 +165,8 @@
 	}
 }
 
-// writeStreamHead writes the status and the header of the first replica that sent any.
+// writeStreamHead writes the status and the header of the answer. They are those of the first
+// replica of which an event or the regular end is relayed; later calls do nothing.
 func (s *streamRelay) writeStreamHead(stream *forward.Stream) {
 	if s.headWritten {
 		return
@@ -173,8 +176,9 @@
 	s.w.WriteHeader(stream.Status)
 }
 
-// giveUp answers a stream that no replica completed. If the answer has begun it aborts the
-// connection, so that the client cannot take the answer for a complete one.
+// giveUp ends a stream that no replica completed. If the answer has begun, giveUp aborts the
+// connection, so that the client cannot take the answer for a complete one; otherwise it refuses
+// the request.
 func (s *streamRelay) giveUp() {
 	reason := "no replica"
 	if s.lastErr != nil {
--- a/internal/requests/ingress/write.go
+++ b/internal/requests/ingress/write.go
@@ -14,8 +14,9 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// writeChunkBytes is how much of a local answer must be written within Handler.WriteTimeout. It
-// is well below the size of socket buffers, so a write only stalls if the client reads nothing.
+// writeChunkBytes is how much of an answer of the daemon itself must be written within
+// Handler.WriteTimeout. It is well below the size of socket buffers, so that a write stalls only
+// if the client reads nothing.
 const writeChunkBytes = 16 << 10
 
 // relayAnswer writes a replica's answer to the client.
@@ -28,7 +29,8 @@
 	if length >= 0 && r.req.Method != http.MethodHead {
 		r.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	// Unlike a local answer it can't be requested again, so it gets all the time the client waits.
+	// Unlike an answer of the daemon itself, a replica's answer cannot be requested again, so
+	// the client may take the rest of its timeout to read it.
 	r.setWriteDeadline(max(r.clientTimeout()-r.elapsed(), r.handler.WriteTimeout))
 	r.w.WriteHeader(answer.Status)
 	err := r.writeAnswerBody(answer)
@@ -39,7 +41,7 @@
 	r.observe(answer.Status, "answered", "")
 }
 
-// setWriteDeadline sets the deadline of all further writes to the client.
+// setWriteDeadline sets the deadline of all further writes to the client, counted from now.
 func (r *request) setWriteDeadline(within time.Duration) {
 	if err := http.NewResponseController(r.w).SetWriteDeadline(time.Now().Add(within)); err != nil {
 		r.logger.Debug("write deadline of the client's connection not set", zap.Error(err))
@@ -94,7 +96,8 @@
 }
 
 // writeEvent writes one event of a stream. An event longer than requestOverheadBytes is counted
-// in the request's account, and waits for memory.
+// in the request's account while it is written, after a wait of up to maxMemoryWait for free
+// memory.
 func (r *request) writeEvent(raw []byte) error {
 	if n := int64(len(raw)); n > requestOverheadBytes {
 		if !r.waitForMemory(holding.Answers, n) {
