--- a/internal/requests/forward/attempt.go
+++ b/internal/requests/forward/attempt.go
@@ -16,8 +16,8 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// Errors of an attempt without an answer to pass on. A declined stream has ErrDeclined instead of
-// errPlainDeclined.
+// Errors of an attempt that has no answer to pass on. A declined stream has the error
+// ErrDeclined instead of errPlainDeclined.
 var (
 	errInvalidAnswer = errors.New("forward: unsound answer")
 	errPlainDeclined = errors.New("forward: declined")
@@ -25,10 +25,11 @@
 )
 
 const (
-	// maxBufferedBytes is the length up to which an answer is read completely before it is passed
-	// on.
+	// maxBufferedBytes is the length of the longest answer that is read completely before it is
+	// passed on.
 	maxBufferedBytes = 1 << 20
-	// declinedRetryDelay is how long a replica that declined is avoided.
+	// declinedRetryDelay is how long a replica is avoided after it declined a request or had no
+	// free connection.
 	declinedRetryDelay = 60 * time.Millisecond
 )
 
@@ -39,8 +40,8 @@
 	mayHaveRun bool
 }
 
-// attempt sends the call to one replica. It calls onEnd when the exchange has ended; for an answer
-// with a Remainder this is when the answer is closed.
+// attempt sends the call to one replica. It calls onEnd when the exchange with the replica has
+// ended. For an answer with a Remainder, the exchange ends when the answer is closed.
 func (f *Forwarder) attempt(ctx context.Context, onEnd func(), call *Call, rep replica.Replica) result {
 	f.Table.RequestStarted(rep.Incarnation())
 	end := func() {
@@ -55,8 +56,8 @@
 	outcome := outcomeOf(ctx, err)
 	f.Observe(rep.Service, outcome, time.Since(started))
 	if err != nil {
-		// Checked before end, which cancels the attempt's context: afterwards ctx.Err does not tell
-		// whether the caller cancelled.
+		// ctx must be checked before end is called: end cancels ctx, which then no longer tells
+		// whether the caller cancelled the attempt.
 		cancelled := ctx.Err() != nil
 		f.recordFailure(ctx, failedAttempt{requestID: call.RequestID, content: call.content, chosen: rep,
 			outcome: outcome, mayHaveRun: mayHaveRun, took: time.Since(started), err: err})
@@ -115,15 +116,16 @@
 	f.replicaFailures().Note(logging.Occurrence{Key: rep.ID}, zap.String("service", rep.Service), zap.Error(err))
 }
 
-// replicaFailures returns the log episodes that summarize the failures of each replica. The effect
-// on a single request is logged as "attempt failed".
+// replicaFailures returns the log episodes that summarize the failures of each replica. A
+// failure's effect on a single request is logged separately, as "attempt failed".
 func (f *Forwarder) replicaFailures() *logging.Episodes {
 	f.failuresOnce.Do(func() { f.failures = logging.NewEpisodes(f.Logger, "replica failed", "replica", "") })
 	return f.failures
 }
 
-// exchange sends the call and reads the answer, completely if it is short. sentAt is the time at
-// which the request was sent; mayHaveRun reports whether the replica may have run it.
+// exchange sends the call to a replica and reads a short answer completely, a long one in part (see
+// readAnswer). sentAt is the time by bootclock at which the request was sent, zero if there was no
+// connection for it. mayHaveRun reports whether the replica may have run the request.
 func (f *Forwarder) exchange(
 	ctx context.Context, call *Call, rep replica.Replica,
 ) (answer *Answer, sentAt time.Time, mayHaveRun bool, err error) {
@@ -142,7 +144,8 @@
 		return nil, sentAt, !errors.Is(err, upstream.ErrNotSent), err
 	}
 	if f.wasNotRun(response) {
-		// A read error surfaces when the connection is returned to the pool.
+		// A read error can be ignored here: Close then closes the connection instead of pooling
+		// it.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response, maxBufferedBytes))
 		response.Close()
 		return nil, sentAt, false, errors.Wrapf(errPlainDeclined, "status %d", response.Status)
@@ -160,8 +163,8 @@
 	return answer, sentAt, true, err
 }
 
-// roundTrip adds the replica's headers to out, sends it and returns the answer once its head has
-// been received.
+// roundTrip completes out with the fields of req, the replica's ID and its limit of connections,
+// sends it, and returns the answer once its head has been received.
 func (f *Forwarder) roundTrip(ctx context.Context, rep replica.Replica, req *Request, out *upstream.Request) (*upstream.Answer, error) {
 	out.Method, out.Target, out.Host, out.Body = req.Method, req.Target, req.Host, req.Body
 	out.Header[http.CanonicalHeaderKey(f.Names.ExpectReplica)] = []string{rep.ID}
@@ -188,9 +191,10 @@
 	}
 }
 
-// readAnswer reads an answer completely if it is short and memory can be reserved for it; otherwise
-// it reads the beginning and leaves the rest in Answer.Remainder. An announced length sizes the
-// buffer in advance, since growing a buffer needs twice the memory.
+// readAnswer reads an answer completely if it is short and memory can be reserved for it.
+// Otherwise it reads the beginning and leaves the rest in Answer.Remainder. If the length of the
+// answer is announced, the buffer gets that size in advance, since growing a buffer needs twice
+// the memory.
 func (f *Forwarder) readAnswer(call *Call, response *upstream.Answer) (*Answer, error) {
 	answer := &Answer{Status: response.Status, Header: response.Header}
 	announced := response.Length()
--- a/internal/requests/forward/attempts.go
+++ b/internal/requests/forward/attempts.go
@@ -14,32 +14,35 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// errNoReplica: no replica of the call's services is listed, or all are excluded.
+// errNoReplica means that no replica of the call's services is listed, or that all are excluded.
 var errNoReplica = errors.New("forward: no replica")
 
-// cancelledAttemptTimeout is how long a call waits for the outcomes of attempts that were cancelled
-// with its context. It is a third of the time that ingress reserves for the final answer.
+// cancelledAttemptTimeout is how long a call waits for the outcomes of attempts that the end of
+// its context has cancelled. It is a third of the time that ingress reserves for the final
+// answer.
 const cancelledAttemptTimeout = 8 * time.Millisecond
 
-// attempts holds the state of all attempts of one call. All fields but outcomes belong to the
-// goroutine of run.
+// attempts holds the state of all attempts of one call. Only the goroutine of run may use its
+// fields, except outcomes.
 type attempts struct {
 	forwarder *Forwarder
 	call      *Call
-	// excluded holds the replicas that had an attempt, and those that may not run the content now.
+	// excluded holds the IDs of the replicas that had an attempt, and of those that may not run
+	// the content now.
 	excluded map[string]bool
-	// cancelByReplica holds the cancel function of each replica's attempt.
+	// cancelByReplica holds the cancel function of each attempt by the ID of its replica.
 	cancelByReplica map[string]context.CancelFunc
 	outcomes        chan result
 	// mayHaveRun counts attempts that may have run, notRun those that certainly did not, open those
 	// without an outcome yet.
 	mayHaveRun, notRun, open int
-	// declined counts the attempts of notRun that were declined by their replica.
+	// declined counts those attempts in notRun that their replica declined.
 	declined   int
 	lastReason string
 	// quarantined is set if quarantine refuses to run the content now.
 	quarantined *QuarantinedError
-	// fallback is a replica's own error answer, which is passed on if no better one comes.
+	// fallback is an answer with an error status from a replica, which is passed on if no later
+	// attempt gets a better answer.
 	fallback *Answer
 }
 
@@ -82,9 +85,9 @@
 	return nil, a.failure(a.lastReason)
 }
 
-// awaitCancelled collects the outcomes of the open attempts after the call's context has ended and
-// cancelled them. Attempts that were never sent have not run, and an answer that was received
-// completely at the last moment is still passed on.
+// awaitCancelled collects the outcomes of the open attempts, which the end of the call's context
+// has cancelled. An attempt that was never sent counts as not run, and an answer that was
+// received completely just before the end is still passed on.
 func (a *attempts) awaitCancelled() (*Answer, error) {
 	timeout := time.NewTimer(cancelledAttemptTimeout)
 	defer timeout.Stop()
@@ -109,8 +112,8 @@
 	return nil, a.failure(errTimeUp.Error())
 }
 
-// cancelOthers cancels the open attempts except that at the replica kept, and closes their answers
-// in the background.
+// cancelOthers cancels the open attempts, except the attempt at the replica with the ID kept.
+// Answers that still arrive are closed in the background.
 func (a *attempts) cancelOthers(kept string) {
 	for id, cancel := range a.cancelByReplica {
 		if id != kept {
@@ -130,7 +133,7 @@
 	}()
 }
 
-// failure returns the error of a call without an answer to pass on. It closes the fallback.
+// failure returns the error of a call that has no answer to pass on, and closes the fallback.
 func (a *attempts) failure(reason string) *Failure {
 	if a.fallback != nil {
 		a.fallback.Close()
@@ -153,14 +156,14 @@
 		Repeatable: a.call.Repeatable, Suspicion: a.suspicion(), ContentRefused: a.quarantined != nil}
 }
 
-// mayRetry reports whether another replica may be asked now. It checks the context first, as the
-// caller may have left at the moment of the event that woke run.
+// mayRetry reports whether another replica may be asked now. The context is checked first, as
+// the caller may have left at the same moment as the event that woke run.
 func (a *attempts) mayRetry(ctx context.Context) bool {
 	return ctx.Err() == nil && a.state().MayRetry() && a.call.MayRetry(a.mayHaveRun+a.notRun+a.open)
 }
 
-// start sends the call to the next replica, if there is one, and returns the delay after which a
-// hedge may be sent.
+// start sends the call to the next replica and returns the delay after which a hedge may be
+// sent. If there is no replica to ask, start sends nothing and returns noHedgeDelay.
 func (a *attempts) start(ctx context.Context) time.Duration {
 	rep, release, ok := a.pickReplica(ctx)
 	if !ok {
@@ -181,9 +184,9 @@
 	return a.forwarder.Quarantine.Suspicion(a.call.content)
 }
 
-// pickReplica picks a replica that may run the call's content now, and waits while another run of
-// the content shows whether it crashes its replica. The caller must call release when the run has
-// ended.
+// pickReplica picks a replica that may run the call's content now. If another run of the content
+// is to show whether the content crashes its replica, pickReplica first waits for that run. If
+// ok is true, the caller must call release when its own run has ended.
 func (a *attempts) pickReplica(ctx context.Context) (rep replica.Replica, release func(), ok bool) {
 	for ctx.Err() == nil {
 		if rep, ok = a.forwarder.Pick(a.call.Services, a.excluded); !ok {
@@ -205,7 +208,8 @@
 	return replica.Replica{}, nil, false
 }
 
-// handleResult counts the result of an attempt and returns its answer if it is to be passed on.
+// handleResult counts the result of an attempt. It returns the attempt's answer if the answer is
+// to be passed on now, otherwise nil.
 func (a *attempts) handleResult(res result) *Answer {
 	if res.err != nil {
 		a.lastReason = res.err.Error()
--- a/internal/requests/forward/call.go
+++ b/internal/requests/forward/call.go
@@ -30,7 +30,7 @@
 	Host      string
 	Header    http.Header
 	Body      []byte
-	// Caller is the tenant that sent the request, "" without tenants.
+	// Caller is the name of the tenant that sent the request, or "" if there are no tenants.
 	Caller string
 }
 
@@ -44,34 +44,37 @@
 	// Services are tried in order; later ones are used only if the earlier ones have no replica
 	// left to ask.
 	Services []string
-	// Repeatable requests may run more than once.
+	// Repeatable means that the request may run more than once.
 	Repeatable  bool
 	MaxAttempts int
 	// Hedge allows a second replica to be asked while the first has not answered.
 	Hedge bool
-	// HedgeAfter is the delay before a hedge, 0 to derive it from the replica's latency.
+	// HedgeAfter is the delay before a hedge, or 0 to derive the delay from the replica's
+	// latency.
 	HedgeAfter time.Duration
-	// MayRetry is called before each further attempt with the number of attempts so far. Nil allows
-	// whatever AttemptState.MayRetry allows.
+	// MayRetry is called before each further attempt with the number of attempts so far. Nil
+	// means that AttemptState.MayRetry decides alone.
 	MayRetry func(attempts int) bool
-	// TimeLeft returns how long the caller will still wait, including time in which the machine was
-	// suspended, which a context's deadline does not count. Nil leaves only the context's deadline.
+	// TimeLeft returns how long the caller will still wait. Unlike a context's deadline, it
+	// counts the time in which the machine was suspended. If TimeLeft is nil, only the context's
+	// deadline bounds the call.
 	TimeLeft func() time.Duration
-	// ConnectionDeadline bounds the wait for a connection to a replica to which this daemon has
-	// reached its limit of connections.
+	// ConnectionDeadline is until when the call waits for a connection to a replica, if this
+	// daemon has as many connections to the replica as it may have.
 	ConnectionDeadline time.Time
 	// OnRun, if not nil, is called for each attempt that ran or may have run, with the time by
 	// bootclock at which it was sent.
 	OnRun func(sentAt time.Time)
-	// Account is charged for the memory of answers; nil has no bound. An answer that does not fit
-	// is streamed like a long one.
+	// Account is charged for the memory of answers. A nil Account sets no bound. An answer for
+	// which no memory can be reserved is passed on in parts, as a long answer is.
 	Account *holding.Account
 
 	content *quarantine.Content
 }
 
-// setDefaults replaces nil functions with defaults and sets the content. Fields already set are not
-// written again, since a call may be repeated while attempts of its previous run still end.
+// setDefaults replaces nil functions with defaults and sets the content. It does not write a
+// field that is already set, since a call may be repeated while attempts of its previous run
+// still read the fields.
 func (c *Call) setDefaults() {
 	if c.MayRetry == nil {
 		c.MayRetry = func(int) bool { return true }
@@ -87,8 +90,8 @@
 	}
 }
 
-// Answer is a replica's answer: either complete, or its beginning and a Remainder to be
-// read.
+// Answer is a replica's answer: either the complete answer, or its beginning and a Remainder
+// from which the caller reads the rest.
 type Answer struct {
 	Status  int
 	Header  http.Header
@@ -96,22 +99,23 @@
 	// Body is the complete body if Remainder is nil, otherwise its beginning.
 	Body      []byte
 	Remainder *Remainder
-	// endAttempt ends the attempt; it is called by Close if there is a Remainder.
+	// endAttempt ends the attempt. Close calls it if there is a Remainder.
 	endAttempt func()
 }
 
 // Remainder is the part of a long answer that has not been read yet.
 type Remainder struct {
 	*upstream.Answer
-	// onEnd is called with the result of the reading, nil if the answer is complete.
+	// onEnd is called when a Read meets the end of the answer: with nil if the answer is
+	// complete, otherwise with the error. It is not called for an error after Abort.
 	onEnd func(err error)
 	// aborted reports that Abort was called, so that a read error is not a failure of the
 	// replica.
 	aborted atomic.Bool
 }
 
-// Abort ends a Read in progress and all later ones with an error. It may be called at any time,
-// from any goroutine. Close must still be called once no Read is in progress.
+// Abort makes a Read in progress and all later ones return an error. It may be called at any
+// time, from any goroutine. Close must still be called once no Read is in progress.
 func (r *Remainder) Abort() {
 	r.aborted.Store(true)
 	r.Answer.Abort()
@@ -129,7 +133,8 @@
 	return n, err
 }
 
-// Close releases the connection and ends the attempt of an answer with a Remainder.
+// Close ends the attempt of an answer with a Remainder and releases the connection. For a
+// complete answer it does nothing.
 func (a *Answer) Close() {
 	if a.Remainder != nil {
 		a.Remainder.Close()
@@ -141,14 +146,14 @@
 type Failure struct {
 	Certainty Certainty
 	Reason    string
-	// Quarantined is set if the request was not sent because replicas have ended under its content.
+	// Quarantined is set if quarantine refused to let the request's content run.
 	Quarantined *QuarantinedError
 	// Attempts is the number of replicas that may have run the request.
 	Attempts int
 	// AskedReplicas are the IDs of the replicas that had an attempt, sorted.
 	AskedReplicas []string
-	// AllDeclined reports that every replica that was asked declined the request, so it has not run
-	// and nothing else went wrong.
+	// AllDeclined reports that every replica that was asked declined the request. The request
+	// has then not run, and no attempt failed for another reason.
 	AllDeclined bool
 }
 
--- a/internal/requests/forward/failed.go
+++ b/internal/requests/forward/failed.go
@@ -26,8 +26,8 @@
 	err        error
 }
 
-// recordEnd records the end of an answer that had begun: a complete answer clears its content in
-// the quarantine, an error counts as a failed attempt.
+// recordEnd records the end of an answer or stream. A nil attempt.err clears the content in the
+// quarantine; any other error counts as a failed attempt.
 func (f *Forwarder) recordEnd(ctx context.Context, attempt failedAttempt) {
 	if attempt.err == nil {
 		f.Quarantine.Answered(attempt.content)
@@ -37,8 +37,9 @@
 	f.recordFailure(ctx, attempt)
 }
 
-// recordFailure probes the replica of a failed attempt, reports its end to the quarantine and logs
-// both. The digest of the content correlates attempts at the same content across daemons.
+// recordFailure logs a failed attempt. If the connection broke after the request had been sent,
+// it also probes the replica and reports the result to the quarantine. The logged digest of the
+// content correlates attempts with the same content across daemons.
 func (f *Forwarder) recordFailure(ctx context.Context, failed failedAttempt) {
 	if failed.outcome == outcomeDeclined || failed.outcome == outcomeCancelled {
 		return // neither says anything of the replica's soundness, and both are frequent
@@ -56,8 +57,8 @@
 		zap.Duration("after", failed.took), zap.Error(failed.err))
 }
 
-// recordReplicaEnd reports to the quarantine that a replica ended, or may have ended, while it ran
-// a content. The end of a draining replica is planned and not reported.
+// recordReplicaEnd reports to the quarantine that a replica ended, or may have ended, while it
+// ran a content. The end of a draining replica is planned, so it is not reported.
 func (f *Forwarder) recordReplicaEnd(failed failedAttempt, liveness upstream.Liveness) {
 	rep := failed.chosen
 	if current, listed := f.Table.Get(rep.ID); listed && current.Draining && current.Incarnation() == rep.Incarnation() {
--- a/internal/requests/forward/forward.go
+++ b/internal/requests/forward/forward.go
@@ -41,7 +41,7 @@
 	// Quarantine tracks the contents under which replicas have ended.
 	Quarantine *quarantine.Table
 	Logger     *zap.Logger
-	// MaxConnections returns how many connections this daemon may have to a replica, 0 for no
+	// MaxConnections returns how many connections this daemon may have to a replica, or 0 for no
 	// limit.
 	MaxConnections func(rep replica.Replica) int
 	// Observe is called for each attempt with the service, the outcome and the duration.
@@ -54,8 +54,9 @@
 // UnboundedConnections is the MaxConnections of a daemon that is the only user of its replicas.
 func UnboundedConnections(replica.Replica) int { return 0 }
 
-// Do sends the call until a replica has answered, the attempts are used up or the context has
-// ended. The error is always a *Failure. The answer must be closed.
+// Do sends the call to one replica after the other until one has answered, no further attempt is
+// allowed or the context has ended. The error is always a *Failure. The caller must close the
+// answer.
 func (f *Forwarder) Do(ctx context.Context, call *Call) (*Answer, error) {
 	return newAttempts(f, call).run(ctx)
 }
@@ -71,8 +72,8 @@
 	return replica.Replica{}, false
 }
 
-// Replicas returns the replicas of a service that may get new work. Connected is set for those with
-// an idle connection in the pool.
+// Replicas returns the replicas of a service that may get new work. It sets Connected for each
+// replica to which the pool has an idle connection.
 func (f *Forwarder) Replicas(service string) []replica.Replica {
 	replicas := f.Table.Replicas(service)
 	for i := range replicas {
--- a/internal/requests/forward/mayrun.go
+++ b/internal/requests/forward/mayrun.go
@@ -12,11 +12,11 @@
 	"woodworks/internal/requests/refusal"
 )
 
-// QuarantinedError reports that a request was not sent because replicas have ended under its
-// content. It guarantees that the request has not run.
+// QuarantinedError reports that a request was not sent because quarantine does not let its
+// content run at the replica now. The request has not run.
 type QuarantinedError struct {
-	// EndedReplicas is how many replicas have ended under the content; 0 if the refusal is due to
-	// other runs.
+	// EndedReplicas is how many replicas have ended while they ran the content. It is 0 if the
+	// request was refused only because of another run in progress.
 	EndedReplicas int
 	// RetryAfter is the delay after which the content may be allowed to run.
 	RetryAfter time.Duration
@@ -24,7 +24,8 @@
 	Final bool
 	// TryOtherReplica reports that another replica may run the content now.
 	TryOtherReplica bool
-	// decided, if not nil, is closed when the run that decides on the content has ended.
+	// decided is set if another run in progress decides on the content. The channel is closed
+	// when that run has ended.
 	decided <-chan struct{}
 }
 
@@ -42,8 +43,9 @@
 	}
 }
 
-// AwaitDecision waits up to decisionTimeout for the run that decides on the content, if there is
-// one. It reports whether that run has ended, so that the content may be tried again.
+// AwaitDecision waits up to decisionTimeout for the run that decides on the content. It reports
+// whether that run has ended, so that the content may be tried again. If there is no such run,
+// AwaitDecision returns false at once.
 func (e *QuarantinedError) AwaitDecision(ctx context.Context) bool {
 	if e.decided == nil {
 		return false
@@ -86,11 +88,12 @@
 	return release, refused
 }
 
-// decisionTimeout is how long a request waits for another run of its content. It is well above the
-// duration of most plain requests; callers are told to retry if the run takes longer.
+// decisionTimeout is how long a request waits for another run of its content. It is well above
+// the duration of most plain requests. If the run takes longer, the caller is told to retry.
 const decisionTimeout = 300 * time.Millisecond
 
-// otherIncarnations returns the incarnations of the other replicas of a replica's service.
+// otherIncarnations returns the incarnations of the replicas of rep's service, except rep
+// itself.
 func (f *Forwarder) otherIncarnations(rep replica.Replica) []string {
 	var others []string
 	for _, other := range f.Table.Replicas(rep.Service) {
--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -11,9 +11,9 @@
 // unanswered; a stream after each failed attempt. The conditions are:
 //
 //  1. The caller still waits, and AttemptState.MayRetry allows it.
-//  2. For plain requests, Call.MayRetry allows it. Call.MayRetry is asked last, as it may spend from
-//     a budget. It applies the policies in force with their retry budget (package standalone) and,
-//     while the service is full, the budget of further attempts (admission.Ticket.MayRetry).
+//  2. For plain requests, Call.MayRetry allows it. Call.MayRetry is asked last, as it may spend
+//     from a budget. It applies the policies in force with their retry budget (package standalone)
+//     and, while the service is full, the budget of further attempts (admission.Ticket.MayRetry).
 //
 // Within one admission, no replica gets a request twice. A plain request that every replica
 // declined waits to be admitted again (ingress, maxAdmissions).
@@ -33,8 +33,8 @@
 
 // AttemptState is the state of a request's attempts, as input of the retry rule.
 type AttemptState struct {
-	// MayHaveRun counts the attempts that ran or may have, Open those without an outcome yet,
-	// NotRun those that certainly have not run.
+	// MayHaveRun counts the attempts that ran or may have run, Open those without an outcome
+	// yet, NotRun those that certainly have not run.
 	MayHaveRun, Open, NotRun int
 	// MaxAttempts is how many attempts may run; values below 1 count as 1.
 	MaxAttempts int
@@ -55,15 +55,15 @@
 	case started == 0:
 		return true
 	default:
-		// A content under which replicas have just ended, as observed here or by another daemon,
-		// may only have isolated runs from then on.
+		// A content under which replicas have just ended, as observed here or reported by
+		// another daemon, may only have isolated runs afterwards.
 		return s.Repeatable && s.Suspicion < quarantine.IsolatedOnly
 	}
 }
 
-// hedgeDelay returns how long an attempt may be unanswered before another replica is asked: the
-// route's own delay if it has one, otherwise based on the replica's usual latency, 0 if that is not
-// known.
+// hedgeDelay returns how long an attempt may be unanswered before another replica is asked. This
+// is routeDelay, or, if routeDelay is 0, a delay derived from the replica's usual latency. A
+// latency of 0 means that the latency is not known.
 func hedgeDelay(routeDelay, latency time.Duration) time.Duration {
 	switch {
 	case routeDelay > 0:
--- a/internal/requests/forward/stream.go
+++ b/internal/requests/forward/stream.go
@@ -23,7 +23,7 @@
 	ErrStatus = errors.New("forward: failure status")
 )
 
-// StatusError is an answer with an error status from the replica itself.
+// StatusError reports that the replica answered with an error status.
 type StatusError struct{ Status int }
 
 // Error implements error.
@@ -38,17 +38,19 @@
 type Stream struct {
 	Status int
 	Header http.Header
-	// Version is the model version of the weights at the start of the stream, 0 if there is none.
+	// Version is the version of the model weights at the start of the stream, or 0 if the
+	// service has no weights.
 	Version int64
 	reader  *eventstream.Reader
 	answer  *upstream.Answer
-	// onEnd is called with the result of the stream, nil at its proper end. release is called when
-	// the exchange has ended.
+	// onEnd is called by Next at the end of the stream: with nil at its proper end, otherwise
+	// with the error. release is called by Close after the exchange has ended.
 	onEnd   func(err error)
 	release func()
 }
 
-// Next returns the next complete event, or io.EOF at the proper end of the stream.
+// Next returns the next complete event, or io.EOF at the proper end of the stream. Any other
+// error means that the stream is incomplete.
 func (s *Stream) Next() (eventstream.Event, error) {
 	event, err := s.reader.Next()
 	switch err {
@@ -61,7 +63,7 @@
 	return event, err
 }
 
-// Close ends the exchange and the run of its content.
+// Close ends the exchange, and then the run of the content as counted by the quarantine.
 func (s *Stream) Close() {
 	s.answer.Close()
 	s.release()
@@ -70,19 +72,21 @@
 // StreamRequest is a request for a stream of events, from the start or after a known event.
 type StreamRequest struct {
 	Request
-	// Repeatable requests may run more than once.
+	// Repeatable means that the request may run more than once.
 	Repeatable bool
-	// LastEventID is the last event that was received; it only counts if HasLastEventID is set.
+	// LastEventID is the id of the last event that was received. It is ignored unless
+	// HasLastEventID is set.
 	LastEventID    int64
 	HasLastEventID bool
-	// Deadline is how long the replica may work on the request, 0 for no bound.
+	// Deadline is how long the replica may work on the request, or 0 for no bound.
 	Deadline time.Duration
 }
 
-// OpenStream sends a request for events to one replica and returns when the head of the answer has
-// been received. The error is ErrDeclined if the replica declined, a *StatusError for an error
-// status and a *QuarantinedError if the content may not run now. With any other error the request
-// may have run unless the error wraps upstream.ErrNotSent.
+// OpenStream sends a request for events to one replica and returns once the head of the answer
+// has been received. The error wraps ErrDeclined if the replica declined the request, and is a
+// *StatusError for an error status or a *QuarantinedError if the content may not run now. After
+// ErrDeclined, a *QuarantinedError or an error that wraps upstream.ErrNotSent the request has
+// not run; after any other error it may have run.
 func (f *Forwarder) OpenStream(ctx context.Context, req *StreamRequest, rep replica.Replica) (*Stream, error) {
 	names, header := f.Names, req.Header.Clone()
 	if req.HasLastEventID {
@@ -111,19 +115,20 @@
 		release()
 		return nil, err
 	}
-	// A service without weights sends no version, which parses as 0.
+	// A service without weights sends no version, so that the result of ParseInt is 0.
 	version, _ := strconv.ParseInt(strings.TrimSpace(answer.Header.Get(names.WeightsVersion)), 10, 64)
 	return &Stream{Status: answer.Status, Header: answer.Header, Version: version,
 		reader: eventstream.NewReader(answer, names.WeightsVersion), answer: answer, onEnd: onEnd, release: release}, nil
 }
 
-// endFailedExchange ends an exchange without events, whose answer may be nil.
+// endFailedExchange ends an exchange that failed before its first event. answer may be nil.
 func (f *Forwarder) endFailedExchange(answer *upstream.Answer, err error, onEnd func(err error)) {
 	switch {
 	case !errors.Is(err, ErrStatus):
 		onEnd(err)
 	case answer.Header.Get(f.Names.Signature) != "":
-		// A signed error status is the replica's own: the request failed, but the replica did not.
+		// An error status with a signature comes from the replica itself: the request failed,
+		// but the replica did not.
 		onEnd(nil)
 	}
 	if answer != nil {
@@ -132,8 +137,8 @@
 	}
 }
 
-// wasNotRun reports whether the answer states that the replica has not run the request, or that the
-// request was meant for another replica.
+// wasNotRun reports whether the answer states that the replica has not run the request. This
+// includes the answer that the request was meant for another replica.
 func (f *Forwarder) wasNotRun(answer *upstream.Answer) bool {
 	return answer.Header.Get(f.Names.NotExecuted) != "" || answer.Status == http.StatusMisdirectedRequest
 }
