--- a/internal/requests/admission/accounts.go
+++ b/internal/requests/admission/accounts.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// fairnessTimeConstant is the time constant of the exponential decay of each tenant's work. Since
-// at most one request usually waits at a daemon, the order is only fair if it accounts for recent
-// work; the decay bounds the advantage that an idle tenant accumulates.
+// fairnessTimeConstant is the time constant of the exponential decay of each tenant's work.
+// Usually at most one request waits at a daemon, so that the order is only fair if it accounts
+// for recent work. The decay bounds the advantage that an idle tenant accumulates.
 const fairnessTimeConstant = 5 * time.Second
 
 // tenantWork maps each tenant to its recent work, which decays with fairnessTimeConstant.
@@ -18,7 +18,7 @@
 	at   time.Time
 }
 
-// recent returns the recent recent of a tenant, decayed up to now.
+// recent returns the recent work of a tenant, decayed up to now.
 func (a tenantWork) recent(tenant string, now time.Time) time.Duration {
 	entry, ok := a[tenant]
 	if !ok {
--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -2,10 +2,10 @@
 // in a queue and which are refused at once because they can't be served in time.
 //
 // It handles bursts in which many daemons together receive more plain requests than a service has
-// slots for, some of them from tenants that send far more than others. Without admission control
-// the requests fill the replicas' queues until all of them are late, or are declined by one replica
-// after the other, and a single tenant can take all slots. As long as a service shows no sign of
-// being full, requests pass without waiting.
+// slots for, and in which some tenants send far more requests than others. Without admission
+// control the requests fill the replicas' queues until every request is late, or one replica after
+// the other declines a request, and a single tenant can take all slots. As long as a service shows
+// no sign of being full, its requests pass without waiting.
 //
 // A daemon's share of the slots may be less than one, so it is expressed as a rate of starts: the
 // share divided by the typical duration of a request (Little's law). The rate is adjusted by
@@ -49,11 +49,11 @@
 	Tenant string
 	// Rank is the priority of the request; 0 is the highest.
 	Rank int
-	// TimeLeft returns how long the caller will still wait. Its clock includes the time in which
-	// the machine was suspended.
+	// TimeLeft returns how long the caller will still wait. It must count the time in which the
+	// machine was suspended.
 	TimeLeft func() time.Duration
-	// TargetLatency is the time from arrival within which an answer earns its full credit; 0 means
-	// that the request has no target.
+	// TargetLatency is the time from the request's arrival within which it should be answered; 0
+	// means that the request has no target.
 	TargetLatency time.Duration
 	// Age is the time since the request arrived.
 	Age time.Duration
@@ -63,13 +63,14 @@
 type Reason string
 
 const (
-	// NoTurnInTime: at its position in the queue the request can't be answered before its deadline,
-	// or it would wait longer than a fraction of its target latency.
+	// NoTurnInTime: at its position in the queue the request can't be answered before its
+	// deadline, or would wait longer than the fraction of its target latency that maxWaitDivisor
+	// sets.
 	NoTurnInTime Reason = "no turn in time"
 	// QueueFull: the queue of the service at this daemon has reached maxWaiting.
 	QueueFull Reason = "too many wait"
-	// AllDeclined: each time that the request was admitted, every replica that was asked declined
-	// it.
+	// AllDeclined: the request was admitted as often as allowed, and each time every replica
+	// that was asked declined it.
 	AllDeclined Reason = "all replicas are full"
 	// ContextEnded: the context of the request ended while it waited.
 	ContextEnded Reason = "its wait has ended"
@@ -89,7 +90,7 @@
 // Error implements error.
 func (err *RefusedError) Error() string { return "admission: " + string(err.Reason) }
 
-// Options configure a Controller and provide its dependencies.
+// Options configures a Controller and provides its dependencies.
 type Options struct {
 	// Replicas returns the known state of the replicas of a service.
 	Replicas func(service string) []replica.Replica
@@ -97,7 +98,8 @@
 	Daemons func() int
 	Clock   bootclock.Clock
 	// Observe is called with the outcome and the waiting time of each request that waited or was
-	// refused. It is called with a mutex held and must not call the Controller.
+	// refused. The mutex of the service's gate is held during the call, so Observe must not call
+	// the Controller.
 	Observe func(service, outcome string, waited time.Duration)
 	Logger  *zap.Logger
 }
@@ -119,8 +121,8 @@
 	return c.gate(req.Service).enter(ctx, req)
 }
 
-// RefuseDeclined returns the refusal of a request that was declined by every replica each time it
-// was admitted.
+// RefuseDeclined returns the error for a request that every replica declined each time it was
+// admitted.
 func (c *Controller) RefuseDeclined(req Request) *RefusedError {
 	return c.gate(req.Service).refuseDeclined(req)
 }
@@ -137,18 +139,19 @@
 	return g
 }
 
-// Counts are gauges summed over all services.
+// Counts holds the current numbers of all services together.
 type Counts struct {
 	// Waiting is the number of queued requests.
 	Waiting int
 	// FullServices is the number of services that are considered full.
 	FullServices int
-	// SlotShare is this daemon's share of the slots of the full services.
+	// SlotShare is how many slots this daemon uses at its rates of starts, summed over the full
+	// services.
 	SlotShare float64
 }
 
-// Count returns the current counts. It ends the rate limit of services whose last sign of being
-// full is too old.
+// Count returns the current counts. It also ends the rate limit of each service without waiting
+// requests whose last sign of being full no longer counts.
 func (c *Controller) Count() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/requests/admission/gate.go
+++ b/internal/requests/admission/gate.go
@@ -13,20 +13,22 @@
 
 const (
 	// maxWaiting bounds the requests of one service that wait at one daemon. It keeps the queue
-	// short enough to be sorted at each arrival.
+	// short enough to be sorted whenever a request arrives.
 	maxWaiting = 64
-	// recheckInterval is the longest time between two checks of the queue, since replicas and
-	// deadlines change without an event at the gate.
+	// recheckInterval is the longest time between two checks of a queue that is not empty. The
+	// checks are needed since the state of replicas and the time left of requests change without
+	// a call to the gate.
 	recheckInterval = 50 * time.Millisecond
-	// requiredTimeQuantile is the quantile of answer durations that must fit into the time that a
-	// request has left. Slower outliers do not lead to refusals.
+	// requiredTimeQuantile selects the time that a request needs to be answered: this quantile
+	// of the durations of answers. A request with less time left is refused; answers slower than
+	// the quantile do not lead to refusals.
 	requiredTimeQuantile = 0.9
-	// retriesPercent is the number of further attempts earned by a hundred admitted requests of a
-	// full service; minRetriesPerSecond are allowed in any case.
+	// retriesPercent is the number of further attempts that are earned by a hundred admitted
+	// requests of a full service. minRetriesPerSecond further attempts are allowed in any case.
 	retriesPercent      = 100
 	minRetriesPerSecond = 2
-	// maxWaitDivisor sets the longest wait of a request whose target latency can still be met: the
-	// target divided by it. The rest is left for a retry at another daemon.
+	// maxWaitDivisor sets the longest wait of a request that can still meet its target latency:
+	// the target latency divided by it. The rest is left for a retry at another daemon.
 	maxWaitDivisor = 4
 	// demandTimeConstant is the time constant of the exponential decay of the arrival rate.
 	demandTimeConstant = 500 * time.Millisecond
@@ -81,7 +83,7 @@
 }
 
 // startOrEnqueue returns a ticket if the service is not considered full. Otherwise it queues the
-// request, which may be admitted or refused at once.
+// request and returns its waiter, which may already hold the decision.
 func (g *gate) startOrEnqueue(req Request) (*waiter, *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -98,8 +100,8 @@
 	return w, nil
 }
 
-// updateRate activates the rate limit if the replicas are full, and ends it if the last sign is too
-// old and the queue is empty. g.mu must be held.
+// updateRate activates the rate limit if all replicas are full. It ends the limit if the last
+// sign that the service is full no longer counts and the queue is empty. g.mu must be held.
 func (g *gate) updateRate(now time.Time, replicas []replica.Replica) {
 	if allFull(replicas) {
 		g.recordFull(now, SignSlotsTaken, g.capacity(replicas))
@@ -112,8 +114,8 @@
 	}
 }
 
-// allFull reports whether there are replicas and each is known to have at least as many requests as
-// slots.
+// allFull reports whether there are replicas and each of them is known to have at least as many
+// requests as slots.
 func allFull(replicas []replica.Replica) bool {
 	return len(replicas) > 0 && !slices.ContainsFunc(replicas, func(rep replica.Replica) bool {
 		return rep.Slots <= 0 || max(rep.InFlight, rep.ReportedLoad) < rep.Slots
@@ -129,8 +131,8 @@
 		TypicalTime: max(g.times.quantile(0.5), time.Millisecond)}
 }
 
-// start returns the ticket of a request that is admitted. While the rate limit is active, it
-// charges the typical work of a request to the tenant. g.mu must be held.
+// start returns the ticket of an admitted request. While the rate limit is active, the work of a
+// typical request is charged to the tenant. g.mu must be held.
 func (g *gate) start(req Request) *Ticket {
 	ticket := &Ticket{gate: g, tenant: req.Tenant, targetLatency: req.TargetLatency}
 	if !g.rate.active {
@@ -164,14 +166,14 @@
 	return s
 }
 
-// processQueue admits and refuses queued requests as far as possible now, and schedules the next
-// check if any still wait. g.mu must be held.
+// processQueue admits and refuses all queued requests that can be decided now, and schedules the
+// next check if any request still waits. g.mu must be held.
 func (g *gate) processQueue(now time.Time, replicas []replica.Replica) {
 	g.updateRate(now, replicas)
 	for len(g.waiting) > 0 {
 		if len(replicas) == 0 || !g.rate.active {
-			// Without a sign that the service is full, the attempts themselves determine the
-			// outcome.
+			// Without a limit, or without a known replica, requests do not wait: their attempts
+			// determine the outcome.
 			g.admit(g.waiting[0])
 			continue
 		}
@@ -184,8 +186,9 @@
 	}
 }
 
-// startNext refuses the requests that can't be served in time, and admits the next one if the rate
-// allows it. It reports whether a request was admitted. g.mu must be held.
+// startNext refuses the requests that can't be answered in time or do not fit into the queue,
+// and admits the first of the others if the rate allows a start. It reports whether a request
+// was admitted. g.mu must be held.
 func (g *gate) startNext(now time.Time) bool {
 	var first *waiter
 	s := g.snapshot(now)
@@ -210,8 +213,8 @@
 	return true
 }
 
-// slotShare returns this daemon's share of the service's slots while the rate limit is active. g.mu
-// must be held.
+// slotShare returns how many of the service's slots this daemon uses at its current rate of
+// starts; it is 0 while the rate limit is inactive. g.mu must be held.
 func (g *gate) slotShare() float64 { return g.rate.perSecond * g.times.quantile(0.5).Seconds() }
 
 func (g *gate) count(counts *Counts) {
--- a/internal/requests/admission/queue.go
+++ b/internal/requests/admission/queue.go
@@ -42,7 +42,8 @@
 	return refused
 }
 
-// refuseDeclined refuses a request that is not in the queue because all replicas declined it.
+// refuseDeclined returns the refusal of a request that is no longer in the queue: it was
+// admitted and all replicas declined it.
 func (g *gate) refuseDeclined(req Request) *RefusedError {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -76,8 +77,8 @@
 	if g.dequeue(w) {
 		g.log(w, outcomeAbandoned, &RefusedError{Reason: Reason(context.Cause(ctx).Error())})
 	} else if d := <-w.decided; d.ticket != nil {
-		// It was admitted at the moment its context ended. It is not sent, so the next request may
-		// start in its place.
+		// The request was admitted at the moment its context ended. As it is not sent, another
+		// request may start in its place, and its work is not charged to the tenant.
 		g.rate.AllowStart(g.options.Clock())
 		g.correctWork(d.ticket, -d.ticket.chargedWork)
 	}
@@ -85,7 +86,8 @@
 	return nil, &RefusedError{Reason: ContextEnded, RetryAfter: minRetryAfter}
 }
 
-// scheduleRecheck has the queue checked again after the given time. g.mu must be held.
+// scheduleRecheck schedules a check of the queue after the given time, instead of any check that
+// is already scheduled. g.mu must be held.
 func (g *gate) scheduleRecheck(after time.Duration) {
 	if g.timer != nil {
 		g.timer.Reset(after)
--- a/internal/requests/admission/ticket.go
+++ b/internal/requests/admission/ticket.go
@@ -12,10 +12,12 @@
 // Outcome is the outcome of an admitted request: Answered, Declined or Unanswered.
 type Outcome interface{ outcome() }
 
-// Answered means that a replica answered the request, in the given time.
+// Answered means that a replica answered the request. Took is the time from sending the request
+// to its answer.
 type Answered struct{ Took time.Duration }
 
-// Declined means that every replica that was asked was full. The request has not run.
+// Declined means that every replica that was asked declined the request, so the request has not
+// run.
 type Declined struct{}
 
 // Unanswered means that there is no answer, for a reason unrelated to the load of the replicas.
@@ -25,18 +27,19 @@
 func (Declined) outcome()   {}
 func (Unanswered) outcome() {}
 
-// Ticket permits an admitted request to be sent. Done must be called exactly once, when the request
-// has ended.
+// Ticket permits an admitted request to be sent. Done must be called exactly once, when all
+// attempts of the request have ended.
 type Ticket struct {
 	gate          *gate
 	tenant        string
 	targetLatency time.Duration
-	// chargedWork is the estimated work that was charged to the tenant, 0 if none was.
+	// chargedWork is the estimated work that was charged to the tenant, or 0 if none was
+	// charged.
 	chargedWork time.Duration
 }
 
-// MayRetry reports whether the request may be sent to another replica. While the service is full,
-// each further attempt spends from a retry budget.
+// MayRetry reports whether the request may be sent to another replica. While the service is
+// full, each call that returns true spends from a retry budget.
 func (t *Ticket) MayRetry() bool {
 	g := t.gate
 	g.mu.Lock()
@@ -65,8 +68,8 @@
 	}
 }
 
-// correctWork adjusts the work charged to the ticket's tenant, if any was charged. g.mu must be
-// held.
+// correctWork adds delta to the work of the ticket's tenant, if the ticket was charged any. g.mu
+// must be held.
 func (g *gate) correctWork(t *Ticket, delta time.Duration) {
 	if _, ok := g.work[t.tenant]; ok && t.chargedWork > 0 {
 		g.work.add(t.tenant, delta, g.options.Clock())
@@ -83,7 +86,8 @@
 	}
 }
 
-// recordAnswer updates the durations and the start rate with an answer. g.mu must be held.
+// recordAnswer updates the durations and the start rate with an answer that took the given time.
+// g.mu must be held.
 func (g *gate) recordAnswer(now time.Time, took, targetLatency time.Duration, replicas []replica.Replica) {
 	c := g.capacity(replicas)
 	isSlow := g.times.isSlow(took, targetLatency, g.rate.active)
@@ -93,8 +97,8 @@
 		return
 	}
 	if isSlow && g.rate.active {
-		// The request may have waited at the replica: it neither shows room nor, by itself, a full
-		// service.
+		// The slow request may have waited at the replica. It shows neither that the service has
+		// room nor, by itself, that the service is full.
 		return
 	}
 	g.rate.RecordAnswer(now, c)
--- a/internal/requests/admission/times.go
+++ b/internal/requests/admission/times.go
@@ -6,25 +6,28 @@
 )
 
 const (
-	// sampleSize is the number of answers whose durations are kept: enough to estimate
-	// requiredTimeQuantile, few enough to notice a slower replica within seconds.
+	// sampleSize is the number of answers whose durations are kept. It is large enough to
+	// estimate requiredTimeQuantile, and small enough to notice a slower replica within seconds.
 	sampleSize = 32
-	// minSamples is the number of answers below which quantiles are not computed.
+	// minSamples is the number of answers that are needed to compute quantiles.
 	minSamples = 4
-	// defaultRequestTime is the estimate used with fewer than minSamples answers.
+	// defaultRequestTime stands for every quantile while there are fewer than minSamples
+	// answers.
 	defaultRequestTime = 50 * time.Millisecond
-	// minSlowAnswers is the number of consecutive slow answers within slowWindow that indicate a
-	// full service. With free slots, some of that many answers are fast.
+	// minSlowAnswers is the number of consecutive slow answers within slowWindow that are a sign
+	// of a full service. If slots were free, some of that many answers would be fast.
 	minSlowAnswers = 4
 	slowWindow     = 2 * time.Second
-	// An answer is slow if it takes slowFactor times the slowReferenceQuantile of the baseline.
+	// An answer is slow if it takes at least slowFactor times the slowReferenceQuantile of the
+	// baseline.
 	slowFactor            = 2
 	slowReferenceQuantile = 0.75
-	// slowTargetDivisor sets the time from which an answer of a full service is slow: the target
-	// latency divided by it.
+	// slowTargetDivisor sets how long an answer of a full service takes at least to count as
+	// slow: its target latency divided by slowTargetDivisor.
 	slowTargetDivisor = 2
-	// baselineSampleInterval is the number of answers of a full service of which one is added to
-	// the baseline, so that a service that stays slow becomes the new baseline.
+	// baselineSampleInterval sets how many answers of a full service are added to the baseline:
+	// one of baselineSampleInterval answers. If a service stays slow, its slow answers thereby
+	// become the new baseline.
 	baselineSampleInterval = 8
 )
 
@@ -39,8 +42,8 @@
 	s.count++
 }
 
-// quantile returns the given quantile, a fraction in [0, 1], of the durations, or
-// defaultRequestTime if there are too few.
+// quantile returns the quantile q of the durations, with q in [0, 1]. It returns
+// defaultRequestTime if there are fewer than minSamples durations.
 func (s *samples) quantile(q float64) time.Duration {
 	if s.count < minSamples {
 		return defaultRequestTime
@@ -62,9 +65,10 @@
 	slowSince time.Time
 }
 
-// isSlow reports whether an answer took slowFactor times the baseline or, at a full service, so
-// much of its target latency that a request that waited here before could not have met it. The
-// second condition covers daemons with too few requests for a baseline.
+// isSlow reports whether an answer took at least slowFactor times the baseline. At a full
+// service an answer is also slow if it took so much of its target latency that a request that
+// had waited here first could not have met the target; this covers daemons with too few requests
+// for a baseline.
 func (t *answerTimes) isSlow(took, targetLatency time.Duration, full bool) bool {
 	if full && targetLatency > 0 && took >= targetLatency/slowTargetDivisor {
 		return true
@@ -72,8 +76,9 @@
 	return t.baseline.count >= sampleSize/2 && took >= slowFactor*t.baseline.quantile(slowReferenceQuantile)
 }
 
-// record adds an answer, with whether it was slow and whether the service is considered full. It
-// reports whether a run of slow answers is complete, and returns the median duration of the run.
+// record adds the duration of an answer. isSlow tells whether the answer was slow, full whether
+// the service is considered full. complete is true if the answer completes a run of
+// minSlowAnswers slow answers; median is then the median duration of the run.
 func (t *answerTimes) record(now time.Time, took time.Duration, isSlow, full bool) (median time.Duration, complete bool) {
 	t.samples.add(took)
 	if !full || t.samples.count%baselineSampleInterval == 0 {
