--- a/internal/requests/quarantine/content.go
+++ b/internal/requests/quarantine/content.go
@@ -23,7 +23,7 @@
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Short returns the first digits of the digest, for log lines.
+// Short returns the first 12 hexadecimal digits of the digest, for log lines.
 func (d Digest) Short() string { return hex.EncodeToString(d[:shortDigest]) }
 
 // ParseDigest parses the result of String. It returns ErrDigest for any other text.
@@ -54,9 +54,9 @@
 	digest Digest
 }
 
-// Digest returns the identifier of the content. The first call computes it, in time
-// proportional to the size of the body, so callers should hold no lock; later calls return the
-// cached value. It is safe for concurrent use.
+// Digest returns the identifier of the content. The first call takes time proportional to the
+// size of the body, so it should be made without holding a lock; later calls return the cached
+// value. Digest is safe for concurrent use.
 func (c *Content) Digest() Digest {
 	c.once.Do(func() {
 		sum := sha256.New()
--- a/internal/requests/quarantine/entry.go
+++ b/internal/requests/quarantine/entry.go
@@ -20,8 +20,8 @@
 	// distinct from the one that ended. If the start time of a replica is unknown, its key is
 	// the plain id, and ends at least endDedupWindow apart count separately.
 	Ended map[string]int `cbor:"3,keyasint" json:"replicas_ended"`
-	// Keeper is the machine whose daemon may run the refused content once more to check whether
-	// it still ends replicas. Retried reports whether that run has started.
+	// Keeper is the machine whose daemon may run a refused content once more, to check whether
+	// the content still ends replicas. Retried reports whether that run has started.
 	Keeper  string `cbor:"4,keyasint" json:"keeper,omitempty"`
 	Retried bool   `cbor:"5,keyasint" json:"retried,omitempty"`
 	// Label describes the content to operators.
@@ -64,32 +64,34 @@
 // refused reports whether enough replicas have ended under the content to refuse it.
 func (e *Entry) refused() bool { return e.ends() >= minEndsToRefuse }
 
-// suspect is an Entry with the state that stays local to this daemon. Table.mu guards it.
+// suspect is an Entry with state that is local to this daemon. Table.mu guards it.
 type suspect struct {
 	Entry
-	// brokenAt maps each replica whose connection broke under the content to the time of the
-	// break, while it is unknown whether the process ended.
+	// brokenAt maps each replica whose connection broke while it ran the content to the time of
+	// the break. A replica is listed only as long as it is unknown whether its process has
+	// ended.
 	brokenAt map[string]time.Time
-	// endSeenAt maps each ended replica to the time at which this daemon learned of its last
-	// end, and lastEndAt is the latest of these times. usedAt is when the entry was last
-	// updated or looked up by Decide.
+	// endSeenAt maps each ended replica to the time at which this daemon learned of the
+	// replica's last end, and lastEndAt is the latest of these times. usedAt is when the entry
+	// was last updated or looked up by Decide.
 	endSeenAt         map[string]time.Time
 	lastEndAt, usedAt time.Time
 	// turnedAway counts the attempts that this daemon refused.
 	turnedAway uint64
-	// isolatedRun is non-nil while this daemon has an isolated run of the content in progress,
-	// and is closed when that run ends.
+	// isolatedRun is not nil while an isolated run of the content, started by this daemon, is in
+	// progress. The channel is closed when the run ends.
 	isolatedRun chan struct{}
-	// journaled is the entry as stored in the journal, or nil if there is none. If it differs
-	// from Entry because of a change made by this daemon (changedHere), this daemon writes the
-	// entry as soon as it is due. Otherwise it does so only after recordAfter, in case the
-	// daemon that made the change has stopped.
+	// journaled is the entry as stored in the journal, or nil if the journal has none. If
+	// journaled differs from Entry because of a change made by this daemon (changedHere), this
+	// daemon writes the entry as soon as it is due. After a change made by another daemon, this
+	// daemon writes the entry only from recordAfter on, in case the other daemon has stopped.
 	journaled   *Entry
 	changedHere bool
 	recordAfter time.Time
 }
 
-// active reports whether requests must be checked against this entry.
+// active reports whether the entry has ended replicas or broken connections. While no entry is
+// active, requests are not checked.
 func (s *suspect) active() bool { return len(s.Ended) > 0 || len(s.brokenAt) > 0 }
 
 // setLabel sets the label of the entry unless it already has one.
@@ -99,9 +101,9 @@
 	}
 }
 
-// merge applies the entry of another daemon and reports whether that changed this one. A higher
-// epoch replaces the entry; within an epoch, end counts only grow, the smallest keeper name
-// wins and Retried stays set.
+// merge applies the entry of another daemon and reports whether s has changed. A higher epoch
+// replaces the entry. Within an epoch, counts of ends only grow, the smallest keeper name wins
+// and Retried stays set.
 func (s *suspect) merge(other Entry, now time.Time) bool {
 	if other.Epoch < s.Epoch {
 		return false
@@ -126,8 +128,8 @@
 	return changed
 }
 
-// addEnd counts one end of a replica. It returns false for an end that is already counted, as
-// reported by another run of the content here or at another daemon.
+// addEnd counts one end of a replica. It returns false if the end is already counted because
+// another run of the content, here or at another daemon, has reported it.
 func (s *suspect) addEnd(name string, now time.Time) bool {
 	seen, before := s.endSeenAt[name]
 	if before && (replica.Incarnation(name).HasStartTime() || now.Sub(seen) < endDedupWindow) {
@@ -136,8 +138,9 @@
 	return s.raiseEnds(name, s.Ended[name]+1, now)
 }
 
-// raiseEnds sets the number of ends of a replica if that is higher than the current one, and
-// reports whether it did. It ignores further replicas once maxEndedReplicas are known.
+// raiseEnds sets the number of ends of a replica to times if that is more than the current
+// number, and reports whether it did. Once the entry lists maxEndedReplicas replicas, further
+// replicas are ignored.
 func (s *suspect) raiseEnds(replica string, times int, now time.Time) bool {
 	before, named := s.Ended[replica]
 	if times <= before || !named && len(s.Ended) >= maxEndedReplicas {
@@ -153,14 +156,14 @@
 	return true
 }
 
-// endedRecently reports whether the replica ended under the content within recentEndMaxAge, so
-// that it has probably not been replaced yet.
+// endedRecently reports whether the replica ended under the content within recentEndMaxAge. Such
+// a replica has probably not been replaced yet.
 func (s *suspect) endedRecently(replica string, now time.Time) bool {
 	seen, ended := s.endSeenAt[replica]
 	return ended && now.Sub(seen) < recentEndMaxAge
 }
 
-// cloneEntry returns a copy of the entry that shares no map with it.
+// cloneEntry returns a copy of the entry that shares no map with the original.
 func (s *suspect) cloneEntry() Entry {
 	copied := s.Entry
 	copied.Ended = maps.Clone(s.Ended)
--- a/internal/requests/quarantine/evidence.go
+++ b/internal/requests/quarantine/evidence.go
@@ -8,8 +8,8 @@
 	"woodworks/internal/replicas/replica"
 )
 
-// ReplicaEnded records that a replica of the service ended while it ran the content. The
-// replica is given by its incarnation.
+// ReplicaEnded records that a replica of the service ended while it ran the content. replica is
+// an incarnation.
 func (t *Table) ReplicaEnded(content *Content, replica, service string) {
 	digest := content.Digest()
 	t.mu.Lock()
@@ -19,8 +19,9 @@
 	t.addEnd(s, replica)
 }
 
-// ConnectionBroken records that the connection to a replica broke while it ran the content, so
-// that its process may have ended. Sweep decides whether it did.
+// ConnectionBroken records that the connection to a replica broke while the replica ran the
+// content, so that the replica's process may have ended. Sweep finds out whether it has ended.
+// replica is an incarnation.
 func (t *Table) ConnectionBroken(content *Content, replica, service string) {
 	digest := content.Digest()
 	t.mu.Lock()
@@ -37,8 +38,9 @@
 	})
 }
 
-// addEnd counts an end of a replica under a content, and logs and announces it if it is new.
-// The third end makes this machine the keeper unless there is one. t.mu must be held.
+// addEnd counts an end of a replica under a content. If the end is not counted yet, it is logged
+// and the entry is announced. The third end makes this machine the keeper, unless the entry has
+// a keeper. t.mu must be held.
 func (t *Table) addEnd(s *suspect, name string) {
 	added := false
 	t.update(s, func() {
@@ -60,8 +62,8 @@
 	t.announce(s)
 }
 
-// Answered records that a replica answered the content completely, which clears all suspicion
-// of it.
+// Answered records that a replica answered the content completely, which clears the content of
+// all suspicion.
 func (t *Table) Answered(content *Content) {
 	if t.NoneSuspected() {
 		return
@@ -79,8 +81,8 @@
 	}
 }
 
-// Lift clears a content on behalf of an operator. It returns false if no replica has ended
-// under the content.
+// Lift clears a content of all suspicion on behalf of an operator. It returns false if no
+// replica has ended under the content.
 func (t *Table) Lift(digest Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,8 +94,8 @@
 	return true
 }
 
-// clearEntry starts a new epoch of a content, without ended replicas, and announces it. t.mu
-// must be held.
+// clearEntry starts a new epoch of a content, in which no replica has ended, and announces the
+// entry. t.mu must be held.
 func (t *Table) clearEntry(s *suspect, reason string) {
 	t.logger.Info("content cleared", zap.String("content", s.Digest.Short()), zap.String("reason", reason),
 		zap.Strings("ended", s.replicas()), zap.Int("ends", s.ends()),
@@ -106,8 +108,8 @@
 	t.announce(s)
 }
 
-// Merge applies entries received from another daemon, and announces those that changed the
-// table. From names the sender in the log.
+// Merge applies entries received from another daemon. Entries that changed the table are
+// announced in turn. from names the sender in the log.
 func (t *Table) Merge(entries []Entry, from string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/requests/quarantine/forget.go
+++ b/internal/requests/quarantine/forget.go
@@ -8,10 +8,12 @@
 
 const (
 	// suspicionTTL is how long after the last end a content stays suspected or refused. Later
-	// ends count from zero, so a fixed fault is noticed even if no operator lifts the refusal.
+	// ends count from zero. A content whose fault has been mended thereby runs again even if no
+	// operator lifts the refusal.
 	suspicionTTL = 24 * time.Hour
-	// brokenConnectionTTL is how long a broken connection may still turn out to be the end of
-	// its replica. The list drops a replica after three missed heartbeats, a few seconds.
+	// brokenConnectionTTL is how long after a connection broke its replica's end can still be
+	// detected. The replica list drops a replica after three missed heartbeats, which is a few
+	// seconds.
 	brokenConnectionTTL = 8 * time.Second
 	// clearedTTL is how long a cleared entry is kept, so that delayed messages about its
 	// earlier epoch are ignored.
@@ -32,8 +34,9 @@
 	delete(t.changed, s.Digest)
 }
 
-// evictOne removes the least recently used of the entries with the fewest ends, to make room.
-// It spares entries with an isolated run in progress. t.mu must be held.
+// evictOne makes room by removing one entry: of the entries with the fewest ends, the least
+// recently used one. Entries with an isolated run in progress are not removed. t.mu must be
+// held.
 func (t *Table) evictOne() {
 	var victim *suspect
 	for _, s := range t.entries {
@@ -46,7 +49,7 @@
 	}
 }
 
-// evictedBefore reports whether s is evicted in preference to other.
+// evictedBefore reports whether s is to be evicted rather than other.
 func (s *suspect) evictedBefore(other *suspect) bool {
 	if s.ends() != other.ends() {
 		return s.ends() < other.ends()
@@ -55,9 +58,9 @@
 }
 
 // Sweep resolves broken connections, clears suspicions after suspicionTTL and removes cleared
-// entries after clearedTTL. Listed reports whether the replica list has an incarnation; one
-// that is missing, also because its replica has restarted, has ended. Sweep calls it with t.mu
-// held.
+// entries after clearedTTL. listed reports whether the replica list has an incarnation. An
+// incarnation that is not listed has ended; this includes that of a restarted replica. Sweep
+// calls listed with t.mu held, so listed must not call the table.
 func (t *Table) Sweep(listed func(replica string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,8 +77,9 @@
 	}
 }
 
-// resolveBroken counts each broken connection of an entry as an end if its replica is no longer
-// listed, and discards it after brokenConnectionTTL otherwise. t.mu must be held.
+// resolveBroken counts a broken connection of an entry as an end if its replica is no longer
+// listed. A broken connection to a replica that stays listed is discarded after
+// brokenConnectionTTL. t.mu must be held.
 func (t *Table) resolveBroken(s *suspect, now time.Time, listed func(replica string) bool) {
 	for replica, at := range s.brokenAt {
 		switch {
--- a/internal/requests/quarantine/http.go
+++ b/internal/requests/quarantine/http.go
@@ -17,7 +17,7 @@
 	Error problemText `json:"error"`
 }
 
-// problemText is the error within a problem.
+// problemText describes the error in a problem.
 type problemText struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
@@ -25,13 +25,13 @@
 	Field string `json:"field,omitempty"`
 }
 
-// Lifted is the response to a DELETE that cleared a content.
+// Lifted is the body of the response to a DELETE that cleared a content.
 type Lifted struct {
 	Digest string `json:"digest"`
 }
 
-// Handler serves the operator endpoint at Path. A content cleared at one daemon is cleared at
-// all of them.
+// Handler serves the operator endpoint at Path. If a content is cleared at one daemon, the
+// change spreads to all daemons.
 func Handler(table *Table, logger *zap.Logger) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text := strings.Trim(strings.TrimPrefix(r.URL.Path, Path), "/")
@@ -47,7 +47,7 @@
 	})
 }
 
-// lift clears the content whose digest is text and responds to the operator.
+// lift clears the content whose digest is text, and writes the response.
 func lift(w http.ResponseWriter, table *Table, text string, logger *zap.Logger) {
 	digest, err := ParseDigest(text)
 	switch {
--- a/internal/requests/quarantine/quarantine.go
+++ b/internal/requests/quarantine/quarantine.go
@@ -65,17 +65,17 @@
 
 	mu      sync.Mutex
 	entries map[Digest]*suspect
-	// isolatedRuns maps each replica to the number of isolated runs in progress there from this
-	// daemon.
+	// isolatedRuns maps each replica to the number of isolated runs that this daemon has in
+	// progress there. Replicas without one are not listed.
 	isolatedRuns map[string]int
-	// changed holds the contents to announce to other daemons; wake is signalled when one is
-	// added. unrecorded is signalled when the journal may be out of date.
+	// changed holds the contents to announce to other daemons. wake is signalled when a content
+	// is added to changed, unrecorded when the journal may be out of date.
 	changed          map[Digest]bool
 	wake, unrecorded chan struct{}
 }
 
-// New returns the empty table of a daemon. Machine is the name under which other daemons know
-// it.
+// New returns the empty table of a daemon. machine is the name by which other daemons know this
+// daemon's machine.
 func New(machine string, now bootclock.Clock, logger *zap.Logger) *Table {
 	return &Table{machine: machine, now: now, logger: logger, entries: map[Digest]*suspect{}, isolatedRuns: map[string]int{},
 		changed: map[Digest]bool{}, wake: make(chan struct{}, 1), unrecorded: make(chan struct{}, 1)}
@@ -121,8 +121,9 @@
 	signal(t.wake)
 }
 
-// signal wakes the receiver without blocking. A signal sent while the receiver is busy is kept
-// until its next receive; further ones are merged with it.
+// signal wakes the receiver of a channel without blocking. A signal sent while the receiver is
+// busy is kept until its next receive; further signals until then have no effect. The channel
+// must have a buffer of one.
 func signal(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
@@ -139,8 +140,8 @@
 	return changed
 }
 
-// entriesOf returns copies of the present entries of the contents. Contents without an entry
-// are omitted.
+// entriesOf returns copies of the current entries of the contents. Contents without an entry are
+// omitted.
 func (t *Table) entriesOf(digests []Digest) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/requests/quarantine/record.go
+++ b/internal/requests/quarantine/record.go
@@ -13,15 +13,16 @@
 
 const (
 	topic = "woodworks.quarantine"
-	// recordInterval is the time between checks for entries to write, while the journal is out
-	// of date. An end that is not written when all machines lose power may cost one more
-	// replica.
+	// recordInterval is the time between two checks for entries to write while the journal is
+	// out of date. If all machines lose power before an end is written, that end is forgotten,
+	// which may cost one more replica.
 	recordInterval = 50 * time.Millisecond
 	// suspectRecordDelay is how long after its last end a content that is not yet refused is
-	// written. Most such contents are harmless and are answered before.
+	// written. Most such contents are harmless and are answered within this time, and then need
+	// no record.
 	suspectRecordDelay = 300 * time.Millisecond
-	// otherWriterDelay is how long a daemon waits for the daemon that made a change to write
-	// it.
+	// otherWriterDelay is how long a daemon leaves it to another daemon to write a change that
+	// the other daemon made.
 	otherWriterDelay = 4 * time.Second
 	// recordTimeout bounds one append to the journal.
 	recordTimeout = time.Second
@@ -35,22 +36,23 @@
 // Partition is the journal partition that stores suspected contents, keyed by digest.
 var Partition = journal.Partition{Topic: journal.KeyedTopic(topic)}
 
-// Recorder writes the entries of a table to the journal, so that they survive the restart of
-// all daemons, and applies the entries that it reads back from there. It implements
+// Recorder writes the entries of a table to the journal, so that they survive a restart of all
+// daemons, and applies the entries that it reads from the journal. It implements
 // journal.KeyedHandler and journal.KeyedResetter.
 type Recorder struct {
 	table   *Table
 	journal journal.Journal
-	// writeImmediately makes every end be written without suspectRecordDelay. It is set if
-	// daemons have no peer connections and count ends only through the journal.
+	// writeImmediately means that every end is written at once, without suspectRecordDelay. It
+	// is set if daemons have no peer connections, so that they learn of each other's ends only
+	// through the journal.
 	writeImmediately bool
 	logger           *zap.Logger
 	// failing reports whether the last write failed. Only the goroutine of Run uses it.
 	failing bool
 }
 
-// NewRecorder returns the recorder of a table; Run starts it. HasPeers reports whether daemons
-// exchange entries directly, so that the journal serves for durability only.
+// NewRecorder returns the recorder of a table; Run starts it. hasPeers reports whether daemons
+// exchange entries directly; the journal is then needed only for durability.
 func NewRecorder(table *Table, log journal.Journal, hasPeers bool, logger *zap.Logger) *Recorder {
 	return &Recorder{table: table, journal: log, writeImmediately: !hasPeers, logger: logger}
 }
@@ -84,7 +86,7 @@
 	r.table.applyJournaled(entry)
 }
 
-// Run writes entries to the journal whenever it is out of date, until the context ends.
+// Run writes entries whenever the journal is out of date, until the context ends.
 func (r *Recorder) Run(ctx context.Context) {
 	for {
 		select {
@@ -106,8 +108,8 @@
 	return recordInterval
 }
 
-// writeDue writes the entries that are due and reports whether Run must check again. Entries
-// count as missing until they are read back.
+// writeDue writes the entries that are due and reports whether Run must check again. The journal
+// counts as out of date for an entry until the entry has been read back.
 func (r *Recorder) writeDue(ctx context.Context) bool {
 	due, outOfDate := r.table.dueEntries(r.writeImmediately)
 	if len(due) > 0 {
@@ -147,8 +149,9 @@
 	return nil
 }
 
-// dueEntries returns the entries that this daemon should write now, at most
-// maxRecordsPerAppend, and whether the journal is out of date for any entry.
+// dueEntries returns the entries that this daemon should write now, at most maxRecordsPerAppend
+// of them, and whether the journal is out of date for any entry. If immediately is set,
+// suspectRecordDelay is not waited for.
 func (t *Table) dueEntries(immediately bool) (due []Entry, outOfDate bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -177,12 +180,14 @@
 	}
 }
 
-// matches reports whether e, as stored in the journal, is up to date.
+// matches reports whether e, the entry as stored in the journal, agrees with s in its epoch, its
+// ends and Retried.
 func (s *suspect) matches(e *Entry) bool {
 	return e.Epoch == s.Epoch && e.Retried == s.Retried && e.ends() == s.ends()
 }
 
-// recordDue reports whether this daemon should write the entry now.
+// recordDue reports whether this daemon should write the entry now. The journal must be out of
+// date for the entry.
 func (s *suspect) recordDue(now time.Time, immediately bool) bool {
 	switch {
 	case !s.changedHere:
@@ -194,9 +199,9 @@
 	}
 }
 
-// markWritten prevents entries that were just written from being written again for
-// otherWriterDelay, within which they are normally read back. Entries that have changed since
-// the write stay due.
+// markWritten keeps this daemon from writing the given entries, which it has just written, again
+// within otherWriterDelay. Within this time they are normally read back. An entry that has
+// changed since the write stays due.
 func (t *Table) markWritten(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -217,7 +222,7 @@
 	signal(t.unrecorded)
 }
 
-// applyDeletion handles the deletion of a content's key from the journal.
+// applyDeletion records that the key of a content was deleted from the journal.
 func (t *Table) applyDeletion(digest Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -226,7 +231,7 @@
 	}
 }
 
-// applyDeletionsExcept handles the deletion of every key that is not in listed.
+// applyDeletionsExcept records that the journal holds no key other than those in listed.
 func (t *Table) applyDeletionsExcept(listed map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -237,8 +242,9 @@
 	}
 }
 
-// journalEntryDeleted clears an entry if the journal held its current epoch and no longer does.
-// A deletion that belongs to an earlier epoch leaves it unchanged. t.mu must be held.
+// journalEntryDeleted records that the journal no longer holds an entry. If the journal held the
+// entry's current epoch, the entry is cleared; a deletion that belongs to an earlier epoch
+// leaves the entry unchanged. t.mu must be held.
 func (t *Table) journalEntryDeleted(s *suspect) {
 	before := s.journaled
 	s.journaled = nil
--- a/internal/requests/quarantine/spread.go
+++ b/internal/requests/quarantine/spread.go
@@ -12,23 +12,23 @@
 	"woodworks/internal/journal/relay"
 )
 
-// ServiceName is the net/rpc service under which daemons receive entries from each other, and
-// tellMethod its method.
+// ServiceName is the net/rpc service through which daemons receive entries from each other.
+// tellMethod is the method that they call.
 const (
 	ServiceName = "Quarantine"
 	tellMethod  = ServiceName + ".Tell"
 )
 
 const (
-	// gatherDelay is how long a change waits to be sent together with others. The ends caused
-	// by one crash are observed within milliseconds.
+	// gatherDelay is how long a change waits so that it is sent together with other changes. The
+	// ends caused by one crash are observed within milliseconds of each other.
 	gatherDelay = 5 * time.Millisecond
 	// callTimeout bounds one call to a neighbour; callRetryDelay is the wait after a failed
 	// call.
 	callTimeout    = 700 * time.Millisecond
 	callRetryDelay = 300 * time.Millisecond
-	// giveUpTimeout is how long an unresponsive neighbour is retried. One that is away for
-	// longer reads the entries from the journal.
+	// giveUpTimeout is for how long calls to an unresponsive neighbour are repeated. A neighbour
+	// that is away for longer reads the entries from the journal.
 	giveUpTimeout = time.Minute
 	// maxEntriesPerCall bounds the entries of one call, each of at most 3 KiB.
 	maxEntriesPerCall = 128
@@ -36,14 +36,14 @@
 
 // Neighbours gives access to the peers to which this daemon sends entries.
 type Neighbours interface {
-	// Neighbours returns the machines of the peers. Entries must reach all daemons if each
-	// daemon forwards them to its own neighbours.
+	// Neighbours returns the machines of the peers. They must be chosen so that entries reach
+	// all daemons if each daemon forwards them to its own neighbours.
 	Neighbours() []string
 	// Ask calls a net/rpc method at a peer. Its errors are those of relay.Journal.Ask.
 	Ask(ctx context.Context, machine, method string, req, answer any) error
 }
 
-// Told is the argument of the net/rpc method Quarantine.Tell. It is encoded by the names of the
+// Told is the argument of the net/rpc method Quarantine.Tell. Its encoding contains names of
 // types and fields, so those of Told, Entry and Label must not change.
 type Told struct {
 	From    string
@@ -56,7 +56,7 @@
 // NewService returns the service that merges received entries into table.
 func NewService(table *Table) *Service { return &Service{table: table} }
 
-// Tell merges the entries of a peer and sets taken to their number. It is a net/rpc method, so
+// Tell merges the entries of a peer and sets taken to their number. As Tell is a net/rpc method,
 // its name must not change.
 func (s *Service) Tell(msg Told, taken *int) error {
 	s.table.Merge(msg.Entries, msg.From)
@@ -64,17 +64,17 @@
 	return nil
 }
 
-// Gossiper sends changed entries of a table to the neighbours. Entries that change a
-// neighbour's table are forwarded by it, so they reach all daemons in a few steps even without
-// the journal.
+// Gossiper sends changed entries of a table to the neighbours. A neighbour forwards the entries
+// that change its own table, so entries reach all daemons in a few steps, even without the
+// journal.
 type Gossiper struct {
 	table      *Table
 	neighbours Neighbours
 	logger     *zap.Logger
 
 	mu sync.Mutex
-	// pending maps each neighbour to the contents to send to it. A neighbour has an entry
-	// exactly while a goroutine runs sendPending for it.
+	// pending maps each neighbour to the contents to send to it. It has a key for a neighbour
+	// exactly while a goroutine runs sendPending for that neighbour.
 	pending map[string]map[Digest]bool
 }
 
@@ -99,8 +99,8 @@
 	}
 }
 
-// enqueue adds contents to those pending for a neighbour, and starts its sender goroutine if
-// there is none.
+// enqueue adds contents to those pending for a neighbour, and starts a goroutine with
+// sendPending for the neighbour if none is running.
 func (s *Gossiper) enqueue(ctx context.Context, machine string, changed []Digest) {
 	if len(changed) == 0 {
 		return
@@ -157,7 +157,8 @@
 }
 
 // takeBatch removes and returns the next contents to send to a neighbour. If none are left or
-// giveUp is set, it ends the sending to that neighbour and returns done.
+// giveUp is set, it drops the neighbour from pending and returns done; the caller must then stop
+// sending.
 func (s *Gossiper) takeBatch(machine string, giveUp bool) (batch []Digest, done bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/requests/quarantine/verdict.go
+++ b/internal/requests/quarantine/verdict.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// minEndsToIsolate is the number of ends from which a content runs only in isolation,
-	// minEndsToRefuse that from which it is refused. One end may coincide with an unrelated
-	// crash. Two without an answer in between are rare for a harmless content, and a third
-	// would have to coincide with its isolated run.
+	// minEndsToIsolate is the number of ends from which a content runs only in isolation, and
+	// minEndsToRefuse the number from which the content is refused. One end may coincide with an
+	// unrelated crash. Two ends without an answer in between are rare for a harmless content,
+	// and a third end would have to coincide with the content's isolated run.
 	minEndsToIsolate = 2
 	minEndsToRefuse  = 3
 	// maxEndedReplicas bounds the replicas that an entry lists.
 	maxEndedReplicas = 8
-	// endDedupWindow is the time within which reports of an end of the same replica count as
-	// one end, if its incarnations cannot be told apart. Concurrent runs report an end within
-	// milliseconds, and a process cannot restart and end again within this time.
+	// endDedupWindow is the time within which several reports of an end of a replica count as
+	// one end, if the replica's incarnations cannot be told apart. Concurrent runs report an end
+	// within milliseconds, and a process cannot restart and end again within this time.
 	endDedupWindow = time.Second
-	// recentEndMaxAge is the age up to which an end counts as recent. Until then the replica is
-	// assumed to be unavailable, and a suspect waits for another replica of its service. An
-	// ended process is usually replaced within seconds.
+	// recentEndMaxAge is the age up to which an end counts as recent. A replica with a recent
+	// end is assumed to be unavailable, and a suspected content waits until another replica of
+	// its service is available. An ended process is usually replaced within seconds.
 	recentEndMaxAge = 5 * time.Second
 	// retryDelay is how long after its last end a refused content may run once more at its
 	// keeper.
@@ -59,13 +59,13 @@
 // outcome has been reported to the table. End may be called more than once.
 type Isolated struct{ End func() }
 
-// Wait means that an isolated run of the content is in progress. Over is closed when it ends;
-// the caller may then call Decide again.
+// Wait means that an isolated run of the content is in progress. Over is closed when that run
+// ends; the caller may then call Decide again.
 type Wait struct{ Over <-chan struct{} }
 
-// OtherReplica means that the content may not run at the replica passed to Decide, because
-// another suspect runs there or because it recently ended under this content, but may run at
-// another one.
+// OtherReplica means that the content may not run at the replica passed to Decide, but may run
+// at another replica. Either another isolated run is in progress at the replica, or the replica
+// recently ended under the content.
 type OtherReplica struct{}
 
 // Refused means that the content must not run now.
@@ -85,7 +85,7 @@
 func (OtherReplica) isDecision() {}
 func (Refused) isDecision()      {}
 
-// Suspicion returns how far a content is suspected, without starting a run.
+// Suspicion returns how far a content is suspected. Unlike Decide, it starts no run.
 func (t *Table) Suspicion(content *Content) Suspicion {
 	if t.NoneSuspected() {
 		return Unsuspected
@@ -118,10 +118,11 @@
 	return s != nil && s.refused() && !t.mayRetry(s, t.now())
 }
 
-// Decide returns whether the content may run now at a replica, given by its incarnation.
-// Isolated means that the run has been started in the table. Others returns the incarnations of
-// the other listed replicas of the service. It is called only for contents with at least
-// minEndsToIsolate ends, and with t.mu held, so it must not call the table.
+// Decide returns whether the content may run now at replica, which is an incarnation. If the
+// result is Isolated, the run counts as started until its End is called. others returns the
+// incarnations of the other listed replicas of the service. Decide calls others only for
+// contents with at least minEndsToIsolate ends. t.mu is held during the call, so others must not
+// call the table.
 func (t *Table) Decide(content *Content, replica string, others func() []string) Decision {
 	if t.NoneSuspected() {
 		return Allowed{}
@@ -152,8 +153,8 @@
 	return t.startIsolated(s, replica)
 }
 
-// refusalFor returns the refusal of a content that must not run at any replica now, and false
-// if there is none. t.mu must be held.
+// refusalFor returns a refusal and true if the content must not run at any replica now,
+// otherwise false. t.mu must be held.
 func (t *Table) refusalFor(s *suspect, now time.Time, others func() []string) (Refused, bool) {
 	since := now.Sub(s.lastEndAt)
 	refused := Refused{Ended: s.ends()}
@@ -170,19 +171,20 @@
 	return refused, true
 }
 
-// mayRetry reports whether this daemon may run a refused content once more. t.mu must be held.
+// mayRetry reports whether this daemon, as the keeper, may now run a refused content once more.
+// t.mu must be held.
 func (t *Table) mayRetry(s *suspect, now time.Time) bool {
 	return s.Keeper == t.machine && !s.Retried && now.Sub(s.lastEndAt) >= retryDelay
 }
 
-// anyAvailable reports whether at least one of the replicas has not ended under the content
-// recently.
+// anyAvailable reports whether at least one of the replicas has not recently ended under the
+// content.
 func (s *suspect) anyAvailable(replicas []string, now time.Time) bool {
 	return slices.ContainsFunc(replicas, func(id string) bool { return !s.endedRecently(id, now) })
 }
 
-// startIsolated starts an isolated run of the content. For a refused content it marks the
-// keeper's one retry as used. t.mu must be held.
+// startIsolated starts an isolated run of the content. If the content is refused, the run is the
+// keeper's only retry, and the entry is marked as retried. t.mu must be held.
 func (t *Table) startIsolated(s *suspect, name string) Isolated {
 	done := make(chan struct{})
 	s.isolatedRun = done
