--- a/internal/membership/lease/candidate.go
+++ b/internal/membership/lease/candidate.go
@@ -12,15 +12,16 @@
 const (
 	// safetyMargin is added to each wait for the end of another holder's lease.
 	safetyMargin = 300 * time.Millisecond
-	// claimLead is how long before it may act a successor claims the lease.
+	// claimLead is the time by which a successor claims the lease before it may act.
 	claimLead = 300 * time.Millisecond
 	// maxReadWait bounds how long a read waits for a new record, so that a read lost in an
 	// outage is given up soon.
 	maxReadWait = time.Second
 )
 
-// reclaim takes the lease back if the last record is of this machine, that is of an earlier
-// incarnation of this daemon.
+// reclaim reads the partition and claims the lease at once if its last record was written on
+// this machine, that is by an earlier incarnation of this daemon. It is repeated until a read
+// succeeds.
 func (l *Lease) reclaim(ctx context.Context) {
 	l.watch(ctx)
 	l.mu.Lock()
@@ -33,16 +34,17 @@
 	}
 }
 
-// invalidate marks the state read from the partition as outdated. A daemon that is no candidate
-// doesn't keep it up to date.
+// invalidate marks the state read from the partition as outdated, since a daemon that is no
+// candidate doesn't read further records.
 func (l *Lease) invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.synced, l.lastRecordAt = false, time.Time{}
 }
 
-// watch makes one read of the partition as a candidate, which waits for new records until the
-// lease may be claimed. It claims the lease if there is no new record by then.
+// watch makes one read of the partition for a candidate. The read waits for new records until
+// the lease may be claimed, but at most for maxReadWait. If there is no new record and the lease
+// may be claimed, watch claims it.
 func (l *Lease) watch(ctx context.Context) {
 	l.mu.Lock()
 	from, synced := l.nextOffset, l.synced
@@ -69,8 +71,8 @@
 		l.mu.Unlock()
 		return
 	}
-	// Only a read that began at claimAt or later shows that no renewal came in time. After an
-	// earlier one the caller reads again.
+	// Only a read that began at claimAt or later shows that the holder has not renewed the lease
+	// in time. After a read that began earlier, the caller calls watch again.
 	free := !began.Before(l.claimAt())
 	l.mu.Unlock()
 	if free {
@@ -78,8 +80,8 @@
 	}
 }
 
-// lostContact restarts the wait for the end of another holder's lease, as the holder may have
-// renewed it since the last successful read.
+// lostContact restarts the wait for the end of another holder's lease after a failed read, as
+// the holder may have renewed the lease since the last successful read.
 func (l *Lease) lostContact() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,9 +90,9 @@
 	}
 }
 
-// claimAt returns when to claim the lease: claimLead before this daemon may act. An earlier claim
-// would not let it act sooner, and would take the lease from a holder that recovers in time. The
-// mutex is held.
+// claimAt returns the time at which to claim the lease: claimLead before this daemon may act. An
+// earlier claim would not let this daemon act sooner, and would take the lease from a holder
+// that recovers in time. The mutex must be held.
 func (l *Lease) claimAt() time.Time {
 	waiting := safetyMargin + max(l.quietPeriod-claimLead, 0)
 	switch {
@@ -102,8 +104,9 @@
 	return l.lastRecordAt.Add(Duration + waiting)
 }
 
-// claimValidFrom returns from when on a claim made now lets this daemon act: when the calls of
-// the previous holder must have ended and the quiet period after them is over. The mutex is held.
+// claimValidFrom returns the time from which a claim made now lets this daemon act. By then the
+// calls of the previous holder must have ended and the quiet period after them must be over. The
+// mutex must be held.
 func (l *Lease) claimValidFrom() time.Time {
 	switch {
 	case l.nextOffset == 0 || l.lastRecord.Machine == l.machine && l.lastRecord.Active:
@@ -114,7 +117,8 @@
 	return l.lastRecordAt.Add(Duration + safetyMargin + l.quietPeriod)
 }
 
-// claim appends a claim, on condition that no record was appended since the last read.
+// claim appends a claim, on condition that no record was appended since the last read. If that
+// succeeds, this daemon holds the lease, and may act from claimValidFrom on.
 func (l *Lease) claim(ctx context.Context) {
 	l.mu.Lock()
 	end, before := l.nextOffset, l.lastRecord.Holder
--- a/internal/membership/lease/holder.go
+++ b/internal/membership/lease/holder.go
@@ -9,8 +9,8 @@
 	"woodworks/internal/journal"
 )
 
-// renew appends a renewal. The end of the lease moves only if the append is acknowledged, and
-// counts from when it was sent.
+// renew appends a renewal. Only if the append is acknowledged is the end of the lease moved, to
+// Duration after the append was sent.
 func (l *Lease) renew(ctx context.Context) {
 	l.mu.Lock()
 	end := l.nextOffset
@@ -24,8 +24,9 @@
 		l.mu.Unlock()
 		return
 	}
-	// After a renewal whose outcome is unknown the next one has the same condition, so that at
-	// most one of them is appended. If the condition fails, the partition shows why.
+	// If the outcome of a renewal is unknown, the next renewal has the same condition, so that
+	// at most one of them is appended. If the condition fails, the records in the partition
+	// show why.
 	if errors.Is(err, journal.ErrPosition) {
 		l.resolveConflict(ctx)
 		return
@@ -35,16 +36,16 @@
 	}
 }
 
-// resolveConflict reads the records that made the condition of an append fail. They are earlier
-// records of this holder that were not acknowledged, or the claim of another, by which the lease
-// is lost.
+// resolveConflict reads the records that made the condition of an append fail. They are either
+// earlier records of this holder that were not acknowledged, or the claim of another holder,
+// which means that the lease is lost.
 func (l *Lease) resolveConflict(ctx context.Context) {
 	l.mu.Lock()
 	from := l.nextOffset
 	l.mu.Unlock()
 	records, err := l.read(ctx, from, 0)
 	if err != nil {
-		// The next renewal fails on the same condition, and the read is repeated.
+		// The condition of the next renewal fails again, and then the read is repeated.
 		l.logger.Info("failed to read conflicting lease records", zap.Int64("fence", l.fence), zap.Error(err))
 		return
 	}
@@ -60,10 +61,10 @@
 	}
 }
 
-// Withdraw announces that this daemon is about to stop. From now on it doesn't claim the lease.
-// If it may act already, it keeps the lease until Resign: a successor would have to wait for the
-// quiet period, while the next incarnation on this machine can act at once. If it holds the lease
-// but may not act yet, it resigns.
+// Withdraw announces that this daemon is about to stop. From then on the daemon doesn't claim
+// the lease. If it may already act under the lease, it keeps the lease until Resign is called: a
+// successor would have to wait for the quiet period, while the next incarnation on this machine
+// can act at once. If it holds the lease but may not act yet, Withdraw resigns.
 func (l *Lease) Withdraw(ctx context.Context) {
 	l.mu.Lock()
 	l.resigning, l.candidate = true, false
@@ -75,7 +76,7 @@
 }
 
 // Resign gives up the lease if it is held, so that a successor need not wait until it expires.
-// From the call on this daemon neither acts nor claims the lease.
+// As soon as Resign is called, this daemon neither acts under the lease nor claims it.
 func (l *Lease) Resign(ctx context.Context) {
 	l.mu.Lock()
 	held, fence := l.held, l.fence
@@ -88,8 +89,8 @@
 	l.logger.Info("lease resigned", zap.Int64("fence", fence), zap.Error(err))
 }
 
-// appendResignation appends the resignation. It tries a second time if another record, such as a
-// renewal sent before, made the condition of the first append fail.
+// appendResignation appends the resignation. If the condition of the append fails because of
+// another record, such as a renewal sent earlier, it tries once more.
 func (l *Lease) appendResignation(ctx context.Context) error {
 	for again := true; ; again = false {
 		l.mu.Lock()
--- a/internal/membership/lease/lease.go
+++ b/internal/membership/lease/lease.go
@@ -1,14 +1,15 @@
 // Package lease elects one holder of a duty among the daemons by claims in a journal partition.
 //
-// The fence of a claim is its offset plus one, so that fences are unique and increase with each
-// claim. A holder acts only until its lease expires: Duration after it sent its last acknowledged
-// renewal. A successor waits for Duration and a quiet period, counted from when it read the last
-// record, before it acts. It appends its claim shortly before the end of this wait, so that a
-// holder that recovers in the meantime keeps the lease.
+// The fence of a claim is the offset of its record plus one, so that fences are unique and increase
+// with each claim. A holder acts only until its lease expires: Duration after it sent its last
+// acknowledged claim or renewal. A successor waits for Duration and a quiet period, counted from
+// when it read the last record, before it acts. It appends its claim shortly before the end of this
+// wait, so that a holder that recovers in the meantime keeps the lease. After the resignation of
+// another holder the wait is only the quiet period.
 //
-// Both measure these times by a clock that continues while the machine is suspended, not by the
-// time of day. With a clock that stops during suspension, a resumed holder would act under a lease
-// that has already expired for the others.
+// Holder and successor measure these times by a clock that continues while the machine is
+// suspended, not by the time of day. With a clock that stops during suspension, a resumed holder
+// would act under a lease that has already expired for the others.
 //
 // The package relies on the journal for the order of claims. Its caller decides which daemons are
 // candidates.
@@ -35,7 +36,8 @@
 )
 
 const (
-	// Duration is how long after a claim or renewal was sent the lease expires.
+	// Duration is the time after which a lease expires, counted from when the last acknowledged
+	// claim or renewal was sent.
 	Duration = 1500 * time.Millisecond
 	// renewInterval is the time between two renewals.
 	renewInterval = 400 * time.Millisecond
@@ -49,8 +51,8 @@
 	partition journal.Partition
 	// self is this daemon's incarnation, machine the machine in its name.
 	self, machine string
-	// quietPeriod is how long after the last possible call of another holder this daemon waits
-	// before its first.
+	// quietPeriod is how long this daemon waits, after the last possible call of another holder,
+	// before its own first call.
 	quietPeriod time.Duration
 	now         bootclock.Clock
 	logger      *zap.Logger
@@ -58,25 +60,28 @@
 	mu sync.Mutex
 	// nextOffset is the offset after the last record read or appended.
 	nextOffset int64
-	// lastRecord is the newest record that was read or claimed, lastRecordAt the time of that or
-	// of a later failed read. synced is true once the partition has been read, and as long as it
-	// is kept up to date.
+	// lastRecord is the newest record that was read or claimed. lastRecordAt is the time of that
+	// read or claim, or of a later failed read. synced is true after a read of the partition,
+	// while the daemon keeps reading further records.
 	lastRecord   record
 	lastRecordAt time.Time
 	synced       bool
-	// held is true if this daemon holds the lease, under fence. It may act from validFrom until
-	// validUntil.
+	// held is true if this daemon holds the lease. Its fence is then the field fence, and it may
+	// act from validFrom until validUntil.
 	held                  bool
 	fence                 int64
 	validFrom, validUntil time.Time
-	// A candidate claims the lease when it is free. A daemon that is resigning never does.
+	// candidate is true if this daemon claims the lease when the lease is free. resigning is
+	// true after Withdraw or Resign; the daemon then never claims the lease.
 	candidate, resigning bool
-	// reclaiming is true from the start until the first successful read, after which a lease
-	// last held by an earlier incarnation on this machine is claimed at once.
+	// reclaiming is true from the start until the first successful read. If that read shows that
+	// an earlier incarnation on this machine held the lease last, the lease is claimed at once.
 	reclaiming bool
 }
 
-// New returns the lease on a partition for the incarnation of a daemon named self.
+// New returns the lease on a partition for the daemon whose incarnation is self. Run must be
+// called for the daemon to take part in the election. quietPeriod is how long the daemon waits,
+// after the last possible call of another holder, before it acts.
 func New(log journal.Journal, partition journal.Partition, self string, quietPeriod time.Duration, logger *zap.Logger) *Lease {
 	return &Lease{
 		journal:     log,
@@ -93,7 +98,7 @@
 // SetClock replaces the clock by which the lease expires. It must be called before Run.
 func (l *Lease) SetClock(now bootclock.Clock) { l.now = now }
 
-// SetCandidate sets whether this daemon claims the lease when it is free.
+// SetCandidate sets whether this daemon claims the lease when the lease is free.
 func (l *Lease) SetCandidate(candidate bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,15 +116,17 @@
 	return l.fence, l.validUntil.Sub(now), true
 }
 
-// Held reports whether this daemon holds the lease, even if it may not act yet.
+// Held reports whether this daemon holds the lease as far as it knows, even if it may not act
+// yet or the lease has expired.
 func (l *Lease) Held() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.held
 }
 
-// Run takes part in the election until the context ends: it renews a lease that is held, and
-// watches and claims it as a candidate.
+// Run takes part in the election until the context ends: it renews the lease while this daemon
+// holds it, and otherwise, as a candidate, watches the partition and claims the lease when it is
+// free.
 func (l *Lease) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
