--- a/internal/membership/group/group.go
+++ b/internal/membership/group/group.go
@@ -35,14 +35,16 @@
 const (
 	// groupName is the name of the consumer group on the platform.
 	groupName = "woodworks"
-	// memberTTL is how long the group keeps the partitions of a member that no longer joins.
+	// memberTTL is how long the group keeps the partitions of a member after the member's last
+	// call to join.
 	memberTTL = 1500 * time.Millisecond
-	// joinInterval is the time between two calls by which a member stays in the group.
+	// joinInterval is the time between two calls to join, by which a member stays in the group.
 	joinInterval = 450 * time.Millisecond
-	// joinTimeout bounds each of these calls.
+	// joinTimeout bounds each call to join.
 	joinTimeout = time.Second
-	// settleTime is how long after its start a member joins at settleInterval. When many daemons
-	// start at once, the assignment changes with each of them.
+	// settleTime is how long after its start a member calls join every settleInterval instead of
+	// every joinInterval. When many daemons start together, the assignment changes with each of
+	// them.
 	settleTime     = 2 * time.Second
 	settleInterval = 150 * time.Millisecond
 )
@@ -54,7 +56,8 @@
 	self   string
 	topics []string
 	logger *zap.Logger
-	// failedReads summarizes failed reads of the list in the log, as each lookup may start one.
+	// failedReads combines the log lines about failed reads of the list of watchers into
+	// episodes, as each lookup of a watcher may start a read.
 	failedReads *logging.Episodes
 
 	lastContact *journal.LastContact
@@ -70,8 +73,8 @@
 	watchers   watcherList
 }
 
-// New returns the membership of the incarnation named self, which asks for a share of the
-// partitions of the topics. It joins the group in Run.
+// New returns the membership of the daemon whose incarnation is self. The member asks for a
+// share of the partitions of the topics. It joins the group when Run is called.
 func New(log journal.Journal, self string, topics []string, logger *zap.Logger) *Member {
 	return &Member{journal: log, self: self, topics: topics, logger: logger, lastContact: journal.NewLastContact(bootclock.Now),
 		failedReads: logging.NewEpisodes(logger, "watchers of partitions not learned", "", "")}
@@ -92,11 +95,12 @@
 	return m.generation
 }
 
-// Silence returns the time since a call to join last succeeded, longer than any bound if none did.
+// Silence returns the time since a call to join last succeeded, or the largest duration if none
+// has succeeded.
 func (m *Member) Silence() time.Duration { return m.lastContact.Silence() }
 
-// Run joins the group and stays in it until the context ends or Leave is called. It also removes
-// earlier incarnations of this machine from the group.
+// Run joins the group and keeps this daemon in it until the context ends or Leave is called. It
+// also removes earlier incarnations of this daemon on this machine from the group.
 func (m *Member) Run(ctx context.Context) {
 	began := time.Now()
 	m.mu.Lock()
@@ -114,7 +118,8 @@
 	})
 }
 
-// join calls the group once to enter it or to stay in it, and applies the assignment returned.
+// join makes one call to enter the group or to stay in it, and applies the assignment that the
+// call returns.
 func (m *Member) join(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -128,7 +133,8 @@
 	m.applyAssignment(assignment)
 }
 
-// logFirstFailure logs a failed join, unless the one before failed too or the context has ended.
+// logFirstFailure logs a failed call to join, unless the previous call failed too or the context
+// has ended.
 func (m *Member) logFirstFailure(ctx context.Context, err error) {
 	if m.joinFailed || ctx.Err() != nil {
 		return
@@ -137,7 +143,8 @@
 	m.logger.Warn("dependency lost", zap.String("dependency", "group"), zap.Error(err))
 }
 
-// noteContact records the time of a successful join, and logs it after a failure.
+// noteContact records the time of a successful call to join. If the previous call failed,
+// noteContact also logs the recovery.
 func (m *Member) noteContact() {
 	m.lastContact.Record()
 	if m.joinFailed {
@@ -147,7 +154,8 @@
 }
 
 // applyAssignment stores the generation and partitions of an assignment, unless this daemon is
-// leaving. It stores a new map, so that one returned by Partitions never changes.
+// leaving. It stores the partitions as a new map, so that a map returned by Partitions never
+// changes.
 func (m *Member) applyAssignment(assignment journal.Assignment) {
 	partitions := make(map[journal.Partition]bool, len(assignment.Partitions))
 	for _, partition := range assignment.Partitions {
--- a/internal/membership/group/leave.go
+++ b/internal/membership/group/leave.go
@@ -14,13 +14,13 @@
 const (
 	// leaveTimeout bounds one call to leave the group.
 	leaveTimeout = 500 * time.Millisecond
-	// leaveRetryDelay is the wait before the next try to leave or to list the members.
+	// leaveRetryDelay is the wait before the next attempt to leave or to list the members.
 	leaveRetryDelay = 100 * time.Millisecond
 )
 
-// Leave takes this daemon out of the group, so that its partitions are assigned to others at once.
-// It retries until it succeeds or the context ends: the partitions of a member that didn't leave
-// have no watcher until its memberTTL is over. Run doesn't join again after Leave.
+// Leave takes this daemon out of the group, so that its partitions are assigned to other members
+// at once. It retries until it succeeds or the context ends, since the partitions of a member
+// that didn't leave have no watcher until memberTTL is over. Run doesn't join again after Leave.
 func (m *Member) Leave(ctx context.Context) {
 	m.leaving.Store(true)
 	m.mu.Lock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// leaveOnce makes one call that takes a member, an incarnation of this machine, out of the group.
+// leaveOnce makes one call that takes member, an incarnation on this machine, out of the group.
 // The error wraps ErrUnavailable.
 func (m *Member) leaveOnce(ctx context.Context, member string) error {
 	bounded, cancel := context.WithTimeout(ctx, leaveTimeout)
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// retirePredecessors takes earlier incarnations of this machine out of the group, as their
-// partitions would have no watcher until memberTTL is over. It retries until it succeeds once or
-// the context ends. An incarnation that isn't listed by then has no partitions.
+// retirePredecessors takes earlier incarnations on this machine out of the group, as their
+// partitions would have no watcher until memberTTL is over. It retries until all listed ones are
+// out or the context ends. An incarnation that isn't listed has no partitions.
 func (m *Member) retirePredecessors(ctx context.Context) {
 	for ctx.Err() == nil {
 		if m.retireOnce(ctx) == nil {
@@ -59,12 +59,13 @@
 	}
 }
 
-// retireOnce lists the members and takes earlier incarnations of this machine out of the group. It
-// stops at the first error, which wraps ErrUnavailable.
+// retireOnce lists the members and takes earlier incarnations on this machine out of the group.
+// It stops at the first error, which wraps ErrUnavailable.
 func (m *Member) retireOnce(ctx context.Context) error {
 	alive, err := m.Alive(ctx)
 	if err != nil {
-		// Only at debug level, as it is retried soon and join logs that the group is unavailable.
+		// The error is logged only at debug level, as the list is soon read again and join logs
+		// that the group is unavailable.
 		m.logger.Debug("failed to list predecessors", zap.Error(err))
 		return err
 	}
--- a/internal/membership/group/watchers.go
+++ b/internal/membership/group/watchers.go
@@ -12,43 +12,47 @@
 )
 
 const (
-	// listMaxAge is how long the list of watchers counts as fresh within a generation.
+	// listMaxAge is the age up to which the list of watchers counts as fresh, if it is of the
+	// current generation.
 	listMaxAge = 2 * time.Second
-	// listTimeout is how long a caller waits for a read of the list.
+	// listTimeout is how long a caller waits for a read of the list of watchers.
 	listTimeout = questiontime.ListTimeout
-	// listReadTimeout bounds a read of the list. It is longer than listTimeout, as the result
-	// also serves later callers.
+	// listReadTimeout bounds a read of the list. It is longer than listTimeout, as the result of
+	// a read also serves later callers.
 	listReadTimeout = joinTimeout
-	// listReadRetryDelay is how long a read may be without an answer until a caller starts
-	// another beside it. A question has time for a second read if the first was lost.
+	// listReadRetryDelay is how long a read may be without an answer before a caller starts
+	// another read in parallel. If the first read was lost, a question still has time for the
+	// second one.
 	listReadRetryDelay = questiontime.ListRetryDelay
 )
 
-// watcherList holds the watcher of each partition as last read from the journal. The mutex of the
-// Member guards it.
+// watcherList holds the watcher of each partition as last read from the journal. Member.mu
+// guards it.
 type watcherList struct {
-	// byPartition is replaced and never changed, so that it may be read without the mutex. It is
-	// nil until a read has succeeded.
+	// byPartition is nil until a read has succeeded. Each read replaces the map and never
+	// changes it, so that a map may be read without the mutex.
 	byPartition map[journal.Partition]string
-	// generation is the generation in which the read of the list began, readAt the time of that.
+	// generation is the generation that this daemon knew when the read of the list began, and
+	// readAt is the time at which that read began.
 	generation int64
 	readAt     time.Time
-	// readDone is closed when the newest read ends, and nil if no read is pending.
-	// readStartedAt is when the newest read began.
+	// readDone is closed when the newest read ends; it is nil if no read is pending.
+	// readStartedAt is the time at which the newest read began.
 	readDone      chan struct{}
 	readStartedAt time.Time
 }
 
-// WatcherOf returns the watcher of a partition, by a list that may be seconds out of date. It
-// waits up to listTimeout for a newer list, and returns false if the watcher is not known.
+// WatcherOf returns the watcher of a partition, from a list that may be seconds out of date. If
+// the list is not fresh, WatcherOf waits up to listTimeout for a new one. It returns false if
+// the watcher is not known.
 func (m *Member) WatcherOf(ctx context.Context, partition journal.Partition) (string, bool) {
 	watcher, ok := m.recentWatchers(ctx)[partition]
 	return watcher, ok
 }
 
-// WatchersOf returns the watchers of a topic's partitions, by a list that may be seconds out of
-// date. A member is listed once for each partition that it has. The result is empty if no list
-// can be read within listTimeout.
+// WatchersOf returns the watchers of a topic's partitions, from a list that may be seconds out
+// of date. A member is listed once for each partition that it watches. The result is empty if
+// there is no usable list within listTimeout.
 func (m *Member) WatchersOf(ctx context.Context, topic string) (watchers []string) {
 	for partition, watcher := range m.recentWatchers(ctx) {
 		if partition.Topic == topic {
@@ -58,10 +62,10 @@
 	return watchers
 }
 
-// recentWatchers returns the watcher of each partition, or nil if no usable list is read within
-// listTimeout. The map returned is never changed. Watchers change only with the generation, so
-// that an older list of the current generation is used while a newer read is slow, provided that
-// a join has succeeded within memberTTL.
+// recentWatchers returns the watcher of each partition, or nil if there is no usable list within
+// listTimeout. The returned map is never changed. Watchers change only with the generation. A
+// list of the current generation that is no longer fresh is therefore still used if the new read
+// is slow or fails, provided that a call to join has succeeded within memberTTL.
 //
 // A read continues after the callers that wait for it have left. Otherwise no read would ever
 // succeed if the journal takes longer to answer than a caller waits.
@@ -87,8 +91,8 @@
 }
 
 // freshWatchers returns the list if it is fresh. Otherwise it returns a channel that is closed
-// when the newest read ends, and starts a read unless one started within listReadRetryDelay is
-// pending.
+// when the newest read ends. It starts that read unless a read that began less than
+// listReadRetryDelay ago is pending.
 func (m *Member) freshWatchers(ctx context.Context) (fresh map[journal.Partition]string, readDone <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,9 +106,9 @@
 	return nil, m.watchers.readDone
 }
 
-// readContext returns the context for a read started by a caller with ctx. It is the context of
-// Run, so that the read continues when the caller leaves, or ctx if Run has not begun or its
-// context has ended. The mutex is held.
+// readContext returns the context for a read that a caller with the context ctx starts. This is
+// the context of Run, so that the read continues when the caller leaves. If Run has not begun or
+// its context has ended, it is ctx. The mutex must be held.
 func (m *Member) readContext(ctx context.Context) context.Context {
 	if m.runCtx == nil || m.runCtx.Err() != nil {
 		return ctx
@@ -112,14 +116,15 @@
 	return m.runCtx
 }
 
-// isListFresh reports whether the list is of the current generation and newer than listMaxAge.
-// The mutex is held.
+// isListFresh reports whether the list is of the current generation and younger than listMaxAge.
+// The mutex must be held.
 func (m *Member) isListFresh() bool {
 	return m.watchers.byPartition != nil && m.watchers.generation == m.generation && time.Since(m.watchers.readAt) < listMaxAge
 }
 
-// readList reads the list and stores it under the generation in which the read began, as it may
-// miss later assignments. It closes done at its end.
+// readList reads the list of watchers and stores it with the given generation, in which the read
+// began: the list may miss assignments of later generations. readList closes done when the read
+// has ended.
 func (m *Member) readList(ctx context.Context, generation int64, done chan struct{}) {
 	bounded, cancel := context.WithTimeout(ctx, listReadTimeout)
 	defer cancel()
