--- a/internal/journal/contact.go
+++ b/internal/journal/contact.go
@@ -8,22 +8,22 @@
 	"woodworks/internal/daemon/bootclock"
 )
 
-// neverAnswered is returned by Silence before the first answer.
+// neverAnswered is the result of Silence before the first answer.
 const neverAnswered = time.Duration(math.MaxInt64)
 
 // LastContact records when the journal last answered. It is safe for concurrent use.
 //
-// Times are taken from a clock that ignores changes of the wall clock and includes the time for
-// which the machine was suspended, so that contact from before a suspension counts as old.
+// Its clock must ignore changes of the wall clock and must include the time for which the
+// machine was suspended, so that an answer from before a suspension counts as old.
 type LastContact struct {
 	now  bootclock.Clock
 	last atomic.Pointer[time.Time]
 }
 
-// NewLastContact returns a LastContact without an answer so far.
+// NewLastContact returns a LastContact that has recorded no answer yet.
 func NewLastContact(now bootclock.Clock) *LastContact { return &LastContact{now: now} }
 
-// Record stores the current time as that of the last answer.
+// Record records that the journal has answered now.
 func (c *LastContact) Record() {
 	now := c.now()
 	c.last.Store(&now)
--- a/internal/journal/failures.go
+++ b/internal/journal/failures.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// readRetryDelay is the delay before the next try after a failed read.
+	// readRetryDelay is the delay before a failed read is repeated.
 	readRetryDelay = 150 * time.Millisecond
-	// lostThreshold is how long reads must have failed before the partition is logged as lost, so
-	// that a single failed read is not.
+	// lostThreshold is how long reads must have failed before the partition is logged as lost. A
+	// single failed read is thereby not logged.
 	lostThreshold = 500 * time.Millisecond
-	// throttledBackoff is the delay after the first throttled read. It doubles with each further
-	// one in a row, up to maxIntervalFraction of the contact bound.
+	// throttledBackoff is the backoff after the first throttled read. The backoff doubles with
+	// each further throttled read in a row, up to maxIntervalFraction of the contact bound.
 	throttledBackoff = 100 * time.Millisecond
 	// maxBackoffDoublings limits how often throttledBackoff is doubled.
 	maxBackoffDoublings = 6
@@ -29,7 +29,8 @@
 	// since is when the first failed read began.
 	since time.Time
 	count int
-	// throttled counts the latest consecutive reads that failed with a ThrottledError.
+	// throttled counts the consecutive reads, up to the latest one, that failed with a
+	// ThrottledError.
 	throttled int
 	// logged reports whether "dependency lost" has been logged for this streak.
 	logged bool
@@ -45,8 +46,8 @@
 	f.failures = failureStreak{}
 }
 
-// handleFailure counts a read that began at start and failed, logs the streak once it has lasted
-// for lostThreshold, and waits before the next try. It does nothing once ctx has ended.
+// handleFailure counts a failed read that began at start, logs the streak once it has lasted for
+// lostThreshold, and waits before the next read. It does nothing if ctx has ended.
 func (f *KeyedFollower) handleFailure(ctx context.Context, start time.Time, err error) {
 	if ctx.Err() != nil {
 		return
--- a/internal/journal/follow.go
+++ b/internal/journal/follow.go
@@ -13,9 +13,11 @@
 )
 
 const (
-	// waitFraction and slackFraction are fractions of the contact bound: how long a read may wait
-	// for records, and how much longer it may take. Together they are well below 1, so that a read
-	// lost in an outage times out and is repeated within the contact bound after the outage.
+	// waitFraction and slackFraction are fractions of the contact bound, the time after an
+	// outage within which a follower must be up to date again. They set how long a read may wait
+	// for records, and how much longer the read may take. Their sum is well below 1, so that a
+	// read that is lost in an outage times out and is repeated within the contact bound after
+	// the outage.
 	waitFraction  = 0.30
 	slackFraction = 0.30
 )
@@ -34,17 +36,19 @@
 	Reset(records []KeyedRecord)
 }
 
-// KeyedFollower keeps a handler up to date with a keyed partition. It reads the newest record of
-// each key, then each further record. It starts again with a full read when records were trimmed
-// before it read them, or when the partition ends before the last record that it read.
+// KeyedFollower keeps a handler up to date with a keyed partition. It first makes a full read,
+// which returns the newest record of each key, and then reads each further record. It makes
+// another full read if records were trimmed before it read them, or if the partition ends before
+// the last record that it read.
 type KeyedFollower struct {
 	journal   Journal
 	partition Partition
 	handler   KeyedHandler
-	// wait is how long a read waits for records, slack how much longer it may take.
+	// wait is how long a read waits for records, and slack how much longer the read may take.
 	wait, slack time.Duration
 	logger      *zap.Logger
-	// interval is the minimum time between the starts of two reads, capped at maxInterval.
+	// interval returns the minimum time between the starts of two reads. Times above maxInterval
+	// count as maxInterval.
 	interval    Interval
 	maxInterval time.Duration
 
@@ -72,8 +76,8 @@
 	}
 }
 
-// SetInterval sets the minimum time between two reads; the default is none. It must be called
-// before Run.
+// SetInterval sets the minimum time between the starts of two reads; by default there is none.
+// It must be called before Run.
 func (f *KeyedFollower) SetInterval(interval Interval) { f.interval = interval }
 
 // Synced reports whether a full read has succeeded since the follower was created.
@@ -98,8 +102,8 @@
 	}
 }
 
-// readFully passes the newest record of each key to the handler, and returns the offset from
-// which to continue.
+// readFully makes a full read: it passes the newest record of each key to the handler, and
+// returns the offset from which to continue.
 func (f *KeyedFollower) readFully(ctx context.Context) (int64, error) {
 	records, next, err := ReadNewest(ctx, f.journal, f.partition, f.wait+f.slack)
 	if err != nil {
@@ -118,8 +122,9 @@
 	return next, nil
 }
 
-// follow reads records from offset next on. It returns when ctx ends or when a full read is
-// needed, because the partition was trimmed beyond next or ends before it.
+// follow reads the records from offset next on and passes them to the handler. It returns when
+// ctx ends or a full read is needed, because records from next on were trimmed or the partition
+// ends before next.
 func (f *KeyedFollower) follow(ctx context.Context, next int64) {
 	for ctx.Err() == nil {
 		start := time.Now()
@@ -159,7 +164,8 @@
 	}
 }
 
-// readOnce reads the records from an offset on, with a timeout of wait plus slack.
+// readOnce reads the records from an offset on. It waits for records up to wait, and its timeout
+// is wait plus slack.
 func (f *KeyedFollower) readOnce(ctx context.Context, from int64) (Records, error) {
 	bounded, cancel := context.WithTimeout(ctx, f.wait+f.slack)
 	defer cancel()
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -35,13 +35,13 @@
 	// ErrPosition means that the partition does not end at Append.ExpectedEnd; the append had no
 	// effect.
 	ErrPosition = errors.New("journal: the partition ends elsewhere")
-	// ErrTrimmed means that the requested offset has been trimmed. The error returned is a
-	// *TrimmedError, which wraps it.
+	// ErrTrimmed means that the record at the requested offset has been trimmed. Errors of this
+	// kind are of type *TrimmedError, which wraps ErrTrimmed.
 	ErrTrimmed = errors.New("journal: offset trimmed")
 )
 
-// TrimmedError reports that the requested offset has been trimmed. First is the oldest offset
-// that still exists. It wraps ErrTrimmed.
+// TrimmedError reports that the record at the requested offset has been trimmed. First is the
+// oldest offset that still has a record. The error wraps ErrTrimmed.
 type TrimmedError struct{ First int64 }
 
 // Error implements error.
@@ -83,18 +83,18 @@
 	Number int    `cbor:"Number"`
 }
 
-// Append is a request to append records to a partition. Either all of them are appended or none.
+// Append is a request to append records to a partition. Either all records are appended or none.
 type Append struct {
 	Partition Partition `cbor:"Partition"`
 	Records   [][]byte  `cbor:"Records"`
-	// ExpectedEnd, if not nil, is the offset at which the partition must end for the append to
-	// take effect; otherwise it fails with ErrPosition.
+	// ExpectedEnd, if not nil, is the offset at which the partition must end. If the partition
+	// ends elsewhere, the append fails with ErrPosition.
 	ExpectedEnd *int64 `cbor:"ExpectedEnd"`
 }
 
 // Appended holds the offsets of appended records.
 type Appended struct {
-	// Offset is the offset of the first record, End the one after the last.
+	// Offset is the offset of the first appended record, and End the offset after the last one.
 	Offset int64 `cbor:"Offset"`
 	End    int64 `cbor:"End"`
 }
@@ -103,8 +103,8 @@
 type Read struct {
 	Partition Partition `cbor:"Partition"`
 	From      int64     `cbor:"From"`
-	// Wait makes the read a long poll: how long it waits for a record if there is none yet. With 0
-	// it returns immediately.
+	// Wait is how long the read waits for a record if there is none yet (long poll). With 0 the
+	// read returns immediately.
 	Wait time.Duration `cbor:"Wait"`
 	// MaxBytes, if not 0, limits the total size of the returned records. A first record that is
 	// larger is returned by itself.
@@ -114,8 +114,8 @@
 // Records is the answer to a Read: consecutive records from offset From on.
 type Records struct {
 	Records [][]byte `cbor:"Records"`
-	// End is the offset after the last record of the partition, First that of the oldest one that
-	// still exists.
+	// End is the offset after the last record of the partition, and First the offset of the
+	// oldest record that still exists.
 	End   int64 `cbor:"End"`
 	First int64 `cbor:"First"`
 }
@@ -126,21 +126,22 @@
 	Key    string `cbor:"Key"`
 	Value  []byte `cbor:"Value"`
 	Offset int64  `cbor:"Offset"`
-	// Unreadable reports that the key has a value that could not be read; Value is empty then.
+	// Unreadable reports that the key has a value that could not be read. Value is then empty.
 	Unreadable bool `cbor:"Unreadable"`
 }
 
 // KeyedPage is one page of the newest records of a keyed partition.
 type KeyedPage struct {
 	Records []KeyedRecord `cbor:"Records"`
-	// More reports whether there are further keys after the last one of this page. End is the
+	// More reports whether there are further keys after the last key of this page. End is the
 	// offset after the last record of the partition.
 	More bool  `cbor:"More"`
 	End  int64 `cbor:"End"`
 }
 
-// Join is a request to join a group, or to renew the membership for another Lifetime. Generation is
-// the last generation of the group that the member knows.
+// Join is a request to join a group, or to renew the membership. The membership lasts for
+// Lifetime unless it is renewed. Generation is the last generation of the group that the member
+// knows.
 type Join struct {
 	Group      string        `cbor:"Group"`
 	Member     string        `cbor:"Member"`
@@ -165,9 +166,9 @@
 type Journal interface {
 	// Append appends records to a partition.
 	Append(ctx context.Context, request Append) (Appended, error)
-	// Read returns the records of a partition from an offset on. If the answer broke off, it
-	// returns the complete records before the break together with the error; they are valid, and
-	// the caller may continue after them.
+	// Read returns the records of a partition from an offset on. If the answer breaks off, Read
+	// returns both an error and the complete records before the break. These records are valid,
+	// and the caller may continue after them.
 	Read(ctx context.Context, request Read) (Records, error)
 	// Newest returns a page of the newest records of a keyed partition, with the keys after
 	// afterKey. An empty afterKey starts with the first key.
@@ -181,14 +182,15 @@
 	Owners(ctx context.Context, group string) ([]Ownership, error)
 	// PartitionsPerTopic returns the number of partitions of each topic.
 	PartitionsPerTopic() int
-	// MaxRecordBytes and MaxAppendBytes return the maximum size of a record and of an append.
+	// MaxRecordBytes and MaxAppendBytes return the maximum size in bytes of a record and of an
+	// append.
 	MaxRecordBytes() int
 	MaxAppendBytes() int
 	// RateLimits returns the limits that apply to all daemons together.
 	RateLimits() RateLimits
 }
 
-// AppendWithTimeout appends records to a partition with a timeout for the call.
+// AppendWithTimeout appends records to a partition. timeout bounds the call.
 func AppendWithTimeout(ctx context.Context, log Journal, timeout time.Duration, partition Partition, records ...[]byte) error {
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -196,9 +198,10 @@
 	return err
 }
 
-// ReadToEnd reads a partition from an offset to its end, passes the records to handle, and
-// returns the offset after them. Trimmed records are skipped. The timeout applies to each read.
-// On an error, next is the offset after the records already passed to handle.
+// ReadToEnd reads a partition from an offset to its end and passes the records to handle, with
+// the offset of the first record of each read. It returns the offset after these records, also
+// if a read fails after others have succeeded. Trimmed records are skipped. timeout bounds each
+// read.
 func ReadToEnd(
 	ctx context.Context, log Journal, partition Partition, from int64, timeout time.Duration,
 	handle func(offset int64, records [][]byte),
@@ -223,12 +226,12 @@
 	}
 }
 
-// Limits holds the sizes and limits of a journal. Implementations of Journal embed it for the
+// Limits holds the sizes and limits of a journal. Implementations of Journal embed it to get the
 // methods that return them.
 type Limits struct {
 	// Partitions is the number of partitions of each topic.
 	Partitions int
-	// RecordBytes and AppendBytes are the maximum sizes of a record and of an append.
+	// RecordBytes and AppendBytes are the maximum sizes of a record and of an append, in bytes.
 	RecordBytes, AppendBytes int
 	// Rates holds the limits that apply to all daemons together.
 	Rates RateLimits
@@ -246,8 +249,8 @@
 // RateLimits implements Journal.
 func (l Limits) RateLimits() RateLimits { return l.Rates }
 
-// RateLimits holds the limits of a journal that apply to all daemons together. 0 means that a
-// limit is not known.
+// RateLimits holds the limits of a journal that apply to all daemons together. A limit of 0 is
+// not known.
 type RateLimits struct {
 	// ReadsPerSecond is the maximum number of reads per second.
 	ReadsPerSecond float64
--- a/internal/journal/revive.go
+++ b/internal/journal/revive.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// maxOverdue is how long a call may be overdue once a later call to the same partition, or any
-	// call just after an outage, has been answered.
+	// maxOverdue is how long a call may be overdue once a later call to the same partition has
+	// been answered. Just after an outage, a later call to any partition counts.
 	maxOverdue = 150 * time.Millisecond
-	// maxReadOverdue is how long a read may be overdue once a call to another partition has been
-	// answered. Repeating a read is cheap.
+	// maxReadOverdue is how long a read may be overdue once a later call to another partition
+	// has been answered. The time can be short, as repeating a read is cheap.
 	maxReadOverdue = questiontime.LostReadTimeout
-	// maxOverdueRatio is the maximum ratio of the time for which a call is overdue to the duration
-	// of the later call that was answered.
+	// In any case, a call may be overdue for maxOverdueRatio times the duration of the later
+	// call that was answered.
 	maxOverdueRatio = 3
 	// minOutage is the shortest time without any answer that counts as an outage of the whole
-	// journal. For recoveryWindow after it, an answer from one partition counts for all of them.
+	// journal. For recoveryWindow after an outage, an answer from one partition counts for all
+	// partitions.
 	minOutage      = 500 * time.Millisecond
 	recoveryWindow = time.Second
 )
@@ -31,15 +32,15 @@
 // LostCallDetector is a Journal that gives up calls whose answers were lost in an outage, and
 // reports all calls to an observer.
 //
-// Timeouts must be long enough for a slow journal, so that waiting for the timeout of a lost call
-// wastes time once the journal is back. The detector therefore cancels a pending call, which then
-// returns ErrUnknown, when a call that started later has been answered and the pending one is
-// overdue for much longer than that call took. A call is overdue from its start, a long poll from
-// the end of its wait. Which answers count depends on the partition and the kind of call; see
-// overdueLimit.
+// Timeouts must be long enough for a slow journal, so that waiting for the timeout of a lost
+// call wastes time once the journal answers again. The detector therefore cancels a pending call
+// when a call that started later has been answered, and the pending call has been overdue for
+// much longer than the answered call took. The cancelled call returns ErrUnknown. A call is
+// overdue from its start on, a long poll from the end of its wait on. Which answers count
+// depends on the partition and the kind of the call; see overdueLimit.
 //
-// A call given up by mistake does no harm: its outcome is unknown, as after a timeout, and the
-// caller handles it in the same way.
+// A call that is given up by mistake does no harm: its outcome is unknown, as after a timeout,
+// and the caller handles it in the same way.
 //
 // # Usage
 //
@@ -47,7 +48,7 @@
 type LostCallDetector struct {
 	Journal
 	// recoveries combines the log lines about lost calls into episodes, as in a partial outage
-	// each answer may reveal some.
+	// each answer may reveal some lost calls.
 	recoveries *logging.Episodes
 	observe    Observer
 	// CallsGivenUp counts the calls given up as lost.
@@ -55,28 +56,30 @@
 
 	mu      sync.Mutex
 	pending map[*pendingCall]struct{}
-	// answeredAt is when a call was last answered, recoveredAt when the last outage of the whole
-	// journal ended.
+	// answeredAt is the time at which a call was last answered, recoveredAt the time at which
+	// the last outage of the whole journal ended.
 	answeredAt, recoveredAt time.Time
 }
 
 // pendingCall is a call that has not been answered yet.
 type pendingCall struct {
-	// kind is the name reported to the observer; calls without one are not reported.
+	// kind is the name of the call for the observer. A call without a name is not reported.
 	kind string
 	// partition is the partition of the call, or the zero value for calls about a group.
 	partition Partition
 	start     time.Time
-	// isRead reports that the call changes nothing, isBulk that its answer may be large, isNewest
-	// that it reads the newest records of all keys, whose answer may be large or small.
+	// isRead means that the call changes nothing. isBulk means that its answer may be large.
+	// isNewest means that it reads the newest records of all keys, so that its answer may be
+	// large or small.
 	isRead, isBulk, isNewest bool
-	// wait is how long a read waits for records before it is overdue.
+	// wait is how long a read waits for records. The read is not overdue before the end of this
+	// wait.
 	wait   time.Duration
 	cancel context.CancelFunc
 }
 
-// DetectLostCalls returns a Journal that makes its calls on log and gives up the lost ones. Its calls
-// are not observed until SetObserver is called.
+// DetectLostCalls returns a Journal that makes its calls on log and gives up those that are
+// lost. The calls are not observed until SetObserver is called.
 func DetectLostCalls(log Journal, logger *zap.Logger) *LostCallDetector {
 	return &LostCallDetector{
 		Journal:    log,
@@ -101,8 +104,8 @@
 	return bounded, &call
 }
 
-// end removes a call from the pending ones and reports it to the observer. If it was answered
-// without an error, older calls that must be lost are given up.
+// end removes a call from the pending calls and reports it to the observer. If the call was
+// answered without an error, older calls that must be lost are given up.
 func (d *LostCallDetector) end(call *pendingCall, err error) {
 	defer call.cancel()
 	if call.kind != "" {
@@ -137,8 +140,9 @@
 		zap.String("topic", call.partition.Topic), zap.Int("partition", call.partition.Number), zap.Duration("took", took))
 }
 
-// overdueLimit returns how long older may be overdue, given that answered has been answered. It
-// returns false if that answer says nothing about older. The mutex must be held.
+// overdueLimit returns how long the call older may be overdue, given that the call answered has
+// been answered. It returns false if that answer says nothing about older. The mutex must be
+// held.
 func (d *LostCallDetector) overdueLimit(older, answered *pendingCall, now time.Time) (time.Duration, bool) {
 	outageEnded := now.Sub(d.recoveredAt) < recoveryWindow && older.start.Before(d.recoveredAt)
 	switch {
@@ -153,8 +157,8 @@
 	return 0, false
 }
 
-// isLost reports whether older must be lost, given that answered has been answered. That holds
-// only for calls that started before answered did. The mutex must be held.
+// isLost reports whether the call older must be lost, given that the call answered has been
+// answered. A call that started after answered is never considered lost. The mutex must be held.
 func (d *LostCallDetector) isLost(older, answered *pendingCall, now time.Time) bool {
 	limit, ok := d.overdueLimit(older, answered, now)
 	overdue := now.Sub(older.start) - older.wait
