--- a/internal/requests/upstream/idle_test.go
+++ b/internal/requests/upstream/idle_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against an idle time that counts from Close instead of the end of the answer: a slow
+// Guards against an idle timeout that counts from Close instead of the end of the answer: a slow
 // reader would return the connection just before the peer closes it.
 func TestIdleTimeCountsFromTheEndOfTheAnswer(t *testing.T) {
 	for _, delay := range []time.Duration{0, time.Second, 3 * time.Second} {
--- a/internal/requests/upstream/limit_test.go
+++ b/internal/requests/upstream/limit_test.go
@@ -48,7 +48,8 @@
 	})
 }
 
-// exchangeWithLimit sends a request that waits this long for a connection at the limit.
+// exchangeWithLimit sends a request that, at the limit, waits up to the given time for a
+// connection.
 func exchangeWithLimit(t *testing.T, p *Pool, address netip.AddrPort, maxOpen int, wait time.Duration) error {
 	req := newRequest("r")
 	req.MaxOpen, req.ConnectionDeadline = maxOpen, time.Now().Add(wait)
@@ -61,8 +62,8 @@
 	return err
 }
 
-// At the limit a request waits for another one's connection, and fails with ErrPoolExhausted if
-// none is returned in time.
+// At the limit a request waits until another request returns its connection, and fails with
+// ErrPoolExhausted if none is returned in time.
 func TestARequestWaitsForAConnectionAtTheLimit(t *testing.T) {
 	is := is.New(t)
 	signal := make(chan struct{})
@@ -113,7 +114,7 @@
 }
 
 // A request that can't be repeated must not use a connection shortly before the peer closes it.
-// A repeatable one may use it longer, and the connection stays idle for it.
+// A repeatable request may use the connection longer, so the connection stays idle for it.
 func TestRepeatableRequestsUseIdleConnectionsLonger(t *testing.T) {
 	is := is.New(t)
 	for announced, want := range map[string][2]time.Duration{
@@ -136,7 +137,7 @@
 	conn, _ = p.tryAcquire(peerAddress, &Request{Repeatable: true})
 	is.True(conn != nil)
 	p.put(conn, now, now.Add(200*time.Millisecond))
-	// At the limit it is returned to be closed, for a request that can't be repeated.
+	// At the limit, a request that can't be repeated gets the connection too, to close it.
 	conn, _ = p.tryAcquire(peerAddress, &Request{MaxOpen: 2})
 	is.True(conn != nil && !conn.usable(now, false))
 	conn.close()
--- a/internal/requests/upstream/upstream_test.go
+++ b/internal/requests/upstream/upstream_test.go
@@ -241,8 +241,8 @@
 	<-cut
 }
 
-// Guards against a request whose context has ended being written to an idle connection before
-// that is closed.
+// Guards against a request that is written to an idle connection although its context has ended,
+// before the end of the context closes the connection.
 func TestNothingIsSentForAnEndedContext(t *testing.T) {
 	is := is.New(t)
 	var seen atomic.Int64
