--- a/internal/requests/ingress/admission_test.go
+++ b/internal/requests/ingress/admission_test.go
@@ -23,8 +23,8 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// newFullServiceTest returns a handler with one replica that declines this many requests before
-// it answers, and the count of requests sent to the replica.
+// newFullServiceTest returns a handler with one replica, which declines the given number of
+// requests before it answers one, and the count of requests sent to the replica.
 func newFullServiceTest(t *testing.T, declines int32, engine bool) (*Handler, *atomic.Int32) {
 	t.Helper()
 	asked := &atomic.Int32{}
--- a/internal/requests/ingress/keys_test.go
+++ b/internal/requests/ingress/keys_test.go
@@ -31,7 +31,8 @@
 func ignoreAnswer(string, string, string, time.Duration) {}
 
 // authenticateKey authenticates a request at a daemon whose configuration was last confirmed age
-// ago. It returns the request, the status it was refused with or 0, and the logs.
+// ago. It returns the request, the status of the refusal (0 if the request was accepted) and the
+// logs.
 func authenticateKey(t *testing.T, authorization string, age time.Duration, policy KeyPolicy) (*request, int, *observer.ObservedLogs) {
 	t.Helper()
 	core, logs := observer.New(zap.InfoLevel)
@@ -60,7 +61,7 @@
 	return r, recorder.Code, logs
 }
 
-// A key is only accepted or rejected with a 401 if the configuration is recent enough.
+// A key must only be accepted, or rejected with a 401, if the configuration is recent enough.
 func TestKeyDecisionsDependOnTheConfigurationsAge(t *testing.T) {
 	strict := KeyPolicy{AcceptMaxAge: 5 * time.Second, RejectMaxAge: 4 * time.Second}
 	open := KeyPolicy{RejectMaxAge: 4 * time.Second}
--- a/internal/requests/ingress/memory_test.go
+++ b/internal/requests/ingress/memory_test.go
@@ -59,12 +59,13 @@
 	handler  *Handler
 	outcomes outcomes
 	daemon   *httptest.Server
-	// started receives a value per request that the replica has started, answered one per
-	// request that it has answered.
+	// started receives a value for each request that the replica has started, answered one for
+	// each request that it has answered.
 	started, answered chan struct{}
 }
 
-// newSlowClientTest starts a replica and a daemon with a memory budget in bytes, 0 for none.
+// newSlowClientTest starts a replica, and a daemon with a memory budget of the given number of
+// bytes. A budget of 0 means none.
 func newSlowClientTest(t *testing.T, kind route.Kind, budget int64, answer http.HandlerFunc) *slowClientTest {
 	t.Helper()
 	s := &slowClientTest{T: t, outcomes: make(outcomes, 1000), started: make(chan struct{}, 1000), answered: make(chan struct{}, 1000)}
@@ -123,7 +124,7 @@
 
 const kib = 1 << 10
 
-// uniqueText returns a text without repetitions, in which lost or repeated parts show.
+// uniqueText returns a text without repetitions, so that a lost or repeated part changes it.
 func uniqueText(length int) []byte {
 	var text bytes.Buffer
 	for i := 0; text.Len() < length; i++ {
@@ -173,8 +174,8 @@
 	}
 }
 
-// Guards against an answer that stays with its replica, which aborts answers that are not read
-// for some seconds, because the client reads nothing.
+// Guards against an answer that is left unread at its replica because the client reads nothing.
+// Replicas abort answers that are not read for some seconds.
 func TestALongAnswerIsReadAheadOfASlowClient(t *testing.T) {
 	is := is.New(t)
 	long := uniqueText(14 << 20)
--- a/internal/requests/ingress/refusals_test.go
+++ b/internal/requests/ingress/refusals_test.go
@@ -51,8 +51,8 @@
 	return ctx
 }
 
-// Checks the status, Retry-After and outcome of every refusal. The time left is 24 s, of which a
-// third bounds none of the fixed values of Retry-After.
+// Checks the status, Retry-After and outcome of every refusal. The time left is 24 s, so long
+// that a third of it, the upper bound of Retry-After, shortens none of the fixed values.
 func TestRefusalStatusAndRetryAfter(t *testing.T) {
 	const left = 24*time.Second + answerMargin
 	notRun := &forward.Failure{Certainty: forward.NotRun, Reason: "nobody"}
--- a/internal/requests/ingress/refuse_test.go
+++ b/internal/requests/ingress/refuse_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// A submission or the end of a batch is refused with a 503 only if it is certain not to have
-// happened, and a stopping daemon has its callers retry soon.
+// A submission, or a call that ends a batch, is refused with a 503 only if it certainly had no
+// effect. A stopping daemon has its clients retry soon.
 func TestRunnerErrorsMapToStatuses(t *testing.T) {
 	cases := map[string]struct {
 		err        error
--- a/internal/requests/ingress/stop_test.go
+++ b/internal/requests/ingress/stop_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// A request that the end of a stop interrupts gets the status of its failure. A request whose
-// client has disconnected is aborted.
+// A request that the end of a stop interrupts gets the status of its failure. If the client of a
+// request has disconnected, the request is aborted instead.
 func TestInterruptedRequestsAreAnswered(t *testing.T) {
 	answered := func(failure *forward.Failure) int {
 		stop := newStop()
@@ -126,7 +126,7 @@
 	})
 }
 
-// A stream that is interrupted before its first event gets a status. One that has begun is
+// A stream that is interrupted before its first event gets a status. A stream that has begun is
 // aborted, so that it does not look complete.
 func TestInterruptedStreamsAreAnsweredOrAborted(t *testing.T) {
 	interrupted := func(ran int, began bool) (status int, panicked any) {
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -177,8 +177,8 @@
 }
 
 // giveUp ends a stream that no replica completed. If the answer has begun, giveUp aborts the
-// connection, so that the client cannot take the answer for a complete one; otherwise it refuses
-// the request.
+// connection, so that the client cannot take the answer for a complete one; it does the same if
+// the client has left. Otherwise it refuses the request.
 func (s *streamRelay) giveUp() {
 	reason := "no replica"
 	if s.lastErr != nil {
--- a/internal/requests/ingress/suspend_test.go
+++ b/internal/requests/ingress/suspend_test.go
@@ -21,7 +21,7 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// suspendingBody is a request body during whose first Read the machine is suspended.
+// suspendingBody is a request body. The machine is suspended during its first Read.
 type suspendingBody struct {
 	io.Reader
 	clock *clocktest.Clock
@@ -35,7 +35,8 @@
 }
 
 // Guards against a clock that stops while the machine is suspended: the request would be sent
-// with the time it had before, and run at a replica after its client has left.
+// with the time that it had left before the suspension, and run at a replica after its client
+// has left.
 func TestTimeSuspendedCountsAgainstTheDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name        string
