--- a/internal/requests/forward/failed_test.go
+++ b/internal/requests/forward/failed_test.go
@@ -17,8 +17,9 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// A crashed replica and a broken connection look the same to the request. The log line must tell
-// them apart and name the content, so that its attempts can be correlated.
+// For a request, a crashed replica and a broken connection look the same. The log line must tell
+// them apart, and must name the content so that attempts with the same content can be
+// correlated.
 func TestFailedAttemptLogsWhetherReplicaEnded(t *testing.T) {
 	for _, c := range []struct {
 		process string
@@ -54,7 +55,8 @@
 	}
 }
 
-// A suspect gets an isolated run only if other replicas remain, so a replica must not count itself.
+// A suspected content gets an isolated run only if other replicas remain, so a replica must not
+// count as one of the others itself.
 func TestOtherIncarnationsExcludeReplica(t *testing.T) {
 	is := is.New(t)
 	f := newTestService(t, 2)
--- a/internal/requests/forward/forward_test.go
+++ b/internal/requests/forward/forward_test.go
@@ -51,8 +51,8 @@
 // hangs holds a request until its sender cancels it.
 func hangs(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// testService is a service whose replicas follow a plan: one behaviour for each attempt in order,
-// the last one for all further attempts.
+// testService is a service whose replicas follow a plan. The plan holds one behaviour for each
+// attempt in order; the last one also applies to all further attempts.
 type testService struct {
 	forwarder  *Forwarder
 	mu         sync.Mutex
@@ -243,9 +243,9 @@
 	}
 }
 
-// The certainty at the end of a call's context follows from the outcomes that cancelled attempts
-// report within cancelledAttemptTimeout. The clock is virtual to be independent of the machine's
-// speed.
+// The certainty of a call whose context has ended follows from the outcomes that its cancelled
+// attempts report within cancelledAttemptTimeout. The clock is virtual, so that the test does
+// not depend on the machine's speed.
 func TestOutcomesAfterContextEnd(t *testing.T) {
 	notSent := result{err: errors.Wrap(upstream.ErrNotSent, "cut")}
 	broken := result{err: errors.New("cut"), mayHaveRun: true}
@@ -332,8 +332,8 @@
 	}
 }
 
-// A replica whose attempts fail must be avoided. The end of an attempt cancels its context, which
-// must not be taken for the caller leaving.
+// A replica whose attempts fail must be avoided. At its end an attempt cancels its own context,
+// which must not be taken for a cancellation by the caller.
 func TestAReplicaThatFailsIsPassedOver(t *testing.T) {
 	is := is.New(t)
 	f := newTestService(t, 1, breaks)
@@ -356,8 +356,8 @@
 	is.True(seen.AvoidUntil.IsZero())
 }
 
-// At its connection limit to one replica, a daemon must use another one, and report NotRun if there
-// is none.
+// At its limit of connections to one replica, a daemon must use another replica, and report
+// NotRun if there is none.
 func TestConnectionLimitUsesOtherReplica(t *testing.T) {
 	for replicas, answered := range map[int]bool{1: false, 2: true} {
 		is := is.New(t)
--- a/internal/requests/forward/retry_test.go
+++ b/internal/requests/forward/retry_test.go
@@ -9,8 +9,8 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// Requests that may have run are only retried if they are repeatable, and requests that have not
-// run only up to a limit.
+// A request that may have run is only retried if it is repeatable. A request that has not run is
+// retried up to a limit.
 func TestMayRetry(t *testing.T) {
 	cases := map[string]struct {
 		state AttemptState
