--- a/internal/requests/admission/failures_test.go
+++ b/internal/requests/admission/failures_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-// load sends requests at a fraction of the capacity for a span and returns the tally.
+// load sends requests at a fraction of the capacity for the time span and returns the tally.
 func load(fraction float64, span time.Duration, daemons []*daemon, withAdmission bool) *tally {
 	random, result := rand.New(rand.NewPCG(3, 5)), &tally{}
 	var callers sync.WaitGroup
--- a/internal/requests/admission/gate_test.go
+++ b/internal/requests/admission/gate_test.go
@@ -24,8 +24,8 @@
 	after  time.Duration
 }
 
-// enter calls Enter for a request of a tenant that has span left, and sends the result on a
-// channel.
+// enter calls Enter for a request of a tenant that waits at most for the time span, and sends
+// the result on the returned channel.
 func (d *daemon) enter(ctx context.Context, clock func() time.Time, tenant string, span time.Duration) <-chan entered {
 	results := make(chan entered, 1)
 	began := clock()
--- a/internal/requests/admission/plan_test.go
+++ b/internal/requests/admission/plan_test.go
@@ -80,8 +80,8 @@
 	is.Equal(len(seen), 40)
 }
 
-// A request with k requests before it by arrival is among the next oldestTurnInterval*(k+1) starts,
-// no matter what arrives meanwhile.
+// A request before which k waiting requests arrived is among the next oldestTurnInterval*(k+1)
+// starts, no matter which requests arrive meanwhile.
 func TestPlanPreventsStarvation(t *testing.T) {
 	is := is.New(t)
 	const before = 3
--- a/internal/requests/admission/replay_test.go
+++ b/internal/requests/admission/replay_test.go
@@ -21,7 +21,8 @@
 	replayDaemons  = 67
 	replayTenants  = 88
 	replaySpan     = 5 * time.Second
-	// replayWarmup precedes the burst, at warmupLoad of the capacity.
+	// replayWarmup is the time before the burst, in which callers send warmupLoad of the
+	// capacity.
 	replayWarmup = 5 * time.Second
 	warmupLoad   = 0.3
 	// capacity is what the replicas can serve, in requests per second.
@@ -33,8 +34,9 @@
 	mu                                        sync.Mutex
 	requests, inTarget, served, inTargetRetry [replayTenants]int
 	refusals                                  int
-	// score adds 1 for an answer within the target latency, less for an answer that is late or that
-	// came within the target only after a refusal, and subtracts for a second refusal.
+	// score is the sum over all requests: 1 for an answer within the target latency, less for an
+	// answer that is late or that came within the target only after a refusal, and a deduction
+	// for a second refusal.
 	score                            float64
 	totalWaitRefused, maxWaitRefused time.Duration
 }
@@ -145,7 +147,7 @@
 	return Declined{}, d.controller.RefuseDeclined(req()).RetryAfter
 }
 
-// replay simulates callers that send a multiple of what the replicas can serve.
+// replay simulates callers that send times as many requests as the replicas can serve.
 func replay(times float64, queue int, reportsLoad, withAdmission bool) (*tally, *service) {
 	random := rand.New(rand.NewPCG(11, 7))
 	s := newService(queue, reportsLoad)
@@ -178,8 +180,8 @@
 	return float64(total)
 }
 
-// inTime returns the fraction that was answered within the target latency of the first or second
-// try.
+// inTime returns the fraction of requests that were answered within the target latency at the
+// first or second try.
 func (t *tally) inTime() float64 {
 	return (sum(t.inTarget[:]) + sum(t.inTargetRetry[:])) / sum(t.requests[:])
 }
--- a/internal/requests/admission/startrate_test.go
+++ b/internal/requests/admission/startrate_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Unix(1000, 0)
 
-// tenth is a service of 20 slots at 100 ms a request, shared by ten daemons: 20 starts per second
-// for each.
+// tenth is the capacity of a service with 20 slots and 100 ms per request that ten daemons
+// share, so that an equal share is 20 starts per second.
 var tenth = Capacity{Slots: 20, Daemons: 10, TypicalTime: 100 * time.Millisecond}
 
 func TestInactiveLimitAllowsAllStarts(t *testing.T) {
@@ -40,7 +40,8 @@
 	is.True(!rate.active)
 }
 
-// A daemon with few requests never sees enough calm answers, so the sign must expire by its age.
+// A daemon with few requests never sees minCalmAnswers answers, so the sign of a full service
+// must expire by its age.
 func TestSignExpiresByAge(t *testing.T) {
 	is := is.New(t)
 	var rate StartRate
@@ -82,7 +83,7 @@
 	is.Equal(rate.perSecond, 20*minShareFraction)
 }
 
-// Two daemons with unequal shares converge to similar ones.
+// The rates of two daemons that start with unequal shares must converge.
 func TestSharesConverge(t *testing.T) {
 	is := is.New(t)
 	c := Capacity{Slots: 8, Daemons: 2, TypicalTime: 100 * time.Millisecond}
@@ -106,7 +107,7 @@
 	is.True(rates[0].perSecond+rates[1].perSecond > 0.8*c.totalRate()) // the slots are in use
 }
 
-// A suspended daemon must not accumulate more than maxCredit.
+// During a suspension a daemon must not accumulate more credit than maxCredit.
 func TestSuspensionAddsNoCredit(t *testing.T) {
 	is := is.New(t)
 	var rate StartRate
