--- a/internal/requests/quarantine/gossip_test.go
+++ b/internal/requests/quarantine/gossip_test.go
@@ -18,11 +18,11 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// maxPropagation is the time within which all daemons must learn what one of them knows.
+// maxPropagation is the time within which all daemons must learn what one daemon knows.
 const maxPropagation = 3 * time.Second
 
-// callDuration is the duration of a call to a peer, hangDuration that of a call that gets no
-// answer.
+// callDuration is the duration of a call to a peer, and hangDuration the duration of a call that
+// gets no answer.
 const callDuration, hangDuration = 2 * time.Millisecond, 700 * time.Millisecond
 
 // fleet is a set of daemons connected in memory that share one journal.
@@ -42,7 +42,7 @@
 	name  string
 	table *Table
 	stop  context.CancelFunc
-	// isCutOff daemons neither reach a peer nor are reached by one.
+	// isCutOff means that the daemon neither reaches a peer nor is reached by one.
 	isCutOff bool
 }
 
@@ -50,7 +50,7 @@
 	return &fleet{log: journaltest.New(), ctx: ctx, clock: time.Now, daemons: map[string]*daemon{}}
 }
 
-// start starts a daemon. Without peers, it is connected to the journal only.
+// start starts a daemon. If peers is false, the daemon is connected to the journal only.
 func (f *fleet) start(name string, peers bool) *daemon {
 	ctx, cancel := context.WithCancel(f.ctx)
 	d := &daemon{fleet: f, name: name, table: New(name, f.clock, zap.NewNop()), stop: cancel}
@@ -150,7 +150,8 @@
 	return count
 }
 
-// Guards against ends observed by different daemons that do not add up at all of them in time.
+// Guards against ends that different daemons observe and that do not add up in time at every
+// daemon.
 func TestRefusalReachesAllDaemons(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -190,8 +191,8 @@
 	}
 }
 
-// Guards against a refusal that is lost at a daemon that was cut off, or when all daemons
-// restart.
+// Guards against a refusal that does not reach a daemon that was cut off, or is lost when all
+// daemons restart.
 func TestRefusalSurvivesPartitionsAndRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -217,7 +218,8 @@
 		again := f.startAll(6, true)
 		time.Sleep(maxPropagation / 10)
 		is.Equal(countRefusing(again), len(again))
-		// A refusal lifted at one daemon is lifted at all, including daemons started later.
+		// A refusal lifted at one daemon is lifted at all daemons, including those started
+		// later.
 		is.True(again[4].table.Lift(poison.Digest()))
 		time.Sleep(maxPropagation)
 		is.Equal(countRefusing(again), 0)
--- a/internal/requests/quarantine/table_test.go
+++ b/internal/requests/quarantine/table_test.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// Guards against counting a broken connection while its replica is still listed, after an
-// answer, or after brokenConnectionTTL.
+// Guards against counting a broken connection as an end while its replica is still listed, after
+// an answer, or after brokenConnectionTTL.
 func TestBrokenConnectionCountsWhenReplicaIsGone(t *testing.T) {
 	is := is.New(t)
 	clock := newTestClock()
