--- a/internal/membership/lease/lease_test.go
+++ b/internal/membership/lease/lease_test.go
@@ -35,7 +35,7 @@
 	at      time.Time
 }
 
-// history collects the acts of all daemons in the order of time.
+// history collects the acts of all daemons, ordered by time.
 type history struct {
 	mu   sync.Mutex
 	acts []act
@@ -47,8 +47,9 @@
 	h.acts = append(h.acts, a)
 }
 
-// check returns an error unless fences never decrease, each is used by one machine only, and an
-// act comes at least the quiet period after the last one of another machine.
+// check returns an error if a fence is lower than an earlier one, if acts of two machines have
+// the same fence, or if an act comes within the quiet period after the last act of another
+// machine.
 func (h *history) check() error {
 	holders := map[int64]string{}
 	for i, a := range h.acts {
@@ -84,7 +85,7 @@
 }
 
 // startDaemon starts a daemon, as a candidate or not. A daemon that becomes a candidate later
-// starts to watch the partition up to renewInterval after that.
+// starts to watch the partition within renewInterval.
 func startDaemon(ctx context.Context, log journal.Journal, machine string, number int, acts *history, candidate bool) *daemon {
 	bounded, cancel := context.WithCancel(ctx)
 	started := &daemon{lease: New(log, dutyPartition, fmt.Sprintf("%s/%d", machine, number), quietPeriod, zap.NewNop()), stop: cancel, clock: clocktest.New()}
@@ -169,7 +170,8 @@
 	}
 }
 
-// minActs is the least number of acts over all sequences, so that the test can't pass without any.
+// minActs is the least number of acts in all sequences together, so that the test can't pass
+// without any acts.
 const minActs = 1000
 
 // faultOf maps a number from 0 to 19 to a fault, so that a quarter of the calls fail.
@@ -224,8 +226,8 @@
 	})
 }
 
-// A successor must not claim the lease of a holder that is back before the quiet period ends: it
-// could not have acted yet, and the holder would have to wait.
+// A successor must not claim the lease of a holder that returns before the quiet period ends:
+// the successor could not have acted yet, and the holder would have to wait.
 func TestHolderThatRestartsSoonKeepsLease(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
@@ -245,7 +247,7 @@
 }
 
 // A candidate that watches the partition acts as soon as the lease has expired and the quiet
-// period is over. Claiming late must not delay it.
+// period is over. That the candidate claims the lease late must not delay its acts.
 func TestStandbyActsOnceQuietPeriodEnds(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
@@ -263,8 +265,9 @@
 	})
 }
 
-// An incarnation that claims the lease and is killed within the quiet period after another holder
-// must not let the next one on its machine act early, although the last record is its own.
+// An incarnation that claims the lease in the quiet period after another holder, and is killed
+// before that period ends, must not let the next incarnation on its machine act early, although
+// the last record is of their machine.
 func TestReclaimWaitsForQuietPeriod(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
@@ -314,8 +317,8 @@
 		first := startDaemon(ctx, log, "a", 1, acts, true)
 		time.Sleep(time.Second)
 		other := startDaemon(ctx, log, "b", 1, acts, true)
-		// Halfway between two renewals of the holder, so that the one appended here doesn't
-		// conflict with them.
+		// This time is halfway between two renewals of the holder, so that the renewal appended
+		// here doesn't conflict with them.
 		time.Sleep(time.Second + renewInterval/2)
 		first.lease.mu.Lock()
 		end := first.lease.nextOffset
@@ -332,8 +335,8 @@
 	})
 }
 
-// A holder that may not act yet must give up the lease when it withdraws, as it would only delay
-// a successor.
+// A holder that may not act yet must give up the lease when it withdraws, as keeping the lease
+// would only delay a successor.
 func TestHolderInQuietPeriodResignsOnWithdraw(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		first := startDaemon(ctx, log, "a", 1, acts, true)
@@ -348,8 +351,8 @@
 	})
 }
 
-// Calls that got no answer in an outage must not delay the first renewal after it by more than one
-// call's timeout and a renewal interval.
+// Calls that got no answer in an outage must not delay the first renewal after the outage by
+// more than the timeout of one call and a renewal interval.
 func TestHolderActsSoonAfterSilentOutage(t *testing.T) {
 	runElection(t, func(ctx context.Context, is *is.I, log *journaltest.Journal, acts *history) {
 		holder := startDaemon(ctx, log, "a", 1, acts, true)
--- a/internal/membership/lease/suspend_test.go
+++ b/internal/membership/lease/suspend_test.go
@@ -58,7 +58,7 @@
 }
 
 // A candidate whose machine was suspended must read the partition again before it claims the
-// lease, as the holder may have renewed it meanwhile.
+// lease, as the holder may have renewed the lease in the meantime.
 func TestSuspendedCandidateReadsBeforeClaiming(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
