--- a/internal/membership/group/group_test.go
+++ b/internal/membership/group/group_test.go
@@ -24,8 +24,8 @@
 	return member
 }
 
-// A member that leaves drops its partitions at once and retries until the group lets it go.
-// Otherwise they would have no watcher until memberTTL is over.
+// A member that leaves drops its partitions at once, and retries until the group has removed it.
+// Otherwise the partitions would have no watcher until memberTTL is over.
 func TestLeaveIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -54,7 +54,7 @@
 	})
 }
 
-// The partitions of a member that has stopped must go to the others after memberTTL.
+// The partitions of a member that has stopped must go to other members after memberTTL.
 func TestPartitionsOfSilentMemberAreReassigned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -77,8 +77,9 @@
 	})
 }
 
-// A new incarnation takes the last one on its machine out of the group, also after failed calls.
-// Otherwise new batches would go to a process that has ended, until memberTTL is over.
+// A new incarnation removes the previous incarnation on its machine from the group, also after
+// failed calls. Otherwise new batches would go to a process that has ended, until memberTTL is
+// over.
 func TestNewIncarnationRemovesPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/membership/group/late_test.go
+++ b/internal/membership/group/late_test.go
@@ -13,10 +13,10 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// lookupTimeout bounds how long a question may take to learn the watcher.
+// lookupTimeout bounds how long a question may take to find out the watcher.
 const lookupTimeout = 1500 * time.Millisecond
 
-// slowJournal is a journal that delays each call of a group, and handles it after the delay.
+// slowJournal is a journal that handles each call about a group only after a delay.
 type slowJournal struct {
 	*journaltest.Journal
 	delay time.Duration
--- a/internal/membership/group/watchers_test.go
+++ b/internal/membership/group/watchers_test.go
@@ -59,7 +59,7 @@
 	})
 }
 
-// lossyOwners is a journal that loses one call for the owners if lose is set.
+// lossyOwners is a journal that loses the next call of Owners if lose is set, and then clears lose.
 type lossyOwners struct {
 	*journaltest.Journal
 	lose *atomic.Bool
@@ -97,7 +97,7 @@
 	})
 }
 
-// After the end of Run, whose context reads of the list use, callers must still get a list.
+// Reads of the list use the context of Run. After Run has ended, callers must still get a list.
 func TestWatchersAreReadAfterRunEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -112,8 +112,8 @@
 	})
 }
 
-// A failed read of the list must be followed by another, and a read must continue for the next
-// caller when the one that started it leaves.
+// A failed read of the list must be followed by another read. If the caller that started a read
+// leaves, the read must continue for the next caller.
 func TestListIsReadAgainAfterFailureAndForNextCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -153,7 +153,7 @@
 	})
 }
 
-// An older list of the current generation must be used while a newer read is slow, but only as
+// A list of the current generation must still be used while a newer read is slow, but only as
 // long as the daemon can join the group.
 func TestListOfSameGenerationIsUsedWhileReadIsSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
