--- a/internal/journal/contact_test.go
+++ b/internal/journal/contact_test.go
@@ -15,8 +15,8 @@
 	"woodworks/internal/journal/journaltest"
 )
 
-// Guards against a wall clock that is set ahead or back, and against a suspended machine that
-// takes old contact for recent.
+// Guards against a silence that changes when the wall clock is set ahead or back, or that leaves
+// out the time for which the machine was suspended.
 func TestSilenceIncludesTimeSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/journal/follow_test.go
+++ b/internal/journal/follow_test.go
@@ -83,8 +83,8 @@
 	})
 }
 
-// Guards against a read lost in an outage that holds up the follower for longer than the contact
-// bound.
+// Guards against a read that is lost in an outage and holds up the follower for longer than the
+// contact bound.
 func TestFollowerIsUpToDateWithinTheContactBoundAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/journal/interval_test.go
+++ b/internal/journal/interval_test.go
@@ -43,7 +43,7 @@
 }
 
 // change writes changesPerSecond values per second for the given duration, and returns the last
-// one.
+// value.
 func (f *fleet) change(t *testing.T, duration time.Duration) string {
 	last := ""
 	for began := time.Now(); time.Since(began) < duration; {
--- a/internal/journal/revive_test.go
+++ b/internal/journal/revive_test.go
@@ -45,7 +45,7 @@
 	return done
 }
 
-// Guards against calls lost in an outage that only end at their timeout.
+// Guards against calls that were lost in an outage and end only at their timeout.
 func TestSwallowedCallsEndWhenTheJournalAnswersAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -77,8 +77,8 @@
 	})
 }
 
-// Guards against giving up long polls, and appends whose partition has not answered while others
-// have.
+// Guards against giving up long polls, and against giving up appends when only other partitions
+// have answered.
 func TestCallsThatMayStillBeAnsweredAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -98,7 +98,7 @@
 		is.NoErr(err)
 		outcome := <-held
 		is.NoErr(outcome.err)
-		// Answers from other partitions are no sign that an append to this one is lost.
+		// Answers from other partitions are no sign that an append to this partition is lost.
 		silent.Store(true)
 		pending := runInBackground(func() error {
 			_, err := detector.Append(ctx, journal.Append{Partition: part, Records: [][]byte{{2}}})
