--- a/internal/api/permit/permit_test.go
+++ b/internal/api/permit/permit_test.go
@@ -20,8 +20,8 @@
 
 func init() { testseed.Fix() }
 
-// counter returns a function that returns another text each time.
-func counter() func() string {
+// newIDs returns a function that returns a new ID at each call.
+func newIDs() func() string {
 	var mu sync.Mutex
 	n := 0
 	return func() string {
@@ -34,30 +34,29 @@
 
 const retention = 10 * time.Minute
 
-// befalling is what happens to one call: a delay, then a fault.
-type befalling struct {
+// callFault delays a call to the journal and then fails it.
+type callFault struct {
 	delay time.Duration
 	fault journaltest.Fault
 }
 
-// Whatever befalls the journal's calls, of all tries with a key that come to
-// any daemons at any time at most one runs; a granted one that does not run gives
-// the key back, and may not run later.
+// For any faults and delays of the journal, at most one of the tries with a key runs, whichever
+// daemons they come to. A granted try that does not run releases the key and must not run later.
 func TestAtMostOneTryRuns(t *testing.T) {
 	again := 0
 	rapid.Check(t, func(t *rapid.T) {
-		drawn := rapid.Custom(func(t *rapid.T) befalling {
+		drawnFault := rapid.Custom(func(t *rapid.T) callFault {
 			fault := journaltest.None
 			if rapid.IntRange(0, 3).Draw(t, "faulty") == 0 {
 				fault = journaltest.Fault(rapid.IntRange(int(journaltest.Refuse), int(journaltest.Delay)).Draw(t, "fault"))
 			}
-			return befalling{delay: time.Duration(rapid.IntRange(0, 20).Draw(t, "delay")) * time.Millisecond, fault: fault}
+			return callFault{delay: time.Duration(rapid.IntRange(0, 20).Draw(t, "delay")) * time.Millisecond, fault: fault}
 		})
-		calls := rapid.SliceOfN(drawn, 0, 40).Draw(t, "calls")
+		calls := rapid.SliceOfN(drawnFault, 0, 40).Draw(t, "calls")
 		starts := rapid.SliceOfN(rapid.IntRange(0, 40), 2, 8).Draw(t, "starts")
 		release := rapid.SliceOfN(rapid.Bool(), len(starts), len(starts)).Draw(t, "release")
 		granted, ran := 0, 0
-		synctest.Test(&testing.T{}, func(*testing.T) { granted, ran = grants(calls, starts, release) })
+		synctest.Test(&testing.T{}, func(*testing.T) { granted, ran = countGrants(calls, starts, release) })
 		if ran > 1 {
 			t.Fatalf("%d tries ran", ran)
 		}
@@ -69,18 +68,19 @@
 		}
 	})
 	if again == 0 {
-		t.Fatal("no key was granted again after it was given back")
+		t.Fatal("no key was granted again after its release")
 	}
 }
 
-// grants counts the granted tries and those that ran. Each starts at a time in
-// milliseconds at one of three daemons, and runs unless it gives the key back.
-func grants(calls []befalling, starts []int, release []bool) (granted, ran int) {
+// countGrants returns how many tries were granted the key and how many ran. Try i starts after
+// starts[i] milliseconds at one of three daemons; if granted, it releases the key if release[i] is
+// set, and runs otherwise.
+func countGrants(calls []callFault, starts []int, release []bool) (granted, ran int) {
 	log := journaltest.New()
 	var mu sync.Mutex
 	log.FaultFunc = func(journaltest.Call) journaltest.Fault {
 		mu.Lock()
-		next := befalling{}
+		next := callFault{}
 		if len(calls) > 0 {
 			next, calls = calls[0], calls[1:]
 		}
@@ -88,7 +88,7 @@
 		time.Sleep(next.delay)
 		return next.fault
 	}
-	ids := counter()
+	ids := newIDs()
 	daemons := []*Permits{New(log, retention, ids, zap.NewNop()), New(log, retention, ids, zap.NewNop()), New(log, retention, ids, zap.NewNop())}
 	var tries sync.WaitGroup
 	for i, start := range starts {
@@ -118,12 +118,11 @@
 	return granted, ran
 }
 
-// A key that was given back is granted to the next try, of the same content or
-// another; one that was settled stays taken.
-func TestAKeyThatWasGivenBackIsFree(t *testing.T) {
+// A released key is granted to the next try, for any content; a key with an outcome stays taken.
+func TestReleasedKeyIsGrantedAgain(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
-	ids := counter()
+	ids := newIDs()
 	first, second := New(log, retention, ids, zap.NewNop()), New(log, retention, ids, zap.NewNop())
 	ctx := context.Background()
 	decision, err := first.Claim(ctx, "k", 1)
@@ -134,26 +133,26 @@
 	is.NoErr(err)
 	granted, ok := decision.(Granted)
 	is.True(ok)
-	// The first one's release must not free what is no longer its own.
+	// A repeated release by the first claimant must not release the claim of the second.
 	is.NoErr(first.Release(ctx, given))
-	is.NoErr(second.Settle(ctx, granted, Outcome{Status: 200}))
+	is.NoErr(second.RecordOutcome(ctx, granted, Outcome{Status: 200}))
 	is.NoErr(second.Release(ctx, granted))
 	decision, err = first.Claim(ctx, "k", 1)
 	is.NoErr(err)
 	is.Equal(decision, Taken{})
 }
 
-func TestLaterTriesHearTheOutcome(t *testing.T) {
+func TestLaterTriesReceiveTheOutcome(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
-	ids := counter()
+	ids := newIDs()
 	first, second := New(log, retention, ids, zap.NewNop()), New(log, retention, ids, zap.NewNop())
 	ctx := context.Background()
 	decision, err := first.Claim(ctx, "k", 1)
 	is.NoErr(err)
 	granted, ok := decision.(Granted)
 	is.True(ok)
-	is.NoErr(first.Settle(ctx, granted, Outcome{Status: 200, Body: []byte("done")}))
+	is.NoErr(first.RecordOutcome(ctx, granted, Outcome{Status: 200, Body: []byte("done")}))
 	decision, err = second.Claim(ctx, "k", 1)
 	is.NoErr(err)
 	is.Equal(decision, Taken{})
@@ -165,12 +164,12 @@
 	is.Equal(decision, OtherContent{})
 }
 
-// A claimant that died leaves a key that nobody may run again.
-func TestAnUnsettledKeyStaysTaken(t *testing.T) {
+// Guards against running a request again whose claimant ended without recording an outcome.
+func TestKeyWithoutOutcomeStaysTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := journaltest.New()
-		ids := counter()
+		ids := newIDs()
 		_, err := New(log, retention, ids, zap.NewNop()).Claim(context.Background(), "k", 1)
 		is.NoErr(err)
 		other := New(log, retention, ids, zap.NewNop())
@@ -184,10 +183,10 @@
 	})
 }
 
-func TestARefusedClaimIsNotInTheJournal(t *testing.T) {
+func TestFailedAppendLeavesNoClaim(t *testing.T) {
 	is := is.New(t)
 	log := journaltest.New()
-	permits := New(log, retention, counter(), zap.NewNop())
+	permits := New(log, retention, newIDs(), zap.NewNop())
 	log.FaultFunc = func(call journaltest.Call) journaltest.Fault {
 		if call == journaltest.Append {
 			return journaltest.Refuse
@@ -203,36 +202,34 @@
 	is.True(ok)
 }
 
-func TestKeys(t *testing.T) {
+func TestParseAndCheckKey(t *testing.T) {
 	is := is.New(t)
 	_, err := ParseKey("no-key")
-	is.True(errors.Is(err, ErrKey))
+	is.True(errors.Is(err, ErrInvalidKey))
 	now := time.UnixMilli(1_700_000_000_000)
 	key, err := ParseKey("1700000000000-abcdefgh")
 	is.NoErr(err)
-	permits := New(journaltest.New(), retention, counter(), zap.NewNop())
+	permits := New(journaltest.New(), retention, newIDs(), zap.NewNop())
 	is.NoErr(permits.Check(key, now))
 	is.True(errors.Is(permits.Check(key, now.Add(retention)), ErrExpired))
-	is.True(errors.Is(permits.Check(key, now.Add(-time.Minute)), ErrEarly))
+	is.True(errors.Is(permits.Check(key, now.Add(-time.Minute)), ErrFutureKey))
 }
 
-// A clock that was set ahead by more than the retention and back again made a daemon
-// forget every claim that it had read. It had gone past their records, so that the next
-// claim of such a key was the first one that it saw, and its request was sent twice. A key
-// is kept for as long as it may be used, by the steady clock too.
-func TestAClockSetAheadForgetsNoClaim(t *testing.T) {
+// Guards against a wall clock that is set ahead and back: a claim removed meanwhile is never read
+// again, so its request would run twice.
+func TestClockJumpRemovesNoClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const retention = 10 * time.Minute
 		permits := New(journaltest.New(), retention, func() string { return "second" }, zap.NewNop())
-		part := permits.of("k")
-		dropsBefore := func(clock time.Time) time.Time { return clock.Add(-retention - clockMargin) }
+		part := permits.partitionOf("k")
+		expiryLimit := func(clock time.Time) time.Time { return clock.Add(-retention - clockMargin) }
 		rec := record{Kind: kindClaim, Key: "k", Claimant: "first", Digest: 1, AtMs: time.Now().UnixMilli()}
-		part.fold(0, [][]byte{rec.encode()}, dropsBefore(time.Now()))
-		part.fold(0, nil, dropsBefore(time.Now().Add(time.Hour)))
+		part.fold(0, [][]byte{rec.encode()}, expiryLimit(time.Now()))
+		part.fold(0, nil, expiryLimit(time.Now().Add(time.Hour)))
 		is.True(part.lookUp("k") != nil)
 		time.Sleep(retention + clockMargin + time.Millisecond)
-		part.fold(0, nil, dropsBefore(time.Now()))
+		part.fold(0, nil, expiryLimit(time.Now()))
 		is.True(part.lookUp("k") == nil)
 	})
 }
--- a/internal/api/rollout/rounds.go
+++ b/internal/api/rollout/rounds.go
@@ -9,22 +9,23 @@
 	"woodworks/internal/batches/batch"
 )
 
-// RouteHost is the host of the routes of batch jobs; each trainer has a prefix
-// of its own there.
+// RouteHost is the host in the routes of rollout batch jobs. Each trainer has its own path prefix
+// there.
 const RouteHost = "rollouts"
 
-// GeneratePath is where engines take requests.
+// GeneratePath is the path of generation requests to engines.
 const GeneratePath = "/generate"
 
-// RoutePrefix is the path prefix of a trainer's route.
+// RoutePrefix returns the path prefix of a trainer's route.
 func RoutePrefix(trainer string) string { return "/" + trainer + "/" }
 
-// ItemHeaders are the names of the headers that an item tells its size in.
+// ItemHeaders are the names of the request headers that carry the token usage and the expected
+// length of an item.
 type ItemHeaders struct{ TokenUsage, LengthHint string }
 
-// JobID names the batch job of one round. The first round makes all samples;
-// each further one makes those again that were too old to be handed over. Names
-// of batches have no slash, so no two jobs share an id.
+// JobID returns the ID of the batch job of one round. Round 0 makes all samples; each further round
+// makes again those that were too old or failed. Names of batches contain no slash, so IDs are
+// unique.
 func JobID(trainer, name string, round int) string {
 	if round == 0 {
 		return trainer + "/" + name
@@ -32,13 +33,14 @@
 	return fmt.Sprintf("%s/%s/%d", trainer, name, round)
 }
 
-// First returns the batch job that makes all samples of a request.
-func First(request Request, header Header, minVersion int64, names ItemHeaders) *batch.Submission {
+// FirstRound returns the batch job that makes all samples of a request, by weights of minVersion or
+// newer.
+func FirstRound(request Request, header Header, minVersion int64, itemHeaders ItemHeaders) *batch.Submission {
 	job := newJob(header, 0, minVersion)
 	for sample := range header.Samples {
 		prompt := request.Prompts[sample/request.SamplesPerPrompt]
 		seed := SampleSeed(request.Seed, sample)
-		job.Items = append(job.Items, firstItem(job.ID, sample, prompt, seed, request, names))
+		job.Items = append(job.Items, firstItem(job.ID, sample, prompt, seed, request, itemHeaders))
 	}
 	return job
 }
@@ -51,27 +53,28 @@
 	}
 }
 
-func firstItem(job string, sample int, prompt Prompt, seed uint64, request Request, names ItemHeaders) batch.Item {
-	body, err := json.Marshal(Generate{Model: request.Trainer, Prompt: prompt.Text, Seed: seed, MaxTokens: request.MaxTokens})
+func firstItem(jobID string, sample int, prompt Prompt, seed uint64, request Request, itemHeaders ItemHeaders) batch.Item {
+	body, err := json.Marshal(GenerateRequest{Model: request.Trainer, Prompt: prompt.Text, Seed: seed, MaxTokens: request.MaxTokens})
 	if err != nil {
-		panic(err) // texts and numbers are always encodable
+		panic(err) // strings and numbers are always encodable
 	}
 	item := batch.Item{
-		ID: itemID(job, sample), Path: GeneratePath, Body: body, Group: prompt.ID,
+		ID: itemID(jobID, sample), Path: GeneratePath, Body: body, Group: prompt.ID,
 		Tokens:  int64(len(prompt.Text) + request.MaxTokens),
-		Headers: []batch.Header{{Name: names.TokenUsage, Value: fmt.Sprintf("%d,%d", len(prompt.Text), request.MaxTokens)}},
+		Headers: []batch.Header{{Name: itemHeaders.TokenUsage, Value: fmt.Sprintf("%d,%d", len(prompt.Text), request.MaxTokens)}},
 	}
 	if prompt.ExpectedTokens > 0 {
-		item.Headers = append(item.Headers, batch.Header{Name: names.LengthHint, Value: strconv.Itoa(prompt.ExpectedTokens)})
+		item.Headers = append(item.Headers, batch.Header{Name: itemHeaders.LengthHint, Value: strconv.Itoa(prompt.ExpectedTokens)})
 	}
 	return item
 }
 
-// itemID names a sample in a job. Its last part is the sample's index.
-func itemID(job string, sample int) string { return fmt.Sprintf("%s/s%d", job, sample) }
+// itemID returns the ID of the item that makes a sample. SampleIndex parses it.
+func itemID(jobID string, sample int) string { return fmt.Sprintf("%s/s%d", jobID, sample) }
 
-// SampleOf returns the index of the sample that the item of an id makes.
-func SampleOf(id string) (int, bool) {
+// SampleIndex returns the index of the sample that an item makes, given the item's ID. It reports
+// false for an ID that itemID did not make.
+func SampleIndex(id string) (int, bool) {
 	slash := strings.LastIndex(id, "/s")
 	if slash < 0 {
 		return 0, false
@@ -80,8 +83,9 @@
 	return sample, err == nil
 }
 
-// Next returns the batch job that makes some samples again.
-func Next(first *batch.Submission, header Header, round int, samples []int, minVersion int64) *batch.Submission {
+// FurtherRound returns the batch job that makes the given samples again, with the items of the
+// first round.
+func FurtherRound(first *batch.Submission, header Header, round int, samples []int, minVersion int64) *batch.Submission {
 	job := newJob(header, round, minVersion)
 	for _, sample := range samples {
 		item := first.Items[sample]
@@ -91,48 +95,50 @@
 	return job
 }
 
-// DigestOf returns the digest of the request that a job with a path was made from.
-func DigestOf(path string) (uint64, bool) {
+// ParseDigest returns the digest of the request from the path of one of its batch jobs. It reports
+// false for another path.
+func ParseDigest(path string) (uint64, bool) {
 	digest, err := strconv.ParseUint(path[strings.LastIndex(path, "/")+1:], 16, 64)
 	return digest, err == nil
 }
 
-// Round is one round as it stands: the newest result of each of its samples,
-// nil for one that has none yet.
-type Round map[int]*batch.Result
+// RoundResults holds the latest result of each sample that a round makes, nil for a sample without
+// a result.
+type RoundResults map[int]*batch.Result
 
-// Planned is what a delivery should do.
-type Planned struct {
-	// Ready are samples to hand over.
+// DeliveryPlan is the result of Plan.
+type DeliveryPlan struct {
+	// Ready are the samples to deliver.
 	Ready []Result
-	// Again are samples that must be made again in a further round.
-	Again []int
-	// Open counts the samples that are neither taken nor ready.
+	// Regenerate are the indices of the samples that must be made again in a further round.
+	Regenerate []int
+	// Open is the number of samples that are neither taken nor in Ready.
 	Open int
 }
 
-// Plan decides on the samples that the cursor has not taken. Accepts judges the
-// oldest version of a sample. Of the rounds that make a sample the last counts.
-func Plan(cursor Cursor, rounds []Round, accepts func(oldest int64) bool, limit int) Planned {
-	var plan Planned
+// Plan decides what to do with each sample that the cursor has not taken, and returns at most limit
+// samples as ready. accepts reports whether a sample may be delivered, given its oldest weight
+// version. If several rounds make a sample, the last one counts.
+func Plan(cursor Cursor, rounds []RoundResults, accepts func(oldest int64) bool, limit int) DeliveryPlan {
+	var plan DeliveryPlan
 	for sample := range cursor.Header.Samples {
 		if cursor.Taken(sample) {
 			continue
 		}
-		res := newestOf(rounds, sample)
+		res := newestResult(rounds, sample)
 		switch {
 		case res == nil:
 			plan.Open++
-		case res.Outcome != batch.Done || !accepts(oldest(res)):
+		case res.Outcome != batch.Done || !accepts(oldestVersion(res)):
 			plan.Open++
-			plan.Again = append(plan.Again, sample)
+			plan.Regenerate = append(plan.Regenerate, sample)
 		case len(plan.Ready) >= limit:
 			plan.Open++
 		default:
 			ready := Result{Index: sample}
-			if ready.readText(res) != nil {
+			if ready.parseText(res) != nil {
 				plan.Open++
-				plan.Again = append(plan.Again, sample)
+				plan.Regenerate = append(plan.Regenerate, sample)
 				continue
 			}
 			plan.Ready = append(plan.Ready, ready)
@@ -141,9 +147,9 @@
 	return plan
 }
 
-// newestOf returns the result of the last round that makes a sample, or nil if
-// it has none yet.
-func newestOf(rounds []Round, sample int) *batch.Result {
+// newestResult returns the result of a sample in the last round that makes it, or nil if there is
+// none yet.
+func newestResult(rounds []RoundResults, sample int) *batch.Result {
 	for i := len(rounds) - 1; i >= 0; i-- {
 		if res, ok := rounds[i][sample]; ok {
 			return res
@@ -152,9 +158,9 @@
 	return nil
 }
 
-// SeedOf returns the seed that the body of an item asks for, 0 where it names none.
-func SeedOf(body []byte) uint64 {
-	var g Generate
+// ParseSeed returns the seed in the body of an item, 0 if there is none.
+func ParseSeed(body []byte) uint64 {
+	var g GenerateRequest
 	if json.Unmarshal(body, &g) != nil {
 		return 0
 	}
--- a/internal/batches/results/samples.go
+++ b/internal/batches/results/samples.go
@@ -41,7 +41,7 @@
 	if s == nil {
 		return true
 	}
-	sample, ok := rollout.SampleOf(itemID)
+	sample, ok := rollout.SampleIndex(itemID)
 	return ok && sample >= 0 && (sample/8 >= len(s.Taken) || s.Taken[sample/8]&(1<<(sample%8)) == 0)
 }
 
@@ -55,7 +55,7 @@
 		return round
 	}
 	for i := range job.Items {
-		if sample, ok := rollout.SampleOf(job.Items[i].ID); ok {
+		if sample, ok := rollout.SampleIndex(job.Items[i].ID); ok {
 			round.Makes = append(round.Makes, sample)
 		}
 	}
@@ -77,7 +77,7 @@
 func (page *Page) readSeeds() {
 	for i := range page.Results {
 		if page.Results[i].body != nil {
-			page.Results[i].Seed = rollout.SeedOf(page.Results[i].body)
+			page.Results[i].Seed = rollout.ParseSeed(page.Results[i].body)
 		}
 	}
 }
