--- a/internal/api/gateway/limits.go
+++ b/internal/api/gateway/limits.go
@@ -44,7 +44,7 @@
 
 // acquireClass adds a request to the count of its traffic class, or writes a refusal and returns
 // false if the class is full. After true, the caller must release classKey(class.Name).
-func (g *Gateway) acquireClass(w http.ResponseWriter, class policy.Class) bool {
+func (g *Gateway) acquireClass(w http.ResponseWriter, class policy.TrafficClass) bool {
 	if g.inFlight.acquire(classKey(class.Name), class.QueueLimit) {
 		return true
 	}
--- a/internal/api/policy/set.go
+++ b/internal/api/policy/set.go
@@ -9,41 +9,41 @@
 	"woodworks/internal/callers/apikey"
 )
 
-// Set is every document compiled and merged. It is immutable, but for the count of faults,
-// and safe for concurrent use.
+// Set is the merged result of all compiled documents. It is immutable, except for the counts of
+// hook failures, and safe for concurrent use.
 type Set struct {
-	Trainers map[string]Trainer
-	Services map[string]Service
-	Classes  map[string]Class
-	Retry    RetryBudget
-	callers  apikey.Ring[Caller]
-	programs map[string]*program
+	Trainers    map[string]Trainer
+	Services    map[string]Service
+	Classes     map[string]TrafficClass
+	RetryBudget RetryBudget
+	callers     apikey.Holders[Caller]
+	programs    map[string]*program
 
 	mu sync.Mutex
-	// faults counts those of hooks, by hook.
-	faults map[string]uint64
+	// hookFailures counts failures by name of the hook. Guarded by mu.
+	hookFailures map[string]uint64
 }
 
 const (
-	// defaultClass is used where an operation or trainer names none.
+	// defaultClass is the traffic class of operations and trainers that name none.
 	defaultClass = "default"
-	// defaultQueueLimit bounds a class's queue where the policy says nothing.
+	// defaultQueueLimit is the queue limit, in requests, of a class that declares none.
 	defaultQueueLimit = 1024
 )
 
-// defaultRetryBudget is used where no document declares one.
-var defaultRetryBudget = RetryBudget{Percent: 20, Minimum: 10}
+// defaultRetryBudget applies if no document declares a retry budget.
+var defaultRetryBudget = RetryBudget{Percent: 20, MinPerSecond: 10}
 
-// Compile loads every document and merges them. The error of a faulty document
-// is a *Fault with document, line and reason.
+// Compile loads and merges documents, given as source text by name, and checks that all names
+// they refer to are declared. Errors are of type *DocumentError.
 func Compile(sources map[string]string) (*Set, error) {
 	s := &Set{
-		Trainers: map[string]Trainer{},
-		Services: map[string]Service{},
-		Classes:  map[string]Class{},
-		callers:  apikey.Ring[Caller]{},
-		programs: map[string]*program{},
-		faults:   map[string]uint64{},
+		Trainers:     map[string]Trainer{},
+		Services:     map[string]Service{},
+		Classes:      map[string]TrafficClass{},
+		callers:      apikey.Holders[Caller]{},
+		programs:     map[string]*program{},
+		hookFailures: map[string]uint64{},
 	}
 	for _, name := range slices.Sorted(maps.Keys(sources)) {
 		p, err := loadProgram(name, sources[name])
@@ -55,87 +55,88 @@
 			return nil, err
 		}
 	}
-	if s.Retry == (RetryBudget{}) {
-		s.Retry = defaultRetryBudget
+	if s.RetryBudget == (RetryBudget{}) {
+		s.RetryBudget = defaultRetryBudget
 	}
 	if _, ok := s.Classes[defaultClass]; !ok {
-		s.Classes[defaultClass] = Class{Name: defaultClass, Weight: 1, QueueLimit: defaultQueueLimit}
+		s.Classes[defaultClass] = TrafficClass{Name: defaultClass, Weight: 1, QueueLimit: defaultQueueLimit}
 	}
 	return s, s.checkReferences()
 }
 
-// Validate is Compile for callers that need only the verdict.
+// Validate returns the error that Compile would return for the same documents.
 func Validate(sources map[string]string) error {
 	_, err := Compile(sources)
 	return err
 }
 
-// merge adds one document's declarations and refuses names that stand twice.
+// merge adds the declarations of one document. It returns an error if a name, a caller's key or
+// the retry budget is declared already.
 func (s *Set) merge(d declarations) error {
 	for _, t := range d.trainers {
-		if held, ok := s.Trainers[t.Name]; ok {
-			return t.twice("trainer", t.Name, held.origin)
+		if existing, ok := s.Trainers[t.Name]; ok {
+			return t.duplicateError("trainer", t.Name, existing.origin)
 		}
 		s.Trainers[t.Name] = t
 	}
 	for _, service := range d.services {
-		if held, ok := s.Services[service.Name]; ok {
-			return service.twice("service", service.Name, held.origin)
+		if existing, ok := s.Services[service.Name]; ok {
+			return service.duplicateError("service", service.Name, existing.origin)
 		}
 		s.Services[service.Name] = service
 	}
 	for _, class := range d.classes {
-		if held, ok := s.Classes[class.Name]; ok {
-			return class.twice("traffic_class", class.Name, held.origin)
+		if existing, ok := s.Classes[class.Name]; ok {
+			return class.duplicateError("traffic_class", class.Name, existing.origin)
 		}
 		s.Classes[class.Name] = class
 	}
 	for _, c := range d.callers {
 		if !s.callers.Add(c.KeyDigest, c) {
-			return c.twice("caller key", c.Name, s.callers[c.KeyDigest].origin)
+			return c.duplicateError("caller key", c.Name, s.callers[c.KeyDigest].origin)
 		}
 	}
 	for _, budget := range d.retryBudgets {
-		if s.Retry != (RetryBudget{}) {
-			return budget.twice("retry_budget", "", s.Retry.origin)
+		if s.RetryBudget != (RetryBudget{}) {
+			return budget.duplicateError("retry_budget", "", s.RetryBudget.origin)
 		}
-		s.Retry = budget
+		s.RetryBudget = budget
 	}
 	return nil
 }
 
-// twice is the fault of a name that was declared before.
-func (o origin) twice(kind, name string, before origin) error {
-	return faultf(o.document, o.line, "%s %q is already declared in document %q", kind, name, before.document)
+// duplicateError returns the error for a declaration at o that repeats the one at before.
+func (o origin) duplicateError(kind, name string, before origin) error {
+	return documentErrorf(o.document, o.line, "%s %q is already declared in document %q", kind, name, before.document)
 }
 
-// checkReferences refuses names that no document declares.
+// checkReferences returns an error if a declaration refers to a name that no document declares.
 func (s *Set) checkReferences() error {
 	for _, t := range s.Trainers {
 		if s.Services[t.Service].Kind != EngineService {
-			return faultf(t.document, 0, "trainer %q: service %q is not a declared engine service", t.Name, t.Service)
+			return documentErrorf(t.document, 0, "trainer %q: service %q is not a declared engine service", t.Name, t.Service)
 		}
 		if _, ok := s.Classes[t.Class]; !ok {
-			return faultf(t.document, 0, "trainer %q: traffic_class %q is not declared", t.Name, t.Class)
+			return documentErrorf(t.document, 0, "trainer %q: traffic_class %q is not declared", t.Name, t.Class)
 		}
 	}
 	for _, service := range s.Services {
 		for _, operation := range service.Operations {
 			if _, ok := s.Classes[operation.Class]; !ok {
-				return faultf(service.document, 0, "service %q operation %q: traffic_class %q is not declared",
+				return documentErrorf(service.document, 0, "service %q operation %q: traffic_class %q is not declared",
 					service.Name, operation.Name, operation.Class)
 			}
 		}
 	}
 	for _, c := range s.callers {
 		if _, ok := s.Trainers[c.Trainer]; c.Trainer != "" && !ok {
-			return faultf(c.document, 0, "caller %q: trainer %q is not declared", c.Name, c.Trainer)
+			return documentErrorf(c.document, 0, "caller %q: trainer %q is not declared", c.Name, c.Trainer)
 		}
 	}
 	return nil
 }
 
-// TrainersOf returns the trainers that use an engine service, sorted by name.
+// TrainersOf returns the trainers of an engine service, sorted by name.
 func (s *Set) TrainersOf(service string) []Trainer {
 	var trainers []Trainer
 	for _, t := range s.Trainers {
@@ -147,5 +148,5 @@
 	return trainers
 }
 
-// CallerOf returns the caller that holds a bearer key.
+// CallerOf returns the caller with the given bearer key, and whether there is one.
 func (s *Set) CallerOf(key string) (Caller, bool) { return s.callers.HolderOf(key) }
--- a/internal/batches/results/watcher.go
+++ b/internal/batches/results/watcher.go
@@ -42,8 +42,9 @@
 	return reply, reply.err
 }
 
-// awaitWatcher returns the incarnation that watches a partition. While it is not known, as just
-// after a start, the lookup is repeated for up to watcherSearchTimeout; the result is then false.
+// awaitWatcher returns the incarnation that watches a partition. While the watcher is not known,
+// as just after a start, the lookup is repeated for up to watcherSearchTimeout. The result is
+// false if the watcher is still not known then.
 func (r *Reader) awaitWatcher(ctx context.Context, name journal.Partition) (string, bool) {
 	for began := time.Now(); ; {
 		watcher, ok := r.watchers.WatcherOf(ctx, name)
@@ -57,8 +58,9 @@
 	}
 }
 
-// callWatcher calls an RPC method of a partition's watcher, which is "" if not known. The call may
-// be kept open for wait and ends within watcherTimeout beyond that. The error wraps ErrNotCaughtUp.
+// callWatcher calls an RPC method of a partition's watcher; watcher is "" if it is not known. The
+// watcher may hold the call open for wait, so the timeout is wait plus watcherTimeout. The error
+// wraps ErrNotCaughtUp.
 func callWatcher[T any](
 	ctx context.Context, r *Reader, watcher, method string, args any, wait time.Duration,
 ) (answer T, err error) {
--- a/internal/batches/runner/engineshare.go
+++ b/internal/batches/runner/engineshare.go
@@ -16,8 +16,8 @@
 // one that others report.
 const ownEventTimeMaxAge = 3 * time.Second
 
-// engineSharing divides the room at engines between this daemon and other owners. A nil one ignores
-// other owners.
+// engineSharing divides the room at engines between this daemon and other owners. A nil
+// *engineSharing ignores other owners.
 type engineSharing struct {
 	self     string
 	table    *occupancy.Table
@@ -25,16 +25,16 @@
 	logger   *zap.Logger
 
 	mu sync.Mutex
-	// demands holds, by service, what the last dispatch left waiting; turns holds whether starts
-	// are being held back for other owners.
-	demands map[string]occupancy.Demand
-	turns   map[string]occupancy.StartLimiter
+	// demands holds, by service, what the last dispatch left waiting; startLimiters limit the
+	// starts while other owners wait for slots.
+	demands       map[string]occupancy.Demand
+	startLimiters map[string]occupancy.StartLimiter
 }
 
 func newEngineSharing(self string, table *occupancy.Table, changed func(), logger *zap.Logger) *engineSharing {
 	return &engineSharing{
 		self: self, table: table, onChange: changed, logger: logger,
-		demands: map[string]occupancy.Demand{}, turns: map[string]occupancy.StartLimiter{},
+		demands: map[string]occupancy.Demand{}, startLimiters: map[string]occupancy.StartLimiter{},
 	}
 }
 
@@ -48,9 +48,9 @@
 // ReplicaKey returns the key by which other owners know this incarnation of a replica.
 func ReplicaKey(rep replica.Replica) occupancy.Key { return occupancy.KeyOf(rep.ID, rep.StartedAt) }
 
-// withReports returns the engine with this owner's preference for it and with what other owners
-// report: their requests in flight, and their event time if this daemon has none or only an old
-// one.
+// withReports returns the engine with this owner's preference for it and with the requests in
+// flight that other owners report. If this daemon's event time of the engine is unknown or older
+// than ownEventTimeMaxAge, a newer one that others report replaces it.
 func (s *engineSharing) withReports(
 	engine scheduling.Engine, rep replica.Replica, now time.Time,
 ) scheduling.Engine {
@@ -82,11 +82,11 @@
 	own, _ := demandOf(key, snap, nil)
 	started, _ := startsOf(decisions)
 	due := len(started)
-	turn, others := s.turns[service], s.table.Demands(key)
-	heldBack := turn.IsYielding()
-	allowed := turn.Allow(now, occupancy.Allowance(capacityOf(snap), own, others), due)
-	s.turns[service] = turn
-	if turn.IsYielding() && !heldBack {
+	limiter, others := s.startLimiters[service], s.table.Demands(key)
+	heldBack := limiter.IsYielding()
+	allowed := limiter.Allow(now, occupancy.Allowance(capacityOf(snap), own, others), due)
+	s.startLimiters[service] = limiter
+	if limiter.IsYielding() && !heldBack {
 		s.logger.Info("starts held back for other owners", zap.String("service", service),
 			zap.Int("starts", due), zap.Int("allowed", allowed), zap.Uint32("in_flight", own.InFlight),
 			zap.Uint32("waiting", own.Waiting), zap.Int("owners", len(others)))
@@ -94,7 +94,8 @@
 	kept := limitStarts(decisions, allowed)
 	demand, room := demandOf(key, snap, kept)
 	if allowed == due && room {
-		// Items that wait although there is room wait for something else, such as newer weights.
+		// An engine has room and recent enough weights for the most urgent item left, so the items
+		// do not wait for room.
 		demand.Waiting = 0
 	}
 	s.demands[service] = demand
@@ -109,13 +110,15 @@
 	}
 	s.mu.Lock()
 	maps.DeleteFunc(s.demands, func(service string, _ occupancy.Demand) bool { return views[service] == nil })
-	maps.DeleteFunc(s.turns, func(service string, _ occupancy.StartLimiter) bool { return views[service] == nil })
+	maps.DeleteFunc(s.startLimiters, func(service string, _ occupancy.StartLimiter) bool {
+		return views[service] == nil
+	})
 	s.mu.Unlock()
 	s.onChange()
 }
 
-// ReportReceived triggers a pass of the dispatcher if items wait for room: a new report may show
-// that there is some. It never blocks. ShareEngines must have been called.
+// ReportReceived triggers a pass of the dispatcher if items wait for room, since a new report may
+// show that an engine has room. It never blocks. ShareEngines must have been called.
 func (r *Runner) ReportReceived() {
 	s := r.sharing
 	s.mu.Lock()
@@ -138,7 +141,7 @@
 	defer s.mu.Unlock()
 	if r.idle() {
 		clear(s.demands)
-		clear(s.turns)
+		clear(s.startLimiters)
 		return report
 	}
 	now := time.Now()
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// slowdownPerRequest is the relative slowdown that one running request causes to the
-	// others at an engine. slowdownPerEvent adds to it for each event of its output, as
-	// decoding a token reads the whole context.
-	slowdownPerRequest = 0.005
-	slowdownPerEvent   = 0.0001
+	// loadFactorPerRequest is the fraction by which one running request lengthens the event times
+	// of the others at an engine. Each event of the request's output adds loadFactorPerEvent to
+	// that fraction, as decoding a token reads the whole context.
+	loadFactorPerRequest = 0.005
+	loadFactorPerEvent   = 0.0001
 )
 
-// slowdownBy returns the relative slowdown that a request with the given number of events
-// causes.
-func slowdownBy(events float64) float64 { return slowdownPerRequest + slowdownPerEvent*events }
+// loadFactorOf returns the fraction by which a request with the given number of events lengthens
+// the event times of the others at its engine.
+func loadFactorOf(events float64) float64 { return loadFactorPerRequest + loadFactorPerEvent*events }
 
 // planner holds the state of one planning round, including the room taken by the decisions so
 // far.
@@ -59,18 +59,22 @@
 // engineState is an engine with the decisions so far applied.
 type engineState struct {
 	*Engine
-	// inFlight is the number of requests of all owners at the engine, idleConns the number of
-	// idle connections left.
+	// inFlight is the number of requests of all owners at the engine, including those that this
+	// round has assigned. idleConns is the number of idle connections that this round has not
+	// used.
 	inFlight, idleConns int
-	// slowdown is the relative slowdown that one more request would see there.
-	slowdown float64
-	// unloadedRatio is the engine's event time without load relative to the median one.
+	// loadFactor is the fraction by which the requests at the engine lengthen the event time of
+	// one more request: the sum of loadFactorOf over these requests.
+	loadFactor float64
+	// unloadedRatio is the event time that the engine would have without load, relative to the
+	// median event time.
 	unloadedRatio float64
-	// overdue is set if the first event of an item there is overdue.
+	// overdue is set if the first event of an item that runs at the engine is overdue.
 	overdue bool
 }
 
-// class is what items require of an engine's weights.
+// class is what an item requires of an engine's weights. Items of the same class can run at the
+// same engines.
 type class struct {
 	model      string
 	minVersion int64
@@ -78,8 +82,8 @@
 
 func classOf(it *Item) class { return class{model: it.Model, minVersion: it.MinVersion} }
 
-// newPlanner returns a planner with all derived state of the snapshot: slowdowns, normalized
-// event times and forecasts of the steps.
+// newPlanner returns a planner with all derived state of the snapshot: load factors,
+// normalized event times and forecasts of the steps.
 func newPlanner(snapshot Snapshot) *planner {
 	count := len(snapshot.Engines)
 	p := &planner{Snapshot: snapshot, engines: make([]engineState, count), byID: make(map[string]int, count)}
@@ -87,17 +91,17 @@
 		e := &snapshot.Engines[i]
 		inFlight := e.InFlight + e.OthersInFlight
 		p.engines[i] = engineState{
-			Engine:    e,
-			inFlight:  inFlight,
-			idleConns: e.IdleConns,
-			slowdown:  float64(inFlight) * slowdownBy(0),
+			Engine:     e,
+			inFlight:   inFlight,
+			idleConns:  e.IdleConns,
+			loadFactor: float64(inFlight) * loadFactorOf(0),
 		}
 		p.byID[e.ID] = i
 	}
 	for i := range snapshot.Items {
 		it := &snapshot.Items[i]
 		if engine, ok := p.byID[it.Engine]; ok {
-			p.engines[engine].slowdown += slowdownBy(it.TotalEvents()) - slowdownBy(0)
+			p.engines[engine].loadFactor += loadFactorOf(it.TotalEvents()) - loadFactorOf(0)
 			p.engines[engine].overdue = p.engines[engine].overdue || it.Overdue > 0
 		}
 	}
@@ -106,8 +110,8 @@
 	return p
 }
 
-// normalizeEventTimes sets the median event time and each engine's unloaded ratio to it.
-// Engines of unknown event time count as median ones.
+// normalizeEventTimes sets the median event time and the unloadedRatio of each engine. An engine
+// whose event time is unknown is assumed to have the median event time.
 func (p *planner) normalizeEventTimes() {
 	var times []time.Duration
 	for i := range p.Engines {
@@ -125,13 +129,13 @@
 		if e.EventTime > 0 {
 			e.unloadedRatio = float64(e.EventTime) / float64(p.medianEventTime)
 		}
-		e.unloadedRatio /= 1 + e.slowdown
+		e.unloadedRatio /= 1 + e.loadFactor
 	}
 }
 
-// relativeEventTime returns the expected event time of one more request at an engine, relative
-// to the median one.
-func (e *engineState) relativeEventTime() float64 { return e.unloadedRatio * (1 + e.slowdown) }
+// relativeEventTime returns the expected event time of one more request at an engine, relative to
+// the median event time.
+func (e *engineState) relativeEventTime() float64 { return e.unloadedRatio * (1 + e.loadFactor) }
 
 // eventTime returns the expected event time of one more request at an engine, in nanoseconds.
 func (p *planner) eventTime(engine int) float64 {
@@ -150,10 +154,11 @@
 	return p.engines[engine].hasRoom() && p.engines[engine].HasWeightsFor(it)
 }
 
-// reserve accounts for an item that was assigned to an engine.
+// reserve adds an item that was assigned to an engine to the engine's requests and load, and takes
+// one of its idle connections.
 func (p *planner) reserve(engine int, it *Item) {
 	e := &p.engines[engine]
 	e.inFlight++
 	e.idleConns = max(e.idleConns-1, 0)
-	e.slowdown += slowdownBy(it.TotalEvents())
+	e.loadFactor += loadFactorOf(it.TotalEvents())
 }
--- a/internal/daemon/cli/rollout.go
+++ b/internal/daemon/cli/rollout.go
@@ -33,7 +33,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
 	defer cancel()
-	submitted, err := o.client().Submit(ctx, request)
+	submitted, err := o.client().SubmitBatch(ctx, request)
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 	failures := 0
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), followWait+remoteTimeout)
-		pulled, err := o.client().Pull(ctx, o.trainer, o.batch, cursor, o.version, followLimit, followWait)
+		pulled, err := o.client().PullSamples(ctx, o.trainer, o.batch, cursor, o.version, followLimit, followWait)
 		cancel()
 		problem, answered := client.AsProblem(err)
 		switch {
--- a/internal/daemon/node/clientconn_test.go
+++ b/internal/daemon/node/clientconn_test.go
@@ -11,23 +11,22 @@
 	"github.com/matryer/is"
 )
 
-// answerSlowly takes five seconds for the path /slow.
-func answerSlowly(w http.ResponseWriter, r *http.Request) {
+// slowHandler takes five seconds for the path /slow.
+func slowHandler(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/slow" {
 		time.Sleep(5 * time.Second)
 	}
-	answerWhole(w, r)
+	wholeHandler(w, r)
 }
 
-// Two requests may come in one segment: the second is then answered without a further
-// read of the connection. It counted as idle, and once the handler took longer than the
-// idle limit (5 s, 2 s) the connection was closed under it ("unexpected EOF").
-func TestARequestThatCameWithTheOneBeforeIsNoIdleConnection(t *testing.T) {
+// A pipelined request arrives in the same segment as its predecessor and is answered without
+// another read; its connection must not be closed as idle meanwhile.
+func TestPipelinedRequestIsNotClosedAsIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDialled(http.HandlerFunc(answerSlowly))
-		defer d.end()
-		d.configured(idleLimit(1, 2*time.Second))
+		d := newPipeListener(http.HandlerFunc(slowHandler))
+		defer d.closeNow()
+		d.applyConfiguration(idleTimeoutConfiguration(1, 2*time.Second))
 		client := d.dial()
 		go func() {
 			_, _ = io.WriteString(client, "GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /slow HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -44,21 +43,21 @@
 		for range 4 {
 			time.Sleep(time.Second)
 			d.conns.closeExpired(time.Now())
-			d.conns.closeQuiet(time.Now())
+			d.conns.closeIdleSince(time.Now())
 		}
 		is.NoErr(<-answered)
 	})
 }
 
-// One to three bytes after an answer, as a line end that some clients send behind a body,
-// are no request: net/http waits for the fourth without a limit. Such a connection was
-// kept for ever (one was open after an hour of sweeps), and held up a stop until its end.
-func TestAConnectionWhoseRequestDoesNotComeEnds(t *testing.T) {
-	stray := func(t *testing.T) *dialled {
+// One to three stray bytes after an answer, such as a line end that some clients send after a body,
+// must not keep a connection open for ever or delay a stop: net/http sets no deadline before the
+// fourth byte.
+func TestConnectionWithIncompleteRequestIsClosed(t *testing.T) {
+	withStrayBytes := func(t *testing.T) *pipeListener {
 		is := is.New(t)
-		d := newDialled(http.HandlerFunc(answerWhole))
+		d := newPipeListener(http.HandlerFunc(wholeHandler))
 		client := d.dial()
-		_, err := client.ask("/")
+		_, err := client.get("/")
 		is.NoErr(err)
 		synctest.Wait()
 		_, err = io.WriteString(client, "\r\n")
@@ -69,8 +68,8 @@
 	t.Run("while the daemon runs", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			d := stray(t)
-			defer d.end()
+			d := withStrayBytes(t)
+			defer d.closeNow()
 			time.Sleep(defaultHeaderTimeout)
 			d.conns.closeExpired(time.Now())
 			is.Equal(len(d.conns.all()), 1)
@@ -82,8 +81,8 @@
 	t.Run("during a stop", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			d := stray(t)
-			defer d.end()
+			d := withStrayBytes(t)
+			defer d.closeNow()
 			ctx, cancel := context.WithTimeout(context.Background(), testGrace)
 			defer cancel()
 			d.stop(ctx)
--- a/internal/daemon/node/keepalive.go
+++ b/internal/daemon/node/keepalive.go
@@ -7,83 +7,85 @@
 )
 
 const (
-	// longestKeep is the longest that an answer tells a client to keep its connection
-	// for another request. A planned stop waits for that long, so that it costs a stop
-	// time; a client that comes more seldom makes a connection for each request, a round
-	// trip. Five seconds are also what Node.js keeps connections for.
-	longestKeep = 5 * time.Second
-	// leastKeep is the least that an answer can tell, which it does in whole seconds.
-	leastKeep = time.Second
-	// keepShare is the part of the idle limit after which clients take up no connection:
-	// the rest is for a request on its way.
-	keepShare = 0.8
-	// lateTime is how much later than it was told to a client's request may arrive:
-	// its way, and a client or a daemon that is slow to run.
-	lateTime = time.Second
+	// maxKeepAlive is the longest Keep-Alive timeout in an answer. A planned stop waits this long
+	// for idle connections; clients that pause for longer open a connection for each request.
+	maxKeepAlive = 5 * time.Second
+	// minKeepAlive is the shortest Keep-Alive timeout and its unit: the header has whole seconds.
+	minKeepAlive = time.Second
+	// keepAliveFraction is the fraction of the idle limit that is announced to clients; the rest is
+	// for a request in transit.
+	keepAliveFraction = 0.8
+	// requestDelayMargin is how long after the announced timeout a request may still arrive,
+	// delayed by the network or by a slow client or daemon.
+	requestDelayMargin = time.Second
 )
 
-// keepFor is what answers tell clients where a stop interrupts requests after a while: all
-// connections that they keep can be closed before, when the last request may have come. It
-// is 0 where the grace is too short to keep any.
-func keepFor(interrupt time.Duration) time.Duration {
-	keep := min(longestKeep, interrupt-lateTime)
-	if keep < leastKeep {
+// keepAliveForStop returns the longest Keep-Alive timeout for a stop that interrupts requests after
+// the given time, so that the last request on an idle connection can arrive before that. It is in
+// whole seconds, and 0 if the time is too short for any.
+func keepAliveForStop(interrupt time.Duration) time.Duration {
+	keep := min(maxKeepAlive, interrupt-requestDelayMargin)
+	if keep < minKeepAlive {
 		return 0
 	}
-	return keep.Truncate(leastKeep)
+	return keep.Truncate(minKeepAlive)
 }
 
-// answer is the answer to a request. What it tells of its connection is decided when its
-// head is written: a request that was under way when a stop began ends its connection,
-// which would otherwise rest and have to be closed under its client.
-type answer struct {
+// responseWriter sets the header fields about the connection when the head of an answer is written,
+// not when its request begins: if a stop began in between, the answer closes the connection.
+// Otherwise the connection would stay idle, and the stop would have to close it although its client
+// may be sending a request.
+type responseWriter struct {
 	http.ResponseWriter
-	listener *clientListener
-	begun    bool
+	listener       *clientListener
+	headerPrepared bool
 }
 
-// begin completes the head if it is not written yet.
-func (a *answer) begin() {
-	if a.begun {
+// prepareHeader sets the header fields about the connection, once.
+func (a *responseWriter) prepareHeader() {
+	if a.headerPrepared {
 		return
 	}
-	a.begun = true
-	a.listener.tellConnection(a.Header())
+	a.headerPrepared = true
+	a.listener.setConnectionHeader(a.Header())
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (a *answer) WriteHeader(status int) {
+func (a *responseWriter) WriteHeader(status int) {
 	if status >= http.StatusOK {
-		a.begin()
+		a.prepareHeader()
 	}
 	a.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (a *answer) Write(p []byte) (int, error) {
-	a.begin()
+func (a *responseWriter) Write(p []byte) (int, error) {
+	a.prepareHeader()
 	return a.ResponseWriter.Write(p)
 }
 
-// FlushError lets http.ResponseController flush.
-func (a *answer) FlushError() error {
-	a.begin()
+// FlushError implements flushing for http.ResponseController.
+func (a *responseWriter) FlushError() error {
+	a.prepareHeader()
 	return http.NewResponseController(a.ResponseWriter).Flush()
 }
 
-// Unwrap lets http.ResponseController reach the real writer.
-func (a *answer) Unwrap() http.ResponseWriter { return a.ResponseWriter }
+// Unwrap returns the underlying writer for http.ResponseController.
+func (a *responseWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
 
-func (l *clientListener) longestKept() time.Duration { return time.Duration(l.keep.Load()) }
+// keepAliveLimit returns the longest Keep-Alive timeout in an answer, or 0 if connections are not
+// kept.
+func (l *clientListener) keepAliveLimit() time.Duration { return time.Duration(l.keepAlive.Load()) }
 
-// tellConnection says in an answer's head what becomes of its connection.
-func (l *clientListener) tellConnection(header http.Header) {
-	keep := l.longestKept()
+// setConnectionHeader tells the client to close the connection, or else how long the connection is
+// kept. The timeout is left out if it is below a second.
+func (l *clientListener) setConnectionHeader(header http.Header) {
+	keep := l.keepAliveLimit()
 	if l.draining.Load() || keep == 0 {
 		header.Set("Connection", "close")
 		return
 	}
-	kept := min(keep, time.Duration(keepShare*float64(l.conns.limits.Load().idle)))
+	kept := min(keep, time.Duration(keepAliveFraction*float64(l.conns.limits.Load().idle)))
 	if seconds := int(kept / time.Second); seconds > 0 {
 		header.Set("Keep-Alive", "timeout="+strconv.Itoa(seconds))
 	}
--- a/internal/daemon/node/quarantine.go
+++ b/internal/daemon/node/quarantine.go
@@ -9,35 +9,37 @@
 	"woodworks/internal/requests/quarantine"
 )
 
-// quarantineParts are the parts that keep contents under which replicas end from further ones.
-type quarantineParts struct {
+// quarantineDeps are the components of the quarantine, which stops requests whose content ended
+// replicas from reaching further replicas.
+type quarantineDeps struct {
 	table    *quarantine.Table
 	recorder *quarantine.Recorder
 	follower *journal.KeyedFollower
-	// spreader is nil where the settings name no address for peers.
-	spreader *quarantine.Gossiper
+	// gossiper is nil if the settings have no peer address.
+	gossiper *quarantine.Gossiper
 }
 
-// newQuarantine makes the parts. The relay is there already, if there is one.
-func (n *Node) newQuarantine(log journal.Journal) *quarantineParts {
+// newQuarantine creates the components. The relay, if any, must have been created before.
+func (n *Node) newQuarantine(log journal.Journal) *quarantineDeps {
 	table := quarantine.New(n.settings.Name, bootclock.Now, n.logger)
-	parts := &quarantineParts{table: table, recorder: quarantine.NewRecorder(table, log, n.relay != nil, n.logger)}
+	deps := &quarantineDeps{table: table, recorder: quarantine.NewRecorder(table, log, n.relay != nil, n.logger)}
 	contact := n.settings.Timing.ContactBound.Std()
 	if n.relay != nil {
-		// Peers tell what is new; the journal is for what this daemon has missed.
-		contact = peerContact
-		parts.spreader = quarantine.NewGossiper(table, n.relay, n.logger)
+		// New entries arrive by gossip; the journal only supplies those that this daemon has
+		// missed.
+		contact = peerContactBound
+		deps.gossiper = quarantine.NewGossiper(table, n.relay, n.logger)
 		n.relay.Register(quarantine.ServiceName, quarantine.NewService(table))
 	}
-	parts.follower = journal.NewKeyedFollower(log, quarantine.Partition, parts.recorder, contact, n.logger)
-	parts.follower.SetInterval(n.readInterval(peerReadShare))
-	return parts
+	deps.follower = journal.NewKeyedFollower(log, quarantine.Partition, deps.recorder, contact, n.logger)
+	deps.follower.SetInterval(n.readInterval(peerReadFraction))
+	return deps
 }
 
 // run keeps the table up to date until the context ends.
-func (q *quarantineParts) run(ctx context.Context) {
-	if q.spreader != nil {
-		go q.spreader.Run(ctx)
+func (q *quarantineDeps) run(ctx context.Context) {
+	if q.gossiper != nil {
+		go q.gossiper.Run(ctx)
 	}
 	go q.recorder.Run(ctx)
 	q.follower.Run(ctx)
--- a/internal/daemon/node/ready.go
+++ b/internal/daemon/node/ready.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ready reports whether clients should come here, and why not.
+// ready reports whether clients should use this daemon, and the reason if not.
 func (n *Node) ready() (bool, string) {
 	switch {
 	case n.shutdown.Begun().Err() != nil:
@@ -11,25 +11,24 @@
 		return false, "no configuration is known"
 	case !n.replicaFollower.Synced():
 		return false, "the list of replicas has not been read"
-	case n.silence() > contactLimit:
+	case n.journalSilence() > maxJournalSilence:
 		return false, "the journal is silent"
 	}
 	return true, ""
 }
 
-// silence is how long ago the journal last answered.
-func (n *Node) silence() time.Duration {
+// journalSilence returns the time since the journal last answered.
+func (n *Node) journalSilence() time.Duration {
 	return min(n.member.Silence(), n.operatorFollower.Silence(), n.replicaFollower.Silence())
 }
 
-// configurationAge is how long ago it was last confirmed that the configuration is the
-// newest.
+// configurationAge returns how long ago the configuration was last known to be the newest.
 func (n *Node) configurationAge() time.Duration {
 	return n.operatorFollower.Silence()
 }
 
-// daemons returns how many daemons share the journal, as far as is known.
-func (n *Node) daemons() int {
+// daemonCount returns how many daemons are known to share the journal, at least 1.
+func (n *Node) daemonCount() int {
 	if n.relay == nil {
 		return 1
 	}
