--- a/internal/api/gateway/gateway.go
+++ b/internal/api/gateway/gateway.go
@@ -61,7 +61,7 @@
 	Configuration func() (Configuration, bool)
 	Delivery      *delivery.Service
 	Permits       *permit.Permits
-	Operator      *operator.Operator
+	Operator      *operator.Store
 	Replicas      *replica.Table
 	// Ingress serves the requests that go to one replica. They use the headers, hosts and paths
 	// given by the next four fields.
--- a/internal/api/gateway/operators.go
+++ b/internal/api/gateway/operators.go
@@ -176,14 +176,14 @@
 	if !decodeJSON(w, r, &req) {
 		return
 	}
-	err := g.deps.Operator.Drain(r.Context(), req.Machine, !req.Undo)
+	err := g.deps.Operator.SetDraining(r.Context(), req.Machine, !req.Undo)
 	switch {
 	case err == nil:
 		writeCompleted(w, http.StatusOK, drainResponse{Machine: req.Machine, Draining: !req.Undo})
-	case errors.Is(err, operator.ErrNoMachine):
+	case errors.Is(err, operator.ErrMachineNotListed):
 		writeProblem(w, Problem{status: http.StatusNotFound, Code: "unknown_machine", Field: "machine",
 			Message: "machine: " + err.Error()})
-	case errors.Is(err, operator.ErrUnknown):
+	case errors.Is(err, operator.ErrOutcomeUnknown):
 		refuse(w, refusal.V1LogOutcomeUnknown, err.Error())
 	default:
 		refuse(w, refusal.V1LogUnavailable, err.Error())
--- a/internal/api/gateway/rollouts.go
+++ b/internal/api/gateway/rollouts.go
@@ -151,11 +151,11 @@
 		writeFieldError(w, "artifact", "is required")
 		return
 	}
-	newest, err := g.deps.Operator.Announce(r.Context(), operator.Version{Model: trainer.Name, Version: req.Version, Artifact: req.Artifact})
+	newest, err := g.deps.Operator.AnnounceVersion(r.Context(), operator.Version{Model: trainer.Name, Version: req.Version, Artifact: req.Artifact})
 	switch {
 	case err == nil:
 		writeCompleted(w, http.StatusOK, announceResponse{Trainer: trainer.Name, Version: newest})
-	case errors.Is(err, operator.ErrUnknown):
+	case errors.Is(err, operator.ErrOutcomeUnknown):
 		refuse(w, refusal.V1LogOutcomeUnknown, err.Error())
 	default:
 		refuse(w, refusal.V1LogUnavailable, err.Error())
--- a/internal/api/policy/cases.go
+++ b/internal/api/policy/cases.go
@@ -7,37 +7,39 @@
 	"go.starlark.net/starlark"
 )
 
-// casePrefix starts the name of a test function in a document.
-const casePrefix = "test_"
+// testPrefix is the prefix of the names of test functions in a document.
+const testPrefix = "test_"
 
-// CaseResult is the outcome of one test function of a document.
-type CaseResult struct {
+// TestResult is the result of one test function of a document.
+type TestResult struct {
 	Name string `json:"name"`
-	// Fault is empty for a case that passed.
-	Fault string `json:"fault,omitempty"`
+	// Failure is the error message, empty if the test passed.
+	Failure string `json:"fault,omitempty"`
 }
 
-// RunCases runs every function test_* of one document, in order of name.
-func RunCases(document, source string) ([]CaseResult, error) {
+// RunTests loads one document and calls each of its functions named test_*, sorted by name.
+// It returns a *DocumentError if the document does not load; a failed test is no error.
+func RunTests(document, source string) ([]TestResult, error) {
 	p, err := loadProgram(document, source)
 	if err != nil {
 		return nil, err
 	}
-	var results []CaseResult
-	for _, name := range p.globals.Keys() { // they come in order
-		if !strings.HasPrefix(name, casePrefix) {
+	var results []TestResult
+	for _, name := range p.globals.Keys() { // Keys sorts
+		if !strings.HasPrefix(name, testPrefix) {
 			continue
 		}
-		result := CaseResult{Name: name}
+		result := TestResult{Name: name}
 		if _, _, err := p.call(name, nil); err != nil {
-			result.Fault = err.Error()
+			result.Failure = err.Error()
 		}
 		results = append(results, result)
 	}
 	return results, nil
 }
 
-// expect is for test functions in a document: expect(got, want).
+// expect implements the built-in expect(got, want), which fails the running test function
+// unless both values are equal.
 func expect(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var got, want starlark.Value
 	if err := starlark.UnpackArgs("expect", args, kwargs, "got", &got, "want", &want); err != nil {
--- a/internal/api/policy/program.go
+++ b/internal/api/policy/program.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// loadStepLimit bounds the steps of loading one document.
+	// loadStepLimit bounds the Starlark execution steps of loading one document.
 	loadStepLimit = 1_000_000
-	// hookStepLimit bounds the steps of one hook call.
+	// hookStepLimit bounds the Starlark execution steps of one hook or test function.
 	hookStepLimit = 20_000
-	// maxSourceBytes bounds one document's source.
+	// maxSourceBytes bounds the source text of one document.
 	maxSourceBytes = 256 << 10
 )
 
-// Fault is an error in a policy document.
-type Fault struct {
+// DocumentError is an error in the text or the declarations of a policy document.
+type DocumentError struct {
 	Document string
-	// Line is 1-based, 0 where the fault belongs to no single line.
+	// Line is 1-based, 0 if the error has no single line.
 	Line   int32
 	Reason string
 }
 
-// Error implements error as "document:line: reason".
-func (f *Fault) Error() string {
+// Error returns "document:line: reason", without the line if there is none.
+func (f *DocumentError) Error() string {
 	if f.Line == 0 {
 		return fmt.Sprintf("%s: %s", f.Document, f.Reason)
 	}
 	return fmt.Sprintf("%s:%d: %s", f.Document, f.Line, f.Reason)
 }
 
-func faultf(document string, line int32, format string, args ...any) error {
-	return &Fault{Document: document, Line: line, Reason: fmt.Sprintf(format, args...)}
+func documentErrorf(document string, line int32, format string, args ...any) error {
+	return &DocumentError{Document: document, Line: line, Reason: fmt.Sprintf(format, args...)}
 }
 
-// program is one loaded document: frozen globals and what it declared.
+// program is a loaded document: its globals, which are frozen, and its declarations.
 type program struct {
 	document string
 	globals  starlark.StringDict
@@ -49,13 +49,13 @@
 
 func loadProgram(document, source string) (*program, error) {
 	if len(source) > maxSourceBytes {
-		return nil, faultf(document, 0, "source has %d bytes, over the limit of %d", len(source), maxSourceBytes)
+		return nil, documentErrorf(document, 0, "source has %d bytes, over the limit of %d", len(source), maxSourceBytes)
 	}
 	p := &program{document: document}
 	thread := newThread(document, loadStepLimit)
 	globals, err := starlark.ExecFileOptions(fileOptions, thread, document, source, p.declared.builtins(document))
 	if err != nil {
-		return nil, asFault(document, err)
+		return nil, asDocumentError(document, err)
 	}
 	globals.Freeze()
 	p.globals = globals
@@ -68,30 +68,31 @@
 	return thread
 }
 
-// asFault turns the errors of the Starlark library into a Fault.
-func asFault(document string, err error) error {
+// asDocumentError converts an error of the Starlark library into a *DocumentError.
+func asDocumentError(document string, err error) error {
 	var (
-		fault         *Fault
+		documentError *DocumentError
 		syntaxError   syntax.Error
 		resolveErrors resolve.ErrorList
 		evalError     *starlark.EvalError
 	)
 	switch {
-	case errors.As(err, &fault):
-		return fault
+	case errors.As(err, &documentError):
+		return documentError
 	case errors.As(err, &syntaxError):
-		return faultf(document, syntaxError.Pos.Line, "%s", syntaxError.Msg)
+		return documentErrorf(document, syntaxError.Pos.Line, "%s", syntaxError.Msg)
 	case errors.As(err, &resolveErrors) && len(resolveErrors) > 0:
-		return faultf(document, resolveErrors[0].Pos.Line, "%s", resolveErrors[0].Msg)
+		return documentErrorf(document, resolveErrors[0].Pos.Line, "%s", resolveErrors[0].Msg)
 	case errors.As(err, &evalError):
-		return faultf(document, lineOf(evalError.CallStack), "%s", evalError.Msg)
+		return documentErrorf(document, innermostLine(evalError.CallStack), "%s", evalError.Msg)
 	default:
-		return faultf(document, 0, "%s", err.Error())
+		return documentErrorf(document, 0, "%s", err.Error())
 	}
 }
 
-// lineOf returns the line of the innermost frame that is in the document.
-func lineOf(stack starlark.CallStack) int32 {
+// innermostLine returns the line of the innermost stack frame that has one (built-ins have
+// none), or 0.
+func innermostLine(stack starlark.CallStack) int32 {
 	for i := len(stack) - 1; i >= 0; i-- {
 		if stack[i].Pos.Line > 0 {
 			return stack[i].Pos.Line
@@ -100,7 +101,8 @@
 	return 0
 }
 
-// call runs a global function by name. It reports false if there is none.
+// call calls a global function by name, with a step limit. The result is false if there is no
+// such function or it failed.
 func (p *program) call(hook string, args starlark.Tuple) (starlark.Value, bool, error) {
 	function, ok := p.globals[hook].(starlark.Callable)
 	if !ok {
@@ -108,7 +110,7 @@
 	}
 	answer, err := starlark.Call(newThread(hook, hookStepLimit), function, args, nil)
 	if err != nil {
-		return nil, false, asFault(p.document, err)
+		return nil, false, asDocumentError(p.document, err)
 	}
 	return answer, true, nil
 }
--- a/internal/api/standalone/standalone_test.go
+++ b/internal/api/standalone/standalone_test.go
@@ -171,7 +171,7 @@
 // submit submits a batch of the trainer "bots".
 func (f *floor) submit(daemon int, wanted rollout.Request) (submitted gateway.RolloutInfo, err error) {
 	err = f.comesBack(func() error {
-		submitted, err = f.client(daemon, "bots").Submit(f.ctx(), wanted)
+		submitted, err = f.client(daemon, "bots").SubmitBatch(f.ctx(), wanted)
 		return err
 	})
 	return submitted, err
@@ -179,13 +179,13 @@
 
 // announce tells a daemon of a version of the trainer "bots".
 func (f *floor) announce(daemon int, version uint64) error {
-	return f.comesBack(func() error { return f.client(daemon, "bots").Announce(f.ctx(), "bots", version, "artifact") })
+	return f.comesBack(func() error { return f.client(daemon, "bots").AnnounceVersion(f.ctx(), "bots", version, "artifact") })
 }
 
 // pull asks for samples of a batch of the trainer "bots".
 func (f *floor) pull(daemon int, name, cursor string, version uint64, limit int, wait time.Duration) (pulled gateway.PullResponse, err error) {
 	err = f.comesBack(func() error {
-		pulled, err = f.client(daemon, "bots").Pull(f.ctx(), "bots", name, cursor, version, limit, wait)
+		pulled, err = f.client(daemon, "bots").PullSamples(f.ctx(), "bots", name, cursor, version, limit, wait)
 		return err
 	})
 	return pulled, err
@@ -319,11 +319,11 @@
 	key := fmt.Sprintf("%d-abcdefgh", time.Now().UnixMilli())
 	var tries sync.WaitGroup
 	var unsure atomic.Bool
-	answers := make([]client.Answer, 6)
+	answers := make([]client.Response, 6)
 	for i := range answers {
 		tries.Go(func() {
 			for end := time.Now().Add(patience); time.Now().Before(end); {
-				answers[i], _, _ = f.client(i%2, "players").Call(f.ctx(), "game-front", "move", key, []byte("e4"))
+				answers[i], _, _ = f.client(i%2, "players").CallOperation(f.ctx(), "game-front", "move", key, []byte("e4"))
 				mayCount := bytes.Contains(answers[i].Body, []byte(refusal.V1PermitUnknown.Name))
 				if !mayCount && !bytes.Contains(answers[i].Body, []byte(refusal.V1LogUnavailable.Name)) {
 					return
@@ -344,7 +344,7 @@
 		is.Equal(string(answer.Body), string(answers[0].Body))
 	}
 	is.Equal(f.executions("e4"), executions)
-	answer, outcome, err := f.client(0, "players").Call(f.ctx(), "game-front", "move", key, []byte("d4"))
+	answer, outcome, err := f.client(0, "players").CallOperation(f.ctx(), "game-front", "move", key, []byte("d4"))
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusConflict)
 	is.Equal(outcome, gateway.Unknown)
@@ -372,7 +372,7 @@
 			plain.Befall(fault)
 		}
 		body := fmt.Sprint("move ", fault)
-		answer, outcome, err := f.client(0, "players").Call(f.ctx(), "game-front", "move", "", []byte(body))
+		answer, outcome, err := f.client(0, "players").CallOperation(f.ctx(), "game-front", "move", "", []byte(body))
 		is.NoErr(err)
 		is.Equal(answer.Status, http.StatusBadGateway)
 		is.Equal(outcome, gateway.Unknown)
@@ -385,7 +385,7 @@
 	is := is.New(t)
 	f.services.Plains[0].Befall(fakebackend.Cut, fakebackend.Cut)
 	for range 4 {
-		answer, outcome, err := f.client(0, "players").Call(f.ctx(), "game-front", "board", "", []byte("show"))
+		answer, outcome, err := f.client(0, "players").CallOperation(f.ctx(), "game-front", "board", "", []byte("show"))
 		is.NoErr(err)
 		is.Equal(answer.Status, http.StatusOK)
 		is.Equal(outcome, gateway.Completed)
@@ -395,10 +395,10 @@
 func TestServicesOfTheInternalListenerAreHidden(t *testing.T) {
 	f := newFloor(t, 1)
 	is := is.New(t)
-	answer, _, err := f.client(0, "players").Call(f.ctx(), "lobby", "fetch", "", nil)
+	answer, _, err := f.client(0, "players").CallOperation(f.ctx(), "lobby", "fetch", "", nil)
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusNotFound)
-	answer, _, err = f.client(0, "arena").Call(f.ctx(), "lobby", "fetch", "", nil)
+	answer, _, err = f.client(0, "arena").CallOperation(f.ctx(), "lobby", "fetch", "", nil)
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusUnauthorized) // an internal caller on the public listener
 }
@@ -445,13 +445,13 @@
 	is := is.New(t)
 	publish := func(daemon int, source string, replaces int64) error {
 		body := map[string]any{"name": "qarmoud", "source": source, "replaces": replaces}
-		return f.operator(daemon).JSON(f.ctx(), http.MethodPost, "/v1/policies", body, nil)
+		return f.operator(daemon).DoJSON(f.ctx(), http.MethodPost, "/v1/policies", body, nil)
 	}
 	changed := strings.Replace(examples.QarmoudPolicy, `"lobby"`, `"hall"`, 1)
 	is.NoErr(publish(0, strings.ReplaceAll(changed, `"lobby"`, `"hall"`), 1))
 	f.until("the policy is in force at the other daemon", func() bool {
 		var status gateway.Status
-		return f.operator(1).JSON(f.ctx(), http.MethodGet, "/v1/status", nil, &status) == nil && status.ConfigurationVersion == 2
+		return f.operator(1).DoJSON(f.ctx(), http.MethodGet, "/v1/status", nil, &status) == nil && status.ConfigurationVersion == 2
 	})
 	problem, ok := client.AsProblem(publish(1, examples.QarmoudPolicy, 1))
 	is.True(ok)
@@ -460,7 +460,7 @@
 	is.True(ok)
 	is.Equal(problem.Status, http.StatusUnprocessableEntity)
 	var list gateway.PolicyList
-	is.NoErr(f.operator(1).JSON(f.ctx(), http.MethodGet, "/v1/policies", nil, &list))
+	is.NoErr(f.operator(1).DoJSON(f.ctx(), http.MethodGet, "/v1/policies", nil, &list))
 	is.Equal(len(list.History), 2)
 }
 
@@ -468,12 +468,12 @@
 	f := newFloor(t, 2)
 	is := is.New(t)
 	is.NoErr(f.comesBack(func() error {
-		return f.operator(0).JSON(f.ctx(), http.MethodPost, "/v1/drains", map[string]any{"machine": "plain-0"}, nil)
+		return f.operator(0).DoJSON(f.ctx(), http.MethodPost, "/v1/drains", map[string]any{"machine": "plain-0"}, nil)
 	}))
 	f.until("both daemons know", func() bool {
 		for i := range 2 {
 			var status gateway.Status
-			if f.operator(i).JSON(f.ctx(), http.MethodGet, "/v1/status", nil, &status) != nil {
+			if f.operator(i).DoJSON(f.ctx(), http.MethodGet, "/v1/status", nil, &status) != nil {
 				return false
 			}
 			for _, c := range status.Replicas {
@@ -486,12 +486,12 @@
 	})
 	before := len(f.services.Plains[0].Executed())
 	for i := range 20 {
-		_, outcome, err := f.client(i%2, "players").Call(f.ctx(), "game-front", "move", "", []byte("after"))
+		_, outcome, err := f.client(i%2, "players").CallOperation(f.ctx(), "game-front", "move", "", []byte("after"))
 		is.NoErr(err)
 		is.Equal(outcome, gateway.Completed)
 	}
 	is.Equal(len(f.services.Plains[0].Executed()), before)
-	problem, ok := client.AsProblem(f.operator(0).JSON(f.ctx(), http.MethodPost, "/v1/drains", map[string]any{"machine": "nobody"}, nil))
+	problem, ok := client.AsProblem(f.operator(0).DoJSON(f.ctx(), http.MethodPost, "/v1/drains", map[string]any{"machine": "nobody"}, nil))
 	is.True(ok)
 	is.Equal(problem.Status, http.StatusNotFound)
 }
@@ -546,7 +546,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	f.until("a refusal is certain", func() bool {
-		_, err := f.client(0, "bots").Submit(ctx, wanted)
+		_, err := f.client(0, "bots").SubmitBatch(ctx, wanted)
 		problem, ok := client.AsProblem(err)
 		is.True(ok)
 		is.Equal(problem.Status, http.StatusServiceUnavailable)
@@ -558,12 +558,12 @@
 		return false
 	})
 	key := fmt.Sprintf("%d-abcdefgh", time.Now().UnixMilli())
-	answer, _, err := f.client(0, "players").Call(ctx, "game-front", "move", key, []byte("away"))
+	answer, _, err := f.client(0, "players").CallOperation(ctx, "game-front", "move", key, []byte("away"))
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusServiceUnavailable)
 	is.Equal(f.executions("away"), 0)
 	f.services.Log.SetFault(nil)
-	_, err = f.client(0, "bots").Submit(ctx, wanted)
+	_, err = f.client(0, "bots").SubmitBatch(ctx, wanted)
 	is.NoErr(err)
 }
 
@@ -585,17 +585,17 @@
 		if one.body != "" {
 			body = rawJSON(one.body)
 		}
-		problem, ok := client.AsProblem(f.client(0, "bots").JSON(f.ctx(), one.method, one.path, body, nil))
+		problem, ok := client.AsProblem(f.client(0, "bots").DoJSON(f.ctx(), one.method, one.path, body, nil))
 		is.True(ok)
 		is.Equal(problem.Problem.Field, one.field)
 		is.Equal(problem.Problem.Outcome, gateway.NotExecuted)
 	}
-	_, err := f.client(0, "bots").Pull(f.ctx(), "bots", "nothing", "", 0, 1, 0)
+	_, err := f.client(0, "bots").PullSamples(f.ctx(), "bots", "nothing", "", 0, 1, 0)
 	problem, ok := client.AsProblem(err)
 	is.True(ok)
 	is.Equal(problem.Problem.Code, "unknown_batch")
 	var status gateway.Status
-	problem, ok = client.AsProblem(f.client(0, "nobody").JSON(f.ctx(), http.MethodGet, "/v1/rollouts/bots/n", nil, &status))
+	problem, ok = client.AsProblem(f.client(0, "nobody").DoJSON(f.ctx(), http.MethodGet, "/v1/rollouts/bots/n", nil, &status))
 	is.True(ok)
 	is.Equal(problem.Status, http.StatusUnauthorized)
 }
@@ -612,7 +612,7 @@
 	wanted := batchOf("ended", 8, 8)
 	_, err := f.submit(0, wanted)
 	is.NoErr(err)
-	is.NoErr(f.client(0, "bots").JSON(f.ctx(), http.MethodDelete, "/v1/rollouts/bots/ended", nil, nil))
+	is.NoErr(f.client(0, "bots").DoJSON(f.ctx(), http.MethodDelete, "/v1/rollouts/bots/ended", nil, nil))
 	starts := func() int {
 		count := 0
 		for _, engine := range f.services.Engines {
@@ -640,7 +640,7 @@
 	for _, plain := range f.services.Plains {
 		plain.Befall(declines...)
 	}
-	answer, outcome, err := f.client(0, "players").Call(f.ctx(), "game-front", "move", key, []byte("e4"))
+	answer, outcome, err := f.client(0, "players").CallOperation(f.ctx(), "game-front", "move", key, []byte("e4"))
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusServiceUnavailable)
 	is.Equal(outcome, gateway.NotExecuted)
@@ -649,11 +649,11 @@
 		plain.Befall()
 	}
 	f.until("the move runs", func() bool {
-		answer, _, err := f.client(1, "players").Call(f.ctx(), "game-front", "move", key, []byte("e4"))
+		answer, _, err := f.client(1, "players").CallOperation(f.ctx(), "game-front", "move", key, []byte("e4"))
 		return err == nil && answer.Status == http.StatusOK
 	})
 	is.Equal(f.executions("e4"), 1)
-	answer, _, err = f.client(0, "players").Call(f.ctx(), "game-front", "move", key, []byte("e4"))
+	answer, _, err = f.client(0, "players").CallOperation(f.ctx(), "game-front", "move", key, []byte("e4"))
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusOK)
 	is.Equal(f.executions("e4"), 1)
--- a/internal/batches/ledger/read.go
+++ b/internal/batches/ledger/read.go
@@ -23,7 +23,7 @@
 
 // CatchUp returns once the fold holds every record that was in the partition at the time of the call.
 // It waits for a read started after the call, which concurrent calls share. The error wraps
-// ErrBehind.
+// ErrNotCaughtUp.
 func (p *Partition) CatchUp(ctx context.Context) error {
 	p.mu.Lock()
 	wanted := p.readsStarted + 1
@@ -35,14 +35,14 @@
 		p.mu.Unlock()
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(ErrBehind, ctx.Err().Error())
+			return errors.Wrap(ErrNotCaughtUp, ctx.Err().Error())
 		case <-ended:
 		}
 		p.mu.Lock()
 		if p.lastSucceededRead < wanted && p.lastFailedRead >= wanted {
 			err := p.readErr
 			p.mu.Unlock()
-			return errors.Wrap(ErrBehind, err.Error())
+			return errors.Wrap(ErrNotCaughtUp, err.Error())
 		}
 	}
 	p.mu.Unlock()
@@ -127,10 +127,10 @@
 }
 
 // ReadPage reads the next page of the partition without waiting for new records. The error wraps
-// ErrBehind.
+// ErrNotCaughtUp.
 func (p *Partition) ReadPage(ctx context.Context) error {
 	if _, err := p.readOnce(ctx, 0); err != nil {
-		return errors.Wrap(ErrBehind, err.Error())
+		return errors.Wrap(ErrNotCaughtUp, err.Error())
 	}
 	return nil
 }
--- a/internal/batches/runner/retry_test.go
+++ b/internal/batches/runner/retry_test.go
@@ -51,8 +51,9 @@
 	return j
 }
 
-// The age of a batch must be measured by the owner's monotonic clock. By the wall clocks, items
-// would expire at once, or never, if those of accepting daemon and owner differ.
+// The age of a batch must be measured by the owner's monotonic clock. Measured by wall clocks,
+// items would expire at once, or never, if the clocks of the accepting daemon and of the owner
+// differ.
 func TestExpiryUsesMonotonicClock(t *testing.T) {
 	const maxQueue = time.Minute
 	for _, behind := range []time.Duration{-time.Hour, -time.Minute, 0, 3 * time.Minute, time.Hour} {
@@ -82,7 +83,7 @@
 	is.Equal(decideRetry(&forward.QuarantinedError{RetryAfter: time.Minute}, 9, 3), retryDecision{delay: time.Minute})
 	is.Equal(decideRetry(forward.ErrDeclined, 9, 3), retried(faultDeclined))
 	is.Equal(decideRetry(errTooOld, 9, 3), retried(faultDeclined))
-	is.Equal(decideRetry(upstream.ErrFull, 9, 3), retried(faultFull))
+	is.Equal(decideRetry(upstream.ErrPoolExhausted, 9, 3), retried(faultFull))
 	is.Equal(decideRetry(context.Canceled, 9, 3), retried(faultFailed))
 	is.Equal(decideRetry(&forward.StatusError{Status: 503}, 9, 3), retried(noFault))
 	is.Equal(decideRetry(&forward.StatusError{Status: 422}, 0, 3), retryDecision{deadReason: "rejected as unprocessable"})
@@ -103,9 +104,9 @@
 	}
 }
 
-// A hand-over that fails because this daemon has no free connection (upstream.ErrFull) must not
-// mark the replica as failed: other batches would avoid it for seconds.
+// A hand-over that fails because this daemon has no free connection (upstream.ErrPoolExhausted)
+// must not mark the replica as failed: other batches would avoid it for seconds.
 func TestAFullPoolIsNoFailureOfTheReplicaAsked(t *testing.T) {
 	is := is.New(t)
-	is.Equal(handOverFault(upstream.ErrFull), faultFull)
+	is.Equal(handOverFault(upstream.ErrPoolExhausted), faultFull)
 }
--- a/internal/daemon/node/listener_test.go
+++ b/internal/daemon/node/listener_test.go
@@ -16,7 +16,7 @@
 	"woodworks/internal/requests/route"
 )
 
-func startFront(t *testing.T, handler http.Handler) (*clientListener, string) {
+func startListener(t *testing.T, handler http.Handler) (*clientListener, string) {
 	t.Helper()
 	is := is.New(t)
 	l := newClientListener(shutdown.New(), zap.NewNop())
@@ -30,12 +30,10 @@
 	return l, l.listener.Addr().String()
 }
 
-// A stop must end although a connection could still come: it once waited for
-// the accepting loop, which never ended, until the process was killed with a
-// request under way.
+// Shutdown must close the listener, or the accept loop that it waits for never ends.
 func TestShutdownEndsWithoutRequests(t *testing.T) {
-	l, _ := startFront(t, http.NotFoundHandler())
-	l.configured(&route.Configuration{Definition: route.Definition{Limits: route.Limits{MaxHeaderBytes: 8192}}})
+	l, _ := startListener(t, http.NotFoundHandler())
+	l.applyConfiguration(&route.Configuration{Definition: route.Definition{Limits: route.Limits{MaxHeaderBytes: 8192}}})
 	done := make(chan struct{})
 	go func() {
 		l.shutdown(context.Background())
@@ -44,12 +42,12 @@
 	<-done
 }
 
-// A request that is under way when the stop begins is answered whole, and
-// later connections are not taken.
+// A request in progress when the stop begins is answered in full, and later connections are
+// refused.
 func TestShutdownFinishesRequestUnderWay(t *testing.T) {
 	is := is.New(t)
 	entered, leave := make(chan struct{}), make(chan struct{})
-	l, address := startFront(t, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+	l, address := startListener(t, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		close(entered)
 		<-leave
 		_, _ = writer.Write([]byte("whole"))
@@ -83,7 +81,7 @@
 	<-done
 }
 
-// An address for metrics that is taken does not keep a daemon from serving.
+// A metrics address that is in use must not prevent a daemon from serving clients.
 func TestAMetricsAddressInUseIsNotFatal(t *testing.T) {
 	is := is.New(t)
 	taken, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -94,23 +92,23 @@
 	is.True(health.listen(taken.Addr().String(), "") != nil)
 }
 
-// kept is a connection of a client that stays open between requests.
-type kept struct {
+// persistentConn is a client connection that is used for several requests.
+type persistentConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func keepOne(t *testing.T, address string) *kept {
+func dialPersistent(t *testing.T, address string) *persistentConn {
 	t.Helper()
 	conn, err := net.Dial("tcp4", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return &kept{Conn: conn, r: bufio.NewReader(conn)}
+	return &persistentConn{Conn: conn, r: bufio.NewReader(conn)}
 }
 
-func (k *kept) ask(path string) (*http.Response, error) {
+func (k *persistentConn) get(path string) (*http.Response, error) {
 	if _, err := io.WriteString(k, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		return nil, err
 	}
@@ -122,29 +120,27 @@
 	return response, err
 }
 
-// A stop once closed the connections that were at rest as it began, and cut
-// off requests that crossed the close (platform.TestAPlannedStopLosesNothing
-// failed in CI: "EOF"). The next answer on such a connection says that it is
-// the last one.
-func TestAKeptConnectionIsAnsweredOnceMoreAfterAStopBegan(t *testing.T) {
+// A stop must not close an idle connection at once, as its client may be sending a request: the
+// next answer on it closes it.
+func TestDrainAnswersOnceMoreOnOpenConnections(t *testing.T) {
 	is := is.New(t)
-	l, address := startFront(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
-	client := keepOne(t, address)
-	first, err := client.ask("/first")
+	l, address := startListener(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
+	client := dialPersistent(t, address)
+	first, err := client.get("/first")
 	is.NoErr(err)
 	is.True(!first.Close)
 	l.drain()
-	second, err := client.ask("/second")
+	second, err := client.get("/second")
 	is.NoErr(err)
 	is.True(second.Close)
 }
 
-// A connection at rest ends with the stop, so that the stop ends.
-func TestShutdownClosesConnectionsAtRest(t *testing.T) {
+// Shutdown must close idle connections, or it would wait for their clients.
+func TestShutdownClosesIdleConnections(t *testing.T) {
 	is := is.New(t)
-	l, address := startFront(t, http.NotFoundHandler())
-	client := keepOne(t, address)
-	_, err := client.ask("/")
+	l, address := startListener(t, http.NotFoundHandler())
+	client := dialPersistent(t, address)
+	_, err := client.get("/")
 	is.NoErr(err)
 	l.drain()
 	l.shutdown(context.Background())
@@ -152,7 +148,7 @@
 	is.Equal(err, io.EOF)
 }
 
-// gatedConn gives its bytes to the reader when told to.
+// gatedConn blocks each Read until arrived is closed.
 type gatedConn struct {
 	net.Conn
 	arrived chan struct{}
@@ -165,8 +161,8 @@
 
 func (g gatedConn) Close() error { return nil }
 
-// A request whose bytes arrive as its connection is closed must not reach the
-// server: it would be passed on, and its answer could not be.
+// A request whose bytes arrive while its connection is being closed must not reach the server: it
+// would be forwarded, but could not be answered.
 func TestNothingIsReadFromAClosedConnection(t *testing.T) {
 	is := is.New(t)
 	conns := newClientConns()
@@ -178,14 +174,14 @@
 		n, _ := c.Read(make([]byte, 64))
 		read <- n
 	}()
-	is.Equal(conns.closeQuiet(accepted), 0)
+	is.Equal(conns.closeIdleSince(accepted), 0)
 	close(gated.arrived)
 	is.Equal(<-read, 0)
 }
 
-// A connection on which a request has begun is not closed, and one that has
-// been quiet for a short time only isn't either.
-func TestABusyConnectionIsNotClosedAsQuiet(t *testing.T) {
+// A connection with a request in progress, or one that has been idle only for a short time, must
+// not be closed as idle.
+func TestBusyConnectionIsNotClosedAsIdle(t *testing.T) {
 	is := is.New(t)
 	conns := newClientConns()
 	gated := gatedConn{arrived: make(chan struct{})}
@@ -195,9 +191,9 @@
 	n, err := c.Read(make([]byte, 64))
 	is.NoErr(err)
 	is.True(n > 0)
-	is.Equal(conns.closeQuiet(accepted.Add(time.Hour)), 1)
+	is.Equal(conns.closeIdleSince(accepted.Add(time.Hour)), 1)
 	answered := accepted.Add(time.Minute)
-	c.answered(answered)
-	is.Equal(conns.closeQuiet(answered.Add(-time.Millisecond)), 1)
-	is.Equal(conns.closeQuiet(answered), 0)
+	c.markIdle(answered)
+	is.Equal(conns.closeIdleSince(answered.Add(-time.Millisecond)), 1)
+	is.Equal(conns.closeIdleSince(answered), 0)
 }
--- a/internal/daemon/node/stop_test.go
+++ b/internal/daemon/node/stop_test.go
@@ -13,7 +13,7 @@
 	"woodworks/internal/requests/upstream"
 )
 
-// builtNode is a daemon that is not started, on a journal in memory.
+// builtNode returns a daemon on an in-memory journal that has not been started.
 func builtNode(t *testing.T, grace time.Duration) *Node {
 	t.Helper()
 	loaded := settings.Defaults()
@@ -28,36 +28,36 @@
 	return b
 }
 
-// All parts of a daemon go by one stop: where one did not, its requests were cut at the
-// end of the grace, or taken without the time that they need.
-func TestAllPartsGoByOneStop(t *testing.T) {
+// All components must share one shutdown.Stop, or requests are cut off at the end of the grace or
+// accepted without enough time left.
+func TestAllComponentsShareOneStop(t *testing.T) {
 	is := is.New(t)
 	b := builtNode(t, 8*time.Second)
 	is.True(b.handler.Stop == b.shutdown)
-	is.True(b.public.planned == b.shutdown)
-	is.True(b.private.planned == b.shutdown)
-	is.Equal(b.public.longestKept(), longestKeep)
+	is.True(b.public.plannedStop == b.shutdown)
+	is.True(b.internal.plannedStop == b.shutdown)
+	is.Equal(b.public.keepAliveLimit(), maxKeepAlive)
 	b.SetStopGrace(4 * time.Second)
-	is.Equal(b.public.longestKept(), 2*time.Second)
-	is.Equal(b.private.longestKept(), 2*time.Second)
+	is.Equal(b.public.keepAliveLimit(), 2*time.Second)
+	is.Equal(b.internal.keepAliveLimit(), 2*time.Second)
 	b.shutdown.Begin(time.Duration(b.grace.Load()))
-	is.Equal(b.public.planned.Plan().Drain, 1500*time.Millisecond)
+	is.Equal(b.public.plannedStop.Plan().Drain, 1500*time.Millisecond)
 	ready, reason := b.ready()
 	is.True(!ready)
 	is.Equal(reason, "stopping")
 }
 
-// A daemon closes connections that rest for too long, on both listeners.
+// A daemon must close expired idle connections on both client listeners.
 func TestADaemonClosesExpiredConnections(t *testing.T) {
 	is := is.New(t)
 	b := builtNode(t, 8*time.Second)
-	for _, l := range []*clientListener{b.public, b.private} {
+	for _, l := range []*clientListener{b.public, b.internal} {
 		near, far := net.Pipe()
 		defer func() { _ = near.Close() }()
 		l.conns.add(far, time.Now())
 	}
 	b.closeExpired(time.Now().Add(defaultIdleTimeout - time.Second))
-	is.Equal(len(b.public.conns.all())+len(b.private.conns.all()), 2)
+	is.Equal(len(b.public.conns.all())+len(b.internal.conns.all()), 2)
 	b.closeExpired(time.Now().Add(defaultIdleTimeout + time.Second))
-	is.Equal(len(b.public.conns.all())+len(b.private.conns.all()), 0)
+	is.Equal(len(b.public.conns.all())+len(b.internal.conns.all()), 0)
 }
--- a/internal/demo/services/services.go
+++ b/internal/demo/services/services.go
@@ -85,7 +85,7 @@
 type Services struct {
 	// Log holds what lasts; tests may let faults befall it.
 	Log      *journaltest.Journal
-	Operator *operator.Operator
+	Operator *operator.Store
 	Engines  []*Engine
 	Plains   []*Plain
 
@@ -150,7 +150,7 @@
 func (s *Services) hold(engine, model string, version int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), holdTimeout)
 	defer cancel()
-	for ctx.Err() == nil && s.Operator.Hold(ctx, engine, model, version) != nil {
+	for ctx.Err() == nil && s.Operator.RecordHeldVersion(ctx, engine, model, version) != nil {
 		time.Sleep(holdPause)
 	}
 }
@@ -170,7 +170,7 @@
 		return Machine{}, err
 	}
 	entry := operator.Machine{Service: service, Address: addr.String(), Zone: s.zones[i%len(s.zones)], Slots: slots}
-	return Machine{id, addr, server}, s.Operator.List(context.Background(), id, &entry)
+	return Machine{id, addr, server}, s.Operator.SetMachine(context.Background(), id, &entry)
 }
 
 // serve serves a handler on a free address.
--- a/internal/demo/trainer.go
+++ b/internal/demo/trainer.go
@@ -53,7 +53,7 @@
 		time.Sleep(trainTime)
 		t.version++
 		t.until(ctx, func(ctx context.Context, c *client.Client) error {
-			return c.Announce(ctx, trainerKey, t.version, fmt.Sprint("weights-", t.version))
+			return c.AnnounceVersion(ctx, trainerKey, t.version, fmt.Sprint("weights-", t.version))
 		})
 	}
 }
@@ -91,7 +91,7 @@
 func (t *trainer) batch(ctx context.Context, req rollout.Request) bool {
 	cursor := ""
 	if !t.until(ctx, func(ctx context.Context, c *client.Client) error {
-		submitted, err := c.Submit(ctx, req)
+		submitted, err := c.SubmitBatch(ctx, req)
 		cursor = submitted.Cursor
 		return err
 	}) {
@@ -101,7 +101,7 @@
 	for {
 		var pulled gateway.PullResponse
 		if !t.until(ctx, func(ctx context.Context, c *client.Client) (err error) {
-			pulled, err = c.Pull(ctx, trainerKey, req.Name, cursor, t.version, mostPulled, pullWait)
+			pulled, err = c.PullSamples(ctx, trainerKey, req.Name, cursor, t.version, mostPulled, pullWait)
 			return err
 		}) {
 			return false
--- a/internal/requests/ingress/plain.go
+++ b/internal/requests/ingress/plain.go
@@ -11,8 +11,8 @@
 	"woodworks/internal/requests/route"
 )
 
-// maxAdmissions bounds how often a request is admitted after every replica has declined it. It
-// waits for admission again each time, so that it does not delay other requests.
+// maxAdmissions is how often a request is admitted at most. A request that every replica has
+// declined waits for admission again, so that it does not delay other requests.
 const maxAdmissions = 3
 
 // servePlain sends a request to a replica and relays the answer.
@@ -74,7 +74,7 @@
 
 // admissionRequest returns the request's description for admission control.
 func (r *request) admissionRequest(service string) admission.Request {
-	return admission.Request{ID: r.id, Service: service, Tenant: r.tenantName(), Rank: r.tenant.Rank(r.route.Priority),
+	return admission.Request{ID: r.id, Service: service, Tenant: r.tenantName(), Rank: r.tenant.EffectivePriority(r.route.Priority),
 		TimeLeft: r.timeLeft, TargetLatency: r.route.TargetLatency, Age: r.elapsed()}
 }
 
