--- a/internal/api/permit/permit.go
+++ b/internal/api/permit/permit.go
@@ -65,7 +65,7 @@
 // Granted permits its holder to run the request once.
 type Granted struct{ key, claimant string }
 
-// Key returns the claimed key.
+// Key returns the key that the holder has claimed.
 func (g Granted) Key() string { return g.key }
 
 // Taken means that another try has the permit. Its request may have run.
--- a/internal/batches/batch/record.go
+++ b/internal/batches/batch/record.go
@@ -98,7 +98,8 @@
 	return encode(record{Kind: kindItemsReturned, BatchID: batchID, From: from, HandedOff: items})
 }
 
-// Ended returns the encoded record that ends a batch, provided that it belongs to the tenant.
+// Ended returns the encoded record that ends a batch of a tenant. The fold ignores the record if
+// the batch does not belong to that tenant.
 func Ended(batchID, tenant string) []byte {
 	return encode(record{Kind: kindEnded, BatchID: batchID, Tenant: tenant})
 }
--- a/internal/batches/ledger/ledgertest/fleet.go
+++ b/internal/batches/ledger/ledgertest/fleet.go
@@ -64,5 +64,5 @@
 	return f.Incarnations[index], true
 }
 
-// Daemons returns the number of daemons.
+// Daemons returns the number of daemons in the fleet.
 func (f *Fleet) Daemons() int { return len(f.Incarnations) }
--- a/internal/batches/results/budget.go
+++ b/internal/batches/results/budget.go
@@ -23,7 +23,7 @@
 // reads are late. It starts empty, so that just after a start of all daemons the bandwidth is left
 // to the watchers. It is safe for concurrent use.
 type readBudget struct {
-	// bytesPerSecond is the read bandwidth that the journal grants to all daemons.
+	// bytesPerSecond is the read bandwidth that the journal grants to all daemons together.
 	bytesPerSecond float64
 	// daemonCount returns the number of daemons, 0 while it is not known.
 	daemonCount func() int
--- a/internal/batches/scheduling/planner.go
+++ b/internal/batches/scheduling/planner.go
@@ -56,7 +56,8 @@
 	return v
 }
 
-// engineState is an engine with the decisions so far applied.
+// engineState is the state of an engine in a planning round. It includes the decisions that the
+// round has made so far.
 type engineState struct {
 	*Engine
 	// inFlight is the number of requests of all owners at the engine, including those that this
@@ -66,8 +67,8 @@
 	// loadFactor is the fraction by which the requests at the engine lengthen the event time of
 	// one more request: the sum of loadFactorOf over these requests.
 	loadFactor float64
-	// unloadedRatio is the event time that the engine would have without load, relative to the
-	// median event time.
+	// unloadedRatio is the event time that the engine would have without load, divided by
+	// medianEventTime of the planner. It stays the same during the round.
 	unloadedRatio float64
 	// overdue is set if the first event of an item that runs at the engine is overdue.
 	overdue bool
--- a/internal/callers/usage/recorder.go
+++ b/internal/callers/usage/recorder.go
@@ -43,8 +43,8 @@
 	// appended again unchanged, so that the fold counts it once.
 	lastNumber    int64
 	pendingRecord []byte
-	// pendingCounts has the counts of pendingRecord, unlogged the counts that were written but not
-	// logged yet, both by window and tenant.
+	// pendingCounts has the counts of pendingRecord by window and tenant. unlogged has the counts
+	// by window and tenant that are in the journal but in no log line yet.
 	pendingCounts, unlogged map[int64]map[string]int64
 	// flushMu is held during an append, so that there is one at a time. It is locked before mu.
 	flushMu sync.Mutex
--- a/internal/daemon/node/metrics.go
+++ b/internal/daemon/node/metrics.go
@@ -2,7 +2,8 @@
 
 import "woodworks/internal/daemon/metrics"
 
-// registerMetrics registers the metrics of all components.
+// registerMetrics registers the gauges and counters whose values are read from the components of
+// the node.
 func (n *Node) registerMetrics() {
 	n.registerBatchMetrics()
 	n.registerJournalMetrics()
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -130,7 +130,8 @@
 	Unreadable bool `cbor:"Unreadable"`
 }
 
-// KeyedPage is one page of the newest records of a keyed partition.
+// KeyedPage is one page of the keys of a keyed partition. It has the newest record of each key, in
+// the order of the keys.
 type KeyedPage struct {
 	Records []KeyedRecord `cbor:"Records"`
 	// More reports whether there are further keys after the last key of this page. End is the
@@ -164,14 +165,16 @@
 
 // Journal is the interface to the platform's log. Implementations neither retry nor cache.
 type Journal interface {
-	// Append appends records to a partition.
+	// Append appends all records of the request to its partition, or none. It fails with
+	// ErrPosition if ExpectedEnd is set and the partition does not end there.
 	Append(ctx context.Context, request Append) (Appended, error)
 	// Read returns the records of a partition from an offset on. If the answer breaks off, Read
 	// returns both an error and the complete records before the break. These records are valid,
 	// and the caller may continue after them.
 	Read(ctx context.Context, request Read) (Records, error)
-	// Newest returns a page of the newest records of a keyed partition, with the keys after
-	// afterKey. An empty afterKey starts with the first key.
+	// Newest returns a page with the newest record of each key of a keyed partition, in the order
+	// of the keys. The page starts with the first key after afterKey. If afterKey is "", it
+	// starts with the first key.
 	Newest(ctx context.Context, partition Partition, afterKey string) (KeyedPage, error)
 	// Join joins a group or renews a membership, and returns the partitions assigned to the
 	// member.
--- a/internal/journal/logservice/logservice.go
+++ b/internal/journal/logservice/logservice.go
@@ -46,7 +46,8 @@
 	AfterKey  string            `cbor:"AfterKey"`
 }
 
-// memberRequest is the request of callLeave, and without Member that of callOwners.
+// memberRequest is the request of callLeave and of callOwners. Member is empty in a request of
+// callOwners.
 type memberRequest struct {
 	Group  string `cbor:"Group"`
 	Member string `cbor:"Member"`
--- a/internal/journal/relay/peers.go
+++ b/internal/journal/relay/peers.go
@@ -47,7 +47,8 @@
 	suspensions *logging.Episodes
 
 	mu sync.Mutex
-	// byName maps the names of the peers to their state.
+	// byName maps the name of each daemon that has announced itself, except this one, to its
+	// state.
 	byName map[string]*peer
 	// closed is set when this daemon stops.
 	closed bool
--- a/internal/journal/relay/relay.go
+++ b/internal/journal/relay/relay.go
@@ -95,7 +95,9 @@
 	j.peers.close()
 }
 
-// probe calls the journal on the own path at intervals while that path is lost.
+// probe tests the own path while it is lost: it calls the journal on that path at intervals of
+// probeInterval. An answer that is no refusal restores the path. probe blocks until the context
+// ends.
 func (j *Journal) probe(ctx context.Context) {
 	periodic.Every(ctx, probeInterval, func(ctx context.Context) {
 		if lost, _ := j.path.state(); !lost {
--- a/internal/membership/duty/duty.go
+++ b/internal/membership/duty/duty.go
@@ -39,11 +39,11 @@
 	Fence  int64
 }
 
-// Usage holds the requests of all tenants in one usage window.
+// Usage holds, for one usage window, how many requests of each tenant started to run in it.
 type Usage struct {
 	// Window is the number of the window, counted in window lengths since the Unix epoch.
 	Window int64
-	// Requests is the number of requests per tenant that started to run in the window.
+	// Requests maps each tenant to the number of its requests that started to run in the window.
 	Requests map[string]int64
 }
 
--- a/internal/replicas/modelsync/modelsync.go
+++ b/internal/replicas/modelsync/modelsync.go
@@ -100,8 +100,9 @@
 	stop()
 }
 
-// step assigns the replicas of each engine service to its models and starts the changes that are
-// due, as far as the load limit allows.
+// step does one round for all engine services of the configuration. It assigns the replicas of each
+// service to the models of that service. It then starts the changes that are due, until the load
+// limit is reached. Without a configuration it does nothing.
 func (s *Syncer) step(ctx context.Context, now time.Time) {
 	configuration := s.Configuration()
 	if configuration == nil {
--- a/internal/requests/admission/admission.go
+++ b/internal/requests/admission/admission.go
@@ -143,7 +143,8 @@
 type Counts struct {
 	// Waiting is the number of queued requests.
 	Waiting int
-	// FullServices is the number of services that are considered full.
+	// FullServices is the number of services that this daemon considers full. These are the
+	// services for which its rate limit is active.
 	FullServices int
 	// SlotShare is how many slots this daemon uses at its rates of starts, summed over the full
 	// services.
--- a/internal/requests/forward/retry.go
+++ b/internal/requests/forward/retry.go
@@ -38,7 +38,8 @@
 	MayHaveRun, Open, NotRun int
 	// MaxAttempts is how many attempts may run; values below 1 count as 1.
 	MaxAttempts int
-	// Repeatable is set for requests, and resumable streams, that may run more than once.
+	// Repeatable is set if the request may run more than once. For a stream it is set if the
+	// stream is resumable.
 	Repeatable bool
 	// Suspicion is the quarantine's suspicion against the content. ContentRefused reports that the
 	// content may not run now.
--- a/internal/requests/ingress/streams.go
+++ b/internal/requests/ingress/streams.go
@@ -139,8 +139,9 @@
 	return true, s.relayEvents(stream)
 }
 
-// relayEvents writes the events of a stream to the client until its regular end. It rejects
-// events whose id is not greater than the last one written.
+// relayEvents writes the events of a stream to the client until the regular end of the stream. An
+// event whose id is not greater than the last id that the client has ends the relaying with an
+// error, and is not written.
 func (s *streamRelay) relayEvents(stream *forward.Stream) error {
 	for {
 		event, err := stream.Next()
--- a/internal/requests/upstream/upstream.go
+++ b/internal/requests/upstream/upstream.go
@@ -90,7 +90,7 @@
 type Options struct {
 	// LocalAddress is the source IP address with any port, or "" for the system's choice.
 	LocalAddress string
-	// ConnectTimeout bounds the dialling of a connection.
+	// ConnectTimeout is how long it may take to open a connection.
 	ConnectTimeout time.Duration
 	// UnackedTimeout is how long sent bytes may stay unacknowledged before the connection is
 	// considered broken.
